--- a/crates/copperspread/tests/sockets/mod.rs
+++ b/crates/copperspread/tests/sockets/mod.rs
@@ -56,6 +56,63 @@
     within("a request or the connection's end", read(connection)).await
 }
 
+/// The bytes of the next HTTP message; nothing if the connection ended.
+async fn read_bytes(stream: &mut BufReader<TcpStream>) -> Option<Vec<u8>> {
+    let mut message = Vec::new();
+    let mut length = 0;
+    loop {
+        let start = message.len();
+        stream.read_until(b'\n', &mut message).await.ok().filter(|&n| n > 0)?;
+        let line = String::from_utf8_lossy(&message[start..]).to_ascii_lowercase();
+        if let Some(value) = line.strip_prefix("content-length:") {
+            length = value.trim().parse().expect("a length");
+        }
+        if line.trim().is_empty() {
+            break;
+        }
+    }
+    let head = message.len();
+    message.resize(head + length, 0);
+    stream.read_exact(&mut message[head..]).await.ok()?;
+    Some(message)
+}
+
+/// A party that answers each request at once and keeps its bytes.
+pub struct Capture {
+    pub address: SocketAddr,
+    requests: mpsc::UnboundedReceiver<Vec<u8>>,
+}
+
+impl Capture {
+    /// One that answers by a function of the request line; an empty answer closes the connection.
+    pub async fn new(answer: fn(&str) -> String) -> Capture {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = listener.local_addr().expect("an address");
+        let (sender, requests) = mpsc::unbounded_channel();
+        tokio::spawn(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                let sender = sender.clone();
+                tokio::spawn(async move {
+                    let mut stream = BufReader::new(stream);
+                    while let Some(request) = read_bytes(&mut stream).await {
+                        let answer = answer(String::from_utf8_lossy(&request).lines().next().unwrap_or(""));
+                        if sender.send(request).is_err() || answer.is_empty() {
+                            return;
+                        }
+                        let _ = stream.write_all(answer.as_bytes()).await;
+                    }
+                });
+            }
+        });
+        Capture { address, requests }
+    }
+    /// The next request, byte by byte.
+    pub async fn request(&mut self) -> String {
+        let request = within("a request", self.requests.recv()).await.expect("the party lives");
+        String::from_utf8(request).expect("UTF-8")
+    }
+}
+
 /// A request that reached a party, to be answered; dropped, its connection closes.
 pub struct Asked {
     pub message: Message,
@@ -141,6 +198,15 @@
         self.send(text).await;
         self.heard().await.expect("an answer")
     }
+    /// The next answer, byte by byte.
+    pub async fn heard_bytes(&mut self) -> String {
+        let answer = within("an answer", read_bytes(&mut self.0)).await.expect("an answer");
+        String::from_utf8(answer).expect("UTF-8")
+    }
+    pub async fn ask_bytes(&mut self, text: &str) -> String {
+        self.send(text).await;
+        self.heard_bytes().await
+    }
     pub async fn job(&mut self, class: &str, id: u64, millis: u64) {
         self.send(&job(class, id, millis)).await;
     }
--- /dev/null
+++ b/crates/copperspread/tests/wire_transcripts.rs
@@ -0,0 +1,319 @@
+//! Transcripts of all that the program writes to others, byte by byte: to workers, discovery and clients,
+//! and into its records. Only what differs from run to run is masked. `\r\n` stands where the bytes are.
+#![cfg(feature = "standalone")]
+mod sockets;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use copperspread_records::{FORMAT, Record, What};
+use insta::assert_snapshot;
+use sockets::*;
+
+const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
+const CLUSTER: &str = "GET /-/cluster HTTP/1.1\r\nHost: s\r\n\r\n";
+const DONE: &str = r#""state":"done","result":"paid","load":{"x0":1.5,"queue":3}"#;
+/// Headers that concern only the client's connection.
+const HOP_BY_HOP: &str = "Connection: keep-alive\r\nKeep-Alive: timeout=5\r\nProxy-Connection: keep-alive\r\n\
+                          TE: trailers\r\nTrailer: X-Sum\r\nUpgrade: h2c\r\nExpect: 100-continue\r\n";
+
+/// Masks what stands after each such text, up to the first character that does not belong to it.
+fn masked(text: &str, after: &str, belongs: fn(char) -> bool) -> String {
+    let mut parts = text.split(after);
+    let mut masked = parts.next().unwrap_or_default().to_owned();
+    for part in parts {
+        let rest = part.trim_start_matches(belongs);
+        let mask = if rest.len() < part.len() { "[masked]" } else { "" };
+        masked += &format!("{after}{mask}{rest}");
+    }
+    masked
+}
+
+/// Masks the numbers after such texts.
+fn numbers_masked(text: &str, after: &[&str]) -> String {
+    let of_number = |character: char| character.is_ascii_digit() || character == '.';
+    after.iter().fold(text.to_owned(), |text, after| masked(&text, after, of_number))
+}
+
+/// An HTTP message as it is pinned.
+fn transcript(message: &str) -> String {
+    let message = masked(message, "\r\ndate: ", |character| character != '\r');
+    let message = numbers_masked(&message, &["127.0.0.1:", "x-timeout: ", "retry-after: "]);
+    message.replace("\r\n", "\\r\\n\n")
+}
+
+/// Several, each under its name.
+fn named(transcripts: &[(&str, String)]) -> String {
+    let named = transcripts.iter().map(|(name, message)| format!("--- {name}\n{}\n", transcript(message)));
+    named.collect()
+}
+
+/// What a worker answers.
+fn as_worker(first: &str) -> String {
+    let status = if first.starts_with("POST") { "202 Accepted" } else { "200 OK" };
+    format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n")
+}
+
+/// A discovery that answers whole lists and breaks each watch.
+fn as_discovery(first: &str) -> String {
+    let body = list(5, true, &[]);
+    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    if first.contains('?') { String::new() } else { answer }
+}
+
+/// The configuration, with its discovery elsewhere.
+fn with_discovery(config: &str, address: SocketAddr) -> String {
+    let (before, rest) = config.split_once(r#""discovery":""#).expect("a discovery");
+    let (_, after) = rest.split_once('"').expect("its end");
+    format!(r#"{before}"discovery":"{address}"{after}"#)
+}
+
+#[tokio::test]
+async fn jobs_written_to_a_worker() {
+    let mut worker = Capture::new(as_worker).await;
+    let scheduler = Scheduler::start(&[worker.address]).await;
+    let mut requests = Vec::new();
+    for (id, class) in (1..).zip(["safe", "keyed", "once"]) {
+        let more = format!("{HOP_BY_HOP}X-Trace: one\r\nX-Trace: two\r\nX-Attrs: width=2,other=é\r\n");
+        let text = job(class, id, 9000).replace("X-Cost", &format!("{more}X-Tenant-Id: big\r\nX-Cost"));
+        let mut client = scheduler.client().await;
+        client.send(&text).await;
+        requests.push((class, worker.request().await));
+        // Kept until the end of the job: one that goes has it cancelled.
+        assert_eq!(scheduler.call_back(&format!("{id:016x}"), "r0", DONE).await, 204);
+        assert_eq!(client.heard_bytes().await, "HTTP/1.1 100 Continue\r\n\r\n");
+        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+    }
+    let chunked = "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
+    let mut client = scheduler.client().await;
+    client.send(&job("once", 4, 9000).replace("Content-Length: 2\r\n\r\nhi", chunked)).await;
+    requests.push(("once, in chunks", worker.request().await));
+    let mut client = scheduler.client().await;
+    client.send(&job("once", 5, 9000).replace("Content-Length: 2\r\n\r\nhi", "\r\n")).await;
+    requests.push(("once, without a body", worker.request().await));
+    assert_snapshot!("jobs_written_to_a_worker", named(&requests));
+}
+
+#[tokio::test]
+async fn a_cancel_written_to_a_worker() {
+    let mut worker = Capture::new(as_worker).await;
+    let scheduler = Scheduler::start(&[worker.address]).await;
+    let mut client = scheduler.client().await;
+    client.job("safe", 1, 9000).await;
+    worker.request().await;
+    assert_eq!(scheduler.call_back("0000000000000001", "r0", r#""state":"started""#).await, 204);
+    drop(client);
+    assert_snapshot!("a_cancel_written_to_a_worker", transcript(&worker.request().await));
+}
+
+#[tokio::test]
+async fn a_load_probe_written_to_a_worker() {
+    let mut worker = Capture::new(as_worker).await;
+    let probed = |config: String| {
+        let config = config.replace(r#""send_cap""#, r#""probes":true,"send_cap""#);
+        config.replace(r#""unknown""#, r#""load_info":{"how":"pull"},"penalties":{"probe":0.002},"unknown""#)
+    };
+    let _scheduler = Scheduler::start_with(&[worker.address], probed).await;
+    assert_snapshot!("a_load_probe_written_to_a_worker", transcript(&worker.request().await));
+}
+
+#[tokio::test]
+async fn calls_written_to_discovery() {
+    for kind in ["pushed", "on_request"] {
+        let mut discovery = Capture::new(as_discovery).await;
+        let address = discovery.address;
+        let watching = |config: String| {
+            with_discovery(&config, address)
+                .replace(r#""discovery":"pushed""#, &format!(r#""discovery":"{kind}""#))
+        };
+        let _scheduler = Scheduler::start_with(&[], watching).await;
+        let mut calls = Vec::new();
+        for name in ["the whole list", "a watch", "the whole list after a watch that broke"] {
+            calls.push((name, discovery.request().await));
+        }
+        assert_snapshot!("calls_written_to_discovery", named(&calls));
+    }
+}
+
+#[tokio::test]
+async fn answers_to_clients() {
+    let mut worker = Party::new().await;
+    let scheduler = Scheduler::start(&[worker.address]).await;
+    let mut answers = Vec::new();
+    let mut client = scheduler.client().await;
+    for (id, name, news) in [(1, "served", DONE), (2, "failed", r#""state":"failed""#)] {
+        client.job("once", id, 9000).await;
+        let id = worker.asked().await.accept();
+        assert_eq!(scheduler.call_back(&id, "r0", news).await, 204);
+        answers.push((name, client.heard_bytes().await));
+    }
+    let good = job("keyed", 3, 9000);
+    let large = good.replace("Content-Length: 2\r\n\r\nhi", "Content-Length: 65537\r\n\r\n");
+    let bad = [
+        ("no HTTP", "nonsense\r\n\r\n".to_owned()),
+        ("a bad header", good.replace("9000m", "soon")),
+        ("a body framed in two ways", good.replace("Content-L", "Transfer-Encoding: chunked\r\nContent-L")),
+        ("an id that came before", job("once", 1, 9000)),
+        ("an unknown class", good.replace("/keyed/", "/other/")),
+        ("a job by another method", good.replace("POST", "GET")),
+        ("a call-back by another method", "GET /_jobs/news HTTP/1.1\r\nHost: s\r\n\r\n".to_owned()),
+        ("a page by another method", READY.replace("GET", "POST")),
+        ("a body that comes late", good[..good.len() - 1].to_owned()),
+        ("a body too large", large),
+    ];
+    for (name, text) in bad {
+        let mut client = scheduler.client().await;
+        answers.push((name, client.ask_bytes(&text).await));
+        assert!(client.ended().await, "it is closed: {name}");
+    }
+    let scheduler = Scheduler::start(&[]).await;
+    answers.push(("refused", scheduler.client().await.ask_bytes(&job("once", 1, 9000)).await));
+    assert_snapshot!("answers_to_clients", named(&answers));
+}
+
+#[tokio::test]
+async fn answers_to_call_backs() {
+    let mut worker = Party::new().await;
+    let scheduler = Scheduler::start(&[worker.address]).await;
+    let mut client = scheduler.client().await;
+    let mut lines = String::new();
+    for (number, state) in (1..).zip(["done", "failed", "lost", "returned"]) {
+        client.job("once", number, 9000).await;
+        let id = worker.asked().await.accept();
+        let result = if state == "done" { r#","result":"paid""# } else { "" };
+        let last = format!(r#""state":"{state}"{result},"load":{{"x0":4}}"#);
+        for news in [r#""state":"started""#, r#""state":"running","share":0.5"#, &last] {
+            let body = format!(r#"{{"id":"{id}","from":"r0",{news}}}"#);
+            lines += &format!("{body}\n  {}\n", call_back(&scheduler, &body).await);
+        }
+        lines += &format!("  and the client: {}\n", client.heard().await.expect("an answer").first);
+    }
+    for body in [
+        "no JSON",
+        r#"{"from":"r0","state":"started"}"#,
+        r#"{"id":"1","from":"r0","state":"started"}"#,
+        r#"{"id":"0000000000000001","state":"started"}"#,
+        r#"{"id":"0000000000000001","from":"r0"}"#,
+        r#"{"id":"0000000000000001","from":"r0","state":"other"}"#,
+        r#"{"id":"0000000000000001","from":"r0","state":"running"}"#,
+        r#"{"id":"0000000000000001","from":"r0","state":"done"}"#,
+    ] {
+        lines += &format!("{body}\n  {}\n", call_back(&scheduler, body).await);
+    }
+    assert_snapshot!("answers_to_call_backs", lines);
+}
+
+/// A call-back's answer on one line.
+async fn call_back(scheduler: &Scheduler, body: &str) -> String {
+    let length = body.len();
+    let text = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{body}");
+    transcript(&scheduler.client().await.ask_bytes(&text).await).trim_end().replace('\n', " ")
+}
+
+#[tokio::test]
+async fn readiness_before_and_after_sigterm() {
+    let mut worker = Party::new().await;
+    let mut scheduler = Scheduler::start(&[worker.address]).await;
+    let mut answers = vec![("ready", scheduler.client().await.ask_bytes(READY).await)];
+    let mut client = scheduler.client().await;
+    client.job("once", 1, 9000).await;
+    let id = worker.asked().await.accept();
+    scheduler.terminate().await;
+    scheduler.logs("ending, 1 flows to answer").await;
+    answers.push(("ends", scheduler.client().await.ask_bytes(READY).await));
+    assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
+    answers.push(("a job taken before", client.heard_bytes().await));
+    assert!(client.ended().await);
+    assert!(within("its end", scheduler.child.wait()).await.expect("it ended").success());
+    assert_snapshot!("readiness_before_and_after_sigterm", named(&answers));
+}
+
+#[tokio::test]
+async fn the_view_of_a_cluster() {
+    let key = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("transcript-{}.key", std::process::id()));
+    std::fs::write(&key, "a key for this test alone\n").expect("a file");
+    let toml = |name: &str, listen: SocketAddr, seeds: &[String]| {
+        let key = key.display();
+        let cluster = format!("bind = '127.0.0.1:0'\nkey_file = '{key}'\nregion = 'nl'\nseeds = {seeds:?}\n");
+        format!("name = '{name}'\n[front.http]\nlisten = '{listen}'\n[cluster]\n{cluster}")
+    };
+    let one = Scheduler::standalone(|listen| toml("one", listen, &[]), &[]).await;
+    let view: serde_json::Value =
+        serde_json::from_str(&one.client().await.ask(CLUSTER).await.body).expect("JSON");
+    let seeds = [view["own"]["address"].as_str().expect("an address").to_owned()];
+    let _two = Scheduler::standalone(|listen| toml("two", listen, &seeds), &[]).await;
+    let seen = async {
+        loop {
+            let answer = one.client().await.ask_bytes(CLUSTER).await;
+            if answer.contains(r#""two""#) {
+                return answer;
+            }
+            tokio::time::sleep(std::time::Duration::from_millis(20)).await;
+        }
+    };
+    let seen = within("a view", seen).await;
+    let varies = ["generation", "doubt", "pauses", "packets_in", "packets_out", "bytes_in", "bytes_out"];
+    let varies = varies.map(|name| format!("\"{name}\":"));
+    let varies: Vec<&str> = varies.iter().map(String::as_str).chain(["content-length: "]).collect();
+    assert_snapshot!("the_view_of_a_cluster", transcript(&numbers_masked(&seen, &varies)));
+}
+
+/// A record's line as it is pinned.
+fn record_line(line: &str) -> String {
+    let line = line.replace(env!("CARGO_PKG_VERSION"), "[version]");
+    let line = masked(&line, r#""run":""#, |character| character != '"');
+    let clocks = [r#""seq":"#, r#""unix_us":"#, r#""mono_us":"#];
+    let spans = [r#""time_left_us":"#, r#""estimate_us":"#, r#""retry_after_us":"#, r#""late_by_us":"#];
+    let line = numbers_masked(&numbers_masked(&line, &clocks), &spans);
+    numbers_masked(&line, &[r#""elapsed_us":"#, r#""after_us":"#])
+}
+
+#[tokio::test]
+async fn records_of_each_kind() {
+    let mut worker = Party::new().await;
+    let file = std::env::temp_dir().join(format!("copperspread-{}-transcript.jsonl", std::process::id()));
+    let _ = std::fs::remove_file(&file);
+    let at = worker.address;
+    let text = |listen| {
+        format!(
+            "name = 'alone'\n[front.http]\nlisten = '{listen}'\n[[source.workers]]\nid = 'r0'\n\
+             address = '{at}'\n[[classes]]\nname = 'once'\naim = '9s'\n"
+        )
+    };
+    let flags = ["--records", file.to_str().expect("UTF-8")];
+    let mut scheduler = Scheduler::standalone_with(&flags, text, &[]).await;
+    let mut client = scheduler.client().await;
+    let slots = job("once", 1, 9000).replace("X-Cost", "X-Attrs: slots=2\r\nX-Cost");
+    for (text, news) in [(slots, DONE), (job("once", 2, 9000), r#""state":"failed""#)] {
+        client.send(&text).await;
+        let id = worker.asked().await.accept();
+        scheduler.call_back(&id, "r0", news).await;
+        client.heard().await.expect("an answer");
+    }
+    assert_eq!(scheduler.news("no JSON").await, 400);
+    client.job("once", 3, 0).await;
+    assert_eq!(client.heard().await.expect("an answer").status(), 503);
+    // One whose client goes.
+    client.job("once", 4, 9000).await;
+    let id = worker.asked().await.accept();
+    scheduler.call_back(&id, "r0", r#""state":"started""#).await;
+    drop(client);
+    worker.asked().await.answer("200 OK", "", "");
+    scheduler.terminate().await;
+    assert!(scheduler.child.wait().await.expect("it ends").success());
+    let written = std::fs::read_to_string(&file).expect("records");
+    let _ = std::fs::remove_file(&file);
+    // A gap needs a queue that is full: its form alone is pinned.
+    let (what, run) = (What::Gap { dropped: 3 }, "none".to_owned());
+    let gap = Record { v: FORMAT, run, seq: 9, unix_us: 1, mono_us: 1, what };
+    let gap = serde_json::to_string(&gap).expect("JSON");
+    // The first of each kind, choice, outcome and answer, in the order of these.
+    let mut first = BTreeMap::new();
+    for line in written.lines().chain([gap.as_str()]) {
+        let record: serde_json::Value = serde_json::from_str(line).expect("JSON");
+        let key = ["kind", "choice", "outcome", "answer"].map(|name| record["what"][name].to_string());
+        first.entry(key).or_insert_with(|| record_line(line));
+    }
+    let lines: Vec<String> = first.into_values().collect();
+    assert_snapshot!("records_of_each_kind", lines.join("\n"));
+}
