--- a/crates/copperspread/tests/wire_transcripts.rs
+++ b/crates/copperspread/tests/wire_transcripts.rs
@@ -4,6 +4,7 @@
 mod sockets;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 
 use copperspread_records::{FORMAT, Record, What};
 use insta::assert_snapshot;
@@ -229,8 +230,8 @@
 
 #[tokio::test]
 async fn the_view_of_a_cluster() {
-    let key = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
-        .join(format!("transcript-{}.key", std::process::id()));
+    let key =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("transcript-{}.key", std::process::id()));
     std::fs::write(&key, "a key for this test alone\n").expect("a file");
     let toml = |name: &str, listen: SocketAddr, seeds: &[String]| {
         let key = key.display();
@@ -268,11 +269,17 @@
     numbers_masked(&line, &[r#""elapsed_us":"#, r#""after_us":"#])
 }
 
+/// A file for records, of the test's own.
+fn scratch(name: &str) -> PathBuf {
+    let path = std::env::temp_dir().join(format!("copperspread-{}-{name}.jsonl", std::process::id()));
+    let _ = std::fs::remove_file(&path);
+    path
+}
+
 #[tokio::test]
 async fn records_of_each_kind() {
     let mut worker = Party::new().await;
-    let file = std::env::temp_dir().join(format!("copperspread-{}-transcript.jsonl", std::process::id()));
-    let _ = std::fs::remove_file(&file);
+    let file = scratch("kinds");
     let at = worker.address;
     let text = |listen| {
         format!(
@@ -307,13 +314,50 @@
     let (what, run) = (What::Gap { dropped: 3 }, "none".to_owned());
     let gap = Record { v: FORMAT, run, seq: 9, unix_us: 1, mono_us: 1, what };
     let gap = serde_json::to_string(&gap).expect("JSON");
-    // The first of each kind, choice, outcome and answer, in the order of these.
+    assert_snapshot!("records_of_each_kind", first_of_each(written.lines().chain([gap.as_str()])));
+}
+
+/// The first record of each kind with its choice, reason, outcome, answer and form, in the order of these.
+fn first_of_each<'a>(lines: impl Iterator<Item = &'a str>) -> String {
     let mut first = BTreeMap::new();
-    for line in written.lines().chain([gap.as_str()]) {
+    for line in lines {
         let record: serde_json::Value = serde_json::from_str(line).expect("JSON");
-        let key = ["kind", "choice", "outcome", "answer"].map(|name| record["what"][name].to_string());
+        let named = ["kind", "choice", "why", "outcome", "answer", "form"];
+        let key = named.map(|name| record["what"][name].to_string());
         first.entry(key).or_insert_with(|| record_line(line));
     }
-    let lines: Vec<String> = first.into_values().collect();
-    assert_snapshot!("records_of_each_kind", lines.join("\n"));
+    first.into_values().collect::<Vec<_>>().join("\n")
+}
+
+// What a static list does not hold, and what is refused for other reasons.
+#[tokio::test]
+async fn records_of_lists_and_refusals() {
+    let mut worker = Party::new().await;
+    let file = scratch("lists");
+    let command = format!(
+        r#"sed -i 's/"up_since_ms":0/"up_since_ms":1000/' "$EDGE_CONFIG"; exec "$PROGRAM" serve --records '{}'"#,
+        file.display()
+    );
+    let mut scheduler = Scheduler::start_by(&command, 1024, &[worker.address]).await;
+    let mut client = scheduler.client().await;
+    scheduler.serves(&mut client, &mut worker, 1, DONE).await;
+    let long = job("once", 2, 9000).replace("X-Cost: 1000\r", "X-Cost: 100000000\r");
+    assert_eq!(client.ask(&long).await.status(), 503);
+    let gone = list(6, false, &[member("r0", worker.address, "DELETED")]);
+    // The next watch tells that the list was taken; a call that was given up meanwhile comes again.
+    loop {
+        let asked = scheduler.discovery.asked().await;
+        if asked.message.first.contains("from=6") {
+            break;
+        }
+        asked.answer("200 OK", "", &gone);
+    }
+    client.job("once", 3, 9000).await;
+    assert_eq!(client.heard().await.expect("an answer").status(), 503);
+    scheduler.terminate().await;
+    assert!(scheduler.child.wait().await.expect("it ends").success());
+    let written = std::fs::read_to_string(&file).expect("records");
+    let _ = std::fs::remove_file(&file);
+    let here = |line: &&str| line.contains(r#""kind":"roster""#) || line.contains(r#""choice":"refuse""#);
+    assert_snapshot!("records_of_lists_and_refusals", first_of_each(written.lines().filter(here)));
 }
