--- /dev/null
+++ b/crates/cluster/tests/transcripts.rs
@@ -0,0 +1,179 @@
+//! Approved transcripts: the bytes of every kind of packet that three members send each other, and of a whole state.
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+use copperspread_cluster::{Cluster, Effect, Input, Key, Member, Micros, SECOND, Settings, State};
+use foca::{Header, Message};
+use sha2::{Digest, Sha256};
+
+/// How long every packet is under way.
+const DELAY: Micros = SECOND / 1_000;
+/// The seal's bytes: the version before the body, the tag after it.
+const VERSION_BYTES: usize = 1;
+const TAG_BYTES: usize = 32;
+
+fn key() -> Key {
+    Key::new(b"a key for the transcripts").expect("a key")
+}
+
+fn address(number: usize) -> SocketAddr {
+    ([10, 0, 0, number as u8], 7_946).into()
+}
+
+fn member(number: usize) -> Cluster {
+    let name = format!("scheduler-{number}");
+    let (zone, region) = (format!("zone-{number}"), "north".into());
+    let own = Member { name, zone, region, address: address(number), generation: 1, returned: 0 };
+    let settings = Settings { seeds: vec![address(0)], ..Settings::default() };
+    Cluster::new(own, settings, key(), number as u64).expect("settings")
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// The kind of a packet, and whether it carries updates about members.
+fn kind(packet: &[u8]) -> String {
+    let body = &packet[VERSION_BYTES..packet.len() - TAG_BYTES];
+    let (header, updates) = postcard::take_from_bytes::<Header<Member>>(body).expect("a header");
+    let kind = match header.message {
+        Message::Ping(_) => "ping",
+        Message::Ack(_) => "ack",
+        Message::PingReq { .. } => "ping request",
+        Message::IndirectPing { .. } => "indirect ping",
+        Message::IndirectAck { .. } => "indirect ack",
+        Message::ForwardedAck { .. } => "forwarded ack",
+        Message::Gossip => "gossip",
+        Message::Announce => "announce",
+        Message::Feed => "feed",
+        Message::Broadcast => "broadcast",
+        Message::TurnUndead => "turn undead",
+    };
+    if updates.is_empty() { kind.to_owned() } else { format!("{kind} with updates") }
+}
+
+/// Three members in virtual time, with pairs that hear nothing of each other.
+struct Exchange {
+    now: Micros,
+    members: Vec<Cluster>,
+    /// Packets under way, by arrival and number: to whom, and the bytes.
+    under_way: BTreeMap<(Micros, u64), (usize, Vec<u8>)>,
+    sent: u64,
+    digest: Sha256,
+    cut: BTreeSet<(usize, usize)>,
+    /// The first packet of each kind.
+    first: BTreeMap<String, String>,
+}
+
+impl Exchange {
+    fn new() -> Exchange {
+        Exchange {
+            now: 0,
+            members: (0..3).map(member).collect(),
+            under_way: BTreeMap::new(),
+            sent: 0,
+            digest: Sha256::new(),
+            cut: BTreeSet::new(),
+            first: BTreeMap::new(),
+        }
+    }
+
+    fn cut(&mut self, pairs: &[(usize, usize)]) {
+        self.cut = pairs.iter().flat_map(|&(a, b)| [(a, b), (b, a)]).collect();
+    }
+
+    fn number(&self, of: SocketAddr) -> usize {
+        (0..self.members.len()).find(|&number| address(number) == of).expect("a member")
+    }
+
+    fn carry_out(&mut self, from: usize, effects: Vec<Effect>) {
+        for effect in effects {
+            match effect {
+                Effect::Send { to, packet } => self.send(from, to, packet),
+                Effect::Exchange(with) => self.exchange_states(from, with),
+                Effect::Up(_) | Effect::Down(_) | Effect::Replaced(..) | Effect::Refuted(_) => {}
+            }
+        }
+    }
+
+    fn send(&mut self, from: usize, to: SocketAddr, packet: Vec<u8>) {
+        let to = self.number(to);
+        self.sent += 1;
+        self.digest.update(&packet);
+        let line = format!("{} us, {from} to {to}: {}", self.now, hex(&packet));
+        self.first.entry(kind(&packet)).or_insert(line);
+        if !self.cut.contains(&(from, to)) {
+            self.under_way.insert((self.now + DELAY, self.sent), (to, packet));
+        }
+    }
+
+    fn exchange_states(&mut self, from: usize, with: SocketAddr) {
+        let with = self.number(with);
+        let frames = [from, with].map(|number| self.members[number].state().close(&key()));
+        let [asked, answered] = frames.map(|frame| State::open(&key(), &frame).expect("a state"));
+        self.hand_in(with, Input::State(&asked));
+        self.hand_in(from, Input::State(&answered));
+    }
+
+    fn hand_in(&mut self, to: usize, input: Input<'_>) {
+        let mut effects = Vec::new();
+        self.members[to].handle(self.now, input, &mut effects).expect("taken");
+        self.carry_out(to, effects);
+    }
+
+    fn run_until(&mut self, end: Micros) {
+        loop {
+            let arrival = self.under_way.first_key_value().map(|(&(at, _), _)| at);
+            let dues = self.members.iter().enumerate();
+            let due = dues.filter_map(|(number, member)| Some((member.next_due()?, number))).min();
+            match (arrival, due) {
+                (Some(at), due) if at <= end && due.is_none_or(|(due, _)| at <= due) => {
+                    self.now = at;
+                    let (_, (to, packet)) = self.under_way.pop_first().expect("a packet");
+                    self.hand_in(to, Input::Packet(&packet));
+                }
+                (_, Some((at, number))) if at <= end => {
+                    self.now = at;
+                    self.hand_in(number, Input::Due);
+                }
+                _ => break,
+            }
+        }
+        self.now = end;
+    }
+
+    /// A member leaves; what it says is listed apart.
+    fn leave(&mut self, number: usize) {
+        let mut effects = Vec::new();
+        self.members[number].leave(self.now, &mut effects);
+        let before = std::mem::take(&mut self.first);
+        self.carry_out(number, effects);
+        let said = std::mem::replace(&mut self.first, before);
+        self.first.extend(said.into_iter().map(|(kind, line)| (format!("leave: {kind}"), line)));
+    }
+
+    fn transcript(&self) -> String {
+        let lines: String = self.first.iter().map(|(kind, line)| format!("{kind}\n  {line}\n")).collect();
+        let digest = hex(&self.digest.clone().finalize());
+        format!("{lines}all {} packets, SHA-256\n  {digest}\n", self.sent)
+    }
+}
+
+#[test]
+fn packets_and_states_are_as_approved() {
+    let mut exchange = Exchange::new();
+    exchange.run_until(5 * SECOND);
+    exchange.cut(&[(0, 1)]);
+    exchange.run_until(9 * SECOND);
+    exchange.cut(&[(0, 1), (1, 2)]);
+    exchange.run_until(25 * SECOND);
+    let state = exchange.members[0].state();
+    let frame = state.close(&key());
+    assert_eq!(State::open(&key(), &frame), Ok(state), "the state is read back");
+    insta::assert_snapshot!("state", hex(&frame));
+    exchange.cut(&[]);
+    exchange.run_until(45 * SECOND);
+    exchange.leave(2);
+    exchange.run_until(46 * SECOND);
+    insta::assert_snapshot!("packets", exchange.transcript());
+}
