--- /dev/null
+++ b/crates/peers/tests/transcripts.rs
@@ -0,0 +1,84 @@
+//! Approved transcripts: the bytes of a whole-state exchange over TCP, and the JSON of the view.
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+use copperspread_cluster::{Cluster, Input, Key, Member, SECOND, Settings, State};
+use copperspread_peers::{Peers, Rejects, Spec, View};
+
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+
+fn key() -> Key {
+    Key::new(b"a key for the transcripts").expect("a key")
+}
+
+fn member(name: &str, address: SocketAddr) -> Member {
+    let (zone, region) = ("zone-a".into(), "north".into());
+    Member { name: name.into(), zone, region, address, generation: 1_700_000_000_000, returned: 2 }
+}
+
+/// A member that does nothing by itself within the test.
+fn quiet() -> Settings {
+    Settings { probe_interval: 600 * SECOND, ..Settings::default() }
+}
+
+fn cluster(own: Member) -> Cluster {
+    Cluster::new(own, quiet(), key(), 7).expect("settings")
+}
+
+/// A state with the length before it, as the streams have it.
+fn framed(state: &State) -> Vec<u8> {
+    let frame = state.close(&key());
+    let length = u32::try_from(frame.len()).expect("a short state");
+    [&length.to_be_bytes()[..], &frame].concat()
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+#[test]
+fn an_exchange_of_states_over_tcp_is_as_approved() {
+    // Nothing listens there: the member that hears of it sends packets in vain.
+    let caller = cluster(member("caller", ([127, 0, 0, 9], 9).into()));
+    let question = framed(&caller.state());
+    insta::assert_snapshot!("question", hex(&question));
+
+    let spec = Spec {
+        bind: ([127, 0, 0, 1], 0).into(),
+        advertise: None,
+        name: "answerer".into(),
+        zone: "zone-b".into(),
+        region: "south".into(),
+        settings: quiet(),
+        key: key(),
+        seed: 7,
+    };
+    let peers = Peers::begin(spec).expect("a member");
+    let mut stream = TcpStream::connect(peers.address()).expect("a stream");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a limit");
+    stream.write_all(&question).expect("sent");
+    let mut answer = Vec::new();
+    stream.read_to_end(&mut answer).expect("an answer");
+
+    // Its port and generation are of this run: the answer is compared with what the same member would say.
+    let mut twin = cluster(peers.view().own);
+    twin.handle(0, Input::State(&caller.state()), &mut Vec::new()).expect("a state");
+    assert_eq!(hex(&answer), hex(&framed(&twin.state())));
+}
+
+#[test]
+fn the_views_json_is_as_approved() {
+    let view = View {
+        own: member("own", ([127, 0, 0, 1], 7_946).into()),
+        members: [member("other", "[::1]:7946".parse().expect("an address"))].into(),
+        doubt: 1,
+        pauses: 2,
+        rejected: Rejects { too_large: 3, malformed: 4, forged: 5, other_version: 6 },
+        packets_in: 7,
+        packets_out: 8,
+        bytes_in: 9,
+        bytes_out: 10,
+    };
+    insta::assert_snapshot!("view", serde_json::to_string_pretty(&view).expect("JSON"));
+}
