--- /dev/null
+++ b/crates/shares/tests/transcripts.rs
@@ -0,0 +1,148 @@
+//! Approved transcripts: the postcard bytes of reports, of what a ledger restores from and of what it says.
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+
+use copperspread_shares::*;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+/// Where the ledger begins, in milliseconds of Unix time.
+const BEGIN: i64 = 1_000_000;
+
+fn name(text: &str) -> Name {
+    Name::new(text).expect("a name")
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(value: &impl Serialize) -> Vec<u8> {
+    postcard::to_allocvec(value).expect("bytes")
+}
+
+/// A line with a value's bytes, which are read back as the same value.
+fn line<T: Serialize + DeserializeOwned + PartialEq + Debug>(title: &str, value: &T) -> String {
+    let bytes = bytes(value);
+    assert_eq!(&postcard::from_bytes::<T>(&bytes).expect("a value"), value, "{title}");
+    format!("{title}: {}\n", hex(&bytes))
+}
+
+fn settings() -> Settings {
+    Settings {
+        window: 1_000,
+        lateness: 2_000,
+        horizon: 10_000,
+        skew: 100,
+        span: 3_000,
+        ahead: 64,
+        kept: 128,
+        starts: 3,
+    }
+}
+
+fn roll() -> Roll {
+    let reporters = [
+        (name("r0"), Reporter { slots: 10, federation: None }),
+        (name("partner"), Reporter { slots: 4, federation: Some(name("f1")) }),
+    ];
+    let tenants = [("t0", "f0"), ("t1", "f1")].map(|(tenant, of)| (name(tenant), name(of)));
+    Roll { reporters: reporters.into(), tenants: tenants.into() }
+}
+
+fn report(reporter: &str, sequence: u64, tenant: &str, start: i64, work: u64) -> Report {
+    let start = BEGIN + start;
+    let (reporter, tenant) = (name(reporter), name(tenant));
+    Report { reporter, generation: 7, sequence, tenant, start, end: start + 1_000, work, corrects: None }
+}
+
+fn correction() -> Report {
+    Report { corrects: Some(1), ..report("r0", 3, "t0", 0, 5_000) }
+}
+
+fn agreement() -> Agreement {
+    let federation = |tenant: &str, weight| {
+        let terms = |guarantee| Terms { weight, guarantee, ceiling: WHOLE };
+        Federation { terms: terms(200_000), tenants: [(name(tenant), terms(100_000))].into() }
+    };
+    let both = [(name("f0"), federation("t0", 1)), (name("f1"), federation("t1", 3))];
+    Agreement::new(both.into()).expect("it can be kept")
+}
+
+fn refusals() -> Vec<Refused> {
+    vec![
+        Refused::UnknownReporter,
+        Refused::UnknownTenant,
+        Refused::NotItsTenant,
+        Refused::Backwards,
+        Refused::TooLong,
+        Refused::Future,
+        Refused::TooOld,
+        Refused::Absurd,
+        Refused::OldGeneration,
+        Refused::FarBack,
+        Refused::FarAhead,
+        Refused::Contradicts,
+        Refused::Corrects,
+    ]
+}
+
+/// A ledger with windows open and closed, a correction, a gap and more than a pool can do.
+fn ledger() -> (Ledger, Vec<Closed>) {
+    let mut ledger = Ledger::new(settings(), BEGIN).expect("good settings");
+    ledger.enroll(roll()).expect("a small roll");
+    let first = [
+        report("r0", 1, "t0", 0, 9_000),
+        report("r0", 2, "t1", 500, 9_500),
+        report("partner", 1, "t1", 0, 3_000),
+        report("partner", 4, "t1", 1_500, 2_000),
+    ];
+    for report in first {
+        ledger.take(BEGIN + 2_500, report).expect("good");
+    }
+    let mut closed = ledger.advance(BEGIN + 3_500, &BTreeSet::new());
+    ledger.take(BEGIN + 3_500, correction()).expect("good");
+    ledger.take(BEGIN + 3_500, report("r0", 4, "t0", 2_000, 8_000)).expect("good");
+    closed.extend(ledger.advance(BEGIN + 4_200, &[name("partner")].into()));
+    (ledger, closed)
+}
+
+#[test]
+fn what_comes_in_is_as_approved_and_is_read_back() {
+    let mut text = line("report", &report("r0", 1, "t0", 0, 9_000));
+    text += &line("correction", &correction());
+    text += &line("settings", &settings());
+    text += &line("roll", &roll());
+    text += &line("agreement", &agreement());
+    let refusals = refusals();
+    text += &refusals.iter().map(|why| line(&format!("{why:?} ({why})"), why)).collect::<String>();
+    insta::assert_snapshot!("inputs", text);
+}
+
+#[test]
+fn a_ledger_and_what_it_says_are_as_approved_and_go_on_when_restored() {
+    let (mut ledger, closed) = ledger();
+    let stored = bytes(&ledger);
+    let mut restored: Ledger = postcard::from_bytes(&stored).expect("a ledger");
+    assert_eq!(bytes(&restored), stored);
+
+    let mut debts = Debts::new(4);
+    let entitled: BTreeMap<Name, u64> = [(name("t0"), 3_000), (name("t1"), 3_000)].into();
+    closed.iter().for_each(|window| debts.settle(window, &entitled));
+    let provisional = ledger.provisional(BEGIN + 2_000);
+    let usage = Usage::measured(&agreement(), &provisional.work, 14_000, &debts.owed(&entitled));
+    let reserved = Reserved { tenants: [(name("t1"), 50_000)].into(), federations: BTreeMap::new() };
+
+    let mut text = format!("ledger: {}\n", hex(&stored));
+    text += &closed.iter().map(|one| line("closed", one)).collect::<String>();
+    text += &line("provisional", &provisional);
+    text += &line("debts", &debts);
+    text += &line("usage", &usage);
+    text += &line("reserved", &reserved);
+    text += &line("table", &table(&agreement(), &usage, &reserved));
+    insta::assert_snapshot!("ledger", text);
+
+    let at = BEGIN + 9_000;
+    assert_eq!(restored.advance(at, &BTreeSet::new()), ledger.advance(at, &BTreeSet::new()));
+    assert_eq!(bytes(&restored), bytes(&ledger));
+}
