--- /dev/null
+++ b/crates/copperspread/tests/cli_transcripts.rs
@@ -0,0 +1,308 @@
+//! Approved transcripts of the command line and the configuration: what the program prints, word for
+//! word, and with which exit code. The snapshots lie in `snapshots/`; a change there is a change of an
+//! outer form. What is wrong in the cases lies in `bad_input/`, a case a line, `\n` for an end of line.
+#![cfg(feature = "standalone")]
+use std::fmt::Write;
+use std::net::TcpListener;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use assert_cmd::Command;
+use serde_json::{Value, json};
+
+/// The program's name, which help, version and errors begin with. Masked in the transcripts.
+const NAME: &str = "copperspread";
+const MASKED_NAME: &str = "PROGRAM";
+/// Guards against a case that is good after all, and serves without end.
+const LONGEST_RUN: Duration = Duration::from_secs(20);
+/// The width of a terminal. Help is broken into lines where another crate of the same build asks clap
+/// for that (the feature `wrap_help`); at this width no line is broken, so that the form is one.
+const COLUMNS: &str = "10000";
+
+fn program() -> Command {
+    let mut program = Command::new(env!("CARGO_BIN_EXE_copperspread"));
+    program.env_clear().env("RUST_LOG", "off").env("COLUMNS", COLUMNS).timeout(LONGEST_RUN);
+    program
+}
+
+/// A folder that goes with the test. The program runs in it, so that no path of the machine is printed.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Folder {
+        let path = std::env::temp_dir().join(format!("cli-transcripts-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a folder");
+        Folder(path)
+    }
+
+    fn write(&self, name: &str, content: impl AsRef<[u8]>) {
+        std::fs::write(self.0.join(name), content).expect("a file");
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// Runs the program in a folder; returns its exit code and all that it printed.
+fn transcript(program: &mut Command, folder: &Path) -> String {
+    let output = program.current_dir(folder).output().expect("it runs");
+    let code = output.status.code().expect("an exit code within the time allowed");
+    let mut text = format!("exit code {code}\n");
+    for (name, bytes) in [("standard output", output.stdout), ("standard error", output.stderr)] {
+        if !bytes.is_empty() {
+            let printed = String::from_utf8(bytes).expect("UTF-8");
+            write!(text, "-- {name}\n{}", mask_error_prefix(&printed)).expect("a text");
+        }
+    }
+    text + "--\n"
+}
+
+/// Masks the program's name before an error, and nowhere else.
+fn mask_error_prefix(printed: &str) -> String {
+    match printed.strip_prefix(&format!("{NAME}: ")) {
+        Some(rest) => format!("{MASKED_NAME}: {rest}"),
+        None => printed.to_owned(),
+    }
+}
+
+/// Masks what stands between two texts on each line where both do.
+fn mask_between(text: &str, before: &str, after: &str, mask: &str) -> String {
+    let masked = |line: &str| match line.split_once(before) {
+        Some((head, tail)) if tail.contains(after) => {
+            let (_, rest) = tail.split_once(after).unwrap_or_default();
+            format!("{head}{before}{mask}{after}{rest}")
+        }
+        _ => line.to_owned(),
+    };
+    text.split_inclusive('\n').map(masked).collect()
+}
+
+/// The transcripts of command lines, each after its arguments.
+fn transcripts_of_arguments(cases: &[&[&str]], folder: &Folder) -> String {
+    let one = |arguments: &&[&str]| {
+        let said = transcript(program().args(*arguments), &folder.0);
+        format!("## {}\n{said}\n", arguments.join(" "))
+    };
+    cases.iter().map(one).collect()
+}
+
+#[test]
+fn help_of_the_program_and_of_each_subcommand() {
+    let folder = Folder::new("help");
+    let commands = [
+        "",
+        "serve",
+        "check",
+        "config",
+        "config schema",
+        "config default",
+        "config page",
+        "records",
+        "records cat",
+        "records fleet",
+        "records stat",
+        "completions",
+        "toy",
+    ];
+    for command in commands {
+        let mut asked = program();
+        asked.args(command.split_whitespace()).arg("--help");
+        let said = transcript(&mut asked, &folder.0).replace(NAME, MASKED_NAME);
+        let name = if command.is_empty() { "program" } else { command };
+        insta::assert_snapshot!(format!("help_{}", name.replace(' ', "_")), said);
+    }
+}
+
+#[test]
+fn what_describes_the_configuration() {
+    let folder = Folder::new("describe");
+    for what in ["default", "schema", "page"] {
+        let said = transcript(program().args(["config", what]), &folder.0);
+        insta::assert_snapshot!(format!("config_{what}"), said);
+    }
+}
+
+#[test]
+fn check_of_good_configurations() {
+    let folder = Folder::new("good");
+    folder.write(
+        "good.toml",
+        "name = 'of-file'\nschedulers = 3\n[limits]\nmemory = '48 MB'\ndescriptors = 256\n\
+         [zones]\nhere = 'b'\nnames = ['a', 'b']\n[back.http]\nkeep_idle = '1m 30s'\n\
+         [[source.workers]]\nid = 'r0'\naddress = '127.0.0.1:9001'\nzone = 'b'\nstate = 'draining'\n\
+         [[classes]]\nname = 'keyed'\nrepeat = 'keyed'\nkey_scope = 'cell'\nkey_window = '12s'\n",
+    );
+    let mut layered = program();
+    layered.args(["check", "good.toml", "--set", "attempts.most=2", "--set", "name=of flag"]);
+    layered.env("COPPERSPREAD_LIMITS__MEMORY", "32 MB").env("COPPERSPREAD_NAME", "of-environment");
+    insta::assert_snapshot!("check_layers", transcript(&mut layered, &folder.0));
+    insta::assert_snapshot!("check_default", transcript(program().arg("check"), &folder.0));
+    folder.write("platform.json", include_str!("../examples/toy/config.json"));
+    let platform = transcript(program().args(["check", "platform.json"]), &folder.0);
+    insta::assert_snapshot!("check_platform", platform);
+}
+
+#[test]
+fn check_of_bad_files() {
+    let folder = Folder::new("bad");
+    folder.write("short.key", "fifteen bytes..\n");
+    folder.write("good.key", "at least sixteen bytes\n");
+    for (part, cases) in [
+        ("general", include_str!("bad_input/general.txt")),
+        ("source_and_zones", include_str!("bad_input/source_and_zones.txt")),
+        ("classes", include_str!("bad_input/classes.txt")),
+        ("cluster", include_str!("bad_input/cluster.txt")),
+    ] {
+        let mut text = String::new();
+        for case in cases.lines() {
+            folder.write("bad.toml", case.replace("\\n", "\n"));
+            let said = transcript(program().args(["check", "bad.toml"]), &folder.0);
+            write!(text, "## {case}\n{said}\n").expect("a text");
+        }
+        // What the machine lets a process open differs.
+        let text = mask_between(&text, "is more than the ", " that this process", "ALLOWED");
+        insta::assert_snapshot!(format!("bad_{part}"), text);
+    }
+}
+
+#[test]
+fn bad_flags_and_environment() {
+    let folder = Folder::new("layers");
+    let flags = ["x", "=1", "a..b=1", "limits=5", "nothing=1", "limits.memory=5", "attempts.most=0"];
+    let mut text = String::new();
+    for flag in flags.into_iter().chain(["log.level=loud", "front.http.listen=1", "schedulers=two"]) {
+        let said = transcript(program().args(["check", "--set", flag]), &folder.0);
+        write!(text, "## --set {flag}\n{said}\n").expect("a text");
+    }
+    for (name, value) in [
+        ("COPPERSPREAD_LIMITS__MEMRY", "1 MB"),
+        ("COPPERSPREAD_LIMITS__MEMORY", "1 MB"),
+        ("COPPERSPREAD_LIMITS__MEMORY", "much"),
+        ("COPPERSPREAD_SCHEDULERS", "two"),
+        ("COPPERSPREAD_FRONT__HTTP__LISTEN", "here"),
+        ("COPPERSPREAD_CONFIG", "absent.toml"),
+        ("RUST_LOG", "loud"),
+    ] {
+        let said = transcript(program().arg("serve").env(name, value), &folder.0);
+        write!(text, "## {name}={value} serve\n{said}\n").expect("a text");
+    }
+    insta::assert_snapshot!("bad_layers", text);
+}
+
+#[test]
+fn bad_command_lines() {
+    let folder = Folder::new("lines");
+    folder.write("platform.json", include_str!("../examples/toy/config.json"));
+    folder.write("binary.toml", b"name = '\xff'\n");
+    let cases: &[&[&str]] = &[
+        &[],
+        &["serv"],
+        &["serve", "extra"],
+        &["serve", "--unknown"],
+        &["serve", "--set"],
+        &["serve", "--config", "a.toml", "--config", "b.toml"],
+        &["serve", "--config", "absent.toml"],
+        &["serve", "--toy", "--set", "source.kind=targets"],
+        // The first worker of no list cannot be stood for.
+        &[
+            "serve",
+            "--toy",
+            "--set",
+            "source.kind=targets",
+            "--set",
+            "source.address=127.0.0.1:1",
+            "--set",
+            "front.http.listen=127.0.0.1:0",
+        ],
+        &["serve", "--records", "absent/records.jsonl"],
+        &["check", "absent.toml"],
+        &["check", "."],
+        &["check", "binary.toml"],
+        &["check", "absent.json"],
+        &["check", "platform.json", "--set", "name=a"],
+        &["config"],
+        &["config", "pages"],
+        &["completions"],
+        &["completions", "cmd"],
+        &["toy", "--scheduler", "here"],
+    ];
+    let text = transcripts_of_arguments(cases, &folder);
+    insta::assert_snapshot!("bad_command_lines", text.replace(NAME, MASKED_NAME));
+}
+
+#[test]
+fn an_address_that_is_taken_or_not_of_this_machine() {
+    let folder = Folder::new("listen");
+    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let taken = taken.local_addr().expect("its address").to_string();
+    let mut text = String::new();
+    // The second is reserved for documentation; no machine has it.
+    for address in [&*taken, "192.0.2.1:8081"] {
+        let set = format!("front.http.listen={address}");
+        let said = transcript(program().args(["serve", "--set", &set]), &folder.0);
+        text += &said.replace(&taken, "127.0.0.1:PORT");
+    }
+    folder.write("good.key", "at least sixteen bytes\n");
+    let member =
+        ["cluster.bind=192.0.2.1:7946", "cluster.key_file=good.key", "front.http.listen=127.0.0.1:0"];
+    text += &transcript(program().arg("serve").args(member.map(|set| format!("--set={set}"))), &folder.0);
+    insta::assert_snapshot!("bad_listen", text);
+}
+
+#[test]
+fn records_that_cannot_be_read_or_are_none() {
+    let folder = Folder::new("records");
+    folder.write("empty.jsonl", "");
+    folder.write("broken.jsonl", "no JSON\n{}\n{\"v\":99}\n[]\n\n{\"v\":1,\"run\":\"torn");
+    folder.write("binary.jsonl", b"\xff\xfe\n\x00\n");
+    std::fs::create_dir(folder.0.join("folder")).expect("a folder");
+    let mut text = String::new();
+    for command in ["cat", "stat", "fleet"] {
+        for file in ["absent.jsonl", "folder", "empty.jsonl", "broken.jsonl", "binary.jsonl"] {
+            text += &transcripts_of_arguments(&[&["records", command, file]], &folder);
+        }
+    }
+    let lines: &[&[&str]] = &[
+        &["records"],
+        &["records", "cat"],
+        &["records", "fleet"],
+        &["records", "fleet", "a", "--window", "0"],
+    ];
+    text += &transcripts_of_arguments(lines, &folder).replace(NAME, MASKED_NAME);
+    insta::assert_snapshot!("bad_records", text);
+}
+
+/// Each case puts a value in place of a part of a good configuration. Null is read as a field that is
+/// absent.
+#[test]
+fn bad_platform_configurations() {
+    let folder = Folder::new("platform");
+    let mut good: Value = serde_json::from_str(include_str!("../examples/toy/config.json")).expect("JSON");
+    good["listen"] = json!("127.0.0.1:0");
+    good["known"]["members"] = json!([{"id": "r0", "host_port": "127.0.0.1:1", "phase": "SERVING"}]);
+    let run = |text: &str| {
+        folder.write("platform.json", text);
+        transcript(program().env("EDGE_CONFIG", "platform.json"), &folder.0)
+    };
+    let mut text = String::new();
+    for case in include_str!("bad_input/platform.txt").lines() {
+        let (pointer, value) = case.split_once(" = ").expect("a pointer and a value");
+        let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+        let mut bad = good.clone();
+        let parent = bad.pointer_mut(parent).expect("a part of the configuration");
+        parent[key] = serde_json::from_str(value).expect("JSON");
+        write!(text, "## {case}\n{}\n", run(&bad.to_string())).expect("a text");
+    }
+    let nested = "[".repeat(33);
+    for whole in ["", "{", "[]", "{} {}", "{\"listen\": \"\\x\"}", &nested] {
+        write!(text, "## {whole}\n{}\n", run(whole)).expect("a text");
+    }
+    for path in ["absent.json", "."] {
+        let said = transcript(program().env("EDGE_CONFIG", path), &folder.0);
+        write!(text, "## EDGE_CONFIG={path}\n{said}\n").expect("a text");
+    }
+    insta::assert_snapshot!("bad_platform", text);
+}
