--- a/crates/config/src/describe.rs
+++ b/crates/config/src/describe.rs
@@ -68,7 +68,7 @@
 const PREFACE: &str = "\
 # Configuration
 
-Made from the program's types by `copperspread config page`; a test fails when it is stale. How to
+Made from the program's types by `copperspread-scheduler config page`; a test fails when it is stale. How to
 work with it is in [operating.md](operating.md).
 
 Each value comes from the last of these that sets it: the built-in default, the file (TOML), the
--- a/crates/config/src/start.rs
+++ b/crates/config/src/start.rs
@@ -1,5 +1,5 @@
 //! From a configuration to the settings that all formats share.
-use copperspread_decisions::{self as decisions, Effect, Settings};
+use copperspread_dispatcher::{self as decisions, Effect, Settings};
 use copperspread_settings::{Given, List, Member, NodeSettings, Phase, SourceSpec, Start};
 
 use crate::types::*;
--- a/crates/config/src/types.rs
+++ b/crates/config/src/types.rs
@@ -1,9 +1,9 @@
-//! The configuration's types. What is written here is what `copperspread config schema`, `config
+//! The configuration's types. What is written here is what `copperspread-scheduler config schema`, `config
 //! default` and docs/configuration.md say: descriptions come from the comments.
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use copperspread_decisions::SECOND;
+use copperspread_dispatcher::SECOND;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -347,7 +347,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
     /// `off`, `error`, `warn`, `info`, `debug` or `trace`, for all or by part:
-    /// `"info,copperspread_node=debug"`. RUST_LOG goes before it. Read again on SIGHUP.
+    /// `"info,copperspread_proxy=debug"`. RUST_LOG goes before it. Read again on SIGHUP.
     pub level: String,
     /// Its form.
     pub format: LogFormat,
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytesize::ByteSize;
-use copperspread_decisions::Micros;
+use copperspread_dispatcher::Micros;
 use schemars::{JsonSchema, Schema, SchemaGenerator, json_schema};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,6 +1,6 @@
 //! Configurations that are wrong, each with what is said of it, and what good ones come to.
 use copperspread_config::{Config, Effective, Surroundings, commented_default, page, read_text, schema};
-use copperspread_decisions::{Effect, KeyScope, SECOND};
+use copperspread_dispatcher::{Effect, KeyScope, SECOND};
 use copperspread_settings::SourceSpec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -157,7 +157,7 @@
     assert_eq!((list.members.len(), &*list.members[1].zone), (2, "b"));
 }
 
-// The page is made from the types: `cargo run -p copperspread -- config page > docs/configuration.md`.
+// The page is made from the types: `cargo run -p copperspread-scheduler -- config page > docs/configuration.md`.
 #[test]
 fn the_reference_page_is_not_stale() {
     let kept = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/configuration.md"));
--- a/crates/agreement/tests/hard.rs
+++ b/crates/consensus/tests/hard.rs
@@ -1,7 +1,7 @@
 //! The hard cases, each caused: see `docs/design/0004-fleet.md`.
 mod net;
 
-use copperspread_agreement::*;
+use copperspread_consensus::*;
 use net::{Doc, Net, name};
 
 fn after(version: Version) -> Version {
--- a/crates/agreement/tests/net/mod.rs
+++ b/crates/consensus/tests/net/mod.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashSet};
 
-use copperspread_agreement::*;
+use copperspread_consensus::*;
 use serde::{Deserialize, Serialize};
 
 /// A stand-in for the rules: a limit, and classes that are closed.
--- a/crates/agreement/tests/parts.rs
+++ b/crates/consensus/tests/parts.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use copperspread_agreement::*;
+use copperspread_consensus::*;
 use net::{Doc, Net, name};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
--- a/crates/decisions/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -4,10 +4,10 @@
 //! sends the job to the lowest estimate and refuses it on arrival when that estimate exceeds the
 //! time the job has left. [`Dispatcher`] does no I/O, reads no clock and starts no thread: the node
 //! that loads it hands in events with their time and carries out the actions it gets back. The
-//! scheduler on sockets is such a node (`crates/node`); the adapter on the simulator's wire another.
+//! scheduler on sockets is such a node (`crates/proxy`); the adapter on the simulator's wire another.
 //!
 //! ```
-//! use copperspread_decisions::{
+//! use copperspread_dispatcher::{
 //!     Action, Class, Dispatcher, Event, Job, Outcome, RequestId, Roster, RosterKind, Settings,
 //!     WorkerEntry, WorkerId, WorkerState, AttemptOutcome,
 //! };
@@ -37,7 +37,7 @@
 //! };
 //! actions.clear();
 //! dispatcher.handle(201_000, Event::Outcome(outcome), &mut actions);
-//! # Ok::<(), copperspread_decisions::SettingsError>(())
+//! # Ok::<(), copperspread_dispatcher::SettingsError>(())
 //! ```
 mod decide;
 mod interface;
--- a/crates/decisions/tests/cold.rs
+++ b/crates/dispatcher/tests/cold.rs
@@ -1,7 +1,7 @@
 //! Cold workers: all dispatchers together stay inside the budget, though none knows of the others.
 mod common;
 use common::*;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 
 /// What befalls the fleet in a play.
 #[derive(Clone, Copy, Default)]
--- a/crates/decisions/tests/cold_fleet.rs
+++ b/crates/dispatcher/tests/cold_fleet.rs
@@ -2,7 +2,7 @@
 //! forgotten and whenever they hear of the start. See docs/cold-budget.md.
 mod common;
 use common::*;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 
 /// Slots of a worker, and its speed once warm.
 const SLOTS: f64 = 4.0;
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A dispatcher under test and shorthand for its events.
 #![allow(dead_code)]
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 
 pub const MS: Micros = 1_000;
 
--- a/crates/decisions/tests/crowd.rs
+++ b/crates/dispatcher/tests/crowd.rs
@@ -1,7 +1,7 @@
 //! What all dispatchers of a large fleet do together who know nearly the same.
 mod common;
 use common::*;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 
 const WORKERS: u32 = 20;
 
--- a/crates/decisions/tests/discovery.rs
+++ b/crates/dispatcher/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery on request: early, spread out, and again after a failure.
 mod common;
 use common::*;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 
 fn on_request(fleet_size: u32, seed: u64) -> Node {
     let settings = Settings { discovery: Discovery::OnRequest, fleet_size, ..settings(Effect::Safe) };
--- a/crates/decisions/tests/failures.rs
+++ b/crates/dispatcher/tests/failures.rs
@@ -1,7 +1,7 @@
 //! Failures that are on no list, singly and in pairs: what the module does and does not do.
 mod common;
 use common::*;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 
 const IDLE: Report =
     Report { queue: Some(0.0), inflight: None, util: None, qps: None, free_slots: Some(2.0) };
--- a/crates/decisions/tests/gate.rs
+++ b/crates/dispatcher/tests/gate.rs
@@ -1,7 +1,7 @@
 //! The estimate, the pick and the gate on worked examples.
 mod common;
 use common::*;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 
 fn two_kinds() -> [WorkerEntry; 2] {
     [entry(0), WorkerEntry { kind: 1, ..entry(1) }]
--- a/crates/decisions/tests/learning.rs
+++ b/crates/dispatcher/tests/learning.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher learns of workers' rates, slots and load, and how it forgets.
 mod common;
 use common::*;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 
 const IDLE: Report =
     Report { queue: Some(0.0), inflight: None, util: None, qps: None, free_slots: Some(2.0) };
--- a/crates/decisions/tests/overload.rs
+++ b/crates/dispatcher/tests/overload.rs
@@ -1,7 +1,7 @@
 //! What is shed while slots are scarce.
 mod common;
 use common::*;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 
 const CROWDED: Report =
     Report { queue: Some(8.0), inflight: None, util: None, qps: None, free_slots: Some(0.0) };
--- a/crates/decisions/tests/probes.rs
+++ b/crates/dispatcher/tests/probes.rs
@@ -1,7 +1,7 @@
 //! Probes where nothing else tells of a worker's load, and what they tell.
 mod common;
 use common::*;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 
 const FREE: Report =
     Report { queue: None, inflight: Some(0.0), util: None, qps: None, free_slots: Some(4.0) };
--- a/crates/decisions/tests/rules.rs
+++ b/crates/dispatcher/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The four rules, singly and as invariants over seeded random events.
 mod common;
 use common::*;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 use std::collections::HashMap;
 
 const KEYED_ALL: Effect = Effect::Keyed { scope: KeyScope::All, window: 5 * SECOND };
--- a/crates/records/tests/fleet.rs
+++ b/crates/event-log/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Sums over schedulers, of streams that are written here.
-use copperspread_records::fleet::Fleet;
-use copperspread_records::reader::Reader;
+use copperspread_event_log::fleet::Fleet;
+use copperspread_event_log::reader::Reader;
 
 /// One scheduler's stream: a flow that is sent at a second to r0 and ends there some seconds later. The
 /// answer is recorded before the scheduling's end, as it may be.
--- a/crates/records/tests/stream.rs
+++ b/crates/event-log/tests/stream.rs
@@ -4,10 +4,10 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use copperspread_records::reader::{Line, Reader};
-use copperspread_records::report::Report;
-use copperspread_records::writer::{Counts, Recorder, Spec, Writer, aside, begin};
-use copperspread_records::{Choice, FORMAT, Record, What};
+use copperspread_event_log::reader::{Line, Reader};
+use copperspread_event_log::report::Report;
+use copperspread_event_log::writer::{Counts, Recorder, Spec, Writer, aside, begin};
+use copperspread_event_log::{Choice, FORMAT, Record, What};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -16,7 +16,7 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("copperspread-records-{}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("copperspread-event-log-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
         fs::create_dir_all(&path).expect("a folder");
         Folder(path)
--- a/crates/shares/examples/late.rs
+++ b/crates/fair-share/examples/late.rs
@@ -1,9 +1,9 @@
 //! A million reports through the ledger, 30 % of them late: its memory, and how far provisional shares are off.
-//! Run it with `cargo run --release -p copperspread-shares --example late`.
+//! Run it with `cargo run --release -p copperspread-fair-share --example late`.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-use copperspread_shares::*;
+use copperspread_fair_share::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/shares/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -27,7 +27,7 @@
 mod table;
 
 pub use agreement::{Agreement, Federation, Terms, WrongAgreement, WrongWhat};
-pub use copperspread_names::{Name, NameError};
+pub use copperspread_identifiers::{Name, NameError};
 pub use debt::Debts;
 pub use fill::{apportion, jain};
 pub use ledger::{Closed, Heard, Ledger, Missing, Provisional};
--- a/crates/shares/tests/ledger.rs
+++ b/crates/fair-share/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! What the ledger holds: order, repetition, sums, windows, refusals.
 use std::collections::{BTreeMap, BTreeSet};
 
-use copperspread_shares::*;
+use copperspread_fair_share::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/shares/tests/shares.rs
+++ b/crates/fair-share/tests/shares.rs
@@ -1,7 +1,7 @@
 //! What the table of shares holds, on random agreements.
 use std::collections::BTreeMap;
 
-use copperspread_shares::*;
+use copperspread_fair_share::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/faults/tests/faults.rs
+++ b/crates/fault-injection/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Links do what their weather and cuts say, and plans go forward.
 use std::time::Duration;
 
-use copperspread_faults::*;
+use copperspread_fault_injection::*;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/peers/src/counts.rs
+++ b/crates/membership-transport/src/counts.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use copperspread_cluster::{Member, Rejected};
+use copperspread_membership::{Member, Rejected};
 use serde::{Serialize, Serializer};
 use tracing::warn;
 
--- a/crates/peers/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use copperspread_cluster::*;
+use copperspread_membership::*;
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use mio::{Events, Interest, Poll, Token, Waker};
 use tracing::{info, warn};
--- a/crates/peers/src/lib.rs
+++ b/crates/membership-transport/src/lib.rs
@@ -1,4 +1,4 @@
-//! Membership among schedulers on real sockets. What is decided is decided in `copperspread-cluster`, which knows
+//! Membership among schedulers on real sockets. What is decided is decided in `copperspread-membership`, which knows
 //! no socket and no clock; here are both.
 //!
 //! ```text
@@ -30,7 +30,7 @@
 use std::thread::JoinHandle;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use copperspread_cluster::{Key, Settings, SettingsError};
+use copperspread_membership::{Key, Settings, SettingsError};
 
 pub use counts::{Dropped, Rejects, View};
 use driver::Shared;
--- a/crates/peers/src/streams.rs
+++ b/crates/membership-transport/src/streams.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use copperspread_cluster::{Key, MOST_STATE, State};
+use copperspread_membership::{Key, MOST_STATE, State};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use socket2::{Domain, Socket, Type};
 
@@ -93,7 +93,7 @@
         stream.read_exact(&mut length)?;
         let length = u32::from_be_bytes(length);
         if length as usize > MOST_STATE {
-            self.shared.counts.reject(copperspread_cluster::Rejected::TooLarge);
+            self.shared.counts.reject(copperspread_membership::Rejected::TooLarge);
             return Ok(None);
         }
         let mut frame = Vec::new();
--- a/crates/peers/tests/peers.rs
+++ b/crates/membership-transport/tests/peers.rs
@@ -4,8 +4,8 @@
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
 
-use copperspread_cluster::*;
-use copperspread_peers::{Peers, Spec};
+use copperspread_membership::*;
+use copperspread_membership_transport::{Peers, Spec};
 
 const MS: Micros = SECOND / 1_000;
 const BOUND: Duration = Duration::from_secs(30);
@@ -189,7 +189,7 @@
     let send = |packets: &[&[u8]]| {
         let had = a.view().rejected;
         let total =
-            |of: copperspread_peers::Rejects| of.malformed + of.too_large + of.forged + of.other_version;
+            |of: copperspread_membership_transport::Rejects| of.malformed + of.too_large + of.forged + of.other_version;
         for packet in packets {
             socket.send_to(packet, a.address()).expect("a packet");
         }
--- a/crates/node/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -1,8 +1,8 @@
 //! One scheduler put together from what it was started with: the platform's HTTP in front and behind.
 use std::sync::Arc;
 
-use copperspread_decisions::{Decide, Discovery, Micros, SECOND};
-use copperspread_records::writer::Recorder;
+use copperspread_dispatcher::{Decide, Discovery, Micros, SECOND};
+use copperspread_event_log::writer::Recorder;
 use copperspread_settings::Start;
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep_until};
--- a/crates/node/src/back/http.rs
+++ b/crates/proxy/src/back/http.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 use copperspread_settings::NodeSettings;
 use copperspread_settings::json::{self, field, need, number, text};
 use futures_util::future::BoxFuture;
--- a/crates/node/src/back/mod.rs
+++ b/crates/proxy/src/back/mod.rs
@@ -1,7 +1,7 @@
 //! The door to real servers.
 use std::sync::Arc;
 
-use copperspread_decisions::{Outcome, Report, WorkerId};
+use copperspread_dispatcher::{Outcome, Report, WorkerId};
 use futures_util::future::BoxFuture;
 use tokio::time::Instant;
 
--- a/crates/node/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -3,7 +3,7 @@
 
 use tokio::time::Instant;
 
-use copperspread_decisions::Micros;
+use copperspread_dispatcher::Micros;
 
 /// Tells the module's time. Discovery tells starts in Unix time, so that is what it counts from;
 /// it advances with the monotonic clock, so a step of the system's time does not reach deadlines.
@@ -28,6 +28,6 @@
 
 /// The instant that lies some microseconds from now; for absurd spans, a day from now.
 pub fn from_now(span: Micros) -> Instant {
-    const DAY: Micros = 86_400 * copperspread_decisions::SECOND;
+    const DAY: Micros = 86_400 * copperspread_dispatcher::SECOND;
     Instant::now() + Duration::from_micros(span.min(DAY))
 }
--- a/crates/node/src/decisions.rs
+++ b/crates/proxy/src/decisions.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::sleep_until;
 
--- a/crates/node/src/entries.rs
+++ b/crates/proxy/src/entries.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 use copperspread_settings::{List, NodeSettings, Phase, name_key};
 use http::uri::Authority;
 
--- a/crates/node/src/flow.rs
+++ b/crates/proxy/src/flow.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 use futures_util::future::{AbortHandle, abortable};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use tokio::sync::{mpsc, oneshot};
--- a/crates/node/src/front/edge_connection.rs
+++ b/crates/proxy/src/front/edge_connection.rs
@@ -16,7 +16,7 @@
 use axum::http::StatusCode;
 use axum::http::header::{self, HeaderValue};
 use axum::response::{IntoResponse, Response};
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 use futures_util::future::BoxFuture;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
--- a/crates/node/src/front/http.rs
+++ b/crates/proxy/src/front/http.rs
@@ -10,7 +10,7 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
 use axum::{Extension, Router};
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout_at};
 
--- a/crates/node/src/order.rs
+++ b/crates/proxy/src/order.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use bytes::Bytes;
-use copperspread_decisions::{Effect, Job, Micros, Outcome, Progress, Report, RequestId, WorkerId};
+use copperspread_dispatcher::{Effect, Job, Micros, Outcome, Progress, Report, RequestId, WorkerId};
 use http::HeaderMap;
 use http::uri::PathAndQuery;
 use tokio::sync::OwnedSemaphorePermit;
--- a/crates/node/src/probes.rs
+++ b/crates/proxy/src/probes.rs
@@ -1,7 +1,7 @@
 //! Carries out the probes that the module asks for.
 use std::sync::Arc;
 
-use copperspread_decisions::{Micros, Outcome, SECOND};
+use copperspread_dispatcher::{Micros, Outcome, SECOND};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 
 use crate::clock::from_now;
--- a/crates/node/src/source/mod.rs
+++ b/crates/proxy/src/source/mod.rs
@@ -1,7 +1,7 @@
 //! The door to what knows the real servers.
 use std::sync::Arc;
 
-use copperspread_decisions::{RosterKind, WorkerEntry};
+use copperspread_dispatcher::{RosterKind, WorkerEntry};
 use copperspread_settings::List;
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
--- a/crates/node/src/source/targets.rs
+++ b/crates/proxy/src/source/targets.rs
@@ -1,7 +1,7 @@
 //! The platform's discovery: a list over HTTP, and the watch on it. How a list reads is in
 //! `copperspread_settings::platform`; how it is fetched, only here.
 use bytes::Bytes;
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 use copperspread_settings::{List, json, platform};
 use futures_util::future::BoxFuture;
 use http_body_util::{BodyExt, Empty, Limited};
--- a/crates/node/src/witness.rs
+++ b/crates/proxy/src/witness.rs
@@ -2,9 +2,9 @@
 //! are kept it makes nothing.
 use std::sync::Arc;
 
-use copperspread_decisions::*;
-use copperspread_records::writer::Recorder;
-use copperspread_records::{Choice, Entry, What};
+use copperspread_dispatcher::*;
+use copperspread_event_log::writer::Recorder;
+use copperspread_event_log::{Choice, Entry, What};
 use copperspread_settings::NodeSettings;
 
 use crate::entries::ServiceEntries;
--- a/crates/node/tests/doors.rs
+++ b/crates/proxy/tests/doors.rs
@@ -5,20 +5,20 @@
 use std::sync::{Arc, Mutex};
 
 use bytes::Bytes;
-use copperspread_decisions::*;
-use copperspread_node::back::Back;
-use copperspread_node::clock::{Clock, from_now};
-use copperspread_node::decisions::Decisions;
-use copperspread_node::ending::Ending;
-use copperspread_node::entries::ServiceEntries;
-use copperspread_node::flow;
-use copperspread_node::front::Front;
-use copperspread_node::node::Node;
-use copperspread_node::order::{Answer, Demand, Handed, News, Order, Wanted};
-use copperspread_node::source::fixed::Fixed;
-use copperspread_node::source::{Membership, Source};
-use copperspread_node::witness::Witness;
-use copperspread_records::writer::Recorder;
+use copperspread_dispatcher::*;
+use copperspread_proxy::back::Back;
+use copperspread_proxy::clock::{Clock, from_now};
+use copperspread_proxy::decisions::Decisions;
+use copperspread_proxy::ending::Ending;
+use copperspread_proxy::entries::ServiceEntries;
+use copperspread_proxy::flow;
+use copperspread_proxy::front::Front;
+use copperspread_proxy::node::Node;
+use copperspread_proxy::order::{Answer, Demand, Handed, News, Order, Wanted};
+use copperspread_proxy::source::fixed::Fixed;
+use copperspread_proxy::source::{Membership, Source};
+use copperspread_proxy::witness::Witness;
+use copperspread_event_log::writer::Recorder;
 use copperspread_settings::{List, Member, NodeSettings, Phase};
 use futures_util::future::BoxFuture;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -320,8 +320,8 @@
 
 #[test]
 fn all_connections_together_fit_within_the_descriptors() {
-    use copperspread_node::back::http::{hand_overs, idle_most, probes};
-    use copperspread_node::front::edge_connection::places;
+    use copperspread_proxy::back::http::{hand_overs, idle_most, probes};
+    use copperspread_proxy::front::edge_connection::places;
     // The largest fleet, one connection being accepted, discovery's, and what the runtime holds.
     let (real_servers, own) = (22, 12);
     for sockets in [256, 384, 512, 768, 1024] {
--- a/crates/calendar/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -33,7 +33,7 @@
 pub use command::{
     Accepts, Amount, Blackout, Body, Command, Effect, Fault, Interval, Owner, Refusal, Reserve, Target, When,
 };
-pub use copperspread_names::{Name, NameError};
+pub use copperspread_identifiers::{Name, NameError};
 pub use event::{Change, Event, Piece, Reason};
 pub use life::{Illegal, State, Step};
 pub use local::{Days, Repeat};
--- a/crates/calendar/src/name.rs
+++ b/crates/reservations/src/name.rs
@@ -1,7 +1,7 @@
 //! The ids of commands and claims.
 use std::fmt;
 
-use copperspread_names::Name;
+use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
 /// Who proposed a command, and which of its commands it is. A member numbers its commands from 1 upwards, and a
--- a/crates/calendar/tests/allowances.rs
+++ b/crates/reservations/tests/allowances.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use copperspread_calendar::*;
+use copperspread_reservations::*;
 
 #[test]
 fn allowances_tell_what_is_reserved_and_change_only_where_next_change_says() {
--- a/crates/calendar/tests/common/mod.rs
+++ b/crates/reservations/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A calendar with a short way to write its log.
 #![allow(dead_code)]
-use copperspread_calendar::*;
+use copperspread_reservations::*;
 
 /// A Monday's midnight.
 pub const START: Millis = 1_796_601_600_000;
--- a/crates/calendar/tests/life.rs
+++ b/crates/reservations/tests/life.rs
@@ -1,5 +1,5 @@
 //! A claim's life: every step from every state.
-use copperspread_calendar::{Illegal, State, Step};
+use copperspread_reservations::{Illegal, State, Step};
 
 #[test]
 fn each_step_leads_where_the_table_says_and_every_other_is_refused() {
--- a/crates/calendar/tests/local.rs
+++ b/crates/reservations/tests/local.rs
@@ -1,5 +1,5 @@
 //! Repeats by local time through the nights on which the clock changes.
-use copperspread_calendar::*;
+use copperspread_reservations::*;
 
 /// Two instants as texts.
 type Span<'a> = (&'a str, &'a str);
--- a/crates/calendar/tests/overlaps.rs
+++ b/crates/reservations/tests/overlaps.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use copperspread_calendar::*;
+use copperspread_reservations::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/calendar/tests/replay.rs
+++ b/crates/reservations/tests/replay.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use copperspread_calendar::*;
+use copperspread_reservations::*;
 
 /// A log with all kinds of commands, some of which are refused.
 fn entries(seed: u64) -> Vec<(Millis, Command)> {
--- a/crates/copperspread/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -10,7 +10,7 @@
 
 /// Pushes jobs to workers: to the one with the lowest estimated finish time, or refuses on arrival.
 #[derive(Debug, Parser)]
-#[command(name = "copperspread", version, arg_required_else_help = false)]
+#[command(name = "copperspread-scheduler", version, arg_required_else_help = false)]
 #[command(after_help = "With no command, EDGE_CONFIG must name the platform's configuration.")]
 struct Line {
     #[command(subcommand)]
@@ -156,7 +156,7 @@
         }
         #[cfg(feature = "standalone")]
         Some(Command::Completions { shell }) => {
-            clap_complete::generate(shell, &mut Line::command(), "copperspread", &mut std::io::stdout());
+            clap_complete::generate(shell, &mut Line::command(), "copperspread-scheduler", &mut std::io::stdout());
             Ok(())
         }
         #[cfg(feature = "toy")]
--- a/crates/copperspread/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -38,7 +38,7 @@
     _guard: WorkerGuard,
 }
 
-/// Reads a level such as `info` or `info,copperspread_node=debug`.
+/// Reads a level such as `info` or `info,copperspread_proxy=debug`.
 ///
 /// # Errors
 /// What it is not.
--- a/crates/copperspread/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -21,7 +21,7 @@
             // Not through the log: it may not be there yet, or be off. Guards against an end by a
             // standard error that nobody reads.
             use std::io::Write;
-            let _ = writeln!(std::io::stderr(), "copperspread: {why}");
+            let _ = writeln!(std::io::stderr(), "copperspread-scheduler: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/copperspread/src/origin.rs
+++ b/crates/scheduler/src/origin.rs
@@ -1,7 +1,7 @@
 //! Where a configuration comes from, and what all forms of it come to.
 use std::path::{Path, PathBuf};
 
-use copperspread_records::writer;
+use copperspread_event_log::writer;
 use copperspread_settings::{Start, platform};
 
 use crate::logging::LogSpec;
--- a/crates/copperspread/src/serve.rs
+++ b/crates/scheduler/src/serve.rs
@@ -3,16 +3,16 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use copperspread_decisions::{Dispatcher, Micros};
-use copperspread_node::assembly::{Assembled, assemble_with};
-use copperspread_node::clock::from_now;
-use copperspread_node::front::Front;
-use copperspread_node::invariant::{counts, hear};
-use copperspread_node::source::Source;
-use copperspread_node::source::fixed::Fixed;
-use copperspread_node::source::targets::Targets;
-use copperspread_records::What;
-use copperspread_records::writer::{self, Counts, Recorder};
+use copperspread_dispatcher::{Dispatcher, Micros};
+use copperspread_proxy::assembly::{Assembled, assemble_with};
+use copperspread_proxy::clock::from_now;
+use copperspread_proxy::front::Front;
+use copperspread_proxy::invariant::{counts, hear};
+use copperspread_proxy::source::Source;
+use copperspread_proxy::source::fixed::Fixed;
+use copperspread_proxy::source::targets::Targets;
+use copperspread_event_log::What;
+use copperspread_event_log::writer::{self, Counts, Recorder};
 use copperspread_settings::{List, SourceSpec};
 use http::uri::Authority;
 use tokio::signal::unix::{SignalKind, signal};
@@ -163,7 +163,7 @@
     }
     // First of all, so that the others know while this one still answers.
     #[cfg(feature = "standalone")]
-    peers.iter().for_each(copperspread_peers::Peers::leave);
+    peers.iter().for_each(copperspread_membership_transport::Peers::leave);
     let ends = assembled.end();
     info!("ending, {} flows to answer", node.decisions.flows());
     let left = assembled.ended(ends).await;
--- a/crates/copperspread/src/standalone.rs
+++ b/crates/scheduler/src/standalone.rs
@@ -3,10 +3,10 @@
 use std::path::Path;
 
 use copperspread_config::{Effective, LogFormat, Surroundings};
-use copperspread_records::fleet::Fleet;
-use copperspread_records::reader::{Line, Reader};
-use copperspread_records::report::Report;
-use copperspread_records::writer;
+use copperspread_event_log::fleet::Fleet;
+use copperspread_event_log::reader::{Line, Reader};
+use copperspread_event_log::report::Report;
+use copperspread_event_log::writer;
 use rustix::process::{Resource, getrlimit};
 
 use crate::logging::{self, LogSpec};
--- a/crates/copperspread/tests/cli.rs
+++ b/crates/scheduler/tests/cli.rs
@@ -5,7 +5,7 @@
 use assert_cmd::Command;
 
 fn program() -> Command {
-    let mut program = Command::new(env!("CARGO_BIN_EXE_copperspread"));
+    let mut program = Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
     program.env_remove("EDGE_CONFIG").env_remove("RUST_LOG").env_remove("COPPERSPREAD_CONFIG");
     program
 }
@@ -67,7 +67,7 @@
     let err = err.replace(&file.0.display().to_string(), "FILE");
     // The number of descriptors that this machine allows stands in the first.
     let (first, rest) = err.split_once('\n').expect("two lines");
-    assert!(first.starts_with("copperspread: FILE:2:15: limits.descriptors: 4000000000 is more than the"));
+    assert!(first.starts_with("copperspread-scheduler: FILE:2:15: limits.descriptors: 4000000000 is more than the"));
     insta::assert_snapshot!(rest, @"FILE:6:7: classes[0].aim: 1m is later than the deadline of 10s");
 }
 
@@ -104,7 +104,7 @@
         assert!(code == 0 && out.contains("copperspread"), "{shell}");
     }
     let (code, out, _) = said(program().arg("--version"));
-    assert_eq!((code, &*out), (0, concat!("copperspread ", env!("CARGO_PKG_VERSION"), "\n")));
+    assert_eq!((code, &*out), (0, concat!("copperspread-scheduler ", env!("CARGO_PKG_VERSION"), "\n")));
     let platform = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/toy/config.json");
     let (code, out, _) = said(program().args(["check", platform]));
     assert!(code == 0 && out.contains("good, the platform's form: n0 listens on 127.0.0.1:8081"), "{out}");
--- a/crates/copperspread/tests/cluster_faults.rs
+++ b/crates/scheduler/tests/cluster_faults.rs
@@ -1,10 +1,10 @@
-//! Membership among real processes on loopback, while what it is for goes wrong. `crates/lab/tests/membership_plans.rs`
+//! Membership among real processes on loopback, while what it is for goes wrong. `crates/testbed/tests/membership_plans.rs`
 //! plays the same plans with 300 members in virtual time.
 #![cfg(feature = "standalone")]
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use copperspread_harness::{Act, Fault, Fleet, Plan, Setup, View, Weather, plans};
+use copperspread_test_harness::{Act, Fault, Fleet, Plan, Setup, View, Weather, plans};
 
 /// The settings' suspicion is a second; what follows from a death must be known everywhere within this.
 const BOUND: Duration = Duration::from_secs(15);
@@ -14,7 +14,7 @@
 }
 
 fn setup(members: usize) -> Setup {
-    Setup::new(env!("CARGO_BIN_EXE_copperspread"), members)
+    Setup::new(env!("CARGO_BIN_EXE_copperspread-scheduler"), members)
 }
 
 fn names(numbers: impl IntoIterator<Item = usize>) -> Vec<String> {
--- a/crates/copperspread/tests/hand_over_moments.rs
+++ b/crates/scheduler/tests/hand_over_moments.rs
@@ -2,9 +2,9 @@
 //! writing, between an answer and the next request on its connection, between a reset and a repeat.
 mod sockets;
 
-use copperspread_decisions::{Effect, KeyScope, Outcome, WorkerId};
-use copperspread_node::back::{Back, http::RealServers};
-use copperspread_node::{clock::from_now, entries::ServiceEntries, order::Order, order::Wanted};
+use copperspread_dispatcher::{Effect, KeyScope, Outcome, WorkerId};
+use copperspread_proxy::back::{Back, http::RealServers};
+use copperspread_proxy::{clock::from_now, entries::ServiceEntries, order::Order, order::Wanted};
 use copperspread_settings::{json, platform};
 use futures_util::FutureExt;
 use sockets::*;
--- a/crates/copperspread/tests/list_moments.rs
+++ b/crates/scheduler/tests/list_moments.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use copperspread_decisions::*;
-use copperspread_node::source::targets::{HOLD, RETRY, SILENT, SILENT_ASKED};
+use copperspread_dispatcher::*;
+use copperspread_proxy::source::targets::{HOLD, RETRY, SILENT, SILENT_ASKED};
 use futures_util::FutureExt;
 use futures_util::future::join_all;
 use sockets::*;
@@ -297,7 +297,7 @@
     let (mut first, mut wait) = (0, 0);
     for seed in 0..500 {
         let settings = Settings {
-            discovery: copperspread_decisions::Discovery::OnRequest,
+            discovery: copperspread_dispatcher::Discovery::OnRequest,
             fleet_size: 300,
             classes: vec![Class::default()],
             ..Settings::default()
--- a/crates/copperspread/tests/module.rs
+++ b/crates/scheduler/tests/module.rs
@@ -4,10 +4,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-use copperspread_decisions::*;
-use copperspread_node::assembly::{Assembled, assemble};
-use copperspread_node::source::{Source, fixed::Fixed, targets::Targets};
-use copperspread_records::writer::Recorder;
+use copperspread_dispatcher::*;
+use copperspread_proxy::assembly::{Assembled, assemble};
+use copperspread_proxy::source::{Source, fixed::Fixed, targets::Targets};
+use copperspread_event_log::writer::Recorder;
 use copperspread_settings::{List, platform};
 use sockets::*;
 use tokio::sync::{mpsc, watch};
--- a/crates/copperspread/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -1,8 +1,8 @@
 //! What reads the network: random cuts of valid messages and random garbage, from fixed seeds.
 mod sockets;
-use copperspread_node::back::http::{kept_idle, load_answer, load_header, read_call_back};
-use copperspread_node::front::http as edge;
-use copperspread_node::order::request_id;
+use copperspread_proxy::back::http::{kept_idle, load_answer, load_header, read_call_back};
+use copperspread_proxy::front::http as edge;
+use copperspread_proxy::order::request_id;
 use copperspread_settings::{json, platform};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/copperspread/tests/records.rs
+++ b/crates/scheduler/tests/records.rs
@@ -29,7 +29,7 @@
 }
 
 fn read(arguments: &[&str], file: &Path) -> (String, String) {
-    let output = std::process::Command::new(env!("CARGO_BIN_EXE_copperspread"))
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"))
         .args(arguments)
         .arg(file)
         .output()
@@ -139,7 +139,7 @@
     let file = scratch("two");
     let _first = start(&worker, &file).await;
     let set = [format!("records.file={}", file.display()), format!("front.http.listen={}", reserve().1)];
-    let output = std::process::Command::new(env!("CARGO_BIN_EXE_copperspread"))
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"))
         .env_remove("EDGE_CONFIG")
         .args(["serve", "--set", &set[0], "--set", &set[1]])
         .output()
--- a/crates/copperspread/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -325,15 +325,15 @@
 // against silent real servers that hold all descriptors.
 #[tokio::test]
 async fn neither_draining_nor_silent_real_servers_get_more() {
-    use copperspread_decisions::{Effect, Outcome, WorkerId};
-    use copperspread_node::back::{Back, http::RealServers};
-    use copperspread_node::{clock::from_now, entries::ServiceEntries, order::Order};
+    use copperspread_dispatcher::{Effect, Outcome, WorkerId};
+    use copperspread_proxy::back::{Back, http::RealServers};
+    use copperspread_proxy::{clock::from_now, entries::ServiceEntries, order::Order};
     use copperspread_settings::{json, platform};
     let mut server = Party::new().await;
     let config = platform::read_start(&config(server.address, server.address, &list(1, true, &[])))
         .expect("it is good");
     let entries = std::sync::Arc::new(ServiceEntries::new(&config.given.node));
-    let wanted = copperspread_node::order::Wanted::default();
+    let wanted = copperspread_proxy::order::Wanted::default();
     let real_servers = RealServers::new(&config.given.node, entries.clone(), 32);
     let (headers, body) = (Default::default(), Default::default());
     let order = Order {
@@ -543,7 +543,7 @@
 
 #[test]
 fn a_bad_configuration_is_one_clear_line_and_a_failure() {
-    let program = || std::process::Command::new(env!("CARGO_BIN_EXE_copperspread"));
+    let program = || std::process::Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
     let path = std::env::temp_dir().join(format!("copperspread-bad-{}.json", std::process::id()));
     let here = "127.0.0.1:1".parse().expect("an address");
     let good = config(here, here, &list(1, true, &[]));
--- a/crates/copperspread/tests/sockets/mod.rs
+++ b/crates/scheduler/tests/sockets/mod.rs
@@ -242,7 +242,7 @@
         let (reserved, address) = reserve();
         let path = folder().join(format!("copperspread-{}.toml", address.port()));
         std::fs::write(&path, text(address)).expect("a configuration");
-        let mut command = Command::new(env!("CARGO_BIN_EXE_copperspread"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
         command.args(["serve", "--config"]).arg(&path).args(flags).envs(variables.iter().copied());
         command.env_remove("EDGE_CONFIG");
         Scheduler::run(command, reserved, Party::new().await, path).await
@@ -269,7 +269,7 @@
         let mut start = Command::new("sh");
         start
             .args(["-c", command])
-            .env("PROGRAM", env!("CARGO_BIN_EXE_copperspread"))
+            .env("PROGRAM", env!("CARGO_BIN_EXE_copperspread-scheduler"))
             .env("EDGE_CONFIG", &path);
         Scheduler::run(start, reserved, discovery, path).await
     }
@@ -350,7 +350,7 @@
     pub async fn again(&mut self, signal: &str) {
         self.signal(signal).await;
         within("its end", self.child.wait()).await.expect("it ended");
-        let mut start = Command::new(env!("CARGO_BIN_EXE_copperspread"));
+        let mut start = Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
         start.env("EDGE_CONFIG", &self.path).stderr(Stdio::piped()).kill_on_drop(true);
         self.child = start.spawn().expect("it starts");
         self.log = BufReader::new(self.child.stderr.take().expect("piped")).lines();
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,7 +1,7 @@
 //! Reading JSON with tinyjson: a guard for its recursion, and typed access to fields.
 use tinyjson::JsonValue;
 
-use copperspread_decisions::{Micros, SECOND};
+use copperspread_dispatcher::{Micros, SECOND};
 
 /// Deepest nesting that is read. tinyjson calls itself for each level, and guards against no depth:
 /// a body of nothing but brackets would end the program by its stack.
--- a/crates/settings/src/members.rs
+++ b/crates/settings/src/members.rs
@@ -1,7 +1,7 @@
 //! A worker list in the form that all sources share.
 use std::hash::Hasher;
 
-use copperspread_decisions::Micros;
+use copperspread_dispatcher::Micros;
 use http::uri::Authority;
 
 /// What discovery says of one service entry's state.
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's JSON: the configuration that it lays down for each start, the settings object in
 //! it, which an instance of the simulator finds in its first message, and discovery's lists. This is
 //! their one reader; unknown keys are ignored.
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 use http::uri::Authority;
 use tinyjson::JsonValue;
 
--- a/crates/settings/src/start.rs
+++ b/crates/settings/src/start.rs
@@ -1,7 +1,7 @@
 //! What a scheduler is told at its start, whatever the format.
 use std::net::SocketAddr;
 
-use copperspread_decisions::{Effect, Micros, Settings};
+use copperspread_dispatcher::{Effect, Micros, Settings};
 use http::uri::Authority;
 
 use crate::members::List;
--- a/crates/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -73,7 +73,7 @@
     match serve(io::BufReader::with_capacity(1 << 20, stdin), stdout) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("copperspread-drill: {what}");
+            eprintln!("copperspread-simulator-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/crates/drill/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 use std::borrow::Cow;
 use std::io::{self, Write};
 
-use copperspread_decisions::*;
+use copperspread_dispatcher::*;
 use copperspread_settings::json::{self, micros};
 use copperspread_settings::name_key;
 use rustc_hash::FxHashMap;
--- a/crates/harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use copperspread_faults::{Act, Fault, Links, Plan, Weather};
+use copperspread_fault_injection::{Act, Fault, Links, Plan, Weather};
 use tempfile::TempDir;
 use tokio::runtime::Runtime;
 
--- a/crates/harness/src/relay.rs
+++ b/crates/test-harness/src/relay.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use copperspread_faults::Links;
+use copperspread_fault_injection::Links;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
--- a/crates/lab/benches/decisions.rs
+++ b/crates/testbed/benches/decisions.rs
@@ -1,6 +1,6 @@
 //! What a decision costs: a job with its outcome, a sweep, a change of the list. Run it with
-//! `cargo bench -p copperspread-lab`.
-use copperspread_decisions::*;
+//! `cargo bench -p copperspread-testbed`.
+use copperspread_dispatcher::*;
 use divan::Bencher;
 
 const FLEETS: [u32; 5] = [10, 100, 1_000, 10_000, 100_000];
--- a/crates/lab/benches/membership.rs
+++ b/crates/testbed/benches/membership.rs
@@ -1,7 +1,7 @@
 //! What membership costs: a second of so many idle members on one core, the network's model included. Items are
-//! members, so that the time of one is the median over their number. `cargo bench -p copperspread-lab --bench membership`.
-use copperspread_cluster::SECOND;
-use copperspread_lab::members::Net;
+//! members, so that the time of one is the median over their number. `cargo bench -p copperspread-testbed --bench membership`.
+use copperspread_membership::SECOND;
+use copperspread_testbed::members::Net;
 use divan::Bencher;
 use divan::counter::ItemsCount;
 
--- a/crates/lab/benches/shares.rs
+++ b/crates/testbed/benches/shares.rs
@@ -1,8 +1,8 @@
 //! What shares cost: a report through the ledger, a repeated one, a table. Run it with
-//! `cargo bench -p copperspread-lab --bench shares`.
+//! `cargo bench -p copperspread-testbed --bench shares`.
 use std::collections::{BTreeMap, BTreeSet};
 
-use copperspread_shares::*;
+use copperspread_fair_share::*;
 use divan::Bencher;
 
 const TABLES: [(u32, u32); 3] = [(100, 10), (1_000, 30), (10_000, 100)];
--- a/crates/lab/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -1,11 +1,11 @@
 //! Membership's figures, in virtual time: `docs/cluster.md` says how to read them.
-//! `cargo run --release --locked -p copperspread-lab --example membership -- death`
+//! `cargo run --release --locked -p copperspread-testbed --example membership -- death`
 use std::time::Duration;
 
 use clap::{Parser, ValueEnum};
-use copperspread_cluster::{Effect, Micros, SECOND, Settings};
-use copperspread_faults::{Act, Fault, Plan, plans};
-use copperspread_lab::members::{MS, Net};
+use copperspread_membership::{Effect, Micros, SECOND, Settings};
+use copperspread_fault_injection::{Act, Fault, Plan, plans};
+use copperspread_testbed::members::{MS, Net};
 use rayon::prelude::*;
 
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
--- a/crates/lab/src/emulate/clients.rs
+++ b/crates/testbed/src/emulate/clients.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperspread_decisions::{Micros, RequestId};
+use copperspread_dispatcher::{Micros, RequestId};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Request, StatusCode};
 use rand::RngExt;
--- a/crates/lab/src/emulate/list.rs
+++ b/crates/testbed/src/emulate/list.rs
@@ -1,5 +1,5 @@
 //! The worker list as each scheduler's agent has it.
-use copperspread_decisions::{RosterKind, WorkerEntry};
+use copperspread_dispatcher::{RosterKind, WorkerEntry};
 
 /// The list: what all agents have been sent.
 pub struct Listing {
--- a/crates/lab/src/emulate/listing.rs
+++ b/crates/testbed/src/emulate/listing.rs
@@ -1,7 +1,7 @@
 //! The agents of the worker list, one for each scheduler, and their answers.
 use std::rc::Rc;
 
-use copperspread_decisions::{Micros, RosterKind, WorkerEntry, WorkerState};
+use copperspread_dispatcher::{Micros, RosterKind, WorkerEntry, WorkerState};
 use http_body_util::Full;
 use hyper::{Request, Response};
 use serde_json::{Value, json};
--- a/crates/lab/src/emulate/mod.rs
+++ b/crates/testbed/src/emulate/mod.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use copperspread_decisions::{Micros, RosterKind, SECOND, WorkerState};
+use copperspread_dispatcher::{Micros, RosterKind, SECOND, WorkerState};
 use hdrhistogram::Histogram;
 use tokio::net::TcpListener;
 use tokio::task::{JoinSet, LocalSet};
--- a/crates/lab/src/emulate/program.rs
+++ b/crates/testbed/src/emulate/program.rs
@@ -47,10 +47,10 @@
             let arguments = ["node", "--policy", &policy.name()].map(str::to_owned).to_vec();
             return Ok(Program { file: own, arguments });
         }
-        let file = own.with_file_name("copperspread");
+        let file = own.with_file_name("copperspread-scheduler");
         if !file.exists() {
             return Err(format!(
-                "{} is not there: build it with `cargo build --release -p copperspread`, or name one with --program",
+                "{} is not there: build it with `cargo build --release -p copperspread-scheduler`, or name one with --program",
                 file.display()
             ));
         }
--- a/crates/lab/src/emulate/stage.rs
+++ b/crates/testbed/src/emulate/stage.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
-use copperspread_decisions::{Micros, Report, WorkerEntry, WorkerId, WorkerState};
+use copperspread_dispatcher::{Micros, Report, WorkerEntry, WorkerId, WorkerState};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
--- a/crates/lab/src/emulate/world.rs
+++ b/crates/testbed/src/emulate/world.rs
@@ -1,6 +1,6 @@
 //! What the emulator knows: the model's workers in real time, who asked for what, and the referee. No
 //! socket and no await: the tasks round it tell it what came and carry out what it says.
-use copperspread_decisions::{Effect, Micros, Report, RequestId};
+use copperspread_dispatcher::{Effect, Micros, Report, RequestId};
 use rand::RngExt;
 use rand_distr::{Distribution, Normal};
 use rustc_hash::FxHashMap;
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -8,18 +8,18 @@
 use std::time::Instant;
 
 use clap::{Parser, Subcommand};
-use copperspread_lab::compare::{Row, compare, table};
-use copperspread_lab::cost;
-use copperspread_lab::emulate::program::Program;
-use copperspread_lab::emulate::{Schedulers, emulate};
-use copperspread_lab::experiment::{Plan, Watcher, agreement};
-use copperspread_lab::load::load;
-use copperspread_lab::outcome::Outcome;
-use copperspread_lab::policy::Kind;
-use copperspread_lab::report::html;
-use copperspread_lab::scenario::Scenario;
-use copperspread_lab::sim::play;
-use copperspread_lab::trace::record;
+use copperspread_testbed::compare::{Row, compare, table};
+use copperspread_testbed::cost;
+use copperspread_testbed::emulate::program::Program;
+use copperspread_testbed::emulate::{Schedulers, emulate};
+use copperspread_testbed::experiment::{Plan, Watcher, agreement};
+use copperspread_testbed::load::load;
+use copperspread_testbed::outcome::Outcome;
+use copperspread_testbed::policy::Kind;
+use copperspread_testbed::report::html;
+use copperspread_testbed::scenario::Scenario;
+use copperspread_testbed::sim::play;
+use copperspread_testbed::trace::record;
 use indicatif::{ProgressBar, ProgressStyle};
 
 /// Longest load that is sent, in seconds: it stops by itself.
@@ -27,7 +27,7 @@
 
 /// Plays scenarios of workers, clients and failures against the scheduler's decisions.
 #[derive(Debug, Parser)]
-#[command(name = "copperspread-lab", version)]
+#[command(name = "copperspread-testbed", version)]
 struct Line {
     #[command(subcommand)]
     command: Command,
@@ -390,11 +390,11 @@
             Ok(true)
         }
         Command::Relay => {
-            copperspread_lab::relay::serve()?;
+            copperspread_testbed::relay::serve()?;
             Ok(true)
         }
         Command::Node { policy } => {
-            copperspread_lab::emulate::baseline::serve(policy)?;
+            copperspread_testbed::emulate::baseline::serve(policy)?;
             Ok(true)
         }
         Command::Load { scenario: name, target, rate, seconds, most_open, seed, anywhere, json: whole } => {
@@ -459,7 +459,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
-            let _ = writeln!(std::io::stderr(), "copperspread-lab: {why}");
+            let _ = writeln!(std::io::stderr(), "copperspread-testbed: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lab/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -1,6 +1,6 @@
 //! Clients as an open loop: when each job comes and what it is, drawn from one stream, so that it does
 //! not depend on what the scheduler does.
-use copperspread_decisions::Micros;
+use copperspread_dispatcher::Micros;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Exp1, LogNormal};
 
--- a/crates/lab/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -1,6 +1,6 @@
 //! The workers of a scenario under a seed, what goes wrong with whom, and the budget they are held to.
 //! Both drives draw them here, so that one seed means the same fleet and the same faults.
-use copperspread_decisions::Micros;
+use copperspread_dispatcher::Micros;
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
--- a/crates/lab/src/model/keys.rs
+++ b/crates/testbed/src/model/keys.rs
@@ -1,5 +1,5 @@
 //! How workers drop repeats of a keyed job: by what was taken in their group, and when.
-use copperspread_decisions::{KeyScope, Micros};
+use copperspread_dispatcher::{KeyScope, Micros};
 
 /// The group of workers that a worker shares the memory of keys with, by its zone and cell.
 pub fn group(scope: KeyScope, zone: u32, cell: u32) -> u32 {
--- a/crates/lab/src/model/wire.rs
+++ b/crates/testbed/src/model/wire.rs
@@ -1,5 +1,5 @@
 //! What goes wrong on a worker's connections, apart from the worker itself.
-use copperspread_decisions::Micros;
+use copperspread_dispatcher::Micros;
 
 use crate::scenario::{Trouble, micros};
 
--- a/crates/lab/src/model/worker.rs
+++ b/crates/testbed/src/model/worker.rs
@@ -4,7 +4,7 @@
 //! cores' work; alone and warm it takes `work / speed`.
 use std::collections::VecDeque;
 
-use copperspread_decisions::{Micros, Report, SECOND};
+use copperspread_dispatcher::{Micros, Report, SECOND};
 
 use crate::scenario::{Order, Trouble};
 
--- a/crates/lab/src/outcome.rs
+++ b/crates/testbed/src/outcome.rs
@@ -1,7 +1,7 @@
 //! What a run came to.
 use std::collections::BTreeMap;
 
-use copperspread_decisions::{Micros, SECOND};
+use copperspread_dispatcher::{Micros, SECOND};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
--- a/crates/lab/src/policy.rs
+++ b/crates/testbed/src/policy.rs
@@ -1,5 +1,5 @@
 //! What chooses: the decision module, textbook baselines, and schedulers that are broken on purpose.
-use copperspread_decisions::{
+use copperspread_dispatcher::{
     Action, AttemptOutcome, Decide, Discovery, Dispatcher, Event, Job, Micros, Outcome, Progress, Refusal,
     RequestId, Roster, RosterKind, SECOND, Settings, WorkerEntry, WorkerId, WorkerState,
 };
--- a/crates/lab/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -1,7 +1,7 @@
 //! Knows what clients and workers saw and what the list told, and nothing that a scheduler claims.
 use std::collections::VecDeque;
 
-use copperspread_decisions::{Effect, KeyScope, Micros, RequestId, SECOND};
+use copperspread_dispatcher::{Effect, KeyScope, Micros, RequestId, SECOND};
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
--- a/crates/lab/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,5 +1,5 @@
 //! A scenario: who works, who asks, and what goes wrong, as a TOML file. docs/lab.md describes it.
-use copperspread_decisions::{self as decisions, Effect, Micros, SECOND, Settings};
+use copperspread_dispatcher::{self as decisions, Effect, Micros, SECOND, Settings};
 use serde::{Deserialize, Serialize};
 
 /// A connection that is not up by then has failed.
@@ -245,7 +245,7 @@
     #[serde(default = "grace")]
     pub grace: f64,
     /// A recorded trace in place of drawn arrivals, jobs in the order of their instants. The file of
-    /// records of a scheduler gives one: `copperspread-lab trace`.
+    /// records of a scheduler gives one: `copperspread-testbed trace`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub trace: Vec<Recorded>,
     /// The first schedulers get more than the others; absent, all get alike.
--- a/crates/lab/src/sim.rs
+++ b/crates/testbed/src/sim.rs
@@ -1,13 +1,13 @@
 //! The drive in virtual time: the model's parts, any number of schedulers, and one queue of events.
 //!
-//! A scheduler's node is played as `crates/node` is: the deadline has a margin, what is out at the
+//! A scheduler's node is played as `crates/proxy` is: the deadline has a margin, what is out at the
 //! deadline is told as timed out, the first served attempt answers, and the module hears of every
 //! attempt's end. The same seed gives the same run, to the byte.
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-use copperspread_decisions::{
+use copperspread_dispatcher::{
     Action, AttemptOutcome, Effect, Event, Job, Micros, Outcome as Ended, Progress, Report, RequestId,
     Roster, RosterKind, SECOND, Timer, WorkerEntry, WorkerId, WorkerState,
 };
--- a/crates/lab/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -1,9 +1,9 @@
 //! A scheduler's records as a recorded trace: which job came when, of what class, with what hint.
 use std::io::BufRead;
 
-use copperspread_decisions::{Micros, SECOND};
-use copperspread_records::What;
-use copperspread_records::reader::{Line, Reader};
+use copperspread_dispatcher::{Micros, SECOND};
+use copperspread_event_log::What;
+use copperspread_event_log::reader::{Line, Reader};
 
 use crate::scenario::{Recorded, Scenario};
 
--- a/crates/lab/tests/calc.rs
+++ b/crates/testbed/tests/calc.rs
@@ -1,14 +1,14 @@
 //! The deployment with first-in-first-out workers, slots and memory, and load told to probes only.
-use copperspread_decisions::{Effect as May, KeyScope, SECOND};
-use copperspread_lab::compare::compare;
-use copperspread_lab::model::arrivals::Arrivals;
-use copperspread_lab::model::fleet::Fleet;
-use copperspread_lab::model::keys::group;
-use copperspread_lab::model::worker::{Build, Effect, Offer, Offered, Worker};
-use copperspread_lab::policy::Kind;
-use copperspread_lab::referee::{Referee, Rule};
-use copperspread_lab::scenario::{Again, Order, Scenario};
-use copperspread_lab::sim::play;
+use copperspread_dispatcher::{Effect as May, KeyScope, SECOND};
+use copperspread_testbed::compare::compare;
+use copperspread_testbed::model::arrivals::Arrivals;
+use copperspread_testbed::model::fleet::Fleet;
+use copperspread_testbed::model::keys::group;
+use copperspread_testbed::model::worker::{Build, Effect, Offer, Offered, Worker};
+use copperspread_testbed::policy::Kind;
+use copperspread_testbed::referee::{Referee, Rule};
+use copperspread_testbed::scenario::{Again, Order, Scenario};
+use copperspread_testbed::sim::play;
 
 const CALC: &str = include_str!("../scenarios/calc.toml");
 
--- a/crates/lab/tests/cold_fleet.rs
+++ b/crates/testbed/tests/cold_fleet.rs
@@ -1,8 +1,8 @@
 //! Cold workers in fleets of all sizes: while workers restart in turn, seven in ten schedulers are killed
 //! amid the ramp, and all hear late of the starts just before.
-use copperspread_lab::policy::Kind;
-use copperspread_lab::scenario::Scenario;
-use copperspread_lab::sim::play;
+use copperspread_testbed::policy::Kind;
+use copperspread_testbed::scenario::Scenario;
+use copperspread_testbed::sim::play;
 
 /// The release of 100 schedulers with another number of them, so many workers of each kind, and clients for
 /// these; discovery is down for 3 s before the kill.
--- a/crates/lab/tests/emulate.rs
+++ b/crates/testbed/tests/emulate.rs
@@ -1,14 +1,14 @@
 //! Whole runs in real time, scaled down to some seconds: the laboratory's own node as processes.
 use std::net::SocketAddr;
 
-use copperspread_lab::cost::{Terms, measure, table};
-use copperspread_lab::emulate::program::{Program, configuration};
-use copperspread_lab::emulate::{Schedulers, emulate};
-use copperspread_lab::model::arrivals::Arrivals;
-use copperspread_lab::outcome::Outcome;
-use copperspread_lab::policy::Kind;
-use copperspread_lab::referee::Rule;
-use copperspread_lab::scenario::Scenario;
+use copperspread_testbed::cost::{Terms, measure, table};
+use copperspread_testbed::emulate::program::{Program, configuration};
+use copperspread_testbed::emulate::{Schedulers, emulate};
+use copperspread_testbed::model::arrivals::Arrivals;
+use copperspread_testbed::outcome::Outcome;
+use copperspread_testbed::policy::Kind;
+use copperspread_testbed::referee::Rule;
+use copperspread_testbed::scenario::Scenario;
 use copperspread_settings::platform::read_start;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
--- a/crates/lab/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use copperspread_lab::experiment::{Plan, Watcher, agreement};
+use copperspread_testbed::experiment::{Plan, Watcher, agreement};
 
 fn named(name: &str) -> Option<String> {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
--- a/crates/lab/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -1,15 +1,15 @@
 //! The laboratory itself: against closed forms, against itself, and against schedulers that are broken
 //! on purpose.
-use copperspread_decisions::{RequestId, SECOND};
-use copperspread_lab::compare::{Difference, compare, table};
-use copperspread_lab::model::arrivals::Arrivals;
-use copperspread_lab::model::worker::{Build, Effect, Life, Offer, Offered, Worker};
-use copperspread_lab::outcome::Outcome;
-use copperspread_lab::policy::Kind;
-use copperspread_lab::referee::{Heard, Referee, Rule};
-use copperspread_lab::report::html;
-use copperspread_lab::scenario::{Order, Pair, Recorded, Scenario};
-use copperspread_lab::sim::play;
+use copperspread_dispatcher::{RequestId, SECOND};
+use copperspread_testbed::compare::{Difference, compare, table};
+use copperspread_testbed::model::arrivals::Arrivals;
+use copperspread_testbed::model::worker::{Build, Effect, Life, Offer, Offered, Worker};
+use copperspread_testbed::outcome::Outcome;
+use copperspread_testbed::policy::Kind;
+use copperspread_testbed::referee::{Heard, Referee, Rule};
+use copperspread_testbed::report::html;
+use copperspread_testbed::scenario::{Order, Pair, Recorded, Scenario};
+use copperspread_testbed::sim::play;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/lab/tests/load.rs
+++ b/crates/testbed/tests/load.rs
@@ -7,8 +7,8 @@
 use axum::extract::Request;
 use axum::http::StatusCode;
 use axum::response::IntoResponse;
-use copperspread_lab::load::{OfClass, load};
-use copperspread_lab::scenario::Scenario;
+use copperspread_testbed::load::{OfClass, load};
+use copperspread_testbed::scenario::Scenario;
 use tokio::net::TcpListener;
 use tokio::sync::Mutex;
 
--- a/crates/lab/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -1,7 +1,7 @@
 //! The failures that membership is for, each caused on a faulty network in virtual time.
-use copperspread_cluster::*;
-use copperspread_faults::Fault;
-use copperspread_lab::members::*;
+use copperspread_membership::*;
+use copperspread_fault_injection::Fault;
+use copperspread_testbed::members::*;
 
 #[test]
 fn a_killed_member_is_down_everywhere_and_nobody_else_is() {
--- a/crates/lab/tests/membership_plans.rs
+++ b/crates/testbed/tests/membership_plans.rs
@@ -1,10 +1,10 @@
-//! The hard cases as plans at 300 members, in virtual time; `crates/copperspread/tests/cluster_faults.rs` plays the
+//! The hard cases as plans at 300 members, in virtual time; `crates/scheduler/tests/cluster_faults.rs` plays the
 //! same ones on real processes.
 use std::time::Duration;
 
-use copperspread_cluster::*;
-use copperspread_faults::{Plan, plans};
-use copperspread_lab::members::*;
+use copperspread_membership::*;
+use copperspread_fault_injection::{Plan, plans};
+use copperspread_testbed::members::*;
 
 const MEMBERS: usize = 300;
 
--- a/crates/lab/tests/trace.rs
+++ b/crates/testbed/tests/trace.rs
@@ -1,9 +1,9 @@
 //! Records of a scheduler as a recorded trace.
-use copperspread_lab::model::arrivals::Arrivals;
-use copperspread_lab::policy::Kind;
-use copperspread_lab::scenario::Scenario;
-use copperspread_lab::sim::play;
-use copperspread_lab::trace::{LeftOut, record};
+use copperspread_testbed::model::arrivals::Arrivals;
+use copperspread_testbed::policy::Kind;
+use copperspread_testbed::scenario::Scenario;
+use copperspread_testbed::sim::play;
+use copperspread_testbed::trace::{LeftOut, record};
 
 fn calm() -> Scenario {
     Scenario::read(include_str!("../scenarios/calm.toml")).expect("a scenario")
--- a/crates/lab/tests/unit/emulate_workers.rs
+++ b/crates/testbed/tests/unit/emulate_workers.rs
@@ -1,7 +1,7 @@
 //! Tests of what `lab`'s `emulate::workers` keeps to itself; it takes this file in as its `tests`.
 use std::io::ErrorKind;
 
-use copperspread_decisions::SECOND;
+use copperspread_dispatcher::SECOND;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::{LocalSet, spawn_local};
 
--- a/crates/lab/tests/unit/sim.rs
+++ b/crates/testbed/tests/unit/sim.rs
@@ -1,7 +1,7 @@
 //! Tests of what `lab`'s `sim` keeps to itself; it takes this file in as its `tests`.
 use std::sync::Mutex;
 
-use copperspread_decisions::Decide;
+use copperspread_dispatcher::Decide;
 
 use super::*;
 
--- a/crates/lab/tests/vast.rs
+++ b/crates/testbed/tests/vast.rs
@@ -1,12 +1,12 @@
 //! The hard cases of a large fleet, 100 schedulers and 60 workers in virtual time: what all of them do
 //! together. The list tells live sizes, a second late and renewed every 0.9 s.
-use copperspread_lab::emulate::program::Program;
-use copperspread_lab::emulate::{Schedulers, emulate};
-use copperspread_lab::model::arrivals::Arrivals;
-use copperspread_lab::policy::Kind;
-use copperspread_lab::referee::Rule;
-use copperspread_lab::scenario::Scenario;
-use copperspread_lab::sim::play;
+use copperspread_testbed::emulate::program::Program;
+use copperspread_testbed::emulate::{Schedulers, emulate};
+use copperspread_testbed::model::arrivals::Arrivals;
+use copperspread_testbed::policy::Kind;
+use copperspread_testbed::referee::Rule;
+use copperspread_testbed::scenario::Scenario;
+use copperspread_testbed::sim::play;
 
 /// The mean share of the worth that is served in time, over some seeds; no rule may break in any.
 fn served(text: &str, seeds: std::ops::Range<u64>) -> f64 {
