--- a/crates/membership-transport/tests/peers.rs
+++ b/crates/membership-transport/tests/peers.rs
@@ -188,8 +188,9 @@
     // Few at a time: the system drops what its buffer does not hold.
     let send = |packets: &[&[u8]]| {
         let had = a.view().rejected;
-        let total =
-            |of: copperspread_membership_transport::Rejects| of.malformed + of.too_large + of.forged + of.other_version;
+        let total = |of: copperspread_membership_transport::Rejects| {
+            of.malformed + of.too_large + of.forged + of.other_version
+        };
         for packet in packets {
             socket.send_to(packet, a.address()).expect("a packet");
         }
--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -7,18 +7,18 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep_until};
 
-use crate::back::http::{CALL_BACK_PATH, RealServers, call_backs};
 use crate::clock::{Clock, from_now};
-use crate::decisions::Decisions;
-use crate::ending::Ending;
-use crate::entries::ServiceEntries;
-use crate::front::Front;
-use crate::front::edge_connection::Edge;
-use crate::front::http::{Guest, Page, front};
-use crate::node::Node;
-use crate::probes;
-use crate::source::Membership;
-use crate::witness::Witness;
+use crate::context::Node;
+use crate::discovery::Membership;
+use crate::downstream::Front;
+use crate::downstream::client_connection::Edge;
+use crate::downstream::http::{Guest, Page, front};
+use crate::endpoints::ServiceEntries;
+use crate::event_recorder::Witness;
+use crate::load_queries;
+use crate::policy_handle::Decisions;
+use crate::shutdown::Ending;
+use crate::upstream::http::{CALL_BACK_PATH, RealServers, call_backs};
 
 /// The longest time that jobs get after SIGTERM. The kill follows the longest deadline, of which no more than
 /// 3 s count, by 0.7 s at the soonest: half a second later.
@@ -85,7 +85,7 @@
     let listener = listener.map_err(|e| format!("listen on {}: {e}", start.listen))?;
     let guest = Guest { path: CALL_BACK_PATH, take: Arc::new(call_backs(entries, decisions)) };
     let edge = front(Arc::clone(&node), guest, pages, listener, start.sockets, start.memory_mb);
-    tokio::spawn(probes::carry_out(Arc::clone(&node)));
+    tokio::spawn(load_queries::carry_out(Arc::clone(&node)));
     let longest = given.decisions.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
     Ok(Assembled { node, edge, membership, known, longest })
 }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/context.rs
@@ -3,11 +3,11 @@
 
 use copperspread_settings::NodeSettings;
 
-use crate::back::Back;
 use crate::clock::Clock;
-use crate::decisions::Decisions;
-use crate::ending::Ending;
-use crate::witness::Witness;
+use crate::event_recorder::Witness;
+use crate::policy_handle::Decisions;
+use crate::shutdown::Ending;
+use crate::upstream::Back;
 
 /// One scheduler.
 pub struct Node {
--- a/crates/proxy/src/source/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -6,11 +6,11 @@
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 
-use crate::decisions::Decisions;
-use crate::entries::ServiceEntries;
+use crate::endpoints::ServiceEntries;
+use crate::policy_handle::Decisions;
 
-pub mod fixed;
-pub mod targets;
+pub mod platform;
+pub mod static_list;
 
 /// Where a worker list comes from. It turns its own form into a [`List`] and hands that on whole; a
 /// list that it cannot read in full changes nothing.
--- a/crates/proxy/src/source/targets.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -13,8 +13,8 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use crate::clock::from_now;
+use crate::discovery::{Membership, Source};
 use crate::invariant::note;
-use crate::source::{Membership, Source};
 
 /// Longest list that is read: some 10,000 entries, so that no fleet in sight reaches it, and a sixteenth
 /// of the least memory. The 64 KiB of the protocol's other bodies hold about 400.
--- a/crates/proxy/src/source/fixed.rs
+++ b/crates/proxy/src/discovery/static_list.rs
@@ -3,7 +3,7 @@
 use futures_util::future::BoxFuture;
 use tokio::sync::watch;
 
-use crate::source::{Membership, Source};
+use crate::discovery::{Membership, Source};
 
 /// The list as last configured. Its revision grows with each one; the sender counts.
 pub struct Fixed(pub watch::Receiver<List>);
--- a/crates/proxy/src/front/edge_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -29,11 +29,11 @@
 use tower_service::Service;
 
 use crate::clock::from_now;
-use crate::ending::{Ending, Stage};
-use crate::front::Front;
-use crate::front::read_ahead::ReadAhead;
+use crate::downstream::Front;
+use crate::downstream::read_ahead::ReadAhead;
 use crate::invariant::note;
-use crate::order::Room;
+use crate::messages::Room;
+use crate::shutdown::{Ending, Stage};
 
 /// Longest body of a request.
 pub const LONGEST_BODY: usize = 64 * 1024;
@@ -491,5 +491,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/front_edge_connection.rs"]
+#[path = "../../tests/unit/client_connection.rs"]
 mod tests;
--- a/crates/proxy/src/front/http.rs
+++ b/crates/proxy/src/downstream/http.rs
@@ -14,12 +14,12 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout_at};
 
-use crate::ending::earlier;
-use crate::flow;
-use crate::front::edge_connection::{Edge, LONGEST_BODY, Terms};
+use crate::context::Node;
+use crate::downstream::client_connection::{Edge, LONGEST_BODY, Terms};
 use crate::invariant::note;
-use crate::node::Node;
-use crate::order::{Answer, Demand, Order, Room, request_id};
+use crate::messages::{Answer, Demand, Order, Room, request_id};
+use crate::request_task;
+use crate::shutdown::earlier;
 
 /// An answer is due this long before the client gives up: it covers the way of both messages and
 /// this process's own waits for its part of a core.
@@ -169,7 +169,7 @@
         return StatusCode::BAD_REQUEST.into_response();
     };
     let order = Order { id, path, headers: passed_on(head.headers), effect, body, room };
-    let mut held = flow::begin(&node, Demand { job, deadline, order });
+    let mut held = request_task::begin(&node, Demand { job, deadline, order });
     answer(&node, held.answer().await)
 }
 
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -3,7 +3,7 @@
 
 use futures_util::future::BoxFuture;
 
-pub mod edge_connection;
+pub mod client_connection;
 pub mod http;
 pub mod read_ahead;
 
--- a/crates/proxy/src/witness.rs
+++ b/crates/proxy/src/event_recorder.rs
@@ -7,7 +7,7 @@
 use copperspread_event_log::{Choice, Entry, What};
 use copperspread_settings::NodeSettings;
 
-use crate::entries::ServiceEntries;
+use crate::endpoints::ServiceEntries;
 
 /// What sees all that is worth a record.
 pub struct Witness {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -18,18 +18,18 @@
 //! * A *source* turns its own form of a worker list into service entries, through
 //!   [`source::Membership`].
 //!
-//! The modules use one another in one direction only; `tests/one_way.rs` holds that.
+//! The modules use one another in one direction only; `tests/module_dependencies.rs` holds that.
 pub mod assembly;
-pub mod back;
 pub mod clock;
-pub mod decisions;
-pub mod ending;
-pub mod entries;
-pub mod flow;
-pub mod front;
+pub mod context;
+pub mod discovery;
+pub mod downstream;
+pub mod endpoints;
+pub mod event_recorder;
 pub mod invariant;
-pub mod node;
-pub mod order;
-pub mod probes;
-pub mod source;
-pub mod witness;
+pub mod load_queries;
+pub mod messages;
+pub mod policy_handle;
+pub mod request_task;
+pub mod shutdown;
+pub mod upstream;
--- a/crates/proxy/src/probes.rs
+++ b/crates/proxy/src/load_queries.rs
@@ -5,7 +5,7 @@
 use futures_util::stream::{FuturesUnordered, StreamExt};
 
 use crate::clock::from_now;
-use crate::node::Node;
+use crate::context::Node;
 
 /// A probe that is not answered by then tells that its real server has a queue, as it may wait there like
 /// a job. What comes later is old, and is dropped.
--- a/crates/proxy/src/decisions.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -9,9 +9,9 @@
 use tokio::time::sleep_until;
 
 use crate::clock::{Clock, from_now};
+use crate::event_recorder::Witness;
 use crate::invariant;
-use crate::order::{Mail, News};
-use crate::witness::Witness;
+use crate::messages::{Mail, News};
 
 /// The sending end of a flow's mailbox.
 pub type Mailbox = mpsc::UnboundedSender<Mail>;
--- a/crates/proxy/src/flow.rs
+++ b/crates/proxy/src/request_task.rs
@@ -9,11 +9,11 @@
 use tokio::time::sleep_until;
 use tracing::{Instrument, debug, info_span};
 
-use crate::decisions::Mailbox;
-use crate::ending::earlier;
+use crate::context::Node;
 use crate::invariant;
-use crate::node::Node;
-use crate::order::{Answer, Demand, Mail, News, Wanted};
+use crate::messages::{Answer, Demand, Mail, News, Wanted};
+use crate::policy_handle::Mailbox;
+use crate::shutdown::earlier;
 
 /// A front's hold on a flow: its answer, and word to the flow when the client goes first.
 pub struct Held {
--- a/crates/proxy/src/back/http.rs
+++ b/crates/proxy/src/upstream/http.rs
@@ -28,12 +28,12 @@
 use tokio::sync::{Semaphore, oneshot};
 use tokio::time::{Instant, timeout_at};
 
-use crate::back::Back;
 use crate::clock::from_now;
-use crate::decisions::Decisions;
-use crate::entries::ServiceEntries;
+use crate::endpoints::ServiceEntries;
 use crate::invariant::note;
-use crate::order::{Handed, News, Order, Wanted, request_id};
+use crate::messages::{Handed, News, Order, Wanted, request_id};
+use crate::policy_handle::Decisions;
+use crate::upstream::Back;
 
 /// Where real servers call back.
 pub const CALL_BACK_PATH: &str = "/_jobs/news";
--- a/crates/proxy/src/back/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -5,7 +5,7 @@
 use futures_util::future::BoxFuture;
 use tokio::time::Instant;
 
-use crate::order::{Handed, Order, Wanted};
+use crate::messages::{Handed, Order, Wanted};
 
 pub mod http;
 
--- a/crates/proxy/tests/doors.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -6,19 +6,19 @@
 
 use bytes::Bytes;
 use copperspread_dispatcher::*;
-use copperspread_proxy::back::Back;
-use copperspread_proxy::clock::{Clock, from_now};
-use copperspread_proxy::decisions::Decisions;
-use copperspread_proxy::ending::Ending;
-use copperspread_proxy::entries::ServiceEntries;
-use copperspread_proxy::flow;
-use copperspread_proxy::front::Front;
-use copperspread_proxy::node::Node;
-use copperspread_proxy::order::{Answer, Demand, Handed, News, Order, Wanted};
-use copperspread_proxy::source::fixed::Fixed;
-use copperspread_proxy::source::{Membership, Source};
-use copperspread_proxy::witness::Witness;
 use copperspread_event_log::writer::Recorder;
+use copperspread_proxy::clock::{Clock, from_now};
+use copperspread_proxy::context::Node;
+use copperspread_proxy::discovery::static_list::Fixed;
+use copperspread_proxy::discovery::{Membership, Source};
+use copperspread_proxy::downstream::Front;
+use copperspread_proxy::endpoints::ServiceEntries;
+use copperspread_proxy::event_recorder::Witness;
+use copperspread_proxy::messages::{Answer, Demand, Handed, News, Order, Wanted};
+use copperspread_proxy::policy_handle::Decisions;
+use copperspread_proxy::request_task;
+use copperspread_proxy::shutdown::Ending;
+use copperspread_proxy::upstream::Back;
 use copperspread_settings::{List, Member, NodeSettings, Phase};
 use futures_util::future::BoxFuture;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -82,7 +82,7 @@
                 poll_fn(|cx| self.clients.lock().expect("a lock").poll_recv(cx)).await
             {
                 self.busy.fetch_add(1, Ordering::Relaxed);
-                let mut held = flow::begin(&self.node, demand);
+                let mut held = request_task::begin(&self.node, demand);
                 let busy = Arc::clone(&self.busy);
                 tokio::spawn(async move {
                     let answer = held.answer().await;
@@ -158,8 +158,8 @@
         self.lists.send(list).await.expect("the source lives");
         settle().await;
     }
-    fn ask(&self, id: u64, class: u32) -> flow::Held {
-        flow::begin(&self.node, self.demand(id, class))
+    fn ask(&self, id: u64, class: u32) -> request_task::Held {
+        request_task::begin(&self.node, self.demand(id, class))
     }
     fn demand(&self, id: u64, class: u32) -> Demand {
         let job = Job { request: RequestId(id), class, time_left: 4 * SECOND, ..Job::default() };
@@ -320,8 +320,8 @@
 
 #[test]
 fn all_connections_together_fit_within_the_descriptors() {
-    use copperspread_proxy::back::http::{hand_overs, idle_most, probes};
-    use copperspread_proxy::front::edge_connection::places;
+    use copperspread_proxy::downstream::client_connection::places;
+    use copperspread_proxy::upstream::http::{hand_overs, idle_most, probes};
     // The largest fleet, one connection being accepted, discovery's, and what the runtime holds.
     let (real_servers, own) = (22, 12);
     for sockets in [256, 384, 512, 768, 1024] {
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -156,7 +156,12 @@
         }
         #[cfg(feature = "standalone")]
         Some(Command::Completions { shell }) => {
-            clap_complete::generate(shell, &mut Line::command(), "copperspread-scheduler", &mut std::io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Line::command(),
+                "copperspread-scheduler",
+                &mut std::io::stdout(),
+            );
             Ok(())
         }
         #[cfg(feature = "toy")]
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -2,10 +2,10 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use copperspread_membership::{Key, Settings};
 use copperspread_config::{Cluster, Config};
-use copperspread_proxy::front::http::Page;
+use copperspread_membership::{Key, Settings};
 use copperspread_membership_transport::{Peers, Spec};
+use copperspread_proxy::downstream::http::Page;
 use tracing::info;
 
 /// Where the view is answered.
@@ -90,7 +90,8 @@
 pub fn ended(peers: Peers) {
     let dropped = peers.dropped();
     let view = peers.ended();
-    let copperspread_membership_transport::Rejects { too_large, malformed, forged, other_version } = view.rejected;
+    let copperspread_membership_transport::Rejects { too_large, malformed, forged, other_version } =
+        view.rejected;
     let copperspread_membership_transport::Dropped {
         unsent,
         streams_refused,
--- a/crates/scheduler/tests/cli.rs
+++ b/crates/scheduler/tests/cli.rs
@@ -67,7 +67,11 @@
     let err = err.replace(&file.0.display().to_string(), "FILE");
     // The number of descriptors that this machine allows stands in the first.
     let (first, rest) = err.split_once('\n').expect("two lines");
-    assert!(first.starts_with("copperspread-scheduler: FILE:2:15: limits.descriptors: 4000000000 is more than the"));
+    assert!(
+        first.starts_with(
+            "copperspread-scheduler: FILE:2:15: limits.descriptors: 4000000000 is more than the"
+        )
+    );
     insta::assert_snapshot!(rest, @"FILE:6:7: classes[0].aim: 1m is later than the deadline of 10s");
 }
 
--- a/crates/scheduler/tests/hand_over_moments.rs
+++ b/crates/scheduler/tests/dispatch_races.rs
@@ -3,8 +3,8 @@
 mod sockets;
 
 use copperspread_dispatcher::{Effect, KeyScope, Outcome, WorkerId};
-use copperspread_proxy::back::{Back, http::RealServers};
-use copperspread_proxy::{clock::from_now, entries::ServiceEntries, order::Order, order::Wanted};
+use copperspread_proxy::upstream::{Back, http::RealServers};
+use copperspread_proxy::{clock::from_now, endpoints::ServiceEntries, messages::Order, messages::Wanted};
 use copperspread_settings::{json, platform};
 use futures_util::FutureExt;
 use sockets::*;
--- a/crates/scheduler/tests/list_moments.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use copperspread_dispatcher::*;
-use copperspread_proxy::source::targets::{HOLD, RETRY, SILENT, SILENT_ASKED};
+use copperspread_proxy::discovery::platform::{HOLD, RETRY, SILENT, SILENT_ASKED};
 use futures_util::FutureExt;
 use futures_util::future::join_all;
 use sockets::*;
--- a/crates/scheduler/tests/peers.rs
+++ b/crates/scheduler/tests/membership.rs
@@ -95,8 +95,10 @@
     for (key, said) in [(&short, "a cluster key of 6 bytes; 16 at least"), (&none, "No such file")] {
         let file = short.with_extension("toml");
         std::fs::write(&file, toml("x", off.address, &cluster(key, &[]))).expect("a file");
-        let run =
-            std::process::Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler")).arg("check").arg(&file).output();
+        let run = std::process::Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"))
+            .arg("check")
+            .arg(&file)
+            .output();
         let (run, name) = (run.expect("it runs"), file.display());
         let why = String::from_utf8_lossy(&run.stderr);
         assert_eq!(run.status.code(), Some(1), "{why}");
--- a/crates/scheduler/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -1,8 +1,8 @@
 //! What reads the network: random cuts of valid messages and random garbage, from fixed seeds.
 mod sockets;
-use copperspread_proxy::back::http::{kept_idle, load_answer, load_header, read_call_back};
-use copperspread_proxy::front::http as edge;
-use copperspread_proxy::order::request_id;
+use copperspread_proxy::downstream::http as edge;
+use copperspread_proxy::messages::request_id;
+use copperspread_proxy::upstream::http::{kept_idle, load_answer, load_header, read_call_back};
 use copperspread_settings::{json, platform};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/scheduler/tests/module.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -5,9 +5,9 @@
 use std::sync::{Arc, Mutex};
 
 use copperspread_dispatcher::*;
-use copperspread_proxy::assembly::{Assembled, assemble};
-use copperspread_proxy::source::{Source, fixed::Fixed, targets::Targets};
 use copperspread_event_log::writer::Recorder;
+use copperspread_proxy::assembly::{Assembled, assemble};
+use copperspread_proxy::discovery::{Source, platform::Targets, static_list::Fixed};
 use copperspread_settings::{List, platform};
 use sockets::*;
 use tokio::sync::{mpsc, watch};
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -326,14 +326,14 @@
 #[tokio::test]
 async fn neither_draining_nor_silent_real_servers_get_more() {
     use copperspread_dispatcher::{Effect, Outcome, WorkerId};
-    use copperspread_proxy::back::{Back, http::RealServers};
-    use copperspread_proxy::{clock::from_now, entries::ServiceEntries, order::Order};
+    use copperspread_proxy::upstream::{Back, http::RealServers};
+    use copperspread_proxy::{clock::from_now, endpoints::ServiceEntries, messages::Order};
     use copperspread_settings::{json, platform};
     let mut server = Party::new().await;
     let config = platform::read_start(&config(server.address, server.address, &list(1, true, &[])))
         .expect("it is good");
     let entries = std::sync::Arc::new(ServiceEntries::new(&config.given.node));
-    let wanted = copperspread_proxy::order::Wanted::default();
+    let wanted = copperspread_proxy::messages::Wanted::default();
     let real_servers = RealServers::new(&config.given.node, entries.clone(), 32);
     let (headers, body) = (Default::default(), Default::default());
     let order = Order {
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -7,7 +7,7 @@
 const WORK: &str = r#"{"kind":"work_item","node_id":"node-3","req":"1693fe8a5d3a91c4","width":2,"again":false,"org":0,"path_key":"fn:kd6b5sum7ecwe","is_retry":false,"memory":null,"category":0,"expires_in_s":5,"mutates":false,"work_s":0.012}"#;
 
 fn drill(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_copperspread-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_copperspread-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/testbed/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use clap::{Parser, ValueEnum};
-use copperspread_membership::{Effect, Micros, SECOND, Settings};
 use copperspread_fault_injection::{Act, Fault, Plan, plans};
+use copperspread_membership::{Effect, Micros, SECOND, Settings};
 use copperspread_testbed::members::{MS, Net};
 use rayon::prelude::*;
 
--- a/crates/testbed/src/emulate/baseline.rs
+++ b/crates/testbed/src/emulate/baseline.rs
@@ -3,15 +3,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use copperspread_event_log::writer::Recorder;
 use copperspread_proxy::assembly::assemble;
 use copperspread_proxy::clock::Clock;
-use copperspread_proxy::decisions::Decisions;
-use copperspread_proxy::entries::ServiceEntries;
-use copperspread_proxy::front::Front;
-use copperspread_proxy::source::targets::Targets;
-use copperspread_proxy::source::{Membership, Source};
-use copperspread_proxy::witness::Witness;
-use copperspread_event_log::writer::Recorder;
+use copperspread_proxy::discovery::platform::Targets;
+use copperspread_proxy::discovery::{Membership, Source};
+use copperspread_proxy::downstream::Front;
+use copperspread_proxy::endpoints::ServiceEntries;
+use copperspread_proxy::event_recorder::Witness;
+use copperspread_proxy::policy_handle::Decisions;
 use copperspread_settings::{SourceSpec, Start, platform};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
--- a/crates/testbed/src/members.rs
+++ b/crates/testbed/src/members.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use copperspread_membership::*;
 use copperspread_fault_injection::{Act, Fault, Links, Plan, Weather};
+use copperspread_membership::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/testbed/tests/emulate.rs
+++ b/crates/testbed/tests/emulate.rs
@@ -1,6 +1,7 @@
 //! Whole runs in real time, scaled down to some seconds: the laboratory's own node as processes.
 use std::net::SocketAddr;
 
+use copperspread_settings::platform::read_start;
 use copperspread_testbed::cost::{Terms, measure, table};
 use copperspread_testbed::emulate::program::{Program, configuration};
 use copperspread_testbed::emulate::{Schedulers, emulate};
@@ -9,7 +10,6 @@
 use copperspread_testbed::policy::Kind;
 use copperspread_testbed::referee::Rule;
 use copperspread_testbed::scenario::Scenario;
-use copperspread_settings::platform::read_start;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// A small fleet for so many seconds.
@@ -38,7 +38,7 @@
 /// The laboratory's node with a policy in it.
 fn node(policy: &str) -> Schedulers {
     let arguments = ["node", "--policy", policy].map(str::to_owned).to_vec();
-    Schedulers::Started(Program { file: env!("CARGO_BIN_EXE_copperspread-lab").into(), arguments })
+    Schedulers::Started(Program { file: env!("CARGO_BIN_EXE_copperspread-testbed").into(), arguments })
 }
 
 fn kept(outcome: &Outcome, jobs: usize) {
@@ -129,7 +129,7 @@
 #[test]
 fn the_cost_of_both_sides_is_measured_and_told() {
     let program = |arguments: &[&str]| Program {
-        file: env!("CARGO_BIN_EXE_copperspread-lab").into(),
+        file: env!("CARGO_BIN_EXE_copperspread-testbed").into(),
         arguments: arguments.iter().map(|&of| of.to_owned()).collect(),
     };
     let sides = [
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -83,7 +83,7 @@
     let runs = folder.path().join("e.runs.jsonl");
     let lines = || std::fs::read_to_string(&runs).unwrap_or_default().matches('\n').count();
     let start = || {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_copperspread-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_copperspread-testbed"));
         command.args(["run", "--json"]).arg(&path).stderr(Stdio::null());
         command
     };
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -1,6 +1,6 @@
 //! The failures that membership is for, each caused on a faulty network in virtual time.
-use copperspread_membership::*;
 use copperspread_fault_injection::Fault;
+use copperspread_membership::*;
 use copperspread_testbed::members::*;
 
 #[test]
--- a/crates/testbed/tests/membership_plans.rs
+++ b/crates/testbed/tests/membership_plans.rs
@@ -2,8 +2,8 @@
 //! same ones on real processes.
 use std::time::Duration;
 
-use copperspread_membership::*;
 use copperspread_fault_injection::{Plan, plans};
+use copperspread_membership::*;
 use copperspread_testbed::members::*;
 
 const MEMBERS: usize = 300;
