--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,7 +1,7 @@
 //! Configurations that are wrong, each with what is said of it, and what good ones come to.
 use copperspread_config::{Config, Effective, Surroundings, commented_default, page, read_text, schema};
-use copperspread_dispatcher::{Effect, KeyScope, SECOND};
-use copperspread_settings::SourceSpec;
+use copperspread_dispatcher::{Idempotency, KeyScope, SECOND};
+use copperspread_settings::DiscoveryConfig;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -146,15 +146,18 @@
     let text = commented_default().expect("a default");
     assert_eq!(read(&text).expect("good").config, Config::default());
     let start = read(EXAMPLE).expect("good").config.start(7).expect("a start");
-    assert_eq!((start.seed, start.sockets, start.memory_mb), (7, 1024, 192.0));
-    assert_eq!(start.given.node.classes, ["status", "indienen", "uitbetaling"]);
-    let keyed = Effect::Keyed { scope: KeyScope::Zone, window: 12 * SECOND };
-    assert_eq!(start.given.node.effects, [Effect::Safe, keyed, Effect::Unsafe]);
-    assert_eq!(start.given.decisions.classes[2].deadline, 7_500_000);
+    assert_eq!((start.seed, start.descriptor_limit, start.memory_limit_mb), (7, 1024, 192.0));
+    assert_eq!(start.settings.proxy.classes, ["status", "indienen", "uitbetaling"]);
+    let keyed = Idempotency::IdempotentWithKey { scope: KeyScope::Zone, window: 12 * SECOND };
+    assert_eq!(
+        start.settings.proxy.idempotency,
+        [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent]
+    );
+    assert_eq!(start.settings.dispatch.classes[2].deadline, 7_500_000);
     let cluster = read(CLUSTER).expect("good").config.cluster;
     assert!(cluster.bind.is_some() && cluster.seeds.len() == 2 && cluster.key_file.is_some());
-    let SourceSpec::Fixed(list) = start.source else { panic!("a fixed list") };
-    assert_eq!((list.members.len(), &*list.members[1].zone), (2, "b"));
+    let DiscoveryConfig::Static(list) = start.discovery else { panic!("a fixed list") };
+    assert_eq!((list.endpoints.len(), &*list.endpoints[1].zone), (2, "b"));
 }
 
 // The page is made from the types: `cargo run -p copperspread-scheduler -- config page > docs/configuration.md`.
--- a/crates/dispatcher/src/decide.rs
+++ b/crates/dispatcher/src/decide.rs
@@ -369,59 +369,59 @@
             self.start(now, actions);
         }
         match event {
-            Event::Roster(roster) => self.on_roster(now, roster, actions),
-            Event::Job(job) => self.on_job(now, job, actions),
-            Event::Outcome(outcome) => self.on_outcome(now, outcome, actions),
-            Event::Progress { request, attempt, progress } => {
+            Event::Endpoints(roster) => self.on_roster(now, roster, actions),
+            Event::Request(job) => self.on_job(now, job, actions),
+            Event::AttemptEnded(outcome) => self.on_outcome(now, outcome, actions),
+            Event::AttemptProgress { request, attempt, progress } => {
                 self.on_progress(now, request, attempt, progress, actions);
             }
-            Event::Gone(request) => self.finish(request, actions),
-            Event::Timer(Timer::Sweep) => self.on_sweep(now, actions),
+            Event::ClientDisconnected(request) => self.finish(request, actions),
+            Event::TimerExpired(Timer::PeriodicRefresh) => self.on_sweep(now, actions),
             // Stays `asking` until the one roster event that answers the call.
-            Event::Timer(Timer::Discovery) if !self.subscribed => actions.push(Action::Subscribe),
-            Event::Timer(Timer::Discovery) => {}
-            Event::Timer(Timer::Check(request)) => self.on_check(now, request, actions),
-            Event::Timer(Timer::Probe) => self.on_probe_timer(actions),
-            Event::Probed { worker, outcome, report } => self.on_probed(now, worker, outcome, report),
+            Event::TimerExpired(Timer::Subscription) if !self.subscribed => actions.push(Action::Subscribe),
+            Event::TimerExpired(Timer::Subscription) => {}
+            Event::TimerExpired(Timer::HedgeCheck(request)) => self.on_check(now, request, actions),
+            Event::TimerExpired(Timer::LoadQuery) => self.on_probe_timer(actions),
+            Event::LoadQueryEnded { worker, outcome, report } => self.on_probed(now, worker, outcome, report),
         }
     }
 
     fn start(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.started_at = Some(now);
-        actions.push(Action::Wake { after: SWEEP, timer: Timer::Sweep });
-        if self.settings.reports_by_probe {
+        actions.push(Action::StartTimer { after: SWEEP, timer: Timer::PeriodicRefresh });
+        if self.settings.load_by_query {
             let after = self.rng.u64(0..=PROBE_ROUND / 10);
-            actions.push(Action::Wake { after, timer: Timer::Probe });
+            actions.push(Action::StartTimer { after, timer: Timer::LoadQuery });
         }
-        if self.settings.discovery == Discovery::OnRequest {
-            let most = SUBSCRIBE_FIRST.min(self.settings.ask_within / 2);
+        if self.settings.discovery == Discovery::Polled {
+            let most = SUBSCRIBE_FIRST.min(self.settings.poll_within / 2);
             let spread = (SUBSCRIBE_EACH * Micros::from(self.settings.fleet_size)).min(most);
             let after = self.rng.u64(0..=spread);
             self.asking = true;
-            actions.push(Action::Wake { after, timer: Timer::Discovery });
+            actions.push(Action::StartTimer { after, timer: Timer::Subscription });
         }
     }
 
     // ---- Discovery -------------------------------------------------------------------------
 
-    fn on_roster(&mut self, now: Micros, roster: Roster<'_>, actions: &mut Vec<Action>) {
+    fn on_roster(&mut self, now: Micros, roster: EndpointUpdate<'_>, actions: &mut Vec<Action>) {
         match roster.kind {
-            RosterKind::Failed => {
+            EndpointUpdateKind::Failed => {
                 // A dropped subscription or a call turned away: ask again, later each time and at
                 // a random moment, so that a recovering discovery is not stampeded.
                 self.subscribed = false;
-                if self.settings.discovery == Discovery::OnRequest {
+                if self.settings.discovery == Discovery::Polled {
                     let doubled = SUBSCRIBE_BACKOFF.0 << self.failed_calls.min(4);
-                    let most = doubled.min(SUBSCRIBE_BACKOFF.1).min(self.settings.ask_within);
+                    let most = doubled.min(SUBSCRIBE_BACKOFF.1).min(self.settings.poll_within);
                     self.failed_calls += 1;
                     let after = most / 2 + self.rng.u64(0..=most / 2);
                     self.asking = true;
-                    actions.push(Action::Wake { after, timer: Timer::Discovery });
+                    actions.push(Action::StartTimer { after, timer: Timer::Subscription });
                 }
                 return;
             }
-            RosterKind::Remembered => {}
-            RosterKind::Changes | RosterKind::Full => {
+            EndpointUpdateKind::Cached => {}
+            EndpointUpdateKind::Changes | EndpointUpdateKind::Full => {
                 if self.asking {
                     self.asking = false;
                     self.subscribed = true;
@@ -434,13 +434,13 @@
             return;
         }
         self.version = roster.version;
-        if roster.kind != RosterKind::Changes {
+        if roster.kind != EndpointUpdateKind::Changes {
             // Who is not in a full list is gone.
             for worker in &mut self.workers {
-                worker.state = WorkerState::Gone;
+                worker.state = WorkerState::Removed;
             }
         }
-        for entry in roster.entries {
+        for entry in roster.endpoints {
             self.enter(now, entry);
         }
         if self.settings.fleet_size >= MANY {
@@ -448,9 +448,9 @@
             let ready = self.workers.iter().filter(|worker| worker.state == WorkerState::Ready).count();
             self.usual_taste = (ready.max(1) as f64).powf(TASTE);
         }
-        if self.settings.live_sizes {
-            self.learn_sizes(roster.entries);
-            for entry in roster.entries {
+        if self.settings.sizes_reflect_load {
+            self.learn_sizes(roster.endpoints);
+            for entry in roster.endpoints {
                 self.learn_listed(now, entry);
             }
         }
@@ -458,7 +458,7 @@
 
     /// The size of an idle worker of each kind is the largest that was listed. Guards against an absurd
     /// one, beside which all others of its kind would seem to hold a great deal: such is left out.
-    fn learn_sizes(&mut self, entries: &[WorkerEntry]) {
+    fn learn_sizes(&mut self, entries: &[Endpoint]) {
         for entry in entries {
             if let Some(worker) = self.workers.get_mut(entry.worker.0 as usize) {
                 worker.size = sane(entry.size, MAX_UNITS);
@@ -475,7 +475,7 @@
     }
 
     /// Takes what a listed size tells: all that the worker holds, known to nobody else so soon.
-    fn learn_listed(&mut self, now: Micros, entry: &WorkerEntry) {
+    fn learn_listed(&mut self, now: Micros, entry: &Endpoint) {
         let index = entry.worker.0 as usize;
         let Some(worker) = self.workers.get(index) else { return };
         let Some(size) = worker.size.filter(|_| entry.state == WorkerState::Ready) else { return };
@@ -488,7 +488,7 @@
         worker.listed_at = Some(now);
     }
 
-    fn enter(&mut self, now: Micros, entry: &WorkerEntry) {
+    fn enter(&mut self, now: Micros, entry: &Endpoint) {
         let index = entry.worker.0 as usize;
         let (kind, zone) = (entry.kind as usize, entry.zone as usize);
         // Ids are given out densely; a wild one would only ask for memory.
@@ -514,8 +514,8 @@
             worker.others_at = None;
             worker.listed_at = None;
         }
-        if entry.key != worker.key {
-            (worker.key, worker.place) = (entry.key, None);
+        if entry.hash_key != worker.key {
+            (worker.key, worker.place) = (entry.hash_key, None);
             if self.settings.fleet_size >= MANY {
                 // An exponential figure to a power: of such, each times a rank, the lowest is at a worker
                 // with a chance that falls with its rank to the inverse power.
@@ -569,7 +569,7 @@
     }
 
     /// Takes a worker's report: what the other dispatchers have there, and what its kind is like.
-    fn on_report(&mut self, now: Micros, index: usize, report: &Report, full: bool) {
+    fn on_report(&mut self, now: Micros, index: usize, report: &LoadReport, full: bool) {
         let kind = self.workers[index].kind as usize;
         let figure = |x: Option<f64>| x.filter(|&x| (0.0..=MAX_UNITS).contains(&x));
         let (inflight, queue) = (figure(report.inflight), figure(report.queue));
@@ -624,15 +624,15 @@
         if let Some(index) = next.filter(|_| self.probes >= 1.0) {
             self.probes -= 1.0;
             self.probed = index;
-            actions.push(Action::Probe { worker: WorkerId(index as u32) });
+            actions.push(Action::QueryLoad { worker: WorkerId(index as u32) });
         }
         let ready = (0..count).filter(ready).count().max(1);
-        actions.push(Action::Wake { after: PROBE_ROUND / ready as Micros, timer: Timer::Probe });
+        actions.push(Action::StartTimer { after: PROBE_ROUND / ready as Micros, timer: Timer::LoadQuery });
     }
 
     /// What a probe tells. One that was not answered in time waited behind jobs, as those do: it says as
     /// much as a job that was turned away, and nothing of faults.
-    fn on_probed(&mut self, now: Micros, worker: WorkerId, outcome: Outcome, report: Option<Report>) {
+    fn on_probed(&mut self, now: Micros, worker: WorkerId, outcome: Outcome, report: Option<LoadReport>) {
         let index = worker.0 as usize;
         if index >= self.workers.len() {
             return;
@@ -653,7 +653,7 @@
         let failed = match outcome {
             Outcome::Served => 0.0,
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => 1.0,
-            Outcome::Full | Outcome::Cancelled | Outcome::Moot => return,
+            Outcome::Rejected | Outcome::Cancelled | Outcome::Superseded => return,
         };
         worker.faults += (failed - worker.faults) * FAULT_GAIN;
         if let Some(faults) = class.and_then(|class| worker.class_faults.get_mut(class)) {
@@ -721,7 +721,7 @@
             self.workers[index].class_faults.iter_mut().for_each(|faults| *faults *= fade);
             self.refresh_rate(now, index);
         }
-        actions.push(Action::Wake { after: SWEEP, timer: Timer::Sweep });
+        actions.push(Action::StartTimer { after: SWEEP, timer: Timer::PeriodicRefresh });
     }
 
     // ---- The estimate and the gate ---------------------------------------------------------
@@ -749,7 +749,7 @@
 
     /// Time left at a worker until the aim, which grows with the job's own time there.
     fn time_left(&self, now: Micros, worker: &Worker, job: &Request) -> f64 {
-        let stretch = self.settings.classes[job.class].stretch;
+        let stretch = self.settings.classes[job.class].latency_stretch;
         let aim = secs(job.aim_at) + stretch * (job.work / worker.service_rate);
         aim.min(secs(job.deadline)) - secs(now)
     }
@@ -759,16 +759,19 @@
     /// the time left; with no worker at all, a round later.
     /// In a large fleet each dispatcher has a taste of its own. Guards against dispatchers that know the
     /// same and all meet at one worker, of which each hears only when its own jobs come back late.
-    fn pick(&mut self, now: Micros, job: &Request) -> Result<usize, (Micros, Refusal)> {
+    fn pick(&mut self, now: Micros, job: &Request) -> Result<usize, (Micros, Rejection)> {
         let class = &self.settings.classes[job.class];
         let bound = class.worker_kind;
-        let group = match (class.effect, job.may_have_run()) {
-            (Effect::Keyed { scope, .. }, Some(attempt)) => Some((scope, attempt.worker as usize)),
+        let group = match (class.idempotency, job.may_have_run()) {
+            (Idempotency::IdempotentWithKey { scope, .. }, Some(attempt)) => {
+                Some((scope, attempt.worker as usize))
+            }
             _ => None,
         };
         // A crossing to another zone costs its price in worth, told in time: worth falls over the aim.
-        let aim = secs(class.aim) + class.stretch * job.work / self.fleet.rate.log_mean.exp();
-        let crossing = CROSSING * self.settings.price_cross_zone * aim;
+        let aim =
+            secs(class.latency_objective) + class.latency_stretch * job.work / self.fleet.rate.log_mean.exp();
+        let crossing = CROSSING * self.settings.cross_zone_cost * aim;
         let mut best: Option<(usize, (bool, f64), f64)> = None;
         let mut ties = 1;
         let count = self.workers.len();
@@ -817,22 +820,22 @@
                 best = Some((index, rank, excess));
             }
         }
-        let (index, _, excess) = best.ok_or((SWEEP, Refusal::NoWorker))?;
-        if excess <= 0.0 { Ok(index) } else { Err((span(excess), Refusal::Late(span(excess)))) }
+        let (index, _, excess) = best.ok_or((SWEEP, Rejection::NoEligibleWorker))?;
+        if excess <= 0.0 { Ok(index) } else { Err((span(excess), Rejection::TooLate(span(excess)))) }
     }
 
     // ---- Cold workers ----------------------------------------------------------------------
 
     fn is_cold(&self, now: Micros, worker: &Worker) -> bool {
-        worker.started_at.is_some_and(|t| now < t.saturating_add(self.settings.cold_for))
+        worker.started_at.is_some_and(|t| now < t.saturating_add(self.settings.slow_start_duration))
     }
 
     /// The share of its capacity that a worker has by now at the least, 1 once it is warm.
     fn present(&self, now: Micros, worker: &Worker) -> f64 {
         let Some(started) = worker.started_at else { return 1.0 };
         let s = &self.settings;
-        let warm = (secs(now.saturating_sub(started)) / secs(s.cold_for.max(1))).min(1.0);
-        s.cold_from + (1.0 - s.cold_from) * warm
+        let warm = (secs(now.saturating_sub(started)) / secs(s.slow_start_duration.max(1))).min(1.0);
+        s.slow_start_initial_capacity + (1.0 - s.slow_start_initial_capacity) * warm
     }
 
     /// This dispatcher's place among all for a worker, from 0, by rendezvous: each pair of the two has
@@ -844,7 +847,7 @@
         let fleet = self.settings.fleet_size;
         let key = self.workers[index].key;
         let figure = |number: u32| fastrand::Rng::with_seed(key ^ (u64::from(number) << 32)).u64(..);
-        let place = match self.settings.number.filter(|&own| own < fleet) {
+        let place = match self.settings.instance_index.filter(|&own| own < fleet) {
             Some(own) => (0..fleet).filter(|&other| figure(other) < figure(own)).count() as u32,
             // Not told its number: a place at random, as often shared as left out.
             None => self.rng.u32(0..fleet),
@@ -861,7 +864,7 @@
     /// may get in a window goes by its capacity over that window, which is that at its middle.
     fn cold_admits(&mut self, now: Micros, index: usize, job: &Request) -> bool {
         let place = self.cold_place(index);
-        let window = self.settings.fall_window.max(1);
+        let window = self.settings.overload_window.max(1);
         let (s, worker) = (&self.settings, &self.workers[index]);
         // Not what its earlier process got.
         let from = now.max(worker.started_at.map_or(0, |at| at.saturating_add(window)));
@@ -873,24 +876,25 @@
         }
         let slots = self.kinds[worker.kind as usize].slots.unwrap_or(1.0);
         let capacity = self.present(now.saturating_sub(window / 2), worker) * slots * worker.service_rate;
-        let budget = s.fall_multiple * capacity * secs(window);
+        let budget = s.overload_multiple * capacity * secs(window);
         // Guards against a fall of which the told ones have sent over two thirds, and the others a third.
         let chance = 2.0 * (budget * self.mean_load).sqrt() + 2.0 * self.mean_load;
         let aim = (COLD_AIM * budget).min((budget + chance) / COLD_TOLD);
         let sharers = (aim / (COLD_JOBS * self.mean_load)).clamp(1.0, f64::from(s.fleet_size)).floor();
         // Guards against places drawn at random, which more may hold than there are.
-        let drawn = s.number.is_none_or(|own| own >= s.fleet_size) && sharers < f64::from(s.fleet_size);
+        let drawn =
+            s.instance_index.is_none_or(|own| own >= s.fleet_size) && sharers < f64::from(s.fleet_size);
         let part = aim / sharers * if drawn { 0.5 } else { 1.0 };
         f64::from(place) < sharers && sent + job.work * job.slots <= part
     }
 
     // ---- Requests --------------------------------------------------------------------------
 
-    fn on_job(&mut self, now: Micros, job: Job, actions: &mut Vec<Action>) {
+    fn on_job(&mut self, now: Micros, job: IncomingRequest, actions: &mut Vec<Action>) {
         let class = job.class as usize;
-        let refuse = |retry_after, why| Action::Refuse { request: job.request, retry_after, why };
+        let refuse = |retry_after, why| Action::Reject { request: job.request, retry_after, reason: why };
         if class >= self.settings.classes.len() || job.time_left == 0 {
-            actions.push(refuse(SWEEP, Refusal::Invalid));
+            actions.push(refuse(SWEEP, Rejection::Invalid));
             return;
         }
         if self.requests.contains_key(&job.request) {
@@ -905,7 +909,8 @@
         let first_try = job.time_left >= *longest - *longest / 1000;
         let spent = if first_try { 0 } else { settings.deadline.saturating_sub(job.time_left) };
         let work = hint.unwrap_or_else(|| self.class_time[class].log_mean.exp());
-        let wanted = secs(settings.aim) + settings.stretch * work / self.fleet.rate.log_mean.exp();
+        let wanted = secs(settings.latency_objective)
+            + settings.latency_stretch * work / self.fleet.rate.log_mean.exp();
         // Guards against many clients that wait less long than their class allows: taken for time
         // spent before, the rest would leave none of the aim, and all of them would be refused.
         let short = secs(spent) >= wanted;
@@ -916,19 +921,19 @@
             slots: sane(job.slots, MAX_UNITS).unwrap_or(1.0),
             work,
             hinted: hint.is_some(),
-            aim_at: now.saturating_add(settings.aim).saturating_sub(spent),
+            aim_at: now.saturating_add(settings.latency_objective).saturating_sub(spent),
             deadline: now.saturating_add(job.time_left),
             finished: false,
             attempts: ArrayVec::new(),
         };
-        self.probes = (self.probes + PROBE_SPEND / self.settings.price_probe).min(PROBES_SAVED);
+        self.probes = (self.probes + PROBE_SPEND / self.settings.load_query_cost).min(PROBES_SAVED);
         self.copies = (self.copies + COPY_EARNED).min(COPY_SAVED);
         self.jobs = (self.jobs + 1.0).min(1.0 / POOL_GAIN);
         self.mean_load += (request.work * request.slots - self.mean_load) / self.jobs;
         self.mean_slots += (request.slots - self.mean_slots) * BUSY_GAIN;
         if self.shed(now, &request, job.tenant) {
             // Slots are scarce: about one usual job later some of them are free.
-            actions.push(refuse(span(self.job_time), Refusal::Scarce));
+            actions.push(refuse(span(self.job_time), Rejection::Overloaded));
             return;
         }
         match self.pick(now, &request) {
@@ -946,10 +951,10 @@
     fn shed(&mut self, now: Micros, job: &Request, tenant: u32) -> bool {
         let over = self.over_share(now, tenant as usize);
         let class = &self.settings.classes[job.class];
-        let per_work = if self.settings.worth_by_work { 1.0 } else { job.work };
-        let mut worth = class.worth / (per_work * job.slots);
+        let per_work = if self.settings.weight_by_work { 1.0 } else { job.work };
+        let mut worth = class.priority_weight / (per_work * job.slots);
         if self.rng.f64() < over {
-            worth *= self.settings.over_share_worth;
+            worth *= self.settings.over_quota_weight;
         }
         let from = SCARCE_FROM + 1.0 / self.fleet.slots.unwrap_or(SLOTS_AT_FIRST);
         let scarce = ((self.busy - from) / SCARCE_SPAN).clamp(0.0, SHED_MOST);
@@ -965,7 +970,7 @@
     /// The share of a tenant's requests that lies beyond its allowance, as seen from here.
     fn over_share(&mut self, now: Micros, tenant: usize) -> f64 {
         let Some(settings) = self.settings.tenants.get(tenant) else { return 0.0 };
-        let part = TENANT_ROOM * settings.allowance_per_s / f64::from(self.settings.fleet_size);
+        let part = TENANT_ROOM * settings.quota_per_second / f64::from(self.settings.fleet_size);
         let (rate, at) = &mut self.tenants[tenant];
         *rate = *rate * (-secs(now.saturating_sub(*at)) / TENANT_WINDOW).exp() + 1.0 / TENANT_WINDOW;
         *at = now;
@@ -992,7 +997,7 @@
         });
         // To all workers, as one may turn out to have started anew. Summed over short steps: guards against
         // a cost that grows with the number of jobs.
-        let window = self.settings.fall_window.max(1);
+        let window = self.settings.overload_window.max(1);
         let step = (window / COLD_STEPS).max(1);
         let (until, work) = ((now / step + 1) * step + window, request.work * request.slots);
         match worker.sent.back_mut().filter(|last| last.0 == until) {
@@ -1014,11 +1019,11 @@
         });
         let (worker, estimate) = (WorkerId(index as u32), span(estimate));
         actions.push(Action::Send { request: id, worker, estimate });
-        if self.settings.tells_start && self.may_copy(now, request) {
+        if self.settings.reports_job_start && self.may_copy(now, request) {
             let worker = &self.workers[index];
             let slack = self.time_left(now, worker, request) - request.work / worker.service_rate;
             let after = span(slack * COPY_AFTER).max(COPY_LEAST);
-            actions.push(Action::Wake { after, timer: Timer::Check(id) });
+            actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(id) });
         }
     }
 
@@ -1036,7 +1041,7 @@
             && let Ok(index) = self.pick(now, &request)
         {
             self.copies -= 1.0;
-            if self.settings.second_copies {
+            if self.settings.hedging_allowed {
                 self.send(now, id, &mut request, index, actions);
             } else {
                 self.cancel_others(id, &request, actions);
@@ -1047,11 +1052,11 @@
 
     /// Whether a job that is out may be sent once more, by a second copy or by a move.
     fn may_copy(&self, now: Micros, request: &Request) -> bool {
-        if self.settings.second_copies {
+        if self.settings.hedging_allowed {
             return self.may_resend(now, request);
         }
-        let safe = self.settings.classes[request.class].effect == Effect::Safe;
-        safe && self.settings.may_cancel && request.attempts.len() < self.attempt_cap()
+        let safe = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
+        safe && self.settings.cancellation_allowed && request.attempts.len() < self.attempt_cap()
     }
 
     fn on_progress(
@@ -1070,7 +1075,7 @@
         match progress {
             Progress::Started => {
                 attempt.mark = Some((now, 0.0));
-                if self.settings.may_cancel {
+                if self.settings.cancellation_allowed {
                     // One copy runs: those that still wait are called off.
                     for (other, attempt) in request.attempts.iter().enumerate() {
                         if attempt.out && attempt.mark.is_none() {
@@ -1105,7 +1110,7 @@
             let attempt = *attempt;
             self.settle(now, &attempt, &request, &end);
         }
-        if end.finished && !request.finished {
+        if end.request_finished && !request.finished {
             request.finished = true;
             self.cancel_others(end.request, &request, actions);
         }
@@ -1138,7 +1143,7 @@
             self.job_time += (took - self.job_time) * POOL_GAIN;
             let (share, time) = match attempt.mark {
                 Some((at, done)) => (1.0 - done, now.saturating_sub(at)),
-                None if attempt.fitted && !self.settings.tells_start => (1.0, end.elapsed),
+                None if attempt.fitted && !self.settings.reports_job_start => (1.0, end.elapsed),
                 None => (0.0, 0),
             };
             if share > 0.0 && time > 0 {
@@ -1150,18 +1155,18 @@
                 self.learn_rate(now, index, job.work * share, secs(time));
             }
         }
-        let full = end.outcome == Outcome::Full;
+        let full = end.outcome == Outcome::Rejected;
         for pool in [&mut self.kinds[self.workers[index].kind as usize], &mut self.fleet] {
             pool.full += (f64::from(full) - pool.full) * BUSY_GAIN;
         }
-        let served = end.outcome == Outcome::Served && !self.settings.reports_by_probe;
+        let served = end.outcome == Outcome::Served && !self.settings.load_by_query;
         if full || end.report.is_some() || served {
             self.on_report(now, index, &end.report.unwrap_or_default(), full);
         }
     }
 
     fn cancel_others(&self, id: RequestId, request: &Request, actions: &mut Vec<Action>) {
-        if !self.settings.may_cancel {
+        if !self.settings.cancellation_allowed {
             return;
         }
         for (number, attempt) in request.attempts.iter().enumerate() {
@@ -1173,7 +1178,7 @@
 
     /// Another attempt through the same estimate and gate, or else the final answer.
     fn resend(&mut self, now: Micros, id: RequestId, request: &mut Request, actions: &mut Vec<Action>) {
-        let (mut retry_after, mut why) = (span(self.job_time), Refusal::Spent);
+        let (mut retry_after, mut why) = (span(self.job_time), Rejection::AttemptsExhausted);
         if self.may_resend(now, request) {
             match self.pick(now, request) {
                 Ok(index) => return self.send(now, id, request, index, actions),
@@ -1183,7 +1188,7 @@
         request.finished = true;
         self.cancel_others(id, request, actions);
         actions.push(if self.may_refuse(request) && now < request.deadline {
-            Action::Refuse { request: id, retry_after, why }
+            Action::Reject { request: id, retry_after, reason: why }
         } else {
             Action::Fail { request: id }
         });
@@ -1203,26 +1208,26 @@
         if request.attempts.len() >= self.attempt_cap() || now >= request.deadline {
             return false;
         }
-        if request.any_out() && !self.settings.second_copies {
+        if request.any_out() && !self.settings.hedging_allowed {
             return false;
         }
-        match (self.settings.classes[request.class].effect, request.may_have_run()) {
-            (_, None) | (Effect::Safe, _) => true,
-            (Effect::Unsafe, Some(_)) => false,
+        match (self.settings.classes[request.class].idempotency, request.may_have_run()) {
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::NonIdempotent, Some(_)) => false,
             // After the window the workers have forgotten the key and would run it again. It counts from the
             // first attempt that may have run, and holds for when the repeat is written, not decided on.
-            (Effect::Keyed { window, .. }, Some(first)) => {
-                let written_by = now.saturating_add(self.settings.connect_within + HAND_OVER_SLACK);
+            (Idempotency::IdempotentWithKey { window, .. }, Some(first)) => {
+                let written_by = now.saturating_add(self.settings.connect_timeout + DISPATCH_SLACK);
                 written_by < first.sent_at.saturating_add(window)
             }
         }
     }
 
     fn may_refuse(&self, request: &Request) -> bool {
-        match (self.settings.classes[request.class].effect, request.may_have_run()) {
-            (_, None) | (Effect::Safe, _) => true,
-            (Effect::Unsafe, Some(_)) => false,
-            (Effect::Keyed { scope, .. }, Some(_)) => scope == KeyScope::All,
+        match (self.settings.classes[request.class].idempotency, request.may_have_run()) {
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::NonIdempotent, Some(_)) => false,
+            (Idempotency::IdempotentWithKey { scope, .. }, Some(_)) => scope == KeyScope::All,
         }
     }
 
--- a/crates/dispatcher/src/interface.rs
+++ b/crates/dispatcher/src/interface.rs
@@ -8,9 +8,9 @@
 /// One second.
 pub const SECOND: Micros = 1_000_000;
 
-/// What may pass between a decision and its attempt on the wire beyond [`Settings::connect_within`]: half of
+/// What may pass between a decision and its attempt on the wire beyond [`Settings::connect_timeout`]: half of
 /// it before the node begins the hand-over, half before the connection that is up is written to.
-pub const HAND_OVER_SLACK: Micros = 50_000;
+pub const DISPATCH_SLACK: Micros = 50_000;
 
 /// A client's request, by a number that the node never uses twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
@@ -22,18 +22,18 @@
 
 /// What may be repeated of a class's jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to run any number of times.
-    Safe,
+    Idempotent,
     /// Carries a key: workers of one group drop a repeat within `window` of the first send.
-    Keyed {
+    IdempotentWithKey {
         /// The group within which repeats are dropped.
         scope: KeyScope,
         /// For how long they are dropped.
         window: Micros,
     },
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which workers share the memory of a key.
@@ -49,29 +49,29 @@
 
 /// A class of jobs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// Full worth is earned by an answer within this time plus the stretch.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this many times the job's own running time.
-    pub stretch: f64,
+    pub latency_stretch: f64,
     /// The client gives up after this time, over all its tries.
     pub deadline: Micros,
     /// What one unit of this class is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// What may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The one kind of worker that runs it, if it is bound to one.
     pub worker_kind: Option<u32>,
 }
 
-impl Default for Class {
+impl Default for RequestClass {
     fn default() -> Self {
-        Class {
-            aim: SECOND,
-            stretch: 0.0,
+        RequestClass {
+            latency_objective: SECOND,
+            latency_stretch: 0.0,
             deadline: 10 * SECOND,
-            worth: 1.0,
-            effect: Effect::Unsafe,
+            priority_weight: 1.0,
+            idempotency: Idempotency::NonIdempotent,
             worker_kind: None,
         }
     }
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Tenant {
     /// Requests a second over all dispatchers that stay inside its share.
-    pub allowance_per_s: f64,
+    pub quota_per_second: f64,
 }
 
 /// How the roster of workers reaches a dispatcher.
@@ -90,7 +90,7 @@
     /// Changes come by themselves.
     Pushed,
     /// Changes come only after a subscription.
-    OnRequest,
+    Polled,
 }
 
 /// What a dispatcher is told at its start.
@@ -99,74 +99,74 @@
     /// How many dispatchers share the workers, this one included.
     pub fleet_size: u32,
     /// This dispatcher's number among them, from 0, where it is told one.
-    pub number: Option<u32>,
+    pub instance_index: Option<u32>,
     /// This dispatcher's zone.
     pub zone: u32,
     /// The classes of jobs, by index.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// The tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
     /// What a request past its tenant's share is worth, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Worth counts for each unit of work, not for each request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// How the roster arrives.
     pub discovery: Discovery,
     /// Unsubscribed and not having asked for this long counts as knowing the roster of then.
-    pub ask_within: Micros,
+    pub poll_within: Micros,
     /// A worker starts at this share of its capacity or more.
-    pub cold_from: f64,
+    pub slow_start_initial_capacity: f64,
     /// It is warm after this long at most.
-    pub cold_for: Micros,
+    pub slow_start_duration: Micros,
     /// Sent more than this many times its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long, a cold worker falls over.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
     /// A connection that is not up within this has failed: an attempt may be written so much later.
-    pub connect_within: Micros,
+    pub connect_timeout: Micros,
     /// The most attempts one request may have.
     pub max_attempts: u32,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// An attempt may be called off.
-    pub may_cancel: bool,
+    pub cancellation_allowed: bool,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub reports_job_start: bool,
     /// Workers tell their load only when they are probed, and probing is allowed.
-    pub reports_by_probe: bool,
+    pub load_by_query: bool,
     /// Price of a probe, as worth lost for each first try.
-    pub price_probe: f64,
+    pub load_query_cost: f64,
     /// Price of sending an attempt to another zone, as worth lost for each first try.
-    pub price_cross_zone: f64,
+    pub cross_zone_cost: f64,
     /// A listed size is the worker's own, divided by 1 and the jobs it held a core some time before.
-    pub live_sizes: bool,
+    pub sizes_reflect_load: bool,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
             fleet_size: 1,
-            number: None,
+            instance_index: None,
             zone: 0,
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            worth_by_work: false,
+            over_quota_weight: 1.0,
+            weight_by_work: false,
             discovery: Discovery::Pushed,
-            ask_within: 10 * SECOND,
-            cold_from: 0.1,
-            cold_for: 10 * SECOND,
-            fall_multiple: 1.0,
-            fall_window: SECOND,
-            connect_within: 0,
+            poll_within: 10 * SECOND,
+            slow_start_initial_capacity: 0.1,
+            slow_start_duration: 10 * SECOND,
+            overload_multiple: 1.0,
+            overload_window: SECOND,
+            connect_timeout: 0,
             max_attempts: 1,
-            second_copies: false,
-            may_cancel: false,
-            tells_start: false,
-            reports_by_probe: false,
-            price_probe: 0.0,
-            price_cross_zone: 0.0,
-            live_sizes: false,
+            hedging_allowed: false,
+            cancellation_allowed: false,
+            reports_job_start: false,
+            load_by_query: false,
+            load_query_cost: 0.0,
+            cross_zone_cost: 0.0,
+            sizes_reflect_load: false,
         }
     }
 }
@@ -186,23 +186,23 @@
         if self.max_attempts == 0 {
             return Err(SettingsError("no attempt allowed"));
         }
-        if !(self.cold_from > 0.0 && self.cold_from <= 1.0) {
+        if !(self.slow_start_initial_capacity > 0.0 && self.slow_start_initial_capacity <= 1.0) {
             return Err(SettingsError("the cold share is not above 0 and up to 1"));
         }
-        if !(self.fall_multiple > 0.0 && self.fall_multiple.is_finite()) {
+        if !(self.overload_multiple > 0.0 && self.overload_multiple.is_finite()) {
             return Err(SettingsError("the multiple of the cold budget is not above 0"));
         }
-        if !(0.0..=1.0).contains(&self.over_share_worth) {
+        if !(0.0..=1.0).contains(&self.over_quota_weight) {
             return Err(SettingsError("the worth beyond a share is not between 0 and 1"));
         }
-        if !(self.price_probe >= 0.0 && self.price_probe.is_finite()) {
+        if !(self.load_query_cost >= 0.0 && self.load_query_cost.is_finite()) {
             return Err(SettingsError("the price of a probe is negative or no number"));
         }
         for class in &self.classes {
-            if !(class.stretch >= 0.0 && class.stretch.is_finite()) {
+            if !(class.latency_stretch >= 0.0 && class.latency_stretch.is_finite()) {
                 return Err(SettingsError("a class's stretch is negative or no number"));
             }
-            if !(class.worth >= 0.0 && class.worth.is_finite()) {
+            if !(class.priority_weight >= 0.0 && class.priority_weight.is_finite()) {
                 return Err(SettingsError("a class's worth is negative or no number"));
             }
         }
@@ -231,12 +231,12 @@
     Draining,
     /// It left the roster.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One line of the roster.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WorkerEntry {
+pub struct Endpoint {
     /// Which worker.
     pub worker: WorkerId,
     /// The zone it stands in.
@@ -251,39 +251,39 @@
     pub started_at: Option<Micros>,
     /// A figure that is the same for this worker at every dispatcher and unlike other workers', such as
     /// a hash of its name.
-    pub key: u64,
-    /// Its size as listed: a figure to set against other workers' (see [`Settings::live_sizes`]).
+    pub hash_key: u64,
+    /// Its size as listed: a figure to set against other workers' (see [`Settings::sizes_reflect_load`]).
     /// Taken for absent where it is not a finite figure above 0.
     pub size: Option<f64>,
 }
 
 /// What a roster event holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RosterKind {
+pub enum EndpointUpdateKind {
     /// Only the entries that changed.
     Changes,
     /// All entries.
     Full,
     /// All entries as last seen before a restart, possibly old.
-    Remembered,
+    Cached,
     /// A call failed or the subscription dropped; no entries.
     Failed,
 }
 
 /// News from discovery.
 #[derive(Clone, Copy, Debug)]
-pub struct Roster<'a> {
+pub struct EndpointUpdate<'a> {
     /// What the entries are.
-    pub kind: RosterKind,
+    pub kind: EndpointUpdateKind,
     /// The roster's version.
     pub version: u64,
     /// The entries.
-    pub entries: &'a [WorkerEntry],
+    pub endpoints: &'a [Endpoint],
 }
 
 /// A client's request for a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Job {
+pub struct IncomingRequest {
     /// Its id.
     pub request: RequestId,
     /// Its class, by index.
@@ -298,9 +298,16 @@
     pub time_left: Micros,
 }
 
-impl Default for Job {
+impl Default for IncomingRequest {
     fn default() -> Self {
-        Job { request: RequestId(0), class: 0, tenant: 0, slots: None, cost_hint: None, time_left: SECOND }
+        IncomingRequest {
+            request: RequestId(0),
+            class: 0,
+            tenant: 0,
+            slots: None,
+            cost_hint: None,
+            time_left: SECOND,
+        }
     }
 }
 
@@ -312,7 +319,7 @@
     /// The worker answered with an error; it may have run.
     Error,
     /// Turned away unseen; it never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
     /// No connection; it never ran.
@@ -322,19 +329,19 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    Superseded,
 }
 
 impl Outcome {
     /// True if this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::Superseded)
     }
 }
 
 /// A worker's report of its load; what is absent was not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests waiting.
     pub queue: Option<f64>,
     /// Requests it holds.
@@ -357,11 +364,11 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The request has its final answer, by this outcome or before.
-    pub finished: bool,
+    pub request_finished: bool,
     /// How long ago it was sent.
     pub elapsed: Micros,
     /// The worker's load report, if one came along.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// News of an attempt that is still out.
@@ -379,26 +386,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
     /// The regular round over all workers.
-    Sweep,
+    PeriodicRefresh,
     /// A call to discovery is due.
-    Discovery,
+    Subscription,
     /// A look at one request.
-    Check(RequestId),
+    HedgeCheck(RequestId),
     /// The next probe is due.
-    Probe,
+    LoadQuery,
 }
 
 /// What happens to a dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// News from discovery.
-    Roster(Roster<'a>),
+    Endpoints(EndpointUpdate<'a>),
     /// A client's request came in; it is owed one final answer.
-    Job(Job),
+    Request(IncomingRequest),
     /// An attempt ended.
-    Outcome(AttemptOutcome),
+    AttemptEnded(AttemptOutcome),
     /// News of an attempt that is still out.
-    Progress {
+    AttemptProgress {
         /// Whose attempt.
         request: RequestId,
         /// Which attempt.
@@ -407,33 +414,33 @@
         progress: Progress,
     },
     /// The client left, or its final answer is overdue.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer came due.
-    Timer(Timer),
+    TimerExpired(Timer),
     /// A probe came back.
-    Probed {
+    LoadQueryEnded {
         /// The worker probed.
         worker: WorkerId,
         /// How it went.
         outcome: Outcome,
         /// The load report, if one came along.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
 }
 
 /// Why a request is turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum Rejection {
     /// Its class is unknown, or no time is left.
     Invalid,
     /// Slots are scarce, and it is worth too little.
-    Scarce,
+    Overloaded,
     /// No worker may have it.
-    NoWorker,
+    NoEligibleWorker,
     /// The lowest estimate exceeds the time left, by this much.
-    Late(Micros),
+    TooLate(Micros),
     /// Its attempts are spent, or its class allows no more.
-    Spent,
+    AttemptsExhausted,
 }
 
 /// What the node is to do, in order.
@@ -449,13 +456,13 @@
         estimate: Micros,
     },
     /// Final answer: turned away, harmless to try again.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away: sooner, it would be turned away once more.
         retry_after: Micros,
         /// Why.
-        why: Refusal,
+        reason: Rejection,
     },
     /// Final answer: failed, nothing promised.
     Fail {
@@ -470,7 +477,7 @@
         attempt: u32,
     },
     /// Bring the timer back after a span.
-    Wake {
+    StartTimer {
         /// How far from now.
         after: Micros,
         /// What it is for.
@@ -478,8 +485,8 @@
     },
     /// Subscribe to the roster's changes.
     Subscribe,
-    /// Ask a worker for its load; [`Event::Probed`] tells what came of it, once for each.
-    Probe {
+    /// Ask a worker for its load; [`Event::LoadQueryEnded`] tells what came of it, once for each.
+    QueryLoad {
         /// The worker.
         worker: WorkerId,
     },
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -12,7 +12,7 @@
 //!     WorkerEntry, WorkerId, WorkerState, AttemptOutcome,
 //! };
 //!
-//! let settings = Settings { classes: vec![Class::default()], ..Settings::default() };
+//! let settings = Settings { classes: vec![RequestClass::default()], ..Settings::default() };
 //! let mut dispatcher = Dispatcher::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //!
@@ -21,13 +21,13 @@
 //!     worker: WorkerId(0), zone: 0, kind: 0, cell: 0,
 //!     state: WorkerState::Ready, started_at: None, size: None, key: 0,
 //! };
-//! let roster = Roster { kind: RosterKind::Full, version: 1, entries: &[worker] };
-//! dispatcher.handle(0, Event::Roster(roster), &mut actions);
+//! let roster = Roster { kind: EndpointUpdateKind::Full, version: 1, entries: &[worker] };
+//! dispatcher.handle(0, Event::Endpoints(roster), &mut actions);
 //!
 //! // A job comes in and is sent there.
-//! let job = Job { request: RequestId(1), cost_hint: Some(0.2), time_left: 2_000_000, ..Job::default() };
+//! let job = Job { request: RequestId(1), cost_hint: Some(0.2), time_left: 2_000_000, ..IncomingRequest::default() };
 //! actions.clear();
-//! dispatcher.handle(1_000, Event::Job(job), &mut actions);
+//! dispatcher.handle(1_000, Event::Request(job), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { worker: WorkerId(0), .. }));
 //!
 //! // Its outcome comes back.
@@ -36,7 +36,7 @@
 //!     elapsed: 200_000, report: None,
 //! };
 //! actions.clear();
-//! dispatcher.handle(201_000, Event::Outcome(outcome), &mut actions);
+//! dispatcher.handle(201_000, Event::AttemptEnded(outcome), &mut actions);
 //! # Ok::<(), copperspread_dispatcher::SettingsError>(())
 //! ```
 mod decide;
@@ -46,12 +46,12 @@
 pub use interface::*;
 
 /// What a node asks: the [`Dispatcher`], or what stands in its place to be compared with it.
-pub trait Decide: Send {
+pub trait DispatchPolicy: Send {
     /// Takes an event and says what is to be done. `now` never goes back.
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>);
 }
 
-impl Decide for Dispatcher {
+impl DispatchPolicy for Dispatcher {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         Dispatcher::handle(self, now, event, actions);
     }
--- a/crates/dispatcher/tests/affinity.rs
+++ b/crates/dispatcher/tests/affinity.rs
@@ -8,7 +8,8 @@
 /// A dispatcher of a fleet that has had jobs at all workers, where worker 0 has shown itself twice as
 /// quick as the others.
 fn seasoned(fleet: u32, number: u32) -> Node {
-    let settings = Settings { fleet_size: fleet, number: Some(number), ..settings(Effect::Safe) };
+    let settings =
+        Settings { fleet_size: fleet, instance_index: Some(number), ..settings(Idempotency::Idempotent) };
     let entries: Vec<_> = (0..WORKERS).map(entry).collect();
     let mut node = Node::seeded(settings, &entries, u64::from(number) + 1);
     let per_round = u64::from(2 * WORKERS);
@@ -18,7 +19,7 @@
             node.job(id, 0.2);
             out.push((node.sent().expect("it is sent"), id));
             let progress = Progress::Started;
-            node.handle(Event::Progress { request: RequestId(id), attempt: 0, progress });
+            node.handle(Event::AttemptProgress { request: RequestId(id), attempt: 0, progress });
         }
         out.sort_unstable();
         node.now += 100 * MS;
@@ -58,14 +59,15 @@
 #[test]
 fn taste_neither_sends_to_a_far_slower_worker_nor_refuses_what_passes_the_gate_elsewhere() {
     for seed in 0..200 {
-        let settings = Settings { fleet_size: 100, number: Some(7), ..settings(Effect::Safe) };
+        let settings =
+            Settings { fleet_size: 100, instance_index: Some(7), ..settings(Idempotency::Idempotent) };
         let mut node = Node::seeded(settings, &[entry(0), entry(1)], seed);
         let took = |worker| if worker == 0 { 2_000 * MS } else { 200 * MS };
         for id in 0..60 {
             node.job(id, 0.2);
             let Some(worker) = node.sent() else { continue };
             let progress = Progress::Started;
-            node.handle(Event::Progress { request: RequestId(id), attempt: 0, progress });
+            node.handle(Event::AttemptProgress { request: RequestId(id), attempt: 0, progress });
             node.now += took(worker);
             node.outcome(id, 0, Outcome::Served);
         }
@@ -78,13 +80,14 @@
 /// all, after so many workers have come and gone.
 fn first_at_the_cold_one(gone: u32) -> usize {
     let first = (0..100).filter(|&number| {
-        let settings = Settings { fleet_size: 100, number: Some(number), ..settings(Effect::Safe) };
-        let settings = Settings { fall_multiple: 1e6, ..settings };
+        let settings =
+            Settings { fleet_size: 100, instance_index: Some(number), ..settings(Idempotency::Idempotent) };
+        let settings = Settings { overload_multiple: 1e6, ..settings };
         let all: Vec<_> = (0..WORKERS + gone).map(entry).collect();
         let mut node = Node::seeded(settings, &all, u64::from(number) + 1);
         let mut left = all[..WORKERS as usize].to_vec();
         left[0].started_at = Some(node.now);
-        node.roster(RosterKind::Full, &left);
+        node.roster(EndpointUpdateKind::Full, &left);
         node.job(1, 0.2);
         node.sent() == Some(0)
     });
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -4,26 +4,32 @@
 
 pub const MS: Micros = 1_000;
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: SECOND, stretch: 2.0, deadline: 10 * SECOND, effect, ..Class::default() }
+pub fn class(effect: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective: SECOND,
+        latency_stretch: 2.0,
+        deadline: 10 * SECOND,
+        idempotency: effect,
+        ..RequestClass::default()
+    }
 }
 
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(effect: Idempotency) -> Settings {
     Settings {
         classes: vec![class(effect)],
         max_attempts: 4,
-        second_copies: true,
-        may_cancel: true,
-        tells_start: true,
-        cold_from: 0.3,
-        fall_multiple: 2.5,
-        fall_window: 3 * SECOND,
+        hedging_allowed: true,
+        cancellation_allowed: true,
+        reports_job_start: true,
+        slow_start_initial_capacity: 0.3,
+        overload_multiple: 2.5,
+        overload_window: 3 * SECOND,
         ..Settings::default()
     }
 }
 
-pub fn entry(worker: u32) -> WorkerEntry {
-    WorkerEntry {
+pub fn entry(worker: u32) -> Endpoint {
+    Endpoint {
         worker: WorkerId(worker),
         zone: 0,
         kind: 0,
@@ -31,7 +37,7 @@
         state: WorkerState::Ready,
         started_at: None,
         size: None,
-        key: worker.into(),
+        hash_key: worker.into(),
     }
 }
 
@@ -44,14 +50,14 @@
 }
 
 impl Node {
-    pub fn new(settings: Settings, entries: &[WorkerEntry]) -> Node {
+    pub fn new(settings: Settings, entries: &[Endpoint]) -> Node {
         Node::seeded(settings, entries, 1)
     }
 
-    pub fn seeded(settings: Settings, entries: &[WorkerEntry], seed: u64) -> Node {
+    pub fn seeded(settings: Settings, entries: &[Endpoint], seed: u64) -> Node {
         let dispatcher = Dispatcher::new(settings, seed).expect("settings are good");
         let mut node = Node { dispatcher, now: 100 * SECOND, actions: Vec::new(), version: 0 };
-        node.roster(RosterKind::Remembered, entries);
+        node.roster(EndpointUpdateKind::Cached, entries);
         node
     }
 
@@ -61,16 +67,16 @@
         &self.actions
     }
 
-    pub fn roster(&mut self, kind: RosterKind, entries: &[WorkerEntry]) -> &[Action] {
-        if kind != RosterKind::Failed {
+    pub fn roster(&mut self, kind: EndpointUpdateKind, entries: &[Endpoint]) -> &[Action] {
+        if kind != EndpointUpdateKind::Failed {
             self.version += 1;
         }
-        self.handle(Event::Roster(Roster { kind, version: self.version, entries }))
+        self.handle(Event::Endpoints(EndpointUpdate { kind, version: self.version, endpoints: entries }))
     }
 
     /// A job of some seconds of work; its class gives up after ten seconds.
     pub fn job(&mut self, request: u64, work: f64) -> &[Action] {
-        self.handle(Event::Job(job(request, work)))
+        self.handle(Event::Request(job(request, work)))
     }
 
     pub fn outcome(&mut self, request: u64, attempt: u32, outcome: Outcome) -> &[Action] {
@@ -82,24 +88,24 @@
         request: u64,
         attempt: u32,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> &[Action] {
-        self.handle(Event::Outcome(AttemptOutcome {
+        self.handle(Event::AttemptEnded(AttemptOutcome {
             request: RequestId(request),
             attempt,
             outcome,
-            finished: outcome == Outcome::Served,
+            request_finished: outcome == Outcome::Served,
             elapsed: 300 * MS,
             report,
         }))
     }
 
     /// Sends a job, lets it start at once and end after some seconds; returns its worker.
-    pub fn run(&mut self, request: u64, work: f64, takes: f64, report: Option<Report>) -> u32 {
+    pub fn run(&mut self, request: u64, work: f64, takes: f64, report: Option<LoadReport>) -> u32 {
         self.job(request, work);
         let worker = self.sent().expect("the job is sent");
         let progress = Progress::Started;
-        self.handle(Event::Progress { request: RequestId(request), attempt: 0, progress });
+        self.handle(Event::AttemptProgress { request: RequestId(request), attempt: 0, progress });
         self.now += (takes * SECOND as f64) as Micros;
         self.report(request, 0, Outcome::Served, report);
         worker
@@ -117,7 +123,7 @@
     }
 
     pub fn refused(&self) -> bool {
-        self.actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
+        self.actions.iter().any(|action| matches!(action, Action::Reject { .. }))
     }
 
     pub fn failed(&self) -> bool {
@@ -125,6 +131,11 @@
     }
 }
 
-pub fn job(request: u64, work: f64) -> Job {
-    Job { request: RequestId(request), cost_hint: Some(work), time_left: 10 * SECOND, ..Job::default() }
+pub fn job(request: u64, work: f64) -> IncomingRequest {
+    IncomingRequest {
+        request: RequestId(request),
+        cost_hint: Some(work),
+        time_left: 10 * SECOND,
+        ..IncomingRequest::default()
+    }
 }
--- a/crates/dispatcher/tests/endpoint_updates.rs
+++ b/crates/dispatcher/tests/endpoint_updates.rs
@@ -4,21 +4,21 @@
 use copperspread_dispatcher::*;
 
 fn on_request(fleet_size: u32, seed: u64) -> Node {
-    let settings = Settings { discovery: Discovery::OnRequest, fleet_size, ..settings(Effect::Safe) };
+    let settings = Settings { discovery: Discovery::Polled, fleet_size, ..settings(Idempotency::Idempotent) };
     Node::seeded(settings, &[entry(0)], seed)
 }
 
 /// The wait of the discovery timer among the last actions.
 fn wait(node: &Node) -> Option<Micros> {
     node.actions.iter().find_map(|action| match action {
-        Action::Wake { after, timer: Timer::Discovery } => Some(*after),
+        Action::StartTimer { after, timer: Timer::Subscription } => Some(*after),
         _ => None,
     })
 }
 
 #[test]
 fn pushed_rosters_are_not_asked_for() {
-    let node = Node::new(settings(Effect::Safe), &[entry(0)]);
+    let node = Node::new(settings(Idempotency::Idempotent), &[entry(0)]);
     assert_eq!(wait(&node), None);
 }
 
@@ -37,8 +37,13 @@
     // A limit of the settings that is shorter counts.
     for seed in 0..200 {
         let ask_within = 2 * SECOND;
-        let discovery = Discovery::OnRequest;
-        let settings = Settings { discovery, ask_within, fleet_size: 200, ..settings(Effect::Safe) };
+        let discovery = Discovery::Polled;
+        let settings = Settings {
+            discovery,
+            poll_within: ask_within,
+            fleet_size: 200,
+            ..settings(Idempotency::Idempotent)
+        };
         assert!(wait(&Node::seeded(settings, &[entry(0)], seed)).expect("a timer") <= ask_within / 2);
     }
 }
@@ -46,11 +51,11 @@
 #[test]
 fn the_timer_subscribes_and_the_answer_settles_it() {
     let mut node = on_request(5, 1);
-    node.handle(Event::Timer(Timer::Discovery));
+    node.handle(Event::TimerExpired(Timer::Subscription));
     assert_eq!(node.actions, [Action::Subscribe]);
-    node.roster(RosterKind::Changes, &[]);
+    node.roster(EndpointUpdateKind::Changes, &[]);
     assert_eq!(wait(&node), None);
-    node.handle(Event::Timer(Timer::Discovery));
+    node.handle(Event::TimerExpired(Timer::Subscription));
     assert!(node.actions.is_empty(), "subscribed: asking again would be one more call");
 }
 
@@ -63,9 +68,9 @@
     for seed in 0..200 {
         let mut node = on_request(300, seed);
         for failure in 0..12 {
-            node.handle(Event::Timer(Timer::Discovery));
+            node.handle(Event::TimerExpired(Timer::Subscription));
             assert_eq!(node.actions, [Action::Subscribe], "failure {failure}");
-            node.roster(RosterKind::Failed, &[]);
+            node.roster(EndpointUpdateKind::Failed, &[]);
             let after = wait(&node).expect("another try");
             let least = if failure == 0 { SECOND / 2 } else { SECOND };
             assert!(after >= least && after <= limit, "failure {failure}: {after}");
@@ -88,10 +93,10 @@
 #[test]
 fn a_dropped_subscription_is_renewed() {
     let mut node = on_request(5, 1);
-    node.handle(Event::Timer(Timer::Discovery));
-    node.roster(RosterKind::Full, &[entry(0)]);
-    node.roster(RosterKind::Failed, &[]);
+    node.handle(Event::TimerExpired(Timer::Subscription));
+    node.roster(EndpointUpdateKind::Full, &[entry(0)]);
+    node.roster(EndpointUpdateKind::Failed, &[]);
     assert!(wait(&node).is_some());
-    node.handle(Event::Timer(Timer::Discovery));
+    node.handle(Event::TimerExpired(Timer::Subscription));
     assert_eq!(node.actions, [Action::Subscribe]);
 }
--- a/crates/dispatcher/tests/failures.rs
+++ b/crates/dispatcher/tests/failures.rs
@@ -3,11 +3,11 @@
 use common::*;
 use copperspread_dispatcher::*;
 
-const IDLE: Report =
-    Report { queue: Some(0.0), inflight: None, util: None, qps: None, free_slots: Some(2.0) };
+const IDLE: LoadReport =
+    LoadReport { queue: Some(0.0), inflight: None, util: None, qps: None, free_slots: Some(2.0) };
 
-fn fleet(count: u32) -> Vec<WorkerEntry> {
-    (0..count).map(|i| WorkerEntry { zone: i % 2, ..entry(i) }).collect()
+fn fleet(count: u32) -> Vec<Endpoint> {
+    (0..count).map(|i| Endpoint { zone: i % 2, ..entry(i) }).collect()
 }
 
 /// Sends jobs one after the other and ends each as told for its worker; returns the sends a worker.
@@ -21,7 +21,7 @@
             let (outcome, takes) = ends(worker);
             if outcome == Outcome::Served {
                 let progress = Progress::Started;
-                node.handle(Event::Progress { request: RequestId(id), attempt, progress });
+                node.handle(Event::AttemptProgress { request: RequestId(id), attempt, progress });
             }
             node.now += takes;
             node.report(id, attempt, outcome, (outcome == Outcome::Served).then_some(IDLE));
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_hung_worker_is_avoided_after_its_time_outs() {
-    let mut node = Node::new(settings(Effect::Unsafe), &fleet(4));
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(4));
     let hung = |w| if w == 0 { (Outcome::TimedOut, 10 * SECOND) } else { SERVED };
     drive(&mut node, 0..40, hung);
     let sends = drive(&mut node, 100..140, hung);
@@ -53,7 +53,7 @@
 
 #[test]
 fn jobs_that_pile_up_on_a_hung_worker_keep_new_ones_away_at_once() {
-    let mut node = Node::new(settings(Effect::Unsafe), &fleet(2));
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(2));
     let mut held = [0; 2];
     // Nothing comes back from worker 0; the other serves.
     for id in 0..60 {
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_crashed_worker_costs_an_attempt_and_the_jobs_go_on_elsewhere() {
-    let mut node = Node::new(settings(Effect::Unsafe), &fleet(4));
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(4));
     let crashed = |w| if w == 0 { (Outcome::ConnectFailed, 50 * MS) } else { SERVED };
     let sends = drive(&mut node, 0..60, crashed);
     assert_eq!(sends[1] + sends[2] + sends[3], 60, "every job was served: {sends:?}");
@@ -79,7 +79,7 @@
 
 #[test]
 fn if_all_slow_down_together_nobody_is_singled_out() {
-    let mut node = Node::new(settings(Effect::Unsafe), &fleet(4));
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(4));
     drive(&mut node, 0..40, |_| SERVED);
     let sends = drive(&mut node, 100..180, |_| (Outcome::Served, 500 * MS));
     let (least, most) = (sends[..4].iter().min(), sends[..4].iter().max());
@@ -88,19 +88,19 @@
 
 #[test]
 fn a_paused_worker_that_comes_back_is_used_again() {
-    let mut node = Node::new(settings(Effect::Unsafe), &fleet(2));
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(2));
     let paused = |w| if w == 0 { (Outcome::Reset, SECOND) } else { SERVED };
     drive(&mut node, 0..30, paused);
     for _ in 0..60 {
         node.now += SECOND;
-        node.handle(Event::Timer(Timer::Sweep));
+        node.handle(Event::TimerExpired(Timer::PeriodicRefresh));
     }
     assert!(held(&mut node, 100..104, |w| w == 0) > 0);
 }
 
 #[test]
 fn a_zone_that_is_cut_off_is_left_alone_and_tried_again() {
-    let mut node = Node::new(settings(Effect::Unsafe), &fleet(6));
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(6));
     let cut = |w| if w % 2 == 1 { (Outcome::ConnectFailed, 250 * MS) } else { SERVED };
     drive(&mut node, 0..60, cut);
     let sends = drive(&mut node, 100..160, cut);
@@ -108,19 +108,19 @@
     assert!(away < 20, "{sends:?}");
     for _ in 0..60 {
         node.now += SECOND;
-        node.handle(Event::Timer(Timer::Sweep));
+        node.handle(Event::TimerExpired(Timer::PeriodicRefresh));
     }
     assert!(held(&mut node, 200..212, |w| w % 2 == 1) > 0);
 }
 
 #[test]
 fn a_shrinking_fleet_refuses_what_no_longer_fits_and_loses_nothing() {
-    let mut node = Node::new(settings(Effect::Unsafe), &fleet(8));
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(8));
     let mut out = Vec::new();
     let mut refused = 0;
     for id in 0..80 {
         if id % 10 == 9 {
-            node.roster(RosterKind::Full, &fleet(8 - id as u32 / 10));
+            node.roster(EndpointUpdateKind::Full, &fleet(8 - id as u32 / 10));
         }
         node.job(id, 0.3);
         match node.sent() {
@@ -134,7 +134,7 @@
     assert_eq!(out.len() + refused as usize, 80);
     assert!(refused > 10 && out.len() > 20);
     // Jobs of workers that have left still end: what never ran is refused, what may have run fails.
-    node.roster(RosterKind::Full, &[]);
+    node.roster(EndpointUpdateKind::Full, &[]);
     for (index, &id) in out.iter().enumerate() {
         let outcome = if index % 2 == 0 { Outcome::Reset } else { Outcome::ConnectFailed };
         node.outcome(id, 0, outcome);
@@ -145,14 +145,14 @@
 #[test]
 fn a_restart_with_a_stale_list_meets_dead_and_cold_workers_without_harm() {
     // The remembered list names workers 0 to 3; 0 is gone for good, 1 has restarted since.
-    let mut node = Node::new(settings(Effect::Unsafe), &fleet(4));
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(4));
     let stale = |w| if w == 0 { (Outcome::ConnectFailed, 50 * MS) } else { SERVED };
     let sends = drive(&mut node, 0..20, stale);
     assert_eq!(sends[1..4].iter().sum::<u32>(), 20);
     let mut news = fleet(4);
     news.remove(0);
     news[0].started_at = Some(node.now);
-    node.roster(RosterKind::Full, &news);
+    node.roster(EndpointUpdateKind::Full, &news);
     let sends = drive(&mut node, 100..110, stale);
     assert_eq!(sends[0], 0, "gone");
     assert!(sends[1] <= 2, "cold: {sends:?}");
@@ -160,11 +160,11 @@
 
 #[test]
 fn slow_workers_and_failing_discovery_together_leave_the_rest_in_use() {
-    let settings = Settings { discovery: Discovery::OnRequest, ..settings(Effect::Unsafe) };
+    let settings = Settings { discovery: Discovery::Polled, ..settings(Idempotency::NonIdempotent) };
     let mut node = Node::new(settings, &fleet(4));
     let slow = |w| (Outcome::Served, if w < 2 { 1_000 * MS } else { 200 * MS });
     drive(&mut node, 0..40, slow);
-    node.roster(RosterKind::Failed, &[]);
+    node.roster(EndpointUpdateKind::Failed, &[]);
     let sends = drive(&mut node, 100..140, slow);
     assert!(sends[2] + sends[3] > 30, "{sends:?}");
 }
@@ -173,14 +173,14 @@
 // and only that class goes elsewhere.
 #[test]
 fn a_class_that_falls_silent_at_a_worker_goes_elsewhere() {
-    let classes = vec![class(Effect::Unsafe), class(Effect::Unsafe)];
+    let classes = vec![class(Idempotency::NonIdempotent), class(Idempotency::NonIdempotent)];
     let entries = [entry(0), entry(1)];
-    let mut node = Node::new(Settings { classes, ..settings(Effect::Unsafe) }, &entries);
+    let mut node = Node::new(Settings { classes, ..settings(Idempotency::NonIdempotent) }, &entries);
     let mut hits = [[0; 2]; 2];
     let mut silent = std::collections::VecDeque::new();
     for request in 0..300 {
         let class = (request % 2) as u32;
-        node.handle(Event::Job(Job { class, ..job(request, 0.2) }));
+        node.handle(Event::Request(IncomingRequest { class, ..job(request, 0.2) }));
         let worker = node.sent().expect("sent");
         hits[class as usize][worker as usize] += usize::from(request >= 100);
         node.now += 100 * MS;
@@ -195,7 +195,7 @@
             node.outcome(first, 0, Outcome::Cancelled);
         }
         if request % 10 == 9 {
-            node.handle(Event::Timer(Timer::Sweep));
+            node.handle(Event::TimerExpired(Timer::PeriodicRefresh));
         }
     }
     let [[other_class, _], [lost, well]] = hits;
--- a/crates/dispatcher/tests/learning.rs
+++ b/crates/dispatcher/tests/learning.rs
@@ -3,12 +3,12 @@
 use common::*;
 use copperspread_dispatcher::*;
 
-const IDLE: Report =
-    Report { queue: Some(0.0), inflight: None, util: None, qps: None, free_slots: Some(2.0) };
+const IDLE: LoadReport =
+    LoadReport { queue: Some(0.0), inflight: None, util: None, qps: None, free_slots: Some(2.0) };
 
 /// Runs jobs on one worker alone until its rate is known.
-fn teach(node: &mut Node, worker: WorkerEntry, rate: f64, first: u64) {
-    node.roster(RosterKind::Full, &[worker]);
+fn teach(node: &mut Node, worker: Endpoint, rate: f64, first: u64) {
+    node.roster(EndpointUpdateKind::Full, &[worker]);
     for i in 0..40 {
         node.run(first + i, 0.2, 0.2 / rate, Some(IDLE));
     }
@@ -27,33 +27,33 @@
 
 #[test]
 fn a_slower_worker_of_the_same_kind_is_told_from_its_own_times() {
-    let mut node = Node::new(settings(Effect::Unsafe), &[]);
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &[]);
     teach(&mut node, entry(0), 1.0, 1000);
     teach(&mut node, entry(1), 0.25, 2000);
-    node.roster(RosterKind::Full, &[entry(0), entry(1)]);
+    node.roster(EndpointUpdateKind::Full, &[entry(0), entry(1)]);
     assert!(share_of(&mut node, 0, 1) > 0.9);
 }
 
 #[test]
 fn an_unrefreshed_rate_drifts_back_to_the_others() {
-    let mut node = Node::new(settings(Effect::Unsafe), &[]);
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &[]);
     teach(&mut node, entry(0), 1.0, 1000);
     teach(&mut node, entry(1), 0.25, 2000);
-    node.roster(RosterKind::Full, &[entry(0), entry(1)]);
+    node.roster(EndpointUpdateKind::Full, &[entry(0), entry(1)]);
     node.now += 300 * SECOND;
-    node.handle(Event::Timer(Timer::Sweep));
+    node.handle(Event::TimerExpired(Timer::PeriodicRefresh));
     let share = share_of(&mut node, 1, 1);
     assert!(share > 0.2, "the slow worker is tried again: {share}");
 }
 
 #[test]
 fn a_restarted_worker_starts_at_the_mean_of_the_others() {
-    let mut node = Node::new(settings(Effect::Unsafe), &[]);
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &[]);
     teach(&mut node, entry(0), 0.25, 1000);
     teach(&mut node, entry(1), 0.25, 2000);
     teach(&mut node, entry(2), 1.0, 3000);
-    let restarted = WorkerEntry { started_at: Some(node.now), ..entry(1) };
-    node.roster(RosterKind::Full, &[entry(0), restarted]);
+    let restarted = Endpoint { started_at: Some(node.now), ..entry(1) };
+    node.roster(EndpointUpdateKind::Full, &[entry(0), restarted]);
     // Warm again by the roster's own word, before the other's samples have faded.
     node.now += 11 * SECOND;
     let share = share_of(&mut node, 1, 1);
@@ -62,10 +62,10 @@
 
 #[test]
 fn progress_notes_tell_the_rate_where_starts_are_not_told() {
-    let quiet = Settings { tells_start: false, ..settings(Effect::Unsafe) };
+    let quiet = Settings { reports_job_start: false, ..settings(Idempotency::NonIdempotent) };
     let mut node = Node::new(quiet, &[]);
     for (worker, rate) in [(0u32, 1.0), (1, 0.25)] {
-        node.roster(RosterKind::Full, &[entry(worker)]);
+        node.roster(EndpointUpdateKind::Full, &[entry(worker)]);
         for i in 0..20 {
             let request = 1000 * (1 + u64::from(worker)) + i;
             node.job(request, 4.0 * rate);
@@ -74,19 +74,19 @@
             for share in [0.25, 0.5] {
                 node.now += SECOND;
                 let progress = Progress::Done(share);
-                node.handle(Event::Progress { request: RequestId(request), attempt: 0, progress });
+                node.handle(Event::AttemptProgress { request: RequestId(request), attempt: 0, progress });
             }
             node.now += 2 * SECOND;
             node.report(request, 0, Outcome::Served, Some(IDLE));
         }
     }
-    node.roster(RosterKind::Full, &[entry(0), entry(1)]);
+    node.roster(EndpointUpdateKind::Full, &[entry(0), entry(1)]);
     assert!(share_of(&mut node, 0, 1) > 0.9);
 }
 
 #[test]
 fn errors_that_come_fast_do_not_look_like_speed() {
-    let mut node = Node::new(settings(Effect::Unsafe), &[entry(0), entry(1)]);
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &[entry(0), entry(1)]);
     for i in 0..100 {
         node.job(i, 0.2);
         let worker = node.sent().expect("sent");
@@ -108,7 +108,7 @@
     };
     for _ in 0..60 {
         node.now += SECOND;
-        node.handle(Event::Timer(Timer::Sweep));
+        node.handle(Event::TimerExpired(Timer::PeriodicRefresh));
     }
     assert!(tried(&mut node, 3000) > 0);
 }
@@ -117,13 +117,13 @@
 /// report fades as it ages.
 #[test]
 fn a_reported_queue_counts_and_fades() {
-    let mut node = Node::new(settings(Effect::Unsafe), &[]);
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &[]);
     teach(&mut node, entry(0), 1.0, 1000);
     teach(&mut node, entry(1), 1.0, 2000);
-    node.roster(RosterKind::Full, &[entry(0)]);
-    let queue = Report { queue: Some(9.0), free_slots: Some(0.0), ..IDLE };
+    node.roster(EndpointUpdateKind::Full, &[entry(0)]);
+    let queue = LoadReport { queue: Some(9.0), free_slots: Some(0.0), ..IDLE };
     node.run(1, 0.2, 0.2, Some(queue));
-    node.roster(RosterKind::Full, &[entry(0), entry(1)]);
+    node.roster(EndpointUpdateKind::Full, &[entry(0), entry(1)]);
     assert!(share_of(&mut node, 1, 100) > 0.9, "crowded by peers");
     node.now += 60 * SECOND;
     assert!(share_of(&mut node, 0, 300) > 0.2, "an old report says little");
@@ -133,8 +133,8 @@
 /// infinite and all jobs were refused.
 #[test]
 fn a_first_report_of_no_free_slot_does_not_stop_a_kind() {
-    let mut node = Node::new(settings(Effect::Unsafe), &[entry(0)]);
-    node.run(1, 0.2, 0.2, Some(Report { free_slots: Some(0.0), ..IDLE }));
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &[entry(0)]);
+    node.run(1, 0.2, 0.2, Some(LoadReport { free_slots: Some(0.0), ..IDLE }));
     node.job(2, 0.2);
     assert!(node.sent().is_some());
 }
@@ -143,23 +143,23 @@
 /// every job, and requests used up their attempts on it.
 #[test]
 fn full_answers_make_a_whole_kind_less_inviting() {
-    let kinds = |i: u32| WorkerEntry { kind: i / 4, ..entry(i) };
-    let mut node = Node::new(settings(Effect::Unsafe), &[]);
-    let busy = Report { util: Some(1.0), qps: Some(4.0), ..Report::default() };
+    let kinds = |i: u32| Endpoint { kind: i / 4, ..entry(i) };
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &[]);
+    let busy = LoadReport { util: Some(1.0), qps: Some(4.0), ..LoadReport::default() };
     for (worker, rate) in [(0, 2.0), (4, 1.0)] {
-        node.roster(RosterKind::Full, &[kinds(worker)]);
+        node.roster(EndpointUpdateKind::Full, &[kinds(worker)]);
         for i in 0..40 {
             node.run(u64::from(worker) * 100 + i, 0.2, 0.2 / rate, Some(busy));
         }
     }
     let all: Vec<_> = (0..8).map(kinds).collect();
-    node.roster(RosterKind::Full, &all);
+    node.roster(EndpointUpdateKind::Full, &all);
     for i in 1000..1100 {
         node.now += 10 * MS;
         node.job(i, 0.2);
         let mut attempt = 0;
         while let Some(worker) = node.sent() {
-            let outcome = if worker < 4 { Outcome::Full } else { Outcome::Served };
+            let outcome = if worker < 4 { Outcome::Rejected } else { Outcome::Served };
             node.report(i, attempt, outcome, Some(busy));
             attempt += 1;
         }
@@ -172,14 +172,14 @@
 /// cheap was shed.
 #[test]
 fn served_answers_without_reports_bring_the_level_down_again() {
-    let mut settings = settings(Effect::Unsafe);
-    settings.classes.push(Class { worth: 100.0, ..class(Effect::Unsafe) });
+    let mut settings = settings(Idempotency::NonIdempotent);
+    settings.classes.push(RequestClass { priority_weight: 100.0, ..class(Idempotency::NonIdempotent) });
     let mut node = Node::new(settings, &[entry(0), entry(1), entry(2), entry(3), entry(4)]);
     for i in 0..60 {
         node.job(i, 0.1);
         let mut attempt = 0;
         while node.sent().is_some() {
-            node.outcome(i, attempt, Outcome::Full);
+            node.outcome(i, attempt, Outcome::Rejected);
             attempt += 1;
         }
     }
@@ -189,7 +189,7 @@
         node.job(i, 0.1);
         refused = if node.refused() { refused + 1 } else { 0 };
         // A dear job keeps answers coming while the cheap ones are shed.
-        node.handle(Event::Job(Job { class: 1, ..job(1000 + i, 0.1) }));
+        node.handle(Event::Request(IncomingRequest { class: 1, ..job(1000 + i, 0.1) }));
         let served = node.sent().is_some();
         if served {
             node.now += 100 * MS;
@@ -204,16 +204,16 @@
 /// jobs of hundreds.
 #[test]
 fn many_dispatchers_do_not_herd_to_the_quick_kind() {
-    let kinds = |i: u32| WorkerEntry { kind: i / 10, ..entry(i) };
+    let kinds = |i: u32| Endpoint { kind: i / 10, ..entry(i) };
     let all: Vec<_> = (0..20).map(kinds).collect();
     let mut sent = [0.0; 2];
     for seed in 0..50 {
-        let settings = Settings { fleet_size: 50, ..settings(Effect::Unsafe) };
+        let settings = Settings { fleet_size: 50, ..settings(Idempotency::NonIdempotent) };
         let mut node = Node::seeded(settings, &[], seed);
-        let full = Report { queue: Some(3.0), free_slots: Some(0.0), ..IDLE };
+        let full = LoadReport { queue: Some(3.0), free_slots: Some(0.0), ..IDLE };
         for i in 0..60 {
             for (worker, rate, report) in [(0, 2.0, full), (10, 1.0, IDLE)] {
-                node.roster(RosterKind::Full, &[kinds(worker)]);
+                node.roster(EndpointUpdateKind::Full, &[kinds(worker)]);
                 let request = u64::from(worker) * 1000 + i;
                 node.job(request, 0.2);
                 node.now += (0.2 / rate * SECOND as f64) as Micros;
@@ -222,7 +222,7 @@
                 }
             }
         }
-        node.roster(RosterKind::Full, &all);
+        node.roster(EndpointUpdateKind::Full, &all);
         node.now += 5 * SECOND;
         for i in 0..10 {
             node.job(100 + i, 0.2);
@@ -235,9 +235,9 @@
 
 #[test]
 fn crossing_to_another_zone_has_its_price() {
-    let settings = Settings { price_cross_zone: 0.02, zone: 1, ..settings(Effect::Unsafe) };
-    let away = WorkerEntry { zone: 0, ..entry(0) };
-    let home = WorkerEntry { zone: 1, ..entry(1) };
+    let settings = Settings { cross_zone_cost: 0.02, zone: 1, ..settings(Idempotency::NonIdempotent) };
+    let away = Endpoint { zone: 0, ..entry(0) };
+    let home = Endpoint { zone: 1, ..entry(1) };
     for seed in 0..20 {
         let mut node = Node::seeded(settings.clone(), &[away, home], seed);
         node.job(1, 0.2);
@@ -258,20 +258,20 @@
 /// short jobs pass for long ones.
 #[test]
 fn without_hints_a_class_costs_its_usual_time() {
-    let mut settings = settings(Effect::Unsafe);
-    settings.classes.push(class(Effect::Unsafe));
+    let mut settings = settings(Idempotency::NonIdempotent);
+    settings.classes.push(class(Idempotency::NonIdempotent));
     let mut node = Node::new(settings, &[entry(0), entry(1)]);
-    let unhinted = |request, class| Job { class, cost_hint: None, ..job(request, 0.0) };
+    let unhinted = |request, class| IncomingRequest { class, cost_hint: None, ..job(request, 0.0) };
     // Class 0 takes 0.1 s and class 1 takes 2 s, wherever they run.
     for i in 0..60 {
         for (class, takes) in [(0, 100 * MS), (1, 2 * SECOND)] {
             let request = 10 * i + u64::from(class);
-            node.handle(Event::Job(unhinted(request, class)));
+            node.handle(Event::Request(unhinted(request, class)));
             if node.sent().is_none() {
                 continue;
             }
             let progress = Progress::Started;
-            node.handle(Event::Progress { request: RequestId(request), attempt: 0, progress });
+            node.handle(Event::AttemptProgress { request: RequestId(request), attempt: 0, progress });
             node.now += takes;
             node.report(request, 0, Outcome::Served, Some(IDLE));
         }
@@ -279,7 +279,7 @@
     // Two workers of two slots hold this many short jobs before one of them would miss 1.2 s; at the
     // mean of both classes, two of them would.
     let sent = (0..12).filter(|&i| {
-        node.handle(Event::Job(unhinted(5000 + i, 0)));
+        node.handle(Event::Request(unhinted(5000 + i, 0)));
         node.sent().is_some()
     });
     assert_eq!(sent.count(), 12);
@@ -289,7 +289,7 @@
 #[test]
 fn a_full_fleet_is_not_asked_for_one_job_all_over() {
     let entries: Vec<_> = (0..20).map(entry).collect();
-    let mut node = Node::new(settings(Effect::Unsafe), &entries);
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &entries);
     let mut attempts_of = |request: u64, outcome: Outcome| {
         node.job(request, 0.01);
         let mut attempts = 0;
@@ -299,24 +299,24 @@
         }
         attempts
     };
-    assert_eq!(attempts_of(1, Outcome::Full), 4, "as many as allowed at first");
+    assert_eq!(attempts_of(1, Outcome::Rejected), 4, "as many as allowed at first");
     for i in 2..60 {
-        attempts_of(i, Outcome::Full);
+        attempts_of(i, Outcome::Rejected);
     }
-    assert_eq!(attempts_of(99, Outcome::Full), 2, "two when all are turned away");
+    assert_eq!(attempts_of(99, Outcome::Rejected), 2, "two when all are turned away");
 }
 
 // Guards against jobs that all go where the last report was kind: it is older than the jobs sent since.
 #[test]
 fn own_jobs_weigh_more_than_a_report() {
-    let fleet = Settings { fleet_size: 3, ..settings(Effect::Unsafe) };
+    let fleet = Settings { fleet_size: 3, ..settings(Idempotency::NonIdempotent) };
     let mut node = Node::new(fleet, &[]);
     teach(&mut node, entry(0), 1.0, 1000);
     teach(&mut node, entry(1), 1.0, 2000);
-    node.roster(RosterKind::Full, &[entry(0), entry(1)]);
+    node.roster(EndpointUpdateKind::Full, &[entry(0), entry(1)]);
     for (worker, queue, free) in [(0, 1.0, 0.0), (1, 0.0, 2.0)] {
-        let report = Some(Report { queue: Some(queue), free_slots: Some(free), ..IDLE });
-        node.handle(Event::Probed { worker: WorkerId(worker), outcome: Outcome::Served, report });
+        let report = Some(LoadReport { queue: Some(queue), free_slots: Some(free), ..IDLE });
+        node.handle(Event::LoadQueryEnded { worker: WorkerId(worker), outcome: Outcome::Served, report });
     }
     let mut counts = [0; 2];
     for request in 1..=4 {
@@ -330,11 +330,11 @@
 #[test]
 fn few_jobs_that_wait_get_a_copy() {
     let entries: Vec<_> = (0..4).map(entry).collect();
-    let mut node = Node::new(settings(Effect::Safe), &entries);
+    let mut node = Node::new(settings(Idempotency::Idempotent), &entries);
     let mut copies = 0;
     for request in 0..100 {
         node.job(request, 0.01);
-        node.handle(Event::Timer(Timer::Check(RequestId(request))));
+        node.handle(Event::TimerExpired(Timer::HedgeCheck(RequestId(request))));
         if node.sent().is_some() {
             copies += 1;
             node.outcome(request, 1, Outcome::Cancelled);
--- a/crates/dispatcher/tests/retries.rs
+++ b/crates/dispatcher/tests/retries.rs
@@ -4,13 +4,13 @@
 use copperspread_dispatcher::*;
 use std::collections::HashMap;
 
-const KEYED_ALL: Effect = Effect::Keyed { scope: KeyScope::All, window: 5 * SECOND };
-const KEYED_CELL: Effect = Effect::Keyed { scope: KeyScope::Cell, window: 5 * SECOND };
-const KEYED_ZONE: Effect = Effect::Keyed { scope: KeyScope::Zone, window: 5 * SECOND };
+const KEYED_ALL: Idempotency = Idempotency::IdempotentWithKey { scope: KeyScope::All, window: 5 * SECOND };
+const KEYED_CELL: Idempotency = Idempotency::IdempotentWithKey { scope: KeyScope::Cell, window: 5 * SECOND };
+const KEYED_ZONE: Idempotency = Idempotency::IdempotentWithKey { scope: KeyScope::Zone, window: 5 * SECOND };
 const CONNECT: Micros = 250 * MS;
 
-fn sent_to_one_of_four(effect: Effect) -> (Node, u32) {
-    let entries: Vec<_> = (0..4).map(|i| WorkerEntry { zone: i / 2, ..entry(i) }).collect();
+fn sent_to_one_of_four(effect: Idempotency) -> (Node, u32) {
+    let entries: Vec<_> = (0..4).map(|i| Endpoint { zone: i / 2, ..entry(i) }).collect();
     let mut node = Node::new(settings(effect), &entries);
     node.job(1, 0.2);
     let first = node.sent().expect("sent");
@@ -21,7 +21,7 @@
 #[test]
 fn an_unsafe_job_that_may_have_run_fails_without_another_attempt() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
-        let (mut node, _) = sent_to_one_of_four(Effect::Unsafe);
+        let (mut node, _) = sent_to_one_of_four(Idempotency::NonIdempotent);
         node.outcome(1, 0, outcome);
         assert!(node.failed() && node.sent().is_none() && !node.refused(), "{outcome:?}");
     }
@@ -29,8 +29,8 @@
 
 #[test]
 fn an_unsafe_job_that_never_ran_goes_elsewhere() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot] {
-        let (mut node, first) = sent_to_one_of_four(Effect::Unsafe);
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::Superseded] {
+        let (mut node, first) = sent_to_one_of_four(Idempotency::NonIdempotent);
         node.outcome(1, 0, outcome);
         assert!(node.sent().is_some_and(|next| next != first), "{outcome:?}");
     }
@@ -59,8 +59,8 @@
     const WINDOW: Micros = 500 * MS;
     for (after, goes_on) in [(0, true), (190, true), (210, false), (300, false), (499, false)] {
         let entries: Vec<_> = (0..4).map(entry).collect();
-        let effect = Effect::Keyed { scope: KeyScope::All, window: WINDOW };
-        let mut node = Node::new(Settings { connect_within: CONNECT, ..settings(effect) }, &entries);
+        let effect = Idempotency::IdempotentWithKey { scope: KeyScope::All, window: WINDOW };
+        let mut node = Node::new(Settings { connect_timeout: CONNECT, ..settings(effect) }, &entries);
         node.job(1, 0.2);
         // The first attempt never ran: its time does not count.
         node.now += 400 * MS;
@@ -77,7 +77,7 @@
 fn a_keyed_job_that_may_have_run_is_refused_only_if_all_workers_know_it() {
     for (effect, refused) in [(KEYED_ALL, true), (KEYED_CELL, false), (KEYED_ZONE, false)] {
         let (mut node, _) = sent_to_one_of_four(effect);
-        node.roster(RosterKind::Full, &[]);
+        node.roster(EndpointUpdateKind::Full, &[]);
         node.outcome(1, 0, Outcome::Reset);
         assert_eq!(node.refused(), refused, "{effect:?}");
         assert_eq!(node.failed(), !refused, "{effect:?}");
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_timeout_at_the_deadline_is_answered_with_a_failure() {
-    let (mut node, _) = sent_to_one_of_four(Effect::Safe);
+    let (mut node, _) = sent_to_one_of_four(Idempotency::Idempotent);
     node.now += 10 * SECOND;
     node.outcome(1, 0, Outcome::TimedOut);
     assert!(node.failed() && node.sent().is_none());
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_late_resend_is_dropped() {
-    let (mut node, _) = sent_to_one_of_four(Effect::Safe);
+    let (mut node, _) = sent_to_one_of_four(Idempotency::Idempotent);
     node.now += 5 * SECOND;
     node.outcome(1, 0, Outcome::Error);
     assert!(node.sent().is_none() && node.refused(), "the aim has passed: harmless to try again");
@@ -103,11 +103,11 @@
 #[test]
 fn attempts_are_capped() {
     let entries: Vec<_> = (0..20).map(entry).collect();
-    let mut node = Node::new(settings(Effect::Safe), &entries);
+    let mut node = Node::new(settings(Idempotency::Idempotent), &entries);
     node.job(1, 0.01);
     let mut attempts = 1;
     while node.sent().is_some() {
-        node.outcome(1, attempts - 1, Outcome::Full);
+        node.outcome(1, attempts - 1, Outcome::Rejected);
         attempts += 1;
     }
     assert_eq!(attempts, 5, "four attempts, then the answer");
@@ -116,14 +116,14 @@
 
 #[test]
 fn nothing_goes_to_a_worker_that_drains_or_is_gone() {
-    for state in [WorkerState::Draining, WorkerState::Gone] {
-        let mut node = Node::new(settings(Effect::Safe), &[entry(0), entry(1)]);
-        node.roster(RosterKind::Changes, &[WorkerEntry { state, ..entry(0) }]);
+    for state in [WorkerState::Draining, WorkerState::Removed] {
+        let mut node = Node::new(settings(Idempotency::Idempotent), &[entry(0), entry(1)]);
+        node.roster(EndpointUpdateKind::Changes, &[Endpoint { state, ..entry(0) }]);
         for i in 0..20 {
             node.job(i, 0.01);
             assert_ne!(node.sent(), Some(0));
         }
-        node.roster(RosterKind::Full, &[entry(0)]);
+        node.roster(EndpointUpdateKind::Full, &[entry(0)]);
         node.job(30, 0.01);
         assert_eq!(node.sent(), Some(0), "back in the full list, and the other one gone with it");
     }
@@ -131,10 +131,10 @@
 
 #[test]
 fn an_old_list_changes_nothing() {
-    let mut node = Node::new(settings(Effect::Safe), &[entry(0)]);
-    node.roster(RosterKind::Changes, &[WorkerEntry { state: WorkerState::Draining, ..entry(0) }]);
-    let stale = Roster { kind: RosterKind::Changes, version: 1, entries: &[entry(0)] };
-    node.handle(Event::Roster(stale));
+    let mut node = Node::new(settings(Idempotency::Idempotent), &[entry(0)]);
+    node.roster(EndpointUpdateKind::Changes, &[Endpoint { state: WorkerState::Draining, ..entry(0) }]);
+    let stale = EndpointUpdate { kind: EndpointUpdateKind::Changes, version: 1, endpoints: &[entry(0)] };
+    node.handle(Event::Endpoints(stale));
     node.job(1, 0.1);
     assert!(node.refused());
 }
@@ -150,10 +150,10 @@
 }
 
 /// Plays random events and checks the rules on every action.
-fn play(effect: Effect, second_copies: bool, seed: u64) -> (u32, u32) {
+fn play(effect: Idempotency, second_copies: bool, seed: u64) -> (u32, u32) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let entries: Vec<_> = (0..6).map(|i| WorkerEntry { zone: i / 3, kind: i % 2, ..entry(i) }).collect();
-    let settings = Settings { second_copies, connect_within: CONNECT, ..settings(effect) };
+    let entries: Vec<_> = (0..6).map(|i| Endpoint { zone: i / 3, kind: i % 2, ..entry(i) }).collect();
+    let settings = Settings { hedging_allowed: second_copies, connect_timeout: CONNECT, ..settings(effect) };
     let mut node = Node::seeded(settings, &entries, seed);
     let mut ready = [true; 6];
     let mut seen: HashMap<u64, Seen> = HashMap::new();
@@ -182,7 +182,7 @@
                 let outcomes = [
                     Outcome::Served,
                     Outcome::Error,
-                    Outcome::Full,
+                    Outcome::Rejected,
                     Outcome::ConnectFailed,
                     Outcome::Reset,
                     Outcome::Cancelled,
@@ -197,20 +197,20 @@
                 let worker = rng.usize(0..6);
                 ready[worker] = rng.bool();
                 let state = if ready[worker] { WorkerState::Ready } else { WorkerState::Draining };
-                node.roster(RosterKind::Changes, &[WorkerEntry { state, ..entries[worker] }]);
+                node.roster(EndpointUpdateKind::Changes, &[Endpoint { state, ..entries[worker] }]);
             }
             (None, 8) => {
                 let Some((id, _)) = pick(&mut rng) else { continue };
-                node.handle(Event::Timer(Timer::Check(RequestId(id))));
+                node.handle(Event::TimerExpired(Timer::HedgeCheck(RequestId(id))));
             }
             (None, _) => {
                 let Some((id, n)) = pick(&mut rng) else { continue };
                 if rng.u32(0..4) == 0 {
                     seen.get_mut(&id).expect("known").closed = true;
-                    node.handle(Event::Gone(RequestId(id)));
+                    node.handle(Event::ClientDisconnected(RequestId(id)));
                 } else {
                     let progress = Progress::Started;
-                    node.handle(Event::Progress { request: RequestId(id), attempt: n, progress });
+                    node.handle(Event::AttemptProgress { request: RequestId(id), attempt: n, progress });
                 }
             }
         }
@@ -226,9 +226,9 @@
                     assert!(second_copies || !out, "seed {seed}: a second copy");
                     let ran = s.attempts.iter().find(|a| a.2.is_none_or(|o| !o.never_ran()));
                     match (effect, ran) {
-                        (Effect::Unsafe, ran) => assert!(ran.is_none(), "seed {seed}: ran twice"),
-                        (Effect::Keyed { scope, window }, Some(&(first, at, _))) => {
-                            let written_by = node.now + CONNECT + HAND_OVER_SLACK;
+                        (Idempotency::NonIdempotent, ran) => assert!(ran.is_none(), "seed {seed}: ran twice"),
+                        (Idempotency::IdempotentWithKey { scope, window }, Some(&(first, at, _))) => {
+                            let written_by = node.now + CONNECT + DISPATCH_SLACK;
                             assert!(written_by <= at + window, "seed {seed}: after the window");
                             let (a, b) = (entries[first as usize], entries[worker.0 as usize]);
                             assert!(match scope {
@@ -241,16 +241,17 @@
                     }
                     s.attempts.push((worker.0, node.now, None));
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     ended += 1;
                     let s = seen.get_mut(&request.0).expect("a known request");
                     assert!(!s.closed, "seed {seed}: an answer after the end");
                     s.answers += 1;
                     s.closed = true;
                     let ran = s.attempts.iter().any(|a| a.2.is_none_or(|o| !o.never_ran()));
-                    if matches!(action, Action::Refuse { .. }) && ran {
-                        let all = matches!(effect, Effect::Keyed { scope: KeyScope::All, .. });
-                        assert!(effect == Effect::Safe || all, "seed {seed}: a wrong refusal");
+                    if matches!(action, Action::Reject { .. }) && ran {
+                        let all =
+                            matches!(effect, Idempotency::IdempotentWithKey { scope: KeyScope::All, .. });
+                        assert!(effect == Idempotency::Idempotent || all, "seed {seed}: a wrong refusal");
                     }
                 }
                 _ => {}
@@ -269,11 +270,11 @@
     s.attempts[n as usize].2 = Some(outcome);
     let finished = s.closed || outcome == Outcome::Served;
     s.closed = finished;
-    node.handle(Event::Outcome(AttemptOutcome {
+    node.handle(Event::AttemptEnded(AttemptOutcome {
         request: RequestId(id),
         attempt: n,
         outcome,
-        finished,
+        request_finished: finished,
         elapsed: 100 * MS,
         report: None,
     }));
@@ -281,7 +282,7 @@
 
 #[test]
 fn the_rules_hold_over_random_events() {
-    for effect in [Effect::Safe, Effect::Unsafe, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
+    for effect in [Idempotency::Idempotent, Idempotency::NonIdempotent, KEYED_ALL, KEYED_ZONE, KEYED_CELL] {
         for second_copies in [false, true] {
             let (mut sends, mut ended) = (0, 0);
             for seed in 0..25 {
@@ -298,7 +299,7 @@
 fn the_same_events_give_the_same_actions() {
     let trace = || {
         let entries: Vec<_> = (0..9).map(entry).collect();
-        let mut node = Node::seeded(settings(Effect::Safe), &entries, 5);
+        let mut node = Node::seeded(settings(Idempotency::Idempotent), &entries, 5);
         let mut all = Vec::new();
         for i in 0..50 {
             node.now += 10 * MS;
@@ -311,12 +312,12 @@
 
 #[test]
 fn strangers_and_leftovers_are_ignored() {
-    let mut node = Node::new(settings(Effect::Safe), &[entry(0)]);
+    let mut node = Node::new(settings(Idempotency::Idempotent), &[entry(0)]);
     assert!(node.outcome(99, 0, Outcome::Served).is_empty());
-    assert!(node.handle(Event::Timer(Timer::Check(RequestId(99)))).is_empty());
-    assert!(node.handle(Event::Gone(RequestId(99))).is_empty());
+    assert!(node.handle(Event::TimerExpired(Timer::HedgeCheck(RequestId(99)))).is_empty());
+    assert!(node.handle(Event::ClientDisconnected(RequestId(99))).is_empty());
     let progress = Progress::Started;
-    assert!(node.handle(Event::Progress { request: RequestId(99), attempt: 3, progress }).is_empty());
+    assert!(node.handle(Event::AttemptProgress { request: RequestId(99), attempt: 3, progress }).is_empty());
     node.job(1, 0.1);
     assert!(node.outcome(1, 7, Outcome::Error).is_empty(), "an attempt never made");
     node.outcome(1, 0, Outcome::Served);
@@ -327,17 +328,17 @@
 /// copy, and the first to start calls the other off.
 #[test]
 fn a_job_that_does_not_start_gets_a_copy_and_one_of_them_runs() {
-    let (mut node, first) = sent_to_one_of_four(Effect::Safe);
+    let (mut node, first) = sent_to_one_of_four(Idempotency::Idempotent);
     for i in 10..20 {
         // Copies are earned by jobs.
         node.job(i, 0.01);
         node.outcome(i, 0, Outcome::Served);
     }
-    node.handle(Event::Timer(Timer::Check(RequestId(1))));
+    node.handle(Event::TimerExpired(Timer::HedgeCheck(RequestId(1))));
     let copy = node.sent().expect("a copy");
     assert_ne!(copy, first);
     let progress = Progress::Started;
-    node.handle(Event::Progress { request: RequestId(1), attempt: 1, progress });
+    node.handle(Event::AttemptProgress { request: RequestId(1), attempt: 1, progress });
     assert_eq!(node.actions, [Action::Cancel { request: RequestId(1), attempt: 0 }]);
     node.outcome(1, 0, Outcome::Cancelled);
     assert!(node.actions.is_empty(), "the copy still runs");
@@ -346,7 +347,8 @@
 #[test]
 fn where_two_copies_may_not_be_out_it_moves() {
     let entries: Vec<_> = (0..4).map(entry).collect();
-    let mut node = Node::new(Settings { second_copies: false, ..settings(Effect::Safe) }, &entries);
+    let mut node =
+        Node::new(Settings { hedging_allowed: false, ..settings(Idempotency::Idempotent) }, &entries);
     for i in 10..20 {
         node.job(i, 0.01);
         node.outcome(i, 0, Outcome::Served);
@@ -354,7 +356,7 @@
     node.job(1, 0.2);
     let first = node.sent();
     node.now += 100 * MS;
-    node.handle(Event::Timer(Timer::Check(RequestId(1))));
+    node.handle(Event::TimerExpired(Timer::HedgeCheck(RequestId(1))));
     assert_eq!(node.actions, [Action::Cancel { request: RequestId(1), attempt: 0 }]);
     node.outcome(1, 0, Outcome::Cancelled);
     assert!(node.sent().is_some() && node.sent() != first);
@@ -364,13 +366,16 @@
 fn an_unsafe_job_is_never_copied_or_moved() {
     for second_copies in [false, true] {
         let entries: Vec<_> = (0..4).map(entry).collect();
-        let mut node = Node::new(Settings { second_copies, ..settings(Effect::Unsafe) }, &entries);
+        let mut node = Node::new(
+            Settings { hedging_allowed: second_copies, ..settings(Idempotency::NonIdempotent) },
+            &entries,
+        );
         for i in 10..20 {
             node.job(i, 0.01);
             node.outcome(i, 0, Outcome::Served);
         }
         node.job(1, 0.2);
         node.now += 100 * MS;
-        assert!(node.handle(Event::Timer(Timer::Check(RequestId(1)))).is_empty());
+        assert!(node.handle(Event::TimerExpired(Timer::HedgeCheck(RequestId(1)))).is_empty());
     }
 }
--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -25,12 +25,13 @@
 /// The same, and all work sent to it as a share of the budget at its start.
 fn play(fleet: u32, seed: u64, plan: Plan) -> (f64, f64) {
     let Plan { restarted, heavy, listed, killed } = plan;
-    let settings = Settings { fleet_size: fleet, live_sizes: listed, ..settings(Effect::Unsafe) };
+    let settings =
+        Settings { fleet_size: fleet, sizes_reflect_load: listed, ..settings(Idempotency::NonIdempotent) };
     let warm: Vec<_> = (0..8).map(entry).collect();
     // The warm ones have queues, so that a cold one is welcome.
     let crowded = |at: u64| {
         let (queue, free) = if at == 0 { (0.0, 2.0) } else { (0.0, 0.5) };
-        Some(Report { queue: Some(queue), free_slots: Some(free), ..Report::default() })
+        Some(LoadReport { queue: Some(queue), free_slots: Some(free), ..LoadReport::default() })
     };
     // Long after the dispatchers' start, as what is offered a second counts from there.
     let start = 200 * SECOND;
@@ -40,7 +41,7 @@
     let mut nodes: Vec<_> = (0..fleet)
         .map(|me| {
             let mut node = Node::seeded(
-                Settings { number: Some(me), ..settings.clone() },
+                Settings { instance_index: Some(me), ..settings.clone() },
                 &warm,
                 seed * 1000 + u64::from(me),
             );
@@ -56,11 +57,11 @@
                 // Nobody else takes work: whatever is let through goes to the cold one.
                 all.iter_mut().skip(1).for_each(|of| of.state = WorkerState::Draining);
             }
-            node.roster(RosterKind::Full, &all);
+            node.roster(EndpointUpdateKind::Full, &all);
             node
         })
         .collect();
-    let window = settings.fall_window;
+    let window = settings.overload_window;
     let mut sends: Vec<(Micros, f64)> = Vec::new();
     // About as much as eight workers of two slots can do, over all dispatchers.
     // In the large fleet each gets three jobs a second.
@@ -72,10 +73,10 @@
         if killed && alive && now >= start + 1500 * MS {
             alive = false;
             for me in (0..fleet).filter(|me| me % 10 < 7) {
-                let told = Settings { number: Some(me), ..settings.clone() };
+                let told = Settings { instance_index: Some(me), ..settings.clone() };
                 let mut node = Node::seeded(told, &[], seed * 1000 + 500 + u64::from(me));
                 node.now = now;
-                node.roster(RosterKind::Full, &all);
+                node.roster(EndpointUpdateKind::Full, &all);
                 nodes[me as usize] = node;
             }
         }
@@ -85,7 +86,10 @@
             let mut held: f64 = 0.0;
             let mut at = start;
             for &(sent, work) in sends.iter().filter(|of| of.0 + SECOND < now) {
-                held = (held - settings.cold_from * 2.0 * (sent - at) as f64 / SECOND as f64).max(0.0) + work;
+                held = (held
+                    - settings.slow_start_initial_capacity * 2.0 * (sent - at) as f64 / SECOND as f64)
+                    .max(0.0)
+                    + work;
                 at = sent;
             }
             let mut entries = all.clone();
@@ -94,7 +98,7 @@
             entries[1].size = Some(4.0);
             for node in &mut nodes {
                 node.now = now;
-                node.roster(RosterKind::Changes, &entries);
+                node.roster(EndpointUpdateKind::Changes, &entries);
             }
         }
         let node = &mut nodes[rng.usize(0..fleet as usize)];
@@ -105,11 +109,12 @@
             sends.push((now, work));
         }
     }
-    let capacity = settings.cold_from * 2.0;
-    let budget = settings.fall_multiple * capacity * window as f64 / SECOND as f64;
+    let capacity = settings.slow_start_initial_capacity * 2.0;
+    let budget = settings.overload_multiple * capacity * window as f64 / SECOND as f64;
     let grown = |at: Micros| {
-        let warm = (at - start) as f64 / settings.cold_for as f64;
-        (settings.cold_from + (1.0 - settings.cold_from) * warm) / settings.cold_from
+        let warm = (at - start) as f64 / settings.slow_start_duration as f64;
+        (settings.slow_start_initial_capacity + (1.0 - settings.slow_start_initial_capacity) * warm)
+            / settings.slow_start_initial_capacity
     };
     let worst = (0..sends.len())
         .map(|i| {
@@ -175,10 +180,10 @@
 /// then stays unused while warm workers queue.
 #[test]
 fn a_cold_worker_that_could_take_more_gets_most_of_its_budget_window_after_window() {
-    let settings = settings(Effect::Unsafe);
+    let settings = settings(Idempotency::NonIdempotent);
     let mut node = Node::new(settings.clone(), &[]);
     let start = node.now;
-    node.roster(RosterKind::Full, &[WorkerEntry { started_at: Some(start), ..entry(0) }]);
+    node.roster(EndpointUpdateKind::Full, &[Endpoint { started_at: Some(start), ..entry(0) }]);
     let (mut sent, mut budget) = (0.0, 0.0);
     for step in 0..900 {
         node.now = start + step * 10 * MS;
@@ -186,8 +191,10 @@
             // What a first burst spends is not what comes window after window.
             (sent, budget) = (0.0, 0.0);
         }
-        let warm = step as f64 * 0.01 / (settings.cold_for as f64 / SECOND as f64);
-        budget += settings.fall_multiple * (settings.cold_from + (1.0 - settings.cold_from) * warm) * 0.01;
+        let warm = step as f64 * 0.01 / (settings.slow_start_duration as f64 / SECOND as f64);
+        budget += settings.overload_multiple
+            * (settings.slow_start_initial_capacity + (1.0 - settings.slow_start_initial_capacity) * warm)
+            * 0.01;
         node.job(step, 0.05);
         if node.sent().is_some() {
             sent += 0.05;
@@ -207,8 +214,8 @@
 fn a_job_too_heavy_for_the_budget_never_goes_to_a_cold_worker() {
     let mut sent = 0;
     for seed in 0..200 {
-        let mut node = Node::seeded(settings(Effect::Unsafe), &[], seed);
-        node.roster(RosterKind::Full, &[WorkerEntry { started_at: Some(node.now), ..entry(0) }]);
+        let mut node = Node::seeded(settings(Idempotency::NonIdempotent), &[], seed);
+        node.roster(EndpointUpdateKind::Full, &[Endpoint { started_at: Some(node.now), ..entry(0) }]);
         node.now += SECOND;
         node.job(1, 5.0);
         sent += u32::from(node.sent().is_some());
@@ -218,8 +225,8 @@
 
 #[test]
 fn a_worker_is_warm_after_the_stated_time() {
-    let mut node = Node::new(settings(Effect::Unsafe), &[]);
-    node.roster(RosterKind::Full, &[WorkerEntry { started_at: Some(node.now), ..entry(0) }]);
+    let mut node = Node::new(settings(Idempotency::NonIdempotent), &[]);
+    node.roster(EndpointUpdateKind::Full, &[Endpoint { started_at: Some(node.now), ..entry(0) }]);
     node.now += 11 * SECOND;
     node.job(1, 0.5);
     assert_eq!(node.sent(), Some(0));
@@ -227,19 +234,24 @@
 
 /// A dispatcher of a hundred that has heard of crowded warm workers, and of one that is new.
 fn beside_crowded_ones(size: Option<f64>, seed: u64) -> Option<u32> {
-    let settings = Settings { fleet_size: 100, number: None, live_sizes: true, ..settings(Effect::Unsafe) };
+    let settings = Settings {
+        fleet_size: 100,
+        instance_index: None,
+        sizes_reflect_load: true,
+        ..settings(Idempotency::NonIdempotent)
+    };
     // Of a budget so large that all may share it: here the choice counts.
-    let settings = Settings { fall_multiple: 1000.0, ..settings };
-    let warm: Vec<_> = (0..8).map(|i| WorkerEntry { size: Some(4.0), ..entry(i) }).collect();
+    let settings = Settings { overload_multiple: 1000.0, ..settings };
+    let warm: Vec<_> = (0..8).map(|i| Endpoint { size: Some(4.0), ..entry(i) }).collect();
     let mut node = Node::seeded(settings, &warm, seed);
     for i in 0..30 {
         let free = if i == 0 { 2.0 } else { 0.3 };
-        node.run(1_000 + i, 0.5, 0.5, Some(Report { free_slots: Some(free), ..Report::default() }));
+        node.run(1_000 + i, 0.5, 0.5, Some(LoadReport { free_slots: Some(free), ..LoadReport::default() }));
         node.now += SECOND;
     }
     let mut all = warm;
-    all.push(WorkerEntry { started_at: Some(node.now), size, ..entry(8) });
-    node.roster(RosterKind::Full, &all);
+    all.push(Endpoint { started_at: Some(node.now), size, ..entry(8) });
+    node.roster(EndpointUpdateKind::Full, &all);
     node.now += 100 * MS;
     node.job(1, 0.5);
     node.sent()
@@ -261,18 +273,22 @@
 fn absurd_sizes_neither_panic_nor_shut_a_kind_out() {
     for odd in [f64::NAN, f64::INFINITY, 0.0, -3.0, 1e-300, 9_999.0, 1e300] {
         // A budget that all hundred may share, so that only what the list tells counts.
-        let settings =
-            Settings { fleet_size: 100, fall_multiple: 1000.0, live_sizes: true, ..settings(Effect::Unsafe) };
-        let mut entries: Vec<_> = (0..4).map(|i| WorkerEntry { size: Some(4.0), ..entry(i) }).collect();
+        let settings = Settings {
+            fleet_size: 100,
+            overload_multiple: 1000.0,
+            sizes_reflect_load: true,
+            ..settings(Idempotency::NonIdempotent)
+        };
+        let mut entries: Vec<_> = (0..4).map(|i| Endpoint { size: Some(4.0), ..entry(i) }).collect();
         entries[0].size = Some(odd);
         entries[1].started_at = Some(100 * SECOND);
         let mut node = Node::new(settings, &entries[..0]);
-        node.roster(RosterKind::Full, &entries);
+        node.roster(EndpointUpdateKind::Full, &entries);
         // Only the cold one is left, idle by the list.
         for of in [0, 2, 3] {
             entries[of].state = WorkerState::Draining;
         }
-        node.roster(RosterKind::Changes, &entries);
+        node.roster(EndpointUpdateKind::Changes, &entries);
         node.now += 5 * SECOND;
         node.job(1, 0.2);
         assert_eq!(node.sent(), Some(1), "beside a size of {odd}");
@@ -285,15 +301,15 @@
         for count in [0, 1, 5_000] {
             let settings = Settings {
                 fleet_size: fleet,
-                number: Some(fleet - 1),
-                live_sizes: true,
-                ..settings(Effect::Unsafe)
+                instance_index: Some(fleet - 1),
+                sizes_reflect_load: true,
+                ..settings(Idempotency::NonIdempotent)
             };
             let started_at = Some(100 * SECOND);
             let cold: Vec<_> =
-                (0..count).map(|i| WorkerEntry { started_at, size: Some(4.0), ..entry(i) }).collect();
+                (0..count).map(|i| Endpoint { started_at, size: Some(4.0), ..entry(i) }).collect();
             let mut node = Node::new(settings, &[]);
-            node.roster(RosterKind::Full, &cold);
+            node.roster(EndpointUpdateKind::Full, &cold);
             node.now += SECOND;
             node.job(1, 0.1);
             assert!(count > 0 || node.refused(), "no worker is listed");
--- a/crates/dispatcher/tests/slow_start_fleet.rs
+++ b/crates/dispatcher/tests/slow_start_fleet.rs
@@ -34,15 +34,24 @@
 
 /// Settings for patient jobs: only the budget bounds what goes to the worker.
 fn patient(fleet: u32) -> Settings {
-    let class =
-        Class { aim: 1_000 * SECOND, stretch: 2.0, deadline: 10_000 * SECOND, ..class(Effect::Unsafe) };
-    Settings { fleet_size: fleet, classes: vec![class], ..settings(Effect::Unsafe) }
+    let class = RequestClass {
+        latency_objective: 1_000 * SECOND,
+        latency_stretch: 2.0,
+        deadline: 10_000 * SECOND,
+        ..class(Idempotency::NonIdempotent)
+    };
+    Settings { fleet_size: fleet, classes: vec![class], ..settings(Idempotency::NonIdempotent) }
 }
 
 fn offer(node: &mut Node, request: u64, work: f64) -> Option<u32> {
     let time_left = 10_000 * SECOND;
     let cost_hint = Some(work);
-    node.handle(Event::Job(Job { request: RequestId(request), cost_hint, time_left, ..Job::default() }));
+    node.handle(Event::Request(IncomingRequest {
+        request: RequestId(request),
+        cost_hint,
+        time_left,
+        ..IncomingRequest::default()
+    }));
     node.sent()
 }
 
@@ -71,15 +80,15 @@
 fn play(plan: Plan, seed: u64) -> Worst {
     let Plan { fleet, calls, unlike, killed, late, unnumbered } = plan;
     let base = patient(fleet);
-    let window = base.fall_window as f64 / SECOND as f64;
-    let at_start = base.fall_multiple * base.cold_from * SLOTS * window;
+    let window = base.overload_window as f64 / SECOND as f64;
+    let at_start = base.overload_multiple * base.slow_start_initial_capacity * SLOTS * window;
     let mean = at_start / calls;
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut new = WorkerEntry { started_at: Some(START), ..entry(0) };
-    new.key = rng.u64(..);
-    let old = WorkerEntry { started_at: None, ..new };
+    let mut new = Endpoint { started_at: Some(START), ..entry(0) };
+    new.hash_key = rng.u64(..);
+    let old = Endpoint { started_at: None, ..new };
     let warm: Vec<_> = (1..4).map(entry).collect();
-    let gone: Vec<_> = warm.iter().map(|of| WorkerEntry { state: WorkerState::Gone, ..*of }).collect();
+    let gone: Vec<_> = warm.iter().map(|of| Endpoint { state: WorkerState::Removed, ..*of }).collect();
     let mut habits = Vec::new();
     let mut nodes = Vec::new();
     let mut until = 0.0;
@@ -91,26 +100,26 @@
         let told_at = START + if rng.f64() < late { rng.u64(0..2 * SECOND) } else { 0 };
         habits.push(Habit { until, work, told_at });
         let number = (!unnumbered).then_some(me);
-        let settings = Settings { number, ..base.clone() };
+        let settings = Settings { instance_index: number, ..base.clone() };
         let mut node = Node::seeded(settings, &warm, seed * 1000 + u64::from(me));
         node.now = START - 100 * SECOND;
         for i in 0..30 {
             let work = work * mean * -rng.f64().max(1e-6).ln();
-            let report = Report { free_slots: Some(SLOTS), queue: Some(0.0), ..Report::default() };
+            let report = LoadReport { free_slots: Some(SLOTS), queue: Some(0.0), ..LoadReport::default() };
             assert!(offer(&mut node, 1_000_000 + i, work).is_some(), "a warm one takes it");
             let (request, progress) = (RequestId(1_000_000 + i), Progress::Started);
-            node.handle(Event::Progress { request, attempt: 0, progress });
+            node.handle(Event::AttemptProgress { request, attempt: 0, progress });
             node.now += (work / rate * SECOND as f64) as Micros;
             node.report(request.0, 0, Outcome::Served, Some(report));
         }
         node.now = START;
         let mut list = gone.clone();
         list.push(if told_at > START { old } else { new });
-        node.roster(RosterKind::Changes, &list);
+        node.roster(EndpointUpdateKind::Changes, &list);
         nodes.push(node);
     }
     // Enough for each to spend its part of a window several times, also if few share the budget.
-    let jobs = ((calls * 10.0).max(f64::from(fleet) * 10.0)) as u64 * PLAY / base.fall_window;
+    let jobs = ((calls * 10.0).max(f64::from(fleet) * 10.0)) as u64 * PLAY / base.overload_window;
     let kill_at = START + rng.u64(0..PLAY * 3 / 4);
     let mut kills = killed > 0.0;
     let mut sends: Vec<(Micros, f64, bool)> = Vec::new();
@@ -121,12 +130,12 @@
             for me in 0..fleet {
                 if rng.f64() < killed {
                     let number = (!unnumbered).then_some(me);
-                    let settings = Settings { number, ..base.clone() };
+                    let settings = Settings { instance_index: number, ..base.clone() };
                     let node = &mut nodes[me as usize];
                     let seed = seed * 1000 + 500 + u64::from(me);
                     node.dispatcher = Dispatcher::new(settings, seed).expect("settings are good");
                     node.now = now;
-                    node.roster(RosterKind::Full, &[new]);
+                    node.roster(EndpointUpdateKind::Full, &[new]);
                     habits[me as usize].told_at = now.min(habits[me as usize].told_at);
                 }
             }
@@ -136,25 +145,26 @@
         let (node, habit) = (&mut nodes[me], &mut habits[me]);
         node.now = now;
         if habit.told_at > START && now >= habit.told_at {
-            node.roster(RosterKind::Changes, &[new]);
+            node.roster(EndpointUpdateKind::Changes, &[new]);
             habit.told_at = START;
         }
         let work = habit.work * mean * -rng.f64().max(1e-6).ln();
         if offer(node, step, work) == Some(0) {
             sends.push((now, work, habit.told_at <= now));
             // Answered at once, with a report: a dispatcher that knows nothing soon knows the kind's slots.
-            let report = Report { free_slots: Some(SLOTS), queue: Some(0.0), ..Report::default() };
+            let report = LoadReport { free_slots: Some(SLOTS), queue: Some(0.0), ..LoadReport::default() };
             node.report(step, 0, Outcome::Served, Some(report));
         }
     }
     let mut worst = Worst::default();
     for (i, &(from, ..)) in sends.iter().enumerate() {
-        let share = (from + base.fall_window / 2 - START) as f64 / base.cold_for as f64;
-        let grown = (base.cold_from + (1.0 - base.cold_from) * share) / base.cold_from;
+        let share = (from + base.overload_window / 2 - START) as f64 / base.slow_start_duration as f64;
+        let grown = (base.slow_start_initial_capacity + (1.0 - base.slow_start_initial_capacity) * share)
+            / base.slow_start_initial_capacity;
         let bears = calls * grown;
         let bears = bears + 2.0 * bears.sqrt() + 2.0;
         let (mut sum, mut count, mut told) = (0.0, 0.0, 0.0);
-        for &(_, work, knew) in sends[i..].iter().take_while(|of| of.0 < from + base.fall_window) {
+        for &(_, work, knew) in sends[i..].iter().take_while(|of| of.0 < from + base.overload_window) {
             sum += work / mean;
             count += 1.0;
             told += if knew { work / mean } else { 0.0 };
@@ -165,9 +175,10 @@
         }
     }
     // Capacity grows in a straight line: over the play, that of its middle.
-    let share = (PLAY / 2) as f64 / base.cold_for as f64;
-    let grown = (base.cold_from + (1.0 - base.cold_from) * share) / base.cold_from;
-    let budget = calls * grown * PLAY as f64 / base.fall_window as f64;
+    let share = (PLAY / 2) as f64 / base.slow_start_duration as f64;
+    let grown = (base.slow_start_initial_capacity + (1.0 - base.slow_start_initial_capacity) * share)
+        / base.slow_start_initial_capacity;
+    let budget = calls * grown * PLAY as f64 / base.overload_window as f64;
     worst.used = sends.iter().map(|of| of.1 / mean).sum::<f64>() / budget;
     worst
 }
@@ -255,7 +266,7 @@
         (3_001 * MS, own_start + 1, true),
     ] {
         node.now = own_start + at;
-        node.roster(RosterKind::Full, &[WorkerEntry { started_at: Some(from), ..entry(0) }]);
+        node.roster(EndpointUpdateKind::Full, &[Endpoint { started_at: Some(from), ..entry(0) }]);
         assert_eq!(offer(&mut node, at, 0.01).is_some(), sends, "at {at}, worker started at {from}");
     }
 }
@@ -270,7 +281,7 @@
         }
         node.now += SECOND;
         let started_at = Some(node.now - ago);
-        node.roster(RosterKind::Changes, &[WorkerEntry { started_at, ..entry(0) }]);
+        node.roster(EndpointUpdateKind::Changes, &[Endpoint { started_at, ..entry(0) }]);
         gets(&mut node)
     };
     let (before, since) = (sent_since(800 * MS), sent_since(1_200 * MS));
@@ -284,14 +295,14 @@
 fn some_quick_jobs_tell_a_new_dispatcher_how_many_share_a_budget() {
     let mut open = 0;
     for number in 0..30 {
-        let mut node = Node::new(Settings { number: Some(number), ..patient(30) }, &[entry(1)]);
+        let mut node = Node::new(Settings { instance_index: Some(number), ..patient(30) }, &[entry(1)]);
         for i in 0..5 {
             node.run(1_000_000 + i, 0.01, 0.01, None);
         }
         node.now += 5 * SECOND;
-        let new = WorkerEntry { started_at: Some(node.now), ..entry(0) };
-        let gone = WorkerEntry { state: WorkerState::Gone, ..entry(1) };
-        node.roster(RosterKind::Changes, &[new, gone]);
+        let new = Endpoint { started_at: Some(node.now), ..entry(0) };
+        let gone = Endpoint { state: WorkerState::Removed, ..entry(1) };
+        node.roster(EndpointUpdateKind::Changes, &[new, gone]);
         open += u32::from(offer(&mut node, 1, 0.01).is_some());
     }
     // Of 2.5 times 0.3 of one slot for 3 s, 225 jobs: 50 parts of four, or all of the fleet.
--- a/crates/event-log/src/fleet.rs
+++ b/crates/event-log/src/fleet.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 
 use crate::reader::Line;
-use crate::record::{Choice, Record, What};
+use crate::record::{Decision, EventKind, Record};
 
 /// Longest time that is told apart: a day, in microseconds.
 const LONGEST_US: u64 = 86_400_000_000;
@@ -100,27 +100,34 @@
         run.next = run.next.max(record.seq + 1);
         let now = record.unix_us;
         let second = self.seconds.entry(now / 1_000_000).or_default();
-        match &record.what {
-            What::RunStarted { name, .. } => {
+        match &record.event {
+            EventKind::RunStarted { name, .. } => {
                 self.names.insert(name.clone());
             }
-            What::FlowTaken { .. } => second.taken += 1,
-            What::Roster { form, .. } => second.lists += u64::from(form != "remembered"),
-            What::Decided { flow, choice } => match choice {
-                Choice::Send { estimate_us, .. } => {
+            EventKind::RequestAccepted { .. } => second.taken += 1,
+            EventKind::EndpointsChanged { form, .. } => second.lists += u64::from(form != "remembered"),
+            EventKind::Decided { request_id: flow, decision: choice } => match choice {
+                Decision::Send { estimate_us, .. } => {
                     run.estimates.insert(flow.clone(), *estimate_us);
                 }
-                Choice::Refuse { why, .. } => *second.refusals.entry(why.clone()).or_default() += 1,
-                Choice::Fail | Choice::Cancel { .. } => {}
+                Decision::Reject { reason: why, .. } => *second.refusals.entry(why.clone()).or_default() += 1,
+                Decision::Fail | Decision::Cancel { .. } => {}
             },
-            What::SchedulingSent { flow, attempt, real_server } => {
+            EventKind::AttemptSent { request_id: flow, attempt, worker: real_server } => {
                 second.sent += 1;
                 run.out.insert((flow.clone(), *attempt), run.estimates.remove(flow));
                 let worker = self.workers.entry(real_server.clone()).or_default();
                 worker.sent += 1;
                 worker.steps.push((now, 1));
             }
-            What::SchedulingEnded { flow, attempt, real_server, outcome, elapsed_us, .. } => {
+            EventKind::AttemptEnded {
+                request_id: flow,
+                attempt,
+                worker: real_server,
+                outcome,
+                elapsed_us,
+                ..
+            } => {
                 *second.ends.entry(outcome.clone()).or_default() += 1;
                 let worker = self.workers.entry(real_server.clone()).or_default();
                 *worker.ends.entry(outcome.clone()).or_default() += 1;
@@ -132,13 +139,13 @@
                     against.saturating_record(elapsed_us.saturating_mul(100) / estimate.max(1));
                 }
             }
-            What::Answered { answer, after_us, .. } => {
+            EventKind::Answered { answer, after_us, .. } => {
                 *second.answers.entry(answer.clone()).or_default() += 1;
                 if answer == "served" {
                     second.served_us.saturating_record(*after_us);
                 }
             }
-            What::RunEnded { .. } | What::Limit { .. } | What::Gap { .. } => {}
+            EventKind::RunEnded { .. } | EventKind::CounterReached { .. } | EventKind::Gap { .. } => {}
         }
     }
 
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -1,11 +1,11 @@
 //! What a scheduler did, as it happened: a typed stream of records, JSON lines, one a record.
 //!
-//! 1. The serving path hands a [`What`] to a [`Recorder`]. It gets its sequence number and both clocks
+//! 1. The serving path hands a [`EventKind`] to a [`writer::Recorder`]. It gets its sequence number and both clocks
 //!    there, and goes into a bounded queue; it never waits. A full queue drops it.
 //! 2. A thread of its own writes batches ([`writer`]). What could not be written is lost, and the
 //!    scheduler goes on.
 //! 3. Whatever was dropped or lost left its numbers out. The next record that is written has a
-//!    [`What::Gap`] before it that says how many are missing.
+//!    [`EventKind::Gap`] before it that says how many are missing.
 //! 4. A [`reader`] follows runs and numbers, so that it sees gaps and disorder, and takes a torn last
 //!    line for what it is.
 //!
--- a/crates/event-log/src/reader.rs
+++ b/crates/event-log/src/reader.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::record::{FORMAT, Record, What};
+use crate::record::{EventKind, FORMAT, Record};
 
 /// Longest line that is held in memory. Guards against a file of something else.
 const LONGEST: u64 = 1 << 20;
@@ -114,14 +114,14 @@
         return Line::Bad { why };
     }
     let kind = head.what["kind"].as_str().unwrap_or_default().to_owned();
-    match serde_json::from_value::<What>(head.what) {
+    match serde_json::from_value::<EventKind>(head.what) {
         Ok(what) => Line::Record(Record {
             v: head.v,
             run: head.run,
             seq: head.seq,
             unix_us: head.unix_us,
             mono_us: head.mono_us,
-            what,
+            event: what,
         }),
         Err(error) if error.to_string().starts_with("unknown variant") => {
             Line::Unknown { kind, run: head.run, seq: head.seq }
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -21,13 +21,14 @@
     /// When it happened, in microseconds since the run began. Never jumps.
     pub mono_us: u64,
     /// What happened.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub event: EventKind,
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum What {
+pub enum EventKind {
     /// A run of the program began.
     RunStarted {
         /// The scheduler's name.
@@ -41,16 +42,20 @@
         requests_left: u64,
     },
     /// The worker list changed.
-    Roster {
+    #[serde(rename = "roster")]
+    EndpointsChanged {
         /// `full`, `changes`, `remembered` or `failed`.
         form: String,
         /// The entries that were told.
-        entries: Vec<Entry>,
+        #[serde(rename = "entries")]
+        endpoints: Vec<EndpointEntry>,
     },
     /// A flow was taken.
-    FlowTaken {
+    #[serde(rename = "flow_taken")]
+    RequestAccepted {
         /// The flow's id, 16 hex digits.
-        flow: String,
+        #[serde(rename = "flow")]
+        request_id: String,
         /// Its class.
         class: String,
         /// The hint of its running time, in seconds.
@@ -65,28 +70,35 @@
     /// The decision module chose for a flow.
     Decided {
         /// The flow.
-        flow: String,
+        #[serde(rename = "flow")]
+        request_id: String,
         /// The choice.
         #[serde(flatten)]
-        choice: Choice,
+        decision: Decision,
     },
     /// A scheduling is handed over.
-    SchedulingSent {
+    #[serde(rename = "scheduling_sent")]
+    AttemptSent {
         /// The flow.
-        flow: String,
+        #[serde(rename = "flow")]
+        request_id: String,
         /// Which attempt, from 0.
         attempt: u32,
         /// The real server.
-        real_server: String,
+        #[serde(rename = "real_server")]
+        worker: String,
     },
     /// A scheduling ended.
-    SchedulingEnded {
+    #[serde(rename = "scheduling_ended")]
+    AttemptEnded {
         /// The flow.
-        flow: String,
+        #[serde(rename = "flow")]
+        request_id: String,
         /// Which attempt, from 0.
         attempt: u32,
         /// The real server.
-        real_server: String,
+        #[serde(rename = "real_server")]
+        worker: String,
         /// How, in the module's words.
         outcome: String,
         /// How long ago it was sent.
@@ -101,7 +113,8 @@
     /// The client got its final answer.
     Answered {
         /// The flow.
-        flow: String,
+        #[serde(rename = "flow")]
+        request_id: String,
         /// Its class.
         class: String,
         /// `served`, `refused`, `failed`, `repeated`, or `gone` where the client left first.
@@ -110,7 +123,8 @@
         after_us: u64,
     },
     /// Something that is counted happened its 1st, 2nd, 4th, 8th ... time: a limit, or a peer's mistake.
-    Limit {
+    #[serde(rename = "limit")]
+    CounterReached {
         /// What.
         what: String,
         /// How often so far.
@@ -126,20 +140,23 @@
 /// What the decision module chose.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "choice", rename_all = "snake_case")]
-pub enum Choice {
+pub enum Decision {
     /// To send it to a real server.
     Send {
         /// Which one.
-        real_server: String,
+        #[serde(rename = "real_server")]
+        worker: String,
         /// When it was to end there, from now.
         estimate_us: u64,
     },
     /// To turn it away.
-    Refuse {
+    #[serde(rename = "refuse")]
+    Reject {
         /// When the client may come back.
         retry_after_us: u64,
         /// `invalid`, `scarce`, `no_worker`, `late` or `spent`.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
         /// For `late`: by how much the lowest estimate exceeds the time left.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         late_by_us: Option<u64>,
@@ -155,9 +172,10 @@
 
 /// One line of the worker list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// The real server.
-    pub real_server: String,
+    #[serde(rename = "real_server")]
+    pub worker: String,
     /// `ready`, `draining` or `gone`.
     pub state: String,
     /// Its last start, in microseconds of Unix time; absent is long ago.
@@ -174,20 +192,20 @@
     pub size: Option<f64>,
 }
 
-impl What {
+impl EventKind {
     /// The kind's name, as it is written.
     pub fn kind(&self) -> &'static str {
         match self {
-            What::RunStarted { .. } => "run_started",
-            What::RunEnded { .. } => "run_ended",
-            What::Roster { .. } => "roster",
-            What::FlowTaken { .. } => "flow_taken",
-            What::Decided { .. } => "decided",
-            What::SchedulingSent { .. } => "scheduling_sent",
-            What::SchedulingEnded { .. } => "scheduling_ended",
-            What::Answered { .. } => "answered",
-            What::Limit { .. } => "limit",
-            What::Gap { .. } => "gap",
+            EventKind::RunStarted { .. } => "run_started",
+            EventKind::RunEnded { .. } => "run_ended",
+            EventKind::EndpointsChanged { .. } => "roster",
+            EventKind::RequestAccepted { .. } => "flow_taken",
+            EventKind::Decided { .. } => "decided",
+            EventKind::AttemptSent { .. } => "scheduling_sent",
+            EventKind::AttemptEnded { .. } => "scheduling_ended",
+            EventKind::Answered { .. } => "answered",
+            EventKind::CounterReached { .. } => "limit",
+            EventKind::Gap { .. } => "gap",
         }
     }
 }
--- a/crates/event-log/src/report.rs
+++ b/crates/event-log/src/report.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 
 use crate::reader::Line;
-use crate::record::{Choice, Record, What};
+use crate::record::{Decision, EventKind, Record};
 
 /// Clocks that differ by more than this over a run were set while it went on.
 const STEP_US: i128 = 1_000_000;
@@ -163,9 +163,9 @@
     }
 
     fn add(&mut self, record: &Record) {
-        let gap = if let What::Gap { dropped } = record.what { Some(dropped.max(1)) } else { None };
+        let gap = if let EventKind::Gap { dropped } = record.event { Some(dropped.max(1)) } else { None };
         self.number(record.seq, gap);
-        *self.kinds.entry(record.what.kind().to_owned()).or_default() += 1;
+        *self.kinds.entry(record.event.kind().to_owned()).or_default() += 1;
         let offset = i128::from(record.unix_us) - i128::from(record.mono_us);
         if self.offset.is_some_and(|old| (old - offset).abs() > STEP_US) {
             self.clock_steps += 1;
@@ -173,21 +173,23 @@
         self.offset = Some(offset);
         self.first_us = if self.kinds.values().sum::<u64>() == 1 { record.mono_us } else { self.first_us };
         self.last_us = self.last_us.max(record.mono_us);
-        match &record.what {
-            What::RunStarted { name, .. } => self.name = Some(name.clone()),
-            What::RunEnded { .. } => self.ended = true,
-            What::FlowTaken { class, .. } => self.classes.entry(class.clone()).or_default().taken += 1,
-            What::Answered { class, answer, after_us, .. } => {
+        match &record.event {
+            EventKind::RunStarted { name, .. } => self.name = Some(name.clone()),
+            EventKind::RunEnded { .. } => self.ended = true,
+            EventKind::RequestAccepted { class, .. } => {
+                self.classes.entry(class.clone()).or_default().taken += 1
+            }
+            EventKind::Answered { class, answer, after_us, .. } => {
                 let of = self.classes.entry(class.clone()).or_default();
                 *of.answers.entry(answer.clone()).or_default() += 1;
                 if answer == "served" {
                     of.served_us.saturating_record(*after_us);
                 }
             }
-            What::SchedulingEnded { outcome, .. } => {
+            EventKind::AttemptEnded { outcome, .. } => {
                 *self.outcomes.entry(outcome.clone()).or_default() += 1;
             }
-            What::Decided { choice: Choice::Refuse { why, .. }, .. } => {
+            EventKind::Decided { decision: Decision::Reject { reason: why, .. }, .. } => {
                 *self.refusals.entry(why.clone()).or_default() += 1;
             }
             _ => {}
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use crate::record::{FORMAT, Record, What};
+use crate::record::{EventKind, FORMAT, Record};
 
 /// A batch is written once it holds this much, or nothing more waits.
 const BATCH: usize = 64 * 1024;
@@ -80,7 +80,7 @@
     }
 
     /// Takes a record, or drops it if too many wait.
-    pub fn record(&self, what: What) {
+    pub fn record(&self, what: EventKind) {
         let Some(inner) = &self.0 else { return };
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mut queue = inner.queue.lock().unwrap_or_else(PoisonError::into_inner);
@@ -93,7 +93,7 @@
             seq: queue.0,
             unix_us: unix.as_micros() as u64,
             mono_us: inner.began.elapsed().as_micros() as u64,
-            what,
+            event: what,
         };
         queue.0 += 1;
         if queue.1.as_ref().is_some_and(|sender| sender.try_send(record).is_err()) {
@@ -315,8 +315,8 @@
 /// their numbers.
 fn push(lines: &mut Vec<u8>, record: &Record, next: u64) {
     if record.seq > next {
-        let what = What::Gap { dropped: record.seq - next };
-        line(lines, &Record { seq: record.seq - 1, what, ..record.clone() });
+        let what = EventKind::Gap { dropped: record.seq - next };
+        line(lines, &Record { seq: record.seq - 1, event: what, ..record.clone() });
     }
     line(lines, record);
 }
--- a/crates/event-log/tests/stream.rs
+++ b/crates/event-log/tests/stream.rs
@@ -7,7 +7,7 @@
 use copperspread_event_log::reader::{Line, Reader};
 use copperspread_event_log::report::Report;
 use copperspread_event_log::writer::{Counts, Recorder, Spec, Writer, aside, begin};
-use copperspread_event_log::{Choice, FORMAT, Record, What};
+use copperspread_event_log::{Decision, EventKind, FORMAT, Record};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -32,8 +32,8 @@
     }
 }
 
-fn limit(count: u64) -> What {
-    What::Limit { what: "x".repeat(40), count }
+fn limit(count: u64) -> EventKind {
+    EventKind::CounterReached { what: "x".repeat(40), count }
 }
 
 fn lines(bytes: &[u8]) -> Vec<Line> {
@@ -69,11 +69,11 @@
     let folder = Folder::new("back");
     for name in ["first", "second"] {
         let (recorder, writer) = begin(folder.spec(1 << 20, 4096)).expect("a file");
-        recorder.record(What::RunStarted { name: name.into(), program: "0".into() });
+        recorder.record(EventKind::RunStarted { name: name.into(), program: "0".into() });
         for count in 0..500 {
             recorder.record(limit(count));
         }
-        recorder.record(What::RunEnded { requests_left: 0 });
+        recorder.record(EventKind::RunEnded { requests_left: 0 });
         assert_eq!(end(&recorder, writer), Counts { written: 502, dropped: 0, lost: 0 });
         recorder.record(limit(0));
     }
@@ -123,7 +123,7 @@
     let told: u64 = lines
         .iter()
         .filter_map(|line| match line {
-            Line::Record(Record { what: What::Gap { dropped }, .. }) => Some(*dropped),
+            Line::Record(Record { event: EventKind::Gap { dropped }, .. }) => Some(*dropped),
             _ => None,
         })
         .sum();
@@ -212,7 +212,7 @@
     lines(&whole).iter().for_each(|line| report.add(1, line));
     assert_eq!((report.runs[0].missing, report.runs[0].disorder, report.bad_count), (0, 0, 0));
     let last = lines(&whole).pop().expect("a line");
-    assert!(matches!(last, Line::Record(Record { what: What::Limit { count: 399, .. }, .. })));
+    assert!(matches!(last, Line::Record(Record { event: EventKind::CounterReached { count: 399, .. }, .. })));
 }
 
 #[test]
@@ -242,8 +242,8 @@
     assert!(begin(Spec { file: folder.0.join("no/such"), ..folder.spec(1, 1) }).is_err());
 }
 
-fn record(seq: u64, what: What) -> Record {
-    Record { v: FORMAT, run: "r".into(), seq, unix_us: 1_000 + seq, mono_us: seq, what }
+fn record(seq: u64, what: EventKind) -> Record {
+    Record { v: FORMAT, run: "r".into(), seq, unix_us: 1_000 + seq, mono_us: seq, event: what }
 }
 
 fn text(record: &Record) -> String {
@@ -283,15 +283,15 @@
 fn a_report_tells_clock_steps_gaps_and_answers() {
     let answered = |seq, answer: &str, after_us| {
         let (flow, class, answer) = ("0".repeat(16), "once".to_owned(), answer.to_owned());
-        record(seq, What::Answered { flow, class, answer, after_us })
+        record(seq, EventKind::Answered { request_id: flow, class, answer, after_us })
     };
-    let refuse = Choice::Refuse { retry_after_us: 5, why: "late".into(), late_by_us: Some(5) };
+    let refuse = Decision::Reject { retry_after_us: 5, reason: "late".into(), late_by_us: Some(5) };
     let mut all = [
-        record(0, What::RunStarted { name: "n".into(), program: "1".into() }),
+        record(0, EventKind::RunStarted { name: "n".into(), program: "1".into() }),
         answered(1, "served", 10_000),
         answered(2, "served", 30_000),
-        record(6, What::Gap { dropped: 4 }),
-        record(7, What::Decided { flow: "f".into(), choice: refuse }),
+        record(6, EventKind::Gap { dropped: 4 }),
+        record(7, EventKind::Decided { request_id: "f".into(), decision: refuse }),
         answered(9, "refused", 100),
     ];
     all[5].unix_us -= 900;
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -1,26 +1,26 @@
 //! What the parts of one scheduler share.
 use std::sync::Arc;
 
-use copperspread_settings::NodeSettings;
+use copperspread_settings::ProxySettings;
 
 use crate::clock::Clock;
-use crate::event_recorder::Witness;
-use crate::policy_handle::Decisions;
-use crate::shutdown::Ending;
-use crate::upstream::Back;
+use crate::event_recorder::EventRecorder;
+use crate::policy_handle::PolicyHandle;
+use crate::shutdown::Shutdown;
+use crate::upstream::Upstream;
 
 /// One scheduler.
-pub struct Node {
+pub struct ProxyContext {
     /// The clock of all events.
     pub clock: Clock,
     /// The decision module and the way to the flows.
-    pub decisions: Arc<Decisions>,
+    pub policy: Arc<PolicyHandle>,
     /// The way to the real servers.
-    pub back: Arc<dyn Back>,
+    pub upstream: Arc<dyn Upstream>,
     /// The settings that concern the node.
-    pub settings: NodeSettings,
+    pub settings: ProxySettings,
     /// What tells the records.
-    pub witness: Arc<Witness>,
+    pub recorder: Arc<EventRecorder>,
     /// The node's own ending.
-    pub ending: Ending,
+    pub shutdown: Shutdown,
 }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -2,7 +2,7 @@
 //! `copperspread_settings::platform`; how it is fetched, only here.
 use bytes::Bytes;
 use copperspread_dispatcher::*;
-use copperspread_settings::{List, json, platform};
+use copperspread_settings::{EndpointList, json, platform};
 use futures_util::future::BoxFuture;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::http::uri::{Authority, Uri};
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use crate::clock::from_now;
-use crate::discovery::{Membership, Source};
+use crate::discovery::{EndpointPublisher, EndpointSource};
 use crate::invariant::note;
 
 /// Longest list that is read: some 10,000 entries, so that no fleet in sight reaches it, and a sixteenth
@@ -35,15 +35,15 @@
 pub const RETRY: (Micros, Micros) = (100_000, 200_000);
 
 /// The platform's discovery at an address, which may move.
-pub struct Targets {
+pub struct PlatformDiscovery {
     /// Where it is.
     pub address: watch::Receiver<Authority>,
     /// The version of the list that was remembered.
     pub known: Option<u64>,
 }
 
-impl Source for Targets {
-    fn follow(self: Box<Self>, membership: Membership) -> BoxFuture<'static, ()> {
+impl EndpointSource for PlatformDiscovery {
+    fn follow(self: Box<Self>, membership: EndpointPublisher) -> BoxFuture<'static, ()> {
         Box::pin(follow(self.address, self.known, membership))
     }
 }
@@ -73,12 +73,16 @@
 /// watch that broke is opened anew once before the module hears of it; after any other failure the next call
 /// is the module's to ask for. When discovery moves, what is under way is dropped and the new address is
 /// asked for the whole list.
-async fn follow(mut discovery: watch::Receiver<Authority>, known: Option<u64>, membership: Membership) {
+async fn follow(
+    mut discovery: watch::Receiver<Authority>,
+    known: Option<u64>,
+    membership: EndpointPublisher,
+) {
     let mut client = client();
     let mut address = discovery.borrow().clone();
     let mut revision = known;
     let mut wait = RETRY.0;
-    let on_request = membership.on_request();
+    let on_request = membership.is_polled();
     // The module is owed a word that its subscription has come about.
     let mut owed = on_request;
     // The module will ask in its own time: at the start, and once it has heard of a failure.
@@ -94,7 +98,7 @@
             // Guards against a connection to the old address that stays until it is closed there.
             client = self::client();
             // Guards against a new list that passes for old, as its revisions count anew.
-            membership.count_anew();
+            membership.reset_revision();
             revision = None;
             wait = RETRY.0;
             stands = false;
@@ -119,9 +123,9 @@
             Some(Ok(list)) => {
                 wait = RETRY.0;
                 stands = true;
-                let same = revision.is_some_and(|old| old == list.revision) && list.members.is_empty();
-                if let Some(told) = membership.take(&list).filter(|_| owed || list.complete || !same) {
-                    membership.tell(list.complete, &told);
+                let same = revision.is_some_and(|old| old == list.revision) && list.endpoints.is_empty();
+                if let Some(told) = membership.apply(&list).filter(|_| owed || list.complete || !same) {
+                    membership.publish(list.complete, &told);
                     (owed, waits) = (false, false);
                 }
                 // Guards against a list that is older than the table, and against a watch that is not
@@ -145,7 +149,7 @@
                     // Told once, and waited for until the module asks. Guards against a move in this wait
                     // from which two calls would be asked for after each failure, then three.
                     if !std::mem::replace(&mut waits, true) {
-                        membership.failed();
+                        membership.poll_failed();
                     }
                     owed = true;
                     waits = !asked(&mut discovery, &membership).await;
@@ -163,10 +167,10 @@
 
 /// Waits until the module asks for the list; false if discovery moved before. Guards against a wait for the
 /// old place, and against a word of the module that is lost: it stays for the next wait.
-async fn asked(discovery: &mut watch::Receiver<Authority>, membership: &Membership) -> bool {
+async fn asked(discovery: &mut watch::Receiver<Authority>, membership: &EndpointPublisher) -> bool {
     tokio::select! {
         biased;
-        () = membership.subscription() => true,
+        () = membership.subscription_requested() => true,
         Ok(()) = discovery.changed() => false,
     }
 }
@@ -177,7 +181,7 @@
     discovery: &Authority,
     path: &str,
     by: Instant,
-) -> Result<List, Fault> {
+) -> Result<EndpointList, Fault> {
     let answer = async {
         let uri = Uri::builder().scheme("http").authority(discovery.clone()).path_and_query(path);
         let request = Request::get(uri.build().map_err(broken)?);
@@ -188,7 +192,7 @@
         }
         let body = Limited::new(response.into_body(), LONGEST_BODY).collect().await;
         let value = json::parse_bytes(&body.map_err(broken)?.to_bytes()).map_err(broken)?;
-        platform::read_list(&value).map_err(broken)
+        platform::read_endpoint_list(&value).map_err(broken)
     };
     timeout_at(by, answer).await.unwrap_or_else(|_| Err(broken("fell silent")))
 }
--- a/crates/proxy/src/discovery/static_list.rs
+++ b/crates/proxy/src/discovery/static_list.rs
@@ -1,24 +1,24 @@
 //! A worker list that the configuration holds, until the configuration is read again.
-use copperspread_settings::List;
+use copperspread_settings::EndpointList;
 use futures_util::future::BoxFuture;
 use tokio::sync::watch;
 
-use crate::discovery::{Membership, Source};
+use crate::discovery::{EndpointPublisher, EndpointSource};
 
 /// The list as last configured. Its revision grows with each one; the sender counts.
-pub struct Fixed(pub watch::Receiver<List>);
+pub struct StaticEndpoints(pub watch::Receiver<EndpointList>);
 
-impl Source for Fixed {
-    fn follow(mut self: Box<Self>, membership: Membership) -> BoxFuture<'static, ()> {
+impl EndpointSource for StaticEndpoints {
+    fn follow(mut self: Box<Self>, membership: EndpointPublisher) -> BoxFuture<'static, ()> {
         Box::pin(async move {
             // Once: a subscription lasts, as nothing can fail here.
-            if membership.on_request() {
-                membership.subscription().await;
+            if membership.is_polled() {
+                membership.subscription_requested().await;
             }
             loop {
                 let list = self.0.borrow_and_update().clone();
-                if let Some(told) = membership.take(&list) {
-                    membership.tell(list.complete, &told);
+                if let Some(told) = membership.apply(&list) {
+                    membership.publish(list.complete, &told);
                 }
                 // The sender goes with the program; the list then stays.
                 if self.0.changed().await.is_err() {
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -29,11 +29,11 @@
 use tower_service::Service;
 
 use crate::clock::from_now;
-use crate::downstream::Front;
+use crate::downstream::Downstream;
 use crate::downstream::read_ahead::ReadAhead;
 use crate::invariant::note;
-use crate::messages::Room;
-use crate::shutdown::{Ending, Stage};
+use crate::messages::BodyPermit;
+use crate::shutdown::{Shutdown, ShutdownPhase};
 
 /// Longest body of a request.
 pub const LONGEST_BODY: usize = 64 * 1024;
@@ -65,14 +65,14 @@
 
 /// What a request may use up: time and memory for its body.
 #[derive(Clone)]
-pub struct Terms {
+pub struct RequestLimits {
     /// The body has come by then.
     pub body_by: Instant,
     room: Arc<Semaphore>,
     whole: Arc<AtomicBool>,
 }
 
-impl Terms {
+impl RequestLimits {
     /// The request has come to its last byte: what follows on its connection is no part of it, and its
     /// client is looked after until the answer.
     pub fn whole(&self) {
@@ -80,7 +80,7 @@
     }
 
     /// Waits for the room of a body of at most so many bytes.
-    pub async fn room(&self, size: usize) -> Room {
+    pub async fn room(&self, size: usize) -> BodyPermit {
         if size <= SMALL_BODY {
             return None;
         }
@@ -90,37 +90,37 @@
 }
 
 /// All edge connections of a node.
-pub struct Edge {
+pub struct ClientConnections {
     router: Router,
     /// Where call-backs come: they are no clients' requests.
     guest_path: &'static str,
-    ending: Ending,
+    ending: Shutdown,
     /// Moves to what takes connections, and closes with it.
     listener: Mutex<Option<TcpListener>>,
-    places: Arc<Places>,
+    places: Arc<ConnectionLimits>,
     room: Arc<Semaphore>,
     /// Requests that are being read or answered, and those of clients among them.
     busy: AtomicUsize,
     jobs: AtomicUsize,
 }
 
-impl Edge {
+impl ClientConnections {
     /// An edge that answers by a router, within limits.
     pub fn new(
         router: Router,
         guest_path: &'static str,
-        ending: Ending,
+        ending: Shutdown,
         listener: TcpListener,
         sockets: usize,
         memory_mb: f64,
-    ) -> Arc<Edge> {
-        let places = Places::new(places(sockets, memory_mb));
+    ) -> Arc<ClientConnections> {
+        let places = ConnectionLimits::new(max_connections(sockets, memory_mb));
         // A quarter of the memory, and one body in any case.
         let room = ((memory_mb * 1e6 / 4.0) as usize).max(LONGEST_BODY) / ROOM_UNIT;
         let room = Arc::new(Semaphore::new(room.min(Semaphore::MAX_PERMITS)));
         let (busy, jobs) = (AtomicUsize::new(0), AtomicUsize::new(0));
         let listener = Mutex::new(Some(listener));
-        Arc::new(Edge { router, guest_path, ending, listener, places, room, busy, jobs })
+        Arc::new(ClientConnections { router, guest_path, ending, listener, places, room, busy, jobs })
     }
 
     /// Clients' requests fill all places but the last, which are kept for call-backs.
@@ -136,7 +136,7 @@
         loop {
             let accepted = tokio::select! {
                 biased;
-                _ = ending.wait_for(|stage| matches!(stage, Stage::Closing(_))) => return,
+                _ = ending.wait_for(|stage| matches!(stage, ShutdownPhase::Closing(_))) => return,
                 accepted = listener.accept() => accepted,
             };
             match accepted {
@@ -156,7 +156,7 @@
     }
 
     /// Serves one edge connection until either side closes it.
-    async fn serve(self: &Arc<Self>, stream: TcpStream, place: Arc<Place>) {
+    async fn serve(self: &Arc<Self>, stream: TcpStream, place: Arc<ConnectionPermit>) {
         let _ = stream.set_nodelay(true);
         let stream = ReadAhead::new(stream);
         if !self.answer_all(&stream, &place).await {
@@ -172,7 +172,7 @@
 
     /// Answers one request after the other; whether the connection ends with an answer that its reader
     /// may not have yet, and is closed with care.
-    async fn answer_all(self: &Arc<Self>, stream: &ReadAhead, place: &Arc<Place>) -> bool {
+    async fn answer_all(self: &Arc<Self>, stream: &ReadAhead, place: &Arc<ConnectionPermit>) -> bool {
         let whole_by = from_now(FIRST_WITHIN);
         let used = Arc::new(AtomicBool::new(false));
         let whole = Arc::new(AtomicBool::new(false));
@@ -185,7 +185,8 @@
             Box::pin(async move {
                 place.becomes(State::Serving);
                 used.store(request.uri().path() != edge.guest_path, Ordering::Relaxed);
-                let terms = Terms { body_by, room: Arc::clone(&edge.room), whole: Arc::clone(&whole) };
+                let terms =
+                    RequestLimits { body_by, room: Arc::clone(&edge.room), whole: Arc::clone(&whole) };
                 let mut response = edge.answer(request.map(Body::new), &raw.take(), terms).await;
                 whole.store(false, Ordering::Relaxed);
                 // Guards against what came beyond the bytes that are kept: the rest is no request.
@@ -226,7 +227,7 @@
                 // may be on its way. So does a real server's, for its call-backs. A request that has begun to
                 // come is answered, and its connection closes with that.
                 _ = ending.changed() => {
-                    let all = matches!(self.ending.stage(), Stage::Closing(_));
+                    let all = matches!(self.ending.phase(), ShutdownPhase::Closing(_));
                     if place.is(State::Serving) || !(all || used.load(Ordering::Relaxed)) {
                         continue;
                     }
@@ -263,7 +264,7 @@
     }
 
     /// One request's answer, and whether the connection stays.
-    async fn answer(&self, mut request: Request, head: &[u8], terms: Terms) -> Response {
+    async fn answer(&self, mut request: Request, head: &[u8], terms: RequestLimits) -> Response {
         let _busy = Busy::new(&self.busy);
         let of_client = request.uri().path() != self.guest_path;
         let _job = of_client.then(|| Busy::new(&self.jobs));
@@ -282,14 +283,14 @@
             }
         };
         // Guards against clients that ask what cannot be and keep their place.
-        if self.ending.begun() || response.status().is_client_error() {
+        if self.ending.has_begun() || response.status().is_client_error() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 }
 
-impl Front for Edge {
+impl Downstream for ClientConnections {
     fn accept(self: Arc<Self>) -> BoxFuture<'static, ()> {
         Box::pin(self.take_all())
     }
@@ -358,7 +359,7 @@
 
 /// How many edge connections fit: a quarter of the descriptors is kept for real servers, discovery
 /// and files, and half of the memory for larger bodies and all else.
-pub fn places(sockets: usize, memory_mb: f64) -> usize {
+pub fn max_connections(sockets: usize, memory_mb: f64) -> usize {
     let by_sockets = (sockets - sockets / 4).saturating_sub(16);
     let by_memory = (memory_mb * 1e6 / 2.0) as usize / WEIGHT;
     by_sockets.min(by_memory).max(8)
@@ -379,31 +380,31 @@
     Closing,
 }
 
-struct Seat {
+struct ConnectionEntry {
     state: State,
     since: Instant,
     leave: Arc<Notify>,
 }
 
 /// The places of edge connections, by the order in which they came.
-struct Places {
+struct ConnectionLimits {
     most: usize,
-    seats: Mutex<(u64, BTreeMap<u64, Seat>)>,
+    seats: Mutex<(u64, BTreeMap<u64, ConnectionEntry>)>,
     freed: Notify,
 }
 
-impl Places {
-    fn new(most: usize) -> Arc<Places> {
-        Arc::new(Places { most, seats: Mutex::default(), freed: Notify::new() })
+impl ConnectionLimits {
+    fn new(most: usize) -> Arc<ConnectionLimits> {
+        Arc::new(ConnectionLimits { most, seats: Mutex::default(), freed: Notify::new() })
     }
 
-    fn seats(&self) -> MutexGuard<'_, (u64, BTreeMap<u64, Seat>)> {
+    fn seats(&self) -> MutexGuard<'_, (u64, BTreeMap<u64, ConnectionEntry>)> {
         self.seats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Waits for a place. When few are left, those leave that use theirs least, so that clients which
     /// come by the hundred and say nothing wait for each other and not the usual ones for them.
-    async fn take(self: &Arc<Self>) -> Place {
+    async fn take(self: &Arc<Self>) -> ConnectionPermit {
         loop {
             {
                 let (last, seats) = &mut *self.seats();
@@ -418,9 +419,13 @@
                 if seats.len() < self.most {
                     *last += 1;
                     let leave = Arc::new(Notify::new());
-                    let seat = Seat { state: State::New, since: Instant::now(), leave: Arc::clone(&leave) };
+                    let seat = ConnectionEntry {
+                        state: State::New,
+                        since: Instant::now(),
+                        leave: Arc::clone(&leave),
+                    };
                     seats.insert(*last, seat);
-                    return Place { places: Arc::clone(self), number: *last, leave };
+                    return ConnectionPermit { places: Arc::clone(self), number: *last, leave };
                 }
             }
             let _ = timeout_at(from_now(NOTICE), self.freed.notified()).await;
@@ -430,9 +435,9 @@
 
 /// Those that have said nothing, or have nothing more to hear, leave first, then those that stand
 /// between requests; each time the one that has done so for longest.
-fn tell_one_to_leave(seats: &mut BTreeMap<u64, Seat>) -> bool {
+fn tell_one_to_leave(seats: &mut BTreeMap<u64, ConnectionEntry>) -> bool {
     let grace = Duration::from_micros(GRACE);
-    let useless = |seat: &Seat| matches!(seat.state, State::New | State::Closing);
+    let useless = |seat: &ConnectionEntry| matches!(seat.state, State::New | State::Closing);
     let of_use = seats.values().all(|seat| !useless(seat));
     let candidates = seats.values_mut().filter(|seat| seat.since.elapsed() >= grace);
     let mut candidates = candidates.filter(|seat| useless(seat) || (of_use && seat.state == State::Idle));
@@ -445,13 +450,13 @@
 }
 
 /// One edge connection's place.
-struct Place {
-    places: Arc<Places>,
+struct ConnectionPermit {
+    places: Arc<ConnectionLimits>,
     number: u64,
     leave: Arc<Notify>,
 }
 
-impl Place {
+impl ConnectionPermit {
     fn becomes(&self, state: State) {
         if let Some(seat) = self.places.seats().1.get_mut(&self.number) {
             (seat.state, seat.since) = (state, Instant::now());
@@ -463,7 +468,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.places.seats().1.remove(&self.number);
         self.places.freed.notify_one();
--- a/crates/proxy/src/downstream/http.rs
+++ b/crates/proxy/src/downstream/http.rs
@@ -14,12 +14,12 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout_at};
 
-use crate::context::Node;
-use crate::downstream::client_connection::{Edge, LONGEST_BODY, Terms};
+use crate::context::ProxyContext;
+use crate::downstream::client_connection::{ClientConnections, LONGEST_BODY, RequestLimits};
 use crate::invariant::note;
-use crate::messages::{Answer, Demand, Order, Room, request_id};
+use crate::messages::{AdmissionRequest, BodyPermit, FinalResponse, UpstreamRequest, parse_request_id};
 use crate::request_task;
-use crate::shutdown::earlier;
+use crate::shutdown::effective_deadline;
 
 /// An answer is due this long before the client gives up: it covers the way of both messages and
 /// this process's own waits for its part of a core.
@@ -41,19 +41,19 @@
 /// Messages of another protocol that come to the clients' address: real servers have no other one to
 /// call back at.
 #[derive(Clone)]
-pub struct Guest {
+pub struct CallbackRoute {
     /// Where they come, by `POST`.
     pub path: &'static str,
     /// What takes them.
-    pub take: Arc<Take>,
+    pub take: Arc<CallbackHandler>,
 }
 
 /// Takes one message; the error says in words why it is none.
-pub type Take = dyn Fn(&[u8]) -> Result<(), String> + Send + Sync;
+pub type CallbackHandler = dyn Fn(&[u8]) -> Result<(), String> + Send + Sync;
 
 /// A page of the program's own at the clients' address, beside `/-/ready`.
 #[derive(Clone)]
-pub struct Page {
+pub struct StatusPage {
     /// Where it is, by `GET`.
     pub path: &'static str,
     /// Its text, JSON, made on each request; it waits for nothing.
@@ -62,38 +62,38 @@
 
 /// The front that speaks the platform's HTTP/1.1, on a listener and within the limits.
 pub fn front(
-    node: Arc<Node>,
-    guest: Guest,
-    pages: &[Page],
+    node: Arc<ProxyContext>,
+    guest: CallbackRoute,
+    pages: &[StatusPage],
     listener: TcpListener,
     sockets: usize,
     memory_mb: f64,
-) -> Arc<Edge> {
-    let ending = node.ending.clone();
+) -> Arc<ClientConnections> {
+    let ending = node.shutdown.clone();
     let guest_path = guest.path;
-    Edge::new(routes(node, guest, pages), guest_path, ending, listener, sockets, memory_mb)
+    ClientConnections::new(routes(node, guest, pages), guest_path, ending, listener, sockets, memory_mb)
 }
 
 /// What is answered where.
-pub fn routes(node: Arc<Node>, guest: Guest, pages: &[Page]) -> Router {
+pub fn routes(node: Arc<ProxyContext>, guest: CallbackRoute, pages: &[StatusPage]) -> Router {
     let own = Router::new()
         .route(guest.path, post(call_back).with_state(guest))
         .route("/-/ready", get(ready))
         .fallback(job)
         .with_state(node);
-    pages.iter().fold(own, |own, Page { path, json }| {
+    pages.iter().fold(own, |own, StatusPage { path, json }| {
         let json = Arc::clone(json);
         let answer = move || async move { ([(header::CONTENT_TYPE, "application/json")], json()) };
         own.route(path, get(answer))
     })
 }
 
-async fn ready(State(node): State<Arc<Node>>) -> StatusCode {
-    if node.ending.begun() { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK }
+async fn ready(State(node): State<Arc<ProxyContext>>) -> StatusCode {
+    if node.shutdown.has_begun() { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK }
 }
 
 /// Reads a body within its bound, its deadline and the room for bodies.
-async fn read_body(body: Body, terms: &Terms) -> Result<(Bytes, Room), StatusCode> {
+async fn read_body(body: Body, terms: &RequestLimits) -> Result<(Bytes, BodyPermit), StatusCode> {
     let size = hyper::body::Body::size_hint(&body);
     // A length that is announced too large is not waited for.
     if size.lower() > LONGEST_BODY as u64 {
@@ -114,8 +114,8 @@
 
 /// A guest's message. One that belongs to nothing any more is answered like the rest.
 async fn call_back(
-    State(guest): State<Guest>,
-    Extension(terms): Extension<Terms>,
+    State(guest): State<CallbackRoute>,
+    Extension(terms): Extension<RequestLimits>,
     request: Request,
 ) -> StatusCode {
     let (body, _room) = match read_body(request.into_body(), &terms).await {
@@ -133,8 +133,8 @@
 
 /// A client hands in a job and waits for its result.
 async fn job(
-    State(node): State<Arc<Node>>,
-    Extension(mut terms): Extension<Terms>,
+    State(node): State<Arc<ProxyContext>>,
+    Extension(mut terms): Extension<RequestLimits>,
     request: Request,
 ) -> Response {
     let arrived = Instant::now();
@@ -146,10 +146,11 @@
     if head.method != Method::POST {
         return (StatusCode::METHOD_NOT_ALLOWED, [(header::ALLOW, "POST")]).into_response();
     }
-    let effect = node.settings.effects[class];
+    let effect = node.settings.idempotency[class];
     let demanded = read_head(&head.headers, class as u32, &node.settings.tenants).and_then(|read| {
         // Guards against a keyed job that no real server can tell from another.
-        let keyless = matches!(effect, Effect::Keyed { .. }) && !head.headers.contains_key("idempotency-key");
+        let keyless = matches!(effect, Idempotency::IdempotentWithKey { .. })
+            && !head.headers.contains_key("idempotency-key");
         if keyless { Err("no Idempotency-Key".into()) } else { Ok(read) }
     });
     let Ok((mut job, id)) = demanded.map_err(|why| note("bad request", &why)) else {
@@ -157,7 +158,7 @@
     };
     // Guards against a job that comes while this node ends, cannot end here in time, and would fail then:
     // the module is told of the time that there is, and a client that is turned away can go elsewhere.
-    let deadline = earlier(arrived + Duration::from_micros(job.time_left), &node.ending.watch());
+    let deadline = effective_deadline(arrived + Duration::from_micros(job.time_left), &node.shutdown.watch());
     job.time_left = deadline.saturating_duration_since(arrived).as_micros() as Micros;
     terms.body_by = terms.body_by.min(deadline);
     let (body, room) = match read_body(body, &terms).await {
@@ -168,13 +169,25 @@
     let Some(path) = head.uri.path_and_query().cloned() else {
         return StatusCode::BAD_REQUEST.into_response();
     };
-    let order = Order { id, path, headers: passed_on(head.headers), effect, body, room };
-    let mut held = request_task::begin(&node, Demand { job, deadline, order });
+    let order = UpstreamRequest {
+        id,
+        path,
+        headers: passed_on(head.headers),
+        idempotency: effect,
+        body,
+        body_permit: room,
+    };
+    let mut held =
+        request_task::spawn(&node, AdmissionRequest { request: job, deadline, upstream_request: order });
     answer(&node, held.answer().await)
 }
 
 /// The job that a request's headers describe, and the request's id as written.
-fn read_head(headers: &HeaderMap, class: u32, tenants: &[String]) -> Result<(Job, String), String> {
+fn read_head(
+    headers: &HeaderMap,
+    class: u32,
+    tenants: &[String],
+) -> Result<(IncomingRequest, String), String> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim);
     // Guards against two ids, or two deadlines, of which the next reader may choose the other.
     for name in ["x-request-id", "x-timeout"] {
@@ -183,11 +196,11 @@
         }
     }
     let id = text("x-request-id").ok_or("no X-Request-ID")?;
-    let request = request_id(id).ok_or_else(|| format!("X-Request-ID {id:?}"))?;
+    let request = parse_request_id(id).ok_or_else(|| format!("X-Request-ID {id:?}"))?;
     let timeout = text("x-timeout").ok_or("no X-Timeout")?;
     let left = read_timeout(timeout).ok_or_else(|| format!("X-Timeout {timeout:?}"))?;
     let hint = text("x-cost").and_then(|cost| cost.parse::<f64>().ok());
-    let job = Job {
+    let job = IncomingRequest {
         request,
         class,
         tenant: text("x-tenant-id").map_or(tenants.len(), |of| which(of, tenants)) as u32,
@@ -234,16 +247,16 @@
 }
 
 /// The form of a final answer. 503 is said only where the module refused.
-fn answer(node: &Node, answer: Answer) -> Response {
+fn answer(node: &ProxyContext, answer: FinalResponse) -> Response {
     match answer {
-        Answer::Served(result) => result.into_response(),
-        Answer::Refused { retry_after } => {
+        FinalResponse::Served(result) => result.into_response(),
+        FinalResponse::Rejected { retry_after } => {
             // Guards against a client that waits for a node that ends: others may have room now.
-            let retry_after = if node.ending.begun() { 0 } else { retry_after };
+            let retry_after = if node.shutdown.has_begun() { 0 } else { retry_after };
             let after = retry_after.min(node.settings.max_retry_after) as f64 / SECOND as f64;
             (StatusCode::SERVICE_UNAVAILABLE, [(header::RETRY_AFTER, after.to_string())]).into_response()
         }
-        Answer::Failed => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
-        Answer::Repeated => StatusCode::BAD_REQUEST.into_response(),
+        FinalResponse::Failed => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
+        FinalResponse::Duplicate => StatusCode::BAD_REQUEST.into_response(),
     }
 }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -9,7 +9,7 @@
 
 /// A clients' protocol. It begins a flow for what it has taken and gives the final answer its form;
 /// it words no refusal of its own.
-pub trait Front: Send + Sync + 'static {
+pub trait Downstream: Send + Sync + 'static {
     /// Takes clients for good.
     fn accept(self: Arc<Self>) -> BoxFuture<'static, ()>;
 
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -4,18 +4,18 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use copperspread_dispatcher::*;
-use copperspread_settings::{List, NodeSettings, Phase, name_key};
+use copperspread_settings::{EndpointList, EndpointPhase, ProxySettings, name_key};
 use http::uri::Authority;
 
 /// Names told apart by small numbers, which are given out densely and kept for good.
 #[derive(Debug, Default)]
-struct Names {
+struct NameIndex {
     numbers: HashMap<String, u32>,
 }
 
-impl Names {
-    fn of(known: &[String]) -> Names {
-        let mut names = Names::default();
+impl NameIndex {
+    fn of(known: &[String]) -> NameIndex {
+        let mut names = NameIndex::default();
         for name in known {
             names.number(name);
         }
@@ -35,33 +35,33 @@
 #[derive(Debug)]
 struct Table {
     revision: u64,
-    ids: Names,
-    zones: Names,
-    kinds: Names,
+    ids: NameIndex,
+    zones: NameIndex,
+    kinds: NameIndex,
     /// By worker id: where it is now, and its phase.
-    entries: Vec<(Authority, Phase)>,
+    entries: Vec<(Authority, EndpointPhase)>,
     /// By worker id: its name.
     names: Vec<Arc<str>>,
 }
 
 /// The table of service entries. An entry may change its address; its worker id stays.
 #[derive(Debug)]
-pub struct ServiceEntries {
+pub struct EndpointTable {
     table: Mutex<Table>,
 }
 
-impl ServiceEntries {
+impl EndpointTable {
     /// An empty table that knows the settings' names of zones and kinds.
-    pub fn new(settings: &NodeSettings) -> ServiceEntries {
+    pub fn new(settings: &ProxySettings) -> EndpointTable {
         let table = Table {
             revision: 0,
-            ids: Names::default(),
-            zones: Names::of(&settings.zones),
-            kinds: Names::of(&settings.kinds),
+            ids: NameIndex::default(),
+            zones: NameIndex::of(&settings.zones),
+            kinds: NameIndex::of(&settings.kinds),
             entries: Vec::new(),
             names: Vec::new(),
         };
-        ServiceEntries { table: Mutex::new(table) }
+        EndpointTable { table: Mutex::new(table) }
     }
 
     fn table(&self) -> MutexGuard<'_, Table> {
@@ -69,24 +69,24 @@
     }
 
     /// Another discovery is asked from now on, which may count its revisions in another way.
-    pub fn count_anew(&self) {
+    pub fn reset_revision(&self) {
         self.table().revision = 0;
     }
 
     /// Takes a list into the table and returns its entries in the module's form, or nothing where
     /// the table already holds something newer.
-    pub fn take(&self, list: &List) -> Option<Vec<WorkerEntry>> {
+    pub fn apply(&self, list: &EndpointList) -> Option<Vec<Endpoint>> {
         let mut table = self.table();
         if list.revision < table.revision {
             return None;
         }
         table.revision = list.revision;
         if list.complete {
-            table.entries.iter_mut().for_each(|(_, phase)| *phase = Phase::Deleted);
+            table.entries.iter_mut().for_each(|(_, phase)| *phase = EndpointPhase::Deleted);
         }
         let table = &mut *table;
-        let mut entries = Vec::with_capacity(list.members.len());
-        for member in &list.members {
+        let mut entries = Vec::with_capacity(list.endpoints.len());
+        for member in &list.endpoints {
             let number = table.ids.number(&member.id);
             let entry = (member.address.clone(), member.phase);
             match table.entries.get_mut(number as usize) {
@@ -96,33 +96,33 @@
                     table.names.push(member.id.as_str().into());
                 }
             }
-            entries.push(WorkerEntry {
+            entries.push(Endpoint {
                 worker: WorkerId(number),
                 zone: table.zones.number(&member.zone),
                 kind: table.kinds.number(&member.kind),
                 cell: member.cell,
                 state: match member.phase {
-                    Phase::Serving => WorkerState::Ready,
-                    Phase::Draining => WorkerState::Draining,
-                    Phase::Deleted => WorkerState::Gone,
+                    EndpointPhase::Serving => WorkerState::Ready,
+                    EndpointPhase::Draining => WorkerState::Draining,
+                    EndpointPhase::Deleted => WorkerState::Removed,
                 },
                 started_at: member.started_at,
                 size: member.size,
-                key: name_key(&member.id),
+                hash_key: name_key(&member.id),
             });
         }
         Some(entries)
     }
 
     /// Where a real server listens now, while it takes new work.
-    pub fn serving(&self, worker: WorkerId) -> Option<Authority> {
+    pub fn serving_address(&self, worker: WorkerId) -> Option<Authority> {
         let table = self.table();
         let (address, phase) = table.entries.get(worker.0 as usize)?;
-        (*phase == Phase::Serving).then(|| address.clone())
+        (*phase == EndpointPhase::Serving).then(|| address.clone())
     }
 
     /// Where a real server was last known to listen, whatever its phase.
-    pub fn address(&self, worker: WorkerId) -> Option<Authority> {
+    pub fn last_known_address(&self, worker: WorkerId) -> Option<Authority> {
         self.table().entries.get(worker.0 as usize).map(|(address, _)| address.clone())
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// The worker id of a real server's name.
-    pub fn worker(&self, name: &str) -> Option<WorkerId> {
+    pub fn worker_by_name(&self, name: &str) -> Option<WorkerId> {
         self.table().ids.numbers.get(name).copied().map(WorkerId)
     }
 }
--- a/crates/proxy/src/event_recorder.rs
+++ b/crates/proxy/src/event_recorder.rs
@@ -4,15 +4,15 @@
 
 use copperspread_dispatcher::*;
 use copperspread_event_log::writer::Recorder;
-use copperspread_event_log::{Choice, Entry, What};
-use copperspread_settings::NodeSettings;
+use copperspread_event_log::{Decision, EndpointEntry, EventKind};
+use copperspread_settings::ProxySettings;
 
-use crate::endpoints::ServiceEntries;
+use crate::endpoints::EndpointTable;
 
 /// What sees all that is worth a record.
-pub struct Witness {
+pub struct EventRecorder {
     recorder: Recorder,
-    entries: Arc<ServiceEntries>,
+    endpoints: Arc<EndpointTable>,
     classes: Vec<String>,
 }
 
@@ -20,20 +20,24 @@
     format!("{:016x}", request.0)
 }
 
-impl Witness {
+impl EventRecorder {
     /// Tells a recorder, with the names that the table and the settings have.
-    pub fn new(recorder: Recorder, entries: Arc<ServiceEntries>, settings: &NodeSettings) -> Arc<Witness> {
-        Arc::new(Witness { recorder, entries, classes: settings.classes.clone() })
+    pub fn new(
+        recorder: Recorder,
+        entries: Arc<EndpointTable>,
+        settings: &ProxySettings,
+    ) -> Arc<EventRecorder> {
+        Arc::new(EventRecorder { recorder, endpoints: entries, classes: settings.classes.clone() })
     }
 
-    fn tell(&self, what: impl FnOnce() -> What) {
+    fn record(&self, what: impl FnOnce() -> EventKind) {
         if self.recorder.is_on() {
             self.recorder.record(what());
         }
     }
 
     fn name(&self, worker: WorkerId) -> String {
-        self.entries.name(worker).to_string()
+        self.endpoints.name(worker).to_string()
     }
 
     fn class(&self, class: u32) -> String {
@@ -41,23 +45,23 @@
     }
 
     /// The worker list changed.
-    pub fn roster(&self, kind: RosterKind, entries: &[WorkerEntry]) {
+    pub fn endpoints_changed(&self, kind: EndpointUpdateKind, entries: &[Endpoint]) {
         let form = match kind {
-            RosterKind::Changes => "changes",
-            RosterKind::Full => "full",
-            RosterKind::Remembered => "remembered",
-            RosterKind::Failed => "failed",
+            EndpointUpdateKind::Changes => "changes",
+            EndpointUpdateKind::Full => "full",
+            EndpointUpdateKind::Cached => "remembered",
+            EndpointUpdateKind::Failed => "failed",
         };
         // An empty answer of a watch changes nothing.
-        if kind == RosterKind::Changes && entries.is_empty() {
+        if kind == EndpointUpdateKind::Changes && entries.is_empty() {
             return;
         }
-        let entry = |entry: &WorkerEntry| Entry {
-            real_server: self.name(entry.worker),
+        let entry = |entry: &Endpoint| EndpointEntry {
+            worker: self.name(entry.worker),
             state: match entry.state {
                 WorkerState::Ready => "ready",
                 WorkerState::Draining => "draining",
-                WorkerState::Gone => "gone",
+                WorkerState::Removed => "gone",
             }
             .into(),
             started_us: entry.started_at,
@@ -65,13 +69,16 @@
             zone: entry.zone,
             size: entry.size,
         };
-        self.tell(|| What::Roster { form: form.into(), entries: entries.iter().map(entry).collect() });
+        self.record(|| EventKind::EndpointsChanged {
+            form: form.into(),
+            endpoints: entries.iter().map(entry).collect(),
+        });
     }
 
     /// A flow was taken.
-    pub fn taken(&self, job: &Job) {
-        self.tell(|| What::FlowTaken {
-            flow: id(job.request),
+    pub fn request_accepted(&self, job: &IncomingRequest) {
+        self.record(|| EventKind::RequestAccepted {
+            request_id: id(job.request),
             class: self.class(job.class),
             cost_hint_s: job.cost_hint,
             slots: job.slots,
@@ -80,54 +87,54 @@
     }
 
     /// The module chose.
-    pub fn decided(&self, action: &Action) {
+    pub fn action_decided(&self, action: &Action) {
         if !self.recorder.is_on() {
             return;
         }
         let (request, choice) = match action {
             Action::Send { request, worker, estimate } => {
-                (request, Choice::Send { real_server: self.name(*worker), estimate_us: *estimate })
+                (request, Decision::Send { worker: self.name(*worker), estimate_us: *estimate })
             }
-            Action::Refuse { request, retry_after, why } => {
+            Action::Reject { request, retry_after, reason: why } => {
                 let (why, late_by_us) = match why {
-                    Refusal::Invalid => ("invalid", None),
-                    Refusal::Scarce => ("scarce", None),
-                    Refusal::NoWorker => ("no_worker", None),
-                    Refusal::Late(excess) => ("late", Some(*excess)),
-                    Refusal::Spent => ("spent", None),
+                    Rejection::Invalid => ("invalid", None),
+                    Rejection::Overloaded => ("scarce", None),
+                    Rejection::NoEligibleWorker => ("no_worker", None),
+                    Rejection::TooLate(excess) => ("late", Some(*excess)),
+                    Rejection::AttemptsExhausted => ("spent", None),
                 };
                 let why = why.into();
-                (request, Choice::Refuse { retry_after_us: *retry_after, why, late_by_us })
+                (request, Decision::Reject { retry_after_us: *retry_after, reason: why, late_by_us })
             }
-            Action::Fail { request } => (request, Choice::Fail),
-            Action::Cancel { request, attempt } => (request, Choice::Cancel { attempt: *attempt }),
-            Action::Wake { .. } | Action::Subscribe | Action::Probe { .. } => return,
+            Action::Fail { request } => (request, Decision::Fail),
+            Action::Cancel { request, attempt } => (request, Decision::Cancel { attempt: *attempt }),
+            Action::StartTimer { .. } | Action::Subscribe | Action::QueryLoad { .. } => return,
         };
-        self.recorder.record(What::Decided { flow: id(*request), choice });
+        self.recorder.record(EventKind::Decided { request_id: id(*request), decision: choice });
     }
 
     /// A scheduling is handed over.
-    pub fn sent(&self, request: RequestId, attempt: u32, worker: WorkerId) {
+    pub fn attempt_sent(&self, request: RequestId, attempt: u32, worker: WorkerId) {
         let real_server = || self.name(worker);
-        self.tell(|| What::SchedulingSent { flow: id(request), attempt, real_server: real_server() });
+        self.record(|| EventKind::AttemptSent { request_id: id(request), attempt, worker: real_server() });
     }
 
     /// A scheduling ended.
-    pub fn ended(&self, end: &AttemptOutcome, worker: WorkerId) {
+    pub fn attempt_ended(&self, end: &AttemptOutcome, worker: WorkerId) {
         let outcome = match end.outcome {
             Outcome::Served => "served",
             Outcome::Error => "error",
-            Outcome::Full => "full",
+            Outcome::Rejected => "full",
             Outcome::TimedOut => "timed_out",
             Outcome::ConnectFailed => "connect_failed",
             Outcome::Reset => "reset",
             Outcome::Cancelled => "cancelled",
-            Outcome::Moot => "moot",
+            Outcome::Superseded => "moot",
         };
-        self.tell(|| What::SchedulingEnded {
-            flow: id(end.request),
+        self.record(|| EventKind::AttemptEnded {
+            request_id: id(end.request),
             attempt: end.attempt,
-            real_server: self.name(worker),
+            worker: self.name(worker),
             outcome: outcome.into(),
             elapsed_us: end.elapsed,
             free_slots: end.report.and_then(|report| report.free_slots),
@@ -136,9 +143,9 @@
     }
 
     /// The client got its final answer, or left before.
-    pub fn answered(&self, job: &Job, answer: &'static str, after: Micros) {
-        self.tell(|| What::Answered {
-            flow: id(job.request),
+    pub fn response_sent(&self, job: &IncomingRequest, answer: &'static str, after: Micros) {
+        self.record(|| EventKind::Answered {
+            request_id: id(job.request),
             class: self.class(job.class),
             answer: answer.into(),
             after_us: after,
@@ -146,7 +153,7 @@
     }
 
     /// Something that is counted happened once more.
-    pub fn limit(&self, what: &'static str, count: u64) {
-        self.tell(|| What::Limit { what: what.into(), count });
+    pub fn counter_reached(&self, what: &'static str, count: u64) {
+        self.record(|| EventKind::CounterReached { what: what.into(), count });
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,20 +3,20 @@
 //! is turned away: that is the module's, for every door.
 //!
 //! ```text
-//!   front::http ─┐                                    ┌─ back::http
+//!   downstream::http ─┐                                    ┌─ upstream::http
 //!   (a Front)    ├─► flow ─► decisions ─► flow ─► Back ┤
-//!   another one ─┘   Demand   (module)    Handed       └─ another one
+//!   another one ─┘   admission  (policy)  result       └─ another one
 //!                    Answer      ▲
 //!                                │ Membership
-//!                        source::targets, source::fixed (each a Source)
+//!                        discovery::platform, discovery::static_list (each a Source)
 //! ```
 //!
-//! * A *front* speaks a clients' protocol: it makes an [`order::Demand`], begins a flow with it and
-//!   gives the [`order::Answer`] its form.
+//! * A *front* speaks a clients' protocol: it makes an [`messages::AdmissionRequest`], begins a flow with it and
+//!   gives the [`messages::FinalResponse`] its form.
 //! * A *back* speaks a workers' protocol: it hands one scheduling over and turns what comes back into
-//!   [`order::Handed`] or [`order::News`].
+//!   [`messages::DispatchResult`] or [`messages::WorkerEvent`].
 //! * A *source* turns its own form of a worker list into service entries, through
-//!   [`source::Membership`].
+//!   [`discovery::Membership`].
 //!
 //! The modules use one another in one direction only; `tests/module_dependencies.rs` holds that.
 pub mod assembly;
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -4,60 +4,60 @@
 
 /// How far a node's life has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Stage {
+pub enum ShutdownPhase {
     /// It takes whatever comes.
     #[default]
-    Serving,
+    Running,
     /// It has been told to end: what was taken, and what still comes, is answered by this instant.
-    Answering(Instant),
+    Draining(Instant),
     /// All is answered, by this instant at the latest; edge connections close, and no more are taken.
     Closing(Instant),
 }
 
 /// The node's own ending.
 #[derive(Clone, Default)]
-pub struct Ending {
-    stage: watch::Sender<Stage>,
+pub struct Shutdown {
+    phase: watch::Sender<ShutdownPhase>,
 }
 
 /// A view of the ending.
-pub type EndingWatch = watch::Receiver<Stage>;
+pub type ShutdownWatch = watch::Receiver<ShutdownPhase>;
 
-impl Ending {
+impl Shutdown {
     /// Begins the ending: all is answered by this instant.
     pub fn begin(&self, by: Instant) {
-        self.stage.send_replace(Stage::Answering(by));
+        self.phase.send_replace(ShutdownPhase::Draining(by));
     }
 
     /// Closes the edge connections, as the last thing before the end.
     pub fn close(&self) {
-        self.stage.send_modify(|stage| {
-            if let Stage::Answering(by) = *stage {
-                *stage = Stage::Closing(by);
+        self.phase.send_modify(|stage| {
+            if let ShutdownPhase::Draining(by) = *stage {
+                *stage = ShutdownPhase::Closing(by);
             }
         });
     }
 
     /// How far it has come.
-    pub fn stage(&self) -> Stage {
-        *self.stage.borrow()
+    pub fn phase(&self) -> ShutdownPhase {
+        *self.phase.borrow()
     }
 
     /// Whether it has begun.
-    pub fn begun(&self) -> bool {
-        self.stage() != Stage::Serving
+    pub fn has_begun(&self) -> bool {
+        self.phase() != ShutdownPhase::Running
     }
 
     /// Tells when it goes on.
-    pub fn watch(&self) -> EndingWatch {
-        self.stage.subscribe()
+    pub fn watch(&self) -> ShutdownWatch {
+        self.phase.subscribe()
     }
 }
 
 /// A deadline, or the end of the node if that comes first.
-pub fn earlier(deadline: Instant, ending: &EndingWatch) -> Instant {
+pub fn effective_deadline(deadline: Instant, ending: &ShutdownWatch) -> Instant {
     match *ending.borrow() {
-        Stage::Serving => deadline,
-        Stage::Answering(by) | Stage::Closing(by) => by.min(deadline),
+        ShutdownPhase::Running => deadline,
+        ShutdownPhase::Draining(by) | ShutdownPhase::Closing(by) => by.min(deadline),
     }
 }
