--- a/crates/proxy/src/upstream/http.rs
+++ b/crates/proxy/src/upstream/http.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use copperspread_dispatcher::*;
-use copperspread_settings::NodeSettings;
+use copperspread_settings::ProxySettings;
 use copperspread_settings::json::{self, field, need, number, text};
 use futures_util::future::BoxFuture;
 use http_body_util::{BodyExt, Full, Limited};
@@ -29,14 +29,14 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::clock::from_now;
-use crate::endpoints::ServiceEntries;
+use crate::endpoints::EndpointTable;
 use crate::invariant::note;
-use crate::messages::{Handed, News, Order, Wanted, request_id};
-use crate::policy_handle::Decisions;
-use crate::upstream::Back;
+use crate::messages::{DispatchPermission, DispatchResult, UpstreamRequest, WorkerEvent, parse_request_id};
+use crate::policy_handle::PolicyHandle;
+use crate::upstream::Upstream;
 
 /// Where real servers call back.
-pub const CALL_BACK_PATH: &str = "/_jobs/news";
+pub const CALLBACK_PATH: &str = "/_jobs/news";
 /// Where real servers are probed.
 const PROBE_PATH: &str = "/-/load";
 /// A probe that is late is let go on for so long.
@@ -63,34 +63,35 @@
 
 /// A call-back: whose scheduling, at which real server, and what became of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CallBack {
+pub struct Callback {
     /// The flow.
     pub request: RequestId,
     /// The real server's name.
     pub from: String,
     /// The news.
-    pub news: News,
+    pub news: WorkerEvent,
 }
 
 /// Reads a call-back.
-pub fn read_call_back(body: &[u8]) -> Result<CallBack, String> {
+pub fn parse_callback(body: &[u8]) -> Result<Callback, String> {
     let value = json::parse_bytes(body)?;
     let id = need(text(&value, "id"), "id")?;
-    let ended = |outcome, result| News::Ended(outcome, result, field(&value, "load").and_then(load_object));
+    let ended =
+        |outcome, result| WorkerEvent::Ended(outcome, result, field(&value, "load").and_then(load_object));
     let news = match need(text(&value, "state"), "state")? {
-        "started" => News::Progress(Progress::Started),
-        "running" => News::Progress(Progress::Done(need(number(&value, "share"), "share")?)),
+        "started" => WorkerEvent::Progress(Progress::Started),
+        "running" => WorkerEvent::Progress(Progress::Done(need(number(&value, "share"), "share")?)),
         "done" => {
             let result = need(text(&value, "result"), "result")?;
             ended(Outcome::Served, Some(Bytes::copy_from_slice(result.as_bytes())))
         }
         "failed" => ended(Outcome::Error, None),
-        "returned" => ended(Outcome::Full, None),
+        "returned" => ended(Outcome::Rejected, None),
         "lost" => ended(Outcome::Reset, None),
         other => return Err(format!("unknown state {other:?}")),
     };
-    Ok(CallBack {
-        request: request_id(id).ok_or_else(|| format!("id {id:?} is not 16 hex digits"))?,
+    Ok(Callback {
+        request: parse_request_id(id).ok_or_else(|| format!("id {id:?} is not 16 hex digits"))?,
         from: need(text(&value, "from"), "from")?.to_owned(),
         news,
     })
@@ -98,20 +99,20 @@
 
 /// What takes the real servers' call-backs, wherever these come in. One that belongs to no flow any
 /// more is taken like the rest.
-pub fn call_backs(
-    entries: Arc<ServiceEntries>,
-    decisions: Arc<Decisions>,
+pub fn callback_handler(
+    entries: Arc<EndpointTable>,
+    decisions: Arc<PolicyHandle>,
 ) -> impl Fn(&[u8]) -> Result<(), String> + Send + Sync {
     move |body| {
-        let told = read_call_back(body)?;
-        if let Some(worker) = entries.worker(&told.from) {
-            decisions.news(told.request, worker, told.news);
+        let told = parse_callback(body)?;
+        if let Some(worker) = entries.worker_by_name(&told.from) {
+            decisions.deliver_worker_event(told.request, worker, told.news);
         }
         Ok(())
     }
 }
 
-fn set(report: &mut Report, name: &str, value: f64) {
+fn set(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "queue" | "waiting" => report.queue = Some(value),
         "inflight" | "active" => report.inflight = Some(value),
@@ -123,9 +124,9 @@
 }
 
 /// A load report as an object; a garbled one counts as none.
-fn load_object(load: &JsonValue) -> Option<Report> {
+fn load_object(load: &JsonValue) -> Option<LoadReport> {
     let fields: &std::collections::HashMap<String, JsonValue> = load.get()?;
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for (name, value) in fields {
         let value: &f64 = value.get()?;
         if !value.is_finite() {
@@ -137,9 +138,9 @@
 }
 
 /// A load report as a header's value; a garbled one counts as none.
-pub fn load_header(value: &str) -> Option<Report> {
+pub fn load_header(value: &str) -> Option<LoadReport> {
     let pairs = value.trim().strip_prefix("TEXT")?;
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for pair in pairs.split(',') {
         let (name, value) = pair.split_once('=')?;
         let value: f64 = value.trim().parse().ok().filter(|value: &f64| value.is_finite())?;
@@ -149,7 +150,7 @@
 }
 
 /// The load report that a probe's answer brings: in its body, as an object or as in the header, or there.
-pub fn load_answer(headers: &HeaderMap, body: &[u8]) -> Option<Report> {
+pub fn load_answer(headers: &HeaderMap, body: &[u8]) -> Option<LoadReport> {
     let header = headers.get("x-server-load").and_then(|value| value.to_str().ok());
     let object = json::parse_bytes(body).ok();
     let object = object.as_ref().and_then(|object| load_object(field(object, "load").unwrap_or(object)));
@@ -162,7 +163,7 @@
     let not_run = headers.get("x-not-processed").is_some_and(|value| value == "1");
     match status {
         StatusCode::ACCEPTED => None,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Some(Outcome::Full),
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Some(Outcome::Rejected),
         // Any other word leaves open whether it ran.
         _ => Some(Outcome::Error),
     }
@@ -173,9 +174,9 @@
 /// it is a reset.
 fn broken(error: &Error) -> Outcome {
     let cause = error.source().and_then(|source| source.downcast_ref::<hyper::Error>());
-    let withheld = cause.and_then(|cause| cause.source()).is_some_and(|source| source.is::<Withheld>());
+    let withheld = cause.and_then(|cause| cause.source()).is_some_and(|source| source.is::<BodyWithheld>());
     match cause {
-        _ if withheld => Outcome::Moot,
+        _ if withheld => Outcome::Superseded,
         _ if error.is_connect() => Outcome::ConnectFailed,
         Some(cause) if cause.is_canceled() => Outcome::ConnectFailed,
         _ => Outcome::Reset,
@@ -183,34 +184,34 @@
 }
 
 /// Until when, and while which service entry serves where, a hand-over may be written that is wanted.
-struct Leave {
-    wanted: Wanted,
-    entries: Arc<ServiceEntries>,
+struct WriteGuard {
+    wanted: DispatchPermission,
+    entries: Arc<EndpointTable>,
     worker: WorkerId,
     address: Authority,
     until: Instant,
 }
 
-impl Leave {
+impl WriteGuard {
     fn holds(&self) -> bool {
         let there = |address| address == self.address;
-        self.wanted.holds()
+        self.wanted.is_valid()
             && Instant::now() < self.until
-            && self.entries.serving(self.worker).is_some_and(there)
+            && self.entries.serving_address(self.worker).is_some_and(there)
     }
 }
 
 /// Why a body was not given out.
 #[derive(Debug)]
-struct Withheld;
+struct BodyWithheld;
 
-impl std::fmt::Display for Withheld {
+impl std::fmt::Display for BodyWithheld {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("its time is over, nobody waits for it, or its real server takes nothing new there")
     }
 }
 
-impl std::error::Error for Withheld {}
+impl std::error::Error for BodyWithheld {}
 
 /// A request's body, which a connection's task asks for in the step that writes the head, and before any
 /// of it is flushed. Guards against a hand-over that waited for its connection, new or kept, while
@@ -218,19 +219,19 @@
 /// it never runs.
 struct GuardedBody {
     body: Full<Bytes>,
-    leave: Option<Leave>,
+    leave: Option<WriteGuard>,
 }
 
 impl Body for GuardedBody {
     type Data = Bytes;
-    type Error = Withheld;
+    type Error = BodyWithheld;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Withheld>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyWithheld>>> {
         if self.leave.take().is_some_and(|leave| !leave.holds()) {
-            return Poll::Ready(Some(Err(Withheld)));
+            return Poll::Ready(Some(Err(BodyWithheld)));
         }
         Pin::new(&mut self.body).poll_frame(context).map_err(|never| match never {})
     }
@@ -248,33 +249,33 @@
 }
 
 /// How long an idle connection is kept here, when the real servers keep theirs for so long.
-pub fn kept_idle(keepalive: Micros) -> Micros {
+pub fn idle_timeout(keepalive: Micros) -> Micros {
     ((keepalive as f64 * KEEP_SHARE) as Micros).min(keepalive.saturating_sub(KEEP_MARGIN))
 }
 
 /// Most hand-overs under way at once, for a process of so many descriptors.
-pub fn hand_overs(sockets: usize) -> usize {
+pub fn max_dispatches(sockets: usize) -> usize {
     (sockets / 8).max(4)
 }
 
 /// Most probes under way at once, beside the hand-overs. Guards against probes that take a job's place.
-pub fn probes(sockets: usize) -> usize {
+pub fn max_load_queries(sockets: usize) -> usize {
     (sockets / 48).clamp(4, 12)
 }
 
 /// Most idle connections kept to one real server. Guards against two dozen real servers whose idle
 /// connections hold the descriptors that edge connections count on.
-pub fn idle_most(sockets: usize) -> usize {
+pub fn max_idle_per_worker(sockets: usize) -> usize {
     (sockets / 192).clamp(1, 8)
 }
 
 /// Whether a job that may have run may go on at any real server.
-fn goes_anywhere(effect: Effect) -> bool {
-    matches!(effect, Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. })
+fn goes_anywhere(effect: Idempotency) -> bool {
+    matches!(effect, Idempotency::Idempotent | Idempotency::IdempotentWithKey { scope: KeyScope::All, .. })
 }
 
 /// How a connection carried a request.
-enum Carried {
+enum ConnectionUse {
     /// It brought the usual answer, and carries the next one.
     Well,
     /// It brought another answer, and carries no more.
@@ -284,7 +285,7 @@
 }
 
 /// What is known of kept connections: who used them last, and whether they can be relied on.
-struct Kept {
+struct ConnectionReuse {
     used: HashMap<SocketAddr, Instant>,
     doubted_until: Option<Instant>,
 }
@@ -297,61 +298,61 @@
 }
 
 /// The client's side of all real servers.
-pub struct RealServers {
+pub struct HttpUpstream {
     client: Client<HttpConnector, GuardedBody>,
     /// Opens a connection for each request.
-    anew: Client<HttpConnector, GuardedBody>,
-    kept: Mutex<Kept>,
-    keepalive: Duration,
+    fresh_client: Client<HttpConnector, GuardedBody>,
+    connection_reuse: Mutex<ConnectionReuse>,
+    keep_alive_timeout: Duration,
     /// A hand-over of a keyed job that may have run before is written within this, or not at all.
-    written_within: Duration,
-    entries: Arc<ServiceEntries>,
+    write_window: Duration,
+    endpoints: Arc<EndpointTable>,
     /// Hand-overs that may be under way at once: an eighth of the descriptors.
-    places: Arc<Semaphore>,
+    dispatch_permits: Arc<Semaphore>,
     /// The real servers that have a probe unanswered, and how many may.
-    probed: Arc<Mutex<HashSet<WorkerId>>>,
-    most_probed: usize,
+    queried_workers: Arc<Mutex<HashSet<WorkerId>>>,
+    max_load_queries: usize,
 }
 
 /// A probe that is under way.
-struct Probing {
+struct LoadQueryPermit {
     probed: Arc<Mutex<HashSet<WorkerId>>>,
     worker: WorkerId,
 }
 
-impl Drop for Probing {
+impl Drop for LoadQueryPermit {
     fn drop(&mut self) {
         self.probed.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.worker);
     }
 }
 
-impl RealServers {
+impl HttpUpstream {
     /// Makes the client within the settings and for a process of so many descriptors.
-    pub fn new(settings: &NodeSettings, entries: Arc<ServiceEntries>, sockets: usize) -> RealServers {
+    pub fn new(settings: &ProxySettings, entries: Arc<EndpointTable>, sockets: usize) -> HttpUpstream {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(Duration::from_micros(settings.connect_within)));
+        connector.set_connect_timeout(Some(Duration::from_micros(settings.connect_timeout)));
         let client = |most_idle| {
             Client::builder(TokioExecutor::new())
                 .pool_timer(TokioTimer::new())
                 // Guards against a request written to a connection that the real server is closing.
-                .pool_idle_timeout(Duration::from_micros(kept_idle(settings.keepalive)))
+                .pool_idle_timeout(Duration::from_micros(idle_timeout(settings.keep_alive_timeout)))
                 .pool_max_idle_per_host(most_idle)
                 // Guards against a second copy that nobody decided: the library never resends.
                 .retry_canceled_requests(false)
                 .http1_max_buf_size(LONGEST_HEAD)
                 .build(connector.clone())
         };
-        RealServers {
-            client: client(idle_most(sockets)),
-            anew: client(0),
-            kept: Mutex::new(Kept { used: HashMap::new(), doubted_until: None }),
-            keepalive: Duration::from_micros(settings.keepalive),
-            written_within: Duration::from_micros(settings.connect_within + HAND_OVER_SLACK / 2),
-            entries,
-            places: Arc::new(Semaphore::new(hand_overs(sockets))),
-            probed: Arc::default(),
-            most_probed: probes(sockets),
+        HttpUpstream {
+            client: client(max_idle_per_worker(sockets)),
+            fresh_client: client(0),
+            connection_reuse: Mutex::new(ConnectionReuse { used: HashMap::new(), doubted_until: None }),
+            keep_alive_timeout: Duration::from_micros(settings.keep_alive_timeout),
+            write_window: Duration::from_micros(settings.connect_timeout + DISPATCH_SLACK / 2),
+            endpoints: entries,
+            dispatch_permits: Arc::new(Semaphore::new(max_dispatches(sockets))),
+            queried_workers: Arc::default(),
+            max_load_queries: max_load_queries(sockets),
         }
     }
 
@@ -359,36 +360,36 @@
     /// the next request, after which a job that must run once may not go on, and one whose repeats only
     /// some real servers drop may go to few: while they are doubted, such a job gets a connection of its
     /// own.
-    fn client_for(&self, order: &Order) -> &Client<HttpConnector, GuardedBody> {
-        let kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
+    fn client_for(&self, order: &UpstreamRequest) -> &Client<HttpConnector, GuardedBody> {
+        let kept = self.connection_reuse.lock().unwrap_or_else(PoisonError::into_inner);
         let doubted = kept.doubted_until.is_some_and(|until| Instant::now() < until);
-        if doubted && !goes_anywhere(order.effect) { &self.anew } else { &self.client }
+        if doubted && !goes_anywhere(order.idempotency) { &self.fresh_client } else { &self.client }
     }
 
     /// A connection has carried a request; tells when it carried the one before.
-    fn carried(&self, connection: &CaptureConnection, how: Carried) -> Option<Instant> {
+    fn carried(&self, connection: &CaptureConnection, how: ConnectionUse) -> Option<Instant> {
         let address = local_address(connection)?;
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut kept = self.connection_reuse.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         let before = kept.used.remove(&address);
         match how {
-            Carried::Well => {
+            ConnectionUse::Well => {
                 if kept.used.len() >= USED_MOST {
-                    kept.used.retain(|_, used| now.duration_since(*used) < self.keepalive);
+                    kept.used.retain(|_, used| now.duration_since(*used) < self.keep_alive_timeout);
                 }
                 kept.used.insert(address, now);
             }
             // Guards against a second answer that comes a little after the first: the next request's own it
             // would seem, and all later ones would be off by one.
-            Carried::Doubtful => connection.connection_metadata().iter().for_each(Connected::poison),
-            Carried::Broke if before.is_some() => {
+            ConnectionUse::Doubtful => connection.connection_metadata().iter().for_each(Connected::poison),
+            ConnectionUse::Broke if before.is_some() => {
                 kept.doubted_until = Some(now + Duration::from_micros(DOUBT));
                 note(
                     "a kept connection broke under its next request",
                     "jobs that may not go anywhere get new ones",
                 );
             }
-            Carried::Broke => {}
+            ConnectionUse::Broke => {}
         }
         before
     }
@@ -397,32 +398,34 @@
     async fn hand_over_now(
         &self,
         worker: WorkerId,
-        order: &Order,
+        order: &UpstreamRequest,
         deadline: Instant,
-        wanted: &Wanted,
-    ) -> Handed {
+        wanted: &DispatchPermission,
+    ) -> DispatchResult {
         // Guards against new work for a real server of which discovery told, after the module
         // chose it, that it drains or is gone. The body asks again as it is written.
-        let Some(address) = self.entries.serving(worker) else { return Err((Outcome::Moot, None)) };
+        let Some(address) = self.endpoints.serving_address(worker) else {
+            return Err((Outcome::Superseded, None));
+        };
         // Guards against real servers that fall silent by the dozen and hold the descriptors that
         // call-backs need. As where none is left, no connection comes up.
-        let Ok(place) = Arc::clone(&self.places).try_acquire_owned() else {
+        let Ok(place) = Arc::clone(&self.dispatch_permits).try_acquire_owned() else {
             return Err((Outcome::ConnectFailed, None));
         };
         let began = Instant::now();
         let left = deadline.saturating_duration_since(began).as_millis();
         // Guards against a repeat that is written after the real servers have forgotten its key: the module
         // has left this much of the window.
-        let until = match order.effect {
-            Effect::Keyed { .. } => deadline.min(began + self.written_within),
+        let until = match order.idempotency {
+            Idempotency::IdempotentWithKey { .. } => deadline.min(began + self.write_window),
             _ => deadline,
         };
-        let (wanted, entries) = (wanted.clone(), Arc::clone(&self.entries));
-        let leave = Leave { wanted, entries, worker, address: address.clone(), until };
+        let (wanted, entries) = (wanted.clone(), Arc::clone(&self.endpoints));
+        let leave = WriteGuard { wanted, entries, worker, address: address.clone(), until };
         let body = GuardedBody { body: Full::new(order.body.clone()), leave: Some(leave) };
         let (Some(mut request), true) = (request(Method::POST, address, order.path.clone(), body), left > 0)
         else {
-            return Err((Outcome::Moot, None));
+            return Err((Outcome::Superseded, None));
         };
         *request.headers_mut() = order.headers.clone();
         // The body tells it.
@@ -435,8 +438,8 @@
             Ok(response) => response,
             Err(error) => {
                 let outcome = broken(&error);
-                if outcome != Outcome::Moot {
-                    self.carried(&connection, Carried::Broke);
+                if outcome != Outcome::Superseded {
+                    self.carried(&connection, ConnectionUse::Broke);
                 }
                 return Err((outcome, None));
             }
@@ -445,7 +448,7 @@
         // known.
         let (head, body) = response.into_parts();
         let Some(mut outcome) = read_answer(head.status, &head.headers) else {
-            self.carried(&connection, Carried::Well);
+            self.carried(&connection, ConnectionUse::Well);
             // Read to the end, so that the connection can carry the next request. Until then it keeps its
             // place.
             if !body.is_end_stream() {
@@ -458,10 +461,10 @@
             }
             return Ok(());
         };
-        let before = self.carried(&connection, Carried::Doubtful);
+        let before = self.carried(&connection, ConnectionUse::Doubtful);
         // Guards against a second run on the word of an answer that may be the last request's second one.
         let stray = before.is_some_and(|before| began < before + Duration::from_micros(STRAY_WITHIN));
-        if stray && outcome.never_ran() && !goes_anywhere(order.effect) {
+        if stray && outcome.never_ran() && !goes_anywhere(order.idempotency) {
             outcome = Outcome::Error;
         }
         let report = head.headers.get("x-server-load").and_then(|value| value.to_str().ok());
@@ -469,19 +472,20 @@
     }
 }
 
-impl RealServers {
+impl HttpUpstream {
     /// A probe's place. Guards against probes that pile up at a real server that answers none.
-    fn begin_probe(&self, worker: WorkerId) -> Option<Probing> {
-        let mut probed = self.probed.lock().unwrap_or_else(PoisonError::into_inner);
-        let begins = probed.len() < self.most_probed && probed.insert(worker);
-        begins.then(|| Probing { probed: Arc::clone(&self.probed), worker })
+    fn begin_probe(&self, worker: WorkerId) -> Option<LoadQueryPermit> {
+        let mut probed = self.queried_workers.lock().unwrap_or_else(PoisonError::into_inner);
+        let begins = probed.len() < self.max_load_queries && probed.insert(worker);
+        begins.then(|| LoadQueryPermit { probed: Arc::clone(&self.queried_workers), worker })
     }
 
-    async fn probe_now(&self, worker: WorkerId, by: Instant) -> (Outcome, Option<Report>) {
-        let Some(probing) = self.begin_probe(worker) else { return (Outcome::Moot, None) };
+    async fn probe_now(&self, worker: WorkerId, by: Instant) -> (Outcome, Option<LoadReport>) {
+        let Some(probing) = self.begin_probe(worker) else { return (Outcome::Superseded, None) };
         let path = PathAndQuery::from_static(PROBE_PATH);
-        let request = self.entries.serving(worker).and_then(|at| request(Method::GET, at, path, nothing()));
-        let Some(mut request) = request else { return (Outcome::Moot, None) };
+        let request =
+            self.endpoints.serving_address(worker).and_then(|at| request(Method::GET, at, path, nothing()));
+        let Some(mut request) = request else { return (Outcome::Superseded, None) };
         let connection = capture_connection(&mut request);
         let asked = self.client.request(request);
         let (sender, answer) = oneshot::channel();
@@ -499,35 +503,39 @@
         match timeout_at(by, answer).await {
             Err(_) | Ok(Err(_)) => (Outcome::TimedOut, None),
             Ok(Ok(Err(error))) => {
-                self.carried(&connection, Carried::Broke);
+                self.carried(&connection, ConnectionUse::Broke);
                 (broken(&error), None)
             }
             Ok(Ok(Ok((head, body)))) => {
                 let well = head.status == StatusCode::OK;
-                self.carried(&connection, if well { Carried::Well } else { Carried::Doubtful });
+                self.carried(&connection, if well { ConnectionUse::Well } else { ConnectionUse::Doubtful });
                 (if well { Outcome::Served } else { Outcome::Error }, load_answer(&head.headers, &body))
             }
         }
     }
 }
 
-impl Back for RealServers {
-    fn probe<'a>(&'a self, worker: WorkerId, by: Instant) -> BoxFuture<'a, (Outcome, Option<Report>)> {
+impl Upstream for HttpUpstream {
+    fn query_load<'a>(
+        &'a self,
+        worker: WorkerId,
+        by: Instant,
+    ) -> BoxFuture<'a, (Outcome, Option<LoadReport>)> {
         Box::pin(self.probe_now(worker, by))
     }
 
-    fn hand_over<'a>(
+    fn dispatch<'a>(
         &'a self,
         worker: WorkerId,
-        order: &'a Order,
+        order: &'a UpstreamRequest,
         deadline: Instant,
-        wanted: &'a Wanted,
-    ) -> BoxFuture<'a, Handed> {
+        wanted: &'a DispatchPermission,
+    ) -> BoxFuture<'a, DispatchResult> {
         Box::pin(self.hand_over_now(worker, order, deadline, wanted))
     }
 
-    fn give_up(&self, worker: WorkerId, order: &Order) {
-        let Some(address) = self.entries.address(worker) else { return };
+    fn cancel(&self, worker: WorkerId, order: &UpstreamRequest) {
+        let Some(address) = self.endpoints.last_known_address(worker) else { return };
         let Ok(path) = format!("/jobs/{}", order.id).parse() else { return };
         let Some(request) = request(Method::DELETE, address, path, nothing()) else { return };
         let answer = self.client.request(request);
@@ -539,8 +547,8 @@
         }));
     }
 
-    fn name(&self, worker: WorkerId) -> Arc<str> {
-        self.entries.name(worker)
+    fn worker_name(&self, worker: WorkerId) -> Arc<str> {
+        self.endpoints.name(worker)
     }
 }
 
--- a/crates/proxy/tests/unit/client_connection.rs
+++ b/crates/proxy/tests/unit/client_connection.rs
@@ -1,13 +1,13 @@
-//! Tests of what `node`'s `front::edge_connection` keeps to itself; it takes this file in as its `tests`.
+//! Tests of what `node`'s `downstream::edge_connection` keeps to itself; it takes this file in as its `tests`.
 use super::*;
 
 #[test]
 fn edge_connections_fit_within_the_limits() {
-    assert_eq!(places(1024, 2048.0), 752);
-    assert_eq!(places(1024, 32.0), 488, "memory binds before descriptors");
-    assert_eq!(places(256, 32.0), 176);
-    assert_eq!(places(64, 192.0), 32);
-    assert_eq!(places(0, 0.0), 8, "a few in any case");
+    assert_eq!(max_connections(1024, 2048.0), 752);
+    assert_eq!(max_connections(1024, 32.0), 488, "memory binds before descriptors");
+    assert_eq!(max_connections(256, 32.0), 176);
+    assert_eq!(max_connections(64, 192.0), 32);
+    assert_eq!(max_connections(0, 0.0), 8, "a few in any case");
 }
 
 // Guards against a head of which only the end was seen, and which hides the other length there.
--- a/crates/scheduler/src/origin.rs
+++ b/crates/scheduler/src/origin.rs
@@ -2,7 +2,7 @@
 use std::path::{Path, PathBuf};
 
 use copperspread_event_log::writer;
-use copperspread_settings::{Start, platform};
+use copperspread_settings::{StartupConfig, platform};
 
 use crate::logging::LogSpec;
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct Told {
     /// The scheduler's start.
-    pub start: Start,
+    pub start: StartupConfig,
     /// The log.
     pub log: LogSpec,
     /// The records, if any are kept. The platform has no disk that lasts: none there.
@@ -40,7 +40,7 @@
 impl Told {
     /// The parts in which another reading differs and which only a new start can change.
     pub fn fixed_unlike(&self, other: &Told) -> Vec<&'static str> {
-        let mut parts = self.start.fixed_unlike(&other.start);
+        let mut parts = self.start.restart_only_changes(&other.start);
         if self.log.json != other.log.json {
             parts.push("log.format");
         }
@@ -98,7 +98,7 @@
 ///
 /// # Errors
 /// What is wrong, after the file's name.
-pub fn of_platform_file(path: &Path) -> Result<Start, String> {
+pub fn of_platform_file(path: &Path) -> Result<StartupConfig, String> {
     let content = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    platform::read_start(&content).map_err(|e| format!("{}: {e}", path.display()))
+    platform::read_startup_config(&content).map_err(|e| format!("{}: {e}", path.display()))
 }
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -5,7 +5,7 @@
 use copperspread_config::{Cluster, Config};
 use copperspread_membership::{Key, Settings};
 use copperspread_membership_transport::{Peers, Spec};
-use copperspread_proxy::downstream::http::Page;
+use copperspread_proxy::downstream::http::StatusPage;
 use tracing::info;
 
 /// Where the view is answered.
@@ -79,11 +79,11 @@
 }
 
 /// The page of what a member sees.
-pub fn page(peers: &Peers) -> Page {
+pub fn page(peers: &Peers) -> StatusPage {
     let view = peers.viewer();
     // Plain names and figures, which JSON always holds.
     let json = move || serde_json::to_string(&view()).unwrap_or_default();
-    Page { path: PATH, json: Arc::new(json) }
+    StatusPage { path: PATH, json: Arc::new(json) }
 }
 
 /// Waits for the end of one that was told to leave, and says what it has counted.
--- a/crates/scheduler/src/serve.rs
+++ b/crates/scheduler/src/serve.rs
@@ -4,16 +4,16 @@
 use std::sync::Arc;
 
 use copperspread_dispatcher::{Dispatcher, Micros};
-use copperspread_event_log::What;
+use copperspread_event_log::EventKind;
 use copperspread_event_log::writer::{self, Counts, Recorder};
-use copperspread_proxy::assembly::{Assembled, assemble_with};
+use copperspread_proxy::assembly::{AssembledProxy, assemble_with};
 use copperspread_proxy::clock::from_now;
-use copperspread_proxy::discovery::Source;
-use copperspread_proxy::discovery::platform::Targets;
-use copperspread_proxy::discovery::static_list::Fixed;
-use copperspread_proxy::downstream::Front;
+use copperspread_proxy::discovery::EndpointSource;
+use copperspread_proxy::discovery::platform::PlatformDiscovery;
+use copperspread_proxy::discovery::static_list::StaticEndpoints;
+use copperspread_proxy::downstream::Downstream;
 use copperspread_proxy::invariant::{counts, hear};
-use copperspread_settings::{List, SourceSpec};
+use copperspread_settings::{DiscoveryConfig, EndpointList};
 use http::uri::Authority;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
@@ -32,36 +32,36 @@
 /// Where the program tells its source that the configuration names another list.
 enum Moving {
     Targets(watch::Sender<Authority>),
-    Fixed(watch::Sender<List>),
+    Fixed(watch::Sender<EndpointList>),
 }
 
 impl Moving {
     /// The source of a start, and the way to move it.
-    fn source(spec: &SourceSpec, known: Option<u64>) -> (Moving, Box<dyn Source>) {
+    fn source(spec: &DiscoveryConfig, known: Option<u64>) -> (Moving, Box<dyn EndpointSource>) {
         match spec {
-            SourceSpec::Targets(address) => {
+            DiscoveryConfig::Platform(address) => {
                 let (sender, address) = watch::channel(address.clone());
-                (Moving::Targets(sender), Box::new(Targets { address, known }))
+                (Moving::Targets(sender), Box::new(PlatformDiscovery { address, known }))
             }
-            SourceSpec::Fixed(list) => {
+            DiscoveryConfig::Static(list) => {
                 let (sender, list) = watch::channel(list.clone());
-                (Moving::Fixed(sender), Box::new(Fixed(list)))
+                (Moving::Fixed(sender), Box::new(StaticEndpoints(list)))
             }
         }
     }
 
     /// Moves to what another configuration names; whether that is somewhere else.
-    fn follow(&self, spec: SourceSpec) -> bool {
+    fn follow(&self, spec: DiscoveryConfig) -> bool {
         match (self, spec) {
-            (Moving::Targets(sender), SourceSpec::Targets(new)) => sender.send_if_modified(|old| {
+            (Moving::Targets(sender), DiscoveryConfig::Platform(new)) => sender.send_if_modified(|old| {
                 let moved = *old != new;
                 *old = new;
                 moved
             }),
-            (Moving::Fixed(sender), SourceSpec::Fixed(new)) => sender.send_if_modified(|old| {
-                let moved = old.members != new.members;
+            (Moving::Fixed(sender), DiscoveryConfig::Static(new)) => sender.send_if_modified(|old| {
+                let moved = old.endpoints != new.endpoints;
                 // The table takes no list that is older than its own.
-                *old = List { revision: old.revision + 1, ..new };
+                *old = EndpointList { revision: old.revision + 1, ..new };
                 moved
             }),
             _ => false,
@@ -81,7 +81,7 @@
     if !fixed.is_empty() {
         warn!("changes only with a new start: {}", fixed.join(", "));
     }
-    let moved = source.follow(told.start.source);
+    let moved = source.follow(told.start.discovery);
     info!("read the configuration again, discovery {}", if moved { "moves" } else { "stays" });
 }
 
@@ -100,7 +100,7 @@
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
     let mut hup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
     let dispatcher =
-        Dispatcher::new(config.given.decisions.clone(), config.seed).map_err(|e| e.to_string())?;
+        Dispatcher::new(config.settings.dispatch.clone(), config.seed).map_err(|e| e.to_string())?;
     // Dropped with an error, it ends at once: nobody has been told anything yet that matters.
     #[cfg(feature = "standalone")]
     let peers = started.membership.as_ref().map(|of| of.begin(config.seed)).transpose()?;
@@ -109,21 +109,29 @@
     #[cfg(not(feature = "standalone"))]
     let pages = [];
     let assembled = assemble_with(config, Box::new(dispatcher), recorder, &pages).await?;
-    let Assembled { node, edge, membership, known, .. } = &assembled;
-    let hearer = Arc::clone(&node.witness);
-    hear(Box::new(move |what, count| hearer.limit(what, count)));
+    let AssembledProxy {
+        context: node,
+        connections: edge,
+        endpoint_publisher: membership,
+        cached_revision: known,
+        ..
+    } = &assembled;
+    let hearer = Arc::clone(&node.recorder);
+    hear(Box::new(move |what, count| hearer.counter_reached(what, count)));
     let (name, program) = (config.name.clone(), env!("CARGO_PKG_VERSION").into());
-    recorder.record(What::RunStarted { name, program });
-    let (moving, source) = Moving::source(&config.source, *known);
+    recorder.record(EventKind::RunStarted { name, program });
+    let (moving, source) = Moving::source(&config.discovery, *known);
     tokio::spawn(source.follow(membership.clone()));
     tokio::spawn(Arc::clone(edge).accept());
     info!("{} serves on {}", config.name, config.listen);
     #[cfg(feature = "toy")]
     if toy {
         // It takes the place of the first worker listed.
-        let listed = match &config.source {
-            SourceSpec::Fixed(list) => list.members.first().map(|of| (of.id.clone(), of.address.to_string())),
-            SourceSpec::Targets(_) => None,
+        let listed = match &config.discovery {
+            DiscoveryConfig::Static(list) => {
+                list.endpoints.first().map(|of| (of.id.clone(), of.address.to_string()))
+            }
+            DiscoveryConfig::Platform(_) => None,
         };
         let (name, address) = listed.ok_or("--toy stands for the first worker of a static list")?;
         let scheduler = config.listen;
@@ -164,15 +172,15 @@
     // First of all, so that the others know while this one still answers.
     #[cfg(feature = "standalone")]
     peers.iter().for_each(copperspread_membership_transport::Peers::leave);
-    let ends = assembled.end();
-    info!("ending, {} flows to answer", node.decisions.flows());
-    let left = assembled.ended(ends).await;
+    let ends = assembled.begin_shutdown();
+    info!("ending, {} flows to answer", node.policy.active_requests());
+    let left = assembled.wait_until_drained(ends).await;
     #[cfg(feature = "standalone")]
     peers.into_iter().for_each(crate::peers::ended);
     for (what, count) in counts() {
         info!("{what}: {count} in all");
     }
-    recorder.record(What::RunEnded { requests_left: left as u64 });
+    recorder.record(EventKind::RunEnded { requests_left: left as u64 });
     info!(log_lines_dropped = log.dropped(), "ended, {left} requests left");
     Ok(())
 }
--- a/crates/scheduler/src/standalone.rs
+++ b/crates/scheduler/src/standalone.rs
@@ -59,8 +59,8 @@
             return Err("--set goes with TOML; the platform's JSON has no layers".into());
         }
         let start = of_platform_file(path)?;
-        let known = start.known.as_ref().map_or(0, |list| list.members.len());
-        let classes = start.given.node.classes.join(", ");
+        let known = start.cached_endpoints.as_ref().map_or(0, |list| list.endpoints.len());
+        let classes = start.settings.proxy.classes.join(", ");
         return print(&format!(
             "{}: good, the platform's form: {} listens on {}; classes {classes}; {known} service entries known\n",
             path.display(),
--- a/crates/scheduler/tests/dispatch_races.rs
+++ b/crates/scheduler/tests/dispatch_races.rs
@@ -2,9 +2,11 @@
 //! writing, between an answer and the next request on its connection, between a reset and a repeat.
 mod sockets;
 
-use copperspread_dispatcher::{Effect, KeyScope, Outcome, WorkerId};
-use copperspread_proxy::upstream::{Back, http::RealServers};
-use copperspread_proxy::{clock::from_now, endpoints::ServiceEntries, messages::Order, messages::Wanted};
+use copperspread_dispatcher::{Idempotency, KeyScope, Outcome, WorkerId};
+use copperspread_proxy::upstream::{Upstream, http::HttpUpstream};
+use copperspread_proxy::{
+    clock::from_now, endpoints::EndpointTable, messages::DispatchPermission, messages::UpstreamRequest,
+};
 use copperspread_settings::{json, platform};
 use futures_util::FutureExt;
 use sockets::*;
@@ -394,27 +396,36 @@
 #[tokio::test]
 async fn a_keyed_job_is_written_in_time_or_not_at_all() {
     let mut server = Party::new().await;
-    let config = platform::read_start(&config(server.address, server.address, &list(1, true, &[])));
-    let given = config.expect("it is good").given;
-    let entries = Arc::new(ServiceEntries::new(&given.node));
+    let config = platform::read_startup_config(&config(server.address, server.address, &list(1, true, &[])));
+    let given = config.expect("it is good").settings;
+    let entries = Arc::new(EndpointTable::new(&given.proxy));
     let told = json::parse(&list(2, true, &[member("r0", server.address, "SERVING")]));
-    entries.take(&told.and_then(|told| platform::read_list(&told)).expect("a list"));
-    let real_servers = RealServers::new(&given.node, entries, 1024);
-    let keyed = Effect::Keyed { scope: KeyScope::All, window: 9_000_000 };
-    for (effect, late) in [(keyed, true), (keyed, false), (Effect::Safe, true)] {
+    entries.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
+    let real_servers = HttpUpstream::new(&given.proxy, entries, 1024);
+    let keyed = Idempotency::IdempotentWithKey { scope: KeyScope::All, window: 9_000_000 };
+    for (effect, late) in [(keyed, true), (keyed, false), (Idempotency::Idempotent, true)] {
         let (headers, body) = (Default::default(), "hi".into());
         let path = "/keyed/k".parse().expect("a path");
-        let order = Order { id: String::new(), path, headers, effect, body, room: None };
-        let wanted = Wanted::default();
-        let mut handed = real_servers.hand_over(WorkerId(0), &order, from_now(9_000_000), &wanted);
+        let order = UpstreamRequest {
+            id: String::new(),
+            path,
+            headers,
+            idempotency: effect,
+            body,
+            body_permit: None,
+        };
+        let wanted = DispatchPermission::default();
+        let mut handed = real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &wanted);
         assert!((&mut handed).now_or_never().is_none(), "it waits for a connection");
         if late {
-            std::thread::sleep(Duration::from_micros(given.node.connect_within) + Duration::from_millis(100));
+            std::thread::sleep(
+                Duration::from_micros(given.proxy.connect_timeout) + Duration::from_millis(100),
+            );
         }
         let took = async { server.asked().await.answer("202 Accepted", "", "") };
         if late && effect == keyed {
             tokio::select! {
-                ended = handed => assert_eq!(ended, Err((Outcome::Moot, None))),
+                ended = handed => assert_eq!(ended, Err((Outcome::Superseded, None))),
                 () = took => panic!("it was written late"),
             }
         } else {
--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -297,9 +297,9 @@
     let (mut first, mut wait) = (0, 0);
     for seed in 0..500 {
         let settings = Settings {
-            discovery: copperspread_dispatcher::Discovery::OnRequest,
+            discovery: copperspread_dispatcher::Discovery::Polled,
             fleet_size: 300,
-            classes: vec![Class::default()],
+            classes: vec![RequestClass::default()],
             ..Settings::default()
         };
         let mut module = Dispatcher::new(settings, seed).expect("settings are good");
@@ -307,15 +307,15 @@
             let mut actions = Vec::new();
             module.handle(SECOND, event, &mut actions);
             actions.into_iter().find_map(|action| match action {
-                Action::Wake { after, timer: Timer::Discovery } => Some(after),
+                Action::StartTimer { after, timer: Timer::Subscription } => Some(after),
                 _ => None,
             })
         };
-        let roster = |kind| Event::Roster(Roster { kind, version: 1, entries: &[] });
-        first = first.max(wakes(roster(RosterKind::Remembered)).expect("a first call"));
+        let roster = |kind| Event::Endpoints(EndpointUpdate { kind, version: 1, endpoints: &[] });
+        first = first.max(wakes(roster(EndpointUpdateKind::Cached)).expect("a first call"));
         for _ in 0..12 {
-            assert_eq!(wakes(Event::Timer(Timer::Discovery)), None);
-            wait = wait.max(wakes(roster(RosterKind::Failed)).expect("a further call"));
+            assert_eq!(wakes(Event::TimerExpired(Timer::Subscription)), None);
+            wait = wait.max(wakes(roster(EndpointUpdateKind::Failed)).expect("a further call"));
         }
     }
     let sums = [
--- a/crates/scheduler/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -1,8 +1,8 @@
 //! What reads the network: random cuts of valid messages and random garbage, from fixed seeds.
 mod sockets;
 use copperspread_proxy::downstream::http as edge;
-use copperspread_proxy::messages::request_id;
-use copperspread_proxy::upstream::http::{kept_idle, load_answer, load_header, read_call_back};
+use copperspread_proxy::messages::parse_request_id;
+use copperspread_proxy::upstream::http::{idle_timeout, load_answer, load_header, parse_callback};
 use copperspread_settings::{json, platform};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -23,15 +23,15 @@
 
 /// All readers take anything without a panic.
 fn read_all(bytes: &[u8]) {
-    let _ = (read_call_back(bytes), load_answer(&Default::default(), bytes));
+    let _ = (parse_callback(bytes), load_answer(&Default::default(), bytes));
     let text = String::from_utf8_lossy(bytes);
-    let _ = platform::read_start(&text);
-    let _ = json::parse(&text).map(|value| platform::read_list(&value));
+    let _ = platform::read_startup_config(&text);
+    let _ = json::parse(&text).map(|value| platform::read_endpoint_list(&value));
     let _ = (
         load_header(&text),
         edge::read_timeout(&text),
         edge::attribute(&text, &["slots"]),
-        request_id(&text),
+        parse_request_id(&text),
     );
 }
 
@@ -41,8 +41,8 @@
     #[test]
     fn a_cut_message_is_no_message(at in any::<prop::sample::Index>()) {
         let (config, list) = valid();
-        prop_assert!(read_call_back(&CALL_BACK.as_bytes()[..at.index(CALL_BACK.len())]).is_err());
-        prop_assert!(platform::read_start(&config[..at.index(config.len())]).is_err());
+        prop_assert!(parse_callback(&CALL_BACK.as_bytes()[..at.index(CALL_BACK.len())]).is_err());
+        prop_assert!(platform::read_startup_config(&config[..at.index(config.len())]).is_err());
         prop_assert!(json::parse(&list[..at.index(list.len())]).is_err());
         read_all(&HEADER.as_bytes()[..at.index(HEADER.len())]);
     }
@@ -67,10 +67,10 @@
 #[test]
 fn valid_messages_are_read() {
     let (config, list) = valid();
-    let config = platform::read_start(&config).expect("a configuration");
-    let list = json::parse(&list).and_then(|value| platform::read_list(&value)).expect("a list");
-    assert_eq!(config.known.as_ref(), Some(&list));
-    assert!(read_call_back(CALL_BACK.as_bytes()).is_ok());
+    let config = platform::read_startup_config(&config).expect("a configuration");
+    let list = json::parse(&list).and_then(|value| platform::read_endpoint_list(&value)).expect("a list");
+    assert_eq!(config.cached_endpoints.as_ref(), Some(&list));
+    assert!(parse_callback(CALL_BACK.as_bytes()).is_ok());
     let report = load_header(HEADER).expect("a report");
     assert_eq!((report.inflight, report.queue, report.util), (Some(7.0), Some(2.0), Some(0.61)));
     assert_eq!(load_header("TEXT queue=2, util=?"), None, "a garbled report is dropped whole");
@@ -80,7 +80,7 @@
         assert_eq!(edge::read_timeout(bad), None, "{bad}");
     }
     assert_eq!(edge::read_timeout("99999999999999999999m"), Some(86_400_000_000), "absurd waits are cut");
-    assert_eq!((kept_idle(5_000_000), kept_idle(1_000_000), kept_idle(1)), (4_500_000, 700_000, 0));
+    assert_eq!((idle_timeout(5_000_000), idle_timeout(1_000_000), idle_timeout(1)), (4_500_000, 700_000, 0));
     assert_eq!(edge::attribute("memory=0.3,slots=2", &["slots"]), Some(2.0));
 }
 
@@ -90,20 +90,20 @@
     let (_, list) = valid();
     for (odd, read) in [("\"big\"", None), ("null", None), ("0", Some(0.0)), ("-2e300", Some(-2e300))] {
         let list = list.replace("\"size\":1.0", &format!("\"size\":{odd}"));
-        let list = json::parse(&list).and_then(|value| platform::read_list(&value)).expect("a list");
-        assert_eq!(list.members[0].size, read, "{odd}");
+        let list = json::parse(&list).and_then(|value| platform::read_endpoint_list(&value)).expect("a list");
+        assert_eq!(list.endpoints[0].size, read, "{odd}");
     }
 }
 
 #[test]
 fn the_settings_tell_a_schedulers_number_and_what_the_sizes_mean() {
-    let read = |config: &str| platform::read_start(config).map(|start| start.given.decisions);
+    let read = |config: &str| platform::read_startup_config(config).map(|start| start.settings.dispatch);
     let (config, _) = valid();
     let plain = read(&config).expect("a configuration");
-    assert_eq!((plain.number, plain.live_sizes), (None, false));
+    assert_eq!((plain.instance_index, plain.sizes_reflect_load), (None, false));
     let told = config.replace("\"fleet_size\":1", "\"fleet_size\":100,\"me\":7,\"weights\":\"live\"");
     let told = read(&told).expect("a configuration");
-    assert_eq!((told.number, told.live_sizes, told.fleet_size), (Some(7), true, 100));
+    assert_eq!((told.instance_index, told.sizes_reflect_load, told.fleet_size), (Some(7), true, 100));
     let wrong = config.replace("\"fleet_size\":1", "\"fleet_size\":1,\"me\":-1");
     assert!(read(&wrong).expect_err("no number").contains("me"));
 }
--- a/crates/scheduler/tests/policy.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -6,13 +6,15 @@
 
 use copperspread_dispatcher::*;
 use copperspread_event_log::writer::Recorder;
-use copperspread_proxy::assembly::{Assembled, assemble};
-use copperspread_proxy::discovery::{Source, platform::Targets, static_list::Fixed};
-use copperspread_settings::{List, platform};
+use copperspread_proxy::assembly::{AssembledProxy, assemble};
+use copperspread_proxy::discovery::{
+    EndpointSource, platform::PlatformDiscovery, static_list::StaticEndpoints,
+};
+use copperspread_settings::{EndpointList, platform};
 use sockets::*;
 use tokio::sync::{mpsc, watch};
 
-type End = (u32, Outcome, Option<Report>);
+type End = (u32, Outcome, Option<LoadReport>);
 
 /// Asks, at any event, for the probes that the test wants, subscribes at once while it may, and tells the
 /// test what came back.
@@ -20,38 +22,38 @@
     wanted: Arc<Mutex<Vec<u32>>>,
     subscribe: Arc<AtomicBool>,
     ends: mpsc::UnboundedSender<End>,
-    rosters: mpsc::UnboundedSender<(RosterKind, usize)>,
+    rosters: mpsc::UnboundedSender<(EndpointUpdateKind, usize)>,
 }
 
-impl Decide for Stub {
+impl DispatchPolicy for Stub {
     fn handle(&mut self, _: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
-        if let Event::Probed { worker, outcome, report } = event {
+        if let Event::LoadQueryEnded { worker, outcome, report } = event {
             let _ = self.ends.send((worker.0, outcome, report));
-        } else if let Event::Roster(roster) = event {
-            let _ = self.rosters.send((roster.kind, roster.entries.len()));
-            let calls = matches!(roster.kind, RosterKind::Remembered | RosterKind::Failed);
+        } else if let Event::Endpoints(roster) = event {
+            let _ = self.rosters.send((roster.kind, roster.endpoints.len()));
+            let calls = matches!(roster.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
             if calls && self.subscribe.load(Ordering::Relaxed) {
                 actions.push(Action::Subscribe);
             }
         }
         let wanted = std::mem::take(&mut *self.wanted.lock().expect("a lock"));
-        actions.extend(wanted.into_iter().map(|worker| Action::Probe { worker: WorkerId(worker) }));
+        actions.extend(wanted.into_iter().map(|worker| Action::QueryLoad { worker: WorkerId(worker) }));
     }
 }
 
 struct House {
-    node: Assembled,
+    node: AssembledProxy,
     wanted: Arc<Mutex<Vec<u32>>>,
     subscribe: Arc<AtomicBool>,
     ends: mpsc::UnboundedReceiver<End>,
-    rosters: mpsc::UnboundedReceiver<(RosterKind, usize)>,
+    rosters: mpsc::UnboundedReceiver<(EndpointUpdateKind, usize)>,
 }
 
 impl House {
     async fn open(discovery: &str, members: &[String]) -> House {
         let any = "127.0.0.1:0".parse().expect("an address");
         let text = config(any, any, &list(1, true, members)).replace("pushed", discovery);
-        let start = platform::read_start(&text).expect("it is good");
+        let start = platform::read_startup_config(&text).expect("it is good");
         let (wanted, subscribe) = (Arc::<Mutex<_>>::default(), Arc::new(AtomicBool::new(true)));
         let ((ends_to, ends), (rosters_to, rosters)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
         let (wants, may) = (Arc::clone(&wanted), Arc::clone(&subscribe));
@@ -61,20 +63,20 @@
     }
     fn ask(&self, workers: &[u32]) {
         self.wanted.lock().expect("a lock").extend(workers);
-        self.node.membership.tell(false, &[]);
+        self.node.endpoint_publisher.publish(false, &[]);
     }
     async fn end(&mut self) -> End {
         within("a probe's end", self.ends.recv()).await.expect("the module lives")
     }
-    async fn told(&mut self) -> (RosterKind, usize) {
+    async fn told(&mut self) -> (EndpointUpdateKind, usize) {
         within("a roster", self.rosters.recv()).await.expect("the module lives")
     }
 }
 
 #[tokio::test]
 async fn each_probe_comes_back_once_whatever_the_real_server_does() {
-    let load = Report { inflight: Some(7.0), free_slots: Some(1.5), ..Report::default() };
-    let only = |free_slots| Some(Report { free_slots: Some(free_slots), ..Report::default() });
+    let load = LoadReport { inflight: Some(7.0), free_slots: Some(1.5), ..LoadReport::default() };
+    let only = |free_slots| Some(LoadReport { free_slots: Some(free_slots), ..LoadReport::default() });
     let (ok, header) = ("200 OK", "X-Server-Load: TEXT x0=4\r\n");
     let cases = [
         (ok, "", "TEXT inflight=7, x0=1.5", Outcome::Served, Some(load)),
@@ -110,8 +112,11 @@
         ends.entry(worker).or_default().push((outcome, report));
     }
     assert_eq!(ends[&0], [(Outcome::ConnectFailed, None)]);
-    assert_eq!(ends[&1], [(Outcome::Moot, None), (Outcome::TimedOut, None)], "one at a time");
-    assert_eq!((&ends[&2], &ends[&90]), (&vec![(Outcome::Moot, None)], &vec![(Outcome::Moot, None)]));
+    assert_eq!(ends[&1], [(Outcome::Superseded, None), (Outcome::TimedOut, None)], "one at a time");
+    assert_eq!(
+        (&ends[&2], &ends[&90]),
+        (&vec![(Outcome::Superseded, None)], &vec![(Outcome::Superseded, None)])
+    );
     for (number, (.., outcome, report)) in cases.iter().enumerate() {
         assert_eq!(ends[&(number as u32 + 3)], [(*outcome, *report)], "case {number}");
     }
@@ -119,20 +124,20 @@
     let late = silent.asked().await;
     assert!(silent.idle() && drains.idle());
     house.ask(&[1]);
-    assert_eq!(house.end().await, (1, Outcome::Moot, None), "it has one still");
+    assert_eq!(house.end().await, (1, Outcome::Superseded, None), "it has one still");
     let connection = late.from;
     late.answer(ok, "", "TEXT x0=1");
     let next = loop {
         house.ask(&[1]);
         tokio::select! {
             asked = silent.asked() => break asked,
-            end = house.end() => assert_eq!(end, (1, Outcome::Moot, None)),
+            end = house.end() => assert_eq!(end, (1, Outcome::Superseded, None)),
         }
     };
     assert_eq!(next.from, connection);
-    house.node.end();
+    house.node.begin_shutdown();
     house.ask(&[3]);
-    assert_eq!(house.end().await, (3, Outcome::Moot, None), "none while it ends");
+    assert_eq!(house.end().await, (3, Outcome::Superseded, None), "none while it ends");
 }
 
 // Guards against probes that pile up at silent real servers and take the descriptors of the rest.
@@ -144,7 +149,7 @@
     house.ask(&(0..40).collect::<Vec<_>>());
     let mut moot = 0;
     for _ in 0..40 {
-        moot += u32::from(house.end().await.1 == Outcome::Moot);
+        moot += u32::from(house.end().await.1 == Outcome::Superseded);
     }
     assert_eq!(moot, 28);
 }
@@ -155,17 +160,17 @@
     let (mut discovery, mut other) = (Party::new().await, Party::new().await);
     let (place, address) = watch::channel(discovery.address.to_string().parse().expect("an address"));
     let mut house = House::open("on_request", &[]).await;
-    let membership = house.node.membership.clone();
-    tokio::spawn(Box::new(Targets { address, known: Some(1) }).follow(membership));
+    let membership = house.node.endpoint_publisher.clone();
+    tokio::spawn(Box::new(PlatformDiscovery { address, known: Some(1) }).follow(membership));
     const WATCH: &str = "GET /api/targets?from=1&hold_ms=2000 HTTP/1.1";
     const WHOLE: &str = "GET /api/targets HTTP/1.1";
     let nothing = list(1, false, &[]);
     // The module hears that its subscription has come about, though there is nothing new.
-    assert_eq!(house.told().await, (RosterKind::Remembered, 0));
+    assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
     let first = discovery.asked().await;
     assert_eq!(first.message.first, WHOLE);
     first.answer("200 OK", "", &nothing);
-    assert_eq!(house.told().await, (RosterKind::Changes, 0));
+    assert_eq!(house.told().await, (EndpointUpdateKind::Changes, 0));
     // After a watch that breaks or falls silent the whole list is asked for, long before what was missed
     // counts as told: a second watch could fall silent for as long again.
     let watch = discovery.asked().await;
@@ -181,19 +186,19 @@
     assert!(since.elapsed().as_millis() < 4_000, "{:?}", since.elapsed());
     assert_eq!(again.message.first, WHOLE);
     again.answer("200 OK", "", &list(1, false, &[member("r0", discovery.address, "DRAINING")]));
-    assert_eq!(house.told().await, (RosterKind::Changes, 1), "no failure before");
+    assert_eq!(house.told().await, (EndpointUpdateKind::Changes, 1), "no failure before");
     // One that is turned away is not: the module waits, and asks.
     discovery.asked().await.answer("503 Service Unavailable", "", "");
-    assert_eq!(house.told().await, (RosterKind::Failed, 0));
+    assert_eq!(house.told().await, (EndpointUpdateKind::Failed, 0));
     house.subscribe.store(false, Ordering::Relaxed);
     discovery.asked().await.answer("503 Service Unavailable", "", "");
-    assert_eq!(house.told().await, (RosterKind::Failed, 0));
+    assert_eq!(house.told().await, (EndpointUpdateKind::Failed, 0));
     // A discovery that moves is not waited for.
     place.send_replace(other.address.to_string().parse().expect("an address"));
     let whole = other.asked().await;
     assert_eq!(whole.message.first, "GET /api/targets HTTP/1.1");
     whole.answer("200 OK", "", &list(1, true, &[]));
-    assert_eq!(house.told().await, (RosterKind::Full, 0));
+    assert_eq!(house.told().await, (EndpointUpdateKind::Full, 0));
     assert!(discovery.idle());
 }
 
@@ -204,23 +209,23 @@
     let mut discovery = Party::new().await;
     let (_place, address) = watch::channel(discovery.address.to_string().parse().expect("an address"));
     let mut house = House::open("on_request", &[]).await;
-    let membership = house.node.membership.clone();
-    tokio::spawn(Box::new(Targets { address, known: Some(1) }).follow(membership));
-    assert_eq!(house.told().await, (RosterKind::Remembered, 0));
+    let membership = house.node.endpoint_publisher.clone();
+    tokio::spawn(Box::new(PlatformDiscovery { address, known: Some(1) }).follow(membership));
+    assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
     discovery.asked().await.answer("200 OK", "", &list(1, true, &[]));
-    assert_eq!(house.told().await, (RosterKind::Full, 0));
+    assert_eq!(house.told().await, (EndpointUpdateKind::Full, 0));
     let watch = discovery.asked().await;
     // The stub asks at this event, with a call out.
-    house.node.membership.remember(None);
-    assert_eq!(house.told().await, (RosterKind::Remembered, 0));
+    house.node.endpoint_publisher.publish_cached(None);
+    assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
     house.subscribe.store(false, Ordering::Relaxed);
     watch.answer("503 Service Unavailable", "", "");
-    assert_eq!(house.told().await, (RosterKind::Failed, 0));
+    assert_eq!(house.told().await, (EndpointUpdateKind::Failed, 0));
     let early = tokio::time::timeout(std::time::Duration::from_millis(300), discovery.asked()).await;
     assert!(early.is_err(), "the module has not asked yet");
     // It does now.
     house.subscribe.store(true, Ordering::Relaxed);
-    house.node.membership.remember(None);
+    house.node.endpoint_publisher.publish_cached(None);
     assert_eq!(discovery.asked().await.message.first, "GET /api/targets HTTP/1.1");
 }
 
@@ -228,13 +233,13 @@
 #[tokio::test]
 async fn a_fixed_list_that_changes_is_told_also_where_lists_are_asked_for() {
     let mut house = House::open("on_request", &[]).await;
-    let fixed = |revision| List { revision, complete: true, members: Vec::new() };
+    let fixed = |revision| EndpointList { revision, complete: true, endpoints: Vec::new() };
     let (place, list) = watch::channel(fixed(2));
-    tokio::spawn(Box::new(Fixed(list)).follow(house.node.membership.clone()));
-    assert_eq!(house.told().await, (RosterKind::Remembered, 0));
+    tokio::spawn(Box::new(StaticEndpoints(list)).follow(house.node.endpoint_publisher.clone()));
+    assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
     for revision in 3..5 {
-        assert_eq!(house.told().await, (RosterKind::Full, 0));
+        assert_eq!(house.told().await, (EndpointUpdateKind::Full, 0));
         place.send_replace(fixed(revision));
     }
-    assert_eq!(house.told().await, (RosterKind::Full, 0));
+    assert_eq!(house.told().await, (EndpointUpdateKind::Full, 0));
 }
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -325,36 +325,36 @@
 // against silent real servers that hold all descriptors.
 #[tokio::test]
 async fn neither_draining_nor_silent_real_servers_get_more() {
-    use copperspread_dispatcher::{Effect, Outcome, WorkerId};
-    use copperspread_proxy::upstream::{Back, http::RealServers};
-    use copperspread_proxy::{clock::from_now, endpoints::ServiceEntries, messages::Order};
+    use copperspread_dispatcher::{Idempotency, Outcome, WorkerId};
+    use copperspread_proxy::upstream::{Upstream, http::HttpUpstream};
+    use copperspread_proxy::{clock::from_now, endpoints::EndpointTable, messages::UpstreamRequest};
     use copperspread_settings::{json, platform};
     let mut server = Party::new().await;
-    let config = platform::read_start(&config(server.address, server.address, &list(1, true, &[])))
+    let config = platform::read_startup_config(&config(server.address, server.address, &list(1, true, &[])))
         .expect("it is good");
-    let entries = std::sync::Arc::new(ServiceEntries::new(&config.given.node));
-    let wanted = copperspread_proxy::messages::Wanted::default();
-    let real_servers = RealServers::new(&config.given.node, entries.clone(), 32);
+    let entries = std::sync::Arc::new(EndpointTable::new(&config.settings.proxy));
+    let wanted = copperspread_proxy::messages::DispatchPermission::default();
+    let real_servers = HttpUpstream::new(&config.settings.proxy, entries.clone(), 32);
     let (headers, body) = (Default::default(), Default::default());
-    let order = Order {
+    let order = UpstreamRequest {
         id: String::new(),
         path: "/once/k".parse().expect("a path"),
         headers,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         body,
-        room: None,
+        body_permit: None,
     };
     for (revision, phase) in [(2, "DRAINING"), (3, "DELETED")] {
         let told = json::parse(&list(revision, true, &[member("r0", server.address, phase)]));
-        entries.take(&told.and_then(|told| platform::read_list(&told)).expect("a list"));
-        let ended = real_servers.hand_over(WorkerId(0), &order, from_now(9_000_000), &wanted).await;
-        assert_eq!(ended, Err((Outcome::Moot, None)));
+        entries.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
+        let ended = real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &wanted).await;
+        assert_eq!(ended, Err((Outcome::Superseded, None)));
     }
     assert!(server.idle());
     // Real servers that stay silent hold four hand-overs, all that 32 descriptors allow.
     let told = json::parse(&list(4, true, &[member("r0", server.address, "SERVING")]));
-    entries.take(&told.and_then(|told| platform::read_list(&told)).expect("a list"));
-    let hand_over = || real_servers.hand_over(WorkerId(0), &order, from_now(9_000_000), &wanted);
+    entries.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
+    let hand_over = || real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &wanted);
     let four = futures_util::future::select_all((0..4).map(|_| Box::pin(hand_over())));
     let fifth = async {
         let mut held = Vec::new();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,5 +6,5 @@
 pub mod platform;
 mod start;
 
-pub use members::{List, Member, Phase, name_key};
-pub use start::{Given, NodeSettings, SourceSpec, Start};
+pub use members::{EndpointList, EndpointPhase, EndpointRecord, name_key};
+pub use start::{DiscoveryConfig, ProxySettings, SchedulerSettings, StartupConfig};
--- a/crates/settings/src/members.rs
+++ b/crates/settings/src/members.rs
@@ -6,7 +6,7 @@
 
 /// What discovery says of one service entry's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum EndpointPhase {
     /// It takes new work.
     Serving,
     /// It finishes what it has.
@@ -17,7 +17,7 @@
 
 /// One service entry as discovery tells it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct EndpointRecord {
     /// The real server's name, the same at every scheduler.
     pub id: String,
     /// Where it listens, as seen from here.
@@ -29,7 +29,7 @@
     /// Its cell.
     pub cell: u32,
     /// Whether it takes work.
-    pub phase: Phase,
+    pub phase: EndpointPhase,
     /// Its last start, in Unix time; `None` is long ago.
     pub started_at: Option<Micros>,
     /// Its size as listed, if a figure is.
@@ -38,13 +38,13 @@
 
 /// One answer of discovery.
 #[derive(Clone, Debug, PartialEq)]
-pub struct List {
+pub struct EndpointList {
     /// Its version.
     pub revision: u64,
     /// All entries, or only those that changed.
     pub complete: bool,
     /// The entries.
-    pub members: Vec<Member>,
+    pub endpoints: Vec<EndpointRecord>,
 }
 
 /// A key of a worker's name, the same on every machine: FNV-1a of its bytes.
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -6,11 +6,11 @@
 use tinyjson::JsonValue;
 
 use crate::json::{self, field, flag, list, micros, need, number, seconds, text, whole};
-use crate::members::{List, Member, Phase};
-use crate::start::{Given, NodeSettings, SourceSpec, Start};
+use crate::members::{EndpointList, EndpointPhase, EndpointRecord};
+use crate::start::{DiscoveryConfig, ProxySettings, SchedulerSettings, StartupConfig};
 
 /// Reads the configuration; the error says in words what is wrong with it.
-pub fn read_start(content: &str) -> Result<Start, String> {
+pub fn read_startup_config(content: &str) -> Result<StartupConfig, String> {
     let config = json::parse(content)?;
     let nothing = JsonValue::Null;
     let listen = need(text(&config, "listen"), "listen")?;
@@ -18,47 +18,50 @@
     let seed = need(text(&config, "seed"), "seed")?;
     let limits = field(&config, "limits").unwrap_or(&nothing);
     let settings = field(&config, "settings").ok_or("settings is missing")?;
-    Ok(Start {
+    Ok(StartupConfig {
         name: text(&config, "name")?.unwrap_or_default().to_owned(),
         listen: listen.parse().map_err(|_| format!("listen: {listen:?} is no address"))?,
-        source: SourceSpec::Targets(
+        discovery: DiscoveryConfig::Platform(
             discovery.parse().map_err(|_| format!("discovery: {discovery:?} is no address"))?,
         ),
         seed: u64::from_str_radix(seed, 16).map_err(|_| format!("seed: {seed:?} is no hex number"))?,
-        sockets: whole(limits, "sockets").map_err(|e| format!("limits: {e}"))?.unwrap_or(1024),
-        memory_mb: number(limits, "memory_mb").map_err(|e| format!("limits: {e}"))?.unwrap_or(192.0),
-        known: field(&config, "known").map(read_list).transpose().map_err(|e| format!("known: {e}"))?,
-        given: read_settings(settings).map_err(|e| format!("settings: {e}"))?,
+        descriptor_limit: whole(limits, "sockets").map_err(|e| format!("limits: {e}"))?.unwrap_or(1024),
+        memory_limit_mb: number(limits, "memory_mb").map_err(|e| format!("limits: {e}"))?.unwrap_or(192.0),
+        cached_endpoints: field(&config, "known")
+            .map(read_endpoint_list)
+            .transpose()
+            .map_err(|e| format!("known: {e}"))?,
+        settings: read_settings(settings).map_err(|e| format!("settings: {e}"))?,
     })
 }
 
 /// Reads an answer of discovery; a list with one bad line is bad as a whole.
-pub fn read_list(value: &JsonValue) -> Result<List, String> {
+pub fn read_endpoint_list(value: &JsonValue) -> Result<EndpointList, String> {
     let members = json::field(value, "members").ok_or("members is missing")?;
     let JsonValue::Array(members) = members else { return Err("members is no list".into()) };
-    Ok(List {
+    Ok(EndpointList {
         revision: need(whole(value, "revision"), "revision")?,
         complete: need(flag(value, "complete"), "complete")?,
-        members: members.iter().map(read_member).collect::<Result<_, _>>()?,
+        endpoints: members.iter().map(read_endpoint).collect::<Result<_, _>>()?,
     })
 }
 
-fn read_member(value: &JsonValue) -> Result<Member, String> {
+fn read_endpoint(value: &JsonValue) -> Result<EndpointRecord, String> {
     let address = need(text(value, "host_port"), "host_port")?;
     let parsed: Authority = address.parse().map_err(|_| format!("{address:?} is no address"))?;
     if parsed.port().is_none() {
         return Err(format!("{address:?} names no port"));
     }
-    Ok(Member {
+    Ok(EndpointRecord {
         id: need(text(value, "id"), "id")?.to_owned(),
         address: parsed,
         zone: text(value, "locality")?.unwrap_or_default().to_owned(),
         kind: text(value, "flavor")?.unwrap_or_default().to_owned(),
         cell: whole(value, "cell")?.unwrap_or(0),
         phase: match need(text(value, "phase"), "phase")? {
-            "SERVING" => Phase::Serving,
-            "DRAINING" => Phase::Draining,
-            "DELETED" => Phase::Deleted,
+            "SERVING" => EndpointPhase::Serving,
+            "DRAINING" => EndpointPhase::Draining,
+            "DELETED" => EndpointPhase::Deleted,
             other => return Err(format!("unknown phase {other:?}")),
         },
         started_at: whole::<u64>(value, "up_since_ms")?.filter(|&at| at > 0).map(|ms| ms * 1_000),
@@ -68,7 +71,7 @@
 }
 
 /// Reads the settings; the error says in words what is wrong with them.
-pub fn read_settings(params: &JsonValue) -> Result<Given, String> {
+pub fn read_settings(params: &JsonValue) -> Result<SchedulerSettings, String> {
     let nothing = JsonValue::Null;
     let part = |name| field(params, name).unwrap_or(&nothing);
     let family = part("family_info");
@@ -79,73 +82,75 @@
     let mut classes = Vec::new();
     for (index, class) in list(params, "classes")?.iter().enumerate() {
         let own = number(class, "aim_stretch")?;
-        classes.push(Class {
-            aim: need(seconds(class, "aim_s"), "aim_s")?,
-            stretch: own.or(stretches.get(index).and_then(at_number)).unwrap_or(0.0),
+        classes.push(RequestClass {
+            latency_objective: need(seconds(class, "aim_s"), "aim_s")?,
+            latency_stretch: own.or(stretches.get(index).and_then(at_number)).unwrap_or(0.0),
             deadline: need(seconds(class, "deadline_s"), "deadline_s")?,
-            worth: need(number(class, "importance"), "importance")?,
-            effect: effect(class)?,
+            priority_weight: need(number(class, "importance"), "importance")?,
+            idempotency: effect(class)?,
             worker_kind: kinds.get(index).and_then(at_number).filter(|&k| k >= 0.0).map(|k| k as u32),
         });
     }
     let mut tenants = Vec::new();
     for tenant in list(params, "tenants")? {
-        tenants.push(Tenant { allowance_per_s: number(tenant, "allowance_per_s")?.unwrap_or(0.0) });
+        tenants.push(Tenant { quota_per_second: number(tenant, "allowance_per_s")?.unwrap_or(0.0) });
     }
-    let effects = classes.iter().map(|class| class.effect).collect();
+    let effects = classes.iter().map(|class| class.idempotency).collect();
     let decisions = Settings {
         fleet_size: need(whole(params, "fleet_size"), "fleet_size")?,
-        number: whole(params, "me")?,
+        instance_index: whole(params, "me")?,
         zone: whole(params, "zone")?.unwrap_or(0),
         classes,
         tenants,
-        over_share_worth: number(params, "over_share_worth")?.unwrap_or(1.0),
-        worth_by_work: text(params, "worth_by")? == Some("work"),
+        over_quota_weight: number(params, "over_share_worth")?.unwrap_or(1.0),
+        weight_by_work: text(params, "worth_by")? == Some("work"),
         discovery: match need(text(params, "discovery"), "discovery")? {
             "pushed" => Discovery::Pushed,
-            "on_request" => Discovery::OnRequest,
+            "on_request" => Discovery::Polled,
             other => return Err(format!("unknown discovery {other:?}")),
         },
-        ask_within: seconds(safety, "ask_within_s")?.unwrap_or(micros(10.0)),
-        cold_from: need(number(safety, "cold_from"), "cold_from")?,
-        cold_for: need(seconds(safety, "cold_s"), "cold_s")?,
-        fall_multiple: need(number(safety, "fall_multiple"), "fall_multiple")?,
-        fall_window: need(seconds(safety, "fall_s"), "fall_s")?,
-        connect_within: seconds(permissions, "connect_timeout_s")?.unwrap_or(micros(0.25)),
+        poll_within: seconds(safety, "ask_within_s")?.unwrap_or(micros(10.0)),
+        slow_start_initial_capacity: need(number(safety, "cold_from"), "cold_from")?,
+        slow_start_duration: need(seconds(safety, "cold_s"), "cold_s")?,
+        overload_multiple: need(number(safety, "fall_multiple"), "fall_multiple")?,
+        overload_window: need(seconds(safety, "fall_s"), "fall_s")?,
+        connect_timeout: seconds(permissions, "connect_timeout_s")?.unwrap_or(micros(0.25)),
         max_attempts: need(whole(permissions, "send_cap"), "send_cap")?,
-        second_copies: flag(permissions, "second_copies")?.unwrap_or(false),
-        may_cancel: flag(permissions, "may_cancel")?.unwrap_or(false),
-        tells_start: flag(family, "tells_start")?.unwrap_or(false),
-        reports_by_probe: flag(permissions, "probes")?.unwrap_or(false)
+        hedging_allowed: flag(permissions, "second_copies")?.unwrap_or(false),
+        cancellation_allowed: flag(permissions, "may_cancel")?.unwrap_or(false),
+        reports_job_start: flag(family, "tells_start")?.unwrap_or(false),
+        load_by_query: flag(permissions, "probes")?.unwrap_or(false)
             && text(part("load_info"), "how")? == Some("pull"),
-        price_probe: number(part("penalties"), "probe")?.unwrap_or(0.0),
-        price_cross_zone: number(part("penalties"), "cross_zone")?.unwrap_or(0.0),
-        live_sizes: text(params, "weights")? == Some("live"),
+        load_query_cost: number(part("penalties"), "probe")?.unwrap_or(0.0),
+        cross_zone_cost: number(part("penalties"), "cross_zone")?.unwrap_or(0.0),
+        sizes_reflect_load: text(params, "weights")? == Some("live"),
     };
-    let node = NodeSettings {
+    let node = ProxySettings {
         classes: names(list(params, "classes")?),
-        effects,
+        idempotency: effects,
         tenants: names(list(params, "tenants")?),
         zones: names(list(params, "zones")?),
         kinds: names(list(params, "kinds")?),
-        connect_within: decisions.connect_within,
-        keepalive: seconds(permissions, "keepalive_s")?.unwrap_or(micros(5.0)),
-        tells_when: flag(permissions, "retry_after")?.unwrap_or(false),
+        connect_timeout: decisions.connect_timeout,
+        keep_alive_timeout: seconds(permissions, "keepalive_s")?.unwrap_or(micros(5.0)),
+        sends_retry_after: flag(permissions, "retry_after")?.unwrap_or(false),
         max_retry_after: seconds(permissions, "max_retry_after_s")?.unwrap_or(micros(1.0)),
     };
-    Ok(Given { decisions, node })
+    Ok(SchedulerSettings { dispatch: decisions, proxy: node })
 }
 
-fn effect(class: &JsonValue) -> Result<Effect, String> {
+fn effect(class: &JsonValue) -> Result<Idempotency, String> {
     let scope = match text(class, "key_scope")? {
         Some("zone") => KeyScope::Zone,
         Some("cell") => KeyScope::Cell,
         _ => KeyScope::All,
     };
     match need(text(class, "semantics"), "semantics")? {
-        "pure" => Ok(Effect::Safe),
-        "token" => Ok(Effect::Keyed { scope, window: seconds(class, "window_s")?.unwrap_or(0) }),
-        "side_effect" => Ok(Effect::Unsafe),
+        "pure" => Ok(Idempotency::Idempotent),
+        "token" => {
+            Ok(Idempotency::IdempotentWithKey { scope, window: seconds(class, "window_s")?.unwrap_or(0) })
+        }
+        "side_effect" => Ok(Idempotency::NonIdempotent),
         other => Err(format!("unknown semantics {other:?}")),
     }
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -109,26 +109,32 @@
     Ok(match code {
         0 => Outcome::Error,
         1 => Outcome::Served,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::TimedOut,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::Superseded,
         _ => return Err(Failure::Bad(format!("state_code {code} is unknown"))),
     })
 }
 
-fn report(load: &Load) -> Report {
-    Report { queue: load.waiting, inflight: load.active, util: load.cpu, qps: load.rps, free_slots: load.x0 }
+fn report(load: &Load) -> LoadReport {
+    LoadReport {
+        queue: load.waiting,
+        inflight: load.active,
+        util: load.cpu,
+        qps: load.rps,
+        free_slots: load.x0,
+    }
 }
 
 fn timer(cookie: &str) -> Option<Timer> {
     match cookie {
-        "sweep" => Some(Timer::Sweep),
-        "probe" => Some(Timer::Probe),
-        "discovery" => Some(Timer::Discovery),
-        _ => hex_id(cookie).ok().map(Timer::Check),
+        "sweep" => Some(Timer::PeriodicRefresh),
+        "probe" => Some(Timer::LoadQuery),
+        "discovery" => Some(Timer::Subscription),
+        _ => hex_id(cookie).ok().map(Timer::HedgeCheck),
     }
 }
 
@@ -146,11 +152,11 @@
             let given = json::parse(text.get())
                 .and_then(|params| copperspread_settings::platform::read_settings(&params))
                 .map_err(|e| Failure::Bad(format!("provision: params: {e}")))?;
-            match Dispatcher::new(given.decisions, need(line.prng, line, "prng")?) {
+            match Dispatcher::new(given.dispatch, need(line.prng, line, "prng")?) {
                 Ok(dispatcher) => {
                     let instance = Instance {
                         dispatcher,
-                        tells_when: given.node.tells_when,
+                        tells_when: given.proxy.sends_retry_after,
                         executors: FxHashMap::default(),
                         names: Vec::new(),
                         actions: Vec::new(),
@@ -187,7 +193,7 @@
 impl Instance {
     fn take(&mut self, now: Micros, line: &Line<'_>) -> Result<(), Failure> {
         let progress = |progress| -> Result<Event<'_>, Failure> {
-            Ok(Event::Progress {
+            Ok(Event::AttemptProgress {
                 request: request_id(line)?,
                 attempt: need(line.attempt, line, "try")?,
                 progress,
@@ -195,7 +201,7 @@
         };
         let event = match &*line.kind {
             "topology" => return self.take_roster(now, line),
-            "work_item" => Event::Job(Job {
+            "work_item" => Event::Request(IncomingRequest {
                 request: request_id(line)?,
                 class: need(line.category, line, "category")?,
                 tenant: line.org.unwrap_or(0),
@@ -203,11 +209,11 @@
                 cost_hint: line.work_s,
                 time_left: micros(need(line.expires_in_s, line, "expires_in_s")?),
             }),
-            "answer" => Event::Outcome(AttemptOutcome {
+            "answer" => Event::AttemptEnded(AttemptOutcome {
                 request: request_id(line)?,
                 attempt: need(line.attempt, line, "try")?,
                 outcome: outcome(need(line.state_code, line, "state_code")?)?,
-                finished: need(line.over, line, "over")?,
+                request_finished: need(line.over, line, "over")?,
                 elapsed: micros(need(line.elapsed_s, line, "elapsed_s")?),
                 report: line.load.as_ref().map(report),
             }),
@@ -217,9 +223,9 @@
                 what => return Err(Failure::Skip(format!("progress of kind {what} skipped"))),
             },
             "started" => progress(Progress::Streaming)?,
-            "aborted" => Event::Gone(request_id(line)?),
+            "aborted" => Event::ClientDisconnected(request_id(line)?),
             "bell" => match timer(need(line.cookie.as_deref(), line, "cookie")?) {
-                Some(timer) => Event::Timer(timer),
+                Some(timer) => Event::TimerExpired(timer),
                 None => return Err(Failure::Skip("bell with an unknown cookie skipped".into())),
             },
             _ => {
@@ -227,7 +233,7 @@
                 let Some(&worker) = self.executors.get(executor) else {
                     return Err(Failure::Skip(format!("probe of unknown {executor:?} skipped")));
                 };
-                Event::Probed {
+                Event::LoadQueryEnded {
                     worker,
                     outcome: outcome(need(line.state_code, line, "state_code")?)?,
                     report: line.load.as_ref().map(report),
@@ -240,20 +246,20 @@
 
     fn take_roster(&mut self, now: Micros, line: &Line<'_>) -> Result<(), Failure> {
         let kind = match need(line.mode.as_deref(), line, "mode")? {
-            "D" => RosterKind::Changes,
-            "F" => RosterKind::Full,
-            "C" => RosterKind::Remembered,
-            "X" => RosterKind::Failed,
+            "D" => EndpointUpdateKind::Changes,
+            "F" => EndpointUpdateKind::Full,
+            "C" => EndpointUpdateKind::Cached,
+            "X" => EndpointUpdateKind::Failed,
             mode => return Err(Failure::Bad(format!("topology of unknown mode {mode:?}"))),
         };
         let listed = match (&line.nodes_list, kind) {
             (Some(list), _) => list.as_slice(),
-            (None, RosterKind::Failed) => &[],
+            (None, EndpointUpdateKind::Failed) => &[],
             (None, _) => return Err(Failure::Bad("topology without nodes_list".into())),
         };
         let mut entries = Vec::with_capacity(listed.len());
         for entry in listed {
-            entries.push(WorkerEntry {
+            entries.push(Endpoint {
                 worker: self.worker(&entry.executor),
                 zone: entry.dc.unwrap_or(0),
                 kind: entry.class_of_host.unwrap_or(0),
@@ -261,20 +267,20 @@
                 state: match &*entry.status {
                     "live" => WorkerState::Ready,
                     "quiescing" => WorkerState::Draining,
-                    "dead" => WorkerState::Gone,
+                    "dead" => WorkerState::Removed,
                     status => return Err(Failure::Bad(format!("unknown status {status:?}"))),
                 },
                 started_at: entry.online_since_s.map(micros).filter(|&at| at > 0),
                 size: entry.nominal,
-                key: name_key(&entry.executor),
+                hash_key: name_key(&entry.executor),
             });
         }
         let version = match kind {
-            RosterKind::Failed => 0,
+            EndpointUpdateKind::Failed => 0,
             _ => need(line.serial, line, "serial")?,
         };
-        let roster = Roster { kind, version, entries: &entries };
-        self.dispatcher.handle(now, Event::Roster(roster), &mut self.actions);
+        let roster = EndpointUpdate { kind, version, endpoints: &entries };
+        self.dispatcher.handle(now, Event::Endpoints(roster), &mut self.actions);
         Ok(())
     }
 
@@ -302,7 +308,7 @@
             let id = request.0;
             writeln!(out, r#"{{"kind":"pass_on","node_id":"{node}","req":"{id:016x}","executor":"{name}"}}"#)
         }
-        Action::Refuse { request, retry_after, .. } => {
+        Action::Reject { request, retry_after, .. } => {
             write!(out, r#"{{"kind":"busy","node_id":"{node}","req":"{:016x}""#, request.0)?;
             if instance.tells_when {
                 write!(out, r#","retry_after_s":{}"#, seconds(retry_after))?;
@@ -317,20 +323,20 @@
             r#"{{"kind":"revoke","node_id":"{node}","req":"{:016x}","try":{attempt}}}"#,
             request.0
         ),
-        Action::Wake { after, timer } => {
+        Action::StartTimer { after, timer } => {
             write!(out, r#"{{"kind":"wake_at","node_id":"{node}","span_s":{},"cookie":""#, seconds(after))?;
             match timer {
-                Timer::Sweep => out.write_all(b"sweep")?,
-                Timer::Probe => out.write_all(b"probe")?,
-                Timer::Discovery => out.write_all(b"discovery")?,
-                Timer::Check(request) => write!(out, "{:016x}", request.0)?,
+                Timer::PeriodicRefresh => out.write_all(b"sweep")?,
+                Timer::LoadQuery => out.write_all(b"probe")?,
+                Timer::Subscription => out.write_all(b"discovery")?,
+                Timer::HedgeCheck(request) => write!(out, "{:016x}", request.0)?,
             }
             writeln!(out, r#""}}"#)
         }
         Action::Subscribe => {
             writeln!(out, r#"{{"kind":"listen","node_id":"{node}","enable":true}}"#)
         }
-        Action::Probe { worker } => {
+        Action::QueryLoad { worker } => {
             let name = &instance.names[worker.0 as usize];
             writeln!(out, r#"{{"kind":"probe","node_id":"{node}","executor":"{name}"}}"#)
         }
--- a/crates/testbed/benches/decisions.rs
+++ b/crates/testbed/benches/decisions.rs
@@ -9,9 +9,9 @@
     divan::main();
 }
 
-fn entry(worker: u32) -> WorkerEntry {
+fn entry(worker: u32) -> Endpoint {
     let (zone, state) = (worker % 3, WorkerState::Ready);
-    WorkerEntry {
+    Endpoint {
         worker: WorkerId(worker),
         zone,
         kind: worker % 3,
@@ -19,18 +19,23 @@
         state,
         started_at: None,
         size: None,
-        key: worker.into(),
+        hash_key: worker.into(),
     }
 }
 
 fn dispatcher(workers: u32) -> Dispatcher {
-    let class = Class { aim: SECOND, stretch: 2.0, effect: Effect::Safe, ..Class::default() };
+    let class = RequestClass {
+        latency_objective: SECOND,
+        latency_stretch: 2.0,
+        idempotency: Idempotency::Idempotent,
+        ..RequestClass::default()
+    };
     let settings =
-        Settings { classes: vec![class], max_attempts: 4, may_cancel: true, ..Settings::default() };
+        Settings { classes: vec![class], max_attempts: 4, cancellation_allowed: true, ..Settings::default() };
     let mut dispatcher = Dispatcher::new(settings, 7).expect("good settings");
     let entries: Vec<_> = (0..workers).map(entry).collect();
-    let roster = Roster { kind: RosterKind::Full, version: 1, entries: &entries };
-    dispatcher.handle(SECOND, Event::Roster(roster), &mut Vec::new());
+    let roster = EndpointUpdate { kind: EndpointUpdateKind::Full, version: 1, endpoints: &entries };
+    dispatcher.handle(SECOND, Event::Endpoints(roster), &mut Vec::new());
     dispatcher
 }
 
@@ -40,11 +45,17 @@
     let (mut now, mut request) = (2 * SECOND, RequestId(0));
     bencher.bench_local(|| {
         (now, request.0) = (now + 1_000, request.0 + 1);
-        let job = Job { request, cost_hint: Some(0.1), time_left: 5 * SECOND, ..Job::default() };
-        dispatcher.handle(now, Event::Job(job), &mut actions);
+        let job = IncomingRequest {
+            request,
+            cost_hint: Some(0.1),
+            time_left: 5 * SECOND,
+            ..IncomingRequest::default()
+        };
+        dispatcher.handle(now, Event::Request(job), &mut actions);
         let (outcome, elapsed) = (Outcome::Served, 100_000);
-        let end = AttemptOutcome { request, attempt: 0, outcome, finished: true, elapsed, report: None };
-        dispatcher.handle(now + elapsed, Event::Outcome(end), &mut actions);
+        let end =
+            AttemptOutcome { request, attempt: 0, outcome, request_finished: true, elapsed, report: None };
+        dispatcher.handle(now + elapsed, Event::AttemptEnded(end), &mut actions);
         actions.clear();
     });
 }
@@ -55,7 +66,7 @@
     let mut now = 2 * SECOND;
     bencher.bench_local(|| {
         now += SECOND;
-        dispatcher.handle(now, Event::Timer(Timer::Sweep), &mut actions);
+        dispatcher.handle(now, Event::TimerExpired(Timer::PeriodicRefresh), &mut actions);
         actions.clear();
     });
 }
@@ -67,9 +78,9 @@
     bencher.bench_local(|| {
         (now, version) = (now + 1_000, version + 1);
         let state = if version % 2 == 0 { WorkerState::Draining } else { WorkerState::Ready };
-        let changed = [WorkerEntry { state, ..entry(workers / 2) }];
-        let roster = Roster { kind: RosterKind::Changes, version, entries: &changed };
-        dispatcher.handle(now, Event::Roster(roster), &mut actions);
+        let changed = [Endpoint { state, ..entry(workers / 2) }];
+        let roster = EndpointUpdate { kind: EndpointUpdateKind::Changes, version, endpoints: &changed };
+        dispatcher.handle(now, Event::Endpoints(roster), &mut actions);
         actions.clear();
     });
 }
--- a/crates/testbed/src/emulate/baseline.rs
+++ b/crates/testbed/src/emulate/baseline.rs
@@ -6,13 +6,13 @@
 use copperspread_event_log::writer::Recorder;
 use copperspread_proxy::assembly::assemble;
 use copperspread_proxy::clock::Clock;
-use copperspread_proxy::discovery::platform::Targets;
-use copperspread_proxy::discovery::{Membership, Source};
-use copperspread_proxy::downstream::Front;
-use copperspread_proxy::endpoints::ServiceEntries;
-use copperspread_proxy::event_recorder::Witness;
-use copperspread_proxy::policy_handle::Decisions;
-use copperspread_settings::{SourceSpec, Start, platform};
+use copperspread_proxy::discovery::platform::PlatformDiscovery;
+use copperspread_proxy::discovery::{EndpointPublisher, EndpointSource};
+use copperspread_proxy::downstream::Downstream;
+use copperspread_proxy::endpoints::EndpointTable;
+use copperspread_proxy::event_recorder::EventRecorder;
+use copperspread_proxy::policy_handle::PolicyHandle;
+use copperspread_settings::{DiscoveryConfig, StartupConfig, platform};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 use tokio::time::sleep;
@@ -24,12 +24,12 @@
 const DEAF_AFTER: Duration = Duration::from_millis(300);
 
 /// A membership that no flow asks.
-fn nobody(start: &Start) -> Result<Membership, String> {
-    let entries = Arc::new(ServiceEntries::new(&start.given.node));
-    let witness = Witness::new(Recorder::off(), Arc::clone(&entries), &start.given.node);
+fn nobody(start: &StartupConfig) -> Result<EndpointPublisher, String> {
+    let entries = Arc::new(EndpointTable::new(&start.settings.proxy));
+    let witness = EventRecorder::new(Recorder::off(), Arc::clone(&entries), &start.settings.proxy);
     let chance = stream(start.seed, Stream::Network);
-    let policy = Kind::Random.make(start.given.decisions.clone(), start.seed, chance)?;
-    Ok(Membership::new(entries, Decisions::new(policy, false, Clock::start(), witness)))
+    let policy = Kind::Random.make(start.settings.dispatch.clone(), start.seed, chance)?;
+    Ok(EndpointPublisher::new(entries, PolicyHandle::new(policy, false, Clock::start(), witness)))
 }
 
 /// Serves by the configuration that `EDGE_CONFIG` names, until SIGTERM.
@@ -39,19 +39,21 @@
 pub fn serve(kind: Kind) -> Result<(), String> {
     let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG names no file".to_owned())?;
     let content = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-    let start = platform::read_start(&content).map_err(|e| format!("{path}: {e}"))?;
-    let policy = kind.make(start.given.decisions.clone(), start.seed, stream(start.seed, Stream::Network))?;
+    let start = platform::read_startup_config(&content).map_err(|e| format!("{path}: {e}"))?;
+    let policy =
+        kind.make(start.settings.dispatch.clone(), start.seed, stream(start.seed, Stream::Network))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     runtime.block_on(async {
         let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
         let assembled = assemble(&start, policy, &Recorder::off()).await?;
-        let SourceSpec::Targets(discovery) = start.source.clone() else {
+        let DiscoveryConfig::Platform(discovery) = start.discovery.clone() else {
             return Err("a baseline follows discovery only".to_owned());
         };
         let (_moving, address) = watch::channel(discovery);
-        let source = Box::new(Targets { address: address.clone(), known: assembled.known });
-        let following = tokio::spawn(source.follow(assembled.membership.clone()));
+        let source =
+            Box::new(PlatformDiscovery { address: address.clone(), known: assembled.cached_revision });
+        let following = tokio::spawn(source.follow(assembled.endpoint_publisher.clone()));
         if kind == Kind::IgnoresDrains {
             // The node looks again before it sends, so that only one that is deaf to the list can break
             // this rule: it goes on being told, and tells it to nobody.
@@ -59,13 +61,13 @@
             tokio::spawn(async move {
                 sleep(DEAF_AFTER).await;
                 following.abort();
-                Box::new(Targets { address, known: None }).follow(nobody).await;
+                Box::new(PlatformDiscovery { address, known: None }).follow(nobody).await;
             });
         }
-        tokio::spawn(Arc::clone(&assembled.edge).accept());
+        tokio::spawn(Arc::clone(&assembled.connections).accept());
         term.recv().await;
-        let ends = assembled.end();
-        assembled.ended(ends).await;
+        let ends = assembled.begin_shutdown();
+        assembled.wait_until_drained(ends).await;
         Ok(())
     })
 }
--- a/crates/testbed/src/emulate/listing.rs
+++ b/crates/testbed/src/emulate/listing.rs
@@ -1,7 +1,7 @@
 //! The agents of the worker list, one for each scheduler, and their answers.
 use std::rc::Rc;
 
-use copperspread_dispatcher::{Micros, RosterKind, WorkerEntry, WorkerState};
+use copperspread_dispatcher::{Endpoint, EndpointUpdateKind, Micros, WorkerState};
 use http_body_util::Full;
 use hyper::{Request, Response};
 use serde_json::{Value, json};
@@ -18,16 +18,16 @@
 pub const TURNS: Duration = Duration::from_secs(3);
 
 /// A list in discovery's form. Who is gone is named among changes only.
-pub fn form(stage: &Stage, kind: RosterKind, revision: u64, entries: &[WorkerEntry]) -> Value {
-    let complete = kind != RosterKind::Changes;
-    let named = entries.iter().filter(|entry| !complete || entry.state != WorkerState::Gone);
+pub fn form(stage: &Stage, kind: EndpointUpdateKind, revision: u64, entries: &[Endpoint]) -> Value {
+    let complete = kind != EndpointUpdateKind::Changes;
+    let named = entries.iter().filter(|entry| !complete || entry.state != WorkerState::Removed);
     let members: Vec<Value> = named
         .map(|entry| {
             let worker = entry.worker.0;
             let phase = match entry.state {
                 WorkerState::Ready => "SERVING",
                 WorkerState::Draining => "DRAINING",
-                WorkerState::Gone => "DELETED",
+                WorkerState::Removed => "DELETED",
             };
             json!({
                 "id": format!("w-{worker}"), "host_port": stage.address(worker).to_string(),
@@ -83,7 +83,7 @@
             break (kind, revision, entries);
         }
         if timeout_at(by, changed.changed()).await.is_err() {
-            break (RosterKind::Changes, revision, Vec::new());
+            break (EndpointUpdateKind::Changes, revision, Vec::new());
         }
     };
     let body = form(stage, kind, revision, &entries).to_string();
--- a/crates/testbed/src/emulate/mod.rs
+++ b/crates/testbed/src/emulate/mod.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use copperspread_dispatcher::{Micros, RosterKind, SECOND, WorkerState};
+use copperspread_dispatcher::{EndpointUpdateKind, Micros, SECOND, WorkerState};
 use hdrhistogram::Histogram;
 use tokio::net::TcpListener;
 use tokio::task::{JoinSet, LocalSet};
@@ -151,7 +151,7 @@
         let discovery = listener.local_addr().map_err(wrong("a list's port"))?;
         tokio::task::spawn_local(listing::agent(Rc::clone(&stage), number, listener));
         let known = (scenario.discovery.first_after > 0.0)
-            .then(|| listing::form(&stage, RosterKind::Remembered, 0, &remembered));
+            .then(|| listing::form(&stage, EndpointUpdateKind::Cached, 0, &remembered));
         let configuration = configuration(scenario, number, seed, address, discovery, known.as_ref());
         processes.push(Process::new(program, folder.path(), number, address, &configuration)?);
     }
--- a/crates/testbed/src/emulate/stage.rs
+++ b/crates/testbed/src/emulate/stage.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
-use copperspread_dispatcher::{Micros, Report, WorkerEntry, WorkerId, WorkerState};
+use copperspread_dispatcher::{Endpoint, LoadReport, Micros, WorkerId, WorkerState};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -149,7 +149,7 @@
     }
 
     /// A scheduler was told of entries.
-    pub fn told(&self, scheduler: u32, entries: &[WorkerEntry]) {
+    pub fn told(&self, scheduler: u32, entries: &[Endpoint]) {
         let mut world = self.world.borrow_mut();
         let now = world.now();
         for entry in entries {
@@ -158,12 +158,12 @@
     }
 
     /// A worker's entry as it is now.
-    pub fn entry(&self, worker: u32) -> WorkerEntry {
+    pub fn entry(&self, worker: u32) -> Endpoint {
         entry(&self.world.borrow(), worker)
     }
 
     /// Every entry as it is now.
-    pub fn entries(&self) -> Vec<WorkerEntry> {
+    pub fn entries(&self) -> Vec<Endpoint> {
         (0..self.ports.len() as u32).map(|worker| self.entry(worker)).collect()
     }
 
@@ -226,28 +226,28 @@
 }
 
 /// A worker's entry as the world has it.
-pub fn entry(world: &World, worker: u32) -> WorkerEntry {
+pub fn entry(world: &World, worker: u32) -> Endpoint {
     let (of, zone) = &world.workers[worker as usize];
     let state = match of.life {
         Life::Up => WorkerState::Ready,
         Life::Draining => WorkerState::Draining,
-        Life::Dead | Life::Vanished => WorkerState::Gone,
+        Life::Dead | Life::Vanished => WorkerState::Removed,
     };
     let kind = world.kinds[worker as usize];
-    WorkerEntry {
+    Endpoint {
         worker: WorkerId(worker),
         zone: *zone,
         kind,
         cell: world.cells[worker as usize],
         state,
         started_at: of.started_at,
-        key: worker.into(),
+        hash_key: worker.into(),
         size: None,
     }
 }
 
 /// A load report's figures, by their names.
-fn figures(report: &Report) -> impl Iterator<Item = (&'static str, f64)> {
+fn figures(report: &LoadReport) -> impl Iterator<Item = (&'static str, f64)> {
     let all = [
         ("x0", report.free_slots),
         ("queue", report.queue),
@@ -259,12 +259,12 @@
 }
 
 /// A load report as an object.
-pub fn load_object(report: &Report) -> Value {
+pub fn load_object(report: &LoadReport) -> Value {
     figures(report).map(|(name, value)| (name.to_owned(), value)).collect()
 }
 
 /// A load report as a header.
-pub fn load_header(report: &Report) -> String {
+pub fn load_header(report: &LoadReport) -> String {
     let parts = figures(report).map(|(name, value)| format!("{name}={value:.4}"));
     format!("TEXT {}", parts.collect::<Vec<_>>().join(", "))
 }
--- a/crates/testbed/src/emulate/world.rs
+++ b/crates/testbed/src/emulate/world.rs
@@ -1,6 +1,6 @@
 //! What the emulator knows: the model's workers in real time, who asked for what, and the referee. No
 //! socket and no await: the tasks round it tell it what came and carry out what it says.
-use copperspread_dispatcher::{Effect, Micros, Report, RequestId};
+use copperspread_dispatcher::{Idempotency, LoadReport, Micros, RequestId};
 use rand::RngExt;
 use rand_distr::{Distribution, Normal};
 use rustc_hash::FxHashMap;
@@ -42,11 +42,11 @@
     /// So great a share of it is done.
     Running(f64),
     /// It is done.
-    Done(Report),
+    Done(LoadReport),
     /// It was lost with the process.
     Lost,
     /// It is handed back unstarted.
-    Returned(Report),
+    Returned(LoadReport),
     /// A repeat's first attempt came to nothing.
     Failed,
 }
@@ -59,7 +59,7 @@
     /// 202, of which the half is said.
     Half,
     /// 503 with the word that it never runs here.
-    Full(Report),
+    Full(LoadReport),
     /// No such request: 400.
     Unknown,
     /// The connection is reset.
@@ -248,13 +248,13 @@
         let zone = self.workers[worker as usize].1;
         let effect = self.scenario.classes[arrival.class as usize].effect();
         let group = match effect {
-            Effect::Keyed { scope, .. } => group(scope, zone, self.cells[worker as usize]),
+            Idempotency::IdempotentWithKey { scope, .. } => group(scope, zone, self.cells[worker as usize]),
             _ => 0,
         };
         self.next = self.next.wrapping_add(1);
         let id = self.next;
         let attempt = Attempt { request, job, worker, scheduler };
-        if let Effect::Keyed { window, .. } = effect
+        if let Idempotency::IdempotentWithKey { window, .. } = effect
             && self.workers[worker as usize].0.takes()
             && let Some(repeat) = of.keys.repeat(id, group, now, window)
         {
@@ -287,7 +287,7 @@
                 self.held.0 += 1;
                 self.attempts.insert(id, attempt);
                 self.referee.took(now, job, id, effect, group, came);
-                if matches!(effect, Effect::Keyed { .. })
+                if matches!(effect, Idempotency::IdempotentWithKey { .. })
                     && let Some(of) = self.jobs.get_mut(&job)
                 {
                     of.keys.took(id, group, now);
@@ -359,7 +359,7 @@
     }
 
     /// A worker's load, as it tells whoever probes it.
-    pub fn load(&mut self, worker: u32) -> Report {
+    pub fn load(&mut self, worker: u32) -> LoadReport {
         let now = self.now();
         let late = self.scenario.reports.probe.map_or(0, |probe| micros(probe.late)) + self.reports_late;
         self.workers[worker as usize].0.probed(now, late).unwrap_or_default()
@@ -374,9 +374,9 @@
     }
 
     /// What comes along with an answer; nothing where workers are to be probed.
-    fn report(&mut self, worker: u32) -> Report {
+    fn report(&mut self, worker: u32) -> LoadReport {
         if self.scenario.reports.probe.is_some() {
-            return Report::default();
+            return LoadReport::default();
         }
         let refresh = micros(self.scenario.reports.refresh) + self.reports_late;
         let (noise, sigma, now) = (&mut self.noise, self.scenario.reports.noise, self.began.elapsed());
--- a/crates/testbed/src/model/worker.rs
+++ b/crates/testbed/src/model/worker.rs
@@ -4,7 +4,7 @@
 //! cores' work; alone and warm it takes `work / speed`.
 use std::collections::VecDeque;
 
-use copperspread_dispatcher::{Micros, Report, SECOND};
+use copperspread_dispatcher::{LoadReport, Micros, SECOND};
 
 use crate::scenario::{Order, Trouble};
 
@@ -150,9 +150,9 @@
     pub epoch: u64,
     /// Core-seconds done.
     pub done_work: f64,
-    report: (Micros, Report),
+    report: (Micros, LoadReport),
     /// What it tells when it is probed: its figures as they were refreshed, the newest last.
-    refreshed: VecDeque<(Micros, Report)>,
+    refreshed: VecDeque<(Micros, LoadReport)>,
     /// Jobs offered since the last refresh.
     came: u32,
 }
@@ -181,11 +181,11 @@
             done_work: 0.0,
             report: (
                 0,
-                Report {
+                LoadReport {
                     free_slots: Some(build.slots),
                     queue: Some(0.0),
                     util: Some(0.0),
-                    ..Report::default()
+                    ..LoadReport::default()
                 },
             ),
             refreshed: VecDeque::new(),
@@ -457,17 +457,17 @@
     pub fn refresh(&mut self, now: Micros, every: Micros, mut noise: impl FnMut() -> f64) {
         let slots = self.build.slots;
         let came = f64::from(std::mem::take(&mut self.came)) * SECOND as f64 / every.max(1) as f64;
-        let report = Report {
+        let report = LoadReport {
             qps: Some((came + noise()).max(0.0)),
             inflight: Some((self.holds() as f64 + noise()).max(0.0)),
             free_slots: Some((slots - self.used + noise()).clamp(0.0, slots)),
-            ..Report::default()
+            ..LoadReport::default()
         };
         self.refreshed.push_back((now, report));
     }
 
     /// What it tells when it is probed: the newest figures that were refreshed `late` ago or before.
-    pub fn probed(&mut self, now: Micros, late: Micros) -> Option<Report> {
+    pub fn probed(&mut self, now: Micros, late: Micros) -> Option<LoadReport> {
         while self.refreshed.get(1).is_some_and(|&(at, _)| at + late <= now) {
             self.refreshed.pop_front();
         }
@@ -475,14 +475,14 @@
     }
 
     /// Its load report, as old as its refreshing makes it; `noise` spreads the figures.
-    pub fn report(&mut self, now: Micros, refresh: Micros, noise: impl FnOnce() -> f64) -> Report {
+    pub fn report(&mut self, now: Micros, refresh: Micros, noise: impl FnOnce() -> f64) -> LoadReport {
         if now >= self.report.0 + refresh {
             let free = (self.build.slots - self.used).max(0.0);
-            let report = Report {
+            let report = LoadReport {
                 free_slots: Some((free + noise()).clamp(0.0, self.build.slots)),
                 queue: Some(self.waiting.len() as f64),
                 util: Some((self.used / self.build.cores).min(1.0)),
-                ..Report::default()
+                ..LoadReport::default()
             };
             self.report = (now, report);
         }
--- a/crates/testbed/src/policy.rs
+++ b/crates/testbed/src/policy.rs
@@ -1,7 +1,8 @@
 //! What chooses: the decision module, textbook baselines, and schedulers that are broken on purpose.
 use copperspread_dispatcher::{
-    Action, AttemptOutcome, Decide, Discovery, Dispatcher, Event, Job, Micros, Outcome, Progress, Refusal,
-    RequestId, Roster, RosterKind, SECOND, Settings, WorkerEntry, WorkerId, WorkerState,
+    Action, AttemptOutcome, Discovery, DispatchPolicy, Dispatcher, Endpoint, EndpointUpdate,
+    EndpointUpdateKind, Event, IncomingRequest, Micros, Outcome, Progress, Rejection, RequestId, SECOND,
+    Settings, WorkerId, WorkerState,
 };
 use rand::RngExt;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -11,7 +12,7 @@
 use crate::model::worker::Truth;
 
 /// One scheduler's decisions.
-pub trait Policy: Decide {
+pub trait Policy: DispatchPolicy {
     /// Whether it sees the truth before each job.
     fn sees(&self) -> bool {
         false
@@ -76,7 +77,7 @@
     /// Settings that the decision module does not take.
     pub fn make(self, settings: Settings, seed: u64, chance: Chance) -> Result<Box<dyn Policy>, String> {
         let module = |settings| Dispatcher::new(settings, seed).map_err(|e| e.to_string());
-        let asks = settings.discovery == Discovery::OnRequest;
+        let asks = settings.discovery == Discovery::Polled;
         let plain = |pick| Box::new(Baseline { asks, ..Baseline::new(pick, chance.clone()) });
         Ok(match self {
             Kind::Copperspread => Box::new(module(settings)?),
@@ -132,7 +133,7 @@
 }
 
 struct Open {
-    job: Job,
+    job: IncomingRequest,
     deadline: Micros,
     at: Vec<WorkerId>,
     /// When its last attempt was sent or, later, told to have started.
@@ -141,7 +142,7 @@
 }
 
 /// A job's work by its hint, in core-seconds.
-fn work(job: &Job) -> f64 {
+fn work(job: &IncomingRequest) -> f64 {
     job.cost_hint.unwrap_or(1.0) * job.slots.unwrap_or(1.0)
 }
 
@@ -167,14 +168,14 @@
         }
     }
 
-    fn roster(&mut self, roster: Roster<'_>) {
-        if matches!(roster.kind, RosterKind::Full | RosterKind::Remembered) {
-            self.workers.iter_mut().for_each(|worker| worker.0 = WorkerState::Gone);
+    fn roster(&mut self, roster: EndpointUpdate<'_>) {
+        if matches!(roster.kind, EndpointUpdateKind::Full | EndpointUpdateKind::Cached) {
+            self.workers.iter_mut().for_each(|worker| worker.0 = WorkerState::Removed);
         }
-        for entry in roster.entries {
+        for entry in roster.endpoints {
             let at = entry.worker.0 as usize;
             if self.workers.len() <= at {
-                self.workers.resize(at + 1, (WorkerState::Gone, None));
+                self.workers.resize(at + 1, (WorkerState::Removed, None));
                 self.outstanding.resize(at + 1, 0);
                 self.cost.resize(at + 1, 0.0);
                 self.speed.resize(at + 1, 1.0);
@@ -185,7 +186,7 @@
         self.ready = ready.map(|(at, _)| at as u32).collect();
     }
 
-    fn choose(&mut self, job: &Job, tried: &[WorkerId]) -> Option<u32> {
+    fn choose(&mut self, job: &IncomingRequest, tried: &[WorkerId]) -> Option<u32> {
         let ready: Vec<u32> = match tried {
             [] => std::mem::take(&mut self.ready),
             tried => self.ready.iter().copied().filter(|&at| !tried.contains(&WorkerId(at))).collect(),
@@ -197,7 +198,7 @@
         chosen
     }
 
-    fn of(&mut self, job: &Job, ready: &[u32]) -> Option<u32> {
+    fn of(&mut self, job: &IncomingRequest, ready: &[u32]) -> Option<u32> {
         if ready.is_empty() {
             return None;
         }
@@ -254,7 +255,11 @@
                 actions.push(Action::Send { request: id, worker, estimate: 0 });
                 self.open.insert(id, open);
             }
-            None => actions.push(Action::Refuse { request: id, retry_after: SECOND, why: Refusal::NoWorker }),
+            None => actions.push(Action::Reject {
+                request: id,
+                retry_after: SECOND,
+                reason: Rejection::NoEligibleWorker,
+            }),
         }
     }
 
@@ -271,7 +276,7 @@
                 self.speed[at] += (speed - self.speed[at]) * SPEED_GAIN;
             }
         }
-        if end.finished || open.answered {
+        if end.request_finished || open.answered {
             return;
         }
         if end.outcome.never_ran() && open.at.len() < TRIES && now < open.deadline {
@@ -282,29 +287,30 @@
     }
 }
 
-impl Decide for Baseline {
+impl DispatchPolicy for Baseline {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Roster(roster) => {
+            Event::Endpoints(roster) => {
                 // Awake, or turned away.
-                if self.asks && matches!(roster.kind, RosterKind::Remembered | RosterKind::Failed) {
+                if self.asks && matches!(roster.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed)
+                {
                     actions.push(Action::Subscribe);
                 }
-                if roster.kind != RosterKind::Failed {
+                if roster.kind != EndpointUpdateKind::Failed {
                     self.roster(roster);
                 }
             }
-            Event::Progress { request, progress: Progress::Started, .. } => {
+            Event::AttemptProgress { request, progress: Progress::Started, .. } => {
                 if let Some(open) = self.open.get_mut(&request) {
                     open.since = now;
                 }
             }
-            Event::Job(job) => {
+            Event::Request(job) => {
                 let deadline = now + job.time_left;
                 let open = Open { job, deadline, at: Vec::new(), since: now, answered: false };
                 self.send(now, job.request, open, actions);
             }
-            Event::Outcome(end) => self.outcome(now, end, actions),
+            Event::AttemptEnded(end) => self.outcome(now, end, actions),
             _ => {}
         }
     }
@@ -325,7 +331,7 @@
 struct Broken {
     inner: Dispatcher,
     how: Kind,
-    entries: Vec<WorkerEntry>,
+    entries: Vec<Endpoint>,
     count: u64,
     resent: FxHashMap<RequestId, Vec<WorkerId>>,
     taken_over: FxHashSet<RequestId>,
@@ -351,19 +357,19 @@
 
 impl Policy for Broken {}
 
-impl Decide for Broken {
+impl DispatchPolicy for Broken {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         let from = actions.len();
-        if let Event::Roster(roster) = event {
-            for entry in roster.entries {
+        if let Event::Endpoints(roster) = event {
+            for entry in roster.endpoints {
                 self.entries.retain(|known| known.worker != entry.worker);
                 self.entries.push(*entry);
             }
             if self.how == Kind::IgnoresDrains {
-                let ready = |entry: &WorkerEntry| WorkerEntry { state: WorkerState::Ready, ..*entry };
-                let entries: Vec<_> = roster.entries.iter().map(ready).collect();
-                let roster = Roster { entries: &entries, ..roster };
-                return self.inner.handle(now, Event::Roster(roster), actions);
+                let ready = |entry: &Endpoint| Endpoint { state: WorkerState::Ready, ..*entry };
+                let entries: Vec<_> = roster.endpoints.iter().map(ready).collect();
+                let roster = EndpointUpdate { endpoints: &entries, ..roster };
+                return self.inner.handle(now, Event::Endpoints(roster), actions);
             }
         }
         self.inner.handle(now, event, actions);
@@ -372,9 +378,9 @@
                 self.resent.entry(*request).or_default().push(*worker);
             }
         }
-        let final_answer = |action: &Action| matches!(action, Action::Refuse { .. } | Action::Fail { .. });
-        if let (Kind::Resends, Event::Outcome(end)) = (self.how, event)
-            && !end.finished
+        let final_answer = |action: &Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
+        if let (Kind::Resends, Event::AttemptEnded(end)) = (self.how, event)
+            && !end.request_finished
         {
             let id = end.request;
             // Of what it once sent again the module knows nothing any more: it is ended here.
@@ -397,7 +403,7 @@
         match self.how {
             Kind::NeverAnswers => actions.retain(|action| !final_answer(action)),
             Kind::AnswersTwice => {
-                if let Event::Outcome(AttemptOutcome { request, outcome: Outcome::Served, .. }) = event {
+                if let Event::AttemptEnded(AttemptOutcome { request, outcome: Outcome::Served, .. }) = event {
                     self.count += 1;
                     if self.count.is_multiple_of(10) {
                         actions.push(Action::Fail { request });
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -1,7 +1,7 @@
 //! Knows what clients and workers saw and what the list told, and nothing that a scheduler claims.
 use std::collections::VecDeque;
 
-use copperspread_dispatcher::{Effect, KeyScope, Micros, RequestId, SECOND};
+use copperspread_dispatcher::{Idempotency, KeyScope, Micros, RequestId, SECOND};
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
@@ -183,8 +183,8 @@
     }
 
     /// A worker began to run a client's job.
-    pub fn ran(&mut self, now: Micros, job: u64, effect: Effect) {
-        if effect != Effect::Unsafe {
+    pub fn ran(&mut self, now: Micros, job: u64, effect: Idempotency) {
+        if effect != Idempotency::NonIdempotent {
             return;
         }
         let runs = self.runs.entry(job).or_default();
@@ -196,8 +196,16 @@
 
     /// A worker of a group (see [`crate::model::keys::group`]) took an attempt, which may run from now on.
     /// Repeats are dropped only in the group of the first, and only so long after that was sent.
-    pub fn took(&mut self, now: Micros, job: u64, attempt: u64, effect: Effect, group: u32, sent_at: Micros) {
-        let Effect::Keyed { scope, window } = effect else { return };
+    pub fn took(
+        &mut self,
+        now: Micros,
+        job: u64,
+        attempt: u64,
+        effect: Idempotency,
+        group: u32,
+        sent_at: Micros,
+    ) {
+        let Idempotency::IdempotentWithKey { scope, window } = effect else { return };
         let runs = self.runs.entry(job).or_default();
         let first = runs.taken.iter().copied().min_by_key(|&(_, _, sent)| sent);
         runs.taken.push((attempt, group, sent_at));
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -86,12 +86,12 @@
 pub fn serve() -> Result<(), String> {
     let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG names no file".to_owned())?;
     let content = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-    let start = platform::read_start(&content).map_err(|e| format!("{path}: {e}"))?;
-    let known = start.known.ok_or("known: a relay needs its workers at the start")?;
+    let start = platform::read_startup_config(&content).map_err(|e| format!("{path}: {e}"))?;
+    let known = start.cached_endpoints.ok_or("known: a relay needs its workers at the start")?;
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     let relay = Arc::new(Relay {
-        workers: known.members.into_iter().map(|member| member.address).collect(),
+        workers: known.endpoints.into_iter().map(|member| member.address).collect(),
         turn: AtomicUsize::new(0),
         client: Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,5 +1,5 @@
 //! A scenario: who works, who asks, and what goes wrong, as a TOML file. docs/lab.md describes it.
-use copperspread_dispatcher::{self as decisions, Effect, Micros, SECOND, Settings};
+use copperspread_dispatcher::{self as decisions, Idempotency, Micros, SECOND, Settings};
 use serde::{Deserialize, Serialize};
 
 /// A connection that is not up by then has failed.
@@ -720,35 +720,35 @@
 
     /// The settings of one scheduler.
     pub fn settings(&self, scheduler: u32) -> Settings {
-        let class = |class: &Class| decisions::Class {
-            aim: micros(class.aim),
-            stretch: class.stretch,
+        let class = |class: &Class| decisions::RequestClass {
+            latency_objective: micros(class.aim),
+            latency_stretch: class.stretch,
             deadline: micros(class.deadline),
-            worth: class.worth,
-            effect: class.effect(),
+            priority_weight: class.worth,
+            idempotency: class.effect(),
             worker_kind: None,
         };
         Settings {
             fleet_size: self.schedulers,
-            number: Some(scheduler),
-            live_sizes: self.discovery.sizes > 0.0,
+            instance_index: Some(scheduler),
+            sizes_reflect_load: self.discovery.sizes > 0.0,
             zone: scheduler % self.zones,
             classes: self.classes.iter().map(class).collect(),
-            worth_by_work: true,
-            cold_from: self.cold.from,
-            cold_for: micros(self.cold.warm_after),
-            fall_multiple: self.cold.fall_multiple,
-            fall_window: micros(self.cold.fall_seconds.max(0.001)),
-            connect_within: CONNECT,
+            weight_by_work: true,
+            slow_start_initial_capacity: self.cold.from,
+            slow_start_duration: micros(self.cold.warm_after),
+            overload_multiple: self.cold.fall_multiple,
+            overload_window: micros(self.cold.fall_seconds.max(0.001)),
+            connect_timeout: CONNECT,
             max_attempts: self.settings.max_attempts,
-            second_copies: self.settings.second_copies,
-            may_cancel: self.settings.may_cancel,
-            tells_start: true,
-            price_cross_zone: self.settings.price_cross_zone,
-            reports_by_probe: self.reports.probe.is_some(),
-            price_probe: self.reports.probe.map_or(0.0, |probe| probe.price),
+            hedging_allowed: self.settings.second_copies,
+            cancellation_allowed: self.settings.may_cancel,
+            reports_job_start: true,
+            cross_zone_cost: self.settings.price_cross_zone,
+            load_by_query: self.reports.probe.is_some(),
+            load_query_cost: self.reports.probe.map_or(0.0, |probe| probe.price),
             discovery: if self.discovery.on_request {
-                decisions::Discovery::OnRequest
+                decisions::Discovery::Polled
             } else {
                 decisions::Discovery::Pushed
             },
@@ -778,18 +778,18 @@
     }
 
     /// What may be repeated, in the module's form.
-    pub fn effect(&self) -> Effect {
+    pub fn effect(&self) -> Idempotency {
         match self.repeat {
-            Repeat::Safe => Effect::Safe,
+            Repeat::Safe => Idempotency::Idempotent,
             Repeat::Keyed => {
                 let scope = match self.scope {
                     Scope::All => decisions::KeyScope::All,
                     Scope::Zone => decisions::KeyScope::Zone,
                     Scope::Cell => decisions::KeyScope::Cell,
                 };
-                Effect::Keyed { scope, window: micros(self.window) }
+                Idempotency::IdempotentWithKey { scope, window: micros(self.window) }
             }
-            Repeat::Never => Effect::Unsafe,
+            Repeat::Never => Idempotency::NonIdempotent,
         }
     }
 }
--- a/crates/testbed/src/sim.rs
+++ b/crates/testbed/src/sim.rs
@@ -8,8 +8,9 @@
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
-    Action, AttemptOutcome, Effect, Event, Job, Micros, Outcome as Ended, Progress, Report, RequestId,
-    Roster, RosterKind, SECOND, Timer, WorkerEntry, WorkerId, WorkerState,
+    Action, AttemptOutcome, Endpoint, EndpointUpdate, EndpointUpdateKind, Event, Idempotency,
+    IncomingRequest, LoadReport, Micros, Outcome as Ended, Progress, RequestId, SECOND, Timer, WorkerId,
+    WorkerState,
 };
 use rand::RngExt;
 use rand_distr::{Distribution, Exp1, Normal};
@@ -51,7 +52,7 @@
     Progress(u64),
     /// For a scheduler in its so many-th life.
     Timer(u32, u32, Timer),
-    Told(u32, RosterKind, Arc<Vec<WorkerEntry>>),
+    Told(u32, EndpointUpdateKind, Arc<Vec<Endpoint>>),
     Overdue(u64),
     Answer(u64, Final),
     GiveUp(u64),
@@ -64,7 +65,7 @@
     /// A probe is at its worker.
     ProbeThere(u64),
     /// What came of a probe is at its scheduler.
-    ProbeEnds(u64, Ended, Option<Report>),
+    ProbeEnds(u64, Ended, Option<LoadReport>),
     /// A worker's figures for probes are refreshed.
     Refresh(u32),
 }
@@ -189,7 +190,7 @@
     probes: FxHashMap<u64, Probing>,
     next_id: u64,
     /// What the list will tell once discovery is back.
-    untold: Vec<WorkerEntry>,
+    untold: Vec<Endpoint>,
     discovery_down: u32,
     /// The sizes that were last renewed, by worker.
     sizes: Vec<f64>,
@@ -198,7 +199,7 @@
     /// From when on each connection stands idle, by scheduler and worker.
     connections: FxHashMap<(u32, u32), Vec<Micros>>,
     /// The whole list as it was when it began to contradict itself.
-    contradicted: Option<Arc<Vec<WorkerEntry>>>,
+    contradicted: Option<Arc<Vec<Endpoint>>>,
     kind: Kind,
     seed: u64,
     actions: Vec<Action>,
@@ -282,10 +283,10 @@
         for scheduler in 0..self.schedulers.len() as u32 {
             // Who must ask for the list hears at its start what it knows from before.
             if first > 0 || self.scenario.discovery.on_request {
-                self.at(0, Ev::Told(scheduler, RosterKind::Remembered, Arc::clone(&remembered)));
+                self.at(0, Ev::Told(scheduler, EndpointUpdateKind::Cached, Arc::clone(&remembered)));
             }
             if !self.scenario.discovery.on_request {
-                self.at(first, Ev::Told(scheduler, RosterKind::Full, Arc::clone(&full)));
+                self.at(first, Ev::Told(scheduler, EndpointUpdateKind::Full, Arc::clone(&full)));
             }
         }
         for turn in turns {
@@ -322,9 +323,9 @@
         micros(mean * (0.9 + 0.1 * jitter)) + if lost { RESENT } else { 0 }
     }
 
-    fn entry(&self, at: u32) -> WorkerEntry {
+    fn entry(&self, at: u32) -> Endpoint {
         let (worker, zone) = &self.workers[at as usize];
-        WorkerEntry {
+        Endpoint {
             worker: WorkerId(at),
             zone: *zone,
             kind: self.kinds[at as usize],
@@ -332,16 +333,16 @@
             state: match worker.life {
                 worker::Life::Up => WorkerState::Ready,
                 worker::Life::Draining => WorkerState::Draining,
-                worker::Life::Dead | worker::Life::Vanished => WorkerState::Gone,
+                worker::Life::Dead | worker::Life::Vanished => WorkerState::Removed,
             },
             started_at: worker.started_at.map(|at| at + EPOCH),
             size: (self.scenario.discovery.sizes > 0.0).then(|| self.size(at)),
-            key: at.into(),
+            hash_key: at.into(),
         }
     }
 
     /// The whole list as it is now.
-    fn list(&self) -> Vec<WorkerEntry> {
+    fn list(&self) -> Vec<Endpoint> {
         (0..self.workers.len() as u32).map(|at| self.entry(at)).collect()
     }
 
@@ -388,14 +389,15 @@
             return;
         }
         if self.discovery_down > 0 {
-            return self.at(self.now + NO_LIST, Ev::Told(scheduler, RosterKind::Failed, Arc::default()));
+            return self
+                .at(self.now + NO_LIST, Ev::Told(scheduler, EndpointUpdateKind::Failed, Arc::default()));
         }
         self.schedulers[scheduler as usize].subscribed = true;
         let zone = self.schedulers[scheduler as usize].zone;
         let way = self.way(zone, zone) + self.way(zone, zone);
         let first = micros(self.scenario.discovery.first_after);
         let list = Arc::new(self.list());
-        self.at((self.now + way).max(first), Ev::Told(scheduler, RosterKind::Full, list));
+        self.at((self.now + way).max(first), Ev::Told(scheduler, EndpointUpdateKind::Full, list));
     }
 
     /// Discovery goes down: who watches it sees the call break.
@@ -405,17 +407,17 @@
         }
         for scheduler in 0..self.schedulers.len() as u32 {
             if std::mem::replace(&mut self.schedulers[scheduler as usize].subscribed, false) {
-                self.at(self.now, Ev::Told(scheduler, RosterKind::Failed, Arc::default()));
+                self.at(self.now, Ev::Told(scheduler, EndpointUpdateKind::Failed, Arc::default()));
             }
         }
     }
 
-    fn tell_all(&mut self, entries: &Arc<Vec<WorkerEntry>>) {
+    fn tell_all(&mut self, entries: &Arc<Vec<Endpoint>>) {
         let after = self.now + micros(self.scenario.discovery.delay);
         // The first list goes before any change.
         let after = after.max(micros(self.scenario.discovery.first_after) + 1);
         for scheduler in 0..self.schedulers.len() as u32 {
-            self.at(after, Ev::Told(scheduler, RosterKind::Changes, Arc::clone(entries)));
+            self.at(after, Ev::Told(scheduler, EndpointUpdateKind::Changes, Arc::clone(entries)));
         }
     }
 
@@ -456,13 +458,13 @@
                 let progress = Progress::Started;
                 self.tell(
                     scheduler,
-                    Event::Progress { request: RequestId(request), attempt: number, progress },
+                    Event::AttemptProgress { request: RequestId(request), attempt: number, progress },
                 );
             }
             Ev::Progress(attempt) => self.progress(attempt),
             Ev::Timer(scheduler, life, timer) => {
                 if self.schedulers[scheduler as usize].life == life {
-                    self.tell(scheduler, Event::Timer(timer));
+                    self.tell(scheduler, Event::TimerExpired(timer));
                 }
             }
             Ev::Stop(attempt) => self.stop(attempt),
@@ -471,7 +473,7 @@
                 let Some(of) = self.probes.remove(&id) else { return };
                 if self.schedulers[of.scheduler as usize].life == of.life {
                     let worker = WorkerId(of.worker);
-                    self.tell(of.scheduler, Event::Probed { worker, outcome, report });
+                    self.tell(of.scheduler, Event::LoadQueryEnded { worker, outcome, report });
                 }
             }
             Ev::Refresh(worker) => self.refresh(worker),
@@ -479,7 +481,7 @@
             Ev::Sizes => self.renew_sizes(),
             Ev::Told(scheduler, kind, entries) => {
                 let of = &self.schedulers[scheduler as usize];
-                let unasked = matches!(kind, RosterKind::Remembered | RosterKind::Failed);
+                let unasked = matches!(kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
                 if !of.up || !(unasked || of.subscribed) {
                     return;
                 }
@@ -490,7 +492,7 @@
                 let of = &mut self.schedulers[scheduler as usize];
                 of.version += 1;
                 let version = of.version;
-                self.tell(scheduler, Event::Roster(Roster { kind, version, entries: &entries }));
+                self.tell(scheduler, Event::Endpoints(EndpointUpdate { kind, version, endpoints: &entries }));
             }
             Ev::Overdue(request) => {
                 let Some(flow) = self.flows.get_mut(&request) else { return };
@@ -578,7 +580,7 @@
         let (job, scheduler, open) = (flow.job, flow.scheduler, !flow.answered);
         if open {
             flow.answered = true;
-            self.tell(scheduler, Event::Gone(RequestId(request)));
+            self.tell(scheduler, Event::ClientDisconnected(RequestId(request)));
         }
         if self.jobs.get(&job).is_some_and(|asked| !asked.ended) {
             self.end_job(job, End::Lost);
@@ -628,7 +630,7 @@
             return self.close(request);
         }
         let Some(asked) = self.jobs.get(&flow.job) else { return };
-        let job = Job {
+        let job = IncomingRequest {
             request: RequestId(request),
             class: asked.of.class,
             tenant: 0,
@@ -641,7 +643,7 @@
             let truth: Vec<Truth> = self.workers.iter().map(|(worker, _)| worker.truth(self.now)).collect();
             self.schedulers[scheduler as usize].policy.see(&truth);
         }
-        self.tell(scheduler, Event::Job(job));
+        self.tell(scheduler, Event::Request(job));
     }
 
     fn tell(&mut self, scheduler: u32, event: Event<'_>) {
@@ -653,7 +655,7 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { request, worker, .. } => self.send(request.0, worker.0),
-                Action::Refuse { request, retry_after, .. } => {
+                Action::Reject { request, retry_after, .. } => {
                     self.say(request.0, Final::Refused(retry_after));
                 }
                 Action::Fail { request } => self.say(request.0, Final::Failed),
@@ -665,7 +667,7 @@
                         self.at(self.now, Ev::Outcome(id, Ended::Cancelled));
                     }
                 }
-                Action::Wake { after, timer } => {
+                Action::StartTimer { after, timer } => {
                     // The world ends some time after its last client.
                     if self.now + after <= micros(self.scenario.seconds) + 60 * SECOND {
                         let life = self.schedulers[scheduler as usize].life;
@@ -673,7 +675,7 @@
                     }
                 }
                 Action::Subscribe => self.subscribe(scheduler),
-                Action::Probe { worker } => self.probe(scheduler, worker.0),
+                Action::QueryLoad { worker } => self.probe(scheduler, worker.0),
             }
         }
         self.actions = actions;
@@ -711,7 +713,7 @@
         };
         self.attempts.insert(id, attempt);
         if moot {
-            return self.at(self.now, Ev::Outcome(id, Ended::Moot));
+            return self.at(self.now, Ev::Outcome(id, Ended::Superseded));
         }
         let Some(asked) = self.jobs.get_mut(&job) else { return };
         asked.open += 1;
@@ -765,7 +767,7 @@
             self.say(request, Final::Served);
         }
         let with_answers = self.scenario.reports.probe.is_none();
-        let heard = with_answers && matches!(outcome, Ended::Served | Ended::Error | Ended::Full);
+        let heard = with_answers && matches!(outcome, Ended::Served | Ended::Error | Ended::Rejected);
         let report = heard.then(|| {
             let refresh = micros(self.scenario.reports.refresh) + self.reports_late;
             let (noise, sigma) = (&mut self.noise, self.scenario.reports.noise);
@@ -777,11 +779,11 @@
             request: RequestId(request),
             attempt: number,
             outcome,
-            finished,
+            request_finished: finished,
             elapsed: self.now - sent_at,
             report,
         };
-        self.tell(scheduler, Event::Outcome(end));
+        self.tell(scheduler, Event::AttemptEnded(end));
         self.close(request);
     }
 
@@ -824,7 +826,7 @@
         let effect = class.effect();
         let group = self.group(worker, effect);
         // A repeat of a keyed job is dropped in its group, and hears what becomes of the first.
-        if let Effect::Keyed { window, .. } = effect
+        if let Idempotency::IdempotentWithKey { window, .. } = effect
             && self.workers[worker as usize].0.takes()
             && let Some(repeat) =
                 self.jobs.get_mut(&job).and_then(|of| of.keys.repeat(id, group, self.now, window))
@@ -862,15 +864,17 @@
             Offer::Taken => {
                 self.held.0 += 1;
                 self.referee.took(self.now, job, id, effect, group, sent_at);
-                if let Some(asked) =
-                    self.jobs.get_mut(&job).filter(|_| matches!(effect, Effect::Keyed { .. }))
+                if let Some(asked) = self
+                    .jobs
+                    .get_mut(&job)
+                    .filter(|_| matches!(effect, Idempotency::IdempotentWithKey { .. }))
                 {
                     asked.keys.took(id, group, self.now);
                 }
                 self.effects(worker, effects);
             }
             Offer::Full => {
-                self.back(id, Ended::Full);
+                self.back(id, Ended::Rejected);
                 self.left_worker(id);
             }
             Offer::Dead => {
@@ -885,8 +889,8 @@
     }
 
     /// The group in which a worker drops repeats of a job's key.
-    fn group(&self, worker: u32, effect: Effect) -> u32 {
-        let Effect::Keyed { scope, .. } = effect else { return 0 };
+    fn group(&self, worker: u32, effect: Idempotency) -> u32 {
+        let Idempotency::IdempotentWithKey { scope, .. } = effect else { return 0 };
         group(scope, self.workers[worker as usize].1, self.cells[worker as usize])
     }
 
@@ -914,7 +918,7 @@
             match effect {
                 worker::Effect::Done { attempt: id, .. } => self.probe_back(id, Ended::Served, 0),
                 worker::Effect::Lost(id) => self.probe_back(id, Ended::Reset, 0),
-                worker::Effect::HandedBack(id) => self.probe_back(id, Ended::Full, 0),
+                worker::Effect::HandedBack(id) => self.probe_back(id, Ended::Rejected, 0),
                 _ => {}
             }
             match effect {
@@ -962,7 +966,7 @@
                         }
                     }
                     self.tell_dropped(id, Ended::Error);
-                    self.back(id, Ended::Full);
+                    self.back(id, Ended::Rejected);
                     self.left_worker(id);
                 }
                 worker::Effect::Fell => {
@@ -986,7 +990,10 @@
         let Some(scheduler) = self.flows.get(&request).map(|flow| flow.scheduler) else { return };
         // Without a way: the next word comes much later than this one.
         let progress = Progress::Done(share);
-        self.tell(scheduler, Event::Progress { request: RequestId(request), attempt: number, progress });
+        self.tell(
+            scheduler,
+            Event::AttemptProgress { request: RequestId(request), attempt: number, progress },
+        );
         self.at(self.now + micros(self.scenario.reports.progress), Ev::Progress(id));
     }
 
@@ -1008,7 +1015,7 @@
         let (id, life) = (self.next_id, self.schedulers[scheduler as usize].life);
         self.probes.insert(id, Probing { scheduler, life, worker });
         let known = self.scenario.reports.probe.filter(|_| (worker as usize) < self.workers.len());
-        let Some(of) = known else { return self.at(self.now, Ev::ProbeEnds(id, Ended::Moot, None)) };
+        let Some(of) = known else { return self.at(self.now, Ev::ProbeEnds(id, Ended::Superseded, None)) };
         self.probed += 1;
         let (from, to) = (self.schedulers[scheduler as usize].zone, self.workers[worker as usize].1);
         let way = self.way(from, to) + self.connection(scheduler, worker);
@@ -1026,7 +1033,7 @@
             (worker::Life::Vanished, _) => return,
             (worker::Life::Dead, _) => return self.probe_back(id, Ended::ConnectFailed, 0),
             _ if of.refusing => return self.probe_back(id, Ended::ConnectFailed, 0),
-            (worker::Life::Draining, _) => return self.probe_back(id, Ended::Full, 0),
+            (worker::Life::Draining, _) => return self.probe_back(id, Ended::Rejected, 0),
             (_, Cut::Whole) => {}
             (_, Cut::Fails) => return self.probe_back(id, Ended::Error, 0),
             (_, Cut::Before | Cut::After | Cut::Garbage) => return self.probe_back(id, Ended::Reset, 0),
@@ -1044,7 +1051,7 @@
                 self.held.0 += 1;
                 self.effects(worker, effects);
             }
-            Offer::Full => self.probe_back(id, Ended::Full, 0),
+            Offer::Full => self.probe_back(id, Ended::Rejected, 0),
             Offer::Dead | Offer::Vanished => self.probe_back(id, Ended::ConnectFailed, 0),
         }
     }
@@ -1149,10 +1156,10 @@
         self.at(self.now + TURNS, Ev::Contradict(!old));
     }
 
-    fn tell_whole(&mut self, list: Arc<Vec<WorkerEntry>>) {
+    fn tell_whole(&mut self, list: Arc<Vec<Endpoint>>) {
         let after = self.now + micros(self.scenario.discovery.delay);
         for scheduler in 0..self.schedulers.len() as u32 {
-            self.at(after, Ev::Told(scheduler, RosterKind::Full, Arc::clone(&list)));
+            self.at(after, Ev::Told(scheduler, EndpointUpdateKind::Full, Arc::clone(&list)));
         }
     }
 
@@ -1201,7 +1208,11 @@
         }
         let list = Arc::new(self.list());
         let after = if self.discovery_down > 0 { micros(self.scenario.discovery.delay) } else { 0 };
-        let kind = if self.scenario.discovery.on_request { RosterKind::Remembered } else { RosterKind::Full };
+        let kind = if self.scenario.discovery.on_request {
+            EndpointUpdateKind::Cached
+        } else {
+            EndpointUpdateKind::Full
+        };
         self.at(self.now + after, Ev::Told(scheduler, kind, list));
     }
 
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -2,7 +2,7 @@
 use std::io::BufRead;
 
 use copperspread_dispatcher::{Micros, SECOND};
-use copperspread_event_log::What;
+use copperspread_event_log::EventKind;
 use copperspread_event_log::reader::{Line, Reader};
 
 use crate::scenario::{Recorded, Scenario};
@@ -39,7 +39,7 @@
                 continue;
             }
         };
-        let What::FlowTaken { class, cost_hint_s, slots, .. } = record.what else { continue };
+        let EventKind::RequestAccepted { class, cost_hint_s, slots, .. } = record.event else { continue };
         let Some(class) = scenario.classes.iter().position(|known| known.name == class) else {
             left_out.unknown_class += 1;
             continue;
--- a/crates/testbed/tests/calc.rs
+++ b/crates/testbed/tests/calc.rs
@@ -1,5 +1,5 @@
 //! The deployment with first-in-first-out workers, slots and memory, and load told to probes only.
-use copperspread_dispatcher::{Effect as May, KeyScope, SECOND};
+use copperspread_dispatcher::{Idempotency as May, KeyScope, SECOND};
 use copperspread_testbed::compare::compare;
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::model::fleet::Fleet;
@@ -118,7 +118,7 @@
     ];
     for (scope, first, second, sent, caught) in cases {
         let mut referee = Referee::new(None);
-        let effect = May::Keyed { scope, window: 25 * SECOND };
+        let effect = May::IdempotentWithKey { scope, window: 25 * SECOND };
         referee.took(0, 1, 1, effect, group(scope, first.0, first.1), 0);
         let at = sent * SECOND;
         referee.took(at, 1, 2, effect, group(scope, second.0, second.1), at);
--- a/crates/testbed/tests/emulate.rs
+++ b/crates/testbed/tests/emulate.rs
@@ -1,7 +1,7 @@
 //! Whole runs in real time, scaled down to some seconds: the laboratory's own node as processes.
 use std::net::SocketAddr;
 
-use copperspread_settings::platform::read_start;
+use copperspread_settings::platform::read_startup_config;
 use copperspread_testbed::cost::{Terms, measure, table};
 use copperspread_testbed::emulate::program::{Program, configuration};
 use copperspread_testbed::emulate::{Schedulers, emulate};
@@ -58,8 +58,8 @@
         let scenario = Scenario::read(&text).expect("a scenario");
         for scheduler in 0..scenario.schedulers {
             let laid = configuration(&scenario, scheduler, 7, address, address, None).to_string();
-            let start = read_start(&laid).expect("a configuration");
-            assert_eq!(start.given.decisions, scenario.settings(scheduler), "{}", scenario.name);
+            let start = read_startup_config(&laid).expect("a configuration");
+            assert_eq!(start.settings.dispatch, scenario.settings(scheduler), "{}", scenario.name);
         }
     }
 }
--- a/crates/testbed/tests/unit/sim.rs
+++ b/crates/testbed/tests/unit/sim.rs
@@ -1,7 +1,7 @@
 //! Tests of what `lab`'s `sim` keeps to itself; it takes this file in as its `tests`.
 use std::sync::Mutex;
 
-use copperspread_dispatcher::Decide;
+use copperspread_dispatcher::DispatchPolicy;
 
 use super::*;
 
@@ -12,19 +12,19 @@
 
 impl Policy for Prober {}
 
-impl Decide for Prober {
+impl DispatchPolicy for Prober {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Roster(_) if now == EPOCH => {
-                actions.push(Action::Wake { after: 5 * SECOND, timer: Timer::Probe });
+            Event::Endpoints(_) if now == EPOCH => {
+                actions.push(Action::StartTimer { after: 5 * SECOND, timer: Timer::LoadQuery });
             }
-            Event::Timer(Timer::Probe) => actions.push(Action::Probe { worker: self.0 }),
-            Event::Probed { outcome, report, .. } => {
+            Event::TimerExpired(Timer::LoadQuery) => actions.push(Action::QueryLoad { worker: self.0 }),
+            Event::LoadQueryEnded { outcome, report, .. } => {
                 let free = report.and_then(|of| of.free_slots);
                 self.1.lock().expect("kept").push((outcome, free, now - EPOCH - 5 * SECOND));
             }
             // The only worker gets every job.
-            Event::Job(job) => {
+            Event::Request(job) => {
                 let (request, worker) = (job.request, WorkerId(0));
                 actions.push(Action::Send { request, worker, estimate: 0 });
             }
@@ -69,7 +69,7 @@
         (of(true), job(4.5, 0.8), String::new(), Ended::Served, Some(0.0), [290, 330]),
         (of(true), job(1.0, 8.0), String::new(), Ended::TimedOut, None, [500, 500]),
         (of(true), job(4.5, 4.0), fault("'crash'", 5.1), Ended::Reset, None, [100, 110]),
-        (of(true), job(4.5, 4.0), fault("'drain'", 5.1), Ended::Full, None, [100, 110]),
+        (of(true), job(4.5, 4.0), fault("'drain'", 5.1), Ended::Rejected, None, [100, 110]),
         (of(true), job(4.5, 4.0), fault("'vanish'", 5.1), Ended::TimedOut, None, [500, 500]),
         (of(false), job(0.5, 0.1), fault("'crash'", 1.0), Ended::ConnectFailed, None, [1, 5]),
         (of(false), job(0.5, 0.1), fault("'refusing'", 1.0), Ended::ConnectFailed, None, [1, 5]),
@@ -77,7 +77,7 @@
         (of(true), job(0.5, 0.1), fault("{ failing = 1.0 }", 1.0), Ended::Error, None, [1, 5]),
         (of(true), job(0.5, 0.1), fault("{ garbled = 1.0 }", 1.0), Ended::Reset, None, [1, 5]),
         // Where workers are not to be probed.
-        (String::new(), job(0.5, 0.1), String::new(), Ended::Moot, None, [0, 0]),
+        (String::new(), job(0.5, 0.1), String::new(), Ended::Superseded, None, [0, 0]),
     ];
     for (reports, job, fault, outcome, free, [least, most]) in all {
         let heard = probed(&reports, &job, &fault, 0);
@@ -87,5 +87,5 @@
         assert!((least * 1_000..=most * 1_000).contains(&heard[0].2), "{case}");
     }
     // A worker that there is not.
-    assert_eq!(probed(&of(true), "", "", 7), [(Ended::Moot, None, 0)]);
+    assert_eq!(probed(&of(true), "", "", 7), [(Ended::Superseded, None, 0)]);
 }
