--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -8,8 +8,8 @@
 //!
 //! ```
 //! use copperspread_dispatcher::{
-//!     Action, Class, Dispatcher, Event, Job, Outcome, RequestId, Roster, RosterKind, Settings,
-//!     WorkerEntry, WorkerId, WorkerState, AttemptOutcome,
+//!     Action, AttemptOutcome, Dispatcher, Endpoint, EndpointUpdate, EndpointUpdateKind, Event,
+//!     IncomingRequest, Outcome, RequestClass, RequestId, Settings, WorkerId, WorkerState,
 //! };
 //!
 //! let settings = Settings { classes: vec![RequestClass::default()], ..Settings::default() };
@@ -17,22 +17,24 @@
 //! let mut actions = Vec::new();
 //!
 //! // Discovery names one worker.
-//! let worker = WorkerEntry {
+//! let worker = Endpoint {
 //!     worker: WorkerId(0), zone: 0, kind: 0, cell: 0,
-//!     state: WorkerState::Ready, started_at: None, size: None, key: 0,
+//!     state: WorkerState::Ready, started_at: None, size: None, hash_key: 0,
 //! };
-//! let roster = Roster { kind: EndpointUpdateKind::Full, version: 1, entries: &[worker] };
+//! let roster = EndpointUpdate { kind: EndpointUpdateKind::Full, version: 1, endpoints: &[worker] };
 //! dispatcher.handle(0, Event::Endpoints(roster), &mut actions);
 //!
 //! // A job comes in and is sent there.
-//! let job = Job { request: RequestId(1), cost_hint: Some(0.2), time_left: 2_000_000, ..IncomingRequest::default() };
+//! let job = IncomingRequest {
+//!     request: RequestId(1), cost_hint: Some(0.2), time_left: 2_000_000, ..IncomingRequest::default()
+//! };
 //! actions.clear();
 //! dispatcher.handle(1_000, Event::Request(job), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { worker: WorkerId(0), .. }));
 //!
 //! // Its outcome comes back.
 //! let outcome = AttemptOutcome {
-//!     request: RequestId(1), attempt: 0, outcome: Outcome::Served, finished: true,
+//!     request: RequestId(1), attempt: 0, outcome: Outcome::Served, request_finished: true,
 //!     elapsed: 200_000, report: None,
 //! };
 //! actions.clear();
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -16,7 +16,7 @@
 //! * A *back* speaks a workers' protocol: it hands one scheduling over and turns what comes back into
 //!   [`messages::DispatchResult`] or [`messages::WorkerEvent`].
 //! * A *source* turns its own form of a worker list into service entries, through
-//!   [`discovery::Membership`].
+//!   [`discovery::EndpointPublisher`].
 //!
 //! The modules use one another in one direction only; `tests/module_dependencies.rs` holds that.
 pub mod assembly;
--- a/crates/proxy/tests/module_dependencies.rs
+++ b/crates/proxy/tests/module_dependencies.rs
@@ -56,11 +56,17 @@
 }
 
 #[test]
-fn the_modules_of_the_node_use_one_another_in_one_direction() {
+fn the_modules_of_the_proxy_use_one_another_in_one_direction() {
     let graph = graph(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
-    assert!(graph["node"].contains("back") && graph["front::http"].contains("flow"), "{graph:?}");
-    let doors = ["front::http", "back::http", "source::targets"];
-    assert!(graph["flow"].iter().all(|used| !doors.contains(&&**used)), "the flow knows no protocol");
+    assert!(
+        graph["context"].contains("upstream") && graph["downstream::http"].contains("request_task"),
+        "{graph:?}"
+    );
+    let protocols = ["downstream::http", "upstream::http", "discovery::platform"];
+    assert!(
+        graph["request_task"].iter().all(|used| !protocols.iter().any(|protocol| used.starts_with(protocol))),
+        "the request's task knows no protocol"
+    );
     assert_eq!(circle(graph), BTreeSet::new());
 }
 
@@ -72,17 +78,31 @@
     assert_eq!(found.into_iter().collect::<Vec<_>>(), ["a", "b", "c"]);
 }
 
+/// All sources below a folder.
+fn sources(folder: &Path) -> Vec<String> {
+    let mut found = Vec::new();
+    for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
+        let path = entry.path();
+        if path.is_dir() {
+            found.extend(sources(&path));
+        } else {
+            found.push(std::fs::read_to_string(path).expect("a source"));
+        }
+    }
+    found
+}
+
 #[test]
-fn the_decisions_depend_on_no_runtime_and_no_clock() {
-    let manifest = Path::new(env!("CARGO_MANIFEST_DIR")).join("../decisions/Cargo.toml");
-    let manifest = std::fs::read_to_string(manifest).expect("a manifest");
+fn the_dispatch_policy_depends_on_no_runtime_and_no_clock() {
+    let dispatcher = Path::new(env!("CARGO_MANIFEST_DIR")).join("../dispatcher");
+    let manifest = std::fs::read_to_string(dispatcher.join("Cargo.toml")).expect("a manifest");
     let (_, named) = manifest.split_once("[dependencies]").expect("dependencies");
     let named = named.split("\n[").next().unwrap_or_default();
     let named: Vec<_> = named.split_whitespace().filter_map(|word| word.strip_suffix(".workspace")).collect();
     assert_eq!(named, ["arrayvec", "fastrand", "rustc-hash"]);
-    for source in ["decide.rs", "interface.rs"] {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../decisions/src").join(source);
-        let source = std::fs::read_to_string(path).expect("a source");
+    let sources = sources(&dispatcher.join("src"));
+    assert!(sources.len() >= 3, "the policy's sources are elsewhere");
+    for source in sources {
         for word in ["std::time", "std::net", "std::fs", "std::io", "std::thread"] {
             assert!(!source.contains(word), "{word}");
         }
