--- a/crates/copperspread/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -2,10 +2,10 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use copperspread_cluster::{Key, Settings};
 use copperspread_config::{Cluster, Config};
-use copperspread_node::front::http::Page;
-use copperspread_peers::{Peers, Spec};
+use copperspread_membership::{Key, Settings};
+use copperspread_membership_transport::{Peers, Spec};
+use copperspread_proxy::downstream::http::StatusPage;
 use tracing::info;
 
 /// Where the view is answered.
@@ -79,19 +79,20 @@
 }
 
 /// The page of what a member sees.
-pub fn page(peers: &Peers) -> Page {
+pub fn page(peers: &Peers) -> StatusPage {
     let view = peers.viewer();
     // Plain names and figures, which JSON always holds.
     let json = move || serde_json::to_string(&view()).unwrap_or_default();
-    Page { path: PATH, json: Arc::new(json) }
+    StatusPage { path: PATH, json: Arc::new(json) }
 }
 
 /// Waits for the end of one that was told to leave, and says what it has counted.
 pub fn ended(peers: Peers) {
     let dropped = peers.dropped();
     let view = peers.ended();
-    let copperspread_peers::Rejects { too_large, malformed, forged, other_version } = view.rejected;
-    let copperspread_peers::Dropped {
+    let copperspread_membership_transport::Rejects { too_large, malformed, forged, other_version } =
+        view.rejected;
+    let copperspread_membership_transport::Dropped {
         unsent,
         streams_refused,
         streams_failed,
--- a/crates/copperspread/src/standalone.rs
+++ b/crates/scheduler/src/standalone.rs
@@ -3,10 +3,10 @@
 use std::path::Path;
 
 use copperspread_config::{Effective, LogFormat, Surroundings};
-use copperspread_records::fleet::Fleet;
-use copperspread_records::reader::{Line, Reader};
-use copperspread_records::report::Report;
-use copperspread_records::writer;
+use copperspread_event_log::fleet::Fleet;
+use copperspread_event_log::reader::{Line, Reader};
+use copperspread_event_log::report::Report;
+use copperspread_event_log::writer;
 use rustix::process::{Resource, getrlimit};
 
 use crate::logging::{self, LogSpec};
@@ -59,8 +59,8 @@
             return Err("--set goes with TOML; the platform's JSON has no layers".into());
         }
         let start = of_platform_file(path)?;
-        let known = start.known.as_ref().map_or(0, |list| list.members.len());
-        let classes = start.given.node.classes.join(", ");
+        let known = start.cached_endpoints.as_ref().map_or(0, |list| list.endpoints.len());
+        let classes = start.settings.proxy.classes.join(", ");
         return print(&format!(
             "{}: good, the platform's form: {} listens on {}; classes {classes}; {known} service entries known\n",
             path.display(),
--- a/crates/lab/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use copperspread_lab::experiment::{Plan, Watcher, agreement};
+use copperspread_testbed::experiment::{Plan, Watcher, agreement};
 
 fn named(name: &str) -> Option<String> {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
@@ -83,7 +83,7 @@
     let runs = folder.path().join("e.runs.jsonl");
     let lines = || std::fs::read_to_string(&runs).unwrap_or_default().matches('\n').count();
     let start = || {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_copperspread-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_copperspread-testbed"));
         command.args(["run", "--json"]).arg(&path).stderr(Stdio::null());
         command
     };
