--- a/crates/consensus/tests/transcripts.rs
+++ b/crates/consensus/tests/transcripts.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use copperspread_agreement::*;
+use copperspread_consensus::*;
 use net::{Doc, name};
 
 const VOTERS: usize = 3;
--- a/crates/event-log/tests/transcripts.rs
+++ b/crates/event-log/tests/transcripts.rs
@@ -1,34 +1,40 @@
 //! Approved transcripts: a line of every kind of record, and what the reports print of a fixed stream.
-use copperspread_records::fleet::Fleet;
-use copperspread_records::reader::{Line, Reader};
-use copperspread_records::report::Report;
-use copperspread_records::writer::{Spec, begin};
-use copperspread_records::{Choice, Entry, FORMAT, Record, What};
+use copperspread_event_log::fleet::Fleet;
+use copperspread_event_log::reader::{Line, Reader};
+use copperspread_event_log::report::Report;
+use copperspread_event_log::writer::{Spec, begin};
+use copperspread_event_log::{Decision, EndpointEntry, EventKind, FORMAT, Record};
 
 const FLOW: &str = "00000000000000a1";
 const REAL_SERVER: &str = "worker-1:80";
 
-fn decided(choice: Choice) -> What {
-    What::Decided { flow: FLOW.into(), choice }
+fn decided(choice: Decision) -> EventKind {
+    EventKind::Decided { request_id: FLOW.into(), decision: choice }
 }
 
-fn refuse(why: &str, late_by_us: Option<u64>) -> What {
-    decided(Choice::Refuse { retry_after_us: 250_000, why: why.into(), late_by_us })
+fn refuse(why: &str, late_by_us: Option<u64>) -> EventKind {
+    decided(Decision::Reject { retry_after_us: 250_000, reason: why.into(), late_by_us })
 }
 
-fn taken(cost_hint_s: Option<f64>, slots: Option<f64>) -> What {
-    What::FlowTaken { flow: FLOW.into(), class: "batch".into(), cost_hint_s, slots, time_left_us: 9_000_000 }
+fn taken(cost_hint_s: Option<f64>, slots: Option<f64>) -> EventKind {
+    EventKind::RequestAccepted {
+        request_id: FLOW.into(),
+        class: "batch".into(),
+        cost_hint_s,
+        slots,
+        time_left_us: 9_000_000,
+    }
 }
 
-fn sent(attempt: u32) -> What {
-    What::SchedulingSent { flow: FLOW.into(), attempt, real_server: REAL_SERVER.into() }
+fn sent(attempt: u32) -> EventKind {
+    EventKind::AttemptSent { request_id: FLOW.into(), attempt, worker: REAL_SERVER.into() }
 }
 
-fn ended(attempt: u32, outcome: &str, free_slots: Option<f64>, queue: Option<f64>) -> What {
-    What::SchedulingEnded {
-        flow: FLOW.into(),
+fn ended(attempt: u32, outcome: &str, free_slots: Option<f64>, queue: Option<f64>) -> EventKind {
+    EventKind::AttemptEnded {
+        request_id: FLOW.into(),
         attempt,
-        real_server: REAL_SERVER.into(),
+        worker: REAL_SERVER.into(),
         outcome: outcome.into(),
         elapsed_us: 1_500_000,
         free_slots,
@@ -36,52 +42,52 @@
     }
 }
 
-fn answered(answer: &str) -> What {
+fn answered(answer: &str) -> EventKind {
     let (class, answer) = ("batch".into(), answer.into());
-    What::Answered { flow: FLOW.into(), class, answer, after_us: 1_600_000 }
+    EventKind::Answered { request_id: FLOW.into(), class, answer, after_us: 1_600_000 }
 }
 
-fn entry(state: &str, started_us: Option<u64>, size: Option<f64>) -> Entry {
-    Entry { real_server: REAL_SERVER.into(), state: state.into(), started_us, kind: 2, zone: 1, size }
+fn entry(state: &str, started_us: Option<u64>, size: Option<f64>) -> EndpointEntry {
+    EndpointEntry { worker: REAL_SERVER.into(), state: state.into(), started_us, kind: 2, zone: 1, size }
 }
 
 /// Every kind of record and of choice, with and without what may be absent.
-fn every_kind() -> Vec<What> {
+fn every_kind() -> Vec<EventKind> {
     let entries = vec![entry("ready", Some(1_000_000), Some(2.5)), entry("gone", None, None)];
     vec![
-        What::RunStarted { name: "scheduler-1".into(), program: "0.2.0".into() },
-        What::Roster { form: "full".into(), entries },
+        EventKind::RunStarted { name: "scheduler-1".into(), program: "0.2.0".into() },
+        EventKind::EndpointsChanged { form: "full".into(), endpoints: entries },
         taken(Some(0.5), Some(2.0)),
         taken(None, None),
-        decided(Choice::Send { real_server: REAL_SERVER.into(), estimate_us: 1_000_000 }),
+        decided(Decision::Send { worker: REAL_SERVER.into(), estimate_us: 1_000_000 }),
         sent(0),
-        decided(Choice::Cancel { attempt: 0 }),
+        decided(Decision::Cancel { attempt: 0 }),
         ended(0, "cancelled", None, None),
-        decided(Choice::Send { real_server: REAL_SERVER.into(), estimate_us: 1_000_000 }),
+        decided(Decision::Send { worker: REAL_SERVER.into(), estimate_us: 1_000_000 }),
         sent(1),
         ended(1, "served", Some(0.5), Some(3.0)),
         answered("served"),
         refuse("late", Some(40_000)),
         refuse("scarce", None),
         answered("refused"),
-        decided(Choice::Fail),
+        decided(Decision::Fail),
         answered("failed"),
-        What::Limit { what: "too many connections".into(), count: 4 },
-        What::Gap { dropped: 2 },
-        What::RunEnded { requests_left: 1 },
+        EventKind::CounterReached { what: "too many connections".into(), count: 4 },
+        EventKind::Gap { dropped: 2 },
+        EventKind::RunEnded { requests_left: 1 },
     ]
 }
 
 /// The kinds as records of a run with a record each quarter of a second; the gap's number follows those missing.
 fn records() -> Vec<Record> {
     let mut seq = 0;
-    let numbered = |(number, what): (u64, What)| {
-        if let What::Gap { dropped } = what {
+    let numbered = |(number, what): (u64, EventKind)| {
+        if let EventKind::Gap { dropped } = what {
             seq += dropped - 1;
         }
         let mono_us = number * 250_000;
         let unix_us = 1_700_000_000_000_000 + mono_us;
-        let record = Record { v: FORMAT, run: "run-1".into(), seq, unix_us, mono_us, what };
+        let record = Record { v: FORMAT, run: "run-1".into(), seq, unix_us, mono_us, event: what };
         seq += 1;
         record
     };
@@ -119,7 +125,7 @@
     let mut expected = String::new();
     for (line, what) in lines(&written).into_iter().zip(every_kind()) {
         let Line::Record(record) = line else { panic!("no record: {line:?}") };
-        expected += &(serde_json::to_string(&Record { what, ..record }).expect("JSON") + "\n");
+        expected += &(serde_json::to_string(&Record { event: what, ..record }).expect("JSON") + "\n");
     }
     assert_eq!(written, expected);
 }
--- a/crates/fair-share/tests/transcripts.rs
+++ b/crates/fair-share/tests/transcripts.rs
@@ -2,7 +2,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
-use copperspread_shares::*;
+use copperspread_fair_share::*;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
--- a/crates/membership-transport/tests/transcripts.rs
+++ b/crates/membership-transport/tests/transcripts.rs
@@ -3,8 +3,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use copperspread_cluster::{Cluster, Input, Key, Member, SECOND, Settings, State};
-use copperspread_peers::{Peers, Rejects, Spec, View};
+use copperspread_membership::{Cluster, Input, Key, Member, SECOND, Settings, State};
+use copperspread_membership_transport::{Peers, Rejects, Spec, View};
 
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
--- a/crates/cluster/tests/transcripts.rs
+++ b/crates/membership/tests/transcripts.rs
@@ -2,7 +2,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use copperspread_cluster::{Cluster, Effect, Input, Key, Member, Micros, SECOND, Settings, State};
+use copperspread_membership::{Cluster, Effect, Input, Key, Member, Micros, SECOND, Settings, State};
 use foca::{Header, Message};
 use sha2::{Digest, Sha256};
 
--- a/crates/reservations/tests/transcripts.rs
+++ b/crates/reservations/tests/transcripts.rs
@@ -4,7 +4,7 @@
 use std::fmt::Debug;
 
 use common::{START, WHOLE, hours, id, name, piece, reserve};
-use copperspread_calendar::*;
+use copperspread_reservations::*;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
--- a/crates/scheduler/tests/cli_transcripts.rs
+++ b/crates/scheduler/tests/cli_transcripts.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 /// The program's name, which help, version and errors begin with. Masked in the transcripts.
-const NAME: &str = "copperspread";
+const NAME: &str = "copperspread-scheduler";
 const MASKED_NAME: &str = "PROGRAM";
 /// Guards against a case that is good after all, and serves without end.
 const LONGEST_RUN: Duration = Duration::from_secs(20);
@@ -20,7 +20,7 @@
 const COLUMNS: &str = "10000";
 
 fn program() -> Command {
-    let mut program = Command::new(env!("CARGO_BIN_EXE_copperspread"));
+    let mut program = Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
     program.env_clear().env("RUST_LOG", "off").env("COLUMNS", COLUMNS).timeout(LONGEST_RUN);
     program
 }
--- a/crates/scheduler/tests/wire_transcripts.rs
+++ b/crates/scheduler/tests/wire_transcripts.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use copperspread_records::{FORMAT, Record, What};
+use copperspread_event_log::{EventKind, FORMAT, Record};
 use insta::assert_snapshot;
 use sockets::*;
 
@@ -311,8 +311,8 @@
     let written = std::fs::read_to_string(&file).expect("records");
     let _ = std::fs::remove_file(&file);
     // A gap needs a queue that is full: its form alone is pinned.
-    let (what, run) = (What::Gap { dropped: 3 }, "none".to_owned());
-    let gap = Record { v: FORMAT, run, seq: 9, unix_us: 1, mono_us: 1, what };
+    let (what, run) = (EventKind::Gap { dropped: 3 }, "none".to_owned());
+    let gap = Record { v: FORMAT, run, seq: 9, unix_us: 1, mono_us: 1, event: what };
     let gap = serde_json::to_string(&gap).expect("JSON");
     assert_snapshot!("records_of_each_kind", first_of_each(written.lines().chain([gap.as_str()])));
 }
--- a/crates/simulator-adapter/tests/transcripts.rs
+++ b/crates/simulator-adapter/tests/transcripts.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn the_adapters_side_of_a_dialogue_is_as_approved() {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_copperspread-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_copperspread-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/testbed/tests/cli_transcripts.rs
+++ b/crates/testbed/tests/cli_transcripts.rs
@@ -4,11 +4,11 @@
 use std::fmt::Write;
 use std::process::{Command, Stdio};
 
-use copperspread_lab::scenario::Scenario;
+use copperspread_testbed::scenario::Scenario;
 use tempfile::TempDir;
 
 /// The laboratory program's name. Masked in the transcripts.
-const NAME: &str = "copperspread-lab";
+const NAME: &str = "copperspread-testbed";
 const MASKED_NAME: &str = "LAB";
 /// The policy that is the scheduler's own module goes by the scheduler's name. Masked too.
 const MODULE: &str = "copperspread";
@@ -31,7 +31,7 @@
 
 /// Runs the program in a folder; returns its exit code and all that it printed.
 fn transcript(arguments: &[&str], folder: &TempDir) -> String {
-    let mut program = Command::new(env!("CARGO_BIN_EXE_copperspread-lab"));
+    let mut program = Command::new(env!("CARGO_BIN_EXE_copperspread-testbed"));
     program.env("COLUMNS", COLUMNS).env_remove("EDGE_CONFIG").stdin(Stdio::null());
     let output = program.args(arguments).current_dir(folder.path()).output().expect("it runs");
     let mut text = format!("exit code {}\n", output.status.code().expect("an exit code"));
