--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,5 +1,5 @@
 //! Experiments: scenarios, variants and seeds in a TOML file, played in parallel, kept run by run so
-//! that a cut-off one goes on where it stood. docs/lab.md describes the format.
+//! that a cut-off one goes on where it stood. docs/testbed.md describes the format.
 use std::collections::HashMap;
 use std::io::Write;
 use std::path::{Path, PathBuf};
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario: who works, who asks, and what goes wrong, as a TOML file. docs/lab.md describes it.
+//! A scenario: who works, who asks, and what goes wrong, as a TOML file. docs/testbed.md describes it.
 use copperspread_dispatcher::{self as decisions, Idempotency, Micros, SECOND, Settings};
 use serde::{Deserialize, Serialize};
 
