--- a/crates/proxy/src/upstream/http.rs
+++ b/crates/proxy/src/upstream/http.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use copperspread_dispatcher::*;
 use copperspread_settings::ProxySettings;
-use copperspread_settings::json::{self, field, need, number, text};
+use copperspread_settings::json::{self, field, number, required, text};
 use futures_util::future::BoxFuture;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Frame, SizeHint};
@@ -74,15 +74,17 @@
 
 /// Reads a call-back.
 pub fn parse_callback(body: &[u8]) -> Result<Callback, String> {
-    let value = json::parse_bytes(body)?;
-    let id = need(text(&value, "id"), "id")?;
+    let value = json::parse_bytes(body).map_err(|error| error.to_string())?;
+    let required_text = |name| required(&value, name, text).map_err(|error| error.to_string());
+    let required_number = |name| required(&value, name, number).map_err(|error| error.to_string());
+    let id = required_text("id")?;
     let ended =
         |outcome, result| WorkerEvent::Ended(outcome, result, field(&value, "load").and_then(load_object));
-    let news = match need(text(&value, "state"), "state")? {
+    let news = match required_text("state")? {
         "started" => WorkerEvent::Progress(Progress::Started),
-        "running" => WorkerEvent::Progress(Progress::Done(need(number(&value, "share"), "share")?)),
+        "running" => WorkerEvent::Progress(Progress::Done(required_number("share")?)),
         "done" => {
-            let result = need(text(&value, "result"), "result")?;
+            let result = required_text("result")?;
             ended(Outcome::Served, Some(Bytes::copy_from_slice(result.as_bytes())))
         }
         "failed" => ended(Outcome::Error, None),
@@ -92,7 +94,7 @@
     };
     Ok(Callback {
         request: parse_request_id(id).ok_or_else(|| format!("id {id:?} is not 16 hex digits"))?,
-        from: need(text(&value, "from"), "from")?.to_owned(),
+        from: required_text("from")?.to_owned(),
         news,
     })
 }
--- a/crates/scheduler/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -105,5 +105,5 @@
     let told = read(&told).expect("a configuration");
     assert_eq!((told.instance_index, told.sizes_reflect_load, told.fleet_size), (Some(7), true, 100));
     let wrong = config.replace("\"fleet_size\":1", "\"fleet_size\":1,\"me\":-1");
-    assert!(read(&wrong).expect_err("no number").contains("me"));
+    assert!(read(&wrong).expect_err("no number").to_string().contains("me"));
 }
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,104 +1,146 @@
-//! Reading JSON with tinyjson: a guard for its recursion, and typed access to fields.
+//! Reading JSON with tinyjson: a limit on its recursion, and typed access to the fields of objects.
+use copperspread_dispatcher::{Micros, SECOND};
 use tinyjson::JsonValue;
 
-use copperspread_dispatcher::{Micros, SECOND};
+use crate::error::ReadError;
+
+/// Deepest nesting that is read. tinyjson recurses once for each level and has no limit of its own:
+/// a body of nothing but brackets would overflow the stack and abort the process.
+const MAX_NESTING_DEPTH: usize = 32;
+
+/// Up to 2^53 each integer has an exact representation as a float.
+const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
-/// Deepest nesting that is read. tinyjson calls itself for each level, and guards against no depth:
-/// a body of nothing but brackets would end the program by its stack.
-const DEEPEST: usize = 32;
+/// Reads one JSON value.
+///
+/// # Errors
+/// A text that is not JSON or is nested too deeply.
+pub fn parse(text: &str) -> Result<JsonValue, ReadError> {
+    check_nesting(text)?;
+    text.parse().map_err(ReadError::InvalidJson)
+}
+
+/// Reads one JSON value from bytes.
+///
+/// # Errors
+/// Bytes that are not UTF-8; otherwise as [`parse`].
+pub fn parse_bytes(bytes: &[u8]) -> Result<JsonValue, ReadError> {
+    parse(std::str::from_utf8(bytes).map_err(ReadError::InvalidUtf8)?)
+}
 
-/// Reads one JSON value; the error says in words why it is none.
-pub fn parse(text: &str) -> Result<JsonValue, String> {
-    let (mut depth, mut in_string, mut escaped) = (0_usize, false, false);
+/// Counts brackets outside strings, without allocation and before anything is parsed.
+fn check_nesting(text: &str) -> Result<(), ReadError> {
+    let mut depth = 0_usize;
+    let mut is_in_string = false;
+    let mut is_escaped = false;
     for byte in text.bytes() {
         match byte {
-            _ if escaped => escaped = false,
-            b'\\' if in_string => escaped = true,
-            b'"' => in_string = !in_string,
-            b'[' | b'{' if !in_string => {
+            _ if is_escaped => is_escaped = false,
+            b'\\' if is_in_string => is_escaped = true,
+            b'"' => is_in_string = !is_in_string,
+            b'[' | b'{' if !is_in_string => {
                 depth += 1;
-                if depth > DEEPEST {
-                    return Err("nested too deeply".into());
+                if depth > MAX_NESTING_DEPTH {
+                    return Err(ReadError::NestedTooDeeply);
                 }
             }
-            b']' | b'}' if !in_string => depth = depth.saturating_sub(1),
+            b']' | b'}' if !is_in_string => depth = depth.saturating_sub(1),
             _ => {}
         }
     }
-    text.parse().map_err(|e| format!("no JSON: {e}"))
+    Ok(())
 }
 
-/// Reads one JSON value from bytes.
-pub fn parse_bytes(bytes: &[u8]) -> Result<JsonValue, String> {
-    parse(std::str::from_utf8(bytes).map_err(|_| "no UTF-8")?)
-}
-
-/// A field of an object; absent and null are the same.
+/// A field of an object; null counts as absent, and a value that is no object has no fields.
 pub fn field<'a>(value: &'a JsonValue, name: &str) -> Option<&'a JsonValue> {
     let object: &std::collections::HashMap<String, JsonValue> = value.get()?;
     object.get(name).filter(|field| !field.is_null())
 }
 
+/// A field that must be there, read by one of the readers of this module:
+/// `required(&config, "listen", text)`.
+///
+/// # Errors
+/// An absent field; otherwise as `read`.
+pub fn required<'a, T>(
+    value: &'a JsonValue,
+    name: &'static str,
+    read: impl FnOnce(&'a JsonValue, &'static str) -> Result<Option<T>, ReadError>,
+) -> Result<T, ReadError> {
+    read(value, name)?.ok_or(ReadError::Missing { field: name })
+}
+
 /// A field that is a finite number, if it is there.
-pub fn number(value: &JsonValue, name: &str) -> Result<Option<f64>, String> {
+///
+/// # Errors
+/// A field that is anything else.
+pub fn number(value: &JsonValue, name: &'static str) -> Result<Option<f64>, ReadError> {
     match field(value, name) {
         None => Ok(None),
         Some(JsonValue::Number(number)) if number.is_finite() => Ok(Some(*number)),
-        Some(_) => Err(format!("{name} is no number")),
+        Some(_) => Err(ReadError::NotANumber { field: name }),
     }
 }
 
-/// A field that is a whole number within what the type holds, if it is there.
-pub fn whole<T: TryFrom<u64>>(value: &JsonValue, name: &str) -> Result<Option<T>, String> {
-    // Up to 2^53 each whole number is itself as a float.
-    const MOST: f64 = 9_007_199_254_740_992.0;
+/// A field that is a non-negative integer within the range of `T`, if it is there.
+///
+/// # Errors
+/// A field that is anything else.
+pub fn integer<T: TryFrom<u64>>(value: &JsonValue, name: &'static str) -> Result<Option<T>, ReadError> {
     match number(value, name)? {
         None => Ok(None),
-        Some(number) if (0.0..=MOST).contains(&number) && number.fract() == 0.0 => {
-            T::try_from(number as u64).map(Some).map_err(|_| format!("{name} is out of range"))
+        Some(number) if (0.0..=MAX_EXACT_INTEGER).contains(&number) && number.fract() == 0.0 => {
+            T::try_from(number as u64).map(Some).map_err(|_| ReadError::OutOfRange { field: name })
         }
-        Some(_) => Err(format!("{name} is no whole number")),
+        Some(_) => Err(ReadError::NotAnInteger { field: name }),
     }
 }
 
 /// A field of seconds as microseconds, if it is there; negative ones are 0.
-pub fn seconds(value: &JsonValue, name: &str) -> Result<Option<Micros>, String> {
-    Ok(number(value, name)?.map(micros))
+///
+/// # Errors
+/// As [`number`].
+pub fn seconds_as_micros(value: &JsonValue, name: &'static str) -> Result<Option<Micros>, ReadError> {
+    Ok(number(value, name)?.map(micros_from_seconds))
 }
 
-/// Whole microseconds of seconds; negative ones are 0.
-pub fn micros(seconds: f64) -> Micros {
+/// Seconds, rounded to microseconds; negative ones are 0.
+pub fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds * SECOND as f64).round() as Micros
 }
 
-/// A field that is a text, if it is there.
-pub fn text<'a>(value: &'a JsonValue, name: &str) -> Result<Option<&'a str>, String> {
+/// A field that is a string, if it is there.
+///
+/// # Errors
+/// A field that is anything else.
+pub fn text<'a>(value: &'a JsonValue, name: &'static str) -> Result<Option<&'a str>, ReadError> {
     match field(value, name) {
         None => Ok(None),
         Some(JsonValue::String(text)) => Ok(Some(text)),
-        Some(_) => Err(format!("{name} is no text")),
+        Some(_) => Err(ReadError::NotAString { field: name }),
     }
 }
 
 /// A field that is true or false, if it is there.
-pub fn flag(value: &JsonValue, name: &str) -> Result<Option<bool>, String> {
+///
+/// # Errors
+/// A field that is anything else.
+pub fn boolean(value: &JsonValue, name: &'static str) -> Result<Option<bool>, ReadError> {
     match field(value, name) {
         None => Ok(None),
-        Some(JsonValue::Boolean(flag)) => Ok(Some(*flag)),
-        Some(_) => Err(format!("{name} is neither true nor false")),
+        Some(JsonValue::Boolean(boolean)) => Ok(Some(*boolean)),
+        Some(_) => Err(ReadError::NotABoolean { field: name }),
     }
 }
 
-/// A field that is a list; absent is an empty one.
-pub fn list<'a>(value: &'a JsonValue, name: &str) -> Result<&'a [JsonValue], String> {
+/// A field that is an array, if it is there.
+///
+/// # Errors
+/// A field that is anything else.
+pub fn array<'a>(value: &'a JsonValue, name: &'static str) -> Result<Option<&'a [JsonValue]>, ReadError> {
     match field(value, name) {
-        None => Ok(&[]),
-        Some(JsonValue::Array(list)) => Ok(list),
-        Some(_) => Err(format!("{name} is no list")),
+        None => Ok(None),
+        Some(JsonValue::Array(items)) => Ok(Some(items)),
+        Some(_) => Err(ReadError::NotAnArray { field: name }),
     }
 }
-
-/// What a field holds, or that it is missing.
-pub fn need<T>(field: Result<Option<T>, String>, name: &str) -> Result<T, String> {
-    field?.ok_or_else(|| format!("{name} is missing"))
-}
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,13 @@
-//! What a scheduler is told, from outside, before and while it runs: settings, limits and worker
-//! lists. The types belong to no format; [`platform`] reads the platform's JSON into them, and other
-//! formats map onto the same ones. Nothing here opens a file or a socket.
+//! The settings, limits and endpoint lists that a scheduler is given before and while it runs.
+//!
+//! The types belong to no format: [`platform`] reads the platform's JSON into them, and the crate
+//! `copperspread-config` maps its TOML onto the same ones. Nothing here opens a file or a socket.
+mod endpoints;
+mod error;
 pub mod json;
-mod members;
 pub mod platform;
-mod start;
+mod startup;
 
-pub use members::{EndpointList, EndpointPhase, EndpointRecord, name_key};
-pub use start::{DiscoveryConfig, ProxySettings, SchedulerSettings, StartupConfig};
+pub use endpoints::{EndpointList, EndpointPhase, EndpointRecord, name_key};
+pub use error::ReadError;
+pub use startup::{DiscoveryConfig, ProxySettings, SchedulerSettings, StartupConfig};
--- /dev/null
+++ b/crates/settings/src/platform/endpoints.rs
@@ -0,0 +1,63 @@
+//! Discovery's endpoint lists in the platform's JSON.
+use copperspread_dispatcher::Micros;
+use http::uri::Authority;
+use tinyjson::JsonValue;
+
+use super::parse_address;
+use crate::endpoints::{EndpointList, EndpointPhase, EndpointRecord};
+use crate::error::ReadError;
+use crate::json::{array, boolean, integer, number, required, text};
+
+const MICROS_PER_MILLISECOND: Micros = 1_000;
+
+/// Reads one answer of discovery.
+///
+/// # Errors
+/// A field that is missing or wrong; one invalid endpoint makes the whole list invalid.
+pub fn read_endpoint_list(value: &JsonValue) -> Result<EndpointList, ReadError> {
+    let members = required(value, "members", array)?;
+    Ok(EndpointList {
+        revision: required(value, "revision", integer)?,
+        complete: required(value, "complete", boolean)?,
+        endpoints: members.iter().map(read_endpoint).collect::<Result<_, _>>()?,
+    })
+}
+
+fn read_endpoint(value: &JsonValue) -> Result<EndpointRecord, ReadError> {
+    let address = read_address(value)?;
+    Ok(EndpointRecord {
+        id: required(value, "id", text)?.to_owned(),
+        address,
+        zone: text(value, "locality")?.unwrap_or_default().to_owned(),
+        kind: text(value, "flavor")?.unwrap_or_default().to_owned(),
+        cell: integer(value, "cell")?.unwrap_or(0),
+        phase: read_phase(value)?,
+        started_at: read_start_time(value)?,
+        // A size of another type is no reason to reject the list.
+        size: number(value, "size").unwrap_or_default(),
+    })
+}
+
+fn read_address(value: &JsonValue) -> Result<Authority, ReadError> {
+    let text = required(value, "host_port", text)?;
+    let address: Authority = parse_address(text)?;
+    if address.port().is_none() {
+        return Err(ReadError::MissingPort { text: text.to_owned() });
+    }
+    Ok(address)
+}
+
+fn read_phase(value: &JsonValue) -> Result<EndpointPhase, ReadError> {
+    match required(value, "phase", text)? {
+        "SERVING" => Ok(EndpointPhase::Serving),
+        "DRAINING" => Ok(EndpointPhase::Draining),
+        "DELETED" => Ok(EndpointPhase::Deleted),
+        other => Err(ReadError::UnknownValue { field: "phase", value: other.to_owned() }),
+    }
+}
+
+/// The time of the last start; 0 stands for one that is not known.
+fn read_start_time(value: &JsonValue) -> Result<Option<Micros>, ReadError> {
+    let milliseconds = integer::<u64>(value, "up_since_ms")?;
+    Ok(milliseconds.filter(|&at| at > 0).map(|at| at * MICROS_PER_MILLISECOND))
+}
--- /dev/null
+++ b/crates/settings/src/platform/settings.rs
@@ -0,0 +1,159 @@
+//! The settings object of the platform's JSON.
+use copperspread_dispatcher::{Discovery, Idempotency, KeyScope, RequestClass, Settings, Tenant};
+use tinyjson::JsonValue;
+
+use super::object_or_null;
+use crate::error::ReadError;
+use crate::json::{array, boolean, integer, micros_from_seconds, number, required, seconds_as_micros, text};
+use crate::startup::{ProxySettings, SchedulerSettings};
+
+const DEFAULT_POLL_WITHIN_SECONDS: f64 = 10.0;
+const DEFAULT_CONNECT_TIMEOUT_SECONDS: f64 = 0.25;
+const DEFAULT_KEEP_ALIVE_TIMEOUT_SECONDS: f64 = 5.0;
+const DEFAULT_MAX_RETRY_AFTER_SECONDS: f64 = 1.0;
+
+/// Reads the settings.
+///
+/// # Errors
+/// A field that is missing or wrong.
+pub fn read_settings(params: &JsonValue) -> Result<SchedulerSettings, ReadError> {
+    let classes = read_classes(params)?;
+    let tenants = read_tenants(params)?;
+    let dispatch = read_dispatch_settings(params, classes, tenants)?;
+    let proxy = read_proxy_settings(params, &dispatch)?;
+    Ok(SchedulerSettings { dispatch, proxy })
+}
+
+fn read_classes(params: &JsonValue) -> Result<Vec<RequestClass>, ReadError> {
+    let family = object_or_null(params, "family_info");
+    let stretches = array(family, "class_stretch")?.unwrap_or_default();
+    let kinds = array(family, "class_kind")?.unwrap_or_default();
+    let classes = array(params, "classes")?.unwrap_or_default();
+    let read = |(index, class)| read_class(class, stretches.get(index), kinds.get(index));
+    classes.iter().enumerate().map(read).collect()
+}
+
+/// A class; its own stretch is used before the family's.
+fn read_class(
+    class: &JsonValue,
+    family_stretch: Option<&JsonValue>,
+    kind: Option<&JsonValue>,
+) -> Result<RequestClass, ReadError> {
+    let own_stretch = number(class, "aim_stretch")?;
+    Ok(RequestClass {
+        latency_objective: required(class, "aim_s", seconds_as_micros)?,
+        latency_stretch: own_stretch.or(family_stretch.and_then(as_number)).unwrap_or(0.0),
+        deadline: required(class, "deadline_s", seconds_as_micros)?,
+        priority_weight: required(class, "importance", number)?,
+        idempotency: read_idempotency(class)?,
+        worker_kind: kind.and_then(as_number).filter(|&kind| kind >= 0.0).map(|kind| kind as u32),
+    })
+}
+
+fn read_idempotency(class: &JsonValue) -> Result<Idempotency, ReadError> {
+    let scope = match text(class, "key_scope")? {
+        Some("zone") => KeyScope::Zone,
+        Some("cell") => KeyScope::Cell,
+        _ => KeyScope::All,
+    };
+    match required(class, "semantics", text)? {
+        "pure" => Ok(Idempotency::Idempotent),
+        "token" => {
+            let window = seconds_as_micros(class, "window_s")?.unwrap_or(0);
+            Ok(Idempotency::IdempotentWithKey { scope, window })
+        }
+        "side_effect" => Ok(Idempotency::NonIdempotent),
+        other => Err(ReadError::UnknownValue { field: "semantics", value: other.to_owned() }),
+    }
+}
+
+fn read_tenants(params: &JsonValue) -> Result<Vec<Tenant>, ReadError> {
+    let tenants = array(params, "tenants")?.unwrap_or_default();
+    let read = |tenant| {
+        let quota_per_second = number(tenant, "allowance_per_s")?.unwrap_or(0.0);
+        Ok(Tenant { quota_per_second })
+    };
+    tenants.iter().map(read).collect()
+}
+
+fn read_dispatch_settings(
+    params: &JsonValue,
+    classes: Vec<RequestClass>,
+    tenants: Vec<Tenant>,
+) -> Result<Settings, ReadError> {
+    let family = object_or_null(params, "family_info");
+    let permissions = object_or_null(params, "permissions");
+    let safety = object_or_null(params, "safety");
+    let load_info = object_or_null(params, "load_info");
+    let penalties = object_or_null(params, "penalties");
+    Ok(Settings {
+        fleet_size: required(params, "fleet_size", integer)?,
+        instance_index: integer(params, "me")?,
+        zone: integer(params, "zone")?.unwrap_or(0),
+        classes,
+        tenants,
+        over_quota_weight: number(params, "over_share_worth")?.unwrap_or(1.0),
+        weight_by_work: text(params, "worth_by")? == Some("work"),
+        discovery: read_discovery(params)?,
+        poll_within: seconds_as_micros(safety, "ask_within_s")?
+            .unwrap_or(micros_from_seconds(DEFAULT_POLL_WITHIN_SECONDS)),
+        slow_start_initial_capacity: required(safety, "cold_from", number)?,
+        slow_start_duration: required(safety, "cold_s", seconds_as_micros)?,
+        overload_multiple: required(safety, "fall_multiple", number)?,
+        overload_window: required(safety, "fall_s", seconds_as_micros)?,
+        connect_timeout: seconds_as_micros(permissions, "connect_timeout_s")?
+            .unwrap_or(micros_from_seconds(DEFAULT_CONNECT_TIMEOUT_SECONDS)),
+        max_attempts: required(permissions, "send_cap", integer)?,
+        hedging_allowed: boolean(permissions, "second_copies")?.unwrap_or(false),
+        cancellation_allowed: boolean(permissions, "may_cancel")?.unwrap_or(false),
+        reports_job_start: boolean(family, "tells_start")?.unwrap_or(false),
+        load_by_query: boolean(permissions, "probes")?.unwrap_or(false)
+            && text(load_info, "how")? == Some("pull"),
+        load_query_cost: number(penalties, "probe")?.unwrap_or(0.0),
+        cross_zone_cost: number(penalties, "cross_zone")?.unwrap_or(0.0),
+        sizes_reflect_load: text(params, "weights")? == Some("live"),
+    })
+}
+
+fn read_discovery(params: &JsonValue) -> Result<Discovery, ReadError> {
+    match required(params, "discovery", text)? {
+        "pushed" => Ok(Discovery::Pushed),
+        "on_request" => Ok(Discovery::Polled),
+        other => Err(ReadError::UnknownValue { field: "discovery", value: other.to_owned() }),
+    }
+}
+
+fn read_proxy_settings(params: &JsonValue, dispatch: &Settings) -> Result<ProxySettings, ReadError> {
+    let permissions = object_or_null(params, "permissions");
+    Ok(ProxySettings {
+        classes: read_names(params, "classes")?,
+        idempotency: dispatch.classes.iter().map(|class| class.idempotency).collect(),
+        tenants: read_names(params, "tenants")?,
+        zones: read_names(params, "zones")?,
+        kinds: read_names(params, "kinds")?,
+        connect_timeout: dispatch.connect_timeout,
+        keep_alive_timeout: seconds_as_micros(permissions, "keepalive_s")?
+            .unwrap_or(micros_from_seconds(DEFAULT_KEEP_ALIVE_TIMEOUT_SECONDS)),
+        sends_retry_after: boolean(permissions, "retry_after")?.unwrap_or(false),
+        max_retry_after: seconds_as_micros(permissions, "max_retry_after_s")?
+            .unwrap_or(micros_from_seconds(DEFAULT_MAX_RETRY_AFTER_SECONDS)),
+    })
+}
+
+/// The names in a field's array, whose items are strings or objects with a `name`; other items count
+/// as an empty name.
+fn read_names(params: &JsonValue, name: &'static str) -> Result<Vec<String>, ReadError> {
+    let items = array(params, name)?.unwrap_or_default();
+    Ok(items.iter().map(name_of).collect())
+}
+
+fn name_of(item: &JsonValue) -> String {
+    match item {
+        JsonValue::String(name) => name.clone(),
+        object => text(object, "name").ok().flatten().unwrap_or_default().to_owned(),
+    }
+}
+
+fn as_number(value: &JsonValue) -> Option<f64> {
+    value.get().copied()
+}
--- /dev/null
+++ b/crates/settings/tests/unit/endpoints.rs
@@ -0,0 +1,10 @@
+//! Unit tests of `copperspread_settings::endpoints`.
+use super::name_key;
+
+/// Every scheduler must compute the same keys, whatever machine it runs on. The expected values are
+/// those that the authors of FNV-1a publish.
+#[test]
+fn a_name_key_is_the_same_on_every_machine() {
+    assert_eq!(name_key(""), 0xcbf2_9ce4_8422_2325);
+    assert_eq!(name_key("a"), 0xaf63_dc4c_8601_ec8c);
+}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -38,7 +38,7 @@
             ("batch", None) => {
                 let turn = line.turn.ok_or_else(|| place("batch without turn".into()))?;
                 let now = line.ts_s.ok_or_else(|| place("batch without ts_s".into()))?;
-                open = Some((turn, copperspread_settings::json::micros(now)));
+                open = Some((turn, copperspread_settings::json::micros_from_seconds(now)));
             }
             ("batch", Some(_)) => return Err(place("a batch inside a batch".into())),
             (_, None) => return Err(place(format!("{} outside a batch", line.kind))),
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Write};
 
 use copperspread_dispatcher::*;
-use copperspread_settings::json::{self, micros};
+use copperspread_settings::json::{self, micros_from_seconds};
 use copperspread_settings::name_key;
 use rustc_hash::FxHashMap;
 use serde::Deserialize;
@@ -207,14 +207,14 @@
                 tenant: line.org.unwrap_or(0),
                 slots: line.width,
                 cost_hint: line.work_s,
-                time_left: micros(need(line.expires_in_s, line, "expires_in_s")?),
+                time_left: micros_from_seconds(need(line.expires_in_s, line, "expires_in_s")?),
             }),
             "answer" => Event::AttemptEnded(AttemptOutcome {
                 request: request_id(line)?,
                 attempt: need(line.attempt, line, "try")?,
                 outcome: outcome(need(line.state_code, line, "state_code")?)?,
                 request_finished: need(line.over, line, "over")?,
-                elapsed: micros(need(line.elapsed_s, line, "elapsed_s")?),
+                elapsed: micros_from_seconds(need(line.elapsed_s, line, "elapsed_s")?),
                 report: line.load.as_ref().map(report),
             }),
             "progress" => match need(line.what, line, "what")? {
@@ -270,7 +270,7 @@
                     "dead" => WorkerState::Removed,
                     status => return Err(Failure::Bad(format!("unknown status {status:?}"))),
                 },
-                started_at: entry.online_since_s.map(micros).filter(|&at| at > 0),
+                started_at: entry.online_since_s.map(micros_from_seconds).filter(|&at| at > 0),
                 size: entry.nominal,
                 hash_key: name_key(&entry.executor),
             });
