--- /dev/null
+++ b/crates/config/src/check/classes.rs
@@ -0,0 +1,70 @@
+//! Checks of the request classes.
+use std::collections::BTreeSet;
+
+use super::Violations;
+use crate::types::{Class, Config, EndpointSourceConfig, EndpointSourceKind, RepeatPolicy};
+use crate::units::HumanDuration;
+
+const MAX_DEADLINE: HumanDuration = HumanDuration(86_400_000_000);
+/// First parts of paths that the program itself answers.
+const RESERVED_NAMES: [&str; 2] = ["-", "_jobs"];
+
+pub(super) fn check_classes(config: &Config, violations: &mut Violations) {
+    violations.require(!config.classes.is_empty(), "classes", || "is empty; requests need a class".into());
+    let mut names = BTreeSet::new();
+    for (index, class) in config.classes.iter().enumerate() {
+        let key = |name: &str| format!("classes[{index}].{name}");
+        check_name(class, &key("name"), violations);
+        violations
+            .require(names.insert(&class.name), &key("name"), || format!("{:?} comes twice", class.name));
+        check_times(class, key, violations);
+        for (name, value) in [("stretch", class.stretch), ("worth", class.worth)] {
+            violations.require(value.is_finite() && value >= 0.0, &key(name), || {
+                format!("{value} is not 0 or more")
+            });
+        }
+        check_key_window(class, &key("key_window"), violations);
+        check_worker_kind(class, &config.source, &key("worker_kind"), violations);
+    }
+}
+
+fn check_name(class: &Class, key: &str, violations: &mut Violations) {
+    let is_unreserved = |c: char| c.is_ascii_alphanumeric() || "-_.~".contains(c);
+    let is_path_segment = !class.name.is_empty() && class.name.chars().all(is_unreserved);
+    violations.require(is_path_segment, key, || {
+        format!("{:?} is no part of a path; letters, digits and -_.~", class.name)
+    });
+    violations.require(!RESERVED_NAMES.contains(&class.name.as_str()), key, || {
+        format!("{:?} is taken by the program itself", class.name)
+    });
+}
+
+fn check_times(class: &Class, key: impl Fn(&str) -> String, violations: &mut Violations) {
+    let Class { aim, deadline, .. } = *class;
+    violations.require(deadline > HumanDuration(0) && deadline <= MAX_DEADLINE, &key("deadline"), || {
+        format!("{deadline} is not over 0 and at most a day")
+    });
+    violations
+        .require(aim <= deadline, &key("aim"), || format!("{aim} is later than the deadline of {deadline}"));
+}
+
+fn check_key_window(class: &Class, key: &str, violations: &mut Violations) {
+    let is_keyed = class.repeat == RepeatPolicy::Keyed;
+    let has_window = class.key_window.is_some_and(|window| window > HumanDuration(0));
+    violations.require(!is_keyed || has_window, key, || {
+        "is missing or 0; a keyed class needs the span for which repeats are dropped".into()
+    });
+    violations.require(is_keyed || class.key_window.is_none(), key, || {
+        "has no meaning unless repeat is \"keyed\"".into()
+    });
+}
+
+/// Only a static list tells beforehand which kinds there are.
+fn check_worker_kind(class: &Class, source: &EndpointSourceConfig, key: &str, violations: &mut Violations) {
+    if source.kind != EndpointSourceKind::Static {
+        return;
+    }
+    let Some(kind) = &class.worker_kind else { return };
+    let is_known = source.workers.iter().any(|worker| worker.kind == *kind);
+    violations.require(is_known, key, || format!("no worker is of the kind {kind:?}"));
+}
--- /dev/null
+++ b/crates/config/src/check/membership.rs
@@ -0,0 +1,105 @@
+//! Checks of the membership among schedulers.
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+
+use super::{CheckContext, Violations};
+use crate::types::{Config, MembershipConfig};
+use crate::units::HumanDuration;
+
+const MIN_PROBE_INTERVAL: HumanDuration = HumanDuration(10_000);
+const MAX_PROBE_INTERVAL: HumanDuration = HumanDuration(60_000_000);
+const INDIRECT_PROBES: RangeInclusive<u32> = 1..=16;
+const MAX_SUSPICION: f64 = 1_000.0;
+/// A longer name does not fit into a packet.
+const MAX_NAME_BYTES: usize = 64;
+
+pub(super) fn check_membership(config: &Config, context: &CheckContext, violations: &mut Violations) {
+    let membership = &config.cluster;
+    let Some(bind) = membership.bind else {
+        check_unused(membership, violations);
+        return;
+    };
+    check_addresses(membership, bind, violations);
+    check_key_file(membership, context, violations);
+    check_probes(membership, violations);
+    check_names(config, violations);
+}
+
+/// Without `bind` there is no membership: other keys would suggest that there is.
+fn check_unused(membership: &MembershipConfig, violations: &mut Violations) {
+    let keys = [
+        ("cluster.advertise", membership.advertise.is_some()),
+        ("cluster.seeds", !membership.seeds.is_empty()),
+        ("cluster.key_file", membership.key_file.is_some()),
+    ];
+    for (key, is_set) in keys {
+        violations.require(!is_set, key, || "has no meaning unless cluster.bind is set".into());
+    }
+}
+
+fn check_addresses(membership: &MembershipConfig, bind: SocketAddr, violations: &mut Violations) {
+    let is_reachable = !bind.ip().is_unspecified() || membership.advertise.is_some();
+    violations.require(is_reachable, "cluster.bind", || {
+        format!("{bind} is no number that peers can reach; set cluster.advertise to one")
+    });
+    if let Some(advertise) = membership.advertise {
+        check_peer_address("cluster.advertise", advertise, bind, violations);
+    }
+    for (index, seed) in membership.seeds.iter().enumerate() {
+        check_peer_address(&format!("cluster.seeds[{index}]"), *seed, bind, violations);
+    }
+}
+
+fn check_peer_address(key: &str, address: SocketAddr, bind: SocketAddr, violations: &mut Violations) {
+    let is_specified = !address.ip().is_unspecified() && address.port() != 0;
+    violations.require(is_specified, key, || format!("{address} is no number and port to send to"));
+    violations.require(address.is_ipv4() == bind.is_ipv4(), key, || {
+        format!("{address} and cluster.bind are IPv4 and IPv6")
+    });
+}
+
+fn check_key_file(membership: &MembershipConfig, context: &CheckContext, violations: &mut Violations) {
+    let key = "cluster.key_file";
+    let Some(path) = &membership.key_file else {
+        violations.add(key, "is missing; a cluster needs a key, a file of at least 16 bytes");
+        return;
+    };
+    if let Some(check) = context.check_key_file
+        && let Err(error) = check(path)
+    {
+        violations.add(key, error.to_string());
+    }
+}
+
+fn check_probes(membership: &MembershipConfig, violations: &mut Violations) {
+    let MembershipConfig { probe_interval, probe_timeout, indirect, suspicion, .. } = *membership;
+    let has_valid_interval = (MIN_PROBE_INTERVAL..=MAX_PROBE_INTERVAL).contains(&probe_interval);
+    violations.require(has_valid_interval, "cluster.probe_interval", || {
+        format!("{probe_interval} is not between {MIN_PROBE_INTERVAL} and {MAX_PROBE_INTERVAL}")
+    });
+    let has_valid_timeout = probe_timeout > HumanDuration(0) && probe_timeout < probe_interval;
+    violations.require(has_valid_timeout, "cluster.probe_timeout", || {
+        format!("{probe_timeout} is not over 0 and under the probe_interval of {probe_interval}")
+    });
+    violations.require(INDIRECT_PROBES.contains(&indirect), "cluster.indirect", || {
+        format!("{indirect} is not between {} and {}", INDIRECT_PROBES.start(), INDIRECT_PROBES.end())
+    });
+    violations.require(suspicion > 0.0 && suspicion <= MAX_SUSPICION, "cluster.suspicion", || {
+        format!("{suspicion} is not over 0 and at most {MAX_SUSPICION}")
+    });
+}
+
+fn check_names(config: &Config, violations: &mut Violations) {
+    let names = [
+        ("name", &config.name),
+        ("zones.here", &config.zones.here),
+        ("cluster.region", &config.cluster.region),
+    ];
+    for (key, name) in names {
+        violations.require(name.len() <= MAX_NAME_BYTES, key, || {
+            format!("{} bytes are too many for a member of a cluster; at most {MAX_NAME_BYTES}", name.len())
+        });
+    }
+    violations
+        .require(!config.name.is_empty(), "name", || "is empty; a member of a cluster needs one".into());
+}
--- /dev/null
+++ b/crates/config/src/describe/schema.rs
@@ -0,0 +1,50 @@
+//! The JSON Schema, and what the other descriptions read from it.
+use schemars::generate::SchemaSettings;
+use serde_json::Value;
+
+use crate::types::Config;
+
+/// The configuration's JSON Schema.
+pub fn schema() -> Value {
+    let settings = SchemaSettings::draft2020_12().with(|settings| settings.inline_subschemas = true);
+    settings.into_generator().into_root_schema_for::<Config>().to_value()
+}
+
+/// The description of a key, a table or a choice; empty where there is none.
+pub(super) fn description(schema: &Value) -> &str {
+    schema["description"].as_str().unwrap_or_default()
+}
+
+/// Whether a table's schema requires the key `name`.
+pub(super) fn is_required(schema: &Value, name: &str) -> bool {
+    schema["required"].as_array().is_some_and(|names| names.iter().any(|required| required == name))
+}
+
+/// Whether the value is a table with keys of its own.
+pub(super) fn is_table(schema: &Value) -> bool {
+    schema["properties"].is_object()
+}
+
+/// The name of a value's type, for people.
+pub(super) fn type_name(schema: &Value) -> String {
+    if schema["oneOf"].is_array() {
+        return "choice".into();
+    }
+    match (&schema["format"], &schema["type"]) {
+        (Value::String(format), _) if ["span", "size"].contains(&format.as_str()) => format.clone(),
+        (_, Value::String(name)) if name == "array" => format!("list of {}", item_type_name(schema)),
+        (_, Value::String(name)) => name.clone(),
+        (_, Value::Array(names)) => {
+            names.iter().filter_map(Value::as_str).find(|&name| name != "null").unwrap_or("any").to_owned()
+        }
+        // An optional value: the first alternative that is not null.
+        _ => {
+            let alternatives = schema["anyOf"].as_array();
+            alternatives.and_then(|schemas| schemas.first()).map_or("any".into(), type_name)
+        }
+    }
+}
+
+fn item_type_name(schema: &Value) -> String {
+    if is_table(&schema["items"]) { "tables".into() } else { type_name(&schema["items"]) }
+}
--- /dev/null
+++ b/crates/config/src/effective.rs
@@ -0,0 +1,75 @@
+//! A configuration in force, with the origin of each value.
+use figment::Figment;
+
+use crate::layers::{DEFAULT_LAYER, layer_label};
+use crate::types::Config;
+
+/// A configuration in force, and where its values came from.
+#[derive(Clone, Debug)]
+pub struct EffectiveConfig {
+    /// The values.
+    pub config: Config,
+    figment: Figment,
+}
+
+/// A value of the listing: its key with its tables, and the value as TOML.
+struct ListedValue {
+    key: String,
+    value: String,
+}
+
+impl EffectiveConfig {
+    pub(crate) fn new(config: Config, figment: Figment) -> EffectiveConfig {
+        EffectiveConfig { config, figment }
+    }
+
+    /// Where a value came from, by its key: `default`, the file's name, `environment` or `flag --set`.
+    pub fn origin(&self, key: &str) -> String {
+        // A list has one origin as a whole.
+        let mut key = key.split('[').next().unwrap_or_default();
+        loop {
+            if let Some(metadata) = self.figment.find_metadata(key) {
+                return layer_label(&metadata.name, key);
+            }
+            match key.rsplit_once('.') {
+                Some((table, _)) => key = table,
+                None => return DEFAULT_LAYER.to_owned(),
+            }
+        }
+    }
+
+    /// The values in force, a line each: key, value and origin.
+    pub fn listing(&self) -> String {
+        let mut values = Vec::new();
+        if let Ok(config) = toml::Value::try_from(&self.config) {
+            list_values("", &config, &mut values);
+        }
+        let separator = " = ";
+        let width = |listed: &ListedValue| listed.key.len() + separator.len() + listed.value.len();
+        let widest = values.iter().map(width).max().unwrap_or(0);
+        let mut listing = String::new();
+        for ListedValue { key, value } in values {
+            let assignment = format!("{key}{separator}{value}");
+            listing += &format!("{assignment:widest$}  # {}\n", self.origin(&key));
+        }
+        listing
+    }
+}
+
+/// Adds a value, or those in it, under the key `prefix`.
+fn list_values(prefix: &str, value: &toml::Value, values: &mut Vec<ListedValue>) {
+    match value {
+        toml::Value::Table(table) => {
+            let separator = if prefix.is_empty() { "" } else { "." };
+            for (name, value) in table {
+                list_values(&format!("{prefix}{separator}{name}"), value, values);
+            }
+        }
+        toml::Value::Array(items) if items.iter().any(toml::Value::is_table) => {
+            for (index, item) in items.iter().enumerate() {
+                list_values(&format!("{prefix}[{index}]"), item, values);
+            }
+        }
+        value => values.push(ListedValue { key: prefix.to_owned(), value: value.to_string() }),
+    }
+}
--- a/crates/config/src/layers.rs
+++ b/crates/config/src/layers.rs
@@ -1,63 +1,32 @@
-//! The layers of a configuration, merged, with the origin of each value.
-use std::fmt;
+//! The layers of a configuration: reads each, merges them and has the result checked.
+use std::ops::Range;
 use std::path::Path;
 
 use figment::providers::{Env, Serialized};
 use figment::value::{Dict, Map};
 use figment::{Figment, Metadata, Profile, Provider};
-use toml::Spanned;
-use toml::de::{DeTable, DeValue};
 
-use crate::check::{Surroundings, check};
+use crate::check::{CheckContext, Violation, check};
+use crate::effective::EffectiveConfig;
+use crate::location::{position_of_byte, position_of_key};
+use crate::problem::{InvalidConfig, Problem};
 use crate::types::Config;
 
-/// One thing that is wrong: where, with which key, and what would be right.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problem {
-    /// The file with line and column, the variable or the flag.
-    pub place: String,
-    /// The key, dotted; empty where none could be told.
-    pub key: String,
-    /// What is wrong, in words.
-    pub what: String,
-}
-
-impl fmt::Display for Problem {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &*self.key {
-            "" | "." => write!(f, "{}: {}", self.place, self.what),
-            key => write!(f, "{}: {key}: {}", self.place, self.what),
-        }
-    }
-}
-
-/// All that is wrong with a configuration; there is at least one thing.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problems(pub Vec<Problem>);
-
-impl fmt::Display for Problems {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (number, problem) in self.0.iter().enumerate() {
-            write!(f, "{}{problem}", if number == 0 { "" } else { "\n" })?;
-        }
-        Ok(())
-    }
-}
-
-impl std::error::Error for Problems {}
-
-/// A configuration in force, and where its values came from.
-#[derive(Clone, Debug)]
-pub struct Effective {
-    /// The values.
-    pub config: Config,
-    figment: Figment,
-}
+/// The name of the layer with the built-in default.
+pub(crate) const DEFAULT_LAYER: &str = "default";
+/// The name of the layers that flags set.
+const FLAG_LAYER: &str = "flag --set";
+/// The environment's variables begin with this.
+const ENVIRONMENT_PREFIX: &str = "COPPERSPREAD_";
+/// Stands between a table and its key in a variable's name.
+const ENVIRONMENT_SEPARATOR: &str = "__";
+/// The variable that names the file, without the prefix. It sets no value.
+const FILE_VARIABLE: &str = "config";
 
 /// One layer under a name of ours.
 struct Layer {
     name: String,
-    data: toml::Table,
+    table: toml::Table,
 }
 
 impl Provider for Layer {
@@ -66,30 +35,24 @@
     }
 
     fn data(&self) -> Result<Map<Profile, Dict>, figment::Error> {
-        Serialized::defaults(&self.data).data()
+        Serialized::defaults(&self.table).data()
     }
 }
 
-const DEFAULT: &str = "default";
-const FLAG: &str = "flag --set";
-/// The environment's variables begin with this; `__` stands between a table and its key.
-const PREFIX: &str = "COPPERSPREAD_";
-
 /// Reads the layers: the defaults, a file if one is named, the environment, and flags of the form
 /// `key=value`.
 ///
 /// # Errors
-/// All that is wrong, each with its place. A file that cannot be read is one problem.
-pub fn read(file: Option<&Path>, flags: &[String], around: &Surroundings) -> Result<Effective, Problems> {
-    let text = match file {
-        None => None,
-        Some(path) => Some(std::fs::read_to_string(path).map_err(|error| {
-            let place = path.display().to_string();
-            Problems(vec![Problem { place, key: String::new(), what: error.to_string() }])
-        })?),
-    };
-    let name = file.map(|path| path.display().to_string());
-    read_text(name.as_deref().zip(text.as_deref()), flags, around)
+/// Everything that is wrong, each with its location. A file that cannot be read is one problem.
+pub fn read(
+    file: Option<&Path>,
+    flags: &[String],
+    context: &CheckContext,
+) -> Result<EffectiveConfig, InvalidConfig> {
+    let Some(path) = file else { return read_text(None, flags, context) };
+    let name = path.display().to_string();
+    let text = std::fs::read_to_string(path).map_err(|error| InvalidConfig::without_key(&name, error))?;
+    read_text(Some((&name, &text)), flags, context)
 }
 
 /// Reads the layers with a file's name and text.
@@ -99,187 +62,114 @@
 pub fn read_text(
     file: Option<(&str, &str)>,
     flags: &[String],
-    around: &Surroundings,
-) -> Result<Effective, Problems> {
-    let defaults = toml::Table::try_from(Config::default()).map_err(|error| bare("defaults", &error))?;
-    let mut figment = Figment::from(Layer { name: DEFAULT.into(), data: defaults });
+    context: &CheckContext,
+) -> Result<EffectiveConfig, InvalidConfig> {
+    let figment = merge_layers(file, flags)?;
+    let config = figment.extract::<Config>().map_err(extraction_problems)?;
+    let effective = EffectiveConfig::new(config, figment);
+    let violations = check(&effective.config, context);
+    if violations.is_empty() {
+        return Ok(effective);
+    }
+    let located = |violation| locate(violation, &effective, file);
+    Err(InvalidConfig { problems: violations.into_iter().map(located).collect() })
+}
+
+fn merge_layers(file: Option<(&str, &str)>, flags: &[String]) -> Result<Figment, InvalidConfig> {
+    let defaults = toml::Table::try_from(Config::default())
+        .map_err(|error| InvalidConfig::without_key("defaults", error))?;
+    let mut figment = Figment::from(Layer { name: DEFAULT_LAYER.to_owned(), table: defaults });
     if let Some((name, text)) = file {
-        // Read alone first: only here do errors know their line.
+        // Read alone first: errors after the merge no longer know their line.
         let table = read_file(name, text)?;
-        figment = figment.merge(Layer { name: name.into(), data: table });
+        figment = figment.merge(Layer { name: name.to_owned(), table });
     }
-    // The variable that names the file is no value.
-    figment = figment.merge(Env::prefixed(PREFIX).ignore(&["config"]).split("__"));
+    let environment = Env::prefixed(ENVIRONMENT_PREFIX).ignore(&[FILE_VARIABLE]);
+    figment = figment.merge(environment.split(ENVIRONMENT_SEPARATOR));
     for flag in flags {
-        figment = figment.merge(Layer { name: FLAG.into(), data: read_flag(flag)? });
-    }
-    let config = figment.extract::<Config>().map_err(|errors| {
-        Problems(
-            errors
-                .into_iter()
-                .map(|error| {
-                    let name = error.metadata.as_ref().map_or("configuration", |of| &of.name);
-                    let key = error.path.join(".");
-                    let what = error.kind.to_string().replace('`', "");
-                    Problem { place: place_of(name, &key), key, what }
-                })
-                .collect(),
-        )
-    })?;
-    let effective = Effective { config, figment };
-    let found = check(&effective.config, around);
-    if found.is_empty() {
-        return Ok(effective);
+        figment = figment.merge(Layer { name: FLAG_LAYER.to_owned(), table: read_flag(flag)? });
     }
-    let place = |key: &str| {
-        let origin = effective.origin(key);
-        match file.filter(|(name, _)| *name == origin).and_then(|(_, text)| line_of(text, key)) {
-            Some((line, column)) => format!("{origin}:{line}:{column}"),
-            None => origin,
-        }
-    };
-    let problem = |(key, what): (String, String)| Problem { place: place(&key), key, what };
-    Err(Problems(found.into_iter().map(problem).collect()))
-}
-
-fn bare(place: &str, error: &dyn fmt::Display) -> Problems {
-    Problems(vec![Problem { place: place.into(), key: String::new(), what: error.to_string() }])
+    Ok(figment)
 }
 
-/// A file's own values, of the right types and with no unknown keys.
-fn read_file(name: &str, text: &str) -> Result<toml::Table, Problems> {
-    let at = |span: Option<std::ops::Range<usize>>| match span {
-        Some(span) => {
-            let (line, column) = position(text, span.start);
-            format!("{name}:{line}:{column}")
-        }
-        None => name.to_owned(),
+/// The values of a file, which have the right types and no unknown keys.
+fn read_file(name: &str, text: &str) -> Result<toml::Table, InvalidConfig> {
+    let invalid = |key: &str, error: &toml::de::Error| {
+        let location = location_of_span(name, text, error.span());
+        InvalidConfig::with_key(&location, key, error.message().replace('\n', ", "))
     };
-    let plain = |error: &toml::de::Error| {
-        let (place, what) = (at(error.span()), error.message().replace('\n', ", "));
-        Problems(vec![Problem { place, key: String::new(), what }])
-    };
-    let reader = toml::Deserializer::parse(text).map_err(|error| plain(&error))?;
-    if let Err(error) = serde_path_to_error::deserialize::<_, Config>(reader) {
-        let (key, inner) = (error.path().to_string(), error.into_inner());
-        let mut problems = plain(&inner);
-        problems.0[0].key = key;
-        return Err(problems);
-    }
-    let table: toml::Table = text.parse().map_err(|error| plain(&error))?;
-    // Guards against a file that is being written anew: cut to nothing, it would stand for the default.
+    let deserializer = toml::Deserializer::parse(text).map_err(|error| invalid("", &error))?;
+    serde_path_to_error::deserialize::<_, Config>(deserializer)
+        .map_err(|error| invalid(&error.path().to_string(), error.inner()))?;
+    let table: toml::Table = text.parse().map_err(|error| invalid("", &error))?;
+    // A file that is just being rewritten may be empty for an instant; it must not count as the default.
     if table.is_empty() {
-        return Err(bare(name, &"sets nothing; leave the file out to serve by the built-in default"));
+        let message = "sets nothing; leave the file out to serve by the built-in default";
+        return Err(InvalidConfig::without_key(name, message));
     }
     Ok(table)
 }
 
+fn location_of_span(name: &str, text: &str, span: Option<Range<usize>>) -> String {
+    match span {
+        Some(span) => format!("{name}:{}", position_of_byte(text, span.start)),
+        None => name.to_owned(),
+    }
+}
+
 /// A flag `key=value`: the value as TOML, or else as the text that it is.
-fn read_flag(flag: &str) -> Result<toml::Table, Problems> {
-    let (key, value) =
-        flag.split_once('=').ok_or_else(|| bare(FLAG, &format!("{flag:?} is not KEY=VALUE")))?;
-    let read = format!("value = {value}").parse::<toml::Table>().ok().filter(|read| read.len() == 1);
-    let read = read.and_then(|mut read| read.remove("value"));
-    let mut value = read.unwrap_or_else(|| toml::Value::String(value.into()));
+fn read_flag(flag: &str) -> Result<toml::Table, InvalidConfig> {
+    let invalid = |message: String| InvalidConfig::without_key(FLAG_LAYER, message);
+    let (key, text) = flag.split_once('=').ok_or_else(|| invalid(format!("{flag:?} is not KEY=VALUE")))?;
+    let mut value = read_flag_value(text);
     for part in key.trim().rsplit('.') {
         if part.is_empty() {
-            return Err(bare(FLAG, &format!("{key:?} is no key")));
+            return Err(invalid(format!("{key:?} is no key")));
         }
         value = toml::Value::Table([(part.to_owned(), value)].into_iter().collect());
     }
     match value {
         toml::Value::Table(table) => Ok(table),
-        _ => Err(bare(FLAG, &format!("{key:?} is no key"))),
+        _ => Err(invalid(format!("{key:?} is no key"))),
     }
 }
 
-/// A layer's name, in our words: the library names the environment's in its own.
-fn place_of(layer: &str, key: &str) -> String {
-    if layer.contains(PREFIX) {
-        return format!("environment {PREFIX}{}", key.to_uppercase().replace('.', "__"));
-    }
-    layer.to_owned()
+fn read_flag_value(text: &str) -> toml::Value {
+    // A text with line ends may set further keys; then it is no value.
+    let document = format!("value = {text}").parse::<toml::Table>().ok().filter(|table| table.len() == 1);
+    let value = document.and_then(|mut table| table.remove("value"));
+    value.unwrap_or_else(|| toml::Value::String(text.to_owned()))
 }
 
-/// Line and column of a byte, both from 1.
-fn position(text: &str, byte: usize) -> (usize, usize) {
-    let before = &text.as_bytes()[..byte.min(text.len())];
-    let line = before.iter().filter(|&&byte| byte == b'\n').count() + 1;
-    let start = before.iter().rposition(|&byte| byte == b'\n').map_or(0, |at| at + 1);
-    (line, String::from_utf8_lossy(&before[start..]).chars().count() + 1)
+/// What figment found wrong with the types of the merged values.
+fn extraction_problems(errors: figment::Error) -> InvalidConfig {
+    let problem = |error: figment::Error| {
+        let layer = error.metadata.as_ref().map_or("configuration", |metadata| &metadata.name);
+        let key = error.path.join(".");
+        let message = error.kind.to_string().replace('`', "");
+        Problem { location: layer_label(layer, &key), key, message }
+    };
+    InvalidConfig { problems: errors.into_iter().map(problem).collect() }
 }
 
-/// Where a file sets a key such as `classes[1].aim`, or the closest table around it.
-fn line_of(text: &str, key: &str) -> Option<(usize, usize)> {
-    let table = DeTable::parse(text).ok()?;
-    let mut span = None;
-    let mut here: Option<&DeValue<'_>> = None;
-    for part in key.split(['.', '[', ']']).filter(|part| !part.is_empty()) {
-        let next: &Spanned<DeValue<'_>> = match here {
-            None => match table.get_ref().get(part) {
-                Some(next) => next,
-                None => break,
-            },
-            Some(DeValue::Table(inner)) => match inner.get(part) {
-                Some(next) => next,
-                None => break,
-            },
-            Some(DeValue::Array(inner)) => match part.parse().ok().and_then(|at: usize| inner.get(at)) {
-                Some(next) => next,
-                None => break,
-            },
-            Some(_) => break,
-        };
-        span = Some(next.span());
-        here = Some(next.get_ref());
-    }
-    span.map(|span| position(text, span.start))
+/// A violation with its location: the origin of the value and, in the file, its line and column.
+fn locate(violation: Violation, effective: &EffectiveConfig, file: Option<(&str, &str)>) -> Problem {
+    let Violation { key, message } = violation;
+    let origin = effective.origin(&key);
+    let text = file.filter(|(name, _)| *name == origin).map(|(_, text)| text);
+    let location = match text.and_then(|text| position_of_key(text, &key)) {
+        Some(position) => format!("{origin}:{position}"),
+        None => origin,
+    };
+    Problem { location, key, message }
 }
 
-impl Effective {
-    /// Where a value came from, by its key: `default`, the file's name, `environment` or `flag --set`.
-    pub fn origin(&self, key: &str) -> String {
-        // Lists are of one origin as a whole.
-        let mut key = key.split('[').next().unwrap_or_default();
-        loop {
-            if let Some(found) = self.figment.find_metadata(key) {
-                return place_of(&found.name, key);
-            }
-            match key.rsplit_once('.') {
-                Some((table, _)) => key = table,
-                None => return DEFAULT.into(),
-            }
-        }
-    }
-
-    /// The values in force, a line each: key, value and origin.
-    pub fn listing(&self) -> String {
-        fn walk(prefix: &str, value: &toml::Value, lines: &mut Vec<(String, String)>) {
-            match value {
-                toml::Value::Table(table) => {
-                    for (name, value) in table {
-                        let dot = if prefix.is_empty() { "" } else { "." };
-                        walk(&format!("{prefix}{dot}{name}"), value, lines);
-                    }
-                }
-                toml::Value::Array(list) if list.iter().any(toml::Value::is_table) => {
-                    for (number, value) in list.iter().enumerate() {
-                        walk(&format!("{prefix}[{number}]"), value, lines);
-                    }
-                }
-                value => lines.push((prefix.to_owned(), value.to_string())),
-            }
-        }
-        let mut lines = Vec::new();
-        if let Ok(value) = toml::Value::try_from(&self.config) {
-            walk("", &value, &mut lines);
-        }
-        let widest = lines.iter().map(|(key, value)| key.len() + value.len() + 3).max().unwrap_or(0);
-        let mut text = String::new();
-        for (key, value) in lines {
-            let set = format!("{key} = {value}");
-            text += &format!("{set:widest$}  # {}\n", self.origin(&key));
-        }
-        text
+/// A layer's name for people: figment names the environment's layer in its own way, and the variable
+/// itself says more.
+pub(crate) fn layer_label(layer: &str, key: &str) -> String {
+    if !layer.contains(ENVIRONMENT_PREFIX) {
+        return layer.to_owned();
     }
+    let variable = key.to_uppercase().replace('.', ENVIRONMENT_SEPARATOR);
+    format!("environment {ENVIRONMENT_PREFIX}{variable}")
 }
--- /dev/null
+++ b/crates/config/src/location.rs
@@ -0,0 +1,50 @@
+//! Lines and columns in a TOML file.
+use std::fmt;
+
+use toml::Spanned;
+use toml::de::{DeTable, DeValue};
+
+/// A place in a text; line and column count from 1, columns in characters.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Position {
+    line: usize,
+    column: usize,
+}
+
+impl fmt::Display for Position {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}:{}", self.line, self.column)
+    }
+}
+
+/// The position of a byte.
+pub(crate) fn position_of_byte(text: &str, byte: usize) -> Position {
+    let before = &text.as_bytes()[..byte.min(text.len())];
+    let line = before.iter().filter(|&&byte| byte == b'\n').count() + 1;
+    let line_start = before.iter().rposition(|&byte| byte == b'\n').map_or(0, |newline| newline + 1);
+    let column = String::from_utf8_lossy(&before[line_start..]).chars().count() + 1;
+    Position { line, column }
+}
+
+/// Where a file sets a key such as `classes[1].aim`, or else the closest table around it.
+pub(crate) fn position_of_key(text: &str, key: &str) -> Option<Position> {
+    let document = DeTable::parse(text).ok()?;
+    let mut parts = key.split(['.', '[', ']']).filter(|part| !part.is_empty());
+    let mut found = document.get_ref().get(parts.next()?)?;
+    for part in parts {
+        match member(found.get_ref(), part) {
+            Some(next) => found = next,
+            None => break,
+        }
+    }
+    Some(position_of_byte(text, found.span().start))
+}
+
+/// A table's value by its key, or an array's by its index.
+fn member<'a, 'text>(value: &'a DeValue<'text>, part: &str) -> Option<&'a Spanned<DeValue<'text>>> {
+    match value {
+        DeValue::Table(table) => table.get(part),
+        DeValue::Array(items) => items.get(part.parse::<usize>().ok()?),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/config/src/types/downstream.rs
@@ -0,0 +1,47 @@
+//! The protocols that clients use.
+use std::net::SocketAddr;
+
+use copperspread_dispatcher::SECOND;
+use schemars::JsonSchema;
+use serde::{Deserialize, Serialize};
+
+use crate::units::HumanDuration;
+
+/// Clients' protocols.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[serde(default, deny_unknown_fields, expecting = "struct Fronts")]
+pub struct DownstreamConfig {
+    /// Jobs over HTTP/1.1.
+    pub http: HttpDownstreamConfig,
+}
+
+/// Jobs over HTTP/1.1.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[serde(default, deny_unknown_fields, expecting = "struct HttpFront")]
+pub struct HttpDownstreamConfig {
+    /// Address and port for clients and for workers' call-backs.
+    #[serde(deserialize_with = "deserialize_listen_address")]
+    #[schemars(with = "String")]
+    pub listen: SocketAddr,
+    /// The longest `Retry-After` that a refusal names.
+    pub max_retry_after: HumanDuration,
+}
+
+impl Default for HttpDownstreamConfig {
+    fn default() -> HttpDownstreamConfig {
+        HttpDownstreamConfig {
+            listen: ([127, 0, 0, 1], 8081).into(),
+            max_retry_after: HumanDuration(2 * SECOND),
+        }
+    }
+}
+
+fn deserialize_listen_address<'de, D: serde::Deserializer<'de>>(
+    deserializer: D,
+) -> Result<SocketAddr, D::Error> {
+    let text = String::deserialize(deserializer)?;
+    let describe = |_| {
+        format!("{text:?} is no address to listen on; write a number and a port, such as \"127.0.0.1:8081\"")
+    };
+    text.parse().map_err(describe).map_err(serde::de::Error::custom)
+}
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,4 +1,4 @@
-//! Spans of time and sizes as people write them: `"250ms"`, `"1m 30s"`, `"192 MB"`.
+//! Durations and sizes as people write them: `"250ms"`, `"1m 30s"`, `"192 MB"`.
 use std::borrow::Cow;
 use std::fmt;
 use std::str::FromStr;
@@ -9,47 +9,76 @@
 use schemars::{JsonSchema, Schema, SchemaGenerator, json_schema};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// A span of time, in whole microseconds.
+/// Far more than any value here means; a longer one might not fit into the microseconds.
+const MAX_DURATION: Duration = Duration::from_secs(366 * 86_400);
+
+/// Why a text is not a duration or a size.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[non_exhaustive]
+pub enum ParseUnitError {
+    /// Not a duration.
+    #[error("{text:?} is no span of time ({source}); write \"250ms\" or \"1m 30s\"")]
+    InvalidDuration {
+        /// The text as given.
+        text: String,
+        /// What is wrong with it.
+        source: humantime::DurationError,
+    },
+    /// A duration of more than a year.
+    #[error("{text:?} is longer than a year")]
+    DurationTooLong {
+        /// The text as given.
+        text: String,
+    },
+    /// Not a size.
+    #[error("{text:?} is no size ({reason}); write \"192 MB\" or \"64 KiB\"")]
+    InvalidSize {
+        /// The text as given.
+        text: String,
+        /// What is wrong with it; the parser gives no typed error.
+        reason: String,
+    },
+}
+
+/// A duration in whole microseconds, written as text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub Micros);
+pub struct HumanDuration(pub Micros);
 
-impl FromStr for Span {
-    type Err = String;
+impl FromStr for HumanDuration {
+    type Err = ParseUnitError;
 
-    fn from_str(text: &str) -> Result<Span, String> {
-        let span = humantime::parse_duration(text)
-            .map_err(|why| format!("{text:?} is no span of time ({why}); write \"250ms\" or \"1m 30s\""))?;
-        // A day is more than any figure here means; what lies beyond would not fit.
-        if span > Duration::from_secs(366 * 86_400) {
-            return Err(format!("{text:?} is longer than a year"));
+    fn from_str(text: &str) -> Result<HumanDuration, ParseUnitError> {
+        let duration = humantime::parse_duration(text)
+            .map_err(|source| ParseUnitError::InvalidDuration { text: text.to_owned(), source })?;
+        if duration > MAX_DURATION {
+            return Err(ParseUnitError::DurationTooLong { text: text.to_owned() });
         }
-        Ok(Span(span.as_micros() as Micros))
+        Ok(HumanDuration(duration.as_micros() as Micros))
     }
 }
 
-impl fmt::Display for Span {
+impl fmt::Display for HumanDuration {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         humantime::format_duration(Duration::from_micros(self.0)).fmt(f)
     }
 }
 
-/// A size in bytes.
+/// A size in bytes, written as text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Size(pub u64);
+pub struct HumanSize(pub u64);
 
-impl FromStr for Size {
-    type Err = String;
+impl FromStr for HumanSize {
+    type Err = ParseUnitError;
 
-    fn from_str(text: &str) -> Result<Size, String> {
-        let size: ByteSize = text
-            .parse()
-            .map_err(|why| format!("{text:?} is no size ({why}); write \"192 MB\" or \"64 KiB\""))?;
-        Ok(Size(size.as_u64()))
+    fn from_str(text: &str) -> Result<HumanSize, ParseUnitError> {
+        let size: ByteSize =
+            text.parse().map_err(|reason| ParseUnitError::InvalidSize { text: text.to_owned(), reason })?;
+        Ok(HumanSize(size.as_u64()))
     }
 }
 
-impl fmt::Display for Size {
-    /// In the largest unit that tells it exactly.
+impl fmt::Display for HumanSize {
+    /// In the largest unit of which it is a multiple.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let units =
             [(bytesize::GB, "GB"), (bytesize::MB, "MB"), (bytesize::KIB, "KiB"), (bytesize::KB, "KB")];
@@ -60,18 +89,20 @@
     }
 }
 
-macro_rules! as_text {
-    ($type:ty, $name:literal, $expecting:literal) => {
+/// Serializes a type as the text of its `Display`, deserializes it by its `FromStr`, and describes it
+/// so in the schema.
+macro_rules! impl_as_text {
+    ($type:ty, $format:literal, $expecting:literal) => {
         impl Serialize for $type {
-            fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-                to.collect_str(self)
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                serializer.collect_str(self)
             }
         }
 
         impl<'de> Deserialize<'de> for $type {
-            fn deserialize<D: Deserializer<'de>>(from: D) -> Result<$type, D::Error> {
-                struct Text;
-                impl de::Visitor<'_> for Text {
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<$type, D::Error> {
+                struct TextVisitor;
+                impl de::Visitor<'_> for TextVisitor {
                     type Value = $type;
                     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                         f.write_str($expecting)
@@ -80,20 +111,20 @@
                         text.parse().map_err(E::custom)
                     }
                 }
-                from.deserialize_str(Text)
+                deserializer.deserialize_str(TextVisitor)
             }
         }
 
         impl JsonSchema for $type {
             fn schema_name() -> Cow<'static, str> {
-                $name.into()
+                $format.into()
             }
             fn json_schema(_: &mut SchemaGenerator) -> Schema {
-                json_schema!({"type": "string", "format": $name, "description": $expecting})
+                json_schema!({"type": "string", "format": $format, "description": $expecting})
             }
         }
     };
 }
 
-as_text!(Span, "span", "a span of time such as \"250ms\"");
-as_text!(Size, "size", "a size such as \"192 MB\"");
+impl_as_text!(HumanDuration, "span", "a span of time such as \"250ms\"");
+impl_as_text!(HumanSize, "size", "a size such as \"192 MB\"");
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,25 +1,29 @@
-//! Configurations that are wrong, each with what is said of it, and what good ones come to.
-use copperspread_config::{Config, Effective, Surroundings, commented_default, page, read_text, schema};
+//! Invalid configurations, each with its error, and what valid ones become.
+use copperspread_config::{
+    CheckContext, Config, EffectiveConfig, commented_default, read_text, reference_page, schema,
+};
 use copperspread_dispatcher::{Idempotency, KeyScope, SECOND};
 use copperspread_settings::DiscoveryConfig;
-use proptest::prelude::*;
+use proptest::prelude::{ProptestConfig, any, prop, prop_assert, proptest};
 use proptest::test_runner::RngSeed;
 
-const AROUND: Surroundings = Surroundings { descriptors: Some(4096), key_file: Some(key_file) };
+const CONTEXT: CheckContext =
+    CheckContext { descriptor_limit: Some(4096), check_key_file: Some(check_key_file) };
 const CLUSTER: &str = include_str!("../../../deploy/cluster.toml");
 const EXAMPLE: &str = include_str!("../../../deploy/standalone.toml");
 
-/// Stands in for the program's own, which opens the file.
-fn key_file(path: &std::path::Path) -> Result<(), String> {
+/// In place of the program's function, which opens the file.
+fn check_key_file(path: &std::path::Path) -> Result<(), Box<dyn std::error::Error>> {
     if path.ends_with("short") { Err("a cluster key of 3 bytes; 16 at least".into()) } else { Ok(()) }
 }
 
-fn read(text: &str) -> Result<Effective, String> {
-    read_text(Some(("f.toml", text)), &[], &AROUND).map_err(|problems| problems.to_string())
+fn read(text: &str) -> Result<EffectiveConfig, String> {
+    read_text(Some(("f.toml", text)), &[], &CONTEXT).map_err(|problems| problems.to_string())
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_place_and_what_would_be_right() {
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
+fn each_problem_is_reported_with_its_location_and_what_would_be_right() {
     let class = "[[classes]]\nname = 'a'\n";
     let cluster = "[cluster]\nbind = '10.0.0.1:7946'\nkey_file = 'k'\n";
     let cases: &[(&str, &[&str])] = &[
@@ -98,26 +102,27 @@
         ("[records]\nqueue = 1", &["records.queue: 1 is not between 16 and 1000000"]),
         ("[records]\nrotate_at = '1 KiB'", &["records.rotate_at: 1 KiB is too little; at least 64 KiB"]),
     ];
-    for (text, said) in cases {
+    for (text, expected) in cases {
         let error = read(text).expect_err(text);
-        for part in *said {
+        for part in *expected {
             assert!(error.contains(part), "{text:?} gives {error:?}, without {part:?}");
         }
     }
 }
 
 #[test]
-fn all_problems_are_told_at_once() {
-    let error = read("[limits]\nmemory = '1 B'\ndescriptors = 1\n[zones]\nhere = 'q'").expect_err("three");
+fn all_problems_are_reported_at_once() {
+    let error =
+        read("[limits]\nmemory = '1 B'\ndescriptors = 1\n[zones]\nhere = 'q'").expect_err("three problems");
     assert_eq!(error.lines().count(), 3, "{error}");
 }
 
 #[test]
-fn flags_go_before_the_file_and_the_file_before_the_default() {
+fn flags_override_the_file_and_the_file_overrides_the_default() {
     let flags = ["limits.memory=64 MB", "zones.names=[\"a\", \"q\"]", "schedulers=3", "name=from flag"];
     let flags = flags.map(str::to_owned);
     let text = "schedulers = 2\n[limits]\ndescriptors = 512";
-    let effective = read_text(Some(("f.toml", text)), &flags, &AROUND).expect("good");
+    let effective = read_text(Some(("f.toml", text)), &flags, &CONTEXT).expect("valid");
     let config = &effective.config;
     assert_eq!((config.schedulers, config.limits.descriptors), (3, 512));
     assert_eq!((config.limits.memory.0, &*config.name), (64_000_000, "from flag"));
@@ -135,45 +140,46 @@
     assert!(
         listing.lines().any(|line| line.starts_with("schedulers = 3 ") && line.ends_with("# flag --set"))
     );
-    for bad in ["limits", "=3", "a..b=3", "limits.memory=lots", "limits.nothing=1", "limits=3"] {
-        let error = read_text(None, &[bad.to_owned()], &AROUND).expect_err(bad);
-        assert!(error.to_string().starts_with("flag --set"), "{bad}: {error}");
+    for invalid in ["limits", "=3", "a..b=3", "limits.memory=lots", "limits.nothing=1", "limits=3"] {
+        let error = read_text(None, &[invalid.to_owned()], &CONTEXT).expect_err(invalid);
+        assert!(error.to_string().starts_with("flag --set"), "{invalid}: {error}");
     }
 }
 
 #[test]
-fn the_defaults_file_is_the_default_and_the_example_is_good() {
+fn the_commented_default_reads_as_the_default_and_the_examples_are_valid() {
     let text = commented_default().expect("a default");
-    assert_eq!(read(&text).expect("good").config, Config::default());
-    let start = read(EXAMPLE).expect("good").config.start(7).expect("a start");
-    assert_eq!((start.seed, start.descriptor_limit, start.memory_limit_mb), (7, 1024, 192.0));
-    assert_eq!(start.settings.proxy.classes, ["status", "indienen", "uitbetaling"]);
+    assert_eq!(read(&text).expect("valid").config, Config::default());
+    let startup = read(EXAMPLE).expect("valid").config.startup_config(7).expect("a startup configuration");
+    assert_eq!((startup.seed, startup.descriptor_limit, startup.memory_limit_mb), (7, 1024, 192.0));
+    assert_eq!(startup.settings.proxy.classes, ["status", "indienen", "uitbetaling"]);
     let keyed = Idempotency::IdempotentWithKey { scope: KeyScope::Zone, window: 12 * SECOND };
     assert_eq!(
-        start.settings.proxy.idempotency,
+        startup.settings.proxy.idempotency,
         [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent]
     );
-    assert_eq!(start.settings.dispatch.classes[2].deadline, 7_500_000);
-    let cluster = read(CLUSTER).expect("good").config.cluster;
-    assert!(cluster.bind.is_some() && cluster.seeds.len() == 2 && cluster.key_file.is_some());
-    let DiscoveryConfig::Static(list) = start.discovery else { panic!("a fixed list") };
+    assert_eq!(startup.settings.dispatch.classes[2].deadline, 7_500_000);
+    let membership = read(CLUSTER).expect("valid").config.cluster;
+    assert!(membership.bind.is_some() && membership.seeds.len() == 2 && membership.key_file.is_some());
+    let DiscoveryConfig::Static(list) = startup.discovery else { panic!("not a static list") };
     assert_eq!((list.endpoints.len(), &*list.endpoints[1].zone), (2, "b"));
 }
 
 // The page is made from the types: `cargo run -p copperspread-scheduler -- config page > docs/configuration.md`.
 #[test]
 fn the_reference_page_is_not_stale() {
-    let kept = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/configuration.md"));
-    assert!(kept.expect("the page") == page(), "make docs/configuration.md anew");
+    let page_on_disk =
+        std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/configuration.md"));
+    assert!(page_on_disk.expect("the page") == reference_page(), "generate docs/configuration.md again");
 }
 
 #[test]
 fn every_key_of_the_schema_has_a_description() {
     fn walk(path: &str, schema: &serde_json::Value) {
-        for (name, of) in schema["properties"].as_object().into_iter().flatten() {
-            assert!(of["description"].as_str().is_some_and(|text| text.len() > 5), "{path}.{name}");
-            walk(&format!("{path}.{name}"), of);
-            walk(&format!("{path}.{name}[]"), &of["items"]);
+        for (name, property) in schema["properties"].as_object().into_iter().flatten() {
+            assert!(property["description"].as_str().is_some_and(|text| text.len() > 5), "{path}.{name}");
+            walk(&format!("{path}.{name}"), property);
+            walk(&format!("{path}.{name}[]"), &property["items"]);
         }
     }
     let schema = schema();
@@ -182,35 +188,35 @@
     walk("", &schema);
 }
 
-fn fixed() -> ProptestConfig {
+fn fixed_seed() -> ProptestConfig {
     ProptestConfig { rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_seed())]
 
-    // A cut file is either refused, or good with what it still has: never a panic, never half a value.
+    // A truncated file is either rejected, or valid with what it still has: never a panic, never half a value.
     #[test]
-    fn a_cut_file_is_refused_or_whole_in_what_it_sets(at in any::<prop::sample::Index>()) {
-        let cut = &EXAMPLE[..at.index(EXAMPLE.len())];
-        if let Ok(effective) = read(cut) {
-            prop_assert!(effective.config.start(1).is_ok());
+    fn a_truncated_file_is_rejected_or_valid_in_what_it_sets(at in any::<prop::sample::Index>()) {
+        let truncated = &EXAMPLE[..at.index(EXAMPLE.len())];
+        if let Ok(effective) = read(truncated) {
+            prop_assert!(effective.config.startup_config(1).is_ok());
         }
     }
 
     #[test]
-    fn a_file_with_one_byte_changed_does_no_harm(at in any::<prop::sample::Index>(), byte: u8) {
+    fn a_file_with_one_byte_changed_is_rejected_or_valid(at in any::<prop::sample::Index>(), byte: u8) {
         let mut bytes = EXAMPLE.as_bytes().to_vec();
         let at = at.index(bytes.len());
         bytes[at] = byte;
         if let Ok(effective) = read(&String::from_utf8_lossy(&bytes)) {
-            prop_assert!(effective.config.start(1).is_ok());
+            prop_assert!(effective.config.startup_config(1).is_ok());
         }
     }
 
     #[test]
-    fn garbage_does_no_harm(text in "[a-z\\[\\]={}\"'0-9.\n]{0,60}", flag in "\\PC{0,30}") {
+    fn garbage_never_panics(text in "[a-z\\[\\]={}\"'0-9.\n]{0,60}", flag in "\\PC{0,30}") {
         let _ = read(&text);
-        let _ = read_text(None, &[flag], &AROUND);
+        let _ = read_text(None, &[flag], &CONTEXT);
     }
 }
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -143,7 +143,7 @@
         #[cfg(feature = "standalone")]
         Some(Command::Config(Describe::Default)) => standalone::print(&standalone::default()?),
         #[cfg(feature = "standalone")]
-        Some(Command::Config(Describe::Page)) => standalone::print(&copperspread_config::page()),
+        Some(Command::Config(Describe::Page)) => standalone::print(&copperspread_config::reference_page()),
         #[cfg(feature = "standalone")]
         Some(Command::Records(Records::Cat { file, flow, all })) => {
             standalone::records_cat(&file, flow.as_deref(), all)
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -2,7 +2,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use copperspread_config::{Cluster, Config};
+use copperspread_config::{Config, MembershipConfig};
 use copperspread_membership::{Key, Settings};
 use copperspread_membership_transport::{Peers, Spec};
 use copperspread_proxy::downstream::http::StatusPage;
@@ -36,7 +36,7 @@
 pub struct Membership {
     name: String,
     zone: String,
-    cluster: Cluster,
+    cluster: MembershipConfig,
 }
 
 impl Membership {
@@ -51,7 +51,7 @@
     /// # Errors
     /// A key that cannot be read, or an address that cannot be bound.
     pub fn begin(&self, seed: u64) -> Result<Peers, String> {
-        let Cluster { bind, advertise, seeds, key_file, region, .. } = &self.cluster;
+        let MembershipConfig { bind, advertise, seeds, key_file, region, .. } = &self.cluster;
         let of = &self.cluster;
         let settings = Settings {
             probe_interval: of.probe_interval.0,
--- a/crates/scheduler/src/standalone.rs
+++ b/crates/scheduler/src/standalone.rs
@@ -2,7 +2,7 @@
 use std::io::Write;
 use std::path::Path;
 
-use copperspread_config::{Effective, LogFormat, Surroundings};
+use copperspread_config::{CheckContext, EffectiveConfig, LogFormat};
 use copperspread_event_log::fleet::Fleet;
 use copperspread_event_log::reader::{Line, Reader};
 use copperspread_event_log::report::Report;
@@ -13,12 +13,15 @@
 use crate::origin::{Told, of_platform_file};
 
 /// The bounds that this process has from outside.
-fn around() -> Surroundings {
-    Surroundings { descriptors: getrlimit(Resource::Nofile).current, key_file: Some(crate::peers::check_key) }
+fn check_context() -> CheckContext {
+    CheckContext {
+        descriptor_limit: getrlimit(Resource::Nofile).current,
+        check_key_file: Some(|path| Ok(crate::peers::check_key(path)?)),
+    }
 }
 
-fn effective(file: Option<&Path>, flags: &[String]) -> Result<(Effective, LogSpec), String> {
-    let effective = copperspread_config::read(file, flags, &around()).map_err(|e| e.to_string())?;
+fn effective(file: Option<&Path>, flags: &[String]) -> Result<(EffectiveConfig, LogSpec), String> {
+    let effective = copperspread_config::read(file, flags, &check_context()).map_err(|e| e.to_string())?;
     let log = LogSpec {
         level: effective.config.log.level.clone(),
         json: match effective.config.log.format {
@@ -46,7 +49,12 @@
         queue: kept.queue as usize,
     });
     let membership = crate::peers::Membership::of(&effective.config);
-    Ok(Told { start: effective.config.start(seed)?, log, records, membership })
+    Ok(Told {
+        start: effective.config.startup_config(seed).map_err(|e| e.to_string())?,
+        log,
+        records,
+        membership,
+    })
 }
 
 /// Checks a configuration and prints what is in force.
@@ -69,7 +77,7 @@
         ));
     }
     let (effective, _) = effective(file, flags)?;
-    effective.config.start(0)?;
+    effective.config.startup_config(0).map_err(|e| e.to_string())?;
     print(&effective.listing())
 }
 
@@ -88,7 +96,7 @@
 /// # Errors
 /// A fault of this program.
 pub fn default() -> Result<String, String> {
-    copperspread_config::commented_default()
+    copperspread_config::commented_default().map_err(|e| e.to_string())
 }
 
 /// Feeds a report with a file's lines, and before them those of the files put aside if `all`; `each` is
