--- /dev/null
+++ b/crates/simulator-adapter/src/cookie.rs
@@ -0,0 +1,50 @@
+//! Timers as the simulator carries them: a text that comes back when the timer is due.
+use std::fmt;
+
+use copperspread_dispatcher::{RequestId, Timer};
+
+const PERIODIC_REFRESH: &str = "sweep";
+const LOAD_QUERY: &str = "probe";
+const SUBSCRIPTION: &str = "discovery";
+const REQUEST_ID_DIGITS: usize = 16;
+
+/// A timer's text.
+pub(crate) struct Cookie(pub(crate) Timer);
+
+impl fmt::Display for Cookie {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            Timer::PeriodicRefresh => f.write_str(PERIODIC_REFRESH),
+            Timer::LoadQuery => f.write_str(LOAD_QUERY),
+            Timer::Subscription => f.write_str(SUBSCRIPTION),
+            Timer::HedgeCheck(request) => HexId(request).fmt(f),
+        }
+    }
+}
+
+/// The timer of a text, if it is one.
+pub(crate) fn parse_timer(cookie: &str) -> Option<Timer> {
+    match cookie {
+        PERIODIC_REFRESH => Some(Timer::PeriodicRefresh),
+        LOAD_QUERY => Some(Timer::LoadQuery),
+        SUBSCRIPTION => Some(Timer::Subscription),
+        _ => parse_request_id(cookie).map(Timer::HedgeCheck),
+    }
+}
+
+/// A request id as the wire has it: 16 hex digits.
+pub(crate) struct HexId(pub(crate) RequestId);
+
+impl fmt::Display for HexId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:0REQUEST_ID_DIGITS$x}", self.0.0)
+    }
+}
+
+/// The request id of a text, if it is one.
+pub(crate) fn parse_request_id(text: &str) -> Option<RequestId> {
+    if text.len() != REQUEST_ID_DIGITS {
+        return None;
+    }
+    u64::from_str_radix(text, 16).ok().map(RequestId)
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/session.rs
@@ -0,0 +1,124 @@
+//! One run of the adapter: batches of messages in, actions out, until the input ends.
+use std::io::{BufRead, BufWriter, Write};
+use std::panic::{AssertUnwindSafe, catch_unwind};
+
+use copperspread_dispatcher::Micros;
+use copperspread_settings::json::micros_from_seconds;
+
+use crate::encode::{write_batch_end, write_fault};
+use crate::error::{BatchPosition, HandleError, MessageError, SessionError};
+use crate::instances::Instances;
+use crate::message::Line;
+
+const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
+
+/// Reads batches until the input ends.
+///
+/// # Errors
+/// What was wrong, and in which batch.
+pub(crate) fn serve(mut input: impl BufRead, output: impl Write) -> Result<(), SessionError> {
+    let mut session = Session::new(output);
+    let mut line = Vec::new();
+    loop {
+        line.clear();
+        let length = input.read_until(b'\n', &mut line).map_err(SessionError::Read)?;
+        if length == 0 {
+            return session.end();
+        }
+        if !line.iter().all(u8::is_ascii_whitespace) {
+            session.handle_line(&line)?;
+        }
+    }
+}
+
+/// The batch that is open.
+#[derive(Clone, Copy)]
+struct Batch {
+    turn: u64,
+    now: Micros,
+}
+
+struct Session<W: Write> {
+    instances: Instances,
+    out: BufWriter<W>,
+    open_batch: Option<Batch>,
+    /// The number of the batch that ended last; 0 before the first.
+    last_turn: u64,
+}
+
+impl<W: Write> Session<W> {
+    fn new(output: W) -> Session<W> {
+        Session {
+            instances: Instances::default(),
+            out: BufWriter::with_capacity(OUTPUT_BUFFER_BYTES, output),
+            open_batch: None,
+            last_turn: 0,
+        }
+    }
+
+    fn handle_line(&mut self, line: &[u8]) -> Result<(), SessionError> {
+        let message: Line<'_> =
+            serde_json::from_slice(line).map_err(|error| self.invalid(MessageError::NotAMessage(error)))?;
+        match (&*message.kind, self.open_batch) {
+            ("batch", None) => self.begin_batch(&message),
+            ("batch", Some(_)) => Err(self.invalid(MessageError::NestedBatch)),
+            (kind, None) => Err(self.invalid(MessageError::OutsideBatch { kind: kind.to_owned() })),
+            ("your_turn", Some(batch)) => self.end_batch(batch),
+            (_, Some(batch)) => self.handle_event(batch, &message),
+        }
+    }
+
+    fn begin_batch(&mut self, message: &Line<'_>) -> Result<(), SessionError> {
+        let turn = message.required(message.turn, "turn").map_err(|error| self.invalid(error))?;
+        let seconds = message.required(message.ts_s, "ts_s").map_err(|error| self.invalid(error))?;
+        self.open_batch = Some(Batch { turn, now: micros_from_seconds(seconds) });
+        Ok(())
+    }
+
+    /// Answers a batch: only now is the output flushed.
+    fn end_batch(&mut self, batch: Batch) -> Result<(), SessionError> {
+        write_batch_end(&mut self.out, batch.turn).map_err(SessionError::Write)?;
+        self.out.flush().map_err(SessionError::Write)?;
+        self.last_turn = batch.turn;
+        self.open_batch = None;
+        Ok(())
+    }
+
+    /// Hands an event to its instance. A panic in the dispatcher is that instance's fault alone: the
+    /// simulator is notified, and the session goes on.
+    fn handle_event(&mut self, batch: Batch, message: &Line<'_>) -> Result<(), SessionError> {
+        let Session { instances, out, .. } = self;
+        let handled = catch_unwind(AssertUnwindSafe(|| instances.handle(batch.now, message, out)));
+        match handled {
+            Ok(Ok(())) => Ok(()),
+            Ok(Err(HandleError::Skipped(reason))) => {
+                eprintln!("{}: {reason}", self.position());
+                Ok(())
+            }
+            Ok(Err(HandleError::Invalid(error))) => Err(self.invalid(error)),
+            Err(_) => {
+                let node = message.node_id.as_deref().unwrap_or("");
+                write_fault(&mut self.out, node, "the decision module panicked").map_err(SessionError::Write)
+            }
+        }
+    }
+
+    /// The end of the input, which is an error inside a batch.
+    fn end(&self) -> Result<(), SessionError> {
+        match self.open_batch {
+            None => Ok(()),
+            Some(_) => Err(self.invalid(MessageError::UnexpectedEnd)),
+        }
+    }
+
+    fn position(&self) -> BatchPosition {
+        match self.open_batch {
+            Some(batch) => BatchPosition::Inside(batch.turn),
+            None => BatchPosition::After(self.last_turn),
+        }
+    }
+
+    fn invalid(&self, source: MessageError) -> SessionError {
+        SessionError::InvalidLine { position: self.position(), source }
+    }
+}
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,23 +1,13 @@
 //! The adapter end to end through its pipe, in the wire's own forms, bad input included.
-use std::io::Write;
-use std::process::{Command, Output, Stdio};
+mod common;
+
+use std::process::Output;
+
+use common::{PROVISION, run_adapter};
 
-const PROVISION: &str = r#"{"kind":"provision","node_id":"node-3","prng":7,"params":{"fleet_size":1,"zone":0,"new_key":[1],"classes":[{"aim_s":1.0,"deadline_s":5.0,"importance":1.0,"key_scope":"all","late_worth":0.0,"name":"a","semantics":"pure","stream":false,"window_s":5.0}],"discovery":"on_request","family_info":{"class_kind":[-1],"class_stretch":[2.0],"queue_order":"fifo","tells_start":true},"permissions":{"send_cap":4,"second_copies":true,"may_cancel":true},"safety":{"ask_within_s":10.0,"drain_grace_s":1.0,"cold_from":0.3,"cold_s":9.0,"fall_multiple":2.5,"fall_s":3.0},"weights":"rough","worth_by":"work"}}"#;
 const TOPOLOGY: &str = r#"{"kind":"topology","node_id":"node-3","mode":"C","serial":41,"nodes_list":[{"executor":"10.18.74.7:11203","dc":0,"class_of_host":0,"cluster":0,"status":"live","nominal":1,"online_since_s":null}]}"#;
 const WORK: &str = r#"{"kind":"work_item","node_id":"node-3","req":"1693fe8a5d3a91c4","width":2,"again":false,"org":0,"path_key":"fn:kd6b5sum7ecwe","is_retry":false,"memory":null,"category":0,"expires_in_s":5,"mutates":false,"work_s":0.012}"#;
 
-fn drill(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_copperspread-simulator-adapter"))
-        .stdin(Stdio::piped())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the adapter starts");
-    // It may stop reading at a fault in the input; what it says then is what is tested.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
-}
-
 fn batch(turn: u64, time: f64, lines: &[&str]) -> String {
     let mut text = format!("{{\"kind\":\"batch\",\"ts_s\":{time},\"turn\":{turn}}}\n");
     for line in lines {
@@ -37,20 +27,20 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean() {
-    let output = drill(&batch(1, 8.41225, &[]));
+    let output = run_adapter(&batch(1, 8.41225, &[]));
     assert!(output.status.success());
     assert_eq!(stdout(&output), "{\"kind\":\"end\",\"turn\":1}\n");
-    assert!(drill("").status.success());
+    assert!(run_adapter("").status.success());
 }
 
 #[test]
-fn a_request_is_sent_answered_and_cancelled_copies_named() {
+fn a_request_is_sent_and_rejected_when_its_only_worker_failed() {
     let outcome = r#"{"kind":"answer","node_id":"node-3","req":"1693fe8a5d3a91c4","over":false,"try":0,"detail":null,"executor":"10.18.74.7:11203","state_code":0,"elapsed_s":0.0185,"load":{"waiting":3,"avg_ms":14.5,"x0":0.4}}"#;
     let input = batch(1, 1.0, &[PROVISION, TOPOLOGY])
         + &batch(2, 1.1, &[WORK])
         + &batch(3, 1.2, &[outcome])
         + &batch(4, 9.9, &[r#"{"kind":"bell","node_id":"node-3","cookie":"discovery"}"#]);
-    let output = drill(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success(), "{}", stderr(&output));
     let text = stdout(&output);
     let lines: Vec<_> = text.lines().collect();
@@ -70,22 +60,22 @@
 #[test]
 fn instances_share_nothing() {
     let lines = [PROVISION, TOPOLOGY, WORK].map(|line| line.replace("node-3", "node-5"));
-    let other: Vec<_> = lines.iter().map(String::as_str).collect();
-    let alone = drill(&batch(1, 1.0, &other));
+    let other_messages: Vec<_> = lines.iter().map(String::as_str).collect();
+    let alone = run_adapter(&batch(1, 1.0, &other_messages));
     let mut both = vec![PROVISION, TOPOLOGY, WORK];
-    both.extend(&other);
-    let together = drill(&batch(1, 1.0, &both));
-    let of_five = |output: &Output| -> Vec<String> {
-        stdout(output).lines().filter(|l| l.contains("node-5")).map(String::from).collect()
+    both.extend(&other_messages);
+    let together = run_adapter(&batch(1, 1.0, &both));
+    let lines_of_node_5 = |output: &Output| -> Vec<String> {
+        stdout(output).lines().filter(|line| line.contains("node-5")).map(String::from).collect()
     };
-    assert_eq!(of_five(&alone), of_five(&together));
-    assert!(!of_five(&alone).is_empty());
+    assert_eq!(lines_of_node_5(&alone), lines_of_node_5(&together));
+    assert!(!lines_of_node_5(&alone).is_empty());
 }
 
 #[test]
-fn a_stopped_instance_knows_nothing_more() {
+fn a_stopped_instance_handles_no_more_messages() {
     let down = r#"{"kind":"down","node_id":"node-3"}"#;
-    let output = drill(&batch(1, 1.0, &[PROVISION, TOPOLOGY, down, WORK]));
+    let output = run_adapter(&batch(1, 1.0, &[PROVISION, TOPOLOGY, down, WORK]));
     assert!(output.status.success());
     assert!(!stdout(&output).contains("pass_on"));
     assert!(stderr(&output).contains("unprovisioned"), "{}", stderr(&output));
@@ -101,7 +91,7 @@
             r#"{"kind":"aborted","node_id":"node-9","req":"11eeb9740e6f2b19","colour":1}"#,
         ],
     );
-    let output = drill(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success());
     assert_eq!(stdout(&output), "{\"kind\":\"end\",\"turn\":4}\n");
     let notes = stderr(&output);
@@ -109,14 +99,14 @@
 }
 
 #[test]
-fn bad_input_is_named_with_its_batch_and_ends_with_failure() {
+fn invalid_input_is_reported_with_its_batch_and_the_exit_code_is_failure() {
     let without = |field: &str| {
         let mut value: serde_json::Value = serde_json::from_str(WORK).expect("JSON");
         value.as_object_mut().expect("object").remove(field);
         value.to_string()
     };
     let mistyped = WORK.replace(r#""category":0"#, r#""category":"x""#);
-    let half = format!("{}{}\n", r#"{"kind":"batch","ts_s":1,"turn":6}"#, "\n{\"kind\":\"bell\"");
+    let unfinished_batch = format!("{}{}\n", r#"{"kind":"batch","ts_s":1,"turn":6}"#, "\n{\"kind\":\"bell\"");
     let cases = [
         (batch(6, 1.0, &[PROVISION, TOPOLOGY, "{broken"]), "batch 6"),
         (batch(6, 1.0, &[PROVISION, TOPOLOGY, &without("category")]), "category"),
@@ -125,14 +115,14 @@
         (batch(6, 1.0, &[PROVISION, TOPOLOGY, &mistyped]), "batch 6"),
         (batch(6, 1.0, &[&PROVISION.replace("pure", "sometimes")]), "sometimes"),
         (batch(6, 1.0, &[&PROVISION.replace("\"params\"", "\"parms\"")]), "params"),
-        (half, "batch 6"),
+        (unfinished_batch, "batch 6"),
         ("{\"kind\":\"batch\",\"ts_s\":1,\"turn\":6}\n".into(), "batch 6"),
         ("{\"kind\":\"bell\",\"node_id\":\"node-1\"}\n".into(), "outside a batch"),
     ];
-    for (input, word) in cases {
-        let output = drill(&input);
-        assert!(!output.status.success(), "{word}: it fails");
-        assert!(stderr(&output).contains(word), "{word}: {}", stderr(&output));
+    for (input, expected) in cases {
+        let output = run_adapter(&input);
+        assert!(!output.status.success(), "{expected}: it fails");
+        assert!(stderr(&output).contains(expected), "{expected}: {}", stderr(&output));
         for line in stdout(&output).lines() {
             assert!(line.starts_with("{\"kind\":"), "only the wire on standard output: {line}");
         }
@@ -140,8 +130,8 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_become_a_fault() {
-    let none = PROVISION.replace("\"fleet_size\":1", "\"fleet_size\":0");
-    let output = drill(&batch(1, 1.0, &[&none]));
+fn settings_that_the_dispatcher_rejects_become_a_fault() {
+    let empty_fleet = PROVISION.replace("\"fleet_size\":1", "\"fleet_size\":0");
+    let output = run_adapter(&batch(1, 1.0, &[&empty_fleet]));
     assert!(stdout(&output).contains(r#""kind":"fault""#), "{}", stdout(&output));
 }
--- a/crates/simulator-adapter/tests/transcripts.rs
+++ b/crates/simulator-adapter/tests/transcripts.rs
@@ -1,12 +1,11 @@
 //! Approved transcript: a dialogue of the simulator with the adapter, its standard output line by line.
-use std::io::Write;
-use std::process::{Command, Stdio};
+mod common;
 
-const PROVISION: &str = r#"{"kind":"provision","node_id":"node-3","prng":7,"params":{"fleet_size":1,"zone":0,"new_key":[1],"classes":[{"aim_s":1.0,"deadline_s":5.0,"importance":1.0,"key_scope":"all","late_worth":0.0,"name":"a","semantics":"pure","stream":false,"window_s":5.0}],"discovery":"on_request","family_info":{"class_kind":[-1],"class_stretch":[2.0],"queue_order":"fifo","tells_start":true},"permissions":{"send_cap":4,"second_copies":true,"may_cancel":true},"safety":{"ask_within_s":10.0,"drain_grace_s":1.0,"cold_from":0.3,"cold_s":9.0,"fall_multiple":2.5,"fall_s":3.0},"weights":"rough","worth_by":"work"}}"#;
+use common::{PROVISION, run_adapter};
 
-/// The code of an answer that is the last.
+/// The code of a successful outcome.
 const SERVED: u32 = 1;
-/// That of a connection that was reset.
+/// The code of a connection that was reset.
 const RESET: u32 = 5;
 
 fn batch(turn: u64, time: f64, lines: &[String]) -> String {
@@ -34,13 +33,13 @@
 }
 
 fn answer(request: &str, attempt: u32, executor: usize, state_code: u32) -> String {
-    let over = state_code == SERVED;
+    let is_over = state_code == SERVED;
     format!(
-        r#"{{"kind":"answer","node_id":"node-3","req":"{request}","over":{over},"try":{attempt},"executor":"10.0.0.{executor}:80","state_code":{state_code},"elapsed_s":0.5,"load":{{"waiting":1,"active":1,"x0":0.5}}}}"#
+        r#"{{"kind":"answer","node_id":"node-3","req":"{request}","over":{is_over},"try":{attempt},"executor":"10.0.0.{executor}:80","state_code":{state_code},"elapsed_s":0.5,"load":{{"waiting":1,"active":1,"x0":0.5}}}}"#
     )
 }
 
-fn of_node(kind: &str, rest: &str) -> String {
+fn node_message(kind: &str, rest: &str) -> String {
     format!(r#"{{"kind":"{kind}","node_id":"node-3"{rest}}}"#)
 }
 
@@ -48,44 +47,41 @@
     const FIRST: &str = "1693fe8a5d3a91c4";
     const SECOND: &str = "11eeb9740e6f2b19";
     const THIRD: &str = "00000000000000a3";
-    let provision_in_vain =
+    let invalid_provision =
         PROVISION.replace("\"fleet_size\":1", "\"fleet_size\":0").replace("node-3", "node-4");
-    let tells_when = PROVISION.replace("\"permissions\":{", "\"permissions\":{\"retry_after\":true,");
-    let side_effect = PROVISION.replace("pure", "side_effect");
-    let bell = |cookie: &str| of_node("bell", &format!(r#","cookie":"{cookie}""#));
-    let about = |request: &str| format!(r#","req":"{request}","try":0"#);
-    let checked = r#","executor":"10.0.0.1:80","state_code":1,"load":{"waiting":0,"active":0}"#;
+    let with_retry_after = PROVISION.replace("\"permissions\":{", "\"permissions\":{\"retry_after\":true,");
+    let non_idempotent = PROVISION.replace("pure", "side_effect");
+    let bell = |cookie: &str| node_message("bell", &format!(r#","cookie":"{cookie}""#));
+    let attempt_of = |request: &str| format!(r#","req":"{request}","try":0"#);
+    let load_reply = r#","executor":"10.0.0.1:80","state_code":1,"load":{"waiting":0,"active":0}"#;
     [
-        batch(1, 1.0, &[PROVISION.into(), provision_in_vain, topology("F", 41, ["live", "live"])]),
+        batch(1, 1.0, &[PROVISION.into(), invalid_provision, topology("F", 41, ["live", "live"])]),
         batch(2, 1.1, &[work(FIRST, 5.0), work(SECOND, 5.0), work(THIRD, 0.001)]),
-        batch(3, 1.2, &[of_node("progress", &(about(FIRST) + r#","what":1"#))]),
-        batch(4, 1.3, &[of_node("progress", &(about(FIRST) + r#","what":2,"level":0.5"#))]),
-        batch(5, 1.4, &[of_node("started", &about(FIRST)), answer(FIRST, 0, 0, SERVED)]),
+        batch(3, 1.2, &[node_message("progress", &(attempt_of(FIRST) + r#","what":1"#))]),
+        batch(4, 1.3, &[node_message("progress", &(attempt_of(FIRST) + r#","what":2,"level":0.5"#))]),
+        batch(5, 1.4, &[node_message("started", &attempt_of(FIRST)), answer(FIRST, 0, 0, SERVED)]),
         batch(6, 1.6, &[answer(SECOND, 0, 1, RESET)]),
-        batch(7, 2.0, &[bell("sweep"), bell("probe"), bell(SECOND), of_node("checked", checked)]),
-        batch(8, 2.1, &[work(THIRD, 9.0), of_node("aborted", &about(THIRD))]),
+        batch(7, 2.0, &[bell("sweep"), bell("probe"), bell(SECOND), node_message("checked", load_reply)]),
+        batch(8, 2.1, &[work(THIRD, 9.0), node_message("aborted", &attempt_of(THIRD))]),
         batch(9, 2.2, &[topology("D", 42, ["quiescing", "dead"]), work(FIRST, 5.0)]),
         batch(10, 9.9, &[topology("X", 0, ["dead", "dead"]), bell("discovery"), work(FIRST, 5.0)]),
-        batch(11, 10.0, &[of_node("weather", ""), of_node("from_peer", ""), of_node("down", "")]),
-        batch(12, 10.1, &[tells_when, work(THIRD, 5.0)]),
-        batch(13, 11.0, &[side_effect, topology("C", 1, ["live", "live"]), work(THIRD, 5.0)]),
+        batch(
+            11,
+            10.0,
+            &[node_message("weather", ""), node_message("from_peer", ""), node_message("down", "")],
+        ),
+        batch(12, 10.1, &[with_retry_after, work(THIRD, 5.0)]),
+        batch(13, 11.0, &[non_idempotent, topology("C", 1, ["live", "live"]), work(THIRD, 5.0)]),
         batch(14, 11.5, &[answer(THIRD, 0, 1, RESET)]),
     ]
     .concat()
 }
 
 #[test]
-fn the_adapters_side_of_a_dialogue_is_as_approved() {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_copperspread-simulator-adapter"))
-        .stdin(Stdio::piped())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the adapter starts");
-    child.stdin.take().expect("piped").write_all(dialogue().as_bytes()).expect("all is read");
-    let output = child.wait_with_output().expect("the adapter ends");
+fn the_adapters_output_in_a_dialogue_is_as_approved() {
+    let output = run_adapter(&dialogue());
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
     assert!(output.status.success());
-    let (said, noted) = (text(output.stdout), text(output.stderr));
-    insta::assert_snapshot!("dialogue", format!("{said}--- standard error ---\n{noted}"));
+    let (stdout, stderr) = (text(output.stdout), text(output.stderr));
+    insta::assert_snapshot!("dialogue", format!("{stdout}--- standard error ---\n{stderr}"));
 }
