--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -1,7 +1,7 @@
 //! Checks of the request classes.
 use std::collections::BTreeSet;
 
-use super::Violations;
+use super::violations::Violations;
 use crate::types::{Class, Config, EndpointSourceConfig, EndpointSourceKind, RepeatPolicy};
 use crate::units::HumanDuration;
 
--- a/crates/config/src/check/endpoints.rs
+++ b/crates/config/src/check/endpoints.rs
@@ -3,7 +3,7 @@
 
 use http::uri::Authority;
 
-use super::Violations;
+use super::violations::Violations;
 use crate::types::{EndpointSourceConfig, EndpointSourceKind, Worker, ZoneConfig};
 
 pub(super) fn check_zones(zones: &ZoneConfig, violations: &mut Violations) {
--- a/crates/config/src/check/membership.rs
+++ b/crates/config/src/check/membership.rs
@@ -2,7 +2,8 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-use super::{CheckContext, Violations};
+use super::context::CheckContext;
+use super::violations::Violations;
 use crate::types::{Config, MembershipConfig};
 use crate::units::HumanDuration;
 
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -1,37 +1,19 @@
 //! Checks each value against the others and against what the process is allowed. Finds everything that
 //! is wrong, not only the first, and says what would be right.
 mod classes;
+mod context;
 mod endpoints;
 mod membership;
 mod process;
+mod violations;
 
-use std::error::Error;
-use std::path::Path;
+pub use context::{CheckContext, CheckKeyFile};
+pub(crate) use violations::Violation;
+use violations::Violations;
 
 use crate::types::{AttemptConfig, Config, SlowStartConfig};
 use crate::units::HumanDuration;
 
-/// Reads the membership's key from its file; the error says what is wrong with it, without its bytes.
-pub type CheckKeyFile = fn(&Path) -> Result<(), Box<dyn Error>>;
-
-/// What bounds a configuration from outside.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct CheckContext {
-    /// How many descriptors the process may hold open; `None` where it is not known.
-    pub descriptor_limit: Option<u64>,
-    /// Checks the file with the membership's key; `None` leaves the file unread.
-    pub check_key_file: Option<CheckKeyFile>,
-}
-
-/// A value that is wrong.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Violation {
-    /// The key with its tables, such as `classes[1].aim`.
-    pub(crate) key: String,
-    /// What is wrong, for people.
-    pub(crate) message: String,
-}
-
 /// Everything that is wrong with a configuration.
 pub(crate) fn check(config: &Config, context: &CheckContext) -> Vec<Violation> {
     let mut violations = Violations::default();
@@ -45,25 +27,7 @@
     check_attempts(&config.attempts, &mut violations);
     violations.require(config.schedulers >= 1, "schedulers", || "0 leaves this one out; at least 1".into());
     process::check_event_log(&config.records, &mut violations);
-    violations.found
-}
-
-#[derive(Default)]
-struct Violations {
-    found: Vec<Violation>,
-}
-
-impl Violations {
-    /// Adds a violation of `key` unless `holds`.
-    fn require(&mut self, holds: bool, key: &str, message: impl FnOnce() -> String) {
-        if !holds {
-            self.add(key, message());
-        }
-    }
-
-    fn add(&mut self, key: &str, message: impl Into<String>) {
-        self.found.push(Violation { key: key.to_owned(), message: message.into() });
-    }
+    violations.into_found()
 }
 
 fn check_slow_start(slow_start: &SlowStartConfig, violations: &mut Violations) {
--- a/crates/config/src/check/process.rs
+++ b/crates/config/src/check/process.rs
@@ -1,7 +1,8 @@
 //! Checks of the process's limits and of its event log.
 use std::ops::RangeInclusive;
 
-use super::{CheckContext, Violations};
+use super::context::CheckContext;
+use super::violations::Violations;
 use crate::types::{EventLogConfig, ResourceLimits};
 use crate::units::HumanSize;
 
--- /dev/null
+++ b/crates/config/src/check/violations.rs
@@ -0,0 +1,35 @@
+//! What the checks have found wrong.
+
+/// A value that is wrong.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct Violation {
+    /// The key with its tables, such as `classes[1].aim`.
+    pub(crate) key: String,
+    /// What is wrong, for people.
+    pub(crate) message: String,
+}
+
+/// The violations found so far.
+#[derive(Default)]
+pub(super) struct Violations {
+    found: Vec<Violation>,
+}
+
+impl Violations {
+    /// Adds a violation of `key` unless `holds`.
+    pub(super) fn require(&mut self, holds: bool, key: &str, message: impl FnOnce() -> String) {
+        if !holds {
+            self.add(key, message());
+        }
+    }
+
+    /// Adds a violation of `key`.
+    pub(super) fn add(&mut self, key: &str, message: impl Into<String>) {
+        self.found.push(Violation { key: key.to_owned(), message: message.into() });
+    }
+
+    /// The violations, in the order in which they were found.
+    pub(super) fn into_found(self) -> Vec<Violation> {
+        self.found
+    }
+}
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -1,7 +1,7 @@
 //! A configuration in force, with the origin of each value.
 use figment::Figment;
 
-use crate::layers::{DEFAULT_LAYER, layer_label};
+use crate::layer_names::{DEFAULT_LAYER, layer_label};
 use crate::types::Config;
 
 /// A configuration in force, and where its values came from.
--- a/crates/config/src/layers.rs
+++ b/crates/config/src/layers.rs
@@ -8,18 +8,11 @@
 
 use crate::check::{CheckContext, Violation, check};
 use crate::effective::EffectiveConfig;
+use crate::layer_names::{DEFAULT_LAYER, ENVIRONMENT_PREFIX, ENVIRONMENT_SEPARATOR, FLAG_LAYER, layer_label};
 use crate::location::{position_of_byte, position_of_key};
 use crate::problem::{InvalidConfig, Problem};
 use crate::types::Config;
 
-/// The name of the layer with the built-in default.
-pub(crate) const DEFAULT_LAYER: &str = "default";
-/// The name of the layers that flags set.
-const FLAG_LAYER: &str = "flag --set";
-/// The environment's variables begin with this.
-const ENVIRONMENT_PREFIX: &str = "COPPERSPREAD_";
-/// Stands between a table and its key in a variable's name.
-const ENVIRONMENT_SEPARATOR: &str = "__";
 /// The variable that names the file, without the prefix. It sets no value.
 const FILE_VARIABLE: &str = "config";
 
@@ -163,13 +156,3 @@
     };
     Problem { location, key, message }
 }
-
-/// A layer's name for people: figment names the environment's layer in its own way, and the variable
-/// itself says more.
-pub(crate) fn layer_label(layer: &str, key: &str) -> String {
-    if !layer.contains(ENVIRONMENT_PREFIX) {
-        return layer.to_owned();
-    }
-    let variable = key.to_uppercase().replace('.', ENVIRONMENT_SEPARATOR);
-    format!("environment {ENVIRONMENT_PREFIX}{variable}")
-}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -15,6 +15,7 @@
 mod check;
 mod describe;
 mod effective;
+mod layer_names;
 mod layers;
 mod location;
 mod problem;
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -57,6 +57,11 @@
     object.get(name).filter(|field| !field.is_null())
 }
 
+/// A field whose own fields are read next; null, which has none, where it is absent.
+pub(crate) fn object_or_null<'a>(value: &'a JsonValue, name: &str) -> &'a JsonValue {
+    field(value, name).unwrap_or(&JsonValue::Null)
+}
+
 /// A field that must be there, read by one of the readers of this module:
 /// `required(&config, "listen", text)`.
 ///
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -2,14 +2,15 @@
 //! object in it, which the simulator sends as well, and discovery's endpoint lists. This is their one
 //! reader; unknown keys are ignored.
 mod endpoints;
+mod parse;
 mod settings;
 
-use tinyjson::JsonValue;
-
 use crate::error::ReadError;
-use crate::json::{self, field, integer, number, required, text};
+use crate::json::{self, field, integer, number, object_or_null, required, text};
 use crate::startup::{DiscoveryConfig, StartupConfig};
 
+use parse::{parse_address, parse_hexadecimal};
+
 pub use endpoints::read_endpoint_list;
 pub use settings::read_settings;
 
@@ -49,17 +50,3 @@
         settings: read_settings(settings).map_err(|error| error.in_section("settings"))?,
     })
 }
-
-/// A field's value; null, which has no fields, where it is absent.
-fn object_or_null<'a>(value: &'a JsonValue, name: &str) -> &'a JsonValue {
-    const NULL: &JsonValue = &JsonValue::Null;
-    field(value, name).unwrap_or(NULL)
-}
-
-fn parse_address<A: std::str::FromStr>(address: &str) -> Result<A, ReadError> {
-    address.parse().map_err(|_| ReadError::InvalidAddress { text: address.to_owned() })
-}
-
-fn parse_hexadecimal(number: &str) -> Result<u64, ReadError> {
-    u64::from_str_radix(number, 16).map_err(|_| ReadError::NotHexadecimal { text: number.to_owned() })
-}
--- a/crates/settings/src/platform/endpoints.rs
+++ b/crates/settings/src/platform/endpoints.rs
@@ -3,7 +3,7 @@
 use http::uri::Authority;
 use tinyjson::JsonValue;
 
-use super::parse_address;
+use super::parse::parse_address;
 use crate::endpoints::{EndpointList, EndpointPhase, EndpointRecord};
 use crate::error::ReadError;
 use crate::json::{array, boolean, integer, number, required, text};
--- a/crates/settings/src/platform/settings.rs
+++ b/crates/settings/src/platform/settings.rs
@@ -2,9 +2,10 @@
 use copperspread_dispatcher::{Discovery, Idempotency, KeyScope, RequestClass, Settings, Tenant};
 use tinyjson::JsonValue;
 
-use super::object_or_null;
 use crate::error::ReadError;
-use crate::json::{array, boolean, integer, micros_from_seconds, number, required, seconds_as_micros, text};
+use crate::json::{
+    array, boolean, integer, micros_from_seconds, number, object_or_null, required, seconds_as_micros, text,
+};
 use crate::startup::{ProxySettings, SchedulerSettings};
 
 const DEFAULT_POLL_WITHIN_SECONDS: f64 = 10.0;
