--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -3,16 +3,16 @@
 
 use clap::{CommandFactory, Parser, Subcommand};
 
-use crate::origin::Origin;
-use crate::serve;
 #[cfg(feature = "standalone")]
-use crate::standalone;
+use crate::commands;
+use crate::configuration::ConfigSource;
+use crate::serve;
 
 /// Pushes jobs to workers: to the one with the lowest estimated finish time, or refuses on arrival.
 #[derive(Debug, Parser)]
 #[command(name = "copperspread-scheduler", version, arg_required_else_help = false)]
 #[command(after_help = "With no command, EDGE_CONFIG must name the platform's configuration.")]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -20,23 +20,23 @@
 #[derive(Debug, Subcommand)]
 enum Command {
     /// Serve until SIGTERM; SIGHUP reads the configuration again
-    Serve(Serve),
+    Serve(ServeArguments),
     /// Check a configuration and print what is in force, with each value's origin
     #[cfg(feature = "standalone")]
     Check {
         #[command(flatten)]
-        layers: Layers,
+        layers: LayerArguments,
         /// The file: TOML, or the platform's JSON if it ends in .json; absent, the built-in default
         file: Option<PathBuf>,
     },
-    /// Describe the configuration
+    /// ConfigDescription the configuration
     #[cfg(feature = "standalone")]
     #[command(subcommand)]
-    Config(Describe),
+    Config(ConfigDescription),
     /// Read records
     #[cfg(feature = "standalone")]
     #[command(subcommand)]
-    Records(Records),
+    Records(EventLogCommand),
     /// Print a shell's completions
     #[cfg(feature = "standalone")]
     Completions {
@@ -54,7 +54,7 @@
 
 #[cfg(feature = "standalone")]
 #[derive(Debug, Subcommand)]
-enum Records {
+enum EventLogCommand {
     /// Print the records as they are, without what is no record; what is missing goes to standard error
     Cat {
         /// The file
@@ -89,10 +89,10 @@
 }
 
 #[derive(Debug, Default, clap::Args)]
-struct Serve {
+struct ServeArguments {
     #[cfg(feature = "standalone")]
     #[command(flatten)]
-    layers: Layers,
+    layers: LayerArguments,
     /// The configuration, TOML; absent, EDGE_CONFIG's if that is set, or else the built-in default
     #[cfg(feature = "standalone")]
     #[arg(long, env = "COPPERSPREAD_CONFIG", value_name = "FILE")]
@@ -108,7 +108,7 @@
 
 #[cfg(feature = "standalone")]
 #[derive(Debug, Default, clap::Args)]
-pub(crate) struct Layers {
+pub(crate) struct LayerArguments {
     /// Set a value, before all else: --set limits.memory="64 MB"; may come several times
     #[arg(long, value_name = "KEY=VALUE")]
     pub(crate) set: Vec<String>,
@@ -116,7 +116,7 @@
 
 #[cfg(feature = "standalone")]
 #[derive(Debug, Subcommand)]
-enum Describe {
+enum ConfigDescription {
     /// The JSON Schema
     Schema,
     /// The built-in default, as a file with comments
@@ -127,38 +127,38 @@
 
 /// Does what the command line asks for.
 pub fn run() -> Result<(), String> {
-    let line = Line::parse();
+    let line = CommandLine::parse();
     match line.command {
-        None if Origin::of_platform().is_none() => {
+        None if ConfigSource::from_environment().is_none() => {
             // As ever, one clear line; the help is for those who ask.
-            let name = Line::command().get_name().to_owned();
+            let name = CommandLine::command().get_name().to_owned();
             Err(format!("EDGE_CONFIG names no configuration, and no command was given; try `{name} --help`"))
         }
-        None => serve_as(&Serve::default()),
+        None => serve_as(&ServeArguments::default()),
         Some(Command::Serve(serve)) => serve_as(&serve),
         #[cfg(feature = "standalone")]
-        Some(Command::Check { layers, file }) => standalone::check(file.as_deref(), &layers.set),
+        Some(Command::Check { layers, file }) => commands::check(file.as_deref(), &layers.set),
         #[cfg(feature = "standalone")]
-        Some(Command::Config(Describe::Schema)) => standalone::print(&standalone::schema()?),
+        Some(Command::Config(ConfigDescription::Schema)) => commands::print(&commands::schema()?),
         #[cfg(feature = "standalone")]
-        Some(Command::Config(Describe::Default)) => standalone::print(&standalone::default()?),
+        Some(Command::Config(ConfigDescription::Default)) => commands::print(&commands::default()?),
         #[cfg(feature = "standalone")]
-        Some(Command::Config(Describe::Page)) => standalone::print(&copperspread_config::page()),
+        Some(Command::Config(ConfigDescription::Page)) => commands::print(&copperspread_config::page()),
         #[cfg(feature = "standalone")]
-        Some(Command::Records(Records::Cat { file, flow, all })) => {
-            standalone::records_cat(&file, flow.as_deref(), all)
+        Some(Command::Records(EventLogCommand::Cat { file, flow, all })) => {
+            commands::records_cat(&file, flow.as_deref(), all)
         }
         #[cfg(feature = "standalone")]
-        Some(Command::Records(Records::Stat { file, all })) => standalone::records_stat(&file, all),
+        Some(Command::Records(EventLogCommand::Stat { file, all })) => commands::records_stat(&file, all),
         #[cfg(feature = "standalone")]
-        Some(Command::Records(Records::Fleet { files, window, workers })) => {
-            standalone::records_fleet(&files, window, workers)
+        Some(Command::Records(EventLogCommand::Fleet { files, window, workers })) => {
+            commands::records_fleet(&files, window, workers)
         }
         #[cfg(feature = "standalone")]
         Some(Command::Completions { shell }) => {
             clap_complete::generate(
                 shell,
-                &mut Line::command(),
+                &mut CommandLine::command(),
                 "copperspread-scheduler",
                 &mut std::io::stdout(),
             );
@@ -169,10 +169,10 @@
     }
 }
 
-fn serve_as(asked: &Serve) -> Result<(), String> {
+fn serve_as(asked: &ServeArguments) -> Result<(), String> {
     #[cfg(feature = "standalone")]
-    if asked.config.is_some() || !asked.layers.set.is_empty() || Origin::of_platform().is_none() {
-        let origin = Origin::Standalone {
+    if asked.config.is_some() || !asked.layers.set.is_empty() || ConfigSource::from_environment().is_none() {
+        let origin = ConfigSource::Standalone {
             file: asked.config.clone(),
             flags: asked.layers.set.clone(),
             seed: fastrand::u64(..),
@@ -183,6 +183,6 @@
     let toy = asked.toy;
     #[cfg(not(feature = "toy"))]
     let toy = false;
-    let origin = Origin::of_platform().ok_or("EDGE_CONFIG names no configuration")?;
+    let origin = ConfigSource::from_environment().ok_or("EDGE_CONFIG names no configuration")?;
     serve::run(&origin, toy, asked.records.as_deref())
 }
--- a/crates/scheduler/src/standalone.rs
+++ b/crates/scheduler/src/commands.rs
@@ -9,17 +9,20 @@
 use copperspread_event_log::writer;
 use rustix::process::{Resource, getrlimit};
 
-use crate::logging::{self, LogSpec};
-use crate::origin::{Told, of_platform_file};
+use crate::configuration::{LoadedConfig, read_platform_file};
+use crate::logging::{self, LogConfig};
 
 /// The bounds that this process has from outside.
 fn around() -> Surroundings {
-    Surroundings { descriptors: getrlimit(Resource::Nofile).current, key_file: Some(crate::peers::check_key) }
+    Surroundings {
+        descriptors: getrlimit(Resource::Nofile).current,
+        key_file: Some(crate::membership::check_key),
+    }
 }
 
-fn effective(file: Option<&Path>, flags: &[String]) -> Result<(Effective, LogSpec), String> {
+fn effective(file: Option<&Path>, flags: &[String]) -> Result<(Effective, LogConfig), String> {
     let effective = copperspread_config::read(file, flags, &around()).map_err(|e| e.to_string())?;
-    let log = LogSpec {
+    let log = LogConfig {
         level: effective.config.log.level.clone(),
         json: match effective.config.log.format {
             LogFormat::Auto => None,
@@ -36,7 +39,7 @@
 ///
 /// # Errors
 /// All that is wrong, a line each.
-pub fn read(file: Option<&Path>, flags: &[String], seed: u64) -> Result<Told, String> {
+pub fn read(file: Option<&Path>, flags: &[String], seed: u64) -> Result<LoadedConfig, String> {
     let (effective, log) = effective(file, flags)?;
     let kept = &effective.config.records;
     let records = kept.file.clone().map(|file| writer::Spec {
@@ -45,8 +48,8 @@
         keep: kept.keep,
         queue: kept.queue as usize,
     });
-    let membership = crate::peers::Membership::of(&effective.config);
-    Ok(Told { start: effective.config.start(seed)?, log, records, membership })
+    let membership = crate::membership::Membership::of(&effective.config);
+    Ok(LoadedConfig { start: effective.config.start(seed)?, log, records, membership })
 }
 
 /// Checks a configuration and prints what is in force.
@@ -58,7 +61,7 @@
         if !flags.is_empty() {
             return Err("--set goes with TOML; the platform's JSON has no layers".into());
         }
-        let start = of_platform_file(path)?;
+        let start = read_platform_file(path)?;
         let known = start.cached_endpoints.as_ref().map_or(0, |list| list.endpoints.len());
         let classes = start.settings.proxy.classes.join(", ");
         return print(&format!(
--- a/crates/scheduler/src/origin.rs
+++ b/crates/scheduler/src/configuration.rs
@@ -4,11 +4,11 @@
 use copperspread_event_log::writer;
 use copperspread_settings::{StartupConfig, platform};
 
-use crate::logging::LogSpec;
+use crate::logging::LogConfig;
 
 /// Where a configuration is read, at the start and again on SIGHUP.
 #[derive(Clone, Debug)]
-pub enum Origin {
+pub enum ConfigSource {
     /// The platform's JSON file.
     Platform(PathBuf),
     /// Layers over the built-in default.
@@ -25,21 +25,21 @@
 
 /// What a configuration tells.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct LoadedConfig {
     /// The scheduler's start.
     pub start: StartupConfig,
     /// The log.
-    pub log: LogSpec,
+    pub log: LogConfig,
     /// The records, if any are kept. The platform has no disk that lasts: none there.
     pub records: Option<writer::Spec>,
     /// Membership among schedulers, if it is on. The platform names no peers: none there.
     #[cfg(feature = "standalone")]
-    pub membership: Option<crate::peers::Membership>,
+    pub membership: Option<crate::membership::Membership>,
 }
 
-impl Told {
+impl LoadedConfig {
     /// The parts in which another reading differs and which only a new start can change.
-    pub fn fixed_unlike(&self, other: &Told) -> Vec<&'static str> {
+    pub fn restart_only_changes(&self, other: &LoadedConfig) -> Vec<&'static str> {
         let mut parts = self.start.restart_only_changes(&other.start);
         if self.log.json != other.log.json {
             parts.push("log.format");
@@ -55,19 +55,19 @@
     }
 }
 
-impl Origin {
+impl ConfigSource {
     /// The file that the platform names.
-    pub fn of_platform() -> Option<Origin> {
-        std::env::var_os("EDGE_CONFIG").map(|path| Origin::Platform(path.into()))
+    pub fn from_environment() -> Option<ConfigSource> {
+        std::env::var_os("EDGE_CONFIG").map(|path| ConfigSource::Platform(path.into()))
     }
 
     /// The text of a file that may be replaced piece by piece; nothing where it is put down whole, as
     /// the platform does.
     pub fn unsettled(&self) -> Option<Vec<u8>> {
         match self {
-            Origin::Platform(_) => None,
+            ConfigSource::Platform(_) => None,
             #[cfg(feature = "standalone")]
-            Origin::Standalone { file, .. } => {
+            ConfigSource::Standalone { file, .. } => {
                 file.as_ref().map(|path| std::fs::read(path).unwrap_or_default())
             }
         }
@@ -77,18 +77,18 @@
     ///
     /// # Errors
     /// What is wrong, with its place; perhaps several lines.
-    pub fn read(&self) -> Result<Told, String> {
+    pub fn read(&self) -> Result<LoadedConfig, String> {
         match self {
-            Origin::Platform(path) => Ok(Told {
-                start: of_platform_file(path)?,
-                log: LogSpec::default(),
+            ConfigSource::Platform(path) => Ok(LoadedConfig {
+                start: read_platform_file(path)?,
+                log: LogConfig::default(),
                 records: None,
                 #[cfg(feature = "standalone")]
                 membership: None,
             }),
             #[cfg(feature = "standalone")]
-            Origin::Standalone { file, flags, seed } => {
-                crate::standalone::read(file.as_deref(), flags, *seed)
+            ConfigSource::Standalone { file, flags, seed } => {
+                crate::commands::read(file.as_deref(), flags, *seed)
             }
         }
     }
@@ -98,7 +98,7 @@
 ///
 /// # Errors
 /// What is wrong, after the file's name.
-pub fn of_platform_file(path: &Path) -> Result<StartupConfig, String> {
+pub fn read_platform_file(path: &Path) -> Result<StartupConfig, String> {
     let content = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     platform::read_startup_config(&content).map_err(|e| format!("{}: {e}", path.display()))
 }
--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -18,16 +18,16 @@
 
 /// How the log is kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LogSpec {
+pub struct LogConfig {
     /// The level, for all or by part. RUST_LOG goes before it.
     pub level: String,
     /// The form; absent, text on a terminal and JSON otherwise.
     pub json: Option<bool>,
 }
 
-impl Default for LogSpec {
-    fn default() -> LogSpec {
-        LogSpec { level: "info".into(), json: None }
+impl Default for LogConfig {
+    fn default() -> LogConfig {
+        LogConfig { level: "info".into(), json: None }
     }
 }
 
@@ -54,7 +54,7 @@
 }
 
 /// RUST_LOG's level, or else the configuration's.
-fn in_force(spec: &LogSpec) -> Result<Targets, String> {
+fn in_force(spec: &LogConfig) -> Result<Targets, String> {
     match std::env::var("RUST_LOG") {
         Ok(text) if !text.is_empty() => level(&text).map_err(|why| format!("RUST_LOG: {why}")),
         _ => level(&spec.level).map_err(|why| format!("log.level: {why}")),
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 /// A level that is none.
-pub fn begin(spec: &LogSpec) -> Result<Log, String> {
+pub fn begin(spec: &LogConfig) -> Result<Log, String> {
     let (level, handle) = reload::Layer::new(in_force(spec)?);
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUE);
     let (writer, guard) = builder.thread_name("log").finish(stderr());
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// A level that is none: the old one stays.
-    pub fn follow(&self, spec: &LogSpec) -> Result<(), String> {
+    pub fn follow(&self, spec: &LogConfig) -> Result<(), String> {
         self.level.reload(in_force(spec)?).map_err(|why| format!("log.level: {why}"))
     }
 
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -2,15 +2,15 @@
 //!
 //! Exit codes: 0 done, 1 what was asked for cannot be done, 2 the command line is wrong.
 mod cli;
+#[cfg(feature = "standalone")]
+mod commands;
+mod configuration;
 mod logging;
-mod origin;
 #[cfg(feature = "standalone")]
-mod peers;
+mod membership;
 mod serve;
-#[cfg(feature = "standalone")]
-mod standalone;
 #[cfg(feature = "toy")]
-mod toy;
+mod toy_worker;
 
 use std::process::ExitCode;
 
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/membership.rs
@@ -116,5 +116,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/peers.rs"]
+#[path = "../tests/unit/membership.rs"]
 mod tests;
--- a/crates/scheduler/src/serve.rs
+++ b/crates/scheduler/src/serve/mod.rs
@@ -20,32 +20,32 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::{info, warn};
 
+use crate::configuration::{ConfigSource, LoadedConfig};
 use crate::logging::{self, Log};
-use crate::origin::{Origin, Told};
 
 /// A file that is read again has not changed for this long.
-const SETTLE: Micros = 50_000;
+const FILE_SETTLE_TIME: Micros = 50_000;
 /// Records asked for on the command line: the size in bytes at which their file is put aside, how many
 /// such are kept and how many records may wait. As the configuration's own defaults, which the platform's
 /// build leaves out.
 const ASKED: (u64, u32, usize) = (64_000_000, 4, 4_096);
 /// Where the program tells its source that the configuration names another list.
-enum Moving {
+enum DiscoveryHandle {
     Targets(watch::Sender<Authority>),
     Fixed(watch::Sender<EndpointList>),
 }
 
-impl Moving {
+impl DiscoveryHandle {
     /// The source of a start, and the way to move it.
-    fn source(spec: &DiscoveryConfig, known: Option<u64>) -> (Moving, Box<dyn EndpointSource>) {
+    fn source(spec: &DiscoveryConfig, known: Option<u64>) -> (DiscoveryHandle, Box<dyn EndpointSource>) {
         match spec {
             DiscoveryConfig::Platform(address) => {
                 let (sender, address) = watch::channel(address.clone());
-                (Moving::Targets(sender), Box::new(PlatformDiscovery { address, known }))
+                (DiscoveryHandle::Targets(sender), Box::new(PlatformDiscovery { address, known }))
             }
             DiscoveryConfig::Static(list) => {
                 let (sender, list) = watch::channel(list.clone());
-                (Moving::Fixed(sender), Box::new(StaticEndpoints(list)))
+                (DiscoveryHandle::Fixed(sender), Box::new(StaticEndpoints(list)))
             }
         }
     }
@@ -53,17 +53,21 @@
     /// Moves to what another configuration names; whether that is somewhere else.
     fn follow(&self, spec: DiscoveryConfig) -> bool {
         match (self, spec) {
-            (Moving::Targets(sender), DiscoveryConfig::Platform(new)) => sender.send_if_modified(|old| {
-                let moved = *old != new;
-                *old = new;
-                moved
-            }),
-            (Moving::Fixed(sender), DiscoveryConfig::Static(new)) => sender.send_if_modified(|old| {
-                let moved = old.endpoints != new.endpoints;
-                // The table takes no list that is older than its own.
-                *old = EndpointList { revision: old.revision + 1, ..new };
-                moved
-            }),
+            (DiscoveryHandle::Targets(sender), DiscoveryConfig::Platform(new)) => {
+                sender.send_if_modified(|old| {
+                    let moved = *old != new;
+                    *old = new;
+                    moved
+                })
+            }
+            (DiscoveryHandle::Fixed(sender), DiscoveryConfig::Static(new)) => {
+                sender.send_if_modified(|old| {
+                    let moved = old.endpoints != new.endpoints;
+                    // The table takes no list that is older than its own.
+                    *old = EndpointList { revision: old.revision + 1, ..new };
+                    moved
+                })
+            }
             _ => false,
         }
     }
@@ -71,13 +75,13 @@
 
 /// Reads the configuration again, follows the source that it names and takes its log's level. Guards
 /// against one that cannot be used, half-written or wrong: the old one stays as a whole.
-fn read_again(origin: &Origin, started_with: &Told, source: &Moving, log: &Log) {
+fn reload(origin: &ConfigSource, started_with: &LoadedConfig, source: &DiscoveryHandle, log: &Log) {
     let told = origin.read().and_then(|told| log.follow(&told.log).map(|()| told));
     let told = match told {
         Ok(told) => told,
         Err(why) => return warn!("the old configuration stays: {}", one_line(&why)),
     };
-    let fixed = started_with.fixed_unlike(&told);
+    let fixed = started_with.restart_only_changes(&told);
     if !fixed.is_empty() {
         warn!("changes only with a new start: {}", fixed.join(", "));
     }
@@ -90,8 +94,8 @@
 }
 
 async fn serve(
-    started: Told,
-    origin: &Origin,
+    started: LoadedConfig,
+    origin: &ConfigSource,
     log: &Log,
     recorder: &Recorder,
     toy: bool,
@@ -105,7 +109,7 @@
     #[cfg(feature = "standalone")]
     let peers = started.membership.as_ref().map(|of| of.begin(config.seed)).transpose()?;
     #[cfg(feature = "standalone")]
-    let pages: Vec<_> = peers.iter().map(crate::peers::page).collect();
+    let pages: Vec<_> = peers.iter().map(crate::membership::page).collect();
     #[cfg(not(feature = "standalone"))]
     let pages = [];
     let assembled = assemble_with(config, Box::new(dispatcher), recorder, &pages).await?;
@@ -120,7 +124,7 @@
     hear(Box::new(move |what, count| hearer.counter_reached(what, count)));
     let (name, program) = (config.name.clone(), env!("CARGO_PKG_VERSION").into());
     recorder.record(EventKind::RunStarted { name, program });
-    let (moving, source) = Moving::source(&config.discovery, *known);
+    let (moving, source) = DiscoveryHandle::source(&config.discovery, *known);
     tokio::spawn(source.follow(membership.clone()));
     tokio::spawn(Arc::clone(edge).accept());
     info!("{} serves on {}", config.name, config.listen);
@@ -136,7 +140,7 @@
         let (name, address) = listed.ok_or("--toy stands for the first worker of a static list")?;
         let scheduler = config.listen;
         tokio::spawn(async move {
-            if let Err(error) = crate::toy::serve(scheduler, &name, &address).await {
+            if let Err(error) = crate::toy_worker::serve(scheduler, &name, &address).await {
                 warn!(%error, "the toy does not run");
             }
         });
@@ -154,17 +158,17 @@
             _ = term.recv() => break,
             // Guards against an end by SIGHUP, also after SIGTERM: the handler stays.
             _ = hup.recv() => match origin.unsettled() {
-                None => read_again(origin, &started, &moving, log),
-                Some(text) => settling = Some((text, from_now(SETTLE))),
+                None => reload(origin, &started, &moving, log),
+                Some(text) => settling = Some((text, from_now(FILE_SETTLE_TIME))),
             },
             // Guards against a file that is being written: cut short, it may still be a good one.
             () = sleep_until(look), if settling.is_some() => {
                 let seen = settling.take().map(|(text, _)| text);
                 let now = origin.unsettled();
                 if now == seen {
-                    read_again(origin, &started, &moving, log);
+                    reload(origin, &started, &moving, log);
                 } else {
-                    settling = now.map(|text| (text, from_now(SETTLE)));
+                    settling = now.map(|text| (text, from_now(FILE_SETTLE_TIME)));
                 }
             }
         }
@@ -176,7 +180,7 @@
     info!("ending, {} flows to answer", node.policy.active_requests());
     let left = assembled.wait_until_drained(ends).await;
     #[cfg(feature = "standalone")]
-    peers.into_iter().for_each(crate::peers::ended);
+    peers.into_iter().for_each(crate::membership::ended);
     for (what, count) in counts() {
         info!("{what}: {count} in all");
     }
@@ -189,7 +193,7 @@
 ///
 /// # Errors
 /// A configuration that cannot be used, or an address that cannot be listened on.
-pub fn run(origin: &Origin, toy: bool, records: Option<&Path>) -> Result<(), String> {
+pub fn run(origin: &ConfigSource, toy: bool, records: Option<&Path>) -> Result<(), String> {
     let told = origin.read()?;
     let log = logging::begin(&told.log)?;
     let asked = records.map(|file| writer::Spec {
@@ -223,8 +227,8 @@
 /// An address that cannot be listened on.
 #[cfg(feature = "toy")]
 pub fn toy(scheduler: std::net::SocketAddr) -> Result<(), String> {
-    let _log = logging::begin(&logging::LogSpec::default())?;
-    runtime()?.block_on(crate::toy::serve_with_discovery(scheduler)).map_err(|e| e.to_string())
+    let _log = logging::begin(&logging::LogConfig::default())?;
+    runtime()?.block_on(crate::toy_worker::serve_with_discovery(scheduler)).map_err(|e| e.to_string())
 }
 
 /// One core: one thread does all the work.
