--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -1,24 +1,19 @@
-//! The command line.
+//! The command line's grammar. The doc comments below are the help that is printed.
 use std::path::PathBuf;
 
-use clap::{CommandFactory, Parser, Subcommand};
-
-#[cfg(feature = "standalone")]
-use crate::commands;
-use crate::configuration::ConfigSource;
-use crate::serve;
+use clap::{Parser, Subcommand};
 
 /// Pushes jobs to workers: to the one with the lowest estimated finish time, or refuses on arrival.
 #[derive(Debug, Parser)]
 #[command(name = "copperspread-scheduler", version, arg_required_else_help = false)]
 #[command(after_help = "With no command, EDGE_CONFIG must name the platform's configuration.")]
-struct CommandLine {
+pub(crate) struct CommandLine {
     #[command(subcommand)]
-    command: Option<Command>,
+    pub(crate) command: Option<Command>,
 }
 
 #[derive(Debug, Subcommand)]
-enum Command {
+pub(crate) enum Command {
     /// Serve until SIGTERM; SIGHUP reads the configuration again
     Serve(ServeArguments),
     /// Check a configuration and print what is in force, with each value's origin
@@ -29,7 +24,7 @@
         /// The file: TOML, or the platform's JSON if it ends in .json; absent, the built-in default
         file: Option<PathBuf>,
     },
-    /// ConfigDescription the configuration
+    /// Describe the configuration
     #[cfg(feature = "standalone")]
     #[command(subcommand)]
     Config(ConfigDescription),
@@ -54,7 +49,7 @@
 
 #[cfg(feature = "standalone")]
 #[derive(Debug, Subcommand)]
-enum EventLogCommand {
+pub(crate) enum EventLogCommand {
     /// Print the records as they are, without what is no record; what is missing goes to standard error
     Cat {
         /// The file
@@ -89,21 +84,21 @@
 }
 
 #[derive(Debug, Default, clap::Args)]
-struct ServeArguments {
+pub(crate) struct ServeArguments {
     #[cfg(feature = "standalone")]
     #[command(flatten)]
-    layers: LayerArguments,
+    pub(crate) layers: LayerArguments,
     /// The configuration, TOML; absent, EDGE_CONFIG's if that is set, or else the built-in default
     #[cfg(feature = "standalone")]
     #[arg(long, env = "COPPERSPREAD_CONFIG", value_name = "FILE")]
-    config: Option<PathBuf>,
+    pub(crate) config: Option<PathBuf>,
     /// Run a toy real server too, in place of the first worker of the static list
     #[cfg(feature = "toy")]
     #[arg(long)]
-    toy: bool,
+    pub(crate) toy: bool,
     /// Keep records in a file, or `-` on standard error, whatever the configuration says
     #[arg(long, value_name = "FILE")]
-    records: Option<PathBuf>,
+    pub(crate) records: Option<PathBuf>,
 }
 
 #[cfg(feature = "standalone")]
@@ -116,7 +111,7 @@
 
 #[cfg(feature = "standalone")]
 #[derive(Debug, Subcommand)]
-enum ConfigDescription {
+pub(crate) enum ConfigDescription {
     /// The JSON Schema
     Schema,
     /// The built-in default, as a file with comments
@@ -124,65 +119,3 @@
     /// The reference page, docs/configuration.md
     Page,
 }
-
-/// Does what the command line asks for.
-pub fn run() -> Result<(), String> {
-    let line = CommandLine::parse();
-    match line.command {
-        None if ConfigSource::from_environment().is_none() => {
-            // As ever, one clear line; the help is for those who ask.
-            let name = CommandLine::command().get_name().to_owned();
-            Err(format!("EDGE_CONFIG names no configuration, and no command was given; try `{name} --help`"))
-        }
-        None => serve_as(&ServeArguments::default()),
-        Some(Command::Serve(serve)) => serve_as(&serve),
-        #[cfg(feature = "standalone")]
-        Some(Command::Check { layers, file }) => commands::check(file.as_deref(), &layers.set),
-        #[cfg(feature = "standalone")]
-        Some(Command::Config(ConfigDescription::Schema)) => commands::print(&commands::schema()?),
-        #[cfg(feature = "standalone")]
-        Some(Command::Config(ConfigDescription::Default)) => commands::print(&commands::default()?),
-        #[cfg(feature = "standalone")]
-        Some(Command::Config(ConfigDescription::Page)) => commands::print(&copperspread_config::page()),
-        #[cfg(feature = "standalone")]
-        Some(Command::Records(EventLogCommand::Cat { file, flow, all })) => {
-            commands::records_cat(&file, flow.as_deref(), all)
-        }
-        #[cfg(feature = "standalone")]
-        Some(Command::Records(EventLogCommand::Stat { file, all })) => commands::records_stat(&file, all),
-        #[cfg(feature = "standalone")]
-        Some(Command::Records(EventLogCommand::Fleet { files, window, workers })) => {
-            commands::records_fleet(&files, window, workers)
-        }
-        #[cfg(feature = "standalone")]
-        Some(Command::Completions { shell }) => {
-            clap_complete::generate(
-                shell,
-                &mut CommandLine::command(),
-                "copperspread-scheduler",
-                &mut std::io::stdout(),
-            );
-            Ok(())
-        }
-        #[cfg(feature = "toy")]
-        Some(Command::Toy { scheduler }) => serve::toy(scheduler),
-    }
-}
-
-fn serve_as(asked: &ServeArguments) -> Result<(), String> {
-    #[cfg(feature = "standalone")]
-    if asked.config.is_some() || !asked.layers.set.is_empty() || ConfigSource::from_environment().is_none() {
-        let origin = ConfigSource::Standalone {
-            file: asked.config.clone(),
-            flags: asked.layers.set.clone(),
-            seed: fastrand::u64(..),
-        };
-        return serve::run(&origin, asked.toy, asked.records.as_deref());
-    }
-    #[cfg(feature = "toy")]
-    let toy = asked.toy;
-    #[cfg(not(feature = "toy"))]
-    let toy = false;
-    let origin = ConfigSource::from_environment().ok_or("EDGE_CONFIG names no configuration")?;
-    serve::run(&origin, toy, asked.records.as_deref())
-}
--- /dev/null
+++ b/crates/scheduler/src/commands/check.rs
@@ -0,0 +1,37 @@
+//! `check`: whether a configuration can be used, and what is in force.
+use std::path::Path;
+
+use super::error::CommandError;
+use super::output::print;
+use crate::configuration::{layers, platform};
+
+/// Checks a configuration and prints what is in force.
+///
+/// # Errors
+/// All that is wrong, a line each.
+pub(super) fn check(file: Option<&Path>, overrides: &[String]) -> Result<(), CommandError> {
+    match file.filter(|path| path.extension().is_some_and(|extension| extension == "json")) {
+        Some(path) if overrides.is_empty() => check_platform_config(path),
+        Some(_) => Err(CommandError::OverridesOfPlatformConfig),
+        None => check_layers(file, overrides),
+    }
+}
+
+fn check_platform_config(path: &Path) -> Result<(), CommandError> {
+    let startup = platform::read_startup_config(path)?;
+    let cached_endpoints = startup.cached_endpoints.as_ref().map_or(0, |list| list.endpoints.len());
+    let classes = startup.settings.proxy.classes.join(", ");
+    print(&format!(
+        "{}: good, the platform's form: {} listens on {}; classes {classes}; {cached_endpoints} service entries known\n",
+        path.display(),
+        startup.name,
+        startup.listen,
+    ))
+}
+
+fn check_layers(file: Option<&Path>, overrides: &[String]) -> Result<(), CommandError> {
+    let effective = layers::read_effective(file, overrides)?;
+    // The result does not depend on the seed.
+    layers::startup_config(&effective, 0)?;
+    print(&effective.listing())
+}
--- /dev/null
+++ b/crates/scheduler/src/commands/describe.rs
@@ -0,0 +1,24 @@
+//! `config`: descriptions of the configuration.
+use super::error::CommandError;
+use super::output::print;
+use crate::cli::ConfigDescription;
+
+/// Prints a description of the configuration.
+///
+/// # Errors
+/// An output that cannot be written.
+pub(super) fn print_description(what: &ConfigDescription) -> Result<(), CommandError> {
+    match what {
+        ConfigDescription::Schema => print(&schema()?),
+        ConfigDescription::Default => print(&default_file()?),
+        ConfigDescription::Page => print(&copperspread_config::page()),
+    }
+}
+
+fn schema() -> Result<String, CommandError> {
+    Ok(serde_json::to_string_pretty(&copperspread_config::schema())? + "\n")
+}
+
+fn default_file() -> Result<String, CommandError> {
+    copperspread_config::commented_default().map_err(|error| CommandError::Description(error.into()))
+}
--- /dev/null
+++ b/crates/scheduler/src/commands/mod.rs
@@ -0,0 +1,95 @@
+//! What each command does: it takes a parsed command line and calls the part that carries it out.
+#[cfg(feature = "standalone")]
+mod check;
+#[cfg(feature = "standalone")]
+mod describe;
+mod error;
+#[cfg(feature = "standalone")]
+mod event_log;
+#[cfg(feature = "standalone")]
+mod output;
+
+use clap::CommandFactory;
+
+use crate::cli::{Command, CommandLine, ServeArguments};
+use crate::configuration::ConfigSource;
+use crate::serve::{self, ServeOptions};
+use error::CommandError;
+
+/// Does what the command line asks for.
+///
+/// # Errors
+/// Why it cannot be done, as it is printed.
+pub(crate) fn execute(command_line: CommandLine) -> Result<(), CommandError> {
+    let Some(command) = command_line.command else { return serve_on_platform() };
+    match command {
+        Command::Serve(arguments) => serve(arguments),
+        #[cfg(feature = "standalone")]
+        Command::Check { layers, file } => check::check(file.as_deref(), &layers.set),
+        #[cfg(feature = "standalone")]
+        Command::Config(what) => describe::print_description(&what),
+        #[cfg(feature = "standalone")]
+        Command::Records(command) => event_log::execute(command),
+        #[cfg(feature = "standalone")]
+        Command::Completions { shell } => {
+            print_completions(shell);
+            Ok(())
+        }
+        #[cfg(feature = "toy")]
+        Command::Toy { scheduler } => serve_toy_worker(scheduler),
+    }
+}
+
+/// Serves by the platform's configuration, which alone needs no command.
+fn serve_on_platform() -> Result<(), CommandError> {
+    if ConfigSource::from_environment().is_none() {
+        // One clear line; the help is for those who ask for it.
+        return Err(CommandError::NoCommand { program: CommandLine::command().get_name().to_owned() });
+    }
+    serve(ServeArguments::default())
+}
+
+fn serve(arguments: ServeArguments) -> Result<(), CommandError> {
+    let options = ServeOptions {
+        source: config_source(&arguments)?,
+        #[cfg(feature = "toy")]
+        with_toy_worker: arguments.toy,
+        event_log_file: arguments.records,
+    };
+    Ok(serve::run(&options)?)
+}
+
+/// The platform's configuration if the environment names it and the command line names no layer, else layers.
+#[cfg(feature = "standalone")]
+fn config_source(arguments: &ServeArguments) -> Result<ConfigSource, CommandError> {
+    let names_layers = arguments.config.is_some() || !arguments.layers.set.is_empty();
+    match ConfigSource::from_environment() {
+        Some(source) if !names_layers => Ok(source),
+        _ => Ok(ConfigSource::Layers {
+            file: arguments.config.clone(),
+            overrides: arguments.layers.set.clone(),
+            default_seed: fastrand::u64(..),
+        }),
+    }
+}
+
+#[cfg(not(feature = "standalone"))]
+fn config_source(_: &ServeArguments) -> Result<ConfigSource, CommandError> {
+    ConfigSource::from_environment().ok_or(CommandError::NoConfiguration)
+}
+
+#[cfg(feature = "standalone")]
+fn print_completions(shell: clap_complete::Shell) {
+    let mut grammar = CommandLine::command();
+    clap_complete::generate(shell, &mut grammar, "copperspread-scheduler", &mut std::io::stdout());
+}
+
+#[cfg(feature = "toy")]
+fn serve_toy_worker(scheduler: std::net::SocketAddr) -> Result<(), CommandError> {
+    use crate::logging::{self, LogConfig};
+    use crate::serve::StartError;
+
+    let _log = logging::start(&LogConfig::default()).map_err(StartError::from)?;
+    let runtime = serve::single_threaded_runtime()?;
+    runtime.block_on(crate::toy_worker::serve_with_discovery(scheduler)).map_err(CommandError::ToyWorker)
+}
--- /dev/null
+++ b/crates/scheduler/src/configuration/layers.rs
@@ -0,0 +1,79 @@
+//! The configuration of installations other than the platform: TOML, environment and command line in layers
+//! over the built-in default.
+use std::path::Path;
+
+use copperspread_config::{Effective, LogFormat, Surroundings};
+use copperspread_event_log::writer;
+use copperspread_settings::StartupConfig;
+use rustix::process::{Resource, getrlimit};
+
+use super::{ConfigError, LoadedConfig};
+use crate::logging::{self, LogConfig};
+use crate::membership::{self, MembershipConfig};
+
+/// Reads and checks the layers.
+///
+/// # Errors
+/// All faults, one a line.
+pub(super) fn load(
+    file: Option<&Path>,
+    overrides: &[String],
+    default_seed: u64,
+) -> Result<LoadedConfig, ConfigError> {
+    let effective = read_effective(file, overrides)?;
+    Ok(LoadedConfig {
+        log: log_config(&effective),
+        event_log: event_log_spec(&effective),
+        membership: MembershipConfig::from_config(&effective.config),
+        startup: startup_config(&effective, default_seed)?,
+    })
+}
+
+/// Merges and checks the layers, and keeps each value's origin.
+///
+/// # Errors
+/// All faults, one a line.
+pub(crate) fn read_effective(file: Option<&Path>, overrides: &[String]) -> Result<Effective, ConfigError> {
+    let effective = copperspread_config::read(file, overrides, &process_limits())?;
+    logging::parse_levels(&effective.config.log.level)
+        .map_err(|source| ConfigError::InvalidLogLevel { origin: effective.origin("log.level"), source })?;
+    Ok(effective)
+}
+
+/// The part that describes the scheduler. The default seed is used where no layer sets one.
+///
+/// # Errors
+/// Values that are valid each by itself and still describe no scheduler.
+pub(crate) fn startup_config(effective: &Effective, default_seed: u64) -> Result<StartupConfig, ConfigError> {
+    effective.config.start(default_seed).map_err(|error| ConfigError::Unusable(error.into()))
+}
+
+/// The bounds that this process has from outside.
+fn process_limits() -> Surroundings {
+    Surroundings {
+        descriptors: getrlimit(Resource::Nofile).current,
+        key_file: Some(membership::check_key_file),
+    }
+}
+
+fn log_config(effective: &Effective) -> LogConfig {
+    let log = &effective.config.log;
+    LogConfig {
+        level: log.level.clone(),
+        json: match log.format {
+            LogFormat::Auto => None,
+            LogFormat::Text => Some(false),
+            LogFormat::Json => Some(true),
+        },
+    }
+}
+
+fn event_log_spec(effective: &Effective) -> Option<writer::Spec> {
+    let records = &effective.config.records;
+    records.file.clone().map(|file| writer::Spec {
+        file,
+        rotate_at: records.rotate_at.0,
+        keep: records.keep,
+        queue: records.queue as usize,
+    })
+}
--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -1,28 +1,30 @@
 //! The log: text on a terminal, JSON lines otherwise, on standard error.
 //!
-//! It is written by a thread of its own from a bounded queue. Guards against a log that nobody reads:
-//! what does not fit is dropped and counted, and the scheduler neither waits nor ends.
+//! A thread of its own writes it from a bounded queue, so that a log that nobody reads neither blocks nor ends
+//! the scheduler: lines that do not fit are dropped and counted.
 use std::io::{IsTerminal, stderr};
 
 use tracing::Subscriber;
 use tracing::level_filters::LevelFilter;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
-use tracing_subscriber::filter::Targets;
+use tracing_subscriber::filter::{ParseError, Targets};
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::registry::LookupSpan;
-use tracing_subscriber::util::SubscriberInitExt;
+use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 use tracing_subscriber::{Layer, Registry, fmt, reload};
 
 /// Lines that may wait to be written: at some hundred bytes each, about a megabyte.
-const QUEUE: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
+/// The environment variable whose levels take precedence over the configuration's.
+const LEVEL_VARIABLE: &str = "RUST_LOG";
 
 /// How the log is kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LogConfig {
-    /// The level, for all or by part. RUST_LOG goes before it.
-    pub level: String,
-    /// The form; absent, text on a terminal and JSON otherwise.
-    pub json: Option<bool>,
+pub(crate) struct LogConfig {
+    /// The level, for all or by target. RUST_LOG takes precedence.
+    pub(crate) level: String,
+    /// Whether lines are JSON; absent, they are unless standard error is a terminal.
+    pub(crate) json: Option<bool>,
 }
 
 impl Default for LogConfig {
@@ -31,70 +33,104 @@
     }
 }
 
-/// The log while it is kept; the last lines are written when it is dropped.
-pub struct Log {
-    level: reload::Handle<Targets, Registry>,
+/// Why a list of levels is not valid.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub(crate) enum LevelError {
+    /// No level of this name.
+    #[error("{0:?} is no level; one of off, error, warn, info, debug, trace")]
+    UnknownLevel(String),
+    /// A target that cannot be read.
+    #[error("{levels:?}: {source}")]
+    InvalidTarget {
+        /// The list of levels.
+        levels: String,
+        /// What is wrong with it.
+        source: ParseError,
+    },
+}
+
+/// Why the log does not start or take another level.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub(crate) enum LogError {
+    /// RUST_LOG is not valid.
+    #[error("RUST_LOG: {0}")]
+    Environment(#[source] LevelError),
+    /// The configuration's level is not valid.
+    #[error("log.level: {0}")]
+    Configuration(#[source] LevelError),
+    /// The log was started before.
+    #[error("log: {0}")]
+    AlreadyStarted(#[from] TryInitError),
+    /// The running log cannot take another level.
+    #[error("log.level: {0}")]
+    Reload(#[from] reload::Error),
+}
+
+/// The running log. Its writer thread ends, after the last lines, when this is dropped.
+pub(crate) struct Log {
+    levels: reload::Handle<Targets, Registry>,
     dropped: ErrorCounter,
-    _guard: WorkerGuard,
+    _writer: WorkerGuard,
 }
 
-/// Reads a level such as `info` or `info,copperspread_proxy=debug`.
+/// Reads a level, for all or by target, such as `info` or `info,copperspread_proxy=debug`.
 ///
 /// # Errors
-/// What it is not.
-pub fn level(text: &str) -> Result<Targets, String> {
-    // Guards against a misspelt level, which would pass for the name of a part.
-    for part in text.split(',').map(str::trim) {
-        let level = part.rsplit('=').next().unwrap_or_default();
+/// A level that does not exist, or a target that cannot be read.
+pub(crate) fn parse_levels(levels: &str) -> Result<Targets, LevelError> {
+    // A misspelt level would pass for the name of a target.
+    for directive in levels.split(',').map(str::trim) {
+        let level = directive.rsplit('=').next().unwrap_or_default();
         if level.is_empty() || level.parse::<LevelFilter>().is_err() {
-            return Err(format!("{level:?} is no level; one of off, error, warn, info, debug, trace"));
+            return Err(LevelError::UnknownLevel(level.to_owned()));
         }
     }
-    text.parse().map_err(|why| format!("{text:?}: {why}"))
+    levels.parse().map_err(|source| LevelError::InvalidTarget { levels: levels.to_owned(), source })
 }
 
-/// RUST_LOG's level, or else the configuration's.
-fn in_force(spec: &LogConfig) -> Result<Targets, String> {
-    match std::env::var("RUST_LOG") {
-        Ok(text) if !text.is_empty() => level(&text).map_err(|why| format!("RUST_LOG: {why}")),
-        _ => level(&spec.level).map_err(|why| format!("log.level: {why}")),
+/// RUST_LOG's levels, or else the configuration's.
+fn effective_levels(config: &LogConfig) -> Result<Targets, LogError> {
+    match std::env::var(LEVEL_VARIABLE) {
+        Ok(levels) if !levels.is_empty() => parse_levels(&levels).map_err(LogError::Environment),
+        _ => parse_levels(&config.level).map_err(LogError::Configuration),
     }
 }
 
-/// Begins the log.
+/// Starts the log.
 ///
 /// # Errors
-/// A level that is none.
-pub fn begin(spec: &LogConfig) -> Result<Log, String> {
-    let (level, handle) = reload::Layer::new(in_force(spec)?);
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUE);
-    let (writer, guard) = builder.thread_name("log").finish(stderr());
-    let dropped = writer.error_counter();
-    let json = spec.json.unwrap_or(!stderr().is_terminal());
-    let begun = tracing_subscriber::registry().with(level).with(form(writer, json)).try_init();
-    begun.map_err(|why| format!("log: {why}"))?;
-    Ok(Log { level: handle, dropped, _guard: guard })
+/// A level that is not valid, or a log that was started before.
+pub(crate) fn start(config: &LogConfig) -> Result<Log, LogError> {
+    let (filter, levels) = reload::Layer::new(effective_levels(config)?);
+    let queue = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
+    let (output, writer) = queue.thread_name("log").finish(stderr());
+    let dropped = output.error_counter();
+    let json = config.json.unwrap_or(!stderr().is_terminal());
+    tracing_subscriber::registry().with(filter).with(line_format(output, json)).try_init()?;
+    Ok(Log { levels, dropped, _writer: writer })
 }
 
-fn form<S: Subscriber + for<'a> LookupSpan<'a>>(
-    writer: NonBlocking,
+fn line_format<S: Subscriber + for<'a> LookupSpan<'a>>(
+    output: NonBlocking,
     json: bool,
 ) -> Box<dyn Layer<S> + Send + Sync> {
-    let plain = fmt::layer().with_writer(writer).with_ansi(false);
+    let plain = fmt::layer().with_writer(output).with_ansi(false);
     if json { plain.json().flatten_event(true).boxed() } else { plain.compact().boxed() }
 }
 
 impl Log {
-    /// Takes a configuration's level while running. The form stays.
+    /// Takes a configuration's level while running. The form of the lines stays.
     ///
     /// # Errors
-    /// A level that is none: the old one stays.
-    pub fn follow(&self, spec: &LogConfig) -> Result<(), String> {
-        self.level.reload(in_force(spec)?).map_err(|why| format!("log.level: {why}"))
+    /// A level that is not valid: the old one stays.
+    pub(crate) fn reload(&self, config: &LogConfig) -> Result<(), LogError> {
+        Ok(self.levels.reload(effective_levels(config)?)?)
     }
 
     /// Lines dropped so far.
-    pub fn dropped(&self) -> usize {
+    pub(crate) fn dropped_lines(&self) -> usize {
         self.dropped.dropped_lines()
     }
 }
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -1,104 +1,147 @@
-//! Membership among schedulers, where the configuration asks for it: its start, its page and its key.
-use std::path::Path;
+//! Membership among schedulers, where the configuration asks for it: its start, its status page and its key.
+//! The protocol is in `copperspread-membership`, its sockets and threads in `copperspread-membership-transport`.
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
 use copperspread_config::{Cluster, Config};
-use copperspread_membership::{Key, Settings};
-use copperspread_membership_transport::{Peers, Spec};
+use copperspread_membership::{Key, KeyError, Settings};
+use copperspread_membership_transport::{BeginError, Dropped, Peers, Rejects, Spec};
 use copperspread_proxy::downstream::http::StatusPage;
 use tracing::info;
 
-/// Where the view is answered.
-const PATH: &str = "/-/cluster";
+/// The path of the status page.
+const STATUS_PATH: &str = "/-/cluster";
 
-/// The key that a file holds.
+/// Why a key file cannot be used. No text holds a byte of the key.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub(crate) enum KeyFileError {
+    /// The file cannot be read.
+    #[error("{}: {source}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// What the system answered.
+        source: std::io::Error,
+    },
+    /// The file's content is no key.
+    #[error("{}: {source}", path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: KeyError,
+    },
+}
+
+/// Why membership does not start.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub(crate) enum MembershipError {
+    /// No key file is configured.
+    #[error("cluster.key_file is missing")]
+    NoKeyFile,
+    /// No address is configured.
+    #[error("cluster.bind is missing")]
+    NoAddress,
+    /// The key file cannot be used.
+    #[error("cluster.key_file: {0}")]
+    KeyFile(#[from] KeyFileError),
+    /// The transport did not start.
+    #[error("cluster: {0}")]
+    Transport(#[from] BeginError),
+}
+
+/// Reads the key that a file holds.
 ///
 /// # Errors
-/// What is wrong with the file or the key, without its bytes.
-fn read_key(path: &Path) -> Result<Key, String> {
-    let bytes = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
+/// What is wrong with the file or the key.
+fn read_key(path: &Path) -> Result<Key, KeyFileError> {
+    let bytes =
+        std::fs::read(path).map_err(|source| KeyFileError::Unreadable { path: path.to_owned(), source })?;
     // An editor or `echo` ends the line; another member's file may have been made without.
     let line = bytes.strip_suffix(b"\n").unwrap_or(&bytes);
     let line = line.strip_suffix(b"\r").unwrap_or(line);
-    Key::new(line).map_err(|e| format!("{}: {e}", path.display()))
+    Key::new(line).map_err(|source| KeyFileError::Invalid { path: path.to_owned(), source })
 }
 
-/// Whether a file holds a key.
+/// Checks that a file holds a key. The form of its error is the one that the configuration's check takes.
 ///
 /// # Errors
-/// As [`read_key`].
-pub fn check_key(path: &Path) -> Result<(), String> {
-    read_key(path).map(|_| ())
+/// What is wrong with the file or the key, without a byte of it.
+pub(crate) fn check_key_file(path: &Path) -> Result<(), String> {
+    read_key(path).map(|_| ()).map_err(|error| error.to_string())
 }
 
-/// What a member is told at its start.
+/// What a member is started with.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Membership {
+pub(crate) struct MembershipConfig {
     name: String,
     zone: String,
     cluster: Cluster,
 }
 
-impl Membership {
-    /// That of a configuration; nothing where it is off.
-    pub fn of(config: &Config) -> Option<Membership> {
+impl MembershipConfig {
+    /// The part of a configuration that concerns membership; `None` where it is off.
+    pub(crate) fn from_config(config: &Config) -> Option<MembershipConfig> {
         let (name, zone, cluster) = (&config.name, &config.zones.here, &config.cluster);
-        cluster.bind.map(|_| Membership { name: name.clone(), zone: zone.clone(), cluster: cluster.clone() })
+        cluster.bind.map(|_| MembershipConfig {
+            name: name.clone(),
+            zone: zone.clone(),
+            cluster: cluster.clone(),
+        })
     }
 
-    /// Starts it.
+    /// Starts the member. Its threads end with the returned handle.
     ///
     /// # Errors
     /// A key that cannot be read, or an address that cannot be bound.
-    pub fn begin(&self, seed: u64) -> Result<Peers, String> {
-        let Cluster { bind, advertise, seeds, key_file, region, .. } = &self.cluster;
-        let of = &self.cluster;
-        let settings = Settings {
-            probe_interval: of.probe_interval.0,
-            probe_timeout: of.probe_timeout.0,
-            indirect: of.indirect as usize,
-            suspicion: of.suspicion,
-            seeds: seeds.clone(),
-        };
-        let key = read_key(key_file.as_deref().ok_or("cluster.key_file is missing")?)
-            .map_err(|why| format!("cluster.key_file: {why}"))?;
-        let spec = Spec {
-            bind: bind.ok_or("cluster.bind is missing")?,
+    pub(crate) fn start(&self, seed: u64) -> Result<Peers, MembershipError> {
+        let member = Peers::begin(self.transport_spec(seed)?)?;
+        info!(scheduler = self.name, address = %member.address(), "membership started");
+        Ok(member)
+    }
+
+    fn transport_spec(&self, seed: u64) -> Result<Spec, MembershipError> {
+        let Cluster { bind, advertise, key_file, region, .. } = &self.cluster;
+        let key = read_key(key_file.as_deref().ok_or(MembershipError::NoKeyFile)?)?;
+        Ok(Spec {
+            bind: bind.ok_or(MembershipError::NoAddress)?,
             advertise: *advertise,
             name: self.name.clone(),
             zone: self.zone.clone(),
             region: region.clone(),
-            settings,
+            settings: protocol_settings(&self.cluster),
             key,
             seed,
-        };
-        let peers = Peers::begin(spec).map_err(|why| format!("cluster: {why}"))?;
-        info!("{} is a member of a cluster at {}", self.name, peers.address());
-        Ok(peers)
+        })
+    }
+}
+
+fn protocol_settings(cluster: &Cluster) -> Settings {
+    Settings {
+        probe_interval: cluster.probe_interval.0,
+        probe_timeout: cluster.probe_timeout.0,
+        indirect: cluster.indirect as usize,
+        suspicion: cluster.suspicion,
+        seeds: cluster.seeds.clone(),
     }
 }
 
-/// The page of what a member sees.
-pub fn page(peers: &Peers) -> StatusPage {
-    let view = peers.viewer();
-    // Plain names and figures, which JSON always holds.
+/// The status page that shows a member's view of the others.
+pub(crate) fn status_page(member: &Peers) -> StatusPage {
+    let view = member.viewer();
+    // Plain names and figures, which JSON can always express.
     let json = move || serde_json::to_string(&view()).unwrap_or_default();
-    StatusPage { path: PATH, json: Arc::new(json) }
+    StatusPage { path: STATUS_PATH, json: Arc::new(json) }
 }
 
-/// Waits for the end of one that was told to leave, and says what it has counted.
-pub fn ended(peers: Peers) {
-    let dropped = peers.dropped();
-    let view = peers.ended();
-    let copperspread_membership_transport::Rejects { too_large, malformed, forged, other_version } =
-        view.rejected;
-    let copperspread_membership_transport::Dropped {
-        unsent,
-        streams_refused,
-        streams_failed,
-        exchanges_skipped,
-        states_dropped,
-    } = dropped;
+/// Waits until a member that is leaving has ended, and logs its counts.
+pub(crate) fn wait_until_ended(member: Peers) {
+    let dropped = member.dropped();
+    let view = member.ended();
+    let Rejects { too_large, malformed, forged, other_version } = view.rejected;
+    let Dropped { unsent, streams_refused, streams_failed, exchanges_skipped, states_dropped } = dropped;
     info!(
         packets_in = view.packets_in,
         packets_out = view.packets_out,
--- a/crates/scheduler/src/toy_worker.rs
+++ b/crates/scheduler/src/toy_worker.rs
@@ -1,8 +1,10 @@
-//! A toy real server and the discovery that lists it, to try the scheduler with. See README.md.
+//! A toy worker and the discovery that lists it, to try the scheduler with. See README.md.
 //!
-//! The real server takes any job, works on it for as long as `X-Cost` says and calls back. It holds
-//! one job at a time for each of its two slots and reports the slots that are free.
+//! The worker accepts any job, works on it for as long as `X-Cost` says and calls back. It runs one job at a
+//! time in each of its two slots and reports the slots that are free. It is no worker for others: it listens
+//! on loopback only.
 use std::future::IntoFuture;
+use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,104 +22,118 @@
 use tokio::time::sleep;
 use tracing::{debug, info, warn};
 
-const DISCOVERY: &str = "127.0.0.1:8500";
-/// Where the toy listens that the built-in default lists, and its name there.
-pub const DEFAULT: (&str, &str) = ("toy-1", "127.0.0.1:9001");
+/// Where the discovery listens.
+const DISCOVERY_ADDRESS: &str = "127.0.0.1:8500";
+/// The worker's name in the built-in default and in the discovery's list.
+const DEFAULT_WORKER_NAME: &str = "toy-1";
+/// Its address there.
+const DEFAULT_WORKER_ADDRESS: &str = "127.0.0.1:9001";
+/// Jobs that run at once.
 const SLOTS: usize = 2;
+/// How long a job takes that does not say so, in microseconds.
+const DEFAULT_COST_MICROS: u64 = 100_000;
 
-type Caller = Client<HttpConnector, Full<Bytes>>;
+type CallbackClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Tells the scheduler what became of a job, once; a real one would try again.
-async fn call_back(caller: &Caller, scheduler: SocketAddr, body: String) {
-    let uri = format!("http://{scheduler}/_jobs/news");
-    let request = hyper::Request::post(uri).body(Full::from(body)).expect("a request");
-    match caller.request(request).await {
-        Ok(answer) => debug!(status = answer.status().as_u16(), "toy: a call-back is answered"),
-        Err(error) => warn!(%error, "toy: a call-back failed"),
-    }
-}
-
-/// What all jobs of one toy share.
+/// What all jobs of one worker share.
 #[derive(Clone)]
-struct Toy {
-    caller: Caller,
+struct ToyWorker {
+    client: CallbackClient,
     scheduler: SocketAddr,
     name: Arc<str>,
     slots: Arc<Semaphore>,
 }
 
-async fn work(toy: Toy, id: String, cost: Duration) {
-    let Toy { caller, scheduler, name, slots } = toy;
-    let Ok(slot) = slots.acquire().await else { return };
-    call_back(&caller, scheduler, format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#)).await;
-    sleep(cost).await;
-    drop(slot);
-    let free = slots.available_permits();
-    let result = format!(r#""state":"done","result":"{id} is done","load":{{"x0":{free},"waiting":0}}"#);
-    call_back(&caller, scheduler, format!(r#"{{"id":"{id}","from":"{name}",{result}}}"#)).await;
+impl ToyWorker {
+    fn new(scheduler: SocketAddr, name: &str) -> ToyWorker {
+        ToyWorker {
+            client: Client::builder(TokioExecutor::new()).build_http(),
+            scheduler,
+            name: name.into(),
+            slots: Arc::new(Semaphore::new(SLOTS)),
+        }
+    }
+
+    /// Accepts a job. Its task ends when the job is done or with the runtime.
+    fn accept(self, headers: &HeaderMap, request: &Request) -> StatusCode {
+        let header = |name| headers.get(name).and_then(|value| value.to_str().ok());
+        let Some(id) = header("x-request-id") else { return StatusCode::NOT_FOUND };
+        let cost_us = header("x-cost").and_then(|cost| cost.parse().ok()).unwrap_or(DEFAULT_COST_MICROS);
+        let (method, uri) = (request.method(), request.uri());
+        info!(request_id = id, cost_us, %method, %uri, "toy worker accepted a job");
+        tokio::spawn(self.run_job(id.to_owned(), Duration::from_micros(cost_us)));
+        StatusCode::ACCEPTED
+    }
+
+    /// Waits for a slot, then works and calls back at the start and at the end.
+    async fn run_job(self, id: String, cost: Duration) {
+        let Ok(slot) = self.slots.acquire().await else { return };
+        let name = &self.name;
+        self.call_back(format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#)).await;
+        sleep(cost).await;
+        drop(slot);
+        let free = self.slots.available_permits();
+        let result = format!(r#""state":"done","result":"{id} is done","load":{{"x0":{free},"waiting":0}}"#);
+        self.call_back(format!(r#"{{"id":"{id}","from":"{name}",{result}}}"#)).await;
+    }
+
+    /// Calls the scheduler back once; a real worker would retry.
+    async fn call_back(&self, body: String) {
+        let uri = format!("http://{}/_jobs/news", self.scheduler);
+        let request = hyper::Request::post(uri).body(Full::from(body)).expect("a valid request");
+        match self.client.request(request).await {
+            Ok(response) => debug!(status = response.status().as_u16(), "toy worker's callback was answered"),
+            Err(error) => warn!(%error, "toy worker's callback failed"),
+        }
+    }
 }
 
-/// The whole list. A watch from its only version is held for as long as it asks.
-async fn targets(request: Request) -> String {
+/// Answers with the complete list. A watch from its only revision is held open for as long as it asks.
+async fn answer_with_list(request: Request) -> String {
     let query = request.uri().query().unwrap_or_default();
-    let figure = |name| query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse::<u64>().ok());
-    if figure("from=") == Some(1) {
-        sleep(Duration::from_millis(figure("hold_ms=").unwrap_or(0))).await;
+    let number = |name| query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse::<u64>().ok());
+    if number("from=") == Some(1) {
+        sleep(Duration::from_millis(number("hold_ms=").unwrap_or(0))).await;
     }
     let place = r#""locality":"a","flavor":"toy","cell":0,"phase":"SERVING","size":1.0,"up_since_ms":0"#;
-    let (name, address) = DEFAULT;
-    let member = format!(r#"{{"id":"{name}","host_port":"{address}",{place}}}"#);
-    format!(r#"{{"revision":1,"complete":true,"members":[{member}]}}"#)
+    let (name, address) = (DEFAULT_WORKER_NAME, DEFAULT_WORKER_ADDRESS);
+    let endpoint = format!(r#"{{"id":"{name}","host_port":"{address}",{place}}}"#);
+    format!(r#"{{"revision":1,"complete":true,"members":[{endpoint}]}}"#)
 }
 
-/// Serves a toy real server by its name and address for a scheduler, until the task is dropped.
+/// Serves as a worker of this name and address until the task is dropped.
 ///
 /// # Errors
-/// An address that cannot be listened on, or that is not this machine's own.
-pub async fn serve(scheduler: SocketAddr, name: &str, address: &str) -> std::io::Result<()> {
-    let toy = Toy {
-        caller: Client::builder(TokioExecutor::new()).build_http(),
-        scheduler,
-        name: name.into(),
-        slots: Arc::new(Semaphore::new(SLOTS)),
-    };
-    let take = move |headers: HeaderMap, request: Request| async move {
-        let text = |name| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
-        match text("x-request-id") {
-            None => StatusCode::NOT_FOUND,
-            Some(id) => {
-                let cost = text("x-cost").and_then(|cost| cost.parse().ok()).unwrap_or(100_000);
-                info!(id, cost_us = cost, "toy: {} {}", request.method(), request.uri());
-                tokio::spawn(work(toy, id, Duration::from_micros(cost)));
-                StatusCode::ACCEPTED
-            }
-        }
-    };
+/// An address that cannot be listened on, or that is not loopback.
+pub(crate) async fn serve(scheduler: SocketAddr, name: &str, address: &str) -> io::Result<()> {
+    let worker = ToyWorker::new(scheduler, name);
+    let accept = move |headers: HeaderMap, request: Request| async move { worker.accept(&headers, &request) };
     let listener = listen(address).await?;
-    info!("toy: the real server {name} listens on {address}");
-    let router = Router::new().route("/jobs/{id}", any(async || StatusCode::NO_CONTENT)).fallback(take);
+    info!(worker = name, address, "toy worker is listening");
+    let router = Router::new().route("/jobs/{id}", any(async || StatusCode::NO_CONTENT)).fallback(accept);
     axum::serve(listener, router).await
 }
 
-/// Serves the default toy and the discovery that lists it.
+/// Serves as the default worker and as the discovery that lists it.
 ///
 /// # Errors
 /// As [`serve`].
-pub async fn serve_with_discovery(scheduler: SocketAddr) -> std::io::Result<()> {
-    let listener = listen(DISCOVERY).await?;
-    let router = Router::new().route("/api/targets", get(targets));
-    info!("toy: discovery listens on {DISCOVERY}");
-    let (name, address) = DEFAULT;
-    tokio::try_join!(axum::serve(listener, router).into_future(), serve(scheduler, name, address))?;
+pub(crate) async fn serve_with_discovery(scheduler: SocketAddr) -> io::Result<()> {
+    let listener = listen(DISCOVERY_ADDRESS).await?;
+    let router = Router::new().route("/api/targets", get(answer_with_list));
+    info!(address = DISCOVERY_ADDRESS, "toy discovery is listening");
+    tokio::try_join!(
+        axum::serve(listener, router).into_future(),
+        serve(scheduler, DEFAULT_WORKER_NAME, DEFAULT_WORKER_ADDRESS)
+    )?;
     Ok(())
 }
 
-async fn listen(address: &str) -> std::io::Result<TcpListener> {
-    let named = |error: std::io::Error| std::io::Error::new(error.kind(), format!("{address}: {error}"));
-    // A toy is no server for others.
-    let at: SocketAddr = address.parse().map_err(std::io::Error::other).map_err(named)?;
-    if !at.ip().is_loopback() {
-        return Err(named(std::io::Error::other("is not a loopback address")));
+async fn listen(address: &str) -> io::Result<TcpListener> {
+    let with_address = |error: io::Error| io::Error::new(error.kind(), format!("{address}: {error}"));
+    let parsed: SocketAddr = address.parse().map_err(io::Error::other).map_err(with_address)?;
+    if !parsed.ip().is_loopback() {
+        return Err(with_address(io::Error::other("is not a loopback address")));
     }
-    TcpListener::bind(at).await.map_err(named)
+    TcpListener::bind(parsed).await.map_err(with_address)
 }
--- a/crates/scheduler/tests/client_races.rs
+++ b/crates/scheduler/tests/client_races.rs
@@ -278,7 +278,7 @@
     clients.push((scheduler.client().await, 720, job("once", 720, 9000)));
     assert_eq!(scheduler.client().await.ask(READY).await.status(), 200);
     scheduler.terminate().await;
-    scheduler.logs("ending,").await;
+    scheduler.logs("shutting down").await;
     for (client, id, rest) in &mut clients {
         client.send(rest).await;
         let asked = server.asked().await.accept();
@@ -324,7 +324,7 @@
     client.send(&(job("once", 900, 9000) + &behind)).await;
     let id = server.asked().await.accept();
     scheduler.terminate().await;
-    scheduler.logs("ending,").await;
+    scheduler.logs("shutting down").await;
     // Still more, after SIGTERM.
     client.job("once", 990, 9000).await;
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
@@ -343,7 +343,7 @@
     client.job("once", 1, 9000).await;
     let id = server.asked().await.accept();
     scheduler.signals(&["TERM", "TERM", "HUP", "TERM"]).await;
-    scheduler.logs("ending,").await;
+    scheduler.logs("shutting down").await;
     scheduler.signals(&["HUP", "TERM", "HUP"]).await;
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
     assert_eq!(client.heard().await.expect("an answer").status(), 200);
@@ -368,7 +368,7 @@
         assert_eq!(scheduler.client().await.ask(READY).await.status(), if cut == 1 { 200 } else { 503 });
         if cut == 1 {
             scheduler.terminate().await;
-            scheduler.logs("ending,").await;
+            scheduler.logs("shutting down").await;
         }
         worker.send(&text[cut..]).await;
         assert_eq!(worker.heard().await.expect("an answer").status(), 204);
@@ -407,7 +407,7 @@
     client.job("once", 1, 9000).await;
     assert_eq!(scheduler.client().await.ask(READY).await.status(), 200);
     scheduler.terminate().await;
-    scheduler.logs("ending,").await;
+    scheduler.logs("shutting down").await;
     let (_kept, count) = server.next().await;
     assert_eq!(count, 1, "the job comes");
     assert_eq!(scheduler.call_back(&format!("{:016x}", 1), "r0", DONE).await, 204);
--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -185,7 +185,7 @@
         assert!(content.contains(&from));
         let content = content.replace(&from, &format!(r#""discovery":"{to}""#));
         let lines = self.scheduler.reload(&content).await;
-        assert!(lines.iter().any(|line| line.contains("discovery moves")), "{lines:?}");
+        assert!(lines.iter().any(|line| line.contains(r#""discovery_changed":true"#)), "{lines:?}");
     }
     /// Waits for the log's line of so many failed calls in all.
     async fn failures(&mut self, count: u32) {
--- a/crates/scheduler/tests/membership.rs
+++ b/crates/scheduler/tests/membership.rs
@@ -70,7 +70,7 @@
 
     let changed = cluster(&key, &[]).replace("'nl'", "'be'");
     let lines = one.reload(&toml("one", one.address, &changed)).await;
-    for part in ["member up", "new start: cluster\""] {
+    for part in ["member up", r#"only with a restart","parts":"cluster""#] {
         assert!(lines.iter().any(|line| line.contains(part)), "{part}: {lines:?}");
     }
 
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -408,7 +408,7 @@
         moved.replace(&format!("\"listen\":\"{}\"", scheduler.address), "\"listen\":\"127.0.0.1:1\"");
     assert_ne!(moved, elsewhere);
     let lines = scheduler.reload(&elsewhere).await;
-    assert!(lines.len() == 2 && lines[0].contains("new start: listen\""), "{lines:?}");
+    assert!(lines.len() == 2 && lines[0].contains(r#"only with a restart","parts":"listen""#), "{lines:?}");
     let whole = other.asked().await;
     assert_eq!(whole.message.first, "GET /api/targets HTTP/1.1");
     old_watch.closed().await;
--- a/crates/scheduler/tests/settings_races.rs
+++ b/crates/scheduler/tests/settings_races.rs
@@ -70,7 +70,7 @@
             assert_ne!(text, changed);
             let told = scheduler.reload(&changed).await;
             assert!(
-                told.iter().any(|line| line.contains("changes only with a new start: settings")),
+                told.iter().any(|line| line.contains(r#"only with a restart","parts":"settings"#)),
                 "{told:?}"
             );
         }
--- a/crates/scheduler/tests/sockets/mod.rs
+++ b/crates/scheduler/tests/sockets/mod.rs
@@ -345,7 +345,7 @@
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
         loop {
             let line = within("a start", log.next_line()).await.expect("a log").expect("it serves");
-            if line.contains("serves on") {
+            if line.contains("scheduler is serving") {
                 return Scheduler { address, discovery, child, path, log, _reserved: reserved };
             }
         }
@@ -420,6 +420,6 @@
         start.env("EDGE_CONFIG", &self.path).stderr(Stdio::piped()).kill_on_drop(true);
         self.child = start.spawn().expect("it starts");
         self.log = BufReader::new(self.child.stderr.take().expect("piped")).lines();
-        while !self.line().await.contains("serves on") {}
+        while !self.line().await.contains("scheduler is serving") {}
     }
 }
--- a/crates/scheduler/tests/standalone.rs
+++ b/crates/scheduler/tests/standalone.rs
@@ -27,7 +27,7 @@
     let id = one.asked().await.accept();
     let changed = toml(scheduler.address, &[("draining", at[0]), ("serving", at[1])]);
     let lines = scheduler.reload(&changed).await;
-    assert!(lines[0].contains("discovery moves"), "{lines:?}");
+    assert!(lines[0].contains(r#""discovery_changed":true"#), "{lines:?}");
     // What was taken before ends where it is; what comes goes to the other.
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
     assert_eq!(client.heard().await.expect("an answer").body, "paid");
@@ -49,7 +49,7 @@
     // What only a new start can change is named, whatever part of the file it stands in.
     let other = "[log]\nformat = 'text'\n[records]\nkeep = 9\nfile = 'r'\n[limits]\ndescriptors = 300\n";
     let lines = scheduler.reload(&changed.replace("[front", &format!("{other}[front"))).await;
-    assert!(lines[0].contains("new start: limits, log.format, records\""), "{lines:?}");
+    assert!(lines[0].contains(r#"only with a restart","parts":"limits, log.format, records""#), "{lines:?}");
 }
 
 // Guards against a file that is replaced piece by piece while SIGHUP is heeded: its first half is a
@@ -92,7 +92,10 @@
         return false;
     }
     let lines = scheduler.told_of_configuration().await;
-    assert!(lines.len() == 1 && lines[0].contains("discovery moves"), "one reading, of the whole: {lines:?}");
+    assert!(
+        lines.len() == 1 && lines[0].contains(r#""discovery_changed":true"#),
+        "one reading, of the whole: {lines:?}"
+    );
     let mut client = scheduler.client().await;
     client.job("once", 1, 9000).await;
     two.asked().await.accept();
@@ -110,7 +113,10 @@
     // One shell sends them, so that they lie closer together than a file takes to settle.
     scheduler.signals(&["HUP", "TERM", "HUP"]).await;
     let line = scheduler.line().await;
-    assert!(line.contains("ending, 1 flows to answer"), "the reload is not carried out any more: {line}");
+    assert!(
+        line.contains(r#""shutting down","requests":1"#),
+        "the reload is not carried out any more: {line}"
+    );
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
     assert_eq!(client.heard().await.expect("an answer").status(), 200);
     assert!(scheduler.child.wait().await.expect("it ends").success());
@@ -131,7 +137,7 @@
     let lines = scheduler.reload(&text.replace("[front", "[log]\nlevel = 'loud'\n[front")).await;
     assert!(lines.len() == 1 && lines[0].contains("loud"), "{lines:?}");
     let lines = scheduler.reload(&text.replace("[front", "[log]\nlevel = 'debug'\n[front")).await;
-    assert!(lines[0].contains("discovery stays"), "{lines:?}");
+    assert!(lines[0].contains(r#""discovery_changed":false"#), "{lines:?}");
     client.job("once", 2, 9000).await;
     let id = one.asked().await.accept();
     scheduler.call_back(&id, "r0", DONE).await;
--- a/crates/scheduler/tests/unit/membership.rs
+++ b/crates/scheduler/tests/unit/membership.rs
@@ -1,9 +1,12 @@
-//! Tests of what `copperspread`'s `peers` keeps to itself; it takes this file in as its `tests`.
+//! Unit tests of `src/membership.rs`, which includes this file as its `tests`.
 use super::*;
 
 #[test]
-fn the_defaults_are_those_of_the_protocol() {
-    let (of, core) = (Cluster::default(), Settings::default());
-    assert_eq!((of.probe_interval.0, of.probe_timeout.0), (core.probe_interval, core.probe_timeout));
-    assert_eq!((of.indirect as usize, of.suspicion), (core.indirect, core.suspicion));
+fn the_configurations_defaults_are_those_of_the_protocol() {
+    let (configured, protocol) = (Cluster::default(), Settings::default());
+    assert_eq!(
+        (configured.probe_interval.0, configured.probe_timeout.0),
+        (protocol.probe_interval, protocol.probe_timeout)
+    );
+    assert_eq!((configured.indirect as usize, configured.suspicion), (protocol.indirect, protocol.suspicion));
 }
--- a/crates/scheduler/tests/wire_transcripts.rs
+++ b/crates/scheduler/tests/wire_transcripts.rs
@@ -219,7 +219,7 @@
     client.job("once", 1, 9000).await;
     let id = worker.asked().await.accept();
     scheduler.terminate().await;
-    scheduler.logs("ending, 1 flows to answer").await;
+    scheduler.logs(r#""shutting down","requests":1"#).await;
     answers.push(("ends", scheduler.client().await.ask_bytes(READY).await));
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
     answers.push(("a job taken before", client.heard_bytes().await));
