--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -13,6 +13,8 @@
 use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 use tracing_subscriber::{Layer, Registry, fmt, reload};
 
+use crate::log_targets::with_current_targets;
+
 /// Lines that may wait to be written: at some hundred bytes each, about a megabyte.
 const MAX_QUEUED_LINES: usize = 4_096;
 /// The environment variable whose levels take precedence over the configuration's.
@@ -75,7 +77,8 @@
     _writer: WorkerGuard,
 }
 
-/// Reads a level, for all or by target, such as `info` or `info,copperspread_proxy=debug`.
+/// Reads a level, for all or by target, such as `info` or `info,copperspread_proxy=debug`. Targets from before
+/// the crates were renamed are read as the present ones.
 ///
 /// # Errors
 /// A level that does not exist, or a target that cannot be read.
@@ -87,7 +90,9 @@
             return Err(LevelError::UnknownLevel(level.to_owned()));
         }
     }
-    levels.parse().map_err(|source| LevelError::InvalidTarget { levels: levels.to_owned(), source })
+    with_current_targets(levels)
+        .parse()
+        .map_err(|source| LevelError::InvalidTarget { levels: levels.to_owned(), source })
 }
 
 /// RUST_LOG's levels, or else the configuration's.
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -5,7 +5,7 @@
 //! | `cli` | the command line's grammar |
 //! | `commands` | what each command does, apart from serving |
 //! | `configuration` | where a configuration comes from, and what all its forms are read into |
-//! | `logging` | the log and its levels |
+//! | `logging`, `log_targets` | the log and its levels |
 //! | `membership` | membership among schedulers: its start, status page and key |
 //! | `serve` | one scheduler from start to shutdown, and its reloads |
 //! | `toy_worker` | a toy worker and its discovery, for trials |
@@ -16,6 +16,7 @@
 mod cli;
 mod commands;
 mod configuration;
+mod log_targets;
 mod logging;
 #[cfg(feature = "standalone")]
 mod membership;
