--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -30,7 +30,7 @@
     Config(ConfigDescription),
     /// Read records
     #[cfg(feature = "standalone")]
-    #[command(subcommand)]
+    #[command(subcommand, alias = "event-log")]
     Records(EventLogCommand),
     /// Print a shell's completions
     #[cfg(feature = "standalone")]
@@ -55,11 +55,11 @@
         /// The file
         file: PathBuf,
         /// Only those that name this flow
-        #[arg(long)]
-        flow: Option<String>,
+        #[arg(long = "flow", alias = "request", value_name = "FLOW")]
+        request_id: Option<String>,
         /// The files put aside before it too, oldest first
-        #[arg(long)]
-        all: bool,
+        #[arg(long = "all")]
+        with_rotated: bool,
     },
     /// Sum those of many schedulers by time and by worker, as `serve --records` kept them
     Fleet {
@@ -67,19 +67,20 @@
         #[arg(required = true)]
         files: Vec<PathBuf>,
         /// Seconds that are summed in one line
-        #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..))]
-        window: u64,
+        #[arg(long = "window", default_value_t = 5, value_name = "WINDOW")]
+        #[arg(value_parser = clap::value_parser!(u64).range(1..))]
+        window_seconds: u64,
         /// Workers that are told of, those with the most jobs out at once first
-        #[arg(long, default_value_t = 20)]
-        workers: usize,
+        #[arg(long = "workers", default_value_t = 20, value_name = "WORKERS")]
+        max_workers: usize,
     },
     /// Sum them up: runs, gaps, disorder, and what clients got
     Stat {
         /// The file
         file: PathBuf,
         /// The files put aside before it too, oldest first
-        #[arg(long)]
-        all: bool,
+        #[arg(long = "all")]
+        with_rotated: bool,
     },
 }
 
@@ -90,23 +91,23 @@
     pub(crate) layers: LayerArguments,
     /// The configuration, TOML; absent, EDGE_CONFIG's if that is set, or else the built-in default
     #[cfg(feature = "standalone")]
-    #[arg(long, env = "COPPERSPREAD_CONFIG", value_name = "FILE")]
-    pub(crate) config: Option<PathBuf>,
+    #[arg(long = "config", env = "COPPERSPREAD_CONFIG", value_name = "FILE")]
+    pub(crate) config_file: Option<PathBuf>,
     /// Run a toy real server too, in place of the first worker of the static list
     #[cfg(feature = "toy")]
-    #[arg(long)]
-    pub(crate) toy: bool,
+    #[arg(long = "toy")]
+    pub(crate) with_toy_worker: bool,
     /// Keep records in a file, or `-` on standard error, whatever the configuration says
-    #[arg(long, value_name = "FILE")]
-    pub(crate) records: Option<PathBuf>,
+    #[arg(long = "records", value_name = "FILE")]
+    pub(crate) event_log_file: Option<PathBuf>,
 }
 
 #[cfg(feature = "standalone")]
 #[derive(Debug, Default, clap::Args)]
 pub(crate) struct LayerArguments {
     /// Set a value, before all else: --set limits.memory="64 MB"; may come several times
-    #[arg(long, value_name = "KEY=VALUE")]
-    pub(crate) set: Vec<String>,
+    #[arg(long = "set", value_name = "KEY=VALUE")]
+    pub(crate) overrides: Vec<String>,
 }
 
 #[cfg(feature = "standalone")]
--- a/crates/scheduler/src/commands/event_log.rs
+++ b/crates/scheduler/src/commands/event_log.rs
@@ -18,9 +18,13 @@
 /// A file that cannot be read, or an output that cannot be written.
 pub(super) fn execute(command: EventLogCommand) -> Result<(), CommandError> {
     match command {
-        EventLogCommand::Cat { file, flow, all } => print_events(&file, flow.as_deref(), all),
-        EventLogCommand::Stat { file, all } => print_report(&file, all),
-        EventLogCommand::Fleet { files, window, workers } => print_fleet_report(&files, window, workers),
+        EventLogCommand::Cat { file, request_id, with_rotated } => {
+            print_events(&file, request_id.as_deref(), with_rotated)
+        }
+        EventLogCommand::Stat { file, with_rotated } => print_report(&file, with_rotated),
+        EventLogCommand::Fleet { files, window_seconds, max_workers } => {
+            print_fleet_report(&files, window_seconds, max_workers)
+        }
     }
 }
 
--- a/crates/scheduler/src/commands/mod.rs
+++ b/crates/scheduler/src/commands/mod.rs
@@ -25,7 +25,7 @@
     match command {
         Command::Serve(arguments) => serve(arguments),
         #[cfg(feature = "standalone")]
-        Command::Check { layers, file } => check::check(file.as_deref(), &layers.set),
+        Command::Check { layers, file } => check::check(file.as_deref(), &layers.overrides),
         #[cfg(feature = "standalone")]
         Command::Config(what) => describe::print_description(&what),
         #[cfg(feature = "standalone")]
@@ -53,8 +53,8 @@
     let options = ServeOptions {
         source: config_source(&arguments)?,
         #[cfg(feature = "toy")]
-        with_toy_worker: arguments.toy,
-        event_log_file: arguments.records,
+        with_toy_worker: arguments.with_toy_worker,
+        event_log_file: arguments.event_log_file,
     };
     Ok(serve::run(&options)?)
 }
@@ -62,12 +62,12 @@
 /// The platform's configuration if the environment names it and the command line names no layer, else layers.
 #[cfg(feature = "standalone")]
 fn config_source(arguments: &ServeArguments) -> Result<ConfigSource, CommandError> {
-    let names_layers = arguments.config.is_some() || !arguments.layers.set.is_empty();
+    let names_layers = arguments.config_file.is_some() || !arguments.layers.overrides.is_empty();
     match ConfigSource::from_environment() {
         Some(source) if !names_layers => Ok(source),
         _ => Ok(ConfigSource::Layers {
-            file: arguments.config.clone(),
-            overrides: arguments.layers.set.clone(),
+            file: arguments.config_file.clone(),
+            overrides: arguments.layers.overrides.clone(),
             default_seed: fastrand::u64(..),
         }),
     }
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -137,7 +137,7 @@
 }
 
 /// Waits until a member that is leaving has ended, and logs its counts.
-pub(crate) fn wait_until_ended(member: Peers) {
+pub(crate) fn wait_until_stopped(member: Peers) {
     let dropped = member.dropped();
     let view = member.ended();
     let Rejects { too_large, malformed, forged, other_version } = view.rejected;
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -68,7 +68,7 @@
         info!(requests = self.proxy.context.policy.active_requests(), "shutting down");
         let requests_left = self.proxy.wait_until_drained(deadlines).await;
         #[cfg(feature = "standalone")]
-        self.member.into_iter().for_each(crate::membership::wait_until_ended);
+        self.member.into_iter().for_each(crate::membership::wait_until_stopped);
         for (what, count) in invariant::counts() {
             info!(what, count, "count at the end");
         }
--- a/crates/scheduler/src/toy_worker.rs
+++ b/crates/scheduler/src/toy_worker.rs
@@ -69,16 +69,16 @@
     async fn run_job(self, id: String, cost: Duration) {
         let Ok(slot) = self.slots.acquire().await else { return };
         let name = &self.name;
-        self.call_back(format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#)).await;
+        self.send_callback(format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#)).await;
         sleep(cost).await;
         drop(slot);
         let free = self.slots.available_permits();
         let result = format!(r#""state":"done","result":"{id} is done","load":{{"x0":{free},"waiting":0}}"#);
-        self.call_back(format!(r#"{{"id":"{id}","from":"{name}",{result}}}"#)).await;
+        self.send_callback(format!(r#"{{"id":"{id}","from":"{name}",{result}}}"#)).await;
     }
 
     /// Calls the scheduler back once; a real worker would retry.
-    async fn call_back(&self, body: String) {
+    async fn send_callback(&self, body: String) {
         let uri = format!("http://{}/_jobs/news", self.scheduler);
         let request = hyper::Request::post(uri).body(Full::from(body)).expect("a valid request");
         match self.client.request(request).await {
@@ -95,9 +95,9 @@
     if number("from=") == Some(1) {
         sleep(Duration::from_millis(number("hold_ms=").unwrap_or(0))).await;
     }
-    let place = r#""locality":"a","flavor":"toy","cell":0,"phase":"SERVING","size":1.0,"up_since_ms":0"#;
+    let placement = r#""locality":"a","flavor":"toy","cell":0,"phase":"SERVING","size":1.0,"up_since_ms":0"#;
     let (name, address) = (DEFAULT_WORKER_NAME, DEFAULT_WORKER_ADDRESS);
-    let endpoint = format!(r#"{{"id":"{name}","host_port":"{address}",{place}}}"#);
+    let endpoint = format!(r#"{{"id":"{name}","host_port":"{address}",{placement}}}"#);
     format!(r#"{{"revision":1,"complete":true,"members":[{endpoint}]}}"#)
 }
 
--- a/crates/scheduler/tests/cli.rs
+++ b/crates/scheduler/tests/cli.rs
@@ -1,6 +1,6 @@
 //! The command line, by running the program.
 #![cfg(feature = "standalone")]
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 use assert_cmd::Command;
 
@@ -10,45 +10,66 @@
     program
 }
 
-fn said(program: &mut Command) -> (i32, String, String) {
-    let output = program.output().expect("it runs");
+/// What a run came to.
+#[derive(Debug, PartialEq)]
+struct Outcome {
+    exit_code: i32,
+    output: String,
+    errors: String,
+}
+
+impl Outcome {
+    fn fails_with(&self, exit_code: i32, text: &str) -> bool {
+        self.exit_code == exit_code && self.errors.contains(text)
+    }
+}
+
+fn run(program: &mut Command) -> Outcome {
+    let outcome = program.output().expect("it runs");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
-    (output.status.code().expect("a code"), text(output.stdout), text(output.stderr))
+    let exit_code = outcome.status.code().expect("an exit code");
+    Outcome { exit_code, output: text(outcome.stdout), errors: text(outcome.stderr) }
 }
 
-/// A file that goes with the test.
-struct Scratch(PathBuf);
+/// A file that is removed with the test.
+struct TemporaryFile(PathBuf);
 
-impl Scratch {
-    fn new(name: &str, text: &str) -> Scratch {
+impl TemporaryFile {
+    fn new(name: &str, content: &str) -> TemporaryFile {
         let path = std::env::temp_dir().join(format!("copperspread-{}-{name}", std::process::id()));
-        std::fs::write(&path, text).expect("a file");
-        Scratch(path)
+        std::fs::write(&path, content).expect("a file");
+        TemporaryFile(path)
+    }
+
+    fn path(&self) -> &Path {
+        &self.0
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
 #[test]
-fn check_prints_what_is_in_force_with_each_origin() {
-    let file = Scratch::new("good.toml", "name = 'of-file'\n[limits]\nmemory = '48 MB'\ndescriptors = 256\n");
+fn check_prints_each_value_in_force_with_its_origin() {
+    let content = "name = 'of-file'\n[limits]\nmemory = '48 MB'\ndescriptors = 256\n";
+    let file = TemporaryFile::new("good.toml", content);
     let mut check = program();
-    check.arg("check").arg(&file.0).args(["--set", "attempts.most=2"]);
-    // File and environment disagree: the environment has it.
+    check.arg("check").arg(file.path()).args(["--set", "attempts.most=2"]);
+    // File and environment disagree: the environment wins.
     check.env("COPPERSPREAD_LIMITS__MEMORY", "32 MB");
-    let (code, out, err) = said(&mut check);
-    assert_eq!((code, &*err), (0, ""));
-    let name = file.0.display().to_string();
-    let of = |key: &str| {
-        let line = out.lines().find(|line| line.starts_with(&format!("{key} = "))).expect(key);
-        line.split_whitespace().collect::<Vec<_>>().join(" ").replace(&name, "FILE")
+    let outcome = run(&mut check);
+    assert_eq!((outcome.exit_code, &*outcome.errors), (0, ""));
+    let file_name = file.path().display().to_string();
+    let line_of = |key: &str| {
+        let prefix = format!("{key} = ");
+        let line = outcome.output.lines().find(|line| line.starts_with(&prefix)).expect(key);
+        line.split_whitespace().collect::<Vec<_>>().join(" ").replace(&file_name, "FILE")
     };
     let keys = ["name", "limits.memory", "limits.descriptors", "attempts.most", "cold.from"];
-    insta::assert_snapshot!(keys.map(of).join("\n"), @r#"
+    insta::assert_snapshot!(keys.map(line_of).join("\n"), @r#"
     name = "of-file" # FILE
     limits.memory = "32 MB" # environment COPPERSPREAD_LIMITS__MEMORY
     limits.descriptors = 256 # FILE
@@ -58,15 +79,15 @@
 }
 
 #[test]
-fn check_names_file_line_and_key_of_all_that_is_wrong() {
-    let text =
+fn check_names_file_line_and_key_of_every_fault() {
+    let content =
         "[limits]\ndescriptors = 4000000000\n\n[[classes]]\nname = 'a'\naim = '1m'\n[log]\nlevel = 'info'\n";
-    let file = Scratch::new("bad.toml", text);
-    let (code, out, err) = said(program().arg("check").arg(&file.0));
-    assert_eq!((code, &*out), (1, ""));
-    let err = err.replace(&file.0.display().to_string(), "FILE");
-    // The number of descriptors that this machine allows stands in the first.
-    let (first, rest) = err.split_once('\n').expect("two lines");
+    let file = TemporaryFile::new("bad.toml", content);
+    let outcome = run(program().arg("check").arg(file.path()));
+    assert_eq!((outcome.exit_code, &*outcome.output), (1, ""));
+    let errors = outcome.errors.replace(&file.path().display().to_string(), "FILE");
+    // The first line holds the number of descriptors that this machine allows.
+    let (first, rest) = errors.split_once('\n').expect("two lines");
     assert!(
         first.starts_with(
             "copperspread-scheduler: FILE:2:15: limits.descriptors: 4000000000 is more than the"
@@ -76,52 +97,70 @@
 }
 
 #[test]
-fn what_cannot_be_used_ends_serving_before_it_begins() {
-    for (set, want) in [
+fn an_unusable_configuration_or_command_line_fails_before_serving() {
+    for (setting, error) in [
         ("log.level=loud", "log.level: \"loud\" is no level"),
         ("front.http.listen=1", "front.http.listen"),
         ("nothing=1", "unknown field"),
     ] {
-        let (code, _, err) = said(program().args(["serve", "--set", set]));
-        assert!(code == 1 && err.contains(want), "{set}: {code} {err}");
+        let outcome = run(program().args(["serve", "--set", setting]));
+        assert!(outcome.fails_with(1, error), "{setting}: {outcome:?}");
     }
-    let (code, _, err) = said(program().args(["serve"]).env("COPPERSPREAD_LIMITS__MEMRY", "1 MB"));
-    assert!(code == 1 && err.contains("environment COPPERSPREAD_LIMITS__MEMRY: "), "{err}");
-    let (code, _, err) = said(program().args(["serve"]).env("RUST_LOG", "loud"));
-    assert!(code == 1 && err.contains("RUST_LOG"), "{err}");
-    let (code, _, err) = said(program().args(["check", "/nonexistent/f.toml"]));
-    assert!(code == 1 && err.contains("/nonexistent/f.toml: No such file"), "{err}");
-    let (code, _, err) = said(program().arg("serv"));
-    assert!(code == 2 && err.contains("similar subcommand"), "{err}");
+    let outcome = run(program().args(["serve"]).env("COPPERSPREAD_LIMITS__MEMRY", "1 MB"));
+    assert!(outcome.fails_with(1, "environment COPPERSPREAD_LIMITS__MEMRY: "), "{outcome:?}");
+    let outcome = run(program().args(["serve"]).env("RUST_LOG", "loud"));
+    assert!(outcome.fails_with(1, "RUST_LOG"), "{outcome:?}");
+    let outcome = run(program().args(["check", "/nonexistent/f.toml"]));
+    assert!(outcome.fails_with(1, "/nonexistent/f.toml: No such file"), "{outcome:?}");
+    let outcome = run(program().arg("serv"));
+    assert!(outcome.fails_with(2, "similar subcommand"), "{outcome:?}");
 }
 
 #[test]
-fn what_describes_the_configuration_can_be_used() {
-    let (_, default, _) = said(program().args(["config", "default"]));
-    let file = Scratch::new("default.toml", &default);
-    assert_eq!(said(program().arg("check").arg(&file.0)).0, 0);
-    let (_, schema, _) = said(program().args(["config", "schema"]));
+fn the_descriptions_of_the_configuration_can_be_used() {
+    let default = run(program().args(["config", "default"])).output;
+    let file = TemporaryFile::new("default.toml", &default);
+    assert_eq!(run(program().arg("check").arg(file.path())).exit_code, 0);
+    let schema = run(program().args(["config", "schema"])).output;
     let schema: serde_json::Value = serde_json::from_str(&schema).expect("JSON");
     assert_eq!(schema["properties"]["limits"]["properties"]["memory"]["format"], "size");
     for shell in ["bash", "zsh", "fish"] {
-        let (code, out, _) = said(program().args(["completions", shell]));
-        assert!(code == 0 && out.contains("copperspread"), "{shell}");
+        let outcome = run(program().args(["completions", shell]));
+        assert!(outcome.exit_code == 0 && outcome.output.contains("copperspread"), "{shell}");
     }
-    let (code, out, _) = said(program().arg("--version"));
-    assert_eq!((code, &*out), (0, concat!("copperspread-scheduler ", env!("CARGO_PKG_VERSION"), "\n")));
+    let version = run(program().arg("--version"));
+    let expected = concat!("copperspread-scheduler ", env!("CARGO_PKG_VERSION"), "\n");
+    assert_eq!((version.exit_code, &*version.output), (0, expected));
     let platform = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/toy/config.json");
-    let (code, out, _) = said(program().args(["check", platform]));
-    assert!(code == 0 && out.contains("good, the platform's form: n0 listens on 127.0.0.1:8081"), "{out}");
+    let outcome = run(program().args(["check", platform]));
+    let good = "good, the platform's form: n0 listens on 127.0.0.1:8081";
+    assert!(outcome.exit_code == 0 && outcome.output.contains(good), "{outcome:?}");
 }
 
-/// Guards against a recorded run of another program than the one that is measured.
+/// Otherwise a recorded run would be one of another program than the one that is measured.
 #[test]
-fn the_recorded_deployment_differs_from_the_platforms_by_its_records_alone() {
-    let file = |name: &str| {
+fn the_recorded_deployment_differs_from_the_platforms_by_its_event_log_alone() {
+    let deployment = |name: &str| {
         let path = format!("{}/../../deploy/{name}.toml", env!("CARGO_MANIFEST_DIR"));
-        std::fs::read_to_string(path).expect("a deploy file")
+        std::fs::read_to_string(path).expect("a deployment file")
     };
-    let recorded = file("recorded");
+    let recorded = deployment("recorded");
     assert!(recorded.contains("serve --records -\""));
-    assert_eq!(recorded.replace(" --records -", ""), file("balancer"));
+    assert_eq!(recorded.replace(" --records -", ""), deployment("balancer"));
+}
+
+#[test]
+fn the_glossarys_terms_for_the_event_log_work_as_aliases_and_stay_out_of_the_help() {
+    let event = r#"{"v":1,"run":"r","seq":0,"unix_us":1,"mono_us":1,"what":{"kind":"answered","flow":"0000000000000001","class":"a","answer":"served","after_us":5}}"#;
+    let file = TemporaryFile::new("alias.jsonl", &format!("{event}\n"));
+    let cat = |command: &str, option: &str| {
+        run(program().args([command, "cat", option, "0000000000000001"]).arg(file.path()))
+    };
+    let by_page_words = cat("records", "--flow");
+    assert!(by_page_words.exit_code == 0 && by_page_words.output.contains("served"), "{by_page_words:?}");
+    assert_eq!(cat("event-log", "--request"), by_page_words);
+    for arguments in [&["--help"][..], &["records", "cat", "--help"]] {
+        let help = run(program().args(arguments)).output;
+        assert!(!help.contains("event-log") && !help.contains("--request"), "{help}");
+    }
 }
--- a/crates/scheduler/tests/cli_transcripts.rs
+++ b/crates/scheduler/tests/cli_transcripts.rs
@@ -1,6 +1,6 @@
-//! Approved transcripts of the command line and the configuration: what the program prints, word for
-//! word, and with which exit code. The snapshots lie in `snapshots/`; a change there is a change of an
-//! outer form. What is wrong in the cases lies in `bad_input/`, a case a line, `\n` for an end of line.
+//! Approved transcripts of the command line and the configuration: what the program prints, byte for
+//! byte, and with which exit code. The snapshots lie in `snapshots/`; a change there is a change of an
+//! outer form. The invalid inputs lie in `bad_input/`, a case a line, `\n` for an end of line.
 #![cfg(feature = "standalone")]
 use std::fmt::Write;
 use std::net::TcpListener;
@@ -13,19 +13,19 @@
 /// The program's name, which help, version and errors begin with. Masked in the transcripts.
 const NAME: &str = "copperspread-scheduler";
 const MASKED_NAME: &str = "PROGRAM";
-/// Guards against a case that is good after all, and serves without end.
-const LONGEST_RUN: Duration = Duration::from_secs(20);
+/// The longest run: a case that is valid after all would serve without end.
+const MAX_RUN_TIME: Duration = Duration::from_secs(20);
 /// The width of a terminal. Help is broken into lines where another crate of the same build asks clap
 /// for that (the feature `wrap_help`); at this width no line is broken, so that the form is one.
-const COLUMNS: &str = "10000";
+const TERMINAL_COLUMNS: &str = "10000";
 
 fn program() -> Command {
     let mut program = Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
-    program.env_clear().env("RUST_LOG", "off").env("COLUMNS", COLUMNS).timeout(LONGEST_RUN);
+    program.env_clear().env("RUST_LOG", "off").env("COLUMNS", TERMINAL_COLUMNS).timeout(MAX_RUN_TIME);
     program
 }
 
-/// A folder that goes with the test. The program runs in it, so that no path of the machine is printed.
+/// A folder that is removed with the test. The program runs in it, so that no path of the machine is printed.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -82,11 +82,11 @@
 
 /// The transcripts of command lines, each after its arguments.
 fn transcripts_of_arguments(cases: &[&[&str]], folder: &Folder) -> String {
-    let one = |arguments: &&[&str]| {
-        let said = transcript(program().args(*arguments), &folder.0);
-        format!("## {}\n{said}\n", arguments.join(" "))
+    let transcript_of = |arguments: &&[&str]| {
+        let printed = transcript(program().args(*arguments), &folder.0);
+        format!("## {}\n{printed}\n", arguments.join(" "))
     };
-    cases.iter().map(one).collect()
+    cases.iter().map(transcript_of).collect()
 }
 
 #[test]
@@ -108,25 +108,25 @@
         "toy",
     ];
     for command in commands {
-        let mut asked = program();
-        asked.args(command.split_whitespace()).arg("--help");
-        let said = transcript(&mut asked, &folder.0).replace(NAME, MASKED_NAME);
+        let mut help = program();
+        help.args(command.split_whitespace()).arg("--help");
+        let printed = transcript(&mut help, &folder.0).replace(NAME, MASKED_NAME);
         let name = if command.is_empty() { "program" } else { command };
-        insta::assert_snapshot!(format!("help_{}", name.replace(' ', "_")), said);
+        insta::assert_snapshot!(format!("help_{}", name.replace(' ', "_")), printed);
     }
 }
 
 #[test]
-fn what_describes_the_configuration() {
+fn descriptions_of_the_configuration() {
     let folder = Folder::new("describe");
-    for what in ["default", "schema", "page"] {
-        let said = transcript(program().args(["config", what]), &folder.0);
-        insta::assert_snapshot!(format!("config_{what}"), said);
+    for description in ["default", "schema", "page"] {
+        let printed = transcript(program().args(["config", description]), &folder.0);
+        insta::assert_snapshot!(format!("config_{description}"), printed);
     }
 }
 
 #[test]
-fn check_of_good_configurations() {
+fn check_of_valid_configurations() {
     let folder = Folder::new("good");
     folder.write(
         "good.toml",
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn check_of_bad_files() {
+fn check_of_invalid_files() {
     let folder = Folder::new("bad");
     folder.write("short.key", "fifteen bytes..\n");
     folder.write("good.key", "at least sixteen bytes\n");
@@ -159,8 +159,8 @@
         let mut text = String::new();
         for case in cases.lines() {
             folder.write("bad.toml", case.replace("\\n", "\n"));
-            let said = transcript(program().args(["check", "bad.toml"]), &folder.0);
-            write!(text, "## {case}\n{said}\n").expect("a text");
+            let printed = transcript(program().args(["check", "bad.toml"]), &folder.0);
+            write!(text, "## {case}\n{printed}\n").expect("a text");
         }
         // What the machine lets a process open differs.
         let text = mask_between(&text, "is more than the ", " that this process", "ALLOWED");
@@ -169,13 +169,13 @@
 }
 
 #[test]
-fn bad_flags_and_environment() {
+fn invalid_flags_and_environment_variables() {
     let folder = Folder::new("layers");
     let flags = ["x", "=1", "a..b=1", "limits=5", "nothing=1", "limits.memory=5", "attempts.most=0"];
     let mut text = String::new();
     for flag in flags.into_iter().chain(["log.level=loud", "front.http.listen=1", "schedulers=two"]) {
-        let said = transcript(program().args(["check", "--set", flag]), &folder.0);
-        write!(text, "## --set {flag}\n{said}\n").expect("a text");
+        let printed = transcript(program().args(["check", "--set", flag]), &folder.0);
+        write!(text, "## --set {flag}\n{printed}\n").expect("a text");
     }
     for (name, value) in [
         ("COPPERSPREAD_LIMITS__MEMRY", "1 MB"),
@@ -186,14 +186,14 @@
         ("COPPERSPREAD_CONFIG", "absent.toml"),
         ("RUST_LOG", "loud"),
     ] {
-        let said = transcript(program().arg("serve").env(name, value), &folder.0);
-        write!(text, "## {name}={value} serve\n{said}\n").expect("a text");
+        let printed = transcript(program().arg("serve").env(name, value), &folder.0);
+        write!(text, "## {name}={value} serve\n{printed}\n").expect("a text");
     }
     insta::assert_snapshot!("bad_layers", text);
 }
 
 #[test]
-fn bad_command_lines() {
+fn invalid_command_lines() {
     let folder = Folder::new("lines");
     folder.write("platform.json", include_str!("../examples/toy/config.json"));
     folder.write("binary.toml", b"name = '\xff'\n");
@@ -206,7 +206,7 @@
         &["serve", "--config", "a.toml", "--config", "b.toml"],
         &["serve", "--config", "absent.toml"],
         &["serve", "--toy", "--set", "source.kind=targets"],
-        // The first worker of no list cannot be stood for.
+        // With no list there is no worker that the toy could stand for.
         &[
             "serve",
             "--toy",
@@ -234,16 +234,16 @@
 }
 
 #[test]
-fn an_address_that_is_taken_or_not_of_this_machine() {
+fn an_address_that_is_in_use_or_not_of_this_machine() {
     let folder = Folder::new("listen");
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let taken = taken.local_addr().expect("its address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let used_address = listener.local_addr().expect("its address").to_string();
     let mut text = String::new();
     // The second is reserved for documentation; no machine has it.
-    for address in [&*taken, "192.0.2.1:8081"] {
+    for address in [&*used_address, "192.0.2.1:8081"] {
         let set = format!("front.http.listen={address}");
-        let said = transcript(program().args(["serve", "--set", &set]), &folder.0);
-        text += &said.replace(&taken, "127.0.0.1:PORT");
+        let printed = transcript(program().args(["serve", "--set", &set]), &folder.0);
+        text += &printed.replace(&used_address, "127.0.0.1:PORT");
     }
     folder.write("good.key", "at least sixteen bytes\n");
     let member =
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn records_that_cannot_be_read_or_are_none() {
+fn event_logs_that_cannot_be_read_or_hold_no_events() {
     let folder = Folder::new("records");
     folder.write("empty.jsonl", "");
     folder.write("broken.jsonl", "no JSON\n{}\n{\"v\":99}\n[]\n\n{\"v\":1,\"run\":\"torn");
@@ -278,7 +278,7 @@
 /// Each case puts a value in place of a part of a good configuration. Null is read as a field that is
 /// absent.
 #[test]
-fn bad_platform_configurations() {
+fn invalid_platform_configurations() {
     let folder = Folder::new("platform");
     let mut good: Value = serde_json::from_str(include_str!("../examples/toy/config.json")).expect("JSON");
     good["listen"] = json!("127.0.0.1:0");
@@ -301,8 +301,8 @@
         write!(text, "## {whole}\n{}\n", run(whole)).expect("a text");
     }
     for path in ["absent.json", "."] {
-        let said = transcript(program().env("EDGE_CONFIG", path), &folder.0);
-        write!(text, "## EDGE_CONFIG={path}\n{said}\n").expect("a text");
+        let printed = transcript(program().env("EDGE_CONFIG", path), &folder.0);
+        write!(text, "## EDGE_CONFIG={path}\n{printed}\n").expect("a text");
     }
     insta::assert_snapshot!("bad_platform", text);
 }
