--- a/crates/scheduler/tests/standalone.rs
+++ b/crates/scheduler/tests/standalone.rs
@@ -1,15 +1,15 @@
-//! The program without a platform, over sockets: its own configuration, its log, and both while they
-//! fail.
+//! The program without a platform, over sockets: its layered configuration and its log, also where they fail.
 #![cfg(feature = "standalone")]
 mod sockets;
 use std::net::SocketAddr;
 
-use sockets::*;
+use sockets::{Party, Scheduler, reserve};
 
+/// A callback's fields: the job is done.
 const DONE: &str = r#""state":"done","result":"paid""#;
 
-/// A configuration with workers r0, r1, ... in this order.
-fn toml(listen: SocketAddr, workers: &[(&str, SocketAddr)]) -> String {
+/// A configuration whose static list has the workers r0, r1, ... in this order.
+fn config_with_workers(listen: SocketAddr, workers: &[(&str, SocketAddr)]) -> String {
     let mut text = format!("name = 'alone'\n[front.http]\nlisten = '{listen}'\n");
     for (number, (state, address)) in workers.iter().enumerate() {
         text += &format!("[[source.workers]]\nid = 'r{number}'\naddress = '{address}'\nstate = '{state}'\n");
@@ -18,17 +18,18 @@
 }
 
 #[tokio::test]
-async fn a_static_list_serves_and_is_followed_on_sighup() {
+async fn sighup_applies_a_changed_static_list_and_rejects_invalid_files() {
     let (mut one, mut two) = (Party::new().await, Party::new().await);
     let at = [one.address, two.address];
-    let mut scheduler = Scheduler::standalone(|listen| toml(listen, &[("serving", at[0])]), &[]).await;
+    let mut scheduler =
+        Scheduler::standalone(|listen| config_with_workers(listen, &[("serving", at[0])]), &[]).await;
     let mut client = scheduler.client().await;
     client.job("once", 1, 9000).await;
     let id = one.asked().await.accept();
-    let changed = toml(scheduler.address, &[("draining", at[0]), ("serving", at[1])]);
+    let changed = config_with_workers(scheduler.address, &[("draining", at[0]), ("serving", at[1])]);
     let lines = scheduler.reload(&changed).await;
     assert!(lines[0].contains(r#""discovery_changed":true"#), "{lines:?}");
-    // What was taken before ends where it is; what comes goes to the other.
+    // A request that was accepted before ends at its worker; later ones go to the other.
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
     assert_eq!(client.heard().await.expect("an answer").body, "paid");
     for number in 2..5 {
@@ -38,57 +39,60 @@
         assert_eq!(client.heard().await.expect("an answer").status(), 200);
     }
     assert!(one.idle());
-    // Wrong in itself, wrong with another value, cut to nothing: each leaves the list as it is.
-    for bad in [changed.replace("9s", "9 sheep"), changed.replace("aim = '9s'", "aim = '99s'"), String::new()]
+    // Invalid by itself, invalid together with another value, empty: each leaves the list as it is.
+    for invalid in
+        [changed.replace("9s", "9 sheep"), changed.replace("aim = '9s'", "aim = '99s'"), String::new()]
     {
-        let lines = scheduler.reload(&bad).await;
+        let lines = scheduler.reload(&invalid).await;
         assert!(lines[0].contains("the old configuration stays"), "{lines:?}");
     }
     client.job("once", 9, 9000).await;
     two.asked().await.accept();
-    // What only a new start can change is named, whatever part of the file it stands in.
-    let other = "[log]\nformat = 'text'\n[records]\nkeep = 9\nfile = 'r'\n[limits]\ndescriptors = 300\n";
-    let lines = scheduler.reload(&changed.replace("[front", &format!("{other}[front"))).await;
+    // Parts that only a restart can change are named, wherever in the file they stand.
+    let restart_only =
+        "[log]\nformat = 'text'\n[records]\nkeep = 9\nfile = 'r'\n[limits]\ndescriptors = 300\n";
+    let lines = scheduler.reload(&changed.replace("[front", &format!("{restart_only}[front"))).await;
     assert!(lines[0].contains(r#"only with a restart","parts":"limits, log.format, records""#), "{lines:?}");
 }
 
-// Guards against a file that is replaced piece by piece while SIGHUP is heeded: its first half is a
-// good configuration by itself, one that would take the only worker away.
+// A file may be written piece by piece while SIGHUP comes: its first half is a valid configuration by itself,
+// one that would remove the only worker.
 #[tokio::test]
-async fn a_half_written_file_is_waited_for() {
+async fn a_reload_waits_until_its_file_no_longer_changes() {
     for _ in 0..5 {
-        if half_written().await {
+        if reload_while_the_file_is_written().await {
             return;
         }
     }
-    panic!("this machine put the file's states too slowly, five times");
+    panic!("this machine wrote the file too slowly, five times");
 }
 
-/// False where the disk was so slow that the file did stand still half-written for as long as it takes to settle.
-async fn half_written() -> bool {
+/// False where the disk was so slow that the half-written file stayed unchanged for as long as a reload waits.
+async fn reload_while_the_file_is_written() -> bool {
     let (one, mut two) = (Party::new().await, Party::new().await);
     let at = [one.address, two.address];
-    let mut scheduler = Scheduler::standalone(|listen| toml(listen, &[("serving", at[0])]), &[]).await;
-    let whole = toml(scheduler.address, &[("draining", at[0]), ("serving", at[1])]);
+    let mut scheduler =
+        Scheduler::standalone(|listen| config_with_workers(listen, &[("serving", at[0])]), &[]).await;
+    let whole = config_with_workers(scheduler.address, &[("draining", at[0]), ("serving", at[1])]);
     let half = whole.find("[[source.workers]]\nid = 'r1'").expect("a second worker");
-    // Each state of the file is another one, as fast as they can be put there, for several times as long
-    // as it takes to settle; a rename, so that no state between them is ever seen.
+    // The content changes as fast as it can, for several times as long as a reload waits for; by renames, so
+    // that no state in between is ever read.
     let (draft, began) = (scheduler.path.with_extension("draft"), std::time::Instant::now());
-    let put = |text: &str| {
+    let replace_file = |text: &str| {
         std::fs::write(&draft, text).expect("a draft");
         std::fs::rename(&draft, &scheduler.path).expect("in place");
     };
-    put(&whole[..half]);
+    replace_file(&whole[..half]);
     scheduler.signal("HUP").await;
-    let (mut state, mut last, mut longest) = (0, began, 0);
+    let (mut version, mut last_change, mut longest_pause) = (0, began, 0);
     while began.elapsed().as_millis() < 300 {
-        state += 1;
-        put(&format!("{}# {state}\n", &whole[..half]));
-        longest = longest.max(last.elapsed().as_millis());
-        last = std::time::Instant::now();
+        version += 1;
+        replace_file(&format!("{}# {version}\n", &whole[..half]));
+        longest_pause = longest_pause.max(last_change.elapsed().as_millis());
+        last_change = std::time::Instant::now();
     }
-    put(&whole);
-    if longest.max(last.elapsed().as_millis()) >= 40 {
+    replace_file(&whole);
+    if longest_pause.max(last_change.elapsed().as_millis()) >= 40 {
         return false;
     }
     let lines = scheduler.told_of_configuration().await;
@@ -103,14 +107,15 @@
 }
 
 #[tokio::test]
-async fn sigterm_during_a_reload_ends_the_program_with_all_answered() {
+async fn sigterm_while_a_reload_waits_drops_the_reload_and_completes_every_request() {
     let mut one = Party::new().await;
     let at = one.address;
-    let mut scheduler = Scheduler::standalone(|listen| toml(listen, &[("serving", at)]), &[]).await;
+    let mut scheduler =
+        Scheduler::standalone(|listen| config_with_workers(listen, &[("serving", at)]), &[]).await;
     let mut client = scheduler.client().await;
     client.job("once", 1, 9000).await;
     let id = one.asked().await.accept();
-    // One shell sends them, so that they lie closer together than a file takes to settle.
+    // One shell sends them, so that they come closer together than a reload waits for its file.
     scheduler.signals(&["HUP", "TERM", "HUP"]).await;
     let line = scheduler.line().await;
     assert!(
@@ -123,11 +128,12 @@
 }
 
 #[tokio::test]
-async fn the_log_is_json_with_spans_and_its_level_follows_sighup() {
+async fn the_log_is_json_with_spans_and_sighup_changes_its_level() {
     let mut one = Party::new().await;
     let at = one.address;
-    let mut scheduler = Scheduler::standalone(|listen| toml(listen, &[("serving", at)]), &[]).await;
-    let text = toml(scheduler.address, &[("serving", at)]);
+    let mut scheduler =
+        Scheduler::standalone(|listen| config_with_workers(listen, &[("serving", at)]), &[]).await;
+    let text = config_with_workers(scheduler.address, &[("serving", at)]);
     // Quiet at info: the first line after the start is the reload's.
     let mut client = scheduler.client().await;
     client.job("once", 1, 9000).await;
@@ -142,7 +148,7 @@
     let id = one.asked().await.accept();
     scheduler.call_back(&id, "r0", DONE).await;
     client.heard().await.expect("an answer");
-    // The 202 may be heard after the call-back, so the two lines come in either order.
+    // The 202 may arrive after the callback, so the two lines come in either order.
     let (mut answered, mut handed) = (None, None);
     while answered.is_none() || handed.is_none() {
         let line: serde_json::Value = serde_json::from_str(&scheduler.line().await).expect("a JSON line");
@@ -161,15 +167,16 @@
     );
 }
 
-// Guards against a log that nobody reads: its pipe fills, and the scheduler serves on and ends.
+/// Its pipe fills up.
 #[tokio::test]
 async fn a_log_that_nobody_reads_neither_blocks_nor_ends_the_program() {
     let mut one = Party::new().await;
     let at = one.address;
     let level = [("RUST_LOG", "trace")];
-    let mut scheduler = Scheduler::standalone(|listen| toml(listen, &[("serving", at)]), &level).await;
+    let mut scheduler =
+        Scheduler::standalone(|listen| config_with_workers(listen, &[("serving", at)]), &level).await;
     let mut client = scheduler.client().await;
-    // Some lines of some hundred bytes a job: more than a pipe holds, and nobody takes one.
+    // Some lines of some hundred bytes a job: more than a pipe holds, and nobody reads one.
     for number in 1..400 {
         scheduler.serves(&mut client, &mut one, number, DONE).await;
     }
@@ -183,11 +190,11 @@
     assert!(bytes > 60_000, "the pipe was full: {bytes} bytes in {lines} lines");
 }
 
-// The README's first command, with ports of the test's own.
+/// The README's first command, with other ports.
 #[tokio::test]
-async fn the_default_serves_a_job_with_its_toy() {
+async fn the_default_configuration_serves_a_job_with_the_toy_worker() {
     let (_reserved, worker) = reserve();
-    let text = |listen| toml(listen, &[("serving", worker)]);
+    let text = |listen| config_with_workers(listen, &[("serving", worker)]);
     let scheduler = Scheduler::standalone_with(&["--toy"], text, &[]).await;
     let mut client = scheduler.client().await;
     client.job("once", 7, 9000).await;
--- a/crates/scheduler/tests/wire_transcripts.rs
+++ b/crates/scheduler/tests/wire_transcripts.rs
@@ -1,5 +1,5 @@
 //! Transcripts of all that the program writes to others, byte by byte: to workers, discovery and clients,
-//! and into its records. Only what differs from run to run is masked. `\r\n` stands where the bytes are.
+//! and into its event log. Only what differs from run to run is masked. `\r\n` stands where those bytes are.
 #![cfg(feature = "standalone")]
 mod sockets;
 use std::collections::BTreeMap;
@@ -8,17 +8,18 @@
 
 use copperspread_event_log::{EventKind, FORMAT, Record};
 use insta::assert_snapshot;
-use sockets::*;
+use sockets::{Capture, Party, Scheduler, job, list, member, within};
 
 const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
 const CLUSTER: &str = "GET /-/cluster HTTP/1.1\r\nHost: s\r\n\r\n";
+/// A callback's fields: the job is done, and a load report.
 const DONE: &str = r#""state":"done","result":"paid","load":{"x0":1.5,"queue":3}"#;
-/// Headers that concern only the client's connection.
+/// Headers that concern only the client's connection and are not forwarded.
 const HOP_BY_HOP: &str = "Connection: keep-alive\r\nKeep-Alive: timeout=5\r\nProxy-Connection: keep-alive\r\n\
                           TE: trailers\r\nTrailer: X-Sum\r\nUpgrade: h2c\r\nExpect: 100-continue\r\n";
 
-/// Masks what stands after each such text, up to the first character that does not belong to it.
-fn masked(text: &str, after: &str, belongs: fn(char) -> bool) -> String {
+/// Masks what follows each `after`, up to the first character that does not belong to it.
+fn mask_after(text: &str, after: &str, belongs: fn(char) -> bool) -> String {
     let mut parts = text.split(after);
     let mut masked = parts.next().unwrap_or_default().to_owned();
     for part in parts {
@@ -30,38 +31,38 @@
 }
 
 /// Masks the numbers after such texts.
-fn numbers_masked(text: &str, after: &[&str]) -> String {
-    let of_number = |character: char| character.is_ascii_digit() || character == '.';
-    after.iter().fold(text.to_owned(), |text, after| masked(&text, after, of_number))
+fn mask_numbers_after(text: &str, after: &[&str]) -> String {
+    let is_of_number = |character: char| character.is_ascii_digit() || character == '.';
+    after.iter().fold(text.to_owned(), |text, after| mask_after(&text, after, is_of_number))
 }
 
 /// An HTTP message as it is pinned.
 fn transcript(message: &str) -> String {
-    let message = masked(message, "\r\ndate: ", |character| character != '\r');
-    let message = numbers_masked(&message, &["127.0.0.1:", "x-timeout: ", "retry-after: "]);
+    let message = mask_after(message, "\r\ndate: ", |character| character != '\r');
+    let message = mask_numbers_after(&message, &["127.0.0.1:", "x-timeout: ", "retry-after: "]);
     message.replace("\r\n", "\\r\\n\n")
 }
 
-/// Several, each under its name.
-fn named(transcripts: &[(&str, String)]) -> String {
-    let named = transcripts.iter().map(|(name, message)| format!("--- {name}\n{}\n", transcript(message)));
-    named.collect()
+/// Several HTTP messages, each under its name.
+fn with_names(transcripts: &[(&str, String)]) -> String {
+    let texts = transcripts.iter().map(|(name, message)| format!("--- {name}\n{}\n", transcript(message)));
+    texts.collect()
 }
 
-/// What a worker answers.
-fn as_worker(first: &str) -> String {
+/// A worker's response to a request line.
+fn worker_response(first: &str) -> String {
     let status = if first.starts_with("POST") { "202 Accepted" } else { "200 OK" };
     format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// A discovery that answers whole lists and breaks each watch.
-fn as_discovery(first: &str) -> String {
+/// The response of a discovery that sends complete lists and breaks each watch.
+fn discovery_response(first: &str) -> String {
     let body = list(5, true, &[]);
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     if first.contains('?') { String::new() } else { answer }
 }
 
-/// The configuration, with its discovery elsewhere.
+/// The configuration with another discovery.
 fn with_discovery(config: &str, address: SocketAddr) -> String {
     let (before, rest) = config.split_once(r#""discovery":""#).expect("a discovery");
     let (_, after) = rest.split_once('"').expect("its end");
@@ -69,8 +70,8 @@
 }
 
 #[tokio::test]
-async fn jobs_written_to_a_worker() {
-    let mut worker = Capture::new(as_worker).await;
+async fn requests_sent_to_a_worker() {
+    let mut worker = Capture::new(worker_response).await;
     let scheduler = Scheduler::start(&[worker.address]).await;
     let mut requests = Vec::new();
     for (id, class) in (1..).zip(["safe", "keyed", "once"]) {
@@ -79,7 +80,7 @@
         let mut client = scheduler.client().await;
         client.send(&text).await;
         requests.push((class, worker.request().await));
-        // Kept until the end of the job: one that goes has it cancelled.
+        // The client stays until the job ends: disconnecting would cancel it.
         assert_eq!(scheduler.call_back(&format!("{id:016x}"), "r0", DONE).await, 204);
         assert_eq!(client.heard_bytes().await, "HTTP/1.1 100 Continue\r\n\r\n");
         assert_eq!(client.heard().await.expect("an answer").status(), 200);
@@ -91,12 +92,12 @@
     let mut client = scheduler.client().await;
     client.send(&job("once", 5, 9000).replace("Content-Length: 2\r\n\r\nhi", "\r\n")).await;
     requests.push(("once, without a body", worker.request().await));
-    assert_snapshot!("jobs_written_to_a_worker", named(&requests));
+    assert_snapshot!("jobs_written_to_a_worker", with_names(&requests));
 }
 
 #[tokio::test]
-async fn a_cancel_written_to_a_worker() {
-    let mut worker = Capture::new(as_worker).await;
+async fn a_cancel_sent_to_a_worker() {
+    let mut worker = Capture::new(worker_response).await;
     let scheduler = Scheduler::start(&[worker.address]).await;
     let mut client = scheduler.client().await;
     client.job("safe", 1, 9000).await;
@@ -107,8 +108,8 @@
 }
 
 #[tokio::test]
-async fn a_load_probe_written_to_a_worker() {
-    let mut worker = Capture::new(as_worker).await;
+async fn a_load_query_sent_to_a_worker() {
+    let mut worker = Capture::new(worker_response).await;
     let probed = |config: String| {
         let config = config.replace(r#""send_cap""#, r#""probes":true,"send_cap""#);
         config.replace(r#""unknown""#, r#""load_info":{"how":"pull"},"penalties":{"probe":0.002},"unknown""#)
@@ -118,9 +119,9 @@
 }
 
 #[tokio::test]
-async fn calls_written_to_discovery() {
+async fn polls_and_watches_sent_to_discovery() {
     for kind in ["pushed", "on_request"] {
-        let mut discovery = Capture::new(as_discovery).await;
+        let mut discovery = Capture::new(discovery_response).await;
         let address = discovery.address;
         let watching = |config: String| {
             with_discovery(&config, address)
@@ -131,12 +132,12 @@
         for name in ["the whole list", "a watch", "the whole list after a watch that broke"] {
             calls.push((name, discovery.request().await));
         }
-        assert_snapshot!("calls_written_to_discovery", named(&calls));
+        assert_snapshot!("calls_written_to_discovery", with_names(&calls));
     }
 }
 
 #[tokio::test]
-async fn answers_to_clients() {
+async fn responses_to_clients() {
     let mut worker = Party::new().await;
     let scheduler = Scheduler::start(&[worker.address]).await;
     let mut answers = Vec::new();
@@ -168,11 +169,11 @@
     }
     let scheduler = Scheduler::start(&[]).await;
     answers.push(("refused", scheduler.client().await.ask_bytes(&job("once", 1, 9000)).await));
-    assert_snapshot!("answers_to_clients", named(&answers));
+    assert_snapshot!("answers_to_clients", with_names(&answers));
 }
 
 #[tokio::test]
-async fn answers_to_call_backs() {
+async fn responses_to_callbacks() {
     let mut worker = Party::new().await;
     let scheduler = Scheduler::start(&[worker.address]).await;
     let mut client = scheduler.client().await;
@@ -184,7 +185,7 @@
         let last = format!(r#""state":"{state}"{result},"load":{{"x0":4}}"#);
         for news in [r#""state":"started""#, r#""state":"running","share":0.5"#, &last] {
             let body = format!(r#"{{"id":"{id}","from":"r0",{news}}}"#);
-            lines += &format!("{body}\n  {}\n", call_back(&scheduler, &body).await);
+            lines += &format!("{body}\n  {}\n", callback_response(&scheduler, &body).await);
         }
         lines += &format!("  and the client: {}\n", client.heard().await.expect("an answer").first);
     }
@@ -198,13 +199,13 @@
         r#"{"id":"0000000000000001","from":"r0","state":"running"}"#,
         r#"{"id":"0000000000000001","from":"r0","state":"done"}"#,
     ] {
-        lines += &format!("{body}\n  {}\n", call_back(&scheduler, body).await);
+        lines += &format!("{body}\n  {}\n", callback_response(&scheduler, body).await);
     }
     assert_snapshot!("answers_to_call_backs", lines);
 }
 
-/// A call-back's answer on one line.
-async fn call_back(scheduler: &Scheduler, body: &str) -> String {
+/// The response to a callback, on one line.
+async fn callback_response(scheduler: &Scheduler, body: &str) -> String {
     let length = body.len();
     let text = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{body}");
     transcript(&scheduler.client().await.ask_bytes(&text).await).trim_end().replace('\n', " ")
@@ -225,11 +226,11 @@
     answers.push(("a job taken before", client.heard_bytes().await));
     assert!(client.ended().await);
     assert!(within("its end", scheduler.child.wait()).await.expect("it ended").success());
-    assert_snapshot!("readiness_before_and_after_sigterm", named(&answers));
+    assert_snapshot!("readiness_before_and_after_sigterm", with_names(&answers));
 }
 
 #[tokio::test]
-async fn the_view_of_a_cluster() {
+async fn the_status_page_of_a_cluster() {
     let key =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("transcript-{}.key", std::process::id()));
     std::fs::write(&key, "a key for this test alone\n").expect("a file");
@@ -256,30 +257,30 @@
     let varies = ["generation", "doubt", "pauses", "packets_in", "packets_out", "bytes_in", "bytes_out"];
     let varies = varies.map(|name| format!("\"{name}\":"));
     let varies: Vec<&str> = varies.iter().map(String::as_str).chain(["content-length: "]).collect();
-    assert_snapshot!("the_view_of_a_cluster", transcript(&numbers_masked(&seen, &varies)));
+    assert_snapshot!("the_view_of_a_cluster", transcript(&mask_numbers_after(&seen, &varies)));
 }
 
-/// A record's line as it is pinned.
-fn record_line(line: &str) -> String {
+/// An event's line as it is pinned.
+fn event_line(line: &str) -> String {
     let line = line.replace(env!("CARGO_PKG_VERSION"), "[version]");
-    let line = masked(&line, r#""run":""#, |character| character != '"');
+    let line = mask_after(&line, r#""run":""#, |character| character != '"');
     let clocks = [r#""seq":"#, r#""unix_us":"#, r#""mono_us":"#];
     let spans = [r#""time_left_us":"#, r#""estimate_us":"#, r#""retry_after_us":"#, r#""late_by_us":"#];
-    let line = numbers_masked(&numbers_masked(&line, &clocks), &spans);
-    numbers_masked(&line, &[r#""elapsed_us":"#, r#""after_us":"#])
+    let line = mask_numbers_after(&mask_numbers_after(&line, &clocks), &spans);
+    mask_numbers_after(&line, &[r#""elapsed_us":"#, r#""after_us":"#])
 }
 
-/// A file for records, of the test's own.
-fn scratch(name: &str) -> PathBuf {
+/// A path for the event log of one test.
+fn event_log_path(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("copperspread-{}-{name}.jsonl", std::process::id()));
     let _ = std::fs::remove_file(&path);
     path
 }
 
 #[tokio::test]
-async fn records_of_each_kind() {
+async fn events_of_each_kind() {
     let mut worker = Party::new().await;
-    let file = scratch("kinds");
+    let file = event_log_path("kinds");
     let at = worker.address;
     let text = |listen| {
         format!(
@@ -300,7 +301,7 @@
     assert_eq!(scheduler.news("no JSON").await, 400);
     client.job("once", 3, 0).await;
     assert_eq!(client.heard().await.expect("an answer").status(), 503);
-    // One whose client goes.
+    // One whose client disconnects.
     client.job("once", 4, 9000).await;
     let id = worker.asked().await.accept();
     scheduler.call_back(&id, "r0", r#""state":"started""#).await;
@@ -310,30 +311,30 @@
     assert!(scheduler.child.wait().await.expect("it ends").success());
     let written = std::fs::read_to_string(&file).expect("records");
     let _ = std::fs::remove_file(&file);
-    // A gap needs a queue that is full: its form alone is pinned.
+    // A gap needs a full queue: only its form is pinned.
     let (what, run) = (EventKind::Gap { dropped: 3 }, "none".to_owned());
     let gap = Record { v: FORMAT, run, seq: 9, unix_us: 1, mono_us: 1, event: what };
     let gap = serde_json::to_string(&gap).expect("JSON");
     assert_snapshot!("records_of_each_kind", first_of_each(written.lines().chain([gap.as_str()])));
 }
 
-/// The first record of each kind with its choice, reason, outcome, answer and form, in the order of these.
+/// The first event of each combination of kind, choice, reason, outcome, answer and form, in this order.
 fn first_of_each<'a>(lines: impl Iterator<Item = &'a str>) -> String {
     let mut first = BTreeMap::new();
     for line in lines {
         let record: serde_json::Value = serde_json::from_str(line).expect("JSON");
         let named = ["kind", "choice", "why", "outcome", "answer", "form"];
         let key = named.map(|name| record["what"][name].to_string());
-        first.entry(key).or_insert_with(|| record_line(line));
+        first.entry(key).or_insert_with(|| event_line(line));
     }
     first.into_values().collect::<Vec<_>>().join("\n")
 }
 
-// What a static list does not hold, and what is refused for other reasons.
+/// What a static list cannot show, and further reasons to reject.
 #[tokio::test]
-async fn records_of_lists_and_refusals() {
+async fn events_of_endpoint_lists_and_rejections() {
     let mut worker = Party::new().await;
-    let file = scratch("lists");
+    let file = event_log_path("lists");
     let command = format!(
         r#"sed -i 's/"up_since_ms":0/"up_since_ms":1000/' "$EDGE_CONFIG"; exec "$PROGRAM" serve --records '{}'"#,
         file.display()
@@ -344,7 +345,7 @@
     let long = job("once", 2, 9000).replace("X-Cost: 1000\r", "X-Cost: 100000000\r");
     assert_eq!(client.ask(&long).await.status(), 503);
     let gone = list(6, false, &[member("r0", worker.address, "DELETED")]);
-    // The next watch tells that the list was taken; a call that was given up meanwhile comes again.
+    // The next watch shows that the list was applied; a poll that was cancelled meanwhile is sent again.
     loop {
         let asked = scheduler.discovery.asked().await;
         if asked.message.first.contains("from=6") {
