--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -1,42 +1,37 @@
-//! The command line.
+//! The command line's grammar. The doc comments below are the help that is printed.
 use std::path::PathBuf;
 
-use clap::{CommandFactory, Parser, Subcommand};
-
-use crate::origin::Origin;
-use crate::serve;
-#[cfg(feature = "standalone")]
-use crate::standalone;
+use clap::{Parser, Subcommand};
 
 /// Pushes jobs to workers: to the one with the lowest estimated finish time, or refuses on arrival.
 #[derive(Debug, Parser)]
 #[command(name = "copperspread-scheduler", version, arg_required_else_help = false)]
 #[command(after_help = "With no command, EDGE_CONFIG must name the platform's configuration.")]
-struct Line {
+pub(crate) struct CommandLine {
     #[command(subcommand)]
-    command: Option<Command>,
+    pub(crate) command: Option<Command>,
 }
 
 #[derive(Debug, Subcommand)]
-enum Command {
+pub(crate) enum Command {
     /// Serve until SIGTERM; SIGHUP reads the configuration again
-    Serve(Serve),
+    Serve(ServeArguments),
     /// Check a configuration and print what is in force, with each value's origin
     #[cfg(feature = "standalone")]
     Check {
         #[command(flatten)]
-        layers: Layers,
+        layers: LayerArguments,
         /// The file: TOML, or the platform's JSON if it ends in .json; absent, the built-in default
         file: Option<PathBuf>,
     },
     /// Describe the configuration
     #[cfg(feature = "standalone")]
     #[command(subcommand)]
-    Config(Describe),
+    Config(ConfigDescription),
     /// Read records
     #[cfg(feature = "standalone")]
-    #[command(subcommand)]
-    Records(Records),
+    #[command(subcommand, alias = "event-log")]
+    Records(EventLogCommand),
     /// Print a shell's completions
     #[cfg(feature = "standalone")]
     Completions {
@@ -54,17 +49,17 @@
 
 #[cfg(feature = "standalone")]
 #[derive(Debug, Subcommand)]
-enum Records {
+pub(crate) enum EventLogCommand {
     /// Print the records as they are, without what is no record; what is missing goes to standard error
     Cat {
         /// The file
         file: PathBuf,
         /// Only those that name this flow
-        #[arg(long)]
-        flow: Option<String>,
+        #[arg(long = "flow", alias = "request", value_name = "FLOW")]
+        request_id: Option<String>,
         /// The files put aside before it too, oldest first
-        #[arg(long)]
-        all: bool,
+        #[arg(long = "all")]
+        with_rotated: bool,
     },
     /// Sum those of many schedulers by time and by worker, as `serve --records` kept them
     Fleet {
@@ -72,51 +67,52 @@
         #[arg(required = true)]
         files: Vec<PathBuf>,
         /// Seconds that are summed in one line
-        #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..))]
-        window: u64,
+        #[arg(long = "window", default_value_t = 5, value_name = "WINDOW")]
+        #[arg(value_parser = clap::value_parser!(u64).range(1..))]
+        window_seconds: u64,
         /// Workers that are told of, those with the most jobs out at once first
-        #[arg(long, default_value_t = 20)]
-        workers: usize,
+        #[arg(long = "workers", default_value_t = 20, value_name = "WORKERS")]
+        max_workers: usize,
     },
     /// Sum them up: runs, gaps, disorder, and what clients got
     Stat {
         /// The file
         file: PathBuf,
         /// The files put aside before it too, oldest first
-        #[arg(long)]
-        all: bool,
+        #[arg(long = "all")]
+        with_rotated: bool,
     },
 }
 
 #[derive(Debug, Default, clap::Args)]
-struct Serve {
+pub(crate) struct ServeArguments {
     #[cfg(feature = "standalone")]
     #[command(flatten)]
-    layers: Layers,
+    pub(crate) layers: LayerArguments,
     /// The configuration, TOML; absent, EDGE_CONFIG's if that is set, or else the built-in default
     #[cfg(feature = "standalone")]
-    #[arg(long, env = "COPPERSPREAD_CONFIG", value_name = "FILE")]
-    config: Option<PathBuf>,
+    #[arg(long = "config", env = "COPPERSPREAD_CONFIG", value_name = "FILE")]
+    pub(crate) config_file: Option<PathBuf>,
     /// Run a toy real server too, in place of the first worker of the static list
     #[cfg(feature = "toy")]
-    #[arg(long)]
-    toy: bool,
+    #[arg(long = "toy")]
+    pub(crate) with_toy_worker: bool,
     /// Keep records in a file, or `-` on standard error, whatever the configuration says
-    #[arg(long, value_name = "FILE")]
-    records: Option<PathBuf>,
+    #[arg(long = "records", value_name = "FILE")]
+    pub(crate) event_log_file: Option<PathBuf>,
 }
 
 #[cfg(feature = "standalone")]
 #[derive(Debug, Default, clap::Args)]
-pub(crate) struct Layers {
+pub(crate) struct LayerArguments {
     /// Set a value, before all else: --set limits.memory="64 MB"; may come several times
-    #[arg(long, value_name = "KEY=VALUE")]
-    pub(crate) set: Vec<String>,
+    #[arg(long = "set", value_name = "KEY=VALUE")]
+    pub(crate) overrides: Vec<String>,
 }
 
 #[cfg(feature = "standalone")]
 #[derive(Debug, Subcommand)]
-enum Describe {
+pub(crate) enum ConfigDescription {
     /// The JSON Schema
     Schema,
     /// The built-in default, as a file with comments
@@ -124,65 +120,3 @@
     /// The reference page, docs/configuration.md
     Page,
 }
-
-/// Does what the command line asks for.
-pub fn run() -> Result<(), String> {
-    let line = Line::parse();
-    match line.command {
-        None if Origin::of_platform().is_none() => {
-            // As ever, one clear line; the help is for those who ask.
-            let name = Line::command().get_name().to_owned();
-            Err(format!("EDGE_CONFIG names no configuration, and no command was given; try `{name} --help`"))
-        }
-        None => serve_as(&Serve::default()),
-        Some(Command::Serve(serve)) => serve_as(&serve),
-        #[cfg(feature = "standalone")]
-        Some(Command::Check { layers, file }) => standalone::check(file.as_deref(), &layers.set),
-        #[cfg(feature = "standalone")]
-        Some(Command::Config(Describe::Schema)) => standalone::print(&standalone::schema()?),
-        #[cfg(feature = "standalone")]
-        Some(Command::Config(Describe::Default)) => standalone::print(&standalone::default()?),
-        #[cfg(feature = "standalone")]
-        Some(Command::Config(Describe::Page)) => standalone::print(&copperspread_config::reference_page()),
-        #[cfg(feature = "standalone")]
-        Some(Command::Records(Records::Cat { file, flow, all })) => {
-            standalone::records_cat(&file, flow.as_deref(), all)
-        }
-        #[cfg(feature = "standalone")]
-        Some(Command::Records(Records::Stat { file, all })) => standalone::records_stat(&file, all),
-        #[cfg(feature = "standalone")]
-        Some(Command::Records(Records::Fleet { files, window, workers })) => {
-            standalone::records_fleet(&files, window, workers)
-        }
-        #[cfg(feature = "standalone")]
-        Some(Command::Completions { shell }) => {
-            clap_complete::generate(
-                shell,
-                &mut Line::command(),
-                "copperspread-scheduler",
-                &mut std::io::stdout(),
-            );
-            Ok(())
-        }
-        #[cfg(feature = "toy")]
-        Some(Command::Toy { scheduler }) => serve::toy(scheduler),
-    }
-}
-
-fn serve_as(asked: &Serve) -> Result<(), String> {
-    #[cfg(feature = "standalone")]
-    if asked.config.is_some() || !asked.layers.set.is_empty() || Origin::of_platform().is_none() {
-        let origin = Origin::Standalone {
-            file: asked.config.clone(),
-            flags: asked.layers.set.clone(),
-            seed: fastrand::u64(..),
-        };
-        return serve::run(&origin, asked.toy, asked.records.as_deref());
-    }
-    #[cfg(feature = "toy")]
-    let toy = asked.toy;
-    #[cfg(not(feature = "toy"))]
-    let toy = false;
-    let origin = Origin::of_platform().ok_or("EDGE_CONFIG names no configuration")?;
-    serve::run(&origin, toy, asked.records.as_deref())
-}
--- /dev/null
+++ b/crates/scheduler/src/toy_worker.rs
@@ -0,0 +1,139 @@
+//! A toy worker and the discovery that lists it, to try the scheduler with. See README.md.
+//!
+//! The worker accepts any job, works on it for as long as `X-Cost` says and calls back. It runs one job at a
+//! time in each of its two slots and reports the slots that are free. It is no worker for others: it listens
+//! on loopback only.
+use std::future::IntoFuture;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use axum::Router;
+use axum::body::Bytes;
+use axum::extract::Request;
+use axum::http::{HeaderMap, StatusCode};
+use axum::routing::{any, get};
+use http_body_util::Full;
+use hyper_util::client::legacy::{Client, connect::HttpConnector};
+use hyper_util::rt::TokioExecutor;
+use tokio::net::TcpListener;
+use tokio::sync::Semaphore;
+use tokio::time::sleep;
+use tracing::{debug, info, warn};
+
+/// Where the discovery listens.
+const DISCOVERY_ADDRESS: &str = "127.0.0.1:8500";
+/// The worker's name in the built-in default and in the discovery's list.
+const DEFAULT_WORKER_NAME: &str = "toy-1";
+/// Its address there.
+const DEFAULT_WORKER_ADDRESS: &str = "127.0.0.1:9001";
+/// Jobs that run at once.
+const SLOTS: usize = 2;
+/// How long a job takes that does not say so, in microseconds.
+const DEFAULT_COST_MICROS: u64 = 100_000;
+
+type CallbackClient = Client<HttpConnector, Full<Bytes>>;
+
+/// What all jobs of one worker share.
+#[derive(Clone)]
+struct ToyWorker {
+    client: CallbackClient,
+    scheduler: SocketAddr,
+    name: Arc<str>,
+    slots: Arc<Semaphore>,
+}
+
+impl ToyWorker {
+    fn new(scheduler: SocketAddr, name: &str) -> ToyWorker {
+        ToyWorker {
+            client: Client::builder(TokioExecutor::new()).build_http(),
+            scheduler,
+            name: name.into(),
+            slots: Arc::new(Semaphore::new(SLOTS)),
+        }
+    }
+
+    /// Accepts a job. Its task ends when the job is done or with the runtime.
+    fn accept(self, headers: &HeaderMap, request: &Request) -> StatusCode {
+        let header = |name| headers.get(name).and_then(|value| value.to_str().ok());
+        let Some(id) = header("x-request-id") else { return StatusCode::NOT_FOUND };
+        let cost_us = header("x-cost").and_then(|cost| cost.parse().ok()).unwrap_or(DEFAULT_COST_MICROS);
+        let (method, uri) = (request.method(), request.uri());
+        info!(request_id = id, cost_us, %method, %uri, "toy worker accepted a job");
+        tokio::spawn(self.run_job(id.to_owned(), Duration::from_micros(cost_us)));
+        StatusCode::ACCEPTED
+    }
+
+    /// Waits for a slot, then works and calls back at the start and at the end.
+    async fn run_job(self, id: String, cost: Duration) {
+        let Ok(slot) = self.slots.acquire().await else { return };
+        let name = &self.name;
+        self.send_callback(format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#)).await;
+        sleep(cost).await;
+        drop(slot);
+        let free = self.slots.available_permits();
+        let result = format!(r#""state":"done","result":"{id} is done","load":{{"x0":{free},"waiting":0}}"#);
+        self.send_callback(format!(r#"{{"id":"{id}","from":"{name}",{result}}}"#)).await;
+    }
+
+    /// Calls the scheduler back once; a real worker would retry.
+    async fn send_callback(&self, body: String) {
+        let uri = format!("http://{}/_jobs/news", self.scheduler);
+        let request = hyper::Request::post(uri).body(Full::from(body)).expect("a valid request");
+        match self.client.request(request).await {
+            Ok(response) => debug!(status = response.status().as_u16(), "toy worker's callback was answered"),
+            Err(error) => warn!(%error, "toy worker's callback failed"),
+        }
+    }
+}
+
+/// Answers with the complete list. A watch from its only revision is held open for as long as it asks.
+async fn answer_with_list(request: Request) -> String {
+    let query = request.uri().query().unwrap_or_default();
+    let number = |name| query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse::<u64>().ok());
+    if number("from=") == Some(1) {
+        sleep(Duration::from_millis(number("hold_ms=").unwrap_or(0))).await;
+    }
+    let placement = r#""locality":"a","flavor":"toy","cell":0,"phase":"SERVING","size":1.0,"up_since_ms":0"#;
+    let (name, address) = (DEFAULT_WORKER_NAME, DEFAULT_WORKER_ADDRESS);
+    let endpoint = format!(r#"{{"id":"{name}","host_port":"{address}",{placement}}}"#);
+    format!(r#"{{"revision":1,"complete":true,"members":[{endpoint}]}}"#)
+}
+
+/// Serves as a worker of this name and address until the task is dropped.
+///
+/// # Errors
+/// An address that cannot be listened on, or that is not loopback.
+pub(crate) async fn serve(scheduler: SocketAddr, name: &str, address: &str) -> io::Result<()> {
+    let worker = ToyWorker::new(scheduler, name);
+    let accept = move |headers: HeaderMap, request: Request| async move { worker.accept(&headers, &request) };
+    let listener = listen(address).await?;
+    info!(worker = name, address, "toy worker is listening");
+    let router = Router::new().route("/jobs/{id}", any(async || StatusCode::NO_CONTENT)).fallback(accept);
+    axum::serve(listener, router).await
+}
+
+/// Serves as the default worker and as the discovery that lists it.
+///
+/// # Errors
+/// As [`serve`].
+pub(crate) async fn serve_with_discovery(scheduler: SocketAddr) -> io::Result<()> {
+    let listener = listen(DISCOVERY_ADDRESS).await?;
+    let router = Router::new().route("/api/targets", get(answer_with_list));
+    info!(address = DISCOVERY_ADDRESS, "toy discovery is listening");
+    tokio::try_join!(
+        axum::serve(listener, router).into_future(),
+        serve(scheduler, DEFAULT_WORKER_NAME, DEFAULT_WORKER_ADDRESS)
+    )?;
+    Ok(())
+}
+
+async fn listen(address: &str) -> io::Result<TcpListener> {
+    let with_address = |error: io::Error| io::Error::new(error.kind(), format!("{address}: {error}"));
+    let parsed: SocketAddr = address.parse().map_err(io::Error::other).map_err(with_address)?;
+    if !parsed.ip().is_loopback() {
+        return Err(with_address(io::Error::other("is not a loopback address")));
+    }
+    TcpListener::bind(parsed).await.map_err(with_address)
+}
