--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -14,5 +14,5 @@
 mod links;
 mod plan;
 
-pub use links::{Links, Weather};
-pub use plan::{Act, Fault, Plan, plans};
+pub use links::{LinkConditions, NetworkLinks};
+pub use plan::{Fault, FaultPlan, ProcessAction, plans};
--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -8,78 +8,85 @@
 
 /// What happens to packets on links that are not cut.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weather {
+pub struct LinkConditions {
     /// The share that is lost.
-    pub lose: f64,
+    pub loss_rate: f64,
     /// The share that comes twice.
-    pub double: f64,
+    pub duplication_rate: f64,
     /// The share that is held back, so that later packets overtake it.
-    pub hold: f64,
+    pub extra_delay_rate: f64,
     /// For how long.
-    pub held: Duration,
+    pub extra_delay: Duration,
     /// Shortest time on the way.
-    pub least: Duration,
+    pub min_delay: Duration,
     /// Longest time on the way; each packet's own lies between, so that packets overtake each other.
-    pub most: Duration,
+    pub max_delay: Duration,
 }
 
-impl Weather {
+impl LinkConditions {
     /// All packets come, once and at once.
-    pub const FAIR: Weather = Weather {
-        lose: 0.0,
-        double: 0.0,
-        hold: 0.0,
-        held: Duration::ZERO,
-        least: Duration::ZERO,
-        most: Duration::ZERO,
+    pub const IDEAL: LinkConditions = LinkConditions {
+        loss_rate: 0.0,
+        duplication_rate: 0.0,
+        extra_delay_rate: 0.0,
+        extra_delay: Duration::ZERO,
+        min_delay: Duration::ZERO,
+        max_delay: Duration::ZERO,
     };
 }
 
 /// All links of a fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Links {
-    fair: Weather,
+pub struct NetworkLinks {
+    baseline: LinkConditions,
     /// What happens on links that are not cut.
-    pub weather: Weather,
+    pub conditions: LinkConditions,
     /// From whom to whom nothing comes.
-    pub cut: HashSet<(usize, usize)>,
+    pub blocked: HashSet<(usize, usize)>,
 }
 
-impl Links {
+impl NetworkLinks {
     /// Links in this weather, to which they return when they heal.
-    pub fn new(fair: Weather) -> Links {
-        Links { fair, weather: fair, cut: HashSet::new() }
+    pub fn new(fair: LinkConditions) -> NetworkLinks {
+        NetworkLinks { baseline: fair, conditions: fair, blocked: HashSet::new() }
     }
 
     /// Lets a fault happen; those of processes are for the drive and change nothing here.
-    pub fn take(&mut self, fault: &Fault) {
+    pub fn apply(&mut self, fault: &Fault) {
         match fault {
-            Fault::Cut { from, to } => {
-                self.cut.extend(from.iter().flat_map(|&a| to.iter().map(move |&b| (a, b))));
+            Fault::BlockOneWay { from, to } => {
+                self.blocked.extend(from.iter().flat_map(|&a| to.iter().map(move |&b| (a, b))));
             }
-            Fault::Part { one, other } => {
-                self.cut.extend(one.iter().flat_map(|&a| other.iter().flat_map(move |&b| [(a, b), (b, a)])));
+            Fault::Partition { one, other } => {
+                self.blocked
+                    .extend(one.iter().flat_map(|&a| other.iter().flat_map(move |&b| [(a, b), (b, a)])));
             }
-            Fault::Weather(weather) => self.weather = *weather,
-            Fault::Heal => *self = Links::new(self.fair),
+            Fault::SetConditions(weather) => self.conditions = *weather,
+            Fault::Heal => *self = NetworkLinks::new(self.baseline),
             Fault::Process(..) => {}
         }
     }
 
     /// How long each copy of a packet is on its way: none where it is lost, two where it is doubled.
-    pub fn way(&self, from: usize, to: usize, chance: &mut impl Rng) -> [Option<Duration>; 2] {
-        let weather = &self.weather;
-        if self.cut.contains(&(from, to)) || chance.random::<f64>() < weather.lose {
+    pub fn delivery_delays(&self, from: usize, to: usize, chance: &mut impl Rng) -> [Option<Duration>; 2] {
+        let weather = &self.conditions;
+        if self.blocked.contains(&(from, to)) || chance.random::<f64>() < weather.loss_rate {
             return [None; 2];
         }
         let first = self.time(chance);
         // No chance is drawn for what cannot happen, so that a plan without it stays the same play.
-        let twice = weather.double > 0.0 && chance.random::<f64>() < weather.double;
+        let twice = weather.duplication_rate > 0.0 && chance.random::<f64>() < weather.duplication_rate;
         [Some(first), twice.then(|| self.time(chance))]
     }
 
     fn time(&self, chance: &mut impl Rng) -> Duration {
-        let Weather { hold, held, least, most, .. } = self.weather;
+        let LinkConditions {
+            extra_delay_rate: hold,
+            extra_delay: held,
+            min_delay: least,
+            max_delay: most,
+            ..
+        } = self.conditions;
         let spread = most.saturating_sub(least).as_micros() as u64;
         let own = if spread == 0 { 0 } else { chance.random_range(0..spread) };
         let held = if hold > 0.0 && chance.random::<f64>() < hold { held } else { Duration::ZERO };
--- a/crates/fault-injection/tests/faults.rs
+++ b/crates/fault-injection/tests/faults.rs
@@ -9,11 +9,18 @@
 
 #[test]
 fn weather_loses_doubles_and_holds_the_shares_that_it_says() {
-    let (mut links, mut chance) = (Links::new(Weather::FAIR), Pcg64Mcg::seed_from_u64(1));
-    assert_eq!(links.way(0, 1, &mut chance), [Some(Duration::ZERO), None]);
-    let storm = Weather { lose: 0.3, double: 0.2, hold: 0.1, held: 50 * MS, least: 5 * MS, most: 20 * MS };
-    links.take(&Fault::Weather(storm));
-    let ways: Vec<_> = (0..100_000).map(|_| links.way(0, 1, &mut chance)).collect();
+    let (mut links, mut chance) = (NetworkLinks::new(LinkConditions::IDEAL), Pcg64Mcg::seed_from_u64(1));
+    assert_eq!(links.delivery_delays(0, 1, &mut chance), [Some(Duration::ZERO), None]);
+    let storm = LinkConditions {
+        loss_rate: 0.3,
+        duplication_rate: 0.2,
+        extra_delay_rate: 0.1,
+        extra_delay: 50 * MS,
+        min_delay: 5 * MS,
+        max_delay: 20 * MS,
+    };
+    links.apply(&Fault::SetConditions(storm));
+    let ways: Vec<_> = (0..100_000).map(|_| links.delivery_delays(0, 1, &mut chance)).collect();
     let share = |of: &dyn Fn(&[Option<Duration>; 2]) -> bool| {
         ways.iter().filter(|&way| of(way)).count() as f64 / ways.len() as f64
     };
@@ -22,23 +29,23 @@
     assert!((share(&|way| way[0].is_some_and(|way| way >= 55 * MS)) - 0.7 * 0.1).abs() < 0.01);
     let all = || ways.iter().flatten().flatten();
     assert!(all().all(|&way| way >= 5 * MS && way < 70 * MS) && all().any(|&way| way > 19 * MS));
-    links.take(&Fault::Heal);
-    assert_eq!(links, Links::new(Weather::FAIR));
+    links.apply(&Fault::Heal);
+    assert_eq!(links, NetworkLinks::new(LinkConditions::IDEAL));
 }
 
 #[test]
 fn a_cut_has_a_direction_and_a_partition_has_both() {
-    let (mut links, mut chance) = (Links::new(Weather::FAIR), Pcg64Mcg::seed_from_u64(1));
-    links.take(&Fault::Cut { from: vec![0], to: vec![1] });
-    links.take(&Fault::Part { one: vec![2], other: vec![3, 4] });
+    let (mut links, mut chance) = (NetworkLinks::new(LinkConditions::IDEAL), Pcg64Mcg::seed_from_u64(1));
+    links.apply(&Fault::BlockOneWay { from: vec![0], to: vec![1] });
+    links.apply(&Fault::Partition { one: vec![2], other: vec![3, 4] });
     let cut = |a, b| [(0, 1), (2, 3), (2, 4), (3, 2), (4, 2)].contains(&(a, b));
     for (a, b) in (0..5).flat_map(|a| (0..5).map(move |b| (a, b))) {
-        assert_eq!(links.way(a, b, &mut chance)[0].is_none(), cut(a, b), "{a} to {b}");
+        assert_eq!(links.delivery_delays(a, b, &mut chance)[0].is_none(), cut(a, b), "{a} to {b}");
     }
 }
 
 #[test]
 #[should_panic(expected = "goes forward")]
 fn a_plan_that_goes_back_is_refused() {
-    let _ = Plan::default().at(MS, Fault::Heal).at(Duration::ZERO, Fault::Heal);
+    let _ = FaultPlan::default().at(MS, Fault::Heal).at(Duration::ZERO, Fault::Heal);
 }
--- a/crates/membership-transport/src/counts.rs
+++ b/crates/membership-transport/src/counts.rs
@@ -2,24 +2,27 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use copperspread_membership::{Member, Rejected};
+use copperspread_membership::{Member, PacketError};
 use serde::{Serialize, Serializer};
 use tracing::warn;
 
 /// What a member knows, and what it has counted since its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct View {
+pub struct MembershipView {
     /// This member as the others should know it.
-    pub own: Member,
+    #[serde(rename = "own")]
+    pub local_member: Member,
     /// The others that are there, suspected ones among them, by name.
     #[serde(serialize_with = "list")]
     pub members: Arc<[Member]>,
     /// How much it doubts itself, from 0 to 8.
-    pub doubt: u32,
+    #[serde(rename = "doubt")]
+    pub local_health_multiplier: u32,
     /// How often it was stopped and noticed.
-    pub pauses: u64,
+    #[serde(rename = "pauses")]
+    pub detected_pauses: u64,
     /// Packets and states that were not taken.
-    pub rejected: Rejects,
+    pub rejected: RejectionCounts,
     /// Packets that came in, those rejected among them.
     pub packets_in: u64,
     /// Packets sent.
@@ -36,7 +39,7 @@
 
 /// Packets and states that were not taken, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Rejects {
+pub struct RejectionCounts {
     /// Longer than any of this protocol.
     pub too_large: u64,
     /// Too short, or the body is none.
@@ -49,11 +52,11 @@
 
 /// What was dropped or failed on this side, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Dropped {
+pub struct DropCounts {
     /// Packets that the socket did not take.
-    pub unsent: u64,
+    pub packets_unsent: u64,
     /// Streams that came while all places were taken.
-    pub streams_refused: u64,
+    pub streams_rejected: u64,
     /// Streams that failed or took too long, in either direction.
     pub streams_failed: u64,
     /// Exchanges that were wanted while others waited.
@@ -115,18 +118,18 @@
         }
     }
 
-    pub(crate) fn reject(&self, why: Rejected) {
+    pub(crate) fn reject(&self, why: PacketError) {
         match why {
-            Rejected::TooLarge => &self.too_large,
-            Rejected::Malformed => &self.malformed,
-            Rejected::Forged => &self.forged,
-            Rejected::OtherVersion => &self.other_version,
+            PacketError::TooLarge => &self.too_large,
+            PacketError::Malformed => &self.malformed,
+            PacketError::Forged => &self.forged,
+            PacketError::OtherVersion => &self.other_version,
         }
         .add();
     }
 
-    pub(crate) fn rejects(&self) -> Rejects {
-        Rejects {
+    pub(crate) fn rejects(&self) -> RejectionCounts {
+        RejectionCounts {
             too_large: self.too_large.get(),
             malformed: self.malformed.get(),
             forged: self.forged.get(),
@@ -134,10 +137,10 @@
         }
     }
 
-    pub(crate) fn dropped(&self) -> Dropped {
-        Dropped {
-            unsent: self.unsent.get(),
-            streams_refused: self.streams_refused.get(),
+    pub(crate) fn dropped(&self) -> DropCounts {
+        DropCounts {
+            packets_unsent: self.unsent.get(),
+            streams_rejected: self.streams_refused.get(),
             streams_failed: self.streams_failed.get(),
             exchanges_skipped: self.exchanges_skipped.get(),
             states_dropped: self.states_dropped.get(),
--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -12,9 +12,9 @@
 use mio::{Events, Interest, Poll, Token, Waker};
 use tracing::{info, warn};
 
-use crate::counts::{Counts, View};
+use crate::counts::{Counts, MembershipView};
 use crate::streams::{self, Mail, Way};
-use crate::{BeginError, Peers, Spec};
+use crate::{MembershipTransport, StartError, TransportConfig};
 
 const RUNS: u8 = 0;
 /// It says that it goes, and ends.
@@ -60,13 +60,13 @@
 }
 
 impl Shared {
-    pub(crate) fn view(&self) -> View {
+    pub(crate) fn view(&self) -> MembershipView {
         let (known, counts) = (self.known.load(), &self.counts);
-        View {
-            own: known.own.clone(),
+        MembershipView {
+            local_member: known.own.clone(),
             members: Arc::clone(&known.members),
-            doubt: known.doubt,
-            pauses: known.pauses,
+            local_health_multiplier: known.doubt,
+            detected_pauses: known.pauses,
             rejected: counts.rejects(),
             packets_in: counts.packets_in.load(Ordering::Relaxed),
             packets_out: counts.packets_out.load(Ordering::Relaxed),
@@ -93,8 +93,8 @@
 }
 
 /// One port for packets and streams.
-fn bind(wanted: SocketAddr) -> Result<(UdpSocket, TcpListener, SocketAddr), BeginError> {
-    let failed = |error| BeginError::Bind(wanted, error);
+fn bind(wanted: SocketAddr) -> Result<(UdpSocket, TcpListener, SocketAddr), StartError> {
+    let failed = |error| StartError::Bind(wanted, error);
     let mut tries = if wanted.port() == 0 { PORT_TRIES } else { 1 };
     loop {
         let packets = UdpSocket::bind(wanted).map_err(failed)?;
@@ -107,12 +107,21 @@
     }
 }
 
-pub(crate) fn begin(spec: Spec, generation: u64) -> Result<Peers, BeginError> {
-    let system = BeginError::System;
-    let (packets, streams, address) = bind(spec.bind)?;
-    let Spec { advertise, name, zone, region, settings, key, seed, .. } = spec;
-    let own = Member { name, zone, region, address: advertise.unwrap_or(address), generation, returned: 0 };
-    let cluster = Cluster::new(own.clone(), settings, key.clone(), seed).map_err(BeginError::Settings)?;
+pub(crate) fn begin(spec: TransportConfig, generation: u64) -> Result<MembershipTransport, StartError> {
+    let system = StartError::System;
+    let (packets, streams, address) = bind(spec.bind_address)?;
+    let TransportConfig {
+        advertised_address: advertise,
+        name,
+        zone,
+        region,
+        membership_settings: settings,
+        key,
+        seed,
+        ..
+    } = spec;
+    let own = Member { name, zone, region, address: advertise.unwrap_or(address), generation, rejoins: 0 };
+    let cluster = Membership::new(own.clone(), settings, key.clone(), seed).map_err(StartError::Settings)?;
     // Less does as well, with more packets lost where the process is stopped.
     let _ = socket2::SockRef::from(&packets).set_recv_buffer_size(WAITING_PACKETS);
     packets.set_nonblocking(true).map_err(system)?;
@@ -131,7 +140,7 @@
         waker,
     });
     // Its drop ends what has begun, should a thread be refused. Before the queues, so that their ends go first.
-    let mut peers = Peers { shared: Arc::clone(&shared), address, threads: Vec::new() };
+    let mut peers = MembershipTransport { shared: Arc::clone(&shared), address, threads: Vec::new() };
     let (accepted, to_serve) = bounded(STREAMS_WAIT);
     let (mail, letters) = bounded(MAIL_WAITS);
     let (exchanges, to_begin) = bounded(EXCHANGES_WAIT);
@@ -159,18 +168,18 @@
     Ok(peers)
 }
 
-fn thread(name: &str, what: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>, BeginError> {
-    Builder::new().name(name.into()).spawn(what).map_err(BeginError::System)
+fn thread(name: &str, what: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>, StartError> {
+    Builder::new().name(name.into()).spawn(what).map_err(StartError::System)
 }
 
 struct Driver {
-    cluster: Cluster,
+    cluster: Membership,
     poll: Poll,
     packets: mio::net::UdpSocket,
     streams: mio::net::TcpListener,
     accepted: Sender<std::net::TcpStream>,
     letters: Receiver<Mail>,
-    exchanges: Sender<(SocketAddr, State)>,
+    exchanges: Sender<(SocketAddr, MembershipState)>,
     shared: Arc<Shared>,
     started: Instant,
     effects: Vec<Effect>,
@@ -205,7 +214,7 @@
             all_read &= self.take_streams();
             let now = self.now();
             if self.cluster.next_due().is_some_and(|due| due <= now) {
-                self.hand_in(Input::Due);
+                self.hand_in(Input::TimerDue);
             }
             self.publish();
             match self.shared.ending.load(Ordering::Relaxed) {
@@ -224,7 +233,7 @@
     /// Hands in all packets that wait, up to a bound; whether that was all.
     fn read_packets(&mut self) -> bool {
         // One byte more shows that a packet is too large.
-        let mut buffer = [0; MOST_PACKET + 1];
+        let mut buffer = [0; MAX_PACKET_BYTES + 1];
         for _ in 0..MOST_AT_ONCE {
             match self.packets.recv_from(&mut buffer) {
                 Ok((size, _)) => {
@@ -284,9 +293,9 @@
     fn carry_out(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         for effect in effects.drain(..) {
-            self.changed |= !matches!(effect, Effect::Send { .. } | Effect::Exchange(_));
+            self.changed |= !matches!(effect, Effect::SendPacket { .. } | Effect::ExchangeState(_));
             match effect {
-                Effect::Send { to, packet } => match self.packets.send_to(&packet, to) {
+                Effect::SendPacket { to, packet } => match self.packets.send_to(&packet, to) {
                     Ok(_) => {
                         let counts = &self.shared.counts;
                         counts.packets_out.fetch_add(1, Ordering::Relaxed);
@@ -295,15 +304,15 @@
                     // The same to the protocol as one that is lost on its way.
                     Err(_) => self.shared.counts.unsent.add(),
                 },
-                Effect::Exchange(with) => {
+                Effect::ExchangeState(with) => {
                     if self.exchanges.try_send((with, self.cluster.state())).is_err() {
                         self.shared.counts.exchanges_skipped.add();
                     }
                 }
-                Effect::Up(of) => tell("member up", &of),
-                Effect::Down(of) => tell("member down", &of),
-                Effect::Replaced(_, of) => tell("member replaced", &of),
-                Effect::Refuted(own) => tell("given up by the others, back", &own),
+                Effect::MemberUp(of) => tell("member up", &of),
+                Effect::MemberDown(of) => tell("member down", &of),
+                Effect::MemberReplaced(_, of) => tell("member replaced", &of),
+                Effect::SelfRefuted(own) => tell("given up by the others, back", &own),
             }
         }
         // Its room is kept.
@@ -313,7 +322,7 @@
     /// Puts a new view out where something changed.
     fn publish(&mut self) {
         let known = self.shared.known.load();
-        let (doubt, pauses) = (self.cluster.doubt(), self.cluster.pauses());
+        let (doubt, pauses) = (self.cluster.local_health_multiplier(), self.cluster.detected_pauses());
         let members = if std::mem::take(&mut self.changed) {
             let mut members: Vec<Member> = self.cluster.members().cloned().collect();
             members.sort_unstable_by(|a, b| (&a.name, a.address).cmp(&(&b.name, b.address)));
@@ -323,12 +332,12 @@
         } else {
             return;
         };
-        let own = self.cluster.own().clone();
+        let own = self.cluster.local_member().clone();
         self.shared.known.store(Arc::new(Known { own, members, doubt, pauses }));
     }
 }
 
 fn tell(what: &str, of: &Member) {
-    let Member { name, zone, region, address, generation, returned } = of;
+    let Member { name, zone, region, address, generation, rejoins: returned } = of;
     info!(name, zone, region, %address, generation, returned, "{what}");
 }
--- a/crates/membership-transport/src/lib.rs
+++ b/crates/membership-transport/src/lib.rs
@@ -32,17 +32,17 @@
 
 use copperspread_membership::{Key, Settings, SettingsError};
 
-pub use counts::{Dropped, Rejects, View};
+pub use counts::{DropCounts, MembershipView, RejectionCounts};
 use driver::Shared;
 
 /// What a member is started with.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct TransportConfig {
     /// Where packets and streams are taken, and from whose number they are sent. With port 0 the system
     /// chooses one, the same for both.
-    pub bind: SocketAddr,
+    pub bind_address: SocketAddr,
     /// Where peers reach it; absent, `bind`.
-    pub advertise: Option<SocketAddr>,
+    pub advertised_address: Option<SocketAddr>,
     /// Its name, the same after a restart.
     pub name: String,
     /// Its zone.
@@ -50,7 +50,7 @@
     /// Its region.
     pub region: String,
     /// How it watches the others.
-    pub settings: Settings,
+    pub membership_settings: Settings,
     /// The cluster's key.
     pub key: Key,
     /// Settles all its chance.
@@ -59,7 +59,7 @@
 
 /// Why a member does not start.
 #[derive(Debug)]
-pub enum BeginError {
+pub enum StartError {
     /// Settings that contradict themselves.
     Settings(SettingsError),
     /// An address that cannot be bound.
@@ -68,54 +68,54 @@
     System(io::Error),
 }
 
-impl std::fmt::Display for BeginError {
+impl std::fmt::Display for StartError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            BeginError::Settings(why) => why.fmt(f),
-            BeginError::Bind(address, why) => write!(f, "bind {address}: {why}"),
-            BeginError::System(why) => why.fmt(f),
+            StartError::Settings(why) => why.fmt(f),
+            StartError::Bind(address, why) => write!(f, "bind {address}: {why}"),
+            StartError::System(why) => why.fmt(f),
         }
     }
 }
 
-impl std::error::Error for BeginError {}
+impl std::error::Error for StartError {}
 
 /// A member that runs. Dropped, it ends and says nothing, as if killed; [`Peers::leave`] is the good order.
-pub struct Peers {
+pub struct MembershipTransport {
     shared: Arc<Shared>,
     address: SocketAddr,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Peers {
+impl MembershipTransport {
     /// Binds and starts. Its generation is the Unix time in milliseconds.
     ///
     /// # Errors
     /// Settings that contradict themselves, an address that cannot be bound, no more threads.
-    pub fn begin(spec: Spec) -> Result<Peers, BeginError> {
+    pub fn start(spec: TransportConfig) -> Result<MembershipTransport, StartError> {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let generation = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
         driver::begin(spec, generation)
     }
 
     /// Where it is bound.
-    pub fn address(&self) -> SocketAddr {
+    pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
     /// What it knows now.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> MembershipView {
         self.shared.view()
     }
 
     /// What gives its view for as long as it runs, and the last one after that.
-    pub fn viewer(&self) -> impl Fn() -> View + Send + Sync + use<> {
+    pub fn view_reader(&self) -> impl Fn() -> MembershipView + Send + Sync + use<> {
         let shared = Arc::clone(&self.shared);
         move || shared.view()
     }
 
     /// What was dropped so far, by cause.
-    pub fn dropped(&self) -> Dropped {
+    pub fn drop_counts(&self) -> DropCounts {
         self.shared.counts.dropped()
     }
 
@@ -126,7 +126,7 @@
 
     /// Waits until it has ended, after [`Peers::leave`] or without a word: a second at most, the time for
     /// a stream that is being connected.
-    pub fn ended(mut self) -> View {
+    pub fn shutdown(mut self) -> MembershipView {
         self.end();
         self.shared.view()
     }
@@ -140,7 +140,7 @@
     }
 }
 
-impl Drop for Peers {
+impl Drop for MembershipTransport {
     fn drop(&mut self) {
         self.end();
     }
--- a/crates/membership-transport/src/streams.rs
+++ b/crates/membership-transport/src/streams.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use copperspread_membership::{Key, MOST_STATE, State};
+use copperspread_membership::{Key, MAX_STATE_BYTES, MembershipState};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use socket2::{Domain, Socket, Type};
 
@@ -24,8 +24,8 @@
 
 /// A state for the protocol, and where its own goes, if one is wanted.
 pub(crate) struct Mail {
-    pub(crate) state: State,
-    pub(crate) answer: Option<Sender<State>>,
+    pub(crate) state: MembershipState,
+    pub(crate) answer: Option<Sender<MembershipState>>,
 }
 
 /// What a stream's thread needs.
@@ -45,7 +45,7 @@
 }
 
 /// Begins the exchanges that are wanted, until there are no more.
-pub(crate) fn begin_all(way: &Way, wanted: &Receiver<(SocketAddr, State)>) {
+pub(crate) fn begin_all(way: &Way, wanted: &Receiver<(SocketAddr, MembershipState)>) {
     for (with, state) in wanted {
         way.count(exchange(way, with, &state));
     }
@@ -65,7 +65,7 @@
     Ok(())
 }
 
-fn exchange(way: &Way, with: SocketAddr, own: &State) -> io::Result<()> {
+fn exchange(way: &Way, with: SocketAddr, own: &MembershipState) -> io::Result<()> {
     let socket = Socket::new(Domain::for_address(with), Type::STREAM, None)?;
     if !way.bound.is_unspecified() {
         // From the number that peers know it by.
@@ -88,12 +88,12 @@
     }
 
     /// A state that somebody with the key sent; nothing where it is none, which is counted.
-    fn read(&self, stream: &mut Timed<'_>) -> io::Result<Option<State>> {
+    fn read(&self, stream: &mut Timed<'_>) -> io::Result<Option<MembershipState>> {
         let mut length = [0; 4];
         stream.read_exact(&mut length)?;
         let length = u32::from_be_bytes(length);
-        if length as usize > MOST_STATE {
-            self.shared.counts.reject(copperspread_membership::Rejected::TooLarge);
+        if length as usize > MAX_STATE_BYTES {
+            self.shared.counts.reject(copperspread_membership::PacketError::TooLarge);
             return Ok(None);
         }
         let mut frame = Vec::new();
@@ -102,7 +102,7 @@
             return Err(ErrorKind::UnexpectedEof.into());
         }
         // Here and not in the protocol's thread, which has no time for what is forged.
-        match State::open(&self.key, &frame) {
+        match MembershipState::open(&self.key, &frame) {
             Ok(state) => Ok(Some(state)),
             Err(why) => {
                 self.shared.counts.reject(why);
@@ -111,8 +111,8 @@
         }
     }
 
-    fn write(&self, stream: &mut Timed<'_>, state: &State) -> io::Result<()> {
-        let frame = state.close(&self.key);
+    fn write(&self, stream: &mut Timed<'_>, state: &MembershipState) -> io::Result<()> {
+        let frame = state.seal(&self.key);
         // Bounded far below what four bytes hold.
         let length = u32::try_from(frame.len()).unwrap_or(u32::MAX).to_be_bytes();
         stream.write_all(&[&length[..], &frame].concat())
--- a/crates/membership-transport/tests/transcripts.rs
+++ b/crates/membership-transport/tests/transcripts.rs
@@ -3,8 +3,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use copperspread_membership::{Cluster, Input, Key, Member, SECOND, Settings, State};
-use copperspread_membership_transport::{Peers, Rejects, Spec, View};
+use copperspread_membership::{Input, Key, Member, Membership, MembershipState, SECOND, Settings};
+use copperspread_membership_transport::{
+    MembershipTransport, MembershipView, RejectionCounts, TransportConfig,
+};
 
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -14,7 +16,7 @@
 
 fn member(name: &str, address: SocketAddr) -> Member {
     let (zone, region) = ("zone-a".into(), "north".into());
-    Member { name: name.into(), zone, region, address, generation: 1_700_000_000_000, returned: 2 }
+    Member { name: name.into(), zone, region, address, generation: 1_700_000_000_000, rejoins: 2 }
 }
 
 /// A member that does nothing by itself within the test.
@@ -22,13 +24,13 @@
     Settings { probe_interval: 600 * SECOND, ..Settings::default() }
 }
 
-fn cluster(own: Member) -> Cluster {
-    Cluster::new(own, quiet(), key(), 7).expect("settings")
+fn cluster(own: Member) -> Membership {
+    Membership::new(own, quiet(), key(), 7).expect("settings")
 }
 
 /// A state with the length before it, as the streams have it.
-fn framed(state: &State) -> Vec<u8> {
-    let frame = state.close(&key());
+fn framed(state: &MembershipState) -> Vec<u8> {
+    let frame = state.seal(&key());
     let length = u32::try_from(frame.len()).expect("a short state");
     [&length.to_be_bytes()[..], &frame].concat()
 }
@@ -44,37 +46,37 @@
     let question = framed(&caller.state());
     insta::assert_snapshot!("question", hex(&question));
 
-    let spec = Spec {
-        bind: ([127, 0, 0, 1], 0).into(),
-        advertise: None,
+    let spec = TransportConfig {
+        bind_address: ([127, 0, 0, 1], 0).into(),
+        advertised_address: None,
         name: "answerer".into(),
         zone: "zone-b".into(),
         region: "south".into(),
-        settings: quiet(),
+        membership_settings: quiet(),
         key: key(),
         seed: 7,
     };
-    let peers = Peers::begin(spec).expect("a member");
-    let mut stream = TcpStream::connect(peers.address()).expect("a stream");
+    let peers = MembershipTransport::start(spec).expect("a member");
+    let mut stream = TcpStream::connect(peers.local_address()).expect("a stream");
     stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a limit");
     stream.write_all(&question).expect("sent");
     let mut answer = Vec::new();
     stream.read_to_end(&mut answer).expect("an answer");
 
     // Its port and generation are of this run: the answer is compared with what the same member would say.
-    let mut twin = cluster(peers.view().own);
+    let mut twin = cluster(peers.view().local_member);
     twin.handle(0, Input::State(&caller.state()), &mut Vec::new()).expect("a state");
     assert_eq!(hex(&answer), hex(&framed(&twin.state())));
 }
 
 #[test]
 fn the_views_json_is_as_approved() {
-    let view = View {
-        own: member("own", ([127, 0, 0, 1], 7_946).into()),
+    let view = MembershipView {
+        local_member: member("own", ([127, 0, 0, 1], 7_946).into()),
         members: [member("other", "[::1]:7946".parse().expect("an address"))].into(),
-        doubt: 1,
-        pauses: 2,
-        rejected: Rejects { too_large: 3, malformed: 4, forged: 5, other_version: 6 },
+        local_health_multiplier: 1,
+        detected_pauses: 2,
+        rejected: RejectionCounts { too_large: 3, malformed: 4, forged: 5, other_version: 6 },
         packets_in: 7,
         packets_out: 8,
         bytes_in: 9,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -22,10 +22,10 @@
 mod state;
 mod timers;
 
-pub use cluster::{Cluster, Effect, Input, Rejected, Settings, SettingsError};
+pub use cluster::{Effect, Input, Membership, PacketError, Settings, SettingsError};
 pub use member::Member;
-pub use seal::{Key, KeyError, MOST_PACKET, MOST_STATE};
-pub use state::State;
+pub use seal::{Key, KeyError, MAX_PACKET_BYTES, MAX_STATE_BYTES};
+pub use state::MembershipState;
 
 /// An instant or a span in microseconds; instants count from any moment that is the same for all calls.
 pub type Micros = u64;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest name, zone or region, in bytes: a packet names up to three members in its head alone.
-const MOST_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// A scheduler as its peers know it. Of two with one address the later generation stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -21,20 +21,21 @@
     /// Grows with every start of its process, such as the start's Unix time.
     pub generation: u64,
     /// How often it came back within this start after the others had given it up.
-    pub returned: u32,
+    #[serde(rename = "returned")]
+    pub rejoins: u32,
 }
 
 impl Member {
     /// Whether its texts are short enough for a packet.
-    pub(crate) fn fits(&self) -> bool {
-        [&self.name, &self.zone, &self.region].iter().all(|text| text.len() <= MOST_NAME)
+    pub(crate) fn fits_in_packet(&self) -> bool {
+        [&self.name, &self.zone, &self.region].iter().all(|text| text.len() <= MAX_NAME_BYTES)
     }
 
     /// A stand-in for whoever listens at an address; any real member there replaces it.
-    pub(crate) fn unknown(address: SocketAddr) -> Member {
+    pub(crate) fn placeholder(address: SocketAddr) -> Member {
         let nameless = String::new();
         let (zone, region) = (nameless.clone(), nameless.clone());
-        Member { name: nameless, zone, region, address, generation: 0, returned: 0 }
+        Member { name: nameless, zone, region, address, generation: 0, rejoins: 0 }
     }
 }
 
@@ -42,7 +43,7 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Member> {
-        Some(Member { returned: self.returned.saturating_add(1), ..self.clone() })
+        Some(Member { rejoins: self.rejoins.saturating_add(1), ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -51,6 +52,6 @@
 
     fn win_addr_conflict(&self, other: &Member) -> bool {
         // The names settle what a wrong set-up leaves equal: the same everywhere.
-        (self.generation, self.returned, &self.name) > (other.generation, other.returned, &other.name)
+        (self.generation, self.rejoins, &self.name) > (other.generation, other.rejoins, &other.name)
     }
 }
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -4,39 +4,39 @@
 
 use crate::Micros;
 
-struct Due<T>(Micros, u64, T);
+struct PendingTimer<T>(Micros, u64, T);
 
-impl<T> PartialEq for Due<T> {
-    fn eq(&self, other: &Due<T>) -> bool {
+impl<T> PartialEq for PendingTimer<T> {
+    fn eq(&self, other: &PendingTimer<T>) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
-impl<T> Eq for Due<T> {}
-impl<T> PartialOrd for Due<T> {
-    fn partial_cmp(&self, other: &Due<T>) -> Option<std::cmp::Ordering> {
+impl<T> Eq for PendingTimer<T> {}
+impl<T> PartialOrd for PendingTimer<T> {
+    fn partial_cmp(&self, other: &PendingTimer<T>) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl<T> Ord for Due<T> {
-    fn cmp(&self, other: &Due<T>) -> std::cmp::Ordering {
+impl<T> Ord for PendingTimer<T> {
+    fn cmp(&self, other: &PendingTimer<T>) -> std::cmp::Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
 }
 
 /// Timers, first in first out among those of one instant.
-pub(crate) struct Timers<T> {
-    heap: BinaryHeap<Reverse<Due<T>>>,
+pub(crate) struct TimerQueue<T> {
+    heap: BinaryHeap<Reverse<PendingTimer<T>>>,
     count: u64,
 }
 
-impl<T> Timers<T> {
-    pub(crate) fn new() -> Timers<T> {
-        Timers { heap: BinaryHeap::new(), count: 0 }
+impl<T> TimerQueue<T> {
+    pub(crate) fn new() -> TimerQueue<T> {
+        TimerQueue { heap: BinaryHeap::new(), count: 0 }
     }
 
     pub(crate) fn add(&mut self, at: Micros, what: T) {
         self.count += 1;
-        self.heap.push(Reverse(Due(at, self.count, what)));
+        self.heap.push(Reverse(PendingTimer(at, self.count, what)));
     }
 
     pub(crate) fn next(&self) -> Option<Micros> {
@@ -53,7 +53,9 @@
     /// All are due so much later.
     pub(crate) fn shift(&mut self, by: Micros) {
         let all = std::mem::take(&mut self.heap);
-        let later = |Reverse(Due(at, number, what))| Reverse(Due(at.saturating_add(by), number, what));
+        let later = |Reverse(PendingTimer(at, number, what))| {
+            Reverse(PendingTimer(at.saturating_add(by), number, what))
+        };
         self.heap = all.into_iter().map(later).collect();
     }
 }
--- a/crates/membership/tests/transcripts.rs
+++ b/crates/membership/tests/transcripts.rs
@@ -2,7 +2,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use copperspread_membership::{Cluster, Effect, Input, Key, Member, Micros, SECOND, Settings, State};
+use copperspread_membership::{
+    Effect, Input, Key, Member, Membership, MembershipState, Micros, SECOND, Settings,
+};
 use foca::{Header, Message};
 use sha2::{Digest, Sha256};
 
@@ -20,12 +22,12 @@
     ([10, 0, 0, number as u8], 7_946).into()
 }
 
-fn member(number: usize) -> Cluster {
+fn member(number: usize) -> Membership {
     let name = format!("scheduler-{number}");
     let (zone, region) = (format!("zone-{number}"), "north".into());
-    let own = Member { name, zone, region, address: address(number), generation: 1, returned: 0 };
+    let own = Member { name, zone, region, address: address(number), generation: 1, rejoins: 0 };
     let settings = Settings { seeds: vec![address(0)], ..Settings::default() };
-    Cluster::new(own, settings, key(), number as u64).expect("settings")
+    Membership::new(own, settings, key(), number as u64).expect("settings")
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -55,7 +57,7 @@
 /// Three members in virtual time, with pairs that hear nothing of each other.
 struct Exchange {
     now: Micros,
-    members: Vec<Cluster>,
+    members: Vec<Membership>,
     /// Packets under way, by arrival and number: to whom, and the bytes.
     under_way: BTreeMap<(Micros, u64), (usize, Vec<u8>)>,
     sent: u64,
@@ -89,9 +91,12 @@
     fn carry_out(&mut self, from: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Send { to, packet } => self.send(from, to, packet),
-                Effect::Exchange(with) => self.exchange_states(from, with),
-                Effect::Up(_) | Effect::Down(_) | Effect::Replaced(..) | Effect::Refuted(_) => {}
+                Effect::SendPacket { to, packet } => self.send(from, to, packet),
+                Effect::ExchangeState(with) => self.exchange_states(from, with),
+                Effect::MemberUp(_)
+                | Effect::MemberDown(_)
+                | Effect::MemberReplaced(..)
+                | Effect::SelfRefuted(_) => {}
             }
         }
     }
@@ -109,8 +114,8 @@
 
     fn exchange_states(&mut self, from: usize, with: SocketAddr) {
         let with = self.number(with);
-        let frames = [from, with].map(|number| self.members[number].state().close(&key()));
-        let [asked, answered] = frames.map(|frame| State::open(&key(), &frame).expect("a state"));
+        let frames = [from, with].map(|number| self.members[number].state().seal(&key()));
+        let [asked, answered] = frames.map(|frame| MembershipState::open(&key(), &frame).expect("a state"));
         self.hand_in(with, Input::State(&asked));
         self.hand_in(from, Input::State(&answered));
     }
@@ -134,7 +139,7 @@
                 }
                 (_, Some((at, number))) if at <= end => {
                     self.now = at;
-                    self.hand_in(number, Input::Due);
+                    self.hand_in(number, Input::TimerDue);
                 }
                 _ => break,
             }
@@ -168,8 +173,8 @@
     exchange.cut(&[(0, 1), (1, 2)]);
     exchange.run_until(25 * SECOND);
     let state = exchange.members[0].state();
-    let frame = state.close(&key());
-    assert_eq!(State::open(&key(), &frame), Ok(state), "the state is read back");
+    let frame = state.seal(&key());
+    assert_eq!(MembershipState::open(&key(), &frame), Ok(state), "the state is read back");
     insta::assert_snapshot!("state", hex(&frame));
     exchange.cut(&[]);
     exchange.run_until(45 * SECOND);
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -4,7 +4,7 @@
 
 use copperspread_config::{Cluster, Config};
 use copperspread_membership::{Key, Settings};
-use copperspread_membership_transport::{Peers, Spec};
+use copperspread_membership_transport::{MembershipTransport, TransportConfig};
 use copperspread_proxy::downstream::http::StatusPage;
 use tracing::info;
 
@@ -50,51 +50,51 @@
     ///
     /// # Errors
     /// A key that cannot be read, or an address that cannot be bound.
-    pub fn begin(&self, seed: u64) -> Result<Peers, String> {
+    pub fn begin(&self, seed: u64) -> Result<MembershipTransport, String> {
         let Cluster { bind, advertise, seeds, key_file, region, .. } = &self.cluster;
         let of = &self.cluster;
         let settings = Settings {
             probe_interval: of.probe_interval.0,
             probe_timeout: of.probe_timeout.0,
-            indirect: of.indirect as usize,
-            suspicion: of.suspicion,
+            indirect_probes: of.indirect as usize,
+            suspicion_multiplier: of.suspicion,
             seeds: seeds.clone(),
         };
         let key = read_key(key_file.as_deref().ok_or("cluster.key_file is missing")?)
             .map_err(|why| format!("cluster.key_file: {why}"))?;
-        let spec = Spec {
-            bind: bind.ok_or("cluster.bind is missing")?,
-            advertise: *advertise,
+        let spec = TransportConfig {
+            bind_address: bind.ok_or("cluster.bind is missing")?,
+            advertised_address: *advertise,
             name: self.name.clone(),
             zone: self.zone.clone(),
             region: region.clone(),
-            settings,
+            membership_settings: settings,
             key,
             seed,
         };
-        let peers = Peers::begin(spec).map_err(|why| format!("cluster: {why}"))?;
-        info!("{} is a member of a cluster at {}", self.name, peers.address());
+        let peers = MembershipTransport::start(spec).map_err(|why| format!("cluster: {why}"))?;
+        info!("{} is a member of a cluster at {}", self.name, peers.local_address());
         Ok(peers)
     }
 }
 
 /// The page of what a member sees.
-pub fn page(peers: &Peers) -> StatusPage {
-    let view = peers.viewer();
+pub fn page(peers: &MembershipTransport) -> StatusPage {
+    let view = peers.view_reader();
     // Plain names and figures, which JSON always holds.
     let json = move || serde_json::to_string(&view()).unwrap_or_default();
     StatusPage { path: PATH, json: Arc::new(json) }
 }
 
 /// Waits for the end of one that was told to leave, and says what it has counted.
-pub fn ended(peers: Peers) {
-    let dropped = peers.dropped();
-    let view = peers.ended();
-    let copperspread_membership_transport::Rejects { too_large, malformed, forged, other_version } =
+pub fn ended(peers: MembershipTransport) {
+    let dropped = peers.drop_counts();
+    let view = peers.shutdown();
+    let copperspread_membership_transport::RejectionCounts { too_large, malformed, forged, other_version } =
         view.rejected;
-    let copperspread_membership_transport::Dropped {
-        unsent,
-        streams_refused,
+    let copperspread_membership_transport::DropCounts {
+        packets_unsent: unsent,
+        streams_rejected: streams_refused,
         streams_failed,
         exchanges_skipped,
         states_dropped,
--- a/crates/scheduler/src/serve.rs
+++ b/crates/scheduler/src/serve.rs
@@ -171,7 +171,7 @@
     }
     // First of all, so that the others know while this one still answers.
     #[cfg(feature = "standalone")]
-    peers.iter().for_each(copperspread_membership_transport::Peers::leave);
+    peers.iter().for_each(copperspread_membership_transport::MembershipTransport::leave);
     let ends = assembled.begin_shutdown();
     info!("ending, {} flows to answer", node.policy.active_requests());
     let left = assembled.wait_until_drained(ends).await;
--- a/crates/scheduler/tests/cluster_faults.rs
+++ b/crates/scheduler/tests/cluster_faults.rs
@@ -4,7 +4,9 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use copperspread_test_harness::{Act, Fault, Fleet, Plan, Setup, View, Weather, plans};
+use copperspread_test_harness::{
+    Fault, FaultPlan, Fleet, FleetConfig, LinkConditions, MembershipView, ProcessAction, plans,
+};
 
 /// The settings' suspicion is a second; what follows from a death must be known everywhere within this.
 const BOUND: Duration = Duration::from_secs(15);
@@ -13,118 +15,126 @@
     Duration::from_secs(seconds)
 }
 
-fn setup(members: usize) -> Setup {
-    Setup::new(env!("CARGO_BIN_EXE_copperspread-scheduler"), members)
+fn setup(members: usize) -> FleetConfig {
+    FleetConfig::new(env!("CARGO_BIN_EXE_copperspread-scheduler"), members)
 }
 
 fn names(numbers: impl IntoIterator<Item = usize>) -> Vec<String> {
-    numbers.into_iter().map(Fleet::name).collect()
+    numbers.into_iter().map(Fleet::member_name).collect()
 }
 
 /// Whether nobody was ever given up: one that is takes a new identity and says so for good.
-fn nobody_returned(views: &[(usize, View)]) -> bool {
-    views.iter().all(|(_, view)| view.own.returned == 0)
+fn nobody_returned(views: &[(usize, MembershipView)]) -> bool {
+    views.iter().all(|(_, view)| view.local_member.rejoins == 0)
 }
 
 /// Waits until the members see each other, and asserts that none was given up since its start.
 fn all_stayed(fleet: &mut Fleet, when: &str) {
-    fleet.all_see_all(BOUND, when);
-    fleet.until(s(0), &format!("{when}, nobody has been given up"), nobody_returned);
+    fleet.wait_for_full_membership(BOUND, when);
+    fleet.wait_until(s(0), &format!("{when}, nobody has been given up"), nobody_returned);
 }
 
 #[test]
 fn a_killed_member_is_down_everywhere_and_nobody_else_is() {
-    let mut fleet = Fleet::joined(setup(7));
-    fleet.play(&plans::killed(4));
-    fleet.all_see_all(BOUND, "after a kill");
+    let mut fleet = Fleet::start_joined(setup(7));
+    fleet.play(&plans::kill(4));
+    fleet.wait_for_full_membership(BOUND, "after a kill");
     all_stayed(&mut fleet, "after a kill");
 }
 
 #[test]
 fn a_member_paused_for_5_s_refutes_and_stays() {
-    let mut fleet = Fleet::joined(setup(7));
-    fleet.play(&Plan::default().at(s(0), Fault::Process(3, Act::Pause)));
-    fleet.all_see_all(s(5), "while one is paused for longer than the suspicion");
-    fleet.play(&Plan::default().at(s(5), Fault::Process(3, Act::Resume)));
-    fleet.all_see_all(BOUND, "after the pause");
-    fleet.until(BOUND, "n3 noticed its pause and returned; the others never did", |views| {
+    let mut fleet = Fleet::start_joined(setup(7));
+    fleet.play(&FaultPlan::default().at(s(0), Fault::Process(3, ProcessAction::Pause)));
+    fleet.wait_for_full_membership(s(5), "while one is paused for longer than the suspicion");
+    fleet.play(&FaultPlan::default().at(s(5), Fault::Process(3, ProcessAction::Resume)));
+    fleet.wait_for_full_membership(BOUND, "after the pause");
+    fleet.wait_until(BOUND, "n3 noticed its pause and returned; the others never did", |views| {
         views.iter().all(|(number, view)| match number {
-            3 => view.pauses >= 1 && view.own.returned >= 1,
-            _ => view.own.returned == 0,
+            3 => view.detected_pauses >= 1 && view.local_member.rejoins >= 1,
+            _ => view.local_member.rejoins == 0,
         })
     });
 }
 
 #[test]
 fn at_30_percent_loss_nobody_is_declared_dead_in_20_s() {
-    let mut fleet = Fleet::joined(setup(9));
-    fleet.play(&plans::lossy(0.3, Duration::from_millis(1), Duration::from_millis(15), s(20)));
+    let mut fleet = Fleet::start_joined(setup(9));
+    fleet.play(&plans::lose_packets(0.3, Duration::from_millis(1), Duration::from_millis(15), s(20)));
     all_stayed(&mut fleet, "after 20 s at 30 % loss");
 }
 
 /// What comes twice, late and in another order is old news.
 #[test]
 fn doubled_late_and_overtaken_packets_bring_nobody_down() {
-    let mut fleet = Fleet::joined(setup(5));
+    let mut fleet = Fleet::start_joined(setup(5));
     let (least, most) = (Duration::from_millis(1), Duration::from_millis(20));
-    let weather = Weather { lose: 0.05, double: 0.3, hold: 0.1, held: s(1), least, most };
-    fleet.play(&Plan::default().at(s(0), Fault::Weather(weather)).at(s(10), Fault::Heal));
+    let weather = LinkConditions {
+        loss_rate: 0.05,
+        duplication_rate: 0.3,
+        extra_delay_rate: 0.1,
+        extra_delay: s(1),
+        min_delay: least,
+        max_delay: most,
+    };
+    fleet.play(&FaultPlan::default().at(s(0), Fault::SetConditions(weather)).at(s(10), Fault::Heal));
     all_stayed(&mut fleet, "after 10 s of them");
 }
 
 #[test]
 fn a_one_sided_cut_between_two_evicts_neither() {
-    let mut fleet = Fleet::joined(setup(7));
-    fleet.play(&plans::one_sided(0, 1, s(15)));
+    let mut fleet = Fleet::start_joined(setup(7));
+    fleet.play(&plans::block_one_way(0, 1, s(15)));
     all_stayed(&mut fleet, "after 15 s of a cut from n0 to n1");
 }
 
 /// It hears all and nobody hears it: to the others it is dead, and it must not take their side apart.
 #[test]
 fn a_member_that_nobody_hears_goes_and_returns_when_the_cut_heals() {
-    let mut fleet = Fleet::joined(setup(6));
+    let mut fleet = Fleet::start_joined(setup(6));
     let to = (0..6).filter(|&to| to != 2).collect();
-    fleet.happens(&Fault::Cut { from: vec![2], to });
-    fleet.until(BOUND, "the others give n2 up, and nobody else", |views| {
-        views.iter().filter(|of| of.0 != 2).all(|(_, view)| !view.sees("n2") && view.members.len() == 4)
+    fleet.apply_fault(&Fault::BlockOneWay { from: vec![2], to });
+    fleet.wait_until(BOUND, "the others give n2 up, and nobody else", |views| {
+        views.iter().filter(|of| of.0 != 2).all(|(_, view)| !view.contains("n2") && view.members.len() == 4)
     });
-    fleet.happens(&Fault::Heal);
-    fleet.all_see_all(s(30), "after the heal");
+    fleet.apply_fault(&Fault::Heal);
+    fleet.wait_for_full_membership(s(30), "after the heal");
 }
 
 #[test]
 fn two_halves_part_and_become_one_view_again() {
-    let mut fleet = Fleet::joined(setup(8));
-    fleet.happens(&plans::halves(8, s(0)).steps[0].1);
+    let mut fleet = Fleet::start_joined(setup(8));
+    fleet.apply_fault(&plans::partition_in_halves(8, s(0)).steps[0].1);
     let (one, other) = (names(0..4), names(4..8));
-    fleet.until(BOUND, "each half sees itself and nobody else", |views| {
+    fleet.wait_until(BOUND, "each half sees itself and nobody else", |views| {
         views.iter().all(|(number, view)| {
             let half = if *number < 4 { &one } else { &other };
             view.members.len() == 3 && view.members.iter().all(|member| half.contains(&member.name))
         })
     });
-    fleet.happens(&Fault::Heal);
-    let took = fleet.all_see_all(s(30), "after the heal");
+    fleet.apply_fault(&Fault::Heal);
+    let took = fleet.wait_for_full_membership(s(30), "after the heal");
     println!("one view again {took:?} after the heal");
 }
 
 #[test]
 fn a_restart_under_the_same_name_takes_the_place_of_the_old_process() {
-    let mut fleet = Fleet::joined(setup(5));
-    let before = fleet.view(2).expect("a view").own.generation;
-    fleet.play(&plans::restarted(2, Duration::from_millis(300)));
-    fleet.until(BOUND, "all see n2 with a later generation", |views| {
-        let seen = |view: &View| view.members.iter().any(|of| of.name == "n2" && of.generation > before);
+    let mut fleet = Fleet::start_joined(setup(5));
+    let before = fleet.view(2).expect("a view").local_member.generation;
+    fleet.play(&plans::restart(2, Duration::from_millis(300)));
+    fleet.wait_until(BOUND, "all see n2 with a later generation", |views| {
+        let seen =
+            |view: &MembershipView| view.members.iter().any(|of| of.name == "n2" && of.generation > before);
         views.iter().all(|(number, view)| *number == 2 || seen(view))
     });
-    fleet.all_see_all(BOUND, "after a restart");
+    fleet.wait_for_full_membership(BOUND, "after a restart");
 }
 
 #[test]
 fn a_flood_of_bad_packets_evicts_nobody_lets_nobody_in_and_is_counted() {
-    let mut fleet = Fleet::joined(setup(5));
+    let mut fleet = Fleet::start_joined(setup(5));
     let rejected = fleet.view(0).expect("a view").rejected;
-    let (stranger, to) = (UdpSocket::bind("127.0.0.1:0").expect("a socket"), fleet.bound(0));
+    let (stranger, to) = (UdpSocket::bind("127.0.0.1:0").expect("a socket"), fleet.membership_address(0));
     // Of this version with a tag that is none, of 60,000 bytes, and empty.
     let (forged, large) = (vec![1; 200], vec![1; 60_000]);
     for _ in 0..2_000 {
@@ -133,7 +143,7 @@
             let _ = stranger.send_to(packet, to);
         }
     }
-    fleet.until(BOUND, "n0 has counted hundreds of each kind", |views| {
+    fleet.wait_until(BOUND, "n0 has counted hundreds of each kind", |views| {
         let now = views[0].1.rejected;
         [now.forged - rejected.forged, now.too_large - rejected.too_large, now.malformed - rejected.malformed]
             .iter()
@@ -145,13 +155,13 @@
 
 #[test]
 fn seeds_that_are_all_down_at_the_start_are_asked_until_one_is_there() {
-    let mut fleet = Fleet::new(Setup { seeds: vec![0, 1], ..setup(6) });
-    let plan = plans::seeds_late(6, 2, s(3));
+    let mut fleet = Fleet::new(FleetConfig { seeds: vec![0, 1], ..setup(6) });
+    let plan = plans::start_seeds_late(6, 2, s(3));
     let seeds = plan.steps.iter().position(|step| step.0 > s(0)).expect("they start later");
-    fleet.play(&Plan { steps: plan.steps[..seeds].to_vec() });
-    fleet.until(BOUND, "the four serve, and see nobody", |views| {
+    fleet.play(&FaultPlan { steps: plan.steps[..seeds].to_vec() });
+    fleet.wait_until(BOUND, "the four serve, and see nobody", |views| {
         views.len() == 4 && views.iter().all(|(_, view)| view.members.is_empty())
     });
-    fleet.play(&Plan { steps: plan.steps[seeds..].to_vec() });
-    fleet.all_see_all(BOUND, "after the seeds' start");
+    fleet.play(&FaultPlan { steps: plan.steps[seeds..].to_vec() });
+    fleet.wait_for_full_membership(BOUND, "after the seeds' start");
 }
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -21,6 +21,6 @@
 mod relay;
 mod view;
 
-pub use copperspread_fault_injection::{Act, Fault, Plan, Weather, plans};
-pub use fleet::{Fleet, Setup};
-pub use view::{Member, Rejected, View};
+pub use copperspread_fault_injection::{Fault, FaultPlan, LinkConditions, ProcessAction, plans};
+pub use fleet::{Fleet, FleetConfig};
+pub use view::{MemberInfo, MembershipView, RejectionCounts};
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -6,22 +6,22 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 /// A process; it ends with this.
-pub(crate) struct Process(Child);
+pub(crate) struct SchedulerProcess(Child);
 
-impl Process {
+impl SchedulerProcess {
     /// Starts the program by a configuration; its log goes to a file.
-    pub(crate) fn start(program: &Path, config: &Path, log: File) -> Process {
+    pub(crate) fn start(program: &Path, config: &Path, log: File) -> SchedulerProcess {
         let mut command = Command::new(program);
         command.args(["serve", "--config"]).arg(config).env_remove("EDGE_CONFIG");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        Process(command.spawn().unwrap_or_else(|e| panic!("{}: {e}", program.display())))
+        SchedulerProcess(command.spawn().unwrap_or_else(|e| panic!("{}: {e}", program.display())))
     }
 
-    pub(crate) fn stop(&self) {
+    pub(crate) fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    pub(crate) fn go_on(&self) {
+    pub(crate) fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
@@ -31,12 +31,12 @@
     }
 
     /// Whether it has ended by itself.
-    pub(crate) fn ended(&mut self) -> bool {
+    pub(crate) fn has_exited(&mut self) -> bool {
         self.0.try_wait().is_ok_and(|status| status.is_some())
     }
 }
 
-impl Drop for Process {
+impl Drop for SchedulerProcess {
     fn drop(&mut self) {
         // SIGKILL ends one that is stopped too. Fails only where it has ended.
         let _ = self.0.kill();
--- a/crates/test-harness/src/view.rs
+++ b/crates/test-harness/src/view.rs
@@ -10,13 +10,13 @@
 use serde::Deserialize;
 
 /// Longest wait for an answer: one that is paused gives none.
-const ANSWER_WITHIN: Duration = Duration::from_millis(500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Largest answer, in bytes.
-const MOST: usize = 1 << 20;
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 /// A member as others know it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub struct Member {
+pub struct MemberInfo {
     /// Its name, the same after a restart.
     pub name: String,
     /// Its zone.
@@ -28,12 +28,13 @@
     /// Grows with every start.
     pub generation: u64,
     /// How often it came back within this start.
-    pub returned: u32,
+    #[serde(rename = "returned")]
+    pub rejoins: u32,
 }
 
 /// Packets that were not taken, by cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub struct Rejected {
+pub struct RejectionCounts {
     /// Longer than any of the protocol.
     pub too_large: u64,
     /// Too short, or without a meaning.
@@ -46,17 +47,20 @@
 
 /// One member's view.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub struct View {
+pub struct MembershipView {
     /// Itself.
-    pub own: Member,
+    #[serde(rename = "own")]
+    pub local_member: MemberInfo,
     /// The others that are there.
-    pub members: Vec<Member>,
+    pub members: Vec<MemberInfo>,
     /// How much it doubts itself.
-    pub doubt: u32,
+    #[serde(rename = "doubt")]
+    pub local_health_multiplier: u32,
     /// How often it was stopped and noticed.
-    pub pauses: u64,
+    #[serde(rename = "pauses")]
+    pub detected_pauses: u64,
     /// What it did not take.
-    pub rejected: Rejected,
+    pub rejected: RejectionCounts,
     /// Packets that came.
     pub packets_in: u64,
     /// Packets sent.
@@ -67,40 +71,43 @@
     pub bytes_out: u64,
 }
 
-impl View {
+impl MembershipView {
     /// Whether it sees one of this name.
-    pub fn sees(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.members.iter().any(|member| member.name == name)
     }
 }
 
-pub(crate) struct Viewer(Client<HttpConnector, Empty<Bytes>>);
+pub(crate) struct MembershipClient(Client<HttpConnector, Empty<Bytes>>);
 
-impl Viewer {
-    pub(crate) fn new() -> Viewer {
+impl MembershipClient {
+    pub(crate) fn new() -> MembershipClient {
         // A connection for each question: one to a process that has since been killed is of no use.
         let mut client = Client::builder(TokioExecutor::new());
         client.pool_timer(TokioTimer::new()).pool_max_idle_per_host(0);
-        Viewer(client.build_http())
+        MembershipClient(client.build_http())
     }
 
     /// The view of the one that serves here.
     ///
     /// # Errors
     /// No answer in time, or one that is no view.
-    pub(crate) async fn ask(&self, at: SocketAddr) -> Result<View, String> {
+    pub(crate) async fn fetch_view(&self, at: SocketAddr) -> Result<MembershipView, String> {
         let asked = async {
             let request = Request::get(format!("http://{at}/-/cluster"));
             let request = request.body(Empty::new()).map_err(|e| e.to_string())?;
             let answer = self.0.request(request).await.map_err(|e| e.to_string())?;
             let status = answer.status();
-            let body = Limited::new(answer.into_body(), MOST).collect().await.map_err(|e| e.to_string())?;
+            let body = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES)
+                .collect()
+                .await
+                .map_err(|e| e.to_string())?;
             if status != StatusCode::OK {
                 return Err(format!("status {status}"));
             }
             serde_json::from_slice(&body.to_bytes()).map_err(|e| format!("no view: {e}"))
         };
-        let late = |_| Err(format!("no answer in {ANSWER_WITHIN:?}"));
-        tokio::time::timeout(ANSWER_WITHIN, asked).await.unwrap_or_else(late)
+        let late = |_| Err(format!("no answer in {RESPONSE_TIMEOUT:?}"));
+        tokio::time::timeout(RESPONSE_TIMEOUT, asked).await.unwrap_or_else(late)
     }
 }
--- a/crates/testbed/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use clap::{Parser, ValueEnum};
-use copperspread_fault_injection::{Act, Fault, Plan, plans};
+use copperspread_fault_injection::{Fault, FaultPlan, ProcessAction, plans};
 use copperspread_membership::{Effect, Micros, SECOND, Settings};
 use copperspread_testbed::members::{MS, Net};
 use rayon::prelude::*;
@@ -75,7 +75,7 @@
 
 /// How long a suspicion lasts among so many.
 fn suspicion(members: usize) -> Micros {
-    let Settings { probe_interval, suspicion, .. } = Settings::default();
+    let Settings { probe_interval, suspicion_multiplier: suspicion, .. } = Settings::default();
     (probe_interval as f64 * suspicion * (members as f64).log10().max(1.0)) as Micros
 }
 
@@ -111,7 +111,7 @@
 /// Who was given up by anybody, or was told so, each once a play.
 fn given_up(net: &Net) -> Vec<String> {
     let name = |effect: &Effect| match effect {
-        Effect::Down(member) | Effect::Refuted(member) => Some(member.name.clone()),
+        Effect::MemberDown(member) | Effect::SelfRefuted(member) => Some(member.name.clone()),
         _ => None,
     };
     let mut names: Vec<_> = net.said.iter().filter_map(|said| name(&said.2)).collect();
@@ -124,8 +124,8 @@
     let plays = seeds.end;
     let given_up: usize = each(seeds, |seed| {
         let mut net = Net::joined(members, seed);
-        let (least, most) = (net.links.weather.least, net.links.weather.most);
-        net.play(&plans::lossy(lose, least, most, Duration::from_secs(60)));
+        let (least, most) = (net.links.conditions.min_delay, net.links.conditions.max_delay);
+        net.play(&plans::lose_packets(lose, least, most, Duration::from_secs(60)));
         given_up(&net).len()
     })
     .into_iter()
@@ -145,10 +145,11 @@
     let given_up = each(seeds, |seed| {
         let mut net = Net::joined(members, seed);
         let all = |act| (1..=pausing).map(move |whom| Fault::Process(whom, act));
-        let plan = (0..rounds).fold(Plan::default(), |plan, round| {
+        let plan = (0..rounds).fold(FaultPlan::default(), |plan, round| {
             let at = Duration::from_secs(round * (span + 1));
-            let plan = all(Act::Pause).fold(plan, |plan, fault| plan.at(at, fault));
-            all(Act::Resume).fold(plan, |plan, fault| plan.at(at + Duration::from_secs(span), fault))
+            let plan = all(ProcessAction::Pause).fold(plan, |plan, fault| plan.at(at, fault));
+            all(ProcessAction::Resume)
+                .fold(plan, |plan, fault| plan.at(at + Duration::from_secs(span), fault))
         });
         net.play(&plan);
         net.run(10 * SECOND);
@@ -183,8 +184,8 @@
     let plays = seeds.end.min(20);
     let mut took = each(0..plays, |seed| {
         let mut net = Net::joined(members, seed);
-        net.play(&plans::halves(members, Duration::from_secs(60)));
-        let split = |effect: &Effect| matches!(effect, Effect::Down(_));
+        net.play(&plans::partition_in_halves(members, Duration::from_secs(60)));
+        let split = |effect: &Effect| matches!(effect, Effect::MemberDown(_));
         assert!(net.said.iter().any(|said| split(&said.2)), "the halves have given each other up");
         net.until(600 * SECOND, 100 * MS, |net| net.all_see(members - 1)).expect("one view in 600 s")
     });
--- a/crates/testbed/src/members.rs
+++ b/crates/testbed/src/members.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use copperspread_fault_injection::{Act, Fault, Links, Plan, Weather};
+use copperspread_fault_injection::{Fault, FaultPlan, LinkConditions, NetworkLinks, ProcessAction};
 use copperspread_membership::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -32,8 +32,11 @@
 }
 
 /// The network on a usual day: nothing is lost, each packet takes between 0.5 and 20.5 ms.
-const USUAL: Weather =
-    Weather { least: Duration::from_micros(500), most: Duration::from_micros(20_500), ..Weather::FAIR };
+const USUAL: LinkConditions = LinkConditions {
+    min_delay: Duration::from_micros(500),
+    max_delay: Duration::from_micros(20_500),
+    ..LinkConditions::IDEAL
+};
 
 /// The key of all members here.
 pub fn key() -> Key {
@@ -44,11 +47,11 @@
 pub fn named(number: usize, generation: u64) -> Member {
     let zone = ["arnhem", "zwolle", "eindhoven"][number % 3].to_owned();
     let (name, region) = (format!("n{number}"), "nl".to_owned());
-    Member { name, zone, region, address: address(number), generation, returned: 0 }
+    Member { name, zone, region, address: address(number), generation, rejoins: 0 }
 }
 
 struct Process {
-    cluster: Cluster,
+    cluster: Membership,
     /// Stopped until then; packets wait for it.
     paused: Micros,
     /// Its next wake, or its last one; others that are still on their way are void.
@@ -71,7 +74,7 @@
     processes: Vec<Option<Process>>,
     chance: Pcg64Mcg,
     /// What becomes of packets.
-    pub links: Links,
+    pub links: NetworkLinks,
     /// How the members that are started watch the others.
     pub settings: Settings,
     /// The generation of each place's last process.
@@ -119,7 +122,7 @@
             count: 0,
             processes: (0..members).map(|_| None).collect(),
             chance: Pcg64Mcg::seed_from_u64(seed),
-            links: Links::new(USUAL),
+            links: NetworkLinks::new(USUAL),
             settings: Settings::default(),
             generations: vec![0; members],
             said: Vec::new(),
@@ -134,7 +137,7 @@
         let settings = Settings { seeds, ..self.settings.clone() };
         self.generations[number] = generation;
         let chance = self.chance.random();
-        let cluster = Cluster::new(named(number, generation), settings, key(), chance).expect("settings");
+        let cluster = Membership::new(named(number, generation), settings, key(), chance).expect("settings");
         self.processes[number] = Some(Process { cluster, paused: 0, armed: 0, waiting: Vec::new() });
         self.arm(number, self.now + 1);
     }
@@ -168,21 +171,21 @@
 
     /// Lets a fault happen now. A process that starts asks the first member.
     pub fn happens(&mut self, fault: &Fault) {
-        self.links.take(fault);
+        self.links.apply(fault);
         match *fault {
-            Fault::Process(whom, Act::Pause) => self.pause_until(whom, Micros::MAX),
-            Fault::Process(whom, Act::Resume) => {
+            Fault::Process(whom, ProcessAction::Pause) => self.pause_until(whom, Micros::MAX),
+            Fault::Process(whom, ProcessAction::Resume) => {
                 self.pause_until(whom, self.now);
                 self.arm(whom, self.now);
             }
-            Fault::Process(whom, Act::Kill) => self.kill(whom),
-            Fault::Process(whom, Act::Start) => self.start(whom, self.generations[whom] + 1, &[0]),
+            Fault::Process(whom, ProcessAction::Kill) => self.kill(whom),
+            Fault::Process(whom, ProcessAction::Start) => self.start(whom, self.generations[whom] + 1, &[0]),
             _ => {}
         }
     }
 
     /// Plays a plan from now to its last step.
-    pub fn play(&mut self, plan: &Plan) {
+    pub fn play(&mut self, plan: &FaultPlan) {
         let start = self.now;
         for (at, fault) in &plan.steps {
             self.run((start + micros(*at)).saturating_sub(self.now));
@@ -259,11 +262,11 @@
         for packet in std::mem::take(&mut process.waiting) {
             self.give(whom, Input::Packet(&packet));
         }
-        self.give(whom, Input::Due);
+        self.give(whom, Input::TimerDue);
     }
 
     /// Hands something to a member; why it was not taken, if so.
-    pub fn give(&mut self, whom: usize, input: Input<'_>) -> Option<Rejected> {
+    pub fn give(&mut self, whom: usize, input: Input<'_>) -> Option<PacketError> {
         let now = self.now;
         let Some(process) = &mut self.processes[whom] else { return None };
         let mut effects = Vec::new();
@@ -279,15 +282,15 @@
     fn carry(&mut self, whom: usize, effects: Vec<Effect>) {
         let now = self.now;
         for effect in effects {
-            let Effect::Send { to, packet } = effect else {
+            let Effect::SendPacket { to, packet } = effect else {
                 self.said.push((now, whom, effect));
                 continue;
             };
-            assert!(packet.len() <= MOST_PACKET, "{} bytes", packet.len());
+            assert!(packet.len() <= MAX_PACKET_BYTES, "{} bytes", packet.len());
             self.packets += 1;
             self.bytes += packet.len() as u64;
             let Some(to) = number(to).filter(|&to| to < self.processes.len()) else { continue };
-            let [first, second] = self.links.way(whom, to, &mut self.chance);
+            let [first, second] = self.links.delivery_delays(whom, to, &mut self.chance);
             if let Some(way) = second {
                 self.at(now + micros(way), to, Ev::Arrives(to, packet.clone()));
             }
@@ -306,7 +309,7 @@
     ///
     /// # Panics
     /// It does not run.
-    pub fn cluster(&self, number: usize) -> &Cluster {
+    pub fn cluster(&self, number: usize) -> &Membership {
         &self.processes[number].as_ref().expect("it runs").cluster
     }
 
@@ -326,7 +329,7 @@
         self.said
             .iter()
             .filter_map(|(at, by, effect)| match effect {
-                Effect::Down(member) => Some((*at, *by, member.name.as_str())),
+                Effect::MemberDown(member) => Some((*at, *by, member.name.as_str())),
                 _ => None,
             })
             .collect()
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -21,7 +21,7 @@
         net.run(30 * SECOND);
         assert!(net.all_see(8), "seed {seed}");
         assert!(net.downs().iter().all(|down| down.2 == "n3"), "seed {seed}: {:?}", net.downs());
-        assert_eq!(net.cluster(3).pauses(), 1, "seed {seed}");
+        assert_eq!(net.cluster(3).detected_pauses(), 1, "seed {seed}");
     }
 }
 
@@ -35,19 +35,19 @@
     net.run(31 * SECOND);
     assert!(net.all_see(8));
     assert!(net.downs().iter().all(|down| down.2 == "n3"), "{:?}", net.downs());
-    assert!(net.said.iter().any(|said| said.1 == 3 && matches!(said.2, Effect::Refuted(_))));
-    assert!(net.cluster(3).own().returned > 0);
+    assert!(net.said.iter().any(|said| said.1 == 3 && matches!(said.2, Effect::SelfRefuted(_))));
+    assert!(net.cluster(3).local_member().rejoins > 0);
 }
 
 #[test]
 fn at_30_percent_loss_nobody_is_declared_dead_within_60_s() {
     for seed in 0..30 {
         let mut net = Net::joined(9, seed);
-        net.links.weather.lose = 0.3;
+        net.links.conditions.loss_rate = 0.3;
         net.run(60 * SECOND);
         assert!(net.downs().is_empty(), "seed {seed}: {:?}", net.downs());
         // Nor was it told so in error, after it had refuted.
-        assert!((0..9).all(|at| net.cluster(at).own().returned == 0), "seed {seed}");
+        assert!((0..9).all(|at| net.cluster(at).local_member().rejoins == 0), "seed {seed}");
     }
 }
 
@@ -56,7 +56,7 @@
 fn a_one_sided_cut_between_two_evicts_neither() {
     for seed in 0..5 {
         let mut net = Net::joined(7, seed);
-        net.links.cut.insert((0, 1));
+        net.links.blocked.insert((0, 1));
         net.run(60 * SECOND);
         assert!(net.downs().is_empty() && net.all_see(6), "seed {seed}: {:?}", net.downs());
     }
@@ -66,10 +66,10 @@
 #[test]
 fn a_member_that_nobody_hears_goes_and_returns_when_the_cut_heals() {
     let mut net = Net::joined(7, 3);
-    net.links.cut.extend((0..7).filter(|&to| to != 2).map(|to| (2, to)));
+    net.links.blocked.extend((0..7).filter(|&to| to != 2).map(|to| (2, to)));
     net.run(30 * SECOND);
     assert!((0..7).filter(|&by| by != 2).all(|by| !net.sees(by, 2) && net.seen(by).len() == 5));
-    net.links.cut.clear();
+    net.links.blocked.clear();
     net.run(30 * SECOND);
     assert!(net.all_see(6));
 }
@@ -77,10 +77,10 @@
 #[test]
 fn two_halves_part_and_become_one_view_again() {
     let mut net = Net::joined(9, 4);
-    net.happens(&Fault::Part { one: (0..4).collect(), other: (4..9).collect() });
+    net.happens(&Fault::Partition { one: (0..4).collect(), other: (4..9).collect() });
     net.run(30 * SECOND);
     assert!((0..4).all(|at| net.seen(at).len() == 3) && (4..9).all(|at| net.seen(at).len() == 4));
-    net.links.cut.clear();
+    net.links.blocked.clear();
     net.run(30 * SECOND);
     assert!(net.all_see(8), "30 s after the cut healed");
 }
@@ -124,22 +124,25 @@
     let mut net = Net::joined(5, 8);
     let mut real = Vec::new();
     let mut stranger =
-        Cluster::new(named(9, 1), Settings { seeds: vec![address(0)], ..Settings::default() }, key(), 1)
+        Membership::new(named(9, 1), Settings { seeds: vec![address(0)], ..Settings::default() }, key(), 1)
             .expect("settings");
     let mut effects = Vec::new();
-    stranger.handle(0, Input::Due, &mut effects).expect("time goes on");
+    stranger.handle(0, Input::TimerDue, &mut effects).expect("time goes on");
     for effect in effects {
-        if let Effect::Send { packet, .. } = effect {
+        if let Effect::SendPacket { packet, .. } = effect {
             real = packet;
         }
     }
     assert!(!real.is_empty(), "it asks its seed");
-    let mut forged = vec![(vec![], Rejected::Malformed), (vec![1; 5_000], Rejected::TooLarge)];
+    let mut forged = vec![(vec![], PacketError::Malformed), (vec![1; 5_000], PacketError::TooLarge)];
     for cut in 0..real.len() {
-        forged.push((real[..cut].to_vec(), if cut <= 32 { Rejected::Malformed } else { Rejected::Forged }));
+        forged.push((
+            real[..cut].to_vec(),
+            if cut <= 32 { PacketError::Malformed } else { PacketError::Forged },
+        ));
         let mut changed = real.clone();
         changed[cut] ^= 0x40;
-        forged.push((changed, Rejected::Forged));
+        forged.push((changed, PacketError::Forged));
     }
     for (packet, why) in &forged {
         for _ in 0..20 {
@@ -155,13 +158,13 @@
 
 #[test]
 fn settings_and_keys_that_cannot_work_are_named() {
-    let with = |settings| Cluster::new(named(0, 1), settings, key(), 1).err().map(|e| e.to_string());
+    let with = |settings| Membership::new(named(0, 1), settings, key(), 1).err().map(|e| e.to_string());
     let usual = Settings::default;
     for (settings, word) in [
         (Settings { probe_timeout: 0, ..usual() }, "time-out"),
         (Settings { probe_timeout: SECOND, ..usual() }, "time-out"),
-        (Settings { indirect: 0, ..usual() }, "indirect"),
-        (Settings { suspicion: f64::NAN, ..usual() }, "suspicion"),
+        (Settings { indirect_probes: 0, ..usual() }, "indirect"),
+        (Settings { suspicion_multiplier: f64::NAN, ..usual() }, "suspicion"),
     ] {
         assert!(with(settings).expect("refused").contains(word));
     }
--- a/crates/testbed/tests/membership_plans.rs
+++ b/crates/testbed/tests/membership_plans.rs
@@ -2,7 +2,7 @@
 //! same ones on real processes.
 use std::time::Duration;
 
-use copperspread_fault_injection::{Plan, plans};
+use copperspread_fault_injection::{FaultPlan, plans};
 use copperspread_membership::*;
 use copperspread_testbed::members::*;
 
@@ -13,7 +13,7 @@
 }
 
 /// All have played the plan, and see so many others within a bound after its end.
-fn played(seed: u64, plan: &Plan, others: usize, bound: Micros) -> Net {
+fn played(seed: u64, plan: &FaultPlan, others: usize, bound: Micros) -> Net {
     let mut net = Net::joined(MEMBERS, seed);
     net.play(plan);
     assert!(net.until(bound, SECOND, |net| net.all_see(others)).is_some(), "not within {bound} us");
@@ -22,50 +22,50 @@
 
 #[test]
 fn one_killed_of_300_is_down_everywhere_and_nobody_else_is() {
-    let net = played(1, &plans::killed(7), MEMBERS - 2, 30 * SECOND);
+    let net = played(1, &plans::kill(7), MEMBERS - 2, 30 * SECOND);
     assert_eq!(net.downs().len(), MEMBERS - 1);
     assert!(net.downs().iter().all(|down| down.2 == "n7"));
 }
 
 #[test]
 fn one_of_300_paused_for_5_s_stays() {
-    let mut net = played(2, &plans::paused(7, s(5)), MEMBERS - 1, 0);
+    let mut net = played(2, &plans::pause(7, s(5)), MEMBERS - 1, 0);
     net.run(30 * SECOND);
     assert!(
         net.all_see(MEMBERS - 1) && net.downs().is_empty(),
         "5 s are less than the 12 s of suspicion among 300: {:?}",
         net.downs()
     );
-    assert_eq!(net.cluster(7).pauses(), 1);
+    assert_eq!(net.cluster(7).detected_pauses(), 1);
 }
 
 /// Longer than the suspicion: all give it up, and it returns.
 #[test]
 fn one_of_300_paused_for_40_s_returns_as_itself_returned() {
-    let net = played(3, &plans::paused(7, s(40)), MEMBERS - 1, 60 * SECOND);
+    let net = played(3, &plans::pause(7, s(40)), MEMBERS - 1, 60 * SECOND);
     assert!(net.downs().iter().all(|down| down.2 == "n7") && !net.downs().is_empty());
-    assert!(net.cluster(7).own().returned > 0);
+    assert!(net.cluster(7).local_member().rejoins > 0);
 }
 
 #[test]
 fn at_30_percent_loss_nobody_of_300_is_declared_dead_in_20_s() {
     let usual = Duration::from_micros(500)..Duration::from_micros(20_500);
-    let net = played(4, &plans::lossy(0.3, usual.start, usual.end, s(20)), MEMBERS - 1, 0);
+    let net = played(4, &plans::lose_packets(0.3, usual.start, usual.end, s(20)), MEMBERS - 1, 0);
     assert!(net.downs().is_empty(), "{:?}", net.downs());
-    assert!((0..MEMBERS).all(|at| net.cluster(at).own().returned == 0), "nor told so in error");
+    assert!((0..MEMBERS).all(|at| net.cluster(at).local_member().rejoins == 0), "nor told so in error");
 }
 
 #[test]
 fn a_one_sided_cut_between_two_of_300_evicts_neither() {
-    let net = played(5, &plans::one_sided(0, 1, s(30)), MEMBERS - 1, 0);
+    let net = played(5, &plans::block_one_way(0, 1, s(30)), MEMBERS - 1, 0);
     assert!(net.downs().is_empty(), "{:?}", net.downs());
 }
 
 #[test]
 fn two_halves_of_300_part_and_are_one_view_again() {
     let mut net = Net::joined(MEMBERS, 6);
-    let plan = plans::halves(MEMBERS, s(60));
-    let (until_healed, heal) = (Plan { steps: plan.steps[..1].to_vec() }, &plan.steps[1].1);
+    let plan = plans::partition_in_halves(MEMBERS, s(60));
+    let (until_healed, heal) = (FaultPlan { steps: plan.steps[..1].to_vec() }, &plan.steps[1].1);
     net.play(&until_healed);
     net.run(60 * SECOND);
     assert!((0..MEMBERS).all(|at| net.seen(at).len() == MEMBERS / 2 - 1), "each half has given up the other");
@@ -78,7 +78,7 @@
 
 #[test]
 fn one_of_300_that_restarts_takes_its_place_with_a_new_generation() {
-    let net = played(7, &plans::restarted(7, s(1)), MEMBERS - 1, 30 * SECOND);
+    let net = played(7, &plans::restart(7, s(1)), MEMBERS - 1, 30 * SECOND);
     let of_7 = |by| net.seen(by).into_iter().find(|member| member.name == "n7").expect("seen").generation;
     assert!((0..MEMBERS).filter(|&by| by != 7).all(|by| of_7(by) == 2));
 }
@@ -86,7 +86,7 @@
 #[test]
 fn a_seed_that_starts_20_s_late_brings_299_together() {
     let mut net = Net::new(MEMBERS, 8);
-    net.play(&plans::seeds_late(MEMBERS, 1, s(20)));
+    net.play(&plans::start_seeds_late(MEMBERS, 1, s(20)));
     assert!(net.all_see(0), "nobody has found another");
     assert!(net.until(60 * SECOND, SECOND, |net| net.all_see(MEMBERS - 1)).is_some(), "60 s after the seed");
 }
