--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -1,343 +1,252 @@
-//! The thread that holds the protocol: its sockets, its clock and its queues.
+//! The thread that holds the protocol: reads the sockets and the clock, and carries out the protocol's effects.
 use std::io;
-use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
-use std::sync::atomic::{AtomicU8, Ordering};
-use std::thread::{Builder, JoinHandle};
 use std::time::{Duration, Instant};
 
-use arc_swap::ArcSwap;
-use copperspread_membership::*;
-use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
-use mio::{Events, Interest, Poll, Token, Waker};
+use copperspread_membership::{Effect, Input, MAX_PACKET_BYTES, Member, Membership, Micros};
+use crossbeam_channel::{Receiver, Sender};
+use mio::Events;
 use tracing::{info, warn};
 
-use crate::counts::{Counts, MembershipView};
-use crate::streams::{self, Mail, Way};
-use crate::{MembershipTransport, StartError, TransportConfig};
-
-const RUNS: u8 = 0;
-/// It says that it goes, and ends.
-pub(crate) const LEAVES: u8 = 1;
-/// It ends.
-pub(crate) const STOPS: u8 = 2;
-
-/// Room wanted for packets that wait, such as those of a pause, in bytes; the system may give less.
-const WAITING_PACKETS: usize = 1 << 20;
-/// Packets read before the time is told: more than the socket's buffer holds, so that after a
-/// pause all that waited is read, and a flood does not keep the time from being told.
-const MOST_AT_ONCE: usize = 4_096;
-/// Longest wait for anything, in case the protocol wants no time told.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
-/// Streams taken and not yet served. Full, a further one is closed (`streams_refused`).
-const STREAMS_WAIT: usize = 4;
-/// States from streams that the protocol has not taken yet. Full, their threads wait within the time
-/// limit of their stream, then give up (`states_dropped`).
-const MAIL_WAITS: usize = 8;
-/// Exchanges wanted and not yet begun. Full, a further one is left out (`exchanges_skipped`).
-const EXCHANGES_WAIT: usize = 2;
-/// Tries to have one port for packets and streams where the system chooses it.
-const PORT_TRIES: usize = 16;
-
-const PACKETS: Token = Token(0);
-const STREAMS: Token = Token(1);
-const WAKES: Token = Token(2);
-
-/// What changes less often than the counts.
-struct Known {
-    own: Member,
-    members: Arc<[Member]>,
-    doubt: u32,
-    pauses: u64,
+use crate::messages::{ExchangeRequest, ReceivedState};
+use crate::shared::{RunState, Shared, Snapshot};
+use crate::sockets::PolledSockets;
+
+/// Streams that were accepted and not yet served. While it is full, further ones are closed
+/// ([`DropCounts::streams_rejected`](crate::DropCounts::streams_rejected)).
+pub(crate) const MAX_ACCEPTED_STREAMS: usize = 4;
+/// Streams accepted before the other inputs are looked at again.
+const MAX_ACCEPTS_PER_TURN: usize = 4 * MAX_ACCEPTED_STREAMS;
+/// Packets read before timers run: more than the socket's buffer holds, so that after a pause all that waited is read
+/// first, while a flood does not keep the timers from running.
+const MAX_PACKETS_PER_TURN: usize = 4_096;
+/// Longest wait for an event, also where the protocol has no timer.
+const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Events that one poll reports: above the number of sources.
+const EVENT_CAPACITY: usize = 8;
+
+/// The queues' ends that the driver uses. Their drop ends the streams' threads.
+pub(crate) struct DriverQueues {
+    pub(crate) accepted_streams: Sender<TcpStream>,
+    pub(crate) received_states: Receiver<ReceivedState>,
+    pub(crate) exchange_requests: Sender<ExchangeRequest>,
 }
 
-/// What all threads and the owner share.
-pub(crate) struct Shared {
-    known: ArcSwap<Known>,
-    pub(crate) counts: Counts,
-    ending: AtomicU8,
-    waker: Waker,
+/// The driver of one member. It owns the protocol and the sockets; its thread runs until the transport ends the run.
+pub(crate) struct Driver {
+    membership: Membership,
+    sockets: PolledSockets,
+    queues: DriverQueues,
+    shared: Arc<Shared>,
+    /// The protocol's instants count from here.
+    started: Instant,
+    /// Empty between two inputs; kept for its capacity.
+    effects: Vec<Effect>,
+    /// Whether members have changed since the last snapshot.
+    members_changed: bool,
 }
 
-impl Shared {
-    pub(crate) fn view(&self) -> MembershipView {
-        let (known, counts) = (self.known.load(), &self.counts);
-        MembershipView {
-            local_member: known.own.clone(),
-            members: Arc::clone(&known.members),
-            local_health_multiplier: known.doubt,
-            detected_pauses: known.pauses,
-            rejected: counts.rejects(),
-            packets_in: counts.packets_in.load(Ordering::Relaxed),
-            packets_out: counts.packets_out.load(Ordering::Relaxed),
-            bytes_in: counts.bytes_in.load(Ordering::Relaxed),
-            bytes_out: counts.bytes_out.load(Ordering::Relaxed),
-        }
-    }
-
-    /// Begins the end; one that leaves goes on to do so.
-    pub(crate) fn end(&self, how: u8) {
-        if self.ending.compare_exchange(RUNS, how, Ordering::Relaxed, Ordering::Relaxed).is_ok() {
-            self.wake();
-        }
-    }
-
-    pub(crate) fn ending(&self) -> bool {
-        self.ending.load(Ordering::Relaxed) != RUNS
-    }
-
-    pub(crate) fn wake(&self) {
-        // It fails where the thread is gone.
-        let _ = self.waker.wake();
-    }
+/// Whether a source of input was read to its end, or has more.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ReadProgress {
+    Drained,
+    MoreWaiting,
 }
 
-/// One port for packets and streams.
-fn bind(wanted: SocketAddr) -> Result<(UdpSocket, TcpListener, SocketAddr), StartError> {
-    let failed = |error| StartError::Bind(wanted, error);
-    let mut tries = if wanted.port() == 0 { PORT_TRIES } else { 1 };
-    loop {
-        let packets = UdpSocket::bind(wanted).map_err(failed)?;
-        let address = packets.local_addr().map_err(failed)?;
-        match TcpListener::bind(address) {
-            Ok(streams) => return Ok((packets, streams, address)),
-            Err(error) if tries <= 1 => return Err(failed(error)),
-            Err(_) => tries -= 1,
+impl Driver {
+    pub(crate) fn new(
+        membership: Membership,
+        sockets: PolledSockets,
+        queues: DriverQueues,
+        shared: Arc<Shared>,
+    ) -> Driver {
+        Driver {
+            membership,
+            sockets,
+            queues,
+            shared,
+            started: Instant::now(),
+            effects: Vec::new(),
+            members_changed: false,
         }
     }
-}
-
-pub(crate) fn begin(spec: TransportConfig, generation: u64) -> Result<MembershipTransport, StartError> {
-    let system = StartError::System;
-    let (packets, streams, address) = bind(spec.bind_address)?;
-    let TransportConfig {
-        advertised_address: advertise,
-        name,
-        zone,
-        region,
-        membership_settings: settings,
-        key,
-        seed,
-        ..
-    } = spec;
-    let own = Member { name, zone, region, address: advertise.unwrap_or(address), generation, rejoins: 0 };
-    let cluster = Membership::new(own.clone(), settings, key.clone(), seed).map_err(StartError::Settings)?;
-    // Less does as well, with more packets lost where the process is stopped.
-    let _ = socket2::SockRef::from(&packets).set_recv_buffer_size(WAITING_PACKETS);
-    packets.set_nonblocking(true).map_err(system)?;
-    streams.set_nonblocking(true).map_err(system)?;
-    let mut packets = mio::net::UdpSocket::from_std(packets);
-    let mut streams = mio::net::TcpListener::from_std(streams);
-    let poll = Poll::new().map_err(system)?;
-    poll.registry().register(&mut packets, PACKETS, Interest::READABLE).map_err(system)?;
-    poll.registry().register(&mut streams, STREAMS, Interest::READABLE).map_err(system)?;
-    let waker = Waker::new(poll.registry(), WAKES).map_err(system)?;
-    let known = Known { own, members: Arc::default(), doubt: 0, pauses: 0 };
-    let shared = Arc::new(Shared {
-        known: ArcSwap::from_pointee(known),
-        counts: Counts::new(),
-        ending: AtomicU8::new(RUNS),
-        waker,
-    });
-    // Its drop ends what has begun, should a thread be refused. Before the queues, so that their ends go first.
-    let mut peers = MembershipTransport { shared: Arc::clone(&shared), address, threads: Vec::new() };
-    let (accepted, to_serve) = bounded(STREAMS_WAIT);
-    let (mail, letters) = bounded(MAIL_WAITS);
-    let (exchanges, to_begin) = bounded(EXCHANGES_WAIT);
-    let way = Way { shared: Arc::clone(&shared), key, mail, bound: address.ip() };
-    for number in 0..streams::SERVED_AT_ONCE {
-        let (way, to_serve) = (way.clone(), to_serve.clone());
-        let serve = move || streams::serve_all(&way, &to_serve);
-        peers.threads.push(thread(&format!("peers-in-{number}"), serve)?);
-    }
-    peers.threads.push(thread("peers-out", move || streams::begin_all(&way, &to_begin))?);
-    let mut driver = Driver {
-        cluster,
-        poll,
-        packets,
-        streams,
-        accepted,
-        letters,
-        exchanges,
-        shared,
-        started: Instant::now(),
-        effects: Vec::new(),
-        changed: false,
-    };
-    peers.threads.push(thread("peers", move || driver.run())?);
-    Ok(peers)
-}
-
-fn thread(name: &str, what: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>, StartError> {
-    Builder::new().name(name.into()).spawn(what).map_err(StartError::System)
-}
 
-struct Driver {
-    cluster: Membership,
-    poll: Poll,
-    packets: mio::net::UdpSocket,
-    streams: mio::net::TcpListener,
-    accepted: Sender<std::net::TcpStream>,
-    letters: Receiver<Mail>,
-    exchanges: Sender<(SocketAddr, MembershipState)>,
-    shared: Arc<Shared>,
-    started: Instant,
-    effects: Vec<Effect>,
-    /// The members have changed since the last view.
-    changed: bool,
-}
-
-impl Driver {
     fn now(&self) -> Micros {
         u64::try_from(self.started.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    fn run(&mut self) {
-        let mut events = Events::with_capacity(8);
-        let mut all_read = true;
+    /// Runs until the transport ends the run.
+    pub(crate) fn run(mut self) {
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
+        let mut more_waiting = false;
         loop {
-            let wait = match self.cluster.next_due() {
-                _ if !all_read => Duration::ZERO,
-                None => LONGEST_WAIT,
-                Some(due) => Duration::from_micros(due.saturating_sub(self.now())).min(LONGEST_WAIT),
-            };
-            if let Err(error) = self.poll.poll(&mut events, Some(wait))
-                && error.kind() != io::ErrorKind::Interrupted
-            {
-                // Not known to happen; guards against a busy loop if it does.
-                warn!(%error, "peers: waiting failed");
-                std::thread::sleep(LONGEST_WAIT);
-            }
-            // All is looked at whatever woke it: a look costs little, and nothing is missed.
-            all_read = self.read_packets();
-            self.read_mail();
-            all_read &= self.take_streams();
-            let now = self.now();
-            if self.cluster.next_due().is_some_and(|due| due <= now) {
-                self.hand_in(Input::TimerDue);
-            }
-            self.publish();
-            match self.shared.ending.load(Ordering::Relaxed) {
-                RUNS => {}
-                LEAVES => {
-                    let now = self.now();
-                    self.cluster.leave(now, &mut self.effects);
-                    self.carry_out();
-                    return info!("left the cluster");
-                }
-                _ => return,
+            let timeout = if more_waiting { Duration::ZERO } else { self.poll_timeout() };
+            self.wait_for_events(&mut events, timeout);
+            // All sources are read whichever woke the thread: that costs little, and nothing is missed.
+            let packets = self.read_packets();
+            self.apply_received_states();
+            let streams = self.accept_streams();
+            more_waiting = [packets, streams].contains(&ReadProgress::MoreWaiting);
+            self.run_due_timers();
+            self.publish_snapshot();
+            match self.shared.run_state() {
+                RunState::Running => {}
+                RunState::Leaving => return self.leave(),
+                RunState::Stopping => return,
             }
         }
     }
 
-    /// Hands in all packets that wait, up to a bound; whether that was all.
-    fn read_packets(&mut self) -> bool {
+    fn poll_timeout(&self) -> Duration {
+        match self.membership.next_due() {
+            None => MAX_POLL_TIMEOUT,
+            Some(due) => Duration::from_micros(due.saturating_sub(self.now())).min(MAX_POLL_TIMEOUT),
+        }
+    }
+
+    fn wait_for_events(&mut self, events: &mut Events, timeout: Duration) {
+        if let Err(error) = self.sockets.poll.poll(events, Some(timeout))
+            && error.kind() != io::ErrorKind::Interrupted
+        {
+            warn!(%error, "membership poll failed");
+            // Not known to happen; keeps the loop from being busy if it does.
+            std::thread::sleep(MAX_POLL_TIMEOUT);
+        }
+    }
+
+    /// Hands in the packets that wait, up to a bound.
+    fn read_packets(&mut self) -> ReadProgress {
         // One byte more shows that a packet is too large.
         let mut buffer = [0; MAX_PACKET_BYTES + 1];
-        for _ in 0..MOST_AT_ONCE {
-            match self.packets.recv_from(&mut buffer) {
+        for _ in 0..MAX_PACKETS_PER_TURN {
+            match self.sockets.udp.recv_from(&mut buffer) {
                 Ok((size, _)) => {
-                    let counts = &self.shared.counts;
-                    counts.packets_in.fetch_add(1, Ordering::Relaxed);
-                    counts.bytes_in.fetch_add(size as u64, Ordering::Relaxed);
-                    self.hand_in(Input::Packet(&buffer[..size]));
+                    self.shared.counters.packets.record_received(size);
+                    self.handle(Input::Packet(&buffer[..size]));
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // Nothing more, or an error of the network that the next look leaves behind.
-                Err(_) => return true,
+                // Nothing more, or an error of the network that the next read leaves behind.
+                Err(_) => return ReadProgress::Drained,
             }
         }
-        false
+        ReadProgress::MoreWaiting
     }
 
-    fn read_mail(&mut self) {
-        while let Ok(Mail { state, answer }) = self.letters.try_recv() {
-            self.hand_in(Input::State(&state));
-            if let Some(answer) = answer {
-                // Room for one, and one is sent. Its reader may have given up.
-                let _ = answer.try_send(self.cluster.state());
+    fn apply_received_states(&mut self) {
+        while let Ok(ReceivedState { state, reply }) = self.queues.received_states.try_recv() {
+            self.handle(Input::State(&state));
+            if let Some(reply) = reply {
+                // The queue holds one reply, and one is sent. Its reader may have given up.
+                let _ = reply.try_send(self.membership.state());
             }
         }
     }
 
-    /// Takes the streams that wait, up to a bound; whether that was all.
-    fn take_streams(&mut self) -> bool {
-        for _ in 0..STREAMS_WAIT * 4 {
-            match self.streams.accept() {
-                Ok((stream, _)) => match self.accepted.try_send(stream.into()) {
-                    Ok(()) => {}
-                    // Closed by its drop.
-                    Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                        self.shared.counts.streams_refused.add();
+    /// Accepts the streams that wait, up to a bound.
+    fn accept_streams(&mut self) -> ReadProgress {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            match self.sockets.tcp.accept() {
+                Ok((stream, _)) => {
+                    // One that does not fit is closed by its drop.
+                    if self.queues.accepted_streams.try_send(stream.into()).is_err() {
+                        self.shared.counters.streams_rejected.increment();
                     }
-                },
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return true,
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return ReadProgress::Drained,
                 Err(_) => {
-                    // Such as one that was reset, or want of descriptors.
-                    self.shared.counts.streams_failed.add();
-                    return true;
+                    // Such as a stream that was reset, or a lack of descriptors.
+                    self.shared.counters.streams_failed.increment();
+                    return ReadProgress::Drained;
                 }
             }
         }
-        false
+        ReadProgress::MoreWaiting
+    }
+
+    fn run_due_timers(&mut self) {
+        let now = self.now();
+        if self.membership.next_due().is_some_and(|due| due <= now) {
+            self.handle(Input::TimerDue);
+        }
+    }
+
+    fn leave(mut self) {
+        let now = self.now();
+        self.membership.leave(now, &mut self.effects);
+        self.carry_out_effects();
+        info!("left the cluster");
     }
 
-    fn hand_in(&mut self, input: Input<'_>) {
+    fn handle(&mut self, input: Input<'_>) {
         let now = self.now();
-        if let Err(why) = self.cluster.handle(now, input, &mut self.effects) {
-            self.shared.counts.reject(why);
+        if let Err(error) = self.membership.handle(now, input, &mut self.effects) {
+            self.shared.counters.record_rejection(error);
         }
-        self.carry_out();
+        self.carry_out_effects();
     }
 
-    fn carry_out(&mut self) {
+    fn carry_out_effects(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         for effect in effects.drain(..) {
-            self.changed |= !matches!(effect, Effect::SendPacket { .. } | Effect::ExchangeState(_));
-            match effect {
-                Effect::SendPacket { to, packet } => match self.packets.send_to(&packet, to) {
-                    Ok(_) => {
-                        let counts = &self.shared.counts;
-                        counts.packets_out.fetch_add(1, Ordering::Relaxed);
-                        counts.bytes_out.fetch_add(packet.len() as u64, Ordering::Relaxed);
-                    }
-                    // The same to the protocol as one that is lost on its way.
-                    Err(_) => self.shared.counts.unsent.add(),
-                },
-                Effect::ExchangeState(with) => {
-                    if self.exchanges.try_send((with, self.cluster.state())).is_err() {
-                        self.shared.counts.exchanges_skipped.add();
-                    }
-                }
-                Effect::MemberUp(of) => tell("member up", &of),
-                Effect::MemberDown(of) => tell("member down", &of),
-                Effect::MemberReplaced(_, of) => tell("member replaced", &of),
-                Effect::SelfRefuted(own) => tell("given up by the others, back", &own),
-            }
+            self.carry_out(effect);
         }
-        // Its room is kept.
         self.effects = effects;
     }
 
-    /// Puts a new view out where something changed.
-    fn publish(&mut self) {
-        let known = self.shared.known.load();
-        let (doubt, pauses) = (self.cluster.local_health_multiplier(), self.cluster.detected_pauses());
-        let members = if std::mem::take(&mut self.changed) {
-            let mut members: Vec<Member> = self.cluster.members().cloned().collect();
-            members.sort_unstable_by(|a, b| (&a.name, a.address).cmp(&(&b.name, b.address)));
-            members.into()
-        } else if (known.doubt, known.pauses) != (doubt, pauses) {
-            Arc::clone(&known.members)
+    fn carry_out(&mut self, effect: Effect) {
+        self.members_changed |= !matches!(effect, Effect::SendPacket { .. } | Effect::ExchangeState(_));
+        match effect {
+            Effect::SendPacket { to, packet } => self.send_packet(to, &packet),
+            Effect::ExchangeState(peer) => self.request_exchange(peer),
+            Effect::MemberUp(member) => log_member("member up", &member),
+            Effect::MemberDown(member) => log_member("member down", &member),
+            Effect::MemberReplaced { after, .. } => log_member("member replaced", &after),
+            Effect::SelfRefuted(local) => log_member("declared dead by others, rejoined", &local),
+        }
+    }
+
+    fn send_packet(&self, to: SocketAddr, packet: &[u8]) {
+        match self.sockets.udp.send_to(packet, to) {
+            Ok(_) => self.shared.counters.packets.record_sent(packet.len()),
+            // To the protocol it is the same as a packet that is lost on its way.
+            Err(_) => self.shared.counters.packets_unsent.increment(),
+        }
+    }
+
+    fn request_exchange(&self, peer: SocketAddr) {
+        let request = ExchangeRequest { peer, state: self.membership.state() };
+        if self.queues.exchange_requests.try_send(request).is_err() {
+            self.shared.counters.exchanges_skipped.increment();
+        }
+    }
+
+    /// Publishes a new snapshot where something has changed.
+    fn publish_snapshot(&mut self) {
+        let last = self.shared.snapshot();
+        let local_health_multiplier = self.membership.local_health_multiplier();
+        let detected_pauses = self.membership.detected_pauses();
+        let members = if std::mem::take(&mut self.members_changed) {
+            self.sorted_members()
+        } else if (last.local_health_multiplier, last.detected_pauses)
+            != (local_health_multiplier, detected_pauses)
+        {
+            Arc::clone(&last.members)
         } else {
             return;
         };
-        let own = self.cluster.local_member().clone();
-        self.shared.known.store(Arc::new(Known { own, members, doubt, pauses }));
+        let local_member = self.membership.local_member().clone();
+        self.shared.publish(Snapshot { local_member, members, local_health_multiplier, detected_pauses });
+    }
+
+    fn sorted_members(&self) -> Arc<[Member]> {
+        let mut members: Vec<Member> = self.membership.members().cloned().collect();
+        members.sort_unstable_by(|a, b| (&a.name, a.address).cmp(&(&b.name, b.address)));
+        members.into()
     }
 }
 
-fn tell(what: &str, of: &Member) {
-    let Member { name, zone, region, address, generation, rejoins: returned } = of;
-    info!(name, zone, region, %address, generation, returned, "{what}");
+fn log_member(message: &str, member: &Member) {
+    let Member { name, zone, region, address, generation, rejoins } = member;
+    info!(name, zone, region, %address, generation, rejoins, "{message}");
 }
--- /dev/null
+++ b/crates/membership-transport/src/shared.rs
@@ -0,0 +1,104 @@
+//! What the threads of one member and its owner share.
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU8, Ordering};
+
+use arc_swap::ArcSwap;
+use copperspread_membership::Member;
+use mio::Waker;
+
+use crate::counters::Counters;
+use crate::view::MembershipView;
+
+/// Whether the member runs, or how it ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[repr(u8)]
+pub(crate) enum RunState {
+    Running,
+    /// It notifies the others, and ends.
+    Leaving,
+    /// It ends without notice, as if killed.
+    Stopping,
+}
+
+/// What the driver has published of the protocol; it changes less often than the counters.
+pub(crate) struct Snapshot {
+    pub(crate) local_member: Member,
+    pub(crate) members: Arc<[Member]>,
+    pub(crate) local_health_multiplier: u32,
+    pub(crate) detected_pauses: u64,
+}
+
+/// Shared state. Only the driver's thread publishes snapshots, only the
+/// [`MembershipTransport`](crate::MembershipTransport) ends the run, and all threads count.
+pub(crate) struct Shared {
+    snapshot: ArcSwap<Snapshot>,
+    pub(crate) counters: Counters,
+    run_state: AtomicU8,
+    waker: Waker,
+}
+
+impl Shared {
+    /// The shared state of a member that knows nobody yet. The waker wakes its driver.
+    pub(crate) fn new(local_member: Member, waker: Waker) -> Shared {
+        let snapshot = Snapshot {
+            local_member,
+            members: Arc::default(),
+            local_health_multiplier: 0,
+            detected_pauses: 0,
+        };
+        Shared {
+            snapshot: ArcSwap::from_pointee(snapshot),
+            counters: Counters::new(),
+            run_state: AtomicU8::new(RunState::Running as u8),
+            waker,
+        }
+    }
+
+    pub(crate) fn snapshot(&self) -> Arc<Snapshot> {
+        self.snapshot.load_full()
+    }
+
+    pub(crate) fn publish(&self, snapshot: Snapshot) {
+        self.snapshot.store(Arc::new(snapshot));
+    }
+
+    pub(crate) fn view(&self) -> MembershipView {
+        let (snapshot, packets) = (self.snapshot.load(), &self.counters.packets);
+        MembershipView {
+            local_member: snapshot.local_member.clone(),
+            members: Arc::clone(&snapshot.members),
+            local_health_multiplier: snapshot.local_health_multiplier,
+            detected_pauses: snapshot.detected_pauses,
+            rejected: self.counters.rejections(),
+            packets_in: packets.received.load(Ordering::Relaxed),
+            packets_out: packets.sent.load(Ordering::Relaxed),
+            bytes_in: packets.bytes_received.load(Ordering::Relaxed),
+            bytes_out: packets.bytes_sent.load(Ordering::Relaxed),
+        }
+    }
+
+    /// Ends the run by leaving or stopping. The first call decides which.
+    pub(crate) fn end_run(&self, how: RunState) {
+        let (running, how) = (RunState::Running as u8, how as u8);
+        if self.run_state.compare_exchange(running, how, Ordering::Relaxed, Ordering::Relaxed).is_ok() {
+            self.wake_driver();
+        }
+    }
+
+    pub(crate) fn run_state(&self) -> RunState {
+        match self.run_state.load(Ordering::Relaxed) {
+            state if state == RunState::Running as u8 => RunState::Running,
+            state if state == RunState::Leaving as u8 => RunState::Leaving,
+            _ => RunState::Stopping,
+        }
+    }
+
+    pub(crate) fn is_running(&self) -> bool {
+        self.run_state() == RunState::Running
+    }
+
+    pub(crate) fn wake_driver(&self) {
+        // It fails only where the driver has ended.
+        let _ = self.waker.wake();
+    }
+}
--- /dev/null
+++ b/crates/membership-transport/src/timed_stream.rs
@@ -0,0 +1,65 @@
+//! A TCP stream with one time limit for all that passes over it.
+use std::io::{self, ErrorKind, Read, Write};
+use std::net::TcpStream;
+use std::time::{Duration, Instant};
+
+use crate::shared::Shared;
+
+/// Time for all of one stream, from when it is connected.
+const STREAM_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a read or write blocks before the shutdown is looked at.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// A stream that fails at one deadline, and as soon as the member ends. A time limit for each read alone would let a
+/// peer that sends a byte now and then hold the thread without end.
+pub(crate) struct TimedStream<'a> {
+    stream: TcpStream,
+    deadline: Instant,
+    shared: &'a Shared,
+}
+
+impl TimedStream<'_> {
+    pub(crate) fn new(stream: TcpStream, shared: &Shared) -> TimedStream<'_> {
+        TimedStream { stream, deadline: Instant::now() + STREAM_TIMEOUT, shared }
+    }
+
+    pub(crate) fn deadline(&self) -> Instant {
+        self.deadline
+    }
+
+    /// Repeats an operation until it is done, the deadline has passed or the member ends.
+    fn retry_until_deadline(
+        &mut self,
+        mut operation: impl FnMut(&mut TcpStream) -> io::Result<usize>,
+    ) -> io::Result<usize> {
+        loop {
+            let time_left = self.deadline.saturating_duration_since(Instant::now());
+            if time_left.is_zero() || !self.shared.is_running() {
+                return Err(ErrorKind::TimedOut.into());
+            }
+            let timeout = Some(time_left.min(SHUTDOWN_POLL_INTERVAL));
+            self.stream.set_read_timeout(timeout)?;
+            self.stream.set_write_timeout(timeout)?;
+            match operation(&mut self.stream) {
+                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+                result => return result,
+            }
+        }
+    }
+}
+
+impl Read for TimedStream<'_> {
+    fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
+        self.retry_until_deadline(|stream| stream.read(buffer))
+    }
+}
+
+impl Write for TimedStream<'_> {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        self.retry_until_deadline(|stream| stream.write(bytes))
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,13 +1,13 @@
-//! Who a member is.
+//! The identity of a member.
 use std::net::SocketAddr;
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// Longest name, zone or region, in bytes: a packet names up to three members in its head alone.
+/// Longest name, zone or region, in bytes: the header of a packet alone names up to three members.
 const MAX_NAME_BYTES: usize = 64;
 
-/// A scheduler as its peers know it. Of two with one address the later generation stands.
+/// A scheduler as its peers know it. Of two with one address the one of the later generation counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Its name, the same after a restart.
@@ -20,7 +20,7 @@
     pub address: SocketAddr,
     /// Grows with every start of its process, such as the start's Unix time.
     pub generation: u64,
-    /// How often it came back within this start after the others had given it up.
+    /// How often it rejoined, within this run of its process, after the others had declared it dead.
     #[serde(rename = "returned")]
     pub rejoins: u32,
 }
@@ -31,11 +31,10 @@
         [&self.name, &self.zone, &self.region].iter().all(|text| text.len() <= MAX_NAME_BYTES)
     }
 
-    /// A stand-in for whoever listens at an address; any real member there replaces it.
+    /// Stands for whoever listens at an address; any real member there replaces it.
     pub(crate) fn placeholder(address: SocketAddr) -> Member {
-        let nameless = String::new();
-        let (zone, region) = (nameless.clone(), nameless.clone());
-        Member { name: nameless, zone, region, address, generation: 0, rejoins: 0 }
+        let (name, zone, region) = Default::default();
+        Member { name, zone, region, address, generation: 0, rejoins: 0 }
     }
 }
 
@@ -51,7 +50,7 @@
     }
 
     fn win_addr_conflict(&self, other: &Member) -> bool {
-        // The names settle what a wrong set-up leaves equal: the same everywhere.
+        // Where a wrong configuration makes the rest equal, the names decide: the same way at every member.
         (self.generation, self.rejoins, &self.name) > (other.generation, other.rejoins, &other.name)
     }
 }
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,76 +1,85 @@
-//! All that a member knows, for a stream between two: more than a packet holds.
+//! A member's whole state: all that it knows about the members, for the exchange over a stream.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use foca::State as Phase;
+use foca::State as MemberStatus;
 
-use crate::seal::{Key, MAX_STATE_BODY_BYTES};
+use crate::seal::{Key, MAX_STATE_BODY_BYTES, STATE_FORMAT};
 use crate::{Member, PacketError};
 
-type Known = foca::Member<Member>;
+type KnownMember = foca::Member<Member>;
 
-/// All that a member knows about others, those that are down among them, and itself.
+/// All that a member knows: itself, the members that are up, then those that are down.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MembershipState(Vec<Known>);
+pub struct MembershipState(Vec<KnownMember>);
 
 impl MembershipState {
-    pub(crate) fn of<'a>(own: &Member, known: impl Iterator<Item = &'a Known>) -> MembershipState {
-        let (there, down): (Vec<_>, Vec<_>) = known.cloned().partition(|of| of.state() != Phase::Down);
-        // Of the first incarnation: it wins over no suspicion, and its own packets tell the true one.
-        let own = foca::Member::alive(own.clone());
-        // Those that are there come first, as the end may be cut.
-        MembershipState(std::iter::once(own).chain(there).chain(down).collect())
+    pub(crate) fn new<'a>(local: &Member, known: impl Iterator<Item = &'a KnownMember>) -> MembershipState {
+        let (up, down): (Vec<_>, Vec<_>) =
+            known.cloned().partition(|member| member.state() != MemberStatus::Down);
+        // With the first incarnation: it refutes no suspicion, and the member's own packets carry the true one.
+        let local = foca::Member::alive(local.clone());
+        // Those that are up come first, as the end may be cut.
+        MembershipState(std::iter::once(local).chain(up).chain(down).collect())
     }
 
-    /// Bytes without the seal.
+    /// Size of the encoded form without its seal, in bytes.
     pub(crate) fn encoded_bytes(&self) -> usize {
         postcard::to_allocvec(&self.0).map_or(0, |body| body.len())
     }
 
-    /// How many members it tells of.
+    /// The number of members in it, the sender included.
     pub fn member_count(&self) -> usize {
         self.0.len()
     }
 
-    /// Its form for a stream, of [`crate::MOST_STATE`] bytes at most: what is past it is left out.
+    /// The sealed form for a stream, of [`MAX_STATE_BYTES`](crate::MAX_STATE_BYTES) at most. Members at the end of
+    /// a larger state are left out.
     pub fn seal(&self, key: &Key) -> Vec<u8> {
-        let mut known = &self.0[..];
+        let mut included = &self.0[..];
         loop {
-            // Writes to memory, which does not fail.
-            let body = postcard::to_allocvec(known).unwrap_or_default();
+            // Writing to memory does not fail.
+            let body = postcard::to_allocvec(included).unwrap_or_default();
             if body.len() <= MAX_STATE_BODY_BYTES {
-                return key.seal_state(&body);
+                return key.seal(STATE_FORMAT, &body);
             }
-            known = &known[..known.len() / 2];
+            included = &included[..included.len() / 2];
         }
     }
 
-    /// What somebody with the key closed.
+    /// Opens a state that was sealed with the key.
     ///
     /// # Errors
-    /// Why it is none.
+    /// The frame is too large, not sealed with the key, of another version, or cannot be decoded.
     pub fn open(key: &Key, frame: &[u8]) -> Result<MembershipState, PacketError> {
-        let body = key.open_state(frame)?;
-        let known: Vec<Known> = postcard::from_bytes(body).map_err(|_| PacketError::Malformed)?;
-        if known.iter().all(|of| of.id().fits_in_packet()) {
-            Ok(MembershipState(known))
+        let body = key.open(STATE_FORMAT, frame)?;
+        let members: Vec<KnownMember> = postcard::from_bytes(body).map_err(|_| PacketError::Malformed)?;
+        if members.iter().all(|member| member.id().fits_in_packet()) {
+            Ok(MembershipState(members))
         } else {
             Err(PacketError::Malformed)
         }
     }
 
-    /// What in it is worth telling to a member that knows these.
-    pub(crate) fn updates_for<'a>(&self, own: &Member, known: impl Iterator<Item = &'a Known>) -> Vec<Known> {
-        let known: HashMap<SocketAddr, &Known> = known.map(|of| (of.id().address, of)).collect();
-        let news = self.0.iter().filter(|of| {
-            if of.id().address == own.address {
-                // Another start's or return's fate is not its own.
-                return of.id() == own;
+    /// The entries that a member which already knows `known` should apply.
+    pub(crate) fn updates_for<'a>(
+        &self,
+        local: &Member,
+        known: impl Iterator<Item = &'a KnownMember>,
+    ) -> Vec<KnownMember> {
+        let known: HashMap<SocketAddr, &KnownMember> =
+            known.map(|member| (member.id().address, member)).collect();
+        let is_update = |member: &&KnownMember| {
+            let identity = member.id();
+            if identity.address == local.address {
+                // What became of an earlier identity at this address does not concern the present one.
+                return identity == local;
             }
-            // Guards against dead members that two remind each other of for good, each forgetting
-            // them at another time.
-            of.state() != Phase::Down || known.get(&of.id().address).is_some_and(|had| had.id() == of.id())
-        });
-        news.cloned().collect()
+            // A dead member is applied only where it is known: two members that forget it at different times
+            // would otherwise remind each other of it forever.
+            member.state() != MemberStatus::Down
+                || known.get(&identity.address).is_some_and(|known| known.id() == identity)
+        };
+        self.0.iter().filter(is_update).cloned().collect()
     }
 }
--- /dev/null
+++ b/crates/membership/src/timer_queue.rs
@@ -0,0 +1,78 @@
+//! Timers in the order of their instants, which a pause of the process can shift together.
+use std::cmp::{Ordering, Reverse};
+use std::collections::BinaryHeap;
+
+use crate::Micros;
+
+/// A timer that has not fired. Ordered by instant, then by the order of addition.
+struct PendingTimer<T> {
+    due: Micros,
+    sequence: u64,
+    event: T,
+}
+
+impl<T> PendingTimer<T> {
+    fn sort_key(&self) -> (Micros, u64) {
+        (self.due, self.sequence)
+    }
+}
+
+impl<T> PartialEq for PendingTimer<T> {
+    fn eq(&self, other: &PendingTimer<T>) -> bool {
+        self.sort_key() == other.sort_key()
+    }
+}
+
+impl<T> Eq for PendingTimer<T> {}
+
+impl<T> PartialOrd for PendingTimer<T> {
+    fn partial_cmp(&self, other: &PendingTimer<T>) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl<T> Ord for PendingTimer<T> {
+    fn cmp(&self, other: &PendingTimer<T>) -> Ordering {
+        self.sort_key().cmp(&other.sort_key())
+    }
+}
+
+/// A queue of timers; those of one instant fire in the order in which they were added.
+pub(crate) struct TimerQueue<T> {
+    heap: BinaryHeap<Reverse<PendingTimer<T>>>,
+    /// Timers added so far.
+    added: u64,
+}
+
+impl<T> TimerQueue<T> {
+    pub(crate) fn new() -> TimerQueue<T> {
+        TimerQueue { heap: BinaryHeap::new(), added: 0 }
+    }
+
+    pub(crate) fn add(&mut self, due: Micros, event: T) {
+        self.added += 1;
+        self.heap.push(Reverse(PendingTimer { due, sequence: self.added, event }));
+    }
+
+    /// The instant of the first timer.
+    pub(crate) fn next_due(&self) -> Option<Micros> {
+        self.heap.peek().map(|Reverse(timer)| timer.due)
+    }
+
+    /// Takes the first timer, if it is due.
+    pub(crate) fn pop_due(&mut self, now: Micros) -> Option<T> {
+        if self.next_due().is_none_or(|due| due > now) {
+            return None;
+        }
+        self.heap.pop().map(|Reverse(timer)| timer.event)
+    }
+
+    /// Makes all timers due later by a duration.
+    pub(crate) fn delay_all(&mut self, delay: Micros) {
+        let timers = std::mem::take(&mut self.heap);
+        self.heap = timers
+            .into_iter()
+            .map(|Reverse(timer)| Reverse(PendingTimer { due: timer.due.saturating_add(delay), ..timer }))
+            .collect();
+    }
+}
--- a/crates/membership/tests/transcripts.rs
+++ b/crates/membership/tests/transcripts.rs
@@ -95,7 +95,7 @@
                 Effect::ExchangeState(with) => self.exchange_states(from, with),
                 Effect::MemberUp(_)
                 | Effect::MemberDown(_)
-                | Effect::MemberReplaced(..)
+                | Effect::MemberReplaced { .. }
                 | Effect::SelfRefuted(_) => {}
             }
         }
