--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,18 +1,20 @@
-//! What goes wrong between the members of a fleet and with their processes, as plans: the same plan is played
-//! in virtual time by the laboratory, and in real time by the harness on real processes.
+//! Faults of a fleet's network and processes, as plans: the testbed plays a plan in virtual time, and the test harness
+//! plays the same plan in real time on real processes.
 //!
 //! ```text
-//!   Plan: at 1 s Cut, at 6 s Heal ...  ──►  a drive (laboratory: virtual time; harness: real time)
-//!                                              │ links                │ processes
-//!                                        Links::take(fault)    pause, resume, kill, start
-//!                                        Links::way(from, to) ──► when a packet's copies come, if any
+//!   FaultPlan: at 1 s Partition, at 6 s Heal ...  ──►  a player (testbed or test harness)
+//!                                                         │ network              │ processes
+//!                                              NetworkLinks::apply(fault)   pause, resume, kill, start
+//!                                              NetworkLinks::delivery_delays(from, to) ──► a packet's copies
 //! ```
 //!
-//! No I/O and no clock; all chance comes from the generator that a drive hands in. Members are numbers from 0.
+//! The crate has no I/O and no clock, and all randomness comes from the generator that a player hands in. Members are
+//! numbered from 0.
 #![forbid(unsafe_code)]
 
+mod fault;
 mod links;
-mod plan;
+pub mod plans;
 
+pub use fault::{Fault, FaultPlan, FaultStep, ProcessAction};
 pub use links::{LinkConditions, NetworkLinks};
-pub use plan::{Fault, FaultPlan, ProcessAction, plans};
--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -1,4 +1,4 @@
-//! The links between members: which are cut, and what the others do to a packet.
+//! The links between members: which are blocked, and what the others do to a packet.
 use std::collections::HashSet;
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 
 use crate::Fault;
 
-/// What happens to packets on links that are not cut.
+/// What happens to packets on links that are not blocked. Rates are shares of all packets, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkConditions {
     /// The share that is lost.
     pub loss_rate: f64,
-    /// The share that comes twice.
+    /// The share that arrives twice.
     pub duplication_rate: f64,
-    /// The share that is held back, so that later packets overtake it.
+    /// The share that is delayed by [`LinkConditions::extra_delay`], so that later packets overtake it.
     pub extra_delay_rate: f64,
-    /// For how long.
+    /// The further delay of these.
     pub extra_delay: Duration,
-    /// Shortest time on the way.
+    /// Shortest delay.
     pub min_delay: Duration,
-    /// Longest time on the way; each packet's own lies between, so that packets overtake each other.
+    /// Longest delay, excluded. Each packet's own lies between the two, so that packets overtake each other.
     pub max_delay: Duration,
 }
 
 impl LinkConditions {
-    /// All packets come, once and at once.
+    /// Every packet arrives, once and without delay.
     pub const IDEAL: LinkConditions = LinkConditions {
         loss_rate: 0.0,
         duplication_rate: 0.0,
@@ -38,58 +38,58 @@
 /// All links of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkLinks {
+    /// The conditions that a heal restores.
     baseline: LinkConditions,
-    /// What happens on links that are not cut.
+    /// The conditions of links that are not blocked.
     pub conditions: LinkConditions,
-    /// From whom to whom nothing comes.
+    /// Pairs of sender and receiver between which nothing passes.
     pub blocked: HashSet<(usize, usize)>,
 }
 
 impl NetworkLinks {
-    /// Links in this weather, to which they return when they heal.
-    pub fn new(fair: LinkConditions) -> NetworkLinks {
-        NetworkLinks { baseline: fair, conditions: fair, blocked: HashSet::new() }
+    /// Links with these conditions, to which they return when they heal.
+    pub fn new(baseline: LinkConditions) -> NetworkLinks {
+        NetworkLinks { baseline, conditions: baseline, blocked: HashSet::new() }
     }
 
-    /// Lets a fault happen; those of processes are for the drive and change nothing here.
+    /// Applies a fault of the network. Those of processes are for the player, and change nothing here.
     pub fn apply(&mut self, fault: &Fault) {
         match fault {
-            Fault::BlockOneWay { from, to } => {
-                self.blocked.extend(from.iter().flat_map(|&a| to.iter().map(move |&b| (a, b))));
-            }
+            Fault::BlockOneWay { from, to } => self.block(from, to),
             Fault::Partition { one, other } => {
-                self.blocked
-                    .extend(one.iter().flat_map(|&a| other.iter().flat_map(move |&b| [(a, b), (b, a)])));
+                self.block(one, other);
+                self.block(other, one);
             }
-            Fault::SetConditions(weather) => self.conditions = *weather,
+            Fault::SetConditions(conditions) => self.conditions = *conditions,
             Fault::Heal => *self = NetworkLinks::new(self.baseline),
-            Fault::Process(..) => {}
+            Fault::Process { .. } => {}
         }
     }
 
-    /// How long each copy of a packet is on its way: none where it is lost, two where it is doubled.
-    pub fn delivery_delays(&self, from: usize, to: usize, chance: &mut impl Rng) -> [Option<Duration>; 2] {
-        let weather = &self.conditions;
-        if self.blocked.contains(&(from, to)) || chance.random::<f64>() < weather.loss_rate {
+    fn block(&mut self, from: &[usize], to: &[usize]) {
+        self.blocked
+            .extend(from.iter().flat_map(|&sender| to.iter().map(move |&receiver| (sender, receiver))));
+    }
+
+    /// The delay of each copy of a packet that arrives: none where it is lost, two where it is duplicated.
+    pub fn delivery_delays(&self, from: usize, to: usize, rng: &mut impl Rng) -> [Option<Duration>; 2] {
+        let conditions = &self.conditions;
+        if self.blocked.contains(&(from, to)) || rng.random::<f64>() < conditions.loss_rate {
             return [None; 2];
         }
-        let first = self.time(chance);
-        // No chance is drawn for what cannot happen, so that a plan without it stays the same play.
-        let twice = weather.duplication_rate > 0.0 && chance.random::<f64>() < weather.duplication_rate;
-        [Some(first), twice.then(|| self.time(chance))]
+        let first = self.delay(rng);
+        // Nothing is drawn for what cannot happen, so that adding a condition leaves a plan without it unchanged.
+        let is_duplicated =
+            conditions.duplication_rate > 0.0 && rng.random::<f64>() < conditions.duplication_rate;
+        [Some(first), is_duplicated.then(|| self.delay(rng))]
     }
 
-    fn time(&self, chance: &mut impl Rng) -> Duration {
-        let LinkConditions {
-            extra_delay_rate: hold,
-            extra_delay: held,
-            min_delay: least,
-            max_delay: most,
-            ..
-        } = self.conditions;
-        let spread = most.saturating_sub(least).as_micros() as u64;
-        let own = if spread == 0 { 0 } else { chance.random_range(0..spread) };
-        let held = if hold > 0.0 && chance.random::<f64>() < hold { held } else { Duration::ZERO };
-        least + Duration::from_micros(own) + held
+    fn delay(&self, rng: &mut impl Rng) -> Duration {
+        let LinkConditions { extra_delay_rate, extra_delay, min_delay, max_delay, .. } = self.conditions;
+        let spread_us = max_delay.saturating_sub(min_delay).as_micros() as u64;
+        let jitter_us = if spread_us == 0 { 0 } else { rng.random_range(0..spread_us) };
+        let has_extra_delay = extra_delay_rate > 0.0 && rng.random::<f64>() < extra_delay_rate;
+        let extra_delay = if has_extra_delay { extra_delay } else { Duration::ZERO };
+        min_delay + Duration::from_micros(jitter_us) + extra_delay
     }
 }
--- a/crates/scheduler/tests/cluster_faults.rs
+++ b/crates/scheduler/tests/cluster_faults.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use copperspread_test_harness::{
-    Fault, FaultPlan, Fleet, FleetConfig, LinkConditions, MembershipView, ProcessAction, plans,
+    Fault, FaultPlan, Fleet, FleetConfig, LinkConditions, MembershipView, ObservedView, ProcessAction, plans,
 };
 
 /// The settings' suspicion is a second; what follows from a death must be known everywhere within this.
@@ -24,8 +24,8 @@
 }
 
 /// Whether nobody was ever given up: one that is takes a new identity and says so for good.
-fn nobody_returned(views: &[(usize, MembershipView)]) -> bool {
-    views.iter().all(|(_, view)| view.local_member.rejoins == 0)
+fn nobody_returned(views: &[ObservedView]) -> bool {
+    views.iter().all(|of| of.view.local_member.rejoins == 0)
 }
 
 /// Waits until the members see each other, and asserts that none was given up since its start.
@@ -45,12 +45,12 @@
 #[test]
 fn a_member_paused_for_5_s_refutes_and_stays() {
     let mut fleet = Fleet::start_joined(setup(7));
-    fleet.play(&FaultPlan::default().at(s(0), Fault::Process(3, ProcessAction::Pause)));
+    fleet.play(&FaultPlan::default().process_at(s(0), 3, ProcessAction::Pause));
     fleet.wait_for_full_membership(s(5), "while one is paused for longer than the suspicion");
-    fleet.play(&FaultPlan::default().at(s(5), Fault::Process(3, ProcessAction::Resume)));
+    fleet.play(&FaultPlan::default().process_at(s(5), 3, ProcessAction::Resume));
     fleet.wait_for_full_membership(BOUND, "after the pause");
     fleet.wait_until(BOUND, "n3 noticed its pause and returned; the others never did", |views| {
-        views.iter().all(|(number, view)| match number {
+        views.iter().all(|ObservedView { member, view }| match member {
             3 => view.detected_pauses >= 1 && view.local_member.rejoins >= 1,
             _ => view.local_member.rejoins == 0,
         })
@@ -95,7 +95,10 @@
     let to = (0..6).filter(|&to| to != 2).collect();
     fleet.apply_fault(&Fault::BlockOneWay { from: vec![2], to });
     fleet.wait_until(BOUND, "the others give n2 up, and nobody else", |views| {
-        views.iter().filter(|of| of.0 != 2).all(|(_, view)| !view.contains("n2") && view.members.len() == 4)
+        views
+            .iter()
+            .filter(|of| of.member != 2)
+            .all(|of| !of.view.contains("n2") && of.view.members.len() == 4)
     });
     fleet.apply_fault(&Fault::Heal);
     fleet.wait_for_full_membership(s(30), "after the heal");
@@ -104,11 +107,11 @@
 #[test]
 fn two_halves_part_and_become_one_view_again() {
     let mut fleet = Fleet::start_joined(setup(8));
-    fleet.apply_fault(&plans::partition_in_halves(8, s(0)).steps[0].1);
+    fleet.apply_fault(&plans::partition_in_halves(8, s(0)).steps[0].fault);
     let (one, other) = (names(0..4), names(4..8));
     fleet.wait_until(BOUND, "each half sees itself and nobody else", |views| {
-        views.iter().all(|(number, view)| {
-            let half = if *number < 4 { &one } else { &other };
+        views.iter().all(|ObservedView { member, view }| {
+            let half = if *member < 4 { &one } else { &other };
             view.members.len() == 3 && view.members.iter().all(|member| half.contains(&member.name))
         })
     });
@@ -125,7 +128,7 @@
     fleet.wait_until(BOUND, "all see n2 with a later generation", |views| {
         let seen =
             |view: &MembershipView| view.members.iter().any(|of| of.name == "n2" && of.generation > before);
-        views.iter().all(|(number, view)| *number == 2 || seen(view))
+        views.iter().all(|of| of.member == 2 || seen(&of.view))
     });
     fleet.wait_for_full_membership(BOUND, "after a restart");
 }
@@ -144,7 +147,7 @@
         }
     }
     fleet.wait_until(BOUND, "n0 has counted hundreds of each kind", |views| {
-        let now = views[0].1.rejected;
+        let now = views[0].view.rejected;
         [now.forged - rejected.forged, now.too_large - rejected.too_large, now.malformed - rejected.malformed]
             .iter()
             .all(|&count| count >= 100)
@@ -157,10 +160,10 @@
 fn seeds_that_are_all_down_at_the_start_are_asked_until_one_is_there() {
     let mut fleet = Fleet::new(FleetConfig { seeds: vec![0, 1], ..setup(6) });
     let plan = plans::start_seeds_late(6, 2, s(3));
-    let seeds = plan.steps.iter().position(|step| step.0 > s(0)).expect("they start later");
+    let seeds = plan.steps.iter().position(|step| step.at > s(0)).expect("they start later");
     fleet.play(&FaultPlan { steps: plan.steps[..seeds].to_vec() });
     fleet.wait_until(BOUND, "the four serve, and see nobody", |views| {
-        views.len() == 4 && views.iter().all(|(_, view)| view.members.is_empty())
+        views.len() == 4 && views.iter().all(|of| of.view.members.is_empty())
     });
     fleet.play(&FaultPlan { steps: plan.steps[seeds..].to_vec() });
     fleet.wait_for_full_membership(BOUND, "after the seeds' start");
--- /dev/null
+++ b/crates/test-harness/src/config.rs
@@ -0,0 +1,78 @@
+//! What a fleet is started with, and the configuration files of its members.
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+const ZONES: [&str; 3] = ["arnhem", "zwolle", "eindhoven"];
+
+/// What a fleet is started with.
+#[derive(Clone, Debug)]
+pub struct FleetConfig {
+    /// The program.
+    pub program: PathBuf,
+    /// The number of members, running or not.
+    pub members: usize,
+    /// The members that all have as seeds.
+    pub seeds: Vec<usize>,
+    /// Determines the random choices of the relays.
+    pub seed: u64,
+    /// Time between two probes of a member.
+    pub probe_interval: Duration,
+    /// Time for a direct answer.
+    pub probe_timeout: Duration,
+    /// Suspicion, in probe intervals.
+    pub suspicion_multiplier: f64,
+}
+
+impl FleetConfig {
+    /// Members with the first one as seed, a probe each 200 ms and a suspicion of a second.
+    pub fn new(program: impl Into<PathBuf>, members: usize) -> FleetConfig {
+        FleetConfig {
+            program: program.into(),
+            members,
+            seeds: vec![0],
+            seed: 1,
+            probe_interval: Duration::from_millis(200),
+            probe_timeout: Duration::from_millis(80),
+            suspicion_multiplier: 5.0,
+        }
+    }
+}
+
+/// What differs between the members' configuration files.
+pub(crate) struct MemberConfig<'a> {
+    pub(crate) number: usize,
+    pub(crate) name: String,
+    pub(crate) http_address: SocketAddr,
+    pub(crate) membership_address: SocketAddr,
+    pub(crate) relay_address: SocketAddr,
+    pub(crate) seed_addresses: Vec<SocketAddr>,
+    pub(crate) key_file: &'a Path,
+}
+
+impl MemberConfig<'_> {
+    /// The member's configuration file, in TOML.
+    pub(crate) fn to_toml(&self, fleet: &FleetConfig) -> String {
+        let seeds: Vec<_> = self.seed_addresses.iter().map(|address| format!("'{address}'")).collect();
+        format!(
+            "name = '{name}'\n[front.http]\nlisten = '{listen}'\n\
+             [zones]\nnames = {ZONES:?}\nhere = '{zone}'\n\
+             [[source.workers]]\nid = 'r0'\naddress = '{worker}:9'\n\
+             [[classes]]\nname = 'once'\n\
+             [cluster]\nbind = '{bind}'\nadvertise = '{advertise}'\nseeds = [{seeds}]\nkey_file = '{key}'\n\
+             region = 'nl'\nprobe_interval = '{interval}ms'\nprobe_timeout = '{timeout}ms'\n\
+             indirect = 3\nsuspicion = {suspicion:?}\n",
+            name = self.name,
+            listen = self.http_address,
+            zone = ZONES[self.number % ZONES.len()],
+            worker = self.http_address.ip(),
+            bind = self.membership_address,
+            advertise = self.relay_address,
+            seeds = seeds.join(", "),
+            key = self.key_file.display(),
+            interval = fleet.probe_interval.as_millis(),
+            timeout = fleet.probe_timeout.as_millis(),
+            suspicion = fleet.suspicion_multiplier,
+        )
+    }
+}
--- /dev/null
+++ b/crates/test-harness/src/fleet/waits.rs
@@ -0,0 +1,120 @@
+//! Waits for what the members' views must show, each within a bound.
+use std::time::{Duration, Instant};
+
+use super::{Fleet, MemberSlot};
+use crate::client::ViewError;
+use crate::process::SchedulerProcess;
+use crate::view::MembershipView;
+
+/// Time between two looks at what is awaited.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Lines of each log that a failure shows.
+const MAX_SHOWN_LOG_LINES: usize = 12;
+
+/// What one member showed when it was asked.
+#[derive(Clone, Debug)]
+pub struct ObservedView {
+    /// The member's number.
+    pub member: usize,
+    /// What it showed.
+    pub view: MembershipView,
+}
+
+/// What one member answered when it was asked for its view.
+struct ViewResponse {
+    member: usize,
+    view: Result<MembershipView, ViewError>,
+}
+
+impl Fleet {
+    /// Waits until a condition holds for the views of all members that run and are not paused. Gives how long it took.
+    ///
+    /// # Panics
+    /// It does not hold within the bound, or a process exits by itself.
+    pub fn wait_until(
+        &mut self,
+        bound: Duration,
+        condition: &str,
+        holds: impl Fn(&[ObservedView]) -> bool,
+    ) -> Duration {
+        let start = Instant::now();
+        loop {
+            let responses = self.fetch_views();
+            if all_views(&responses).is_some_and(|views| holds(&views)) {
+                return start.elapsed();
+            }
+            if let Some(member) = self.exited_member() {
+                let (name, log) = (Fleet::member_name(member), self.log_tail(member));
+                panic!("awaited: {condition}; {name} has ended by itself\n{log}");
+            }
+            if start.elapsed() > bound {
+                panic!("awaited for {bound:?}: {condition}\n{}", self.describe(&responses));
+            }
+            std::thread::sleep(POLL_INTERVAL);
+        }
+    }
+
+    /// Waits until each member that runs and is not paused sees exactly the others that do. Gives how long it took.
+    ///
+    /// # Panics
+    /// They do not within the bound.
+    pub fn wait_for_full_membership(&mut self, bound: Duration, when: &str) -> Duration {
+        let running: Vec<_> = self.running_members().into_iter().map(Fleet::member_name).collect();
+        let condition = format!("{when}, each of {running:?} sees the others and nobody else");
+        self.wait_until(bound, &condition, |views| {
+            views.iter().all(|ObservedView { member, view }| {
+                let own_name = Fleet::member_name(*member);
+                view.members.len() + 1 == running.len()
+                    && running.iter().all(|name| *name == own_name || view.contains(name))
+            })
+        })
+    }
+
+    fn fetch_views(&self) -> Vec<ViewResponse> {
+        let fetch = |member| ViewResponse { member, view: self.view(member) };
+        self.running_members().into_iter().map(fetch).collect()
+    }
+
+    fn exited_member(&mut self) -> Option<usize> {
+        let has_exited =
+            |slot: &mut MemberSlot| slot.process.as_mut().is_some_and(SchedulerProcess::has_exited);
+        self.slots.iter_mut().position(has_exited)
+    }
+
+    /// What all members answered, and the ends of their logs.
+    fn describe(&self, responses: &[ViewResponse]) -> String {
+        let describe_one = |response: &ViewResponse| {
+            let view = match &response.view {
+                Ok(view) => describe_view(view),
+                Err(error) => error.to_string(),
+            };
+            let (name, log) = (Fleet::member_name(response.member), self.log_tail(response.member));
+            format!("{name}: {view}\n{log}")
+        };
+        responses.iter().map(describe_one).collect()
+    }
+
+    fn log_tail(&self, member: usize) -> String {
+        let log = std::fs::read_to_string(self.log_path(member)).unwrap_or_default();
+        let lines: Vec<_> = log.lines().collect();
+        let shown = &lines[lines.len().saturating_sub(MAX_SHOWN_LOG_LINES)..];
+        shown.iter().map(|line| format!("    {line}\n")).collect()
+    }
+}
+
+/// The views, if all members gave one.
+fn all_views(responses: &[ViewResponse]) -> Option<Vec<ObservedView>> {
+    let observed = |response: &ViewResponse| {
+        let view = response.view.as_ref().ok()?.clone();
+        Some(ObservedView { member: response.member, view })
+    };
+    responses.iter().map(observed).collect()
+}
+
+fn describe_view(view: &MembershipView) -> String {
+    let seen: Vec<_> = view.members.iter().map(|member| &*member.name).collect();
+    format!(
+        "sees {seen:?}, local health multiplier {}, detected pauses {}, {:?}",
+        view.local_health_multiplier, view.detected_pauses, view.rejected
+    )
+}
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -1,26 +1,31 @@
-//! Test support: a fleet of real `copperspread-scheduler serve` processes on loopback, and all that can go wrong between them.
+//! Test support: a fleet of real `copperspread-scheduler serve` processes on loopback, and the faults between them.
 //!
 //! ```text
 //!   member i, 127.0.B.i ──UDP, TCP──► relay of j, 127.0.B.250, a port each ──► member j, 127.0.B.j
-//!                                          │ who sends is known by its number
-//!                                     Links: cut, lose, double, hold, delay (crates/fault-injection)
-//!   Fleet ── pause, resume, kill, start by id;  GET /-/cluster ──► View
+//!                                          │ knows the sender by its address
+//!                                     NetworkLinks: block, lose, duplicate, delay (crates/fault-injection)
+//!   Fleet ── pause, resume, kill, start by id;  GET /-/cluster ──► MembershipView
 //! ```
 //!
-//! 1. Each fleet claims a block 127.0.B.0/24 for its life (`block.rs`), so that fleets run side by side and a port
-//!    is still a member's own when its process starts again.
-//! 2. What goes wrong is a `Fault` of `copperspread-fault-injection`: the laboratory plays the same plans in virtual time.
-//! 3. Every wait is a poll with a bound that says what it awaited, and shows what all members saw last.
+//! 1. Each fleet claims a block of addresses 127.0.B.0/24 until it is dropped (`address_block.rs`), so that fleets run
+//!    side by side and a port still belongs to a member when its process starts again.
+//! 2. Faults are those of `copperspread-fault-injection`: the testbed plays the same plans in virtual time.
+//! 3. Every wait polls up to a bound, and fails with what it awaited and what all members showed last.
 //!
-//! Nothing of the program is linked in: its path is an argument.
+//! Nothing of the program is linked in: its path is an argument. As test support, the crate panics where a test must
+//! fail.
 #![forbid(unsafe_code)]
 
-mod block;
+mod address_block;
+mod client;
+mod config;
 mod fleet;
 mod process;
 mod relay;
 mod view;
 
-pub use copperspread_fault_injection::{Fault, FaultPlan, LinkConditions, ProcessAction, plans};
-pub use fleet::{Fleet, FleetConfig};
+pub use client::ViewError;
+pub use config::FleetConfig;
+pub use copperspread_fault_injection::{Fault, FaultPlan, FaultStep, LinkConditions, ProcessAction, plans};
+pub use fleet::{Fleet, ObservedView};
 pub use view::{MemberInfo, MembershipView, RejectionCounts};
--- a/crates/testbed/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -144,7 +144,7 @@
     let rounds = 120 / (span + 1);
     let given_up = each(seeds, |seed| {
         let mut net = Net::joined(members, seed);
-        let all = |act| (1..=pausing).map(move |whom| Fault::Process(whom, act));
+        let all = |action| (1..=pausing).map(move |member| Fault::Process { member, action });
         let plan = (0..rounds).fold(FaultPlan::default(), |plan, round| {
             let at = Duration::from_secs(round * (span + 1));
             let plan = all(ProcessAction::Pause).fold(plan, |plan, fault| plan.at(at, fault));
--- a/crates/testbed/src/members.rs
+++ b/crates/testbed/src/members.rs
@@ -5,7 +5,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use copperspread_fault_injection::{Fault, FaultPlan, LinkConditions, NetworkLinks, ProcessAction};
+use copperspread_fault_injection::{
+    Fault, FaultPlan, FaultStep, LinkConditions, NetworkLinks, ProcessAction,
+};
 use copperspread_membership::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -173,13 +175,17 @@
     pub fn happens(&mut self, fault: &Fault) {
         self.links.apply(fault);
         match *fault {
-            Fault::Process(whom, ProcessAction::Pause) => self.pause_until(whom, Micros::MAX),
-            Fault::Process(whom, ProcessAction::Resume) => {
+            Fault::Process { member: whom, action: ProcessAction::Pause } => {
+                self.pause_until(whom, Micros::MAX)
+            }
+            Fault::Process { member: whom, action: ProcessAction::Resume } => {
                 self.pause_until(whom, self.now);
                 self.arm(whom, self.now);
             }
-            Fault::Process(whom, ProcessAction::Kill) => self.kill(whom),
-            Fault::Process(whom, ProcessAction::Start) => self.start(whom, self.generations[whom] + 1, &[0]),
+            Fault::Process { member: whom, action: ProcessAction::Kill } => self.kill(whom),
+            Fault::Process { member: whom, action: ProcessAction::Start } => {
+                self.start(whom, self.generations[whom] + 1, &[0])
+            }
             _ => {}
         }
     }
@@ -187,7 +193,7 @@
     /// Plays a plan from now to its last step.
     pub fn play(&mut self, plan: &FaultPlan) {
         let start = self.now;
-        for (at, fault) in &plan.steps {
+        for FaultStep { at, fault } in &plan.steps {
             self.run((start + micros(*at)).saturating_sub(self.now));
             self.happens(fault);
         }
--- a/crates/testbed/tests/membership_plans.rs
+++ b/crates/testbed/tests/membership_plans.rs
@@ -65,7 +65,7 @@
 fn two_halves_of_300_part_and_are_one_view_again() {
     let mut net = Net::joined(MEMBERS, 6);
     let plan = plans::partition_in_halves(MEMBERS, s(60));
-    let (until_healed, heal) = (FaultPlan { steps: plan.steps[..1].to_vec() }, &plan.steps[1].1);
+    let (until_healed, heal) = (FaultPlan { steps: plan.steps[..1].to_vec() }, &plan.steps[1].fault);
     net.play(&until_healed);
     net.run(60 * SECOND);
     assert!((0..MEMBERS).all(|at| net.seen(at).len() == MEMBERS / 2 - 1), "each half has given up the other");
