--- a/crates/membership-transport/tests/transcripts.rs
+++ b/crates/membership-transport/tests/transcripts.rs
@@ -19,17 +19,17 @@
     Member { name: name.into(), zone, region, address, generation: 1_700_000_000_000, rejoins: 2 }
 }
 
-/// A member that does nothing by itself within the test.
-fn quiet() -> Settings {
+/// Settings of a member that sends no probe within the test.
+fn idle_settings() -> Settings {
     Settings { probe_interval: 600 * SECOND, ..Settings::default() }
 }
 
-fn cluster(own: Member) -> Membership {
-    Membership::new(own, quiet(), key(), 7).expect("settings")
+fn membership(local: Member) -> Membership {
+    Membership::new(local, idle_settings(), key(), 7).expect("settings")
 }
 
-/// A state with the length before it, as the streams have it.
-fn framed(state: &MembershipState) -> Vec<u8> {
+/// A sealed state with the length before it, as on the wire.
+fn with_length(state: &MembershipState) -> Vec<u8> {
     let frame = state.seal(&key());
     let length = u32::try_from(frame.len()).expect("a short state");
     [&length.to_be_bytes()[..], &frame].concat()
@@ -41,32 +41,32 @@
 
 #[test]
 fn an_exchange_of_states_over_tcp_is_as_approved() {
-    // Nothing listens there: the member that hears of it sends packets in vain.
-    let caller = cluster(member("caller", ([127, 0, 0, 9], 9).into()));
-    let question = framed(&caller.state());
+    // Nothing listens there: packets to it are lost.
+    let caller = membership(member("caller", ([127, 0, 0, 9], 9).into()));
+    let question = with_length(&caller.state());
     insta::assert_snapshot!("question", hex(&question));
 
-    let spec = TransportConfig {
+    let config = TransportConfig {
         bind_address: ([127, 0, 0, 1], 0).into(),
         advertised_address: None,
         name: "answerer".into(),
         zone: "zone-b".into(),
         region: "south".into(),
-        membership_settings: quiet(),
+        membership_settings: idle_settings(),
         key: key(),
         seed: 7,
     };
-    let peers = MembershipTransport::start(spec).expect("a member");
-    let mut stream = TcpStream::connect(peers.local_address()).expect("a stream");
+    let transport = MembershipTransport::start(config).expect("a member");
+    let mut stream = TcpStream::connect(transport.local_address()).expect("a stream");
     stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a limit");
     stream.write_all(&question).expect("sent");
     let mut answer = Vec::new();
     stream.read_to_end(&mut answer).expect("an answer");
 
-    // Its port and generation are of this run: the answer is compared with what the same member would say.
-    let mut twin = cluster(peers.view().local_member);
+    // Its port and generation are of this run: the answer is compared with that of the same member without sockets.
+    let mut twin = membership(transport.view().local_member);
     twin.handle(0, Input::State(&caller.state()), &mut Vec::new()).expect("a state");
-    assert_eq!(hex(&answer), hex(&framed(&twin.state())));
+    assert_eq!(hex(&answer), hex(&with_length(&twin.state())));
 }
 
 #[test]
--- a/crates/membership/tests/transcripts.rs
+++ b/crates/membership/tests/transcripts.rs
@@ -8,8 +8,8 @@
 use foca::{Header, Message};
 use sha2::{Digest, Sha256};
 
-/// How long every packet is under way.
-const DELAY: Micros = SECOND / 1_000;
+/// How long every packet takes.
+const PACKET_DELAY: Micros = SECOND / 1_000;
 /// The seal's bytes: the version before the body, the tag after it.
 const VERSION_BYTES: usize = 1;
 const TAG_BYTES: usize = 32;
@@ -22,12 +22,12 @@
     ([10, 0, 0, number as u8], 7_946).into()
 }
 
-fn member(number: usize) -> Membership {
+fn new_member(number: usize) -> Membership {
     let name = format!("scheduler-{number}");
     let (zone, region) = (format!("zone-{number}"), "north".into());
-    let own = Member { name, zone, region, address: address(number), generation: 1, rejoins: 0 };
+    let local = Member { name, zone, region, address: address(number), generation: 1, rejoins: 0 };
     let settings = Settings { seeds: vec![address(0)], ..Settings::default() };
-    Membership::new(own, settings, key(), number as u64).expect("settings")
+    Membership::new(local, settings, key(), number as u64).expect("settings")
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -35,7 +35,7 @@
 }
 
 /// The kind of a packet, and whether it carries updates about members.
-fn kind(packet: &[u8]) -> String {
+fn packet_kind(packet: &[u8]) -> String {
     let body = &packet[VERSION_BYTES..packet.len() - TAG_BYTES];
     let (header, updates) = postcard::take_from_bytes::<Header<Member>>(body).expect("a header");
     let kind = match header.message {
@@ -54,38 +54,38 @@
     if updates.is_empty() { kind.to_owned() } else { format!("{kind} with updates") }
 }
 
-/// Three members in virtual time, with pairs that hear nothing of each other.
-struct Exchange {
+/// Three members in virtual time, between some of which the links are blocked.
+struct SimulatedCluster {
     now: Micros,
     members: Vec<Membership>,
-    /// Packets under way, by arrival and number: to whom, and the bytes.
-    under_way: BTreeMap<(Micros, u64), (usize, Vec<u8>)>,
-    sent: u64,
+    /// Packets in transit, by arrival and number: the receiver and the bytes.
+    in_transit: BTreeMap<(Micros, u64), (usize, Vec<u8>)>,
+    packets_sent: u64,
     digest: Sha256,
-    cut: BTreeSet<(usize, usize)>,
+    blocked: BTreeSet<(usize, usize)>,
     /// The first packet of each kind.
-    first: BTreeMap<String, String>,
+    first_of_kind: BTreeMap<String, String>,
 }
 
-impl Exchange {
-    fn new() -> Exchange {
-        Exchange {
+impl SimulatedCluster {
+    fn new() -> SimulatedCluster {
+        SimulatedCluster {
             now: 0,
-            members: (0..3).map(member).collect(),
-            under_way: BTreeMap::new(),
-            sent: 0,
+            members: (0..3).map(new_member).collect(),
+            in_transit: BTreeMap::new(),
+            packets_sent: 0,
             digest: Sha256::new(),
-            cut: BTreeSet::new(),
-            first: BTreeMap::new(),
+            blocked: BTreeSet::new(),
+            first_of_kind: BTreeMap::new(),
         }
     }
 
-    fn cut(&mut self, pairs: &[(usize, usize)]) {
-        self.cut = pairs.iter().flat_map(|&(a, b)| [(a, b), (b, a)]).collect();
+    fn block(&mut self, pairs: &[(usize, usize)]) {
+        self.blocked = pairs.iter().flat_map(|&(a, b)| [(a, b), (b, a)]).collect();
     }
 
-    fn number(&self, of: SocketAddr) -> usize {
-        (0..self.members.len()).find(|&number| address(number) == of).expect("a member")
+    fn member_at(&self, wanted: SocketAddr) -> usize {
+        (0..self.members.len()).find(|&number| address(number) == wanted).expect("a member")
     }
 
     fn carry_out(&mut self, from: usize, effects: Vec<Effect>) {
@@ -102,25 +102,25 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, packet: Vec<u8>) {
-        let to = self.number(to);
-        self.sent += 1;
+        let to = self.member_at(to);
+        self.packets_sent += 1;
         self.digest.update(&packet);
         let line = format!("{} us, {from} to {to}: {}", self.now, hex(&packet));
-        self.first.entry(kind(&packet)).or_insert(line);
-        if !self.cut.contains(&(from, to)) {
-            self.under_way.insert((self.now + DELAY, self.sent), (to, packet));
+        self.first_of_kind.entry(packet_kind(&packet)).or_insert(line);
+        if !self.blocked.contains(&(from, to)) {
+            self.in_transit.insert((self.now + PACKET_DELAY, self.packets_sent), (to, packet));
         }
     }
 
     fn exchange_states(&mut self, from: usize, with: SocketAddr) {
-        let with = self.number(with);
+        let with = self.member_at(with);
         let frames = [from, with].map(|number| self.members[number].state().seal(&key()));
         let [asked, answered] = frames.map(|frame| MembershipState::open(&key(), &frame).expect("a state"));
-        self.hand_in(with, Input::State(&asked));
-        self.hand_in(from, Input::State(&answered));
+        self.handle_input(with, Input::State(&asked));
+        self.handle_input(from, Input::State(&answered));
     }
 
-    fn hand_in(&mut self, to: usize, input: Input<'_>) {
+    fn handle_input(&mut self, to: usize, input: Input<'_>) {
         let mut effects = Vec::new();
         self.members[to].handle(self.now, input, &mut effects).expect("taken");
         self.carry_out(to, effects);
@@ -128,18 +128,18 @@
 
     fn run_until(&mut self, end: Micros) {
         loop {
-            let arrival = self.under_way.first_key_value().map(|(&(at, _), _)| at);
-            let dues = self.members.iter().enumerate();
-            let due = dues.filter_map(|(number, member)| Some((member.next_due()?, number))).min();
+            let arrival = self.in_transit.first_key_value().map(|(&(at, _), _)| at);
+            let timers = self.members.iter().enumerate();
+            let due = timers.filter_map(|(number, member)| Some((member.next_due()?, number))).min();
             match (arrival, due) {
                 (Some(at), due) if at <= end && due.is_none_or(|(due, _)| at <= due) => {
                     self.now = at;
-                    let (_, (to, packet)) = self.under_way.pop_first().expect("a packet");
-                    self.hand_in(to, Input::Packet(&packet));
+                    let (_, (to, packet)) = self.in_transit.pop_first().expect("a packet");
+                    self.handle_input(to, Input::Packet(&packet));
                 }
                 (_, Some((at, number))) if at <= end => {
                     self.now = at;
-                    self.hand_in(number, Input::TimerDue);
+                    self.handle_input(number, Input::TimerDue);
                 }
                 _ => break,
             }
@@ -147,38 +147,40 @@
         self.now = end;
     }
 
-    /// A member leaves; what it says is listed apart.
+    /// A member leaves; the packets that it sends are listed apart.
     fn leave(&mut self, number: usize) {
         let mut effects = Vec::new();
         self.members[number].leave(self.now, &mut effects);
-        let before = std::mem::take(&mut self.first);
+        let before = std::mem::take(&mut self.first_of_kind);
         self.carry_out(number, effects);
-        let said = std::mem::replace(&mut self.first, before);
-        self.first.extend(said.into_iter().map(|(kind, line)| (format!("leave: {kind}"), line)));
+        let leave_packets = std::mem::replace(&mut self.first_of_kind, before);
+        self.first_of_kind
+            .extend(leave_packets.into_iter().map(|(kind, line)| (format!("leave: {kind}"), line)));
     }
 
     fn transcript(&self) -> String {
-        let lines: String = self.first.iter().map(|(kind, line)| format!("{kind}\n  {line}\n")).collect();
+        let lines: String =
+            self.first_of_kind.iter().map(|(kind, line)| format!("{kind}\n  {line}\n")).collect();
         let digest = hex(&self.digest.clone().finalize());
-        format!("{lines}all {} packets, SHA-256\n  {digest}\n", self.sent)
+        format!("{lines}all {} packets, SHA-256\n  {digest}\n", self.packets_sent)
     }
 }
 
 #[test]
 fn packets_and_states_are_as_approved() {
-    let mut exchange = Exchange::new();
-    exchange.run_until(5 * SECOND);
-    exchange.cut(&[(0, 1)]);
-    exchange.run_until(9 * SECOND);
-    exchange.cut(&[(0, 1), (1, 2)]);
-    exchange.run_until(25 * SECOND);
-    let state = exchange.members[0].state();
+    let mut cluster = SimulatedCluster::new();
+    cluster.run_until(5 * SECOND);
+    cluster.block(&[(0, 1)]);
+    cluster.run_until(9 * SECOND);
+    cluster.block(&[(0, 1), (1, 2)]);
+    cluster.run_until(25 * SECOND);
+    let state = cluster.members[0].state();
     let frame = state.seal(&key());
     assert_eq!(MembershipState::open(&key(), &frame), Ok(state), "the state is read back");
     insta::assert_snapshot!("state", hex(&frame));
-    exchange.cut(&[]);
-    exchange.run_until(45 * SECOND);
-    exchange.leave(2);
-    exchange.run_until(46 * SECOND);
-    insta::assert_snapshot!("packets", exchange.transcript());
+    cluster.block(&[]);
+    cluster.run_until(45 * SECOND);
+    cluster.leave(2);
+    cluster.run_until(46 * SECOND);
+    insta::assert_snapshot!("packets", cluster.transcript());
 }
