--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -1,88 +1,67 @@
-//! The links between members: which are cut, and what the others do to a packet.
+//! The links between members: which are blocked, and the fate of each packet on the others.
 use std::collections::HashSet;
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-use crate::Fault;
-
-/// What happens to packets on links that are not cut.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weather {
-    /// The share that is lost.
-    pub lose: f64,
-    /// The share that comes twice.
-    pub double: f64,
-    /// The share that is held back, so that later packets overtake it.
-    pub hold: f64,
-    /// For how long.
-    pub held: Duration,
-    /// Shortest time on the way.
-    pub least: Duration,
-    /// Longest time on the way; each packet's own lies between, so that packets overtake each other.
-    pub most: Duration,
-}
-
-impl Weather {
-    /// All packets come, once and at once.
-    pub const FAIR: Weather = Weather {
-        lose: 0.0,
-        double: 0.0,
-        hold: 0.0,
-        held: Duration::ZERO,
-        least: Duration::ZERO,
-        most: Duration::ZERO,
-    };
-}
+use crate::fault::Fault;
+use crate::link_conditions::LinkConditions;
 
 /// All links of a fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Links {
-    fair: Weather,
-    /// What happens on links that are not cut.
-    pub weather: Weather,
-    /// From whom to whom nothing comes.
-    pub cut: HashSet<(usize, usize)>,
+pub struct NetworkLinks {
+    /// The conditions that a heal restores.
+    baseline: LinkConditions,
+    /// The conditions of links that are not blocked.
+    pub conditions: LinkConditions,
+    /// Pairs of sender and receiver between which nothing passes.
+    pub blocked: HashSet<(usize, usize)>,
 }
 
-impl Links {
-    /// Links in this weather, to which they return when they heal.
-    pub fn new(fair: Weather) -> Links {
-        Links { fair, weather: fair, cut: HashSet::new() }
+impl NetworkLinks {
+    /// Links with these conditions, to which they return when they heal.
+    pub fn new(baseline: LinkConditions) -> NetworkLinks {
+        NetworkLinks { baseline, conditions: baseline, blocked: HashSet::new() }
     }
 
-    /// Lets a fault happen; those of processes are for the drive and change nothing here.
-    pub fn take(&mut self, fault: &Fault) {
+    /// Applies a fault of the network. Those of processes are for the player, and change nothing here.
+    pub fn apply(&mut self, fault: &Fault) {
         match fault {
-            Fault::Cut { from, to } => {
-                self.cut.extend(from.iter().flat_map(|&a| to.iter().map(move |&b| (a, b))));
+            Fault::BlockOneWay { from, to } => self.block(from, to),
+            Fault::Partition { one, other } => {
+                self.block(one, other);
+                self.block(other, one);
             }
-            Fault::Part { one, other } => {
-                self.cut.extend(one.iter().flat_map(|&a| other.iter().flat_map(move |&b| [(a, b), (b, a)])));
-            }
-            Fault::Weather(weather) => self.weather = *weather,
-            Fault::Heal => *self = Links::new(self.fair),
-            Fault::Process(..) => {}
+            Fault::SetConditions(conditions) => self.conditions = *conditions,
+            Fault::Heal => *self = NetworkLinks::new(self.baseline),
+            Fault::Process { .. } => {}
         }
     }
 
-    /// How long each copy of a packet is on its way: none where it is lost, two where it is doubled.
-    pub fn way(&self, from: usize, to: usize, chance: &mut impl Rng) -> [Option<Duration>; 2] {
-        let weather = &self.weather;
-        if self.cut.contains(&(from, to)) || chance.random::<f64>() < weather.lose {
+    fn block(&mut self, from: &[usize], to: &[usize]) {
+        self.blocked
+            .extend(from.iter().flat_map(|&sender| to.iter().map(move |&receiver| (sender, receiver))));
+    }
+
+    /// The delay of each copy of a packet that arrives: none where it is lost, two where it is duplicated.
+    pub fn delivery_delays(&self, from: usize, to: usize, rng: &mut impl Rng) -> [Option<Duration>; 2] {
+        let conditions = &self.conditions;
+        if self.blocked.contains(&(from, to)) || rng.random::<f64>() < conditions.loss_rate {
             return [None; 2];
         }
-        let first = self.time(chance);
-        // No chance is drawn for what cannot happen, so that a plan without it stays the same play.
-        let twice = weather.double > 0.0 && chance.random::<f64>() < weather.double;
-        [Some(first), twice.then(|| self.time(chance))]
+        let first = self.delay(rng);
+        // Nothing is drawn for what cannot happen, so that adding a condition leaves a plan without it unchanged.
+        let is_duplicated =
+            conditions.duplication_rate > 0.0 && rng.random::<f64>() < conditions.duplication_rate;
+        [Some(first), is_duplicated.then(|| self.delay(rng))]
     }
 
-    fn time(&self, chance: &mut impl Rng) -> Duration {
-        let Weather { hold, held, least, most, .. } = self.weather;
-        let spread = most.saturating_sub(least).as_micros() as u64;
-        let own = if spread == 0 { 0 } else { chance.random_range(0..spread) };
-        let held = if hold > 0.0 && chance.random::<f64>() < hold { held } else { Duration::ZERO };
-        least + Duration::from_micros(own) + held
+    fn delay(&self, rng: &mut impl Rng) -> Duration {
+        let LinkConditions { extra_delay_rate, extra_delay, min_delay, max_delay, .. } = self.conditions;
+        let spread_us = max_delay.saturating_sub(min_delay).as_micros() as u64;
+        let jitter_us = if spread_us == 0 { 0 } else { rng.random_range(0..spread_us) };
+        let has_extra_delay = extra_delay_rate > 0.0 && rng.random::<f64>() < extra_delay_rate;
+        let extra_delay = if has_extra_delay { extra_delay } else { Duration::ZERO };
+        min_delay + Duration::from_micros(jitter_us) + extra_delay
     }
 }
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -5,7 +5,9 @@
 
 use copperspread_config::{self as config, Config};
 use copperspread_membership::{Key, KeyError, Settings};
-use copperspread_membership_transport::{BeginError, Dropped, Peers, Rejects, Spec};
+use copperspread_membership_transport::{
+    DropCounts, MembershipTransport, RejectionCounts, StartError, TransportConfig,
+};
 use copperspread_proxy::downstream::http::StatusPage;
 use tracing::info;
 
@@ -49,7 +51,7 @@
     KeyFile(#[from] KeyFileError),
     /// The transport did not start.
     #[error("cluster: {0}")]
-    Transport(#[from] BeginError),
+    Transport(#[from] StartError),
 }
 
 /// Reads the key that a file holds.
@@ -96,22 +98,22 @@
     ///
     /// # Errors
     /// A key that cannot be read, or an address that cannot be bound.
-    pub(crate) fn start(&self, seed: u64) -> Result<Peers, MembershipError> {
-        let member = Peers::begin(self.transport_spec(seed)?)?;
-        info!(scheduler = self.name, address = %member.address(), "membership started");
+    pub(crate) fn start(&self, seed: u64) -> Result<MembershipTransport, MembershipError> {
+        let member = MembershipTransport::start(self.transport_spec(seed)?)?;
+        info!(scheduler = self.name, address = %member.local_address(), "membership started");
         Ok(member)
     }
 
-    fn transport_spec(&self, seed: u64) -> Result<Spec, MembershipError> {
+    fn transport_spec(&self, seed: u64) -> Result<TransportConfig, MembershipError> {
         let config::MembershipConfig { bind, advertise, key_file, region, .. } = &self.cluster;
         let key = read_key(key_file.as_deref().ok_or(MembershipError::NoKeyFile)?)?;
-        Ok(Spec {
-            bind: bind.ok_or(MembershipError::NoAddress)?,
-            advertise: *advertise,
+        Ok(TransportConfig {
+            bind_address: bind.ok_or(MembershipError::NoAddress)?,
+            advertised_address: *advertise,
             name: self.name.clone(),
             zone: self.zone.clone(),
             region: region.clone(),
-            settings: protocol_settings(&self.cluster),
+            membership_settings: protocol_settings(&self.cluster),
             key,
             seed,
         })
@@ -122,26 +124,32 @@
     Settings {
         probe_interval: cluster.probe_interval.0,
         probe_timeout: cluster.probe_timeout.0,
-        indirect: cluster.indirect as usize,
-        suspicion: cluster.suspicion,
+        indirect_probes: cluster.indirect as usize,
+        suspicion_multiplier: cluster.suspicion,
         seeds: cluster.seeds.clone(),
     }
 }
 
 /// The status page that shows a member's view of the others.
-pub(crate) fn status_page(member: &Peers) -> StatusPage {
-    let view = member.viewer();
+pub(crate) fn status_page(member: &MembershipTransport) -> StatusPage {
+    let view = member.view_reader();
     // Plain names and figures, which JSON can always express.
     let json = move || serde_json::to_string(&view()).unwrap_or_default();
     StatusPage { path: STATUS_PATH, json: Arc::new(json) }
 }
 
 /// Waits until a member that is leaving has ended, and logs its counts.
-pub(crate) fn wait_until_stopped(member: Peers) {
-    let dropped = member.dropped();
-    let view = member.ended();
-    let Rejects { too_large, malformed, forged, other_version } = view.rejected;
-    let Dropped { unsent, streams_refused, streams_failed, exchanges_skipped, states_dropped } = dropped;
+pub(crate) fn wait_until_stopped(member: MembershipTransport) {
+    let dropped = member.drop_counts();
+    let view = member.shutdown();
+    let RejectionCounts { too_large, malformed, forged, other_version } = view.rejected;
+    let DropCounts {
+        packets_unsent: unsent,
+        streams_rejected: streams_refused,
+        streams_failed,
+        exchanges_skipped,
+        states_dropped,
+    } = dropped;
     info!(
         packets_in = view.packets_in,
         packets_out = view.packets_out,
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -5,7 +5,7 @@
 use copperspread_event_log::EventKind;
 use copperspread_event_log::writer::Recorder;
 #[cfg(feature = "standalone")]
-use copperspread_membership_transport::Peers;
+use copperspread_membership_transport::MembershipTransport;
 use copperspread_proxy::assembly::{AssembledProxy, assemble_with};
 use copperspread_proxy::downstream::Downstream;
 use copperspread_proxy::invariant;
@@ -23,7 +23,7 @@
     discovery: DiscoveryHandle,
     // Dropped without `shut_down`, it ends at once and the other members find out by themselves.
     #[cfg(feature = "standalone")]
-    member: Option<Peers>,
+    member: Option<MembershipTransport>,
 }
 
 impl Scheduler {
@@ -63,7 +63,7 @@
     pub(super) async fn shut_down(self, log: &Log, recorder: &Recorder) {
         // First of all, so that the other members know while this one still answers.
         #[cfg(feature = "standalone")]
-        self.member.iter().for_each(Peers::leave);
+        self.member.iter().for_each(MembershipTransport::leave);
         let deadlines = self.proxy.begin_shutdown();
         info!(requests = self.proxy.context.policy.active_requests(), "shutting down");
         let requests_left = self.proxy.wait_until_drained(deadlines).await;
--- a/crates/scheduler/tests/cluster_faults.rs
+++ b/crates/scheduler/tests/cluster_faults.rs
@@ -4,57 +4,66 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use copperspread_test_harness::{Act, Fault, Fleet, Plan, Setup, View, Weather, plans};
+use copperspread_test_harness::{
+    Fault, FaultPlan, Fleet, FleetConfig, LinkConditions, MembershipView, ObservedView, ProcessAction, plans,
+};
 
 /// Every member must know of a death within this; the settings' suspicion is a second.
 const DETECTION_BOUND: Duration = Duration::from_secs(15);
 
-fn setup(members: usize) -> Setup {
-    Setup::new(env!("CARGO_BIN_EXE_copperspread-scheduler"), members)
+fn setup(members: usize) -> FleetConfig {
+    FleetConfig::new(env!("CARGO_BIN_EXE_copperspread-scheduler"), members)
 }
 
 fn names(numbers: impl IntoIterator<Item = usize>) -> Vec<String> {
-    numbers.into_iter().map(Fleet::name).collect()
+    numbers.into_iter().map(Fleet::member_name).collect()
 }
 
 /// Whether no member was ever declared dead: one that was takes a new identity and shows that for good.
-fn no_member_returned(views: &[(usize, View)]) -> bool {
-    views.iter().all(|(_, view)| view.own.returned == 0)
+fn no_member_returned(views: &[ObservedView]) -> bool {
+    views.iter().all(|observed| observed.view.local_member.rejoins == 0)
 }
 
 /// Waits until the members see each other, and asserts that none was declared dead since its start.
 fn assert_all_stayed(fleet: &mut Fleet, when: &str) {
-    fleet.all_see_all(DETECTION_BOUND, when);
-    fleet.until(Duration::ZERO, &format!("{when}, no member has been declared dead"), no_member_returned);
+    fleet.wait_for_full_membership(DETECTION_BOUND, when);
+    fleet.wait_until(
+        Duration::ZERO,
+        &format!("{when}, no member has been declared dead"),
+        no_member_returned,
+    );
 }
 
 #[test]
 fn a_killed_member_is_declared_dead_everywhere_and_no_other_is() {
-    let mut fleet = Fleet::joined(setup(7));
-    fleet.play(&plans::killed(4));
-    fleet.all_see_all(DETECTION_BOUND, "after a kill");
+    let mut fleet = Fleet::start_joined(setup(7));
+    fleet.play(&plans::kill(4));
+    fleet.wait_for_full_membership(DETECTION_BOUND, "after a kill");
     assert_all_stayed(&mut fleet, "after a kill");
 }
 
 #[test]
 fn a_member_paused_for_5_s_refutes_and_stays() {
-    let mut fleet = Fleet::joined(setup(7));
-    fleet.play(&Plan::default().at(Duration::ZERO, Fault::Process(3, Act::Pause)));
-    fleet.all_see_all(Duration::from_secs(5), "while one is paused for longer than the suspicion");
-    fleet.play(&Plan::default().at(Duration::from_secs(5), Fault::Process(3, Act::Resume)));
-    fleet.all_see_all(DETECTION_BOUND, "after the pause");
-    fleet.until(DETECTION_BOUND, "n3 noticed its pause and returned; the others never did", |views| {
-        views.iter().all(|(number, view)| match number {
-            3 => view.pauses >= 1 && view.own.returned >= 1,
-            _ => view.own.returned == 0,
+    let mut fleet = Fleet::start_joined(setup(7));
+    fleet.play(&FaultPlan::default().process_at(Duration::ZERO, 3, ProcessAction::Pause));
+    fleet.wait_for_full_membership(
+        Duration::from_secs(5),
+        "while one is paused for longer than the suspicion",
+    );
+    fleet.play(&FaultPlan::default().process_at(Duration::from_secs(5), 3, ProcessAction::Resume));
+    fleet.wait_for_full_membership(DETECTION_BOUND, "after the pause");
+    fleet.wait_until(DETECTION_BOUND, "n3 noticed its pause and returned; the others never did", |views| {
+        views.iter().all(|ObservedView { member, view }| match member {
+            3 => view.detected_pauses >= 1 && view.local_member.rejoins >= 1,
+            _ => view.local_member.rejoins == 0,
         })
     });
 }
 
 #[test]
 fn at_30_percent_loss_no_member_is_declared_dead_in_20_s() {
-    let mut fleet = Fleet::joined(setup(9));
-    fleet.play(&plans::lossy(
+    let mut fleet = Fleet::start_joined(setup(9));
+    fleet.play(&plans::lose_packets(
         0.3,
         Duration::from_millis(1),
         Duration::from_millis(15),
@@ -66,82 +75,92 @@
 /// Packets that come twice, late or out of order tell nothing new.
 #[test]
 fn duplicated_delayed_and_reordered_packets_kill_no_member() {
-    let mut fleet = Fleet::joined(setup(5));
+    let mut fleet = Fleet::start_joined(setup(5));
     let (least, most) = (Duration::from_millis(1), Duration::from_millis(20));
-    let weather = Weather { lose: 0.05, double: 0.3, hold: 0.1, held: Duration::from_secs(1), least, most };
+    let weather = LinkConditions {
+        loss_rate: 0.05,
+        duplication_rate: 0.3,
+        extra_delay_rate: 0.1,
+        extra_delay: Duration::from_secs(1),
+        min_delay: least,
+        max_delay: most,
+    };
     fleet.play(
-        &Plan::default().at(Duration::ZERO, Fault::Weather(weather)).at(Duration::from_secs(10), Fault::Heal),
+        &FaultPlan::default()
+            .at(Duration::ZERO, Fault::SetConditions(weather))
+            .at(Duration::from_secs(10), Fault::Heal),
     );
     assert_all_stayed(&mut fleet, "after 10 s of them");
 }
 
 #[test]
 fn a_one_way_partition_between_two_members_removes_neither() {
-    let mut fleet = Fleet::joined(setup(7));
-    fleet.play(&plans::one_sided(0, 1, Duration::from_secs(15)));
+    let mut fleet = Fleet::start_joined(setup(7));
+    fleet.play(&plans::block_one_way(0, 1, Duration::from_secs(15)));
     assert_all_stayed(&mut fleet, "after 15 s of a cut from n0 to n1");
 }
 
 /// It receives from all and reaches none: to the others it is dead, and it must not divide them.
 #[test]
 fn a_member_that_reaches_no_other_is_removed_and_returns_when_the_partition_heals() {
-    let mut fleet = Fleet::joined(setup(6));
+    let mut fleet = Fleet::start_joined(setup(6));
     let to = (0..6).filter(|&to| to != 2).collect();
-    fleet.happens(&Fault::Cut { from: vec![2], to });
-    fleet.until(DETECTION_BOUND, "the others declare n2 dead, and no other", |views| {
+    fleet.apply_fault(&Fault::BlockOneWay { from: vec![2], to });
+    fleet.wait_until(DETECTION_BOUND, "the others declare n2 dead, and no other", |views| {
         views
             .iter()
-            .filter(|(number, _)| *number != 2)
-            .all(|(_, view)| !view.sees("n2") && view.members.len() == 4)
+            .filter(|observed| observed.member != 2)
+            .all(|observed| !observed.view.contains("n2") && observed.view.members.len() == 4)
     });
-    fleet.happens(&Fault::Heal);
-    fleet.all_see_all(Duration::from_secs(30), "after the heal");
+    fleet.apply_fault(&Fault::Heal);
+    fleet.wait_for_full_membership(Duration::from_secs(30), "after the heal");
 }
 
 #[test]
 fn two_halves_of_a_partition_become_one_view_after_it_heals() {
-    let mut fleet = Fleet::joined(setup(8));
-    fleet.happens(&plans::halves(8, Duration::ZERO).steps[0].1);
+    let mut fleet = Fleet::start_joined(setup(8));
+    fleet.apply_fault(&plans::partition_in_halves(8, Duration::ZERO).steps[0].fault);
     let (one, other) = (names(0..4), names(4..8));
-    fleet.until(DETECTION_BOUND, "each half sees itself and nobody else", |views| {
-        views.iter().all(|(number, view)| {
-            let half = if *number < 4 { &one } else { &other };
+    fleet.wait_until(DETECTION_BOUND, "each half sees itself and nobody else", |views| {
+        views.iter().all(|ObservedView { member, view }| {
+            let half = if *member < 4 { &one } else { &other };
             view.members.len() == 3 && view.members.iter().all(|member| half.contains(&member.name))
         })
     });
-    fleet.happens(&Fault::Heal);
-    let took = fleet.all_see_all(Duration::from_secs(30), "after the heal");
+    fleet.apply_fault(&Fault::Heal);
+    let took = fleet.wait_for_full_membership(Duration::from_secs(30), "after the heal");
     println!("one view again {took:?} after the heal");
 }
 
 #[test]
 fn a_restart_under_the_same_name_replaces_the_old_process() {
-    let mut fleet = Fleet::joined(setup(5));
-    let before = fleet.view(2).expect("a view").own.generation;
-    fleet.play(&plans::restarted(2, Duration::from_millis(300)));
-    fleet.until(DETECTION_BOUND, "all see n2 with a later generation", |views| {
-        let seen =
-            |view: &View| view.members.iter().any(|member| member.name == "n2" && member.generation > before);
-        views.iter().all(|(number, view)| *number == 2 || seen(view))
+    let mut fleet = Fleet::start_joined(setup(5));
+    let before = fleet.view(2).expect("a view").local_member.generation;
+    fleet.play(&plans::restart(2, Duration::from_millis(300)));
+    fleet.wait_until(DETECTION_BOUND, "all see n2 with a later generation", |views| {
+        let seen = |view: &MembershipView| {
+            view.members.iter().any(|observed| observed.name == "n2" && observed.generation > before)
+        };
+        views.iter().all(|observed| observed.member == 2 || seen(&observed.view))
     });
-    fleet.all_see_all(DETECTION_BOUND, "after a restart");
+    fleet.wait_for_full_membership(DETECTION_BOUND, "after a restart");
 }
 
 #[test]
 fn a_flood_of_invalid_packets_changes_no_membership_and_is_counted() {
-    let mut fleet = Fleet::joined(setup(5));
+    let mut fleet = Fleet::start_joined(setup(5));
     let rejected = fleet.view(0).expect("a view").rejected;
-    let (stranger, to) = (UdpSocket::bind("127.0.0.1:0").expect("a socket"), fleet.bound(0));
+    let (stranger, to) = (UdpSocket::bind("127.0.0.1:0").expect("a socket"), fleet.membership_address(0));
     // Of this version with an invalid tag, of 60,000 bytes, and empty.
     let (forged, large) = (vec![1; 200], vec![1; 60_000]);
     for _ in 0..2_000 {
         for packet in [&forged[..], &large[..], &[]] {
-            // The system refuses some where its own buffers are full; enough come through.
+            // The system rejects some where its own buffers are full; enough come through.
             let _ = stranger.send_to(packet, to);
         }
     }
-    fleet.until(DETECTION_BOUND, "n0 has counted hundreds of each kind", |views| {
-        let now = views[0].1.rejected;
+    fleet.wait_until(DETECTION_BOUND, "n0 has counted hundreds of each kind", |views| {
+        let now = views[0].view.rejected;
         [now.forged - rejected.forged, now.too_large - rejected.too_large, now.malformed - rejected.malformed]
             .iter()
             .all(|&count| count >= 100)
@@ -152,13 +171,13 @@
 
 #[test]
 fn seeds_that_are_all_down_at_the_start_are_retried_until_one_answers() {
-    let mut fleet = Fleet::new(Setup { seeds: vec![0, 1], ..setup(6) });
-    let plan = plans::seeds_late(6, 2, Duration::from_secs(3));
-    let seeds = plan.steps.iter().position(|step| step.0 > Duration::ZERO).expect("they start later");
-    fleet.play(&Plan { steps: plan.steps[..seeds].to_vec() });
-    fleet.until(DETECTION_BOUND, "the four serve, and see nobody", |views| {
-        views.len() == 4 && views.iter().all(|(_, view)| view.members.is_empty())
+    let mut fleet = Fleet::new(FleetConfig { seeds: vec![0, 1], ..setup(6) });
+    let plan = plans::start_seeds_late(6, 2, Duration::from_secs(3));
+    let seeds = plan.steps.iter().position(|step| step.at > Duration::ZERO).expect("they start later");
+    fleet.play(&FaultPlan { steps: plan.steps[..seeds].to_vec() });
+    fleet.wait_until(DETECTION_BOUND, "the four serve, and see nobody", |views| {
+        views.len() == 4 && views.iter().all(|observed| observed.view.members.is_empty())
     });
-    fleet.play(&Plan { steps: plan.steps[seeds..].to_vec() });
-    fleet.all_see_all(DETECTION_BOUND, "after the seeds' start");
+    fleet.play(&FaultPlan { steps: plan.steps[seeds..].to_vec() });
+    fleet.wait_for_full_membership(DETECTION_BOUND, "after the seeds' start");
 }
--- a/crates/scheduler/tests/unit/membership.rs
+++ b/crates/scheduler/tests/unit/membership.rs
@@ -8,5 +8,8 @@
         (configured.probe_interval.0, configured.probe_timeout.0),
         (protocol.probe_interval, protocol.probe_timeout)
     );
-    assert_eq!((configured.indirect as usize, configured.suspicion), (protocol.indirect, protocol.suspicion));
+    assert_eq!(
+        (configured.indirect as usize, configured.suspicion),
+        (protocol.indirect_probes, protocol.suspicion_multiplier)
+    );
 }
