--- a/crates/fair-share/examples/late.rs
+++ b/crates/fair-share/examples/late.rs
@@ -23,20 +23,20 @@
     Name::new(&format!("{kind}-{number:04}")).expect("a short name")
 }
 
-fn agreement() -> Agreement {
+fn agreement() -> FairSharePolicy {
     let federations = (0..FEDERATIONS).map(|at| {
         let of = (at..TENANTS).step_by(FEDERATIONS as usize);
-        let terms = |tenant: u32| Terms { weight: 1 + tenant % 5, guarantee: 300, ceiling: 200_000 };
+        let terms = |tenant: u32| ShareConfig { weight: 1 + tenant % 5, guarantee: 300, ceiling: 200_000 };
         let tenants = of.map(|tenant| (name("tenant", tenant), terms(tenant))).collect();
-        let terms = Terms { weight: 1 + at % 3, guarantee: 12_000, ceiling: 500_000 };
-        (name("federation", at), Federation { terms, tenants })
+        let terms = ShareConfig { weight: 1 + at % 3, guarantee: 12_000, ceiling: 500_000 };
+        (name("federation", at), Federation { share_config: terms, tenants })
     });
-    Agreement::new(federations.collect()).expect("it can be kept")
+    FairSharePolicy::new(federations.collect()).expect("it can be kept")
 }
 
 /// Every report with the instant at which it arrives: most within a second, 30 % within a minute. Each tells of
 /// from so many percent to all of what the pool can do.
-fn reports(least: u64) -> Vec<(i64, Report)> {
+fn reports(least: u64) -> Vec<(i64, UsageReport)> {
     let mut rng = Pcg64Mcg::seed_from_u64(28);
     let mut reports = Vec::new();
     for step in 0..STEPS {
@@ -49,13 +49,13 @@
                 let (start, end) = (step * STEP, (step + 1) * STEP);
                 let late = rng.random_range(0..10) < 3;
                 let arrives = end + rng.random_range(0..if late { 60_000 } else { 1_000 });
-                let report = Report {
+                let report = UsageReport {
                     reporter: name("reporter", reporter),
-                    generation: 1,
+                    incarnation: 1,
                     sequence: (step as u64) * u64::from(EACH) + u64::from(one) + 1,
                     tenant: name("tenant", tenant),
-                    start,
-                    end,
+                    start_ms: start,
+                    end_ms: end,
                     work: rng.random_range(least..=100) * u64::from(SLOTS) * STEP as u64
                         / u64::from(EACH)
                         / 100,
@@ -69,12 +69,12 @@
     reports
 }
 
-fn ledger() -> Ledger {
-    let mut ledger = Ledger::new(Settings::default(), 0).expect("good settings");
+fn ledger() -> UsageLedger {
+    let mut ledger = UsageLedger::new(LedgerSettings::default(), 0).expect("good settings");
     let reporter = |number| (name("reporter", number), Reporter { slots: SLOTS, federation: None });
     let tenant = |number| (name("tenant", number), name("federation", number % FEDERATIONS));
     let (reporters, tenants) = ((0..REPORTERS).map(reporter).collect(), (0..TENANTS).map(tenant).collect());
-    ledger.enroll(Roll { reporters, tenants }).expect("a small roll");
+    ledger.enroll(Enrollment { reporters, tenants }).expect("a small roll");
     ledger
 }
 
@@ -84,9 +84,9 @@
     statm.map_or(f64::NAN, |statm| (statm.resident * procfs::page_size()) as f64 / 1e6)
 }
 
-fn shares(agreement: &Agreement, work: &BTreeMap<Name, u64>) -> Table {
-    let usage = Usage::measured(agreement, work, CAPACITY, &BTreeMap::new());
-    table(agreement, &usage, &Reserved::default())
+fn shares(agreement: &FairSharePolicy, work: &BTreeMap<Name, u64>) -> ShareTable {
+    let usage = TenantDemands::from_measured_usage(agreement, work, CAPACITY, &BTreeMap::new());
+    allocate_shares(agreement, &usage, &ReservedShares::default())
 }
 
 /// How far tables are off, in parts in a million.
@@ -100,8 +100,8 @@
 }
 
 impl Off {
-    fn add(&mut self, table: &Table, truth: &Table, unknown: u64) {
-        let off = |(tenant, share): (&Name, &Share)| share.share.abs_diff(truth.tenants[tenant].share);
+    fn add(&mut self, table: &ShareTable, truth: &ShareTable, unknown: u64) {
+        let off = |(tenant, share): (&Name, &TenantShare)| share.share.abs_diff(truth.tenants[tenant].share);
         let moved: u64 = table.tenants.iter().map(|one| u64::from(off(one))).sum::<u64>() / 2;
         self.most = self.most.max(table.tenants.iter().map(off).max().unwrap_or(0));
         (self.tables, self.moved) = (self.tables + 1, self.moved + moved);
@@ -134,23 +134,26 @@
     let count = reports.len();
 
     // Everything at once, in the order of its sequences: the truth, and the ledger's memory.
-    let mut sorted: Vec<Report> = reports.iter().map(|(_, report)| report.clone()).collect();
-    sorted.sort_by(|a, b| (a.start, &a.reporter, a.sequence).cmp(&(b.start, &b.reporter, b.sequence)));
+    let mut sorted: Vec<UsageReport> = reports.iter().map(|(_, report)| report.clone()).collect();
+    sorted.sort_by(|a, b| (a.start_ms, &a.reporter, a.sequence).cmp(&(b.start_ms, &b.reporter, b.sequence)));
     let (before, began) = (resident(), Instant::now());
     for report in sorted.iter().cloned() {
-        whole.take(STEPS * STEP, report).expect("a good report");
+        whole.record(STEPS * STEP, report).expect("a good report");
     }
     let spent = began.elapsed().as_secs_f64();
     let per = spent * 1e9 / count as f64;
     println!("{count} reports at once: {per:.0} ns each, {:.1} MB resident", resident() - before);
     let stored = postcard::to_allocvec(&whole).expect("it can be written").len();
     println!("stored: {:.1} MB", stored as f64 / 1e6);
-    let truth: BTreeMap<i64, Table> = (0..STEPS * STEP / WINDOW)
-        .map(|window| (window, shares(&agreement, &whole.provisional(window * WINDOW).work)))
+    let truth: BTreeMap<i64, ShareTable> = (0..STEPS * STEP / WINDOW)
+        .map(|window| (window, shares(&agreement, &whole.provisional_usage(window * WINDOW).work)))
         .collect();
     let closed = whole.advance(STEPS * STEP + 60_000, &nobody);
     whole
-        .take(10_000_000, Report { start: 9_999_000, end: 10_000_000, sequence: 3_341, ..sorted[0].clone() })
+        .record(
+            10_000_000,
+            UsageReport { start_ms: 9_999_000, end_ms: 10_000_000, sequence: 3_341, ..sorted[0].clone() },
+        )
         .ok();
     whole.advance(10_100_000, &nobody);
     let stored = postcard::to_allocvec(&whole).expect("it can be written").len();
@@ -169,21 +172,21 @@
         let now = second * 1_000;
         let began = Instant::now();
         while let Some((_, report)) = arriving.next_if(|(arrives, _)| *arrives <= now) {
-            live.take(now, report).expect("a good report");
+            live.record(now, report).expect("a good report");
         }
         let closed = live.advance(now, &nobody);
         took += began.elapsed().as_secs_f64();
         for (after, off) in [(0, &mut at_end), (10_000, &mut later)] {
             let end = now - after;
             if let Some(truth) = truth.get(&(end / WINDOW - 1)).filter(|_| end % WINDOW == 0) {
-                let known = live.provisional(end - 1);
-                off.add(&shares(&agreement, &known.work), truth, known.unknown);
+                let known = live.provisional_usage(end - 1);
+                off.add(&shares(&agreement, &known.work), truth, known.max_outstanding);
             }
         }
         for one in closed {
             worked += one.work.values().sum::<u64>();
             adjusted += one.adjustments.values().sum::<i64>();
-            if let Some(truth) = truth.get(&one.window) {
+            if let Some(truth) = truth.get(&one.index) {
                 last.add(&shares(&agreement, &one.work), truth, 0);
             }
         }
--- a/crates/fair-share/src/account.rs
+++ b/crates/fair-share/src/account.rs
@@ -7,7 +7,7 @@
 
 use crate::Name;
 use crate::fill::apportion;
-use crate::report::{Refused, Report, Settings, Taken};
+use crate::report::{LedgerSettings, ReportOutcome, ReportRejection, UsageReport};
 
 /// A report without its reporter, generation and sequence. Of two that say they are the same the lesser stands.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -59,11 +59,11 @@
 }
 
 impl Start {
-    fn new(settings: &Settings) -> Start {
+    fn new(settings: &LedgerSettings) -> Start {
         Start {
             came: RangeInclusiveSet::new(),
             floor: 0,
-            until: settings.ahead.into(),
+            until: settings.max_sequences_ahead.into(),
             whole: 0,
             mark: None,
             given_up: 0,
@@ -125,7 +125,7 @@
     }
 
     /// Looks at what came: the mark, and how far on it may go.
-    fn look(&mut self, settings: &Settings) {
+    fn look(&mut self, settings: &LedgerSettings) {
         let whole = self.came.get(&(self.whole + 1)).map_or(self.whole, |range| *range.end());
         let latest = self.bodies.range(self.whole + 1..whole + 1).map(|(_, body)| body.start).max();
         (self.whole, self.mark) = (whole, self.mark.max(latest));
@@ -133,14 +133,14 @@
         self.fresh = false;
     }
 
-    fn bound(&mut self, settings: &Settings) {
-        let kept = self.floor.saturating_add(settings.kept.into());
-        self.until = self.highest().saturating_add(settings.ahead.into()).min(kept);
+    fn bound(&mut self, settings: &LedgerSettings) {
+        let kept = self.floor.saturating_add(settings.max_tracked_sequences.into());
+        self.until = self.highest().saturating_add(settings.max_sequences_ahead.into()).min(kept);
     }
 
     /// Forgets the bodies that begin before an instant, each with what it corrects and what corrects it, so that
     /// nothing that is left can change what was folded away.
-    fn fold(&mut self, horizon: i64, settings: &Settings) {
+    fn fold(&mut self, horizon: i64, settings: &LedgerSettings) {
         let old = self.bodies.iter().filter(|(_, body)| body.start < horizon);
         let old: BTreeSet<u64> = old.map(|(&sequence, body)| body.corrects().unwrap_or(sequence)).collect();
         for corrected in old {
@@ -244,7 +244,7 @@
 /// What an account must know of the ledger.
 #[derive(Clone, Copy)]
 pub(crate) struct Frame<'a> {
-    pub(crate) settings: &'a Settings,
+    pub(crate) settings: &'a LedgerSettings,
     /// The first open window.
     pub(crate) open: i64,
     /// The first window that is not folded away.
@@ -253,57 +253,63 @@
 
 impl Account {
     /// Takes a report whose reporter, tenant, interval and work are good.
-    pub(crate) fn take(&mut self, frame: Frame<'_>, slots: u32, report: Report) -> Result<Taken, Refused> {
+    pub(crate) fn take(
+        &mut self,
+        frame: Frame<'_>,
+        slots: u32,
+        report: UsageReport,
+    ) -> Result<ReportOutcome, ReportRejection> {
         let (settings, sequence) = (frame.settings, report.sequence);
-        let window = i64::from(settings.window);
-        if report.start.div_euclid(window) < frame.horizon {
-            return Err(Refused::TooOld);
+        let window = i64::from(settings.window_ms);
+        if report.start_ms.div_euclid(window) < frame.horizon {
+            return Err(ReportRejection::BeforeHorizon);
         }
-        if report.generation < self.oldest {
-            return Err(Refused::OldGeneration);
+        if report.incarnation < self.oldest {
+            return Err(ReportRejection::OldIncarnation);
         }
-        let new = !self.starts.contains_key(&report.generation);
+        let new = !self.starts.contains_key(&report.incarnation);
         let fresh = || self.starts.iter().filter(|(_, start)| start.fresh).map(|(&generation, _)| generation);
         // The oldest that gives its place up.
-        let first = if new && fresh().count() >= settings.starts.into() { fresh().next() } else { None };
-        if first.is_some_and(|first| report.generation < first) {
-            return Err(Refused::OldGeneration);
+        let first =
+            if new && fresh().count() >= settings.max_incarnations.into() { fresh().next() } else { None };
+        if first.is_some_and(|first| report.incarnation < first) {
+            return Err(ReportRejection::OldIncarnation);
         }
         let empty = Start::new(settings);
-        let start = self.starts.get(&report.generation).unwrap_or(&empty);
+        let start = self.starts.get(&report.incarnation).unwrap_or(&empty);
         let old = start.bodies.get(&sequence);
         if sequence <= start.floor {
-            return Err(Refused::FarBack);
+            return Err(ReportRejection::SequenceTooOld);
         }
         if sequence > start.until {
-            return Err(Refused::FarAhead);
+            return Err(ReportRejection::SequenceTooFarAhead);
         }
-        let length = (report.end - report.start) as u32;
+        let length = (report.end_ms - report.start_ms) as u32;
         let (tenant, corrected) = (report.tenant, report.corrects);
         let corrects = corrected.and_then(NonZeroU64::new);
-        let body = Body { work: report.work, start: report.start, length, tenant, corrects };
+        let body = Body { work: report.work, start: report.start_ms, length, tenant, corrects };
         if start.came.contains(&sequence) && old.is_none_or(|old| *old == body) {
-            return Ok(Taken::Repeated);
+            return Ok(ReportOutcome::Duplicate);
         }
         if old.is_some_and(|old| *old < body) {
-            return Err(Refused::Contradicts);
+            return Err(ReportRejection::ConflictingDuplicate);
         }
         if let Some(corrected) = corrected {
             let folded = start.came.contains(&corrected) && !start.bodies.contains_key(&corrected);
             if corrected >= sequence || corrected <= start.floor || folded {
-                return Err(Refused::Corrects);
+                return Err(ReportRejection::InvalidCorrection);
             }
         }
-        let taken = match (old, report.start.div_euclid(window) < frame.open) {
-            (Some(_), _) => Taken::Instead,
-            (None, true) => Taken::Late,
-            (None, false) => Taken::Counted,
+        let taken = match (old, report.start_ms.div_euclid(window) < frame.open) {
+            (Some(_), _) => ReportOutcome::Replaced,
+            (None, true) => ReportOutcome::Late,
+            (None, false) => ReportOutcome::Counted,
         };
         if let Some(first) = first {
             // Of those that began since the last advance the latest stay, in whatever order they came.
             self.undo(first, frame, slots);
         }
-        let start = self.starts.entry(report.generation).or_insert(empty);
+        let start = self.starts.entry(report.incarnation).or_insert(empty);
         start.came.insert(sequence..=sequence);
         let (stood, stands) = start.set(sequence, body);
         stood.iter().for_each(|body| self.post(body, false, frame, slots));
@@ -316,7 +322,7 @@
     fn undo(&mut self, generation: u64, frame: Frame<'_>, slots: u32) {
         let Some(start) = self.starts.remove(&generation) else { return };
         start.all().for_each(|body| self.post(body, false, frame, slots));
-        start.all().for_each(|body| self.tidy(body, frame.settings.window.into()));
+        start.all().for_each(|body| self.tidy(body, frame.settings.window_ms.into()));
     }
 
     /// Leaves no trace of a body that was taken away, so that it does not matter that it ever came.
@@ -334,9 +340,9 @@
 
     /// Adds a body to its windows, or takes it away.
     fn post(&mut self, body: &Body, adds: bool, frame: Frame<'_>, slots: u32) {
-        let window = i64::from(frame.settings.window);
+        let window = i64::from(frame.settings.window_ms);
         for (at, work) in body.split(window).filter(|&(_, work)| work > 0) {
-            let most = u64::from(slots) * u64::from(frame.settings.window);
+            let most = u64::from(slots) * u64::from(frame.settings.window_ms);
             let sheet =
                 self.sheets.entry(at).or_insert_with(|| Sheet { most, work: BTreeMap::new(), settled: None });
             if at < frame.open && sheet.settled.is_none() {
@@ -351,10 +357,10 @@
     }
 
     /// Looks at what came since the last advance.
-    pub(crate) fn look(&mut self, settings: &Settings) {
+    pub(crate) fn look(&mut self, settings: &LedgerSettings) {
         self.starts.values_mut().for_each(|start| start.look(settings));
         self.mark = self.starts.values().filter_map(|start| start.mark).max().max(self.mark);
-        while self.starts.len() > settings.starts.into() {
+        while self.starts.len() > settings.max_incarnations.into() {
             // Its work stays in the windows.
             self.starts.pop_first();
             self.oldest = self.starts.keys().next().copied().unwrap_or(0);
@@ -396,9 +402,9 @@
     }
 
     /// Forgets what lies before the horizon.
-    pub(crate) fn fold(&mut self, horizon: i64, settings: &Settings) {
+    pub(crate) fn fold(&mut self, horizon: i64, settings: &LedgerSettings) {
         self.sheets = self.sheets.split_off(&horizon);
-        let instant = horizon.saturating_mul(settings.window.into());
+        let instant = horizon.saturating_mul(settings.window_ms.into());
         self.starts.values_mut().for_each(|start| start.fold(instant, settings));
     }
 
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Closed, Name, WHOLE};
+use crate::{ClosedWindow, FULL_SHARE_PPM, Name};
 
 /// Binary places below a slot-millisecond: a contribution is exact for as many half-lives.
 const PLACES: u32 = 32;
@@ -36,21 +36,21 @@
     /// Takes a closed window; `entitled` is what each tenant was entitled to in it, in slot-milliseconds. Who is
     /// not among them is forgotten. Windows that were left out, as nobody worked, only let debts fade; one that is
     /// not later than the last changes nothing.
-    pub fn settle(&mut self, closed: &Closed, entitled: &BTreeMap<Name, u64>) {
-        if self.last.is_some_and(|last| closed.window <= last) {
+    pub fn settle(&mut self, closed: &ClosedWindow, entitled: &BTreeMap<Name, u64>) {
+        if self.last.is_some_and(|last| closed.index <= last) {
             return;
         }
-        let (places, last) = (i64::from(self.half_life), self.last.unwrap_or(closed.window - 1));
+        let (places, last) = (i64::from(self.half_life), self.last.unwrap_or(closed.index - 1));
         self.sums.retain(|tenant, _| entitled.contains_key(tenant));
         for place in 0..places {
             // How often this place came round after the last window, up to this one.
             let upto = |window: i64| (window - place).div_euclid(places);
-            let rounds = (upto(closed.window) - upto(last)).min(126) as u32;
+            let rounds = (upto(closed.index) - upto(last)).min(126) as u32;
             if rounds > 0 {
                 self.sums.values_mut().for_each(|sums| sums[place as usize] /= 1 << rounds);
             }
         }
-        let place = closed.window.rem_euclid(places) as usize;
+        let place = closed.index.rem_euclid(places) as usize;
         for (tenant, &entitled) in entitled {
             let work = closed.work.get(tenant).copied().unwrap_or(0);
             let adjustment = closed.adjustments.get(tenant).copied().unwrap_or(0);
@@ -59,7 +59,7 @@
             // No window brings so much; guards against sums that leave their bounds.
             sums[place] += over.clamp(-(1 << 60), 1 << 60) << PLACES;
         }
-        self.last = Some(closed.window);
+        self.last = Some(closed.index);
     }
 
     /// What a tenant owes, in slot-milliseconds; negative where it took less than its entitlement.
@@ -75,11 +75,11 @@
 
     /// What each tenant owes, in parts in a million of its entitlement over one half-life, as [`crate::Use::debt`]
     /// wants it: from 0 to 1 000 000. `entitled` is that of one window, in slot-milliseconds.
-    pub fn owed(&self, entitled: &BTreeMap<Name, u64>) -> BTreeMap<Name, u32> {
+    pub fn relative_debts(&self, entitled: &BTreeMap<Name, u64>) -> BTreeMap<Name, u32> {
         let owed = entitled.iter().map(|(tenant, &entitled)| {
             let over = self.balance(tenant.as_str()).max(0) as u128;
             let scale = (u128::from(entitled) * u128::from(self.half_life)).max(1);
-            let parts = over.min(scale) * u128::from(WHOLE) / scale;
+            let parts = over.min(scale) * u128::from(FULL_SHARE_PPM) / scale;
             (tenant.clone(), parts as u32)
         });
         owed.collect()
--- a/crates/fair-share/src/fill.rs
+++ b/crates/fair-share/src/fill.rs
@@ -83,17 +83,17 @@
 
 /// Jain's index over what each got for its weight, in parts in a million: 1 000 000 where all got the same for a
 /// weight of 1, a part in n where one of n got everything. Those of weight 0 do not count; nobody is 1 000 000.
-pub fn jain(got: &[(u64, u32)]) -> u32 {
+pub fn jain_fairness_index(got: &[(u64, u32)]) -> u32 {
     let counted = got.iter().filter(|(_, weight)| *weight > 0);
     let rates: Vec<u128> =
         counted.map(|&(got, weight)| (u128::from(got) << 31) / u128::from(weight)).collect();
-    let Some(&top) = rates.iter().max().filter(|&&top| top > 0) else { return crate::WHOLE };
+    let Some(&top) = rates.iter().max().filter(|&&top| top > 0) else { return crate::FULL_SHARE_PPM };
     let (mut sum, mut squares) = (0_u128, 0_u128);
     // In parts of 2^24 of the largest, so that the squares of a billion rates fit.
     for rate in rates.iter().map(|&rate| (rate << 24) / top) {
         (sum, squares) = (sum + rate, squares + rate * rate);
     }
-    (sum * sum * u128::from(crate::WHOLE) / (squares * rates.len() as u128)) as u32
+    (sum * sum * u128::from(crate::FULL_SHARE_PPM) / (squares * rates.len() as u128)) as u32
 }
 
 #[cfg(test)]
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -26,13 +26,17 @@
 mod report;
 mod table;
 
-pub use agreement::{Agreement, Federation, Terms, WrongAgreement, WrongWhat};
+pub use agreement::{FairSharePolicy, Federation, PolicyError, PolicyErrorKind, ShareConfig};
 pub use copperspread_identifiers::{Name, NameError};
 pub use debt::Debts;
-pub use fill::{apportion, jain};
-pub use ledger::{Closed, Heard, Ledger, Missing, Provisional};
-pub use report::{Refused, Report, Reporter, Roll, Settings, Taken, WrongBounds};
-pub use table::{Reserved, Share, Table, Usage, Use, entitled, table};
+pub use fill::{apportion, jain_fairness_index};
+pub use ledger::{ClosedWindow, DiscardCounts, ProvisionalUsage, SequenceGaps, UsageLedger};
+pub use report::{
+    Enrollment, LedgerSettings, ReportOutcome, ReportRejection, Reporter, UsageReport, WrongBounds,
+};
+pub use table::{
+    ReservedShares, ShareTable, TenantDemand, TenantDemands, TenantShare, allocate_shares, entitlements,
+};
 
 /// Shares are parts in so many.
-pub const WHOLE: u32 = 1_000_000;
+pub const FULL_SHARE_PPM: u32 = 1_000_000;
--- a/crates/fair-share/src/report.rs
+++ b/crates/fair-share/src/report.rs
@@ -20,21 +20,24 @@
 
 /// What a scheduler, or a federation's partner, says that a tenant used.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Report {
+#[serde(rename = "Report", deny_unknown_fields)]
+pub struct UsageReport {
     /// Who says it.
     pub reporter: Name,
     /// Grows with every start of the reporter.
-    pub generation: u64,
+    #[serde(rename = "generation")]
+    pub incarnation: u64,
     /// Counts the start's reports, corrections among them, from 1 without a gap.
     pub sequence: u64,
     /// Who used it.
     pub tenant: Name,
     /// When the work was done, in milliseconds of Unix time. Within a start it never decreases from one sequence to
     /// the next, save in corrections.
-    pub start: i64,
+    #[serde(rename = "start")]
+    pub start_ms: i64,
     /// The instant after it.
-    pub end: i64,
+    #[serde(rename = "end")]
+    pub end_ms: i64,
     /// Work done in slot-milliseconds; 0 says that there was none, so that nobody waits for more.
     pub work: u64,
     /// The earlier sequence of the same start in whose place this stands. It must be no correction itself; of two
@@ -44,123 +47,147 @@
 
 /// What became of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ReportOutcome {
     /// It counts in windows that are open.
     Counted,
     /// It counts, and some of it in windows that are closed: that is settled in the next.
     Late,
     /// It had come; nothing changed.
-    Repeated,
+    Duplicate,
     /// Another report had this sequence; this says less and stands in its place.
-    Instead,
+    Replaced,
 }
 
 /// Why a report was refused. Nothing changed but the count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Refused {
+#[serde(rename = "Refused")]
+pub enum ReportRejection {
     /// `reporter`: not enrolled.
     UnknownReporter,
     /// `tenant`: not enrolled.
     UnknownTenant,
     /// `tenant`: of a federation that this reporter does not speak for.
-    NotItsTenant,
+    #[serde(rename = "NotItsTenant")]
+    ForeignTenant,
     /// `end`: not after the start.
-    Backwards,
+    #[serde(rename = "Backwards")]
+    EmptyInterval,
     /// `end`: further from the start than one report may tell of.
-    TooLong,
+    #[serde(rename = "TooLong")]
+    IntervalTooLong,
     /// `end`: in the future, by more than clocks may differ.
-    Future,
+    #[serde(rename = "Future")]
+    InFuture,
     /// `start`: before the horizon; its window was folded away.
-    TooOld,
+    #[serde(rename = "TooOld")]
+    BeforeHorizon,
     /// `work`: more than the reporter's pool can do in the interval.
-    Absurd,
+    #[serde(rename = "Absurd")]
+    ExceedsCapacity,
     /// `generation`: older than those that are kept.
-    OldGeneration,
+    #[serde(rename = "OldGeneration")]
+    OldIncarnation,
     /// `sequence`: 0, or so far back that it is no longer told whether it came.
-    FarBack,
+    #[serde(rename = "FarBack")]
+    SequenceTooOld,
     /// `sequence`: further on than a reporter may go between two advances: a skip or a flood.
-    FarAhead,
+    #[serde(rename = "FarAhead")]
+    SequenceTooFarAhead,
     /// `sequence`: another report had it that says less.
-    Contradicts,
+    #[serde(rename = "Contradicts")]
+    ConflictingDuplicate,
     /// `corrects`: not an earlier sequence, or one that was folded away.
-    Corrects,
+    #[serde(rename = "Corrects")]
+    InvalidCorrection,
 }
 
-impl Refused {
+impl ReportRejection {
     /// The field that was refused.
     pub fn field(self) -> &'static str {
         match self {
-            Refused::UnknownReporter => "reporter",
-            Refused::UnknownTenant | Refused::NotItsTenant => "tenant",
-            Refused::Backwards | Refused::TooLong | Refused::Future => "end",
-            Refused::TooOld => "start",
-            Refused::Absurd => "work",
-            Refused::OldGeneration => "generation",
-            Refused::FarBack | Refused::FarAhead | Refused::Contradicts => "sequence",
-            Refused::Corrects => "corrects",
+            ReportRejection::UnknownReporter => "reporter",
+            ReportRejection::UnknownTenant | ReportRejection::ForeignTenant => "tenant",
+            ReportRejection::EmptyInterval | ReportRejection::IntervalTooLong | ReportRejection::InFuture => {
+                "end"
+            }
+            ReportRejection::BeforeHorizon => "start",
+            ReportRejection::ExceedsCapacity => "work",
+            ReportRejection::OldIncarnation => "generation",
+            ReportRejection::SequenceTooOld
+            | ReportRejection::SequenceTooFarAhead
+            | ReportRejection::ConflictingDuplicate => "sequence",
+            ReportRejection::InvalidCorrection => "corrects",
         }
     }
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for ReportRejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let why = match self {
-            Refused::UnknownReporter | Refused::UnknownTenant => "not enrolled",
-            Refused::NotItsTenant => "of a federation that the reporter does not speak for",
-            Refused::Backwards => "not after the start",
-            Refused::TooLong => "too far from the start",
-            Refused::Future => "in the future",
-            Refused::TooOld => "before the horizon",
-            Refused::Absurd => "more than the pool can do in the interval",
-            Refused::OldGeneration => "older than those that are kept",
-            Refused::FarBack => "before those that are kept",
-            Refused::FarAhead => "too far ahead of what had come",
-            Refused::Contradicts => "came before with less work",
-            Refused::Corrects => "not an earlier sequence that is kept",
+            ReportRejection::UnknownReporter | ReportRejection::UnknownTenant => "not enrolled",
+            ReportRejection::ForeignTenant => "of a federation that the reporter does not speak for",
+            ReportRejection::EmptyInterval => "not after the start",
+            ReportRejection::IntervalTooLong => "too far from the start",
+            ReportRejection::InFuture => "in the future",
+            ReportRejection::BeforeHorizon => "before the horizon",
+            ReportRejection::ExceedsCapacity => "more than the pool can do in the interval",
+            ReportRejection::OldIncarnation => "older than those that are kept",
+            ReportRejection::SequenceTooOld => "before those that are kept",
+            ReportRejection::SequenceTooFarAhead => "too far ahead of what had come",
+            ReportRejection::ConflictingDuplicate => "came before with less work",
+            ReportRejection::InvalidCorrection => "not an earlier sequence that is kept",
         };
         write!(f, "{}: {why}", self.field())
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for ReportRejection {}
 
 /// The bounds of a ledger; times in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Settings {
+#[serde(rename = "Settings", default, deny_unknown_fields)]
+pub struct LedgerSettings {
     /// Length of a window; from 1 to 600 000.
-    pub window: u32,
+    #[serde(rename = "window")]
+    pub window_ms: u32,
     /// How long after its end a window waits at most for reporters that are there.
-    pub lateness: u32,
+    #[serde(rename = "lateness")]
+    pub max_close_delay_ms: u32,
     /// How far before the first open window reports still count, as adjustments, and may be corrected; at least the
     /// window, at most a day. What is older by a sixteenth more is folded away.
-    pub horizon: u32,
+    #[serde(rename = "horizon")]
+    pub horizon_ms: u32,
     /// How far clocks may differ: an interval that ends later than this is refused.
-    pub skew: u32,
+    #[serde(rename = "skew")]
+    pub max_clock_skew_ms: u32,
     /// Longest interval of one report; from 1 to 600 000.
-    pub span: u32,
+    #[serde(rename = "span")]
+    pub max_interval_ms: u32,
     /// How many sequences a start may go on between two advances. Over 0.
-    pub ahead: u32,
+    #[serde(rename = "ahead")]
+    pub max_sequences_ahead: u32,
     /// How many sequences of a start are told apart; at least `ahead`, at most 2^20.
-    pub kept: u32,
+    #[serde(rename = "kept")]
+    pub max_tracked_sequences: u32,
     /// How many starts of a reporter are kept, and as many that are new since the last advance. From 1 to 8.
-    pub starts: u8,
+    #[serde(rename = "starts")]
+    pub max_incarnations: u8,
 }
 
-impl Default for Settings {
+impl Default for LedgerSettings {
     /// Windows of 10 s, 30 s of lateness, an hour's horizon, clocks within 2 s, 16 384 reports a reporter between two
     /// advances and 262 144 kept, 3 starts.
-    fn default() -> Settings {
+    fn default() -> LedgerSettings {
         let (ahead, kept) = (1 << 14, 1 << 18);
-        Settings {
-            window: 10_000,
-            lateness: 30_000,
-            horizon: 3_600_000,
-            skew: 2_000,
-            span: 60_000,
-            ahead,
-            kept,
-            starts: 3,
+        LedgerSettings {
+            window_ms: 10_000,
+            max_close_delay_ms: 30_000,
+            horizon_ms: 3_600_000,
+            max_clock_skew_ms: 2_000,
+            max_interval_ms: 60_000,
+            max_sequences_ahead: ahead,
+            max_tracked_sequences: kept,
+            max_incarnations: 3,
         }
     }
 }
@@ -177,19 +204,19 @@
 
 impl std::error::Error for WrongBounds {}
 
-impl Settings {
+impl LedgerSettings {
     pub(crate) fn check(&self) -> Result<(), WrongBounds> {
         let wrong = [
-            (!(1..=MOST_SPAN).contains(&self.window), "window: not from 1 to 600000 ms"),
-            (self.horizon < self.window, "horizon: shorter than a window"),
-            (self.horizon > MOST_HORIZON, "horizon: longer than a day"),
-            (self.lateness > MOST_HORIZON, "lateness: longer than a day"),
-            (self.skew > MOST_HORIZON, "skew: longer than a day"),
-            (!(1..=MOST_SPAN).contains(&self.span), "span: not from 1 to 600000 ms"),
-            (self.ahead == 0, "ahead: 0"),
-            (self.kept < self.ahead, "kept: under ahead"),
-            (self.kept > MOST_KEPT, "kept: over 1048576"),
-            (!(1..=8).contains(&self.starts), "starts: not from 1 to 8"),
+            (!(1..=MOST_SPAN).contains(&self.window_ms), "window: not from 1 to 600000 ms"),
+            (self.horizon_ms < self.window_ms, "horizon: shorter than a window"),
+            (self.horizon_ms > MOST_HORIZON, "horizon: longer than a day"),
+            (self.max_close_delay_ms > MOST_HORIZON, "lateness: longer than a day"),
+            (self.max_clock_skew_ms > MOST_HORIZON, "skew: longer than a day"),
+            (!(1..=MOST_SPAN).contains(&self.max_interval_ms), "span: not from 1 to 600000 ms"),
+            (self.max_sequences_ahead == 0, "ahead: 0"),
+            (self.max_tracked_sequences < self.max_sequences_ahead, "kept: under ahead"),
+            (self.max_tracked_sequences > MOST_KEPT, "kept: over 1048576"),
+            (!(1..=8).contains(&self.max_incarnations), "starts: not from 1 to 8"),
         ];
         wrong.iter().find(|(wrong, _)| *wrong).map_or(Ok(()), |(_, why)| Err(WrongBounds(why)))
     }
@@ -207,15 +234,15 @@
 
 /// Who may report, on whom.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Roll {
+#[serde(rename = "Roll", deny_unknown_fields)]
+pub struct Enrollment {
     /// The reporters, at most 4 096.
     pub reporters: BTreeMap<Name, Reporter>,
     /// The tenants, each with its federation, at most 65 536.
     pub tenants: BTreeMap<Name, Name>,
 }
 
-impl Roll {
+impl Enrollment {
     pub(crate) fn check(&self) -> Result<(), WrongBounds> {
         let wrong = [
             (self.reporters.len() > MOST_REPORTERS, "reporters: more than 4096"),
--- a/crates/fair-share/src/table.rs
+++ b/crates/fair-share/src/table.rs
@@ -3,15 +3,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::agreement::{Agreement, Federation, Terms};
+use crate::agreement::{FairSharePolicy, Federation, ShareConfig};
 use crate::fill::{Party, apportion, fill};
-use crate::{Name, WHOLE};
+use crate::{FULL_SHARE_PPM, Name};
 
 /// What the calendar has promised and not lent back, in parts in a million of the fleet; it comes off first. What
 /// adds up to more than the whole is cut in proportion.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Reserved {
+#[serde(rename = "Reserved", default, deny_unknown_fields)]
+pub struct ReservedShares {
     /// By tenant; a tenant without an agreement has no share, and its reservation comes off all the same.
     pub tenants: BTreeMap<Name, u32>,
     /// By federation, for those of its tenants that want it.
@@ -20,8 +20,8 @@
 
 /// What a tenant wants and owes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Use {
+#[serde(rename = "Use", deny_unknown_fields)]
+pub struct TenantDemand {
     /// What it would use, in parts in a million of the fleet; above the whole counts as the whole.
     pub demand: u32,
     /// What it took beyond what it was entitled to, in parts in a million of its entitlement over one half-life;
@@ -31,44 +31,46 @@
 
 /// What the tenants want and owe; who is not in it wants nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Usage(pub BTreeMap<Name, Use>);
+#[serde(rename = "Usage")]
+pub struct TenantDemands(pub BTreeMap<Name, TenantDemand>);
 
-impl Usage {
+impl TenantDemands {
     /// What the tenants want and owe by what they were seen to use.
     ///
     /// `work` is what each did in a window, in slot-milliseconds, and `capacity` what the whole fleet can do in it;
     /// `owed` is what [`crate::Debts::owed`] says. A tenant wants twice what it used, but no less than a quarter of its
     /// entitlement: so one that lent its part has it back within two windows, and a newcomer has something to begin
     /// with. A fleet that can do nothing has nothing to divide: then each wants that quarter.
-    pub fn measured(
-        agreement: &Agreement,
+    pub fn from_measured_usage(
+        agreement: &FairSharePolicy,
         work: &BTreeMap<Name, u64>,
         capacity: u64,
         owed: &BTreeMap<Name, u32>,
-    ) -> Usage {
+    ) -> TenantDemands {
         let parts = |work: u64| {
-            let parts = u128::from(work) * 2 * u128::from(WHOLE) / u128::from(capacity.max(1));
-            if capacity == 0 { 0 } else { parts.min(WHOLE.into()) as u32 }
+            let parts = u128::from(work) * 2 * u128::from(FULL_SHARE_PPM) / u128::from(capacity.max(1));
+            if capacity == 0 { 0 } else { parts.min(FULL_SHARE_PPM.into()) as u32 }
         };
-        let used = entitled(agreement).into_iter().map(|(tenant, entitled)| {
+        let used = entitlements(agreement).into_iter().map(|(tenant, entitled)| {
             let demand = parts(work.get(&tenant).copied().unwrap_or(0)).max(entitled.div_ceil(4));
             let debt = owed.get(&tenant).copied().unwrap_or(0);
-            (tenant, Use { demand, debt })
+            (tenant, TenantDemand { demand, debt })
         });
-        Usage(used.collect())
+        TenantDemands(used.collect())
     }
 }
 
 /// What a tenant may take, in parts in a million of the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Share {
+#[serde(rename = "Share", deny_unknown_fields)]
+pub struct TenantShare {
     /// All that it may take: the parts of all tenants add up.
     pub share: u32,
     /// How much of it is its own reservation.
     pub reserved: u32,
     /// What it would have if all wanted everything and none owed anything, beside the reservations.
-    pub entitled: u32,
+    #[serde(rename = "entitled")]
+    pub entitlement: u32,
     /// What it leaves of its guarantee, which others have until it wants it.
     pub lent: u32,
     /// What it has above its entitlement and its reservation, until others want it.
@@ -77,18 +79,21 @@
 
 /// All shares.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Table {
+#[serde(rename = "Table", deny_unknown_fields)]
+pub struct ShareTable {
     /// By tenant.
-    pub tenants: BTreeMap<Name, Share>,
+    pub tenants: BTreeMap<Name, TenantShare>,
     /// What each federation has as a whole: its tenants' shares, and what of its reservation none of them wants.
     pub federations: BTreeMap<Name, u32>,
     /// What is reserved for those without an agreement.
-    pub elsewhere: u32,
+    #[serde(rename = "elsewhere")]
+    pub reserved_elsewhere: u32,
     /// What nobody wants. With the federations' and what is reserved elsewhere it adds up to 1 000 000.
-    pub spare: u32,
+    #[serde(rename = "spare")]
+    pub unallocated: u32,
     /// The reservations leave less than what the guarantees ask for: those were cut in proportion.
-    pub short: bool,
+    #[serde(rename = "short")]
+    pub has_reduced_guarantees: bool,
 }
 
 /// One division over the two steps.
@@ -107,24 +112,28 @@
 ///    debt counts with a weight of `weight / (1 + debt)`, never under half of it.
 ///
 /// Parts are whole; what is left by rounding goes to the largest remainders, among equal ones by name.
-pub fn table(agreement: &Agreement, usage: &Usage, reserved: &Reserved) -> Table {
+pub fn allocate_shares(
+    agreement: &FairSharePolicy,
+    usage: &TenantDemands,
+    reserved: &ReservedShares,
+) -> ShareTable {
     let reserved = cut(reserved);
     let wanted = |tenant: &Name| usage.0.get(tenant).copied().unwrap_or_default();
     let divided = divide(agreement, &reserved, &wanted);
-    let full = divide(agreement, &reserved, &|_| Use { demand: WHOLE, debt: 0 });
+    let full = divide(agreement, &reserved, &|_| TenantDemand { demand: FULL_SHARE_PPM, debt: 0 });
     let of = |tenant: &Name| reserved.tenants.get(tenant).copied().unwrap_or(0);
     let tenants = agreement.tenants().map(|(_, tenant, terms)| {
         let (got, own, entitled) = (divided.tenants[tenant], of(tenant), full.tenants[tenant]);
-        let share = Share {
+        let share = TenantShare {
             share: got + own,
             reserved: own,
-            entitled,
+            entitlement: entitled,
             lent: if divided.short { 0 } else { terms.guarantee.saturating_sub(got + own) },
             borrowed: got.saturating_sub(entitled),
         };
         (tenant.clone(), share)
     });
-    let tenants: BTreeMap<Name, Share> = tenants.collect();
+    let tenants: BTreeMap<Name, TenantShare> = tenants.collect();
     let federations: BTreeMap<Name, u32> =
         divided.federations.into_iter().map(|(name, part)| (name.clone(), part)).collect();
     let known = |name: &&Name| !federations.contains_key(*name);
@@ -132,34 +141,45 @@
         reserved.tenants.iter().filter(|(name, _)| !tenants.contains_key(*name)).map(|of| of.1).sum();
     let elsewhere: u32 = elsewhere
         + reserved.federations.iter().filter(|(name, _)| known(name)).map(|(_, part)| part).sum::<u32>();
-    let spare = WHOLE - elsewhere - federations.values().sum::<u32>();
-    Table { tenants, federations, elsewhere, spare, short: divided.short }
+    let spare = FULL_SHARE_PPM - elsewhere - federations.values().sum::<u32>();
+    ShareTable {
+        tenants,
+        federations,
+        reserved_elsewhere: elsewhere,
+        unallocated: spare,
+        has_reduced_guarantees: divided.short,
+    }
 }
 
 /// What each tenant has if all want everything, none owes anything and nothing is reserved, in parts in a million.
-pub fn entitled(agreement: &Agreement) -> BTreeMap<Name, u32> {
-    let full = divide(agreement, &Reserved::default(), &|_| Use { demand: WHOLE, debt: 0 });
+pub fn entitlements(agreement: &FairSharePolicy) -> BTreeMap<Name, u32> {
+    let full =
+        divide(agreement, &ReservedShares::default(), &|_| TenantDemand { demand: FULL_SHARE_PPM, debt: 0 });
     full.tenants.into_iter().map(|(name, part)| (name.clone(), part)).collect()
 }
 
 /// Reservations that fit into the whole.
-fn cut(reserved: &Reserved) -> Reserved {
+fn cut(reserved: &ReservedShares) -> ReservedShares {
     let parts = || reserved.tenants.values().chain(reserved.federations.values());
-    if parts().map(|&part| u64::from(part)).sum::<u64>() <= WHOLE.into() {
+    if parts().map(|&part| u64::from(part)).sum::<u64>() <= FULL_SHARE_PPM.into() {
         return reserved.clone();
     }
     let weights: Vec<u128> = parts().map(|&part| part.into()).collect();
-    let mut fitting = apportion(WHOLE.into(), &weights).into_iter().map(|part| part as u32);
+    let mut fitting = apportion(FULL_SHARE_PPM.into(), &weights).into_iter().map(|part| part as u32);
     let mut refit = |of: &BTreeMap<Name, u32>| -> BTreeMap<Name, u32> {
         of.keys().cloned().zip(fitting.by_ref()).collect()
     };
     let tenants = refit(&reserved.tenants);
-    Reserved { federations: refit(&reserved.federations), tenants }
+    ReservedShares { federations: refit(&reserved.federations), tenants }
 }
 
-fn divide<'a>(agreement: &'a Agreement, reserved: &Reserved, wanted: &dyn Fn(&Name) -> Use) -> Division<'a> {
+fn divide<'a>(
+    agreement: &'a FairSharePolicy,
+    reserved: &ReservedShares,
+    wanted: &dyn Fn(&Name) -> TenantDemand,
+) -> Division<'a> {
     let all = reserved.tenants.values().chain(reserved.federations.values()).sum::<u32>();
-    let left = WHOLE - all;
+    let left = FULL_SHARE_PPM - all;
     let steps: Vec<Inner<'a>> = agreement
         .federations()
         .iter()
@@ -192,8 +212,8 @@
     fn new(
         name: &'a Name,
         federation: &'a Federation,
-        reserved: &Reserved,
-        wanted: &dyn Fn(&Name) -> Use,
+        reserved: &ReservedShares,
+        wanted: &dyn Fn(&Name) -> TenantDemand,
     ) -> Inner<'a> {
         let own = reserved.federations.get(name).copied().unwrap_or(0);
         let (mut tenants_own, mut parties) = (0, Vec::with_capacity(federation.tenants.len()));
@@ -204,10 +224,10 @@
         }
         let sum = |part: &dyn Fn(&Party) -> u32| -> u32 {
             let sum = parties.iter().map(|party| u64::from(part(party))).sum::<u64>();
-            sum.min(WHOLE.into()) as u32
+            sum.min(FULL_SHARE_PPM.into()) as u32
         };
         let (least, most) = (sum(&|party| party.least), sum(&|party| party.most));
-        let (terms, off) = (federation.terms, own.saturating_add(tenants_own));
+        let (terms, off) = (federation.share_config, own.saturating_add(tenants_own));
         // Guards against a tenant's reservation that eats up the guarantee or the room of the others.
         let least_within = least.saturating_sub(own);
         let most = most.saturating_sub(own).min(terms.ceiling.saturating_sub(off)).max(least_within);
@@ -218,10 +238,11 @@
 }
 
 /// How a tenant stands among its neighbours, beside its own reservation.
-fn party(terms: &Terms, wanted: Use, own: u32) -> Party {
+fn party(terms: &ShareConfig, wanted: TenantDemand, own: u32) -> Party {
     let beside = |part: u32| part.saturating_sub(own);
-    let most = beside(wanted.demand.min(WHOLE)).min(beside(terms.ceiling));
-    let whole = u64::from(WHOLE);
-    let weight = u64::from(terms.weight) * whole * whole / (whole + u64::from(wanted.debt.min(WHOLE)));
+    let most = beside(wanted.demand.min(FULL_SHARE_PPM)).min(beside(terms.ceiling));
+    let whole = u64::from(FULL_SHARE_PPM);
+    let weight =
+        u64::from(terms.weight) * whole * whole / (whole + u64::from(wanted.debt.min(FULL_SHARE_PPM)));
     Party { weight, least: beside(terms.guarantee).min(most), most }
 }
--- a/crates/fair-share/tests/ledger.rs
+++ b/crates/fair-share/tests/ledger.rs
@@ -14,47 +14,56 @@
 }
 
 /// Windows of 1 s, 2 s of lateness, 10 s of horizon.
-fn settings() -> Settings {
-    Settings {
-        window: 1_000,
-        lateness: 2_000,
-        horizon: 10_000,
-        skew: 100,
-        span: 3_000,
-        ahead: 64,
-        kept: 128,
-        starts: 3,
+fn settings() -> LedgerSettings {
+    LedgerSettings {
+        window_ms: 1_000,
+        max_close_delay_ms: 2_000,
+        horizon_ms: 10_000,
+        max_clock_skew_ms: 100,
+        max_interval_ms: 3_000,
+        max_sequences_ahead: 64,
+        max_tracked_sequences: 128,
+        max_incarnations: 3,
     }
 }
 
 /// Reporters `r0` to `r2` with 10 slots, `p` that speaks for federation `f1` alone; tenants `t0`, `t2` in `f0`, `t1`,
 /// `t3` in `f1`.
-fn ledger() -> Ledger {
-    let mut ledger = Ledger::new(settings(), BEGIN).expect("good settings");
+fn ledger() -> UsageLedger {
+    let mut ledger = UsageLedger::new(settings(), BEGIN).expect("good settings");
     let reporter = |federation: Option<&str>| Reporter { slots: SLOTS, federation: federation.map(name) };
     let mut reporters: BTreeMap<Name, Reporter> =
         ["r0", "r1", "r2"].into_iter().map(|one| (name(one), reporter(None))).collect();
     reporters.insert(name("p"), reporter(Some("f1")));
     let tenants = (0..4).map(|at| (name(&format!("t{at}")), name(&format!("f{}", at % 2))));
-    ledger.enroll(Roll { reporters, tenants: tenants.collect() }).expect("a small roll");
+    ledger.enroll(Enrollment { reporters, tenants: tenants.collect() }).expect("a small roll");
     ledger
 }
 
 /// Of `t0`, from so many milliseconds after the beginning on.
-fn report(reporter: &str, sequence: u64, start: i64, length: i64, work: u64) -> Report {
+fn report(reporter: &str, sequence: u64, start: i64, length: i64, work: u64) -> UsageReport {
     let start = BEGIN + start;
     let (reporter, tenant) = (name(reporter), name("t0"));
-    Report { reporter, generation: 1, sequence, tenant, start, end: start + length, work, corrects: None }
+    UsageReport {
+        reporter,
+        incarnation: 1,
+        sequence,
+        tenant,
+        start_ms: start,
+        end_ms: start + length,
+        work,
+        corrects: None,
+    }
 }
 
 /// Reports as a careless fleet sends them: gaps, restarts, sequences used twice, corrections of what came, of what
 /// did not and of corrections, more than a pool can do, from the future and from before the horizon.
-fn reports(generations: u64) -> impl Strategy<Value = Vec<Report>> {
+fn reports(generations: u64) -> impl Strategy<Value = Vec<UsageReport>> {
     let who = (0_u8..3, 1..=generations, 1_u64..24, 0_u8..4);
     let what = (-9_000_i64..6_500, 1_i64..3_000, 0_u64..31_000, prop::option::weighted(0.3, 1_u64..20));
     let one =
-        (who, what).prop_map(|((r, generation, sequence, t), (start, length, work, corrects))| Report {
-            generation,
+        (who, what).prop_map(|((r, generation, sequence, t), (start, length, work, corrects))| UsageReport {
+            incarnation: generation,
             tenant: name(&format!("t{t}")),
             corrects,
             ..report(&format!("r{r}"), sequence, start, length, work)
@@ -63,32 +72,32 @@
 }
 
 /// Hands in reports, refused ones among them.
-fn give(ledger: &mut Ledger, now: i64, reports: Vec<Report>) {
+fn give(ledger: &mut UsageLedger, now: i64, reports: Vec<UsageReport>) {
     for report in reports {
-        let _ = ledger.take(now, report);
+        let _ = ledger.record(now, report);
     }
 }
 
-fn bytes(ledger: &Ledger) -> Vec<u8> {
+fn bytes(ledger: &UsageLedger) -> Vec<u8> {
     postcard::to_allocvec(ledger).expect("it can be written")
 }
 
 /// What counts of all that was accepted, by the rules as they are written down: of each sequence the body that was
 /// taken last, of each corrected one the last correction's, and none of what corrects a correction.
-fn accepted(taken: &BTreeMap<(Name, u64, u64), Report>) -> i64 {
+fn accepted(taken: &BTreeMap<(Name, u64, u64), UsageReport>) -> i64 {
     let corrected = |key: &(Name, u64, u64)| {
         let by = taken.values().filter(|one| one.corrects == Some(key.2) && one.reporter == key.0);
-        by.filter(|one| one.generation == key.1).max_by_key(|one| one.sequence).map(|one| one.work)
+        by.filter(|one| one.incarnation == key.1).max_by_key(|one| one.sequence).map(|one| one.work)
     };
-    let aims = taken.values().filter_map(|one| Some((one.reporter.clone(), one.generation, one.corrects?)));
+    let aims = taken.values().filter_map(|one| Some((one.reporter.clone(), one.incarnation, one.corrects?)));
     let keys: BTreeSet<_> = taken.keys().cloned().chain(aims).collect();
     let roots = keys.iter().filter(|key| taken.get(key).is_none_or(|one| one.corrects.is_none()));
     roots.filter_map(|key| corrected(key).or(taken.get(key).map(|one| one.work))).sum::<u64>() as i64
 }
 
-fn total(closed: &[Closed]) -> i64 {
+fn total(closed: &[ClosedWindow]) -> i64 {
     let work = closed.iter().flat_map(|one| one.work.values()).sum::<u64>() as i64;
-    work + closed.iter().flat_map(|one| one.adjustments.values().chain(one.cut.values())).sum::<i64>()
+    work + closed.iter().flat_map(|one| one.adjustments.values().chain(one.excess.values())).sum::<i64>()
 }
 
 proptest! {
@@ -97,7 +106,7 @@
     #[test]
     fn any_order_and_any_repetition_leave_the_same_bytes_and_close_the_same_windows(
         (batches, mixed) in prop::collection::vec(reports(6), 1..4).prop_flat_map(|batches| {
-            let twice = |batch: &Vec<Report>| Just([batch.clone(), batch.clone()].concat()).prop_shuffle();
+            let twice = |batch: &Vec<UsageReport>| Just([batch.clone(), batch.clone()].concat()).prop_shuffle();
             let mixed: Vec<_> = batches.iter().map(twice).collect();
             (Just(batches), mixed)
         }),
@@ -122,8 +131,8 @@
         let mut now = BEGIN + 4_000;
         for batch in batches {
             for report in batch {
-                let key = (report.reporter.clone(), report.generation, report.sequence);
-                if matches!(ledger.take(now, report.clone()), Ok(Taken::Counted | Taken::Late | Taken::Instead)) {
+                let key = (report.reporter.clone(), report.incarnation, report.sequence);
+                if matches!(ledger.record(now, report.clone()), Ok(ReportOutcome::Counted | ReportOutcome::Late | ReportOutcome::Replaced)) {
                     taken.insert(key, report);
                 }
             }
@@ -133,7 +142,7 @@
         }
         closed.extend(ledger.advance(now + 60_000, &BTreeSet::new()));
         prop_assert_eq!(total(&closed), accepted(&taken));
-        let windows: Vec<i64> = closed.iter().map(|one| one.window).collect();
+        let windows: Vec<i64> = closed.iter().map(|one| one.index).collect();
         prop_assert!(windows.is_sorted_by(|a, b| a < b), "{:?}", windows);
         // What was closed is folded away.
         ledger.advance(now + 90_000, &BTreeSet::new());
@@ -155,19 +164,19 @@
             let work = work.min(10_000 - sums[usize::from(r)]);
             sums[usize::from(r)] += work;
             let sent = report(&format!("r{r}"), sequences[usize::from(r)], 0, 1_000, work);
-            let sent = Report { tenant: name(&format!("t{t}")), ..sent };
-            whole.take(BEGIN + 1_000, sent.clone()).expect("good");
+            let sent = UsageReport { tenant: name(&format!("t{t}")), ..sent };
+            whole.record(BEGIN + 1_000, sent.clone()).expect("good");
             if !late {
-                part.take(BEGIN + 1_000, sent).expect("good");
+                part.record(BEGIN + 1_000, sent).expect("good");
             }
         }
-        let known = part.provisional(BEGIN);
+        let known = part.provisional_usage(BEGIN);
         let owed = BTreeMap::new();
         let shares = |work| {
-            table(&agreement(), &Usage::measured(&agreement(), work, capacity, &owed), &Reserved::default())
+            allocate_shares(&agreement(), &TenantDemands::from_measured_usage(&agreement(), work, capacity, &owed), &ReservedShares::default())
         };
-        let (before, after) = (shares(&known.work), shares(&whole.provisional(BEGIN).work));
-        let bound = (2 * known.unknown * u64::from(WHOLE)).div_ceil(capacity) as u32 + 8;
+        let (before, after) = (shares(&known.work), shares(&whole.provisional_usage(BEGIN).work));
+        let bound = (2 * known.max_outstanding * u64::from(FULL_SHARE_PPM)).div_ceil(capacity) as u32 + 8;
         for (tenant, share) in &before.tenants {
             prop_assert!(share.share.abs_diff(after.tenants[tenant].share) <= bound);
         }
@@ -175,23 +184,23 @@
 }
 
 /// `f0` of `t0`, `t2`, `f1` of `t1`, `t3`; a tenth guaranteed to each.
-fn agreement() -> Agreement {
+fn agreement() -> FairSharePolicy {
     let federation = |tenants: [&str; 2]| {
-        let terms = |guarantee| Terms { weight: 1, guarantee, ceiling: WHOLE };
+        let terms = |guarantee| ShareConfig { weight: 1, guarantee, ceiling: FULL_SHARE_PPM };
         let tenants = tenants.into_iter().map(|tenant| (name(tenant), terms(100_000)));
-        Federation { terms: terms(200_000), tenants: tenants.collect() }
+        Federation { share_config: terms(200_000), tenants: tenants.collect() }
     };
     let both = [(name("f0"), federation(["t0", "t2"])), (name("f1"), federation(["t1", "t3"]))];
-    Agreement::new(both.into()).expect("it can be kept")
+    FairSharePolicy::new(both.into()).expect("it can be kept")
 }
 
 #[test]
 fn a_window_waits_for_whom_is_there_not_for_the_dead_and_for_nobody_past_the_lateness() {
-    let told = |ledger: &mut Ledger, reporters: &[&str]| {
+    let told = |ledger: &mut UsageLedger, reporters: &[&str]| {
         for reporter in reporters {
             // The second begins where the window ends: now all of it was told.
-            ledger.take(BEGIN + 1_100, report(reporter, 1, 0, 1_000, 500)).expect("good");
-            ledger.take(BEGIN + 1_100, report(reporter, 2, 1_000, 100, 0)).expect("good");
+            ledger.record(BEGIN + 1_100, report(reporter, 1, 0, 1_000, 500)).expect("good");
+            ledger.record(BEGIN + 1_100, report(reporter, 2, 1_000, 100, 0)).expect("good");
         }
     };
     let dead = |names: &[&str]| names.iter().map(|one| name(one)).collect::<BTreeSet<Name>>();
@@ -211,7 +220,10 @@
         if let Some(first) = closed.first() {
             let without: BTreeSet<Name> =
                 dead(&["p", "r0", "r1", "r2"]).difference(&dead(tell)).cloned().collect();
-            assert_eq!((&first.without, first.work[&name("t0")]), (&without, 500 * tell.len() as u64));
+            assert_eq!(
+                (&first.incomplete_reporters, first.work[&name("t0")]),
+                (&without, 500 * tell.len() as u64)
+            );
         }
     }
 }
@@ -220,23 +232,23 @@
 fn a_gap_holds_the_watermark_until_it_is_filled_or_a_restart_leaves_it_behind() {
     let mut ledger = ledger();
     let now = BEGIN + 1_500;
-    let look = |ledger: &mut Ledger| {
+    let look = |ledger: &mut UsageLedger| {
         ledger.advance(now, &BTreeSet::new());
-        let missing: Vec<_> = ledger.missing("r0").into_iter().map(|one| one.sequences).collect();
+        let missing: Vec<_> = ledger.sequence_gaps("r0").into_iter().map(|one| one.missing).collect();
         (ledger.watermark("r0").map(|mark| mark - BEGIN), missing)
     };
     for (sequence, start) in [(1, 0), (2, 200), (5, 800), (8, 1_400)] {
-        ledger.take(now, report("r0", sequence, start, 100, 1)).expect("good");
+        ledger.record(now, report("r0", sequence, start, 100, 1)).expect("good");
     }
     assert_eq!(look(&mut ledger), (Some(200), vec![vec![3..=4, 6..=7]]));
-    ledger.take(now, report("r0", 4, 600, 100, 1)).expect("good");
-    ledger.take(now, report("r0", 3, 400, 100, 1)).expect("good");
+    ledger.record(now, report("r0", 4, 600, 100, 1)).expect("good");
+    ledger.record(now, report("r0", 3, 400, 100, 1)).expect("good");
     assert_eq!(look(&mut ledger), (Some(800), vec![vec![6..=7]]));
-    ledger.take(now, Report { generation: 2, ..report("r0", 1, 1_450, 50, 1) }).expect("good");
+    ledger.record(now, UsageReport { incarnation: 2, ..report("r0", 1, 1_450, 50, 1) }).expect("good");
     assert_eq!(look(&mut ledger), (Some(1_450), vec![vec![6..=7], vec![]]));
     // What the earlier start had still on its way counts all the same.
-    assert_eq!(ledger.take(now, report("r0", 6, 1_000, 100, 7)), Ok(Taken::Counted));
-    assert_eq!(ledger.provisional(BEGIN + 1_000).work[&name("t0")], 1 + 1 + 7);
+    assert_eq!(ledger.record(now, report("r0", 6, 1_000, 100, 7)), Ok(ReportOutcome::Counted));
+    assert_eq!(ledger.provisional_usage(BEGIN + 1_000).work[&name("t0")], 1 + 1 + 7);
 }
 
 #[test]
@@ -246,27 +258,35 @@
     assert!(ledger.advance(BEGIN + 9_000, &nobody).is_empty(), "nobody told of anything");
     for sequence in (1..=6).rev() {
         let sent = report("r0", sequence, 1_000 * (sequence as i64 - 1), 1_000, 100 * sequence);
-        assert_eq!(ledger.take(BEGIN + 9_000, sent.clone()), Ok(Taken::Late));
+        assert_eq!(ledger.record(BEGIN + 9_000, sent.clone()), Ok(ReportOutcome::Late));
         for _ in 0..4 {
-            assert_eq!(ledger.take(BEGIN + 9_000, sent.clone()), Ok(Taken::Repeated));
+            assert_eq!(ledger.record(BEGIN + 9_000, sent.clone()), Ok(ReportOutcome::Duplicate));
         }
     }
-    assert_eq!(ledger.heard("r0").repeated, 24);
+    assert_eq!(ledger.discard_counts("r0").duplicates, 24);
     let closed = ledger.advance(BEGIN + 10_000, &nobody);
     let first = (BEGIN + 7_000) / 1_000;
     let adjustments = BTreeMap::from([(name("t0"), 2_100)]);
-    let without = closed[0].without.clone();
-    assert_eq!(closed, [Closed { window: first, adjustments, without, ..Closed::default() }]);
+    let without = closed[0].incomplete_reporters.clone();
+    assert_eq!(
+        closed,
+        [ClosedWindow {
+            index: first,
+            adjustments,
+            incomplete_reporters: without,
+            ..ClosedWindow::default()
+        }]
+    );
     // What is missing before the first that came is waited for as long as anything else.
-    assert_eq!(ledger.take(BEGIN + 10_000, report("r1", 2, 8_500, 400, 9)), Ok(Taken::Counted));
+    assert_eq!(ledger.record(BEGIN + 10_000, report("r1", 2, 8_500, 400, 9)), Ok(ReportOutcome::Counted));
     assert_eq!(ledger.advance(BEGIN + 11_000, &nobody)[0].work, BTreeMap::from([(name("t0"), 9)]));
-    assert_eq!(ledger.take(BEGIN + 11_000, report("r1", 1, 8_000, 500, 1)), Ok(Taken::Late));
+    assert_eq!(ledger.record(BEGIN + 11_000, report("r1", 1, 8_000, 500, 1)), Ok(ReportOutcome::Late));
     // A correction after the fact takes back what it must; one that comes before what it corrects stands too.
-    let mended = Report { corrects: Some(6), ..report("r0", 7, 5_000, 1_000, 50) };
-    assert_eq!(ledger.take(BEGIN + 11_000, mended), Ok(Taken::Late));
-    let early = Report { corrects: Some(8), ..report("r0", 9, 9_000, 500, 30) };
-    assert_eq!(ledger.take(BEGIN + 11_000, early), Ok(Taken::Counted));
-    assert_eq!(ledger.take(BEGIN + 11_000, report("r0", 8, 9_000, 500, 99)), Ok(Taken::Counted));
+    let mended = UsageReport { corrects: Some(6), ..report("r0", 7, 5_000, 1_000, 50) };
+    assert_eq!(ledger.record(BEGIN + 11_000, mended), Ok(ReportOutcome::Late));
+    let early = UsageReport { corrects: Some(8), ..report("r0", 9, 9_000, 500, 30) };
+    assert_eq!(ledger.record(BEGIN + 11_000, early), Ok(ReportOutcome::Counted));
+    assert_eq!(ledger.record(BEGIN + 11_000, report("r0", 8, 9_000, 500, 99)), Ok(ReportOutcome::Counted));
     let closed = ledger.advance(BEGIN + 12_000, &nobody);
     assert_eq!(closed[0].adjustments, BTreeMap::from([(name("t0"), 1 - 550)]));
     assert_eq!(closed[0].work, BTreeMap::from([(name("t0"), 30)]));
@@ -275,62 +295,67 @@
 #[test]
 fn a_report_that_lies_is_refused_with_its_field_and_changes_nothing() {
     let good = || report("r0", 4, 500, 1_000, 100);
-    let at = |start: i64, end: i64| Report { start, end, ..good() };
+    let at = |start: i64, end: i64| UsageReport { start_ms: start, end_ms: end, ..good() };
     let cases = [
-        (Report { reporter: name("x"), ..good() }, Refused::UnknownReporter, "reporter"),
-        (Report { tenant: name("x"), ..good() }, Refused::UnknownTenant, "tenant"),
-        (Report { reporter: name("p"), ..good() }, Refused::NotItsTenant, "tenant"),
-        (at(BEGIN, BEGIN), Refused::Backwards, "end"),
-        (at(BEGIN, i64::MIN), Refused::Backwards, "end"),
-        (at(BEGIN, BEGIN + 3_001), Refused::TooLong, "end"),
-        (at(i64::MIN, i64::MAX), Refused::TooLong, "end"),
-        (at(BEGIN + 4_000, BEGIN + 5_101), Refused::Future, "end"),
-        (at(i64::MAX - 1, i64::MAX), Refused::Future, "end"),
-        (at(BEGIN - 10_001, BEGIN - 9_000), Refused::TooOld, "start"),
-        (Report { work: 0, ..at(i64::MIN, i64::MIN + 1) }, Refused::TooOld, "start"),
-        (Report { work: 10_001, ..good() }, Refused::Absurd, "work"),
-        (Report { work: u64::MAX, ..good() }, Refused::Absurd, "work"),
-        (Report { sequence: 0, ..good() }, Refused::FarBack, "sequence"),
-        (Report { sequence: 3 + 64 + 1, ..good() }, Refused::FarAhead, "sequence"),
-        (Report { sequence: u64::MAX, ..good() }, Refused::FarAhead, "sequence"),
-        (Report { generation: 2, sequence: 65, ..good() }, Refused::FarAhead, "sequence"),
-        (Report { sequence: 3, work: 101, ..good() }, Refused::Contradicts, "sequence"),
-        (Report { corrects: Some(4), ..good() }, Refused::Corrects, "corrects"),
-        (Report { corrects: Some(0), ..good() }, Refused::Corrects, "corrects"),
+        (UsageReport { reporter: name("x"), ..good() }, ReportRejection::UnknownReporter, "reporter"),
+        (UsageReport { tenant: name("x"), ..good() }, ReportRejection::UnknownTenant, "tenant"),
+        (UsageReport { reporter: name("p"), ..good() }, ReportRejection::ForeignTenant, "tenant"),
+        (at(BEGIN, BEGIN), ReportRejection::EmptyInterval, "end"),
+        (at(BEGIN, i64::MIN), ReportRejection::EmptyInterval, "end"),
+        (at(BEGIN, BEGIN + 3_001), ReportRejection::IntervalTooLong, "end"),
+        (at(i64::MIN, i64::MAX), ReportRejection::IntervalTooLong, "end"),
+        (at(BEGIN + 4_000, BEGIN + 5_101), ReportRejection::InFuture, "end"),
+        (at(i64::MAX - 1, i64::MAX), ReportRejection::InFuture, "end"),
+        (at(BEGIN - 10_001, BEGIN - 9_000), ReportRejection::BeforeHorizon, "start"),
+        (UsageReport { work: 0, ..at(i64::MIN, i64::MIN + 1) }, ReportRejection::BeforeHorizon, "start"),
+        (UsageReport { work: 10_001, ..good() }, ReportRejection::ExceedsCapacity, "work"),
+        (UsageReport { work: u64::MAX, ..good() }, ReportRejection::ExceedsCapacity, "work"),
+        (UsageReport { sequence: 0, ..good() }, ReportRejection::SequenceTooOld, "sequence"),
+        (UsageReport { sequence: 3 + 64 + 1, ..good() }, ReportRejection::SequenceTooFarAhead, "sequence"),
+        (UsageReport { sequence: u64::MAX, ..good() }, ReportRejection::SequenceTooFarAhead, "sequence"),
+        (
+            UsageReport { incarnation: 2, sequence: 65, ..good() },
+            ReportRejection::SequenceTooFarAhead,
+            "sequence",
+        ),
+        (UsageReport { sequence: 3, work: 101, ..good() }, ReportRejection::ConflictingDuplicate, "sequence"),
+        (UsageReport { corrects: Some(4), ..good() }, ReportRejection::InvalidCorrection, "corrects"),
+        (UsageReport { corrects: Some(0), ..good() }, ReportRejection::InvalidCorrection, "corrects"),
     ];
     let mut ledger = ledger();
-    ledger.take(BEGIN + 2_000, Report { sequence: 3, ..good() }).expect("good");
+    ledger.record(BEGIN + 2_000, UsageReport { sequence: 3, ..good() }).expect("good");
     ledger.advance(BEGIN + 2_000, &BTreeSet::new());
     let before = bytes(&ledger);
-    let mut counts: BTreeMap<Refused, u64> = BTreeMap::new();
+    let mut counts: BTreeMap<ReportRejection, u64> = BTreeMap::new();
     for (bad, why, field) in cases {
         let (of_r0, what) = (bad.reporter.as_str() == "r0", format!("{bad:?}"));
-        assert_eq!(ledger.take(BEGIN + 5_000, bad), Err(why), "{what}");
+        assert_eq!(ledger.record(BEGIN + 5_000, bad), Err(why), "{what}");
         assert_eq!((why.field(), bytes(&ledger) == before), (field, true), "{what}");
         *counts.entry(why).or_default() += u64::from(of_r0);
     }
     counts.retain(|_, count| *count > 0);
-    assert_eq!((ledger.heard("r0").refused, ledger.strangers()), (counts, 1));
-    assert_eq!(ledger.heard("p").refused, BTreeMap::from([(Refused::NotItsTenant, 1)]));
+    assert_eq!((ledger.discard_counts("r0").rejected, ledger.unknown_reporter_count()), (counts, 1));
+    assert_eq!(ledger.discard_counts("p").rejected, BTreeMap::from([(ReportRejection::ForeignTenant, 1)]));
 }
 
 #[test]
 fn of_many_starts_between_two_advances_the_latest_stay_in_any_order_and_old_ones_are_refused_later() {
-    let first = |generation| Report { generation, ..report("r0", 1, 100, 100, 1 << generation) };
+    let first =
+        |generation| UsageReport { incarnation: generation, ..report("r0", 1, 100, 100, 1 << generation) };
     let orders: [&[u64]; 4] = [&[1, 2, 3, 4, 5], &[5, 4, 3, 2, 1], &[3, 5, 1, 4, 2], &[2, 1, 5, 3, 4, 2, 1]];
     let ledgers = orders.map(|order| {
         let mut ledger = ledger();
         give(&mut ledger, BEGIN + 1_000, order.iter().copied().map(first).collect());
-        assert_eq!(ledger.provisional(BEGIN).work, BTreeMap::from([(name("t0"), 8 + 16 + 32)]));
+        assert_eq!(ledger.provisional_usage(BEGIN).work, BTreeMap::from([(name("t0"), 8 + 16 + 32)]));
         ledger.advance(BEGIN + 1_000, &BTreeSet::new());
         ledger
     });
     assert!(ledgers.iter().all(|one| bytes(one) == bytes(&ledgers[0])));
     let mut ledger = ledgers.into_iter().next().expect("four");
-    ledger.take(BEGIN + 1_000, first(6)).expect("a new start");
+    ledger.record(BEGIN + 1_000, first(6)).expect("a new start");
     ledger.advance(BEGIN + 1_000, &BTreeSet::new());
-    assert_eq!(ledger.take(BEGIN + 1_000, first(3)), Err(Refused::OldGeneration));
-    assert_eq!(ledger.provisional(BEGIN).work[&name("t0")], 8 + 16 + 32 + 64, "what came of it stays");
+    assert_eq!(ledger.record(BEGIN + 1_000, first(3)), Err(ReportRejection::OldIncarnation));
+    assert_eq!(ledger.provisional_usage(BEGIN).work[&name("t0")], 8 + 16 + 32 + 64, "what came of it stays");
 }
 
 #[test]
@@ -339,33 +364,37 @@
     let play = |lies: bool| {
         let mut ledger = ledger();
         for (reporter, tenant, work) in [("r0", "t0", 9_000), ("r1", "t1", 8_000), ("r2", "t2", 3_000)] {
-            let sent = Report { tenant: name(tenant), ..report(reporter, 1, 0, 1_000, work) };
-            ledger.take(BEGIN + 1_000, sent).expect("good");
+            let sent = UsageReport { tenant: name(tenant), ..report(reporter, 1, 0, 1_000, work) };
+            ledger.record(BEGIN + 1_000, sent).expect("good");
         }
         let (mut most, mut taken) = (0, 0);
         for lie in (1..=2_000).filter(|_| lies) {
             // Each tells of all that the pool can do, of another start, tenant and interval.
-            let sent = Report {
+            let sent = UsageReport {
                 tenant: name(["t1", "t3"][lie as usize % 2]),
-                generation: lie % 7,
+                incarnation: lie % 7,
                 ..report("p", 1 + lie % 100, (lie as i64 * 37) % 900 - 500, 1_000, 10_000)
             };
-            taken += u32::from(ledger.take(BEGIN + 1_000, sent).is_ok());
+            taken += u32::from(ledger.record(BEGIN + 1_000, sent).is_ok());
             most = most.max(bytes(&ledger).len());
         }
         let closed = ledger.advance(BEGIN + 4_000, &BTreeSet::new());
-        (closed.into_iter().find(|one| one.window == BEGIN / 1_000).expect("closed"), most, taken)
+        (closed.into_iter().find(|one| one.index == BEGIN / 1_000).expect("closed"), most, taken)
     };
     let ((honest, _, _), (lied, most, taken)) = (play(false), play(true));
-    assert!(taken > 100 && lied.cut[&name("p")] > 100_000, "{taken} taken, {:?} cut", lied.cut);
+    assert!(taken > 100 && lied.excess[&name("p")] > 100_000, "{taken} taken, {:?} cut", lied.excess);
     // 6 starts of 64 sequences, and the windows.
     assert!(most < 6 * 64 * 40, "{most} bytes");
     let more: u64 = lied.work.values().sum::<u64>() - honest.work.values().sum::<u64>();
     assert_eq!(more, u64::from(SLOTS) * 1_000, "no more than its pool can do counts");
-    let usage = |closed: &Closed| Usage::measured(&agreement(), &closed.work, capacity, &BTreeMap::new());
-    let shares = |closed: &Closed| table(&agreement(), &usage(closed), &Reserved::default()).tenants;
+    let usage = |closed: &ClosedWindow| {
+        TenantDemands::from_measured_usage(&agreement(), &closed.work, capacity, &BTreeMap::new())
+    };
+    let shares = |closed: &ClosedWindow| {
+        allocate_shares(&agreement(), &usage(closed), &ReservedShares::default()).tenants
+    };
     let (before, after) = (shares(&honest), shares(&lied));
-    let bound = 2 * WHOLE / 4 + 8;
+    let bound = 2 * FULL_SHARE_PPM / 4 + 8;
     let moved: Vec<u32> = before.iter().map(|(tenant, is)| is.share.abs_diff(after[tenant].share)).collect();
     assert!(moved.iter().all(|&moved| moved <= bound), "{moved:?}");
     assert!(moved.iter().any(|&moved| moved > 0), "the lie was seen");
@@ -374,8 +403,8 @@
 }
 
 /// A window in which `t0` did so much.
-fn done(window: i64, work: u64) -> Closed {
-    Closed { window, work: BTreeMap::from([(name("t0"), work)]), ..Closed::default() }
+fn done(window: i64, work: u64) -> ClosedWindow {
+    ClosedWindow { index: window, work: BTreeMap::from([(name("t0"), work)]), ..ClosedWindow::default() }
 }
 
 #[test]
@@ -393,14 +422,14 @@
     // Windows in which nobody worked are left out, and only let it fade.
     debts.settle(&done(125, 1_000), &entitled);
     assert_eq!(debts.balance("t0"), 0);
-    let adjusted = Closed { adjustments: BTreeMap::from([(name("t0"), -700)]), ..done(126, 2_000) };
+    let adjusted = ClosedWindow { adjustments: BTreeMap::from([(name("t0"), -700)]), ..done(126, 2_000) };
     debts.settle(&adjusted, &entitled);
-    assert_eq!((debts.balance("t0"), debts.owed(&entitled)[&name("t0")]), (300, 30_000));
+    assert_eq!((debts.balance("t0"), debts.relative_debts(&entitled)[&name("t0")]), (300, 30_000));
     debts.settle(&adjusted, &entitled);
     assert_eq!(debts.balance("t0"), 300, "a window counts once");
     debts.settle(&done(127, 1_000_000), &entitled);
-    assert_eq!(debts.owed(&entitled)[&name("t0")], WHOLE);
-    debts.settle(&Closed { window: 128, ..Closed::default() }, &BTreeMap::new());
+    assert_eq!(debts.relative_debts(&entitled)[&name("t0")], FULL_SHARE_PPM);
+    debts.settle(&ClosedWindow { index: 128, ..ClosedWindow::default() }, &BTreeMap::new());
     assert_eq!(debts.balance("t0"), 0, "one that is gone is forgotten");
 }
 
--- a/crates/fair-share/tests/shares.rs
+++ b/crates/fair-share/tests/shares.rs
@@ -19,40 +19,41 @@
 }
 
 /// Federations `f0..` of tenants `t0_0..`; the guarantees fit into each other, with some air.
-fn agreements() -> impl Strategy<Value = Agreement> {
+fn agreements() -> impl Strategy<Value = FairSharePolicy> {
     let tenant = (1_u32..10, 0_u32..50_000, 0_u32..400_000);
     let federation = (1_u32..10, 0_u32..20_000, 0_u32..600_000, prop::collection::vec(tenant, 1..5));
     prop::collection::vec(federation, 1..5).prop_map(|federations| {
         let whole = federations.into_iter().enumerate().map(|(at, (weight, air, room, tenants))| {
             let guarantee = air + tenants.iter().map(|tenant| tenant.1).sum::<u32>();
             let tenants = tenants.into_iter().enumerate().map(|(of, (weight, guarantee, room))| {
-                (name(&format!("t{at}_{of}")), Terms { weight, guarantee, ceiling: guarantee + room })
+                (name(&format!("t{at}_{of}")), ShareConfig { weight, guarantee, ceiling: guarantee + room })
             });
-            let terms = Terms { weight, guarantee, ceiling: (guarantee + room).min(WHOLE) };
-            (name(&format!("f{at}")), Federation { terms, tenants: tenants.collect() })
+            let terms = ShareConfig { weight, guarantee, ceiling: (guarantee + room).min(FULL_SHARE_PPM) };
+            (name(&format!("f{at}")), Federation { share_config: terms, tenants: tenants.collect() })
         });
-        Agreement::new(whole.collect()).expect("it can be kept")
+        FairSharePolicy::new(whole.collect()).expect("it can be kept")
     })
 }
 
-fn usages() -> impl Strategy<Value = Usage> {
+fn usages() -> impl Strategy<Value = TenantDemands> {
     let one = (0_u32..5, 0_u32..5, 0_u32..500_000, 0_u32..1_200_000);
     prop::collection::vec(one, 0..20).prop_map(|uses| {
-        let used =
-            uses.into_iter().map(|(f, t, demand, debt)| (name(&format!("t{f}_{t}")), Use { demand, debt }));
-        Usage(used.collect())
+        let used = uses
+            .into_iter()
+            .map(|(f, t, demand, debt)| (name(&format!("t{f}_{t}")), TenantDemand { demand, debt }));
+        TenantDemands(used.collect())
     })
 }
 
-fn reservations(most: u32) -> impl Strategy<Value = Reserved> {
+fn reservations(most: u32) -> impl Strategy<Value = ReservedShares> {
     let some = move || prop::collection::vec((0_u32..5, 0_u32..5, 0..=most), 0..3);
-    (some(), some()).prop_map(|(tenants, federations)| Reserved {
+    (some(), some()).prop_map(|(tenants, federations)| ReservedShares {
         tenants: tenants.into_iter().map(|(f, t, part)| (name(&format!("t{f}_{t}")), part)).collect(),
         federations: federations.into_iter().map(|(f, _, part)| (name(&format!("f{f}")), part)).collect(),
     })
 }
 
-fn wanted(usage: &Usage, tenant: &Name) -> u32 {
+fn wanted(usage: &TenantDemands, tenant: &Name) -> u32 {
     usage.0.get(tenant).map_or(0, |used| used.demand)
 }
 
@@ -63,9 +64,9 @@
     fn the_parts_always_add_up_to_the_whole_whatever_is_reserved(
         agreement in agreements(), usage in usages(), reserved in reservations(700_000),
     ) {
-        let table = table(&agreement, &usage, &reserved);
+        let table = allocate_shares(&agreement, &usage, &reserved);
         let heads: u32 = table.federations.values().sum();
-        prop_assert_eq!(heads + table.elsewhere + table.spare, WHOLE);
+        prop_assert_eq!(heads + table.reserved_elsewhere + table.unallocated, FULL_SHARE_PPM);
         for (name, federation) in agreement.federations() {
             let of: u32 = federation.tenants.keys().map(|tenant| table.tenants[tenant].share).sum();
             let own = reserved.federations.get(name).copied().unwrap_or(0);
@@ -77,10 +78,10 @@
     fn nobody_wants_more_below_its_guarantee_and_nobody_is_above_its_ceiling(
         agreement in agreements(), usage in usages(), reserved in reservations(30_000),
     ) {
-        let table = table(&agreement, &usage, &reserved);
+        let table = allocate_shares(&agreement, &usage, &reserved);
         for (_, tenant, terms) in agreement.tenants() {
             let share = table.tenants[tenant];
-            prop_assert!(table.short || share.share >= terms.guarantee.min(wanted(&usage, tenant)));
+            prop_assert!(table.has_reduced_guarantees || share.share >= terms.guarantee.min(wanted(&usage, tenant)));
             prop_assert!(share.share <= terms.ceiling.max(share.reserved));
             prop_assert!(share.share <= wanted(&usage, tenant).max(share.reserved));
         }
@@ -90,10 +91,10 @@
                 + tenants().map(|(tenant, _)| table.tenants[tenant].reserved).sum::<u32>();
             // Its own tenants' guarantees stand above its ceiling only where reservations eat it up.
             let least = own + tenants().map(|(_, terms)| terms.guarantee).sum::<u32>();
-            prop_assert!(table.federations[name] <= federation.terms.ceiling.max(least));
+            prop_assert!(table.federations[name] <= federation.share_config.ceiling.max(least));
             // Its guarantee is its tenants', as far as they want it.
             let want: u32 = tenants().map(|(tenant, terms)| wanted(&usage, tenant).min(terms.ceiling)).sum();
-            prop_assert!(table.short || table.federations[name] >= federation.terms.guarantee.min(want));
+            prop_assert!(table.has_reduced_guarantees || table.federations[name] >= federation.share_config.guarantee.min(want));
         }
     }
 
@@ -101,14 +102,14 @@
     fn all_is_given_out_when_enough_is_wanted_and_nothing_stands_against_it(
         agreement in agreements(), usage in usages(),
     ) {
-        let table = table(&agreement, &usage, &Reserved::default());
+        let table = allocate_shares(&agreement, &usage, &ReservedShares::default());
         let could: u64 = agreement.federations().values().map(|federation| {
             let tenants = federation.tenants.iter();
             let want: u32 = tenants.map(|(tenant, terms)| wanted(&usage, tenant).min(terms.ceiling)).sum();
-            u64::from(want.min(federation.terms.ceiling))
+            u64::from(want.min(federation.share_config.ceiling))
         }).sum();
         let got: u64 = table.tenants.values().map(|share| u64::from(share.share)).sum();
-        prop_assert_eq!(got, could.min(WHOLE.into()));
+        prop_assert_eq!(got, could.min(FULL_SHARE_PPM.into()));
     }
 
     #[test]
@@ -119,8 +120,8 @@
         let whose = tenants[at.index(tenants.len())];
         let mut higher = usage.clone();
         higher.0.entry(whose.clone()).or_default().demand += more;
-        let before = table(&agreement, &usage, &Reserved::default());
-        let after = table(&agreement, &higher, &Reserved::default());
+        let before = allocate_shares(&agreement, &usage, &ReservedShares::default());
+        let after = allocate_shares(&agreement, &higher, &ReservedShares::default());
         let mut moved = 0;
         for (_, tenant, terms) in agreement.tenants() {
             let (was, is) = (before.tenants[tenant].share, after.tenants[tenant].share);
@@ -136,22 +137,25 @@
 }
 
 fn federation(weight: u32, guarantee: u32, tenants: &[(&str, u32, u32)]) -> Federation {
-    let tenants = tenants
-        .iter()
-        .map(|&(tenant, weight, guarantee)| (name(tenant), Terms { weight, guarantee, ceiling: WHOLE }));
-    Federation { terms: Terms { weight, guarantee, ceiling: WHOLE }, tenants: tenants.collect() }
+    let tenants = tenants.iter().map(|&(tenant, weight, guarantee)| {
+        (name(tenant), ShareConfig { weight, guarantee, ceiling: FULL_SHARE_PPM })
+    });
+    Federation {
+        share_config: ShareConfig { weight, guarantee, ceiling: FULL_SHARE_PPM },
+        tenants: tenants.collect(),
+    }
 }
 
 /// North, weight 3, of a (guaranteed 200 000) and b; south, weight 1, of c.
-fn two() -> Agreement {
+fn two() -> FairSharePolicy {
     let north = federation(3, 300_000, &[("a", 1, 200_000), ("b", 1, 0)]);
     let south = federation(1, 100_000, &[("c", 1, 100_000)]);
-    Agreement::new([(name("north"), north), (name("south"), south)].into()).expect("it can be kept")
+    FairSharePolicy::new([(name("north"), north), (name("south"), south)].into()).expect("it can be kept")
 }
 
 #[test]
 fn a_table_gives_each_what_weights_guarantees_debts_and_reservations_say() {
-    let all = WHOLE;
+    let all = FULL_SHARE_PPM;
     // Demand and debt of a, b and c; reserved for a, for south; the shares of a, b and c, and what is spare.
     type Case = ([(u32, u32); 3], (u32, u32), [u32; 3], u32);
     let cases: [Case; 9] = [
@@ -172,30 +176,34 @@
     ];
     for (uses, (of_a, of_south), shares, spare) in cases {
         let used = ["a", "b", "c"].into_iter().zip(uses);
-        let used = used.map(|(tenant, (demand, debt))| (name(tenant), Use { demand, debt }));
-        let reserved = Reserved {
+        let used = used.map(|(tenant, (demand, debt))| (name(tenant), TenantDemand { demand, debt }));
+        let reserved = ReservedShares {
             tenants: BTreeMap::from([(name("a"), of_a)]),
             federations: BTreeMap::from([(name("south"), of_south)]),
         };
-        let table = table(&two(), &Usage(used.collect()), &reserved);
+        let table = allocate_shares(&two(), &TenantDemands(used.collect()), &reserved);
         let got = ["a", "b", "c"].map(|tenant| table.tenants[tenant].share);
-        assert_eq!((got, table.spare), (shares, spare), "{uses:?} {of_a} {of_south}");
+        assert_eq!((got, table.unallocated), (shares, spare), "{uses:?} {of_a} {of_south}");
     }
 }
 
 #[test]
 fn reservations_above_the_whole_are_cut_and_short_guarantees_are_cut_in_proportion() {
-    let all = [("a", WHOLE), ("b", WHOLE), ("c", WHOLE)];
-    let usage = Usage(all.map(|(tenant, demand)| (name(tenant), Use { demand, debt: 0 })).into());
-    let gone = Reserved {
+    let all = [("a", FULL_SHARE_PPM), ("b", FULL_SHARE_PPM), ("c", FULL_SHARE_PPM)];
+    let usage =
+        TenantDemands(all.map(|(tenant, demand)| (name(tenant), TenantDemand { demand, debt: 0 })).into());
+    let gone = ReservedShares {
         tenants: BTreeMap::from([(name("x"), 700_000), (name("y"), u32::MAX)]),
         ..Default::default()
     };
-    let nothing = table(&two(), &usage, &gone);
-    assert_eq!((nothing.elsewhere, nothing.spare, nothing.short), (WHOLE, 0, true));
-    let most = Reserved { tenants: BTreeMap::from([(name("x"), 800_000)]), ..Default::default() };
-    let half = table(&two(), &usage, &most);
+    let nothing = allocate_shares(&two(), &usage, &gone);
+    assert_eq!(
+        (nothing.reserved_elsewhere, nothing.unallocated, nothing.has_reduced_guarantees),
+        (FULL_SHARE_PPM, 0, true)
+    );
+    let most = ReservedShares { tenants: BTreeMap::from([(name("x"), 800_000)]), ..Default::default() };
+    let half = allocate_shares(&two(), &usage, &most);
     let got = ["a", "b", "c"].map(|tenant| half.tenants[tenant].share);
     // Half of 300 000 for north, of which a's guarantee comes first, and half of 100 000 for south.
-    assert_eq!((got, half.short), ([150_000, 0, 50_000], true));
+    assert_eq!((got, half.has_reduced_guarantees), ([150_000, 0, 50_000], true));
 }
--- a/crates/fair-share/tests/transcripts.rs
+++ b/crates/fair-share/tests/transcripts.rs
@@ -28,68 +28,78 @@
     format!("{title}: {}\n", hex(&bytes))
 }
 
-fn settings() -> Settings {
-    Settings {
-        window: 1_000,
-        lateness: 2_000,
-        horizon: 10_000,
-        skew: 100,
-        span: 3_000,
-        ahead: 64,
-        kept: 128,
-        starts: 3,
+fn settings() -> LedgerSettings {
+    LedgerSettings {
+        window_ms: 1_000,
+        max_close_delay_ms: 2_000,
+        horizon_ms: 10_000,
+        max_clock_skew_ms: 100,
+        max_interval_ms: 3_000,
+        max_sequences_ahead: 64,
+        max_tracked_sequences: 128,
+        max_incarnations: 3,
     }
 }
 
-fn roll() -> Roll {
+fn roll() -> Enrollment {
     let reporters = [
         (name("r0"), Reporter { slots: 10, federation: None }),
         (name("partner"), Reporter { slots: 4, federation: Some(name("f1")) }),
     ];
     let tenants = [("t0", "f0"), ("t1", "f1")].map(|(tenant, of)| (name(tenant), name(of)));
-    Roll { reporters: reporters.into(), tenants: tenants.into() }
+    Enrollment { reporters: reporters.into(), tenants: tenants.into() }
 }
 
-fn report(reporter: &str, sequence: u64, tenant: &str, start: i64, work: u64) -> Report {
+fn report(reporter: &str, sequence: u64, tenant: &str, start: i64, work: u64) -> UsageReport {
     let start = BEGIN + start;
     let (reporter, tenant) = (name(reporter), name(tenant));
-    Report { reporter, generation: 7, sequence, tenant, start, end: start + 1_000, work, corrects: None }
+    UsageReport {
+        reporter,
+        incarnation: 7,
+        sequence,
+        tenant,
+        start_ms: start,
+        end_ms: start + 1_000,
+        work,
+        corrects: None,
+    }
 }
 
-fn correction() -> Report {
-    Report { corrects: Some(1), ..report("r0", 3, "t0", 0, 5_000) }
+fn correction() -> UsageReport {
+    UsageReport { corrects: Some(1), ..report("r0", 3, "t0", 0, 5_000) }
 }
 
-fn agreement() -> Agreement {
+fn agreement() -> FairSharePolicy {
     let federation = |tenant: &str, weight| {
-        let terms = |guarantee| Terms { weight, guarantee, ceiling: WHOLE };
-        Federation { terms: terms(200_000), tenants: [(name(tenant), terms(100_000))].into() }
+        let terms = |guarantee| ShareConfig { weight, guarantee, ceiling: FULL_SHARE_PPM };
+        Federation { share_config: terms(200_000), tenants: [(name(tenant), terms(100_000))].into() }
     };
     let both = [(name("f0"), federation("t0", 1)), (name("f1"), federation("t1", 3))];
-    Agreement::new(both.into()).expect("it can be kept")
+    FairSharePolicy::new(both.into()).expect("it can be kept")
 }
 
-fn refusals() -> Vec<Refused> {
+/// Each rejection under the name that its serialized form has.
+fn rejections() -> Vec<(&'static str, ReportRejection)> {
     vec![
-        Refused::UnknownReporter,
-        Refused::UnknownTenant,
-        Refused::NotItsTenant,
-        Refused::Backwards,
-        Refused::TooLong,
-        Refused::Future,
-        Refused::TooOld,
-        Refused::Absurd,
-        Refused::OldGeneration,
-        Refused::FarBack,
-        Refused::FarAhead,
-        Refused::Contradicts,
-        Refused::Corrects,
+        ("UnknownReporter", ReportRejection::UnknownReporter),
+        ("UnknownTenant", ReportRejection::UnknownTenant),
+        ("NotItsTenant", ReportRejection::ForeignTenant),
+        ("Backwards", ReportRejection::EmptyInterval),
+        ("TooLong", ReportRejection::IntervalTooLong),
+        ("Future", ReportRejection::InFuture),
+        ("TooOld", ReportRejection::BeforeHorizon),
+        ("Absurd", ReportRejection::ExceedsCapacity),
+        ("OldGeneration", ReportRejection::OldIncarnation),
+        ("FarBack", ReportRejection::SequenceTooOld),
+        ("FarAhead", ReportRejection::SequenceTooFarAhead),
+        ("Contradicts", ReportRejection::ConflictingDuplicate),
+        ("Corrects", ReportRejection::InvalidCorrection),
     ]
 }
 
 /// A ledger with windows open and closed, a correction, a gap and more than a pool can do.
-fn ledger() -> (Ledger, Vec<Closed>) {
-    let mut ledger = Ledger::new(settings(), BEGIN).expect("good settings");
+fn ledger() -> (UsageLedger, Vec<ClosedWindow>) {
+    let mut ledger = UsageLedger::new(settings(), BEGIN).expect("good settings");
     ledger.enroll(roll()).expect("a small roll");
     let first = [
         report("r0", 1, "t0", 0, 9_000),
@@ -98,11 +108,11 @@
         report("partner", 4, "t1", 1_500, 2_000),
     ];
     for report in first {
-        ledger.take(BEGIN + 2_500, report).expect("good");
+        ledger.record(BEGIN + 2_500, report).expect("good");
     }
     let mut closed = ledger.advance(BEGIN + 3_500, &BTreeSet::new());
-    ledger.take(BEGIN + 3_500, correction()).expect("good");
-    ledger.take(BEGIN + 3_500, report("r0", 4, "t0", 2_000, 8_000)).expect("good");
+    ledger.record(BEGIN + 3_500, correction()).expect("good");
+    ledger.record(BEGIN + 3_500, report("r0", 4, "t0", 2_000, 8_000)).expect("good");
     closed.extend(ledger.advance(BEGIN + 4_200, &[name("partner")].into()));
     (ledger, closed)
 }
@@ -114,8 +124,9 @@
     text += &line("settings", &settings());
     text += &line("roll", &roll());
     text += &line("agreement", &agreement());
-    let refusals = refusals();
-    text += &refusals.iter().map(|why| line(&format!("{why:?} ({why})"), why)).collect::<String>();
+    let rejections = rejections();
+    let lines = rejections.iter().map(|(name, rejection)| line(&format!("{name} ({rejection})"), rejection));
+    text += &lines.collect::<String>();
     insta::assert_snapshot!("inputs", text);
 }
 
@@ -123,15 +134,20 @@
 fn a_ledger_and_what_it_says_are_as_approved_and_go_on_when_restored() {
     let (mut ledger, closed) = ledger();
     let stored = bytes(&ledger);
-    let mut restored: Ledger = postcard::from_bytes(&stored).expect("a ledger");
+    let mut restored: UsageLedger = postcard::from_bytes(&stored).expect("a ledger");
     assert_eq!(bytes(&restored), stored);
 
     let mut debts = Debts::new(4);
     let entitled: BTreeMap<Name, u64> = [(name("t0"), 3_000), (name("t1"), 3_000)].into();
     closed.iter().for_each(|window| debts.settle(window, &entitled));
-    let provisional = ledger.provisional(BEGIN + 2_000);
-    let usage = Usage::measured(&agreement(), &provisional.work, 14_000, &debts.owed(&entitled));
-    let reserved = Reserved { tenants: [(name("t1"), 50_000)].into(), federations: BTreeMap::new() };
+    let provisional = ledger.provisional_usage(BEGIN + 2_000);
+    let usage = TenantDemands::from_measured_usage(
+        &agreement(),
+        &provisional.work,
+        14_000,
+        &debts.relative_debts(&entitled),
+    );
+    let reserved = ReservedShares { tenants: [(name("t1"), 50_000)].into(), federations: BTreeMap::new() };
 
     let mut text = format!("ledger: {}\n", hex(&stored));
     text += &closed.iter().map(|one| line("closed", one)).collect::<String>();
@@ -139,7 +155,7 @@
     text += &line("debts", &debts);
     text += &line("usage", &usage);
     text += &line("reserved", &reserved);
-    text += &line("table", &table(&agreement(), &usage, &reserved));
+    text += &line("table", &allocate_shares(&agreement(), &usage, &reserved));
     insta::assert_snapshot!("ledger", text);
 
     let at = BEGIN + 9_000;
--- a/crates/fair-share/tests/unit/fill.rs
+++ b/crates/fair-share/tests/unit/fill.rs
@@ -61,6 +61,6 @@
         (&[(5, 0), (3, 1)], 1_000_000),
     ];
     for (got, index) in cases {
-        assert!(jain(got).abs_diff(index) <= 1, "{got:?} gives {}", jain(got));
+        assert!(jain_fairness_index(got).abs_diff(index) <= 1, "{got:?} gives {}", jain_fairness_index(got));
     }
 }
