--- /dev/null
+++ b/crates/fair-share/src/allocation.rs
@@ -0,0 +1,162 @@
+//! Allocation of shares: weighted max-min over federations and then over their tenants.
+use std::collections::BTreeMap;
+
+use crate::demand::{TenantDemand, TenantDemands};
+use crate::policy::{FairSharePolicy, Federation, ShareConfig};
+use crate::reservation::ReservedShares;
+use crate::share_table::{ShareTable, TenantShare};
+use crate::water_filling::{Claimant, water_fill};
+use crate::{FULL_SHARE_PPM, Name};
+
+/// Everything demanded and no debt.
+const FULL_DEMAND: TenantDemand = TenantDemand { demand: FULL_SHARE_PPM, debt: 0 };
+
+/// The result of one division over both levels, beside the tenants' own reservations.
+struct Allocation<'a> {
+    tenants: BTreeMap<&'a Name, u32>,
+    federations: BTreeMap<&'a Name, u32>,
+    has_reduced_guarantees: bool,
+}
+
+/// Allocates the shares; a pure function.
+///
+/// 1. Reservations are subtracted. What is reserved counts first towards its owner's demand, guarantee and ceiling.
+/// 2. The rest is divided over the federations by weighted max-min: each gets at least what it demands of its
+///    guarantee, and at most what its tenants demand and its ceiling.
+/// 3. A federation's share, with its reservation, is divided over its tenants in the same way. There a tenant with a
+///    debt counts with a weight of `weight / (1 + debt)`, never under half of its weight.
+///
+/// Shares are whole parts per million; what rounding leaves goes to the largest remainders, among equal ones by name.
+pub fn allocate_shares(
+    policy: &FairSharePolicy,
+    demands: &TenantDemands,
+    reserved: &ReservedShares,
+) -> ShareTable {
+    let reserved = reserved.cut_to_full_share();
+    let allocated = allocate(policy, &reserved, &|tenant| demands.of(tenant));
+    let entitled = allocate(policy, &reserved, &|_| FULL_DEMAND);
+    let has_reduced_guarantees = allocated.has_reduced_guarantees;
+    let mut tenants = BTreeMap::new();
+    for (_, tenant, config) in policy.tenants() {
+        let (divided, entitlement) = (allocated.tenants[tenant], entitled.tenants[tenant]);
+        let own_reservation = reserved.of_tenant(tenant);
+        let share = divided + own_reservation;
+        let lent = if has_reduced_guarantees { 0 } else { config.guarantee.saturating_sub(share) };
+        let borrowed = divided.saturating_sub(entitlement);
+        let tenant_share = TenantShare { share, reserved: own_reservation, entitlement, lent, borrowed };
+        tenants.insert(tenant.clone(), tenant_share);
+    }
+    let federations: BTreeMap<Name, u32> =
+        allocated.federations.into_iter().map(|(name, share)| (name.clone(), share)).collect();
+    let reserved_elsewhere =
+        sum_of_unlisted(&reserved.tenants, &tenants) + sum_of_unlisted(&reserved.federations, &federations);
+    let unallocated = FULL_SHARE_PPM - reserved_elsewhere - federations.values().sum::<u32>();
+    ShareTable { tenants, federations, reserved_elsewhere, unallocated, has_reduced_guarantees }
+}
+
+/// Each tenant's share if all demanded everything, none had a debt and nothing was reserved, in parts per million.
+pub fn entitlements(policy: &FairSharePolicy) -> BTreeMap<Name, u32> {
+    let entitled = allocate(policy, &ReservedShares::default(), &|_| FULL_DEMAND);
+    entitled.tenants.into_iter().map(|(name, share)| (name.clone(), share)).collect()
+}
+
+/// The sum of the reservations whose owners are not listed.
+fn sum_of_unlisted<T>(reservations: &BTreeMap<Name, u32>, listed: &BTreeMap<Name, T>) -> u32 {
+    reservations.iter().filter(|(name, _)| !listed.contains_key(*name)).map(|(_, part)| part).sum()
+}
+
+fn allocate<'a>(
+    policy: &'a FairSharePolicy,
+    reserved: &ReservedShares,
+    demand_of: &dyn Fn(&Name) -> TenantDemand,
+) -> Allocation<'a> {
+    let capacity = FULL_SHARE_PPM - reserved.total();
+    let claims: Vec<FederationClaim<'a>> = policy
+        .federations()
+        .iter()
+        .map(|(name, federation)| FederationClaim::new(name, federation, reserved, demand_of))
+        .collect();
+    let claimants: Vec<Claimant> = claims.iter().map(|claim| claim.claimant).collect();
+    let minimum_sum: u64 = claimants.iter().map(|claimant| u64::from(claimant.minimum)).sum();
+    let has_reduced_guarantees = minimum_sum > capacity.into();
+    let mut allocation =
+        Allocation { tenants: BTreeMap::new(), federations: BTreeMap::new(), has_reduced_guarantees };
+    for (claim, divided) in claims.iter().zip(water_fill(capacity, &claimants)) {
+        let available = divided + claim.own_reservation;
+        // The federation's reservation may exceed what its tenants demand: the excess stays with the federation.
+        let parts = water_fill(available, &claim.tenant_claimants);
+        allocation.federations.insert(claim.name, available + claim.tenant_reservations);
+        allocation.tenants.extend(claim.tenants.iter().copied().zip(parts));
+    }
+    allocation
+}
+
+/// A federation as a claimant among the others, and its tenants as claimants to its share.
+struct FederationClaim<'a> {
+    name: &'a Name,
+    tenants: Vec<&'a Name>,
+    tenant_claimants: Vec<Claimant>,
+    claimant: Claimant,
+    /// What is reserved for the federation itself.
+    own_reservation: u32,
+    /// What is reserved for its tenants.
+    tenant_reservations: u32,
+}
+
+impl<'a> FederationClaim<'a> {
+    fn new(
+        name: &'a Name,
+        federation: &'a Federation,
+        reserved: &ReservedShares,
+        demand_of: &dyn Fn(&Name) -> TenantDemand,
+    ) -> FederationClaim<'a> {
+        let own_reservation = reserved.of_federation(name);
+        let mut tenant_reservations = 0;
+        let mut tenant_claimants = Vec::with_capacity(federation.tenants.len());
+        for (tenant, config) in &federation.tenants {
+            let reservation = reserved.of_tenant(tenant);
+            tenant_reservations += reservation;
+            tenant_claimants.push(tenant_claimant(config, demand_of(tenant), reservation));
+        }
+        let claimant = federation_claimant(
+            &federation.share_config,
+            &tenant_claimants,
+            own_reservation,
+            tenant_reservations,
+        );
+        let tenants = federation.tenants.keys().collect();
+        FederationClaim { name, tenants, tenant_claimants, claimant, own_reservation, tenant_reservations }
+    }
+}
+
+/// A federation as a claimant, beside its own and its tenants' reservations.
+fn federation_claimant(
+    config: &ShareConfig,
+    tenants: &[Claimant],
+    own_reservation: u32,
+    tenant_reservations: u32,
+) -> Claimant {
+    let sum = |part: &dyn Fn(&Claimant) -> u32| -> u32 {
+        let sum = tenants.iter().map(|tenant| u64::from(part(tenant))).sum::<u64>();
+        sum.min(FULL_SHARE_PPM.into()) as u32
+    };
+    let reserved = own_reservation.saturating_add(tenant_reservations);
+    // Reservations of one tenant must not use up the guarantees of the others: their sum stands above the ceiling.
+    let tenants_minimum = sum(&|tenant| tenant.minimum).saturating_sub(own_reservation);
+    let tenants_maximum = sum(&|tenant| tenant.maximum).saturating_sub(own_reservation);
+    let maximum = tenants_maximum.min(config.ceiling.saturating_sub(reserved)).max(tenants_minimum);
+    let minimum = config.guarantee.saturating_sub(reserved).max(tenants_minimum).min(maximum);
+    Claimant { weight: config.weight.into(), minimum, maximum }
+}
+
+/// A tenant as a claimant, beside its own reservation.
+fn tenant_claimant(config: &ShareConfig, demand: TenantDemand, reservation: u32) -> Claimant {
+    let beside_reservation = |part: u32| part.saturating_sub(reservation);
+    let demanded = beside_reservation(demand.demand.min(FULL_SHARE_PPM));
+    let maximum = demanded.min(beside_reservation(config.ceiling));
+    let minimum = beside_reservation(config.guarantee).min(maximum);
+    let full = u64::from(FULL_SHARE_PPM);
+    let debt = u64::from(demand.debt.min(FULL_SHARE_PPM));
+    let weight = u64::from(config.weight) * full * full / (full + debt);
+    Claimant { weight, minimum, maximum }
+}
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -1,87 +1,104 @@
-//! Debts that fade.
+//! Debts of tenants that used more than their entitlement; they decay over time.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::{ClosedWindow, FULL_SHARE_PPM, Name};
+use crate::window::ClosedWindow;
+use crate::{FULL_SHARE_PPM, Name};
 
 /// Binary places below a slot-millisecond: a contribution is exact for as many half-lives.
-const PLACES: u32 = 32;
-/// Most windows to a half-life.
-const MOST_WINDOWS: u32 = 4_096;
+const FRACTION_BITS: u32 = 32;
+/// Longest half-life, in windows.
+const MAX_HALF_LIFE_WINDOWS: u32 = 4_096;
+/// No window contributes as much: with it no sum exceeds 128 bits.
+const MAX_CONTRIBUTION: i128 = 1 << 60;
+/// More halvings than bits that a sum can have, less the sign.
+const MAX_HALVINGS: i64 = 126;
 
-/// What tenants took above their entitlement, fading by half in each half-life.
+/// What tenants used above their entitlement, decaying by half in each half-life.
 ///
-/// A window's contribution is the work and the adjustments less the entitlement, and may be negative. It fades along a
-/// straight line to one half over the first half-life, to a quarter over the second, and so on: never more than 6.2 %
-/// above the exponential curve, and on it at each half-life. There is one sum for each place of a window in its
-/// half-life; it is halved when its place comes round, and the debt is made from the sums anew each time. So no
-/// rounding adds up, and the order in which contributions are added does not matter; one is exact for 32 half-lives,
+/// A window's contribution is the work and the adjustments less the entitlement, and may be negative. It decays along
+/// a straight line to one half over the first half-life, to a quarter over the second, and so on: never more than
+/// 6.2 % above the exponential curve, and on it at each half-life. There is one sum for each position of a window in
+/// its half-life. It is halved when its position recurs, and the debt is computed from the sums anew each time. So
+/// rounding errors do not accumulate, and the order of contributions does not matter; one is exact for 32 half-lives,
 /// then less than a slot-millisecond, at last nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debts {
     /// Windows to a half-life.
-    half_life: u32,
-    /// The window that was settled last, by number.
-    last: Option<i64>,
+    #[serde(rename = "half_life")]
+    half_life_windows: u32,
+    /// The number of the window that was settled last.
+    #[serde(rename = "last")]
+    last_window: Option<i64>,
+    /// By tenant, a sum for each position in the half-life.
     sums: BTreeMap<Name, Vec<i128>>,
 }
 
 impl Debts {
-    /// Nobody owes anything. The half-life is in windows and counts as at least 1, at most 4 096.
-    pub fn new(half_life: u32) -> Debts {
-        Debts { half_life: half_life.clamp(1, MOST_WINDOWS), last: None, sums: BTreeMap::new() }
+    /// No debts. The half-life is in windows and counts as at least 1, at most 4 096.
+    pub fn new(half_life_windows: u32) -> Debts {
+        let half_life_windows = half_life_windows.clamp(1, MAX_HALF_LIFE_WINDOWS);
+        Debts { half_life_windows, last_window: None, sums: BTreeMap::new() }
     }
 
-    /// Takes a closed window; `entitled` is what each tenant was entitled to in it, in slot-milliseconds. Who is
-    /// not among them is forgotten. Windows that were left out, as nobody worked, only let debts fade; one that is
-    /// not later than the last changes nothing.
-    pub fn settle(&mut self, closed: &ClosedWindow, entitled: &BTreeMap<Name, u64>) {
-        if self.last.is_some_and(|last| closed.index <= last) {
+    /// Adds a closed window; `entitlements` is what each tenant was entitled to in it, in slot-milliseconds. Tenants
+    /// that are not among them are removed. Windows that were left out, as they had no usage, only let debts decay; a
+    /// window that is not later than the last changes nothing.
+    pub fn settle(&mut self, closed: &ClosedWindow, entitlements: &BTreeMap<Name, u64>) {
+        if self.last_window.is_some_and(|last| closed.index <= last) {
             return;
         }
-        let (places, last) = (i64::from(self.half_life), self.last.unwrap_or(closed.index - 1));
-        self.sums.retain(|tenant, _| entitled.contains_key(tenant));
-        for place in 0..places {
-            // How often this place came round after the last window, up to this one.
-            let upto = |window: i64| (window - place).div_euclid(places);
-            let rounds = (upto(closed.index) - upto(last)).min(126) as u32;
-            if rounds > 0 {
-                self.sums.values_mut().for_each(|sums| sums[place as usize] /= 1 << rounds);
-            }
-        }
-        let place = closed.index.rem_euclid(places) as usize;
-        for (tenant, &entitled) in entitled {
+        self.sums.retain(|tenant, _| entitlements.contains_key(tenant));
+        self.decay(closed.index);
+        let positions = self.half_life_windows as usize;
+        let position = closed.index.rem_euclid(self.half_life_windows.into()) as usize;
+        for (tenant, &entitlement) in entitlements {
             let work = closed.work.get(tenant).copied().unwrap_or(0);
             let adjustment = closed.adjustments.get(tenant).copied().unwrap_or(0);
-            let over = i128::from(work) + i128::from(adjustment) - i128::from(entitled);
-            let sums = self.sums.entry(tenant.clone()).or_insert_with(|| vec![0; places as usize]);
-            // No window brings so much; guards against sums that leave their bounds.
-            sums[place] += over.clamp(-(1 << 60), 1 << 60) << PLACES;
+            let contribution = i128::from(work) + i128::from(adjustment) - i128::from(entitlement);
+            let contribution = contribution.clamp(-MAX_CONTRIBUTION, MAX_CONTRIBUTION);
+            let sums = self.sums.entry(tenant.clone()).or_insert_with(|| vec![0; positions]);
+            sums[position] += contribution << FRACTION_BITS;
+        }
+        self.last_window = Some(closed.index);
+    }
+
+    /// Halves each sum as often as its position recurred after the last window, up to this one.
+    fn decay(&mut self, window: i64) {
+        let last_window = self.last_window.unwrap_or(window - 1);
+        let half_life = i64::from(self.half_life_windows);
+        for position in 0..half_life {
+            let recurrences_up_to = |window: i64| (window - position).div_euclid(half_life);
+            let recurrences = recurrences_up_to(window) - recurrences_up_to(last_window);
+            let halvings = recurrences.min(MAX_HALVINGS) as u32;
+            if halvings > 0 {
+                self.sums.values_mut().for_each(|sums| sums[position as usize] /= 1 << halvings);
+            }
         }
-        self.last = Some(closed.index);
     }
 
-    /// What a tenant owes, in slot-milliseconds; negative where it took less than its entitlement.
+    /// The debt of a tenant, in slot-milliseconds; negative where it used less than its entitlement.
     pub fn balance(&self, tenant: &str) -> i128 {
-        let (Some(sums), Some(last)) = (self.sums.get(tenant), self.last) else { return 0 };
-        let places = i64::from(self.half_life);
-        let faded = sums.iter().zip(0..places).map(|(&sum, place)| {
-            let age = (last - place).rem_euclid(places);
-            sum * i128::from(2 * places - age)
+        let (Some(sums), Some(last_window)) = (self.sums.get(tenant), self.last_window) else { return 0 };
+        let half_life = i64::from(self.half_life_windows);
+        let decayed = sums.iter().zip(0..half_life).map(|(&sum, position)| {
+            let age = (last_window - position).rem_euclid(half_life);
+            sum * i128::from(2 * half_life - age)
         });
-        faded.sum::<i128>() / i128::from(2 * places) / (1 << PLACES)
+        decayed.sum::<i128>() / i128::from(2 * half_life) / (1 << FRACTION_BITS)
     }
 
-    /// What each tenant owes, in parts in a million of its entitlement over one half-life, as [`crate::Use::debt`]
-    /// wants it: from 0 to 1 000 000. `entitled` is that of one window, in slot-milliseconds.
-    pub fn relative_debts(&self, entitled: &BTreeMap<Name, u64>) -> BTreeMap<Name, u32> {
-        let owed = entitled.iter().map(|(tenant, &entitled)| {
-            let over = self.balance(tenant.as_str()).max(0) as u128;
-            let scale = (u128::from(entitled) * u128::from(self.half_life)).max(1);
-            let parts = over.min(scale) * u128::from(FULL_SHARE_PPM) / scale;
-            (tenant.clone(), parts as u32)
+    /// Each tenant's debt, in parts per million of its entitlement over one half-life, as in
+    /// [`crate::TenantDemand::debt`]: from 0 to 1 000 000. `entitlements` are those of one window, in
+    /// slot-milliseconds.
+    pub fn relative_debts(&self, entitlements: &BTreeMap<Name, u64>) -> BTreeMap<Name, u32> {
+        let debts = entitlements.iter().map(|(tenant, &entitlement)| {
+            let debt = self.balance(tenant.as_str()).max(0) as u128;
+            let scale = (u128::from(entitlement) * u128::from(self.half_life_windows)).max(1);
+            let ppm = debt.min(scale) * u128::from(FULL_SHARE_PPM) / scale;
+            (tenant.clone(), ppm as u32)
         });
-        owed.collect()
+        debts.collect()
     }
 }
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -1,285 +1,248 @@
-//! The ledger: all reporters, and the windows that close over them.
+//! The usage ledger: the accounts of all reporters, and the accounting windows that close over them.
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
-use crate::account::{Account, Frame};
-use crate::report::{
-    Enrollment, LedgerSettings, ReportOutcome, ReportRejection, Reporter, UsageReport, WrongBounds,
-};
-
-/// A window that is over. What it says never changes; what comes later is an adjustment of a later one.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Closed", deny_unknown_fields)]
-pub struct ClosedWindow {
-    /// Its number: it begins at so many windows of Unix time.
-    #[serde(rename = "window")]
-    pub index: i64,
-    /// What each tenant did in it, in slot-milliseconds.
-    pub work: BTreeMap<Name, u64>,
-    /// What is settled with it of earlier windows, in slot-milliseconds; negative where a correction took some back.
-    pub adjustments: BTreeMap<Name, i64>,
-    /// What reporters told above what their pools can do in a window, and so does not count; negative where less of
-    /// an earlier window is cut than was.
-    #[serde(rename = "cut")]
-    pub excess: BTreeMap<Name, i64>,
-    /// Who had not told of all of it, the dead among them.
-    #[serde(rename = "without")]
-    pub incomplete_reporters: BTreeSet<Name>,
-}
-
-/// What is known of a window so far.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Provisional", deny_unknown_fields)]
-pub struct ProvisionalUsage {
-    /// What each tenant did in it as far as it came, in slot-milliseconds.
-    pub work: BTreeMap<Name, u64>,
-    /// The most that may still come without a correction, in slot-milliseconds: what the pools can do of those who
-    /// have not told of all of it, less what came of them.
-    #[serde(rename = "unknown")]
-    pub max_outstanding: u64,
-}
-
-/// What of a reporter's start is missing.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SequenceGaps {
-    /// The start.
-    pub incarnation: u64,
-    /// Sequences that have not come, though a later one has.
-    pub missing: Vec<std::ops::RangeInclusive<u64>>,
-    /// How many never came and are no longer asked for.
-    pub abandoned: u64,
-}
-
-/// What a reporter sent in vain. These are this ledger's own counts and not in its bytes.
+use crate::enrollment::{Enrollment, EnrollmentError};
+use crate::incarnation_log::SequenceGaps;
+use crate::reporter_account::{AccountContext, ReporterAccount};
+use crate::settings::{LedgerSettings, SettingsError};
+use crate::usage_report::{ReportOutcome, ReportRejection, UsageReport};
+use crate::validation::validate_report;
+use crate::window::{ClosedWindow, ProvisionalUsage};
+
+/// The reports of one reporter that changed nothing. The counts are not serialized with the ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DiscardCounts {
-    /// Reports that were refused, by reason.
+    /// Reports that were rejected, by reason.
     pub rejected: BTreeMap<ReportRejection, u64>,
-    /// Reports that had come before.
+    /// Reports that were recorded before.
     pub duplicates: u64,
 }
 
-/// Instants are held within this, so that no sum of them leaves 64 bits.
-const MOST_INSTANT: i64 = 1 << 60;
+impl DiscardCounts {
+    fn count(&mut self, result: Result<ReportOutcome, ReportRejection>) {
+        match result {
+            Err(rejection) => *self.rejected.entry(rejection).or_default() += 1,
+            Ok(_) => self.duplicates += 1,
+        }
+    }
+}
+
+/// Instants are clamped to this, so that no sum of them exceeds 64 bits.
+const MAX_INSTANT_MS: i64 = 1 << 60;
+/// The horizon moves by this part of its length at once, since to discard is to look at all that is kept.
+const HORIZON_STEPS: i64 = 16;
 
 /// The usage ledger. Serialized it is the same bytes for the same reports in any order and repetition, after the same
-/// calls of [`Ledger::advance`] and [`Ledger::enroll`]; the counts of what was refused and repeated are not in it.
+/// calls of [`UsageLedger::advance`] and [`UsageLedger::enroll`]; [`DiscardCounts`] are not serialized.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Ledger")]
 pub struct UsageLedger {
     settings: LedgerSettings,
-    roll: Enrollment,
-    /// The first window that is open.
-    open: i64,
-    accounts: BTreeMap<Name, Account>,
+    enrollment: Enrollment,
+    first_open_window: i64,
+    accounts: BTreeMap<Name, ReporterAccount>,
     #[serde(skip)]
-    heard: BTreeMap<Name, DiscardCounts>,
+    discarded: BTreeMap<Name, DiscardCounts>,
     #[serde(skip)]
-    strangers: u64,
+    unknown_reporter_count: u64,
 }
 
 impl UsageLedger {
-    /// An empty ledger: the window that holds `begin`, in milliseconds of Unix time, is the first that is open.
+    /// An empty ledger: the window that holds `begin_ms`, in milliseconds of Unix time, is the first open one.
     ///
     /// # Errors
     /// Settings out of their bounds.
-    pub fn new(settings: LedgerSettings, begin: i64) -> Result<UsageLedger, WrongBounds> {
-        settings.check()?;
-        let (roll, accounts, heard) = (Enrollment::default(), BTreeMap::new(), BTreeMap::new());
-        let open = begin.clamp(-MOST_INSTANT, MOST_INSTANT).div_euclid(settings.window_ms.into());
-        Ok(UsageLedger { settings, roll, open, accounts, heard, strangers: 0 })
-    }
-
-    /// Says who may report on whom from now on. A reporter that is gone holds nothing; what it told stays.
+    pub fn new(settings: LedgerSettings, begin_ms: i64) -> Result<UsageLedger, SettingsError> {
+        settings.validate()?;
+        Ok(UsageLedger {
+            settings,
+            enrollment: Enrollment::default(),
+            first_open_window: clamp_instant(begin_ms).div_euclid(settings.window_ms.into()),
+            accounts: BTreeMap::new(),
+            discarded: BTreeMap::new(),
+            unknown_reporter_count: 0,
+        })
+    }
+
+    /// Replaces the enrollment. No window waits for a reporter that is no longer enrolled; its usage stays.
     ///
     /// # Errors
-    /// A roll that is too large; the one before stays.
-    pub fn enroll(&mut self, roll: Enrollment) -> Result<(), WrongBounds> {
-        roll.check()?;
-        self.roll = roll;
-        self.heard.retain(|name, _| self.roll.reporters.contains_key(name));
+    /// An enrollment out of its bounds; the former one stays.
+    pub fn enroll(&mut self, enrollment: Enrollment) -> Result<(), EnrollmentError> {
+        enrollment.validate()?;
+        self.enrollment = enrollment;
+        self.discarded.retain(|name, _| self.enrollment.reporters.contains_key(name));
         Ok(())
     }
 
-    /// Takes a report. `now`, in milliseconds of Unix time, says only what is in the future.
+    /// Records a report. `now_ms`, in milliseconds of Unix time, determines only what is in the future.
     ///
     /// # Errors
-    /// A report that was refused: it is counted, and nothing else changes.
-    pub fn record(&mut self, now: i64, report: UsageReport) -> Result<ReportOutcome, ReportRejection> {
-        let Some((name, reporter)) = self.roll.reporters.get_key_value(&report.reporter) else {
-            self.strangers += 1;
+    /// Why the report was rejected: that is counted, and nothing else changes.
+    pub fn record(&mut self, now_ms: i64, report: UsageReport) -> Result<ReportOutcome, ReportRejection> {
+        let Some((name, reporter)) = self.enrollment.reporters.get_key_value(&report.reporter) else {
+            self.unknown_reporter_count += 1;
             return Err(ReportRejection::UnknownReporter);
         };
-        let now = now.clamp(-MOST_INSTANT, MOST_INSTANT);
-        let frame = Frame { settings: &self.settings, open: self.open, horizon: self.horizon() };
-        // Names are shared with the roll.
-        let taken = check(&self.settings, &self.roll, reporter, now, report).and_then(|report| {
-            match self.accounts.get_mut(name) {
-                Some(account) => account.take(frame, reporter.slots, report),
-                None => {
-                    let mut account = Account::default();
-                    let taken = account.take(frame, reporter.slots, report)?;
-                    self.accounts.insert(name.clone(), account);
-                    Ok(taken)
-                }
-            }
-        });
-        let heard = match taken {
-            Ok(ReportOutcome::Duplicate) | Err(_) => self.heard.entry(name.clone()).or_default(),
-            Ok(_) => return taken,
+        let context = AccountContext {
+            settings: &self.settings,
+            slots: reporter.slots,
+            first_open_window: self.first_open_window,
+            first_retained_window: self.first_retained_window(),
         };
-        match taken {
-            Err(refused) => *heard.rejected.entry(refused).or_default() += 1,
-            Ok(_) => heard.duplicates += 1,
+        let now_ms = clamp_instant(now_ms);
+        let result = validate_report(&self.settings, &self.enrollment, reporter, now_ms, report)
+            .and_then(|report| record_in_account(&mut self.accounts, name, context, report));
+        if matches!(result, Ok(ReportOutcome::Duplicate) | Err(_)) {
+            self.discarded.entry(name.clone()).or_default().count(result);
         }
-        taken
+        result
     }
 
-    /// Time went on, to `now` in milliseconds of Unix time: closes the windows that are over.
+    /// Advances the time to `now_ms`, in milliseconds of Unix time, and closes the windows that are over.
     ///
-    /// A window is over when all reporters that are enrolled and not in `dead` have told of more than it, or when
-    /// `now` is past its end by the allowed lateness. A reporter has told of all up to the start of the last report
-    /// before its first gap. Windows of which nobody told, and to which nothing is to be settled, are left out.
-    pub fn advance(&mut self, now: i64, dead: &BTreeSet<Name>) -> Vec<ClosedWindow> {
-        self.accounts.values_mut().for_each(|account| account.look(&self.settings));
-        let (window, now) = (i64::from(self.settings.window_ms), now.clamp(-MOST_INSTANT, MOST_INSTANT));
-        let latest = now.saturating_sub(self.settings.max_close_delay_ms.into());
-        let living = self.roll.reporters.keys().filter(|name| !dead.contains(*name));
-        let told = living.map(|name| self.mark(name)).min().unwrap_or(latest);
-        // Nobody closes what is not over by the clock.
-        let open = told.min(now).max(latest).div_euclid(window);
-        if open <= self.open {
+    /// A window is over when the watermarks of all reporters that are enrolled and not in `dead` are past it, or when
+    /// `now_ms` is past its end by the longest delay. A reporter's watermark is the start of the last report before
+    /// its first gap. Windows without usage, and with nothing to settle, are left out.
+    pub fn advance(&mut self, now_ms: i64, dead: &BTreeSet<Name>) -> Vec<ClosedWindow> {
+        self.accounts.values_mut().for_each(|account| account.advance_watermark(&self.settings));
+        let first_open = self.next_open_window(clamp_instant(now_ms), dead);
+        if first_open <= self.first_open_window {
             return Vec::new();
         }
-        let before = self.horizon();
-        let first = std::mem::replace(&mut self.open, open);
+        let former_first_retained = self.first_retained_window();
+        let first_closed = std::mem::replace(&mut self.first_open_window, first_open);
+        let mut closed = self.collect_closed(first_closed);
+        for (&index, window) in &mut closed {
+            window.index = index;
+            window.remove_zeros();
+            window.incomplete_reporters = self.incomplete_reporters(index).cloned().collect();
+        }
+        self.discard_before_horizon(former_first_retained);
+        closed.into_values().collect()
+    }
+
+    /// The first window that is open at an instant.
+    fn next_open_window(&self, now_ms: i64, dead: &BTreeSet<Name>) -> i64 {
+        let latest_close_ms = now_ms.saturating_sub(self.settings.max_close_delay_ms.into());
+        let living = self.enrollment.reporters.keys().filter(|name| !dead.contains(*name));
+        let reported_ms = living.map(|name| self.watermark_or_min(name)).min().unwrap_or(latest_close_ms);
+        // No watermark closes a window that is not over by the clock.
+        reported_ms.min(now_ms).max(latest_close_ms).div_euclid(self.settings.window_ms.into())
+    }
+
+    /// The windows from `first_closed` to the first open one: their usage, and what is settled with the first.
+    fn collect_closed(&mut self, first_closed: i64) -> BTreeMap<i64, ClosedWindow> {
         let mut closed: BTreeMap<i64, ClosedWindow> = BTreeMap::new();
         for (name, account) in &mut self.accounts {
-            let settled = account.adjust(first);
-            if !settled.tenants.is_empty() || settled.cut != 0 {
-                let of = closed.entry(first).or_default();
-                for (tenant, work) in settled.tenants {
-                    *of.adjustments.entry(tenant).or_default() += work;
-                }
-                of.excess.insert(name.clone(), settled.cut);
+            let adjustments = account.settle_changes(first_closed);
+            if !adjustments.is_zero() {
+                closed.entry(first_closed).or_default().add_adjustments(name, adjustments);
             }
-            for at in account.windows(first, open) {
-                let of = closed.entry(at).or_default();
-                let Some(settled) = account.window(at) else { continue };
-                for (tenant, work) in settled.tenants {
-                    *of.work.entry(tenant).or_default() += work.unsigned_abs();
+            for index in account.windows_in(first_closed..self.first_open_window) {
+                let window = closed.entry(index).or_default();
+                if let Some(usage) = account.window_usage(index) {
+                    window.add_usage(name, usage);
                 }
-                *of.excess.entry(name.clone()).or_default() += settled.cut;
             }
         }
-        for (&at, of) in &mut closed {
-            of.index = at;
-            of.excess.retain(|_, cut| *cut != 0);
-            of.adjustments.retain(|_, work| *work != 0);
-            let end = (at + 1) * window;
-            of.incomplete_reporters =
-                self.roll.reporters.keys().filter(|name| self.mark(name) < end).cloned().collect();
-        }
-        let (horizon, roll) = (self.horizon(), &self.roll);
-        if horizon > before {
-            self.accounts.values_mut().for_each(|account| account.fold(horizon, &self.settings));
+        closed
+    }
+
+    /// Discards what the horizon passed, and the accounts of which nothing is left.
+    fn discard_before_horizon(&mut self, former_first_retained: i64) {
+        let first_retained = self.first_retained_window();
+        if first_retained > former_first_retained {
+            self.accounts
+                .values_mut()
+                .for_each(|account| account.discard_before(first_retained, &self.settings));
         }
-        self.accounts.retain(|name, account| roll.reporters.contains_key(name) || !account.is_empty());
-        closed.into_values().collect()
+        let enrolled = &self.enrollment.reporters;
+        self.accounts.retain(|name, account| enrolled.contains_key(name) || !account.is_empty());
     }
 
     /// What is known of the window that holds an instant, in milliseconds of Unix time.
-    pub fn provisional_usage(&self, at: i64) -> ProvisionalUsage {
-        let window = i64::from(self.settings.window_ms);
-        let at = at.div_euclid(window);
-        let mut known = ProvisionalUsage::default();
+    pub fn provisional_usage(&self, instant_ms: i64) -> ProvisionalUsage {
+        let index = instant_ms.div_euclid(self.settings.window_ms.into());
+        let mut provisional = ProvisionalUsage::default();
         for account in self.accounts.values() {
-            for (tenant, work) in account.window(at).unwrap_or_default().tenants {
-                *known.work.entry(tenant).or_default() += work.unsigned_abs();
+            for (tenant, work) in account.window_usage(index).unwrap_or_default().work_by_tenant {
+                *provisional.work.entry(tenant).or_default() += work.unsigned_abs();
             }
         }
-        let end = at.saturating_add(1).saturating_mul(window);
-        for (name, reporter) in self.roll.reporters.iter().filter(|(name, _)| self.mark(name) < end) {
-            let most = u64::from(reporter.slots) * u64::from(self.settings.window_ms);
-            let told = self.accounts.get(name).and_then(|account| account.window(at)).unwrap_or_default();
-            let told: u64 = told.tenants.values().map(|work| work.unsigned_abs()).sum();
-            known.max_outstanding += most.saturating_sub(told);
+        for name in self.incomplete_reporters(index) {
+            let slots = self.enrollment.reporters[name].slots;
+            let capacity = u64::from(slots) * u64::from(self.settings.window_ms);
+            let account = self.accounts.get(name);
+            let usage = account.and_then(|account| account.window_usage(index)).unwrap_or_default();
+            provisional.max_outstanding += capacity.saturating_sub(usage.total_work());
         }
-        known
+        provisional
     }
 
-    /// Up to when a reporter has told of all, in milliseconds of Unix time, as of the last advance.
+    /// Up to when a reporter has reported all, in milliseconds of Unix time, as of the last advance.
     pub fn watermark(&self, reporter: &str) -> Option<i64> {
-        self.accounts.get(reporter).and_then(|account| account.mark)
+        self.accounts.get(reporter).and_then(ReporterAccount::watermark_ms)
     }
 
     /// The beginning of the first open window, in milliseconds of Unix time.
     pub fn open_window_start_ms(&self) -> i64 {
-        self.open * i64::from(self.settings.window_ms)
+        self.first_open_window * i64::from(self.settings.window_ms)
     }
 
-    /// What of a reporter's starts is missing.
+    /// What is missing of each of a reporter's incarnations.
     pub fn sequence_gaps(&self, reporter: &str) -> Vec<SequenceGaps> {
-        let starts = self.accounts.get(reporter).into_iter().flat_map(Account::missing);
-        let missing = starts.map(|(generation, sequences, given_up)| SequenceGaps {
-            incarnation: generation,
-            missing: sequences,
-            abandoned: given_up,
-        });
-        missing.collect()
+        self.accounts.get(reporter).into_iter().flat_map(ReporterAccount::sequence_gaps).collect()
     }
 
-    /// What was refused of a reporter, and what it repeated.
+    /// How many reports of an enrolled reporter were rejected or duplicates.
     pub fn discard_counts(&self, reporter: &str) -> DiscardCounts {
-        self.heard.get(reporter).cloned().unwrap_or_default()
+        self.discarded.get(reporter).cloned().unwrap_or_default()
     }
 
-    /// How many reports came from those who are not enrolled.
+    /// How many reports came from reporters that are not enrolled.
     pub fn unknown_reporter_count(&self) -> u64 {
-        self.strangers
+        self.unknown_reporter_count
     }
 
-    fn mark(&self, reporter: &Name) -> i64 {
+    fn watermark_or_min(&self, reporter: &Name) -> i64 {
         self.watermark(reporter.as_str()).unwrap_or(i64::MIN)
     }
 
-    /// The first window that is not folded away. It moves by a sixteenth of itself at once, as to fold is to look at
-    /// all that is kept.
-    fn horizon(&self) -> i64 {
+    /// The enrolled reporters that have not reported all of a window.
+    fn incomplete_reporters(&self, index: i64) -> impl Iterator<Item = &Name> {
+        let end_ms = index.saturating_add(1).saturating_mul(self.settings.window_ms.into());
+        self.enrollment.reporters.keys().filter(move |name| self.watermark_or_min(name) < end_ms)
+    }
+
+    /// The first window that is retained.
+    fn first_retained_window(&self) -> i64 {
         let windows = i64::from(self.settings.horizon_ms / self.settings.window_ms);
-        let step = (windows / 16).max(1);
-        (self.open - windows).div_euclid(step) * step
+        let step = (windows / HORIZON_STEPS).max(1);
+        (self.first_open_window - windows).div_euclid(step) * step
     }
 }
 
-/// What a report must keep by itself, whatever else came.
-fn check(
-    settings: &LedgerSettings,
-    roll: &Enrollment,
-    reporter: &Reporter,
-    now: i64,
+fn clamp_instant(instant_ms: i64) -> i64 {
+    instant_ms.clamp(-MAX_INSTANT_MS, MAX_INSTANT_MS)
+}
+
+/// Records a valid report; an account is created only if the report is accepted.
+fn record_in_account(
+    accounts: &mut BTreeMap<Name, ReporterAccount>,
+    reporter: &Name,
+    context: AccountContext<'_>,
     report: UsageReport,
-) -> Result<UsageReport, ReportRejection> {
-    let Some((tenant, federation)) = roll.tenants.get_key_value(&report.tenant) else {
-        return Err(ReportRejection::UnknownTenant);
-    };
-    if reporter.federation.as_ref().is_some_and(|own| own != federation) {
-        return Err(ReportRejection::ForeignTenant);
-    }
-    if report.end_ms <= report.start_ms {
-        return Err(ReportRejection::EmptyInterval);
-    }
-    let length = report.end_ms.checked_sub(report.start_ms).and_then(|length| u32::try_from(length).ok());
-    let Some(length) = length.filter(|&length| length <= settings.max_interval_ms) else {
-        return Err(ReportRejection::IntervalTooLong);
-    };
-    if report.end_ms > now.saturating_add(settings.max_clock_skew_ms.into()) {
-        return Err(ReportRejection::InFuture);
-    }
-    if report.work > u64::from(reporter.slots) * u64::from(length) {
-        return Err(ReportRejection::ExceedsCapacity);
-    }
-    Ok(UsageReport { tenant: tenant.clone(), ..report })
+) -> Result<ReportOutcome, ReportRejection> {
+    if let Some(account) = accounts.get_mut(reporter) {
+        return account.record(context, report);
+    }
+    let mut account = ReporterAccount::default();
+    let outcome = account.record(context, report)?;
+    // The name shares the memory of the enrollment's.
+    accounts.insert(reporter.clone(), account);
+    Ok(outcome)
 }
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -1,42 +1,60 @@
-//! Fair shares of federated tenants from usage reports that come late, twice, out of order and with gaps, with no
-//! I/O and no clock: time is an argument.
+//! Fair shares of federated tenants, computed from usage reports that may arrive late, twice, out of order or with
+//! gaps. No I/O and no clock: time is an argument.
 //!
 //! ```text
-//!  report ──► Ledger::take ──► windows by event time ──► Ledger::advance ──► Closed ──► Debts
-//!                                      │                                       │          │
-//!                                      └──► Ledger::provisional ──► Usage::measured ◄─────┘
-//!                                                                      │
-//!                              Agreement, Reserved ──► table() ◄───────┘  ──► Table
+//!  UsageReport ─► UsageLedger::record ─► accounting windows ─► UsageLedger::advance ─► ClosedWindow ─► Debts
+//!                                          by event time                                     │           │
+//!                                               │                                            ▼           │
+//!                                               └─► provisional_usage ─► TenantDemands::from_measured_usage
+//!                                                                                     │
+//!                          FairSharePolicy, ReservedShares ─► allocate_shares ◄───────┘  ─► ShareTable
 //! ```
 //!
-//! 1. The ledger is a function of the *set* of reports that came between two calls of [`Ledger::advance`]: any order
-//!    and any repetition leaves the same bytes. What bounds it (sequences, generations, event time) moves in
-//!    `advance` alone.
-//! 2. What it counted is the sum of what it accepted: windows, adjustments and what was cut add up.
-//! 3. [`table()`] is weighted max-min over federations and then over their tenants, in whole parts in a million.
+//! 1. The ledger is a function of the *set* of reports that arrived between two calls of [`UsageLedger::advance`]:
+//!    any order and any repetition leaves the same bytes. The limits on what is accepted (sequences, incarnations,
+//!    event time) change in `advance` alone.
+//! 2. Usage is conserved: the work in windows, the adjustments and the excess add up to the work accepted.
+//! 3. [`allocate_shares`] is weighted max-min over federations and then over their tenants, in parts per million.
 //!
-//! Nothing here is a float.
+//! All arithmetic is on integers.
 #![forbid(unsafe_code)]
 
-mod account;
-mod agreement;
+mod allocation;
+mod apportionment;
 mod debt;
-mod fill;
+mod demand;
+mod enrollment;
+mod fairness_index;
+mod incarnation_log;
 mod ledger;
-mod report;
-mod table;
+mod measured_demand;
+mod policy;
+mod reporter_account;
+mod reservation;
+mod settings;
+mod share_table;
+mod usage_entry;
+mod usage_report;
+mod validation;
+mod water_filling;
+mod window;
+mod window_usage;
 
-pub use agreement::{FairSharePolicy, Federation, PolicyError, PolicyErrorKind, ShareConfig};
+pub use allocation::{allocate_shares, entitlements};
+pub use apportionment::apportion;
 pub use copperspread_identifiers::{Name, NameError};
 pub use debt::Debts;
-pub use fill::{apportion, jain_fairness_index};
-pub use ledger::{ClosedWindow, DiscardCounts, ProvisionalUsage, SequenceGaps, UsageLedger};
-pub use report::{
-    Enrollment, LedgerSettings, ReportOutcome, ReportRejection, Reporter, UsageReport, WrongBounds,
-};
-pub use table::{
-    ReservedShares, ShareTable, TenantDemand, TenantDemands, TenantShare, allocate_shares, entitlements,
-};
+pub use demand::{TenantDemand, TenantDemands};
+pub use enrollment::{Enrollment, EnrollmentError, Reporter};
+pub use fairness_index::jain_fairness_index;
+pub use incarnation_log::SequenceGaps;
+pub use ledger::{DiscardCounts, UsageLedger};
+pub use policy::{FairSharePolicy, Federation, PolicyError, PolicyErrorKind, ShareConfig};
+pub use reservation::ReservedShares;
+pub use settings::{LedgerSettings, SettingsError};
+pub use share_table::{ShareTable, TenantShare};
+pub use usage_report::{ReportOutcome, ReportRejection, UsageReport};
+pub use window::{ClosedWindow, ProvisionalUsage};
 
-/// Shares are parts in so many.
+/// The whole of the fleet's capacity: shares are in parts per million.
 pub const FULL_SHARE_PPM: u32 = 1_000_000;
--- /dev/null
+++ b/crates/fair-share/src/measured_demand.rs
@@ -0,0 +1,43 @@
+//! Demands estimated from measured usage.
+use std::collections::BTreeMap;
+
+use crate::allocation::entitlements;
+use crate::demand::{TenantDemand, TenantDemands};
+use crate::policy::FairSharePolicy;
+use crate::{FULL_SHARE_PPM, Name};
+
+/// A demand is this many times the measured usage, so that a tenant that lent its share regains it in two windows.
+const DEMAND_GROWTH: u128 = 2;
+/// A demand is at least the entitlement divided by this, so that a new tenant has something to begin with.
+const MIN_DEMAND_DIVISOR: u32 = 4;
+
+impl TenantDemands {
+    /// Estimates the demands from measured usage.
+    ///
+    /// `work` is each tenant's work in a window, in slot-milliseconds, and `capacity` what the whole fleet can do in
+    /// it; `debts` are those of [`crate::Debts::relative_debts`]. The demand of a tenant is twice its usage, but no
+    /// less than a quarter of its entitlement. If the capacity is 0, each demands that quarter.
+    pub fn from_measured_usage(
+        policy: &FairSharePolicy,
+        work: &BTreeMap<Name, u64>,
+        capacity: u64,
+        debts: &BTreeMap<Name, u32>,
+    ) -> TenantDemands {
+        let demands = entitlements(policy).into_iter().map(|(tenant, entitlement)| {
+            let tenant_work = work.get(&tenant).copied().unwrap_or(0);
+            let minimum = entitlement.div_ceil(MIN_DEMAND_DIVISOR);
+            let demand = demand_ppm(tenant_work, capacity).max(minimum);
+            let debt = debts.get(&tenant).copied().unwrap_or(0);
+            (tenant, TenantDemand { demand, debt })
+        });
+        TenantDemands(demands.collect())
+    }
+}
+
+fn demand_ppm(work: u64, capacity: u64) -> u32 {
+    if capacity == 0 {
+        return 0;
+    }
+    let ppm = u128::from(work) * DEMAND_GROWTH * u128::from(FULL_SHARE_PPM) / u128::from(capacity);
+    ppm.min(FULL_SHARE_PPM.into()) as u32
+}
--- /dev/null
+++ b/crates/fair-share/src/reporter_account.rs
@@ -0,0 +1,208 @@
+//! The account of one reporter: the logs of its incarnations, and its usage by window.
+use std::collections::BTreeMap;
+use std::ops::Range;
+
+use serde::{Deserialize, Serialize};
+
+use crate::incarnation_log::{EntryStatus, IncarnationLog, SequenceGaps};
+use crate::settings::LedgerSettings;
+use crate::usage_entry::UsageEntry;
+use crate::usage_report::{ReportOutcome, ReportRejection, UsageReport};
+use crate::window_usage::{UsageDelta, WindowUsage};
+
+/// What an account must know of the ledger and of its reporter.
+#[derive(Clone, Copy)]
+pub(crate) struct AccountContext<'a> {
+    pub(crate) settings: &'a LedgerSettings,
+    /// Slots of the reporter's pool.
+    pub(crate) slots: u32,
+    pub(crate) first_open_window: i64,
+    /// The first window that is retained.
+    pub(crate) first_retained_window: i64,
+}
+
+impl AccountContext<'_> {
+    fn window_ms(&self) -> i64 {
+        self.settings.window_ms.into()
+    }
+
+    fn window_of(&self, instant_ms: i64) -> i64 {
+        instant_ms.div_euclid(self.window_ms())
+    }
+
+    /// What the reporter's pool can do in a window, in slot-milliseconds.
+    fn window_capacity(&self) -> u64 {
+        u64::from(self.slots) * u64::from(self.settings.window_ms)
+    }
+}
+
+/// The account of one reporter. Its owner is the ledger.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub(crate) struct ReporterAccount {
+    incarnations: BTreeMap<u64, IncarnationLog>,
+    /// Earlier incarnations than this one are rejected.
+    oldest_incarnation: u64,
+    watermark_ms: Option<i64>,
+    windows: BTreeMap<i64, WindowUsage>,
+}
+
+impl ReporterAccount {
+    /// Records a report whose reporter, tenant, interval and work are valid.
+    pub(crate) fn record(
+        &mut self,
+        context: AccountContext<'_>,
+        report: UsageReport,
+    ) -> Result<ReportOutcome, ReportRejection> {
+        let UsageReport { incarnation, sequence, corrects, .. } = report;
+        let window = context.window_of(report.start_ms);
+        if window < context.first_retained_window {
+            return Err(ReportRejection::BeforeHorizon);
+        }
+        let displaced = self.displaced_incarnation(incarnation, context.settings)?;
+        let empty_log = IncarnationLog::new(context.settings);
+        let log = self.incarnations.get(&incarnation).unwrap_or(&empty_log);
+        let entry = UsageEntry::new(report);
+        let outcome = match log.classify(sequence, &entry, corrects)? {
+            EntryStatus::Duplicate => return Ok(ReportOutcome::Duplicate),
+            EntryStatus::Replacement => ReportOutcome::Replaced,
+            EntryStatus::New if window < context.first_open_window => ReportOutcome::Late,
+            EntryStatus::New => ReportOutcome::Counted,
+        };
+        if let Some(displaced) = displaced {
+            self.discard_incarnation(displaced, context);
+        }
+        let change = self.incarnations.entry(incarnation).or_insert(empty_log).insert(sequence, entry);
+        change.before.iter().for_each(|entry| self.subtract_from_windows(entry, context));
+        change.after.iter().for_each(|entry| self.add_to_windows(entry, context));
+        change.before.iter().for_each(|entry| self.prune_windows(entry, context));
+        Ok(outcome)
+    }
+
+    /// The incarnation that a report's incarnation displaces, if any. Of those that began since the last advance the
+    /// latest are kept, in whatever order they arrive.
+    fn displaced_incarnation(
+        &self,
+        incarnation: u64,
+        settings: &LedgerSettings,
+    ) -> Result<Option<u64>, ReportRejection> {
+        if incarnation < self.oldest_incarnation {
+            return Err(ReportRejection::OldIncarnation);
+        }
+        if self.incarnations.contains_key(&incarnation) {
+            return Ok(None);
+        }
+        let new_logs = || self.incarnations.iter().filter(|(_, log)| log.is_new());
+        if new_logs().count() < settings.max_incarnations.into() {
+            return Ok(None);
+        }
+        match new_logs().next() {
+            Some((&oldest_new, _)) if incarnation < oldest_new => Err(ReportRejection::OldIncarnation),
+            oldest_new => Ok(oldest_new.map(|(&oldest_new, _)| oldest_new)),
+        }
+    }
+
+    /// Takes back all entries of an incarnation since whose start there was no advance.
+    fn discard_incarnation(&mut self, incarnation: u64, context: AccountContext<'_>) {
+        let Some(log) = self.incarnations.remove(&incarnation) else { return };
+        log.effective_entries().for_each(|entry| self.subtract_from_windows(entry, context));
+        log.effective_entries().for_each(|entry| self.prune_windows(entry, context));
+    }
+
+    fn add_to_windows(&mut self, entry: &UsageEntry, context: AccountContext<'_>) {
+        self.update_windows(entry, context, u64::saturating_add);
+    }
+
+    fn subtract_from_windows(&mut self, entry: &UsageEntry, context: AccountContext<'_>) {
+        self.update_windows(entry, context, u64::saturating_sub);
+    }
+
+    fn update_windows(
+        &mut self,
+        entry: &UsageEntry,
+        context: AccountContext<'_>,
+        update: fn(u64, u64) -> u64,
+    ) {
+        for (index, work) in entry.split_by_window(context.window_ms()).filter(|&(_, work)| work > 0) {
+            let usage =
+                self.windows.entry(index).or_insert_with(|| WindowUsage::new(context.window_capacity()));
+            if index < context.first_open_window {
+                usage.remember_settled();
+            }
+            usage.update_work(entry.tenant(), work, update);
+        }
+    }
+
+    /// Leaves no trace of an entry that was subtracted, so that it does not matter that it was ever received.
+    fn prune_windows(&mut self, entry: &UsageEntry, context: AccountContext<'_>) {
+        for (index, _) in entry.split_by_window(context.window_ms()) {
+            let Some(usage) = self.windows.get_mut(&index) else { continue };
+            usage.forget_settled_if_unchanged();
+            if usage.is_empty() {
+                self.windows.remove(&index);
+            }
+        }
+    }
+
+    /// Moves the watermark past what was received since the last advance, and drops the oldest incarnations. Their
+    /// work stays in the windows.
+    pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
+        self.incarnations.values_mut().for_each(|log| log.advance_watermark(settings));
+        let latest_ms = self.incarnations.values().filter_map(IncarnationLog::watermark_ms).max();
+        self.watermark_ms = latest_ms.max(self.watermark_ms);
+        while self.incarnations.len() > settings.max_incarnations.into() {
+            self.incarnations.pop_first();
+            self.oldest_incarnation = self.incarnations.keys().next().copied().unwrap_or(0);
+        }
+    }
+
+    /// All before this instant was reported, in milliseconds of Unix time.
+    pub(crate) fn watermark_ms(&self) -> Option<i64> {
+        self.watermark_ms
+    }
+
+    /// Settles what changed in closed windows since they were last settled.
+    pub(crate) fn settle_changes(&mut self, first_open_window: i64) -> UsageDelta {
+        let mut delta = UsageDelta::default();
+        let mut emptied = Vec::new();
+        for (&index, usage) in self.windows.range_mut(..first_open_window) {
+            if usage.settle(&mut delta) && usage.is_empty() {
+                emptied.push(index);
+            }
+        }
+        for index in emptied {
+            self.windows.remove(&index);
+        }
+        delta.work_by_tenant.retain(|_, work| *work != 0);
+        delta
+    }
+
+    /// What counts in one window.
+    pub(crate) fn window_usage(&self, index: i64) -> Option<UsageDelta> {
+        let usage = self.windows.get(&index)?;
+        let mut delta = UsageDelta::default();
+        delta.add(&usage.counted_work());
+        Some(delta)
+    }
+
+    /// The numbers of the windows within a range for which usage was reported.
+    pub(crate) fn windows_in(&self, range: Range<i64>) -> impl Iterator<Item = i64> {
+        self.windows.range(range).map(|(&index, _)| index)
+    }
+
+    /// Discards windows, and the entries that begin in them.
+    pub(crate) fn discard_before(&mut self, first_retained_window: i64, settings: &LedgerSettings) {
+        self.windows = self.windows.split_off(&first_retained_window);
+        let instant_ms = first_retained_window.saturating_mul(settings.window_ms.into());
+        self.incarnations.values_mut().for_each(|log| log.discard_before(instant_ms, settings));
+    }
+
+    /// Whether nothing is left that a report could still change.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.windows.is_empty() && !self.incarnations.values().any(IncarnationLog::has_entries)
+    }
+
+    /// For each incarnation, what is missing.
+    pub(crate) fn sequence_gaps(&self) -> impl Iterator<Item = SequenceGaps> {
+        self.incarnations.iter().map(|(&incarnation, log)| log.sequence_gaps(incarnation))
+    }
+}
--- /dev/null
+++ b/crates/fair-share/src/usage_entry.rs
@@ -0,0 +1,65 @@
+//! A report as an incarnation's log keeps it.
+use std::num::NonZeroU64;
+
+use serde::{Deserialize, Serialize};
+
+use crate::Name;
+use crate::usage_report::UsageReport;
+
+/// A report without its reporter, incarnation and sequence number. Of two with the same sequence number the lesser
+/// one, by the order of these fields, counts.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub(crate) struct UsageEntry {
+    work: u64,
+    start_ms: i64,
+    /// Over 0.
+    length_ms: u32,
+    tenant: Name,
+    corrects: Option<NonZeroU64>,
+}
+
+impl UsageEntry {
+    /// The entry of a report whose interval is valid.
+    pub(crate) fn new(report: UsageReport) -> UsageEntry {
+        UsageEntry {
+            work: report.work,
+            start_ms: report.start_ms,
+            length_ms: (report.end_ms - report.start_ms) as u32,
+            tenant: report.tenant,
+            corrects: report.corrects.and_then(NonZeroU64::new),
+        }
+    }
+
+    pub(crate) fn tenant(&self) -> &Name {
+        &self.tenant
+    }
+
+    pub(crate) fn start_ms(&self) -> i64 {
+        self.start_ms
+    }
+
+    /// The sequence number that it corrects.
+    pub(crate) fn corrects(&self) -> Option<u64> {
+        self.corrects.map(NonZeroU64::get)
+    }
+
+    pub(crate) fn is_correction(&self) -> bool {
+        self.corrects.is_some()
+    }
+
+    /// The work in each window, with the window's number. Work done by an instant is rounded down, so that the parts
+    /// add up to the whole.
+    pub(crate) fn split_by_window(&self, window_ms: i64) -> impl Iterator<Item = (i64, u64)> {
+        let (start_ms, length_ms, work) = (self.start_ms, i64::from(self.length_ms), u128::from(self.work));
+        let first = start_ms.div_euclid(window_ms);
+        let last = (start_ms + length_ms - 1).div_euclid(window_ms);
+        let work_done_by = move |instant_ms: i64| {
+            let elapsed_ms = (instant_ms - start_ms).clamp(0, length_ms);
+            (work * elapsed_ms as u128 / length_ms as u128) as u64
+        };
+        (first..=last).map(move |index| {
+            let work_in_window = work_done_by((index + 1) * window_ms) - work_done_by(index * window_ms);
+            (index, work_in_window)
+        })
+    }
+}
