--- a/crates/fair-share/tests/support/mod.rs
+++ b/crates/fair-share/tests/support/mod.rs
@@ -7,15 +7,15 @@
 };
 
 /// The start of the first window, in milliseconds of Unix time.
-pub const BEGIN_MS: i64 = 1_000_000;
-pub const SLOTS: u32 = 10;
+pub(crate) const BEGIN_MS: i64 = 1_000_000;
+pub(crate) const SLOTS: u32 = 10;
 
-pub fn name(text: &str) -> Name {
+pub(crate) fn name(text: &str) -> Name {
     Name::new(text).expect("a valid name")
 }
 
 /// Windows of 1 s, a close delay of 2 s at most, a horizon of 10 s.
-pub fn settings() -> LedgerSettings {
+fn settings() -> LedgerSettings {
     LedgerSettings {
         window_ms: 1_000,
         max_close_delay_ms: 2_000,
@@ -30,7 +30,7 @@
 
 /// Reporters `r0` to `r2` with 10 slots, `p` that may report on federation `f1` alone; tenants `t0`, `t2` in `f0`, `t1`,
 /// `t3` in `f1`.
-pub fn ledger() -> UsageLedger {
+pub(crate) fn ledger() -> UsageLedger {
     let mut ledger = UsageLedger::new(settings(), BEGIN_MS).expect("valid settings");
     let reporter = |federation: Option<&str>| Reporter { slots: SLOTS, federation: federation.map(name) };
     let mut reporters: BTreeMap<Name, Reporter> =
@@ -42,7 +42,7 @@
 }
 
 /// A report on `t0` by incarnation 1, from `start_ms` milliseconds after [`BEGIN_MS`] on.
-pub fn report(reporter: &str, sequence: u64, start_ms: i64, length_ms: i64, work: u64) -> UsageReport {
+pub(crate) fn report(reporter: &str, sequence: u64, start_ms: i64, length_ms: i64, work: u64) -> UsageReport {
     let start_ms = BEGIN_MS + start_ms;
     let (reporter, tenant) = (name(reporter), name("t0"));
     UsageReport {
@@ -58,18 +58,18 @@
 }
 
 /// Records reports, rejected ones among them.
-pub fn record_all(ledger: &mut UsageLedger, now: i64, reports: Vec<UsageReport>) {
+pub(crate) fn record_all(ledger: &mut UsageLedger, now_ms: i64, reports: Vec<UsageReport>) {
     for report in reports {
-        let _ = ledger.record(now, report);
+        let _ = ledger.record(now_ms, report);
     }
 }
 
-pub fn bytes(ledger: &UsageLedger) -> Vec<u8> {
+pub(crate) fn bytes(ledger: &UsageLedger) -> Vec<u8> {
     postcard::to_allocvec(ledger).expect("serializes")
 }
 
 /// `f0` of `t0`, `t2`, `f1` of `t1`, `t3`; a tenth guaranteed to each tenant.
-pub fn policy() -> FairSharePolicy {
+pub(crate) fn policy() -> FairSharePolicy {
     let federation = |tenants: [&str; 2]| {
         let share_config = |guarantee| ShareConfig { weight: 1, guarantee, ceiling: FULL_SHARE_PPM };
         let tenants = tenants.into_iter().map(|tenant| (name(tenant), share_config(100_000)));
--- a/crates/fair-share/tests/transcripts.rs
+++ b/crates/fair-share/tests/transcripts.rs
@@ -1,16 +1,20 @@
-//! Approved transcripts: the postcard bytes of reports, of what a ledger restores from and of what it says.
+//! Approved transcripts: the postcard bytes of reports, of a stored ledger and of its results.
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
-use copperspread_fair_share::*;
+use copperspread_fair_share::{
+    ClosedWindow, Debts, Enrollment, FULL_SHARE_PPM, FairSharePolicy, Federation, LedgerSettings, Name,
+    ReportRejection, Reporter, ReservedShares, ShareConfig, TenantDemands, UsageLedger, UsageReport,
+    allocate_shares,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Where the ledger begins, in milliseconds of Unix time.
-const BEGIN: i64 = 1_000_000;
+/// The start of the first window, in milliseconds of Unix time.
+const BEGIN_MS: i64 = 1_000_000;
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a name")
+    Name::new(text).expect("a valid name")
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -41,25 +45,25 @@
     }
 }
 
-fn roll() -> Enrollment {
+fn enrollment() -> Enrollment {
     let reporters = [
         (name("r0"), Reporter { slots: 10, federation: None }),
         (name("partner"), Reporter { slots: 4, federation: Some(name("f1")) }),
     ];
-    let tenants = [("t0", "f0"), ("t1", "f1")].map(|(tenant, of)| (name(tenant), name(of)));
+    let tenants = [("t0", "f0"), ("t1", "f1")].map(|(tenant, federation)| (name(tenant), name(federation)));
     Enrollment { reporters: reporters.into(), tenants: tenants.into() }
 }
 
-fn report(reporter: &str, sequence: u64, tenant: &str, start: i64, work: u64) -> UsageReport {
-    let start = BEGIN + start;
+fn report(reporter: &str, sequence: u64, tenant: &str, start_ms: i64, work: u64) -> UsageReport {
+    let start_ms = BEGIN_MS + start_ms;
     let (reporter, tenant) = (name(reporter), name(tenant));
     UsageReport {
         reporter,
         incarnation: 7,
         sequence,
         tenant,
-        start_ms: start,
-        end_ms: start + 1_000,
+        start_ms,
+        end_ms: start_ms + 1_000,
         work,
         corrects: None,
     }
@@ -69,13 +73,16 @@
     UsageReport { corrects: Some(1), ..report("r0", 3, "t0", 0, 5_000) }
 }
 
-fn agreement() -> FairSharePolicy {
+fn policy() -> FairSharePolicy {
     let federation = |tenant: &str, weight| {
-        let terms = |guarantee| ShareConfig { weight, guarantee, ceiling: FULL_SHARE_PPM };
-        Federation { share_config: terms(200_000), tenants: [(name(tenant), terms(100_000))].into() }
+        let share_config = |guarantee| ShareConfig { weight, guarantee, ceiling: FULL_SHARE_PPM };
+        Federation {
+            share_config: share_config(200_000),
+            tenants: [(name(tenant), share_config(100_000))].into(),
+        }
     };
-    let both = [(name("f0"), federation("t0", 1)), (name("f1"), federation("t1", 3))];
-    FairSharePolicy::new(both.into()).expect("it can be kept")
+    let federations = [(name("f0"), federation("t0", 1)), (name("f1"), federation("t1", 3))];
+    FairSharePolicy::new(federations.into()).expect("a valid policy")
 }
 
 /// Each rejection under the name that its serialized form has.
@@ -97,10 +104,10 @@
     ]
 }
 
-/// A ledger with windows open and closed, a correction, a gap and more than a pool can do.
+/// A ledger with open and closed windows, a correction, a gap and more work than a pool can do.
 fn ledger() -> (UsageLedger, Vec<ClosedWindow>) {
-    let mut ledger = UsageLedger::new(settings(), BEGIN).expect("good settings");
-    ledger.enroll(roll()).expect("a small roll");
+    let mut ledger = UsageLedger::new(settings(), BEGIN_MS).expect("valid settings");
+    ledger.enroll(enrollment()).expect("a small enrollment");
     let first = [
         report("r0", 1, "t0", 0, 9_000),
         report("r0", 2, "t1", 500, 9_500),
@@ -108,22 +115,22 @@
         report("partner", 4, "t1", 1_500, 2_000),
     ];
     for report in first {
-        ledger.record(BEGIN + 2_500, report).expect("good");
+        ledger.record(BEGIN_MS + 2_500, report).expect("a valid report");
     }
-    let mut closed = ledger.advance(BEGIN + 3_500, &BTreeSet::new());
-    ledger.record(BEGIN + 3_500, correction()).expect("good");
-    ledger.record(BEGIN + 3_500, report("r0", 4, "t0", 2_000, 8_000)).expect("good");
-    closed.extend(ledger.advance(BEGIN + 4_200, &[name("partner")].into()));
+    let mut closed = ledger.advance(BEGIN_MS + 3_500, &BTreeSet::new());
+    ledger.record(BEGIN_MS + 3_500, correction()).expect("a valid report");
+    ledger.record(BEGIN_MS + 3_500, report("r0", 4, "t0", 2_000, 8_000)).expect("a valid report");
+    closed.extend(ledger.advance(BEGIN_MS + 4_200, &[name("partner")].into()));
     (ledger, closed)
 }
 
 #[test]
-fn what_comes_in_is_as_approved_and_is_read_back() {
+fn inputs_have_the_approved_bytes_and_are_read_back() {
     let mut text = line("report", &report("r0", 1, "t0", 0, 9_000));
     text += &line("correction", &correction());
     text += &line("settings", &settings());
-    text += &line("roll", &roll());
-    text += &line("agreement", &agreement());
+    text += &line("roll", &enrollment());
+    text += &line("agreement", &policy());
     let rejections = rejections();
     let lines = rejections.iter().map(|(name, rejection)| line(&format!("{name} ({rejection})"), rejection));
     text += &lines.collect::<String>();
@@ -131,34 +138,34 @@
 }
 
 #[test]
-fn a_ledger_and_what_it_says_are_as_approved_and_go_on_when_restored() {
+fn a_ledger_and_its_results_have_the_approved_bytes_and_a_restored_ledger_continues() {
     let (mut ledger, closed) = ledger();
     let stored = bytes(&ledger);
     let mut restored: UsageLedger = postcard::from_bytes(&stored).expect("a ledger");
     assert_eq!(bytes(&restored), stored);
 
     let mut debts = Debts::new(4);
-    let entitled: BTreeMap<Name, u64> = [(name("t0"), 3_000), (name("t1"), 3_000)].into();
-    closed.iter().for_each(|window| debts.settle(window, &entitled));
-    let provisional = ledger.provisional_usage(BEGIN + 2_000);
-    let usage = TenantDemands::from_measured_usage(
-        &agreement(),
+    let entitlements: BTreeMap<Name, u64> = [(name("t0"), 3_000), (name("t1"), 3_000)].into();
+    closed.iter().for_each(|window| debts.settle(window, &entitlements));
+    let provisional = ledger.provisional_usage(BEGIN_MS + 2_000);
+    let demands = TenantDemands::from_measured_usage(
+        &policy(),
         &provisional.work,
         14_000,
-        &debts.relative_debts(&entitled),
+        &debts.relative_debts(&entitlements),
     );
     let reserved = ReservedShares { tenants: [(name("t1"), 50_000)].into(), federations: BTreeMap::new() };
 
     let mut text = format!("ledger: {}\n", hex(&stored));
-    text += &closed.iter().map(|one| line("closed", one)).collect::<String>();
+    text += &closed.iter().map(|window| line("closed", window)).collect::<String>();
     text += &line("provisional", &provisional);
     text += &line("debts", &debts);
-    text += &line("usage", &usage);
+    text += &line("usage", &demands);
     text += &line("reserved", &reserved);
-    text += &line("table", &allocate_shares(&agreement(), &usage, &reserved));
+    text += &line("table", &allocate_shares(&policy(), &demands, &reserved));
     insta::assert_snapshot!("ledger", text);
 
-    let at = BEGIN + 9_000;
-    assert_eq!(restored.advance(at, &BTreeSet::new()), ledger.advance(at, &BTreeSet::new()));
+    let now_ms = BEGIN_MS + 9_000;
+    assert_eq!(restored.advance(now_ms, &BTreeSet::new()), ledger.advance(now_ms, &BTreeSet::new()));
     assert_eq!(bytes(&restored), bytes(&ledger));
 }
--- a/crates/fair-share/tests/unit/apportionment.rs
+++ b/crates/fair-share/tests/unit/apportionment.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn apportion_gives_what_is_left_to_the_largest_rests_and_among_equals_to_the_first() {
+fn units_left_over_go_to_the_largest_remainders_and_among_equal_ones_to_the_first() {
     let cases: [(u64, &[u128], &[u64]); 5] = [
         (10, &[1, 1, 1], &[4, 3, 3]),
         (10, &[1, 1, 4], &[2, 2, 6]),
--- a/crates/fair-share/tests/unit/fairness_index.rs
+++ b/crates/fair-share/tests/unit/fairness_index.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn jain_is_one_for_equal_rates_and_a_part_in_n_for_one_who_has_all() {
+fn the_index_is_full_for_equal_rates_and_one_nth_if_one_has_everything() {
     let cases: [(&[(u64, u32)], u32); 6] = [
         (&[(10, 1), (20, 2), (30, 3)], 1_000_000),
         (&[(10, 1), (0, 1), (0, 1), (0, 1)], 250_000),
@@ -11,7 +11,11 @@
         (&[(0, 1), (0, 7)], 1_000_000),
         (&[(5, 0), (3, 1)], 1_000_000),
     ];
-    for (got, index) in cases {
-        assert!(jain_fairness_index(got).abs_diff(index) <= 1, "{got:?} gives {}", jain_fairness_index(got));
+    for (amounts, index) in cases {
+        assert!(
+            jain_fairness_index(amounts).abs_diff(index) <= 1,
+            "{amounts:?} gives {}",
+            jain_fairness_index(amounts)
+        );
     }
 }
--- a/crates/fair-share/tests/unit/policy.rs
+++ b/crates/fair-share/tests/unit/policy.rs
@@ -1,36 +1,51 @@
-//! Tests of what `shares`'s `agreement` keeps to itself; it takes this file in as its `tests`.
+//! Unit tests of the private items of `policy`, which includes this file as its `tests`.
 use super::*;
 
-fn terms(weight: u32, guarantee: u32, ceiling: u32) -> ShareConfig {
+fn config(weight: u32, guarantee: u32, ceiling: u32) -> ShareConfig {
     ShareConfig { weight, guarantee, ceiling }
 }
 
-fn one(federation: ShareConfig, tenants: &[(&str, ShareConfig)]) -> Federation {
-    let named = |&(name, terms): &(&str, ShareConfig)| (Name::new(name).expect("name"), terms);
-    Federation { share_config: federation, tenants: tenants.iter().map(named).collect() }
+fn federation_of(share_config: ShareConfig, tenants: &[(&str, ShareConfig)]) -> Federation {
+    let with_name = |&(name, config): &(&str, ShareConfig)| (Name::new(name).expect("name"), config);
+    Federation { share_config, tenants: tenants.iter().map(with_name).collect() }
 }
 
 #[test]
-fn promises_that_cannot_all_be_kept_are_refused_with_whose_and_what() {
-    let good = terms(1, 10, 20);
+fn a_policy_that_cannot_be_met_is_rejected_with_the_party_and_the_kind_of_error() {
+    let valid = config(1, 10, 20);
     let cases = [
-        (one(terms(0, 0, 1), &[]), Some("f"), PolicyErrorKind::InvalidWeight),
-        (one(terms(FULL_SHARE_PPM + 1, 0, 1), &[]), Some("f"), PolicyErrorKind::InvalidWeight),
-        (one(terms(1, 2, 1), &[]), Some("f"), PolicyErrorKind::InvalidCeiling),
-        (one(good, &[("t", terms(1, 0, FULL_SHARE_PPM + 1))]), Some("t"), PolicyErrorKind::InvalidCeiling),
+        (federation_of(config(0, 0, 1), &[]), Some("f"), PolicyErrorKind::InvalidWeight),
+        (federation_of(config(FULL_SHARE_PPM + 1, 0, 1), &[]), Some("f"), PolicyErrorKind::InvalidWeight),
+        (federation_of(config(1, 2, 1), &[]), Some("f"), PolicyErrorKind::InvalidCeiling),
         (
-            one(good, &[("t", good), ("u", terms(1, 1, 1))]),
+            federation_of(valid, &[("t", config(1, 0, FULL_SHARE_PPM + 1))]),
+            Some("t"),
+            PolicyErrorKind::InvalidCeiling,
+        ),
+        (
+            federation_of(valid, &[("t", valid), ("u", config(1, 1, 1))]),
             Some("f"),
             PolicyErrorKind::GuaranteesExceedParent,
         ),
-        (one(terms(1, FULL_SHARE_PPM, FULL_SHARE_PPM), &[]), None, PolicyErrorKind::GuaranteesExceedParent),
-        (one(good, &[("again", terms(1, 0, 1))]), Some("again"), PolicyErrorKind::DuplicateTenant),
+        (
+            federation_of(config(1, FULL_SHARE_PPM, FULL_SHARE_PPM), &[]),
+            None,
+            PolicyErrorKind::GuaranteesExceedParent,
+        ),
+        (
+            federation_of(valid, &[("again", config(1, 0, 1))]),
+            Some("again"),
+            PolicyErrorKind::DuplicateTenant,
+        ),
     ];
-    let other = || one(good, &[("again", terms(1, 0, 1))]);
-    for (federation, whose, what) in cases {
-        let both = [("e", other()), ("f", federation)];
-        let both = both.into_iter().map(|(name, one)| (Name::new(name).expect("name"), one)).collect();
-        let wrong = FairSharePolicy::new(both).expect_err("refused");
-        assert_eq!((wrong.party.as_ref().map(Name::as_str), wrong.kind), (whose, what));
+    let other = || federation_of(valid, &[("again", config(1, 0, 1))]);
+    for (federation, party, kind) in cases {
+        let federations = [("e", other()), ("f", federation)];
+        let federations = federations
+            .into_iter()
+            .map(|(name, federation)| (Name::new(name).expect("name"), federation))
+            .collect();
+        let error = FairSharePolicy::new(federations).expect_err("rejected");
+        assert_eq!((error.party.as_ref().map(Name::as_str), error.kind), (party, kind));
     }
 }
--- a/crates/fair-share/tests/unit/water_filling.rs
+++ b/crates/fair-share/tests/unit/water_filling.rs
@@ -3,35 +3,35 @@
 
 use super::*;
 
-/// Raises one level for all by steps of 1/840 until the capacity is out: what each has, in parts of 840.
+/// Raises one level for all by steps of 1/840 until the capacity is used up: each part, in units of 1/840.
 fn raise_level_in_small_steps(capacity: u32, claimants: &[Claimant]) -> Vec<u64> {
-    let at = |level: u64| -> Vec<u64> {
+    let parts_at = |level: u64| -> Vec<u64> {
         let clamped = |claimant: &Claimant| {
             (level * claimant.weight)
                 .clamp(840 * u64::from(claimant.minimum), 840 * u64::from(claimant.maximum))
         };
         claimants.iter().map(clamped).collect()
     };
-    let fits = |level: &u64| at(*level).iter().sum::<u64>() <= 840 * u64::from(capacity);
-    at((0..).take_while(fits).take(840 * 60).last().expect("the minimums fit"))
+    let fits = |level: &u64| parts_at(*level).iter().sum::<u64>() <= 840 * u64::from(capacity);
+    parts_at((0..).take_while(fits).take(840 * 60).last().expect("the minimums fit"))
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(28), failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn water_filling_gives_what_raising_one_level_in_small_steps_gives_and_adds_up(
+    fn water_filling_equals_raising_one_level_in_small_steps_and_adds_up(
         capacity in 30_u32..60,
-        terms in prop::collection::vec((1_u64..6, 0_u32..8, 0_u32..40), 1..5),
+        claims in prop::collection::vec((1_u64..6, 0_u32..8, 0_u32..40), 1..5),
     ) {
         let claimant = |&(weight, minimum, span): &(u64, u32, u32)| Claimant { weight, minimum, maximum: minimum + span };
-        let claimants: Vec<Claimant> = terms.iter().map(claimant).collect();
+        let claimants: Vec<Claimant> = claims.iter().map(claimant).collect();
         let parts = water_fill(capacity, &claimants);
         let maximum_sum: u32 = claimants.iter().map(|claimant| claimant.maximum).sum();
         prop_assert_eq!(parts.iter().sum::<u32>(), capacity.min(maximum_sum));
         for ((part, exact), claimant) in parts.iter().zip(raise_level_in_small_steps(capacity, &claimants)).zip(&claimants) {
             prop_assert!((claimant.minimum..=claimant.maximum).contains(part));
-            // One part for rounding, and a step of the level.
+            // One unit for rounding, and a step of the level.
             prop_assert!((840 * u64::from(*part)).abs_diff(exact) <= 840 + 6 * claimant.weight);
         }
     }
