--- a/crates/event-log/src/fleet.rs
+++ b/crates/event-log/src/fleet_summary.rs
@@ -16,7 +16,7 @@
 
 /// What all schedulers together came to.
 #[derive(Default)]
-pub struct Fleet {
+pub struct FleetSummary {
     runs: HashMap<String, Run>,
     names: std::collections::BTreeSet<String>,
     /// Seconds of wall clock to what happened in them.
@@ -84,20 +84,20 @@
     }
 }
 
-impl Fleet {
+impl FleetSummary {
     /// Takes a line of some scheduler's stream. Lines of one run come in the order written.
     pub fn add(&mut self, line: &Line) {
         match line {
             Line::Record(record) => self.record(record),
-            Line::Unknown { .. } => {}
-            Line::Bad { .. } | Line::Torn => self.others += 1,
+            Line::UnknownKind { .. } => {}
+            Line::Invalid { .. } | Line::Truncated => self.others += 1,
         }
     }
 
     fn record(&mut self, record: &Record) {
-        let run = self.runs.entry(record.run.clone()).or_default();
-        run.missing += record.seq.saturating_sub(run.next);
-        run.next = run.next.max(record.seq + 1);
+        let run = self.runs.entry(record.run_id.clone()).or_default();
+        run.missing += record.sequence.saturating_sub(run.next);
+        run.next = run.next.max(record.sequence + 1);
         let now = record.unix_us;
         let second = self.seconds.entry(now / 1_000_000).or_default();
         match &record.event {
@@ -139,7 +139,7 @@
                     against.saturating_record(elapsed_us.saturating_mul(100) / estimate.max(1));
                 }
             }
-            EventKind::Answered { answer, after_us, .. } => {
+            EventKind::RequestFinished { response: answer, elapsed_since_accepted_us: after_us, .. } => {
                 *second.answers.entry(answer.clone()).or_default() += 1;
                 if answer == "served" {
                     second.served_us.saturating_record(*after_us);
@@ -151,7 +151,7 @@
 
     /// The sums as text: a line for each `window` seconds (at least one), then one for each worker, those
     /// with the most jobs out at once first, `workers` of them at the most.
-    pub fn text(&self, window: u64, workers: usize) -> String {
+    pub fn to_text(&self, window: u64, workers: usize) -> String {
         let mut text = String::new();
         let missing: u64 = self.runs.values().map(|run| run.missing).sum();
         let (names, runs, others) = (self.names.len(), self.runs.len(), self.others);
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -11,10 +11,10 @@
 //!
 //! The stream is no journal to recover from: it is flushed, not synced, and a crash of the machine may
 //! lose its end.
-pub mod fleet;
+pub mod fleet_summary;
 pub mod reader;
 mod record;
-pub mod report;
+pub mod stream_summary;
 pub mod writer;
 
 pub use record::*;
--- a/crates/event-log/src/reader.rs
+++ b/crates/event-log/src/reader.rs
@@ -15,21 +15,21 @@
     /// A record.
     Record(Record),
     /// A record of a kind that this reader does not know.
-    Unknown {
+    UnknownKind {
         /// The kind.
         kind: String,
         /// Its run and number.
-        run: String,
+        run_id: String,
         /// Its number there.
-        seq: u64,
+        sequence: u64,
     },
     /// No record.
-    Bad {
+    Invalid {
         /// Why not.
-        why: String,
+        reason: String,
     },
     /// The last line, without an end: it is being written, or a crash has torn it.
-    Torn,
+    Truncated,
 }
 
 #[derive(Deserialize)]
@@ -66,14 +66,14 @@
             return Ok(Some(parse(&self.text)));
         }
         if (read as u64) < LONGEST {
-            return Ok(Some(Line::Torn));
+            return Ok(Some(Line::Truncated));
         }
         // The rest of a line that is too long is passed over.
         loop {
             self.text.clear();
             let read = (&mut self.input).take(LONGEST).read_until(b'\n', &mut self.text)?;
             if read == 0 || self.text.last() == Some(&b'\n') {
-                return Ok(Some(Line::Bad { why: "longer than a megabyte".into() }));
+                return Ok(Some(Line::Invalid { reason: "longer than a megabyte".into() }));
             }
         }
     }
@@ -107,25 +107,25 @@
     let text = unstamped(text);
     let head: Head = match serde_json::from_slice(text) {
         Ok(head) => head,
-        Err(error) => return Line::Bad { why: error.to_string() },
+        Err(error) => return Line::Invalid { reason: error.to_string() },
     };
     if head.v > FORMAT {
         let why = format!("is of version {}; this program reads up to {FORMAT}", head.v);
-        return Line::Bad { why };
+        return Line::Invalid { reason: why };
     }
     let kind = head.what["kind"].as_str().unwrap_or_default().to_owned();
     match serde_json::from_value::<EventKind>(head.what) {
         Ok(what) => Line::Record(Record {
-            v: head.v,
-            run: head.run,
-            seq: head.seq,
+            format_version: head.v,
+            run_id: head.run,
+            sequence: head.seq,
             unix_us: head.unix_us,
             mono_us: head.mono_us,
             event: what,
         }),
         Err(error) if error.to_string().starts_with("unknown variant") => {
-            Line::Unknown { kind, run: head.run, seq: head.seq }
+            Line::UnknownKind { kind, run_id: head.run, sequence: head.seq }
         }
-        Err(error) => Line::Bad { why: format!("{kind}: {error}") },
+        Err(error) => Line::Invalid { reason: format!("{kind}: {error}") },
     }
 }
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -11,11 +11,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// The form's version.
-    pub v: u32,
+    #[serde(rename = "v")]
+    pub format_version: u32,
     /// The run that it belongs to, a random name for each start of the program.
-    pub run: String,
+    #[serde(rename = "run")]
+    pub run_id: String,
     /// Its number in the run, from 0 and without a step left out, unless records are missing.
-    pub seq: u64,
+    #[serde(rename = "seq")]
+    pub sequence: u64,
     /// When it happened by the wall clock, in microseconds of Unix time. May jump.
     pub unix_us: u64,
     /// When it happened, in microseconds since the run began. Never jumps.
@@ -34,7 +37,8 @@
         /// The scheduler's name.
         name: String,
         /// The program's version.
-        program: String,
+        #[serde(rename = "program")]
+        version: String,
     },
     /// It ended as asked.
     RunEnded {
@@ -111,22 +115,26 @@
         queue: Option<f64>,
     },
     /// The client got its final answer.
-    Answered {
+    #[serde(rename = "answered")]
+    RequestFinished {
         /// The flow.
         #[serde(rename = "flow")]
         request_id: String,
         /// Its class.
         class: String,
         /// `served`, `refused`, `failed`, `repeated`, or `gone` where the client left first.
-        answer: String,
+        #[serde(rename = "answer")]
+        response: String,
         /// How long after the flow was taken.
-        after_us: u64,
+        #[serde(rename = "after_us")]
+        elapsed_since_accepted_us: u64,
     },
     /// Something that is counted happened its 1st, 2nd, 4th, 8th ... time: a limit, or a peer's mistake.
     #[serde(rename = "limit")]
     CounterReached {
         /// What.
-        what: String,
+        #[serde(rename = "what")]
+        counter: String,
         /// How often so far.
         count: u64,
     },
@@ -203,7 +211,7 @@
             EventKind::Decided { .. } => "decided",
             EventKind::AttemptSent { .. } => "scheduling_sent",
             EventKind::AttemptEnded { .. } => "scheduling_ended",
-            EventKind::Answered { .. } => "answered",
+            EventKind::RequestFinished { .. } => "answered",
             EventKind::CounterReached { .. } => "limit",
             EventKind::Gap { .. } => "gap",
         }
--- a/crates/event-log/src/report.rs
+++ b/crates/event-log/src/stream_summary.rs
@@ -14,42 +14,42 @@
 
 /// What a stream came to.
 #[derive(Default)]
-pub struct Report {
+pub struct StreamSummary {
     /// The runs, in order of their first record.
-    pub runs: Vec<Run>,
+    pub runs: Vec<RunSummary>,
     /// Lines that are no records, the first few with their numbers.
-    pub bad: Vec<(u64, String)>,
+    pub invalid_lines: Vec<(u64, String)>,
     /// How many there are.
-    pub bad_count: u64,
+    pub invalid_line_count: u64,
     /// The last line has no end.
-    pub torn: bool,
+    pub is_truncated: bool,
 }
 
 /// One run of the program.
 #[derive(Default)]
-pub struct Run {
+pub struct RunSummary {
     /// Its name.
     pub run: String,
     /// The scheduler's.
     pub name: Option<String>,
     /// Records by kind.
-    pub kinds: BTreeMap<String, u64>,
+    pub records_by_kind: BTreeMap<String, u64>,
     /// Numbers that are missing, whether or not the run says so.
     pub missing: u64,
     /// Records that came after one with a higher number.
-    pub disorder: u64,
+    pub out_of_order: u64,
     /// Numbers that came twice.
-    pub twice: u64,
+    pub duplicates: u64,
     /// Places where the wall clock was set.
     pub clock_steps: u64,
     /// The run says that it ended; else it goes on, or it was killed.
-    pub ended: bool,
+    pub has_ended: bool,
     /// Schedulings by their outcome.
-    pub outcomes: BTreeMap<String, u64>,
+    pub attempt_outcomes: BTreeMap<String, u64>,
     /// Refusals by their cause.
-    pub refusals: BTreeMap<String, u64>,
+    pub rejection_reasons: BTreeMap<String, u64>,
     /// Answers by class.
-    pub classes: BTreeMap<String, Answers>,
+    pub classes: BTreeMap<String, ClassSummary>,
     /// Numbers that were not there when later ones came.
     holes: BTreeMap<u64, u64>,
     next: u64,
@@ -60,53 +60,53 @@
 }
 
 /// What the clients of one class got.
-pub struct Answers {
+pub struct ClassSummary {
     /// Flows taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Final answers by their word.
-    pub answers: BTreeMap<String, u64>,
+    pub responses: BTreeMap<String, u64>,
     /// How long served ones took, in microseconds.
     pub served_us: Histogram<u64>,
 }
 
-impl Default for Answers {
-    fn default() -> Answers {
+impl Default for ClassSummary {
+    fn default() -> ClassSummary {
         let served_us =
             Histogram::new_with_max(LONGEST_US, 3).unwrap_or_else(|_| unreachable!("good bounds"));
-        Answers { taken: 0, answers: BTreeMap::new(), served_us }
+        ClassSummary { accepted: 0, responses: BTreeMap::new(), served_us }
     }
 }
 
-impl Report {
+impl StreamSummary {
     /// Takes the next line of the stream.
     pub fn add(&mut self, number: u64, line: &Line) {
         match line {
-            Line::Record(record) => self.run(&record.run).add(record),
-            Line::Unknown { kind, run, seq } => {
+            Line::Record(record) => self.run(&record.run_id).add(record),
+            Line::UnknownKind { kind, run_id: run, sequence: seq } => {
                 let run = self.run(run);
-                *run.kinds.entry(format!("{kind} (unknown)")).or_default() += 1;
+                *run.records_by_kind.entry(format!("{kind} (unknown)")).or_default() += 1;
                 run.number(*seq, None);
             }
-            Line::Bad { why } => {
-                self.bad_count += 1;
-                if self.bad.len() < 5 {
-                    self.bad.push((number, why.clone()));
+            Line::Invalid { reason: why } => {
+                self.invalid_line_count += 1;
+                if self.invalid_lines.len() < 5 {
+                    self.invalid_lines.push((number, why.clone()));
                 }
             }
-            Line::Torn => self.torn = true,
+            Line::Truncated => self.is_truncated = true,
         }
     }
 
-    fn run(&mut self, name: &str) -> &mut Run {
+    fn run(&mut self, name: &str) -> &mut RunSummary {
         let at = self.runs.iter().position(|run| run.run == name).unwrap_or_else(|| {
-            self.runs.push(Run { run: name.to_owned(), ..Run::default() });
+            self.runs.push(RunSummary { run: name.to_owned(), ..RunSummary::default() });
             self.runs.len() - 1
         });
         &mut self.runs[at]
     }
 
     /// The report as text.
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         let mut text = String::new();
         for run in &self.runs {
             run.text(&mut text);
@@ -114,20 +114,20 @@
         if self.runs.is_empty() {
             text += "no records\n";
         }
-        for (number, why) in &self.bad {
+        for (number, why) in &self.invalid_lines {
             let _ = writeln!(text, "line {number} is no record: {why}");
         }
-        if self.bad_count > self.bad.len() as u64 {
-            let _ = writeln!(text, "{} lines are no records in all", self.bad_count);
+        if self.invalid_line_count > self.invalid_lines.len() as u64 {
+            let _ = writeln!(text, "{} lines are no records in all", self.invalid_line_count);
         }
-        if self.torn {
+        if self.is_truncated {
             text += "the last line has no end: it is being written, or a crash has torn it\n";
         }
         text
     }
 }
 
-impl Run {
+impl RunSummary {
     /// Follows the numbers. Guards against gaps that are smoothed over: what is missing is counted from
     /// the numbers themselves, also where no record tells of it, and a straggler fills its hole again.
     fn number(&mut self, seq: u64, gap: Option<u64>) {
@@ -147,7 +147,7 @@
             self.missing += u64::from(gap.is_some());
             return;
         }
-        self.disorder += 1;
+        self.out_of_order += 1;
         match self.holes.range(..=seq).next_back().map(|(&from, &to)| (from, to)) {
             Some((from, to)) if seq < to => {
                 self.holes.remove(&from);
@@ -158,54 +158,60 @@
                 }
                 self.missing -= u64::from(gap.is_none());
             }
-            _ => self.twice += 1,
+            _ => self.duplicates += 1,
         }
     }
 
     fn add(&mut self, record: &Record) {
         let gap = if let EventKind::Gap { dropped } = record.event { Some(dropped.max(1)) } else { None };
-        self.number(record.seq, gap);
-        *self.kinds.entry(record.event.kind().to_owned()).or_default() += 1;
+        self.number(record.sequence, gap);
+        *self.records_by_kind.entry(record.event.kind().to_owned()).or_default() += 1;
         let offset = i128::from(record.unix_us) - i128::from(record.mono_us);
         if self.offset.is_some_and(|old| (old - offset).abs() > STEP_US) {
             self.clock_steps += 1;
         }
         self.offset = Some(offset);
-        self.first_us = if self.kinds.values().sum::<u64>() == 1 { record.mono_us } else { self.first_us };
+        self.first_us =
+            if self.records_by_kind.values().sum::<u64>() == 1 { record.mono_us } else { self.first_us };
         self.last_us = self.last_us.max(record.mono_us);
         match &record.event {
             EventKind::RunStarted { name, .. } => self.name = Some(name.clone()),
-            EventKind::RunEnded { .. } => self.ended = true,
+            EventKind::RunEnded { .. } => self.has_ended = true,
             EventKind::RequestAccepted { class, .. } => {
-                self.classes.entry(class.clone()).or_default().taken += 1
+                self.classes.entry(class.clone()).or_default().accepted += 1
             }
-            EventKind::Answered { class, answer, after_us, .. } => {
+            EventKind::RequestFinished {
+                class,
+                response: answer,
+                elapsed_since_accepted_us: after_us,
+                ..
+            } => {
                 let of = self.classes.entry(class.clone()).or_default();
-                *of.answers.entry(answer.clone()).or_default() += 1;
+                *of.responses.entry(answer.clone()).or_default() += 1;
                 if answer == "served" {
                     of.served_us.saturating_record(*after_us);
                 }
             }
             EventKind::AttemptEnded { outcome, .. } => {
-                *self.outcomes.entry(outcome.clone()).or_default() += 1;
+                *self.attempt_outcomes.entry(outcome.clone()).or_default() += 1;
             }
             EventKind::Decided { decision: Decision::Reject { reason: why, .. }, .. } => {
-                *self.refusals.entry(why.clone()).or_default() += 1;
+                *self.rejection_reasons.entry(why.clone()).or_default() += 1;
             }
             _ => {}
         }
     }
 
     fn text(&self, text: &mut String) {
-        let records: u64 = self.kinds.values().sum();
+        let records: u64 = self.records_by_kind.values().sum();
         let span = self.last_us.saturating_sub(self.first_us) as f64 / 1e6;
         let name = self.name.as_deref().unwrap_or("(its start is not here)");
-        let end = if self.ended { "ended" } else { "no end recorded" };
+        let end = if self.has_ended { "ended" } else { "no end recorded" };
         let _ = writeln!(text, "run {} of {name}: {records} records over {span:.1} s, {end}", self.run);
         for (count, what) in [
             (self.missing, "records are missing"),
-            (self.disorder, "records came out of order"),
-            (self.twice, "records came twice"),
+            (self.out_of_order, "records came out of order"),
+            (self.duplicates, "records came twice"),
             (self.clock_steps, "times the wall clock was set"),
         ] {
             if count > 0 {
@@ -215,16 +221,18 @@
         let list = |of: &BTreeMap<String, u64>| -> String {
             of.iter().map(|(name, count)| format!("{name} {count}")).collect::<Vec<_>>().join(", ")
         };
-        for (title, of) in
-            [("kinds", &self.kinds), ("schedulings", &self.outcomes), ("refused for", &self.refusals)]
-        {
+        for (title, of) in [
+            ("kinds", &self.records_by_kind),
+            ("schedulings", &self.attempt_outcomes),
+            ("refused for", &self.rejection_reasons),
+        ] {
             if !of.is_empty() {
                 let _ = writeln!(text, "  {title}: {}", list(of));
             }
         }
         for (class, of) in &self.classes {
             let at = |quantile| of.served_us.value_at_quantile(quantile) as f64 / 1e3;
-            let _ = write!(text, "  class {class}: taken {}, {}", of.taken, list(&of.answers));
+            let _ = write!(text, "  class {class}: taken {}, {}", of.accepted, list(&of.responses));
             if !of.served_us.is_empty() {
                 let (half, most) = (at(0.5), at(0.99));
                 let _ = write!(text, "; served in {half:.1} ms (median), {most:.1} ms (99%)");
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -27,26 +27,26 @@
 
 /// Where and how records are kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Spec {
+pub struct EventLogConfig {
     /// The file that records are added to; [`STANDARD_ERROR`] is no file but the standard error.
-    pub file: PathBuf,
+    pub path: PathBuf,
     /// Its size in bytes from which on it is put aside.
-    pub rotate_at: u64,
+    pub max_file_bytes: u64,
     /// How many files put aside are kept.
-    pub keep: u32,
+    pub max_rotated_files: u32,
     /// How many records may wait.
-    pub queue: usize,
+    pub queue_capacity: usize,
 }
 
 /// What became of the records so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct RecordCounts {
     /// Written to the file.
     pub written: u64,
     /// Dropped, since the queue was full.
     pub dropped: u64,
     /// Lost, since the file could not be written.
-    pub lost: u64,
+    pub failed: u64,
 }
 
 #[derive(Default)]
@@ -70,12 +70,12 @@
 
 impl Recorder {
     /// One that keeps nothing.
-    pub fn off() -> Recorder {
+    pub fn disabled() -> Recorder {
         Recorder(None)
     }
 
     /// Whether records are kept: if not, they need not be made.
-    pub fn is_on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.0.is_some()
     }
 
@@ -88,9 +88,9 @@
             return;
         }
         let record = Record {
-            v: FORMAT,
-            run: inner.run.clone(),
-            seq: queue.0,
+            format_version: FORMAT,
+            run_id: inner.run.clone(),
+            sequence: queue.0,
             unix_us: unix.as_micros() as u64,
             mono_us: inner.began.elapsed().as_micros() as u64,
             event: what,
@@ -109,11 +109,11 @@
     }
 
     /// What became of the records so far.
-    pub fn counts(&self) -> Counts {
-        let Some(inner) = &self.0 else { return Counts::default() };
+    pub fn counts(&self) -> RecordCounts {
+        let Some(inner) = &self.0 else { return RecordCounts::default() };
         let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
         let shared = &inner.shared;
-        Counts { written: of(&shared.written), dropped: of(&shared.dropped), lost: of(&shared.lost) }
+        RecordCounts { written: of(&shared.written), dropped: of(&shared.dropped), failed: of(&shared.lost) }
     }
 }
 
@@ -135,9 +135,9 @@
 ///
 /// # Errors
 /// A file that cannot be opened for writing, or that another process writes.
-pub fn begin(spec: Spec) -> io::Result<(Recorder, Writer)> {
-    let file = Output::open(&spec.file)?;
-    let (sender, receiver) = sync_channel(spec.queue.max(1));
+pub fn start_writer(spec: EventLogConfig) -> io::Result<(Recorder, Writer)> {
+    let file = Output::open(&spec.path)?;
+    let (sender, receiver) = sync_channel(spec.queue_capacity.max(1));
     let shared = Arc::new(Shared::default());
     let inner = Inner {
         run: format!("{:016x}", fastrand::u64(..)),
@@ -223,7 +223,7 @@
 
 /// Keeps the file: batches, rotation, and what to do when the disk is full or gone.
 struct Keeper {
-    spec: Spec,
+    spec: EventLogConfig,
     output: Option<Output>,
     looked: Instant,
     failures: u64,
@@ -235,7 +235,7 @@
 impl Keeper {
     fn keep(mut self, queue: &Receiver<Record>) {
         // No batch fills a file by itself.
-        let batch = BATCH.min(self.spec.rotate_at as usize / 2);
+        let batch = BATCH.min(self.spec.max_file_bytes as usize / 2);
         let mut lines = Vec::with_capacity(batch + 4096);
         while let Ok(first) = queue.recv() {
             thread::sleep(GATHER);
@@ -243,7 +243,7 @@
             let mut more = Some(first);
             while let Some(record) = more.take() {
                 push(&mut lines, &record, next);
-                next = record.seq + 1;
+                next = record.sequence + 1;
                 count += 1;
                 if lines.len() < batch {
                     more = queue.try_recv().ok();
@@ -258,7 +258,7 @@
                     self.shared.lost.fetch_add(count, Ordering::Relaxed);
                     self.failures += 1;
                     if self.failures.is_power_of_two() {
-                        let file = self.spec.file.display();
+                        let file = self.spec.path.display();
                         tracing::warn!(%error, failures = self.failures, "no records written to {file}");
                     }
                 }
@@ -273,15 +273,15 @@
             self.looked = Instant::now();
             // Guards against a file that was moved or removed, or a disk that was taken out: what is
             // written to it nobody would find.
-            if self.output.as_ref().is_some_and(|output| !output.is_at(&self.spec.file)) {
+            if self.output.as_ref().is_some_and(|output| !output.is_at(&self.spec.path)) {
                 self.output = None;
             }
         }
         if self.output.is_none() && due {
-            self.output = Some(Output::open(&self.spec.file)?);
+            self.output = Some(Output::open(&self.spec.path)?);
         }
         let Some(output) = &mut self.output else { return Err(io::Error::other("the file is not open")) };
-        if output.length > 0 && output.length + lines.len() as u64 > self.spec.rotate_at {
+        if output.length > 0 && output.length + lines.len() as u64 > self.spec.max_file_bytes {
             self.put_aside()?;
         }
         let Some(output) = &mut self.output else { return Err(io::Error::other("the file is not open")) };
@@ -291,21 +291,24 @@
     /// Puts the file aside as `FILE.1`, that one as `FILE.2` and so on, and begins a new one. The last
     /// of them makes room.
     fn put_aside(&mut self) -> io::Result<()> {
-        for number in (1..self.spec.keep).rev() {
-            match std::fs::rename(aside(&self.spec.file, number), aside(&self.spec.file, number + 1)) {
+        for number in (1..self.spec.max_rotated_files).rev() {
+            match std::fs::rename(
+                rotated_path(&self.spec.path, number),
+                rotated_path(&self.spec.path, number + 1),
+            ) {
                 Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
                 _ => {}
             }
         }
-        std::fs::rename(&self.spec.file, aside(&self.spec.file, 1))?;
+        std::fs::rename(&self.spec.path, rotated_path(&self.spec.path, 1))?;
         self.output = None;
-        self.output = Some(Output::open(&self.spec.file)?);
+        self.output = Some(Output::open(&self.spec.path)?);
         Ok(())
     }
 }
 
 /// The name of a file that was put aside.
-pub fn aside(file: &Path, number: u32) -> PathBuf {
+pub fn rotated_path(file: &Path, number: u32) -> PathBuf {
     let mut name = file.as_os_str().to_owned();
     name.push(format!(".{number}"));
     name.into()
@@ -314,9 +317,9 @@
 /// Adds a record's line, after one that tells of those missing before it. That one takes the last of
 /// their numbers.
 fn push(lines: &mut Vec<u8>, record: &Record, next: u64) {
-    if record.seq > next {
-        let what = EventKind::Gap { dropped: record.seq - next };
-        line(lines, &Record { seq: record.seq - 1, event: what, ..record.clone() });
+    if record.sequence > next {
+        let what = EventKind::Gap { dropped: record.sequence - next };
+        line(lines, &Record { sequence: record.sequence - 1, event: what, ..record.clone() });
     }
     line(lines, record);
 }
--- a/crates/event-log/tests/fleet.rs
+++ b/crates/event-log/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! Sums over schedulers, of streams that are written here.
-use copperspread_event_log::fleet::Fleet;
+use copperspread_event_log::fleet_summary::FleetSummary;
 use copperspread_event_log::reader::Reader;
 
 /// One scheduler's stream: a flow that is sent at a second to r0 and ends there some seconds later. The
@@ -25,8 +25,8 @@
     whats.into_iter().enumerate().map(line).collect()
 }
 
-fn sum(text: &str) -> Fleet {
-    let mut fleet = Fleet::default();
+fn sum(text: &str) -> FleetSummary {
+    let mut fleet = FleetSummary::default();
     for line in Reader::new(text.as_bytes()) {
         fleet.add(&line.expect("a line").1);
     }
@@ -34,7 +34,7 @@
 }
 
 fn summed(streams: &[Vec<String>]) -> String {
-    sum(&streams.concat().concat()).text(5, 10)
+    sum(&streams.concat().concat()).to_text(5, 10)
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let stamped =
         stream("1", 100, 101, "served").iter().map(|line| format!("[0.54] {line}")).collect::<String>();
     let fleet = sum(&format!("12:00 INFO ready\n{stamped}{}\n", r#"{"v":1,"run":"2",{"v":1}"#));
-    assert!(fleet.text(1, 0).starts_with("1 schedulers, 1 runs, 0 records missing, 2 other lines\n"));
-    assert!(fleet.text(0, 0).ends_with("1 more workers\n"), "a window of 0 is taken as 1");
-    assert_eq!(sum("").text(5, 5), "0 schedulers, 0 runs, 0 records missing, 0 other lines\n");
+    assert!(fleet.to_text(1, 0).starts_with("1 schedulers, 1 runs, 0 records missing, 2 other lines\n"));
+    assert!(fleet.to_text(0, 0).ends_with("1 more workers\n"), "a window of 0 is taken as 1");
+    assert_eq!(sum("").to_text(5, 5), "0 schedulers, 0 runs, 0 records missing, 0 other lines\n");
 }
--- a/crates/event-log/tests/stream.rs
+++ b/crates/event-log/tests/stream.rs
@@ -5,8 +5,10 @@
 use std::time::{Duration, Instant};
 
 use copperspread_event_log::reader::{Line, Reader};
-use copperspread_event_log::report::Report;
-use copperspread_event_log::writer::{Counts, Recorder, Spec, Writer, aside, begin};
+use copperspread_event_log::stream_summary::StreamSummary;
+use copperspread_event_log::writer::{
+    EventLogConfig, RecordCounts, Recorder, Writer, rotated_path, start_writer,
+};
 use copperspread_event_log::{Decision, EventKind, FORMAT, Record};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -21,8 +23,13 @@
         fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
-    fn spec(&self, rotate_at: u64, queue: usize) -> Spec {
-        Spec { file: self.0.join("r.jsonl"), rotate_at, keep: 2, queue }
+    fn spec(&self, rotate_at: u64, queue: usize) -> EventLogConfig {
+        EventLogConfig {
+            path: self.0.join("r.jsonl"),
+            max_file_bytes: rotate_at,
+            max_rotated_files: 2,
+            queue_capacity: queue,
+        }
     }
 }
 
@@ -33,22 +40,22 @@
 }
 
 fn limit(count: u64) -> EventKind {
-    EventKind::CounterReached { what: "x".repeat(40), count }
+    EventKind::CounterReached { counter: "x".repeat(40), count }
 }
 
 fn lines(bytes: &[u8]) -> Vec<Line> {
     Reader::new(bytes).map(|line| line.expect("memory reads").1).collect()
 }
 
-fn report(path: &Path) -> Report {
-    let mut report = Report::default();
+fn report(path: &Path) -> StreamSummary {
+    let mut report = StreamSummary::default();
     for (number, line) in lines(&fs::read(path).expect("a file")).iter().enumerate() {
         report.add(number as u64 + 1, line);
     }
     report
 }
 
-fn end(recorder: &Recorder, writer: Writer) -> Counts {
+fn end(recorder: &Recorder, writer: Writer) -> RecordCounts {
     recorder.close();
     assert!(writer.finish(), "all that waited is written");
     recorder.counts()
@@ -68,20 +75,21 @@
 fn what_is_recorded_is_read_back_in_order_by_run() {
     let folder = Folder::new("back");
     for name in ["first", "second"] {
-        let (recorder, writer) = begin(folder.spec(1 << 20, 4096)).expect("a file");
-        recorder.record(EventKind::RunStarted { name: name.into(), program: "0".into() });
+        let (recorder, writer) = start_writer(folder.spec(1 << 20, 4096)).expect("a file");
+        recorder.record(EventKind::RunStarted { name: name.into(), version: "0".into() });
         for count in 0..500 {
             recorder.record(limit(count));
         }
         recorder.record(EventKind::RunEnded { requests_left: 0 });
-        assert_eq!(end(&recorder, writer), Counts { written: 502, dropped: 0, lost: 0 });
+        assert_eq!(end(&recorder, writer), RecordCounts { written: 502, dropped: 0, failed: 0 });
         recorder.record(limit(0));
     }
-    let report = report(&folder.spec(0, 0).file);
-    let of =
-        |at: usize| (report.runs[at].name.as_deref(), report.runs[at].kinds["limit"], report.runs[at].ended);
+    let report = report(&folder.spec(0, 0).path);
+    let of = |at: usize| {
+        (report.runs[at].name.as_deref(), report.runs[at].records_by_kind["limit"], report.runs[at].has_ended)
+    };
     assert_eq!((of(0), of(1)), ((Some("first"), 500, true), (Some("second"), 500, true)));
-    assert!(report.runs.iter().all(|run| (run.missing, run.disorder, run.clock_steps) == (0, 0, 0)));
+    assert!(report.runs.iter().all(|run| (run.missing, run.out_of_order, run.clock_steps) == (0, 0, 0)));
 }
 
 // A pipe that nobody reads stands for a disk that hangs: writes to it wait for good.
@@ -89,8 +97,8 @@
 fn a_disk_that_hangs_costs_records_and_no_time_and_leaves_a_gap() {
     let folder = Folder::new("hangs");
     let spec = folder.spec(1 << 20, 64);
-    assert!(std::process::Command::new("mkfifo").arg(&spec.file).status().expect("it runs").success());
-    let (recorder, writer) = begin(spec.clone()).expect("a pipe");
+    assert!(std::process::Command::new("mkfifo").arg(&spec.path).status().expect("it runs").success());
+    let (recorder, writer) = start_writer(spec.clone()).expect("a pipe");
     let began = Instant::now();
     for count in 0..20_000 {
         recorder.record(limit(count));
@@ -100,7 +108,7 @@
     assert!(dropped > 10_000, "{:?}", recorder.counts());
     assert!(took < Duration::from_secs(5), "the serving path waited: {took:?}");
     // The disk comes back: what waited is written, then what comes, after the gap.
-    let mut pipe = fs::File::open(&spec.file).expect("a pipe");
+    let mut pipe = fs::File::open(&spec.path).expect("a pipe");
     let read = std::thread::spawn(move || {
         let mut bytes = Vec::new();
         let mut part = [0; 1 << 16];
@@ -116,8 +124,8 @@
     }
     recorder.record(limit(77_777));
     let bytes = read.join().expect("it ends");
-    assert!(end(&recorder, writer).lost == 0);
-    let mut report = Report::default();
+    assert!(end(&recorder, writer).failed == 0);
+    let mut report = StreamSummary::default();
     let lines = lines(&bytes);
     lines.iter().enumerate().for_each(|(number, line)| report.add(number as u64 + 1, line));
     let told: u64 = lines
@@ -128,15 +136,15 @@
         })
         .sum();
     assert_eq!((told, report.runs[0].missing), (dropped, dropped));
-    assert_eq!((report.bad_count, report.runs[0].disorder), (0, 0));
+    assert_eq!((report.invalid_line_count, report.runs[0].out_of_order), (0, 0));
 }
 
 #[test]
 fn a_hanging_disk_does_not_hold_the_end_up() {
     let folder = Folder::new("hangs-end");
     let spec = folder.spec(1 << 20, 4096);
-    assert!(std::process::Command::new("mkfifo").arg(&spec.file).status().expect("it runs").success());
-    let (recorder, writer) = begin(spec).expect("a pipe");
+    assert!(std::process::Command::new("mkfifo").arg(&spec.path).status().expect("it runs").success());
+    let (recorder, writer) = start_writer(spec).expect("a pipe");
     (0..4_000).for_each(|count| recorder.record(limit(count)));
     recorder.close();
     let began = Instant::now();
@@ -149,33 +157,33 @@
 fn a_full_disk_loses_records_until_there_is_room_and_says_so() {
     let folder = Folder::new("full");
     let spec = folder.spec(1 << 20, 4096);
-    std::os::unix::fs::symlink("/dev/full", &spec.file).expect("a link");
-    let (recorder, writer) = begin(spec.clone()).expect("it opens");
+    std::os::unix::fs::symlink("/dev/full", &spec.path).expect("a link");
+    let (recorder, writer) = start_writer(spec.clone()).expect("it opens");
     (0..100).for_each(|count| recorder.record(limit(count)));
     let began = Instant::now();
-    while recorder.counts().lost < 100 {
+    while recorder.counts().failed < 100 {
         assert!(began.elapsed() < Duration::from_secs(10), "{:?}", recorder.counts());
         std::thread::sleep(Duration::from_millis(1));
     }
     assert_eq!(recorder.counts().written, 0);
-    fs::remove_file(&spec.file).expect("the link goes");
+    fs::remove_file(&spec.path).expect("the link goes");
     until_written(&recorder);
     let counts = end(&recorder, writer);
-    let report = report(&spec.file);
-    assert_eq!(report.runs[0].missing, counts.lost);
-    assert_eq!(report.runs[0].kinds["limit"], counts.written);
-    assert!(report.runs[0].kinds["gap"] >= 1 && report.bad_count == 0);
+    let report = report(&spec.path);
+    assert_eq!(report.runs[0].missing, counts.failed);
+    assert_eq!(report.runs[0].records_by_kind["limit"], counts.written);
+    assert!(report.runs[0].records_by_kind["gap"] >= 1 && report.invalid_line_count == 0);
 }
 
 #[test]
 fn a_folder_that_vanishes_and_comes_back_is_written_again() {
     let folder = Folder::new("vanishes");
     let spec = folder.spec(1 << 20, 4096);
-    let (recorder, writer) = begin(spec.clone()).expect("a file");
+    let (recorder, writer) = start_writer(spec.clone()).expect("a file");
     until_written(&recorder);
     fs::remove_dir_all(&folder.0).expect("it goes");
     let began = Instant::now();
-    while recorder.counts().lost == 0 {
+    while recorder.counts().failed == 0 {
         assert!(began.elapsed() < Duration::from_secs(10), "it is noticed");
         recorder.record(limit(1));
         std::thread::sleep(Duration::from_millis(20));
@@ -183,15 +191,15 @@
     fs::create_dir_all(&folder.0).expect("it comes back");
     until_written(&recorder);
     end(&recorder, writer);
-    let report = report(&spec.file);
-    assert!(report.runs[0].kinds["gap"] == 1 && report.runs[0].missing > 0);
+    let report = report(&spec.path);
+    assert!(report.runs[0].records_by_kind["gap"] == 1 && report.runs[0].missing > 0);
 }
 
 #[test]
 fn rotation_keeps_as_many_files_as_asked_and_loses_nothing_between_them() {
     let folder = Folder::new("rotates");
     let spec = folder.spec(8_192, 4096);
-    let (recorder, writer) = begin(spec.clone()).expect("a file");
+    let (recorder, writer) = start_writer(spec.clone()).expect("a file");
     for count in 0..400 {
         recorder.record(limit(count));
         // Small batches, so that the files turn several times.
@@ -200,17 +208,17 @@
         }
     }
     assert_eq!(end(&recorder, writer).written, 400);
-    let files = [aside(&spec.file, 2), aside(&spec.file, 1), spec.file.clone()];
-    assert!(!aside(&spec.file, 3).exists());
+    let files = [rotated_path(&spec.path, 2), rotated_path(&spec.path, 1), spec.path.clone()];
+    assert!(!rotated_path(&spec.path, 3).exists());
     let mut whole = Vec::new();
     for file in &files {
         let bytes = fs::read(file).expect("it is there");
         assert!(bytes.len() <= 8_192 && bytes.ends_with(b"\n"), "{}", bytes.len());
         whole.extend(bytes);
     }
-    let mut report = Report::default();
+    let mut report = StreamSummary::default();
     lines(&whole).iter().for_each(|line| report.add(1, line));
-    assert_eq!((report.runs[0].missing, report.runs[0].disorder, report.bad_count), (0, 0, 0));
+    assert_eq!((report.runs[0].missing, report.runs[0].out_of_order, report.invalid_line_count), (0, 0, 0));
     let last = lines(&whole).pop().expect("a line");
     assert!(matches!(last, Line::Record(Record { event: EventKind::CounterReached { count: 399, .. }, .. })));
 }
@@ -219,31 +227,38 @@
 fn a_line_that_a_crash_has_torn_spoils_no_other() {
     let folder = Folder::new("torn");
     let spec = folder.spec(1 << 20, 64);
-    let (recorder, writer) = begin(spec.clone()).expect("a file");
+    let (recorder, writer) = start_writer(spec.clone()).expect("a file");
     (0..3).for_each(|count| recorder.record(limit(count)));
     end(&recorder, writer);
-    let bytes = fs::read(&spec.file).expect("a file");
-    fs::write(&spec.file, &bytes[..bytes.len() - 20]).expect("cut");
-    assert!(report(&spec.file).torn);
-    let (recorder, writer) = begin(spec.clone()).expect("a file");
+    let bytes = fs::read(&spec.path).expect("a file");
+    fs::write(&spec.path, &bytes[..bytes.len() - 20]).expect("cut");
+    assert!(report(&spec.path).is_truncated);
+    let (recorder, writer) = start_writer(spec.clone()).expect("a file");
     recorder.record(limit(9));
     end(&recorder, writer);
-    let report = report(&spec.file);
-    assert_eq!((report.bad_count, report.bad[0].0, report.torn), (1, 3, false));
-    assert_eq!((report.runs[0].kinds["limit"], report.runs[1].kinds["limit"]), (2, 1));
+    let report = report(&spec.path);
+    assert_eq!((report.invalid_line_count, report.invalid_lines[0].0, report.is_truncated), (1, 3, false));
+    assert_eq!((report.runs[0].records_by_kind["limit"], report.runs[1].records_by_kind["limit"]), (2, 1));
 }
 
 #[test]
 fn a_file_that_another_one_writes_is_refused() {
     let folder = Folder::new("two");
-    let (_recorder, _writer) = begin(folder.spec(1 << 20, 64)).expect("a file");
-    let refused = begin(folder.spec(1 << 20, 64)).err().expect("refused");
+    let (_recorder, _writer) = start_writer(folder.spec(1 << 20, 64)).expect("a file");
+    let refused = start_writer(folder.spec(1 << 20, 64)).err().expect("refused");
     assert!(refused.to_string().contains("another process"), "{refused}");
-    assert!(begin(Spec { file: folder.0.join("no/such"), ..folder.spec(1, 1) }).is_err());
+    assert!(start_writer(EventLogConfig { path: folder.0.join("no/such"), ..folder.spec(1, 1) }).is_err());
 }
 
 fn record(seq: u64, what: EventKind) -> Record {
-    Record { v: FORMAT, run: "r".into(), seq, unix_us: 1_000 + seq, mono_us: seq, event: what }
+    Record {
+        format_version: FORMAT,
+        run_id: "r".into(),
+        sequence: seq,
+        unix_us: 1_000 + seq,
+        mono_us: seq,
+        event: what,
+    }
 }
 
 fn text(record: &Record) -> String {
@@ -269,9 +284,9 @@
         let read = lines(text.as_bytes());
         let got = match &read[..] {
             [Line::Record(_)] => "record",
-            [Line::Unknown { .. }] => "unknown",
-            [Line::Bad { .. }] => "bad",
-            [Line::Torn] => "torn",
+            [Line::UnknownKind { .. }] => "unknown",
+            [Line::Invalid { .. }] => "bad",
+            [Line::Truncated] => "torn",
             _ => "more",
         };
         assert_eq!(got, want, "{}", &text[..text.len().min(90)]);
@@ -283,11 +298,19 @@
 fn a_report_tells_clock_steps_gaps_and_answers() {
     let answered = |seq, answer: &str, after_us| {
         let (flow, class, answer) = ("0".repeat(16), "once".to_owned(), answer.to_owned());
-        record(seq, EventKind::Answered { request_id: flow, class, answer, after_us })
+        record(
+            seq,
+            EventKind::RequestFinished {
+                request_id: flow,
+                class,
+                response: answer,
+                elapsed_since_accepted_us: after_us,
+            },
+        )
     };
     let refuse = Decision::Reject { retry_after_us: 5, reason: "late".into(), late_by_us: Some(5) };
     let mut all = [
-        record(0, EventKind::RunStarted { name: "n".into(), program: "1".into() }),
+        record(0, EventKind::RunStarted { name: "n".into(), version: "1".into() }),
         answered(1, "served", 10_000),
         answered(2, "served", 30_000),
         record(6, EventKind::Gap { dropped: 4 }),
@@ -296,13 +319,13 @@
     ];
     all[5].unix_us -= 900;
     all[4].unix_us += 60_000_000;
-    let mut report = Report::default();
+    let mut report = StreamSummary::default();
     let stream: String = all.iter().map(text).collect();
     lines(stream.as_bytes()).iter().for_each(|line| report.add(1, line));
     let run = &report.runs[0];
-    assert_eq!((run.missing, run.disorder, run.clock_steps), (5, 0, 2), "four told, one not");
-    assert_eq!(run.refusals["late"], 1);
-    let text = report.text();
+    assert_eq!((run.missing, run.out_of_order, run.clock_steps), (5, 0, 2), "four told, one not");
+    assert_eq!(run.rejection_reasons["late"], 1);
+    let text = report.to_text();
     assert!(
         text.contains("class once: taken 0, refused 1, served 2; served in 10.0 ms (median), 30.0 ms"),
         "{text}"
@@ -324,28 +347,28 @@
         let whole = cut.iter().filter(|&&byte| byte == b'\n').count();
         let read = lines(cut);
         prop_assert_eq!(read.iter().filter(|line| matches!(line, Line::Record(_))).count(), whole);
-        prop_assert_eq!(read.contains(&Line::Torn), !cut.is_empty() && !cut.ends_with(b"\n"));
+        prop_assert_eq!(read.contains(&Line::Truncated), !cut.is_empty() && !cut.ends_with(b"\n"));
     }
 
     #[test]
     fn garbage_does_no_harm(bytes: Vec<u8>, text in "[{}\":,a-z0-9\n]{0,200}") {
         for input in [&bytes[..], text.as_bytes()] {
-            let mut report = Report::default();
+            let mut report = StreamSummary::default();
             lines(input).iter().for_each(|line| report.add(1, line));
-            let _ = report.text();
+            let _ = report.to_text();
         }
     }
 
     // Numbers in any order, some missing, some twice, against a count by sets.
     #[test]
     fn missing_numbers_are_counted_whatever_the_order(rest in prop::collection::vec(0_u64..60, 0..60)) {
-        let mut report = Report::default();
+        let mut report = StreamSummary::default();
         let numbers: Vec<u64> = std::iter::once(0).chain(rest).collect();
         numbers.iter().for_each(|&seq| report.add(1, &Line::Record(record(seq, limit(seq)))));
         let distinct: std::collections::BTreeSet<_> = numbers.iter().collect();
         let last = numbers.iter().max().copied().unwrap_or(0);
         let run = &report.runs[0];
         prop_assert_eq!(run.missing, last + 1 - distinct.len() as u64);
-        prop_assert_eq!(run.twice, (numbers.len() - distinct.len()) as u64);
+        prop_assert_eq!(run.duplicates, (numbers.len() - distinct.len()) as u64);
     }
 }
--- a/crates/event-log/tests/transcripts.rs
+++ b/crates/event-log/tests/transcripts.rs
@@ -1,8 +1,8 @@
 //! Approved transcripts: a line of every kind of record, and what the reports print of a fixed stream.
-use copperspread_event_log::fleet::Fleet;
+use copperspread_event_log::fleet_summary::FleetSummary;
 use copperspread_event_log::reader::{Line, Reader};
-use copperspread_event_log::report::Report;
-use copperspread_event_log::writer::{Spec, begin};
+use copperspread_event_log::stream_summary::StreamSummary;
+use copperspread_event_log::writer::{EventLogConfig, start_writer};
 use copperspread_event_log::{Decision, EndpointEntry, EventKind, FORMAT, Record};
 
 const FLOW: &str = "00000000000000a1";
@@ -44,7 +44,12 @@
 
 fn answered(answer: &str) -> EventKind {
     let (class, answer) = ("batch".into(), answer.into());
-    EventKind::Answered { request_id: FLOW.into(), class, answer, after_us: 1_600_000 }
+    EventKind::RequestFinished {
+        request_id: FLOW.into(),
+        class,
+        response: answer,
+        elapsed_since_accepted_us: 1_600_000,
+    }
 }
 
 fn entry(state: &str, started_us: Option<u64>, size: Option<f64>) -> EndpointEntry {
@@ -55,7 +60,7 @@
 fn every_kind() -> Vec<EventKind> {
     let entries = vec![entry("ready", Some(1_000_000), Some(2.5)), entry("gone", None, None)];
     vec![
-        EventKind::RunStarted { name: "scheduler-1".into(), program: "0.2.0".into() },
+        EventKind::RunStarted { name: "scheduler-1".into(), version: "0.2.0".into() },
         EventKind::EndpointsChanged { form: "full".into(), endpoints: entries },
         taken(Some(0.5), Some(2.0)),
         taken(None, None),
@@ -72,7 +77,7 @@
         answered("refused"),
         decided(Decision::Fail),
         answered("failed"),
-        EventKind::CounterReached { what: "too many connections".into(), count: 4 },
+        EventKind::CounterReached { counter: "too many connections".into(), count: 4 },
         EventKind::Gap { dropped: 2 },
         EventKind::RunEnded { requests_left: 1 },
     ]
@@ -87,7 +92,14 @@
         }
         let mono_us = number * 250_000;
         let unix_us = 1_700_000_000_000_000 + mono_us;
-        let record = Record { v: FORMAT, run: "run-1".into(), seq, unix_us, mono_us, event: what };
+        let record = Record {
+            format_version: FORMAT,
+            run_id: "run-1".into(),
+            sequence: seq,
+            unix_us,
+            mono_us,
+            event: what,
+        };
         seq += 1;
         record
     };
@@ -114,8 +126,13 @@
     let folder = std::env::temp_dir().join(format!("copperspread-transcripts-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("records.jsonl");
-    let (recorder, writer) =
-        begin(Spec { file: file.clone(), rotate_at: 1 << 20, keep: 1, queue: 64 }).expect("a file");
+    let (recorder, writer) = start_writer(EventLogConfig {
+        path: file.clone(),
+        max_file_bytes: 1 << 20,
+        max_rotated_files: 1,
+        queue_capacity: 64,
+    })
+    .expect("a file");
     every_kind().into_iter().for_each(|what| recorder.record(what));
     recorder.close();
     assert!(writer.finish(), "all that waited is written");
@@ -136,11 +153,11 @@
     let unknown = stream().lines().next_back().expect("a line").replace("run_ended", "run_paused");
     let torn = "{\"v\":1,\"run\":";
     let text = format!("{}{other_lines}{unknown}\n{torn}", stream());
-    let (mut report, mut fleet) = (Report::default(), Fleet::default());
+    let (mut report, mut fleet) = (StreamSummary::default(), FleetSummary::default());
     for (number, line) in (1..).zip(lines(&text)) {
         report.add(number, &line);
         fleet.add(&line);
     }
-    insta::assert_snapshot!("report", report.text());
-    insta::assert_snapshot!("fleet", fleet.text(2, 1));
+    insta::assert_snapshot!("report", report.to_text());
+    insta::assert_snapshot!("fleet", fleet.to_text(2, 1));
 }
--- a/crates/proxy/src/event_recorder.rs
+++ b/crates/proxy/src/event_recorder.rs
@@ -31,7 +31,7 @@
     }
 
     fn record(&self, what: impl FnOnce() -> EventKind) {
-        if self.recorder.is_on() {
+        if self.recorder.is_enabled() {
             self.recorder.record(what());
         }
     }
@@ -88,7 +88,7 @@
 
     /// The module chose.
     pub fn action_decided(&self, action: &Action) {
-        if !self.recorder.is_on() {
+        if !self.recorder.is_enabled() {
             return;
         }
         let (request, choice) = match action {
@@ -144,16 +144,16 @@
 
     /// The client got its final answer, or left before.
     pub fn response_sent(&self, job: &IncomingRequest, answer: &'static str, after: Micros) {
-        self.record(|| EventKind::Answered {
+        self.record(|| EventKind::RequestFinished {
             request_id: id(job.request),
             class: self.class(job.class),
-            answer: answer.into(),
-            after_us: after,
+            response: answer.into(),
+            elapsed_since_accepted_us: after,
         });
     }
 
     /// Something that is counted happened once more.
     pub fn counter_reached(&self, what: &'static str, count: u64) {
-        self.record(|| EventKind::CounterReached { what: what.into(), count });
+        self.record(|| EventKind::CounterReached { counter: what.into(), count });
     }
 }
--- a/crates/proxy/tests/interfaces.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -152,7 +152,7 @@
         };
         let clock = Clock::start();
         let entries = Arc::new(EndpointTable::new(&own));
-        let witness = EventRecorder::new(Recorder::off(), Arc::clone(&entries), &own);
+        let witness = EventRecorder::new(Recorder::disabled(), Arc::clone(&entries), &own);
         let dispatcher = Box::new(Dispatcher::new(settings, 7).expect("good settings"));
         let decisions = PolicyHandle::new(dispatcher, false, clock, Arc::clone(&witness));
         let back = Arc::new(MemoryBack { script: Mutex::new(script.to_vec().into()), ..Default::default() });
--- a/crates/scheduler/src/origin.rs
+++ b/crates/scheduler/src/origin.rs
@@ -31,7 +31,7 @@
     /// The log.
     pub log: LogSpec,
     /// The records, if any are kept. The platform has no disk that lasts: none there.
-    pub records: Option<writer::Spec>,
+    pub records: Option<writer::EventLogConfig>,
     /// Membership among schedulers, if it is on. The platform names no peers: none there.
     #[cfg(feature = "standalone")]
     pub membership: Option<crate::peers::Membership>,
--- a/crates/scheduler/src/serve.rs
+++ b/crates/scheduler/src/serve.rs
@@ -5,7 +5,7 @@
 
 use copperspread_dispatcher::{Dispatcher, Micros};
 use copperspread_event_log::EventKind;
-use copperspread_event_log::writer::{self, Counts, Recorder};
+use copperspread_event_log::writer::{self, RecordCounts, Recorder};
 use copperspread_proxy::assembly::{AssembledProxy, assemble_with};
 use copperspread_proxy::clock::from_now;
 use copperspread_proxy::discovery::EndpointSource;
@@ -119,7 +119,7 @@
     let hearer = Arc::clone(&node.recorder);
     hear(Box::new(move |what, count| hearer.counter_reached(what, count)));
     let (name, program) = (config.name.clone(), env!("CARGO_PKG_VERSION").into());
-    recorder.record(EventKind::RunStarted { name, program });
+    recorder.record(EventKind::RunStarted { name, version: program });
     let (moving, source) = Moving::source(&config.discovery, *known);
     tokio::spawn(source.follow(membership.clone()));
     tokio::spawn(Arc::clone(edge).accept());
@@ -192,17 +192,18 @@
 pub fn run(origin: &Origin, toy: bool, records: Option<&Path>) -> Result<(), String> {
     let told = origin.read()?;
     let log = logging::begin(&told.log)?;
-    let asked = records.map(|file| writer::Spec {
-        file: file.to_owned(),
-        rotate_at: ASKED.0,
-        keep: ASKED.1,
-        queue: ASKED.2,
+    let asked = records.map(|file| writer::EventLogConfig {
+        path: file.to_owned(),
+        max_file_bytes: ASKED.0,
+        max_rotated_files: ASKED.1,
+        queue_capacity: ASKED.2,
     });
     let (recorder, writer) = match asked.or_else(|| told.records.clone()) {
-        None => (Recorder::off(), None),
+        None => (Recorder::disabled(), None),
         Some(spec) => {
-            let name = spec.file.display().to_string();
-            let (recorder, writer) = writer::begin(spec).map_err(|e| format!("records.file: {name}: {e}"))?;
+            let name = spec.path.display().to_string();
+            let (recorder, writer) =
+                writer::start_writer(spec).map_err(|e| format!("records.file: {name}: {e}"))?;
             (recorder, Some(writer))
         }
     };
@@ -211,7 +212,7 @@
     if let Some(writer) = writer {
         recorder.close();
         let whole = writer.finish();
-        let Counts { written, dropped, lost } = recorder.counts();
+        let RecordCounts { written, dropped, failed: lost } = recorder.counts();
         info!(written, dropped, lost, whole, "records closed");
     }
     served
--- a/crates/scheduler/src/standalone.rs
+++ b/crates/scheduler/src/standalone.rs
@@ -3,9 +3,9 @@
 use std::path::Path;
 
 use copperspread_config::{Effective, LogFormat, Surroundings};
-use copperspread_event_log::fleet::Fleet;
+use copperspread_event_log::fleet_summary::FleetSummary;
 use copperspread_event_log::reader::{Line, Reader};
-use copperspread_event_log::report::Report;
+use copperspread_event_log::stream_summary::StreamSummary;
 use copperspread_event_log::writer;
 use rustix::process::{Resource, getrlimit};
 
@@ -39,11 +39,11 @@
 pub fn read(file: Option<&Path>, flags: &[String], seed: u64) -> Result<Told, String> {
     let (effective, log) = effective(file, flags)?;
     let kept = &effective.config.records;
-    let records = kept.file.clone().map(|file| writer::Spec {
-        file,
-        rotate_at: kept.rotate_at.0,
-        keep: kept.keep,
-        queue: kept.queue as usize,
+    let records = kept.file.clone().map(|file| writer::EventLogConfig {
+        path: file,
+        max_file_bytes: kept.rotate_at.0,
+        max_rotated_files: kept.keep,
+        queue_capacity: kept.queue as usize,
     });
     let membership = crate::peers::Membership::of(&effective.config);
     Ok(Told { start: effective.config.start(seed)?, log, records, membership })
@@ -97,13 +97,13 @@
     file: &Path,
     all: bool,
     mut each: impl FnMut(&Line) -> Result<(), String>,
-) -> Result<Report, String> {
+) -> Result<StreamSummary, String> {
     let mut files = vec![file.to_owned()];
     if all {
-        files.extend((1..).map(|number| writer::aside(file, number)).take_while(|path| path.exists()));
+        files.extend((1..).map(|number| writer::rotated_path(file, number)).take_while(|path| path.exists()));
         files.reverse();
     }
-    let mut report = Report::default();
+    let mut report = StreamSummary::default();
     for path in files {
         let named = |error: std::io::Error| format!("{}: {error}", path.display());
         let input = std::io::BufReader::new(std::fs::File::open(&path).map_err(named)?);
@@ -133,12 +133,12 @@
     })?;
     gone |= out.flush().is_err();
     let missing: u64 = report.runs.iter().map(|run| run.missing).sum();
-    let disorder: u64 = report.runs.iter().map(|run| run.disorder).sum();
-    if !gone && (missing > 0 || disorder > 0 || report.bad_count > 0 || report.torn) {
+    let disorder: u64 = report.runs.iter().map(|run| run.out_of_order).sum();
+    if !gone && (missing > 0 || disorder > 0 || report.invalid_line_count > 0 || report.is_truncated) {
         eprintln!(
             "{missing} records are missing, {disorder} out of order; {} lines are none{}",
-            report.bad_count,
-            if report.torn { "; the last is torn" } else { "" },
+            report.invalid_line_count,
+            if report.is_truncated { "; the last is torn" } else { "" },
         );
     }
     Ok(())
@@ -149,7 +149,7 @@
 /// # Errors
 /// A file that cannot be read.
 pub fn records_stat(file: &Path, all: bool) -> Result<(), String> {
-    print(&read_records(file, all, |_| Ok(()))?.text())
+    print(&read_records(file, all, |_| Ok(()))?.to_text())
 }
 
 /// Prints to standard output. Guards against a reader that has gone, as `head` does.
@@ -183,12 +183,12 @@
     }
     files.retain(|path| !path.is_dir());
     files.sort();
-    let mut fleet = Fleet::default();
+    let mut fleet = FleetSummary::default();
     for path in files {
         read_records(&path, false, |line| {
             fleet.add(line);
             Ok(())
         })?;
     }
-    print(&fleet.text(window, workers))
+    print(&fleet.to_text(window, workers))
 }
--- a/crates/scheduler/tests/policy.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -58,7 +58,7 @@
         let ((ends_to, ends), (rosters_to, rosters)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
         let (wants, may) = (Arc::clone(&wanted), Arc::clone(&subscribe));
         let stub = Stub { wanted: wants, subscribe: may, ends: ends_to, rosters: rosters_to };
-        let node = assemble(&start, Box::new(stub), &Recorder::off()).await.expect("a port");
+        let node = assemble(&start, Box::new(stub), &Recorder::disabled()).await.expect("a port");
         House { node, wanted, subscribe, ends, rosters }
     }
     fn ask(&self, workers: &[u32]) {
--- a/crates/scheduler/tests/wire_transcripts.rs
+++ b/crates/scheduler/tests/wire_transcripts.rs
@@ -312,7 +312,8 @@
     let _ = std::fs::remove_file(&file);
     // A gap needs a queue that is full: its form alone is pinned.
     let (what, run) = (EventKind::Gap { dropped: 3 }, "none".to_owned());
-    let gap = Record { v: FORMAT, run, seq: 9, unix_us: 1, mono_us: 1, event: what };
+    let gap =
+        Record { format_version: FORMAT, run_id: run, sequence: 9, unix_us: 1, mono_us: 1, event: what };
     let gap = serde_json::to_string(&gap).expect("JSON");
     assert_snapshot!("records_of_each_kind", first_of_each(written.lines().chain([gap.as_str()])));
 }
--- a/crates/testbed/src/emulate/baseline.rs
+++ b/crates/testbed/src/emulate/baseline.rs
@@ -26,7 +26,7 @@
 /// A membership that no flow asks.
 fn nobody(start: &StartupConfig) -> Result<EndpointPublisher, String> {
     let entries = Arc::new(EndpointTable::new(&start.settings.proxy));
-    let witness = EventRecorder::new(Recorder::off(), Arc::clone(&entries), &start.settings.proxy);
+    let witness = EventRecorder::new(Recorder::disabled(), Arc::clone(&entries), &start.settings.proxy);
     let chance = stream(start.seed, Stream::Network);
     let policy = Kind::Random.make(start.settings.dispatch.clone(), start.seed, chance)?;
     Ok(EndpointPublisher::new(entries, PolicyHandle::new(policy, false, Clock::start(), witness)))
@@ -46,7 +46,7 @@
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     runtime.block_on(async {
         let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-        let assembled = assemble(&start, policy, &Recorder::off()).await?;
+        let assembled = assemble(&start, policy, &Recorder::disabled()).await?;
         let DiscoveryConfig::Platform(discovery) = start.discovery.clone() else {
             return Err("a baseline follows discovery only".to_owned());
         };
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -30,8 +30,8 @@
         let (number, line) = line.map_err(|e| e.to_string())?;
         let record = match line {
             Line::Record(record) => record,
-            Line::Unknown { .. } => continue,
-            Line::Bad { .. } | Line::Torn => {
+            Line::UnknownKind { .. } => continue,
+            Line::Invalid { .. } | Line::Truncated => {
                 left_out.unreadable += 1;
                 if number == 1 {
                     return Err("line 1 is no record".into());
