--- /dev/null
+++ b/crates/event-log/src/batch_writer.rs
@@ -0,0 +1,133 @@
+//! Writes queued records to the log file in batches; rotates the file, and reopens it when the disk failed.
+use std::sync::Arc;
+use std::sync::mpsc::Receiver;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use crate::config::EventLogConfig;
+use crate::error::EventLogError;
+use crate::log_file::{LogFile, rotate};
+use crate::record::{EventKind, Record};
+use crate::recorder::SharedCounts;
+
+/// A batch is written once it holds this much, or the queue is empty.
+const MAX_BATCH_BYTES: usize = 64 * 1024;
+/// Capacity beyond a batch for the record that fills it.
+const RECORD_BYTES: usize = 4096;
+/// Records that arrive this soon after a batch's first are written with it: to wake the thread for each record costs
+/// more than the record.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// How often a file that cannot be opened is opened again, and an open one is checked to be still at its path.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The only owner of the log file; runs on a thread of its own.
+pub(crate) struct BatchWriter {
+    config: EventLogConfig,
+    file: Option<LogFile>,
+    last_check: Instant,
+    /// How many batches could not be written.
+    failures: u64,
+    /// The sequence number that is written next if none is missing.
+    next_sequence: u64,
+    counts: Arc<SharedCounts>,
+}
+
+impl BatchWriter {
+    pub(crate) fn new(config: EventLogConfig, file: LogFile, counts: Arc<SharedCounts>) -> BatchWriter {
+        BatchWriter {
+            config,
+            file: Some(file),
+            last_check: Instant::now(),
+            failures: 0,
+            next_sequence: 0,
+            counts,
+        }
+    }
+
+    /// Writes records until the queue is closed and empty.
+    pub(crate) fn run(mut self, queue: &Receiver<Record>) {
+        // No batch fills a file by itself.
+        let max_batch_bytes = MAX_BATCH_BYTES.min(self.config.max_file_bytes as usize / 2);
+        let mut lines = Vec::with_capacity(max_batch_bytes + RECORD_BYTES);
+        while let Ok(first) = queue.recv() {
+            thread::sleep(BATCH_DELAY);
+            let (mut count, mut next_sequence) = (0, self.next_sequence);
+            let mut next_record = Some(first);
+            while let Some(record) = next_record.take() {
+                append_record(&mut lines, &record, next_sequence);
+                next_sequence = record.sequence + 1;
+                count += 1;
+                if lines.len() < max_batch_bytes {
+                    next_record = queue.try_recv().ok();
+                }
+            }
+            match self.write(&lines) {
+                Ok(()) => {
+                    self.next_sequence = next_sequence;
+                    self.counts.add_written(count);
+                }
+                Err(error) => self.count_failure(count, &error),
+            }
+            lines.clear();
+        }
+    }
+
+    /// Counts lost records; of failures the 1st, 2nd, 4th, 8th ... is logged.
+    fn count_failure(&mut self, count: u64, error: &EventLogError) {
+        self.counts.add_failed(count);
+        self.failures += 1;
+        if self.failures.is_power_of_two() {
+            let file = self.config.path.display();
+            tracing::warn!(%error, failures = self.failures, %file, "event log not written");
+        }
+    }
+
+    fn write(&mut self, lines: &[u8]) -> Result<(), EventLogError> {
+        self.reopen_if_due()?;
+        let max_file_bytes = self.config.max_file_bytes;
+        if self.open_file()?.would_exceed(max_file_bytes, lines.len()) {
+            rotate(&self.config.path, self.config.max_rotated_files)?;
+            self.file = None;
+            self.file = Some(LogFile::open(&self.config.path)?);
+        }
+        Ok(self.open_file()?.append(lines)?)
+    }
+
+    /// At each check interval: closes a file that is no longer at its path, since nobody would find what is written to
+    /// it after it was moved or removed, or its disk was; and opens it anew.
+    fn reopen_if_due(&mut self) -> Result<(), EventLogError> {
+        if self.last_check.elapsed() < CHECK_INTERVAL {
+            return Ok(());
+        }
+        self.last_check = Instant::now();
+        if self.file.as_ref().is_some_and(|file| !file.is_at(&self.config.path)) {
+            self.file = None;
+        }
+        if self.file.is_none() {
+            self.file = Some(LogFile::open(&self.config.path)?);
+        }
+        Ok(())
+    }
+
+    fn open_file(&mut self) -> Result<&mut LogFile, EventLogError> {
+        self.file.as_mut().ok_or(EventLogError::NotOpen)
+    }
+}
+
+/// Appends a record's line; if records are missing before it, a gap first, with the last of their sequence numbers.
+fn append_record(lines: &mut Vec<u8>, record: &Record, next_sequence: u64) {
+    if record.sequence > next_sequence {
+        let event = EventKind::Gap { dropped: record.sequence - next_sequence };
+        append_line(lines, &Record { sequence: record.sequence - 1, event, ..record.clone() });
+    }
+    append_line(lines, record);
+}
+
+fn append_line(lines: &mut Vec<u8>, record: &Record) {
+    let start = lines.len();
+    match serde_json::to_writer(&mut *lines, record) {
+        Ok(()) => lines.push(b'\n'),
+        // A number that JSON cannot express; the record is then missing.
+        Err(_) => lines.truncate(start),
+    }
+}
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -1,20 +1,34 @@
-//! What a scheduler did, as it happened: a typed stream of records, JSON lines, one a record.
+//! The event log: what a scheduler did, as it happened, as a typed stream of records; one JSON line for each.
 //!
-//! 1. The serving path hands a [`EventKind`] to a [`writer::Recorder`]. It gets its sequence number and both clocks
-//!    there, and goes into a bounded queue; it never waits. A full queue drops it.
-//! 2. A thread of its own writes batches ([`writer`]). What could not be written is lost, and the
-//!    scheduler goes on.
-//! 3. Whatever was dropped or lost left its numbers out. The next record that is written has a
-//!    [`EventKind::Gap`] before it that says how many are missing.
-//! 4. A [`reader`] follows runs and numbers, so that it sees gaps and disorder, and takes a torn last
-//!    line for what it is.
+//! ```text
+//!  serving path ─► Recorder::record ─► bounded queue ─► batch writer (a thread) ─► log file, rotated
+//!                                                                                     │
+//!                       StreamSummary (one stream), FleetSummary (many) ◄─ Reader ◄───┘
+//! ```
 //!
-//! The stream is no journal to recover from: it is flushed, not synced, and a crash of the machine may
-//! lose its end.
+//! 1. The serving path passes an [`EventKind`] to a [`recorder::Recorder`]. There it gets its sequence number and both
+//!    clocks, and enters a bounded queue; the call never waits. If the queue is full, the record is dropped.
+//! 2. A thread of its own writes batches ([`writer`]). What cannot be written is lost, and the scheduler goes on.
+//! 3. The sequence numbers of what was dropped or lost are left out. The next record that is written is preceded by an
+//!    [`EventKind::Gap`] with the number of missing records.
+//! 4. A [`reader`] reads the records back; summaries follow runs and sequence numbers, so that they see gaps and
+//!    disorder.
+//!
+//! The log is not for recovery: it is flushed, not synced, and a crash of the machine may lose its end.
+mod batch_writer;
+mod config;
+pub mod error;
 pub mod fleet_summary;
+mod log_file;
 pub mod reader;
 mod record;
+pub mod recorder;
+mod run_summary;
+mod sequence_tracker;
 pub mod stream_summary;
+mod text_format;
+mod window_summary;
+mod worker_summary;
 pub mod writer;
 
-pub use record::*;
+pub use record::{Decision, EndpointEntry, EventKind, FORMAT, Record};
--- /dev/null
+++ b/crates/event-log/src/recorder.rs
@@ -0,0 +1,125 @@
+//! The serving path's end of the event log: takes events and never waits.
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+use crate::record::{EventKind, FORMAT, Record};
+
+/// What became of the records so far.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RecordCounts {
+    /// Written to the file.
+    pub written: u64,
+    /// Dropped, since the queue was full.
+    pub dropped: u64,
+    /// Lost, since the file could not be written.
+    pub failed: u64,
+}
+
+/// The counts behind [`RecordCounts`]. The recorder counts what it drops, the batch writer the rest.
+#[derive(Default)]
+pub(crate) struct SharedCounts {
+    written: AtomicU64,
+    dropped: AtomicU64,
+    failed: AtomicU64,
+}
+
+impl SharedCounts {
+    pub(crate) fn add_written(&self, count: u64) {
+        self.written.fetch_add(count, Ordering::Relaxed);
+    }
+
+    pub(crate) fn add_failed(&self, count: u64) {
+        self.failed.fetch_add(count, Ordering::Relaxed);
+    }
+
+    fn add_dropped(&self) {
+        self.dropped.fetch_add(1, Ordering::Relaxed);
+    }
+
+    fn load(&self) -> RecordCounts {
+        RecordCounts {
+            written: self.written.load(Ordering::Relaxed),
+            dropped: self.dropped.load(Ordering::Relaxed),
+            failed: self.failed.load(Ordering::Relaxed),
+        }
+    }
+}
+
+struct Queue {
+    next_sequence: u64,
+    /// Absent once the recorder is closed.
+    sender: Option<SyncSender<Record>>,
+}
+
+/// One run of the program. All clones of its recorder own it together.
+struct Run {
+    id: String,
+    started: Instant,
+    /// Number and queue under one lock, so that records are queued in the order of their numbers.
+    queue: Mutex<Queue>,
+    counts: Arc<SharedCounts>,
+}
+
+/// Takes events and never waits. Clones record to the same run.
+#[derive(Clone, Default)]
+pub struct Recorder(Option<Arc<Run>>);
+
+impl Recorder {
+    /// A recorder that discards all events.
+    pub fn disabled() -> Recorder {
+        Recorder(None)
+    }
+
+    /// A recorder of a new run with a random id, and the end of its queue that the batch writer receives from.
+    pub(crate) fn new(queue_capacity: usize, counts: Arc<SharedCounts>) -> (Recorder, Receiver<Record>) {
+        let (sender, receiver) = sync_channel(queue_capacity.max(1));
+        let run = Run {
+            id: format!("{:016x}", fastrand::u64(..)),
+            started: Instant::now(),
+            queue: Mutex::new(Queue { next_sequence: 0, sender: Some(sender) }),
+            counts,
+        };
+        (Recorder(Some(Arc::new(run))), receiver)
+    }
+
+    /// Whether events are recorded: if not, they need not be made.
+    pub fn is_enabled(&self) -> bool {
+        self.0.is_some()
+    }
+
+    /// Records an event, or drops it if the queue is full.
+    pub fn record(&self, event: EventKind) {
+        let Some(run) = &self.0 else { return };
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let mut queue = run.queue.lock().unwrap_or_else(PoisonError::into_inner);
+        let sequence = queue.next_sequence;
+        let Some(sender) = &queue.sender else { return };
+        let record = Record {
+            format_version: FORMAT,
+            run_id: run.id.clone(),
+            sequence,
+            unix_us: unix_time.as_micros() as u64,
+            mono_us: run.started.elapsed().as_micros() as u64,
+            event,
+        };
+        let is_dropped = sender.try_send(record).is_err();
+        queue.next_sequence += 1;
+        if is_dropped {
+            run.counts.add_dropped();
+        }
+    }
+
+    /// Ends recording, of all clones; what is queued is still written.
+    pub fn close(&self) {
+        if let Some(run) = &self.0 {
+            run.queue.lock().unwrap_or_else(PoisonError::into_inner).sender = None;
+        }
+    }
+
+    /// What became of the records so far.
+    pub fn counts(&self) -> RecordCounts {
+        self.0.as_ref().map_or_else(RecordCounts::default, |run| run.counts.load())
+    }
+}
--- /dev/null
+++ b/crates/event-log/src/worker_summary.rs
@@ -0,0 +1,80 @@
+//! What all schedulers sent to one worker.
+use std::fmt::Write;
+
+use hdrhistogram::Histogram;
+
+use crate::text_format::{Counts, elapsed_histogram, format_counts, increment};
+use crate::window_summary::ELAPSED_DIGITS;
+
+/// A change of the attempts in flight. Of one instant, ends sort before starts.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct InFlightChange {
+    unix_us: u64,
+    /// 1 for a start, -1 for an end.
+    change: i32,
+}
+
+/// Sums over all schedulers at one worker.
+#[derive(Default)]
+pub(crate) struct WorkerSummary {
+    attempts_sent: u64,
+    in_flight_changes: Vec<InFlightChange>,
+    attempt_outcomes: Counts,
+    /// Time that served attempts took, in percent of their estimates.
+    percent_of_estimate: Option<Histogram<u64>>,
+}
+
+impl WorkerSummary {
+    pub(crate) fn attempts_sent(&self) -> u64 {
+        self.attempts_sent
+    }
+
+    pub(crate) fn start_attempt(&mut self, unix_us: u64) {
+        self.attempts_sent += 1;
+        self.in_flight_changes.push(InFlightChange { unix_us, change: 1 });
+    }
+
+    pub(crate) fn end_attempt(&mut self, unix_us: u64) {
+        self.in_flight_changes.push(InFlightChange { unix_us, change: -1 });
+    }
+
+    pub(crate) fn add_outcome(&mut self, outcome: &str) {
+        increment(&mut self.attempt_outcomes, outcome);
+    }
+
+    /// Adds the elapsed time of a served attempt against its estimate.
+    pub(crate) fn add_served(&mut self, elapsed_us: u64, estimate_us: u64) {
+        let histogram = self.percent_of_estimate.get_or_insert_with(|| elapsed_histogram(ELAPSED_DIGITS));
+        histogram.saturating_record(elapsed_us.saturating_mul(100) / estimate_us.max(1));
+    }
+
+    /// The most attempts of all schedulers that were in flight at once.
+    pub(crate) fn max_in_flight(&self) -> i32 {
+        let mut changes = self.in_flight_changes.clone();
+        changes.sort_unstable();
+        let (mut in_flight, mut max_in_flight) = (0, 0);
+        for InFlightChange { change, .. } in changes {
+            in_flight += change;
+            max_in_flight = max_in_flight.max(in_flight);
+        }
+        max_in_flight
+    }
+
+    /// Writes the worker's line; `total_sent` are the attempts sent to all workers.
+    pub(crate) fn write_text(&self, name: &str, max_in_flight: i32, total_sent: u64, text: &mut String) {
+        let percent = 100.0 * self.attempts_sent as f64 / total_sent.max(1) as f64;
+        let _ = writeln!(
+            text,
+            "worker {name}: sent {} ({percent:.1} %), at most {max_in_flight} out at once; {}{}",
+            self.attempts_sent,
+            format_counts(&self.attempt_outcomes),
+            self.estimate_text(),
+        );
+    }
+
+    fn estimate_text(&self) -> String {
+        let Some(percent) = &self.percent_of_estimate else { return String::new() };
+        let ratio_at = |quantile| percent.value_at_quantile(quantile) as f64 / 100.0;
+        format!("; took {:.2} of the estimate (median), {:.2} (90%)", ratio_at(0.5), ratio_at(0.9))
+    }
+}
--- a/crates/event-log/tests/stream.rs
+++ b/crates/event-log/tests/stream.rs
@@ -89,7 +89,7 @@
         (report.runs[at].name.as_deref(), report.runs[at].records_by_kind["limit"], report.runs[at].has_ended)
     };
     assert_eq!((of(0), of(1)), ((Some("first"), 500, true), (Some("second"), 500, true)));
-    assert!(report.runs.iter().all(|run| (run.missing, run.out_of_order, run.clock_steps) == (0, 0, 0)));
+    assert!(report.runs.iter().all(|run| (run.missing(), run.out_of_order(), run.clock_steps) == (0, 0, 0)));
 }
 
 // A pipe that nobody reads stands for a disk that hangs: writes to it wait for good.
@@ -135,8 +135,8 @@
             _ => None,
         })
         .sum();
-    assert_eq!((told, report.runs[0].missing), (dropped, dropped));
-    assert_eq!((report.invalid_line_count, report.runs[0].out_of_order), (0, 0));
+    assert_eq!((told, report.runs[0].missing()), (dropped, dropped));
+    assert_eq!((report.invalid_line_count, report.runs[0].out_of_order()), (0, 0));
 }
 
 #[test]
@@ -170,7 +170,7 @@
     until_written(&recorder);
     let counts = end(&recorder, writer);
     let report = report(&spec.path);
-    assert_eq!(report.runs[0].missing, counts.failed);
+    assert_eq!(report.runs[0].missing(), counts.failed);
     assert_eq!(report.runs[0].records_by_kind["limit"], counts.written);
     assert!(report.runs[0].records_by_kind["gap"] >= 1 && report.invalid_line_count == 0);
 }
@@ -192,7 +192,7 @@
     until_written(&recorder);
     end(&recorder, writer);
     let report = report(&spec.path);
-    assert!(report.runs[0].records_by_kind["gap"] == 1 && report.runs[0].missing > 0);
+    assert!(report.runs[0].records_by_kind["gap"] == 1 && report.runs[0].missing() > 0);
 }
 
 #[test]
@@ -218,7 +218,10 @@
     }
     let mut report = StreamSummary::default();
     lines(&whole).iter().for_each(|line| report.add(1, line));
-    assert_eq!((report.runs[0].missing, report.runs[0].out_of_order, report.invalid_line_count), (0, 0, 0));
+    assert_eq!(
+        (report.runs[0].missing(), report.runs[0].out_of_order(), report.invalid_line_count),
+        (0, 0, 0)
+    );
     let last = lines(&whole).pop().expect("a line");
     assert!(matches!(last, Line::Record(Record { event: EventKind::CounterReached { count: 399, .. }, .. })));
 }
@@ -237,7 +240,10 @@
     recorder.record(limit(9));
     end(&recorder, writer);
     let report = report(&spec.path);
-    assert_eq!((report.invalid_line_count, report.invalid_lines[0].0, report.is_truncated), (1, 3, false));
+    assert_eq!(
+        (report.invalid_line_count, report.invalid_lines[0].number, report.is_truncated),
+        (1, 3, false)
+    );
     assert_eq!((report.runs[0].records_by_kind["limit"], report.runs[1].records_by_kind["limit"]), (2, 1));
 }
 
@@ -323,7 +329,7 @@
     let stream: String = all.iter().map(text).collect();
     lines(stream.as_bytes()).iter().for_each(|line| report.add(1, line));
     let run = &report.runs[0];
-    assert_eq!((run.missing, run.out_of_order, run.clock_steps), (5, 0, 2), "four told, one not");
+    assert_eq!((run.missing(), run.out_of_order(), run.clock_steps), (5, 0, 2), "four told, one not");
     assert_eq!(run.rejection_reasons["late"], 1);
     let text = report.to_text();
     assert!(
@@ -368,7 +374,7 @@
         let distinct: std::collections::BTreeSet<_> = numbers.iter().collect();
         let last = numbers.iter().max().copied().unwrap_or(0);
         let run = &report.runs[0];
-        prop_assert_eq!(run.missing, last + 1 - distinct.len() as u64);
-        prop_assert_eq!(run.duplicates, (numbers.len() - distinct.len()) as u64);
+        prop_assert_eq!(run.missing(), last + 1 - distinct.len() as u64);
+        prop_assert_eq!(run.duplicates(), (numbers.len() - distinct.len()) as u64);
     }
 }
--- a/crates/fair-share/src/demand.rs
+++ b/crates/fair-share/src/demand.rs
@@ -7,7 +7,7 @@
 
 /// The demand and the debt of a tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Use", deny_unknown_fields)]
+#[serde(deny_unknown_fields)]
 pub struct TenantDemand {
     /// What it would use, in parts per million of the fleet; above 1 000 000 counts as that.
     pub demand: u32,
@@ -18,7 +18,6 @@
 
 /// The demands by tenant; a tenant that is not listed demands nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Usage")]
 pub struct TenantDemands(pub BTreeMap<Name, TenantDemand>);
 
 impl TenantDemands {
--- a/crates/fair-share/src/enrollment.rs
+++ b/crates/fair-share/src/enrollment.rs
@@ -22,7 +22,7 @@
 
 /// The enrolled reporters and tenants.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Roll", deny_unknown_fields)]
+#[serde(deny_unknown_fields)]
 pub struct Enrollment {
     /// The reporters, at most 4 096.
     pub reporters: BTreeMap<Name, Reporter>,
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -38,7 +38,6 @@
 /// The usage ledger. Serialized it is the same bytes for the same reports in any order and repetition, after the same
 /// calls of [`UsageLedger::advance`] and [`UsageLedger::enroll`]; [`DiscardCounts`] are not serialized.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(rename = "Ledger")]
 pub struct UsageLedger {
     settings: LedgerSettings,
     enrollment: Enrollment,
--- a/crates/fair-share/src/policy.rs
+++ b/crates/fair-share/src/policy.rs
@@ -10,7 +10,7 @@
 
 /// The share that a tenant or federation is configured to have, in parts per million of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Terms", deny_unknown_fields)]
+#[serde(deny_unknown_fields)]
 pub struct ShareConfig {
     /// From 1 to 1 000 000; its part relative to its neighbours' when all demand more than they get.
     pub weight: u32,
--- a/crates/fair-share/src/reservation.rs
+++ b/crates/fair-share/src/reservation.rs
@@ -9,7 +9,7 @@
 /// What is reserved and not lent, in parts per million of the fleet. It is allocated before everything else.
 /// Reservations that add up to more than 1 000 000 are cut in proportion.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Reserved", default, deny_unknown_fields)]
+#[serde(default, deny_unknown_fields)]
 pub struct ReservedShares {
     /// By tenant. The reservation of a tenant that the policy does not list is subtracted, but gives it no share.
     pub tenants: BTreeMap<Name, u32>,
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -11,7 +11,7 @@
 
 /// The settings of a ledger; times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Settings", default, deny_unknown_fields)]
+#[serde(default, deny_unknown_fields)]
 pub struct LedgerSettings {
     /// Length of an accounting window; from 1 to 600 000.
     #[serde(rename = "window")]
--- a/crates/fair-share/src/share_table.rs
+++ b/crates/fair-share/src/share_table.rs
@@ -7,7 +7,7 @@
 
 /// What a tenant may use, in parts per million of the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Share", deny_unknown_fields)]
+#[serde(deny_unknown_fields)]
 pub struct TenantShare {
     /// All that it may use.
     pub share: u32,
@@ -24,7 +24,7 @@
 
 /// The shares of all tenants and federations, in parts per million of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Table", deny_unknown_fields)]
+#[serde(deny_unknown_fields)]
 pub struct ShareTable {
     /// By tenant.
     pub tenants: BTreeMap<Name, TenantShare>,
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -5,7 +5,7 @@
 
 /// What a scheduler, or a federation's partner, reports that a tenant used.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[serde(rename = "Report", deny_unknown_fields)]
+#[serde(deny_unknown_fields)]
 pub struct UsageReport {
     /// Who reports it.
     pub reporter: Name,
@@ -48,7 +48,6 @@
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
 )]
-#[serde(rename = "Refused")]
 #[non_exhaustive]
 pub enum ReportRejection {
     /// The reporter is not enrolled.
--- a/crates/fair-share/src/window.rs
+++ b/crates/fair-share/src/window.rs
@@ -8,7 +8,7 @@
 
 /// An accounting window that is closed. It never changes; usage that arrives later is an adjustment of a later window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Closed", deny_unknown_fields)]
+#[serde(deny_unknown_fields)]
 pub struct ClosedWindow {
     /// Its number: it starts this many window lengths after the Unix epoch.
     #[serde(rename = "window")]
@@ -53,7 +53,7 @@
 
 /// What is known of a window so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Provisional", deny_unknown_fields)]
+#[serde(deny_unknown_fields)]
 pub struct ProvisionalUsage {
     /// Each tenant's work in it as reported so far, in slot-milliseconds.
     pub work: BTreeMap<Name, u64>,
--- a/crates/scheduler/src/standalone.rs
+++ b/crates/scheduler/src/standalone.rs
@@ -132,8 +132,8 @@
         Ok(())
     })?;
     gone |= out.flush().is_err();
-    let missing: u64 = report.runs.iter().map(|run| run.missing).sum();
-    let disorder: u64 = report.runs.iter().map(|run| run.out_of_order).sum();
+    let missing: u64 = report.runs.iter().map(|run| run.missing()).sum();
+    let disorder: u64 = report.runs.iter().map(|run| run.out_of_order()).sum();
     if !gone && (missing > 0 || disorder > 0 || report.invalid_line_count > 0 || report.is_truncated) {
         eprintln!(
             "{missing} records are missing, {disorder} out of order; {} lines are none{}",
