--- /dev/null
+++ b/crates/event-log/src/fleet_summary.rs
@@ -0,0 +1,159 @@
+//! Summarizes the streams of many schedulers by time and by worker: what none of them sees alone, such as how many
+//! requests all of them together have at one worker.
+//!
+//! Runs are put together by their wall clocks, which must agree: those of one machine, or of machines whose clocks are
+//! synchronized.
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::fmt::Write;
+
+use crate::reader::Line;
+use crate::record::{Decision, EventKind, Record};
+use crate::text_format::increment;
+use crate::window_summary::WindowSummary;
+use crate::worker_summary::WorkerSummary;
+
+/// The summary of all schedulers.
+#[derive(Default)]
+pub struct FleetSummary {
+    runs: HashMap<String, RunState>,
+    scheduler_names: BTreeSet<String>,
+    /// By second of the wall clock.
+    seconds: BTreeMap<u64, WindowSummary>,
+    workers: BTreeMap<String, WorkerSummary>,
+    /// Lines that are no records: logs, and truncated ones.
+    other_lines: u64,
+}
+
+/// An attempt of a run.
+#[derive(Clone, PartialEq, Eq, Hash)]
+struct AttemptKey {
+    request_id: String,
+    attempt: u32,
+}
+
+/// What must be known of a run while its records are added.
+#[derive(Default)]
+struct RunState {
+    next_sequence: u64,
+    missing: u64,
+    /// The estimate of each request's last decision, until the attempt is sent.
+    pending_estimates_us: HashMap<String, u64>,
+    /// Attempts in flight, with their estimates.
+    in_flight: HashMap<AttemptKey, Option<u64>>,
+}
+
+impl RunState {
+    fn add_sequence(&mut self, sequence: u64) {
+        self.missing += sequence.saturating_sub(self.next_sequence);
+        self.next_sequence = self.next_sequence.max(sequence + 1);
+    }
+
+    fn start_attempt(&mut self, request_id: &str, attempt: u32) {
+        let estimate_us = self.pending_estimates_us.remove(request_id);
+        self.in_flight.insert(AttemptKey { request_id: request_id.to_owned(), attempt }, estimate_us);
+    }
+
+    /// Whether the attempt was in flight, and its estimate if known.
+    fn end_attempt(&mut self, request_id: &str, attempt: u32) -> Option<Option<u64>> {
+        self.in_flight.remove(&AttemptKey { request_id: request_id.to_owned(), attempt })
+    }
+}
+
+impl FleetSummary {
+    /// Adds a line of some scheduler's stream. Lines of one run must come in the order written.
+    pub fn add(&mut self, line: &Line) {
+        match line {
+            Line::Record(record) => self.add_record(record),
+            Line::UnknownKind { .. } => {}
+            Line::Invalid { .. } | Line::Truncated => self.other_lines += 1,
+        }
+    }
+
+    fn add_record(&mut self, record: &Record) {
+        let run = self.runs.entry(record.run_id.clone()).or_default();
+        run.add_sequence(record.sequence);
+        let second = self.seconds.entry(record.unix_us / 1_000_000).or_default();
+        match &record.event {
+            EventKind::RunStarted { name, .. } => {
+                self.scheduler_names.insert(name.clone());
+            }
+            EventKind::RequestAccepted { .. } => second.accepted += 1,
+            EventKind::EndpointsChanged { form, .. } => {
+                second.endpoint_updates += u64::from(form != "remembered");
+            }
+            EventKind::Decided { request_id, decision } => match decision {
+                Decision::Send { estimate_us, .. } => {
+                    run.pending_estimates_us.insert(request_id.clone(), *estimate_us);
+                }
+                Decision::Reject { reason, .. } => increment(&mut second.rejection_reasons, reason),
+                Decision::Fail | Decision::Cancel { .. } => {}
+            },
+            EventKind::AttemptSent { request_id, attempt, worker } => {
+                second.attempts_sent += 1;
+                run.start_attempt(request_id, *attempt);
+                self.workers.entry(worker.clone()).or_default().start_attempt(record.unix_us);
+            }
+            EventKind::AttemptEnded { request_id, attempt, worker, outcome, elapsed_us, .. } => {
+                increment(&mut second.attempt_outcomes, outcome);
+                let worker = self.workers.entry(worker.clone()).or_default();
+                worker.add_outcome(outcome);
+                // An attempt whose start is not in the stream was not counted as in flight either.
+                let Some(estimate_us) = run.end_attempt(request_id, *attempt) else { return };
+                worker.end_attempt(record.unix_us);
+                if let Some(estimate_us) = estimate_us.filter(|_| outcome == "served") {
+                    worker.add_served(*elapsed_us, estimate_us);
+                }
+            }
+            EventKind::RequestFinished { response, elapsed_since_accepted_us, .. } => {
+                increment(&mut second.responses, response);
+                if response == "served" {
+                    second.served_us.saturating_record(*elapsed_since_accepted_us);
+                }
+            }
+            EventKind::RunEnded { .. } | EventKind::CounterReached { .. } | EventKind::Gap { .. } => {}
+        }
+    }
+
+    /// The summary as text: a line for each window of `window_s` seconds (at least one), then one for each worker,
+    /// those with the most attempts in flight at once first, `max_workers` of them at the most.
+    pub fn to_text(&self, window_s: u64, max_workers: usize) -> String {
+        let mut text = String::new();
+        let missing: u64 = self.runs.values().map(|run| run.missing).sum();
+        let (schedulers, runs) = (self.scheduler_names.len(), self.runs.len());
+        let _ = writeln!(
+            text,
+            "{schedulers} schedulers, {runs} runs, {missing} records missing, {} other lines",
+            self.other_lines
+        );
+        for (start_s, window) in &self.windows(window_s.max(1)) {
+            window.write_text(*start_s, &mut text);
+        }
+        self.write_workers(max_workers, &mut text);
+        text
+    }
+
+    /// The sums by window, by its start in seconds after the first second.
+    fn windows(&self, window_s: u64) -> BTreeMap<u64, WindowSummary> {
+        let mut windows: BTreeMap<u64, WindowSummary> = BTreeMap::new();
+        let first = self.seconds.keys().next().copied().unwrap_or(0);
+        for (second, summary) in &self.seconds {
+            let start_s = (second - first) / window_s * window_s;
+            windows.entry(start_s).or_default().merge(summary);
+        }
+        windows
+    }
+
+    fn write_workers(&self, max_workers: usize, text: &mut String) {
+        let total_sent: u64 = self.workers.values().map(WorkerSummary::attempts_sent).sum();
+        let mut workers: Vec<_> =
+            self.workers.iter().map(|(name, worker)| (worker.max_in_flight(), name, worker)).collect();
+        workers.sort_by_key(|&(max_in_flight, name, _)| (Reverse(max_in_flight), name));
+        for (max_in_flight, name, worker) in workers.iter().take(max_workers) {
+            worker.write_text(name, *max_in_flight, total_sent, text);
+        }
+        if workers.len() > max_workers {
+            let _ = writeln!(text, "{} more workers", workers.len() - max_workers);
+        }
+    }
+}
--- a/crates/scheduler/src/commands/event_log.rs
+++ b/crates/scheduler/src/commands/event_log.rs
@@ -3,9 +3,9 @@
 use std::io::{BufReader, BufWriter, Write};
 use std::path::{Path, PathBuf};
 
-use copperspread_event_log::fleet::Fleet;
+use copperspread_event_log::fleet_summary::FleetSummary;
 use copperspread_event_log::reader::{Line, Reader};
-use copperspread_event_log::report::Report;
+use copperspread_event_log::stream_summary::StreamSummary;
 use copperspread_event_log::writer;
 
 use super::error::CommandError;
@@ -49,21 +49,21 @@
     Ok(())
 }
 
-fn warn_of_missing_events(report: &Report) {
-    let missing: u64 = report.runs.iter().map(|run| run.missing).sum();
-    let disorder: u64 = report.runs.iter().map(|run| run.disorder).sum();
-    if missing > 0 || disorder > 0 || report.bad_count > 0 || report.torn {
+fn warn_of_missing_events(report: &StreamSummary) {
+    let missing: u64 = report.runs.iter().map(|run| run.missing()).sum();
+    let disorder: u64 = report.runs.iter().map(|run| run.out_of_order()).sum();
+    if missing > 0 || disorder > 0 || report.invalid_line_count > 0 || report.is_truncated {
         eprintln!(
             "{missing} records are missing, {disorder} out of order; {} lines are none{}",
-            report.bad_count,
-            if report.torn { "; the last is torn" } else { "" },
+            report.invalid_line_count,
+            if report.is_truncated { "; the last is torn" } else { "" },
         );
     }
 }
 
 /// Prints the sums of one event log.
 fn print_report(file: &Path, with_rotated: bool) -> Result<(), CommandError> {
-    print(&read_files(files_oldest_first(file, with_rotated), |_| Ok(()))?.text())
+    print(&read_files(files_oldest_first(file, with_rotated), |_| Ok(()))?.to_text())
 }
 
 /// Prints the sums of many schedulers' event logs, each of the paths a file or a folder of files.
@@ -72,19 +72,19 @@
     window_seconds: u64,
     max_workers: usize,
 ) -> Result<(), CommandError> {
-    let mut fleet = Fleet::default();
+    let mut fleet = FleetSummary::default();
     read_files(files_below(paths)?, |line| {
         fleet.add(line);
         Ok(())
     })?;
-    print(&fleet.text(window_seconds, max_workers))
+    print(&fleet.to_text(window_seconds, max_workers))
 }
 
 /// An event log's file, and before it those that were rotated if they are asked for.
 fn files_oldest_first(file: &Path, with_rotated: bool) -> Vec<PathBuf> {
     let mut files = vec![file.to_owned()];
     if with_rotated {
-        files.extend((1..).map(|number| writer::aside(file, number)).take_while(|path| path.exists()));
+        files.extend((1..).map(|number| writer::rotated_path(file, number)).take_while(|path| path.exists()));
         files.reverse();
     }
     files
@@ -111,8 +111,8 @@
 fn read_files(
     files: Vec<PathBuf>,
     mut on_line: impl FnMut(&Line) -> Result<(), CommandError>,
-) -> Result<Report, CommandError> {
-    let mut report = Report::default();
+) -> Result<StreamSummary, CommandError> {
+    let mut report = StreamSummary::default();
     for path in files {
         let input = BufReader::new(File::open(&path).map_err(unreadable(&path))?);
         for line in Reader::new(input) {
--- a/crates/scheduler/src/configuration/layers.rs
+++ b/crates/scheduler/src/configuration/layers.rs
@@ -74,12 +74,12 @@
     }
 }
 
-fn event_log_spec(effective: &EffectiveConfig) -> Option<writer::Spec> {
+fn event_log_spec(effective: &EffectiveConfig) -> Option<writer::EventLogConfig> {
     let records = &effective.config.records;
-    records.file.clone().map(|file| writer::Spec {
-        file,
-        rotate_at: records.rotate_at.0,
-        keep: records.keep,
-        queue: records.queue as usize,
+    records.file.clone().map(|file| writer::EventLogConfig {
+        path: file,
+        max_file_bytes: records.rotate_at.0,
+        max_rotated_files: records.keep,
+        queue_capacity: records.queue as usize,
     })
 }
--- a/crates/scheduler/src/configuration/loaded.rs
+++ b/crates/scheduler/src/configuration/loaded.rs
@@ -12,7 +12,7 @@
     /// The log.
     pub(crate) log: LogConfig,
     /// The event log, if one is kept. The platform has no lasting disk: none there.
-    pub(crate) event_log: Option<writer::Spec>,
+    pub(crate) event_log: Option<writer::EventLogConfig>,
     /// Membership among schedulers, if it is on. The platform names no other schedulers: off there.
     #[cfg(feature = "standalone")]
     pub(crate) membership: Option<crate::membership::MembershipConfig>,
--- a/crates/scheduler/src/serve/error.rs
+++ b/crates/scheduler/src/serve/error.rs
@@ -4,6 +4,7 @@
 use std::path::PathBuf;
 
 use copperspread_dispatcher::SettingsError;
+use copperspread_event_log::error::EventLogError;
 
 use crate::configuration::ConfigError;
 use crate::logging::LogError;
@@ -24,7 +25,7 @@
         /// The file.
         path: PathBuf,
         /// What the system answered.
-        source: io::Error,
+        source: EventLogError,
     },
     /// The asynchronous runtime does not start.
     #[error("runtime: {0}")]
--- a/crates/scheduler/src/serve/event_log.rs
+++ b/crates/scheduler/src/serve/event_log.rs
@@ -1,7 +1,7 @@
 //! The event log of one run.
 use std::path::{Path, PathBuf};
 
-use copperspread_event_log::writer::{self, Counts, Recorder, Spec, Writer};
+use copperspread_event_log::writer::{self, EventLogConfig, RecordCounts, Recorder, Writer};
 use tracing::info;
 
 use super::error::StartError;
@@ -19,12 +19,12 @@
 }
 
 /// What a file that is named on the command line is written by.
-pub(super) fn spec_of_command_line(file: &Path) -> Spec {
-    Spec {
-        file: file.to_owned(),
-        rotate_at: DEFAULT_ROTATE_AT_BYTES,
-        keep: DEFAULT_ROTATED_FILES,
-        queue: DEFAULT_MAX_QUEUED_EVENTS,
+pub(super) fn spec_of_command_line(file: &Path) -> EventLogConfig {
+    EventLogConfig {
+        path: file.to_owned(),
+        max_file_bytes: DEFAULT_ROTATE_AT_BYTES,
+        max_rotated_files: DEFAULT_ROTATED_FILES,
+        queue_capacity: DEFAULT_MAX_QUEUED_EVENTS,
     }
 }
 
@@ -33,13 +33,13 @@
     ///
     /// # Errors
     /// A file that cannot be opened, or that another process writes.
-    pub(super) fn open(spec: Option<Spec>) -> Result<EventLog, StartError> {
+    pub(super) fn open(spec: Option<EventLogConfig>) -> Result<EventLog, StartError> {
         let Some(spec) = spec else {
-            return Ok(EventLog { recorder: Recorder::off(), writer: None });
+            return Ok(EventLog { recorder: Recorder::disabled(), writer: None });
         };
-        let path = PathBuf::from(&spec.file);
+        let path = PathBuf::from(&spec.path);
         let (recorder, writer) =
-            writer::begin(spec).map_err(|source| StartError::EventLog { path, source })?;
+            writer::start_writer(spec).map_err(|source| StartError::EventLog { path, source })?;
         Ok(EventLog { recorder, writer: Some(writer) })
     }
 
@@ -53,7 +53,7 @@
         let Some(writer) = self.writer else { return };
         self.recorder.close();
         let is_complete = writer.finish();
-        let Counts { written, dropped, lost } = self.recorder.counts();
+        let RecordCounts { written, dropped, failed: lost } = self.recorder.counts();
         info!(written, dropped, lost, is_complete, "event log closed");
     }
 }
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -82,7 +82,7 @@
     let event_recorder = Arc::clone(&proxy.context.recorder);
     invariant::hear(Box::new(move |what, count| event_recorder.counter_reached(what, count)));
     let (name, program) = (startup.name.clone(), env!("CARGO_PKG_VERSION").into());
-    recorder.record(EventKind::RunStarted { name, program });
+    recorder.record(EventKind::RunStarted { name, version: program });
 }
 
 /// Follows the endpoint source and accepts clients, each in a task that ends with the runtime.
--- a/crates/scheduler/tests/wire_transcripts.rs
+++ b/crates/scheduler/tests/wire_transcripts.rs
@@ -313,7 +313,8 @@
     let _ = std::fs::remove_file(&file);
     // A gap needs a full queue: only its form is pinned.
     let (what, run) = (EventKind::Gap { dropped: 3 }, "none".to_owned());
-    let gap = Record { v: FORMAT, run, seq: 9, unix_us: 1, mono_us: 1, event: what };
+    let gap =
+        Record { format_version: FORMAT, run_id: run, sequence: 9, unix_us: 1, mono_us: 1, event: what };
     let gap = serde_json::to_string(&gap).expect("JSON");
     assert_snapshot!("records_of_each_kind", first_of_each(written.lines().chain([gap.as_str()])));
 }
