--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -1,22 +1,22 @@
-//! The records' form, version 1.
+//! The format of records, version 1.
 //!
-//! A field that is added may be absent in older files; a kind that is added is unknown to older
-//! readers, which count it and go on. Whatever else changes raises [`FORMAT`].
+//! A field that is added may be absent in older files; a kind that is added is unknown to older readers, which count
+//! it and go on. Any other change raises [`FORMAT`]. The serialized names are fixed, whatever the Rust names are.
 use serde::{Deserialize, Serialize};
 
-/// The version of the form. A reader refuses records of a later one.
+/// The version of the format. A reader rejects records of a later one.
 pub const FORMAT: u32 = 1;
 
 /// One record: a line of the stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The form's version.
+    /// The version of the format.
     #[serde(rename = "v")]
     pub format_version: u32,
-    /// The run that it belongs to, a random name for each start of the program.
+    /// The run that it belongs to: a random id for each start of the program.
     #[serde(rename = "run")]
     pub run_id: String,
-    /// Its number in the run, from 0 and without a step left out, unless records are missing.
+    /// Its number in the run, from 0 without a gap, unless records are missing.
     #[serde(rename = "seq")]
     pub sequence: u64,
     /// When it happened by the wall clock, in microseconds of Unix time. May jump.
@@ -30,7 +30,7 @@
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(tag = "kind", rename_all = "snake_case")]
+#[serde(tag = "kind", rename_all = "snake_case", expecting = "internally tagged enum What")]
 pub enum EventKind {
     /// A run of the program began.
     RunStarted {
@@ -40,136 +40,136 @@
         #[serde(rename = "program")]
         version: String,
     },
-    /// It ended as asked.
+    /// The run ended by a shutdown.
     RunEnded {
-        /// Requests that were not answered.
+        /// Requests without a final response.
         requests_left: u64,
     },
-    /// The worker list changed.
+    /// The endpoint list changed.
     #[serde(rename = "roster")]
     EndpointsChanged {
         /// `full`, `changes`, `remembered` or `failed`.
         form: String,
-        /// The entries that were told.
+        /// The endpoints that the policy was notified of.
         #[serde(rename = "entries")]
         endpoints: Vec<EndpointEntry>,
     },
-    /// A flow was taken.
+    /// A request was accepted from a client.
     #[serde(rename = "flow_taken")]
     RequestAccepted {
-        /// The flow's id, 16 hex digits.
+        /// The id of the request, 16 hex digits.
         #[serde(rename = "flow")]
         request_id: String,
         /// Its class.
         class: String,
-        /// The hint of its running time, in seconds.
+        /// The client's hint of its service time, in seconds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         cost_hint_s: Option<f64>,
         /// The slots it takes.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         slots: Option<f64>,
-        /// The time that its client waits.
+        /// How long its client waits, in microseconds.
         time_left_us: u64,
     },
-    /// The decision module chose for a flow.
+    /// The dispatch policy decided on a request.
     Decided {
-        /// The flow.
+        /// The id of the request.
         #[serde(rename = "flow")]
         request_id: String,
-        /// The choice.
+        /// The decision.
         #[serde(flatten)]
         decision: Decision,
     },
-    /// A scheduling is handed over.
+    /// An attempt is sent to its worker.
     #[serde(rename = "scheduling_sent")]
     AttemptSent {
-        /// The flow.
+        /// The id of the request.
         #[serde(rename = "flow")]
         request_id: String,
         /// Which attempt, from 0.
         attempt: u32,
-        /// The real server.
+        /// The worker.
         #[serde(rename = "real_server")]
         worker: String,
     },
-    /// A scheduling ended.
+    /// An attempt ended.
     #[serde(rename = "scheduling_ended")]
     AttemptEnded {
-        /// The flow.
+        /// The id of the request.
         #[serde(rename = "flow")]
         request_id: String,
         /// Which attempt, from 0.
         attempt: u32,
-        /// The real server.
+        /// The worker.
         #[serde(rename = "real_server")]
         worker: String,
-        /// How, in the module's words.
+        /// The outcome, by the policy's name for it.
         outcome: String,
-        /// How long ago it was sent.
+        /// How long ago it was sent, in microseconds.
         elapsed_us: u64,
-        /// Free slots, as the real server reported them.
+        /// Free slots, by the worker's load report.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         free_slots: Option<f64>,
-        /// Jobs that waited there, as reported with it.
+        /// Requests queued at the worker, by the same report.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         queue: Option<f64>,
     },
-    /// The client got its final answer.
+    /// The client got its final response, or left first.
     #[serde(rename = "answered")]
     RequestFinished {
-        /// The flow.
+        /// The id of the request.
         #[serde(rename = "flow")]
         request_id: String,
         /// Its class.
         class: String,
-        /// `served`, `refused`, `failed`, `repeated`, or `gone` where the client left first.
+        /// `served`, `refused`, `failed`, `repeated`, or `gone` if the client left first.
         #[serde(rename = "answer")]
         response: String,
-        /// How long after the flow was taken.
+        /// How long after the request was accepted, in microseconds.
         #[serde(rename = "after_us")]
         elapsed_since_accepted_us: u64,
     },
-    /// Something that is counted happened its 1st, 2nd, 4th, 8th ... time: a limit, or a peer's mistake.
+    /// A counter reached 1, 2, 4, 8 ...: of a limit, or of a peer's errors.
     #[serde(rename = "limit")]
     CounterReached {
-        /// What.
+        /// What is counted.
         #[serde(rename = "what")]
         counter: String,
         /// How often so far.
         count: u64,
     },
-    /// Records are missing right before this one's number.
+    /// Records are missing; this one has the number of the last of them.
     Gap {
         /// How many.
         dropped: u64,
     },
 }
 
-/// What the decision module chose.
+/// What the dispatch policy decided.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "choice", rename_all = "snake_case")]
 pub enum Decision {
-    /// To send it to a real server.
+    /// To send an attempt to a worker.
     Send {
         /// Which one.
         #[serde(rename = "real_server")]
         worker: String,
-        /// When it was to end there, from now.
+        /// Its estimated finish time, in microseconds from now.
         estimate_us: u64,
     },
-    /// To turn it away.
+    /// To reject the request.
     #[serde(rename = "refuse")]
     Reject {
-        /// When the client may come back.
+        /// How long the client should wait before it retries, in microseconds.
         retry_after_us: u64,
         /// `invalid`, `scarce`, `no_worker`, `late` or `spent`.
         #[serde(rename = "why")]
         reason: String,
-        /// For `late`: by how much the lowest estimate exceeds the time left.
+        /// For `late`: by how much the lowest estimate exceeds the time left, in microseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         late_by_us: Option<u64>,
     },
-    /// To fail it.
+    /// To fail the request.
     Fail,
     /// To stop waiting for an attempt.
     Cancel {
@@ -178,24 +178,24 @@
     },
 }
 
-/// One line of the worker list.
+/// One worker of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// The real server.
+    /// The worker.
     #[serde(rename = "real_server")]
     pub worker: String,
     /// `ready`, `draining` or `gone`.
     pub state: String,
-    /// Its last start, in microseconds of Unix time; absent is long ago.
+    /// Its last start, in microseconds of Unix time; absent if that is long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_us: Option<u64>,
-    /// Its kind and zone, by the numbers that the module knows them by.
+    /// Its kind, by the number that the policy has for it.
     #[serde(default)]
     pub kind: u32,
-    /// Its zone.
+    /// Its zone, by the number that the policy has for it.
     #[serde(default)]
     pub zone: u32,
-    /// Its size as listed.
+    /// Its size, as the list gives it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub size: Option<f64>,
 }
--- /dev/null
+++ b/crates/event-log/tests/fleet_summary.rs
@@ -0,0 +1,76 @@
+//! Sums over schedulers, of fixed streams.
+use copperspread_event_log::fleet_summary::FleetSummary;
+use copperspread_event_log::reader::Reader;
+
+/// One scheduler's stream: a request that is sent to r0 at `sent_at_s` and ends there at `ended_at_s`. Its response is
+/// recorded before the attempt's end, as may happen.
+fn stream(run: &str, sent_at_s: u64, ended_at_s: u64, outcome: &str) -> Vec<String> {
+    let (request, elapsed_us) = (format!(r#""flow":"{run:0>16}""#), (ended_at_s - sent_at_s) * 1_000_000);
+    let response = if outcome == "served" { "served" } else { "failed" };
+    let events = [
+        format!(r#""kind":"run_started","name":"n{run}","program":"0""#),
+        format!(r#""kind":"flow_taken",{request},"class":"once","time_left_us":9000000"#),
+        format!(r#""kind":"decided",{request},"choice":"send","real_server":"r0","estimate_us":1000000"#),
+        format!(r#""kind":"scheduling_sent",{request},"attempt":0,"real_server":"r0""#),
+        format!(
+            r#""kind":"answered",{request},"class":"once","answer":"{response}","after_us":{elapsed_us}"#
+        ),
+        format!(
+            r#""kind":"scheduling_ended",{request},"attempt":0,"real_server":"r0","outcome":"{outcome}","elapsed_us":{elapsed_us}"#
+        ),
+    ];
+    let line = |(sequence, event): (usize, String)| {
+        let unix_s = if sequence < 4 { sent_at_s } else { ended_at_s };
+        format!(
+            r#"{{"v":1,"run":"{run}","seq":{sequence},"unix_us":{unix_s}000000,"mono_us":0,"what":{{{event}}}}}"#
+        ) + "\n"
+    };
+    events.into_iter().enumerate().map(line).collect()
+}
+
+fn summarize(text: &str) -> FleetSummary {
+    let mut fleet = FleetSummary::default();
+    for line in Reader::new(text.as_bytes()) {
+        fleet.add(&line.expect("a line").1);
+    }
+    fleet
+}
+
+fn summary_text(streams: &[Vec<String>]) -> String {
+    summarize(&streams.concat().concat()).to_text(5, 10)
+}
+
+#[test]
+fn attempts_of_two_schedulers_at_one_worker_are_counted_together() {
+    let text = summary_text(&[stream("1", 100, 103, "served"), stream("2", 102, 104, "reset")]);
+    assert!(text.starts_with("2 schedulers, 2 runs, 0 records missing, 0 other lines\n"), "{text}");
+    assert!(text.contains("    0 s: taken 2, sent 2, lists 0; answers: failed 1, served 1;"), "{text}");
+    let worker = "worker r0: sent 2 (100.0 %), at most 2 out at once; reset 1, served 1; took 3.0";
+    assert!(text.contains(worker), "{text}");
+}
+
+#[test]
+fn an_attempt_that_ends_as_the_next_starts_is_not_in_flight_with_it() {
+    let text = summary_text(&[stream("1", 100, 102, "served"), stream("2", 102, 104, "served")]);
+    assert!(text.contains("at most 1 out at once"), "{text}");
+}
+
+#[test]
+fn missing_records_are_counted_and_an_end_without_a_start_is_not_in_flight() {
+    let mut incomplete = stream("1", 100, 103, "served");
+    incomplete.remove(3);
+    let text = summary_text(&[incomplete]);
+    assert!(text.contains("1 records missing"), "{text}");
+    assert!(text.contains("sent 0 (0.0 %), at most 0 out at once; served 1"), "{text}");
+}
+
+#[test]
+fn log_lines_between_the_records_are_counted_and_skipped() {
+    // A collector's timestamp before each record; and an incomplete record with another one behind it.
+    let with_timestamps =
+        stream("1", 100, 101, "served").iter().map(|line| format!("[0.54] {line}")).collect::<String>();
+    let fleet = summarize(&format!("12:00 INFO ready\n{with_timestamps}{}\n", r#"{"v":1,"run":"2",{"v":1}"#));
+    assert!(fleet.to_text(1, 0).starts_with("1 schedulers, 1 runs, 0 records missing, 2 other lines\n"));
+    assert!(fleet.to_text(0, 0).ends_with("1 more workers\n"), "a window of 0 is taken as 1");
+    assert_eq!(summarize("").to_text(5, 5), "0 schedulers, 0 runs, 0 records missing, 0 other lines\n");
+}
--- /dev/null
+++ b/crates/event-log/tests/reader.rs
@@ -0,0 +1,144 @@
+//! What a reader and a summary make of valid, later, truncated and arbitrary lines.
+mod support;
+
+use copperspread_event_log::reader::Line;
+use copperspread_event_log::stream_summary::StreamSummary;
+use copperspread_event_log::{Decision, EventKind, FORMAT, Record};
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
+use support::{counter_event, lines};
+
+fn record(sequence: u64, event: EventKind) -> Record {
+    Record {
+        format_version: FORMAT,
+        run_id: "r".into(),
+        sequence,
+        unix_us: 1_000 + sequence,
+        mono_us: sequence,
+        event,
+    }
+}
+
+fn line_of(record: &Record) -> String {
+    serde_json::to_string(record).expect("JSON") + "\n"
+}
+
+#[test]
+fn later_formats_and_unknown_kinds_are_told_from_invalid_lines() {
+    let valid = line_of(&record(0, counter_event(1)));
+    let cases = [
+        (valid.clone(), "record"),
+        (valid.replace("\"v\":1", "\"v\":2"), "invalid"),
+        (valid.replace("\"limit\"", "\"lightning\""), "unknown"),
+        (valid.replace("\"count\":1", "\"count\":\"one\""), "invalid"),
+        (valid.replace("\"count\":1", "\"count\":1,\"later\":true"), "record"),
+        ("\n".into(), "invalid"),
+        ("{}\n".into(), "invalid"),
+        ("[".repeat(4_000) + "\n", "invalid"),
+        ("x".repeat(3 << 20) + "\n", "invalid"),
+        (valid.trim().into(), "truncated"),
+    ];
+    for (text, expected) in cases {
+        let read = lines(text.as_bytes());
+        let actual = match &read[..] {
+            [Line::Record(_)] => "record",
+            [Line::UnknownKind { .. }] => "unknown",
+            [Line::Invalid { .. }] => "invalid",
+            [Line::Truncated] => "truncated",
+            _ => "more",
+        };
+        assert_eq!(actual, expected, "{}", &text[..text.len().min(90)]);
+    }
+}
+
+// Part of the texts that a summary prints; the names in it are older than those of the types.
+#[test]
+fn the_reasons_of_invalid_lines_keep_their_texts() {
+    let valid = line_of(&record(0, counter_event(1)));
+    let event_start = valid.find("{\"kind\"").expect("an event");
+    let cases = [
+        ("5\n".to_owned(), "invalid type: integer `5`, expected struct Head at line 1 column 1"),
+        (
+            format!("{}5}}\n", &valid[..event_start]),
+            ": invalid type: integer `5`, expected internally tagged enum What",
+        ),
+        (valid.replace("\"v\":1", "\"v\":2"), "is of version 2; this program reads up to 1"),
+        ("x".repeat(1 << 20) + "\n", "longer than a megabyte"),
+    ];
+    for (text, expected) in cases {
+        let Some(Line::Invalid { reason }) = lines(text.as_bytes()).pop() else { panic!("not invalid") };
+        assert_eq!(reason.to_string(), expected);
+    }
+}
+
+#[test]
+fn a_summary_states_clock_steps_gaps_and_responses() {
+    let finished = |sequence, response: &str, elapsed_since_accepted_us| {
+        let (request_id, class, response) = ("0".repeat(16), "once".to_owned(), response.to_owned());
+        let event = EventKind::RequestFinished { request_id, class, response, elapsed_since_accepted_us };
+        record(sequence, event)
+    };
+    let rejection = Decision::Reject { retry_after_us: 5, reason: "late".into(), late_by_us: Some(5) };
+    let mut records = [
+        record(0, EventKind::RunStarted { name: "n".into(), version: "1".into() }),
+        finished(1, "served", 10_000),
+        finished(2, "served", 30_000),
+        record(6, EventKind::Gap { dropped: 4 }),
+        record(7, EventKind::Decided { request_id: "f".into(), decision: rejection }),
+        finished(9, "refused", 100),
+    ];
+    records[5].unix_us -= 900;
+    records[4].unix_us += 60_000_000;
+    let mut summary = StreamSummary::default();
+    let stream: String = records.iter().map(line_of).collect();
+    lines(stream.as_bytes()).iter().for_each(|line| summary.add(1, line));
+    let run = &summary.runs[0];
+    assert_eq!((run.missing(), run.out_of_order(), run.clock_steps), (5, 0, 2), "four stated, one not");
+    assert_eq!(run.rejection_reasons["late"], 1);
+    let text = summary.to_text();
+    assert!(
+        text.contains("class once: taken 0, refused 1, served 2; served in 10.0 ms (median), 30.0 ms"),
+        "{text}"
+    );
+    assert!(text.contains("5 records are missing") && text.contains("no end recorded"), "{text}");
+}
+
+fn fixed_seed() -> ProptestConfig {
+    ProptestConfig { rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() }
+}
+
+proptest! {
+    #![proptest_config(fixed_seed())]
+
+    #[test]
+    fn a_truncated_stream_gives_all_its_complete_lines(count in 1_u64..30, at in any::<prop::sample::Index>()) {
+        let stream: String = (0..count).map(|sequence| line_of(&record(sequence, counter_event(sequence)))).collect();
+        let cut = &stream.as_bytes()[..at.index(stream.len())];
+        let complete = cut.iter().filter(|&&byte| byte == b'\n').count();
+        let read = lines(cut);
+        prop_assert_eq!(read.iter().filter(|line| matches!(line, Line::Record(_))).count(), complete);
+        prop_assert_eq!(read.contains(&Line::Truncated), !cut.is_empty() && !cut.ends_with(b"\n"));
+    }
+
+    #[test]
+    fn arbitrary_input_never_panics(bytes: Vec<u8>, text in "[{}\":,a-z0-9\n]{0,200}") {
+        for input in [&bytes[..], text.as_bytes()] {
+            let mut summary = StreamSummary::default();
+            lines(input).iter().for_each(|line| summary.add(1, line));
+            let _ = summary.to_text();
+        }
+    }
+
+    // Against a count by sets.
+    #[test]
+    fn missing_and_duplicate_sequence_numbers_are_counted_in_any_order(rest in prop::collection::vec(0_u64..60, 0..60)) {
+        let mut summary = StreamSummary::default();
+        let numbers: Vec<u64> = std::iter::once(0).chain(rest).collect();
+        numbers.iter().for_each(|&sequence| summary.add(1, &Line::Record(record(sequence, counter_event(sequence)))));
+        let distinct: std::collections::BTreeSet<_> = numbers.iter().collect();
+        let last = numbers.iter().max().copied().unwrap_or(0);
+        let run = &summary.runs[0];
+        prop_assert_eq!(run.missing(), last + 1 - distinct.len() as u64);
+        prop_assert_eq!(run.duplicates(), (numbers.len() - distinct.len()) as u64);
+    }
+}
