--- a/crates/event-log/src/reader.rs
+++ b/crates/event-log/src/reader.rs
@@ -63,10 +63,10 @@
     },
 }
 
-/// A record whose event is not parsed yet. `struct Head` occurs in the texts of [`InvalidLineReason::Malformed`].
+/// A record whose event is not parsed yet. The name of this type occurs in the texts of
+/// [`InvalidLineReason::Malformed`], where serde takes it in: it must stay.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Head")]
-struct RecordHead {
+struct Head {
     #[serde(rename = "v")]
     format_version: u32,
     #[serde(rename = "run")]
@@ -143,7 +143,7 @@
 }
 
 fn parse_line(line: &[u8]) -> Line {
-    let head: RecordHead = match serde_json::from_slice(without_prefix(line)) {
+    let head: Head = match serde_json::from_slice(without_prefix(line)) {
         Ok(head) => head,
         Err(error) => {
             return Line::Invalid { reason: InvalidLineReason::Malformed { message: error.to_string() } };
--- a/crates/event-log/tests/reader.rs
+++ b/crates/event-log/tests/reader.rs
@@ -58,6 +58,7 @@
     let event_start = valid.find("{\"kind\"").expect("an event");
     let cases = [
         ("5\n".to_owned(), "invalid type: integer `5`, expected struct Head at line 1 column 1"),
+        ("[]\n".to_owned(), "invalid length 0, expected struct Head with 6 elements at line 1 column 2"),
         (
             format!("{}5}}\n", &valid[..event_start]),
             ": invalid type: integer `5`, expected internally tagged enum What",
