--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -30,7 +30,7 @@
     Config(ConfigDescription),
     /// Read records
     #[cfg(feature = "standalone")]
-    #[command(subcommand, alias = "event-log")]
+    #[command(subcommand)]
     Records(EventLogCommand),
     /// Print a shell's completions
     #[cfg(feature = "standalone")]
@@ -55,7 +55,7 @@
         /// The file
         file: PathBuf,
         /// Only those that name this flow
-        #[arg(long = "flow", alias = "request", value_name = "FLOW")]
+        #[arg(long = "flow", value_name = "FLOW")]
         request_id: Option<String>,
         /// The files put aside before it too, oldest first
         #[arg(long = "all")]
--- a/crates/scheduler/tests/cli.rs
+++ b/crates/scheduler/tests/cli.rs
@@ -148,19 +148,3 @@
     assert!(recorded.contains("serve --records -\""));
     assert_eq!(recorded.replace(" --records -", ""), deployment("balancer"));
 }
-
-#[test]
-fn the_glossarys_terms_for_the_event_log_work_as_aliases_and_stay_out_of_the_help() {
-    let event = r#"{"v":1,"run":"r","seq":0,"unix_us":1,"mono_us":1,"what":{"kind":"answered","flow":"0000000000000001","class":"a","answer":"served","after_us":5}}"#;
-    let file = TemporaryFile::new("alias.jsonl", &format!("{event}\n"));
-    let cat = |command: &str, option: &str| {
-        run(program().args([command, "cat", option, "0000000000000001"]).arg(file.path()))
-    };
-    let by_page_words = cat("records", "--flow");
-    assert!(by_page_words.exit_code == 0 && by_page_words.output.contains("served"), "{by_page_words:?}");
-    assert_eq!(cat("event-log", "--request"), by_page_words);
-    for arguments in [&["--help"][..], &["records", "cat", "--help"]] {
-        let help = run(program().args(arguments)).output;
-        assert!(!help.contains("event-log") && !help.contains("--request"), "{help}");
-    }
-}
