--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -1,4 +1,6 @@
-//! One scheduler put together from what it was started with: the platform's HTTP in front and behind.
+//! Assembles one scheduler from its startup configuration: the platform's HTTP towards clients and workers.
+use std::io;
+use std::net::SocketAddr;
 use std::sync::Arc;
 
 use copperspread_dispatcher::{Discovery, DispatchPolicy, Micros, SECOND};
@@ -11,119 +13,141 @@
 use crate::context::ProxyContext;
 use crate::discovery::EndpointPublisher;
 use crate::downstream::Downstream;
-use crate::downstream::client_connection::ClientConnections;
-use crate::downstream::http::{CallbackRoute, StatusPage, front};
+use crate::downstream::client_connections::ClientConnections;
+use crate::downstream::http::{CallbackRoute, StatusPage, listen};
 use crate::endpoints::EndpointTable;
 use crate::event_recorder::EventRecorder;
 use crate::load_queries;
 use crate::policy_handle::PolicyHandle;
 use crate::shutdown::Shutdown;
-use crate::upstream::http::{CALLBACK_PATH, HttpUpstream, callback_handler};
+use crate::upstream::http::HttpUpstream;
+use crate::upstream::http::callback::{CALLBACK_PATH, callback_handler};
 
-/// The longest time that jobs get after SIGTERM. The kill follows the longest deadline, of which no more than
-/// 3 s count, by 0.7 s at the soonest: half a second later.
+/// The longest time that requests get after SIGTERM. The kill follows the longest deadline, of which no more
+/// than 3 s count, by 0.7 s at the soonest: half a second later.
 const MAX_DRAIN_TIME: Micros = 3 * SECOND + 200_000;
-/// New edge connections keep coming for some tenths of a second after SIGTERM.
+/// New client connections keep coming for some tenths of a second after SIGTERM.
 const LATE_CONNECTION_WINDOW: Micros = SECOND;
-/// How often the end looks whether all is answered.
+/// How often a shutdown checks whether all requests are answered.
 const DRAIN_POLL_INTERVAL: Micros = 20_000;
-/// Time for the last answers to be written.
+/// Time for the last responses to be written.
 const FINAL_WRITE_TIME: Micros = 100_000;
 
-/// A scheduler that listens and takes nothing yet.
+/// Why a scheduler could not be assembled.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum AssemblyError {
+    /// The address cannot be listened on.
+    #[error("listen on {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The system's error.
+        source: io::Error,
+    },
+}
+
+/// A scheduler that listens and accepts nothing yet.
 pub struct AssembledProxy {
     /// What its parts share.
     pub context: Arc<ProxyContext>,
     /// The clients' side.
     pub connections: Arc<ClientConnections>,
-    /// What a source tells.
+    /// Where an endpoint source publishes its lists.
     pub endpoint_publisher: EndpointPublisher,
-    /// The version of the list that was known before the start.
+    /// The revision of the list that was known before the start.
     pub cached_revision: Option<u64>,
     longest_deadline: Micros,
 }
 
-/// Puts a scheduler together round what decides.
+/// Assembles a scheduler around a dispatch policy.
 ///
 /// # Errors
 /// An address that cannot be listened on.
 pub async fn assemble(
-    start: &StartupConfig,
-    decide: Box<dyn DispatchPolicy>,
+    config: &StartupConfig,
+    policy: Box<dyn DispatchPolicy>,
     recorder: &Recorder,
-) -> Result<AssembledProxy, String> {
-    assemble_with(start, decide, recorder, &[]).await
+) -> Result<AssembledProxy, AssemblyError> {
+    assemble_with(config, policy, recorder, &[]).await
 }
 
-/// The same with pages of the program's own.
+/// The same with status pages of the program's own. The task that sends load queries ends with the runtime.
 ///
 /// # Errors
 /// As [`assemble`].
 pub async fn assemble_with(
-    start: &StartupConfig,
-    decide: Box<dyn DispatchPolicy>,
+    config: &StartupConfig,
+    policy: Box<dyn DispatchPolicy>,
     recorder: &Recorder,
     pages: &[StatusPage],
-) -> Result<AssembledProxy, String> {
+) -> Result<AssembledProxy, AssemblyError> {
     let clock = Clock::start();
-    let given = &start.settings;
-    let entries = Arc::new(EndpointTable::new(&given.proxy));
-    let witness = EventRecorder::new(recorder.clone(), Arc::clone(&entries), &given.proxy);
-    let on_request = given.dispatch.discovery == Discovery::Polled;
-    let decisions = PolicyHandle::new(decide, on_request, clock, Arc::clone(&witness));
-    let membership = EndpointPublisher::new(Arc::clone(&entries), Arc::clone(&decisions));
-    let known = membership.publish_cached(start.cached_endpoints.as_ref());
-    let node = Arc::new(ProxyContext {
+    let settings = &config.settings;
+    let endpoints = Arc::new(EndpointTable::new(&settings.proxy));
+    let recorder = EventRecorder::new(recorder.clone(), Arc::clone(&endpoints), &settings.proxy);
+    let polls_endpoints = settings.dispatch.discovery == Discovery::Polled;
+    let policy = PolicyHandle::new(policy, polls_endpoints, clock, Arc::clone(&recorder));
+    let endpoint_publisher = EndpointPublisher::new(Arc::clone(&endpoints), Arc::clone(&policy));
+    let cached_revision = endpoint_publisher.publish_cached(config.cached_endpoints.as_ref());
+    let upstream = HttpUpstream::new(&settings.proxy, Arc::clone(&endpoints), config.descriptor_limit);
+    let context = Arc::new(ProxyContext {
         clock,
-        policy: Arc::clone(&decisions),
-        upstream: Arc::new(HttpUpstream::new(&given.proxy, Arc::clone(&entries), start.descriptor_limit)),
-        settings: given.proxy.clone(),
-        recorder: witness,
+        policy: Arc::clone(&policy),
+        upstream: Arc::new(upstream),
+        settings: settings.proxy.clone(),
+        recorder,
         shutdown: Shutdown::default(),
     });
-    let listener = TcpListener::bind(start.listen).await;
-    let listener = listener.map_err(|e| format!("listen on {}: {e}", start.listen))?;
-    let guest = CallbackRoute { path: CALLBACK_PATH, take: Arc::new(callback_handler(entries, decisions)) };
-    let edge =
-        front(Arc::clone(&node), guest, pages, listener, start.descriptor_limit, start.memory_limit_mb);
-    tokio::spawn(load_queries::carry_out(Arc::clone(&node)));
-    let longest = given.dispatch.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-    Ok(AssembledProxy {
-        context: node,
-        connections: edge,
-        endpoint_publisher: membership,
-        cached_revision: known,
-        longest_deadline: longest,
-    })
+    let listener = TcpListener::bind(config.listen)
+        .await
+        .map_err(|source| AssemblyError::Listen { address: config.listen, source })?;
+    let handle_callback = callback_handler(endpoints, policy);
+    let callbacks = CallbackRoute {
+        path: CALLBACK_PATH,
+        handle: Arc::new(move |body| handle_callback(body).map_err(Into::into)),
+    };
+    let connections = listen(
+        Arc::clone(&context),
+        callbacks,
+        pages,
+        listener,
+        config.descriptor_limit,
+        config.memory_limit_mb,
+    );
+    tokio::spawn(load_queries::run(Arc::clone(&context)));
+    let longest_deadline = settings.dispatch.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+    Ok(AssembledProxy { context, connections, endpoint_publisher, cached_revision, longest_deadline })
 }
 
 impl AssembledProxy {
-    /// Begins the ending.
+    /// Begins the graceful shutdown.
     pub fn begin_shutdown(&self) -> ShutdownDeadlines {
-        let by = from_now(self.longest_deadline.min(MAX_DRAIN_TIME));
-        self.context.shutdown.begin(by);
-        ShutdownDeadlines { drain_deadline: by, late_connections_until: from_now(LATE_CONNECTION_WINDOW) }
+        let drain_deadline = from_now(self.longest_deadline.min(MAX_DRAIN_TIME));
+        self.context.shutdown.begin(drain_deadline);
+        ShutdownDeadlines { drain_deadline, late_connections_until: from_now(LATE_CONNECTION_WINDOW) }
     }
 
-    /// Waits until what was taken is answered or the time for it is over, closes what is still open and
-    /// returns how many requests are left. Connections and call-backs are taken until the closing. Guards
-    /// against clients that go on using whatever stays open: what they ask then would be taken and lost.
-    pub async fn wait_until_drained(&self, ends: ShutdownDeadlines) -> usize {
-        self.wait_until_idle(ends.late_connections_until, ends.drain_deadline).await;
+    /// Waits until all requests are answered or the time for it is over, closes the connections that are still
+    /// open and returns how many requests are left. Connections and callbacks are accepted until the closing;
+    /// then they close, because clients go on using whatever stays open, and a request that comes after
+    /// the last check would be taken and lost.
+    pub async fn wait_until_drained(&self, deadlines: ShutdownDeadlines) -> usize {
+        self.wait_until_idle(deadlines.late_connections_until, deadlines.drain_deadline).await;
         self.context.shutdown.close();
-        self.wait_until_idle(from_now(FINAL_WRITE_TIME), ends.drain_deadline).await;
+        self.wait_until_idle(from_now(FINAL_WRITE_TIME), deadlines.drain_deadline).await;
         self.connections.busy()
     }
 
-    /// Waits for an instant, and then until nothing is read or answered or the time for it is over.
-    async fn wait_until_idle(&self, at_least: Instant, by: Instant) {
-        while Instant::now() < at_least || (self.connections.busy() > 0 && Instant::now() < by) {
+    /// Waits for an instant, and then until nothing is read or answered or the deadline has come.
+    async fn wait_until_idle(&self, earliest: Instant, deadline: Instant) {
+        while Instant::now() < earliest || (self.connections.busy() > 0 && Instant::now() < deadline) {
             sleep_until(from_now(DRAIN_POLL_INTERVAL)).await;
         }
     }
 }
 
-/// An ending under way.
+/// The deadlines of a shutdown that has begun.
 pub struct ShutdownDeadlines {
     drain_deadline: Instant,
     late_connections_until: Instant,
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -9,18 +9,18 @@
 use crate::shutdown::Shutdown;
 use crate::upstream::Upstream;
 
-/// One scheduler.
+/// The shared parts of one scheduler.
 pub struct ProxyContext {
     /// The clock of all events.
     pub clock: Clock,
-    /// The decision module and the way to the flows.
+    /// The dispatch policy and the way from it to the requests' tasks.
     pub policy: Arc<PolicyHandle>,
-    /// The way to the real servers.
+    /// The protocol that workers speak.
     pub upstream: Arc<dyn Upstream>,
-    /// The settings that concern the node.
+    /// The settings that concern the proxy.
     pub settings: ProxySettings,
-    /// What tells the records.
+    /// Writes the event log.
     pub recorder: Arc<EventRecorder>,
-    /// The node's own ending.
+    /// The phase of the graceful shutdown.
     pub shutdown: Shutdown,
 }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The door to what knows the real servers.
+//! The interface to what knows the workers.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{Endpoint, EndpointUpdateKind};
@@ -12,14 +12,14 @@
 pub mod platform;
 pub mod static_list;
 
-/// Where a worker list comes from. It turns its own form into a [`EndpointList`] and hands that on whole; a
-/// list that it cannot read in full changes nothing.
+/// Where an endpoint list comes from. A source turns its own form into an [`EndpointList`] and applies that as a
+/// whole; a list that it cannot read in full changes nothing.
 pub trait EndpointSource: Send + 'static {
-    /// Follows the list for good.
-    fn follow(self: Box<Self>, membership: EndpointPublisher) -> BoxFuture<'static, ()>;
+    /// Follows the list for good. Whoever spawns it ends it with the runtime.
+    fn follow(self: Box<Self>, publisher: EndpointPublisher) -> BoxFuture<'static, ()>;
 }
 
-/// What a source tells: first the table of entries, then the module.
+/// Applies lists to the endpoint table, and then notifies the policy.
 #[derive(Clone)]
 pub struct EndpointPublisher {
     endpoints: Arc<EndpointTable>,
@@ -27,52 +27,52 @@
 }
 
 impl EndpointPublisher {
-    /// Over a table and the module.
-    pub fn new(entries: Arc<EndpointTable>, decisions: Arc<PolicyHandle>) -> EndpointPublisher {
-        EndpointPublisher { endpoints: entries, policy: decisions }
+    /// Publishes to a table and a policy.
+    pub fn new(endpoints: Arc<EndpointTable>, policy: Arc<PolicyHandle>) -> EndpointPublisher {
+        EndpointPublisher { endpoints, policy }
     }
 
-    /// Tells the list that was known before the start; returns its version.
-    pub fn publish_cached(&self, known: Option<&EndpointList>) -> Option<u64> {
-        let told = known.and_then(|known| self.endpoints.apply(known)).unwrap_or_default();
-        // Guards against a module that has heard nothing yet: before its first event it asks for no list.
-        if known.is_some() || self.is_polled() {
-            self.policy.update_endpoints(EndpointUpdateKind::Cached, &told);
+    /// Publishes the list that was known before the start; returns its revision.
+    pub fn publish_cached(&self, cached: Option<&EndpointList>) -> Option<u64> {
+        let endpoints = cached.and_then(|list| self.endpoints.apply(list)).unwrap_or_default();
+        // A policy that polls asks for no list before its first event.
+        if cached.is_some() || self.is_polled() {
+            self.policy.update_endpoints(EndpointUpdateKind::Cached, &endpoints);
         }
-        known.map(|known| known.revision)
+        cached.map(|list| list.revision)
     }
 
-    /// Takes a list into the table and returns its entries, or nothing where the table already holds
-    /// something newer.
+    /// Applies a list to the table and returns its endpoints, or nothing where the table already holds a newer
+    /// revision. The policy is not notified yet.
     pub fn apply(&self, list: &EndpointList) -> Option<Vec<Endpoint>> {
         self.endpoints.apply(list)
     }
 
-    /// Tells the module of entries that the table took.
-    pub fn publish(&self, complete: bool, entries: &[Endpoint]) {
-        let kind = if complete { EndpointUpdateKind::Full } else { EndpointUpdateKind::Changes };
-        self.policy.update_endpoints(kind, entries);
+    /// Notifies the policy of the endpoints that [`EndpointPublisher::apply`] returned for a list.
+    pub fn publish(&self, list: &EndpointList, endpoints: &[Endpoint]) {
+        let kind = if list.complete { EndpointUpdateKind::Full } else { EndpointUpdateKind::Changes };
+        self.policy.update_endpoints(kind, endpoints);
     }
 
-    /// Another place is asked from now on, which may count its versions in another way.
+    /// The next list comes from another discovery, which may count its revisions in another way.
     pub fn reset_revision(&self) {
         self.endpoints.reset_revision();
     }
 
-    /// A call failed, or a subscription dropped.
+    /// Notifies the policy that a poll failed, or that a subscription broke.
     pub fn poll_failed(&self) {
-        // Guards against an older word to ask, which came while a call was out already: it would pass for
-        // the answer to this failure.
+        // An older request for a subscription, which came while a poll was in flight already, would pass for the
+        // policy's reaction to this failure.
         let _ = self.subscription_requested().now_or_never();
         self.policy.update_endpoints(EndpointUpdateKind::Failed, &[]);
     }
 
-    /// Whether the list is asked for only when the module wants it.
+    /// Whether the list is fetched only when the policy asks for it.
     pub fn is_polled(&self) -> bool {
         self.policy.polls_endpoints()
     }
 
-    /// Waits until the module asks for the list.
+    /// Waits until the policy asks for the list.
     pub async fn subscription_requested(&self) {
         self.policy.subscription_requested().await;
     }
--- a/crates/proxy/src/discovery/static_list.rs
+++ b/crates/proxy/src/discovery/static_list.rs
@@ -1,4 +1,4 @@
-//! A worker list that the configuration holds, until the configuration is read again.
+//! An endpoint list that the configuration holds, until the configuration is read again.
 use copperspread_settings::EndpointList;
 use futures_util::future::BoxFuture;
 use tokio::sync::watch;
@@ -9,18 +9,18 @@
 pub struct StaticEndpoints(pub watch::Receiver<EndpointList>);
 
 impl EndpointSource for StaticEndpoints {
-    fn follow(mut self: Box<Self>, membership: EndpointPublisher) -> BoxFuture<'static, ()> {
+    fn follow(mut self: Box<Self>, publisher: EndpointPublisher) -> BoxFuture<'static, ()> {
         Box::pin(async move {
             // Once: a subscription lasts, as nothing can fail here.
-            if membership.is_polled() {
-                membership.subscription_requested().await;
+            if publisher.is_polled() {
+                publisher.subscription_requested().await;
             }
             loop {
                 let list = self.0.borrow_and_update().clone();
-                if let Some(told) = membership.apply(&list) {
-                    membership.publish(list.complete, &told);
+                if let Some(endpoints) = publisher.apply(&list) {
+                    publisher.publish(&list, &endpoints);
                 }
-                // The sender goes with the program; the list then stays.
+                // The sender is dropped with the program; the list then stays.
                 if self.0.changed().await.is_err() {
                     return std::future::pending().await;
                 }
--- /dev/null
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -0,0 +1,223 @@
+//! The HTTP/1.1 that the platform's clients speak: routes, a request's way from its head to its final response,
+//! and the forms of responses. No other module knows this protocol.
+use std::error::Error;
+use std::sync::Arc;
+use std::time::Duration;
+
+use axum::body::{Body, Bytes, to_bytes};
+use axum::extract::{Request, State};
+use axum::http::header;
+use axum::http::request::Parts;
+use axum::http::{Method, StatusCode};
+use axum::response::{IntoResponse, Response};
+use axum::routing::{get, post};
+use axum::{Extension, Router};
+use copperspread_dispatcher::{Micros, SECOND};
+use http_body_util::LengthLimitError;
+use tokio::net::TcpListener;
+use tokio::time::{Instant, timeout_at};
+
+use crate::context::ProxyContext;
+use crate::downstream::client_connections::ClientConnections;
+use crate::downstream::http::request_head::{RequestHead, end_to_end_headers, parse_head};
+use crate::downstream::request_limits::{MAX_BODY_BYTES, RequestLimits};
+use crate::invariant::note;
+use crate::messages::{AdmissionRequest, BodyPermit, FinalResponse, UpstreamRequest};
+use crate::request_task;
+use crate::shutdown::effective_deadline;
+
+pub mod request_head;
+
+/// Messages of another protocol that come to the clients' address: workers have no other one to call back at.
+#[derive(Clone)]
+pub struct CallbackRoute {
+    /// Where they come, by `POST`.
+    pub path: &'static str,
+    /// What takes them.
+    pub handle: Arc<CallbackHandler>,
+}
+
+/// Takes one message, or says why it is none.
+pub type CallbackHandler = dyn Fn(&[u8]) -> Result<(), Box<dyn Error + Send + Sync>> + Send + Sync;
+
+/// A page of the program's own at the clients' address, beside `/-/ready`.
+#[derive(Clone)]
+pub struct StatusPage {
+    /// Where it is, by `GET`.
+    pub path: &'static str,
+    /// Renders its JSON, on each request; it waits for nothing.
+    pub json: Arc<dyn Fn() -> String + Send + Sync>,
+}
+
+/// The client connections of a listener, within a process's limits.
+pub fn listen(
+    context: Arc<ProxyContext>,
+    callbacks: CallbackRoute,
+    pages: &[StatusPage],
+    listener: TcpListener,
+    descriptor_limit: usize,
+    memory_limit_mb: f64,
+) -> Arc<ClientConnections> {
+    let shutdown = context.shutdown.clone();
+    let callback_path = callbacks.path;
+    let router = routes(context, callbacks, pages);
+    ClientConnections::new(router, callback_path, shutdown, listener, descriptor_limit, memory_limit_mb)
+}
+
+/// The routes of the clients' address.
+pub fn routes(context: Arc<ProxyContext>, callbacks: CallbackRoute, pages: &[StatusPage]) -> Router {
+    let router = Router::new()
+        .route(callbacks.path, post(handle_callback).with_state(callbacks))
+        .route("/-/ready", get(readiness))
+        .fallback(handle_request)
+        .with_state(context);
+    pages.iter().fold(router, |router, StatusPage { path, json }| {
+        let json = Arc::clone(json);
+        let render = move || async move { ([(header::CONTENT_TYPE, "application/json")], json()) };
+        router.route(path, get(render))
+    })
+}
+
+async fn readiness(State(context): State<Arc<ProxyContext>>) -> StatusCode {
+    if context.shutdown.is_started() { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK }
+}
+
+/// A body that has been read, and the memory that it holds.
+struct ReceivedBody {
+    bytes: Bytes,
+    permit: BodyPermit,
+}
+
+/// Reads a body within its bound, its deadline and the memory for bodies.
+async fn read_body(body: Body, limits: &RequestLimits) -> Result<ReceivedBody, StatusCode> {
+    let size = hyper::body::Body::size_hint(&body);
+    // A length that is announced too large is not waited for.
+    if size.lower() > MAX_BODY_BYTES as u64 {
+        return Err(StatusCode::PAYLOAD_TOO_LARGE);
+    }
+    let max_bytes = size.upper().map_or(MAX_BODY_BYTES, |upper| upper as usize);
+    let received =
+        async { (limits.acquire_body_permit(max_bytes).await, to_bytes(body, MAX_BODY_BYTES).await) };
+    match timeout_at(limits.body_deadline, received).await {
+        Ok((permit, Ok(bytes))) => Ok(ReceivedBody { bytes, permit }),
+        Ok((_, Err(error))) => {
+            let is_too_large = error.source().is_some_and(|source| source.is::<LengthLimitError>());
+            Err(if is_too_large { StatusCode::PAYLOAD_TOO_LARGE } else { StatusCode::BAD_REQUEST })
+        }
+        Err(_) => Err(StatusCode::REQUEST_TIMEOUT),
+    }
+}
+
+/// Takes a callback. One whose request has completed is answered like the rest.
+async fn handle_callback(
+    State(callbacks): State<CallbackRoute>,
+    Extension(limits): Extension<RequestLimits>,
+    request: Request,
+) -> StatusCode {
+    let body = match read_body(request.into_body(), &limits).await {
+        Ok(body) => body,
+        Err(status) => return status,
+    };
+    match (callbacks.handle)(&body.bytes) {
+        Ok(()) => StatusCode::NO_CONTENT,
+        Err(error) => {
+            note("bad call-back", &error.to_string());
+            StatusCode::BAD_REQUEST
+        }
+    }
+}
+
+/// Takes a client's request and waits for its final response.
+async fn handle_request(
+    State(context): State<Arc<ProxyContext>>,
+    Extension(limits): Extension<RequestLimits>,
+    request: Request,
+) -> Response {
+    match receive(&context, limits, request).await {
+        Ok(admission) => {
+            let mut response = request_task::spawn(&context, admission);
+            render(&context, response.final_response().await)
+        }
+        Err(refusal) => refusal.into_response(),
+    }
+}
+
+/// Why a client's request got no further than this protocol. Not a rejection: those are the policy's.
+enum RefusedRequest {
+    UnknownClass,
+    MethodNotAllowed,
+    InvalidHead,
+    Body(StatusCode),
+}
+
+impl IntoResponse for RefusedRequest {
+    fn into_response(self) -> Response {
+        match self {
+            RefusedRequest::UnknownClass => StatusCode::NOT_FOUND.into_response(),
+            RefusedRequest::MethodNotAllowed => {
+                (StatusCode::METHOD_NOT_ALLOWED, [(header::ALLOW, "POST")]).into_response()
+            }
+            RefusedRequest::InvalidHead => StatusCode::BAD_REQUEST.into_response(),
+            RefusedRequest::Body(status) => status.into_response(),
+        }
+    }
+}
+
+/// Reads a client's request.
+async fn receive(
+    context: &ProxyContext,
+    mut limits: RequestLimits,
+    request: Request,
+) -> Result<AdmissionRequest, RefusedRequest> {
+    let received_at = Instant::now();
+    let (parts, body) = request.into_parts();
+    let RequestHead { mut request, id, idempotency } = parse_client_head(context, &parts)?;
+    // A request that cannot be answered before this scheduler stops would fail then: the policy gets the time
+    // that there is, and a client that is rejected can go elsewhere.
+    let client_deadline = received_at + Duration::from_micros(request.time_left);
+    let deadline = effective_deadline(client_deadline, &context.shutdown.watch());
+    request.time_left = deadline.saturating_duration_since(received_at).as_micros() as Micros;
+    limits.body_deadline = limits.body_deadline.min(deadline);
+    let body = read_body(body, &limits).await.map_err(RefusedRequest::Body)?;
+    limits.mark_request_complete();
+    let path = parts.uri.path_and_query().cloned().ok_or(RefusedRequest::InvalidHead)?;
+    let upstream_request = UpstreamRequest {
+        id,
+        path,
+        headers: end_to_end_headers(parts.headers),
+        idempotency,
+        body: body.bytes,
+        body_permit: body.permit,
+    };
+    Ok(AdmissionRequest { request, deadline, upstream_request })
+}
+
+/// Reads a request's class from its path, and what its headers say.
+fn parse_client_head(context: &ProxyContext, parts: &Parts) -> Result<RequestHead, RefusedRequest> {
+    let class_name = parts.uri.path().split('/').nth(1).unwrap_or_default();
+    let mut classes = context.settings.classes.iter();
+    let class = classes.position(|name| name == class_name && !name.is_empty());
+    let class = class.ok_or(RefusedRequest::UnknownClass)?;
+    if parts.method != Method::POST {
+        return Err(RefusedRequest::MethodNotAllowed);
+    }
+    parse_head(&parts.headers, class as u32, &context.settings).map_err(|error| {
+        note("bad request", &error.to_string());
+        RefusedRequest::InvalidHead
+    })
+}
+
+/// The form of a final response. 503 is sent only where the policy rejected.
+fn render(context: &ProxyContext, response: FinalResponse) -> Response {
+    match response {
+        FinalResponse::Served(result) => result.into_response(),
+        FinalResponse::Rejected { retry_after } => {
+            // A client must not wait for a scheduler that stops: others may have capacity now.
+            let retry_after = if context.shutdown.is_started() { 0 } else { retry_after };
+            let seconds = retry_after.min(context.settings.max_retry_after) as f64 / SECOND as f64;
+            (StatusCode::SERVICE_UNAVAILABLE, [(header::RETRY_AFTER, seconds.to_string())]).into_response()
+        }
+        FinalResponse::Failed => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
+        FinalResponse::Duplicate => StatusCode::BAD_REQUEST.into_response(),
+    }
+}
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,18 +1,23 @@
-//! The door to clients.
+//! The interface to clients.
 use std::sync::Arc;
 
 use futures_util::future::BoxFuture;
 
-pub mod client_connection;
+mod client_connection;
+pub mod client_connections;
+pub mod connection_limits;
 pub mod http;
+mod raw_head;
 pub mod read_ahead;
+mod request_handler;
+pub mod request_limits;
 
-/// A clients' protocol. It begins a flow for what it has taken and gives the final answer its form;
-/// it words no refusal of its own.
+/// A protocol that clients speak. It starts a request's task for what it has accepted and gives the final
+/// response its form; it rejects nothing by itself.
 pub trait Downstream: Send + Sync + 'static {
-    /// Takes clients for good.
+    /// Accepts clients until the shutdown closes.
     fn accept(self: Arc<Self>) -> BoxFuture<'static, ()>;
 
-    /// Requests that are being read or answered.
+    /// How many requests are being read or answered.
     fn busy(&self) -> usize;
 }
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -1,28 +1,29 @@
-//! The table of service entries, in the numbers that the decision module knows them by. It knows no
+//! The table of endpoints, by the dense numbers that the dispatch policy knows them by. It knows no endpoint
 //! source's own form.
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use copperspread_dispatcher::*;
-use copperspread_settings::{EndpointList, EndpointPhase, ProxySettings, name_key};
+use copperspread_dispatcher::{Endpoint, WorkerId, WorkerState};
+use copperspread_settings::{EndpointList, EndpointPhase, EndpointRecord, ProxySettings, name_key};
 use http::uri::Authority;
 
-/// Names told apart by small numbers, which are given out densely and kept for good.
+/// Dense numbers for names. A number is never given to another name.
 #[derive(Debug, Default)]
 struct NameIndex {
     numbers: HashMap<String, u32>,
 }
 
 impl NameIndex {
-    fn of(known: &[String]) -> NameIndex {
-        let mut names = NameIndex::default();
-        for name in known {
-            names.number(name);
+    fn from_names(names: &[String]) -> NameIndex {
+        let mut index = NameIndex::default();
+        for name in names {
+            index.get_or_insert(name);
         }
-        names
+        index
     }
 
-    fn number(&mut self, name: &str) -> u32 {
+    /// The number of a name, which gets the next one if it has none.
+    fn get_or_insert(&mut self, name: &str) -> u32 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
         }
@@ -38,101 +39,112 @@
     ids: NameIndex,
     zones: NameIndex,
     kinds: NameIndex,
-    /// By worker id: where it is now, and its phase.
-    entries: Vec<(Authority, EndpointPhase)>,
-    /// By worker id: its name.
-    names: Vec<Arc<str>>,
+    /// By worker id.
+    entries: Vec<Entry>,
 }
 
-/// The table of service entries. An entry may change its address; its worker id stays.
+#[derive(Debug)]
+struct Entry {
+    name: Arc<str>,
+    /// Where it listens now.
+    address: Authority,
+    phase: EndpointPhase,
+}
+
+impl Table {
+    /// Applies one record and returns it in the policy's form.
+    fn apply_record(&mut self, record: &EndpointRecord) -> Endpoint {
+        let number = self.ids.get_or_insert(&record.id);
+        match self.entries.get_mut(number as usize) {
+            Some(entry) => {
+                entry.address = record.address.clone();
+                entry.phase = record.phase;
+            }
+            None => self.entries.push(Entry {
+                name: record.id.as_str().into(),
+                address: record.address.clone(),
+                phase: record.phase,
+            }),
+        }
+        Endpoint {
+            worker: WorkerId(number),
+            zone: self.zones.get_or_insert(&record.zone),
+            kind: self.kinds.get_or_insert(&record.kind),
+            cell: record.cell,
+            state: match record.phase {
+                EndpointPhase::Serving => WorkerState::Ready,
+                EndpointPhase::Draining => WorkerState::Draining,
+                EndpointPhase::Deleted => WorkerState::Removed,
+            },
+            started_at: record.started_at,
+            size: record.size,
+            hash_key: name_key(&record.id),
+        }
+    }
+}
+
+/// The table of endpoints. An endpoint may change its address; its worker id stays.
 #[derive(Debug)]
 pub struct EndpointTable {
     table: Mutex<Table>,
 }
 
 impl EndpointTable {
-    /// An empty table that knows the settings' names of zones and kinds.
+    /// An empty table that numbers the settings' zones and kinds in their order.
     pub fn new(settings: &ProxySettings) -> EndpointTable {
         let table = Table {
             revision: 0,
             ids: NameIndex::default(),
-            zones: NameIndex::of(&settings.zones),
-            kinds: NameIndex::of(&settings.kinds),
+            zones: NameIndex::from_names(&settings.zones),
+            kinds: NameIndex::from_names(&settings.kinds),
             entries: Vec::new(),
-            names: Vec::new(),
         };
         EndpointTable { table: Mutex::new(table) }
     }
 
-    fn table(&self) -> MutexGuard<'_, Table> {
+    fn lock(&self) -> MutexGuard<'_, Table> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Another discovery is asked from now on, which may count its revisions in another way.
+    /// The next list comes from another discovery, which may count its revisions in another way.
     pub fn reset_revision(&self) {
-        self.table().revision = 0;
+        self.lock().revision = 0;
     }
 
-    /// Takes a list into the table and returns its entries in the module's form, or nothing where
-    /// the table already holds something newer.
+    /// Applies a list and returns its endpoints in the policy's form, or nothing where the table already holds
+    /// a newer revision.
     pub fn apply(&self, list: &EndpointList) -> Option<Vec<Endpoint>> {
-        let mut table = self.table();
+        let mut table = self.lock();
         if list.revision < table.revision {
             return None;
         }
         table.revision = list.revision;
         if list.complete {
-            table.entries.iter_mut().for_each(|(_, phase)| *phase = EndpointPhase::Deleted);
-        }
-        let table = &mut *table;
-        let mut entries = Vec::with_capacity(list.endpoints.len());
-        for member in &list.endpoints {
-            let number = table.ids.number(&member.id);
-            let entry = (member.address.clone(), member.phase);
-            match table.entries.get_mut(number as usize) {
-                Some(known) => *known = entry,
-                None => {
-                    table.entries.push(entry);
-                    table.names.push(member.id.as_str().into());
-                }
-            }
-            entries.push(Endpoint {
-                worker: WorkerId(number),
-                zone: table.zones.number(&member.zone),
-                kind: table.kinds.number(&member.kind),
-                cell: member.cell,
-                state: match member.phase {
-                    EndpointPhase::Serving => WorkerState::Ready,
-                    EndpointPhase::Draining => WorkerState::Draining,
-                    EndpointPhase::Deleted => WorkerState::Removed,
-                },
-                started_at: member.started_at,
-                size: member.size,
-                hash_key: name_key(&member.id),
-            });
+            table.entries.iter_mut().for_each(|entry| entry.phase = EndpointPhase::Deleted);
         }
-        Some(entries)
+        Some(list.endpoints.iter().map(|record| table.apply_record(record)).collect())
     }
 
-    /// Where a real server listens now, while it takes new work.
+    /// Where a worker listens now, while it takes new work.
     pub fn serving_address(&self, worker: WorkerId) -> Option<Authority> {
-        let table = self.table();
-        let (address, phase) = table.entries.get(worker.0 as usize)?;
-        (*phase == EndpointPhase::Serving).then(|| address.clone())
+        let table = self.lock();
+        let entry = table.entries.get(worker.0 as usize)?;
+        (entry.phase == EndpointPhase::Serving).then(|| entry.address.clone())
     }
 
-    /// Where a real server was last known to listen, whatever its phase.
+    /// Where a worker was last known to listen, whatever its phase.
     pub fn last_known_address(&self, worker: WorkerId) -> Option<Authority> {
-        self.table().entries.get(worker.0 as usize).map(|(address, _)| address.clone())
+        self.lock().entries.get(worker.0 as usize).map(|entry| entry.address.clone())
     }
 
-    /// A real server's name; empty if there is none of this number.
+    /// A worker's name; empty if there is none of this number.
     pub fn name(&self, worker: WorkerId) -> Arc<str> {
-        self.table().names.get(worker.0 as usize).cloned().unwrap_or_default()
+        let table = self.lock();
+        table.entries.get(worker.0 as usize).map(|entry| Arc::clone(&entry.name)).unwrap_or_default()
     }
 
-    /// The worker id of a real server's name.
+    /// The worker id of a worker's name.
     pub fn worker_by_name(&self, name: &str) -> Option<WorkerId> {
-        self.table().ids.numbers.get(name).copied().map(WorkerId)
+        self.lock().ids.numbers.get(name).copied().map(WorkerId)
     }
 }
--- a/crates/proxy/src/event_recorder.rs
+++ b/crates/proxy/src/event_recorder.rs
@@ -1,127 +1,134 @@
-//! Tells the records what happens, in their own form and with names in place of numbers. Where none
-//! are kept it makes nothing.
+//! Writes what happens to the event log, with names in place of numbers. Where no event log is kept it builds
+//! no events.
 use std::sync::Arc;
 
-use copperspread_dispatcher::*;
+use copperspread_dispatcher::{
+    Action, AttemptOutcome, Endpoint, EndpointUpdateKind, IncomingRequest, Micros, Outcome, Rejection,
+    RequestId, WorkerId, WorkerState,
+};
 use copperspread_event_log::writer::Recorder;
 use copperspread_event_log::{Decision, EndpointEntry, EventKind};
 use copperspread_settings::ProxySettings;
 
 use crate::endpoints::EndpointTable;
 
-/// What sees all that is worth a record.
+/// Translates the events of one scheduler into those of its event log.
 pub struct EventRecorder {
     recorder: Recorder,
     endpoints: Arc<EndpointTable>,
     classes: Vec<String>,
 }
 
-fn id(request: RequestId) -> String {
+/// The outer form of a request id.
+fn request_id(request: RequestId) -> String {
     format!("{:016x}", request.0)
 }
 
 impl EventRecorder {
-    /// Tells a recorder, with the names that the table and the settings have.
+    /// Writes to a recorder, with the names of the endpoint table and of the settings.
     pub fn new(
         recorder: Recorder,
-        entries: Arc<EndpointTable>,
+        endpoints: Arc<EndpointTable>,
         settings: &ProxySettings,
     ) -> Arc<EventRecorder> {
-        Arc::new(EventRecorder { recorder, endpoints: entries, classes: settings.classes.clone() })
+        Arc::new(EventRecorder { recorder, endpoints, classes: settings.classes.clone() })
     }
 
-    fn record(&self, what: impl FnOnce() -> EventKind) {
+    fn record(&self, event: impl FnOnce() -> EventKind) {
         if self.recorder.is_on() {
-            self.recorder.record(what());
+            self.recorder.record(event());
         }
     }
 
-    fn name(&self, worker: WorkerId) -> String {
+    fn worker_name(&self, worker: WorkerId) -> String {
         self.endpoints.name(worker).to_string()
     }
 
-    fn class(&self, class: u32) -> String {
+    fn class_name(&self, class: u32) -> String {
         self.classes.get(class as usize).cloned().unwrap_or_default()
     }
 
-    /// The worker list changed.
-    pub fn endpoints_changed(&self, kind: EndpointUpdateKind, entries: &[Endpoint]) {
+    /// The policy is notified of an endpoint update.
+    pub fn endpoints_changed(&self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
         let form = match kind {
             EndpointUpdateKind::Changes => "changes",
             EndpointUpdateKind::Full => "full",
             EndpointUpdateKind::Cached => "remembered",
             EndpointUpdateKind::Failed => "failed",
         };
-        // An empty answer of a watch changes nothing.
-        if kind == EndpointUpdateKind::Changes && entries.is_empty() {
+        // An empty response to a watch changes nothing.
+        if kind == EndpointUpdateKind::Changes && endpoints.is_empty() {
             return;
         }
-        let entry = |entry: &Endpoint| EndpointEntry {
-            worker: self.name(entry.worker),
-            state: match entry.state {
+        let entry = |endpoint: &Endpoint| EndpointEntry {
+            worker: self.worker_name(endpoint.worker),
+            state: match endpoint.state {
                 WorkerState::Ready => "ready",
                 WorkerState::Draining => "draining",
                 WorkerState::Removed => "gone",
             }
             .into(),
-            started_us: entry.started_at,
-            kind: entry.kind,
-            zone: entry.zone,
-            size: entry.size,
+            started_us: endpoint.started_at,
+            kind: endpoint.kind,
+            zone: endpoint.zone,
+            size: endpoint.size,
         };
         self.record(|| EventKind::EndpointsChanged {
             form: form.into(),
-            endpoints: entries.iter().map(entry).collect(),
+            endpoints: endpoints.iter().map(entry).collect(),
         });
     }
 
-    /// A flow was taken.
-    pub fn request_accepted(&self, job: &IncomingRequest) {
+    /// A request was accepted.
+    pub fn request_accepted(&self, request: &IncomingRequest) {
         self.record(|| EventKind::RequestAccepted {
-            request_id: id(job.request),
-            class: self.class(job.class),
-            cost_hint_s: job.cost_hint,
-            slots: job.slots,
-            time_left_us: job.time_left,
+            request_id: request_id(request.request),
+            class: self.class_name(request.class),
+            cost_hint_s: request.cost_hint,
+            slots: request.slots,
+            time_left_us: request.time_left,
         });
     }
 
-    /// The module chose.
+    /// The policy decided on an action.
     pub fn action_decided(&self, action: &Action) {
         if !self.recorder.is_on() {
             return;
         }
-        let (request, choice) = match action {
+        let (request, decision) = match action {
             Action::Send { request, worker, estimate } => {
-                (request, Decision::Send { worker: self.name(*worker), estimate_us: *estimate })
+                (request, Decision::Send { worker: self.worker_name(*worker), estimate_us: *estimate })
             }
-            Action::Reject { request, retry_after, reason: why } => {
-                let (why, late_by_us) = match why {
+            Action::Reject { request, retry_after, reason } => {
+                let (reason, late_by_us) = match reason {
                     Rejection::Invalid => ("invalid", None),
                     Rejection::Overloaded => ("scarce", None),
                     Rejection::NoEligibleWorker => ("no_worker", None),
                     Rejection::TooLate(excess) => ("late", Some(*excess)),
                     Rejection::AttemptsExhausted => ("spent", None),
                 };
-                let why = why.into();
-                (request, Decision::Reject { retry_after_us: *retry_after, reason: why, late_by_us })
+                let reason = reason.into();
+                (request, Decision::Reject { retry_after_us: *retry_after, reason, late_by_us })
             }
             Action::Fail { request } => (request, Decision::Fail),
             Action::Cancel { request, attempt } => (request, Decision::Cancel { attempt: *attempt }),
             Action::StartTimer { .. } | Action::Subscribe | Action::QueryLoad { .. } => return,
         };
-        self.recorder.record(EventKind::Decided { request_id: id(*request), decision: choice });
+        self.recorder.record(EventKind::Decided { request_id: request_id(*request), decision });
     }
 
-    /// A scheduling is handed over.
+    /// An attempt is dispatched.
     pub fn attempt_sent(&self, request: RequestId, attempt: u32, worker: WorkerId) {
-        let real_server = || self.name(worker);
-        self.record(|| EventKind::AttemptSent { request_id: id(request), attempt, worker: real_server() });
+        self.record(|| EventKind::AttemptSent {
+            request_id: request_id(request),
+            attempt,
+            worker: self.worker_name(worker),
+        });
     }
 
-    /// A scheduling ended.
-    pub fn attempt_ended(&self, end: &AttemptOutcome, worker: WorkerId) {
-        let outcome = match end.outcome {
+    /// An attempt ended.
+    pub fn attempt_ended(&self, attempt: &AttemptOutcome, worker: WorkerId) {
+        let outcome = match attempt.outcome {
             Outcome::Served => "served",
             Outcome::Error => "error",
             Outcome::Rejected => "full",
@@ -132,28 +139,28 @@
             Outcome::Superseded => "moot",
         };
         self.record(|| EventKind::AttemptEnded {
-            request_id: id(end.request),
-            attempt: end.attempt,
-            worker: self.name(worker),
+            request_id: request_id(attempt.request),
+            attempt: attempt.attempt,
+            worker: self.worker_name(worker),
             outcome: outcome.into(),
-            elapsed_us: end.elapsed,
-            free_slots: end.report.and_then(|report| report.free_slots),
-            queue: end.report.and_then(|report| report.queue),
+            elapsed_us: attempt.elapsed,
+            free_slots: attempt.report.and_then(|report| report.free_slots),
+            queue: attempt.report.and_then(|report| report.queue),
         });
     }
 
-    /// The client got its final answer, or left before.
-    pub fn response_sent(&self, job: &IncomingRequest, answer: &'static str, after: Micros) {
+    /// The client got its final response, or disconnected before.
+    pub fn response_sent(&self, request: &IncomingRequest, response: &'static str, elapsed: Micros) {
         self.record(|| EventKind::Answered {
-            request_id: id(job.request),
-            class: self.class(job.class),
-            answer: answer.into(),
-            after_us: after,
+            request_id: request_id(request.request),
+            class: self.class_name(request.class),
+            answer: response.into(),
+            after_us: elapsed,
         });
     }
 
-    /// Something that is counted happened once more.
-    pub fn counter_reached(&self, what: &'static str, count: u64) {
-        self.record(|| EventKind::CounterReached { what: what.into(), count });
+    /// A counter reached a count that is logged.
+    pub fn counter_reached(&self, counter: &'static str, count: u64) {
+        self.record(|| EventKind::CounterReached { what: counter.into(), count });
     }
 }
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -1,53 +1,54 @@
-//! What must hold: asserted in debug builds, counted in release builds. And the counts of what peers
-//! did wrong.
+//! Invariants, which are asserted in debug builds and counted in release builds, and counters of the mistakes
+//! of peers. A counter's name is also its log message and its key in the event log.
 use std::collections::BTreeMap;
 use std::sync::{Mutex, OnceLock, PoisonError};
 
+/// Owned by this module; only [`note`] writes to it.
 static COUNTS: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
 
-/// What hears of a count at its 1st, 2nd, 4th, 8th ... time.
-pub type Heard = Box<dyn Fn(&'static str, u64) + Send + Sync>;
+/// Called with a counter's name and its count, at the 1st, 2nd, 4th, 8th ... time.
+pub type CounterObserver = Box<dyn Fn(&'static str, u64) + Send + Sync>;
 
-static HEARD: OnceLock<Heard> = OnceLock::new();
+static OBSERVER: OnceLock<CounterObserver> = OnceLock::new();
 
-/// Has the counts heard, once for all; a second hearer is not taken.
-pub fn hear(heard: Heard) {
-    let _ = HEARD.set(heard);
+/// Sets the process's one observer of counters; a second one is ignored.
+pub fn observe_counters(observer: CounterObserver) {
+    let _ = OBSERVER.set(observer);
 }
 
-/// Counts what did not hold.
-pub fn broken(what: &'static str) {
-    note(what, "it does not hold");
+/// Counts an invariant that does not hold.
+pub fn broken(invariant: &'static str) {
+    note(invariant, "it does not hold");
 }
 
-/// Counts a kind of event and logs its 1st, 2nd, 4th, 8th ... time. Guards against a log, and a
-/// thread that writes it, drowned by a peer that repeats its mistake.
-pub fn note(what: &'static str, why: &str) {
+/// Counts an event and logs its 1st, 2nd, 4th, 8th ... time: a peer that repeats its mistake must not flood
+/// the log, nor the thread that writes it.
+pub fn note(counter: &'static str, reason: &str) {
     let mut counts = COUNTS.lock().unwrap_or_else(PoisonError::into_inner);
-    let count = counts.entry(what).or_default();
+    let count = counts.entry(counter).or_default();
     *count += 1;
     if count.is_power_of_two() {
-        tracing::warn!(count, why, "{what}");
-        if let Some(heard) = HEARD.get() {
-            heard(what, *count);
+        tracing::warn!(count, reason, "{counter}");
+        if let Some(observer) = OBSERVER.get() {
+            observer(counter, *count);
         }
     }
 }
 
-/// All counts so far, for the closing line of the log.
+/// All counts so far, for the closing lines of the log.
 pub fn counts() -> Vec<(&'static str, u64)> {
     let counts = COUNTS.lock().unwrap_or_else(PoisonError::into_inner);
-    counts.iter().map(|(&what, &count)| (what, count)).collect()
+    counts.iter().map(|(&counter, &count)| (counter, count)).collect()
 }
 
-/// States what must hold here.
+/// States an invariant.
 #[macro_export]
 macro_rules! invariant {
-    ($holds:expr, $what:literal) => {
+    ($holds:expr, $invariant:literal) => {
         let holds: bool = $holds;
-        debug_assert!(holds, $what);
+        debug_assert!(holds, $invariant);
         if !holds {
-            $crate::invariant::broken($what);
+            $crate::invariant::broken($invariant);
         }
     };
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,24 +1,24 @@
-//! The scheduler round the decision module: flows, timers and the three doors through which other
-//! protocols come in. Nothing here decides which real server gets a job, what is tried again or what
-//! is turned away: that is the module's, for every door.
+//! The proxy around the dispatch policy: it accepts clients' requests, forwards them to workers and keeps the
+//! timers. It decides neither which worker gets a request, nor what is retried or rejected: that is the policy's,
+//! for every protocol.
 //!
 //! ```text
-//!   downstream::http ─┐                                    ┌─ upstream::http
-//!   (a Front)    ├─► flow ─► decisions ─► flow ─► Back ┤
-//!   another one ─┘   admission  (policy)  result       └─ another one
-//!                    Answer      ▲
-//!                                │ Membership
-//!                        discovery::platform, discovery::static_list (each a Source)
+//!   downstream::http ─┐                                               ┌─ upstream::http
+//!   (a Downstream)    ├─► request_task ─► policy ─► request_task ─► Upstream
+//!   another one ──────┘   admission        ▲  decision                └─ another one
+//!                         FinalResponse    │
+//!                                          │ EndpointPublisher
+//!                      discovery::platform, discovery::static_list (each an EndpointSource)
 //! ```
 //!
-//! * A *front* speaks a clients' protocol: it makes an [`messages::AdmissionRequest`], begins a flow with it and
-//!   gives the [`messages::FinalResponse`] its form.
-//! * A *back* speaks a workers' protocol: it hands one scheduling over and turns what comes back into
-//!   [`messages::DispatchResult`] or [`messages::WorkerEvent`].
-//! * A *source* turns its own form of a worker list into service entries, through
-//!   [`discovery::EndpointPublisher`].
+//! * A [`downstream::Downstream`] speaks a clients' protocol: it makes a [`messages::AdmissionRequest`], spawns
+//!   the request's task with it and gives the [`messages::FinalResponse`] its form.
+//! * An [`upstream::Upstream`] speaks a workers' protocol: it dispatches one attempt and turns what comes back
+//!   into a [`messages::DispatchResult`] or [`messages::WorkerEvent`].
+//! * A [`discovery::EndpointSource`] turns its own form of an endpoint list into updates of the endpoint table,
+//!   through [`discovery::EndpointPublisher`].
 //!
-//! The modules use one another in one direction only; `tests/module_dependencies.rs` holds that.
+//! The modules use one another in one direction only; `tests/module_dependencies.rs` checks that.
 pub mod assembly;
 pub mod clock;
 pub mod context;
--- a/crates/proxy/src/load_queries.rs
+++ b/crates/proxy/src/load_queries.rs
@@ -1,4 +1,4 @@
-//! Carries out the probes that the module asks for.
+//! Sends the load queries that the policy asks for.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{Micros, Outcome, SECOND};
@@ -7,28 +7,26 @@
 use crate::clock::from_now;
 use crate::context::ProxyContext;
 
-/// A probe that is not answered by then tells that its real server has a queue, as it may wait there like
-/// a job. What comes later is old, and is dropped.
-const ANSWERED_WITHIN: Micros = SECOND;
+/// A load query that is not answered by then shows that its worker has a queue, as it may wait there like a
+/// request. A later answer is stale, and is dropped.
+const LOAD_QUERY_TIMEOUT: Micros = SECOND;
 
-/// Carries them out for good. Whatever happens, the module hears of each once: of one that was not sent,
-/// that it is moot.
-pub async fn carry_out(node: Arc<ProxyContext>) {
-    let mut under_way = FuturesUnordered::new();
+/// Sends load queries until the runtime stops. The policy is notified exactly once of each one's end; one that
+/// was not sent is superseded.
+pub async fn run(context: Arc<ProxyContext>) {
+    let mut in_flight = FuturesUnordered::new();
     loop {
         tokio::select! {
-            worker = node.policy.next_load_query() => {
-                // Guards against work for real servers whose answer nobody will use.
-                if node.shutdown.has_begun() {
-                    node.policy.load_query_ended(worker, Outcome::Superseded, None);
+            worker = context.policy.next_load_query() => {
+                // During a shutdown nobody will use the answer.
+                if context.shutdown.is_started() {
+                    context.policy.load_query_ended(worker, Outcome::Superseded.into());
                     continue;
                 }
-                let probe = node.upstream.query_load(worker, from_now(ANSWERED_WITHIN));
-                under_way.push(async move { (worker, probe.await) });
-            }
-            Some((worker, (outcome, report))) = under_way.next() => {
-                node.policy.load_query_ended(worker, outcome, report);
+                let query = context.upstream.query_load(worker, from_now(LOAD_QUERY_TIMEOUT));
+                in_flight.push(async move { (worker, query.await) });
             }
+            Some((worker, result)) = in_flight.next() => context.policy.load_query_ended(worker, result),
         }
     }
 }
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,8 +1,7 @@
-//! What passes between a front, a flow and a back: the job as the client gave it, what real servers
-//! say of it, and the final answer. The forms are HTTP's own message parts, since the platform wants
-//! path and headers passed on unchanged; a protocol that has none leaves them empty.
+//! The messages between a client connection, a request's task and the upstream: the request as the client
+//! sent it, what workers report of it, and the final response. The forms are HTTP's own message parts, since
+//! the platform wants path and headers forwarded unchanged; a protocol that has none leaves them empty.
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
 
 use bytes::Bytes;
 use copperspread_dispatcher::{
@@ -13,73 +12,61 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// Room that a body takes, until the last holder drops it; a small one takes none.
+/// Revokes the dispatches of a request that have not been written yet, once for all. An upstream asks
+/// `is_cancelled`, which does not wait, in the step in which it writes: otherwise attempts would begin for a
+/// client that has disconnected, or that has its response, because their connection came up late.
+pub use tokio_util::sync::CancellationToken;
+
+/// The part of the memory for bodies that one body holds, until its last holder drops it; a small body holds
+/// none.
 pub type BodyPermit = Option<Arc<OwnedSemaphorePermit>>;
 
-/// What of a client's request passes on to a real server.
+/// What of a client's request is forwarded to a worker.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
     /// The request's id, as the client wrote it.
     pub id: String,
     /// Path and query.
     pub path: PathAndQuery,
-    /// The headers that pass on.
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
-    /// What may be repeated of the job.
+    /// Whether the request may run more than once.
     pub idempotency: Idempotency,
     /// The body.
     pub body: Bytes,
-    /// The room that the body takes.
+    /// The memory that the body holds.
     pub body_permit: BodyPermit,
 }
 
-/// A flow's word that its hand-overs are still to be written, which it takes back once for all. A back asks
-/// in the step in which it writes. Guards against attempts that begin for a client that has gone, or that has
-/// its answer, because their connection came up late.
-#[derive(Clone, Debug, Default)]
-pub struct DispatchPermission(Arc<AtomicBool>);
-
-impl DispatchPermission {
-    /// Takes the word back.
-    pub fn revoke(&self) {
-        self.0.store(true, Ordering::Relaxed);
-    }
-
-    /// Whether it still holds.
-    pub fn is_valid(&self) -> bool {
-        !self.0.load(Ordering::Relaxed)
-    }
-}
-
-/// What a flow begins with.
+/// What a request's task starts with.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// The job, in the module's form.
+    /// The request, in the policy's form.
     pub request: IncomingRequest,
-    /// When the client must have its answer.
+    /// When the client must have its final response.
     pub deadline: Instant,
-    /// What passes on to real servers.
+    /// What is forwarded to workers.
     pub upstream_request: UpstreamRequest,
 }
 
-/// The final answer to a client.
+/// The final response to a client: each request has exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// A real server's result.
+    /// A worker's result.
     Served(Bytes),
-    /// Turned away by the module; harmless to try again.
+    /// Rejected by the policy: it never ran, and is safe to try again.
     Rejected {
-        /// After this long.
+        /// How long the client should wait before.
         retry_after: Micros,
     },
     /// Failed, with nothing promised.
     Failed,
-    /// Another flow had this id.
+    /// Another request had this id.
     Duplicate,
 }
 
 impl FinalResponse {
-    /// What it is, in one word.
+    /// Its name in logs and in the event log.
     pub fn name(&self) -> &'static str {
         match self {
             FinalResponse::Served(_) => "served",
@@ -90,38 +77,105 @@
     }
 }
 
-/// What became of a hand-over: the real server has the job and will send news of it, or the
-/// scheduling has ended already, perhaps with a load report.
-pub type DispatchResult = Result<(), (Outcome, Option<LoadReport>)>;
+/// The result of a dispatch: the worker has accepted the request and will send callbacks, or the attempt has
+/// ended already.
+pub type DispatchResult = Result<(), DispatchFailure>;
+
+/// How an attempt ended that its worker did not accept.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct DispatchFailure {
+    /// What the failure allows.
+    pub outcome: Outcome,
+    /// The load report that the worker's response brought.
+    pub load_report: Option<LoadReport>,
+}
+
+impl From<Outcome> for DispatchFailure {
+    fn from(outcome: Outcome) -> DispatchFailure {
+        DispatchFailure { outcome, load_report: None }
+    }
+}
+
+/// The result of a load query.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LoadQueryResult {
+    /// Served, or why there is no answer.
+    pub outcome: Outcome,
+    /// The worker's load report.
+    pub load_report: Option<LoadReport>,
+}
 
-/// What a real server tells of a scheduling that it has taken.
+impl From<Outcome> for LoadQueryResult {
+    fn from(outcome: Outcome) -> LoadQueryResult {
+        LoadQueryResult { outcome, load_report: None }
+    }
+}
+
+/// How an attempt ended.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AttemptCompletion {
+    /// What became of it.
+    pub outcome: Outcome,
+    /// The result, where it was served.
+    pub result: Option<Bytes>,
+    /// The worker's load report.
+    pub load_report: Option<LoadReport>,
+}
+
+impl From<Outcome> for AttemptCompletion {
+    fn from(outcome: Outcome) -> AttemptCompletion {
+        AttemptCompletion { outcome, result: None, load_report: None }
+    }
+}
+
+impl From<DispatchFailure> for AttemptCompletion {
+    fn from(DispatchFailure { outcome, load_report }: DispatchFailure) -> AttemptCompletion {
+        AttemptCompletion { outcome, result: None, load_report }
+    }
+}
+
+/// What a worker reports of an attempt that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerEvent {
-    /// The job runs.
+    /// The request runs.
     Progress(Progress),
-    /// It ended; a result is there where it was served.
-    Ended(Outcome, Option<Bytes>, Option<LoadReport>),
+    /// The attempt has ended.
+    Completed(AttemptCompletion),
 }
 
-/// What reaches a flow from outside its task.
+/// What reaches a request's task from outside.
 #[derive(Debug)]
 pub enum RequestEvent {
-    /// The module: send the next scheduling to this real server.
-    Send(WorkerId),
-    /// The module: the final answer is a refusal, for the client to come back after this long.
-    Reject(Micros),
-    /// The module: the final answer is a failure.
+    /// The policy: send the next attempt to this worker.
+    Dispatch {
+        /// The worker.
+        worker: WorkerId,
+    },
+    /// The policy: the final response is a rejection.
+    Reject {
+        /// How long the client should wait before it tries again.
+        retry_after: Micros,
+    },
+    /// The policy: the final response is a failure.
     Fail,
-    /// The module: stop waiting for a scheduling.
-    Cancel(u32),
-    /// News of a real server.
-    Worker(WorkerId, WorkerEvent),
-    /// The front: the client has gone.
+    /// The policy: stop waiting for an attempt.
+    Cancel {
+        /// Its number, from 0.
+        attempt: u32,
+    },
+    /// A worker reports.
+    Worker {
+        /// The worker.
+        worker: WorkerId,
+        /// Its report.
+        event: WorkerEvent,
+    },
+    /// The client has disconnected.
     ClientDisconnected,
 }
 
-/// The id of a flow in its outer form: 16 hex digits.
+/// Parses a request id in its outer form: 16 hex digits.
 pub fn parse_request_id(text: &str) -> Option<RequestId> {
-    let hex = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    u64::from_str_radix(text, 16).ok().filter(|_| hex).map(RequestId)
+    let is_hex = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    u64::from_str_radix(text, 16).ok().filter(|_| is_hex).map(RequestId)
 }
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -1,25 +1,28 @@
-//! Holds the dispatcher, alone: hands it events, keeps its timers and brings its actions to the
-//! flows' mailboxes.
+//! The one owner of the dispatch policy: feeds it events, keeps its timers and delivers its actions to the
+//! requests' tasks.
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, HashSet, VecDeque};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use copperspread_dispatcher::*;
+use copperspread_dispatcher::{
+    Action, AttemptOutcome, DispatchPolicy, Endpoint, EndpointUpdate, EndpointUpdateKind, Event,
+    IncomingRequest, Micros, Progress, RequestId, Timer, WorkerId,
+};
 use tokio::sync::{Notify, mpsc};
 use tokio::time::sleep_until;
 
 use crate::clock::{Clock, from_now};
 use crate::event_recorder::EventRecorder;
 use crate::invariant;
-use crate::messages::{RequestEvent, WorkerEvent};
+use crate::messages::{LoadQueryResult, RequestEvent, WorkerEvent};
 
-/// The sending end of a flow's mailbox.
+/// Sends events to a request's task.
 pub type RequestEventSender = mpsc::UnboundedSender<RequestEvent>;
 
-/// How many ids of ended flows are remembered at least; twice as many at most.
-const COMPLETED_REQUESTS_RETAINED: usize = 8_192;
+/// How many ids of completed requests are retained at least; twice as many at most.
+const MIN_COMPLETED_REQUESTS_RETAINED: usize = 8_192;
 
-/// The ids of the flows that ended last.
+/// The ids of the requests that completed last, in two generations.
 #[derive(Default)]
 struct CompletedRequests {
     recent: HashSet<RequestId>,
@@ -28,7 +31,7 @@
 
 impl CompletedRequests {
     fn insert(&mut self, request: RequestId) {
-        if self.recent.len() >= COMPLETED_REQUESTS_RETAINED {
+        if self.recent.len() >= MIN_COMPLETED_REQUESTS_RETAINED {
             self.previous = std::mem::take(&mut self.recent);
         }
         self.recent.insert(request);
@@ -44,13 +47,20 @@
     requests: HashMap<RequestId, RequestEventSender>,
     completed: CompletedRequests,
     actions: Vec<Action>,
-    /// How many lists the module was told.
-    version: u64,
-    /// Probes that nobody has taken yet.
+    /// How many endpoint updates the policy was notified of.
+    endpoint_version: u64,
+    /// Load queries that nobody has taken yet.
     pending_load_queries: VecDeque<WorkerId>,
 }
 
-/// The dispatcher and the way from it to the flows. Its lock is never held over an await.
+impl Inner {
+    fn deliver(&self, request: RequestId, event: RequestEvent) {
+        let is_delivered = self.requests.get(&request).is_some_and(|events| events.send(event).is_ok());
+        invariant!(is_delivered, "an action finds its flow");
+    }
+}
+
+/// The dispatch policy and the way from it to the requests' tasks. Its lock is never held over an await.
 pub struct PolicyHandle {
     clock: Clock,
     polls_endpoints: bool,
@@ -61,167 +71,167 @@
 }
 
 impl PolicyHandle {
-    /// Over what decides; `on_request` where the worker list comes only when it is asked for.
+    /// Takes a policy over; `polls_endpoints` where the endpoint list is fetched only when the policy asks.
     pub fn new(
-        dispatcher: Box<dyn DispatchPolicy>,
-        on_request: bool,
+        policy: Box<dyn DispatchPolicy>,
+        polls_endpoints: bool,
         clock: Clock,
-        witness: Arc<EventRecorder>,
+        recorder: Arc<EventRecorder>,
     ) -> Arc<PolicyHandle> {
         let inner = Inner {
-            policy: dispatcher,
+            policy,
             requests: HashMap::new(),
             completed: CompletedRequests::default(),
             actions: Vec::new(),
-            version: 0,
+            endpoint_version: 0,
             pending_load_queries: VecDeque::new(),
         };
-        let (inner, subscription_requested, load_query_requested) =
-            (Mutex::new(inner), Notify::new(), Notify::new());
         Arc::new(PolicyHandle {
             clock,
-            polls_endpoints: on_request,
-            inner,
-            recorder: witness,
-            subscription_requested,
-            load_query_requested,
+            polls_endpoints,
+            inner: Mutex::new(inner),
+            recorder,
+            subscription_requested: Notify::new(),
+            load_query_requested: Notify::new(),
         })
     }
 
-    /// Hands over one event; what comes of it is in the mailboxes, in order, when this returns.
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Feeds the policy one event; the actions that follow are delivered, in order, when this returns.
     fn handle(self: &Arc<Self>, event: Event<'_>) {
         self.update(|inner, now, actions| inner.policy.handle(now, event, actions));
     }
 
     fn update(self: &Arc<Self>, event: impl FnOnce(&mut Inner, Micros, &mut Vec<Action>)) {
-        let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut inner = self.lock();
         let mut actions = std::mem::take(&mut inner.actions);
         event(&mut inner, self.clock.now(), &mut actions);
         for action in actions.drain(..) {
             self.recorder.action_decided(&action);
-            let (request, mail) = match action {
-                Action::Send { request, worker, .. } => (request, RequestEvent::Send(worker)),
-                Action::Reject { request, retry_after, .. } => (request, RequestEvent::Reject(retry_after)),
-                Action::Fail { request } => (request, RequestEvent::Fail),
-                Action::Cancel { request, attempt } => (request, RequestEvent::Cancel(attempt)),
-                Action::StartTimer { after, timer } => {
-                    let decisions = Arc::clone(self);
-                    let at = from_now(after);
-                    tokio::spawn(async move {
-                        sleep_until(at).await;
-                        decisions.handle(Event::TimerExpired(timer));
-                    });
-                    continue;
-                }
-                Action::Subscribe => {
-                    self.subscription_requested.notify_one();
-                    continue;
-                }
-                Action::QueryLoad { worker } => {
-                    inner.pending_load_queries.push_back(worker);
-                    self.load_query_requested.notify_one();
-                    continue;
-                }
-            };
-            let delivered = inner.requests.get(&request).is_some_and(|flow| flow.send(mail).is_ok());
-            invariant!(delivered, "an action finds its flow");
+            self.carry_out(&mut inner, action);
         }
         inner.actions = actions;
     }
 
-    /// A flow begins; false if another one had its id.
-    pub fn admit(self: &Arc<Self>, job: IncomingRequest, mailbox: RequestEventSender) -> bool {
-        let mut fresh = false;
+    fn carry_out(self: &Arc<Self>, inner: &mut Inner, action: Action) {
+        match action {
+            Action::Send { request, worker, .. } => inner.deliver(request, RequestEvent::Dispatch { worker }),
+            Action::Reject { request, retry_after, .. } => {
+                inner.deliver(request, RequestEvent::Reject { retry_after });
+            }
+            Action::Fail { request } => inner.deliver(request, RequestEvent::Fail),
+            Action::Cancel { request, attempt } => inner.deliver(request, RequestEvent::Cancel { attempt }),
+            Action::StartTimer { after, timer } => self.start_timer(after, timer),
+            Action::Subscribe => self.subscription_requested.notify_one(),
+            Action::QueryLoad { worker } => {
+                inner.pending_load_queries.push_back(worker);
+                self.load_query_requested.notify_one();
+            }
+        }
+    }
+
+    /// Spawns a timer, which ends when it has fired.
+    fn start_timer(self: &Arc<Self>, after: Micros, timer: Timer) {
+        let handle = Arc::clone(self);
+        let expiry = from_now(after);
+        tokio::spawn(async move {
+            sleep_until(expiry).await;
+            handle.handle(Event::TimerExpired(timer));
+        });
+    }
+
+    /// Admits a request; false if another one had its id.
+    pub fn admit(self: &Arc<Self>, request: IncomingRequest, events: RequestEventSender) -> bool {
+        let mut is_admitted = false;
         self.update(|inner, now, actions| {
-            // Guards against an id that comes twice: the module would not answer the second while the
-            // first is open. Afterwards the same would run again, and a client that asks anew as soon
-            // as it is turned away would be answered as fast as it can ask.
-            if inner.completed.contains(job.request) {
+            // An id that comes twice is not taken: the policy would not answer the second while the first is
+            // open. Afterwards the same request would run again, and a client that tries again as soon as it
+            // is rejected would be answered as fast as it can send.
+            if inner.completed.contains(request.request) {
                 return;
             }
-            if let Entry::Vacant(place) = inner.requests.entry(job.request) {
-                place.insert(mailbox);
-                fresh = true;
-                self.recorder.request_accepted(&job);
-                inner.policy.handle(now, Event::Request(job), actions);
+            if let Entry::Vacant(entry) = inner.requests.entry(request.request) {
+                entry.insert(events);
+                is_admitted = true;
+                self.recorder.request_accepted(&request);
+                inner.policy.handle(now, Event::Request(request), actions);
             }
         });
-        fresh
+        is_admitted
     }
 
-    /// A scheduling ended.
+    /// Notifies the policy that an attempt ended.
     pub fn attempt_ended(self: &Arc<Self>, outcome: AttemptOutcome) {
         self.handle(Event::AttemptEnded(outcome));
     }
 
-    /// News of a scheduling that is still out.
+    /// Notifies the policy of the progress of an attempt that is in flight.
     pub fn attempt_progress(self: &Arc<Self>, request: RequestId, attempt: u32, progress: Progress) {
         self.handle(Event::AttemptProgress { request, attempt, progress });
     }
 
-    /// A flow's client has gone.
+    /// Notifies the policy that a request's client has disconnected.
     pub fn client_disconnected(self: &Arc<Self>, request: RequestId) {
         self.handle(Event::ClientDisconnected(request));
     }
 
-    /// News from discovery, whose order the table of entries has settled. Guards against revisions
-    /// that begin anew where discovery moves: the module hears of a version that only grows.
-    pub fn update_endpoints(self: &Arc<Self>, kind: EndpointUpdateKind, entries: &[Endpoint]) {
+    /// Notifies the policy of an endpoint update, whose order the endpoint table has settled. Revisions may
+    /// begin anew where discovery moves, so the policy gets a version of its own, which only grows.
+    pub fn update_endpoints(self: &Arc<Self>, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
         self.update(|inner, now, actions| {
-            inner.version += 1;
-            self.recorder.endpoints_changed(kind, entries);
-            let roster = EndpointUpdate { kind, version: inner.version, endpoints: entries };
-            inner.policy.handle(now, Event::Endpoints(roster), actions);
+            inner.endpoint_version += 1;
+            self.recorder.endpoints_changed(kind, endpoints);
+            let update = EndpointUpdate { kind, version: inner.endpoint_version, endpoints };
+            inner.policy.handle(now, Event::Endpoints(update), actions);
         });
     }
 
-    /// Whether the roster comes only after a subscription.
+    /// Whether the endpoint list is fetched only when the policy asks for it.
     pub fn polls_endpoints(&self) -> bool {
         self.polls_endpoints
     }
 
-    /// Waits until the module asks for a subscription.
+    /// Waits until the policy asks for a subscription to the endpoint list.
     pub async fn subscription_requested(&self) {
         self.subscription_requested.notified().await;
     }
 
-    /// Waits until the module asks for a probe. For one taker.
+    /// Waits until the policy asks for a load query. Only one task may call this.
     pub async fn next_load_query(&self) -> WorkerId {
         loop {
-            let asked =
-                self.inner.lock().unwrap_or_else(PoisonError::into_inner).pending_load_queries.pop_front();
-            if let Some(worker) = asked {
+            let pending = self.lock().pending_load_queries.pop_front();
+            if let Some(worker) = pending {
                 return worker;
             }
             self.load_query_requested.notified().await;
         }
     }
 
-    /// What came of a probe.
-    pub fn load_query_ended(
-        self: &Arc<Self>,
-        worker: WorkerId,
-        outcome: Outcome,
-        report: Option<LoadReport>,
-    ) {
+    /// Notifies the policy of the end of a load query.
+    pub fn load_query_ended(self: &Arc<Self>, worker: WorkerId, result: LoadQueryResult) {
+        let LoadQueryResult { outcome, load_report: report } = result;
         self.handle(Event::LoadQueryEnded { worker, outcome, report });
     }
 
-    /// Brings a call-back to its flow; false if there is none any more.
-    pub fn deliver_worker_event(&self, request: RequestId, worker: WorkerId, news: WorkerEvent) -> bool {
-        let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-        inner.requests.get(&request).is_some_and(|flow| flow.send(RequestEvent::Worker(worker, news)).is_ok())
+    /// Delivers a callback to its request's task; false if the request has completed.
+    pub fn deliver_worker_event(&self, request: RequestId, worker: WorkerId, event: WorkerEvent) -> bool {
+        let inner = self.lock();
+        let task = inner.requests.get(&request);
+        task.is_some_and(|events| events.send(RequestEvent::Worker { worker, event }).is_ok())
     }
 
-    /// A flow has ended with all its schedulings.
+    /// A request has completed, with all its attempts.
     pub fn request_completed(&self, request: RequestId) {
-        let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut inner = self.lock();
         inner.requests.remove(&request);
         inner.completed.insert(request);
     }
 
-    /// How many flows have not ended.
+    /// How many requests have not completed.
     pub fn active_requests(&self) -> usize {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner).requests.len()
+        self.lock().requests.len()
     }
 }
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -1,246 +1,305 @@
-//! The life of one flow, from the client's request to the end of its last scheduling.
+//! The task of one request, from its admission to the end of its last attempt. It carries out what the
+//! dispatch policy decides and reports every attempt's end to it; it decides nothing itself.
 use std::sync::Arc;
 
-use bytes::Bytes;
-use copperspread_dispatcher::*;
-use futures_util::future::{AbortHandle, abortable};
+use copperspread_dispatcher::{AttemptOutcome, Micros, Outcome, RequestId, WorkerId};
+use futures_util::FutureExt;
+use futures_util::future::{AbortHandle, Aborted, BoxFuture, abortable};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep_until;
+use tokio_util::sync::CancellationToken;
 use tracing::{Instrument, debug, info_span};
 
 use crate::context::ProxyContext;
 use crate::invariant;
-use crate::messages::{AdmissionRequest, DispatchPermission, FinalResponse, RequestEvent, WorkerEvent};
+use crate::messages::{
+    AdmissionRequest, AttemptCompletion, DispatchResult, FinalResponse, RequestEvent, UpstreamRequest,
+    WorkerEvent,
+};
 use crate::policy_handle::RequestEventSender;
 use crate::shutdown::effective_deadline;
 
-/// A front's hold on a flow: its answer, and word to the flow when the client goes first.
+/// What a client connection holds of a request: its final response. Dropping it reports to the request's task
+/// that the client has disconnected.
 pub struct ResponseHandle {
     response: oneshot::Receiver<FinalResponse>,
-    mailbox: RequestEventSender,
+    events: RequestEventSender,
 }
 
 impl ResponseHandle {
-    /// Waits for the final answer.
-    pub async fn answer(&mut self) -> FinalResponse {
+    /// Waits for the final response.
+    pub async fn final_response(&mut self) -> FinalResponse {
         (&mut self.response).await.unwrap_or(FinalResponse::Failed)
     }
 }
 
 impl Drop for ResponseHandle {
-    // Guards against a flow that nobody waits for: axum drops the handler when the client goes.
+    // axum drops the handler when the client disconnects; without this the request would go on for nobody.
     fn drop(&mut self) {
-        let _ = self.mailbox.send(RequestEvent::ClientDisconnected);
+        let _ = self.events.send(RequestEvent::ClientDisconnected);
     }
 }
 
-/// Begins a flow in a task of its own, which outlives the edge connection: the module is told of
-/// every scheduling's end.
-pub fn spawn(node: &Arc<ProxyContext>, demand: AdmissionRequest) -> ResponseHandle {
-    let (mailbox, mail) = mpsc::unbounded_channel();
-    let (sender, answer) = oneshot::channel();
-    let flow = RequestTask {
-        node: Arc::clone(node),
-        admission: demand,
-        response_sender: Some(sender),
-        dispatch_permission: DispatchPermission::default(),
+/// Starts a request in a task of its own. The task outlives the client connection, because the policy is
+/// notified of every attempt's end; it ends by itself, at the latest with the request's deadline.
+pub fn spawn(context: &Arc<ProxyContext>, admission: AdmissionRequest) -> ResponseHandle {
+    let (event_sender, events) = mpsc::unbounded_channel();
+    let (response_sender, response) = oneshot::channel();
+    let class = context.settings.classes.get(admission.request.class as usize).map_or("", String::as_str);
+    let span = info_span!("request", request_id = admission.upstream_request.id, class);
+    let task = RequestTask {
+        context: Arc::clone(context),
+        upstream_request: Arc::new(admission.upstream_request.clone()),
+        accepted_at: context.clock.now(),
+        admission,
+        response_sender: Some(response_sender),
+        dispatch_cancellation: CancellationToken::new(),
         attempts: Vec::new(),
-        accepted_at: node.clock.now(),
+        dispatches: FuturesUnordered::new(),
+        is_past_deadline: false,
     };
-    let class = node.settings.classes.get(flow.admission.request.class as usize).map_or("", String::as_str);
-    let span = tracing::info_span!("flow", flow = flow.admission.upstream_request.id, class);
-    tokio::spawn(flow.run(mailbox.clone(), mail).instrument(span));
-    ResponseHandle { response: answer, mailbox }
+    tokio::spawn(task.run(event_sender.clone(), events).instrument(span));
+    ResponseHandle { response, events: event_sender }
 }
 
-/// One attempt of a flow at a real server.
+/// One attempt of a request at a worker.
 struct Attempt {
     worker: WorkerId,
     sent_at: Micros,
     /// Its outcome has not come.
     is_in_flight: bool,
-    /// Stops the hand-over while the real server has not taken it.
+    /// Aborts the dispatch while the worker has not accepted it.
     dispatch_abort: Option<AbortHandle>,
-    /// A call-back has come: the real server has it, whether or not its 202 has come.
+    /// A callback has come: the worker has the request, whether or not its 202 has come.
     has_called_back: bool,
 }
 
+/// The end of one attempt's dispatch.
+struct DispatchCompletion {
+    attempt: u32,
+    result: Result<DispatchResult, Aborted>,
+}
+
 struct RequestTask {
-    node: Arc<ProxyContext>,
+    context: Arc<ProxyContext>,
     admission: AdmissionRequest,
+    upstream_request: Arc<UpstreamRequest>,
     response_sender: Option<oneshot::Sender<FinalResponse>>,
-    /// Taken back with the answer's sender: what has not been written by then is not.
-    dispatch_permission: DispatchPermission,
+    /// Cancelled when the response's sender is taken: what has not been written by then is not.
+    dispatch_cancellation: CancellationToken,
+    /// By number.
     attempts: Vec<Attempt>,
+    /// Dispatches that have not ended.
+    dispatches: FuturesUnordered<BoxFuture<'static, DispatchCompletion>>,
+    is_past_deadline: bool,
     accepted_at: Micros,
 }
 
 impl RequestTask {
-    async fn run(mut self, mailbox: RequestEventSender, mut mail: mpsc::UnboundedReceiver<RequestEvent>) {
-        let node = Arc::clone(&self.node);
-        let request = self.admission.request.request;
-        // The module chooses: a first real server, or a refusal.
-        if !node.policy.admit(self.admission.request, mailbox) {
+    async fn run(
+        mut self,
+        event_sender: RequestEventSender,
+        mut events: mpsc::UnboundedReceiver<RequestEvent>,
+    ) {
+        // The policy decides: a first worker, or a rejection.
+        if !self.context.policy.admit(self.admission.request, event_sender) {
             self.respond(FinalResponse::Duplicate);
             return;
         }
-        let order = Arc::new(self.admission.upstream_request.clone());
         let deadline = self.admission.deadline;
-        let mut ending = node.shutdown.watch();
-        let overdue = sleep_until(effective_deadline(deadline, &ending));
-        tokio::pin!(overdue);
-        let mut late = false;
-        let mut hand_overs = FuturesUnordered::new();
-        while self.is_active(&mail) || !hand_overs.is_empty() {
+        let mut shutdown = self.context.shutdown.watch();
+        let expiry = sleep_until(effective_deadline(deadline, &shutdown));
+        tokio::pin!(expiry);
+        while self.is_active(&events) {
             tokio::select! {
-                // Mail comes first: guards against an attempt's end that the module answers with a further
-                // attempt although word that the client has gone is waiting.
+                // Events come first: otherwise the policy could answer an attempt's end with a further
+                // attempt although the event that the client has disconnected is waiting.
                 biased;
-                Some(mail) = mail.recv() => match mail {
-                    RequestEvent::Send(worker) => {
-                        let number = self.attempts.len() as u32;
-                        let repeated = self.attempts.iter().any(|s| s.worker == worker);
-                        invariant!(!repeated, "a flow has one scheduling at a real server");
-                        let (node, order, wanted) = (Arc::clone(&node), Arc::clone(&order), self.dispatch_permission.clone());
-                        let name = self.node.upstream.worker_name(worker);
-                        let span = info_span!("scheduling", number, real_server = &*name);
-                        let hand_over = async move {
-                            let handed = node.upstream.dispatch(worker, &order, deadline, &wanted).await;
-                            debug!(taken = handed.is_ok(), "handed over");
-                            handed
-                        };
-                        let (hand_over, handing) = abortable(hand_over.instrument(span));
-                        let sent_at = self.node.clock.now();
-                        self.attempts.push(Attempt { worker, sent_at, is_in_flight: true, dispatch_abort: Some(handing), has_called_back: false });
-                        if late || repeated || self.response_sender.is_none() {
-                            self.finish_attempt(number, Outcome::Superseded, None, None);
-                        } else {
-                            self.node.recorder.attempt_sent(request, number, worker);
-                            hand_overs.push(async move { (number, hand_over.await) });
-                        }
-                    }
-                    RequestEvent::Reject(retry_after) => self.respond(FinalResponse::Rejected { retry_after }),
-                    RequestEvent::Fail => self.respond(FinalResponse::Failed),
-                    RequestEvent::Cancel(number) => self.cancel_attempt(number, Outcome::Cancelled),
-                    RequestEvent::Worker(worker, news) => self.on_worker_event(worker, news),
-                    RequestEvent::ClientDisconnected => {
-                        if self.take_response_sender().is_some() {
-                            self.record_response("gone");
-                            node.policy.client_disconnected(request);
-                        }
-                    }
-                },
-                Some((number, handed)) = hand_overs.next() => {
-                    self.attempts[number as usize].dispatch_abort = None;
-                    if let Ok(Err((outcome, report))) = handed {
-                        self.finish_attempt(number, outcome, None, report);
-                    }
-                }
-                // This node ends before the flow's own deadline.
-                Ok(()) = ending.changed() => overdue.as_mut().reset(effective_deadline(deadline, &ending)),
-                // The module is told that time is up, and says what the client hears.
-                () = &mut overdue, if !late => {
-                    late = true;
-                    for number in 0..self.attempts.len() as u32 {
-                        self.cancel_attempt(number, Outcome::TimedOut);
-                    }
-                    // Those that ended by a call-back and whose 202 never came.
-                    self.attempts.iter_mut().filter_map(|s| s.dispatch_abort.take()).for_each(|h| h.abort());
+                Some(event) = events.recv() => self.handle_event(event),
+                Some(completion) = self.dispatches.next() => self.handle_dispatch_completion(completion),
+                // This scheduler stops before the request's own deadline.
+                Ok(()) = shutdown.changed() => {
+                    expiry.as_mut().reset(effective_deadline(deadline, &shutdown));
                 }
+                () = &mut expiry, if !self.is_past_deadline => self.handle_deadline(),
             }
-            // Guards against a flow that stays without an answer past its time.
-            if late && mail.is_empty() && self.response_sender.is_some() {
-                invariant!(false, "the module answers what is overdue");
-                self.respond(FinalResponse::Failed);
+            self.fail_if_overdue(&events);
+        }
+        self.context.policy.request_completed(self.request_id());
+    }
+
+    /// A response is owed, an attempt is in flight, an event waits or a dispatch has not ended.
+    fn is_active(&self, events: &mpsc::UnboundedReceiver<RequestEvent>) -> bool {
+        self.response_sender.is_some()
+            || self.attempts.iter().any(|attempt| attempt.is_in_flight)
+            || !events.is_empty()
+            || !self.dispatches.is_empty()
+    }
+
+    fn request_id(&self) -> RequestId {
+        self.admission.request.request
+    }
+
+    fn handle_event(&mut self, event: RequestEvent) {
+        match event {
+            RequestEvent::Dispatch { worker } => self.start_attempt(worker),
+            RequestEvent::Reject { retry_after } => self.respond(FinalResponse::Rejected { retry_after }),
+            RequestEvent::Fail => self.respond(FinalResponse::Failed),
+            RequestEvent::Cancel { attempt } => self.cancel_attempt(attempt, Outcome::Cancelled),
+            RequestEvent::Worker { worker, event } => self.handle_worker_event(worker, event),
+            RequestEvent::ClientDisconnected => self.handle_client_disconnected(),
+        }
+    }
+
+    /// Starts the next attempt, or ends it as superseded where none may be sent any more.
+    fn start_attempt(&mut self, worker: WorkerId) {
+        let number = self.attempts.len() as u32;
+        let is_repeated = self.attempts.iter().any(|attempt| attempt.worker == worker);
+        invariant!(!is_repeated, "a flow has one scheduling at a real server");
+        let (dispatch, dispatch_abort) = abortable(self.dispatch(number, worker));
+        self.attempts.push(Attempt {
+            worker,
+            sent_at: self.context.clock.now(),
+            is_in_flight: true,
+            dispatch_abort: Some(dispatch_abort),
+            has_called_back: false,
+        });
+        if self.is_past_deadline || is_repeated || self.response_sender.is_none() {
+            self.finish_attempt(number, Outcome::Superseded.into());
+            return;
+        }
+        self.context.recorder.attempt_sent(self.request_id(), number, worker);
+        let completion = dispatch.map(move |result| DispatchCompletion { attempt: number, result });
+        self.dispatches.push(completion.boxed());
+    }
+
+    /// The dispatch of an attempt, not polled yet.
+    fn dispatch(&self, number: u32, worker: WorkerId) -> impl Future<Output = DispatchResult> + use<> {
+        let upstream = Arc::clone(&self.context.upstream);
+        let request = Arc::clone(&self.upstream_request);
+        let deadline = self.admission.deadline;
+        let cancellation = self.dispatch_cancellation.clone();
+        let span = info_span!("attempt", attempt = number, worker = &*upstream.worker_name(worker));
+        let dispatch = async move {
+            let result = upstream.dispatch(worker, &request, deadline, &cancellation).await;
+            debug!(accepted = result.is_ok(), "dispatch ended");
+            result
+        };
+        dispatch.instrument(span)
+    }
+
+    fn handle_dispatch_completion(&mut self, completion: DispatchCompletion) {
+        self.attempts[completion.attempt as usize].dispatch_abort = None;
+        if let Ok(Err(failure)) = completion.result {
+            self.finish_attempt(completion.attempt, failure.into());
+        }
+    }
+
+    fn handle_client_disconnected(&mut self) {
+        if self.take_response_sender().is_some() {
+            self.record_response("gone");
+            self.context.policy.client_disconnected(self.request_id());
+        }
+    }
+
+    /// Times all attempts out. The policy is notified, and decides the final response.
+    fn handle_deadline(&mut self) {
+        self.is_past_deadline = true;
+        for number in 0..self.attempts.len() as u32 {
+            self.cancel_attempt(number, Outcome::TimedOut);
+        }
+        // Attempts that ended by a callback and whose 202 never came.
+        for attempt in &mut self.attempts {
+            if let Some(dispatch_abort) = attempt.dispatch_abort.take() {
+                dispatch_abort.abort();
             }
         }
-        node.policy.request_completed(request);
     }
 
-    /// An answer is owed, a scheduling is out, or mail waits.
-    fn is_active(&self, mail: &mpsc::UnboundedReceiver<RequestEvent>) -> bool {
-        self.response_sender.is_some() || self.attempts.iter().any(|s| s.is_in_flight) || !mail.is_empty()
+    /// Fails a request that the policy left without a response past its deadline.
+    fn fail_if_overdue(&mut self, events: &mpsc::UnboundedReceiver<RequestEvent>) {
+        if self.is_past_deadline && events.is_empty() && self.response_sender.is_some() {
+            invariant!(false, "the module answers what is overdue");
+            self.respond(FinalResponse::Failed);
+        }
     }
 
-    /// Takes what is owed to the client, once; nothing more begins for it.
+    /// Takes the right to respond, once; from here on nothing more is written for the client.
     fn take_response_sender(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
-        self.dispatch_permission.revoke();
+        self.dispatch_cancellation.cancel();
         self.response_sender.take()
     }
 
-    fn respond(&mut self, answer: FinalResponse) {
+    fn respond(&mut self, response: FinalResponse) {
         if let Some(sender) = self.take_response_sender() {
-            debug!(answer = answer.name(), "final answer");
-            self.record_response(answer.name());
-            let _ = sender.send(answer);
+            debug!(response = response.name(), "final response");
+            self.record_response(response.name());
+            let _ = sender.send(response);
         }
     }
 
-    fn record_response(&self, word: &'static str) {
-        let after = self.node.clock.now().saturating_sub(self.accepted_at);
-        self.node.recorder.response_sent(&self.admission.request, word, after);
+    fn record_response(&self, response: &'static str) {
+        let elapsed = self.context.clock.now().saturating_sub(self.accepted_at);
+        self.context.recorder.response_sent(&self.admission.request, response, elapsed);
     }
 
-    /// Takes a call-back. Guards against one that comes twice, or late for a scheduling that has
-    /// ended; one that comes before the 202 counts like any other.
-    fn on_worker_event(&mut self, worker: WorkerId, news: WorkerEvent) {
-        let Some(number) = self.attempts.iter().position(|s| s.worker == worker && s.is_in_flight) else {
-            return;
-        };
-        self.attempts[number].has_called_back = true;
-        let number = number as u32;
-        match news {
+    /// Takes a callback. One that comes twice, or late for an attempt that has ended, is dropped; one that
+    /// comes before the 202 counts like any other.
+    fn handle_worker_event(&mut self, worker: WorkerId, event: WorkerEvent) {
+        let is_meant = |attempt: &Attempt| attempt.worker == worker && attempt.is_in_flight;
+        let Some(index) = self.attempts.iter().position(is_meant) else { return };
+        self.attempts[index].has_called_back = true;
+        let number = index as u32;
+        match event {
             WorkerEvent::Progress(progress) => {
-                self.node.policy.attempt_progress(self.admission.request.request, number, progress);
-            }
-            WorkerEvent::Ended(outcome, result, report) => {
-                self.finish_attempt(number, outcome, result, report)
+                self.context.policy.attempt_progress(self.request_id(), number, progress);
             }
+            WorkerEvent::Completed(completion) => self.finish_attempt(number, completion),
         }
     }
 
-    /// A scheduling has ended: answers the client if it was served, and tells the module.
-    fn finish_attempt(
-        &mut self,
-        number: u32,
-        outcome: Outcome,
-        result: Option<Bytes>,
-        report: Option<LoadReport>,
-    ) {
-        let Some(scheduling) = self.attempts.get_mut(number as usize).filter(|s| s.is_in_flight) else {
-            return;
-        };
-        scheduling.is_in_flight = false;
-        let worker = scheduling.worker;
-        let elapsed = self.node.clock.now().saturating_sub(scheduling.sent_at);
-        debug!(number, ?outcome, elapsed_us = elapsed, "a scheduling ended");
+    /// Ends an attempt that is in flight: responds to the client if it was served, and notifies the policy.
+    fn finish_attempt(&mut self, number: u32, completion: AttemptCompletion) {
+        let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
+        attempt.is_in_flight = false;
+        let worker = attempt.worker;
+        let elapsed = self.context.clock.now().saturating_sub(attempt.sent_at);
+        let AttemptCompletion { outcome, result, load_report } = completion;
+        debug!(attempt = number, ?outcome, elapsed_us = elapsed, "attempt ended");
         if outcome == Outcome::Served {
             self.respond(FinalResponse::Served(result.unwrap_or_default()));
         }
-        let finished = self.response_sender.is_none();
-        let request = self.admission.request.request;
-        let end =
-            AttemptOutcome { request, attempt: number, outcome, request_finished: finished, elapsed, report };
-        self.node.recorder.attempt_ended(&end, worker);
-        self.node.policy.attempt_ended(end);
+        let attempt_outcome = AttemptOutcome {
+            request: self.request_id(),
+            attempt: number,
+            outcome,
+            request_finished: self.response_sender.is_none(),
+            elapsed,
+            report: load_report,
+        };
+        self.context.recorder.attempt_ended(&attempt_outcome, worker);
+        self.context.policy.attempt_ended(attempt_outcome);
     }
 
-    /// Stops waiting for a scheduling, and says so to the real server.
+    /// Stops waiting for an attempt, and tells the worker so if it has accepted it.
     fn cancel_attempt(&mut self, number: u32, outcome: Outcome) {
-        let Some(scheduling) = self.attempts.get_mut(number as usize).filter(|s| s.is_in_flight) else {
-            return;
-        };
-        let handing = scheduling.dispatch_abort.take();
-        let taken = handing.is_none() || scheduling.has_called_back;
-        // Before the 202 the closed connection says it. Guards against a real server that has called
-        // back already and whose 202 crosses the close: it would go on for nobody.
-        if let Some(handing) = handing {
-            handing.abort();
+        let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
+        let dispatch_abort = attempt.dispatch_abort.take();
+        let is_accepted = dispatch_abort.is_none() || attempt.has_called_back;
+        // Before the 202 the closed connection cancels it. But a worker that has called back already, and
+        // whose 202 crosses the close, would go on for nobody: that one is told.
+        if let Some(dispatch_abort) = dispatch_abort {
+            dispatch_abort.abort();
         }
-        if taken {
-            self.node.upstream.cancel(scheduling.worker, &self.admission.upstream_request);
+        if is_accepted {
+            self.context.upstream.cancel(attempt.worker, &self.upstream_request);
         }
-        self.finish_attempt(number, outcome, None, None);
+        self.finish_attempt(number, outcome.into());
     }
 }
+
+/// The attempt of a number, if it has not ended.
+fn in_flight(attempts: &mut [Attempt], number: u32) -> Option<&mut Attempt> {
+    attempts.get_mut(number as usize).filter(|attempt| attempt.is_in_flight)
+}
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,39 +1,39 @@
-//! The node's own ending, which the flows and the fronts watch.
+//! The phases of a graceful shutdown, which requests' tasks and client connections watch.
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How far a node's life has come.
+/// How far a shutdown has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ShutdownPhase {
-    /// It takes whatever comes.
+    /// All requests are taken.
     #[default]
     Running,
-    /// It has been told to end: what was taken, and what still comes, is answered by this instant.
+    /// Shutdown has begun: what was taken, and what still comes, is answered by this instant.
     Draining(Instant),
-    /// All is answered, by this instant at the latest; edge connections close, and no more are taken.
+    /// All is answered, by this instant at the latest; client connections close, and no more are accepted.
     Closing(Instant),
 }
 
-/// The node's own ending.
+/// The shutdown of one scheduler. It only advances.
 #[derive(Clone, Default)]
 pub struct Shutdown {
     phase: watch::Sender<ShutdownPhase>,
 }
 
-/// A view of the ending.
+/// Follows the phase.
 pub type ShutdownWatch = watch::Receiver<ShutdownPhase>;
 
 impl Shutdown {
-    /// Begins the ending: all is answered by this instant.
-    pub fn begin(&self, by: Instant) {
-        self.phase.send_replace(ShutdownPhase::Draining(by));
+    /// Begins it: all requests are answered by the deadline.
+    pub fn begin(&self, deadline: Instant) {
+        self.phase.send_replace(ShutdownPhase::Draining(deadline));
     }
 
-    /// Closes the edge connections, as the last thing before the end.
+    /// Closes the client connections, as its last phase.
     pub fn close(&self) {
-        self.phase.send_modify(|stage| {
-            if let ShutdownPhase::Draining(by) = *stage {
-                *stage = ShutdownPhase::Closing(by);
+        self.phase.send_modify(|phase| {
+            if let ShutdownPhase::Draining(deadline) = *phase {
+                *phase = ShutdownPhase::Closing(deadline);
             }
         });
     }
@@ -44,20 +44,22 @@
     }
 
     /// Whether it has begun.
-    pub fn has_begun(&self) -> bool {
+    pub fn is_started(&self) -> bool {
         self.phase() != ShutdownPhase::Running
     }
 
-    /// Tells when it goes on.
+    /// Follows the phase from here on.
     pub fn watch(&self) -> ShutdownWatch {
         self.phase.subscribe()
     }
 }
 
-/// A deadline, or the end of the node if that comes first.
-pub fn effective_deadline(deadline: Instant, ending: &ShutdownWatch) -> Instant {
-    match *ending.borrow() {
+/// A deadline, or that of the shutdown if it comes first.
+pub fn effective_deadline(deadline: Instant, shutdown: &ShutdownWatch) -> Instant {
+    match *shutdown.borrow() {
         ShutdownPhase::Running => deadline,
-        ShutdownPhase::Draining(by) | ShutdownPhase::Closing(by) => by.min(deadline),
+        ShutdownPhase::Draining(drain_deadline) | ShutdownPhase::Closing(drain_deadline) => {
+            drain_deadline.min(deadline)
+        }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/upstream/http/callback.rs
@@ -0,0 +1,110 @@
+//! Workers' callbacks: parsed, and delivered to the requests that they belong to.
+use std::sync::Arc;
+
+use bytes::Bytes;
+use copperspread_dispatcher::{Outcome, Progress, RequestId};
+use copperspread_settings::json::{self, field, need, number, text};
+use tinyjson::JsonValue;
+
+use crate::endpoints::EndpointTable;
+use crate::messages::{AttemptCompletion, WorkerEvent, parse_request_id};
+use crate::policy_handle::PolicyHandle;
+use crate::upstream::http::load_report::parse_load_object;
+
+/// Where workers call back.
+pub const CALLBACK_PATH: &str = "/_jobs/news";
+
+/// A worker's message on an attempt that it has accepted.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Callback {
+    /// The attempt's request.
+    pub request: RequestId,
+    /// The worker's name.
+    pub worker_name: String,
+    /// What the worker reports.
+    pub event: WorkerEvent,
+}
+
+/// Why a message is no callback.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[non_exhaustive]
+pub enum CallbackError {
+    /// It is no JSON, or a field is missing or of another type.
+    #[error("{reason}")]
+    Malformed {
+        /// What is wrong, with the field's name.
+        reason: String,
+    },
+    /// The state is none that workers report.
+    #[error("unknown state {state:?}")]
+    UnknownState {
+        /// The state.
+        state: String,
+    },
+    /// The request id has another form.
+    #[error("id {id:?} is not 16 hex digits")]
+    InvalidRequestId {
+        /// The id.
+        id: String,
+    },
+}
+
+fn malformed(error: impl ToString) -> CallbackError {
+    CallbackError::Malformed { reason: error.to_string() }
+}
+
+/// Parses a callback.
+///
+/// # Errors
+/// A message that is no callback.
+pub fn parse_callback(body: &[u8]) -> Result<Callback, CallbackError> {
+    let message = json::parse_bytes(body).map_err(malformed)?;
+    let id = required_text(&message, "id")?;
+    let event = parse_event(&message)?;
+    Ok(Callback {
+        request: parse_request_id(id).ok_or_else(|| CallbackError::InvalidRequestId { id: id.to_owned() })?,
+        worker_name: required_text(&message, "from")?.to_owned(),
+        event,
+    })
+}
+
+fn parse_event(message: &JsonValue) -> Result<WorkerEvent, CallbackError> {
+    let completed = |outcome, result| {
+        let load_report = field(message, "load").and_then(parse_load_object);
+        WorkerEvent::Completed(AttemptCompletion { outcome, result, load_report })
+    };
+    Ok(match required_text(message, "state")? {
+        "started" => WorkerEvent::Progress(Progress::Started),
+        "running" => {
+            let fraction = need(number(message, "share"), "share").map_err(malformed)?;
+            WorkerEvent::Progress(Progress::Done(fraction))
+        }
+        "done" => {
+            let result = required_text(message, "result")?;
+            completed(Outcome::Served, Some(Bytes::copy_from_slice(result.as_bytes())))
+        }
+        "failed" => completed(Outcome::Error, None),
+        "returned" => completed(Outcome::Rejected, None),
+        "lost" => completed(Outcome::Reset, None),
+        state => return Err(CallbackError::UnknownState { state: state.to_owned() }),
+    })
+}
+
+fn required_text<'a>(message: &'a JsonValue, name: &str) -> Result<&'a str, CallbackError> {
+    need(text(message, name), name).map_err(malformed)
+}
+
+/// Takes the workers' callbacks, wherever these come in. One whose request has completed is accepted like the
+/// rest.
+pub fn callback_handler(
+    endpoints: Arc<EndpointTable>,
+    policy: Arc<PolicyHandle>,
+) -> impl Fn(&[u8]) -> Result<(), CallbackError> + Send + Sync {
+    move |body| {
+        let callback = parse_callback(body)?;
+        if let Some(worker) = endpoints.worker_by_name(&callback.worker_name) {
+            policy.deliver_worker_event(callback.request, worker, callback.event);
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/http/load_query.rs
@@ -0,0 +1,124 @@
+//! Asks workers for their load reports.
+use std::collections::HashSet;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+use bytes::Bytes;
+use copperspread_dispatcher::{Micros, Outcome, SECOND, WorkerId};
+use hyper::http::response::Parts;
+use hyper::http::uri::PathAndQuery;
+use hyper::{Method, Request, StatusCode};
+use hyper_util::client::legacy::Error;
+use hyper_util::client::legacy::connect::capture_connection;
+use tokio::sync::oneshot;
+use tokio::time::{Instant, timeout_at};
+
+use crate::endpoints::EndpointTable;
+use crate::messages::LoadQueryResult;
+use crate::upstream::http::connections::{ConnectionUse, WorkerConnections};
+use crate::upstream::http::guarded_body::GuardedBody;
+use crate::upstream::http::limits::max_load_queries;
+use crate::upstream::http::load_report::parse_load_response;
+use crate::upstream::http::request::{build_request, failure_outcome, read_body_or_empty};
+
+/// Where workers answer load queries.
+const LOAD_QUERY_PATH: &str = "/-/load";
+/// For this long after its deadline a load query's response is still read, so that its connection stays: a load
+/// query that waits long in a queue would otherwise cost a new connection each time.
+const LATE_RESPONSE_WINDOW: Micros = 4 * SECOND;
+
+/// Sends load queries, at most one at a time to each worker.
+pub(super) struct LoadQuerySender {
+    connections: Arc<WorkerConnections>,
+    endpoints: Arc<EndpointTable>,
+    /// The workers that have a load query unanswered.
+    queried_workers: Arc<Mutex<HashSet<WorkerId>>>,
+    max_load_queries: usize,
+}
+
+/// The right to have a load query in flight at one worker, until it is dropped.
+struct LoadQueryPermit {
+    queried_workers: Arc<Mutex<HashSet<WorkerId>>>,
+    worker: WorkerId,
+}
+
+impl Drop for LoadQueryPermit {
+    fn drop(&mut self) {
+        self.queried_workers.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.worker);
+    }
+}
+
+impl LoadQuerySender {
+    /// Sends over these connections, for a process of so many descriptors.
+    pub(super) fn new(
+        connections: Arc<WorkerConnections>,
+        endpoints: Arc<EndpointTable>,
+        descriptor_limit: usize,
+    ) -> LoadQuerySender {
+        LoadQuerySender {
+            connections,
+            endpoints,
+            queried_workers: Arc::default(),
+            max_load_queries: max_load_queries(descriptor_limit),
+        }
+    }
+
+    /// Sends a load query and waits for its answer until the deadline.
+    pub(super) async fn send(&self, worker: WorkerId, deadline: Instant) -> LoadQueryResult {
+        let Some(permit) = self.try_acquire(worker) else { return Outcome::Superseded.into() };
+        let Some(mut request) = self.build_query(worker) else { return Outcome::Superseded.into() };
+        let connection = capture_connection(&mut request);
+        let response = self.spawn_query(request, permit, deadline);
+        match timeout_at(deadline, response).await {
+            Err(_) | Ok(Err(_)) => Outcome::TimedOut.into(),
+            Ok(Ok(Err(error))) => {
+                self.connections.record_use(&connection, ConnectionUse::Broken);
+                failure_outcome(&error).into()
+            }
+            Ok(Ok(Ok((head, body)))) => {
+                let (connection_use, outcome) = if head.status == StatusCode::OK {
+                    (ConnectionUse::Reusable, Outcome::Served)
+                } else {
+                    (ConnectionUse::NotReusable, Outcome::Error)
+                };
+                self.connections.record_use(&connection, connection_use);
+                LoadQueryResult { outcome, load_report: parse_load_response(&head.headers, &body) }
+            }
+        }
+    }
+
+    /// A permit, unless there are enough or the worker has one: load queries must not pile up at a worker that
+    /// answers none.
+    fn try_acquire(&self, worker: WorkerId) -> Option<LoadQueryPermit> {
+        let mut queried_workers = self.queried_workers.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_permitted = queried_workers.len() < self.max_load_queries && queried_workers.insert(worker);
+        is_permitted.then(|| LoadQueryPermit { queried_workers: Arc::clone(&self.queried_workers), worker })
+    }
+
+    fn build_query(&self, worker: WorkerId) -> Option<Request<GuardedBody>> {
+        let address = self.endpoints.serving_address(worker)?;
+        let path = PathAndQuery::from_static(LOAD_QUERY_PATH);
+        build_request(Method::GET, address, path, GuardedBody::empty())
+    }
+
+    /// Sends a query in a task of its own, which a time-out after the deadline ends.
+    fn spawn_query(
+        &self,
+        request: Request<GuardedBody>,
+        permit: LoadQueryPermit,
+        deadline: Instant,
+    ) -> oneshot::Receiver<Result<(Parts, Bytes), Error>> {
+        let response = self.connections.send(request);
+        let (sender, receiver) = oneshot::channel();
+        let late_deadline = deadline + Duration::from_micros(LATE_RESPONSE_WINDOW);
+        tokio::spawn(timeout_at(late_deadline, async move {
+            let _permit = permit;
+            let read = async {
+                let (head, body) = response.await?.into_parts();
+                Ok((head, read_body_or_empty(body).await))
+            };
+            let _ = sender.send(read.await);
+        }));
+        receiver
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/http/load_report.rs
@@ -0,0 +1,64 @@
+//! Parses workers' load reports. A garbled report counts as none.
+use std::collections::HashMap;
+
+use copperspread_dispatcher::LoadReport;
+use copperspread_settings::json::{self, field};
+use hyper::HeaderMap;
+use tinyjson::JsonValue;
+
+/// The header that brings a load report with a response.
+const LOAD_HEADER: &str = "x-server-load";
+
+/// A load report as an object.
+pub(super) fn parse_load_object(object: &JsonValue) -> Option<LoadReport> {
+    let fields: &HashMap<String, JsonValue> = object.get()?;
+    let mut report = LoadReport::default();
+    for (name, value) in fields {
+        let value: &f64 = value.get()?;
+        if !value.is_finite() {
+            return None;
+        }
+        set_field(&mut report, name, *value);
+    }
+    Some(report)
+}
+
+/// A load report as a header's value, `TEXT name=value, name=value`.
+pub fn parse_load_header(value: &str) -> Option<LoadReport> {
+    let pairs = value.trim().strip_prefix("TEXT")?;
+    let mut report = LoadReport::default();
+    for pair in pairs.split(',') {
+        let (name, value) = pair.split_once('=')?;
+        let value: f64 = value.trim().parse().ok().filter(|value: &f64| value.is_finite())?;
+        set_field(&mut report, name.trim(), value);
+    }
+    Some(report)
+}
+
+/// The load report in a response's headers.
+pub(super) fn header_load_report(headers: &HeaderMap) -> Option<LoadReport> {
+    let value = headers.get(LOAD_HEADER).and_then(|value| value.to_str().ok());
+    value.and_then(parse_load_header)
+}
+
+/// The load report that the response to a load query brings: in its body, as an object or in the header's
+/// form, or in the header.
+pub fn parse_load_response(headers: &HeaderMap, body: &[u8]) -> Option<LoadReport> {
+    let object = json::parse_bytes(body).ok();
+    let from_object =
+        object.as_ref().and_then(|object| parse_load_object(field(object, "load").unwrap_or(object)));
+    let from_text = std::str::from_utf8(body).ok().and_then(parse_load_header);
+    from_object.or(from_text).or_else(|| header_load_report(headers))
+}
+
+/// Unknown names are ignored.
+fn set_field(report: &mut LoadReport, name: &str, value: f64) {
+    match name {
+        "queue" | "waiting" => report.queue = Some(value),
+        "inflight" | "active" => report.inflight = Some(value),
+        "util" | "cpu" => report.util = Some(value),
+        "qps" | "rps" => report.qps = Some(value),
+        "x0" => report.free_slots = Some(value),
+        _ => {}
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/http/mod.rs
@@ -0,0 +1,86 @@
+//! The HTTP/1.1 that the platform's workers speak: `POST` for an attempt, `DELETE` for its cancellation, `GET`
+//! for a load query, and callbacks at the clients' address.
+use std::sync::Arc;
+
+use copperspread_dispatcher::WorkerId;
+use copperspread_settings::ProxySettings;
+use futures_util::future::BoxFuture;
+use tokio::time::Instant;
+
+use crate::endpoints::EndpointTable;
+use crate::messages::{CancellationToken, DispatchResult, LoadQueryResult, UpstreamRequest};
+use crate::upstream::Upstream;
+use crate::upstream::http::attempt::AttemptSender;
+use crate::upstream::http::cancellation::send_cancellation;
+use crate::upstream::http::connections::WorkerConnections;
+use crate::upstream::http::load_query::LoadQuerySender;
+
+mod attempt;
+pub mod callback;
+mod cancellation;
+mod connections;
+mod guarded_body;
+pub mod limits;
+mod load_query;
+pub mod load_report;
+mod request;
+
+/// The HTTP client of all workers.
+pub struct HttpUpstream {
+    connections: Arc<WorkerConnections>,
+    endpoints: Arc<EndpointTable>,
+    attempts: AttemptSender,
+    load_queries: LoadQuerySender,
+}
+
+impl HttpUpstream {
+    /// A client within the settings, for a process of so many descriptors.
+    pub fn new(
+        settings: &ProxySettings,
+        endpoints: Arc<EndpointTable>,
+        descriptor_limit: usize,
+    ) -> HttpUpstream {
+        let connections = Arc::new(WorkerConnections::new(settings, descriptor_limit));
+        HttpUpstream {
+            attempts: AttemptSender::new(
+                Arc::clone(&connections),
+                Arc::clone(&endpoints),
+                settings,
+                descriptor_limit,
+            ),
+            load_queries: LoadQuerySender::new(
+                Arc::clone(&connections),
+                Arc::clone(&endpoints),
+                descriptor_limit,
+            ),
+            connections,
+            endpoints,
+        }
+    }
+}
+
+impl Upstream for HttpUpstream {
+    fn query_load<'a>(&'a self, worker: WorkerId, deadline: Instant) -> BoxFuture<'a, LoadQueryResult> {
+        Box::pin(self.load_queries.send(worker, deadline))
+    }
+
+    fn dispatch<'a>(
+        &'a self,
+        worker: WorkerId,
+        request: &'a UpstreamRequest,
+        deadline: Instant,
+        cancellation: &'a CancellationToken,
+    ) -> BoxFuture<'a, DispatchResult> {
+        Box::pin(self.attempts.send(worker, request, deadline, cancellation))
+    }
+
+    fn cancel(&self, worker: WorkerId, request: &UpstreamRequest) {
+        if let Some(address) = self.endpoints.last_known_address(worker) {
+            send_cancellation(&self.connections, address, &request.id);
+        }
+    }
+
+    fn worker_name(&self, worker: WorkerId) -> Arc<str> {
+        self.endpoints.name(worker)
+    }
+}
--- a/crates/proxy/tests/interfaces.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -15,7 +15,8 @@
 use copperspread_proxy::endpoints::EndpointTable;
 use copperspread_proxy::event_recorder::EventRecorder;
 use copperspread_proxy::messages::{
-    AdmissionRequest, DispatchPermission, DispatchResult, FinalResponse, UpstreamRequest, WorkerEvent,
+    AdmissionRequest, AttemptCompletion, CancellationToken, DispatchResult, FinalResponse, UpstreamRequest,
+    WorkerEvent,
 };
 use copperspread_proxy::policy_handle::PolicyHandle;
 use copperspread_proxy::request_task;
@@ -40,7 +41,7 @@
         worker: WorkerId,
         _: &'a UpstreamRequest,
         _: Instant,
-        _: &'a DispatchPermission,
+        _: &'a CancellationToken,
     ) -> BoxFuture<'a, DispatchResult> {
         Box::pin(async move {
             self.handed.lock().expect("a lock").push(worker);
@@ -59,11 +60,11 @@
 struct MemorySource(mpsc::Receiver<EndpointList>);
 
 impl EndpointSource for MemorySource {
-    fn follow(mut self: Box<Self>, membership: EndpointPublisher) -> BoxFuture<'static, ()> {
+    fn follow(mut self: Box<Self>, publisher: EndpointPublisher) -> BoxFuture<'static, ()> {
         Box::pin(async move {
             while let Some(list) = self.0.recv().await {
-                if let Some(told) = membership.apply(&list) {
-                    membership.publish(list.complete, &told);
+                if let Some(endpoints) = publisher.apply(&list) {
+                    publisher.publish(&list, &endpoints);
                 }
             }
         })
@@ -87,7 +88,7 @@
                 let mut held = request_task::spawn(&self.node, demand);
                 let busy = Arc::clone(&self.busy);
                 tokio::spawn(async move {
-                    let answer = held.answer().await;
+                    let answer = held.final_response().await;
                     busy.fetch_sub(1, Ordering::Relaxed);
                     let _ = reply.send(answer.name());
                 });
@@ -211,7 +212,11 @@
 }
 
 fn done() -> WorkerEvent {
-    WorkerEvent::Ended(Outcome::Served, Some(Bytes::from_static(b"result")), None)
+    WorkerEvent::Completed(AttemptCompletion {
+        outcome: Outcome::Served,
+        result: Some(Bytes::from_static(b"result")),
+        load_report: None,
+    })
 }
 
 #[tokio::test(start_paused = true)]
@@ -223,10 +228,10 @@
     assert_eq!(house.handed(), [WorkerId(0)]);
     assert!(house.news(1, WorkerId(0), WorkerEvent::Progress(Progress::Started)));
     assert!(house.news(1, WorkerId(0), done()));
-    assert_eq!(held.answer().await, FinalResponse::Served(Bytes::from_static(b"result")));
+    assert_eq!(held.final_response().await, FinalResponse::Served(Bytes::from_static(b"result")));
     settle().await;
     assert!(!house.news(1, WorkerId(0), done()), "no flow is left for a second word");
-    assert_eq!(house.ask(1, 2).answer().await, FinalResponse::Duplicate);
+    assert_eq!(house.ask(1, 2).final_response().await, FinalResponse::Duplicate);
     assert_eq!(house.handed().len(), 1);
 }
 
@@ -238,7 +243,7 @@
     let mut id = 10;
     for first in ends {
         for class in 0..3 {
-            let house = House::open(&[Err((first, None))]).await;
+            let house = House::open(&[Err(first.into())]).await;
             house.told(list(1, &[EndpointPhase::Serving, EndpointPhase::Serving])).await;
             id += 1;
             let mut held = house.ask(id, class);
@@ -250,9 +255,9 @@
             if may {
                 assert_ne!(handed[0], handed[1]);
                 assert!(house.news(id, handed[1], done()));
-                assert!(matches!(held.answer().await, FinalResponse::Served(_)));
+                assert!(matches!(held.final_response().await, FinalResponse::Served(_)));
             } else {
-                assert_eq!(held.answer().await, FinalResponse::Failed);
+                assert_eq!(held.final_response().await, FinalResponse::Failed);
             }
         }
     }
@@ -276,7 +281,7 @@
     settle().await;
     assert_eq!(front.busy(), 2);
     house.news(1, WorkerId(0), done());
-    house.news(2, WorkerId(0), WorkerEvent::Ended(Outcome::Rejected, None, None));
+    house.news(2, WorkerId(0), WorkerEvent::Completed(Outcome::Rejected.into()));
     settle().await;
     assert_eq!((words.remove(0).await, words.remove(0).await), (Ok("served"), Ok("refused")));
     assert_eq!(front.busy(), 0);
@@ -301,7 +306,7 @@
     house.told(list(1, &[EndpointPhase::Serving])).await;
     let began = Instant::now();
     let mut held = house.ask(1, 2);
-    assert_eq!(held.answer().await, FinalResponse::Failed);
+    assert_eq!(held.final_response().await, FinalResponse::Failed);
     assert!(began.elapsed().as_millis() <= 4_001, "{:?}", began.elapsed());
     assert_eq!(house.handed().len(), 1);
 }
@@ -319,7 +324,10 @@
         settle().await;
     }
     house.told(list(3, &[])).await;
-    assert!(matches!(house.ask(9, 2).answer().await, FinalResponse::Rejected { .. } | FinalResponse::Failed));
+    assert!(matches!(
+        house.ask(9, 2).final_response().await,
+        FinalResponse::Rejected { .. } | FinalResponse::Failed
+    ));
     assert_eq!(house.handed().len(), 3, "nothing goes to what left");
 }
 
@@ -343,8 +351,8 @@
 
 #[test]
 fn all_connections_together_fit_within_the_descriptors() {
-    use copperspread_proxy::downstream::client_connection::max_connections;
-    use copperspread_proxy::upstream::http::{max_dispatches, max_idle_per_worker, max_load_queries};
+    use copperspread_proxy::downstream::connection_limits::max_connections;
+    use copperspread_proxy::upstream::http::limits::{max_dispatches, max_idle_per_worker, max_load_queries};
     // The largest fleet, one connection being accepted, discovery's, and what the runtime holds.
     let (real_servers, own) = (22, 12);
     for sockets in [256, 384, 512, 768, 1024] {
--- a/crates/proxy/tests/unit/invariant.rs
+++ b/crates/proxy/tests/unit/invariant.rs
@@ -1,4 +1,4 @@
-//! Tests of what `node`'s `invariant` keeps to itself; it takes this file in as its `tests`.
+//! Unit tests of `invariant`.
 #[test]
 fn what_does_not_hold_stops_a_debug_build_and_is_counted_in_release() {
     let broken = std::panic::catch_unwind(|| {
--- a/crates/scheduler/src/serve.rs
+++ b/crates/scheduler/src/serve.rs
@@ -12,7 +12,7 @@
 use copperspread_proxy::discovery::platform::PlatformDiscovery;
 use copperspread_proxy::discovery::static_list::StaticEndpoints;
 use copperspread_proxy::downstream::Downstream;
-use copperspread_proxy::invariant::{counts, hear};
+use copperspread_proxy::invariant::{counts, observe_counters};
 use copperspread_settings::{DiscoveryConfig, EndpointList};
 use http::uri::Authority;
 use tokio::signal::unix::{SignalKind, signal};
@@ -41,7 +41,7 @@
         match spec {
             DiscoveryConfig::Platform(address) => {
                 let (sender, address) = watch::channel(address.clone());
-                (Moving::Targets(sender), Box::new(PlatformDiscovery { address, known }))
+                (Moving::Targets(sender), Box::new(PlatformDiscovery { address, cached_revision: known }))
             }
             DiscoveryConfig::Static(list) => {
                 let (sender, list) = watch::channel(list.clone());
@@ -108,7 +108,9 @@
     let pages: Vec<_> = peers.iter().map(crate::peers::page).collect();
     #[cfg(not(feature = "standalone"))]
     let pages = [];
-    let assembled = assemble_with(config, Box::new(dispatcher), recorder, &pages).await?;
+    let assembled = assemble_with(config, Box::new(dispatcher), recorder, &pages)
+        .await
+        .map_err(|error| error.to_string())?;
     let AssembledProxy {
         context: node,
         connections: edge,
@@ -117,7 +119,7 @@
         ..
     } = &assembled;
     let hearer = Arc::clone(&node.recorder);
-    hear(Box::new(move |what, count| hearer.counter_reached(what, count)));
+    observe_counters(Box::new(move |what, count| hearer.counter_reached(what, count)));
     let (name, program) = (config.name.clone(), env!("CARGO_PKG_VERSION").into());
     recorder.record(EventKind::RunStarted { name, program });
     let (moving, source) = Moving::source(&config.discovery, *known);
--- a/crates/scheduler/tests/dispatch_races.rs
+++ b/crates/scheduler/tests/dispatch_races.rs
@@ -5,7 +5,7 @@
 use copperspread_dispatcher::{Idempotency, KeyScope, Outcome, WorkerId};
 use copperspread_proxy::upstream::{Upstream, http::HttpUpstream};
 use copperspread_proxy::{
-    clock::from_now, endpoints::EndpointTable, messages::DispatchPermission, messages::UpstreamRequest,
+    clock::from_now, endpoints::EndpointTable, messages::CancellationToken, messages::UpstreamRequest,
 };
 use copperspread_settings::{json, platform};
 use futures_util::FutureExt;
@@ -414,8 +414,8 @@
             body,
             body_permit: None,
         };
-        let wanted = DispatchPermission::default();
-        let mut handed = real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &wanted);
+        let cancellation = CancellationToken::new();
+        let mut handed = real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &cancellation);
         assert!((&mut handed).now_or_never().is_none(), "it waits for a connection");
         if late {
             std::thread::sleep(
@@ -425,7 +425,7 @@
         let took = async { server.asked().await.answer("202 Accepted", "", "") };
         if late && effect == keyed {
             tokio::select! {
-                ended = handed => assert_eq!(ended, Err((Outcome::Superseded, None))),
+                ended = handed => assert_eq!(ended, Err(Outcome::Superseded.into())),
                 () = took => panic!("it was written late"),
             }
         } else {
--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -5,7 +5,10 @@
 use std::time::{Duration, Instant};
 
 use copperspread_dispatcher::*;
-use copperspread_proxy::discovery::platform::{HOLD, RETRY, SILENT, SILENT_ASKED};
+use copperspread_proxy::discovery::platform::{
+    POLLED_LIST_TIMEOUT, PUSHED_LIST_TIMEOUT, PUSHED_WATCH_MARGIN, RETRY_BACKOFF_INITIAL, RETRY_BACKOFF_MAX,
+    WATCH_HOLD_TIME,
+};
 use futures_util::FutureExt;
 use futures_util::future::join_all;
 use sockets::*;
@@ -319,11 +322,23 @@
         }
     }
     let sums = [
-        ("asked: a watch that is silent, and the next call", HOLD + SILENT_ASKED + RETRY.0 + SILENT_ASKED),
-        ("asked: a call given up, the module's wait, and the next call", SILENT_ASKED + wait + SILENT_ASKED),
-        ("asked: the first call of a start", first + SILENT_ASKED),
-        ("pushed: a watch that is silent, and the next call", HOLD + SILENT.0 + RETRY.0 + SILENT.1),
-        ("pushed: a call given up, and the next", SILENT.1 + RETRY.1 + SILENT.1),
+        (
+            "asked: a watch that is silent, and the next call",
+            WATCH_HOLD_TIME + POLLED_LIST_TIMEOUT + RETRY_BACKOFF_INITIAL + POLLED_LIST_TIMEOUT,
+        ),
+        (
+            "asked: a call given up, the module's wait, and the next call",
+            POLLED_LIST_TIMEOUT + wait + POLLED_LIST_TIMEOUT,
+        ),
+        ("asked: the first call of a start", first + POLLED_LIST_TIMEOUT),
+        (
+            "pushed: a watch that is silent, and the next call",
+            WATCH_HOLD_TIME + PUSHED_WATCH_MARGIN + RETRY_BACKOFF_INITIAL + PUSHED_LIST_TIMEOUT,
+        ),
+        (
+            "pushed: a call given up, and the next",
+            PUSHED_LIST_TIMEOUT + RETRY_BACKOFF_MAX + PUSHED_LIST_TIMEOUT,
+        ),
     ];
     for (what, sum) in sums {
         assert!(sum <= TOLD - MARGIN, "{what}: {sum} us");
@@ -354,7 +369,11 @@
         let since = Instant::now();
         let also_silent = discovery.call().await;
         assert_eq!(also_silent.first, WHOLE, "{kind}");
-        assert!(since.elapsed() < Duration::from_micros(HOLD + 2 * SECOND), "{kind}: {:?}", since.elapsed());
+        assert!(
+            since.elapsed() < Duration::from_micros(WATCH_HOLD_TIME + 2 * SECOND),
+            "{kind}: {:?}",
+            since.elapsed()
+        );
         house.serves().await;
         drains_in_time(kind, &mut house, &discovery, 7).await;
     }))
@@ -428,13 +447,21 @@
             call.list(&list(6, false, &[])).await;
             call = discovery.call().await;
         }
-        assert!(since.elapsed() >= Duration::from_micros(5 * RETRY.0), "{kind}: {:?}", since.elapsed());
+        assert!(
+            since.elapsed() >= Duration::from_micros(5 * RETRY_BACKOFF_INITIAL),
+            "{kind}: {:?}",
+            since.elapsed()
+        );
         let since = Instant::now();
         for _ in 0..5 {
             drop(call);
             call = discovery.tell(6, &house.r0("SERVING")).await;
         }
-        assert!(since.elapsed() >= Duration::from_micros(5 * RETRY.0), "{kind}: {:?}", since.elapsed());
+        assert!(
+            since.elapsed() >= Duration::from_micros(5 * RETRY_BACKOFF_INITIAL),
+            "{kind}: {:?}",
+            since.elapsed()
+        );
     }))
     .await;
 }
--- a/crates/scheduler/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -1,8 +1,10 @@
 //! What reads the network: random cuts of valid messages and random garbage, from fixed seeds.
 mod sockets;
-use copperspread_proxy::downstream::http as edge;
+use copperspread_proxy::downstream::http::request_head::{parse_attribute, parse_timeout};
 use copperspread_proxy::messages::parse_request_id;
-use copperspread_proxy::upstream::http::{idle_timeout, load_answer, load_header, parse_callback};
+use copperspread_proxy::upstream::http::callback::parse_callback;
+use copperspread_proxy::upstream::http::limits::idle_timeout;
+use copperspread_proxy::upstream::http::load_report::{parse_load_header, parse_load_response};
 use copperspread_settings::{json, platform};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -23,14 +25,14 @@
 
 /// All readers take anything without a panic.
 fn read_all(bytes: &[u8]) {
-    let _ = (parse_callback(bytes), load_answer(&Default::default(), bytes));
+    let _ = (parse_callback(bytes), parse_load_response(&Default::default(), bytes));
     let text = String::from_utf8_lossy(bytes);
     let _ = platform::read_startup_config(&text);
     let _ = json::parse(&text).map(|value| platform::read_endpoint_list(&value));
     let _ = (
-        load_header(&text),
-        edge::read_timeout(&text),
-        edge::attribute(&text, &["slots"]),
+        parse_load_header(&text),
+        parse_timeout(&text),
+        parse_attribute(&text, &["slots"]),
         parse_request_id(&text),
     );
 }
@@ -71,17 +73,17 @@
     let list = json::parse(&list).and_then(|value| platform::read_endpoint_list(&value)).expect("a list");
     assert_eq!(config.cached_endpoints.as_ref(), Some(&list));
     assert!(parse_callback(CALL_BACK.as_bytes()).is_ok());
-    let report = load_header(HEADER).expect("a report");
+    let report = parse_load_header(HEADER).expect("a report");
     assert_eq!((report.inflight, report.queue, report.util), (Some(7.0), Some(2.0), Some(0.61)));
-    assert_eq!(load_header("TEXT queue=2, util=?"), None, "a garbled report is dropped whole");
-    assert_eq!(edge::read_timeout("480m"), Some(480_000));
-    assert_eq!(edge::read_timeout("480u"), Some(480));
+    assert_eq!(parse_load_header("TEXT queue=2, util=?"), None, "a garbled report is dropped whole");
+    assert_eq!(parse_timeout("480m"), Some(480_000));
+    assert_eq!(parse_timeout("480u"), Some(480));
     for bad in ["", "m", "480", "480s", "-4m", "1e9m", "NaNm", "é"] {
-        assert_eq!(edge::read_timeout(bad), None, "{bad}");
+        assert_eq!(parse_timeout(bad), None, "{bad}");
     }
-    assert_eq!(edge::read_timeout("99999999999999999999m"), Some(86_400_000_000), "absurd waits are cut");
+    assert_eq!(parse_timeout("99999999999999999999m"), Some(86_400_000_000), "absurd waits are cut");
     assert_eq!((idle_timeout(5_000_000), idle_timeout(1_000_000), idle_timeout(1)), (4_500_000, 700_000, 0));
-    assert_eq!(edge::attribute("memory=0.3,slots=2", &["slots"]), Some(2.0));
+    assert_eq!(parse_attribute("memory=0.3,slots=2", &["slots"]), Some(2.0));
 }
 
 /// Guards against one odd size by which a whole list would be lost.
--- a/crates/scheduler/tests/policy.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -63,7 +63,8 @@
     }
     fn ask(&self, workers: &[u32]) {
         self.wanted.lock().expect("a lock").extend(workers);
-        self.node.endpoint_publisher.publish(false, &[]);
+        let nothing = EndpointList { revision: 1, complete: false, endpoints: Vec::new() };
+        self.node.endpoint_publisher.publish(&nothing, &[]);
     }
     async fn end(&mut self) -> End {
         within("a probe's end", self.ends.recv()).await.expect("the module lives")
@@ -161,7 +162,7 @@
     let (place, address) = watch::channel(discovery.address.to_string().parse().expect("an address"));
     let mut house = House::open("on_request", &[]).await;
     let membership = house.node.endpoint_publisher.clone();
-    tokio::spawn(Box::new(PlatformDiscovery { address, known: Some(1) }).follow(membership));
+    tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(membership));
     const WATCH: &str = "GET /api/targets?from=1&hold_ms=2000 HTTP/1.1";
     const WHOLE: &str = "GET /api/targets HTTP/1.1";
     let nothing = list(1, false, &[]);
@@ -210,7 +211,7 @@
     let (_place, address) = watch::channel(discovery.address.to_string().parse().expect("an address"));
     let mut house = House::open("on_request", &[]).await;
     let membership = house.node.endpoint_publisher.clone();
-    tokio::spawn(Box::new(PlatformDiscovery { address, known: Some(1) }).follow(membership));
+    tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(membership));
     assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
     discovery.asked().await.answer("200 OK", "", &list(1, true, &[]));
     assert_eq!(house.told().await, (EndpointUpdateKind::Full, 0));
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -333,7 +333,7 @@
     let config = platform::read_startup_config(&config(server.address, server.address, &list(1, true, &[])))
         .expect("it is good");
     let entries = std::sync::Arc::new(EndpointTable::new(&config.settings.proxy));
-    let wanted = copperspread_proxy::messages::DispatchPermission::default();
+    let cancellation = copperspread_proxy::messages::CancellationToken::new();
     let real_servers = HttpUpstream::new(&config.settings.proxy, entries.clone(), 32);
     let (headers, body) = (Default::default(), Default::default());
     let order = UpstreamRequest {
@@ -347,14 +347,14 @@
     for (revision, phase) in [(2, "DRAINING"), (3, "DELETED")] {
         let told = json::parse(&list(revision, true, &[member("r0", server.address, phase)]));
         entries.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
-        let ended = real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &wanted).await;
-        assert_eq!(ended, Err((Outcome::Superseded, None)));
+        let ended = real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &cancellation).await;
+        assert_eq!(ended, Err(Outcome::Superseded.into()));
     }
     assert!(server.idle());
     // Real servers that stay silent hold four hand-overs, all that 32 descriptors allow.
     let told = json::parse(&list(4, true, &[member("r0", server.address, "SERVING")]));
     entries.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
-    let hand_over = || real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &wanted);
+    let hand_over = || real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &cancellation);
     let four = futures_util::future::select_all((0..4).map(|_| Box::pin(hand_over())));
     let fifth = async {
         let mut held = Vec::new();
@@ -364,7 +364,7 @@
         hand_over().await
     };
     tokio::select! {
-        ended = fifth => assert_eq!(ended, Err((Outcome::ConnectFailed, None))),
+        ended = fifth => assert_eq!(ended, Err(Outcome::ConnectFailed.into())),
         _ = four => panic!("a silent real server takes nothing"),
     }
 }
--- a/crates/scheduler/tests/standalone.rs
+++ b/crates/scheduler/tests/standalone.rs
@@ -141,18 +141,15 @@
     while answered.is_none() || handed.is_none() {
         let line: serde_json::Value = serde_json::from_str(&scheduler.line().await).expect("a JSON line");
         match line["message"].as_str() {
-            Some("final answer") => answered = Some(line),
-            Some("handed over") => handed = Some(line),
+            Some("final response") => answered = Some(line),
+            Some("dispatch ended") => handed = Some(line),
             _ => {}
         }
     }
     let (answered, handed) = (answered.expect("a line"), handed.expect("a line"));
-    assert_eq!(answered["answer"], "served");
-    assert_eq!(answered["span"]["flow"], "0000000000000002");
-    assert_eq!(
-        (&handed["span"]["real_server"], &handed["spans"][0]["class"]),
-        (&"r0".into(), &"once".into())
-    );
+    assert_eq!(answered["response"], "served");
+    assert_eq!(answered["span"]["request_id"], "0000000000000002");
+    assert_eq!((&handed["span"]["worker"], &handed["spans"][0]["class"]), (&"r0".into(), &"once".into()));
 }
 
 // Guards against a log that nobody reads: its pipe fills, and the scheduler serves on and ends.
--- a/crates/testbed/src/emulate/baseline.rs
+++ b/crates/testbed/src/emulate/baseline.rs
@@ -46,13 +46,15 @@
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     runtime.block_on(async {
         let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-        let assembled = assemble(&start, policy, &Recorder::off()).await?;
+        let assembled = assemble(&start, policy, &Recorder::off()).await.map_err(|e| e.to_string())?;
         let DiscoveryConfig::Platform(discovery) = start.discovery.clone() else {
             return Err("a baseline follows discovery only".to_owned());
         };
         let (_moving, address) = watch::channel(discovery);
-        let source =
-            Box::new(PlatformDiscovery { address: address.clone(), known: assembled.cached_revision });
+        let source = Box::new(PlatformDiscovery {
+            address: address.clone(),
+            cached_revision: assembled.cached_revision,
+        });
         let following = tokio::spawn(source.follow(assembled.endpoint_publisher.clone()));
         if kind == Kind::IgnoresDrains {
             // The node looks again before it sends, so that only one that is deaf to the list can break
@@ -61,7 +63,7 @@
             tokio::spawn(async move {
                 sleep(DEAF_AFTER).await;
                 following.abort();
-                Box::new(PlatformDiscovery { address, known: None }).follow(nobody).await;
+                Box::new(PlatformDiscovery { address, cached_revision: None }).follow(nobody).await;
             });
         }
         tokio::spawn(Arc::clone(&assembled.connections).accept());
