--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -1,5 +1,6 @@
 //! Invariants, which are asserted in debug builds and counted in release builds, and counters of the mistakes
-//! of peers. A counter's name is also its log message and its key in the event log.
+//! of peers. A counter's name is also its log message and its
+//! key in the event log, so that it stays as it was first written.
 use std::collections::BTreeMap;
 use std::sync::{Mutex, OnceLock, PoisonError};
 
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -2,12 +2,12 @@
 //! dispatch policy decides and reports every attempt's end to it; it decides nothing itself.
 use std::sync::Arc;
 
-use copperspread_dispatcher::{AttemptOutcome, Micros, Outcome, RequestId, WorkerId};
+use copperspread_dispatcher::{AttemptOutcome, IncomingRequest, Micros, Outcome, RequestId, WorkerId};
 use futures_util::FutureExt;
 use futures_util::future::{AbortHandle, Aborted, BoxFuture, abortable};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use tokio::sync::{mpsc, oneshot};
-use tokio::time::sleep_until;
+use tokio::time::{Instant, sleep_until};
 use tokio_util::sync::CancellationToken;
 use tracing::{Instrument, debug, info_span};
 
@@ -46,13 +46,15 @@
 pub fn spawn(context: &Arc<ProxyContext>, admission: AdmissionRequest) -> ResponseHandle {
     let (event_sender, events) = mpsc::unbounded_channel();
     let (response_sender, response) = oneshot::channel();
-    let class = context.settings.classes.get(admission.request.class as usize).map_or("", String::as_str);
-    let span = info_span!("request", request_id = admission.upstream_request.id, class);
+    let AdmissionRequest { request, deadline, upstream_request } = admission;
+    let class = context.settings.classes.get(request.class as usize).map_or("", String::as_str);
+    let span = info_span!("request", request_id = upstream_request.id, class);
     let task = RequestTask {
         context: Arc::clone(context),
-        upstream_request: Arc::new(admission.upstream_request.clone()),
+        request,
+        deadline,
+        upstream_request: Arc::new(upstream_request),
         accepted_at: context.clock.now(),
-        admission,
         response_sender: Some(response_sender),
         dispatch_cancellation: CancellationToken::new(),
         attempts: Vec::new(),
@@ -83,7 +85,9 @@
 
 struct RequestTask {
     context: Arc<ProxyContext>,
-    admission: AdmissionRequest,
+    request: IncomingRequest,
+    /// When the client must have its final response.
+    deadline: Instant,
     upstream_request: Arc<UpstreamRequest>,
     response_sender: Option<oneshot::Sender<FinalResponse>>,
     /// Cancelled when the response's sender is taken: what has not been written by then is not.
@@ -103,13 +107,12 @@
         mut events: mpsc::UnboundedReceiver<RequestEvent>,
     ) {
         // The policy decides: a first worker, or a rejection.
-        if !self.context.policy.admit(self.admission.request, event_sender) {
+        if !self.context.policy.admit(self.request, event_sender) {
             self.respond(FinalResponse::Duplicate);
             return;
         }
-        let deadline = self.admission.deadline;
         let mut shutdown = self.context.shutdown.watch();
-        let expiry = sleep_until(effective_deadline(deadline, &shutdown));
+        let expiry = sleep_until(effective_deadline(self.deadline, &shutdown));
         tokio::pin!(expiry);
         while self.is_active(&events) {
             tokio::select! {
@@ -120,7 +123,7 @@
                 Some(completion) = self.dispatches.next() => self.handle_dispatch_completion(completion),
                 // This scheduler stops before the request's own deadline.
                 Ok(()) = shutdown.changed() => {
-                    expiry.as_mut().reset(effective_deadline(deadline, &shutdown));
+                    expiry.as_mut().reset(effective_deadline(self.deadline, &shutdown));
                 }
                 () = &mut expiry, if !self.is_past_deadline => self.handle_deadline(),
             }
@@ -138,7 +141,7 @@
     }
 
     fn request_id(&self) -> RequestId {
-        self.admission.request.request
+        self.request.request
     }
 
     fn handle_event(&mut self, event: RequestEvent) {
@@ -178,7 +181,7 @@
     fn dispatch(&self, number: u32, worker: WorkerId) -> impl Future<Output = DispatchResult> + use<> {
         let upstream = Arc::clone(&self.context.upstream);
         let request = Arc::clone(&self.upstream_request);
-        let deadline = self.admission.deadline;
+        let deadline = self.deadline;
         let cancellation = self.dispatch_cancellation.clone();
         let span = info_span!("attempt", attempt = number, worker = &*upstream.worker_name(worker));
         let dispatch = async move {
@@ -241,7 +244,7 @@
 
     fn record_response(&self, response: &'static str) {
         let elapsed = self.context.clock.now().saturating_sub(self.accepted_at);
-        self.context.recorder.response_sent(&self.admission.request, response, elapsed);
+        self.context.recorder.response_sent(&self.request, response, elapsed);
     }
 
     /// Takes a callback. One that comes twice, or late for an attempt that has ended, is dropped; one that
--- a/crates/proxy/tests/interfaces.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -1,11 +1,14 @@
-//! Each door with a second, tiny implementation in memory: no socket, and the same rules.
+//! Each interface with a second, small implementation in memory: no socket, and the same rules.
 use std::collections::VecDeque;
 use std::future::poll_fn;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
 use bytes::Bytes;
-use copperspread_dispatcher::*;
+use copperspread_dispatcher::{
+    Dispatcher, Idempotency, IncomingRequest, KeyScope, Outcome, Progress, RequestClass, RequestId, SECOND,
+    Settings, WorkerId,
+};
 use copperspread_event_log::writer::Recorder;
 use copperspread_proxy::clock::{Clock, from_now};
 use copperspread_proxy::context::ProxyContext;
@@ -27,15 +30,15 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-/// A back that keeps what it is given and answers by a script; without one it takes the job.
+/// An upstream that records what it is given and answers by a script; without one it accepts the attempt.
 #[derive(Default)]
-struct MemoryBack {
+struct InMemoryUpstream {
     script: Mutex<VecDeque<DispatchResult>>,
-    handed: Mutex<Vec<WorkerId>>,
-    given_up: Mutex<Vec<WorkerId>>,
+    dispatched: Mutex<Vec<WorkerId>>,
+    cancelled: Mutex<Vec<WorkerId>>,
 }
 
-impl Upstream for MemoryBack {
+impl Upstream for InMemoryUpstream {
     fn dispatch<'a>(
         &'a self,
         worker: WorkerId,
@@ -44,7 +47,7 @@
         _: &'a CancellationToken,
     ) -> BoxFuture<'a, DispatchResult> {
         Box::pin(async move {
-            self.handed.lock().expect("a lock").push(worker);
+            self.dispatched.lock().expect("a lock").push(worker);
             self.script.lock().expect("a lock").pop_front().unwrap_or(Ok(()))
         })
     }
@@ -52,14 +55,14 @@
         format!("r{}", worker.0).into()
     }
     fn cancel(&self, worker: WorkerId, _: &UpstreamRequest) {
-        self.given_up.lock().expect("a lock").push(worker);
+        self.cancelled.lock().expect("a lock").push(worker);
     }
 }
 
-/// A source whose lists come through a channel; each is told whole.
-struct MemorySource(mpsc::Receiver<EndpointList>);
+/// A source whose lists come through a channel; each is published as a whole.
+struct InMemorySource(mpsc::Receiver<EndpointList>);
 
-impl EndpointSource for MemorySource {
+impl EndpointSource for InMemorySource {
     fn follow(mut self: Box<Self>, publisher: EndpointPublisher) -> BoxFuture<'static, ()> {
         Box::pin(async move {
             while let Some(list) = self.0.recv().await {
@@ -71,26 +74,29 @@
     }
 }
 
-/// A front whose clients are a channel: each brings a demand and a way back for the answer's word.
-struct MemoryFront {
-    node: Arc<ProxyContext>,
-    clients: Mutex<mpsc::Receiver<(AdmissionRequest, oneshot::Sender<&'static str>)>>,
+/// One client's request, and where the name of its final response goes.
+type ClientRequest = (AdmissionRequest, oneshot::Sender<&'static str>);
+
+/// A downstream whose clients are a channel.
+struct InMemoryDownstream {
+    context: Arc<ProxyContext>,
+    clients: Mutex<mpsc::Receiver<ClientRequest>>,
     busy: Arc<AtomicUsize>,
 }
 
-impl Downstream for MemoryFront {
+impl Downstream for InMemoryDownstream {
     fn accept(self: Arc<Self>) -> BoxFuture<'static, ()> {
         Box::pin(async move {
-            while let Some((demand, reply)) =
+            while let Some((admission, reply)) =
                 poll_fn(|cx| self.clients.lock().expect("a lock").poll_recv(cx)).await
             {
                 self.busy.fetch_add(1, Ordering::Relaxed);
-                let mut held = request_task::spawn(&self.node, demand);
+                let mut response = request_task::spawn(&self.context, admission);
                 let busy = Arc::clone(&self.busy);
                 tokio::spawn(async move {
-                    let answer = held.final_response().await;
+                    let response = response.final_response().await;
                     busy.fetch_sub(1, Ordering::Relaxed);
-                    let _ = reply.send(answer.name());
+                    let _ = reply.send(response.name());
                 });
             }
         })
@@ -107,7 +113,7 @@
 ];
 
 fn list(revision: u64, phases: &[EndpointPhase]) -> EndpointList {
-    let member = |(number, &phase): (usize, &EndpointPhase)| EndpointRecord {
+    let record = |(number, &phase): (usize, &EndpointPhase)| EndpointRecord {
         id: format!("r{number}"),
         address: format!("m{number}:1").parse().expect("an address"),
         zone: format!("z{number}"),
@@ -117,21 +123,21 @@
         started_at: None,
         size: None,
     };
-    EndpointList { revision, complete: true, endpoints: phases.iter().enumerate().map(member).collect() }
+    EndpointList { revision, complete: true, endpoints: phases.iter().enumerate().map(record).collect() }
 }
 
-/// A scheduler of which all doors lead into memory. It is the front itself: `ask` makes a demand.
-struct House {
-    node: Arc<ProxyContext>,
-    back: Arc<MemoryBack>,
+/// A proxy whose interfaces are all in memory. It is the client itself: `send` starts a request.
+struct TestProxy {
+    context: Arc<ProxyContext>,
+    upstream: Arc<InMemoryUpstream>,
     lists: mpsc::Sender<EndpointList>,
 }
 
-impl House {
-    async fn open(script: &[DispatchResult]) -> House {
-        let class = |&effect: &Idempotency| RequestClass {
+impl TestProxy {
+    async fn start(script: &[DispatchResult]) -> TestProxy {
+        let class = |&idempotency: &Idempotency| RequestClass {
             latency_objective: 5 * SECOND,
-            idempotency: effect,
+            idempotency,
             ..RequestClass::default()
         };
         let settings = Settings {
@@ -140,7 +146,7 @@
             cancellation_allowed: true,
             ..Settings::default()
         };
-        let own = ProxySettings {
+        let proxy_settings = ProxySettings {
             classes: ["safe", "keyed", "once"].map(str::to_owned).to_vec(),
             idempotency: CLASSES.to_vec(),
             tenants: Vec::new(),
@@ -152,40 +158,40 @@
             max_retry_after: SECOND,
         };
         let clock = Clock::start();
-        let entries = Arc::new(EndpointTable::new(&own));
-        let witness = EventRecorder::new(Recorder::off(), Arc::clone(&entries), &own);
+        let endpoints = Arc::new(EndpointTable::new(&proxy_settings));
+        let recorder = EventRecorder::new(Recorder::off(), Arc::clone(&endpoints), &proxy_settings);
         let dispatcher = Box::new(Dispatcher::new(settings, 7).expect("good settings"));
-        let decisions = PolicyHandle::new(dispatcher, false, clock, Arc::clone(&witness));
-        let back = Arc::new(MemoryBack { script: Mutex::new(script.to_vec().into()), ..Default::default() });
-        let (lists, lists_told) = mpsc::channel(4);
-        let membership = EndpointPublisher::new(entries, Arc::clone(&decisions));
-        tokio::spawn(Box::new(MemorySource(lists_told)).follow(membership));
-        let ending = Shutdown::default();
-        let node = ProxyContext {
+        let policy = PolicyHandle::new(dispatcher, false, clock, Arc::clone(&recorder));
+        let upstream =
+            Arc::new(InMemoryUpstream { script: Mutex::new(script.to_vec().into()), ..Default::default() });
+        let (lists, list_receiver) = mpsc::channel(4);
+        let publisher = EndpointPublisher::new(endpoints, Arc::clone(&policy));
+        tokio::spawn(Box::new(InMemorySource(list_receiver)).follow(publisher));
+        let context = ProxyContext {
             clock,
-            policy: decisions,
-            upstream: back.clone(),
-            settings: own,
-            recorder: witness,
-            shutdown: ending,
+            policy,
+            upstream: upstream.clone(),
+            settings: proxy_settings,
+            recorder,
+            shutdown: Shutdown::default(),
         };
-        House { node: Arc::new(node), back, lists }
+        TestProxy { context: Arc::new(context), upstream, lists }
     }
-    async fn told(&self, list: EndpointList) {
-        self.lists.send(list).await.expect("the source lives");
+    async fn publish(&self, list: EndpointList) {
+        self.lists.send(list).await.expect("the source runs");
         settle().await;
     }
-    fn ask(&self, id: u64, class: u32) -> request_task::ResponseHandle {
-        request_task::spawn(&self.node, self.demand(id, class))
+    fn send(&self, id: u64, class: u32) -> request_task::ResponseHandle {
+        request_task::spawn(&self.context, self.admission(id, class))
     }
-    fn demand(&self, id: u64, class: u32) -> AdmissionRequest {
-        let job = IncomingRequest {
+    fn admission(&self, id: u64, class: u32) -> AdmissionRequest {
+        let request = IncomingRequest {
             request: RequestId(id),
             class,
             time_left: 4 * SECOND,
             ..IncomingRequest::default()
         };
-        let order = UpstreamRequest {
+        let upstream_request = UpstreamRequest {
             id: format!("{id:016x}"),
             path: "/".parse().expect("a path"),
             headers: Default::default(),
@@ -193,14 +199,14 @@
             body: Bytes::new(),
             body_permit: None,
         };
-        AdmissionRequest { request: job, deadline: from_now(job.time_left), upstream_request: order }
+        AdmissionRequest { request, deadline: from_now(request.time_left), upstream_request }
     }
-    fn handed(&self) -> Vec<WorkerId> {
-        self.back.handed.lock().expect("a lock").clone()
+    fn dispatched(&self) -> Vec<WorkerId> {
+        self.upstream.dispatched.lock().expect("a lock").clone()
     }
-    /// The back's news of a job, as a real server would tell it.
-    fn news(&self, id: u64, worker: WorkerId, news: WorkerEvent) -> bool {
-        self.node.policy.deliver_worker_event(RequestId(id), worker, news)
+    /// A worker's callback; false if the request has completed.
+    fn call_back(&self, id: u64, worker: WorkerId, event: WorkerEvent) -> bool {
+        self.context.policy.deliver_worker_event(RequestId(id), worker, event)
     }
 }
 
@@ -211,7 +217,7 @@
     }
 }
 
-fn done() -> WorkerEvent {
+fn served() -> WorkerEvent {
     WorkerEvent::Completed(AttemptCompletion {
         outcome: Outcome::Served,
         result: Some(Bytes::from_static(b"result")),
@@ -220,133 +226,133 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_goes_from_door_to_door_without_a_socket() {
-    let house = House::open(&[]).await;
-    house.told(list(1, &[EndpointPhase::Serving])).await;
-    let mut held = house.ask(1, 2);
+async fn a_request_is_served_through_all_interfaces_without_a_socket() {
+    let proxy = TestProxy::start(&[]).await;
+    proxy.publish(list(1, &[EndpointPhase::Serving])).await;
+    let mut response = proxy.send(1, 2);
     settle().await;
-    assert_eq!(house.handed(), [WorkerId(0)]);
-    assert!(house.news(1, WorkerId(0), WorkerEvent::Progress(Progress::Started)));
-    assert!(house.news(1, WorkerId(0), done()));
-    assert_eq!(held.final_response().await, FinalResponse::Served(Bytes::from_static(b"result")));
+    assert_eq!(proxy.dispatched(), [WorkerId(0)]);
+    assert!(proxy.call_back(1, WorkerId(0), WorkerEvent::Progress(Progress::Started)));
+    assert!(proxy.call_back(1, WorkerId(0), served()));
+    assert_eq!(response.final_response().await, FinalResponse::Served(Bytes::from_static(b"result")));
     settle().await;
-    assert!(!house.news(1, WorkerId(0), done()), "no flow is left for a second word");
-    assert_eq!(house.ask(1, 2).final_response().await, FinalResponse::Duplicate);
-    assert_eq!(house.handed().len(), 1);
+    assert!(!proxy.call_back(1, WorkerId(0), served()), "no task is left for a second callback");
+    assert_eq!(proxy.send(1, 2).final_response().await, FinalResponse::Duplicate);
+    assert_eq!(proxy.dispatched().len(), 1);
 }
 
-// What each first end allows, by class: served at the other server, or a failure after one hand-over.
+// What each first outcome allows, by class: served at the other worker, or a failure after one attempt.
 #[tokio::test(start_paused = true)]
-async fn what_may_have_run_goes_on_only_as_its_class_allows() {
-    let ends =
+async fn a_request_that_may_have_run_is_retried_only_as_its_class_allows() {
+    let first_outcomes =
         [Outcome::Rejected, Outcome::ConnectFailed, Outcome::Superseded, Outcome::Reset, Outcome::Error];
     let mut id = 10;
-    for first in ends {
+    for first in first_outcomes {
         for class in 0..3 {
-            let house = House::open(&[Err(first.into())]).await;
-            house.told(list(1, &[EndpointPhase::Serving, EndpointPhase::Serving])).await;
+            let proxy = TestProxy::start(&[Err(first.into())]).await;
+            proxy.publish(list(1, &[EndpointPhase::Serving, EndpointPhase::Serving])).await;
             id += 1;
-            let mut held = house.ask(id, class);
+            let mut response = proxy.send(id, class);
             settle().await;
-            let handed = house.handed();
+            let dispatched = proxy.dispatched();
             // The two stand in different zones, so that a key's scope ends between them.
-            let may = first.never_ran() || CLASSES[class as usize] == Idempotency::Idempotent;
-            assert_eq!(handed.len(), if may { 2 } else { 1 }, "{first:?} of class {class}");
-            if may {
-                assert_ne!(handed[0], handed[1]);
-                assert!(house.news(id, handed[1], done()));
-                assert!(matches!(held.final_response().await, FinalResponse::Served(_)));
+            let may_retry = first.never_ran() || CLASSES[class as usize] == Idempotency::Idempotent;
+            assert_eq!(dispatched.len(), if may_retry { 2 } else { 1 }, "{first:?} of class {class}");
+            if may_retry {
+                assert_ne!(dispatched[0], dispatched[1]);
+                assert!(proxy.call_back(id, dispatched[1], served()));
+                assert!(matches!(response.final_response().await, FinalResponse::Served(_)));
             } else {
-                assert_eq!(held.final_response().await, FinalResponse::Failed);
+                assert_eq!(response.final_response().await, FinalResponse::Failed);
             }
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_second_front_gives_answers_its_own_form() {
-    let house = House::open(&[]).await;
-    house.told(list(1, &[EndpointPhase::Serving])).await;
-    let (clients, asked) = mpsc::channel(8);
-    let (node, clients_told) = (Arc::clone(&house.node), Mutex::new(asked));
-    let front: Arc<dyn Downstream> =
-        Arc::new(MemoryFront { node, clients: clients_told, busy: Arc::default() });
-    tokio::spawn(Arc::clone(&front).accept());
-    let mut words = Vec::new();
+async fn another_downstream_gives_final_responses_its_own_form() {
+    let proxy = TestProxy::start(&[]).await;
+    proxy.publish(list(1, &[EndpointPhase::Serving])).await;
+    let (clients, client_receiver) = mpsc::channel(8);
+    let (context, clients_mutex) = (Arc::clone(&proxy.context), Mutex::new(client_receiver));
+    let downstream: Arc<dyn Downstream> =
+        Arc::new(InMemoryDownstream { context, clients: clients_mutex, busy: Arc::default() });
+    tokio::spawn(Arc::clone(&downstream).accept());
+    let mut responses = Vec::new();
     for (id, class) in [(1, 2), (2, 0)] {
-        let (reply, word) = oneshot::channel();
-        clients.send((house.demand(id, class), reply)).await.expect("it accepts");
-        words.push(word);
+        let (reply, response) = oneshot::channel();
+        clients.send((proxy.admission(id, class), reply)).await.expect("it accepts");
+        responses.push(response);
     }
     settle().await;
-    assert_eq!(front.busy(), 2);
-    house.news(1, WorkerId(0), done());
-    house.news(2, WorkerId(0), WorkerEvent::Completed(Outcome::Rejected.into()));
+    assert_eq!(downstream.busy(), 2);
+    proxy.call_back(1, WorkerId(0), served());
+    proxy.call_back(2, WorkerId(0), WorkerEvent::Completed(Outcome::Rejected.into()));
     settle().await;
-    assert_eq!((words.remove(0).await, words.remove(0).await), (Ok("served"), Ok("refused")));
-    assert_eq!(front.busy(), 0);
+    assert_eq!((responses.remove(0).await, responses.remove(0).await), (Ok("served"), Ok("refused")));
+    assert_eq!(downstream.busy(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_front_that_lets_go_has_the_scheduling_given_up_at_the_back() {
-    let house = House::open(&[]).await;
-    house.told(list(1, &[EndpointPhase::Serving])).await;
-    let held = house.ask(1, 0);
+async fn a_client_that_disconnects_has_its_attempt_cancelled_upstream() {
+    let proxy = TestProxy::start(&[]).await;
+    proxy.publish(list(1, &[EndpointPhase::Serving])).await;
+    let response = proxy.send(1, 0);
     settle().await;
-    drop(held);
+    drop(response);
     settle().await;
-    assert_eq!(*house.back.given_up.lock().expect("a lock"), [WorkerId(0)]);
-    assert_eq!(house.node.policy.active_requests(), 0);
-    assert!(!house.news(1, WorkerId(0), done()), "what is given up has ended");
+    assert_eq!(*proxy.upstream.cancelled.lock().expect("a lock"), [WorkerId(0)]);
+    assert_eq!(proxy.context.policy.active_requests(), 0);
+    assert!(!proxy.call_back(1, WorkerId(0), served()), "a cancelled attempt has ended");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_back_that_says_nothing_leaves_an_answer_before_the_deadline() {
-    let house = House::open(&[]).await;
-    house.told(list(1, &[EndpointPhase::Serving])).await;
-    let began = Instant::now();
-    let mut held = house.ask(1, 2);
-    assert_eq!(held.final_response().await, FinalResponse::Failed);
-    assert!(began.elapsed().as_millis() <= 4_001, "{:?}", began.elapsed());
-    assert_eq!(house.handed().len(), 1);
+async fn a_silent_upstream_leaves_a_final_response_by_the_deadline() {
+    let proxy = TestProxy::start(&[]).await;
+    proxy.publish(list(1, &[EndpointPhase::Serving])).await;
+    let started_at = Instant::now();
+    let mut response = proxy.send(1, 2);
+    assert_eq!(response.final_response().await, FinalResponse::Failed);
+    assert!(started_at.elapsed().as_millis() <= 4_001, "{:?}", started_at.elapsed());
+    assert_eq!(proxy.dispatched().len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_source_drains_and_an_older_list_changes_nothing() {
-    let house = House::open(&[]).await;
-    house.told(list(2, &[EndpointPhase::Draining, EndpointPhase::Serving])).await;
-    house.told(list(1, &[EndpointPhase::Serving, EndpointPhase::Draining])).await;
+async fn a_draining_worker_gets_no_attempt_and_an_older_list_changes_nothing() {
+    let proxy = TestProxy::start(&[]).await;
+    proxy.publish(list(2, &[EndpointPhase::Draining, EndpointPhase::Serving])).await;
+    proxy.publish(list(1, &[EndpointPhase::Serving, EndpointPhase::Draining])).await;
     for id in 1..4 {
-        let _held = house.ask(id, 2);
+        let _response = proxy.send(id, 2);
         settle().await;
-        assert_eq!(house.handed().last(), Some(&WorkerId(1)));
-        house.news(id, WorkerId(1), done());
+        assert_eq!(proxy.dispatched().last(), Some(&WorkerId(1)));
+        proxy.call_back(id, WorkerId(1), served());
         settle().await;
     }
-    house.told(list(3, &[])).await;
+    proxy.publish(list(3, &[])).await;
     assert!(matches!(
-        house.ask(9, 2).final_response().await,
+        proxy.send(9, 2).final_response().await,
         FinalResponse::Rejected { .. } | FinalResponse::Failed
     ));
-    assert_eq!(house.handed().len(), 3, "nothing goes to what left");
+    assert_eq!(proxy.dispatched().len(), 3, "nothing goes to a removed worker");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fixed_list_serves_and_is_replaced() {
-    let house = House::open(&[]).await;
+async fn a_static_list_is_used_until_it_is_replaced() {
+    let proxy = TestProxy::start(&[]).await;
     let (sender, lists) = watch::channel(list(1, &[EndpointPhase::Serving]));
-    let entries = Arc::new(EndpointTable::new(&house.node.settings));
-    let membership = EndpointPublisher::new(entries, Arc::clone(&house.node.policy));
-    tokio::spawn(Box::new(StaticEndpoints(lists)).follow(membership));
+    let endpoints = Arc::new(EndpointTable::new(&proxy.context.settings));
+    let publisher = EndpointPublisher::new(endpoints, Arc::clone(&proxy.context.policy));
+    tokio::spawn(Box::new(StaticEndpoints(lists)).follow(publisher));
     settle().await;
-    let _first = house.ask(1, 2);
+    let _first = proxy.send(1, 2);
     settle().await;
-    assert_eq!(house.handed(), [WorkerId(0)]);
+    assert_eq!(proxy.dispatched(), [WorkerId(0)]);
     sender.send_replace(list(2, &[EndpointPhase::Draining, EndpointPhase::Serving]));
     settle().await;
-    let _second = house.ask(2, 2);
+    let _second = proxy.send(2, 2);
     settle().await;
-    assert_eq!(house.handed(), [WorkerId(0), WorkerId(1)]);
+    assert_eq!(proxy.dispatched(), [WorkerId(0), WorkerId(1)]);
 }
 
 #[test]
@@ -354,10 +360,11 @@
     use copperspread_proxy::downstream::connection_limits::max_connections;
     use copperspread_proxy::upstream::http::limits::{max_dispatches, max_idle_per_worker, max_load_queries};
     // The largest fleet, one connection being accepted, discovery's, and what the runtime holds.
-    let (real_servers, own) = (22, 12);
-    for sockets in [256, 384, 512, 768, 1024] {
-        let real =
-            max_dispatches(sockets) + max_load_queries(sockets) + real_servers * max_idle_per_worker(sockets);
-        assert!(max_connections(sockets, 192.0) + real + own <= sockets, "{sockets}");
+    let (workers, other) = (22, 12);
+    for descriptors in [256, 384, 512, 768, 1024] {
+        let upstream = max_dispatches(descriptors)
+            + max_load_queries(descriptors)
+            + workers * max_idle_per_worker(descriptors);
+        assert!(max_connections(descriptors, 192.0) + upstream + other <= descriptors, "{descriptors}");
     }
 }
--- a/crates/proxy/tests/module_dependencies.rs
+++ b/crates/proxy/tests/module_dependencies.rs
@@ -1,5 +1,4 @@
-//! The house has one-way doors: the node's modules use one another without a circle, and the
-//! decisions know no runtime.
+//! The proxy's modules use one another without a circle, and the dispatch policy knows no runtime.
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
@@ -11,42 +10,42 @@
             if path.is_dir() {
                 walk(&path, &format!("{prefix}{name}::"), found);
             } else if let Some(module) = name.strip_suffix(".rs").filter(|&module| module != "lib") {
-                let whole = if module == "mod" {
+                let path_name = if module == "mod" {
                     prefix.trim_end_matches("::").to_owned()
                 } else {
                     format!("{prefix}{module}")
                 };
-                found.insert(whole, std::fs::read_to_string(path).expect("a source"));
+                found.insert(path_name, std::fs::read_to_string(path).expect("a source"));
             }
         }
     }
     let mut sources = BTreeMap::new();
     walk(root, "", &mut sources);
     let uses = |module: &str, source: &str| -> BTreeSet<String> {
-        let named = source.split("crate::").skip(1).map(|rest| {
+        let paths = source.split("crate::").skip(1).map(|rest| {
             let end = rest.find(|c: char| !(c.is_alphanumeric() || c == '_' || c == ':'));
             rest[..end.unwrap_or(rest.len())].to_owned()
         });
         // The longest module that the path begins with; `crate::invariant!` is one, too.
-        let of_path = |path: String| {
-            let of =
+        let module_of = |path: String| {
+            let matching =
                 sources.keys().filter(|known| path == **known || path.starts_with(&format!("{known}::")));
-            of.max_by_key(|known| known.len()).cloned()
+            matching.max_by_key(|known| known.len()).cloned()
         };
-        named.filter_map(of_path).filter(|used| used != module).collect()
+        paths.filter_map(module_of).filter(|used| used != module).collect()
     };
     sources.iter().map(|(module, source)| (module.clone(), uses(module, source))).collect()
 }
 
 /// The modules that are left when those that use nothing left are taken away again and again.
-fn circle(mut graph: BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
+fn modules_in_circles(mut graph: BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
     loop {
-        let free: Vec<_> =
+        let leaves: Vec<_> =
             graph.iter().filter(|(_, uses)| uses.is_empty()).map(|(module, _)| module.clone()).collect();
-        if free.is_empty() {
+        if leaves.is_empty() {
             return graph.into_keys().collect();
         }
-        for module in free {
+        for module in leaves {
             graph.remove(&module);
             graph.values_mut().for_each(|uses| {
                 uses.remove(&module);
@@ -67,14 +66,15 @@
         graph["request_task"].iter().all(|used| !protocols.iter().any(|protocol| used.starts_with(protocol))),
         "the request's task knows no protocol"
     );
-    assert_eq!(circle(graph), BTreeSet::new());
+    assert_eq!(modules_in_circles(graph), BTreeSet::new());
 }
 
 #[test]
-fn a_circle_would_be_found() {
+fn a_circle_between_modules_is_found() {
     let uses = |used: &[&str]| used.iter().map(|&name| name.to_owned()).collect();
     let graph = [("a", uses(&["b"])), ("b", uses(&["c"])), ("c", uses(&["b"])), ("d", uses(&[]))];
-    let found = circle(graph.into_iter().map(|(module, uses)| (module.to_owned(), uses)).collect());
+    let found =
+        modules_in_circles(graph.into_iter().map(|(module, uses)| (module.to_owned(), uses)).collect());
     assert_eq!(found.into_iter().collect::<Vec<_>>(), ["a", "b", "c"]);
 }
 
@@ -96,10 +96,11 @@
 fn the_dispatch_policy_depends_on_no_runtime_and_no_clock() {
     let dispatcher = Path::new(env!("CARGO_MANIFEST_DIR")).join("../dispatcher");
     let manifest = std::fs::read_to_string(dispatcher.join("Cargo.toml")).expect("a manifest");
-    let (_, named) = manifest.split_once("[dependencies]").expect("dependencies");
-    let named = named.split("\n[").next().unwrap_or_default();
-    let named: Vec<_> = named.split_whitespace().filter_map(|word| word.strip_suffix(".workspace")).collect();
-    assert_eq!(named, ["arrayvec", "fastrand", "rustc-hash"]);
+    let (_, dependencies) = manifest.split_once("[dependencies]").expect("dependencies");
+    let dependencies = dependencies.split("\n[").next().unwrap_or_default();
+    let names: Vec<_> =
+        dependencies.split_whitespace().filter_map(|word| word.strip_suffix(".workspace")).collect();
+    assert_eq!(names, ["arrayvec", "fastrand", "rustc-hash"]);
     let sources = sources(&dispatcher.join("src"));
     assert!(sources.len() >= 3, "the policy's sources are elsewhere");
     for source in sources {
