--- a/crates/scheduler/tests/answers.rs
+++ b/crates/scheduler/tests/answers.rs
@@ -28,13 +28,13 @@
 
 #[tokio::test]
 async fn a_real_servers_result_is_200() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    let id = server.asked().await.accept();
+    client.send_request("once", 1, 9000).await;
+    let id = server.next_request().await.accept();
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    let answer = client.heard().await.expect("an answer");
+    let answer = client.next_response().await.expect("an answer");
     assert_eq!((answer.status(), answer.body.as_str()), (200, "ok"));
 }
 
@@ -42,21 +42,21 @@
 async fn what_the_module_refuses_is_503_with_retry_after() {
     let scheduler = Scheduler::start(&[]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    let answer = client.heard().await.expect("an answer");
+    client.send_request("once", 1, 9000).await;
+    let answer = client.next_response().await.expect("an answer");
     assert_eq!(answer.status(), 503);
     assert!(answer.headers["retry-after"].parse::<f64>().expect("seconds") > 0.0);
 }
 
 #[tokio::test]
 async fn what_failed_with_nothing_promised_is_500() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    let id = server.asked().await.accept();
+    client.send_request("once", 1, 9000).await;
+    let id = server.next_request().await.accept();
     assert_eq!(scheduler.call_back(&id, "r0", r#""state":"failed""#).await, 204);
-    let answer = client.heard().await.expect("an answer");
+    let answer = client.next_response().await.expect("an answer");
     assert_eq!(answer.status(), 500);
     assert!(!answer.headers.contains_key("retry-after"));
 }
@@ -64,18 +64,18 @@
 // At 64 descriptors there are 32 places, and the last four are the call-backs'.
 #[tokio::test]
 async fn clients_requests_beyond_all_places_are_500() {
-    let mut server = Party::new().await;
-    let scheduler = Scheduler::start_by("exec \"$PROGRAM\"", 64, &[server.address]).await;
+    let mut server = FakeServer::start().await;
+    let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[server.address]).await;
     let mut clients = Vec::new();
     let mut codes = Vec::new();
     for number in 0..32 {
         let mut client = scheduler.client().await;
-        client.job("safe", 1 + number, 9000).await;
+        client.send_request("safe", 1 + number, 9000).await;
         clients.push(client);
         // Each is read before the next: it is sent on or it is answered.
         tokio::select! {
-            asked = server.asked() => drop(asked.accept()),
-            answer = clients.last_mut().expect("one").heard() => codes.push(answer.expect("an answer").status()),
+            asked = server.next_request() => drop(asked.accept()),
+            answer = clients.last_mut().expect("one").next_response() => codes.push(answer.expect("an answer").status()),
         }
     }
     assert!(!codes.is_empty() && codes.iter().all(|&code| code == 500), "{codes:?}");
@@ -83,9 +83,9 @@
 
 #[tokio::test]
 async fn what_cannot_be_read_or_comes_twice_is_400() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
-    let good = job("keyed", 1, 9000);
+    let good = request_text("keyed", 1, 9000);
     let bad = [
         "nonsense\r\n\r\n".to_owned(),
         good.replace("X-Request-ID", "X-Other"),
@@ -95,36 +95,36 @@
         good.replace("Idempotency-Key", "X-Other"),
     ];
     for text in bad {
-        assert_eq!(scheduler.client().await.ask(&text).await.status(), 400, "{text}");
+        assert_eq!(scheduler.client().await.exchange(&text).await.status(), 400, "{text}");
     }
     // An id in use, and one that was.
     let mut client = scheduler.client().await;
     client.send(&good).await;
-    let id = server.asked().await.accept();
-    assert_eq!(scheduler.client().await.ask(&good).await.status(), 400);
+    let id = server.next_request().await.accept();
+    assert_eq!(scheduler.client().await.exchange(&good).await.status(), 400);
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
-    assert_eq!(scheduler.client().await.ask(&good).await.status(), 400);
-    assert!(server.idle());
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
+    assert_eq!(scheduler.client().await.exchange(&good).await.status(), 400);
+    assert!(server.is_idle());
 }
 
 #[tokio::test]
 async fn an_unknown_class_is_404_and_another_method_405() {
     let scheduler = Scheduler::start(&[]).await;
-    let good = job("safe", 1, 9000);
-    assert_eq!(scheduler.client().await.ask(&good.replace("/safe/", "/other/")).await.status(), 404);
-    assert_eq!(scheduler.client().await.ask(&good.replace("POST", "GET")).await.status(), 405);
+    let good = request_text("safe", 1, 9000);
+    assert_eq!(scheduler.client().await.exchange(&good.replace("/safe/", "/other/")).await.status(), 404);
+    assert_eq!(scheduler.client().await.exchange(&good.replace("POST", "GET")).await.status(), 405);
 }
 
 #[tokio::test]
 async fn a_late_body_is_408_and_one_over_64_kib_413() {
     let scheduler = Scheduler::start(&[]).await;
-    let good = job("safe", 1, 9000);
+    let good = request_text("safe", 1, 9000);
     let large = good.replace("Content-Length: 2\r\n\r\nhi", "Content-Length: 65537\r\n\r\n");
-    assert_eq!(scheduler.client().await.ask(&large).await.status(), 413);
+    assert_eq!(scheduler.client().await.exchange(&large).await.status(), 413);
     let mut late = scheduler.client().await;
-    assert_eq!(late.ask(&good[..good.len() - 1]).await.status(), 408);
-    assert!(late.ended().await);
+    assert_eq!(late.exchange(&good[..good.len() - 1]).await.status(), 408);
+    assert!(late.closes_cleanly().await);
 }
 
 #[tokio::test]
@@ -134,7 +134,7 @@
     let mut silent = scheduler.client().await;
     let mut half = scheduler.client().await;
     half.send("POST /safe/k HTTP/1.1\r\nHo").await;
-    assert!(silent.heard().await.is_none() && half.heard().await.is_none());
+    assert!(silent.next_response().await.is_none() && half.next_response().await.is_none());
     let took = since.elapsed();
     assert!((Duration::from_millis(1_900)..Duration::from_secs(4)).contains(&took), "{took:?}");
 }
--- a/crates/scheduler/tests/client_races.rs
+++ b/crates/scheduler/tests/client_races.rs
@@ -66,55 +66,56 @@
 // Guards against bytes behind a request that hide the end of the stream from the server library.
 #[tokio::test]
 async fn a_client_that_sent_more_and_goes_has_its_scheduling_given_up() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
-    let behind = ["x".to_owned(), job("safe", 190, 9000), "x".repeat(20_000), "x".repeat(100_000)];
+    let behind = ["x".to_owned(), request_text("safe", 190, 9000), "x".repeat(20_000), "x".repeat(100_000)];
     for (number, more) in behind.into_iter().enumerate() {
         let mut client = scheduler.client().await;
-        client.send(&(job("safe", 100 + number as u64, 9000) + &more)).await;
-        let id = server.asked().await.accept();
+        client.send(&(request_text("safe", 100 + number as u64, 9000) + &more)).await;
+        let id = server.next_request().await.accept();
         // The scheduler knows that it was taken.
         assert_eq!(scheduler.call_back(&id, "r0", STARTED).await, 204);
         let gone = Instant::now();
         drop(client);
-        let given_up = server.asked().await;
+        let given_up = server.next_request().await;
         assert!(gone.elapsed() < SOON, "{} bytes behind it: {:?}", more.len(), gone.elapsed());
-        assert!(given_up.message.first.starts_with(&format!("DELETE /jobs/{id}")));
-        given_up.answer("200 OK", "", "");
+        assert!(given_up.message.first_line.starts_with(&format!("DELETE /jobs/{id}")));
+        given_up.respond("200 OK", "", "");
     }
-    assert!(server.idle(), "what came behind is not sent on");
+    assert!(server.is_idle(), "what came behind is not sent on");
 }
 
 // A client that goes before the 202: the hand-over ends, and no other real server gets the job.
 #[tokio::test]
 async fn a_job_whose_client_went_during_its_hand_over_begins_no_further_attempt() {
-    let (mut one, mut two) = (Party::new().await, Party::new().await);
+    let (mut one, mut two) = (FakeServer::start().await, FakeServer::start().await);
     let scheduler = Scheduler::start(&[one.address, two.address]).await;
     let mut number = 200;
     for class in ["safe", "keyed", "once"] {
         for more in ["", "x"] {
             number += 1;
             let mut client = scheduler.client().await;
-            client.send(&(job(class, number, 9000) + more)).await;
-            let asked = tokio::select! { asked = one.asked() => asked, asked = two.asked() => asked };
+            client.send(&(request_text(class, number, 9000) + more)).await;
+            let asked =
+                tokio::select! { asked = one.next_request() => asked, asked = two.next_request() => asked };
             let gone = Instant::now();
             drop(client);
-            asked.closed().await;
+            asked.wait_until_closed().await;
             assert!(gone.elapsed() < SOON, "{class} {more:?}: {:?}", gone.elapsed());
         }
     }
     // Served after all of them: whatever they had begun would have come before.
     let mut client = scheduler.client().await;
-    client.job("once", 299, 9000).await;
-    let asked = tokio::select! { asked = one.asked() => asked, asked = two.asked() => asked };
+    client.send_request("once", 299, 9000).await;
+    let asked = tokio::select! { asked = one.next_request() => asked, asked = two.next_request() => asked };
     assert_eq!(asked.message.headers["x-request-id"], format!("{:016x}", 299));
-    assert!(one.idle() && two.idle());
+    assert!(one.is_idle() && two.is_idle());
 }
 
 // All of it lies before the program when it looks again: the job, what follows it, and the end.
 #[tokio::test]
 async fn what_came_in_one_piece_with_its_clients_end_is_not_sent_on() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut crowd = Vec::new();
     for _ in 0..20 {
@@ -124,17 +125,18 @@
     for (number, mut client) in crowd.into_iter().enumerate() {
         let first = 1_000 + 100 * number as u64;
         // From one job to some 16 KB of them.
-        let jobs: String = (0..=(number as u64 * 4)).map(|next| job("safe", first + next, 9000)).collect();
+        let jobs: String =
+            (0..=(number as u64 * 4)).map(|next| request_text("safe", first + next, 9000)).collect();
         client.send(&(jobs + "x")).await;
     }
     scheduler.signal("CONT").await;
     let mut client = scheduler.client().await;
-    client.job("once", 999, 9000).await;
-    let id = server.asked().await.accept();
+    client.send_request("once", 999, 9000).await;
+    let id = server.next_request().await.accept();
     assert_eq!(id, format!("{:016x}", 999), "jobs of clients that had gone are not sent on");
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
-    assert!(server.idle());
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
+    assert!(server.is_idle());
 }
 
 // The connection to the real server comes up a second after the client went, also where the settings allow no
@@ -149,15 +151,15 @@
         })
         .await;
         let mut client = scheduler.client().await;
-        client.job("safe", 1, 9000).await;
-        assert_eq!(scheduler.client().await.ask(READY).await.status(), 200);
+        client.send_request("safe", 1, 9000).await;
+        assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
         drop(client);
-        assert_eq!(scheduler.client().await.ask(READY).await.status(), 200);
+        assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
         if may_cancel {
             // Called off, it connects no more.
             server.empty().await;
             let mut other = scheduler.client().await;
-            other.job("safe", 2, 9000).await;
+            other.send_request("safe", 2, 9000).await;
             let (mut stream, count) = server.next().await;
             assert_eq!(count, 1);
             let mut head = [0; 4096];
@@ -172,14 +174,16 @@
 
 #[tokio::test]
 async fn a_burst_of_leavers_is_given_up_to_the_last() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut clients = Vec::new();
     let mut taken = std::collections::BTreeSet::new();
     for number in 0..60 {
         let mut client = scheduler.client().await;
-        client.send(&(job("safe", 400 + number, 9000) + if number % 2 == 0 { "" } else { "more" })).await;
-        let id = server.asked().await.accept();
+        client
+            .send(&(request_text("safe", 400 + number, 9000) + if number % 2 == 0 { "" } else { "more" }))
+            .await;
+        let id = server.next_request().await.accept();
         assert_eq!(scheduler.call_back(&id, "r0", STARTED).await, 204);
         taken.insert(id);
         clients.push(client);
@@ -187,52 +191,53 @@
     let gone = Instant::now();
     drop(clients);
     while !taken.is_empty() {
-        let given_up = server.asked().await;
-        let id = given_up.message.first.split(['/', ' ']).nth(3).expect("an id").to_owned();
-        assert!(taken.remove(&id), "{:?}", given_up.message.first);
-        given_up.answer("200 OK", "", "");
+        let given_up = server.next_request().await;
+        let id = given_up.message.first_line.split(['/', ' ']).nth(3).expect("an id").to_owned();
+        assert!(taken.remove(&id), "{:?}", given_up.message.first_line);
+        given_up.respond("200 OK", "", "");
     }
     assert!(gone.elapsed() < SOON, "{:?}", gone.elapsed());
-    assert!(server.idle());
+    assert!(server.is_idle());
 }
 
 // Guards against a limit that counts an honest client's next request as too much, or loses it.
 #[tokio::test]
 async fn a_request_behind_the_first_waits_for_it_and_is_answered() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
-    let large = job("safe", 502, 9000).replace("Content-Length: 2\r\n\r\nhi", "Content-Length: 6000\r\n\r\n");
-    client.send(&(job("safe", 501, 9000) + &large + &"y".repeat(6000))).await;
+    let large = request_text("safe", 502, 9000)
+        .replace("Content-Length: 2\r\n\r\nhi", "Content-Length: 6000\r\n\r\n");
+    client.send(&(request_text("safe", 501, 9000) + &large + &"y".repeat(6000))).await;
     for number in [501, 502] {
-        let id = server.asked().await.accept();
+        let id = server.next_request().await.accept();
         assert_eq!(id, format!("{number:016x}"));
-        assert!(server.idle(), "one at a time");
+        assert!(server.is_idle(), "one at a time");
         assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
 }
 
 // More than is kept came behind the first: it is answered, the rest is not read as requests.
 #[tokio::test]
 async fn a_flood_behind_a_request_ends_its_connection_with_the_answer() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
-    let flood: String = (0..400).map(|next| job("safe", 600 + next, 9000)).collect();
-    client.send(&(job("safe", 599, 9000) + &flood)).await;
-    let id = server.asked().await.accept();
+    let flood: String = (0..400).map(|next| request_text("safe", 600 + next, 9000)).collect();
+    client.send(&(request_text("safe", 599, 9000) + &flood)).await;
+    let id = server.next_request().await.accept();
     // Once another client was heard, the flood has been read.
-    assert_eq!(scheduler.client().await.ask(READY).await.status(), 200);
+    assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    client.served_and_closed().await;
-    assert!(server.idle());
+    client.expect_served_and_closed().await;
+    assert!(server.is_idle());
 }
 
 // A client that asks and asks and never reads: its connection stands still, and nothing else does.
 #[tokio::test]
 async fn a_client_that_never_reads_holds_up_neither_others_nor_the_end() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4096).expect("an option");
@@ -246,7 +251,7 @@
         assert!(sent < 2_000, "it reads without end");
     }
     let mut client = scheduler.client().await;
-    scheduler.serves(&mut client, &mut server, 1, DONE).await;
+    scheduler.serve_request(&mut client, &mut server, 1, DONE).await;
     let since = Instant::now();
     scheduler.terminate().await;
     assert!(scheduler.child.wait().await.expect("it ends").success());
@@ -258,33 +263,33 @@
 // Guards against the close of a connection on which a request has begun to come.
 #[tokio::test]
 async fn a_request_that_had_begun_to_come_at_sigterm_is_answered() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
-    let cuts = [1, 60, job("once", 701, 9000).len() - 1];
+    let cuts = [1, 60, request_text("once", 701, 9000).len() - 1];
     let mut clients = Vec::new();
     for (number, cut) in cuts.into_iter().enumerate() {
         for used in [false, true] {
             let mut client = scheduler.client().await;
             if used {
-                assert_eq!(client.ask(READY).await.status(), 200);
+                assert_eq!(client.exchange(READY).await.status(), 200);
             }
             let id = 701 + 2 * number as u64 + u64::from(used);
-            let text = job("once", id, 9000);
+            let text = request_text("once", id, 9000);
             client.send(&text[..cut]).await;
             clients.push((client, id, text[cut..].to_owned()));
         }
     }
     // And one that is connected and has sent nothing.
-    clients.push((scheduler.client().await, 720, job("once", 720, 9000)));
-    assert_eq!(scheduler.client().await.ask(READY).await.status(), 200);
+    clients.push((scheduler.client().await, 720, request_text("once", 720, 9000)));
+    assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
     scheduler.terminate().await;
-    scheduler.logs("ending,").await;
+    scheduler.wait_for_log("ending,").await;
     for (client, id, rest) in &mut clients {
         client.send(rest).await;
-        let asked = server.asked().await.accept();
+        let asked = server.next_request().await.accept();
         assert_eq!(asked, format!("{id:016x}"));
         assert_eq!(scheduler.call_back(&asked, "r0", DONE).await, 204);
-        client.served_and_closed().await;
+        client.expect_served_and_closed().await;
     }
     assert!(scheduler.child.wait().await.expect("it ends").success());
 }
@@ -292,87 +297,87 @@
 // Both lie before the program when it looks again: a request on a resting connection and SIGTERM.
 #[tokio::test]
 async fn a_request_on_a_resting_connection_in_the_moment_of_sigterm_is_answered() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let mut clients = Vec::new();
     for _ in 0..10 {
         let mut client = scheduler.client().await;
-        assert_eq!(client.ask(READY).await.status(), 200);
+        assert_eq!(client.exchange(READY).await.status(), 200);
         clients.push(client);
     }
     scheduler.signal("STOP").await;
     for (number, client) in clients.iter_mut().enumerate() {
-        client.job("once", 800 + number as u64, 9000).await;
+        client.send_request("once", 800 + number as u64, 9000).await;
     }
     scheduler.signals(&["TERM", "CONT"]).await;
     for _ in 0..clients.len() {
-        let id = server.asked().await.accept();
+        let id = server.next_request().await.accept();
         assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
     }
     for client in &mut clients {
-        client.served_and_closed().await;
+        client.expect_served_and_closed().await;
     }
     assert!(scheduler.child.wait().await.expect("it ends").success());
 }
 
 #[tokio::test]
 async fn what_stands_behind_the_first_request_at_sigterm_is_not_sent_on_and_takes_no_answer_with_it() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
-    let behind: String = (0..20).map(|next| job("once", 901 + next, 9000)).collect();
-    client.send(&(job("once", 900, 9000) + &behind)).await;
-    let id = server.asked().await.accept();
+    let behind: String = (0..20).map(|next| request_text("once", 901 + next, 9000)).collect();
+    client.send(&(request_text("once", 900, 9000) + &behind)).await;
+    let id = server.next_request().await.accept();
     scheduler.terminate().await;
-    scheduler.logs("ending,").await;
+    scheduler.wait_for_log("ending,").await;
     // Still more, after SIGTERM.
-    client.job("once", 990, 9000).await;
+    client.send_request("once", 990, 9000).await;
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    client.served_and_closed().await;
+    client.expect_served_and_closed().await;
     // It is closed: what is sent on it now is read by nobody.
-    client.job("once", 991, 9000).await;
+    client.send_request("once", 991, 9000).await;
     assert!(scheduler.child.wait().await.expect("it ends").success());
-    assert!(server.idle());
+    assert!(server.is_idle());
 }
 
 #[tokio::test]
 async fn signals_during_the_end_neither_hasten_nor_stop_it() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    let id = server.asked().await.accept();
+    client.send_request("once", 1, 9000).await;
+    let id = server.next_request().await.accept();
     scheduler.signals(&["TERM", "TERM", "HUP", "TERM"]).await;
-    scheduler.logs("ending,").await;
+    scheduler.wait_for_log("ending,").await;
     scheduler.signals(&["HUP", "TERM", "HUP"]).await;
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     assert!(scheduler.child.wait().await.expect("it ends").success());
 }
 
 // A real server's word that comes in two parts, with SIGTERM between them, still ends its job.
 #[tokio::test]
 async fn half_a_call_back_at_sigterm_is_read_to_its_end() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     for cut in [1, 40, 90] {
         let number = 10 + cut as u64;
         let mut client = scheduler.client().await;
-        client.job("once", number, 9000).await;
-        let id = server.asked().await.accept();
+        client.send_request("once", number, 9000).await;
+        let id = server.next_request().await.accept();
         let body = format!(r#"{{"id":"{id}","from":"r0",{DONE}}}"#);
         let length = body.len();
         let text = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{body}");
         let mut worker = scheduler.client().await;
         worker.send(&text[..cut]).await;
-        assert_eq!(scheduler.client().await.ask(READY).await.status(), if cut == 1 { 200 } else { 503 });
+        assert_eq!(scheduler.client().await.exchange(READY).await.status(), if cut == 1 { 200 } else { 503 });
         if cut == 1 {
             scheduler.terminate().await;
-            scheduler.logs("ending,").await;
+            scheduler.wait_for_log("ending,").await;
         }
         worker.send(&text[cut..]).await;
-        assert_eq!(worker.heard().await.expect("an answer").status(), 204);
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(worker.next_response().await.expect("an answer").status(), 204);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
     assert!(scheduler.child.wait().await.expect("it ends").success());
 }
@@ -381,18 +386,18 @@
 // connection with the last breath, and are taken and lost.
 #[tokio::test]
 async fn what_stands_open_is_closed_before_the_program_ends() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let mut silent = scheduler.client().await;
     let mut half = scheduler.client().await;
     half.send("POST /onc").await;
-    assert_eq!(scheduler.client().await.ask(READY).await.status(), 200);
+    assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
     scheduler.terminate().await;
-    assert!(silent.ended().await, "no reset");
+    assert!(silent.closes_cleanly().await, "no reset");
     assert!(scheduler.child.try_wait().expect("a child").is_none(), "it runs when it closes what is silent");
-    silent.job("once", 1, 9000).await;
+    silent.send_request("once", 1, 9000).await;
     assert!(scheduler.child.wait().await.expect("it ends").success());
-    assert!(server.idle(), "what came after the close is not sent on");
+    assert!(server.is_idle(), "what came after the close is not sent on");
 }
 
 // SIGTERM while the connection to the real server is still coming up.
@@ -404,13 +409,13 @@
     })
     .await;
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    assert_eq!(scheduler.client().await.ask(READY).await.status(), 200);
+    client.send_request("once", 1, 9000).await;
+    assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
     scheduler.terminate().await;
-    scheduler.logs("ending,").await;
+    scheduler.wait_for_log("ending,").await;
     let (_kept, count) = server.next().await;
     assert_eq!(count, 1, "the job comes");
     assert_eq!(scheduler.call_back(&format!("{:016x}", 1), "r0", DONE).await, 204);
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     assert!(scheduler.child.wait().await.expect("it ends").success());
 }
--- a/crates/scheduler/tests/dispatch_races.rs
+++ b/crates/scheduler/tests/dispatch_races.rs
@@ -41,9 +41,9 @@
         BufReader::new(within("a connection", self.listener.accept()).await.expect("it is up").0)
     }
     /// The next connection and the request on it.
-    async fn asked(&self) -> (Connection, Message) {
+    async fn next_request(&self) -> (Connection, Message) {
         let mut connection = self.accept().await;
-        let message = request(&mut connection).await.expect("a request");
+        let message = next_message(&mut connection).await.expect("a request");
         (connection, message)
     }
     /// Keeps further connections from coming up until it is let in.
@@ -80,14 +80,14 @@
 
 async fn edited(edit: &str, sockets: u32, known: &[SocketAddr]) -> Scheduler {
     let command = format!("sed -i -e '{edit}' \"$EDGE_CONFIG\" && exec \"$PROGRAM\"");
-    Scheduler::start_by(&command, sockets, known).await
+    Scheduler::start_by_command(&command, sockets, known).await
 }
 
 /// Tells of a change, and waits until the scheduler has taken it and asks for the next.
 async fn tell(scheduler: &mut Scheduler, revision: u64, members: &[String]) {
-    scheduler.discovery.asked().await.answer("200 OK", "", &list(revision, false, members));
-    let next = scheduler.discovery.asked().await;
-    assert!(next.message.first.contains(&format!("from={revision}")), "{}", next.message.first);
+    scheduler.discovery.next_request().await.respond("200 OK", "", &endpoint_list(revision, false, members));
+    let next = scheduler.discovery.next_request().await;
+    assert!(next.message.first_line.contains(&format!("from={revision}")), "{}", next.message.first_line);
 }
 
 fn empty(job: String) -> String {
@@ -98,29 +98,31 @@
 // that another request had just left: the table is asked in the step that writes.
 #[tokio::test]
 async fn a_freed_connection_carries_nothing_to_a_real_server_that_began_to_drain() {
-    for second in [job("once", 2, 9000), empty(job("once", 2, 9000))] {
+    for second in [request_text("once", 2, 9000), empty(request_text("once", 2, 9000))] {
         let server = RawServer::new();
         let mut scheduler = patient(&[server.address]).await;
         let (mut one, mut two) = (scheduler.client().await, scheduler.client().await);
-        one.job("once", 1, 9000).await;
-        let (mut kept, first) = server.asked().await;
+        one.send_request("once", 1, 9000).await;
+        let (mut kept, first) = server.next_request().await;
         let _full = server.full().await;
         two.send(&second).await;
         server.awaited().await;
-        tell(&mut scheduler, 6, &[member("r0", server.address, "DRAINING")]).await;
+        tell(&mut scheduler, 6, &[endpoint("r0", server.address, "DRAINING")]).await;
         say(&mut kept, TAKEN).await;
         assert_eq!(rest(&mut kept).await, "", "nothing is written");
-        assert_eq!(two.heard().await.expect("an answer").status(), 503, "it never ran");
+        assert_eq!(two.next_response().await.expect("an answer").status(), 503, "it never ran");
         assert_eq!(scheduler.call_back(&first.headers["x-request-id"], "r0", DONE).await, 204);
-        assert_eq!(one.heard().await.expect("an answer").status(), 200);
+        assert_eq!(one.next_response().await.expect("an answer").status(), 200);
     }
 }
 
 // The same with a connection that comes up late, to a real server that drains or stands elsewhere by then.
 #[tokio::test]
 async fn a_late_connection_carries_nothing_to_a_real_server_that_drains_or_moved() {
-    let elsewhere = Party::new().await;
-    for (drains, text) in [(true, job("once", 3, 9000)), (false, empty(job("safe", 3, 9000)))] {
+    let elsewhere = FakeServer::start().await;
+    for (drains, text) in
+        [(true, request_text("once", 3, 9000)), (false, empty(request_text("safe", 3, 9000)))]
+    {
         let server = RawServer::new();
         let mut scheduler = patient(&[server.address]).await;
         let full = server.full().await;
@@ -128,14 +130,14 @@
         client.send(&text).await;
         server.awaited().await;
         let change = match drains {
-            true => member("r0", server.address, "DRAINING"),
-            false => member("r0", elsewhere.address, "SERVING"),
+            true => endpoint("r0", server.address, "DRAINING"),
+            false => endpoint("r0", elsewhere.address, "SERVING"),
         };
         tell(&mut scheduler, 6, &[change]).await;
         drop((full, server.accept().await));
         let mut late = server.accept().await;
         assert_eq!(rest(&mut late).await, "", "drains: {drains}");
-        assert_eq!(client.heard().await.expect("an answer").status(), 503, "drains: {drains}");
+        assert_eq!(client.next_response().await.expect("an answer").status(), 503, "drains: {drains}");
     }
 }
 
@@ -146,18 +148,18 @@
     let server = RawServer::new();
     let scheduler = patient(&[server.address]).await;
     let (mut one, mut two) = (scheduler.client().await, scheduler.client().await);
-    one.job("once", 4, 9000).await;
-    let (mut kept, first) = server.asked().await;
+    one.send_request("once", 4, 9000).await;
+    let (mut kept, first) = server.next_request().await;
     let full = server.full().await;
-    two.job("once", 5, 9000).await;
+    two.send_request("once", 5, 9000).await;
     server.awaited().await;
     // The second goes out on the first one's connection, and both end.
     say(&mut kept, TAKEN).await;
-    let second = request(&mut kept).await.expect("the second");
+    let second = next_message(&mut kept).await.expect("the second");
     say(&mut kept, TAKEN).await;
     for (message, client) in [(first, &mut one), (second, &mut two)] {
         assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
     // Nobody waits for the other connection any more. It comes up all the same, and is closed unused.
     drop((full, server.accept().await));
@@ -171,32 +173,32 @@
 async fn an_answer_that_never_ends_holds_up_nobody() {
     let server = RawServer::new();
     // 64 descriptors allow for eight hand-overs at once.
-    let scheduler = Scheduler::start_by("exec \"$PROGRAM\"", 64, &[server.address]).await;
+    let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[server.address]).await;
     let mut client = scheduler.client().await;
     let bodies =
         ["Content-Length: 9\r\n\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", "\r\nthe rest"];
     for (number, body) in (10..30).zip(bodies.iter().cycle()) {
-        client.job("once", number, 9000).await;
-        let (mut connection, message) = server.asked().await;
+        client.send_request("once", number, 9000).await;
+        let (mut connection, message) = server.next_request().await;
         if number % 2 == 0 {
             say(&mut connection, &format!("HTTP/1.1 202 Accepted\r\n{body}")).await;
             // The call-back is heard, and the connection is closed long before the job's time is over.
             assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
-            assert_eq!(client.heard().await.expect("an answer").status(), 200, "{body}");
+            assert_eq!(client.next_response().await.expect("an answer").status(), 200, "{body}");
         } else {
             let head = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\n";
             say(&mut connection, &format!("{head}{body}")).await;
-            assert_eq!(client.heard().await.expect("an answer").status(), 503, "{body}");
+            assert_eq!(client.next_response().await.expect("an answer").status(), 503, "{body}");
         }
         assert_eq!(rest(&mut connection).await, "");
     }
     // A head without end is given up: whether it ran is open.
-    client.job("once", 30, 9000).await;
-    let (mut connection, _) = server.asked().await;
+    client.send_request("once", 30, 9000).await;
+    let (mut connection, _) = server.next_request().await;
     let endless = format!("HTTP/1.1 202 Accepted\r\nX-Long: {}", "x".repeat(60_000));
     let since = std::time::Instant::now();
     let _ = connection.write_all(endless.as_bytes()).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 500);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 500);
     assert!(since.elapsed() < Duration::from_secs(3), "not at the deadline: {:?}", since.elapsed());
     assert_eq!(rest(&mut connection).await, "");
 }
@@ -212,23 +214,23 @@
         let server = RawServer::new();
         let scheduler = Scheduler::start(&[server.address]).await;
         let mut client = scheduler.client().await;
-        client.job("once", 40, 9000).await;
-        let (mut first, message) = server.asked().await;
+        client.send_request("once", 40, 9000).await;
+        let (mut first, message) = server.next_request().await;
         say(&mut first, spoilt).await;
         if status == 200 {
             assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
         }
-        assert_eq!(client.heard().await.expect("an answer").status(), status);
-        client.job("once", 41, 9000).await;
+        assert_eq!(client.next_response().await.expect("an answer").status(), status);
+        client.send_request("once", 41, 9000).await;
         let (mut second, message) = tokio::select! {
-            asked = server.asked() => asked,
-            Some(message) = request(&mut first) => panic!("after {spoilt:?} came {message:?}"),
+            asked = server.next_request() => asked,
+            Some(message) = next_message(&mut first) => panic!("after {spoilt:?} came {message:?}"),
         };
         // Late, and for nobody.
         let _ = first.write_all(NOT_RUN.as_bytes()).await;
         say(&mut second, TAKEN).await;
         assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
-        assert_eq!(client.heard().await.expect("an answer").status(), 200, "after {spoilt:?}");
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200, "after {spoilt:?}");
     }
 }
 
@@ -237,27 +239,27 @@
 #[tokio::test]
 async fn an_answer_that_may_be_the_last_requests_second_one_proves_nothing() {
     for (class, goes_on) in [("once", false), ("keyed", false), ("safe", true)] {
-        let (server, mut other) = (RawServer::new(), Party::new().await);
+        let (server, mut other) = (RawServer::new(), FakeServer::start().await);
         let mut scheduler = patient(&[server.address]).await;
         let (mut one, mut two) = (scheduler.client().await, scheduler.client().await);
-        one.job("once", 50, 9000).await;
-        let (mut kept, _) = server.asked().await;
+        one.send_request("once", 50, 9000).await;
+        let (mut kept, _) = server.next_request().await;
         let _full = server.full().await;
-        two.job(class, 51, 9000).await;
+        two.send_request(class, 51, 9000).await;
         server.awaited().await;
-        let elsewhere = member("r1", other.address, "SERVING").replace("\"cell\":0", "\"cell\":1");
+        let elsewhere = endpoint("r1", other.address, "SERVING").replace("\"cell\":0", "\"cell\":1");
         tell(&mut scheduler, 6, &[elsewhere]).await;
         // The first job's answer frees the connection for the second job, and comes twice, in another form.
         say(&mut kept, TAKEN).await;
-        request(&mut kept).await.expect("the second job");
+        next_message(&mut kept).await.expect("the second job");
         say(&mut kept, NOT_RUN).await;
         if goes_on {
-            let id = other.asked().await.accept();
+            let id = other.next_request().await.accept();
             assert_eq!(scheduler.call_back(&id, "r1", DONE).await, 204);
         }
         let status = if goes_on { 200 } else { 500 };
-        assert_eq!(two.heard().await.expect("an answer").status(), status, "{class}");
-        assert!(other.idle(), "{class}");
+        assert_eq!(two.next_response().await.expect("an answer").status(), status, "{class}");
+        assert!(other.is_idle(), "{class}");
     }
 }
 
@@ -276,22 +278,22 @@
         ("keyed", 0, short, None),
     ];
     for (class, cell, edit, goes_on) in cases {
-        let (server, mut other) = (RawServer::new(), Party::new().await);
+        let (server, mut other) = (RawServer::new(), FakeServer::start().await);
         let mut scheduler = edited(edit, 1024, &[server.address]).await;
         let mut client = scheduler.client().await;
-        client.job(class, 60, 9000).await;
-        let (connection, _) = server.asked().await;
+        client.send_request(class, 60, 9000).await;
+        let (connection, _) = server.next_request().await;
         let elsewhere =
-            member("r1", other.address, "SERVING").replace("\"cell\":0", &format!("\"cell\":{cell}"));
+            endpoint("r1", other.address, "SERVING").replace("\"cell\":0", &format!("\"cell\":{cell}"));
         tell(&mut scheduler, 6, &[elsewhere]).await;
         reset(connection);
         if goes_on.is_some() {
-            let id = other.asked().await.accept();
+            let id = other.next_request().await.accept();
             assert_eq!(scheduler.call_back(&id, "r1", DONE).await, 204);
         }
-        let answer = client.heard().await.expect("an answer").status();
+        let answer = client.next_response().await.expect("an answer").status();
         assert_eq!(answer, goes_on.unwrap_or(500), "{class}, cell {cell}, {edit:?}");
-        assert!(other.idle(), "{class}, cell {cell}, {edit:?}");
+        assert!(other.is_idle(), "{class}, cell {cell}, {edit:?}");
     }
 }
 
@@ -306,8 +308,8 @@
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
     for (number, answer, status) in [(70, TAKEN, 200), (71, NOT_RUN, 503), (72, TAKEN, 500)] {
-        client.job("once", number, 9000).await;
-        let (mut connection, message) = server.asked().await;
+        client.send_request("once", number, 9000).await;
+        let (mut connection, message) = server.next_request().await;
         say(&mut connection, answer).await;
         reset(connection);
         let id = &message.headers["x-request-id"];
@@ -317,7 +319,7 @@
             assert_eq!(scheduler.call_back(id, "r0", news).await, 204);
             assert_eq!(scheduler.call_back(id, "r0", DONE).await, 204);
         }
-        assert_eq!(client.heard().await.expect("an answer").status(), status);
+        assert_eq!(client.next_response().await.expect("an answer").status(), status);
     }
 }
 
@@ -326,19 +328,19 @@
 #[tokio::test]
 async fn a_job_that_hangs_in_its_work_fails_in_time_and_goes_nowhere_else() {
     for class in ["once", "keyed"] {
-        let (mut server, mut other) = (Party::new().await, Party::new().await);
+        let (mut server, mut other) = (FakeServer::start().await, FakeServer::start().await);
         let mut scheduler = Scheduler::start(&[server.address]).await;
         let mut client = scheduler.client().await;
-        client.job(class, 75, 1500).await;
-        let id = server.asked().await.accept();
+        client.send_request(class, 75, 1500).await;
+        let id = server.next_request().await.accept();
         assert_eq!(scheduler.call_back(&id, "r0", r#""state":"started""#).await, 204);
-        let elsewhere = member("r1", other.address, "SERVING").replace("\"cell\":0", "\"cell\":1");
+        let elsewhere = endpoint("r1", other.address, "SERVING").replace("\"cell\":0", "\"cell\":1");
         tell(&mut scheduler, 6, &[elsewhere]).await;
-        assert_eq!(client.heard().await.expect("an answer").status(), 500, "{class}");
-        assert_eq!(server.asked().await.message.first, format!("DELETE /jobs/{id} HTTP/1.1"));
+        assert_eq!(client.next_response().await.expect("an answer").status(), 500, "{class}");
+        assert_eq!(server.next_request().await.message.first_line, format!("DELETE /jobs/{id} HTTP/1.1"));
         // What it says after all finds nobody.
         assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-        assert!(other.idle(), "{class}");
+        assert!(other.is_idle(), "{class}");
     }
 }
 
@@ -349,17 +351,17 @@
     let server = RawServer::new();
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 200, 9000).await;
-    let mut kept = served(server.asked().await, &scheduler, &mut client, 200).await;
+    client.send_request("once", 200, 9000).await;
+    let mut kept = served(server.next_request().await, &scheduler, &mut client, 200).await;
     for number in 201..204 {
         scheduler.signal("STOP").await;
         drop(kept);
-        client.job("once", number, 9000).await;
+        client.send_request("once", number, 9000).await;
         scheduler.signal("CONT").await;
         let asked = tokio::select! {
             // It went out anew, and the closed connection took nothing of it.
-            asked = server.asked() => Some(asked),
-            answer = client.heard() => {
+            asked = server.next_request() => Some(asked),
+            answer = client.next_response() => {
                 // It was written before the close was seen, which leaves open whether it ran, or given back
                 // unwritten.
                 assert!(matches!(answer.expect("an answer").status(), 500 | 503));
@@ -370,8 +372,8 @@
             Some(asked) => served(asked, &scheduler, &mut client, number).await,
             None => {
                 // What comes next is the next job.
-                client.job("once", number + 100, 9000).await;
-                served(server.asked().await, &scheduler, &mut client, number + 100).await
+                client.send_request("once", number + 100, 9000).await;
+                served(server.next_request().await, &scheduler, &mut client, number + 100).await
             }
         };
     }
@@ -387,7 +389,7 @@
     assert_eq!(message.headers["x-request-id"], format!("{number:016x}"));
     say(&mut connection, TAKEN).await;
     assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     connection
 }
 
@@ -395,11 +397,12 @@
 // decision and the write.
 #[tokio::test]
 async fn a_keyed_job_is_written_in_time_or_not_at_all() {
-    let mut server = Party::new().await;
-    let config = platform::read_startup_config(&config(server.address, server.address, &list(1, true, &[])));
+    let mut server = FakeServer::start().await;
+    let config =
+        platform::read_startup_config(&config(server.address, server.address, &endpoint_list(1, true, &[])));
     let given = config.expect("it is good").settings;
     let entries = Arc::new(EndpointTable::new(&given.proxy));
-    let told = json::parse(&list(2, true, &[member("r0", server.address, "SERVING")]));
+    let told = json::parse(&endpoint_list(2, true, &[endpoint("r0", server.address, "SERVING")]));
     entries.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
     let real_servers = HttpUpstream::new(&given.proxy, entries, 1024);
     let keyed = Idempotency::IdempotentWithKey { scope: KeyScope::All, window: 9_000_000 };
@@ -422,7 +425,7 @@
                 Duration::from_micros(given.proxy.connect_timeout) + Duration::from_millis(100),
             );
         }
-        let took = async { server.asked().await.answer("202 Accepted", "", "") };
+        let took = async { server.next_request().await.respond("202 Accepted", "", "") };
         if late && effect == keyed {
             tokio::select! {
                 ended = handed => assert_eq!(ended, Err(Outcome::Superseded.into())),
@@ -432,30 +435,30 @@
             assert_eq!(tokio::join!(handed, took).0, Ok(()));
         }
     }
-    assert!(server.idle(), "nothing came late");
+    assert!(server.is_idle(), "nothing came late");
 }
 
 // Guards against real servers that stay silent and keep the places of hand-overs for good.
 #[tokio::test]
 async fn silent_real_servers_give_their_places_back_at_the_deadline() {
-    let mut server = Party::new().await;
-    let scheduler = Scheduler::start_by("exec \"$PROGRAM\"", 64, &[server.address]).await;
+    let mut server = FakeServer::start().await;
+    let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[server.address]).await;
     let mut clients = Vec::new();
     let mut silent = Vec::new();
     for number in 80..88 {
         let mut client = scheduler.client().await;
-        client.job("once", number, 1500).await;
-        silent.push(server.asked().await);
+        client.send_request("once", number, 1500).await;
+        silent.push(server.next_request().await);
         clients.push(client);
     }
     for client in &mut clients {
-        assert_eq!(client.heard().await.expect("an answer").status(), 500);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 500);
     }
     for asked in silent {
-        asked.closed().await;
+        asked.wait_until_closed().await;
     }
     let mut client = scheduler.client().await;
-    scheduler.serves(&mut client, &mut server, 88, DONE).await;
+    scheduler.serve_request(&mut client, &mut server, 88, DONE).await;
 }
 
 // Guards against a request that is written to a connection which the real server is closing for its age.
@@ -465,11 +468,11 @@
     let scheduler = edited("s/\"keepalive_s\":5/\"keepalive_s\":1/", 1024, &[server.address]).await;
     let mut client = scheduler.client().await;
     for number in 90..92 {
-        client.job("once", number, 9000).await;
-        let (mut connection, message) = server.asked().await;
+        client.send_request("once", number, 9000).await;
+        let (mut connection, message) = server.next_request().await;
         say(&mut connection, TAKEN).await;
         assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
         // It never answers the end of the stream: the other side closes by itself.
         assert_eq!(rest(&mut connection).await, "");
     }
@@ -478,7 +481,7 @@
 // Guards against what of one job passes on with the next on the same connection.
 #[tokio::test]
 async fn jobs_on_one_connection_pass_on_each_with_its_own() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
     let jobs = [
@@ -491,15 +494,15 @@
     let names = ["idempotency-key", "x-attrs", "x-retried", "x-other"];
     let mut connection = None;
     for (number, (class, millis, own)) in (100..).zip(jobs) {
-        let text = job(class, number, millis).replace("Idempotency-Key: k7\r\n", own);
+        let text = request_text(class, number, millis).replace("Idempotency-Key: k7\r\n", own);
         let (text, body) = match own {
             "" => (text.replace("Length: 2\r\n\r\nhi", &format!("Length: 65536\r\n\r\n{long}")), &*long),
             _ => (text, "hi"),
         };
         client.send(&text).await;
-        let asked = server.asked().await;
-        assert_eq!(*connection.get_or_insert(asked.from), asked.from, "one connection carries all");
-        assert_eq!(asked.message.first, format!("POST /{class}/k?q=1 HTTP/1.1"));
+        let asked = server.next_request().await;
+        assert_eq!(*connection.get_or_insert(asked.peer), asked.peer, "one connection carries all");
+        assert_eq!(asked.message.first_line, format!("POST /{class}/k?q=1 HTTP/1.1"));
         assert!(asked.message.body == body, "{class}: the body is whole");
         let headers = &asked.message.headers;
         for name in names {
@@ -514,17 +517,17 @@
         assert!((millis - 1000..millis).contains(&left), "{class}: {left} of {millis}");
         let id = asked.accept();
         assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
     // An empty body passes on as such, and the connection lives on.
     for number in 110..112 {
-        client.send(&empty(job("once", number, 9000))).await;
-        let asked = server.asked().await;
-        assert_eq!(connection, Some(asked.from));
+        client.send(&empty(request_text("once", number, 9000))).await;
+        let asked = server.next_request().await;
+        assert_eq!(connection, Some(asked.peer));
         assert_eq!(asked.message.headers.get("content-length").map(String::as_str), Some("0"));
         assert!(!asked.message.headers.contains_key("transfer-encoding"));
         let id = asked.accept();
         assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
 }
--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -45,7 +45,7 @@
 impl Discovery {
     /// One that refuses.
     fn down() -> Discovery {
-        let (reserved, address) = reserve();
+        let (reserved, address) = reserve_address();
         Discovery { address, listener: None, queued: Vec::new(), _reserved: reserved }
     }
     async fn up() -> Discovery {
@@ -107,12 +107,12 @@
     /// Tells a list, whole, and sees it taken: the next call watches from it.
     async fn tell(&self, revision: u64, members: &[String]) -> Call {
         loop {
-            self.call().await.list(&list(revision, true, members)).await;
+            self.call().await.list(&endpoint_list(revision, true, members)).await;
             let next = self.call().await;
             if next.first.contains(&format!("from={revision}&")) {
                 return next;
             }
-            next.list(&list(revision, true, members)).await;
+            next.list(&endpoint_list(revision, true, members)).await;
         }
     }
 }
@@ -145,7 +145,7 @@
 /// The program, a real server r0 that it knows from before, a client, and a number for each job.
 struct House {
     scheduler: Scheduler,
-    worker: Party,
+    worker: FakeServer,
     client: Client,
     job: u64,
 }
@@ -156,30 +156,30 @@
     }
     /// With so many descriptors, and its configuration changed by a further command of `sed`.
     async fn start_with(kind: &str, discovery: &Discovery, sockets: u32, further: &str) -> House {
-        let worker = Party::new().await;
+        let worker = FakeServer::start().await;
         let place = format!(r#"s/"discovery":"127[^"]*"/"discovery":"{}"/"#, discovery.address);
         let kind = format!(r#"s/"discovery":"pushed"/"discovery":"{kind}"/"#);
         let edit = format!("sed -i -e '{place}' -e '{kind}' -e '{further}' \"$EDGE_CONFIG\"");
         let command = format!("{edit} && ulimit -n {sockets} && exec \"$PROGRAM\"");
-        let scheduler = Scheduler::start_by(&command, sockets, &[worker.address]).await;
+        let scheduler = Scheduler::start_by_command(&command, sockets, &[worker.address]).await;
         let mut client = scheduler.client().await;
         // One that says nothing at first is not kept for long.
-        assert_eq!(client.ask(READY).await.status(), 200);
+        assert_eq!(client.exchange(READY).await.status(), 200);
         House { scheduler, worker, client, job: 1 }
     }
     fn r0(&self, phase: &str) -> [String; 1] {
-        [member("r0", self.worker.address, phase)]
+        [endpoint("r0", self.worker.address, phase)]
     }
     async fn serves(&mut self) {
         self.job += 1;
-        self.scheduler.serves(&mut self.client, &mut self.worker, self.job, DONE).await;
+        self.scheduler.serve_request(&mut self.client, &mut self.worker, self.job, DONE).await;
     }
     /// The next job does not reach the real server that drains.
     async fn keeps_the_drain(&mut self) {
         self.job += 1;
-        let job = job("once", self.job, 9000);
-        assert_eq!(self.client.ask(&job).await.status(), 503);
-        assert!(self.worker.idle());
+        let job = request_text("once", self.job, 9000);
+        assert_eq!(self.client.exchange(&job).await.status(), 503);
+        assert!(self.worker.is_idle());
     }
     /// Points it to another discovery.
     async fn moves(&mut self, from: SocketAddr, to: SocketAddr) {
@@ -194,7 +194,7 @@
     async fn failures(&mut self, count: u32) {
         let count = format!("\"count\":{count}");
         loop {
-            let line = self.scheduler.line().await;
+            let line = self.scheduler.next_line().await;
             if line.contains("no answer of discovery") && line.contains(&count) {
                 return;
             }
@@ -209,7 +209,7 @@
     let took = since.elapsed();
     assert!(took < Duration::from_micros(TOLD - MARGIN), "{what}: {took:?}");
     house.keeps_the_drain().await;
-    watch.list(&list(revision + 1, true, &house.r0("SERVING"))).await;
+    watch.list(&endpoint_list(revision + 1, true, &house.r0("SERVING"))).await;
     let watch = discovery.call().await;
     assert!(watch.first.contains(&format!("from={}&", revision + 1)), "{what}: {}", watch.first);
     house.serves().await;
@@ -236,7 +236,7 @@
 ];
 
 async fn fails(fault: &str, mut watch: Call, members: &[String]) -> Option<Call> {
-    let body = list(6, true, members);
+    let body = endpoint_list(6, true, members);
     let long = body.len() + 9;
     let (half, pause) = (&body[..body.len() / 2], Duration::from_millis(20));
     let head = |length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
@@ -420,14 +420,14 @@
         let mut house = House::start(kind, &discovery).await;
         let watch = discovery.tell(7, &house.r0("DRAINING")).await;
         house.keeps_the_drain().await;
-        watch.list(&list(6, true, &house.r0("SERVING"))).await;
+        watch.list(&endpoint_list(6, true, &house.r0("SERVING"))).await;
         let next = discovery.call().await;
         house.keeps_the_drain().await;
-        next.list(&list(7, false, &house.r0("DRAINING"))).await;
+        next.list(&endpoint_list(7, false, &house.r0("DRAINING"))).await;
         let next = discovery.call().await;
         assert!(next.first.contains("from=7&"), "{kind}: {}", next.first);
         house.keeps_the_drain().await;
-        next.list(&list(8, false, &house.r0("SERVING"))).await;
+        next.list(&endpoint_list(8, false, &house.r0("SERVING"))).await;
         discovery.call().await;
         house.serves().await;
     }))
@@ -444,7 +444,7 @@
         let mut call = discovery.tell(6, &house.r0("SERVING")).await;
         let since = Instant::now();
         for _ in 0..5 {
-            call.list(&list(6, false, &[])).await;
+            call.list(&endpoint_list(6, false, &[])).await;
             call = discovery.call().await;
         }
         assert!(
@@ -475,10 +475,10 @@
         let watch = old.tell(99, &serving).await;
         house.moves(old.address, new.address).await;
         // The old one answers the call that was out; the new one counts lower.
-        watch.list(&list(100, true, &serving)).await;
+        watch.list(&endpoint_list(100, true, &serving)).await;
         let whole = new.call().await;
         assert_eq!(whole.first, WHOLE, "{kind}");
-        whole.list(&list(2, true, &draining)).await;
+        whole.list(&endpoint_list(2, true, &draining)).await;
         let watch = new.call().await;
         assert!(watch.first.contains("from=2&"), "{kind}: {}", watch.first);
         house.keeps_the_drain().await;
@@ -519,13 +519,13 @@
     // The module would ask some 1.8 s after the start, by the seed of the configuration.
     assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
     assert!(old.listener.as_ref().expect("it is up").accept().now_or_never().is_none());
-    whole.list(&list(2, true, &house.r0("DRAINING"))).await;
+    whole.list(&endpoint_list(2, true, &house.r0("DRAINING"))).await;
     let mut watch = new.call().await;
     house.keeps_the_drain().await;
     // The module's own word, when it comes, is no second call.
     for revision in 3..5 {
         assert!(watch.first.contains(&format!("from={}&", revision - 1)), "{}", watch.first);
-        watch.list(&list(revision, false, &[])).await;
+        watch.list(&endpoint_list(revision, false, &[])).await;
         watch = new.call().await;
     }
 }
@@ -577,9 +577,9 @@
         house.serves().await;
         let since = Instant::now();
         let work = async {
-            house.scheduler.again(signal).await;
+            house.scheduler.restart(signal).await;
             house.client = house.scheduler.client().await;
-            assert_eq!(house.client.ask(READY).await.status(), 200);
+            assert_eq!(house.client.exchange(READY).await.status(), 200);
             house.serves().await;
         };
         let slow = async {
--- a/crates/scheduler/tests/event_log.rs
+++ b/crates/scheduler/tests/event_log.rs
@@ -13,11 +13,11 @@
     path
 }
 
-async fn start(worker: &Party, file: &Path) -> Scheduler {
+async fn start(worker: &FakeServer, file: &Path) -> Scheduler {
     start_within(worker, file, "").await
 }
 
-async fn start_within(worker: &Party, file: &Path, limits: &str) -> Scheduler {
+async fn start_within(worker: &FakeServer, file: &Path, limits: &str) -> Scheduler {
     let (at, file) = (worker.address, file.display().to_string());
     let text = move |listen| {
         format!(
@@ -41,19 +41,19 @@
 
 #[tokio::test]
 async fn a_flow_is_recorded_from_its_taking_to_its_answer() {
-    let mut worker = Party::new().await;
+    let mut worker = FakeServer::start().await;
     let file = scratch("flow");
     let mut scheduler = start(&worker, &file).await;
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    let id = worker.asked().await.accept();
+    client.send_request("once", 1, 9000).await;
+    let id = worker.next_request().await.accept();
     scheduler.call_back(&id, "r0", DONE).await;
-    client.heard().await.expect("an answer");
+    client.next_response().await.expect("an answer");
     // What is counted is a record too.
-    assert_eq!(scheduler.news("no JSON").await, 400);
+    assert_eq!(scheduler.post_callback("no JSON").await, 400);
     // One that is refused: it would end later than its client waits.
-    client.job("once", 2, 0).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 503);
+    client.send_request("once", 2, 0).await;
+    assert_eq!(client.next_response().await.expect("an answer").status(), 503);
     scheduler.terminate().await;
     assert!(scheduler.child.wait().await.expect("it ends").success());
     let (out, err) = read(&["records", "cat", "--flow", "0000000000000001"], &file);
@@ -82,13 +82,13 @@
 
 #[tokio::test]
 async fn a_killed_run_is_read_up_to_its_end_and_the_next_one_goes_on() {
-    let mut worker = Party::new().await;
+    let mut worker = FakeServer::start().await;
     let file = scratch("killed");
     for run in 1..3 {
         let mut scheduler = start(&worker, &file).await;
         let mut client = scheduler.client().await;
-        client.job("once", run, 9000).await;
-        worker.asked().await;
+        client.send_request("once", run, 9000).await;
+        worker.next_request().await;
         // Its records are on the way once the job is; the kill comes when they have arrived.
         while !std::fs::read_to_string(&file)
             .is_ok_and(|text| text.matches("scheduling_sent").count() == run as usize)
@@ -113,32 +113,33 @@
 
 #[tokio::test]
 async fn a_full_disk_stops_no_job_and_the_platform_keeps_no_records() {
-    let mut worker = Party::new().await;
+    let mut worker = FakeServer::start().await;
     let scheduler = start(&worker, Path::new("/dev/full")).await;
     let mut client = scheduler.client().await;
     for number in 1..20 {
-        scheduler.serves(&mut client, &mut worker, number, DONE).await;
+        scheduler.serve_request(&mut client, &mut worker, number, DONE).await;
     }
     drop(scheduler);
     // Where the platform's file is read, no variable begins a record: its disk does not last.
     let file = scratch("platform");
     let command = format!("COPPERSPREAD_RECORDS__FILE='{}' exec \"$PROGRAM\" serve", file.display());
-    let mut scheduler = Scheduler::start_by(&command, 1024, &[worker.address]).await;
+    let mut scheduler = Scheduler::start_by_command(&command, 1024, &[worker.address]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    let id = worker.asked().await.accept();
+    client.send_request("once", 1, 9000).await;
+    let id = worker.next_request().await.accept();
     scheduler.call_back(&id, "r0", DONE).await;
-    client.heard().await.expect("an answer");
+    client.next_response().await.expect("an answer");
     scheduler.terminate().await;
     assert!(scheduler.child.wait().await.expect("it ends").success() && !file.exists());
 }
 
 #[tokio::test]
 async fn a_file_that_another_scheduler_writes_ends_the_start() {
-    let worker = Party::new().await;
+    let worker = FakeServer::start().await;
     let file = scratch("two");
     let _first = start(&worker, &file).await;
-    let set = [format!("records.file={}", file.display()), format!("front.http.listen={}", reserve().1)];
+    let set =
+        [format!("records.file={}", file.display()), format!("front.http.listen={}", reserve_address().1)];
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"))
         .env_remove("EDGE_CONFIG")
         .args(["serve", "--set", &set[0], "--set", &set[1]])
@@ -152,20 +153,20 @@
 // The platform's least: 32 MB and 256 descriptors, with records and the log on besides.
 #[tokio::test]
 async fn the_least_limits_hold_with_records_on() {
-    let mut worker = Party::new().await;
+    let mut worker = FakeServer::start().await;
     let file = scratch("least");
     let scheduler = start_within(&worker, &file, "[limits]\nmemory = '32 MB'\ndescriptors = 256\n").await;
     let mut clients = Vec::new();
     for number in 0..150 {
         let mut client = scheduler.client().await;
-        client.job("once", number, 9000).await;
-        clients.push((client, worker.asked().await.accept()));
+        client.send_request("once", number, 9000).await;
+        clients.push((client, worker.next_request().await.accept()));
     }
     let pid = scheduler.child.id().expect("it runs");
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("its descriptors").count();
     for (client, id) in &mut clients {
         scheduler.call_back(id, "r0", DONE).await;
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("its status");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
@@ -177,16 +178,16 @@
 /// For a machine with no disk that lasts, whose output is kept: the platform's form, on standard error.
 #[tokio::test]
 async fn records_asked_for_on_standard_error_come_between_the_log_and_say_what_a_list_held() {
-    let mut worker = Party::new().await;
+    let mut worker = FakeServer::start().await;
     let mut scheduler =
-        Scheduler::start_by("exec \"$PROGRAM\" serve --records -", 1024, &[worker.address]).await;
+        Scheduler::start_by_command("exec \"$PROGRAM\" serve --records -", 1024, &[worker.address]).await;
     let mut client = scheduler.client().await;
     let done = r#""state":"done","result":"paid","load":{"x0":1.5,"queue":3}"#;
-    scheduler.serves(&mut client, &mut worker, 1, done).await;
+    scheduler.serve_request(&mut client, &mut worker, 1, done).await;
     scheduler.terminate().await;
     let mut records = Vec::new();
-    while let Some(line) = scheduler.next_line().await {
-        let value: serde_json::Value = serde_json::from_str(&line).unwrap_or_default();
+    while let Some(next_line) = scheduler.try_next_line().await {
+        let value: serde_json::Value = serde_json::from_str(&next_line).unwrap_or_default();
         if value["v"] == 1 {
             records.push(value["what"].clone());
         }
@@ -200,13 +201,13 @@
 
 #[tokio::test]
 async fn the_records_of_a_folder_are_summed_over_the_fleet() {
-    let mut worker = Party::new().await;
+    let mut worker = FakeServer::start().await;
     let folder = scratch("fleet");
     std::fs::create_dir(&folder).expect("a folder");
     for number in 0..2 {
         let mut scheduler = start(&worker, &folder.join(format!("n{number}.jsonl"))).await;
         let mut client = scheduler.client().await;
-        scheduler.serves(&mut client, &mut worker, number + 1, DONE).await;
+        scheduler.serve_request(&mut client, &mut worker, number + 1, DONE).await;
         scheduler.terminate().await;
         assert!(scheduler.child.wait().await.expect("it ends").success());
     }
--- a/crates/scheduler/tests/membership.rs
+++ b/crates/scheduler/tests/membership.rs
@@ -26,7 +26,7 @@
 }
 
 async fn ask(of: &Scheduler) -> Message {
-    of.client().await.ask("GET /-/cluster HTTP/1.1\r\nHost: s\r\n\r\n").await
+    of.client().await.exchange("GET /-/cluster HTTP/1.1\r\nHost: s\r\n\r\n").await
 }
 
 async fn view(of: &Scheduler) -> Value {
@@ -78,7 +78,7 @@
     assert!(within("the end", two.child.wait()).await.expect("it ends").success());
     sees(&one, &[]).await;
     let mut told = Vec::new();
-    while let Some(line) = two.next_line().await {
+    while let Some(line) = two.try_next_line().await {
         told.push(line);
     }
     for part in ["left the cluster", "membership ended"] {
--- a/crates/scheduler/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -19,7 +19,7 @@
 
 fn valid() -> (String, String) {
     let here = "127.0.0.1:80".parse().expect("an address");
-    let known = sockets::list(3, true, &[sockets::member("r0", here, "SERVING")]);
+    let known = sockets::endpoint_list(3, true, &[sockets::endpoint("r0", here, "SERVING")]);
     (sockets::config(here, here, &known), known)
 }
 
--- a/crates/scheduler/tests/policy.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -52,7 +52,7 @@
 impl House {
     async fn open(discovery: &str, members: &[String]) -> House {
         let any = "127.0.0.1:0".parse().expect("an address");
-        let text = config(any, any, &list(1, true, members)).replace("pushed", discovery);
+        let text = config(any, any, &endpoint_list(1, true, members)).replace("pushed", discovery);
         let start = platform::read_startup_config(&text).expect("it is good");
         let (wanted, subscribe) = (Arc::<Mutex<_>>::default(), Arc::new(AtomicBool::new(true)));
         let ((ends_to, ends), (rosters_to, rosters)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
@@ -88,23 +88,23 @@
         ("404 Not Found", "", "", Outcome::Error, None),
         ("", "", "a broken connection", Outcome::Reset, None),
     ];
-    let (_reserved, refuses) = reserve();
-    let (mut silent, mut drains) = (Party::new().await, Party::new().await);
-    let mut members = vec![member("refuses", refuses, "SERVING"), member("s", silent.address, "SERVING")];
-    members.push(member("drains", drains.address, "DRAINING"));
+    let (_reserved, refuses) = reserve_address();
+    let (mut silent, mut drains) = (FakeServer::start().await, FakeServer::start().await);
+    let mut members = vec![endpoint("refuses", refuses, "SERVING"), endpoint("s", silent.address, "SERVING")];
+    members.push(endpoint("drains", drains.address, "DRAINING"));
     let mut parties = Vec::new();
     for number in 0..cases.len() {
-        parties.push(Party::new().await);
-        members.push(member(&format!("r{number}"), parties[number].address, "SERVING"));
+        parties.push(FakeServer::start().await);
+        members.push(endpoint(&format!("r{number}"), parties[number].address, "SERVING"));
     }
     let mut house = House::open("pushed", &members).await;
     // The silent one is asked twice, and nobody has the number 90.
     house.ask(&[0, 1, 1, 2, 90, 3, 4, 5, 6, 7, 8, 9]);
     for (party, (status, header, body, ..)) in parties.iter_mut().zip(&cases) {
-        let asked = party.asked().await;
-        assert_eq!(asked.message.first, "GET /-/load HTTP/1.1");
+        let asked = party.next_request().await;
+        assert_eq!(asked.message.first_line, "GET /-/load HTTP/1.1");
         if !status.is_empty() {
-            asked.answer(status, header, body);
+            asked.respond(status, header, body);
         }
     }
     let mut ends = HashMap::<u32, Vec<_>>::new();
@@ -122,20 +122,20 @@
         assert_eq!(ends[&(number as u32 + 3)], [(*outcome, *report)], "case {number}");
     }
     // A late answer is dropped, and its connection carries the next probe.
-    let late = silent.asked().await;
-    assert!(silent.idle() && drains.idle());
+    let late = silent.next_request().await;
+    assert!(silent.is_idle() && drains.is_idle());
     house.ask(&[1]);
     assert_eq!(house.end().await, (1, Outcome::Superseded, None), "it has one still");
-    let connection = late.from;
-    late.answer(ok, "", "TEXT x0=1");
+    let connection = late.peer;
+    late.respond(ok, "", "TEXT x0=1");
     let next = loop {
         house.ask(&[1]);
         tokio::select! {
-            asked = silent.asked() => break asked,
+            asked = silent.next_request() => break asked,
             end = house.end() => assert_eq!(end, (1, Outcome::Superseded, None)),
         }
     };
-    assert_eq!(next.from, connection);
+    assert_eq!(next.peer, connection);
     house.node.begin_shutdown();
     house.ask(&[3]);
     assert_eq!(house.end().await, (3, Outcome::Superseded, None), "none while it ends");
@@ -144,8 +144,8 @@
 // Guards against probes that pile up at silent real servers and take the descriptors of the rest.
 #[tokio::test]
 async fn no_more_probes_are_under_way_than_have_a_place() {
-    let silent = Party::new().await;
-    let members: Vec<_> = (0..40).map(|n| member(&format!("r{n}"), silent.address, "SERVING")).collect();
+    let silent = FakeServer::start().await;
+    let members: Vec<_> = (0..40).map(|n| endpoint(&format!("r{n}"), silent.address, "SERVING")).collect();
     let mut house = House::open("pushed", &members).await;
     house.ask(&(0..40).collect::<Vec<_>>());
     let mut moot = 0;
@@ -158,76 +158,76 @@
 /// Where lists come only when they are asked for: a discovery, its place, and what the module is told.
 #[tokio::test]
 async fn an_asked_discovery_is_asked_again_as_soon_as_a_watch_breaks() {
-    let (mut discovery, mut other) = (Party::new().await, Party::new().await);
+    let (mut discovery, mut other) = (FakeServer::start().await, FakeServer::start().await);
     let (place, address) = watch::channel(discovery.address.to_string().parse().expect("an address"));
     let mut house = House::open("on_request", &[]).await;
     let membership = house.node.endpoint_publisher.clone();
     tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(membership));
     const WATCH: &str = "GET /api/targets?from=1&hold_ms=2000 HTTP/1.1";
     const WHOLE: &str = "GET /api/targets HTTP/1.1";
-    let nothing = list(1, false, &[]);
+    let nothing = endpoint_list(1, false, &[]);
     // The module hears that its subscription has come about, though there is nothing new.
     assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
-    let first = discovery.asked().await;
-    assert_eq!(first.message.first, WHOLE);
-    first.answer("200 OK", "", &nothing);
+    let first = discovery.next_request().await;
+    assert_eq!(first.message.first_line, WHOLE);
+    first.respond("200 OK", "", &nothing);
     assert_eq!(house.told().await, (EndpointUpdateKind::Changes, 0));
     // After a watch that breaks or falls silent the whole list is asked for, long before what was missed
     // counts as told: a second watch could fall silent for as long again.
-    let watch = discovery.asked().await;
-    assert_eq!(watch.message.first, WATCH);
+    let watch = discovery.next_request().await;
+    assert_eq!(watch.message.first_line, WATCH);
     drop(watch);
-    let again = discovery.asked().await;
-    assert_eq!(again.message.first, WHOLE);
-    again.answer("200 OK", "", &nothing);
+    let again = discovery.next_request().await;
+    assert_eq!(again.message.first_line, WHOLE);
+    again.respond("200 OK", "", &nothing);
     let since = std::time::Instant::now();
-    let silent = discovery.asked().await;
-    assert_eq!(silent.message.first, WATCH);
-    let again = discovery.asked().await;
+    let silent = discovery.next_request().await;
+    assert_eq!(silent.message.first_line, WATCH);
+    let again = discovery.next_request().await;
     assert!(since.elapsed().as_millis() < 4_000, "{:?}", since.elapsed());
-    assert_eq!(again.message.first, WHOLE);
-    again.answer("200 OK", "", &list(1, false, &[member("r0", discovery.address, "DRAINING")]));
+    assert_eq!(again.message.first_line, WHOLE);
+    again.respond("200 OK", "", &endpoint_list(1, false, &[endpoint("r0", discovery.address, "DRAINING")]));
     assert_eq!(house.told().await, (EndpointUpdateKind::Changes, 1), "no failure before");
     // One that is turned away is not: the module waits, and asks.
-    discovery.asked().await.answer("503 Service Unavailable", "", "");
+    discovery.next_request().await.respond("503 Service Unavailable", "", "");
     assert_eq!(house.told().await, (EndpointUpdateKind::Failed, 0));
     house.subscribe.store(false, Ordering::Relaxed);
-    discovery.asked().await.answer("503 Service Unavailable", "", "");
+    discovery.next_request().await.respond("503 Service Unavailable", "", "");
     assert_eq!(house.told().await, (EndpointUpdateKind::Failed, 0));
     // A discovery that moves is not waited for.
     place.send_replace(other.address.to_string().parse().expect("an address"));
-    let whole = other.asked().await;
-    assert_eq!(whole.message.first, "GET /api/targets HTTP/1.1");
-    whole.answer("200 OK", "", &list(1, true, &[]));
+    let whole = other.next_request().await;
+    assert_eq!(whole.message.first_line, "GET /api/targets HTTP/1.1");
+    whole.respond("200 OK", "", &endpoint_list(1, true, &[]));
     assert_eq!(house.told().await, (EndpointUpdateKind::Full, 0));
-    assert!(discovery.idle());
+    assert!(discovery.is_idle());
 }
 
 // Guards against a word to ask that came while a call was out, and that would pass for the module's answer to
 // the next failure: the module spreads its calls.
 #[tokio::test]
 async fn an_older_word_to_ask_is_no_answer_to_a_later_failure() {
-    let mut discovery = Party::new().await;
+    let mut discovery = FakeServer::start().await;
     let (_place, address) = watch::channel(discovery.address.to_string().parse().expect("an address"));
     let mut house = House::open("on_request", &[]).await;
     let membership = house.node.endpoint_publisher.clone();
     tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(membership));
     assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
-    discovery.asked().await.answer("200 OK", "", &list(1, true, &[]));
+    discovery.next_request().await.respond("200 OK", "", &endpoint_list(1, true, &[]));
     assert_eq!(house.told().await, (EndpointUpdateKind::Full, 0));
-    let watch = discovery.asked().await;
+    let watch = discovery.next_request().await;
     // The stub asks at this event, with a call out.
     house.node.endpoint_publisher.publish_cached(None);
     assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
     house.subscribe.store(false, Ordering::Relaxed);
-    watch.answer("503 Service Unavailable", "", "");
+    watch.respond("503 Service Unavailable", "", "");
     assert_eq!(house.told().await, (EndpointUpdateKind::Failed, 0));
-    let early = tokio::time::timeout(std::time::Duration::from_millis(300), discovery.asked()).await;
+    let early = tokio::time::timeout(std::time::Duration::from_millis(300), discovery.next_request()).await;
     assert!(early.is_err(), "the module has not asked yet");
     // It does now.
     house.subscribe.store(true, Ordering::Relaxed);
     house.node.endpoint_publisher.publish_cached(None);
-    assert_eq!(discovery.asked().await.message.first, "GET /api/targets HTTP/1.1");
+    assert_eq!(discovery.next_request().await.message.first_line, "GET /api/targets HTTP/1.1");
 }
 
 // Guards against a subscription waited for a second time, which the module has no reason to ask for.
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -6,12 +6,12 @@
 
 #[tokio::test]
 async fn a_job_passes_on_unchanged_and_its_result_comes_back() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    let asked = server.asked().await;
-    assert_eq!(asked.message.first, "POST /once/k?q=1 HTTP/1.1");
+    client.send_request("once", 1, 9000).await;
+    let asked = server.next_request().await;
+    assert_eq!(asked.message.first_line, "POST /once/k?q=1 HTTP/1.1");
     assert_eq!(asked.message.body, "hi");
     assert_eq!(asked.message.headers["idempotency-key"], "k7");
     let timeout = &asked.message.headers["x-timeout"];
@@ -21,54 +21,54 @@
     assert_eq!(id, "0000000000000001");
     assert_eq!(scheduler.call_back(&id, "r0", r#""state":"started""#).await, 204);
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    let answer = client.heard().await.expect("an answer");
+    let answer = client.next_response().await.expect("an answer");
     assert_eq!((answer.status(), answer.body.as_str()), (200, "résult"));
 }
 
 // Guards against a call-back that overtakes the 202, comes again, or is another scheduling's.
 #[tokio::test]
 async fn call_backs_early_twice_or_foreign_make_one_answer() {
-    let (mut server, other) = (Party::new().await, Party::new().await);
+    let (mut server, other) = (FakeServer::start().await, FakeServer::start().await);
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 2, 9000).await;
-    let asked = server.asked().await;
+    client.send_request("once", 2, 9000).await;
+    let asked = server.next_request().await;
     let id = asked.message.headers["x-request-id"].clone();
     for foreign in ["r1", "r9"] {
         assert_eq!(scheduler.call_back(&id, foreign, r#""state":"failed""#).await, 204);
     }
     assert_eq!(scheduler.call_back("00000000000000ff", "r0", DONE).await, 204);
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     assert_eq!(scheduler.call_back(&id, "r0", r#""state":"failed""#).await, 204);
     asked.accept();
     // The connection carries the next job, and only one answer came.
-    client.job("once", 3, 9000).await;
-    let id = server.asked().await.accept();
+    client.send_request("once", 3, 9000).await;
+    let id = server.next_request().await.accept();
     scheduler.call_back(&id, "r0", r#""state":"failed""#).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 500);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 500);
     drop(other);
 }
 
 // Guards against a handler that is dropped with its client: the flow lives on and gives up.
 #[tokio::test]
 async fn a_client_that_goes_has_its_scheduling_given_up() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     // The first word of it may also come before the 202, which then crosses the closed connection.
     for early in [false, true] {
         let mut client = scheduler.client().await;
-        client.job("safe", 4 + u64::from(early), 9000).await;
-        let mut asked = Some(server.asked().await);
+        client.send_request("safe", 4 + u64::from(early), 9000).await;
+        let mut asked = Some(server.next_request().await);
         let id = asked.as_ref().expect("it came").message.headers["x-request-id"].clone();
         if !early {
             asked.take().expect("it came").accept();
         }
         assert_eq!(scheduler.call_back(&id, "r0", r#""state":"started""#).await, 204);
         drop(client);
-        let gave_up = server.asked().await;
-        assert_eq!(gave_up.message.first, format!("DELETE /jobs/{id} HTTP/1.1"), "early: {early}");
-        gave_up.answer("200 OK", "", "");
+        let gave_up = server.next_request().await;
+        assert_eq!(gave_up.message.first_line, format!("DELETE /jobs/{id} HTTP/1.1"), "early: {early}");
+        gave_up.respond("200 OK", "", "");
         assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
     }
 }
@@ -77,37 +77,41 @@
 // refused one or a job handed back unstarted proves that it never ran.
 #[tokio::test]
 async fn an_unsafe_job_goes_on_only_where_it_never_ran() {
-    let mut one = Party::new().await;
+    let mut one = FakeServer::start().await;
     let scheduler = Scheduler::start(&[one.address]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 5, 9000).await;
-    drop(one.asked().await);
-    assert_eq!(client.heard().await.expect("an answer").status(), 500);
+    client.send_request("once", 5, 9000).await;
+    drop(one.next_request().await);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 500);
     // A 503 that proves nothing is not passed through, as the client could try again.
-    client.job("once", 6, 9000).await;
-    one.asked().await.answer("503 Service Unavailable", "", "");
-    assert_eq!(client.heard().await.expect("an answer").status(), 500);
+    client.send_request("once", 6, 9000).await;
+    one.next_request().await.respond("503 Service Unavailable", "", "");
+    assert_eq!(client.next_response().await.expect("an answer").status(), 500);
     // Handed back unstarted: there is no other real server, so the module refuses.
-    client.job("once", 7, 9000).await;
-    one.asked().await.answer("503 Service Unavailable", "X-Not-Processed: 1\r\nX-Server-Load: ??\r\n", "");
-    let answer = client.heard().await.expect("an answer");
+    client.send_request("once", 7, 9000).await;
+    one.next_request().await.respond(
+        "503 Service Unavailable",
+        "X-Not-Processed: 1\r\nX-Server-Load: ??\r\n",
+        "",
+    );
+    let answer = client.next_response().await.expect("an answer");
     assert_eq!(answer.status(), 503);
     let after: f64 = answer.headers["retry-after"].parse().expect("seconds");
     assert!((0.0..=2.0).contains(&after), "{after}");
     // Nor is a job that breaks on a connection used before sent again by the client's library.
-    client.job("once", 8, 9000).await;
-    drop(one.asked().await);
-    assert_eq!(client.heard().await.expect("an answer").status(), 500);
-    assert!(one.idle(), "nothing came twice");
+    client.send_request("once", 8, 9000).await;
+    drop(one.next_request().await);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 500);
+    assert!(one.is_idle(), "nothing came twice");
     // Two that refuse connections and one that serves.
-    let (_reserved, closed) = reserve();
+    let (_reserved, closed) = reserve_address();
     let scheduler = Scheduler::start(&[closed, one.address]).await;
     let mut client = scheduler.client().await;
     for id in 10..14 {
-        client.job("once", id, 9000).await;
-        let id = one.asked().await.accept();
+        client.send_request("once", id, 9000).await;
+        let id = one.next_request().await.accept();
         scheduler.call_back(&id, "r1", DONE).await;
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
 }
 
@@ -115,23 +119,23 @@
 // once, or may go on only within a cell, goes out on a connection of its own.
 #[tokio::test]
 async fn a_job_that_runs_once_shuns_kept_connections_that_broke() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
     let mut connections = Vec::new();
     let classes = ["once", "once", "safe", "once", "once", "keyed", "keyed"];
     for (id, class) in (140..).zip(classes) {
-        client.job(class, id, 9000).await;
-        let asked = server.asked().await;
-        connections.push(asked.from);
+        client.send_request(class, id, 9000).await;
+        let asked = server.next_request().await;
+        connections.push(asked.peer);
         if class == "safe" {
             drop(asked);
-            assert_eq!(client.heard().await.expect("an answer").status(), 503);
+            assert_eq!(client.next_response().await.expect("an answer").status(), 503);
             continue;
         }
         let id = asked.accept();
         scheduler.call_back(&id, "r0", DONE).await;
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
     assert_eq!(connections[..2], [connections[2]; 2], "one connection is kept");
     let own = connections[3..].iter().collect::<std::collections::HashSet<_>>();
@@ -140,110 +144,111 @@
 
 #[tokio::test]
 async fn a_safe_job_goes_on_after_a_reset() {
-    let (mut one, mut two) = (Party::new().await, Party::new().await);
+    let (mut one, mut two) = (FakeServer::start().await, FakeServer::start().await);
     let scheduler = Scheduler::start(&[one.address, two.address]).await;
     let mut client = scheduler.client().await;
-    client.job("safe", 20, 9000).await;
+    client.send_request("safe", 20, 9000).await;
     let (first, other, name) = tokio::select! {
-        asked = one.asked() => (asked, &mut two, "r1"),
-        asked = two.asked() => (asked, &mut one, "r0"),
+        asked = one.next_request() => (asked, &mut two, "r1"),
+        asked = two.next_request() => (asked, &mut one, "r0"),
     };
     let id = first.accept();
     scheduler.call_back(&id, if name == "r1" { "r0" } else { "r1" }, r#""state":"lost""#).await;
-    let again = other.asked().await.accept();
+    let again = other.next_request().await.accept();
     assert_eq!(id, again);
     scheduler.call_back(&id, name, DONE).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
 }
 
 // Guards against a client that gives up before its answer came.
 #[tokio::test]
 async fn the_final_answer_comes_before_the_client_gives_up() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
     let sent = std::time::Instant::now();
-    client.job("once", 30, 2000).await;
-    let id = server.asked().await.accept();
-    assert_eq!(client.heard().await.expect("an answer").status(), 500);
+    client.send_request("once", 30, 2000).await;
+    let id = server.next_request().await.accept();
+    assert_eq!(client.next_response().await.expect("an answer").status(), 500);
     assert!(sent.elapsed().as_millis() < 2000, "{:?}", sent.elapsed());
-    assert_eq!(server.asked().await.message.first, format!("DELETE /jobs/{id} HTTP/1.1"));
+    assert_eq!(server.next_request().await.message.first_line, format!("DELETE /jobs/{id} HTTP/1.1"));
 }
 
 #[tokio::test]
 async fn the_list_is_followed_and_a_bad_or_silent_answer_keeps_it() {
-    let (mut one, mut two) = (Party::new().await, Party::new().await);
+    let (mut one, mut two) = (FakeServer::start().await, FakeServer::start().await);
     let mut scheduler = Scheduler::start(&[one.address]).await;
     // What the agent has counts as told from the first moment: it is asked for at once, and not held.
     const WHOLE: &str = "GET /api/targets HTTP/1.1";
-    let first = scheduler.discovery.asked().await;
-    assert_eq!(first.message.first, WHOLE);
-    first.answer("200 OK", "", r#"{"revision":6,"complete":true,"members":[{"id":1}]}"#);
+    let first = scheduler.discovery.next_request().await;
+    assert_eq!(first.message.first_line, WHOLE);
+    first.respond("200 OK", "", r#"{"revision":6,"complete":true,"members":[{"id":1}]}"#);
     let told = std::time::Instant::now();
-    let again = scheduler.discovery.asked().await;
+    let again = scheduler.discovery.next_request().await;
     assert!(told.elapsed().as_millis() < 200, "it goes on: {:?}", told.elapsed());
     // A list may come indented.
-    let indented = list(5, true, &[member("r0", one.address, "SERVING")]).replace(',', " ,\r\n\t ");
-    again.answer("200 OK", "", &indented);
-    let watch = scheduler.discovery.asked().await;
-    assert_eq!(watch.message.first, "GET /api/targets?from=5&hold_ms=2000 HTTP/1.1");
+    let indented =
+        endpoint_list(5, true, &[endpoint("r0", one.address, "SERVING")]).replace(',', " ,\r\n\t ");
+    again.respond("200 OK", "", &indented);
+    let watch = scheduler.discovery.next_request().await;
+    assert_eq!(watch.message.first_line, "GET /api/targets?from=5&hold_ms=2000 HTTP/1.1");
     // The entry moves to another address and keeps its name.
-    watch.answer("200 OK", "", &list(6, false, &[member("r0", two.address, "SERVING")]));
-    let silent = scheduler.discovery.asked().await;
+    watch.respond("200 OK", "", &endpoint_list(6, false, &[endpoint("r0", two.address, "SERVING")]));
+    let silent = scheduler.discovery.next_request().await;
     let mut client = scheduler.client().await;
-    client.job("once", 40, 9000).await;
-    let id = two.asked().await.accept();
+    client.send_request("once", 40, 9000).await;
+    let id = two.next_request().await.accept();
     scheduler.call_back(&id, "r0", DONE).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     // A watch that stays silent is dropped; the agent is asked at once what it has, again and again.
     for _ in 0..2 {
-        assert_eq!(scheduler.discovery.asked().await.message.first, WHOLE);
+        assert_eq!(scheduler.discovery.next_request().await.message.first_line, WHOLE);
     }
     let since = std::time::Instant::now();
-    let next = scheduler.discovery.asked().await;
+    let next = scheduler.discovery.next_request().await;
     assert!(since.elapsed().as_millis() < 1_000, "{:?}", since.elapsed());
     drop(silent);
     // Nothing new goes to an entry that drains: with no other, the job is refused.
-    next.answer("200 OK", "", &list(7, false, &[member("r0", two.address, "DRAINING")]));
-    scheduler.discovery.asked().await;
-    client.job("once", 41, 9000).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 503);
-    assert!(one.idle() && two.idle());
+    next.respond("200 OK", "", &endpoint_list(7, false, &[endpoint("r0", two.address, "DRAINING")]));
+    scheduler.discovery.next_request().await;
+    client.send_request("once", 41, 9000).await;
+    assert_eq!(client.next_response().await.expect("an answer").status(), 503);
+    assert!(one.is_idle() && two.is_idle());
 }
 
 // Guards against an end that loses what was taken, or that turns latecomers and call-backs away.
 #[tokio::test]
 async fn sigterm_answers_what_was_taken_and_ends_well() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let (mut client, mut idle) = (scheduler.client().await, scheduler.client().await);
-    assert_eq!(idle.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").await.status(), 200);
-    client.job("once", 50, 9000).await;
-    let id = server.asked().await.accept();
+    assert_eq!(idle.exchange("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").await.status(), 200);
+    client.send_request("once", 50, 9000).await;
+    let id = server.next_request().await.accept();
     let termed = std::time::Instant::now();
     scheduler.terminate().await;
-    assert!(idle.heard().await.is_none(), "an idle edge connection closes");
+    assert!(idle.next_response().await.is_none(), "an idle edge connection closes");
     let mut late = scheduler.client().await;
-    assert_eq!(late.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").await.status(), 503);
+    assert_eq!(late.exchange("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").await.status(), 503);
     let mut late = scheduler.client().await;
-    late.job("once", 51, 9000).await;
-    let second = server.asked().await.accept();
+    late.send_request("once", 51, 9000).await;
+    let second = server.next_request().await.accept();
     for (id, client) in [(id, &mut client), (second, &mut late)] {
         assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-        let answer = client.heard().await.expect("an answer");
+        let answer = client.next_response().await.expect("an answer");
         assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
     }
     // What cannot end before this node does is turned away at once, for a client to go elsewhere.
     let mut heavy = scheduler.client().await;
-    heavy.send(&job("once", 53, 9000).replace("X-Cost: 1000", "X-Cost: 8000000")).await;
-    let answer = heavy.heard().await.expect("an answer");
+    heavy.send(&request_text("once", 53, 9000).replace("X-Cost: 1000", "X-Cost: 8000000")).await;
+    let answer = heavy.next_response().await.expect("an answer");
     assert_eq!((answer.status(), answer.headers["retry-after"].as_str()), (503, "0"));
-    assert!(server.idle(), "it was not sent on");
+    assert!(server.is_idle(), "it was not sent on");
     // What does not end in time is answered all the same.
     let mut last = scheduler.client().await;
-    last.job("once", 52, 9000).await;
-    server.asked().await.accept();
-    assert_eq!(last.heard().await.expect("an answer").status(), 500);
+    last.send_request("once", 52, 9000).await;
+    server.next_request().await.accept();
+    assert_eq!(last.next_response().await.expect("an answer").status(), 500);
     assert!(scheduler.child.wait().await.expect("it ends").success());
     // Of a longest deadline over 3 s no more counts for the kill.
     assert!(termed.elapsed().as_millis() < 3_700, "{:?}", termed.elapsed());
@@ -251,9 +256,9 @@
 
 #[tokio::test]
 async fn bad_requests_and_call_backs_get_their_status_and_do_no_harm() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
-    let good = job("safe", 60, 9000);
+    let good = request_text("safe", 60, 9000);
     let cases = [
         (good.replace("X-Timeout: 9000m", "X-Timeout: 9s"), 400),
         (good.replace("X-Timeout", "X-Other"), 400),
@@ -267,52 +272,53 @@
         ("\u{1}\u{2}garbage\r\n\r\n".into(), 400),
     ];
     for (text, status) in cases {
-        assert_eq!(scheduler.client().await.ask(&text).await.status(), status, "{text}");
+        assert_eq!(scheduler.client().await.exchange(&text).await.status(), status, "{text}");
     }
     let deep = "[".repeat(60_000);
     for body in ["", "{", "[]", deep.as_str(), r#"{"id":"1","from":"r0","state":"done"}"#] {
-        assert_eq!(scheduler.news(body).await, 400, "{body:.50}");
+        assert_eq!(scheduler.post_callback(body).await, 400, "{body:.50}");
     }
-    assert!(server.idle(), "nothing of this was passed on");
+    assert!(server.is_idle(), "nothing of this was passed on");
     let mut client = scheduler.client().await;
     client.send(&good).await;
-    let id = server.asked().await.accept();
+    let id = server.next_request().await.accept();
     // An id that is in use is not taken twice.
-    assert_eq!(scheduler.client().await.ask(&good).await.status(), 400);
+    assert_eq!(scheduler.client().await.exchange(&good).await.status(), 400);
     scheduler.call_back(&id, "r0", r#""state":"done","result":"","load":{"x0":"much"}"#).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
 }
 
 // Guards against an accept loop that ends, or spins, when descriptors run out.
 #[tokio::test]
 async fn it_survives_a_want_of_descriptors() {
-    let mut server = Party::new().await;
-    let scheduler = Scheduler::start_by("ulimit -n 24; exec \"$PROGRAM\"", 1024, &[server.address]).await;
+    let mut server = FakeServer::start().await;
+    let scheduler =
+        Scheduler::start_by_command("ulimit -n 24; exec \"$PROGRAM\"", 1024, &[server.address]).await;
     let mut crowd = Vec::new();
     for _ in 0..40 {
         crowd.push(scheduler.client().await);
     }
     let mut client = scheduler.client().await;
-    client.job("once", 70, 9000).await;
+    client.send_request("once", 70, 9000).await;
     drop(crowd);
-    let id = server.asked().await.accept();
+    let id = server.next_request().await.accept();
     scheduler.call_back(&id, "r0", DONE).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
 }
 
 // Guards against clients whose connection is closed with no answer because too many came at once.
 #[tokio::test]
 async fn a_burst_of_new_connections_gets_an_answer_on_each() {
-    let scheduler = Scheduler::start_by("exec \"$PROGRAM\"", 64, &[]).await;
+    let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[]).await;
     let mut crowd = Vec::new();
     for id in 0..100 {
         let mut client = scheduler.client().await;
-        client.job("safe", 700 + id, 9000).await;
+        client.send_request("safe", 700 + id, 9000).await;
         crowd.push(client);
     }
     let mut refused = 0;
     for (place, client) in crowd.iter_mut().enumerate() {
-        let answer = client.heard().await.unwrap_or_else(|| panic!("connection {place}: no answer"));
+        let answer = client.next_response().await.unwrap_or_else(|| panic!("connection {place}: no answer"));
         // Refused for want of a worker; or failed, where more jobs are read at once than there are places.
         let status = answer.status();
         assert!(matches!(status, 503 | 500), "connection {place}: {status}");
@@ -329,9 +335,10 @@
     use copperspread_proxy::upstream::{Upstream, http::HttpUpstream};
     use copperspread_proxy::{clock::from_now, endpoints::EndpointTable, messages::UpstreamRequest};
     use copperspread_settings::{json, platform};
-    let mut server = Party::new().await;
-    let config = platform::read_startup_config(&config(server.address, server.address, &list(1, true, &[])))
-        .expect("it is good");
+    let mut server = FakeServer::start().await;
+    let config =
+        platform::read_startup_config(&config(server.address, server.address, &endpoint_list(1, true, &[])))
+            .expect("it is good");
     let entries = std::sync::Arc::new(EndpointTable::new(&config.settings.proxy));
     let cancellation = copperspread_proxy::messages::CancellationToken::new();
     let real_servers = HttpUpstream::new(&config.settings.proxy, entries.clone(), 32);
@@ -345,21 +352,21 @@
         body_permit: None,
     };
     for (revision, phase) in [(2, "DRAINING"), (3, "DELETED")] {
-        let told = json::parse(&list(revision, true, &[member("r0", server.address, phase)]));
+        let told = json::parse(&endpoint_list(revision, true, &[endpoint("r0", server.address, phase)]));
         entries.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
         let ended = real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &cancellation).await;
         assert_eq!(ended, Err(Outcome::Superseded.into()));
     }
-    assert!(server.idle());
+    assert!(server.is_idle());
     // Real servers that stay silent hold four hand-overs, all that 32 descriptors allow.
-    let told = json::parse(&list(4, true, &[member("r0", server.address, "SERVING")]));
+    let told = json::parse(&endpoint_list(4, true, &[endpoint("r0", server.address, "SERVING")]));
     entries.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
     let hand_over = || real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &cancellation);
     let four = futures_util::future::select_all((0..4).map(|_| Box::pin(hand_over())));
     let fifth = async {
         let mut held = Vec::new();
         for _ in 0..4 {
-            held.push(server.asked().await);
+            held.push(server.next_request().await);
         }
         hand_over().await
     };
@@ -372,34 +379,35 @@
 // Guards against clients that shut out the call-backs on which their own answers wait.
 #[tokio::test]
 async fn places_are_kept_for_call_backs() {
-    let mut server = Party::new().await;
-    let scheduler = Scheduler::start_by("exec \"$PROGRAM\"", 64, &[server.address]).await;
+    let mut server = FakeServer::start().await;
+    let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[server.address]).await;
     let mut first = scheduler.client().await;
-    first.job("once", 80, 9000).await;
-    let id = server.asked().await.accept();
+    first.send_request("once", 80, 9000).await;
+    let id = server.next_request().await.accept();
     let mut crowd = Vec::new();
     for id in 81..108 {
         let mut client = scheduler.client().await;
-        client.send(job("once", id, 9000).strip_suffix("hi").expect("a body")).await;
+        client.send(request_text("once", id, 9000).strip_suffix("hi").expect("a body")).await;
         crowd.push(client);
     }
     // All but the last eighth of the 32 places read or wait for an answer.
-    while scheduler.client().await.ask(&job("once", 200, 9000)).await.status() != 500 {}
+    while scheduler.client().await.exchange(&request_text("once", 200, 9000)).await.status() != 500 {}
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    assert_eq!(first.heard().await.expect("an answer").status(), 200);
+    assert_eq!(first.next_response().await.expect("an answer").status(), 200);
 }
 
 // Guards against SIGHUP, which ends a process that does not heed it: the new discovery is followed
 // at once whatever its revisions, the old watch ends, and what cannot be used changes nothing.
 #[tokio::test]
 async fn sighup_follows_the_new_discovery_and_keeps_serving() {
-    let (mut one, mut two, mut other) = (Party::new().await, Party::new().await, Party::new().await);
+    let (mut one, mut two, mut other) =
+        (FakeServer::start().await, FakeServer::start().await, FakeServer::start().await);
     let mut scheduler = Scheduler::start(&[one.address]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 90, 9000).await;
-    let taken = one.asked().await.accept();
-    let old_watch = scheduler.discovery.asked().await;
-    let moved = config(scheduler.address, other.address, &list(5, true, &[]));
+    client.send_request("once", 90, 9000).await;
+    let taken = one.next_request().await.accept();
+    let old_watch = scheduler.discovery.next_request().await;
+    let moved = config(scheduler.address, other.address, &endpoint_list(5, true, &[]));
     for bad in ["", &moved.replace("pure", "perhaps")] {
         let lines = scheduler.reload(bad).await;
         assert!(lines.len() == 1 && lines[0].contains("the old configuration stays"), "{lines:?}");
@@ -409,28 +417,28 @@
     assert_ne!(moved, elsewhere);
     let lines = scheduler.reload(&elsewhere).await;
     assert!(lines.len() == 2 && lines[0].contains("new start: listen\""), "{lines:?}");
-    let whole = other.asked().await;
-    assert_eq!(whole.message.first, "GET /api/targets HTTP/1.1");
-    old_watch.closed().await;
-    whole.answer("200 OK", "", &list(2, true, &[member("r1", two.address, "SERVING")]));
-    assert!(other.asked().await.message.first.contains("from=2"));
+    let whole = other.next_request().await;
+    assert_eq!(whole.message.first_line, "GET /api/targets HTTP/1.1");
+    old_watch.wait_until_closed().await;
+    whole.respond("200 OK", "", &endpoint_list(2, true, &[endpoint("r1", two.address, "SERVING")]));
+    assert!(other.next_request().await.message.first_line.contains("from=2"));
     // The job taken before ends, and the next one goes where the new discovery says.
     scheduler.call_back(&taken, "r0", DONE).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
-    client.job("once", 91, 9000).await;
-    let id = two.asked().await.accept();
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
+    client.send_request("once", 91, 9000).await;
+    let id = two.next_request().await.accept();
     // Signals one after the other, and back to the first address.
-    let back = config(scheduler.address, scheduler.discovery.address, &list(5, true, &[]));
+    let back = config(scheduler.address, scheduler.discovery.address, &endpoint_list(5, true, &[]));
     for content in [&moved, &back, &back] {
         scheduler.reload(content).await;
     }
-    assert_eq!(scheduler.discovery.asked().await.message.first, "GET /api/targets HTTP/1.1");
+    assert_eq!(scheduler.discovery.next_request().await.message.first_line, "GET /api/targets HTTP/1.1");
     scheduler.terminate().await;
     scheduler.signal("HUP").await;
     scheduler.call_back(&id, "r1", DONE).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     assert!(scheduler.child.wait().await.expect("it ends").success());
-    assert!(one.idle());
+    assert!(one.is_idle());
 }
 
 const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
@@ -439,12 +447,12 @@
 // connection between requests.
 #[tokio::test]
 async fn a_first_request_has_its_own_deadline() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut usual = scheduler.client().await;
-    assert_eq!(usual.ask(READY).await.status(), 200);
+    assert_eq!(usual.exchange(READY).await.status(), 200);
     let since = std::time::Instant::now();
-    let good = job("once", 100, 9000);
+    let good = request_text("once", 100, 9000);
     let mut bad = Vec::new();
     for (part, status) in [("", None), (&good[..40], None), (&good[..good.len() - 1], Some(408))] {
         let mut client = scheduler.client().await;
@@ -452,34 +460,34 @@
         bad.push((client, status));
     }
     for (client, status) in &mut bad {
-        assert_eq!(client.heard().await.map(|answer| answer.status()), *status);
-        assert!(client.heard().await.is_none(), "it is closed");
+        assert_eq!(client.next_response().await.map(|answer| answer.status()), *status);
+        assert!(client.next_response().await.is_none(), "it is closed");
     }
     let took = since.elapsed().as_millis();
     assert!((1_000..3_000).contains(&took), "{took}");
     usual.send(&good).await;
-    let id = server.asked().await.accept();
+    let id = server.next_request().await.accept();
     scheduler.call_back(&id, "r0", DONE).await;
-    assert_eq!(usual.heard().await.expect("an answer").status(), 200);
+    assert_eq!(usual.next_response().await.expect("an answer").status(), 200);
 }
 
 // Guards against silent clients that come by the hundred: those that ask do not wait for them.
 #[tokio::test]
 async fn a_silent_crowd_takes_no_places_of_those_that_ask() {
-    let mut server = Party::new().await;
-    let scheduler = Scheduler::start_by("exec \"$PROGRAM\"", 64, &[server.address]).await;
+    let mut server = FakeServer::start().await;
+    let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[server.address]).await;
     let mut usual = scheduler.client().await;
-    assert_eq!(usual.ask(READY).await.status(), 200);
+    assert_eq!(usual.exchange(READY).await.status(), 200);
     let since = std::time::Instant::now();
     let mut crowd = Vec::new();
     for _ in 0..200 {
         crowd.push(scheduler.client().await);
     }
-    usual.job("once", 110, 9000).await;
-    let id = server.asked().await.accept();
+    usual.send_request("once", 110, 9000).await;
+    let id = server.next_request().await.accept();
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    assert_eq!(usual.heard().await.expect("the connection stayed").status(), 200);
-    assert_eq!(scheduler.client().await.ask(READY).await.status(), 200);
+    assert_eq!(usual.next_response().await.expect("the connection stayed").status(), 200);
+    assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
     assert!(since.elapsed().as_millis() < 1_500, "{:?}", since.elapsed());
 }
 
@@ -488,23 +496,23 @@
 async fn a_large_body_is_refused_and_its_sender_can_read_why() {
     let scheduler = Scheduler::start(&[]).await;
     let size = 8 << 20;
-    let head = job("safe", 120, 9000).replace("Content-Length: 2\r\n\r\nhi", "");
+    let head = request_text("safe", 120, 9000).replace("Content-Length: 2\r\n\r\nhi", "");
     let chunked = format!("{head}Transfer-Encoding: chunked\r\n\r\n{size:x}\r\n");
     for head in [format!("{head}Content-Length: {size}\r\n\r\n"), chunked] {
         let mut client = scheduler.client().await;
         client.send(&(head + &"x".repeat(size))).await;
-        let answer = client.heard().await.expect("an answer");
+        let answer = client.next_response().await.expect("an answer");
         assert_eq!((answer.status(), answer.headers["connection"].as_str()), (413, "close"));
-        assert!(client.heard().await.is_none(), "it is closed");
+        assert!(client.next_response().await.is_none(), "it is closed");
     }
 }
 
 // Guards against a body that hides another request, and against ids that come again.
 #[tokio::test]
 async fn what_can_be_read_in_two_ways_is_not_passed_on() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
-    let good = job("once", 130, 9000);
+    let good = request_text("once", 130, 9000);
     let (both, chunked) = ("Transfer-Encoding: chunked\r\n", "2\r\nhi\r\n0\r\n\r\n");
     let id = "X-Request-ID: 0000000000000082\r\n";
     let bad = [
@@ -519,26 +527,26 @@
     for text in bad {
         assert_ne!(text, good);
         let mut client = scheduler.client().await;
-        assert_eq!(client.ask(&text).await.status(), 400, "{text}");
-        assert!(client.heard().await.is_none(), "it is closed: {text}");
+        assert_eq!(client.exchange(&text).await.status(), 400, "{text}");
+        assert!(client.next_response().await.is_none(), "it is closed: {text}");
     }
-    assert!(server.idle(), "nothing of this was passed on");
+    assert!(server.is_idle(), "nothing of this was passed on");
     // Chunks alone are fine, also on a connection that has carried a request.
     let mut client = scheduler.client().await;
     for text in [good.clone(), good.replace("0082", "0083")] {
         client.send(&text.replace("Content-Length: 2\r\n\r\nhi", &format!("{both}\r\n{chunked}"))).await;
-        let asked = server.asked().await;
+        let asked = server.next_request().await;
         assert_eq!(
             (asked.message.body.as_str(), asked.message.headers["content-length"].as_str()),
             ("hi", "2")
         );
         let id = asked.accept();
         scheduler.call_back(&id, "r0", DONE).await;
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
     // An id that has had its answer does not run again.
-    assert_eq!(client.ask(&good).await.status(), 400);
-    assert!(server.idle());
+    assert_eq!(client.exchange(&good).await.status(), 400);
+    assert!(server.is_idle());
 }
 
 #[test]
@@ -546,7 +554,7 @@
     let program = || std::process::Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
     let path = std::env::temp_dir().join(format!("copperspread-bad-{}.json", std::process::id()));
     let here = "127.0.0.1:1".parse().expect("an address");
-    let good = config(here, here, &list(1, true, &[]));
+    let good = config(here, here, &endpoint_list(1, true, &[]));
     for (from, to) in [("\"listen\":\"127", "\"listen\":\"x"), ("pure", "perhaps"), ("}", ""), ("9", "-")] {
         std::fs::write(&path, good.replace(from, to)).expect("a file");
         let output = program().env("EDGE_CONFIG", &path).output().expect("it runs");
@@ -561,17 +569,17 @@
 
 #[tokio::test]
 async fn a_list_of_five_thousand_entries_is_followed() {
-    let old = Party::new().await;
-    let mut new = Party::new().await;
+    let old = FakeServer::start().await;
+    let mut new = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[old.address]).await;
     let mut members: Vec<_> =
-        (0..5_000).map(|i| member(&format!("gone{i}"), old.address, "DRAINING")).collect();
-    members.push(member("r0", new.address, "SERVING"));
-    let watch = scheduler.discovery.asked().await;
-    watch.answer("200 OK", "", &list(6, true, &members));
+        (0..5_000).map(|i| endpoint(&format!("gone{i}"), old.address, "DRAINING")).collect();
+    members.push(endpoint("r0", new.address, "SERVING"));
+    let watch = scheduler.discovery.next_request().await;
+    watch.respond("200 OK", "", &endpoint_list(6, true, &members));
     // It was read to the end: the next watch goes on from it.
-    let next = scheduler.discovery.asked().await;
-    assert!(next.message.first.contains("from=6"), "{}", next.message.first);
+    let next = scheduler.discovery.next_request().await;
+    assert!(next.message.first_line.contains("from=6"), "{}", next.message.first_line);
     let mut client = scheduler.client().await;
-    scheduler.serves(&mut client, &mut new, 1, r#""state":"done","result":"paid""#).await;
+    scheduler.serve_request(&mut client, &mut new, 1, r#""state":"done","result":"paid""#).await;
 }
--- a/crates/scheduler/tests/sockets/mod.rs
+++ b/crates/scheduler/tests/sockets/mod.rs
@@ -14,24 +14,24 @@
 use tokio::time::timeout;
 
 /// Longest wait for anything: what does not come fails its test and keeps nobody waiting.
-const PATIENCE: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Waits for what must come.
 pub async fn within<T>(what: &str, event: impl Future<Output = T>) -> T {
-    timeout(PATIENCE, event).await.unwrap_or_else(|_| panic!("{what}: nothing came in {PATIENCE:?}"))
+    timeout(MAX_WAIT, event).await.unwrap_or_else(|_| panic!("{what}: nothing came in {MAX_WAIT:?}"))
 }
 
 /// An HTTP message: its first line, headers by lower-case name, and body.
 #[derive(Debug)]
 pub struct Message {
-    pub first: String,
+    pub first_line: String,
     pub headers: HashMap<String, String>,
     pub body: String,
 }
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status")
+        self.first_line.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status")
     }
 }
 
@@ -48,11 +48,15 @@
     let length = headers.get("content-length").map_or(0, |length| length.parse().expect("a length"));
     let mut body = vec![0; length];
     stream.read_exact(&mut body).await.ok()?;
-    Some(Message { first: first.trim().to_owned(), headers, body: String::from_utf8(body).expect("UTF-8") })
+    Some(Message {
+        first_line: first.trim().to_owned(),
+        headers,
+        body: String::from_utf8(body).expect("UTF-8"),
+    })
 }
 
 /// The next request on a connection that a test plays byte by byte; nothing if it ended.
-pub async fn request(connection: &mut BufReader<TcpStream>) -> Option<Message> {
+pub async fn next_message(connection: &mut BufReader<TcpStream>) -> Option<Message> {
     within("a request or the connection's end", read(connection)).await
 }
 
@@ -78,14 +82,14 @@
 }
 
 /// A party that answers each request at once and keeps its bytes.
-pub struct Capture {
+pub struct RecordingServer {
     pub address: SocketAddr,
     requests: mpsc::UnboundedReceiver<Vec<u8>>,
 }
 
-impl Capture {
+impl RecordingServer {
     /// One that answers by a function of the request line; an empty answer closes the connection.
-    pub async fn new(answer: fn(&str) -> String) -> Capture {
+    pub async fn start(answer: fn(&str) -> String) -> RecordingServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let (sender, requests) = mpsc::unbounded_channel();
@@ -104,52 +108,52 @@
                 });
             }
         });
-        Capture { address, requests }
+        RecordingServer { address, requests }
     }
     /// The next request, byte by byte.
-    pub async fn request(&mut self) -> String {
+    pub async fn next_request(&mut self) -> String {
         let request = within("a request", self.requests.recv()).await.expect("the party lives");
         String::from_utf8(request).expect("UTF-8")
     }
 }
 
 /// A request that reached a party, to be answered; dropped, its connection closes.
-pub struct Asked {
+pub struct ReceivedRequest {
     pub message: Message,
     /// The other end of its connection.
-    pub from: SocketAddr,
+    pub peer: SocketAddr,
     reply: oneshot::Sender<String>,
 }
 
-impl Asked {
-    pub fn answer(self, status: &str, headers: &str, body: &str) {
+impl ReceivedRequest {
+    pub fn respond(self, status: &str, headers: &str, body: &str) {
         let length = body.len();
         let text = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
         let _ = self.reply.send(text);
     }
     /// Waits until the scheduler has closed the connection.
-    pub async fn closed(mut self) {
+    pub async fn wait_until_closed(mut self) {
         within("the end of a connection", self.reply.closed()).await;
     }
     /// The real server's 202; returns the job's id.
     pub fn accept(self) -> String {
         let id = self.message.headers["x-request-id"].clone();
-        self.answer("202 Accepted", "", "");
+        self.respond("202 Accepted", "", "");
         id
     }
 }
 
 /// A party that listens: discovery or a real server.
-pub struct Party {
+pub struct FakeServer {
     pub address: SocketAddr,
-    asked: mpsc::UnboundedReceiver<Asked>,
+    requests: mpsc::UnboundedReceiver<ReceivedRequest>,
 }
 
-impl Party {
-    pub async fn new() -> Party {
+impl FakeServer {
+    pub async fn start() -> FakeServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (events, asked) = mpsc::unbounded_channel();
+        let (events, requests) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             while let Ok((stream, from)) = listener.accept().await {
                 let events = events.clone();
@@ -157,7 +161,7 @@
                     let mut stream = BufReader::new(stream);
                     while let Some(message) = read(&mut stream).await {
                         let (reply, answer) = oneshot::channel();
-                        if events.send(Asked { message, from, reply }).is_err() {
+                        if events.send(ReceivedRequest { message, peer: from, reply }).is_err() {
                             return;
                         }
                         let answer = tokio::select! {
@@ -171,13 +175,13 @@
                 });
             }
         });
-        Party { address, asked }
+        FakeServer { address, requests }
     }
-    pub async fn asked(&mut self) -> Asked {
-        within("a request", self.asked.recv()).await.expect("the party lives")
+    pub async fn next_request(&mut self) -> ReceivedRequest {
+        within("a request", self.requests.recv()).await.expect("the party lives")
     }
-    pub fn idle(&mut self) -> bool {
-        self.asked.try_recv().is_err()
+    pub fn is_idle(&mut self) -> bool {
+        self.requests.try_recv().is_err()
     }
 }
 
@@ -185,45 +189,45 @@
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    pub async fn to(address: SocketAddr) -> Client {
+    pub async fn connect(address: SocketAddr) -> Client {
         Client(BufReader::new(TcpStream::connect(address).await.expect("it listens")))
     }
     pub async fn send(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).await.expect("it reads");
     }
-    pub async fn heard(&mut self) -> Option<Message> {
+    pub async fn next_response(&mut self) -> Option<Message> {
         within("an answer", read(&mut self.0)).await
     }
-    pub async fn ask(&mut self, text: &str) -> Message {
+    pub async fn exchange(&mut self, text: &str) -> Message {
         self.send(text).await;
-        self.heard().await.expect("an answer")
+        self.next_response().await.expect("an answer")
     }
     /// The next answer, byte by byte.
-    pub async fn heard_bytes(&mut self) -> String {
+    pub async fn next_response_bytes(&mut self) -> String {
         let answer = within("an answer", read_bytes(&mut self.0)).await.expect("an answer");
         String::from_utf8(answer).expect("UTF-8")
     }
-    pub async fn ask_bytes(&mut self, text: &str) -> String {
+    pub async fn exchange_bytes(&mut self, text: &str) -> String {
         self.send(text).await;
-        self.heard_bytes().await
+        self.next_response_bytes().await
     }
-    pub async fn job(&mut self, class: &str, id: u64, millis: u64) {
-        self.send(&job(class, id, millis)).await;
+    pub async fn send_request(&mut self, class: &str, id: u64, millis: u64) {
+        self.send(&request_text(class, id, millis)).await;
     }
     /// Its job is served, with word that the connection closes, and it closes with care.
-    pub async fn served_and_closed(&mut self) {
-        let answer = self.heard().await.expect("an answer");
+    pub async fn expect_served_and_closed(&mut self) {
+        let answer = self.next_response().await.expect("an answer");
         assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
-        assert!(self.ended().await, "no reset over what was not read");
+        assert!(self.closes_cleanly().await, "no reset over what was not read");
     }
     /// Waits for the connection's end; whether it came as a close and not as a reset, and after nothing more.
-    pub async fn ended(&mut self) -> bool {
+    pub async fn closes_cleanly(&mut self) -> bool {
         let mut rest = Vec::new();
         within("an end", self.0.read_to_end(&mut rest)).await.is_ok() && rest.is_empty()
     }
 }
 
-pub fn job(class: &str, id: u64, millis: u64) -> String {
+pub fn request_text(class: &str, id: u64, millis: u64) -> String {
     let head = format!("POST /{class}/k?q=1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: {id:016x}\r\n");
     head + &format!(
         "X-Timeout: {millis}m\r\nIdempotency-Key: k7\r\nX-Cost: 1000\r\nContent-Length: 2\r\n\r\nhi"
@@ -232,18 +236,18 @@
 
 /// Where configurations lie: in memory where the machine has such a folder. Guards against a disk that is
 /// busy with a build, on which a rename can take most of a second, longer than a file takes to settle.
-fn folder() -> std::path::PathBuf {
+fn configuration_folder() -> std::path::PathBuf {
     let memory = std::path::PathBuf::from("/dev/shm");
     if memory.is_dir() { memory } else { std::env::temp_dir() }
 }
 
 /// One line of discovery's list.
-pub fn member(id: &str, address: SocketAddr, phase: &str) -> String {
+pub fn endpoint(id: &str, address: SocketAddr, phase: &str) -> String {
     let place = r#""locality":"a","flavor":"m","cell":0,"size":1.0,"up_since_ms":0"#;
     format!(r#"{{"id":"{id}","host_port":"{address}","phase":"{phase}",{place}}}"#)
 }
 
-pub fn list(revision: u64, complete: bool, members: &[String]) -> String {
+pub fn endpoint_list(revision: u64, complete: bool, members: &[String]) -> String {
     let members = members.join(",");
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#)
 }
@@ -266,7 +270,7 @@
 
 /// An address of its own: bound and not listening, so that the kernel gives it to nobody else, while
 /// the program, whose listener may share addresses, can still take it.
-pub fn reserve() -> (TcpSocket, SocketAddr) {
+pub fn reserve_address() -> (TcpSocket, SocketAddr) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseaddr(true).expect("an option");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
@@ -277,7 +281,7 @@
 /// The program, and the discovery it watches.
 pub struct Scheduler {
     pub address: SocketAddr,
-    pub discovery: Party,
+    pub discovery: FakeServer,
     pub child: Child,
     pub path: PathBuf,
     log: Lines<BufReader<ChildStderr>>,
@@ -294,7 +298,7 @@
 impl Scheduler {
     /// Starts it with real servers that it knows from before, named r0, r1, ...
     pub async fn start(known: &[SocketAddr]) -> Scheduler {
-        Scheduler::start_by("exec \"$PROGRAM\"", 1024, known).await
+        Scheduler::start_by_command("exec \"$PROGRAM\"", 1024, known).await
     }
     /// A standalone one, by a file whose text depends on its address.
     pub async fn standalone(text: impl Fn(SocketAddr) -> String, variables: &[(&str, &str)]) -> Scheduler {
@@ -305,32 +309,36 @@
         text: impl Fn(SocketAddr) -> String,
         variables: &[(&str, &str)],
     ) -> Scheduler {
-        let (reserved, address) = reserve();
-        let path = folder().join(format!("copperspread-{}.toml", address.port()));
+        let (reserved, address) = reserve_address();
+        let path = configuration_folder().join(format!("copperspread-{}.toml", address.port()));
         std::fs::write(&path, text(address)).expect("a configuration");
         let mut command = Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
         command.args(["serve", "--config"]).arg(&path).args(flags).envs(variables.iter().copied());
         command.env_remove("EDGE_CONFIG");
-        Scheduler::run(command, reserved, Party::new().await, path).await
+        Scheduler::run(command, reserved, FakeServer::start().await, path).await
     }
     /// The same by a shell's command, with so many descriptors in its configuration.
-    pub async fn start_by(command: &str, sockets: u32, known: &[SocketAddr]) -> Scheduler {
+    pub async fn start_by_command(command: &str, sockets: u32, known: &[SocketAddr]) -> Scheduler {
         let limit =
             move |config: String| config.replace("\"sockets\":1024", &format!("\"sockets\":{sockets}"));
-        Scheduler::start_so(command, known, limit).await
+        Scheduler::start_edited(command, known, limit).await
     }
     /// With another configuration than usual.
     pub async fn start_with(known: &[SocketAddr], config: impl Fn(String) -> String) -> Scheduler {
-        Scheduler::start_so("exec \"$PROGRAM\"", known, config).await
+        Scheduler::start_edited("exec \"$PROGRAM\"", known, config).await
     }
-    async fn start_so(command: &str, known: &[SocketAddr], changed: impl Fn(String) -> String) -> Scheduler {
-        let discovery = Party::new().await;
-        let (reserved, address) = reserve();
+    async fn start_edited(
+        command: &str,
+        known: &[SocketAddr],
+        changed: impl Fn(String) -> String,
+    ) -> Scheduler {
+        let discovery = FakeServer::start().await;
+        let (reserved, address) = reserve_address();
         let members: Vec<_> = known.iter().enumerate().collect();
         let members: Vec<_> =
-            members.iter().map(|(i, at)| member(&format!("r{i}"), **at, "SERVING")).collect();
-        let content = changed(config(address, discovery.address, &list(5, true, &members)));
-        let path = folder().join(format!("copperspread-{}.json", address.port()));
+            members.iter().map(|(i, at)| endpoint(&format!("r{i}"), **at, "SERVING")).collect();
+        let content = changed(config(address, discovery.address, &endpoint_list(5, true, &members)));
+        let path = configuration_folder().join(format!("copperspread-{}.json", address.port()));
         std::fs::write(&path, content).expect("a configuration");
         let mut start = Command::new("sh");
         start
@@ -339,7 +347,12 @@
             .env("EDGE_CONFIG", &path);
         Scheduler::run(start, reserved, discovery, path).await
     }
-    async fn run(mut command: Command, reserved: TcpSocket, discovery: Party, path: PathBuf) -> Scheduler {
+    async fn run(
+        mut command: Command,
+        reserved: TcpSocket,
+        discovery: FakeServer,
+        path: PathBuf,
+    ) -> Scheduler {
         let address = reserved.local_addr().expect("an address");
         let mut child = command.stderr(Stdio::piped()).kill_on_drop(true).spawn().expect("it starts");
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
@@ -351,52 +364,52 @@
         }
     }
     pub async fn client(&self) -> Client {
-        Client::to(self.address).await
+        Client::connect(self.address).await
     }
     /// A call-back with these further fields; returns the status that it gets.
     pub async fn call_back(&self, id: &str, from: &str, fields: &str) -> u16 {
-        self.news(&format!(r#"{{"id":"{id}","from":"{from}",{fields}}}"#)).await
+        self.post_callback(&format!(r#"{{"id":"{id}","from":"{from}",{fields}}}"#)).await
     }
-    pub async fn news(&self, body: &str) -> u16 {
+    pub async fn post_callback(&self, body: &str) -> u16 {
         let length = body.len();
         let text = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{body}");
-        self.client().await.ask(&text).await.status()
+        self.client().await.exchange(&text).await.status()
     }
     /// A job of the class `once` goes to the worker r0 and is done.
-    pub async fn serves(&self, client: &mut Client, worker: &mut Party, number: u64, done: &str) {
-        client.job("once", number, 9000).await;
-        let id = worker.asked().await.accept();
+    pub async fn serve_request(&self, client: &mut Client, worker: &mut FakeServer, number: u64, done: &str) {
+        client.send_request("once", number, 9000).await;
+        let id = worker.next_request().await.accept();
         assert_eq!(self.call_back(&id, "r0", done).await, 204);
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
     pub async fn terminate(&self) {
         self.signal("TERM").await;
     }
     /// Waits for a line of the log.
-    pub async fn logs(&mut self, part: &str) {
-        while !self.line().await.contains(part) {}
+    pub async fn wait_for_log(&mut self, part: &str) {
+        while !self.next_line().await.contains(part) {}
     }
     /// Replaces the configuration and sends SIGHUP; returns the lines logged up to the one that
     /// tells what came of it.
     pub async fn reload(&mut self, content: &str) -> Vec<String> {
         std::fs::write(&self.path, content).expect("a configuration");
         self.signal("HUP").await;
-        self.told_of_configuration().await
+        self.lines_until_configuration().await
     }
     /// The log's lines up to the next that tells what came of a configuration.
-    pub async fn told_of_configuration(&mut self) -> Vec<String> {
+    pub async fn lines_until_configuration(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
         while lines.last().is_none_or(|line: &String| !line.contains("configuration")) {
-            lines.push(self.line().await);
+            lines.push(self.next_line().await);
         }
         lines
     }
     /// The log's next line.
-    pub async fn line(&mut self) -> String {
-        self.next_line().await.expect("a line")
+    pub async fn next_line(&mut self) -> String {
+        self.try_next_line().await.expect("a line")
     }
     /// The same, or nothing once the log has ended.
-    pub async fn next_line(&mut self) -> Option<String> {
+    pub async fn try_next_line(&mut self) -> Option<String> {
         within("a line of the log", self.log.next_line()).await.expect("a log")
     }
     pub async fn signal(&self, name: &str) {
@@ -413,13 +426,13 @@
 
 impl Scheduler {
     /// Ends it by a signal and starts it again, on the same address and from the same file.
-    pub async fn again(&mut self, signal: &str) {
+    pub async fn restart(&mut self, signal: &str) {
         self.signal(signal).await;
         within("its end", self.child.wait()).await.expect("it ended");
         let mut start = Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
         start.env("EDGE_CONFIG", &self.path).stderr(Stdio::piped()).kill_on_drop(true);
         self.child = start.spawn().expect("it starts");
         self.log = BufReader::new(self.child.stderr.take().expect("piped")).lines();
-        while !self.line().await.contains("serves on") {}
+        while !self.next_line().await.contains("serves on") {}
     }
 }
--- a/crates/scheduler/tests/tenants.rs
+++ b/crates/scheduler/tests/tenants.rs
@@ -12,22 +12,22 @@
 async fn refused(
     scheduler: &Scheduler,
     client: &mut Client,
-    server: &mut Party,
+    server: &mut FakeServer,
     (id, tenant): (u64, &str),
     done: &str,
 ) -> bool {
     let header = if tenant.is_empty() { String::new() } else { format!("X-Tenant-Id: {tenant}\r\n") };
     let work = format!("{header}X-Cost: 1000000\r\n");
-    client.send(&job("once", id, 9000).replace("X-Cost: 1000\r\n", &work)).await;
+    client.send(&request_text("once", id, 9000).replace("X-Cost: 1000\r\n", &work)).await;
     tokio::select! {
-        heard = client.heard() => {
+        heard = client.next_response() => {
             assert_eq!(heard.expect("an answer").status(), 503);
             true
         }
-        asked = server.asked() => {
+        asked = server.next_request() => {
             let id = asked.accept();
             assert_eq!(scheduler.call_back(&id, "r0", done).await, 204);
-            assert_eq!(client.heard().await.expect("an answer").status(), 200);
+            assert_eq!(client.next_response().await.expect("an answer").status(), 200);
             false
         }
     }
@@ -37,9 +37,9 @@
 // were shed for another's excess.
 #[tokio::test]
 async fn a_request_counts_as_its_own_tenants_whatever_came_before_on_its_connection() {
-    let mut server = Party::new().await;
+    let mut server = FakeServer::start().await;
     let with_tenants = format!(r#"sed -i 's/"unknown":\[1\]/{TENANTS}/' "$EDGE_CONFIG"; exec "$PROGRAM""#);
-    let scheduler = Scheduler::start_by(&with_tenants, 1024, &[server.address]).await;
+    let scheduler = Scheduler::start_by_command(&with_tenants, 1024, &[server.address]).await;
     let mut client = scheduler.client().await;
     let mut ids = 1..;
     let mut next = || ids.next().expect("a number");
--- a/crates/scheduler/tests/wire_transcripts.rs
+++ b/crates/scheduler/tests/wire_transcripts.rs
@@ -56,7 +56,7 @@
 
 /// A discovery that answers whole lists and breaks each watch.
 fn as_discovery(first: &str) -> String {
-    let body = list(5, true, &[]);
+    let body = endpoint_list(5, true, &[]);
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     if first.contains('?') { String::new() } else { answer }
 }
@@ -70,57 +70,58 @@
 
 #[tokio::test]
 async fn jobs_written_to_a_worker() {
-    let mut worker = Capture::new(as_worker).await;
+    let mut worker = RecordingServer::start(as_worker).await;
     let scheduler = Scheduler::start(&[worker.address]).await;
     let mut requests = Vec::new();
     for (id, class) in (1..).zip(["safe", "keyed", "once"]) {
         let more = format!("{HOP_BY_HOP}X-Trace: one\r\nX-Trace: two\r\nX-Attrs: width=2,other=é\r\n");
-        let text = job(class, id, 9000).replace("X-Cost", &format!("{more}X-Tenant-Id: big\r\nX-Cost"));
+        let text =
+            request_text(class, id, 9000).replace("X-Cost", &format!("{more}X-Tenant-Id: big\r\nX-Cost"));
         let mut client = scheduler.client().await;
         client.send(&text).await;
-        requests.push((class, worker.request().await));
+        requests.push((class, worker.next_request().await));
         // Kept until the end of the job: one that goes has it cancelled.
         assert_eq!(scheduler.call_back(&format!("{id:016x}"), "r0", DONE).await, 204);
-        assert_eq!(client.heard_bytes().await, "HTTP/1.1 100 Continue\r\n\r\n");
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response_bytes().await, "HTTP/1.1 100 Continue\r\n\r\n");
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
     let chunked = "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
     let mut client = scheduler.client().await;
-    client.send(&job("once", 4, 9000).replace("Content-Length: 2\r\n\r\nhi", chunked)).await;
-    requests.push(("once, in chunks", worker.request().await));
+    client.send(&request_text("once", 4, 9000).replace("Content-Length: 2\r\n\r\nhi", chunked)).await;
+    requests.push(("once, in chunks", worker.next_request().await));
     let mut client = scheduler.client().await;
-    client.send(&job("once", 5, 9000).replace("Content-Length: 2\r\n\r\nhi", "\r\n")).await;
-    requests.push(("once, without a body", worker.request().await));
+    client.send(&request_text("once", 5, 9000).replace("Content-Length: 2\r\n\r\nhi", "\r\n")).await;
+    requests.push(("once, without a body", worker.next_request().await));
     assert_snapshot!("jobs_written_to_a_worker", named(&requests));
 }
 
 #[tokio::test]
 async fn a_cancel_written_to_a_worker() {
-    let mut worker = Capture::new(as_worker).await;
+    let mut worker = RecordingServer::start(as_worker).await;
     let scheduler = Scheduler::start(&[worker.address]).await;
     let mut client = scheduler.client().await;
-    client.job("safe", 1, 9000).await;
-    worker.request().await;
+    client.send_request("safe", 1, 9000).await;
+    worker.next_request().await;
     assert_eq!(scheduler.call_back("0000000000000001", "r0", r#""state":"started""#).await, 204);
     drop(client);
-    assert_snapshot!("a_cancel_written_to_a_worker", transcript(&worker.request().await));
+    assert_snapshot!("a_cancel_written_to_a_worker", transcript(&worker.next_request().await));
 }
 
 #[tokio::test]
 async fn a_load_probe_written_to_a_worker() {
-    let mut worker = Capture::new(as_worker).await;
+    let mut worker = RecordingServer::start(as_worker).await;
     let probed = |config: String| {
         let config = config.replace(r#""send_cap""#, r#""probes":true,"send_cap""#);
         config.replace(r#""unknown""#, r#""load_info":{"how":"pull"},"penalties":{"probe":0.002},"unknown""#)
     };
     let _scheduler = Scheduler::start_with(&[worker.address], probed).await;
-    assert_snapshot!("a_load_probe_written_to_a_worker", transcript(&worker.request().await));
+    assert_snapshot!("a_load_probe_written_to_a_worker", transcript(&worker.next_request().await));
 }
 
 #[tokio::test]
 async fn calls_written_to_discovery() {
     for kind in ["pushed", "on_request"] {
-        let mut discovery = Capture::new(as_discovery).await;
+        let mut discovery = RecordingServer::start(as_discovery).await;
         let address = discovery.address;
         let watching = |config: String| {
             with_discovery(&config, address)
@@ -129,7 +130,7 @@
         let _scheduler = Scheduler::start_with(&[], watching).await;
         let mut calls = Vec::new();
         for name in ["the whole list", "a watch", "the whole list after a watch that broke"] {
-            calls.push((name, discovery.request().await));
+            calls.push((name, discovery.next_request().await));
         }
         assert_snapshot!("calls_written_to_discovery", named(&calls));
     }
@@ -137,23 +138,23 @@
 
 #[tokio::test]
 async fn answers_to_clients() {
-    let mut worker = Party::new().await;
+    let mut worker = FakeServer::start().await;
     let scheduler = Scheduler::start(&[worker.address]).await;
     let mut answers = Vec::new();
     let mut client = scheduler.client().await;
     for (id, name, news) in [(1, "served", DONE), (2, "failed", r#""state":"failed""#)] {
-        client.job("once", id, 9000).await;
-        let id = worker.asked().await.accept();
+        client.send_request("once", id, 9000).await;
+        let id = worker.next_request().await.accept();
         assert_eq!(scheduler.call_back(&id, "r0", news).await, 204);
-        answers.push((name, client.heard_bytes().await));
+        answers.push((name, client.next_response_bytes().await));
     }
-    let good = job("keyed", 3, 9000);
+    let good = request_text("keyed", 3, 9000);
     let large = good.replace("Content-Length: 2\r\n\r\nhi", "Content-Length: 65537\r\n\r\n");
     let bad = [
         ("no HTTP", "nonsense\r\n\r\n".to_owned()),
         ("a bad header", good.replace("9000m", "soon")),
         ("a body framed in two ways", good.replace("Content-L", "Transfer-Encoding: chunked\r\nContent-L")),
-        ("an id that came before", job("once", 1, 9000)),
+        ("an id that came before", request_text("once", 1, 9000)),
         ("an unknown class", good.replace("/keyed/", "/other/")),
         ("a job by another method", good.replace("POST", "GET")),
         ("a call-back by another method", "GET /_jobs/news HTTP/1.1\r\nHost: s\r\n\r\n".to_owned()),
@@ -163,30 +164,31 @@
     ];
     for (name, text) in bad {
         let mut client = scheduler.client().await;
-        answers.push((name, client.ask_bytes(&text).await));
-        assert!(client.ended().await, "it is closed: {name}");
+        answers.push((name, client.exchange_bytes(&text).await));
+        assert!(client.closes_cleanly().await, "it is closed: {name}");
     }
     let scheduler = Scheduler::start(&[]).await;
-    answers.push(("refused", scheduler.client().await.ask_bytes(&job("once", 1, 9000)).await));
+    answers.push(("refused", scheduler.client().await.exchange_bytes(&request_text("once", 1, 9000)).await));
     assert_snapshot!("answers_to_clients", named(&answers));
 }
 
 #[tokio::test]
 async fn answers_to_call_backs() {
-    let mut worker = Party::new().await;
+    let mut worker = FakeServer::start().await;
     let scheduler = Scheduler::start(&[worker.address]).await;
     let mut client = scheduler.client().await;
     let mut lines = String::new();
     for (number, state) in (1..).zip(["done", "failed", "lost", "returned"]) {
-        client.job("once", number, 9000).await;
-        let id = worker.asked().await.accept();
+        client.send_request("once", number, 9000).await;
+        let id = worker.next_request().await.accept();
         let result = if state == "done" { r#","result":"paid""# } else { "" };
         let last = format!(r#""state":"{state}"{result},"load":{{"x0":4}}"#);
         for news in [r#""state":"started""#, r#""state":"running","share":0.5"#, &last] {
             let body = format!(r#"{{"id":"{id}","from":"r0",{news}}}"#);
             lines += &format!("{body}\n  {}\n", call_back(&scheduler, &body).await);
         }
-        lines += &format!("  and the client: {}\n", client.heard().await.expect("an answer").first);
+        lines +=
+            &format!("  and the client: {}\n", client.next_response().await.expect("an answer").first_line);
     }
     for body in [
         "no JSON",
@@ -207,23 +209,23 @@
 async fn call_back(scheduler: &Scheduler, body: &str) -> String {
     let length = body.len();
     let text = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{body}");
-    transcript(&scheduler.client().await.ask_bytes(&text).await).trim_end().replace('\n', " ")
+    transcript(&scheduler.client().await.exchange_bytes(&text).await).trim_end().replace('\n', " ")
 }
 
 #[tokio::test]
 async fn readiness_before_and_after_sigterm() {
-    let mut worker = Party::new().await;
+    let mut worker = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[worker.address]).await;
-    let mut answers = vec![("ready", scheduler.client().await.ask_bytes(READY).await)];
+    let mut answers = vec![("ready", scheduler.client().await.exchange_bytes(READY).await)];
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    let id = worker.asked().await.accept();
+    client.send_request("once", 1, 9000).await;
+    let id = worker.next_request().await.accept();
     scheduler.terminate().await;
-    scheduler.logs("ending, 1 flows to answer").await;
-    answers.push(("ends", scheduler.client().await.ask_bytes(READY).await));
+    scheduler.wait_for_log("ending, 1 flows to answer").await;
+    answers.push(("ends", scheduler.client().await.exchange_bytes(READY).await));
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    answers.push(("a job taken before", client.heard_bytes().await));
-    assert!(client.ended().await);
+    answers.push(("a job taken before", client.next_response_bytes().await));
+    assert!(client.closes_cleanly().await);
     assert!(within("its end", scheduler.child.wait()).await.expect("it ended").success());
     assert_snapshot!("readiness_before_and_after_sigterm", named(&answers));
 }
@@ -240,12 +242,12 @@
     };
     let one = Scheduler::standalone(|listen| toml("one", listen, &[]), &[]).await;
     let view: serde_json::Value =
-        serde_json::from_str(&one.client().await.ask(CLUSTER).await.body).expect("JSON");
+        serde_json::from_str(&one.client().await.exchange(CLUSTER).await.body).expect("JSON");
     let seeds = [view["own"]["address"].as_str().expect("an address").to_owned()];
     let _two = Scheduler::standalone(|listen| toml("two", listen, &seeds), &[]).await;
     let seen = async {
         loop {
-            let answer = one.client().await.ask_bytes(CLUSTER).await;
+            let answer = one.client().await.exchange_bytes(CLUSTER).await;
             if answer.contains(r#""two""#) {
                 return answer;
             }
@@ -278,7 +280,7 @@
 
 #[tokio::test]
 async fn records_of_each_kind() {
-    let mut worker = Party::new().await;
+    let mut worker = FakeServer::start().await;
     let file = scratch("kinds");
     let at = worker.address;
     let text = |listen| {
@@ -290,22 +292,22 @@
     let flags = ["--records", file.to_str().expect("UTF-8")];
     let mut scheduler = Scheduler::standalone_with(&flags, text, &[]).await;
     let mut client = scheduler.client().await;
-    let slots = job("once", 1, 9000).replace("X-Cost", "X-Attrs: slots=2\r\nX-Cost");
-    for (text, news) in [(slots, DONE), (job("once", 2, 9000), r#""state":"failed""#)] {
+    let slots = request_text("once", 1, 9000).replace("X-Cost", "X-Attrs: slots=2\r\nX-Cost");
+    for (text, news) in [(slots, DONE), (request_text("once", 2, 9000), r#""state":"failed""#)] {
         client.send(&text).await;
-        let id = worker.asked().await.accept();
+        let id = worker.next_request().await.accept();
         scheduler.call_back(&id, "r0", news).await;
-        client.heard().await.expect("an answer");
+        client.next_response().await.expect("an answer");
     }
-    assert_eq!(scheduler.news("no JSON").await, 400);
-    client.job("once", 3, 0).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 503);
+    assert_eq!(scheduler.post_callback("no JSON").await, 400);
+    client.send_request("once", 3, 0).await;
+    assert_eq!(client.next_response().await.expect("an answer").status(), 503);
     // One whose client goes.
-    client.job("once", 4, 9000).await;
-    let id = worker.asked().await.accept();
+    client.send_request("once", 4, 9000).await;
+    let id = worker.next_request().await.accept();
     scheduler.call_back(&id, "r0", r#""state":"started""#).await;
     drop(client);
-    worker.asked().await.answer("200 OK", "", "");
+    worker.next_request().await.respond("200 OK", "", "");
     scheduler.terminate().await;
     assert!(scheduler.child.wait().await.expect("it ends").success());
     let written = std::fs::read_to_string(&file).expect("records");
@@ -332,28 +334,28 @@
 // What a static list does not hold, and what is refused for other reasons.
 #[tokio::test]
 async fn records_of_lists_and_refusals() {
-    let mut worker = Party::new().await;
+    let mut worker = FakeServer::start().await;
     let file = scratch("lists");
     let command = format!(
         r#"sed -i 's/"up_since_ms":0/"up_since_ms":1000/' "$EDGE_CONFIG"; exec "$PROGRAM" serve --records '{}'"#,
         file.display()
     );
-    let mut scheduler = Scheduler::start_by(&command, 1024, &[worker.address]).await;
+    let mut scheduler = Scheduler::start_by_command(&command, 1024, &[worker.address]).await;
     let mut client = scheduler.client().await;
-    scheduler.serves(&mut client, &mut worker, 1, DONE).await;
-    let long = job("once", 2, 9000).replace("X-Cost: 1000\r", "X-Cost: 100000000\r");
-    assert_eq!(client.ask(&long).await.status(), 503);
-    let gone = list(6, false, &[member("r0", worker.address, "DELETED")]);
+    scheduler.serve_request(&mut client, &mut worker, 1, DONE).await;
+    let long = request_text("once", 2, 9000).replace("X-Cost: 1000\r", "X-Cost: 100000000\r");
+    assert_eq!(client.exchange(&long).await.status(), 503);
+    let gone = endpoint_list(6, false, &[endpoint("r0", worker.address, "DELETED")]);
     // The next watch tells that the list was taken; a call that was given up meanwhile comes again.
     loop {
-        let asked = scheduler.discovery.asked().await;
-        if asked.message.first.contains("from=6") {
+        let asked = scheduler.discovery.next_request().await;
+        if asked.message.first_line.contains("from=6") {
             break;
         }
-        asked.answer("200 OK", "", &gone);
+        asked.respond("200 OK", "", &gone);
     }
-    client.job("once", 3, 9000).await;
-    assert_eq!(client.heard().await.expect("an answer").status(), 503);
+    client.send_request("once", 3, 9000).await;
+    assert_eq!(client.next_response().await.expect("an answer").status(), 503);
     scheduler.terminate().await;
     assert!(scheduler.child.wait().await.expect("it ends").success());
     let written = std::fs::read_to_string(&file).expect("records");
