--- a/crates/scheduler/tests/answers.rs
+++ b/crates/scheduler/tests/answers.rs
@@ -21,13 +21,13 @@
 
 // Guards against a row that no test here plays.
 #[test]
-fn every_row_has_its_test() {
+fn every_row_of_the_table_has_a_test() {
     let played = ["200", "503 with `Retry-After`", "500", "400", "404, 405", "408, 413", "a close"];
     assert_eq!(rows(), played.map(str::to_owned).into_iter().collect());
 }
 
 #[tokio::test]
-async fn a_real_servers_result_is_200() {
+async fn a_workers_result_is_200() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn what_the_module_refuses_is_503_with_retry_after() {
+async fn a_rejection_by_the_policy_is_503_with_retry_after() {
     let scheduler = Scheduler::start(&[]).await;
     let mut client = scheduler.client().await;
     client.send_request("once", 1, 9000).await;
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn what_failed_with_nothing_promised_is_500() {
+async fn a_failure_with_nothing_promised_is_500() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
@@ -61,9 +61,9 @@
     assert!(!answer.headers.contains_key("retry-after"));
 }
 
-// At 64 descriptors there are 32 places, and the last four are the call-backs'.
+// At 64 descriptors there are 32 places, and the last four are the callbacks'.
 #[tokio::test]
-async fn clients_requests_beyond_all_places_are_500() {
+async fn client_requests_beyond_the_connection_permits_are_500() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[server.address]).await;
     let mut clients = Vec::new();
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn what_cannot_be_read_or_comes_twice_is_400() {
+async fn an_unreadable_or_duplicate_request_is_400() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let good = request_text("keyed", 1, 9000);
@@ -128,7 +128,7 @@
 }
 
 #[tokio::test]
-async fn no_whole_head_within_2_s_of_connecting_is_a_close() {
+async fn a_connection_without_a_complete_head_within_2_s_is_closed() {
     let scheduler = Scheduler::start(&[]).await;
     let since = Instant::now();
     let mut silent = scheduler.client().await;
--- a/crates/scheduler/tests/client_races.rs
+++ b/crates/scheduler/tests/client_races.rs
@@ -10,19 +10,19 @@
 
 const DONE: &str = r#""state":"done","result":"ok""#;
 const STARTED: &str = r#""state":"started""#;
-const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
-/// Well under the jobs' deadline, at which all is given up in any case.
-const SOON: Duration = Duration::from_secs(3);
+const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
+/// Well under the requests' deadline, at which all is cancelled in any case.
+const MAX_CANCELLATION_TIME: Duration = Duration::from_secs(3);
 
 /// A listener whose queue is full: a further connection comes up only once the first have been accepted,
 /// about a second after it was asked for.
-struct Crowded {
+struct FullListener {
     listener: TcpListener,
     queue: Vec<TcpStream>,
 }
 
-impl Crowded {
-    async fn new() -> Crowded {
+impl FullListener {
+    async fn new() -> FullListener {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind(std::net::SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
         let listener = socket.listen(1).expect("it listens");
@@ -33,7 +33,7 @@
         {
             queue.push(stream.expect("a connection"));
         }
-        Crowded { listener, queue }
+        FullListener { listener, queue }
     }
 
     fn address(&self) -> std::net::SocketAddr {
@@ -65,7 +65,7 @@
 
 // Guards against bytes behind a request that hide the end of the stream from the server library.
 #[tokio::test]
-async fn a_client_that_sent_more_and_goes_has_its_scheduling_given_up() {
+async fn a_client_that_pipelines_more_and_disconnects_has_its_attempt_cancelled() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let behind = ["x".to_owned(), request_text("safe", 190, 9000), "x".repeat(20_000), "x".repeat(100_000)];
@@ -75,19 +75,24 @@
         let id = server.next_request().await.accept();
         // The scheduler knows that it was taken.
         assert_eq!(scheduler.call_back(&id, "r0", STARTED).await, 204);
-        let gone = Instant::now();
+        let disconnected_at = Instant::now();
         drop(client);
-        let given_up = server.next_request().await;
-        assert!(gone.elapsed() < SOON, "{} bytes behind it: {:?}", more.len(), gone.elapsed());
-        assert!(given_up.message.first_line.starts_with(&format!("DELETE /jobs/{id}")));
-        given_up.respond("200 OK", "", "");
+        let cancellation = server.next_request().await;
+        assert!(
+            disconnected_at.elapsed() < MAX_CANCELLATION_TIME,
+            "{} bytes behind it: {:?}",
+            more.len(),
+            disconnected_at.elapsed()
+        );
+        assert!(cancellation.message.first_line.starts_with(&format!("DELETE /jobs/{id}")));
+        cancellation.respond("200 OK", "", "");
     }
     assert!(server.is_idle(), "what came behind is not sent on");
 }
 
-// A client that goes before the 202: the hand-over ends, and no other real server gets the job.
+// A client that goes before the 202: the dispatch ends, and no other worker gets the request.
 #[tokio::test]
-async fn a_job_whose_client_went_during_its_hand_over_begins_no_further_attempt() {
+async fn a_client_that_disconnects_during_the_dispatch_starts_no_further_attempt() {
     let (mut one, mut two) = (FakeServer::start().await, FakeServer::start().await);
     let scheduler = Scheduler::start(&[one.address, two.address]).await;
     let mut number = 200;
@@ -98,10 +103,14 @@
             client.send(&(request_text(class, number, 9000) + more)).await;
             let asked =
                 tokio::select! { asked = one.next_request() => asked, asked = two.next_request() => asked };
-            let gone = Instant::now();
+            let disconnected_at = Instant::now();
             drop(client);
             asked.wait_until_closed().await;
-            assert!(gone.elapsed() < SOON, "{class} {more:?}: {:?}", gone.elapsed());
+            assert!(
+                disconnected_at.elapsed() < MAX_CANCELLATION_TIME,
+                "{class} {more:?}: {:?}",
+                disconnected_at.elapsed()
+            );
         }
     }
     // Served after all of them: whatever they had begun would have come before.
@@ -112,19 +121,19 @@
     assert!(one.is_idle() && two.is_idle());
 }
 
-// All of it lies before the program when it looks again: the job, what follows it, and the end.
+// All of it lies before the program when it looks again: the request, what follows it, and the end.
 #[tokio::test]
-async fn what_came_in_one_piece_with_its_clients_end_is_not_sent_on() {
+async fn a_request_that_arrives_together_with_its_clients_disconnect_is_not_dispatched() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
-    let mut crowd = Vec::new();
+    let mut clients = Vec::new();
     for _ in 0..20 {
-        crowd.push(scheduler.client().await);
+        clients.push(scheduler.client().await);
     }
     scheduler.signal("STOP").await;
-    for (number, mut client) in crowd.into_iter().enumerate() {
+    for (number, mut client) in clients.into_iter().enumerate() {
         let first = 1_000 + 100 * number as u64;
-        // From one job to some 16 KB of them.
+        // From one request to some 16 KB of them.
         let jobs: String =
             (0..=(number as u64 * 4)).map(|next| request_text("safe", first + next, 9000)).collect();
         client.send(&(jobs + "x")).await;
@@ -139,12 +148,12 @@
     assert!(server.is_idle());
 }
 
-// The connection to the real server comes up a second after the client went, also where the settings allow no
+// The connection to the worker comes up a second after the client went, also where the settings allow no
 // attempt to be called off.
 #[tokio::test]
-async fn a_connection_that_comes_up_after_its_client_went_carries_nothing() {
+async fn a_worker_connection_established_after_the_client_disconnected_carries_nothing() {
     for may_cancel in [true, false] {
-        let mut server = Crowded::new().await;
+        let mut server = FullListener::new().await;
         let scheduler = Scheduler::start_with(&[server.address()], |config| {
             let config = config.replace("\"connect_timeout_s\":0.25", "\"connect_timeout_s\":5");
             config.replace("\"may_cancel\":true", &format!("\"may_cancel\":{may_cancel}"))
@@ -152,9 +161,9 @@
         .await;
         let mut client = scheduler.client().await;
         client.send_request("safe", 1, 9000).await;
-        assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
+        assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
         drop(client);
-        assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
+        assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
         if may_cancel {
             // Called off, it connects no more.
             server.empty().await;
@@ -173,11 +182,11 @@
 }
 
 #[tokio::test]
-async fn a_burst_of_leavers_is_given_up_to_the_last() {
+async fn a_burst_of_disconnecting_clients_has_every_attempt_cancelled() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut clients = Vec::new();
-    let mut taken = std::collections::BTreeSet::new();
+    let mut accepted = std::collections::BTreeSet::new();
     for number in 0..60 {
         let mut client = scheduler.client().await;
         client
@@ -185,24 +194,24 @@
             .await;
         let id = server.next_request().await.accept();
         assert_eq!(scheduler.call_back(&id, "r0", STARTED).await, 204);
-        taken.insert(id);
+        accepted.insert(id);
         clients.push(client);
     }
-    let gone = Instant::now();
+    let disconnected_at = Instant::now();
     drop(clients);
-    while !taken.is_empty() {
-        let given_up = server.next_request().await;
-        let id = given_up.message.first_line.split(['/', ' ']).nth(3).expect("an id").to_owned();
-        assert!(taken.remove(&id), "{:?}", given_up.message.first_line);
-        given_up.respond("200 OK", "", "");
+    while !accepted.is_empty() {
+        let cancellation = server.next_request().await;
+        let id = cancellation.message.first_line.split(['/', ' ']).nth(3).expect("an id").to_owned();
+        assert!(accepted.remove(&id), "{:?}", cancellation.message.first_line);
+        cancellation.respond("200 OK", "", "");
     }
-    assert!(gone.elapsed() < SOON, "{:?}", gone.elapsed());
+    assert!(disconnected_at.elapsed() < MAX_CANCELLATION_TIME, "{:?}", disconnected_at.elapsed());
     assert!(server.is_idle());
 }
 
 // Guards against a limit that counts an honest client's next request as too much, or loses it.
 #[tokio::test]
-async fn a_request_behind_the_first_waits_for_it_and_is_answered() {
+async fn a_pipelined_request_waits_for_the_first_and_is_answered() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
@@ -220,7 +229,7 @@
 
 // More than is kept came behind the first: it is answered, the rest is not read as requests.
 #[tokio::test]
-async fn a_flood_behind_a_request_ends_its_connection_with_the_answer() {
+async fn a_pipelined_flood_closes_its_connection_with_the_response() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
@@ -228,7 +237,7 @@
     client.send(&(request_text("safe", 599, 9000) + &flood)).await;
     let id = server.next_request().await.accept();
     // Once another client was heard, the flood has been read.
-    assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
+    assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
     client.expect_served_and_closed().await;
     assert!(server.is_idle());
@@ -236,16 +245,18 @@
 
 // A client that asks and asks and never reads: its connection stands still, and nothing else does.
 #[tokio::test]
-async fn a_client_that_never_reads_holds_up_neither_others_nor_the_end() {
+async fn a_client_that_never_reads_delays_neither_others_nor_the_shutdown() {
     let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4096).expect("an option");
-    let mut deaf = socket.connect(scheduler.address).await.expect("it listens");
-    let many = READY.repeat(1_000);
+    let mut stalled_client = socket.connect(scheduler.address).await.expect("it listens");
+    let many = READINESS_REQUEST.repeat(1_000);
     let mut sent = 0;
     // Until nothing more goes through: the scheduler waits for its reader, and reads no more.
-    while let Ok(written) = tokio::time::timeout(SOON / 3, deaf.write_all(many.as_bytes())).await {
+    while let Ok(written) =
+        tokio::time::timeout(MAX_CANCELLATION_TIME / 3, stalled_client.write_all(many.as_bytes())).await
+    {
         written.expect("it reads");
         sent += 1;
         assert!(sent < 2_000, "it reads without end");
@@ -262,7 +273,7 @@
 
 // Guards against the close of a connection on which a request has begun to come.
 #[tokio::test]
-async fn a_request_that_had_begun_to_come_at_sigterm_is_answered() {
+async fn a_partially_received_request_at_sigterm_is_answered() {
     let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let cuts = [1, 60, request_text("once", 701, 9000).len() - 1];
@@ -271,7 +282,7 @@
         for used in [false, true] {
             let mut client = scheduler.client().await;
             if used {
-                assert_eq!(client.exchange(READY).await.status(), 200);
+                assert_eq!(client.exchange(READINESS_REQUEST).await.status(), 200);
             }
             let id = 701 + 2 * number as u64 + u64::from(used);
             let text = request_text("once", id, 9000);
@@ -281,7 +292,7 @@
     }
     // And one that is connected and has sent nothing.
     clients.push((scheduler.client().await, 720, request_text("once", 720, 9000)));
-    assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
+    assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
     scheduler.terminate().await;
     scheduler.wait_for_log("ending,").await;
     for (client, id, rest) in &mut clients {
@@ -296,13 +307,13 @@
 
 // Both lie before the program when it looks again: a request on a resting connection and SIGTERM.
 #[tokio::test]
-async fn a_request_on_a_resting_connection_in_the_moment_of_sigterm_is_answered() {
+async fn a_request_on_an_idle_connection_at_the_moment_of_sigterm_is_answered() {
     let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let mut clients = Vec::new();
     for _ in 0..10 {
         let mut client = scheduler.client().await;
-        assert_eq!(client.exchange(READY).await.status(), 200);
+        assert_eq!(client.exchange(READINESS_REQUEST).await.status(), 200);
         clients.push(client);
     }
     scheduler.signal("STOP").await;
@@ -321,7 +332,7 @@
 }
 
 #[tokio::test]
-async fn what_stands_behind_the_first_request_at_sigterm_is_not_sent_on_and_takes_no_answer_with_it() {
+async fn pipelined_requests_at_sigterm_are_not_dispatched_and_lose_no_response() {
     let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
@@ -341,7 +352,7 @@
 }
 
 #[tokio::test]
-async fn signals_during_the_end_neither_hasten_nor_stop_it() {
+async fn signals_during_the_shutdown_neither_hasten_nor_stop_it() {
     let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
@@ -355,9 +366,9 @@
     assert!(scheduler.child.wait().await.expect("it ends").success());
 }
 
-// A real server's word that comes in two parts, with SIGTERM between them, still ends its job.
+// A worker's word that comes in two parts, with SIGTERM between them, still ends its request.
 #[tokio::test]
-async fn half_a_call_back_at_sigterm_is_read_to_its_end() {
+async fn a_partially_received_callback_at_sigterm_is_read_to_its_end() {
     let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     for cut in [1, 40, 90] {
@@ -370,7 +381,10 @@
         let text = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{body}");
         let mut worker = scheduler.client().await;
         worker.send(&text[..cut]).await;
-        assert_eq!(scheduler.client().await.exchange(READY).await.status(), if cut == 1 { 200 } else { 503 });
+        assert_eq!(
+            scheduler.client().await.exchange(READINESS_REQUEST).await.status(),
+            if cut == 1 { 200 } else { 503 }
+        );
         if cut == 1 {
             scheduler.terminate().await;
             scheduler.wait_for_log("ending,").await;
@@ -385,13 +399,13 @@
 // Before it ends it closes what still stands open, while it runs: guards against requests that come on such a
 // connection with the last breath, and are taken and lost.
 #[tokio::test]
-async fn what_stands_open_is_closed_before_the_program_ends() {
+async fn open_connections_are_closed_before_the_program_exits() {
     let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let mut silent = scheduler.client().await;
     let mut half = scheduler.client().await;
     half.send("POST /onc").await;
-    assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
+    assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
     scheduler.terminate().await;
     assert!(silent.closes_cleanly().await, "no reset");
     assert!(scheduler.child.try_wait().expect("a child").is_none(), "it runs when it closes what is silent");
@@ -400,17 +414,17 @@
     assert!(server.is_idle(), "what came after the close is not sent on");
 }
 
-// SIGTERM while the connection to the real server is still coming up.
+// SIGTERM while the connection to the worker is still coming up.
 #[tokio::test]
-async fn a_hand_over_that_connects_at_sigterm_goes_on() {
-    let mut server = Crowded::new().await;
+async fn a_dispatch_that_is_connecting_at_sigterm_continues() {
+    let mut server = FullListener::new().await;
     let mut scheduler = Scheduler::start_with(&[server.address()], |config| {
         config.replace("\"connect_timeout_s\":0.25", "\"connect_timeout_s\":2.5")
     })
     .await;
     let mut client = scheduler.client().await;
     client.send_request("once", 1, 9000).await;
-    assert_eq!(scheduler.client().await.exchange(READY).await.status(), 200);
+    assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
     scheduler.terminate().await;
     scheduler.wait_for_log("ending,").await;
     let (_kept, count) = server.next().await;
--- a/crates/scheduler/tests/dispatch_races.rs
+++ b/crates/scheduler/tests/dispatch_races.rs
@@ -1,4 +1,4 @@
-//! Rare moments on the way to real servers, forced over sockets: what comes between a decision and its
+//! Rare moments on the way to workers, forced over sockets: what comes between a decision and its
 //! writing, between an answer and the next request on its connection, between a reset and a repeat.
 mod sockets;
 
@@ -17,10 +17,11 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 const DONE: &str = r#""state":"done","result":"paid""#;
-const NOT_RUN: &str = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
-const TAKEN: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+const NOT_PROCESSED: &str =
+    "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
+const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
-/// A real server played byte by byte, whose next connections can be kept from coming up.
+/// A worker played byte by byte, whose next connections can be kept from coming up.
 struct RawServer {
     listener: TcpListener,
     address: SocketAddr,
@@ -47,11 +48,11 @@
         (connection, message)
     }
     /// Keeps further connections from coming up until it is let in.
-    async fn full(&self) -> TcpStream {
+    async fn fill_queue(&self) -> TcpStream {
         TcpStream::connect(self.address).await.expect("it listens")
     }
     /// Waits until the scheduler waits for a connection to it, which the kernel shows as SYN_SENT.
-    async fn awaited(&self) {
+    async fn wait_for_connect(&self) {
         let port = format!(":{:04X} 02 ", self.address.port());
         let seen = async {
             while !std::fs::read_to_string("/proc/net/tcp").expect("a table").contains(&port) {
@@ -62,117 +63,117 @@
     }
 }
 
-async fn say(connection: &mut Connection, text: &str) {
+async fn write(connection: &mut Connection, text: &str) {
     connection.write_all(text.as_bytes()).await.expect("it reads");
 }
 
 /// What else comes on a connection, up to its end.
-async fn rest(connection: &mut Connection) -> String {
-    let mut rest = Vec::new();
-    let _ = within("a connection's end", connection.read_to_end(&mut rest)).await;
-    String::from_utf8(rest).expect("UTF-8")
+async fn read_to_end(connection: &mut Connection) -> String {
+    let mut bytes = Vec::new();
+    let _ = within("a connection's end", connection.read_to_end(&mut bytes)).await;
+    String::from_utf8(bytes).expect("UTF-8")
 }
 
 /// A scheduler that waits long for connections.
-async fn patient(known: &[SocketAddr]) -> Scheduler {
-    edited("s/\"connect_timeout_s\":0.25/\"connect_timeout_s\":20/", 1024, known).await
+async fn start_with_long_connect_timeout(known: &[SocketAddr]) -> Scheduler {
+    start_edited_with_sed("s/\"connect_timeout_s\":0.25/\"connect_timeout_s\":20/", 1024, known).await
 }
 
-async fn edited(edit: &str, sockets: u32, known: &[SocketAddr]) -> Scheduler {
+async fn start_edited_with_sed(edit: &str, sockets: u32, known: &[SocketAddr]) -> Scheduler {
     let command = format!("sed -i -e '{edit}' \"$EDGE_CONFIG\" && exec \"$PROGRAM\"");
     Scheduler::start_by_command(&command, sockets, known).await
 }
 
 /// Tells of a change, and waits until the scheduler has taken it and asks for the next.
-async fn tell(scheduler: &mut Scheduler, revision: u64, members: &[String]) {
+async fn publish_and_wait(scheduler: &mut Scheduler, revision: u64, members: &[String]) {
     scheduler.discovery.next_request().await.respond("200 OK", "", &endpoint_list(revision, false, members));
     let next = scheduler.discovery.next_request().await;
     assert!(next.message.first_line.contains(&format!("from={revision}")), "{}", next.message.first_line);
 }
 
-fn empty(job: String) -> String {
+fn with_empty_body(job: String) -> String {
     job.replace("Content-Length: 2\r\n\r\nhi", "Content-Length: 0\r\n\r\n")
 }
 
-// Guards against a hand-over that waited for a connection while its real server began to drain, and got one
+// Guards against a dispatch that waited for a connection while its worker began to drain, and got one
 // that another request had just left: the table is asked in the step that writes.
 #[tokio::test]
-async fn a_freed_connection_carries_nothing_to_a_real_server_that_began_to_drain() {
-    for second in [request_text("once", 2, 9000), empty(request_text("once", 2, 9000))] {
+async fn a_freed_connection_carries_nothing_to_a_worker_that_began_to_drain() {
+    for second in [request_text("once", 2, 9000), with_empty_body(request_text("once", 2, 9000))] {
         let server = RawServer::new();
-        let mut scheduler = patient(&[server.address]).await;
+        let mut scheduler = start_with_long_connect_timeout(&[server.address]).await;
         let (mut one, mut two) = (scheduler.client().await, scheduler.client().await);
         one.send_request("once", 1, 9000).await;
-        let (mut kept, first) = server.next_request().await;
-        let _full = server.full().await;
+        let (mut reused, first) = server.next_request().await;
+        let _full = server.fill_queue().await;
         two.send(&second).await;
-        server.awaited().await;
-        tell(&mut scheduler, 6, &[endpoint("r0", server.address, "DRAINING")]).await;
-        say(&mut kept, TAKEN).await;
-        assert_eq!(rest(&mut kept).await, "", "nothing is written");
+        server.wait_for_connect().await;
+        publish_and_wait(&mut scheduler, 6, &[endpoint("r0", server.address, "DRAINING")]).await;
+        write(&mut reused, ACCEPTED).await;
+        assert_eq!(read_to_end(&mut reused).await, "", "nothing is written");
         assert_eq!(two.next_response().await.expect("an answer").status(), 503, "it never ran");
         assert_eq!(scheduler.call_back(&first.headers["x-request-id"], "r0", DONE).await, 204);
         assert_eq!(one.next_response().await.expect("an answer").status(), 200);
     }
 }
 
-// The same with a connection that comes up late, to a real server that drains or stands elsewhere by then.
+// The same with a connection that comes up late, to a worker that drains or stands elsewhere by then.
 #[tokio::test]
-async fn a_late_connection_carries_nothing_to_a_real_server_that_drains_or_moved() {
+async fn a_late_connection_carries_nothing_to_a_worker_that_drains_or_moved() {
     let elsewhere = FakeServer::start().await;
     for (drains, text) in
-        [(true, request_text("once", 3, 9000)), (false, empty(request_text("safe", 3, 9000)))]
+        [(true, request_text("once", 3, 9000)), (false, with_empty_body(request_text("safe", 3, 9000)))]
     {
         let server = RawServer::new();
-        let mut scheduler = patient(&[server.address]).await;
-        let full = server.full().await;
+        let mut scheduler = start_with_long_connect_timeout(&[server.address]).await;
+        let queued = server.fill_queue().await;
         let mut client = scheduler.client().await;
         client.send(&text).await;
-        server.awaited().await;
+        server.wait_for_connect().await;
         let change = match drains {
             true => endpoint("r0", server.address, "DRAINING"),
             false => endpoint("r0", elsewhere.address, "SERVING"),
         };
-        tell(&mut scheduler, 6, &[change]).await;
-        drop((full, server.accept().await));
+        publish_and_wait(&mut scheduler, 6, &[change]).await;
+        drop((queued, server.accept().await));
         let mut late = server.accept().await;
-        assert_eq!(rest(&mut late).await, "", "drains: {drains}");
+        assert_eq!(read_to_end(&mut late).await, "", "drains: {drains}");
         assert_eq!(client.next_response().await.expect("an answer").status(), 503, "drains: {drains}");
     }
 }
 
-// Guards against a connection that comes up after its flow has ended: it carries nothing, holds no place, and
-// is closed before the real server would.
+// Guards against a connection that comes up after its request has ended: it carries nothing, holds no place, and
+// is closed before the worker would.
 #[tokio::test]
-async fn a_connection_that_comes_up_after_its_flow_ended_carries_nothing() {
+async fn a_connection_established_after_its_request_completed_carries_nothing() {
     let server = RawServer::new();
-    let scheduler = patient(&[server.address]).await;
+    let scheduler = start_with_long_connect_timeout(&[server.address]).await;
     let (mut one, mut two) = (scheduler.client().await, scheduler.client().await);
     one.send_request("once", 4, 9000).await;
-    let (mut kept, first) = server.next_request().await;
-    let full = server.full().await;
+    let (mut reused, first) = server.next_request().await;
+    let queued = server.fill_queue().await;
     two.send_request("once", 5, 9000).await;
-    server.awaited().await;
+    server.wait_for_connect().await;
     // The second goes out on the first one's connection, and both end.
-    say(&mut kept, TAKEN).await;
-    let second = next_message(&mut kept).await.expect("the second");
-    say(&mut kept, TAKEN).await;
+    write(&mut reused, ACCEPTED).await;
+    let second = next_message(&mut reused).await.expect("the second");
+    write(&mut reused, ACCEPTED).await;
     for (message, client) in [(first, &mut one), (second, &mut two)] {
         assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
         assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
     // Nobody waits for the other connection any more. It comes up all the same, and is closed unused.
-    drop((full, server.accept().await));
+    drop((queued, server.accept().await));
     let mut late = server.accept().await;
-    assert_eq!(rest(&mut late).await, "");
-    assert_eq!(rest(&mut kept).await, "");
+    assert_eq!(read_to_end(&mut late).await, "");
+    assert_eq!(read_to_end(&mut reused).await, "");
 }
 
 // Guards against an answer whose body or head never ends, and holds a place, or an outcome that is known.
 #[tokio::test]
-async fn an_answer_that_never_ends_holds_up_nobody() {
+async fn a_response_that_never_ends_delays_nobody() {
     let server = RawServer::new();
-    // 64 descriptors allow for eight hand-overs at once.
+    // 64 descriptors allow for eight dispatches at once.
     let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[server.address]).await;
     let mut client = scheduler.client().await;
     let bodies =
@@ -181,18 +182,18 @@
         client.send_request("once", number, 9000).await;
         let (mut connection, message) = server.next_request().await;
         if number % 2 == 0 {
-            say(&mut connection, &format!("HTTP/1.1 202 Accepted\r\n{body}")).await;
-            // The call-back is heard, and the connection is closed long before the job's time is over.
+            write(&mut connection, &format!("HTTP/1.1 202 Accepted\r\n{body}")).await;
+            // The callback is heard, and the connection is closed long before the request's time is over.
             assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
             assert_eq!(client.next_response().await.expect("an answer").status(), 200, "{body}");
         } else {
             let head = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\n";
-            say(&mut connection, &format!("{head}{body}")).await;
+            write(&mut connection, &format!("{head}{body}")).await;
             assert_eq!(client.next_response().await.expect("an answer").status(), 503, "{body}");
         }
-        assert_eq!(rest(&mut connection).await, "");
+        assert_eq!(read_to_end(&mut connection).await, "");
     }
-    // A head without end is given up: whether it ran is open.
+    // A head without end is cancelled: whether it ran is open.
     client.send_request("once", 30, 9000).await;
     let (mut connection, _) = server.next_request().await;
     let endless = format!("HTTP/1.1 202 Accepted\r\nX-Long: {}", "x".repeat(60_000));
@@ -200,23 +201,23 @@
     let _ = connection.write_all(endless.as_bytes()).await;
     assert_eq!(client.next_response().await.expect("an answer").status(), 500);
     assert!(since.elapsed() < Duration::from_secs(3), "not at the deadline: {:?}", since.elapsed());
-    assert_eq!(rest(&mut connection).await, "");
+    assert_eq!(read_to_end(&mut connection).await, "");
 }
 
 // Guards against answers that are read for the next request's: what follows one that is not a plain 202, or
 // follows at once, does not.
 #[tokio::test]
-async fn a_second_answer_is_never_the_next_jobs_own() {
-    let twice = format!("{TAKEN}{NOT_RUN}");
-    let garbage = format!("{TAKEN}\u{1}\u{2}trailing");
+async fn a_second_response_is_never_taken_for_the_next_requests() {
+    let twice = format!("{ACCEPTED}{NOT_PROCESSED}");
+    let garbage = format!("{ACCEPTED}\u{1}\u{2}trailing");
     let failed = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-    for (spoilt, status) in [(NOT_RUN, 503), (failed, 500), (&twice, 200), (&garbage, 200)] {
+    for (first_response, status) in [(NOT_PROCESSED, 503), (failed, 500), (&twice, 200), (&garbage, 200)] {
         let server = RawServer::new();
         let scheduler = Scheduler::start(&[server.address]).await;
         let mut client = scheduler.client().await;
         client.send_request("once", 40, 9000).await;
         let (mut first, message) = server.next_request().await;
-        say(&mut first, spoilt).await;
+        write(&mut first, first_response).await;
         if status == 200 {
             assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
         }
@@ -224,40 +225,44 @@
         client.send_request("once", 41, 9000).await;
         let (mut second, message) = tokio::select! {
             asked = server.next_request() => asked,
-            Some(message) = next_message(&mut first) => panic!("after {spoilt:?} came {message:?}"),
+            Some(message) = next_message(&mut first) => panic!("after {first_response:?} came {message:?}"),
         };
         // Late, and for nobody.
-        let _ = first.write_all(NOT_RUN.as_bytes()).await;
-        say(&mut second, TAKEN).await;
+        let _ = first.write_all(NOT_PROCESSED.as_bytes()).await;
+        write(&mut second, ACCEPTED).await;
         assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
-        assert_eq!(client.next_response().await.expect("an answer").status(), 200, "after {spoilt:?}");
+        assert_eq!(
+            client.next_response().await.expect("an answer").status(),
+            200,
+            "after {first_response:?}"
+        );
     }
 }
 
 // Guards against a second run on the word of an answer that may belong to the request before: one that says
-// "never ran" is believed for a job that may not run twice only where no other came just before.
+// "never ran" is believed for a request that may not run twice only where no other came just before.
 #[tokio::test]
-async fn an_answer_that_may_be_the_last_requests_second_one_proves_nothing() {
-    for (class, goes_on) in [("once", false), ("keyed", false), ("safe", true)] {
+async fn a_response_that_may_be_the_previous_requests_second_one_proves_nothing() {
+    for (class, retries) in [("once", false), ("keyed", false), ("safe", true)] {
         let (server, mut other) = (RawServer::new(), FakeServer::start().await);
-        let mut scheduler = patient(&[server.address]).await;
+        let mut scheduler = start_with_long_connect_timeout(&[server.address]).await;
         let (mut one, mut two) = (scheduler.client().await, scheduler.client().await);
         one.send_request("once", 50, 9000).await;
-        let (mut kept, _) = server.next_request().await;
-        let _full = server.full().await;
+        let (mut reused, _) = server.next_request().await;
+        let _full = server.fill_queue().await;
         two.send_request(class, 51, 9000).await;
-        server.awaited().await;
+        server.wait_for_connect().await;
         let elsewhere = endpoint("r1", other.address, "SERVING").replace("\"cell\":0", "\"cell\":1");
-        tell(&mut scheduler, 6, &[elsewhere]).await;
-        // The first job's answer frees the connection for the second job, and comes twice, in another form.
-        say(&mut kept, TAKEN).await;
-        next_message(&mut kept).await.expect("the second job");
-        say(&mut kept, NOT_RUN).await;
-        if goes_on {
+        publish_and_wait(&mut scheduler, 6, &[elsewhere]).await;
+        // The first request's answer frees the connection for the second request, and comes twice, in another form.
+        write(&mut reused, ACCEPTED).await;
+        next_message(&mut reused).await.expect("the second request");
+        write(&mut reused, NOT_PROCESSED).await;
+        if retries {
             let id = other.next_request().await.accept();
             assert_eq!(scheduler.call_back(&id, "r1", DONE).await, 204);
         }
-        let status = if goes_on { 200 } else { 500 };
+        let status = if retries { 200 } else { 500 };
         assert_eq!(two.next_response().await.expect("an answer").status(), status, "{class}");
         assert!(other.is_idle(), "{class}");
     }
@@ -266,33 +271,33 @@
 // Guards against a second run where it is not allowed: after a reset under a request that has begun, each
 // class goes on within its own bounds, and is answered by what may have run.
 #[tokio::test]
-async fn a_job_reset_after_it_began_goes_on_only_as_its_class_allows() {
+async fn a_request_whose_attempt_is_reset_is_retried_only_as_its_class_allows() {
     let short = "s/\"window_s\":9/\"window_s\":0.29/";
     let cases = [
         ("once", 0, "", None),
         ("safe", 1, "", Some(200)),
         ("keyed", 0, "", Some(200)),
-        // The only other real server has not the memory of its key.
+        // The only other worker has not the memory of its key.
         ("keyed", 1, "", None),
         // A repeat could reach the wire 0.25 s later, and the key may be forgotten then.
         ("keyed", 0, short, None),
     ];
-    for (class, cell, edit, goes_on) in cases {
+    for (class, cell, edit, retries) in cases {
         let (server, mut other) = (RawServer::new(), FakeServer::start().await);
-        let mut scheduler = edited(edit, 1024, &[server.address]).await;
+        let mut scheduler = start_edited_with_sed(edit, 1024, &[server.address]).await;
         let mut client = scheduler.client().await;
         client.send_request(class, 60, 9000).await;
         let (connection, _) = server.next_request().await;
         let elsewhere =
             endpoint("r1", other.address, "SERVING").replace("\"cell\":0", &format!("\"cell\":{cell}"));
-        tell(&mut scheduler, 6, &[elsewhere]).await;
+        publish_and_wait(&mut scheduler, 6, &[elsewhere]).await;
         reset(connection);
-        if goes_on.is_some() {
+        if retries.is_some() {
             let id = other.next_request().await.accept();
             assert_eq!(scheduler.call_back(&id, "r1", DONE).await, 204);
         }
         let answer = client.next_response().await.expect("an answer").status();
-        assert_eq!(answer, goes_on.unwrap_or(500), "{class}, cell {cell}, {edit:?}");
+        assert_eq!(answer, retries.unwrap_or(500), "{class}, cell {cell}, {edit:?}");
         assert!(other.is_idle(), "{class}, cell {cell}, {edit:?}");
     }
 }
@@ -303,18 +308,18 @@
 
 // Guards against an answer that is lost to the reset that comes with it.
 #[tokio::test]
-async fn an_answer_counts_though_a_reset_comes_with_it() {
+async fn a_response_counts_even_if_a_reset_comes_with_it() {
     let server = RawServer::new();
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
-    for (number, answer, status) in [(70, TAKEN, 200), (71, NOT_RUN, 503), (72, TAKEN, 500)] {
+    for (number, answer, status) in [(70, ACCEPTED, 200), (71, NOT_PROCESSED, 503), (72, ACCEPTED, 500)] {
         client.send_request("once", number, 9000).await;
         let (mut connection, message) = server.next_request().await;
-        say(&mut connection, answer).await;
+        write(&mut connection, answer).await;
         reset(connection);
         let id = &message.headers["x-request-id"];
         let news = if status == 200 { DONE } else { r#""state":"lost""# };
-        if answer == TAKEN {
+        if answer == ACCEPTED {
             // Twice: the second finds nobody.
             assert_eq!(scheduler.call_back(id, "r0", news).await, 204);
             assert_eq!(scheduler.call_back(id, "r0", DONE).await, 204);
@@ -323,10 +328,10 @@
     }
 }
 
-// Guards against a real server that hangs in the middle of its work: the answer at the end says that the job
+// Guards against a worker that hangs in the middle of its work: the answer at the end says that the request
 // may have run, and it has gone nowhere that has not the memory of its key.
 #[tokio::test]
-async fn a_job_that_hangs_in_its_work_fails_in_time_and_goes_nowhere_else() {
+async fn a_request_that_hangs_at_its_worker_fails_in_time_and_is_not_retried() {
     for class in ["once", "keyed"] {
         let (mut server, mut other) = (FakeServer::start().await, FakeServer::start().await);
         let mut scheduler = Scheduler::start(&[server.address]).await;
@@ -335,7 +340,7 @@
         let id = server.next_request().await.accept();
         assert_eq!(scheduler.call_back(&id, "r0", r#""state":"started""#).await, 204);
         let elsewhere = endpoint("r1", other.address, "SERVING").replace("\"cell\":0", "\"cell\":1");
-        tell(&mut scheduler, 6, &[elsewhere]).await;
+        publish_and_wait(&mut scheduler, 6, &[elsewhere]).await;
         assert_eq!(client.next_response().await.expect("an answer").status(), 500, "{class}");
         assert_eq!(server.next_request().await.message.first_line, format!("DELETE /jobs/{id} HTTP/1.1"));
         // What it says after all finds nobody.
@@ -344,18 +349,18 @@
     }
 }
 
-// Guards against a second run of a job that was to be written to a kept connection just as the real server
+// Guards against a second run of a request that was to be written to a reused connection just as the worker
 // closed it: the scheduler finds both at once.
 #[tokio::test]
-async fn a_job_that_meets_the_close_of_a_kept_connection_runs_once_at_most() {
+async fn a_request_that_meets_the_close_of_a_reused_connection_runs_at_most_once() {
     let server = RawServer::new();
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
     client.send_request("once", 200, 9000).await;
-    let mut kept = served(server.next_request().await, &scheduler, &mut client, 200).await;
+    let mut reused = serve(server.next_request().await, &scheduler, &mut client, 200).await;
     for number in 201..204 {
         scheduler.signal("STOP").await;
-        drop(kept);
+        drop(reused);
         client.send_request("once", number, 9000).await;
         scheduler.signal("CONT").await;
         let asked = tokio::select! {
@@ -368,26 +373,26 @@
                 None
             }
         };
-        kept = match asked {
-            Some(asked) => served(asked, &scheduler, &mut client, number).await,
+        reused = match asked {
+            Some(asked) => serve(asked, &scheduler, &mut client, number).await,
             None => {
-                // What comes next is the next job.
+                // What comes next is the next request.
                 client.send_request("once", number + 100, 9000).await;
-                served(server.next_request().await, &scheduler, &mut client, number + 100).await
+                serve(server.next_request().await, &scheduler, &mut client, number + 100).await
             }
         };
     }
 }
 
-/// A job goes its usual way; returns its connection.
-async fn served(
+/// A request goes its usual way; returns its connection.
+async fn serve(
     (mut connection, message): (Connection, Message),
     scheduler: &Scheduler,
     client: &mut Client,
     number: u64,
 ) -> Connection {
     assert_eq!(message.headers["x-request-id"], format!("{number:016x}"));
-    say(&mut connection, TAKEN).await;
+    write(&mut connection, ACCEPTED).await;
     assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
     assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     connection
@@ -396,51 +401,46 @@
 // Guards against a repeat that is written after its window, where this process stood still between the
 // decision and the write.
 #[tokio::test]
-async fn a_keyed_job_is_written_in_time_or_not_at_all() {
+async fn a_request_with_an_idempotency_key_is_written_in_time_or_not_at_all() {
     let mut server = FakeServer::start().await;
     let config =
         platform::read_startup_config(&config(server.address, server.address, &endpoint_list(1, true, &[])));
-    let given = config.expect("it is good").settings;
-    let entries = Arc::new(EndpointTable::new(&given.proxy));
+    let settings = config.expect("it is good").settings;
+    let endpoints = Arc::new(EndpointTable::new(&settings.proxy));
     let told = json::parse(&endpoint_list(2, true, &[endpoint("r0", server.address, "SERVING")]));
-    entries.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
-    let real_servers = HttpUpstream::new(&given.proxy, entries, 1024);
+    endpoints.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
+    let upstream = HttpUpstream::new(&settings.proxy, endpoints, 1024);
     let keyed = Idempotency::IdempotentWithKey { scope: KeyScope::All, window: 9_000_000 };
-    for (effect, late) in [(keyed, true), (keyed, false), (Idempotency::Idempotent, true)] {
+    for (idempotency, late) in [(keyed, true), (keyed, false), (Idempotency::Idempotent, true)] {
         let (headers, body) = (Default::default(), "hi".into());
         let path = "/keyed/k".parse().expect("a path");
-        let order = UpstreamRequest {
-            id: String::new(),
-            path,
-            headers,
-            idempotency: effect,
-            body,
-            body_permit: None,
-        };
+        let upstream_request =
+            UpstreamRequest { id: String::new(), path, headers, idempotency, body, body_permit: None };
         let cancellation = CancellationToken::new();
-        let mut handed = real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &cancellation);
-        assert!((&mut handed).now_or_never().is_none(), "it waits for a connection");
+        let mut dispatch =
+            upstream.dispatch(WorkerId(0), &upstream_request, from_now(9_000_000), &cancellation);
+        assert!((&mut dispatch).now_or_never().is_none(), "it waits for a connection");
         if late {
             std::thread::sleep(
-                Duration::from_micros(given.proxy.connect_timeout) + Duration::from_millis(100),
+                Duration::from_micros(settings.proxy.connect_timeout) + Duration::from_millis(100),
             );
         }
-        let took = async { server.next_request().await.respond("202 Accepted", "", "") };
-        if late && effect == keyed {
+        let accepted = async { server.next_request().await.respond("202 Accepted", "", "") };
+        if late && idempotency == keyed {
             tokio::select! {
-                ended = handed => assert_eq!(ended, Err(Outcome::Superseded.into())),
-                () = took => panic!("it was written late"),
+                ended = dispatch => assert_eq!(ended, Err(Outcome::Superseded.into())),
+                () = accepted => panic!("it was written late"),
             }
         } else {
-            assert_eq!(tokio::join!(handed, took).0, Ok(()));
+            assert_eq!(tokio::join!(dispatch, accepted).0, Ok(()));
         }
     }
     assert!(server.is_idle(), "nothing came late");
 }
 
-// Guards against real servers that stay silent and keep the places of hand-overs for good.
+// Guards against workers that stay silent and keep the places of dispatches for good.
 #[tokio::test]
-async fn silent_real_servers_give_their_places_back_at_the_deadline() {
+async fn silent_workers_release_their_dispatch_permits_at_the_deadline() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[server.address]).await;
     let mut clients = Vec::new();
@@ -461,26 +461,27 @@
     scheduler.serve_request(&mut client, &mut server, 88, DONE).await;
 }
 
-// Guards against a request that is written to a connection which the real server is closing for its age.
+// Guards against a request that is written to a connection which the worker is closing for its age.
 #[tokio::test]
-async fn a_kept_connection_is_closed_here_before_the_real_servers_limit() {
+async fn an_idle_connection_is_closed_before_the_workers_keep_alive_timeout() {
     let server = RawServer::new();
-    let scheduler = edited("s/\"keepalive_s\":5/\"keepalive_s\":1/", 1024, &[server.address]).await;
+    let scheduler =
+        start_edited_with_sed("s/\"keepalive_s\":5/\"keepalive_s\":1/", 1024, &[server.address]).await;
     let mut client = scheduler.client().await;
     for number in 90..92 {
         client.send_request("once", number, 9000).await;
         let (mut connection, message) = server.next_request().await;
-        say(&mut connection, TAKEN).await;
+        write(&mut connection, ACCEPTED).await;
         assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
         assert_eq!(client.next_response().await.expect("an answer").status(), 200);
         // It never answers the end of the stream: the other side closes by itself.
-        assert_eq!(rest(&mut connection).await, "");
+        assert_eq!(read_to_end(&mut connection).await, "");
     }
 }
 
-// Guards against what of one job passes on with the next on the same connection.
+// Guards against what of one request passes on with the next on the same connection.
 #[tokio::test]
-async fn jobs_on_one_connection_pass_on_each_with_its_own() {
+async fn requests_on_one_connection_are_forwarded_each_with_its_own_headers() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
@@ -521,7 +522,7 @@
     }
     // An empty body passes on as such, and the connection lives on.
     for number in 110..112 {
-        client.send(&empty(request_text("once", number, 9000))).await;
+        client.send(&with_empty_body(request_text("once", number, 9000))).await;
         let asked = server.next_request().await;
         assert_eq!(connection, Some(asked.peer));
         assert_eq!(asked.message.headers.get("content-length").map(String::as_str), Some("0"));
--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -1,5 +1,5 @@
-//! The program follows the worker list through the moments in which discovery fails: whatever went wrong,
-//! a change is known within 6 s of discovery's having it, and jobs are served all along.
+//! The program follows the endpoint list through the moments in which discovery fails: whatever went wrong,
+//! a change is known within 6 s of discovery's having it, and requests are served all along.
 mod sockets;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,15 +16,15 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 /// What the terms allow, and what is kept free of it for the way and a busy machine.
-const TOLD: Micros = 6 * SECOND;
-const MARGIN: Micros = SECOND / 2;
-const WHOLE: &str = "GET /api/targets HTTP/1.1";
-const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
-const TURNED_AWAY: &str =
+const MAX_CHANGE_DELAY: Micros = 6 * SECOND;
+const DELAY_MARGIN: Micros = SECOND / 2;
+const FULL_LIST_REQUEST: &str = "GET /api/targets HTTP/1.1";
+const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
+const UNAVAILABLE: &str =
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 const DONE: &str = r#""state":"done","result":"well""#;
-const KINDS: [&str; 2] = ["pushed", "on_request"];
-const AWAY: [&str; 3] = ["refuses", "silent", "no connection comes up"];
+const DISCOVERY_KINDS: [&str; 2] = ["pushed", "on_request"];
+const OUTAGES: [&str; 3] = ["refuses", "silent", "no connection comes up"];
 
 /// A discovery that may be down, and whose answers may be anything.
 struct Discovery {
@@ -50,10 +50,10 @@
     }
     async fn up() -> Discovery {
         let mut discovery = Discovery::down();
-        discovery.rise().await;
+        discovery.listen().await;
         discovery
     }
-    async fn rise(&mut self) {
+    async fn listen(&mut self) {
         self.listener = Some(TcpListener::bind(self.address).await.expect("its address"));
     }
     /// Away in one of these ways.
@@ -80,10 +80,10 @@
         }
     }
     /// There again.
-    async fn back(&mut self) {
+    async fn recover(&mut self) {
         self.queued.clear();
         if self.listener.is_none() {
-            self.rise().await;
+            self.listen().await;
         }
     }
     /// The next call whose caller still waits.
@@ -105,7 +105,7 @@
         }
     }
     /// Tells a list, whole, and sees it taken: the next call watches from it.
-    async fn tell(&self, revision: u64, members: &[String]) -> Call {
+    async fn publish(&self, revision: u64, members: &[String]) -> Call {
         loop {
             self.call().await.list(&endpoint_list(revision, true, members)).await;
             let next = self.call().await;
@@ -118,17 +118,19 @@
 }
 
 impl Call {
-    async fn say(&mut self, text: &str) {
+    async fn write(&mut self, text: &str) {
         let _ = self.stream.write_all(text.as_bytes()).await;
     }
     /// Answers well and closes, so that each call has a connection of its own.
     async fn list(mut self, body: &str) {
         let length = body.len();
-        self.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}"))
-            .await;
+        self.write(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}"
+        ))
+        .await;
     }
     /// Says a beginning and then the same for good, until the scheduler goes.
-    fn forever(mut self, begin: &'static str, again: String, pause: Duration) {
+    fn repeat_forever(mut self, begin: &'static str, again: String, pause: Duration) {
         tokio::spawn(async move {
             let mut text = begin.as_bytes();
             while self.stream.write_all(text).await.is_ok() {
@@ -142,20 +144,20 @@
     }
 }
 
-/// The program, a real server r0 that it knows from before, a client, and a number for each job.
-struct House {
+/// The program, a worker r0 that it knows from before, a client, and a number for each request.
+struct Fixture {
     scheduler: Scheduler,
     worker: FakeServer,
     client: Client,
     job: u64,
 }
 
-impl House {
-    async fn start(kind: &str, discovery: &Discovery) -> House {
-        House::start_with(kind, discovery, 1024, "").await
+impl Fixture {
+    async fn start(kind: &str, discovery: &Discovery) -> Fixture {
+        Fixture::start_with(kind, discovery, 1024, "").await
     }
     /// With so many descriptors, and its configuration changed by a further command of `sed`.
-    async fn start_with(kind: &str, discovery: &Discovery, sockets: u32, further: &str) -> House {
+    async fn start_with(kind: &str, discovery: &Discovery, sockets: u32, further: &str) -> Fixture {
         let worker = FakeServer::start().await;
         let place = format!(r#"s/"discovery":"127[^"]*"/"discovery":"{}"/"#, discovery.address);
         let kind = format!(r#"s/"discovery":"pushed"/"discovery":"{kind}"/"#);
@@ -164,8 +166,8 @@
         let scheduler = Scheduler::start_by_command(&command, sockets, &[worker.address]).await;
         let mut client = scheduler.client().await;
         // One that says nothing at first is not kept for long.
-        assert_eq!(client.exchange(READY).await.status(), 200);
-        House { scheduler, worker, client, job: 1 }
+        assert_eq!(client.exchange(READINESS_REQUEST).await.status(), 200);
+        Fixture { scheduler, worker, client, job: 1 }
     }
     fn r0(&self, phase: &str) -> [String; 1] {
         [endpoint("r0", self.worker.address, phase)]
@@ -174,15 +176,15 @@
         self.job += 1;
         self.scheduler.serve_request(&mut self.client, &mut self.worker, self.job, DONE).await;
     }
-    /// The next job does not reach the real server that drains.
-    async fn keeps_the_drain(&mut self) {
+    /// The next request does not reach the worker that drains.
+    async fn assert_draining_worker_gets_nothing(&mut self) {
         self.job += 1;
         let job = request_text("once", self.job, 9000);
         assert_eq!(self.client.exchange(&job).await.status(), 503);
         assert!(self.worker.is_idle());
     }
     /// Points it to another discovery.
-    async fn moves(&mut self, from: SocketAddr, to: SocketAddr) {
+    async fn move_discovery(&mut self, from: SocketAddr, to: SocketAddr) {
         let content = std::fs::read_to_string(&self.scheduler.path).expect("a configuration");
         let from = format!(r#""discovery":"{from}""#);
         assert!(content.contains(&from));
@@ -202,17 +204,22 @@
     }
 }
 
-/// Discovery has a drain from now on: it is told, kept, and was known in time; then serving goes on.
-async fn drains_in_time(what: &str, house: &mut House, discovery: &Discovery, revision: u64) -> Call {
+/// Discovery announces a drain from now on: it is known in time and kept; then serving goes on.
+async fn assert_drain_is_known_in_time(
+    what: &str,
+    fixture: &mut Fixture,
+    discovery: &Discovery,
+    revision: u64,
+) -> Call {
     let since = Instant::now();
-    let watch = discovery.tell(revision, &house.r0("DRAINING")).await;
+    let watch = discovery.publish(revision, &fixture.r0("DRAINING")).await;
     let took = since.elapsed();
-    assert!(took < Duration::from_micros(TOLD - MARGIN), "{what}: {took:?}");
-    house.keeps_the_drain().await;
-    watch.list(&endpoint_list(revision + 1, true, &house.r0("SERVING"))).await;
+    assert!(took < Duration::from_micros(MAX_CHANGE_DELAY - DELAY_MARGIN), "{what}: {took:?}");
+    fixture.assert_draining_worker_gets_nothing().await;
+    watch.list(&endpoint_list(revision + 1, true, &fixture.r0("SERVING"))).await;
     let watch = discovery.call().await;
     assert!(watch.first.contains(&format!("from={}&", revision + 1)), "{what}: {}", watch.first);
-    house.serves().await;
+    fixture.serves().await;
     watch
 }
 
@@ -235,7 +242,7 @@
     "indented",
 ];
 
-async fn fails(fault: &str, mut watch: Call, members: &[String]) -> Option<Call> {
+async fn inject(fault: &str, mut watch: Call, members: &[String]) -> Option<Call> {
     let body = endpoint_list(6, true, members);
     let long = body.len() + 9;
     let (half, pause) = (&body[..body.len() / 2], Duration::from_millis(20));
@@ -249,39 +256,39 @@
             watch.reset();
             return None;
         }
-        "half an answer, then silence" => watch.say(&(head(body.len()) + half)).await,
+        "half an answer, then silence" => watch.write(&(head(body.len()) + half)).await,
         "half an answer, then a close" => {
-            watch.say(&(head(body.len()) + half)).await;
+            watch.write(&(head(body.len()) + half)).await;
             return None;
         }
         "a head without end" => {
-            watch.forever("HTTP/1.1 200 OK\r\nX: ", "x".repeat(64), pause);
+            watch.repeat_forever("HTTP/1.1 200 OK\r\nX: ", "x".repeat(64), pause);
             return None;
         }
         "a body without end" => {
-            watch.forever(OPEN, chunk(64), pause);
+            watch.repeat_forever(OPEN, chunk(64), pause);
             return None;
         }
         "a body without end, at once" => {
-            watch.forever(OPEN, chunk(65_536), Duration::ZERO);
+            watch.repeat_forever(OPEN, chunk(65_536), Duration::ZERO);
             return None;
         }
-        "longer than its length" => watch.say(&(head(body.len() - 9) + &body)).await,
-        "shorter than its length" => watch.say(&(head(long) + &body)).await,
+        "longer than its length" => watch.write(&(head(body.len() - 9) + &body)).await,
+        "shorter than its length" => watch.write(&(head(long) + &body)).await,
         "no list" => {
             watch.list(r#"{"revision":9,"complete":true,"members":[{"id":1}]}"#).await;
             return None;
         }
         "503" => {
-            watch.say(TURNED_AWAY).await;
+            watch.write(UNAVAILABLE).await;
             return None;
         }
         "503, then silence on its connection" => {
-            watch.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
+            watch.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
         }
         "503 without end" => {
             let begin = "HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n";
-            watch.forever(begin, chunk(64), pause);
+            watch.repeat_forever(begin, chunk(64), pause);
             return None;
         }
         "indented" => {
@@ -295,8 +302,8 @@
 }
 
 #[test]
-fn all_waits_for_a_change_added_up_stay_within_the_terms() {
-    // The module's longest waits where lists are asked for, in a fleet that spreads as far as any.
+fn all_waits_for_a_change_added_up_stay_within_the_limit() {
+    // The policy's longest waits where lists are asked for, in a fleet that spreads as far as any.
     let (mut first, mut wait) = (0, 0);
     for seed in 0..500 {
         let settings = Settings {
@@ -305,20 +312,20 @@
             classes: vec![RequestClass::default()],
             ..Settings::default()
         };
-        let mut module = Dispatcher::new(settings, seed).expect("settings are good");
-        let mut wakes = |event| {
+        let mut policy = Dispatcher::new(settings, seed).expect("settings are good");
+        let mut timer_delay = |event| {
             let mut actions = Vec::new();
-            module.handle(SECOND, event, &mut actions);
+            policy.handle(SECOND, event, &mut actions);
             actions.into_iter().find_map(|action| match action {
                 Action::StartTimer { after, timer: Timer::Subscription } => Some(after),
                 _ => None,
             })
         };
-        let roster = |kind| Event::Endpoints(EndpointUpdate { kind, version: 1, endpoints: &[] });
-        first = first.max(wakes(roster(EndpointUpdateKind::Cached)).expect("a first call"));
+        let update = |kind| Event::Endpoints(EndpointUpdate { kind, version: 1, endpoints: &[] });
+        first = first.max(timer_delay(update(EndpointUpdateKind::Cached)).expect("a first call"));
         for _ in 0..12 {
-            assert_eq!(wakes(Event::TimerExpired(Timer::Subscription)), None);
-            wait = wait.max(wakes(roster(EndpointUpdateKind::Failed)).expect("a further call"));
+            assert_eq!(timer_delay(Event::TimerExpired(Timer::Subscription)), None);
+            wait = wait.max(timer_delay(update(EndpointUpdateKind::Failed)).expect("a further call"));
         }
     }
     let sums = [
@@ -341,95 +348,99 @@
         ),
     ];
     for (what, sum) in sums {
-        assert!(sum <= TOLD - MARGIN, "{what}: {sum} us");
+        assert!(sum <= MAX_CHANGE_DELAY - DELAY_MARGIN, "{what}: {sum} us");
     }
 }
 
 #[tokio::test]
-async fn whatever_a_watch_comes_to_a_drain_is_known_in_time() {
+async fn a_drain_is_known_in_time_whatever_fault_a_watch_meets() {
     let one = |kind: &'static str, fault: &'static str| async move {
         let discovery = Discovery::up().await;
-        let mut house = House::start(kind, &discovery).await;
-        let serving = house.r0("SERVING");
-        let watch = discovery.tell(6, &serving).await;
-        let _open = fails(fault, watch, &serving).await;
-        house.serves().await;
-        drains_in_time(&format!("{kind}, {fault}"), &mut house, &discovery, 7).await;
+        let mut fixture = Fixture::start(kind, &discovery).await;
+        let serving = fixture.r0("SERVING");
+        let watch = discovery.publish(6, &serving).await;
+        let _open = inject(fault, watch, &serving).await;
+        fixture.serves().await;
+        assert_drain_is_known_in_time(&format!("{kind}, {fault}"), &mut fixture, &discovery, 7).await;
     };
-    join_all(KINDS.iter().flat_map(|kind| FAULTS.iter().map(move |fault| one(kind, fault)))).await;
+    join_all(DISCOVERY_KINDS.iter().flat_map(|kind| FAULTS.iter().map(move |fault| one(kind, fault)))).await;
 }
 
 // Guards against a second held call after one that fell silent: the two would take longer than the terms.
 #[tokio::test]
-async fn after_a_silent_watch_the_whole_list_is_asked_for_until_it_comes() {
-    join_all(KINDS.map(|kind| async move {
+async fn after_a_silent_watch_the_complete_list_is_requested_until_it_comes() {
+    join_all(DISCOVERY_KINDS.map(|kind| async move {
         let discovery = Discovery::up().await;
-        let mut house = House::start(kind, &discovery).await;
-        let _silent = discovery.tell(6, &house.r0("SERVING")).await;
+        let mut fixture = Fixture::start(kind, &discovery).await;
+        let _silent = discovery.publish(6, &fixture.r0("SERVING")).await;
         let since = Instant::now();
         let also_silent = discovery.call().await;
-        assert_eq!(also_silent.first, WHOLE, "{kind}");
+        assert_eq!(also_silent.first, FULL_LIST_REQUEST, "{kind}");
         assert!(
             since.elapsed() < Duration::from_micros(WATCH_HOLD_TIME + 2 * SECOND),
             "{kind}: {:?}",
             since.elapsed()
         );
-        house.serves().await;
-        drains_in_time(kind, &mut house, &discovery, 7).await;
+        fixture.serves().await;
+        assert_drain_is_known_in_time(kind, &mut fixture, &discovery, 7).await;
     }))
     .await;
 }
 
 #[tokio::test]
-async fn a_discovery_that_is_away_from_the_first_moment_is_followed_once_it_is_there() {
+async fn a_discovery_that_is_unavailable_at_the_start_is_followed_once_it_is_available() {
     let one = |kind: &'static str, away: &'static str| async move {
         let mut discovery = Discovery::away(away).await;
-        let mut house = House::start(kind, &discovery).await;
-        house.serves().await;
-        house.failures(1).await;
-        discovery.back().await;
-        drains_in_time(&format!("{kind}, {away}"), &mut house, &discovery, 6).await;
+        let mut fixture = Fixture::start(kind, &discovery).await;
+        fixture.serves().await;
+        fixture.failures(1).await;
+        discovery.recover().await;
+        assert_drain_is_known_in_time(&format!("{kind}, {away}"), &mut fixture, &discovery, 6).await;
     };
-    join_all(KINDS.into_iter().flat_map(|kind| AWAY.map(|away| one(kind, away)))).await;
+    join_all(DISCOVERY_KINDS.into_iter().flat_map(|kind| OUTAGES.map(|away| one(kind, away)))).await;
 }
 
 // Guards against a wait that grows with the outage beyond what the terms leave for it.
 #[tokio::test]
-async fn after_many_failed_calls_a_drain_is_known_in_time() {
-    join_all(KINDS.map(|kind| async move {
+async fn a_drain_is_known_in_time_after_many_failed_calls() {
+    join_all(DISCOVERY_KINDS.map(|kind| async move {
         let discovery = Discovery::up().await;
-        let mut house = House::start(kind, &discovery).await;
-        let mut call = discovery.tell(6, &house.r0("SERVING")).await;
+        let mut fixture = Fixture::start(kind, &discovery).await;
+        let mut call = discovery.publish(6, &fixture.r0("SERVING")).await;
         for _ in 0..4 {
-            call.say(TURNED_AWAY).await;
+            call.write(UNAVAILABLE).await;
             drop(call);
             call = discovery.call().await;
         }
         // The last one finds discovery gone silent; it could be reached right after.
         let since = Instant::now();
-        drains_in_time(kind, &mut house, &discovery, 7).await;
-        assert!(since.elapsed() < Duration::from_micros(TOLD - MARGIN), "{kind}: {:?}", since.elapsed());
+        assert_drain_is_known_in_time(kind, &mut fixture, &discovery, 7).await;
+        assert!(
+            since.elapsed() < Duration::from_micros(MAX_CHANGE_DELAY - DELAY_MARGIN),
+            "{kind}: {:?}",
+            since.elapsed()
+        );
     }))
     .await;
 }
 
 #[tokio::test]
-async fn an_older_list_changes_nothing_and_a_newer_one_after_it_counts() {
-    join_all(KINDS.map(|kind| async move {
+async fn an_older_list_changes_nothing_and_a_newer_one_after_it_is_applied() {
+    join_all(DISCOVERY_KINDS.map(|kind| async move {
         let discovery = Discovery::up().await;
-        let mut house = House::start(kind, &discovery).await;
-        let watch = discovery.tell(7, &house.r0("DRAINING")).await;
-        house.keeps_the_drain().await;
-        watch.list(&endpoint_list(6, true, &house.r0("SERVING"))).await;
+        let mut fixture = Fixture::start(kind, &discovery).await;
+        let watch = discovery.publish(7, &fixture.r0("DRAINING")).await;
+        fixture.assert_draining_worker_gets_nothing().await;
+        watch.list(&endpoint_list(6, true, &fixture.r0("SERVING"))).await;
         let next = discovery.call().await;
-        house.keeps_the_drain().await;
-        next.list(&endpoint_list(7, false, &house.r0("DRAINING"))).await;
+        fixture.assert_draining_worker_gets_nothing().await;
+        next.list(&endpoint_list(7, false, &fixture.r0("DRAINING"))).await;
         let next = discovery.call().await;
         assert!(next.first.contains("from=7&"), "{kind}: {}", next.first);
-        house.keeps_the_drain().await;
-        next.list(&endpoint_list(8, false, &house.r0("SERVING"))).await;
+        fixture.assert_draining_worker_gets_nothing().await;
+        next.list(&endpoint_list(8, false, &fixture.r0("SERVING"))).await;
         discovery.call().await;
-        house.serves().await;
+        fixture.serves().await;
     }))
     .await;
 }
@@ -437,11 +448,11 @@
 // Guards against a discovery asked without a pause: by one that holds no watch, and by one that answers
 // whole lists and breaks each watch.
 #[tokio::test]
-async fn a_discovery_that_holds_no_watch_is_not_asked_without_a_pause() {
-    join_all(KINDS.map(|kind| async move {
+async fn a_discovery_that_holds_no_watch_is_not_polled_without_a_pause() {
+    join_all(DISCOVERY_KINDS.map(|kind| async move {
         let discovery = Discovery::up().await;
-        let house = House::start(kind, &discovery).await;
-        let mut call = discovery.tell(6, &house.r0("SERVING")).await;
+        let fixture = Fixture::start(kind, &discovery).await;
+        let mut call = discovery.publish(6, &fixture.r0("SERVING")).await;
         let since = Instant::now();
         for _ in 0..5 {
             call.list(&endpoint_list(6, false, &[])).await;
@@ -455,7 +466,7 @@
         let since = Instant::now();
         for _ in 0..5 {
             drop(call);
-            call = discovery.tell(6, &house.r0("SERVING")).await;
+            call = discovery.publish(6, &fixture.r0("SERVING")).await;
         }
         assert!(
             since.elapsed() >= Duration::from_micros(5 * RETRY_BACKOFF_INITIAL),
@@ -467,44 +478,44 @@
 }
 
 #[tokio::test]
-async fn a_new_discovery_counts_whatever_the_old_one_still_says() {
-    join_all(KINDS.map(|kind| async move {
+async fn a_new_discovery_is_followed_whatever_the_old_one_still_answers() {
+    join_all(DISCOVERY_KINDS.map(|kind| async move {
         let (old, new) = (Discovery::up().await, Discovery::up().await);
-        let mut house = House::start(kind, &old).await;
-        let (serving, draining) = (house.r0("SERVING"), house.r0("DRAINING"));
-        let watch = old.tell(99, &serving).await;
-        house.moves(old.address, new.address).await;
+        let mut fixture = Fixture::start(kind, &old).await;
+        let (serving, draining) = (fixture.r0("SERVING"), fixture.r0("DRAINING"));
+        let watch = old.publish(99, &serving).await;
+        fixture.move_discovery(old.address, new.address).await;
         // The old one answers the call that was out; the new one counts lower.
         watch.list(&endpoint_list(100, true, &serving)).await;
         let whole = new.call().await;
-        assert_eq!(whole.first, WHOLE, "{kind}");
+        assert_eq!(whole.first, FULL_LIST_REQUEST, "{kind}");
         whole.list(&endpoint_list(2, true, &draining)).await;
         let watch = new.call().await;
         assert!(watch.first.contains("from=2&"), "{kind}: {}", watch.first);
-        house.keeps_the_drain().await;
+        fixture.assert_draining_worker_gets_nothing().await;
         // Back, with a call out that was not answered once.
-        house.moves(new.address, old.address).await;
+        fixture.move_discovery(new.address, old.address).await;
         drop(watch);
-        old.tell(1, &serving).await;
-        house.serves().await;
+        old.publish(1, &serving).await;
+        fixture.serves().await;
     }))
     .await;
 }
 
 #[tokio::test]
-async fn a_new_discovery_that_is_away_is_followed_once_it_is_there() {
+async fn a_new_discovery_that_is_unavailable_is_followed_once_it_is_available() {
     let one = |kind: &'static str, away: &'static str| async move {
         let old = Discovery::up().await;
         let mut new = Discovery::away(away).await;
-        let mut house = House::start(kind, &old).await;
-        let _watch = old.tell(99, &house.r0("SERVING")).await;
-        house.moves(old.address, new.address).await;
-        house.failures(1).await;
-        house.serves().await;
-        new.back().await;
-        drains_in_time(&format!("{kind}, {away}"), &mut house, &new, 2).await;
+        let mut fixture = Fixture::start(kind, &old).await;
+        let _watch = old.publish(99, &fixture.r0("SERVING")).await;
+        fixture.move_discovery(old.address, new.address).await;
+        fixture.failures(1).await;
+        fixture.serves().await;
+        new.recover().await;
+        assert_drain_is_known_in_time(&format!("{kind}, {away}"), &mut fixture, &new, 2).await;
     };
-    join_all(KINDS.into_iter().flat_map(|kind| AWAY.map(|away| one(kind, away)))).await;
+    join_all(DISCOVERY_KINDS.into_iter().flat_map(|kind| OUTAGES.map(|away| one(kind, away)))).await;
 }
 
 // Guards against the wait of the first call, which is spread, for a discovery that has moved meanwhile.
@@ -512,17 +523,17 @@
 async fn a_move_before_the_first_call_is_followed_at_once() {
     let (old, new) = (Discovery::up().await, Discovery::up().await);
     let large = r#"s/"fleet_size":1/"fleet_size":300/"#;
-    let mut house = House::start_with("on_request", &old, 1024, large).await;
+    let mut fixture = Fixture::start_with("on_request", &old, 1024, large).await;
     let since = Instant::now();
-    house.moves(old.address, new.address).await;
+    fixture.move_discovery(old.address, new.address).await;
     let whole = new.call().await;
-    // The module would ask some 1.8 s after the start, by the seed of the configuration.
+    // The policy would ask some 1.8 s after the start, by the seed of the configuration.
     assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
     assert!(old.listener.as_ref().expect("it is up").accept().now_or_never().is_none());
-    whole.list(&endpoint_list(2, true, &house.r0("DRAINING"))).await;
+    whole.list(&endpoint_list(2, true, &fixture.r0("DRAINING"))).await;
     let mut watch = new.call().await;
-    house.keeps_the_drain().await;
-    // The module's own word, when it comes, is no second call.
+    fixture.assert_draining_worker_gets_nothing().await;
+    // The policy's own word, when it comes, is no second call.
     for revision in 3..5 {
         assert!(watch.first.contains(&format!("from={}&", revision - 1)), "{}", watch.first);
         watch.list(&endpoint_list(revision, false, &[])).await;
@@ -530,57 +541,57 @@
     }
 }
 
-// Guards against calls that multiply: each move in the module's wait after a failure makes a call at once,
-// and the module asks for one of its own later.
+// Guards against calls that multiply: each move in the policy's wait after a failure makes a call at once,
+// and the policy asks for one of its own later.
 #[tokio::test]
 async fn moves_during_an_outage_do_not_multiply_the_calls() {
     let (one, two) = (Discovery::up().await, Discovery::up().await);
-    let mut house = House::start("on_request", &one).await;
+    let mut fixture = Fixture::start("on_request", &one).await;
     let (mut here, mut there) = (&one, &two);
-    here.call().await.say(TURNED_AWAY).await;
+    here.call().await.write(UNAVAILABLE).await;
     for _ in 0..6 {
-        house.moves(here.address, there.address).await;
-        there.call().await.say(TURNED_AWAY).await;
+        fixture.move_discovery(here.address, there.address).await;
+        there.call().await.write(UNAVAILABLE).await;
         (here, there) = (there, here);
     }
     // What was asked for before the last move may still come.
-    here.call().await.say(TURNED_AWAY).await;
-    here.call().await.say(TURNED_AWAY).await;
+    here.call().await.write(UNAVAILABLE).await;
+    here.call().await.write(UNAVAILABLE).await;
     let since = Instant::now();
     for _ in 0..3 {
-        here.call().await.say(TURNED_AWAY).await;
+        here.call().await.write(UNAVAILABLE).await;
     }
-    // The module waits for a second at least from its second failure on.
+    // The policy waits for a second at least from its second failure on.
     assert!(since.elapsed() >= Duration::from_secs(2), "{:?}", since.elapsed());
 }
 
 #[tokio::test]
-async fn a_start_with_no_list_asks_for_one_before_any_job() {
-    join_all(KINDS.map(|kind| async move {
+async fn a_start_without_a_list_requests_one_before_any_client_request() {
+    join_all(DISCOVERY_KINDS.map(|kind| async move {
         let discovery = Discovery::up().await;
-        let mut house = House::start_with(kind, &discovery, 1024, r#"s/"known":/"earlier":/"#).await;
-        let serving = house.r0("SERVING");
-        let told = tokio::time::timeout(Duration::from_secs(5), discovery.tell(1, &serving)).await;
+        let mut fixture = Fixture::start_with(kind, &discovery, 1024, r#"s/"known":/"earlier":/"#).await;
+        let serving = fixture.r0("SERVING");
+        let told = tokio::time::timeout(Duration::from_secs(5), discovery.publish(1, &serving)).await;
         assert!(told.is_ok(), "{kind}: no call came");
-        house.serves().await;
+        fixture.serves().await;
     }))
     .await;
 }
 
-// What readiness waits for: the configuration is read, the module made and the listener open. Discovery
+// What readiness waits for: the configuration is read, the policy made and the listener open. Discovery
 // is not waited for.
 #[tokio::test]
-async fn started_again_while_discovery_is_away_it_is_ready_and_serves_from_the_known_list() {
+async fn a_restart_while_discovery_is_unavailable_serves_from_the_cached_list() {
     let one = |kind: &'static str, signal: &'static str, away: &'static str| async move {
         let mut discovery = Discovery::away(if away == "slow" { "silent" } else { away }).await;
-        let mut house = House::start(kind, &discovery).await;
-        house.serves().await;
+        let mut fixture = Fixture::start(kind, &discovery).await;
+        fixture.serves().await;
         let since = Instant::now();
         let work = async {
-            house.scheduler.restart(signal).await;
-            house.client = house.scheduler.client().await;
-            assert_eq!(house.client.exchange(READY).await.status(), 200);
-            house.serves().await;
+            fixture.scheduler.restart(signal).await;
+            fixture.client = fixture.scheduler.client().await;
+            assert_eq!(fixture.client.exchange(READINESS_REQUEST).await.status(), 200);
+            fixture.serves().await;
         };
         let slow = async {
             if away != "slow" {
@@ -588,7 +599,7 @@
             }
             loop {
                 let begin = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                discovery.call().await.forever(begin, "1\r\n \r\n".into(), Duration::from_millis(50));
+                discovery.call().await.repeat_forever(begin, "1\r\n \r\n".into(), Duration::from_millis(50));
             }
         };
         tokio::select! {
@@ -596,37 +607,38 @@
             () = slow => {}
         }
         assert!(since.elapsed() < Duration::from_secs(8), "{kind}, {signal}, {away}: {:?}", since.elapsed());
-        discovery.back().await;
-        drains_in_time(&format!("{kind}, {signal}, {away}"), &mut house, &discovery, 6).await;
+        discovery.recover().await;
+        assert_drain_is_known_in_time(&format!("{kind}, {signal}, {away}"), &mut fixture, &discovery, 6)
+            .await;
     };
     let each = |kind| {
         ["KILL", "TERM"].map(|signal| ["refuses", "silent", "slow"].map(|away| one(kind, signal, away)))
     };
-    join_all(KINDS.into_iter().flat_map(each).flatten()).await;
+    join_all(DISCOVERY_KINDS.into_iter().flat_map(each).flatten()).await;
 }
 
 // Guards against clients that leave no descriptor for the call that finds discovery back.
 #[tokio::test]
 async fn idle_clients_that_fill_the_descriptors_do_not_keep_discovery_from_being_followed() {
-    join_all(KINDS.map(|kind| async move {
+    join_all(DISCOVERY_KINDS.map(|kind| async move {
         let mut discovery = Discovery::down();
-        let mut house = House::start_with(kind, &discovery, 64, "").await;
+        let mut fixture = Fixture::start_with(kind, &discovery, 64, "").await;
         let mut crowd = Vec::new();
         for number in 0..120 {
-            let mut client = house.scheduler.client().await;
+            let mut client = fixture.scheduler.client().await;
             if number % 2 == 0 {
-                client.send(READY).await;
+                client.send(READINESS_REQUEST).await;
             }
             crowd.push(client);
         }
-        house.failures(4).await;
-        let open = format!("/proc/{}/fd", house.scheduler.child.id().expect("it runs"));
+        fixture.failures(4).await;
+        let open = format!("/proc/{}/fd", fixture.scheduler.child.id().expect("it runs"));
         let open = std::fs::read_dir(open).expect("its descriptors").count();
         assert!((32..64).contains(&open), "{kind}: {open} descriptors are open");
-        house.client = house.scheduler.client().await;
-        house.serves().await;
-        discovery.rise().await;
-        drains_in_time(kind, &mut house, &discovery, 6).await;
+        fixture.client = fixture.scheduler.client().await;
+        fixture.serves().await;
+        discovery.listen().await;
+        assert_drain_is_known_in_time(kind, &mut fixture, &discovery, 6).await;
         drop(crowd);
     }))
     .await;
--- a/crates/scheduler/tests/event_log.rs
+++ b/crates/scheduler/tests/event_log.rs
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn a_flow_is_recorded_from_its_taking_to_its_answer() {
+async fn a_request_is_recorded_from_its_admission_to_its_response() {
     let mut worker = FakeServer::start().await;
     let file = scratch("flow");
     let mut scheduler = start(&worker, &file).await;
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn a_killed_run_is_read_up_to_its_end_and_the_next_one_goes_on() {
+async fn a_killed_runs_events_are_readable_and_the_next_run_continues_the_file() {
     let mut worker = FakeServer::start().await;
     let file = scratch("killed");
     for run in 1..3 {
@@ -89,7 +89,7 @@
         let mut client = scheduler.client().await;
         client.send_request("once", run, 9000).await;
         worker.next_request().await;
-        // Its records are on the way once the job is; the kill comes when they have arrived.
+        // Its records are on the way once the request is; the kill comes when they have arrived.
         while !std::fs::read_to_string(&file)
             .is_ok_and(|text| text.matches("scheduling_sent").count() == run as usize)
         {
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn a_full_disk_stops_no_job_and_the_platform_keeps_no_records() {
+async fn a_full_disk_stops_no_request_and_the_platform_writes_no_event_log() {
     let mut worker = FakeServer::start().await;
     let scheduler = start(&worker, Path::new("/dev/full")).await;
     let mut client = scheduler.client().await;
@@ -134,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn a_file_that_another_scheduler_writes_ends_the_start() {
+async fn a_file_that_another_scheduler_writes_prevents_the_start() {
     let worker = FakeServer::start().await;
     let file = scratch("two");
     let _first = start(&worker, &file).await;
@@ -152,7 +152,7 @@
 
 // The platform's least: 32 MB and 256 descriptors, with records and the log on besides.
 #[tokio::test]
-async fn the_least_limits_hold_with_records_on() {
+async fn the_lowest_limits_hold_with_the_event_log_on() {
     let mut worker = FakeServer::start().await;
     let file = scratch("least");
     let scheduler = start_within(&worker, &file, "[limits]\nmemory = '32 MB'\ndescriptors = 256\n").await;
@@ -177,7 +177,7 @@
 
 /// For a machine with no disk that lasts, whose output is kept: the platform's form, on standard error.
 #[tokio::test]
-async fn records_asked_for_on_standard_error_come_between_the_log_and_say_what_a_list_held() {
+async fn events_on_standard_error_are_interleaved_with_the_log_and_show_the_endpoint_list() {
     let mut worker = FakeServer::start().await;
     let mut scheduler =
         Scheduler::start_by_command("exec \"$PROGRAM\" serve --records -", 1024, &[worker.address]).await;
@@ -200,7 +200,7 @@
 }
 
 #[tokio::test]
-async fn the_records_of_a_folder_are_summed_over_the_fleet() {
+async fn the_event_logs_of_a_folder_are_summed_over_the_fleet() {
     let mut worker = FakeServer::start().await;
     let folder = scratch("fleet");
     std::fs::create_dir(&folder).expect("a folder");
--- a/crates/scheduler/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -41,7 +41,7 @@
     #![proptest_config(fixed())]
 
     #[test]
-    fn a_cut_message_is_no_message(at in any::<prop::sample::Index>()) {
+    fn a_truncated_message_is_refused(at in any::<prop::sample::Index>()) {
         let (config, list) = valid();
         prop_assert!(parse_callback(&CALL_BACK.as_bytes()[..at.index(CALL_BACK.len())]).is_err());
         prop_assert!(platform::read_startup_config(&config[..at.index(config.len())]).is_err());
@@ -50,7 +50,7 @@
     }
 
     #[test]
-    fn a_message_with_one_byte_changed_does_no_harm(at in any::<prop::sample::Index>(), byte: u8) {
+    fn a_message_with_one_byte_changed_causes_no_panic(at in any::<prop::sample::Index>(), byte: u8) {
         let (config, list) = valid();
         for text in [CALL_BACK, HEADER, "480m", "slots=1,memory=2", &config, &list] {
             let mut bytes = text.as_bytes().to_vec();
@@ -60,14 +60,14 @@
     }
 
     #[test]
-    fn garbage_does_no_harm(bytes: Vec<u8>, text in "[\\[{\":,0-9a-z}\\]]{0,80}") {
+    fn garbage_causes_no_panic(bytes: Vec<u8>, text in "[\\[{\":,0-9a-z}\\]]{0,80}") {
         read_all(&bytes);
         read_all(text.as_bytes());
     }
 }
 
 #[test]
-fn valid_messages_are_read() {
+fn valid_messages_are_parsed() {
     let (config, list) = valid();
     let config = platform::read_startup_config(&config).expect("a configuration");
     let list = json::parse(&list).and_then(|value| platform::read_endpoint_list(&value)).expect("a list");
@@ -88,7 +88,7 @@
 
 /// Guards against one odd size by which a whole list would be lost.
 #[test]
-fn a_size_that_is_no_figure_is_left_out_and_the_list_stays() {
+fn a_size_that_is_no_number_is_ignored_and_the_list_is_kept() {
     let (_, list) = valid();
     for (odd, read) in [("\"big\"", None), ("null", None), ("0", Some(0.0)), ("-2e300", Some(-2e300))] {
         let list = list.replace("\"size\":1.0", &format!("\"size\":{odd}"));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_settings_tell_a_schedulers_number_and_what_the_sizes_mean() {
+fn the_settings_give_the_instance_index_and_the_meaning_of_sizes() {
     let read = |config: &str| platform::read_startup_config(config).map(|start| start.settings.dispatch);
     let (config, _) = valid();
     let plain = read(&config).expect("a configuration");
--- a/crates/scheduler/tests/policy.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -1,4 +1,4 @@
-//! What the module asks of the node beside sending jobs, over sockets: a stub stands for the module.
+//! What the policy asks of the proxy beside sending requests, over sockets: a stub stands for the policy.
 mod sockets;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,68 +14,76 @@
 use sockets::*;
 use tokio::sync::{mpsc, watch};
 
-type End = (u32, Outcome, Option<LoadReport>);
+type QueryEnd = (u32, Outcome, Option<LoadReport>);
 
-/// Asks, at any event, for the probes that the test wants, subscribes at once while it may, and tells the
+/// Asks, at any event, for the load queries that the test wants, subscribes at once while it may, and tells the
 /// test what came back.
-struct Stub {
-    wanted: Arc<Mutex<Vec<u32>>>,
+struct StubPolicy {
+    requested_queries: Arc<Mutex<Vec<u32>>>,
     subscribe: Arc<AtomicBool>,
-    ends: mpsc::UnboundedSender<End>,
-    rosters: mpsc::UnboundedSender<(EndpointUpdateKind, usize)>,
+    ends: mpsc::UnboundedSender<QueryEnd>,
+    updates: mpsc::UnboundedSender<(EndpointUpdateKind, usize)>,
 }
 
-impl DispatchPolicy for Stub {
+impl DispatchPolicy for StubPolicy {
     fn handle(&mut self, _: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         if let Event::LoadQueryEnded { worker, outcome, report } = event {
             let _ = self.ends.send((worker.0, outcome, report));
-        } else if let Event::Endpoints(roster) = event {
-            let _ = self.rosters.send((roster.kind, roster.endpoints.len()));
-            let calls = matches!(roster.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
+        } else if let Event::Endpoints(update) = event {
+            let _ = self.updates.send((update.kind, update.endpoints.len()));
+            let calls = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
             if calls && self.subscribe.load(Ordering::Relaxed) {
                 actions.push(Action::Subscribe);
             }
         }
-        let wanted = std::mem::take(&mut *self.wanted.lock().expect("a lock"));
-        actions.extend(wanted.into_iter().map(|worker| Action::QueryLoad { worker: WorkerId(worker) }));
+        let requested_queries = std::mem::take(&mut *self.requested_queries.lock().expect("a lock"));
+        actions.extend(
+            requested_queries.into_iter().map(|worker| Action::QueryLoad { worker: WorkerId(worker) }),
+        );
     }
 }
 
-struct House {
+struct Fixture {
     node: AssembledProxy,
-    wanted: Arc<Mutex<Vec<u32>>>,
+    requested_queries: Arc<Mutex<Vec<u32>>>,
     subscribe: Arc<AtomicBool>,
-    ends: mpsc::UnboundedReceiver<End>,
-    rosters: mpsc::UnboundedReceiver<(EndpointUpdateKind, usize)>,
+    ends: mpsc::UnboundedReceiver<QueryEnd>,
+    updates: mpsc::UnboundedReceiver<(EndpointUpdateKind, usize)>,
 }
 
-impl House {
-    async fn open(discovery: &str, members: &[String]) -> House {
+impl Fixture {
+    async fn open(discovery: &str, members: &[String]) -> Fixture {
         let any = "127.0.0.1:0".parse().expect("an address");
         let text = config(any, any, &endpoint_list(1, true, members)).replace("pushed", discovery);
         let start = platform::read_startup_config(&text).expect("it is good");
-        let (wanted, subscribe) = (Arc::<Mutex<_>>::default(), Arc::new(AtomicBool::new(true)));
-        let ((ends_to, ends), (rosters_to, rosters)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
-        let (wants, may) = (Arc::clone(&wanted), Arc::clone(&subscribe));
-        let stub = Stub { wanted: wants, subscribe: may, ends: ends_to, rosters: rosters_to };
+        let (requested_queries, subscribe) = (Arc::<Mutex<_>>::default(), Arc::new(AtomicBool::new(true)));
+        let ((end_sender, ends), (update_sender, updates)) =
+            (mpsc::unbounded_channel(), mpsc::unbounded_channel());
+        let (query_requests, may_subscribe) = (Arc::clone(&requested_queries), Arc::clone(&subscribe));
+        let stub = StubPolicy {
+            requested_queries: query_requests,
+            subscribe: may_subscribe,
+            ends: end_sender,
+            updates: update_sender,
+        };
         let node = assemble(&start, Box::new(stub), &Recorder::off()).await.expect("a port");
-        House { node, wanted, subscribe, ends, rosters }
+        Fixture { node, requested_queries, subscribe, ends, updates }
     }
-    fn ask(&self, workers: &[u32]) {
-        self.wanted.lock().expect("a lock").extend(workers);
+    fn request_load_queries(&self, workers: &[u32]) {
+        self.requested_queries.lock().expect("a lock").extend(workers);
         let nothing = EndpointList { revision: 1, complete: false, endpoints: Vec::new() };
         self.node.endpoint_publisher.publish(&nothing, &[]);
     }
-    async fn end(&mut self) -> End {
+    async fn next_end(&mut self) -> QueryEnd {
         within("a probe's end", self.ends.recv()).await.expect("the module lives")
     }
-    async fn told(&mut self) -> (EndpointUpdateKind, usize) {
-        within("a roster", self.rosters.recv()).await.expect("the module lives")
+    async fn next_update(&mut self) -> (EndpointUpdateKind, usize) {
+        within("a roster", self.updates.recv()).await.expect("the module lives")
     }
 }
 
 #[tokio::test]
-async fn each_probe_comes_back_once_whatever_the_real_server_does() {
+async fn each_load_query_ends_exactly_once_whatever_the_worker_does() {
     let load = LoadReport { inflight: Some(7.0), free_slots: Some(1.5), ..LoadReport::default() };
     let only = |free_slots| Some(LoadReport { free_slots: Some(free_slots), ..LoadReport::default() });
     let (ok, header) = ("200 OK", "X-Server-Load: TEXT x0=4\r\n");
@@ -97,9 +105,9 @@
         parties.push(FakeServer::start().await);
         members.push(endpoint(&format!("r{number}"), parties[number].address, "SERVING"));
     }
-    let mut house = House::open("pushed", &members).await;
+    let mut fixture = Fixture::open("pushed", &members).await;
     // The silent one is asked twice, and nobody has the number 90.
-    house.ask(&[0, 1, 1, 2, 90, 3, 4, 5, 6, 7, 8, 9]);
+    fixture.request_load_queries(&[0, 1, 1, 2, 90, 3, 4, 5, 6, 7, 8, 9]);
     for (party, (status, header, body, ..)) in parties.iter_mut().zip(&cases) {
         let asked = party.next_request().await;
         assert_eq!(asked.message.first_line, "GET /-/load HTTP/1.1");
@@ -109,7 +117,7 @@
     }
     let mut ends = HashMap::<u32, Vec<_>>::new();
     for _ in 0..12 {
-        let (worker, outcome, report) = house.end().await;
+        let (worker, outcome, report) = fixture.next_end().await;
         ends.entry(worker).or_default().push((outcome, report));
     }
     assert_eq!(ends[&0], [(Outcome::ConnectFailed, None)]);
@@ -121,126 +129,126 @@
     for (number, (.., outcome, report)) in cases.iter().enumerate() {
         assert_eq!(ends[&(number as u32 + 3)], [(*outcome, *report)], "case {number}");
     }
-    // A late answer is dropped, and its connection carries the next probe.
+    // A late answer is dropped, and its connection carries the next load query.
     let late = silent.next_request().await;
     assert!(silent.is_idle() && drains.is_idle());
-    house.ask(&[1]);
-    assert_eq!(house.end().await, (1, Outcome::Superseded, None), "it has one still");
+    fixture.request_load_queries(&[1]);
+    assert_eq!(fixture.next_end().await, (1, Outcome::Superseded, None), "it has one still");
     let connection = late.peer;
     late.respond(ok, "", "TEXT x0=1");
     let next = loop {
-        house.ask(&[1]);
+        fixture.request_load_queries(&[1]);
         tokio::select! {
             asked = silent.next_request() => break asked,
-            end = house.end() => assert_eq!(end, (1, Outcome::Superseded, None)),
+            next_end = fixture.next_end() => assert_eq!(next_end, (1, Outcome::Superseded, None)),
         }
     };
     assert_eq!(next.peer, connection);
-    house.node.begin_shutdown();
-    house.ask(&[3]);
-    assert_eq!(house.end().await, (3, Outcome::Superseded, None), "none while it ends");
+    fixture.node.begin_shutdown();
+    fixture.request_load_queries(&[3]);
+    assert_eq!(fixture.next_end().await, (3, Outcome::Superseded, None), "none while it ends");
 }
 
-// Guards against probes that pile up at silent real servers and take the descriptors of the rest.
+// Guards against load queries that pile up at silent workers and take the descriptors of the rest.
 #[tokio::test]
-async fn no_more_probes_are_under_way_than_have_a_place() {
+async fn no_more_load_queries_are_in_flight_than_have_a_permit() {
     let silent = FakeServer::start().await;
     let members: Vec<_> = (0..40).map(|n| endpoint(&format!("r{n}"), silent.address, "SERVING")).collect();
-    let mut house = House::open("pushed", &members).await;
-    house.ask(&(0..40).collect::<Vec<_>>());
-    let mut moot = 0;
+    let mut fixture = Fixture::open("pushed", &members).await;
+    fixture.request_load_queries(&(0..40).collect::<Vec<_>>());
+    let mut superseded = 0;
     for _ in 0..40 {
-        moot += u32::from(house.end().await.1 == Outcome::Superseded);
+        superseded += u32::from(fixture.next_end().await.1 == Outcome::Superseded);
     }
-    assert_eq!(moot, 28);
+    assert_eq!(superseded, 28);
 }
 
-/// Where lists come only when they are asked for: a discovery, its place, and what the module is told.
+/// Where lists come only when they are asked for: a discovery, its place, and what the policy is notified.
 #[tokio::test]
-async fn an_asked_discovery_is_asked_again_as_soon_as_a_watch_breaks() {
+async fn a_polled_discovery_is_called_again_as_soon_as_a_watch_breaks() {
     let (mut discovery, mut other) = (FakeServer::start().await, FakeServer::start().await);
     let (place, address) = watch::channel(discovery.address.to_string().parse().expect("an address"));
-    let mut house = House::open("on_request", &[]).await;
-    let membership = house.node.endpoint_publisher.clone();
+    let mut fixture = Fixture::open("on_request", &[]).await;
+    let membership = fixture.node.endpoint_publisher.clone();
     tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(membership));
-    const WATCH: &str = "GET /api/targets?from=1&hold_ms=2000 HTTP/1.1";
-    const WHOLE: &str = "GET /api/targets HTTP/1.1";
+    const WATCH_REQUEST: &str = "GET /api/targets?from=1&hold_ms=2000 HTTP/1.1";
+    const FULL_LIST_REQUEST: &str = "GET /api/targets HTTP/1.1";
     let nothing = endpoint_list(1, false, &[]);
-    // The module hears that its subscription has come about, though there is nothing new.
-    assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
+    // The policy hears that its subscription has come about, though there is nothing new.
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Cached, 0));
     let first = discovery.next_request().await;
-    assert_eq!(first.message.first_line, WHOLE);
+    assert_eq!(first.message.first_line, FULL_LIST_REQUEST);
     first.respond("200 OK", "", &nothing);
-    assert_eq!(house.told().await, (EndpointUpdateKind::Changes, 0));
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Changes, 0));
     // After a watch that breaks or falls silent the whole list is asked for, long before what was missed
     // counts as told: a second watch could fall silent for as long again.
     let watch = discovery.next_request().await;
-    assert_eq!(watch.message.first_line, WATCH);
+    assert_eq!(watch.message.first_line, WATCH_REQUEST);
     drop(watch);
     let again = discovery.next_request().await;
-    assert_eq!(again.message.first_line, WHOLE);
+    assert_eq!(again.message.first_line, FULL_LIST_REQUEST);
     again.respond("200 OK", "", &nothing);
     let since = std::time::Instant::now();
     let silent = discovery.next_request().await;
-    assert_eq!(silent.message.first_line, WATCH);
+    assert_eq!(silent.message.first_line, WATCH_REQUEST);
     let again = discovery.next_request().await;
     assert!(since.elapsed().as_millis() < 4_000, "{:?}", since.elapsed());
-    assert_eq!(again.message.first_line, WHOLE);
+    assert_eq!(again.message.first_line, FULL_LIST_REQUEST);
     again.respond("200 OK", "", &endpoint_list(1, false, &[endpoint("r0", discovery.address, "DRAINING")]));
-    assert_eq!(house.told().await, (EndpointUpdateKind::Changes, 1), "no failure before");
-    // One that is turned away is not: the module waits, and asks.
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Changes, 1), "no failure before");
+    // One that is rejected is not: the policy waits, and asks.
     discovery.next_request().await.respond("503 Service Unavailable", "", "");
-    assert_eq!(house.told().await, (EndpointUpdateKind::Failed, 0));
-    house.subscribe.store(false, Ordering::Relaxed);
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Failed, 0));
+    fixture.subscribe.store(false, Ordering::Relaxed);
     discovery.next_request().await.respond("503 Service Unavailable", "", "");
-    assert_eq!(house.told().await, (EndpointUpdateKind::Failed, 0));
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Failed, 0));
     // A discovery that moves is not waited for.
     place.send_replace(other.address.to_string().parse().expect("an address"));
     let whole = other.next_request().await;
     assert_eq!(whole.message.first_line, "GET /api/targets HTTP/1.1");
     whole.respond("200 OK", "", &endpoint_list(1, true, &[]));
-    assert_eq!(house.told().await, (EndpointUpdateKind::Full, 0));
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Full, 0));
     assert!(discovery.is_idle());
 }
 
-// Guards against a word to ask that came while a call was out, and that would pass for the module's answer to
-// the next failure: the module spreads its calls.
+// Guards against a word to ask that came while a call was out, and that would pass for the policy's answer to
+// the next failure: the policy spreads its calls.
 #[tokio::test]
-async fn an_older_word_to_ask_is_no_answer_to_a_later_failure() {
+async fn an_older_subscription_request_does_not_answer_a_later_failure() {
     let mut discovery = FakeServer::start().await;
     let (_place, address) = watch::channel(discovery.address.to_string().parse().expect("an address"));
-    let mut house = House::open("on_request", &[]).await;
-    let membership = house.node.endpoint_publisher.clone();
+    let mut fixture = Fixture::open("on_request", &[]).await;
+    let membership = fixture.node.endpoint_publisher.clone();
     tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(membership));
-    assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Cached, 0));
     discovery.next_request().await.respond("200 OK", "", &endpoint_list(1, true, &[]));
-    assert_eq!(house.told().await, (EndpointUpdateKind::Full, 0));
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Full, 0));
     let watch = discovery.next_request().await;
     // The stub asks at this event, with a call out.
-    house.node.endpoint_publisher.publish_cached(None);
-    assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
-    house.subscribe.store(false, Ordering::Relaxed);
+    fixture.node.endpoint_publisher.publish_cached(None);
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Cached, 0));
+    fixture.subscribe.store(false, Ordering::Relaxed);
     watch.respond("503 Service Unavailable", "", "");
-    assert_eq!(house.told().await, (EndpointUpdateKind::Failed, 0));
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Failed, 0));
     let early = tokio::time::timeout(std::time::Duration::from_millis(300), discovery.next_request()).await;
     assert!(early.is_err(), "the module has not asked yet");
     // It does now.
-    house.subscribe.store(true, Ordering::Relaxed);
-    house.node.endpoint_publisher.publish_cached(None);
+    fixture.subscribe.store(true, Ordering::Relaxed);
+    fixture.node.endpoint_publisher.publish_cached(None);
     assert_eq!(discovery.next_request().await.message.first_line, "GET /api/targets HTTP/1.1");
 }
 
-// Guards against a subscription waited for a second time, which the module has no reason to ask for.
+// Guards against a subscription waited for a second time, which the policy has no reason to ask for.
 #[tokio::test]
-async fn a_fixed_list_that_changes_is_told_also_where_lists_are_asked_for() {
-    let mut house = House::open("on_request", &[]).await;
+async fn a_static_list_that_changes_is_published_also_where_lists_are_polled() {
+    let mut fixture = Fixture::open("on_request", &[]).await;
     let fixed = |revision| EndpointList { revision, complete: true, endpoints: Vec::new() };
     let (place, list) = watch::channel(fixed(2));
-    tokio::spawn(Box::new(StaticEndpoints(list)).follow(house.node.endpoint_publisher.clone()));
-    assert_eq!(house.told().await, (EndpointUpdateKind::Cached, 0));
+    tokio::spawn(Box::new(StaticEndpoints(list)).follow(fixture.node.endpoint_publisher.clone()));
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Cached, 0));
     for revision in 3..5 {
-        assert_eq!(house.told().await, (EndpointUpdateKind::Full, 0));
+        assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Full, 0));
         place.send_replace(fixed(revision));
     }
-    assert_eq!(house.told().await, (EndpointUpdateKind::Full, 0));
+    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Full, 0));
 }
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -1,11 +1,11 @@
-//! The program over sockets: it is started, and clients, real servers and discovery are played.
+//! The program over sockets: it is started, and clients, workers and discovery are played.
 mod sockets;
 use sockets::*;
 
 const DONE: &str = r#""state":"done","result":"r\u00e9sult","load":{"x0":3.5,"waiting":0}"#;
 
 #[tokio::test]
-async fn a_job_passes_on_unchanged_and_its_result_comes_back() {
+async fn a_request_is_forwarded_unchanged_and_its_result_is_returned() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
@@ -25,9 +25,9 @@
     assert_eq!((answer.status(), answer.body.as_str()), (200, "résult"));
 }
 
-// Guards against a call-back that overtakes the 202, comes again, or is another scheduling's.
+// Guards against a callback that overtakes the 202, comes again, or is another attempt's.
 #[tokio::test]
-async fn call_backs_early_twice_or_foreign_make_one_answer() {
+async fn early_duplicate_and_foreign_callbacks_lead_to_one_response() {
     let (mut server, other) = (FakeServer::start().await, FakeServer::start().await);
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
@@ -42,7 +42,7 @@
     assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     assert_eq!(scheduler.call_back(&id, "r0", r#""state":"failed""#).await, 204);
     asked.accept();
-    // The connection carries the next job, and only one answer came.
+    // The connection carries the next request, and only one answer came.
     client.send_request("once", 3, 9000).await;
     let id = server.next_request().await.accept();
     scheduler.call_back(&id, "r0", r#""state":"failed""#).await;
@@ -50,9 +50,9 @@
     drop(other);
 }
 
-// Guards against a handler that is dropped with its client: the flow lives on and gives up.
+// Guards against a handler that is dropped with its client: the request lives on and cancels.
 #[tokio::test]
-async fn a_client_that_goes_has_its_scheduling_given_up() {
+async fn a_client_that_disconnects_has_its_attempt_cancelled() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     // The first word of it may also come before the 202, which then crosses the closed connection.
@@ -66,17 +66,17 @@
         }
         assert_eq!(scheduler.call_back(&id, "r0", r#""state":"started""#).await, 204);
         drop(client);
-        let gave_up = server.next_request().await;
-        assert_eq!(gave_up.message.first_line, format!("DELETE /jobs/{id} HTTP/1.1"), "early: {early}");
-        gave_up.respond("200 OK", "", "");
+        let cancellation = server.next_request().await;
+        assert_eq!(cancellation.message.first_line, format!("DELETE /jobs/{id} HTTP/1.1"), "early: {early}");
+        cancellation.respond("200 OK", "", "");
         assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
     }
 }
 
 // Guards against a second run of what must run once: a broken connection proves nothing, while a
-// refused one or a job handed back unstarted proves that it never ran.
+// refused one or a request handed back unstarted proves that it never ran.
 #[tokio::test]
-async fn an_unsafe_job_goes_on_only_where_it_never_ran() {
+async fn a_non_idempotent_request_is_retried_only_where_it_never_ran() {
     let mut one = FakeServer::start().await;
     let scheduler = Scheduler::start(&[one.address]).await;
     let mut client = scheduler.client().await;
@@ -87,7 +87,7 @@
     client.send_request("once", 6, 9000).await;
     one.next_request().await.respond("503 Service Unavailable", "", "");
     assert_eq!(client.next_response().await.expect("an answer").status(), 500);
-    // Handed back unstarted: there is no other real server, so the module refuses.
+    // Handed back unstarted: there is no other worker, so the policy refuses.
     client.send_request("once", 7, 9000).await;
     one.next_request().await.respond(
         "503 Service Unavailable",
@@ -98,7 +98,7 @@
     assert_eq!(answer.status(), 503);
     let after: f64 = answer.headers["retry-after"].parse().expect("seconds");
     assert!((0.0..=2.0).contains(&after), "{after}");
-    // Nor is a job that breaks on a connection used before sent again by the client's library.
+    // Nor is a request that breaks on a connection used before sent again by the client's library.
     client.send_request("once", 8, 9000).await;
     drop(one.next_request().await);
     assert_eq!(client.next_response().await.expect("an answer").status(), 500);
@@ -115,10 +115,10 @@
     }
 }
 
-// Guards against kept connections that break under the next request: once one has, a job that must run
+// Guards against reused connections that break under the next request: once one has, a request that must run
 // once, or may go on only within a cell, goes out on a connection of its own.
 #[tokio::test]
-async fn a_job_that_runs_once_shuns_kept_connections_that_broke() {
+async fn a_non_idempotent_request_reuses_no_connection_after_one_broke() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn a_safe_job_goes_on_after_a_reset() {
+async fn an_idempotent_request_is_retried_after_a_reset() {
     let (mut one, mut two) = (FakeServer::start().await, FakeServer::start().await);
     let scheduler = Scheduler::start(&[one.address, two.address]).await;
     let mut client = scheduler.client().await;
@@ -160,9 +160,9 @@
     assert_eq!(client.next_response().await.expect("an answer").status(), 200);
 }
 
-// Guards against a client that gives up before its answer came.
+// Guards against a client that cancels before its answer came.
 #[tokio::test]
-async fn the_final_answer_comes_before_the_client_gives_up() {
+async fn the_final_response_comes_before_the_clients_deadline() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
@@ -175,7 +175,7 @@
 }
 
 #[tokio::test]
-async fn the_list_is_followed_and_a_bad_or_silent_answer_keeps_it() {
+async fn the_endpoint_list_is_followed_and_kept_on_a_bad_or_missing_answer() {
     let (mut one, mut two) = (FakeServer::start().await, FakeServer::start().await);
     let mut scheduler = Scheduler::start(&[one.address]).await;
     // What the agent has counts as told from the first moment: it is asked for at once, and not held.
@@ -183,9 +183,9 @@
     let first = scheduler.discovery.next_request().await;
     assert_eq!(first.message.first_line, WHOLE);
     first.respond("200 OK", "", r#"{"revision":6,"complete":true,"members":[{"id":1}]}"#);
-    let told = std::time::Instant::now();
+    let list_received_at = std::time::Instant::now();
     let again = scheduler.discovery.next_request().await;
-    assert!(told.elapsed().as_millis() < 200, "it goes on: {:?}", told.elapsed());
+    assert!(list_received_at.elapsed().as_millis() < 200, "it goes on: {:?}", list_received_at.elapsed());
     // A list may come indented.
     let indented =
         endpoint_list(5, true, &[endpoint("r0", one.address, "SERVING")]).replace(',', " ,\r\n\t ");
@@ -208,7 +208,7 @@
     let next = scheduler.discovery.next_request().await;
     assert!(since.elapsed().as_millis() < 1_000, "{:?}", since.elapsed());
     drop(silent);
-    // Nothing new goes to an entry that drains: with no other, the job is refused.
+    // Nothing new goes to an entry that drains: with no other, the request is refused.
     next.respond("200 OK", "", &endpoint_list(7, false, &[endpoint("r0", two.address, "DRAINING")]));
     scheduler.discovery.next_request().await;
     client.send_request("once", 41, 9000).await;
@@ -216,16 +216,16 @@
     assert!(one.is_idle() && two.is_idle());
 }
 
-// Guards against an end that loses what was taken, or that turns latecomers and call-backs away.
+// Guards against an end that loses what was taken, or that turns latecomers and callbacks away.
 #[tokio::test]
-async fn sigterm_answers_what_was_taken_and_ends_well() {
+async fn sigterm_answers_accepted_requests_and_exits_with_success() {
     let mut server = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[server.address]).await;
     let (mut client, mut idle) = (scheduler.client().await, scheduler.client().await);
     assert_eq!(idle.exchange("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").await.status(), 200);
     client.send_request("once", 50, 9000).await;
     let id = server.next_request().await.accept();
-    let termed = std::time::Instant::now();
+    let sigterm_at = std::time::Instant::now();
     scheduler.terminate().await;
     assert!(idle.next_response().await.is_none(), "an idle edge connection closes");
     let mut late = scheduler.client().await;
@@ -238,7 +238,7 @@
         let answer = client.next_response().await.expect("an answer");
         assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
     }
-    // What cannot end before this node does is turned away at once, for a client to go elsewhere.
+    // What cannot end before this node does is rejected at once, for a client to go elsewhere.
     let mut heavy = scheduler.client().await;
     heavy.send(&request_text("once", 53, 9000).replace("X-Cost: 1000", "X-Cost: 8000000")).await;
     let answer = heavy.next_response().await.expect("an answer");
@@ -251,11 +251,11 @@
     assert_eq!(last.next_response().await.expect("an answer").status(), 500);
     assert!(scheduler.child.wait().await.expect("it ends").success());
     // Of a longest deadline over 3 s no more counts for the kill.
-    assert!(termed.elapsed().as_millis() < 3_700, "{:?}", termed.elapsed());
+    assert!(sigterm_at.elapsed().as_millis() < 3_700, "{:?}", sigterm_at.elapsed());
 }
 
 #[tokio::test]
-async fn bad_requests_and_call_backs_get_their_status_and_do_no_harm() {
+async fn bad_requests_and_callbacks_get_their_status_and_change_nothing() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let good = request_text("safe", 60, 9000);
@@ -290,7 +290,7 @@
 
 // Guards against an accept loop that ends, or spins, when descriptors run out.
 #[tokio::test]
-async fn it_survives_a_want_of_descriptors() {
+async fn the_scheduler_survives_descriptor_exhaustion() {
     let mut server = FakeServer::start().await;
     let scheduler =
         Scheduler::start_by_command("ulimit -n 24; exec \"$PROGRAM\"", 1024, &[server.address]).await;
@@ -319,7 +319,7 @@
     let mut refused = 0;
     for (place, client) in crowd.iter_mut().enumerate() {
         let answer = client.next_response().await.unwrap_or_else(|| panic!("connection {place}: no answer"));
-        // Refused for want of a worker; or failed, where more jobs are read at once than there are places.
+        // Refused for want of a worker; or failed, where more requests are read at once than there are places.
         let status = answer.status();
         assert!(matches!(status, 503 | 500), "connection {place}: {status}");
         refused += u32::from(status == 503);
@@ -327,10 +327,10 @@
     assert!(refused >= 10, "{refused} of 100 reached the module");
 }
 
-// Guards against new work for an entry that began to drain after the module had chosen it, and
-// against silent real servers that hold all descriptors.
+// Guards against new work for an entry that began to drain after the policy had chosen it, and
+// against silent workers that hold all descriptors.
 #[tokio::test]
-async fn neither_draining_nor_silent_real_servers_get_more() {
+async fn neither_draining_nor_silent_workers_get_more_requests() {
     use copperspread_dispatcher::{Idempotency, Outcome, WorkerId};
     use copperspread_proxy::upstream::{Upstream, http::HttpUpstream};
     use copperspread_proxy::{clock::from_now, endpoints::EndpointTable, messages::UpstreamRequest};
@@ -339,11 +339,11 @@
     let config =
         platform::read_startup_config(&config(server.address, server.address, &endpoint_list(1, true, &[])))
             .expect("it is good");
-    let entries = std::sync::Arc::new(EndpointTable::new(&config.settings.proxy));
+    let endpoints = std::sync::Arc::new(EndpointTable::new(&config.settings.proxy));
     let cancellation = copperspread_proxy::messages::CancellationToken::new();
-    let real_servers = HttpUpstream::new(&config.settings.proxy, entries.clone(), 32);
+    let upstream = HttpUpstream::new(&config.settings.proxy, endpoints.clone(), 32);
     let (headers, body) = (Default::default(), Default::default());
-    let order = UpstreamRequest {
+    let upstream_request = UpstreamRequest {
         id: String::new(),
         path: "/once/k".parse().expect("a path"),
         headers,
@@ -352,23 +352,33 @@
         body_permit: None,
     };
     for (revision, phase) in [(2, "DRAINING"), (3, "DELETED")] {
-        let told = json::parse(&endpoint_list(revision, true, &[endpoint("r0", server.address, phase)]));
-        entries.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
-        let ended = real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &cancellation).await;
+        let list_received_at =
+            json::parse(&endpoint_list(revision, true, &[endpoint("r0", server.address, phase)]));
+        endpoints.apply(
+            &list_received_at
+                .and_then(|list_received_at| platform::read_endpoint_list(&list_received_at))
+                .expect("a list"),
+        );
+        let ended =
+            upstream.dispatch(WorkerId(0), &upstream_request, from_now(9_000_000), &cancellation).await;
         assert_eq!(ended, Err(Outcome::Superseded.into()));
     }
     assert!(server.is_idle());
-    // Real servers that stay silent hold four hand-overs, all that 32 descriptors allow.
-    let told = json::parse(&endpoint_list(4, true, &[endpoint("r0", server.address, "SERVING")]));
-    entries.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
-    let hand_over = || real_servers.dispatch(WorkerId(0), &order, from_now(9_000_000), &cancellation);
-    let four = futures_util::future::select_all((0..4).map(|_| Box::pin(hand_over())));
+    // Real servers that stay silent hold four dispatches, all that 32 descriptors allow.
+    let list_received_at = json::parse(&endpoint_list(4, true, &[endpoint("r0", server.address, "SERVING")]));
+    endpoints.apply(
+        &list_received_at
+            .and_then(|list_received_at| platform::read_endpoint_list(&list_received_at))
+            .expect("a list"),
+    );
+    let dispatch = || upstream.dispatch(WorkerId(0), &upstream_request, from_now(9_000_000), &cancellation);
+    let four = futures_util::future::select_all((0..4).map(|_| Box::pin(dispatch())));
     let fifth = async {
         let mut held = Vec::new();
         for _ in 0..4 {
             held.push(server.next_request().await);
         }
-        hand_over().await
+        dispatch().await
     };
     tokio::select! {
         ended = fifth => assert_eq!(ended, Err(Outcome::ConnectFailed.into())),
@@ -376,9 +386,9 @@
     }
 }
 
-// Guards against clients that shut out the call-backs on which their own answers wait.
+// Guards against clients that shut out the callbacks on which their own answers wait.
 #[tokio::test]
-async fn places_are_kept_for_call_backs() {
+async fn some_connections_are_reserved_for_callbacks() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[server.address]).await;
     let mut first = scheduler.client().await;
@@ -422,7 +432,7 @@
     old_watch.wait_until_closed().await;
     whole.respond("200 OK", "", &endpoint_list(2, true, &[endpoint("r1", two.address, "SERVING")]));
     assert!(other.next_request().await.message.first_line.contains("from=2"));
-    // The job taken before ends, and the next one goes where the new discovery says.
+    // The request taken before ends, and the next one goes where the new discovery says.
     scheduler.call_back(&taken, "r0", DONE).await;
     assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     client.send_request("once", 91, 9000).await;
@@ -473,7 +483,7 @@
 
 // Guards against silent clients that come by the hundred: those that ask do not wait for them.
 #[tokio::test]
-async fn a_silent_crowd_takes_no_places_of_those_that_ask() {
+async fn a_silent_crowd_takes_no_connection_permits_of_active_clients() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[server.address]).await;
     let mut usual = scheduler.client().await;
@@ -493,7 +503,7 @@
 
 // Guards against a reset over unread data, which takes the error from a sender that reads late.
 #[tokio::test]
-async fn a_large_body_is_refused_and_its_sender_can_read_why() {
+async fn a_body_that_is_too_large_is_refused_with_a_readable_response() {
     let scheduler = Scheduler::start(&[]).await;
     let size = 8 << 20;
     let head = request_text("safe", 120, 9000).replace("Content-Length: 2\r\n\r\nhi", "");
@@ -509,7 +519,7 @@
 
 // Guards against a body that hides another request, and against ids that come again.
 #[tokio::test]
-async fn what_can_be_read_in_two_ways_is_not_passed_on() {
+async fn an_ambiguous_request_is_not_forwarded() {
     let mut server = FakeServer::start().await;
     let scheduler = Scheduler::start(&[server.address]).await;
     let good = request_text("once", 130, 9000);
@@ -550,7 +560,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_one_clear_line_and_a_failure() {
+fn a_bad_configuration_is_one_clear_line_and_a_failing_exit_code() {
     let program = || std::process::Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
     let path = std::env::temp_dir().join(format!("copperspread-bad-{}.json", std::process::id()));
     let here = "127.0.0.1:1".parse().expect("an address");
@@ -568,7 +578,7 @@
 }
 
 #[tokio::test]
-async fn a_list_of_five_thousand_entries_is_followed() {
+async fn a_list_of_five_thousand_endpoints_is_followed() {
     let old = FakeServer::start().await;
     let mut new = FakeServer::start().await;
     let mut scheduler = Scheduler::start(&[old.address]).await;
--- a/crates/scheduler/tests/sockets/mod.rs
+++ b/crates/scheduler/tests/sockets/mod.rs
@@ -135,7 +135,7 @@
     pub async fn wait_until_closed(mut self) {
         within("the end of a connection", self.reply.closed()).await;
     }
-    /// The real server's 202; returns the job's id.
+    /// The worker's 202; returns the request's id.
     pub fn accept(self) -> String {
         let id = self.message.headers["x-request-id"].clone();
         self.respond("202 Accepted", "", "");
@@ -143,7 +143,7 @@
     }
 }
 
-/// A party that listens: discovery or a real server.
+/// A party that listens: discovery or a worker.
 pub struct FakeServer {
     pub address: SocketAddr,
     requests: mpsc::UnboundedReceiver<ReceivedRequest>,
@@ -214,7 +214,7 @@
     pub async fn send_request(&mut self, class: &str, id: u64, millis: u64) {
         self.send(&request_text(class, id, millis)).await;
     }
-    /// Its job is served, with word that the connection closes, and it closes with care.
+    /// Its request is served, with word that the connection closes, and it closes with care.
     pub async fn expect_served_and_closed(&mut self) {
         let answer = self.next_response().await.expect("an answer");
         assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
@@ -296,7 +296,7 @@
 }
 
 impl Scheduler {
-    /// Starts it with real servers that it knows from before, named r0, r1, ...
+    /// Starts it with workers that it knows from before, named r0, r1, ...
     pub async fn start(known: &[SocketAddr]) -> Scheduler {
         Scheduler::start_by_command("exec \"$PROGRAM\"", 1024, known).await
     }
@@ -366,7 +366,7 @@
     pub async fn client(&self) -> Client {
         Client::connect(self.address).await
     }
-    /// A call-back with these further fields; returns the status that it gets.
+    /// A callback with these further fields; returns the status that it gets.
     pub async fn call_back(&self, id: &str, from: &str, fields: &str) -> u16 {
         self.post_callback(&format!(r#"{{"id":"{id}","from":"{from}",{fields}}}"#)).await
     }
@@ -375,7 +375,7 @@
         let text = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{body}");
         self.client().await.exchange(&text).await.status()
     }
-    /// A job of the class `once` goes to the worker r0 and is done.
+    /// A request of the class `once` goes to the worker r0 and is done.
     pub async fn serve_request(&self, client: &mut Client, worker: &mut FakeServer, number: u64, done: &str) {
         client.send_request("once", number, 9000).await;
         let id = worker.next_request().await.accept();
--- a/crates/scheduler/tests/tenants.rs
+++ b/crates/scheduler/tests/tenants.rs
@@ -4,11 +4,11 @@
 
 /// A tenant with no part of the service to speak of, and one with all of it.
 const TENANTS: &str = r#""tenants":[{"name":"small","allowance_per_s":0.00001},{"name":"big","allowance_per_s":1000}],"over_share_worth":0.01"#;
-/// What a real server of four slots reports that has two jobs waiting: slots are scarce.
+/// What a worker of four slots reports that has two requests waiting: slots are scarce.
 const BUSY: &str = r#""state":"done","result":"","load":{"x0":0,"waiting":2}"#;
 const FREE: &str = r#""state":"done","result":"","load":{"x0":4,"waiting":0}"#;
 
-/// Whether a job of a tenant is refused; one that is not is done at the real server r0.
+/// Whether a request of a tenant is refused; one that is not is done at the worker r0.
 async fn refused(
     scheduler: &Scheduler,
     client: &mut Client,
@@ -36,7 +36,7 @@
 // Guards against requests that all count as the first tenant's: those of one that stays inside its share
 // were shed for another's excess.
 #[tokio::test]
-async fn a_request_counts_as_its_own_tenants_whatever_came_before_on_its_connection() {
+async fn a_request_counts_as_its_own_tenants_whatever_preceded_it_on_its_connection() {
     let mut server = FakeServer::start().await;
     let with_tenants = format!(r#"sed -i 's/"unknown":\[1\]/{TENANTS}/' "$EDGE_CONFIG"; exec "$PROGRAM""#);
     let scheduler = Scheduler::start_by_command(&with_tenants, 1024, &[server.address]).await;
