--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -83,7 +83,8 @@
     }
 }
 
-/// The table of endpoints. An endpoint may change its address; its worker id stays.
+/// The table of endpoints. An endpoint may change its address; its worker id stays. Written only through the
+/// endpoint publisher.
 #[derive(Debug)]
 pub struct EndpointTable {
     table: Mutex<Table>,
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -291,7 +291,7 @@
         let dispatch_abort = attempt.dispatch_abort.take();
         let is_accepted = dispatch_abort.is_none() || attempt.has_called_back;
         // Before the 202 the closed connection cancels it. But a worker that has called back already, and
-        // whose 202 crosses the close, would go on for nobody: that one is told.
+        // whose 202 crosses the close, would go on for nobody: that one gets a cancellation.
         if let Some(dispatch_abort) = dispatch_abort {
             dispatch_abort.abort();
         }
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -48,6 +48,7 @@
     pooled_client: Client<HttpConnector, GuardedBody>,
     /// Opens a connection for each request.
     unpooled_client: Client<HttpConnector, GuardedBody>,
+    /// Written only by [`WorkerConnections::record_use`].
     reuse: Mutex<ConnectionReuse>,
     keep_alive_timeout: Duration,
 }
--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -4,7 +4,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use copperspread_dispatcher::*;
+use copperspread_dispatcher::{
+    Action, Dispatcher, EndpointUpdate, EndpointUpdateKind, Event, Micros, RequestClass, SECOND, Settings,
+    Timer,
+};
 use copperspread_proxy::discovery::platform::{
     POLLED_LIST_TIMEOUT, PUSHED_LIST_TIMEOUT, PUSHED_WATCH_MARGIN, RETRY_BACKOFF_INITIAL, RETRY_BACKOFF_MAX,
     WATCH_HOLD_TIME,
--- a/crates/scheduler/tests/policy.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -4,7 +4,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-use copperspread_dispatcher::*;
+use copperspread_dispatcher::{
+    Action, DispatchPolicy, EndpointUpdateKind, Event, LoadReport, Micros, Outcome, WorkerId,
+};
 use copperspread_event_log::writer::Recorder;
 use copperspread_proxy::assembly::{AssembledProxy, assemble};
 use copperspread_proxy::discovery::{
@@ -16,8 +18,8 @@
 
 type QueryEnd = (u32, Outcome, Option<LoadReport>);
 
-/// Asks, at any event, for the load queries that the test wants, subscribes at once while it may, and tells the
-/// test what came back.
+/// Sends, at any event, the load queries that the test requests, subscribes at once while it may, and reports the
+/// events to the test.
 struct StubPolicy {
     requested_queries: Arc<Mutex<Vec<u32>>>,
     subscribe: Arc<AtomicBool>,
@@ -31,8 +33,8 @@
             let _ = self.ends.send((worker.0, outcome, report));
         } else if let Event::Endpoints(update) = event {
             let _ = self.updates.send((update.kind, update.endpoints.len()));
-            let calls = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
-            if calls && self.subscribe.load(Ordering::Relaxed) {
+            let may_call = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
+            if may_call && self.subscribe.load(Ordering::Relaxed) {
                 actions.push(Action::Subscribe);
             }
         }
@@ -44,7 +46,7 @@
 }
 
 struct Fixture {
-    node: AssembledProxy,
+    proxy: AssembledProxy,
     requested_queries: Arc<Mutex<Vec<u32>>>,
     subscribe: Arc<AtomicBool>,
     ends: mpsc::UnboundedReceiver<QueryEnd>,
@@ -66,19 +68,19 @@
             ends: end_sender,
             updates: update_sender,
         };
-        let node = assemble(&start, Box::new(stub), &Recorder::off()).await.expect("a port");
-        Fixture { node, requested_queries, subscribe, ends, updates }
+        let proxy = assemble(&start, Box::new(stub), &Recorder::off()).await.expect("a port");
+        Fixture { proxy, requested_queries, subscribe, ends, updates }
     }
     fn request_load_queries(&self, workers: &[u32]) {
         self.requested_queries.lock().expect("a lock").extend(workers);
         let nothing = EndpointList { revision: 1, complete: false, endpoints: Vec::new() };
-        self.node.endpoint_publisher.publish(&nothing, &[]);
+        self.proxy.endpoint_publisher.publish(&nothing, &[]);
     }
     async fn next_end(&mut self) -> QueryEnd {
-        within("a probe's end", self.ends.recv()).await.expect("the module lives")
+        within("a load query's end", self.ends.recv()).await.expect("the policy is there")
     }
     async fn next_update(&mut self) -> (EndpointUpdateKind, usize) {
-        within("a roster", self.updates.recv()).await.expect("the module lives")
+        within("an endpoint update", self.updates.recv()).await.expect("the policy is there")
     }
 }
 
@@ -100,19 +102,19 @@
     let (mut silent, mut drains) = (FakeServer::start().await, FakeServer::start().await);
     let mut members = vec![endpoint("refuses", refuses, "SERVING"), endpoint("s", silent.address, "SERVING")];
     members.push(endpoint("drains", drains.address, "DRAINING"));
-    let mut parties = Vec::new();
+    let mut workers = Vec::new();
     for number in 0..cases.len() {
-        parties.push(FakeServer::start().await);
-        members.push(endpoint(&format!("r{number}"), parties[number].address, "SERVING"));
+        workers.push(FakeServer::start().await);
+        members.push(endpoint(&format!("r{number}"), workers[number].address, "SERVING"));
     }
     let mut fixture = Fixture::open("pushed", &members).await;
     // The silent one is asked twice, and nobody has the number 90.
     fixture.request_load_queries(&[0, 1, 1, 2, 90, 3, 4, 5, 6, 7, 8, 9]);
-    for (party, (status, header, body, ..)) in parties.iter_mut().zip(&cases) {
-        let asked = party.next_request().await;
-        assert_eq!(asked.message.first_line, "GET /-/load HTTP/1.1");
+    for (worker, (status, header, body, ..)) in workers.iter_mut().zip(&cases) {
+        let query = worker.next_request().await;
+        assert_eq!(query.message.first_line, "GET /-/load HTTP/1.1");
         if !status.is_empty() {
-            asked.respond(status, header, body);
+            query.respond(status, header, body);
         }
     }
     let mut ends = HashMap::<u32, Vec<_>>::new();
@@ -129,24 +131,29 @@
     for (number, (.., outcome, report)) in cases.iter().enumerate() {
         assert_eq!(ends[&(number as u32 + 3)], [(*outcome, *report)], "case {number}");
     }
-    // A late answer is dropped, and its connection carries the next load query.
+    late_response_is_dropped_and_its_connection_reused(&mut fixture, &mut silent).await;
+    assert!(drains.is_idle());
+    fixture.proxy.begin_shutdown();
+    fixture.request_load_queries(&[3]);
+    assert_eq!(fixture.next_end().await, (3, Outcome::Superseded, None), "none during a shutdown");
+}
+
+/// The worker 1 answers its first load query late; its connection carries the next one.
+async fn late_response_is_dropped_and_its_connection_reused(fixture: &mut Fixture, silent: &mut FakeServer) {
     let late = silent.next_request().await;
-    assert!(silent.is_idle() && drains.is_idle());
+    assert!(silent.is_idle());
     fixture.request_load_queries(&[1]);
     assert_eq!(fixture.next_end().await, (1, Outcome::Superseded, None), "it has one still");
     let connection = late.peer;
-    late.respond(ok, "", "TEXT x0=1");
+    late.respond("200 OK", "", "TEXT x0=1");
     let next = loop {
         fixture.request_load_queries(&[1]);
         tokio::select! {
-            asked = silent.next_request() => break asked,
-            next_end = fixture.next_end() => assert_eq!(next_end, (1, Outcome::Superseded, None)),
+            query = silent.next_request() => break query,
+            end = fixture.next_end() => assert_eq!(end, (1, Outcome::Superseded, None)),
         }
     };
     assert_eq!(next.peer, connection);
-    fixture.node.begin_shutdown();
-    fixture.request_load_queries(&[3]);
-    assert_eq!(fixture.next_end().await, (3, Outcome::Superseded, None), "none while it ends");
 }
 
 // Guards against load queries that pile up at silent workers and take the descriptors of the rest.
@@ -167,10 +174,11 @@
 #[tokio::test]
 async fn a_polled_discovery_is_called_again_as_soon_as_a_watch_breaks() {
     let (mut discovery, mut other) = (FakeServer::start().await, FakeServer::start().await);
-    let (place, address) = watch::channel(discovery.address.to_string().parse().expect("an address"));
+    let (address_sender, address) =
+        watch::channel(discovery.address.to_string().parse().expect("an address"));
     let mut fixture = Fixture::open("on_request", &[]).await;
-    let membership = fixture.node.endpoint_publisher.clone();
-    tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(membership));
+    let publisher = fixture.proxy.endpoint_publisher.clone();
+    tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(publisher));
     const WATCH_REQUEST: &str = "GET /api/targets?from=1&hold_ms=2000 HTTP/1.1";
     const FULL_LIST_REQUEST: &str = "GET /api/targets HTTP/1.1";
     let nothing = endpoint_list(1, false, &[]);
@@ -203,7 +211,7 @@
     discovery.next_request().await.respond("503 Service Unavailable", "", "");
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Failed, 0));
     // A discovery that moves is not waited for.
-    place.send_replace(other.address.to_string().parse().expect("an address"));
+    address_sender.send_replace(other.address.to_string().parse().expect("an address"));
     let whole = other.next_request().await;
     assert_eq!(whole.message.first_line, "GET /api/targets HTTP/1.1");
     whole.respond("200 OK", "", &endpoint_list(1, true, &[]));
@@ -216,16 +224,17 @@
 #[tokio::test]
 async fn an_older_subscription_request_does_not_answer_a_later_failure() {
     let mut discovery = FakeServer::start().await;
-    let (_place, address) = watch::channel(discovery.address.to_string().parse().expect("an address"));
+    let (_address_sender, address) =
+        watch::channel(discovery.address.to_string().parse().expect("an address"));
     let mut fixture = Fixture::open("on_request", &[]).await;
-    let membership = fixture.node.endpoint_publisher.clone();
-    tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(membership));
+    let publisher = fixture.proxy.endpoint_publisher.clone();
+    tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(publisher));
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Cached, 0));
     discovery.next_request().await.respond("200 OK", "", &endpoint_list(1, true, &[]));
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Full, 0));
     let watch = discovery.next_request().await;
     // The stub asks at this event, with a call out.
-    fixture.node.endpoint_publisher.publish_cached(None);
+    fixture.proxy.endpoint_publisher.publish_cached(None);
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Cached, 0));
     fixture.subscribe.store(false, Ordering::Relaxed);
     watch.respond("503 Service Unavailable", "", "");
@@ -234,7 +243,7 @@
     assert!(early.is_err(), "the module has not asked yet");
     // It does now.
     fixture.subscribe.store(true, Ordering::Relaxed);
-    fixture.node.endpoint_publisher.publish_cached(None);
+    fixture.proxy.endpoint_publisher.publish_cached(None);
     assert_eq!(discovery.next_request().await.message.first_line, "GET /api/targets HTTP/1.1");
 }
 
@@ -243,12 +252,12 @@
 async fn a_static_list_that_changes_is_published_also_where_lists_are_polled() {
     let mut fixture = Fixture::open("on_request", &[]).await;
     let fixed = |revision| EndpointList { revision, complete: true, endpoints: Vec::new() };
-    let (place, list) = watch::channel(fixed(2));
-    tokio::spawn(Box::new(StaticEndpoints(list)).follow(fixture.node.endpoint_publisher.clone()));
+    let (list_sender, list) = watch::channel(fixed(2));
+    tokio::spawn(Box::new(StaticEndpoints(list)).follow(fixture.proxy.endpoint_publisher.clone()));
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Cached, 0));
     for revision in 3..5 {
         assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Full, 0));
-        place.send_replace(fixed(revision));
+        list_sender.send_replace(fixed(revision));
     }
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Full, 0));
 }
--- a/crates/scheduler/tests/sockets/mod.rs
+++ b/crates/scheduler/tests/sockets/mod.rs
@@ -1,5 +1,5 @@
-//! A scheduler under test, with every party it speaks to played by the test over sockets. What
-//! reaches a party is an event that the test takes and answers.
+//! A scheduler under test, with every server and client that it speaks to played by the test over sockets. A
+//! request that reaches a server is an event that the test takes and answers.
 #![allow(dead_code)]
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
     Some(message)
 }
 
-/// A party that answers each request at once and keeps its bytes.
+/// A server that answers each request at once and records its bytes.
 pub struct RecordingServer {
     pub address: SocketAddr,
     requests: mpsc::UnboundedReceiver<Vec<u8>>,
@@ -112,12 +112,12 @@
     }
     /// The next request, byte by byte.
     pub async fn next_request(&mut self) -> String {
-        let request = within("a request", self.requests.recv()).await.expect("the party lives");
+        let request = within("a request", self.requests.recv()).await.expect("the server runs");
         String::from_utf8(request).expect("UTF-8")
     }
 }
 
-/// A request that reached a party, to be answered; dropped, its connection closes.
+/// A request that reached a server, to be answered; dropped, its connection closes.
 pub struct ReceivedRequest {
     pub message: Message,
     /// The other end of its connection.
@@ -143,7 +143,7 @@
     }
 }
 
-/// A party that listens: discovery or a worker.
+/// A server that listens: discovery or a worker.
 pub struct FakeServer {
     pub address: SocketAddr,
     requests: mpsc::UnboundedReceiver<ReceivedRequest>,
@@ -178,7 +178,7 @@
         FakeServer { address, requests }
     }
     pub async fn next_request(&mut self) -> ReceivedRequest {
-        within("a request", self.requests.recv()).await.expect("the party lives")
+        within("a request", self.requests.recv()).await.expect("the server runs")
     }
     pub fn is_idle(&mut self) -> bool {
         self.requests.try_recv().is_err()
