--- a/crates/scheduler/tests/dispatch_races.rs
+++ b/crates/scheduler/tests/dispatch_races.rs
@@ -1,5 +1,7 @@
 //! Rare moments on the way to workers, forced over sockets: what comes between a decision and its
 //! writing, between an answer and the next request on its connection, between a reset and a repeat.
+#[path = "sockets/raw_worker.rs"]
+mod raw_worker;
 mod sockets;
 
 use copperspread_dispatcher::{Idempotency, KeyScope, Outcome, WorkerId};
@@ -9,71 +11,18 @@
 };
 use copperspread_settings::{json, platform};
 use futures_util::FutureExt;
+use raw_worker::{Connection, RawWorker, read_to_end, write};
 use sockets::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::io::AsyncWriteExt;
 
 const DONE: &str = r#""state":"done","result":"paid""#;
 const NOT_PROCESSED: &str =
     "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
 const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
-/// A worker played byte by byte, whose next connections can be kept from coming up.
-struct RawServer {
-    listener: TcpListener,
-    address: SocketAddr,
-}
-
-type Connection = BufReader<TcpStream>;
-
-impl RawServer {
-    fn new() -> RawServer {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-        // One connection may wait here to be accepted, and no more.
-        let listener = socket.listen(0).expect("it listens");
-        let address = listener.local_addr().expect("an address");
-        RawServer { listener, address }
-    }
-    async fn accept(&self) -> Connection {
-        BufReader::new(within("a connection", self.listener.accept()).await.expect("it is up").0)
-    }
-    /// The next connection and the request on it.
-    async fn next_request(&self) -> (Connection, Message) {
-        let mut connection = self.accept().await;
-        let message = next_message(&mut connection).await.expect("a request");
-        (connection, message)
-    }
-    /// Keeps further connections from coming up until it is let in.
-    async fn fill_queue(&self) -> TcpStream {
-        TcpStream::connect(self.address).await.expect("it listens")
-    }
-    /// Waits until the scheduler waits for a connection to it, which the kernel shows as SYN_SENT.
-    async fn wait_for_connect(&self) {
-        let port = format!(":{:04X} 02 ", self.address.port());
-        let seen = async {
-            while !std::fs::read_to_string("/proc/net/tcp").expect("a table").contains(&port) {
-                tokio::time::sleep(Duration::from_millis(2)).await;
-            }
-        };
-        within("a connection under way", seen).await;
-    }
-}
-
-async fn write(connection: &mut Connection, text: &str) {
-    connection.write_all(text.as_bytes()).await.expect("it reads");
-}
-
-/// What else comes on a connection, up to its end.
-async fn read_to_end(connection: &mut Connection) -> String {
-    let mut bytes = Vec::new();
-    let _ = within("a connection's end", connection.read_to_end(&mut bytes)).await;
-    String::from_utf8(bytes).expect("UTF-8")
-}
-
 /// A scheduler that waits long for connections.
 async fn start_with_long_connect_timeout(known: &[SocketAddr]) -> Scheduler {
     start_edited_with_sed("s/\"connect_timeout_s\":0.25/\"connect_timeout_s\":20/", 1024, known).await
@@ -100,7 +49,7 @@
 #[tokio::test]
 async fn a_freed_connection_carries_nothing_to_a_worker_that_began_to_drain() {
     for second in [request_text("once", 2, 9000), with_empty_body(request_text("once", 2, 9000))] {
-        let server = RawServer::new();
+        let server = RawWorker::new();
         let mut scheduler = start_with_long_connect_timeout(&[server.address]).await;
         let (mut one, mut two) = (scheduler.client().await, scheduler.client().await);
         one.send_request("once", 1, 9000).await;
@@ -124,7 +73,7 @@
     for (drains, text) in
         [(true, request_text("once", 3, 9000)), (false, with_empty_body(request_text("safe", 3, 9000)))]
     {
-        let server = RawServer::new();
+        let server = RawWorker::new();
         let mut scheduler = start_with_long_connect_timeout(&[server.address]).await;
         let queued = server.fill_queue().await;
         let mut client = scheduler.client().await;
@@ -146,7 +95,7 @@
 // is closed before the worker would.
 #[tokio::test]
 async fn a_connection_established_after_its_request_completed_carries_nothing() {
-    let server = RawServer::new();
+    let server = RawWorker::new();
     let scheduler = start_with_long_connect_timeout(&[server.address]).await;
     let (mut one, mut two) = (scheduler.client().await, scheduler.client().await);
     one.send_request("once", 4, 9000).await;
@@ -172,7 +121,7 @@
 // Guards against an answer whose body or head never ends, and holds a place, or an outcome that is known.
 #[tokio::test]
 async fn a_response_that_never_ends_delays_nobody() {
-    let server = RawServer::new();
+    let server = RawWorker::new();
     // 64 descriptors allow for eight dispatches at once.
     let scheduler = Scheduler::start_by_command("exec \"$PROGRAM\"", 64, &[server.address]).await;
     let mut client = scheduler.client().await;
@@ -212,7 +161,7 @@
     let garbage = format!("{ACCEPTED}\u{1}\u{2}trailing");
     let failed = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
     for (first_response, status) in [(NOT_PROCESSED, 503), (failed, 500), (&twice, 200), (&garbage, 200)] {
-        let server = RawServer::new();
+        let server = RawWorker::new();
         let scheduler = Scheduler::start(&[server.address]).await;
         let mut client = scheduler.client().await;
         client.send_request("once", 40, 9000).await;
@@ -244,7 +193,7 @@
 #[tokio::test]
 async fn a_response_that_may_be_the_previous_requests_second_one_proves_nothing() {
     for (class, retries) in [("once", false), ("keyed", false), ("safe", true)] {
-        let (server, mut other) = (RawServer::new(), FakeServer::start().await);
+        let (server, mut other) = (RawWorker::new(), FakeServer::start().await);
         let mut scheduler = start_with_long_connect_timeout(&[server.address]).await;
         let (mut one, mut two) = (scheduler.client().await, scheduler.client().await);
         one.send_request("once", 50, 9000).await;
@@ -283,7 +232,7 @@
         ("keyed", 0, short, None),
     ];
     for (class, cell, edit, retries) in cases {
-        let (server, mut other) = (RawServer::new(), FakeServer::start().await);
+        let (server, mut other) = (RawWorker::new(), FakeServer::start().await);
         let mut scheduler = start_edited_with_sed(edit, 1024, &[server.address]).await;
         let mut client = scheduler.client().await;
         client.send_request(class, 60, 9000).await;
@@ -309,7 +258,7 @@
 // Guards against an answer that is lost to the reset that comes with it.
 #[tokio::test]
 async fn a_response_counts_even_if_a_reset_comes_with_it() {
-    let server = RawServer::new();
+    let server = RawWorker::new();
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
     for (number, answer, status) in [(70, ACCEPTED, 200), (71, NOT_PROCESSED, 503), (72, ACCEPTED, 500)] {
@@ -353,7 +302,7 @@
 // closed it: the scheduler finds both at once.
 #[tokio::test]
 async fn a_request_that_meets_the_close_of_a_reused_connection_runs_at_most_once() {
-    let server = RawServer::new();
+    let server = RawWorker::new();
     let scheduler = Scheduler::start(&[server.address]).await;
     let mut client = scheduler.client().await;
     client.send_request("once", 200, 9000).await;
@@ -464,7 +413,7 @@
 // Guards against a request that is written to a connection which the worker is closing for its age.
 #[tokio::test]
 async fn an_idle_connection_is_closed_before_the_workers_keep_alive_timeout() {
-    let server = RawServer::new();
+    let server = RawWorker::new();
     let scheduler =
         start_edited_with_sed("s/\"keepalive_s\":5/\"keepalive_s\":1/", 1024, &[server.address]).await;
     let mut client = scheduler.client().await;
--- /dev/null
+++ b/crates/scheduler/tests/sockets/fake_discovery.rs
@@ -0,0 +1,210 @@
+//! A discovery played over sockets, which may be unavailable and whose answers may be anything.
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use futures_util::FutureExt;
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+
+use crate::sockets::{endpoint_list, reserve_address, within};
+
+/// A response that refuses a call and closes its connection.
+pub const UNAVAILABLE: &str =
+    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+
+/// A discovery that may be unavailable, and whose answers may be anything.
+pub struct FakeDiscovery {
+    pub address: SocketAddr,
+    pub listener: Option<TcpListener>,
+    /// Connections that fill its queue.
+    queued: Vec<TcpStream>,
+    /// Keeps the address while it is down.
+    _reserved: TcpSocket,
+}
+
+/// One call to it, not answered yet.
+pub struct Call {
+    pub first_line: String,
+    stream: BufReader<TcpStream>,
+}
+
+impl FakeDiscovery {
+    /// One that refuses connections.
+    pub fn refusing() -> FakeDiscovery {
+        let (reserved, address) = reserve_address();
+        FakeDiscovery { address, listener: None, queued: Vec::new(), _reserved: reserved }
+    }
+    pub async fn available() -> FakeDiscovery {
+        let mut discovery = FakeDiscovery::refusing();
+        discovery.listen().await;
+        discovery
+    }
+    pub async fn listen(&mut self) {
+        self.listener = Some(TcpListener::bind(self.address).await.expect("its address"));
+    }
+    /// Unavailable in one of these ways: `refuses`, `silent` or `no connection comes up`.
+    pub async fn unavailable(how: &str) -> FakeDiscovery {
+        match how {
+            "refuses" => FakeDiscovery::refusing(),
+            "silent" => FakeDiscovery::available().await,
+            "no connection comes up" => {
+                let mut discovery = FakeDiscovery::refusing();
+                let socket = TcpSocket::new_v4().expect("a socket");
+                socket.set_reuseaddr(true).expect("an option");
+                socket.bind(discovery.address).expect("its address");
+                discovery.listener = Some(socket.listen(1).expect("it listens"));
+                // Those that nobody accepts fill its queue, until one does not come up.
+                let fill = || {
+                    tokio::time::timeout(Duration::from_millis(300), TcpStream::connect(discovery.address))
+                };
+                while let Ok(stream) = fill().await {
+                    discovery.queued.push(stream.expect("a connection"));
+                }
+                discovery
+            }
+            _ => unreachable!("{how}"),
+        }
+    }
+    /// Makes it available again.
+    pub async fn recover(&mut self) {
+        self.queued.clear();
+        if self.listener.is_none() {
+            self.listen().await;
+        }
+    }
+    /// The next call whose caller still waits.
+    pub async fn next_call(&self) -> Call {
+        loop {
+            let (stream, _) = within("a call", self.listener.as_ref().expect("it is up").accept())
+                .await
+                .expect("a connection");
+            let mut stream = BufReader::new(stream);
+            let (mut first_line, mut line) = (String::new(), String::new());
+            let mut is_complete = stream.read_line(&mut first_line).await.is_ok();
+            while is_complete && line != "\r\n" {
+                line.clear();
+                is_complete = stream.read_line(&mut line).await.is_ok_and(|read| read > 0);
+            }
+            if is_complete && stream.fill_buf().now_or_never().is_none() {
+                return Call { first_line: first_line.trim_end().to_owned(), stream };
+            }
+        }
+    }
+    /// Answers with a complete list until it is applied: the next call watches its revision.
+    pub async fn publish(&self, revision: u64, members: &[String]) -> Call {
+        loop {
+            self.next_call().await.respond_with_list(&endpoint_list(revision, true, members)).await;
+            let next = self.next_call().await;
+            if next.first_line.contains(&format!("from={revision}&")) {
+                return next;
+            }
+            next.respond_with_list(&endpoint_list(revision, true, members)).await;
+        }
+    }
+}
+
+impl Call {
+    pub async fn write(&mut self, text: &str) {
+        let _ = self.stream.write_all(text.as_bytes()).await;
+    }
+    /// Answers with a list and closes, so that each call has a connection of its own.
+    pub async fn respond_with_list(mut self, body: &str) {
+        let length = body.len();
+        self.write(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}"
+        ))
+        .await;
+    }
+    /// Writes a beginning and then the same again and again, until the scheduler closes.
+    pub fn repeat_forever(mut self, begin: &'static str, again: String, pause: Duration) {
+        tokio::spawn(async move {
+            let mut text = begin.as_bytes();
+            while self.stream.write_all(text).await.is_ok() {
+                text = again.as_bytes();
+                tokio::time::sleep(pause).await;
+            }
+        });
+    }
+    pub fn reset(self) {
+        let _ = self.stream.get_ref().set_zero_linger();
+    }
+}
+
+/// The faults that a watch may meet.
+pub const WATCH_FAULTS: [&str; 15] = [
+    "silent",
+    "closed",
+    "reset",
+    "half an answer, then silence",
+    "half an answer, then a close",
+    "a head without end",
+    "a body without end",
+    "a body without end, at once",
+    "longer than its length",
+    "shorter than its length",
+    "no list",
+    "503",
+    "503, then silence on its connection",
+    "503 without end",
+    "indented",
+];
+
+/// Lets a watch meet one of [`WATCH_FAULTS`]. Some are kept open in silence: what is returned holds them.
+pub async fn inject(fault: &str, mut watch: Call, members: &[String]) -> Option<Call> {
+    let body = endpoint_list(6, true, members);
+    let long = body.len() + 9;
+    let (half, pause) = (&body[..body.len() / 2], Duration::from_millis(20));
+    let head = |length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
+    const OPEN: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    let chunk = |length: usize| format!("{length:x}\r\n{}\r\n", " ".repeat(length));
+    match fault {
+        "silent" => {}
+        "closed" => return None,
+        "reset" => {
+            watch.reset();
+            return None;
+        }
+        "half an answer, then silence" => watch.write(&(head(body.len()) + half)).await,
+        "half an answer, then a close" => {
+            watch.write(&(head(body.len()) + half)).await;
+            return None;
+        }
+        "a head without end" => {
+            watch.repeat_forever("HTTP/1.1 200 OK\r\nX: ", "x".repeat(64), pause);
+            return None;
+        }
+        "a body without end" => {
+            watch.repeat_forever(OPEN, chunk(64), pause);
+            return None;
+        }
+        "a body without end, at once" => {
+            watch.repeat_forever(OPEN, chunk(65_536), Duration::ZERO);
+            return None;
+        }
+        "longer than its length" => watch.write(&(head(body.len() - 9) + &body)).await,
+        "shorter than its length" => watch.write(&(head(long) + &body)).await,
+        "no list" => {
+            watch.respond_with_list(r#"{"revision":9,"complete":true,"members":[{"id":1}]}"#).await;
+            return None;
+        }
+        "503" => {
+            watch.write(UNAVAILABLE).await;
+            return None;
+        }
+        "503, then silence on its connection" => {
+            watch.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
+        }
+        "503 without end" => {
+            let begin = "HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n";
+            watch.repeat_forever(begin, chunk(64), pause);
+            return None;
+        }
+        "indented" => {
+            let body = body.replace(',', " ,\r\n\t ");
+            watch.respond_with_list(&body).await;
+            return None;
+        }
+        _ => unreachable!("{fault}"),
+    }
+    Some(watch)
+}
