--- a/crates/scheduler/src/serve/discovery_handle.rs
+++ b/crates/scheduler/src/serve/discovery_handle.rs
@@ -24,7 +24,7 @@
         match config {
             DiscoveryConfig::Platform(address) => {
                 let (sender, address) = watch::channel(address.clone());
-                let source = PlatformDiscovery { address, known: cached_revision };
+                let source = PlatformDiscovery { address, cached_revision };
                 (DiscoveryHandle::Platform(sender), Box::new(source))
             }
             DiscoveryConfig::Static(list) => {
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -80,7 +80,7 @@
 /// Records the start, and from now on each count of what went wrong that reaches a power of two.
 fn record_start(proxy: &AssembledProxy, startup: &StartupConfig, recorder: &Recorder) {
     let event_recorder = Arc::clone(&proxy.context.recorder);
-    invariant::hear(Box::new(move |what, count| event_recorder.counter_reached(what, count)));
+    invariant::observe_counters(Box::new(move |what, count| event_recorder.counter_reached(what, count)));
     let (name, program) = (startup.name.clone(), env!("CARGO_PKG_VERSION").into());
     recorder.record(EventKind::RunStarted { name, version: program });
 }
--- a/crates/scheduler/tests/membership.rs
+++ b/crates/scheduler/tests/membership.rs
@@ -26,7 +26,7 @@
 }
 
 async fn request_page(scheduler: &Scheduler) -> Message {
-    scheduler.client().await.ask("GET /-/cluster HTTP/1.1\r\nHost: s\r\n\r\n").await
+    scheduler.client().await.exchange("GET /-/cluster HTTP/1.1\r\nHost: s\r\n\r\n").await
 }
 
 async fn view(scheduler: &Scheduler) -> Value {
@@ -79,7 +79,7 @@
     assert!(within("the end", two.child.wait()).await.expect("it ends").success());
     wait_until_it_sees(&one, &[]).await;
     let mut lines = Vec::new();
-    while let Some(line) = two.next_line().await {
+    while let Some(line) = two.try_next_line().await {
         lines.push(line);
     }
     for part in ["left the cluster", "membership ended"] {
--- a/crates/scheduler/tests/standalone.rs
+++ b/crates/scheduler/tests/standalone.rs
@@ -3,7 +3,7 @@
 mod sockets;
 use std::net::SocketAddr;
 
-use sockets::{Party, Scheduler, reserve};
+use sockets::{FakeServer, Scheduler, reserve_address};
 
 /// A callback's fields: the job is done.
 const DONE: &str = r#""state":"done","result":"paid""#;
@@ -19,26 +19,26 @@
 
 #[tokio::test]
 async fn sighup_applies_a_changed_static_list_and_rejects_invalid_files() {
-    let (mut one, mut two) = (Party::new().await, Party::new().await);
+    let (mut one, mut two) = (FakeServer::start().await, FakeServer::start().await);
     let at = [one.address, two.address];
     let mut scheduler =
         Scheduler::standalone(|listen| config_with_workers(listen, &[("serving", at[0])]), &[]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    let id = one.asked().await.accept();
+    client.send_request("once", 1, 9000).await;
+    let id = one.next_request().await.accept();
     let changed = config_with_workers(scheduler.address, &[("draining", at[0]), ("serving", at[1])]);
     let lines = scheduler.reload(&changed).await;
     assert!(lines[0].contains(r#""discovery_changed":true"#), "{lines:?}");
     // A request that was accepted before ends at its worker; later ones go to the other.
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    assert_eq!(client.heard().await.expect("an answer").body, "paid");
+    assert_eq!(client.next_response().await.expect("an answer").body, "paid");
     for number in 2..5 {
-        client.job("once", number, 9000).await;
-        let id = two.asked().await.accept();
+        client.send_request("once", number, 9000).await;
+        let id = two.next_request().await.accept();
         scheduler.call_back(&id, "r1", DONE).await;
-        assert_eq!(client.heard().await.expect("an answer").status(), 200);
+        assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
-    assert!(one.idle());
+    assert!(one.is_idle());
     // Invalid by itself, invalid together with another value, empty: each leaves the list as it is.
     for invalid in
         [changed.replace("9s", "9 sheep"), changed.replace("aim = '9s'", "aim = '99s'"), String::new()]
@@ -46,8 +46,8 @@
         let lines = scheduler.reload(&invalid).await;
         assert!(lines[0].contains("the old configuration stays"), "{lines:?}");
     }
-    client.job("once", 9, 9000).await;
-    two.asked().await.accept();
+    client.send_request("once", 9, 9000).await;
+    two.next_request().await.accept();
     // Parts that only a restart can change are named, wherever in the file they stand.
     let restart_only =
         "[log]\nformat = 'text'\n[records]\nkeep = 9\nfile = 'r'\n[limits]\ndescriptors = 300\n";
@@ -69,7 +69,7 @@
 
 /// False where the disk was so slow that the half-written file stayed unchanged for as long as a reload waits.
 async fn reload_while_the_file_is_written() -> bool {
-    let (one, mut two) = (Party::new().await, Party::new().await);
+    let (one, mut two) = (FakeServer::start().await, FakeServer::start().await);
     let at = [one.address, two.address];
     let mut scheduler =
         Scheduler::standalone(|listen| config_with_workers(listen, &[("serving", at[0])]), &[]).await;
@@ -95,63 +95,64 @@
     if longest_pause.max(last_change.elapsed().as_millis()) >= 40 {
         return false;
     }
-    let lines = scheduler.told_of_configuration().await;
+    let lines = scheduler.lines_until_configuration().await;
     assert!(
         lines.len() == 1 && lines[0].contains(r#""discovery_changed":true"#),
         "one reading, of the whole: {lines:?}"
     );
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    two.asked().await.accept();
+    client.send_request("once", 1, 9000).await;
+    two.next_request().await.accept();
     true
 }
 
 #[tokio::test]
 async fn sigterm_while_a_reload_waits_drops_the_reload_and_completes_every_request() {
-    let mut one = Party::new().await;
+    let mut one = FakeServer::start().await;
     let at = one.address;
     let mut scheduler =
         Scheduler::standalone(|listen| config_with_workers(listen, &[("serving", at)]), &[]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    let id = one.asked().await.accept();
+    client.send_request("once", 1, 9000).await;
+    let id = one.next_request().await.accept();
     // One shell sends them, so that they come closer together than a reload waits for its file.
     scheduler.signals(&["HUP", "TERM", "HUP"]).await;
-    let line = scheduler.line().await;
+    let line = scheduler.next_line().await;
     assert!(
         line.contains(r#""shutting down","requests":1"#),
         "the reload is not carried out any more: {line}"
     );
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
-    assert_eq!(client.heard().await.expect("an answer").status(), 200);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     assert!(scheduler.child.wait().await.expect("it ends").success());
 }
 
 #[tokio::test]
 async fn the_log_is_json_with_spans_and_sighup_changes_its_level() {
-    let mut one = Party::new().await;
+    let mut one = FakeServer::start().await;
     let at = one.address;
     let mut scheduler =
         Scheduler::standalone(|listen| config_with_workers(listen, &[("serving", at)]), &[]).await;
     let text = config_with_workers(scheduler.address, &[("serving", at)]);
     // Quiet at info: the first line after the start is the reload's.
     let mut client = scheduler.client().await;
-    client.job("once", 1, 9000).await;
-    let id = one.asked().await.accept();
+    client.send_request("once", 1, 9000).await;
+    let id = one.next_request().await.accept();
     scheduler.call_back(&id, "r0", DONE).await;
-    client.heard().await.expect("an answer");
+    client.next_response().await.expect("an answer");
     let lines = scheduler.reload(&text.replace("[front", "[log]\nlevel = 'loud'\n[front")).await;
     assert!(lines.len() == 1 && lines[0].contains("loud"), "{lines:?}");
     let lines = scheduler.reload(&text.replace("[front", "[log]\nlevel = 'debug'\n[front")).await;
     assert!(lines[0].contains(r#""discovery_changed":false"#), "{lines:?}");
-    client.job("once", 2, 9000).await;
-    let id = one.asked().await.accept();
+    client.send_request("once", 2, 9000).await;
+    let id = one.next_request().await.accept();
     scheduler.call_back(&id, "r0", DONE).await;
-    client.heard().await.expect("an answer");
+    client.next_response().await.expect("an answer");
     // The 202 may arrive after the callback, so the two lines come in either order.
     let (mut answered, mut handed) = (None, None);
     while answered.is_none() || handed.is_none() {
-        let line: serde_json::Value = serde_json::from_str(&scheduler.line().await).expect("a JSON line");
+        let line: serde_json::Value =
+            serde_json::from_str(&scheduler.next_line().await).expect("a JSON line");
         match line["message"].as_str() {
             Some("final answer") => answered = Some(line),
             Some("handed over") => handed = Some(line),
@@ -170,7 +171,7 @@
 /// Its pipe fills up.
 #[tokio::test]
 async fn a_log_that_nobody_reads_neither_blocks_nor_ends_the_program() {
-    let mut one = Party::new().await;
+    let mut one = FakeServer::start().await;
     let at = one.address;
     let level = [("RUST_LOG", "trace")];
     let mut scheduler =
@@ -178,13 +179,13 @@
     let mut client = scheduler.client().await;
     // Some lines of some hundred bytes a job: more than a pipe holds, and nobody reads one.
     for number in 1..400 {
-        scheduler.serves(&mut client, &mut one, number, DONE).await;
+        scheduler.serve_request(&mut client, &mut one, number, DONE).await;
     }
     scheduler.terminate().await;
     assert!(scheduler.child.wait().await.expect("it ends").success());
     let mut lines = 0;
     let mut bytes = 0;
-    while let Some(line) = scheduler.next_line().await {
+    while let Some(line) = scheduler.try_next_line().await {
         (lines, bytes) = (lines + 1, bytes + line.len());
     }
     assert!(bytes > 60_000, "the pipe was full: {bytes} bytes in {lines} lines");
@@ -193,11 +194,11 @@
 /// The README's first command, with other ports.
 #[tokio::test]
 async fn the_default_configuration_serves_a_job_with_the_toy_worker() {
-    let (_reserved, worker) = reserve();
+    let (_reserved, worker) = reserve_address();
     let text = |listen| config_with_workers(listen, &[("serving", worker)]);
     let scheduler = Scheduler::standalone_with(&["--toy"], text, &[]).await;
     let mut client = scheduler.client().await;
-    client.job("once", 7, 9000).await;
-    let answer = client.heard().await.expect("an answer");
+    client.send_request("once", 7, 9000).await;
+    let answer = client.next_response().await.expect("an answer");
     assert_eq!((answer.status(), &*answer.body), (200, "0000000000000007 is done"));
 }
