--- a/crates/consensus/src/decision.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -3,18 +3,18 @@
 
 /// By what a decision was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Basis {
+pub enum DecisionBasis {
     /// By this version, within the lease.
-    Agreed(Version),
+    InForce(Version),
     /// By what all versions from the first to the last allow, and with `heard` false also by what no later
     /// one forbids ([`crate::Rules::unheard`]).
-    Safe {
+    Restricted {
         /// The one known to have been in force last.
-        from: Version,
+        in_force: Version,
         /// The newest that was known.
-        to: Version,
+        newest: Version,
         /// Within the lease: no later version was in force.
-        heard: bool,
+        has_lease: bool,
     },
 }
 
@@ -22,25 +22,25 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision<Q> {
     /// By what.
-    pub basis: Basis,
+    pub basis: DecisionBasis,
     /// What was asked.
-    pub asked: Q,
+    pub request: Q,
     /// Whether it was allowed.
-    pub allowed: bool,
+    pub is_allowed: bool,
 }
 
 /// Whether two decisions contradict: they act by different versions, and one allowed what the other forbade.
 ///
 /// The safe rules act by no version of their own: that they forbid what a version allows contradicts nothing;
 /// that they allow what a version forbids contradicts it, whether they knew that version or not.
-pub fn contradict<Q: PartialEq>(a: &Decision<Q>, b: &Decision<Q>) -> bool {
-    if a.asked != b.asked || a.allowed == b.allowed {
+pub fn decisions_conflict<Q: PartialEq>(a: &Decision<Q>, b: &Decision<Q>) -> bool {
+    if a.request != b.request || a.is_allowed == b.is_allowed {
         return false;
     }
-    let (allowing, forbidding) = if a.allowed { (a, b) } else { (b, a) };
+    let (allowing, forbidding) = if a.is_allowed { (a, b) } else { (b, a) };
     match (allowing.basis, forbidding.basis) {
-        (_, Basis::Safe { .. }) => false,
-        (Basis::Agreed(v), Basis::Agreed(w)) => v != w,
-        (Basis::Safe { .. }, Basis::Agreed(_)) => true,
+        (_, DecisionBasis::Restricted { .. }) => false,
+        (DecisionBasis::InForce(v), DecisionBasis::InForce(w)) => v != w,
+        (DecisionBasis::Restricted { .. }, DecisionBasis::InForce(_)) => true,
     }
 }
--- a/crates/consensus/src/held.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -2,22 +2,22 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::{Basis, Document, Micros, Rules, Version};
+use crate::{DecisionBasis, Micros, Rules, Version, VersionedDocument};
 
 /// What a decision is to act on.
 #[derive(Debug)]
-pub enum Acting<'a, R> {
+pub enum EffectiveRules<'a, R> {
     /// The version in force.
-    Agreed(&'a R),
+    InForce(&'a R),
     /// What all versions that may be in force allow.
-    Safe(&'a R),
+    Restricted(&'a R),
 }
 
-impl<R> Acting<'_, R> {
+impl<R> EffectiveRules<'_, R> {
     /// The rules, whichever they are.
     pub fn rules(&self) -> &R {
         match self {
-            Acting::Agreed(rules) | Acting::Safe(rules) => rules,
+            EffectiveRules::InForce(rules) | EffectiveRules::Restricted(rules) => rules,
         }
     }
 }
@@ -26,7 +26,7 @@
 /// the newest held here is in force, and none earlier than the first. Cheap to clone, for a snapshot that
 /// another thread reads.
 #[derive(Clone, Debug)]
-pub struct Held<R> {
+pub struct LeasedRules<R> {
     /// From the one known to be in force to the newest, and their bytes' rules.
     chain: BTreeMap<Version, Arc<R>>,
     /// What all of them allow, worked out ahead: the decision only looks.
@@ -41,38 +41,38 @@
     looks: bool,
 }
 
-impl<R: Rules> Held<R> {
+impl<R: Rules> LeasedRules<R> {
     /// A member that knows only its own configuration, and has no lease.
-    pub(crate) fn new(own: R) -> Held<R> {
-        let unheard = Arc::new(own.unheard());
+    pub(crate) fn new(own: R) -> LeasedRules<R> {
+        let unheard = Arc::new(own.without_lease());
         let own = Arc::new(own);
         let chain = BTreeMap::from([(Version::default(), own.clone())]);
-        Held { chain, joint: own, unheard, until: 0, doubted: false, looks: true }
+        LeasedRules { chain, joint: own, unheard, until: 0, doubted: false, looks: true }
     }
 
     /// What a decision at this instant is to act on. It looks at the lease itself: a process that was stopped
     /// and wakes asks here before any timer of its own has run.
-    pub fn rules(&self, now: Micros) -> Acting<'_, R> {
-        if self.looks && !self.leased(now) {
-            Acting::Safe(&self.unheard)
+    pub fn effective_rules(&self, now: Micros) -> EffectiveRules<'_, R> {
+        if self.looks && !self.has_lease(now) {
+            EffectiveRules::Restricted(&self.unheard)
         } else if self.chain.len() > 1 {
-            Acting::Safe(&self.joint)
+            EffectiveRules::Restricted(&self.joint)
         } else {
-            Acting::Agreed(&self.joint)
+            EffectiveRules::InForce(&self.joint)
         }
     }
 
     /// By what that is, for records and checkers.
-    pub fn basis(&self, now: Micros) -> Basis {
-        let heard = self.leased(now) || !self.looks;
+    pub fn basis(&self, now: Micros) -> DecisionBasis {
+        let heard = self.has_lease(now) || !self.looks;
         if heard && self.chain.len() == 1 {
-            return Basis::Agreed(self.in_force());
+            return DecisionBasis::InForce(self.in_force());
         }
-        Basis::Safe { from: self.in_force(), to: self.newest(), heard }
+        DecisionBasis::Restricted { in_force: self.in_force(), newest: self.newest(), has_lease: heard }
     }
 
     /// Whether the lease lives.
-    pub fn leased(&self, now: Micros) -> bool {
+    pub fn has_lease(&self, now: Micros) -> bool {
         now < self.until && !self.doubted
     }
 
@@ -88,7 +88,7 @@
 
     /// Takes what the leader says is so: the versions from the one in force to the newest, and the documents
     /// of some. False if one is missing or broken: then nothing was learned, and no lease may rest on it.
-    pub(crate) fn learn(&mut self, versions: &[Version], documents: &[Document]) -> bool {
+    pub(crate) fn learn(&mut self, versions: &[Version], documents: &[VersionedDocument]) -> bool {
         let (Some(&first), Some(&last)) = (versions.first(), versions.last()) else { return false };
         if last < self.in_force() || (first <= self.in_force() && last <= self.newest()) {
             // Old news; it is known already.
@@ -96,7 +96,7 @@
         }
         let mut chain = self.chain.clone();
         for document in documents {
-            if chain.contains_key(&document.version) || !document.whole() {
+            if chain.contains_key(&document.version) || !document.has_valid_digest() {
                 continue;
             }
             let Ok(rules) = postcard::from_bytes::<R>(&document.bytes) else { continue };
@@ -119,10 +119,10 @@
         if rest.is_empty() {
             self.joint = first.clone();
         } else {
-            let joint = rest.iter().fold((**first).clone(), |joint, next| joint.narrower(next));
+            let joint = rest.iter().fold((**first).clone(), |joint, next| joint.intersection(next));
             self.joint = Arc::new(joint);
         }
-        self.unheard = Arc::new(self.joint.unheard());
+        self.unheard = Arc::new(self.joint.without_lease());
     }
 
     /// The lease lives until then at least.
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,25 +1,25 @@
 //! One member: what comes in, what goes out, and the lease that it holds.
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::clock::{Clock, Drift};
-use crate::lead::Lead;
+use crate::clock_comparison::{ClockComparison, ClockDrift};
+use crate::leader::LeaderState;
+use crate::packet::{Packet, VersionUpdate};
+use crate::raft_voter::{RaftVoter, VoterOutput};
+use crate::replicated_state::Command;
 use crate::settings::named;
-use crate::state::Command;
-use crate::voter::{Out, Voter};
-use crate::wire::{Facts, Packet};
 use crate::{
-    Acting, Change, Entry, Held, Micros, Outcome, ProposalId, Rules, Saved, Settings, SettingsError,
-    Snapshot, State, Version, Vote,
+    EffectiveRules, LeasedRules, LogEntry, Micros, ProposalId, ProposalOutcome, ReplicatedState, Rules,
+    Settings, SettingsError, Snapshot, StorageWrite, StoredState, TermVote, Version,
 };
 
 /// Own proposals that may be under way at once.
-const MOST_PROPOSALS: usize = 8;
+const MAX_PENDING_PROPOSALS: usize = 8;
 /// Questions without an answer after which another voter is asked.
-const UNANSWERED: u32 = 2;
+const MAX_UNANSWERED_REQUESTS: u32 = 2;
 
 /// Who a member is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct MemberIdentity {
     /// Its name, of 1 to 64 bytes; a voter if [`Settings::voters`] has it.
     pub name: String,
     /// Grows with every start of its process, such as the start's Unix time in milliseconds.
@@ -28,12 +28,12 @@
 
 /// What a voter has from its life before. It means nothing to others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartState {
     /// Nothing: the first start, or the memory is lost, which it cannot tell apart. It takes no part until it has
     /// caught up with what was committed after its return, or until all voters say that they have nothing.
     Empty,
     /// All that `Persisted` was said for.
-    Saved(Saved),
+    Stored(StoredState),
 }
 
 /// What comes in.
@@ -46,7 +46,7 @@
     /// Rules are to follow those of a version.
     Propose {
         /// The one that they were made from.
-        made_from: Version,
+        base_version: Version,
         /// What they say.
         rules: R,
     },
@@ -59,13 +59,13 @@
 
 /// Why a proposal was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum RejectionReason {
     /// It was made from another version than the newest, or too many wait to take effect.
-    Older,
+    StaleBase,
     /// The document has more bytes than [`Settings::most_rules`], or cannot be written.
     TooLarge,
     /// Eight proposals of this member are under way.
-    Busy,
+    TooManyPending,
 }
 
 /// What is to be done or known.
@@ -74,82 +74,82 @@
     /// Bytes for the member of this name; they may be lost, come twice, late and in any order.
     Send(String, Vec<u8>),
     /// To be stored, in the order of the tokens, and then said with [`Input::Persisted`].
-    Persist(u64, Change),
+    Persist(u64, StorageWrite),
     /// An own proposal changed nothing.
-    Refused {
+    ProposalRejected {
         /// The one that it was made from.
-        made_from: Version,
+        base_version: Version,
         /// The one in force.
         in_force: Version,
         /// Why.
-        why: Why,
+        reason: RejectionReason,
     },
     /// An own proposal is this version; it takes effect later.
-    Accepted {
+    ProposalAccepted {
         /// The one that it was made from.
-        made_from: Version,
+        base_version: Version,
         /// Its own.
         version: Version,
     },
     /// This version was ordered, and waits to take effect: until then what it forbids is forbidden here.
-    Ordered(Version),
+    VersionCommitted(Version),
     /// This version took effect.
-    InForce(Version),
+    VersionInForce(Version),
     /// True: no leader with a majority was heard for a lease; the safe rules hold here and versions stand still,
     /// as far as this member can tell. False: it is over.
     Frozen(bool),
     /// This member's clock and the leader's do not keep the same time within the bound; said by the member, and by
     /// the leader of itself where most members say so of it. Such a member acts on the safe rules.
-    ClockOff(Drift),
+    ClockDriftDetected(ClockDrift),
     /// Its clock has been found within the bound again.
-    ClockBack,
+    ClockDriftCleared,
 }
 
 /// An own proposal under way.
-struct Pending {
+struct PendingProposal {
     made_from: Version,
     bytes: Vec<u8>,
     said: Micros,
 }
 
 /// A voter's place.
-enum Part {
+enum Role {
     /// It is none.
     Follower,
     /// Without memory: it asks the others.
     Mute { nonce: u64, since: Micros, asked: Micros, empty: BTreeMap<u64, u64> },
     /// What it begins from is being stored.
-    Installing { token: u64, saved: Saved },
+    Installing { token: u64, saved: StoredState },
     /// It votes.
-    Voting(Box<Voter>),
+    Voting(Box<RaftVoter>),
 }
 
 /// One member's part in the agreement.
 pub struct Node<R> {
-    own: Own,
+    own: MemberIdentity,
     settings: Settings,
     chance: fastrand::Rng,
     session: u64,
-    held: Held<R>,
+    held: LeasedRules<R>,
     initial: Vec<u8>,
     /// Its number among the voters, from 1; 0 for none.
     id: u64,
-    part: Part,
+    part: Role,
     token: u64,
-    state: State,
+    state: ReplicatedState,
     /// The largest generation of a voter that was heard; the epoch of a founding.
     generation: u64,
-    lead: Option<Lead>,
+    lead: Option<LeaderState>,
     next_tick: Micros,
     /// Which voter is asked for the lease, and how often in vain.
     asks: u64,
     vain: u32,
     next_renew: Micros,
     /// The last grant's leader and term, and how its clock compares.
-    clock: Clock,
+    clock: ClockComparison,
     clock_of: (u64, u64),
     doubted: bool,
-    proposals: BTreeMap<u64, Pending>,
+    proposals: BTreeMap<u64, PendingProposal>,
     proposed: u64,
     members: Vec<String>,
     frozen: bool,
@@ -164,38 +164,38 @@
     /// # Errors
     /// Settings, a name, own rules or a store that do not fit.
     pub fn new(
-        own: Own,
+        own: MemberIdentity,
         settings: Settings,
-        start: Start,
+        start: StartState,
         rules: R,
         seed: u64,
     ) -> Result<Node<R>, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         if !named(&own.name) {
             return Err(SettingsError("name: not of 1 to 64 bytes"));
         }
         let initial = postcard::to_allocvec(&rules).map_err(|_| SettingsError("rules: cannot be written"))?;
-        if initial.len() > settings.most_rules {
+        if initial.len() > settings.max_document_bytes {
             return Err(SettingsError("rules: more than most_rules bytes"));
         }
         let mut chance = fastrand::Rng::with_seed(seed);
         let session = chance.u64(..);
         let id = settings.voters.iter().position(|name| *name == own.name).map_or(0, |at| at as u64 + 1);
-        let mut state = State::default();
+        let mut state = ReplicatedState::default();
         let part = match start {
-            _ if id == 0 => Part::Follower,
-            Start::Empty => Part::Mute { nonce: session, since: 0, asked: 0, empty: BTreeMap::new() },
-            Start::Saved(saved) => {
-                if !saved.sound() {
+            _ if id == 0 => Role::Follower,
+            StartState::Empty => Role::Mute { nonce: session, since: 0, asked: 0, empty: BTreeMap::new() },
+            StartState::Stored(saved) => {
+                if !saved.is_consistent() {
                     return Err(SettingsError("store: entries do not follow each other"));
                 }
                 if let Some(snapshot) = &saved.snapshot {
                     state = postcard::from_bytes(&snapshot.state)
                         .map_err(|_| SettingsError("store: the snapshot cannot be read"))?;
                 }
-                let voter = Voter::new(id, &settings, &saved, chance.u64(..), 0)
+                let voter = RaftVoter::new(id, &settings, &saved, chance.u64(..), 0)
                     .map_err(|_| SettingsError("store: the log cannot be read"))?;
-                Part::Voting(Box::new(voter))
+                Role::Voting(Box::new(voter))
             }
         };
         let asks = chance.u64(1..=settings.voters.len() as u64);
@@ -204,7 +204,7 @@
             own,
             chance,
             session,
-            held: Held::new(rules),
+            held: LeasedRules::new(rules),
             initial,
             id,
             part,
@@ -215,7 +215,7 @@
             asks,
             vain: 0,
             next_renew: 0,
-            clock: Clock::default(),
+            clock: ClockComparison::default(),
             clock_of: (0, 0),
             doubted: false,
             proposals: BTreeMap::new(),
@@ -229,29 +229,29 @@
 
     /// Without the look at the lease in the decision: to show that a checker notices it, and for nothing else.
     #[doc(hidden)]
-    pub fn blinded(mut self) -> Node<R> {
+    pub fn without_lease_check(mut self) -> Node<R> {
         self.held.blind();
         self
     }
 
-    /// What a decision at this instant is to act on: see [`Held::rules`].
-    pub fn rules(&self, now: Micros) -> Acting<'_, R> {
-        self.held.rules(now)
+    /// What a decision at this instant is to act on: see [`LeasedRules::rules`].
+    pub fn effective_rules(&self, now: Micros) -> EffectiveRules<'_, R> {
+        self.held.effective_rules(now)
     }
 
     /// What this member holds, for a snapshot that others read.
-    pub fn held(&self) -> &Held<R> {
+    pub fn leased_rules(&self) -> &LeasedRules<R> {
         &self.held
     }
 
     /// Whether it leads the voters, as far as it knows.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.lead.is_some()
     }
 
     /// Whether it is a voter that takes part: not one without memory that has not caught up.
-    pub fn votes(&self) -> bool {
-        matches!(self.part, Part::Voting(_))
+    pub fn is_voting(&self) -> bool {
+        matches!(self.part, Role::Voting(_))
     }
 
     /// Takes what comes in at an instant that never goes back, and appends what is to be done, in order.
@@ -263,7 +263,7 @@
                     self.packet(now, from, packet, effects);
                 }
             }
-            Input::Propose { made_from, rules } => self.propose(now, made_from, rules, effects),
+            Input::Propose { base_version: made_from, rules } => self.propose(now, made_from, rules, effects),
             Input::Persisted(token) => self.persisted(token, effects),
             Input::Members(names) => self.members = names.to_vec(),
         }
@@ -271,25 +271,25 @@
     }
 
     fn tick(&mut self, now: Micros, effects: &mut Vec<Effect>) {
-        let frozen = !self.held.leased(now) && (self.held.newest() > Version::default() || self.frozen);
+        let frozen = !self.held.has_lease(now) && (self.held.newest() > Version::default() || self.frozen);
         if frozen != self.frozen {
             self.frozen = frozen;
             effects.push(Effect::Frozen(frozen));
         }
         if now >= self.next_tick {
             // One step, however late: after a pause the messages that wait count before the silence does.
-            self.next_tick = now.saturating_add(self.settings.tick);
+            self.next_tick = now.saturating_add(self.settings.tick_interval);
             match &mut self.part {
-                Part::Voting(voter) => voter.tick(),
-                Part::Mute { .. } => self.ask(now, effects),
-                Part::Follower | Part::Installing { .. } => {}
+                Role::Voting(voter) => voter.tick(),
+                Role::Mute { .. } => self.ask(now, effects),
+                Role::Follower | Role::Installing { .. } => {}
             }
         }
         if now >= self.next_renew {
             self.vain += 1;
             self.renew(now, effects);
         }
-        let retry = self.settings.retry();
+        let retry = self.settings.retry_interval();
         let late = self.proposals.iter().filter(|(_, of)| now.saturating_sub(of.said) >= retry);
         for number in late.map(|(number, _)| *number).collect::<Vec<_>>() {
             self.say(now, number, effects);
@@ -300,16 +300,16 @@
     fn renew(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         // Its own knowledge first; else, after some silence, the next voter.
         let known = match &self.part {
-            Part::Voting(voter) => voter.leader(),
+            Role::Voting(voter) => voter.leader(),
             _ => 0,
         };
         if known != 0 {
             self.asks = known;
-        } else if self.vain > UNANSWERED {
+        } else if self.vain > MAX_UNANSWERED_REQUESTS {
             self.asks = self.asks % self.settings.voters.len() as u64 + 1;
             self.vain = 0;
         }
-        self.next_renew = now.saturating_add(self.settings.retry());
+        self.next_renew = now.saturating_add(self.settings.retry_interval());
         let (in_force, newest) = (self.held.in_force(), self.held.newest());
         let drift = self.clock.drift();
         let packet = Packet::Renew { session: self.session, sent: now, in_force, newest, drift };
@@ -334,21 +334,21 @@
 
     fn propose(&mut self, now: Micros, made_from: Version, rules: R, effects: &mut Vec<Effect>) {
         let in_force = self.held.in_force();
-        let refused = |why| Effect::Refused { made_from, in_force, why };
+        let refused = |why| Effect::ProposalRejected { base_version: made_from, in_force, reason: why };
         // What is older than this member knows is refused here; what is not, by the log.
         if made_from < self.held.newest() {
-            return effects.push(refused(Why::Older));
+            return effects.push(refused(RejectionReason::StaleBase));
         }
-        if self.proposals.len() >= MOST_PROPOSALS {
-            return effects.push(refused(Why::Busy));
+        if self.proposals.len() >= MAX_PENDING_PROPOSALS {
+            return effects.push(refused(RejectionReason::TooManyPending));
         }
         match postcard::to_allocvec(&rules) {
-            Ok(bytes) if bytes.len() <= self.settings.most_rules => {
+            Ok(bytes) if bytes.len() <= self.settings.max_document_bytes => {
                 self.proposed += 1;
-                self.proposals.insert(self.proposed, Pending { made_from, bytes, said: now });
+                self.proposals.insert(self.proposed, PendingProposal { made_from, bytes, said: now });
                 self.say(now, self.proposed, effects);
             }
-            _ => effects.push(refused(Why::TooLarge)),
+            _ => effects.push(refused(RejectionReason::TooLarge)),
         }
     }
 
@@ -363,29 +363,31 @@
 
     fn persisted(&mut self, token: u64, effects: &mut Vec<Effect>) {
         match &mut self.part {
-            Part::Voting(voter) => {
-                let mut out = Out::default();
+            Role::Voting(voter) => {
+                let mut out = VoterOutput::default();
                 voter.persisted(token, &mut out);
                 self.send_all(out.send, effects);
             }
-            Part::Installing { token: wanted, .. } if *wanted <= token => {
-                let Part::Installing { saved, .. } = std::mem::replace(&mut self.part, Part::Follower) else {
+            Role::Installing { token: wanted, .. } if *wanted <= token => {
+                let Role::Installing { saved, .. } = std::mem::replace(&mut self.part, Role::Follower) else {
                     return;
                 };
                 let state = saved.snapshot.as_ref().map(|of| postcard::from_bytes(&of.state));
                 let seed = self.chance.u64(..);
-                let voter = Voter::new(self.id, &self.settings, &saved, seed, self.token);
+                let voter = RaftVoter::new(self.id, &self.settings, &saved, seed, self.token);
                 // Both were checked before they were stored.
-                if let (Ok(state), Ok(voter)) = (state.unwrap_or_else(|| Ok(State::default())), voter) {
+                if let (Ok(state), Ok(voter)) =
+                    (state.unwrap_or_else(|| Ok(ReplicatedState::default())), voter)
+                {
                     self.state = state;
-                    self.part = Part::Voting(Box::new(voter));
+                    self.part = Role::Voting(Box::new(voter));
                 }
             }
             _ => {}
         }
     }
 
-    fn send_all(&mut self, messages: Vec<(u64, crate::wire::Raft)>, effects: &mut Vec<Effect>) {
+    fn send_all(&mut self, messages: Vec<(u64, crate::packet::Raft)>, effects: &mut Vec<Effect>) {
         for (to, message) in messages {
             self.tell_voter(to, Packet::Raft(message), effects);
         }
@@ -393,16 +395,19 @@
 
     /// A voter without memory asks the others, and founds with them once all say that they have none.
     fn ask(&mut self, now: Micros, effects: &mut Vec<Effect>) {
-        let (voters, wait, retry) =
-            (self.settings.voters.len() as u64, self.settings.wait(), self.settings.retry());
-        let Part::Mute { nonce, since, asked, empty } = &mut self.part else { return };
+        let (voters, wait, retry) = (
+            self.settings.voters.len() as u64,
+            self.settings.lease_expiry_wait(),
+            self.settings.retry_interval(),
+        );
+        let Role::Mute { nonce, since, asked, empty } = &mut self.part else { return };
         if *since == 0 {
             *since = now.max(1);
         }
         // Leases that leaders granted before all was lost have run out by then.
         if empty.len() as u64 == voters - 1 && now.saturating_sub(*since) >= wait {
             self.generation = empty.values().copied().fold(self.generation, u64::max);
-            self.install(Saved::default(), effects);
+            self.install(StoredState::default(), effects);
             return;
         }
         if *asked != 0 && now.saturating_sub(*asked) < retry {
@@ -417,10 +422,11 @@
     }
 
     /// Stores what this voter begins from, before it takes part.
-    fn install(&mut self, saved: Saved, effects: &mut Vec<Effect>) {
+    fn install(&mut self, saved: StoredState, effects: &mut Vec<Effect>) {
         self.token += 1;
-        let change = Change { snapshot: saved.snapshot.clone(), vote: Some(saved.vote), entries: Vec::new() };
-        self.part = Part::Installing { token: self.token, saved };
+        let change =
+            StorageWrite { snapshot: saved.snapshot.clone(), vote: Some(saved.vote), entries: Vec::new() };
+        self.part = Role::Installing { token: self.token, saved };
         effects.push(Effect::Persist(self.token, change));
     }
 
@@ -428,13 +434,13 @@
         let voter = self.settings.voters.iter().position(|name| name == from).map_or(0, |at| at as u64 + 1);
         match packet {
             Packet::Raft(message) if voter != 0 && voter != self.id => {
-                if let Part::Voting(part) = &mut self.part {
+                if let Role::Voting(part) = &mut self.part {
                     part.step(voter, message);
                 }
             }
             Packet::Renew { session, sent, in_force, newest, drift } => {
                 let leader = match &self.part {
-                    Part::Voting(part) => part.leader(),
+                    Role::Voting(part) => part.leader(),
                     _ => 0,
                 };
                 if let Some(lead) = &mut self.lead {
@@ -465,7 +471,9 @@
                 let Some(lead) = &mut self.lead else { return };
                 if let Some(outcome) = self.state.outcome(&id) {
                     self.tell(from, Packet::Answered { id, outcome }, effects);
-                } else if bytes.len() <= self.settings.most_rules && lead.puts(now, &id, &self.settings) {
+                } else if bytes.len() <= self.settings.max_document_bytes
+                    && lead.puts(now, &id, &self.settings)
+                {
                     self.put(Command::Propose { id, made_from, bytes });
                 }
             }
@@ -473,37 +481,48 @@
                 if id.member != self.own.name || id.session != self.session {
                     return;
                 }
-                let Some(Pending { made_from, .. }) = self.proposals.remove(&id.number) else { return };
+                let Some(PendingProposal { made_from, .. }) = self.proposals.remove(&id.number) else {
+                    return;
+                };
                 effects.push(match outcome {
-                    Outcome::Ordered(version) => Effect::Accepted { made_from, version },
-                    Outcome::Refused(in_force) => Effect::Refused { made_from, in_force, why: Why::Older },
+                    ProposalOutcome::Accepted(version) => {
+                        Effect::ProposalAccepted { base_version: made_from, version }
+                    }
+                    ProposalOutcome::Rejected(in_force) => Effect::ProposalRejected {
+                        base_version: made_from,
+                        in_force,
+                        reason: RejectionReason::StaleBase,
+                    },
                 });
             }
             Packet::Ask { nonce, generation } if voter != 0 => {
                 self.generation = self.generation.max(generation);
                 match &self.part {
-                    Part::Mute { .. } => {
+                    Role::Mute { .. } => {
                         let generation = self.own.generation;
                         self.tell(from, Packet::Empty { nonce, generation }, effects);
                     }
-                    Part::Voting(_) if self.lead.is_some() => self.put(Command::Returned { voter, nonce }),
+                    Role::Voting(_) if self.lead.is_some() => self.put(Command::Returned { voter, nonce }),
                     _ => {}
                 }
             }
             Packet::Empty { nonce, generation } if voter != 0 => {
-                if let Part::Mute { nonce: own, empty, .. } = &mut self.part
+                if let Role::Mute { nonce: own, empty, .. } = &mut self.part
                     && nonce == *own
                 {
                     empty.insert(voter, generation);
                 }
             }
             Packet::Caught { nonce, leader, snapshot } if voter != 0 && leader == voter => {
-                let Part::Mute { nonce: own, .. } = &self.part else { return };
-                let readable = postcard::from_bytes::<State>(&snapshot.state).is_ok();
+                let Role::Mute { nonce: own, .. } = &self.part else { return };
+                let readable = postcard::from_bytes::<ReplicatedState>(&snapshot.state).is_ok();
                 if nonce == *own && readable && snapshot.index > 0 && snapshot.term > 0 {
                     // In this term it may have voted before; the leader is there, and a vote for it is no other.
-                    let vote = Vote { term: snapshot.term, vote: leader };
-                    self.install(Saved { snapshot: Some(snapshot), entries: Vec::new(), vote }, effects);
+                    let vote = TermVote { term: snapshot.term, voted_for: leader };
+                    self.install(
+                        StoredState { snapshot: Some(snapshot), entries: Vec::new(), vote },
+                        effects,
+                    );
                 }
             }
             _ => {}
@@ -521,53 +540,53 @@
         from: (u64, u64),
         sent: Micros,
         there: Micros,
-        facts: Facts,
+        facts: VersionUpdate,
         effects: &mut Vec<Effect>,
     ) {
         // From a time before this process, or too late to count.
-        if sent > now || now - sent > self.settings.way || from.1 < self.clock_of.1 {
+        if sent > now || now - sent > self.settings.max_round_trip || from.1 < self.clock_of.1 {
             return;
         }
         if self.clock_of != from {
-            (self.clock, self.clock_of) = (Clock::default(), from);
+            (self.clock, self.clock_of) = (ClockComparison::default(), from);
         }
-        if let Some(drift) = self.clock.sample(&self.settings, sent, now, there) {
+        if let Some(drift) = self.clock.record_sample(&self.settings, sent, now, there) {
             if !self.doubted {
                 self.doubted = true;
-                effects.push(Effect::ClockOff(drift));
+                effects.push(Effect::ClockDriftDetected(drift));
             }
-        } else if self.doubted && self.clock.cleared(now) {
+        } else if self.doubted && self.clock.is_cleared(now) {
             self.doubted = false;
-            effects.push(Effect::ClockBack);
+            effects.push(Effect::ClockDriftCleared);
         }
         self.held.doubt(self.doubted);
         if !self.learn(facts, effects) {
             return;
         }
         (self.asks, self.vain) = (from.0, 0);
-        self.next_renew = sent.saturating_add(self.settings.renew()).max(now);
-        self.held.extend(sent.saturating_add(self.settings.lease));
-        if self.frozen && self.held.leased(now) {
+        self.next_renew = sent.saturating_add(self.settings.renewal_interval()).max(now);
+        self.held.extend(sent.saturating_add(self.settings.lease_duration));
+        if self.frozen && self.held.has_lease(now) {
             self.frozen = false;
             effects.push(Effect::Frozen(false));
         }
     }
 
-    fn learn(&mut self, facts: Facts, effects: &mut Vec<Effect>) -> bool {
+    fn learn(&mut self, facts: VersionUpdate, effects: &mut Vec<Effect>) -> bool {
         let (in_force, newest) = (self.held.in_force(), self.held.newest());
         let learned = self.held.learn(&facts.versions, &facts.documents);
         if self.held.newest() > newest {
-            effects.push(Effect::Ordered(self.held.newest()));
+            effects.push(Effect::VersionCommitted(self.held.newest()));
         }
         if self.held.in_force() > in_force {
-            effects.push(Effect::InForce(self.held.in_force()));
+            effects.push(Effect::VersionInForce(self.held.in_force()));
         }
         learned
     }
 
     /// Puts a command into the log, if this member leads.
     fn put(&mut self, command: Command) {
-        if let (Part::Voting(voter), Ok(bytes)) = (&mut self.part, postcard::to_allocvec(&command)) {
+        if let (Role::Voting(voter), Ok(bytes)) = (&mut self.part, postcard::to_allocvec(&command)) {
             voter.propose(bytes);
         }
     }
@@ -579,16 +598,16 @@
                 let own = self.own.name.clone();
                 self.packet(now, &own, packet, effects);
             }
-            let Part::Voting(voter) = &mut self.part else {
+            let Role::Voting(voter) = &mut self.part else {
                 self.lead = None;
                 return;
             };
-            let mut out = Out::default();
+            let mut out = VoterOutput::default();
             let any = voter.drain(&mut out);
             let leads = voter.leads();
             if self.lead.as_ref().map(|lead| lead.term) != leads {
                 // Whatever an earlier leader granted, it was asked for before now.
-                self.lead = leads.map(|term| Lead::new(term, now));
+                self.lead = leads.map(|term| LeaderState::new(term, now));
             }
             self.take(out, effects);
             self.duties(now, effects);
@@ -599,7 +618,7 @@
     }
 
     /// Does what the consensus said.
-    fn take(&mut self, out: Out, effects: &mut Vec<Effect>) {
+    fn take(&mut self, out: VoterOutput, effects: &mut Vec<Effect>) {
         for (token, change) in out.persist {
             self.token = token;
             effects.push(Effect::Persist(token, change));
@@ -615,8 +634,8 @@
         if let Some(lead) = &mut self.lead {
             out.confirmed.into_iter().for_each(|(question, index)| lead.confirmed(question, index));
         }
-        let Part::Voting(voter) = &mut self.part else { return };
-        if voter.unfolded() >= self.settings.most_log
+        let Role::Voting(voter) = &mut self.part else { return };
+        if voter.unfolded() >= self.settings.max_log_entries
             && let Ok(state) = postcard::to_allocvec(&self.state)
             && let Some((token, change)) = voter.fold(state)
         {
@@ -625,7 +644,7 @@
         }
     }
 
-    fn apply(&mut self, entry: &Entry, effects: &mut Vec<Effect>) {
+    fn apply(&mut self, entry: &LogEntry, effects: &mut Vec<Effect>) {
         // Empty where a leader begins.
         let Ok(command) = postcard::from_bytes::<Command>(&entry.data) else { return };
         let asked = match &command {
@@ -636,7 +655,7 @@
             Command::Returned { voter, nonce } => Some((*voter, *nonce)),
             _ => None,
         };
-        self.state.apply(command, self.settings.most_waiting, self.settings.most_rules);
+        self.state.apply(command, self.settings.max_pending_versions, self.settings.max_document_bytes);
         let Some(lead) = &self.lead else { return };
         let leads = lead.term;
         if let Some(id) = asked
@@ -649,14 +668,14 @@
         if let Some((voter, nonce)) = returned.filter(|_| leads == entry.term)
             && let Ok(state) = postcard::to_allocvec(&self.state)
         {
-            let snapshot = Snapshot { index: entry.index, term: entry.term, state, whole: true };
+            let snapshot = Snapshot { index: entry.index, term: entry.term, state, replaces_log: true };
             self.tell_voter(voter, Packet::Caught { nonce, leader: self.id, snapshot }, effects);
         }
     }
 
     /// What a leader does besides: asks for confirmation, grants, tells, and puts into force.
     fn duties(&mut self, now: Micros, effects: &mut Vec<Effect>) {
-        let (Some(lead), Part::Voting(voter)) = (&mut self.lead, &mut self.part) else { return };
+        let (Some(lead), Role::Voting(voter)) = (&mut self.lead, &mut self.part) else { return };
         // Guards against a leader that has its log from before but has not applied it: it would found anew.
         if !voter.caught_up() {
             return;
@@ -698,7 +717,7 @@
                 }
             }
             if let Some(drift) = lead.distrusted(now, &self.settings) {
-                effects.push(Effect::ClockOff(drift));
+                effects.push(Effect::ClockDriftDetected(drift));
                 voter.hand_over(self.id % self.settings.voters.len() as u64 + 1);
             }
         }
@@ -709,8 +728,8 @@
 }
 
 /// What is so by the log, for a member that knows up to a version.
-fn facts(state: &State, known: Version) -> Facts {
+fn facts(state: &ReplicatedState, known: Version) -> VersionUpdate {
     let versions = state.chain.iter().map(|document| document.version).collect();
     let documents = state.chain.iter().filter(|document| document.version > known).cloned().collect();
-    Facts { versions, documents }
+    VersionUpdate { versions, documents }
 }
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/packet.rs
@@ -2,20 +2,22 @@
 use raft::eraftpb::{self, MessageType};
 use serde::{Deserialize, Serialize};
 
-use crate::log::{as_raft, entry_as_raft, entry_from_raft, from_raft};
-use crate::{Document, Drift, Entry, Micros, Outcome, ProposalId, Snapshot, Version};
+use crate::storage::{as_raft, entry_as_raft, entry_from_raft, from_raft};
+use crate::{
+    ClockDrift, LogEntry, Micros, ProposalId, ProposalOutcome, Snapshot, Version, VersionedDocument,
+};
 
-const FORM: u8 = 1;
+const PACKET_FORMAT_VERSION: u8 = 1;
 /// Most bytes of a message: a snapshot of nine documents of 1 MiB fits.
-pub const MOST_MESSAGE: usize = 16 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
 /// What is so by the log, whoever says it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Facts {
+pub(crate) struct VersionUpdate {
     /// From the one in force to the newest.
     pub versions: Vec<Version>,
     /// Those that the other may lack.
-    pub documents: Vec<Document>,
+    pub documents: Vec<VersionedDocument>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,7 +30,7 @@
         sent: Micros,
         in_force: Version,
         newest: Version,
-        drift: Option<Drift>,
+        drift: Option<ClockDrift>,
     },
     /// The leader grants it, confirmed by a majority after the question came.
     Grant {
@@ -36,11 +38,11 @@
         sent: Micros,
         term: u64,
         there: Micros,
-        facts: Facts,
+        facts: VersionUpdate,
     },
     /// What changed; no lease.
     News {
-        facts: Facts,
+        facts: VersionUpdate,
     },
     /// Who leads, as far as the asked knows; by number.
     Leader {
@@ -54,7 +56,7 @@
     },
     Answered {
         id: ProposalId,
-        outcome: Outcome,
+        outcome: ProposalOutcome,
     },
     /// A voter without memory asks the others.
     Ask {
@@ -77,19 +79,19 @@
 impl Packet {
     pub fn write(&self) -> Vec<u8> {
         // Writing to memory fails for no value of these types.
-        postcard::to_extend(self, vec![FORM]).unwrap_or_default()
+        postcard::to_extend(self, vec![PACKET_FORMAT_VERSION]).unwrap_or_default()
     }
 
     pub fn read(bytes: &[u8]) -> Option<Packet> {
         let (&form, body) = bytes.split_first()?;
-        let fits = form == FORM && bytes.len() <= MOST_MESSAGE;
+        let fits = form == PACKET_FORMAT_VERSION && bytes.len() <= MAX_MESSAGE_BYTES;
         fits.then(|| postcard::from_bytes(body).ok()).flatten()
     }
 }
 
 /// The kinds that voters send; the library's others never leave a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Kind {
+pub(crate) enum RaftMessageKind {
     Append,
     AppendResponse,
     RequestVote,
@@ -102,27 +104,27 @@
     RequestPreVoteResponse,
 }
 
-const KINDS: [(Kind, MessageType); 10] = [
-    (Kind::Append, MessageType::MsgAppend),
-    (Kind::AppendResponse, MessageType::MsgAppendResponse),
-    (Kind::RequestVote, MessageType::MsgRequestVote),
-    (Kind::RequestVoteResponse, MessageType::MsgRequestVoteResponse),
-    (Kind::Snapshot, MessageType::MsgSnapshot),
-    (Kind::Heartbeat, MessageType::MsgHeartbeat),
-    (Kind::HeartbeatResponse, MessageType::MsgHeartbeatResponse),
-    (Kind::TimeoutNow, MessageType::MsgTimeoutNow),
-    (Kind::RequestPreVote, MessageType::MsgRequestPreVote),
-    (Kind::RequestPreVoteResponse, MessageType::MsgRequestPreVoteResponse),
+const MESSAGE_KINDS: [(RaftMessageKind, MessageType); 10] = [
+    (RaftMessageKind::Append, MessageType::MsgAppend),
+    (RaftMessageKind::AppendResponse, MessageType::MsgAppendResponse),
+    (RaftMessageKind::RequestVote, MessageType::MsgRequestVote),
+    (RaftMessageKind::RequestVoteResponse, MessageType::MsgRequestVoteResponse),
+    (RaftMessageKind::Snapshot, MessageType::MsgSnapshot),
+    (RaftMessageKind::Heartbeat, MessageType::MsgHeartbeat),
+    (RaftMessageKind::HeartbeatResponse, MessageType::MsgHeartbeatResponse),
+    (RaftMessageKind::TimeoutNow, MessageType::MsgTimeoutNow),
+    (RaftMessageKind::RequestPreVote, MessageType::MsgRequestPreVote),
+    (RaftMessageKind::RequestPreVoteResponse, MessageType::MsgRequestPreVoteResponse),
 ];
 
 /// The consensus library's message, in this crate's form: nothing that comes in is read as protobuf.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Raft {
-    pub kind: Kind,
+    pub kind: RaftMessageKind,
     pub term: u64,
     pub log_term: u64,
     pub index: u64,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<LogEntry>,
     pub commit: u64,
     pub commit_term: u64,
     pub snapshot: Option<Snapshot>,
@@ -136,7 +138,7 @@
 impl Raft {
     /// None for a message that voters do not send.
     pub fn from_library(message: &eraftpb::Message) -> Option<Raft> {
-        let kind = KINDS.iter().find(|(_, of)| *of == message.get_msg_type())?.0;
+        let kind = MESSAGE_KINDS.iter().find(|(_, of)| *of == message.get_msg_type())?.0;
         Some(Raft {
             kind,
             term: message.term,
@@ -145,7 +147,7 @@
             entries: message.entries.iter().map(entry_from_raft).collect(),
             commit: message.commit,
             commit_term: message.commit_term,
-            snapshot: (kind == Kind::Snapshot).then(|| from_raft(message.get_snapshot())),
+            snapshot: (kind == RaftMessageKind::Snapshot).then(|| from_raft(message.get_snapshot())),
             request_snapshot: message.request_snapshot,
             reject: message.reject,
             reject_hint: message.reject_hint,
@@ -156,7 +158,7 @@
 
     pub fn into_library(self, from: u64, to: u64, voters: u64) -> eraftpb::Message {
         let mut message = eraftpb::Message::default();
-        let kind = KINDS.iter().find(|(kind, _)| *kind == self.kind);
+        let kind = MESSAGE_KINDS.iter().find(|(kind, _)| *kind == self.kind);
         message.set_msg_type(kind.map_or(MessageType::MsgHeartbeatResponse, |(_, of)| *of));
         (message.from, message.to, message.term) = (from, to, self.term);
         (message.log_term, message.index) = (self.log_term, self.index);
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -5,25 +5,25 @@
 use raft::{Config, RawNode, StateRole, eraftpb};
 use slog::{Discard, Logger, o};
 
-use crate::log::{Log, as_raft, entry_from_raft, from_raft};
+use crate::packet::{Raft, RaftMessageKind};
 use crate::settings::{ELECTION_TICKS, HEARTBEAT_TICKS, Settings};
-use crate::wire::{Kind, Raft};
-use crate::{Change, Entry, Saved, Snapshot, Vote};
+use crate::storage::{RaftStorage, as_raft, entry_from_raft, from_raft};
+use crate::{LogEntry, Snapshot, StorageWrite, StoredState, TermVote};
 
 /// What a voter gives out, in order of kinds.
 #[derive(Default)]
-pub(crate) struct Out {
+pub(crate) struct VoterOutput {
     /// To which voter, what.
     pub send: Vec<(u64, Raft)>,
-    pub persist: Vec<(u64, Change)>,
+    pub persist: Vec<(u64, StorageWrite)>,
     /// A state to begin from, before the entries.
     pub installed: Option<Snapshot>,
-    pub committed: Vec<Entry>,
+    pub committed: Vec<LogEntry>,
     /// Questions that a majority has confirmed, and up to where the log must be applied for them.
     pub confirmed: Vec<(u64, u64)>,
 }
 
-impl Out {
+impl VoterOutput {
     fn is_empty(&self) -> bool {
         let nothing = self.send.is_empty() && self.persist.is_empty() && self.committed.is_empty();
         nothing && self.installed.is_none() && self.confirmed.is_empty()
@@ -31,29 +31,35 @@
 }
 
 /// Messages that may go only when what was to be stored by then is.
-struct Waiting {
+struct DelayedMessages {
     token: u64,
     ready: u64,
     messages: Vec<eraftpb::Message>,
 }
 
-pub(crate) struct Voter {
-    raw: RawNode<Log>,
+pub(crate) struct RaftVoter {
+    raw: RawNode<RaftStorage>,
     voters: u64,
     chance: fastrand::Rng,
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<DelayedMessages>,
     /// Of the last thing that was to be stored.
     token: u64,
-    vote: Vote,
+    vote: TermVote,
     applied: u64,
     first: u64,
     /// Ticks for which the next one that would begin an election is held back.
     hold: Option<usize>,
 }
 
-impl Voter {
+impl RaftVoter {
     /// The voter of this number, from 1, with what it stored; `token` is the last that was used.
-    pub fn new(id: u64, settings: &Settings, saved: &Saved, seed: u64, token: u64) -> raft::Result<Voter> {
+    pub fn new(
+        id: u64,
+        settings: &Settings,
+        saved: &StoredState,
+        seed: u64,
+        token: u64,
+    ) -> raft::Result<RaftVoter> {
         let voters = settings.voters.len() as u64;
         let applied = saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let config = Config {
@@ -71,8 +77,8 @@
             max_uncommitted_size: 16 << 20,
             ..Config::default()
         };
-        let raw = RawNode::new(&config, Log::new(voters, saved)?, &Logger::root(Discard, o!()))?;
-        Ok(Voter {
+        let raw = RawNode::new(&config, RaftStorage::new(voters, saved)?, &Logger::root(Discard, o!()))?;
+        Ok(RaftVoter {
             raw,
             voters,
             chance: fastrand::Rng::with_seed(seed),
@@ -153,11 +159,13 @@
             return false;
         }
         match message.kind {
-            Kind::Heartbeat => message.commit <= last || message.term < self.raw.raft.term,
-            Kind::AppendResponse | Kind::HeartbeatResponse => {
+            RaftMessageKind::Heartbeat => message.commit <= last || message.term < self.raw.raft.term,
+            RaftMessageKind::AppendResponse | RaftMessageKind::HeartbeatResponse => {
                 message.reject || message.index <= last || self.leads().is_none()
             }
-            Kind::Snapshot => message.snapshot.as_ref().is_some_and(|of| of.index > 0 && of.term > 0),
+            RaftMessageKind::Snapshot => {
+                message.snapshot.as_ref().is_some_and(|of| of.index > 0 && of.term > 0)
+            }
             _ => true,
         }
     }
@@ -183,9 +191,9 @@
     }
 
     /// All that was to be stored up to this token is.
-    pub fn persisted(&mut self, token: u64, out: &mut Out) {
+    pub fn persisted(&mut self, token: u64, out: &mut VoterOutput) {
         while self.waiting.front().is_some_and(|front| front.token <= token) {
-            if let Some(Waiting { ready, messages, .. }) = self.waiting.pop_front() {
+            if let Some(DelayedMessages { ready, messages, .. }) = self.waiting.pop_front() {
                 self.raw.on_persist_ready(ready);
                 self.send(messages, out);
             }
@@ -193,10 +201,10 @@
     }
 
     /// Folds the log up to what is applied into a snapshot with this state.
-    pub fn fold(&mut self, state: Vec<u8>) -> Option<(u64, Change)> {
+    pub fn fold(&mut self, state: Vec<u8>) -> Option<(u64, StorageWrite)> {
         let index = self.applied;
         let term = self.raw.raft.raft_log.term(index).ok()?;
-        let snapshot = Snapshot { index, term, state, whole: false };
+        let snapshot = Snapshot { index, term, state, replaces_log: false };
         // Guards against a fold of entries that are not stored yet.
         if self.raw.raft.raft_log.persisted < index {
             return None;
@@ -204,10 +212,10 @@
         self.raw.mut_store().fold(as_raft(&snapshot, self.voters)).ok()?;
         self.first = index;
         self.token += 1;
-        Some((self.token, Change { snapshot: Some(snapshot), ..Change::default() }))
+        Some((self.token, StorageWrite { snapshot: Some(snapshot), ..StorageWrite::default() }))
     }
 
-    fn send(&self, messages: Vec<eraftpb::Message>, out: &mut Out) {
+    fn send(&self, messages: Vec<eraftpb::Message>, out: &mut VoterOutput) {
         for message in messages {
             if let Some(wire) = Raft::from_library(&message) {
                 out.send.push((message.to, wire));
@@ -216,11 +224,11 @@
     }
 
     /// Gathers what the library wants; whether there was anything.
-    pub fn drain(&mut self, out: &mut Out) -> bool {
+    pub fn drain(&mut self, out: &mut VoterOutput) -> bool {
         while self.raw.has_ready() {
             let mut ready = self.raw.ready();
             self.send(ready.take_messages(), out);
-            let mut change = Change::default();
+            let mut change = StorageWrite::default();
             if ready.snapshot().get_metadata().index > 0 {
                 let snapshot = ready.snapshot().clone();
                 let taken = from_raft(&snapshot);
@@ -239,7 +247,7 @@
             change.entries = entries.iter().map(entry_from_raft).collect();
             if let Some(hard) = ready.hs().cloned() {
                 let HardState { term, vote, .. } = hard;
-                let now = Vote { term, vote };
+                let now = TermVote { term, voted_for: vote };
                 // That more is committed need not be stored: it is found out again.
                 change.vote = (now != self.vote).then_some(now);
                 self.vote = now;
@@ -253,7 +261,7 @@
             let messages = ready.take_persisted_messages();
             let number = ready.number();
             self.raw.advance_append_async(ready);
-            if change != Change::default() {
+            if change != StorageWrite::default() {
                 self.token += 1;
                 out.persist.push((self.token, change));
             } else if self.waiting.is_empty() {
@@ -261,7 +269,7 @@
                 self.send(messages, out);
                 continue;
             }
-            self.waiting.push_back(Waiting { token: self.token, ready: number, messages });
+            self.waiting.push_back(DelayedMessages { token: self.token, ready: number, messages });
         }
         // A snapshot is applied for the library only when it is stored.
         if self.applied <= self.raw.raft.raft_log.persisted {
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -3,11 +3,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Document, Version};
+use crate::{Version, VersionedDocument};
 
 /// Proposals whose outcome is remembered. One that is forgotten was made from a version that is no longer the
 /// newest, so that it cannot act again; only its answer is then "refused".
-const REMEMBERED: usize = 256;
+const MAX_REMEMBERED_OUTCOMES: usize = 256;
 
 /// Which proposal: one that comes twice acts once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -22,11 +22,11 @@
 
 /// What became of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum ProposalOutcome {
     /// It is this version.
-    Ordered(Version),
+    Accepted(Version),
     /// It was made from another version than the newest, or too many wait; this one is in force.
-    Refused(Version),
+    Rejected(Version),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -43,13 +43,13 @@
 
 /// The versions that may be in force, and the proposals that were answered.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct ReplicatedState {
     /// The first is in force, the others wait in order. Empty before the founding.
-    pub(crate) chain: VecDeque<Document>,
-    pub(crate) answered: VecDeque<(ProposalId, Outcome)>,
+    pub(crate) chain: VecDeque<VersionedDocument>,
+    pub(crate) answered: VecDeque<(ProposalId, ProposalOutcome)>,
 }
 
-impl State {
+impl ReplicatedState {
     /// The version in force.
     pub fn in_force(&self) -> Version {
         self.chain.front().map_or(Version::default(), |document| document.version)
@@ -60,7 +60,7 @@
         self.chain.back().map_or(Version::default(), |document| document.version)
     }
 
-    pub(crate) fn outcome(&self, id: &ProposalId) -> Option<Outcome> {
+    pub(crate) fn outcome(&self, id: &ProposalId) -> Option<ProposalOutcome> {
         self.answered.iter().find(|(of, _)| of == id).map(|(_, outcome)| *outcome)
     }
 
@@ -71,7 +71,7 @@
                 let epoch_later = epoch > self.newest().epoch;
                 let bytes = self.chain.back().map_or(bytes, |newest| newest.bytes.clone());
                 if epoch_later && self.chain.len() <= most_waiting {
-                    self.chain.push_back(Document::new(Version { epoch, number: 1 }, bytes));
+                    self.chain.push_back(VersionedDocument::new(Version { epoch, number: 1 }, bytes));
                 }
             }
             Command::Propose { id, made_from, bytes } => {
@@ -81,12 +81,12 @@
                 let room = !self.chain.is_empty() && self.chain.len() <= most_waiting;
                 let outcome = if made_from == self.newest() && room && bytes.len() <= most_rules {
                     let version = made_from.next();
-                    self.chain.push_back(Document::new(version, bytes));
-                    Outcome::Ordered(version)
+                    self.chain.push_back(VersionedDocument::new(version, bytes));
+                    ProposalOutcome::Accepted(version)
                 } else {
-                    Outcome::Refused(self.in_force())
+                    ProposalOutcome::Rejected(self.in_force())
                 };
-                if self.answered.len() == REMEMBERED {
+                if self.answered.len() == MAX_REMEMBERED_OUTCOMES {
                     self.answered.pop_front();
                 }
                 self.answered.push_back((id, outcome));
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/storage.rs
@@ -6,7 +6,7 @@
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LogEntry {
     /// Of the leader that made it.
     pub term: u64,
     /// Its place, from 1.
@@ -17,11 +17,11 @@
 
 /// What a voter has promised.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Vote {
+pub struct TermVote {
     /// The newest term that it knows.
     pub term: u64,
     /// For which voter it voted in it, by number from 1; 0 for none.
-    pub vote: u64,
+    pub voted_for: u64,
 }
 
 /// All that the log did up to a place.
@@ -34,36 +34,36 @@
     /// The state, in bytes.
     pub state: Vec<u8>,
     /// It came from another voter, and stands for the whole log; else entries after it stay.
-    pub whole: bool,
+    pub replaces_log: bool,
 }
 
 /// What is to be stored before `Persisted` is said, in this order: snapshot, entries, vote; all or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
+pub struct StorageWrite {
     /// Takes the place of all entries up to it, or of all that there are.
     pub snapshot: Option<Snapshot>,
     /// Take the place of all entries from the first one's index on.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<LogEntry>,
     /// Takes the place of the one before.
-    pub vote: Option<Vote>,
+    pub vote: Option<TermVote>,
 }
 
 /// All that a voter has stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct StoredState {
     /// The last one.
     pub snapshot: Option<Snapshot>,
     /// Those after it, without a gap.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<LogEntry>,
     /// The last one.
-    pub vote: Vote,
+    pub vote: TermVote,
 }
 
-impl Saved {
+impl StoredState {
     /// What is stored after a change: what every store must do, and one in memory can use.
-    pub fn take(&mut self, change: Change) {
+    pub fn apply(&mut self, change: StorageWrite) {
         if let Some(snapshot) = change.snapshot {
-            self.entries.retain(|entry| !snapshot.whole && entry.index > snapshot.index);
+            self.entries.retain(|entry| !snapshot.replaces_log && entry.index > snapshot.index);
             self.snapshot = Some(snapshot);
         }
         if let Some(first) = change.entries.first().map(|entry| entry.index) {
@@ -76,7 +76,7 @@
     }
 
     /// Whether the entries follow the snapshot and each other, as a torn store would not have them.
-    pub fn sound(&self) -> bool {
+    pub fn is_consistent(&self) -> bool {
         let mut next = self.snapshot.as_ref().map_or(1, |snapshot| snapshot.index.saturating_add(1));
         self.entries.iter().all(|entry| {
             let follows = entry.index == next && entry.term <= self.vote.term && entry.term > 0;
@@ -87,16 +87,16 @@
 }
 
 /// The log as the consensus library reads it. What was stored last is what `Persist` said; this is its copy.
-pub(crate) struct Log {
+pub(crate) struct RaftStorage {
     memory: MemStorage,
     snapshot: Option<eraftpb::Snapshot>,
 }
 
-impl Log {
-    pub fn new(voters: u64, saved: &Saved) -> raft::Result<Log> {
+impl RaftStorage {
+    pub fn new(voters: u64, saved: &StoredState) -> raft::Result<RaftStorage> {
         let conf: ConfState = ((1..=voters).collect::<Vec<u64>>(), Vec::new()).into();
         let memory = MemStorage::new_with_conf_state(conf.clone());
-        let mut log = Log { memory, snapshot: None };
+        let mut log = RaftStorage { memory, snapshot: None };
         if let Some(snapshot) = &saved.snapshot {
             let snapshot = as_raft(snapshot, voters);
             log.install(snapshot)?;
@@ -104,7 +104,7 @@
         let entries: Vec<eraftpb::Entry> = saved.entries.iter().map(entry_as_raft).collect();
         log.memory.wl().append(&entries)?;
         let commit = saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        let Vote { term, vote } = saved.vote;
+        let TermVote { term, voted_for: vote } = saved.vote;
         log.set_vote(HardState { term, vote, commit, ..HardState::default() });
         Ok(log)
     }
@@ -131,7 +131,7 @@
     }
 }
 
-impl Storage for Log {
+impl Storage for RaftStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
         self.memory.initial_state()
     }
@@ -164,13 +164,13 @@
     }
 }
 
-pub(crate) fn entry_as_raft(entry: &Entry) -> eraftpb::Entry {
-    let Entry { term, index, data } = entry;
+pub(crate) fn entry_as_raft(entry: &LogEntry) -> eraftpb::Entry {
+    let LogEntry { term, index, data } = entry;
     eraftpb::Entry { term: *term, index: *index, data: data.clone().into(), ..eraftpb::Entry::default() }
 }
 
-pub(crate) fn entry_from_raft(entry: &eraftpb::Entry) -> Entry {
-    Entry { term: entry.term, index: entry.index, data: entry.data.to_vec() }
+pub(crate) fn entry_from_raft(entry: &eraftpb::Entry) -> LogEntry {
+    LogEntry { term: entry.term, index: entry.index, data: entry.data.to_vec() }
 }
 
 pub(crate) fn as_raft(snapshot: &Snapshot, voters: u64) -> eraftpb::Snapshot {
@@ -186,5 +186,5 @@
 pub(crate) fn from_raft(snapshot: &eraftpb::Snapshot) -> Snapshot {
     let metadata = snapshot.get_metadata();
     let (index, term) = (metadata.index, metadata.term);
-    Snapshot { index, term, state: snapshot.data.to_vec(), whole: true }
+    Snapshot { index, term, state: snapshot.data.to_vec(), replaces_log: true }
 }
--- a/crates/consensus/src/document.rs
+++ b/crates/consensus/src/versioned_document.rs
@@ -5,12 +5,12 @@
 /// What the rules say, of which this crate knows only how to take the narrower.
 pub trait Rules: Clone + Serialize + DeserializeOwned {
     /// What both documents allow. Commutative, idempotent, and never more than either allows.
-    fn narrower(&self, other: &Self) -> Self;
+    fn intersection(&self, other: &Self) -> Self;
 
     /// What may be acted on while a newer version, which this member has not heard, may be in force: nothing
     /// new reserved, the lowest limits, no repeats. What it allows no later document may forbid, or decisions
     /// by it can contradict those of members that go on. Never more than `self` allows.
-    fn unheard(&self) -> Self;
+    fn without_lease(&self) -> Self;
 }
 
 /// Which document. A later epoch is later whatever the number.
@@ -47,7 +47,7 @@
 
 /// A version of the rules as it is ordered, stored and sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Document {
+pub struct VersionedDocument {
     /// Which.
     pub version: Version,
     /// Of version and bytes.
@@ -56,15 +56,15 @@
     pub bytes: Vec<u8>,
 }
 
-impl Document {
+impl VersionedDocument {
     /// A document of these bytes.
-    pub fn new(version: Version, bytes: Vec<u8>) -> Document {
+    pub fn new(version: Version, bytes: Vec<u8>) -> VersionedDocument {
         let digest = digest(version, &bytes);
-        Document { version, digest, bytes }
+        VersionedDocument { version, digest, bytes }
     }
 
     /// Whether the digest is that of the rest.
-    pub fn whole(&self) -> bool {
+    pub fn has_valid_digest(&self) -> bool {
         self.digest == digest(self.version, &self.bytes)
     }
 }
--- a/crates/consensus/tests/hard.rs
+++ b/crates/consensus/tests/hard.rs
@@ -48,12 +48,12 @@
             net.cut.insert((leader, at));
         });
         net.change(proposer);
-        net.until(SECOND, |net| net.node(leader).is_some_and(|node| node.held().newest() > first));
+        net.until(SECOND, |net| net.node(leader).is_some_and(|node| node.leased_rules().newest() > first));
         net.kill(leader);
         net.cut.clear();
         net.until(10 * SECOND, |net| (0..7).all(|of| of == leader || net.acts_by(of) == Some(after(first))))
             .expect("the ordered version in force");
-        let accepted = net.heard(|of| matches!(of, Effect::Accepted { .. }));
+        let accepted = net.heard(|of| matches!(of, Effect::ProposalAccepted { .. }));
         assert_eq!(accepted.len(), 1, "told of by the next leader, once");
         assert_eq!(net.longest(), 0);
     }
@@ -67,12 +67,12 @@
     let cut = [leader, (leader + 1) % 5, 7];
     net.part(&cut);
     let at = net.now;
-    net.run(net.settings.lease / 2);
+    net.run(net.settings.lease_duration / 2);
     assert!(cut.iter().all(|&of| net.acts_by(of) == Some(first)), "their leases live");
-    net.run(net.settings.lease);
+    net.run(net.settings.lease_duration);
     assert!(cut.iter().all(|&of| net.acts_by(of).is_none()), "their leases have run out");
     let frozen = net.heard(|of| *of == Effect::Frozen(true));
-    let late = |(when, _): &(Micros, usize)| *when - at > net.settings.bound();
+    let late = |(when, _): &(Micros, usize)| *when - at > net.settings.staleness_bound();
     assert!(cut.iter().all(|of| frozen.iter().any(|(_, whom)| whom == of)) && !frozen.iter().any(late));
     let other = (0..5).find(|of| !cut.contains(of)).expect("a voter outside");
     net.change(other);
@@ -98,7 +98,11 @@
         assert!(net.heard(|of| *of == Effect::Frozen(true)).iter().any(|(_, whom)| *whom == of), "m{of}");
         let clock = net.clock(of);
         let node = net.node(of).expect("it runs");
-        assert_eq!(*node.rules(clock).rules(), Doc::new(1, &[0, 1, 2, 3, 4, 5, 6, 7]), "the safe rules");
+        assert_eq!(
+            *node.effective_rules(clock).rules(),
+            Doc::new(1, &[0, 1, 2, 3, 4, 5, 6, 7]),
+            "the safe rules"
+        );
     }
     net.start(0);
     net.until(10 * SECOND, |net| (0..6).all(|of| of == 1 || net.acts_by(of) == Some(after(first))))
@@ -116,7 +120,7 @@
         net.run(12 * SECOND);
         if blind {
             let longest = net.longest();
-            assert!(longest > net.settings.bound(), "the checker sees it: {longest} us");
+            assert!(longest > net.settings.staleness_bound(), "the checker sees it: {longest} us");
         } else {
             assert_eq!(net.longest(), 0);
         }
@@ -136,7 +140,7 @@
     net.run(5 * SECOND);
     let took = net.newest().number - first.number;
     assert!(took >= 30, "of 60 proposals {took} took effect");
-    let accepted = net.heard(|of| matches!(of, Effect::Accepted { .. })).len() as u64;
+    let accepted = net.heard(|of| matches!(of, Effect::ProposalAccepted { .. })).len() as u64;
     assert_eq!(accepted, took, "each acted once");
     assert!(net.all_act_by(net.newest()));
     assert_eq!(net.longest(), 0);
@@ -174,10 +178,10 @@
     net.wipe(1);
     net.start(1);
     net.run(10 * SECOND);
-    assert!(!net.node(1).expect("it runs").votes(), "it has caught up with nobody");
+    assert!(!net.node(1).expect("it runs").is_voting(), "it has caught up with nobody");
     assert_eq!(net.leader(), None);
     net.start(0);
-    net.until(10 * SECOND, |net| net.node(1).is_some_and(Node::votes)).expect("it has caught up");
+    net.until(10 * SECOND, |net| net.node(1).is_some_and(Node::is_voting)).expect("it has caught up");
     net.until(10 * SECOND, |net| net.acts_by(1) == Some(first)).expect("it has a lease");
     net.change(1);
     net.until(10 * SECOND, |net| net.all_act_by(after(first))).expect("it takes part");
@@ -215,11 +219,12 @@
     net.until(10 * SECOND, |net| net.all_act_by(after(first))).expect("one of them");
     net.run(2 * SECOND);
     assert!(net.all_act_by(after(first)), "nothing of the other");
-    let refused = net.heard(|of| matches!(of, Effect::Refused { .. }));
-    let accepted = net.heard(|of| matches!(of, Effect::Accepted { .. }));
+    let refused = net.heard(|of| matches!(of, Effect::ProposalRejected { .. }));
+    let accepted = net.heard(|of| matches!(of, Effect::ProposalAccepted { .. }));
     assert_eq!(accepted.iter().map(|(_, whom)| *whom).collect::<Vec<_>>(), [8]);
     assert_eq!(refused.iter().map(|(_, whom)| *whom).collect::<Vec<_>>(), [7]);
-    let in_force = |of: &Effect| matches!(of, Effect::Refused { in_force, .. } if *in_force == after(first));
+    let in_force =
+        |of: &Effect| matches!(of, Effect::ProposalRejected { in_force, .. } if *in_force == after(first));
     assert_eq!(net.heard(in_force).len(), 1);
     assert_eq!(net.longest(), 0);
 }
@@ -230,22 +235,25 @@
     let first = net.newest();
     net.propose(3, Version::default(), Doc::new(2, &[]));
     let why = |net: &Net| match net.said.last() {
-        Some((_, 3, Effect::Refused { why, in_force, .. })) => Some((*why, *in_force)),
+        Some((_, 3, Effect::ProposalRejected { reason: why, in_force, .. })) => Some((*why, *in_force)),
         _ => None,
     };
-    assert_eq!(why(&net), Some((Why::Older, first)));
+    assert_eq!(why(&net), Some((RejectionReason::StaleBase, first)));
     net.part(&[3]);
     (0..9).for_each(|limit| net.propose(3, first, Doc::new(limit + 1, &[])));
-    assert_eq!(why(&net), Some((Why::Busy, first)));
+    assert_eq!(why(&net), Some((RejectionReason::TooManyPending, first)));
     net.cut.clear();
     net.run(5 * SECOND);
     assert_eq!(net.newest(), after(first), "one of the eight");
-    assert_eq!(net.heard(|of| matches!(of, Effect::Accepted { .. })).len(), 1);
-    net.settings.most_rules = 4;
-    let mut net = Net::agreed_with(3, 3, 11, |net| net.settings.most_rules = 4);
+    assert_eq!(net.heard(|of| matches!(of, Effect::ProposalAccepted { .. })).len(), 1);
+    net.settings.max_document_bytes = 4;
+    let mut net = Net::agreed_with(3, 3, 11, |net| net.settings.max_document_bytes = 4);
     let first = net.newest();
     net.propose(0, first, Doc::new(1, &[1, 2, 3, 4]));
-    assert!(matches!(net.said.last(), Some((_, 0, Effect::Refused { why: Why::TooLarge, .. }))));
+    assert!(matches!(
+        net.said.last(),
+        Some((_, 0, Effect::ProposalRejected { reason: RejectionReason::TooLarge, .. }))
+    ));
 }
 
 #[test]
@@ -257,7 +265,7 @@
                 net.change(second % 5);
                 net.run(SECOND);
             }
-            assert!(net.heard(|of| matches!(of, Effect::ClockOff(_))).is_empty());
+            assert!(net.heard(|of| matches!(of, Effect::ClockDriftDetected(_))).is_empty());
             assert_eq!(net.longest(), 0);
         }
     }
@@ -270,8 +278,8 @@
         net.set_fast(4, fast);
         net.until(3 * SECOND, |net| net.clock_off(4).is_some()).expect("said");
         let doubt = net.clock_off(4).expect("said");
-        assert_eq!(doubt.fast, fast > 0);
-        assert!((20_000..=250_000).contains(&doubt.least), "{doubt:?}");
+        assert_eq!(doubt.is_fast, fast > 0);
+        assert!((20_000..=250_000).contains(&doubt.min_ppm), "{doubt:?}");
         for second in 0..20 {
             net.change(second % 4);
             net.run(SECOND);
@@ -280,8 +288,8 @@
         assert!((0..4).all(|of| net.clock_off(of).is_none()), "only it is off");
         net.set_fast(4, 0);
         net.until(120 * SECOND, |net| net.acts_by(4).is_some()).expect("cleared again");
-        assert_eq!(net.heard(|of| *of == Effect::ClockBack).len(), 1);
-        assert!(net.longest() <= net.settings.bound());
+        assert_eq!(net.heard(|of| *of == Effect::ClockDriftCleared).len(), 1);
+        assert!(net.longest() <= net.settings.staleness_bound());
     }
 }
 
@@ -292,13 +300,13 @@
         let leader = net.leader().expect("a leader");
         net.set_fast(leader, fast);
         net.until(6 * SECOND, |net| net.leader().is_some_and(|of| of != leader)).expect("it hands over");
-        assert_eq!(net.clock_off(leader).expect("said").fast, fast > 0);
+        assert_eq!(net.clock_off(leader).expect("said").is_fast, fast > 0);
         let sure = |net: &Net| (0..9).all(|of| of == leader || net.acts_by(of).is_some());
         net.until(20 * SECOND, sure).expect("the others are sure again");
         net.change((leader + 1) % 5);
         net.run(5 * SECOND);
         assert!(sure(&net) && net.acts_by(leader).is_none());
-        assert!(net.longest() <= net.settings.bound());
+        assert!(net.longest() <= net.settings.staleness_bound());
     }
 }
 
@@ -307,7 +315,7 @@
     for seed in 0..10 {
         let mut net = steady(3, 4, seed);
         let first = net.newest();
-        (net.twice, net.way) = (100, 300 * MS);
+        (net.twice, net.way) = (100, 300 * MILLISECOND);
         let leader = net.leader().expect("a leader");
         let from = (0..4).find(|of| *of != leader).expect("another");
         net.cut.insert((leader, from));
@@ -316,7 +324,7 @@
         net.cut.clear();
         net.run(8 * SECOND);
         assert_eq!(net.newest(), after(first), "{} is said to once", name(from));
-        assert_eq!(net.heard(|of| matches!(of, Effect::Accepted { .. })).len(), 1);
+        assert_eq!(net.heard(|of| matches!(of, Effect::ProposalAccepted { .. })).len(), 1);
     }
 }
 
@@ -328,14 +336,14 @@
     let drift: Vec<i64> = (0..members).map(|_| chance.i64(-9_900..=10_000)).collect();
     let mut net = Net::agreed_with(voters, members, seed, |net| (net.fast, net.blind) = (drift, blind));
     (net.loss, net.twice) = (chance.u32(0..30), chance.u32(0..20));
-    net.way = chance.u64(MS..80 * MS);
+    net.way = chance.u64(MILLISECOND..80 * MILLISECOND);
     for _ in 0..80 {
         let whom = chance.usize(0..members);
         // Of the voters' disks at most a minority is lost at once: one at a time, and only when all vote.
-        let all_vote = (0..voters).all(|of| net.node(of).is_some_and(Node::votes));
+        let all_vote = (0..voters).all(|of| net.node(of).is_some_and(Node::is_voting));
         match chance.u32(0..12) {
             0..4 => net.change(whom),
-            4 => net.pause(whom, chance.u64(100 * MS..6 * SECOND)),
+            4 => net.pause(whom, chance.u64(100 * MILLISECOND..6 * SECOND)),
             5 if net.runs(whom) => net.kill(whom),
             6 => (0..members)
                 .filter(|of| net.node(*of).is_none())
@@ -357,7 +365,7 @@
         net.run(chance.u64(0..SECOND));
     }
     net.cut.clear();
-    (net.loss, net.twice, net.way) = (0, 0, 5 * MS);
+    (net.loss, net.twice, net.way) = (0, 0, 5 * MILLISECOND);
     (0..members)
         .filter(|of| net.node(*of).is_none())
         .collect::<Vec<_>>()
@@ -386,7 +394,7 @@
 fn without_the_look_at_the_lease_in_the_decision_the_same_checker_finds_contradictions_beyond_the_bound() {
     let beyond = (0..20).filter(|seed| {
         let net = play(*seed, true);
-        net.longest() > net.settings.bound()
+        net.longest() > net.settings.staleness_bound()
     });
     assert!(beyond.count() >= 5);
 }
@@ -394,19 +402,22 @@
 #[test]
 fn the_defaults_give_a_bound_within_2_s_and_settings_that_contradict_themselves_name_the_field() {
     let fit = Net::new(3, 3, 0).settings;
-    assert_eq!((fit.bound(), fit.wait(), fit.check()), (1_998_000, 1_836_180, Ok(())));
+    assert_eq!(
+        (fit.staleness_bound(), fit.lease_expiry_wait(), fit.validate()),
+        (1_998_000, 1_836_180, Ok(()))
+    );
     type Wrong = fn(&mut Settings);
     let cases: [(&str, Wrong); 6] = [
         ("voters", |of| of.voters.truncate(2)),
         ("voters", |of| of.voters[0] = of.voters[1].clone()),
-        ("lease", |of| of.lease = of.way),
-        ("way", |of| of.way = of.tick),
-        ("drift", |of| of.drift = 100_001),
-        ("most_waiting", |of| of.most_waiting = 0),
+        ("lease", |of| of.lease_duration = of.max_round_trip),
+        ("way", |of| of.max_round_trip = of.tick_interval),
+        ("drift", |of| of.max_drift_ppm = 100_001),
+        ("most_waiting", |of| of.max_pending_versions = 0),
     ];
     for (field, wrong) in cases {
         let mut settings = fit.clone();
         wrong(&mut settings);
-        assert!(settings.check().expect_err(field).0.starts_with(field), "{field}");
+        assert!(settings.validate().expect_err(field).0.starts_with(field), "{field}");
     }
 }
--- a/crates/consensus/tests/net/mod.rs
+++ b/crates/consensus/tests/net/mod.rs
@@ -17,12 +17,12 @@
 }
 
 impl Rules for Doc {
-    fn narrower(&self, other: &Doc) -> Doc {
+    fn intersection(&self, other: &Doc) -> Doc {
         let closed = self.closed.union(&other.closed).copied().collect();
         Doc { limit: self.limit.min(other.limit), closed }
     }
 
-    fn unheard(&self) -> Doc {
+    fn without_lease(&self) -> Doc {
         Doc { limit: self.limit.min(1), closed: (0..8).collect() }
     }
 }
@@ -60,7 +60,7 @@
 
 enum Ev {
     Arrives(usize, Vec<u8>),
-    Persisted(u64, Change),
+    Persisted(u64, StorageWrite),
     Tick,
     Wakes,
 }
@@ -75,7 +75,7 @@
     processes: Vec<Option<Process>>,
     /// How often each was started: what a process before asked for does not reach the next.
     starts: Vec<u64>,
-    saved: Vec<Saved>,
+    saved: Vec<StoredState>,
     begun: Vec<bool>,
     /// Parts in a million by which a member's clock is fast.
     pub fast: Vec<i64>,
@@ -94,7 +94,7 @@
     pub blind: bool,
     pub said: Vec<(Micros, usize, Effect)>,
     /// First and last instant of each kind of decision.
-    pub decisions: BTreeMap<(Basis, Asked, bool), (Micros, Micros)>,
+    pub decisions: BTreeMap<(DecisionBasis, Asked, bool), (Micros, Micros)>,
     /// The newest version that each member acted by.
     acted: Vec<Version>,
     pub bytes: u64,
@@ -118,7 +118,7 @@
             count: 0,
             processes: (0..members).map(|_| None).collect(),
             starts: vec![0; members],
-            saved: vec![Saved::default(); members],
+            saved: vec![StoredState::default(); members],
             begun: vec![false; members],
             fast: vec![0; members],
             set: (0..members as u64).map(|of| (0, 77 * SECOND * of)).collect(),
@@ -126,7 +126,7 @@
             loss: 0,
             twice: 0,
             garble: false,
-            way: 10 * MS,
+            way: 10 * MILLISECOND,
             cut: HashSet::new(),
             blind: false,
             said: Vec::new(),
@@ -174,15 +174,19 @@
 
     /// A process starts, with what its disk has.
     pub fn start(&mut self, number: usize) {
-        let own = Own { name: name(number), generation: self.now };
-        let from = if self.begun[number] { Start::Saved(self.saved[number].clone()) } else { Start::Empty };
+        let own = MemberIdentity { name: name(number), generation: self.now };
+        let from = if self.begun[number] {
+            StartState::Stored(self.saved[number].clone())
+        } else {
+            StartState::Empty
+        };
         let seed = self.chance.u64(..);
         let rules = Doc::new(4, &[]);
         let node = Node::new(own, self.settings.clone(), from, rules, seed).expect("settings and store");
-        let node = if self.blind { node.blinded() } else { node };
+        let node = if self.blind { node.without_lease_check() } else { node };
         self.starts[number] += 1;
         self.processes[number] = Some(Process { node, paused: false, waiting: Vec::new() });
-        let first = self.now + 1 + self.chance.u64(0..20 * MS);
+        let first = self.now + 1 + self.chance.u64(0..20 * MILLISECOND);
         self.at(first, number, Ev::Tick);
     }
 
@@ -194,7 +198,7 @@
 
     /// Its disk is empty.
     pub fn wipe(&mut self, number: usize) {
-        (self.saved[number], self.begun[number]) = (Saved::default(), false);
+        (self.saved[number], self.begun[number]) = (StoredState::default(), false);
     }
 
     pub fn runs(&self, number: usize) -> bool {
@@ -244,7 +248,7 @@
     pub fn until(&mut self, span: Micros, so: impl Fn(&Net) -> bool) -> Option<Micros> {
         let from = self.now;
         while self.now - from < span {
-            self.run(10 * MS);
+            self.run(10 * MILLISECOND);
             if so(self) {
                 return Some(self.now - from);
             }
@@ -258,11 +262,11 @@
             Ev::Arrives(from, bytes) if process.paused => process.waiting.push((from, bytes)),
             Ev::Arrives(from, bytes) => self.give(whom, Input::Message(&name(from), &bytes)),
             Ev::Persisted(token, change) if process.paused => {
-                self.at(self.now + MS, whom, Ev::Persisted(token, change));
+                self.at(self.now + MILLISECOND, whom, Ev::Persisted(token, change));
             }
             Ev::Persisted(token, change) => {
                 self.begun[whom] = true;
-                self.saved[whom].take(change);
+                self.saved[whom].apply(change);
                 self.give(whom, Input::Persisted(token));
             }
             Ev::Tick => {
@@ -270,7 +274,8 @@
                     self.decide(whom);
                     self.give(whom, Input::Tick);
                 }
-                let tick = self.settings.tick - 2 * MS + self.chance.u64(0..4 * MS);
+                let tick =
+                    self.settings.tick_interval - 2 * MILLISECOND + self.chance.u64(0..4 * MILLISECOND);
                 self.at(self.now + tick, whom, Ev::Tick);
             }
             Ev::Wakes => {
@@ -289,10 +294,10 @@
     pub fn decide(&mut self, whom: usize) {
         let now = self.clock(whom);
         let Some(process) = &self.processes[whom] else { return };
-        let held = process.node.held();
-        let (basis, acting) = (held.basis(now), held.rules(now));
-        assert_eq!(matches!(basis, Basis::Agreed(_)), matches!(acting, Acting::Agreed(_)));
-        if let Basis::Agreed(version) = basis {
+        let held = process.node.leased_rules();
+        let (basis, acting) = (held.basis(now), held.effective_rules(now));
+        assert_eq!(matches!(basis, DecisionBasis::InForce(_)), matches!(acting, EffectiveRules::InForce(_)));
+        if let DecisionBasis::InForce(version) = basis {
             assert!(self.blind || version >= self.acted[whom], "m{whom} went back to {version}");
             self.acted[whom] = version;
         }
@@ -304,12 +309,12 @@
 
     pub fn propose(&mut self, whom: usize, made_from: Version, rules: Doc) {
         self.proposed += 1;
-        self.give(whom, Input::Propose { made_from, rules });
+        self.give(whom, Input::Propose { base_version: made_from, rules });
     }
 
     /// Proposes the next numbered document, made from the newest that the member knows.
     pub fn change(&mut self, whom: usize) {
-        let Some(made_from) = self.node(whom).map(|node| node.held().newest()) else { return };
+        let Some(made_from) = self.node(whom).map(|node| node.leased_rules().newest()) else { return };
         let rules = Doc::numbered(self.proposed + 1);
         self.propose(whom, made_from, rules);
     }
@@ -323,7 +328,7 @@
             match effect {
                 Effect::Send(to, bytes) => self.send(whom, &to, bytes),
                 Effect::Persist(token, change) => {
-                    let done = self.now + 5 * MS;
+                    let done = self.now + 5 * MILLISECOND;
                     self.at(done, whom, Ev::Persisted(token, change));
                 }
                 effect => self.said.push((self.now, whom, effect)),
@@ -345,7 +350,7 @@
             // Garbled on the way: what carries packets proves who sent them, and so that they are whole. What
             // passes all the same must not stop a member; only the form is broken here, not the sense.
             if broken.first() != Some(&1) || broken.len() < bytes.len() {
-                self.at(self.now + MS, to, Ev::Arrives(from, broken));
+                self.at(self.now + MILLISECOND, to, Ev::Arrives(from, broken));
             }
         }
         let copies = 1 + u32::from(self.chance.u32(0..100) < self.twice);
@@ -353,7 +358,7 @@
             if self.cut.contains(&(from, to)) || self.chance.u32(0..100) < self.loss {
                 continue;
             }
-            let way = MS / 2 + self.chance.u64(0..self.way);
+            let way = MILLISECOND / 2 + self.chance.u64(0..self.way);
             self.at(self.now + way, to, Ev::Arrives(from, bytes.clone()));
         }
     }
@@ -364,9 +369,9 @@
 
     /// The version that a member acts by, if it does by one.
     pub fn acts_by(&self, number: usize) -> Option<Version> {
-        match self.node(number)?.held().basis(self.clock(number)) {
-            Basis::Agreed(version) => Some(version),
-            Basis::Safe { .. } => None,
+        match self.node(number)?.leased_rules().basis(self.clock(number)) {
+            DecisionBasis::InForce(version) => Some(version),
+            DecisionBasis::Restricted { .. } => None,
         }
     }
 
@@ -376,11 +381,12 @@
 
     /// The one that leads, of those that do not pause.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.size()).find(|&of| self.runs(of) && self.node(of).is_some_and(Node::leads))
+        (0..self.size()).find(|&of| self.runs(of) && self.node(of).is_some_and(Node::is_leader))
     }
 
     pub fn newest(&self) -> Version {
-        let newest = (0..self.size()).filter_map(|of| self.node(of)).map(|node| node.held().in_force());
+        let newest =
+            (0..self.size()).filter_map(|of| self.node(of)).map(|node| node.leased_rules().in_force());
         newest.max().unwrap_or_default()
     }
 
@@ -390,19 +396,26 @@
     /// Two acted by one version and not alike.
     pub fn longest(&self) -> Micros {
         let mut longest = 0;
-        let decision = |key: &(Basis, Asked, bool)| Decision { basis: key.0, asked: key.1, allowed: key.2 };
+        let decision =
+            |key: &(DecisionBasis, Asked, bool)| Decision { basis: key.0, request: key.1, is_allowed: key.2 };
         for (a, (first_a, last_a)) in &self.decisions {
             for (b, (first_b, last_b)) in &self.decisions {
                 let alike = a.2 == b.2 || a.1 != b.1 || a.0 != b.0;
-                assert!(alike || !matches!(a.0, Basis::Agreed(_)), "{a:?} and {b:?}");
-                if !contradict(&decision(a), &decision(b)) {
+                assert!(alike || !matches!(a.0, DecisionBasis::InForce(_)), "{a:?} and {b:?}");
+                if !decisions_conflict(&decision(a), &decision(b)) {
                     continue;
                 }
                 // What each acts by: of the safe rules, the end that is nearer.
                 let (older, newer) = match (a.0, b.0) {
-                    (Basis::Agreed(v), Basis::Agreed(w)) => (v, w),
-                    (Basis::Safe { from, to, .. }, Basis::Agreed(w)) => (if w > to { to } else { from }, w),
-                    (Basis::Agreed(v), Basis::Safe { from, to, .. }) => (v, if v > to { to } else { from }),
+                    (DecisionBasis::InForce(v), DecisionBasis::InForce(w)) => (v, w),
+                    (
+                        DecisionBasis::Restricted { in_force: from, newest: to, .. },
+                        DecisionBasis::InForce(w),
+                    ) => (if w > to { to } else { from }, w),
+                    (
+                        DecisionBasis::InForce(v),
+                        DecisionBasis::Restricted { in_force: from, newest: to, .. },
+                    ) => (v, if v > to { to } else { from }),
                     _ => continue,
                 };
                 let span =
@@ -418,9 +431,9 @@
     }
 
     /// The last proof that a member said of a clock that is off.
-    pub fn clock_off(&self, whom: usize) -> Option<Drift> {
+    pub fn clock_off(&self, whom: usize) -> Option<ClockDrift> {
         self.said.iter().rev().find_map(|(_, by, effect)| match effect {
-            Effect::ClockOff(drift) if *by == whom => Some(*drift),
+            Effect::ClockDriftDetected(drift) if *by == whom => Some(*drift),
             _ => None,
         })
     }
--- a/crates/consensus/tests/transcripts.rs
+++ b/crates/consensus/tests/transcripts.rs
@@ -10,7 +10,7 @@
 /// The voters, and one that only holds copies.
 const MEMBERS: usize = 4;
 /// How long every packet, and every store, takes.
-const DELAY: Micros = 5 * MS;
+const DELAY: Micros = 5 * MILLISECOND;
 /// By this many parts in a million a clock is off that must not be trusted.
 const CLOCK_OFF: u64 = 200_000;
 
@@ -43,13 +43,14 @@
     match kind {
         "raft" => format!("raft {}", RAFT_MESSAGES[usize::from(fields[0])]),
         "renew" => {
-            type Renew = (u64, Micros, Version, Version, Option<Drift>);
+            type Renew = (u64, Micros, Version, Version, Option<ClockDrift>);
             let renew: Renew = postcard::from_bytes(fields).expect("its fields");
             if renew.4.is_some() { "renew with drift".to_owned() } else { kind.to_owned() }
         }
         "answered" => {
-            let (_, outcome): (ProposalId, Outcome) = postcard::from_bytes(fields).expect("its fields");
-            let outcome = if matches!(outcome, Outcome::Ordered(_)) { "ordered" } else { "refused" };
+            let (_, outcome): (ProposalId, ProposalOutcome) =
+                postcard::from_bytes(fields).expect("its fields");
+            let outcome = if matches!(outcome, ProposalOutcome::Accepted(_)) { "ordered" } else { "refused" };
             format!("{kind}: {outcome}")
         }
         _ => kind.to_owned(),
@@ -57,13 +58,14 @@
 }
 
 /// What an entry of the log holds: a command, or nothing where a leader begins.
-fn entry_kind(entry: &Entry) -> String {
+fn entry_kind(entry: &LogEntry) -> String {
     let command = entry.data.first().map_or("empty", |&number| COMMANDS[usize::from(number)]);
     format!("entry: {command}")
 }
 
-fn change_kind(change: &Change) -> String {
-    let snapshot = change.snapshot.as_ref().map(|of| if of.whole { "whole snapshot" } else { "snapshot" });
+fn change_kind(change: &StorageWrite) -> String {
+    let snapshot =
+        change.snapshot.as_ref().map(|of| if of.replaces_log { "whole snapshot" } else { "snapshot" });
     let entries = change.entries.iter().map(entry_kind);
     let vote = change.vote.map(|_| "vote");
     let parts = snapshot.into_iter().chain(vote).map(str::to_owned).chain(entries);
@@ -72,7 +74,7 @@
 
 enum Event {
     Message { from: usize, bytes: Vec<u8> },
-    Persisted { token: u64, change: Change },
+    Persisted { token: u64, change: StorageWrite },
     Tick,
 }
 
@@ -81,7 +83,7 @@
     now: Micros,
     settings: Settings,
     nodes: Vec<Option<Node<Doc>>>,
-    saved: Vec<Saved>,
+    saved: Vec<StoredState>,
     /// Counts each member's starts: what was under way for an earlier one is dropped.
     starts: Vec<u64>,
     /// Whose clock is fast, and since when.
@@ -100,9 +102,9 @@
         let voters = (0..VOTERS).map(name).collect();
         Run {
             now: SECOND,
-            settings: Settings { voters, most_log: 8, ..Settings::default() },
+            settings: Settings { voters, max_log_entries: 8, ..Settings::default() },
             nodes: (0..MEMBERS).map(|_| None).collect(),
-            saved: vec![Saved::default(); MEMBERS],
+            saved: vec![StoredState::default(); MEMBERS],
             starts: vec![0; MEMBERS],
             fast: None,
             events: BTreeMap::new(),
@@ -113,15 +115,15 @@
         }
     }
 
-    fn start(&mut self, number: usize, start: Start) {
+    fn start(&mut self, number: usize, start: StartState) {
         self.starts[number] += 1;
-        let own = Own { name: name(number), generation: self.starts[number] };
+        let own = MemberIdentity { name: name(number), generation: self.starts[number] };
         let seed = 10 * self.starts[number] + number as u64;
         let node = Node::new(own, self.settings.clone(), start, Doc::new(4, &[]), seed);
         self.nodes[number] = Some(node.expect("settings and store"));
         let others: Vec<String> = (0..MEMBERS).filter(|&other| other != number).map(name).collect();
         self.give(number, Input::Members(&others));
-        self.after(MS * number as u64, number, Event::Tick);
+        self.after(MILLISECOND * number as u64, number, Event::Tick);
     }
 
     fn stop(&mut self, number: usize) {
@@ -180,12 +182,12 @@
             match event {
                 Event::Message { from, bytes } => self.give(whom, Input::Message(&name(from), &bytes)),
                 Event::Persisted { token, change } => {
-                    self.saved[whom].take(change);
+                    self.saved[whom].apply(change);
                     self.give(whom, Input::Persisted(token));
                 }
                 Event::Tick => {
                     self.give(whom, Input::Tick);
-                    self.after(self.settings.tick, whom, Event::Tick);
+                    self.after(self.settings.tick_interval, whom, Event::Tick);
                 }
             }
         }
@@ -193,19 +195,19 @@
     }
 
     fn newest(&self, number: usize) -> Version {
-        self.nodes[number].as_ref().expect("it runs").held().newest()
+        self.nodes[number].as_ref().expect("it runs").leased_rules().newest()
     }
 
     /// A member proposes rules, which then take effect.
     fn change(&mut self, number: usize, limit: u32) {
         let made_from = self.newest(number);
-        self.give(number, Input::Propose { made_from, rules: Doc::new(limit, &[3]) });
+        self.give(number, Input::Propose { base_version: made_from, rules: Doc::new(limit, &[3]) });
         self.run(SECOND);
         assert!(self.newest(number) > made_from, "the proposal was ordered");
     }
 
     fn leader(&self) -> usize {
-        let leads = |&number: &usize| self.nodes[number].as_ref().is_some_and(Node::leads);
+        let leads = |&number: &usize| self.nodes[number].as_ref().is_some_and(Node::is_leader);
         (0..VOTERS).find(leads).expect("a leader")
     }
 }
@@ -214,23 +216,23 @@
 /// clock goes wrong.
 fn played() -> Run {
     let mut run = Run::new();
-    (0..MEMBERS).for_each(|number| run.start(number, Start::Empty));
+    (0..MEMBERS).for_each(|number| run.start(number, StartState::Empty));
     run.run(10 * SECOND);
     run.change(3, 2);
     // Two at once, of whom one is refused.
     let made_from = run.newest(0);
     for number in [0, 3] {
-        run.give(number, Input::Propose { made_from, rules: Doc::new(3, &[]) });
+        run.give(number, Input::Propose { base_version: made_from, rules: Doc::new(3, &[]) });
     }
     run.run(SECOND);
     let away = (run.leader() + 1) % VOTERS;
     run.stop(away);
     (1..=6).for_each(|limit| run.change(3, limit));
-    run.start(away, Start::Saved(run.saved[away].clone()));
+    run.start(away, StartState::Stored(run.saved[away].clone()));
     run.run(5 * SECOND);
     run.stop(away);
-    run.saved[away] = Saved::default();
-    run.start(away, Start::Empty);
+    run.saved[away] = StoredState::default();
+    run.start(away, StartState::Empty);
     run.run(5 * SECOND);
     let leader = run.leader();
     run.fast = Some((leader, run.now));
@@ -262,17 +264,17 @@
     let lines: String = stored.iter().map(|bytes| hex(bytes) + "\n").collect();
     insta::assert_snapshot!("saved", lines);
     let snapshot = run.saved[0].snapshot.as_ref().expect("the log was folded");
-    let state: State = postcard::from_bytes(&snapshot.state).expect("a state");
+    let state: ReplicatedState = postcard::from_bytes(&snapshot.state).expect("a state");
     assert_eq!(postcard::to_allocvec(&state).ok().as_ref(), Some(&snapshot.state));
 
     let mut restored = Run::new();
     for (number, bytes) in stored.iter().enumerate() {
-        let saved: Saved = postcard::from_bytes(bytes).expect("what was stored");
+        let saved: StoredState = postcard::from_bytes(bytes).expect("what was stored");
         assert_eq!(saved, run.saved[number]);
         restored.saved[number] = saved.clone();
-        restored.start(number, Start::Saved(saved));
+        restored.start(number, StartState::Stored(saved));
     }
-    restored.start(3, Start::Empty);
+    restored.start(3, StartState::Empty);
     restored.run(10 * SECOND);
     (0..MEMBERS).for_each(|number| assert_eq!(restored.newest(number), run.newest(3)));
 }
