--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -1,101 +1,113 @@
-//! Whether this member's clock and the leader's keep the same time, by proof and not by estimate.
+//! Proves that this member's clock and the leader's drift apart beyond the bound; never estimates.
 use serde::{Deserialize, Serialize};
 
-use crate::{Micros, Settings};
+use crate::settings::Settings;
+use crate::time::{Micros, SECOND};
 
-/// After so long the older of two samples is given up for the newer, so that a clock that changes its rate is
-/// seen too, and one that keeps it can be cleared.
-const SAMPLE_WINDOW: Micros = 30 * crate::SECOND;
+/// After this span the older of two samples is replaced by the newer, so that a change of a clock's rate is seen and
+/// a clock that is back within the bound can be cleared.
+const SAMPLE_WINDOW: Micros = 30 * SECOND;
+/// How long samples without a proof must span before a clock counts as within the bound.
+const CLEARING_SPAN: Micros = SAMPLE_WINDOW / 6;
 
-/// How two clocks were found to differ.
+const MILLION: u128 = 1_000_000;
+
+/// A proven difference between two clocks' rates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockDrift {
-    /// This member's clock runs fast against the leader's, or the leader's slow; else the other way.
+    /// This member's clock runs fast against the leader's (or the leader's slow); else the other way.
     pub is_fast: bool,
-    /// By at least so many parts in a million.
+    /// The least difference that explains the samples, in parts per million.
     pub min_ppm: u64,
 }
 
+/// One request and its response.
 #[derive(Clone, Copy, Debug)]
-struct Sample {
-    /// When the question was sent, and its answer came, here.
-    sent: Micros,
-    came: Micros,
-    /// When the answer was made, there.
-    there: Micros,
+struct ClockSample {
+    sent_at: Micros,
+    received_at: Micros,
+    /// When the response was made, by the other clock.
+    remote_time: Micros,
 }
 
-/// Compares the clock of one other, the leader, with the own.
+/// Compares the leader's clock with this member's.
 ///
-/// Between two answers the leader's clock moved by a known span. By the own clock that was at least the time
-/// from the first answer's coming to the second question's sending, and at most the time from the first
-/// question's sending to the second answer's coming. Delays and pauses widen these two and prove nothing; a
-/// span outside them proves that one of the clocks is off.
+/// Between two responses the leader's clock moved by a known span. By the local clock that took at least the time
+/// from receiving the first response to sending the second request, and at most the time from sending the first
+/// request to receiving the second response. Delays and pauses only widen these two; a span outside them proves that
+/// one of the clocks drifts.
 #[derive(Clone, Debug, Default)]
 pub struct ClockComparison {
-    first: Option<Sample>,
-    second: Option<Sample>,
+    oldest: Option<ClockSample>,
+    /// Becomes the oldest sample one window later.
+    next_oldest: Option<ClockSample>,
     drift: Option<ClockDrift>,
 }
 
 impl ClockComparison {
-    /// Takes an answer: when its question was sent and when it came, by the own clock, and when it was made, by
-    /// the other. Says what is proved by now.
+    /// Records a response: when its request was sent and when it was received, by the local clock, and when it was
+    /// made, by the other. Returns what is proved so far.
     pub fn record_sample(
         &mut self,
         settings: &Settings,
-        sent: Micros,
-        came: Micros,
-        there: Micros,
+        sent_at: Micros,
+        received_at: Micros,
+        remote_time: Micros,
     ) -> Option<ClockDrift> {
-        let sample = Sample { sent, came, there };
-        let Some(first) = self.first else {
-            self.first = Some(sample);
+        let sample = ClockSample { sent_at, received_at, remote_time };
+        let Some(oldest) = self.oldest else {
+            self.oldest = Some(sample);
             return self.drift;
         };
-        // Older than the first: a reordered answer.
-        if there <= first.there || sent <= first.sent {
+        let is_reordered = remote_time <= oldest.remote_time || sent_at <= oldest.sent_at;
+        if is_reordered {
             return self.drift;
         }
-        let found = compare(settings, first, sample);
-        if found.is_some() {
-            self.drift = found;
-        }
-        match self.second {
-            None if sent - first.sent >= SAMPLE_WINDOW => self.second = Some(sample),
-            Some(second) if sent.saturating_sub(second.sent) >= SAMPLE_WINDOW => {
-                // A whole window without a proof clears it.
-                self.drift = compare(settings, second, sample);
-                (self.first, self.second) = (Some(second), None);
+        self.drift = prove_drift(settings, oldest, sample).or(self.drift);
+        self.advance_window(settings, oldest, sample);
+        self.drift
+    }
+
+    fn advance_window(&mut self, settings: &Settings, oldest: ClockSample, sample: ClockSample) {
+        match self.next_oldest {
+            None if sample.sent_at - oldest.sent_at >= SAMPLE_WINDOW => self.next_oldest = Some(sample),
+            Some(next) if sample.sent_at.saturating_sub(next.sent_at) >= SAMPLE_WINDOW => {
+                // A whole window without a proof clears the drift.
+                self.drift = prove_drift(settings, next, sample);
+                (self.oldest, self.next_oldest) = (Some(next), None);
             }
             _ => {}
         }
-        self.drift
     }
 
-    /// Whether the two were compared over a while and nothing was proved.
+    /// Whether the clocks were compared for long enough and no drift is proved.
     pub fn is_cleared(&self, now: Micros) -> bool {
-        let long = self.first.is_some_and(|first| now.saturating_sub(first.sent) >= SAMPLE_WINDOW / 6);
-        long && self.drift.is_none()
+        let compared_since = self.oldest.map(|oldest| oldest.sent_at);
+        let is_long = compared_since.is_some_and(|since| now.saturating_sub(since) >= CLEARING_SPAN);
+        is_long && self.drift.is_none()
     }
 
-    /// What is proved.
+    /// The drift that is proved.
     pub fn drift(&self) -> Option<ClockDrift> {
         self.drift
     }
 }
 
-fn compare(settings: &Settings, a: Sample, b: Sample) -> Option<ClockDrift> {
-    let there = u128::from(b.there.saturating_sub(a.there));
-    let shortest = u128::from(b.sent.saturating_sub(a.came));
-    let longest = u128::from(b.came.saturating_sub(a.sent));
-    let (million, apart) = (1_000_000u128, u128::from(settings.max_relative_drift_ppm()));
-    let parts = |more: u128, less: u128| (more.saturating_sub(less) * million / less.max(1)) as u64;
-    if shortest * million > there * (million + apart) {
-        Some(ClockDrift { is_fast: true, min_ppm: parts(shortest, there) })
-    } else if there * million > longest * (million + apart) {
-        Some(ClockDrift { is_fast: false, min_ppm: parts(there, longest) })
+fn prove_drift(settings: &Settings, first: ClockSample, second: ClockSample) -> Option<ClockDrift> {
+    let remote = u128::from(second.remote_time.saturating_sub(first.remote_time));
+    let shortest = u128::from(second.sent_at.saturating_sub(first.received_at));
+    let longest = u128::from(second.received_at.saturating_sub(first.sent_at));
+    let largest_ratio = MILLION + u128::from(settings.max_relative_drift_ppm());
+    if shortest * MILLION > remote * largest_ratio {
+        Some(ClockDrift { is_fast: true, min_ppm: excess_ppm(shortest, remote) })
+    } else if remote * MILLION > longest * largest_ratio {
+        Some(ClockDrift { is_fast: false, min_ppm: excess_ppm(remote, longest) })
     } else {
         None
     }
 }
+
+/// By how much the longer span exceeds the shorter, in parts per million of the shorter.
+fn excess_ppm(longer: u128, shorter: u128) -> u64 {
+    (longer.saturating_sub(shorter) * MILLION / shorter.max(1)) as u64
+}
--- a/crates/consensus/src/decision_conflict.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -1,46 +1,46 @@
-//! What it means that two decisions contradict.
-use crate::Version;
+//! When two decisions conflict: what the tests check after every run.
+use crate::versioned_document::Version;
 
-/// By what a decision was made.
+/// The rules on which a decision rests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DecisionBasis {
-    /// By this version, within the lease.
+    /// This version, in force and within the lease.
     InForce(Version),
-    /// By what all versions from the first to the last allow, and with `heard` false also by what no later
-    /// one forbids ([`crate::Rules::unheard`]).
+    /// What all versions from the one in force to the newest allow; without a lease also restricted to what no
+    /// later version forbids ([`crate::Rules::without_lease`]).
     Restricted {
-        /// The one known to have been in force last.
+        /// The version last known to be in force.
         in_force: Version,
-        /// The newest that was known.
+        /// The newest version known.
         newest: Version,
-        /// Within the lease: no later version was in force.
+        /// Whether the lease held: then no later version was in force.
         has_lease: bool,
     },
 }
 
-/// One decision, as far as contradiction goes.
+/// One decision, as far as conflicts are concerned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision<Q> {
-    /// By what.
+    /// The rules on which it rests.
     pub basis: DecisionBasis,
-    /// What was asked.
+    /// What was requested.
     pub request: Q,
     /// Whether it was allowed.
     pub is_allowed: bool,
 }
 
-/// Whether two decisions contradict: they act by different versions, and one allowed what the other forbade.
+/// Whether two decisions conflict: they rest on different versions, and one allowed what the other forbade.
 ///
-/// The safe rules act by no version of their own: that they forbid what a version allows contradicts nothing;
-/// that they allow what a version forbids contradicts it, whether they knew that version or not.
-pub fn decisions_conflict<Q: PartialEq>(a: &Decision<Q>, b: &Decision<Q>) -> bool {
-    if a.request != b.request || a.is_allowed == b.is_allowed {
+/// Restricted rules are no version of their own. That they forbid what a version allows is no conflict; that they
+/// allow what a version forbids is one, whether that version was known or not.
+pub fn decisions_conflict<Q: PartialEq>(first: &Decision<Q>, second: &Decision<Q>) -> bool {
+    if first.request != second.request || first.is_allowed == second.is_allowed {
         return false;
     }
-    let (allowing, forbidding) = if a.is_allowed { (a, b) } else { (b, a) };
+    let (allowing, forbidding) = if first.is_allowed { (first, second) } else { (second, first) };
     match (allowing.basis, forbidding.basis) {
         (_, DecisionBasis::Restricted { .. }) => false,
-        (DecisionBasis::InForce(v), DecisionBasis::InForce(w)) => v != w,
+        (DecisionBasis::InForce(allowing), DecisionBasis::InForce(forbidding)) => allowing != forbidding,
         (DecisionBasis::Restricted { .. }, DecisionBasis::InForce(_)) => true,
     }
 }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,251 +1,186 @@
-//! What the leader knows of the members: who asked, who was granted what, who knows what.
-use std::collections::{BTreeMap, VecDeque};
-
-use crate::{ClockDrift, Micros, ProposalId, ReplicatedState, SECOND, Settings, Version};
-
-/// Questions to the majority that may be under way.
-const MAX_PENDING_QUORUM_READS: usize = 16;
-/// Members that were heard within this count as there when clocks are compared, and are told news.
-const RECENT_WINDOW: Micros = 5 * SECOND;
-
-/// A member's question for its lease.
-#[derive(Clone, Debug)]
-pub(crate) struct LeaseRequest {
-    pub session: u64,
-    pub sent: Micros,
-    pub newest: Version,
-}
+//! What a leader decides in its term: leases, when versions take effect, and what to append to the log.
+use std::collections::BTreeMap;
+
+use crate::clock_comparison::ClockDrift;
+use crate::member_progress::MemberProgress;
+use crate::packet::LeaseRequest;
+use crate::quorum_reads::{PendingLease, QuorumReads};
+use crate::replicated_state::{ProposalId, ReplicatedState};
+use crate::settings::Settings;
+use crate::time::Micros;
+use crate::versioned_document::Version;
 
-#[derive(Default)]
-struct MemberProgress {
-    session: u64,
-    heard: Micros,
-    in_force: Version,
-    newest: Version,
-    drift: Option<ClockDrift>,
-    /// When it was last granted a lease with a version as the newest.
-    granted: BTreeMap<Version, Micros>,
-    told: Micros,
+/// Proposals that may be appended and not yet forgotten.
+const MAX_APPENDED_PROPOSALS: usize = 1_024;
+/// Other members that must be there before their reports on the leader's clock count.
+const MIN_CLOCK_WITNESSES: usize = 2;
+
+/// An activation that was appended to the log.
+struct Activation {
+    version: Version,
+    appended_at: Micros,
 }
 
+/// A leader's state, for one term. Owned by its [`crate::Node`].
 pub(crate) struct LeaderState {
-    pub term: u64,
-    since: Micros,
-    seen: BTreeMap<String, MemberProgress>,
-    /// Asked since the last question to the majority.
-    asked: BTreeMap<String, LeaseRequest>,
-    /// Questions under way: number, instant, who waits for it.
-    questions: VecDeque<(u64, Micros, BTreeMap<String, LeaseRequest>)>,
-    /// Confirmed, and up to where the log must be applied.
-    confirmed: Vec<(u64, BTreeMap<String, LeaseRequest>)>,
-    next: u64,
-    founded: Option<Micros>,
-    activated: Option<(Version, Micros)>,
-    put: BTreeMap<ProposalId, Micros>,
-    distrusted: Option<Micros>,
+    term: u64,
+    elected_at: Micros,
+    members: BTreeMap<String, MemberProgress>,
+    quorum_reads: QuorumReads,
+    epoch_appended_at: Option<Micros>,
+    last_activation: Option<Activation>,
+    /// When each proposal was appended to the log.
+    appended_proposals: BTreeMap<ProposalId, Micros>,
+    drift_reported_at: Option<Micros>,
 }
 
 impl LeaderState {
-    pub fn new(term: u64, now: Micros) -> LeaderState {
+    pub(crate) fn new(term: u64, now: Micros) -> LeaderState {
         LeaderState {
             term,
-            since: now,
-            seen: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            questions: VecDeque::new(),
-            confirmed: Vec::new(),
-            next: 0,
-            founded: None,
-            activated: None,
-            put: BTreeMap::new(),
-            distrusted: None,
+            elected_at: now,
+            members: BTreeMap::new(),
+            quorum_reads: QuorumReads::default(),
+            epoch_appended_at: None,
+            last_activation: None,
+            appended_proposals: BTreeMap::new(),
+            drift_reported_at: None,
         }
     }
 
-    pub fn asked(
-        &mut self,
-        now: Micros,
-        from: &str,
-        session: u64,
-        sent: Micros,
-        (in_force, newest): (Version, Version),
-        drift: Option<ClockDrift>,
-    ) {
-        let seen = self.seen.entry(from.to_owned()).or_default();
-        if seen.session == session {
-            (seen.in_force, seen.newest) = (seen.in_force.max(in_force), seen.newest.max(newest));
-        } else {
-            // Another process: what the one before knew is gone, its leases too; the instants stay.
-            (seen.session, seen.in_force, seen.newest) = (session, in_force, newest);
-        }
-        (seen.heard, seen.drift) = (now, drift);
-        let asked = self.asked.entry(from.to_owned());
-        asked
-            .and_modify(|of| {
-                // The latest: an older one that comes again would only give a shorter lease.
-                if of.session != session || of.sent < sent {
-                    (of.session, of.sent) = (session, sent);
-                }
-                of.newest = newest;
-            })
-            .or_insert(LeaseRequest { session, sent, newest });
+    pub(crate) fn term(&self) -> u64 {
+        self.term
     }
 
-    /// The next question to the majority, if anybody waits for one.
-    pub fn question(&mut self, now: Micros, settings: &Settings) -> Option<u64> {
-        while self
-            .questions
-            .front()
-            .is_some_and(|(_, at, _)| now.saturating_sub(*at) > settings.max_round_trip)
-        {
-            self.questions.pop_front();
-        }
-        if self.asked.is_empty() || self.questions.len() >= MAX_PENDING_QUORUM_READS {
-            return None;
-        }
-        // One a tick at most, if others are under way.
-        if self
-            .questions
-            .back()
-            .is_some_and(|(_, at, _)| now.saturating_sub(*at) < settings.tick_interval / 4)
-        {
-            return None;
-        }
-        self.next += 1;
-        self.questions.push_back((self.next, now, std::mem::take(&mut self.asked)));
-        Some(self.next)
+    pub(crate) fn record_lease_request(&mut self, now: Micros, from: &str, request: &LeaseRequest) {
+        let member = self.members.entry(from.to_owned()).or_default();
+        member.record_request(now, request);
+        let LeaseRequest { session, sent_at, newest, .. } = *request;
+        self.quorum_reads.add(from, PendingLease { session, sent_at, newest });
     }
 
-    pub fn confirmed(&mut self, question: u64, index: u64) {
-        // What confirms a question confirms all before it.
-        while self.questions.front().is_some_and(|(number, ..)| *number <= question) {
-            if let Some((_, _, who)) = self.questions.pop_front() {
-                self.confirmed.push((index, who));
-            }
-        }
+    /// Starts the next quorum read if any lease request waits for one; returns its number.
+    pub(crate) fn start_quorum_read(&mut self, now: Micros, settings: &Settings) -> Option<u64> {
+        self.quorum_reads.start_read(now, settings)
     }
 
-    /// Who is granted a lease now, with this as the newest version.
-    pub fn grants(
+    pub(crate) fn confirm_quorum_read(&mut self, read_id: u64, index: u64) {
+        self.quorum_reads.confirm(read_id, index);
+    }
+
+    /// Grants a lease to every member whose request is confirmed, with `newest` as the newest version.
+    pub(crate) fn grant_leases(
         &mut self,
         now: Micros,
-        applied: u64,
+        applied_index: u64,
         newest: Version,
         settings: &Settings,
-    ) -> Vec<(String, LeaseRequest)> {
-        let mut grants = Vec::new();
-        let wait = settings.lease_expiry_wait();
-        self.confirmed.retain_mut(|(index, who)| {
-            if *index <= applied {
-                grants.extend(std::mem::take(who));
-            }
-            *index > applied
-        });
+    ) -> Vec<(String, PendingLease)> {
+        let grants = self.quorum_reads.take_grantable(applied_index);
         for (name, _) in &grants {
-            let seen = self.seen.entry(name.clone()).or_default();
-            seen.granted.insert(newest, now);
-            seen.granted.retain(|_, at| now.saturating_sub(*at) < wait);
+            let member = self.members.entry(name.clone()).or_default();
+            member.record_grant(now, newest, settings);
         }
         grants
     }
 
-    /// Whether a founding is to be put into the log, again after a while.
-    pub fn founds(&mut self, now: Micros, settings: &Settings) -> bool {
-        let again = self.founded.is_none_or(|at| now.saturating_sub(at) > settings.lease_expiry_wait());
-        if again {
-            self.founded = Some(now);
+    /// Whether to append the start of an epoch now; if so, not again for a while.
+    pub(crate) fn try_start_epoch(&mut self, now: Micros, settings: &Settings) -> bool {
+        let is_due = is_due(self.epoch_appended_at, now, settings);
+        if is_due {
+            self.epoch_appended_at = Some(now);
         }
-        again
+        is_due
     }
 
-    /// Whether a proposal is to be put into the log: not while it is on the way there already.
-    pub fn puts(&mut self, now: Micros, id: &ProposalId, settings: &Settings) -> bool {
-        self.put.retain(|_, at| now.saturating_sub(*at) < settings.lease_expiry_wait());
-        let new = !self.put.contains_key(id) && self.put.len() < 1_024;
-        if new {
-            self.put.insert(id.clone(), now);
+    /// Whether to append a proposal now; if so, not again for a while.
+    pub(crate) fn try_append_proposal(&mut self, now: Micros, id: &ProposalId, settings: &Settings) -> bool {
+        let wait = settings.lease_expiry_wait();
+        self.appended_proposals.retain(|_, appended_at| now.saturating_sub(*appended_at) < wait);
+        let is_new = !self.appended_proposals.contains_key(id)
+            && self.appended_proposals.len() < MAX_APPENDED_PROPOSALS;
+        if is_new {
+            self.appended_proposals.insert(id.clone(), now);
         }
-        new
+        is_new
     }
 
-    /// The newest version that every member knows or has lost its lease without knowing; it may take effect.
-    pub fn activates(
+    /// The newest pending version that every member knows, or has lost its lease without knowing. If one is returned,
+    /// it is to be activated, and is not returned again for a while.
+    pub(crate) fn next_activation(
         &mut self,
         now: Micros,
         state: &ReplicatedState,
         settings: &Settings,
     ) -> Option<Version> {
-        let wait = settings.lease_expiry_wait();
-        // Leases of earlier leaders, of whom nothing is known here.
-        if now.saturating_sub(self.since) < wait {
+        // Until then a member may hold a lease of an earlier leader, of which nothing is known here.
+        if now.saturating_sub(self.elected_at) < settings.lease_expiry_wait() {
             return None;
         }
-        let free = |version: Version| {
-            self.seen.values().all(|seen| {
-                let live =
-                    |(newest, at): (&Version, &Micros)| *newest < version && now.saturating_sub(*at) < wait;
-                seen.newest >= version || !seen.granted.iter().any(live)
-            })
+        let can_activate = |version: &Version| {
+            self.members.values().all(|member| member.allows_activation(*version, now, settings))
         };
-        let waiting = state.chain.iter().skip(1).map(|document| document.version);
-        let version = waiting.take_while(|version| free(*version)).last()?;
-        let again = self
-            .activated
-            .is_none_or(|(of, at)| of < version || now.saturating_sub(at) > settings.lease_expiry_wait());
-        if again {
-            self.activated = Some((version, now));
+        let pending = state.documents().skip(1).map(|document| document.version);
+        let version = pending.take_while(can_activate).last()?;
+        let is_repeated = self
+            .last_activation
+            .as_ref()
+            .is_some_and(|last| last.version >= version && !is_due(Some(last.appended_at), now, settings));
+        if is_repeated {
+            return None;
         }
-        again.then_some(version)
+        self.last_activation = Some(Activation { version, appended_at: now });
+        Some(version)
     }
 
-    /// Members that lack news, and up to where they know; each once in a while.
-    pub fn uninformed(
+    /// The members that lack an update, and the newest version that each knows. Forgets members that are gone.
+    pub(crate) fn take_members_to_update(
         &mut self,
         now: Micros,
         state: &ReplicatedState,
-        members: &[String],
+        known_members: &[String],
         settings: &Settings,
     ) -> Vec<(String, Version)> {
-        let (in_force, newest) = (state.in_force(), state.newest());
-        for name in members {
-            if !self.seen.contains_key(name) {
-                // Not heard yet: told at once, and counted as there only when heard.
-                self.seen.insert(name.clone(), MemberProgress { heard: now, ..MemberProgress::default() });
+        for name in known_members {
+            if !self.members.contains_key(name) {
+                self.members.insert(name.clone(), MemberProgress::unheard(now));
             }
         }
-        self.seen.retain(|_, seen| {
-            let lately = now.saturating_sub(seen.heard) < RECENT_WINDOW.max(settings.lease_expiry_wait());
-            seen.granted.retain(|_, at| now.saturating_sub(*at) < settings.lease_expiry_wait());
-            lately || !seen.granted.is_empty()
+        self.members.retain(|_, member| {
+            member.forget_expired_grants(now, settings);
+            member.is_relevant(now, settings)
         });
-        let mut tell = Vec::new();
-        for (name, seen) in &mut self.seen {
-            let knows = seen.newest >= newest && seen.in_force >= in_force;
-            let heard = now.saturating_sub(seen.heard) < RECENT_WINDOW;
-            if !knows
-                && heard
-                && (seen.told == 0 || now.saturating_sub(seen.told) >= settings.max_round_trip / 2)
-            {
-                seen.told = now.max(1);
-                tell.push((name.clone(), seen.newest));
+        let (in_force, newest) = (state.in_force(), state.newest());
+        let mut outdated = Vec::new();
+        for (name, member) in &mut self.members {
+            if member.needs_update(now, in_force, newest, settings) {
+                member.record_update(now);
+                outdated.push((name.clone(), member.newest()));
             }
         }
-        tell
+        outdated
     }
 
-    /// Whether most members say that this leader's clock is off: how, seen from here; once a lease.
-    pub fn distrusted(&mut self, now: Micros, settings: &Settings) -> Option<ClockDrift> {
-        let lately = || self.seen.values().filter(|seen| now.saturating_sub(seen.heard) < RECENT_WINDOW);
-        let doubting: Vec<ClockDrift> = lately().filter_map(|seen| seen.drift).collect();
-        // The leader itself is among those heard, and never doubts itself.
-        let others = lately().count().saturating_sub(1);
-        let again = self.distrusted.is_none_or(|at| now.saturating_sub(at) > settings.lease_expiry_wait());
-        if others < 2 || 2 * doubting.len() <= others || !again {
+    /// The drift of the leader's own clock, if most members report that it differs from theirs; once in a while.
+    pub(crate) fn take_own_drift(&mut self, now: Micros, settings: &Settings) -> Option<ClockDrift> {
+        let recent = self.members.values().filter(|member| member.is_recent(now));
+        let reports: Vec<Option<ClockDrift>> = recent.map(MemberProgress::drift).collect();
+        let drifts: Vec<ClockDrift> = reports.iter().copied().flatten().collect();
+        // The leader itself is among them, and never reports a drift.
+        let witnesses = reports.len().saturating_sub(1);
+        let is_majority = witnesses >= MIN_CLOCK_WITNESSES && 2 * drifts.len() > witnesses;
+        if !is_majority || !is_due(self.drift_reported_at, now, settings) {
             return None;
         }
-        self.distrusted = Some(now);
-        let least = doubting.iter().map(|drift| drift.min_ppm).min().unwrap_or(0);
-        let fast = doubting.iter().filter(|drift| !drift.is_fast).count() * 2 > doubting.len();
-        Some(ClockDrift { is_fast: fast, min_ppm: least })
+        self.drift_reported_at = Some(now);
+        let min_ppm = drifts.iter().map(|drift| drift.min_ppm).min().unwrap_or(0);
+        // Their clocks are slow against the leader's: its own is fast.
+        let slow_members = drifts.iter().filter(|drift| !drift.is_fast).count();
+        Some(ClockDrift { is_fast: slow_members * 2 > drifts.len(), min_ppm })
     }
 }
+
+/// Whether something last done at this instant is to be done again.
+fn is_due(last: Option<Micros>, now: Micros, settings: &Settings) -> bool {
+    last.is_none_or(|last| now.saturating_sub(last) > settings.lease_expiry_wait())
+}
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -1,10 +1,13 @@
-//! What one member holds and may act on.
+//! The versions that one member knows, its lease, and the rules that follow for a decision.
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::{DecisionBasis, Micros, Rules, Version, VersionedDocument};
+use crate::decision_conflict::DecisionBasis;
+use crate::rules::Rules;
+use crate::time::Micros;
+use crate::versioned_document::{Version, VersionedDocument};
 
-/// What a decision is to act on.
+/// The rules that a decision is to follow.
 #[derive(Debug)]
 pub enum EffectiveRules<'a, R> {
     /// The version in force.
@@ -22,121 +25,129 @@
     }
 }
 
-/// The versions that may be in force as far as a member knows, and its lease: while that lives, none later than
-/// the newest held here is in force, and none earlier than the first. Cheap to clone, for a snapshot that
-/// another thread reads.
+/// The versions that may be in force as far as a member knows, and its lease. While the lease holds, no version
+/// later than the newest known here is in force, and none earlier than the first. Changed only by the member's
+/// [`crate::Node`]; cheap to clone, as a snapshot for another thread.
 #[derive(Clone, Debug)]
 pub struct LeasedRules<R> {
-    /// From the one known to be in force to the newest, and their bytes' rules.
-    chain: BTreeMap<Version, Arc<R>>,
-    /// What all of them allow, worked out ahead: the decision only looks.
-    joint: Arc<R>,
+    /// From the version known to be in force to the newest; never empty.
+    versions: BTreeMap<Version, Arc<R>>,
+    /// What all of them allow, computed when they change so that a decision only reads it.
+    intersection: Arc<R>,
     /// What may be acted on without a lease.
-    unheard: Arc<R>,
-    /// The lease's end.
-    until: Micros,
-    /// The clock was proved to be off: the lease's end says nothing.
-    doubted: bool,
-    /// Taken away only to show that the checkers notice.
-    looks: bool,
+    without_lease: Arc<R>,
+    lease_expires_at: Micros,
+    /// The clock was proved to drift beyond its bound, so that the expiry says nothing.
+    is_clock_suspect: bool,
+    /// False only in tests that show that the checkers notice a missing check.
+    checks_lease: bool,
 }
 
 impl<R: Rules> LeasedRules<R> {
-    /// A member that knows only its own configuration, and has no lease.
-    pub(crate) fn new(own: R) -> LeasedRules<R> {
-        let unheard = Arc::new(own.without_lease());
-        let own = Arc::new(own);
-        let chain = BTreeMap::from([(Version::default(), own.clone())]);
-        LeasedRules { chain, joint: own, unheard, until: 0, doubted: false, looks: true }
+    /// For a member that knows only its own configuration, and has no lease.
+    pub(crate) fn new(initial: R) -> LeasedRules<R> {
+        let without_lease = Arc::new(initial.without_lease());
+        let initial = Arc::new(initial);
+        LeasedRules {
+            versions: BTreeMap::from([(Version::default(), initial.clone())]),
+            intersection: initial,
+            without_lease,
+            lease_expires_at: 0,
+            is_clock_suspect: false,
+            checks_lease: true,
+        }
     }
 
-    /// What a decision at this instant is to act on. It looks at the lease itself: a process that was stopped
-    /// and wakes asks here before any timer of its own has run.
+    /// The rules for a decision at this instant. Checks the lease itself: a process that was stopped and resumes
+    /// calls this before any of its timers has run.
     pub fn effective_rules(&self, now: Micros) -> EffectiveRules<'_, R> {
-        if self.looks && !self.has_lease(now) {
-            EffectiveRules::Restricted(&self.unheard)
-        } else if self.chain.len() > 1 {
-            EffectiveRules::Restricted(&self.joint)
+        if self.checks_lease && !self.has_lease(now) {
+            EffectiveRules::Restricted(&self.without_lease)
+        } else if self.versions.len() > 1 {
+            EffectiveRules::Restricted(&self.intersection)
         } else {
-            EffectiveRules::InForce(&self.joint)
+            EffectiveRules::InForce(&self.intersection)
         }
     }
 
-    /// By what that is, for records and checkers.
+    /// What [`LeasedRules::effective_rules`] rests on at this instant, for event logs and checkers.
     pub fn basis(&self, now: Micros) -> DecisionBasis {
-        let heard = self.has_lease(now) || !self.looks;
-        if heard && self.chain.len() == 1 {
+        let has_lease = self.has_lease(now) || !self.checks_lease;
+        if has_lease && self.versions.len() == 1 {
             return DecisionBasis::InForce(self.in_force());
         }
-        DecisionBasis::Restricted { in_force: self.in_force(), newest: self.newest(), has_lease: heard }
+        DecisionBasis::Restricted { in_force: self.in_force(), newest: self.newest(), has_lease }
     }
 
-    /// Whether the lease lives.
+    /// Whether the lease holds at this instant.
     pub fn has_lease(&self, now: Micros) -> bool {
-        now < self.until && !self.doubted
+        now < self.lease_expires_at && !self.is_clock_suspect
     }
 
-    /// The version that was in force last, as far as is known.
+    /// The version last known to be in force.
     pub fn in_force(&self) -> Version {
-        self.chain.first_key_value().map_or(Version::default(), |(version, _)| *version)
+        self.versions.first_key_value().map_or(Version::default(), |(version, _)| *version)
     }
 
-    /// The newest that was ordered, as far as is known.
+    /// The newest committed version known.
     pub fn newest(&self) -> Version {
-        self.chain.last_key_value().map_or(Version::default(), |(version, _)| *version)
+        self.versions.last_key_value().map_or(Version::default(), |(version, _)| *version)
     }
 
-    /// Takes what the leader says is so: the versions from the one in force to the newest, and the documents
-    /// of some. False if one is missing or broken: then nothing was learned, and no lease may rest on it.
-    pub(crate) fn learn(&mut self, versions: &[Version], documents: &[VersionedDocument]) -> bool {
+    /// Takes the leader's versions, from the one in force to the newest, and the documents of some of them.
+    ///
+    /// Returns whether all of them are known now. If a document is missing or damaged, nothing changes and no lease
+    /// may be based on this update.
+    pub(crate) fn apply_update(&mut self, versions: &[Version], documents: &[VersionedDocument]) -> bool {
         let (Some(&first), Some(&last)) = (versions.first(), versions.last()) else { return false };
-        if last < self.in_force() || (first <= self.in_force() && last <= self.newest()) {
-            // Old news; it is known already.
-            return self.chain.contains_key(&last) || last < self.in_force();
+        if self.is_outdated(first, last) {
+            return self.versions.contains_key(&last) || last < self.in_force();
         }
-        let mut chain = self.chain.clone();
+        let mut known = self.versions.clone();
         for document in documents {
-            if chain.contains_key(&document.version) || !document.has_valid_digest() {
+            if known.contains_key(&document.version) || !document.has_valid_digest() {
                 continue;
             }
             let Ok(rules) = postcard::from_bytes::<R>(&document.bytes) else { continue };
-            chain.insert(document.version, Arc::new(rules));
+            known.insert(document.version, Arc::new(rules));
         }
         let first = first.max(self.in_force());
-        if versions.iter().any(|version| *version >= first && !chain.contains_key(version)) {
+        if versions.iter().any(|version| *version >= first && !known.contains_key(version)) {
             return false;
         }
-        chain.retain(|version, _| *version >= first);
-        self.chain = chain;
-        self.join();
+        known.retain(|version, _| *version >= first);
+        self.versions = known;
+        self.update_restrictions();
         true
     }
 
-    fn join(&mut self) {
-        let mut all = self.chain.values();
-        let Some(first) = all.next() else { return };
-        let rest: Vec<_> = all.collect();
-        if rest.is_empty() {
-            self.joint = first.clone();
-        } else {
-            let joint = rest.iter().fold((**first).clone(), |joint, next| joint.intersection(next));
-            self.joint = Arc::new(joint);
-        }
-        self.unheard = Arc::new(self.joint.without_lease());
+    /// Whether an update from `first` to `last` says nothing new.
+    fn is_outdated(&self, first: Version, last: Version) -> bool {
+        last < self.in_force() || (first <= self.in_force() && last <= self.newest())
+    }
+
+    fn update_restrictions(&mut self) {
+        let mut versions = self.versions.values();
+        let Some(first) = versions.next() else { return };
+        self.intersection = match versions.len() {
+            0 => first.clone(),
+            _ => Arc::new(versions.fold((**first).clone(), |rules, next| rules.intersection(next))),
+        };
+        self.without_lease = Arc::new(self.intersection.without_lease());
     }
 
-    /// The lease lives until then at least.
-    pub(crate) fn extend(&mut self, until: Micros) {
-        self.until = self.until.max(until);
+    /// Extends the lease to this instant; never shortens it.
+    pub(crate) fn extend_lease(&mut self, expires_at: Micros) {
+        self.lease_expires_at = self.lease_expires_at.max(expires_at);
     }
 
-    /// The clock was proved off, or was cleared.
-    pub(crate) fn doubt(&mut self, doubted: bool) {
-        self.doubted = doubted;
+    /// Records whether the clock is proved to drift beyond its bound.
+    pub(crate) fn set_clock_suspect(&mut self, is_suspect: bool) {
+        self.is_clock_suspect = is_suspect;
     }
 
-    /// Takes the look at the lease out, to show that a checker notices.
-    pub(crate) fn blind(&mut self) {
-        self.looks = false;
+    /// Removes the check of the lease, to show that a checker notices.
+    pub(crate) fn disable_lease_check(&mut self) {
+        self.checks_lease = false;
     }
 }
--- /dev/null
+++ b/crates/consensus/src/member_progress.rs
@@ -0,0 +1,102 @@
+//! What the leader knows of one member: the versions that it knows, and the leases that it may hold.
+use std::collections::BTreeMap;
+
+use crate::clock_comparison::ClockDrift;
+use crate::packet::LeaseRequest;
+use crate::settings::Settings;
+use crate::time::{Micros, SECOND};
+use crate::versioned_document::Version;
+
+/// Members that were heard from within this span are sent updates, and count when clocks are compared.
+const RECENT_WINDOW: Micros = 5 * SECOND;
+
+/// One member's progress, in one leader's term.
+#[derive(Default)]
+pub(crate) struct MemberProgress {
+    session: u64,
+    last_heard: Micros,
+    in_force: Version,
+    newest: Version,
+    drift: Option<ClockDrift>,
+    /// When it was last granted a lease while each version was the newest.
+    granted_at: BTreeMap<Version, Micros>,
+    /// When it was last sent an update; 0 for never.
+    last_update: Micros,
+}
+
+impl MemberProgress {
+    /// A member that is known by membership only: counts as heard now.
+    pub(crate) fn unheard(now: Micros) -> MemberProgress {
+        MemberProgress { last_heard: now, ..MemberProgress::default() }
+    }
+
+    pub(crate) fn record_request(&mut self, now: Micros, request: &LeaseRequest) {
+        if self.session == request.session {
+            self.in_force = self.in_force.max(request.in_force);
+            self.newest = self.newest.max(request.newest);
+        } else {
+            // Another process: what the one before knew is lost, and its leases are too. Keeping its grants only
+            // delays an activation.
+            self.session = request.session;
+            (self.in_force, self.newest) = (request.in_force, request.newest);
+        }
+        (self.last_heard, self.drift) = (now, request.drift);
+    }
+
+    pub(crate) fn record_grant(&mut self, now: Micros, newest: Version, settings: &Settings) {
+        self.granted_at.insert(newest, now);
+        self.forget_expired_grants(now, settings);
+    }
+
+    pub(crate) fn forget_expired_grants(&mut self, now: Micros, settings: &Settings) {
+        self.granted_at.retain(|_, granted_at| may_be_leased(now, *granted_at, settings));
+    }
+
+    /// Whether it knows the version, or has lost every lease that it was granted without it.
+    pub(crate) fn allows_activation(&self, version: Version, now: Micros, settings: &Settings) -> bool {
+        let mut earlier = self.granted_at.iter().filter(|(newest, _)| **newest < version);
+        self.newest >= version || !earlier.any(|(_, granted_at)| may_be_leased(now, *granted_at, settings))
+    }
+
+    pub(crate) fn is_recent(&self, now: Micros) -> bool {
+        now.saturating_sub(self.last_heard) < RECENT_WINDOW
+    }
+
+    /// Whether the leader must still remember it: heard lately, or it may hold a lease.
+    pub(crate) fn is_relevant(&self, now: Micros, settings: &Settings) -> bool {
+        let is_heard = now.saturating_sub(self.last_heard) < RECENT_WINDOW.max(settings.lease_expiry_wait());
+        is_heard || !self.granted_at.is_empty()
+    }
+
+    /// Whether to send it an update of these versions now; at most two in a round trip.
+    pub(crate) fn needs_update(
+        &self,
+        now: Micros,
+        in_force: Version,
+        newest: Version,
+        settings: &Settings,
+    ) -> bool {
+        let is_up_to_date = self.newest >= newest && self.in_force >= in_force;
+        let is_due =
+            self.last_update == 0 || now.saturating_sub(self.last_update) >= settings.max_round_trip / 2;
+        !is_up_to_date && self.is_recent(now) && is_due
+    }
+
+    pub(crate) fn record_update(&mut self, now: Micros) {
+        self.last_update = now.max(1);
+    }
+
+    pub(crate) fn newest(&self) -> Version {
+        self.newest
+    }
+
+    /// What it has proved of its clock against the leader's.
+    pub(crate) fn drift(&self) -> Option<ClockDrift> {
+        self.drift
+    }
+}
+
+/// Whether a lease that was granted at this instant may still hold by some clock within the bound.
+fn may_be_leased(now: Micros, granted_at: Micros, settings: &Settings) -> bool {
+    now.saturating_sub(granted_at) < settings.lease_expiry_wait()
+}
--- /dev/null
+++ b/crates/consensus/src/node/leader_duties.rs
@@ -0,0 +1,114 @@
+//! What the leader does besides replication: confirms its leadership, grants leases, activates and announces
+//! versions, and checks its own clock.
+use super::Node;
+use super::role::Role;
+use crate::effect::Effect;
+use crate::packet::{LeaseGrant, Packet, VersionUpdate};
+use crate::quorum_reads::PendingLease;
+use crate::replicated_state::{Command, ReplicatedState};
+use crate::rules::Rules;
+use crate::time::Micros;
+use crate::versioned_document::Version;
+
+impl<R: Rules> Node<R> {
+    pub(super) fn run_leader_duties(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        let (Some(leader), Role::Voting(voter)) = (&mut self.leader, &mut self.role) else { return };
+        // A leader that has not applied the log from before would take the state for empty, and start an epoch.
+        if !voter.has_applied_own_term() {
+            return;
+        }
+        if let Some(read_id) = leader.start_quorum_read(now, &self.settings) {
+            voter.request_quorum_read(read_id);
+        }
+        let applied_index = voter.applied_index();
+        let mut commands = Vec::new();
+        if self.state.newest() == Version::default() {
+            commands.extend(self.first_epoch(now));
+        } else {
+            let grants = self.grant_leases(now, applied_index, effects);
+            commands.extend(self.epoch_after_lost_storage(now, &grants));
+            commands.extend(self.next_activation(now));
+            self.send_updates(now, effects);
+            self.check_own_clock(now, effects);
+        }
+        for command in commands {
+            self.append_command(&command);
+        }
+    }
+
+    /// The start of the first epoch, with this member's own rules.
+    fn first_epoch(&mut self, now: Micros) -> Option<Command> {
+        let leader = self.leader.as_mut()?;
+        leader.try_start_epoch(now, &self.settings).then(|| Command::StartEpoch {
+            epoch: self.max_generation.max(1),
+            bytes: self.initial_rules.clone(),
+        })
+    }
+
+    /// The start of an epoch that is later than one that a member knows. Such a member knows an epoch from before all
+    /// voters lost their storage, whose number came from a clock that ran ahead.
+    fn epoch_after_lost_storage(
+        &mut self,
+        now: Micros,
+        grants: &[(String, PendingLease)],
+    ) -> Option<Command> {
+        let newest_epoch = self.state.newest().epoch;
+        let (_, lease) = grants.iter().find(|(_, lease)| lease.newest.epoch > newest_epoch)?;
+        let epoch = lease.newest.epoch.saturating_add(1);
+        let leader = self.leader.as_mut()?;
+        leader.try_start_epoch(now, &self.settings).then(|| Command::StartEpoch { epoch, bytes: Vec::new() })
+    }
+
+    fn grant_leases(
+        &mut self,
+        now: Micros,
+        applied_index: u64,
+        effects: &mut Vec<Effect>,
+    ) -> Vec<(String, PendingLease)> {
+        let Some(leader) = &mut self.leader else { return Vec::new() };
+        let term = leader.term();
+        let grants = leader.grant_leases(now, applied_index, self.state.newest(), &self.settings);
+        for (name, lease) in &grants {
+            let grant = LeaseGrant {
+                session: lease.session,
+                sent_at: lease.sent_at,
+                term,
+                leader_time: now,
+                update: version_update(&self.state, lease.newest),
+            };
+            self.send_to_member(name, Packet::LeaseGrant(grant), effects);
+        }
+        grants
+    }
+
+    fn next_activation(&mut self, now: Micros) -> Option<Command> {
+        let leader = self.leader.as_mut()?;
+        leader.next_activation(now, &self.state, &self.settings).map(Command::Activate)
+    }
+
+    fn send_updates(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        let Some(leader) = &mut self.leader else { return };
+        let outdated = leader.take_members_to_update(now, &self.state, &self.members, &self.settings);
+        for (name, known) in outdated {
+            let update = version_update(&self.state, known);
+            self.send_to_member(&name, Packet::VersionUpdate(update), effects);
+        }
+    }
+
+    /// Transfers the leadership if most members report that this leader's clock drifts.
+    fn check_own_clock(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        let (Some(leader), Role::Voting(voter)) = (&mut self.leader, &mut self.role) else { return };
+        if let Some(drift) = leader.take_own_drift(now, &self.settings) {
+            effects.push(Effect::ClockDriftDetected(drift));
+            voter.transfer_leadership(self.voter_id % self.settings.voter_count() + 1);
+        }
+    }
+}
+
+/// The committed versions, for a member that knows those up to `known`.
+fn version_update(state: &ReplicatedState, known: Version) -> VersionUpdate {
+    VersionUpdate {
+        versions: state.documents().map(|document| document.version).collect(),
+        documents: state.documents().filter(|document| document.version > known).cloned().collect(),
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/node/lease_client.rs
@@ -0,0 +1,214 @@
+//! Requests a lease, and takes grants and updates of the versions.
+use super::Node;
+use crate::clock_comparison::ClockComparison;
+use crate::effect::Effect;
+use crate::packet::{LeaseGrant, LeaseRequest, Packet, VersionUpdate};
+use crate::rules::Rules;
+use crate::time::Micros;
+use crate::versioned_document::Version;
+
+/// Requests without an answer after which another voter is asked.
+const MAX_UNANSWERED_REQUESTS: u32 = 2;
+
+/// A leader in one of its terms.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct LeaderTerm {
+    leader_id: u64,
+    term: u64,
+}
+
+/// A member's side of its lease. Owned by its [`Node`].
+pub(super) struct LeaseClient {
+    /// The voter to which requests and proposals go: the leader as far as is known.
+    target_voter: u64,
+    unanswered_requests: u32,
+    next_request_at: Micros,
+    /// Compares with the clock of the leader that granted last.
+    clock: ClockComparison,
+    granted_by: LeaderTerm,
+    is_clock_suspect: bool,
+    /// Whether [`Effect::LeaseExpired`] was reported last.
+    is_expiry_reported: bool,
+}
+
+impl LeaseClient {
+    pub(super) fn new(target_voter: u64) -> LeaseClient {
+        LeaseClient {
+            target_voter,
+            unanswered_requests: 0,
+            next_request_at: 0,
+            clock: ClockComparison::default(),
+            granted_by: LeaderTerm::default(),
+            is_clock_suspect: false,
+            is_expiry_reported: false,
+        }
+    }
+
+    pub(super) fn target_voter(&self) -> u64 {
+        self.target_voter
+    }
+
+    /// Directs requests to a voter that is known to lead or to know the leader.
+    fn set_target(&mut self, voter_id: u64) {
+        self.target_voter = voter_id;
+        self.unanswered_requests = 0;
+    }
+}
+
+impl<R: Rules> Node<R> {
+    /// Reports that the lease expired or holds again, once for each change.
+    pub(super) fn report_lease_expiry(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        let is_reported = self.lease.is_expiry_reported;
+        let had_lease = self.leased_rules.newest() > Version::default() || is_reported;
+        let is_expired = had_lease && !self.leased_rules.has_lease(now);
+        if is_expired != is_reported {
+            self.lease.is_expiry_reported = is_expired;
+            effects.push(if is_expired { Effect::LeaseExpired } else { Effect::LeaseRestored });
+        }
+    }
+
+    pub(super) fn renew_lease_if_due(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        if now >= self.lease.next_request_at {
+            self.lease.unanswered_requests += 1;
+            self.request_lease(now, effects);
+        }
+    }
+
+    /// Requests the lease from the leader, or from a voter that may know it.
+    fn request_lease(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        // What Raft knows here comes first; else, after some silence, the next voter is asked.
+        let leader_id = self.role.leader_id();
+        if leader_id != 0 {
+            self.lease.target_voter = leader_id;
+        } else if self.lease.unanswered_requests > MAX_UNANSWERED_REQUESTS {
+            let next_voter = self.lease.target_voter % self.settings.voter_count() + 1;
+            self.lease.set_target(next_voter);
+        }
+        self.lease.next_request_at = now.saturating_add(self.settings.retry_interval());
+        let request = LeaseRequest {
+            session: self.session,
+            sent_at: now,
+            in_force: self.leased_rules.in_force(),
+            newest: self.leased_rules.newest(),
+            drift: self.lease.clock.drift(),
+        };
+        self.send_to_voter(self.lease.target_voter, Packet::LeaseRequest(request), effects);
+    }
+
+    /// The leader collects the request for a quorum read; another voter answers with the leader that it knows.
+    pub(super) fn on_lease_request(
+        &mut self,
+        now: Micros,
+        from: &str,
+        request: &LeaseRequest,
+        effects: &mut Vec<Effect>,
+    ) {
+        if let Some(leader) = &mut self.leader {
+            leader.record_lease_request(now, from, request);
+            return;
+        }
+        let leader_id = self.role.leader_id();
+        if leader_id != 0 && from != self.identity.name {
+            let hint = Packet::LeaderHint { session: request.session, leader_id };
+            self.send_to_member(from, hint, effects);
+        }
+    }
+
+    /// Takes a lease, which counts from when it was requested.
+    pub(super) fn on_lease_grant(
+        &mut self,
+        now: Micros,
+        leader_id: u64,
+        grant: LeaseGrant,
+        effects: &mut Vec<Effect>,
+    ) {
+        let LeaseGrant { session, sent_at, term, leader_time, update } = grant;
+        // From an earlier process, too late, or from a leader that another has replaced.
+        let is_late = sent_at > now || now - sent_at > self.settings.max_round_trip;
+        if session != self.session || is_late || term < self.lease.granted_by.term {
+            return;
+        }
+        self.compare_clocks(now, LeaderTerm { leader_id, term }, sent_at, leader_time, effects);
+        if !self.apply_update(&update, effects) {
+            return;
+        }
+        self.lease.set_target(leader_id);
+        self.lease.next_request_at = sent_at.saturating_add(self.settings.renewal_interval()).max(now);
+        self.leased_rules.extend_lease(sent_at.saturating_add(self.settings.lease_duration));
+        if self.lease.is_expiry_reported && self.leased_rules.has_lease(now) {
+            self.lease.is_expiry_reported = false;
+            effects.push(Effect::LeaseRestored);
+        }
+    }
+
+    /// Compares the own clock with the leader's, and reports when the proof of a drift begins or ends.
+    fn compare_clocks(
+        &mut self,
+        now: Micros,
+        leader: LeaderTerm,
+        sent_at: Micros,
+        leader_time: Micros,
+        effects: &mut Vec<Effect>,
+    ) {
+        let lease = &mut self.lease;
+        if lease.granted_by != leader {
+            lease.granted_by = leader;
+            lease.clock = ClockComparison::default();
+        }
+        if let Some(drift) = lease.clock.record_sample(&self.settings, sent_at, now, leader_time) {
+            if !lease.is_clock_suspect {
+                lease.is_clock_suspect = true;
+                effects.push(Effect::ClockDriftDetected(drift));
+            }
+        } else if lease.is_clock_suspect && lease.clock.is_cleared(now) {
+            lease.is_clock_suspect = false;
+            effects.push(Effect::ClockDriftCleared);
+        }
+        self.leased_rules.set_clock_suspect(lease.is_clock_suspect);
+    }
+
+    /// Takes an update without a lease, and reports by a new request that it is known.
+    pub(super) fn on_version_update(
+        &mut self,
+        now: Micros,
+        voter_id: u64,
+        update: &VersionUpdate,
+        effects: &mut Vec<Effect>,
+    ) {
+        let before = (self.leased_rules.in_force(), self.leased_rules.newest());
+        if self.apply_update(update, effects) {
+            self.lease.target_voter = voter_id;
+        }
+        if before != (self.leased_rules.in_force(), self.leased_rules.newest()) {
+            self.request_lease(now, effects);
+        }
+    }
+
+    /// Asks the voter that another voter takes for the leader.
+    pub(super) fn on_leader_hint(
+        &mut self,
+        now: Micros,
+        session: u64,
+        leader_id: u64,
+        effects: &mut Vec<Effect>,
+    ) {
+        let is_voter = (1..=self.settings.voter_count()).contains(&leader_id);
+        if session == self.session && is_voter && leader_id != self.lease.target_voter {
+            self.lease.set_target(leader_id);
+            self.request_lease(now, effects);
+        }
+    }
+
+    /// Takes the leader's versions; returns whether all of them are known now.
+    fn apply_update(&mut self, update: &VersionUpdate, effects: &mut Vec<Effect>) -> bool {
+        let (in_force, newest) = (self.leased_rules.in_force(), self.leased_rules.newest());
+        let is_known = self.leased_rules.apply_update(&update.versions, &update.documents);
+        if self.leased_rules.newest() > newest {
+            effects.push(Effect::VersionCommitted(self.leased_rules.newest()));
+        }
+        if self.leased_rules.in_force() > in_force {
+            effects.push(Effect::VersionInForce(self.leased_rules.in_force()));
+        }
+        is_known
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/node/rejoin.rs
@@ -0,0 +1,131 @@
+//! How a voter without storage takes part again.
+//!
+//! It may have voted in the current term and does not remember it. So it votes only after it has stored a state that
+//! a leader committed after its request; or, if no voter has any storage, after all earlier leases have expired.
+use std::collections::BTreeMap;
+
+use super::Node;
+use super::role::Role;
+use crate::effect::Effect;
+use crate::packet::Packet;
+use crate::raft_voter::RaftVoter;
+use crate::replicated_state::{Command, ReplicatedState};
+use crate::rules::Rules;
+use crate::storage::{Snapshot, StorageWrite, StoredState, TermVote};
+use crate::time::Micros;
+
+/// The requests of a voter without storage.
+pub(super) struct Rejoin {
+    nonce: u64,
+    /// When the first request was sent; 0 for not yet.
+    started_at: Micros,
+    /// When the last request was sent; 0 for not yet.
+    requested_at: Micros,
+    /// The generations of the voters that have no storage either, by voter.
+    empty_voters: BTreeMap<u64, u64>,
+}
+
+impl Rejoin {
+    pub(super) fn new(nonce: u64) -> Rejoin {
+        Rejoin { nonce, started_at: 0, requested_at: 0, empty_voters: BTreeMap::new() }
+    }
+}
+
+impl<R: Rules> Node<R> {
+    /// Asks the other voters for the state, and begins without one once all report that they have none.
+    pub(super) fn request_rejoin(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        let voter_count = self.settings.voter_count();
+        let Role::Rejoining(rejoin) = &mut self.role else { return };
+        if rejoin.started_at == 0 {
+            rejoin.started_at = now.max(1);
+        }
+        let are_all_empty = rejoin.empty_voters.len() as u64 == voter_count - 1;
+        // Leases that were granted before the storage was lost have expired by then.
+        if are_all_empty && now.saturating_sub(rejoin.started_at) >= self.settings.lease_expiry_wait() {
+            let generations = rejoin.empty_voters.values().copied();
+            self.max_generation = generations.fold(self.max_generation, u64::max);
+            self.install(StoredState::default(), effects);
+            return;
+        }
+        let since_request = now.saturating_sub(rejoin.requested_at);
+        if rejoin.requested_at != 0 && since_request < self.settings.retry_interval() {
+            return;
+        }
+        rejoin.requested_at = now.max(1);
+        let request = Packet::RejoinRequest { nonce: rejoin.nonce, generation: self.identity.generation };
+        let own_id = self.voter_id;
+        for voter_id in (1..=voter_count).filter(|voter_id| *voter_id != own_id) {
+            self.send_to_voter(voter_id, request.clone(), effects);
+        }
+    }
+
+    /// The leader commits an entry that is later than the request, and answers once that is applied.
+    pub(super) fn on_rejoin_request(
+        &mut self,
+        voter_id: u64,
+        nonce: u64,
+        generation: u64,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.max_generation = self.max_generation.max(generation);
+        match &self.role {
+            Role::Rejoining(_) => {
+                let own_generation = self.identity.generation;
+                let answer = Packet::RejoinEmpty { nonce, generation: own_generation };
+                self.send_to_voter(voter_id, answer, effects);
+            }
+            Role::Voting(_) if self.is_leader() => {
+                self.append_command(&Command::VoterRejoined { voter_id, nonce });
+            }
+            _ => {}
+        }
+    }
+
+    pub(super) fn on_rejoin_empty(&mut self, voter_id: u64, nonce: u64, generation: u64) {
+        if let Role::Rejoining(rejoin) = &mut self.role
+            && nonce == rejoin.nonce
+        {
+            rejoin.empty_voters.insert(voter_id, generation);
+        }
+    }
+
+    pub(super) fn on_rejoin_snapshot(
+        &mut self,
+        nonce: u64,
+        leader_id: u64,
+        snapshot: Snapshot,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Role::Rejoining(rejoin) = &self.role else { return };
+        let is_readable = postcard::from_bytes::<ReplicatedState>(&snapshot.state).is_ok();
+        if nonce == rejoin.nonce && is_readable && snapshot.index > 0 && snapshot.term > 0 {
+            // It may have voted in this term before. The term has this leader, so a vote for it is no second vote.
+            let vote = TermVote { term: snapshot.term, voted_for: leader_id };
+            self.install(StoredState { snapshot: Some(snapshot), entries: Vec::new(), vote }, effects);
+        }
+    }
+
+    /// Stores what this voter begins from, before it takes part.
+    fn install(&mut self, stored: StoredState, effects: &mut Vec<Effect>) {
+        self.last_token += 1;
+        let token = self.last_token;
+        let write =
+            StorageWrite { snapshot: stored.snapshot.clone(), vote: Some(stored.vote), entries: Vec::new() };
+        self.role = Role::Installing { token, stored };
+        effects.push(Effect::Persist { token, write });
+    }
+
+    /// Begins to vote from a state that is durable now.
+    pub(super) fn finish_install(&mut self, stored: &StoredState) {
+        let snapshot = stored.snapshot.as_ref();
+        let state = snapshot
+            .map_or_else(|| Ok(ReplicatedState::default()), |snapshot| postcard::from_bytes(&snapshot.state));
+        let seed = self.rng.u64(..);
+        let voter = RaftVoter::new(self.voter_id, &self.settings, stored, seed, self.last_token);
+        // Both were checked before they were stored.
+        if let (Ok(state), Ok(voter)) = (state, voter) {
+            self.state = state;
+            self.role = Role::Voting(Box::new(voter));
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/node/replication.rs
@@ -0,0 +1,137 @@
+//! Connects Raft with storage, the other voters and the replicated state.
+use super::Node;
+use super::role::Role;
+use crate::effect::Effect;
+use crate::packet::Packet;
+use crate::raft_voter::{OutgoingMessage, PendingWrite, VoterOutput};
+use crate::replicated_state::{Command, ProposalId, StateLimits};
+use crate::rules::Rules;
+use crate::storage::{LogEntry, Snapshot};
+
+/// Who waits for a command to be applied.
+enum CommandOrigin {
+    Proposal(ProposalId),
+    RejoiningVoter { voter_id: u64, nonce: u64 },
+}
+
+impl CommandOrigin {
+    fn of(command: &Command) -> Option<CommandOrigin> {
+        match command {
+            Command::Propose { id, .. } => Some(CommandOrigin::Proposal(id.clone())),
+            Command::VoterRejoined { voter_id, nonce } => {
+                Some(CommandOrigin::RejoiningVoter { voter_id: *voter_id, nonce: *nonce })
+            }
+            Command::StartEpoch { .. } | Command::Activate(_) => None,
+        }
+    }
+}
+
+impl<R: Rules> Node<R> {
+    /// Appends a command to the log, if this member leads.
+    pub(super) fn append_command(&mut self, command: &Command) {
+        if let (Role::Voting(voter), Ok(bytes)) = (&mut self.role, postcard::to_allocvec(command)) {
+            voter.propose(bytes);
+        }
+    }
+
+    /// Takes the confirmation that all writes up to this token are durable.
+    pub(super) fn on_persisted(&mut self, token: u64, effects: &mut Vec<Effect>) {
+        match &mut self.role {
+            Role::Voting(voter) => {
+                let mut output = VoterOutput::default();
+                voter.on_persisted(token, &mut output);
+                self.send_to_voters(output.messages, effects);
+            }
+            Role::Installing { token: awaited, stored } if *awaited <= token => {
+                let stored = std::mem::take(stored);
+                // In case that the state cannot be read after all: then it does not vote.
+                self.role = Role::NonVoter;
+                self.finish_install(&stored);
+            }
+            _ => {}
+        }
+    }
+
+    /// Does what Raft wants.
+    pub(super) fn apply_output(&mut self, output: VoterOutput, effects: &mut Vec<Effect>) {
+        for write in output.writes {
+            self.persist(write, effects);
+        }
+        self.send_to_voters(output.messages, effects);
+        if let Some(Snapshot { state, .. }) = output.installed_snapshot {
+            // The leader that sent it has applied the same.
+            self.state = postcard::from_bytes(&state).unwrap_or_default();
+        }
+        for entry in output.committed_entries {
+            self.apply_entry(&entry, effects);
+        }
+        if let Some(leader) = &mut self.leader {
+            for read in output.confirmed_reads {
+                leader.confirm_quorum_read(read.read_id, read.index);
+            }
+        }
+        self.compact_log(effects);
+    }
+
+    fn persist(&mut self, PendingWrite { token, write }: PendingWrite, effects: &mut Vec<Effect>) {
+        self.last_token = token;
+        effects.push(Effect::Persist { token, write });
+    }
+
+    fn send_to_voters(&mut self, messages: Vec<OutgoingMessage>, effects: &mut Vec<Effect>) {
+        for OutgoingMessage { to, message } in messages {
+            self.send_to_voter(to, Packet::Raft(message), effects);
+        }
+    }
+
+    fn compact_log(&mut self, effects: &mut Vec<Effect>) {
+        let Role::Voting(voter) = &mut self.role else { return };
+        if voter.entries_since_snapshot() >= self.settings.max_log_entries
+            && let Ok(state) = postcard::to_allocvec(&self.state)
+            && let Some(write) = voter.compact(state)
+        {
+            self.persist(write, effects);
+        }
+    }
+
+    /// Applies a committed entry; the leader then answers whoever waits for it.
+    fn apply_entry(&mut self, entry: &LogEntry, effects: &mut Vec<Effect>) {
+        // The entry with which a term begins is empty.
+        let Ok(command) = postcard::from_bytes::<Command>(&entry.data) else { return };
+        let origin = CommandOrigin::of(&command);
+        let limits = StateLimits {
+            max_pending_versions: self.settings.max_pending_versions,
+            max_document_bytes: self.settings.max_document_bytes,
+        };
+        self.state.apply(command, limits);
+        let Some(leader) = &self.leader else { return };
+        match origin {
+            Some(CommandOrigin::Proposal(id)) => self.send_proposal_result(id, effects),
+            // Only of the own term: then a quorum without that voter has taken this entry from this leader.
+            Some(CommandOrigin::RejoiningVoter { voter_id, nonce }) if leader.term() == entry.term => {
+                self.send_rejoin_snapshot(voter_id, nonce, entry, effects);
+            }
+            _ => {}
+        }
+    }
+
+    fn send_proposal_result(&mut self, id: ProposalId, effects: &mut Vec<Effect>) {
+        if let Some(outcome) = self.state.outcome(&id) {
+            let member = id.member.clone();
+            self.send_to_member(&member, Packet::ProposalResult { id, outcome }, effects);
+        }
+    }
+
+    fn send_rejoin_snapshot(
+        &mut self,
+        voter_id: u64,
+        nonce: u64,
+        entry: &LogEntry,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Ok(state) = postcard::to_allocvec(&self.state) else { return };
+        let snapshot = Snapshot { index: entry.index, term: entry.term, state, replaces_log: true };
+        let answer = Packet::RejoinSnapshot { nonce, leader_id: self.voter_id, snapshot };
+        self.send_to_voter(voter_id, answer, effects);
+    }
+}
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -1,176 +1,109 @@
-//! What members send each other, as postcard writes it after a byte for the form's version.
-use raft::eraftpb::{self, MessageType};
+//! The messages between members: postcard after a byte for the format's version. Their bytes depend on the order of
+//! variants and fields.
 use serde::{Deserialize, Serialize};
 
-use crate::storage::{as_raft, entry_as_raft, entry_from_raft, from_raft};
-use crate::{
-    ClockDrift, LogEntry, Micros, ProposalId, ProposalOutcome, Snapshot, Version, VersionedDocument,
-};
+use crate::clock_comparison::ClockDrift;
+use crate::raft_message::RaftMessage;
+use crate::replicated_state::{ProposalId, ProposalOutcome};
+use crate::storage::Snapshot;
+use crate::time::Micros;
+use crate::versioned_document::{Version, VersionedDocument};
 
 const PACKET_FORMAT_VERSION: u8 = 1;
-/// Most bytes of a message: a snapshot of nine documents of 1 MiB fits.
+/// Size limit of a message: a snapshot of nine documents of 1 MiB fits.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// What is so by the log, whoever says it.
+/// The committed versions, as the leader has applied them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VersionUpdate {
     /// From the one in force to the newest.
-    pub versions: Vec<Version>,
-    /// Those that the other may lack.
-    pub documents: Vec<VersionedDocument>,
+    pub(crate) versions: Vec<Version>,
+    /// Those that the recipient may lack.
+    pub(crate) documents: Vec<VersionedDocument>,
 }
 
+/// A member requests a lease, and reports what it knows.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct LeaseRequest {
+    /// A random number of this start of its process.
+    pub(crate) session: u64,
+    /// By its own clock.
+    pub(crate) sent_at: Micros,
+    pub(crate) in_force: Version,
+    pub(crate) newest: Version,
+    /// What it has proved of its clock against the leader's.
+    pub(crate) drift: Option<ClockDrift>,
+}
+
+/// The leader grants a lease, after a quorum has confirmed that it leads since it got the request.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct LeaseGrant {
+    pub(crate) session: u64,
+    /// Copied from the request: the lease begins there.
+    pub(crate) sent_at: Micros,
+    pub(crate) term: u64,
+    /// The instant of the grant by the leader's clock.
+    pub(crate) leader_time: Micros,
+    pub(crate) update: VersionUpdate,
+}
+
+/// A proposal on its way to the leader.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct Proposal {
+    pub(crate) id: ProposalId,
+    pub(crate) base_version: Version,
+    pub(crate) bytes: Vec<u8>,
+}
+
+/// One message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Packet {
     /// Between voters.
-    Raft(Raft),
-    /// A member asks for its lease, and says what it knows.
-    Renew {
-        session: u64,
-        sent: Micros,
-        in_force: Version,
-        newest: Version,
-        drift: Option<ClockDrift>,
-    },
-    /// The leader grants it, confirmed by a majority after the question came.
-    Grant {
-        session: u64,
-        sent: Micros,
-        term: u64,
-        there: Micros,
-        facts: VersionUpdate,
-    },
-    /// What changed; no lease.
-    News {
-        facts: VersionUpdate,
-    },
-    /// Who leads, as far as the asked knows; by number.
-    Leader {
+    Raft(RaftMessage),
+    LeaseRequest(LeaseRequest),
+    LeaseGrant(LeaseGrant),
+    /// What changed, without a lease.
+    VersionUpdate(VersionUpdate),
+    /// The answer of a voter that does not lead to a lease request: which voter leads, as far as it knows.
+    LeaderHint {
         session: u64,
-        voter: u64,
+        leader_id: u64,
     },
-    Propose {
-        id: ProposalId,
-        made_from: Version,
-        bytes: Vec<u8>,
-    },
-    Answered {
+    Proposal(Proposal),
+    ProposalResult {
         id: ProposalId,
         outcome: ProposalOutcome,
     },
-    /// A voter without memory asks the others.
-    Ask {
+    /// A voter without storage asks the others for the state.
+    RejoinRequest {
         nonce: u64,
         generation: u64,
     },
-    /// Another has none either.
-    Empty {
+    /// The answer of a voter that has no storage either.
+    RejoinEmpty {
         nonce: u64,
         generation: u64,
     },
-    /// What was committed after the question.
-    Caught {
+    /// The leader's answer: the state with a commit that is later than the request.
+    RejoinSnapshot {
         nonce: u64,
-        leader: u64,
+        leader_id: u64,
         snapshot: Snapshot,
     },
 }
 
 impl Packet {
-    pub fn write(&self) -> Vec<u8> {
-        // Writing to memory fails for no value of these types.
+    pub(crate) fn serialize(&self) -> Vec<u8> {
+        // Serializing to memory fails for no value of these types.
         postcard::to_extend(self, vec![PACKET_FORMAT_VERSION]).unwrap_or_default()
     }
 
-    pub fn read(bytes: &[u8]) -> Option<Packet> {
-        let (&form, body) = bytes.split_first()?;
-        let fits = form == PACKET_FORMAT_VERSION && bytes.len() <= MAX_MESSAGE_BYTES;
-        fits.then(|| postcard::from_bytes(body).ok()).flatten()
-    }
-}
-
-/// The kinds that voters send; the library's others never leave a process.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum RaftMessageKind {
-    Append,
-    AppendResponse,
-    RequestVote,
-    RequestVoteResponse,
-    Snapshot,
-    Heartbeat,
-    HeartbeatResponse,
-    TimeoutNow,
-    RequestPreVote,
-    RequestPreVoteResponse,
-}
-
-const MESSAGE_KINDS: [(RaftMessageKind, MessageType); 10] = [
-    (RaftMessageKind::Append, MessageType::MsgAppend),
-    (RaftMessageKind::AppendResponse, MessageType::MsgAppendResponse),
-    (RaftMessageKind::RequestVote, MessageType::MsgRequestVote),
-    (RaftMessageKind::RequestVoteResponse, MessageType::MsgRequestVoteResponse),
-    (RaftMessageKind::Snapshot, MessageType::MsgSnapshot),
-    (RaftMessageKind::Heartbeat, MessageType::MsgHeartbeat),
-    (RaftMessageKind::HeartbeatResponse, MessageType::MsgHeartbeatResponse),
-    (RaftMessageKind::TimeoutNow, MessageType::MsgTimeoutNow),
-    (RaftMessageKind::RequestPreVote, MessageType::MsgRequestPreVote),
-    (RaftMessageKind::RequestPreVoteResponse, MessageType::MsgRequestPreVoteResponse),
-];
-
-/// The consensus library's message, in this crate's form: nothing that comes in is read as protobuf.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Raft {
-    pub kind: RaftMessageKind,
-    pub term: u64,
-    pub log_term: u64,
-    pub index: u64,
-    pub entries: Vec<LogEntry>,
-    pub commit: u64,
-    pub commit_term: u64,
-    pub snapshot: Option<Snapshot>,
-    pub request_snapshot: u64,
-    pub reject: bool,
-    pub reject_hint: u64,
-    pub context: Vec<u8>,
-    pub priority: i64,
-}
-
-impl Raft {
-    /// None for a message that voters do not send.
-    pub fn from_library(message: &eraftpb::Message) -> Option<Raft> {
-        let kind = MESSAGE_KINDS.iter().find(|(_, of)| *of == message.get_msg_type())?.0;
-        Some(Raft {
-            kind,
-            term: message.term,
-            log_term: message.log_term,
-            index: message.index,
-            entries: message.entries.iter().map(entry_from_raft).collect(),
-            commit: message.commit,
-            commit_term: message.commit_term,
-            snapshot: (kind == RaftMessageKind::Snapshot).then(|| from_raft(message.get_snapshot())),
-            request_snapshot: message.request_snapshot,
-            reject: message.reject,
-            reject_hint: message.reject_hint,
-            context: message.context.to_vec(),
-            priority: message.priority,
-        })
-    }
-
-    pub fn into_library(self, from: u64, to: u64, voters: u64) -> eraftpb::Message {
-        let mut message = eraftpb::Message::default();
-        let kind = MESSAGE_KINDS.iter().find(|(kind, _)| *kind == self.kind);
-        message.set_msg_type(kind.map_or(MessageType::MsgHeartbeatResponse, |(_, of)| *of));
-        (message.from, message.to, message.term) = (from, to, self.term);
-        (message.log_term, message.index) = (self.log_term, self.index);
-        message.entries = self.entries.iter().map(entry_as_raft).collect::<Vec<_>>().into();
-        (message.commit, message.commit_term) = (self.commit, self.commit_term);
-        if let Some(snapshot) = &self.snapshot {
-            message.set_snapshot(as_raft(snapshot, voters));
+    /// `None` for bytes that are no packet of this format.
+    pub(crate) fn parse(bytes: &[u8]) -> Option<Packet> {
+        let (&format_version, body) = bytes.split_first()?;
+        if format_version != PACKET_FORMAT_VERSION || bytes.len() > MAX_MESSAGE_BYTES {
+            return None;
         }
-        message.request_snapshot = self.request_snapshot;
-        (message.reject, message.reject_hint) = (self.reject, self.reject_hint);
-        message.context = self.context.into();
-        message.priority = self.priority;
-        message
+        postcard::from_bytes(body).ok()
     }
 }
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -1,280 +1,192 @@
-//! One voter's part in the consensus: the library, its chance and what it wants stored.
+//! One voter's Raft: the crate `raft`, its election timeout from the seed, and the writes that it wants stored.
+mod message_check;
+mod output;
+
 use std::collections::VecDeque;
 
-use raft::eraftpb::HardState;
 use raft::{Config, RawNode, StateRole, eraftpb};
 use slog::{Discard, Logger, o};
 
-use crate::packet::{Raft, RaftMessageKind};
+pub(crate) use output::{OutgoingMessage, PendingWrite, VoterOutput};
+
+use crate::raft_conversion::snapshot_to_raft;
+use crate::raft_message::RaftMessage;
+use crate::raft_storage::RaftStorage;
 use crate::settings::{ELECTION_TICKS, HEARTBEAT_TICKS, Settings};
-use crate::storage::{RaftStorage, as_raft, entry_from_raft, from_raft};
-use crate::{LogEntry, Snapshot, StorageWrite, StoredState, TermVote};
+use crate::storage::{Snapshot, StorageWrite, StoredState, TermVote};
 
-/// What a voter gives out, in order of kinds.
-#[derive(Default)]
-pub(crate) struct VoterOutput {
-    /// To which voter, what.
-    pub send: Vec<(u64, Raft)>,
-    pub persist: Vec<(u64, StorageWrite)>,
-    /// A state to begin from, before the entries.
-    pub installed: Option<Snapshot>,
-    pub committed: Vec<LogEntry>,
-    /// Questions that a majority has confirmed, and up to where the log must be applied for them.
-    pub confirmed: Vec<(u64, u64)>,
-}
+const MAX_ENTRIES_BYTES_PER_MESSAGE: u64 = 1 << 20;
+const MAX_INFLIGHT_MESSAGES: usize = 16;
+const MAX_UNCOMMITTED_BYTES: u64 = 16 << 20;
 
-impl VoterOutput {
-    fn is_empty(&self) -> bool {
-        let nothing = self.send.is_empty() && self.persist.is_empty() && self.committed.is_empty();
-        nothing && self.installed.is_none() && self.confirmed.is_empty()
-    }
-}
-
-/// Messages that may go only when what was to be stored by then is.
+/// Messages that may be sent only when the writes up to a token are durable.
 struct DelayedMessages {
     token: u64,
-    ready: u64,
+    ready_number: u64,
     messages: Vec<eraftpb::Message>,
 }
 
+/// A voter with its Raft state. Owned by its [`crate::Node`].
 pub(crate) struct RaftVoter {
-    raw: RawNode<RaftStorage>,
-    voters: u64,
-    chance: fastrand::Rng,
-    waiting: VecDeque<DelayedMessages>,
-    /// Of the last thing that was to be stored.
-    token: u64,
+    raft: RawNode<RaftStorage>,
+    voter_count: u64,
+    rng: fastrand::Rng,
+    delayed_messages: VecDeque<DelayedMessages>,
+    /// The token of the last write.
+    last_token: u64,
     vote: TermVote,
-    applied: u64,
-    first: u64,
-    /// Ticks for which the next one that would begin an election is held back.
-    hold: Option<usize>,
+    applied_index: u64,
+    snapshot_index: u64,
+    /// Ticks still to skip before the one that would begin an election.
+    election_delay_ticks: Option<usize>,
 }
 
 impl RaftVoter {
-    /// The voter of this number, from 1, with what it stored; `token` is the last that was used.
-    pub fn new(
-        id: u64,
+    /// The voter of this number, from 1, with what it stored; `last_token` is the last that was used.
+    pub(crate) fn new(
+        voter_id: u64,
         settings: &Settings,
-        saved: &StoredState,
+        stored: &StoredState,
         seed: u64,
-        token: u64,
+        last_token: u64,
     ) -> raft::Result<RaftVoter> {
-        let voters = settings.voters.len() as u64;
-        let applied = saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        let config = Config {
-            id,
-            election_tick: ELECTION_TICKS - HEARTBEAT_TICKS,
-            heartbeat_tick: HEARTBEAT_TICKS,
-            applied,
-            max_size_per_msg: 1 << 20,
-            max_inflight_msgs: 16,
-            check_quorum: true,
-            pre_vote: true,
-            // One value only: see `tick`.
-            min_election_tick: ELECTION_TICKS,
-            max_election_tick: ELECTION_TICKS + 1,
-            max_uncommitted_size: 16 << 20,
-            ..Config::default()
-        };
-        let raw = RawNode::new(&config, RaftStorage::new(voters, saved)?, &Logger::root(Discard, o!()))?;
+        let voter_count = settings.voter_count();
+        let snapshot_index = stored.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        let storage = RaftStorage::new(voter_count, stored)?;
+        let config = raft_config(voter_id, snapshot_index);
+        let raft = RawNode::new(&config, storage, &Logger::root(Discard, o!()))?;
         Ok(RaftVoter {
-            raw,
-            voters,
-            chance: fastrand::Rng::with_seed(seed),
-            waiting: VecDeque::new(),
-            token,
-            vote: saved.vote,
-            applied,
-            first: applied,
-            hold: None,
+            raft,
+            voter_count,
+            rng: fastrand::Rng::with_seed(seed),
+            delayed_messages: VecDeque::new(),
+            last_token,
+            vote: stored.vote,
+            applied_index: snapshot_index,
+            snapshot_index,
+            election_delay_ticks: None,
         })
     }
 
-    /// The library's own chance says nothing: its only value is [`ELECTION_TICKS`]. The seed's chance holds the
-    /// last tick before it back for a while; by then it votes for others already.
-    pub fn tick(&mut self) {
-        let raft = &self.raw.raft;
-        if raft.state == StateRole::Leader || raft.election_elapsed + 1 < ELECTION_TICKS {
-            self.hold = None;
-        } else {
-            let hold = self.hold.get_or_insert_with(|| self.chance.usize(0..=ELECTION_TICKS));
-            if *hold > 0 {
-                *hold -= 1;
+    /// Passes a tick to Raft.
+    ///
+    /// The crate's own random election timeout has one value only, [`ELECTION_TICKS`], because it cannot be seeded.
+    /// Instead the last tick before an election is skipped for a number of times drawn from the seed; by then the
+    /// voter grants its vote to others already.
+    pub(crate) fn tick(&mut self) {
+        let raft = &self.raft.raft;
+        let is_before_election =
+            raft.state != StateRole::Leader && raft.election_elapsed + 1 >= ELECTION_TICKS;
+        if is_before_election {
+            let rng = &mut self.rng;
+            let delay = self.election_delay_ticks.get_or_insert_with(|| rng.usize(0..=ELECTION_TICKS));
+            if *delay > 0 {
+                *delay -= 1;
                 return;
             }
-            self.hold = None;
         }
-        self.raw.tick();
+        self.election_delay_ticks = None;
+        self.raft.tick();
     }
 
     /// The term, if this voter leads.
-    pub fn leads(&self) -> Option<u64> {
-        (self.raw.raft.state == StateRole::Leader).then_some(self.raw.raft.term)
+    pub(crate) fn leader_term(&self) -> Option<u64> {
+        (self.raft.raft.state == StateRole::Leader).then_some(self.raft.raft.term)
     }
 
     /// Whether all that earlier leaders committed is applied here: an entry of the own term is.
-    pub fn caught_up(&self) -> bool {
-        self.raw.raft.apply_to_current_term()
+    pub(crate) fn has_applied_own_term(&self) -> bool {
+        self.raft.raft.apply_to_current_term()
     }
 
-    /// Whom it takes for the leader, by number; 0 for none.
-    pub fn leader(&self) -> u64 {
-        self.raw.raft.leader_id
+    /// The number of the leader as far as it knows; 0 for none.
+    pub(crate) fn leader_id(&self) -> u64 {
+        self.raft.raft.leader_id
     }
 
     /// How many entries were applied since the last snapshot.
-    pub fn unfolded(&self) -> u64 {
-        self.applied - self.first
+    pub(crate) fn entries_since_snapshot(&self) -> u64 {
+        self.applied_index - self.snapshot_index
     }
 
-    pub fn applied(&self) -> u64 {
-        self.applied
+    pub(crate) fn applied_index(&self) -> u64 {
+        self.applied_index
     }
 
-    /// Takes another voter's message, unless it is one that a sound voter does not send.
-    pub fn step(&mut self, from: u64, message: Raft) {
-        if !self.sound(&message) {
+    /// Takes another voter's message, unless no correct voter sends it.
+    pub(crate) fn step(&mut self, from: u64, message: RaftMessage) {
+        if !self.is_acceptable(&message) {
             return;
         }
-        let message = message.into_library(from, self.raw.raft.id, self.voters);
-        // Its errors are messages that are out of place.
-        let _ = self.raw.step(message);
-    }
-
-    /// Guards against messages on which the library panics: they would undo what is committed, or commit what
-    /// this voter does not have.
-    fn sound(&self, message: &Raft) -> bool {
-        let log = &self.raw.raft.raft_log;
-        let (last, committed) = (log.last_index(), log.committed);
-        let mut next = message.index;
-        let follow = message.entries.iter().all(|entry| {
-            next = next.saturating_add(1);
-            // The library says term 0 of entries that are folded away.
-            let kept = log.term(entry.index).unwrap_or(0);
-            let agrees = entry.index > committed || kept == 0 || kept == entry.term;
-            entry.index == next && entry.term > 0 && entry.term <= message.term && agrees
-        });
-        if message.term == 0 || !follow {
-            return false;
-        }
-        match message.kind {
-            RaftMessageKind::Heartbeat => message.commit <= last || message.term < self.raw.raft.term,
-            RaftMessageKind::AppendResponse | RaftMessageKind::HeartbeatResponse => {
-                message.reject || message.index <= last || self.leads().is_none()
-            }
-            RaftMessageKind::Snapshot => {
-                message.snapshot.as_ref().is_some_and(|of| of.index > 0 && of.term > 0)
-            }
-            _ => true,
-        }
+        let message = message.into_raft(from, self.raft.raft.id, self.voter_count);
+        // Its errors are messages that come out of place, which a network may deliver.
+        let _ = self.raft.step(message);
     }
 
-    /// Puts a command into the log, if this voter leads.
-    pub fn propose(&mut self, data: Vec<u8>) {
-        if self.leads().is_some() {
-            // Too much that is not committed is refused, and is said again by whoever wants it.
-            let _ = self.raw.propose(Vec::new(), data);
+    /// Appends a command to the log, if this voter leads.
+    pub(crate) fn propose(&mut self, data: Vec<u8>) {
+        if self.leader_term().is_some() {
+            // An error means that too much is uncommitted; whoever proposed it retries.
+            let _ = self.raft.propose(Vec::new(), data);
         }
     }
 
-    /// Asks a majority whether this voter still leads.
-    pub fn confirm(&mut self, question: u64) {
-        if self.leads().is_some() {
-            self.raw.read_index(question.to_le_bytes().to_vec());
+    /// Asks a quorum to confirm that this voter still leads (Raft's read index).
+    pub(crate) fn request_quorum_read(&mut self, read_id: u64) {
+        if self.leader_term().is_some() {
+            self.raft.read_index(read_id.to_le_bytes().to_vec());
         }
     }
 
-    /// Hands the lead to another voter.
-    pub fn hand_over(&mut self, to: u64) {
-        self.raw.transfer_leader(to);
+    /// Transfers the leadership to another voter.
+    pub(crate) fn transfer_leadership(&mut self, to: u64) {
+        self.raft.transfer_leader(to);
     }
 
-    /// All that was to be stored up to this token is.
-    pub fn persisted(&mut self, token: u64, out: &mut VoterOutput) {
-        while self.waiting.front().is_some_and(|front| front.token <= token) {
-            if let Some(DelayedMessages { ready, messages, .. }) = self.waiting.pop_front() {
-                self.raw.on_persist_ready(ready);
-                self.send(messages, out);
+    /// Takes the confirmation that all writes up to this token are durable, and sends what waited for them.
+    pub(crate) fn on_persisted(&mut self, token: u64, output: &mut VoterOutput) {
+        while self.delayed_messages.front().is_some_and(|front| front.token <= token) {
+            if let Some(DelayedMessages { ready_number, messages, .. }) = self.delayed_messages.pop_front() {
+                self.raft.on_persist_ready(ready_number);
+                output.send(messages);
             }
         }
     }
 
-    /// Folds the log up to what is applied into a snapshot with this state.
-    pub fn fold(&mut self, state: Vec<u8>) -> Option<(u64, StorageWrite)> {
-        let index = self.applied;
-        let term = self.raw.raft.raft_log.term(index).ok()?;
-        let snapshot = Snapshot { index, term, state, replaces_log: false };
-        // Guards against a fold of entries that are not stored yet.
-        if self.raw.raft.raft_log.persisted < index {
+    /// Compacts the log up to the applied index into a snapshot of this state. `None` while entries up to there are
+    /// not durable.
+    pub(crate) fn compact(&mut self, state: Vec<u8>) -> Option<PendingWrite> {
+        let index = self.applied_index;
+        let term = self.raft.raft.raft_log.term(index).ok()?;
+        if self.raft.raft.raft_log.persisted < index {
             return None;
         }
-        self.raw.mut_store().fold(as_raft(&snapshot, self.voters)).ok()?;
-        self.first = index;
-        self.token += 1;
-        Some((self.token, StorageWrite { snapshot: Some(snapshot), ..StorageWrite::default() }))
+        let snapshot = Snapshot { index, term, state, replaces_log: false };
+        self.raft.mut_store().compact(snapshot_to_raft(&snapshot, self.voter_count)).ok()?;
+        self.snapshot_index = index;
+        Some(self.next_write(StorageWrite { snapshot: Some(snapshot), ..StorageWrite::default() }))
     }
 
-    fn send(&self, messages: Vec<eraftpb::Message>, out: &mut VoterOutput) {
-        for message in messages {
-            if let Some(wire) = Raft::from_library(&message) {
-                out.send.push((message.to, wire));
-            }
-        }
+    fn next_write(&mut self, write: StorageWrite) -> PendingWrite {
+        self.last_token += 1;
+        PendingWrite { token: self.last_token, write }
     }
+}
 
-    /// Gathers what the library wants; whether there was anything.
-    pub fn drain(&mut self, out: &mut VoterOutput) -> bool {
-        while self.raw.has_ready() {
-            let mut ready = self.raw.ready();
-            self.send(ready.take_messages(), out);
-            let mut change = StorageWrite::default();
-            if ready.snapshot().get_metadata().index > 0 {
-                let snapshot = ready.snapshot().clone();
-                let taken = from_raft(&snapshot);
-                (self.applied, self.first) = (taken.index, taken.index);
-                let _ = self.raw.mut_store().install(snapshot);
-                change.snapshot = Some(taken.clone());
-                out.installed = Some(taken);
-                out.committed.clear();
-            }
-            for entry in ready.take_committed_entries() {
-                self.applied = entry.index;
-                out.committed.push(entry_from_raft(&entry));
-            }
-            let entries = ready.take_entries();
-            let _ = self.raw.mut_store().append(&entries);
-            change.entries = entries.iter().map(entry_from_raft).collect();
-            if let Some(hard) = ready.hs().cloned() {
-                let HardState { term, vote, .. } = hard;
-                let now = TermVote { term, voted_for: vote };
-                // That more is committed need not be stored: it is found out again.
-                change.vote = (now != self.vote).then_some(now);
-                self.vote = now;
-                self.raw.mut_store().set_vote(hard);
-            }
-            for read in ready.take_read_states() {
-                if let Ok(question) = read.request_ctx.as_slice().try_into() {
-                    out.confirmed.push((u64::from_le_bytes(question), read.index));
-                }
-            }
-            let messages = ready.take_persisted_messages();
-            let number = ready.number();
-            self.raw.advance_append_async(ready);
-            if change != StorageWrite::default() {
-                self.token += 1;
-                out.persist.push((self.token, change));
-            } else if self.waiting.is_empty() {
-                self.raw.on_persist_ready(number);
-                self.send(messages, out);
-                continue;
-            }
-            self.waiting.push_back(DelayedMessages { token: self.token, ready: number, messages });
-        }
-        // A snapshot is applied for the library only when it is stored.
-        if self.applied <= self.raw.raft.raft_log.persisted {
-            self.raw.advance_apply_to(self.applied);
-        }
-        !out.is_empty()
+fn raft_config(voter_id: u64, applied_index: u64) -> Config {
+    Config {
+        id: voter_id,
+        election_tick: ELECTION_TICKS - HEARTBEAT_TICKS,
+        heartbeat_tick: HEARTBEAT_TICKS,
+        applied: applied_index,
+        max_size_per_msg: MAX_ENTRIES_BYTES_PER_MESSAGE,
+        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+        check_quorum: true,
+        pre_vote: true,
+        // One value only: see `RaftVoter::tick`.
+        min_election_tick: ELECTION_TICKS,
+        max_election_tick: ELECTION_TICKS + 1,
+        max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+        ..Config::default()
     }
 }
--- /dev/null
+++ b/crates/consensus/src/raft_voter/output.rs
@@ -0,0 +1,136 @@
+//! Collects what Raft wants sent, stored and applied.
+use raft::{Ready, eraftpb};
+
+use super::{DelayedMessages, RaftVoter};
+use crate::raft_conversion::{entry_from_raft, snapshot_from_raft};
+use crate::raft_message::RaftMessage;
+use crate::storage::{LogEntry, Snapshot, StorageWrite, TermVote};
+
+/// A message for another voter.
+pub(crate) struct OutgoingMessage {
+    pub(crate) to: u64,
+    pub(crate) message: RaftMessage,
+}
+
+/// A write whose durability is to be confirmed by its token.
+pub(crate) struct PendingWrite {
+    pub(crate) token: u64,
+    pub(crate) write: StorageWrite,
+}
+
+/// A quorum has confirmed that this voter led when it asked; what it had committed by then is known once the log is
+/// applied up to the index.
+pub(crate) struct ConfirmedRead {
+    pub(crate) read_id: u64,
+    pub(crate) index: u64,
+}
+
+/// What a voter wants done. The caller does it in the order of the fields.
+#[derive(Default)]
+pub(crate) struct VoterOutput {
+    pub(crate) writes: Vec<PendingWrite>,
+    pub(crate) messages: Vec<OutgoingMessage>,
+    /// Replaces the state, before the committed entries are applied.
+    pub(crate) installed_snapshot: Option<Snapshot>,
+    pub(crate) committed_entries: Vec<LogEntry>,
+    pub(crate) confirmed_reads: Vec<ConfirmedRead>,
+}
+
+impl VoterOutput {
+    fn is_empty(&self) -> bool {
+        self.writes.is_empty()
+            && self.messages.is_empty()
+            && self.installed_snapshot.is_none()
+            && self.committed_entries.is_empty()
+            && self.confirmed_reads.is_empty()
+    }
+
+    pub(super) fn send(&mut self, messages: Vec<eraftpb::Message>) {
+        for message in messages {
+            let to = message.to;
+            if let Some(message) = RaftMessage::from_raft(&message) {
+                self.messages.push(OutgoingMessage { to, message });
+            }
+        }
+    }
+}
+
+impl RaftVoter {
+    /// Collects what Raft wants, until it wants nothing more; returns whether there was anything.
+    pub(crate) fn drain(&mut self, output: &mut VoterOutput) -> bool {
+        while self.raft.has_ready() {
+            let mut ready = self.raft.ready();
+            output.send(ready.take_messages());
+            let write = StorageWrite {
+                snapshot: self.install_snapshot(&ready, output),
+                entries: self.take_entries(&mut ready, output),
+                vote: self.update_vote(&ready),
+            };
+            take_confirmed_reads(&mut ready, output);
+            self.advance(ready, write, output);
+        }
+        // An installed snapshot counts as applied for the crate only when it is durable.
+        if self.applied_index <= self.raft.raft.raft_log.persisted {
+            self.raft.advance_apply_to(self.applied_index);
+        }
+        !output.is_empty()
+    }
+
+    fn install_snapshot(&mut self, ready: &Ready, output: &mut VoterOutput) -> Option<Snapshot> {
+        if ready.snapshot().get_metadata().index == 0 {
+            return None;
+        }
+        let snapshot = snapshot_from_raft(ready.snapshot());
+        (self.applied_index, self.snapshot_index) = (snapshot.index, snapshot.index);
+        let _ = self.raft.mut_store().install(ready.snapshot().clone());
+        output.installed_snapshot = Some(snapshot.clone());
+        output.committed_entries.clear();
+        Some(snapshot)
+    }
+
+    /// Takes the committed entries for the state machine, and returns the new ones for storage.
+    fn take_entries(&mut self, ready: &mut Ready, output: &mut VoterOutput) -> Vec<LogEntry> {
+        for entry in ready.take_committed_entries() {
+            self.applied_index = entry.index;
+            output.committed_entries.push(entry_from_raft(&entry));
+        }
+        let entries = ready.take_entries();
+        let _ = self.raft.mut_store().append(&entries);
+        entries.iter().map(entry_from_raft).collect()
+    }
+
+    /// Returns the vote if it changed. The commit index alone need not be stored: it is found out again.
+    fn update_vote(&mut self, ready: &Ready) -> Option<TermVote> {
+        let hard_state = ready.hs().cloned()?;
+        let vote = TermVote { term: hard_state.term, voted_for: hard_state.vote };
+        let is_changed = vote != self.vote;
+        self.vote = vote;
+        self.raft.mut_store().set_hard_state(hard_state);
+        is_changed.then_some(vote)
+    }
+
+    /// Ends a `Ready`: its last messages wait for its write, and for those before it.
+    fn advance(&mut self, mut ready: Ready, write: StorageWrite, output: &mut VoterOutput) {
+        let messages = ready.take_persisted_messages();
+        let ready_number = ready.number();
+        self.raft.advance_append_async(ready);
+        if write != StorageWrite::default() {
+            let write = self.next_write(write);
+            output.writes.push(write);
+        } else if self.delayed_messages.is_empty() {
+            self.raft.on_persist_ready(ready_number);
+            output.send(messages);
+            return;
+        }
+        self.delayed_messages.push_back(DelayedMessages { token: self.last_token, ready_number, messages });
+    }
+}
+
+fn take_confirmed_reads(ready: &mut Ready, output: &mut VoterOutput) {
+    for read in ready.take_read_states() {
+        if let Ok(read_id) = read.request_ctx.as_slice().try_into() {
+            let read_id = u64::from_le_bytes(read_id);
+            output.confirmed_reads.push(ConfirmedRead { read_id, index: read.index });
+        }
+    }
+}
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -1,102 +1,126 @@
-//! What the log's commands add up to: the same on every voter.
+//! The state machine that the log's commands drive: the same on every voter.
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Version, VersionedDocument};
+use crate::versioned_document::{Version, VersionedDocument};
 
-/// Proposals whose outcome is remembered. One that is forgotten was made from a version that is no longer the
-/// newest, so that it cannot act again; only its answer is then "refused".
+/// Proposals whose outcome is remembered. One that is forgotten has a base that is no longer the newest version, so
+/// that it cannot be accepted a second time; only its result is then "rejected".
 const MAX_REMEMBERED_OUTCOMES: usize = 256;
 
-/// Which proposal: one that comes twice acts once.
+/// Identifies a proposal, so that one that arrives twice acts once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposalId {
-    /// Who made it.
+    /// The member that made it.
     pub member: String,
-    /// In which start of its process.
+    /// A random number of that start of its process.
     pub session: u64,
-    /// The how many-th there.
+    /// Counts from 1 in each session.
     pub number: u64,
 }
 
-/// What became of a proposal.
+/// The result of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It is this version.
+    /// It was committed as this version.
     Accepted(Version),
-    /// It was made from another version than the newest, or too many wait; this one is in force.
+    /// Its base is not the newest version, or too many versions are pending; this version is in force.
     Rejected(Version),
 }
 
+/// The content of a log entry. The order of the variants is that of their numbers in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Command {
-    /// Begins an epoch: with these rules if none were agreed, else with the newest.
-    Found { epoch: u64, bytes: Vec<u8> },
-    /// Rules, made from a version.
-    Propose { id: ProposalId, made_from: Version, bytes: Vec<u8> },
+    /// Begins an epoch: with these rules if there are none yet, else with the newest.
+    StartEpoch { epoch: u64, bytes: Vec<u8> },
+    /// Rules, derived from a version.
+    Propose { id: ProposalId, base_version: Version, bytes: Vec<u8> },
     /// Every member knows this version or has lost its lease.
-    InForce(Version),
-    /// A voter without memory came back: what is committed from here on was so after its return.
-    Returned { voter: u64, nonce: u64 },
+    Activate(Version),
+    /// A voter without storage has started: what is committed from here on is later than its start.
+    VoterRejoined { voter_id: u64, nonce: u64 },
 }
 
-/// The versions that may be in force, and the proposals that were answered.
+/// Limits that a proposal must keep to. The same on every voter, from [`crate::Settings`].
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct StateLimits {
+    pub(crate) max_pending_versions: usize,
+    pub(crate) max_document_bytes: usize,
+}
+
+/// The versions that may be in force, and the outcomes of proposals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The first is in force, the others wait in order. Empty before the founding.
-    pub(crate) chain: VecDeque<VersionedDocument>,
-    pub(crate) answered: VecDeque<(ProposalId, ProposalOutcome)>,
+    /// The first is in force, the others are pending in order. Empty before the first epoch.
+    documents: VecDeque<VersionedDocument>,
+    outcomes: VecDeque<(ProposalId, ProposalOutcome)>,
 }
 
 impl ReplicatedState {
     /// The version in force.
     pub fn in_force(&self) -> Version {
-        self.chain.front().map_or(Version::default(), |document| document.version)
+        self.documents.front().map_or(Version::default(), |document| document.version)
     }
 
-    /// The newest that was ordered.
+    /// The newest committed version.
     pub fn newest(&self) -> Version {
-        self.chain.back().map_or(Version::default(), |document| document.version)
+        self.documents.back().map_or(Version::default(), |document| document.version)
+    }
+
+    /// The document in force, then the pending ones in order.
+    pub(crate) fn documents(&self) -> impl Iterator<Item = &VersionedDocument> {
+        self.documents.iter()
     }
 
     pub(crate) fn outcome(&self, id: &ProposalId) -> Option<ProposalOutcome> {
-        self.answered.iter().find(|(of, _)| of == id).map(|(_, outcome)| *outcome)
+        self.outcomes.iter().find(|(proposal, _)| proposal == id).map(|(_, outcome)| *outcome)
     }
 
-    /// Does what a command says. The same commands in the same order give the same state everywhere.
-    pub(crate) fn apply(&mut self, command: Command, most_waiting: usize, most_rules: usize) {
+    /// Applies a command. The same commands in the same order give the same state everywhere.
+    pub(crate) fn apply(&mut self, command: Command, limits: StateLimits) {
         match command {
-            Command::Found { epoch, bytes } => {
-                let epoch_later = epoch > self.newest().epoch;
-                let bytes = self.chain.back().map_or(bytes, |newest| newest.bytes.clone());
-                if epoch_later && self.chain.len() <= most_waiting {
-                    self.chain.push_back(VersionedDocument::new(Version { epoch, number: 1 }, bytes));
+            Command::StartEpoch { epoch, bytes } => self.start_epoch(epoch, bytes, limits),
+            Command::Propose { id, base_version, bytes } => {
+                if self.outcome(&id).is_none() {
+                    let outcome = self.propose(base_version, bytes, limits);
+                    self.remember_outcome(id, outcome);
                 }
             }
-            Command::Propose { id, made_from, bytes } => {
-                if self.outcome(&id).is_some() {
-                    return;
-                }
-                let room = !self.chain.is_empty() && self.chain.len() <= most_waiting;
-                let outcome = if made_from == self.newest() && room && bytes.len() <= most_rules {
-                    let version = made_from.next();
-                    self.chain.push_back(VersionedDocument::new(version, bytes));
-                    ProposalOutcome::Accepted(version)
-                } else {
-                    ProposalOutcome::Rejected(self.in_force())
-                };
-                if self.answered.len() == MAX_REMEMBERED_OUTCOMES {
-                    self.answered.pop_front();
-                }
-                self.answered.push_back((id, outcome));
-            }
-            Command::InForce(version) => {
-                if self.chain.iter().any(|document| document.version == version) {
-                    self.chain.retain(|document| document.version >= version);
-                }
-            }
-            Command::Returned { .. } => {}
+            Command::Activate(version) => self.activate(version),
+            Command::VoterRejoined { .. } => {}
+        }
+    }
+
+    fn start_epoch(&mut self, epoch: u64, initial_bytes: Vec<u8>, limits: StateLimits) {
+        let is_later = epoch > self.newest().epoch;
+        let bytes = self.documents.back().map_or(initial_bytes, |newest| newest.bytes.clone());
+        if is_later && self.documents.len() <= limits.max_pending_versions {
+            self.documents.push_back(VersionedDocument::new(Version { epoch, number: 1 }, bytes));
+        }
+    }
+
+    fn propose(&mut self, base_version: Version, bytes: Vec<u8>, limits: StateLimits) -> ProposalOutcome {
+        let has_capacity = !self.documents.is_empty() && self.documents.len() <= limits.max_pending_versions;
+        let is_newest = base_version == self.newest();
+        if !is_newest || !has_capacity || bytes.len() > limits.max_document_bytes {
+            return ProposalOutcome::Rejected(self.in_force());
+        }
+        let version = base_version.next();
+        self.documents.push_back(VersionedDocument::new(version, bytes));
+        ProposalOutcome::Accepted(version)
+    }
+
+    fn remember_outcome(&mut self, id: ProposalId, outcome: ProposalOutcome) {
+        if self.outcomes.len() == MAX_REMEMBERED_OUTCOMES {
+            self.outcomes.pop_front();
+        }
+        self.outcomes.push_back((id, outcome));
+    }
+
+    fn activate(&mut self, version: Version) {
+        if self.documents.iter().any(|document| document.version == version) {
+            self.documents.retain(|document| document.version >= version);
         }
     }
 }
--- a/crates/consensus/tests/hard.rs
+++ b/crates/consensus/tests/hard.rs
@@ -71,7 +71,7 @@
     assert!(cut.iter().all(|&of| net.acts_by(of) == Some(first)), "their leases live");
     net.run(net.settings.lease_duration);
     assert!(cut.iter().all(|&of| net.acts_by(of).is_none()), "their leases have run out");
-    let frozen = net.heard(|of| *of == Effect::Frozen(true));
+    let frozen = net.heard(|of| *of == Effect::LeaseExpired);
     let late = |(when, _): &(Micros, usize)| *when - at > net.settings.staleness_bound();
     assert!(cut.iter().all(|of| frozen.iter().any(|(_, whom)| whom == of)) && !frozen.iter().any(late));
     let other = (0..5).find(|of| !cut.contains(of)).expect("a voter outside");
@@ -81,7 +81,7 @@
     net.until(10 * SECOND, rest).expect("the majority goes on");
     net.cut.clear();
     net.until(10 * SECOND, |net| net.all_act_by(next)).expect("all are together again");
-    assert!(net.heard(|of| *of == Effect::Frozen(false)).len() >= 3);
+    assert!(net.heard(|of| *of == Effect::LeaseRestored).len() >= 3);
     assert_eq!(net.longest(), 0);
 }
 
@@ -95,7 +95,7 @@
     net.run(10 * SECOND);
     assert_eq!(net.newest(), first);
     for of in 2..6 {
-        assert!(net.heard(|of| *of == Effect::Frozen(true)).iter().any(|(_, whom)| *whom == of), "m{of}");
+        assert!(net.heard(|of| *of == Effect::LeaseExpired).iter().any(|(_, whom)| *whom == of), "m{of}");
         let clock = net.clock(of);
         let node = net.node(of).expect("it runs");
         assert_eq!(
@@ -418,6 +418,6 @@
     for (field, wrong) in cases {
         let mut settings = fit.clone();
         wrong(&mut settings);
-        assert!(settings.validate().expect_err(field).0.starts_with(field), "{field}");
+        assert!(settings.validate().expect_err(field).to_string().starts_with(field), "{field}");
     }
 }
--- a/crates/consensus/tests/net/mod.rs
+++ b/crates/consensus/tests/net/mod.rs
@@ -260,7 +260,7 @@
         let Some(process) = &mut self.processes[whom] else { return };
         match event {
             Ev::Arrives(from, bytes) if process.paused => process.waiting.push((from, bytes)),
-            Ev::Arrives(from, bytes) => self.give(whom, Input::Message(&name(from), &bytes)),
+            Ev::Arrives(from, bytes) => self.give(whom, Input::Message { from: &name(from), bytes: &bytes }),
             Ev::Persisted(token, change) if process.paused => {
                 self.at(self.now + MILLISECOND, whom, Ev::Persisted(token, change));
             }
@@ -284,7 +284,7 @@
                 (0..8).for_each(|_| self.decide(whom));
                 let Some(process) = &mut self.processes[whom] else { return };
                 for (from, bytes) in std::mem::take(&mut process.waiting) {
-                    self.give(whom, Input::Message(&name(from), &bytes));
+                    self.give(whom, Input::Message { from: &name(from), bytes: &bytes });
                 }
             }
         }
@@ -326,8 +326,8 @@
         process.node.handle(now, input, &mut effects);
         for effect in effects {
             match effect {
-                Effect::Send(to, bytes) => self.send(whom, &to, bytes),
-                Effect::Persist(token, change) => {
+                Effect::Send { to, bytes } => self.send(whom, &to, bytes),
+                Effect::Persist { token, write: change } => {
                     let done = self.now + 5 * MILLISECOND;
                     self.at(done, whom, Ev::Persisted(token, change));
                 }
--- a/crates/consensus/tests/parts.rs
+++ b/crates/consensus/tests/parts.rs
@@ -107,7 +107,7 @@
     let own = MemberIdentity { name: name(0), generation: 1 };
     let settings = Net::new(3, 3, 0).settings;
     let error = Node::new(own, settings, StartState::Stored(saved.clone()), Doc::new(1, &[]), 1).err();
-    assert!(error.expect("refused").0.starts_with("store"));
+    assert!(error.expect("refused").to_string().starts_with("store"));
     saved.apply(StorageWrite { snapshot: snapshot(9, true), ..StorageWrite::default() });
     assert!(saved.entries.is_empty() && saved.is_consistent());
 }
--- a/crates/consensus/tests/transcripts.rs
+++ b/crates/consensus/tests/transcripts.rs
@@ -150,8 +150,8 @@
         node.handle(now, input, &mut effects);
         for effect in effects {
             match effect {
-                Effect::Send(to, bytes) => self.send(number, &to, bytes),
-                Effect::Persist(token, change) => {
+                Effect::Send { to, bytes } => self.send(number, &to, bytes),
+                Effect::Persist { token, write: change } => {
                     let bytes = postcard::to_allocvec(&change).expect("bytes");
                     self.digest.update(&bytes);
                     self.changes.entry(change_kind(&change)).or_insert(hex(&bytes));
@@ -180,7 +180,9 @@
                 continue;
             }
             match event {
-                Event::Message { from, bytes } => self.give(whom, Input::Message(&name(from), &bytes)),
+                Event::Message { from, bytes } => {
+                    self.give(whom, Input::Message { from: &name(from), bytes: &bytes })
+                }
                 Event::Persisted { token, change } => {
                     self.saved[whom].apply(change);
                     self.give(whom, Input::Persisted(token));
