--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -61,5 +61,5 @@
     /// The document exceeds [`crate::Settings::max_document_bytes`], or cannot be serialized.
     TooLarge,
     /// Eight proposals of this member are pending.
-    TooManyPending,
+    PendingLimitReached,
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -86,7 +86,7 @@
             StartState::Empty => (Role::Rejoining(Rejoin::new(session)), ReplicatedState::default()),
             StartState::Stored(stored) => restore_voter(voter_id, &settings, &stored, &mut rng)?,
         };
-        let first_voter_asked = rng.u64(1..=settings.voter_count());
+        let first_target_voter = rng.u64(1..=settings.voter_count());
         Ok(Node {
             max_generation: identity.generation,
             identity,
@@ -101,7 +101,7 @@
             state,
             leader: None,
             next_tick_at: 0,
-            lease: LeaseClient::new(first_voter_asked),
+            lease: LeaseClient::new(first_target_voter),
             proposals: ProposalClient::default(),
             members: Vec::new(),
             local_packets: VecDeque::new(),
--- a/crates/consensus/src/node/proposals.rs
+++ b/crates/consensus/src/node/proposals.rs
@@ -68,7 +68,7 @@
             return Err(RejectionReason::StaleBase);
         }
         if self.proposals.pending.len() >= MAX_PENDING_PROPOSALS {
-            return Err(RejectionReason::TooManyPending);
+            return Err(RejectionReason::PendingLimitReached);
         }
         match postcard::to_allocvec(rules) {
             Ok(bytes) if bytes.len() <= self.settings.max_document_bytes => Ok(bytes),
--- /dev/null
+++ b/crates/consensus/tests/recording/mod.rs
@@ -0,0 +1,200 @@
+//! A small deterministic run whose messages and writes are recorded.
+mod kinds;
+
+use std::collections::BTreeMap;
+
+use copperspread_consensus::{
+    Effect, Input, MILLISECOND, MemberIdentity, Micros, Node, SECOND, Settings, StartState, StorageWrite,
+    StoredState, Version,
+};
+
+use crate::simulation::{TestRules, name};
+pub(crate) use kinds::{COMMANDS, PACKETS, RAFT_MESSAGES};
+use kinds::{packet_kind, write_kind};
+
+pub(crate) const VOTERS: usize = 3;
+/// The voters, and one member that only holds copies.
+pub(crate) const MEMBERS: usize = 4;
+/// How long every message and every write takes.
+const DELAY: Micros = 5 * MILLISECOND;
+/// The drift of a clock that is beyond the bound.
+const EXCESSIVE_DRIFT_PPM: u64 = 200_000;
+const MILLION: u64 = 1_000_000;
+
+enum Event {
+    Message { from: usize, bytes: Vec<u8> },
+    Persisted { token: u64, write: StorageWrite },
+    Tick,
+}
+
+struct ScheduledEvent {
+    member: usize,
+    /// Which start of the member's process it belongs to.
+    start: u64,
+    event: Event,
+}
+
+struct FastClock {
+    member: usize,
+    since: Micros,
+}
+
+/// Members on a network without faults, and a record of what they send and store.
+pub(crate) struct Recording {
+    /// What each voter has stored.
+    pub(crate) stored: Vec<StoredState>,
+    /// The first message of each kind, in hexadecimal.
+    pub(crate) packets: BTreeMap<String, String>,
+    /// The first write of each kind, in hexadecimal.
+    pub(crate) writes: BTreeMap<String, String>,
+    /// Of all messages and writes, in order.
+    pub(crate) digest: blake3::Hasher,
+    now: Micros,
+    settings: Settings,
+    nodes: Vec<Option<Node<TestRules>>>,
+    /// Counts each member's starts: the events of an earlier process are dropped.
+    starts: Vec<u64>,
+    fast_clock: Option<FastClock>,
+    /// By instant, then by number.
+    events: BTreeMap<(Micros, u64), ScheduledEvent>,
+    last_event: u64,
+}
+
+/// Bytes as hexadecimal digits.
+pub(crate) fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+impl Recording {
+    pub(crate) fn new() -> Recording {
+        let voters = (0..VOTERS).map(name).collect();
+        Recording {
+            stored: vec![StoredState::default(); MEMBERS],
+            packets: BTreeMap::new(),
+            writes: BTreeMap::new(),
+            digest: blake3::Hasher::new(),
+            now: SECOND,
+            settings: Settings { voters, max_log_entries: 8, ..Settings::default() },
+            nodes: (0..MEMBERS).map(|_| None).collect(),
+            starts: vec![0; MEMBERS],
+            fast_clock: None,
+            events: BTreeMap::new(),
+            last_event: 0,
+        }
+    }
+
+    pub(crate) fn start(&mut self, member: usize, start: StartState) {
+        self.starts[member] += 1;
+        let identity = MemberIdentity { name: name(member), generation: self.starts[member] };
+        let seed = 10 * self.starts[member] + member as u64;
+        let node = Node::new(identity, self.settings.clone(), start, TestRules::new(4, &[]), seed);
+        self.nodes[member] = Some(node.expect("settings and storage are valid"));
+        let others: Vec<String> = (0..MEMBERS).filter(|&other| other != member).map(name).collect();
+        self.handle(member, Input::Members(&others));
+        self.schedule(MILLISECOND * member as u64, member, Event::Tick);
+    }
+
+    pub(crate) fn stop(&mut self, member: usize) {
+        self.starts[member] += 1;
+        self.nodes[member] = None;
+    }
+
+    /// From now on a member's clock runs faster than the bound allows.
+    pub(crate) fn speed_up_clock(&mut self, member: usize) {
+        self.fast_clock = Some(FastClock { member, since: self.now });
+    }
+
+    fn schedule(&mut self, delay: Micros, member: usize, event: Event) {
+        self.last_event += 1;
+        let scheduled = ScheduledEvent { member, start: self.starts[member], event };
+        self.events.insert((self.now + delay, self.last_event), scheduled);
+    }
+
+    fn clock(&self, member: usize) -> Micros {
+        match &self.fast_clock {
+            Some(clock) if clock.member == member => {
+                self.now + (self.now - clock.since) * EXCESSIVE_DRIFT_PPM / MILLION
+            }
+            _ => self.now,
+        }
+    }
+
+    fn handle(&mut self, member: usize, input: Input<'_, TestRules>) {
+        let now = self.clock(member);
+        let Some(node) = &mut self.nodes[member] else { return };
+        let mut effects = Vec::new();
+        node.handle(now, input, &mut effects);
+        for effect in effects {
+            match effect {
+                Effect::Send { to, bytes } => self.send(member, &to, bytes),
+                Effect::Persist { token, write } => self.persist(member, token, write),
+                _ => {}
+            }
+        }
+    }
+
+    fn send(&mut self, from: usize, to: &str, bytes: Vec<u8>) {
+        self.digest.update(&bytes);
+        self.packets.entry(packet_kind(&bytes)).or_insert_with(|| hex(&bytes));
+        let to = (0..MEMBERS).find(|&member| name(member) == to).expect("a member");
+        self.schedule(DELAY, to, Event::Message { from, bytes });
+    }
+
+    fn persist(&mut self, member: usize, token: u64, write: StorageWrite) {
+        let bytes = postcard::to_allocvec(&write).expect("bytes");
+        self.digest.update(&bytes);
+        self.writes.entry(write_kind(&write)).or_insert(hex(&bytes));
+        self.schedule(DELAY, member, Event::Persisted { token, write });
+    }
+
+    pub(crate) fn run_for(&mut self, span: Micros) {
+        let end = self.now + span;
+        while let Some((&(at, _), _)) = self.events.first_key_value()
+            && at <= end
+        {
+            self.now = at;
+            let (_, ScheduledEvent { member, start, event }) = self.events.pop_first().expect("an event");
+            if start == self.starts[member] {
+                self.on_event(member, event);
+            }
+        }
+        self.now = end;
+    }
+
+    fn on_event(&mut self, member: usize, event: Event) {
+        match event {
+            Event::Message { from, bytes } => {
+                self.handle(member, Input::Message { from: &name(from), bytes: &bytes });
+            }
+            Event::Persisted { token, write } => {
+                self.stored[member].apply(write);
+                self.handle(member, Input::Persisted(token));
+            }
+            Event::Tick => {
+                self.handle(member, Input::Tick);
+                self.schedule(self.settings.tick_interval, member, Event::Tick);
+            }
+        }
+    }
+
+    pub(crate) fn propose(&mut self, member: usize, base_version: Version, rules: TestRules) {
+        self.handle(member, Input::Propose { base_version, rules });
+    }
+
+    /// A member proposes rules, which then take effect.
+    pub(crate) fn change_rules(&mut self, member: usize, limit: u32) {
+        let base_version = self.newest(member);
+        self.propose(member, base_version, TestRules::new(limit, &[3]));
+        self.run_for(SECOND);
+        assert!(self.newest(member) > base_version, "the proposal was committed");
+    }
+
+    pub(crate) fn newest(&self, member: usize) -> Version {
+        self.nodes[member].as_ref().expect("it runs").leased_rules().newest()
+    }
+
+    pub(crate) fn leader(&self) -> usize {
+        let is_leader = |&member: &usize| self.nodes[member].as_ref().is_some_and(Node::is_leader);
+        (0..VOTERS).find(is_leader).expect("a leader")
+    }
+}
