--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -3,77 +3,25 @@
 #![allow(dead_code, reason = "each test binary uses some of it")]
 mod decisions;
 mod network;
+mod process;
+pub(crate) mod queries;
 mod rules;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 use copperspread_consensus::{
-    ClockDrift, DecisionBasis, Effect, EffectiveRules, Input, MILLISECOND, MemberIdentity, Micros, Node,
-    SECOND, Settings, StartState, StorageWrite, StoredState, Version,
+    DecisionBasis, Effect, EffectiveRules, Input, MILLISECOND, MemberIdentity, Micros, Node, SECOND,
+    Settings, StartState, Version,
 };
 
 use decisions::DecisionLog;
 pub(crate) use network::Network;
+use process::{Disk, Event, Message, Process, ScheduledEvent, SimulatedClock};
+pub(crate) use queries::Report;
 pub(crate) use rules::{Request, TestRules};
 
 const DISK_DELAY: Micros = 5 * MILLISECOND;
-const MILLION: i64 = 1_000_000;
-
-struct Process {
-    node: Node<TestRules>,
-    is_paused: bool,
-    /// Messages that arrived while it was paused.
-    queued: Vec<Message>,
-}
-
-/// A message on its way, and the number of its sender.
-struct Message {
-    from: usize,
-    bytes: Vec<u8>,
-}
-
-enum Event {
-    Arrival(Message),
-    Persisted(u64, StorageWrite),
-    Tick,
-    Resume,
-}
-
-struct ScheduledEvent {
-    member: usize,
-    /// Which start of the member's process it belongs to.
-    start: u64,
-    event: Event,
-}
-
-#[derive(Clone, Default)]
-struct Disk {
-    stored: StoredState,
-    is_written: bool,
-}
-
-/// A clock that is fast by a rate since it was last set.
-struct SimulatedClock {
-    ppm: i64,
-    set_at: Micros,
-    shown_when_set: Micros,
-}
-
-impl SimulatedClock {
-    fn shows(&self, now: Micros) -> Micros {
-        let rate = i128::from(MILLION + self.ppm);
-        let elapsed = i128::from(now - self.set_at) * rate / i128::from(MILLION);
-        self.shown_when_set + elapsed as Micros
-    }
-}
-
-/// An effect that a member reported, other than messages and writes.
-pub(crate) struct Report {
-    pub(crate) at: Micros,
-    pub(crate) member: usize,
-    pub(crate) effect: Effect,
-}
 
 /// The network and all processes on it.
 pub(crate) struct Simulation {
@@ -138,6 +86,13 @@
         Simulation::configured(voters, members, seed, |_| {})
     }
 
+    /// As [`Simulation::with_first_version`], and the leader has led for longer than any lease.
+    pub(crate) fn settled(voters: usize, members: usize, seed: u64) -> Simulation {
+        let mut simulation = Simulation::with_first_version(voters, members, seed);
+        simulation.run_for(3 * SECOND);
+        simulation
+    }
+
     /// As [`Simulation::with_first_version`], configured before the members start.
     pub(crate) fn configured(
         voters: usize,
@@ -157,10 +112,6 @@
         simulation
     }
 
-    pub(crate) fn member_count(&self) -> usize {
-        self.processes.len()
-    }
-
     /// What a member's clock shows.
     pub(crate) fn clock(&self, member: usize) -> Micros {
         self.clocks[member].shows(self.now)
@@ -209,10 +160,6 @@
         self.disks[member] = Disk::default();
     }
 
-    pub(crate) fn is_running(&self, member: usize) -> bool {
-        self.processes[member].as_ref().is_some_and(|process| !process.is_paused)
-    }
-
     pub(crate) fn pause(&mut self, member: usize, span: Micros) {
         if let Some(process) = self.processes[member].as_mut().filter(|process| !process.is_paused) {
             process.is_paused = true;
@@ -362,60 +309,4 @@
             self.schedule(self.now + copy.delay, to, arrival);
         }
     }
-
-    pub(crate) fn node(&self, member: usize) -> Option<&Node<TestRules>> {
-        self.processes[member].as_ref().map(|process| &process.node)
-    }
-
-    /// The version that a member follows; `None` while its rules are restricted.
-    pub(crate) fn followed_version(&self, member: usize) -> Option<Version> {
-        match self.node(member)?.leased_rules().basis(self.clock(member)) {
-            DecisionBasis::InForce(version) => Some(version),
-            DecisionBasis::Restricted { .. } => None,
-        }
-    }
-
-    pub(crate) fn all_follow(&self, version: Version) -> bool {
-        (0..self.member_count()).all(|member| self.followed_version(member) == Some(version))
-    }
-
-    /// Whether all members but one follow a version.
-    pub(crate) fn others_follow(&self, excluded: usize, version: Version) -> bool {
-        (0..self.member_count())
-            .all(|member| member == excluded || self.followed_version(member) == Some(version))
-    }
-
-    /// The leader, of the processes that are not paused.
-    pub(crate) fn leader(&self) -> Option<usize> {
-        (0..self.member_count())
-            .find(|&member| self.is_running(member) && self.node(member).is_some_and(Node::is_leader))
-    }
-
-    /// The newest version that is in force at any member.
-    pub(crate) fn newest_in_force(&self) -> Version {
-        let nodes = (0..self.member_count()).filter_map(|member| self.node(member));
-        nodes.map(|node| node.leased_rules().in_force()).max().unwrap_or_default()
-    }
-
-    /// See [`DecisionLog::longest_conflict`].
-    pub(crate) fn longest_conflict(&self) -> Micros {
-        self.decisions.longest_conflict()
-    }
-
-    /// The reports whose effect fits.
-    pub(crate) fn reports_of(&self, fits: impl Fn(&Effect) -> bool) -> Vec<&Report> {
-        self.reports.iter().filter(|report| fits(&report.effect)).collect()
-    }
-
-    pub(crate) fn accepted_proposals(&self) -> Vec<&Report> {
-        self.reports_of(|effect| matches!(effect, Effect::ProposalAccepted { .. }))
-    }
-
-    /// The last drift that a member reported of its own clock.
-    pub(crate) fn reported_drift(&self, member: usize) -> Option<ClockDrift> {
-        self.reports.iter().rev().find_map(|report| match &report.effect {
-            Effect::ClockDriftDetected(drift) if report.member == member => Some(*drift),
-            _ => None,
-        })
-    }
 }
--- /dev/null
+++ b/crates/consensus/tests/simulation/process.rs
@@ -0,0 +1,54 @@
+//! A simulated process with its disk and clock, and the events that reach it.
+use copperspread_consensus::{Micros, Node, StorageWrite, StoredState};
+
+use super::rules::TestRules;
+
+const MILLION: i64 = 1_000_000;
+
+pub(super) struct Process {
+    pub(super) node: Node<TestRules>,
+    pub(super) is_paused: bool,
+    /// Messages that arrived while it was paused.
+    pub(super) queued: Vec<Message>,
+}
+
+/// A message on its way, and the number of its sender.
+pub(super) struct Message {
+    pub(super) from: usize,
+    pub(super) bytes: Vec<u8>,
+}
+
+pub(super) enum Event {
+    Arrival(Message),
+    Persisted(u64, StorageWrite),
+    Tick,
+    Resume,
+}
+
+pub(super) struct ScheduledEvent {
+    pub(super) member: usize,
+    /// Which start of the member's process it belongs to.
+    pub(super) start: u64,
+    pub(super) event: Event,
+}
+
+#[derive(Clone, Default)]
+pub(super) struct Disk {
+    pub(super) stored: StoredState,
+    pub(super) is_written: bool,
+}
+
+/// A clock that is fast by a rate since it was last set.
+pub(super) struct SimulatedClock {
+    pub(super) ppm: i64,
+    pub(super) set_at: Micros,
+    pub(super) shown_when_set: Micros,
+}
+
+impl SimulatedClock {
+    pub(super) fn shows(&self, now: Micros) -> Micros {
+        let rate = i128::from(MILLION + self.ppm);
+        let elapsed = i128::from(now - self.set_at) * rate / i128::from(MILLION);
+        self.shown_when_set + elapsed as Micros
+    }
+}
