--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -1,6 +1,6 @@
 //! What a member asks its driver to do, or reports.
 use crate::clock_comparison::ClockDrift;
-use crate::storage::StorageWrite;
+use crate::storage::{StorageWrite, WriteToken};
 use crate::versioned_document::Version;
 
 /// An effect of [`crate::Node::handle`].
@@ -16,7 +16,7 @@
     /// Write to storage, in the order of the tokens, and then confirm with [`crate::Input::Persisted`].
     Persist {
         /// Increases with each write.
-        token: u64,
+        token: WriteToken,
         /// What to write.
         write: StorageWrite,
     },
--- a/crates/consensus/src/input.rs
+++ b/crates/consensus/src/input.rs
@@ -1,4 +1,5 @@
 //! What a member is given.
+use crate::storage::WriteToken;
 use crate::versioned_document::Version;
 
 /// An event for [`crate::Node::handle`].
@@ -21,7 +22,7 @@
         rules: R,
     },
     /// All writes up to this token of [`crate::Effect::Persist`] are durable.
-    Persisted(u64),
+    Persisted(WriteToken),
     /// The names of all other members, by membership. Decides only who is sent updates without asking; safety does
     /// not depend on it.
     Members(&'a [String]),
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -39,6 +39,7 @@
 mod storage;
 mod time;
 mod versioned_document;
+mod voter_id;
 
 pub use clock_comparison::{ClockComparison, ClockDrift};
 pub use decision_conflict::{Decision, DecisionBasis, decisions_conflict};
@@ -51,6 +52,6 @@
 pub use rules::Rules;
 pub use settings::{Settings, SettingsError};
 pub use start::{MemberIdentity, StartError, StartState};
-pub use storage::{LogEntry, Snapshot, StorageWrite, StoredState, TermVote};
+pub use storage::{LogEntry, Snapshot, StorageWrite, StoredState, TermVote, WriteToken};
 pub use time::{MILLISECOND, Micros, SECOND};
 pub use versioned_document::{Digest, Version, VersionedDocument};
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -27,8 +27,9 @@
 use crate::rules::Rules;
 use crate::settings::{Settings, is_valid_name};
 use crate::start::{MemberIdentity, StartError, StartState};
-use crate::storage::StoredState;
+use crate::storage::{StoredState, WriteToken};
 use crate::time::Micros;
+use crate::voter_id::VoterId;
 
 /// A member of the consensus group: a voter, or one that only holds leased copies of the document.
 pub struct Node<R> {
@@ -40,11 +41,11 @@
     leased_rules: LeasedRules<R>,
     /// Its own configuration's rules, serialized: the first document if it starts the first epoch.
     initial_rules: Vec<u8>,
-    /// Its number among the voters, from 1; 0 for a member that is no voter.
-    voter_id: u64,
+    /// `None` for a member that is no voter.
+    voter_id: Option<VoterId>,
     role: Role,
     /// The token of the last write.
-    last_token: u64,
+    last_token: WriteToken,
     state: ReplicatedState,
     /// The largest generation of a voter that was heard; the epoch if it starts the first one.
     max_generation: u64,
@@ -81,12 +82,14 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let session = rng.u64(..);
         let voter_id = settings.voter_id(&identity.name);
-        let (role, state) = match start {
-            _ if voter_id == 0 => (Role::NonVoter, ReplicatedState::default()),
-            StartState::Empty => (Role::Rejoining(Rejoin::new(session)), ReplicatedState::default()),
-            StartState::Stored(stored) => restore_voter(voter_id, &settings, &stored, &mut rng)?,
+        let (role, state) = match (voter_id, start) {
+            (None, _) => (Role::NonVoter, ReplicatedState::default()),
+            (_, StartState::Empty) => (Role::Rejoining(Rejoin::new(session)), ReplicatedState::default()),
+            (Some(voter_id), StartState::Stored(stored)) => {
+                restore_voter(voter_id, &settings, &stored, &mut rng)?
+            }
         };
-        let first_target_voter = rng.u64(1..=settings.voter_count());
+        let first_target_voter = VoterId::new(rng.u64(1..=settings.voter_count()));
         Ok(Node {
             max_generation: identity.generation,
             identity,
@@ -97,7 +100,7 @@
             initial_rules,
             voter_id,
             role,
-            last_token: 0,
+            last_token: WriteToken::default(),
             state,
             leader: None,
             next_tick_at: 0,
@@ -192,8 +195,8 @@
         }
     }
 
-    fn send_to_voter(&mut self, voter_id: u64, packet: Packet, effects: &mut Vec<Effect>) {
-        if voter_id == self.voter_id {
+    fn send_to_voter(&mut self, voter_id: VoterId, packet: Packet, effects: &mut Vec<Effect>) {
+        if Some(voter_id) == self.voter_id {
             self.local_packets.push_back(packet);
         } else if let Some(name) = self.settings.voter_name(voter_id) {
             effects.push(Effect::Send { to: name.to_owned(), bytes: packet.serialize() });
@@ -218,7 +221,7 @@
 }
 
 fn restore_voter(
-    voter_id: u64,
+    voter_id: VoterId,
     settings: &Settings,
     stored: &StoredState,
     rng: &mut fastrand::Rng,
@@ -230,7 +233,7 @@
         Some(snapshot) => postcard::from_bytes(&snapshot.state).map_err(StartError::UnreadableSnapshot)?,
         None => ReplicatedState::default(),
     };
-    let voter = RaftVoter::new(voter_id, settings, stored, rng.u64(..), 0);
+    let voter = RaftVoter::new(voter_id, settings, stored, rng.u64(..), WriteToken::default());
     let voter = voter.map_err(StartError::UnreadableLog)?;
     Ok((Role::Voting(Box::new(voter)), state))
 }
--- a/crates/consensus/src/node/leader_duties.rs
+++ b/crates/consensus/src/node/leader_duties.rs
@@ -98,9 +98,11 @@
     /// Transfers the leadership if most members report that this leader's clock drifts.
     fn check_own_clock(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let (Some(leader), Role::Voting(voter)) = (&mut self.leader, &mut self.role) else { return };
-        if let Some(drift) = leader.take_own_drift(now, &self.settings) {
+        if let Some(own_id) = self.voter_id
+            && let Some(drift) = leader.take_own_drift(now, &self.settings)
+        {
             effects.push(Effect::ClockDriftDetected(drift));
-            voter.transfer_leadership(self.voter_id % self.settings.voter_count() + 1);
+            voter.transfer_leadership(self.settings.next_voter(own_id));
         }
     }
 }
--- a/crates/consensus/src/node/lease_client.rs
+++ b/crates/consensus/src/node/lease_client.rs
@@ -6,50 +6,51 @@
 use crate::rules::Rules;
 use crate::time::Micros;
 use crate::versioned_document::Version;
+use crate::voter_id::VoterId;
 
 /// Requests without an answer after which another voter is asked.
 const MAX_UNANSWERED_REQUESTS: u32 = 2;
 
 /// A leader in one of its terms.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct LeaderTerm {
-    leader_id: u64,
+    leader_id: VoterId,
     term: u64,
 }
 
 /// A member's side of its lease. Owned by its [`Node`].
 pub(super) struct LeaseClient {
     /// The voter to which requests and proposals go: the leader as far as is known.
-    target_voter: u64,
+    target_voter: VoterId,
     unanswered_requests: u32,
     next_request_at: Micros,
     /// Compares with the clock of the leader that granted last.
     clock: ClockComparison,
-    granted_by: LeaderTerm,
+    granted_by: Option<LeaderTerm>,
     is_clock_suspect: bool,
     /// Whether [`Effect::LeaseExpired`] was reported last.
     is_expiry_reported: bool,
 }
 
 impl LeaseClient {
-    pub(super) fn new(target_voter: u64) -> LeaseClient {
+    pub(super) fn new(target_voter: VoterId) -> LeaseClient {
         LeaseClient {
             target_voter,
             unanswered_requests: 0,
             next_request_at: 0,
             clock: ClockComparison::default(),
-            granted_by: LeaderTerm::default(),
+            granted_by: None,
             is_clock_suspect: false,
             is_expiry_reported: false,
         }
     }
 
-    pub(super) fn target_voter(&self) -> u64 {
+    pub(super) fn target_voter(&self) -> VoterId {
         self.target_voter
     }
 
     /// Directs requests to a voter that is known to lead or to know the leader.
-    fn set_target(&mut self, voter_id: u64) {
+    fn set_target(&mut self, voter_id: VoterId) {
         self.target_voter = voter_id;
         self.unanswered_requests = 0;
     }
@@ -77,11 +78,10 @@
     /// Requests the lease from the leader, or from a voter that may know it.
     fn request_lease(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         // What Raft knows here comes first; else, after some silence, the next voter is asked.
-        let leader_id = self.role.leader_id();
-        if leader_id != 0 {
+        if let Some(leader_id) = self.role.leader_id() {
             self.lease.target_voter = leader_id;
         } else if self.lease.unanswered_requests > MAX_UNANSWERED_REQUESTS {
-            let next_voter = self.lease.target_voter % self.settings.voter_count() + 1;
+            let next_voter = self.settings.next_voter(self.lease.target_voter);
             self.lease.set_target(next_voter);
         }
         self.lease.next_request_at = now.saturating_add(self.settings.retry_interval());
@@ -107,8 +107,9 @@
             leader.record_lease_request(now, from, request);
             return;
         }
-        let leader_id = self.role.leader_id();
-        if leader_id != 0 && from != self.identity.name {
+        if let Some(leader_id) = self.role.leader_id()
+            && from != self.identity.name
+        {
             let hint = Packet::LeaderHint { session: request.session, leader_id };
             self.send_to_member(from, hint, effects);
         }
@@ -118,14 +119,15 @@
     pub(super) fn on_lease_grant(
         &mut self,
         now: Micros,
-        leader_id: u64,
+        leader_id: VoterId,
         grant: LeaseGrant,
         effects: &mut Vec<Effect>,
     ) {
         let LeaseGrant { session, sent_at, term, leader_time, update } = grant;
         // From an earlier process, too late, or from a leader that another has replaced.
         let is_late = sent_at > now || now - sent_at > self.settings.max_round_trip;
-        if session != self.session || is_late || term < self.lease.granted_by.term {
+        let is_replaced = self.lease.granted_by.is_some_and(|leader| term < leader.term);
+        if session != self.session || is_late || is_replaced {
             return;
         }
         self.compare_clocks(now, LeaderTerm { leader_id, term }, sent_at, leader_time, effects);
@@ -151,8 +153,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let lease = &mut self.lease;
-        if lease.granted_by != leader {
-            lease.granted_by = leader;
+        if lease.granted_by != Some(leader) {
+            lease.granted_by = Some(leader);
             lease.clock = ClockComparison::default();
         }
         if let Some(drift) = lease.clock.record_sample(&self.settings, sent_at, now, leader_time) {
@@ -171,7 +173,7 @@
     pub(super) fn on_version_update(
         &mut self,
         now: Micros,
-        voter_id: u64,
+        voter_id: VoterId,
         update: &VersionUpdate,
         effects: &mut Vec<Effect>,
     ) {
@@ -189,10 +191,10 @@
         &mut self,
         now: Micros,
         session: u64,
-        leader_id: u64,
+        leader_id: VoterId,
         effects: &mut Vec<Effect>,
     ) {
-        let is_voter = (1..=self.settings.voter_count()).contains(&leader_id);
+        let is_voter = self.settings.voter_name(leader_id).is_some();
         if session == self.session && is_voter && leader_id != self.lease.target_voter {
             self.lease.set_target(leader_id);
             self.request_lease(now, effects);
--- a/crates/consensus/src/node/messages.rs
+++ b/crates/consensus/src/node/messages.rs
@@ -5,25 +5,28 @@
 use crate::packet::Packet;
 use crate::rules::Rules;
 use crate::time::Micros;
+use crate::voter_id::VoterId;
 
 impl<R: Rules> Node<R> {
     /// Takes a packet of the member of this name.
     pub(super) fn on_packet(&mut self, now: Micros, from: &str, packet: Packet, effects: &mut Vec<Effect>) {
-        let voter_id = self.settings.voter_id(from);
         match packet {
             Packet::LeaseRequest(request) => self.on_lease_request(now, from, &request, effects),
             Packet::Proposal(proposal) => self.on_proposal(now, from, proposal, effects),
-            packet if voter_id != 0 => self.on_voter_packet(now, voter_id, packet, effects),
-            _ => {}
+            packet => {
+                if let Some(voter_id) = self.settings.voter_id(from) {
+                    self.on_voter_packet(now, voter_id, packet, effects);
+                }
+            }
         }
     }
 
     /// Takes a packet that only voters send.
-    fn on_voter_packet(&mut self, now: Micros, voter_id: u64, packet: Packet, effects: &mut Vec<Effect>) {
+    fn on_voter_packet(&mut self, now: Micros, voter_id: VoterId, packet: Packet, effects: &mut Vec<Effect>) {
         match packet {
             Packet::Raft(message) => {
                 if let Role::Voting(voter) = &mut self.role
-                    && voter_id != self.voter_id
+                    && Some(voter_id) != self.voter_id
                 {
                     voter.step(voter_id, message);
                 }
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -13,6 +13,7 @@
 use crate::rules::Rules;
 use crate::storage::{Snapshot, StorageWrite, StoredState, TermVote};
 use crate::time::Micros;
+use crate::voter_id::VoterId;
 
 /// The requests of a voter without storage.
 pub(super) struct Rejoin {
@@ -22,7 +23,7 @@
     /// When the last request was sent; 0 for not yet.
     requested_at: Micros,
     /// The generations of the voters that have no storage either, by voter.
-    empty_voters: BTreeMap<u64, u64>,
+    empty_voters: BTreeMap<VoterId, u64>,
 }
 
 impl Rejoin {
@@ -54,7 +55,7 @@
         rejoin.requested_at = now.max(1);
         let request = Packet::RejoinRequest { nonce: rejoin.nonce, generation: self.identity.generation };
         let own_id = self.voter_id;
-        for voter_id in (1..=voter_count).filter(|voter_id| *voter_id != own_id) {
+        for voter_id in self.settings.voter_ids().filter(|voter_id| Some(*voter_id) != own_id) {
             self.send_to_voter(voter_id, request.clone(), effects);
         }
     }
@@ -62,7 +63,7 @@
     /// The leader commits an entry that is later than the request, and answers once that is applied.
     pub(super) fn on_rejoin_request(
         &mut self,
-        voter_id: u64,
+        voter_id: VoterId,
         nonce: u64,
         generation: u64,
         effects: &mut Vec<Effect>,
@@ -81,7 +82,7 @@
         }
     }
 
-    pub(super) fn on_rejoin_empty(&mut self, voter_id: u64, nonce: u64, generation: u64) {
+    pub(super) fn on_rejoin_empty(&mut self, voter_id: VoterId, nonce: u64, generation: u64) {
         if let Role::Rejoining(rejoin) = &mut self.role
             && nonce == rejoin.nonce
         {
@@ -92,7 +93,7 @@
     pub(super) fn on_rejoin_snapshot(
         &mut self,
         nonce: u64,
-        leader_id: u64,
+        leader_id: VoterId,
         snapshot: Snapshot,
         effects: &mut Vec<Effect>,
     ) {
@@ -100,14 +101,14 @@
         let is_readable = postcard::from_bytes::<ReplicatedState>(&snapshot.state).is_ok();
         if nonce == rejoin.nonce && is_readable && snapshot.index > 0 && snapshot.term > 0 {
             // It may have voted in this term before. The term has this leader, so a vote for it is no second vote.
-            let vote = TermVote { term: snapshot.term, voted_for: leader_id };
+            let vote = TermVote { term: snapshot.term, voted_for: leader_id.get() };
             self.install(StoredState { snapshot: Some(snapshot), entries: Vec::new(), vote }, effects);
         }
     }
 
     /// Stores what this voter begins from, before it takes part.
     fn install(&mut self, stored: StoredState, effects: &mut Vec<Effect>) {
-        self.last_token += 1;
+        self.last_token = self.last_token.next();
         let token = self.last_token;
         let write =
             StorageWrite { snapshot: stored.snapshot.clone(), vote: Some(stored.vote), entries: Vec::new() };
@@ -117,11 +118,12 @@
 
     /// Begins to vote from a state that is durable now.
     pub(super) fn finish_install(&mut self, stored: &StoredState) {
+        let Some(voter_id) = self.voter_id else { return };
         let snapshot = stored.snapshot.as_ref();
         let state = snapshot
             .map_or_else(|| Ok(ReplicatedState::default()), |snapshot| postcard::from_bytes(&snapshot.state));
         let seed = self.rng.u64(..);
-        let voter = RaftVoter::new(self.voter_id, &self.settings, stored, seed, self.last_token);
+        let voter = RaftVoter::new(voter_id, &self.settings, stored, seed, self.last_token);
         // Both were checked before they were stored.
         if let (Ok(state), Ok(voter)) = (state, voter) {
             self.state = state;
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -6,12 +6,13 @@
 use crate::raft_voter::{OutgoingMessage, PendingWrite, VoterOutput};
 use crate::replicated_state::{Command, ProposalId, StateLimits};
 use crate::rules::Rules;
-use crate::storage::{LogEntry, Snapshot};
+use crate::storage::{LogEntry, Snapshot, WriteToken};
+use crate::voter_id::VoterId;
 
 /// Who waits for a command to be applied.
 enum CommandOrigin {
     Proposal(ProposalId),
-    RejoiningVoter { voter_id: u64, nonce: u64 },
+    RejoiningVoter { voter_id: VoterId, nonce: u64 },
 }
 
 impl CommandOrigin {
@@ -35,7 +36,7 @@
     }
 
     /// Takes the confirmation that all writes up to this token are durable.
-    pub(super) fn on_persisted(&mut self, token: u64, effects: &mut Vec<Effect>) {
+    pub(super) fn on_persisted(&mut self, token: WriteToken, effects: &mut Vec<Effect>) {
         match &mut self.role {
             Role::Voting(voter) => {
                 let mut output = VoterOutput::default();
@@ -124,14 +125,16 @@
 
     fn send_rejoin_snapshot(
         &mut self,
-        voter_id: u64,
+        voter_id: VoterId,
         nonce: u64,
         entry: &LogEntry,
         effects: &mut Vec<Effect>,
     ) {
-        let Ok(state) = postcard::to_allocvec(&self.state) else { return };
+        let (Some(leader_id), Ok(state)) = (self.voter_id, postcard::to_allocvec(&self.state)) else {
+            return;
+        };
         let snapshot = Snapshot { index: entry.index, term: entry.term, state, replaces_log: true };
-        let answer = Packet::RejoinSnapshot { nonce, leader_id: self.voter_id, snapshot };
+        let answer = Packet::RejoinSnapshot { nonce, leader_id, snapshot };
         self.send_to_voter(voter_id, answer, effects);
     }
 }
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -8,6 +8,7 @@
 use crate::storage::Snapshot;
 use crate::time::Micros;
 use crate::versioned_document::{Version, VersionedDocument};
+use crate::voter_id::VoterId;
 
 const PACKET_FORMAT_VERSION: u8 = 1;
 /// Size limit of a message: a snapshot of nine documents of 1 MiB fits.
@@ -67,7 +68,7 @@
     /// The answer of a voter that does not lead to a lease request: which voter leads, as far as it knows.
     LeaderHint {
         session: u64,
-        leader_id: u64,
+        leader_id: VoterId,
     },
     Proposal(Proposal),
     ProposalResult {
@@ -87,7 +88,7 @@
     /// The leader's answer: the state with a commit that is later than the request.
     RejoinSnapshot {
         nonce: u64,
-        leader_id: u64,
+        leader_id: VoterId,
         snapshot: Snapshot,
     },
 }
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -13,7 +13,8 @@
 use crate::raft_message::RaftMessage;
 use crate::raft_storage::RaftStorage;
 use crate::settings::{ELECTION_TICKS, HEARTBEAT_TICKS, Settings};
-use crate::storage::{Snapshot, StorageWrite, StoredState, TermVote};
+use crate::storage::{Snapshot, StorageWrite, StoredState, TermVote, WriteToken};
+use crate::voter_id::VoterId;
 
 const MAX_ENTRIES_BYTES_PER_MESSAGE: u64 = 1 << 20;
 const MAX_INFLIGHT_MESSAGES: usize = 16;
@@ -21,7 +22,7 @@
 
 /// Messages that may be sent only when the writes up to a token are durable.
 struct DelayedMessages {
-    token: u64,
+    token: WriteToken,
     ready_number: u64,
     messages: Vec<eraftpb::Message>,
 }
@@ -33,7 +34,7 @@
     rng: fastrand::Rng,
     delayed_messages: VecDeque<DelayedMessages>,
     /// The token of the last write.
-    last_token: u64,
+    last_token: WriteToken,
     vote: TermVote,
     applied_index: u64,
     snapshot_index: u64,
@@ -42,13 +43,13 @@
 }
 
 impl RaftVoter {
-    /// The voter of this number, from 1, with what it stored; `last_token` is the last that was used.
+    /// The voter with what it stored; `last_token` is the last that was used.
     pub(crate) fn new(
-        voter_id: u64,
+        voter_id: VoterId,
         settings: &Settings,
         stored: &StoredState,
         seed: u64,
-        last_token: u64,
+        last_token: WriteToken,
     ) -> raft::Result<RaftVoter> {
         let voter_count = settings.voter_count();
         let snapshot_index = stored.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
@@ -99,9 +100,9 @@
         self.raft.raft.apply_to_current_term()
     }
 
-    /// The number of the leader as far as it knows; 0 for none.
-    pub(crate) fn leader_id(&self) -> u64 {
-        self.raft.raft.leader_id
+    /// The leader as far as it knows.
+    pub(crate) fn leader_id(&self) -> Option<VoterId> {
+        VoterId::from_raft(self.raft.raft.leader_id)
     }
 
     /// How many entries were applied since the last snapshot.
@@ -114,11 +115,11 @@
     }
 
     /// Takes another voter's message, unless no correct voter sends it.
-    pub(crate) fn step(&mut self, from: u64, message: RaftMessage) {
+    pub(crate) fn step(&mut self, from: VoterId, message: RaftMessage) {
         if !self.is_acceptable(&message) {
             return;
         }
-        let message = message.into_raft(from, self.raft.raft.id, self.voter_count);
+        let message = message.into_raft(from.get(), self.raft.raft.id, self.voter_count);
         // Its errors are messages that come out of place, which a network may deliver.
         let _ = self.raft.step(message);
     }
@@ -139,12 +140,12 @@
     }
 
     /// Transfers the leadership to another voter.
-    pub(crate) fn transfer_leadership(&mut self, to: u64) {
-        self.raft.transfer_leader(to);
+    pub(crate) fn transfer_leadership(&mut self, to: VoterId) {
+        self.raft.transfer_leader(to.get());
     }
 
     /// Takes the confirmation that all writes up to this token are durable, and sends what waited for them.
-    pub(crate) fn on_persisted(&mut self, token: u64, output: &mut VoterOutput) {
+    pub(crate) fn on_persisted(&mut self, token: WriteToken, output: &mut VoterOutput) {
         while self.delayed_messages.front().is_some_and(|front| front.token <= token) {
             if let Some(DelayedMessages { ready_number, messages, .. }) = self.delayed_messages.pop_front() {
                 self.raft.on_persist_ready(ready_number);
@@ -168,14 +169,14 @@
     }
 
     fn next_write(&mut self, write: StorageWrite) -> PendingWrite {
-        self.last_token += 1;
+        self.last_token = self.last_token.next();
         PendingWrite { token: self.last_token, write }
     }
 }
 
-fn raft_config(voter_id: u64, applied_index: u64) -> Config {
+fn raft_config(voter_id: VoterId, applied_index: u64) -> Config {
     Config {
-        id: voter_id,
+        id: voter_id.get(),
         election_tick: ELECTION_TICKS - HEARTBEAT_TICKS,
         heartbeat_tick: HEARTBEAT_TICKS,
         applied: applied_index,
--- a/crates/consensus/src/raft_voter/output.rs
+++ b/crates/consensus/src/raft_voter/output.rs
@@ -4,17 +4,18 @@
 use super::{DelayedMessages, RaftVoter};
 use crate::raft_conversion::{entry_from_raft, snapshot_from_raft};
 use crate::raft_message::RaftMessage;
-use crate::storage::{LogEntry, Snapshot, StorageWrite, TermVote};
+use crate::storage::{LogEntry, Snapshot, StorageWrite, TermVote, WriteToken};
+use crate::voter_id::VoterId;
 
 /// A message for another voter.
 pub(crate) struct OutgoingMessage {
-    pub(crate) to: u64,
+    pub(crate) to: VoterId,
     pub(crate) message: RaftMessage,
 }
 
 /// A write whose durability is to be confirmed by its token.
 pub(crate) struct PendingWrite {
-    pub(crate) token: u64,
+    pub(crate) token: WriteToken,
     pub(crate) write: StorageWrite,
 }
 
@@ -47,7 +48,7 @@
 
     pub(super) fn send(&mut self, messages: Vec<eraftpb::Message>) {
         for message in messages {
-            let to = message.to;
+            let to = VoterId::new(message.to);
             if let Some(message) = RaftMessage::from_raft(&message) {
                 self.messages.push(OutgoingMessage { to, message });
             }
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -4,6 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::versioned_document::{Version, VersionedDocument};
+use crate::voter_id::VoterId;
 
 /// Proposals whose outcome is remembered. One that is forgotten has a base that is no longer the newest version, so
 /// that it cannot be accepted a second time; only its result is then "rejected".
@@ -39,7 +40,7 @@
     /// Every member knows this version or has lost its lease.
     Activate(Version),
     /// A voter without storage has started: what is committed from here on is later than its start.
-    VoterRejoined { voter_id: u64, nonce: u64 },
+    VoterRejoined { voter_id: VoterId, nonce: u64 },
 }
 
 /// Limits that a proposal must keep to. The same on every voter, from [`crate::Settings`].
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,5 +1,6 @@
 //! The members' common settings, and the bounds that follow from them.
 use crate::time::{MILLISECOND, Micros};
+use crate::voter_id::VoterId;
 
 const MILLION: u64 = 1_000_000;
 const HOUR: Micros = 3_600_000 * MILLISECOND;
@@ -167,14 +168,26 @@
         self.voters.len() as u64
     }
 
-    /// A voter's number, from 1; 0 for a member that is no voter.
-    pub(crate) fn voter_id(&self, name: &str) -> u64 {
-        self.voters.iter().position(|voter| voter == name).map_or(0, |position| position as u64 + 1)
+    /// The number of the voter of this name; `None` for a member that is no voter.
+    pub(crate) fn voter_id(&self, name: &str) -> Option<VoterId> {
+        let position = self.voters.iter().position(|voter| voter == name)?;
+        Some(VoterId::new(position as u64 + 1))
     }
 
     /// The name of the voter of this number.
-    pub(crate) fn voter_name(&self, voter_id: u64) -> Option<&str> {
-        self.voters.get((voter_id as usize).wrapping_sub(1)).map(String::as_str)
+    pub(crate) fn voter_name(&self, voter_id: VoterId) -> Option<&str> {
+        let position = (voter_id.get() as usize).checked_sub(1)?;
+        self.voters.get(position).map(String::as_str)
+    }
+
+    /// All voters in their order.
+    pub(crate) fn voter_ids(&self) -> impl Iterator<Item = VoterId> + use<> {
+        (1..=self.voter_count()).map(VoterId::new)
+    }
+
+    /// The voter after this one; the first after the last.
+    pub(crate) fn next_voter(&self, voter_id: VoterId) -> VoterId {
+        VoterId::new(voter_id.get() % self.voter_count() + 1)
     }
 }
 
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -34,6 +34,17 @@
     pub replaces_log: bool,
 }
 
+/// Identifies a write until it is durable; later writes have larger tokens. Means nothing to another process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct WriteToken(u64);
+
+impl WriteToken {
+    /// The token of the next write.
+    pub(crate) fn next(self) -> WriteToken {
+        WriteToken(self.0 + 1)
+    }
+}
+
 /// What to store before confirming it, in this order: snapshot, entries, vote; all or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StorageWrite {
--- a/crates/consensus/tests/recording/mod.rs
+++ b/crates/consensus/tests/recording/mod.rs
@@ -5,7 +5,7 @@
 
 use copperspread_consensus::{
     Effect, Input, MILLISECOND, MemberIdentity, Micros, Node, SECOND, Settings, StartState, StorageWrite,
-    StoredState, Version,
+    StoredState, Version, WriteToken,
 };
 
 use crate::simulation::{TestRules, name};
@@ -23,7 +23,7 @@
 
 enum Event {
     Message { from: usize, bytes: Vec<u8> },
-    Persisted { token: u64, write: StorageWrite },
+    Persisted { token: WriteToken, write: StorageWrite },
     Tick,
 }
 
@@ -140,7 +140,7 @@
         self.schedule(DELAY, to, Event::Message { from, bytes });
     }
 
-    fn persist(&mut self, member: usize, token: u64, write: StorageWrite) {
+    fn persist(&mut self, member: usize, token: WriteToken, write: StorageWrite) {
         let bytes = postcard::to_allocvec(&write).expect("bytes");
         self.digest.update(&bytes);
         self.writes.entry(write_kind(&write)).or_insert(hex(&bytes));
--- a/crates/consensus/tests/simulation/process.rs
+++ b/crates/consensus/tests/simulation/process.rs
@@ -1,5 +1,5 @@
 //! A simulated process with its disk and clock, and the events that reach it.
-use copperspread_consensus::{Micros, Node, StorageWrite, StoredState};
+use copperspread_consensus::{Micros, Node, StorageWrite, StoredState, WriteToken};
 
 use super::rules::TestRules;
 
@@ -20,7 +20,7 @@
 
 pub(super) enum Event {
     Arrival(Message),
-    Persisted(u64, StorageWrite),
+    Persisted(WriteToken, StorageWrite),
     Tick,
     Resume,
 }
