--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -14,8 +14,7 @@
 
 use lease_client::LeaseClient;
 use proposals::ProposalClient;
-use rejoin::Rejoin;
-use role::Role;
+use role::{Rejoin, Role};
 
 use crate::effect::Effect;
 use crate::input::Input;
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -2,8 +2,6 @@
 //!
 //! It may have voted in the current term and does not remember it. So it votes only after it has stored a state that
 //! a leader committed after its request; or, if no voter has any storage, after all earlier leases have expired.
-use std::collections::BTreeMap;
-
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -15,23 +13,6 @@
 use crate::time::Micros;
 use crate::voter_id::VoterId;
 
-/// The requests of a voter without storage.
-pub(super) struct Rejoin {
-    nonce: u64,
-    /// When the first request was sent; 0 for not yet.
-    started_at: Micros,
-    /// When the last request was sent; 0 for not yet.
-    requested_at: Micros,
-    /// The generations of the voters that have no storage either, by voter.
-    empty_voters: BTreeMap<VoterId, u64>,
-}
-
-impl Rejoin {
-    pub(super) fn new(nonce: u64) -> Rejoin {
-        Rejoin { nonce, started_at: 0, requested_at: 0, empty_voters: BTreeMap::new() }
-    }
-}
-
 impl<R: Rules> Node<R> {
     /// Asks the other voters for the state, and begins without one once all report that they have none.
     pub(super) fn request_rejoin(&mut self, now: Micros, effects: &mut Vec<Effect>) {
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -1,7 +1,9 @@
 //! A member's role in Raft.
-use super::rejoin::Rejoin;
+use std::collections::BTreeMap;
+
 use crate::raft_voter::RaftVoter;
 use crate::storage::{StoredState, WriteToken};
+use crate::time::Micros;
 use crate::voter_id::VoterId;
 
 /// A member's role in Raft.
@@ -25,3 +27,20 @@
         }
     }
 }
+
+/// The requests of a voter without storage.
+pub(super) struct Rejoin {
+    pub(super) nonce: u64,
+    /// When the first request was sent; 0 for not yet.
+    pub(super) started_at: Micros,
+    /// When the last request was sent; 0 for not yet.
+    pub(super) requested_at: Micros,
+    /// The generations of the voters that have no storage either, by voter.
+    pub(super) empty_voters: BTreeMap<VoterId, u64>,
+}
+
+impl Rejoin {
+    pub(super) fn new(nonce: u64) -> Rejoin {
+        Rejoin { nonce, started_at: 0, requested_at: 0, empty_voters: BTreeMap::new() }
+    }
+}
