--- /dev/null
+++ b/crates/consensus/src/raft_voter.rs
@@ -0,0 +1,193 @@
+//! One voter's Raft: the crate `raft`, its election timeout from the seed, and the writes that it wants stored.
+mod message_check;
+mod output;
+
+use std::collections::VecDeque;
+
+use raft::{Config, RawNode, StateRole, eraftpb};
+use slog::{Discard, Logger, o};
+
+pub(crate) use output::{OutgoingMessage, PendingWrite, VoterOutput};
+
+use crate::raft_conversion::snapshot_to_raft;
+use crate::raft_message::RaftMessage;
+use crate::raft_storage::RaftStorage;
+use crate::settings::{ELECTION_TICKS, HEARTBEAT_TICKS, Settings};
+use crate::storage::{Snapshot, StorageWrite, StoredState, TermVote, WriteToken};
+use crate::voter_id::VoterId;
+
+const MAX_ENTRIES_BYTES_PER_MESSAGE: u64 = 1 << 20;
+const MAX_INFLIGHT_MESSAGES: usize = 16;
+const MAX_UNCOMMITTED_BYTES: u64 = 16 << 20;
+
+/// Messages that may be sent only when the writes up to a token are durable.
+struct DelayedMessages {
+    token: WriteToken,
+    ready_number: u64,
+    messages: Vec<eraftpb::Message>,
+}
+
+/// A voter with its Raft state. Owned by its [`crate::Node`].
+pub(crate) struct RaftVoter {
+    raft: RawNode<RaftStorage>,
+    voter_count: u64,
+    rng: fastrand::Rng,
+    delayed_messages: VecDeque<DelayedMessages>,
+    /// The token of the last write.
+    last_token: WriteToken,
+    vote: TermVote,
+    applied_index: u64,
+    snapshot_index: u64,
+    /// Ticks still to skip before the one that would begin an election.
+    election_delay_ticks: Option<usize>,
+}
+
+impl RaftVoter {
+    /// The voter with what it stored; `last_token` is the last that was used.
+    pub(crate) fn new(
+        voter_id: VoterId,
+        settings: &Settings,
+        stored: &StoredState,
+        seed: u64,
+        last_token: WriteToken,
+    ) -> raft::Result<RaftVoter> {
+        let voter_count = settings.voter_count();
+        let snapshot_index = stored.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        let storage = RaftStorage::new(voter_count, stored)?;
+        let config = raft_config(voter_id, snapshot_index);
+        let raft = RawNode::new(&config, storage, &Logger::root(Discard, o!()))?;
+        Ok(RaftVoter {
+            raft,
+            voter_count,
+            rng: fastrand::Rng::with_seed(seed),
+            delayed_messages: VecDeque::new(),
+            last_token,
+            vote: stored.vote,
+            applied_index: snapshot_index,
+            snapshot_index,
+            election_delay_ticks: None,
+        })
+    }
+
+    /// Passes a tick to Raft.
+    ///
+    /// The crate's own random election timeout has one value only, [`ELECTION_TICKS`], because it cannot be seeded.
+    /// Instead the last tick before an election is skipped for a number of times drawn from the seed; by then the
+    /// voter grants its vote to others already.
+    pub(crate) fn tick(&mut self) {
+        let raft = &self.raft.raft;
+        let is_before_election =
+            raft.state != StateRole::Leader && raft.election_elapsed + 1 >= ELECTION_TICKS;
+        if is_before_election {
+            let rng = &mut self.rng;
+            let delay = self.election_delay_ticks.get_or_insert_with(|| rng.usize(0..=ELECTION_TICKS));
+            if *delay > 0 {
+                *delay -= 1;
+                return;
+            }
+        }
+        self.election_delay_ticks = None;
+        self.raft.tick();
+    }
+
+    /// The term, if this voter leads.
+    pub(crate) fn leader_term(&self) -> Option<u64> {
+        (self.raft.raft.state == StateRole::Leader).then_some(self.raft.raft.term)
+    }
+
+    /// Whether all that earlier leaders committed is applied here: an entry of the own term is.
+    pub(crate) fn has_applied_own_term(&self) -> bool {
+        self.raft.raft.apply_to_current_term()
+    }
+
+    /// The leader as far as it knows.
+    pub(crate) fn leader_id(&self) -> Option<VoterId> {
+        VoterId::from_raft(self.raft.raft.leader_id)
+    }
+
+    /// How many entries were applied since the last snapshot.
+    pub(crate) fn entries_since_snapshot(&self) -> u64 {
+        self.applied_index - self.snapshot_index
+    }
+
+    pub(crate) fn applied_index(&self) -> u64 {
+        self.applied_index
+    }
+
+    /// Takes another voter's message, unless no correct voter sends it.
+    pub(crate) fn step(&mut self, from: VoterId, message: RaftMessage) {
+        if !self.is_acceptable(&message) {
+            return;
+        }
+        let message = message.into_raft(from.get(), self.raft.raft.id, self.voter_count);
+        // Its errors are messages that come out of place, which a network may deliver.
+        let _ = self.raft.step(message);
+    }
+
+    /// Appends a command to the log, if this voter leads.
+    pub(crate) fn propose(&mut self, data: Vec<u8>) {
+        if self.leader_term().is_some() {
+            // An error means that too much is uncommitted; whoever proposed it retries.
+            let _ = self.raft.propose(Vec::new(), data);
+        }
+    }
+
+    /// Asks a quorum to confirm that this voter still leads (Raft's read index).
+    pub(crate) fn request_quorum_read(&mut self, read_id: u64) {
+        if self.leader_term().is_some() {
+            self.raft.read_index(read_id.to_le_bytes().to_vec());
+        }
+    }
+
+    /// Transfers the leadership to another voter.
+    pub(crate) fn transfer_leadership(&mut self, to: VoterId) {
+        self.raft.transfer_leader(to.get());
+    }
+
+    /// Takes the confirmation that all writes up to this token are durable, and sends what waited for them.
+    pub(crate) fn on_persisted(&mut self, token: WriteToken, output: &mut VoterOutput) {
+        while self.delayed_messages.front().is_some_and(|front| front.token <= token) {
+            if let Some(DelayedMessages { ready_number, messages, .. }) = self.delayed_messages.pop_front() {
+                self.raft.on_persist_ready(ready_number);
+                output.send(messages);
+            }
+        }
+    }
+
+    /// Compacts the log up to the applied index into a snapshot of this state. `None` while entries up to there are
+    /// not durable.
+    pub(crate) fn compact(&mut self, state: Vec<u8>) -> Option<PendingWrite> {
+        let index = self.applied_index;
+        let term = self.raft.raft.raft_log.term(index).ok()?;
+        if self.raft.raft.raft_log.persisted < index {
+            return None;
+        }
+        let snapshot = Snapshot { index, term, state, replaces_log: false };
+        self.raft.mut_store().compact(snapshot_to_raft(&snapshot, self.voter_count)).ok()?;
+        self.snapshot_index = index;
+        Some(self.next_write(StorageWrite { snapshot: Some(snapshot), ..StorageWrite::default() }))
+    }
+
+    fn next_write(&mut self, write: StorageWrite) -> PendingWrite {
+        self.last_token = self.last_token.next();
+        PendingWrite { token: self.last_token, write }
+    }
+}
+
+fn raft_config(voter_id: VoterId, applied_index: u64) -> Config {
+    Config {
+        id: voter_id.get(),
+        election_tick: ELECTION_TICKS - HEARTBEAT_TICKS,
+        heartbeat_tick: HEARTBEAT_TICKS,
+        applied: applied_index,
+        max_size_per_msg: MAX_ENTRIES_BYTES_PER_MESSAGE,
+        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+        check_quorum: true,
+        pre_vote: true,
+        // One value only: see `RaftVoter::tick`.
+        min_election_tick: ELECTION_TICKS,
+        max_election_tick: ELECTION_TICKS + 1,
+        max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+        ..Config::default()
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/versioned_document.rs
@@ -0,0 +1,66 @@
+//! The replicated document with its version and digest.
+use serde::{Deserialize, Serialize};
+
+/// The version of a document. Epochs compare first, then numbers.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Version {
+    /// Increases when voters that all lost their storage start again; 0 before the first document.
+    pub epoch: u64,
+    /// Counts from 1 in each epoch.
+    pub number: u64,
+}
+
+impl Version {
+    /// The version after this one, in the same epoch.
+    pub(crate) fn next(self) -> Version {
+        Version { number: self.number.saturating_add(1), ..self }
+    }
+}
+
+impl std::fmt::Display for Version {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(formatter, "{}.{}", self.epoch, self.number)
+    }
+}
+
+/// BLAKE3 of a document's version and bytes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Digest(pub [u8; 32]);
+
+impl std::fmt::Display for Digest {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        self.0.iter().try_for_each(|byte| write!(formatter, "{byte:02x}"))
+    }
+}
+
+/// One version of the rules as it is replicated, stored and sent.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct VersionedDocument {
+    /// Its version.
+    pub version: Version,
+    /// Of version and bytes.
+    pub digest: Digest,
+    /// The rules, serialized with postcard.
+    pub bytes: Vec<u8>,
+}
+
+impl VersionedDocument {
+    /// A document of these bytes, with its digest.
+    pub fn new(version: Version, bytes: Vec<u8>) -> VersionedDocument {
+        let digest = document_digest(version, &bytes);
+        VersionedDocument { version, digest, bytes }
+    }
+
+    /// Whether the digest matches version and bytes.
+    pub fn has_valid_digest(&self) -> bool {
+        self.digest == document_digest(self.version, &self.bytes)
+    }
+}
+
+fn document_digest(version: Version, bytes: &[u8]) -> Digest {
+    let mut hasher = blake3::Hasher::new();
+    hasher.update(&version.epoch.to_le_bytes());
+    hasher.update(&version.number.to_le_bytes());
+    hasher.update(bytes);
+    Digest(*hasher.finalize().as_bytes())
+}
