--- a/crates/identifiers/src/lib.rs
+++ b/crates/identifiers/src/lib.rs
@@ -19,23 +19,23 @@
     Length(usize),
     /// It would spoil a log.
     #[error("a name has no control characters")]
-    Control,
+    ControlCharacter,
 }
 
 impl Name {
     /// Most bytes of a name.
-    pub const MOST: usize = 64;
+    pub const MAX_BYTES: usize = 64;
 
     /// A name.
     ///
     /// # Errors
     /// A text that is none.
     pub fn new(text: &str) -> Result<Name, NameError> {
-        if text.is_empty() || text.len() > Name::MOST {
+        if text.is_empty() || text.len() > Name::MAX_BYTES {
             return Err(NameError::Length(text.len()));
         }
         if text.chars().any(char::is_control) {
-            return Err(NameError::Control);
+            return Err(NameError::ControlCharacter);
         }
         Ok(Name(text.into()))
     }
--- a/crates/identifiers/tests/unit/names.rs
+++ b/crates/identifiers/tests/unit/names.rs
@@ -8,7 +8,7 @@
         ("a", None),
         (&"é".repeat(32), None),
         (&"é".repeat(33), Some(NameError::Length(66))),
-        ("a\nb", Some(NameError::Control)),
+        ("a\nb", Some(NameError::ControlCharacter)),
     ];
     for (text, wrong) in cases {
         assert_eq!(Name::new(text).err(), wrong, "{text:?}");
--- a/crates/reservations/benches/calendar.rs
+++ b/crates/reservations/benches/calendar.rs
@@ -17,15 +17,15 @@
     Name::new(text).expect("a name")
 }
 
-fn command(member: &str, sequence: u64, body: Body) -> Command {
-    Command { id: CommandId { member: name(member), generation: 1, sequence }, body }
+fn command(member: &str, sequence: u64, body: CommandBody) -> Command {
+    Command { id: CommandId { member: name(member), incarnation: 1, sequence }, body }
 }
 
 fn capacity(sequence: u64, pool: u64, slots: u32) -> Command {
     command(
         "pools",
         sequence,
-        Body::Capacity { pool: name(&format!("pool-{pool}")), zone: name("north"), slots },
+        CommandBody::SetCapacity { pool: name(&format!("pool-{pool}")), zone: name("north"), slots },
     )
 }
 
@@ -34,25 +34,28 @@
     let mut random = fastrand::Rng::with_seed(number);
     let start = START + random.i64(2 * HOUR..390 * DAY);
     let interval = Interval { start, end: start + random.i64(HOUR..48 * HOUR) };
-    let accepts = Accepts { partial: number.is_multiple_of(4).then_some(1), split: number.is_multiple_of(8) };
-    let reserve = Reserve {
+    let accepts = Flexibility {
+        min_slots: number.is_multiple_of(4).then_some(1),
+        allows_split: number.is_multiple_of(8),
+    };
+    let reserve = ReservationRequest {
         owner: Owner::Tenant(name(&format!("tenant-{}", number % 200))),
         pool: name(&format!("pool-{}", number % POOLS)),
         amount: Amount::Slots(random.u32(1..=40)),
-        when: When::Once(interval),
+        schedule: Schedule::Once(interval),
         precedence,
-        accepts,
-        give_back: 10_000,
+        flexibility: accepts,
+        lending_rate_ppm: 10_000,
         hold_end: START + DAY,
     };
-    command("claims", number, Body::Reserve(reserve))
+    command("claims", number, CommandBody::Reserve(reserve))
 }
 
 fn log(claims: u64) -> Vec<Command> {
     let pools = (0..POOLS).map(|pool| capacity(pool + 1, pool, SLOTS));
     let confirmed = (1..=claims).flat_map(|number| {
         let made = claim(number, 1);
-        let confirm = command("confirms", number, Body::Confirm(made.id.clone()));
+        let confirm = command("confirms", number, CommandBody::Confirm(made.id.clone()));
         [made, confirm]
     });
     pools.chain(confirmed).collect()
@@ -73,7 +76,7 @@
     bencher.bench_local(|| {
         number += 1;
         black_box(calendar.apply(START, &claim(number, 2)));
-        calendar.apply(START, &command("withdraws", number, Body::Withdraw(claim(number, 2).id)))
+        calendar.apply(START, &command("withdraws", number, CommandBody::Withdraw(claim(number, 2).id)))
     });
 }
 
@@ -93,7 +96,7 @@
     let mut at = START;
     bencher.bench_local(|| {
         at = START + (at - START + 7 * HOUR) % (390 * DAY);
-        calendar.next_change(black_box(at))
+        calendar.next_change_after(black_box(at))
     });
 }
 
@@ -103,9 +106,9 @@
     let mut crowd = Calendar::new(Settings::default()).expect("good settings");
     let crowded = |number, precedence| {
         let mut made = claim(number, precedence);
-        if let Body::Reserve(reserve) = &mut made.body {
+        if let CommandBody::Reserve(reserve) = &mut made.body {
             reserve.pool = name("pool-0");
-            if let When::Once(Interval { start, end }) = &mut reserve.when {
+            if let Schedule::Once(Interval { start, end }) = &mut reserve.schedule {
                 let shift = (*start - START) / (31 * DAY) * 31 * DAY;
                 (*start, *end) = (*start - shift, *end - shift);
             }
@@ -116,17 +119,17 @@
     for number in 1..=claims {
         let made = crowded(number, 1);
         crowd.apply(START, &made);
-        crowd.apply(START, &command("confirms", number, Body::Confirm(made.id)));
+        crowd.apply(START, &command("confirms", number, CommandBody::Confirm(made.id)));
     }
     let mut large = crowded(claims + 1, 2);
-    if let Body::Reserve(reserve) = &mut large.body {
+    if let CommandBody::Reserve(reserve) = &mut large.body {
         reserve.amount = Amount::Slots(10_000_000);
-        reserve.accepts = Accepts::default();
-        reserve.when = When::Once(Interval { start: START + 10 * DAY, end: START + 12 * DAY });
+        reserve.flexibility = Flexibility::default();
+        reserve.schedule = Schedule::Once(Interval { start: START + 10 * DAY, end: START + 12 * DAY });
     }
     bencher.with_inputs(|| crowd.clone()).bench_local_values(|mut crowd| {
         let proposed = crowd.apply(START, &large);
-        let confirmed = command("confirms", claims + 1, Body::Confirm(large.id.clone()));
+        let confirmed = command("confirms", claims + 1, CommandBody::Confirm(large.id.clone()));
         (proposed, crowd.apply(START, &confirmed), crowd)
     });
 }
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -3,11 +3,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::calendar::{Calendar, Wanted};
-use crate::{ClaimId, DAY, Effect, MILLION, Millis, Name, Owner, Target};
+use crate::calendar::{Calendar, ClaimRequest};
+use crate::{BlackoutEffect, BlackoutTarget, ClaimId, DAY, Millis, Name, Owner, PARTS_PER_MILLION};
 
 /// How early a blackout without any work is told. No work is believed to run longer.
-pub const AHEAD: Millis = DAY;
+pub const BLACKOUT_LOOKAHEAD: Millis = DAY;
 
 /// What holds at an instant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -15,13 +15,17 @@
     /// Of each pool that the calendar knows.
     pub pools: BTreeMap<Name, PoolAllowance>,
     /// Classes with a blackout now or ahead.
-    pub classes: BTreeMap<Name, BlackedOut>,
+    #[serde(rename = "classes")]
+    pub class_blackouts: BTreeMap<Name, BlackoutStatus>,
     /// Tenants with a blackout now or ahead.
-    pub tenants: BTreeMap<Name, BlackedOut>,
+    #[serde(rename = "tenants")]
+    pub tenant_blackouts: BTreeMap<Name, BlackoutStatus>,
     /// Pools with a blackout now or ahead; their zone's are in `zones`.
-    pub blacked_pools: BTreeMap<Name, BlackedOut>,
+    #[serde(rename = "blacked_pools")]
+    pub pool_blackouts: BTreeMap<Name, BlackoutStatus>,
     /// Zones with a blackout now or ahead.
-    pub zones: BTreeMap<Name, BlackedOut>,
+    #[serde(rename = "zones")]
+    pub zone_blackouts: BTreeMap<Name, BlackoutStatus>,
 }
 
 /// What of a pool is reserved.
@@ -32,14 +36,17 @@
     /// Its slots.
     pub slots: u32,
     /// Slots that nobody has reserved.
-    pub open: u32,
+    #[serde(rename = "open")]
+    pub unreserved_slots: u32,
     /// Who has reserved the others, in the claims' order.
-    pub reserved: Vec<Reserved>,
+    #[serde(rename = "reserved")]
+    pub reservations: Vec<ActiveReservation>,
 }
 
 /// A reservation at an instant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reserved {
+#[serde(rename = "Reserved")]
+pub struct ActiveReservation {
     /// The claim.
     pub claim: ClaimId,
     /// For whom.
@@ -47,38 +54,44 @@
     /// So many slots.
     pub slots: u32,
     /// Since when.
-    pub since: Millis,
+    #[serde(rename = "since")]
+    pub start: Millis,
     /// Until when it is so many.
-    pub until: Millis,
+    #[serde(rename = "until")]
+    pub end: Millis,
     /// How fast what is unused is lent, for [`lent`].
-    pub give_back: u32,
+    #[serde(rename = "give_back")]
+    pub lending_rate_ppm: u32,
 }
 
 /// Blackouts of one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BlackedOut {
+#[serde(rename = "BlackedOut")]
+pub struct BlackoutStatus {
     /// No work is begun until then, through blackouts that meet; none if work may begin.
     pub no_new_work_until: Option<Millis>,
     /// No work runs until then, through blackouts that meet; none if it may.
     pub no_work_until: Option<Millis>,
     /// The next time without any work that has not begun, if within [`AHEAD`].
-    pub ahead: Option<Ahead>,
+    #[serde(rename = "ahead")]
+    pub upcoming: Option<UpcomingBlackout>,
 }
 
 /// A blackout that has not begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ahead {
+#[serde(rename = "Ahead")]
+pub struct UpcomingBlackout {
     /// Its first instant.
     pub start: Millis,
     /// The first instant after it, through blackouts that meet.
     pub end: Millis,
 }
 
-impl BlackedOut {
+impl BlackoutStatus {
     /// Until when work that is believed to run for at most so long must not begin; none if it may. Work may end
     /// at the very start of a blackout.
-    pub fn must_wait(&self, now: Millis, longest: Millis) -> Option<Millis> {
-        let ahead = self.ahead.filter(|ahead| now.saturating_add(longest.max(0)) > ahead.start);
+    pub fn wait_until(&self, now: Millis, longest: Millis) -> Option<Millis> {
+        let ahead = self.upcoming.filter(|ahead| now.saturating_add(longest.max(0)) > ahead.start);
         self.no_new_work_until.max(ahead.map(|ahead| ahead.end))
     }
 }
@@ -86,10 +99,10 @@
 /// Slots of a reservation that others may take now: of what its owner leaves unused, so much that the whole
 /// reservation would be lent at `speed` parts in a million a second. `since` is for how many milliseconds the
 /// owner has used no more than `used_by_owner`. What the owner takes again is not lent from that instant on.
-pub fn lent(reserved: u32, used_by_owner: u32, since: Millis, speed: u32) -> u32 {
+pub fn lendable_slots(reserved: u32, used_by_owner: u32, since: Millis, speed: u32) -> u32 {
     let unused = reserved.saturating_sub(used_by_owner);
     let elapsed = u128::from(since.max(0).unsigned_abs());
-    let given = u128::from(reserved) * u128::from(speed) * elapsed / (u128::from(MILLION) * 1_000);
+    let given = u128::from(reserved) * u128::from(speed) * elapsed / (u128::from(PARTS_PER_MILLION) * 1_000);
     u32::try_from(given).unwrap_or(u32::MAX).min(unused)
 }
 
@@ -98,33 +111,45 @@
     pub fn allowances(&self, at: Millis) -> Allowances {
         let mut found = Allowances::default();
         for (name, pool) in &self.state.pools {
-            let mut reserved: Vec<Reserved> = Vec::new();
+            let mut reserved: Vec<ActiveReservation> = Vec::new();
             let index = self.index.pools.get(name);
-            for (span, (id, number)) in index.into_iter().flat_map(|index| index.pieces.overlap(at)) {
+            for (span, (id, number)) in index.into_iter().flat_map(|index| index.allocations.overlap(at)) {
                 let Some(claim) = self.state.claims.get(id) else { continue };
-                let Wanted::Reserve(reserve) = &claim.wanted else { continue };
+                let ClaimRequest::Reservation(reserve) = &claim.request else { continue };
                 let Some(occurrence) = claim.occurrences.get(*number) else { continue };
-                let piece = occurrence.pieces.iter().find(|each| each.interval.start == span.start);
-                if let Some(piece) = piece.filter(|_| claim.state.acts()) {
+                let piece = occurrence.allocations.iter().find(|each| each.interval.start == span.start);
+                if let Some(piece) = piece.filter(|_| claim.state.is_in_effect()) {
                     let (owner, slots) = (reserve.owner.clone(), piece.slots);
-                    let (since, until, give_back) = (span.start, span.end, reserve.give_back);
-                    reserved.push(Reserved { claim: id.clone(), owner, slots, since, until, give_back });
+                    let (since, until, give_back) = (span.start, span.end, reserve.lending_rate_ppm);
+                    reserved.push(ActiveReservation {
+                        claim: id.clone(),
+                        owner,
+                        slots,
+                        start: since,
+                        end: until,
+                        lending_rate_ppm: give_back,
+                    });
                 }
             }
             reserved.sort_unstable_by(|a, b| a.claim.cmp(&b.claim));
             let taken = reserved.iter().fold(0_u32, |sum, each| sum.saturating_add(each.slots));
             let (zone, slots) = (pool.zone.clone(), pool.slots);
-            let allowance = PoolAllowance { zone, slots, open: slots.saturating_sub(taken), reserved };
+            let allowance = PoolAllowance {
+                zone,
+                slots,
+                unreserved_slots: slots.saturating_sub(taken),
+                reservations: reserved,
+            };
             found.pools.insert(name.clone(), allowance);
         }
         for target in self.index.blackouts.keys() {
             let blacked = self.blacked_out(target, at);
-            if blacked != BlackedOut::default() {
+            if blacked != BlackoutStatus::default() {
                 match target {
-                    Target::Class(name) => found.classes.insert(name.clone(), blacked),
-                    Target::Tenant(name) => found.tenants.insert(name.clone(), blacked),
-                    Target::Pool(name) => found.blacked_pools.insert(name.clone(), blacked),
-                    Target::Zone(name) => found.zones.insert(name.clone(), blacked),
+                    BlackoutTarget::Class(name) => found.class_blackouts.insert(name.clone(), blacked),
+                    BlackoutTarget::Tenant(name) => found.tenant_blackouts.insert(name.clone(), blacked),
+                    BlackoutTarget::Pool(name) => found.pool_blackouts.insert(name.clone(), blacked),
+                    BlackoutTarget::Zone(name) => found.zone_blackouts.insert(name.clone(), blacked),
                 };
             }
         }
@@ -132,29 +157,29 @@
     }
 
     /// The next instant after which allowances may differ, by the log so far.
-    pub fn next_change(&self, after: Millis) -> Option<Millis> {
-        self.index.edges.range(after.checked_add(1)?..).next().map(|(at, _)| *at)
+    pub fn next_change_after(&self, after: Millis) -> Option<Millis> {
+        self.index.allowance_changes.range(after.checked_add(1)?..).next().map(|(at, _)| *at)
     }
 
-    fn blacked_out(&self, target: &Target, at: Millis) -> BlackedOut {
-        let no_new_work_until = self.blackout_end(target, at, Effect::NoNewWork);
-        let no_work_until = self.blackout_end(target, at, Effect::NoWork);
+    fn blacked_out(&self, target: &BlackoutTarget, at: Millis) -> BlackoutStatus {
+        let no_new_work_until = self.blackout_end(target, at, BlackoutEffect::NoNewWork);
+        let no_work_until = self.blackout_end(target, at, BlackoutEffect::NoWork);
         let from = no_work_until.unwrap_or(at);
         let starts = self.index.blackouts.get(target).into_iter().flat_map(|map| map.iter(from..));
         let ahead = starts
-            .filter(|(span, id)| span.start > at && self.effect(id) == Some(Effect::NoWork))
+            .filter(|(span, id)| span.start > at && self.effect(id) == Some(BlackoutEffect::NoWork))
             .map(|(span, _)| span.start)
             .next()
-            .filter(|start| *start <= at.saturating_add(AHEAD));
-        let ahead = ahead.map(|start| Ahead {
+            .filter(|start| *start <= at.saturating_add(BLACKOUT_LOOKAHEAD));
+        let ahead = ahead.map(|start| UpcomingBlackout {
             start,
-            end: self.blackout_end(target, start, Effect::NoWork).unwrap_or(start),
+            end: self.blackout_end(target, start, BlackoutEffect::NoWork).unwrap_or(start),
         });
-        BlackedOut { no_new_work_until, no_work_until, ahead }
+        BlackoutStatus { no_new_work_until, no_work_until, upcoming: ahead }
     }
 
     /// The end of the blackouts of at least this effect that hold at an instant, through those that meet.
-    fn blackout_end(&self, target: &Target, at: Millis, least: Effect) -> Option<Millis> {
+    fn blackout_end(&self, target: &BlackoutTarget, at: Millis, least: BlackoutEffect) -> Option<Millis> {
         let map = self.index.blackouts.get(target)?;
         let mut end = at;
         loop {
@@ -167,10 +192,10 @@
         }
     }
 
-    fn effect(&self, id: &ClaimId) -> Option<Effect> {
-        match &self.state.claims.get(id)?.wanted {
-            Wanted::Blackout(blackout) => Some(blackout.effect),
-            Wanted::Reserve(_) => None,
+    fn effect(&self, id: &ClaimId) -> Option<BlackoutEffect> {
+        match &self.state.claims.get(id)?.request {
+            ClaimRequest::Blackout(blackout) => Some(blackout.effect),
+            ClaimRequest::Reservation(_) => None,
         }
     }
 }
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar.rs
@@ -3,9 +3,9 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::index::{Index, Key, PoolIndex, over};
-use crate::place::{Candidate, MOST_CANDIDATES, Plan, Stretch, plan};
-use crate::seen::{Seen, Sight};
+use crate::index::{Index, OccurrenceKey, PoolIndex, overlapping};
+use crate::place::{AllocationPlan, Candidate, MAX_CANDIDATES, Segment, plan};
+use crate::seen::{DeduplicationWindows, DuplicateCheck};
 use crate::*;
 
 /// How far from where it was wanted a claim's nearest interval is looked for.
@@ -17,13 +17,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settings {
     /// An occurrence that begins sooner is not displaced by a claim: 0 to 30 days.
-    pub notice: Millis,
+    #[serde(rename = "notice")]
+    pub displacement_notice: Millis,
 }
 
 impl Default for Settings {
     /// An hour's notice.
     fn default() -> Settings {
-        Settings { notice: HOUR }
+        Settings { displacement_notice: HOUR }
     }
 }
 
@@ -41,72 +42,83 @@
 
 /// What a claim asked for.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) enum Wanted {
-    Reserve(Reserve),
-    Blackout(Blackout),
+#[serde(rename = "Wanted")]
+pub(crate) enum ClaimRequest {
+    #[serde(rename = "Reserve")]
+    Reservation(ReservationRequest),
+    Blackout(BlackoutRequest),
 }
 
 /// One interval of a claim, and what it has of it; a blackout has no pieces.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Occurrence {
     pub(crate) interval: Interval,
-    pub(crate) pieces: Vec<Piece>,
+    #[serde(rename = "pieces")]
+    pub(crate) allocations: Vec<Allocation>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Claim {
-    pub(crate) state: State,
+    pub(crate) state: ClaimState,
     /// When it got its rank: held, or confirmed if it never was.
-    since: Millis,
+    #[serde(rename = "since")]
+    ranked_at: Millis,
     /// When it took its last step.
-    moved: Millis,
-    pub(crate) wanted: Wanted,
+    #[serde(rename = "moved")]
+    last_transition_at: Millis,
+    #[serde(rename = "wanted")]
+    pub(crate) request: ClaimRequest,
     /// What it asks for in slots of the pool as it is.
-    slots: u32,
+    #[serde(rename = "slots")]
+    requested_slots: u32,
     pub(crate) occurrences: Vec<Occurrence>,
 }
 
 /// Who goes first: what has begun, then precedence, then the earlier confirmed, then the id.
-type Rank = (bool, std::cmp::Reverse<u32>, Millis, Key);
+type Rank = (bool, std::cmp::Reverse<u32>, Millis, OccurrenceKey);
 
 impl Claim {
     /// When it is to be looked at next.
     pub(crate) fn next_due(&self) -> Option<Millis> {
-        let hold_end = match &self.wanted {
-            Wanted::Reserve(reserve) => reserve.hold_end,
-            Wanted::Blackout(blackout) => blackout.hold_end,
+        let hold_end = match &self.request {
+            ClaimRequest::Reservation(reserve) => reserve.hold_end,
+            ClaimRequest::Blackout(blackout) => blackout.hold_end,
         };
         match self.state {
-            State::Proposed | State::Held => Some(hold_end),
-            State::Confirmed => self.spans().next().map(|span| span.start),
-            State::Active => self.spans().next_back().map(|span| span.end),
-            _ => Some(self.moved.saturating_add(REMEMBERED)),
+            ClaimState::Proposed | ClaimState::Held => Some(hold_end),
+            ClaimState::Confirmed => self.active_intervals().next().map(|span| span.start),
+            ClaimState::Active => self.active_intervals().next_back().map(|span| span.end),
+            _ => Some(self.last_transition_at.saturating_add(CLAIM_RETENTION)),
         }
     }
 
     /// When it acts.
-    pub(crate) fn spans(&self) -> impl DoubleEndedIterator<Item = Interval> {
-        let blackout = matches!(self.wanted, Wanted::Blackout(_));
+    pub(crate) fn active_intervals(&self) -> impl DoubleEndedIterator<Item = Interval> {
+        let blackout = matches!(self.request, ClaimRequest::Blackout(_));
         let whole = self.occurrences.iter().filter(move |_| blackout).map(|each| each.interval);
-        whole.chain(self.occurrences.iter().flat_map(|each| each.pieces.iter().map(|piece| piece.interval)))
+        whole.chain(
+            self.occurrences.iter().flat_map(|each| each.allocations.iter().map(|piece| piece.interval)),
+        )
     }
 
-    fn reserve(&self) -> Option<&Reserve> {
-        match &self.wanted {
-            Wanted::Reserve(reserve) => Some(reserve),
-            Wanted::Blackout(_) => None,
+    fn reserve(&self) -> Option<&ReservationRequest> {
+        match &self.request {
+            ClaimRequest::Reservation(reserve) => Some(reserve),
+            ClaimRequest::Blackout(_) => None,
         }
     }
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Inner {
+#[serde(rename = "Inner")]
+pub(crate) struct CalendarState {
     settings: Settings,
     now: Millis,
     pub(crate) pools: BTreeMap<Name, Pool>,
     #[serde(with = "pairs")]
     pub(crate) claims: BTreeMap<ClaimId, Claim>,
-    seen: Seen,
+    #[serde(rename = "seen")]
+    deduplication: DeduplicationWindows,
 }
 
 /// A map as pairs in its order, for formats whose keys are texts.
@@ -133,7 +145,7 @@
 /// and read goes on alike.
 #[derive(Clone, Debug)]
 pub struct Calendar {
-    pub(crate) state: Inner,
+    pub(crate) state: CalendarState,
     pub(crate) index: Index,
 }
 
@@ -145,7 +157,7 @@
 
 impl<'de> Deserialize<'de> for Calendar {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Calendar, D::Error> {
-        let state = Inner::deserialize(from)?;
+        let state = CalendarState::deserialize(from)?;
         let mut index = Index::default();
         state.claims.iter().for_each(|(id, claim)| index.attach(id, claim));
         Ok(Calendar { state, index })
@@ -153,13 +165,13 @@
 }
 
 /// Where events go, with what they share.
-struct Told<'a> {
+struct EventSink<'a> {
     at: Millis,
     command: Option<&'a CommandId>,
     events: Vec<Event>,
 }
 
-impl Told<'_> {
+impl EventSink<'_> {
     fn tell(&mut self, change: Change) {
         self.events.push(Event { at: self.at, command: self.command.cloned(), change });
     }
@@ -171,11 +183,11 @@
     /// # Errors
     /// Settings that are out of bounds.
     pub fn new(settings: Settings) -> Result<Calendar, SettingsError> {
-        if !(0..=30 * DAY).contains(&settings.notice) {
+        if !(0..=30 * DAY).contains(&settings.displacement_notice) {
             return Err(SettingsError("notice: not in 0 to 30 days"));
         }
-        let (pools, claims, seen) = (BTreeMap::new(), BTreeMap::new(), Seen::default());
-        let state = Inner { settings, now: 0, pools, claims, seen };
+        let (pools, claims, seen) = (BTreeMap::new(), BTreeMap::new(), DeduplicationWindows::default());
+        let state = CalendarState { settings, now: 0, pools, claims, deduplication: seen };
         Ok(Calendar { state, index: Index::default() })
     }
 
@@ -185,23 +197,30 @@
     }
 
     /// Where a claim stands; none if it is unknown or forgotten.
-    pub fn state_of(&self, claim: &ClaimId) -> Option<State> {
+    pub fn state_of(&self, claim: &ClaimId) -> Option<ClaimState> {
         self.state.claims.get(claim).map(|claim| claim.state)
     }
 
     /// What a reservation has, in order.
-    pub fn pieces_of(&self, claim: &ClaimId) -> Vec<Piece> {
-        let claim = self.state.claims.get(claim).filter(|claim| claim.state.keeps_place());
-        claim.into_iter().flat_map(|claim| &claim.occurrences).flat_map(|each| each.pieces.clone()).collect()
+    pub fn allocations_of(&self, claim: &ClaimId) -> Vec<Allocation> {
+        let claim = self.state.claims.get(claim).filter(|claim| claim.state.occupies_capacity());
+        claim
+            .into_iter()
+            .flat_map(|claim| &claim.occurrences)
+            .flat_map(|each| each.allocations.clone())
+            .collect()
     }
 
     /// Takes an entry of the log at its instant, and tells what changed. Time never goes back: an entry with an
     /// earlier instant than the last counts as at the last.
     pub fn apply(&mut self, at: Millis, command: &Command) -> Vec<Event> {
         let (id, events) = (&command.id, Vec::new());
-        let mut told = Told { at: self.state.now, command: Some(id), events };
-        if !(0..=LAST_INSTANT).contains(&at) {
-            told.tell(Change::Rejected(Refusal::of("at", Fault::Range { least: 0, most: LAST_INSTANT })));
+        let mut told = EventSink { at: self.state.now, command: Some(id), events };
+        if !(0..=MAX_INSTANT).contains(&at) {
+            told.tell(Change::Rejected(Rejection::new(
+                "at",
+                FieldError::OutOfRange { min: 0, max: MAX_INSTANT },
+            )));
             return told.events;
         }
         self.state.now = self.state.now.max(at);
@@ -209,11 +228,13 @@
         told.command = None;
         self.advance(&mut told);
         told.command = Some(id);
-        let refused = match self.state.seen.mark(self.state.now, id) {
-            Sight::Again => return told.events,
-            Sight::First => self.act(command, &mut told).err(),
-            Sight::Old => Some(Refusal::of("id.sequence", Fault::TooOld)),
-            Sight::Full => Some(Refusal::of("id.member", Fault::TooMany(seen::MOST_MEMBERS as u64))),
+        let refused = match self.state.deduplication.record(self.state.now, id) {
+            DuplicateCheck::Duplicate => return told.events,
+            DuplicateCheck::New => self.act(command, &mut told).err(),
+            DuplicateCheck::TooOld => Some(Rejection::new("id.sequence", FieldError::TooOld)),
+            DuplicateCheck::NoCapacity => {
+                Some(Rejection::new("id.member", FieldError::LimitExceeded(seen::MAX_MEMBERS as u64)))
+            }
         };
         if let Some(refusal) = refused {
             told.tell(Change::Rejected(refusal));
@@ -223,32 +244,32 @@
         told.events
     }
 
-    fn act(&mut self, command: &Command, told: &mut Told<'_>) -> Result<(), Refusal> {
+    fn act(&mut self, command: &Command, told: &mut EventSink<'_>) -> Result<(), Rejection> {
         match &command.body {
-            Body::Reserve(reserve) => self.propose_reservation(&command.id, reserve, told),
-            Body::Blackout(blackout) => self.propose_blackout(&command.id, blackout, told),
-            Body::Confirm(claim) => self.confirm(claim, told),
-            Body::Withdraw(claim) => {
-                self.step("withdraw", claim, Step::Withdraw, Reason::Asked, told)?;
+            CommandBody::Reserve(reserve) => self.propose_reservation(&command.id, reserve, told),
+            CommandBody::Blackout(blackout) => self.propose_blackout(&command.id, blackout, told),
+            CommandBody::Confirm(claim) => self.confirm(claim, told),
+            CommandBody::Withdraw(claim) => {
+                self.step("withdraw", claim, Transition::Withdraw, Reason::Requested, told)?;
                 Ok(())
             }
-            Body::Capacity { pool, zone, slots } => self.set_capacity(pool, zone, *slots, told),
-            Body::Advance => Ok(()),
+            CommandBody::SetCapacity { pool, zone, slots } => self.set_capacity(pool, zone, *slots, told),
+            CommandBody::AdvanceTime => Ok(()),
         }
     }
 
     /// What time did up to now.
-    fn advance(&mut self, told: &mut Told<'_>) {
-        while let Some((due, _)) = self.index.due.first().filter(|(due, _)| *due <= self.state.now) {
+    fn advance(&mut self, told: &mut EventSink<'_>) {
+        while let Some((due, _)) = self.index.due_claims.first().filter(|(due, _)| *due <= self.state.now) {
             let due = *due;
-            let Some((_, id)) = self.index.due.pop_first() else { break };
+            let Some((_, id)) = self.index.due_claims.pop_first() else { break };
             let Some(claim) = self.state.claims.get(&id).filter(|claim| claim.next_due() == Some(due)) else {
                 continue;
             };
             let (step, why) = match claim.state {
-                State::Proposed | State::Held => (Step::Lapse, Reason::HoldEnded),
-                State::Confirmed => (Step::Begin, Reason::TimeCame),
-                State::Active => (Step::End, Reason::TimeCame),
+                ClaimState::Proposed | ClaimState::Held => (Transition::Lapse, Reason::HoldExpired),
+                ClaimState::Confirmed => (Transition::Begin, Reason::TimeReached),
+                ClaimState::Active => (Transition::End, Reason::TimeReached),
                 _ => {
                     if let Some(claim) = self.state.claims.remove(&id) {
                         self.index.detach(&id, &claim);
@@ -274,45 +295,54 @@
         &mut self,
         field: &'static str,
         id: &ClaimId,
-        step: Step,
+        step: Transition,
         why: Reason,
-        told: &mut Told<'_>,
-    ) -> Result<State, Refusal> {
-        let from = self.state_of(id).ok_or(Refusal::of(field, Fault::Unknown))?;
-        let to = from.after(step).map_err(|illegal| Refusal::of(field, Fault::Life(illegal)))?;
+        told: &mut EventSink<'_>,
+    ) -> Result<ClaimState, Rejection> {
+        let from = self.state_of(id).ok_or(Rejection::new(field, FieldError::Unknown))?;
+        let to = from
+            .apply(step)
+            .map_err(|illegal| Rejection::new(field, FieldError::InvalidTransition(illegal)))?;
         let now = self.state.now;
         let change = |claim: &mut Claim| {
             // A hold's rank is that of its beginning.
-            if matches!(step, Step::Hold | Step::Confirm) && from == State::Proposed {
-                claim.since = now;
+            if matches!(step, Transition::Hold | Transition::Confirm) && from == ClaimState::Proposed {
+                claim.ranked_at = now;
             }
-            (claim.state, claim.moved) = (to, now);
+            (claim.state, claim.last_transition_at) = (to, now);
         };
-        if from.keeps_place() != to.keeps_place() {
+        if from.occupies_capacity() != to.occupies_capacity() {
             self.edit(id, change);
         } else if let Some(claim) = self.state.claims.get_mut(id) {
-            self.index.restate(id, claim, change);
+            self.index.update_state(id, claim, change);
         }
-        told.tell(Change::Moved { claim: id.clone(), from: Some(from), to, why });
+        told.tell(Change::StateChanged { claim: id.clone(), from: Some(from), to, reason: why });
         Ok(to)
     }
 
-    fn has_room(&self, more: usize) -> Result<(), Refusal> {
-        if self.state.claims.len() >= MOST_CLAIMS {
-            return Err(Refusal::of("claim", Fault::TooMany(MOST_CLAIMS as u64)));
+    fn has_room(&self, more: usize) -> Result<(), Rejection> {
+        if self.state.claims.len() >= MAX_CLAIMS {
+            return Err(Rejection::new("claim", FieldError::LimitExceeded(MAX_CLAIMS as u64)));
         }
-        if self.index.occurrences + more > MOST_IN_ALL {
-            return Err(Refusal::of("when", Fault::TooMany(MOST_IN_ALL as u64)));
+        if self.index.occurrence_count + more > MAX_TOTAL_OCCURRENCES {
+            return Err(Rejection::new("when", FieldError::LimitExceeded(MAX_TOTAL_OCCURRENCES as u64)));
         }
         Ok(())
     }
 
     /// Puts a new claim down as proposed.
-    fn put(&mut self, id: &ClaimId, wanted: Wanted, slots: u32, intervals: &[Interval]) {
-        let occurrence = |&interval: &Interval| Occurrence { interval, pieces: Vec::new() };
+    fn put(&mut self, id: &ClaimId, wanted: ClaimRequest, slots: u32, intervals: &[Interval]) {
+        let occurrence = |&interval: &Interval| Occurrence { interval, allocations: Vec::new() };
         let occurrences = intervals.iter().map(occurrence).collect();
         let now = self.state.now;
-        let claim = Claim { state: State::Proposed, since: now, moved: now, wanted, slots, occurrences };
+        let claim = Claim {
+            state: ClaimState::Proposed,
+            ranked_at: now,
+            last_transition_at: now,
+            request: wanted,
+            requested_slots: slots,
+            occurrences,
+        };
         self.index.attach(id, &claim);
         self.state.claims.insert(id.clone(), claim);
     }
@@ -320,63 +350,76 @@
     fn propose_blackout(
         &mut self,
         id: &ClaimId,
-        blackout: &Blackout,
-        told: &mut Told<'_>,
-    ) -> Result<(), Refusal> {
+        blackout: &BlackoutRequest,
+        told: &mut EventSink<'_>,
+    ) -> Result<(), Rejection> {
         let intervals = blackout.check(self.state.now)?;
         self.has_room(intervals.len())?;
-        self.put(id, Wanted::Blackout(blackout.clone()), 0, &intervals);
-        told.tell(Change::Moved { claim: id.clone(), from: None, to: State::Proposed, why: Reason::Asked });
-        self.step("claim", id, Step::Hold, Reason::Fits, told)?;
+        self.put(id, ClaimRequest::Blackout(blackout.clone()), 0, &intervals);
+        told.tell(Change::StateChanged {
+            claim: id.clone(),
+            from: None,
+            to: ClaimState::Proposed,
+            reason: Reason::Requested,
+        });
+        self.step("claim", id, Transition::Hold, Reason::Fits, told)?;
         Ok(())
     }
 
     fn propose_reservation(
         &mut self,
         id: &ClaimId,
-        reserve: &Reserve,
-        told: &mut Told<'_>,
-    ) -> Result<(), Refusal> {
+        reserve: &ReservationRequest,
+        told: &mut EventSink<'_>,
+    ) -> Result<(), Rejection> {
         let intervals = reserve.check(self.state.now)?;
-        let pool = self.state.pools.get(&reserve.pool).ok_or(Refusal::of("pool", Fault::Unknown))?;
+        let pool = self.state.pools.get(&reserve.pool).ok_or(Rejection::new("pool", FieldError::Unknown))?;
         let slots = in_slots(reserve.amount, pool.slots);
         if slots == 0 {
-            return Err(Refusal::of("amount", Fault::LessThanASlot));
+            return Err(Rejection::new("amount", FieldError::BelowOneSlot));
         }
-        if slots > pool.slots && reserve.accepts.partial.is_none() {
-            return Err(Refusal::of("amount", Fault::MoreThanThePool(pool.slots)));
+        if slots > pool.slots && reserve.flexibility.min_slots.is_none() {
+            return Err(Rejection::new("amount", FieldError::ExceedsPool(pool.slots)));
         }
         self.has_room(intervals.len())?;
-        self.put(id, Wanted::Reserve(reserve.clone()), slots, &intervals);
-        told.tell(Change::Moved { claim: id.clone(), from: None, to: State::Proposed, why: Reason::Asked });
+        self.put(id, ClaimRequest::Reservation(reserve.clone()), slots, &intervals);
+        told.tell(Change::StateChanged {
+            claim: id.clone(),
+            from: None,
+            to: ClaimState::Proposed,
+            reason: Reason::Requested,
+        });
         match self.plan_claim(id) {
             Ok(found) if found.victims.is_empty() => {
                 self.grant(id, &found, told);
-                let why = if found.whole { Reason::Fits } else { Reason::LessFits };
-                self.step("claim", id, Step::Hold, why, told)?;
+                let why = if found.is_complete { Reason::Fits } else { Reason::FitsPartially };
+                self.step("claim", id, Transition::Hold, why, told)?;
             }
             Ok(found) => {
-                let (claim, from) = (id.clone(), Some(State::Proposed));
+                let (claim, from) = (id.clone(), Some(ClaimState::Proposed));
                 let victims: BTreeSet<ClaimId> = found.victims.into_iter().map(|(id, _)| id).collect();
-                let why = Reason::NeedsRoom(victims.into_iter().collect());
-                told.tell(Change::Moved { claim, from, to: State::Proposed, why });
+                let why = Reason::RequiresDisplacement(victims.into_iter().collect());
+                told.tell(Change::StateChanged { claim, from, to: ClaimState::Proposed, reason: why });
             }
             Err(why) => {
-                self.step("claim", id, Step::Refuse, why, told)?;
+                self.step("claim", id, Transition::Reject, why, told)?;
             }
         }
         Ok(())
     }
 
-    fn confirm(&mut self, id: &ClaimId, told: &mut Told<'_>) -> Result<(), Refusal> {
-        let from = self.state_of(id).ok_or(Refusal::of("confirm", Fault::Unknown))?;
-        from.after(Step::Confirm).map_err(|illegal| Refusal::of("confirm", Fault::Life(illegal)))?;
-        if from == State::Proposed {
+    fn confirm(&mut self, id: &ClaimId, told: &mut EventSink<'_>) -> Result<(), Rejection> {
+        let from = self.state_of(id).ok_or(Rejection::new("confirm", FieldError::Unknown))?;
+        from.apply(Transition::Confirm)
+            .map_err(|illegal| Rejection::new("confirm", FieldError::InvalidTransition(illegal)))?;
+        if from == ClaimState::Proposed {
             return self.confirm_with_room(id, told);
         }
-        self.step("confirm", id, Step::Confirm, Reason::Asked, told)?;
+        self.step("confirm", id, Transition::Confirm, Reason::Requested, told)?;
         let claim = self.state.claims.get(id);
-        if let Some((Wanted::Blackout(blackout), claim)) = claim.map(|claim| (claim.wanted.clone(), claim)) {
+        if let Some((ClaimRequest::Blackout(blackout), claim)) =
+            claim.map(|claim| (claim.request.clone(), claim))
+        {
             let intervals: Vec<_> = claim.occurrences.iter().map(|each| each.interval).collect();
             self.black_out(id, &blackout.target, &intervals, told);
         }
@@ -384,99 +427,114 @@
     }
 
     /// A claim that fits only if others make room.
-    fn confirm_with_room(&mut self, id: &ClaimId, told: &mut Told<'_>) -> Result<(), Refusal> {
+    fn confirm_with_room(&mut self, id: &ClaimId, told: &mut EventSink<'_>) -> Result<(), Rejection> {
         let now = self.state.now;
         self.edit(id, |claim| {
             claim.occurrences.retain(|each| each.interval.end > now);
             claim.occurrences.iter_mut().for_each(|each| each.interval.start = each.interval.start.max(now));
         });
         if self.state.claims.get(id).is_some_and(|claim| claim.occurrences.is_empty()) {
-            self.step("confirm", id, Step::Refuse, Reason::Past, told)?;
+            self.step("confirm", id, Transition::Reject, Reason::InThePast, told)?;
             return Ok(());
         }
         let found = match self.plan_claim(id) {
             Ok(found) => found,
             Err(why) => {
-                self.step("confirm", id, Step::Refuse, why, told)?;
+                self.step("confirm", id, Transition::Reject, why, told)?;
                 return Ok(());
             }
         };
         let before = self.lift(&found.victims);
         self.grant(id, &found, told);
-        let why = if found.whole { Reason::Asked } else { Reason::LessFits };
-        self.step("confirm", id, Step::Confirm, why, told)?;
-        self.settle(before, &Reason::RoomFor(id.clone()), told);
+        let why = if found.is_complete { Reason::Requested } else { Reason::FitsPartially };
+        self.step("confirm", id, Transition::Confirm, why, told)?;
+        self.settle(before, &Reason::DisplacedBy(id.clone()), told);
         Ok(())
     }
 
-    fn grant(&mut self, id: &ClaimId, found: &Placed, told: &mut Told<'_>) {
+    fn grant(&mut self, id: &ClaimId, found: &ClaimPlan, told: &mut EventSink<'_>) {
         self.edit(id, |claim| {
-            for (occurrence, pieces) in claim.occurrences.iter_mut().zip(&found.pieces) {
-                occurrence.pieces.clone_from(pieces);
+            for (occurrence, pieces) in claim.occurrences.iter_mut().zip(&found.allocations) {
+                occurrence.allocations.clone_from(pieces);
             }
         });
-        let Some(claim) = self.state.claims.get(id).filter(|_| !found.whole) else { return };
+        let Some(claim) = self.state.claims.get(id).filter(|_| !found.is_complete) else { return };
         for occurrence in &claim.occurrences {
-            let (claim, occurrence, pieces) = (id.clone(), occurrence.interval, occurrence.pieces.clone());
-            told.tell(Change::Granted { claim, occurrence, pieces, why: Reason::LessFits, offer: None });
+            let (claim, occurrence, pieces) =
+                (id.clone(), occurrence.interval, occurrence.allocations.clone());
+            told.tell(Change::Granted {
+                claim,
+                occurrence,
+                allocations: pieces,
+                reason: Reason::FitsPartially,
+                alternative: None,
+            });
         }
     }
 
     /// Plans a claim occurrence by occurrence, in the order of time, with those that may make room for it.
-    fn plan_claim(&self, id: &ClaimId) -> Result<Placed, Reason> {
-        let nothing = Reason::Infeasible { blocked: Interval { start: 0, end: 0 }, offer: None };
+    fn plan_claim(&self, id: &ClaimId) -> Result<ClaimPlan, Reason> {
+        let nothing = Reason::Infeasible { blocked: Interval { start: 0, end: 0 }, alternative: None };
         let claim = self.state.claims.get(id).ok_or(nothing.clone())?;
         let reserve = claim.reserve().ok_or(nothing.clone())?;
-        let mut placed = Placed { pieces: Vec::new(), victims: Vec::new(), whole: true };
+        let mut placed = ClaimPlan { allocations: Vec::new(), victims: Vec::new(), is_complete: true };
         let mut first_blocked = None;
         for occurrence in &claim.occurrences {
             // Where all of it is free nobody need be asked.
             let stretches = self.stretches(reserve, occurrence.interval, &[], &placed.victims);
-            if let Ok(Plan { pieces, .. }) = plan(claim.slots, Accepts::default(), &stretches, &[]) {
-                placed.pieces.push(pieces);
+            if let Ok(AllocationPlan { allocations: pieces, .. }) =
+                plan(claim.requested_slots, Flexibility::default(), &stretches, &[])
+            {
+                placed.allocations.push(pieces);
                 continue;
             }
             let candidates = self.candidates(reserve, occurrence.interval, &placed.victims);
             let stretches = self.stretches(reserve, occurrence.interval, &candidates, &placed.victims);
             let keys: Vec<_> = candidates.iter().map(|(key, _)| key.clone()).collect();
             let candidates = self.takes(&candidates, &stretches);
-            match plan(claim.slots, reserve.accepts, &stretches, &candidates) {
-                Ok(Plan { pieces, victims, whole }) => {
-                    placed.whole &= whole;
-                    placed.pieces.push(pieces);
+            match plan(claim.requested_slots, reserve.flexibility, &stretches, &candidates) {
+                Ok(AllocationPlan { allocations: pieces, victims, is_complete: whole }) => {
+                    placed.is_complete &= whole;
+                    placed.allocations.push(pieces);
                     placed.victims.extend(victims.into_iter().map(|index| keys[index].clone()));
                 }
                 Err(blocked) => {
-                    let offer = || self.nearest(reserve, claim.slots, occurrence.interval);
-                    if !reserve.accepts.split {
-                        return Err(Reason::Infeasible { blocked, offer: offer() });
+                    let offer = || self.nearest(reserve, claim.requested_slots, occurrence.interval);
+                    if !reserve.flexibility.allows_split {
+                        return Err(Reason::Infeasible { blocked, alternative: offer() });
                     }
                     first_blocked.get_or_insert((blocked, occurrence.interval));
-                    placed.whole = false;
-                    placed.pieces.push(Vec::new());
+                    placed.is_complete = false;
+                    placed.allocations.push(Vec::new());
                 }
             }
         }
-        if placed.pieces.iter().all(Vec::is_empty) {
+        if placed.allocations.iter().all(Vec::is_empty) {
             return Err(first_blocked.map_or(nothing, |(blocked, wanted)| Reason::Infeasible {
                 blocked,
-                offer: self.nearest(reserve, claim.slots, wanted),
+                alternative: self.nearest(reserve, claim.requested_slots, wanted),
             }));
         }
         Ok(placed)
     }
 
     /// Occurrences that a claim may displace, those that make room first first, with what they have.
-    fn candidates(&self, reserve: &Reserve, interval: Interval, but: &[Key]) -> Vec<(Key, &Occurrence)> {
-        let soonest = self.state.now.saturating_add(self.state.settings.notice).max(self.state.now + 1);
-        let but: BTreeSet<&Key> = but.iter().collect();
-        let lower = |(id, _): &Key| {
+    fn candidates(
+        &self,
+        reserve: &ReservationRequest,
+        interval: Interval,
+        but: &[OccurrenceKey],
+    ) -> Vec<(OccurrenceKey, &Occurrence)> {
+        let soonest =
+            self.state.now.saturating_add(self.state.settings.displacement_notice).max(self.state.now + 1);
+        let but: BTreeSet<&OccurrenceKey> = but.iter().collect();
+        let lower = |(id, _): &OccurrenceKey| {
             let theirs = self.state.claims.get(id).and_then(Claim::reserve);
             theirs.is_some_and(|theirs| theirs.precedence < reserve.precedence)
         };
-        let pieces = self.index.pools.get(&reserve.pool).map(|pool| over(&pool.pieces, interval));
+        let pieces = self.index.pools.get(&reserve.pool).map(|pool| overlapping(&pool.allocations, interval));
         let keys = pieces.into_iter().flatten().map(|(_, key)| key);
-        let keys: BTreeSet<&Key> = keys.filter(|key| lower(key) && !but.contains(key)).collect();
+        let keys: BTreeSet<&OccurrenceKey> = keys.filter(|key| lower(key) && !but.contains(key)).collect();
         let mut found: Vec<(Rank, &Occurrence)> = Vec::new();
         for key in keys {
             let Some((claim, occurrence)) = self.occurrence(key) else { continue };
@@ -485,44 +543,45 @@
             }
         }
         found.sort_unstable_by(|a, b| b.0.cmp(&a.0));
-        found.truncate(MOST_CANDIDATES);
+        found.truncate(MAX_CANDIDATES);
         found.into_iter().map(|((_, _, _, key), occurrence)| (key, occurrence)).collect()
     }
 
-    fn takes(&self, candidates: &[(Key, &Occurrence)], stretches: &[Stretch]) -> Vec<Candidate> {
+    fn takes(&self, candidates: &[(OccurrenceKey, &Occurrence)], stretches: &[Segment]) -> Vec<Candidate> {
         let place = |at: Millis| stretches.partition_point(|each| each.interval.start < at);
-        let take =
-            |piece: &Piece| (place(piece.interval.start), place(piece.interval.end), i64::from(piece.slots));
-        let of = |(_, occurrence): &(Key, &Occurrence)| Candidate {
-            cost: occurrence.pieces.iter().fold(0, |sum, piece| piece.work().saturating_add(sum)),
-            takes: occurrence.pieces.iter().map(take).filter(|(from, to, _)| from < to).collect(),
+        let take = |piece: &Allocation| {
+            (place(piece.interval.start), place(piece.interval.end), i64::from(piece.slots))
+        };
+        let of = |(_, occurrence): &(OccurrenceKey, &Occurrence)| Candidate {
+            cost: occurrence.allocations.iter().fold(0, |sum, piece| piece.slot_millis().saturating_add(sum)),
+            usages: occurrence.allocations.iter().map(take).filter(|(from, to, _)| from < to).collect(),
         };
         candidates.iter().map(of).collect()
     }
 
-    fn occurrence(&self, (id, number): &Key) -> Option<(&Claim, &Occurrence)> {
+    fn occurrence(&self, (id, number): &OccurrenceKey) -> Option<(&Claim, &Occurrence)> {
         let claim = self.state.claims.get(id)?;
         Some((claim, claim.occurrences.get(*number)?))
     }
 
-    fn rank(&self, key: &Key, claim: &Claim, occurrence: &Occurrence) -> Rank {
+    fn rank(&self, key: &OccurrenceKey, claim: &Claim, occurrence: &Occurrence) -> Rank {
         let begun = occurrence.interval.start <= self.state.now;
         let precedence = claim.reserve().map_or(0, |reserve| reserve.precedence);
-        (!begun, std::cmp::Reverse(precedence), claim.since, key.clone())
+        (!begun, std::cmp::Reverse(precedence), claim.ranked_at, key.clone())
     }
 
     /// The stretches of an interval in which nothing changes, with what is free, counting as free what those in
     /// `gone` have.
     fn stretches(
         &self,
-        reserve: &Reserve,
+        reserve: &ReservationRequest,
         interval: Interval,
-        candidates: &[(Key, &Occurrence)],
-        gone: &[Key],
-    ) -> Vec<Stretch> {
+        candidates: &[(OccurrenceKey, &Occurrence)],
+        gone: &[OccurrenceKey],
+    ) -> Vec<Segment> {
         let slots = self.state.pools.get(&reserve.pool).map_or(0, |pool| i64::from(pool.slots));
         let empty = PoolIndex::default();
-        let levels = self.index.pools.get(&reserve.pool).unwrap_or(&empty).stretches(interval);
+        let levels = self.index.pools.get(&reserve.pool).unwrap_or(&empty).segments(interval);
         // What begins and ends at each edge: slots that come free, and blackouts.
         let mut edges: BTreeMap<Millis, (i64, i64)> = BTreeMap::new();
         let mut edge = |at: Millis, slots: i64, blackouts: i64| {
@@ -531,11 +590,13 @@
         };
         edge(interval.end, 0, 0);
         levels.iter().for_each(|(stretch, _)| edge(stretch.start, 0, 0));
-        for piece in candidates.iter().flat_map(|(_, each)| &each.pieces) {
+        for piece in candidates.iter().flat_map(|(_, each)| &each.allocations) {
             edge(piece.interval.start, 0, 0);
             edge(piece.interval.end, 0, 0);
         }
-        for piece in gone.iter().filter_map(|key| self.occurrence(key)).flat_map(|(_, each)| &each.pieces) {
+        for piece in
+            gone.iter().filter_map(|key| self.occurrence(key)).flat_map(|(_, each)| &each.allocations)
+        {
             edge(piece.interval.start, piece.slots.into(), 0);
             edge(piece.interval.end, -i64::from(piece.slots), 0);
         }
@@ -544,7 +605,7 @@
             edge(blocked.end, 0, -1);
         }
         let mut level = levels.iter().peekable();
-        let mut found: Vec<Stretch> = Vec::with_capacity(edges.len());
+        let mut found: Vec<Segment> = Vec::with_capacity(edges.len());
         let (mut gone, mut blackouts) = (0, 0);
         let ends = edges.keys().skip(1).copied().chain([interval.end]);
         for ((&start, sums), end) in edges.iter().zip(ends).filter(|((start, _), end)| *start < end) {
@@ -554,27 +615,28 @@
             }
             let kept = level.peek().map_or(0, |(_, level)| *level);
             let (interval, blocked) = (Interval { start, end }, blackouts > 0);
-            found.push(Stretch { interval, free: slots - kept + gone, blocked });
+            found.push(Segment { interval, free: slots - kept + gone, blocked });
         }
         found
     }
 
     /// Blackouts over a reservation of this pool and owner within an interval.
-    fn blocked(&self, reserve: &Reserve, interval: Interval) -> Vec<Interval> {
-        let mut targets = vec![Target::Pool(reserve.pool.clone())];
-        targets.extend(self.state.pools.get(&reserve.pool).map(|pool| Target::Zone(pool.zone.clone())));
+    fn blocked(&self, reserve: &ReservationRequest, interval: Interval) -> Vec<Interval> {
+        let mut targets = vec![BlackoutTarget::Pool(reserve.pool.clone())];
+        targets
+            .extend(self.state.pools.get(&reserve.pool).map(|pool| BlackoutTarget::Zone(pool.zone.clone())));
         if let Owner::Tenant(tenant) = &reserve.owner {
-            targets.push(Target::Tenant(tenant.clone()));
+            targets.push(BlackoutTarget::Tenant(tenant.clone()));
         }
         let maps = targets.iter().filter_map(|target| self.index.blackouts.get(target));
-        maps.flat_map(|map| over(map, interval)).map(|(span, _)| span).collect()
+        maps.flat_map(|map| overlapping(map, interval)).map(|(span, _)| span).collect()
     }
 
     /// The interval nearest to a wanted one in which so many slots are free now; of two the earlier.
-    fn nearest(&self, reserve: &Reserve, slots: u32, wanted: Interval) -> Option<Interval> {
+    fn nearest(&self, reserve: &ReservationRequest, slots: u32, wanted: Interval) -> Option<Interval> {
         let (now, length) = (self.state.now, wanted.length());
         let at = |start: Millis| Interval { start, end: start.saturating_add(length) };
-        let blocks = |interval| -> Vec<Stretch> {
+        let blocks = |interval| -> Vec<Segment> {
             let mut all = self.stretches(reserve, interval, &[], &[]);
             all.retain(|each| each.blocked || each.free < slots.into());
             all
@@ -582,7 +644,9 @@
         let mut later = wanted.start.max(now);
         let mut after = None;
         for _ in 0..PASSED {
-            if later > wanted.start.saturating_add(NEAR) || at(later).end > now.saturating_add(HORIZON) {
+            if later > wanted.start.saturating_add(NEAR)
+                || at(later).end > now.saturating_add(PLANNING_HORIZON)
+            {
                 break;
             }
             match blocks(at(later)).last() {
@@ -612,14 +676,14 @@
     }
 
     /// Takes from occurrences what they have from now on, and returns what they had.
-    fn lift(&mut self, keys: &[Key]) -> Vec<(Key, Vec<Piece>)> {
+    fn lift(&mut self, keys: &[OccurrenceKey]) -> Vec<(OccurrenceKey, Vec<Allocation>)> {
         let now = self.state.now;
         let mut before = Vec::new();
         for (id, number) in keys {
             self.edit(id, |claim| {
                 if let Some(occurrence) = claim.occurrences.get_mut(*number) {
-                    let had = occurrence.pieces.clone();
-                    cut(&mut occurrence.pieces, now);
+                    let had = occurrence.allocations.clone();
+                    cut(&mut occurrence.allocations, now);
                     before.push(((id.clone(), *number), had));
                 }
             });
@@ -628,8 +692,13 @@
     }
 
     /// Seats lifted occurrences anew, by rank, in what is free, and tells who has less or nothing.
-    fn settle(&mut self, before: Vec<(Key, Vec<Piece>)>, why: &Reason, told: &mut Told<'_>) {
-        let mut ranked: Vec<(Rank, Vec<Piece>)> = Vec::new();
+    fn settle(
+        &mut self,
+        before: Vec<(OccurrenceKey, Vec<Allocation>)>,
+        why: &Reason,
+        told: &mut EventSink<'_>,
+    ) {
+        let mut ranked: Vec<(Rank, Vec<Allocation>)> = Vec::new();
         for (key, had) in before {
             if let Some((claim, occurrence)) = self.occurrence(&key) {
                 ranked.push((self.rank(&key, claim, occurrence), had));
@@ -644,9 +713,10 @@
         for ((.., key), had) in &ranked {
             let most = had.iter().map(|piece| piece.slots).max().unwrap_or(0);
             let Some((claim, occurrence)) = self.occurrence(key) else { continue };
-            let by_parts = claim.reserve().is_some_and(|each| matches!(each.amount, Amount::Parts(_)));
-            if by_parts && claim.slots > most && !occurrence.pieces.is_empty() {
-                let slots = claim.slots;
+            let by_parts =
+                claim.reserve().is_some_and(|each| matches!(each.amount, Amount::PartsPerMillion(_)));
+            if by_parts && claim.requested_slots > most && !occurrence.allocations.is_empty() {
+                let slots = claim.requested_slots;
                 self.seat(key, slots, true);
             }
         }
@@ -654,74 +724,93 @@
         for ((.., key), had) in ranked {
             let Some((claim, occurrence)) = self.occurrence(&key) else { continue };
             touched.insert(key.0.clone());
-            if occurrence.pieces == had {
+            if occurrence.allocations == had {
                 continue;
             }
             let now = self.state.now;
-            let nothing = occurrence.pieces.iter().all(|piece| piece.interval.end <= now);
+            let nothing = occurrence.allocations.iter().all(|piece| piece.interval.end <= now);
             let offer = claim.reserve().filter(|_| nothing);
-            let offer = offer.and_then(|reserve| self.nearest(reserve, claim.slots, occurrence.interval));
-            let (claim, occurrence, pieces) = (key.0, occurrence.interval, occurrence.pieces.clone());
-            told.tell(Change::Granted { claim, occurrence, pieces, why: why.clone(), offer });
+            let offer =
+                offer.and_then(|reserve| self.nearest(reserve, claim.requested_slots, occurrence.interval));
+            let (claim, occurrence, pieces) = (key.0, occurrence.interval, occurrence.allocations.clone());
+            told.tell(Change::Granted {
+                claim,
+                occurrence,
+                allocations: pieces,
+                reason: why.clone(),
+                alternative: offer,
+            });
         }
         for id in touched {
-            let left = self.state.claims.get(&id).and_then(|claim| claim.spans().map(|span| span.end).max());
+            let left = self
+                .state
+                .claims
+                .get(&id)
+                .and_then(|claim| claim.active_intervals().map(|span| span.end).max());
             if left.is_none_or(|end| end <= self.state.now) {
                 // A claim that keeps its place may be displaced.
-                let _ = self.step("", &id, Step::Displace, why.clone(), told);
+                let _ = self.step("", &id, Transition::Displace, why.clone(), told);
             }
         }
     }
 
     /// Gives an occurrence that was lifted what is free, up to so many slots; one that grows gets all or stays.
-    fn seat(&mut self, (id, number): &Key, slots: u32, grow: bool) {
+    fn seat(&mut self, (id, number): &OccurrenceKey, slots: u32, grow: bool) {
         let now = self.state.now;
         let Some((claim, occurrence)) = self.occurrence(&(id.clone(), *number)) else { return };
         let Some(reserve) = claim.reserve() else { return };
         let Interval { start, end } = occurrence.interval;
         let rest = Interval { start: start.max(now), end };
-        let mut accepts = reserve.accepts;
+        let mut accepts = reserve.flexibility;
         // What has begun goes on wherever it can.
-        accepts.split |= start <= now;
-        let own: &[Key] = &[(id.clone(), *number)];
+        accepts.allows_split |= start <= now;
+        let own: &[OccurrenceKey] = &[(id.clone(), *number)];
         let stretches = self.stretches(reserve, rest, &[], if grow { own } else { &[] });
-        let accepts = if grow { Accepts::default() } else { accepts };
-        let slots = slots.min(claim.slots);
+        let accepts = if grow { Flexibility::default() } else { accepts };
+        let slots = slots.min(claim.requested_slots);
         if slots == 0 || rest.length() == 0 {
             return;
         }
         let Ok(found) = plan(slots, accepts, &stretches, &[]) else { return };
         self.edit(id, |claim| {
             if let Some(occurrence) = claim.occurrences.get_mut(*number) {
-                cut(&mut occurrence.pieces, now);
-                occurrence.pieces.extend(found.pieces);
-                occurrence.pieces = joined(&occurrence.pieces);
+                cut(&mut occurrence.allocations, now);
+                occurrence.allocations.extend(found.allocations);
+                occurrence.allocations = joined(&occurrence.allocations);
             }
         });
     }
 
-    fn black_out(&mut self, id: &ClaimId, target: &Target, intervals: &[Interval], told: &mut Told<'_>) {
+    fn black_out(
+        &mut self,
+        id: &ClaimId,
+        target: &BlackoutTarget,
+        intervals: &[Interval],
+        told: &mut EventSink<'_>,
+    ) {
         let now = self.state.now;
-        let mut keys: BTreeSet<Key> = BTreeSet::new();
+        let mut keys: BTreeSet<OccurrenceKey> = BTreeSet::new();
         for (name, pool) in &self.index.pools {
             let concerned = match target {
-                Target::Class(_) => false,
-                Target::Tenant(_) => true,
-                Target::Pool(pool) => pool == name,
-                Target::Zone(zone) => self.state.pools.get(name).is_some_and(|pool| pool.zone == *zone),
+                BlackoutTarget::Class(_) => false,
+                BlackoutTarget::Tenant(_) => true,
+                BlackoutTarget::Pool(pool) => pool == name,
+                BlackoutTarget::Zone(zone) => {
+                    self.state.pools.get(name).is_some_and(|pool| pool.zone == *zone)
+                }
             };
             for interval in intervals.iter().filter(|_| concerned) {
                 let rest = Interval { start: interval.start.max(now), end: interval.end };
-                let found = over(&pool.pieces, rest).map(|(_, key)| key);
+                let found = overlapping(&pool.allocations, rest).map(|(_, key)| key);
                 keys.extend(found.filter(|key| self.is_under(target, key)).cloned());
             }
         }
         let before = self.lift(&keys.into_iter().collect::<Vec<_>>());
-        self.settle(before, &Reason::Blackout(id.clone()), told);
+        self.settle(before, &Reason::UnderBlackout(id.clone()), told);
     }
 
-    fn is_under(&self, target: &Target, key: &Key) -> bool {
-        let Target::Tenant(tenant) = target else { return true };
+    fn is_under(&self, target: &BlackoutTarget, key: &OccurrenceKey) -> bool {
+        let BlackoutTarget::Tenant(tenant) = target else { return true };
         let owner = self.state.claims.get(&key.0).and_then(Claim::reserve).map(|reserve| &reserve.owner);
         owner == Some(&Owner::Tenant(tenant.clone()))
     }
@@ -731,37 +820,40 @@
         name: &Name,
         zone: &Name,
         slots: u32,
-        told: &mut Told<'_>,
-    ) -> Result<(), Refusal> {
-        if slots > command::MOST_SLOTS {
-            return Err(Refusal::of("slots", Fault::Range { least: 0, most: command::MOST_SLOTS.into() }));
+        told: &mut EventSink<'_>,
+    ) -> Result<(), Rejection> {
+        if slots > command::MAX_POOL_SLOTS {
+            return Err(Rejection::new(
+                "slots",
+                FieldError::OutOfRange { min: 0, max: command::MAX_POOL_SLOTS.into() },
+            ));
         }
-        if self.state.pools.len() >= MOST_POOLS && !self.state.pools.contains_key(name) {
-            return Err(Refusal::of("pool", Fault::TooMany(MOST_POOLS as u64)));
+        if self.state.pools.len() >= MAX_POOLS && !self.state.pools.contains_key(name) {
+            return Err(Rejection::new("pool", FieldError::LimitExceeded(MAX_POOLS as u64)));
         }
         let now = self.state.now;
         self.state.pools.insert(name.clone(), Pool { zone: zone.clone(), slots });
-        told.tell(Change::Capacity { pool: name.clone(), zone: zone.clone(), slots });
+        told.tell(Change::CapacityChanged { pool: name.clone(), zone: zone.clone(), slots });
         let Some(index) = self.index.pools.get(name) else { return Ok(()) };
         // Those in stretches that are too full now or blacked out in the new zone, and those by parts.
-        let mut keys: BTreeSet<Key> = BTreeSet::new();
-        let mut stretches = index.above(now, slots.into());
-        let zone_map = self.index.blackouts.get(&Target::Zone(zone.clone()));
+        let mut keys: BTreeSet<OccurrenceKey> = BTreeSet::new();
+        let mut stretches = index.segments_above(now, slots.into());
+        let zone_map = self.index.blackouts.get(&BlackoutTarget::Zone(zone.clone()));
         let spans = zone_map.into_iter().flat_map(|map| map.intervals(now..));
         stretches.extend(spans.map(|span| Interval { start: span.start.max(now), end: span.end }));
         for stretch in stretches {
-            keys.extend(over(&index.pieces, stretch).map(|(_, key)| key.clone()));
+            keys.extend(overlapping(&index.allocations, stretch).map(|(_, key)| key.clone()));
         }
         let mut resized: BTreeMap<ClaimId, u32> = BTreeMap::new();
-        for key in index.pieces.values(now..) {
+        for key in index.allocations.values(now..) {
             let amount = self.state.claims.get(&key.0).and_then(Claim::reserve).map(|reserve| reserve.amount);
-            if let Some(Amount::Parts(_)) = amount {
+            if let Some(Amount::PartsPerMillion(_)) = amount {
                 resized.insert(key.0.clone(), amount.map_or(0, |amount| in_slots(amount, slots)));
                 keys.insert(key.clone());
             }
         }
         for (id, slots) in resized {
-            self.edit(&id, |claim| claim.slots = slots);
+            self.edit(&id, |claim| claim.requested_slots = slots);
         }
         let before = self.lift(&keys.into_iter().collect::<Vec<_>>());
         self.settle(before, &Reason::PoolChanged, told);
@@ -770,30 +862,31 @@
 }
 
 /// A claim's plan over all its occurrences.
-struct Placed {
-    pieces: Vec<Vec<Piece>>,
-    victims: Vec<Key>,
-    whole: bool,
+struct ClaimPlan {
+    allocations: Vec<Vec<Allocation>>,
+    victims: Vec<OccurrenceKey>,
+    is_complete: bool,
 }
 
 fn in_slots(amount: Amount, pool: u32) -> u32 {
     match amount {
         Amount::Slots(slots) => slots,
-        Amount::Parts(parts) => {
-            u32::try_from(u64::from(pool) * u64::from(parts) / u64::from(MILLION)).unwrap_or(u32::MAX)
+        Amount::PartsPerMillion(parts) => {
+            u32::try_from(u64::from(pool) * u64::from(parts) / u64::from(PARTS_PER_MILLION))
+                .unwrap_or(u32::MAX)
         }
     }
 }
 
 /// Leaves only what has passed.
-fn cut(pieces: &mut Vec<Piece>, now: Millis) {
+fn cut(pieces: &mut Vec<Allocation>, now: Millis) {
     pieces.retain(|piece| piece.interval.start < now);
     pieces.iter_mut().for_each(|piece| piece.interval.end = piece.interval.end.min(now));
 }
 
 /// Pieces that meet with as many slots as one, so that only what differs differs.
-fn joined(pieces: &[Piece]) -> Vec<Piece> {
-    let mut found: Vec<Piece> = Vec::new();
+fn joined(pieces: &[Allocation]) -> Vec<Allocation> {
+    let mut found: Vec<Allocation> = Vec::new();
     for piece in pieces {
         match found.last_mut() {
             Some(last) if last.slots == piece.slots && last.interval.end == piece.interval.start => {
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -1,7 +1,7 @@
 //! What the calendar says of every change, and why.
 use serde::{Deserialize, Serialize};
 
-use crate::{ClaimId, CommandId, Interval, Millis, Name, Refusal, State};
+use crate::{ClaimId, ClaimState, CommandId, Interval, Millis, Name, Rejection};
 
 /// One change, alike on every member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -18,17 +18,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// The command was refused by its form, its id or the claim's life, and changed nothing.
-    Rejected(Refusal),
+    Rejected(Rejection),
     /// A claim took a step.
-    Moved {
+    #[serde(rename = "Moved")]
+    StateChanged {
         /// The claim.
         claim: ClaimId,
         /// Where it stood; none if it was not there.
-        from: Option<State>,
+        from: Option<ClaimState>,
         /// Where it stands.
-        to: State,
+        to: ClaimState,
         /// Why.
-        why: Reason,
+        #[serde(rename = "why")]
+        reason: Reason,
     },
     /// What one occurrence of a reservation has now, which is not what it had.
     Granted {
@@ -37,14 +39,18 @@
         /// The occurrence as it was wanted.
         occurrence: Interval,
         /// What it has, in order; empty if nothing.
-        pieces: Vec<Piece>,
+        #[serde(rename = "pieces")]
+        allocations: Vec<Allocation>,
         /// Why.
-        why: Reason,
+        #[serde(rename = "why")]
+        reason: Reason,
         /// Where it has nothing: the nearest interval of its length that fits, if one is near.
-        offer: Option<Interval>,
+        #[serde(rename = "offer")]
+        alternative: Option<Interval>,
     },
     /// A pool's slots or zone.
-    Capacity {
+    #[serde(rename = "Capacity")]
+    CapacityChanged {
         /// The pool.
         pool: Name,
         /// Its zone.
@@ -56,16 +62,17 @@
 
 /// Slots over an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Piece {
+#[serde(rename = "Piece")]
+pub struct Allocation {
     /// When.
     pub interval: Interval,
     /// How many.
     pub slots: u32,
 }
 
-impl Piece {
+impl Allocation {
     /// Slots times milliseconds.
-    pub fn work(self) -> u64 {
+    pub fn slot_millis(self) -> u64 {
         self.interval.length().unsigned_abs().saturating_mul(self.slots.into())
     }
 }
@@ -75,39 +82,48 @@
 pub enum Reason {
     /// The command asked for it.
     #[error("asked for")]
-    Asked,
+    #[serde(rename = "Asked")]
+    Requested,
     /// It fits as it was asked for.
     #[error("it fits")]
     Fits,
     /// Only less of it fits, which it accepts.
     #[error("less of it fits, which it accepts")]
-    LessFits,
+    #[serde(rename = "LessFits")]
+    FitsPartially,
     /// It would fit if these made room, which they do when it is confirmed.
     #[error("it fits only if {} make room", .0.len())]
-    NeedsRoom(Vec<ClaimId>),
+    #[serde(rename = "NeedsRoom")]
+    RequiresDisplacement(Vec<ClaimId>),
     /// It does not fit, whoever makes room.
     #[error("infeasible: blocked from {} to {}", .blocked.start, .blocked.end)]
     Infeasible {
         /// The first stretch in which it does not fit.
         blocked: Interval,
         /// The nearest interval of its length that fits, if one is near.
-        offer: Option<Interval>,
+        #[serde(rename = "offer")]
+        alternative: Option<Interval>,
     },
     /// Its last interval ended before it was confirmed.
     #[error("past")]
-    Past,
+    #[serde(rename = "Past")]
+    InThePast,
     /// Its hold ended before it was confirmed.
     #[error("not confirmed before its hold ended")]
-    HoldEnded,
+    #[serde(rename = "HoldEnded")]
+    HoldExpired,
     /// Its time came.
     #[error("its time came")]
-    TimeCame,
+    #[serde(rename = "TimeCame")]
+    TimeReached,
     /// A claim of higher precedence takes its place.
     #[error("makes room for {0}")]
-    RoomFor(ClaimId),
+    #[serde(rename = "RoomFor")]
+    DisplacedBy(ClaimId),
     /// A blackout goes over it.
     #[error("under the blackout {0}")]
-    Blackout(ClaimId),
+    #[serde(rename = "Blackout")]
+    UnderBlackout(ClaimId),
     /// The pool's slots or zone changed.
     #[error("the pool changed")]
     PoolChanged,
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -3,35 +3,35 @@
 
 use iset::IntervalMap;
 
-use crate::allowances::AHEAD;
-use crate::calendar::{Claim, Wanted};
-use crate::{ClaimId, Effect, Interval, Millis, Name, Target};
+use crate::allowances::BLACKOUT_LOOKAHEAD;
+use crate::calendar::{Claim, ClaimRequest};
+use crate::{BlackoutEffect, BlackoutTarget, ClaimId, Interval, Millis, Name};
 
 /// One occurrence of a claim.
-pub(crate) type Key = (ClaimId, usize);
+pub(crate) type OccurrenceKey = (ClaimId, usize);
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolIndex {
     /// From each key on so many slots are kept, up to the next.
     levels: BTreeMap<Millis, i64>,
     /// The pieces that are kept.
-    pub(crate) pieces: IntervalMap<Millis, Key>,
+    pub(crate) allocations: IntervalMap<Millis, OccurrenceKey>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Index {
     pub(crate) pools: BTreeMap<Name, PoolIndex>,
     /// Blackouts that act.
-    pub(crate) blackouts: BTreeMap<Target, IntervalMap<Millis, ClaimId>>,
+    pub(crate) blackouts: BTreeMap<BlackoutTarget, IntervalMap<Millis, ClaimId>>,
     /// Instants at which allowances change, and by how many claims.
-    pub(crate) edges: BTreeMap<Millis, u32>,
+    pub(crate) allowance_changes: BTreeMap<Millis, u32>,
     /// When a claim is to be looked at. Some are out of date, and then nothing is to be done.
-    pub(crate) due: BTreeSet<(Millis, ClaimId)>,
-    pub(crate) occurrences: usize,
+    pub(crate) due_claims: BTreeSet<(Millis, ClaimId)>,
+    pub(crate) occurrence_count: usize,
 }
 
 /// What overlaps an interval; nothing does where it has no length, of which the map would panic.
-pub(crate) fn over<V>(
+pub(crate) fn overlapping<V>(
     map: &IntervalMap<Millis, V>,
     interval: Interval,
 ) -> impl Iterator<Item = (Interval, &V)> {
@@ -60,7 +60,7 @@
     }
 
     /// Stretches of one level that cover an interval, with their level.
-    pub(crate) fn stretches(&self, interval: Interval) -> Vec<(Interval, i64)> {
+    pub(crate) fn segments(&self, interval: Interval) -> Vec<(Interval, i64)> {
         let mut found = Vec::new();
         let (mut start, mut level) = (interval.start, self.level_at(interval.start));
         if interval.length() > 0 {
@@ -74,70 +74,70 @@
     }
 
     /// Stretches from an instant on in which more than so many slots are kept.
-    pub(crate) fn above(&self, from: Millis, slots: i64) -> Vec<Interval> {
+    pub(crate) fn segments_above(&self, from: Millis, slots: i64) -> Vec<Interval> {
         let end = self.levels.last_key_value().map_or(from, |(edge, _)| *edge);
-        let all = self.stretches(Interval { start: from, end });
+        let all = self.segments(Interval { start: from, end });
         all.into_iter().filter(|(_, level)| *level > slots).map(|(stretch, _)| stretch).collect()
     }
 }
 
 impl Index {
     pub(crate) fn attach(&mut self, id: &ClaimId, claim: &Claim) {
-        self.occurrences += claim.occurrences.len();
+        self.occurrence_count += claim.occurrences.len();
         if let Some(due) = claim.next_due() {
-            self.due.insert((due, id.clone()));
+            self.due_claims.insert((due, id.clone()));
         }
-        self.place(id, claim, true);
-        self.act(claim, id, true);
+        self.update_allocations(id, claim, true);
+        self.update_allowance_changes(claim, id, true);
     }
 
     pub(crate) fn detach(&mut self, id: &ClaimId, claim: &Claim) {
-        self.occurrences -= claim.occurrences.len();
-        self.place(id, claim, false);
-        self.act(claim, id, false);
+        self.occurrence_count -= claim.occurrences.len();
+        self.update_allocations(id, claim, false);
+        self.update_allowance_changes(claim, id, false);
     }
 
     /// A step between two states that both keep their place, or both do not.
-    pub(crate) fn restate(&mut self, id: &ClaimId, claim: &mut Claim, step: impl FnOnce(&mut Claim)) {
-        self.act(claim, id, false);
+    pub(crate) fn update_state(&mut self, id: &ClaimId, claim: &mut Claim, step: impl FnOnce(&mut Claim)) {
+        self.update_allowance_changes(claim, id, false);
         step(claim);
-        self.act(claim, id, true);
+        self.update_allowance_changes(claim, id, true);
         if let Some(due) = claim.next_due() {
-            self.due.insert((due, id.clone()));
+            self.due_claims.insert((due, id.clone()));
         }
     }
 
     /// What is kept of a pool.
-    fn place(&mut self, id: &ClaimId, claim: &Claim, add: bool) {
-        let Wanted::Reserve(reserve) = &claim.wanted else { return };
-        if !claim.state.keeps_place() {
+    fn update_allocations(&mut self, id: &ClaimId, claim: &Claim, add: bool) {
+        let ClaimRequest::Reservation(reserve) = &claim.request else { return };
+        if !claim.state.occupies_capacity() {
             return;
         }
         let pool = self.pools.entry(reserve.pool.clone()).or_default();
         for (number, occurrence) in claim.occurrences.iter().enumerate() {
-            for piece in occurrence.pieces.iter().filter(|piece| piece.interval.length() > 0) {
+            for piece in occurrence.allocations.iter().filter(|piece| piece.interval.length() > 0) {
                 let (interval, key) = (piece.interval, (id.clone(), number));
                 let by = i64::from(piece.slots);
                 pool.change(interval, if add { by } else { -by });
                 if add {
-                    pool.pieces.force_insert(interval.start..interval.end, key);
+                    pool.allocations.force_insert(interval.start..interval.end, key);
                 } else {
-                    pool.pieces.remove_where(interval.start..interval.end, |each| *each == key);
+                    pool.allocations.remove_where(interval.start..interval.end, |each| *each == key);
                 }
             }
         }
     }
 
     /// What changes allowances.
-    fn act(&mut self, claim: &Claim, id: &ClaimId, add: bool) {
-        if !claim.state.acts() {
+    fn update_allowance_changes(&mut self, claim: &Claim, id: &ClaimId, add: bool) {
+        if !claim.state.is_in_effect() {
             return;
         }
-        let spans = claim.spans().filter(|span| span.length() > 0);
-        let Wanted::Blackout(blackout) = &claim.wanted else {
+        let spans = claim.active_intervals().filter(|span| span.length() > 0);
+        let ClaimRequest::Blackout(blackout) = &claim.request else {
             for Interval { start, end } in spans {
-                mark(&mut self.edges, start, add);
-                mark(&mut self.edges, end, add);
+                mark(&mut self.allowance_changes, start, add);
+                mark(&mut self.allowance_changes, end, add);
             }
             return;
         };
@@ -148,10 +148,10 @@
             } else {
                 map.remove_where(start..end, |each| each == id);
             }
-            mark(&mut self.edges, start, add);
-            mark(&mut self.edges, end, add);
-            if blackout.effect == Effect::NoWork {
-                mark(&mut self.edges, start.saturating_sub(AHEAD), add);
+            mark(&mut self.allowance_changes, start, add);
+            mark(&mut self.allowance_changes, end, add);
+            if blackout.effect == BlackoutEffect::NoWork {
+                mark(&mut self.allowance_changes, start.saturating_sub(BLACKOUT_LOOKAHEAD), add);
             }
         }
         if map.is_empty() {
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -28,15 +28,19 @@
 mod place;
 mod seen;
 
-pub use allowances::{AHEAD, Ahead, Allowances, BlackedOut, PoolAllowance, Reserved, lent};
+pub use allowances::{
+    ActiveReservation, Allowances, BLACKOUT_LOOKAHEAD, BlackoutStatus, PoolAllowance, UpcomingBlackout,
+    lendable_slots,
+};
 pub use calendar::{Calendar, Settings, SettingsError};
 pub use command::{
-    Accepts, Amount, Blackout, Body, Command, Effect, Fault, Interval, Owner, Refusal, Reserve, Target, When,
+    Amount, BlackoutEffect, BlackoutRequest, BlackoutTarget, Command, CommandBody, FieldError, Flexibility,
+    Interval, Owner, Rejection, ReservationRequest, Schedule,
 };
 pub use copperspread_identifiers::{Name, NameError};
-pub use event::{Change, Event, Piece, Reason};
-pub use life::{Illegal, State, Step};
-pub use local::{Days, Repeat};
+pub use event::{Allocation, Change, Event, Reason};
+pub use life::{ClaimState, InvalidTransition, Transition};
+pub use local::{Recurrence, RecurrenceDays};
 pub use name::{ClaimId, CommandId};
 
 /// An instant in milliseconds of Unix time, or a span in milliseconds.
@@ -49,23 +53,23 @@
 /// A day of 24 hours.
 pub const DAY: Millis = 24 * HOUR;
 /// All of a share: parts in a million.
-pub const MILLION: u32 = 1_000_000;
+pub const PARTS_PER_MILLION: u32 = 1_000_000;
 
 /// No claim reaches further ahead of the instant at which it is proposed.
-pub const HORIZON: Millis = 400 * DAY;
+pub const PLANNING_HORIZON: Millis = 400 * DAY;
 /// No single interval is longer.
-pub const LONGEST: Millis = 62 * DAY;
+pub const MAX_INTERVAL_LENGTH: Millis = 62 * DAY;
 /// No hold is longer.
-pub const LONGEST_HOLD: Millis = 7 * DAY;
+pub const MAX_HOLD_LENGTH: Millis = 7 * DAY;
 /// The first instant of the year 2200: no command comes later.
-pub const LAST_INSTANT: Millis = 7_258_118_400_000;
+pub const MAX_INSTANT: Millis = 7_258_118_400_000;
 /// Claims in the calendar, with those that are over and not yet forgotten.
-pub const MOST_CLAIMS: usize = 200_000;
+pub const MAX_CLAIMS: usize = 200_000;
 /// Occurrences of all claims.
-pub const MOST_IN_ALL: usize = 1_000_000;
+pub const MAX_TOTAL_OCCURRENCES: usize = 1_000_000;
 /// Pools.
-pub const MOST_POOLS: usize = 1_024;
+pub const MAX_POOLS: usize = 1_024;
 /// A claim that is over is forgotten after so long.
-pub const REMEMBERED: Millis = DAY;
+pub const CLAIM_RETENTION: Millis = DAY;
 /// Occurrences of one repeat.
-pub const MOST_OCCURRENCES: usize = 512;
+pub const MAX_OCCURRENCES_PER_RECURRENCE: usize = 512;
--- a/crates/reservations/src/life.rs
+++ b/crates/reservations/src/life.rs
@@ -1,29 +1,33 @@
-//! A claim's life.
+//! The states of a claim and the transitions between them.
 //!
 //! ```text
 //!  Proposed ──► Held ──► Confirmed ──► Active ──► Done
 //!     │ └──────────────────►┘  │          │
 //!     ▼          │             ▼          ▼
-//!  Refused     Lapsed      Displaced, Withdrawn
+//!  Rejected    Lapsed      Displaced, Withdrawn
 //! ```
+use std::fmt;
+
 use serde::{Deserialize, Serialize};
 
-/// Where a claim stands.
+/// The state of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum State {
-    /// Known, but keeps nothing: it fits only if others are displaced, which its confirmation does.
+#[serde(rename = "State")]
+pub enum ClaimState {
+    /// Known, but without capacity: it fits only if others are displaced, which its confirmation does.
     Proposed,
-    /// Keeps its place until its hold ends.
+    /// Has its capacity until its hold ends.
     Held,
-    /// Stands, and has not begun.
+    /// Confirmed, and its first interval has not started.
     Confirmed,
-    /// Has begun; a repeat is active from its first beginning to its last end.
+    /// Started; a recurring claim is active from its first start to its last end.
     Active,
-    /// Came to its end.
+    /// Its last interval ended.
     Done,
-    /// Did not fit, or was none.
-    Refused,
-    /// Made room: for a claim of higher precedence, for a blackout, or because slots went.
+    /// Did not fit, or had passed when it was confirmed.
+    #[serde(rename = "Refused")]
+    Rejected,
+    /// Lost its capacity to a claim of higher precedence, to a blackout or to a smaller pool.
     Displaced,
     /// Taken back by a command.
     Withdrawn,
@@ -31,10 +35,11 @@
     Lapsed,
 }
 
-/// What may happen to a claim.
+/// A change of a claim's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Step {
-    /// It fits, and its place is kept.
+#[serde(rename = "Step")]
+pub enum Transition {
+    /// It fits, and its capacity is held.
     Hold,
     /// It is confirmed.
     Confirm,
@@ -42,9 +47,10 @@
     Begin,
     /// Its last interval ends.
     End,
-    /// It cannot be.
-    Refuse,
-    /// It makes room.
+    /// It cannot be granted.
+    #[serde(rename = "Refuse")]
+    Reject,
+    /// It loses all its capacity.
     Displace,
     /// It is taken back.
     Withdraw,
@@ -52,47 +58,78 @@
     Lapse,
 }
 
-/// A step that a claim cannot take where it stands.
+/// A transition that does not exist from a claim's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-#[error("a claim that is {from:?} has no step {step:?}")]
-pub struct Illegal {
-    /// Where it stands.
-    pub from: State,
-    /// What was asked.
-    pub step: Step,
+#[error("a claim that is {from} has no step {transition}")]
+#[serde(rename = "Illegal")]
+pub struct InvalidTransition {
+    /// The claim's state.
+    pub from: ClaimState,
+    /// The transition that was requested.
+    #[serde(rename = "step")]
+    pub transition: Transition,
 }
 
-impl State {
-    /// Where a step leads.
+impl ClaimState {
+    /// The state after a transition.
     ///
     /// # Errors
-    /// A step that it cannot take; nothing changed.
-    pub fn after(self, step: Step) -> Result<State, Illegal> {
-        match (self, step) {
-            (State::Proposed, Step::Hold) => Ok(State::Held),
-            (State::Proposed, Step::Refuse) => Ok(State::Refused),
-            (State::Proposed | State::Held, Step::Confirm) => Ok(State::Confirmed),
-            (State::Proposed | State::Held, Step::Lapse) => Ok(State::Lapsed),
-            (State::Confirmed, Step::Begin) => Ok(State::Active),
-            (State::Active, Step::End) => Ok(State::Done),
-            (State::Held | State::Confirmed | State::Active, Step::Displace) => Ok(State::Displaced),
-            (from, Step::Withdraw) if !from.is_over() => Ok(State::Withdrawn),
-            (from, step) => Err(Illegal { from, step }),
+    /// The transition does not exist from this state.
+    pub fn apply(self, transition: Transition) -> Result<ClaimState, InvalidTransition> {
+        match (self, transition) {
+            (ClaimState::Proposed, Transition::Hold) => Ok(ClaimState::Held),
+            (ClaimState::Proposed, Transition::Reject) => Ok(ClaimState::Rejected),
+            (ClaimState::Proposed | ClaimState::Held, Transition::Confirm) => Ok(ClaimState::Confirmed),
+            (ClaimState::Proposed | ClaimState::Held, Transition::Lapse) => Ok(ClaimState::Lapsed),
+            (ClaimState::Confirmed, Transition::Begin) => Ok(ClaimState::Active),
+            (ClaimState::Active, Transition::End) => Ok(ClaimState::Done),
+            (ClaimState::Held | ClaimState::Confirmed | ClaimState::Active, Transition::Displace) => {
+                Ok(ClaimState::Displaced)
+            }
+            (from, Transition::Withdraw) if !from.is_terminal() => Ok(ClaimState::Withdrawn),
+            (from, transition) => Err(InvalidTransition { from, transition }),
         }
     }
 
-    /// Nothing follows.
-    pub fn is_over(self) -> bool {
-        matches!(self, State::Done | State::Refused | State::Displaced | State::Withdrawn | State::Lapsed)
+    /// Whether no transition leads out of this state.
+    pub fn is_terminal(self) -> bool {
+        matches!(
+            self,
+            ClaimState::Done
+                | ClaimState::Rejected
+                | ClaimState::Displaced
+                | ClaimState::Withdrawn
+                | ClaimState::Lapsed
+        )
     }
 
-    /// Its place is kept from others.
-    pub fn keeps_place(self) -> bool {
-        matches!(self, State::Held | State::Confirmed | State::Active)
+    /// Whether the claim's allocations are kept from other claims.
+    pub fn occupies_capacity(self) -> bool {
+        matches!(self, ClaimState::Held | ClaimState::Confirmed | ClaimState::Active)
     }
 
-    /// Its intervals act on what may be taken.
-    pub fn acts(self) -> bool {
-        matches!(self, State::Confirmed | State::Active)
+    /// Whether the claim's intervals count in [`Allowances`](crate::Allowances).
+    pub fn is_in_effect(self) -> bool {
+        matches!(self, ClaimState::Confirmed | ClaimState::Active)
+    }
+}
+
+impl fmt::Display for ClaimState {
+    /// The name in the stored form.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ClaimState::Rejected => f.write_str("Refused"),
+            other => fmt::Debug::fmt(other, f),
+        }
+    }
+}
+
+impl fmt::Display for Transition {
+    /// The name in the stored form.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Transition::Reject => f.write_str("Refuse"),
+            other => fmt::Debug::fmt(other, f),
+        }
     }
 }
--- a/crates/reservations/src/local.rs
+++ b/crates/reservations/src/local.rs
@@ -6,7 +6,7 @@
 use jiff::{SignedDuration, Timestamp};
 use serde::{Deserialize, Serialize};
 
-use crate::{Fault, Interval, Millis, Name, Refusal};
+use crate::{FieldError, Interval, Millis, Name, Rejection};
 
 /// An interval of the local day, on some days, from one instant to another.
 ///
@@ -14,52 +14,61 @@
 /// hour that comes twice the start takes the first and the end the second, so that the interval has all that
 /// its wall clock says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Repeat {
+#[serde(rename = "Repeat")]
+pub struct Recurrence {
     /// The zone's name in the IANA database, such as `Africa/Cairo`.
     pub zone: Name,
     /// On which days it begins.
-    pub days: Days,
+    pub days: RecurrenceDays,
     /// Its start in minutes of the local day, 0 to 1,439.
-    pub from: u16,
+    #[serde(rename = "from")]
+    pub start_minute: u16,
     /// Its end in minutes of the local day, 0 to 1,440; up to `from` it is of the next day.
-    pub to: u16,
+    #[serde(rename = "to")]
+    pub end_minute: u16,
     /// No occurrence starts before.
-    pub first: Millis,
+    #[serde(rename = "first")]
+    pub not_before: Millis,
     /// No occurrence ends later.
     pub until: Millis,
 }
 
 /// Days by the local calendar.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Days {
+#[serde(rename = "Days")]
+pub enum RecurrenceDays {
     /// Days of the week: 1 for Monday to 7 for Sunday.
-    Week(BTreeSet<u8>),
+    #[serde(rename = "Week")]
+    Weekdays(BTreeSet<u8>),
     /// Days of the month: 1 to 31, or -1 for the last to -31. A month without the day has none.
-    Month(BTreeSet<i8>),
+    #[serde(rename = "Month")]
+    MonthDays(BTreeSet<i8>),
 }
 
-impl Days {
-    pub(crate) fn check(&self) -> Result<(), Refusal> {
+impl RecurrenceDays {
+    pub(crate) fn check(&self) -> Result<(), Rejection> {
         let (field, empty, good, least, most) = match self {
-            Days::Week(days) => {
+            RecurrenceDays::Weekdays(days) => {
                 ("when.days.week", days.is_empty(), days.iter().all(|day| (1..=7).contains(day)), 1, 7)
             }
-            Days::Month(days) => {
+            RecurrenceDays::MonthDays(days) => {
                 let good = days.iter().all(|day| *day != 0 && (-31..=31).contains(day));
                 ("when.days.month", days.is_empty(), good, -31, 31)
             }
         };
         match (empty, good) {
-            (true, _) => Err(Refusal::of(field, Fault::Empty)),
+            (true, _) => Err(Rejection::new(field, FieldError::Empty)),
             (false, true) => Ok(()),
-            (false, false) => Err(Refusal::of(field, Fault::Range { least, most })),
+            (false, false) => Err(Rejection::new(field, FieldError::OutOfRange { min: least, max: most })),
         }
     }
 
     fn contain(&self, date: Date) -> bool {
         match self {
-            Days::Week(days) => days.contains(&date.weekday().to_monday_one_offset().unsigned_abs()),
-            Days::Month(days) => {
+            RecurrenceDays::Weekdays(days) => {
+                days.contains(&date.weekday().to_monday_one_offset().unsigned_abs())
+            }
+            RecurrenceDays::MonthDays(days) => {
                 days.contains(&date.day()) || days.contains(&(date.day() - date.days_in_month() - 1))
             }
         }
@@ -68,22 +77,22 @@
 
 /// Which of two instants an ambiguous local time is.
 #[derive(Clone, Copy)]
-enum Edge {
+enum IntervalBound {
     Start,
     End,
 }
 
-impl Repeat {
+impl Recurrence {
     /// The occurrences that end after `now`, in order and apart, at most so many. What has passed of the first
     /// is cut off.
-    pub(crate) fn expand(&self, now: Millis, most: usize) -> Result<Vec<Interval>, Refusal> {
+    pub(crate) fn occurrences(&self, now: Millis, most: usize) -> Result<Vec<Interval>, Rejection> {
         // The bundled database and no other: a system's own would differ among members.
         let zone = TimeZoneDatabase::bundled()
             .get(self.zone.as_str())
-            .map_err(|_| Refusal::of("when.zone", Fault::Unknown))?;
+            .map_err(|_| Rejection::new("when.zone", FieldError::Unknown))?;
         let mut found: Vec<Interval> = Vec::new();
         // Two days before, as an occurrence may be under way.
-        let begin = self.first.max(now).saturating_sub(2 * crate::DAY);
+        let begin = self.not_before.max(now).saturating_sub(2 * crate::DAY);
         let Ok(begin) = Timestamp::from_millisecond(begin) else { return Ok(found) };
         let mut date = zone.to_datetime(begin).date();
         let mut last_end = Millis::MIN;
@@ -93,7 +102,7 @@
                 break;
             }
             // Where an end takes the second of an hour and the next start the first, the earlier one goes on.
-            let wanted = self.days.contain(date) && start >= self.first && end <= self.until;
+            let wanted = self.days.contain(date) && start >= self.not_before && end <= self.until;
             let start = start.max(last_end).max(now);
             if wanted && start < end {
                 found.push(Interval { start, end });
@@ -106,9 +115,9 @@
     }
 
     fn on(&self, zone: &TimeZone, date: Date) -> Option<Interval> {
-        let start = instant(zone, at_minute(date, self.from)?, Edge::Start)?;
-        let last = if self.to <= self.from { date.tomorrow().ok()? } else { date };
-        let end = instant(zone, at_minute(last, self.to)?, Edge::End)?;
+        let start = instant(zone, at_minute(date, self.start_minute)?, IntervalBound::Start)?;
+        let last = if self.end_minute <= self.start_minute { date.tomorrow().ok()? } else { date };
+        let end = instant(zone, at_minute(last, self.end_minute)?, IntervalBound::End)?;
         Some(Interval { start, end })
     }
 }
@@ -119,7 +128,7 @@
     Some(date.to_datetime(Time::new(hour, minute, 0, 0).ok()?))
 }
 
-fn instant(zone: &TimeZone, local: DateTime, edge: Edge) -> Option<Millis> {
+fn instant(zone: &TimeZone, local: DateTime, edge: IntervalBound) -> Option<Millis> {
     let ambiguous = zone.to_ambiguous_timestamp(local);
     let found = match (ambiguous.offset(), edge) {
         (AmbiguousOffset::Gap { .. }, _) => {
@@ -127,8 +136,8 @@
             let after = ambiguous.later().ok()?.checked_add(SignedDuration::from_millis(1)).ok()?;
             zone.preceding(after).next()?.timestamp()
         }
-        (_, Edge::Start) => ambiguous.earlier().ok()?,
-        (_, Edge::End) => ambiguous.later().ok()?,
+        (_, IntervalBound::Start) => ambiguous.earlier().ok()?,
+        (_, IntervalBound::End) => ambiguous.later().ok()?,
     };
     Some(found.as_millisecond())
 }
--- a/crates/reservations/src/name.rs
+++ b/crates/reservations/src/name.rs
@@ -11,7 +11,8 @@
     /// The member.
     pub member: Name,
     /// Grows with every start of its process.
-    pub generation: u64,
+    #[serde(rename = "generation")]
+    pub incarnation: u64,
     /// Grows with every command.
     pub sequence: u64,
 }
@@ -21,6 +22,6 @@
 
 impl fmt::Display for CommandId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}/{}", self.member, self.generation, self.sequence)
+        write!(f, "{}/{}/{}", self.member, self.incarnation, self.sequence)
     }
 }
--- a/crates/reservations/src/place.rs
+++ b/crates/reservations/src/place.rs
@@ -6,18 +6,18 @@
 //!
 //! The search is exact among up to [`MOST_SEARCHED`] candidates and within [`WORK`] steps; beyond, the best that
 //! it found stands, at the least the first cover: whoever comes first, without those that are not needed.
-use crate::{Accepts, Interval, Piece};
+use crate::{Allocation, Flexibility, Interval};
 
 /// Steps of the search for the least displacement: stretches looked at.
-const WORK: usize = 20_000_000;
+const MAX_SEARCH_WORK: usize = 20_000_000;
 /// With more candidates than this only the first cover is taken. Guards the search's depth.
-const MOST_SEARCHED: usize = 256;
+const MAX_SEARCHED_CANDIDATES: usize = 256;
 /// No more than this are candidates, those that come first; the others stand.
-pub(crate) const MOST_CANDIDATES: usize = 1_024;
+pub(crate) const MAX_CANDIDATES: usize = 1_024;
 
 /// A stretch within which nothing changes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Stretch {
+pub(crate) struct Segment {
     pub(crate) interval: Interval,
     /// Slots that nobody has; under 0 where slots went.
     pub(crate) free: i64,
@@ -31,15 +31,15 @@
     /// What it has in all.
     pub(crate) cost: u64,
     /// From a stretch to before another it has so many slots.
-    pub(crate) takes: Vec<(usize, usize, i64)>,
+    pub(crate) usages: Vec<(usize, usize, i64)>,
 }
 
 /// What is granted, and the candidates that make room, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Plan {
-    pub(crate) pieces: Vec<Piece>,
+pub(crate) struct AllocationPlan {
+    pub(crate) allocations: Vec<Allocation>,
     pub(crate) victims: Vec<usize>,
-    pub(crate) whole: bool,
+    pub(crate) is_complete: bool,
 }
 
 /// Plans a claim for `slots` over the stretches. Candidates come in order: those that make room first are first.
@@ -48,13 +48,13 @@
 /// The first stretch in which it does not fit.
 pub(crate) fn plan(
     slots: u32,
-    accepts: Accepts,
-    stretches: &[Stretch],
+    accepts: Flexibility,
+    stretches: &[Segment],
     candidates: &[Candidate],
-) -> Result<Plan, Interval> {
+) -> Result<AllocationPlan, Interval> {
     let mut most: Vec<i64> =
         stretches.iter().map(|each| if each.blocked { 0 } else { each.free.max(i64::MIN / 4) }).collect();
-    for &(from, to, has) in candidates.iter().flat_map(|each| &each.takes) {
+    for &(from, to, has) in candidates.iter().flat_map(|each| &each.usages) {
         for index in from..to {
             most[index] += if stretches[index].blocked { 0 } else { has };
         }
@@ -65,23 +65,27 @@
         .zip(&wanted)
         .map(|(stretch, &wanted)| if wanted == 0 { 0 } else { wanted - stretch.free })
         .collect();
-    let victims = if need.iter().all(|&each| each <= 0) { Vec::new() } else { cover(&mut need, candidates) };
-    Ok(Plan { pieces: pieces(stretches, &wanted), victims, whole })
+    let victims = if need.iter().all(|&each| each <= 0) {
+        Vec::new()
+    } else {
+        find_displacement(&mut need, candidates)
+    };
+    Ok(AllocationPlan { allocations: pieces(stretches, &wanted), victims, is_complete: whole })
 }
 
 /// The slots granted in each stretch, and whether that is all.
 fn target(
     slots: u32,
-    accepts: Accepts,
-    stretches: &[Stretch],
+    accepts: Flexibility,
+    stretches: &[Segment],
     most: &[i64],
 ) -> Result<(Vec<i64>, bool), Interval> {
     let slots = i64::from(slots);
     let Some(blocked) = most.iter().position(|&each| each < slots) else {
         return Ok((vec![slots; most.len()], true));
     };
-    let least = accepts.partial.map(|least| i64::from(least).min(slots));
-    let wanted: Vec<i64> = match (least, accepts.split) {
+    let least = accepts.min_slots.map(|least| i64::from(least).min(slots));
+    let wanted: Vec<i64> = match (least, accepts.allows_split) {
         (None, false) => Vec::new(),
         (None, true) => most.iter().map(|&each| if each >= slots { slots } else { 0 }).collect(),
         (Some(least), false) => {
@@ -95,8 +99,8 @@
     if wanted.iter().any(|&each| each > 0) { Ok((wanted, false)) } else { Err(stretches[blocked].interval) }
 }
 
-fn pieces(stretches: &[Stretch], wanted: &[i64]) -> Vec<Piece> {
-    let mut found: Vec<Piece> = Vec::new();
+fn pieces(stretches: &[Segment], wanted: &[i64]) -> Vec<Allocation> {
+    let mut found: Vec<Allocation> = Vec::new();
     for (stretch, &wanted) in stretches.iter().zip(wanted) {
         let slots = u32::try_from(wanted).unwrap_or(0);
         match found.last_mut() {
@@ -104,20 +108,20 @@
                 last.interval.end = stretch.interval.end;
             }
             _ if slots == 0 => {}
-            _ => found.push(Piece { interval: stretch.interval, slots }),
+            _ => found.push(Allocation { interval: stretch.interval, slots }),
         }
     }
     found
 }
 
 /// The candidates whose displacement covers all need at the least cost.
-fn cover(need: &mut [i64], candidates: &[Candidate]) -> Vec<usize> {
+fn find_displacement(need: &mut [i64], candidates: &[Candidate]) -> Vec<usize> {
     let first = first_cover(need, candidates);
-    if candidates.len() > MOST_SEARCHED {
+    if candidates.len() > MAX_SEARCHED_CANDIDATES {
         return first;
     }
     let cost = first.iter().map(|&each| candidates[each].cost).sum();
-    let mut search = Search {
+    let mut search = DisplacementSearch {
         candidates,
         need,
         decided: vec![false; candidates.len()],
@@ -130,7 +134,7 @@
 }
 
 fn change(need: &mut [i64], candidate: &Candidate, sign: i64) {
-    for &(from, to, has) in &candidate.takes {
+    for &(from, to, has) in &candidate.usages {
         need[from..to].iter_mut().for_each(|each| *each += sign * has);
     }
 }
@@ -140,7 +144,7 @@
     let mut need = need.to_vec();
     let mut taken = vec![false; candidates.len()];
     for (index, candidate) in candidates.iter().enumerate() {
-        let mut takes = candidate.takes.iter();
+        let mut takes = candidate.usages.iter();
         if takes.any(|&(from, to, _)| need[from..to].iter().any(|&each| each > 0)) {
             taken[index] = true;
             change(&mut need, candidate, -1);
@@ -149,7 +153,7 @@
     let mut chosen: Vec<usize> = (0..candidates.len()).filter(|&index| taken[index]).collect();
     for index in chosen.clone().into_iter().rev() {
         let needed = candidates[index]
-            .takes
+            .usages
             .iter()
             .any(|&(from, to, has)| need[from..to].iter().any(|&each| each + has > 0));
         if !needed {
@@ -160,7 +164,7 @@
     chosen
 }
 
-struct Search<'a> {
+struct DisplacementSearch<'a> {
     candidates: &'a [Candidate],
     need: &'a mut [i64],
     /// Chosen, or left out on this branch.
@@ -170,7 +174,7 @@
     work: usize,
 }
 
-impl Search<'_> {
+impl DisplacementSearch<'_> {
     fn step(&mut self, cost: u64) {
         self.work += self.need.len();
         let Some(stretch) = self.need.iter().position(|&each| each > 0) else {
@@ -185,7 +189,7 @@
         let candidates = self.candidates;
         let mut left_out = Vec::new();
         for (index, candidate) in candidates.iter().enumerate() {
-            let covers = candidate.takes.iter().any(|&(from, to, _)| (from..to).contains(&stretch));
+            let covers = candidate.usages.iter().any(|&(from, to, _)| (from..to).contains(&stretch));
             if self.decided[index] || !covers {
                 continue;
             }
@@ -193,7 +197,9 @@
             left_out.push(index);
             let next = cost.saturating_add(candidate.cost);
             // Guards against a search without end: what it has found is a cover, if not the least.
-            if (next, self.chosen.len() + 1) <= (self.best.0, self.best.1.len()) && self.work < WORK {
+            if (next, self.chosen.len() + 1) <= (self.best.0, self.best.1.len())
+                && self.work < MAX_SEARCH_WORK
+            {
                 self.chosen.push(index);
                 change(self.need, candidate, -1);
                 self.step(next);
--- a/crates/reservations/src/seen.rs
+++ b/crates/reservations/src/seen.rs
@@ -6,79 +6,91 @@
 use crate::{CommandId, DAY, Millis, Name};
 
 /// Members whose ids are kept.
-pub(crate) const MOST_MEMBERS: usize = 1_024;
+pub(crate) const MAX_MEMBERS: usize = 1_024;
 /// How far back in a member's sequence a late command is still told from one that has acted.
-const WINDOW: u64 = 128;
+const WINDOW_LENGTH: u64 = 128;
 /// A member that was silent for so long makes room for another's ids.
-const FORGOTTEN_AFTER: Millis = 7 * DAY;
+const MEMBER_RETENTION: Millis = 7 * DAY;
 
 /// What is known of a command's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sight {
+pub(crate) enum DuplicateCheck {
     /// It has not acted yet; from now on it has.
-    First,
+    New,
     /// It has acted.
-    Again,
+    Duplicate,
     /// So old that it is not known, or of an earlier start of its member.
-    Old,
+    TooOld,
     /// No room for another member's ids.
-    Full,
+    NoCapacity,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Heard {
-    generation: u64,
-    highest: u64,
+#[serde(rename = "Heard")]
+struct MemberWindow {
+    #[serde(rename = "generation")]
+    incarnation: u64,
+    #[serde(rename = "highest")]
+    highest_sequence: u64,
     /// Bit n: the sequence `highest - n` has acted.
-    window: u128,
-    last: Millis,
+    #[serde(rename = "window")]
+    acted_bits: u128,
+    #[serde(rename = "last")]
+    last_heard: Millis,
 }
 
 /// For each member the highest sequence and which of the 128 up to it have acted.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Seen(BTreeMap<Name, Heard>);
+#[serde(rename = "Seen")]
+pub(crate) struct DeduplicationWindows(BTreeMap<Name, MemberWindow>);
 
-impl Seen {
+impl DeduplicationWindows {
     /// Looks an id up and marks it.
-    pub(crate) fn mark(&mut self, now: Millis, id: &CommandId) -> Sight {
-        let (generation, sequence) = (id.generation, id.sequence);
-        let first = Heard { generation, highest: sequence, window: 1, last: now };
+    pub(crate) fn record(&mut self, now: Millis, id: &CommandId) -> DuplicateCheck {
+        let (generation, sequence) = (id.incarnation, id.sequence);
+        let first = MemberWindow {
+            incarnation: generation,
+            highest_sequence: sequence,
+            acted_bits: 1,
+            last_heard: now,
+        };
         let Some(heard) = self.0.get_mut(&id.member) else {
             if !self.has_room(now) {
-                return Sight::Full;
+                return DuplicateCheck::NoCapacity;
             }
             self.0.insert(id.member.clone(), first);
-            return Sight::First;
+            return DuplicateCheck::New;
         };
-        if generation < heard.generation {
-            return Sight::Old;
+        if generation < heard.incarnation {
+            return DuplicateCheck::TooOld;
         }
-        if generation > heard.generation {
+        if generation > heard.incarnation {
             *heard = first;
-            return Sight::First;
+            return DuplicateCheck::New;
         }
-        heard.last = now;
-        if let Some(ahead) = sequence.checked_sub(heard.highest).filter(|&ahead| ahead > 0) {
-            heard.window = if ahead < WINDOW { heard.window << ahead | 1 } else { 1 };
-            heard.highest = sequence;
-            return Sight::First;
+        heard.last_heard = now;
+        if let Some(ahead) = sequence.checked_sub(heard.highest_sequence).filter(|&ahead| ahead > 0) {
+            heard.acted_bits = if ahead < WINDOW_LENGTH { heard.acted_bits << ahead | 1 } else { 1 };
+            heard.highest_sequence = sequence;
+            return DuplicateCheck::New;
         }
-        let behind = heard.highest - sequence;
-        if behind >= WINDOW {
-            return Sight::Old;
+        let behind = heard.highest_sequence - sequence;
+        if behind >= WINDOW_LENGTH {
+            return DuplicateCheck::TooOld;
         }
         let bit = 1 << behind;
-        if heard.window & bit != 0 {
-            return Sight::Again;
+        if heard.acted_bits & bit != 0 {
+            return DuplicateCheck::Duplicate;
         }
-        heard.window |= bit;
-        Sight::First
+        heard.acted_bits |= bit;
+        DuplicateCheck::New
     }
 
     fn has_room(&mut self, now: Millis) -> bool {
-        if self.0.len() >= MOST_MEMBERS {
-            let longest = self.0.iter().min_by_key(|(_, heard)| heard.last);
-            let silent = longest.filter(|(_, heard)| heard.last <= now.saturating_sub(FORGOTTEN_AFTER));
+        if self.0.len() >= MAX_MEMBERS {
+            let longest = self.0.iter().min_by_key(|(_, heard)| heard.last_heard);
+            let silent =
+                longest.filter(|(_, heard)| heard.last_heard <= now.saturating_sub(MEMBER_RETENTION));
             let Some(member) = silent.map(|(member, _)| member.clone()) else { return false };
             self.0.remove(&member);
         }
--- a/crates/reservations/tests/allowances.rs
+++ b/crates/reservations/tests/allowances.rs
@@ -10,20 +10,20 @@
     let claim = log.confirmed(4, hours(2, 4), 0, WHOLE);
     let held = log.propose(3, hours(3, 5), 0, WHOLE);
     log.confirmed(1, hours(4, 6), 0, WHOLE);
-    log.black_out(Target::Zone(name("north")), Effect::NoNewWork, hours(40, 41));
-    log.black_out(Target::Class(name("batch")), Effect::NoWork, hours(30, 32));
+    log.black_out(BlackoutTarget::Zone(name("north")), BlackoutEffect::NoNewWork, hours(40, 41));
+    log.black_out(BlackoutTarget::Class(name("batch")), BlackoutEffect::NoWork, hours(30, 32));
     let cpu = |at| log.calendar.allowances(at).pools[&name("cpu")].clone();
     for (hour, open) in [(1, 10), (2, 6), (3, 6), (4, 9), (5, 9), (6, 10)] {
-        assert_eq!(cpu(START + hour * HOUR).open, open, "at hour {hour}");
+        assert_eq!(cpu(START + hour * HOUR).unreserved_slots, open, "at hour {hour}");
     }
-    let reserved = &cpu(START + 3 * HOUR).reserved;
+    let reserved = &cpu(START + 3 * HOUR).reservations;
     assert_eq!(reserved.len(), 1, "{held} is not confirmed");
-    let Reserved { since, until, slots, .. } = reserved[0];
+    let ActiveReservation { start: since, end: until, slots, .. } = reserved[0];
     assert_eq!((&reserved[0].claim, since, until, slots), (&claim, hours(2, 4).start, hours(2, 4).end, 4));
 
     let mut edges = Vec::new();
     let mut after = START;
-    while let Some(next) = log.calendar.next_change(after) {
+    while let Some(next) = log.calendar.next_change_after(after) {
         edges.push((next - START) / HOUR);
         after = next;
     }
@@ -41,20 +41,21 @@
 #[test]
 fn a_blackout_names_its_end_and_how_early_work_must_not_begin() {
     let mut log = Log::new(HOUR, 10);
-    let target = Target::Tenant(name("food"));
-    log.black_out(target.clone(), Effect::NoWork, hours(10, 11));
-    log.black_out(target.clone(), Effect::NoWork, hours(11, 13));
-    log.black_out(target.clone(), Effect::NoNewWork, hours(12, 15));
-    log.black_out(target.clone(), Effect::NoNewWork, hours(20, 21));
-    log.black_out(target, Effect::NoWork, hours(60, 61));
-    let of = |hour| log.calendar.allowances(START + hour * HOUR).tenants.get(&name("food")).copied();
+    let target = BlackoutTarget::Tenant(name("food"));
+    log.black_out(target.clone(), BlackoutEffect::NoWork, hours(10, 11));
+    log.black_out(target.clone(), BlackoutEffect::NoWork, hours(11, 13));
+    log.black_out(target.clone(), BlackoutEffect::NoNewWork, hours(12, 15));
+    log.black_out(target.clone(), BlackoutEffect::NoNewWork, hours(20, 21));
+    log.black_out(target, BlackoutEffect::NoWork, hours(60, 61));
+    let of = |hour| log.calendar.allowances(START + hour * HOUR).tenant_blackouts.get(&name("food")).copied();
     let until = |hour: i64| Some(START + hour * HOUR);
     let ahead = |start, end| {
         let Interval { start, end } = hours(start, end);
-        Some(Ahead { start, end })
+        Some(UpcomingBlackout { start, end })
+    };
+    let blacked = |no_new, no, ahead| {
+        Some(BlackoutStatus { no_new_work_until: no_new, no_work_until: no, upcoming: ahead })
     };
-    let blacked =
-        |no_new, no, ahead| Some(BlackedOut { no_new_work_until: no_new, no_work_until: no, ahead });
     for (hour, expected) in [
         (9, blacked(None, None, ahead(10, 13))),
         (10, blacked(until(15), until(13), None)),
@@ -68,9 +69,9 @@
     }
     let nine = of(9).expect("ahead");
     for (longest, expected) in [(0, None), (HOUR, None), (HOUR + 1, until(13)), (i64::MAX, until(13))] {
-        assert_eq!(nine.must_wait(START + 9 * HOUR, longest), expected, "longest {longest}");
+        assert_eq!(nine.wait_until(START + 9 * HOUR, longest), expected, "longest {longest}");
     }
-    assert_eq!(of(14).expect("now").must_wait(START + 14 * HOUR, 0), until(15));
+    assert_eq!(of(14).expect("now").wait_until(START + 14 * HOUR, 0), until(15));
 }
 
 #[test]
@@ -85,10 +86,10 @@
         (100, 170, 50_000, 10_000, 0),
         (100, 0, 50_000, 0, 0),
         (100, 0, -5, 10_000, 0),
-        (100, 40, 1_000, MILLION, 60),
+        (100, 40, 1_000, PARTS_PER_MILLION, 60),
         (u32::MAX, 0, i64::MAX, u32::MAX, u32::MAX),
     ] {
-        let found = lent(reserved, used, since, speed);
+        let found = lendable_slots(reserved, used, since, speed);
         assert_eq!(found, expected, "{reserved} {used} {since} {speed}");
     }
 }
--- a/crates/reservations/tests/common/mod.rs
+++ b/crates/reservations/tests/common/mod.rs
@@ -10,7 +10,7 @@
 }
 
 pub fn id(sequence: u64) -> CommandId {
-    CommandId { member: name("m"), generation: 1, sequence }
+    CommandId { member: name("m"), incarnation: 1, sequence }
 }
 
 /// From so many hours after [`START`] to so many.
@@ -18,30 +18,30 @@
     Interval { start: START + start * HOUR, end: START + end * HOUR }
 }
 
-pub fn piece(start: i64, end: i64, slots: u32) -> Piece {
-    Piece { interval: hours(start, end), slots }
+pub fn piece(start: i64, end: i64, slots: u32) -> Allocation {
+    Allocation { interval: hours(start, end), slots }
 }
 
-pub fn reserve(slots: u32, interval: Interval, precedence: u32, accepts: Accepts) -> Reserve {
-    Reserve {
+pub fn reserve(slots: u32, interval: Interval, precedence: u32, accepts: Flexibility) -> ReservationRequest {
+    ReservationRequest {
         owner: Owner::Tenant(name("food")),
         pool: name("cpu"),
         amount: Amount::Slots(slots),
-        when: When::Once(interval),
+        schedule: Schedule::Once(interval),
         precedence,
-        accepts,
-        give_back: 0,
+        flexibility: accepts,
+        lending_rate_ppm: 0,
         hold_end: START + DAY,
     }
 }
 
-pub fn blackout(target: Target, effect: Effect, interval: Interval) -> Blackout {
-    Blackout { target, effect, when: When::Once(interval), hold_end: START + DAY }
+pub fn blackout(target: BlackoutTarget, effect: BlackoutEffect, interval: Interval) -> BlackoutRequest {
+    BlackoutRequest { target, effect, schedule: Schedule::Once(interval), hold_end: START + DAY }
 }
 
-pub const WHOLE: Accepts = Accepts { partial: None, split: false };
-pub const SPLIT: Accepts = Accepts { partial: None, split: true };
-pub const PART: Accepts = Accepts { partial: Some(1), split: false };
+pub const WHOLE: Flexibility = Flexibility { min_slots: None, allows_split: false };
+pub const SPLIT: Flexibility = Flexibility { min_slots: None, allows_split: true };
+pub const PART: Flexibility = Flexibility { min_slots: Some(1), allows_split: false };
 
 pub struct Log {
     pub calendar: Calendar,
@@ -53,14 +53,14 @@
 
 impl Log {
     pub fn new(notice: Millis, slots: u32) -> Log {
-        let calendar = Calendar::new(Settings { notice }).expect("good settings");
+        let calendar = Calendar::new(Settings { displacement_notice: notice }).expect("good settings");
         let (entries, events) = (Vec::new(), Vec::new());
         let mut log = Log { calendar, at: START, sequence: 0, entries, events };
         log.capacity(slots);
         log
     }
 
-    pub fn put(&mut self, body: Body) -> CommandId {
+    pub fn put(&mut self, body: CommandBody) -> CommandId {
         self.sequence += 1;
         let command = Command { id: id(self.sequence), body };
         self.events = self.calendar.apply(self.at, &command);
@@ -69,38 +69,55 @@
     }
 
     pub fn capacity(&mut self, slots: u32) {
-        self.put(Body::Capacity { pool: name("cpu"), zone: name("north"), slots });
+        self.put(CommandBody::SetCapacity { pool: name("cpu"), zone: name("north"), slots });
     }
 
-    pub fn propose(&mut self, slots: u32, interval: Interval, precedence: u32, accepts: Accepts) -> ClaimId {
-        self.put(Body::Reserve(reserve(slots, interval, precedence, accepts)))
+    pub fn propose(
+        &mut self,
+        slots: u32,
+        interval: Interval,
+        precedence: u32,
+        accepts: Flexibility,
+    ) -> ClaimId {
+        self.put(CommandBody::Reserve(reserve(slots, interval, precedence, accepts)))
     }
 
-    pub fn confirmed(&mut self, slots: u32, span: Interval, precedence: u32, accepts: Accepts) -> ClaimId {
+    pub fn confirmed(
+        &mut self,
+        slots: u32,
+        span: Interval,
+        precedence: u32,
+        accepts: Flexibility,
+    ) -> ClaimId {
         let claim = self.propose(slots, span, precedence, accepts);
-        self.put(Body::Confirm(claim.clone()));
+        self.put(CommandBody::Confirm(claim.clone()));
         claim
     }
 
-    pub fn black_out(&mut self, target: Target, effect: Effect, interval: Interval) -> ClaimId {
-        let claim = self.put(Body::Blackout(blackout(target, effect, interval)));
-        self.put(Body::Confirm(claim.clone()));
+    pub fn black_out(
+        &mut self,
+        target: BlackoutTarget,
+        effect: BlackoutEffect,
+        interval: Interval,
+    ) -> ClaimId {
+        let claim = self.put(CommandBody::Blackout(blackout(target, effect, interval)));
+        self.put(CommandBody::Confirm(claim.clone()));
         claim
     }
 
     pub fn to(&mut self, hour: i64) {
         self.at = START + hour * HOUR;
-        self.put(Body::Advance);
+        self.put(CommandBody::AdvanceTime);
     }
 
-    pub fn state(&self, claim: &ClaimId) -> State {
+    pub fn state(&self, claim: &ClaimId) -> ClaimState {
         self.calendar.state_of(claim).expect("known")
     }
 
     /// Why a claim came where it stands, in the last events.
     pub fn why(&self, claim: &ClaimId) -> Reason {
         let moved = self.events.iter().rev().find_map(|event| match &event.change {
-            Change::Moved { claim: of, why, .. } if of == claim => Some(why.clone()),
+            Change::StateChanged { claim: of, reason: why, .. } if of == claim => Some(why.clone()),
             _ => None,
         });
         moved.expect("moved")
--- a/crates/reservations/tests/life.rs
+++ b/crates/reservations/tests/life.rs
@@ -1,19 +1,19 @@
 //! A claim's life: every step from every state.
-use copperspread_reservations::{Illegal, State, Step};
+use copperspread_reservations::{ClaimState, InvalidTransition, Transition};
 
 #[test]
 fn each_step_leads_where_the_table_says_and_every_other_is_refused() {
-    use State::*;
-    let states = [Proposed, Held, Confirmed, Active, Done, Refused, Displaced, Withdrawn, Lapsed];
+    use ClaimState::*;
+    let states = [Proposed, Held, Confirmed, Active, Done, Rejected, Displaced, Withdrawn, Lapsed];
     let steps = [
-        Step::Hold,
-        Step::Confirm,
-        Step::Begin,
-        Step::End,
-        Step::Refuse,
-        Step::Displace,
-        Step::Withdraw,
-        Step::Lapse,
+        Transition::Hold,
+        Transition::Confirm,
+        Transition::Begin,
+        Transition::End,
+        Transition::Reject,
+        Transition::Displace,
+        Transition::Withdraw,
+        Transition::Lapse,
     ];
     // One row a state, one letter a step; "." is refused.
     let table = [
@@ -27,13 +27,13 @@
                 'C' => Ok(Confirmed),
                 'A' => Ok(Active),
                 'E' => Ok(Done),
-                'R' => Ok(Refused),
+                'R' => Ok(Rejected),
                 'D' => Ok(Displaced),
                 'W' => Ok(Withdrawn),
                 'L' => Ok(Lapsed),
-                _ => Err(Illegal { from, step }),
+                _ => Err(InvalidTransition { from, transition: step }),
             };
-            assert_eq!(from.after(step), expected, "{from:?} {step:?}");
+            assert_eq!(from.apply(step), expected, "{from:?} {step:?}");
         }
     }
 }
--- a/crates/reservations/tests/local.rs
+++ b/crates/reservations/tests/local.rs
@@ -10,19 +10,24 @@
     text.parse::<jiff::Timestamp>().expect("an instant").as_millisecond()
 }
 
-fn repeat(zone: &str, days: Days, ((from, from_minute), (to, to_minute)): Wall, span: Span<'_>) -> When {
-    When::Repeat(Repeat {
+fn repeat(
+    zone: &str,
+    days: RecurrenceDays,
+    ((from, from_minute), (to, to_minute)): Wall,
+    span: Span<'_>,
+) -> Schedule {
+    Schedule::Recurring(Recurrence {
         zone: Name::new(zone).expect("a name"),
         days,
-        from: from * 60 + from_minute,
-        to: to * 60 + to_minute,
-        first: utc(span.0),
+        start_minute: from * 60 + from_minute,
+        end_minute: to * 60 + to_minute,
+        not_before: utc(span.0),
         until: utc(span.1),
     })
 }
 
-fn every_day() -> Days {
-    Days::Week((1..=7).collect())
+fn every_day() -> RecurrenceDays {
+    RecurrenceDays::Weekdays((1..=7).collect())
 }
 
 #[test]
@@ -58,7 +63,7 @@
         let found = repeat(zone, every_day(), wall, span).intervals(utc(span.0));
         let expected = match expected {
             Some((start, end)) => Ok(vec![Interval { start: utc(start), end: utc(end) }]),
-            None => Err(Refusal { field: "when".into(), fault: Fault::Empty }),
+            None => Err(Rejection { field: "when".into(), error: FieldError::Empty }),
         };
         assert_eq!(found, expected, "{zone} {span:?} {wall:?}");
     }
@@ -87,7 +92,8 @@
         ),
         (vec![-31], vec!["2026-03-01", "2026-05-01"]),
     ] {
-        let when = repeat("UTC", Days::Month(days.iter().copied().collect()), ((8, 0), (9, 0)), span);
+        let when =
+            repeat("UTC", RecurrenceDays::MonthDays(days.iter().copied().collect()), ((8, 0), (9, 0)), span);
         let starts: Vec<_> =
             when.intervals(utc(span.0)).expect("good").iter().map(|each| each.start).collect();
         let expected: Vec<_> = expected.iter().map(|day| utc(&format!("{day}T08:00:00Z"))).collect();
@@ -98,38 +104,54 @@
 #[test]
 fn what_is_out_of_bounds_is_refused_with_its_field() {
     let now = utc("2026-01-01T00:00:00Z");
-    let good = || Repeat {
+    let good = || Recurrence {
         zone: Name::new("UTC").expect("a name"),
-        days: Days::Week([1].into()),
-        from: 480,
-        to: 540,
-        first: now,
+        days: RecurrenceDays::Weekdays([1].into()),
+        start_minute: 480,
+        end_minute: 540,
+        not_before: now,
         until: now + 30 * DAY,
     };
-    let once = |start, end| When::Once(Interval { start, end });
-    let range = |least, most| Fault::Range { least, most };
+    let once = |start, end| Schedule::Once(Interval { start, end });
+    let range = |least, most| FieldError::OutOfRange { min: least, max: most };
     let cases = [
-        (once(now + 2, now + 1), "when.end", Fault::Empty),
-        (once(now - 2, now), "when.end", Fault::Past),
-        (once(now, now + LONGEST + 1), "when.end", range(now + 1, now + LONGEST)),
-        (once(i64::MIN, i64::MAX), "when.start", range(0, now + HORIZON)),
-        (once(now, i64::MAX), "when.end", range(0, now + HORIZON)),
+        (once(now + 2, now + 1), "when.end", FieldError::Empty),
+        (once(now - 2, now), "when.end", FieldError::InThePast),
+        (once(now, now + MAX_INTERVAL_LENGTH + 1), "when.end", range(now + 1, now + MAX_INTERVAL_LENGTH)),
+        (once(i64::MIN, i64::MAX), "when.start", range(0, now + PLANNING_HORIZON)),
+        (once(now, i64::MAX), "when.end", range(0, now + PLANNING_HORIZON)),
         (
-            When::Repeat(Repeat { zone: Name::new("Mars/Base").expect("a name"), ..good() }),
+            Schedule::Recurring(Recurrence { zone: Name::new("Mars/Base").expect("a name"), ..good() }),
             "when.zone",
-            Fault::Unknown,
+            FieldError::Unknown,
+        ),
+        (Schedule::Recurring(Recurrence { start_minute: 1_440, ..good() }), "when.from", range(0, 1_439)),
+        (Schedule::Recurring(Recurrence { end_minute: 1_441, ..good() }), "when.to", range(0, 1_440)),
+        (Schedule::Recurring(Recurrence { until: now, ..good() }), "when.until", FieldError::Empty),
+        (
+            Schedule::Recurring(Recurrence { until: i64::MAX, ..good() }),
+            "when.until",
+            range(0, now + PLANNING_HORIZON),
+        ),
+        (
+            Schedule::Recurring(Recurrence { days: RecurrenceDays::Weekdays([8].into()), ..good() }),
+            "when.days.week",
+            range(1, 7),
+        ),
+        (
+            Schedule::Recurring(Recurrence { days: RecurrenceDays::MonthDays([0].into()), ..good() }),
+            "when.days.month",
+            range(-31, 31),
+        ),
+        (
+            Schedule::Recurring(Recurrence { days: RecurrenceDays::MonthDays([].into()), ..good() }),
+            "when.days.month",
+            FieldError::Empty,
         ),
-        (When::Repeat(Repeat { from: 1_440, ..good() }), "when.from", range(0, 1_439)),
-        (When::Repeat(Repeat { to: 1_441, ..good() }), "when.to", range(0, 1_440)),
-        (When::Repeat(Repeat { until: now, ..good() }), "when.until", Fault::Empty),
-        (When::Repeat(Repeat { until: i64::MAX, ..good() }), "when.until", range(0, now + HORIZON)),
-        (When::Repeat(Repeat { days: Days::Week([8].into()), ..good() }), "when.days.week", range(1, 7)),
-        (When::Repeat(Repeat { days: Days::Month([0].into()), ..good() }), "when.days.month", range(-31, 31)),
-        (When::Repeat(Repeat { days: Days::Month([].into()), ..good() }), "when.days.month", Fault::Empty),
     ];
     for (when, field, fault) in cases {
-        let expected = Err(Refusal { field: field.into(), fault });
+        let expected = Err(Rejection { field: field.into(), error: fault });
         assert_eq!(when.intervals(now), expected, "{when:?}");
     }
-    assert_eq!(When::Repeat(good()).intervals(now).map(|found| found.len()), Ok(4));
+    assert_eq!(Schedule::Recurring(good()).intervals(now).map(|found| found.len()), Ok(4));
 }
--- a/crates/reservations/tests/replay.rs
+++ b/crates/reservations/tests/replay.rs
@@ -13,28 +13,33 @@
         log.at += random.i64(0..HOUR);
         let start = log.at + random.i64(-2..30) * HOUR;
         let span = Interval { start, end: start + random.i64(0..12) * HOUR };
-        let accepts = Accepts { partial: random.bool().then_some(2), split: random.bool() };
+        let accepts = Flexibility { min_slots: random.bool().then_some(2), allows_split: random.bool() };
         let hold_end = log.at + random.i64(1..20) * HOUR;
         let body = match random.u32(0..10) {
             0..=4 => {
                 let amount = match random.bool() {
                     true => Amount::Slots(random.u32(0..15)),
-                    false => Amount::Parts(random.u32(0..700_000)),
+                    false => Amount::PartsPerMillion(random.u32(0..700_000)),
                 };
                 let reserve = reserve(0, span, random.u32(0..4), accepts);
-                Body::Reserve(Reserve { amount, hold_end, ..reserve })
+                CommandBody::Reserve(ReservationRequest { amount, hold_end, ..reserve })
             }
             5..=7 if !claims.is_empty() => {
                 let claim: ClaimId = random.choice(&claims).cloned().expect("some");
-                if random.u32(0..5) == 0 { Body::Withdraw(claim) } else { Body::Confirm(claim) }
+                if random.u32(0..5) == 0 { CommandBody::Withdraw(claim) } else { CommandBody::Confirm(claim) }
             }
             8 => {
-                let target = Target::Tenant(name(if random.bool() { "food" } else { "shelter" }));
-                Body::Blackout(Blackout { hold_end, ..blackout(target, Effect::NoWork, span) })
+                let target = BlackoutTarget::Tenant(name(if random.bool() { "food" } else { "shelter" }));
+                CommandBody::Blackout(BlackoutRequest {
+                    hold_end,
+                    ..blackout(target, BlackoutEffect::NoWork, span)
+                })
+            }
+            _ => {
+                CommandBody::SetCapacity { pool: name("cpu"), zone: name("north"), slots: random.u32(10..30) }
             }
-            _ => Body::Capacity { pool: name("cpu"), zone: name("north"), slots: random.u32(10..30) },
         };
-        let claim = matches!(body, Body::Reserve(_) | Body::Blackout(_));
+        let claim = matches!(body, CommandBody::Reserve(_) | CommandBody::Blackout(_));
         let id = log.put(body);
         if claim {
             claims.push(id);
@@ -52,7 +57,7 @@
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..4 {
         let entries = entries(seed);
-        let new = || Calendar::new(Settings { notice: HOUR }).expect("good settings");
+        let new = || Calendar::new(Settings { displacement_notice: HOUR }).expect("good settings");
         let (mut once, mut twice, mut restored) = (new(), new(), new());
         for (index, (at, command)) in entries.iter().enumerate() {
             let events = once.apply(*at, command);
@@ -66,7 +71,7 @@
             assert_eq!(restored.apply(*at, command), events);
             for event in &events {
                 match &event.change {
-                    Change::Moved { to, .. } => kinds.insert(format!("{to:?}")),
+                    Change::StateChanged { to, .. } => kinds.insert(format!("{to:?}")),
                     Change::Rejected(_) => kinds.insert("rejected".into()),
                     _ => false,
                 };
@@ -76,7 +81,7 @@
         assert_eq!(bytes(&restored), bytes(&once));
         for at in entries.iter().map(|(at, _)| *at) {
             assert_eq!(restored.allowances(at), once.allowances(at));
-            assert_eq!(restored.next_change(at), once.next_change(at));
+            assert_eq!(restored.next_change_after(at), once.next_change_after(at));
         }
     }
     assert_eq!(kinds.len(), 10, "the logs had every state, and refusals: {kinds:?}");
@@ -85,20 +90,20 @@
 #[test]
 fn what_is_granted_never_exceeds_the_pool_and_keeps_clear_of_blackouts() {
     for seed in 100..104 {
-        let mut calendar = Calendar::new(Settings { notice: HOUR }).expect("good settings");
+        let mut calendar = Calendar::new(Settings { displacement_notice: HOUR }).expect("good settings");
         for (at, command) in entries(seed) {
             calendar.apply(at, &command);
             let mut next = Some(calendar.now());
             while let Some(now) = next {
                 let allowances = calendar.allowances(now);
                 let cpu = &allowances.pools[&name("cpu")];
-                let reserved: u32 = cpu.reserved.iter().map(|each| each.slots).sum();
-                assert_eq!(reserved + cpu.open, cpu.slots, "at {now}");
-                let food = allowances.tenants.get(&name("food"));
+                let reserved: u32 = cpu.reservations.iter().map(|each| each.slots).sum();
+                assert_eq!(reserved + cpu.unreserved_slots, cpu.slots, "at {now}");
+                let food = allowances.tenant_blackouts.get(&name("food"));
                 if food.is_some_and(|food| food.no_new_work_until.is_some()) {
                     assert_eq!(reserved, 0, "all are food's");
                 }
-                next = calendar.next_change(now);
+                next = calendar.next_change_after(now);
             }
         }
     }
@@ -108,16 +113,16 @@
 fn an_entry_out_of_time_or_from_an_earlier_start_changes_nothing() {
     let mut log = Log::new(HOUR, 10);
     let before = bytes(&log.calendar);
-    for at in [-1, LAST_INSTANT + 1, i64::MIN, i64::MAX] {
-        let events = log.calendar.apply(at, &Command { id: id(9), body: Body::Advance });
+    for at in [-1, MAX_INSTANT + 1, i64::MIN, i64::MAX] {
+        let events = log.calendar.apply(at, &Command { id: id(9), body: CommandBody::AdvanceTime });
         assert!(
             matches!(&events[..], [Event { change: Change::Rejected(refusal), .. }] if refusal.field == "at")
         );
     }
-    let old = CommandId { generation: 0, ..id(9) };
-    let events = log.calendar.apply(START, &Command { id: old, body: Body::Advance });
+    let old = CommandId { incarnation: 0, ..id(9) };
+    let events = log.calendar.apply(START, &Command { id: old, body: CommandBody::AdvanceTime });
     assert!(matches!(&events[..], [Event { change: Change::Rejected(refusal), .. }]
-        if refusal.fault == Fault::TooOld));
+        if refusal.error == FieldError::TooOld));
     assert_eq!(bytes(&log.calendar), before);
 }
 
--- a/crates/reservations/tests/transcripts.rs
+++ b/crates/reservations/tests/transcripts.rs
@@ -18,38 +18,48 @@
     values.iter().map(line).collect()
 }
 
-fn repeat(days: Days) -> When {
+fn repeat(days: RecurrenceDays) -> Schedule {
     let (first, until) = (START, START + 7 * DAY);
-    When::Repeat(Repeat { zone: name("Africa/Cairo"), days, from: 1_320, to: 360, first, until })
+    Schedule::Recurring(Recurrence {
+        zone: name("Africa/Cairo"),
+        days,
+        start_minute: 1_320,
+        end_minute: 360,
+        not_before: first,
+        until,
+    })
 }
 
-fn blackout(target: Target, effect: Effect) -> Body {
-    Body::Blackout(common::blackout(target, effect, hours(8, 10)))
+fn blackout(target: BlackoutTarget, effect: BlackoutEffect) -> CommandBody {
+    CommandBody::Blackout(common::blackout(target, effect, hours(8, 10)))
 }
 
-fn bodies() -> Vec<Body> {
-    let accepts = Accepts { partial: Some(2), split: true };
-    let of_federation = Reserve {
+fn bodies() -> Vec<CommandBody> {
+    let accepts = Flexibility { min_slots: Some(2), allows_split: true };
+    let of_federation = ReservationRequest {
         owner: Owner::Federation(name("relief")),
-        amount: Amount::Parts(250_000),
-        when: repeat(Days::Week([1, 7].into())),
-        give_back: 500,
+        amount: Amount::PartsPerMillion(250_000),
+        schedule: repeat(RecurrenceDays::Weekdays([1, 7].into())),
+        lending_rate_ppm: 500,
         ..reserve(0, hours(0, 1), 3, accepts)
     };
-    let monthly = Reserve { when: repeat(Days::Month([-1, 10].into())), ..reserve(4, hours(0, 1), 0, WHOLE) };
+    let monthly = ReservationRequest {
+        schedule: repeat(RecurrenceDays::MonthDays([-1, 10].into())),
+        ..reserve(4, hours(0, 1), 0, WHOLE)
+    };
     vec![
-        Body::Capacity { pool: name("cpu"), zone: name("north"), slots: 20 },
-        Body::Reserve(reserve(5, hours(5, 7), 1, WHOLE)),
-        Body::Reserve(of_federation),
-        Body::Reserve(monthly),
-        blackout(Target::Class(name("batch")), Effect::NoNewWork),
-        blackout(Target::Tenant(name("food")), Effect::NoWork),
-        blackout(Target::Pool(name("cpu")), Effect::NoWork),
-        blackout(Target::Zone(name("north")), Effect::NoNewWork),
-        Body::Confirm(id(2)),
-        Body::Confirm(id(6)),
-        Body::Withdraw(id(3)),
-        Body::Advance,
+        CommandBody::SetCapacity { pool: name("cpu"), zone: name("north"), slots: 20 },
+        CommandBody::Reserve(reserve(5, hours(5, 7), 1, WHOLE)),
+        CommandBody::Reserve(of_federation),
+        CommandBody::Reserve(monthly),
+        blackout(BlackoutTarget::Class(name("batch")), BlackoutEffect::NoNewWork),
+        blackout(BlackoutTarget::Tenant(name("food")), BlackoutEffect::NoWork),
+        blackout(BlackoutTarget::Pool(name("cpu")), BlackoutEffect::NoWork),
+        blackout(BlackoutTarget::Zone(name("north")), BlackoutEffect::NoNewWork),
+        CommandBody::Confirm(id(2)),
+        CommandBody::Confirm(id(6)),
+        CommandBody::Withdraw(id(3)),
+        CommandBody::AdvanceTime,
     ]
 }
 
@@ -57,46 +67,51 @@
     (1..).zip(bodies()).map(|(sequence, body)| Command { id: id(sequence), body }).collect()
 }
 
-fn moved(from: Option<State>, to: State, why: Reason) -> Change {
-    Change::Moved { claim: id(2), from, to, why }
+fn moved(from: Option<ClaimState>, to: ClaimState, why: Reason) -> Change {
+    Change::StateChanged { claim: id(2), from, to, reason: why }
 }
 
-fn rejected(fault: Fault) -> Change {
-    Change::Rejected(Refusal { field: "when.end".into(), fault })
+fn rejected(fault: FieldError) -> Change {
+    Change::Rejected(Rejection { field: "when.end".into(), error: fault })
 }
 
 fn changes() -> Vec<Change> {
-    let granted =
-        |pieces, why, offer| Change::Granted { claim: id(2), occurrence: hours(2, 4), pieces, why, offer };
-    let infeasible = Reason::Infeasible { blocked: hours(2, 3), offer: Some(hours(5, 6)) };
-    let needs_room = Reason::NeedsRoom(vec![id(3), id(4)]);
-    let illegal = Illegal { from: State::Done, step: Step::Withdraw };
+    let granted = |pieces, why, offer| Change::Granted {
+        claim: id(2),
+        occurrence: hours(2, 4),
+        allocations: pieces,
+        reason: why,
+        alternative: offer,
+    };
+    let infeasible = Reason::Infeasible { blocked: hours(2, 3), alternative: Some(hours(5, 6)) };
+    let needs_room = Reason::RequiresDisplacement(vec![id(3), id(4)]);
+    let illegal = InvalidTransition { from: ClaimState::Done, transition: Transition::Withdraw };
     let faults = [
-        Fault::Range { least: 1, most: 7 },
-        Fault::Empty,
-        Fault::Past,
-        Fault::TooMany(366),
-        Fault::Unknown,
-        Fault::LessThanASlot,
-        Fault::MoreThanThePool(20),
-        Fault::Life(illegal),
-        Fault::TooOld,
+        FieldError::OutOfRange { min: 1, max: 7 },
+        FieldError::Empty,
+        FieldError::InThePast,
+        FieldError::LimitExceeded(366),
+        FieldError::Unknown,
+        FieldError::BelowOneSlot,
+        FieldError::ExceedsPool(20),
+        FieldError::InvalidTransition(illegal),
+        FieldError::TooOld,
     ];
     let mut changes = vec![
-        moved(None, State::Proposed, needs_room),
-        moved(Some(State::Proposed), State::Held, Reason::Fits),
-        moved(Some(State::Held), State::Confirmed, Reason::Asked),
-        moved(Some(State::Confirmed), State::Active, Reason::TimeCame),
-        moved(Some(State::Active), State::Done, Reason::TimeCame),
-        moved(None, State::Refused, infeasible),
-        moved(Some(State::Confirmed), State::Displaced, Reason::RoomFor(id(5))),
-        moved(Some(State::Active), State::Displaced, Reason::Blackout(id(6))),
-        moved(Some(State::Held), State::Withdrawn, Reason::Asked),
-        moved(Some(State::Held), State::Lapsed, Reason::HoldEnded),
-        moved(Some(State::Proposed), State::Lapsed, Reason::Past),
-        granted(vec![piece(2, 3, 5), piece(3, 4, 2)], Reason::LessFits, None),
+        moved(None, ClaimState::Proposed, needs_room),
+        moved(Some(ClaimState::Proposed), ClaimState::Held, Reason::Fits),
+        moved(Some(ClaimState::Held), ClaimState::Confirmed, Reason::Requested),
+        moved(Some(ClaimState::Confirmed), ClaimState::Active, Reason::TimeReached),
+        moved(Some(ClaimState::Active), ClaimState::Done, Reason::TimeReached),
+        moved(None, ClaimState::Rejected, infeasible),
+        moved(Some(ClaimState::Confirmed), ClaimState::Displaced, Reason::DisplacedBy(id(5))),
+        moved(Some(ClaimState::Active), ClaimState::Displaced, Reason::UnderBlackout(id(6))),
+        moved(Some(ClaimState::Held), ClaimState::Withdrawn, Reason::Requested),
+        moved(Some(ClaimState::Held), ClaimState::Lapsed, Reason::HoldExpired),
+        moved(Some(ClaimState::Proposed), ClaimState::Lapsed, Reason::InThePast),
+        granted(vec![piece(2, 3, 5), piece(3, 4, 2)], Reason::FitsPartially, None),
         granted(Vec::new(), Reason::PoolChanged, Some(hours(5, 7))),
-        Change::Capacity { pool: name("cpu"), zone: name("north"), slots: 20 },
+        Change::CapacityChanged { pool: name("cpu"), zone: name("north"), slots: 20 },
     ];
     changes.extend(faults.map(rejected));
     changes
@@ -115,7 +130,7 @@
 
 #[test]
 fn a_calendar_and_what_it_allows_are_as_approved_and_go_on_when_restored() {
-    let settings = Settings { notice: HOUR };
+    let settings = Settings { displacement_notice: HOUR };
     insta::assert_snapshot!("settings", json_lines(&[settings]));
     let mut calendar = Calendar::new(settings).expect("good settings");
     let apply = |(number, command): (i64, Command)| calendar.apply(START + number * HOUR / 2, &command);
@@ -128,7 +143,7 @@
     insta::assert_snapshot!("allowances", json_lines(&[allowances]));
 
     let mut restored: Calendar = serde_json::from_str(&text).expect("a calendar");
-    let next = Command { id: id(20), body: Body::Withdraw(id(4)) };
+    let next = Command { id: id(20), body: CommandBody::Withdraw(id(4)) };
     assert_eq!(restored.apply(at, &next), calendar.apply(at, &next));
     assert_eq!(serde_json::to_string(&restored).ok(), serde_json::to_string(&calendar).ok());
 }
