--- a/crates/identifiers/src/lib.rs
+++ b/crates/identifiers/src/lib.rs
@@ -79,5 +79,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/names.rs"]
+#[path = "../tests/unit/name.rs"]
 mod tests;
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar/mod.rs
@@ -3,9 +3,9 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
+use crate::deduplication::{DeduplicationWindows, DuplicateCheck};
 use crate::index::{Index, OccurrenceKey, PoolIndex, overlapping};
-use crate::place::{AllocationPlan, Candidate, MAX_CANDIDATES, Segment, plan};
-use crate::seen::{DeduplicationWindows, DuplicateCheck};
+use crate::planner::{AllocationPlan, Candidate, MAX_CANDIDATES, Segment, plan};
 use crate::*;
 
 /// How far from where it was wanted a claim's nearest interval is looked for.
@@ -232,9 +232,10 @@
             DuplicateCheck::Duplicate => return told.events,
             DuplicateCheck::New => self.act(command, &mut told).err(),
             DuplicateCheck::TooOld => Some(Rejection::new("id.sequence", FieldError::TooOld)),
-            DuplicateCheck::NoCapacity => {
-                Some(Rejection::new("id.member", FieldError::LimitExceeded(seen::MAX_MEMBERS as u64)))
-            }
+            DuplicateCheck::NoCapacity => Some(Rejection::new(
+                "id.member",
+                FieldError::LimitExceeded(deduplication::MAX_MEMBERS as u64),
+            )),
         };
         if let Some(refusal) = refused {
             told.tell(Change::Rejected(refusal));
--- a/crates/reservations/src/seen.rs
+++ b/crates/reservations/src/deduplication.rs
@@ -99,5 +99,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/seen.rs"]
+#[path = "../tests/unit/deduplication.rs"]
 mod tests;
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -19,29 +19,29 @@
 
 mod allowances;
 mod calendar;
+mod claim_state;
 mod command;
+mod command_id;
+mod deduplication;
 mod event;
 mod index;
-mod life;
-mod local;
-mod name;
-mod place;
-mod seen;
+mod planner;
+mod recurrence;
 
 pub use allowances::{
     ActiveReservation, Allowances, BLACKOUT_LOOKAHEAD, BlackoutStatus, PoolAllowance, UpcomingBlackout,
     lendable_slots,
 };
 pub use calendar::{Calendar, Settings, SettingsError};
+pub use claim_state::{ClaimState, InvalidTransition, Transition};
 pub use command::{
     Amount, BlackoutEffect, BlackoutRequest, BlackoutTarget, Command, CommandBody, FieldError, Flexibility,
     Interval, Owner, Rejection, ReservationRequest, Schedule,
 };
+pub use command_id::{ClaimId, CommandId};
 pub use copperspread_identifiers::{Name, NameError};
 pub use event::{Allocation, Change, Event, Reason};
-pub use life::{ClaimState, InvalidTransition, Transition};
-pub use local::{Recurrence, RecurrenceDays};
-pub use name::{ClaimId, CommandId};
+pub use recurrence::{Recurrence, RecurrenceDays};
 
 /// An instant in milliseconds of Unix time, or a span in milliseconds.
 pub type Millis = i64;
