--- /dev/null
+++ b/crates/reservations/src/allowance_query.rs
@@ -0,0 +1,130 @@
+//! Reads allowances from the stored claims.
+use copperspread_identifiers::Name;
+
+use crate::allowances::{ActiveReservation, Allowances, BlackoutStatus, PoolAllowance, UpcomingBlackout};
+use crate::claim::{ClaimRequest, OccurrenceKey, Pool};
+use crate::command::{BlackoutEffect, BlackoutTarget};
+use crate::command_id::ClaimId;
+use crate::interval::Interval;
+use crate::limits::BLACKOUT_LOOKAHEAD;
+use crate::store::ClaimStore;
+use crate::time::Millis;
+
+/// Reservations and blackouts at an instant.
+pub(crate) fn allowances(store: &ClaimStore, at: Millis) -> Allowances {
+    let mut allowances = Allowances::default();
+    for (name, pool) in store.pools() {
+        allowances.pools.insert(name.clone(), pool_allowance(store, name, pool, at));
+    }
+    for target in store.index().blackouts.keys() {
+        let status = blackout_status(store, target, at);
+        if status == BlackoutStatus::default() {
+            continue;
+        }
+        match target {
+            BlackoutTarget::Class(name) => allowances.class_blackouts.insert(name.clone(), status),
+            BlackoutTarget::Tenant(name) => allowances.tenant_blackouts.insert(name.clone(), status),
+            BlackoutTarget::Pool(name) => allowances.pool_blackouts.insert(name.clone(), status),
+            BlackoutTarget::Zone(name) => allowances.zone_blackouts.insert(name.clone(), status),
+        };
+    }
+    allowances
+}
+
+/// The next instant after which allowances may differ.
+pub(crate) fn next_change_after(store: &ClaimStore, after: Millis) -> Option<Millis> {
+    let changes = &store.index().allowance_changes;
+    changes.range(after.checked_add(1)?..).next().map(|(at, _)| *at)
+}
+
+fn pool_allowance(store: &ClaimStore, name: &Name, pool: &Pool, at: Millis) -> PoolAllowance {
+    let index = store.index().pools.get(name);
+    let allocations = index.into_iter().flat_map(|index| index.allocations.overlap(at));
+    let mut reservations: Vec<ActiveReservation> = allocations
+        .filter_map(|(range, key)| {
+            active_reservation(store, key, Interval { start: range.start, end: range.end })
+        })
+        .collect();
+    reservations.sort_unstable_by(|a, b| a.claim.cmp(&b.claim));
+    let reserved_slots = reservations.iter().fold(0_u32, |sum, each| sum.saturating_add(each.slots));
+    PoolAllowance {
+        zone: pool.zone.clone(),
+        slots: pool.slots,
+        unreserved_slots: pool.slots.saturating_sub(reserved_slots),
+        reservations,
+    }
+}
+
+/// The reservation that an allocation belongs to, if its claim is in effect.
+fn active_reservation(
+    store: &ClaimStore,
+    key: &OccurrenceKey,
+    interval: Interval,
+) -> Option<ActiveReservation> {
+    let (claim, occurrence) = store.occurrence(key)?;
+    let reservation = claim.reservation()?;
+    let allocation = occurrence.allocations.iter().find(|each| each.interval.start == interval.start)?;
+    claim.state.is_in_effect().then(|| ActiveReservation {
+        claim: key.claim.clone(),
+        owner: reservation.owner.clone(),
+        slots: allocation.slots,
+        start: interval.start,
+        end: interval.end,
+        lending_rate_ppm: reservation.lending_rate_ppm,
+    })
+}
+
+fn blackout_status(store: &ClaimStore, target: &BlackoutTarget, at: Millis) -> BlackoutStatus {
+    let no_work_until = blackout_end(store, target, at, BlackoutEffect::NoWork);
+    BlackoutStatus {
+        no_new_work_until: blackout_end(store, target, at, BlackoutEffect::NoNewWork),
+        no_work_until,
+        upcoming: upcoming_blackout(store, target, at, no_work_until.unwrap_or(at)),
+    }
+}
+
+/// The first blackout without any work that starts after `at` and ends at `from` or later, if it is near.
+fn upcoming_blackout(
+    store: &ClaimStore,
+    target: &BlackoutTarget,
+    at: Millis,
+    from: Millis,
+) -> Option<UpcomingBlackout> {
+    let mut blackouts = store.index().blackouts.get(target)?.iter(from..);
+    let is_upcoming = |start: Millis, id: &ClaimId| {
+        start > at && blackout_effect(store, id) == Some(BlackoutEffect::NoWork)
+    };
+    let start = blackouts.find(|(range, id)| is_upcoming(range.start, id)).map(|(range, _)| range.start)?;
+    if start > at.saturating_add(BLACKOUT_LOOKAHEAD) {
+        return None;
+    }
+    let end = blackout_end(store, target, start, BlackoutEffect::NoWork).unwrap_or(start);
+    Some(UpcomingBlackout { start, end })
+}
+
+/// The end of the blackouts of at least this effect at an instant, through those that meet.
+fn blackout_end(
+    store: &ClaimStore,
+    target: &BlackoutTarget,
+    at: Millis,
+    min_effect: BlackoutEffect,
+) -> Option<Millis> {
+    let blackouts = store.index().blackouts.get(target)?;
+    let mut end = at;
+    loop {
+        let current = blackouts.iter(end..=end);
+        let matching = current
+            .filter(|(range, id)| range.start <= end && blackout_effect(store, id) >= Some(min_effect));
+        match matching.map(|(range, _)| range.end).max() {
+            Some(later_end) if later_end > end => end = later_end,
+            _ => return Some(end).filter(|end| *end > at),
+        }
+    }
+}
+
+fn blackout_effect(store: &ClaimStore, id: &ClaimId) -> Option<BlackoutEffect> {
+    match &store.claim(id)?.request {
+        ClaimRequest::Blackout(blackout) => Some(blackout.effect),
+        ClaimRequest::Reservation(_) => None,
+    }
+}
--- /dev/null
+++ b/crates/reservations/src/calendar.rs
@@ -0,0 +1,130 @@
+//! The state machine over the replicated log: commands in, events and allowances out.
+use serde::{Deserialize, Serialize};
+
+use crate::allowance_query;
+use crate::allowances::Allowances;
+use crate::capacity::set_capacity;
+use crate::claim::Pool;
+use crate::claim_state::{ClaimState, Transition};
+use crate::command::{Command, CommandBody};
+use crate::command_id::ClaimId;
+use crate::confirmation::confirm;
+use crate::deduplication::{DuplicateCheck, MAX_MEMBERS};
+use crate::event::{Change, Event, EventBuffer, Reason};
+use crate::interval::Allocation;
+use crate::limits::MAX_INSTANT;
+use crate::proposal::{propose_blackout, propose_reservation};
+use crate::rejection::{FieldError, Rejection, check_range};
+use crate::settings::{Settings, SettingsError};
+use crate::store::ClaimStore;
+use crate::time::Millis;
+
+/// Reservations and blackouts as the log's entries up to now make them.
+///
+/// Its stored form is a snapshot: a calendar that is read from it continues as the original does.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct Calendar {
+    store: ClaimStore,
+}
+
+impl Calendar {
+    /// A calendar without pools and claims.
+    ///
+    /// # Errors
+    /// Settings that are out of bounds.
+    pub fn new(settings: Settings) -> Result<Calendar, SettingsError> {
+        settings.validate()?;
+        Ok(Calendar { store: ClaimStore::new(settings) })
+    }
+
+    /// The instant of the latest entry.
+    pub fn now(&self) -> Millis {
+        self.store.now()
+    }
+
+    /// A claim's state; none if it is unknown or no longer retained.
+    pub fn state_of(&self, claim: &ClaimId) -> Option<ClaimState> {
+        self.store.claim(claim).map(|claim| claim.state)
+    }
+
+    /// What a reservation has, in order.
+    pub fn allocations_of(&self, claim: &ClaimId) -> Vec<Allocation> {
+        let claim = self.store.claim(claim).filter(|claim| claim.state.occupies_capacity());
+        let occurrences = claim.into_iter().flat_map(|claim| &claim.occurrences);
+        occurrences.flat_map(|occurrence| occurrence.allocations.clone()).collect()
+    }
+
+    /// Reservations and blackouts at an instant, by the log so far.
+    pub fn allowances(&self, at: Millis) -> Allowances {
+        allowance_query::allowances(&self.store, at)
+    }
+
+    /// The next instant after which allowances may differ, by the log so far.
+    pub fn next_change_after(&self, after: Millis) -> Option<Millis> {
+        allowance_query::next_change_after(&self.store, after)
+    }
+
+    /// Applies an entry of the log at its instant and returns what changed. Time never goes back: an entry with an
+    /// earlier instant than the last is applied at the last.
+    pub fn apply(&mut self, at: Millis, command: &Command) -> Vec<Event> {
+        let mut events = EventBuffer { at: self.store.now(), command: Some(&command.id), events: Vec::new() };
+        if let Err(rejection) = check_range("at", at, 0, MAX_INSTANT) {
+            events.push(Change::Rejected(rejection));
+            return events.events;
+        }
+        self.store.advance_to(at);
+        events.at = self.store.now();
+        events.command = None;
+        self.apply_due_transitions(&mut events);
+        events.command = Some(&command.id);
+        let result = match self.store.record_command(&command.id) {
+            DuplicateCheck::Duplicate => return events.events,
+            DuplicateCheck::New => self.execute(command, &mut events),
+            DuplicateCheck::TooOld => Err(Rejection::new("id.sequence", FieldError::TooOld)),
+            DuplicateCheck::MemberLimitReached => {
+                Err(Rejection::new("id.member", FieldError::LimitExceeded(MAX_MEMBERS as u64)))
+            }
+        };
+        if let Err(rejection) = result {
+            events.push(Change::Rejected(rejection));
+        }
+        // A claim may have been confirmed after its start.
+        self.apply_due_transitions(&mut events);
+        events.events
+    }
+
+    fn execute(&mut self, command: &Command, events: &mut EventBuffer<'_>) -> Result<(), Rejection> {
+        let store = &mut self.store;
+        match &command.body {
+            CommandBody::Reserve(reservation) => propose_reservation(store, &command.id, reservation, events),
+            CommandBody::Blackout(blackout) => propose_blackout(store, &command.id, blackout, events),
+            CommandBody::Confirm(claim) => confirm(store, claim, events),
+            CommandBody::Withdraw(claim) => store
+                .transition(claim, Transition::Withdraw, Reason::Requested, events)
+                .map_err(|error| Rejection::new("withdraw", error)),
+            CommandBody::SetCapacity { pool, zone, slots } => {
+                set_capacity(store, pool, Pool { zone: zone.clone(), slots: *slots }, events)
+            }
+            CommandBody::AdvanceTime => Ok(()),
+        }
+    }
+
+    /// Makes the transitions, and removes the claims, that are due by now.
+    fn apply_due_transitions(&mut self, events: &mut EventBuffer<'_>) {
+        while let Some(id) = self.store.pop_due_claim() {
+            let Some(state) = self.state_of(&id) else { continue };
+            let (transition, reason) = match state {
+                ClaimState::Proposed | ClaimState::Held => (Transition::Lapse, Reason::HoldExpired),
+                ClaimState::Confirmed => (Transition::Begin, Reason::TimeReached),
+                ClaimState::Active => (Transition::End, Reason::TimeReached),
+                _ => {
+                    self.store.remove(&id);
+                    continue;
+                }
+            };
+            // The match pairs each state with a transition that it allows.
+            let _ = self.store.transition(&id, transition, reason, events);
+        }
+    }
+}
--- /dev/null
+++ b/crates/reservations/src/claim.rs
@@ -0,0 +1,117 @@
+//! The stored form of pools and claims, and the rank of their occurrences.
+use std::cmp::Reverse;
+
+use copperspread_identifiers::Name;
+use serde::{Deserialize, Serialize};
+
+use crate::claim_state::ClaimState;
+use crate::command::{BlackoutRequest, ReservationRequest};
+use crate::command_id::ClaimId;
+use crate::interval::{Allocation, Interval};
+use crate::limits::CLAIM_RETENTION;
+use crate::time::Millis;
+
+/// A pool as the log's last command on it set it.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct Pool {
+    pub(crate) zone: Name,
+    pub(crate) slots: u32,
+}
+
+/// What a claim requested.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(rename = "Wanted")]
+pub(crate) enum ClaimRequest {
+    #[serde(rename = "Reserve")]
+    Reservation(ReservationRequest),
+    Blackout(BlackoutRequest),
+}
+
+/// One interval of a claim with what is allocated of it; a blackout has no allocations.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub(crate) struct Occurrence {
+    pub(crate) interval: Interval,
+    #[serde(rename = "pieces")]
+    pub(crate) allocations: Vec<Allocation>,
+}
+
+/// Names one occurrence of a claim by its position.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct OccurrenceKey {
+    pub(crate) claim: ClaimId,
+    pub(crate) position: usize,
+}
+
+/// A reservation or blackout in any state.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub(crate) struct Claim {
+    pub(crate) state: ClaimState,
+    /// When it got its rank: when it was held, or confirmed if it never was held.
+    #[serde(rename = "since")]
+    pub(crate) ranked_at: Millis,
+    #[serde(rename = "moved")]
+    pub(crate) last_transition_at: Millis,
+    #[serde(rename = "wanted")]
+    pub(crate) request: ClaimRequest,
+    /// The requested amount in slots of the pool at its current size.
+    #[serde(rename = "slots")]
+    pub(crate) requested_slots: u32,
+    pub(crate) occurrences: Vec<Occurrence>,
+}
+
+/// The order in which occurrences are served: the started ones, then the higher precedence, then the earlier
+/// ranked, then the key.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Rank {
+    is_not_started: bool,
+    precedence: Reverse<u32>,
+    ranked_at: Millis,
+    pub(crate) key: OccurrenceKey,
+}
+
+impl Claim {
+    /// When its next transition, or its removal, is due.
+    pub(crate) fn next_due(&self) -> Option<Millis> {
+        match self.state {
+            ClaimState::Proposed | ClaimState::Held => Some(self.hold_end()),
+            ClaimState::Confirmed => self.effective_intervals().next().map(|interval| interval.start),
+            ClaimState::Active => self.effective_intervals().next_back().map(|interval| interval.end),
+            _ => Some(self.last_transition_at.saturating_add(CLAIM_RETENTION)),
+        }
+    }
+
+    /// The intervals in which it has an effect: a reservation's allocations, or a blackout's occurrences.
+    pub(crate) fn effective_intervals(&self) -> impl DoubleEndedIterator<Item = Interval> {
+        let is_blackout = matches!(self.request, ClaimRequest::Blackout(_));
+        let blackouts =
+            self.occurrences.iter().filter(move |_| is_blackout).map(|occurrence| occurrence.interval);
+        let allocations = self.occurrences.iter().flat_map(|occurrence| &occurrence.allocations);
+        blackouts.chain(allocations.map(|allocation| allocation.interval))
+    }
+
+    /// What it requested, if it is a reservation.
+    pub(crate) fn reservation(&self) -> Option<&ReservationRequest> {
+        match &self.request {
+            ClaimRequest::Reservation(reservation) => Some(reservation),
+            ClaimRequest::Blackout(_) => None,
+        }
+    }
+
+    /// The rank of one of its occurrences at an instant.
+    pub(crate) fn rank(&self, key: &OccurrenceKey, occurrence: &Occurrence, now: Millis) -> Rank {
+        let precedence = self.reservation().map_or(0, |reservation| reservation.precedence);
+        Rank {
+            is_not_started: occurrence.interval.start > now,
+            precedence: Reverse(precedence),
+            ranked_at: self.ranked_at,
+            key: key.clone(),
+        }
+    }
+
+    fn hold_end(&self) -> Millis {
+        match &self.request {
+            ClaimRequest::Reservation(reservation) => reservation.hold_end,
+            ClaimRequest::Blackout(blackout) => blackout.hold_end,
+        }
+    }
+}
--- /dev/null
+++ b/crates/reservations/src/claim_planning.rs
@@ -0,0 +1,168 @@
+//! What of a proposed reservation fits, occurrence by occurrence, and whom it would displace.
+use std::collections::BTreeSet;
+
+use crate::alternative::nearest_interval;
+use crate::availability::segments;
+use crate::claim::{Occurrence, OccurrenceKey, Rank};
+use crate::command::{Flexibility, ReservationRequest};
+use crate::command_id::ClaimId;
+use crate::displacement_search::{Candidate, Usage};
+use crate::event::{Change, EventBuffer, Reason};
+use crate::index::overlapping;
+use crate::interval::{Allocation, Interval};
+use crate::planner::{AllocationPlan, Segment, plan};
+use crate::store::ClaimStore;
+use crate::time::Millis;
+
+/// Candidates for displacement by one occurrence; of more only those that are displaced first.
+const MAX_CANDIDATES: usize = 1_024;
+
+/// A plan for all occurrences of a claim.
+pub(crate) struct ClaimPlan {
+    /// What each occurrence gets.
+    allocations: Vec<Vec<Allocation>>,
+    /// The occurrences of other claims that are displaced.
+    pub(crate) displaced: Vec<OccurrenceKey>,
+    /// Whether it gets all that was requested.
+    pub(crate) is_complete: bool,
+}
+
+/// A plan for one occurrence.
+struct OccurrencePlan {
+    allocations: Vec<Allocation>,
+    displaced: Vec<OccurrenceKey>,
+    is_complete: bool,
+}
+
+/// Plans a reservation's occurrences in the order of time.
+///
+/// # Errors
+/// Why it does not fit.
+pub(crate) fn plan_claim(store: &ClaimStore, id: &ClaimId) -> Result<ClaimPlan, Reason> {
+    let nothing = Reason::Infeasible { blocked: Interval { start: 0, end: 0 }, alternative: None };
+    let Some(claim) = store.claim(id) else { return Err(nothing) };
+    let Some(reservation) = claim.reservation() else { return Err(nothing) };
+    let slots = claim.requested_slots;
+    let infeasible = |blocked, requested| Reason::Infeasible {
+        blocked,
+        alternative: nearest_interval(store, reservation, slots, requested),
+    };
+    let mut claim_plan = ClaimPlan { allocations: Vec::new(), displaced: Vec::new(), is_complete: true };
+    let mut first_blocked = None;
+    for Occurrence { interval, .. } in &claim.occurrences {
+        match plan_occurrence(store, reservation, slots, *interval, &claim_plan.displaced) {
+            Ok(occurrence_plan) => {
+                claim_plan.is_complete &= occurrence_plan.is_complete;
+                claim_plan.allocations.push(occurrence_plan.allocations);
+                claim_plan.displaced.extend(occurrence_plan.displaced);
+            }
+            Err(blocked) if reservation.flexibility.allows_split => {
+                first_blocked.get_or_insert((blocked, *interval));
+                claim_plan.is_complete = false;
+                claim_plan.allocations.push(Vec::new());
+            }
+            Err(blocked) => return Err(infeasible(blocked, *interval)),
+        }
+    }
+    if claim_plan.allocations.iter().all(Vec::is_empty) {
+        return Err(first_blocked.map_or(nothing, |(blocked, requested)| infeasible(blocked, requested)));
+    }
+    Ok(claim_plan)
+}
+
+/// Plans one occurrence, given the occurrences that earlier ones of the claim displace.
+///
+/// # Errors
+/// The first segment in which it does not fit.
+fn plan_occurrence(
+    store: &ClaimStore,
+    reservation: &ReservationRequest,
+    slots: u32,
+    interval: Interval,
+    displaced: &[OccurrenceKey],
+) -> Result<OccurrencePlan, Interval> {
+    // Where all of it is free no candidates are needed.
+    let free = segments(store, reservation, interval, &[], displaced);
+    if let Ok(AllocationPlan { allocations, .. }) = plan(slots, Flexibility::default(), &free, &[]) {
+        return Ok(OccurrencePlan { allocations, displaced: Vec::new(), is_complete: true });
+    }
+    let occurrences = displaceable_occurrences(store, reservation, interval, displaced);
+    let segments = segments(store, reservation, interval, &occurrences, displaced);
+    let candidates = candidates(&occurrences, &segments);
+    let found = plan(slots, reservation.flexibility, &segments, &candidates)?;
+    Ok(OccurrencePlan {
+        allocations: found.allocations,
+        displaced: found.displaced.into_iter().map(|index| occurrences[index].0.clone()).collect(),
+        is_complete: found.is_complete,
+    })
+}
+
+/// The occurrences of lower precedence in an interval that may be displaced, the last in rank first.
+fn displaceable_occurrences<'a>(
+    store: &'a ClaimStore,
+    reservation: &ReservationRequest,
+    interval: Interval,
+    excluded: &[OccurrenceKey],
+) -> Vec<(OccurrenceKey, &'a Occurrence)> {
+    let Some(pool) = store.index().pools.get(&reservation.pool) else { return Vec::new() };
+    let excluded: BTreeSet<&OccurrenceKey> = excluded.iter().collect();
+    let has_lower_precedence = |key: &OccurrenceKey| {
+        let other = store.reservation(&key.claim);
+        other.is_some_and(|other| other.precedence < reservation.precedence)
+    };
+    let keys: BTreeSet<&OccurrenceKey> = overlapping(&pool.allocations, interval)
+        .map(|(_, key)| key)
+        .filter(|key| has_lower_precedence(key) && !excluded.contains(key))
+        .collect();
+    let displaceable_from = store.displaceable_from();
+    let mut ranked: Vec<(Rank, &Occurrence)> = keys
+        .into_iter()
+        .filter_map(|key| {
+            let (claim, occurrence) = store.occurrence(key)?;
+            let is_displaceable = occurrence.interval.start >= displaceable_from;
+            is_displaceable.then(|| (claim.rank(key, occurrence, store.now()), occurrence))
+        })
+        .collect();
+    ranked.sort_unstable_by(|a, b| b.0.cmp(&a.0));
+    ranked.truncate(MAX_CANDIDATES);
+    ranked.into_iter().map(|(rank, occurrence)| (rank.key, occurrence)).collect()
+}
+
+/// The occurrences in terms of the segments, which are cut at the edges of their allocations.
+fn candidates(occurrences: &[(OccurrenceKey, &Occurrence)], segments: &[Segment]) -> Vec<Candidate> {
+    let segment_at = |at: Millis| segments.partition_point(|segment| segment.interval.start < at);
+    let usage = |allocation: &Allocation| Usage {
+        segments: segment_at(allocation.interval.start)..segment_at(allocation.interval.end),
+        slots: i64::from(allocation.slots),
+    };
+    let candidate = |(_, occurrence): &(OccurrenceKey, &Occurrence)| {
+        let allocations = &occurrence.allocations;
+        Candidate {
+            cost: allocations.iter().fold(0, |sum, each| each.slot_millis().saturating_add(sum)),
+            usages: allocations.iter().map(usage).filter(|usage| !usage.segments.is_empty()).collect(),
+        }
+    };
+    occurrences.iter().map(candidate).collect()
+}
+
+/// Allocates what a plan gives to a claim, and reports its occurrences if that is less than it requested.
+pub(crate) fn grant(store: &mut ClaimStore, id: &ClaimId, plan: &ClaimPlan, events: &mut EventBuffer<'_>) {
+    store.edit(id, |claim| {
+        for (occurrence, allocations) in claim.occurrences.iter_mut().zip(&plan.allocations) {
+            occurrence.allocations.clone_from(allocations);
+        }
+    });
+    if plan.is_complete {
+        return;
+    }
+    let Some(claim) = store.claim(id) else { return };
+    for occurrence in &claim.occurrences {
+        events.push(Change::Granted {
+            claim: id.clone(),
+            occurrence: occurrence.interval,
+            allocations: occurrence.allocations.clone(),
+            reason: Reason::FitsPartially,
+            alternative: None,
+        });
+    }
+}
--- a/crates/reservations/src/command_id.rs
+++ b/crates/reservations/src/command_id.rs
@@ -4,13 +4,13 @@
 use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
-/// Who proposed a command, and which of its commands it is. A member numbers its commands from 1 upwards, and a
-/// restarted one takes a higher generation.
+/// The member that proposed a command, and the command's number there. A member numbers its commands from 1
+/// upwards; after a restart it has a higher incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CommandId {
     /// The member.
     pub member: Name,
-    /// Grows with every start of its process.
+    /// Grows with every start of the member's process.
     #[serde(rename = "generation")]
     pub incarnation: u64,
     /// Grows with every command.
--- a/crates/reservations/src/deduplication.rs
+++ b/crates/reservations/src/deduplication.rs
@@ -1,30 +1,33 @@
-//! Which commands have acted, so that none acts twice.
+//! Which commands have been applied, so that none is applied twice.
 use std::collections::BTreeMap;
 
+use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::{CommandId, DAY, Millis, Name};
+use crate::command_id::CommandId;
+use crate::time::{DAY, Millis};
 
-/// Members whose ids are kept.
+/// Members whose windows are kept.
 pub(crate) const MAX_MEMBERS: usize = 1_024;
-/// How far back in a member's sequence a late command is still told from one that has acted.
+/// How far back in a member's sequence a late command can still be told from a duplicate.
 const WINDOW_LENGTH: u64 = 128;
-/// A member that was silent for so long makes room for another's ids.
+/// A member that sent nothing for so long may be replaced by another.
 const MEMBER_RETENTION: Millis = 7 * DAY;
 
-/// What is known of a command's id.
+/// The result of looking up a command's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DuplicateCheck {
-    /// It has not acted yet; from now on it has.
+    /// It was not applied yet; from now on it counts as applied.
     New,
-    /// It has acted.
+    /// It was applied.
     Duplicate,
-    /// So old that it is not known, or of an earlier start of its member.
+    /// It lies before the window, or is of an earlier incarnation of its member.
     TooOld,
-    /// No room for another member's ids.
-    NoCapacity,
+    /// There are windows of [`MAX_MEMBERS`] other members already.
+    MemberLimitReached,
 }
 
+/// The window of one member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Heard")]
 struct MemberWindow {
@@ -32,68 +35,81 @@
     incarnation: u64,
     #[serde(rename = "highest")]
     highest_sequence: u64,
-    /// Bit n: the sequence `highest - n` has acted.
+    /// Bit n: the sequence `highest_sequence - n` was applied.
     #[serde(rename = "window")]
-    acted_bits: u128,
+    applied_bits: u128,
     #[serde(rename = "last")]
-    last_heard: Millis,
+    last_received_at: Millis,
 }
 
-/// For each member the highest sequence and which of the 128 up to it have acted.
+impl MemberWindow {
+    /// The window after a member's first command of an incarnation.
+    fn starting_with(id: &CommandId, now: Millis) -> MemberWindow {
+        MemberWindow {
+            incarnation: id.incarnation,
+            highest_sequence: id.sequence,
+            applied_bits: 1,
+            last_received_at: now,
+        }
+    }
+
+    /// Looks up a sequence of the current incarnation and records it.
+    fn record(&mut self, sequence: u64) -> DuplicateCheck {
+        if sequence > self.highest_sequence {
+            let shift = sequence - self.highest_sequence;
+            self.applied_bits = if shift < WINDOW_LENGTH { self.applied_bits << shift | 1 } else { 1 };
+            self.highest_sequence = sequence;
+            return DuplicateCheck::New;
+        }
+        let distance = self.highest_sequence - sequence;
+        if distance >= WINDOW_LENGTH {
+            return DuplicateCheck::TooOld;
+        }
+        let bit = 1 << distance;
+        if self.applied_bits & bit != 0 {
+            return DuplicateCheck::Duplicate;
+        }
+        self.applied_bits |= bit;
+        DuplicateCheck::New
+    }
+}
+
+/// For each member the highest sequence, and which of the 128 up to it were applied.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(rename = "Seen")]
 pub(crate) struct DeduplicationWindows(BTreeMap<Name, MemberWindow>);
 
 impl DeduplicationWindows {
-    /// Looks an id up and marks it.
+    /// Looks up a command's id and records it.
     pub(crate) fn record(&mut self, now: Millis, id: &CommandId) -> DuplicateCheck {
-        let (generation, sequence) = (id.incarnation, id.sequence);
-        let first = MemberWindow {
-            incarnation: generation,
-            highest_sequence: sequence,
-            acted_bits: 1,
-            last_heard: now,
-        };
-        let Some(heard) = self.0.get_mut(&id.member) else {
-            if !self.has_room(now) {
-                return DuplicateCheck::NoCapacity;
+        let Some(window) = self.0.get_mut(&id.member) else {
+            if !self.make_space(now) {
+                return DuplicateCheck::MemberLimitReached;
             }
-            self.0.insert(id.member.clone(), first);
+            self.0.insert(id.member.clone(), MemberWindow::starting_with(id, now));
             return DuplicateCheck::New;
         };
-        if generation < heard.incarnation {
+        if id.incarnation < window.incarnation {
             return DuplicateCheck::TooOld;
         }
-        if generation > heard.incarnation {
-            *heard = first;
-            return DuplicateCheck::New;
-        }
-        heard.last_heard = now;
-        if let Some(ahead) = sequence.checked_sub(heard.highest_sequence).filter(|&ahead| ahead > 0) {
-            heard.acted_bits = if ahead < WINDOW_LENGTH { heard.acted_bits << ahead | 1 } else { 1 };
-            heard.highest_sequence = sequence;
+        if id.incarnation > window.incarnation {
+            *window = MemberWindow::starting_with(id, now);
             return DuplicateCheck::New;
         }
-        let behind = heard.highest_sequence - sequence;
-        if behind >= WINDOW_LENGTH {
-            return DuplicateCheck::TooOld;
-        }
-        let bit = 1 << behind;
-        if heard.acted_bits & bit != 0 {
-            return DuplicateCheck::Duplicate;
-        }
-        heard.acted_bits |= bit;
-        DuplicateCheck::New
+        window.last_received_at = now;
+        window.record(id.sequence)
     }
 
-    fn has_room(&mut self, now: Millis) -> bool {
-        if self.0.len() >= MAX_MEMBERS {
-            let longest = self.0.iter().min_by_key(|(_, heard)| heard.last_heard);
-            let silent =
-                longest.filter(|(_, heard)| heard.last_heard <= now.saturating_sub(MEMBER_RETENTION));
-            let Some(member) = silent.map(|(member, _)| member.clone()) else { return false };
-            self.0.remove(&member);
+    /// Evicts the member that was silent longest if all windows are taken; whether there is space for another.
+    fn make_space(&mut self, now: Millis) -> bool {
+        if self.0.len() < MAX_MEMBERS {
+            return true;
         }
+        let silent_since = now.saturating_sub(MEMBER_RETENTION);
+        let oldest = self.0.iter().min_by_key(|(_, window)| window.last_received_at);
+        let evicted = oldest.filter(|(_, window)| window.last_received_at <= silent_since);
+        let Some(member) = evicted.map(|(member, _)| member.clone()) else { return false };
+        self.0.remove(&member);
         true
     }
 }
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -1,14 +1,19 @@
-//! What the calendar says of every change, and why.
+//! The events that report every change of the calendar, each with its reason.
+use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::{ClaimId, ClaimState, CommandId, Interval, Millis, Name, Rejection};
+use crate::claim_state::ClaimState;
+use crate::command_id::{ClaimId, CommandId};
+use crate::interval::{Allocation, Interval};
+use crate::rejection::Rejection;
+use crate::time::Millis;
 
-/// One change, alike on every member.
+/// One change. Every member of the fleet gets the same events.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// The instant of the log's entry.
     pub at: Millis,
-    /// The command that caused it; none where time did.
+    /// The command that caused it; none if it was due by time.
     pub command: Option<CommandId>,
     /// What changed.
     pub change: Change,
@@ -16,39 +21,40 @@
 
 /// What changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[non_exhaustive]
 pub enum Change {
-    /// The command was refused by its form, its id or the claim's life, and changed nothing.
+    /// The command was rejected for its form, its id or the claim's state, and changed nothing.
     Rejected(Rejection),
-    /// A claim took a step.
+    /// A claim made a transition.
     #[serde(rename = "Moved")]
     StateChanged {
         /// The claim.
         claim: ClaimId,
-        /// Where it stood; none if it was not there.
+        /// Its state before; none for a new claim.
         from: Option<ClaimState>,
-        /// Where it stands.
+        /// Its state now.
         to: ClaimState,
         /// Why.
         #[serde(rename = "why")]
         reason: Reason,
     },
-    /// What one occurrence of a reservation has now, which is not what it had.
+    /// One occurrence of a reservation has other allocations than before.
     Granted {
         /// The claim.
         claim: ClaimId,
-        /// The occurrence as it was wanted.
+        /// The occurrence as it was requested.
         occurrence: Interval,
-        /// What it has, in order; empty if nothing.
+        /// What it has now, in order; empty if nothing.
         #[serde(rename = "pieces")]
         allocations: Vec<Allocation>,
         /// Why.
         #[serde(rename = "why")]
         reason: Reason,
-        /// Where it has nothing: the nearest interval of its length that fits, if one is near.
+        /// If it has nothing: the nearest interval of its length that fits, if one is near.
         #[serde(rename = "offer")]
         alternative: Option<Interval>,
     },
-    /// A pool's slots or zone.
+    /// A pool's slots and zone were set.
     #[serde(rename = "Capacity")]
     CapacityChanged {
         /// The pool.
@@ -60,45 +66,29 @@
     },
 }
 
-/// Slots over an interval.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(rename = "Piece")]
-pub struct Allocation {
-    /// When.
-    pub interval: Interval,
-    /// How many.
-    pub slots: u32,
-}
-
-impl Allocation {
-    /// Slots times milliseconds.
-    pub fn slot_millis(self) -> u64 {
-        self.interval.length().unsigned_abs().saturating_mul(self.slots.into())
-    }
-}
-
 /// Why something changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
+#[non_exhaustive]
 pub enum Reason {
-    /// The command asked for it.
+    /// A command requested it.
     #[error("asked for")]
     #[serde(rename = "Asked")]
     Requested,
-    /// It fits as it was asked for.
+    /// It fits as requested.
     #[error("it fits")]
     Fits,
-    /// Only less of it fits, which it accepts.
+    /// Only less of it fits, which its flexibility accepts.
     #[error("less of it fits, which it accepts")]
     #[serde(rename = "LessFits")]
     FitsPartially,
-    /// It would fit if these made room, which they do when it is confirmed.
+    /// It fits only if these claims are displaced, which its confirmation does.
     #[error("it fits only if {} make room", .0.len())]
     #[serde(rename = "NeedsRoom")]
     RequiresDisplacement(Vec<ClaimId>),
-    /// It does not fit, whoever makes room.
+    /// It does not fit, whoever is displaced.
     #[error("infeasible: blocked from {} to {}", .blocked.start, .blocked.end)]
     Infeasible {
-        /// The first stretch in which it does not fit.
+        /// The first segment in which it does not fit.
         blocked: Interval,
         /// The nearest interval of its length that fits, if one is near.
         #[serde(rename = "offer")]
@@ -112,15 +102,15 @@
     #[error("not confirmed before its hold ended")]
     #[serde(rename = "HoldEnded")]
     HoldExpired,
-    /// Its time came.
+    /// Its start or end was reached.
     #[error("its time came")]
     #[serde(rename = "TimeCame")]
     TimeReached,
-    /// A claim of higher precedence takes its place.
+    /// A claim of higher precedence displaced it.
     #[error("makes room for {0}")]
     #[serde(rename = "RoomFor")]
     DisplacedBy(ClaimId),
-    /// A blackout goes over it.
+    /// A blackout displaced it.
     #[error("under the blackout {0}")]
     #[serde(rename = "Blackout")]
     UnderBlackout(ClaimId),
@@ -128,3 +118,28 @@
     #[error("the pool changed")]
     PoolChanged,
 }
+
+/// Collects the events of one log entry, with the instant and the command that they have in common.
+pub(crate) struct EventBuffer<'a> {
+    pub(crate) at: Millis,
+    pub(crate) command: Option<&'a CommandId>,
+    pub(crate) events: Vec<Event>,
+}
+
+impl EventBuffer<'_> {
+    /// Adds an event.
+    pub(crate) fn push(&mut self, change: Change) {
+        self.events.push(Event { at: self.at, command: self.command.cloned(), change });
+    }
+
+    /// Adds a claim's transition.
+    pub(crate) fn push_state_change(
+        &mut self,
+        claim: &ClaimId,
+        from: Option<ClaimState>,
+        to: ClaimState,
+        reason: Reason,
+    ) {
+        self.push(Change::StateChanged { claim: claim.clone(), from, to, reason });
+    }
+}
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -1,42 +1,52 @@
-//! What is derived from the claims so that a look-up does not read them all. It is not part of the state's bytes.
+//! Look-up structures that are derived from the claims. They are no part of the stored state.
 use std::collections::{BTreeMap, BTreeSet};
 
+use copperspread_identifiers::Name;
 use iset::IntervalMap;
 
-use crate::allowances::BLACKOUT_LOOKAHEAD;
-use crate::calendar::{Claim, ClaimRequest};
-use crate::{BlackoutEffect, BlackoutTarget, ClaimId, Interval, Millis, Name};
-
-/// One occurrence of a claim.
-pub(crate) type OccurrenceKey = (ClaimId, usize);
+use crate::claim::{Claim, ClaimRequest, OccurrenceKey};
+use crate::command::{BlackoutEffect, BlackoutTarget};
+use crate::command_id::ClaimId;
+use crate::interval::Interval;
+use crate::limits::BLACKOUT_LOOKAHEAD;
+use crate::time::Millis;
 
+/// What is allocated of one pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolIndex {
-    /// From each key on so many slots are kept, up to the next.
+    /// The allocated slots from each key on, up to the next.
     levels: BTreeMap<Millis, i64>,
-    /// The pieces that are kept.
+    /// The allocations that occupy capacity.
     pub(crate) allocations: IntervalMap<Millis, OccurrenceKey>,
 }
 
+/// The index of all claims.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Index {
     pub(crate) pools: BTreeMap<Name, PoolIndex>,
-    /// Blackouts that act.
+    /// The blackouts that are in effect.
     pub(crate) blackouts: BTreeMap<BlackoutTarget, IntervalMap<Millis, ClaimId>>,
-    /// Instants at which allowances change, and by how many claims.
+    /// The instants at which allowances change, with the number of claims that cause it.
     pub(crate) allowance_changes: BTreeMap<Millis, u32>,
-    /// When a claim is to be looked at. Some are out of date, and then nothing is to be done.
+    /// When a claim is due. Entries that are out of date are ignored when they come up.
     pub(crate) due_claims: BTreeSet<(Millis, ClaimId)>,
     pub(crate) occurrence_count: usize,
 }
 
-/// What overlaps an interval; nothing does where it has no length, of which the map would panic.
+/// Whether an update adds a claim's entries or removes them.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Update {
+    Add,
+    Remove,
+}
+
+/// The entries that overlap an interval; none where it is empty, on which the map would panic.
 pub(crate) fn overlapping<V>(
     map: &IntervalMap<Millis, V>,
     interval: Interval,
 ) -> impl Iterator<Item = (Interval, &V)> {
     let found = (interval.length() > 0).then(|| map.iter(interval.start..interval.end));
-    found.into_iter().flatten().map(|(span, value)| (Interval { start: span.start, end: span.end }, value))
+    found.into_iter().flatten().map(|(range, value)| (Interval { start: range.start, end: range.end }, value))
 }
 
 impl PoolIndex {
@@ -44,126 +54,139 @@
         self.levels.range(..=at).next_back().map_or(0, |(_, level)| *level)
     }
 
-    fn change(&mut self, interval: Interval, by: i64) {
+    fn change_level(&mut self, interval: Interval, difference: i64) {
         let Interval { start, end } = interval;
         for edge in [start, end] {
             let level = self.level_at(edge);
             self.levels.entry(edge).or_insert(level);
         }
-        self.levels.range_mut(start..end).for_each(|(_, level)| *level += by);
+        self.levels.range_mut(start..end).for_each(|(_, level)| *level += difference);
         for edge in [start, end] {
-            let before = self.levels.range(..edge).next_back().map_or(0, |(_, level)| *level);
-            if self.levels.get(&edge) == Some(&before) {
+            let level_before = self.levels.range(..edge).next_back().map_or(0, |(_, level)| *level);
+            if self.levels.get(&edge) == Some(&level_before) {
                 self.levels.remove(&edge);
             }
         }
     }
 
-    /// Stretches of one level that cover an interval, with their level.
+    /// The segments of constant level that cover an interval, with their level.
     pub(crate) fn segments(&self, interval: Interval) -> Vec<(Interval, i64)> {
-        let mut found = Vec::new();
+        let mut segments = Vec::new();
         let (mut start, mut level) = (interval.start, self.level_at(interval.start));
         if interval.length() > 0 {
-            for (&edge, &next) in self.levels.range(interval.start + 1..interval.end) {
-                found.push((Interval { start, end: edge }, level));
-                (start, level) = (edge, next);
+            for (&edge, &next_level) in self.levels.range(interval.start + 1..interval.end) {
+                segments.push((Interval { start, end: edge }, level));
+                (start, level) = (edge, next_level);
             }
-            found.push((Interval { start, end: interval.end }, level));
+            segments.push((Interval { start, end: interval.end }, level));
         }
-        found
+        segments
     }
 
-    /// Stretches from an instant on in which more than so many slots are kept.
+    /// The segments from an instant on in which more than so many slots are allocated.
     pub(crate) fn segments_above(&self, from: Millis, slots: i64) -> Vec<Interval> {
         let end = self.levels.last_key_value().map_or(from, |(edge, _)| *edge);
-        let all = self.segments(Interval { start: from, end });
-        all.into_iter().filter(|(_, level)| *level > slots).map(|(stretch, _)| stretch).collect()
+        let segments = self.segments(Interval { start: from, end });
+        segments.into_iter().filter(|(_, level)| *level > slots).map(|(segment, _)| segment).collect()
     }
 }
 
 impl Index {
+    /// Adds a claim.
     pub(crate) fn attach(&mut self, id: &ClaimId, claim: &Claim) {
         self.occurrence_count += claim.occurrences.len();
-        if let Some(due) = claim.next_due() {
-            self.due_claims.insert((due, id.clone()));
-        }
-        self.update_allocations(id, claim, true);
-        self.update_allowance_changes(claim, id, true);
+        self.insert_due(id, claim);
+        self.update_allocations(id, claim, Update::Add);
+        self.update_allowance_changes(id, claim, Update::Add);
     }
 
+    /// Removes a claim. It must be as it was when it was attached.
     pub(crate) fn detach(&mut self, id: &ClaimId, claim: &Claim) {
         self.occurrence_count -= claim.occurrences.len();
-        self.update_allocations(id, claim, false);
-        self.update_allowance_changes(claim, id, false);
+        self.update_allocations(id, claim, Update::Remove);
+        self.update_allowance_changes(id, claim, Update::Remove);
+    }
+
+    /// Changes a claim's state, from one that occupies capacity to another that does, or between two that do not.
+    pub(crate) fn update_state(&mut self, id: &ClaimId, claim: &mut Claim, change: impl FnOnce(&mut Claim)) {
+        self.update_allowance_changes(id, claim, Update::Remove);
+        change(claim);
+        self.update_allowance_changes(id, claim, Update::Add);
+        self.insert_due(id, claim);
     }
 
-    /// A step between two states that both keep their place, or both do not.
-    pub(crate) fn update_state(&mut self, id: &ClaimId, claim: &mut Claim, step: impl FnOnce(&mut Claim)) {
-        self.update_allowance_changes(claim, id, false);
-        step(claim);
-        self.update_allowance_changes(claim, id, true);
+    fn insert_due(&mut self, id: &ClaimId, claim: &Claim) {
         if let Some(due) = claim.next_due() {
             self.due_claims.insert((due, id.clone()));
         }
     }
 
-    /// What is kept of a pool.
-    fn update_allocations(&mut self, id: &ClaimId, claim: &Claim, add: bool) {
-        let ClaimRequest::Reservation(reserve) = &claim.request else { return };
+    fn update_allocations(&mut self, id: &ClaimId, claim: &Claim, update: Update) {
+        let ClaimRequest::Reservation(reservation) = &claim.request else { return };
         if !claim.state.occupies_capacity() {
             return;
         }
-        let pool = self.pools.entry(reserve.pool.clone()).or_default();
-        for (number, occurrence) in claim.occurrences.iter().enumerate() {
-            for piece in occurrence.allocations.iter().filter(|piece| piece.interval.length() > 0) {
-                let (interval, key) = (piece.interval, (id.clone(), number));
-                let by = i64::from(piece.slots);
-                pool.change(interval, if add { by } else { -by });
-                if add {
-                    pool.allocations.force_insert(interval.start..interval.end, key);
-                } else {
-                    pool.allocations.remove_where(interval.start..interval.end, |each| *each == key);
+        let pool = self.pools.entry(reservation.pool.clone()).or_default();
+        for (position, occurrence) in claim.occurrences.iter().enumerate() {
+            let key = OccurrenceKey { claim: id.clone(), position };
+            for allocation in &occurrence.allocations {
+                let interval = allocation.interval;
+                if interval.length() == 0 {
+                    continue;
+                }
+                let range = interval.start..interval.end;
+                let slots = i64::from(allocation.slots);
+                match update {
+                    Update::Add => {
+                        pool.change_level(interval, slots);
+                        pool.allocations.force_insert(range, key.clone());
+                    }
+                    Update::Remove => {
+                        pool.change_level(interval, -slots);
+                        pool.allocations.remove_where(range, |entry| *entry == key);
+                    }
                 }
             }
         }
     }
 
-    /// What changes allowances.
-    fn update_allowance_changes(&mut self, claim: &Claim, id: &ClaimId, add: bool) {
+    fn update_allowance_changes(&mut self, id: &ClaimId, claim: &Claim, update: Update) {
         if !claim.state.is_in_effect() {
             return;
         }
-        let spans = claim.active_intervals().filter(|span| span.length() > 0);
-        let ClaimRequest::Blackout(blackout) = &claim.request else {
-            for Interval { start, end } in spans {
-                mark(&mut self.allowance_changes, start, add);
-                mark(&mut self.allowance_changes, end, add);
-            }
-            return;
-        };
-        let map = self.blackouts.entry(blackout.target.clone()).or_default();
-        for Interval { start, end } in spans {
-            if add {
-                map.force_insert(start..end, id.clone());
-            } else {
-                map.remove_where(start..end, |each| each == id);
-            }
-            mark(&mut self.allowance_changes, start, add);
-            mark(&mut self.allowance_changes, end, add);
+        for interval in claim.effective_intervals().filter(|interval| interval.length() > 0) {
+            self.count_allowance_change(interval.start, update);
+            self.count_allowance_change(interval.end, update);
+            let ClaimRequest::Blackout(blackout) = &claim.request else { continue };
+            self.update_blackout(id, &blackout.target, interval, update);
             if blackout.effect == BlackoutEffect::NoWork {
-                mark(&mut self.allowance_changes, start.saturating_sub(BLACKOUT_LOOKAHEAD), add);
+                self.count_allowance_change(interval.start.saturating_sub(BLACKOUT_LOOKAHEAD), update);
+            }
+        }
+    }
+
+    fn update_blackout(&mut self, id: &ClaimId, target: &BlackoutTarget, interval: Interval, update: Update) {
+        let blackouts = self.blackouts.entry(target.clone()).or_default();
+        let range = interval.start..interval.end;
+        match update {
+            Update::Add => blackouts.force_insert(range, id.clone()),
+            Update::Remove => {
+                blackouts.remove_where(range, |entry| entry == id);
             }
         }
-        if map.is_empty() {
-            self.blackouts.remove(&blackout.target);
+        if blackouts.is_empty() {
+            self.blackouts.remove(target);
         }
     }
-}
 
-fn mark(edges: &mut BTreeMap<Millis, u32>, at: Millis, add: bool) {
-    let count = edges.entry(at).or_default();
-    *count = if add { *count + 1 } else { count.saturating_sub(1) };
-    if *count == 0 {
-        edges.remove(&at);
+    fn count_allowance_change(&mut self, at: Millis, update: Update) {
+        let count = self.allowance_changes.entry(at).or_default();
+        *count = match update {
+            Update::Add => *count + 1,
+            Update::Remove => count.saturating_sub(1),
+        };
+        if *count == 0 {
+            self.allowance_changes.remove(&at);
+        }
     }
 }
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -1,75 +1,74 @@
-//! The fleet's calendar of reservations and blackouts, with no I/O and no clock: commands come in from the agreed
-//! log, events and allowances go out, alike on every member.
+//! The fleet's calendar of reservations and blackouts. It has no I/O and no clock: commands come in from the
+//! replicated log, events and allowances go out, and every member that applies the same log gets the same bytes.
 //!
 //! ```text
-//!  command ──► Seen (acts once) ──► checks ──► Calendar::apply ──► events, each with its reason
-//!                                                 │  place.rs (what fits, who makes room), life.rs
-//!                                                 ▼
-//!                         index.rs (levels, intervals, edges) ──► allowances(at), next_change(after)
+//!  command ──► deduplication ──► Calendar::apply ──► proposal, confirmation, capacity ──► events with reasons
+//!                                                        │            │
+//!                                  claim_planning ◄──────┘            └──────► reallocation
+//!                     (what fits, whom it displaces)              (who is displaced, and gets what is free)
+//!                                        │                                        │
+//!                    availability, planner, displacement_search, alternative ◄────┘
+//!                                        │
+//!                        store (claims and pools, with the index) ──► allowances(at), next_change_after(at)
 //! ```
 //!
-//! 1. A claim is proposed, then held or refused, confirmed, active, done; or displaced, withdrawn, lapsed
-//!    (`life.rs`). Repeats by local time become instants when they are proposed (`local.rs`).
-//! 2. Overlaps: a blackout goes over all; what has begun is not displaced by a claim; then precedence; then what
-//!    was confirmed earlier; then the id.
-//! 3. The state is serde and ordered, so that the same log gives the same bytes.
+//! 1. A claim is proposed, then held or rejected, confirmed, active, done; or displaced, withdrawn, lapsed
+//!    (`claim_state`). A recurrence by local time is expanded to instants when it is proposed (`recurrence`).
+//! 2. Conflicts: a blackout overrides every reservation; an occurrence that has started is not displaced by a
+//!    claim; then the higher precedence wins; then the earlier ranked claim; then the lower id.
+//! 3. The stored state is ordered, so that the same log gives the same bytes.
 //!
-//! Who may propose what is for those who write the log. Its rules in full: `docs/design/0004-fleet.md`.
+//! It does not check who may propose what; that is up to those who write the log. Its rules in full:
+//! `docs/design/0004-fleet.md`.
 #![forbid(unsafe_code)]
 
+mod allowance_query;
 mod allowances;
+mod alternative;
+mod availability;
 mod calendar;
+mod capacity;
+mod claim;
+mod claim_planning;
 mod claim_state;
 mod command;
 mod command_id;
+mod confirmation;
 mod deduplication;
+mod displacement_search;
 mod event;
 mod index;
+mod interval;
+mod limits;
 mod planner;
+mod proposal;
+mod reallocation;
 mod recurrence;
+mod rejection;
+mod schedule;
+mod settings;
+mod store;
+mod time;
 
 pub use allowances::{
-    ActiveReservation, Allowances, BLACKOUT_LOOKAHEAD, BlackoutStatus, PoolAllowance, UpcomingBlackout,
-    lendable_slots,
+    ActiveReservation, Allowances, BlackoutStatus, PoolAllowance, UpcomingBlackout, lendable_slots,
 };
-pub use calendar::{Calendar, Settings, SettingsError};
+pub use calendar::Calendar;
 pub use claim_state::{ClaimState, InvalidTransition, Transition};
 pub use command::{
-    Amount, BlackoutEffect, BlackoutRequest, BlackoutTarget, Command, CommandBody, FieldError, Flexibility,
-    Interval, Owner, Rejection, ReservationRequest, Schedule,
+    Amount, BlackoutEffect, BlackoutRequest, BlackoutTarget, Command, CommandBody, Flexibility, Owner,
+    ReservationRequest,
 };
 pub use command_id::{ClaimId, CommandId};
 pub use copperspread_identifiers::{Name, NameError};
-pub use event::{Allocation, Change, Event, Reason};
+pub use event::{Change, Event, Reason};
+pub use interval::{Allocation, Interval};
+pub use limits::{
+    BLACKOUT_LOOKAHEAD, CLAIM_RETENTION, MAX_CLAIMS, MAX_HOLD_LENGTH, MAX_INSTANT, MAX_INTERVAL_LENGTH,
+    MAX_OCCURRENCES_PER_RECURRENCE, MAX_POOLS, MAX_TOTAL_OCCURRENCES, PARTS_PER_MILLION, PLANNING_HORIZON,
+};
 pub use recurrence::{Recurrence, RecurrenceDays};
-
-/// An instant in milliseconds of Unix time, or a span in milliseconds.
-pub type Millis = i64;
-
-/// A minute.
-pub const MINUTE: Millis = 60_000;
-/// An hour.
-pub const HOUR: Millis = 60 * MINUTE;
-/// A day of 24 hours.
-pub const DAY: Millis = 24 * HOUR;
-/// All of a share: parts in a million.
-pub const PARTS_PER_MILLION: u32 = 1_000_000;
-
-/// No claim reaches further ahead of the instant at which it is proposed.
-pub const PLANNING_HORIZON: Millis = 400 * DAY;
-/// No single interval is longer.
-pub const MAX_INTERVAL_LENGTH: Millis = 62 * DAY;
-/// No hold is longer.
-pub const MAX_HOLD_LENGTH: Millis = 7 * DAY;
-/// The first instant of the year 2200: no command comes later.
-pub const MAX_INSTANT: Millis = 7_258_118_400_000;
-/// Claims in the calendar, with those that are over and not yet forgotten.
-pub const MAX_CLAIMS: usize = 200_000;
-/// Occurrences of all claims.
-pub const MAX_TOTAL_OCCURRENCES: usize = 1_000_000;
-/// Pools.
-pub const MAX_POOLS: usize = 1_024;
-/// A claim that is over is forgotten after so long.
-pub const CLAIM_RETENTION: Millis = DAY;
-/// Occurrences of one repeat.
-pub const MAX_OCCURRENCES_PER_RECURRENCE: usize = 512;
+pub use rejection::{FieldError, Rejection};
+pub use schedule::Schedule;
+pub use settings::{Settings, SettingsError};
+pub use time::{DAY, HOUR, MINUTE, Millis};
--- /dev/null
+++ b/crates/reservations/src/reallocation.rs
@@ -0,0 +1,176 @@
+//! Displacement: takes the remaining allocations of some occurrences away and allocates by rank what is free.
+use std::collections::BTreeSet;
+
+use crate::alternative::nearest_interval;
+use crate::availability::segments;
+use crate::claim::{OccurrenceKey, Rank};
+use crate::claim_state::Transition;
+use crate::command::{Amount, Flexibility};
+use crate::command_id::ClaimId;
+use crate::event::{Change, EventBuffer, Reason};
+use crate::interval::{Allocation, Interval, merge_adjacent, truncate_at};
+use crate::planner::plan;
+use crate::store::ClaimStore;
+
+/// An occurrence whose remaining allocations were released.
+pub(crate) struct ReleasedOccurrence {
+    key: OccurrenceKey,
+    allocations_before: Vec<Allocation>,
+}
+
+/// A released occurrence with its rank.
+struct RankedOccurrence {
+    rank: Rank,
+    allocations_before: Vec<Allocation>,
+}
+
+impl RankedOccurrence {
+    fn max_slots_before(&self) -> u32 {
+        self.allocations_before.iter().map(|allocation| allocation.slots).max().unwrap_or(0)
+    }
+}
+
+/// Takes from occurrences what they have from now on.
+pub(crate) fn release<'a>(
+    store: &mut ClaimStore,
+    keys: impl IntoIterator<Item = &'a OccurrenceKey>,
+) -> Vec<ReleasedOccurrence> {
+    let now = store.now();
+    let mut released = Vec::new();
+    for key in keys {
+        store.edit(&key.claim, |claim| {
+            if let Some(occurrence) = claim.occurrences.get_mut(key.position) {
+                let allocations_before = occurrence.allocations.clone();
+                truncate_at(&mut occurrence.allocations, now);
+                released.push(ReleasedOccurrence { key: key.clone(), allocations_before });
+            }
+        });
+    }
+    released
+}
+
+/// Allocates what is free to released occurrences, by rank, and reports those that have other allocations than
+/// before. A claim that is left with nothing is displaced.
+pub(crate) fn reallocate(
+    store: &mut ClaimStore,
+    released: Vec<ReleasedOccurrence>,
+    reason: &Reason,
+    events: &mut EventBuffer<'_>,
+) {
+    let ranked = in_rank_order(store, released);
+    for occurrence in &ranked {
+        refill(store, &occurrence.rank.key, occurrence.max_slots_before());
+    }
+    // Growth comes last, so that it takes nothing from the occurrences that had their slots before.
+    for occurrence in &ranked {
+        grow_with_pool(store, &occurrence.rank.key, occurrence.max_slots_before());
+    }
+    let mut affected_claims = BTreeSet::new();
+    for RankedOccurrence { rank, allocations_before } in ranked {
+        report_change(store, &rank.key, &allocations_before, reason, events);
+        affected_claims.insert(rank.key.claim);
+    }
+    for claim in affected_claims {
+        displace_if_nothing_remains(store, &claim, reason, events);
+    }
+}
+
+fn in_rank_order(store: &ClaimStore, released: Vec<ReleasedOccurrence>) -> Vec<RankedOccurrence> {
+    let with_rank = |ReleasedOccurrence { key, allocations_before }| {
+        let (claim, occurrence) = store.occurrence(&key)?;
+        let rank = claim.rank(&key, occurrence, store.now());
+        Some(RankedOccurrence { rank, allocations_before })
+    };
+    let mut ranked: Vec<RankedOccurrence> = released.into_iter().filter_map(with_rank).collect();
+    ranked.sort_unstable_by(|a, b| a.rank.cmp(&b.rank));
+    ranked
+}
+
+/// Allocates what is free to an occurrence, up to `max_slots`, as far as its flexibility accepts less.
+fn refill(store: &mut ClaimStore, key: &OccurrenceKey, max_slots: u32) {
+    let Some((claim, occurrence)) = store.occurrence(key) else { return };
+    let Some(reservation) = claim.reservation() else { return };
+    let mut flexibility = reservation.flexibility;
+    // An occurrence that has started continues wherever it can.
+    flexibility.allows_split |= occurrence.interval.start <= store.now();
+    let slots = max_slots.min(claim.requested_slots);
+    allocate_rest(store, key, slots, flexibility, &[]);
+}
+
+/// Allocates its new size to an occurrence whose amount is a fraction of a pool that has grown, if all of that is free.
+fn grow_with_pool(store: &mut ClaimStore, key: &OccurrenceKey, slots_before: u32) {
+    let Some((claim, occurrence)) = store.occurrence(key) else { return };
+    let Some(reservation) = claim.reservation() else { return };
+    let is_fraction_of_pool = matches!(reservation.amount, Amount::PartsPerMillion(_));
+    let slots = claim.requested_slots;
+    if is_fraction_of_pool && slots > slots_before && !occurrence.allocations.is_empty() {
+        allocate_rest(store, key, slots, Flexibility::default(), std::slice::from_ref(key));
+    }
+}
+
+/// Plans the rest of an occurrence from now on, and replaces its allocations there if the plan succeeds.
+fn allocate_rest(
+    store: &mut ClaimStore,
+    key: &OccurrenceKey,
+    slots: u32,
+    flexibility: Flexibility,
+    released: &[OccurrenceKey],
+) {
+    let now = store.now();
+    let Some((claim, occurrence)) = store.occurrence(key) else { return };
+    let Some(reservation) = claim.reservation() else { return };
+    let Interval { start, end } = occurrence.interval;
+    let rest = Interval { start: start.max(now), end };
+    if slots == 0 || rest.length() == 0 {
+        return;
+    }
+    let segments = segments(store, reservation, rest, &[], released);
+    let Ok(rest_plan) = plan(slots, flexibility, &segments, &[]) else { return };
+    store.edit(&key.claim, |claim| {
+        if let Some(occurrence) = claim.occurrences.get_mut(key.position) {
+            truncate_at(&mut occurrence.allocations, now);
+            occurrence.allocations.extend(rest_plan.allocations);
+            occurrence.allocations = merge_adjacent(occurrence.allocations.iter().copied());
+        }
+    });
+}
+
+/// Reports an occurrence that has other allocations than before, with an alternative if it has none left.
+fn report_change(
+    store: &ClaimStore,
+    key: &OccurrenceKey,
+    allocations_before: &[Allocation],
+    reason: &Reason,
+    events: &mut EventBuffer<'_>,
+) {
+    let Some((claim, occurrence)) = store.occurrence(key) else { return };
+    if occurrence.allocations == allocations_before {
+        return;
+    }
+    let has_rest = occurrence.allocations.iter().any(|allocation| allocation.interval.end > store.now());
+    let reservation = claim.reservation().filter(|_| !has_rest);
+    let alternative = reservation.and_then(|reservation| {
+        nearest_interval(store, reservation, claim.requested_slots, occurrence.interval)
+    });
+    events.push(Change::Granted {
+        claim: key.claim.clone(),
+        occurrence: occurrence.interval,
+        allocations: occurrence.allocations.clone(),
+        reason: reason.clone(),
+        alternative,
+    });
+}
+
+fn displace_if_nothing_remains(
+    store: &mut ClaimStore,
+    id: &ClaimId,
+    reason: &Reason,
+    events: &mut EventBuffer<'_>,
+) {
+    let claim = store.claim(id);
+    let last_end = claim.and_then(|claim| claim.effective_intervals().map(|interval| interval.end).max());
+    if last_end.is_none_or(|end| end <= store.now()) {
+        // A claim that had allocations occupies capacity, and each such state allows displacement.
+        let _ = store.transition(id, Transition::Displace, reason.clone(), events);
+    }
+}
--- /dev/null
+++ b/crates/reservations/src/schedule.rs
@@ -0,0 +1,71 @@
+//! When a claim applies: one interval, or a recurrence.
+use serde::{Deserialize, Serialize};
+
+use crate::interval::Interval;
+use crate::limits::{MAX_INSTANT, MAX_INTERVAL_LENGTH, MAX_OCCURRENCES_PER_RECURRENCE, PLANNING_HORIZON};
+use crate::recurrence::{MINUTES_PER_DAY, Recurrence};
+use crate::rejection::{FieldError, Rejection, check_range};
+use crate::time::Millis;
+
+/// When a claim applies.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename = "When")]
+pub enum Schedule {
+    /// Over one interval. The part that has passed when it is proposed does not count.
+    Once(Interval),
+    /// Repeatedly by local time.
+    #[serde(rename = "Repeat")]
+    Recurring(Recurrence),
+}
+
+impl Schedule {
+    /// Its intervals from `now` on: at least one, in order and disjoint, the first without what has passed.
+    ///
+    /// # Errors
+    /// A field that is out of its bounds.
+    pub fn intervals(&self, now: Millis) -> Result<Vec<Interval>, Rejection> {
+        let horizon = now.saturating_add(PLANNING_HORIZON).min(MAX_INSTANT);
+        match self {
+            Schedule::Once(interval) => remaining_interval(*interval, now, horizon).map(|rest| vec![rest]),
+            Schedule::Recurring(recurrence) => recurring_intervals(recurrence, now, horizon),
+        }
+    }
+}
+
+fn remaining_interval(interval: Interval, now: Millis, horizon: Millis) -> Result<Interval, Rejection> {
+    let Interval { start, end } = interval;
+    check_range("when.start", start, 0, horizon)?;
+    check_range("when.end", end, 0, horizon)?;
+    if end <= start {
+        return Err(Rejection::new("when.end", FieldError::Empty));
+    }
+    if end <= now {
+        return Err(Rejection::new("when.end", FieldError::InThePast));
+    }
+    check_range("when.end", end, start + 1, start.saturating_add(MAX_INTERVAL_LENGTH))?;
+    Ok(Interval { start: start.max(now), end })
+}
+
+fn recurring_intervals(
+    recurrence: &Recurrence,
+    now: Millis,
+    horizon: Millis,
+) -> Result<Vec<Interval>, Rejection> {
+    check_range("when.first", recurrence.not_before, 0, horizon)?;
+    check_range("when.until", recurrence.until, 0, horizon)?;
+    check_range("when.from", recurrence.start_minute.into(), 0, i64::from(MINUTES_PER_DAY) - 1)?;
+    check_range("when.to", recurrence.end_minute.into(), 0, MINUTES_PER_DAY.into())?;
+    recurrence.days.validate()?;
+    if recurrence.until <= recurrence.not_before {
+        return Err(Rejection::new("when.until", FieldError::Empty));
+    }
+    let intervals = recurrence.occurrences(now, MAX_OCCURRENCES_PER_RECURRENCE + 1)?;
+    if intervals.len() > MAX_OCCURRENCES_PER_RECURRENCE {
+        let limit = MAX_OCCURRENCES_PER_RECURRENCE as u64;
+        return Err(Rejection::new("when.until", FieldError::LimitExceeded(limit)));
+    }
+    if intervals.is_empty() {
+        return Err(Rejection::new("when", FieldError::Empty));
+    }
+    Ok(intervals)
+}
--- /dev/null
+++ b/crates/reservations/src/settings.rs
@@ -0,0 +1,43 @@
+//! The calendar's settings.
+use serde::{Deserialize, Serialize};
+
+use crate::limits::MAX_DISPLACEMENT_NOTICE;
+use crate::time::{HOUR, Millis};
+
+/// Settings of the calendar. They must be the same for every member of a fleet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Settings {
+    /// An occurrence that starts sooner than this is not displaced by a claim: 0 to 30 days.
+    #[serde(rename = "notice")]
+    pub displacement_notice: Millis,
+}
+
+impl Default for Settings {
+    /// An hour's notice.
+    fn default() -> Settings {
+        Settings { displacement_notice: HOUR }
+    }
+}
+
+impl Settings {
+    /// Checks the bounds.
+    ///
+    /// # Errors
+    /// The first setting that is out of its bounds.
+    pub(crate) fn validate(self) -> Result<(), SettingsError> {
+        if (0..=MAX_DISPLACEMENT_NOTICE).contains(&self.displacement_notice) {
+            Ok(())
+        } else {
+            Err(SettingsError::NoticeOutOfRange)
+        }
+    }
+}
+
+/// A setting that is out of its bounds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[non_exhaustive]
+pub enum SettingsError {
+    /// [`Settings::displacement_notice`] is negative or longer than 30 days.
+    #[error("notice: not in 0 to 30 days")]
+    NoticeOutOfRange,
+}
--- /dev/null
+++ b/crates/reservations/src/store.rs
@@ -0,0 +1,227 @@
+//! The stored state of the calendar, with the index kept in step: every change of a claim goes through here.
+use std::collections::BTreeMap;
+
+use copperspread_identifiers::Name;
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
+
+use crate::claim::{Claim, ClaimRequest, Occurrence, OccurrenceKey, Pool};
+use crate::claim_state::{ClaimState, Transition};
+use crate::command::ReservationRequest;
+use crate::command_id::{ClaimId, CommandId};
+use crate::deduplication::{DeduplicationWindows, DuplicateCheck};
+use crate::event::{EventBuffer, Reason};
+use crate::index::Index;
+use crate::interval::Interval;
+use crate::limits::{MAX_CLAIMS, MAX_TOTAL_OCCURRENCES};
+use crate::rejection::{FieldError, Rejection};
+use crate::settings::Settings;
+use crate::time::Millis;
+
+/// What a snapshot contains. The maps are ordered, so that the same log gives the same bytes.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(rename = "Inner")]
+struct CalendarState {
+    settings: Settings,
+    now: Millis,
+    pools: BTreeMap<Name, Pool>,
+    #[serde(with = "map_as_pairs")]
+    claims: BTreeMap<ClaimId, Claim>,
+    #[serde(rename = "seen")]
+    deduplication: DeduplicationWindows,
+}
+
+/// A map as a sequence of pairs, for formats whose map keys are strings.
+mod map_as_pairs {
+    use std::collections::BTreeMap;
+
+    use serde::{Deserialize, Deserializer, Serialize, Serializer};
+
+    pub(super) fn serialize<K: Serialize, V: Serialize, S: Serializer>(
+        map: &BTreeMap<K, V>,
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
+        serializer.collect_seq(map)
+    }
+
+    pub(super) fn deserialize<'de, K: Deserialize<'de> + Ord, V: Deserialize<'de>, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<BTreeMap<K, V>, D::Error> {
+        Ok(Vec::<(K, V)>::deserialize(deserializer)?.into_iter().collect())
+    }
+}
+
+/// The pools and claims, owned by one [`Calendar`](crate::Calendar). Its stored form is the state alone; the index
+/// is built anew when it is read.
+#[derive(Clone, Debug)]
+pub(crate) struct ClaimStore {
+    state: CalendarState,
+    index: Index,
+}
+
+impl Serialize for ClaimStore {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        self.state.serialize(serializer)
+    }
+}
+
+impl<'de> Deserialize<'de> for ClaimStore {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<ClaimStore, D::Error> {
+        let state = CalendarState::deserialize(deserializer)?;
+        let mut index = Index::default();
+        for (id, claim) in &state.claims {
+            index.attach(id, claim);
+        }
+        Ok(ClaimStore { state, index })
+    }
+}
+
+impl ClaimStore {
+    /// A store without pools and claims, at instant 0.
+    pub(crate) fn new(settings: Settings) -> ClaimStore {
+        let state = CalendarState {
+            settings,
+            now: 0,
+            pools: BTreeMap::new(),
+            claims: BTreeMap::new(),
+            deduplication: DeduplicationWindows::default(),
+        };
+        ClaimStore { state, index: Index::default() }
+    }
+
+    pub(crate) fn now(&self) -> Millis {
+        self.state.now
+    }
+
+    /// The first instant at which an occurrence may start and still be displaced.
+    pub(crate) fn displaceable_from(&self) -> Millis {
+        let now = self.state.now;
+        now.saturating_add(self.state.settings.displacement_notice).max(now + 1)
+    }
+
+    pub(crate) fn index(&self) -> &Index {
+        &self.index
+    }
+
+    pub(crate) fn pools(&self) -> &BTreeMap<Name, Pool> {
+        &self.state.pools
+    }
+
+    pub(crate) fn claim(&self, id: &ClaimId) -> Option<&Claim> {
+        self.state.claims.get(id)
+    }
+
+    /// What a claim requested, if it is a reservation.
+    pub(crate) fn reservation(&self, id: &ClaimId) -> Option<&ReservationRequest> {
+        self.claim(id)?.reservation()
+    }
+
+    pub(crate) fn occurrence(&self, key: &OccurrenceKey) -> Option<(&Claim, &Occurrence)> {
+        let claim = self.claim(&key.claim)?;
+        Some((claim, claim.occurrences.get(key.position)?))
+    }
+
+    /// Advances time; an earlier instant has no effect.
+    pub(crate) fn advance_to(&mut self, at: Millis) {
+        self.state.now = self.state.now.max(at);
+    }
+
+    /// Looks up a command's id and records it as applied.
+    pub(crate) fn record_command(&mut self, id: &CommandId) -> DuplicateCheck {
+        self.state.deduplication.record(self.state.now, id)
+    }
+
+    pub(crate) fn set_pool(&mut self, name: &Name, pool: Pool) {
+        self.state.pools.insert(name.clone(), pool);
+    }
+
+    /// Checks that one more claim with so many occurrences is within the limits.
+    pub(crate) fn check_limits(&self, new_occurrences: usize) -> Result<(), Rejection> {
+        if self.state.claims.len() >= MAX_CLAIMS {
+            return Err(Rejection::new("claim", FieldError::LimitExceeded(MAX_CLAIMS as u64)));
+        }
+        if self.index.occurrence_count + new_occurrences > MAX_TOTAL_OCCURRENCES {
+            let limit = MAX_TOTAL_OCCURRENCES as u64;
+            return Err(Rejection::new("when", FieldError::LimitExceeded(limit)));
+        }
+        Ok(())
+    }
+
+    /// Inserts a new claim in the state `Proposed`.
+    pub(crate) fn insert_proposed(
+        &mut self,
+        id: &ClaimId,
+        request: ClaimRequest,
+        requested_slots: u32,
+        intervals: &[Interval],
+    ) {
+        let unallocated = |&interval: &Interval| Occurrence { interval, allocations: Vec::new() };
+        let claim = Claim {
+            state: ClaimState::Proposed,
+            ranked_at: self.state.now,
+            last_transition_at: self.state.now,
+            request,
+            requested_slots,
+            occurrences: intervals.iter().map(unallocated).collect(),
+        };
+        self.index.attach(id, &claim);
+        self.state.claims.insert(id.clone(), claim);
+    }
+
+    pub(crate) fn remove(&mut self, id: &ClaimId) {
+        if let Some(claim) = self.state.claims.remove(id) {
+            self.index.detach(id, &claim);
+        }
+    }
+
+    /// Takes the next claim whose transition or removal is due by now.
+    pub(crate) fn pop_due_claim(&mut self) -> Option<ClaimId> {
+        while self.index.due_claims.first()?.0 <= self.state.now {
+            let (due, id) = self.index.due_claims.pop_first()?;
+            if self.claim(&id).is_some_and(|claim| claim.next_due() == Some(due)) {
+                return Some(id);
+            }
+        }
+        None
+    }
+
+    /// Changes a claim and its entries in the index.
+    pub(crate) fn edit(&mut self, id: &ClaimId, change: impl FnOnce(&mut Claim)) {
+        if let Some(claim) = self.state.claims.get_mut(id) {
+            self.index.detach(id, claim);
+            change(claim);
+            self.index.attach(id, claim);
+        }
+    }
+
+    /// Changes a claim's state and reports it.
+    ///
+    /// # Errors
+    /// The claim is unknown, or its state does not allow the transition; nothing changed.
+    pub(crate) fn transition(
+        &mut self,
+        id: &ClaimId,
+        transition: Transition,
+        reason: Reason,
+        events: &mut EventBuffer<'_>,
+    ) -> Result<(), FieldError> {
+        let from = self.claim(id).ok_or(FieldError::Unknown)?.state;
+        let to = from.apply(transition)?;
+        let now = self.state.now;
+        // A held claim keeps the rank that it got then.
+        let is_ranked = matches!(transition, Transition::Hold | Transition::Confirm);
+        let change = |claim: &mut Claim| {
+            if is_ranked && from == ClaimState::Proposed {
+                claim.ranked_at = now;
+            }
+            claim.state = to;
+            claim.last_transition_at = now;
+        };
+        if from.occupies_capacity() != to.occupies_capacity() {
+            self.edit(id, change);
+        } else if let Some(claim) = self.state.claims.get_mut(id) {
+            self.index.update_state(id, claim, change);
+        }
+        events.push_state_change(id, Some(from), to, reason);
+        Ok(())
+    }
+}
--- a/crates/reservations/tests/unit/deduplication.rs
+++ b/crates/reservations/tests/unit/deduplication.rs
@@ -35,7 +35,7 @@
     for member in 0..MAX_MEMBERS {
         assert_eq!(seen.record(member as Millis, &id(&member.to_string(), 1, 1)), DuplicateCheck::New);
     }
-    assert_eq!(seen.record(MEMBER_RETENTION - 1, &id("late", 1, 1)), DuplicateCheck::NoCapacity);
+    assert_eq!(seen.record(MEMBER_RETENTION - 1, &id("late", 1, 1)), DuplicateCheck::MemberLimitReached);
     assert_eq!(seen.record(MEMBER_RETENTION, &id("late", 1, 1)), DuplicateCheck::New);
     assert_eq!(seen.0.len(), MAX_MEMBERS);
     assert_eq!(seen.record(MEMBER_RETENTION, &id("1", 1, 1)), DuplicateCheck::Duplicate);
