--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -45,7 +45,7 @@
 
 /// A reservation that is in effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Reserved")]
+#[serde(rename = "Reserved", expecting = "struct Reserved")]
 pub struct ActiveReservation {
     /// The claim.
     pub claim: ClaimId,
@@ -66,7 +66,7 @@
 
 /// The blackouts of one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "BlackedOut")]
+#[serde(rename = "BlackedOut", expecting = "struct BlackedOut")]
 pub struct BlackoutStatus {
     /// No work may start until then, through blackouts that meet; none if work may start.
     pub no_new_work_until: Option<Millis>,
@@ -80,7 +80,7 @@
 
 /// A blackout that has not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Ahead")]
+#[serde(rename = "Ahead", expecting = "struct Ahead")]
 pub struct UpcomingBlackout {
     /// The first instant.
     pub start: Millis,
--- a/crates/reservations/src/capacity.rs
+++ b/crates/reservations/src/capacity.rs
@@ -6,7 +6,7 @@
 use crate::claim::{OccurrenceKey, Pool};
 use crate::command::{Amount, BlackoutTarget};
 use crate::command_id::ClaimId;
-use crate::event::{Change, EventBuffer, Reason};
+use crate::event::{CapacityChange, Change, EventBuffer, Reason};
 use crate::index::{PoolIndex, overlapping};
 use crate::interval::Interval;
 use crate::limits::{MAX_POOL_SLOTS, MAX_POOLS};
@@ -31,7 +31,7 @@
     }
     let Pool { zone, slots } = pool.clone();
     store.set_pool(name, pool);
-    events.push(Change::CapacityChanged { pool: name.clone(), zone: zone.clone(), slots });
+    events.push(Change::CapacityChanged(CapacityChange { pool: name.clone(), zone: zone.clone(), slots }));
     let Some(index) = store.index().pools.get(name) else { return Ok(()) };
     let mut affected = occurrences_without_capacity(store, index, &zone, slots);
     let resized = occurrences_sized_by_pool(store, index);
--- a/crates/reservations/src/claim_planning.rs
+++ b/crates/reservations/src/claim_planning.rs
@@ -7,7 +7,7 @@
 use crate::command::{Flexibility, ReservationRequest};
 use crate::command_id::ClaimId;
 use crate::displacement_search::{Candidate, Usage};
-use crate::event::{Change, EventBuffer, Reason};
+use crate::event::{AllocationChange, Change, EventBuffer, Reason};
 use crate::index::overlapping;
 use crate::interval::{Allocation, Interval};
 use crate::planner::{AllocationPlan, Segment, plan};
@@ -157,12 +157,12 @@
     }
     let Some(claim) = store.claim(id) else { return };
     for occurrence in &claim.occurrences {
-        events.push(Change::Granted {
+        events.push(Change::AllocationsChanged(AllocationChange {
             claim: id.clone(),
             occurrence: occurrence.interval,
             allocations: occurrence.allocations.clone(),
             reason: Reason::FitsPartially,
             alternative: None,
-        });
+        }));
     }
 }
--- a/crates/reservations/src/claim_state.rs
+++ b/crates/reservations/src/claim_state.rs
@@ -61,7 +61,7 @@
 /// A transition that does not exist from a claim's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("a claim that is {from} has no step {transition}")]
-#[serde(rename = "Illegal")]
+#[serde(rename = "Illegal", expecting = "struct Illegal")]
 pub struct InvalidTransition {
     /// The claim's state.
     pub from: ClaimState,
--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -20,7 +20,7 @@
 
 /// What a command does.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Body")]
+#[serde(rename = "Body", expecting = "struct variant Body::Capacity")]
 pub enum CommandBody {
     /// Proposes a reservation; the claim takes the command's id.
     Reserve(ReservationRequest),
@@ -47,7 +47,7 @@
 
 /// A request for a share of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Reserve")]
+#[serde(rename = "Reserve", expecting = "struct Reserve")]
 pub struct ReservationRequest {
     /// For whom.
     pub owner: Owner,
@@ -105,7 +105,7 @@
 
 /// What a claim accepts where it does not fit as requested. With both, each segment gets what is free in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Accepts")]
+#[serde(rename = "Accepts", expecting = "struct Accepts")]
 pub struct Flexibility {
     /// Fewer slots, constant over the whole interval, but at least this many (at least 1).
     #[serde(rename = "partial")]
@@ -117,7 +117,7 @@
 
 /// A request for an interval in which certain work must not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Blackout")]
+#[serde(rename = "Blackout", expecting = "struct Blackout")]
 pub struct BlackoutRequest {
     /// The work it applies to.
     pub target: BlackoutTarget,
--- a/crates/reservations/src/deduplication.rs
+++ b/crates/reservations/src/deduplication.rs
@@ -29,7 +29,7 @@
 
 /// The window of one member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(rename = "Heard")]
+#[serde(rename = "Heard", expecting = "struct Heard")]
 struct MemberWindow {
     #[serde(rename = "generation")]
     incarnation: u64,
@@ -76,7 +76,7 @@
 
 /// For each member the highest sequence, and which of the 128 up to it were applied.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-#[serde(rename = "Seen")]
+#[serde(rename = "Seen", expecting = "tuple struct Seen")]
 pub(crate) struct DeduplicationWindows(BTreeMap<Name, MemberWindow>);
 
 impl DeduplicationWindows {
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -27,43 +27,59 @@
     Rejected(Rejection),
     /// A claim made a transition.
     #[serde(rename = "Moved")]
-    StateChanged {
-        /// The claim.
-        claim: ClaimId,
-        /// Its state before; none for a new claim.
-        from: Option<ClaimState>,
-        /// Its state now.
-        to: ClaimState,
-        /// Why.
-        #[serde(rename = "why")]
-        reason: Reason,
-    },
+    StateChanged(StateChange),
     /// One occurrence of a reservation has other allocations than before.
-    Granted {
-        /// The claim.
-        claim: ClaimId,
-        /// The occurrence as it was requested.
-        occurrence: Interval,
-        /// What it has now, in order; empty if nothing.
-        #[serde(rename = "pieces")]
-        allocations: Vec<Allocation>,
-        /// Why.
-        #[serde(rename = "why")]
-        reason: Reason,
-        /// If it has nothing: the nearest interval of its length that fits, if one is near.
-        #[serde(rename = "offer")]
-        alternative: Option<Interval>,
-    },
+    #[serde(rename = "Granted")]
+    AllocationsChanged(AllocationChange),
     /// A pool's slots and zone were set.
     #[serde(rename = "Capacity")]
-    CapacityChanged {
-        /// The pool.
-        pool: Name,
-        /// Its zone.
-        zone: Name,
-        /// Its slots.
-        slots: u32,
-    },
+    CapacityChanged(CapacityChange),
+}
+
+/// A claim's transition.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(expecting = "struct variant Change::Moved")]
+pub struct StateChange {
+    /// The claim.
+    pub claim: ClaimId,
+    /// Its state before; none for a new claim.
+    pub from: Option<ClaimState>,
+    /// Its state now.
+    pub to: ClaimState,
+    /// Why.
+    #[serde(rename = "why")]
+    pub reason: Reason,
+}
+
+/// The allocations of one occurrence of a reservation.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(expecting = "struct variant Change::Granted")]
+pub struct AllocationChange {
+    /// The claim.
+    pub claim: ClaimId,
+    /// The occurrence as it was requested.
+    pub occurrence: Interval,
+    /// What it has now, in order; empty if nothing.
+    #[serde(rename = "pieces")]
+    pub allocations: Vec<Allocation>,
+    /// Why.
+    #[serde(rename = "why")]
+    pub reason: Reason,
+    /// If it has nothing: the nearest interval of its length that fits, if one is near.
+    #[serde(rename = "offer")]
+    pub alternative: Option<Interval>,
+}
+
+/// A pool's slots and zone.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(expecting = "struct variant Change::Capacity")]
+pub struct CapacityChange {
+    /// The pool.
+    pub pool: Name,
+    /// Its zone.
+    pub zone: Name,
+    /// Its slots.
+    pub slots: u32,
 }
 
 /// Why something changed.
@@ -140,6 +156,6 @@
         to: ClaimState,
         reason: Reason,
     ) {
-        self.push(Change::StateChanged { claim: claim.clone(), from, to, reason });
+        self.push(Change::StateChanged(StateChange { claim: claim.clone(), from, to, reason }));
     }
 }
--- a/crates/reservations/src/interval.rs
+++ b/crates/reservations/src/interval.rs
@@ -26,7 +26,7 @@
 
 /// Slots over an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(rename = "Piece")]
+#[serde(rename = "Piece", expecting = "struct Piece")]
 pub struct Allocation {
     /// When.
     pub interval: Interval,
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -61,7 +61,7 @@
 };
 pub use command_id::{ClaimId, CommandId};
 pub use copperspread_identifiers::{Name, NameError};
-pub use event::{Change, Event, Reason};
+pub use event::{AllocationChange, CapacityChange, Change, Event, Reason, StateChange};
 pub use interval::{Allocation, Interval};
 pub use limits::{
     BLACKOUT_LOOKAHEAD, CLAIM_RETENTION, MAX_CLAIMS, MAX_HOLD_LENGTH, MAX_INSTANT, MAX_INTERVAL_LENGTH,
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -7,7 +7,7 @@
 use crate::claim_state::Transition;
 use crate::command::{Amount, Flexibility};
 use crate::command_id::ClaimId;
-use crate::event::{Change, EventBuffer, Reason};
+use crate::event::{AllocationChange, Change, EventBuffer, Reason};
 use crate::interval::{Allocation, Interval, merge_adjacent, truncate_at};
 use crate::planner::plan;
 use crate::store::ClaimStore;
@@ -152,13 +152,13 @@
     let alternative = reservation.and_then(|reservation| {
         nearest_interval(store, reservation, claim.requested_slots, occurrence.interval)
     });
-    events.push(Change::Granted {
+    events.push(Change::AllocationsChanged(AllocationChange {
         claim: key.claim.clone(),
         occurrence: occurrence.interval,
         allocations: occurrence.allocations.clone(),
         reason: reason.clone(),
         alternative,
-    });
+    }));
 }
 
 fn displace_if_nothing_remains(
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -20,7 +20,7 @@
 /// repeated the start is in the first and the end in the second, so that the interval covers all that its wall
 /// clock times name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename = "Repeat")]
+#[serde(rename = "Repeat", expecting = "struct Repeat")]
 pub struct Recurrence {
     /// The zone's name in the IANA database, such as `Africa/Cairo`.
     pub zone: Name,
--- a/crates/reservations/src/rejection.rs
+++ b/crates/reservations/src/rejection.rs
@@ -8,7 +8,7 @@
 /// A rejected command: the field and what is wrong with it. The command changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{field}: {error}")]
-#[serde(rename = "Refusal")]
+#[serde(rename = "Refusal", expecting = "struct Refusal")]
 pub struct Rejection {
     /// The path of the field in the command's stored form, such as `when.end`.
     pub field: Cow<'static, str>,
@@ -25,7 +25,7 @@
 
 /// What is wrong with a field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-#[serde(rename = "Fault")]
+#[serde(rename = "Fault", expecting = "struct variant Fault::Range")]
 #[non_exhaustive]
 pub enum FieldError {
     /// Below its minimum or above its maximum.
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -19,7 +19,7 @@
 
 /// What a snapshot contains. The maps are ordered, so that the same log gives the same bytes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(rename = "Inner")]
+#[serde(rename = "Inner", expecting = "struct Inner")]
 struct CalendarState {
     settings: Settings,
     now: Millis,
--- a/crates/reservations/tests/common/mod.rs
+++ b/crates/reservations/tests/common/mod.rs
@@ -117,7 +117,7 @@
     /// Why a claim came where it stands, in the last events.
     pub fn why(&self, claim: &ClaimId) -> Reason {
         let moved = self.events.iter().rev().find_map(|event| match &event.change {
-            Change::StateChanged { claim: of, reason: why, .. } if of == claim => Some(why.clone()),
+            Change::StateChanged(change) if change.claim == *claim => Some(change.reason.clone()),
             _ => None,
         });
         moved.expect("moved")
--- a/crates/reservations/tests/overlaps.rs
+++ b/crates/reservations/tests/overlaps.rs
@@ -89,7 +89,7 @@
             assert_eq!(log.state(&other), ClaimState::Displaced);
             assert_eq!(log.why(&other), Reason::DisplacedBy(claim.clone()));
             let offers = log.events.iter().any(|event| {
-                matches!(&event.change, Change::Granted { claim: of, alternative: Some(offer), .. }
+                matches!(&event.change, Change::AllocationsChanged(AllocationChange { claim: of, alternative: Some(offer), .. })
                     if *of == other && *offer == hours(6, 8))
             });
             assert!(offers, "{:?}", log.events);
--- a/crates/reservations/tests/replay.rs
+++ b/crates/reservations/tests/replay.rs
@@ -71,7 +71,7 @@
             assert_eq!(restored.apply(*at, command), events);
             for event in &events {
                 match &event.change {
-                    Change::StateChanged { to, .. } => kinds.insert(format!("{to:?}")),
+                    Change::StateChanged(StateChange { to, .. }) => kinds.insert(format!("{to:?}")),
                     Change::Rejected(_) => kinds.insert("rejected".into()),
                     _ => false,
                 };
--- a/crates/reservations/tests/transcripts.rs
+++ b/crates/reservations/tests/transcripts.rs
@@ -67,8 +67,8 @@
     (1..).zip(bodies()).map(|(sequence, body)| Command { id: id(sequence), body }).collect()
 }
 
-fn moved(from: Option<ClaimState>, to: ClaimState, why: Reason) -> Change {
-    Change::StateChanged { claim: id(2), from, to, reason: why }
+fn moved(from: Option<ClaimState>, to: ClaimState, reason: Reason) -> Change {
+    Change::StateChanged(StateChange { claim: id(2), from, to, reason })
 }
 
 fn rejected(fault: FieldError) -> Change {
@@ -76,12 +76,9 @@
 }
 
 fn changes() -> Vec<Change> {
-    let granted = |pieces, why, offer| Change::Granted {
-        claim: id(2),
-        occurrence: hours(2, 4),
-        allocations: pieces,
-        reason: why,
-        alternative: offer,
+    let granted = |allocations, reason, alternative| {
+        let (claim, occurrence) = (id(2), hours(2, 4));
+        Change::AllocationsChanged(AllocationChange { claim, occurrence, allocations, reason, alternative })
     };
     let infeasible = Reason::Infeasible { blocked: hours(2, 3), alternative: Some(hours(5, 6)) };
     let needs_room = Reason::RequiresDisplacement(vec![id(3), id(4)]);
@@ -111,7 +108,7 @@
         moved(Some(ClaimState::Proposed), ClaimState::Lapsed, Reason::InThePast),
         granted(vec![piece(2, 3, 5), piece(3, 4, 2)], Reason::FitsPartially, None),
         granted(Vec::new(), Reason::PoolChanged, Some(hours(5, 7))),
-        Change::CapacityChanged { pool: name("cpu"), zone: name("north"), slots: 20 },
+        Change::CapacityChanged(CapacityChange { pool: name("cpu"), zone: name("north"), slots: 20 }),
     ];
     changes.extend(faults.map(rejected));
     changes
