--- a/crates/identifiers/src/lib.rs
+++ b/crates/identifiers/src/lib.rs
@@ -1,35 +1,37 @@
-//! The names that the parts of the fleet's rules have in common: members, tenants, federations, pools, classes, zones.
+//! The name type that the crates on fleet rules have in common. It knows no rule of its own.
 use std::borrow::Borrow;
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A name of 1 to 64 bytes without control characters: a member, a tenant, a federation, a pool, a class, a zone.
-/// A clone shares its text.
+/// The name of a member, tenant, federation, pool, class or zone: 1 to 64 bytes without control characters.
+///
+/// Clones share the text.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
-/// Why a text is no [`Name`].
+/// Why a text is not a [`Name`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[non_exhaustive]
 pub enum NameError {
-    /// It has 0 or over 64 bytes.
+    /// It is empty or longer than [`Name::MAX_BYTES`]; with its length in bytes.
     #[error("a name has 1 to 64 bytes, not {0}")]
     Length(usize),
-    /// It would spoil a log.
+    /// It has a control character, which would corrupt the lines of a log.
     #[error("a name has no control characters")]
     ControlCharacter,
 }
 
 impl Name {
-    /// Most bytes of a name.
+    /// The longest name in bytes.
     pub const MAX_BYTES: usize = 64;
 
-    /// A name.
+    /// Checks and takes over a text.
     ///
     /// # Errors
-    /// A text that is none.
+    /// The text is empty, too long, or has a control character.
     pub fn new(text: &str) -> Result<Name, NameError> {
         if text.is_empty() || text.len() > Name::MAX_BYTES {
             return Err(NameError::Length(text.len()));
@@ -40,7 +42,7 @@
         Ok(Name(text.into()))
     }
 
-    /// Its text.
+    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/identifiers/tests/unit/name.rs
+++ b/crates/identifiers/tests/unit/name.rs
@@ -1,8 +1,8 @@
-//! Tests of what `names`'s `lib` keeps to itself; it takes this file in as its `tests`.
+//! Unit tests of `Name`; the crate's `lib` includes this file as its `tests`.
 use super::*;
 
 #[test]
-fn a_name_has_1_to_64_bytes_and_nothing_that_spoils_a_log() {
+fn a_name_has_1_to_64_bytes_and_no_control_characters() {
     let cases = [
         ("", Some(NameError::Length(0))),
         ("a", None),
@@ -10,9 +10,9 @@
         (&"é".repeat(33), Some(NameError::Length(66))),
         ("a\nb", Some(NameError::ControlCharacter)),
     ];
-    for (text, wrong) in cases {
-        assert_eq!(Name::new(text).err(), wrong, "{text:?}");
-        let read = serde_json::from_str::<Name>(&serde_json::json!(text).to_string());
-        assert_eq!(read.is_err(), wrong.is_some(), "{text:?} as it is read");
+    for (text, error) in cases {
+        assert_eq!(Name::new(text).err(), error, "{text:?}");
+        let deserialized = serde_json::from_str::<Name>(&serde_json::json!(text).to_string());
+        assert_eq!(deserialized.is_err(), error.is_some(), "{text:?} deserialized");
     }
 }
--- a/crates/reservations/benches/calendar.rs
+++ b/crates/reservations/benches/calendar.rs
@@ -1,6 +1,9 @@
 //! What 100,000 claims cost: one more, a look-up, the next change, the whole resolved anew, the whole replayed.
 //! Run it with `cargo bench -p copperspread-reservations`.
-use copperspread_reservations::*;
+use copperspread_reservations::{
+    Amount, Calendar, Command, CommandBody, CommandId, DAY, Flexibility, HOUR, Interval, Millis, Name, Owner,
+    ReservationRequest, Schedule, Settings,
+};
 use divan::{Bencher, black_box};
 
 const CLAIMS: [u64; 3] = [1_000, 10_000, 100_000];
--- a/crates/reservations/tests/allowances.rs
+++ b/crates/reservations/tests/allowances.rs
@@ -1,83 +1,88 @@
-//! What the module is handed.
+//! What the calendar reports as reserved and blacked out.
 mod common;
 
-use common::*;
-use copperspread_reservations::*;
+use common::{INFLEXIBLE, START, TestLog, hours, name};
+use copperspread_reservations::{
+    ActiveReservation, BlackoutEffect, BlackoutStatus, BlackoutTarget, HOUR, Interval, PARTS_PER_MILLION,
+    UpcomingBlackout, lendable_slots,
+};
 
 #[test]
-fn allowances_tell_what_is_reserved_and_change_only_where_next_change_says() {
-    let mut log = Log::new(HOUR, 10);
-    let claim = log.confirmed(4, hours(2, 4), 0, WHOLE);
-    let held = log.propose(3, hours(3, 5), 0, WHOLE);
-    log.confirmed(1, hours(4, 6), 0, WHOLE);
-    log.black_out(BlackoutTarget::Zone(name("north")), BlackoutEffect::NoNewWork, hours(40, 41));
-    log.black_out(BlackoutTarget::Class(name("batch")), BlackoutEffect::NoWork, hours(30, 32));
+fn allowances_list_active_reservations_and_differ_only_after_a_reported_change() {
+    let mut log = TestLog::new(HOUR, 10);
+    let claim = log.propose_and_confirm(4, hours(2, 4), 0, INFLEXIBLE);
+    let held = log.propose(3, hours(3, 5), 0, INFLEXIBLE);
+    log.propose_and_confirm(1, hours(4, 6), 0, INFLEXIBLE);
+    log.confirm_blackout(BlackoutTarget::Zone(name("north")), BlackoutEffect::NoNewWork, hours(40, 41));
+    log.confirm_blackout(BlackoutTarget::Class(name("batch")), BlackoutEffect::NoWork, hours(30, 32));
     let cpu = |at| log.calendar.allowances(at).pools[&name("cpu")].clone();
-    for (hour, open) in [(1, 10), (2, 6), (3, 6), (4, 9), (5, 9), (6, 10)] {
-        assert_eq!(cpu(START + hour * HOUR).unreserved_slots, open, "at hour {hour}");
+    for (hour, unreserved) in [(1, 10), (2, 6), (3, 6), (4, 9), (5, 9), (6, 10)] {
+        assert_eq!(cpu(START + hour * HOUR).unreserved_slots, unreserved, "at hour {hour}");
     }
-    let reserved = &cpu(START + 3 * HOUR).reservations;
-    assert_eq!(reserved.len(), 1, "{held} is not confirmed");
-    let ActiveReservation { start: since, end: until, slots, .. } = reserved[0];
-    assert_eq!((&reserved[0].claim, since, until, slots), (&claim, hours(2, 4).start, hours(2, 4).end, 4));
+    let reservations = &cpu(START + 3 * HOUR).reservations;
+    assert_eq!(reservations.len(), 1, "{held} is not confirmed");
+    let ActiveReservation { start, end, slots, .. } = reservations[0];
+    assert_eq!((&reservations[0].claim, start, end, slots), (&claim, hours(2, 4).start, hours(2, 4).end, 4));
 
-    let mut edges = Vec::new();
+    let mut reported = Vec::new();
     let mut after = START;
     while let Some(next) = log.calendar.next_change_after(after) {
-        edges.push((next - START) / HOUR);
+        reported.push((next - START) / HOUR);
         after = next;
     }
-    assert_eq!(edges, [2, 4, 6, 30, 32, 40, 41]);
+    assert_eq!(reported, [2, 4, 6, 30, 32, 40, 41]);
     let mut changes = Vec::new();
     for hour in 1..50 {
-        let [before, now] = [1, 0].map(|less| log.calendar.allowances(START + hour * HOUR - less));
+        let [before, now] =
+            [1, 0].map(|earlier_by| log.calendar.allowances(START + hour * HOUR - earlier_by));
         if before != now {
             changes.push(hour);
         }
     }
-    assert_eq!(changes, edges);
+    assert_eq!(changes, reported);
 }
 
 #[test]
-fn a_blackout_names_its_end_and_how_early_work_must_not_begin() {
-    let mut log = Log::new(HOUR, 10);
+fn a_blackout_reports_its_end_and_until_when_work_must_wait() {
+    let mut log = TestLog::new(HOUR, 10);
     let target = BlackoutTarget::Tenant(name("food"));
-    log.black_out(target.clone(), BlackoutEffect::NoWork, hours(10, 11));
-    log.black_out(target.clone(), BlackoutEffect::NoWork, hours(11, 13));
-    log.black_out(target.clone(), BlackoutEffect::NoNewWork, hours(12, 15));
-    log.black_out(target.clone(), BlackoutEffect::NoNewWork, hours(20, 21));
-    log.black_out(target, BlackoutEffect::NoWork, hours(60, 61));
-    let of = |hour| log.calendar.allowances(START + hour * HOUR).tenant_blackouts.get(&name("food")).copied();
+    log.confirm_blackout(target.clone(), BlackoutEffect::NoWork, hours(10, 11));
+    log.confirm_blackout(target.clone(), BlackoutEffect::NoWork, hours(11, 13));
+    log.confirm_blackout(target.clone(), BlackoutEffect::NoNewWork, hours(12, 15));
+    log.confirm_blackout(target.clone(), BlackoutEffect::NoNewWork, hours(20, 21));
+    log.confirm_blackout(target, BlackoutEffect::NoWork, hours(60, 61));
+    let status_at =
+        |hour| log.calendar.allowances(START + hour * HOUR).tenant_blackouts.get(&name("food")).copied();
     let until = |hour: i64| Some(START + hour * HOUR);
-    let ahead = |start, end| {
+    let upcoming = |start, end| {
         let Interval { start, end } = hours(start, end);
         Some(UpcomingBlackout { start, end })
     };
-    let blacked = |no_new, no, ahead| {
-        Some(BlackoutStatus { no_new_work_until: no_new, no_work_until: no, upcoming: ahead })
+    let status = |no_new_work_until, no_work_until, upcoming| {
+        Some(BlackoutStatus { no_new_work_until, no_work_until, upcoming })
     };
     for (hour, expected) in [
-        (9, blacked(None, None, ahead(10, 13))),
-        (10, blacked(until(15), until(13), None)),
-        (14, blacked(until(15), None, None)),
+        (9, status(None, None, upcoming(10, 13))),
+        (10, status(until(15), until(13), None)),
+        (14, status(until(15), None, None)),
         (16, None),
-        (20, blacked(until(21), None, None)),
+        (20, status(until(21), None, None)),
         (35, None),
-        (36, blacked(None, None, ahead(60, 61))),
+        (36, status(None, None, upcoming(60, 61))),
     ] {
-        assert_eq!(of(hour), expected, "at hour {hour}");
+        assert_eq!(status_at(hour), expected, "at hour {hour}");
     }
-    let nine = of(9).expect("ahead");
-    for (longest, expected) in [(0, None), (HOUR, None), (HOUR + 1, until(13)), (i64::MAX, until(13))] {
-        assert_eq!(nine.wait_until(START + 9 * HOUR, longest), expected, "longest {longest}");
+    let nine = status_at(9).expect("a blackout ahead");
+    for (max_duration, expected) in [(0, None), (HOUR, None), (HOUR + 1, until(13)), (i64::MAX, until(13))] {
+        assert_eq!(nine.wait_until(START + 9 * HOUR, max_duration), expected, "{max_duration} ms");
     }
-    assert_eq!(of(14).expect("now").wait_until(START + 14 * HOUR, 0), until(15));
+    assert_eq!(status_at(14).expect("a current blackout").wait_until(START + 14 * HOUR, 0), until(15));
 }
 
 #[test]
-fn what_is_unused_is_lent_at_the_stated_speed_and_no_more_than_that() {
-    // (reserved, used, unused for so many ms, parts in a million a second) and what is lent.
-    for (reserved, used, since, speed, expected) in [
+fn unused_slots_are_lent_at_the_lending_rate_and_no_others() {
+    // Slots reserved and used, milliseconds unused, lending rate in parts per million a second, and slots lent.
+    for (reserved, used, unused_for, rate, expected) in [
         (100, 0, 1_000, 10_000, 1),
         (100, 0, 999, 10_000, 0),
         (100, 0, 50_000, 10_000, 50),
@@ -89,7 +94,7 @@
         (100, 40, 1_000, PARTS_PER_MILLION, 60),
         (u32::MAX, 0, i64::MAX, u32::MAX, u32::MAX),
     ] {
-        let found = lendable_slots(reserved, used, since, speed);
-        assert_eq!(found, expected, "{reserved} {used} {since} {speed}");
+        let found = lendable_slots(reserved, used, unused_for, rate);
+        assert_eq!(found, expected, "{reserved} {used} {unused_for} {rate}");
     }
 }
--- a/crates/reservations/tests/claim_state.rs
+++ b/crates/reservations/tests/claim_state.rs
@@ -1,11 +1,20 @@
-//! A claim's life: every step from every state.
+//! The states of a claim: every transition from every state.
 use copperspread_reservations::{ClaimState, InvalidTransition, Transition};
 
 #[test]
-fn each_step_leads_where_the_table_says_and_every_other_is_refused() {
-    use ClaimState::*;
-    let states = [Proposed, Held, Confirmed, Active, Done, Rejected, Displaced, Withdrawn, Lapsed];
-    let steps = [
+fn each_transition_follows_the_table_and_every_other_is_an_error() {
+    let states = [
+        ClaimState::Proposed,
+        ClaimState::Held,
+        ClaimState::Confirmed,
+        ClaimState::Active,
+        ClaimState::Done,
+        ClaimState::Rejected,
+        ClaimState::Displaced,
+        ClaimState::Withdrawn,
+        ClaimState::Lapsed,
+    ];
+    let transitions = [
         Transition::Hold,
         Transition::Confirm,
         Transition::Begin,
@@ -15,25 +24,25 @@
         Transition::Withdraw,
         Transition::Lapse,
     ];
-    // One row a state, one letter a step; "." is refused.
+    // One row a state, one letter a transition; "." is an error.
     let table = [
         "HC..R.WL", ".C...DWL", "..A..DW.", "...E.DW.", "........", "........", "........", "........",
         "........",
     ];
     for (from, row) in states.into_iter().zip(table) {
-        for (step, letter) in steps.into_iter().zip(row.chars()) {
+        for (transition, letter) in transitions.into_iter().zip(row.chars()) {
             let expected = match letter {
-                'H' => Ok(Held),
-                'C' => Ok(Confirmed),
-                'A' => Ok(Active),
-                'E' => Ok(Done),
-                'R' => Ok(Rejected),
-                'D' => Ok(Displaced),
-                'W' => Ok(Withdrawn),
-                'L' => Ok(Lapsed),
-                _ => Err(InvalidTransition { from, transition: step }),
+                'H' => Ok(ClaimState::Held),
+                'C' => Ok(ClaimState::Confirmed),
+                'A' => Ok(ClaimState::Active),
+                'E' => Ok(ClaimState::Done),
+                'R' => Ok(ClaimState::Rejected),
+                'D' => Ok(ClaimState::Displaced),
+                'W' => Ok(ClaimState::Withdrawn),
+                'L' => Ok(ClaimState::Lapsed),
+                _ => Err(InvalidTransition { from, transition }),
             };
-            assert_eq!(from.apply(step), expected, "{from:?} {step:?}");
+            assert_eq!(from.apply(transition), expected, "{from:?} {transition:?}");
         }
     }
 }
--- a/crates/reservations/tests/common/mod.rs
+++ b/crates/reservations/tests/common/mod.rs
@@ -1,66 +1,82 @@
-//! A calendar with a short way to write its log.
-#![allow(dead_code)]
-use copperspread_reservations::*;
+//! Builders of requests, and a calendar that keeps the log it was given.
+#![allow(dead_code, reason = "each test program uses a part of it")]
+use copperspread_reservations::{
+    Allocation, Amount, BlackoutEffect, BlackoutRequest, BlackoutTarget, Calendar, Change, ClaimId,
+    ClaimState, Command, CommandBody, CommandId, DAY, Event, Flexibility, HOUR, Interval, Millis, Name,
+    Owner, Reason, ReservationRequest, Schedule, Settings,
+};
 
 /// A Monday's midnight.
-pub const START: Millis = 1_796_601_600_000;
+pub(crate) const START: Millis = 1_796_601_600_000;
 
-pub fn name(text: &str) -> Name {
+pub(crate) fn name(text: &str) -> Name {
     Name::new(text).expect("a name")
 }
 
-pub fn id(sequence: u64) -> CommandId {
+pub(crate) fn id(sequence: u64) -> CommandId {
     CommandId { member: name("m"), incarnation: 1, sequence }
 }
 
-/// From so many hours after [`START`] to so many.
-pub fn hours(start: i64, end: i64) -> Interval {
+/// The interval between two hours, counted from [`START`].
+pub(crate) fn hours(start: i64, end: i64) -> Interval {
     Interval { start: START + start * HOUR, end: START + end * HOUR }
 }
 
-pub fn piece(start: i64, end: i64, slots: u32) -> Allocation {
+pub(crate) fn allocation(start: i64, end: i64, slots: u32) -> Allocation {
     Allocation { interval: hours(start, end), slots }
 }
 
-pub fn reserve(slots: u32, interval: Interval, precedence: u32, accepts: Flexibility) -> ReservationRequest {
+pub(crate) fn reservation_request(
+    slots: u32,
+    interval: Interval,
+    precedence: u32,
+    flexibility: Flexibility,
+) -> ReservationRequest {
     ReservationRequest {
         owner: Owner::Tenant(name("food")),
         pool: name("cpu"),
         amount: Amount::Slots(slots),
         schedule: Schedule::Once(interval),
         precedence,
-        flexibility: accepts,
+        flexibility,
         lending_rate_ppm: 0,
         hold_end: START + DAY,
     }
 }
 
-pub fn blackout(target: BlackoutTarget, effect: BlackoutEffect, interval: Interval) -> BlackoutRequest {
+pub(crate) fn blackout_request(
+    target: BlackoutTarget,
+    effect: BlackoutEffect,
+    interval: Interval,
+) -> BlackoutRequest {
     BlackoutRequest { target, effect, schedule: Schedule::Once(interval), hold_end: START + DAY }
 }
 
-pub const WHOLE: Flexibility = Flexibility { min_slots: None, allows_split: false };
-pub const SPLIT: Flexibility = Flexibility { min_slots: None, allows_split: true };
-pub const PART: Flexibility = Flexibility { min_slots: Some(1), allows_split: false };
+pub(crate) const INFLEXIBLE: Flexibility = Flexibility { min_slots: None, allows_split: false };
+pub(crate) const SPLITTABLE: Flexibility = Flexibility { min_slots: None, allows_split: true };
+pub(crate) const PARTIAL: Flexibility = Flexibility { min_slots: Some(1), allows_split: false };
 
-pub struct Log {
-    pub calendar: Calendar,
-    pub at: Millis,
+/// Appends commands to a log and applies them to a calendar with the pool `cpu` in the zone `north`.
+pub(crate) struct TestLog {
+    pub(crate) calendar: Calendar,
+    /// The instant of the next entry.
+    pub(crate) at: Millis,
     sequence: u64,
-    pub entries: Vec<(Millis, Command)>,
-    pub events: Vec<Event>,
+    pub(crate) entries: Vec<(Millis, Command)>,
+    /// The events of the last entry.
+    pub(crate) events: Vec<Event>,
 }
 
-impl Log {
-    pub fn new(notice: Millis, slots: u32) -> Log {
-        let calendar = Calendar::new(Settings { displacement_notice: notice }).expect("good settings");
+impl TestLog {
+    pub(crate) fn new(displacement_notice: Millis, slots: u32) -> TestLog {
+        let calendar = Calendar::new(Settings { displacement_notice }).expect("good settings");
         let (entries, events) = (Vec::new(), Vec::new());
-        let mut log = Log { calendar, at: START, sequence: 0, entries, events };
-        log.capacity(slots);
+        let mut log = TestLog { calendar, at: START, sequence: 0, entries, events };
+        log.set_capacity(slots);
         log
     }
 
-    pub fn put(&mut self, body: CommandBody) -> CommandId {
+    pub(crate) fn append(&mut self, body: CommandBody) -> CommandId {
         self.sequence += 1;
         let command = Command { id: id(self.sequence), body };
         self.events = self.calendar.apply(self.at, &command);
@@ -68,58 +84,58 @@
         id(self.sequence)
     }
 
-    pub fn capacity(&mut self, slots: u32) {
-        self.put(CommandBody::SetCapacity { pool: name("cpu"), zone: name("north"), slots });
+    pub(crate) fn set_capacity(&mut self, slots: u32) {
+        self.append(CommandBody::SetCapacity { pool: name("cpu"), zone: name("north"), slots });
     }
 
-    pub fn propose(
+    pub(crate) fn propose(
         &mut self,
         slots: u32,
         interval: Interval,
         precedence: u32,
-        accepts: Flexibility,
+        flexibility: Flexibility,
     ) -> ClaimId {
-        self.put(CommandBody::Reserve(reserve(slots, interval, precedence, accepts)))
+        self.append(CommandBody::Reserve(reservation_request(slots, interval, precedence, flexibility)))
     }
 
-    pub fn confirmed(
+    pub(crate) fn propose_and_confirm(
         &mut self,
         slots: u32,
-        span: Interval,
+        interval: Interval,
         precedence: u32,
-        accepts: Flexibility,
+        flexibility: Flexibility,
     ) -> ClaimId {
-        let claim = self.propose(slots, span, precedence, accepts);
-        self.put(CommandBody::Confirm(claim.clone()));
+        let claim = self.propose(slots, interval, precedence, flexibility);
+        self.append(CommandBody::Confirm(claim.clone()));
         claim
     }
 
-    pub fn black_out(
+    pub(crate) fn confirm_blackout(
         &mut self,
         target: BlackoutTarget,
         effect: BlackoutEffect,
         interval: Interval,
     ) -> ClaimId {
-        let claim = self.put(CommandBody::Blackout(blackout(target, effect, interval)));
-        self.put(CommandBody::Confirm(claim.clone()));
+        let claim = self.append(CommandBody::Blackout(blackout_request(target, effect, interval)));
+        self.append(CommandBody::Confirm(claim.clone()));
         claim
     }
 
-    pub fn to(&mut self, hour: i64) {
+    pub(crate) fn advance_to_hour(&mut self, hour: i64) {
         self.at = START + hour * HOUR;
-        self.put(CommandBody::AdvanceTime);
+        self.append(CommandBody::AdvanceTime);
     }
 
-    pub fn state(&self, claim: &ClaimId) -> ClaimState {
-        self.calendar.state_of(claim).expect("known")
+    pub(crate) fn state_of(&self, claim: &ClaimId) -> ClaimState {
+        self.calendar.state_of(claim).expect("a known claim")
     }
 
-    /// Why a claim came where it stands, in the last events.
-    pub fn why(&self, claim: &ClaimId) -> Reason {
-        let moved = self.events.iter().rev().find_map(|event| match &event.change {
+    /// The reason of a claim's last transition among the events of the last entry.
+    pub(crate) fn last_reason(&self, claim: &ClaimId) -> Reason {
+        let reason = self.events.iter().rev().find_map(|event| match &event.change {
             Change::StateChanged(change) if change.claim == *claim => Some(change.reason.clone()),
             _ => None,
         });
-        moved.expect("moved")
+        reason.expect("a transition")
     }
 }
--- /dev/null
+++ b/crates/reservations/tests/error_texts.rs
@@ -0,0 +1,84 @@
+//! Texts of errors and reasons, and of malformed JSON: they keep the names of the stored form.
+mod common;
+
+use common::{hours, id};
+use copperspread_reservations::{
+    Calendar, ClaimState, Command, DAY, Event, FieldError, InvalidTransition, Reason, Rejection, Settings,
+    Transition,
+};
+
+#[test]
+fn a_rejection_names_its_field_and_a_transition_its_stored_names() {
+    let invalid = |from, transition| FieldError::InvalidTransition(InvalidTransition { from, transition });
+    for (error, expected) in [
+        (FieldError::OutOfRange { min: 1, max: 7 }, "when.end: not in 1 to 7"),
+        (FieldError::Empty, "when.end: empty"),
+        (FieldError::InThePast, "when.end: past"),
+        (FieldError::LimitExceeded(512), "when.end: more than 512"),
+        (FieldError::Unknown, "when.end: unknown"),
+        (FieldError::BelowOneSlot, "when.end: less than a slot"),
+        (FieldError::ExceedsPool(20), "when.end: more than the pool's 20 slots"),
+        (FieldError::TooOld, "when.end: too old to know whether it acted"),
+        (
+            invalid(ClaimState::Rejected, Transition::Withdraw),
+            "when.end: a claim that is Refused has no step Withdraw",
+        ),
+        (
+            invalid(ClaimState::Lapsed, Transition::Reject),
+            "when.end: a claim that is Lapsed has no step Refuse",
+        ),
+    ] {
+        assert_eq!(Rejection { field: "when.end".into(), error }.to_string(), expected);
+    }
+}
+
+#[test]
+fn each_reason_has_its_text() {
+    let infeasible = Reason::Infeasible { blocked: hours(0, 1), alternative: None };
+    for (reason, expected) in [
+        (Reason::Requested, "asked for"),
+        (Reason::Fits, "it fits"),
+        (Reason::FitsPartially, "less of it fits, which it accepts"),
+        (Reason::RequiresDisplacement(vec![id(1), id(2)]), "it fits only if 2 make room"),
+        (infeasible, "infeasible: blocked from 1796601600000 to 1796605200000"),
+        (Reason::InThePast, "past"),
+        (Reason::HoldExpired, "not confirmed before its hold ended"),
+        (Reason::TimeReached, "its time came"),
+        (Reason::DisplacedBy(id(3)), "makes room for m/1/3"),
+        (Reason::UnderBlackout(id(4)), "under the blackout m/1/4"),
+        (Reason::PoolChanged, "the pool changed"),
+    ] {
+        assert_eq!(reason.to_string(), expected);
+    }
+}
+
+#[test]
+fn settings_out_of_bounds_have_their_text() {
+    for displacement_notice in [-1, 30 * DAY + 1] {
+        let error = Calendar::new(Settings { displacement_notice }).expect_err("out of bounds");
+        assert_eq!(error.to_string(), "notice: not in 0 to 30 days");
+    }
+}
+
+#[test]
+fn malformed_json_is_reported_with_the_stored_type_names() {
+    let command_error = |body: &str| {
+        let json = format!(r#"{{"id":{{"member":"m","generation":1,"sequence":1}},"body":{body}}}"#);
+        serde_json::from_str::<Command>(&json).expect_err("malformed").to_string()
+    };
+    for (body, expected) in [
+        (r#"{"Reserve":5}"#, "expected struct Reserve"),
+        (r#"{"Blackout":5}"#, "expected struct Blackout"),
+        (r#"{"Capacity":5}"#, "expected struct variant Body::Capacity"),
+        (r#"{"SetCapacity":5}"#, "unknown variant `SetCapacity`, expected one of `Reserve`"),
+        (r#"{"Capacity":{"zone":"north","slots":5}}"#, "missing field `pool`"),
+    ] {
+        let error = command_error(body);
+        assert!(error.contains(expected), "{error}");
+    }
+    let event = r#"{"at":1,"command":null,"change":{"Moved":5}}"#;
+    let error = serde_json::from_str::<Event>(event).expect_err("malformed").to_string();
+    assert!(error.contains("expected struct variant Change::Moved"), "{error}");
+    let error = serde_json::from_str::<Calendar>("5").expect_err("malformed").to_string();
+    assert!(error.contains("expected struct Inner"), "{error}");
+}
--- a/crates/reservations/tests/recurrence.rs
+++ b/crates/reservations/tests/recurrence.rs
@@ -1,28 +1,31 @@
-//! Repeats by local time through the nights on which the clock changes.
-use copperspread_reservations::*;
+//! Recurrences by local time, through the nights on which the clock changes.
+use copperspread_reservations::{
+    DAY, FieldError, HOUR, Interval, MAX_INTERVAL_LENGTH, Millis, Name, PLANNING_HORIZON, Recurrence,
+    RecurrenceDays, Rejection, Schedule,
+};
 
-/// Two instants as texts.
-type Span<'a> = (&'a str, &'a str);
+/// Two instants, written out.
+type Bounds<'a> = (&'a str, &'a str);
 /// A local day's interval, by hour and minute.
-type Wall = ((u16, u16), (u16, u16));
+type WallClock = ((u16, u16), (u16, u16));
 
 fn utc(text: &str) -> Millis {
     text.parse::<jiff::Timestamp>().expect("an instant").as_millisecond()
 }
 
-fn repeat(
+fn recurring(
     zone: &str,
     days: RecurrenceDays,
-    ((from, from_minute), (to, to_minute)): Wall,
-    span: Span<'_>,
+    ((start_hour, start_minute), (end_hour, end_minute)): WallClock,
+    bounds: Bounds<'_>,
 ) -> Schedule {
     Schedule::Recurring(Recurrence {
         zone: Name::new(zone).expect("a name"),
         days,
-        start_minute: from * 60 + from_minute,
-        end_minute: to * 60 + to_minute,
-        not_before: utc(span.0),
-        until: utc(span.1),
+        start_minute: start_hour * 60 + start_minute,
+        end_minute: end_hour * 60 + end_minute,
+        not_before: utc(bounds.0),
+        until: utc(bounds.1),
     })
 }
 
@@ -31,7 +34,7 @@
 }
 
 #[test]
-fn on_nights_with_a_change_of_clock_an_interval_has_all_that_its_wall_clock_says() {
+fn on_nights_with_a_clock_change_an_interval_covers_all_that_its_wall_clock_times_name() {
     // Amsterdam puts its clock forward at 01:00Z on 29 March 2026 (02:00 to 03:00) and back at 01:00Z on
     // 25 October (03:00 to 02:00); Cairo forward at 22:00Z on 23 April (midnight to 01:00 on the 24th) and
     // back at 21:00Z on 29 October (midnight to 23:00 on the 29th).
@@ -40,7 +43,7 @@
     let autumn = ("2026-10-24T12:00:00Z", "2026-10-25T12:00:00Z");
     let cairo_spring = ("2026-04-23T12:00:00Z", "2026-04-24T12:00:00Z");
     let cairo_autumn = ("2026-10-29T12:00:00Z", "2026-10-30T12:00:00Z");
-    let cases: [(&str, Span<'_>, Wall, Option<Span<'_>>); 17] = [
+    let cases: [(&str, Bounds<'_>, WallClock, Option<Bounds<'_>>); 17] = [
         (amsterdam, spring, ((1, 0), (4, 0)), Some(("2026-03-29T00:00:00Z", "2026-03-29T02:00:00Z"))),
         (amsterdam, spring, ((2, 0), (4, 0)), Some(("2026-03-29T01:00:00Z", "2026-03-29T02:00:00Z"))),
         (amsterdam, spring, ((2, 30), (4, 0)), Some(("2026-03-29T01:00:00Z", "2026-03-29T02:00:00Z"))),
@@ -59,20 +62,21 @@
         (cairo, cairo_autumn, ((23, 30), (0, 30)), Some(("2026-10-29T20:30:00Z", "2026-10-29T22:30:00Z"))),
         (cairo, cairo_autumn, ((22, 0), (23, 30)), Some(("2026-10-29T19:00:00Z", "2026-10-29T21:30:00Z"))),
     ];
-    for (zone, span, wall, expected) in cases {
-        let found = repeat(zone, every_day(), wall, span).intervals(utc(span.0));
+    for (zone, bounds, wall_clock, expected) in cases {
+        let found = recurring(zone, every_day(), wall_clock, bounds).intervals(utc(bounds.0));
         let expected = match expected {
             Some((start, end)) => Ok(vec![Interval { start: utc(start), end: utc(end) }]),
             None => Err(Rejection { field: "when".into(), error: FieldError::Empty }),
         };
-        assert_eq!(found, expected, "{zone} {span:?} {wall:?}");
+        assert_eq!(found, expected, "{zone} {bounds:?} {wall_clock:?}");
     }
 }
 
 #[test]
-fn a_day_round_the_clock_never_overlaps_the_next_through_an_hour_that_comes_twice() {
-    let span = ("2026-10-22T00:00:00Z", "2026-10-28T12:00:00Z");
-    let found = repeat("Europe/Amsterdam", every_day(), ((2, 30), (2, 30)), span).intervals(utc(span.0));
+fn a_24_hour_occurrence_never_overlaps_the_next_through_a_repeated_hour() {
+    let bounds = ("2026-10-22T00:00:00Z", "2026-10-28T12:00:00Z");
+    let found =
+        recurring("Europe/Amsterdam", every_day(), ((2, 30), (2, 30)), bounds).intervals(utc(bounds.0));
     let found = found.expect("good");
     assert_eq!(found.len(), 6);
     assert!(found.windows(2).all(|two| two[0].end == two[1].start), "{found:?}");
@@ -82,7 +86,7 @@
 
 #[test]
 fn days_of_the_month_count_from_both_ends_and_are_skipped_where_they_do_not_exist() {
-    let span = ("2026-01-15T00:00:00Z", "2026-06-15T00:00:00Z");
+    let bounds = ("2026-01-15T00:00:00Z", "2026-06-15T00:00:00Z");
     for (days, expected) in [
         (vec![-1], vec!["2026-01-31", "2026-02-28", "2026-03-31", "2026-04-30", "2026-05-31"]),
         (vec![30], vec!["2026-01-30", "2026-03-30", "2026-04-30", "2026-05-30"]),
@@ -92,17 +96,21 @@
         ),
         (vec![-31], vec!["2026-03-01", "2026-05-01"]),
     ] {
-        let when =
-            repeat("UTC", RecurrenceDays::MonthDays(days.iter().copied().collect()), ((8, 0), (9, 0)), span);
+        let when = recurring(
+            "UTC",
+            RecurrenceDays::MonthDays(days.iter().copied().collect()),
+            ((8, 0), (9, 0)),
+            bounds,
+        );
         let starts: Vec<_> =
-            when.intervals(utc(span.0)).expect("good").iter().map(|each| each.start).collect();
+            when.intervals(utc(bounds.0)).expect("good").iter().map(|each| each.start).collect();
         let expected: Vec<_> = expected.iter().map(|day| utc(&format!("{day}T08:00:00Z"))).collect();
         assert_eq!(starts, expected, "{days:?}");
     }
 }
 
 #[test]
-fn what_is_out_of_bounds_is_refused_with_its_field() {
+fn a_value_out_of_bounds_is_rejected_with_its_field() {
     let now = utc("2026-01-01T00:00:00Z");
     let good = || Recurrence {
         zone: Name::new("UTC").expect("a name"),
@@ -149,9 +157,9 @@
             FieldError::Empty,
         ),
     ];
-    for (when, field, fault) in cases {
-        let expected = Err(Rejection { field: field.into(), error: fault });
-        assert_eq!(when.intervals(now), expected, "{when:?}");
+    for (schedule, field, error) in cases {
+        let expected = Err(Rejection { field: field.into(), error });
+        assert_eq!(schedule.intervals(now), expected, "{schedule:?}");
     }
     assert_eq!(Schedule::Recurring(good()).intervals(now).map(|found| found.len()), Ok(4));
 }
--- a/crates/reservations/tests/replay.rs
+++ b/crates/reservations/tests/replay.rs
@@ -1,19 +1,23 @@
-//! The same log gives the same bytes, whatever is said twice, and from any snapshot on.
+//! The same log gives the same bytes, also if commands are repeated, and from any snapshot on.
 mod common;
 
-use common::*;
-use copperspread_reservations::*;
+use common::{START, TestLog, blackout_request, id, name, reservation_request};
+use copperspread_reservations::{
+    Amount, BlackoutEffect, BlackoutRequest, BlackoutTarget, Calendar, Change, ClaimId, Command, CommandBody,
+    CommandId, Event, FieldError, Flexibility, HOUR, Interval, MAX_INSTANT, Millis, Name, ReservationRequest,
+    Settings, StateChange,
+};
 
-/// A log with all kinds of commands, some of which are refused.
+/// A log with all kinds of commands, some of which are rejected.
 fn entries(seed: u64) -> Vec<(Millis, Command)> {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut log = Log::new(HOUR, 20);
+    let mut log = TestLog::new(HOUR, 20);
     let mut claims = Vec::new();
     for _ in 0..400 {
         log.at += random.i64(0..HOUR);
         let start = log.at + random.i64(-2..30) * HOUR;
-        let span = Interval { start, end: start + random.i64(0..12) * HOUR };
-        let accepts = Flexibility { min_slots: random.bool().then_some(2), allows_split: random.bool() };
+        let interval = Interval { start, end: start + random.i64(0..12) * HOUR };
+        let flexibility = Flexibility { min_slots: random.bool().then_some(2), allows_split: random.bool() };
         let hold_end = log.at + random.i64(1..20) * HOUR;
         let body = match random.u32(0..10) {
             0..=4 => {
@@ -21,8 +25,8 @@
                     true => Amount::Slots(random.u32(0..15)),
                     false => Amount::PartsPerMillion(random.u32(0..700_000)),
                 };
-                let reserve = reserve(0, span, random.u32(0..4), accepts);
-                CommandBody::Reserve(ReservationRequest { amount, hold_end, ..reserve })
+                let request = reservation_request(0, interval, random.u32(0..4), flexibility);
+                CommandBody::Reserve(ReservationRequest { amount, hold_end, ..request })
             }
             5..=7 if !claims.is_empty() => {
                 let claim: ClaimId = random.choice(&claims).cloned().expect("some");
@@ -32,16 +36,16 @@
                 let target = BlackoutTarget::Tenant(name(if random.bool() { "food" } else { "shelter" }));
                 CommandBody::Blackout(BlackoutRequest {
                     hold_end,
-                    ..blackout(target, BlackoutEffect::NoWork, span)
+                    ..blackout_request(target, BlackoutEffect::NoWork, interval)
                 })
             }
             _ => {
                 CommandBody::SetCapacity { pool: name("cpu"), zone: name("north"), slots: random.u32(10..30) }
             }
         };
-        let claim = matches!(body, CommandBody::Reserve(_) | CommandBody::Blackout(_));
-        let id = log.put(body);
-        if claim {
+        let is_claim = matches!(body, CommandBody::Reserve(_) | CommandBody::Blackout(_));
+        let id = log.append(body);
+        if is_claim {
             claims.push(id);
         }
     }
@@ -49,12 +53,12 @@
 }
 
 fn bytes(calendar: &Calendar) -> String {
-    serde_json::to_string(calendar).expect("text")
+    serde_json::to_string(calendar).expect("JSON")
 }
 
 #[test]
-fn a_log_replayed_gives_the_same_events_and_bytes_though_every_command_comes_again() {
-    let mut kinds = std::collections::BTreeSet::new();
+fn a_replayed_log_gives_the_same_events_and_bytes_even_if_every_command_is_repeated() {
+    let mut outcomes = std::collections::BTreeSet::new();
     for seed in 0..4 {
         let entries = entries(seed);
         let new = || Calendar::new(Settings { displacement_notice: HOUR }).expect("good settings");
@@ -62,17 +66,17 @@
         for (index, (at, command)) in entries.iter().enumerate() {
             let events = once.apply(*at, command);
             assert_eq!(twice.apply(*at, command), events);
-            assert_eq!(twice.apply(*at, command), [], "the second does nothing");
-            let (earlier, again) = &entries[index.saturating_sub(100)];
-            assert_eq!(twice.apply(*earlier, again), [], "nor does an old one");
+            assert_eq!(twice.apply(*at, command), [], "a duplicate changes nothing");
+            let (earlier, repeated) = &entries[index.saturating_sub(100)];
+            assert_eq!(twice.apply(*earlier, repeated), [], "nor does a late one");
             if index % 10 == 0 {
                 restored = serde_json::from_str(&bytes(&restored)).expect("a snapshot");
             }
             assert_eq!(restored.apply(*at, command), events);
             for event in &events {
                 match &event.change {
-                    Change::StateChanged(StateChange { to, .. }) => kinds.insert(format!("{to:?}")),
-                    Change::Rejected(_) => kinds.insert("rejected".into()),
+                    Change::StateChanged(StateChange { to, .. }) => outcomes.insert(format!("{to:?}")),
+                    Change::Rejected(_) => outcomes.insert("rejected".into()),
                     _ => false,
                 };
             }
@@ -84,11 +88,11 @@
             assert_eq!(restored.next_change_after(at), once.next_change_after(at));
         }
     }
-    assert_eq!(kinds.len(), 10, "the logs had every state, and refusals: {kinds:?}");
+    assert_eq!(outcomes.len(), 10, "the logs had every state, and rejections: {outcomes:?}");
 }
 
 #[test]
-fn what_is_granted_never_exceeds_the_pool_and_keeps_clear_of_blackouts() {
+fn allocations_never_exceed_the_pool_nor_overlap_blackouts() {
     for seed in 100..104 {
         let mut calendar = Calendar::new(Settings { displacement_notice: HOUR }).expect("good settings");
         for (at, command) in entries(seed) {
@@ -97,7 +101,7 @@
             while let Some(now) = next {
                 let allowances = calendar.allowances(now);
                 let cpu = &allowances.pools[&name("cpu")];
-                let reserved: u32 = cpu.reservations.iter().map(|each| each.slots).sum();
+                let reserved: u32 = cpu.reservations.iter().map(|reservation| reservation.slots).sum();
                 assert_eq!(reserved + cpu.unreserved_slots, cpu.slots, "at {now}");
                 let food = allowances.tenant_blackouts.get(&name("food"));
                 if food.is_some_and(|food| food.no_new_work_until.is_some()) {
@@ -110,28 +114,28 @@
 }
 
 #[test]
-fn an_entry_out_of_time_or_from_an_earlier_start_changes_nothing() {
-    let mut log = Log::new(HOUR, 10);
+fn an_entry_with_an_invalid_instant_or_of_an_earlier_incarnation_changes_nothing() {
+    let mut log = TestLog::new(HOUR, 10);
     let before = bytes(&log.calendar);
     for at in [-1, MAX_INSTANT + 1, i64::MIN, i64::MAX] {
         let events = log.calendar.apply(at, &Command { id: id(9), body: CommandBody::AdvanceTime });
         assert!(
-            matches!(&events[..], [Event { change: Change::Rejected(refusal), .. }] if refusal.field == "at")
+            matches!(&events[..], [Event { change: Change::Rejected(rejection), .. }] if rejection.field == "at")
         );
     }
     let old = CommandId { incarnation: 0, ..id(9) };
     let events = log.calendar.apply(START, &Command { id: old, body: CommandBody::AdvanceTime });
-    assert!(matches!(&events[..], [Event { change: Change::Rejected(refusal), .. }]
-        if refusal.error == FieldError::TooOld));
+    assert!(matches!(&events[..], [Event { change: Change::Rejected(rejection), .. }]
+        if rejection.error == FieldError::TooOld));
     assert_eq!(bytes(&log.calendar), before);
 }
 
 #[test]
-fn names_out_of_bounds_are_not_read() {
-    for (text, good) in
+fn an_invalid_name_is_not_deserialized() {
+    for (text, is_valid) in
         [("a", true), (&"a".repeat(64), true), (&"a".repeat(65), false), ("", false), ("a\n", false)]
     {
-        let json = serde_json::to_string(text).expect("text");
-        assert_eq!(serde_json::from_str::<Name>(&json).is_ok(), good, "{text:?}");
+        let json = serde_json::to_string(text).expect("JSON");
+        assert_eq!(serde_json::from_str::<Name>(&json).is_ok(), is_valid, "{text:?}");
     }
 }
--- a/crates/reservations/tests/transcripts.rs
+++ b/crates/reservations/tests/transcripts.rs
@@ -3,8 +3,12 @@
 
 use std::fmt::Debug;
 
-use common::{START, WHOLE, hours, id, name, piece, reserve};
-use copperspread_reservations::*;
+use common::{INFLEXIBLE, START, allocation, hours, id, name, reservation_request};
+use copperspread_reservations::{
+    AllocationChange, Amount, BlackoutEffect, BlackoutTarget, Calendar, CapacityChange, Change, ClaimState,
+    Command, CommandBody, DAY, Event, FieldError, Flexibility, HOUR, InvalidTransition, Owner, Reason,
+    Recurrence, RecurrenceDays, Rejection, ReservationRequest, Schedule, Settings, StateChange, Transition,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -18,38 +22,37 @@
     values.iter().map(line).collect()
 }
 
-fn repeat(days: RecurrenceDays) -> Schedule {
-    let (first, until) = (START, START + 7 * DAY);
+fn recurring(days: RecurrenceDays) -> Schedule {
     Schedule::Recurring(Recurrence {
         zone: name("Africa/Cairo"),
         days,
         start_minute: 1_320,
         end_minute: 360,
-        not_before: first,
-        until,
+        not_before: START,
+        until: START + 7 * DAY,
     })
 }
 
 fn blackout(target: BlackoutTarget, effect: BlackoutEffect) -> CommandBody {
-    CommandBody::Blackout(common::blackout(target, effect, hours(8, 10)))
+    CommandBody::Blackout(common::blackout_request(target, effect, hours(8, 10)))
 }
 
 fn bodies() -> Vec<CommandBody> {
-    let accepts = Flexibility { min_slots: Some(2), allows_split: true };
+    let flexibility = Flexibility { min_slots: Some(2), allows_split: true };
     let of_federation = ReservationRequest {
         owner: Owner::Federation(name("relief")),
         amount: Amount::PartsPerMillion(250_000),
-        schedule: repeat(RecurrenceDays::Weekdays([1, 7].into())),
+        schedule: recurring(RecurrenceDays::Weekdays([1, 7].into())),
         lending_rate_ppm: 500,
-        ..reserve(0, hours(0, 1), 3, accepts)
+        ..reservation_request(0, hours(0, 1), 3, flexibility)
     };
     let monthly = ReservationRequest {
-        schedule: repeat(RecurrenceDays::MonthDays([-1, 10].into())),
-        ..reserve(4, hours(0, 1), 0, WHOLE)
+        schedule: recurring(RecurrenceDays::MonthDays([-1, 10].into())),
+        ..reservation_request(4, hours(0, 1), 0, INFLEXIBLE)
     };
     vec![
         CommandBody::SetCapacity { pool: name("cpu"), zone: name("north"), slots: 20 },
-        CommandBody::Reserve(reserve(5, hours(5, 7), 1, WHOLE)),
+        CommandBody::Reserve(reservation_request(5, hours(5, 7), 1, INFLEXIBLE)),
         CommandBody::Reserve(of_federation),
         CommandBody::Reserve(monthly),
         blackout(BlackoutTarget::Class(name("batch")), BlackoutEffect::NoNewWork),
@@ -67,23 +70,23 @@
     (1..).zip(bodies()).map(|(sequence, body)| Command { id: id(sequence), body }).collect()
 }
 
-fn moved(from: Option<ClaimState>, to: ClaimState, reason: Reason) -> Change {
+fn state_changed(from: Option<ClaimState>, to: ClaimState, reason: Reason) -> Change {
     Change::StateChanged(StateChange { claim: id(2), from, to, reason })
 }
 
-fn rejected(fault: FieldError) -> Change {
-    Change::Rejected(Rejection { field: "when.end".into(), error: fault })
+fn rejected(error: FieldError) -> Change {
+    Change::Rejected(Rejection { field: "when.end".into(), error })
 }
 
 fn changes() -> Vec<Change> {
-    let granted = |allocations, reason, alternative| {
+    let allocations_changed = |allocations, reason, alternative| {
         let (claim, occurrence) = (id(2), hours(2, 4));
         Change::AllocationsChanged(AllocationChange { claim, occurrence, allocations, reason, alternative })
     };
     let infeasible = Reason::Infeasible { blocked: hours(2, 3), alternative: Some(hours(5, 6)) };
-    let needs_room = Reason::RequiresDisplacement(vec![id(3), id(4)]);
-    let illegal = InvalidTransition { from: ClaimState::Done, transition: Transition::Withdraw };
-    let faults = [
+    let requires_displacement = Reason::RequiresDisplacement(vec![id(3), id(4)]);
+    let invalid_transition = InvalidTransition { from: ClaimState::Done, transition: Transition::Withdraw };
+    let errors = [
         FieldError::OutOfRange { min: 1, max: 7 },
         FieldError::Empty,
         FieldError::InThePast,
@@ -91,26 +94,26 @@
         FieldError::Unknown,
         FieldError::BelowOneSlot,
         FieldError::ExceedsPool(20),
-        FieldError::InvalidTransition(illegal),
+        FieldError::InvalidTransition(invalid_transition),
         FieldError::TooOld,
     ];
     let mut changes = vec![
-        moved(None, ClaimState::Proposed, needs_room),
-        moved(Some(ClaimState::Proposed), ClaimState::Held, Reason::Fits),
-        moved(Some(ClaimState::Held), ClaimState::Confirmed, Reason::Requested),
-        moved(Some(ClaimState::Confirmed), ClaimState::Active, Reason::TimeReached),
-        moved(Some(ClaimState::Active), ClaimState::Done, Reason::TimeReached),
-        moved(None, ClaimState::Rejected, infeasible),
-        moved(Some(ClaimState::Confirmed), ClaimState::Displaced, Reason::DisplacedBy(id(5))),
-        moved(Some(ClaimState::Active), ClaimState::Displaced, Reason::UnderBlackout(id(6))),
-        moved(Some(ClaimState::Held), ClaimState::Withdrawn, Reason::Requested),
-        moved(Some(ClaimState::Held), ClaimState::Lapsed, Reason::HoldExpired),
-        moved(Some(ClaimState::Proposed), ClaimState::Lapsed, Reason::InThePast),
-        granted(vec![piece(2, 3, 5), piece(3, 4, 2)], Reason::FitsPartially, None),
-        granted(Vec::new(), Reason::PoolChanged, Some(hours(5, 7))),
+        state_changed(None, ClaimState::Proposed, requires_displacement),
+        state_changed(Some(ClaimState::Proposed), ClaimState::Held, Reason::Fits),
+        state_changed(Some(ClaimState::Held), ClaimState::Confirmed, Reason::Requested),
+        state_changed(Some(ClaimState::Confirmed), ClaimState::Active, Reason::TimeReached),
+        state_changed(Some(ClaimState::Active), ClaimState::Done, Reason::TimeReached),
+        state_changed(None, ClaimState::Rejected, infeasible),
+        state_changed(Some(ClaimState::Confirmed), ClaimState::Displaced, Reason::DisplacedBy(id(5))),
+        state_changed(Some(ClaimState::Active), ClaimState::Displaced, Reason::UnderBlackout(id(6))),
+        state_changed(Some(ClaimState::Held), ClaimState::Withdrawn, Reason::Requested),
+        state_changed(Some(ClaimState::Held), ClaimState::Lapsed, Reason::HoldExpired),
+        state_changed(Some(ClaimState::Proposed), ClaimState::Lapsed, Reason::InThePast),
+        allocations_changed(vec![allocation(2, 3, 5), allocation(3, 4, 2)], Reason::FitsPartially, None),
+        allocations_changed(Vec::new(), Reason::PoolChanged, Some(hours(5, 7))),
         Change::CapacityChanged(CapacityChange { pool: name("cpu"), zone: name("north"), slots: 20 }),
     ];
-    changes.extend(faults.map(rejected));
+    changes.extend(errors.map(rejected));
     changes
 }
 
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn a_calendar_and_what_it_allows_are_as_approved_and_go_on_when_restored() {
+fn calendar_and_allowances_are_as_approved_and_continue_when_restored() {
     let settings = Settings { displacement_notice: HOUR };
     insta::assert_snapshot!("settings", json_lines(&[settings]));
     let mut calendar = Calendar::new(settings).expect("good settings");
