--- a/crates/reservations/benches/calendar.rs
+++ b/crates/reservations/benches/calendar.rs
@@ -1,4 +1,4 @@
-//! What 100,000 claims cost: one more, a look-up, the next change, the whole resolved anew, the whole replayed.
+//! The cost of up to 100,000 claims: one more claim, allowances, the next change, displacement, a replay.
 //! Run it with `cargo bench -p copperspread-reservations`.
 use copperspread_reservations::{
     Amount, Calendar, Command, CommandBody, CommandId, DAY, Flexibility, HOUR, Interval, Millis, Name, Owner,
@@ -6,11 +6,11 @@
 };
 use divan::{Bencher, black_box};
 
-const CLAIMS: [u64; 3] = [1_000, 10_000, 100_000];
-/// Pools that share them.
-const POOLS: u64 = 50;
+const CLAIM_COUNTS: [u64; 3] = [1_000, 10_000, 100_000];
+/// Pools among which the claims are spread.
+const POOL_COUNT: u64 = 50;
 const START: Millis = 1_796_601_600_000;
-const SLOTS: u32 = 4_000;
+const SLOTS_PER_POOL: u32 = 4_000;
 
 fn main() {
     divan::main();
@@ -43,7 +43,7 @@
     };
     let reserve = ReservationRequest {
         owner: Owner::Tenant(name(&format!("tenant-{}", number % 200))),
-        pool: name(&format!("pool-{}", number % POOLS)),
+        pool: name(&format!("pool-{}", number % POOL_COUNT)),
         amount: Amount::Slots(random.u32(1..=40)),
         schedule: Schedule::Once(interval),
         precedence,
@@ -55,7 +55,7 @@
 }
 
 fn log(claims: u64) -> Vec<Command> {
-    let pools = (0..POOLS).map(|pool| capacity(pool + 1, pool, SLOTS));
+    let pools = (0..POOL_COUNT).map(|pool| capacity(pool + 1, pool, SLOTS_PER_POOL));
     let confirmed = (1..=claims).flat_map(|number| {
         let made = claim(number, 1);
         let confirm = command("confirms", number, CommandBody::Confirm(made.id.clone()));
@@ -72,8 +72,8 @@
     calendar
 }
 
-#[divan::bench(args = CLAIMS)]
-fn one_more_claim(bencher: Bencher<'_, '_>, claims: u64) {
+#[divan::bench(args = CLAIM_COUNTS)]
+fn propose_and_withdraw_a_claim(bencher: Bencher<'_, '_>, claims: u64) {
     let mut calendar = calendar(claims);
     let mut number = claims;
     bencher.bench_local(|| {
@@ -83,8 +83,8 @@
     });
 }
 
-#[divan::bench(args = CLAIMS)]
-fn allowances(bencher: Bencher<'_, '_>, claims: u64) {
+#[divan::bench(args = CLAIM_COUNTS)]
+fn read_allowances(bencher: Bencher<'_, '_>, claims: u64) {
     let calendar = calendar(claims);
     let mut at = START;
     bencher.bench_local(|| {
@@ -93,8 +93,8 @@
     });
 }
 
-#[divan::bench(args = CLAIMS)]
-fn next_change(bencher: Bencher<'_, '_>, claims: u64) {
+#[divan::bench(args = CLAIM_COUNTS)]
+fn find_next_change(bencher: Bencher<'_, '_>, claims: u64) {
     let calendar = calendar(claims);
     let mut at = START;
     bencher.bench_local(|| {
@@ -105,7 +105,7 @@
 
 /// All claims in one pool within 31 days, and one that displaces all of them over 48 hours.
 #[divan::bench(args = [1_000, 10_000], sample_count = 3, sample_size = 1)]
-fn room_in_a_crowd(bencher: Bencher<'_, '_>, claims: u64) {
+fn displace_a_crowd(bencher: Bencher<'_, '_>, claims: u64) {
     let mut crowd = Calendar::new(Settings::default()).expect("good settings");
     let crowded = |number, precedence| {
         let mut made = claim(number, precedence);
@@ -138,19 +138,19 @@
 }
 
 /// All pools lose slots at once, so that what is too much goes by rank, each with its nearest offer.
-#[divan::bench(args = CLAIMS, sample_count = 3, sample_size = 1)]
-fn the_whole_resolved(bencher: Bencher<'_, '_>, claims: u64) {
+#[divan::bench(args = CLAIM_COUNTS, sample_count = 3, sample_size = 1)]
+fn shrink_all_pools(bencher: Bencher<'_, '_>, claims: u64) {
     let calendar = calendar(claims);
     bencher.with_inputs(|| calendar.clone()).bench_local_values(|mut calendar| {
-        for pool in 0..POOLS {
-            calendar.apply(START, &capacity(POOLS + 1 + pool, pool, 60));
+        for pool in 0..POOL_COUNT {
+            calendar.apply(START, &capacity(POOL_COUNT + 1 + pool, pool, 60));
         }
         calendar
     });
 }
 
-#[divan::bench(args = CLAIMS, sample_count = 3, sample_size = 1)]
-fn the_whole_replayed(bencher: Bencher<'_, '_>, claims: u64) {
+#[divan::bench(args = CLAIM_COUNTS, sample_count = 3, sample_size = 1)]
+fn replay_the_log(bencher: Bencher<'_, '_>, claims: u64) {
     let log = log(claims);
     bencher.bench_local(|| {
         let mut calendar = Calendar::new(Settings::default()).expect("good settings");
