--- a/crates/reservations/benches/calendar.rs
+++ b/crates/reservations/benches/calendar.rs
@@ -24,7 +24,7 @@
     Command { id: CommandId { member: name(member), incarnation: 1, sequence }, body }
 }
 
-fn capacity(sequence: u64, pool: u64, slots: u32) -> Command {
+fn set_capacity(sequence: u64, pool: u64, slots: u32) -> Command {
     command(
         "pools",
         sequence,
@@ -32,34 +32,34 @@
     )
 }
 
-/// Claims of 1 to 48 hours spread over a year and the pools; some accept less.
+/// A claim of 1 to 48 hours. The claims are spread over a year and the pools; some accept less.
 fn claim(number: u64, precedence: u32) -> Command {
     let mut random = fastrand::Rng::with_seed(number);
     let start = START + random.i64(2 * HOUR..390 * DAY);
     let interval = Interval { start, end: start + random.i64(HOUR..48 * HOUR) };
-    let accepts = Flexibility {
+    let flexibility = Flexibility {
         min_slots: number.is_multiple_of(4).then_some(1),
         allows_split: number.is_multiple_of(8),
     };
-    let reserve = ReservationRequest {
+    let request = ReservationRequest {
         owner: Owner::Tenant(name(&format!("tenant-{}", number % 200))),
         pool: name(&format!("pool-{}", number % POOL_COUNT)),
         amount: Amount::Slots(random.u32(1..=40)),
         schedule: Schedule::Once(interval),
         precedence,
-        flexibility: accepts,
+        flexibility,
         lending_rate_ppm: 10_000,
         hold_end: START + DAY,
     };
-    command("claims", number, CommandBody::Reserve(reserve))
+    command("claims", number, CommandBody::Reserve(request))
 }
 
 fn log(claims: u64) -> Vec<Command> {
-    let pools = (0..POOL_COUNT).map(|pool| capacity(pool + 1, pool, SLOTS_PER_POOL));
+    let pools = (0..POOL_COUNT).map(|pool| set_capacity(pool + 1, pool, SLOTS_PER_POOL));
     let confirmed = (1..=claims).flat_map(|number| {
-        let made = claim(number, 1);
-        let confirm = command("confirms", number, CommandBody::Confirm(made.id.clone()));
-        [made, confirm]
+        let proposal = claim(number, 1);
+        let confirmation = command("confirms", number, CommandBody::Confirm(proposal.id.clone()));
+        [proposal, confirmation]
     });
     pools.chain(confirmed).collect()
 }
@@ -105,45 +105,45 @@
 
 /// All claims in one pool within 31 days, and one that displaces all of them over 48 hours.
 #[divan::bench(args = [1_000, 10_000], sample_count = 3, sample_size = 1)]
-fn displace_a_crowd(bencher: Bencher<'_, '_>, claims: u64) {
-    let mut crowd = Calendar::new(Settings::default()).expect("good settings");
-    let crowded = |number, precedence| {
-        let mut made = claim(number, precedence);
-        if let CommandBody::Reserve(reserve) = &mut made.body {
-            reserve.pool = name("pool-0");
-            if let Schedule::Once(Interval { start, end }) = &mut reserve.schedule {
+fn displace_all_overlapping(bencher: Bencher<'_, '_>, claims: u64) {
+    let mut calendar = Calendar::new(Settings::default()).expect("good settings");
+    let claim_in_one_pool = |number, precedence| {
+        let mut proposal = claim(number, precedence);
+        if let CommandBody::Reserve(request) = &mut proposal.body {
+            request.pool = name("pool-0");
+            if let Schedule::Once(Interval { start, end }) = &mut request.schedule {
                 let shift = (*start - START) / (31 * DAY) * 31 * DAY;
                 (*start, *end) = (*start - shift, *end - shift);
             }
         }
-        made
+        proposal
     };
-    crowd.apply(START, &capacity(1, 0, 10_000_000));
+    calendar.apply(START, &set_capacity(1, 0, 10_000_000));
     for number in 1..=claims {
-        let made = crowded(number, 1);
-        crowd.apply(START, &made);
-        crowd.apply(START, &command("confirms", number, CommandBody::Confirm(made.id)));
+        let proposal = claim_in_one_pool(number, 1);
+        calendar.apply(START, &proposal);
+        calendar.apply(START, &command("confirms", number, CommandBody::Confirm(proposal.id)));
     }
-    let mut large = crowded(claims + 1, 2);
-    if let CommandBody::Reserve(reserve) = &mut large.body {
-        reserve.amount = Amount::Slots(10_000_000);
-        reserve.flexibility = Flexibility::default();
-        reserve.schedule = Schedule::Once(Interval { start: START + 10 * DAY, end: START + 12 * DAY });
+    let mut large_claim = claim_in_one_pool(claims + 1, 2);
+    if let CommandBody::Reserve(request) = &mut large_claim.body {
+        request.amount = Amount::Slots(10_000_000);
+        request.flexibility = Flexibility::default();
+        request.schedule = Schedule::Once(Interval { start: START + 10 * DAY, end: START + 12 * DAY });
     }
-    bencher.with_inputs(|| crowd.clone()).bench_local_values(|mut crowd| {
-        let proposed = crowd.apply(START, &large);
-        let confirmed = command("confirms", claims + 1, CommandBody::Confirm(large.id.clone()));
-        (proposed, crowd.apply(START, &confirmed), crowd)
+    bencher.with_inputs(|| calendar.clone()).bench_local_values(|mut calendar| {
+        let proposal_events = calendar.apply(START, &large_claim);
+        let confirmation = command("confirms", claims + 1, CommandBody::Confirm(large_claim.id.clone()));
+        (proposal_events, calendar.apply(START, &confirmation), calendar)
     });
 }
 
-/// All pools lose slots at once, so that what is too much goes by rank, each with its nearest offer.
+/// All pools lose slots at once: the last in rank are displaced, each with a search for its nearest alternative.
 #[divan::bench(args = CLAIM_COUNTS, sample_count = 3, sample_size = 1)]
 fn shrink_all_pools(bencher: Bencher<'_, '_>, claims: u64) {
     let calendar = calendar(claims);
     bencher.with_inputs(|| calendar.clone()).bench_local_values(|mut calendar| {
         for pool in 0..POOL_COUNT {
-            calendar.apply(START, &capacity(POOL_COUNT + 1 + pool, pool, 60));
+            calendar.apply(START, &set_capacity(POOL_COUNT + 1 + pool, pool, 60));
         }
         calendar
     });
