--- a/crates/reservations/benches/calendar.rs
+++ b/crates/reservations/benches/calendar.rs
@@ -137,7 +137,8 @@
     });
 }
 
-/// All pools lose slots at once: the last in rank are displaced, each with a search for its nearest alternative.
+/// All pools lose slots at once: the last in rank are displaced, each with a search for its nearest
+/// alternative.
 #[divan::bench(args = CLAIM_COUNTS, sample_count = 3, sample_size = 1)]
 fn shrink_all_pools(bencher: Bencher<'_, '_>, claims: u64) {
     let calendar = calendar(claims);
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -89,8 +89,8 @@
 }
 
 impl BlackoutStatus {
-    /// Until when work of at most `max_duration` must not start; none if it may start now. Work may end at the
-    /// very start of a blackout.
+    /// Until when work of at most `max_duration` must not start; none if it may start now. Work may end at
+    /// the very start of a blackout.
     pub fn wait_until(&self, now: Millis, max_duration: Millis) -> Option<Millis> {
         let latest_end = now.saturating_add(max_duration.max(0));
         let conflict = self.upcoming.filter(|upcoming| latest_end > upcoming.start);
@@ -100,9 +100,9 @@
 
 /// The slots of a reservation that others may use now.
 ///
-/// Of what the owner leaves unused, lending grows from 0 to the whole reservation at `lending_rate_ppm` parts per
-/// million of it a second. `unused_for` is how many milliseconds the owner has used no more than `used_by_owner`.
-/// Slots that the owner uses again are no longer lendable from that instant on.
+/// Of what the owner leaves unused, lending grows from 0 to the whole reservation at `lending_rate_ppm` parts
+/// per million of it a second. `unused_for` is how many milliseconds the owner has used no more than
+/// `used_by_owner`. Slots that the owner uses again are no longer lendable from that instant on.
 pub fn lendable_slots(reserved: u32, used_by_owner: u32, unused_for: Millis, lending_rate_ppm: u32) -> u32 {
     const MILLIS_PER_SECOND: u128 = 1_000;
     let unused = reserved.saturating_sub(used_by_owner);
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -9,8 +9,8 @@
 use crate::store::ClaimStore;
 use crate::time::Millis;
 
-/// The segments of an interval of the reservation's pool. What the `released` occurrences have counts as free;
-/// what the `candidates` have does not, but segments are cut where it starts and ends.
+/// The segments of an interval of the reservation's pool. What the `released` occurrences have counts as
+/// free; what the `candidates` have does not, but segments are cut where it starts and ends.
 pub(crate) fn segments(
     store: &ClaimStore,
     reservation: &ReservationRequest,
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar.rs
@@ -65,8 +65,8 @@
         allowance_query::next_change_after(&self.store, after)
     }
 
-    /// Applies an entry of the log at its instant and returns what changed. Time never goes back: an entry with an
-    /// earlier instant than the last is applied at the last.
+    /// Applies an entry of the log at its instant and returns what changed. Time never goes back: an entry
+    /// with an earlier instant than the last is applied at the last.
     pub fn apply(&mut self, at: Millis, command: &Command) -> Vec<Event> {
         let mut events = EventBuffer { at: self.store.now(), command: Some(&command.id), events: Vec::new() };
         if let Err(rejection) = check_range("at", at, 0, MAX_INSTANT) {
--- a/crates/reservations/src/capacity.rs
+++ b/crates/reservations/src/capacity.rs
@@ -14,8 +14,8 @@
 use crate::rejection::{FieldError, Rejection, check_range};
 use crate::store::ClaimStore;
 
-/// Sets a pool's slots and zone. Reservations that no longer fit are displaced by rank, and amounts in parts per
-/// million follow the pool's size.
+/// Sets a pool's slots and zone. Reservations that no longer fit are displaced by rank, and amounts in parts
+/// per million follow the pool's size.
 ///
 /// # Errors
 /// Too many slots, or too many pools; nothing changed.
--- a/crates/reservations/src/deduplication.rs
+++ b/crates/reservations/src/deduplication.rs
@@ -100,7 +100,8 @@
         window.record(id.sequence)
     }
 
-    /// Evicts the member that was silent longest if all windows are taken; whether there is space for another.
+    /// Evicts the member that was silent longest if all windows are taken; whether there is space for
+    /// another.
     fn make_space(&mut self, now: Millis) -> bool {
         if self.0.len() < MAX_MEMBERS {
             return true;
--- a/crates/reservations/src/displacement_search.rs
+++ b/crates/reservations/src/displacement_search.rs
@@ -1,8 +1,8 @@
 //! The search for the candidates whose displacement frees enough slots at the least cost: the fewest
 //! slot-milliseconds, then the fewest occurrences, then those that come last in rank.
 //!
-//! It is exact among up to [`MAX_SEARCHED_CANDIDATES`] candidates and within [`MAX_SEARCH_WORK`] steps. Beyond
-//! these bounds the best cover found so far is taken, at worst the greedy one.
+//! It is exact among up to [`MAX_SEARCHED_CANDIDATES`] candidates and within [`MAX_SEARCH_WORK`] steps.
+//! Beyond these bounds the best cover found so far is taken, at worst the greedy one.
 use std::ops::Range;
 
 /// Steps of a search, counted in segments looked at.
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Whether one more candidate may lead to a better cover. It may not when the work is used up: then the best
-    /// cover so far stands, which may not be the least.
+    /// Whether one more candidate may lead to a better cover. It may not when the work is used up: then the
+    /// best cover so far stands, which may not be the least.
     fn may_improve(&self, next_cost: u64) -> bool {
         let best = (self.best.cost, self.best.candidates.len());
         (next_cost, self.chosen.len() + 1) <= best && self.work < MAX_SEARCH_WORK
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -107,7 +107,8 @@
         self.update_allowance_changes(id, claim, Update::Remove);
     }
 
-    /// Changes a claim's state, from one that occupies capacity to another that does, or between two that do not.
+    /// Changes a claim's state, from one that occupies capacity to another that does, or between two that do
+    /// not.
     pub(crate) fn update_state(&mut self, id: &ClaimId, claim: &mut Claim, change: impl FnOnce(&mut Claim)) {
         self.update_allowance_changes(id, claim, Update::Remove);
         change(claim);
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -1,15 +1,15 @@
 //! The fleet's calendar of reservations and blackouts. It has no I/O and no clock: commands come in from the
-//! replicated log, events and allowances go out, and every member that applies the same log gets the same bytes.
+//! replicated log, events and allowances go out, and every member that applies the same log gets the same
+//! bytes.
 //!
 //! ```text
-//!  command ──► deduplication ──► Calendar::apply ──► proposal, confirmation, capacity ──► events with reasons
-//!                                                        │            │
-//!                                  claim_planning ◄──────┘            └──────► reallocation
-//!                     (what fits, whom it displaces)              (who is displaced, and gets what is free)
-//!                                        │                                        │
-//!                    availability, planner, displacement_search, alternative ◄────┘
-//!                                        │
-//!                        store (claims and pools, with the index) ──► allowances(at), next_change_after(at)
+//!  command ──► Calendar::apply ──► deduplication ──► proposal, confirmation, capacity ──► events
+//!
+//!  proposal, confirmation ──► claim_planning   what of a claim fits, and whom it would displace
+//!  confirmation, capacity ──► reallocation     who is displaced, and what the displaced get instead
+//!  both ──► availability, planner, displacement_search, alternative ──► store (claims, pools, index)
+//!
+//!  store ──► allowance_query ──► allowances(at), next_change_after(at)
 //! ```
 //!
 //! 1. A claim is proposed, then held or rejected, confirmed, active, done; or displaced, withdrawn, lapsed
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -2,7 +2,7 @@
 //!
 //! 1. What is granted is the most that fits if every candidate were displaced: all of it, or else what the
 //!    request's flexibility accepts.
-//! 2. Of all ways to make that fit the one of least displacement is taken (see [`crate::displacement_search`]).
+//! 2. Of all ways to make that fit the one of least displacement is taken (see `displacement_search`).
 use crate::command::Flexibility;
 use crate::displacement_search::{Candidate, find_displacement};
 use crate::interval::{Allocation, Interval, merge_adjacent};
@@ -32,7 +32,8 @@
     is_complete: bool,
 }
 
-/// Plans a request for `slots` over the segments. Of the candidates those come first that are displaced first.
+/// Plans a request for `slots` over the segments. Of the candidates those come first that are displaced
+/// first.
 ///
 /// # Errors
 /// The first segment in which it does not fit.
--- a/crates/reservations/src/proposal.rs
+++ b/crates/reservations/src/proposal.rs
@@ -27,8 +27,8 @@
     transition_proposed(store, id, Transition::Hold, Reason::Fits, events)
 }
 
-/// Proposes a reservation: it is held if it fits, stays proposed if it fits only by displacement, and is rejected
-/// otherwise.
+/// Proposes a reservation: it is held if it fits, stays proposed if it fits only by displacement, and is
+/// rejected otherwise.
 ///
 /// # Errors
 /// The first field that is out of its bounds; nothing changed.
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -49,8 +49,8 @@
     released
 }
 
-/// Allocates what is free to released occurrences, by rank, and reports those that have other allocations than
-/// before. A claim that is left with nothing is displaced.
+/// Allocates what is free to released occurrences, by rank, and reports those that have other allocations
+/// than before. A claim that is left with nothing is displaced.
 pub(crate) fn reallocate(
     store: &mut ClaimStore,
     released: Vec<ReleasedOccurrence>,
@@ -97,7 +97,8 @@
     allocate_rest(store, key, slots, flexibility, &[]);
 }
 
-/// Allocates its new size to an occurrence whose amount is a fraction of a pool that has grown, if all of that is free.
+/// Allocates its new size to an occurrence whose amount is a fraction of a pool that has grown, if all of
+/// that is free.
 fn grow_with_pool(store: &mut ClaimStore, key: &OccurrenceKey, slots_before: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -17,8 +17,8 @@
 /// An interval of the local day, on certain days, between two instants.
 ///
 /// A start or an end in an hour that a clock change skips is the instant of the change. Of an hour that is
-/// repeated the start is in the first and the end in the second, so that the interval covers all that its wall
-/// clock times name.
+/// repeated the start is in the first and the end in the second, so that the interval covers all that its
+/// wall clock times name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Repeat", expecting = "struct Repeat")]
 pub struct Recurrence {
@@ -46,8 +46,8 @@
     /// Days of the week: 1 for Monday to 7 for Sunday.
     #[serde(rename = "Week")]
     Weekdays(BTreeSet<u8>),
-    /// Days of the month: 1 to 31 from its start, or -1 (the last) to -31 from its end. A month without such a
-    /// day has no occurrence.
+    /// Days of the month: 1 to 31 from its start, or -1 (the last) to -31 from its end. A month without such
+    /// a day has no occurrence.
     #[serde(rename = "Month")]
     MonthDays(BTreeSet<i8>),
 }
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// The pools and claims, owned by one [`Calendar`](crate::Calendar). Its stored form is the state alone; the index
-/// is built anew when it is read.
+/// The pools and claims, owned by one [`Calendar`](crate::Calendar). Its stored form is the state alone; the
+/// index is built anew when it is read.
 #[derive(Clone, Debug)]
 pub(crate) struct ClaimStore {
     state: CalendarState,
--- a/crates/reservations/tests/allowances.rs
+++ b/crates/reservations/tests/allowances.rs
@@ -81,7 +81,8 @@
 
 #[test]
 fn unused_slots_are_lent_at_the_lending_rate_and_no_others() {
-    // Slots reserved and used, milliseconds unused, lending rate in parts per million a second, and slots lent.
+    // Slots reserved and used, milliseconds unused, lending rate in parts per million a second, and slots
+    // lent.
     for (reserved, used, unused_for, rate, expected) in [
         (100, 0, 1_000, 10_000, 1),
         (100, 0, 999, 10_000, 0),
--- a/crates/reservations/tests/conflicts.rs
+++ b/crates/reservations/tests/conflicts.rs
@@ -53,7 +53,8 @@
 
 #[test]
 fn a_request_that_does_not_fit_gets_the_nearest_alternative_and_of_two_the_earlier() {
-    // The hours in which the pool is taken, and the alternative for a request of all of it over hours 10 to 12.
+    // The hours in which the pool is taken, and the alternative for a request of all of it over hours 10 to
+    // 12.
     for (taken, expected) in [
         (vec![(9, 13)], Some(hours(7, 9))),
         (vec![(10, 13)], Some(hours(8, 10))),
@@ -77,7 +78,8 @@
 
 #[test]
 fn precedence_displaces_at_confirmation_with_notice_and_never_what_has_started() {
-    // The other's interval and precedence, the notice, and whether precedence 5 over hours 0 to 6 displaces it.
+    // The other's interval and precedence, the notice, and whether precedence 5 over hours 0 to 6 displaces
+    // it.
     for (interval, precedence, notice, is_displaced) in [
         (hours(2, 4), 4, HOUR, true),
         (hours(2, 4), 5, HOUR, false),
