--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -1,114 +1,139 @@
-//! What the log tells the calendar, and which of it is refused by its form alone.
-use std::borrow::Cow;
-
+//! The commands of the calendar's log, and the checks of their form.
+use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::{
-    CommandId, HORIZON, Illegal, LAST_INSTANT, LONGEST, LONGEST_HOLD, MILLION, MOST_OCCURRENCES, Millis,
-    Name, Repeat,
-};
-
-/// Most slots of a pool.
-pub(crate) const MOST_SLOTS: u32 = 10_000_000;
+use crate::command_id::{ClaimId, CommandId};
+use crate::interval::Interval;
+use crate::limits::{MAX_HOLD_LENGTH, MAX_POOL_SLOTS, PARTS_PER_MILLION};
+use crate::rejection::{Rejection, check_range};
+use crate::schedule::Schedule;
+use crate::time::Millis;
 
-/// One entry of the agreed log.
+/// One entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// Whose, and which.
+    /// The member that proposed it, and its number there.
     pub id: CommandId,
-    /// What is wanted.
-    pub body: Body,
+    /// What is to be done.
+    pub body: CommandBody,
 }
 
-/// What a command wants.
+/// What a command does.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+#[serde(rename = "Body", expecting = "struct variant Body::Capacity")]
+pub enum CommandBody {
     /// Proposes a reservation; the claim takes the command's id.
-    Reserve(Reserve),
+    Reserve(ReservationRequest),
     /// Proposes a blackout; the claim takes the command's id.
-    Blackout(Blackout),
+    Blackout(BlackoutRequest),
     /// Confirms a claim that is proposed or held.
-    Confirm(CommandId),
-    /// Takes back a claim that is not over.
-    Withdraw(CommandId),
-    /// Tells from now on how many slots a pool has, and the zone it is in. 0 is a pool without slots.
-    Capacity {
+    Confirm(ClaimId),
+    /// Withdraws a claim whose state is not terminal.
+    Withdraw(ClaimId),
+    /// Sets a pool's slots and its zone from now on.
+    #[serde(rename = "Capacity")]
+    SetCapacity {
         /// The pool.
         pool: Name,
         /// Its zone.
         zone: Name,
-        /// Its slots, up to 10 million.
+        /// Its slots, 0 to 10 million.
         slots: u32,
     },
-    /// Time went on to the entry's instant, and nothing else.
-    Advance,
+    /// Advances time to the entry's instant and does nothing else.
+    #[serde(rename = "Advance")]
+    AdvanceTime,
 }
 
-/// A claim to a share of a pool.
+/// A request for a share of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reserve {
+#[serde(rename = "Reserve", expecting = "struct Reserve")]
+pub struct ReservationRequest {
     /// For whom.
     pub owner: Owner,
-    /// Of what.
+    /// The pool to reserve from.
     pub pool: Name,
-    /// How much.
+    /// How much of it.
     pub amount: Amount,
     /// When.
-    pub when: When,
-    /// Higher goes before lower.
+    #[serde(rename = "when")]
+    pub schedule: Schedule,
+    /// A claim of higher precedence may displace one of lower.
     pub precedence: u32,
-    /// What it takes where it does not fit.
-    pub accepts: Accepts,
-    /// How fast what the owner leaves unused is lent: parts in a million of the reservation a second, 0 for
-    /// never, up to a million.
-    pub give_back: u32,
-    /// When it lapses unless confirmed: in at most 7 days.
+    /// What is acceptable where it does not fit as requested.
+    #[serde(rename = "accepts")]
+    pub flexibility: Flexibility,
+    /// How fast slots that the owner leaves unused are lent: parts per million of the reservation a second, 0
+    /// (never) to a million.
+    #[serde(rename = "give_back")]
+    pub lending_rate_ppm: u32,
+    /// The instant at which it lapses unless confirmed; at most 7 days ahead.
     pub hold_end: Millis,
 }
 
-/// Whose a reservation is.
+/// The owner of a reservation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Owner {
-    /// A tenant's.
+    /// A tenant.
     Tenant(Name),
-    /// A federation's: its tenants share it by the federation's own agreement.
+    /// A federation, whose tenants share it by the federation's own agreement.
     Federation(Name),
 }
 
 /// How much of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Amount {
-    /// So many slots, at least 1.
+    /// A fixed number of slots, at least 1.
     Slots(u32),
-    /// So many parts in a million of the pool's slots, rounded down to whole slots, at least 1 of them.
-    Parts(u32),
+    /// A share of the pool's slots in parts per million, rounded down to whole slots, at least 1 slot.
+    #[serde(rename = "Parts")]
+    PartsPerMillion(u32),
 }
 
-/// What a claim takes where it does not fit. Where it takes both, each stretch is granted what is there.
+impl Amount {
+    /// The amount in slots of a pool with `pool_slots`.
+    pub(crate) fn in_slots(self, pool_slots: u32) -> u32 {
+        match self {
+            Amount::Slots(slots) => slots,
+            Amount::PartsPerMillion(parts) => {
+                let slots = u64::from(pool_slots) * u64::from(parts) / u64::from(PARTS_PER_MILLION);
+                u32::try_from(slots).unwrap_or(u32::MAX)
+            }
+        }
+    }
+}
+
+/// What a claim accepts where it does not fit as requested. With both, each segment gets what is free in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Accepts {
-    /// Fewer slots, the same over the whole interval, but at least so many (at least 1).
-    pub partial: Option<u32>,
-    /// Its interval without the stretches where it is blocked; of a repeat also some intervals without others.
-    pub split: bool,
+#[serde(rename = "Accepts", expecting = "struct Accepts")]
+pub struct Flexibility {
+    /// Fewer slots, constant over the whole interval, but at least this many (at least 1).
+    #[serde(rename = "partial")]
+    pub min_slots: Option<u32>,
+    /// Its interval without the parts in which it does not fit; of a recurrence also some occurrences only.
+    #[serde(rename = "split")]
+    pub allows_split: bool,
 }
 
-/// A time in which no work of some kind is taken.
+/// A request for an interval in which certain work must not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Blackout {
-    /// Whose work, or where.
-    pub target: Target,
+#[serde(rename = "Blackout", expecting = "struct Blackout")]
+pub struct BlackoutRequest {
+    /// The work it applies to.
+    pub target: BlackoutTarget,
     /// What it forbids.
-    pub effect: Effect,
+    pub effect: BlackoutEffect,
     /// When.
-    pub when: When,
-    /// When it lapses unless confirmed: in at most 7 days.
+    #[serde(rename = "when")]
+    pub schedule: Schedule,
+    /// The instant at which it lapses unless confirmed; at most 7 days ahead.
     pub hold_end: Millis,
 }
 
-/// Whose work, or work where.
+/// The work that a blackout applies to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Target {
+#[serde(rename = "Target")]
+pub enum BlackoutTarget {
     /// All work of a class.
     Class(Name),
     /// All work of a tenant.
@@ -119,173 +144,48 @@
     Zone(Name),
 }
 
-/// What a blackout forbids; the later forbids more.
+/// What a blackout forbids, the weaker first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Effect {
-    /// Beginning work; what runs goes on.
+#[serde(rename = "Effect")]
+pub enum BlackoutEffect {
+    /// Starting work; running work continues.
     NoNewWork,
-    /// Any work: what would still run at its start is not begun.
+    /// All work: what would still run at its start must not be started.
     NoWork,
 }
 
-/// When a claim is.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum When {
-    /// Over one interval; what has passed of it when it is proposed does not count.
-    Once(Interval),
-    /// Again and again by local time.
-    Repeat(Repeat),
-}
-
-/// From one instant to before another.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Interval {
-    /// Its first instant.
-    pub start: Millis,
-    /// The first instant after it.
-    pub end: Millis,
-}
-
-impl Interval {
-    /// Its length; 0 if it has none.
-    pub fn length(self) -> Millis {
-        self.end.saturating_sub(self.start).max(0)
-    }
-
-    /// Whether they have an instant in common.
-    pub fn overlaps(self, other: Interval) -> bool {
-        self.start < other.end && other.start < self.end
-    }
-}
-
-/// Why a command was refused: the field and what is wrong with it. It changed nothing.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-#[error("{field}: {fault}")]
-pub struct Refusal {
-    /// The field, with those it is in.
-    pub field: Cow<'static, str>,
-    /// What is wrong.
-    pub fault: Fault,
-}
-
-impl Refusal {
-    pub(crate) fn of(field: &'static str, fault: Fault) -> Refusal {
-        Refusal { field: field.into(), fault }
-    }
-}
-
-/// What is wrong with a field.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-#[serde(rename_all = "snake_case")]
-pub enum Fault {
-    /// Under its least or over its most.
-    #[error("not in {least} to {most}")]
-    Range {
-        /// The least that is taken.
-        least: i64,
-        /// The most that is taken.
-        most: i64,
-    },
-    /// It ends before it begins, or at once.
-    #[error("empty")]
-    Empty,
-    /// All of it has passed.
-    #[error("past")]
-    Past,
-    /// More of them than are taken.
-    #[error("more than {0}")]
-    TooMany(u64),
-    /// The calendar knows none of that name.
-    #[error("unknown")]
-    Unknown,
-    /// Less than a slot of the pool as it is.
-    #[error("less than a slot")]
-    LessThanASlot,
-    /// The pool as it is has no more than so many slots.
-    #[error("more than the pool's {0} slots")]
-    MoreThanThePool(u32),
-    /// The claim cannot take the step.
-    #[error("{0}")]
-    Life(Illegal),
-    /// Too old to know whether it acted.
-    #[error("too old to know whether it acted")]
-    TooOld,
-}
-
-fn in_range(field: &'static str, value: i64, least: i64, most: i64) -> Result<(), Refusal> {
-    if (least..=most).contains(&value) {
-        Ok(())
-    } else {
-        Err(Refusal::of(field, Fault::Range { least, most }))
-    }
-}
-
-impl Reserve {
-    /// Checks the form, and gives the claim's intervals from `now` on, in order and apart.
-    pub(crate) fn check(&self, now: Millis) -> Result<Vec<Interval>, Refusal> {
+impl ReservationRequest {
+    /// Checks the form, and returns the intervals from `now` on, in order and disjoint.
+    ///
+    /// # Errors
+    /// The first field that is out of its bounds.
+    pub(crate) fn validate(&self, now: Millis) -> Result<Vec<Interval>, Rejection> {
         match self.amount {
-            Amount::Slots(slots) => in_range("amount.slots", slots.into(), 1, MOST_SLOTS.into())?,
-            Amount::Parts(parts) => in_range("amount.parts", parts.into(), 1, MILLION.into())?,
+            Amount::Slots(slots) => check_range("amount.slots", slots.into(), 1, MAX_POOL_SLOTS.into())?,
+            Amount::PartsPerMillion(parts) => {
+                check_range("amount.parts", parts.into(), 1, PARTS_PER_MILLION.into())?;
+            }
         }
-        if let Some(least) = self.accepts.partial {
-            in_range("accepts.partial", least.into(), 1, MOST_SLOTS.into())?;
+        if let Some(min_slots) = self.flexibility.min_slots {
+            check_range("accepts.partial", min_slots.into(), 1, MAX_POOL_SLOTS.into())?;
         }
-        in_range("give_back", self.give_back.into(), 0, MILLION.into())?;
-        check_hold(self.hold_end, now)?;
-        self.when.intervals(now)
+        check_range("give_back", self.lending_rate_ppm.into(), 0, PARTS_PER_MILLION.into())?;
+        check_hold_end(self.hold_end, now)?;
+        self.schedule.intervals(now)
     }
 }
 
-impl Blackout {
-    /// Checks the form, and gives the claim's intervals from `now` on, in order and apart.
-    pub(crate) fn check(&self, now: Millis) -> Result<Vec<Interval>, Refusal> {
-        check_hold(self.hold_end, now)?;
-        self.when.intervals(now)
-    }
-}
-
-fn check_hold(hold_end: Millis, now: Millis) -> Result<(), Refusal> {
-    in_range("hold_end", hold_end, now.saturating_add(1), now.saturating_add(LONGEST_HOLD))
-}
-
-impl When {
-    /// Its intervals from an instant on, in order and apart, at least one; the first without what has passed.
+impl BlackoutRequest {
+    /// Checks the form, and returns the intervals from `now` on, in order and disjoint.
     ///
     /// # Errors
-    /// A field that is out of its bounds.
-    pub fn intervals(&self, now: Millis) -> Result<Vec<Interval>, Refusal> {
-        let horizon = now.saturating_add(HORIZON).min(LAST_INSTANT);
-        match self {
-            When::Once(Interval { start, end }) => {
-                in_range("when.start", *start, 0, horizon)?;
-                in_range("when.end", *end, 0, horizon)?;
-                if end <= start {
-                    return Err(Refusal::of("when.end", Fault::Empty));
-                }
-                if *end <= now {
-                    return Err(Refusal::of("when.end", Fault::Past));
-                }
-                in_range("when.end", *end, start + 1, start.saturating_add(LONGEST))?;
-                Ok(vec![Interval { start: (*start).max(now), end: *end }])
-            }
-            When::Repeat(repeat) => {
-                in_range("when.first", repeat.first, 0, horizon)?;
-                in_range("when.until", repeat.until, 0, horizon)?;
-                in_range("when.from", repeat.from.into(), 0, 1_439)?;
-                in_range("when.to", repeat.to.into(), 0, 1_440)?;
-                repeat.days.check()?;
-                if repeat.until <= repeat.first {
-                    return Err(Refusal::of("when.until", Fault::Empty));
-                }
-                let found = repeat.expand(now, MOST_OCCURRENCES + 1)?;
-                if found.len() > MOST_OCCURRENCES {
-                    return Err(Refusal::of("when.until", Fault::TooMany(MOST_OCCURRENCES as u64)));
-                }
-                if found.is_empty() {
-                    return Err(Refusal::of("when", Fault::Empty));
-                }
-                Ok(found)
-            }
-        }
+    /// The first field that is out of its bounds.
+    pub(crate) fn validate(&self, now: Millis) -> Result<Vec<Interval>, Rejection> {
+        check_hold_end(self.hold_end, now)?;
+        self.schedule.intervals(now)
     }
 }
+
+fn check_hold_end(hold_end: Millis, now: Millis) -> Result<(), Rejection> {
+    check_range("hold_end", hold_end, now.saturating_add(1), now.saturating_add(MAX_HOLD_LENGTH))
+}
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -1,14 +1,19 @@
-//! What the calendar says of every change, and why.
+//! The events that report every change of the calendar, each with its reason.
+use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::{ClaimId, CommandId, Interval, Millis, Name, Refusal, State};
+use crate::claim_state::ClaimState;
+use crate::command_id::{ClaimId, CommandId};
+use crate::interval::{Allocation, Interval};
+use crate::rejection::Rejection;
+use crate::time::Millis;
 
-/// One change, alike on every member.
+/// One change. Every member of the fleet gets the same events.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// The instant of the log's entry.
     pub at: Millis,
-    /// The command that caused it; none where time did.
+    /// The command that caused it; none if it was due by time.
     pub command: Option<CommandId>,
     /// What changed.
     pub change: Change,
@@ -16,99 +21,141 @@
 
 /// What changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[non_exhaustive]
 pub enum Change {
-    /// The command was refused by its form, its id or the claim's life, and changed nothing.
-    Rejected(Refusal),
-    /// A claim took a step.
-    Moved {
-        /// The claim.
-        claim: ClaimId,
-        /// Where it stood; none if it was not there.
-        from: Option<State>,
-        /// Where it stands.
-        to: State,
-        /// Why.
-        why: Reason,
-    },
-    /// What one occurrence of a reservation has now, which is not what it had.
-    Granted {
-        /// The claim.
-        claim: ClaimId,
-        /// The occurrence as it was wanted.
-        occurrence: Interval,
-        /// What it has, in order; empty if nothing.
-        pieces: Vec<Piece>,
-        /// Why.
-        why: Reason,
-        /// Where it has nothing: the nearest interval of its length that fits, if one is near.
-        offer: Option<Interval>,
-    },
-    /// A pool's slots or zone.
-    Capacity {
-        /// The pool.
-        pool: Name,
-        /// Its zone.
-        zone: Name,
-        /// Its slots.
-        slots: u32,
-    },
+    /// The command was rejected for its form, its id or the claim's state, and changed nothing.
+    Rejected(Rejection),
+    /// A claim made a transition.
+    #[serde(rename = "Moved")]
+    StateChanged(StateChange),
+    /// One occurrence of a reservation has other allocations than before.
+    #[serde(rename = "Granted")]
+    AllocationsChanged(AllocationChange),
+    /// A pool's slots and zone were set.
+    #[serde(rename = "Capacity")]
+    CapacityChanged(CapacityChange),
 }
 
-/// Slots over an interval.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Piece {
-    /// When.
-    pub interval: Interval,
-    /// How many.
-    pub slots: u32,
+/// A claim's transition.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(expecting = "struct variant Change::Moved")]
+pub struct StateChange {
+    /// The claim.
+    pub claim: ClaimId,
+    /// Its state before; none for a new claim.
+    pub from: Option<ClaimState>,
+    /// Its state now.
+    pub to: ClaimState,
+    /// Why.
+    #[serde(rename = "why")]
+    pub reason: Reason,
 }
 
-impl Piece {
-    /// Slots times milliseconds.
-    pub fn work(self) -> u64 {
-        self.interval.length().unsigned_abs().saturating_mul(self.slots.into())
-    }
+/// The allocations of one occurrence of a reservation.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(expecting = "struct variant Change::Granted")]
+pub struct AllocationChange {
+    /// The claim.
+    pub claim: ClaimId,
+    /// The occurrence as it was requested.
+    pub occurrence: Interval,
+    /// What it has now, in order; empty if nothing.
+    #[serde(rename = "pieces")]
+    pub allocations: Vec<Allocation>,
+    /// Why.
+    #[serde(rename = "why")]
+    pub reason: Reason,
+    /// If it has nothing: the nearest interval of its length that fits, if one is near.
+    #[serde(rename = "offer")]
+    pub alternative: Option<Interval>,
+}
+
+/// A pool's slots and zone.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(expecting = "struct variant Change::Capacity")]
+pub struct CapacityChange {
+    /// The pool.
+    pub pool: Name,
+    /// Its zone.
+    pub zone: Name,
+    /// Its slots.
+    pub slots: u32,
 }
 
 /// Why something changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
+#[non_exhaustive]
 pub enum Reason {
-    /// The command asked for it.
+    /// A command requested it.
     #[error("asked for")]
-    Asked,
-    /// It fits as it was asked for.
+    #[serde(rename = "Asked")]
+    Requested,
+    /// It fits as requested.
     #[error("it fits")]
     Fits,
-    /// Only less of it fits, which it accepts.
+    /// Only less of it fits, which its flexibility accepts.
     #[error("less of it fits, which it accepts")]
-    LessFits,
-    /// It would fit if these made room, which they do when it is confirmed.
+    #[serde(rename = "LessFits")]
+    FitsPartially,
+    /// It fits only if these claims are displaced, which its confirmation does.
     #[error("it fits only if {} make room", .0.len())]
-    NeedsRoom(Vec<ClaimId>),
-    /// It does not fit, whoever makes room.
+    #[serde(rename = "NeedsRoom")]
+    RequiresDisplacement(Vec<ClaimId>),
+    /// It does not fit, whoever is displaced.
     #[error("infeasible: blocked from {} to {}", .blocked.start, .blocked.end)]
     Infeasible {
-        /// The first stretch in which it does not fit.
+        /// The first segment in which it does not fit.
         blocked: Interval,
         /// The nearest interval of its length that fits, if one is near.
-        offer: Option<Interval>,
+        #[serde(rename = "offer")]
+        alternative: Option<Interval>,
     },
     /// Its last interval ended before it was confirmed.
     #[error("past")]
-    Past,
+    #[serde(rename = "Past")]
+    InThePast,
     /// Its hold ended before it was confirmed.
     #[error("not confirmed before its hold ended")]
-    HoldEnded,
-    /// Its time came.
+    #[serde(rename = "HoldEnded")]
+    HoldExpired,
+    /// Its start or end was reached.
     #[error("its time came")]
-    TimeCame,
-    /// A claim of higher precedence takes its place.
+    #[serde(rename = "TimeCame")]
+    TimeReached,
+    /// A claim of higher precedence displaced it.
     #[error("makes room for {0}")]
-    RoomFor(ClaimId),
-    /// A blackout goes over it.
+    #[serde(rename = "RoomFor")]
+    DisplacedBy(ClaimId),
+    /// A blackout displaced it.
     #[error("under the blackout {0}")]
-    Blackout(ClaimId),
+    #[serde(rename = "Blackout")]
+    UnderBlackout(ClaimId),
     /// The pool's slots or zone changed.
     #[error("the pool changed")]
     PoolChanged,
 }
+
+/// Collects the events of one log entry, with the instant and the command that they have in common.
+pub(crate) struct EventBuffer<'a> {
+    pub(crate) at: Millis,
+    pub(crate) command: Option<&'a CommandId>,
+    pub(crate) events: Vec<Event>,
+}
+
+impl EventBuffer<'_> {
+    /// Adds an event.
+    pub(crate) fn push(&mut self, change: Change) {
+        self.events.push(Event { at: self.at, command: self.command.cloned(), change });
+    }
+
+    /// Adds a claim's transition.
+    pub(crate) fn push_state_change(
+        &mut self,
+        claim: &ClaimId,
+        from: Option<ClaimState>,
+        to: ClaimState,
+        reason: Reason,
+    ) {
+        self.push(Change::StateChanged(StateChange { claim: claim.clone(), from, to, reason }));
+    }
+}
--- /dev/null
+++ b/crates/reservations/src/planner.rs
@@ -0,0 +1,115 @@
+//! What of a request fits, and which candidates are displaced for it: a pure search over segments.
+//!
+//! 1. What is granted is the most that fits if every candidate were displaced: all of it, or else what the
+//!    request's flexibility accepts.
+//! 2. Of all ways to make that fit the one of least displacement is taken (see `displacement_search`).
+use crate::command::Flexibility;
+use crate::displacement_search::{Candidate, find_displacement};
+use crate::interval::{Allocation, Interval, merge_adjacent};
+
+/// An interval within which neither free slots nor blackouts change.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Segment {
+    pub(crate) interval: Interval,
+    /// Slots that nobody has; below 0 where the pool lost slots.
+    pub(crate) free_slots: i64,
+    /// Under a blackout: nothing is granted.
+    pub(crate) is_blacked_out: bool,
+}
+
+/// What is granted, and the candidates (by index, ascending) that are displaced for it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct AllocationPlan {
+    pub(crate) allocations: Vec<Allocation>,
+    pub(crate) displaced: Vec<usize>,
+    /// Whether all of the request is granted.
+    pub(crate) is_complete: bool,
+}
+
+/// The slots granted in each segment.
+struct Grant {
+    slots: Vec<i64>,
+    is_complete: bool,
+}
+
+/// Plans a request for `slots` over the segments. Of the candidates those come first that are displaced
+/// first.
+///
+/// # Errors
+/// The first segment in which it does not fit.
+pub(crate) fn plan(
+    slots: u32,
+    flexibility: Flexibility,
+    segments: &[Segment],
+    candidates: &[Candidate],
+) -> Result<AllocationPlan, Interval> {
+    let max_available = max_available_slots(segments, candidates);
+    let Grant { slots: granted, is_complete } = choose_grant(slots, flexibility, segments, &max_available)?;
+    let shortage: Vec<i64> = segments
+        .iter()
+        .zip(&granted)
+        .map(|(segment, &granted)| if granted == 0 { 0 } else { granted - segment.free_slots })
+        .collect();
+    let displaced = find_displacement(shortage, candidates);
+    Ok(AllocationPlan { allocations: allocations(segments, &granted), displaced, is_complete })
+}
+
+/// The slots that would be free in each segment if every candidate were displaced.
+fn max_available_slots(segments: &[Segment], candidates: &[Candidate]) -> Vec<i64> {
+    let mut available: Vec<i64> = segments
+        .iter()
+        // The bound leaves room to add the candidates' slots without overflow.
+        .map(|segment| if segment.is_blacked_out { 0 } else { segment.free_slots.max(i64::MIN / 4) })
+        .collect();
+    for usage in candidates.iter().flat_map(|candidate| &candidate.usages) {
+        for index in usage.segments.clone() {
+            available[index] += if segments[index].is_blacked_out { 0 } else { usage.slots };
+        }
+    }
+    available
+}
+
+/// The most that the request accepts of what is available.
+fn choose_grant(
+    slots: u32,
+    flexibility: Flexibility,
+    segments: &[Segment],
+    max_available: &[i64],
+) -> Result<Grant, Interval> {
+    let requested = i64::from(slots);
+    let Some(blocked) = max_available.iter().position(|&available| available < requested) else {
+        return Ok(Grant { slots: vec![requested; max_available.len()], is_complete: true });
+    };
+    let min_slots = flexibility.min_slots.map(|min_slots| i64::from(min_slots).min(requested));
+    let granted = match (min_slots, flexibility.allows_split) {
+        (None, false) => Vec::new(),
+        (Some(min_slots), false) => constant_grant(requested, min_slots, max_available),
+        (None, true) => split_grant(requested, requested, max_available),
+        (Some(min_slots), true) => split_grant(requested, min_slots, max_available),
+    };
+    if granted.iter().any(|&slots| slots > 0) {
+        Ok(Grant { slots: granted, is_complete: false })
+    } else {
+        Err(segments[blocked].interval)
+    }
+}
+
+/// As many slots in each segment as in the fullest; nothing if that is below the minimum.
+fn constant_grant(requested: i64, min_slots: i64, max_available: &[i64]) -> Vec<i64> {
+    let level = max_available.iter().copied().min().unwrap_or(0).min(requested);
+    if level >= min_slots { vec![level; max_available.len()] } else { Vec::new() }
+}
+
+/// In each segment what is available, up to the request; none where that is below the minimum.
+fn split_grant(requested: i64, min_slots: i64, max_available: &[i64]) -> Vec<i64> {
+    let grant = |&available: &i64| if available >= min_slots { available.min(requested) } else { 0 };
+    max_available.iter().map(grant).collect()
+}
+
+fn allocations(segments: &[Segment], granted: &[i64]) -> Vec<Allocation> {
+    let allocations = segments.iter().zip(granted).map(|(segment, &granted)| Allocation {
+        interval: segment.interval,
+        slots: u32::try_from(granted).unwrap_or(0),
+    });
+    merge_adjacent(allocations.filter(|allocation| allocation.slots > 0))
+}
--- a/crates/reservations/tests/transcripts.rs
+++ b/crates/reservations/tests/transcripts.rs
@@ -3,8 +3,12 @@
 
 use std::fmt::Debug;
 
-use common::{START, WHOLE, hours, id, name, piece, reserve};
-use copperspread_reservations::*;
+use common::{INFLEXIBLE, START, allocation, hours, id, name, reservation_request};
+use copperspread_reservations::{
+    AllocationChange, Amount, BlackoutEffect, BlackoutTarget, Calendar, CapacityChange, Change, ClaimState,
+    Command, CommandBody, DAY, Event, FieldError, Flexibility, HOUR, InvalidTransition, Owner, Reason,
+    Recurrence, RecurrenceDays, Rejection, ReservationRequest, Schedule, Settings, StateChange, Transition,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -18,38 +22,47 @@
     values.iter().map(line).collect()
 }
 
-fn repeat(days: Days) -> When {
-    let (first, until) = (START, START + 7 * DAY);
-    When::Repeat(Repeat { zone: name("Africa/Cairo"), days, from: 1_320, to: 360, first, until })
+fn recurring(days: RecurrenceDays) -> Schedule {
+    Schedule::Recurring(Recurrence {
+        zone: name("Africa/Cairo"),
+        days,
+        start_minute: 1_320,
+        end_minute: 360,
+        not_before: START,
+        until: START + 7 * DAY,
+    })
 }
 
-fn blackout(target: Target, effect: Effect) -> Body {
-    Body::Blackout(common::blackout(target, effect, hours(8, 10)))
+fn blackout(target: BlackoutTarget, effect: BlackoutEffect) -> CommandBody {
+    CommandBody::Blackout(common::blackout_request(target, effect, hours(8, 10)))
 }
 
-fn bodies() -> Vec<Body> {
-    let accepts = Accepts { partial: Some(2), split: true };
-    let of_federation = Reserve {
+fn bodies() -> Vec<CommandBody> {
+    let flexibility = Flexibility { min_slots: Some(2), allows_split: true };
+    let of_federation = ReservationRequest {
         owner: Owner::Federation(name("relief")),
-        amount: Amount::Parts(250_000),
-        when: repeat(Days::Week([1, 7].into())),
-        give_back: 500,
-        ..reserve(0, hours(0, 1), 3, accepts)
+        amount: Amount::PartsPerMillion(250_000),
+        schedule: recurring(RecurrenceDays::Weekdays([1, 7].into())),
+        lending_rate_ppm: 500,
+        ..reservation_request(0, hours(0, 1), 3, flexibility)
+    };
+    let monthly = ReservationRequest {
+        schedule: recurring(RecurrenceDays::MonthDays([-1, 10].into())),
+        ..reservation_request(4, hours(0, 1), 0, INFLEXIBLE)
     };
-    let monthly = Reserve { when: repeat(Days::Month([-1, 10].into())), ..reserve(4, hours(0, 1), 0, WHOLE) };
     vec![
-        Body::Capacity { pool: name("cpu"), zone: name("north"), slots: 20 },
-        Body::Reserve(reserve(5, hours(5, 7), 1, WHOLE)),
-        Body::Reserve(of_federation),
-        Body::Reserve(monthly),
-        blackout(Target::Class(name("batch")), Effect::NoNewWork),
-        blackout(Target::Tenant(name("food")), Effect::NoWork),
-        blackout(Target::Pool(name("cpu")), Effect::NoWork),
-        blackout(Target::Zone(name("north")), Effect::NoNewWork),
-        Body::Confirm(id(2)),
-        Body::Confirm(id(6)),
-        Body::Withdraw(id(3)),
-        Body::Advance,
+        CommandBody::SetCapacity { pool: name("cpu"), zone: name("north"), slots: 20 },
+        CommandBody::Reserve(reservation_request(5, hours(5, 7), 1, INFLEXIBLE)),
+        CommandBody::Reserve(of_federation),
+        CommandBody::Reserve(monthly),
+        blackout(BlackoutTarget::Class(name("batch")), BlackoutEffect::NoNewWork),
+        blackout(BlackoutTarget::Tenant(name("food")), BlackoutEffect::NoWork),
+        blackout(BlackoutTarget::Pool(name("cpu")), BlackoutEffect::NoWork),
+        blackout(BlackoutTarget::Zone(name("north")), BlackoutEffect::NoNewWork),
+        CommandBody::Confirm(id(2)),
+        CommandBody::Confirm(id(6)),
+        CommandBody::Withdraw(id(3)),
+        CommandBody::AdvanceTime,
     ]
 }
 
@@ -57,48 +70,50 @@
     (1..).zip(bodies()).map(|(sequence, body)| Command { id: id(sequence), body }).collect()
 }
 
-fn moved(from: Option<State>, to: State, why: Reason) -> Change {
-    Change::Moved { claim: id(2), from, to, why }
+fn state_changed(from: Option<ClaimState>, to: ClaimState, reason: Reason) -> Change {
+    Change::StateChanged(StateChange { claim: id(2), from, to, reason })
 }
 
-fn rejected(fault: Fault) -> Change {
-    Change::Rejected(Refusal { field: "when.end".into(), fault })
+fn rejected(error: FieldError) -> Change {
+    Change::Rejected(Rejection { field: "when.end".into(), error })
 }
 
 fn changes() -> Vec<Change> {
-    let granted =
-        |pieces, why, offer| Change::Granted { claim: id(2), occurrence: hours(2, 4), pieces, why, offer };
-    let infeasible = Reason::Infeasible { blocked: hours(2, 3), offer: Some(hours(5, 6)) };
-    let needs_room = Reason::NeedsRoom(vec![id(3), id(4)]);
-    let illegal = Illegal { from: State::Done, step: Step::Withdraw };
-    let faults = [
-        Fault::Range { least: 1, most: 7 },
-        Fault::Empty,
-        Fault::Past,
-        Fault::TooMany(366),
-        Fault::Unknown,
-        Fault::LessThanASlot,
-        Fault::MoreThanThePool(20),
-        Fault::Life(illegal),
-        Fault::TooOld,
+    let allocations_changed = |allocations, reason, alternative| {
+        let (claim, occurrence) = (id(2), hours(2, 4));
+        Change::AllocationsChanged(AllocationChange { claim, occurrence, allocations, reason, alternative })
+    };
+    let infeasible = Reason::Infeasible { blocked: hours(2, 3), alternative: Some(hours(5, 6)) };
+    let requires_displacement = Reason::RequiresDisplacement(vec![id(3), id(4)]);
+    let invalid_transition = InvalidTransition { from: ClaimState::Done, transition: Transition::Withdraw };
+    let errors = [
+        FieldError::OutOfRange { min: 1, max: 7 },
+        FieldError::Empty,
+        FieldError::InThePast,
+        FieldError::LimitExceeded(366),
+        FieldError::Unknown,
+        FieldError::BelowOneSlot,
+        FieldError::ExceedsPool(20),
+        FieldError::InvalidTransition(invalid_transition),
+        FieldError::TooOld,
     ];
     let mut changes = vec![
-        moved(None, State::Proposed, needs_room),
-        moved(Some(State::Proposed), State::Held, Reason::Fits),
-        moved(Some(State::Held), State::Confirmed, Reason::Asked),
-        moved(Some(State::Confirmed), State::Active, Reason::TimeCame),
-        moved(Some(State::Active), State::Done, Reason::TimeCame),
-        moved(None, State::Refused, infeasible),
-        moved(Some(State::Confirmed), State::Displaced, Reason::RoomFor(id(5))),
-        moved(Some(State::Active), State::Displaced, Reason::Blackout(id(6))),
-        moved(Some(State::Held), State::Withdrawn, Reason::Asked),
-        moved(Some(State::Held), State::Lapsed, Reason::HoldEnded),
-        moved(Some(State::Proposed), State::Lapsed, Reason::Past),
-        granted(vec![piece(2, 3, 5), piece(3, 4, 2)], Reason::LessFits, None),
-        granted(Vec::new(), Reason::PoolChanged, Some(hours(5, 7))),
-        Change::Capacity { pool: name("cpu"), zone: name("north"), slots: 20 },
+        state_changed(None, ClaimState::Proposed, requires_displacement),
+        state_changed(Some(ClaimState::Proposed), ClaimState::Held, Reason::Fits),
+        state_changed(Some(ClaimState::Held), ClaimState::Confirmed, Reason::Requested),
+        state_changed(Some(ClaimState::Confirmed), ClaimState::Active, Reason::TimeReached),
+        state_changed(Some(ClaimState::Active), ClaimState::Done, Reason::TimeReached),
+        state_changed(None, ClaimState::Rejected, infeasible),
+        state_changed(Some(ClaimState::Confirmed), ClaimState::Displaced, Reason::DisplacedBy(id(5))),
+        state_changed(Some(ClaimState::Active), ClaimState::Displaced, Reason::UnderBlackout(id(6))),
+        state_changed(Some(ClaimState::Held), ClaimState::Withdrawn, Reason::Requested),
+        state_changed(Some(ClaimState::Held), ClaimState::Lapsed, Reason::HoldExpired),
+        state_changed(Some(ClaimState::Proposed), ClaimState::Lapsed, Reason::InThePast),
+        allocations_changed(vec![allocation(2, 3, 5), allocation(3, 4, 2)], Reason::FitsPartially, None),
+        allocations_changed(Vec::new(), Reason::PoolChanged, Some(hours(5, 7))),
+        Change::CapacityChanged(CapacityChange { pool: name("cpu"), zone: name("north"), slots: 20 }),
     ];
-    changes.extend(faults.map(rejected));
+    changes.extend(errors.map(rejected));
     changes
 }
 
@@ -114,8 +129,8 @@
 }
 
 #[test]
-fn a_calendar_and_what_it_allows_are_as_approved_and_go_on_when_restored() {
-    let settings = Settings { notice: HOUR };
+fn calendar_and_allowances_are_as_approved_and_continue_when_restored() {
+    let settings = Settings { displacement_notice: HOUR };
     insta::assert_snapshot!("settings", json_lines(&[settings]));
     let mut calendar = Calendar::new(settings).expect("good settings");
     let apply = |(number, command): (i64, Command)| calendar.apply(START + number * HOUR / 2, &command);
@@ -128,7 +143,7 @@
     insta::assert_snapshot!("allowances", json_lines(&[allowances]));
 
     let mut restored: Calendar = serde_json::from_str(&text).expect("a calendar");
-    let next = Command { id: id(20), body: Body::Withdraw(id(4)) };
+    let next = Command { id: id(20), body: CommandBody::Withdraw(id(4)) };
     assert_eq!(restored.apply(at, &next), calendar.apply(at, &next));
     assert_eq!(serde_json::to_string(&restored).ok(), serde_json::to_string(&calendar).ok());
 }
