--- a/crates/dispatcher/src/decide.rs
+++ b/crates/dispatcher/src/decide.rs
@@ -371,7 +371,7 @@
         match event {
             Event::Endpoints(roster) => self.on_roster(now, roster, actions),
             Event::Request(job) => self.on_job(now, job, actions),
-            Event::AttemptEnded(outcome) => self.on_outcome(now, outcome, actions),
+            Event::AttemptCompleted(outcome) => self.on_outcome(now, outcome, actions),
             Event::AttemptProgress { request, attempt, progress } => {
                 self.on_progress(now, request, attempt, progress, actions);
             }
@@ -382,7 +382,9 @@
             Event::TimerExpired(Timer::Subscription) => {}
             Event::TimerExpired(Timer::HedgeCheck(request)) => self.on_check(now, request, actions),
             Event::TimerExpired(Timer::LoadQuery) => self.on_probe_timer(actions),
-            Event::LoadQueryEnded { worker, outcome, report } => self.on_probed(now, worker, outcome, report),
+            Event::LoadQueryCompleted { worker, outcome, report } => {
+                self.on_probed(now, worker, outcome, report)
+            }
         }
     }
 
@@ -572,7 +574,7 @@
     fn on_report(&mut self, now: Micros, index: usize, report: &LoadReport, full: bool) {
         let kind = self.workers[index].kind as usize;
         let figure = |x: Option<f64>| x.filter(|&x| (0.0..=MAX_UNITS).contains(&x));
-        let (inflight, queue) = (figure(report.inflight), figure(report.queue));
+        let (inflight, queue) = (figure(report.in_flight), figure(report.queue));
         let waiting = queue.unwrap_or(0.0) * self.mean_slots;
         let mut total = if let Some(free) = figure(report.free_slots) {
             let running = inflight.zip(queue).map_or(0.0, |(held, queue)| (held - queue).max(0.0));
@@ -584,7 +586,7 @@
         } else {
             // Nothing reported: an answer says only that the worker was not full. Guards against a
             // level that hears of full answers alone and never falls.
-            let util = figure(report.util).unwrap_or(BUSY_AT_FIRST);
+            let util = figure(report.utilization).unwrap_or(BUSY_AT_FIRST);
             util * self.slots_of(&self.workers[index]) + waiting
         };
         let slots = self.slots_of(&self.workers[index]);
--- a/crates/dispatcher/src/interface.rs
+++ b/crates/dispatcher/src/interface.rs
@@ -345,9 +345,9 @@
     /// Requests waiting.
     pub queue: Option<f64>,
     /// Requests it holds.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Share of its cores that is busy.
-    pub util: Option<f64>,
+    pub utilization: Option<f64>,
     /// Requests served a second.
     pub qps: Option<f64>,
     /// Free slots.
@@ -403,7 +403,7 @@
     /// A client's request came in; it is owed one final answer.
     Request(IncomingRequest),
     /// An attempt ended.
-    AttemptEnded(AttemptOutcome),
+    AttemptCompleted(AttemptOutcome),
     /// News of an attempt that is still out.
     AttemptProgress {
         /// Whose attempt.
@@ -418,7 +418,7 @@
     /// A timer came due.
     TimerExpired(Timer),
     /// A probe came back.
-    LoadQueryEnded {
+    LoadQueryCompleted {
         /// The worker probed.
         worker: WorkerId,
         /// How it went.
--- a/crates/dispatcher/tests/admission.rs
+++ b/crates/dispatcher/tests/admission.rs
@@ -132,8 +132,13 @@
         let odd = IncomingRequest { cost_hint: figure, slots: figure, ..job(1, 1.0) };
         node.handle(Event::Request(odd));
         assert!(node.sent().is_some(), "{figure:?} is read as 1");
-        let report =
-            LoadReport { queue: figure, inflight: figure, util: figure, qps: figure, free_slots: figure };
+        let report = LoadReport {
+            queue: figure,
+            in_flight: figure,
+            utilization: figure,
+            qps: figure,
+            free_slots: figure,
+        };
         node.now += 100 * MS;
         node.report(1, 0, Outcome::Served, Some(report));
         node.job(2, 0.1);
@@ -204,14 +209,14 @@
     let mut node = Node::new(settings(Idempotency::NonIdempotent), &[entry(0), entry(1)]);
     for _ in 0..10 {
         let worker = WorkerId(0);
-        node.handle(Event::LoadQueryEnded { worker, outcome: Outcome::TimedOut, report: None });
+        node.handle(Event::LoadQueryCompleted { worker, outcome: Outcome::TimedOut, report: None });
     }
     // Crowded by what it does not answer: a job of both slots is better off elsewhere.
     node.handle(Event::Request(IncomingRequest { slots: Some(2.0), ..job(1, 0.1) }));
     assert_eq!(node.sent(), Some(1));
     let nobody = WorkerId(99);
     assert!(
-        node.handle(Event::LoadQueryEnded { worker: nobody, outcome: Outcome::Served, report: None })
+        node.handle(Event::LoadQueryCompleted { worker: nobody, outcome: Outcome::Served, report: None })
             .is_empty()
     );
 }
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -90,7 +90,7 @@
         outcome: Outcome,
         report: Option<LoadReport>,
     ) -> &[Action] {
-        self.handle(Event::AttemptEnded(AttemptOutcome {
+        self.handle(Event::AttemptCompleted(AttemptOutcome {
             request: RequestId(request),
             attempt,
             outcome,
--- a/crates/dispatcher/tests/failures.rs
+++ b/crates/dispatcher/tests/failures.rs
@@ -4,7 +4,7 @@
 use copperspread_dispatcher::*;
 
 const IDLE: LoadReport =
-    LoadReport { queue: Some(0.0), inflight: None, util: None, qps: None, free_slots: Some(2.0) };
+    LoadReport { queue: Some(0.0), in_flight: None, utilization: None, qps: None, free_slots: Some(2.0) };
 
 fn fleet(count: u32) -> Vec<Endpoint> {
     (0..count).map(|i| Endpoint { zone: i % 2, ..entry(i) }).collect()
--- a/crates/dispatcher/tests/learning.rs
+++ b/crates/dispatcher/tests/learning.rs
@@ -4,7 +4,7 @@
 use copperspread_dispatcher::*;
 
 const IDLE: LoadReport =
-    LoadReport { queue: Some(0.0), inflight: None, util: None, qps: None, free_slots: Some(2.0) };
+    LoadReport { queue: Some(0.0), in_flight: None, utilization: None, qps: None, free_slots: Some(2.0) };
 
 /// Runs jobs on one worker alone until its rate is known.
 fn teach(node: &mut Node, worker: Endpoint, rate: f64, first: u64) {
@@ -145,7 +145,7 @@
 fn full_answers_make_a_whole_kind_less_inviting() {
     let kinds = |i: u32| Endpoint { kind: i / 4, ..entry(i) };
     let mut node = Node::new(settings(Idempotency::NonIdempotent), &[]);
-    let busy = LoadReport { util: Some(1.0), qps: Some(4.0), ..LoadReport::default() };
+    let busy = LoadReport { utilization: Some(1.0), qps: Some(4.0), ..LoadReport::default() };
     for (worker, rate) in [(0, 2.0), (4, 1.0)] {
         node.roster(EndpointUpdateKind::Full, &[kinds(worker)]);
         for i in 0..40 {
@@ -316,7 +316,7 @@
     node.roster(EndpointUpdateKind::Full, &[entry(0), entry(1)]);
     for (worker, queue, free) in [(0, 1.0, 0.0), (1, 0.0, 2.0)] {
         let report = Some(LoadReport { queue: Some(queue), free_slots: Some(free), ..IDLE });
-        node.handle(Event::LoadQueryEnded { worker: WorkerId(worker), outcome: Outcome::Served, report });
+        node.handle(Event::LoadQueryCompleted { worker: WorkerId(worker), outcome: Outcome::Served, report });
     }
     let mut counts = [0; 2];
     for request in 1..=4 {
--- a/crates/dispatcher/tests/load_queries.rs
+++ b/crates/dispatcher/tests/load_queries.rs
@@ -4,7 +4,7 @@
 use copperspread_dispatcher::*;
 
 const FREE: LoadReport =
-    LoadReport { queue: None, inflight: Some(0.0), util: None, qps: None, free_slots: Some(4.0) };
+    LoadReport { queue: None, in_flight: Some(0.0), utilization: None, qps: None, free_slots: Some(4.0) };
 
 /// Workers of 4 slots that tell of starts, and of their load when probed.
 fn told(count: u32) -> Node {
@@ -19,7 +19,7 @@
 }
 
 fn probed(node: &mut Node, worker: u32, outcome: Outcome, report: Option<LoadReport>) {
-    node.handle(Event::LoadQueryEnded { worker: WorkerId(worker), outcome, report });
+    node.handle(Event::LoadQueryCompleted { worker: WorkerId(worker), outcome, report });
 }
 
 fn long(id: u64, work: f64) -> IncomingRequest {
@@ -53,7 +53,7 @@
     // The report tells of 3 slots that others took; of this dispatcher's 3 jobs it knows nothing yet.
     let mut node = told(2);
     let first = start(&mut node, 1, 3.0, 4.0);
-    let taken = LoadReport { inflight: Some(3.0), free_slots: Some(1.0), ..FREE };
+    let taken = LoadReport { in_flight: Some(3.0), free_slots: Some(1.0), ..FREE };
     probed(&mut node, first, Outcome::Served, Some(taken));
     probed(&mut node, 1 - first, Outcome::Served, Some(taken));
     node.handle(Event::Request(IncomingRequest { slots: Some(1.0), ..long(2, 1.0) }));
@@ -63,7 +63,7 @@
     let first = start(&mut node, 1, 3.0, 4.0);
     node.now += SECOND;
     probed(&mut node, first, Outcome::Served, Some(taken));
-    let crowded = LoadReport { inflight: Some(12.0), free_slots: Some(0.0), ..FREE };
+    let crowded = LoadReport { in_flight: Some(12.0), free_slots: Some(0.0), ..FREE };
     probed(&mut node, 1 - first, Outcome::Served, Some(crowded));
     node.handle(Event::Request(IncomingRequest { slots: Some(1.0), ..long(2, 1.0) }));
     assert_eq!(node.sent(), Some(first), "the 3 are its own, and a slot is free");
@@ -86,7 +86,7 @@
 #[test]
 fn an_answer_without_a_report_leaves_what_a_probe_told() {
     let mut node = told(2);
-    let busy = LoadReport { inflight: Some(8.0), free_slots: Some(0.0), ..FREE };
+    let busy = LoadReport { in_flight: Some(8.0), free_slots: Some(0.0), ..FREE };
     start(&mut node, 1, 1.0, 0.2);
     probed(&mut node, 0, Outcome::Served, Some(busy));
     probed(&mut node, 1, Outcome::Served, Some(FREE));
--- a/crates/dispatcher/tests/overload.rs
+++ b/crates/dispatcher/tests/overload.rs
@@ -4,7 +4,7 @@
 use copperspread_dispatcher::*;
 
 const CROWDED: LoadReport =
-    LoadReport { queue: Some(8.0), inflight: None, util: None, qps: None, free_slots: Some(0.0) };
+    LoadReport { queue: Some(8.0), in_flight: None, utilization: None, qps: None, free_slots: Some(0.0) };
 
 /// Settings of a cheap class, a dear one, and one tenant of 1 request a second.
 fn two_worths() -> Settings {
--- a/crates/dispatcher/tests/retries.rs
+++ b/crates/dispatcher/tests/retries.rs
@@ -270,7 +270,7 @@
     s.attempts[n as usize].2 = Some(outcome);
     let finished = s.closed || outcome == Outcome::Served;
     s.closed = finished;
-    node.handle(Event::AttemptEnded(AttemptOutcome {
+    node.handle(Event::AttemptCompleted(AttemptOutcome {
         request: RequestId(id),
         attempt: n,
         outcome,
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -151,7 +151,7 @@
 
     /// A scheduling ended.
     pub fn attempt_ended(self: &Arc<Self>, outcome: AttemptOutcome) {
-        self.handle(Event::AttemptEnded(outcome));
+        self.handle(Event::AttemptCompleted(outcome));
     }
 
     /// News of a scheduling that is still out.
@@ -204,7 +204,7 @@
         outcome: Outcome,
         report: Option<LoadReport>,
     ) {
-        self.handle(Event::LoadQueryEnded { worker, outcome, report });
+        self.handle(Event::LoadQueryCompleted { worker, outcome, report });
     }
 
     /// Brings a call-back to its flow; false if there is none any more.
--- a/crates/proxy/src/upstream/http.rs
+++ b/crates/proxy/src/upstream/http.rs
@@ -115,8 +115,8 @@
 fn set(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "queue" | "waiting" => report.queue = Some(value),
-        "inflight" | "active" => report.inflight = Some(value),
-        "util" | "cpu" => report.util = Some(value),
+        "inflight" | "active" => report.in_flight = Some(value),
+        "util" | "cpu" => report.utilization = Some(value),
         "qps" | "rps" => report.qps = Some(value),
         "x0" => report.free_slots = Some(value),
         _ => {}
--- a/crates/scheduler/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -72,7 +72,7 @@
     assert_eq!(config.cached_endpoints.as_ref(), Some(&list));
     assert!(parse_callback(CALL_BACK.as_bytes()).is_ok());
     let report = load_header(HEADER).expect("a report");
-    assert_eq!((report.inflight, report.queue, report.util), (Some(7.0), Some(2.0), Some(0.61)));
+    assert_eq!((report.in_flight, report.queue, report.utilization), (Some(7.0), Some(2.0), Some(0.61)));
     assert_eq!(load_header("TEXT queue=2, util=?"), None, "a garbled report is dropped whole");
     assert_eq!(edge::read_timeout("480m"), Some(480_000));
     assert_eq!(edge::read_timeout("480u"), Some(480));
--- a/crates/scheduler/tests/policy.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -27,7 +27,7 @@
 
 impl DispatchPolicy for Stub {
     fn handle(&mut self, _: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
-        if let Event::LoadQueryEnded { worker, outcome, report } = event {
+        if let Event::LoadQueryCompleted { worker, outcome, report } = event {
             let _ = self.ends.send((worker.0, outcome, report));
         } else if let Event::Endpoints(roster) = event {
             let _ = self.rosters.send((roster.kind, roster.endpoints.len()));
@@ -75,7 +75,7 @@
 
 #[tokio::test]
 async fn each_probe_comes_back_once_whatever_the_real_server_does() {
-    let load = LoadReport { inflight: Some(7.0), free_slots: Some(1.5), ..LoadReport::default() };
+    let load = LoadReport { in_flight: Some(7.0), free_slots: Some(1.5), ..LoadReport::default() };
     let only = |free_slots| Some(LoadReport { free_slots: Some(free_slots), ..LoadReport::default() });
     let (ok, header) = ("200 OK", "X-Server-Load: TEXT x0=4\r\n");
     let cases = [
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -122,8 +122,8 @@
 fn report(load: &Load) -> LoadReport {
     LoadReport {
         queue: load.waiting,
-        inflight: load.active,
-        util: load.cpu,
+        in_flight: load.active,
+        utilization: load.cpu,
         qps: load.rps,
         free_slots: load.x0,
     }
@@ -209,7 +209,7 @@
                 cost_hint: line.work_s,
                 time_left: micros(need(line.expires_in_s, line, "expires_in_s")?),
             }),
-            "answer" => Event::AttemptEnded(AttemptOutcome {
+            "answer" => Event::AttemptCompleted(AttemptOutcome {
                 request: request_id(line)?,
                 attempt: need(line.attempt, line, "try")?,
                 outcome: outcome(need(line.state_code, line, "state_code")?)?,
@@ -233,7 +233,7 @@
                 let Some(&worker) = self.executors.get(executor) else {
                     return Err(Failure::Skip(format!("probe of unknown {executor:?} skipped")));
                 };
-                Event::LoadQueryEnded {
+                Event::LoadQueryCompleted {
                     worker,
                     outcome: outcome(need(line.state_code, line, "state_code")?)?,
                     report: line.load.as_ref().map(report),
--- a/crates/testbed/benches/decisions.rs
+++ b/crates/testbed/benches/decisions.rs
@@ -55,7 +55,7 @@
         let (outcome, elapsed) = (Outcome::Served, 100_000);
         let end =
             AttemptOutcome { request, attempt: 0, outcome, request_finished: true, elapsed, report: None };
-        dispatcher.handle(now + elapsed, Event::AttemptEnded(end), &mut actions);
+        dispatcher.handle(now + elapsed, Event::AttemptCompleted(end), &mut actions);
         actions.clear();
     });
 }
--- a/crates/testbed/src/emulate/stage.rs
+++ b/crates/testbed/src/emulate/stage.rs
@@ -251,9 +251,9 @@
     let all = [
         ("x0", report.free_slots),
         ("queue", report.queue),
-        ("util", report.util),
+        ("util", report.utilization),
         ("qps", report.qps),
-        ("inflight", report.inflight),
+        ("inflight", report.in_flight),
     ];
     all.into_iter().filter_map(|(name, value)| Some((name, value?)))
 }
--- a/crates/testbed/src/model/worker.rs
+++ b/crates/testbed/src/model/worker.rs
@@ -184,7 +184,7 @@
                 LoadReport {
                     free_slots: Some(build.slots),
                     queue: Some(0.0),
-                    util: Some(0.0),
+                    utilization: Some(0.0),
                     ..LoadReport::default()
                 },
             ),
@@ -459,7 +459,7 @@
         let came = f64::from(std::mem::take(&mut self.came)) * SECOND as f64 / every.max(1) as f64;
         let report = LoadReport {
             qps: Some((came + noise()).max(0.0)),
-            inflight: Some((self.holds() as f64 + noise()).max(0.0)),
+            in_flight: Some((self.holds() as f64 + noise()).max(0.0)),
             free_slots: Some((slots - self.used + noise()).clamp(0.0, slots)),
             ..LoadReport::default()
         };
@@ -481,7 +481,7 @@
             let report = LoadReport {
                 free_slots: Some((free + noise()).clamp(0.0, self.build.slots)),
                 queue: Some(self.waiting.len() as f64),
-                util: Some((self.used / self.build.cores).min(1.0)),
+                utilization: Some((self.used / self.build.cores).min(1.0)),
                 ..LoadReport::default()
             };
             self.report = (now, report);
--- a/crates/testbed/src/policy.rs
+++ b/crates/testbed/src/policy.rs
@@ -310,7 +310,7 @@
                 let open = Open { job, deadline, at: Vec::new(), since: now, answered: false };
                 self.send(now, job.request, open, actions);
             }
-            Event::AttemptEnded(end) => self.outcome(now, end, actions),
+            Event::AttemptCompleted(end) => self.outcome(now, end, actions),
             _ => {}
         }
     }
@@ -379,7 +379,7 @@
             }
         }
         let final_answer = |action: &Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
-        if let (Kind::Resends, Event::AttemptEnded(end)) = (self.how, event)
+        if let (Kind::Resends, Event::AttemptCompleted(end)) = (self.how, event)
             && !end.request_finished
         {
             let id = end.request;
@@ -403,7 +403,9 @@
         match self.how {
             Kind::NeverAnswers => actions.retain(|action| !final_answer(action)),
             Kind::AnswersTwice => {
-                if let Event::AttemptEnded(AttemptOutcome { request, outcome: Outcome::Served, .. }) = event {
+                if let Event::AttemptCompleted(AttemptOutcome { request, outcome: Outcome::Served, .. }) =
+                    event
+                {
                     self.count += 1;
                     if self.count.is_multiple_of(10) {
                         actions.push(Action::Fail { request });
--- a/crates/testbed/src/sim.rs
+++ b/crates/testbed/src/sim.rs
@@ -473,7 +473,7 @@
                 let Some(of) = self.probes.remove(&id) else { return };
                 if self.schedulers[of.scheduler as usize].life == of.life {
                     let worker = WorkerId(of.worker);
-                    self.tell(of.scheduler, Event::LoadQueryEnded { worker, outcome, report });
+                    self.tell(of.scheduler, Event::LoadQueryCompleted { worker, outcome, report });
                 }
             }
             Ev::Refresh(worker) => self.refresh(worker),
@@ -783,7 +783,7 @@
             elapsed: self.now - sent_at,
             report,
         };
-        self.tell(scheduler, Event::AttemptEnded(end));
+        self.tell(scheduler, Event::AttemptCompleted(end));
         self.close(request);
     }
 
--- a/crates/testbed/tests/calc.rs
+++ b/crates/testbed/tests/calc.rs
@@ -96,12 +96,12 @@
     worker.refresh(SECOND, SECOND, || 0.0);
     for (at, late, free) in [(5, 0, [1.0, 2.0, 2.0]), (5, 3, [1.0, 2.0, 2.0])] {
         let of = worker.clone().probed(at * SECOND, late * SECOND).expect("a report");
-        let figures = [of.free_slots, of.inflight, of.qps].map(Option::unwrap_or_default);
+        let figures = [of.free_slots, of.in_flight, of.qps].map(Option::unwrap_or_default);
         assert_eq!(figures, free, "at {at} s, {late} s late");
-        assert!(of.queue.is_none() && of.util.is_none());
+        assert!(of.queue.is_none() && of.utilization.is_none());
     }
     let early = worker.probed(SECOND + SECOND / 4, SECOND / 2).expect("a report");
-    assert_eq!((early.free_slots, early.inflight), (Some(4.0), Some(0.0)), "as it was at first");
+    assert_eq!((early.free_slots, early.in_flight), (Some(4.0), Some(0.0)), "as it was at first");
 }
 
 #[test]
--- a/crates/testbed/tests/unit/sim.rs
+++ b/crates/testbed/tests/unit/sim.rs
@@ -19,7 +19,7 @@
                 actions.push(Action::StartTimer { after: 5 * SECOND, timer: Timer::LoadQuery });
             }
             Event::TimerExpired(Timer::LoadQuery) => actions.push(Action::QueryLoad { worker: self.0 }),
-            Event::LoadQueryEnded { outcome, report, .. } => {
+            Event::LoadQueryCompleted { outcome, report, .. } => {
                 let free = report.and_then(|of| of.free_slots);
                 self.1.lock().expect("kept").push((outcome, free, now - EPOCH - 5 * SECOND));
             }
