--- a/crates/dispatcher/src/events.rs
+++ b/crates/dispatcher/src/events.rs
@@ -26,7 +26,7 @@
 pub enum Progress {
     /// It has started to run.
     Started,
-    /// This share of it is done.
+    /// This fraction of it is done.
     Done(f64),
     /// Its response has begun to stream to the client, which now owns it.
     Streaming,
--- a/crates/dispatcher/src/outcomes.rs
+++ b/crates/dispatcher/src/outcomes.rs
@@ -35,7 +35,7 @@
     pub queue: Option<f64>,
     /// Requests it holds, waiting or running.
     pub in_flight: Option<f64>,
-    /// Share of its cores that is in use.
+    /// Fraction of its cores that is in use.
     pub utilization: Option<f64>,
     /// Requests served a second.
     pub qps: Option<f64>,
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -1,21 +1,21 @@
 //! Admission control: a request is sent if its lowest estimate fits into the time it has left. Load shedding:
 //! while slots are scarce, those of least weight are rejected, as else all would be late.
-use super::load_reports::{LOAD_QUERY_COST_SHARE, MAX_LOAD_QUERY_BUDGET};
+use super::load_reports::{LOAD_QUERY_COST_FRACTION, MAX_LOAD_QUERY_BUDGET};
 use super::retries::{HEDGE_BUDGET_PER_REQUEST, MAX_HEDGE_BUDGET};
 use super::{Dispatcher, GROUP_GAIN, MAX_FIGURE, REFRESH_INTERVAL, SLOW_GAIN, validated};
 use super::{service_time::INITIAL_SLOTS, state::Request};
 use crate::{Action, IncomingRequest, Micros, Rejection};
 use crate::{average::move_average, time::from_seconds, time::to_seconds};
 
-/// Weight of one request in the share of those that arrive when their whole objective seems spent.
+/// Weight of one request in the fraction of those that arrive when their whole objective seems spent.
 const LATE_RETRY_GAIN: f64 = 0.05;
-/// Largest share that can be retries of so late; beyond it, clients wait less long than they might.
-const MAX_LATE_RETRY_SHARE: f64 = 0.08;
-/// Slots are scarce when the share taken is above this and one request a worker: few slots see queues too.
+/// Largest fraction that can be retries of so late; beyond it, clients wait less long than they might.
+const MAX_LATE_RETRY_FRACTION: f64 = 0.08;
+/// Slots are scarce when the fraction taken is above this and one request a worker: few slots see queues too.
 const OVERLOAD_THRESHOLD: f64 = 0.9;
-/// ... and [`MAX_SHED_SHARE`] of the work is shed at the latest when they are taken this much further.
+/// ... and [`MAX_SHED_FRACTION`] of the work is shed at the latest when they are taken this much further.
 const OVERLOAD_SPAN: f64 = 1.0;
-const MAX_SHED_SHARE: f64 = 0.7;
+const MAX_SHED_FRACTION: f64 = 0.7;
 /// How fast the price below which requests are shed follows what is offered.
 const SHED_PRICE_GAIN: f64 = 0.1;
 /// Window of a tenant's rate: bursts last several seconds.
@@ -46,7 +46,7 @@
                 self.send(now, &mut request, index);
                 self.requests.insert(id, request);
             }
-            Err(refused) => self.actions.push(reject(refused.retry_after, refused.reason)),
+            Err(not_admitted) => self.actions.push(reject(not_admitted.retry_after, not_admitted.reason)),
         }
     }
 
@@ -79,13 +79,13 @@
         // Many clients may wait less long than their class allows: taken for time spent before, the rest
         // would leave none of the objective, and all of them would be rejected.
         let is_late_retry = to_seconds(spent) >= self.objective_seconds(class, work);
-        move_average(&mut self.late_retry_share, f64::from(is_late_retry), LATE_RETRY_GAIN);
-        if is_late_retry && self.late_retry_share > MAX_LATE_RETRY_SHARE { 0 } else { spent }
+        move_average(&mut self.late_retry_fraction, f64::from(is_late_retry), LATE_RETRY_GAIN);
+        if is_late_retry && self.late_retry_fraction > MAX_LATE_RETRY_FRACTION { 0 } else { spent }
     }
 
     /// Earns the budgets for load queries and hedges, and learns the mean request.
     fn record_offered_request(&mut self, request: &Request) {
-        let load_queries = LOAD_QUERY_COST_SHARE / self.settings.load_query_cost;
+        let load_queries = LOAD_QUERY_COST_FRACTION / self.settings.load_query_cost;
         self.load_query_budget = (self.load_query_budget + load_queries).min(MAX_LOAD_QUERY_BUDGET);
         self.hedge_budget = (self.hedge_budget + HEDGE_BUDGET_PER_REQUEST).min(MAX_HEDGE_BUDGET);
         self.load_samples = (self.load_samples + 1.0).min(1.0 / GROUP_GAIN);
@@ -96,25 +96,26 @@
     /// Whether a request is rejected for too little weight per slot-second while slots are scarce. The price
     /// floats so that, of the work offered, as much falls below it as is to be shed.
     pub(super) fn should_shed(&mut self, now: Micros, request: &Request, tenant: usize) -> bool {
-        let over_quota_share = self.over_quota_share(now, tenant);
+        let over_quota_fraction = self.over_quota_fraction(now, tenant);
         let work = if self.settings.weight_by_work { 1.0 } else { request.work };
         let mut price = self.settings.classes[request.class].priority_weight / (work * request.slots);
-        if self.rng.f64() < over_quota_share {
+        if self.rng.f64() < over_quota_fraction {
             price *= self.settings.over_quota_weight;
         }
         let threshold = OVERLOAD_THRESHOLD + 1.0 / self.fleet.slots.unwrap_or(INITIAL_SLOTS);
-        let shed_share = ((self.fleet_utilization - threshold) / OVERLOAD_SPAN).clamp(0.0, MAX_SHED_SHARE);
+        let shed_fraction =
+            ((self.fleet_utilization - threshold) / OVERLOAD_SPAN).clamp(0.0, MAX_SHED_FRACTION);
         if self.shed_price <= 0.0 {
             self.shed_price = price;
         }
         let is_below_price = price < self.shed_price;
         let weight = (request.work * request.slots / self.mean_request_load).min(3.0);
-        self.shed_price *= (SHED_PRICE_GAIN * (shed_share - f64::from(is_below_price)) * weight).exp();
-        shed_share > 0.0 && is_below_price
+        self.shed_price *= (SHED_PRICE_GAIN * (shed_fraction - f64::from(is_below_price)) * weight).exp();
+        shed_fraction > 0.0 && is_below_price
     }
 
-    /// The share of a tenant's requests that lies beyond its quota, as seen from here.
-    fn over_quota_share(&mut self, now: Micros, tenant: usize) -> f64 {
+    /// The fraction of a tenant's requests that lies beyond its quota, as seen from here.
+    fn over_quota_fraction(&mut self, now: Micros, tenant: usize) -> f64 {
         let Some(settings) = self.settings.tenants.get(tenant) else { return 0.0 };
         let quota = TENANT_QUOTA_TOLERANCE * settings.quota_per_second / f64::from(self.settings.fleet_size);
         let per_second = self.tenant_rates[tenant].add_event(now, TENANT_WINDOW_SECONDS);
--- a/crates/dispatcher/src/policy/attempts.rs
+++ b/crates/dispatcher/src/policy/attempts.rs
@@ -5,7 +5,7 @@
 use crate::{average::move_average, local_load::InFlightAttempt, time::from_seconds, time::to_seconds};
 
 /// Attempts kept for one request; a site that allows more is held to this many.
-pub(super) const MAX_ATTEMPTS_KEPT: usize = 8;
+pub(super) const MAX_TRACKED_ATTEMPTS: usize = 8;
 /// Shortest valid response time: keeps its mean, by which is divided, above 0.
 const MIN_RESPONSE_TIME: Micros = 1_000;
 
@@ -37,17 +37,17 @@
         let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight) else { return };
         match progress {
             Progress::Started => {
-                attempt.progress = Some(ProgressMark { at: now, share_done: 0.0 });
+                attempt.progress = Some(ProgressMark { at: now, fraction_done: 0.0 });
                 if self.settings.cancellation_allowed {
                     // One attempt runs: those that still wait are canceled.
                     cancel_attempts(request, |attempt| attempt.progress.is_none(), &mut self.actions);
                 }
             }
-            Progress::Done(share) if share > 0.0 && share < 1.0 => {
-                let earlier = attempt.progress.replace(ProgressMark { at: now, share_done: share });
+            Progress::Done(fraction) if fraction > 0.0 && fraction < 1.0 => {
+                let earlier = attempt.progress.replace(ProgressMark { at: now, fraction_done: fraction });
                 let index = attempt.worker as usize;
-                if let Some(mark) = earlier.filter(|mark| share > mark.share_done && now > mark.at) {
-                    let work = request.work * (share - mark.share_done);
+                if let Some(mark) = earlier.filter(|mark| fraction > mark.fraction_done && now > mark.at) {
+                    let work = request.work * (fraction - mark.fraction_done);
                     self.learn_rate(now, index, work, to_seconds(now - mark.at));
                 }
             }
@@ -89,7 +89,7 @@
         }
         let is_rejected = end.outcome == Outcome::Rejected;
         for group in [&mut self.kinds[self.workers[index].kind as usize], &mut self.fleet] {
-            move_average(&mut group.rejected_share, f64::from(is_rejected), SLOW_GAIN);
+            move_average(&mut group.rejection_rate, f64::from(is_rejected), SLOW_GAIN);
         }
         let is_served = end.outcome == Outcome::Served && !self.settings.load_by_query;
         if is_rejected || end.report.is_some() || is_served {
@@ -100,18 +100,18 @@
     fn learn_service_time(&mut self, now: Micros, attempt: &Attempt, request: &Request, elapsed: Micros) {
         let response_time = to_seconds(elapsed.max(MIN_RESPONSE_TIME));
         move_average(&mut self.mean_response_seconds, response_time, GROUP_GAIN);
-        let (share, time) = match attempt.progress {
-            Some(ProgressMark { at, share_done }) => (1.0 - share_done, now.saturating_sub(at)),
+        let (fraction, time) = match attempt.progress {
+            Some(ProgressMark { at, fraction_done }) => (1.0 - fraction_done, now.saturating_sub(at)),
             None if attempt.fitted_slots && !self.settings.reports_job_start => (1.0, elapsed),
             None => return,
         };
-        if share > 0.0 && time > 0 {
+        if fraction > 0.0 && time > 0 {
             let seconds = to_seconds(time);
-            if !request.has_hint && share == 1.0 {
+            if !request.has_hint && fraction == 1.0 {
                 // At a work of 1 for all classes, a worker's rate would show its mix of classes.
                 self.service_time_by_class[request.class].add(seconds.ln(), GROUP_GAIN, now);
             }
-            self.learn_rate(now, attempt.worker as usize, request.work * share, seconds);
+            self.learn_rate(now, attempt.worker as usize, request.work * fraction, seconds);
         }
     }
 
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -3,13 +3,13 @@
 use crate::{Action, Endpoint, LoadReport, Micros, Outcome, SECOND, Timer, WorkerId, WorkerState};
 use crate::{average::move_average, time::to_seconds};
 
-/// Share of slots taken before any report has come.
+/// Fraction of slots taken before any report has come.
 pub(super) const INITIAL_UTILIZATION: f64 = 0.5;
 /// Age of a report when it comes: workers renew it about once a second, and it travels.
 pub(super) const REPORT_AGE: Micros = 800_000;
 /// Weight of one report in the fleet's utilization: about the last ten count, a few seconds.
 const UTILIZATION_GAIN: f64 = 0.1;
-/// Most that one report adds to it, in shares of slots.
+/// Most that one report adds to it, in fractions of slots.
 const MAX_REPORTED_UTILIZATION: f64 = 2.0;
 /// Most by which a kind's or a zone's load is taken to differ from what was expected.
 const MAX_LOAD_RATIO: f64 = 5.0;
@@ -29,7 +29,7 @@
 /// All ready workers are queried once in this time, about as often as they renew their reports.
 pub(super) const LOAD_QUERY_ROUND: Micros = SECOND;
 /// What a request's load queries may cost of its weight.
-pub(super) const LOAD_QUERY_COST_SHARE: f64 = 0.01;
+pub(super) const LOAD_QUERY_COST_FRACTION: f64 = 0.01;
 pub(super) const MAX_LOAD_QUERY_BUDGET: f64 = 20.0;
 
 /// Slots that the other dispatchers' requests are expected to take.
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -36,11 +36,11 @@
     rng: fastrand::Rng,
     workers: Vec<Worker>,
     kinds: Vec<GroupStatistics>,
-    /// For each kind and zone, the share of slots taken against the fleet's.
+    /// For each kind and zone, the fraction of slots taken against the fleet's.
     kind_load_ratios: Vec<AverageRatio>,
     zone_load_ratios: Vec<AverageRatio>,
     fleet: GroupStatistics,
-    /// Mean share of slots taken by all dispatchers, waiting requests included.
+    /// Mean fraction of slots taken by all dispatchers, waiting requests included.
     fleet_utilization: f64,
     /// With this factor the lowest affinity of the ready workers is about 1.
     affinity_scale: f64,
@@ -66,8 +66,8 @@
     failed_polls: u32,
     service_time_by_class: Vec<LogAverage>,
     longest_time_left_by_class: Vec<Micros>,
-    /// Share of requests that arrive when their whole latency objective seems spent.
-    late_retry_share: f64,
+    /// Fraction of requests that arrive when their whole latency objective seems spent.
+    late_retry_fraction: f64,
 }
 
 impl Dispatcher {
--- a/crates/dispatcher/src/policy/outlier_detection.rs
+++ b/crates/dispatcher/src/policy/outlier_detection.rs
@@ -16,11 +16,11 @@
 
 impl Dispatcher {
     /// The ranking divides by this: fast errors look like speed, and a full kind spends a request's attempts.
-    pub(super) fn expected_response_share(&self, worker: &Worker, class: usize) -> f64 {
-        let rejected_share = self.kinds[worker.kind as usize].rejected_share;
+    pub(super) fn expected_success_rate(&self, worker: &Worker, class: usize) -> f64 {
+        let rejection_rate = self.kinds[worker.kind as usize].rejection_rate;
         let class_rate = worker.class_failure_rates.get(class);
         let failure_rate = class_rate.map_or(worker.failure_rate, |&rate| rate.max(worker.failure_rate));
-        (1.0 - failure_rate.min(MAX_FAILURE_RATE)) * (1.0 - rejected_share.min(MAX_FAILURE_RATE))
+        (1.0 - failure_rate.min(MAX_FAILURE_RATE)) * (1.0 - rejection_rate.min(MAX_FAILURE_RATE))
     }
 
     /// Failures are counted for each class too, as some workers serve all classes but one.
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -1,16 +1,15 @@
 //! Retries: another attempt after all before it have completed, or else the final response. Hedged requests:
 //! a second attempt where the first has not started in time, as its worker's queue is longer than any report
 //! showed, it hangs, or it has slowed down.
-use super::{
-    Dispatcher, attempts::MAX_ATTEMPTS_KEPT, selection::NotAdmitted, state::Attempt, state::Request,
-};
+use super::{Dispatcher, state::Attempt, state::Request};
+use super::{attempts::MAX_TRACKED_ATTEMPTS, selection::NotAdmitted};
 use crate::time::from_seconds;
 use crate::{Action, DISPATCH_SLACK, Idempotency, KeyScope, Micros, Rejection, RequestId, Timer};
 
 /// Attempts of a request while all are rejected; as many more as fewer are.
 const ATTEMPTS_WHILE_REJECTED: f64 = 1.5;
 /// A request that has not started after this part of the time it could wait is hedged.
-const HEDGE_DELAY_SHARE: f64 = 0.6;
+const HEDGE_DELAY_FRACTION: f64 = 0.6;
 /// Shortest wait before that, so that start notes under way arrive first.
 const MIN_HEDGE_DELAY: Micros = 20_000;
 /// Hedges earned by each request: bounds what they add to the load where a canceled attempt still runs, or
@@ -21,15 +20,15 @@
 impl Dispatcher {
     pub(super) fn retry_or_respond(&mut self, now: Micros, request: &mut Request) {
         let retry_after = from_seconds(self.mean_response_seconds);
-        let mut refused = NotAdmitted { retry_after, reason: Rejection::AttemptsExhausted };
+        let mut not_admitted = NotAdmitted { retry_after, reason: Rejection::AttemptsExhausted };
         if self.may_retry(now, request) {
             match self.select_worker(now, request) {
                 Ok(index) => return self.send(now, request, index),
-                Err(not_admitted) => refused = not_admitted,
+                Err(error) => not_admitted = error,
             }
         }
         self.finish(request);
-        let NotAdmitted { retry_after, reason } = refused;
+        let NotAdmitted { retry_after, reason } = not_admitted;
         self.actions.push(if self.may_reject(request) && now < request.deadline {
             Action::Reject { request: request.id, retry_after, reason }
         } else {
@@ -38,10 +37,10 @@
     }
 
     pub(super) fn max_attempts(&self) -> usize {
-        let max = (self.settings.max_attempts as usize).min(MAX_ATTEMPTS_KEPT);
+        let max = (self.settings.max_attempts as usize).min(MAX_TRACKED_ATTEMPTS);
         // A full fleet would be asked for the same request all over, at the price of its own work. While
         // nothing is rejected, the quotient is infinite and the cast saturates.
-        max.min((ATTEMPTS_WHILE_REJECTED / self.fleet.rejected_share).ceil() as usize)
+        max.min((ATTEMPTS_WHILE_REJECTED / self.fleet.rejection_rate).ceil() as usize)
     }
 
     pub(super) fn may_retry(&self, now: Micros, request: &Request) -> bool {
@@ -72,7 +71,7 @@
         if self.settings.reports_job_start && self.may_hedge_or_move(now, request) {
             let worker = &self.workers[index];
             let slack = self.time_left(now, worker, request) - request.work / worker.service_rate;
-            let after = from_seconds(slack * HEDGE_DELAY_SHARE).max(MIN_HEDGE_DELAY);
+            let after = from_seconds(slack * HEDGE_DELAY_FRACTION).max(MIN_HEDGE_DELAY);
             self.actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(request.id) });
         }
     }
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -100,7 +100,7 @@
         // Few dispatchers, each with a part, send to a worker that warms up: there no crowd can meet.
         let affinity = if is_warming_up { 1.0 } else { worker.affinity * self.affinity_scale };
         let seconds = (estimate.seconds_for_ranking + cross_zone) * affinity
-            / self.expected_response_share(worker, request.class);
+            / self.expected_success_rate(worker, request.class);
         let rank = (self.is_large_fleet() && excess_seconds > 0.0, seconds);
         Candidate { index, rank, excess_seconds, is_warming_up }
     }
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -2,9 +2,9 @@
 use super::{Dispatcher, state::Request, state::Worker};
 use crate::{Micros, time::to_seconds};
 
-/// Share of a slow-start budget that all may use. What one sends counts for a whole window, so that none
+/// Fraction of a slow-start budget that all may use. What one sends counts for a whole window, so that none
 /// sends more than its part in any; the rest is for dispatchers that judge the worker's capacity unlike.
-const SLOW_START_BUDGET_SHARE: f64 = 0.9;
+const SLOW_START_BUDGET_FRACTION: f64 = 0.9;
 /// An overload is laid to dispatchers notified of the start if they sent more than all over this.
 const SLOW_START_NOTIFIED_DIVISOR: f64 = 1.5;
 const SLOW_START_WINDOW_STEPS: Micros = 32;
@@ -16,8 +16,8 @@
         worker.started_at.is_some_and(|at| now < at.saturating_add(self.settings.slow_start_duration))
     }
 
-    /// The share of its capacity that a worker has by now at the least, 1 once it is warm.
-    fn capacity_share(&self, now: Micros, worker: &Worker) -> f64 {
+    /// The fraction of its capacity that a worker has by now at the least, 1 once it is warm.
+    fn capacity_fraction(&self, now: Micros, worker: &Worker) -> f64 {
         let Some(started_at) = worker.started_at else { return 1.0 };
         let duration = self.settings.slow_start_duration.max(1);
         let initial = self.settings.slow_start_initial_capacity;
@@ -69,13 +69,14 @@
             return false;
         }
         let slots = self.kinds[worker.kind as usize].slots.unwrap_or(1.0);
-        let share = self.capacity_share(now.saturating_sub(window / 2), worker);
-        let capacity = share * slots * worker.service_rate;
+        let fraction = self.capacity_fraction(now.saturating_sub(window / 2), worker);
+        let capacity = fraction * slots * worker.service_rate;
         let budget = settings.overload_multiple * capacity * to_seconds(window);
         // Of an overload the notified dispatchers must not have sent over two thirds, and the others a third.
         let mean_load = self.mean_request_load;
         let chance = 2.0 * (budget * mean_load).sqrt() + 2.0 * mean_load;
-        let target = (SLOW_START_BUDGET_SHARE * budget).min((budget + chance) / SLOW_START_NOTIFIED_DIVISOR);
+        let target =
+            (SLOW_START_BUDGET_FRACTION * budget).min((budget + chance) / SLOW_START_NOTIFIED_DIVISOR);
         let fleet_size = f64::from(settings.fleet_size);
         let sharers = (target / (SLOW_START_PART_REQUESTS * mean_load)).clamp(1.0, fleet_size).floor();
         // More dispatchers may hold a random position than there are positions.
--- a/crates/dispatcher/src/policy/state.rs
+++ b/crates/dispatcher/src/policy/state.rs
@@ -1,5 +1,5 @@
 //! What a dispatcher knows of workers, kinds and requests.
-use super::attempts::MAX_ATTEMPTS_KEPT;
+use super::attempts::MAX_TRACKED_ATTEMPTS;
 use crate::average::{LogAverage, SlidingWindowSum};
 use crate::{Micros, RequestId, WorkerState, local_load::LocalLoad};
 use arrayvec::ArrayVec;
@@ -9,7 +9,7 @@
 pub(super) struct GroupStatistics {
     pub(super) rate: LogAverage,
     pub(super) slots: Option<f64>,
-    pub(super) rejected_share: f64,
+    pub(super) rejection_rate: f64,
     /// Largest size listed: that of an idle worker.
     pub(super) max_size: f64,
 }
@@ -43,11 +43,11 @@
     pub(super) affinity: f64,
 }
 
-/// When it was last known how much of an attempt was done, and that share.
+/// When it was last known how much of an attempt was done, and that fraction.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProgressMark {
     pub(super) at: Micros,
-    pub(super) share_done: f64,
+    pub(super) fraction_done: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -76,7 +76,7 @@
     pub(super) objective_at: Micros,
     pub(super) deadline: Micros,
     pub(super) is_finished: bool,
-    pub(super) attempts: ArrayVec<Attempt, MAX_ATTEMPTS_KEPT>,
+    pub(super) attempts: ArrayVec<Attempt, MAX_TRACKED_ATTEMPTS>,
 }
 
 impl Request {
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -33,7 +33,7 @@
     /// A dispatcher that is not subscribed and has not polled for this long counts as notified of the
     /// endpoints of then.
     pub poll_within: Micros,
-    /// A worker starts at this share of its capacity or more.
+    /// A worker starts at this fraction of its capacity or more.
     pub slow_start_initial_capacity: f64,
     /// It has its full capacity after this long at most.
     pub slow_start_duration: Micros,
