--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,22 +1,26 @@
-//! A dispatcher under test and shorthand for its events.
-#![allow(dead_code)]
-use copperspread_dispatcher::*;
+//! A harness around a dispatcher, and builders of its settings, endpoints and requests.
+#![allow(dead_code, reason = "each test program uses a part of it")]
+use copperspread_dispatcher::{
+    Action, AttemptOutcome, Dispatcher, Endpoint, EndpointUpdate, EndpointUpdateKind, Event, Idempotency,
+    IncomingRequest, LoadReport, Micros, Outcome, Progress, RequestClass, RequestId, SECOND, Settings,
+    WorkerId, WorkerState,
+};
 
-pub const MS: Micros = 1_000;
+pub(crate) const MS: Micros = 1_000;
 
-pub fn class(effect: Idempotency) -> RequestClass {
+pub(crate) fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: SECOND,
         latency_stretch: 2.0,
         deadline: 10 * SECOND,
-        idempotency: effect,
+        idempotency,
         ..RequestClass::default()
     }
 }
 
-pub fn settings(effect: Idempotency) -> Settings {
+pub(crate) fn settings(idempotency: Idempotency) -> Settings {
     Settings {
-        classes: vec![class(effect)],
+        classes: vec![class(idempotency)],
         max_attempts: 4,
         hedging_allowed: true,
         cancellation_allowed: true,
@@ -28,7 +32,7 @@
     }
 }
 
-pub fn entry(worker: u32) -> Endpoint {
+pub(crate) fn endpoint(worker: u32) -> Endpoint {
     Endpoint {
         worker: WorkerId(worker),
         zone: 0,
@@ -41,49 +45,49 @@
     }
 }
 
-/// A dispatcher with what it did last.
-pub struct Node {
-    pub dispatcher: Dispatcher,
-    pub now: Micros,
-    pub actions: Vec<Action>,
+/// A dispatcher under test with its clock and the actions of its last event.
+pub(crate) struct Harness {
+    pub(crate) dispatcher: Dispatcher,
+    pub(crate) now: Micros,
+    pub(crate) actions: Vec<Action>,
     version: u64,
 }
 
-impl Node {
-    pub fn new(settings: Settings, entries: &[Endpoint]) -> Node {
-        Node::seeded(settings, entries, 1)
+impl Harness {
+    pub(crate) fn new(settings: Settings, endpoints: &[Endpoint]) -> Harness {
+        Harness::seeded(settings, endpoints, 1)
     }
 
-    pub fn seeded(settings: Settings, entries: &[Endpoint], seed: u64) -> Node {
+    pub(crate) fn seeded(settings: Settings, endpoints: &[Endpoint], seed: u64) -> Harness {
         let dispatcher = Dispatcher::new(settings, seed).expect("settings are good");
-        let mut node = Node { dispatcher, now: 100 * SECOND, actions: Vec::new(), version: 0 };
-        node.roster(EndpointUpdateKind::Cached, entries);
-        node
+        let mut harness = Harness { dispatcher, now: 100 * SECOND, actions: Vec::new(), version: 0 };
+        harness.update_endpoints(EndpointUpdateKind::Cached, endpoints);
+        harness
     }
 
-    pub fn handle(&mut self, event: Event<'_>) -> &[Action] {
+    pub(crate) fn handle(&mut self, event: Event<'_>) -> &[Action] {
         self.actions.clear();
         self.dispatcher.handle(self.now, event, &mut self.actions);
         &self.actions
     }
 
-    pub fn roster(&mut self, kind: EndpointUpdateKind, entries: &[Endpoint]) -> &[Action] {
+    pub(crate) fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) -> &[Action] {
         if kind != EndpointUpdateKind::Failed {
             self.version += 1;
         }
-        self.handle(Event::Endpoints(EndpointUpdate { kind, version: self.version, endpoints: entries }))
+        self.handle(Event::Endpoints(EndpointUpdate { kind, version: self.version, endpoints }))
     }
 
-    /// A job of some seconds of work; its class gives up after ten seconds.
-    pub fn job(&mut self, request: u64, work: f64) -> &[Action] {
-        self.handle(Event::Request(job(request, work)))
+    /// Offers a request of some seconds of work; its client stops waiting after ten seconds.
+    pub(crate) fn offer(&mut self, request: u64, work: f64) -> &[Action] {
+        self.handle(Event::Request(incoming_request(request, work)))
     }
 
-    pub fn outcome(&mut self, request: u64, attempt: u32, outcome: Outcome) -> &[Action] {
-        self.report(request, attempt, outcome, None)
+    pub(crate) fn complete(&mut self, request: u64, attempt: u32, outcome: Outcome) -> &[Action] {
+        self.complete_with_report(request, attempt, outcome, None)
     }
 
-    pub fn report(
+    pub(crate) fn complete_with_report(
         &mut self,
         request: u64,
         attempt: u32,
@@ -100,19 +104,24 @@
         }))
     }
 
-    /// Sends a job, lets it start at once and end after some seconds; returns its worker.
-    pub fn run(&mut self, request: u64, work: f64, takes: f64, report: Option<LoadReport>) -> u32 {
-        self.job(request, work);
-        let worker = self.sent().expect("the job is sent");
-        let progress = Progress::Started;
-        self.handle(Event::AttemptProgress { request: RequestId(request), attempt: 0, progress });
+    /// Notifies the dispatcher that an attempt has started to run.
+    pub(crate) fn start_attempt(&mut self, request: u64, attempt: u32) -> &[Action] {
+        let request = RequestId(request);
+        self.handle(Event::AttemptProgress { request, attempt, progress: Progress::Started })
+    }
+
+    /// Sends a request, lets it start at once and complete after some seconds; returns its worker.
+    pub(crate) fn serve(&mut self, request: u64, work: f64, takes: f64, report: Option<LoadReport>) -> u32 {
+        self.offer(request, work);
+        let worker = self.sent_worker().expect("the request is sent");
+        self.start_attempt(request, 0);
         self.now += (takes * SECOND as f64) as Micros;
-        self.report(request, 0, Outcome::Served, report);
+        self.complete_with_report(request, 0, Outcome::Served, report);
         worker
     }
 
     /// The worker of the one send among the last actions.
-    pub fn sent(&self) -> Option<u32> {
+    pub(crate) fn sent_worker(&self) -> Option<u32> {
         let mut sends = self.actions.iter().filter_map(|action| match action {
             Action::Send { worker, .. } => Some(worker.0),
             _ => None,
@@ -122,16 +131,16 @@
         first
     }
 
-    pub fn refused(&self) -> bool {
+    pub(crate) fn is_rejected(&self) -> bool {
         self.actions.iter().any(|action| matches!(action, Action::Reject { .. }))
     }
 
-    pub fn failed(&self) -> bool {
+    pub(crate) fn is_failed(&self) -> bool {
         self.actions.iter().any(|action| matches!(action, Action::Fail { .. }))
     }
 }
 
-pub fn job(request: u64, work: f64) -> IncomingRequest {
+pub(crate) fn incoming_request(request: u64, work: f64) -> IncomingRequest {
     IncomingRequest {
         request: RequestId(request),
         cost_hint: Some(work),
--- a/crates/dispatcher/tests/failures.rs
+++ b/crates/dispatcher/tests/failures.rs
@@ -1,159 +1,170 @@
 //! Failures that are on no list, singly and in pairs: what the module does and does not do.
 mod common;
-use common::*;
-use copperspread_dispatcher::*;
+use common::{Harness, MS, class, endpoint, incoming_request, settings};
+use copperspread_dispatcher::{
+    Discovery, Endpoint, EndpointUpdateKind, Event, Idempotency, IncomingRequest, LoadReport, Micros,
+    Outcome, SECOND, Settings, Timer,
+};
 
 const IDLE: LoadReport =
     LoadReport { queue: Some(0.0), in_flight: None, utilization: None, qps: None, free_slots: Some(2.0) };
 
 fn fleet(count: u32) -> Vec<Endpoint> {
-    (0..count).map(|i| Endpoint { zone: i % 2, ..entry(i) }).collect()
+    (0..count).map(|i| Endpoint { zone: i % 2, ..endpoint(i) }).collect()
 }
 
-/// Sends jobs one after the other and ends each as told for its worker; returns the sends a worker.
-fn drive(node: &mut Node, jobs: std::ops::Range<u64>, ends: impl Fn(u32) -> (Outcome, Micros)) -> Vec<u32> {
+/// Sends requests one after the other and ends each as told for its worker; returns the sends a worker.
+fn run_sequentially(
+    harness: &mut Harness,
+    requests: std::ops::Range<u64>,
+    ends: impl Fn(u32) -> (Outcome, Micros),
+) -> Vec<u32> {
     let mut sends = vec![0; 16];
-    for id in jobs {
-        node.job(id, 0.2);
+    for id in requests {
+        harness.offer(id, 0.2);
         let mut attempt = 0;
-        while let Some(worker) = node.sent() {
+        while let Some(worker) = harness.sent_worker() {
             sends[worker as usize] += 1;
             let (outcome, takes) = ends(worker);
             if outcome == Outcome::Served {
-                let progress = Progress::Started;
-                node.handle(Event::AttemptProgress { request: RequestId(id), attempt, progress });
+                harness.start_attempt(id, attempt);
             }
-            node.now += takes;
-            node.report(id, attempt, outcome, (outcome == Outcome::Served).then_some(IDLE));
+            harness.now += takes;
+            harness.complete_with_report(id, attempt, outcome, (outcome == Outcome::Served).then_some(IDLE));
             attempt += 1;
         }
     }
     sends
 }
 
-/// Sends jobs that stay out; returns how many go to the workers asked for.
-fn held(node: &mut Node, jobs: std::ops::Range<u64>, asked: impl Fn(u32) -> bool) -> usize {
-    jobs.filter(|&id| {
-        node.job(id, 0.2);
-        node.sent().is_some_and(&asked)
-    })
-    .count()
+/// Sends requests that stay out; returns how many go to the workers asked for.
+fn count_in_flight_at(
+    harness: &mut Harness,
+    requests: std::ops::Range<u64>,
+    asked: impl Fn(u32) -> bool,
+) -> usize {
+    requests
+        .filter(|&id| {
+            harness.offer(id, 0.2);
+            harness.sent_worker().is_some_and(&asked)
+        })
+        .count()
 }
 
 const SERVED: (Outcome, Micros) = (Outcome::Served, 200 * MS);
 
 #[test]
-fn a_hung_worker_is_avoided_after_its_time_outs() {
-    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(4));
+fn a_hung_worker_is_avoided_after_its_timeouts() {
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(4));
     let hung = |w| if w == 0 { (Outcome::TimedOut, 10 * SECOND) } else { SERVED };
-    drive(&mut node, 0..40, hung);
-    let sends = drive(&mut node, 100..140, hung);
+    run_sequentially(&mut harness, 0..40, hung);
+    let sends = run_sequentially(&mut harness, 100..140, hung);
     assert!(sends[0] <= 4, "fewer than one in ten: {sends:?}");
 }
 
 #[test]
-fn jobs_that_pile_up_on_a_hung_worker_keep_new_ones_away_at_once() {
-    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(2));
+fn requests_in_flight_at_a_hung_worker_keep_new_ones_away_at_once() {
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(2));
     let mut held = [0; 2];
     // Nothing comes back from worker 0; the other serves.
     for id in 0..60 {
-        node.job(id, 0.1);
-        let Some(worker) = node.sent() else { continue };
+        harness.offer(id, 0.1);
+        let Some(worker) = harness.sent_worker() else { continue };
         held[worker as usize] += 1;
         if worker == 1 {
-            node.now += 100 * MS;
-            node.report(id, 0, Outcome::Served, Some(IDLE));
+            harness.now += 100 * MS;
+            harness.complete_with_report(id, 0, Outcome::Served, Some(IDLE));
         }
     }
     assert!(held[0] < 12 && held[1] > 40, "{held:?}");
 }
 
 #[test]
-fn a_crashed_worker_costs_an_attempt_and_the_jobs_go_on_elsewhere() {
-    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(4));
+fn a_crashed_worker_costs_an_attempt_and_the_requests_are_retried_elsewhere() {
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(4));
     let crashed = |w| if w == 0 { (Outcome::ConnectFailed, 50 * MS) } else { SERVED };
-    let sends = drive(&mut node, 0..60, crashed);
-    assert_eq!(sends[1] + sends[2] + sends[3], 60, "every job was served: {sends:?}");
+    let sends = run_sequentially(&mut harness, 0..60, crashed);
+    assert_eq!(sends[1] + sends[2] + sends[3], 60, "every request was served: {sends:?}");
     assert!(sends[0] < 15, "and the dead one is passed over: {sends:?}");
 }
 
 #[test]
-fn if_all_slow_down_together_nobody_is_singled_out() {
-    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(4));
-    drive(&mut node, 0..40, |_| SERVED);
-    let sends = drive(&mut node, 100..180, |_| (Outcome::Served, 500 * MS));
+fn when_all_workers_slow_down_together_none_is_avoided() {
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(4));
+    run_sequentially(&mut harness, 0..40, |_| SERVED);
+    let sends = run_sequentially(&mut harness, 100..180, |_| (Outcome::Served, 500 * MS));
     let (least, most) = (sends[..4].iter().min(), sends[..4].iter().max());
     assert!(least > Some(&5) && most < Some(&45), "all stay in use: {sends:?}");
 }
 
 #[test]
 fn a_paused_worker_that_comes_back_is_used_again() {
-    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(2));
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(2));
     let paused = |w| if w == 0 { (Outcome::Reset, SECOND) } else { SERVED };
-    drive(&mut node, 0..30, paused);
+    run_sequentially(&mut harness, 0..30, paused);
     for _ in 0..60 {
-        node.now += SECOND;
-        node.handle(Event::TimerExpired(Timer::PeriodicRefresh));
+        harness.now += SECOND;
+        harness.handle(Event::TimerExpired(Timer::PeriodicRefresh));
     }
-    assert!(held(&mut node, 100..104, |w| w == 0) > 0);
+    assert!(count_in_flight_at(&mut harness, 100..104, |w| w == 0) > 0);
 }
 
 #[test]
-fn a_zone_that_is_cut_off_is_left_alone_and_tried_again() {
-    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(6));
+fn a_partitioned_zone_is_avoided_and_tried_again() {
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(6));
     let cut = |w| if w % 2 == 1 { (Outcome::ConnectFailed, 250 * MS) } else { SERVED };
-    drive(&mut node, 0..60, cut);
-    let sends = drive(&mut node, 100..160, cut);
+    run_sequentially(&mut harness, 0..60, cut);
+    let sends = run_sequentially(&mut harness, 100..160, cut);
     let away: u32 = sends.iter().skip(1).step_by(2).sum();
     assert!(away < 20, "{sends:?}");
     for _ in 0..60 {
-        node.now += SECOND;
-        node.handle(Event::TimerExpired(Timer::PeriodicRefresh));
+        harness.now += SECOND;
+        harness.handle(Event::TimerExpired(Timer::PeriodicRefresh));
     }
-    assert!(held(&mut node, 200..212, |w| w % 2 == 1) > 0);
+    assert!(count_in_flight_at(&mut harness, 200..212, |w| w % 2 == 1) > 0);
 }
 
 #[test]
-fn a_shrinking_fleet_refuses_what_no_longer_fits_and_loses_nothing() {
-    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(8));
+fn a_shrinking_fleet_rejects_what_no_longer_fits_and_loses_nothing() {
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(8));
     let mut out = Vec::new();
-    let mut refused = 0;
+    let mut rejected = 0;
     for id in 0..80 {
         if id % 10 == 9 {
-            node.roster(EndpointUpdateKind::Full, &fleet(8 - id as u32 / 10));
+            harness.update_endpoints(EndpointUpdateKind::Full, &fleet(8 - id as u32 / 10));
         }
-        node.job(id, 0.3);
-        match node.sent() {
+        harness.offer(id, 0.3);
+        match harness.sent_worker() {
             Some(worker) => {
                 assert!(worker < 8.min(9 - (id as u32 + 1) / 10), "a worker of the present list");
                 out.push(id);
             }
-            None => refused += u32::from(node.refused()),
+            None => rejected += u32::from(harness.is_rejected()),
         }
     }
-    assert_eq!(out.len() + refused as usize, 80);
-    assert!(refused > 10 && out.len() > 20);
-    // Jobs of workers that have left still end: what never ran is refused, what may have run fails.
-    node.roster(EndpointUpdateKind::Full, &[]);
+    assert_eq!(out.len() + rejected as usize, 80);
+    assert!(rejected > 10 && out.len() > 20);
+    // Jobs of workers that have left still end: what never ran is rejected, what may have run fails.
+    harness.update_endpoints(EndpointUpdateKind::Full, &[]);
     for (index, &id) in out.iter().enumerate() {
         let outcome = if index % 2 == 0 { Outcome::Reset } else { Outcome::ConnectFailed };
-        node.outcome(id, 0, outcome);
-        assert_eq!((node.failed(), node.refused()), (index % 2 == 0, index % 2 == 1));
+        harness.complete(id, 0, outcome);
+        assert_eq!((harness.is_failed(), harness.is_rejected()), (index % 2 == 0, index % 2 == 1));
     }
 }
 
 #[test]
-fn a_restart_with_a_stale_list_meets_dead_and_cold_workers_without_harm() {
+fn a_restart_with_a_stale_list_copes_with_dead_and_warming_workers() {
     // The remembered list names workers 0 to 3; 0 is gone for good, 1 has restarted since.
-    let mut node = Node::new(settings(Idempotency::NonIdempotent), &fleet(4));
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(4));
     let stale = |w| if w == 0 { (Outcome::ConnectFailed, 50 * MS) } else { SERVED };
-    let sends = drive(&mut node, 0..20, stale);
+    let sends = run_sequentially(&mut harness, 0..20, stale);
     assert_eq!(sends[1..4].iter().sum::<u32>(), 20);
     let mut news = fleet(4);
     news.remove(0);
-    news[0].started_at = Some(node.now);
-    node.roster(EndpointUpdateKind::Full, &news);
-    let sends = drive(&mut node, 100..110, stale);
+    news[0].started_at = Some(harness.now);
+    harness.update_endpoints(EndpointUpdateKind::Full, &news);
+    let sends = run_sequentially(&mut harness, 100..110, stale);
     assert_eq!(sends[0], 0, "gone");
     assert!(sends[1] <= 2, "cold: {sends:?}");
 }
@@ -161,41 +172,41 @@
 #[test]
 fn slow_workers_and_failing_discovery_together_leave_the_rest_in_use() {
     let settings = Settings { discovery: Discovery::Polled, ..settings(Idempotency::NonIdempotent) };
-    let mut node = Node::new(settings, &fleet(4));
+    let mut harness = Harness::new(settings, &fleet(4));
     let slow = |w| (Outcome::Served, if w < 2 { 1_000 * MS } else { 200 * MS });
-    drive(&mut node, 0..40, slow);
-    node.roster(EndpointUpdateKind::Failed, &[]);
-    let sends = drive(&mut node, 100..140, slow);
+    run_sequentially(&mut harness, 0..40, slow);
+    harness.update_endpoints(EndpointUpdateKind::Failed, &[]);
+    let sends = run_sequentially(&mut harness, 100..140, slow);
     assert!(sends[2] + sends[3] > 30, "{sends:?}");
 }
 
-// Guards against workers that take the jobs of one class and fall silent: it shows before the deadline,
+// Guards against workers that take the requests of one class and fall silent: it shows before the deadline,
 // and only that class goes elsewhere.
 #[test]
-fn a_class_that_falls_silent_at_a_worker_goes_elsewhere() {
+fn a_class_that_hangs_at_one_worker_is_sent_elsewhere() {
     let classes = vec![class(Idempotency::NonIdempotent), class(Idempotency::NonIdempotent)];
-    let entries = [entry(0), entry(1)];
-    let mut node = Node::new(Settings { classes, ..settings(Idempotency::NonIdempotent) }, &entries);
+    let endpoints = [endpoint(0), endpoint(1)];
+    let mut harness = Harness::new(Settings { classes, ..settings(Idempotency::NonIdempotent) }, &endpoints);
     let mut hits = [[0; 2]; 2];
     let mut silent = std::collections::VecDeque::new();
     for request in 0..300 {
         let class = (request % 2) as u32;
-        node.handle(Event::Request(IncomingRequest { class, ..job(request, 0.2) }));
-        let worker = node.sent().expect("sent");
+        harness.handle(Event::Request(IncomingRequest { class, ..incoming_request(request, 0.2) }));
+        let worker = harness.sent_worker().expect("sent");
         hits[class as usize][worker as usize] += usize::from(request >= 100);
-        node.now += 100 * MS;
+        harness.now += 100 * MS;
         if (class, worker) != (1, 0) {
-            node.outcome(request, 0, Outcome::Served);
+            harness.complete(request, 0, Outcome::Served);
         } else {
             silent.push_back(request);
         }
         if silent.front().is_some_and(|&first| first + 20 < request) {
             // Its client goes, which says nothing of the worker.
             let first = silent.pop_front().expect("one");
-            node.outcome(first, 0, Outcome::Cancelled);
+            harness.complete(first, 0, Outcome::Cancelled);
         }
         if request % 10 == 9 {
-            node.handle(Event::TimerExpired(Timer::PeriodicRefresh));
+            harness.handle(Event::TimerExpired(Timer::PeriodicRefresh));
         }
     }
     let [[other_class, _], [lost, well]] = hits;
--- a/crates/dispatcher/tests/overload.rs
+++ b/crates/dispatcher/tests/overload.rs
@@ -1,13 +1,15 @@
 //! What is shed while slots are scarce.
 mod common;
-use common::*;
-use copperspread_dispatcher::*;
+use common::{Harness, MS, endpoint, incoming_request, settings};
+use copperspread_dispatcher::{
+    Event, Idempotency, IncomingRequest, LoadReport, Outcome, RequestClass, SECOND, Settings, Tenant,
+};
 
 const CROWDED: LoadReport =
     LoadReport { queue: Some(8.0), in_flight: None, utilization: None, qps: None, free_slots: Some(0.0) };
 
 /// Settings of a cheap class, a dear one, and one tenant of 1 request a second.
-fn two_worths() -> Settings {
+fn two_priority_weights() -> Settings {
     let mut settings =
         Settings { over_quota_weight: 0.1, weight_by_work: true, ..settings(Idempotency::NonIdempotent) };
     settings.classes[0].latency_objective = 100 * SECOND;
@@ -17,50 +19,51 @@
 }
 
 fn long(request: u64, class: u32) -> IncomingRequest {
-    IncomingRequest { class, time_left: 200 * SECOND, ..job(request, 0.2) }
+    IncomingRequest { class, time_left: 200 * SECOND, ..incoming_request(request, 0.2) }
 }
 
 /// Refusals per class over a stretch in which every answer reports the same load.
-fn refusals(node: &mut Node, report: LoadReport, first: u64) -> [u32; 2] {
-    let mut refused = [0; 2];
+fn rejections(harness: &mut Harness, report: LoadReport, first: u64) -> [u32; 2] {
+    let mut rejected = [0; 2];
     for i in 0..200 {
-        node.now += 300 * MS;
+        harness.now += 300 * MS;
         let class = (i % 2) as u32;
-        node.handle(Event::Request(long(first + i, class)));
-        if node.refused() {
-            refused[class as usize] += 1;
+        harness.handle(Event::Request(long(first + i, class)));
+        if harness.is_rejected() {
+            rejected[class as usize] += 1;
         } else {
-            node.report(first + i, 0, Outcome::Served, Some(report));
+            harness.complete_with_report(first + i, 0, Outcome::Served, Some(report));
         }
     }
-    refused
+    rejected
 }
 
 #[test]
-fn the_cheaper_work_goes_first_and_only_while_slots_are_scarce() {
-    let mut node = Node::new(two_worths(), &[entry(0), entry(1)]);
+fn work_of_least_weight_is_shed_first_and_only_while_slots_are_scarce() {
+    let mut harness = Harness::new(two_priority_weights(), &[endpoint(0), endpoint(1)]);
     let idle = LoadReport { queue: Some(0.0), free_slots: Some(2.0), ..CROWDED };
-    assert_eq!(refusals(&mut node, idle, 1), [0, 0], "nothing is shed while there is room");
-    let [cheap, dear] = refusals(&mut node, CROWDED, 1000);
+    assert_eq!(rejections(&mut harness, idle, 1), [0, 0], "nothing is shed while there is room");
+    let [cheap, dear] = rejections(&mut harness, CROWDED, 1000);
     assert!(cheap > 40 && dear < cheap / 4, "cheap {cheap}, dear {dear}");
-    refusals(&mut node, idle, 2000);
-    assert_eq!(refusals(&mut node, idle, 3000), [0, 0], "and no longer than that");
+    rejections(&mut harness, idle, 2000);
+    assert_eq!(rejections(&mut harness, idle, 3000), [0, 0], "and no longer than that");
 }
 
 #[test]
-fn a_tenant_beyond_its_share_is_shed_before_the_others() {
+fn a_tenant_over_its_quota_is_shed_before_the_others() {
     let tenants = vec![Tenant { quota_per_second: 1.0 }, Tenant { quota_per_second: 100.0 }];
-    let mut node = Node::new(Settings { tenants, ..two_worths() }, &[entry(0), entry(1)]);
-    let mut refused = [0; 2];
+    let mut harness =
+        Harness::new(Settings { tenants, ..two_priority_weights() }, &[endpoint(0), endpoint(1)]);
+    let mut rejected = [0; 2];
     for i in 0..600 {
-        node.now += 100 * MS;
+        harness.now += 100 * MS;
         let tenant = (i % 2) as u32;
-        node.handle(Event::Request(IncomingRequest { tenant, ..long(i, 0) }));
-        if node.refused() {
-            refused[tenant as usize] += 1;
+        harness.handle(Event::Request(IncomingRequest { tenant, ..long(i, 0) }));
+        if harness.is_rejected() {
+            rejected[tenant as usize] += 1;
         } else {
-            node.report(i, 0, Outcome::Served, Some(CROWDED));
+            harness.complete_with_report(i, 0, Outcome::Served, Some(CROWDED));
         }
     }
-    assert!(refused[0] > 2 * refused[1].max(5), "{refused:?}");
+    assert!(rejected[0] > 2 * rejected[1].max(5), "{rejected:?}");
 }
--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -1,14 +1,16 @@
 //! Cold workers: all dispatchers together stay inside the budget, though none knows of the others.
 mod common;
-use common::*;
-use copperspread_dispatcher::*;
+use common::{Harness, MS, endpoint, settings};
+use copperspread_dispatcher::{
+    Endpoint, EndpointUpdateKind, Idempotency, LoadReport, Micros, Outcome, SECOND, Settings, WorkerState,
+};
 
-/// What befalls the fleet in a play.
+/// What happens to the fleet in a play.
 #[derive(Clone, Copy, Default)]
 struct Plan {
-    /// No dispatcher has seen a job before.
+    /// No dispatcher has records a request before.
     restarted: bool,
-    /// Jobs are of unlike work, some many times the usual.
+    /// Jobs are of unequal work, some many times the usual.
     heavy: bool,
     /// All read what the worker held a second before, renewed every 0.9 s.
     listed: bool,
@@ -19,15 +21,15 @@
 /// Plays a fleet of dispatchers for some seconds after a worker's start and returns the largest
 /// work sent to it within any window, as a share of the window's budget: the multiple of its mean capacity there.
 fn worst_window(fleet: u32, seed: u64, plan: Plan) -> f64 {
-    play(fleet, seed, plan).0
+    simulate(fleet, seed, plan).0
 }
 
 /// The same, and all work sent to it as a share of the budget at its start.
-fn play(fleet: u32, seed: u64, plan: Plan) -> (f64, f64) {
+fn simulate(fleet: u32, seed: u64, plan: Plan) -> (f64, f64) {
     let Plan { restarted, heavy, listed, killed } = plan;
     let settings =
         Settings { fleet_size: fleet, sizes_reflect_load: listed, ..settings(Idempotency::NonIdempotent) };
-    let warm: Vec<_> = (0..8).map(entry).collect();
+    let warm: Vec<_> = (0..8).map(endpoint).collect();
     // The warm ones have queues, so that a cold one is welcome.
     let crowded = |at: u64| {
         let (queue, free) = if at == 0 { (0.0, 2.0) } else { (0.0, 0.5) };
@@ -38,33 +40,33 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut all = warm.clone();
     all[0].started_at = Some(start);
-    let mut nodes: Vec<_> = (0..fleet)
+    let mut harnesses: Vec<_> = (0..fleet)
         .map(|me| {
-            let mut node = Node::seeded(
+            let mut harness = Harness::seeded(
                 Settings { instance_index: Some(me), ..settings.clone() },
                 &warm,
                 seed * 1000 + u64::from(me),
             );
-            node.now = start - 60 * SECOND;
+            harness.now = start - 60 * SECOND;
             if !restarted {
                 for i in 0..30 {
-                    node.run(1_000_000 + i, 0.5, 0.5, crowded(i));
-                    node.now += SECOND;
+                    harness.serve(1_000_000 + i, 0.5, 0.5, crowded(i));
+                    harness.now += SECOND;
                 }
             }
-            node.now = start;
+            harness.now = start;
             if listed {
                 // Nobody else takes work: whatever is let through goes to the cold one.
                 all.iter_mut().skip(1).for_each(|of| of.state = WorkerState::Draining);
             }
-            node.roster(EndpointUpdateKind::Full, &all);
-            node
+            harness.update_endpoints(EndpointUpdateKind::Full, &all);
+            harness
         })
         .collect();
     let window = settings.overload_window;
     let mut sends: Vec<(Micros, f64)> = Vec::new();
     // About as much as eight workers of two slots can do, over all dispatchers.
-    // In the large fleet each gets three jobs a second.
+    // In the large fleet each gets three requests a second.
     let steps = if listed { 3 * 6 * u64::from(fleet) } else { 8 * 2 * 2 * 6 };
     let mut next_list = start + 900 * MS;
     let mut alive = true;
@@ -74,10 +76,10 @@
             alive = false;
             for me in (0..fleet).filter(|me| me % 10 < 7) {
                 let told = Settings { instance_index: Some(me), ..settings.clone() };
-                let mut node = Node::seeded(told, &[], seed * 1000 + 500 + u64::from(me));
-                node.now = now;
-                node.roster(EndpointUpdateKind::Full, &all);
-                nodes[me as usize] = node;
+                let mut harness = Harness::seeded(told, &[], seed * 1000 + 500 + u64::from(me));
+                harness.now = now;
+                harness.update_endpoints(EndpointUpdateKind::Full, &all);
+                harnesses[me as usize] = harness;
             }
         }
         if listed && now >= next_list {
@@ -92,20 +94,20 @@
                     + work;
                 at = sent;
             }
-            let mut entries = all.clone();
-            entries[0].size = Some(4.0 / (1.0 + held / 0.5 / 2.0));
+            let mut endpoints = all.clone();
+            endpoints[0].size = Some(4.0 / (1.0 + held / 0.5 / 2.0));
             // One that drains holds nothing any more: so large is an idle one.
-            entries[1].size = Some(4.0);
-            for node in &mut nodes {
-                node.now = now;
-                node.roster(EndpointUpdateKind::Changes, &entries);
+            endpoints[1].size = Some(4.0);
+            for harness in &mut harnesses {
+                harness.now = now;
+                harness.update_endpoints(EndpointUpdateKind::Changes, &endpoints);
             }
         }
-        let node = &mut nodes[rng.usize(0..fleet as usize)];
-        node.now = now;
+        let harness = &mut harnesses[rng.usize(0..fleet as usize)];
+        harness.now = now;
         let work = if heavy { 0.1 - rng.f64().max(1e-6).ln() * 0.4 } else { 0.5 };
-        node.job(step, work);
-        if node.sent() == Some(0) {
+        harness.offer(step, work);
+        if harness.sent_worker() == Some(0) {
             sends.push((now, work));
         }
     }
@@ -125,15 +127,15 @@
     (worst, sends.iter().map(|s| s.1).sum::<f64>() / budget)
 }
 
-/// Guards against a part of the budget that is smaller than any job, and against many that each send a
+/// Guards against a part of the budget that is smaller than any request, and against many that each send a
 /// little at random: together they go beyond any budget.
 #[test]
-fn a_large_fleet_with_no_other_worker_keeps_a_cold_one_at_work_inside_its_budget() {
+fn a_large_fleet_keeps_a_lone_warming_worker_at_work_inside_its_budget() {
     for fleet in [40, 100, 200] {
         let mut told = 0.0;
         for heavy in [false, true] {
             for seed in 0..10 {
-                let (worst, all) = play(fleet, seed, Plan { heavy, listed: true, ..Plan::default() });
+                let (worst, all) = simulate(fleet, seed, Plan { heavy, listed: true, ..Plan::default() });
                 assert!(worst < 1.0, "{fleet} dispatchers, heavy {heavy}, seed {seed}: {worst}");
                 told += all / 20.0;
             }
@@ -179,14 +181,15 @@
 /// Guards against a memory of what was sent that outlasts the window: at a steady load half of the budget
 /// then stays unused while warm workers queue.
 #[test]
-fn a_cold_worker_that_could_take_more_gets_most_of_its_budget_window_after_window() {
+fn a_warming_worker_with_room_gets_most_of_its_budget_window_after_window() {
     let settings = settings(Idempotency::NonIdempotent);
-    let mut node = Node::new(settings.clone(), &[]);
-    let start = node.now;
-    node.roster(EndpointUpdateKind::Full, &[Endpoint { started_at: Some(start), ..entry(0) }]);
+    let mut harness = Harness::new(settings.clone(), &[]);
+    let start = harness.now;
+    harness
+        .update_endpoints(EndpointUpdateKind::Full, &[Endpoint { started_at: Some(start), ..endpoint(0) }]);
     let (mut sent, mut budget) = (0.0, 0.0);
     for step in 0..900 {
-        node.now = start + step * 10 * MS;
+        harness.now = start + step * 10 * MS;
         if step == 300 {
             // What a first burst spends is not what comes window after window.
             (sent, budget) = (0.0, 0.0);
@@ -195,45 +198,51 @@
         budget += settings.overload_multiple
             * (settings.slow_start_initial_capacity + (1.0 - settings.slow_start_initial_capacity) * warm)
             * 0.01;
-        node.job(step, 0.05);
-        if node.sent().is_some() {
+        harness.offer(step, 0.05);
+        if harness.sent_worker().is_some() {
             sent += 0.05;
-            node.outcome(step, 0, Outcome::Served);
+            harness.complete(step, 0, Outcome::Served);
         }
     }
     assert!((0.75..1.0).contains(&(sent / budget)), "{sent} of {budget}");
 }
 
 #[test]
-fn a_cold_worker_does_get_work() {
+fn a_warming_worker_does_get_work() {
     let total: f64 = (0..10).map(|seed| worst_window(7, seed, Plan::default())).sum();
-    assert!(total > 0.3, "thinned, not shut out: {total} over ten plays");
+    assert!(total > 0.3, "thinned, not shut out: {total} over ten runs");
 }
 
 #[test]
-fn a_job_too_heavy_for_the_budget_never_goes_to_a_cold_worker() {
+fn a_request_too_heavy_for_the_budget_is_never_sent_to_a_warming_worker() {
     let mut sent = 0;
     for seed in 0..200 {
-        let mut node = Node::seeded(settings(Idempotency::NonIdempotent), &[], seed);
-        node.roster(EndpointUpdateKind::Full, &[Endpoint { started_at: Some(node.now), ..entry(0) }]);
-        node.now += SECOND;
-        node.job(1, 5.0);
-        sent += u32::from(node.sent().is_some());
+        let mut harness = Harness::seeded(settings(Idempotency::NonIdempotent), &[], seed);
+        harness.update_endpoints(
+            EndpointUpdateKind::Full,
+            &[Endpoint { started_at: Some(harness.now), ..endpoint(0) }],
+        );
+        harness.now += SECOND;
+        harness.offer(1, 5.0);
+        sent += u32::from(harness.sent_worker().is_some());
     }
     assert_eq!(sent, 0);
 }
 
 #[test]
-fn a_worker_is_warm_after_the_stated_time() {
-    let mut node = Node::new(settings(Idempotency::NonIdempotent), &[]);
-    node.roster(EndpointUpdateKind::Full, &[Endpoint { started_at: Some(node.now), ..entry(0) }]);
-    node.now += 11 * SECOND;
-    node.job(1, 0.5);
-    assert_eq!(node.sent(), Some(0));
+fn a_worker_is_warm_after_the_slow_start_duration() {
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[]);
+    harness.update_endpoints(
+        EndpointUpdateKind::Full,
+        &[Endpoint { started_at: Some(harness.now), ..endpoint(0) }],
+    );
+    harness.now += 11 * SECOND;
+    harness.offer(1, 0.5);
+    assert_eq!(harness.sent_worker(), Some(0));
 }
 
 /// A dispatcher of a hundred that has heard of crowded warm workers, and of one that is new.
-fn beside_crowded_ones(size: Option<f64>, seed: u64) -> Option<u32> {
+fn sent_beside_loaded_workers(size: Option<f64>, seed: u64) -> Option<u32> {
     let settings = Settings {
         fleet_size: 100,
         instance_index: None,
@@ -242,35 +251,42 @@
     };
     // Of a budget so large that all may share it: here the choice counts.
     let settings = Settings { overload_multiple: 1000.0, ..settings };
-    let warm: Vec<_> = (0..8).map(|i| Endpoint { size: Some(4.0), ..entry(i) }).collect();
-    let mut node = Node::seeded(settings, &warm, seed);
+    let warm: Vec<_> = (0..8).map(|i| Endpoint { size: Some(4.0), ..endpoint(i) }).collect();
+    let mut harness = Harness::seeded(settings, &warm, seed);
     for i in 0..30 {
         let free = if i == 0 { 2.0 } else { 0.3 };
-        node.run(1_000 + i, 0.5, 0.5, Some(LoadReport { free_slots: Some(free), ..LoadReport::default() }));
-        node.now += SECOND;
+        harness.serve(
+            1_000 + i,
+            0.5,
+            0.5,
+            Some(LoadReport { free_slots: Some(free), ..LoadReport::default() }),
+        );
+        harness.now += SECOND;
     }
     let mut all = warm;
-    all.push(Endpoint { started_at: Some(node.now), size, ..entry(8) });
-    node.roster(EndpointUpdateKind::Full, &all);
-    node.now += 100 * MS;
-    node.job(1, 0.5);
-    node.sent()
+    all.push(Endpoint { started_at: Some(harness.now), size, ..endpoint(8) });
+    harness.update_endpoints(EndpointUpdateKind::Full, &all);
+    harness.now += 100 * MS;
+    harness.offer(1, 0.5);
+    harness.sent_worker()
 }
 
 /// Guards against new workers that pass for as crowded as the old ones: they stood idle.
 #[test]
-fn a_cold_worker_that_the_list_shows_idle_is_preferred_to_crowded_ones_and_one_it_shows_full_is_not() {
-    let sent_there = |size| (0..40).filter(|&seed| beside_crowded_ones(size, seed) == Some(8)).count();
-    let (idle, full, untold) = (sent_there(Some(4.0)), sent_there(Some(0.8)), sent_there(None));
+fn a_warming_worker_listed_as_idle_is_preferred_to_loaded_ones_and_one_listed_as_full_is_not() {
+    let count_sent_there =
+        |size| (0..40).filter(|&seed| sent_beside_loaded_workers(size, seed) == Some(8)).count();
+    let (idle, full, unlisted) =
+        (count_sent_there(Some(4.0)), count_sent_there(Some(0.8)), count_sent_there(None));
     assert!(idle >= 30, "{idle} of 40 to the idle one");
     assert!(
-        full <= 2 && untold < idle / 2,
-        "{full} to the full one, {untold} to one of which nothing is told"
+        full <= 2 && unlisted < idle / 2,
+        "{full} to the full one, {unlisted} to one of which nothing is told"
     );
 }
 
 #[test]
-fn absurd_sizes_neither_panic_nor_shut_a_kind_out() {
+fn absurd_sizes_neither_panic_nor_exclude_a_kind() {
     for odd in [f64::NAN, f64::INFINITY, 0.0, -3.0, 1e-300, 9_999.0, 1e300] {
         // A budget that all hundred may share, so that only what the list tells counts.
         let settings = Settings {
@@ -279,24 +295,24 @@
             sizes_reflect_load: true,
             ..settings(Idempotency::NonIdempotent)
         };
-        let mut entries: Vec<_> = (0..4).map(|i| Endpoint { size: Some(4.0), ..entry(i) }).collect();
-        entries[0].size = Some(odd);
-        entries[1].started_at = Some(100 * SECOND);
-        let mut node = Node::new(settings, &entries[..0]);
-        node.roster(EndpointUpdateKind::Full, &entries);
+        let mut endpoints: Vec<_> = (0..4).map(|i| Endpoint { size: Some(4.0), ..endpoint(i) }).collect();
+        endpoints[0].size = Some(odd);
+        endpoints[1].started_at = Some(100 * SECOND);
+        let mut harness = Harness::new(settings, &endpoints[..0]);
+        harness.update_endpoints(EndpointUpdateKind::Full, &endpoints);
         // Only the cold one is left, idle by the list.
         for of in [0, 2, 3] {
-            entries[of].state = WorkerState::Draining;
+            endpoints[of].state = WorkerState::Draining;
         }
-        node.roster(EndpointUpdateKind::Changes, &entries);
-        node.now += 5 * SECOND;
-        node.job(1, 0.2);
-        assert_eq!(node.sent(), Some(1), "beside a size of {odd}");
+        harness.update_endpoints(EndpointUpdateKind::Changes, &endpoints);
+        harness.now += 5 * SECOND;
+        harness.offer(1, 0.2);
+        assert_eq!(harness.sent_worker(), Some(1), "beside a size of {odd}");
     }
 }
 
 #[test]
-fn lists_and_fleets_of_any_length_are_taken() {
+fn endpoint_lists_and_fleets_of_any_size_are_handled() {
     for fleet in [1, 100, 10_000] {
         for count in [0, 1, 5_000] {
             let settings = Settings {
@@ -307,13 +323,16 @@
             };
             let started_at = Some(100 * SECOND);
             let cold: Vec<_> =
-                (0..count).map(|i| Endpoint { started_at, size: Some(4.0), ..entry(i) }).collect();
-            let mut node = Node::new(settings, &[]);
-            node.roster(EndpointUpdateKind::Full, &cold);
-            node.now += SECOND;
-            node.job(1, 0.1);
-            assert!(count > 0 || node.refused(), "no worker is listed");
-            assert!(node.refused() != node.sent().is_some(), "{fleet} dispatchers, {count} entries");
+                (0..count).map(|i| Endpoint { started_at, size: Some(4.0), ..endpoint(i) }).collect();
+            let mut harness = Harness::new(settings, &[]);
+            harness.update_endpoints(EndpointUpdateKind::Full, &cold);
+            harness.now += SECOND;
+            harness.offer(1, 0.1);
+            assert!(count > 0 || harness.is_rejected(), "no worker is listed");
+            assert!(
+                harness.is_rejected() != harness.sent_worker().is_some(),
+                "{fleet} dispatchers, {count} endpoints"
+            );
         }
     }
 }
--- a/crates/dispatcher/tests/slow_start_fleet.rs
+++ b/crates/dispatcher/tests/slow_start_fleet.rs
@@ -1,38 +1,41 @@
 //! A cold worker's budget holds for the sum over the fleet, whatever its dispatchers have learned and
 //! forgotten and whenever they hear of the start. See docs/cold-budget.md.
 mod common;
-use common::*;
-use copperspread_dispatcher::*;
+use common::{Harness, MS, class, endpoint, settings};
+use copperspread_dispatcher::{
+    Dispatcher, Endpoint, EndpointUpdateKind, Event, Idempotency, IncomingRequest, LoadReport, Micros,
+    Outcome, RequestClass, RequestId, SECOND, Settings, WorkerState,
+};
 
 /// Slots of a worker, and its speed once warm.
 const SLOTS: f64 = 4.0;
 const START: Micros = 200 * SECOND;
 /// How long a play lasts: two windows.
-const PLAY: Micros = 6 * SECOND;
+const DURATION: Micros = 6 * SECOND;
 
-/// What befalls the fleet in a play.
+/// What happens to the fleet in a play.
 #[derive(Clone, Copy, Debug)]
 struct Plan {
     fleet: u32,
     /// Calls of mean work that the worker bears in its first window.
     calls: f64,
-    /// The dispatchers have learned unlike rates and see unlike jobs.
-    unlike: bool,
+    /// The dispatchers have learned unequal rates and see unequal requests.
+    unequal: bool,
     /// This share of them is killed at one moment and comes back with nothing.
     killed: f64,
     /// This share of them hears of the start late, and sends meanwhile as to a warm worker.
     late: f64,
     /// None of them is told its number.
-    unnumbered: bool,
+    without_index: bool,
 }
 
 impl Plan {
     const fn of(fleet: u32, calls: f64) -> Plan {
-        Plan { fleet, calls, unlike: false, killed: 0.0, late: 0.0, unnumbered: false }
+        Plan { fleet, calls, unequal: false, killed: 0.0, late: 0.0, without_index: false }
     }
 }
 
-/// Settings for patient jobs: only the budget bounds what goes to the worker.
+/// Settings for patient requests: only the budget bounds what goes to the worker.
 fn patient(fleet: u32) -> Settings {
     let class = RequestClass {
         latency_objective: 1_000 * SECOND,
@@ -43,16 +46,16 @@
     Settings { fleet_size: fleet, classes: vec![class], ..settings(Idempotency::NonIdempotent) }
 }
 
-fn offer(node: &mut Node, request: u64, work: f64) -> Option<u32> {
+fn offer(harness: &mut Harness, request: u64, work: f64) -> Option<u32> {
     let time_left = 10_000 * SECOND;
     let cost_hint = Some(work);
-    node.handle(Event::Request(IncomingRequest {
+    harness.handle(Event::Request(IncomingRequest {
         request: RequestId(request),
         cost_hint,
         time_left,
         ..IncomingRequest::default()
     }));
-    node.sent()
+    harness.sent_worker()
 }
 
 /// The most in any window, as a share of what its budget and chance allow.
@@ -67,93 +70,92 @@
 }
 
 /// What one dispatcher is like.
-struct Habit {
-    /// Its part of the offered jobs, with those before it.
+struct DispatcherProfile {
+    /// Its part of the offered requests, with those before it.
     until: f64,
-    /// Its jobs' work against the mean of all.
+    /// Its requests' work against the mean of all.
     work: f64,
-    told_at: Micros,
+    notified_at: Micros,
 }
 
 /// Plays a fleet for two windows after a worker's start. There is no other worker: all that is let through
 /// goes to the cold one.
-fn play(plan: Plan, seed: u64) -> Worst {
-    let Plan { fleet, calls, unlike, killed, late, unnumbered } = plan;
+fn simulate(plan: Plan, seed: u64) -> Worst {
+    let Plan { fleet, calls, unequal, killed, late, without_index } = plan;
     let base = patient(fleet);
     let window = base.overload_window as f64 / SECOND as f64;
     let at_start = base.overload_multiple * base.slow_start_initial_capacity * SLOTS * window;
     let mean = at_start / calls;
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut new = Endpoint { started_at: Some(START), ..entry(0) };
+    let mut new = Endpoint { started_at: Some(START), ..endpoint(0) };
     new.hash_key = rng.u64(..);
     let old = Endpoint { started_at: None, ..new };
-    let warm: Vec<_> = (1..4).map(entry).collect();
+    let warm: Vec<_> = (1..4).map(endpoint).collect();
     let gone: Vec<_> = warm.iter().map(|of| Endpoint { state: WorkerState::Removed, ..*of }).collect();
-    let mut habits = Vec::new();
-    let mut nodes = Vec::new();
+    let mut profiles = Vec::new();
+    let mut harnesses = Vec::new();
     let mut until = 0.0;
     for me in 0..fleet {
-        // One in ten sees five times as many jobs as the others.
+        // One in ten sees five times as many requests as the others.
         until += if rng.f64() < 0.1 { 5.0 } else { 1.0 };
-        let work = if unlike { [0.5, 1.5][rng.usize(0..2)] } else { 1.0 };
-        let rate = if unlike { [0.85, 1.0, 1.15][rng.usize(0..3)] } else { 1.0 };
-        let told_at = START + if rng.f64() < late { rng.u64(0..2 * SECOND) } else { 0 };
-        habits.push(Habit { until, work, told_at });
-        let number = (!unnumbered).then_some(me);
+        let work = if unequal { [0.5, 1.5][rng.usize(0..2)] } else { 1.0 };
+        let rate = if unequal { [0.85, 1.0, 1.15][rng.usize(0..3)] } else { 1.0 };
+        let notified_at = START + if rng.f64() < late { rng.u64(0..2 * SECOND) } else { 0 };
+        profiles.push(DispatcherProfile { until, work, notified_at });
+        let number = (!without_index).then_some(me);
         let settings = Settings { instance_index: number, ..base.clone() };
-        let mut node = Node::seeded(settings, &warm, seed * 1000 + u64::from(me));
-        node.now = START - 100 * SECOND;
+        let mut harness = Harness::seeded(settings, &warm, seed * 1000 + u64::from(me));
+        harness.now = START - 100 * SECOND;
         for i in 0..30 {
             let work = work * mean * -rng.f64().max(1e-6).ln();
             let report = LoadReport { free_slots: Some(SLOTS), queue: Some(0.0), ..LoadReport::default() };
-            assert!(offer(&mut node, 1_000_000 + i, work).is_some(), "a warm one takes it");
-            let (request, progress) = (RequestId(1_000_000 + i), Progress::Started);
-            node.handle(Event::AttemptProgress { request, attempt: 0, progress });
-            node.now += (work / rate * SECOND as f64) as Micros;
-            node.report(request.0, 0, Outcome::Served, Some(report));
+            assert!(offer(&mut harness, 1_000_000 + i, work).is_some(), "a warm one takes it");
+            harness.start_attempt(1_000_000 + i, 0);
+            harness.now += (work / rate * SECOND as f64) as Micros;
+            harness.complete_with_report(1_000_000 + i, 0, Outcome::Served, Some(report));
         }
-        node.now = START;
+        harness.now = START;
         let mut list = gone.clone();
-        list.push(if told_at > START { old } else { new });
-        node.roster(EndpointUpdateKind::Changes, &list);
-        nodes.push(node);
+        list.push(if notified_at > START { old } else { new });
+        harness.update_endpoints(EndpointUpdateKind::Changes, &list);
+        harnesses.push(harness);
     }
     // Enough for each to spend its part of a window several times, also if few share the budget.
-    let jobs = ((calls * 10.0).max(f64::from(fleet) * 10.0)) as u64 * PLAY / base.overload_window;
-    let kill_at = START + rng.u64(0..PLAY * 3 / 4);
+    let requests = ((calls * 10.0).max(f64::from(fleet) * 10.0)) as u64 * DURATION / base.overload_window;
+    let kill_at = START + rng.u64(0..DURATION * 3 / 4);
     let mut kills = killed > 0.0;
     let mut sends: Vec<(Micros, f64, bool)> = Vec::new();
-    for step in 0..jobs {
-        let now = START + step * PLAY / jobs;
+    for step in 0..requests {
+        let now = START + step * DURATION / requests;
         if kills && now >= kill_at {
             kills = false;
             for me in 0..fleet {
                 if rng.f64() < killed {
-                    let number = (!unnumbered).then_some(me);
+                    let number = (!without_index).then_some(me);
                     let settings = Settings { instance_index: number, ..base.clone() };
-                    let node = &mut nodes[me as usize];
+                    let harness = &mut harnesses[me as usize];
                     let seed = seed * 1000 + 500 + u64::from(me);
-                    node.dispatcher = Dispatcher::new(settings, seed).expect("settings are good");
-                    node.now = now;
-                    node.roster(EndpointUpdateKind::Full, &[new]);
-                    habits[me as usize].told_at = now.min(habits[me as usize].told_at);
+                    harness.dispatcher = Dispatcher::new(settings, seed).expect("settings are good");
+                    harness.now = now;
+                    harness.update_endpoints(EndpointUpdateKind::Full, &[new]);
+                    profiles[me as usize].notified_at = now.min(profiles[me as usize].notified_at);
                 }
             }
         }
         let at = rng.f64() * until;
-        let me = habits.partition_point(|of| of.until <= at).min(habits.len() - 1);
-        let (node, habit) = (&mut nodes[me], &mut habits[me]);
-        node.now = now;
-        if habit.told_at > START && now >= habit.told_at {
-            node.roster(EndpointUpdateKind::Changes, &[new]);
-            habit.told_at = START;
+        let me = profiles.partition_point(|of| of.until <= at).min(profiles.len() - 1);
+        let (harness, profile) = (&mut harnesses[me], &mut profiles[me]);
+        harness.now = now;
+        if profile.notified_at > START && now >= profile.notified_at {
+            harness.update_endpoints(EndpointUpdateKind::Changes, &[new]);
+            profile.notified_at = START;
         }
-        let work = habit.work * mean * -rng.f64().max(1e-6).ln();
-        if offer(node, step, work) == Some(0) {
-            sends.push((now, work, habit.told_at <= now));
+        let work = profile.work * mean * -rng.f64().max(1e-6).ln();
+        if offer(harness, step, work) == Some(0) {
+            sends.push((now, work, profile.notified_at <= now));
             // Answered at once, with a report: a dispatcher that knows nothing soon knows the kind's slots.
             let report = LoadReport { free_slots: Some(SLOTS), queue: Some(0.0), ..LoadReport::default() };
-            node.report(step, 0, Outcome::Served, Some(report));
+            harness.complete_with_report(step, 0, Outcome::Served, Some(report));
         }
     }
     let mut worst = Worst::default();
@@ -175,10 +177,10 @@
         }
     }
     // Capacity grows in a straight line: over the play, that of its middle.
-    let share = (PLAY / 2) as f64 / base.slow_start_duration as f64;
+    let share = (DURATION / 2) as f64 / base.slow_start_duration as f64;
     let grown = (base.slow_start_initial_capacity + (1.0 - base.slow_start_initial_capacity) * share)
         / base.slow_start_initial_capacity;
-    let budget = calls * grown * PLAY as f64 / base.overload_window as f64;
+    let budget = calls * grown * DURATION as f64 / base.overload_window as f64;
     worst.used = sends.iter().map(|of| of.1 / mean).sum::<f64>() / budget;
     worst
 }
@@ -186,78 +188,78 @@
 const FLEETS: [u32; 5] = [1, 3, 20, 30, 300];
 const CALLS: [f64; 4] = [5.0, 15.0, 50.0, 150.0];
 
-/// Plays all sizes on some seeds; at most this share of the plays may go over what the budget and chance
+/// Plays all sizes on some seeds; at most this share of the runs may go over what the budget and chance
 /// allow. Prints the worst in work, the worst in calls, and what was used, for each size.
-fn holds(of: impl Fn(Plan) -> Plan, over_most: f64) {
-    let (mut over, mut plays, mut worst) = (0, 0, 0.0_f64);
+fn assert_budget_holds(of: impl Fn(Plan) -> Plan, over_most: f64) {
+    let (mut over, mut runs, mut worst) = (0, 0, 0.0_f64);
     for fleet in FLEETS {
         for calls in CALLS {
             let plan = of(Plan::of(fleet, calls));
             let seeds = if fleet > 100 { 8 } else { 25 };
-            let all: Vec<_> = (0..seeds).map(|seed| play(plan, seed)).collect();
+            let all: Vec<_> = (0..seeds).map(|seed| simulate(plan, seed)).collect();
             let most = |figure: fn(&Worst) -> f64| all.iter().map(figure).fold(0.0, f64::max);
             let used = all.iter().map(|of| of.used).sum::<f64>() / f64::from(seeds as u32);
             println!("{plan:?}: {:.2}, {:.2}, {used:.2}", most(|of| of.work), most(|of| of.calls));
             over += all.iter().filter(|of| of.work > 1.0).count();
-            plays += all.len();
+            runs += all.len();
             worst = worst.max(most(|of| of.work));
         }
     }
-    assert!(over as f64 <= over_most * plays as f64, "{over} of {plays} plays over, worst {worst:.2}");
+    assert!(over as f64 <= over_most * runs as f64, "{over} of {runs} runs over, worst {worst:.2}");
 }
 
 #[test]
-fn a_fleet_that_has_learned_alike_stays_inside_the_budget() {
-    holds(|plan| plan, 0.0);
+fn a_fleet_with_equal_statistics_stays_inside_the_budget() {
+    assert_budget_holds(|plan| plan, 0.0);
 }
 
 #[test]
-fn a_fleet_with_unlike_jobs_and_rates_stays_inside_the_budget() {
-    holds(|plan| Plan { unlike: true, ..plan }, 0.0);
+fn a_fleet_with_unequal_requests_and_rates_stays_inside_the_budget() {
+    assert_budget_holds(|plan| Plan { unequal: true, ..plan }, 0.0);
 }
 
 #[test]
-fn a_tenth_restarted_amid_the_ramp_do_not_spend_their_parts_twice() {
-    holds(|plan| Plan { unlike: true, killed: 0.1, ..plan }, 0.0);
+fn a_tenth_restarted_during_slow_start_do_not_spend_their_parts_twice() {
+    assert_budget_holds(|plan| Plan { unequal: true, killed: 0.1, ..plan }, 0.0);
 }
 
 #[test]
-fn seven_in_ten_restarted_amid_the_ramp_do_not_spend_their_parts_twice() {
-    holds(|plan| Plan { unlike: true, killed: 0.7, ..plan }, 0.0);
+fn seven_in_ten_restarted_during_slow_start_do_not_spend_their_parts_twice() {
+    assert_budget_holds(|plan| Plan { unequal: true, killed: 0.7, ..plan }, 0.0);
 }
 
 #[test]
-fn dispatchers_that_hear_of_the_start_late_leave_the_told_ones_blameless() {
+fn dispatchers_notified_late_do_not_overload_what_the_notified_ones_keep() {
     for late in [0.1, 0.3] {
-        holds(|plan| Plan { late, ..plan }, 0.0);
-        // Where they see unlike jobs besides, 16 of 6,720 plays were over, the worst 1.11.
-        holds(|plan| Plan { unlike: true, late, ..plan }, 0.01);
+        assert_budget_holds(|plan| Plan { late, ..plan }, 0.0);
+        // Where they see unequal requests besides, 16 of 6,720 runs were over, the worst 1.11.
+        assert_budget_holds(|plan| Plan { unequal: true, late, ..plan }, 0.01);
     }
 }
 
 #[test]
-fn dispatchers_that_are_not_told_their_numbers_stay_inside_the_budget() {
-    holds(|plan| Plan { unlike: true, unnumbered: true, ..plan }, 0.0);
+fn dispatchers_without_an_instance_index_stay_inside_the_budget() {
+    assert_budget_holds(|plan| Plan { unequal: true, without_index: true, ..plan }, 0.0);
 }
 
-/// A dispatcher alone that has seen some jobs, before a worker starts anew.
-fn alone() -> Node {
-    let mut node = Node::new(patient(1), &[entry(0)]);
+/// A dispatcher alone that has records some requests, before a worker starts anew.
+fn alone() -> Harness {
+    let mut harness = Harness::new(patient(1), &[endpoint(0)]);
     for i in 0..30 {
-        node.run(1_000_000 + i, 0.1, 0.1, None);
+        harness.serve(1_000_000 + i, 0.1, 0.1, None);
     }
-    node
+    harness
 }
 
 /// Work that a worker gets before a dispatcher that is asked at once sends it no more.
-fn gets(node: &mut Node) -> f64 {
-    (0..1_000).take_while(|&i| offer(node, 1_000 + i, 0.1).is_some()).count() as f64 * 0.1
+fn work_accepted(harness: &mut Harness) -> f64 {
+    (0..1_000).take_while(|&i| offer(harness, 1_000 + i, 0.1).is_some()).count() as f64 * 0.1
 }
 
 #[test]
-fn a_dispatcher_that_started_after_a_cold_worker_sends_it_nothing_for_one_window() {
-    let mut node = Node::new(patient(1), &[]);
-    let own_start = node.now;
+fn a_dispatcher_that_started_after_a_warming_worker_sends_it_nothing_for_one_window() {
+    let mut harness = Harness::new(patient(1), &[]);
+    let own_start = harness.now;
     for (at, from, sends) in [
         (0, own_start - SECOND, false),
         (2_999 * MS, own_start - SECOND, false),
@@ -265,58 +267,62 @@
         // It can't have sent anything to one that started later.
         (3_001 * MS, own_start + 1, true),
     ] {
-        node.now = own_start + at;
-        node.roster(EndpointUpdateKind::Full, &[Endpoint { started_at: Some(from), ..entry(0) }]);
-        assert_eq!(offer(&mut node, at, 0.01).is_some(), sends, "at {at}, worker started at {from}");
+        harness.now = own_start + at;
+        harness.update_endpoints(
+            EndpointUpdateKind::Full,
+            &[Endpoint { started_at: Some(from), ..endpoint(0) }],
+        );
+        assert_eq!(offer(&mut harness, at, 0.01).is_some(), sends, "at {at}, worker started at {from}");
     }
 }
 
 #[test]
-fn a_dispatcher_that_hears_late_of_a_start_counts_what_it_has_sent_since() {
+fn a_dispatcher_notified_late_of_a_start_counts_what_it_has_sent_since() {
     let sent_since = |ago: Micros| {
-        let mut node = alone();
-        node.now += 10 * SECOND;
+        let mut harness = alone();
+        harness.now += 10 * SECOND;
         for i in 0..20 {
-            assert!(offer(&mut node, i, 0.1).is_some(), "a warm one takes it");
+            assert!(offer(&mut harness, i, 0.1).is_some(), "a warm one takes it");
         }
-        node.now += SECOND;
-        let started_at = Some(node.now - ago);
-        node.roster(EndpointUpdateKind::Changes, &[Endpoint { started_at, ..entry(0) }]);
-        gets(&mut node)
+        harness.now += SECOND;
+        let started_at = Some(harness.now - ago);
+        harness.update_endpoints(EndpointUpdateKind::Changes, &[Endpoint { started_at, ..endpoint(0) }]);
+        work_accepted(&mut harness)
     };
     let (before, since) = (sent_since(800 * MS), sent_since(1_200 * MS));
     assert!(before > 1.5, "what the earlier process got does not count: {before}");
     assert!(since < before - 1.5, "what the new one got counts: {since} after 2.0, {before} after none");
 }
 
-/// Guards against a mean that rests on what was believed before the first job, from which one dispatcher
+/// Guards against a mean that rests on what was believed before the first request, from which one dispatcher
 /// takes itself for the only one that shares a budget.
 #[test]
-fn some_quick_jobs_tell_a_new_dispatcher_how_many_share_a_budget() {
+fn a_few_short_requests_show_a_new_dispatcher_how_many_share_a_budget() {
     let mut open = 0;
     for number in 0..30 {
-        let mut node = Node::new(Settings { instance_index: Some(number), ..patient(30) }, &[entry(1)]);
+        let mut harness =
+            Harness::new(Settings { instance_index: Some(number), ..patient(30) }, &[endpoint(1)]);
         for i in 0..5 {
-            node.run(1_000_000 + i, 0.01, 0.01, None);
+            harness.serve(1_000_000 + i, 0.01, 0.01, None);
         }
-        node.now += 5 * SECOND;
-        let new = Endpoint { started_at: Some(node.now), ..entry(0) };
-        let gone = Endpoint { state: WorkerState::Removed, ..entry(1) };
-        node.roster(EndpointUpdateKind::Changes, &[new, gone]);
-        open += u32::from(offer(&mut node, 1, 0.01).is_some());
+        harness.now += 5 * SECOND;
+        let new = Endpoint { started_at: Some(harness.now), ..endpoint(0) };
+        let gone = Endpoint { state: WorkerState::Removed, ..endpoint(1) };
+        harness.update_endpoints(EndpointUpdateKind::Changes, &[new, gone]);
+        open += u32::from(offer(&mut harness, 1, 0.01).is_some());
     }
-    // Of 2.5 times 0.3 of one slot for 3 s, 225 jobs: 50 parts of four, or all of the fleet.
+    // Of 2.5 times 0.3 of one slot for 3 s, 225 requests: 50 parts of four, or all of the fleet.
     assert!(open >= 25, "{open} of 30 share it");
 }
 
 /// Guards against a budget of many calls, where chance allows little: the told ones send nine tenths of it,
 /// those that are told later a third more, and the worker falls.
 #[test]
-fn of_a_budget_of_many_calls_the_told_ones_send_less_than_two_thirds_of_what_fells() {
+fn of_a_budget_of_many_requests_the_notified_ones_send_less_than_two_thirds_of_an_overload() {
     let mut over = Vec::new();
     for fleet in [20, 30] {
         for seed in 0..25 {
-            let worst = play(Plan { late: 0.2, ..Plan::of(fleet, 500.0) }, seed);
+            let worst = simulate(Plan { late: 0.2, ..Plan::of(fleet, 500.0) }, seed);
             if worst.work > 1.0 {
                 over.push((fleet, seed, worst.work));
             }
