--- a/crates/dispatcher/tests/admission.rs
+++ b/crates/dispatcher/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The estimate, the random_attempt and the gate on worked examples.
+//! Service-time estimates, worker selection and admission on worked examples.
 mod common;
 use common::{Harness, MS, endpoint, incoming_request, settings};
 use copperspread_dispatcher::{
@@ -29,7 +29,7 @@
 fn the_worker_with_the_lowest_estimate_gets_the_request() {
     let mut harness = two_known_kinds();
     harness.offer(1, 1.0);
-    assert_eq!(harness.sent_worker(), Some(0), "the quick worker while it is empty");
+    assert_eq!(harness.sent_worker(), Some(0), "the fast worker while it is idle");
 }
 
 #[test]
@@ -42,7 +42,7 @@
             counts[worker as usize] += 1;
         }
     }
-    assert!(counts[0] > counts[1] && counts[1] > 0, "both are used, the quick one more: {counts:?}");
+    assert!(counts[0] > counts[1] && counts[1] > 0, "both are used, the fast one more: {counts:?}");
 }
 
 #[test]
@@ -67,7 +67,7 @@
     assert!(harness.sent_worker().is_some());
     let late = IncomingRequest { time_left: 2 * SECOND, ..incoming_request(2, 0.2) };
     harness.handle(Event::Request(late));
-    assert!(harness.is_rejected(), "eight of ten seconds are gone, the aim was one");
+    assert!(harness.is_rejected(), "eight of ten seconds are gone, the objective was one");
 }
 
 #[test]
@@ -78,7 +78,7 @@
     assert!(harness.sent_worker().is_some(), "the first of its class sets what a first try has left");
 }
 
-// Guards against taking impatient clients for late repeats: a few are repeats, a flood of them is not.
+// Impatient clients must not pass for late retries: a few are retries, a flood of them is not.
 #[test]
 fn many_requests_with_little_time_left_are_impatient_clients() {
     let mut harness = two_known_kinds();
@@ -185,7 +185,7 @@
     assert!(Dispatcher::new(stretch, 1).is_err());
 }
 
-/// The cost of a decision must not grow with the fleet, and the few ready workers of a large roster
+/// The cost of a decision must not grow with the fleet, and the few ready workers of a large list
 /// must still be found.
 #[test]
 fn large_endpoint_lists_are_sampled_and_a_lone_ready_worker_is_found() {
@@ -207,7 +207,7 @@
         harness.offer(i, 0.1);
         met.insert(harness.sent_worker().expect("sent") / 100);
     }
-    assert_eq!(met.len(), 10, "from all over the roster");
+    assert_eq!(met.len(), 10, "from all over the list");
 }
 
 #[test]
@@ -217,7 +217,7 @@
         let worker = WorkerId(0);
         harness.handle(Event::LoadQueryCompleted { worker, outcome: Outcome::TimedOut, report: None });
     }
-    // Crowded by what it does not answer: a request of both slots is better off elsewhere.
+    // Loaded, as it does not respond: a request of both slots is better off elsewhere.
     harness.handle(Event::Request(IncomingRequest { slots: Some(2.0), ..incoming_request(1, 0.1) }));
     assert_eq!(harness.sent_worker(), Some(1));
     let nobody = WorkerId(99);
@@ -233,7 +233,7 @@
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[endpoint(0)]);
     let mut last = 0;
     for request in 1.. {
-        assert!(request < 100, "the gate closes");
+        assert!(request < 100, "admission stops");
         if let [Action::Reject { retry_after, .. }] = *harness.offer(request, 0.5) {
             last = retry_after;
             break;
@@ -243,6 +243,6 @@
     // Nobody to send to: a round later the list may have changed.
     let mut alone = Harness::new(settings(Idempotency::NonIdempotent), &[]);
     let why = Rejection::NoEligibleWorker;
-    let refusal = Action::Reject { request: RequestId(1), retry_after: SECOND, reason: why };
-    assert_eq!(alone.offer(1, 0.5), [refusal]);
+    let rejection = Action::Reject { request: RequestId(1), retry_after: SECOND, reason: why };
+    assert_eq!(alone.offer(1, 0.5), [rejection]);
 }
--- a/crates/dispatcher/tests/affinity.rs
+++ b/crates/dispatcher/tests/affinity.rs
@@ -6,7 +6,7 @@
 const WORKERS: u32 = 20;
 
 /// A dispatcher of a fleet that has had requests at all workers, where worker 0 has shown itself twice as
-/// quick as the others.
+/// fast as the others.
 fn experienced(fleet: u32, number: u32) -> Harness {
     let settings =
         Settings { fleet_size: fleet, instance_index: Some(number), ..settings(Idempotency::Idempotent) };
@@ -33,7 +33,7 @@
     harness
 }
 
-/// The share of the fleet's next requests, one each, that goes to the quick worker.
+/// The fraction of the fleet's next requests, one each, that goes to the fast worker.
 fn fraction_at_the_fast_worker(fleet: u32) -> f64 {
     let met = (0..fleet).map(|number| experienced(fleet, number)).filter_map(|mut harness| {
         harness.offer(1_000, 0.2);
@@ -45,7 +45,7 @@
 #[test]
 fn a_hundred_dispatchers_that_know_the_same_fast_worker_do_not_all_choose_it() {
     let share = fraction_at_the_fast_worker(100);
-    // Its even share is 0.05; with no taste all but a few meet there.
+    // An even split is 0.05; with no affinity all but a few are sent there.
     assert!((0.04..0.3).contains(&share), "{share}");
 }
 
@@ -54,7 +54,7 @@
     assert_eq!(fraction_at_the_fast_worker(3), 1.0);
 }
 
-/// Ten times as slow is beyond any taste; and past the gate comes before any taste.
+/// Ten times as slow outweighs any affinity, and so does admission.
 #[test]
 fn affinity_neither_selects_a_far_slower_worker_nor_rejects_what_is_admitted_elsewhere() {
     for seed in 0..200 {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Of a hundred dispatchers, how many send their first request to a cold worker, with a budget that holds them
+/// Of a hundred dispatchers, how many send their first request to a warming worker, with a budget that holds them
 /// all, after so many workers have come and gone.
 fn first_attempts_at_the_warming_worker(gone: u32) -> usize {
     let first = (0..100).filter(|&number| {
--- a/crates/dispatcher/tests/endpoint_updates.rs
+++ b/crates/dispatcher/tests/endpoint_updates.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn all_subscribe_early_and_a_large_fleet_spreads_its_polls() {
-    // With a call of some seconds it has to fit in the 6 s in which a change counts as told.
+    // With a call of some seconds it has to fit in the 6 s in which a change counts as notified.
     let limit = 3 * SECOND;
     let waits: Vec<_> = (0..200).map(|seed| wait(&on_request(200, seed)).expect("a timer")).collect();
     assert!(waits.iter().all(|&w| w <= limit));
@@ -57,7 +57,7 @@
     assert!(harness.actions.is_empty(), "subscribed: asking again would be one more call");
 }
 
-// The limit: a change counts as told 6 s after discovery could be reached, whatever failed before, so that
+// The limit: a change counts as notified 6 s after discovery could be reached, whatever failed before, so that
 // the wait has to leave room for a call that was given up and for the next.
 #[test]
 fn failed_polls_back_off_but_stay_within_the_limit() {
@@ -80,7 +80,7 @@
         harness.offer(1, 0.1);
         assert_eq!(harness.sent_worker(), Some(0));
     }
-    // Guards against a recovering discovery that is stampeded: the calls come evenly over a second.
+    // A recovering discovery must not be stampeded: the polls come evenly over a second.
     for quarter in 0..4 {
         let within = SECOND + SECOND * quarter / 4..=SECOND + SECOND * (quarter + 1) / 4;
         let count = lasts.iter().filter(|wait| within.contains(wait)).count();
--- a/crates/dispatcher/tests/failures.rs
+++ b/crates/dispatcher/tests/failures.rs
@@ -13,7 +13,7 @@
     (0..count).map(|i| Endpoint { zone: i % 2, ..endpoint(i) }).collect()
 }
 
-/// Sends requests one after the other and ends each as told for its worker; returns the sends a worker.
+/// Sends requests one after the other and completes each as given for its worker; returns the attempts a worker.
 fn run_sequentially(
     harness: &mut Harness,
     requests: std::ops::Range<u64>,
@@ -37,16 +37,16 @@
     sends
 }
 
-/// Sends requests that stay out; returns how many go to the workers asked for.
+/// Sends requests that stay in flight; returns how many go to the workers in question.
 fn count_in_flight_at(
     harness: &mut Harness,
     requests: std::ops::Range<u64>,
-    asked: impl Fn(u32) -> bool,
+    is_counted: impl Fn(u32) -> bool,
 ) -> usize {
     requests
         .filter(|&id| {
             harness.offer(id, 0.2);
-            harness.sent_worker().is_some_and(&asked)
+            harness.sent_worker().is_some_and(&is_counted)
         })
         .count()
 }
@@ -160,13 +160,13 @@
     let stale = |w| if w == 0 { (Outcome::ConnectFailed, 50 * MS) } else { SERVED };
     let sends = run_sequentially(&mut harness, 0..20, stale);
     assert_eq!(sends[1..4].iter().sum::<u32>(), 20);
-    let mut news = fleet(4);
-    news.remove(0);
-    news[0].started_at = Some(harness.now);
-    harness.update_endpoints(EndpointUpdateKind::Full, &news);
+    let mut current = fleet(4);
+    current.remove(0);
+    current[0].started_at = Some(harness.now);
+    harness.update_endpoints(EndpointUpdateKind::Full, &current);
     let sends = run_sequentially(&mut harness, 100..110, stale);
     assert_eq!(sends[0], 0, "gone");
-    assert!(sends[1] <= 2, "cold: {sends:?}");
+    assert!(sends[1] <= 2, "warming up: {sends:?}");
 }
 
 #[test]
@@ -180,7 +180,7 @@
     assert!(sends[2] + sends[3] > 30, "{sends:?}");
 }
 
-// Guards against workers that take the requests of one class and fall silent: it shows before the deadline,
+// A worker may take the requests of one class and hang: it shows before the deadline,
 // and only that class goes elsewhere.
 #[test]
 fn a_class_that_hangs_at_one_worker_is_sent_elsewhere() {
--- a/crates/dispatcher/tests/learning.rs
+++ b/crates/dispatcher/tests/learning.rs
@@ -57,7 +57,7 @@
     teach(&mut harness, endpoint(2), 1.0, 3000);
     let restarted = Endpoint { started_at: Some(harness.now), ..endpoint(1) };
     harness.update_endpoints(EndpointUpdateKind::Full, &[endpoint(0), restarted]);
-    // Warm again by the roster's own word, before the other's samples have faded.
+    // Warm again by its listed start, before the other's samples have faded.
     harness.now += 11 * SECOND;
     let share = fraction_sent_to(&mut harness, 1, 1);
     assert!(share > 0.9, "its old slowness is forgotten: {share}");
@@ -101,7 +101,7 @@
         harness.complete(i, 0, if worker == 0 { Outcome::Error } else { Outcome::Served });
     }
     assert!(fraction_sent_to(&mut harness, 1, 1000) > 0.9);
-    // Without news it is tried again after a while.
+    // Without outcomes it is tried again after a while.
     let tried = |harness: &mut Harness, first: u64| {
         let sent = (0..4).filter(|i| {
             harness.offer(first + i, 0.2);
@@ -192,7 +192,7 @@
         harness.now += SECOND;
         harness.offer(i, 0.1);
         rejected = if harness.is_rejected() { rejected + 1 } else { 0 };
-        // A dear request keeps responses coming while the cheap ones are shed.
+        // An important request keeps responses coming while the cheap ones are shed.
         harness.handle(Event::Request(IncomingRequest { class: 1, ..incoming_request(1000 + i, 0.1) }));
         let served = harness.sent_worker().is_some();
         if served {
@@ -204,7 +204,7 @@
     assert_eq!(rejected, 0, "the cheap class is served again");
 }
 
-/// At full size a worker quick in the eyes of all was sent everything: own counts see two or three
+/// In a large fleet a worker that all took for fast was sent everything: local counts see two or three
 /// requests of hundreds.
 #[test]
 fn many_dispatchers_do_not_herd_to_the_fast_kind() {
@@ -234,7 +234,7 @@
             sent[worker as usize / 10] += 1.0;
         }
     }
-    assert!(sent[1] > sent[0], "the crowded quick kind gets the smaller part: {sent:?}");
+    assert!(sent[1] > sent[0], "the loaded fast kind gets the smaller part: {sent:?}");
 }
 
 #[test]
@@ -255,10 +255,10 @@
         harness.offer(i, 0.2);
         harness.sent_worker() == Some(0)
     });
-    assert!(cross_zone.count() > 0, "a crowded home is worth the crossing");
+    assert!(cross_zone.count() > 0, "a loaded own zone is worth the cross-zone cost");
 }
 
-/// Without hints a work of 1 for every class made a worker that had run short requests look quick, and
+/// Without hints a work of 1 for every class made a worker that had run short requests look fast, and
 /// short requests pass for long ones.
 #[test]
 fn without_hints_a_class_costs_its_usual_time() {
@@ -310,7 +310,7 @@
     assert_eq!(attempts_of(99, Outcome::Rejected), 2, "two when all are turned away");
 }
 
-// Guards against requests that all go where the last report was kind: it is older than the requests sent since.
+// The last report must not draw all requests: it is older than the requests sent since.
 #[test]
 fn local_requests_weigh_more_than_a_load_report() {
     let fleet = Settings { fleet_size: 3, ..settings(Idempotency::NonIdempotent) };
@@ -334,7 +334,7 @@
     assert_eq!(counts, [2, 2], "worker 0 was said to be full");
 }
 
-// Guards against hedges that load workers where a request that is called off runs all the same.
+// Hedges load workers where a canceled request runs all the same, so they are bounded.
 #[test]
 fn few_waiting_requests_are_hedged() {
     let endpoints: Vec<_> = (0..4).map(endpoint).collect();
--- a/crates/dispatcher/tests/load_queries.rs
+++ b/crates/dispatcher/tests/load_queries.rs
@@ -1,4 +1,4 @@
-//! Probes where nothing else tells of a worker's load, and what they tell.
+//! Load queries where nothing else shows a worker's load, and what is learned from them.
 mod common;
 use common::{Harness, MS, endpoint, incoming_request, settings};
 use copperspread_dispatcher::{
@@ -9,11 +9,11 @@
 const FREE: LoadReport =
     LoadReport { queue: None, in_flight: Some(0.0), utilization: None, qps: None, free_slots: Some(4.0) };
 
-/// Workers of 4 slots that tell of starts, and of their load when complete_load_query.
-fn told(count: u32) -> Harness {
+/// Workers of 4 slots that report starts, and their load when queried.
+fn queried_workers(count: u32) -> Harness {
     let mut settings =
         Settings { load_by_query: true, load_query_cost: 0.002, ..settings(Idempotency::Idempotent) };
-    // The gate is not what is tested here.
+    // Admission is not what is tested here.
     (settings.classes[0].latency_objective, settings.classes[0].deadline) = (100 * SECOND, 200 * SECOND);
     let workers: Vec<_> = (0..count).map(endpoint).collect();
     let mut harness = Harness::new(settings, &workers);
@@ -53,8 +53,8 @@
 
 #[test]
 fn local_requests_too_new_for_a_report_are_not_subtracted_from_it() {
-    // The report tells of 3 slots that others took; of this dispatcher's 3 requests it knows nothing yet.
-    let mut harness = told(2);
+    // The report shows 3 slots that others took; of this dispatcher's 3 requests it knows nothing yet.
+    let mut harness = queried_workers(2);
     let first = start(&mut harness, 1, 3.0, 4.0);
     let taken = LoadReport { in_flight: Some(3.0), free_slots: Some(1.0), ..FREE };
     complete_load_query(&mut harness, first, Outcome::Served, Some(taken));
@@ -62,7 +62,7 @@
     harness.handle(Event::Request(IncomingRequest { slots: Some(1.0), ..long(2, 1.0) }));
     assert_eq!(harness.sent_worker(), Some(1 - first), "6 slots are taken at the first");
     // A second later it does.
-    let mut harness = told(2);
+    let mut harness = queried_workers(2);
     let first = start(&mut harness, 1, 3.0, 4.0);
     harness.now += SECOND;
     complete_load_query(&mut harness, first, Outcome::Served, Some(taken));
@@ -74,7 +74,7 @@
 
 #[test]
 fn a_load_query_that_times_out_means_loaded_and_not_failing() {
-    let mut harness = told(2);
+    let mut harness = queried_workers(2);
     for _ in 0..10 {
         complete_load_query(&mut harness, 0, Outcome::TimedOut, None);
     }
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_response_without_a_report_leaves_the_last_load_report() {
-    let mut harness = told(2);
+    let mut harness = queried_workers(2);
     let busy = LoadReport { in_flight: Some(8.0), free_slots: Some(0.0), ..FREE };
     start(&mut harness, 1, 1.0, 0.2);
     complete_load_query(&mut harness, 0, Outcome::Served, Some(busy));
@@ -137,18 +137,18 @@
 fn load_queries_are_sent_only_where_needed_and_within_their_budget() {
     let with_load_queries =
         Settings { load_by_query: true, load_query_cost: 0.002, ..settings(Idempotency::Idempotent) };
-    assert_eq!(load_queries(settings(Idempotency::Idempotent), 10, 20, 10), 0, "responses tell");
+    assert_eq!(load_queries(settings(Idempotency::Idempotent), 10, 20, 10), 0, "responses show it");
     let few = load_queries(with_load_queries.clone(), 10, 20, 10);
     assert!((180..=220).contains(&few), "each worker about once a second: {few}");
     let many = load_queries(with_load_queries.clone(), 200, 20, 1);
     assert!((20..=125).contains(&many), "a request earns five, and twenty were saved: {many}");
-    let dear = Settings { load_query_cost: 0.1, ..with_load_queries };
-    assert!(load_queries(dear, 10, 20, 10) <= 45, "dearer ones are fewer");
+    let expensive = Settings { load_query_cost: 0.1, ..with_load_queries };
+    assert!(load_queries(expensive, 10, 20, 10) <= 45, "expensive ones are fewer");
 }
 
 #[test]
 fn a_draining_worker_gets_no_load_query() {
-    let mut harness = told(2);
+    let mut harness = queried_workers(2);
     let draining = Endpoint { state: WorkerState::Draining, ..endpoint(1) };
     harness.update_endpoints(EndpointUpdateKind::Changes, &[draining]);
     for _ in 0..10 {
--- a/crates/dispatcher/tests/overload.rs
+++ b/crates/dispatcher/tests/overload.rs
@@ -8,7 +8,7 @@
 const CROWDED: LoadReport =
     LoadReport { queue: Some(8.0), in_flight: None, utilization: None, qps: None, free_slots: Some(0.0) };
 
-/// Settings of a cheap class, a dear one, and one tenant of 1 request a second.
+/// Settings of a cheap class, an important one, and one tenant of 1 request a second.
 fn two_priority_weights() -> Settings {
     let mut settings =
         Settings { over_quota_weight: 0.1, weight_by_work: true, ..settings(Idempotency::NonIdempotent) };
@@ -22,7 +22,7 @@
     IncomingRequest { class, time_left: 200 * SECOND, ..incoming_request(request, 0.2) }
 }
 
-/// Refusals per class over a stretch in which every answer reports the same load.
+/// Rejections of each class while every response reports the same load.
 fn rejections(harness: &mut Harness, report: LoadReport, first: u64) -> [u32; 2] {
     let mut rejected = [0; 2];
     for i in 0..200 {
@@ -42,9 +42,9 @@
 fn work_of_least_weight_is_shed_first_and_only_while_slots_are_scarce() {
     let mut harness = Harness::new(two_priority_weights(), &[endpoint(0), endpoint(1)]);
     let idle = LoadReport { queue: Some(0.0), free_slots: Some(2.0), ..CROWDED };
-    assert_eq!(rejections(&mut harness, idle, 1), [0, 0], "nothing is shed while there is room");
-    let [cheap, dear] = rejections(&mut harness, CROWDED, 1000);
-    assert!(cheap > 40 && dear < cheap / 4, "cheap {cheap}, dear {dear}");
+    assert_eq!(rejections(&mut harness, idle, 1), [0, 0], "nothing is shed while slots are free");
+    let [cheap, important] = rejections(&mut harness, CROWDED, 1000);
+    assert!(cheap > 40 && important < cheap / 4, "cheap {cheap}, important {important}");
     rejections(&mut harness, idle, 2000);
     assert_eq!(rejections(&mut harness, idle, 3000), [0, 0], "and no longer than that");
 }
--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -1,16 +1,16 @@
-//! Cold workers: all dispatchers together stay inside the budget, though none knows of the others.
+//! Slow start: all dispatchers together stay inside the budget, though none knows of the others.
 mod common;
 use common::{Harness, MS, endpoint, settings};
 use copperspread_dispatcher::{
     Endpoint, EndpointUpdateKind, Idempotency, LoadReport, Micros, Outcome, SECOND, Settings, WorkerState,
 };
 
-/// What happens to the fleet in a play.
+/// What happens to the fleet in a run.
 #[derive(Clone, Copy, Default)]
 struct Plan {
     /// No dispatcher has records a request before.
     restarted: bool,
-    /// Jobs are of unequal work, some many times the usual.
+    /// Requests are of unequal work, some many times the usual.
     heavy: bool,
     /// All read what the worker held a second before, renewed every 0.9 s.
     listed: bool,
@@ -18,19 +18,19 @@
     killed: bool,
 }
 
-/// Plays a fleet of dispatchers for some seconds after a worker's start and returns the largest
-/// work sent to it within any window, as a share of the window's budget: the multiple of its mean capacity there.
+/// Simulates a fleet of dispatchers for some seconds after a worker's start and returns the largest
+/// work sent to it within any window, as a fraction of the window's budget: the multiple of its mean capacity there.
 fn worst_window(fleet: u32, seed: u64, plan: Plan) -> f64 {
     simulate(fleet, seed, plan).0
 }
 
-/// The same, and all work sent to it as a share of the budget at its start.
+/// The same, and all work sent to it as a fraction of the budget at its start.
 fn simulate(fleet: u32, seed: u64, plan: Plan) -> (f64, f64) {
     let Plan { restarted, heavy, listed, killed } = plan;
     let settings =
         Settings { fleet_size: fleet, sizes_reflect_load: listed, ..settings(Idempotency::NonIdempotent) };
     let warm: Vec<_> = (0..8).map(endpoint).collect();
-    // The warm ones have queues, so that a cold one is welcome.
+    // The warm ones have queues, so that a warming one is preferred.
     let crowded = |at: u64| {
         let (queue, free) = if at == 0 { (0.0, 2.0) } else { (0.0, 0.5) };
         Some(LoadReport { queue: Some(queue), free_slots: Some(free), ..LoadReport::default() })
@@ -56,7 +56,7 @@
             }
             harness.now = start;
             if listed {
-                // Nobody else takes work: whatever is let through goes to the cold one.
+                // Nobody else takes work: whatever is let through goes to the warming one.
                 all.iter_mut().skip(1).for_each(|of| of.state = WorkerState::Draining);
             }
             harness.update_endpoints(EndpointUpdateKind::Full, &all);
@@ -75,8 +75,8 @@
         if killed && alive && now >= start + 1500 * MS {
             alive = false;
             for me in (0..fleet).filter(|me| me % 10 < 7) {
-                let told = Settings { instance_index: Some(me), ..settings.clone() };
-                let mut harness = Harness::seeded(told, &[], seed * 1000 + 500 + u64::from(me));
+                let settings = Settings { instance_index: Some(me), ..settings.clone() };
+                let mut harness = Harness::seeded(settings, &[], seed * 1000 + 500 + u64::from(me));
                 harness.now = now;
                 harness.update_endpoints(EndpointUpdateKind::Full, &all);
                 harnesses[me as usize] = harness;
@@ -127,20 +127,20 @@
     (worst, sends.iter().map(|s| s.1).sum::<f64>() / budget)
 }
 
-/// Guards against a part of the budget that is smaller than any request, and against many that each send a
-/// little at random: together they go beyond any budget.
+/// A part of the budget may be smaller than any request, and many that each send a little at random go
+/// beyond any budget together.
 #[test]
 fn a_large_fleet_keeps_a_lone_warming_worker_at_work_inside_its_budget() {
     for fleet in [40, 100, 200] {
-        let mut told = 0.0;
+        let mut used = 0.0;
         for heavy in [false, true] {
             for seed in 0..10 {
                 let (worst, all) = simulate(fleet, seed, Plan { heavy, listed: true, ..Plan::default() });
                 assert!(worst < 1.0, "{fleet} dispatchers, heavy {heavy}, seed {seed}: {worst}");
-                told += all / 20.0;
+                used += all / 20.0;
             }
         }
-        assert!(told > 0.2, "{fleet} dispatchers: {told} of the budget in two windows");
+        assert!(used > 0.2, "{fleet} dispatchers: {used} of the budget in two windows");
     }
 }
 
@@ -166,7 +166,7 @@
     }
 }
 
-/// Guards against dispatchers that come back in the middle of a window and have forgotten what they sent.
+/// Dispatchers that restart in the middle of a window have forgotten what they sent.
 #[test]
 fn seven_in_ten_dispatchers_killed_within_a_window_do_not_spend_the_budget_twice() {
     for fleet in [40, 100, 300] {
@@ -178,7 +178,7 @@
     }
 }
 
-/// Guards against a memory of what was sent that outlasts the window: at a steady load half of the budget
+/// What was sent must not count for longer than the window: at a steady load half of the budget
 /// then stays unused while warm workers queue.
 #[test]
 fn a_warming_worker_with_room_gets_most_of_its_budget_window_after_window() {
@@ -271,7 +271,7 @@
     harness.sent_worker()
 }
 
-/// Guards against new workers that pass for as crowded as the old ones: they stood idle.
+/// New workers once passed for as loaded as the old ones and stood idle.
 #[test]
 fn a_warming_worker_listed_as_idle_is_preferred_to_loaded_ones_and_one_listed_as_full_is_not() {
     let count_sent_there =
@@ -281,14 +281,14 @@
     assert!(idle >= 30, "{idle} of 40 to the idle one");
     assert!(
         full <= 2 && unlisted < idle / 2,
-        "{full} to the full one, {unlisted} to one of which nothing is told"
+        "{full} to the full one, {unlisted} to one with no listed size"
     );
 }
 
 #[test]
 fn absurd_sizes_neither_panic_nor_exclude_a_kind() {
     for odd in [f64::NAN, f64::INFINITY, 0.0, -3.0, 1e-300, 9_999.0, 1e300] {
-        // A budget that all hundred may share, so that only what the list tells counts.
+        // A budget that all hundred may share, so that only what the list shows counts.
         let settings = Settings {
             fleet_size: 100,
             overload_multiple: 1000.0,
@@ -300,7 +300,7 @@
         endpoints[1].started_at = Some(100 * SECOND);
         let mut harness = Harness::new(settings, &endpoints[..0]);
         harness.update_endpoints(EndpointUpdateKind::Full, &endpoints);
-        // Only the cold one is left, idle by the list.
+        // Only the warming one is left, idle by the list.
         for of in [0, 2, 3] {
             endpoints[of].state = WorkerState::Draining;
         }
@@ -322,10 +322,10 @@
                 ..settings(Idempotency::NonIdempotent)
             };
             let started_at = Some(100 * SECOND);
-            let cold: Vec<_> =
+            let warming: Vec<_> =
                 (0..count).map(|i| Endpoint { started_at, size: Some(4.0), ..endpoint(i) }).collect();
             let mut harness = Harness::new(settings, &[]);
-            harness.update_endpoints(EndpointUpdateKind::Full, &cold);
+            harness.update_endpoints(EndpointUpdateKind::Full, &warming);
             harness.now += SECOND;
             harness.offer(1, 0.1);
             assert!(count > 0 || harness.is_rejected(), "no worker is listed");
--- a/crates/dispatcher/tests/slow_start_fleet.rs
+++ b/crates/dispatcher/tests/slow_start_fleet.rs
@@ -1,4 +1,4 @@
-//! A cold worker's budget holds for the sum over the fleet, whatever its dispatchers have learned and
+//! A warming worker's budget holds for the sum over the fleet, whatever its dispatchers have learned and
 //! forgotten and whenever they hear of the start. See docs/cold-budget.md.
 mod common;
 use common::{Harness, MS, class, endpoint, settings};
@@ -10,10 +10,10 @@
 /// Slots of a worker, and its speed once warm.
 const SLOTS: f64 = 4.0;
 const START: Micros = 200 * SECOND;
-/// How long a play lasts: two windows.
+/// How long a run lasts: two windows.
 const DURATION: Micros = 6 * SECOND;
 
-/// What happens to the fleet in a play.
+/// What happens to the fleet in a run.
 #[derive(Clone, Copy, Debug)]
 struct Plan {
     fleet: u32,
@@ -21,11 +21,11 @@
     calls: f64,
     /// The dispatchers have learned unequal rates and see unequal requests.
     unequal: bool,
-    /// This share of them is killed at one moment and comes back with nothing.
+    /// This fraction of them is killed at one moment and comes back with nothing.
     killed: f64,
-    /// This share of them hears of the start late, and sends meanwhile as to a warm worker.
+    /// This fraction of them is notified of the start late, and sends meanwhile as to a warm worker.
     late: f64,
-    /// None of them is told its number.
+    /// None of them has an instance index.
     without_index: bool,
 }
 
@@ -58,14 +58,14 @@
     harness.sent_worker()
 }
 
-/// The most in any window, as a share of what its budget and chance allow.
+/// The most in any window, as a fraction of what its budget and chance allow.
 #[derive(Clone, Copy, Debug, Default)]
 struct Worst {
-    /// In work, over all windows of which two thirds came from dispatchers that had been told.
+    /// In work, over all windows of which two thirds came from dispatchers that had been notified.
     work: f64,
     /// The same in calls, whatever their work.
     calls: f64,
-    /// All work of the play over the budget of its two windows.
+    /// All work of the run over the budget of its two windows.
     used: f64,
 }
 
@@ -78,8 +78,8 @@
     notified_at: Micros,
 }
 
-/// Plays a fleet for two windows after a worker's start. There is no other worker: all that is let through
-/// goes to the cold one.
+/// Simulates a fleet for two windows after a worker's start. There is no other worker: all that is let through
+/// goes to the warming one.
 fn simulate(plan: Plan, seed: u64) -> Worst {
     let Plan { fleet, calls, unequal, killed, late, without_index } = plan;
     let base = patient(fleet);
@@ -153,7 +153,7 @@
         let work = profile.work * mean * -rng.f64().max(1e-6).ln();
         if offer(harness, step, work) == Some(0) {
             sends.push((now, work, profile.notified_at <= now));
-            // Answered at once, with a report: a dispatcher that knows nothing soon knows the kind's slots.
+            // Served at once, with a report: a dispatcher that knows nothing soon knows the kind's slots.
             let report = LoadReport { free_slots: Some(SLOTS), queue: Some(0.0), ..LoadReport::default() };
             harness.complete_with_report(step, 0, Outcome::Served, Some(report));
         }
@@ -165,18 +165,18 @@
             / base.slow_start_initial_capacity;
         let bears = calls * grown;
         let bears = bears + 2.0 * bears.sqrt() + 2.0;
-        let (mut sum, mut count, mut told) = (0.0, 0.0, 0.0);
+        let (mut sum, mut count, mut notified) = (0.0, 0.0, 0.0);
         for &(_, work, knew) in sends[i..].iter().take_while(|of| of.0 < from + base.overload_window) {
             sum += work / mean;
             count += 1.0;
-            told += if knew { work / mean } else { 0.0 };
-            if told > sum * 2.0 / 3.0 {
+            notified += if knew { work / mean } else { 0.0 };
+            if notified > sum * 2.0 / 3.0 {
                 worst.work = worst.work.max(sum / bears);
                 worst.calls = worst.calls.max(count / bears);
             }
         }
     }
-    // Capacity grows in a straight line: over the play, that of its middle.
+    // Capacity grows in a straight line: over the run, that of its middle.
     let share = (DURATION / 2) as f64 / base.slow_start_duration as f64;
     let grown = (base.slow_start_initial_capacity + (1.0 - base.slow_start_initial_capacity) * share)
         / base.slow_start_initial_capacity;
@@ -188,7 +188,7 @@
 const FLEETS: [u32; 5] = [1, 3, 20, 30, 300];
 const CALLS: [f64; 4] = [5.0, 15.0, 50.0, 150.0];
 
-/// Plays all sizes on some seeds; at most this share of the runs may go over what the budget and chance
+/// Simulates all sizes on some seeds; at most this share of the runs may go over what the budget and chance
 /// allow. Prints the worst in work, the worst in calls, and what was used, for each size.
 fn assert_budget_holds(of: impl Fn(Plan) -> Plan, over_most: f64) {
     let (mut over, mut runs, mut worst) = (0, 0, 0.0_f64);
@@ -264,7 +264,7 @@
         (0, own_start - SECOND, false),
         (2_999 * MS, own_start - SECOND, false),
         (3_000 * MS, own_start - SECOND, true),
-        // It can't have sent anything to one that started later.
+        // It cannot have sent anything to one that started later.
         (3_001 * MS, own_start + 1, true),
     ] {
         harness.now = own_start + at;
@@ -294,7 +294,7 @@
     assert!(since < before - 1.5, "what the new one got counts: {since} after 2.0, {before} after none");
 }
 
-/// Guards against a mean that rests on what was believed before the first request, from which one dispatcher
+/// A mean must not rest on what was assumed before the first request, from which one dispatcher
 /// takes itself for the only one that shares a budget.
 #[test]
 fn a_few_short_requests_show_a_new_dispatcher_how_many_share_a_budget() {
@@ -315,8 +315,8 @@
     assert!(open >= 25, "{open} of 30 share it");
 }
 
-/// Guards against a budget of many calls, where chance allows little: the told ones send nine tenths of it,
-/// those that are told later a third more, and the worker falls.
+/// Of a budget of many requests, where chance allows little, the notified ones send nine tenths,
+/// those that are notified later a third more, and the worker is overloaded.
 #[test]
 fn of_a_budget_of_many_requests_the_notified_ones_send_less_than_two_thirds_of_an_overload() {
     let mut over = Vec::new();
