--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -18,113 +18,172 @@
     killed: bool,
 }
 
-/// Simulates a fleet of dispatchers for some seconds after a worker's start and returns the largest
-/// work sent to it within any window, as a fraction of the window's budget: the multiple of its mean capacity there.
-fn worst_window(fleet: u32, seed: u64, plan: Plan) -> f64 {
-    simulate(fleet, seed, plan).0
+/// When the worker starts: long after the dispatchers, as what is offered a second counts from there.
+const START: Micros = 200 * SECOND;
+const DURATION: Micros = 6 * SECOND;
+const LIST_INTERVAL: Micros = 900 * MS;
+/// Slots of the worker that is warming up.
+const SLOTS: f64 = 2.0;
+
+/// Work sent to the worker that is warming up.
+struct SentWork {
+    at: Micros,
+    work: f64,
 }
 
-/// The same, and all work sent to it as a fraction of the budget at its start.
-fn simulate(fleet: u32, seed: u64, plan: Plan) -> (f64, f64) {
-    let Plan { restarted, heavy, listed, killed } = plan;
-    let settings =
-        Settings { fleet_size: fleet, sizes_reflect_load: listed, ..settings(Idempotency::NonIdempotent) };
-    let warm: Vec<_> = (0..8).map(endpoint).collect();
-    // The warm ones have queues, so that a warming one is preferred.
-    let crowded = |at: u64| {
-        let (queue, free) = if at == 0 { (0.0, 2.0) } else { (0.0, 0.5) };
-        Some(LoadReport { queue: Some(queue), free_slots: Some(free), ..LoadReport::default() })
-    };
-    // Long after the dispatchers' start, as what is offered a second counts from there.
-    let start = 200 * SECOND;
-    let mut rng = fastrand::Rng::with_seed(seed);
-    let mut all = warm.clone();
-    all[0].started_at = Some(start);
-    let mut harnesses: Vec<_> = (0..fleet)
-        .map(|me| {
-            let mut harness = Harness::seeded(
-                Settings { instance_index: Some(me), ..settings.clone() },
-                &warm,
-                seed * 1000 + u64::from(me),
-            );
-            harness.now = start - 60 * SECOND;
-            if !restarted {
-                for i in 0..30 {
-                    harness.serve(1_000_000 + i, 0.5, 0.5, crowded(i));
-                    harness.now += SECOND;
-                }
-            }
-            harness.now = start;
-            if listed {
-                // Nobody else takes work: whatever is let through goes to the warming one.
-                all.iter_mut().skip(1).for_each(|of| of.state = WorkerState::Draining);
-            }
-            harness.update_endpoints(EndpointUpdateKind::Full, &all);
-            harness
-        })
-        .collect();
-    let window = settings.overload_window;
-    let mut sends: Vec<(Micros, f64)> = Vec::new();
-    // About as much as eight workers of two slots can do, over all dispatchers.
-    // In the large fleet each gets three requests a second.
-    let steps = if listed { 3 * 6 * u64::from(fleet) } else { 8 * 2 * 2 * 6 };
-    let mut next_list = start + 900 * MS;
-    let mut alive = true;
-    for step in 0..steps {
-        let now = start + step * 6 * SECOND / steps;
-        if killed && alive && now >= start + 1500 * MS {
-            alive = false;
-            for me in (0..fleet).filter(|me| me % 10 < 7) {
-                let settings = Settings { instance_index: Some(me), ..settings.clone() };
-                let mut harness = Harness::seeded(settings, &[], seed * 1000 + 500 + u64::from(me));
-                harness.now = now;
-                harness.update_endpoints(EndpointUpdateKind::Full, &all);
-                harnesses[me as usize] = harness;
+/// What a fleet sent to the worker that is warming up, as fractions of its budget.
+struct BudgetUse {
+    /// The largest work within any window, of the multiple of the worker's mean capacity there.
+    worst_window: f64,
+    /// All work, of the budget at its start.
+    total: f64,
+}
+
+/// A fleet of dispatchers with one worker that is warming up.
+struct Simulation {
+    plan: Plan,
+    seed: u64,
+    settings: Settings,
+    endpoints: Vec<Endpoint>,
+    harnesses: Vec<Harness>,
+    sends: Vec<SentWork>,
+}
+
+impl Simulation {
+    fn new(fleet: u32, seed: u64, plan: Plan) -> Simulation {
+        let settings = Settings {
+            fleet_size: fleet,
+            sizes_reflect_load: plan.listed,
+            ..settings(Idempotency::NonIdempotent)
+        };
+        let warm: Vec<_> = (0..8).map(endpoint).collect();
+        let mut endpoints = warm.clone();
+        endpoints[0].started_at = Some(START);
+        if plan.listed {
+            // Nobody else takes work: whatever is let through goes to the warming one.
+            endpoints.iter_mut().skip(1).for_each(|of| of.state = WorkerState::Draining);
+        }
+        let mut simulation =
+            Simulation { plan, seed, settings, endpoints, harnesses: Vec::new(), sends: Vec::new() };
+        for index in 0..fleet {
+            let harness = simulation.experienced_dispatcher(index, &warm);
+            simulation.harnesses.push(harness);
+        }
+        simulation
+    }
+
+    fn settings_of(&self, index: u32) -> Settings {
+        Settings { instance_index: Some(index), ..self.settings.clone() }
+    }
+
+    /// A dispatcher that knows loaded workers and has just been notified of the start.
+    fn experienced_dispatcher(&self, index: u32, warm: &[Endpoint]) -> Harness {
+        let seed = self.seed * 1000 + u64::from(index);
+        let mut harness = Harness::seeded(self.settings_of(index), warm, seed);
+        harness.now = START - 60 * SECOND;
+        if !self.plan.restarted {
+            for i in 0..30 {
+                // The warm ones have queues, so that a warming one is preferred.
+                let free_slots = Some(if i == 0 { 2.0 } else { 0.5 });
+                let report = LoadReport { queue: Some(0.0), free_slots, ..LoadReport::default() };
+                harness.serve(1_000_000 + i, 0.5, 0.5, Some(report));
+                harness.now += SECOND;
             }
         }
-        if listed && now >= next_list {
-            next_list += 900 * MS;
-            // It serves what it is sent at the capacity of its first moment.
-            let mut held: f64 = 0.0;
-            let mut at = start;
-            for &(sent, work) in sends.iter().filter(|of| of.0 + SECOND < now) {
-                held = (held
-                    - settings.slow_start_initial_capacity * 2.0 * (sent - at) as f64 / SECOND as f64)
-                    .max(0.0)
-                    + work;
-                at = sent;
+        harness.now = START;
+        harness.update_endpoints(EndpointUpdateKind::Full, &self.endpoints);
+        harness
+    }
+
+    fn run(&mut self) {
+        let Plan { heavy, listed, killed, .. } = self.plan;
+        let fleet = self.settings.fleet_size;
+        let mut rng = fastrand::Rng::with_seed(self.seed);
+        // About as much as eight workers of two slots can do, over all dispatchers.
+        // In the large fleet each gets three requests a second.
+        let steps = if listed { 3 * 6 * u64::from(fleet) } else { 8 * 2 * 2 * 6 };
+        let mut next_list = START + LIST_INTERVAL;
+        let mut kill_at = killed.then_some(START + 1500 * MS);
+        for step in 0..steps {
+            let now = START + step * DURATION / steps;
+            if kill_at.is_some_and(|at| now >= at) {
+                kill_at = None;
+                self.restart_seven_in_ten(now);
+            }
+            if listed && now >= next_list {
+                next_list += LIST_INTERVAL;
+                self.publish_sizes(now);
             }
-            let mut endpoints = all.clone();
-            endpoints[0].size = Some(4.0 / (1.0 + held / 0.5 / 2.0));
-            // One that drains holds nothing any more: so large is an idle one.
-            endpoints[1].size = Some(4.0);
-            for harness in &mut harnesses {
-                harness.now = now;
-                harness.update_endpoints(EndpointUpdateKind::Changes, &endpoints);
+            let harness = &mut self.harnesses[rng.usize(0..fleet as usize)];
+            harness.now = now;
+            let work = if heavy { 0.1 - rng.f64().max(1e-6).ln() * 0.4 } else { 0.5 };
+            harness.offer(step, work);
+            if harness.sent_worker() == Some(0) {
+                self.sends.push(SentWork { at: now, work });
             }
         }
-        let harness = &mut harnesses[rng.usize(0..fleet as usize)];
-        harness.now = now;
-        let work = if heavy { 0.1 - rng.f64().max(1e-6).ln() * 0.4 } else { 0.5 };
-        harness.offer(step, work);
-        if harness.sent_worker() == Some(0) {
-            sends.push((now, work));
+    }
+
+    fn restart_seven_in_ten(&mut self, now: Micros) {
+        for index in (0..self.settings.fleet_size).filter(|index| index % 10 < 7) {
+            let seed = self.seed * 1000 + 500 + u64::from(index);
+            let mut harness = Harness::seeded(self.settings_of(index), &[], seed);
+            harness.now = now;
+            harness.update_endpoints(EndpointUpdateKind::Full, &self.endpoints);
+            self.harnesses[index as usize] = harness;
         }
     }
-    let capacity = settings.slow_start_initial_capacity * 2.0;
-    let budget = settings.overload_multiple * capacity * window as f64 / SECOND as f64;
-    let grown = |at: Micros| {
-        let warm = (at - start) as f64 / settings.slow_start_duration as f64;
-        (settings.slow_start_initial_capacity + (1.0 - settings.slow_start_initial_capacity) * warm)
-            / settings.slow_start_initial_capacity
-    };
-    let worst = (0..sends.len())
-        .map(|i| {
-            let within = sends[i..].iter().take_while(|s| s.0 < sends[i].0 + window);
-            within.map(|s| s.1).sum::<f64>() / (budget * grown(sends[i].0 + window / 2))
-        })
-        .fold(0.0, f64::max);
-    (worst, sends.iter().map(|s| s.1).sum::<f64>() / budget)
+
+    /// Work that the worker held a second ago, if it serves at the capacity of its first moment.
+    fn work_held_a_second_before(&self, now: Micros) -> f64 {
+        let rate = self.settings.slow_start_initial_capacity * SLOTS;
+        let (mut held, mut at): (f64, _) = (0.0, START);
+        for sent in self.sends.iter().filter(|sent| sent.at + SECOND < now) {
+            held = (held - rate * (sent.at - at) as f64 / SECOND as f64).max(0.0) + sent.work;
+            at = sent.at;
+        }
+        held
+    }
+
+    fn publish_sizes(&mut self, now: Micros) {
+        let held = self.work_held_a_second_before(now);
+        let mut endpoints = self.endpoints.clone();
+        endpoints[0].size = Some(4.0 / (1.0 + held / 0.5 / SLOTS));
+        // One that drains holds nothing any more: so large is an idle one.
+        endpoints[1].size = Some(4.0);
+        for harness in &mut self.harnesses {
+            harness.now = now;
+            harness.update_endpoints(EndpointUpdateKind::Changes, &endpoints);
+        }
+    }
+
+    fn budget_use(&self) -> BudgetUse {
+        let Settings { slow_start_initial_capacity: initial, overload_window: window, .. } = self.settings;
+        let budget = self.settings.overload_multiple * (initial * SLOTS) * window as f64 / SECOND as f64;
+        let capacity_growth = |at: Micros| {
+            let warm = (at - START) as f64 / self.settings.slow_start_duration as f64;
+            (initial + (1.0 - initial) * warm) / initial
+        };
+        let in_window_from = |(i, first): (usize, &SentWork)| {
+            let sends = self.sends[i..].iter().take_while(|sent| sent.at < first.at + window);
+            let work: f64 = sends.map(|sent| sent.work).sum();
+            work / (budget * capacity_growth(first.at + window / 2))
+        };
+        let worst_window = self.sends.iter().enumerate().map(in_window_from).fold(0.0, f64::max);
+        let total = self.sends.iter().map(|sent| sent.work).sum::<f64>() / budget;
+        BudgetUse { worst_window, total }
+    }
+}
+
+/// Simulates a fleet of dispatchers for some seconds after a worker's start.
+fn simulate(fleet: u32, seed: u64, plan: Plan) -> BudgetUse {
+    let mut simulation = Simulation::new(fleet, seed, plan);
+    simulation.run();
+    simulation.budget_use()
+}
+
+fn worst_window(fleet: u32, seed: u64, plan: Plan) -> f64 {
+    simulate(fleet, seed, plan).worst_window
 }
 
 /// A part of the budget may be smaller than any request, and many that each send a little at random go
@@ -135,9 +194,10 @@
         let mut used = 0.0;
         for heavy in [false, true] {
             for seed in 0..10 {
-                let (worst, all) = simulate(fleet, seed, Plan { heavy, listed: true, ..Plan::default() });
+                let plan = Plan { heavy, listed: true, ..Plan::default() };
+                let BudgetUse { worst_window: worst, total } = simulate(fleet, seed, plan);
                 assert!(worst < 1.0, "{fleet} dispatchers, heavy {heavy}, seed {seed}: {worst}");
-                used += all / 20.0;
+                used += total / 20.0;
             }
         }
         assert!(used > 0.2, "{fleet} dispatchers: {used} of the budget in two windows");
