--- a/crates/dispatcher/tests/slow_start_fleet.rs
+++ b/crates/dispatcher/tests/slow_start_fleet.rs
@@ -63,8 +63,8 @@
 struct Worst {
     /// In work, over all windows of which two thirds came from dispatchers that had been notified.
     work: f64,
-    /// The same in calls, whatever their work.
-    calls: f64,
+    /// The same in requests, whatever their work.
+    requests: f64,
     /// All work of the run over the budget of its two windows.
     used: f64,
 }
@@ -78,111 +78,181 @@
     notified_at: Micros,
 }
 
-/// Simulates a fleet for two windows after a worker's start. There is no other worker: all that is let through
-/// goes to the warming one.
-fn simulate(plan: Plan, seed: u64) -> Worst {
-    let Plan { fleet, calls, unequal, killed, late, without_index } = plan;
-    let base = patient(fleet);
-    let window = base.overload_window as f64 / SECOND as f64;
-    let at_start = base.overload_multiple * base.slow_start_initial_capacity * SLOTS * window;
-    let mean = at_start / calls;
-    let mut rng = fastrand::Rng::with_seed(seed);
-    let mut new = Endpoint { started_at: Some(START), ..endpoint(0) };
-    new.hash_key = rng.u64(..);
-    let old = Endpoint { started_at: None, ..new };
-    let warm: Vec<_> = (1..4).map(endpoint).collect();
-    let gone: Vec<_> = warm.iter().map(|of| Endpoint { state: WorkerState::Removed, ..*of }).collect();
-    let mut profiles = Vec::new();
-    let mut harnesses = Vec::new();
-    let mut until = 0.0;
-    for me in 0..fleet {
+/// Work sent to the worker that is warming up.
+struct SentWork {
+    at: Micros,
+    work: f64,
+    /// Its dispatcher had been notified of the start.
+    notified: bool,
+}
+
+/// A fleet with one worker that is warming up. There is no other worker: all that is let through goes there.
+struct Simulation {
+    plan: Plan,
+    seed: u64,
+    rng: fastrand::Rng,
+    settings: Settings,
+    /// Mean work of a request.
+    mean: f64,
+    /// The worker as listed after its start.
+    started: Endpoint,
+    profiles: Vec<DispatcherProfile>,
+    harnesses: Vec<Harness>,
+    sends: Vec<SentWork>,
+}
+
+fn idle_report() -> Option<LoadReport> {
+    Some(LoadReport { free_slots: Some(SLOTS), queue: Some(0.0), ..LoadReport::default() })
+}
+
+impl Simulation {
+    fn new(plan: Plan, seed: u64) -> Simulation {
+        let settings = patient(plan.fleet);
+        let window = settings.overload_window as f64 / SECOND as f64;
+        let budget = settings.overload_multiple * settings.slow_start_initial_capacity * SLOTS * window;
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let started = Endpoint { started_at: Some(START), hash_key: rng.u64(..), ..endpoint(0) };
+        let mut simulation = Simulation {
+            plan,
+            seed,
+            rng,
+            settings,
+            mean: budget / plan.calls,
+            started,
+            profiles: Vec::new(),
+            harnesses: Vec::new(),
+            sends: Vec::new(),
+        };
+        for index in 0..plan.fleet {
+            simulation.add_dispatcher(index);
+        }
+        simulation
+    }
+
+    fn settings_of(&self, index: u32) -> Settings {
+        let instance_index = (!self.plan.without_index).then_some(index);
+        Settings { instance_index, ..self.settings.clone() }
+    }
+
+    /// Adds a dispatcher that has had requests at warm workers, all of which are removed now.
+    fn add_dispatcher(&mut self, index: u32) {
+        let Plan { unequal, late, .. } = self.plan;
+        let rng = &mut self.rng;
         // One in ten sees five times as many requests as the others.
-        until += if rng.f64() < 0.1 { 5.0 } else { 1.0 };
+        let part = if rng.f64() < 0.1 { 5.0 } else { 1.0 };
+        let until = self.profiles.last().map_or(0.0, |last| last.until) + part;
         let work = if unequal { [0.5, 1.5][rng.usize(0..2)] } else { 1.0 };
         let rate = if unequal { [0.85, 1.0, 1.15][rng.usize(0..3)] } else { 1.0 };
         let notified_at = START + if rng.f64() < late { rng.u64(0..2 * SECOND) } else { 0 };
-        profiles.push(DispatcherProfile { until, work, notified_at });
-        let number = (!without_index).then_some(me);
-        let settings = Settings { instance_index: number, ..base.clone() };
-        let mut harness = Harness::seeded(settings, &warm, seed * 1000 + u64::from(me));
+        self.profiles.push(DispatcherProfile { until, work, notified_at });
+        let warm: Vec<_> = (1..4).map(endpoint).collect();
+        let seed = self.seed * 1000 + u64::from(index);
+        let mut harness = Harness::seeded(self.settings_of(index), &warm, seed);
         harness.now = START - 100 * SECOND;
-        for i in 0..30 {
-            let work = work * mean * -rng.f64().max(1e-6).ln();
-            let report = LoadReport { free_slots: Some(SLOTS), queue: Some(0.0), ..LoadReport::default() };
-            assert!(offer(&mut harness, 1_000_000 + i, work).is_some(), "a warm one takes it");
-            harness.start_attempt(1_000_000 + i, 0);
+        for id in 1_000_000..1_000_030 {
+            let work = work * self.mean * -self.rng.f64().max(1e-6).ln();
+            assert!(offer(&mut harness, id, work).is_some(), "a warm one takes it");
+            harness.start_attempt(id, 0);
             harness.now += (work / rate * SECOND as f64) as Micros;
-            harness.complete_with_report(1_000_000 + i, 0, Outcome::Served, Some(report));
+            harness.complete_with_report(id, 0, Outcome::Served, idle_report());
         }
         harness.now = START;
-        let mut list = gone.clone();
-        list.push(if notified_at > START { old } else { new });
-        harness.update_endpoints(EndpointUpdateKind::Changes, &list);
-        harnesses.push(harness);
+        let mut endpoints = warm;
+        endpoints.iter_mut().for_each(|of| of.state = WorkerState::Removed);
+        let started_at = self.started.started_at.filter(|&at| notified_at <= at);
+        endpoints.push(Endpoint { started_at, ..self.started });
+        harness.update_endpoints(EndpointUpdateKind::Changes, &endpoints);
+        self.harnesses.push(harness);
     }
-    // Enough for each to spend its part of a window several times, also if few share the budget.
-    let requests = ((calls * 10.0).max(f64::from(fleet) * 10.0)) as u64 * DURATION / base.overload_window;
-    let kill_at = START + rng.u64(0..DURATION * 3 / 4);
-    let mut kills = killed > 0.0;
-    let mut sends: Vec<(Micros, f64, bool)> = Vec::new();
-    for step in 0..requests {
-        let now = START + step * DURATION / requests;
-        if kills && now >= kill_at {
-            kills = false;
-            for me in 0..fleet {
-                if rng.f64() < killed {
-                    let number = (!without_index).then_some(me);
-                    let settings = Settings { instance_index: number, ..base.clone() };
-                    let harness = &mut harnesses[me as usize];
-                    let seed = seed * 1000 + 500 + u64::from(me);
-                    harness.dispatcher = Dispatcher::new(settings, seed).expect("settings are good");
-                    harness.now = now;
-                    harness.update_endpoints(EndpointUpdateKind::Full, &[new]);
-                    profiles[me as usize].notified_at = now.min(profiles[me as usize].notified_at);
-                }
+
+    fn run(&mut self) {
+        let Plan { fleet, calls, killed, .. } = self.plan;
+        // Enough for each to spend its part of a window several times, also if few share the budget.
+        let requests =
+            ((calls * 10.0).max(f64::from(fleet) * 10.0)) as u64 * DURATION / self.settings.overload_window;
+        let at = START + self.rng.u64(0..DURATION * 3 / 4);
+        let mut kill_at = (killed > 0.0).then_some(at);
+        for id in 0..requests {
+            let now = START + id * DURATION / requests;
+            if kill_at.is_some_and(|at| now >= at) {
+                kill_at = None;
+                self.restart_some(now);
             }
+            self.offer_request(now, id);
         }
-        let at = rng.f64() * until;
-        let me = profiles.partition_point(|of| of.until <= at).min(profiles.len() - 1);
-        let (harness, profile) = (&mut harnesses[me], &mut profiles[me]);
+    }
+
+    fn restart_some(&mut self, now: Micros) {
+        for index in 0..self.plan.fleet {
+            if self.rng.f64() >= self.plan.killed {
+                continue;
+            }
+            let settings = self.settings_of(index);
+            let seed = self.seed * 1000 + 500 + u64::from(index);
+            let harness = &mut self.harnesses[index as usize];
+            harness.dispatcher = Dispatcher::new(settings, seed).expect("settings are good");
+            harness.now = now;
+            harness.update_endpoints(EndpointUpdateKind::Full, &[self.started]);
+            let profile = &mut self.profiles[index as usize];
+            profile.notified_at = now.min(profile.notified_at);
+        }
+    }
+
+    fn offer_request(&mut self, now: Micros, id: u64) {
+        let until = self.profiles.last().map_or(0.0, |last| last.until);
+        let at = self.rng.f64() * until;
+        let index = self.profiles.partition_point(|of| of.until <= at).min(self.profiles.len() - 1);
+        let (harness, profile) = (&mut self.harnesses[index], &mut self.profiles[index]);
         harness.now = now;
         if profile.notified_at > START && now >= profile.notified_at {
-            harness.update_endpoints(EndpointUpdateKind::Changes, &[new]);
+            harness.update_endpoints(EndpointUpdateKind::Changes, &[self.started]);
             profile.notified_at = START;
         }
-        let work = profile.work * mean * -rng.f64().max(1e-6).ln();
-        if offer(harness, step, work) == Some(0) {
-            sends.push((now, work, profile.notified_at <= now));
+        let work = profile.work * self.mean * -self.rng.f64().max(1e-6).ln();
+        if offer(harness, id, work) == Some(0) {
+            self.sends.push(SentWork { at: now, work, notified: profile.notified_at <= now });
             // Served at once, with a report: a dispatcher that knows nothing soon knows the kind's slots.
-            let report = LoadReport { free_slots: Some(SLOTS), queue: Some(0.0), ..LoadReport::default() };
-            harness.complete_with_report(step, 0, Outcome::Served, Some(report));
+            harness.complete_with_report(id, 0, Outcome::Served, idle_report());
         }
     }
-    let mut worst = Worst::default();
-    for (i, &(from, ..)) in sends.iter().enumerate() {
-        let share = (from + base.overload_window / 2 - START) as f64 / base.slow_start_duration as f64;
-        let grown = (base.slow_start_initial_capacity + (1.0 - base.slow_start_initial_capacity) * share)
-            / base.slow_start_initial_capacity;
-        let bears = calls * grown;
-        let bears = bears + 2.0 * bears.sqrt() + 2.0;
-        let (mut sum, mut count, mut notified) = (0.0, 0.0, 0.0);
-        for &(_, work, knew) in sends[i..].iter().take_while(|of| of.0 < from + base.overload_window) {
-            sum += work / mean;
-            count += 1.0;
-            notified += if knew { work / mean } else { 0.0 };
-            if notified > sum * 2.0 / 3.0 {
-                worst.work = worst.work.max(sum / bears);
-                worst.calls = worst.calls.max(count / bears);
+
+    /// The worker's capacity at an instant, in times that at its start; it grows in a straight line.
+    fn capacity_growth(&self, at: Micros) -> f64 {
+        let initial = self.settings.slow_start_initial_capacity;
+        let elapsed = (at - START) as f64 / self.settings.slow_start_duration as f64;
+        (initial + (1.0 - initial) * elapsed) / initial
+    }
+
+    fn worst(&self) -> Worst {
+        let (calls, window) = (self.plan.calls, self.settings.overload_window);
+        let mut worst = Worst::default();
+        for (i, first) in self.sends.iter().enumerate() {
+            let allowed = calls * self.capacity_growth(first.at + window / 2);
+            let allowed = allowed + 2.0 * allowed.sqrt() + 2.0;
+            let (mut sum, mut count, mut notified) = (0.0, 0.0, 0.0);
+            for sent in self.sends[i..].iter().take_while(|sent| sent.at < first.at + window) {
+                sum += sent.work / self.mean;
+                count += 1.0;
+                notified += if sent.notified { sent.work / self.mean } else { 0.0 };
+                if notified > sum * 2.0 / 3.0 {
+                    worst.work = worst.work.max(sum / allowed);
+                    worst.requests = worst.requests.max(count / allowed);
+                }
             }
         }
+        // Over the run, the capacity is that of its middle.
+        let growth = self.capacity_growth(START + DURATION / 2);
+        let budget = calls * growth * DURATION as f64 / window as f64;
+        worst.used = self.sends.iter().map(|sent| sent.work / self.mean).sum::<f64>() / budget;
+        worst
     }
-    // Capacity grows in a straight line: over the run, that of its middle.
-    let share = (DURATION / 2) as f64 / base.slow_start_duration as f64;
-    let grown = (base.slow_start_initial_capacity + (1.0 - base.slow_start_initial_capacity) * share)
-        / base.slow_start_initial_capacity;
-    let budget = calls * grown * DURATION as f64 / base.overload_window as f64;
-    worst.used = sends.iter().map(|of| of.1 / mean).sum::<f64>() / budget;
-    worst
+}
+
+/// Simulates a fleet for two windows after a worker's start.
+fn simulate(plan: Plan, seed: u64) -> Worst {
+    let mut simulation = Simulation::new(plan, seed);
+    simulation.run();
+    simulation.worst()
 }
 
 const FLEETS: [u32; 5] = [1, 3, 20, 30, 300];
@@ -199,7 +269,7 @@
             let all: Vec<_> = (0..seeds).map(|seed| simulate(plan, seed)).collect();
             let most = |figure: fn(&Worst) -> f64| all.iter().map(figure).fold(0.0, f64::max);
             let used = all.iter().map(|of| of.used).sum::<f64>() / f64::from(seeds as u32);
-            println!("{plan:?}: {:.2}, {:.2}, {used:.2}", most(|of| of.work), most(|of| of.calls));
+            println!("{plan:?}: {:.2}, {:.2}, {used:.2}", most(|of| of.work), most(|of| of.requests));
             over += all.iter().filter(|of| of.work > 1.0).count();
             runs += all.len();
             worst = worst.max(most(|of| of.work));
