--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -165,7 +165,7 @@
 
     /// Notifies the policy that an attempt ended.
     pub fn attempt_ended(self: &Arc<Self>, outcome: AttemptOutcome) {
-        self.handle(Event::AttemptEnded(outcome));
+        self.handle(Event::AttemptCompleted(outcome));
     }
 
     /// Notifies the policy of the progress of an attempt that is in flight.
@@ -213,7 +213,7 @@
     /// Notifies the policy of the end of a load query.
     pub fn load_query_ended(self: &Arc<Self>, worker: WorkerId, result: LoadQueryResult) {
         let LoadQueryResult { outcome, load_report: report } = result;
-        self.handle(Event::LoadQueryEnded { worker, outcome, report });
+        self.handle(Event::LoadQueryCompleted { worker, outcome, report });
     }
 
     /// Delivers a callback to its request's task; false if the request has completed.
--- a/crates/scheduler/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -74,7 +74,7 @@
     assert_eq!(config.cached_endpoints.as_ref(), Some(&list));
     assert!(parse_callback(CALL_BACK.as_bytes()).is_ok());
     let report = parse_load_header(HEADER).expect("a report");
-    assert_eq!((report.inflight, report.queue, report.util), (Some(7.0), Some(2.0), Some(0.61)));
+    assert_eq!((report.in_flight, report.queue, report.utilization), (Some(7.0), Some(2.0), Some(0.61)));
     assert_eq!(parse_load_header("TEXT queue=2, util=?"), None, "a garbled report is dropped whole");
     assert_eq!(parse_timeout("480m"), Some(480_000));
     assert_eq!(parse_timeout("480u"), Some(480));
--- a/crates/scheduler/tests/policy.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -29,7 +29,7 @@
 
 impl DispatchPolicy for StubPolicy {
     fn handle(&mut self, _: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
-        if let Event::LoadQueryEnded { worker, outcome, report } = event {
+        if let Event::LoadQueryCompleted { worker, outcome, report } = event {
             let _ = self.ends.send((worker.0, outcome, report));
         } else if let Event::Endpoints(update) = event {
             let _ = self.updates.send((update.kind, update.endpoints.len()));
@@ -86,7 +86,7 @@
 
 #[tokio::test]
 async fn each_load_query_ends_exactly_once_whatever_the_worker_does() {
-    let load = LoadReport { inflight: Some(7.0), free_slots: Some(1.5), ..LoadReport::default() };
+    let load = LoadReport { in_flight: Some(7.0), free_slots: Some(1.5), ..LoadReport::default() };
     let only = |free_slots| Some(LoadReport { free_slots: Some(free_slots), ..LoadReport::default() });
     let (ok, header) = ("200 OK", "X-Server-Load: TEXT x0=4\r\n");
     let cases = [
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -76,7 +76,7 @@
 pub(crate) fn event(message: &Line<'_>, workers: &WorkerTable) -> Result<Event<'static>, HandleError> {
     match &*message.kind {
         "work_item" => Ok(Event::Request(incoming_request(message)?)),
-        "answer" => Ok(Event::AttemptEnded(attempt_outcome(message)?)),
+        "answer" => Ok(Event::AttemptCompleted(attempt_outcome(message)?)),
         "progress" => attempt_progress(message, progress(message)?),
         "started" => attempt_progress(message, Progress::Streaming),
         "aborted" => Ok(Event::ClientDisconnected(request_id(message)?)),
@@ -133,7 +133,7 @@
 fn load_query_ended(message: &Line<'_>, workers: &WorkerTable) -> Result<Event<'static>, HandleError> {
     let name = message.required(message.executor.as_deref(), "executor")?;
     let worker = workers.id(name).ok_or_else(|| SkipReason::UnknownWorker { worker: name.to_owned() })?;
-    Ok(Event::LoadQueryEnded {
+    Ok(Event::LoadQueryCompleted {
         worker,
         outcome: outcome(message)?,
         report: message.load.as_ref().map(load_report),
@@ -162,8 +162,8 @@
 fn load_report(load: &Load) -> LoadReport {
     LoadReport {
         queue: load.waiting,
-        inflight: load.active,
-        util: load.cpu,
+        in_flight: load.active,
+        utilization: load.cpu,
         qps: load.rps,
         free_slots: load.x0,
     }
