--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -15,13 +15,16 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-use crate::emulate::program::{Process, Program, configuration, cpu_time, reserve, resident, zone};
-use crate::emulate::stage::{Answer, LONGEST_BODY, Sender, result, sender, serve_connection};
+use crate::emulation::environment::{Answer, LONGEST_BODY, Sender, result, sender, serve_connection};
+use crate::emulation::scheduler_process::{
+    SchedulerProcess, SchedulerProgram, cpu_time, reserve_address, resident_memory_bytes, scheduler_config,
+    zone_name,
+};
 use crate::scenario::Scenario;
 
 /// How it is measured.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct CostSettings {
     /// Rounds, each of every program in turn.
     pub rounds: u32,
     /// Seconds of each program in a round, after one of warming up.
@@ -34,7 +37,7 @@
 
 /// What a program showed in one round.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Shown {
+pub struct CostSample {
     /// Requests a second that were served.
     pub rate: f64,
     /// Processor time for each, in microseconds.
@@ -46,7 +49,7 @@
 }
 
 /// Programs with what they showed, round by round.
-pub type Sides = Vec<(String, Vec<Shown>)>;
+pub type ProgramCosts = Vec<(String, Vec<CostSample>)>;
 
 const SCENARIO: &str = "name = 'cost'\nabout = 'jobs that cost nothing'\nseconds = 1.0\nschedulers = 1\n\
     [clients]\nrate = 1.0\n[cold]\nfall_seconds = 0.0\n\
@@ -57,8 +60,11 @@
 ///
 /// # Errors
 /// A program that does not start, or sockets that cannot be had.
-pub fn measure(programs: &[(String, Program)], terms: Terms) -> Result<Sides, String> {
-    let mut sides: Sides = programs.iter().map(|(name, _)| (name.clone(), Vec::new())).collect();
+pub fn measure_costs(
+    programs: &[(String, SchedulerProgram)],
+    terms: CostSettings,
+) -> Result<ProgramCosts, String> {
+    let mut sides: ProgramCosts = programs.iter().map(|(name, _)| (name.clone(), Vec::new())).collect();
     for round in 0..terms.rounds.max(1) {
         // Every other round the other way round, so that none is always the first.
         let mut order: Vec<usize> = (0..programs.len()).collect();
@@ -72,9 +78,9 @@
     Ok(sides)
 }
 
-fn measure_one(program: &Program, terms: Terms) -> Result<Shown, String> {
+fn measure_one(program: &SchedulerProgram, terms: CostSettings) -> Result<CostSample, String> {
     let scenario = Scenario::read(SCENARIO)?;
-    let (reserved, listen) = reserve().map_err(|e| e.to_string())?;
+    let (reserved, listen) = reserve_address().map_err(|e| e.to_string())?;
     let (told, hears) = mpsc::channel();
     // Ends with this run: the thread waits for its sender to go.
     let (_alive, ends) = tokio::sync::oneshot::channel::<()>();
@@ -92,8 +98,8 @@
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
     let shown = LocalSet::new().block_on(&runtime, async {
-        let laid = configuration(&scenario, 0, 1, listen, discovery, Some(&list));
-        let mut process = Process::new(program, folder.path(), 0, listen, &laid)?;
+        let laid = scheduler_config(&scenario, 0, 1, listen, discovery, Some(&list));
+        let mut process = SchedulerProcess::new(program, folder.path(), 0, listen, &laid)?;
         process.start().await?;
         let pid = process.pid().ok_or("it does not run")?;
         let counts = Rc::new((Cell::new(0_u64), Cell::new(0_u64)));
@@ -109,10 +115,10 @@
         let cpu = cpu_time(pid).unwrap_or_default().saturating_sub(before);
         let served = counts.0.get() - served;
         process.still_runs()?;
-        let shown = Shown {
+        let shown = CostSample {
             rate: served as f64 / took,
             cpu_us: cpu.as_secs_f64() * 1e6 / served.max(1) as f64,
-            resident_mb: resident(pid).unwrap_or_default() as f64 / 1e6,
+            resident_mb: resident_memory_bytes(pid).unwrap_or_default() as f64 / 1e6,
             not_served: counts.1.get() - other,
         };
         process.kill().await;
@@ -152,7 +158,7 @@
         let Ok(listener) = TcpListener::bind("127.0.0.1:0").await else { return };
         let Ok(address) = listener.local_addr() else { return };
         members.push(json!({
-            "id": format!("w-{number}"), "host_port": address.to_string(), "locality": zone(0), "flavor": "w",
+            "id": format!("w-{number}"), "host_port": address.to_string(), "locality": zone_name(0), "flavor": "w",
             "cell": 0, "phase": "SERVING", "size": 1.0, "up_since_ms": 0,
         }));
         let client = client.clone();
@@ -220,12 +226,13 @@
 }
 
 /// The sides as a table, and each one against the last as a ratio with its spread over the rounds.
-pub fn table(sides: &Sides) -> String {
+pub fn format_table(sides: &ProgramCosts) -> String {
     let mut text = format!(
         "{:<18} {:>12} {:>14} {:>12} {:>11}\n",
         "program", "requests/s", "CPU us/request", "resident MB", "not served"
     );
-    let of = |shown: &[Shown], figure: fn(&Shown) -> f64| median(shown.iter().map(figure).collect());
+    let of =
+        |shown: &[CostSample], figure: fn(&CostSample) -> f64| median(shown.iter().map(figure).collect());
     for (name, shown) in sides {
         text += &format!(
             "{name:<18} {:>12.0} {:>14.1} {:>12.1} {:>11}\n",
@@ -238,7 +245,7 @@
     let Some(((_, base), others)) = sides.split_last() else { return text };
     for (name, shown) in others {
         for (what, figure) in
-            [("requests/s", (|s| s.rate) as fn(&Shown) -> f64), ("CPU a request", |s| s.cpu_us)]
+            [("requests/s", (|s| s.rate) as fn(&CostSample) -> f64), ("CPU a request", |s| s.cpu_us)]
         {
             let mut ratios: Vec<f64> =
                 shown.iter().zip(base).map(|(own, base)| figure(own) / figure(base).max(1e-9)).collect();
--- a/crates/testbed/src/emulate/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// A configuration that cannot be used, or an address that cannot be listened on.
-pub fn serve(kind: Kind) -> Result<(), String> {
+pub fn serve_policy(kind: Kind) -> Result<(), String> {
     let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG names no file".to_owned())?;
     let content = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
     let start = platform::read_startup_config(&content).map_err(|e| format!("{path}: {e}"))?;
--- a/crates/testbed/src/emulate/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use tokio::time::{sleep, timeout_at};
 
-use crate::emulate::stage::{LONGEST_BODY, Sender, Stage, result};
+use crate::emulation::environment::{LONGEST_BODY, Sender, Stage, result};
 use crate::load::job_request;
 use crate::model::arrivals::Arrival;
 use crate::model::chance::Chance;
--- a/crates/testbed/src/emulate/listing.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -8,8 +8,8 @@
 use tokio::net::TcpListener;
 use tokio::time::{Duration, sleep_until, timeout_at};
 
-use crate::emulate::program::zone;
-use crate::emulate::stage::{Answer, Stage, serve_connection};
+use crate::emulation::environment::{Answer, Stage, serve_connection};
+use crate::emulation::scheduler_process::zone_name;
 use crate::scenario::micros;
 
 /// Longest hold of a watch, as on the platform.
@@ -31,7 +31,7 @@
             };
             json!({
                 "id": format!("w-{worker}"), "host_port": stage.address(worker).to_string(),
-                "locality": zone(entry.zone), "flavor": stage.kind(worker), "cell": entry.cell, "phase": phase,
+                "locality": zone_name(entry.zone), "flavor": stage.kind(worker), "cell": entry.cell, "phase": phase,
                 "size": 1.0, "up_since_ms": entry.started_at.map_or(0, |at| stage.unix_ms(at)),
             })
         })
--- a/crates/testbed/src/emulate/stage.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -20,8 +20,8 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::emulate::list::Listing;
-use crate::emulate::world::{News, Word, World};
+use crate::emulation::endpoint_list::Listing;
+use crate::emulation::state::{News, Word, World};
 use crate::model::worker::Life;
 use crate::scenario::{Scenario, micros};
 
--- a/crates/testbed/src/emulate/socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -10,7 +10,7 @@
 
 /// What becomes of the next answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plan {
+pub enum ResponseFault {
     /// It is written.
     Whole,
     /// Nothing of it is written, and the connection is reset.
@@ -25,33 +25,33 @@
 const GARBAGE: &[u8] = b"\x16\x03\x01 202 ACCEPTED maybe\r\n\r\n";
 
 /// A worker's side of a connection.
-pub struct Socket {
+pub struct FaultySocket {
     stream: TcpStream,
-    plan: Rc<Cell<Plan>>,
+    plan: Rc<Cell<ResponseFault>>,
 }
 
-impl Socket {
+impl FaultySocket {
     /// Over a connection; what `plan` holds when an answer is written becomes of that answer.
-    pub fn new(stream: TcpStream, plan: Rc<Cell<Plan>>) -> Socket {
-        Socket { stream, plan }
+    pub fn new(stream: TcpStream, plan: Rc<Cell<ResponseFault>>) -> FaultySocket {
+        FaultySocket { stream, plan }
     }
 }
 
 /// Ends a connection by a reset.
-pub fn reset(stream: &TcpStream) {
+pub fn reset_connection(stream: &TcpStream) {
     // Where that fails, it ends in the usual way.
     let _ = stream.set_zero_linger();
 }
 
-impl Drop for Socket {
+impl Drop for FaultySocket {
     fn drop(&mut self) {
-        if self.plan.get() == Plan::Reset {
-            reset(&self.stream);
+        if self.plan.get() == ResponseFault::Reset {
+            reset_connection(&self.stream);
         }
     }
 }
 
-impl AsyncRead for Socket {
+impl AsyncRead for FaultySocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -61,21 +61,21 @@
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for FaultySocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
         let broken = || Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         match self.plan.get() {
-            Plan::Whole => Pin::new(&mut self.stream).poll_write(cx, from),
-            Plan::Reset => broken(),
-            Plan::Half(bytes) => {
+            ResponseFault::Whole => Pin::new(&mut self.stream).poll_write(cx, from),
+            ResponseFault::Reset => broken(),
+            ResponseFault::Half(bytes) => {
                 let part = &from[..bytes.min(from.len())];
                 let polled = Pin::new(&mut self.stream).poll_write(cx, part);
                 if polled.is_ready() {
-                    self.plan.set(Plan::Reset);
+                    self.plan.set(ResponseFault::Reset);
                 }
                 polled
             }
-            Plan::Garbage => {
+            ResponseFault::Garbage => {
                 let polled = Pin::new(&mut self.stream).poll_write(cx, GARBAGE);
                 // Its reader is to see it, so that the end is not a reset.
                 if polled.is_ready() { broken() } else { Poll::Pending }
@@ -88,7 +88,7 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.plan.get() == Plan::Reset {
+        if self.plan.get() == ResponseFault::Reset {
             return Poll::Ready(Ok(()));
         }
         Pin::new(&mut self.stream).poll_shutdown(cx)
--- a/crates/testbed/src/emulate/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -8,13 +8,13 @@
 //! ```
 pub mod baseline;
 mod clients;
-mod list;
-mod listing;
-pub mod program;
-pub mod socket;
-pub(crate) mod stage;
+mod discovery_server;
+mod endpoint_list;
+pub(crate) mod environment;
+pub mod faulty_socket;
+pub mod scheduler_process;
+mod state;
 mod workers;
-mod world;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,17 +31,17 @@
 use crate::model::fleet::{Fleet, Turn};
 use crate::outcome::{Measured, Outcome, Played};
 use crate::scenario::{Scenario, Trouble, micros};
-use list::Listing;
-use program::{Process, Program, configuration};
-use stage::{Door, Port, Stage};
-use world::World;
+use endpoint_list::Listing;
+use environment::{Door, Port, Stage};
+use scheduler_process::{SchedulerProcess, SchedulerProgram, scheduler_config};
+use state::World;
 
 /// More jobs than this are not sent in one run: each is a task and some connections here.
-pub const MOST_JOBS: usize = 200_000;
+pub const MAX_JOBS: usize = 200_000;
 /// More workers than this would want more descriptors than an ordinary user has.
-pub const MOST_WORKERS: usize = 200;
+pub const MAX_WORKERS: usize = 200;
 /// More schedulers than this are no use on one machine.
-pub const MOST_SCHEDULERS: u32 = 16;
+pub const MAX_SCHEDULERS: u32 = 16;
 /// Time between the schedulers' readiness and the first client.
 const SETTLES: Duration = Duration::from_millis(200);
 /// Jobs that have not ended so long after the last deadline are given up, and that is an error.
@@ -49,11 +49,11 @@
 
 /// Who plays the schedulers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Schedulers {
+pub enum SchedulerInstances {
     /// Processes of this program, started and ended here.
-    Started(Program),
+    Spawned(SchedulerProgram),
     /// They run already, at these addresses. The emulator's list is told to nobody.
-    Running(Vec<SocketAddr>),
+    External(Vec<SocketAddr>),
 }
 
 /// Plays a scenario in real time. `called` is the name of what plays the schedulers.
@@ -63,7 +63,7 @@
 /// start, ends by itself or does not end when told.
 pub fn emulate(
     scenario: &Scenario,
-    schedulers: &Schedulers,
+    schedulers: &SchedulerInstances,
     called: &str,
     seed: u64,
 ) -> Result<Outcome, String> {
@@ -77,9 +77,9 @@
 /// Whether one machine can play it.
 fn check(scenario: &Scenario, seed: u64) -> Result<(), String> {
     let workers: usize = scenario.workers.iter().map(|group| group.count as usize).sum();
-    if workers > MOST_WORKERS || scenario.schedulers > MOST_SCHEDULERS {
+    if workers > MAX_WORKERS || scenario.schedulers > MAX_SCHEDULERS {
         return Err(format!(
-            "{}: {workers} workers and {} schedulers; emulate plays {MOST_WORKERS} and {MOST_SCHEDULERS} at most",
+            "{}: {workers} workers and {} schedulers; emulate plays {MAX_WORKERS} and {MAX_SCHEDULERS} at most",
             scenario.name, scenario.schedulers
         ));
     }
@@ -92,8 +92,8 @@
         let name = &scenario.name;
         return Err(format!("{name}: faults: emulate has one discovery, which cannot move; sim plays it"));
     }
-    if Arrivals::new(scenario, seed).take(MOST_JOBS + 1).count() > MOST_JOBS {
-        return Err(format!("{}: more than {MOST_JOBS} jobs", scenario.name));
+    if Arrivals::new(scenario, seed).take(MAX_JOBS + 1).count() > MAX_JOBS {
+        return Err(format!("{}: more than {MAX_JOBS} jobs", scenario.name));
     }
     Ok(())
 }
@@ -104,7 +104,7 @@
 
 async fn run(
     scenario: &Scenario,
-    schedulers: &Schedulers,
+    schedulers: &SchedulerInstances,
     called: &str,
     seed: u64,
 ) -> Result<Outcome, String> {
@@ -114,23 +114,26 @@
     let mut sockets = Vec::new();
     let mut ports = Vec::new();
     for (worker, _) in &fleet.workers {
-        let (socket, address) = program::reserve().map_err(wrong("a worker's port"))?;
+        let (socket, address) = scheduler_process::reserve_address().map_err(wrong("a worker's port"))?;
         ports.push(Port::new(address, if worker.takes() { Door::Open(0) } else { Door::Refusing }));
         sockets.push(Some(socket));
     }
     let world = World::new(scenario, fleet, seed);
-    let entries: Vec<_> = (0..ports.len() as u32).map(|worker| stage::entry(&world, worker)).collect();
+    let entries: Vec<_> = (0..ports.len() as u32).map(|worker| environment::entry(&world, worker)).collect();
     let mut remembered = entries.clone();
     gone.iter().for_each(|&at| remembered[at as usize].state = WorkerState::Ready);
     let (mut addresses, mut reserved) = (Vec::new(), Vec::new());
     for _ in 0..scenario.schedulers {
         addresses.push(match schedulers {
-            Schedulers::Started(_) => {
-                let (socket, address) = program::reserve().map_err(wrong("a scheduler's port"))?;
+            SchedulerInstances::Spawned(_) => {
+                let (socket, address) =
+                    scheduler_process::reserve_address().map_err(wrong("a scheduler's port"))?;
                 reserved.push(socket);
                 address
             }
-            Schedulers::Running(at) => *at.get(addresses.len() % at.len().max(1)).ok_or("no scheduler")?,
+            SchedulerInstances::External(at) => {
+                *at.get(addresses.len() % at.len().max(1)).ok_or("no scheduler")?
+            }
         });
     }
     let stage = Stage::new(world, ports, Listing::new(entries), addresses.clone());
@@ -146,14 +149,14 @@
     stage.begin();
     for (number, &address) in addresses.iter().enumerate() {
         let number = number as u32;
-        let Schedulers::Started(program) = schedulers else { break };
+        let SchedulerInstances::Spawned(program) = schedulers else { break };
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(wrong("a list's port"))?;
         let discovery = listener.local_addr().map_err(wrong("a list's port"))?;
-        tokio::task::spawn_local(listing::agent(Rc::clone(&stage), number, listener));
+        tokio::task::spawn_local(discovery_server::agent(Rc::clone(&stage), number, listener));
         let known = (scenario.discovery.first_after > 0.0)
-            .then(|| listing::form(&stage, EndpointUpdateKind::Cached, 0, &remembered));
-        let configuration = configuration(scenario, number, seed, address, discovery, known.as_ref());
-        processes.push(Process::new(program, folder.path(), number, address, &configuration)?);
+            .then(|| discovery_server::form(&stage, EndpointUpdateKind::Cached, 0, &remembered));
+        let configuration = scheduler_config(scenario, number, seed, address, discovery, known.as_ref());
+        processes.push(SchedulerProcess::new(program, folder.path(), number, address, &configuration)?);
     }
     for process in &mut processes {
         process.start().await?;
@@ -170,7 +173,7 @@
     let mut cpu = Duration::ZERO;
     for process in &mut processes {
         process.still_runs()?;
-        cpu += process.pid().and_then(program::cpu_time).unwrap_or_default();
+        cpu += process.pid().and_then(scheduler_process::cpu_time).unwrap_or_default();
     }
     for process in &mut processes {
         process.stop().await?;
@@ -181,7 +184,7 @@
 
 /// Sends all jobs and waits for their ends. Returns how late this was in sending.
 async fn clients(stage: &Rc<Stage>, scenario: &Scenario, seed: u64) -> Result<[f64; 2], String> {
-    let client = stage::sender();
+    let client = environment::sender();
     let mut lag = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
     let mut jobs = JoinSet::new();
     for (number, arrival) in Arrivals::new(scenario, seed).enumerate() {
@@ -199,7 +202,7 @@
 }
 
 /// Plays the faults; returns only when one of them cannot be played.
-async fn faults(stage: &Rc<Stage>, turns: &[Turn], processes: &mut [Process]) -> String {
+async fn faults(stage: &Rc<Stage>, turns: &[Turn], processes: &mut [SchedulerProcess]) -> String {
     let mut turns = turns.to_vec();
     turns.sort_by_key(|turn| turn.at);
     for turn in turns {
@@ -267,7 +270,7 @@
         };
         stage.list(|listing| listing.replace(if old { stale } else { now }));
         old = !old;
-        sleep(listing::TURNS).await;
+        sleep(discovery_server::TURNS).await;
     }
 }
 
--- a/crates/testbed/src/emulate/program.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -28,24 +28,24 @@
 /// What is started for each scheduler: the program with its arguments. It finds its configuration by
 /// `EDGE_CONFIG`, as on the platform.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Program {
+pub struct SchedulerProgram {
     /// The file.
     pub file: PathBuf,
     /// Its arguments.
     pub arguments: Vec<String>,
 }
 
-impl Program {
+impl SchedulerProgram {
     /// What plays a policy: for the module the scheduler's own program, which lies beside this one; else
     /// this one's node with the policy in it.
     ///
     /// # Errors
     /// A program that is not there.
-    pub fn of(policy: Kind) -> Result<Program, String> {
+    pub fn for_policy(policy: Kind) -> Result<SchedulerProgram, String> {
         let own = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
         if policy != Kind::Copperspread {
             let arguments = ["node", "--policy", &policy.name()].map(str::to_owned).to_vec();
-            return Ok(Program { file: own, arguments });
+            return Ok(SchedulerProgram { file: own, arguments });
         }
         let file = own.with_file_name("copperspread-scheduler");
         if !file.exists() {
@@ -54,12 +54,12 @@
                 file.display()
             ));
         }
-        Ok(Program { file, arguments: vec!["serve".into()] })
+        Ok(SchedulerProgram { file, arguments: vec!["serve".into()] })
     }
 }
 
 /// A scheduler's configuration, as the platform lays it down.
-pub fn configuration(
+pub fn scheduler_config(
     scenario: &Scenario,
     scheduler: u32,
     seed: u64,
@@ -92,7 +92,7 @@
         })
         .collect();
     let stretches: Vec<f64> = scenario.classes.iter().map(|class| class.stretch).collect();
-    let zones: Vec<String> = (0..scenario.zones).map(zone).collect();
+    let zones: Vec<String> = (0..scenario.zones).map(zone_name).collect();
     let kinds: Vec<&str> = scenario.workers.iter().map(|group| &*group.kind).collect();
     let (cold, tuning) = (&scenario.cold, &scenario.settings);
     let mut config = json!({
@@ -134,15 +134,15 @@
 }
 
 /// A zone's name.
-pub fn zone(number: u32) -> String {
+pub fn zone_name(number: u32) -> String {
     format!("zone-{number}")
 }
 
 /// One scheduler's process.
-pub struct Process {
+pub struct SchedulerProcess {
     /// Where it listens.
     pub address: SocketAddr,
-    program: Program,
+    program: SchedulerProgram,
     config: PathBuf,
     log: PathBuf,
     child: Option<Child>,
@@ -155,7 +155,7 @@
 ///
 /// # Errors
 /// A socket that cannot be had.
-pub fn reserve() -> std::io::Result<(TcpSocket, SocketAddr)> {
+pub fn reserve_address() -> std::io::Result<(TcpSocket, SocketAddr)> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
@@ -163,23 +163,23 @@
     Ok((socket, address))
 }
 
-impl Process {
+impl SchedulerProcess {
     /// Lays its configuration down in a folder; it does not run yet.
     ///
     /// # Errors
     /// A file that cannot be written.
     pub fn new(
-        program: &Program,
+        program: &SchedulerProgram,
         folder: &Path,
         number: u32,
         address: SocketAddr,
         configuration: &Value,
-    ) -> Result<Process, String> {
+    ) -> Result<SchedulerProcess, String> {
         let config = folder.join(format!("scheduler-{number}.json"));
         std::fs::write(&config, configuration.to_string())
             .map_err(|e| format!("{}: {e}", config.display()))?;
         let log = folder.join(format!("scheduler-{number}.log"));
-        Ok(Process { address, program: program.clone(), config, log, child: None, ending: false })
+        Ok(SchedulerProcess { address, program: program.clone(), config, log, child: None, ending: false })
     }
 
     /// Starts it and waits until it says that it is ready.
@@ -280,7 +280,7 @@
 }
 
 /// Memory that a process holds, in bytes.
-pub fn resident(pid: u32) -> Option<u64> {
+pub fn resident_memory_bytes(pid: u32) -> Option<u64> {
     let status = procfs::process::Process::new(pid as i32).ok()?.status().ok()?;
     status.vmrss.map(|kb| kb * 1024)
 }
--- a/crates/testbed/src/emulate/workers.rs
+++ b/crates/testbed/src/emulation/workers.rs
@@ -18,9 +18,9 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::emulate::socket::{Plan, Socket, reset};
-use crate::emulate::stage::{Answer, Door, LONGEST_BODY, Stage, load_header, load_object};
-use crate::emulate::world::{Probed, Taken};
+use crate::emulation::environment::{Answer, Door, LONGEST_BODY, Stage, load_header, load_object};
+use crate::emulation::faulty_socket::{FaultySocket, ResponseFault, reset_connection};
+use crate::emulation::state::{Probed, Taken};
 use crate::scenario::micros;
 
 /// An idle connection is closed after this long, as the settings say.
@@ -74,7 +74,7 @@
                 let Ok(listener) = socket.listen(1) else { return };
                 let filled = fill(port.address).await;
                 let _ = door.changed().await;
-                filled.iter().for_each(reset);
+                filled.iter().for_each(reset_connection);
                 drop((listener, filled));
             }
         }
@@ -118,12 +118,12 @@
         sleep(Duration::from_micros(cost)).await;
     }
     let mut door = stage.ports[worker as usize].door.subscribe();
-    let plan = Rc::new(Cell::new(Plan::Whole));
+    let plan = Rc::new(Cell::new(ResponseFault::Whole));
     let service = service_fn(|request: Request<Incoming>| {
         let (stage, plan) = (Rc::clone(&stage), Rc::clone(&plan));
         async move { Ok::<_, Infallible>(serve(&stage, worker, request, &plan).await) }
     });
-    let socket = TokioIo::new(Socket::new(stream, Rc::clone(&plan)));
+    let socket = TokioIo::new(FaultySocket::new(stream, Rc::clone(&plan)));
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(KEEPALIVE);
     let mut connection = pin!(builder.serve_connection(socket, service));
@@ -134,7 +134,7 @@
     }
     // Out of reach: it stays open, and nothing of it goes on.
     while *door.borrow_and_update() == Door::Silent && door.changed().await.is_ok() {}
-    plan.set(Plan::Reset);
+    plan.set(ResponseFault::Reset);
 }
 
 fn plain(status: StatusCode) -> Answer {
@@ -143,7 +143,12 @@
     answer
 }
 
-async fn serve(stage: &Rc<Stage>, worker: u32, request: Request<Incoming>, plan: &Cell<Plan>) -> Answer {
+async fn serve(
+    stage: &Rc<Stage>,
+    worker: u32,
+    request: Request<Incoming>,
+    plan: &Cell<ResponseFault>,
+) -> Answer {
     if request.method() == Method::DELETE {
         // It names the request: DELETE /jobs/ID.
         let id = request.uri().path().strip_prefix("/jobs/");
@@ -177,7 +182,7 @@
     match taken {
         Taken::Yes => plain(StatusCode::ACCEPTED),
         Taken::Half => {
-            plan.set(Plan::Half(b"HTTP/1.1 202 Acc".len()));
+            plan.set(ResponseFault::Half(b"HTTP/1.1 202 Acc".len()));
             plain(StatusCode::ACCEPTED)
         }
         Taken::Full(report) => {
@@ -190,18 +195,18 @@
         }
         Taken::Unknown => plain(StatusCode::BAD_REQUEST),
         Taken::Reset => {
-            plan.set(Plan::Reset);
+            plan.set(ResponseFault::Reset);
             Response::new(Full::new(Bytes::from_static(b"never written")))
         }
         Taken::Garbage => {
-            plan.set(Plan::Garbage);
+            plan.set(ResponseFault::Garbage);
             plain(StatusCode::ACCEPTED)
         }
     }
 }
 
 /// A probe: 200, with the load where that was asked for, or 503.
-async fn probe(stage: &Rc<Stage>, worker: u32, load: bool, plan: &Cell<Plan>) -> Answer {
+async fn probe(stage: &Rc<Stage>, worker: u32, load: bool, plan: &Cell<ResponseFault>) -> Answer {
     let probed = stage.act(|world| world.probe(worker));
     stage.ports[worker as usize].wake.notify_one();
     match probed {
@@ -215,11 +220,11 @@
         Probed::Unknown => return plain(StatusCode::NOT_FOUND),
         Probed::Failed => return plain(StatusCode::INTERNAL_SERVER_ERROR),
         Probed::Reset => {
-            plan.set(Plan::Reset);
+            plan.set(ResponseFault::Reset);
             return Response::new(Full::new(Bytes::from_static(b"never written")));
         }
         Probed::Garbage => {
-            plan.set(Plan::Garbage);
+            plan.set(ResponseFault::Garbage);
             return plain(StatusCode::OK);
         }
     }
@@ -269,5 +274,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/emulate_workers.rs"]
+#[path = "../../tests/unit/emulation_workers.rs"]
 mod tests;
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::compare::{Row, rows};
-use crate::emulate::program::Program;
-use crate::emulate::{Schedulers, emulate};
+use crate::emulation::scheduler_process::SchedulerProgram;
+use crate::emulation::{SchedulerInstances, emulate};
 use crate::outcome::Outcome;
 use crate::policy::Kind;
 use crate::scenario::Scenario;
@@ -118,7 +118,7 @@
     pub experiment: Experiment,
     /// By scenario and variant.
     scenarios: Vec<Vec<Scenario>>,
-    programs: Vec<Option<Program>>,
+    programs: Vec<Option<SchedulerProgram>>,
     runs: Vec<Run>,
 }
 
@@ -176,9 +176,9 @@
         }
         let program = |variant: &Variant| match (variant.drive, &variant.program) {
             (Drive::Sim, _) => Ok(None),
-            (Drive::Emulate, None) => Program::of(variant.policy).map(Some),
+            (Drive::Emulate, None) => SchedulerProgram::for_policy(variant.policy).map(Some),
             (Drive::Emulate, Some(path)) => {
-                Ok(Some(Program { file: folder.join(path), arguments: variant.arguments.clone() }))
+                Ok(Some(SchedulerProgram { file: folder.join(path), arguments: variant.arguments.clone() }))
             }
         };
         let programs = experiment.variants.iter().map(program).collect::<Result<Vec<_>, _>>()?;
@@ -262,7 +262,7 @@
         let outcome = match &self.programs[run.variant] {
             None => play(scenario, variant.policy, run.seed),
             Some(program) => {
-                emulate(scenario, &Schedulers::Started(program.clone()), &variant.name, run.seed)
+                emulate(scenario, &SchedulerInstances::Spawned(program.clone()), &variant.name, run.seed)
             }
         };
         outcome.map_err(|why| format!("{}, {}, seed {}: {why}", scenario.name, variant.name, run.seed))
@@ -357,7 +357,7 @@
 fn plan_runs(
     experiment: &Experiment,
     scenarios: &[Vec<Scenario>],
-    programs: &[Option<Program>],
+    programs: &[Option<SchedulerProgram>],
 ) -> Result<Vec<Run>, String> {
     let hash = |path: &Path| {
         let bytes = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -4,7 +4,7 @@
 //!   scenario.rs (TOML) ──► model/ ──► fleet, faults, arrivals, keys, workers, what breaks on the wire
 //!                            │ events and effects, time as an argument
 //!              ┌─────────────┴──────────────┐
-//!           sim.rs                      emulate/
+//!           sim.rs                      emulation/
 //!   virtual time, policy.rs        real time on loopback, the program's
 //!   called directly                own processes (or the node with a policy)
 //!              └─────────────┬──────────────┘
@@ -24,7 +24,7 @@
 //! component, so that two variants of one experiment meet the same arrivals.
 pub mod compare;
 pub mod cost;
-pub mod emulate;
+pub mod emulation;
 pub mod experiment;
 pub mod load;
 pub mod members;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -41,7 +41,7 @@
 
 /// What a class's jobs came to.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct OfClass {
+pub struct ClassLoadResult {
     /// Its name.
     pub name: String,
     /// Jobs that were meant to be sent.
@@ -67,14 +67,14 @@
 
 /// What a load came to.
 #[derive(Clone, Debug, Serialize)]
-pub struct Report {
+pub struct LoadResult {
     /// By class.
-    pub classes: Vec<OfClass>,
+    pub classes: Vec<ClassLoadResult>,
     /// How late this tool was itself in sending, in milliseconds, at 99% and at most.
     pub own_lag_ms: [f64; 2],
 }
 
-impl Report {
+impl LoadResult {
     /// The report as text.
     pub fn text(&self) -> String {
         let mut text = format!(
@@ -106,7 +106,7 @@
 
 /// Sends a scenario's first tries to an address; a client of this tool does not try again. Ends once the
 /// last job is answered or given up.
-pub async fn load(scenario: &Scenario, seed: u64, target: SocketAddr, most_open: usize) -> Report {
+pub async fn send_load(scenario: &Scenario, seed: u64, target: SocketAddr, most_open: usize) -> LoadResult {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     let client: Sender = Client::builder(TokioExecutor::new())
@@ -149,7 +149,7 @@
     drop(told);
     let all = collect.await.unwrap_or_default();
     let ms = |of: &Histogram<u64>, quantile| of.value_at_quantile(quantile) as f64 / 1e3;
-    Report { classes: sum(scenario, &all), own_lag_ms: [ms(&lag, 0.99), ms(&lag, 1.0)] }
+    LoadResult { classes: sum(scenario, &all), own_lag_ms: [ms(&lag, 0.99), ms(&lag, 1.0)] }
 }
 
 /// A client's request by the platform's protocol: its id, the id of the job over all tries, and for how
@@ -206,9 +206,9 @@
     Histogram::new_with_max(LONGEST_US, 3).unwrap_or_else(|_| unreachable!("good bounds"))
 }
 
-fn sum(scenario: &Scenario, all: &[(Arrival, Heard, Duration)]) -> Vec<OfClass> {
+fn sum(scenario: &Scenario, all: &[(Arrival, Heard, Duration)]) -> Vec<ClassLoadResult> {
     let one = |(number, class): (usize, &Class)| {
-        let mut of = OfClass { name: class.name.clone(), ..OfClass::default() };
+        let mut of = ClassLoadResult { name: class.name.clone(), ..ClassLoadResult::default() };
         let mut times = empty();
         for (job, heard, took) in all.iter().filter(|(job, _, _)| job.class as usize == number) {
             of.meant += 1;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -10,10 +10,10 @@
 use clap::{Parser, Subcommand};
 use copperspread_testbed::compare::{Row, compare, table};
 use copperspread_testbed::cost;
-use copperspread_testbed::emulate::program::Program;
-use copperspread_testbed::emulate::{Schedulers, emulate};
+use copperspread_testbed::emulation::scheduler_process::SchedulerProgram;
+use copperspread_testbed::emulation::{SchedulerInstances, emulate};
 use copperspread_testbed::experiment::{Plan, Watcher, agreement};
-use copperspread_testbed::load::load;
+use copperspread_testbed::load::send_load;
 use copperspread_testbed::outcome::Outcome;
 use copperspread_testbed::policy::Kind;
 use copperspread_testbed::report::html;
@@ -353,10 +353,10 @@
             let scenario = scenario(&name)?;
             let called = program.as_ref().map_or_else(|| policy.name(), |file| file.display().to_string());
             let program = match program {
-                Some(file) => Program { file, arguments },
-                None => Program::of(policy)?,
+                Some(file) => SchedulerProgram { file, arguments },
+                None => SchedulerProgram::for_policy(policy)?,
             };
-            let outcome = emulate(&scenario, &Schedulers::Started(program), &called, seed)?;
+            let outcome = emulate(&scenario, &SchedulerInstances::Spawned(program), &called, seed)?;
             let kept = outcome.breaches.is_empty();
             print(&if whole { json(&outcome)? } else { told(&outcome) })?;
             Ok(kept)
@@ -379,22 +379,23 @@
         }
         Command::Cost { program, rounds, seconds, clients, workers, json: whole } => {
             let program = match program {
-                Some(file) => Program { file, arguments: vec!["serve".into()] },
-                None => Program::of(Kind::Copperspread)?,
+                Some(file) => SchedulerProgram { file, arguments: vec!["serve".into()] },
+                None => SchedulerProgram::for_policy(Kind::Copperspread)?,
             };
             let own = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
-            let relay = Program { file: own, arguments: vec!["relay".into()] };
+            let relay = SchedulerProgram { file: own, arguments: vec!["relay".into()] };
             let sides = [("copperspread".to_owned(), program), ("bare relay".to_owned(), relay)];
-            let shown = cost::measure(&sides, cost::Terms { rounds, seconds, clients, workers })?;
-            print(&if whole { json(&shown)? } else { cost::table(&shown) })?;
+            let shown =
+                cost::measure_costs(&sides, cost::CostSettings { rounds, seconds, clients, workers })?;
+            print(&if whole { json(&shown)? } else { cost::format_table(&shown) })?;
             Ok(true)
         }
         Command::Relay => {
-            copperspread_testbed::relay::serve()?;
+            copperspread_testbed::relay::serve_relay()?;
             Ok(true)
         }
         Command::Node { policy } => {
-            copperspread_testbed::emulate::baseline::serve(policy)?;
+            copperspread_testbed::emulation::baseline::serve_policy(policy)?;
             Ok(true)
         }
         Command::Load { scenario: name, target, rate, seconds, most_open, seed, anywhere, json: whole } => {
@@ -409,7 +410,7 @@
             scenario.check()?;
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-            let report = runtime.block_on(load(&scenario, seed, target, most_open));
+            let report = runtime.block_on(send_load(&scenario, seed, target, most_open));
             print(&if whole { json(&report)? } else { report.text() })?;
             Ok(true)
         }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -83,7 +83,7 @@
 ///
 /// # Errors
 /// A configuration that cannot be used, or an address that cannot be listened on.
-pub fn serve() -> Result<(), String> {
+pub fn serve_relay() -> Result<(), String> {
     let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG names no file".to_owned())?;
     let content = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
     let start = platform::read_startup_config(&content).map_err(|e| format!("{path}: {e}"))?;
--- a/crates/testbed/tests/emulate.rs
+++ b/crates/testbed/tests/emulate.rs
@@ -2,9 +2,9 @@
 use std::net::SocketAddr;
 
 use copperspread_settings::platform::read_startup_config;
-use copperspread_testbed::cost::{Terms, measure, table};
-use copperspread_testbed::emulate::program::{Program, configuration};
-use copperspread_testbed::emulate::{Schedulers, emulate};
+use copperspread_testbed::cost::{CostSettings, format_table, measure_costs};
+use copperspread_testbed::emulation::scheduler_process::{SchedulerProgram, scheduler_config};
+use copperspread_testbed::emulation::{SchedulerInstances, emulate};
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::outcome::Outcome;
 use copperspread_testbed::policy::Kind;
@@ -36,9 +36,12 @@
 }
 
 /// The laboratory's node with a policy in it.
-fn node(policy: &str) -> Schedulers {
+fn node(policy: &str) -> SchedulerInstances {
     let arguments = ["node", "--policy", policy].map(str::to_owned).to_vec();
-    Schedulers::Started(Program { file: env!("CARGO_BIN_EXE_copperspread-testbed").into(), arguments })
+    SchedulerInstances::Spawned(SchedulerProgram {
+        file: env!("CARGO_BIN_EXE_copperspread-testbed").into(),
+        arguments,
+    })
 }
 
 fn kept(outcome: &Outcome, jobs: usize) {
@@ -57,7 +60,7 @@
         let text = std::fs::read_to_string(file.path()).expect("a file");
         let scenario = Scenario::read(&text).expect("a scenario");
         for scheduler in 0..scenario.schedulers {
-            let laid = configuration(&scenario, scheduler, 7, address, address, None).to_string();
+            let laid = scheduler_config(&scenario, scheduler, 7, address, address, None).to_string();
             let start = read_startup_config(&laid).expect("a configuration");
             assert_eq!(start.settings.dispatch, scenario.settings(scheduler), "{}", scenario.name);
         }
@@ -128,7 +131,7 @@
 // The same exchange, decided and not: both serve, and neither is free.
 #[test]
 fn the_cost_of_both_sides_is_measured_and_told() {
-    let program = |arguments: &[&str]| Program {
+    let program = |arguments: &[&str]| SchedulerProgram {
         file: env!("CARGO_BIN_EXE_copperspread-testbed").into(),
         arguments: arguments.iter().map(|&of| of.to_owned()).collect(),
     };
@@ -136,8 +139,8 @@
         ("node".to_owned(), program(&["node", "--policy", "copperspread"])),
         ("relay".to_owned(), program(&["relay"])),
     ];
-    let shown =
-        measure(&sides, Terms { rounds: 2, seconds: 0.5, clients: 8, workers: 3 }).expect("it measures");
+    let shown = measure_costs(&sides, CostSettings { rounds: 2, seconds: 0.5, clients: 8, workers: 3 })
+        .expect("it measures");
     for (name, rounds) in &shown {
         assert_eq!(rounds.len(), 2, "{name}");
         for of in rounds {
@@ -145,7 +148,7 @@
             assert_eq!(of.not_served, 0, "{name}");
         }
     }
-    let told = table(&shown);
+    let told = format_table(&shown);
     assert!(told.contains("node against relay: CPU a request") && told.contains("over 2 rounds"), "{told}");
 }
 
@@ -182,7 +185,7 @@
     ];
     for (answer, rules) in cases {
         let scenario = small(0.5, 30.0, "");
-        let running = Schedulers::Running(vec![server(answer)]);
+        let running = SchedulerInstances::External(vec![server(answer)]);
         let outcome = emulate(&scenario, &running, "a text", 3).expect("it plays");
         assert_eq!(outcome.breaches.keys().copied().collect::<Vec<_>>(), rules, "{answer:?}");
         let count: u64 = outcome.breaches.values().sum();
@@ -192,10 +195,13 @@
 
 #[test]
 fn what_cannot_be_played_is_said() {
-    let gone = Schedulers::Started(Program { file: "no/such/program".into(), arguments: Vec::new() });
+    let gone = SchedulerInstances::Spawned(SchedulerProgram {
+        file: "no/such/program".into(),
+        arguments: Vec::new(),
+    });
     let error = emulate(&small(1.0, 9.0, ""), &gone, "x", 1).expect_err("no program");
     assert!(error.contains("no/such/program"), "{error}");
-    let ends = Schedulers::Started(Program { file: "false".into(), arguments: Vec::new() });
+    let ends = SchedulerInstances::Spawned(SchedulerProgram { file: "false".into(), arguments: Vec::new() });
     let error = emulate(&small(1.0, 9.0, ""), &ends, "x", 1).expect_err("it ends");
     assert!(error.contains("ended with exit status: 1"), "{error}");
     let mut large = small(1.0, 9.0, "");
--- a/crates/testbed/tests/load.rs
+++ b/crates/testbed/tests/load.rs
@@ -7,7 +7,7 @@
 use axum::extract::Request;
 use axum::http::StatusCode;
 use axum::response::IntoResponse;
-use copperspread_testbed::load::{OfClass, load};
+use copperspread_testbed::load::{ClassLoadResult, send_load};
 use copperspread_testbed::scenario::Scenario;
 use tokio::net::TcpListener;
 use tokio::sync::Mutex;
@@ -23,11 +23,11 @@
     Scenario::read(&text).expect("a scenario")
 }
 
-async fn against(router: Router, scenario: &Scenario, most_open: usize) -> OfClass {
+async fn against(router: Router, scenario: &Scenario, most_open: usize) -> ClassLoadResult {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let server = tokio::spawn(async move { axum::serve(listener, router).await });
-    let report = load(scenario, 1, address, most_open).await;
+    let report = send_load(scenario, 1, address, most_open).await;
     server.abort();
     report.classes.into_iter().next().expect("a class")
 }
@@ -102,6 +102,6 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let report = load(&scenario(100.0, 0.3, 1.0), 1, address, 64).await;
+    let report = send_load(&scenario(100.0, 0.3, 1.0), 1, address, 64).await;
     assert_eq!(report.classes[0].broken, report.classes[0].meant);
 }
--- a/crates/testbed/tests/unit/emulate_workers.rs
+++ b/crates/testbed/tests/unit/emulation_workers.rs
@@ -6,11 +6,11 @@
 use tokio::task::{LocalSet, spawn_local};
 
 use super::*;
-use crate::emulate::list::Listing;
+use crate::emulation::endpoint_list::Listing;
 use tokio::time::Instant;
 
-use crate::emulate::stage::{Port, entry, serve_connection};
-use crate::emulate::world::World;
+use crate::emulation::environment::{Port, entry, serve_connection};
+use crate::emulation::state::World;
 use crate::model::arrivals::Arrival;
 use crate::model::fleet::{Fleet, Turn};
 use crate::scenario::Scenario;
--- a/crates/testbed/tests/vast.rs
+++ b/crates/testbed/tests/vast.rs
@@ -1,7 +1,7 @@
 //! The hard cases of a large fleet, 100 schedulers and 60 workers in virtual time: what all of them do
 //! together. The list tells live sizes, a second late and renewed every 0.9 s.
-use copperspread_testbed::emulate::program::Program;
-use copperspread_testbed::emulate::{Schedulers, emulate};
+use copperspread_testbed::emulation::scheduler_process::SchedulerProgram;
+use copperspread_testbed::emulation::{SchedulerInstances, emulate};
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::policy::Kind;
 use copperspread_testbed::referee::Rule;
@@ -45,7 +45,7 @@
     let text = text.replace("count = 21", "count = 1").replace("count = 13", "count = 1");
     let scenario = Scenario::read(&text.replace("count = 26", "count = 1")).expect("a scenario");
     let (file, arguments) = ("none".into(), Vec::new());
-    let none = Schedulers::Started(Program { file, arguments });
+    let none = SchedulerInstances::Spawned(SchedulerProgram { file, arguments });
     let why = emulate(&scenario, &none, "none", 1).expect_err("no sizes there");
     assert!(why.contains("discovery.sizes"), "{why}");
 }
