--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -15,7 +15,9 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-use crate::emulation::environment::{Answer, LONGEST_BODY, Sender, result, sender, serve_connection};
+use crate::emulation::environment::{
+    HttpClient, HttpResponse, MAX_BODY_BYTES, expected_result, new_http_client, serve_connection,
+};
 use crate::emulation::scheduler_process::{
     SchedulerProcess, SchedulerProgram, cpu_time, reserve_address, resident_memory_bytes, scheduler_config,
     zone_name,
@@ -51,7 +53,7 @@
 /// Programs with what they showed, round by round.
 pub type ProgramCosts = Vec<(String, Vec<CostSample>)>;
 
-const SCENARIO: &str = "name = 'cost'\nabout = 'jobs that cost nothing'\nseconds = 1.0\nschedulers = 1\n\
+const COST_SCENARIO: &str = "name = 'cost'\nabout = 'jobs that cost nothing'\nseconds = 1.0\nschedulers = 1\n\
     [clients]\nrate = 1.0\n[cold]\nfall_seconds = 0.0\n\
     [[workers]]\nkind = 'w'\ncount = 1\ncores = 64.0\nslots = 64.0\nspeed = [1.0, 1.0]\n\
     [[classes]]\nname = 'job'\nshare = 1.0\nwork = 0.001\naim = 1.0\ndeadline = 5.0\nworth = 1.0\nrepeat = 'safe'\n";
@@ -72,14 +74,14 @@
             order.reverse();
         }
         for at in order {
-            sides[at].1.push(measure_one(&programs[at].1, terms)?);
+            sides[at].1.push(measure_program(&programs[at].1, terms)?);
         }
     }
     Ok(sides)
 }
 
-fn measure_one(program: &SchedulerProgram, terms: CostSettings) -> Result<CostSample, String> {
-    let scenario = Scenario::read(SCENARIO)?;
+fn measure_program(program: &SchedulerProgram, terms: CostSettings) -> Result<CostSample, String> {
+    let scenario = Scenario::read(COST_SCENARIO)?;
     let (reserved, listen) = reserve_address().map_err(|e| e.to_string())?;
     let (told, hears) = mpsc::channel();
     // Ends with this run: the thread waits for its sender to go.
@@ -88,7 +90,7 @@
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
         LocalSet::new().block_on(&runtime, async move {
             tokio::select! {
-                () = stand_in(listen, terms.workers, told) => {}
+                () = serve_stand_ins(listen, terms.workers, told) => {}
                 _ = ends => {}
             }
         });
@@ -103,9 +105,9 @@
         process.start().await?;
         let pid = process.pid().ok_or("it does not run")?;
         let counts = Rc::new((Cell::new(0_u64), Cell::new(0_u64)));
-        let client = sender();
+        let client = new_http_client();
         for number in 0..terms.clients as u64 {
-            spawn_local(ask_on(client.clone(), listen, number, Rc::clone(&counts)));
+            spawn_local(run_client(client.clone(), listen, number, Rc::clone(&counts)));
         }
         sleep(Duration::from_secs(1)).await;
         let (began, before) = (Instant::now(), cpu_time(pid).unwrap_or_default());
@@ -114,7 +116,7 @@
         let took = began.elapsed().as_secs_f64();
         let cpu = cpu_time(pid).unwrap_or_default().saturating_sub(before);
         let served = counts.0.get() - served;
-        process.still_runs()?;
+        process.check_running()?;
         let shown = CostSample {
             rate: served as f64 / took,
             cpu_us: cpu.as_secs_f64() * 1e6 / served.max(1) as f64,
@@ -129,7 +131,7 @@
 }
 
 /// One client, for good.
-async fn ask_on(client: Sender, listen: SocketAddr, number: u64, counts: Rc<(Cell<u64>, Cell<u64>)>) {
+async fn run_client(client: HttpClient, listen: SocketAddr, number: u64, counts: Rc<(Cell<u64>, Cell<u64>)>) {
     for turn in 0_u64.. {
         // Never the same id twice.
         let id = (number + 1) << 40 | turn;
@@ -142,7 +144,7 @@
         let served = async {
             let answer = client.request(request).await.ok()?;
             let status = answer.status();
-            Limited::new(answer.into_body(), LONGEST_BODY).collect().await.ok()?;
+            Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await.ok()?;
             (status == StatusCode::OK).then_some(())
         };
         let count = if served.await.is_some() { &counts.0 } else { &counts.1 };
@@ -151,8 +153,12 @@
 }
 
 /// Workers that take a job and call back at once, and a list that names them and never changes.
-async fn stand_in(scheduler: SocketAddr, workers: u32, told: mpsc::Sender<(SocketAddr, serde_json::Value)>) {
-    let client = sender();
+async fn serve_stand_ins(
+    scheduler: SocketAddr,
+    workers: u32,
+    told: mpsc::Sender<(SocketAddr, serde_json::Value)>,
+) {
+    let client = new_http_client();
     let mut members = Vec::new();
     for number in 0..workers {
         let Ok(listener) = TcpListener::bind("127.0.0.1:0").await else { return };
@@ -166,8 +172,10 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let client = client.clone();
                 spawn_local(async move {
-                    serve_connection(stream, |request| take(client.clone(), scheduler, number, request))
-                        .await;
+                    serve_connection(stream, |request| {
+                        accept_job(client.clone(), scheduler, number, request)
+                    })
+                    .await;
                 });
             }
         });
@@ -194,24 +202,24 @@
     }
 }
 
-async fn take(
-    client: Sender,
+async fn accept_job(
+    client: HttpClient,
     scheduler: SocketAddr,
     worker: u32,
     request: Request<hyper::body::Incoming>,
-) -> Answer {
+) -> HttpResponse {
     let id =
         request.headers().get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or_default().to_owned();
-    let _ = Limited::new(request.into_body(), LONGEST_BODY).collect().await;
+    let _ = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
     spawn_local(async move {
-        let made = result(u64::from_str_radix(&id, 16).unwrap_or_default());
+        let made = expected_result(u64::from_str_radix(&id, 16).unwrap_or_default());
         let body =
             json!({"id": id, "from": format!("w-{worker}"), "state": "done", "result": made}).to_string();
         let request = Request::post(format!("http://{scheduler}/_jobs/news")).body(Full::from(body));
         if let Ok(request) = request
             && let Ok(answer) = client.request(request).await
         {
-            let _ = Limited::new(answer.into_body(), LONGEST_BODY).collect().await;
+            let _ = Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await;
         }
     });
     let mut answer = Response::new(Full::default());
--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -21,10 +21,10 @@
 use crate::policy::Kind;
 
 /// When the scheduler that ignores drains stops to listen: it has its first list by then.
-const DEAF_AFTER: Duration = Duration::from_millis(300);
+const DISCOVERY_CUTOFF: Duration = Duration::from_millis(300);
 
 /// A membership that no flow asks.
-fn nobody(start: &StartupConfig) -> Result<EndpointPublisher, String> {
+fn discarding_publisher(start: &StartupConfig) -> Result<EndpointPublisher, String> {
     let entries = Arc::new(EndpointTable::new(&start.settings.proxy));
     let witness = EventRecorder::new(Recorder::disabled(), Arc::clone(&entries), &start.settings.proxy);
     let chance = stream(start.seed, Stream::Network);
@@ -59,9 +59,9 @@
         if kind == Kind::IgnoresDrains {
             // The node looks again before it sends, so that only one that is deaf to the list can break
             // this rule: it goes on being told, and tells it to nobody.
-            let nobody = nobody(&start)?;
+            let nobody = discarding_publisher(&start)?;
             tokio::spawn(async move {
-                sleep(DEAF_AFTER).await;
+                sleep(DISCOVERY_CUTOFF).await;
                 following.abort();
                 Box::new(PlatformDiscovery { address, cached_revision: None }).follow(nobody).await;
             });
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use tokio::time::{sleep, timeout_at};
 
-use crate::emulation::environment::{LONGEST_BODY, Sender, Stage, result};
+use crate::emulation::environment::{Environment, HttpClient, MAX_BODY_BYTES, expected_result};
 use crate::load::job_request;
 use crate::model::arrivals::Arrival;
 use crate::model::chance::Chance;
@@ -18,15 +18,15 @@
 use crate::scenario::micros;
 
 /// What a client hears.
-enum Said {
+enum ClientResponse {
     Served(Bytes),
-    Refused(Micros),
+    Rejected(Micros),
     Failed,
-    Broken,
+    ConnectionBroken,
 }
 
 /// The scheduler that clients reach who want one: it, or the next of its zone that is up, or of any.
-fn front(stage: &Stage, wanted: u32) -> u32 {
+fn reachable_scheduler(stage: &Environment, wanted: u32) -> u32 {
     let (all, zones) = (stage.schedulers.len() as u32, stage.scenario.zones);
     let after = || (0..all).map(|step| (wanted + step) % all);
     let up = |at: &u32| stage.schedulers[*at as usize].1.get();
@@ -35,38 +35,44 @@
 }
 
 /// A client's job, from its first try to its end.
-pub async fn job(stage: Rc<Stage>, client: Sender, number: u64, of: Arrival, mut chance: Chance) {
+pub async fn run_job(
+    stage: Rc<Environment>,
+    client: HttpClient,
+    number: u64,
+    of: Arrival,
+    mut chance: Chance,
+) {
     let class = &stage.scenario.classes[of.class as usize];
     let gives_up = of.at + micros(class.deadline);
     let mut retries = stage.scenario.clients.retries;
-    stage.act(|world| world.job(number, of));
+    stage.apply(|world| world.add_job(number, of));
     let end = loop {
-        let scheduler = front(&stage, of.scheduler);
-        let id = stage.act(|world| world.ask(number, scheduler, gives_up));
+        let scheduler = reachable_scheduler(&stage, of.scheduler);
+        let id = stage.apply(|world| world.register_request(number, scheduler, gives_up));
         let left = u128::from(gives_up.saturating_sub(stage.now()) / 1_000);
         let target = stage.schedulers[scheduler as usize].0;
         let request = job_request(target, &class.name, (id, number), left, &of);
-        let by = stage.instant(gives_up + micros(stage.scenario.clients.grace));
-        let said = timeout_at(by, ask(&client, request)).await;
+        let by = stage.instant_at(gives_up + micros(stage.scenario.clients.grace));
+        let said = timeout_at(by, send_request(&client, request)).await;
         let now = stage.now();
         let Ok(said) = said else {
-            stage.act(|world| world.referee.gave_up(now, RequestId(id)));
+            stage.apply(|world| world.referee.gave_up(now, RequestId(id)));
             break End::Lost;
         };
         let heard = match &said {
             // A result of another request is as forged as one that nobody made.
-            Said::Served(body) if *body == result(id).as_bytes() => Heard::Served,
-            Said::Served(_) => Heard::Forged,
-            Said::Refused(_) | Said::Failed => Heard::Said,
-            Said::Broken => Heard::Broken,
+            ClientResponse::Served(body) if *body == expected_result(id).as_bytes() => Heard::Served,
+            ClientResponse::Served(_) => Heard::Forged,
+            ClientResponse::Rejected(_) | ClientResponse::Failed => Heard::Said,
+            ClientResponse::ConnectionBroken => Heard::Broken,
         };
-        stage.act(|world| world.referee.answered(now, RequestId(id), heard));
+        stage.apply(|world| world.referee.answered(now, RequestId(id), heard));
         match said {
-            Said::Served(_) => {
+            ClientResponse::Served(_) => {
                 let wanted = micros(class.aim + class.stretch * of.work);
                 break if now.saturating_sub(of.at) <= wanted { End::InTime } else { End::Late };
             }
-            Said::Refused(after) => {
+            ClientResponse::Rejected(after) => {
                 let clients = &stage.scenario.clients;
                 let wait = clients.again.wait(after, clients.heed, chance.random());
                 if retries == 0 || now + wait + GRACE >= gives_up {
@@ -75,26 +81,28 @@
                 retries -= 1;
                 sleep(Duration::from_micros(wait)).await;
             }
-            Said::Failed | Said::Broken => break End::Failed,
+            ClientResponse::Failed | ClientResponse::ConnectionBroken => break End::Failed,
         }
     };
     let took = stage.now().saturating_sub(of.at);
-    stage.act(|world| world.tally.ended(&of, class, took, end));
+    stage.apply(|world| world.tally.ended(&of, class, took, end));
 }
 
-async fn ask(client: &Sender, request: Option<Request<Full<Bytes>>>) -> Said {
-    let Some(request) = request else { return Said::Failed };
-    let Ok(answer) = client.request(request).await else { return Said::Broken };
+async fn send_request(client: &HttpClient, request: Option<Request<Full<Bytes>>>) -> ClientResponse {
+    let Some(request) = request else { return ClientResponse::Failed };
+    let Ok(answer) = client.request(request).await else { return ClientResponse::ConnectionBroken };
     let (head, body) = answer.into_parts();
     // The last byte gives the answer's time.
-    let Ok(body) = Limited::new(body, LONGEST_BODY).collect().await else { return Said::Broken };
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
+        return ClientResponse::ConnectionBroken;
+    };
     match head.status {
-        StatusCode::OK => Said::Served(body.to_bytes()),
+        StatusCode::OK => ClientResponse::Served(body.to_bytes()),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
             let after = head.headers.get("retry-after").and_then(|value| value.to_str().ok());
             let after = after.and_then(|value| value.parse::<f64>().ok()).filter(|value| value.is_finite());
-            Said::Refused(micros(after.unwrap_or(0.0)))
+            ClientResponse::Rejected(micros(after.unwrap_or(0.0)))
         }
-        _ => Said::Failed,
+        _ => ClientResponse::Failed,
     }
 }
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -20,73 +20,78 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::emulation::endpoint_list::Listing;
-use crate::emulation::state::{News, Word, World};
+use crate::emulation::endpoint_list::VersionedEndpointList;
+use crate::emulation::state::{Callback, CallbackState, EmulationState};
 use crate::model::worker::Life;
 use crate::scenario::{Scenario, micros};
 
 /// Longest body that is read.
-pub const LONGEST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// A worker tries a call-back so often, with this wait between.
-const CALLS: u32 = 10;
-const CALL_PAUSE: Duration = Duration::from_millis(100);
+const CALLBACK_ATTEMPTS: u32 = 10;
+const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// A call-back that is not answered by then is tried again.
-const CALL_WITHIN: Duration = Duration::from_secs(2);
+const CALLBACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A client of the emulator's own.
-pub type Sender = Client<HttpConnector, Full<Bytes>>;
+pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
 /// An answer of the emulator's own.
-pub type Answer = Response<Full<Bytes>>;
+pub type HttpResponse = Response<Full<Bytes>>;
 
 /// What a worker's sockets do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
+pub enum ListenerState {
     /// A process listens; the number tells it from the one before.
-    Open(u32),
+    Accepting(u32),
     /// Nobody listens.
     Refusing,
     /// The machine is out of reach.
-    Silent,
+    Unreachable,
 }
 
 /// A worker as others see it.
-pub struct Port {
+pub struct WorkerListener {
     /// Where it listens while it does.
     pub address: SocketAddr,
     /// What its sockets do.
-    pub door: watch::Sender<Door>,
+    pub listener_state: watch::Sender<ListenerState>,
     /// It is to be looked at.
     pub wake: Notify,
     process: Cell<u32>,
 }
 
-impl Port {
+impl WorkerListener {
     /// At an address.
-    pub fn new(address: SocketAddr, door: Door) -> Port {
-        Port { address, door: watch::Sender::new(door), wake: Notify::new(), process: Cell::new(0) }
+    pub fn new(address: SocketAddr, door: ListenerState) -> WorkerListener {
+        WorkerListener {
+            address,
+            listener_state: watch::Sender::new(door),
+            wake: Notify::new(),
+            process: Cell::new(0),
+        }
     }
 }
 
 /// What the tasks share. One thread: nothing is held over an await.
-pub struct Stage {
+pub struct Environment {
     /// What is played.
     pub scenario: Scenario,
     /// The world.
-    pub world: RefCell<World>,
+    pub state: RefCell<EmulationState>,
     /// The workers' doors.
-    pub ports: Vec<Port>,
+    pub listeners: Vec<WorkerListener>,
     /// The list.
-    pub listing: RefCell<Listing>,
-    listed: watch::Sender<u64>,
+    pub endpoint_list: RefCell<VersionedEndpointList>,
+    list_changed: watch::Sender<u64>,
     /// Where the schedulers listen, and whether their processes are up.
     pub schedulers: Vec<(SocketAddr, Cell<bool>)>,
     /// For call-backs.
-    client: Sender,
-    unix_began: Cell<u64>,
+    client: HttpClient,
+    started_unix_ms: Cell<u64>,
 }
 
 /// A client that resends nothing by itself.
-pub fn sender() -> Sender {
+pub fn new_http_client() -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     Client::builder(TokioExecutor::new())
@@ -95,62 +100,67 @@
         .build(connector)
 }
 
-impl Stage {
+impl Environment {
     /// Round a world.
-    pub fn new(world: World, ports: Vec<Port>, listing: Listing, schedulers: Vec<SocketAddr>) -> Stage {
+    pub fn new(
+        world: EmulationState,
+        ports: Vec<WorkerListener>,
+        listing: VersionedEndpointList,
+        schedulers: Vec<SocketAddr>,
+    ) -> Environment {
         let scenario = world.scenario.clone();
-        Stage {
+        Environment {
             scenario,
-            world: RefCell::new(world),
-            ports,
-            listing: RefCell::new(listing),
-            listed: watch::Sender::new(0),
+            state: RefCell::new(world),
+            listeners: ports,
+            endpoint_list: RefCell::new(listing),
+            list_changed: watch::Sender::new(0),
             schedulers: schedulers.into_iter().map(|at| (at, Cell::new(true))).collect(),
-            client: sender(),
-            unix_began: Cell::new(0),
+            client: new_http_client(),
+            started_unix_ms: Cell::new(0),
         }
     }
 
     /// The clients begin to come now.
-    pub fn begin(&self) {
-        self.world.borrow_mut().begin();
+    pub fn start_clock(&self) {
+        self.state.borrow_mut().start_clock();
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        self.unix_began.set(since.as_millis() as u64);
+        self.started_unix_ms.set(since.as_millis() as u64);
     }
 
     /// Microseconds since the clients began.
     pub fn now(&self) -> Micros {
-        self.world.borrow().now()
+        self.state.borrow().now()
     }
 
     /// An instant of the run.
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.world.borrow().instant(at)
+    pub fn instant_at(&self, at: Micros) -> Instant {
+        self.state.borrow().instant_at(at)
     }
 
     /// An instant of the run on the machines' clock.
-    pub fn unix_ms(&self, at: Micros) -> u64 {
-        self.unix_began.get() + at / 1_000
+    pub fn unix_ms_at(&self, at: Micros) -> u64 {
+        self.started_unix_ms.get() + at / 1_000
     }
 
     /// Where a worker listens.
-    pub fn address(&self, worker: u32) -> SocketAddr {
-        self.ports[worker as usize].address
+    pub fn worker_address(&self, worker: u32) -> SocketAddr {
+        self.listeners[worker as usize].address
     }
 
     /// A worker's kind.
-    pub fn kind(&self, worker: u32) -> &str {
-        &self.scenario.workers[self.world.borrow().kinds[worker as usize] as usize].kind
+    pub fn worker_kind(&self, worker: u32) -> &str {
+        &self.scenario.workers[self.state.borrow().kinds[worker as usize] as usize].kind
     }
 
     /// Tells when the list changes.
-    pub fn list_changes(&self) -> watch::Receiver<u64> {
-        self.listed.subscribe()
+    pub fn subscribe_to_list(&self) -> watch::Receiver<u64> {
+        self.list_changed.subscribe()
     }
 
     /// A scheduler was told of entries.
-    pub fn told(&self, scheduler: u32, entries: &[Endpoint]) {
-        let mut world = self.world.borrow_mut();
+    pub fn record_notification(&self, scheduler: u32, entries: &[Endpoint]) {
+        let mut world = self.state.borrow_mut();
         let now = world.now();
         for entry in entries {
             world.referee.told(now, scheduler, entry.worker.0, entry.state == WorkerState::Ready);
@@ -158,75 +168,75 @@
     }
 
     /// A worker's entry as it is now.
-    pub fn entry(&self, worker: u32) -> Endpoint {
-        entry(&self.world.borrow(), worker)
+    pub fn endpoint(&self, worker: u32) -> Endpoint {
+        endpoint_of(&self.state.borrow(), worker)
     }
 
     /// Every entry as it is now.
-    pub fn entries(&self) -> Vec<Endpoint> {
-        (0..self.ports.len() as u32).map(|worker| self.entry(worker)).collect()
+    pub fn endpoints(&self) -> Vec<Endpoint> {
+        (0..self.listeners.len() as u32).map(|worker| self.endpoint(worker)).collect()
     }
 
     /// The list changes.
-    pub fn list(&self, change: impl FnOnce(&mut Listing)) {
-        change(&mut self.listing.borrow_mut());
-        self.listed.send_modify(|count| *count += 1);
+    pub fn update_endpoint_list(&self, change: impl FnOnce(&mut VersionedEndpointList)) {
+        change(&mut self.endpoint_list.borrow_mut());
+        self.list_changed.send_modify(|count| *count += 1);
     }
 
     /// Does something to the world and carries out what follows.
-    pub fn act<R>(self: &Rc<Self>, deed: impl FnOnce(&mut World) -> R) -> R {
+    pub fn apply<R>(self: &Rc<Self>, deed: impl FnOnce(&mut EmulationState) -> R) -> R {
         let (result, news, changed) = {
-            let mut world = self.world.borrow_mut();
+            let mut world = self.state.borrow_mut();
             let result = deed(&mut world);
-            (result, std::mem::take(&mut world.news), std::mem::take(&mut world.changed))
+            (result, std::mem::take(&mut world.callbacks), std::mem::take(&mut world.changed_workers))
         };
         for one in news {
-            tokio::task::spawn_local(call_back(Rc::clone(self), one));
+            tokio::task::spawn_local(deliver_callback(Rc::clone(self), one));
         }
         for worker in changed {
-            self.changed(worker);
+            self.propagate_worker_change(worker);
         }
         result
     }
 
     /// A worker's life changed: its sockets follow, and in time the list.
-    fn changed(self: &Rc<Self>, worker: u32) {
-        let port = &self.ports[worker as usize];
+    fn propagate_worker_change(self: &Rc<Self>, worker: u32) {
+        let port = &self.listeners[worker as usize];
         let (life, refusing, started) = {
-            let world = self.world.borrow();
+            let world = self.state.borrow();
             let of = &world.workers[worker as usize].0;
             (of.life, of.refusing, of.started_at)
         };
         let door = match life {
-            Life::Up | Life::Draining if refusing => Door::Refusing,
+            Life::Up | Life::Draining if refusing => ListenerState::Refusing,
             Life::Up | Life::Draining => {
                 // Each start is another process.
                 let process = started.map_or(0, |at| (at / 1_000) as u32 + 1);
                 port.process.set(process);
-                Door::Open(process)
+                ListenerState::Accepting(process)
             }
-            Life::Dead => Door::Refusing,
-            Life::Vanished => Door::Silent,
+            Life::Dead => ListenerState::Refusing,
+            Life::Vanished => ListenerState::Unreachable,
         };
-        port.door.send_if_modified(|now| std::mem::replace(now, door) != door);
+        port.listener_state.send_if_modified(|now| std::mem::replace(now, door) != door);
         port.wake.notify_one();
-        let (entry, stage) = (self.entry(worker), Rc::clone(self));
-        if self.listing.borrow().down > 0 {
-            return self.listing.borrow_mut().untold.push(worker);
+        let (entry, stage) = (self.endpoint(worker), Rc::clone(self));
+        if self.endpoint_list.borrow().outages > 0 {
+            return self.endpoint_list.borrow_mut().unannounced_workers.push(worker);
         }
         tokio::task::spawn_local(async move {
             sleep(Duration::from_micros(micros(stage.scenario.discovery.delay))).await;
             // An unchanged entry, as of a worker that only refuses, is no news.
-            let same = stage.listing.borrow().entries[worker as usize].1 == entry;
+            let same = stage.endpoint_list.borrow().endpoints[worker as usize].1 == entry;
             if !same {
-                stage.list(|listing| listing.change(vec![entry]));
+                stage.update_endpoint_list(|listing| listing.update(vec![entry]));
             }
         });
     }
 }
 
 /// A worker's entry as the world has it.
-pub fn entry(world: &World, worker: u32) -> Endpoint {
+pub fn endpoint_of(world: &EmulationState, worker: u32) -> Endpoint {
     let (of, zone) = &world.workers[worker as usize];
     let state = match of.life {
         Life::Up => WorkerState::Ready,
@@ -247,7 +257,7 @@
 }
 
 /// A load report's figures, by their names.
-fn figures(report: &LoadReport) -> impl Iterator<Item = (&'static str, f64)> {
+fn load_report_fields(report: &LoadReport) -> impl Iterator<Item = (&'static str, f64)> {
     let all = [
         ("x0", report.free_slots),
         ("queue", report.queue),
@@ -259,55 +269,55 @@
 }
 
 /// A load report as an object.
-pub fn load_object(report: &LoadReport) -> Value {
-    figures(report).map(|(name, value)| (name.to_owned(), value)).collect()
+pub fn load_report_json(report: &LoadReport) -> Value {
+    load_report_fields(report).map(|(name, value)| (name.to_owned(), value)).collect()
 }
 
 /// A load report as a header.
-pub fn load_header(report: &LoadReport) -> String {
-    let parts = figures(report).map(|(name, value)| format!("{name}={value:.4}"));
+pub fn load_report_header(report: &LoadReport) -> String {
+    let parts = load_report_fields(report).map(|(name, value)| format!("{name}={value:.4}"));
     format!("TEXT {}", parts.collect::<Vec<_>>().join(", "))
 }
 
 /// The result that a worker makes for a request.
-pub fn result(request: u64) -> String {
+pub fn expected_result(request: u64) -> String {
     format!("result of {request:016x}")
 }
 
-async fn call_back(stage: Rc<Stage>, news: News) {
-    sleep(Duration::from_micros(news.after)).await;
+async fn deliver_callback(stage: Rc<Environment>, news: Callback) {
+    sleep(Duration::from_micros(news.delay)).await;
     let mut body = json!({"id": format!("{:016x}", news.request), "from": format!("w-{}", news.worker)});
-    match news.word {
-        Word::Started => body["state"] = "started".into(),
-        Word::Running(share) => {
+    match news.state {
+        CallbackState::Started => body["state"] = "started".into(),
+        CallbackState::Running(share) => {
             body["state"] = "running".into();
             body["share"] = share.into();
         }
-        Word::Done(report) => {
+        CallbackState::Done(report) => {
             body["state"] = "done".into();
-            body["result"] = result(news.request).into();
-            body["load"] = load_object(&report);
+            body["result"] = expected_result(news.request).into();
+            body["load"] = load_report_json(&report);
         }
-        Word::Returned(report) => {
+        CallbackState::Returned(report) => {
             body["state"] = "returned".into();
-            body["load"] = load_object(&report);
+            body["load"] = load_report_json(&report);
         }
-        Word::Lost => body["state"] = "lost".into(),
-        Word::Failed => body["state"] = "failed".into(),
+        CallbackState::Lost => body["state"] = "lost".into(),
+        CallbackState::Failed => body["state"] = "failed".into(),
     }
     let body = Bytes::from(body.to_string());
     let (address, up) = &stage.schedulers[news.scheduler as usize];
-    let mut left = 1 + u32::from(news.twice);
-    for _ in 0..CALLS {
+    let mut left = 1 + u32::from(news.is_duplicated);
+    for _ in 0..CALLBACK_ATTEMPTS {
         if !up.get() {
             return;
         }
         let request = Request::post(format!("http://{address}/_jobs/news")).body(Full::new(body.clone()));
         let Ok(request) = request else { return };
-        let answered = timeout(CALL_WITHIN, async {
+        let answered = timeout(CALLBACK_TIMEOUT, async {
             let answer = stage.client.request(request).await.ok()?;
             // Read to the end, so that the connection can carry the next one.
-            Limited::new(answer.into_body(), LONGEST_BODY).collect().await.ok()
+            Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await.ok()
         });
         if matches!(answered.await, Ok(Some(_))) {
             left -= 1;
@@ -315,7 +325,7 @@
                 return;
             }
         } else {
-            sleep(CALL_PAUSE).await;
+            sleep(CALLBACK_RETRY_DELAY).await;
         }
     }
 }
@@ -323,7 +333,7 @@
 /// Serves a connection of the emulator's own that nothing breaks.
 pub async fn serve_connection<F>(stream: TcpStream, answer: impl Fn(Request<Incoming>) -> F)
 where
-    F: Future<Output = Answer>,
+    F: Future<Output = HttpResponse>,
 {
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| {
--- a/crates/testbed/src/emulation/faulty_socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -12,11 +12,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFault {
     /// It is written.
-    Whole,
+    None,
     /// Nothing of it is written, and the connection is reset.
     Reset,
     /// So many bytes are written, then the connection is reset.
-    Half(usize),
+    Truncate(usize),
     /// Something that is no HTTP takes its place, then the connection ends.
     Garbage,
 }
@@ -65,9 +65,9 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
         let broken = || Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         match self.plan.get() {
-            ResponseFault::Whole => Pin::new(&mut self.stream).poll_write(cx, from),
+            ResponseFault::None => Pin::new(&mut self.stream).poll_write(cx, from),
             ResponseFault::Reset => broken(),
-            ResponseFault::Half(bytes) => {
+            ResponseFault::Truncate(bytes) => {
                 let part = &from[..bytes.min(from.len())];
                 let polled = Pin::new(&mut self.stream).poll_write(cx, part);
                 if polled.is_ready() {
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -31,10 +31,10 @@
 use crate::model::fleet::{Fleet, Turn};
 use crate::outcome::{Measured, Outcome, Played};
 use crate::scenario::{Scenario, Trouble, micros};
-use endpoint_list::Listing;
-use environment::{Door, Port, Stage};
+use endpoint_list::VersionedEndpointList;
+use environment::{Environment, ListenerState, WorkerListener};
 use scheduler_process::{SchedulerProcess, SchedulerProgram, scheduler_config};
-use state::World;
+use state::EmulationState;
 
 /// More jobs than this are not sent in one run: each is a task and some connections here.
 pub const MAX_JOBS: usize = 200_000;
@@ -43,9 +43,9 @@
 /// More schedulers than this are no use on one machine.
 pub const MAX_SCHEDULERS: u32 = 16;
 /// Time between the schedulers' readiness and the first client.
-const SETTLES: Duration = Duration::from_millis(200);
+const SETTLE_TIME: Duration = Duration::from_millis(200);
 /// Jobs that have not ended so long after the last deadline are given up, and that is an error.
-const LAST: Duration = Duration::from_secs(5);
+const COMPLETION_GRACE: Duration = Duration::from_secs(5);
 
 /// Who plays the schedulers.
 #[derive(Clone, Debug, PartialEq)]
@@ -67,7 +67,7 @@
     called: &str,
     seed: u64,
 ) -> Result<Outcome, String> {
-    check(scenario, seed)?;
+    check_limits(scenario, seed)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     let local = LocalSet::new();
@@ -75,7 +75,7 @@
 }
 
 /// Whether one machine can play it.
-fn check(scenario: &Scenario, seed: u64) -> Result<(), String> {
+fn check_limits(scenario: &Scenario, seed: u64) -> Result<(), String> {
     let workers: usize = scenario.workers.iter().map(|group| group.count as usize).sum();
     if workers > MAX_WORKERS || scenario.schedulers > MAX_SCHEDULERS {
         return Err(format!(
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-fn wrong(what: &str) -> impl Fn(std::io::Error) -> String + '_ {
+fn io_error(what: &str) -> impl Fn(std::io::Error) -> String + '_ {
     move |error| format!("{what}: {error}")
 }
 
@@ -114,12 +114,16 @@
     let mut sockets = Vec::new();
     let mut ports = Vec::new();
     for (worker, _) in &fleet.workers {
-        let (socket, address) = scheduler_process::reserve_address().map_err(wrong("a worker's port"))?;
-        ports.push(Port::new(address, if worker.takes() { Door::Open(0) } else { Door::Refusing }));
+        let (socket, address) = scheduler_process::reserve_address().map_err(io_error("a worker's port"))?;
+        ports.push(WorkerListener::new(
+            address,
+            if worker.takes() { ListenerState::Accepting(0) } else { ListenerState::Refusing },
+        ));
         sockets.push(Some(socket));
     }
-    let world = World::new(scenario, fleet, seed);
-    let entries: Vec<_> = (0..ports.len() as u32).map(|worker| environment::entry(&world, worker)).collect();
+    let world = EmulationState::new(scenario, fleet, seed);
+    let entries: Vec<_> =
+        (0..ports.len() as u32).map(|worker| environment::endpoint_of(&world, worker)).collect();
     let mut remembered = entries.clone();
     gone.iter().for_each(|&at| remembered[at as usize].state = WorkerState::Ready);
     let (mut addresses, mut reserved) = (Vec::new(), Vec::new());
@@ -127,7 +131,7 @@
         addresses.push(match schedulers {
             SchedulerInstances::Spawned(_) => {
                 let (socket, address) =
-                    scheduler_process::reserve_address().map_err(wrong("a scheduler's port"))?;
+                    scheduler_process::reserve_address().map_err(io_error("a scheduler's port"))?;
                 reserved.push(socket);
                 address
             }
@@ -136,43 +140,44 @@
             }
         });
     }
-    let stage = Stage::new(world, ports, Listing::new(entries), addresses.clone());
+    let stage = Environment::new(world, ports, VersionedEndpointList::new(entries), addresses.clone());
     let stage = Rc::new(stage);
     for (worker, socket) in sockets.iter_mut().enumerate() {
-        tokio::task::spawn_local(workers::listen(Rc::clone(&stage), worker as u32, socket.take()));
-        tokio::task::spawn_local(workers::look(Rc::clone(&stage), worker as u32));
-        tokio::task::spawn_local(workers::tell_progress(Rc::clone(&stage), worker as u32));
-        tokio::task::spawn_local(workers::refresh(Rc::clone(&stage), worker as u32));
+        tokio::task::spawn_local(workers::run_listener(Rc::clone(&stage), worker as u32, socket.take()));
+        tokio::task::spawn_local(workers::drive_worker(Rc::clone(&stage), worker as u32));
+        tokio::task::spawn_local(workers::report_progress(Rc::clone(&stage), worker as u32));
+        tokio::task::spawn_local(workers::refresh_load_reports(Rc::clone(&stage), worker as u32));
     }
-    let folder = tempfile::tempdir().map_err(wrong("a folder for configurations"))?;
+    let folder = tempfile::tempdir().map_err(io_error("a folder for configurations"))?;
     let mut processes = Vec::new();
-    stage.begin();
+    stage.start_clock();
     for (number, &address) in addresses.iter().enumerate() {
         let number = number as u32;
         let SchedulerInstances::Spawned(program) = schedulers else { break };
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(wrong("a list's port"))?;
-        let discovery = listener.local_addr().map_err(wrong("a list's port"))?;
-        tokio::task::spawn_local(discovery_server::agent(Rc::clone(&stage), number, listener));
-        let known = (scenario.discovery.first_after > 0.0)
-            .then(|| discovery_server::form(&stage, EndpointUpdateKind::Cached, 0, &remembered));
+        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io_error("a list's port"))?;
+        let discovery = listener.local_addr().map_err(io_error("a list's port"))?;
+        tokio::task::spawn_local(discovery_server::serve_discovery(Rc::clone(&stage), number, listener));
+        let known = (scenario.discovery.first_after > 0.0).then(|| {
+            discovery_server::endpoint_list_json(&stage, EndpointUpdateKind::Cached, 0, &remembered)
+        });
         let configuration = scheduler_config(scenario, number, seed, address, discovery, known.as_ref());
         processes.push(SchedulerProcess::new(program, folder.path(), number, address, &configuration)?);
     }
     for process in &mut processes {
         process.start().await?;
     }
-    sleep(SETTLES).await;
+    sleep(SETTLE_TIME).await;
     // The run's time begins here: what was told before was told at its start.
-    stage.begin();
+    stage.start_clock();
     let began = Instant::now();
     let lag = tokio::select! {
-        lag = clients(&stage, scenario, seed) => lag,
-        error = faults(&stage, &turns, &mut processes) => return Err(error),
+        lag = send_jobs(&stage, scenario, seed) => lag,
+        error = play_faults(&stage, &turns, &mut processes) => return Err(error),
     };
     let played = began.elapsed();
     let mut cpu = Duration::ZERO;
     for process in &mut processes {
-        process.still_runs()?;
+        process.check_running()?;
         cpu += process.pid().and_then(scheduler_process::cpu_time).unwrap_or_default();
     }
     for process in &mut processes {
@@ -183,30 +188,36 @@
 }
 
 /// Sends all jobs and waits for their ends. Returns how late this was in sending.
-async fn clients(stage: &Rc<Stage>, scenario: &Scenario, seed: u64) -> Result<[f64; 2], String> {
-    let client = environment::sender();
+async fn send_jobs(stage: &Rc<Environment>, scenario: &Scenario, seed: u64) -> Result<[f64; 2], String> {
+    let client = environment::new_http_client();
     let mut lag = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
     let mut jobs = JoinSet::new();
     for (number, arrival) in Arrivals::new(scenario, seed).enumerate() {
-        let at = stage.instant(arrival.at);
+        let at = stage.instant_at(arrival.at);
         sleep_until(at).await;
         lag.saturating_record(at.elapsed().as_micros() as u64);
         let chance = stream(seed.wrapping_add(number as u64), Stream::Retries);
-        jobs.spawn_local(clients::job(Rc::clone(stage), client.clone(), number as u64 + 1, arrival, chance));
+        jobs.spawn_local(clients::run_job(
+            Rc::clone(stage),
+            client.clone(),
+            number as u64 + 1,
+            arrival,
+            chance,
+        ));
     }
     let longest = scenario.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-    let by = Duration::from_secs_f64(longest) + LAST;
+    let by = Duration::from_secs_f64(longest) + COMPLETION_GRACE;
     let all = timeout(by, async { while jobs.join_next().await.is_some() {} });
     all.await.map_err(|_| "jobs that do not end: a fault of the emulator".to_owned())?;
     Ok([0.99, 1.0].map(|quantile| lag.value_at_quantile(quantile) as f64 / 1e3))
 }
 
 /// Plays the faults; returns only when one of them cannot be played.
-async fn faults(stage: &Rc<Stage>, turns: &[Turn], processes: &mut [SchedulerProcess]) -> String {
+async fn play_faults(stage: &Rc<Environment>, turns: &[Turn], processes: &mut [SchedulerProcess]) -> String {
     let mut turns = turns.to_vec();
     turns.sort_by_key(|turn| turn.at);
     for turn in turns {
-        sleep_until(stage.instant(turn.at)).await;
+        sleep_until(stage.instant_at(turn.at)).await;
         let what = stage.scenario.faults[turn.fault].what;
         match (what, turn.whom) {
             (Trouble::SchedulerCrash | Trouble::SchedulerRestart, Some(at)) => {
@@ -230,59 +241,61 @@
                     up.set(true);
                 }
             }
-            (Trouble::DiscoveryDown, _) if turn.begins => stage.list(|listing| listing.down += 1),
+            (Trouble::DiscoveryDown, _) if turn.begins => {
+                stage.update_endpoint_list(|listing| listing.outages += 1)
+            }
             (Trouble::DiscoveryDown, _) => {
-                tokio::task::spawn_local(list_is_back(Rc::clone(stage)));
+                tokio::task::spawn_local(end_discovery_outage(Rc::clone(stage)));
             }
             (Trouble::DiscoveryContradicts, _) => {
-                let old = turn.begins.then(|| stage.entries());
-                stage.list(|listing| listing.contradicted = old);
+                let old = turn.begins.then(|| stage.endpoints());
+                stage.update_endpoint_list(|listing| listing.stale_copy = old);
                 if turn.begins {
-                    tokio::task::spawn_local(contradict(Rc::clone(stage)));
+                    tokio::task::spawn_local(alternate_lists(Rc::clone(stage)));
                 }
             }
-            _ => stage.act(|world| world.turn(turn)),
+            _ => stage.apply(|world| world.apply_fault(turn)),
         }
     }
     std::future::pending().await
 }
 
-async fn list_is_back(stage: Rc<Stage>) {
+async fn end_discovery_outage(stage: Rc<Environment>) {
     let delay: Micros = micros(stage.scenario.discovery.delay);
     sleep(Duration::from_micros(delay)).await;
     // Only now: what changed during the delay waits there as well.
-    let untold = std::mem::take(&mut stage.listing.borrow_mut().untold);
-    let entries: Vec<_> = untold.into_iter().map(|worker| stage.entry(worker)).collect();
-    stage.list(|listing| {
-        listing.down -= 1;
-        listing.change(entries);
+    let untold = std::mem::take(&mut stage.endpoint_list.borrow_mut().unannounced_workers);
+    let entries: Vec<_> = untold.into_iter().map(|worker| stage.endpoint(worker)).collect();
+    stage.update_endpoint_list(|listing| {
+        listing.outages -= 1;
+        listing.update(entries);
     });
 }
 
-async fn contradict(stage: Rc<Stage>) {
+async fn alternate_lists(stage: Rc<Environment>) {
     sleep(Duration::from_micros(micros(stage.scenario.discovery.delay))).await;
     let mut old = true;
     loop {
-        let now = stage.entries();
-        let stale = stage.listing.borrow().contradicted.clone();
+        let now = stage.endpoints();
+        let stale = stage.endpoint_list.borrow().stale_copy.clone();
         let Some(stale) = stale else {
-            return stage.list(|listing| listing.replace(now));
+            return stage.update_endpoint_list(|listing| listing.replace_all(now));
         };
-        stage.list(|listing| listing.replace(if old { stale } else { now }));
+        stage.update_endpoint_list(|listing| listing.replace_all(if old { stale } else { now }));
         old = !old;
-        sleep(discovery_server::TURNS).await;
+        sleep(discovery_server::CONTRADICTION_INTERVAL).await;
     }
 }
 
 fn outcome(
-    stage: &Rc<Stage>,
+    stage: &Rc<Environment>,
     called: &str,
     seed: u64,
     lag: [f64; 2],
     cpu: Duration,
     played: Duration,
 ) -> Outcome {
-    let mut world = stage.world.borrow_mut();
+    let mut world = stage.state.borrow_mut();
     let referee = std::mem::replace(&mut world.referee, crate::referee::Referee::new(None));
     let jobs = world.tally.jobs();
     Played {
@@ -294,10 +307,10 @@
         workers: &world.workers,
         kinds: &world.kinds,
         attempts: world.attempts_sent,
-        crossed: world.crossed,
-        probes: world.probed,
-        fell: world.fell,
-        held: world.held(),
+        crossed: world.cross_zone_attempts,
+        probes: world.load_query_count,
+        fell: world.overloaded_workers,
+        held: world.in_flight_job_micros(),
         verdict: referee.verdict(),
         measured: Some(Measured {
             own_lag_ms: lag,
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -19,11 +19,11 @@
 use crate::scenario::{CONNECT, Repeat, Scenario, Scope};
 
 /// A program that does not say that it is ready by then is given up.
-const READY_WITHIN: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often it is asked.
-const ASKED_EVERY: Duration = Duration::from_millis(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// A program that has not ended so long after SIGTERM is killed, past the longest deadline.
-const ENDS_WITHIN: Duration = Duration::from_secs(5);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What is started for each scheduler: the program with its arguments. It finds its configuration by
 /// `EDGE_CONFIG`, as on the platform.
@@ -143,11 +143,11 @@
     /// Where it listens.
     pub address: SocketAddr,
     program: SchedulerProgram,
-    config: PathBuf,
-    log: PathBuf,
+    config_path: PathBuf,
+    log_path: PathBuf,
     child: Option<Child>,
     /// It was told to end, and may.
-    ending: bool,
+    is_terminating: bool,
 }
 
 /// An address of its own for a scheduler: bound and not listening, so that the kernel gives it to
@@ -179,7 +179,14 @@
         std::fs::write(&config, configuration.to_string())
             .map_err(|e| format!("{}: {e}", config.display()))?;
         let log = folder.join(format!("scheduler-{number}.log"));
-        Ok(SchedulerProcess { address, program: program.clone(), config, log, child: None, ending: false })
+        Ok(SchedulerProcess {
+            address,
+            program: program.clone(),
+            config_path: config,
+            log_path: log,
+            child: None,
+            is_terminating: false,
+        })
     }
 
     /// Starts it and waits until it says that it is ready.
@@ -189,15 +196,15 @@
     pub async fn start(&mut self) -> Result<(), String> {
         let file = &self.program.file;
         let said = |what: &str| format!("{}: {what}", file.display());
-        let log = std::fs::File::options().create(true).append(true).open(&self.log);
-        let log = log.map_err(|e| format!("{}: {e}", self.log.display()))?;
+        let log = std::fs::File::options().create(true).append(true).open(&self.log_path);
+        let log = log.map_err(|e| format!("{}: {e}", self.log_path.display()))?;
         let mut command = Command::new(file);
-        command.args(&self.program.arguments).env("EDGE_CONFIG", &self.config);
+        command.args(&self.program.arguments).env("EDGE_CONFIG", &self.config_path);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true);
         let mut child = command.spawn().map_err(|e| said(&e.to_string()))?;
         let client: Client<_, Empty<Bytes>> =
             Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build(HttpConnector::new());
-        let by = Instant::now() + READY_WITHIN;
+        let by = Instant::now() + READY_TIMEOUT;
         loop {
             let request = Request::get(format!("http://{}/-/ready", self.address)).body(Empty::new());
             let request = request.map_err(|e| e.to_string())?;
@@ -205,19 +212,19 @@
                 break;
             }
             if let Some(status) = child.try_wait().map_err(|e| said(&e.to_string()))? {
-                return Err(said(&format!("ended with {status}; it said: {}", self.last_words())));
+                return Err(said(&format!("ended with {status}; it said: {}", self.last_log_line())));
             }
             if Instant::now() > by {
                 return Err(said("was not ready in 10 s"));
             }
-            sleep(ASKED_EVERY).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
-        (self.child, self.ending) = (Some(child), false);
+        (self.child, self.is_terminating) = (Some(child), false);
         Ok(())
     }
 
-    fn last_words(&self) -> String {
-        let text = std::fs::read_to_string(&self.log).unwrap_or_default();
+    fn last_log_line(&self) -> String {
+        let text = std::fs::read_to_string(&self.log_path).unwrap_or_default();
         text.lines().last().unwrap_or_default().to_owned()
     }
 
@@ -237,14 +244,14 @@
     ///
     /// # Errors
     /// That it did.
-    pub fn still_runs(&mut self) -> Result<(), String> {
+    pub fn check_running(&mut self) -> Result<(), String> {
         let ended = match &mut self.child {
             Some(child) => child.try_wait().map_err(|e| e.to_string())?,
             None => None,
         };
         match ended {
-            Some(status) if !(self.ending && status.success()) => {
-                Err(format!("a scheduler ended by itself with {status}; it said: {}", self.last_words()))
+            Some(status) if !(self.is_terminating && status.success()) => {
+                Err(format!("a scheduler ended by itself with {status}; it said: {}", self.last_log_line()))
             }
             _ => Ok(()),
         }
@@ -252,7 +259,7 @@
 
     /// Tells it to end; it answers what it took.
     pub fn terminate(&mut self) {
-        self.ending = true;
+        self.is_terminating = true;
         if let Some(pid) = self.pid().and_then(|id| Pid::from_raw(id as i32)) {
             let _ = kill_process(pid, Signal::TERM);
         }
@@ -265,7 +272,7 @@
     pub async fn stop(&mut self) -> Result<(), String> {
         self.terminate();
         let Some(mut child) = self.child.take() else { return Ok(()) };
-        if timeout(ENDS_WITHIN, child.wait()).await.is_err() {
+        if timeout(SHUTDOWN_TIMEOUT, child.wait()).await.is_err() {
             let _ = child.kill().await;
             return Err("a scheduler did not end on SIGTERM and was killed".into());
         }
--- a/crates/testbed/src/emulation/state.rs
+++ b/crates/testbed/src/emulation/state.rs
@@ -19,7 +19,7 @@
 
 /// News of an attempt, to be called back.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct Callback {
     /// The request.
     pub request: u64,
     /// The worker that calls.
@@ -27,16 +27,16 @@
     /// The scheduler that it calls.
     pub scheduler: u32,
     /// What it says.
-    pub word: Word,
+    pub state: CallbackState,
     /// It is said so much later, for the way and for what delays it.
-    pub after: Micros,
+    pub delay: Micros,
     /// It is said twice.
-    pub twice: bool,
+    pub is_duplicated: bool,
 }
 
 /// What a call-back says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum CallbackState {
     /// The job began to run.
     Started,
     /// So great a share of it is done.
@@ -53,15 +53,15 @@
 
 /// A worker's answer to a hand-over.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Taken {
+pub enum AttemptResponse {
     /// 202.
-    Yes,
+    Accepted,
     /// 202, of which the half is said.
-    Half,
+    AcceptedThenReset,
     /// 503 with the word that it never runs here.
-    Full(LoadReport),
+    Rejected(LoadReport),
     /// No such request: 400.
-    Unknown,
+    UnknownRequest,
     /// The connection is reset.
     Reset,
     /// Garbage.
@@ -70,15 +70,15 @@
 
 /// A worker's answer to a probe.
 #[derive(Debug)]
-pub enum Probed {
+pub enum LoadQueryResponse {
     /// 200, with its load after so long.
-    Now(Micros),
+    AfterDelay(Micros),
     /// It waits its turn; what comes of it is told, or nothing when it was lost.
-    Waits(oneshot::Receiver<()>),
+    Queued(oneshot::Receiver<()>),
     /// 503.
-    Unwell,
+    Unavailable,
     /// There are no probes here: 404.
-    Unknown,
+    NotFound,
     /// 500.
     Failed,
     /// The connection is reset.
@@ -87,7 +87,7 @@
     Garbage,
 }
 
-struct Asked {
+struct PendingRequest {
     job: u64,
     scheduler: u32,
 }
@@ -106,7 +106,7 @@
 }
 
 /// The world round the schedulers.
-pub struct World {
+pub struct EmulationState {
     /// What is played.
     pub scenario: Scenario,
     /// Workers with their zones.
@@ -116,7 +116,7 @@
     /// Each worker's cell.
     pub cells: Vec<u32>,
     /// What goes wrong on their connections.
-    pub wires: Vec<Wire>,
+    pub connections: Vec<Wire>,
     /// The referee.
     pub referee: Referee,
     /// What became of jobs.
@@ -124,126 +124,128 @@
     /// Attempts that reached a worker, and those of them that crossed zones.
     pub attempts_sent: u64,
     /// Attempts that crossed zones.
-    pub crossed: u64,
+    pub cross_zone_attempts: u64,
     /// Probes that reached a worker.
-    pub probed: u64,
+    pub load_query_count: u64,
     /// Workers that fell over.
-    pub fell: u64,
+    pub overloaded_workers: u64,
     /// News that is to be called back.
-    pub news: Vec<News>,
+    pub callbacks: Vec<Callback>,
     /// Workers whose process or machine changed, for their sockets.
-    pub changed: Vec<u32>,
-    began: Instant,
-    requests: FxHashMap<u64, Asked>,
+    pub changed_workers: Vec<u32>,
+    started_at: Instant,
+    requests: FxHashMap<u64, PendingRequest>,
     jobs: FxHashMap<u64, Job>,
     attempts: FxHashMap<u64, Attempt>,
-    probes: FxHashMap<u64, oneshot::Sender<()>>,
-    next: u64,
-    reports_late: Micros,
-    network: Chance,
-    noise: Chance,
-    held: (u64, f64, Micros),
+    load_queries: FxHashMap<u64, oneshot::Sender<()>>,
+    last_id: u64,
+    extra_report_delay: Micros,
+    network_random: Chance,
+    noise_random: Chance,
+    in_flight: (u64, f64, Micros),
 }
 
-impl World {
+impl EmulationState {
     /// The world of a scenario and a seed; time counts from now on.
-    pub fn new(scenario: &Scenario, fleet: Fleet, seed: u64) -> World {
-        World {
-            wires: vec![Wire::default(); fleet.workers.len()],
+    pub fn new(scenario: &Scenario, fleet: Fleet, seed: u64) -> EmulationState {
+        EmulationState {
+            connections: vec![Wire::default(); fleet.workers.len()],
             workers: fleet.workers,
             kinds: fleet.kinds,
             cells: fleet.cells,
             referee: Referee::new(cold_budget(scenario)),
             tally: Tally::new(scenario.classes.len(), scenario.zones),
             attempts_sent: 0,
-            crossed: 0,
-            probed: 0,
-            fell: 0,
-            news: Vec::new(),
-            changed: Vec::new(),
-            began: Instant::now(),
+            cross_zone_attempts: 0,
+            load_query_count: 0,
+            overloaded_workers: 0,
+            callbacks: Vec::new(),
+            changed_workers: Vec::new(),
+            started_at: Instant::now(),
             requests: FxHashMap::default(),
             jobs: FxHashMap::default(),
             attempts: FxHashMap::default(),
-            probes: FxHashMap::default(),
+            load_queries: FxHashMap::default(),
             // Ids that look like no small number, as the platform's do.
-            next: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 << 63,
-            reports_late: 0,
-            network: stream(seed, Stream::Network),
-            noise: stream(seed, Stream::Reports),
-            held: (0, 0.0, 0),
+            last_id: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 << 63,
+            extra_report_delay: 0,
+            network_random: stream(seed, Stream::Network),
+            noise_random: stream(seed, Stream::Reports),
+            in_flight: (0, 0.0, 0),
             scenario: scenario.clone(),
         }
     }
 
     /// The clients begin to come now.
-    pub fn begin(&mut self) {
-        self.began = Instant::now();
+    pub fn start_clock(&mut self) {
+        self.started_at = Instant::now();
     }
 
     /// Microseconds since the clients began.
     pub fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
     /// An instant of the run.
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.began + std::time::Duration::from_micros(at)
+    pub fn instant_at(&self, at: Micros) -> Instant {
+        self.started_at + std::time::Duration::from_micros(at)
     }
 
     /// The way between two zones, apart from what the machine's own way takes. Ways within a zone are
     /// shorter than a timer's step: the machine's own way stands for them.
-    pub fn way(&self, from: u32, to: u32) -> Micros {
+    pub fn network_delay(&self, from: u32, to: u32) -> Micros {
         let way = micros(self.scenario.network.between(from, to).0);
         if way < 1_000 { 0 } else { way }
     }
 
-    fn zone_of(&self, scheduler: u32) -> u32 {
+    fn scheduler_zone(&self, scheduler: u32) -> u32 {
         scheduler % self.scenario.zones
     }
 
     /// A client's job, by its number.
-    pub fn job(&mut self, number: u64, of: Arrival) {
+    pub fn add_job(&mut self, number: u64, of: Arrival) {
         self.jobs.insert(number, Job { of, keys: Keys::default() });
     }
 
     /// A client asks a scheduler; returns the request's id.
-    pub fn ask(&mut self, job: u64, scheduler: u32, gives_up: Micros) -> u64 {
-        self.next = self.next.wrapping_add(1);
-        self.requests.insert(self.next, Asked { job, scheduler });
-        self.referee.asked(RequestId(self.next), gives_up);
-        self.next
+    pub fn register_request(&mut self, job: u64, scheduler: u32, gives_up: Micros) -> u64 {
+        self.last_id = self.last_id.wrapping_add(1);
+        self.requests.insert(self.last_id, PendingRequest { job, scheduler });
+        self.referee.asked(RequestId(self.last_id), gives_up);
+        self.last_id
     }
 
-    fn hold(&mut self) {
+    fn account_in_flight(&mut self) {
         let now = self.now();
-        self.held.1 += self.held.0 as f64 * now.saturating_sub(self.held.2) as f64;
-        self.held.2 = now;
+        self.in_flight.1 += self.in_flight.0 as f64 * now.saturating_sub(self.in_flight.2) as f64;
+        self.in_flight.2 = now;
     }
 
     /// Jobs in the workers, added up over microseconds.
-    pub fn held(&self) -> f64 {
-        self.held.1
+    pub fn in_flight_job_micros(&self) -> f64 {
+        self.in_flight.1
     }
 
     /// A hand-over reaches a worker: the head has come. Returns how long it is still on its way.
-    pub fn comes(&mut self, request: u64, worker: u32) -> Micros {
+    pub fn attempt_arrives(&mut self, request: u64, worker: u32) -> Micros {
         let now = self.now();
         let Some(asked) = self.requests.get(&request) else { return 0 };
         let Some(job) = self.jobs.get(&asked.job) else { return 0 };
-        let (from, to) = (self.zone_of(asked.scheduler), self.workers[worker as usize].1);
+        let (from, to) = (self.scheduler_zone(asked.scheduler), self.workers[worker as usize].1);
         self.referee.sent(now, asked.scheduler, worker, job.of.work * job.of.slots);
         self.attempts_sent += 1;
-        self.crossed += u64::from(from != to);
-        self.way(from, to)
+        self.cross_zone_attempts += u64::from(from != to);
+        self.network_delay(from, to)
     }
 
     /// The same hand-over is there as a whole, `came` having been its head's instant.
-    pub fn take(&mut self, request: u64, worker: u32, came: Micros) -> Taken {
-        self.hold();
+    pub fn accept_attempt(&mut self, request: u64, worker: u32, came: Micros) -> AttemptResponse {
+        self.account_in_flight();
         let now = self.now();
-        let Some(&Asked { job, scheduler }) = self.requests.get(&request) else { return Taken::Unknown };
-        let Some(of) = self.jobs.get_mut(&job) else { return Taken::Unknown };
+        let Some(&PendingRequest { job, scheduler }) = self.requests.get(&request) else {
+            return AttemptResponse::UnknownRequest;
+        };
+        let Some(of) = self.jobs.get_mut(&job) else { return AttemptResponse::UnknownRequest };
         let arrival = of.of;
         let zone = self.workers[worker as usize].1;
         let effect = self.scenario.classes[arrival.class as usize].effect();
@@ -251,8 +253,8 @@
             Idempotency::IdempotentWithKey { scope, .. } => group(scope, zone, self.cells[worker as usize]),
             _ => 0,
         };
-        self.next = self.next.wrapping_add(1);
-        let id = self.next;
+        self.last_id = self.last_id.wrapping_add(1);
+        let id = self.last_id;
         let attempt = Attempt { request, job, worker, scheduler };
         if let Idempotency::IdempotentWithKey { window, .. } = effect
             && self.workers[worker as usize].0.takes()
@@ -261,22 +263,22 @@
             self.attempts.insert(id, attempt);
             self.referee.took(now, job, id, effect, group, came);
             if repeat == Repeat::Done {
-                self.tell(id, Kind::Done);
+                self.queue_callback(id, AttemptState::Done);
             }
-            return Taken::Yes;
+            return AttemptResponse::Accepted;
         }
-        let cut = self.wires[worker as usize].meets(self.network.random());
+        let cut = self.connections[worker as usize].meets(self.network_random.random());
         match cut {
-            Cut::Before => return Taken::Reset,
-            Cut::Garbage => return Taken::Garbage,
+            Cut::Before => return AttemptResponse::Reset,
+            Cut::Garbage => return AttemptResponse::Garbage,
             Cut::Fails => {
                 // As in virtual time: to the rules it may have run.
                 self.referee.took(now, job, id, effect, group, came);
                 self.referee.ran(now, job, effect);
                 self.attempts.insert(id, attempt);
-                self.tell(id, Kind::Failed);
+                self.queue_callback(id, AttemptState::Failed);
                 self.attempts.remove(&id);
-                return Taken::Yes;
+                return AttemptResponse::Accepted;
             }
             Cut::Whole | Cut::After => {}
         }
@@ -284,7 +286,7 @@
         let mut effects = Vec::new();
         match self.workers[worker as usize].0.offer(now, offered, &mut effects) {
             Offer::Taken => {
-                self.held.0 += 1;
+                self.in_flight.0 += 1;
                 self.attempts.insert(id, attempt);
                 self.referee.took(now, job, id, effect, group, came);
                 if matches!(effect, Idempotency::IdempotentWithKey { .. })
@@ -292,21 +294,21 @@
                 {
                     of.keys.took(id, group, now);
                 }
-                self.effects(worker, effects);
-                if cut == Cut::After { Taken::Half } else { Taken::Yes }
+                self.apply_effects(worker, effects);
+                if cut == Cut::After { AttemptResponse::AcceptedThenReset } else { AttemptResponse::Accepted }
             }
-            Offer::Full => Taken::Full(self.report(worker)),
+            Offer::Full => AttemptResponse::Rejected(self.response_load_report(worker)),
             // Its sockets are on their way out.
-            Offer::Dead | Offer::Vanished => Taken::Reset,
+            Offer::Dead | Offer::Vanished => AttemptResponse::Reset,
         }
     }
 
     /// A request's attempts stop at a worker whose scheduler gave it up there.
-    pub fn given_up(&mut self, request: u64, worker: u32) {
+    pub fn cancel_request(&mut self, request: u64, worker: u32) {
         if !self.scenario.settings.cancel_stops {
             return;
         }
-        self.hold();
+        self.account_in_flight();
         let now = self.now();
         let of = |(id, of): (&u64, &Attempt)| (of.request == request && of.worker == worker).then_some(*id);
         let ids: Vec<u64> = self.attempts.iter().filter_map(of).collect();
@@ -315,115 +317,117 @@
             if !self.workers[worker as usize].0.cancel(now, id, &mut effects) {
                 continue;
             }
-            self.held.0 -= 1;
+            self.in_flight.0 -= 1;
             let job = self.attempts.get(&id).map(|of| of.job);
             if let Some(of) = job.and_then(|job| self.jobs.get_mut(&job)) {
                 of.keys.handed_back(id);
             }
-            self.over(id, Kind::Failed);
-            self.effects(worker, effects);
+            self.attempt_ended(id, AttemptState::Failed);
+            self.apply_effects(worker, effects);
         }
     }
 
     /// A probe comes to a worker.
-    pub fn probe(&mut self, worker: u32) -> Probed {
-        let Some(probe) = self.scenario.reports.probe else { return Probed::Unknown };
-        self.hold();
+    pub fn accept_load_query(&mut self, worker: u32) -> LoadQueryResponse {
+        let Some(probe) = self.scenario.reports.probe else { return LoadQueryResponse::NotFound };
+        self.account_in_flight();
         let now = self.now();
-        self.probed += 1;
-        match self.wires[worker as usize].meets(self.network.random()) {
+        self.load_query_count += 1;
+        match self.connections[worker as usize].meets(self.network_random.random()) {
             Cut::Whole => {}
-            Cut::Before | Cut::After => return Probed::Reset,
-            Cut::Garbage => return Probed::Garbage,
-            Cut::Fails => return Probed::Failed,
+            Cut::Before | Cut::After => return LoadQueryResponse::Reset,
+            Cut::Garbage => return LoadQueryResponse::Garbage,
+            Cut::Fails => return LoadQueryResponse::Failed,
         }
         let of = &mut self.workers[worker as usize].0;
         if of.life != Life::Up {
-            return Probed::Unwell;
+            return LoadQueryResponse::Unavailable;
         }
         if !probe.deep {
             of.charge(now, probe.work);
-            return Probed::Now(micros(probe.work / of.build.speed));
+            return LoadQueryResponse::AfterDelay(micros(probe.work / of.build.speed));
         }
-        self.next = self.next.wrapping_add(1);
-        let id = self.next;
+        self.last_id = self.last_id.wrapping_add(1);
+        let id = self.last_id;
         let mut effects = Vec::new();
         if of.offer(now, Offered::probe(id, probe.work), &mut effects) != Offer::Taken {
-            return Probed::Unwell;
+            return LoadQueryResponse::Unavailable;
         }
-        self.held.0 += 1;
+        self.in_flight.0 += 1;
         let (tells, told) = oneshot::channel();
-        self.probes.insert(id, tells);
-        self.effects(worker, effects);
-        Probed::Waits(told)
+        self.load_queries.insert(id, tells);
+        self.apply_effects(worker, effects);
+        LoadQueryResponse::Queued(told)
     }
 
     /// A worker's load, as it tells whoever probes it.
-    pub fn load(&mut self, worker: u32) -> LoadReport {
+    pub fn queried_load_report(&mut self, worker: u32) -> LoadReport {
         let now = self.now();
-        let late = self.scenario.reports.probe.map_or(0, |probe| micros(probe.late)) + self.reports_late;
+        let late =
+            self.scenario.reports.probe.map_or(0, |probe| micros(probe.late)) + self.extra_report_delay;
         self.workers[worker as usize].0.probed(now, late).unwrap_or_default()
     }
 
     /// A worker's figures for probes are refreshed.
-    pub fn refresh(&mut self, worker: u32) {
+    pub fn refresh_load_report(&mut self, worker: u32) {
         let (now, every) = (self.now(), micros(self.scenario.reports.refresh));
-        let (noise, sigma) = (&mut self.noise, self.scenario.reports.noise);
+        let (noise, sigma) = (&mut self.noise_random, self.scenario.reports.noise);
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
         self.workers[worker as usize].0.refresh(now, every, draw);
     }
 
     /// What comes along with an answer; nothing where workers are to be probed.
-    fn report(&mut self, worker: u32) -> LoadReport {
+    fn response_load_report(&mut self, worker: u32) -> LoadReport {
         if self.scenario.reports.probe.is_some() {
             return LoadReport::default();
         }
-        let refresh = micros(self.scenario.reports.refresh) + self.reports_late;
-        let (noise, sigma, now) = (&mut self.noise, self.scenario.reports.noise, self.began.elapsed());
+        let refresh = micros(self.scenario.reports.refresh) + self.extra_report_delay;
+        let (noise, sigma, now) =
+            (&mut self.noise_random, self.scenario.reports.noise, self.started_at.elapsed());
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
         self.workers[worker as usize].0.report(now.as_micros() as Micros, refresh, draw)
     }
 
     /// A worker is looked at: what is done by now ends. Returns when it must be looked at again.
-    pub fn look(&mut self, worker: u32) -> Option<Instant> {
-        self.hold();
+    pub fn advance_worker(&mut self, worker: u32) -> Option<Instant> {
+        self.account_in_flight();
         let now = self.now();
         let mut effects = Vec::new();
         let of = &mut self.workers[worker as usize].0;
         if of.takes() || of.holds() > 0 {
             of.advance(now, &mut effects);
         }
-        self.effects(worker, effects);
-        self.workers[worker as usize].0.next(self.now()).map(|at| self.instant(at))
+        self.apply_effects(worker, effects);
+        self.workers[worker as usize].0.next(self.now()).map(|at| self.instant_at(at))
     }
 
     /// A fault begins or is over.
-    pub fn turn(&mut self, turn: Turn) {
-        self.hold();
+    pub fn apply_fault(&mut self, turn: Turn) {
+        self.account_in_flight();
         let now = self.now();
         let what = self.scenario.faults[turn.fault].what;
         if let Trouble::ReportsLate(by) = what {
-            self.reports_late = if turn.begins { micros(by) } else { 0 };
+            self.extra_report_delay = if turn.begins { micros(by) } else { 0 };
         }
         let Some(worker) = turn.whom.filter(|_| what.meets_workers()) else { return };
-        if self.wires[worker as usize].turn(what, turn.begins) {
+        if self.connections[worker as usize].turn(what, turn.begins) {
             return;
         }
         let mut effects = Vec::new();
         let held = self.workers[worker as usize].0.holds() as u64;
         let started = self.workers[worker as usize].0.turn(now, what, turn.begins, &mut effects);
         if what == Trouble::Vanish && turn.begins {
-            self.held.0 -= held;
+            self.in_flight.0 -= held;
         }
         if started {
             let build = self.workers[worker as usize].0.build;
             self.referee.started(now, worker, build.cores.min(build.slots) * build.speed);
         }
-        self.effects(worker, effects);
-        self.changed.push(worker);
+        self.apply_effects(worker, effects);
+        self.changed_workers.push(worker);
     }
 
-    fn effects(&mut self, worker: u32, effects: Vec<worker::Effect>) {
+    fn apply_effects(&mut self, worker: u32, effects: Vec<worker::Effect>) {
         let now = self.now();
         for effect in effects {
             match effect {
@@ -433,47 +437,47 @@
                     let Some(class) = self.jobs.get(&job).map(|job| job.of.class) else { continue };
                     self.referee.ran(now, job, self.scenario.classes[class as usize].effect());
                     if self.workers[worker as usize].0.silent != Some(class) {
-                        self.tell(id, Kind::Started);
+                        self.queue_callback(id, AttemptState::Started);
                     }
                 }
                 worker::Effect::Done { attempt, told } => {
-                    self.held.0 -= 1;
-                    if let Some(of) = self.probes.remove(&attempt) {
+                    self.in_flight.0 -= 1;
+                    if let Some(of) = self.load_queries.remove(&attempt) {
                         let _ = of.send(());
                     }
                     if told {
-                        self.tell(attempt, Kind::Done);
+                        self.queue_callback(attempt, AttemptState::Done);
                     }
-                    self.over(attempt, Kind::Done);
+                    self.attempt_ended(attempt, AttemptState::Done);
                 }
                 worker::Effect::Lost(id) => {
-                    self.held.0 -= 1;
-                    self.probes.remove(&id);
-                    self.tell(id, Kind::Lost);
-                    self.over(id, Kind::Lost);
+                    self.in_flight.0 -= 1;
+                    self.load_queries.remove(&id);
+                    self.queue_callback(id, AttemptState::Lost);
+                    self.attempt_ended(id, AttemptState::Lost);
                 }
                 worker::Effect::HandedBack(id) => {
-                    self.held.0 -= 1;
-                    self.probes.remove(&id);
+                    self.in_flight.0 -= 1;
+                    self.load_queries.remove(&id);
                     if let Some(job) = self.attempts.get(&id).map(|of| of.job) {
                         self.referee.handed_back(job, id);
                         if let Some(of) = self.jobs.get_mut(&job) {
                             of.keys.handed_back(id);
                         }
                     }
-                    self.tell(id, Kind::Returned);
-                    self.over(id, Kind::Failed);
+                    self.queue_callback(id, AttemptState::Returned);
+                    self.attempt_ended(id, AttemptState::Failed);
                 }
                 worker::Effect::Fell => {
-                    self.fell += 1;
-                    self.changed.push(worker);
+                    self.overloaded_workers += 1;
+                    self.changed_workers.push(worker);
                 }
             }
         }
     }
 
     /// How far each running job of a worker is, to be called back.
-    pub fn progress(&mut self, worker: u32) {
+    pub fn report_progress(&mut self, worker: u32) {
         let now = self.now();
         let of = &self.workers[worker as usize].0;
         let mut told: Vec<(u64, f64)> = self
@@ -484,42 +488,49 @@
             .collect();
         told.sort_unstable_by_key(|&(id, _)| id);
         for (id, share) in told {
-            self.tell(id, Kind::Running(share));
+            self.queue_callback(id, AttemptState::Running(share));
         }
     }
 
     /// An attempt is over at its worker: repeats that were dropped for it hear so.
-    fn over(&mut self, id: u64, kind: Kind) {
+    fn attempt_ended(&mut self, id: u64, kind: AttemptState) {
         let Some(of) = self.attempts.remove(&id) else { return };
         let Some(job) = self.jobs.get_mut(&of.job) else { return };
-        for repeat in job.keys.ended(kind == Kind::Done) {
-            self.tell(repeat, kind);
+        for repeat in job.keys.ended(kind == AttemptState::Done) {
+            self.queue_callback(repeat, kind);
             self.attempts.remove(&repeat);
         }
     }
 
-    fn tell(&mut self, id: u64, kind: Kind) {
+    fn queue_callback(&mut self, id: u64, kind: AttemptState) {
         let Some(&Attempt { request, worker, scheduler, .. }) = self.attempts.get(&id) else { return };
         let word = match kind {
-            Kind::Started => Word::Started,
-            Kind::Running(share) => Word::Running(share),
-            Kind::Done => Word::Done(self.report(worker)),
-            Kind::Returned => Word::Returned(self.report(worker)),
-            Kind::Lost => Word::Lost,
-            Kind::Failed => Word::Failed,
+            AttemptState::Started => CallbackState::Started,
+            AttemptState::Running(share) => CallbackState::Running(share),
+            AttemptState::Done => CallbackState::Done(self.response_load_report(worker)),
+            AttemptState::Returned => CallbackState::Returned(self.response_load_report(worker)),
+            AttemptState::Lost => CallbackState::Lost,
+            AttemptState::Failed => CallbackState::Failed,
         };
-        if kind == Kind::Done {
+        if kind == AttemptState::Done {
             self.referee.made(RequestId(request));
         }
-        let wire = self.wires[worker as usize];
-        let way = self.way(self.workers[worker as usize].1, self.zone_of(scheduler));
+        let wire = self.connections[worker as usize];
+        let way = self.network_delay(self.workers[worker as usize].1, self.scheduler_zone(scheduler));
         let (after, twice) = (way + wire.late, wire.doubled);
-        self.news.push(News { request, worker, scheduler, word, after, twice });
+        self.callbacks.push(Callback {
+            request,
+            worker,
+            scheduler,
+            state: word,
+            delay: after,
+            is_duplicated: twice,
+        });
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Kind {
+enum AttemptState {
     Started,
     Running(f64),
     Done,
--- a/crates/testbed/src/emulation/workers.rs
+++ b/crates/testbed/src/emulation/workers.rs
@@ -18,31 +18,33 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::emulation::environment::{Answer, Door, LONGEST_BODY, Stage, load_header, load_object};
+use crate::emulation::environment::{
+    Environment, HttpResponse, ListenerState, MAX_BODY_BYTES, load_report_header, load_report_json,
+};
 use crate::emulation::faulty_socket::{FaultySocket, ResponseFault, reset_connection};
-use crate::emulation::state::{Probed, Taken};
+use crate::emulation::state::{AttemptResponse, LoadQueryResponse};
 use crate::scenario::micros;
 
 /// An idle connection is closed after this long, as the settings say.
-const KEEPALIVE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// An address that is not free yet is tried again after this long, so often.
 const AGAIN: (Duration, u32) = (Duration::from_millis(20), 250);
 /// The kernel completes so many connections to a machine that is out of reach before it drops their
 /// first packets; the emulator makes them itself.
-const FILLERS: usize = 4;
+const BACKLOG_FILLERS: usize = 4;
 /// A connection that is not up by then never comes up.
-const FILLED_AFTER: Duration = Duration::from_millis(30);
+const FILL_TIMEOUT: Duration = Duration::from_millis(30);
 
-fn bound(address: SocketAddr) -> std::io::Result<TcpSocket> {
+fn bind(address: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     Ok(socket)
 }
 
-async fn bound_at_last(address: SocketAddr) -> Option<TcpSocket> {
+async fn bind_with_retry(address: SocketAddr) -> Option<TcpSocket> {
     for _ in 0..AGAIN.1 {
-        if let Ok(socket) = bound(address) {
+        if let Ok(socket) = bind(address) {
             return Some(socket);
         }
         sleep(AGAIN.0).await;
@@ -51,28 +53,28 @@
 }
 
 /// A worker's door for good. Between two listeners its port stays bound, so that nobody else gets it.
-pub async fn listen(stage: Rc<Stage>, worker: u32, mut first: Option<TcpSocket>) {
-    let port = &stage.ports[worker as usize];
-    let mut door = port.door.subscribe();
+pub async fn run_listener(stage: Rc<Environment>, worker: u32, mut first: Option<TcpSocket>) {
+    let port = &stage.listeners[worker as usize];
+    let mut door = port.listener_state.subscribe();
     loop {
         let now = *door.borrow_and_update();
         let socket = match first.take() {
             Some(socket) => Some(socket),
-            None => bound_at_last(port.address).await,
+            None => bind_with_retry(port.address).await,
         };
         let Some(socket) = socket else { return };
         match now {
-            Door::Open(_) => {
+            ListenerState::Accepting(_) => {
                 let Ok(listener) = socket.listen(1_024) else { return };
-                accept(&stage, worker, &listener, &mut door).await;
+                accept_connections(&stage, worker, &listener, &mut door).await;
             }
             // Bound and not listening: the kernel refuses.
-            Door::Refusing => {
+            ListenerState::Refusing => {
                 let _ = door.changed().await;
             }
-            Door::Silent => {
+            ListenerState::Unreachable => {
                 let Ok(listener) = socket.listen(1) else { return };
-                let filled = fill(port.address).await;
+                let filled = fill_backlog(port.address).await;
                 let _ = door.changed().await;
                 filled.iter().for_each(reset_connection);
                 drop((listener, filled));
@@ -82,10 +84,10 @@
 }
 
 /// Fills the queue of a listener that nobody accepts from, so that further connections never come up.
-async fn fill(address: SocketAddr) -> Vec<TcpStream> {
+async fn fill_backlog(address: SocketAddr) -> Vec<TcpStream> {
     let mut filled = Vec::new();
-    for _ in 0..FILLERS {
-        match timeout(FILLED_AFTER, TcpStream::connect(address)).await {
+    for _ in 0..BACKLOG_FILLERS {
+        match timeout(FILL_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => filled.push(stream),
             _ => break,
         }
@@ -94,14 +96,19 @@
 }
 
 /// Takes connections while the same process is there.
-async fn accept(stage: &Rc<Stage>, worker: u32, listener: &TcpListener, door: &mut watch::Receiver<Door>) {
+async fn accept_connections(
+    stage: &Rc<Environment>,
+    worker: u32,
+    listener: &TcpListener,
+    door: &mut watch::Receiver<ListenerState>,
+) {
     loop {
         tokio::select! {
             biased;
             _ = door.changed() => return,
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    tokio::task::spawn_local(connection(Rc::clone(stage), worker, stream));
+                    tokio::task::spawn_local(serve_worker_connection(Rc::clone(stage), worker, stream));
                 }
                 Err(_) => sleep(AGAIN.0).await,
             },
@@ -110,22 +117,22 @@
 }
 
 /// One connection, until either side ends it or its process or machine goes.
-async fn connection(stage: Rc<Stage>, worker: u32, stream: TcpStream) {
+async fn serve_worker_connection(stage: Rc<Environment>, worker: u32, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     // What a new connection costs is waited for before anything is read from it.
     let cost = micros(stage.scenario.network.connect);
     if cost > 0 {
         sleep(Duration::from_micros(cost)).await;
     }
-    let mut door = stage.ports[worker as usize].door.subscribe();
-    let plan = Rc::new(Cell::new(ResponseFault::Whole));
+    let mut door = stage.listeners[worker as usize].listener_state.subscribe();
+    let plan = Rc::new(Cell::new(ResponseFault::None));
     let service = service_fn(|request: Request<Incoming>| {
         let (stage, plan) = (Rc::clone(&stage), Rc::clone(&plan));
-        async move { Ok::<_, Infallible>(serve(&stage, worker, request, &plan).await) }
+        async move { Ok::<_, Infallible>(handle_request(&stage, worker, request, &plan).await) }
     });
     let socket = TokioIo::new(FaultySocket::new(stream, Rc::clone(&plan)));
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(KEEPALIVE);
+    builder.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
     let mut connection = pin!(builder.serve_connection(socket, service));
     tokio::select! {
         biased;
@@ -133,137 +140,142 @@
         _ = connection.as_mut() => return,
     }
     // Out of reach: it stays open, and nothing of it goes on.
-    while *door.borrow_and_update() == Door::Silent && door.changed().await.is_ok() {}
+    while *door.borrow_and_update() == ListenerState::Unreachable && door.changed().await.is_ok() {}
     plan.set(ResponseFault::Reset);
 }
 
-fn plain(status: StatusCode) -> Answer {
+fn empty_response(status: StatusCode) -> HttpResponse {
     let mut answer = Response::new(Full::default());
     *answer.status_mut() = status;
     answer
 }
 
-async fn serve(
-    stage: &Rc<Stage>,
+async fn handle_request(
+    stage: &Rc<Environment>,
     worker: u32,
     request: Request<Incoming>,
     plan: &Cell<ResponseFault>,
-) -> Answer {
+) -> HttpResponse {
     if request.method() == Method::DELETE {
         // It names the request: DELETE /jobs/ID.
         let id = request.uri().path().strip_prefix("/jobs/");
         if let Some(id) = id.and_then(|id| u64::from_str_radix(id, 16).ok()) {
-            stage.act(|world| world.given_up(id, worker));
-            stage.ports[worker as usize].wake.notify_one();
+            stage.apply(|world| world.cancel_request(id, worker));
+            stage.listeners[worker as usize].wake.notify_one();
         }
-        return plain(StatusCode::OK);
+        return empty_response(StatusCode::OK);
     }
     if request.method() == Method::GET && matches!(request.uri().path(), "/-/load" | "/-/healthy") {
-        return probe(stage, worker, request.uri().path() == "/-/load", plan).await;
+        return handle_load_query(stage, worker, request.uri().path() == "/-/load", plan).await;
     }
     let id = request.headers().get("x-request-id").and_then(|id| id.to_str().ok());
     let Some(id) = id.and_then(|id| u64::from_str_radix(id, 16).ok()) else {
-        return plain(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     };
     let came = stage.now();
-    let way = stage.act(|world| world.comes(id, worker));
-    let body: Result<_, _> = Limited::new(request.into_body(), LONGEST_BODY).collect().await;
+    let way = stage.apply(|world| world.attempt_arrives(id, worker));
+    let body: Result<_, _> = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
     if body.is_err() {
-        return plain(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     }
     if way > 0 {
         sleep(Duration::from_micros(way)).await;
     }
-    let taken = stage.act(|world| world.take(id, worker, came));
-    stage.ports[worker as usize].wake.notify_one();
+    let taken = stage.apply(|world| world.accept_attempt(id, worker, came));
+    stage.listeners[worker as usize].wake.notify_one();
     if way > 0 {
         sleep(Duration::from_micros(way)).await;
     }
     match taken {
-        Taken::Yes => plain(StatusCode::ACCEPTED),
-        Taken::Half => {
-            plan.set(ResponseFault::Half(b"HTTP/1.1 202 Acc".len()));
-            plain(StatusCode::ACCEPTED)
+        AttemptResponse::Accepted => empty_response(StatusCode::ACCEPTED),
+        AttemptResponse::AcceptedThenReset => {
+            plan.set(ResponseFault::Truncate(b"HTTP/1.1 202 Acc".len()));
+            empty_response(StatusCode::ACCEPTED)
         }
-        Taken::Full(report) => {
-            let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
+        AttemptResponse::Rejected(report) => {
+            let mut answer = empty_response(StatusCode::SERVICE_UNAVAILABLE);
             answer.headers_mut().insert("x-not-processed", hyper::header::HeaderValue::from_static("1"));
-            if let Ok(load) = load_header(&report).parse() {
+            if let Ok(load) = load_report_header(&report).parse() {
                 answer.headers_mut().insert("x-server-load", load);
             }
             answer
         }
-        Taken::Unknown => plain(StatusCode::BAD_REQUEST),
-        Taken::Reset => {
+        AttemptResponse::UnknownRequest => empty_response(StatusCode::BAD_REQUEST),
+        AttemptResponse::Reset => {
             plan.set(ResponseFault::Reset);
             Response::new(Full::new(Bytes::from_static(b"never written")))
         }
-        Taken::Garbage => {
+        AttemptResponse::Garbage => {
             plan.set(ResponseFault::Garbage);
-            plain(StatusCode::ACCEPTED)
+            empty_response(StatusCode::ACCEPTED)
         }
     }
 }
 
 /// A probe: 200, with the load where that was asked for, or 503.
-async fn probe(stage: &Rc<Stage>, worker: u32, load: bool, plan: &Cell<ResponseFault>) -> Answer {
-    let probed = stage.act(|world| world.probe(worker));
-    stage.ports[worker as usize].wake.notify_one();
+async fn handle_load_query(
+    stage: &Rc<Environment>,
+    worker: u32,
+    load: bool,
+    plan: &Cell<ResponseFault>,
+) -> HttpResponse {
+    let probed = stage.apply(|world| world.accept_load_query(worker));
+    stage.listeners[worker as usize].wake.notify_one();
     match probed {
-        Probed::Now(took) => sleep(Duration::from_micros(took)).await,
-        Probed::Waits(told) => {
+        LoadQueryResponse::AfterDelay(took) => sleep(Duration::from_micros(took)).await,
+        LoadQueryResponse::Queued(told) => {
             if told.await.is_err() {
-                return plain(StatusCode::SERVICE_UNAVAILABLE);
+                return empty_response(StatusCode::SERVICE_UNAVAILABLE);
             }
         }
-        Probed::Unwell => return plain(StatusCode::SERVICE_UNAVAILABLE),
-        Probed::Unknown => return plain(StatusCode::NOT_FOUND),
-        Probed::Failed => return plain(StatusCode::INTERNAL_SERVER_ERROR),
-        Probed::Reset => {
+        LoadQueryResponse::Unavailable => return empty_response(StatusCode::SERVICE_UNAVAILABLE),
+        LoadQueryResponse::NotFound => return empty_response(StatusCode::NOT_FOUND),
+        LoadQueryResponse::Failed => return empty_response(StatusCode::INTERNAL_SERVER_ERROR),
+        LoadQueryResponse::Reset => {
             plan.set(ResponseFault::Reset);
             return Response::new(Full::new(Bytes::from_static(b"never written")));
         }
-        Probed::Garbage => {
+        LoadQueryResponse::Garbage => {
             plan.set(ResponseFault::Garbage);
-            return plain(StatusCode::OK);
+            return empty_response(StatusCode::OK);
         }
     }
     if !load {
-        return plain(StatusCode::OK);
+        return empty_response(StatusCode::OK);
     }
-    let report = stage.act(|world| world.load(worker));
-    Response::new(Full::from(load_object(&report).to_string()))
+    let report = stage.apply(|world| world.queried_load_report(worker));
+    Response::new(Full::from(load_report_json(&report).to_string()))
 }
 
 /// Refreshes what a worker tells when it is probed, where it is.
-pub async fn refresh(stage: Rc<Stage>, worker: u32) {
+pub async fn refresh_load_reports(stage: Rc<Environment>, worker: u32) {
     if stage.scenario.reports.probe.is_none() {
         return;
     }
     let every = Duration::from_micros(micros(stage.scenario.reports.refresh));
     loop {
-        stage.act(|world| world.refresh(worker));
+        stage.apply(|world| world.refresh_load_report(worker));
         sleep(every).await;
     }
 }
 
 /// Tells how far a worker's jobs are, where workers do.
-pub async fn tell_progress(stage: Rc<Stage>, worker: u32) {
+pub async fn report_progress(stage: Rc<Environment>, worker: u32) {
     let every = micros(stage.scenario.reports.progress);
     if every == 0 {
         return;
     }
     loop {
         sleep(Duration::from_micros(every)).await;
-        stage.act(|world| world.progress(worker));
+        stage.apply(|world| world.report_progress(worker));
     }
 }
 
 /// Looks at a worker whenever something of it is due.
-pub async fn look(stage: Rc<Stage>, worker: u32) {
-    let wake = &stage.ports[worker as usize].wake;
+pub async fn drive_worker(stage: Rc<Environment>, worker: u32) {
+    let wake = &stage.listeners[worker as usize].wake;
     loop {
-        match stage.act(|world| world.look(worker)) {
+        match stage.apply(|world| world.advance_worker(worker)) {
             Some(at) => tokio::select! {
                 () = sleep_until(at) => {}
                 () = wake.notified() => {}
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -21,20 +21,20 @@
 use crate::scenario::{Class, Scenario};
 
 /// Longest body of an answer that is read.
-const LONGEST_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
 /// What became of one job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Heard {
+enum JobOutcome {
     Served,
-    Refused,
+    Rejected,
     Failed,
     /// The connection broke, or never came up.
-    Broken,
+    ConnectionBroken,
     /// Nothing came before the client gave up.
-    Silent,
+    TimedOut,
     /// Too many were open: it was not sent.
     NotSent,
 }
@@ -76,7 +76,7 @@
 
 impl LoadResult {
     /// The report as text.
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         let mut text = format!(
             "{:<14} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7}  served in ms: 50% 90% 99% 99.9% most\n",
             "class", "meant", "served", "in time", "refused", "failed", "broken", "silent", "unsent"
@@ -102,14 +102,14 @@
     }
 }
 
-type Sender = Client<HttpConnector, Full<Bytes>>;
+type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
 /// Sends a scenario's first tries to an address; a client of this tool does not try again. Ends once the
 /// last job is answered or given up.
 pub async fn send_load(scenario: &Scenario, seed: u64, target: SocketAddr, most_open: usize) -> LoadResult {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    let client: Sender = Client::builder(TokioExecutor::new())
+    let client: HttpClient = Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         // A client that resends by itself would hide what broke.
         .retry_canceled_requests(false)
@@ -126,7 +126,7 @@
     // Ids that no run before has used: the scheduler answers those of late with 400.
     let base = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
     let began = Instant::now();
-    let mut lag = empty();
+    let mut lag = new_histogram();
     for (number, job) in Arrivals::new(scenario, seed).enumerate() {
         let meant = began + Duration::from_micros(job.at);
         sleep_until(meant).await;
@@ -134,22 +134,22 @@
         let class = scenario.classes[job.class as usize].clone();
         let told = told.clone();
         let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
-            let _ = told.send((job, Heard::NotSent, Duration::ZERO));
+            let _ = told.send((job, JobOutcome::NotSent, Duration::ZERO));
             continue;
         };
         let client = client.clone();
         let id = base.wrapping_add(number as u64);
         tokio::spawn(async move {
             let by = meant + Duration::from_secs_f64(class.deadline);
-            let answer = timeout_at(by, ask(&client, target, &class, &job, id, by)).await;
-            let _ = told.send((job, answer.unwrap_or(Heard::Silent), meant.elapsed()));
+            let answer = timeout_at(by, send_job(&client, target, &class, &job, id, by)).await;
+            let _ = told.send((job, answer.unwrap_or(JobOutcome::TimedOut), meant.elapsed()));
             drop(place);
         });
     }
     drop(told);
     let all = collect.await.unwrap_or_default();
     let ms = |of: &Histogram<u64>, quantile| of.value_at_quantile(quantile) as f64 / 1e3;
-    LoadResult { classes: sum(scenario, &all), own_lag_ms: [ms(&lag, 0.99), ms(&lag, 1.0)] }
+    LoadResult { classes: summarize(scenario, &all), own_lag_ms: [ms(&lag, 0.99), ms(&lag, 1.0)] }
 }
 
 /// A client's request by the platform's protocol: its id, the id of the job over all tries, and for how
@@ -165,65 +165,67 @@
         .header("x-request-id", format!("{id:016x}"))
         .header("x-timeout", format!("{left}m"))
         .header("idempotency-key", format!("{job:032x}"))
-        .header("x-attrs", attributes(of));
+        .header("x-attrs", job_attributes(of));
     if let Some(hint) = of.hint {
         request = request.header("x-cost", format!("{:.0}", hint * 1e6));
     }
     request.body(Full::from("a job")).ok()
 }
 
-fn attributes(of: &Arrival) -> String {
+fn job_attributes(of: &Arrival) -> String {
     if of.memory > 0.0 {
         return format!("width={},memory={:.4}", of.slots, of.memory);
     }
     format!("width={}", of.slots)
 }
 
-async fn ask(
-    client: &Sender,
+async fn send_job(
+    client: &HttpClient,
     target: SocketAddr,
     class: &Class,
     job: &Arrival,
     id: u64,
     by: Instant,
-) -> Heard {
+) -> JobOutcome {
     let left = by.saturating_duration_since(Instant::now()).as_millis();
-    let Some(request) = job_request(target, &class.name, (id, id), left, job) else { return Heard::Failed };
-    let Ok(answer) = client.request(request).await else { return Heard::Broken };
+    let Some(request) = job_request(target, &class.name, (id, id), left, job) else {
+        return JobOutcome::Failed;
+    };
+    let Ok(answer) = client.request(request).await else { return JobOutcome::ConnectionBroken };
     let status = answer.status();
     // The last byte gives the answer's time.
-    if Limited::new(answer.into_body(), LONGEST_BODY).collect().await.is_err() {
-        return Heard::Broken;
+    if Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await.is_err() {
+        return JobOutcome::ConnectionBroken;
     }
     match status {
-        StatusCode::OK => Heard::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Heard::Refused,
-        _ => Heard::Failed,
+        StatusCode::OK => JobOutcome::Served,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => JobOutcome::Rejected,
+        _ => JobOutcome::Failed,
     }
 }
 
-fn empty() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_US, 3).unwrap_or_else(|_| unreachable!("good bounds"))
+fn new_histogram() -> Histogram<u64> {
+    Histogram::new_with_max(MAX_LATENCY_US, 3).unwrap_or_else(|_| unreachable!("good bounds"))
 }
 
-fn sum(scenario: &Scenario, all: &[(Arrival, Heard, Duration)]) -> Vec<ClassLoadResult> {
+fn summarize(scenario: &Scenario, all: &[(Arrival, JobOutcome, Duration)]) -> Vec<ClassLoadResult> {
     let one = |(number, class): (usize, &Class)| {
         let mut of = ClassLoadResult { name: class.name.clone(), ..ClassLoadResult::default() };
-        let mut times = empty();
+        let mut times = new_histogram();
         for (job, heard, took) in all.iter().filter(|(job, _, _)| job.class as usize == number) {
             of.meant += 1;
             match heard {
-                Heard::Served => {
+                JobOutcome::Served => {
                     of.served += 1;
                     let wanted = class.aim + class.stretch * job.work;
                     of.in_time += u64::from(took.as_secs_f64() <= wanted);
                     times.saturating_record(took.as_micros() as u64);
                 }
-                Heard::Refused => of.refused += 1,
-                Heard::Failed => of.failed += 1,
-                Heard::Broken => of.broken += 1,
-                Heard::Silent => of.silent += 1,
-                Heard::NotSent => of.not_sent += 1,
+                JobOutcome::Rejected => of.refused += 1,
+                JobOutcome::Failed => of.failed += 1,
+                JobOutcome::ConnectionBroken => of.broken += 1,
+                JobOutcome::TimedOut => of.silent += 1,
+                JobOutcome::NotSent => of.not_sent += 1,
             }
         }
         let quantiles = [0.5, 0.9, 0.99, 0.999, 1.0];
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -411,7 +411,7 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
             let report = runtime.block_on(send_load(&scenario, seed, target, most_open));
-            print(&if whole { json(&report)? } else { report.text() })?;
+            print(&if whole { json(&report)? } else { report.to_text() })?;
             Ok(true)
         }
         Command::Compare { scenarios, seeds, policies, json: whole, report } => {
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -21,17 +21,17 @@
 use tokio::sync::oneshot;
 
 /// Longest body that is read.
-const LONGEST_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 struct Relay {
     workers: Vec<Authority>,
-    turn: AtomicUsize,
+    next_worker: AtomicUsize,
     client: Client<HttpConnector, Full<Bytes>>,
-    waiting: Mutex<HashMap<String, oneshot::Sender<Bytes>>>,
+    pending: Mutex<HashMap<String, oneshot::Sender<Bytes>>>,
 }
 
 #[derive(serde::Deserialize)]
-struct News {
+struct Callback {
     id: String,
     state: String,
     #[serde(default)]
@@ -39,40 +39,40 @@
 }
 
 impl Relay {
-    fn waiting(&self) -> std::sync::MutexGuard<'_, HashMap<String, oneshot::Sender<Bytes>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_pending(&self) -> std::sync::MutexGuard<'_, HashMap<String, oneshot::Sender<Bytes>>> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn pass_on(&self, request: Request) -> Option<Bytes> {
+    async fn forward(&self, request: Request) -> Option<Bytes> {
         let (head, body) = request.into_parts();
-        let body = Limited::new(body, LONGEST_BODY).collect().await.ok()?.to_bytes();
+        let body = Limited::new(body, MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
         let id = head.headers.get("x-request-id")?.to_str().ok()?.to_owned();
-        let at = self.turn.fetch_add(1, Ordering::Relaxed) % self.workers.len();
+        let at = self.next_worker.fetch_add(1, Ordering::Relaxed) % self.workers.len();
         let path = head.uri.path_and_query()?.clone();
         let uri =
             hyper::Uri::builder().scheme("http").authority(self.workers[at].clone()).path_and_query(path);
         let mut passed = hyper::Request::post(uri.build().ok()?).body(Full::new(body)).ok()?;
         *passed.headers_mut() = head.headers;
         let (told, hears) = oneshot::channel();
-        self.waiting().insert(id, told);
+        self.lock_pending().insert(id, told);
         let answer = self.client.request(passed).await.ok()?;
         let taken = answer.status() == StatusCode::ACCEPTED;
-        Limited::new(answer.into_body(), LONGEST_BODY).collect().await.ok()?;
+        Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await.ok()?;
         if taken { hears.await.ok() } else { None }
     }
 }
 
-async fn job(State(relay): State<Arc<Relay>>, request: Request) -> Response {
-    match relay.pass_on(request).await {
+async fn handle_job(State(relay): State<Arc<Relay>>, request: Request) -> Response {
+    match relay.forward(request).await {
         Some(result) => Body::from(result).into_response(),
         None => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
     }
 }
 
-async fn news(State(relay): State<Arc<Relay>>, body: Bytes) -> StatusCode {
-    let Ok(news) = serde_json::from_slice::<News>(&body) else { return StatusCode::BAD_REQUEST };
+async fn handle_callback(State(relay): State<Arc<Relay>>, body: Bytes) -> StatusCode {
+    let Ok(news) = serde_json::from_slice::<Callback>(&body) else { return StatusCode::BAD_REQUEST };
     if news.state == "done"
-        && let Some(told) = relay.waiting().remove(&news.id)
+        && let Some(told) = relay.lock_pending().remove(&news.id)
     {
         let _ = told.send(news.result.into());
     }
@@ -92,20 +92,20 @@
     connector.set_nodelay(true);
     let relay = Arc::new(Relay {
         workers: known.endpoints.into_iter().map(|member| member.address).collect(),
-        turn: AtomicUsize::new(0),
+        next_worker: AtomicUsize::new(0),
         client: Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
             .build(connector),
-        waiting: Mutex::default(),
+        pending: Mutex::default(),
     });
     if relay.workers.is_empty() {
         return Err("known: no workers".into());
     }
     let routes = Router::new()
-        .route("/_jobs/news", post(news))
+        .route("/_jobs/news", post(handle_callback))
         .route("/-/ready", get(async || StatusCode::OK))
-        .fallback(job)
+        .fallback(handle_job)
         .with_state(relay);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|e| format!("runtime: {e}"))?.block_on(async {
--- a/crates/testbed/tests/unit/emulation_workers.rs
+++ b/crates/testbed/tests/unit/emulation_workers.rs
@@ -6,24 +6,24 @@
 use tokio::task::{LocalSet, spawn_local};
 
 use super::*;
-use crate::emulation::endpoint_list::Listing;
+use crate::emulation::endpoint_list::VersionedEndpointList;
 use tokio::time::Instant;
 
-use crate::emulation::environment::{Port, entry, serve_connection};
-use crate::emulation::state::World;
+use crate::emulation::environment::{WorkerListener, endpoint_of, serve_connection};
+use crate::emulation::state::EmulationState;
 use crate::model::arrivals::Arrival;
 use crate::model::fleet::{Fleet, Turn};
 use crate::scenario::Scenario;
 
 /// One worker with one slot and no queue, and the first fault of a scenario begun.
-async fn stage(what: &str, seed: u64) -> Rc<Stage> {
+async fn stage(what: &str, seed: u64) -> Rc<Environment> {
     let stage = stage_of(what, seed, "", SocketAddr::from(([127, 0, 0, 1], 9))).await;
     // Nobody hears its call-backs.
     stage.schedulers[0].1.set(false);
     stage
 }
 
-async fn stage_of(what: &str, seed: u64, extra: &str, scheduler: SocketAddr) -> Rc<Stage> {
+async fn stage_of(what: &str, seed: u64, extra: &str, scheduler: SocketAddr) -> Rc<Environment> {
     let text = format!(
         "name = 'one'\nabout = 'one worker'\nseconds = 9.0\nschedulers = 1\n[clients]\nrate = 1.0\n\
          [discovery]\ndelay = 0.0\n[[workers]]\nkind = 'w'\ncount = 1\ncores = 1.0\nslots = 1.0\n\
@@ -32,35 +32,35 @@
          [[faults]]\nat = 0.0\nlasts = 9.0\nshare = 1.0\nwhat = {what}\n{extra}"
     );
     let scenario = Scenario::read(&text).expect("a scenario");
-    let world = World::new(&scenario, Fleet::draw(&scenario, seed), seed);
-    let socket = bound(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-    let port = Port::new(socket.local_addr().expect("an address"), Door::Open(0));
-    let listing = Listing::new(vec![entry(&world, 0)]);
-    let stage = Rc::new(Stage::new(world, vec![port], listing, vec![scheduler]));
-    stage.begin();
-    spawn_local(listen(Rc::clone(&stage), 0, Some(socket)));
-    spawn_local(look(Rc::clone(&stage), 0));
-    spawn_local(tell_progress(Rc::clone(&stage), 0));
-    spawn_local(refresh(Rc::clone(&stage), 0));
-    while TcpStream::connect(stage.address(0)).await.is_err() {
+    let world = EmulationState::new(&scenario, Fleet::draw(&scenario, seed), seed);
+    let socket = bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+    let port = WorkerListener::new(socket.local_addr().expect("an address"), ListenerState::Accepting(0));
+    let listing = VersionedEndpointList::new(vec![endpoint_of(&world, 0)]);
+    let stage = Rc::new(Environment::new(world, vec![port], listing, vec![scheduler]));
+    stage.start_clock();
+    spawn_local(run_listener(Rc::clone(&stage), 0, Some(socket)));
+    spawn_local(drive_worker(Rc::clone(&stage), 0));
+    spawn_local(report_progress(Rc::clone(&stage), 0));
+    spawn_local(refresh_load_reports(Rc::clone(&stage), 0));
+    while TcpStream::connect(stage.worker_address(0)).await.is_err() {
         tokio::task::yield_now().await;
     }
     stage
 }
 
 /// A hand-over of a new job; what is heard, or why nothing.
-async fn hand_over(stage: &Rc<Stage>) -> Result<String, ErrorKind> {
+async fn hand_over(stage: &Rc<Environment>) -> Result<String, ErrorKind> {
     hand_over_of(stage, 5.0).await
 }
 
-async fn hand_over_of(stage: &Rc<Stage>, work: f64) -> Result<String, ErrorKind> {
+async fn hand_over_of(stage: &Rc<Environment>, work: f64) -> Result<String, ErrorKind> {
     let of = Arrival { at: 0, class: 0, work, slots: 1.0, memory: 1.5, hint: None, scheduler: 0 };
-    let id = stage.act(|world| {
-        world.job(1, of);
-        world.ask(1, 0, 9 * SECOND)
+    let id = stage.apply(|world| {
+        world.add_job(1, of);
+        world.register_request(1, 0, 9 * SECOND)
     });
     let exchange = async {
-        let mut stream = TcpStream::connect(stage.address(0)).await?;
+        let mut stream = TcpStream::connect(stage.worker_address(0)).await?;
         let text =
             format!("POST /c/1 HTTP/1.1\r\nHost: w\r\nX-Request-ID: {id:016x}\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(text.as_bytes()).await?;
@@ -97,7 +97,7 @@
     for (what, heard, held) in cases {
         LocalSet::new().block_on(&runtime, async {
             let stage = stage(what, 1).await;
-            stage.act(|world| world.turn(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
+            stage.apply(|world| world.apply_fault(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
             // The door follows in a task of its own, before the next connection is looked at.
             sleep(Duration::from_millis(150)).await;
             let got = hand_over(&stage).await;
@@ -106,7 +106,7 @@
                 (got, heard) => got.as_ref().err() == heard.as_ref().err(),
             };
             assert!(same, "{what}: {got:?}, not {heard:?}");
-            assert_eq!(stage.world.borrow().workers[0].0.holds(), *held, "{what}");
+            assert_eq!(stage.state.borrow().workers[0].0.holds(), *held, "{what}");
         });
     }
 }
@@ -120,9 +120,9 @@
         for seed in 0..12 {
             let stage = stage("{ resetting = 1.0 }", seed).await;
             for _ in 0..4 {
-                stage.act(|world| world.turn(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
+                stage.apply(|world| world.apply_fault(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
                 let got = hand_over(&stage).await;
-                match stage.world.borrow().workers[0].0.holds() {
+                match stage.state.borrow().workers[0].0.holds() {
                     0 => {
                         before += 1;
                         assert_eq!(got, Err(ErrorKind::ConnectionReset));
@@ -168,9 +168,9 @@
             if runs {
                 assert!(hand_over(&stage).await.is_ok_and(|heard| heard.starts_with("HTTP/1.1 202")));
             }
-            stage.act(|world| world.turn(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
+            stage.apply(|world| world.apply_fault(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
             sleep(Duration::from_millis(250)).await;
-            let mut stream = TcpStream::connect(stage.address(0)).await.expect("a connection");
+            let mut stream = TcpStream::connect(stage.worker_address(0)).await.expect("a connection");
             let text = format!("GET {path} HTTP/1.1\r\nHost: w\r\nConnection: close\r\n\r\n");
             stream.write_all(text.as_bytes()).await.expect("sent");
             let mut heard = String::new();
@@ -196,14 +196,14 @@
             let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
             let stage = stage_of("{ slow = 1.0 }", 1, settings, nobody).await;
             stage.schedulers[0].1.set(false);
-            let id = stage.act(|world| world.ask(0, 0, SECOND));
+            let id = stage.apply(|world| world.register_request(0, 0, SECOND));
             hand_over(&stage).await.expect("a 202");
-            let mut stream = TcpStream::connect(stage.address(0)).await.expect("a connection");
+            let mut stream = TcpStream::connect(stage.worker_address(0)).await.expect("a connection");
             let text =
                 format!("DELETE /jobs/{:016x} HTTP/1.1\r\nHost: w\r\nConnection: close\r\n\r\n", id + 1);
             stream.write_all(text.as_bytes()).await.expect("sent");
             stream.read_to_string(&mut String::new()).await.expect("an answer");
-            assert_eq!(stage.world.borrow().workers[0].0.holds(), held, "{settings:?}");
+            assert_eq!(stage.state.borrow().workers[0].0.holds(), held, "{settings:?}");
         });
     }
 }
@@ -225,7 +225,7 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let scheduler = listener.local_addr().expect("an address");
             let stage = stage_of(what, 1, extra, scheduler).await;
-            stage.act(|world| world.turn(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
+            stage.apply(|world| world.apply_fault(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
             let began = Instant::now();
             assert!(hand_over_of(&stage, 0.3).await.is_ok_and(|heard| heard.contains("202")), "{what}");
             let heard = Rc::new(std::cell::RefCell::new(Heard::new()));
@@ -240,7 +240,7 @@
                             let news: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
                             let state = news["state"].as_str().expect("a state").to_owned();
                             list.borrow_mut().push((state, began.elapsed().as_secs_f64()));
-                            plain(StatusCode::NO_CONTENT)
+                            empty_response(StatusCode::NO_CONTENT)
                         }
                     }));
                 }
@@ -262,12 +262,12 @@
         let stage = stage("'vanish'", 1).await;
         assert!(hand_over(&stage).await.is_ok_and(|heard| heard.contains("202")));
         let turn = |begins| Turn { at: 0, fault: 0, whom: Some(0), begins };
-        stage.act(|world| world.turn(turn(true)));
+        stage.apply(|world| world.apply_fault(turn(true)));
         sleep(Duration::from_millis(100)).await;
         assert_eq!(hand_over(&stage).await, Err(ErrorKind::TimedOut));
-        stage.act(|world| world.turn(turn(false)));
+        stage.apply(|world| world.apply_fault(turn(false)));
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(stage.world.borrow().workers[0].0.holds(), 0);
+        assert_eq!(stage.state.borrow().workers[0].0.holds(), 0);
         assert!(hand_over(&stage).await.is_ok_and(|heard| heard.contains("202")));
     });
 }
