--- a/crates/testbed/benches/membership.rs
+++ b/crates/testbed/benches/membership.rs
@@ -1,7 +1,7 @@
 //! What membership costs: a second of so many idle members on one core, the network's model included. Items are
 //! members, so that the time of one is the median over their number. `cargo bench -p copperspread-testbed --bench membership`.
 use copperspread_membership::SECOND;
-use copperspread_testbed::members::Net;
+use copperspread_testbed::membership_simulation::SimulatedNetwork;
 use divan::Bencher;
 use divan::counter::ItemsCount;
 
@@ -11,7 +11,7 @@
 
 #[divan::bench(args = [10, 30, 100, 300, 1000], sample_count = 30, sample_size = 1)]
 fn idle_second(bencher: Bencher<'_, '_>, members: usize) {
-    let mut net = Net::joined(members, 1);
+    let mut net = SimulatedNetwork::joined(members, 1);
     net.run(120 * SECOND);
     bencher.counter(ItemsCount::new(members)).bench_local(|| net.run(SECOND));
 }
--- a/crates/testbed/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -5,7 +5,7 @@
 use clap::{Parser, ValueEnum};
 use copperspread_fault_injection::{Fault, FaultPlan, ProcessAction, plans};
 use copperspread_membership::{Effect, Micros, SECOND, Settings};
-use copperspread_testbed::members::{MS, Net};
+use copperspread_testbed::membership_simulation::{MILLISECOND, SimulatedNetwork};
 use rayon::prelude::*;
 
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
@@ -83,16 +83,20 @@
     // Some of each play's members die, one after another, at instants that share nothing with their probes.
     let deaths = (members / 5).min(10);
     let found: Vec<_> = each(seeds, |seed| {
-        let mut net = Net::joined(members, seed);
+        let mut net = SimulatedNetwork::joined(members, seed);
         let mut found = Vec::new();
         for whom in 1..=deaths {
-            net.run(10 * SECOND + (seed * 7 + whom as u64) * 137 * MS % SECOND);
-            net.said.clear();
+            net.run(10 * SECOND + (seed * 7 + whom as u64) * 137 * MILLISECOND % SECOND);
+            net.effects.clear();
             let killed = net.now;
             net.kill(whom);
-            net.until(120 * SECOND, SECOND, |net| net.downs().len() >= members - whom);
-            assert_eq!(net.downs().len(), members - whom, "known everywhere, and nobody else is down");
-            let at = net.downs().iter().map(|down| down.0 - killed).collect::<Vec<_>>();
+            net.run_until(120 * SECOND, SECOND, |net| net.reported_failures().len() >= members - whom);
+            assert_eq!(
+                net.reported_failures().len(),
+                members - whom,
+                "known everywhere, and nobody else is down"
+            );
+            let at = net.reported_failures().iter().map(|down| down.0 - killed).collect::<Vec<_>>();
             let (first, last) = (at.iter().min().expect("known"), at.iter().max().expect("known"));
             found.push((first.saturating_sub(suspicion(members + 1 - whom)), *first, *last));
         }
@@ -109,12 +113,12 @@
 }
 
 /// Who was given up by anybody, or was told so, each once a play.
-fn given_up(net: &Net) -> Vec<String> {
+fn given_up(net: &SimulatedNetwork) -> Vec<String> {
     let name = |effect: &Effect| match effect {
         Effect::MemberDown(member) | Effect::SelfRefuted(member) => Some(member.name.clone()),
         _ => None,
     };
-    let mut names: Vec<_> = net.said.iter().filter_map(|said| name(&said.2)).collect();
+    let mut names: Vec<_> = net.effects.iter().filter_map(|said| name(&said.2)).collect();
     names.sort_unstable();
     names.dedup();
     names
@@ -123,9 +127,9 @@
 fn lossy(members: usize, lose: f64, seeds: std::ops::Range<u64>) {
     let plays = seeds.end;
     let given_up: usize = each(seeds, |seed| {
-        let mut net = Net::joined(members, seed);
+        let mut net = SimulatedNetwork::joined(members, seed);
         let (least, most) = (net.links.conditions.min_delay, net.links.conditions.max_delay);
-        net.play(&plans::lose_packets(lose, least, most, Duration::from_secs(60)));
+        net.run_plan(&plans::lose_packets(lose, least, most, Duration::from_secs(60)));
         given_up(&net).len()
     })
     .into_iter()
@@ -143,7 +147,7 @@
     let (plays, pausing) = (seeds.end, (members / 10).max(1));
     let rounds = 120 / (span + 1);
     let given_up = each(seeds, |seed| {
-        let mut net = Net::joined(members, seed);
+        let mut net = SimulatedNetwork::joined(members, seed);
         let all = |action| (1..=pausing).map(move |member| Fault::Process { member, action });
         let plan = (0..rounds).fold(FaultPlan::default(), |plan, round| {
             let at = Duration::from_secs(round * (span + 1));
@@ -151,7 +155,7 @@
             all(ProcessAction::Resume)
                 .fold(plan, |plan, fault| plan.at(at + Duration::from_secs(span), fault))
         });
-        net.play(&plan);
+        net.run_plan(&plan);
         net.run(10 * SECOND);
         let names = given_up(&net);
         let paused = (1..=pausing).filter(|whom| names.contains(&format!("n{whom}"))).count();
@@ -168,7 +172,7 @@
 fn idle(members: usize, seeds: std::ops::Range<u64>) {
     let plays = seeds.end.min(5);
     let sent = each(0..plays, |seed| {
-        let mut net = Net::joined(members, seed);
+        let mut net = SimulatedNetwork::joined(members, seed);
         // The news of the joining is through by then.
         net.run(120 * SECOND);
         (net.packets, net.bytes) = (0, 0);
@@ -183,11 +187,12 @@
 fn heal(members: usize, seeds: std::ops::Range<u64>) {
     let plays = seeds.end.min(20);
     let mut took = each(0..plays, |seed| {
-        let mut net = Net::joined(members, seed);
-        net.play(&plans::partition_in_halves(members, Duration::from_secs(60)));
+        let mut net = SimulatedNetwork::joined(members, seed);
+        net.run_plan(&plans::partition_in_halves(members, Duration::from_secs(60)));
         let split = |effect: &Effect| matches!(effect, Effect::MemberDown(_));
-        assert!(net.said.iter().any(|said| split(&said.2)), "the halves have given each other up");
-        net.until(600 * SECOND, 100 * MS, |net| net.all_see(members - 1)).expect("one view in 600 s")
+        assert!(net.effects.iter().any(|said| split(&said.2)), "the halves have given each other up");
+        net.run_until(600 * SECOND, 100 * MILLISECOND, |net| net.all_see(members - 1))
+            .expect("one view in 600 s")
     });
     println!("| {members} | {plays} | {:.1} | {:.1} |", quantile(&mut took, 0.5), quantile(&mut took, 1.0));
 }
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -3,11 +3,11 @@
 use rayon::prelude::*;
 use serde::Serialize;
 
-use crate::model::chance::{Stream, stream};
+use crate::model::random::{StreamPurpose, random_stream};
 use crate::outcome::Outcome;
-use crate::policy::Kind;
+use crate::policy::PolicyKind;
 use crate::scenario::Scenario;
-use crate::sim::play;
+use crate::simulation::simulate;
 
 /// A mean difference against the first policy, over pairs of one seed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -44,7 +44,7 @@
             return None;
         }
         let mean = |of: &[f64]| of.iter().sum::<f64>() / of.len() as f64;
-        let mut chance = stream(1, Stream::Faults);
+        let mut chance = random_stream(1, StreamPurpose::Faults);
         let mut drawn = vec![0.0; pairs.len()];
         let mut means: Vec<f64> = (0..DRAWS)
             .map(|_| {
@@ -93,11 +93,13 @@
 ///
 /// # Errors
 /// A policy that cannot be made.
-pub fn compare(scenario: &Scenario, kinds: &[Kind], seeds: &[u64]) -> Result<Vec<Row>, String> {
-    let pairs: Vec<(Kind, u64)> =
+pub fn compare(scenario: &Scenario, kinds: &[PolicyKind], seeds: &[u64]) -> Result<Vec<Row>, String> {
+    let pairs: Vec<(PolicyKind, u64)> =
         kinds.iter().flat_map(|&kind| seeds.iter().map(move |&seed| (kind, seed))).collect();
-    let runs: Vec<Outcome> =
-        pairs.par_iter().map(|&(kind, seed)| play(scenario, kind, seed)).collect::<Result<_, String>>()?;
+    let runs: Vec<Outcome> = pairs
+        .par_iter()
+        .map(|&(kind, seed)| simulate(scenario, kind, seed))
+        .collect::<Result<_, String>>()?;
     let names: Vec<String> = kinds.iter().map(|kind| kind.name()).collect();
     let each = seeds.len().max(1);
     Ok(rows(names.into_iter().zip(runs.chunks(each).map(<[_]>::to_vec)).collect()))
--- a/crates/testbed/src/emulate/baseline.rs
+++ b/crates/testbed/src/emulate/baseline.rs
@@ -17,8 +17,8 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::model::chance::{Stream, stream};
-use crate::policy::Kind;
+use crate::model::random::{StreamPurpose, random_stream};
+use crate::policy::PolicyKind;
 
 /// When the scheduler that ignores drains stops to listen: it has its first list by then.
 const DEAF_AFTER: Duration = Duration::from_millis(300);
@@ -27,8 +27,8 @@
 fn nobody(start: &StartupConfig) -> Result<EndpointPublisher, String> {
     let entries = Arc::new(EndpointTable::new(&start.settings.proxy));
     let witness = EventRecorder::new(Recorder::disabled(), Arc::clone(&entries), &start.settings.proxy);
-    let chance = stream(start.seed, Stream::Network);
-    let policy = Kind::Random.make(start.settings.dispatch.clone(), start.seed, chance)?;
+    let chance = random_stream(start.seed, StreamPurpose::Network);
+    let policy = PolicyKind::Random.build(start.settings.dispatch.clone(), start.seed, chance)?;
     Ok(EndpointPublisher::new(entries, PolicyHandle::new(policy, false, Clock::start(), witness)))
 }
 
@@ -36,12 +36,15 @@
 ///
 /// # Errors
 /// A configuration that cannot be used, or an address that cannot be listened on.
-pub fn serve(kind: Kind) -> Result<(), String> {
+pub fn serve(kind: PolicyKind) -> Result<(), String> {
     let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG names no file".to_owned())?;
     let content = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
     let start = platform::read_startup_config(&content).map_err(|e| format!("{path}: {e}"))?;
-    let policy =
-        kind.make(start.settings.dispatch.clone(), start.seed, stream(start.seed, Stream::Network))?;
+    let policy = kind.build(
+        start.settings.dispatch.clone(),
+        start.seed,
+        random_stream(start.seed, StreamPurpose::Network),
+    )?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     runtime.block_on(async {
@@ -56,7 +59,7 @@
             cached_revision: assembled.cached_revision,
         });
         let following = tokio::spawn(source.follow(assembled.endpoint_publisher.clone()));
-        if kind == Kind::IgnoresDrains {
+        if kind == PolicyKind::IgnoresDrains {
             // The node looks again before it sends, so that only one that is deaf to the list can break
             // this rule: it goes on being told, and tells it to nobody.
             let nobody = nobody(&start)?;
--- a/crates/testbed/src/emulate/clients.rs
+++ b/crates/testbed/src/emulate/clients.rs
@@ -12,7 +12,7 @@
 use crate::emulate::stage::{LONGEST_BODY, Sender, Stage, result};
 use crate::load::job_request;
 use crate::model::arrivals::Arrival;
-use crate::model::chance::Chance;
+use crate::model::random::RandomStream;
 use crate::outcome::End;
 use crate::referee::{GRACE, Heard};
 use crate::scenario::micros;
@@ -35,7 +35,7 @@
 }
 
 /// A client's job, from its first try to its end.
-pub async fn job(stage: Rc<Stage>, client: Sender, number: u64, of: Arrival, mut chance: Chance) {
+pub async fn job(stage: Rc<Stage>, client: Sender, number: u64, of: Arrival, mut chance: RandomStream) {
     let class = &stage.scenario.classes[of.class as usize];
     let gives_up = of.at + micros(class.deadline);
     let mut retries = stage.scenario.clients.retries;
--- a/crates/testbed/src/emulate/mod.rs
+++ b/crates/testbed/src/emulate/mod.rs
@@ -27,8 +27,8 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use crate::model::arrivals::Arrivals;
-use crate::model::chance::{Stream, stream};
-use crate::model::fleet::{Fleet, Turn};
+use crate::model::fleet::{FaultTransition, Fleet};
+use crate::model::random::{StreamPurpose, random_stream};
 use crate::outcome::{Measured, Outcome, Played};
 use crate::scenario::{Scenario, Trouble, micros};
 use list::Listing;
@@ -108,14 +108,14 @@
     called: &str,
     seed: u64,
 ) -> Result<Outcome, String> {
-    let fleet = Fleet::draw(scenario, seed);
-    let (gone, turns) = (fleet.gone.clone(), fleet.turns.clone());
+    let fleet = Fleet::generate(scenario, seed);
+    let (gone, turns) = (fleet.missing_workers.clone(), fleet.fault_transitions.clone());
     // Each worker's port is bound at once and stays so.
     let mut sockets = Vec::new();
     let mut ports = Vec::new();
     for (worker, _) in &fleet.workers {
         let (socket, address) = program::reserve().map_err(wrong("a worker's port"))?;
-        ports.push(Port::new(address, if worker.takes() { Door::Open(0) } else { Door::Refusing }));
+        ports.push(Port::new(address, if worker.accepts_jobs() { Door::Open(0) } else { Door::Refusing }));
         sockets.push(Some(socket));
     }
     let world = World::new(scenario, fleet, seed);
@@ -188,7 +188,7 @@
         let at = stage.instant(arrival.at);
         sleep_until(at).await;
         lag.saturating_record(at.elapsed().as_micros() as u64);
-        let chance = stream(seed.wrapping_add(number as u64), Stream::Retries);
+        let chance = random_stream(seed.wrapping_add(number as u64), StreamPurpose::Retries);
         jobs.spawn_local(clients::job(Rc::clone(stage), client.clone(), number as u64 + 1, arrival, chance));
     }
     let longest = scenario.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
@@ -199,19 +199,19 @@
 }
 
 /// Plays the faults; returns only when one of them cannot be played.
-async fn faults(stage: &Rc<Stage>, turns: &[Turn], processes: &mut [Process]) -> String {
+async fn faults(stage: &Rc<Stage>, turns: &[FaultTransition], processes: &mut [Process]) -> String {
     let mut turns = turns.to_vec();
     turns.sort_by_key(|turn| turn.at);
     for turn in turns {
         sleep_until(stage.instant(turn.at)).await;
         let what = stage.scenario.faults[turn.fault].what;
-        match (what, turn.whom) {
+        match (what, turn.target) {
             (Trouble::SchedulerCrash | Trouble::SchedulerRestart, Some(at)) => {
                 let up = &stage.schedulers[at as usize].1;
                 let Some(process) = processes.get_mut(at as usize) else {
                     return "a scheduler that was not started here cannot end here".into();
                 };
-                if turn.begins {
+                if turn.is_start {
                     up.set(false);
                     match what {
                         Trouble::SchedulerRestart => process.terminate(),
@@ -227,14 +227,14 @@
                     up.set(true);
                 }
             }
-            (Trouble::DiscoveryDown, _) if turn.begins => stage.list(|listing| listing.down += 1),
+            (Trouble::DiscoveryDown, _) if turn.is_start => stage.list(|listing| listing.down += 1),
             (Trouble::DiscoveryDown, _) => {
                 tokio::task::spawn_local(list_is_back(Rc::clone(stage)));
             }
             (Trouble::DiscoveryContradicts, _) => {
-                let old = turn.begins.then(|| stage.entries());
+                let old = turn.is_start.then(|| stage.entries());
                 stage.list(|listing| listing.contradicted = old);
-                if turn.begins {
+                if turn.is_start {
                     tokio::task::spawn_local(contradict(Rc::clone(stage)));
                 }
             }
--- a/crates/testbed/src/emulate/program.rs
+++ b/crates/testbed/src/emulate/program.rs
@@ -15,7 +15,7 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::policy::Kind;
+use crate::policy::PolicyKind;
 use crate::scenario::{CONNECT, Repeat, Scenario, Scope};
 
 /// A program that does not say that it is ready by then is given up.
@@ -41,9 +41,9 @@
     ///
     /// # Errors
     /// A program that is not there.
-    pub fn of(policy: Kind) -> Result<Program, String> {
+    pub fn of(policy: PolicyKind) -> Result<Program, String> {
         let own = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
-        if policy != Kind::Copperspread {
+        if policy != PolicyKind::Copperspread {
             let arguments = ["node", "--policy", &policy.name()].map(str::to_owned).to_vec();
             return Ok(Program { file: own, arguments });
         }
--- a/crates/testbed/src/emulate/stage.rs
+++ b/crates/testbed/src/emulate/stage.rs
@@ -22,7 +22,7 @@
 
 use crate::emulate::list::Listing;
 use crate::emulate::world::{News, Word, World};
-use crate::model::worker::Life;
+use crate::model::worker::ProcessState;
 use crate::scenario::{Scenario, micros};
 
 /// Longest body that is read.
@@ -195,18 +195,18 @@
         let (life, refusing, started) = {
             let world = self.world.borrow();
             let of = &world.workers[worker as usize].0;
-            (of.life, of.refusing, of.started_at)
+            (of.process, of.is_refusing, of.started_at)
         };
         let door = match life {
-            Life::Up | Life::Draining if refusing => Door::Refusing,
-            Life::Up | Life::Draining => {
+            ProcessState::Up | ProcessState::Draining if refusing => Door::Refusing,
+            ProcessState::Up | ProcessState::Draining => {
                 // Each start is another process.
                 let process = started.map_or(0, |at| (at / 1_000) as u32 + 1);
                 port.process.set(process);
                 Door::Open(process)
             }
-            Life::Dead => Door::Refusing,
-            Life::Vanished => Door::Silent,
+            ProcessState::Stopped => Door::Refusing,
+            ProcessState::Unreachable => Door::Silent,
         };
         port.door.send_if_modified(|now| std::mem::replace(now, door) != door);
         port.wake.notify_one();
@@ -228,10 +228,10 @@
 /// A worker's entry as the world has it.
 pub fn entry(world: &World, worker: u32) -> Endpoint {
     let (of, zone) = &world.workers[worker as usize];
-    let state = match of.life {
-        Life::Up => WorkerState::Ready,
-        Life::Draining => WorkerState::Draining,
-        Life::Dead | Life::Vanished => WorkerState::Removed,
+    let state = match of.process {
+        ProcessState::Up => WorkerState::Ready,
+        ProcessState::Draining => WorkerState::Draining,
+        ProcessState::Stopped | ProcessState::Unreachable => WorkerState::Removed,
     };
     let kind = world.kinds[worker as usize];
     Endpoint {
--- a/crates/testbed/src/emulate/world.rs
+++ b/crates/testbed/src/emulate/world.rs
@@ -8,11 +8,11 @@
 use tokio::time::Instant;
 
 use crate::model::arrivals::Arrival;
-use crate::model::chance::{Chance, Stream, stream};
-use crate::model::fleet::{Fleet, Turn, cold_budget};
-use crate::model::keys::{Keys, Repeat, group};
-use crate::model::wire::{Cut, Wire};
-use crate::model::worker::{self, Life, Offer, Offered, Worker};
+use crate::model::connection_faults::{ConnectionFaults, DeliveryResult};
+use crate::model::fleet::{FaultTransition, Fleet, slow_start_budget};
+use crate::model::idempotency_keys::{DuplicateOutcome, KeyHistory, key_group};
+use crate::model::random::{RandomStream, StreamPurpose, random_stream};
+use crate::model::worker::{self, OfferResult, OfferedJob, ProcessState, Worker};
 use crate::outcome::Tally;
 use crate::referee::Referee;
 use crate::scenario::{Scenario, Trouble, micros};
@@ -102,7 +102,7 @@
 /// A client's job.
 struct Job {
     of: Arrival,
-    keys: Keys,
+    keys: KeyHistory,
 }
 
 /// The world round the schedulers.
@@ -116,7 +116,7 @@
     /// Each worker's cell.
     pub cells: Vec<u32>,
     /// What goes wrong on their connections.
-    pub wires: Vec<Wire>,
+    pub wires: Vec<ConnectionFaults>,
     /// The referee.
     pub referee: Referee,
     /// What became of jobs.
@@ -140,8 +140,8 @@
     probes: FxHashMap<u64, oneshot::Sender<()>>,
     next: u64,
     reports_late: Micros,
-    network: Chance,
-    noise: Chance,
+    network: RandomStream,
+    noise: RandomStream,
     held: (u64, f64, Micros),
 }
 
@@ -149,11 +149,11 @@
     /// The world of a scenario and a seed; time counts from now on.
     pub fn new(scenario: &Scenario, fleet: Fleet, seed: u64) -> World {
         World {
-            wires: vec![Wire::default(); fleet.workers.len()],
+            wires: vec![ConnectionFaults::default(); fleet.workers.len()],
             workers: fleet.workers,
             kinds: fleet.kinds,
             cells: fleet.cells,
-            referee: Referee::new(cold_budget(scenario)),
+            referee: Referee::new(slow_start_budget(scenario)),
             tally: Tally::new(scenario.classes.len(), scenario.zones),
             attempts_sent: 0,
             crossed: 0,
@@ -169,8 +169,8 @@
             // Ids that look like no small number, as the platform's do.
             next: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 << 63,
             reports_late: 0,
-            network: stream(seed, Stream::Network),
-            noise: stream(seed, Stream::Reports),
+            network: random_stream(seed, StreamPurpose::Network),
+            noise: random_stream(seed, StreamPurpose::Reports),
             held: (0, 0.0, 0),
             scenario: scenario.clone(),
         }
@@ -204,7 +204,7 @@
 
     /// A client's job, by its number.
     pub fn job(&mut self, number: u64, of: Arrival) {
-        self.jobs.insert(number, Job { of, keys: Keys::default() });
+        self.jobs.insert(number, Job { of, keys: KeyHistory::default() });
     }
 
     /// A client asks a scheduler; returns the request's id.
@@ -248,28 +248,30 @@
         let zone = self.workers[worker as usize].1;
         let effect = self.scenario.classes[arrival.class as usize].effect();
         let group = match effect {
-            Idempotency::IdempotentWithKey { scope, .. } => group(scope, zone, self.cells[worker as usize]),
+            Idempotency::IdempotentWithKey { scope, .. } => {
+                key_group(scope, zone, self.cells[worker as usize])
+            }
             _ => 0,
         };
         self.next = self.next.wrapping_add(1);
         let id = self.next;
         let attempt = Attempt { request, job, worker, scheduler };
         if let Idempotency::IdempotentWithKey { window, .. } = effect
-            && self.workers[worker as usize].0.takes()
-            && let Some(repeat) = of.keys.repeat(id, group, now, window)
+            && self.workers[worker as usize].0.accepts_jobs()
+            && let Some(repeat) = of.keys.check_duplicate(id, group, now, window)
         {
             self.attempts.insert(id, attempt);
             self.referee.took(now, job, id, effect, group, came);
-            if repeat == Repeat::Done {
+            if repeat == DuplicateOutcome::AlreadyServed {
                 self.tell(id, Kind::Done);
             }
             return Taken::Yes;
         }
-        let cut = self.wires[worker as usize].meets(self.network.random());
+        let cut = self.wires[worker as usize].delivery_result(self.network.random());
         match cut {
-            Cut::Before => return Taken::Reset,
-            Cut::Garbage => return Taken::Garbage,
-            Cut::Fails => {
+            DeliveryResult::ResetBeforeTaken => return Taken::Reset,
+            DeliveryResult::InvalidResponse => return Taken::Garbage,
+            DeliveryResult::ImmediateError => {
                 // As in virtual time: to the rules it may have run.
                 self.referee.took(now, job, id, effect, group, came);
                 self.referee.ran(now, job, effect);
@@ -278,26 +280,26 @@
                 self.attempts.remove(&id);
                 return Taken::Yes;
             }
-            Cut::Whole | Cut::After => {}
+            DeliveryResult::Delivered | DeliveryResult::ResetAfterTaken => {}
         }
-        let offered = arrival.offered(id, &self.scenario.classes[arrival.class as usize]);
+        let offered = arrival.to_offered_job(id, &self.scenario.classes[arrival.class as usize]);
         let mut effects = Vec::new();
         match self.workers[worker as usize].0.offer(now, offered, &mut effects) {
-            Offer::Taken => {
+            OfferResult::Accepted => {
                 self.held.0 += 1;
                 self.attempts.insert(id, attempt);
                 self.referee.took(now, job, id, effect, group, came);
                 if matches!(effect, Idempotency::IdempotentWithKey { .. })
                     && let Some(of) = self.jobs.get_mut(&job)
                 {
-                    of.keys.took(id, group, now);
+                    of.keys.record_taken(id, group, now);
                 }
                 self.effects(worker, effects);
-                if cut == Cut::After { Taken::Half } else { Taken::Yes }
+                if cut == DeliveryResult::ResetAfterTaken { Taken::Half } else { Taken::Yes }
             }
-            Offer::Full => Taken::Full(self.report(worker)),
+            OfferResult::QueueFull => Taken::Full(self.report(worker)),
             // Its sockets are on their way out.
-            Offer::Dead | Offer::Vanished => Taken::Reset,
+            OfferResult::ConnectionRefused | OfferResult::Unreachable => Taken::Reset,
         }
     }
 
@@ -318,7 +320,7 @@
             self.held.0 -= 1;
             let job = self.attempts.get(&id).map(|of| of.job);
             if let Some(of) = job.and_then(|job| self.jobs.get_mut(&job)) {
-                of.keys.handed_back(id);
+                of.keys.record_handed_back(id);
             }
             self.over(id, Kind::Failed);
             self.effects(worker, effects);
@@ -331,24 +333,24 @@
         self.hold();
         let now = self.now();
         self.probed += 1;
-        match self.wires[worker as usize].meets(self.network.random()) {
-            Cut::Whole => {}
-            Cut::Before | Cut::After => return Probed::Reset,
-            Cut::Garbage => return Probed::Garbage,
-            Cut::Fails => return Probed::Failed,
+        match self.wires[worker as usize].delivery_result(self.network.random()) {
+            DeliveryResult::Delivered => {}
+            DeliveryResult::ResetBeforeTaken | DeliveryResult::ResetAfterTaken => return Probed::Reset,
+            DeliveryResult::InvalidResponse => return Probed::Garbage,
+            DeliveryResult::ImmediateError => return Probed::Failed,
         }
         let of = &mut self.workers[worker as usize].0;
-        if of.life != Life::Up {
+        if of.process != ProcessState::Up {
             return Probed::Unwell;
         }
         if !probe.deep {
-            of.charge(now, probe.work);
-            return Probed::Now(micros(probe.work / of.build.speed));
+            of.charge_side_work(now, probe.work);
+            return Probed::Now(micros(probe.work / of.spec.speed));
         }
         self.next = self.next.wrapping_add(1);
         let id = self.next;
         let mut effects = Vec::new();
-        if of.offer(now, Offered::probe(id, probe.work), &mut effects) != Offer::Taken {
+        if of.offer(now, OfferedJob::load_query(id, probe.work), &mut effects) != OfferResult::Accepted {
             return Probed::Unwell;
         }
         self.held.0 += 1;
@@ -362,7 +364,7 @@
     pub fn load(&mut self, worker: u32) -> LoadReport {
         let now = self.now();
         let late = self.scenario.reports.probe.map_or(0, |probe| micros(probe.late)) + self.reports_late;
-        self.workers[worker as usize].0.probed(now, late).unwrap_or_default()
+        self.workers[worker as usize].0.answer_load_query(now, late).unwrap_or_default()
     }
 
     /// A worker's figures for probes are refreshed.
@@ -370,7 +372,7 @@
         let (now, every) = (self.now(), micros(self.scenario.reports.refresh));
         let (noise, sigma) = (&mut self.noise, self.scenario.reports.noise);
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
-        self.workers[worker as usize].0.refresh(now, every, draw);
+        self.workers[worker as usize].0.refresh_load_report(now, every, draw);
     }
 
     /// What comes along with an answer; nothing where workers are to be probed.
@@ -381,7 +383,7 @@
         let refresh = micros(self.scenario.reports.refresh) + self.reports_late;
         let (noise, sigma, now) = (&mut self.noise, self.scenario.reports.noise, self.began.elapsed());
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
-        self.workers[worker as usize].0.report(now.as_micros() as Micros, refresh, draw)
+        self.workers[worker as usize].0.load_report(now.as_micros() as Micros, refresh, draw)
     }
 
     /// A worker is looked at: what is done by now ends. Returns when it must be looked at again.
@@ -390,53 +392,53 @@
         let now = self.now();
         let mut effects = Vec::new();
         let of = &mut self.workers[worker as usize].0;
-        if of.takes() || of.holds() > 0 {
+        if of.accepts_jobs() || of.job_count() > 0 {
             of.advance(now, &mut effects);
         }
         self.effects(worker, effects);
-        self.workers[worker as usize].0.next(self.now()).map(|at| self.instant(at))
+        self.workers[worker as usize].0.next_wake(self.now()).map(|at| self.instant(at))
     }
 
     /// A fault begins or is over.
-    pub fn turn(&mut self, turn: Turn) {
+    pub fn turn(&mut self, turn: FaultTransition) {
         self.hold();
         let now = self.now();
         let what = self.scenario.faults[turn.fault].what;
         if let Trouble::ReportsLate(by) = what {
-            self.reports_late = if turn.begins { micros(by) } else { 0 };
+            self.reports_late = if turn.is_start { micros(by) } else { 0 };
         }
-        let Some(worker) = turn.whom.filter(|_| what.meets_workers()) else { return };
-        if self.wires[worker as usize].turn(what, turn.begins) {
+        let Some(worker) = turn.target.filter(|_| what.meets_workers()) else { return };
+        if self.wires[worker as usize].apply_fault(what, turn.is_start) {
             return;
         }
         let mut effects = Vec::new();
-        let held = self.workers[worker as usize].0.holds() as u64;
-        let started = self.workers[worker as usize].0.turn(now, what, turn.begins, &mut effects);
-        if what == Trouble::Vanish && turn.begins {
+        let held = self.workers[worker as usize].0.job_count() as u64;
+        let started = self.workers[worker as usize].0.apply_fault(now, what, turn.is_start, &mut effects);
+        if what == Trouble::Vanish && turn.is_start {
             self.held.0 -= held;
         }
         if started {
-            let build = self.workers[worker as usize].0.build;
+            let build = self.workers[worker as usize].0.spec;
             self.referee.started(now, worker, build.cores.min(build.slots) * build.speed);
         }
         self.effects(worker, effects);
         self.changed.push(worker);
     }
 
-    fn effects(&mut self, worker: u32, effects: Vec<worker::Effect>) {
+    fn effects(&mut self, worker: u32, effects: Vec<worker::WorkerEffect>) {
         let now = self.now();
         for effect in effects {
             match effect {
-                worker::Effect::Started(id) => {
+                worker::WorkerEffect::Started(id) => {
                     let Some(of) = self.attempts.get(&id) else { continue };
                     let job = of.job;
                     let Some(class) = self.jobs.get(&job).map(|job| job.of.class) else { continue };
                     self.referee.ran(now, job, self.scenario.classes[class as usize].effect());
-                    if self.workers[worker as usize].0.silent != Some(class) {
+                    if self.workers[worker as usize].0.silent_class != Some(class) {
                         self.tell(id, Kind::Started);
                     }
                 }
-                worker::Effect::Done { attempt, told } => {
+                worker::WorkerEffect::Finished { attempt, is_reported: told } => {
                     self.held.0 -= 1;
                     if let Some(of) = self.probes.remove(&attempt) {
                         let _ = of.send(());
@@ -446,25 +448,25 @@
                     }
                     self.over(attempt, Kind::Done);
                 }
-                worker::Effect::Lost(id) => {
+                worker::WorkerEffect::Lost(id) => {
                     self.held.0 -= 1;
                     self.probes.remove(&id);
                     self.tell(id, Kind::Lost);
                     self.over(id, Kind::Lost);
                 }
-                worker::Effect::HandedBack(id) => {
+                worker::WorkerEffect::HandedBack(id) => {
                     self.held.0 -= 1;
                     self.probes.remove(&id);
                     if let Some(job) = self.attempts.get(&id).map(|of| of.job) {
                         self.referee.handed_back(job, id);
                         if let Some(of) = self.jobs.get_mut(&job) {
-                            of.keys.handed_back(id);
+                            of.keys.record_handed_back(id);
                         }
                     }
                     self.tell(id, Kind::Returned);
                     self.over(id, Kind::Failed);
                 }
-                worker::Effect::Fell => {
+                worker::WorkerEffect::Overloaded => {
                     self.fell += 1;
                     self.changed.push(worker);
                 }
@@ -492,7 +494,7 @@
     fn over(&mut self, id: u64, kind: Kind) {
         let Some(of) = self.attempts.remove(&id) else { return };
         let Some(job) = self.jobs.get_mut(&of.job) else { return };
-        for repeat in job.keys.ended(kind == Kind::Done) {
+        for repeat in job.keys.record_end(kind == Kind::Done) {
             self.tell(repeat, kind);
             self.attempts.remove(&repeat);
         }
@@ -513,7 +515,7 @@
         }
         let wire = self.wires[worker as usize];
         let way = self.way(self.workers[worker as usize].1, self.zone_of(scheduler));
-        let (after, twice) = (way + wire.late, wire.doubled);
+        let (after, twice) = (way + wire.callback_delay, wire.duplicates_callbacks);
         self.news.push(News { request, worker, scheduler, word, after, twice });
     }
 }
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -12,9 +12,9 @@
 use crate::emulate::program::Program;
 use crate::emulate::{Schedulers, emulate};
 use crate::outcome::Outcome;
-use crate::policy::Kind;
+use crate::policy::PolicyKind;
 use crate::scenario::Scenario;
-use crate::sim::play;
+use crate::simulation::simulate;
 
 /// An experiment.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -61,7 +61,7 @@
     pub drive: Drive,
     /// What decides.
     #[serde(default = "module")]
-    pub policy: Kind,
+    pub policy: PolicyKind,
     /// In real time: the program in place of the one that the policy means, by its path from the
     /// experiment's file.
     #[serde(default)]
@@ -74,8 +74,8 @@
     pub set: toml::Table,
 }
 
-fn module() -> Kind {
-    Kind::Copperspread
+fn module() -> PolicyKind {
+    PolicyKind::Copperspread
 }
 
 /// Changes one table by another: tables within tables, all else as a whole.
@@ -260,7 +260,7 @@
         let scenario = &self.scenarios[run.scenario][run.variant];
         let variant = &self.experiment.variants[run.variant];
         let outcome = match &self.programs[run.variant] {
-            None => play(scenario, variant.policy, run.seed),
+            None => simulate(scenario, variant.policy, run.seed),
             Some(program) => {
                 emulate(scenario, &Schedulers::Started(program.clone()), &variant.name, run.seed)
             }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -166,7 +166,7 @@
         .header("x-timeout", format!("{left}m"))
         .header("idempotency-key", format!("{job:032x}"))
         .header("x-attrs", attributes(of));
-    if let Some(hint) = of.hint {
+    if let Some(hint) = of.cost_hint {
         request = request.header("x-cost", format!("{:.0}", hint * 1e6));
     }
     request.body(Full::from("a job")).ok()
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -15,10 +15,10 @@
 use copperspread_testbed::experiment::{Plan, Watcher, agreement};
 use copperspread_testbed::load::load;
 use copperspread_testbed::outcome::Outcome;
-use copperspread_testbed::policy::Kind;
+use copperspread_testbed::policy::PolicyKind;
 use copperspread_testbed::report::html;
 use copperspread_testbed::scenario::Scenario;
-use copperspread_testbed::sim::play;
+use copperspread_testbed::simulation::simulate;
 use copperspread_testbed::trace::record;
 use indicatif::{ProgressBar, ProgressStyle};
 
@@ -48,7 +48,7 @@
         scenario: String,
         /// What decides
         #[arg(long, default_value = "copperspread", value_parser = kind)]
-        policy: Kind,
+        policy: PolicyKind,
         /// The seed of all chance
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -62,7 +62,7 @@
         scenario: String,
         /// What decides in the schedulers' node, where no program is named
         #[arg(long, default_value = "copperspread", value_parser = kind)]
-        policy: Kind,
+        policy: PolicyKind,
         /// The program to start for each scheduler, in place of the one beside this one
         #[arg(long)]
         program: Option<std::path::PathBuf>,
@@ -109,7 +109,7 @@
     Node {
         /// What decides
         #[arg(long, value_parser = kind)]
-        policy: Kind,
+        policy: PolicyKind,
     },
     /// Serve as a bare relay, by EDGE_CONFIG
     #[command(hide = true)]
@@ -163,7 +163,7 @@
         seeds: u64,
         /// Only these, the first against the others
         #[arg(long, value_delimiter = ',', value_parser = kind)]
-        policies: Vec<Kind>,
+        policies: Vec<PolicyKind>,
         /// Print all outcomes as JSON
         #[arg(long)]
         json: bool,
@@ -173,9 +173,9 @@
     },
 }
 
-fn kind(text: &str) -> Result<Kind, String> {
+fn kind(text: &str) -> Result<PolicyKind, String> {
     serde_json::from_value(text.into()).map_err(|_| {
-        let names: Vec<_> = Kind::COMPARED.iter().map(|kind| kind.name()).collect();
+        let names: Vec<_> = PolicyKind::COMPARED.iter().map(|kind| kind.name()).collect();
         format!("no such policy; one of {}", names.join(", "))
     })
 }
@@ -334,7 +334,7 @@
         Command::Sim { scenario: name, policy, seed, json: whole } => {
             let scenario = scenario(&name)?;
             let began = Instant::now();
-            let outcome = play(&scenario, policy, seed)?;
+            let outcome = simulate(&scenario, policy, seed)?;
             let took = began.elapsed().as_secs_f64();
             let kept = outcome.breaches.is_empty();
             if whole {
@@ -380,7 +380,7 @@
         Command::Cost { program, rounds, seconds, clients, workers, json: whole } => {
             let program = match program {
                 Some(file) => Program { file, arguments: vec!["serve".into()] },
-                None => Program::of(Kind::Copperspread)?,
+                None => Program::of(PolicyKind::Copperspread)?,
             };
             let own = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
             let relay = Program { file: own, arguments: vec!["relay".into()] };
@@ -420,7 +420,7 @@
                     SHIPPED.iter().map(|(name, _)| (*name).to_owned()).filter(|name| name != LARGE).collect()
                 }
             };
-            let policies = if policies.is_empty() { Kind::COMPARED.to_vec() } else { policies };
+            let policies = if policies.is_empty() { PolicyKind::COMPARED.to_vec() } else { policies };
             let seeds: Vec<u64> = (1..=seeds.max(1)).collect();
             let mut played = Vec::new();
             for name in names {
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -4,8 +4,8 @@
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Exp1, LogNormal};
 
-use crate::model::chance::{Chance, Stream, stream};
-use crate::model::worker::Offered;
+use crate::model::random::{RandomStream, StreamPurpose, random_stream};
+use crate::model::worker::OfferedJob;
 use crate::scenario::{Class, Fault, Scenario, Spread, Trouble, micros};
 
 /// A client's job, over all of its tries.
@@ -22,28 +22,28 @@
     /// The memory that it holds while it runs.
     pub memory: f64,
     /// The hint of its work.
-    pub hint: Option<f64>,
+    pub cost_hint: Option<f64>,
     /// The scheduler that its first try goes to.
     pub scheduler: u32,
 }
 
 impl Arrival {
     /// The job as an attempt offers it to a worker.
-    pub fn offered(&self, attempt: u64, of: &Class) -> Offered {
+    pub fn to_offered_job(&self, attempt: u64, of: &Class) -> OfferedJob {
         let Arrival { class, work, slots, memory, .. } = *self;
-        Offered { attempt, class, work, slots, memory, worth: of.worth }
+        OfferedJob { attempt, class, work, slots, memory, weight: of.worth }
     }
 }
 
 /// The stream of arrivals.
 pub struct Arrivals<'a> {
     scenario: &'a Scenario,
-    chance: Chance,
-    at: f64,
+    random: RandomStream,
+    next_at: f64,
     /// The classes' shares, added up.
-    shares: Vec<f64>,
+    cumulative_shares: Vec<f64>,
     /// How many jobs of a recorded trace have come.
-    traced: usize,
+    next_recorded: usize,
 }
 
 impl<'a> Arrivals<'a> {
@@ -54,29 +54,31 @@
             sum += class.share;
             sum
         });
-        let (chance, shares) = (stream(seed, Stream::Arrivals), shares.collect());
-        Arrivals { scenario, chance, at: 0.0, shares, traced: 0 }
+        let (chance, shares) = (random_stream(seed, StreamPurpose::Arrivals), shares.collect());
+        Arrivals { scenario, random: chance, next_at: 0.0, cumulative_shares: shares, next_recorded: 0 }
     }
 
-    fn holds(fault: &Fault, at: f64) -> bool {
+    fn is_active(fault: &Fault, at: f64) -> bool {
         (fault.at..fault.at + fault.lasts).contains(&at)
     }
 
     /// The scheduler that a client's first try goes to.
-    fn scheduler(&mut self) -> u32 {
+    fn draw_scheduler(&mut self) -> u32 {
         let all = self.scenario.schedulers;
-        let Some(of) = self.scenario.clients.crowded else { return self.chance.random_range(0..all) };
+        let Some(of) = self.scenario.clients.crowded else { return self.random.random_range(0..all) };
         let crowd = f64::from(of.schedulers) * of.times;
-        let pick = self.chance.random::<f64>() * (crowd + f64::from(all - of.schedulers));
+        let pick = self.random.random::<f64>() * (crowd + f64::from(all - of.schedulers));
         let place = if pick < crowd { pick / of.times } else { pick - crowd + f64::from(of.schedulers) };
         (place as u32).min(all - 1)
     }
 
     /// How many times the usual rate clients come.
-    fn factor(&self, at: f64) -> f64 {
+    fn rate_factor(&self, at: f64) -> f64 {
         let burst = |fault: &Fault| match fault.what {
-            Trouble::Burst(factor) if Self::holds(fault, at) => factor,
-            Trouble::Ramp(to) if Self::holds(fault, at) => 1.0 + (to - 1.0) * (at - fault.at) / fault.lasts,
+            Trouble::Burst(factor) if Self::is_active(fault, at) => factor,
+            Trouble::Ramp(to) if Self::is_active(fault, at) => {
+                1.0 + (to - 1.0) * (at - fault.at) / fault.lasts
+            }
             _ => 1.0,
         };
         self.scenario.faults.iter().map(burst).product()
@@ -89,61 +91,62 @@
     fn next(&mut self) -> Option<Arrival> {
         let scenario = self.scenario;
         if !scenario.clients.trace.is_empty() {
-            let of = scenario.clients.trace.get(self.traced)?;
-            self.traced += 1;
-            let scheduler = self.scheduler();
+            let of = scenario.clients.trace.get(self.next_recorded)?;
+            self.next_recorded += 1;
+            let scheduler = self.draw_scheduler();
             let (at, class) = (micros(of.at), of.class);
             let memory = self.scenario.classes[class as usize].memory * of.slots;
             let arrival =
-                Arrival { at, class, work: of.work, slots: of.slots, memory, hint: of.hint, scheduler };
+                Arrival { at, class, work: of.work, slots: of.slots, memory, cost_hint: of.hint, scheduler };
             return (of.at < scenario.seconds).then_some(arrival);
         }
         // A changing rate is stepped over at the rate of the last arrival: bursts last for many of them.
-        let gap: f64 = Exp1.sample(&mut self.chance);
-        self.at += gap / (scenario.clients.rate * self.factor(self.at));
-        if self.at >= scenario.seconds {
+        let gap: f64 = Exp1.sample(&mut self.random);
+        self.next_at += gap / (scenario.clients.rate * self.rate_factor(self.next_at));
+        if self.next_at >= scenario.seconds {
             return None;
         }
-        let pick = self.chance.random::<f64>() * self.shares.last().copied().unwrap_or(1.0);
-        let class = self.shares.iter().position(|&to| pick < to).unwrap_or(0);
+        let pick = self.random.random::<f64>() * self.cumulative_shares.last().copied().unwrap_or(1.0);
+        let class = self.cumulative_shares.iter().position(|&to| pick < to).unwrap_or(0);
         let of = &scenario.classes[class];
         let mut work = match of.spread {
             Spread::Constant => of.work,
             Spread::Exponential => {
-                Exp::new(1.0 / of.work).map_or(of.work, |draw| draw.sample(&mut self.chance))
+                Exp::new(1.0 / of.work).map_or(of.work, |draw| draw.sample(&mut self.random))
             }
             // The mean of the log-normal is to be the class's.
             Spread::LogNormal(sigma) => LogNormal::new(of.work.ln() - sigma * sigma / 2.0, sigma)
-                .map_or(of.work, |draw| draw.sample(&mut self.chance)),
+                .map_or(of.work, |draw| draw.sample(&mut self.random)),
         };
-        let pick = self.chance.random::<f64>();
+        let pick = self.random.random::<f64>();
         let slots =
-            if of.slots.is_empty() { 1.0 + f64::from(pick < of.wide) } else { width(&of.slots, pick) };
+            if of.slots.is_empty() { 1.0 + f64::from(pick < of.wide) } else { draw_slots(&of.slots, pick) };
         let mut memory = of.memory * slots;
         if of.memory_spread > 0.0 {
             // The mean stays the class's.
             let sigma = of.memory_spread;
             memory *=
-                LogNormal::new(-sigma * sigma / 2.0, sigma).map_or(1.0, |draw| draw.sample(&mut self.chance));
+                LogNormal::new(-sigma * sigma / 2.0, sigma).map_or(1.0, |draw| draw.sample(&mut self.random));
         }
-        let heavy = self.chance.random::<f64>() < 0.01;
+        let heavy = self.random.random::<f64>() < 0.01;
         let error: f64 = LogNormal::new(0.0, scenario.clients.hint_error.unwrap_or(0.0))
-            .map_or(1.0, |draw| draw.sample(&mut self.chance));
-        let scheduler = self.scheduler();
-        let tail =
-            |fault: &Fault| fault.what == Trouble::HeavyTail(class as u32) && Self::holds(fault, self.at);
+            .map_or(1.0, |draw| draw.sample(&mut self.random));
+        let scheduler = self.draw_scheduler();
+        let tail = |fault: &Fault| {
+            fault.what == Trouble::HeavyTail(class as u32) && Self::is_active(fault, self.next_at)
+        };
         let hint = scenario.clients.hint_error.map(|_| work * error);
         if heavy && scenario.faults.iter().any(tail) {
             // Unforeseen: the hint is that of a usual job.
             work *= 20.0;
         }
-        let at = micros(self.at);
-        Some(Arrival { at, class: class as u32, work, slots, memory, hint, scheduler })
+        let at = micros(self.next_at);
+        Some(Arrival { at, class: class as u32, work, slots, memory, cost_hint: hint, scheduler })
     }
 }
 
 /// The slots of a job, by a number drawn evenly from 0 to 1.
-fn width(slots: &[[f64; 2]], pick: f64) -> f64 {
+fn draw_slots(slots: &[[f64; 2]], pick: f64) -> f64 {
     let mut left = pick * slots.iter().map(|[_, share]| share).sum::<f64>();
     let at = slots.iter().position(|[_, share]| {
         left -= share;
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -4,22 +4,22 @@
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
-use crate::model::chance::{Stream, stream};
-use crate::model::worker::{Build, Life, Worker};
+use crate::model::random::{StreamPurpose, random_stream};
+use crate::model::worker::{ProcessState, Worker, WorkerSpec};
 use crate::referee::ColdBudget;
 use crate::scenario::{Scenario, micros};
 
 /// A fault that begins or is over, for one worker or for none.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Turn {
+pub struct FaultTransition {
     /// When.
     pub at: Micros,
     /// The fault's place in the scenario.
     pub fault: usize,
     /// Whom it meets, for faults of workers and of schedulers.
-    pub whom: Option<u32>,
+    pub target: Option<u32>,
     /// It begins.
-    pub begins: bool,
+    pub is_start: bool,
 }
 
 /// The workers with their zones, and the faults' turns in the order in which they were drawn.
@@ -31,31 +31,31 @@
     /// Each worker's cell; no two zones share one.
     pub cells: Vec<u32>,
     /// Workers that the remembered list names and that are not there.
-    pub gone: Vec<u32>,
+    pub missing_workers: Vec<u32>,
     /// What goes wrong.
-    pub turns: Vec<Turn>,
+    pub fault_transitions: Vec<FaultTransition>,
 }
 
 impl Fleet {
     /// Draws them.
-    pub fn draw(scenario: &Scenario, seed: u64) -> Fleet {
-        let mut chance = stream(seed, Stream::Fleet);
+    pub fn generate(scenario: &Scenario, seed: u64) -> Fleet {
+        let mut chance = random_stream(seed, StreamPurpose::Fleet);
         let cold = &scenario.cold;
         let (mut workers, mut kinds) = (Vec::new(), Vec::new());
         for (kind, group) in scenario.workers.iter().enumerate() {
             for _ in 0..group.count {
                 let [low, high] = group.speed;
-                let build = Build {
+                let build = WorkerSpec {
                     cores: group.cores,
                     slots: group.slots,
                     speed: low + (high - low) * chance.random::<f64>(),
-                    queue: group.queue,
+                    max_waiting: group.queue,
                     order: group.order,
                     memory: group.memory.unwrap_or(f64::INFINITY),
-                    cold_from: cold.from,
-                    cold_for: micros(cold.warm_after),
-                    fall_multiple: cold.fall_multiple,
-                    fall_window: (cold.fall_seconds > 0.0).then(|| micros(cold.fall_seconds)),
+                    slow_start_share: cold.from,
+                    slow_start_duration: micros(cold.warm_after),
+                    overload_multiple: cold.fall_multiple,
+                    overload_window: (cold.fall_seconds > 0.0).then(|| micros(cold.fall_seconds)),
                 };
                 let zone = workers.len() as u32 % scenario.zones;
                 workers.push((Worker::new(build), zone));
@@ -64,7 +64,7 @@
         }
         let (zones, cells) = (scenario.zones, scenario.cells);
         let cells = (0..workers.len() as u32).map(|at| at % zones + zones * (at / zones % cells)).collect();
-        let mut chance = stream(seed, Stream::Faults);
+        let mut chance = random_stream(seed, StreamPurpose::Faults);
         let gone = (scenario.discovery.stale * workers.len() as f64).round() as usize;
         let mut all: Vec<u32> = (0..workers.len() as u32).collect();
         all.shuffle(&mut chance);
@@ -86,19 +86,24 @@
                 if chosen.is_empty() { vec![None] } else { chosen.into_iter().map(Some).collect() };
             for (place, &whom) in each.iter().enumerate() {
                 let begins = of.at + of.spread_over * place as f64 / each.len() as f64;
-                turns.push(Turn { at: micros(begins), fault, whom, begins: true });
-                turns.push(Turn { at: micros(begins + of.lasts), fault, whom, begins: false });
+                turns.push(FaultTransition { at: micros(begins), fault, target: whom, is_start: true });
+                turns.push(FaultTransition {
+                    at: micros(begins + of.lasts),
+                    fault,
+                    target: whom,
+                    is_start: false,
+                });
             }
         }
         for &at in &all {
-            workers[at as usize].0.life = Life::Dead;
+            workers[at as usize].0.process = ProcessState::Stopped;
         }
-        Fleet { workers, kinds, cells, gone: all, turns }
+        Fleet { workers, kinds, cells, missing_workers: all, fault_transitions: turns }
     }
 }
 
 /// What the scenario holds a cold worker to, if anything.
-pub fn cold_budget(scenario: &Scenario) -> Option<ColdBudget> {
+pub fn slow_start_budget(scenario: &Scenario) -> Option<ColdBudget> {
     let cold = &scenario.cold;
     (cold.fall_seconds > 0.0).then(|| ColdBudget {
         from: cold.from,
--- a/crates/testbed/src/model/keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -2,7 +2,7 @@
 use copperspread_dispatcher::{KeyScope, Micros};
 
 /// The group of workers that a worker shares the memory of keys with, by its zone and cell.
-pub fn group(scope: KeyScope, zone: u32, cell: u32) -> u32 {
+pub fn key_group(scope: KeyScope, zone: u32, cell: u32) -> u32 {
     match scope {
         KeyScope::All => 0,
         KeyScope::Zone => zone,
@@ -12,50 +12,56 @@
 
 /// What workers remember of one client's job.
 #[derive(Clone, Debug, Default)]
-pub struct Keys {
+pub struct KeyHistory {
     /// The attempts that workers took: number, group and when.
     taken: Vec<(u64, u32, Micros)>,
     /// Repeats that were dropped, which hear what becomes of the first.
-    dropped: Vec<u64>,
+    waiting_duplicates: Vec<u64>,
     /// An attempt was done.
-    done: bool,
+    is_served: bool,
 }
 
 /// What becomes of an attempt whose key is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum DuplicateOutcome {
     /// The first was done: so is this one.
-    Done,
+    AlreadyServed,
     /// It hears later what becomes of the first.
-    Waits,
+    AwaitsFirst,
 }
 
-impl Keys {
+impl KeyHistory {
     /// Whether an attempt that comes to a group is a repeat, and then what of it; one that waits is kept.
-    pub fn repeat(&mut self, attempt: u64, group: u32, now: Micros, window: Micros) -> Option<Repeat> {
+    pub fn check_duplicate(
+        &mut self,
+        attempt: u64,
+        group: u32,
+        now: Micros,
+        window: Micros,
+    ) -> Option<DuplicateOutcome> {
         if !self.taken.iter().any(|&(_, of, at)| of == group && now <= at + window) {
             return None;
         }
-        if self.done {
-            return Some(Repeat::Done);
+        if self.is_served {
+            return Some(DuplicateOutcome::AlreadyServed);
         }
-        self.dropped.push(attempt);
-        Some(Repeat::Waits)
+        self.waiting_duplicates.push(attempt);
+        Some(DuplicateOutcome::AwaitsFirst)
     }
 
     /// A worker took an attempt.
-    pub fn took(&mut self, attempt: u64, group: u32, now: Micros) {
+    pub fn record_taken(&mut self, attempt: u64, group: u32, now: Micros) {
         self.taken.push((attempt, group, now));
     }
 
     /// An attempt was handed back: the key is forgotten with it.
-    pub fn handed_back(&mut self, attempt: u64) {
+    pub fn record_handed_back(&mut self, attempt: u64) {
         self.taken.retain(|&(of, _, _)| of != attempt);
     }
 
     /// An attempt ended, done or not; returns the repeats that hear of it.
-    pub fn ended(&mut self, done: bool) -> Vec<u64> {
-        self.done |= done;
-        std::mem::take(&mut self.dropped)
+    pub fn record_end(&mut self, done: bool) -> Vec<u64> {
+        self.is_served |= done;
+        std::mem::take(&mut self.waiting_duplicates)
     }
 }
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,7 +1,7 @@
 //! The parts of the world, each on its own: time and chance come in as arguments.
 pub mod arrivals;
-pub mod chance;
+pub mod connection_faults;
 pub mod fleet;
-pub mod keys;
-pub mod wire;
+pub mod idempotency_keys;
+pub mod random;
 pub mod worker;
--- a/crates/testbed/src/model/chance.rs
+++ b/crates/testbed/src/model/random.rs
@@ -3,11 +3,11 @@
 use rand_pcg::Pcg64Mcg;
 
 /// A stream of chance.
-pub type Chance = Pcg64Mcg;
+pub type RandomStream = Pcg64Mcg;
 
 /// Which component draws. What one draws does not move what another one does.
 #[derive(Clone, Copy, Debug)]
-pub enum Stream {
+pub enum StreamPurpose {
     /// Arrivals and all that a job is when it arrives.
     Arrivals = 1,
     /// The workers' true speeds.
@@ -23,7 +23,7 @@
 }
 
 /// A component's stream under a seed.
-pub fn stream(seed: u64, of: Stream) -> Chance {
+pub fn random_stream(seed: u64, of: StreamPurpose) -> RandomStream {
     // Far apart in the seeds' space; the generator's seeding mixes them.
     Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((of as u64) << 56))
 }
--- a/crates/testbed/src/model/worker.rs
+++ b/crates/testbed/src/model/worker.rs
@@ -10,7 +10,7 @@
 
 /// What a worker is built of.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Build {
+pub struct WorkerSpec {
     /// Cores.
     pub cores: f64,
     /// Slots for jobs that run.
@@ -18,24 +18,24 @@
     /// Speed of a core.
     pub speed: f64,
     /// Most jobs that wait.
-    pub queue: usize,
+    pub max_waiting: usize,
     /// The order in which they start.
     pub order: Order,
     /// Memory, in megabytes.
     pub memory: f64,
     /// A cold worker begins at this share of its capacity ...
-    pub cold_from: f64,
+    pub slow_start_share: f64,
     /// ... and is warm after this long.
-    pub cold_for: Micros,
+    pub slow_start_duration: Micros,
     /// Sent more than so many times its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long while cold, it falls over; none never does.
-    pub fall_window: Option<Micros>,
+    pub overload_window: Option<Micros>,
 }
 
 /// A job as a worker gets it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Offered {
+pub struct OfferedJob {
     /// Whose attempt it is, by a number that is never used twice.
     pub attempt: u64,
     /// The job's class.
@@ -47,139 +47,139 @@
     /// Memory while it runs, in megabytes.
     pub memory: f64,
     /// What a unit of its work is worth, where the order goes by that.
-    pub worth: f64,
+    pub weight: f64,
 }
 
-impl Offered {
+impl OfferedJob {
     /// A probe that waits like a job of one slot.
-    pub fn probe(attempt: u64, work: f64) -> Offered {
+    pub fn load_query(attempt: u64, work: f64) -> OfferedJob {
         // Of no class, so that no class's silence keeps its end back.
-        Offered { attempt, class: u32::MAX, work, slots: 1.0, memory: 0.0, worth: 0.0 }
+        OfferedJob { attempt, class: u32::MAX, work, slots: 1.0, memory: 0.0, weight: 0.0 }
     }
 }
 
 /// What a worker does with an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferResult {
     /// It takes the job; whether it has started comes with the effects.
-    Taken,
+    Accepted,
     /// It has no room; the job never runs here.
-    Full,
+    QueueFull,
     /// There is no process to connect to.
-    Dead,
+    ConnectionRefused,
     /// Nothing answers.
-    Vanished,
+    Unreachable,
 }
 
 /// What is true of a worker, which no real scheduler sees.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Truth {
+pub struct TrueState {
     /// Seconds until it would begin a job that comes now.
     pub wait: f64,
     /// Seconds of work that a job does a second there.
     pub rate: f64,
     /// It takes jobs.
-    pub takes: bool,
+    pub accepts_jobs: bool,
 }
 
 /// What happened at a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum WorkerEffect {
     /// A job has begun to run.
     Started(u64),
     /// A job is done; `told` is false where the worker keeps it to itself.
-    Done {
+    Finished {
         /// Whose.
         attempt: u64,
         /// Whether the scheduler hears of it.
-        told: bool,
+        is_reported: bool,
     },
     /// A job was lost with the process.
     Lost(u64),
     /// A waiting job is handed back unstarted.
     HandedBack(u64),
     /// It fell over.
-    Fell,
+    Overloaded,
 }
 
 /// Whether there is a process, and what it takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessState {
     /// It takes jobs.
     Up,
     /// It finishes what it has and takes nothing new.
     Draining,
     /// There is no process.
-    Dead,
+    Stopped,
     /// The machine is out of reach.
-    Vanished,
+    Unreachable,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Running {
-    job: Offered,
-    left: f64,
+struct RunningJob {
+    job: OfferedJob,
+    remaining_work: f64,
 }
 
 /// A worker's state.
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// What it is built of.
-    pub build: Build,
+    pub spec: WorkerSpec,
     /// Whether it lives.
-    pub life: Life,
+    pub process: ProcessState,
     /// Its last start; `None` is long ago.
     pub started_at: Option<Micros>,
     /// It runs this many times slower.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Its jobs do not go on.
-    pub stuck: bool,
+    pub is_stuck: bool,
     /// Of this class it tells nothing.
-    pub silent: Option<u32>,
+    pub silent_class: Option<u32>,
     /// It is listed and refuses connections.
-    pub refusing: bool,
-    running: Vec<Running>,
-    waiting: VecDeque<Offered>,
-    used: f64,
-    held: f64,
+    pub is_refusing: bool,
+    running: Vec<RunningJob>,
+    waiting: VecDeque<OfferedJob>,
+    used_slots: f64,
+    used_memory: f64,
     /// Up to when the running jobs are counted.
-    at: Micros,
+    accounted_until: Micros,
     /// What was taken lately while cold, for falling over.
-    taken: VecDeque<(Micros, f64)>,
+    slow_start_load: VecDeque<(Micros, f64)>,
     /// Changes with each change of who runs or how fast: wakes that were set before are stale.
-    pub epoch: u64,
+    pub wake_epoch: u64,
     /// Core-seconds done.
-    pub done_work: f64,
-    report: (Micros, LoadReport),
+    pub completed_work: f64,
+    last_report: (Micros, LoadReport),
     /// What it tells when it is probed: its figures as they were refreshed, the newest last.
-    refreshed: VecDeque<(Micros, LoadReport)>,
+    refreshed_reports: VecDeque<(Micros, LoadReport)>,
     /// Jobs offered since the last refresh.
-    came: u32,
+    offered_since_refresh: u32,
 }
 
 /// While cold, speeds are looked at anew this often.
-const COLD_STEP: Micros = SECOND / 4;
+const SLOW_START_STEP: Micros = SECOND / 4;
 
 impl Worker {
     /// One that has been up for long.
-    pub fn new(build: Build) -> Worker {
+    pub fn new(build: WorkerSpec) -> Worker {
         Worker {
-            build,
-            life: Life::Up,
+            spec: build,
+            process: ProcessState::Up,
             started_at: None,
-            slow: 1.0,
-            stuck: false,
-            silent: None,
-            refusing: false,
+            slowdown: 1.0,
+            is_stuck: false,
+            silent_class: None,
+            is_refusing: false,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            used: 0.0,
-            held: 0.0,
-            at: 0,
-            taken: VecDeque::new(),
-            epoch: 0,
-            done_work: 0.0,
-            report: (
+            used_slots: 0.0,
+            used_memory: 0.0,
+            accounted_until: 0,
+            slow_start_load: VecDeque::new(),
+            wake_epoch: 0,
+            completed_work: 0.0,
+            last_report: (
                 0,
                 LoadReport {
                     free_slots: Some(build.slots),
@@ -188,255 +188,264 @@
                     ..LoadReport::default()
                 },
             ),
-            refreshed: VecDeque::new(),
-            came: 0,
+            refreshed_reports: VecDeque::new(),
+            offered_since_refresh: 0,
         }
     }
 
     /// The share of its capacity that it has now.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    pub fn capacity_share(&self, now: Micros) -> f64 {
         let Some(start) = self.started_at else { return 1.0 };
-        let age = now.saturating_sub(start) as f64 / self.build.cold_for.max(1) as f64;
-        (self.build.cold_from + (1.0 - self.build.cold_from) * age).min(1.0)
+        let age = now.saturating_sub(start) as f64 / self.spec.slow_start_duration.max(1) as f64;
+        (self.spec.slow_start_share + (1.0 - self.spec.slow_start_share) * age).min(1.0)
     }
 
     /// Core-seconds that it can do in a second.
     pub fn capacity(&self, now: Micros) -> f64 {
-        self.build.cores.min(self.build.slots) * self.build.speed * self.warmth(now)
+        self.spec.cores.min(self.spec.slots) * self.spec.speed * self.capacity_share(now)
     }
 
     /// How fast each running job goes, in seconds of work a second.
     fn rate(&self, now: Micros) -> f64 {
-        if self.stuck {
+        if self.is_stuck {
             return 0.0;
         }
-        let share = if self.used > self.build.cores { self.build.cores / self.used } else { 1.0 };
-        self.build.speed * self.warmth(now) / self.slow * share
+        let share = if self.used_slots > self.spec.cores { self.spec.cores / self.used_slots } else { 1.0 };
+        self.spec.speed * self.capacity_share(now) / self.slowdown * share
     }
 
     /// Core-seconds still to do here, waiting ones included.
     pub fn backlog(&self) -> f64 {
-        let running: f64 = self.running.iter().map(|of| of.left * of.job.slots).sum();
+        let running: f64 = self.running.iter().map(|of| of.remaining_work * of.job.slots).sum();
         running + self.waiting.iter().map(|job| job.work * job.slots).sum::<f64>()
     }
 
     /// The share of a running job that is done; none of one that does not run here.
     pub fn progress(&self, now: Micros, attempt: u64) -> Option<f64> {
         let of = self.running.iter().find(|of| of.job.attempt == attempt)?;
-        let since = now.saturating_sub(self.at) as f64 / SECOND as f64 * self.rate(self.at);
-        Some(1.0 - ((of.left - since) / of.job.work.max(1e-12)).clamp(0.0, 1.0))
+        let since =
+            now.saturating_sub(self.accounted_until) as f64 / SECOND as f64 * self.rate(self.accounted_until);
+        Some(1.0 - ((of.remaining_work - since) / of.job.work.max(1e-12)).clamp(0.0, 1.0))
     }
 
     /// Jobs that it holds.
-    pub fn holds(&self) -> usize {
+    pub fn job_count(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
     /// Whether it takes new jobs.
-    pub fn takes(&self) -> bool {
-        self.life == Life::Up && !self.refusing
+    pub fn accepts_jobs(&self) -> bool {
+        self.process == ProcessState::Up && !self.is_refusing
     }
 
     /// Counts the running jobs up to now.
-    fn count(&mut self, now: Micros) {
-        let span = now.saturating_sub(self.at) as f64 / SECOND as f64;
-        let done = span * self.rate(self.at);
-        self.at = now;
+    fn account_progress(&mut self, now: Micros) {
+        let span = now.saturating_sub(self.accounted_until) as f64 / SECOND as f64;
+        let done = span * self.rate(self.accounted_until);
+        self.accounted_until = now;
         for of in &mut self.running {
-            let did = done.min(of.left);
-            self.done_work += did * of.job.slots;
-            of.left -= did;
+            let did = done.min(of.remaining_work);
+            self.completed_work += did * of.job.slots;
+            of.remaining_work -= did;
         }
     }
 
     /// A job comes.
-    pub fn offer(&mut self, now: Micros, job: Offered, effects: &mut Vec<Effect>) -> Offer {
-        match self.life {
-            Life::Vanished => return Offer::Vanished,
-            Life::Dead => return Offer::Dead,
-            _ if self.refusing => return Offer::Dead,
-            Life::Draining => return Offer::Full,
-            Life::Up => {}
+    pub fn offer(&mut self, now: Micros, job: OfferedJob, effects: &mut Vec<WorkerEffect>) -> OfferResult {
+        match self.process {
+            ProcessState::Unreachable => return OfferResult::Unreachable,
+            ProcessState::Stopped => return OfferResult::ConnectionRefused,
+            _ if self.is_refusing => return OfferResult::ConnectionRefused,
+            ProcessState::Draining => return OfferResult::QueueFull,
+            ProcessState::Up => {}
         }
-        self.came += 1;
-        self.count(now);
-        let fits = self.fits(&job);
-        if !fits && self.waiting.len() >= self.build.queue {
-            return Offer::Full;
+        self.offered_since_refresh += 1;
+        self.account_progress(now);
+        let fits = self.has_room_for(&job);
+        if !fits && self.waiting.len() >= self.spec.max_waiting {
+            return OfferResult::QueueFull;
         }
-        if self.falls(now, job.work * job.slots) {
-            effects.push(Effect::Fell);
-            self.die(now, Life::Dead, effects);
-            effects.push(Effect::Lost(job.attempt));
-            return Offer::Taken;
+        if self.becomes_overloaded(now, job.work * job.slots) {
+            effects.push(WorkerEffect::Overloaded);
+            self.stop(now, ProcessState::Stopped, effects);
+            effects.push(WorkerEffect::Lost(job.attempt));
+            return OfferResult::Accepted;
         }
         self.waiting.push_back(job);
-        self.start(effects);
-        Offer::Taken
+        self.start_waiting_jobs(effects);
+        OfferResult::Accepted
     }
 
-    fn fits(&self, job: &Offered) -> bool {
+    fn has_room_for(&self, job: &OfferedJob) -> bool {
         // A job wider than the machine runs alone.
-        let memory = self.held + job.memory <= self.build.memory;
-        (memory && self.used + job.slots <= self.build.slots) || self.running.is_empty()
+        let memory = self.used_memory + job.memory <= self.spec.memory;
+        (memory && self.used_slots + job.slots <= self.spec.slots) || self.running.is_empty()
     }
 
     /// Whether what it was sent while cold, this job included, is more than it bears.
-    fn falls(&mut self, now: Micros, load: f64) -> bool {
-        let Some(window) = self.build.fall_window else { return false };
-        if self.warmth(now) >= 1.0 {
-            self.taken.clear();
+    fn becomes_overloaded(&mut self, now: Micros, load: f64) -> bool {
+        let Some(window) = self.spec.overload_window else { return false };
+        if self.capacity_share(now) >= 1.0 {
+            self.slow_start_load.clear();
             return false;
         }
-        self.taken.push_back((now, load));
-        while self.taken.front().is_some_and(|&(at, _)| at + window < now) {
-            self.taken.pop_front();
+        self.slow_start_load.push_back((now, load));
+        while self.slow_start_load.front().is_some_and(|&(at, _)| at + window < now) {
+            self.slow_start_load.pop_front();
         }
-        let sent: f64 = self.taken.iter().map(|&(_, load)| load).sum();
-        sent > self.build.fall_multiple * self.capacity(now) * window as f64 / SECOND as f64
+        let sent: f64 = self.slow_start_load.iter().map(|&(_, load)| load).sum();
+        sent > self.spec.overload_multiple * self.capacity(now) * window as f64 / SECOND as f64
     }
 
-    fn start(&mut self, effects: &mut Vec<Effect>) {
+    fn start_waiting_jobs(&mut self, effects: &mut Vec<WorkerEffect>) {
         loop {
-            let next = match self.build.order {
-                Order::Fifo => self.waiting.front().filter(|job| self.fits(job)).map(|_| 0),
-                Order::Backfill => self.waiting.iter().position(|job| self.fits(job)),
+            let next = match self.spec.order {
+                Order::Fifo => self.waiting.front().filter(|job| self.has_room_for(job)).map(|_| 0),
+                Order::Backfill => self.waiting.iter().position(|job| self.has_room_for(job)),
                 Order::Priority => {
                     let places = self.waiting.iter().enumerate();
                     let first = places
-                        .max_by(|(a, one), (b, other)| one.worth.total_cmp(&other.worth).then(b.cmp(a)));
-                    first.filter(|(_, job)| self.fits(job)).map(|(at, _)| at)
+                        .max_by(|(a, one), (b, other)| one.weight.total_cmp(&other.weight).then(b.cmp(a)));
+                    first.filter(|(_, job)| self.has_room_for(job)).map(|(at, _)| at)
                 }
             };
             let Some(job) = next.and_then(|at| self.waiting.remove(at)) else { break };
-            self.used += job.slots;
-            self.held += job.memory;
-            self.running.push(Running { job, left: job.work });
-            effects.push(Effect::Started(job.attempt));
+            self.used_slots += job.slots;
+            self.used_memory += job.memory;
+            self.running.push(RunningJob { job, remaining_work: job.work });
+            effects.push(WorkerEffect::Started(job.attempt));
         }
-        self.epoch += 1;
+        self.wake_epoch += 1;
     }
 
     /// Time goes on to now: what is done by then ends, and what waits starts.
-    pub fn advance(&mut self, now: Micros, effects: &mut Vec<Effect>) {
-        self.count(now);
+    pub fn advance(&mut self, now: Micros, effects: &mut Vec<WorkerEffect>) {
+        self.account_progress(now);
         // Rounding to whole microseconds leaves up to one of work.
-        let rest = 2.0 / SECOND as f64 * self.build.speed.max(1.0);
+        let rest = 2.0 / SECOND as f64 * self.spec.speed.max(1.0);
         let mut at = 0;
         while at < self.running.len() {
-            if self.running[at].left > rest || self.stuck {
+            if self.running[at].remaining_work > rest || self.is_stuck {
                 at += 1;
                 continue;
             }
             let of = self.running.remove(at);
-            self.let_go(&of.job);
-            let told = self.silent != Some(of.job.class);
-            effects.push(Effect::Done { attempt: of.job.attempt, told });
+            self.release(&of.job);
+            let told = self.silent_class != Some(of.job.class);
+            effects.push(WorkerEffect::Finished { attempt: of.job.attempt, is_reported: told });
         }
-        self.start(effects);
+        self.start_waiting_jobs(effects);
     }
 
     /// When it must be looked at again, if at all.
-    pub fn next(&self, now: Micros) -> Option<Micros> {
+    pub fn next_wake(&self, now: Micros) -> Option<Micros> {
         let rate = self.rate(now);
-        let least = self.running.iter().map(|of| of.left).fold(f64::INFINITY, f64::min);
+        let least = self.running.iter().map(|of| of.remaining_work).fold(f64::INFINITY, f64::min);
         if !least.is_finite() || rate <= 0.0 {
             return None;
         }
         let ends = now + (least / rate * SECOND as f64).ceil().min(1e15) as Micros;
-        if self.warmth(now) < 1.0 { Some(ends.min(now + COLD_STEP)) } else { Some(ends) }
+        if self.capacity_share(now) < 1.0 { Some(ends.min(now + SLOW_START_STEP)) } else { Some(ends) }
     }
 
     /// What a scheduler no longer waits for stops, waiting or running; whether it was here.
-    pub fn cancel(&mut self, now: Micros, attempt: u64, effects: &mut Vec<Effect>) -> bool {
-        self.count(now);
+    pub fn cancel(&mut self, now: Micros, attempt: u64, effects: &mut Vec<WorkerEffect>) -> bool {
+        self.account_progress(now);
         if let Some(at) = self.running.iter().position(|of| of.job.attempt == attempt) {
             let of = self.running.remove(at);
-            self.let_go(&of.job);
+            self.release(&of.job);
         } else if let Some(at) = self.waiting.iter().position(|job| job.attempt == attempt) {
             self.waiting.remove(at);
         } else {
             return false;
         }
-        self.start(effects);
+        self.start_waiting_jobs(effects);
         true
     }
 
-    fn let_go(&mut self, job: &Offered) {
-        self.used -= job.slots;
-        self.held -= job.memory;
+    fn release(&mut self, job: &OfferedJob) {
+        self.used_slots -= job.slots;
+        self.used_memory -= job.memory;
         if self.running.is_empty() {
-            (self.used, self.held) = (0.0, 0.0);
+            (self.used_slots, self.used_memory) = (0.0, 0.0);
         }
     }
 
     /// Work beside the jobs, as for an answer: one core does it, and what runs there waits.
-    pub fn charge(&mut self, now: Micros, work: f64) {
-        self.count(now);
+    pub fn charge_side_work(&mut self, now: Micros, work: f64) {
+        self.account_progress(now);
         for of in &mut self.running {
-            of.left += work / self.build.cores;
+            of.remaining_work += work / self.spec.cores;
         }
-        self.epoch += 1;
+        self.wake_epoch += 1;
     }
 
     /// A change from outside: speeds, silence, refusal.
-    pub fn change(&mut self, now: Micros, change: impl FnOnce(&mut Worker)) {
-        self.count(now);
+    pub fn apply_change(&mut self, now: Micros, change: impl FnOnce(&mut Worker)) {
+        self.account_progress(now);
         change(self);
-        self.epoch += 1;
+        self.wake_epoch += 1;
     }
 
     /// It drains; with `hand_back`, waiting jobs are handed back unstarted.
-    pub fn drain(&mut self, now: Micros, hand_back: bool, effects: &mut Vec<Effect>) {
-        self.count(now);
-        if self.life == Life::Up {
-            self.life = Life::Draining;
+    pub fn drain(&mut self, now: Micros, hand_back: bool, effects: &mut Vec<WorkerEffect>) {
+        self.account_progress(now);
+        if self.process == ProcessState::Up {
+            self.process = ProcessState::Draining;
             if hand_back {
-                effects.extend(self.waiting.drain(..).map(|job| Effect::HandedBack(job.attempt)));
+                effects.extend(self.waiting.drain(..).map(|job| WorkerEffect::HandedBack(job.attempt)));
             }
         }
-        self.epoch += 1;
+        self.wake_epoch += 1;
     }
 
     /// Its process ends with all that it has, or its machine goes out of reach and tells nothing.
-    pub fn die(&mut self, now: Micros, life: Life, effects: &mut Vec<Effect>) {
-        self.count(now);
-        self.life = life;
-        let told = life == Life::Dead;
+    pub fn stop(&mut self, now: Micros, life: ProcessState, effects: &mut Vec<WorkerEffect>) {
+        self.account_progress(now);
+        self.process = life;
+        let told = life == ProcessState::Stopped;
         for attempt in
             self.running.drain(..).map(|of| of.job.attempt).chain(self.waiting.drain(..).map(|j| j.attempt))
         {
             if told {
-                effects.push(Effect::Lost(attempt));
+                effects.push(WorkerEffect::Lost(attempt));
             }
         }
-        (self.used, self.held) = (0.0, 0.0);
-        self.taken.clear();
-        self.epoch += 1;
+        (self.used_slots, self.used_memory) = (0.0, 0.0);
+        self.slow_start_load.clear();
+        self.wake_epoch += 1;
     }
 
     /// A new process, cold.
     pub fn restart(&mut self, now: Micros) {
-        self.count(now);
-        (self.life, self.started_at) = (Life::Up, Some(now));
-        (self.slow, self.stuck, self.silent, self.refusing) = (1.0, false, None, false);
-        self.refreshed.clear();
-        self.epoch += 1;
+        self.account_progress(now);
+        (self.process, self.started_at) = (ProcessState::Up, Some(now));
+        (self.slowdown, self.is_stuck, self.silent_class, self.is_refusing) = (1.0, false, None, false);
+        self.refreshed_reports.clear();
+        self.wake_epoch += 1;
     }
 
     /// A fault that meets it begins or is over; whether a new process started.
-    pub fn turn(&mut self, now: Micros, what: Trouble, begins: bool, effects: &mut Vec<Effect>) -> bool {
+    pub fn apply_fault(
+        &mut self,
+        now: Micros,
+        what: Trouble,
+        begins: bool,
+        effects: &mut Vec<WorkerEffect>,
+    ) -> bool {
         match what {
-            Trouble::Slow(factor) => self.change(now, |of| of.slow = if begins { factor } else { 1.0 }),
-            Trouble::Stuck => self.change(now, |of| of.stuck = begins),
-            Trouble::Silent(class) => self.change(now, |of| of.silent = begins.then_some(class)),
-            Trouble::Refusing => self.change(now, |of| of.refusing = begins),
-            Trouble::Crash if begins => self.die(now, Life::Dead, effects),
-            Trouble::Vanish if begins => self.die(now, Life::Vanished, effects),
+            Trouble::Slow(factor) => {
+                self.apply_change(now, |of| of.slowdown = if begins { factor } else { 1.0 })
+            }
+            Trouble::Stuck => self.apply_change(now, |of| of.is_stuck = begins),
+            Trouble::Silent(class) => self.apply_change(now, |of| of.silent_class = begins.then_some(class)),
+            Trouble::Refusing => self.apply_change(now, |of| of.is_refusing = begins),
+            Trouble::Crash if begins => self.stop(now, ProcessState::Stopped, effects),
+            Trouble::Vanish if begins => self.stop(now, ProcessState::Unreachable, effects),
             Trouble::Drain if begins => self.drain(now, true, effects),
             Trouble::Crash | Trouble::Vanish | Trouble::Drain => {
                 // What still ran there ends with the old process.
-                self.die(now, Life::Dead, effects);
+                self.stop(now, ProcessState::Stopped, effects);
                 self.restart(now);
                 return true;
             }
@@ -446,46 +455,47 @@
     }
 
     /// What is true of it now, for an oracle.
-    pub fn truth(&self, now: Micros) -> Truth {
-        let rate = self.build.speed * self.warmth(now) / self.slow;
-        let free = self.waiting.is_empty() && self.used < self.build.slots.min(self.build.cores);
-        let wait = if free { 0.0 } else { self.backlog() / (self.build.cores.min(self.build.slots) * rate) };
-        Truth { wait, rate, takes: self.takes() && !self.stuck }
+    pub fn true_state(&self, now: Micros) -> TrueState {
+        let rate = self.spec.speed * self.capacity_share(now) / self.slowdown;
+        let free = self.waiting.is_empty() && self.used_slots < self.spec.slots.min(self.spec.cores);
+        let wait = if free { 0.0 } else { self.backlog() / (self.spec.cores.min(self.spec.slots) * rate) };
+        TrueState { wait, rate, accepts_jobs: self.accepts_jobs() && !self.is_stuck }
     }
 
     /// Its figures for probes are refreshed, `every` so long; each has its noise, of so many slots.
-    pub fn refresh(&mut self, now: Micros, every: Micros, mut noise: impl FnMut() -> f64) {
-        let slots = self.build.slots;
-        let came = f64::from(std::mem::take(&mut self.came)) * SECOND as f64 / every.max(1) as f64;
+    pub fn refresh_load_report(&mut self, now: Micros, every: Micros, mut noise: impl FnMut() -> f64) {
+        let slots = self.spec.slots;
+        let came =
+            f64::from(std::mem::take(&mut self.offered_since_refresh)) * SECOND as f64 / every.max(1) as f64;
         let report = LoadReport {
             qps: Some((came + noise()).max(0.0)),
-            in_flight: Some((self.holds() as f64 + noise()).max(0.0)),
-            free_slots: Some((slots - self.used + noise()).clamp(0.0, slots)),
+            in_flight: Some((self.job_count() as f64 + noise()).max(0.0)),
+            free_slots: Some((slots - self.used_slots + noise()).clamp(0.0, slots)),
             ..LoadReport::default()
         };
-        self.refreshed.push_back((now, report));
+        self.refreshed_reports.push_back((now, report));
     }
 
     /// What it tells when it is probed: the newest figures that were refreshed `late` ago or before.
-    pub fn probed(&mut self, now: Micros, late: Micros) -> Option<LoadReport> {
-        while self.refreshed.get(1).is_some_and(|&(at, _)| at + late <= now) {
-            self.refreshed.pop_front();
+    pub fn answer_load_query(&mut self, now: Micros, late: Micros) -> Option<LoadReport> {
+        while self.refreshed_reports.get(1).is_some_and(|&(at, _)| at + late <= now) {
+            self.refreshed_reports.pop_front();
         }
-        self.refreshed.front().filter(|&&(at, _)| at + late <= now).map(|&(_, report)| report)
+        self.refreshed_reports.front().filter(|&&(at, _)| at + late <= now).map(|&(_, report)| report)
     }
 
     /// Its load report, as old as its refreshing makes it; `noise` spreads the figures.
-    pub fn report(&mut self, now: Micros, refresh: Micros, noise: impl FnOnce() -> f64) -> LoadReport {
-        if now >= self.report.0 + refresh {
-            let free = (self.build.slots - self.used).max(0.0);
+    pub fn load_report(&mut self, now: Micros, refresh: Micros, noise: impl FnOnce() -> f64) -> LoadReport {
+        if now >= self.last_report.0 + refresh {
+            let free = (self.spec.slots - self.used_slots).max(0.0);
             let report = LoadReport {
-                free_slots: Some((free + noise()).clamp(0.0, self.build.slots)),
+                free_slots: Some((free + noise()).clamp(0.0, self.spec.slots)),
                 queue: Some(self.waiting.len() as f64),
-                utilization: Some((self.used / self.build.cores).min(1.0)),
+                utilization: Some((self.used_slots / self.spec.cores).min(1.0)),
                 ..LoadReport::default()
             };
-            self.report = (now, report);
+            self.last_report = (now, report);
         }
-        self.report.1
+        self.last_report.1
     }
 }
--- a/crates/testbed/src/outcome.rs
+++ b/crates/testbed/src/outcome.rs
@@ -217,7 +217,7 @@
             probe_cost: scenario.reports.probe.map_or(0.0, |probe| probe.price) * self.probes as f64
                 / jobs.max(1) as f64,
             fell: self.fell,
-            work_done: self.workers.iter().map(|(worker, _)| worker.done_work).sum(),
+            work_done: self.workers.iter().map(|(worker, _)| worker.completed_work).sum(),
             held: self.held / (scenario.seconds * SECOND as f64),
             breaches,
             examples,
@@ -231,9 +231,9 @@
     let one = |((worker, zone), kind): (&(Worker, u32), &u32)| OfWorker {
         zone: *zone,
         kind: *kind,
-        capacity: worker.build.cores.min(worker.build.slots) * worker.build.speed * seconds,
+        capacity: worker.spec.cores.min(worker.spec.slots) * worker.spec.speed * seconds,
         // Work counts in seconds at speed 1, capacity in what the worker's own speed gives.
-        done: worker.done_work,
+        done: worker.completed_work,
     };
     workers.iter().zip(kinds).map(one).collect()
 }
--- a/crates/testbed/src/policy.rs
+++ b/crates/testbed/src/policy.rs
@@ -8,26 +8,26 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::{Deserialize, Serialize};
 
-use crate::model::chance::Chance;
-use crate::model::worker::Truth;
+use crate::model::random::RandomStream;
+use crate::model::worker::TrueState;
 
 /// One scheduler's decisions.
 pub trait Policy: DispatchPolicy {
     /// Whether it sees the truth before each job.
-    fn sees(&self) -> bool {
+    fn needs_true_state(&self) -> bool {
         false
     }
 
     /// The truth, by worker.
-    fn see(&mut self, _truth: &[Truth]) {}
+    fn observe_true_state(&mut self, _truth: &[TrueState]) {}
 }
 
 impl Policy for Dispatcher {}
 
 /// Which policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Kind {
+#[serde(rename = "Kind", rename_all = "snake_case", expecting = "enum Kind")]
+pub enum PolicyKind {
     /// The decision module.
     Copperspread,
     /// Any ready worker.
@@ -54,16 +54,16 @@
     FloodsTheNew,
 }
 
-impl Kind {
+impl PolicyKind {
     /// Those that are compared.
-    pub const COMPARED: [Kind; 7] = [
-        Kind::Copperspread,
-        Kind::Random,
-        Kind::RoundRobin,
-        Kind::LeastOutstanding,
-        Kind::TwoChoices,
-        Kind::LeastCost,
-        Kind::Oracle,
+    pub const COMPARED: [PolicyKind; 7] = [
+        PolicyKind::Copperspread,
+        PolicyKind::Random,
+        PolicyKind::RoundRobin,
+        PolicyKind::LeastOutstanding,
+        PolicyKind::TwoChoices,
+        PolicyKind::LeastCost,
+        PolicyKind::Oracle,
     ];
 
     /// Its name, as it is written.
@@ -75,27 +75,35 @@
     ///
     /// # Errors
     /// Settings that the decision module does not take.
-    pub fn make(self, settings: Settings, seed: u64, chance: Chance) -> Result<Box<dyn Policy>, String> {
+    pub fn build(
+        self,
+        settings: Settings,
+        seed: u64,
+        chance: RandomStream,
+    ) -> Result<Box<dyn Policy>, String> {
         let module = |settings| Dispatcher::new(settings, seed).map_err(|e| e.to_string());
         let asks = settings.discovery == Discovery::Polled;
-        let plain = |pick| Box::new(Baseline { asks, ..Baseline::new(pick, chance.clone()) });
+        let plain = |pick| Box::new(Baseline { must_subscribe: asks, ..Baseline::new(pick, chance.clone()) });
         Ok(match self {
-            Kind::Copperspread => Box::new(module(settings)?),
-            Kind::Random => plain(Pick::Random),
-            Kind::RoundRobin => plain(Pick::RoundRobin),
-            Kind::LeastOutstanding => plain(Pick::Least),
-            Kind::TwoChoices => plain(Pick::Two),
-            Kind::LeastCost => plain(Pick::Cost),
-            Kind::Oracle => plain(Pick::Truth),
-            Kind::FloodsTheNew => plain(Pick::Newest),
-            Kind::AnswersTwice | Kind::NeverAnswers | Kind::Resends | Kind::IgnoresDrains => {
+            PolicyKind::Copperspread => Box::new(module(settings)?),
+            PolicyKind::Random => plain(SelectionRule::Random),
+            PolicyKind::RoundRobin => plain(SelectionRule::RoundRobin),
+            PolicyKind::LeastOutstanding => plain(SelectionRule::LeastOutstanding),
+            PolicyKind::TwoChoices => plain(SelectionRule::TwoChoices),
+            PolicyKind::LeastCost => plain(SelectionRule::LeastCost),
+            PolicyKind::Oracle => plain(SelectionRule::EarliestTrueFinish),
+            PolicyKind::FloodsTheNew => plain(SelectionRule::Newest),
+            PolicyKind::AnswersTwice
+            | PolicyKind::NeverAnswers
+            | PolicyKind::Resends
+            | PolicyKind::IgnoresDrains => {
                 let inner = module(settings)?;
-                Box::new(Broken {
+                Box::new(FaultyPolicy {
                     inner,
-                    how: self,
-                    entries: Vec::new(),
-                    count: 0,
-                    resent: FxHashMap::default(),
+                    fault: self,
+                    endpoints: Vec::new(),
+                    served_count: 0,
+                    sent_to: FxHashMap::default(),
                     taken_over: FxHashSet::default(),
                 })
             }
@@ -104,71 +112,71 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Pick {
+enum SelectionRule {
     Random,
     RoundRobin,
-    Least,
-    Two,
-    Cost,
-    Truth,
+    LeastOutstanding,
+    TwoChoices,
+    LeastCost,
+    EarliestTrueFinish,
     Newest,
 }
 
 /// A textbook policy: picks at arrival, and tries once more where an attempt never ran.
 struct Baseline {
-    pick: Pick,
-    chance: Chance,
+    rule: SelectionRule,
+    random: RandomStream,
     workers: Vec<(WorkerState, Option<Micros>)>,
     ready: Vec<u32>,
     outstanding: Vec<u32>,
     /// Work of this scheduler at each worker, in core-seconds by hint.
-    cost: Vec<f64>,
+    outstanding_work: Vec<f64>,
     /// Each worker's speed, as its jobs' running times against their hints tell.
-    speed: Vec<f64>,
+    learned_speed: Vec<f64>,
     /// The list must be asked for.
-    asks: bool,
-    turn: usize,
-    truth: Vec<Truth>,
-    open: FxHashMap<RequestId, Open>,
+    must_subscribe: bool,
+    rotation: usize,
+    true_states: Vec<TrueState>,
+    open_requests: FxHashMap<RequestId, OpenRequest>,
 }
 
-struct Open {
+struct OpenRequest {
     job: IncomingRequest,
     deadline: Micros,
-    at: Vec<WorkerId>,
+    attempted: Vec<WorkerId>,
     /// When its last attempt was sent or, later, told to have started.
-    since: Micros,
+    started_at: Micros,
     answered: bool,
 }
 
 /// A job's work by its hint, in core-seconds.
-fn work(job: &IncomingRequest) -> f64 {
+fn hinted_work(job: &IncomingRequest) -> f64 {
     job.cost_hint.unwrap_or(1.0) * job.slots.unwrap_or(1.0)
 }
 
 /// Most attempts of a baseline.
-const TRIES: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 /// How much of a learned speed one job's time replaces.
-const SPEED_GAIN: f64 = 0.1;
+const SPEED_LEARNING_RATE: f64 = 0.1;
 
 impl Baseline {
-    fn new(pick: Pick, chance: Chance) -> Baseline {
+    fn new(pick: SelectionRule, chance: RandomStream) -> Baseline {
         Baseline {
-            pick,
-            chance,
+            rule: pick,
+            random: chance,
             workers: Vec::new(),
             ready: Vec::new(),
             outstanding: Vec::new(),
-            cost: Vec::new(),
-            speed: Vec::new(),
-            asks: false,
-            turn: 0,
-            truth: Vec::new(),
-            open: FxHashMap::default(),
+            outstanding_work: Vec::new(),
+            learned_speed: Vec::new(),
+            must_subscribe: false,
+            rotation: 0,
+            true_states: Vec::new(),
+            open_requests: FxHashMap::default(),
         }
     }
 
-    fn roster(&mut self, roster: EndpointUpdate<'_>) {
+    fn update_endpoints(&mut self, roster: EndpointUpdate<'_>) {
         if matches!(roster.kind, EndpointUpdateKind::Full | EndpointUpdateKind::Cached) {
             self.workers.iter_mut().for_each(|worker| worker.0 = WorkerState::Removed);
         }
@@ -177,8 +185,8 @@
             if self.workers.len() <= at {
                 self.workers.resize(at + 1, (WorkerState::Removed, None));
                 self.outstanding.resize(at + 1, 0);
-                self.cost.resize(at + 1, 0.0);
-                self.speed.resize(at + 1, 1.0);
+                self.outstanding_work.resize(at + 1, 0.0);
+                self.learned_speed.resize(at + 1, 1.0);
             }
             self.workers[at] = (entry.state, entry.started_at);
         }
@@ -191,49 +199,50 @@
             [] => std::mem::take(&mut self.ready),
             tried => self.ready.iter().copied().filter(|&at| !tried.contains(&WorkerId(at))).collect(),
         };
-        let chosen = self.of(job, &ready);
+        let chosen = self.select(job, &ready);
         if tried.is_empty() {
             self.ready = ready;
         }
         chosen
     }
 
-    fn of(&mut self, job: &IncomingRequest, ready: &[u32]) -> Option<u32> {
+    fn select(&mut self, job: &IncomingRequest, ready: &[u32]) -> Option<u32> {
         if ready.is_empty() {
             return None;
         }
-        let any = |chance: &mut Chance| ready[chance.random_range(0..ready.len())];
-        Some(match self.pick {
-            Pick::Random => any(&mut self.chance),
-            Pick::RoundRobin => {
-                self.turn += 1;
-                ready[self.turn % ready.len()]
+        let any = |chance: &mut RandomStream| ready[chance.random_range(0..ready.len())];
+        Some(match self.rule {
+            SelectionRule::Random => any(&mut self.random),
+            SelectionRule::RoundRobin => {
+                self.rotation += 1;
+                ready[self.rotation % ready.len()]
             }
-            Pick::Two => {
-                let (one, two) = (any(&mut self.chance), any(&mut self.chance));
+            SelectionRule::TwoChoices => {
+                let (one, two) = (any(&mut self.random), any(&mut self.random));
                 if self.outstanding[two as usize] < self.outstanding[one as usize] { two } else { one }
             }
-            Pick::Least => {
+            SelectionRule::LeastOutstanding => {
                 // Ties go round, so that an idle fleet is used as a whole.
-                self.turn += 1;
-                let from = self.turn % ready.len();
+                self.rotation += 1;
+                let from = self.rotation % ready.len();
                 let order = (0..ready.len()).map(|step| ready[(from + step) % ready.len()]);
                 order.min_by_key(|&at| self.outstanding[at as usize])?
             }
-            Pick::Cost => {
+            SelectionRule::LeastCost => {
                 // Ties go round, as above.
-                self.turn += 1;
-                let (from, own) = (self.turn % ready.len(), work(job));
-                let cost = |at: u32| (self.cost[at as usize] + own) / self.speed[at as usize];
+                self.rotation += 1;
+                let (from, own) = (self.rotation % ready.len(), hinted_work(job));
+                let cost =
+                    |at: u32| (self.outstanding_work[at as usize] + own) / self.learned_speed[at as usize];
                 let order = (0..ready.len()).map(|step| ready[(from + step) % ready.len()]);
                 order.min_by(|&a, &b| cost(a).total_cmp(&cost(b)))?
             }
-            Pick::Newest => ready.iter().copied().max_by_key(|&at| self.workers[at as usize].1)?,
-            Pick::Truth => {
+            SelectionRule::Newest => ready.iter().copied().max_by_key(|&at| self.workers[at as usize].1)?,
+            SelectionRule::EarliestTrueFinish => {
                 let ends = |at: u32| {
-                    let of = self.truth.get(at as usize).copied().unwrap_or_default();
+                    let of = self.true_states.get(at as usize).copied().unwrap_or_default();
                     let work = job.cost_hint.unwrap_or(1.0);
-                    if of.takes { of.wait + work / of.rate.max(1e-9) } else { f64::INFINITY }
+                    if of.accepts_jobs { of.wait + work / of.rate.max(1e-9) } else { f64::INFINITY }
                 };
                 let best = ready.iter().copied().min_by(|&a, &b| ends(a).total_cmp(&ends(b)))?;
                 if ends(best) * SECOND as f64 > job.time_left as f64 {
@@ -244,16 +253,16 @@
         })
     }
 
-    fn send(&mut self, now: Micros, id: RequestId, mut open: Open, actions: &mut Vec<Action>) {
-        match self.choose(&open.job, &open.at) {
+    fn send(&mut self, now: Micros, id: RequestId, mut open: OpenRequest, actions: &mut Vec<Action>) {
+        match self.choose(&open.job, &open.attempted) {
             Some(at) => {
                 let worker = WorkerId(at);
-                open.at.push(worker);
+                open.attempted.push(worker);
                 self.outstanding[at as usize] += 1;
-                self.cost[at as usize] += work(&open.job);
-                open.since = now;
+                self.outstanding_work[at as usize] += hinted_work(&open.job);
+                open.started_at = now;
                 actions.push(Action::Send { request: id, worker, estimate: 0 });
-                self.open.insert(id, open);
+                self.open_requests.insert(id, open);
             }
             None => actions.push(Action::Reject {
                 request: id,
@@ -263,23 +272,27 @@
         }
     }
 
-    fn outcome(&mut self, now: Micros, end: AttemptOutcome, actions: &mut Vec<Action>) {
-        let Some(mut open) = self.open.remove(&end.request) else { return };
-        if let Some(worker) = open.at.get(end.attempt as usize) {
+    fn complete_attempt(&mut self, now: Micros, end: AttemptOutcome, actions: &mut Vec<Action>) {
+        let Some(mut open) = self.open_requests.remove(&end.request) else { return };
+        if let Some(worker) = open.attempted.get(end.attempt as usize) {
             let at = worker.0 as usize;
             self.outstanding[at] = self.outstanding[at].saturating_sub(1);
             // What is left of many sums and differences is no work.
-            self.cost[at] = if self.outstanding[at] == 0 { 0.0 } else { self.cost[at] - work(&open.job) };
-            let took = now.saturating_sub(open.since) as f64 / SECOND as f64;
+            self.outstanding_work[at] = if self.outstanding[at] == 0 {
+                0.0
+            } else {
+                self.outstanding_work[at] - hinted_work(&open.job)
+            };
+            let took = now.saturating_sub(open.started_at) as f64 / SECOND as f64;
             if end.outcome == Outcome::Served && took > 0.0 {
                 let speed = (open.job.cost_hint.unwrap_or(1.0) / took).clamp(0.05, 5.0);
-                self.speed[at] += (speed - self.speed[at]) * SPEED_GAIN;
+                self.learned_speed[at] += (speed - self.learned_speed[at]) * SPEED_LEARNING_RATE;
             }
         }
         if end.request_finished || open.answered {
             return;
         }
-        if end.outcome.never_ran() && open.at.len() < TRIES && now < open.deadline {
+        if end.outcome.never_ran() && open.attempted.len() < MAX_ATTEMPTS && now < open.deadline {
             return self.send(now, end.request, open, actions);
         }
         open.answered = true;
@@ -292,61 +305,63 @@
         match event {
             Event::Endpoints(roster) => {
                 // Awake, or turned away.
-                if self.asks && matches!(roster.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed)
+                if self.must_subscribe
+                    && matches!(roster.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed)
                 {
                     actions.push(Action::Subscribe);
                 }
                 if roster.kind != EndpointUpdateKind::Failed {
-                    self.roster(roster);
+                    self.update_endpoints(roster);
                 }
             }
             Event::AttemptProgress { request, progress: Progress::Started, .. } => {
-                if let Some(open) = self.open.get_mut(&request) {
-                    open.since = now;
+                if let Some(open) = self.open_requests.get_mut(&request) {
+                    open.started_at = now;
                 }
             }
             Event::Request(job) => {
                 let deadline = now + job.time_left;
-                let open = Open { job, deadline, at: Vec::new(), since: now, answered: false };
+                let open =
+                    OpenRequest { job, deadline, attempted: Vec::new(), started_at: now, answered: false };
                 self.send(now, job.request, open, actions);
             }
-            Event::AttemptCompleted(end) => self.outcome(now, end, actions),
+            Event::AttemptCompleted(end) => self.complete_attempt(now, end, actions),
             _ => {}
         }
     }
 }
 
 impl Policy for Baseline {
-    fn sees(&self) -> bool {
-        self.pick == Pick::Truth
+    fn needs_true_state(&self) -> bool {
+        self.rule == SelectionRule::EarliestTrueFinish
     }
 
-    fn see(&mut self, truth: &[Truth]) {
-        self.truth.clear();
-        self.truth.extend_from_slice(truth);
+    fn observe_true_state(&mut self, truth: &[TrueState]) {
+        self.true_states.clear();
+        self.true_states.extend_from_slice(truth);
     }
 }
 
 /// The module behind a fault of the kind that the referee must see.
-struct Broken {
+struct FaultyPolicy {
     inner: Dispatcher,
-    how: Kind,
-    entries: Vec<Endpoint>,
-    count: u64,
-    resent: FxHashMap<RequestId, Vec<WorkerId>>,
+    fault: PolicyKind,
+    endpoints: Vec<Endpoint>,
+    served_count: u64,
+    sent_to: FxHashMap<RequestId, Vec<WorkerId>>,
     taken_over: FxHashSet<RequestId>,
 }
 
-impl Broken {
+impl FaultyPolicy {
     /// A worker of another zone than those tried, if there is one.
-    fn elsewhere(&self, tried: &[WorkerId]) -> Option<WorkerId> {
+    fn untried_zone_worker(&self, tried: &[WorkerId]) -> Option<WorkerId> {
         let zones: Vec<u32> = self
-            .entries
+            .endpoints
             .iter()
             .filter(|entry| tried.contains(&entry.worker))
             .map(|entry| entry.zone)
             .collect();
-        let fresh = self.entries.iter().filter(|entry| {
+        let fresh = self.endpoints.iter().filter(|entry| {
             entry.state == WorkerState::Ready
                 && !tried.contains(&entry.worker)
                 && !zones.contains(&entry.zone)
@@ -355,17 +370,17 @@
     }
 }
 
-impl Policy for Broken {}
+impl Policy for FaultyPolicy {}
 
-impl DispatchPolicy for Broken {
+impl DispatchPolicy for FaultyPolicy {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         let from = actions.len();
         if let Event::Endpoints(roster) = event {
             for entry in roster.endpoints {
-                self.entries.retain(|known| known.worker != entry.worker);
-                self.entries.push(*entry);
+                self.endpoints.retain(|known| known.worker != entry.worker);
+                self.endpoints.push(*entry);
             }
-            if self.how == Kind::IgnoresDrains {
+            if self.fault == PolicyKind::IgnoresDrains {
                 let ready = |entry: &Endpoint| Endpoint { state: WorkerState::Ready, ..*entry };
                 let entries: Vec<_> = roster.endpoints.iter().map(ready).collect();
                 let roster = EndpointUpdate { endpoints: &entries, ..roster };
@@ -375,11 +390,11 @@
         self.inner.handle(now, event, actions);
         for action in &actions[from..] {
             if let Action::Send { request, worker, .. } = action {
-                self.resent.entry(*request).or_default().push(*worker);
+                self.sent_to.entry(*request).or_default().push(*worker);
             }
         }
         let final_answer = |action: &Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
-        if let (Kind::Resends, Event::AttemptCompleted(end)) = (self.how, event)
+        if let (PolicyKind::Resends, Event::AttemptCompleted(end)) = (self.fault, event)
             && !end.request_finished
         {
             let id = end.request;
@@ -387,12 +402,12 @@
             let taken_over = self.taken_over.contains(&id);
             let may_have_run = matches!(end.outcome, Outcome::Reset | Outcome::Error);
             if taken_over || may_have_run {
-                let tried = self.resent.get(&id).cloned().unwrap_or_default();
+                let tried = self.sent_to.get(&id).cloned().unwrap_or_default();
                 actions.retain(|action| !matches!(action, Action::Fail { request } if *request == id));
-                match self.elsewhere(&tried).filter(|_| may_have_run && actions.len() == from) {
+                match self.untried_zone_worker(&tried).filter(|_| may_have_run && actions.len() == from) {
                     Some(worker) => {
                         self.taken_over.insert(id);
-                        self.resent.entry(id).or_default().push(worker);
+                        self.sent_to.entry(id).or_default().push(worker);
                         actions.push(Action::Send { request: id, worker, estimate: 0 });
                     }
                     None if actions.len() == from => actions.push(Action::Fail { request: id }),
@@ -400,14 +415,14 @@
                 }
             }
         }
-        match self.how {
-            Kind::NeverAnswers => actions.retain(|action| !final_answer(action)),
-            Kind::AnswersTwice => {
+        match self.fault {
+            PolicyKind::NeverAnswers => actions.retain(|action| !final_answer(action)),
+            PolicyKind::AnswersTwice => {
                 if let Event::AttemptCompleted(AttemptOutcome { request, outcome: Outcome::Served, .. }) =
                     event
                 {
-                    self.count += 1;
-                    if self.count.is_multiple_of(10) {
+                    self.served_count += 1;
+                    if self.served_count.is_multiple_of(10) {
                         actions.push(Action::Fail { request });
                     }
                 }
--- a/crates/testbed/src/sim.rs
+++ b/crates/testbed/src/simulation.rs
@@ -17,13 +17,13 @@
 use rustc_hash::FxHashMap;
 
 use crate::model::arrivals::{Arrival, Arrivals};
-use crate::model::chance::{Chance, Stream, stream};
-use crate::model::fleet::{Fleet, Turn, cold_budget};
-use crate::model::keys::{Keys, Repeat, group};
-use crate::model::wire::{Cut, Wire};
-use crate::model::worker::{self, Offer, Offered, Truth, Worker};
+use crate::model::connection_faults::{ConnectionFaults, DeliveryResult};
+use crate::model::fleet::{FaultTransition, Fleet, slow_start_budget};
+use crate::model::idempotency_keys::{DuplicateOutcome, KeyHistory, key_group};
+use crate::model::random::{RandomStream, StreamPurpose, random_stream};
+use crate::model::worker::{self, OfferResult, OfferedJob, TrueState, Worker};
 use crate::outcome::{End, Outcome, Played, Tally};
-use crate::policy::{Kind, Policy};
+use crate::policy::{Policy, PolicyKind};
 use crate::referee::{Heard, Referee};
 use crate::scenario::{CONNECT, Scenario, Trouble, micros};
 
@@ -56,7 +56,7 @@
     Overdue(u64),
     Answer(u64, Final),
     GiveUp(u64),
-    Turn(Turn),
+    Turn(FaultTransition),
     Contradict(bool),
     /// The list's sizes are renewed.
     Sizes,
@@ -105,7 +105,7 @@
     ended: bool,
     /// Requests and attempts that still know of it.
     open: u32,
-    keys: Keys,
+    keys: KeyHistory,
 }
 
 /// A request at a scheduler.
@@ -161,7 +161,7 @@
 ///
 /// # Errors
 /// Settings that the policy does not take.
-pub fn play(scenario: &Scenario, kind: Kind, seed: u64) -> Result<Outcome, String> {
+pub fn simulate(scenario: &Scenario, kind: PolicyKind, seed: u64) -> Result<Outcome, String> {
     let mut sim = Sim::new(scenario, kind, seed)?;
     while let Some(Reverse(Timed(at, _, event))) = sim.heap.pop() {
         sim.hold(at);
@@ -177,9 +177,9 @@
     number: u64,
     heap: BinaryHeap<Reverse<Timed>>,
     arrivals: Arrivals<'a>,
-    network: Chance,
-    retries: Chance,
-    noise: Chance,
+    network: RandomStream,
+    retries: RandomStream,
+    noise: RandomStream,
     workers: Vec<(Worker, u32)>,
     kinds: Vec<u32>,
     cells: Vec<u32>,
@@ -195,12 +195,12 @@
     /// The sizes that were last renewed, by worker.
     sizes: Vec<f64>,
     reports_late: Micros,
-    wires: Vec<Wire>,
+    wires: Vec<ConnectionFaults>,
     /// From when on each connection stands idle, by scheduler and worker.
     connections: FxHashMap<(u32, u32), Vec<Micros>>,
     /// The whole list as it was when it began to contradict itself.
     contradicted: Option<Arc<Vec<Endpoint>>>,
-    kind: Kind,
+    kind: PolicyKind,
     seed: u64,
     actions: Vec<Action>,
     referee: Referee,
@@ -214,13 +214,14 @@
 }
 
 impl<'a> Sim<'a> {
-    fn new(scenario: &'a Scenario, kind: Kind, seed: u64) -> Result<Sim<'a>, String> {
-        let mut fleet = Fleet::draw(scenario, seed);
+    fn new(scenario: &'a Scenario, kind: PolicyKind, seed: u64) -> Result<Sim<'a>, String> {
+        let mut fleet = Fleet::generate(scenario, seed);
         let mut schedulers = Vec::new();
         let subscribed = !scenario.discovery.on_request;
         for number in 0..scenario.schedulers {
             let own = seed.wrapping_add(u64::from(number) * 7919);
-            let policy = kind.make(scenario.settings(number), own, stream(own, Stream::Network))?;
+            let policy =
+                kind.build(scenario.settings(number), own, random_stream(own, StreamPurpose::Network))?;
             let zone = number % scenario.zones;
             schedulers.push(Scheduler {
                 policy,
@@ -238,9 +239,9 @@
             number: 0,
             heap: BinaryHeap::new(),
             arrivals: Arrivals::new(scenario, seed),
-            network: stream(seed, Stream::Network),
-            retries: stream(seed, Stream::Retries),
-            noise: stream(seed, Stream::Reports),
+            network: random_stream(seed, StreamPurpose::Network),
+            retries: random_stream(seed, StreamPurpose::Retries),
+            noise: random_stream(seed, StreamPurpose::Reports),
             workers: std::mem::take(&mut fleet.workers),
             kinds: std::mem::take(&mut fleet.kinds),
             cells: std::mem::take(&mut fleet.cells),
@@ -254,13 +255,16 @@
             discovery_down: 0,
             sizes: Vec::new(),
             reports_late: 0,
-            wires: vec![Wire::default(); scenario.workers.iter().map(|of| of.count as usize).sum()],
+            wires: vec![
+                ConnectionFaults::default();
+                scenario.workers.iter().map(|of| of.count as usize).sum()
+            ],
             connections: FxHashMap::default(),
             contradicted: None,
             kind,
             seed,
             actions: Vec::new(),
-            referee: Referee::new(cold_budget(scenario)),
+            referee: Referee::new(slow_start_budget(scenario)),
             tally: Tally::new(scenario.classes.len(), scenario.zones),
             events: 0,
             attempts_sent: 0,
@@ -269,11 +273,11 @@
             fell: 0,
             held: (0, 0.0),
         };
-        sim.begin(&fleet.gone, &fleet.turns);
+        sim.begin(&fleet.missing_workers, &fleet.fault_transitions);
         Ok(sim)
     }
 
-    fn begin(&mut self, gone: &[u32], turns: &[Turn]) {
+    fn begin(&mut self, gone: &[u32], turns: &[FaultTransition]) {
         let entries = self.list();
         // The list of before the start names some that are not there.
         let mut remembered = entries.clone();
@@ -330,10 +334,10 @@
             zone: *zone,
             kind: self.kinds[at as usize],
             cell: self.cells[at as usize],
-            state: match worker.life {
-                worker::Life::Up => WorkerState::Ready,
-                worker::Life::Draining => WorkerState::Draining,
-                worker::Life::Dead | worker::Life::Vanished => WorkerState::Removed,
+            state: match worker.process {
+                worker::ProcessState::Up => WorkerState::Ready,
+                worker::ProcessState::Draining => WorkerState::Draining,
+                worker::ProcessState::Stopped | worker::ProcessState::Unreachable => WorkerState::Removed,
             },
             started_at: worker.started_at.map(|at| at + EPOCH),
             size: (self.scenario.discovery.sizes > 0.0).then(|| self.size(at)),
@@ -350,7 +354,7 @@
     fn size(&self, at: u32) -> f64 {
         let of = &self.scenario.workers[self.kinds[at as usize] as usize];
         let idle = of.cores * (of.speed[0] + of.speed[1]) / 2.0;
-        idle / (1.0 + self.workers[at as usize].0.holds() as f64 / of.cores)
+        idle / (1.0 + self.workers[at as usize].0.job_count() as f64 / of.cores)
     }
 
     /// All who take work and whose size is another than when it was last told are listed anew.
@@ -359,7 +363,7 @@
         let told = std::mem::replace(&mut self.sizes, now);
         let changed = (0..self.workers.len() as u32).filter(|&at| {
             let (size, takes) =
-                (self.sizes[at as usize], self.workers[at as usize].0.life == worker::Life::Up);
+                (self.sizes[at as usize], self.workers[at as usize].0.process == worker::ProcessState::Up);
             takes && told.get(at as usize).is_none_or(|&old| old != size)
         });
         let entries: Vec<_> = changed.map(|at| self.entry(at)).collect();
@@ -431,7 +435,7 @@
                 let gives_up = arrival.at + micros(self.scenario.classes[arrival.class as usize].deadline);
                 let retries = self.scenario.clients.retries;
                 let job = self.next_id;
-                let (ended, keys) = (false, Keys::default());
+                let (ended, keys) = (false, KeyHistory::default());
                 let asked = Asked { of: arrival, gives_up, retries, ended, open: 0, keys };
                 self.jobs.insert(job, asked);
                 self.try_once(job);
@@ -444,7 +448,7 @@
             Ev::Ask(request) => self.ask(request),
             Ev::AtWorker(attempt) => self.at_worker(attempt),
             Ev::Wake(worker, epoch) => {
-                if self.workers[worker as usize].0.epoch == epoch {
+                if self.workers[worker as usize].0.wake_epoch == epoch {
                     let mut effects = Vec::new();
                     self.workers[worker as usize].0.advance(self.now, &mut effects);
                     self.effects(worker, effects);
@@ -635,13 +639,14 @@
             class: asked.of.class,
             tenant: 0,
             slots: Some(asked.of.slots),
-            cost_hint: asked.of.hint,
+            cost_hint: asked.of.cost_hint,
             time_left: deadline.saturating_sub(self.now),
         };
         self.at(deadline, Ev::Overdue(request));
-        if self.schedulers[scheduler as usize].policy.sees() {
-            let truth: Vec<Truth> = self.workers.iter().map(|(worker, _)| worker.truth(self.now)).collect();
-            self.schedulers[scheduler as usize].policy.see(&truth);
+        if self.schedulers[scheduler as usize].policy.needs_true_state() {
+            let truth: Vec<TrueState> =
+                self.workers.iter().map(|(worker, _)| worker.true_state(self.now)).collect();
+            self.schedulers[scheduler as usize].policy.observe_true_state(&truth);
         }
         self.tell(scheduler, Event::Request(job));
     }
@@ -772,7 +777,7 @@
             let refresh = micros(self.scenario.reports.refresh) + self.reports_late;
             let (noise, sigma) = (&mut self.noise, self.scenario.reports.noise);
             let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
-            self.workers[worker as usize].0.report(self.now, refresh, draw)
+            self.workers[worker as usize].0.load_report(self.now, refresh, draw)
         });
         let finished = self.flows.get(&request).is_none_or(|flow| flow.answered);
         let end = AttemptOutcome {
@@ -807,7 +812,7 @@
         if outcome == Ended::Served {
             self.referee.made(RequestId(request));
         }
-        let way = self.way(from, to) + self.wires[worker as usize].late;
+        let way = self.way(from, to) + self.wires[worker as usize].callback_delay;
         self.at(self.now + way, Ev::Outcome(id, outcome));
     }
 
@@ -827,41 +832,41 @@
         let group = self.group(worker, effect);
         // A repeat of a keyed job is dropped in its group, and hears what becomes of the first.
         if let Idempotency::IdempotentWithKey { window, .. } = effect
-            && self.workers[worker as usize].0.takes()
+            && self.workers[worker as usize].0.accepts_jobs()
             && let Some(repeat) =
-                self.jobs.get_mut(&job).and_then(|of| of.keys.repeat(id, group, self.now, window))
+                self.jobs.get_mut(&job).and_then(|of| of.keys.check_duplicate(id, group, self.now, window))
         {
             self.referee.took(self.now, job, id, effect, group, sent_at);
-            if repeat == Repeat::Done {
+            if repeat == DuplicateOutcome::AlreadyServed {
                 self.back(id, Ended::Served);
                 self.left_worker(id);
             }
             return;
         }
-        match self.wires[worker as usize].meets(self.network.random()) {
-            Cut::Whole => {}
-            Cut::Before | Cut::Garbage => {
+        match self.wires[worker as usize].delivery_result(self.network.random()) {
+            DeliveryResult::Delivered => {}
+            DeliveryResult::ResetBeforeTaken | DeliveryResult::InvalidResponse => {
                 self.back(id, Ended::Reset);
                 return self.left_worker(id);
             }
-            Cut::Fails => {
+            DeliveryResult::ImmediateError => {
                 // Nobody is told that it never ran: whoever sends it on must reckon with it.
                 self.referee.took(self.now, job, id, effect, group, sent_at);
                 self.referee.ran(self.now, job, effect);
                 self.back(id, Ended::Error);
                 return self.left_worker(id);
             }
-            Cut::After => {
+            DeliveryResult::ResetAfterTaken => {
                 self.back(id, Ended::Reset);
                 if let Some(of) = self.attempts.get_mut(&id) {
                     of.breaks = true;
                 }
             }
         }
-        let offered = of_job.offered(id, class);
+        let offered = of_job.to_offered_job(id, class);
         let mut effects = Vec::new();
         match self.workers[worker as usize].0.offer(self.now, offered, &mut effects) {
-            Offer::Taken => {
+            OfferResult::Accepted => {
                 self.held.0 += 1;
                 self.referee.took(self.now, job, id, effect, group, sent_at);
                 if let Some(asked) = self
@@ -869,19 +874,19 @@
                     .get_mut(&job)
                     .filter(|_| matches!(effect, Idempotency::IdempotentWithKey { .. }))
                 {
-                    asked.keys.took(id, group, self.now);
+                    asked.keys.record_taken(id, group, self.now);
                 }
                 self.effects(worker, effects);
             }
-            Offer::Full => {
+            OfferResult::QueueFull => {
                 self.back(id, Ended::Rejected);
                 self.left_worker(id);
             }
-            Offer::Dead => {
+            OfferResult::ConnectionRefused => {
                 self.back(id, Ended::ConnectFailed);
                 self.left_worker(id);
             }
-            Offer::Vanished => {
+            OfferResult::Unreachable => {
                 self.at(self.now + CONNECT, Ev::Outcome(id, Ended::ConnectFailed));
                 self.left_worker(id);
             }
@@ -891,7 +896,7 @@
     /// The group in which a worker drops repeats of a job's key.
     fn group(&self, worker: u32, effect: Idempotency) -> u32 {
         let Idempotency::IdempotentWithKey { scope, .. } = effect else { return 0 };
-        group(scope, self.workers[worker as usize].1, self.cells[worker as usize])
+        key_group(scope, self.workers[worker as usize].1, self.cells[worker as usize])
     }
 
     /// An attempt that was given up stops at its worker, and its key is forgotten with it.
@@ -906,34 +911,34 @@
         }
         self.held.0 -= 1;
         if let Some(asked) = self.jobs.get_mut(&of.job) {
-            asked.keys.handed_back(id);
+            asked.keys.record_handed_back(id);
         }
         self.tell_dropped(id, Ended::Error);
         self.left_worker(id);
         self.effects(worker, effects);
     }
 
-    fn effects(&mut self, worker: u32, effects: Vec<worker::Effect>) {
+    fn effects(&mut self, worker: u32, effects: Vec<worker::WorkerEffect>) {
         for effect in effects {
             match effect {
-                worker::Effect::Done { attempt: id, .. } => self.probe_back(id, Ended::Served, 0),
-                worker::Effect::Lost(id) => self.probe_back(id, Ended::Reset, 0),
-                worker::Effect::HandedBack(id) => self.probe_back(id, Ended::Rejected, 0),
+                worker::WorkerEffect::Finished { attempt: id, .. } => self.probe_back(id, Ended::Served, 0),
+                worker::WorkerEffect::Lost(id) => self.probe_back(id, Ended::Reset, 0),
+                worker::WorkerEffect::HandedBack(id) => self.probe_back(id, Ended::Rejected, 0),
                 _ => {}
             }
             match effect {
-                worker::Effect::Started(id) => {
+                worker::WorkerEffect::Started(id) => {
                     let Some(of) = self.attempts.get(&id) else { continue };
                     let (job, tells) = (of.job, of.out && !of.breaks);
                     let zone = self.workers[worker as usize].1;
                     let Some(asked) = self.jobs.get(&job) else { continue };
                     let class = &self.scenario.classes[asked.of.class as usize];
-                    let silent = self.workers[worker as usize].0.silent == Some(asked.of.class);
+                    let silent = self.workers[worker as usize].0.silent_class == Some(asked.of.class);
                     self.referee.ran(self.now, job, class.effect());
                     if tells && !silent {
                         let wire = self.wires[worker as usize];
-                        let way = self.way(zone, zone) + wire.late;
-                        for _ in 0..1 + u32::from(wire.doubled) {
+                        let way = self.way(zone, zone) + wire.callback_delay;
+                        for _ in 0..1 + u32::from(wire.duplicates_callbacks) {
                             self.at(self.now + way, Ev::Started(id));
                         }
                         let every = micros(self.scenario.reports.progress);
@@ -942,7 +947,7 @@
                         }
                     }
                 }
-                worker::Effect::Done { attempt, told } => {
+                worker::WorkerEffect::Finished { attempt, is_reported: told } => {
                     self.held.0 -= 1;
                     self.tell_dropped(attempt, Ended::Served);
                     if told && self.attempts.get(&attempt).is_some_and(|of| !of.breaks) {
@@ -950,34 +955,34 @@
                     }
                     self.left_worker(attempt);
                 }
-                worker::Effect::Lost(id) => {
+                worker::WorkerEffect::Lost(id) => {
                     self.held.0 -= 1;
                     self.tell_dropped(id, Ended::Reset);
                     self.back(id, Ended::Reset);
                     self.left_worker(id);
                 }
-                worker::Effect::HandedBack(id) => {
+                worker::WorkerEffect::HandedBack(id) => {
                     self.held.0 -= 1;
                     // The key is forgotten with it; a repeat that was dropped for it was so for nothing.
                     if let Some(job) = self.attempts.get(&id).map(|of| of.job) {
                         self.referee.handed_back(job, id);
                         if let Some(asked) = self.jobs.get_mut(&job) {
-                            asked.keys.handed_back(id);
+                            asked.keys.record_handed_back(id);
                         }
                     }
                     self.tell_dropped(id, Ended::Error);
                     self.back(id, Ended::Rejected);
                     self.left_worker(id);
                 }
-                worker::Effect::Fell => {
+                worker::WorkerEffect::Overloaded => {
                     self.fell += 1;
                     self.changed(worker);
                 }
             }
         }
         let of = &self.workers[worker as usize].0;
-        if let Some(next) = of.next(self.now) {
-            let epoch = of.epoch;
+        if let Some(next) = of.next_wake(self.now) {
+            let epoch = of.wake_epoch;
             self.at(next, Ev::Wake(worker, epoch));
         }
     }
@@ -1001,7 +1006,7 @@
     fn tell_dropped(&mut self, of: u64, outcome: Ended) {
         let Some(job) = self.attempts.get(&of).map(|of| of.job) else { return };
         let Some(asked) = self.jobs.get_mut(&job) else { return };
-        for id in asked.keys.ended(outcome == Ended::Served) {
+        for id in asked.keys.record_end(outcome == Ended::Served) {
             self.back(id, outcome);
             self.left_worker(id);
         }
@@ -1026,33 +1031,40 @@
     fn probe_there(&mut self, id: u64) {
         let Some(&Probing { worker, .. }) = self.probes.get(&id) else { return };
         let Some(probe) = self.scenario.reports.probe else { return };
-        let cut = self.wires[worker as usize].meets(self.network.random());
+        let cut = self.wires[worker as usize].delivery_result(self.network.random());
         let of = &mut self.workers[worker as usize].0;
-        match (of.life, cut) {
+        match (of.process, cut) {
             // Nothing answers: its scheduler waits until its time is over.
-            (worker::Life::Vanished, _) => return,
-            (worker::Life::Dead, _) => return self.probe_back(id, Ended::ConnectFailed, 0),
-            _ if of.refusing => return self.probe_back(id, Ended::ConnectFailed, 0),
-            (worker::Life::Draining, _) => return self.probe_back(id, Ended::Rejected, 0),
-            (_, Cut::Whole) => {}
-            (_, Cut::Fails) => return self.probe_back(id, Ended::Error, 0),
-            (_, Cut::Before | Cut::After | Cut::Garbage) => return self.probe_back(id, Ended::Reset, 0),
+            (worker::ProcessState::Unreachable, _) => return,
+            (worker::ProcessState::Stopped, _) => return self.probe_back(id, Ended::ConnectFailed, 0),
+            _ if of.is_refusing => return self.probe_back(id, Ended::ConnectFailed, 0),
+            (worker::ProcessState::Draining, _) => return self.probe_back(id, Ended::Rejected, 0),
+            (_, DeliveryResult::Delivered) => {}
+            (_, DeliveryResult::ImmediateError) => return self.probe_back(id, Ended::Error, 0),
+            (
+                _,
+                DeliveryResult::ResetBeforeTaken
+                | DeliveryResult::ResetAfterTaken
+                | DeliveryResult::InvalidResponse,
+            ) => return self.probe_back(id, Ended::Reset, 0),
         }
         if !probe.deep {
-            let took = micros(probe.work / of.build.speed);
-            of.charge(self.now, probe.work);
+            let took = micros(probe.work / of.spec.speed);
+            of.charge_side_work(self.now, probe.work);
             self.probe_back(id, Ended::Served, took);
             return self.effects(worker, Vec::new());
         }
-        let offered = Offered::probe(id, probe.work);
+        let offered = OfferedJob::load_query(id, probe.work);
         let mut effects = Vec::new();
         match of.offer(self.now, offered, &mut effects) {
-            Offer::Taken => {
+            OfferResult::Accepted => {
                 self.held.0 += 1;
                 self.effects(worker, effects);
             }
-            Offer::Full => self.probe_back(id, Ended::Rejected, 0),
-            Offer::Dead | Offer::Vanished => self.probe_back(id, Ended::ConnectFailed, 0),
+            OfferResult::QueueFull => self.probe_back(id, Ended::Rejected, 0),
+            OfferResult::ConnectionRefused | OfferResult::Unreachable => {
+                self.probe_back(id, Ended::ConnectFailed, 0)
+            }
         }
     }
 
@@ -1062,7 +1074,8 @@
         let Some(probe) = self.scenario.reports.probe else { return };
         let of = &mut self.workers[worker as usize];
         let served = outcome == Ended::Served;
-        let report = of.0.probed(self.now, micros(probe.late) + self.reports_late).filter(|_| served);
+        let report =
+            of.0.answer_load_query(self.now, micros(probe.late) + self.reports_late).filter(|_| served);
         let (from, to) = (of.1, self.schedulers[scheduler as usize].zone);
         let way = self.way(from, to) + after;
         self.at(self.now + way, Ev::ProbeEnds(id, outcome, report));
@@ -1073,7 +1086,7 @@
         let (every, now) = (micros(reports.refresh), self.now);
         let (noise, sigma) = (&mut self.noise, reports.noise);
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
-        self.workers[worker as usize].0.refresh(now, every, draw);
+        self.workers[worker as usize].0.refresh_load_report(now, every, draw);
         if now <= micros(self.scenario.seconds) + 60 * SECOND {
             self.at(now + every, Ev::Refresh(worker));
         }
@@ -1081,9 +1094,9 @@
 
     // ---- Faults --------------------------------------------------------------------------------
 
-    fn fault(&mut self, turn: Turn) {
+    fn fault(&mut self, turn: FaultTransition) {
         let what = self.scenario.faults[turn.fault].what;
-        let (begins, worker) = (turn.begins, turn.whom.unwrap_or_default());
+        let (begins, worker) = (turn.is_start, turn.target.unwrap_or_default());
         let mut effects = Vec::new();
         let now = self.now;
         match what {
@@ -1129,17 +1142,17 @@
             }
             _ => {}
         }
-        if self.wires[worker as usize].turn(what, begins) {
+        if self.wires[worker as usize].apply_fault(what, begins) {
             return;
         }
         let of = &mut self.workers[worker as usize].0;
-        let held = of.holds() as u64;
-        let started = of.turn(now, what, begins, &mut effects);
+        let held = of.job_count() as u64;
+        let started = of.apply_fault(now, what, begins, &mut effects);
         if what == Trouble::Vanish && begins {
             self.held.0 -= held;
         }
         if started {
-            let build = self.workers[worker as usize].0.build;
+            let build = self.workers[worker as usize].0.spec;
             self.referee.started(now, worker, build.cores.min(build.slots) * build.speed);
         }
         self.effects(worker, effects);
@@ -1201,7 +1214,7 @@
         let own = self.seed.wrapping_add(u64::from(scheduler) * 7919).wrapping_add(1);
         let settings = self.scenario.settings(scheduler);
         let of = &mut self.schedulers[scheduler as usize];
-        match self.kind.make(settings, own, stream(own, Stream::Network)) {
+        match self.kind.build(settings, own, random_stream(own, StreamPurpose::Network)) {
             Ok(policy) => (of.policy, of.up, of.takes, of.version) = (policy, true, true, 0),
             // The same settings were taken at the start.
             Err(_) => unreachable!("settings that were taken before"),
@@ -1216,7 +1229,7 @@
         self.at(self.now + after, Ev::Told(scheduler, kind, list));
     }
 
-    fn outcome(self, kind: Kind, seed: u64) -> Outcome {
+    fn outcome(self, kind: PolicyKind, seed: u64) -> Outcome {
         Played {
             scenario: self.scenario,
             policy: kind.name(),
@@ -1238,5 +1251,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/sim.rs"]
+#[path = "../tests/unit/simulation.rs"]
 mod tests;
--- a/crates/testbed/tests/calc.rs
+++ b/crates/testbed/tests/calc.rs
@@ -3,12 +3,12 @@
 use copperspread_testbed::compare::compare;
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::model::fleet::Fleet;
-use copperspread_testbed::model::keys::group;
-use copperspread_testbed::model::worker::{Build, Effect, Offer, Offered, Worker};
-use copperspread_testbed::policy::Kind;
+use copperspread_testbed::model::idempotency_keys::key_group;
+use copperspread_testbed::model::worker::{OfferResult, OfferedJob, Worker, WorkerEffect, WorkerSpec};
+use copperspread_testbed::policy::PolicyKind;
 use copperspread_testbed::referee::{Referee, Rule};
 use copperspread_testbed::scenario::{Again, Order, Scenario};
-use copperspread_testbed::sim::play;
+use copperspread_testbed::simulation::simulate;
 
 const CALC: &str = include_str!("../scenarios/calc.toml");
 
@@ -17,26 +17,29 @@
 }
 
 fn worker() -> Worker {
-    Worker::new(Build {
+    Worker::new(WorkerSpec {
         cores: 4.0,
         slots: 4.0,
         speed: 1.0,
-        queue: 3,
+        max_waiting: 3,
         order: Order::Fifo,
         memory: 4.0,
-        cold_from: 0.2,
-        cold_for: 10 * SECOND,
-        fall_multiple: 3.0,
-        fall_window: None,
+        slow_start_share: 0.2,
+        slow_start_duration: 10 * SECOND,
+        overload_multiple: 3.0,
+        overload_window: None,
     })
 }
 
-fn job(attempt: u64, slots: f64, memory: f64, work: f64) -> Offered {
-    Offered { attempt, class: 0, work, slots, memory, worth: 1.0 }
+fn job(attempt: u64, slots: f64, memory: f64, work: f64) -> OfferedJob {
+    OfferedJob { attempt, class: 0, work, slots, memory, weight: 1.0 }
 }
 
-fn started(effects: &[Effect]) -> Vec<u64> {
-    effects.iter().filter_map(|of| if let Effect::Started(id) = of { Some(*id) } else { None }).collect()
+fn started(effects: &[WorkerEffect]) -> Vec<u64> {
+    effects
+        .iter()
+        .filter_map(|of| if let WorkerEffect::Started(id) = of { Some(*id) } else { None })
+        .collect()
 }
 
 // Two run: 1 until 1 s, 2 until 2 s. Which of those that wait starts at each of these instants.
@@ -61,7 +64,10 @@
         }
         assert_eq!(started(&effects), [1, 2], "case {number}");
         for (at, &(slots, memory)) in wait.iter().enumerate() {
-            assert_eq!(worker.offer(0, job(10 + at as u64, slots, memory, 9.0), &mut effects), Offer::Taken);
+            assert_eq!(
+                worker.offer(0, job(10 + at as u64, slots, memory, 9.0), &mut effects),
+                OfferResult::Accepted
+            );
         }
         for (second, starts) in starts.iter().enumerate() {
             effects.clear();
@@ -81,26 +87,26 @@
     assert!(worker.cancel(SECOND, 2, &mut effects), "it waits");
     assert_eq!(started(&effects), [] as [u64; 0]);
     assert!(worker.cancel(2 * SECOND, 1, &mut effects), "it runs");
-    assert_eq!((started(&effects), worker.holds()), (vec![3], 1));
+    assert_eq!((started(&effects), worker.job_count()), (vec![3], 1));
     assert!(!worker.cancel(2 * SECOND, 1, &mut effects));
-    assert!((worker.done_work - 8.0).abs() < 1e-6, "two of its five seconds on four slots");
+    assert!((worker.completed_work - 8.0).abs() < 1e-6, "two of its five seconds on four slots");
 }
 
 #[test]
 fn figures_for_probes_are_as_old_as_they_were_refreshed_and_late() {
     let (mut worker, mut effects) = (worker(), Vec::new());
-    assert_eq!(worker.probed(0, 0), None);
-    worker.refresh(0, SECOND, || 0.0);
+    assert_eq!(worker.answer_load_query(0, 0), None);
+    worker.refresh_load_report(0, SECOND, || 0.0);
     worker.offer(SECOND / 2, job(1, 3.0, 2.5, 9.0), &mut effects);
     worker.offer(SECOND / 2, job(2, 2.0, 1.0, 9.0), &mut effects);
-    worker.refresh(SECOND, SECOND, || 0.0);
+    worker.refresh_load_report(SECOND, SECOND, || 0.0);
     for (at, late, free) in [(5, 0, [1.0, 2.0, 2.0]), (5, 3, [1.0, 2.0, 2.0])] {
-        let of = worker.clone().probed(at * SECOND, late * SECOND).expect("a report");
+        let of = worker.clone().answer_load_query(at * SECOND, late * SECOND).expect("a report");
         let figures = [of.free_slots, of.in_flight, of.qps].map(Option::unwrap_or_default);
         assert_eq!(figures, free, "at {at} s, {late} s late");
         assert!(of.queue.is_none() && of.utilization.is_none());
     }
-    let early = worker.probed(SECOND + SECOND / 4, SECOND / 2).expect("a report");
+    let early = worker.answer_load_query(SECOND + SECOND / 4, SECOND / 2).expect("a report");
     assert_eq!((early.free_slots, early.in_flight), (Some(4.0), Some(0.0)), "as it was at first");
 }
 
@@ -119,9 +125,9 @@
     for (scope, first, second, sent, caught) in cases {
         let mut referee = Referee::new(None);
         let effect = May::IdempotentWithKey { scope, window: 25 * SECOND };
-        referee.took(0, 1, 1, effect, group(scope, first.0, first.1), 0);
+        referee.took(0, 1, 1, effect, key_group(scope, first.0, first.1), 0);
         let at = sent * SECOND;
-        referee.took(at, 1, 2, effect, group(scope, second.0, second.1), at);
+        referee.took(at, 1, 2, effect, key_group(scope, second.0, second.1), at);
         let found = referee.verdict().0.contains_key(&Rule::KeyedTwice);
         assert_eq!(found, caught, "{scope:?}: {first:?}, then {second:?} after {sent} s");
     }
@@ -132,12 +138,12 @@
 fn resending_past_the_group_breaks_the_rule_in_a_whole_run() {
     let faults = "[[faults]]\nat = 2.0\nlasts = 55.0\nshare = 0.9\nwhat = { failing = 0.9 }\n";
     let scenario = Scenario::read(&format!("{CALC}{faults}")).expect("a scenario");
-    for (kind, caught) in [(Kind::Copperspread, false), (Kind::Resends, true)] {
-        let breaches = play(&scenario, kind, 2).expect("it plays").breaches;
+    for (kind, caught) in [(PolicyKind::Copperspread, false), (PolicyKind::Resends, true)] {
+        let breaches = simulate(&scenario, kind, 2).expect("it plays").breaches;
         assert_eq!(breaches.contains_key(&Rule::KeyedTwice), caught, "{kind:?}: {breaches:?}");
         assert_eq!(breaches.len(), usize::from(caught), "{kind:?}: {breaches:?}");
     }
-    let cells = Fleet::draw(&scenario, 2).cells;
+    let cells = Fleet::generate(&scenario, 2).cells;
     assert!((0..14).all(|at: u32| cells[at as usize] % 2 == at % 2), "no cell lies in two zones: {cells:?}");
     assert_eq!(cells.iter().max(), Some(&3));
 }
@@ -173,8 +179,8 @@
         [[faults]]\nat = 15.0\nlasts = 6.0\nwhat = 'scheduler_crash'\nshare = 0.3\n\
         [[faults]]\nat = 25.0\nlasts = 20.0\nwhat = 'crash'\nshare = 0.5\n";
     let scenario = Scenario::read(&format!("{CALC}{faults}")).expect("a scenario");
-    for kind in [Kind::Copperspread, Kind::LeastCost] {
-        let outcome = play(&scenario, kind, 3).expect("it plays");
+    for kind in [PolicyKind::Copperspread, PolicyKind::LeastCost] {
+        let outcome = simulate(&scenario, kind, 3).expect("it plays");
         assert!(!outcome.breaches.contains_key(&Rule::Drained), "{kind:?}: {:?}", outcome.examples);
         let late: f64 = outcome.seconds[50..].iter().map(|second| second.in_time).sum();
         assert!(late > 0.0, "{kind:?} serves no more");
@@ -185,7 +191,7 @@
 /// truth before all: 0.595, 0.755 and 0.818. And the module broke no rule.
 #[test]
 fn baselines_keep_their_order_on_calc() {
-    let kinds = [Kind::Copperspread, Kind::Random, Kind::LeastCost, Kind::Oracle];
+    let kinds = [PolicyKind::Copperspread, PolicyKind::Random, PolicyKind::LeastCost, PolicyKind::Oracle];
     let rows = compare(&calc(), &kinds, &[1, 2, 3, 4, 5, 6]).expect("it plays");
     let [random, least, oracle] = [&rows[1], &rows[2], &rows[3]].map(|row| row.share);
     assert!(random + 0.1 < least && least < oracle && oracle < 0.9, "{random}, {least}, {oracle}");
--- a/crates/testbed/tests/cold_fleet.rs
+++ b/crates/testbed/tests/cold_fleet.rs
@@ -1,8 +1,8 @@
 //! Cold workers in fleets of all sizes: while workers restart in turn, seven in ten schedulers are killed
 //! amid the ramp, and all hear late of the starts just before.
-use copperspread_testbed::policy::Kind;
+use copperspread_testbed::policy::PolicyKind;
 use copperspread_testbed::scenario::Scenario;
-use copperspread_testbed::sim::play;
+use copperspread_testbed::simulation::simulate;
 
 /// The release of 100 schedulers with another number of them, so many workers of each kind, and clients for
 /// these; discovery is down for 3 s before the kill.
@@ -31,13 +31,13 @@
         let scenario = release(schedulers, workers);
         let (mut sum, count) = (0.0, seeds.end - seeds.start);
         for seed in seeds {
-            let outcome = play(&scenario, Kind::Copperspread, seed).expect("it plays");
+            let outcome = simulate(&scenario, PolicyKind::Copperspread, seed).expect("it plays");
             let seen = (&outcome.breaches, &outcome.examples);
             assert!(outcome.breaches.is_empty(), "{schedulers} schedulers, seed {seed}: {seen:?}");
             assert_eq!(outcome.fell, 0, "{schedulers} schedulers, seed {seed}: workers fell over");
             sum += outcome.worth.share() / count as f64;
             if schedulers < 300 {
-                two_choices_fell += play(&scenario, Kind::TwoChoices, seed).expect("it plays").fell;
+                two_choices_fell += simulate(&scenario, PolicyKind::TwoChoices, seed).expect("it plays").fell;
             }
         }
         println!("{schedulers} schedulers: {sum:.3} of the worth");
--- a/crates/testbed/tests/emulate.rs
+++ b/crates/testbed/tests/emulate.rs
@@ -7,7 +7,7 @@
 use copperspread_testbed::emulate::{Schedulers, emulate};
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::outcome::Outcome;
-use copperspread_testbed::policy::Kind;
+use copperspread_testbed::policy::PolicyKind;
 use copperspread_testbed::referee::Rule;
 use copperspread_testbed::scenario::Scenario;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -93,7 +93,7 @@
 fn a_quiet_fleet_serves_all_and_all_policies_play() {
     let scenario = small(2.0, 30.0, "");
     let outcomes: Vec<_> = std::thread::scope(|scope| {
-        let runs = [Kind::Random, Kind::TwoChoices].map(|kind| {
+        let runs = [PolicyKind::Random, PolicyKind::TwoChoices].map(|kind| {
             let scenario = &scenario;
             scope.spawn(move || emulate(scenario, &node(&kind.name()), &kind.name(), 5).expect("it plays"))
         });
--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -3,13 +3,15 @@
 use copperspread_dispatcher::{RequestId, SECOND};
 use copperspread_testbed::compare::{Difference, compare, table};
 use copperspread_testbed::model::arrivals::Arrivals;
-use copperspread_testbed::model::worker::{Build, Effect, Life, Offer, Offered, Worker};
+use copperspread_testbed::model::worker::{
+    OfferResult, OfferedJob, ProcessState, Worker, WorkerEffect, WorkerSpec,
+};
 use copperspread_testbed::outcome::Outcome;
-use copperspread_testbed::policy::Kind;
+use copperspread_testbed::policy::PolicyKind;
 use copperspread_testbed::referee::{Heard, Referee, Rule};
 use copperspread_testbed::report::html;
 use copperspread_testbed::scenario::{Order, Pair, Recorded, Scenario};
-use copperspread_testbed::sim::play;
+use copperspread_testbed::simulation::simulate;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -22,7 +24,7 @@
          [[classes]]\nname = 'c'\nshare = 1.0\nwork = 1.0\nspread = {spread}\naim = 50000.0\ndeadline = 50000.0\n\
          worth = 1.0\nrepeat = 'never'\n"
     );
-    play(&Scenario::read(&text).expect("a scenario"), Kind::RoundRobin, 3).expect("it plays")
+    simulate(&Scenario::read(&text).expect("a scenario"), PolicyKind::RoundRobin, 3).expect("it plays")
 }
 
 /// The mean wait in M/M/c, in service times, by Erlang's formula.
@@ -99,22 +101,22 @@
 #[test]
 fn a_scheduler_that_is_broken_on_purpose_is_caught_by_its_rule() {
     let scenario = harsh(40.0, ALL);
-    let planted: &[(Kind, &[Rule])] = &[
-        (Kind::Copperspread, &[]),
-        (Kind::AnswersTwice, &[Rule::OneAnswer]),
-        (Kind::NeverAnswers, &[Rule::AnswerInTime]),
-        (Kind::Resends, &[Rule::UnsafeTwice, Rule::KeyedTwice]),
-        (Kind::IgnoresDrains, &[Rule::Drained]),
-        (Kind::FloodsTheNew, &[Rule::ColdBudget]),
+    let planted: &[(PolicyKind, &[Rule])] = &[
+        (PolicyKind::Copperspread, &[]),
+        (PolicyKind::AnswersTwice, &[Rule::OneAnswer]),
+        (PolicyKind::NeverAnswers, &[Rule::AnswerInTime]),
+        (PolicyKind::Resends, &[Rule::UnsafeTwice, Rule::KeyedTwice]),
+        (PolicyKind::IgnoresDrains, &[Rule::Drained]),
+        (PolicyKind::FloodsTheNew, &[Rule::ColdBudget]),
     ];
     for (kind, rules) in planted {
-        let outcome = play(&scenario, *kind, 1).expect("it plays");
+        let outcome = simulate(&scenario, *kind, 1).expect("it plays");
         for rule in *rules {
             assert!(outcome.breaches.contains_key(rule), "{kind:?}: {rule:?} not in {:?}", outcome.breaches);
         }
         // Nobody else's rule, so that a verdict points at its cause; but what goes on to workers that leave
         // finds them starting anew.
-        let follows = |rule: &Rule| *kind == Kind::IgnoresDrains && *rule == Rule::ColdBudget;
+        let follows = |rule: &Rule| *kind == PolicyKind::IgnoresDrains && *rule == Rule::ColdBudget;
         let others = outcome.breaches.keys().filter(|rule| !rules.contains(rule) && !follows(rule)).count();
         assert_eq!(others, 0, "{kind:?}: {:?} {:?}", outcome.breaches, outcome.examples);
     }
@@ -123,9 +125,10 @@
 #[test]
 fn one_seed_gives_the_same_bytes_and_another_one_others() {
     let scenario = harsh(40.0, ALL);
-    let bytes =
-        |kind, seed| serde_json::to_string(&play(&scenario, kind, seed).expect("it plays")).expect("JSON");
-    for kind in [Kind::Copperspread, Kind::Random, Kind::Oracle] {
+    let bytes = |kind, seed| {
+        serde_json::to_string(&simulate(&scenario, kind, seed).expect("it plays")).expect("JSON")
+    };
+    for kind in [PolicyKind::Copperspread, PolicyKind::Random, PolicyKind::Oracle] {
         assert_eq!(bytes(kind, 7), bytes(kind, 7), "{kind:?}");
         assert_ne!(bytes(kind, 7), bytes(kind, 8), "{kind:?}");
     }
@@ -136,8 +139,8 @@
 fn all_policies_meet_the_same_arrivals() {
     let scenario = harsh(40.0, ALL);
     let arrivals: Vec<_> = Arrivals::new(&scenario, 9).collect();
-    for kind in Kind::COMPARED {
-        let outcome = play(&scenario, kind, 9).expect("it plays");
+    for kind in PolicyKind::COMPARED {
+        let outcome = simulate(&scenario, kind, 9).expect("it plays");
         let asked: f64 = arrivals.iter().map(|job| job.work * job.slots).sum();
         assert_eq!(outcome.jobs, arrivals.len() as u64, "{kind:?}");
         assert!((outcome.worth.asked / asked - 1.0).abs() < 1e-9, "{kind:?}");
@@ -148,8 +151,8 @@
 fn what_hits_a_fleet_costs_and_what_sees_the_truth_loses_least() {
     let calm = harsh(40.0, "");
     let seeds = [1, 2, 3, 4];
-    let hit = compare(&harsh(40.0, ALL), &Kind::COMPARED, &seeds).expect("it plays");
-    let calm = compare(&calm, &Kind::COMPARED, &seeds).expect("it plays");
+    let hit = compare(&harsh(40.0, ALL), &PolicyKind::COMPARED, &seeds).expect("it plays");
+    let calm = compare(&calm, &PolicyKind::COMPARED, &seeds).expect("it plays");
     for (hit, calm) in hit.iter().zip(&calm) {
         assert!(hit.share < calm.share - 0.01, "{}: {} and {}", hit.policy, hit.share, calm.share);
     }
@@ -208,23 +211,23 @@
     }
 }
 
-fn build() -> Build {
-    Build {
+fn build() -> WorkerSpec {
+    WorkerSpec {
         cores: 2.0,
         slots: 2.0,
         speed: 1.0,
-        queue: 2,
+        max_waiting: 2,
         order: Order::Fifo,
         memory: 100.0,
-        cold_from: 0.25,
-        cold_for: 20 * SECOND,
-        fall_multiple: 2.0,
-        fall_window: Some(2 * SECOND),
+        slow_start_share: 0.25,
+        slow_start_duration: 20 * SECOND,
+        overload_multiple: 2.0,
+        overload_window: Some(2 * SECOND),
     }
 }
 
-fn job(attempt: u64, work: f64) -> Offered {
-    Offered { attempt, class: 0, work, slots: 1.0, memory: 0.0, worth: 1.0 }
+fn job(attempt: u64, work: f64) -> OfferedJob {
+    OfferedJob { attempt, class: 0, work, slots: 1.0, memory: 0.0, weight: 1.0 }
 }
 
 #[test]
@@ -232,17 +235,26 @@
     let mut worker = Worker::new(build());
     let mut effects = Vec::new();
     let offers: Vec<_> = (0..5).map(|at| worker.offer(0, job(at, 1.0), &mut effects)).collect();
-    assert_eq!(offers, [Offer::Taken, Offer::Taken, Offer::Taken, Offer::Taken, Offer::Full]);
-    assert_eq!(effects, [Effect::Started(0), Effect::Started(1)]);
+    assert_eq!(
+        offers,
+        [
+            OfferResult::Accepted,
+            OfferResult::Accepted,
+            OfferResult::Accepted,
+            OfferResult::Accepted,
+            OfferResult::QueueFull
+        ]
+    );
+    assert_eq!(effects, [WorkerEffect::Started(0), WorkerEffect::Started(1)]);
     effects.clear();
-    assert_eq!(worker.next(0), Some(SECOND));
+    assert_eq!(worker.next_wake(0), Some(SECOND));
     worker.drain(SECOND / 2, true, &mut effects);
-    assert_eq!(effects, [Effect::HandedBack(2), Effect::HandedBack(3)]);
-    assert_eq!(worker.offer(SECOND / 2, job(9, 1.0), &mut effects), Offer::Full);
+    assert_eq!(effects, [WorkerEffect::HandedBack(2), WorkerEffect::HandedBack(3)]);
+    assert_eq!(worker.offer(SECOND / 2, job(9, 1.0), &mut effects), OfferResult::QueueFull);
     effects.clear();
     worker.advance(SECOND, &mut effects);
-    assert_eq!(effects, [0, 1].map(|attempt| Effect::Done { attempt, told: true }));
-    assert!((worker.done_work - 2.0).abs() < 1e-6 && worker.holds() == 0);
+    assert_eq!(effects, [0, 1].map(|attempt| WorkerEffect::Finished { attempt, is_reported: true }));
+    assert!((worker.completed_work - 2.0).abs() < 1e-6 && worker.job_count() == 0);
 }
 
 #[test]
@@ -250,27 +262,30 @@
     let mut worker = Worker::new(build());
     worker.restart(0);
     assert_eq!(
-        (worker.warmth(0), worker.warmth(10 * SECOND), worker.warmth(40 * SECOND)),
+        (worker.capacity_share(0), worker.capacity_share(10 * SECOND), worker.capacity_share(40 * SECOND)),
         (0.25, 0.625, 1.0)
     );
     let mut effects = Vec::new();
     // At a quarter of two cores, twice that for 2 s is 2 core-seconds.
-    assert_eq!(worker.offer(0, job(1, 1.9), &mut effects), Offer::Taken);
-    assert_eq!(worker.life, Life::Up);
+    assert_eq!(worker.offer(0, job(1, 1.9), &mut effects), OfferResult::Accepted);
+    assert_eq!(worker.process, ProcessState::Up);
     effects.clear();
     worker.offer(0, job(2, 0.2), &mut effects);
     assert_eq!(
-        (worker.life, &effects[..]),
-        (Life::Dead, &[Effect::Fell, Effect::Lost(1), Effect::Lost(2)][..])
+        (worker.process, &effects[..]),
+        (
+            ProcessState::Stopped,
+            &[WorkerEffect::Overloaded, WorkerEffect::Lost(1), WorkerEffect::Lost(2)][..]
+        )
     );
-    assert_eq!(worker.offer(0, job(3, 0.1), &mut effects), Offer::Dead);
+    assert_eq!(worker.offer(0, job(3, 0.1), &mut effects), OfferResult::ConnectionRefused);
     worker.restart(SECOND);
     // The same work spread out does it no harm.
     for step in 0..12 {
         worker.offer(SECOND + step * SECOND, job(10 + step, 0.4), &mut effects);
         worker.advance(SECOND + step * SECOND + SECOND / 2, &mut effects);
     }
-    assert_eq!(worker.life, Life::Up);
+    assert_eq!(worker.process, ProcessState::Up);
 }
 
 #[test]
@@ -278,24 +293,24 @@
     let mut effects = Vec::new();
     let mut stuck = Worker::new(build());
     stuck.offer(0, job(1, 1.0), &mut effects);
-    stuck.change(0, |of| of.stuck = true);
-    assert_eq!(stuck.next(0), None);
-    stuck.change(5 * SECOND, |of| of.stuck = false);
-    assert_eq!(stuck.next(5 * SECOND), Some(6 * SECOND), "it goes on where it stood");
+    stuck.apply_change(0, |of| of.is_stuck = true);
+    assert_eq!(stuck.next_wake(0), None);
+    stuck.apply_change(5 * SECOND, |of| of.is_stuck = false);
+    assert_eq!(stuck.next_wake(5 * SECOND), Some(6 * SECOND), "it goes on where it stood");
     let mut silent = Worker::new(build());
-    silent.change(0, |of| of.silent = Some(0));
+    silent.apply_change(0, |of| of.silent_class = Some(0));
     silent.offer(0, job(1, 1.0), &mut effects);
     effects.clear();
     silent.advance(SECOND, &mut effects);
-    assert_eq!(effects, [Effect::Done { attempt: 1, told: false }]);
+    assert_eq!(effects, [WorkerEffect::Finished { attempt: 1, is_reported: false }]);
     let mut refusing = Worker::new(build());
-    refusing.change(0, |of| of.refusing = true);
-    assert_eq!(refusing.offer(0, job(1, 1.0), &mut effects), Offer::Dead);
+    refusing.apply_change(0, |of| of.is_refusing = true);
+    assert_eq!(refusing.offer(0, job(1, 1.0), &mut effects), OfferResult::ConnectionRefused);
     let mut away = Worker::new(build());
     away.offer(0, job(1, 1.0), &mut effects);
     effects.clear();
-    away.die(0, Life::Vanished, &mut effects);
-    assert_eq!((effects.len(), away.offer(0, job(2, 1.0), &mut effects)), (0, Offer::Vanished));
+    away.stop(0, ProcessState::Unreachable, &mut effects);
+    assert_eq!((effects.len(), away.offer(0, job(2, 1.0), &mut effects)), (0, OfferResult::Unreachable));
 }
 
 // Two slots that are taken, and three that wait; what starts when one ends.
@@ -315,18 +330,18 @@
         (Order::Priority, [(1.0, 0.0, 1.0), (2.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 0),
     ];
     for (order, waiting, starts) in cases {
-        let mut worker = Worker::new(Build { queue: 3, order: *order, ..build() });
+        let mut worker = Worker::new(WorkerSpec { max_waiting: 3, order: *order, ..build() });
         let mut effects = Vec::new();
-        worker.offer(0, Offered { memory: 40.0, ..job(1, 1.0) }, &mut effects);
-        worker.offer(0, Offered { memory: 40.0, ..job(2, 9.0) }, &mut effects);
+        worker.offer(0, OfferedJob { memory: 40.0, ..job(1, 1.0) }, &mut effects);
+        worker.offer(0, OfferedJob { memory: 40.0, ..job(2, 9.0) }, &mut effects);
         for (number, &(slots, memory, worth)) in waiting.iter().enumerate() {
-            let of = Offered { slots, memory, worth, ..job(10 + number as u64, 1.0) };
-            assert_eq!(worker.offer(0, of, &mut effects), Offer::Taken);
+            let of = OfferedJob { slots, memory, weight: worth, ..job(10 + number as u64, 1.0) };
+            assert_eq!(worker.offer(0, of, &mut effects), OfferResult::Accepted);
         }
         effects.clear();
         worker.advance(SECOND, &mut effects);
         let started =
-            effects.iter().find_map(|of| if let Effect::Started(id) = of { Some(*id) } else { None });
+            effects.iter().find_map(|of| if let WorkerEffect::Started(id) = of { Some(*id) } else { None });
         assert_eq!(started.unwrap_or_default(), *starts, "{order:?} {waiting:?}: {effects:?}");
     }
 }
@@ -335,7 +350,7 @@
 fn ways_connections_progress_and_traces_are_played() {
     let base = harsh(20.0, "");
     let mean = |scenario: &Scenario| {
-        let outcome = play(scenario, Kind::RoundRobin, 3).expect("it plays");
+        let outcome = simulate(scenario, PolicyKind::RoundRobin, 3).expect("it plays");
         assert!(outcome.breaches.is_empty(), "{:?}", outcome.examples);
         outcome.classes.iter().map(|class| class.mean_ms).sum::<f64>() / outcome.classes.len() as f64
     };
@@ -353,15 +368,15 @@
     assert!((1.5..4.0).contains(&slower), "{slower} ms");
     let mut telling = base.clone();
     telling.reports.progress = 0.1;
-    let outcome = play(&telling, Kind::Copperspread, 3).expect("it plays");
-    let silent = play(&base, Kind::Copperspread, 3).expect("it plays");
+    let outcome = simulate(&telling, PolicyKind::Copperspread, 3).expect("it plays");
+    let silent = simulate(&base, PolicyKind::Copperspread, 3).expect("it plays");
     assert!(outcome.events > silent.events + 1_000 && outcome.breaches.is_empty());
     let mut traced = base.clone();
     let job = |at: f64, class, work| Recorded { at, class, work, slots: 1.0, hint: None };
     traced.clients.trace = vec![job(0.5, 0, 0.2), job(0.6, 2, 0.4), job(900.0, 0, 1.0)];
     let arrivals: Vec<_> = Arrivals::new(&traced, 3).map(|of| (of.at, of.class, of.work)).collect();
     assert_eq!(arrivals, [(500_000, 0, 0.2), (600_000, 2, 0.4)], "what comes after the end does not");
-    assert_eq!(play(&traced, Kind::Copperspread, 3).expect("it plays").jobs, 2);
+    assert_eq!(simulate(&traced, PolicyKind::Copperspread, 3).expect("it plays").jobs, 2);
     traced.clients.trace.reverse();
     assert_eq!(traced.check().expect_err("an order"), "clients.trace: not in the order of its instants");
 }
@@ -372,7 +387,7 @@
 fn a_list_that_has_contradicted_itself_ends_with_the_truth() {
     let faults = "[[faults]]\nat = 10.0\nlasts = 8.0\nwhat = 'discovery_contradicts'\n\
         [[faults]]\nat = 11.0\nlasts = 200.0\nshare = 0.1\nwhat = 'crash'\n";
-    let outcome = play(&harsh(20.0, faults), Kind::RoundRobin, 3).expect("it plays");
+    let outcome = simulate(&harsh(20.0, faults), PolicyKind::RoundRobin, 3).expect("it plays");
     assert!(outcome.attempts > 1.0 && outcome.attempts < 1.04, "{} attempts a job", outcome.attempts);
 }
 
@@ -392,7 +407,7 @@
 #[test]
 fn a_report_stands_alone_and_shows_what_the_table_says() {
     let scenario = harsh(40.0, ALL);
-    let rows = compare(&scenario, &Kind::COMPARED, &[1, 2, 3]).expect("it plays");
+    let rows = compare(&scenario, &PolicyKind::COMPARED, &[1, 2, 3]).expect("it plays");
     let share = format!("<td>{:.3}", rows[0].share);
     let page = html(&[(scenario, rows)]).expect("a page");
     assert!(page.contains(&share) && page.contains("least_outstanding") && page.contains("Resetting(0.2)"));
@@ -407,7 +422,7 @@
     // A name from a file does not become a part of the page.
     let mut named = harsh(5.0, "");
     named.name = "<b>x".into();
-    let rows = compare(&named, &[Kind::Random], &[1]).expect("it plays");
+    let rows = compare(&named, &[PolicyKind::Random], &[1]).expect("it plays");
     assert!(!html(&[(named, rows)]).expect("a page").contains("<b>x"));
 }
 
@@ -434,13 +449,13 @@
 #[test]
 fn a_scheduler_that_dies_fails_what_it_took_and_another_serves_on() {
     let crash = "[[faults]]\nat = 20.0\nlasts = 10.0\nshare = 0.1\nwhat = 'scheduler_crash'\n";
-    let outcome = play(&harsh(30.0, crash), Kind::Copperspread, 3).expect("it plays");
+    let outcome = simulate(&harsh(30.0, crash), PolicyKind::Copperspread, 3).expect("it plays");
     assert!(outcome.breaches.is_empty(), "{:?}", outcome.examples);
     let failed: Vec<f64> = outcome.seconds.iter().map(|second| second.failed).collect();
     assert!(failed[19..21].iter().sum::<f64>() > 0.0, "what it had taken: {failed:?}");
     assert!(failed[22..].iter().sum::<f64>() == 0.0, "what came later: {failed:?}");
     let all = "[[faults]]\nat = 20.0\nlasts = 10.0\nshare = 1.0\nwhat = 'scheduler_crash'\n";
-    let outcome = play(&harsh(30.0, all), Kind::Copperspread, 3).expect("it plays");
+    let outcome = simulate(&harsh(30.0, all), PolicyKind::Copperspread, 3).expect("it plays");
     assert!(outcome.seconds[21..29].iter().all(|second| second.in_time == 0.0), "nobody serves");
     let after = &outcome.seconds[35..];
     assert!(after.iter().map(|second| second.in_time).sum::<f64>() > 0.0, "it serves again");
@@ -469,12 +484,12 @@
             "'discovery_contradicts'", "{ failing = 0.5 }"][which];
         let fault = format!("[[faults]]\nat = {at:?}\nlasts = 6.0\nshare = {share:?}\nwhat = {what}\n");
         let scenario = harsh(rate, &fault);
-        let outcome = play(&scenario, Kind::COMPARED[policy], seed).expect("it plays");
+        let outcome = simulate(&scenario, PolicyKind::COMPARED[policy], seed).expect("it plays");
         let worth = outcome.worth;
         let parts = worth.in_time + worth.late + worth.refused + worth.failed + worth.lost;
         prop_assert!((parts - worth.asked).abs() < 1e-6 * worth.asked.max(1.0));
         prop_assert_eq!(outcome.jobs, Arrivals::new(&scenario, seed).count() as u64);
-        let module = play(&scenario, Kind::Copperspread, seed).expect("it plays");
+        let module = simulate(&scenario, PolicyKind::Copperspread, seed).expect("it plays");
         prop_assert!(module.breaches.is_empty(), "{:?} {:?}", module.breaches, module.examples);
     }
 }
--- a/crates/testbed/tests/trace.rs
+++ b/crates/testbed/tests/trace.rs
@@ -1,8 +1,8 @@
 //! Records of a scheduler as a recorded trace.
 use copperspread_testbed::model::arrivals::Arrivals;
-use copperspread_testbed::policy::Kind;
+use copperspread_testbed::policy::PolicyKind;
 use copperspread_testbed::scenario::Scenario;
-use copperspread_testbed::sim::play;
+use copperspread_testbed::simulation::simulate;
 use copperspread_testbed::trace::{LeftOut, record};
 
 fn calm() -> Scenario {
@@ -41,7 +41,7 @@
     // As a file it says the same.
     let again = Scenario::read(&toml::to_string(&scenario).expect("TOML")).expect("a scenario");
     assert_eq!(again, scenario);
-    let outcome = play(&again, Kind::Copperspread, 1).expect("it plays");
+    let outcome = simulate(&again, PolicyKind::Copperspread, 1).expect("it plays");
     assert_eq!((outcome.jobs, outcome.worth.share()), (3, 1.0));
 }
 
--- a/crates/testbed/tests/unit/emulate_workers.rs
+++ b/crates/testbed/tests/unit/emulate_workers.rs
@@ -12,7 +12,7 @@
 use crate::emulate::stage::{Port, entry, serve_connection};
 use crate::emulate::world::World;
 use crate::model::arrivals::Arrival;
-use crate::model::fleet::{Fleet, Turn};
+use crate::model::fleet::{FaultTransition, Fleet};
 use crate::scenario::Scenario;
 
 /// One worker with one slot and no queue, and the first fault of a scenario begun.
@@ -32,7 +32,7 @@
          [[faults]]\nat = 0.0\nlasts = 9.0\nshare = 1.0\nwhat = {what}\n{extra}"
     );
     let scenario = Scenario::read(&text).expect("a scenario");
-    let world = World::new(&scenario, Fleet::draw(&scenario, seed), seed);
+    let world = World::new(&scenario, Fleet::generate(&scenario, seed), seed);
     let socket = bound(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let port = Port::new(socket.local_addr().expect("an address"), Door::Open(0));
     let listing = Listing::new(vec![entry(&world, 0)]);
@@ -54,7 +54,7 @@
 }
 
 async fn hand_over_of(stage: &Rc<Stage>, work: f64) -> Result<String, ErrorKind> {
-    let of = Arrival { at: 0, class: 0, work, slots: 1.0, memory: 1.5, hint: None, scheduler: 0 };
+    let of = Arrival { at: 0, class: 0, work, slots: 1.0, memory: 1.5, cost_hint: None, scheduler: 0 };
     let id = stage.act(|world| {
         world.job(1, of);
         world.ask(1, 0, 9 * SECOND)
@@ -97,7 +97,9 @@
     for (what, heard, held) in cases {
         LocalSet::new().block_on(&runtime, async {
             let stage = stage(what, 1).await;
-            stage.act(|world| world.turn(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
+            stage.act(|world| {
+                world.turn(FaultTransition { at: 0, fault: 0, target: Some(0), is_start: true })
+            });
             // The door follows in a task of its own, before the next connection is looked at.
             sleep(Duration::from_millis(150)).await;
             let got = hand_over(&stage).await;
@@ -106,7 +108,7 @@
                 (got, heard) => got.as_ref().err() == heard.as_ref().err(),
             };
             assert!(same, "{what}: {got:?}, not {heard:?}");
-            assert_eq!(stage.world.borrow().workers[0].0.holds(), *held, "{what}");
+            assert_eq!(stage.world.borrow().workers[0].0.job_count(), *held, "{what}");
         });
     }
 }
@@ -120,9 +122,11 @@
         for seed in 0..12 {
             let stage = stage("{ resetting = 1.0 }", seed).await;
             for _ in 0..4 {
-                stage.act(|world| world.turn(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
+                stage.act(|world| {
+                    world.turn(FaultTransition { at: 0, fault: 0, target: Some(0), is_start: true })
+                });
                 let got = hand_over(&stage).await;
-                match stage.world.borrow().workers[0].0.holds() {
+                match stage.world.borrow().workers[0].0.job_count() {
                     0 => {
                         before += 1;
                         assert_eq!(got, Err(ErrorKind::ConnectionReset));
@@ -168,7 +172,9 @@
             if runs {
                 assert!(hand_over(&stage).await.is_ok_and(|heard| heard.starts_with("HTTP/1.1 202")));
             }
-            stage.act(|world| world.turn(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
+            stage.act(|world| {
+                world.turn(FaultTransition { at: 0, fault: 0, target: Some(0), is_start: true })
+            });
             sleep(Duration::from_millis(250)).await;
             let mut stream = TcpStream::connect(stage.address(0)).await.expect("a connection");
             let text = format!("GET {path} HTTP/1.1\r\nHost: w\r\nConnection: close\r\n\r\n");
@@ -203,7 +209,7 @@
                 format!("DELETE /jobs/{:016x} HTTP/1.1\r\nHost: w\r\nConnection: close\r\n\r\n", id + 1);
             stream.write_all(text.as_bytes()).await.expect("sent");
             stream.read_to_string(&mut String::new()).await.expect("an answer");
-            assert_eq!(stage.world.borrow().workers[0].0.holds(), held, "{settings:?}");
+            assert_eq!(stage.world.borrow().workers[0].0.job_count(), held, "{settings:?}");
         });
     }
 }
@@ -225,7 +231,9 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let scheduler = listener.local_addr().expect("an address");
             let stage = stage_of(what, 1, extra, scheduler).await;
-            stage.act(|world| world.turn(Turn { at: 0, fault: 0, whom: Some(0), begins: true }));
+            stage.act(|world| {
+                world.turn(FaultTransition { at: 0, fault: 0, target: Some(0), is_start: true })
+            });
             let began = Instant::now();
             assert!(hand_over_of(&stage, 0.3).await.is_ok_and(|heard| heard.contains("202")), "{what}");
             let heard = Rc::new(std::cell::RefCell::new(Heard::new()));
@@ -261,13 +269,13 @@
     LocalSet::new().block_on(&runtime, async {
         let stage = stage("'vanish'", 1).await;
         assert!(hand_over(&stage).await.is_ok_and(|heard| heard.contains("202")));
-        let turn = |begins| Turn { at: 0, fault: 0, whom: Some(0), begins };
+        let turn = |begins| FaultTransition { at: 0, fault: 0, target: Some(0), is_start: begins };
         stage.act(|world| world.turn(turn(true)));
         sleep(Duration::from_millis(100)).await;
         assert_eq!(hand_over(&stage).await, Err(ErrorKind::TimedOut));
         stage.act(|world| world.turn(turn(false)));
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(stage.world.borrow().workers[0].0.holds(), 0);
+        assert_eq!(stage.world.borrow().workers[0].0.job_count(), 0);
         assert!(hand_over(&stage).await.is_ok_and(|heard| heard.contains("202")));
     });
 }
--- a/crates/testbed/tests/unit/sim.rs
+++ b/crates/testbed/tests/unit/simulation.rs
@@ -41,7 +41,7 @@
          aim = 30.0\ndeadline = 30.0\nworth = 1.0\nrepeat = 'safe'\n{fault}"
     );
     let scenario = Scenario::read(&text).expect("a scenario");
-    let mut sim = Sim::new(&scenario, Kind::Random, 1).expect("it plays");
+    let mut sim = Sim::new(&scenario, PolicyKind::Random, 1).expect("it plays");
     let heard = Heard::default();
     sim.schedulers[0].policy = Box::new(Prober(WorkerId(worker), Arc::clone(&heard)));
     while let Some(Reverse(Timed(at, _, event))) = sim.heap.pop() {
--- a/crates/testbed/tests/vast.rs
+++ b/crates/testbed/tests/vast.rs
@@ -3,10 +3,10 @@
 use copperspread_testbed::emulate::program::Program;
 use copperspread_testbed::emulate::{Schedulers, emulate};
 use copperspread_testbed::model::arrivals::Arrivals;
-use copperspread_testbed::policy::Kind;
+use copperspread_testbed::policy::PolicyKind;
 use copperspread_testbed::referee::Rule;
 use copperspread_testbed::scenario::Scenario;
-use copperspread_testbed::sim::play;
+use copperspread_testbed::simulation::simulate;
 
 /// The mean share of the worth that is served in time, over some seeds; no rule may break in any.
 fn served(text: &str, seeds: std::ops::Range<u64>) -> f64 {
@@ -14,7 +14,7 @@
     let count = (seeds.end - seeds.start) as f64;
     let mut sum = 0.0;
     for seed in seeds {
-        let outcome = play(&scenario, Kind::Copperspread, seed).expect("it plays");
+        let outcome = simulate(&scenario, PolicyKind::Copperspread, seed).expect("it plays");
         assert!(outcome.breaches.is_empty(), "seed {seed}: {:?} {:?}", outcome.breaches, outcome.examples);
         assert_eq!(outcome.fell, 0, "seed {seed}: workers fell over");
         sum += outcome.worth.share();
@@ -84,7 +84,7 @@
         assert!(share > least, "{name}: {share}");
         if name == "release" {
             let scenario = Scenario::read(&text).expect("a scenario");
-            let plain = play(&scenario, Kind::TwoChoices, 1).expect("it plays");
+            let plain = simulate(&scenario, PolicyKind::TwoChoices, 1).expect("it plays");
             assert!(plain.fell > 0 || plain.worth.share() <= least, "release: two choices pass it");
         }
     }
@@ -95,7 +95,7 @@
 fn a_scheduler_that_ends_before_it_has_answered_breaks_a_rule() {
     let text = include_str!("../scenarios/vast-roll.toml").replace("lasts = 8.0", "lasts = 0.2");
     let scenario = Scenario::read(&text).expect("a scenario");
-    let outcome = play(&scenario, Kind::Copperspread, 1).expect("it plays");
+    let outcome = simulate(&scenario, PolicyKind::Copperspread, 1).expect("it plays");
     let missed = outcome.breaches.get(&Rule::AnswerInTime).copied().unwrap_or_default();
     assert!(missed > 10 && outcome.worth.lost > 0.0, "{missed}, {:?}", outcome.worth);
 }
