--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -12,7 +12,7 @@
 use crate::emulation::environment::{Environment, HttpClient, MAX_BODY_BYTES, expected_result};
 use crate::load::job_request;
 use crate::model::arrivals::Arrival;
-use crate::model::chance::Chance;
+use crate::model::random::RandomStream;
 use crate::outcome::End;
 use crate::referee::{GRACE, Heard};
 use crate::scenario::micros;
@@ -40,7 +40,7 @@
     client: HttpClient,
     number: u64,
     of: Arrival,
-    mut chance: Chance,
+    mut chance: RandomStream,
 ) {
     let class = &stage.scenario.classes[of.class as usize];
     let gives_up = of.at + micros(class.deadline);
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -22,7 +22,7 @@
 
 use crate::emulation::endpoint_list::VersionedEndpointList;
 use crate::emulation::state::{Callback, CallbackState, EmulationState};
-use crate::model::worker::Life;
+use crate::model::worker::ProcessState;
 use crate::scenario::{Scenario, micros};
 
 /// Longest body that is read.
@@ -205,18 +205,18 @@
         let (life, refusing, started) = {
             let world = self.state.borrow();
             let of = &world.workers[worker as usize].0;
-            (of.life, of.refusing, of.started_at)
+            (of.process, of.is_refusing, of.started_at)
         };
         let door = match life {
-            Life::Up | Life::Draining if refusing => ListenerState::Refusing,
-            Life::Up | Life::Draining => {
+            ProcessState::Up | ProcessState::Draining if refusing => ListenerState::Refusing,
+            ProcessState::Up | ProcessState::Draining => {
                 // Each start is another process.
                 let process = started.map_or(0, |at| (at / 1_000) as u32 + 1);
                 port.process.set(process);
                 ListenerState::Accepting(process)
             }
-            Life::Dead => ListenerState::Refusing,
-            Life::Vanished => ListenerState::Unreachable,
+            ProcessState::Stopped => ListenerState::Refusing,
+            ProcessState::Unreachable => ListenerState::Unreachable,
         };
         port.listener_state.send_if_modified(|now| std::mem::replace(now, door) != door);
         port.wake.notify_one();
@@ -238,10 +238,10 @@
 /// A worker's entry as the world has it.
 pub fn endpoint_of(world: &EmulationState, worker: u32) -> Endpoint {
     let (of, zone) = &world.workers[worker as usize];
-    let state = match of.life {
-        Life::Up => WorkerState::Ready,
-        Life::Draining => WorkerState::Draining,
-        Life::Dead | Life::Vanished => WorkerState::Removed,
+    let state = match of.process {
+        ProcessState::Up => WorkerState::Ready,
+        ProcessState::Draining => WorkerState::Draining,
+        ProcessState::Stopped | ProcessState::Unreachable => WorkerState::Removed,
     };
     let kind = world.kinds[worker as usize];
     Endpoint {
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -27,8 +27,8 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use crate::model::arrivals::Arrivals;
-use crate::model::chance::{Stream, stream};
-use crate::model::fleet::{Fleet, Turn};
+use crate::model::fleet::{FaultTransition, Fleet};
+use crate::model::random::{StreamPurpose, random_stream};
 use crate::outcome::{Measured, Outcome, Played};
 use crate::scenario::{Scenario, Trouble, micros};
 use endpoint_list::VersionedEndpointList;
@@ -108,8 +108,8 @@
     called: &str,
     seed: u64,
 ) -> Result<Outcome, String> {
-    let fleet = Fleet::draw(scenario, seed);
-    let (gone, turns) = (fleet.gone.clone(), fleet.turns.clone());
+    let fleet = Fleet::generate(scenario, seed);
+    let (gone, turns) = (fleet.missing_workers.clone(), fleet.fault_transitions.clone());
     // Each worker's port is bound at once and stays so.
     let mut sockets = Vec::new();
     let mut ports = Vec::new();
@@ -117,7 +117,7 @@
         let (socket, address) = scheduler_process::reserve_address().map_err(io_error("a worker's port"))?;
         ports.push(WorkerListener::new(
             address,
-            if worker.takes() { ListenerState::Accepting(0) } else { ListenerState::Refusing },
+            if worker.accepts_jobs() { ListenerState::Accepting(0) } else { ListenerState::Refusing },
         ));
         sockets.push(Some(socket));
     }
@@ -196,7 +196,7 @@
         let at = stage.instant_at(arrival.at);
         sleep_until(at).await;
         lag.saturating_record(at.elapsed().as_micros() as u64);
-        let chance = stream(seed.wrapping_add(number as u64), Stream::Retries);
+        let chance = random_stream(seed.wrapping_add(number as u64), StreamPurpose::Retries);
         jobs.spawn_local(clients::run_job(
             Rc::clone(stage),
             client.clone(),
@@ -213,19 +213,23 @@
 }
 
 /// Plays the faults; returns only when one of them cannot be played.
-async fn play_faults(stage: &Rc<Environment>, turns: &[Turn], processes: &mut [SchedulerProcess]) -> String {
+async fn play_faults(
+    stage: &Rc<Environment>,
+    turns: &[FaultTransition],
+    processes: &mut [SchedulerProcess],
+) -> String {
     let mut turns = turns.to_vec();
     turns.sort_by_key(|turn| turn.at);
     for turn in turns {
         sleep_until(stage.instant_at(turn.at)).await;
         let what = stage.scenario.faults[turn.fault].what;
-        match (what, turn.whom) {
+        match (what, turn.target) {
             (Trouble::SchedulerCrash | Trouble::SchedulerRestart, Some(at)) => {
                 let up = &stage.schedulers[at as usize].1;
                 let Some(process) = processes.get_mut(at as usize) else {
                     return "a scheduler that was not started here cannot end here".into();
                 };
-                if turn.begins {
+                if turn.is_start {
                     up.set(false);
                     match what {
                         Trouble::SchedulerRestart => process.terminate(),
@@ -241,16 +245,16 @@
                     up.set(true);
                 }
             }
-            (Trouble::DiscoveryDown, _) if turn.begins => {
+            (Trouble::DiscoveryDown, _) if turn.is_start => {
                 stage.update_endpoint_list(|listing| listing.outages += 1)
             }
             (Trouble::DiscoveryDown, _) => {
                 tokio::task::spawn_local(end_discovery_outage(Rc::clone(stage)));
             }
             (Trouble::DiscoveryContradicts, _) => {
-                let old = turn.begins.then(|| stage.endpoints());
+                let old = turn.is_start.then(|| stage.endpoints());
                 stage.update_endpoint_list(|listing| listing.stale_copy = old);
-                if turn.begins {
+                if turn.is_start {
                     tokio::task::spawn_local(alternate_lists(Rc::clone(stage)));
                 }
             }
--- a/crates/testbed/src/emulation/state.rs
+++ b/crates/testbed/src/emulation/state.rs
@@ -8,11 +8,11 @@
 use tokio::time::Instant;
 
 use crate::model::arrivals::Arrival;
-use crate::model::chance::{Chance, Stream, stream};
-use crate::model::fleet::{Fleet, Turn, cold_budget};
-use crate::model::keys::{Keys, Repeat, group};
-use crate::model::wire::{Cut, Wire};
-use crate::model::worker::{self, Life, Offer, Offered, Worker};
+use crate::model::connection_faults::{ConnectionFaults, DeliveryResult};
+use crate::model::fleet::{FaultTransition, Fleet, slow_start_budget};
+use crate::model::idempotency_keys::{DuplicateOutcome, KeyHistory, key_group};
+use crate::model::random::{RandomStream, StreamPurpose, random_stream};
+use crate::model::worker::{self, OfferResult, OfferedJob, ProcessState, Worker};
 use crate::outcome::Tally;
 use crate::referee::Referee;
 use crate::scenario::{Scenario, Trouble, micros};
@@ -102,7 +102,7 @@
 /// A client's job.
 struct Job {
     of: Arrival,
-    keys: Keys,
+    keys: KeyHistory,
 }
 
 /// The world round the schedulers.
@@ -116,7 +116,7 @@
     /// Each worker's cell.
     pub cells: Vec<u32>,
     /// What goes wrong on their connections.
-    pub connections: Vec<Wire>,
+    pub connections: Vec<ConnectionFaults>,
     /// The referee.
     pub referee: Referee,
     /// What became of jobs.
@@ -140,8 +140,8 @@
     load_queries: FxHashMap<u64, oneshot::Sender<()>>,
     last_id: u64,
     extra_report_delay: Micros,
-    network_random: Chance,
-    noise_random: Chance,
+    network_random: RandomStream,
+    noise_random: RandomStream,
     in_flight: (u64, f64, Micros),
 }
 
@@ -149,11 +149,11 @@
     /// The world of a scenario and a seed; time counts from now on.
     pub fn new(scenario: &Scenario, fleet: Fleet, seed: u64) -> EmulationState {
         EmulationState {
-            connections: vec![Wire::default(); fleet.workers.len()],
+            connections: vec![ConnectionFaults::default(); fleet.workers.len()],
             workers: fleet.workers,
             kinds: fleet.kinds,
             cells: fleet.cells,
-            referee: Referee::new(cold_budget(scenario)),
+            referee: Referee::new(slow_start_budget(scenario)),
             tally: Tally::new(scenario.classes.len(), scenario.zones),
             attempts_sent: 0,
             cross_zone_attempts: 0,
@@ -169,8 +169,8 @@
             // Ids that look like no small number, as the platform's do.
             last_id: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 << 63,
             extra_report_delay: 0,
-            network_random: stream(seed, Stream::Network),
-            noise_random: stream(seed, Stream::Reports),
+            network_random: random_stream(seed, StreamPurpose::Network),
+            noise_random: random_stream(seed, StreamPurpose::Reports),
             in_flight: (0, 0.0, 0),
             scenario: scenario.clone(),
         }
@@ -204,7 +204,7 @@
 
     /// A client's job, by its number.
     pub fn add_job(&mut self, number: u64, of: Arrival) {
-        self.jobs.insert(number, Job { of, keys: Keys::default() });
+        self.jobs.insert(number, Job { of, keys: KeyHistory::default() });
     }
 
     /// A client asks a scheduler; returns the request's id.
@@ -250,28 +250,30 @@
         let zone = self.workers[worker as usize].1;
         let effect = self.scenario.classes[arrival.class as usize].effect();
         let group = match effect {
-            Idempotency::IdempotentWithKey { scope, .. } => group(scope, zone, self.cells[worker as usize]),
+            Idempotency::IdempotentWithKey { scope, .. } => {
+                key_group(scope, zone, self.cells[worker as usize])
+            }
             _ => 0,
         };
         self.last_id = self.last_id.wrapping_add(1);
         let id = self.last_id;
         let attempt = Attempt { request, job, worker, scheduler };
         if let Idempotency::IdempotentWithKey { window, .. } = effect
-            && self.workers[worker as usize].0.takes()
-            && let Some(repeat) = of.keys.repeat(id, group, now, window)
+            && self.workers[worker as usize].0.accepts_jobs()
+            && let Some(repeat) = of.keys.check_duplicate(id, group, now, window)
         {
             self.attempts.insert(id, attempt);
             self.referee.took(now, job, id, effect, group, came);
-            if repeat == Repeat::Done {
+            if repeat == DuplicateOutcome::AlreadyServed {
                 self.queue_callback(id, AttemptState::Done);
             }
             return AttemptResponse::Accepted;
         }
-        let cut = self.connections[worker as usize].meets(self.network_random.random());
+        let cut = self.connections[worker as usize].delivery_result(self.network_random.random());
         match cut {
-            Cut::Before => return AttemptResponse::Reset,
-            Cut::Garbage => return AttemptResponse::Garbage,
-            Cut::Fails => {
+            DeliveryResult::ResetBeforeTaken => return AttemptResponse::Reset,
+            DeliveryResult::InvalidResponse => return AttemptResponse::Garbage,
+            DeliveryResult::ImmediateError => {
                 // As in virtual time: to the rules it may have run.
                 self.referee.took(now, job, id, effect, group, came);
                 self.referee.ran(now, job, effect);
@@ -280,26 +282,30 @@
                 self.attempts.remove(&id);
                 return AttemptResponse::Accepted;
             }
-            Cut::Whole | Cut::After => {}
+            DeliveryResult::Delivered | DeliveryResult::ResetAfterTaken => {}
         }
-        let offered = arrival.offered(id, &self.scenario.classes[arrival.class as usize]);
+        let offered = arrival.to_offered_job(id, &self.scenario.classes[arrival.class as usize]);
         let mut effects = Vec::new();
         match self.workers[worker as usize].0.offer(now, offered, &mut effects) {
-            Offer::Taken => {
+            OfferResult::Accepted => {
                 self.in_flight.0 += 1;
                 self.attempts.insert(id, attempt);
                 self.referee.took(now, job, id, effect, group, came);
                 if matches!(effect, Idempotency::IdempotentWithKey { .. })
                     && let Some(of) = self.jobs.get_mut(&job)
                 {
-                    of.keys.took(id, group, now);
+                    of.keys.record_taken(id, group, now);
                 }
                 self.apply_effects(worker, effects);
-                if cut == Cut::After { AttemptResponse::AcceptedThenReset } else { AttemptResponse::Accepted }
+                if cut == DeliveryResult::ResetAfterTaken {
+                    AttemptResponse::AcceptedThenReset
+                } else {
+                    AttemptResponse::Accepted
+                }
             }
-            Offer::Full => AttemptResponse::Rejected(self.response_load_report(worker)),
+            OfferResult::QueueFull => AttemptResponse::Rejected(self.response_load_report(worker)),
             // Its sockets are on their way out.
-            Offer::Dead | Offer::Vanished => AttemptResponse::Reset,
+            OfferResult::ConnectionRefused | OfferResult::Unreachable => AttemptResponse::Reset,
         }
     }
 
@@ -320,7 +326,7 @@
             self.in_flight.0 -= 1;
             let job = self.attempts.get(&id).map(|of| of.job);
             if let Some(of) = job.and_then(|job| self.jobs.get_mut(&job)) {
-                of.keys.handed_back(id);
+                of.keys.record_handed_back(id);
             }
             self.attempt_ended(id, AttemptState::Failed);
             self.apply_effects(worker, effects);
@@ -333,24 +339,26 @@
         self.account_in_flight();
         let now = self.now();
         self.load_query_count += 1;
-        match self.connections[worker as usize].meets(self.network_random.random()) {
-            Cut::Whole => {}
-            Cut::Before | Cut::After => return LoadQueryResponse::Reset,
-            Cut::Garbage => return LoadQueryResponse::Garbage,
-            Cut::Fails => return LoadQueryResponse::Failed,
+        match self.connections[worker as usize].delivery_result(self.network_random.random()) {
+            DeliveryResult::Delivered => {}
+            DeliveryResult::ResetBeforeTaken | DeliveryResult::ResetAfterTaken => {
+                return LoadQueryResponse::Reset;
+            }
+            DeliveryResult::InvalidResponse => return LoadQueryResponse::Garbage,
+            DeliveryResult::ImmediateError => return LoadQueryResponse::Failed,
         }
         let of = &mut self.workers[worker as usize].0;
-        if of.life != Life::Up {
+        if of.process != ProcessState::Up {
             return LoadQueryResponse::Unavailable;
         }
         if !probe.deep {
-            of.charge(now, probe.work);
-            return LoadQueryResponse::AfterDelay(micros(probe.work / of.build.speed));
+            of.charge_side_work(now, probe.work);
+            return LoadQueryResponse::AfterDelay(micros(probe.work / of.spec.speed));
         }
         self.last_id = self.last_id.wrapping_add(1);
         let id = self.last_id;
         let mut effects = Vec::new();
-        if of.offer(now, Offered::probe(id, probe.work), &mut effects) != Offer::Taken {
+        if of.offer(now, OfferedJob::load_query(id, probe.work), &mut effects) != OfferResult::Accepted {
             return LoadQueryResponse::Unavailable;
         }
         self.in_flight.0 += 1;
@@ -365,7 +373,7 @@
         let now = self.now();
         let late =
             self.scenario.reports.probe.map_or(0, |probe| micros(probe.late)) + self.extra_report_delay;
-        self.workers[worker as usize].0.probed(now, late).unwrap_or_default()
+        self.workers[worker as usize].0.answer_load_query(now, late).unwrap_or_default()
     }
 
     /// A worker's figures for probes are refreshed.
@@ -373,7 +381,7 @@
         let (now, every) = (self.now(), micros(self.scenario.reports.refresh));
         let (noise, sigma) = (&mut self.noise_random, self.scenario.reports.noise);
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
-        self.workers[worker as usize].0.refresh(now, every, draw);
+        self.workers[worker as usize].0.refresh_load_report(now, every, draw);
     }
 
     /// What comes along with an answer; nothing where workers are to be probed.
@@ -385,7 +393,7 @@
         let (noise, sigma, now) =
             (&mut self.noise_random, self.scenario.reports.noise, self.started_at.elapsed());
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
-        self.workers[worker as usize].0.report(now.as_micros() as Micros, refresh, draw)
+        self.workers[worker as usize].0.load_report(now.as_micros() as Micros, refresh, draw)
     }
 
     /// A worker is looked at: what is done by now ends. Returns when it must be looked at again.
@@ -394,53 +402,53 @@
         let now = self.now();
         let mut effects = Vec::new();
         let of = &mut self.workers[worker as usize].0;
-        if of.takes() || of.holds() > 0 {
+        if of.accepts_jobs() || of.job_count() > 0 {
             of.advance(now, &mut effects);
         }
         self.apply_effects(worker, effects);
-        self.workers[worker as usize].0.next(self.now()).map(|at| self.instant_at(at))
+        self.workers[worker as usize].0.next_wake(self.now()).map(|at| self.instant_at(at))
     }
 
     /// A fault begins or is over.
-    pub fn apply_fault(&mut self, turn: Turn) {
+    pub fn apply_fault(&mut self, turn: FaultTransition) {
         self.account_in_flight();
         let now = self.now();
         let what = self.scenario.faults[turn.fault].what;
         if let Trouble::ReportsLate(by) = what {
-            self.extra_report_delay = if turn.begins { micros(by) } else { 0 };
+            self.extra_report_delay = if turn.is_start { micros(by) } else { 0 };
         }
-        let Some(worker) = turn.whom.filter(|_| what.meets_workers()) else { return };
-        if self.connections[worker as usize].turn(what, turn.begins) {
+        let Some(worker) = turn.target.filter(|_| what.meets_workers()) else { return };
+        if self.connections[worker as usize].apply_fault(what, turn.is_start) {
             return;
         }
         let mut effects = Vec::new();
-        let held = self.workers[worker as usize].0.holds() as u64;
-        let started = self.workers[worker as usize].0.turn(now, what, turn.begins, &mut effects);
-        if what == Trouble::Vanish && turn.begins {
+        let held = self.workers[worker as usize].0.job_count() as u64;
+        let started = self.workers[worker as usize].0.apply_fault(now, what, turn.is_start, &mut effects);
+        if what == Trouble::Vanish && turn.is_start {
             self.in_flight.0 -= held;
         }
         if started {
-            let build = self.workers[worker as usize].0.build;
+            let build = self.workers[worker as usize].0.spec;
             self.referee.started(now, worker, build.cores.min(build.slots) * build.speed);
         }
         self.apply_effects(worker, effects);
         self.changed_workers.push(worker);
     }
 
-    fn apply_effects(&mut self, worker: u32, effects: Vec<worker::Effect>) {
+    fn apply_effects(&mut self, worker: u32, effects: Vec<worker::WorkerEffect>) {
         let now = self.now();
         for effect in effects {
             match effect {
-                worker::Effect::Started(id) => {
+                worker::WorkerEffect::Started(id) => {
                     let Some(of) = self.attempts.get(&id) else { continue };
                     let job = of.job;
                     let Some(class) = self.jobs.get(&job).map(|job| job.of.class) else { continue };
                     self.referee.ran(now, job, self.scenario.classes[class as usize].effect());
-                    if self.workers[worker as usize].0.silent != Some(class) {
+                    if self.workers[worker as usize].0.silent_class != Some(class) {
                         self.queue_callback(id, AttemptState::Started);
                     }
                 }
-                worker::Effect::Done { attempt, told } => {
+                worker::WorkerEffect::Finished { attempt, is_reported: told } => {
                     self.in_flight.0 -= 1;
                     if let Some(of) = self.load_queries.remove(&attempt) {
                         let _ = of.send(());
@@ -450,25 +458,25 @@
                     }
                     self.attempt_ended(attempt, AttemptState::Done);
                 }
-                worker::Effect::Lost(id) => {
+                worker::WorkerEffect::Lost(id) => {
                     self.in_flight.0 -= 1;
                     self.load_queries.remove(&id);
                     self.queue_callback(id, AttemptState::Lost);
                     self.attempt_ended(id, AttemptState::Lost);
                 }
-                worker::Effect::HandedBack(id) => {
+                worker::WorkerEffect::HandedBack(id) => {
                     self.in_flight.0 -= 1;
                     self.load_queries.remove(&id);
                     if let Some(job) = self.attempts.get(&id).map(|of| of.job) {
                         self.referee.handed_back(job, id);
                         if let Some(of) = self.jobs.get_mut(&job) {
-                            of.keys.handed_back(id);
+                            of.keys.record_handed_back(id);
                         }
                     }
                     self.queue_callback(id, AttemptState::Returned);
                     self.attempt_ended(id, AttemptState::Failed);
                 }
-                worker::Effect::Fell => {
+                worker::WorkerEffect::Overloaded => {
                     self.overloaded_workers += 1;
                     self.changed_workers.push(worker);
                 }
@@ -496,7 +504,7 @@
     fn attempt_ended(&mut self, id: u64, kind: AttemptState) {
         let Some(of) = self.attempts.remove(&id) else { return };
         let Some(job) = self.jobs.get_mut(&of.job) else { return };
-        for repeat in job.keys.ended(kind == AttemptState::Done) {
+        for repeat in job.keys.record_end(kind == AttemptState::Done) {
             self.queue_callback(repeat, kind);
             self.attempts.remove(&repeat);
         }
@@ -517,7 +525,7 @@
         }
         let wire = self.connections[worker as usize];
         let way = self.network_delay(self.workers[worker as usize].1, self.scheduler_zone(scheduler));
-        let (after, twice) = (way + wire.late, wire.doubled);
+        let (after, twice) = (way + wire.callback_delay, wire.duplicates_callbacks);
         self.callbacks.push(Callback {
             request,
             worker,
