--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -4,14 +4,14 @@
 use serde::Serialize;
 
 use crate::model::chance::{Stream, stream};
-use crate::outcome::Outcome;
+use crate::outcome::RunOutcome;
 use crate::policy::Kind;
 use crate::scenario::Scenario;
 use crate::sim::play;
 
 /// A mean difference against the first policy, over pairs of one seed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Difference {
+pub struct PairedDifference {
     /// The mean.
     pub mean: f64,
     /// The interval that holds 95% of the resampled means.
@@ -23,12 +23,12 @@
 /// Of fewer pairs an interval says nothing.
 const FEWEST: usize = 3;
 
-impl std::fmt::Display for Difference {
+impl std::fmt::Display for PairedDifference {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let (mean, [low, high]) = (self.mean, self.interval);
         if !self.has_interval() {
             write!(f, "{mean:+.3} (too few seeds for an interval)")
-        } else if self.shown() {
+        } else if self.excludes_zero() {
             write!(f, "{mean:+.3} [{low:+.3}, {high:+.3}]")
         } else {
             write!(f, "no difference shown [{low:+.3}, {high:+.3}]")
@@ -36,9 +36,9 @@
     }
 }
 
-impl Difference {
+impl PairedDifference {
     /// From the differences of each pair. `None` of no pairs.
-    pub fn of(pairs: &[f64]) -> Option<Difference> {
+    pub fn from_pairs(pairs: &[f64]) -> Option<PairedDifference> {
         const DRAWS: usize = 2_000;
         if pairs.is_empty() {
             return None;
@@ -54,7 +54,7 @@
             .collect();
         means.sort_by(f64::total_cmp);
         let count = pairs.len();
-        Some(Difference {
+        Some(PairedDifference {
             pairs: count,
             mean: mean(pairs),
             interval: [means[DRAWS / 40], means[DRAWS - 1 - DRAWS / 40]],
@@ -67,65 +67,73 @@
     }
 
     /// Whether the interval leaves zero out. Fewer than three pairs show nothing.
-    pub fn shown(&self) -> bool {
+    pub fn excludes_zero(&self) -> bool {
         self.has_interval() && (self.interval[0] > 0.0 || self.interval[1] < 0.0)
     }
 }
 
 /// One variant's runs of a scenario.
 #[derive(Clone, Debug, Serialize)]
-pub struct Row {
+pub struct VariantResult {
     /// The variant: a policy, or the name that an experiment gives it.
     pub policy: String,
     /// The share of worth served in time, the mean over seeds.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub in_time_share: f64,
     /// The shares refused, late, failed and lost.
-    pub went: [f64; 4],
+    #[serde(rename = "went")]
+    pub unserved_shares: [f64; 4],
     /// The first policy's share less this one's, in pairs.
-    pub behind: Option<Difference>,
+    #[serde(rename = "behind")]
+    pub deficit: Option<PairedDifference>,
     /// Breaches of rules in all runs.
-    pub breaches: u64,
+    #[serde(rename = "breaches")]
+    pub violations: u64,
     /// The runs.
-    pub runs: Vec<Outcome>,
+    pub runs: Vec<RunOutcome>,
 }
 
 /// Plays a scenario under policies and seeds, on all cores.
 ///
 /// # Errors
 /// A policy that cannot be made.
-pub fn compare(scenario: &Scenario, kinds: &[Kind], seeds: &[u64]) -> Result<Vec<Row>, String> {
+pub fn compare_policies(
+    scenario: &Scenario,
+    kinds: &[Kind],
+    seeds: &[u64],
+) -> Result<Vec<VariantResult>, String> {
     let pairs: Vec<(Kind, u64)> =
         kinds.iter().flat_map(|&kind| seeds.iter().map(move |&seed| (kind, seed))).collect();
-    let runs: Vec<Outcome> =
+    let runs: Vec<RunOutcome> =
         pairs.par_iter().map(|&(kind, seed)| play(scenario, kind, seed)).collect::<Result<_, String>>()?;
     let names: Vec<String> = kinds.iter().map(|kind| kind.name()).collect();
     let each = seeds.len().max(1);
-    Ok(rows(names.into_iter().zip(runs.chunks(each).map(<[_]>::to_vec)).collect()))
+    Ok(variant_results(names.into_iter().zip(runs.chunks(each).map(<[_]>::to_vec)).collect()))
 }
 
 /// Variants with their runs, of the same seeds in the same order, as rows; the first is compared with
 /// each other one.
-pub fn rows(variants: Vec<(String, Vec<Outcome>)>) -> Vec<Row> {
-    let shares = |runs: &[Outcome]| runs.iter().map(|run| run.score()).collect::<Vec<f64>>();
+pub fn variant_results(variants: Vec<(String, Vec<RunOutcome>)>) -> Vec<VariantResult> {
+    let shares = |runs: &[RunOutcome]| runs.iter().map(|run| run.score()).collect::<Vec<f64>>();
     let first: Vec<f64> = variants.first().map_or_else(Vec::new, |(_, runs)| shares(runs));
-    let row = |(at, (policy, runs)): (usize, (String, Vec<Outcome>))| {
+    let row = |(at, (policy, runs)): (usize, (String, Vec<RunOutcome>))| {
         let shares = shares(&runs);
         let behind: Vec<f64> = first.iter().zip(&shares).map(|(first, own)| first - own).collect();
-        let part = |of: fn(&Outcome) -> f64| {
-            runs.iter().map(|run| of(run) / run.worth.asked.max(1e-12)).sum::<f64>()
+        let part = |of: fn(&RunOutcome) -> f64| {
+            runs.iter().map(|run| of(run) / run.weight.requested.max(1e-12)).sum::<f64>()
                 / runs.len().max(1) as f64
         };
-        Row {
+        VariantResult {
             policy,
-            share: shares.iter().sum::<f64>() / shares.len().max(1) as f64,
-            went: [
-                part(|run| run.worth.refused),
-                part(|run| run.worth.late),
-                part(|run| run.worth.failed),
-                part(|run| run.worth.lost),
+            in_time_share: shares.iter().sum::<f64>() / shares.len().max(1) as f64,
+            unserved_shares: [
+                part(|run| run.weight.rejected),
+                part(|run| run.weight.late),
+                part(|run| run.weight.failed),
+                part(|run| run.weight.unanswered),
             ],
-            behind: if at == 0 { None } else { Difference::of(&behind) },
-            breaches: runs.iter().flat_map(|run| run.breaches.values()).sum(),
+            deficit: if at == 0 { None } else { PairedDifference::from_pairs(&behind) },
+            violations: runs.iter().flat_map(|run| run.violations.values()).sum(),
             runs,
         }
     };
@@ -133,17 +141,25 @@
 }
 
 /// The rows as a table.
-pub fn table(scenario: &Scenario, rows: &[Row]) -> String {
+pub fn comparison_table(scenario: &Scenario, rows: &[VariantResult]) -> String {
     let mut text = format!(
         "{}: {}\n{:<26} {:>7} {:>8} {:>6} {:>7} {:>6} {:>9}  first less this one\n",
-        scenario.name, scenario.about, "variant", "served", "refused", "late", "failed", "lost", "breaches"
+        scenario.name,
+        scenario.description,
+        "variant",
+        "served",
+        "refused",
+        "late",
+        "failed",
+        "lost",
+        "breaches"
     );
     for row in rows {
-        let [refused, late, failed, lost] = row.went;
-        let behind = row.behind.map(|of| of.to_string()).unwrap_or_default();
+        let [refused, late, failed, lost] = row.unserved_shares;
+        let behind = row.deficit.map(|of| of.to_string()).unwrap_or_default();
         text += &format!(
             "{:<26} {:>7.3} {refused:>8.3} {late:>6.3} {failed:>7.3} {lost:>6.3} {:>9}  {behind}\n",
-            row.policy, row.share, row.breaches
+            row.policy, row.in_time_share, row.violations
         );
     }
     text
--- a/crates/testbed/src/emulate/clients.rs
+++ b/crates/testbed/src/emulate/clients.rs
@@ -13,9 +13,9 @@
 use crate::load::job_request;
 use crate::model::arrivals::Arrival;
 use crate::model::chance::Chance;
-use crate::outcome::End;
-use crate::referee::{GRACE, Heard};
-use crate::scenario::micros;
+use crate::outcome::JobOutcome;
+use crate::rule_checker::{ClientResponse, TIMING_GRACE};
+use crate::scenario::micros_from_seconds;
 
 /// What a client hears.
 enum Said {
@@ -37,8 +37,8 @@
 /// A client's job, from its first try to its end.
 pub async fn job(stage: Rc<Stage>, client: Sender, number: u64, of: Arrival, mut chance: Chance) {
     let class = &stage.scenario.classes[of.class as usize];
-    let gives_up = of.at + micros(class.deadline);
-    let mut retries = stage.scenario.clients.retries;
+    let gives_up = of.at + micros_from_seconds(class.deadline_s);
+    let mut retries = stage.scenario.clients.max_retries;
     stage.act(|world| world.job(number, of));
     let end = loop {
         let scheduler = front(&stage, of.scheduler);
@@ -46,40 +46,44 @@
         let left = u128::from(gives_up.saturating_sub(stage.now()) / 1_000);
         let target = stage.schedulers[scheduler as usize].0;
         let request = job_request(target, &class.name, (id, number), left, &of);
-        let by = stage.instant(gives_up + micros(stage.scenario.clients.grace));
+        let by = stage.instant(gives_up + micros_from_seconds(stage.scenario.clients.deadline_grace_s));
         let said = timeout_at(by, ask(&client, request)).await;
         let now = stage.now();
         let Ok(said) = said else {
-            stage.act(|world| world.referee.gave_up(now, RequestId(id)));
-            break End::Lost;
+            stage.act(|world| world.referee.deadline_passed(now, RequestId(id)));
+            break JobOutcome::Unanswered;
         };
         let heard = match &said {
             // A result of another request is as forged as one that nobody made.
-            Said::Served(body) if *body == result(id).as_bytes() => Heard::Served,
-            Said::Served(_) => Heard::Forged,
-            Said::Refused(_) | Said::Failed => Heard::Said,
-            Said::Broken => Heard::Broken,
+            Said::Served(body) if *body == result(id).as_bytes() => ClientResponse::Served,
+            Said::Served(_) => ClientResponse::Forged,
+            Said::Refused(_) | Said::Failed => ClientResponse::Unserved,
+            Said::Broken => ClientResponse::ConnectionBroken,
         };
-        stage.act(|world| world.referee.answered(now, RequestId(id), heard));
+        stage.act(|world| world.referee.response_received(now, RequestId(id), heard));
         match said {
             Said::Served(_) => {
-                let wanted = micros(class.aim + class.stretch * of.work);
-                break if now.saturating_sub(of.at) <= wanted { End::InTime } else { End::Late };
+                let wanted = micros_from_seconds(class.latency_objective_s + class.latency_stretch * of.work);
+                break if now.saturating_sub(of.at) <= wanted {
+                    JobOutcome::InTime
+                } else {
+                    JobOutcome::Late
+                };
             }
             Said::Refused(after) => {
                 let clients = &stage.scenario.clients;
-                let wait = clients.again.wait(after, clients.heed, chance.random());
-                if retries == 0 || now + wait + GRACE >= gives_up {
-                    break End::Refused;
+                let wait = clients.retry_timing.delay(after, clients.max_retry_after_s, chance.random());
+                if retries == 0 || now + wait + TIMING_GRACE >= gives_up {
+                    break JobOutcome::Rejected;
                 }
                 retries -= 1;
                 sleep(Duration::from_micros(wait)).await;
             }
-            Said::Failed | Said::Broken => break End::Failed,
+            Said::Failed | Said::Broken => break JobOutcome::Failed,
         }
     };
     let took = stage.now().saturating_sub(of.at);
-    stage.act(|world| world.tally.ended(&of, class, took, end));
+    stage.act(|world| world.tally.record_job(&of, class, took, end));
 }
 
 async fn ask(client: &Sender, request: Option<Request<Full<Bytes>>>) -> Said {
@@ -93,7 +97,7 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
             let after = head.headers.get("retry-after").and_then(|value| value.to_str().ok());
             let after = after.and_then(|value| value.parse::<f64>().ok()).filter(|value| value.is_finite());
-            Said::Refused(micros(after.unwrap_or(0.0)))
+            Said::Refused(micros_from_seconds(after.unwrap_or(0.0)))
         }
         _ => Said::Failed,
     }
--- a/crates/testbed/src/emulate/listing.rs
+++ b/crates/testbed/src/emulate/listing.rs
@@ -10,7 +10,7 @@
 
 use crate::emulate::program::zone;
 use crate::emulate::stage::{Answer, Stage, serve_connection};
-use crate::scenario::micros;
+use crate::scenario::micros_from_seconds;
 
 /// Longest hold of a watch, as on the platform.
 const LONGEST_HOLD: Micros = 60_000_000;
@@ -66,7 +66,7 @@
     let hold = figure(query, "hold_ms").unwrap_or_default().saturating_mul(1_000).min(LONGEST_HOLD);
     let asked = stage.now();
     // Nothing comes before the first list, and nothing while discovery is down.
-    let first = micros(stage.scenario.discovery.first_after);
+    let first = micros_from_seconds(stage.scenario.discovery.first_list_after_s);
     sleep_until(stage.instant(first)).await;
     let by = stage.instant(asked + hold);
     let (kind, revision, entries) = loop {
--- a/crates/testbed/src/emulate/mod.rs
+++ b/crates/testbed/src/emulate/mod.rs
@@ -29,8 +29,8 @@
 use crate::model::arrivals::Arrivals;
 use crate::model::chance::{Stream, stream};
 use crate::model::fleet::{Fleet, Turn};
-use crate::outcome::{Measured, Outcome, Played};
-use crate::scenario::{Scenario, Trouble, micros};
+use crate::outcome::{MachineUsage, RunOutcome, RunRecord};
+use crate::scenario::{FaultKind, Scenario, micros_from_seconds};
 use list::Listing;
 use program::{Process, Program, configuration};
 use stage::{Door, Port, Stage};
@@ -66,7 +66,7 @@
     schedulers: &Schedulers,
     called: &str,
     seed: u64,
-) -> Result<Outcome, String> {
+) -> Result<RunOutcome, String> {
     check(scenario, seed)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
@@ -83,12 +83,12 @@
             scenario.name, scenario.schedulers
         ));
     }
-    if scenario.discovery.sizes > 0.0 {
+    if scenario.discovery.size_interval_s > 0.0 {
         // Guards against a run in which all workers pass for idle.
         let name = &scenario.name;
         return Err(format!("{name}: discovery.sizes: emulate's list renews no sizes; sim plays it"));
     }
-    if scenario.faults.iter().any(|fault| fault.what == Trouble::DiscoveryMoves) {
+    if scenario.faults.iter().any(|fault| fault.kind == FaultKind::DiscoveryMoves) {
         let name = &scenario.name;
         return Err(format!("{name}: faults: emulate has one discovery, which cannot move; sim plays it"));
     }
@@ -107,7 +107,7 @@
     schedulers: &Schedulers,
     called: &str,
     seed: u64,
-) -> Result<Outcome, String> {
+) -> Result<RunOutcome, String> {
     let fleet = Fleet::draw(scenario, seed);
     let (gone, turns) = (fleet.gone.clone(), fleet.turns.clone());
     // Each worker's port is bound at once and stays so.
@@ -150,7 +150,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(wrong("a list's port"))?;
         let discovery = listener.local_addr().map_err(wrong("a list's port"))?;
         tokio::task::spawn_local(listing::agent(Rc::clone(&stage), number, listener));
-        let known = (scenario.discovery.first_after > 0.0)
+        let known = (scenario.discovery.first_list_after_s > 0.0)
             .then(|| listing::form(&stage, EndpointUpdateKind::Cached, 0, &remembered));
         let configuration = configuration(scenario, number, seed, address, discovery, known.as_ref());
         processes.push(Process::new(program, folder.path(), number, address, &configuration)?);
@@ -191,7 +191,7 @@
         let chance = stream(seed.wrapping_add(number as u64), Stream::Retries);
         jobs.spawn_local(clients::job(Rc::clone(stage), client.clone(), number as u64 + 1, arrival, chance));
     }
-    let longest = scenario.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+    let longest = scenario.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
     let by = Duration::from_secs_f64(longest) + LAST;
     let all = timeout(by, async { while jobs.join_next().await.is_some() {} });
     all.await.map_err(|_| "jobs that do not end: a fault of the emulator".to_owned())?;
@@ -204,9 +204,9 @@
     turns.sort_by_key(|turn| turn.at);
     for turn in turns {
         sleep_until(stage.instant(turn.at)).await;
-        let what = stage.scenario.faults[turn.fault].what;
+        let what = stage.scenario.faults[turn.fault].kind;
         match (what, turn.whom) {
-            (Trouble::SchedulerCrash | Trouble::SchedulerRestart, Some(at)) => {
+            (FaultKind::SchedulerCrash | FaultKind::SchedulerRestart, Some(at)) => {
                 let up = &stage.schedulers[at as usize].1;
                 let Some(process) = processes.get_mut(at as usize) else {
                     return "a scheduler that was not started here cannot end here".into();
@@ -214,7 +214,7 @@
                 if turn.begins {
                     up.set(false);
                     match what {
-                        Trouble::SchedulerRestart => process.terminate(),
+                        FaultKind::SchedulerRestart => process.terminate(),
                         _ => process.kill().await,
                     }
                 } else {
@@ -227,11 +227,11 @@
                     up.set(true);
                 }
             }
-            (Trouble::DiscoveryDown, _) if turn.begins => stage.list(|listing| listing.down += 1),
-            (Trouble::DiscoveryDown, _) => {
+            (FaultKind::DiscoveryDown, _) if turn.begins => stage.list(|listing| listing.down += 1),
+            (FaultKind::DiscoveryDown, _) => {
                 tokio::task::spawn_local(list_is_back(Rc::clone(stage)));
             }
-            (Trouble::DiscoveryContradicts, _) => {
+            (FaultKind::DiscoveryContradicts, _) => {
                 let old = turn.begins.then(|| stage.entries());
                 stage.list(|listing| listing.contradicted = old);
                 if turn.begins {
@@ -245,7 +245,7 @@
 }
 
 async fn list_is_back(stage: Rc<Stage>) {
-    let delay: Micros = micros(stage.scenario.discovery.delay);
+    let delay: Micros = micros_from_seconds(stage.scenario.discovery.delay_s);
     sleep(Duration::from_micros(delay)).await;
     // Only now: what changed during the delay waits there as well.
     let untold = std::mem::take(&mut stage.listing.borrow_mut().untold);
@@ -257,7 +257,7 @@
 }
 
 async fn contradict(stage: Rc<Stage>) {
-    sleep(Duration::from_micros(micros(stage.scenario.discovery.delay))).await;
+    sleep(Duration::from_micros(micros_from_seconds(stage.scenario.discovery.delay_s))).await;
     let mut old = true;
     loop {
         let now = stage.entries();
@@ -278,29 +278,29 @@
     lag: [f64; 2],
     cpu: Duration,
     played: Duration,
-) -> Outcome {
+) -> RunOutcome {
     let mut world = stage.world.borrow_mut();
-    let referee = std::mem::replace(&mut world.referee, crate::referee::Referee::new(None));
-    let jobs = world.tally.jobs();
-    Played {
+    let referee = std::mem::replace(&mut world.referee, crate::rule_checker::RuleChecker::new(None));
+    let jobs = world.tally.job_count();
+    RunRecord {
         scenario: &stage.scenario,
         policy: called.to_owned(),
         seed,
         events: 0,
-        tally: &world.tally,
+        counter: &world.tally,
         workers: &world.workers,
         kinds: &world.kinds,
         attempts: world.attempts_sent,
-        crossed: world.crossed,
-        probes: world.probed,
-        fell: world.fell,
-        held: world.held(),
-        verdict: referee.verdict(),
-        measured: Some(Measured {
-            own_lag_ms: lag,
-            cpu_us_a_job: cpu.as_micros() as f64 / jobs.max(1) as f64,
+        cross_zone_attempts: world.crossed,
+        load_queries: world.probed,
+        overloads: world.fell,
+        job_microseconds: world.held(),
+        violations: referee.into_violations(),
+        machine_usage: Some(MachineUsage {
+            send_lag_ms: lag,
+            cpu_us_per_job: cpu.as_micros() as f64 / jobs.max(1) as f64,
             cores: cpu.as_secs_f64() / played.as_secs_f64().max(1.0 / SECOND as f64),
         }),
     }
-    .outcome()
+    .into_outcome()
 }
--- a/crates/testbed/src/emulate/program.rs
+++ b/crates/testbed/src/emulate/program.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::policy::Kind;
-use crate::scenario::{CONNECT, Repeat, Scenario, Scope};
+use crate::scenario::{CONNECT_TIMEOUT, DeduplicationScope, RepeatPolicy, Scenario};
 
 /// A program that does not say that it is ready by then is given up.
 const READY_WITHIN: Duration = Duration::from_secs(10);
@@ -72,29 +72,29 @@
         .iter()
         .map(|class| {
             let mut of = json!({
-                "name": class.name, "aim_s": class.aim, "deadline_s": class.deadline, "importance": class.worth,
+                "name": class.name, "aim_s": class.latency_objective_s, "deadline_s": class.deadline_s, "importance": class.priority_weight,
                 "semantics": match class.repeat {
-                    Repeat::Safe => "pure",
-                    Repeat::Keyed => "token",
-                    Repeat::Never => "side_effect",
+                    RepeatPolicy::Safe => "pure",
+                    RepeatPolicy::Keyed => "token",
+                    RepeatPolicy::Never => "side_effect",
                 },
             });
-            if class.repeat == Repeat::Keyed {
-                of["key_scope"] = match class.scope {
-                    Scope::All => "all",
-                    Scope::Zone => "zone",
-                    Scope::Cell => "cell",
+            if class.repeat == RepeatPolicy::Keyed {
+                of["key_scope"] = match class.deduplication_scope {
+                    DeduplicationScope::All => "all",
+                    DeduplicationScope::Zone => "zone",
+                    DeduplicationScope::Cell => "cell",
                 }
                 .into();
-                of["window_s"] = class.window.into();
+                of["window_s"] = class.deduplication_window_s.into();
             }
             of
         })
         .collect();
-    let stretches: Vec<f64> = scenario.classes.iter().map(|class| class.stretch).collect();
+    let stretches: Vec<f64> = scenario.classes.iter().map(|class| class.latency_stretch).collect();
     let zones: Vec<String> = (0..scenario.zones).map(zone).collect();
     let kinds: Vec<&str> = scenario.workers.iter().map(|group| &*group.kind).collect();
-    let (cold, tuning) = (&scenario.cold, &scenario.settings);
+    let (cold, tuning) = (&scenario.slow_start, &scenario.tuning);
     let mut config = json!({
         "name": format!("scheduler-{scheduler}"),
         "listen": listen.to_string(),
@@ -103,28 +103,28 @@
         "seed": format!("{:016x}", seed.wrapping_add(u64::from(scheduler) * 7919)),
         "settings": {
             "fleet_size": scenario.schedulers, "me": scheduler, "zone": scheduler % scenario.zones, "zones": zones,
-            "kinds": kinds, "classes": classes, "discovery": if scenario.discovery.on_request { "on_request" } else { "pushed" }, "worth_by": "work",
-            "weights": if scenario.discovery.sizes > 0.0 { "live" } else { "silent" },
+            "kinds": kinds, "classes": classes, "discovery": if scenario.discovery.polled { "on_request" } else { "pushed" }, "worth_by": "work",
+            "weights": if scenario.discovery.size_interval_s > 0.0 { "live" } else { "silent" },
             "family_info": {"class_stretch": stretches, "tells_start": true},
             "permissions": {
-                "send_cap": tuning.max_attempts, "second_copies": tuning.second_copies,
-                "may_cancel": tuning.may_cancel, "connect_timeout_s": CONNECT as f64 / 1e6, "keepalive_s": 5.0,
-                "retry_after": true, "max_retry_after_s": scenario.clients.heed,
+                "send_cap": tuning.max_attempts, "second_copies": tuning.hedging_allowed,
+                "may_cancel": tuning.cancellation_allowed, "connect_timeout_s": CONNECT_TIMEOUT as f64 / 1e6, "keepalive_s": 5.0,
+                "retry_after": true, "max_retry_after_s": scenario.clients.max_retry_after_s,
             },
-            "penalties": {"cross_zone": tuning.price_cross_zone},
+            "penalties": {"cross_zone": tuning.cross_zone_cost},
             "safety": {
-                "cold_from": cold.from, "cold_s": cold.warm_after,
-                "fall_multiple": cold.fall_multiple, "fall_s": cold.fall_seconds.max(0.001),
+                "cold_from": cold.initial_capacity, "cold_s": cold.duration_s,
+                "fall_multiple": cold.overload_multiple, "fall_s": cold.overload_window_s.max(0.001),
             },
         },
     });
-    if let Some(probe) = scenario.reports.probe {
+    if let Some(probe) = scenario.load_reports.load_query {
         let settings = &mut config["settings"];
         settings["permissions"]["probes"] = true.into();
-        settings["penalties"]["probe"] = probe.price.into();
+        settings["penalties"]["probe"] = probe.cost.into();
         settings["load_info"] = json!({
-            "how": "pull", "fields": ["qps", "inflight", "x0"], "period_s": scenario.reports.refresh,
-            "delay_s": probe.late, "noise": scenario.reports.noise,
+            "how": "pull", "fields": ["qps", "inflight", "x0"], "period_s": scenario.load_reports.refresh_interval_s,
+            "delay_s": probe.staleness_s, "noise": scenario.load_reports.noise_slots,
         });
     }
     if let Some(known) = known {
--- a/crates/testbed/src/emulate/stage.rs
+++ b/crates/testbed/src/emulate/stage.rs
@@ -23,7 +23,7 @@
 use crate::emulate::list::Listing;
 use crate::emulate::world::{News, Word, World};
 use crate::model::worker::Life;
-use crate::scenario::{Scenario, micros};
+use crate::scenario::{Scenario, micros_from_seconds};
 
 /// Longest body that is read.
 pub const LONGEST_BODY: usize = 64 * 1024;
@@ -153,7 +153,12 @@
         let mut world = self.world.borrow_mut();
         let now = world.now();
         for entry in entries {
-            world.referee.told(now, scheduler, entry.worker.0, entry.state == WorkerState::Ready);
+            world.referee.availability_notified(
+                now,
+                scheduler,
+                entry.worker.0,
+                entry.state == WorkerState::Ready,
+            );
         }
     }
 
@@ -215,7 +220,7 @@
             return self.listing.borrow_mut().untold.push(worker);
         }
         tokio::task::spawn_local(async move {
-            sleep(Duration::from_micros(micros(stage.scenario.discovery.delay))).await;
+            sleep(Duration::from_micros(micros_from_seconds(stage.scenario.discovery.delay_s))).await;
             // An unchanged entry, as of a worker that only refuses, is no news.
             let same = stage.listing.borrow().entries[worker as usize].1 == entry;
             if !same {
--- a/crates/testbed/src/emulate/workers.rs
+++ b/crates/testbed/src/emulate/workers.rs
@@ -21,7 +21,7 @@
 use crate::emulate::socket::{Plan, Socket, reset};
 use crate::emulate::stage::{Answer, Door, LONGEST_BODY, Stage, load_header, load_object};
 use crate::emulate::world::{Probed, Taken};
-use crate::scenario::micros;
+use crate::scenario::micros_from_seconds;
 
 /// An idle connection is closed after this long, as the settings say.
 const KEEPALIVE: Duration = Duration::from_secs(5);
@@ -113,7 +113,7 @@
 async fn connection(stage: Rc<Stage>, worker: u32, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     // What a new connection costs is waited for before anything is read from it.
-    let cost = micros(stage.scenario.network.connect);
+    let cost = micros_from_seconds(stage.scenario.network.connect_delay_s);
     if cost > 0 {
         sleep(Duration::from_micros(cost)).await;
     }
@@ -232,10 +232,10 @@
 
 /// Refreshes what a worker tells when it is probed, where it is.
 pub async fn refresh(stage: Rc<Stage>, worker: u32) {
-    if stage.scenario.reports.probe.is_none() {
+    if stage.scenario.load_reports.load_query.is_none() {
         return;
     }
-    let every = Duration::from_micros(micros(stage.scenario.reports.refresh));
+    let every = Duration::from_micros(micros_from_seconds(stage.scenario.load_reports.refresh_interval_s));
     loop {
         stage.act(|world| world.refresh(worker));
         sleep(every).await;
@@ -244,7 +244,7 @@
 
 /// Tells how far a worker's jobs are, where workers do.
 pub async fn tell_progress(stage: Rc<Stage>, worker: u32) {
-    let every = micros(stage.scenario.reports.progress);
+    let every = micros_from_seconds(stage.scenario.load_reports.progress_interval_s);
     if every == 0 {
         return;
     }
--- a/crates/testbed/src/emulate/world.rs
+++ b/crates/testbed/src/emulate/world.rs
@@ -13,9 +13,9 @@
 use crate::model::keys::{Keys, Repeat, group};
 use crate::model::wire::{Cut, Wire};
 use crate::model::worker::{self, Life, Offer, Offered, Worker};
-use crate::outcome::Tally;
-use crate::referee::Referee;
-use crate::scenario::{Scenario, Trouble, micros};
+use crate::outcome::OutcomeCounter;
+use crate::rule_checker::RuleChecker;
+use crate::scenario::{FaultKind, Scenario, micros_from_seconds};
 
 /// News of an attempt, to be called back.
 #[derive(Clone, Debug, PartialEq)]
@@ -118,9 +118,9 @@
     /// What goes wrong on their connections.
     pub wires: Vec<Wire>,
     /// The referee.
-    pub referee: Referee,
+    pub referee: RuleChecker,
     /// What became of jobs.
-    pub tally: Tally,
+    pub tally: OutcomeCounter,
     /// Attempts that reached a worker, and those of them that crossed zones.
     pub attempts_sent: u64,
     /// Attempts that crossed zones.
@@ -153,8 +153,8 @@
             workers: fleet.workers,
             kinds: fleet.kinds,
             cells: fleet.cells,
-            referee: Referee::new(cold_budget(scenario)),
-            tally: Tally::new(scenario.classes.len(), scenario.zones),
+            referee: RuleChecker::new(cold_budget(scenario)),
+            tally: OutcomeCounter::new(scenario.classes.len(), scenario.zones),
             attempts_sent: 0,
             crossed: 0,
             probed: 0,
@@ -194,7 +194,7 @@
     /// The way between two zones, apart from what the machine's own way takes. Ways within a zone are
     /// shorter than a timer's step: the machine's own way stands for them.
     pub fn way(&self, from: u32, to: u32) -> Micros {
-        let way = micros(self.scenario.network.between(from, to).0);
+        let way = micros_from_seconds(self.scenario.network.link_between(from, to).delay_s);
         if way < 1_000 { 0 } else { way }
     }
 
@@ -211,7 +211,7 @@
     pub fn ask(&mut self, job: u64, scheduler: u32, gives_up: Micros) -> u64 {
         self.next = self.next.wrapping_add(1);
         self.requests.insert(self.next, Asked { job, scheduler });
-        self.referee.asked(RequestId(self.next), gives_up);
+        self.referee.request_sent(RequestId(self.next), gives_up);
         self.next
     }
 
@@ -232,7 +232,7 @@
         let Some(asked) = self.requests.get(&request) else { return 0 };
         let Some(job) = self.jobs.get(&asked.job) else { return 0 };
         let (from, to) = (self.zone_of(asked.scheduler), self.workers[worker as usize].1);
-        self.referee.sent(now, asked.scheduler, worker, job.of.work * job.of.slots);
+        self.referee.attempt_sent(now, asked.scheduler, worker, job.of.work * job.of.slots);
         self.attempts_sent += 1;
         self.crossed += u64::from(from != to);
         self.way(from, to)
@@ -246,7 +246,7 @@
         let Some(of) = self.jobs.get_mut(&job) else { return Taken::Unknown };
         let arrival = of.of;
         let zone = self.workers[worker as usize].1;
-        let effect = self.scenario.classes[arrival.class as usize].effect();
+        let effect = self.scenario.classes[arrival.class as usize].idempotency();
         let group = match effect {
             Idempotency::IdempotentWithKey { scope, .. } => group(scope, zone, self.cells[worker as usize]),
             _ => 0,
@@ -259,7 +259,7 @@
             && let Some(repeat) = of.keys.repeat(id, group, now, window)
         {
             self.attempts.insert(id, attempt);
-            self.referee.took(now, job, id, effect, group, came);
+            self.referee.attempt_accepted(now, job, id, effect, group, came);
             if repeat == Repeat::Done {
                 self.tell(id, Kind::Done);
             }
@@ -271,8 +271,8 @@
             Cut::Garbage => return Taken::Garbage,
             Cut::Fails => {
                 // As in virtual time: to the rules it may have run.
-                self.referee.took(now, job, id, effect, group, came);
-                self.referee.ran(now, job, effect);
+                self.referee.attempt_accepted(now, job, id, effect, group, came);
+                self.referee.job_started(now, job, effect);
                 self.attempts.insert(id, attempt);
                 self.tell(id, Kind::Failed);
                 self.attempts.remove(&id);
@@ -286,7 +286,7 @@
             Offer::Taken => {
                 self.held.0 += 1;
                 self.attempts.insert(id, attempt);
-                self.referee.took(now, job, id, effect, group, came);
+                self.referee.attempt_accepted(now, job, id, effect, group, came);
                 if matches!(effect, Idempotency::IdempotentWithKey { .. })
                     && let Some(of) = self.jobs.get_mut(&job)
                 {
@@ -303,7 +303,7 @@
 
     /// A request's attempts stop at a worker whose scheduler gave it up there.
     pub fn given_up(&mut self, request: u64, worker: u32) {
-        if !self.scenario.settings.cancel_stops {
+        if !self.scenario.tuning.cancel_stops_job {
             return;
         }
         self.hold();
@@ -327,7 +327,7 @@
 
     /// A probe comes to a worker.
     pub fn probe(&mut self, worker: u32) -> Probed {
-        let Some(probe) = self.scenario.reports.probe else { return Probed::Unknown };
+        let Some(probe) = self.scenario.load_reports.load_query else { return Probed::Unknown };
         self.hold();
         let now = self.now();
         self.probed += 1;
@@ -341,9 +341,9 @@
         if of.life != Life::Up {
             return Probed::Unwell;
         }
-        if !probe.deep {
+        if !probe.queued {
             of.charge(now, probe.work);
-            return Probed::Now(micros(probe.work / of.build.speed));
+            return Probed::Now(micros_from_seconds(probe.work / of.build.speed));
         }
         self.next = self.next.wrapping_add(1);
         let id = self.next;
@@ -361,25 +361,28 @@
     /// A worker's load, as it tells whoever probes it.
     pub fn load(&mut self, worker: u32) -> LoadReport {
         let now = self.now();
-        let late = self.scenario.reports.probe.map_or(0, |probe| micros(probe.late)) + self.reports_late;
+        let late =
+            self.scenario.load_reports.load_query.map_or(0, |probe| micros_from_seconds(probe.staleness_s))
+                + self.reports_late;
         self.workers[worker as usize].0.probed(now, late).unwrap_or_default()
     }
 
     /// A worker's figures for probes are refreshed.
     pub fn refresh(&mut self, worker: u32) {
-        let (now, every) = (self.now(), micros(self.scenario.reports.refresh));
-        let (noise, sigma) = (&mut self.noise, self.scenario.reports.noise);
+        let (now, every) = (self.now(), micros_from_seconds(self.scenario.load_reports.refresh_interval_s));
+        let (noise, sigma) = (&mut self.noise, self.scenario.load_reports.noise_slots);
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
         self.workers[worker as usize].0.refresh(now, every, draw);
     }
 
     /// What comes along with an answer; nothing where workers are to be probed.
     fn report(&mut self, worker: u32) -> LoadReport {
-        if self.scenario.reports.probe.is_some() {
+        if self.scenario.load_reports.load_query.is_some() {
             return LoadReport::default();
         }
-        let refresh = micros(self.scenario.reports.refresh) + self.reports_late;
-        let (noise, sigma, now) = (&mut self.noise, self.scenario.reports.noise, self.began.elapsed());
+        let refresh = micros_from_seconds(self.scenario.load_reports.refresh_interval_s) + self.reports_late;
+        let (noise, sigma, now) =
+            (&mut self.noise, self.scenario.load_reports.noise_slots, self.began.elapsed());
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
         self.workers[worker as usize].0.report(now.as_micros() as Micros, refresh, draw)
     }
@@ -401,23 +404,23 @@
     pub fn turn(&mut self, turn: Turn) {
         self.hold();
         let now = self.now();
-        let what = self.scenario.faults[turn.fault].what;
-        if let Trouble::ReportsLate(by) = what {
-            self.reports_late = if turn.begins { micros(by) } else { 0 };
+        let what = self.scenario.faults[turn.fault].kind;
+        if let FaultKind::ReportsLate(by) = what {
+            self.reports_late = if turn.begins { micros_from_seconds(by) } else { 0 };
         }
-        let Some(worker) = turn.whom.filter(|_| what.meets_workers()) else { return };
+        let Some(worker) = turn.whom.filter(|_| what.affects_workers()) else { return };
         if self.wires[worker as usize].turn(what, turn.begins) {
             return;
         }
         let mut effects = Vec::new();
         let held = self.workers[worker as usize].0.holds() as u64;
         let started = self.workers[worker as usize].0.turn(now, what, turn.begins, &mut effects);
-        if what == Trouble::Vanish && turn.begins {
+        if what == FaultKind::Vanish && turn.begins {
             self.held.0 -= held;
         }
         if started {
             let build = self.workers[worker as usize].0.build;
-            self.referee.started(now, worker, build.cores.min(build.slots) * build.speed);
+            self.referee.worker_started(now, worker, build.cores.min(build.slots) * build.speed);
         }
         self.effects(worker, effects);
         self.changed.push(worker);
@@ -431,7 +434,7 @@
                     let Some(of) = self.attempts.get(&id) else { continue };
                     let job = of.job;
                     let Some(class) = self.jobs.get(&job).map(|job| job.of.class) else { continue };
-                    self.referee.ran(now, job, self.scenario.classes[class as usize].effect());
+                    self.referee.job_started(now, job, self.scenario.classes[class as usize].idempotency());
                     if self.workers[worker as usize].0.silent != Some(class) {
                         self.tell(id, Kind::Started);
                     }
@@ -456,7 +459,7 @@
                     self.held.0 -= 1;
                     self.probes.remove(&id);
                     if let Some(job) = self.attempts.get(&id).map(|of| of.job) {
-                        self.referee.handed_back(job, id);
+                        self.referee.attempt_returned(job, id);
                         if let Some(of) = self.jobs.get_mut(&job) {
                             of.keys.handed_back(id);
                         }
@@ -509,7 +512,7 @@
             Kind::Failed => Word::Failed,
         };
         if kind == Kind::Done {
-            self.referee.made(RequestId(request));
+            self.referee.result_made(RequestId(request));
         }
         let wire = self.wires[worker as usize];
         let way = self.way(self.workers[worker as usize].1, self.zone_of(scheduler));
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -8,10 +8,10 @@
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::compare::{Row, rows};
+use crate::compare::{VariantResult, variant_results};
 use crate::emulate::program::Program;
 use crate::emulate::{Schedulers, emulate};
-use crate::outcome::Outcome;
+use crate::outcome::RunOutcome;
 use crate::policy::Kind;
 use crate::scenario::Scenario;
 use crate::sim::play;
@@ -23,20 +23,21 @@
     /// Its name.
     pub name: String,
     /// What it is to show, in a sentence.
-    pub about: String,
+    #[serde(rename = "about")]
+    pub description: String,
     /// Scenarios, by the name of one that comes along or by a file's path from the experiment's file.
     pub scenarios: Vec<String>,
     /// The first seed and how many.
     pub seeds: [u64; 2],
     /// Changes to all scenarios.
-    #[serde(default)]
-    pub set: toml::Table,
+    #[serde(rename = "set", default)]
+    pub scenario_overrides: toml::Table,
     /// What is compared; the first with each other one.
     pub variants: Vec<Variant>,
     /// Runs at once; absent, as many as there are cores in virtual time, and four for each in real time,
     /// where runs mostly wait.
-    #[serde(default)]
-    pub at_once: Option<usize>,
+    #[serde(rename = "at_once", default)]
+    pub max_parallel_runs: Option<usize>,
 }
 
 /// How a variant is played.
@@ -70,8 +71,8 @@
     #[serde(default)]
     pub arguments: Vec<String>,
     /// Changes to the scenario, over the experiment's own.
-    #[serde(default)]
-    pub set: toml::Table,
+    #[serde(rename = "set", default)]
+    pub scenario_overrides: toml::Table,
 }
 
 fn module() -> Kind {
@@ -92,7 +93,7 @@
 
 /// A run that is to be played.
 #[derive(Clone, Debug)]
-struct Run {
+struct PlannedRun {
     key: String,
     scenario: usize,
     variant: usize,
@@ -101,16 +102,16 @@
 
 /// A run that was played, a line of the file of runs.
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct StoredRun {
     key: String,
     scenario: String,
     variant: String,
     seed: u64,
-    outcome: Outcome,
+    outcome: RunOutcome,
 }
 
 /// A scenario with the rows of its variants.
-pub type Played = (Scenario, Vec<Row>);
+pub type Played = (Scenario, Vec<VariantResult>);
 
 /// An experiment that was read, with its scenarios as each variant plays them.
 pub struct Plan {
@@ -119,25 +120,25 @@
     /// By scenario and variant.
     scenarios: Vec<Vec<Scenario>>,
     programs: Vec<Option<Program>>,
-    runs: Vec<Run>,
+    runs: Vec<PlannedRun>,
 }
 
 /// What is told while an experiment goes on.
-pub trait Watcher: Sync {
+pub trait ProgressObserver: Sync {
     /// So many runs were there from before, of so many; so many lines could not be read.
-    fn begins(&self, _kept: usize, _all: usize, _unreadable: usize) {}
+    fn experiment_started(&self, _kept: usize, _all: usize, _unreadable: usize) {}
     /// A run has ended.
-    fn ended(&self) {}
+    fn run_finished(&self) {}
 }
 
-impl Watcher for () {}
+impl ProgressObserver for () {}
 
 impl Plan {
     /// Reads an experiment. `named` finds a scenario's text by the name of one that comes along.
     ///
     /// # Errors
     /// A file that cannot be read, or what in it is wrong, by file and key.
-    pub fn read(file: &Path, named: impl Fn(&str) -> Option<String>) -> Result<Plan, String> {
+    pub fn read_file(file: &Path, named: impl Fn(&str) -> Option<String>) -> Result<Plan, String> {
         let said =
             |why: &dyn std::fmt::Display| format!("{}: {}", file.display(), why.to_string().trim_end());
         let text = std::fs::read_to_string(file).map_err(|e| said(&e))?;
@@ -166,11 +167,11 @@
             let base: toml::Table = toml::from_str(&text).map_err(|e| said(&format!("{name}: {e}")))?;
             let of_variant = |variant: &Variant| {
                 let mut table = base.clone();
-                overlay(&mut table, &experiment.set);
-                overlay(&mut table, &variant.set);
+                overlay(&mut table, &experiment.scenario_overrides);
+                overlay(&mut table, &variant.scenario_overrides);
                 let text = toml::to_string(&table).map_err(|e| e.to_string())?;
                 let wrong = |why| said(&format!("{name} as variant {:?} has it: {why}", variant.name));
-                Scenario::read(&text).map_err(wrong)
+                Scenario::parse(&text).map_err(wrong)
             };
             scenarios.push(experiment.variants.iter().map(of_variant).collect::<Result<Vec<_>, _>>()?);
         }
@@ -187,7 +188,7 @@
     }
 
     /// How many runs it has.
-    pub fn runs(&self) -> usize {
+    pub fn run_count(&self) -> usize {
         self.runs.len()
     }
 
@@ -197,7 +198,7 @@
     /// # Errors
     /// A file that cannot be written or that another process writes, or runs that failed: all others are
     /// kept, and the next call plays only what is missing.
-    pub fn play(&self, file: &Path, watcher: &impl Watcher) -> Result<Vec<Played>, String> {
+    pub fn play(&self, file: &Path, watcher: &impl ProgressObserver) -> Result<Vec<Played>, String> {
         let said = |why: &dyn std::fmt::Display| format!("{}: {why}", file.display());
         let open = std::fs::File::options().create(true).append(true).open(file);
         let mut open = open.map_err(|e| said(&e))?;
@@ -208,15 +209,15 @@
         if !text.is_empty() && !text.ends_with('\n') {
             open.write_all(b"\n").map_err(|e| said(&e))?;
         }
-        let missing: Vec<&Run> = self.runs.iter().filter(|run| !held.contains_key(&run.key)).collect();
-        watcher.begins(self.runs.len() - missing.len(), self.runs.len(), unreadable);
+        let missing: Vec<&PlannedRun> = self.runs.iter().filter(|run| !held.contains_key(&run.key)).collect();
+        watcher.experiment_started(self.runs.len() - missing.len(), self.runs.len(), unreadable);
         let out = Mutex::new(open);
         let pool = rayon::ThreadPoolBuilder::new().num_threads(self.at_once()).build();
         let pool = pool.map_err(|e| e.to_string())?;
-        let played: Vec<Result<(String, Outcome), String>> = pool.install(|| {
-            let one = |run: &&Run| {
+        let played: Vec<Result<(String, RunOutcome), String>> = pool.install(|| {
+            let one = |run: &&PlannedRun| {
                 let outcome = self.play_one(run)?;
-                let kept = Kept {
+                let kept = StoredRun {
                     key: run.key.clone(),
                     scenario: outcome.scenario.clone(),
                     variant: self.experiment.variants[run.variant].name.clone(),
@@ -227,7 +228,7 @@
                 let mut out = out.lock().map_err(|_| "a run that panicked".to_owned())?;
                 out.write_all(line.as_bytes()).map_err(|e| said(&e))?;
                 drop(out);
-                watcher.ended();
+                watcher.run_finished();
                 Ok((kept.key, kept.outcome))
             };
             missing.par_iter().map(one).collect()
@@ -253,10 +254,10 @@
     fn at_once(&self) -> usize {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
         let waits = self.experiment.variants.iter().all(|variant| variant.drive == Drive::Emulate);
-        self.experiment.at_once.unwrap_or(if waits { 4 * cores } else { cores }).max(1)
+        self.experiment.max_parallel_runs.unwrap_or(if waits { 4 * cores } else { cores }).max(1)
     }
 
-    fn play_one(&self, run: &Run) -> Result<Outcome, String> {
+    fn play_one(&self, run: &PlannedRun) -> Result<RunOutcome, String> {
         let scenario = &self.scenarios[run.scenario][run.variant];
         let variant = &self.experiment.variants[run.variant];
         let outcome = match &self.programs[run.variant] {
@@ -268,7 +269,7 @@
         outcome.map_err(|why| format!("{}, {}, seed {}: {why}", scenario.name, variant.name, run.seed))
     }
 
-    fn rows(&self, held: &HashMap<String, Outcome>) -> Vec<Played> {
+    fn rows(&self, held: &HashMap<String, RunOutcome>) -> Vec<Played> {
         let mut played = Vec::new();
         for (at, scenarios) in self.scenarios.iter().enumerate() {
             let variant = |(number, variant): (usize, &Variant)| {
@@ -277,20 +278,20 @@
                 (variant.name.clone(), runs)
             };
             let variants = self.experiment.variants.iter().enumerate().map(variant).collect();
-            played.push((scenarios[0].clone(), rows(variants)));
+            played.push((scenarios[0].clone(), variant_results(variants)));
         }
         played
     }
 
     /// Pairs of variants that differ in their drive only, by their places: first in virtual time.
-    pub fn pairs(&self) -> Vec<(usize, usize)> {
+    pub fn drive_pairs(&self) -> Vec<(usize, usize)> {
         let variants = &self.experiment.variants;
         let mut pairs = Vec::new();
         for (at, sim) in variants.iter().enumerate().filter(|(_, of)| of.drive == Drive::Sim) {
             let same = |of: &&(usize, &Variant)| {
                 of.1.drive == Drive::Emulate
                     && of.1.policy == sim.policy
-                    && of.1.set == sim.set
+                    && of.1.scenario_overrides == sim.scenario_overrides
                     && of.1.program.is_none()
             };
             pairs.extend(variants.iter().enumerate().find(|of| same(&of)).map(|(other, _)| (at, other)));
@@ -300,14 +301,15 @@
 }
 
 /// What both drives say of the same: shares, their difference, and whether they rank alike.
-pub fn agreement(pairs: &[(usize, usize)], played: &[Played]) -> String {
+pub fn drive_agreement(pairs: &[(usize, usize)], played: &[Played]) -> String {
     let mut text = format!(
         "{:<16} {:<18} {:>7} {:>9} {:>11} {:>14}\n",
         "scenario", "policy", "sim", "emulate", "difference", "rank, each"
     );
     let (mut worst, mut swapped, mut compared) = (0.0_f64, 0, 0);
     for (scenario, rows) in played {
-        let shares: Vec<(f64, f64)> = pairs.iter().map(|&(a, b)| (rows[a].share, rows[b].share)).collect();
+        let shares: Vec<(f64, f64)> =
+            pairs.iter().map(|&(a, b)| (rows[a].in_time_share, rows[b].in_time_share)).collect();
         let rank = |of: fn(&(f64, f64)) -> f64, own: f64| 1 + shares.iter().filter(|s| of(s) > own).count();
         for (&(at, _), &(sim, emulated)) in pairs.iter().zip(&shares) {
             let ranks = (rank(|s| s.0, sim), rank(|s| s.1, emulated));
@@ -340,11 +342,11 @@
 const APART: f64 = 0.01;
 
 /// The runs that a file holds, and how many of its lines could not be read.
-fn held(text: &str) -> (HashMap<String, Outcome>, usize) {
+fn held(text: &str) -> (HashMap<String, RunOutcome>, usize) {
     let mut runs = HashMap::new();
     let mut unreadable = 0;
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
-        match serde_json::from_str::<Kept>(line) {
+        match serde_json::from_str::<StoredRun>(line) {
             Ok(kept) => {
                 runs.insert(kept.key, kept.outcome);
             }
@@ -358,7 +360,7 @@
     experiment: &Experiment,
     scenarios: &[Vec<Scenario>],
     programs: &[Option<Program>],
-) -> Result<Vec<Run>, String> {
+) -> Result<Vec<PlannedRun>, String> {
     let hash = |path: &Path| {
         let bytes = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
         Ok::<_, String>(blake3::hash(&bytes).to_hex().to_string())
@@ -385,7 +387,7 @@
                 let parts =
                     [&own, file, &text, &format!("{:?} {} {arguments:?} {seed}", of.drive, of.policy.name())];
                 let key = blake3::hash(parts.join("\n").as_bytes()).to_hex()[..32].to_owned();
-                runs.push(Run { key, scenario, variant, seed });
+                runs.push(PlannedRun { key, scenario, variant, seed });
             }
         }
     }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use crate::model::arrivals::{Arrival, Arrivals};
-use crate::scenario::{Class, Scenario};
+use crate::scenario::{JobClass, Scenario};
 
 /// Longest body of an answer that is read.
 const LONGEST_BODY: usize = 64 * 1024;
@@ -140,7 +140,7 @@
         let client = client.clone();
         let id = base.wrapping_add(number as u64);
         tokio::spawn(async move {
-            let by = meant + Duration::from_secs_f64(class.deadline);
+            let by = meant + Duration::from_secs_f64(class.deadline_s);
             let answer = timeout_at(by, ask(&client, target, &class, &job, id, by)).await;
             let _ = told.send((job, answer.unwrap_or(Heard::Silent), meant.elapsed()));
             drop(place);
@@ -182,7 +182,7 @@
 async fn ask(
     client: &Sender,
     target: SocketAddr,
-    class: &Class,
+    class: &JobClass,
     job: &Arrival,
     id: u64,
     by: Instant,
@@ -207,7 +207,7 @@
 }
 
 fn sum(scenario: &Scenario, all: &[(Arrival, Heard, Duration)]) -> Vec<OfClass> {
-    let one = |(number, class): (usize, &Class)| {
+    let one = |(number, class): (usize, &JobClass)| {
         let mut of = OfClass { name: class.name.clone(), ..OfClass::default() };
         let mut times = empty();
         for (job, heard, took) in all.iter().filter(|(job, _, _)| job.class as usize == number) {
@@ -215,7 +215,7 @@
             match heard {
                 Heard::Served => {
                     of.served += 1;
-                    let wanted = class.aim + class.stretch * job.work;
+                    let wanted = class.latency_objective_s + class.latency_stretch * job.work;
                     of.in_time += u64::from(took.as_secs_f64() <= wanted);
                     times.saturating_record(took.as_micros() as u64);
                 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -8,18 +8,18 @@
 use std::time::Instant;
 
 use clap::{Parser, Subcommand};
-use copperspread_testbed::compare::{Row, compare, table};
+use copperspread_testbed::compare::{VariantResult, compare_policies, comparison_table};
 use copperspread_testbed::cost;
 use copperspread_testbed::emulate::program::Program;
 use copperspread_testbed::emulate::{Schedulers, emulate};
-use copperspread_testbed::experiment::{Plan, Watcher, agreement};
+use copperspread_testbed::experiment::{Plan, ProgressObserver, drive_agreement};
 use copperspread_testbed::load::load;
-use copperspread_testbed::outcome::Outcome;
+use copperspread_testbed::outcome::RunOutcome;
 use copperspread_testbed::policy::Kind;
-use copperspread_testbed::report::html;
+use copperspread_testbed::report::render_html;
 use copperspread_testbed::scenario::Scenario;
 use copperspread_testbed::sim::play;
-use copperspread_testbed::trace::record;
+use copperspread_testbed::trace::load_trace;
 use indicatif::{ProgressBar, ProgressStyle};
 
 /// Longest load that is sent, in seconds: it stops by itself.
@@ -207,7 +207,7 @@
 const LARGE: &str = "large";
 
 fn scenario(name: &str) -> Result<Scenario, String> {
-    let of = |text: &str| Scenario::read(text).map_err(|why| format!("{name}: {why}"));
+    let of = |text: &str| Scenario::parse(text).map_err(|why| format!("{name}: {why}"));
     if let Some((_, text)) = SHIPPED.iter().find(|(known, _)| *known == name) {
         return of(text);
     }
@@ -234,9 +234,12 @@
     serde_json::to_string(value).map(|text| text + "\n").map_err(|e| e.to_string())
 }
 
-fn write_report(path: Option<std::path::PathBuf>, played: &[(Scenario, Vec<Row>)]) -> Result<(), String> {
+fn write_report(
+    path: Option<std::path::PathBuf>,
+    played: &[(Scenario, Vec<VariantResult>)],
+) -> Result<(), String> {
     let Some(path) = path else { return Ok(()) };
-    std::fs::write(&path, html(played)?).map_err(|e| format!("{}: {e}", path.display()))
+    std::fs::write(&path, render_html(played)?).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// A bar on standard error, where that is a terminal.
@@ -249,8 +252,8 @@
     }
 }
 
-impl Watcher for Bar {
-    fn begins(&self, kept: usize, all: usize, unreadable: usize) {
+impl ProgressObserver for Bar {
+    fn experiment_started(&self, kept: usize, all: usize, unreadable: usize) {
         if kept > 0 || unreadable > 0 {
             let _ = writeln!(
                 std::io::stderr(),
@@ -263,54 +266,54 @@
         self.0.reset_eta();
     }
 
-    fn ended(&self) {
+    fn run_finished(&self) {
         self.0.inc(1);
     }
 }
 
 /// An outcome in words.
-fn told(outcome: &Outcome) -> String {
-    let share = |worth: f64| worth / outcome.worth.asked;
+fn told(outcome: &RunOutcome) -> String {
+    let share = |worth: f64| worth / outcome.weight.requested;
     let mut text = format!(
         "{} under {}, seed {}: {:.3} of the worth served in time; late {:.3}, refused {:.3}, failed {:.3}, lost \
          {:.3}\n{:.2} attempts a job, {:.3} of them to another zone; {} workers fell over\n",
         outcome.scenario,
         outcome.policy,
         outcome.seed,
-        outcome.worth.share(),
-        share(outcome.worth.late),
-        share(outcome.worth.refused),
-        share(outcome.worth.failed),
-        share(outcome.worth.lost),
-        outcome.attempts,
-        outcome.crossing,
-        outcome.fell,
+        outcome.weight.in_time_share(),
+        share(outcome.weight.late),
+        share(outcome.weight.rejected),
+        share(outcome.weight.failed),
+        share(outcome.weight.unanswered),
+        outcome.attempts_per_job,
+        outcome.cross_zone_share,
+        outcome.overloads,
     );
-    if outcome.probes > 0 {
-        let each = outcome.probes as f64 / outcome.jobs.max(1) as f64;
-        text += &format!("{each:.2} probes a job cost {:.4} of the worth\n", outcome.probe_cost);
+    if outcome.load_queries > 0 {
+        let each = outcome.load_queries as f64 / outcome.jobs.max(1) as f64;
+        text += &format!("{each:.2} probes a job cost {:.4} of the worth\n", outcome.load_query_cost);
     }
     for class in &outcome.classes {
-        let [half, most, _] = class.served_ms;
+        let [half, most, _] = class.latency_ms;
         text += &format!(
             "  {:<12} {:>8} jobs, {:.3} in time; served in {half:.0} ms (median), {most:.0} ms (99%)\n",
             class.name,
             class.jobs,
-            class.worth.share()
+            class.weight.in_time_share()
         );
     }
-    for (rule, count) in &outcome.breaches {
-        text += &format!("BROKEN {rule:?}: {count}\n");
+    for (rule, count) in &outcome.violations {
+        text += &format!("BROKEN {rule}: {count}\n");
     }
-    for breach in &outcome.examples {
-        text += &format!("  at {:.3} s: {:?}, {}\n", breach.at as f64 / 1e6, breach.rule, breach.what);
+    for breach in &outcome.violation_examples {
+        text += &format!("  at {:.3} s: {}, {}\n", breach.at as f64 / 1e6, breach.rule, breach.description);
     }
-    if let Some(of) = &outcome.measured {
-        let [most, worst] = of.own_lag_ms;
+    if let Some(of) = &outcome.machine_usage {
+        let [most, worst] = of.send_lag_ms;
         text += &format!(
             "schedulers used {:.3} cores, {:.0} us a job; this tool sent late by {most:.1} ms (99%), {worst:.1} ms \
              (most)\n",
-            of.cores, of.cpu_us_a_job
+            of.cores, of.cpu_us_per_job
         );
     }
     text
@@ -321,7 +324,7 @@
         Command::Scenarios => {
             for (name, _) in SHIPPED {
                 let scenario = scenario(name)?;
-                print(&format!("{name:<16} {}\n", scenario.about))?;
+                print(&format!("{name:<16} {}\n", scenario.description))?;
             }
             Ok(true)
         }
@@ -336,7 +339,7 @@
             let began = Instant::now();
             let outcome = play(&scenario, policy, seed)?;
             let took = began.elapsed().as_secs_f64();
-            let kept = outcome.breaches.is_empty();
+            let kept = outcome.violations.is_empty();
             if whole {
                 print(&json(&outcome)?)?;
                 return Ok(kept);
@@ -357,7 +360,7 @@
                 None => Program::of(policy)?,
             };
             let outcome = emulate(&scenario, &Schedulers::Started(program), &called, seed)?;
-            let kept = outcome.breaches.is_empty();
+            let kept = outcome.violations.is_empty();
             print(&if whole { json(&outcome)? } else { told(&outcome) })?;
             Ok(kept)
         }
@@ -365,7 +368,7 @@
             let mut scenario = scenario(&name)?;
             let said = |why: &dyn std::fmt::Display| format!("{}: {why}", records.display());
             let file = std::fs::File::open(&records).map_err(|e| said(&e))?;
-            let left_out = record(&mut scenario, std::io::BufReader::new(file)).map_err(|e| said(&e))?;
+            let left_out = load_trace(&mut scenario, std::io::BufReader::new(file)).map_err(|e| said(&e))?;
             let _ = writeln!(
                 std::io::stderr(),
                 "{} jobs; left out: {} without a hint, {} of unknown classes; {} lines cannot be read",
@@ -404,8 +407,8 @@
                 ));
             }
             let mut scenario = scenario(&name)?;
-            scenario.clients.rate = rate.unwrap_or(scenario.clients.rate);
-            scenario.seconds = seconds.unwrap_or(scenario.seconds).min(LONGEST);
+            scenario.clients.rate_per_s = rate.unwrap_or(scenario.clients.rate_per_s);
+            scenario.duration_s = seconds.unwrap_or(scenario.duration_s).min(LONGEST);
             scenario.check()?;
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
@@ -425,8 +428,8 @@
             let mut played = Vec::new();
             for name in names {
                 let scenario = scenario(&name)?;
-                let rows = compare(&scenario, &policies, &seeds)?;
-                print(&if whole { json(&rows)? } else { table(&scenario, &rows) + "\n" })?;
+                let rows = compare_policies(&scenario, &policies, &seeds)?;
+                print(&if whole { json(&rows)? } else { comparison_table(&scenario, &rows) + "\n" })?;
                 played.push((scenario, rows));
             }
             write_report(report, &played)?;
@@ -436,17 +439,17 @@
             let named = |name: &str| {
                 SHIPPED.iter().find(|(known, _)| *known == name).map(|(_, text)| (*text).to_owned())
             };
-            let plan = Plan::read(&file, named)?;
+            let plan = Plan::read_file(&file, named)?;
             let runs = runs.unwrap_or_else(|| file.with_extension("runs.jsonl"));
             let played = plan.play(&runs, &Bar::new())?;
             let mut kept = true;
             for (scenario, rows) in &played {
-                kept &= rows.iter().all(|row| row.breaches == 0);
-                print(&if whole { json(rows)? } else { table(scenario, rows) + "\n" })?;
+                kept &= rows.iter().all(|row| row.violations == 0);
+                print(&if whole { json(rows)? } else { comparison_table(scenario, rows) + "\n" })?;
             }
-            let pairs = plan.pairs();
+            let pairs = plan.drive_pairs();
             if !pairs.is_empty() && !whole {
-                print(&agreement(&pairs, &played))?;
+                print(&drive_agreement(&pairs, &played))?;
             }
             write_report(report, &played)?;
             Ok(kept)
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -6,7 +6,7 @@
 
 use crate::model::chance::{Chance, Stream, stream};
 use crate::model::worker::Offered;
-use crate::scenario::{Class, Fault, Scenario, Spread, Trouble, micros};
+use crate::scenario::{Fault, FaultKind, JobClass, Scenario, WorkDistribution, micros_from_seconds};
 
 /// A client's job, over all of its tries.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,9 +29,9 @@
 
 impl Arrival {
     /// The job as an attempt offers it to a worker.
-    pub fn offered(&self, attempt: u64, of: &Class) -> Offered {
+    pub fn offered(&self, attempt: u64, of: &JobClass) -> Offered {
         let Arrival { class, work, slots, memory, .. } = *self;
-        Offered { attempt, class, work, slots, memory, worth: of.worth }
+        Offered { attempt, class, work, slots, memory, worth: of.priority_weight }
     }
 }
 
@@ -59,24 +59,26 @@
     }
 
     fn holds(fault: &Fault, at: f64) -> bool {
-        (fault.at..fault.at + fault.lasts).contains(&at)
+        (fault.starts_at_s..fault.starts_at_s + fault.duration_s).contains(&at)
     }
 
     /// The scheduler that a client's first try goes to.
     fn scheduler(&mut self) -> u32 {
         let all = self.scenario.schedulers;
-        let Some(of) = self.scenario.clients.crowded else { return self.chance.random_range(0..all) };
-        let crowd = f64::from(of.schedulers) * of.times;
+        let Some(of) = self.scenario.clients.skew else { return self.chance.random_range(0..all) };
+        let crowd = f64::from(of.schedulers) * of.factor;
         let pick = self.chance.random::<f64>() * (crowd + f64::from(all - of.schedulers));
-        let place = if pick < crowd { pick / of.times } else { pick - crowd + f64::from(of.schedulers) };
+        let place = if pick < crowd { pick / of.factor } else { pick - crowd + f64::from(of.schedulers) };
         (place as u32).min(all - 1)
     }
 
     /// How many times the usual rate clients come.
     fn factor(&self, at: f64) -> f64 {
-        let burst = |fault: &Fault| match fault.what {
-            Trouble::Burst(factor) if Self::holds(fault, at) => factor,
-            Trouble::Ramp(to) if Self::holds(fault, at) => 1.0 + (to - 1.0) * (at - fault.at) / fault.lasts,
+        let burst = |fault: &Fault| match fault.kind {
+            FaultKind::Burst(factor) if Self::holds(fault, at) => factor,
+            FaultKind::Ramp(to) if Self::holds(fault, at) => {
+                1.0 + (to - 1.0) * (at - fault.starts_at_s) / fault.duration_s
+            }
             _ => 1.0,
         };
         self.scenario.faults.iter().map(burst).product()
@@ -92,52 +94,57 @@
             let of = scenario.clients.trace.get(self.traced)?;
             self.traced += 1;
             let scheduler = self.scheduler();
-            let (at, class) = (micros(of.at), of.class);
-            let memory = self.scenario.classes[class as usize].memory * of.slots;
+            let (at, class) = (micros_from_seconds(of.arrives_at_s), of.class);
+            let memory = self.scenario.classes[class as usize].mean_memory * of.slots;
             let arrival =
                 Arrival { at, class, work: of.work, slots: of.slots, memory, hint: of.hint, scheduler };
-            return (of.at < scenario.seconds).then_some(arrival);
+            return (of.arrives_at_s < scenario.duration_s).then_some(arrival);
         }
         // A changing rate is stepped over at the rate of the last arrival: bursts last for many of them.
         let gap: f64 = Exp1.sample(&mut self.chance);
-        self.at += gap / (scenario.clients.rate * self.factor(self.at));
-        if self.at >= scenario.seconds {
+        self.at += gap / (scenario.clients.rate_per_s * self.factor(self.at));
+        if self.at >= scenario.duration_s {
             return None;
         }
         let pick = self.chance.random::<f64>() * self.shares.last().copied().unwrap_or(1.0);
         let class = self.shares.iter().position(|&to| pick < to).unwrap_or(0);
         let of = &scenario.classes[class];
-        let mut work = match of.spread {
-            Spread::Constant => of.work,
-            Spread::Exponential => {
-                Exp::new(1.0 / of.work).map_or(of.work, |draw| draw.sample(&mut self.chance))
+        let mut work = match of.work_distribution {
+            WorkDistribution::Constant => of.mean_work,
+            WorkDistribution::Exponential => {
+                Exp::new(1.0 / of.mean_work).map_or(of.mean_work, |draw| draw.sample(&mut self.chance))
             }
             // The mean of the log-normal is to be the class's.
-            Spread::LogNormal(sigma) => LogNormal::new(of.work.ln() - sigma * sigma / 2.0, sigma)
-                .map_or(of.work, |draw| draw.sample(&mut self.chance)),
+            WorkDistribution::LogNormal(sigma) => {
+                LogNormal::new(of.mean_work.ln() - sigma * sigma / 2.0, sigma)
+                    .map_or(of.mean_work, |draw| draw.sample(&mut self.chance))
+            }
         };
         let pick = self.chance.random::<f64>();
-        let slots =
-            if of.slots.is_empty() { 1.0 + f64::from(pick < of.wide) } else { width(&of.slots, pick) };
-        let mut memory = of.memory * slots;
-        if of.memory_spread > 0.0 {
+        let slots = if of.slot_distribution.is_empty() {
+            1.0 + f64::from(pick < of.two_slot_share)
+        } else {
+            width(&of.slot_distribution, pick)
+        };
+        let mut memory = of.mean_memory * slots;
+        if of.memory_sigma > 0.0 {
             // The mean stays the class's.
-            let sigma = of.memory_spread;
+            let sigma = of.memory_sigma;
             memory *=
                 LogNormal::new(-sigma * sigma / 2.0, sigma).map_or(1.0, |draw| draw.sample(&mut self.chance));
         }
         let heavy = self.chance.random::<f64>() < 0.01;
-        let error: f64 = LogNormal::new(0.0, scenario.clients.hint_error.unwrap_or(0.0))
+        let error: f64 = LogNormal::new(0.0, scenario.clients.hint_error_sigma.unwrap_or(0.0))
             .map_or(1.0, |draw| draw.sample(&mut self.chance));
         let scheduler = self.scheduler();
         let tail =
-            |fault: &Fault| fault.what == Trouble::HeavyTail(class as u32) && Self::holds(fault, self.at);
-        let hint = scenario.clients.hint_error.map(|_| work * error);
+            |fault: &Fault| fault.kind == FaultKind::HeavyTail(class as u32) && Self::holds(fault, self.at);
+        let hint = scenario.clients.hint_error_sigma.map(|_| work * error);
         if heavy && scenario.faults.iter().any(tail) {
             // Unforeseen: the hint is that of a usual job.
             work *= 20.0;
         }
-        let at = micros(self.at);
+        let at = micros_from_seconds(self.at);
         Some(Arrival { at, class: class as u32, work, slots, memory, hint, scheduler })
     }
 }
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -6,8 +6,8 @@
 
 use crate::model::chance::{Stream, stream};
 use crate::model::worker::{Build, Life, Worker};
-use crate::referee::ColdBudget;
-use crate::scenario::{Scenario, micros};
+use crate::rule_checker::SlowStartBudget;
+use crate::scenario::{Scenario, micros_from_seconds};
 
 /// A fault that begins or is over, for one worker or for none.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -40,7 +40,7 @@
     /// Draws them.
     pub fn draw(scenario: &Scenario, seed: u64) -> Fleet {
         let mut chance = stream(seed, Stream::Fleet);
-        let cold = &scenario.cold;
+        let cold = &scenario.slow_start;
         let (mut workers, mut kinds) = (Vec::new(), Vec::new());
         for (kind, group) in scenario.workers.iter().enumerate() {
             for _ in 0..group.count {
@@ -49,13 +49,14 @@
                     cores: group.cores,
                     slots: group.slots,
                     speed: low + (high - low) * chance.random::<f64>(),
-                    queue: group.queue,
-                    order: group.order,
+                    queue: group.queue_capacity,
+                    order: group.queue_order,
                     memory: group.memory.unwrap_or(f64::INFINITY),
-                    cold_from: cold.from,
-                    cold_for: micros(cold.warm_after),
-                    fall_multiple: cold.fall_multiple,
-                    fall_window: (cold.fall_seconds > 0.0).then(|| micros(cold.fall_seconds)),
+                    cold_from: cold.initial_capacity,
+                    cold_for: micros_from_seconds(cold.duration_s),
+                    fall_multiple: cold.overload_multiple,
+                    fall_window: (cold.overload_window_s > 0.0)
+                        .then(|| micros_from_seconds(cold.overload_window_s)),
                 };
                 let zone = workers.len() as u32 % scenario.zones;
                 workers.push((Worker::new(build), zone));
@@ -65,29 +66,34 @@
         let (zones, cells) = (scenario.zones, scenario.cells);
         let cells = (0..workers.len() as u32).map(|at| at % zones + zones * (at / zones % cells)).collect();
         let mut chance = stream(seed, Stream::Faults);
-        let gone = (scenario.discovery.stale * workers.len() as f64).round() as usize;
+        let gone = (scenario.discovery.stale_share * workers.len() as f64).round() as usize;
         let mut all: Vec<u32> = (0..workers.len() as u32).collect();
         all.shuffle(&mut chance);
         all.truncate(gone);
         let mut turns = Vec::new();
         for (fault, of) in scenario.faults.iter().enumerate() {
             let mut chosen: Vec<u32> = Vec::new();
-            if of.what.meets_workers() {
+            if of.kind.affects_workers() {
                 let in_zone = |&at: &u32| of.zone.is_none_or(|zone| workers[at as usize].1 == zone);
                 chosen = (0..workers.len() as u32).filter(in_zone).collect();
-            } else if of.what.meets_schedulers() {
+            } else if of.kind.affects_schedulers() {
                 let in_zone = |&at: &u32| of.zone.is_none_or(|zone| at % scenario.zones == zone);
                 chosen = (0..scenario.schedulers).filter(in_zone).collect();
             }
-            let count = (of.share * chosen.len() as f64).ceil().max(1.0) as usize;
+            let count = (of.worker_share * chosen.len() as f64).ceil().max(1.0) as usize;
             chosen.shuffle(&mut chance);
             chosen.truncate(count);
             let each: Vec<Option<u32>> =
                 if chosen.is_empty() { vec![None] } else { chosen.into_iter().map(Some).collect() };
             for (place, &whom) in each.iter().enumerate() {
-                let begins = of.at + of.spread_over * place as f64 / each.len() as f64;
-                turns.push(Turn { at: micros(begins), fault, whom, begins: true });
-                turns.push(Turn { at: micros(begins + of.lasts), fault, whom, begins: false });
+                let begins = of.starts_at_s + of.stagger_s * place as f64 / each.len() as f64;
+                turns.push(Turn { at: micros_from_seconds(begins), fault, whom, begins: true });
+                turns.push(Turn {
+                    at: micros_from_seconds(begins + of.duration_s),
+                    fault,
+                    whom,
+                    begins: false,
+                });
             }
         }
         for &at in &all {
@@ -98,12 +104,12 @@
 }
 
 /// What the scenario holds a cold worker to, if anything.
-pub fn cold_budget(scenario: &Scenario) -> Option<ColdBudget> {
-    let cold = &scenario.cold;
-    (cold.fall_seconds > 0.0).then(|| ColdBudget {
-        from: cold.from,
-        warm_after: micros(cold.warm_after),
-        multiple: cold.fall_multiple,
-        window: micros(cold.fall_seconds),
+pub fn cold_budget(scenario: &Scenario) -> Option<SlowStartBudget> {
+    let cold = &scenario.slow_start;
+    (cold.overload_window_s > 0.0).then(|| SlowStartBudget {
+        initial_capacity: cold.initial_capacity,
+        duration: micros_from_seconds(cold.duration_s),
+        overload_multiple: cold.overload_multiple,
+        overload_window: micros_from_seconds(cold.overload_window_s),
     })
 }
--- a/crates/testbed/src/model/wire.rs
+++ b/crates/testbed/src/model/wire.rs
@@ -1,7 +1,7 @@
 //! What goes wrong on a worker's connections, apart from the worker itself.
 use copperspread_dispatcher::Micros;
 
-use crate::scenario::{Trouble, micros};
+use crate::scenario::{FaultKind, micros_from_seconds};
 
 /// A worker's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -35,13 +35,13 @@
 
 impl Wire {
     /// A fault begins or is over; whether it was one of connections.
-    pub fn turn(&mut self, what: Trouble, begins: bool) -> bool {
+    pub fn turn(&mut self, what: FaultKind, begins: bool) -> bool {
         match what {
-            Trouble::Resetting(share) => self.resetting = if begins { share } else { 0.0 },
-            Trouble::Garbled(share) => self.garbled = if begins { share } else { 0.0 },
-            Trouble::Failing(share) => self.failing = if begins { share } else { 0.0 },
-            Trouble::LateNews(by) => self.late = if begins { micros(by) } else { 0 },
-            Trouble::DoubledNews => self.doubled = begins,
+            FaultKind::Resetting(share) => self.resetting = if begins { share } else { 0.0 },
+            FaultKind::Garbled(share) => self.garbled = if begins { share } else { 0.0 },
+            FaultKind::Failing(share) => self.failing = if begins { share } else { 0.0 },
+            FaultKind::LateCallbacks(by) => self.late = if begins { micros_from_seconds(by) } else { 0 },
+            FaultKind::DuplicateCallbacks => self.doubled = begins,
             _ => return false,
         }
         true
--- a/crates/testbed/src/model/worker.rs
+++ b/crates/testbed/src/model/worker.rs
@@ -6,7 +6,7 @@
 
 use copperspread_dispatcher::{LoadReport, Micros, SECOND};
 
-use crate::scenario::{Order, Trouble};
+use crate::scenario::{FaultKind, QueueOrder};
 
 /// What a worker is built of.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,7 +20,7 @@
     /// Most jobs that wait.
     pub queue: usize,
     /// The order in which they start.
-    pub order: Order,
+    pub order: QueueOrder,
     /// Memory, in megabytes.
     pub memory: f64,
     /// A cold worker begins at this share of its capacity ...
@@ -299,9 +299,9 @@
     fn start(&mut self, effects: &mut Vec<Effect>) {
         loop {
             let next = match self.build.order {
-                Order::Fifo => self.waiting.front().filter(|job| self.fits(job)).map(|_| 0),
-                Order::Backfill => self.waiting.iter().position(|job| self.fits(job)),
-                Order::Priority => {
+                QueueOrder::Fifo => self.waiting.front().filter(|job| self.fits(job)).map(|_| 0),
+                QueueOrder::Backfill => self.waiting.iter().position(|job| self.fits(job)),
+                QueueOrder::Priority => {
                     let places = self.waiting.iter().enumerate();
                     let first = places
                         .max_by(|(a, one), (b, other)| one.worth.total_cmp(&other.worth).then(b.cmp(a)));
@@ -425,16 +425,16 @@
     }
 
     /// A fault that meets it begins or is over; whether a new process started.
-    pub fn turn(&mut self, now: Micros, what: Trouble, begins: bool, effects: &mut Vec<Effect>) -> bool {
+    pub fn turn(&mut self, now: Micros, what: FaultKind, begins: bool, effects: &mut Vec<Effect>) -> bool {
         match what {
-            Trouble::Slow(factor) => self.change(now, |of| of.slow = if begins { factor } else { 1.0 }),
-            Trouble::Stuck => self.change(now, |of| of.stuck = begins),
-            Trouble::Silent(class) => self.change(now, |of| of.silent = begins.then_some(class)),
-            Trouble::Refusing => self.change(now, |of| of.refusing = begins),
-            Trouble::Crash if begins => self.die(now, Life::Dead, effects),
-            Trouble::Vanish if begins => self.die(now, Life::Vanished, effects),
-            Trouble::Drain if begins => self.drain(now, true, effects),
-            Trouble::Crash | Trouble::Vanish | Trouble::Drain => {
+            FaultKind::Slow(factor) => self.change(now, |of| of.slow = if begins { factor } else { 1.0 }),
+            FaultKind::Stuck => self.change(now, |of| of.stuck = begins),
+            FaultKind::Silent(class) => self.change(now, |of| of.silent = begins.then_some(class)),
+            FaultKind::Refusing => self.change(now, |of| of.refusing = begins),
+            FaultKind::Crash if begins => self.die(now, Life::Dead, effects),
+            FaultKind::Vanish if begins => self.die(now, Life::Vanished, effects),
+            FaultKind::Drain if begins => self.drain(now, true, effects),
+            FaultKind::Crash | FaultKind::Vanish | FaultKind::Drain => {
                 // What still ran there ends with the old process.
                 self.die(now, Life::Dead, effects);
                 self.restart(now);
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -3,8 +3,8 @@
 use plotters::element::DashedPathElement;
 use plotters::prelude::*;
 
-use crate::compare::{Difference, Row};
-use crate::outcome::{OfWorker, Worth};
+use crate::compare::{PairedDifference, VariantResult};
+use crate::outcome::{WeightTotals, WorkerOutcome};
 use crate::scenario::Scenario;
 
 /// Okabe and Ito's colours, told apart by most eyes; in grey print the lines differ by their dashes.
@@ -28,28 +28,30 @@
 ///
 /// # Errors
 /// A plot or a template that fails, which would be a fault of this program.
-pub fn html(played: &[(Scenario, Vec<Row>)]) -> Result<String, String> {
+pub fn render_html(played: &[(Scenario, Vec<VariantResult>)]) -> Result<String, String> {
     let mut parts = Vec::new();
     for (scenario, rows) in played {
         let Some(first) = rows.first() else { continue };
-        let seconds = scenario.seconds.ceil() as usize;
-        let lines: Vec<(String, Points)> =
-            rows.iter().map(|row| (row.policy.clone(), smooth(&sums(row, seconds), Worth::share))).collect();
+        let seconds = scenario.duration_s.ceil() as usize;
+        let lines: Vec<(String, Points)> = rows
+            .iter()
+            .map(|row| (row.policy.clone(), smooth(&sums(row, seconds), WeightTotals::in_time_share)))
+            .collect();
         let table: Vec<_> = rows
             .iter()
             .map(|row| {
-                let behind = row.behind.map(|of| of.to_string()).unwrap_or_default();
-                let went = row.went.map(|share| format!("{share:.3}"));
-                let share = format!("{:.3}", row.share);
-                context! { policy => row.policy, share, went, breaches => row.breaches, behind }
+                let behind = row.deficit.map(|of| of.to_string()).unwrap_or_default();
+                let went = row.unserved_shares.map(|share| format!("{share:.3}"));
+                let share = format!("{:.3}", row.in_time_share);
+                context! { policy => row.policy, share, went, breaches => row.violations, behind }
             })
             .collect();
         let runs = first.runs.len().max(1) as u64;
         // Classes of the first seed: quantiles of several runs do not add up.
         let classes: Vec<_> = first.runs.first().map_or_else(Vec::new, |run| {
-            let one = |class: &crate::outcome::OfClass| {
-                let [median, most99, most] = class.served_ms.map(|ms| format!("{ms:.0}"));
-                let share = format!("{:.3}", class.worth.share());
+            let one = |class: &crate::outcome::ClassOutcome| {
+                let [median, most99, most] = class.latency_ms.map(|ms| format!("{ms:.0}"));
+                let share = format!("{:.3}", class.weight.in_time_share());
                 context! { name => class.name, jobs => class.jobs, share, median, most99, most }
             };
             run.classes.iter().map(one).collect()
@@ -57,11 +59,11 @@
         let faults: Vec<String> = scenario
             .faults
             .iter()
-            .map(|of| format!("{:?} from {} s for {} s", of.what, of.at, of.lasts))
+            .map(|of| format!("{} from {} s for {} s", of.kind, of.starts_at_s, of.duration_s))
             .collect();
         parts.push(context! {
             name => scenario.name,
-            about => scenario.about,
+            about => scenario.description,
             first => first.policy,
             seeds => first.runs.len(),
             jobs => first.runs.iter().map(|run| run.jobs).sum::<u64>() / runs,
@@ -82,34 +84,34 @@
 }
 
 /// Worth by second, the mean over all runs of a row.
-fn sums(row: &Row, seconds: usize) -> Vec<Worth> {
+fn sums(row: &VariantResult, seconds: usize) -> Vec<WeightTotals> {
     let runs = row.runs.len().max(1) as f64;
-    let mut sums = vec![Worth::default(); seconds];
+    let mut sums = vec![WeightTotals::default(); seconds];
     for run in &row.runs {
         for (sum, worth) in sums.iter_mut().zip(&run.seconds) {
-            sum.asked += worth.asked / runs;
+            sum.requested += worth.requested / runs;
             sum.in_time += worth.in_time / runs;
             sum.late += worth.late / runs;
-            sum.refused += worth.refused / runs;
+            sum.rejected += worth.rejected / runs;
             sum.failed += worth.failed / runs;
-            sum.lost += worth.lost / runs;
+            sum.unanswered += worth.unanswered / runs;
         }
     }
     sums
 }
 
 /// A figure of each second, over the seconds round it.
-fn smooth(sums: &[Worth], of: impl Fn(&Worth) -> f64) -> Points {
+fn smooth(sums: &[WeightTotals], of: impl Fn(&WeightTotals) -> f64) -> Points {
     let window = |at: usize| {
         let part = &sums[at.saturating_sub(SMOOTH / 2)..(at + SMOOTH / 2 + 1).min(sums.len())];
-        let add = |figure: fn(&Worth) -> f64| part.iter().map(figure).sum::<f64>() / part.len() as f64;
-        Worth {
-            asked: add(|w| w.asked),
+        let add = |figure: fn(&WeightTotals) -> f64| part.iter().map(figure).sum::<f64>() / part.len() as f64;
+        WeightTotals {
+            requested: add(|w| w.requested),
             in_time: add(|w| w.in_time),
             late: add(|w| w.late),
-            refused: add(|w| w.refused),
+            rejected: add(|w| w.rejected),
             failed: add(|w| w.failed),
-            lost: add(|w| w.lost),
+            unanswered: add(|w| w.unanswered),
         }
     };
     (0..sums.len()).map(|at| (at as f64 + 0.5, of(&window(at)))).collect()
@@ -132,17 +134,17 @@
     })
 }
 
-fn went(scenario: &Scenario, sums: &[Worth]) -> Result<String, String> {
-    type Figure = fn(&Worth) -> f64;
+fn went(scenario: &Scenario, sums: &[WeightTotals]) -> Result<String, String> {
+    type Figure = fn(&WeightTotals) -> f64;
     // Each band reaches from the one before up to its own sum; drawn from the highest down.
     let bands: [(&str, Figure, RGBColor); 5] = [
-        ("lost", |w| w.in_time + w.late + w.refused + w.failed + w.lost, COLOURS[0]),
-        ("failed", |w| w.in_time + w.late + w.refused + w.failed, COLOURS[4]),
-        ("refused", |w| w.in_time + w.late + w.refused, COLOURS[5]),
+        ("lost", |w| w.in_time + w.late + w.rejected + w.failed + w.unanswered, COLOURS[0]),
+        ("failed", |w| w.in_time + w.late + w.rejected + w.failed, COLOURS[4]),
+        ("refused", |w| w.in_time + w.late + w.rejected, COLOURS[5]),
         ("late", |w| w.in_time + w.late, COLOURS[1]),
         ("in time", |w| w.in_time, RGBColor(150, 200, 235)),
     ];
-    let highest = smooth(sums, |w| w.asked).iter().map(|point| point.1).fold(1e-9, f64::max);
+    let highest = smooth(sums, |w| w.requested).iter().map(|point| point.1).fold(1e-9, f64::max);
     plot(scenario, 0.0, highest * 1.05, |chart| {
         let mut marks = Vec::new();
         for (name, figure, colour) in bands {
@@ -155,12 +157,12 @@
 }
 
 /// The first row's worth by the clients' zone and class: names, shares in time and what was asked for.
-fn zones(scenario: &Scenario, first: &Row) -> Vec<minijinja::Value> {
+fn zones(scenario: &Scenario, first: &VariantResult) -> Vec<minijinja::Value> {
     let mut rows = Vec::new();
     for zone in 0..scenario.zones as usize {
         let share = |class: usize| {
             let of = first.runs.iter().filter_map(|run| run.zones.get(zone)?.get(class));
-            let (asked, in_time) = of.fold((0.0, 0.0), |sum, w| (sum.0 + w.asked, sum.1 + w.in_time));
+            let (asked, in_time) = of.fold((0.0, 0.0), |sum, w| (sum.0 + w.requested, sum.1 + w.in_time));
             if asked > 0.0 { format!("{:.3}", in_time / asked) } else { "-".to_owned() }
         };
         let shares: Vec<String> = (0..scenario.classes.len()).map(share).collect();
@@ -171,18 +173,18 @@
 
 /// What each worker did against what it could have done, in the mean over runs: by zone, and in it by
 /// kind.
-fn against_capacity(first: &Row) -> Result<String, String> {
+fn against_capacity(first: &VariantResult) -> Result<String, String> {
     let Some(run) = first.runs.first().filter(|run| !run.workers.is_empty()) else {
         return Ok(String::new());
     };
     let mut order: Vec<usize> = (0..run.workers.len()).collect();
-    order.sort_by_key(|&at| (run.workers[at].zone, run.workers[at].kind, at));
+    order.sort_by_key(|&at| (run.workers[at].zone, run.workers[at].group, at));
     let runs = first.runs.len() as f64;
-    let mean = |at: usize, of: fn(&OfWorker) -> f64| {
+    let mean = |at: usize, of: fn(&WorkerOutcome) -> f64| {
         first.runs.iter().filter_map(|run| run.workers.get(at)).map(of).sum::<f64>() / runs
     };
     let bars: Vec<(f64, f64)> =
-        order.iter().map(|&at| (mean(at, |w| w.capacity), mean(at, |w| w.done))).collect();
+        order.iter().map(|&at| (mean(at, |w| w.capacity_core_s), mean(at, |w| w.done_core_s))).collect();
     let highest = bars.iter().map(|bar| bar.0.max(bar.1)).fold(1e-9, f64::max) * 1.15;
     let all = bars.len() as f64;
     let said = |error: &dyn std::fmt::Display| error.to_string();
@@ -239,10 +241,10 @@
 const NAMES: u32 = 200;
 
 /// The first variant less each other one, with its interval. Nothing where there are too few pairs.
-fn differences(rows: &[Row]) -> Result<String, String> {
-    let others: Vec<(&str, Difference)> = rows
+fn differences(rows: &[VariantResult]) -> Result<String, String> {
+    let others: Vec<(&str, PairedDifference)> = rows
         .iter()
-        .filter_map(|row| Some((&*row.policy, row.behind.filter(Difference::has_interval)?)))
+        .filter_map(|row| Some((&*row.policy, row.deficit.filter(PairedDifference::has_interval)?)))
         .collect();
     if others.is_empty() {
         return Ok(String::new());
@@ -271,7 +273,7 @@
             let line = [(of.interval[0], y), (of.interval[1], y)];
             chart.draw_series(LineSeries::new(line, COLOURS[2].stroke_width(3))).map_err(|e| said(&e))?;
             // Hollow where no difference is shown, for those who print without colours.
-            let fill = if of.shown() { COLOURS[2].filled() } else { WHITE.filled() };
+            let fill = if of.excludes_zero() { COLOURS[2].filled() } else { WHITE.filled() };
             chart.draw_series([Circle::new((of.mean, y), 5, fill)]).map_err(|e| said(&e))?;
             let edge = COLOURS[2].stroke_width(2);
             chart.draw_series([Circle::new((of.mean, y), 5, edge)]).map_err(|e| said(&e))?;
@@ -332,10 +334,12 @@
         // The legend has the margin on the right to itself, so that it covers no line.
         let mut builder = ChartBuilder::on(&area);
         builder.margin(8).margin_right(LEGEND).x_label_area_size(34).y_label_area_size(48);
-        let mut chart = builder.build_cartesian_2d(0.0..scenario.seconds, low..high).map_err(|e| said(&e))?;
+        let mut chart =
+            builder.build_cartesian_2d(0.0..scenario.duration_s, low..high).map_err(|e| said(&e))?;
         for fault in &scenario.faults {
-            let end = (fault.at + fault.spread_over + fault.lasts).min(scenario.seconds);
-            let band = Rectangle::new([(fault.at, low), (end, high)], RGBColor(225, 225, 225).filled());
+            let end = (fault.starts_at_s + fault.stagger_s + fault.duration_s).min(scenario.duration_s);
+            let band =
+                Rectangle::new([(fault.starts_at_s, low), (end, high)], RGBColor(225, 225, 225).filled());
             chart.draw_series([band]).map_err(|e| said(&e))?;
         }
         let mut mesh = chart.configure_mesh();
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// A connection that is not up by then has failed.
-pub(crate) const CONNECT: Micros = 250_000;
+pub(crate) const CONNECT_TIMEOUT: Micros = 250_000;
 
 /// A scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -12,9 +12,11 @@
     /// Its name.
     pub name: String,
     /// What it is for, in a sentence.
-    pub about: String,
+    #[serde(rename = "about")]
+    pub description: String,
     /// How long clients come, in seconds.
-    pub seconds: f64,
+    #[serde(rename = "seconds")]
+    pub duration_s: f64,
     /// Zones; schedulers, workers and clients are dealt to them in turn.
     #[serde(default = "one")]
     pub zones: u32,
@@ -24,9 +26,9 @@
     /// Schedulers in all.
     pub schedulers: u32,
     /// Groups of workers.
-    pub workers: Vec<Group>,
+    pub workers: Vec<WorkerGroup>,
     /// Classes of jobs.
-    pub classes: Vec<Class>,
+    pub classes: Vec<JobClass>,
     /// What clients do.
     pub clients: Clients,
     /// Ways between the parties.
@@ -36,14 +38,14 @@
     #[serde(default)]
     pub discovery: Discovery,
     /// Load reports.
-    #[serde(default)]
-    pub reports: Reports,
+    #[serde(rename = "reports", default)]
+    pub load_reports: LoadReports,
     /// Cold workers.
-    #[serde(default)]
-    pub cold: Cold,
+    #[serde(rename = "cold", default)]
+    pub slow_start: SlowStart,
     /// What schedulers are told that they may do.
-    #[serde(default)]
-    pub settings: Tuning,
+    #[serde(rename = "settings", default)]
+    pub tuning: SchedulerTuning,
     /// What goes wrong, and when.
     #[serde(default)]
     pub faults: Vec<Fault>,
@@ -51,29 +53,32 @@
 
 /// What schedulers are told that they may do.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Tuning {
+#[serde(rename = "Tuning", default, deny_unknown_fields)]
+pub struct SchedulerTuning {
     /// Most attempts of a request.
     pub max_attempts: u32,
     /// Whether a second copy may be sent while the first is out.
-    pub second_copies: bool,
+    #[serde(rename = "second_copies")]
+    pub hedging_allowed: bool,
     /// Whether attempts may be given up.
-    pub may_cancel: bool,
+    #[serde(rename = "may_cancel")]
+    pub cancellation_allowed: bool,
     /// What an attempt in another zone costs, in the worth of a unit of work.
-    pub price_cross_zone: f64,
+    #[serde(rename = "price_cross_zone")]
+    pub cross_zone_cost: f64,
     /// An attempt that is cancelled or timed out stops at its worker, waiting or running.
-    #[serde(skip_serializing_if = "is_false")]
-    pub cancel_stops: bool,
+    #[serde(rename = "cancel_stops", skip_serializing_if = "is_false")]
+    pub cancel_stops_job: bool,
 }
 
-impl Default for Tuning {
-    fn default() -> Tuning {
-        Tuning {
+impl Default for SchedulerTuning {
+    fn default() -> SchedulerTuning {
+        SchedulerTuning {
             max_attempts: 4,
-            second_copies: true,
-            may_cancel: true,
-            price_cross_zone: 0.03,
-            cancel_stops: false,
+            hedging_allowed: true,
+            cancellation_allowed: true,
+            cross_zone_cost: 0.03,
+            cancel_stops_job: false,
         }
     }
 }
@@ -96,8 +101,8 @@
 
 /// In which order waiting jobs start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Order {
+#[serde(rename = "Order", rename_all = "lowercase")]
+pub enum QueueOrder {
     /// As they came; the first waits until it fits.
     #[default]
     Fifo,
@@ -109,8 +114,8 @@
 
 /// Workers that are built alike.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Group {
+#[serde(rename = "Group", deny_unknown_fields)]
+pub struct WorkerGroup {
     /// The kind's name.
     pub kind: String,
     /// How many.
@@ -122,11 +127,11 @@
     /// The least and the greatest speed of a core; each worker draws its own.
     pub speed: [f64; 2],
     /// Most jobs that wait.
-    #[serde(default = "hundred")]
-    pub queue: usize,
+    #[serde(rename = "queue", default = "hundred")]
+    pub queue_capacity: usize,
     /// The order in which they start.
-    #[serde(default)]
-    pub order: Order,
+    #[serde(rename = "order", default)]
+    pub queue_order: QueueOrder,
     /// Memory of each, in the unit of the classes'; absent, it never fills. Schedulers take a
     /// worker to have one unit for each slot.
     #[serde(default)]
@@ -139,8 +144,8 @@
 
 /// What may be repeated of a class's jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Repeat {
+#[serde(rename = "Repeat", rename_all = "lowercase")]
+pub enum RepeatPolicy {
     /// It must never run twice.
     Never,
     /// It carries a key by which workers of a zone drop a repeat.
@@ -151,8 +156,8 @@
 
 /// Which workers drop a repeat of a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Scope {
+#[serde(rename = "Scope", rename_all = "lowercase")]
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those of a zone.
@@ -162,16 +167,16 @@
     Cell,
 }
 
-impl Scope {
+impl DeduplicationScope {
     fn is_zone(&self) -> bool {
-        *self == Scope::Zone
+        *self == DeduplicationScope::Zone
     }
 }
 
 /// How the work of a class's jobs is spread round its mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Spread {
+#[serde(rename = "Spread", rename_all = "lowercase")]
+pub enum WorkDistribution {
     /// Log-normal, with this sigma.
     LogNormal(f64),
     /// Exponential.
@@ -183,46 +188,50 @@
 
 /// A class of jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Class {
+#[serde(rename = "Class", deny_unknown_fields)]
+pub struct JobClass {
     /// Its name.
     pub name: String,
     /// Its share of all jobs, against the others' shares.
     pub share: f64,
     /// Mean work, in seconds at speed 1.
-    pub work: f64,
+    #[serde(rename = "work")]
+    pub mean_work: f64,
     /// How it is spread.
-    #[serde(default)]
-    pub spread: Spread,
+    #[serde(rename = "spread", default)]
+    pub work_distribution: WorkDistribution,
     /// The share of jobs that take two slots.
-    #[serde(default)]
-    pub wide: f64,
+    #[serde(rename = "wide", default)]
+    pub two_slot_share: f64,
     /// In place of `wide`: how many slots a job takes, each with its share of the jobs.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub slots: Vec<[f64; 2]>,
+    #[serde(rename = "slots", default, skip_serializing_if = "Vec::is_empty")]
+    pub slot_distribution: Vec<[f64; 2]>,
     /// Mean memory that a job holds for each of its slots while it runs.
-    #[serde(default)]
-    pub memory: f64,
+    #[serde(rename = "memory", default)]
+    pub mean_memory: f64,
     /// Sigma of its log-normal spread; 0: all alike.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub memory_spread: f64,
+    #[serde(rename = "memory_spread", default, skip_serializing_if = "is_zero")]
+    pub memory_sigma: f64,
     /// An answer in time comes within so many seconds ...
-    pub aim: f64,
+    #[serde(rename = "aim")]
+    pub latency_objective_s: f64,
     /// ... plus so many times the job's own work.
-    #[serde(default)]
-    pub stretch: f64,
+    #[serde(rename = "stretch", default)]
+    pub latency_stretch: f64,
     /// Clients give up after so many seconds, over all tries.
-    pub deadline: f64,
+    #[serde(rename = "deadline")]
+    pub deadline_s: f64,
     /// What a unit of work is worth.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// For `keyed`: which workers drop a repeat.
-    #[serde(default, skip_serializing_if = "Scope::is_zone")]
-    pub scope: Scope,
+    #[serde(rename = "scope", default, skip_serializing_if = "DeduplicationScope::is_zone")]
+    pub deduplication_scope: DeduplicationScope,
     /// For `keyed`: for how many seconds a repeat is dropped.
-    #[serde(default)]
-    pub window: f64,
+    #[serde(rename = "window", default)]
+    pub deduplication_window_s: f64,
 }
 
 /// What clients do.
@@ -230,72 +239,77 @@
 #[serde(deny_unknown_fields)]
 pub struct Clients {
     /// First tries a second, whatever the answers: an open loop.
-    pub rate: f64,
+    #[serde(rename = "rate")]
+    pub rate_per_s: f64,
     /// Tries after a refusal, past the first.
-    #[serde(default)]
-    pub retries: u32,
+    #[serde(rename = "retries", default)]
+    pub max_retries: u32,
     /// Clients heed `Retry-After` up to so many seconds.
-    #[serde(default = "two")]
-    pub heed: f64,
+    #[serde(rename = "heed", default = "two")]
+    pub max_retry_after_s: f64,
     /// When they try again.
-    #[serde(default, skip_serializing_if = "Again::heeds")]
-    pub again: Again,
+    #[serde(rename = "again", default, skip_serializing_if = "RetryTiming::heeds")]
+    pub retry_timing: RetryTiming,
     /// A client that has heard nothing so many seconds after its time breaks a rule; more than the
     /// default is for machines that stall, and tests that must not fail for it.
-    #[serde(default = "grace")]
-    pub grace: f64,
+    #[serde(rename = "grace", default = "grace")]
+    pub deadline_grace_s: f64,
     /// A recorded trace in place of drawn arrivals, jobs in the order of their instants. The file of
     /// records of a scheduler gives one: `copperspread-testbed trace`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub trace: Vec<Recorded>,
+    pub trace: Vec<RecordedJob>,
     /// The first schedulers get more than the others; absent, all get alike.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub crowded: Option<Crowded>,
+    #[serde(rename = "crowded", default, skip_serializing_if = "Option::is_none")]
+    pub skew: Option<ClientSkew>,
     /// Sigma of the log-normal error of hints; absent, there are none.
-    #[serde(default)]
-    pub hint_error: Option<f64>,
+    #[serde(rename = "hint_error", default)]
+    pub hint_error_sigma: Option<f64>,
 }
 
 /// When clients try again after a refusal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Again {
+#[serde(rename = "Again", rename_all = "snake_case")]
+pub enum RetryTiming {
     /// When `Retry-After` says, and a little later.
     #[default]
-    Heed,
+    #[serde(rename = "heed")]
+    HonorRetryAfter,
     /// At once, whatever they were told.
-    AtOnce,
+    #[serde(rename = "at_once")]
+    Immediately,
     /// After so many seconds, whatever they were told.
-    After(f64),
+    #[serde(rename = "after")]
+    FixedDelay(f64),
 }
 
-impl Again {
+impl RetryTiming {
     fn heeds(&self) -> bool {
-        *self == Again::Heed
+        *self == RetryTiming::HonorRetryAfter
     }
 
     /// How long a client waits that was told to stay away for `told`, of which it heeds so much at most;
     /// `spread` is drawn evenly from 0 to 1.
-    pub fn wait(self, told: Micros, heed: f64, spread: f64) -> Micros {
+    pub fn delay(self, told: Micros, heed: f64, spread: f64) -> Micros {
         match self {
-            Again::Heed => {
-                let heeds = told.min(micros(heed));
-                heeds + micros(0.01 + 0.2 * spread * heeds as f64 / SECOND as f64)
+            RetryTiming::HonorRetryAfter => {
+                let heeds = told.min(micros_from_seconds(heed));
+                heeds + micros_from_seconds(0.01 + 0.2 * spread * heeds as f64 / SECOND as f64)
             }
-            Again::AtOnce => 0,
-            Again::After(wait) => micros(wait),
+            RetryTiming::Immediately => 0,
+            RetryTiming::FixedDelay(wait) => micros_from_seconds(wait),
         }
     }
 }
 
 /// Schedulers that get more clients than the others.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Crowded {
+#[serde(rename = "Crowded", deny_unknown_fields)]
+pub struct ClientSkew {
     /// How many, the first ones.
     pub schedulers: u32,
     /// How many times as many clients each of them gets as each of the others.
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub factor: f64,
 }
 
 fn grace() -> f64 {
@@ -308,10 +322,11 @@
 
 /// A job of a recorded trace.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Recorded {
+#[serde(rename = "Recorded", deny_unknown_fields)]
+pub struct RecordedJob {
     /// When it came, in seconds.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub arrives_at_s: f64,
     /// Its class's place in the list.
     pub class: u32,
     /// Its work, in seconds at speed 1.
@@ -330,12 +345,13 @@
 
 /// The way between two zones, both ways, where it is not as all others.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Pair {
+#[serde(rename = "Pair", deny_unknown_fields)]
+pub struct ZoneLink {
     /// The zones.
     pub zones: [u32; 2],
     /// Seconds one way.
-    pub way: f64,
+    #[serde(rename = "way")]
+    pub delay_s: f64,
     /// The share of messages that come 0.2 s late, as after a loss.
     #[serde(default)]
     pub loss: f64,
@@ -346,114 +362,152 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
     /// Seconds one way inside a zone.
-    pub near: f64,
+    #[serde(rename = "near")]
+    pub intra_zone_delay_s: f64,
     /// Seconds one way between zones.
-    pub far: f64,
+    #[serde(rename = "far")]
+    pub inter_zone_delay_s: f64,
     /// The share of messages that come 0.2 s late, as after a loss.
     pub loss: f64,
     /// Seconds by which a new connection to a worker delays the hand-over that it is opened for.
-    pub connect: f64,
+    #[serde(rename = "connect")]
+    pub connect_delay_s: f64,
     /// Pairs of zones whose ways are others.
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub pairs: Vec<Pair>,
+    #[serde(rename = "pairs", skip_serializing_if = "Vec::is_empty")]
+    pub zone_links: Vec<ZoneLink>,
 }
 
 impl Default for Network {
     fn default() -> Network {
-        Network { near: 0.0005, far: 0.015, loss: 0.0, connect: 0.0, pairs: Vec::new() }
+        Network {
+            intra_zone_delay_s: 0.0005,
+            inter_zone_delay_s: 0.015,
+            loss: 0.0,
+            connect_delay_s: 0.0,
+            zone_links: Vec::new(),
+        }
     }
 }
 
 impl Network {
-    /// Seconds one way between two zones, and the share of messages that are lost and sent again.
-    pub fn between(&self, from: u32, to: u32) -> (f64, f64) {
-        let pair = self.pairs.iter().find(|pair| pair.zones == [from, to] || pair.zones == [to, from]);
-        let usual = if from == to { self.near } else { self.far };
-        pair.map_or((usual, self.loss), |pair| (pair.way, pair.loss))
+    /// The link between two zones, the same in both directions.
+    pub fn link_between(&self, from: u32, to: u32) -> ZoneLinkQuality {
+        let exception =
+            self.zone_links.iter().find(|link| link.zones == [from, to] || link.zones == [to, from]);
+        let usual_delay_s = if from == to { self.intra_zone_delay_s } else { self.inter_zone_delay_s };
+        let usual = ZoneLinkQuality { delay_s: usual_delay_s, loss: self.loss };
+        exception.map_or(usual, |link| ZoneLinkQuality { delay_s: link.delay_s, loss: link.loss })
     }
 }
 
+/// Delay and loss of the messages between two zones.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ZoneLinkQuality {
+    /// Seconds in one direction.
+    pub delay_s: f64,
+    /// The share of messages that are lost and sent again.
+    pub loss: f64,
+}
+
 /// The worker list's way to the schedulers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
     /// Seconds until a change is told.
-    pub delay: f64,
+    #[serde(rename = "delay")]
+    pub delay_s: f64,
     /// Seconds until the first list comes; before it, only the list of before the start is known.
-    pub first_after: f64,
+    #[serde(rename = "first_after")]
+    pub first_list_after_s: f64,
     /// The share of workers in the list of before the start that are not there any more.
-    pub stale: f64,
+    #[serde(rename = "stale")]
+    pub stale_share: f64,
     /// The list tells each worker's size, divided by 1 and the jobs it holds a core, renewed every so
     /// many seconds; 0: never. In virtual time only.
-    pub sizes: f64,
+    #[serde(rename = "sizes")]
+    pub size_interval_s: f64,
     /// The list is told only to whom asks for it. In real time the agents stay, one for each scheduler.
-    #[serde(skip_serializing_if = "is_false")]
-    pub on_request: bool,
+    #[serde(rename = "on_request", skip_serializing_if = "is_false")]
+    pub polled: bool,
 }
 
 impl Default for Discovery {
     fn default() -> Discovery {
-        Discovery { delay: 2.0, first_after: 0.0, stale: 0.0, sizes: 0.0, on_request: false }
+        Discovery {
+            delay_s: 2.0,
+            first_list_after_s: 0.0,
+            stale_share: 0.0,
+            size_interval_s: 0.0,
+            polled: false,
+        }
     }
 }
 
 /// Load reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Reports {
+#[serde(rename = "Reports", default, deny_unknown_fields)]
+pub struct LoadReports {
     /// Seconds between refreshes.
-    pub refresh: f64,
+    #[serde(rename = "refresh")]
+    pub refresh_interval_s: f64,
     /// Sigma of the noise, in slots.
-    pub noise: f64,
+    #[serde(rename = "noise")]
+    pub noise_slots: f64,
     /// Workers tell how far running jobs are, so many seconds apart; 0: never.
-    pub progress: f64,
+    #[serde(rename = "progress")]
+    pub progress_interval_s: f64,
     /// Answers carry no report: workers tell their load only when they are probed.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub probe: Option<Probe>,
+    #[serde(rename = "probe", skip_serializing_if = "Option::is_none")]
+    pub load_query: Option<LoadQuery>,
 }
 
 /// How workers are probed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Probe {
+#[serde(rename = "Probe", deny_unknown_fields)]
+pub struct LoadQuery {
     /// What answering one costs the worker, in seconds at speed 1.
     pub work: f64,
     /// A probe waits in the queue as a job of one slot does; else it is answered at once.
-    #[serde(default)]
-    pub deep: bool,
+    #[serde(rename = "deep", default)]
+    pub queued: bool,
     /// A scheduler waits for the answer for so many seconds.
-    pub timeout: f64,
+    #[serde(rename = "timeout")]
+    pub timeout_s: f64,
     /// A report tells what was true so many seconds before.
-    #[serde(default)]
-    pub late: f64,
+    #[serde(rename = "late", default)]
+    pub staleness_s: f64,
     /// What one probe a job costs, in the share of the worth.
-    #[serde(default)]
-    pub price: f64,
+    #[serde(rename = "price", default)]
+    pub cost: f64,
 }
 
-impl Default for Reports {
-    fn default() -> Reports {
-        Reports { refresh: 1.0, noise: 0.1, progress: 0.0, probe: None }
+impl Default for LoadReports {
+    fn default() -> LoadReports {
+        LoadReports { refresh_interval_s: 1.0, noise_slots: 0.1, progress_interval_s: 0.0, load_query: None }
     }
 }
 
 /// Cold workers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Cold {
+#[serde(rename = "Cold", default, deny_unknown_fields)]
+pub struct SlowStart {
     /// A worker starts at this share of its capacity.
-    pub from: f64,
+    #[serde(rename = "from")]
+    pub initial_capacity: f64,
     /// It is warm after so many seconds.
-    pub warm_after: f64,
+    #[serde(rename = "warm_after")]
+    pub duration_s: f64,
     /// Sent more than so many times its present capacity ...
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// ... for so many seconds, it falls over; 0 never.
-    pub fall_seconds: f64,
+    #[serde(rename = "fall_seconds")]
+    pub overload_window_s: f64,
 }
 
-impl Default for Cold {
-    fn default() -> Cold {
-        Cold { from: 0.12, warm_after: 23.0, fall_multiple: 3.0, fall_seconds: 3.0 }
+impl Default for SlowStart {
+    fn default() -> SlowStart {
+        SlowStart { initial_capacity: 0.12, duration_s: 23.0, overload_multiple: 3.0, overload_window_s: 3.0 }
     }
 }
 
@@ -462,20 +516,23 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// When it begins, in seconds.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub starts_at_s: f64,
     /// How long it lasts, in seconds.
-    pub lasts: f64,
+    #[serde(rename = "lasts")]
+    pub duration_s: f64,
     /// What it is.
-    pub what: Trouble,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     /// The share of workers that it meets, at least one of them.
-    #[serde(default = "tenth")]
-    pub share: f64,
+    #[serde(rename = "share", default = "tenth")]
+    pub worker_share: f64,
     /// Only workers of this zone.
     #[serde(default)]
     pub zone: Option<u32>,
     /// The workers met follow one another over so many seconds; 0 is all at once.
-    #[serde(default)]
-    pub spread_over: f64,
+    #[serde(rename = "spread_over", default)]
+    pub stagger_s: f64,
 }
 
 fn tenth() -> f64 {
@@ -484,8 +541,8 @@
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Trouble {
+#[serde(rename = "Trouble", rename_all = "snake_case")]
+pub enum FaultKind {
     /// Workers run so many times slower.
     Slow(f64),
     /// Their jobs do not go on.
@@ -527,37 +584,50 @@
     /// have, as nobody is told.
     Failing(f64),
     /// Their call-backs come so many seconds late.
-    LateNews(f64),
+    #[serde(rename = "late_news")]
+    LateCallbacks(f64),
     /// They say everything twice.
-    DoubledNews,
+    #[serde(rename = "doubled_news")]
+    DuplicateCallbacks,
     /// Clients come ever more often, evenly, up to so many times as often at its end.
     Ramp(f64),
 }
 
-impl Trouble {
+impl std::fmt::Display for FaultKind {
+    /// The name as printed in reports.
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            FaultKind::LateCallbacks(by) => f.debug_tuple("LateNews").field(by).finish(),
+            FaultKind::DuplicateCallbacks => f.write_str("DoubledNews"),
+            kind => std::fmt::Debug::fmt(kind, f),
+        }
+    }
+}
+
+impl FaultKind {
     /// Whether it meets workers, and not clients, reports or the list.
-    pub fn meets_workers(self) -> bool {
-        !self.meets_schedulers()
+    pub fn affects_workers(self) -> bool {
+        !self.affects_schedulers()
             && !matches!(
                 self,
-                Trouble::Burst(_)
-                    | Trouble::Ramp(_)
-                    | Trouble::HeavyTail(_)
-                    | Trouble::ReportsLate(_)
-                    | Trouble::DiscoveryDown
-                    | Trouble::DiscoveryMoves
-                    | Trouble::DiscoveryContradicts
+                FaultKind::Burst(_)
+                    | FaultKind::Ramp(_)
+                    | FaultKind::HeavyTail(_)
+                    | FaultKind::ReportsLate(_)
+                    | FaultKind::DiscoveryDown
+                    | FaultKind::DiscoveryMoves
+                    | FaultKind::DiscoveryContradicts
             )
     }
 
     /// Whether it meets schedulers.
-    pub fn meets_schedulers(self) -> bool {
-        matches!(self, Trouble::SchedulerCrash | Trouble::SchedulerRestart)
+    pub fn affects_schedulers(self) -> bool {
+        matches!(self, FaultKind::SchedulerCrash | FaultKind::SchedulerRestart)
     }
 }
 
 /// Seconds as microseconds.
-pub fn micros(seconds: f64) -> Micros {
+pub fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds.max(0.0) * SECOND as f64).round() as Micros
 }
 
@@ -566,7 +636,7 @@
     ///
     /// # Errors
     /// What is wrong, with line and key as TOML's reader tells them.
-    pub fn read(text: &str) -> Result<Scenario, String> {
+    pub fn parse(text: &str) -> Result<Scenario, String> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string().trim_end().to_owned())?;
         scenario.check()?;
         Ok(scenario)
@@ -584,25 +654,25 @@
                 Err(format!("{name}: {value} is not over 0"))
             }
         };
-        positive("seconds", self.seconds)?;
-        positive("clients.rate", self.clients.rate)?;
-        positive("clients.grace", self.clients.grace)?;
-        let sizes = self.discovery.sizes;
+        positive("seconds", self.duration_s)?;
+        positive("clients.rate", self.clients.rate_per_s)?;
+        positive("clients.grace", self.clients.deadline_grace_s)?;
+        let sizes = self.discovery.size_interval_s;
         if sizes != 0.0 && !(0.05..=3_600.0).contains(&sizes) {
             return Err(format!("discovery.sizes: {sizes} is neither 0 nor between 0.05 and 3600"));
         }
         if self.cells == 0 {
             return Err("cells: at least one in each zone".into());
         }
-        if let Again::After(wait) = self.clients.again
+        if let RetryTiming::FixedDelay(wait) = self.clients.retry_timing
             && !(wait.is_finite() && wait >= 0.0)
         {
             return Err(format!("clients.again: {wait} is not 0 or more"));
         }
-        if let Some(probe) = self.reports.probe {
-            positive("reports.refresh", self.reports.refresh)?;
-            positive("reports.probe.timeout", probe.timeout)?;
-            for (name, value) in [("work", probe.work), ("late", probe.late), ("price", probe.price)] {
+        if let Some(probe) = self.load_reports.load_query {
+            positive("reports.refresh", self.load_reports.refresh_interval_s)?;
+            positive("reports.probe.timeout", probe.timeout_s)?;
+            for (name, value) in [("work", probe.work), ("late", probe.staleness_s), ("price", probe.cost)] {
                 if !value.is_finite() || value < 0.0 {
                     return Err(format!("reports.probe.{name}: {value} is not 0 or more"));
                 }
@@ -611,7 +681,7 @@
         if self.zones == 0 || self.schedulers == 0 || self.classes.is_empty() || self.workers.is_empty() {
             return Err("zones, schedulers, workers and classes: at least one of each".into());
         }
-        if let Some(Crowded { schedulers, times }) = self.clients.crowded {
+        if let Some(ClientSkew { schedulers, factor: times }) = self.clients.skew {
             positive("clients.crowded.times", times)?;
             if schedulers == 0 || schedulers >= self.schedulers {
                 return Err(format!("clients.crowded.schedulers: {schedulers} is not some of them"));
@@ -631,85 +701,86 @@
         for class in &self.classes {
             for (name, value) in [
                 ("share", class.share),
-                ("work", class.work),
-                ("deadline", class.deadline),
-                ("worth", class.worth),
+                ("work", class.mean_work),
+                ("deadline", class.deadline_s),
+                ("worth", class.priority_weight),
             ] {
                 positive(&format!("class {:?}: {name}", class.name), value)?;
             }
-            for value in class.slots.as_flattened() {
+            for value in class.slot_distribution.as_flattened() {
                 positive(&format!("class {:?}: slots", class.name), *value)?;
             }
-            if class.wide > 0.0 && !class.slots.is_empty() {
+            if class.two_slot_share > 0.0 && !class.slot_distribution.is_empty() {
                 return Err(format!(
                     "class {:?}: wide and slots say the same thing; one of them",
                     class.name
                 ));
             }
-            for (name, value) in [("memory", class.memory), ("memory_spread", class.memory_spread)] {
+            for (name, value) in [("memory", class.mean_memory), ("memory_spread", class.memory_sigma)] {
                 if !value.is_finite() || value < 0.0 {
                     return Err(format!("class {:?}: {name}: {value} is not 0 or more", class.name));
                 }
             }
         }
-        if self.clients.trace.windows(2).any(|pair| pair[0].at > pair[1].at) {
+        if self.clients.trace.windows(2).any(|pair| pair[0].arrives_at_s > pair[1].arrives_at_s) {
             return Err("clients.trace: not in the order of its instants".into());
         }
         for (number, job) in self.clients.trace.iter().enumerate() {
             let good = |value: f64| value.is_finite() && value > 0.0;
             let known = (job.class as usize) < self.classes.len();
-            let came = job.at.is_finite() && job.at >= 0.0;
+            let came = job.arrives_at_s.is_finite() && job.arrives_at_s >= 0.0;
             if !(known && came && good(job.work) && good(job.slots)) {
                 return Err(format!("clients.trace[{number}]: no such class, or a figure that is none"));
             }
         }
-        for (number, pair) in self.network.pairs.iter().enumerate() {
+        for (number, pair) in self.network.zone_links.iter().enumerate() {
             let known = pair.zones.iter().all(|&zone| zone < self.zones);
-            let good = pair.way.is_finite() && pair.way >= 0.0 && (0.0..=1.0).contains(&pair.loss);
+            let good = pair.delay_s.is_finite() && pair.delay_s >= 0.0 && (0.0..=1.0).contains(&pair.loss);
             if !(known && good) {
                 return Err(format!("network.pairs[{number}]: no such zone, or a figure that is none"));
             }
         }
-        for (name, value) in
-            [("network.connect", self.network.connect), ("reports.progress", self.reports.progress)]
-        {
+        for (name, value) in [
+            ("network.connect", self.network.connect_delay_s),
+            ("reports.progress", self.load_reports.progress_interval_s),
+        ] {
             if !value.is_finite() || value < 0.0 {
                 return Err(format!("{name}: {value} is not 0 or more"));
             }
         }
         for (number, fault) in self.faults.iter().enumerate() {
-            let class = match fault.what {
-                Trouble::Silent(class) | Trouble::HeavyTail(class) => class,
+            let class = match fault.kind {
+                FaultKind::Silent(class) | FaultKind::HeavyTail(class) => class,
                 _ => 0,
             };
             let unknown_zone = fault.zone.is_some_and(|zone| zone >= self.zones);
             if class as usize >= self.classes.len() || unknown_zone {
                 return Err(format!("faults[{number}]: no such class or zone"));
             }
-            let factor = match fault.what {
-                Trouble::Slow(by) | Trouble::Burst(by) | Trouble::Ramp(by) => {
+            let factor = match fault.kind {
+                FaultKind::Slow(by) | FaultKind::Burst(by) | FaultKind::Ramp(by) => {
                     positive(&format!("faults[{number}].what"), by)
                 }
                 _ => Ok(()),
             };
             factor?;
             for (name, value) in
-                [("at", fault.at), ("lasts", fault.lasts), ("spread_over", fault.spread_over)]
+                [("at", fault.starts_at_s), ("lasts", fault.duration_s), ("spread_over", fault.stagger_s)]
             {
                 if !value.is_finite() || value < 0.0 {
                     return Err(format!("faults[{number}].{name}: {value} is not 0 or more"));
                 }
             }
-            let broken = match fault.what {
-                Trouble::Resetting(share) | Trouble::Garbled(share) | Trouble::Failing(share) => share,
+            let broken = match fault.kind {
+                FaultKind::Resetting(share) | FaultKind::Garbled(share) | FaultKind::Failing(share) => share,
                 _ => 0.0,
             };
-            if let Trouble::LateNews(by) | Trouble::ReportsLate(by) = fault.what
+            if let FaultKind::LateCallbacks(by) | FaultKind::ReportsLate(by) = fault.kind
                 && !(by.is_finite() && by >= 0.0)
             {
                 return Err(format!("faults[{number}].what: {by} is not 0 or more"));
             }
-            for share in [fault.share, broken] {
+            for share in [fault.worker_share, broken] {
                 if !(0.0..=1.0).contains(&share) {
                     return Err(format!("faults[{number}]: a share of {share} is not between 0 and 1"));
                 }
@@ -720,34 +791,34 @@
 
     /// The settings of one scheduler.
     pub fn settings(&self, scheduler: u32) -> Settings {
-        let class = |class: &Class| decisions::RequestClass {
-            latency_objective: micros(class.aim),
-            latency_stretch: class.stretch,
-            deadline: micros(class.deadline),
-            priority_weight: class.worth,
-            idempotency: class.effect(),
+        let class = |class: &JobClass| decisions::RequestClass {
+            latency_objective: micros_from_seconds(class.latency_objective_s),
+            latency_stretch: class.latency_stretch,
+            deadline: micros_from_seconds(class.deadline_s),
+            priority_weight: class.priority_weight,
+            idempotency: class.idempotency(),
             worker_kind: None,
         };
         Settings {
             fleet_size: self.schedulers,
             instance_index: Some(scheduler),
-            sizes_reflect_load: self.discovery.sizes > 0.0,
+            sizes_reflect_load: self.discovery.size_interval_s > 0.0,
             zone: scheduler % self.zones,
             classes: self.classes.iter().map(class).collect(),
             weight_by_work: true,
-            slow_start_initial_capacity: self.cold.from,
-            slow_start_duration: micros(self.cold.warm_after),
-            overload_multiple: self.cold.fall_multiple,
-            overload_window: micros(self.cold.fall_seconds.max(0.001)),
-            connect_timeout: CONNECT,
-            max_attempts: self.settings.max_attempts,
-            hedging_allowed: self.settings.second_copies,
-            cancellation_allowed: self.settings.may_cancel,
+            slow_start_initial_capacity: self.slow_start.initial_capacity,
+            slow_start_duration: micros_from_seconds(self.slow_start.duration_s),
+            overload_multiple: self.slow_start.overload_multiple,
+            overload_window: micros_from_seconds(self.slow_start.overload_window_s.max(0.001)),
+            connect_timeout: CONNECT_TIMEOUT,
+            max_attempts: self.tuning.max_attempts,
+            hedging_allowed: self.tuning.hedging_allowed,
+            cancellation_allowed: self.tuning.cancellation_allowed,
             reports_job_start: true,
-            cross_zone_cost: self.settings.price_cross_zone,
-            load_by_query: self.reports.probe.is_some(),
-            load_query_cost: self.reports.probe.map_or(0.0, |probe| probe.price),
-            discovery: if self.discovery.on_request {
+            cross_zone_cost: self.tuning.cross_zone_cost,
+            load_by_query: self.load_reports.load_query.is_some(),
+            load_query_cost: self.load_reports.load_query.map_or(0.0, |probe| probe.cost),
+            discovery: if self.discovery.polled {
                 decisions::Discovery::Polled
             } else {
                 decisions::Discovery::Pushed
@@ -758,38 +829,41 @@
 
     /// Jobs a second that the fleet can do, if all of them do their mean.
     pub fn capacity(&self) -> f64 {
-        let cores = |group: &Group| {
+        let cores = |group: &WorkerGroup| {
             f64::from(group.count) * group.cores.min(group.slots) * (group.speed[0] + group.speed[1]) / 2.0
         };
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
-        let work = |class: &Class| class.share / shares * class.work * class.mean_slots();
+        let work = |class: &JobClass| class.share / shares * class.mean_work * class.mean_slots();
         self.workers.iter().map(cores).sum::<f64>() / self.classes.iter().map(work).sum::<f64>()
     }
 }
 
-impl Class {
+impl JobClass {
     /// The slots that a job takes in the mean.
     pub fn mean_slots(&self) -> f64 {
-        if self.slots.is_empty() {
-            return 1.0 + self.wide;
+        if self.slot_distribution.is_empty() {
+            return 1.0 + self.two_slot_share;
         }
-        let shares: f64 = self.slots.iter().map(|[_, share]| share).sum();
-        self.slots.iter().map(|[slots, share]| slots * share / shares).sum()
+        let shares: f64 = self.slot_distribution.iter().map(|[_, share]| share).sum();
+        self.slot_distribution.iter().map(|[slots, share]| slots * share / shares).sum()
     }
 
     /// What may be repeated, in the module's form.
-    pub fn effect(&self) -> Idempotency {
+    pub fn idempotency(&self) -> Idempotency {
         match self.repeat {
-            Repeat::Safe => Idempotency::Idempotent,
-            Repeat::Keyed => {
-                let scope = match self.scope {
-                    Scope::All => decisions::KeyScope::All,
-                    Scope::Zone => decisions::KeyScope::Zone,
-                    Scope::Cell => decisions::KeyScope::Cell,
+            RepeatPolicy::Safe => Idempotency::Idempotent,
+            RepeatPolicy::Keyed => {
+                let scope = match self.deduplication_scope {
+                    DeduplicationScope::All => decisions::KeyScope::All,
+                    DeduplicationScope::Zone => decisions::KeyScope::Zone,
+                    DeduplicationScope::Cell => decisions::KeyScope::Cell,
                 };
-                Idempotency::IdempotentWithKey { scope, window: micros(self.window) }
+                Idempotency::IdempotentWithKey {
+                    scope,
+                    window: micros_from_seconds(self.deduplication_window_s),
+                }
             }
-            Repeat::Never => Idempotency::NonIdempotent,
+            RepeatPolicy::Never => Idempotency::NonIdempotent,
         }
     }
 }
--- a/crates/testbed/src/sim.rs
+++ b/crates/testbed/src/sim.rs
@@ -22,10 +22,10 @@
 use crate::model::keys::{Keys, Repeat, group};
 use crate::model::wire::{Cut, Wire};
 use crate::model::worker::{self, Offer, Offered, Truth, Worker};
-use crate::outcome::{End, Outcome, Played, Tally};
+use crate::outcome::{JobOutcome, OutcomeCounter, RunOutcome, RunRecord};
 use crate::policy::{Kind, Policy};
-use crate::referee::{Heard, Referee};
-use crate::scenario::{CONNECT, Scenario, Trouble, micros};
+use crate::rule_checker::{ClientResponse, RuleChecker};
+use crate::scenario::{CONNECT_TIMEOUT, FaultKind, Scenario, ZoneLinkQuality, micros_from_seconds};
 
 /// The node's margin before the client gives up.
 const MARGIN: Micros = 50_000;
@@ -161,7 +161,7 @@
 ///
 /// # Errors
 /// Settings that the policy does not take.
-pub fn play(scenario: &Scenario, kind: Kind, seed: u64) -> Result<Outcome, String> {
+pub fn play(scenario: &Scenario, kind: Kind, seed: u64) -> Result<RunOutcome, String> {
     let mut sim = Sim::new(scenario, kind, seed)?;
     while let Some(Reverse(Timed(at, _, event))) = sim.heap.pop() {
         sim.hold(at);
@@ -203,8 +203,8 @@
     kind: Kind,
     seed: u64,
     actions: Vec<Action>,
-    referee: Referee,
-    tally: Tally,
+    referee: RuleChecker,
+    tally: OutcomeCounter,
     events: u64,
     attempts_sent: u64,
     crossed: u64,
@@ -217,7 +217,7 @@
     fn new(scenario: &'a Scenario, kind: Kind, seed: u64) -> Result<Sim<'a>, String> {
         let mut fleet = Fleet::draw(scenario, seed);
         let mut schedulers = Vec::new();
-        let subscribed = !scenario.discovery.on_request;
+        let subscribed = !scenario.discovery.polled;
         for number in 0..scenario.schedulers {
             let own = seed.wrapping_add(u64::from(number) * 7919);
             let policy = kind.make(scenario.settings(number), own, stream(own, Stream::Network))?;
@@ -260,8 +260,8 @@
             kind,
             seed,
             actions: Vec::new(),
-            referee: Referee::new(cold_budget(scenario)),
-            tally: Tally::new(scenario.classes.len(), scenario.zones),
+            referee: RuleChecker::new(cold_budget(scenario)),
+            tally: OutcomeCounter::new(scenario.classes.len(), scenario.zones),
             events: 0,
             attempts_sent: 0,
             crossed: 0,
@@ -278,25 +278,28 @@
         // The list of before the start names some that are not there.
         let mut remembered = entries.clone();
         gone.iter().for_each(|&at| remembered[at as usize].state = WorkerState::Ready);
-        let first = micros(self.scenario.discovery.first_after);
+        let first = micros_from_seconds(self.scenario.discovery.first_list_after_s);
         let (remembered, full) = (Arc::new(remembered), Arc::new(entries));
         for scheduler in 0..self.schedulers.len() as u32 {
             // Who must ask for the list hears at its start what it knows from before.
-            if first > 0 || self.scenario.discovery.on_request {
+            if first > 0 || self.scenario.discovery.polled {
                 self.at(0, Ev::Told(scheduler, EndpointUpdateKind::Cached, Arc::clone(&remembered)));
             }
-            if !self.scenario.discovery.on_request {
+            if !self.scenario.discovery.polled {
                 self.at(first, Ev::Told(scheduler, EndpointUpdateKind::Full, Arc::clone(&full)));
             }
         }
         for turn in turns {
             self.at(turn.at, Ev::Turn(*turn));
         }
-        if self.scenario.discovery.sizes > 0.0 {
-            self.at(micros(self.scenario.discovery.sizes), Ev::Sizes);
+        if self.scenario.discovery.size_interval_s > 0.0 {
+            self.at(micros_from_seconds(self.scenario.discovery.size_interval_s), Ev::Sizes);
         }
-        if self.scenario.reports.probe.is_some() {
-            let (every, all) = (micros(self.scenario.reports.refresh), self.workers.len() as u64);
+        if self.scenario.load_reports.load_query.is_some() {
+            let (every, all) = (
+                micros_from_seconds(self.scenario.load_reports.refresh_interval_s),
+                self.workers.len() as u64,
+            );
             (0..all).for_each(|at| self.at(every * at / all, Ev::Refresh(at as u32)));
         }
         if let Some(arrival) = self.arrivals.next() {
@@ -317,10 +320,10 @@
 
     /// A message's way between two zones.
     fn way(&mut self, from: u32, to: u32) -> Micros {
-        let (mean, loss) = self.scenario.network.between(from, to);
+        let ZoneLinkQuality { delay_s: mean, loss } = self.scenario.network.link_between(from, to);
         let jitter: f64 = Exp1.sample(&mut self.network);
         let lost = self.network.random::<f64>() < loss;
-        micros(mean * (0.9 + 0.1 * jitter)) + if lost { RESENT } else { 0 }
+        micros_from_seconds(mean * (0.9 + 0.1 * jitter)) + if lost { RESENT } else { 0 }
     }
 
     fn entry(&self, at: u32) -> Endpoint {
@@ -336,7 +339,7 @@
                 worker::Life::Dead | worker::Life::Vanished => WorkerState::Removed,
             },
             started_at: worker.started_at.map(|at| at + EPOCH),
-            size: (self.scenario.discovery.sizes > 0.0).then(|| self.size(at)),
+            size: (self.scenario.discovery.size_interval_s > 0.0).then(|| self.size(at)),
             hash_key: at.into(),
         }
     }
@@ -366,8 +369,8 @@
         if self.discovery_down == 0 && self.contradicted.is_none() {
             self.tell_all(&Arc::new(entries));
         }
-        let next = self.now + micros(self.scenario.discovery.sizes);
-        if next < micros(self.scenario.seconds) {
+        let next = self.now + micros_from_seconds(self.scenario.discovery.size_interval_s);
+        if next < micros_from_seconds(self.scenario.duration_s) {
             self.at(next, Ev::Sizes);
         }
     }
@@ -385,7 +388,7 @@
 
     /// A scheduler asks for the list and its changes: it gets the whole one, and from then on what is new.
     fn subscribe(&mut self, scheduler: u32) {
-        if !self.scenario.discovery.on_request {
+        if !self.scenario.discovery.polled {
             return;
         }
         if self.discovery_down > 0 {
@@ -395,14 +398,14 @@
         self.schedulers[scheduler as usize].subscribed = true;
         let zone = self.schedulers[scheduler as usize].zone;
         let way = self.way(zone, zone) + self.way(zone, zone);
-        let first = micros(self.scenario.discovery.first_after);
+        let first = micros_from_seconds(self.scenario.discovery.first_list_after_s);
         let list = Arc::new(self.list());
         self.at((self.now + way).max(first), Ev::Told(scheduler, EndpointUpdateKind::Full, list));
     }
 
     /// Discovery goes down: who watches it sees the call break.
     fn watches_end(&mut self) {
-        if !self.scenario.discovery.on_request {
+        if !self.scenario.discovery.polled {
             return;
         }
         for scheduler in 0..self.schedulers.len() as u32 {
@@ -413,9 +416,9 @@
     }
 
     fn tell_all(&mut self, entries: &Arc<Vec<Endpoint>>) {
-        let after = self.now + micros(self.scenario.discovery.delay);
+        let after = self.now + micros_from_seconds(self.scenario.discovery.delay_s);
         // The first list goes before any change.
-        let after = after.max(micros(self.scenario.discovery.first_after) + 1);
+        let after = after.max(micros_from_seconds(self.scenario.discovery.first_list_after_s) + 1);
         for scheduler in 0..self.schedulers.len() as u32 {
             self.at(after, Ev::Told(scheduler, EndpointUpdateKind::Changes, Arc::clone(entries)));
         }
@@ -428,8 +431,9 @@
                     self.at(next.at, Ev::Arrive(next));
                 }
                 self.next_id += 1;
-                let gives_up = arrival.at + micros(self.scenario.classes[arrival.class as usize].deadline);
-                let retries = self.scenario.clients.retries;
+                let gives_up = arrival.at
+                    + micros_from_seconds(self.scenario.classes[arrival.class as usize].deadline_s);
+                let retries = self.scenario.clients.max_retries;
                 let job = self.next_id;
                 let (ended, keys) = (false, Keys::default());
                 let asked = Asked { of: arrival, gives_up, retries, ended, open: 0, keys };
@@ -487,7 +491,7 @@
                 }
                 for entry in entries.iter() {
                     let takes = entry.state == WorkerState::Ready;
-                    self.referee.told(self.now, scheduler, entry.worker.0, takes);
+                    self.referee.availability_notified(self.now, scheduler, entry.worker.0, takes);
                 }
                 let of = &mut self.schedulers[scheduler as usize];
                 of.version += 1;
@@ -539,33 +543,35 @@
             client_over: false,
         };
         self.flows.insert(request, flow);
-        self.referee.asked(RequestId(request), gives_up);
+        self.referee.request_sent(RequestId(request), gives_up);
         let way = self.way(zone, zone);
         self.at(self.now + way, Ev::Ask(request));
-        self.at(gives_up + micros(self.scenario.clients.grace), Ev::GiveUp(request));
+        self.at(gives_up + micros_from_seconds(self.scenario.clients.deadline_grace_s), Ev::GiveUp(request));
     }
 
     fn answer(&mut self, request: u64, answer: Final) {
         let heard = match answer {
-            Final::Served => Heard::Served,
-            Final::Refused(_) | Final::Failed => Heard::Said,
+            Final::Served => ClientResponse::Served,
+            Final::Refused(_) | Final::Failed => ClientResponse::Unserved,
         };
-        self.referee.answered(self.now, RequestId(request), heard);
+        self.referee.response_received(self.now, RequestId(request), heard);
         let Some(job) = self.flows.get(&request).map(|flow| flow.job) else { return };
         let Some(asked) = self.jobs.get_mut(&job).filter(|asked| !asked.ended) else { return };
         let took = self.now - asked.of.at;
         match answer {
             Final::Served => {
                 let class = &self.scenario.classes[asked.of.class as usize];
-                let wanted = micros(class.aim + class.stretch * asked.of.work);
-                self.end_job(job, if took <= wanted { End::InTime } else { End::Late });
+                let wanted =
+                    micros_from_seconds(class.latency_objective_s + class.latency_stretch * asked.of.work);
+                self.end_job(job, if took <= wanted { JobOutcome::InTime } else { JobOutcome::Late });
             }
-            Final::Failed => self.end_job(job, End::Failed),
+            Final::Failed => self.end_job(job, JobOutcome::Failed),
             Final::Refused(after) => {
                 let clients = &self.scenario.clients;
-                let wait = clients.again.wait(after, clients.heed, self.retries.random());
+                let wait =
+                    clients.retry_timing.delay(after, clients.max_retry_after_s, self.retries.random());
                 if asked.retries == 0 || self.now + wait + MARGIN >= asked.gives_up {
-                    return self.end_job(job, End::Refused);
+                    return self.end_job(job, JobOutcome::Rejected);
                 }
                 asked.retries -= 1;
                 self.at(self.now + wait, Ev::Retry(job));
@@ -574,7 +580,7 @@
     }
 
     fn give_up(&mut self, request: u64) {
-        self.referee.gave_up(self.now, RequestId(request));
+        self.referee.deadline_passed(self.now, RequestId(request));
         let Some(flow) = self.flows.get_mut(&request) else { return };
         flow.client_over = true;
         let (job, scheduler, open) = (flow.job, flow.scheduler, !flow.answered);
@@ -583,16 +589,16 @@
             self.tell(scheduler, Event::ClientDisconnected(RequestId(request)));
         }
         if self.jobs.get(&job).is_some_and(|asked| !asked.ended) {
-            self.end_job(job, End::Lost);
+            self.end_job(job, JobOutcome::Unanswered);
         }
         self.close(request);
     }
 
-    fn end_job(&mut self, job: u64, end: End) {
+    fn end_job(&mut self, job: u64, end: JobOutcome) {
         let Some(asked) = self.jobs.get_mut(&job) else { return };
         asked.ended = true;
         let class = &self.scenario.classes[asked.of.class as usize];
-        self.tally.ended(&asked.of, class, self.now - asked.of.at, end);
+        self.tally.record_job(&asked.of, class, self.now - asked.of.at, end);
     }
 
     /// Lets go of a request that nobody waits for any more.
@@ -601,7 +607,7 @@
         if flow.client_over && flow.answered && flow.out == 0 {
             let job = flow.job;
             self.flows.remove(&request);
-            self.referee.over(RequestId(request));
+            self.referee.request_finished(RequestId(request));
             self.forget(job);
         }
     }
@@ -611,7 +617,7 @@
         asked.open -= 1;
         if asked.open == 0 && asked.ended {
             self.jobs.remove(&job);
-            self.referee.job_over(job);
+            self.referee.job_finished(job);
         }
     }
 
@@ -623,9 +629,9 @@
         if !self.schedulers[scheduler as usize].up {
             // Refused by every scheduler there is.
             flow.answered = true;
-            self.referee.answered(self.now, RequestId(request), Heard::Broken);
+            self.referee.response_received(self.now, RequestId(request), ClientResponse::ConnectionBroken);
             if self.jobs.get(&job).is_some_and(|asked| !asked.ended) {
-                self.end_job(job, End::Failed);
+                self.end_job(job, JobOutcome::Failed);
             }
             return self.close(request);
         }
@@ -669,7 +675,7 @@
                 }
                 Action::StartTimer { after, timer } => {
                     // The world ends some time after its last client.
-                    if self.now + after <= micros(self.scenario.seconds) + 60 * SECOND {
+                    if self.now + after <= micros_from_seconds(self.scenario.duration_s) + 60 * SECOND {
                         let life = self.schedulers[scheduler as usize].life;
                         self.at(self.now + after, Ev::Timer(scheduler, life, timer));
                     }
@@ -685,7 +691,7 @@
     fn say(&mut self, request: u64, answer: Final) {
         let Some(flow) = self.flows.get_mut(&request) else { return };
         flow.answered = true;
-        self.referee.said(RequestId(request));
+        self.referee.response_sent(RequestId(request));
         let zone = self.schedulers[flow.scheduler as usize].zone;
         let way = self.way(zone, zone);
         self.at(self.now + way, Ev::Answer(request, answer));
@@ -718,7 +724,7 @@
         let Some(asked) = self.jobs.get_mut(&job) else { return };
         asked.open += 1;
         let load = asked.of.work * asked.of.slots;
-        self.referee.sent(self.now, scheduler, worker, load);
+        self.referee.attempt_sent(self.now, scheduler, worker, load);
         self.attempts_sent += 1;
         let (from, to) = (self.schedulers[scheduler as usize].zone, self.workers[worker as usize].1);
         self.crossed += u64::from(from != to);
@@ -729,12 +735,12 @@
     /// What a hand-over waits for its connection: nothing where one stands idle. It is taken until the
     /// worker has answered, reckoned at two ways.
     fn connection(&mut self, scheduler: u32, worker: u32) -> Micros {
-        let cost = micros(self.scenario.network.connect);
+        let cost = micros_from_seconds(self.scenario.network.connect_delay_s);
         if cost == 0 {
             return 0;
         }
         let (from, to) = (self.schedulers[scheduler as usize].zone, self.workers[worker as usize].1);
-        let there_and_back = 2 * micros(self.scenario.network.between(from, to).0);
+        let there_and_back = 2 * micros_from_seconds(self.scenario.network.link_between(from, to).delay_s);
         let (now, idle) = (self.now, self.connections.entry((scheduler, worker)).or_default());
         idle.retain(|&free| free + KEEPALIVE > now);
         let kept = idle.iter().position(|&free| free <= now);
@@ -753,7 +759,8 @@
         let (request, number, worker, sent_at) = (of.request, of.number, of.worker, of.sent_at);
         if !of.there {
             self.attempts.remove(&id);
-        } else if matches!(outcome, Ended::Cancelled | Ended::TimedOut) && self.scenario.settings.cancel_stops
+        } else if matches!(outcome, Ended::Cancelled | Ended::TimedOut)
+            && self.scenario.tuning.cancel_stops_job
         {
             let from = self.flows.get(&request).map(|flow| self.schedulers[flow.scheduler as usize].zone);
             let to = self.workers[worker as usize].1;
@@ -766,11 +773,12 @@
         if outcome == Ended::Served && !flow.answered {
             self.say(request, Final::Served);
         }
-        let with_answers = self.scenario.reports.probe.is_none();
+        let with_answers = self.scenario.load_reports.load_query.is_none();
         let heard = with_answers && matches!(outcome, Ended::Served | Ended::Error | Ended::Rejected);
         let report = heard.then(|| {
-            let refresh = micros(self.scenario.reports.refresh) + self.reports_late;
-            let (noise, sigma) = (&mut self.noise, self.scenario.reports.noise);
+            let refresh =
+                micros_from_seconds(self.scenario.load_reports.refresh_interval_s) + self.reports_late;
+            let (noise, sigma) = (&mut self.noise, self.scenario.load_reports.noise_slots);
             let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
             self.workers[worker as usize].0.report(self.now, refresh, draw)
         });
@@ -805,7 +813,7 @@
         let (from, to) = (self.workers[of.worker as usize].1, self.schedulers[flow.scheduler as usize].zone);
         let (worker, request) = (of.worker, of.request);
         if outcome == Ended::Served {
-            self.referee.made(RequestId(request));
+            self.referee.result_made(RequestId(request));
         }
         let way = self.way(from, to) + self.wires[worker as usize].late;
         self.at(self.now + way, Ev::Outcome(id, outcome));
@@ -823,7 +831,7 @@
         let of_job = asked.of;
         let class = &self.scenario.classes[of_job.class as usize];
         let sent_at = of.sent_at;
-        let effect = class.effect();
+        let effect = class.idempotency();
         let group = self.group(worker, effect);
         // A repeat of a keyed job is dropped in its group, and hears what becomes of the first.
         if let Idempotency::IdempotentWithKey { window, .. } = effect
@@ -831,7 +839,7 @@
             && let Some(repeat) =
                 self.jobs.get_mut(&job).and_then(|of| of.keys.repeat(id, group, self.now, window))
         {
-            self.referee.took(self.now, job, id, effect, group, sent_at);
+            self.referee.attempt_accepted(self.now, job, id, effect, group, sent_at);
             if repeat == Repeat::Done {
                 self.back(id, Ended::Served);
                 self.left_worker(id);
@@ -846,8 +854,8 @@
             }
             Cut::Fails => {
                 // Nobody is told that it never ran: whoever sends it on must reckon with it.
-                self.referee.took(self.now, job, id, effect, group, sent_at);
-                self.referee.ran(self.now, job, effect);
+                self.referee.attempt_accepted(self.now, job, id, effect, group, sent_at);
+                self.referee.job_started(self.now, job, effect);
                 self.back(id, Ended::Error);
                 return self.left_worker(id);
             }
@@ -863,7 +871,7 @@
         match self.workers[worker as usize].0.offer(self.now, offered, &mut effects) {
             Offer::Taken => {
                 self.held.0 += 1;
-                self.referee.took(self.now, job, id, effect, group, sent_at);
+                self.referee.attempt_accepted(self.now, job, id, effect, group, sent_at);
                 if let Some(asked) = self
                     .jobs
                     .get_mut(&job)
@@ -882,7 +890,7 @@
                 self.left_worker(id);
             }
             Offer::Vanished => {
-                self.at(self.now + CONNECT, Ev::Outcome(id, Ended::ConnectFailed));
+                self.at(self.now + CONNECT_TIMEOUT, Ev::Outcome(id, Ended::ConnectFailed));
                 self.left_worker(id);
             }
         }
@@ -929,14 +937,14 @@
                     let Some(asked) = self.jobs.get(&job) else { continue };
                     let class = &self.scenario.classes[asked.of.class as usize];
                     let silent = self.workers[worker as usize].0.silent == Some(asked.of.class);
-                    self.referee.ran(self.now, job, class.effect());
+                    self.referee.job_started(self.now, job, class.idempotency());
                     if tells && !silent {
                         let wire = self.wires[worker as usize];
                         let way = self.way(zone, zone) + wire.late;
                         for _ in 0..1 + u32::from(wire.doubled) {
                             self.at(self.now + way, Ev::Started(id));
                         }
-                        let every = micros(self.scenario.reports.progress);
+                        let every = micros_from_seconds(self.scenario.load_reports.progress_interval_s);
                         if every > 0 {
                             self.at(self.now + every, Ev::Progress(id));
                         }
@@ -960,7 +968,7 @@
                     self.held.0 -= 1;
                     // The key is forgotten with it; a repeat that was dropped for it was so for nothing.
                     if let Some(job) = self.attempts.get(&id).map(|of| of.job) {
-                        self.referee.handed_back(job, id);
+                        self.referee.attempt_returned(job, id);
                         if let Some(asked) = self.jobs.get_mut(&job) {
                             asked.keys.handed_back(id);
                         }
@@ -994,7 +1002,10 @@
             scheduler,
             Event::AttemptProgress { request: RequestId(request), attempt: number, progress },
         );
-        self.at(self.now + micros(self.scenario.reports.progress), Ev::Progress(id));
+        self.at(
+            self.now + micros_from_seconds(self.scenario.load_reports.progress_interval_s),
+            Ev::Progress(id),
+        );
     }
 
     /// The repeats that were dropped for an attempt hear what became of it.
@@ -1014,18 +1025,18 @@
         self.next_id += 1;
         let (id, life) = (self.next_id, self.schedulers[scheduler as usize].life);
         self.probes.insert(id, Probing { scheduler, life, worker });
-        let known = self.scenario.reports.probe.filter(|_| (worker as usize) < self.workers.len());
+        let known = self.scenario.load_reports.load_query.filter(|_| (worker as usize) < self.workers.len());
         let Some(of) = known else { return self.at(self.now, Ev::ProbeEnds(id, Ended::Superseded, None)) };
         self.probed += 1;
         let (from, to) = (self.schedulers[scheduler as usize].zone, self.workers[worker as usize].1);
         let way = self.way(from, to) + self.connection(scheduler, worker);
         self.at(self.now + way, Ev::ProbeThere(id));
-        self.at(self.now + micros(of.timeout), Ev::ProbeEnds(id, Ended::TimedOut, None));
+        self.at(self.now + micros_from_seconds(of.timeout_s), Ev::ProbeEnds(id, Ended::TimedOut, None));
     }
 
     fn probe_there(&mut self, id: u64) {
         let Some(&Probing { worker, .. }) = self.probes.get(&id) else { return };
-        let Some(probe) = self.scenario.reports.probe else { return };
+        let Some(probe) = self.scenario.load_reports.load_query else { return };
         let cut = self.wires[worker as usize].meets(self.network.random());
         let of = &mut self.workers[worker as usize].0;
         match (of.life, cut) {
@@ -1038,8 +1049,8 @@
             (_, Cut::Fails) => return self.probe_back(id, Ended::Error, 0),
             (_, Cut::Before | Cut::After | Cut::Garbage) => return self.probe_back(id, Ended::Reset, 0),
         }
-        if !probe.deep {
-            let took = micros(probe.work / of.build.speed);
+        if !probe.queued {
+            let took = micros_from_seconds(probe.work / of.build.speed);
             of.charge(self.now, probe.work);
             self.probe_back(id, Ended::Served, took);
             return self.effects(worker, Vec::new());
@@ -1059,22 +1070,24 @@
     /// Word of a probe goes back, if its scheduler still waits for it; other ids are none of a probe.
     fn probe_back(&mut self, id: u64, outcome: Ended, after: Micros) {
         let Some(&Probing { scheduler, worker, .. }) = self.probes.get(&id) else { return };
-        let Some(probe) = self.scenario.reports.probe else { return };
+        let Some(probe) = self.scenario.load_reports.load_query else { return };
         let of = &mut self.workers[worker as usize];
         let served = outcome == Ended::Served;
-        let report = of.0.probed(self.now, micros(probe.late) + self.reports_late).filter(|_| served);
+        let report =
+            of.0.probed(self.now, micros_from_seconds(probe.staleness_s) + self.reports_late)
+                .filter(|_| served);
         let (from, to) = (of.1, self.schedulers[scheduler as usize].zone);
         let way = self.way(from, to) + after;
         self.at(self.now + way, Ev::ProbeEnds(id, outcome, report));
     }
 
     fn refresh(&mut self, worker: u32) {
-        let reports = &self.scenario.reports;
-        let (every, now) = (micros(reports.refresh), self.now);
-        let (noise, sigma) = (&mut self.noise, reports.noise);
+        let reports = &self.scenario.load_reports;
+        let (every, now) = (micros_from_seconds(reports.refresh_interval_s), self.now);
+        let (noise, sigma) = (&mut self.noise, reports.noise_slots);
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
         self.workers[worker as usize].0.refresh(now, every, draw);
-        if now <= micros(self.scenario.seconds) + 60 * SECOND {
+        if now <= micros_from_seconds(self.scenario.duration_s) + 60 * SECOND {
             self.at(now + every, Ev::Refresh(worker));
         }
     }
@@ -1082,22 +1095,22 @@
     // ---- Faults --------------------------------------------------------------------------------
 
     fn fault(&mut self, turn: Turn) {
-        let what = self.scenario.faults[turn.fault].what;
+        let what = self.scenario.faults[turn.fault].kind;
         let (begins, worker) = (turn.begins, turn.whom.unwrap_or_default());
         let mut effects = Vec::new();
         let now = self.now;
         match what {
-            Trouble::Burst(_) | Trouble::Ramp(_) | Trouble::HeavyTail(_) => return,
-            Trouble::ReportsLate(by) => {
-                self.reports_late = if begins { micros(by) } else { 0 };
+            FaultKind::Burst(_) | FaultKind::Ramp(_) | FaultKind::HeavyTail(_) => return,
+            FaultKind::ReportsLate(by) => {
+                self.reports_late = if begins { micros_from_seconds(by) } else { 0 };
                 return;
             }
-            Trouble::DiscoveryDown | Trouble::DiscoveryMoves => {
+            FaultKind::DiscoveryDown | FaultKind::DiscoveryMoves => {
                 if begins {
                     self.watches_end();
                 }
                 self.discovery_down = if begins { self.discovery_down + 1 } else { self.discovery_down - 1 };
-                if self.discovery_down == 0 && what == Trouble::DiscoveryMoves {
+                if self.discovery_down == 0 && what == FaultKind::DiscoveryMoves {
                     self.untold.clear();
                     return self.tell_whole(Arc::new(self.list()));
                 }
@@ -1109,7 +1122,7 @@
                 }
                 return;
             }
-            Trouble::DiscoveryContradicts => {
+            FaultKind::DiscoveryContradicts => {
                 self.contradicted = begins.then(|| Arc::new(self.list()));
                 if begins {
                     return self.contradict(true);
@@ -1117,13 +1130,13 @@
                 // Whatever was told last, the truth has the last word.
                 return self.tell_whole(Arc::new(self.list()));
             }
-            Trouble::SchedulerCrash if begins => return self.scheduler_dies(worker, false),
-            Trouble::SchedulerCrash => return self.scheduler_starts(worker),
-            Trouble::SchedulerRestart if begins => {
+            FaultKind::SchedulerCrash if begins => return self.scheduler_dies(worker, false),
+            FaultKind::SchedulerCrash => return self.scheduler_starts(worker),
+            FaultKind::SchedulerRestart if begins => {
                 self.schedulers[worker as usize].takes = false;
                 return;
             }
-            Trouble::SchedulerRestart => {
+            FaultKind::SchedulerRestart => {
                 self.scheduler_dies(worker, true);
                 return self.scheduler_starts(worker);
             }
@@ -1135,15 +1148,15 @@
         let of = &mut self.workers[worker as usize].0;
         let held = of.holds() as u64;
         let started = of.turn(now, what, begins, &mut effects);
-        if what == Trouble::Vanish && begins {
+        if what == FaultKind::Vanish && begins {
             self.held.0 -= held;
         }
         if started {
             let build = self.workers[worker as usize].0.build;
-            self.referee.started(now, worker, build.cores.min(build.slots) * build.speed);
+            self.referee.worker_started(now, worker, build.cores.min(build.slots) * build.speed);
         }
         self.effects(worker, effects);
-        if matches!(what, Trouble::Crash | Trouble::Vanish | Trouble::Drain) {
+        if matches!(what, FaultKind::Crash | FaultKind::Vanish | FaultKind::Drain) {
             self.changed(worker);
         }
     }
@@ -1157,7 +1170,7 @@
     }
 
     fn tell_whole(&mut self, list: Arc<Vec<Endpoint>>) {
-        let after = self.now + micros(self.scenario.discovery.delay);
+        let after = self.now + micros_from_seconds(self.scenario.discovery.delay_s);
         for scheduler in 0..self.schedulers.len() as u32 {
             self.at(after, Ev::Told(scheduler, EndpointUpdateKind::Full, Arc::clone(&list)));
         }
@@ -1167,7 +1180,7 @@
     /// to end before, they should all have been answered, and it breaks a rule that they are not.
     fn scheduler_dies(&mut self, scheduler: u32, told: bool) {
         let of = &mut self.schedulers[scheduler as usize];
-        (of.up, of.life, of.subscribed) = (false, of.life + 1, !self.scenario.discovery.on_request);
+        (of.up, of.life, of.subscribed) = (false, of.life + 1, !self.scenario.discovery.polled);
         let mut flows: Vec<u64> =
             self.flows.iter().filter(|(_, flow)| flow.scheduler == scheduler).map(|(id, _)| *id).collect();
         // In the order in which they came, as the map's own is not the same in each run.
@@ -1188,9 +1201,13 @@
                 continue;
             }
             if open {
-                self.referee.answered(self.now, RequestId(request), Heard::Broken);
+                self.referee.response_received(
+                    self.now,
+                    RequestId(request),
+                    ClientResponse::ConnectionBroken,
+                );
                 if self.jobs.get(&job).is_some_and(|asked| !asked.ended) {
-                    self.end_job(job, End::Failed);
+                    self.end_job(job, JobOutcome::Failed);
                 }
             }
             self.close(request);
@@ -1207,8 +1224,9 @@
             Err(_) => unreachable!("settings that were taken before"),
         }
         let list = Arc::new(self.list());
-        let after = if self.discovery_down > 0 { micros(self.scenario.discovery.delay) } else { 0 };
-        let kind = if self.scenario.discovery.on_request {
+        let after =
+            if self.discovery_down > 0 { micros_from_seconds(self.scenario.discovery.delay_s) } else { 0 };
+        let kind = if self.scenario.discovery.polled {
             EndpointUpdateKind::Cached
         } else {
             EndpointUpdateKind::Full
@@ -1216,24 +1234,24 @@
         self.at(self.now + after, Ev::Told(scheduler, kind, list));
     }
 
-    fn outcome(self, kind: Kind, seed: u64) -> Outcome {
-        Played {
+    fn outcome(self, kind: Kind, seed: u64) -> RunOutcome {
+        RunRecord {
             scenario: self.scenario,
             policy: kind.name(),
             seed,
             events: self.events,
-            tally: &self.tally,
+            counter: &self.tally,
             workers: &self.workers,
             kinds: &self.kinds,
             attempts: self.attempts_sent,
-            crossed: self.crossed,
-            probes: self.probed,
-            fell: self.fell,
-            held: self.held.1,
-            verdict: self.referee.verdict(),
-            measured: None,
+            cross_zone_attempts: self.crossed,
+            load_queries: self.probed,
+            overloads: self.fell,
+            job_microseconds: self.held.1,
+            violations: self.referee.into_violations(),
+            machine_usage: None,
         }
-        .outcome()
+        .into_outcome()
     }
 }
 
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -5,11 +5,11 @@
 use copperspread_event_log::EventKind;
 use copperspread_event_log::reader::{Line, Reader};
 
-use crate::scenario::{Recorded, Scenario};
+use crate::scenario::{RecordedJob, Scenario};
 
 /// Jobs that were left out, and why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LeftOut {
+pub struct SkippedRecords {
     /// Of a class that the scenario does not have.
     pub unknown_class: u64,
     /// Without a hint, from which nothing tells their work.
@@ -23,9 +23,9 @@
 ///
 /// # Errors
 /// Records that cannot be read at all, or in which no job can be used.
-pub fn record(scenario: &mut Scenario, records: impl BufRead) -> Result<LeftOut, String> {
-    let mut left_out = LeftOut::default();
-    let mut taken: Vec<(Micros, Recorded)> = Vec::new();
+pub fn load_trace(scenario: &mut Scenario, records: impl BufRead) -> Result<SkippedRecords, String> {
+    let mut left_out = SkippedRecords::default();
+    let mut taken: Vec<(Micros, RecordedJob)> = Vec::new();
     for line in Reader::new(records) {
         let (number, line) = line.map_err(|e| e.to_string())?;
         let record = match line {
@@ -49,17 +49,18 @@
             continue;
         };
         let slots = slots.filter(|slots| slots.is_finite() && *slots > 0.0).unwrap_or(1.0);
-        let job = Recorded { at: 0.0, class: class as u32, work: hint, slots, hint: Some(hint) };
+        let job = RecordedJob { arrives_at_s: 0.0, class: class as u32, work: hint, slots, hint: Some(hint) };
         // By the machine's clock, as several runs may follow one another.
         taken.push((record.unix_us, job));
     }
     taken.sort_by_key(|of| of.0);
     let first = taken.first().ok_or("no job of the scenario's classes with a hint")?.0;
     let at = |unix: Micros| (unix - first) as f64 / SECOND as f64;
-    scenario.clients.trace = taken.iter().map(|(unix, job)| Recorded { at: at(*unix), ..*job }).collect();
-    let last = scenario.clients.trace.last().map_or(0.0, |job| job.at);
-    scenario.seconds = last.floor() + 1.0;
-    scenario.clients.rate = (taken.len() as f64 / scenario.seconds).max(1e-6);
+    scenario.clients.trace =
+        taken.iter().map(|(unix, job)| RecordedJob { arrives_at_s: at(*unix), ..*job }).collect();
+    let last = scenario.clients.trace.last().map_or(0.0, |job| job.arrives_at_s);
+    scenario.duration_s = last.floor() + 1.0;
+    scenario.clients.rate_per_s = (taken.len() as f64 / scenario.duration_s).max(1e-6);
     scenario.check()?;
     Ok(left_out)
 }
--- a/crates/testbed/tests/calc.rs
+++ b/crates/testbed/tests/calc.rs
@@ -1,19 +1,19 @@
 //! The deployment with first-in-first-out workers, slots and memory, and load told to probes only.
 use copperspread_dispatcher::{Idempotency as May, KeyScope, SECOND};
-use copperspread_testbed::compare::compare;
+use copperspread_testbed::compare::compare_policies;
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::model::fleet::Fleet;
 use copperspread_testbed::model::keys::group;
 use copperspread_testbed::model::worker::{Build, Effect, Offer, Offered, Worker};
 use copperspread_testbed::policy::Kind;
-use copperspread_testbed::referee::{Referee, Rule};
-use copperspread_testbed::scenario::{Again, Order, Scenario};
+use copperspread_testbed::rule_checker::{Rule, RuleChecker};
+use copperspread_testbed::scenario::{QueueOrder, RetryTiming, Scenario};
 use copperspread_testbed::sim::play;
 
 const CALC: &str = include_str!("../scenarios/calc.toml");
 
 fn calc() -> Scenario {
-    Scenario::read(CALC).expect("a scenario")
+    Scenario::parse(CALC).expect("a scenario")
 }
 
 fn worker() -> Worker {
@@ -22,7 +22,7 @@
         slots: 4.0,
         speed: 1.0,
         queue: 3,
-        order: Order::Fifo,
+        order: QueueOrder::Fifo,
         memory: 4.0,
         cold_from: 0.2,
         cold_for: 10 * SECOND,
@@ -117,12 +117,12 @@
         (KeyScope::Cell, (0, 0), (0, 0), 26, true),
     ];
     for (scope, first, second, sent, caught) in cases {
-        let mut referee = Referee::new(None);
+        let mut referee = RuleChecker::new(None);
         let effect = May::IdempotentWithKey { scope, window: 25 * SECOND };
-        referee.took(0, 1, 1, effect, group(scope, first.0, first.1), 0);
+        referee.attempt_accepted(0, 1, 1, effect, group(scope, first.0, first.1), 0);
         let at = sent * SECOND;
-        referee.took(at, 1, 2, effect, group(scope, second.0, second.1), at);
-        let found = referee.verdict().0.contains_key(&Rule::KeyedTwice);
+        referee.attempt_accepted(at, 1, 2, effect, group(scope, second.0, second.1), at);
+        let found = referee.into_violations().counts.contains_key(&Rule::KeyedWithinScope);
         assert_eq!(found, caught, "{scope:?}: {first:?}, then {second:?} after {sent} s");
     }
 }
@@ -131,10 +131,10 @@
 #[test]
 fn resending_past_the_group_breaks_the_rule_in_a_whole_run() {
     let faults = "[[faults]]\nat = 2.0\nlasts = 55.0\nshare = 0.9\nwhat = { failing = 0.9 }\n";
-    let scenario = Scenario::read(&format!("{CALC}{faults}")).expect("a scenario");
+    let scenario = Scenario::parse(&format!("{CALC}{faults}")).expect("a scenario");
     for (kind, caught) in [(Kind::Copperspread, false), (Kind::Resends, true)] {
-        let breaches = play(&scenario, kind, 2).expect("it plays").breaches;
-        assert_eq!(breaches.contains_key(&Rule::KeyedTwice), caught, "{kind:?}: {breaches:?}");
+        let breaches = play(&scenario, kind, 2).expect("it plays").violations;
+        assert_eq!(breaches.contains_key(&Rule::KeyedWithinScope), caught, "{kind:?}: {breaches:?}");
         assert_eq!(breaches.len(), usize::from(caught), "{kind:?}: {breaches:?}");
     }
     let cells = Fleet::draw(&scenario, 2).cells;
@@ -145,7 +145,7 @@
 #[test]
 fn jobs_take_the_slots_and_the_memory_that_their_class_says() {
     let mut scenario = calc();
-    (scenario.seconds, scenario.clients.rate) = (1_000.0, 30.0);
+    (scenario.duration_s, scenario.clients.rate_per_s) = (1_000.0, 30.0);
     let jobs: Vec<_> = Arrivals::new(&scenario, 5).filter(|job| job.class == 1).collect();
     let share = |slots| jobs.iter().filter(|job| job.slots == slots).count() as f64 / jobs.len() as f64;
     for (slots, wanted) in [(1.0, 0.6), (2.0, 0.25), (4.0, 0.15)] {
@@ -158,11 +158,11 @@
 #[test]
 fn clients_try_again_as_the_scenario_says() {
     for (again, told, wait) in [
-        (Again::Heed, 5 * SECOND, 2_210_000),
-        (Again::AtOnce, 5 * SECOND, 0),
-        (Again::After(0.05), 5 * SECOND, 50_000),
+        (RetryTiming::HonorRetryAfter, 5 * SECOND, 2_210_000),
+        (RetryTiming::Immediately, 5 * SECOND, 0),
+        (RetryTiming::FixedDelay(0.05), 5 * SECOND, 50_000),
     ] {
-        assert_eq!(again.wait(told, 2.0, 0.5), wait, "{again:?}");
+        assert_eq!(again.delay(told, 2.0, 0.5), wait, "{again:?}");
     }
 }
 
@@ -172,10 +172,14 @@
     let faults = "[[faults]]\nat = 12.0\nlasts = 6.0\nwhat = 'discovery_down'\n\
         [[faults]]\nat = 15.0\nlasts = 6.0\nwhat = 'scheduler_crash'\nshare = 0.3\n\
         [[faults]]\nat = 25.0\nlasts = 20.0\nwhat = 'crash'\nshare = 0.5\n";
-    let scenario = Scenario::read(&format!("{CALC}{faults}")).expect("a scenario");
+    let scenario = Scenario::parse(&format!("{CALC}{faults}")).expect("a scenario");
     for kind in [Kind::Copperspread, Kind::LeastCost] {
         let outcome = play(&scenario, kind, 3).expect("it plays");
-        assert!(!outcome.breaches.contains_key(&Rule::Drained), "{kind:?}: {:?}", outcome.examples);
+        assert!(
+            !outcome.violations.contains_key(&Rule::NoDispatchWhileDraining),
+            "{kind:?}: {:?}",
+            outcome.violation_examples
+        );
         let late: f64 = outcome.seconds[50..].iter().map(|second| second.in_time).sum();
         assert!(late > 0.0, "{kind:?} serves no more");
     }
@@ -186,12 +190,17 @@
 #[test]
 fn baselines_keep_their_order_on_calc() {
     let kinds = [Kind::Copperspread, Kind::Random, Kind::LeastCost, Kind::Oracle];
-    let rows = compare(&calc(), &kinds, &[1, 2, 3, 4, 5, 6]).expect("it plays");
-    let [random, least, oracle] = [&rows[1], &rows[2], &rows[3]].map(|row| row.share);
+    let rows = compare_policies(&calc(), &kinds, &[1, 2, 3, 4, 5, 6]).expect("it plays");
+    let [random, least, oracle] = [&rows[1], &rows[2], &rows[3]].map(|row| row.in_time_share);
     assert!(random + 0.1 < least && least < oracle && oracle < 0.9, "{random}, {least}, {oracle}");
     assert!((0.4..0.7).contains(&random), "{random}: a day that is too easy, or lost");
-    assert_eq!(rows[0].breaches, 0, "{:?}", rows[0].runs.iter().map(|run| &run.examples).collect::<Vec<_>>());
-    assert!(rows[2].runs.iter().all(|run| run.worth.refused == 0.0), "it refuses none");
+    assert_eq!(
+        rows[0].violations,
+        0,
+        "{:?}",
+        rows[0].runs.iter().map(|run| &run.violation_examples).collect::<Vec<_>>()
+    );
+    assert!(rows[2].runs.iter().all(|run| run.weight.rejected == 0.0), "it refuses none");
 }
 
 #[test]
@@ -210,9 +219,9 @@
         ("failing = 0.6", "failing = 1.6", "a share of 1.6"),
     ] {
         assert!(CALC.contains(from), "{from}");
-        let error = Scenario::read(&CALC.replacen(from, to, 1)).expect_err(to);
+        let error = Scenario::parse(&CALC.replacen(from, to, 1)).expect_err(to);
         assert!(error.contains(said), "{to}: {error}");
     }
-    let again = Scenario::read(&toml::to_string(&calc()).expect("TOML")).expect("a scenario");
+    let again = Scenario::parse(&toml::to_string(&calc()).expect("TOML")).expect("a scenario");
     assert_eq!(again, calc(), "written and read again");
 }
--- a/crates/testbed/tests/cli_transcripts.rs
+++ b/crates/testbed/tests/cli_transcripts.rs
@@ -83,12 +83,12 @@
     let mut text = String::new();
     for case in include_str!("bad_input/scenarios.txt").lines() {
         let (key, value) = case.split_once(" = ").expect("a key and a value");
-        let why = Scenario::read(&changed(key, value)).expect_err("a wrong scenario");
+        let why = Scenario::parse(&changed(key, value)).expect_err("a wrong scenario");
         write!(text, "## {case}\n{why}\n\n").expect("a text");
     }
     let slots_twice = SHORT.replacen("share =", "wide = 0.5\nslots = [[2.0, 1.0]]\nshare =", 1);
     for (case, whole) in [("empty", ""), ("no TOML", "nonsense"), ("wide and slots", &slots_twice)] {
-        let why = Scenario::read(whole).expect_err("a wrong scenario");
+        let why = Scenario::parse(whole).expect_err("a wrong scenario");
         write!(text, "## {case}\n{why}\n\n").expect("a text");
     }
     insta::assert_snapshot!("wrong_scenarios", text);
--- a/crates/testbed/tests/cold_fleet.rs
+++ b/crates/testbed/tests/cold_fleet.rs
@@ -15,7 +15,7 @@
     let rate = 290.0 / 60.0 * f64::from(workers.iter().sum::<u32>());
     text = text.replace("rate = 290.0", &format!("rate = {rate:.1}"));
     text += "\n[[faults]]\nat = 10.5\nlasts = 3.0\nwhat = \"discovery_down\"\n";
-    let scenario = Scenario::read(&text).expect("a scenario");
+    let scenario = Scenario::parse(&text).expect("a scenario");
     let workers: u32 = workers.iter().sum();
     assert_eq!(scenario.workers.iter().map(|of| of.count).sum::<u32>(), workers);
     scenario
@@ -32,12 +32,12 @@
         let (mut sum, count) = (0.0, seeds.end - seeds.start);
         for seed in seeds {
             let outcome = play(&scenario, Kind::Copperspread, seed).expect("it plays");
-            let seen = (&outcome.breaches, &outcome.examples);
-            assert!(outcome.breaches.is_empty(), "{schedulers} schedulers, seed {seed}: {seen:?}");
-            assert_eq!(outcome.fell, 0, "{schedulers} schedulers, seed {seed}: workers fell over");
-            sum += outcome.worth.share() / count as f64;
+            let seen = (&outcome.violations, &outcome.violation_examples);
+            assert!(outcome.violations.is_empty(), "{schedulers} schedulers, seed {seed}: {seen:?}");
+            assert_eq!(outcome.overloads, 0, "{schedulers} schedulers, seed {seed}: workers fell over");
+            sum += outcome.weight.in_time_share() / count as f64;
             if schedulers < 300 {
-                two_choices_fell += play(&scenario, Kind::TwoChoices, seed).expect("it plays").fell;
+                two_choices_fell += play(&scenario, Kind::TwoChoices, seed).expect("it plays").overloads;
             }
         }
         println!("{schedulers} schedulers: {sum:.3} of the worth");
--- a/crates/testbed/tests/emulate.rs
+++ b/crates/testbed/tests/emulate.rs
@@ -6,9 +6,9 @@
 use copperspread_testbed::emulate::program::{Program, configuration};
 use copperspread_testbed::emulate::{Schedulers, emulate};
 use copperspread_testbed::model::arrivals::Arrivals;
-use copperspread_testbed::outcome::Outcome;
+use copperspread_testbed::outcome::RunOutcome;
 use copperspread_testbed::policy::Kind;
-use copperspread_testbed::referee::Rule;
+use copperspread_testbed::rule_checker::Rule;
 use copperspread_testbed::scenario::Scenario;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -28,7 +28,7 @@
         class("keyed", "keyed"),
         class("once", "never"),
     );
-    Scenario::read(&text).expect("a scenario")
+    Scenario::parse(&text).expect("a scenario")
 }
 
 fn fault(at: f64, lasts: f64, share: f64, what: &str) -> String {
@@ -41,10 +41,10 @@
     Schedulers::Started(Program { file: env!("CARGO_BIN_EXE_copperspread-testbed").into(), arguments })
 }
 
-fn kept(outcome: &Outcome, jobs: usize) {
-    let worth = outcome.worth;
-    let parts = worth.in_time + worth.late + worth.refused + worth.failed + worth.lost;
-    assert!((parts - worth.asked).abs() < 1e-6 * worth.asked, "{worth:?}");
+fn kept(outcome: &RunOutcome, jobs: usize) {
+    let worth = outcome.weight;
+    let parts = worth.in_time + worth.late + worth.rejected + worth.failed + worth.unanswered;
+    assert!((parts - worth.requested).abs() < 1e-6 * worth.requested, "{worth:?}");
     assert_eq!(outcome.jobs, jobs as u64);
 }
 
@@ -55,7 +55,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 80));
     for file in std::fs::read_dir(folder).expect("a folder").flatten() {
         let text = std::fs::read_to_string(file.path()).expect("a file");
-        let scenario = Scenario::read(&text).expect("a scenario");
+        let scenario = Scenario::parse(&text).expect("a scenario");
         for scheduler in 0..scenario.schedulers {
             let laid = configuration(&scenario, scheduler, 7, address, address, None).to_string();
             let start = read_startup_config(&laid).expect("a configuration");
@@ -83,10 +83,10 @@
     let scenario = small(6.0, 60.0, &faults.concat());
     let outcome = emulate(&scenario, &node("copperspread"), "copperspread", 3).expect("it plays");
     kept(&outcome, Arrivals::new(&scenario, 3).count());
-    assert!(outcome.breaches.is_empty(), "{:?} {:?}", outcome.breaches, outcome.examples);
-    assert!(outcome.worth.share() > 0.5, "{:?}", outcome.worth);
-    assert!(outcome.worth.failed > 0.0, "what a dead scheduler had taken: {:?}", outcome.worth);
-    assert!(outcome.measured.is_some_and(|of| of.cpu_us_a_job > 0.0));
+    assert!(outcome.violations.is_empty(), "{:?} {:?}", outcome.violations, outcome.violation_examples);
+    assert!(outcome.weight.in_time_share() > 0.5, "{:?}", outcome.weight);
+    assert!(outcome.weight.failed > 0.0, "what a dead scheduler had taken: {:?}", outcome.weight);
+    assert!(outcome.machine_usage.is_some_and(|of| of.cpu_us_per_job > 0.0));
 }
 
 #[test]
@@ -101,8 +101,8 @@
     });
     for outcome in &outcomes {
         kept(outcome, Arrivals::new(&scenario, 5).count());
-        assert!(outcome.breaches.is_empty(), "{:?}", outcome.examples);
-        assert!(outcome.worth.share() > 0.8, "{}: {:?}", outcome.policy, outcome.worth);
+        assert!(outcome.violations.is_empty(), "{:?}", outcome.violation_examples);
+        assert!(outcome.weight.in_time_share() > 0.8, "{}: {:?}", outcome.policy, outcome.weight);
     }
 }
 
@@ -113,13 +113,13 @@
     let resets = fault(0.2, 9.0, 1.0, "{ resetting = 0.6 }") + "[settings]\nmax_attempts = 1\n";
     std::thread::scope(|scope| {
         for (policy, faults, rules) in [
-            ("ignores_drains", &drains, &[Rule::Drained][..]),
-            ("resends", &resets, &[Rule::UnsafeTwice, Rule::KeyedTwice]),
+            ("ignores_drains", &drains, &[Rule::NoDispatchWhileDraining][..]),
+            ("resends", &resets, &[Rule::NonIdempotentOnce, Rule::KeyedWithinScope]),
         ] {
             scope.spawn(move || {
                 let outcome = emulate(&small(4.0, 60.0, faults), &node(policy), policy, 3).expect("it plays");
-                let found: Vec<_> = outcome.breaches.keys().copied().collect();
-                assert_eq!(found, rules, "{policy}: {:?}", outcome.examples);
+                let found: Vec<_> = outcome.violations.keys().copied().collect();
+                assert_eq!(found, rules, "{policy}: {:?}", outcome.violation_examples);
             });
         }
     });
@@ -175,17 +175,17 @@
 #[test]
 fn what_no_worker_made_and_what_never_comes_is_caught() {
     let cases = [
-        (Some("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfake"), vec![Rule::Forged]),
+        (Some("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfake"), vec![Rule::GenuineResult]),
         (Some("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), vec![]),
         (Some("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), vec![]),
-        (None, vec![Rule::AnswerInTime]),
+        (None, vec![Rule::ResponseBeforeDeadline]),
     ];
     for (answer, rules) in cases {
         let scenario = small(0.5, 30.0, "");
         let running = Schedulers::Running(vec![server(answer)]);
         let outcome = emulate(&scenario, &running, "a text", 3).expect("it plays");
-        assert_eq!(outcome.breaches.keys().copied().collect::<Vec<_>>(), rules, "{answer:?}");
-        let count: u64 = outcome.breaches.values().sum();
+        assert_eq!(outcome.violations.keys().copied().collect::<Vec<_>>(), rules, "{answer:?}");
+        let count: u64 = outcome.violations.values().sum();
         assert!(rules.is_empty() || count == outcome.jobs, "{count} of {}", outcome.jobs);
     }
 }
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use copperspread_testbed::experiment::{Plan, Watcher, agreement};
+use copperspread_testbed::experiment::{Plan, ProgressObserver, drive_agreement};
 
 fn named(name: &str) -> Option<String> {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
@@ -30,12 +30,12 @@
     played: AtomicUsize,
 }
 
-impl Watcher for Count {
-    fn begins(&self, kept: usize, _: usize, unreadable: usize) {
+impl ProgressObserver for Count {
+    fn experiment_started(&self, kept: usize, _: usize, unreadable: usize) {
         self.kept.store(kept, Ordering::Relaxed);
         self.unreadable.store(unreadable, Ordering::Relaxed);
     }
-    fn ended(&self) {
+    fn run_finished(&self) {
         self.played.fetch_add(1, Ordering::Relaxed);
     }
 }
@@ -52,7 +52,7 @@
     let runs = folder.path().join("runs.jsonl");
     let play = |text: &str| {
         let count = Count::default();
-        let plan = Plan::read(&file(folder.path(), text), named).expect("an experiment");
+        let plan = Plan::read_file(&file(folder.path(), text), named).expect("an experiment");
         let played = plan.play(&runs, &count).expect("it plays");
         let rows: Vec<_> = played.iter().map(|of| &of.1).collect();
         (*blake3::hash(&serde_json::to_vec(&rows).expect("JSON")).as_bytes(), count.all())
@@ -121,11 +121,11 @@
     ] {
         assert!(GOOD.contains(from), "{from}");
         let path = file(folder.path(), &GOOD.replacen(from, to, 1));
-        let error = Plan::read(&path, named).err().unwrap_or_default();
+        let error = Plan::read_file(&path, named).err().unwrap_or_default();
         assert!(error.contains("e.toml") && error.contains(said), "{to}: {error}");
     }
     // Two that write one file would each lose what the other one plays.
-    let plan = Plan::read(&file(folder.path(), GOOD), named).expect("an experiment");
+    let plan = Plan::read_file(&file(folder.path(), GOOD), named).expect("an experiment");
     let runs = folder.path().join("runs.jsonl");
     let other = std::fs::File::create(&runs).expect("runs");
     other.lock().expect("a lock");
@@ -142,8 +142,8 @@
         let text = text.replace("policy = \"copperspread\", drive", "policy = \"answers_twice\", drive");
         let text = text.replace("policy = \"copperspread\"", "policy = \"answers_twice\"");
         let scratch = tempfile::tempdir().expect("a folder");
-        let plan = Plan::read(&file(scratch.path(), &text), named).expect(name);
-        assert_eq!(plan.pairs().len(), pairs, "{name}");
+        let plan = Plan::read_file(&file(scratch.path(), &text), named).expect(name);
+        assert_eq!(plan.drive_pairs().len(), pairs, "{name}");
     }
 }
 
@@ -152,17 +152,17 @@
     let scratch = tempfile::tempdir().expect("a folder");
     let text = "name = 'e'\nabout = 'an experiment'\nscenarios = ['slow-tenth']\nseeds = [1, 2]\nvariants = [\n\
         { name = 'a' },\n{ name = 'b', policy = 'random' },\n]\n";
-    let plan = Plan::read(&file(scratch.path(), text), named).expect("an experiment");
+    let plan = Plan::read_file(&file(scratch.path(), text), named).expect("an experiment");
     let played = plan.play(&scratch.path().join("runs"), &()).expect("it plays");
-    let shares: Vec<f64> = played[0].1.iter().map(|row| row.share).collect();
+    let shares: Vec<f64> = played[0].1.iter().map(|row| row.in_time_share).collect();
     assert!(shares[0] > shares[1] + 0.02, "{shares:?}");
-    let told = agreement(&[(0, 0), (1, 1)], &played);
+    let told = drive_agreement(&[(0, 0), (1, 1)], &played);
     assert!(
         told.contains("largest difference 0.000; of 1 pairs of policies 0 are ranked otherwise"),
         "{told}"
     );
     // As if in real time the two had changed places.
-    let told = agreement(&[(0, 1), (1, 0)], &played);
+    let told = drive_agreement(&[(0, 1), (1, 0)], &played);
     let worst = format!("largest difference {:.3}; of 1 pairs of policies 1 ", shares[0] - shares[1]);
     assert!(told.contains(&worst) && told.contains("1 and 2"), "{told}");
 }
