--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -1,20 +1,20 @@
 //! The laboratory itself: against closed forms, against itself, and against schedulers that are broken
 //! on purpose.
 use copperspread_dispatcher::{RequestId, SECOND};
-use copperspread_testbed::compare::{Difference, compare, table};
+use copperspread_testbed::compare::{PairedDifference, compare_policies, comparison_table};
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::model::worker::{Build, Effect, Life, Offer, Offered, Worker};
-use copperspread_testbed::outcome::Outcome;
+use copperspread_testbed::outcome::RunOutcome;
 use copperspread_testbed::policy::Kind;
-use copperspread_testbed::referee::{Heard, Referee, Rule};
-use copperspread_testbed::report::html;
-use copperspread_testbed::scenario::{Order, Pair, Recorded, Scenario};
+use copperspread_testbed::report::render_html;
+use copperspread_testbed::rule_checker::{ClientResponse, Rule, RuleChecker};
+use copperspread_testbed::scenario::{QueueOrder, RecordedJob, Scenario, ZoneLink};
 use copperspread_testbed::sim::play;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 /// One queue: Poisson arrivals, one worker, no latency, clients that wait for good.
-fn queue(rate: f64, cores: u32, slots: u32, spread: &str) -> Outcome {
+fn queue(rate: f64, cores: u32, slots: u32, spread: &str) -> RunOutcome {
     let text = format!(
         "name = 'queue'\nabout = 'one queue'\nseconds = 100000.0\nschedulers = 1\n\
          [clients]\nrate = {rate:?}\n[network]\nnear = 0.0\nfar = 0.0\n[cold]\nfall_seconds = 0.0\n\
@@ -22,7 +22,7 @@
          [[classes]]\nname = 'c'\nshare = 1.0\nwork = 1.0\nspread = {spread}\naim = 50000.0\ndeadline = 50000.0\n\
          worth = 1.0\nrepeat = 'never'\n"
     );
-    play(&Scenario::read(&text).expect("a scenario"), Kind::RoundRobin, 3).expect("it plays")
+    play(&Scenario::parse(&text).expect("a scenario"), Kind::RoundRobin, 3).expect("it plays")
 }
 
 /// The mean wait in M/M/c, in service times, by Erlang's formula.
@@ -55,7 +55,7 @@
     ];
     for (load, cores, slots, spread, theory) in cases {
         let outcome = queue(load, cores, slots, spread);
-        let mean = outcome.classes[0].mean_ms / 1e3;
+        let mean = outcome.classes[0].mean_latency_ms / 1e3;
         let off = (mean / theory - 1.0).abs();
         assert!(
             off < 0.05,
@@ -63,9 +63,13 @@
         );
         // Little's law: what is held on average is the rate times the mean time.
         let rate = outcome.jobs as f64 / 100_000.0;
-        assert!((outcome.held / (rate * mean) - 1.0).abs() < 0.02, "held {}, {rate} x {mean}", outcome.held);
+        assert!(
+            (outcome.mean_jobs_in_workers / (rate * mean) - 1.0).abs() < 0.02,
+            "held {}, {rate} x {mean}",
+            outcome.mean_jobs_in_workers
+        );
         // Work is kept: what came was done.
-        assert!((outcome.work_done / outcome.worth.asked - 1.0).abs() < 1e-3);
+        assert!((outcome.done_core_s / outcome.weight.requested - 1.0).abs() < 1e-3);
     }
 }
 
@@ -85,7 +89,7 @@
         class("keyed", "keyed"),
         class("once", "never"),
     );
-    Scenario::read(&text).expect("a scenario")
+    Scenario::parse(&text).expect("a scenario")
 }
 
 const ALL: &str = "[[faults]]\nat = 5.0\nlasts = 40.0\nshare = 0.4\nwhat = { resetting = 0.2 }\n\
@@ -101,22 +105,26 @@
     let scenario = harsh(40.0, ALL);
     let planted: &[(Kind, &[Rule])] = &[
         (Kind::Copperspread, &[]),
-        (Kind::AnswersTwice, &[Rule::OneAnswer]),
-        (Kind::NeverAnswers, &[Rule::AnswerInTime]),
-        (Kind::Resends, &[Rule::UnsafeTwice, Rule::KeyedTwice]),
-        (Kind::IgnoresDrains, &[Rule::Drained]),
-        (Kind::FloodsTheNew, &[Rule::ColdBudget]),
+        (Kind::AnswersTwice, &[Rule::SingleResponse]),
+        (Kind::NeverAnswers, &[Rule::ResponseBeforeDeadline]),
+        (Kind::Resends, &[Rule::NonIdempotentOnce, Rule::KeyedWithinScope]),
+        (Kind::IgnoresDrains, &[Rule::NoDispatchWhileDraining]),
+        (Kind::FloodsTheNew, &[Rule::SlowStartBudgetKept]),
     ];
     for (kind, rules) in planted {
         let outcome = play(&scenario, *kind, 1).expect("it plays");
         for rule in *rules {
-            assert!(outcome.breaches.contains_key(rule), "{kind:?}: {rule:?} not in {:?}", outcome.breaches);
+            assert!(
+                outcome.violations.contains_key(rule),
+                "{kind:?}: {rule:?} not in {:?}",
+                outcome.violations
+            );
         }
         // Nobody else's rule, so that a verdict points at its cause; but what goes on to workers that leave
         // finds them starting anew.
-        let follows = |rule: &Rule| *kind == Kind::IgnoresDrains && *rule == Rule::ColdBudget;
-        let others = outcome.breaches.keys().filter(|rule| !rules.contains(rule) && !follows(rule)).count();
-        assert_eq!(others, 0, "{kind:?}: {:?} {:?}", outcome.breaches, outcome.examples);
+        let follows = |rule: &Rule| *kind == Kind::IgnoresDrains && *rule == Rule::SlowStartBudgetKept;
+        let others = outcome.violations.keys().filter(|rule| !rules.contains(rule) && !follows(rule)).count();
+        assert_eq!(others, 0, "{kind:?}: {:?} {:?}", outcome.violations, outcome.violation_examples);
     }
 }
 
@@ -140,7 +148,7 @@
         let outcome = play(&scenario, kind, 9).expect("it plays");
         let asked: f64 = arrivals.iter().map(|job| job.work * job.slots).sum();
         assert_eq!(outcome.jobs, arrivals.len() as u64, "{kind:?}");
-        assert!((outcome.worth.asked / asked - 1.0).abs() < 1e-9, "{kind:?}");
+        assert!((outcome.weight.requested / asked - 1.0).abs() < 1e-9, "{kind:?}");
     }
 }
 
@@ -148,15 +156,23 @@
 fn what_hits_a_fleet_costs_and_what_sees_the_truth_loses_least() {
     let calm = harsh(40.0, "");
     let seeds = [1, 2, 3, 4];
-    let hit = compare(&harsh(40.0, ALL), &Kind::COMPARED, &seeds).expect("it plays");
-    let calm = compare(&calm, &Kind::COMPARED, &seeds).expect("it plays");
+    let hit = compare_policies(&harsh(40.0, ALL), &Kind::COMPARED, &seeds).expect("it plays");
+    let calm = compare_policies(&calm, &Kind::COMPARED, &seeds).expect("it plays");
     for (hit, calm) in hit.iter().zip(&calm) {
-        assert!(hit.share < calm.share - 0.01, "{}: {} and {}", hit.policy, hit.share, calm.share);
+        assert!(
+            hit.in_time_share < calm.in_time_share - 0.01,
+            "{}: {} and {}",
+            hit.policy,
+            hit.in_time_share,
+            calm.in_time_share
+        );
     }
-    let share = |name: &str| hit.iter().find(|row| row.policy == name).expect("a row").share;
+    let share = |name: &str| hit.iter().find(|row| row.policy == name).expect("a row").in_time_share;
     assert!(share("copperspread") > share("random") + 0.05);
-    assert!(hit[0].behind.is_none() && hit[1].behind.is_some_and(|of| of.shown() && of.mean > 0.05));
-    assert!(table(&harsh(40.0, ALL), &hit).contains("least_outstanding"));
+    assert!(
+        hit[0].deficit.is_none() && hit[1].deficit.is_some_and(|of| of.excludes_zero() && of.mean > 0.05)
+    );
+    assert!(comparison_table(&harsh(40.0, ALL), &hit).contains("least_outstanding"));
 }
 
 #[test]
@@ -170,11 +186,11 @@
         (&[0.1, 0.1], false),
     ];
     for (pairs, shown) in cases {
-        let of = Difference::of(pairs).expect("pairs");
-        assert_eq!(of.shown(), *shown, "{pairs:?}: {of:?}");
+        let of = PairedDifference::from_pairs(pairs).expect("pairs");
+        assert_eq!(of.excludes_zero(), *shown, "{pairs:?}: {of:?}");
         assert!(of.interval[0] <= of.mean && of.mean <= of.interval[1]);
     }
-    assert_eq!(Difference::of(&[]), None);
+    assert_eq!(PairedDifference::from_pairs(&[]), None);
 }
 
 #[test]
@@ -183,9 +199,13 @@
     let mut names = Vec::new();
     for file in std::fs::read_dir(folder).expect("a folder").flatten() {
         let text = std::fs::read_to_string(file.path()).expect("a file");
-        let scenario = Scenario::read(&text).expect("a scenario");
+        let scenario = Scenario::parse(&text).expect("a scenario");
         assert_eq!(format!("{}.toml", scenario.name), file.file_name().to_string_lossy());
-        assert!(scenario.clients.rate < scenario.capacity(), "{}: more than the fleet can do", scenario.name);
+        assert!(
+            scenario.clients.rate_per_s < scenario.capacity(),
+            "{}: more than the fleet can do",
+            scenario.name
+        );
         names.push(scenario.name);
     }
     assert_eq!(names.len(), 16);
@@ -203,7 +223,7 @@
         ("deadline = 5.0", "deadline = nan", "class \"status\": deadline"),
     ] {
         assert!(good.contains(from), "{from}");
-        let error = Scenario::read(&good.replacen(from, to, 1)).expect_err(to);
+        let error = Scenario::parse(&good.replacen(from, to, 1)).expect_err(to);
         assert!(error.contains(said), "{to}: {error}");
     }
 }
@@ -214,7 +234,7 @@
         slots: 2.0,
         speed: 1.0,
         queue: 2,
-        order: Order::Fifo,
+        order: QueueOrder::Fifo,
         memory: 100.0,
         cold_from: 0.25,
         cold_for: 20 * SECOND,
@@ -302,17 +322,17 @@
 #[test]
 fn the_order_and_the_memory_say_what_starts_next() {
     type Waiting = [(f64, f64, f64); 3];
-    let cases: &[(Order, Waiting, u64)] = &[
+    let cases: &[(QueueOrder, Waiting, u64)] = &[
         // Slots, memory and worth of those that wait, and which of them starts first.
-        (Order::Fifo, [(1.0, 0.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 10),
-        (Order::Priority, [(1.0, 0.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 11),
-        (Order::Priority, [(1.0, 0.0, 9.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 10),
-        (Order::Backfill, [(2.0, 0.0, 9.0), (1.0, 0.0, 1.0), (1.0, 0.0, 5.0)], 11),
+        (QueueOrder::Fifo, [(1.0, 0.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 10),
+        (QueueOrder::Priority, [(1.0, 0.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 11),
+        (QueueOrder::Priority, [(1.0, 0.0, 9.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 10),
+        (QueueOrder::Backfill, [(2.0, 0.0, 9.0), (1.0, 0.0, 1.0), (1.0, 0.0, 5.0)], 11),
         // The first does not fit by its memory.
-        (Order::Backfill, [(1.0, 80.0, 9.0), (1.0, 30.0, 1.0), (1.0, 0.0, 5.0)], 11),
+        (QueueOrder::Backfill, [(1.0, 80.0, 9.0), (1.0, 30.0, 1.0), (1.0, 0.0, 5.0)], 11),
         // Nothing goes past one that waits for its turn.
-        (Order::Fifo, [(1.0, 80.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 0),
-        (Order::Priority, [(1.0, 0.0, 1.0), (2.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 0),
+        (QueueOrder::Fifo, [(1.0, 80.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 0),
+        (QueueOrder::Priority, [(1.0, 0.0, 1.0), (2.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 0),
     ];
     for (order, waiting, starts) in cases {
         let mut worker = Worker::new(Build { queue: 3, order: *order, ..build() });
@@ -336,28 +356,28 @@
     let base = harsh(20.0, "");
     let mean = |scenario: &Scenario| {
         let outcome = play(scenario, Kind::RoundRobin, 3).expect("it plays");
-        assert!(outcome.breaches.is_empty(), "{:?}", outcome.examples);
-        outcome.classes.iter().map(|class| class.mean_ms).sum::<f64>() / outcome.classes.len() as f64
+        assert!(outcome.violations.is_empty(), "{:?}", outcome.violation_examples);
+        outcome.classes.iter().map(|class| class.mean_latency_ms).sum::<f64>() / outcome.classes.len() as f64
     };
     let usual = mean(&base);
     let mut far = base.clone();
-    far.network.pairs = vec![Pair { zones: [0, 1], way: 0.2, loss: 0.0 }];
+    far.network.zone_links = vec![ZoneLink { zones: [0, 1], delay_s: 0.2, loss: 0.0 }];
     // Two of nine pairs of zones, there and back.
     let slower = mean(&far) - usual;
     assert!((60.0..130.0).contains(&slower), "{slower} ms");
     let mut costly = base.clone();
-    costly.network.connect = 0.1;
+    costly.network.connect_delay_s = 0.1;
     let slower = mean(&costly) - usual;
     // Jobs of one scheduler come to one worker 0.74 times a second, so that a connection has been idle
     // for over 5 s in one of 40 of them, and then costs 100 ms.
     assert!((1.5..4.0).contains(&slower), "{slower} ms");
     let mut telling = base.clone();
-    telling.reports.progress = 0.1;
+    telling.load_reports.progress_interval_s = 0.1;
     let outcome = play(&telling, Kind::Copperspread, 3).expect("it plays");
     let silent = play(&base, Kind::Copperspread, 3).expect("it plays");
-    assert!(outcome.events > silent.events + 1_000 && outcome.breaches.is_empty());
+    assert!(outcome.events > silent.events + 1_000 && outcome.violations.is_empty());
     let mut traced = base.clone();
-    let job = |at: f64, class, work| Recorded { at, class, work, slots: 1.0, hint: None };
+    let job = |at: f64, class, work| RecordedJob { arrives_at_s: at, class, work, slots: 1.0, hint: None };
     traced.clients.trace = vec![job(0.5, 0, 0.2), job(0.6, 2, 0.4), job(900.0, 0, 1.0)];
     let arrivals: Vec<_> = Arrivals::new(&traced, 3).map(|of| (of.at, of.class, of.work)).collect();
     assert_eq!(arrivals, [(500_000, 0, 0.2), (600_000, 2, 0.4)], "what comes after the end does not");
@@ -373,7 +393,11 @@
     let faults = "[[faults]]\nat = 10.0\nlasts = 8.0\nwhat = 'discovery_contradicts'\n\
         [[faults]]\nat = 11.0\nlasts = 200.0\nshare = 0.1\nwhat = 'crash'\n";
     let outcome = play(&harsh(20.0, faults), Kind::RoundRobin, 3).expect("it plays");
-    assert!(outcome.attempts > 1.0 && outcome.attempts < 1.04, "{} attempts a job", outcome.attempts);
+    assert!(
+        outcome.attempts_per_job > 1.0 && outcome.attempts_per_job < 1.04,
+        "{} attempts a job",
+        outcome.attempts_per_job
+    );
 }
 
 #[test]
@@ -392,9 +416,9 @@
 #[test]
 fn a_report_stands_alone_and_shows_what_the_table_says() {
     let scenario = harsh(40.0, ALL);
-    let rows = compare(&scenario, &Kind::COMPARED, &[1, 2, 3]).expect("it plays");
-    let share = format!("<td>{:.3}", rows[0].share);
-    let page = html(&[(scenario, rows)]).expect("a page");
+    let rows = compare_policies(&scenario, &Kind::COMPARED, &[1, 2, 3]).expect("it plays");
+    let share = format!("<td>{:.3}", rows[0].in_time_share);
+    let page = render_html(&[(scenario, rows)]).expect("a page");
     assert!(page.contains(&share) && page.contains("least_outstanding") && page.contains("Resetting(0.2)"));
     // Differences, shares over time, where the worth went, and load against capacity.
     assert_eq!(page.matches("<svg").count(), 4);
@@ -407,27 +431,31 @@
     // A name from a file does not become a part of the page.
     let mut named = harsh(5.0, "");
     named.name = "<b>x".into();
-    let rows = compare(&named, &[Kind::Random], &[1]).expect("it plays");
-    assert!(!html(&[(named, rows)]).expect("a page").contains("<b>x"));
+    let rows = compare_policies(&named, &[Kind::Random], &[1]).expect("it plays");
+    assert!(!render_html(&[(named, rows)]).expect("a page").contains("<b>x"));
 }
 
 // What no policy can break in virtual time, since only a front could: told to the referee by hand.
 #[test]
 fn a_result_that_no_worker_made_is_caught() {
     for (made, heard, breaches) in [
-        (true, Heard::Served, 0),
-        (false, Heard::Served, 1),
-        (false, Heard::Said, 0),
-        (false, Heard::Broken, 0),
+        (true, ClientResponse::Served, 0),
+        (false, ClientResponse::Served, 1),
+        (false, ClientResponse::Unserved, 0),
+        (false, ClientResponse::ConnectionBroken, 0),
     ] {
-        let mut referee = Referee::new(None);
-        referee.asked(RequestId(1), SECOND);
+        let mut referee = RuleChecker::new(None);
+        referee.request_sent(RequestId(1), SECOND);
         if made {
-            referee.made(RequestId(1));
+            referee.result_made(RequestId(1));
         }
-        referee.answered(5, RequestId(1), heard);
-        let counts = referee.verdict().0;
-        assert_eq!(counts.get(&Rule::Forged).copied().unwrap_or_default(), breaches, "{made} {heard:?}");
+        referee.response_received(5, RequestId(1), heard);
+        let counts = referee.into_violations().counts;
+        assert_eq!(
+            counts.get(&Rule::GenuineResult).copied().unwrap_or_default(),
+            breaches,
+            "{made} {heard:?}"
+        );
     }
 }
 
@@ -435,7 +463,7 @@
 fn a_scheduler_that_dies_fails_what_it_took_and_another_serves_on() {
     let crash = "[[faults]]\nat = 20.0\nlasts = 10.0\nshare = 0.1\nwhat = 'scheduler_crash'\n";
     let outcome = play(&harsh(30.0, crash), Kind::Copperspread, 3).expect("it plays");
-    assert!(outcome.breaches.is_empty(), "{:?}", outcome.examples);
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violation_examples);
     let failed: Vec<f64> = outcome.seconds.iter().map(|second| second.failed).collect();
     assert!(failed[19..21].iter().sum::<f64>() > 0.0, "what it had taken: {failed:?}");
     assert!(failed[22..].iter().sum::<f64>() == 0.0, "what came later: {failed:?}");
@@ -470,11 +498,11 @@
         let fault = format!("[[faults]]\nat = {at:?}\nlasts = 6.0\nshare = {share:?}\nwhat = {what}\n");
         let scenario = harsh(rate, &fault);
         let outcome = play(&scenario, Kind::COMPARED[policy], seed).expect("it plays");
-        let worth = outcome.worth;
-        let parts = worth.in_time + worth.late + worth.refused + worth.failed + worth.lost;
-        prop_assert!((parts - worth.asked).abs() < 1e-6 * worth.asked.max(1.0));
+        let worth = outcome.weight;
+        let parts = worth.in_time + worth.late + worth.rejected + worth.failed + worth.unanswered;
+        prop_assert!((parts - worth.requested).abs() < 1e-6 * worth.requested.max(1.0));
         prop_assert_eq!(outcome.jobs, Arrivals::new(&scenario, seed).count() as u64);
         let module = play(&scenario, Kind::Copperspread, seed).expect("it plays");
-        prop_assert!(module.breaches.is_empty(), "{:?} {:?}", module.breaches, module.examples);
+        prop_assert!(module.violations.is_empty(), "{:?} {:?}", module.violations, module.violation_examples);
     }
 }
--- a/crates/testbed/tests/load.rs
+++ b/crates/testbed/tests/load.rs
@@ -20,7 +20,7 @@
          [[classes]]\nname = 'c'\nshare = 1.0\nwork = 0.01\naim = 0.2\ndeadline = {deadline:?}\nworth = 1.0\n\
          repeat = 'never'\n"
     );
-    Scenario::read(&text).expect("a scenario")
+    Scenario::parse(&text).expect("a scenario")
 }
 
 async fn against(router: Router, scenario: &Scenario, most_open: usize) -> OfClass {
--- a/crates/testbed/tests/trace.rs
+++ b/crates/testbed/tests/trace.rs
@@ -3,10 +3,10 @@
 use copperspread_testbed::policy::Kind;
 use copperspread_testbed::scenario::Scenario;
 use copperspread_testbed::sim::play;
-use copperspread_testbed::trace::{LeftOut, record};
+use copperspread_testbed::trace::{SkippedRecords, load_trace};
 
 fn calm() -> Scenario {
-    Scenario::read(include_str!("../scenarios/calm.toml")).expect("a scenario")
+    Scenario::parse(include_str!("../scenarios/calm.toml")).expect("a scenario")
 }
 
 fn line(seq: u64, unix_us: u64, what: &str) -> String {
@@ -34,15 +34,15 @@
     ]
     .concat();
     let mut scenario = calm();
-    let left_out = record(&mut scenario, text.as_bytes()).expect("a trace");
-    assert_eq!(left_out, LeftOut { unknown_class: 1, no_hint: 1, unreadable: 2 });
+    let left_out = load_trace(&mut scenario, text.as_bytes()).expect("a trace");
+    assert_eq!(left_out, SkippedRecords { unknown_class: 1, no_hint: 1, unreadable: 2 });
     let came: Vec<_> = Arrivals::new(&scenario, 1).map(|of| (of.at, of.class, of.work, of.slots)).collect();
     assert_eq!(came, [(0, 3, 0.5, 2.0), (500_000, 0, 0.25, 1.0), (3_000_000, 0, 0.125, 1.0)]);
     // As a file it says the same.
-    let again = Scenario::read(&toml::to_string(&scenario).expect("TOML")).expect("a scenario");
+    let again = Scenario::parse(&toml::to_string(&scenario).expect("TOML")).expect("a scenario");
     assert_eq!(again, scenario);
     let outcome = play(&again, Kind::Copperspread, 1).expect("it plays");
-    assert_eq!((outcome.jobs, outcome.worth.share()), (3, 1.0));
+    assert_eq!((outcome.jobs, outcome.weight.in_time_share()), (3, 1.0));
 }
 
 #[test]
@@ -53,7 +53,7 @@
         (&only, "no job of the scenario's"),
         ("x\n", "line 1 is no record"),
     ] {
-        let error = record(&mut calm(), text.as_bytes()).expect_err(text);
+        let error = load_trace(&mut calm(), text.as_bytes()).expect_err(text);
         assert!(error.contains(said), "{text}: {error}");
     }
 }
--- a/crates/testbed/tests/unit/emulate_workers.rs
+++ b/crates/testbed/tests/unit/emulate_workers.rs
@@ -31,7 +31,7 @@
          deadline = 9.0\nworth = 1.0\nrepeat = 'safe'\n\
          [[faults]]\nat = 0.0\nlasts = 9.0\nshare = 1.0\nwhat = {what}\n{extra}"
     );
-    let scenario = Scenario::read(&text).expect("a scenario");
+    let scenario = Scenario::parse(&text).expect("a scenario");
     let world = World::new(&scenario, Fleet::draw(&scenario, seed), seed);
     let socket = bound(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let port = Port::new(socket.local_addr().expect("an address"), Door::Open(0));
--- a/crates/testbed/tests/unit/sim.rs
+++ b/crates/testbed/tests/unit/sim.rs
@@ -40,7 +40,7 @@
          cores = 1.0\nslots = 1.0\nspeed = [1.0, 1.0]\n[[classes]]\nname = 'c'\nshare = 1.0\nwork = 1.0\n\
          aim = 30.0\ndeadline = 30.0\nworth = 1.0\nrepeat = 'safe'\n{fault}"
     );
-    let scenario = Scenario::read(&text).expect("a scenario");
+    let scenario = Scenario::parse(&text).expect("a scenario");
     let mut sim = Sim::new(&scenario, Kind::Random, 1).expect("it plays");
     let heard = Heard::default();
     sim.schedulers[0].policy = Box::new(Prober(WorkerId(worker), Arc::clone(&heard)));
--- a/crates/testbed/tests/vast.rs
+++ b/crates/testbed/tests/vast.rs
@@ -4,20 +4,25 @@
 use copperspread_testbed::emulate::{Schedulers, emulate};
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::policy::Kind;
-use copperspread_testbed::referee::Rule;
+use copperspread_testbed::rule_checker::Rule;
 use copperspread_testbed::scenario::Scenario;
 use copperspread_testbed::sim::play;
 
 /// The mean share of the worth that is served in time, over some seeds; no rule may break in any.
 fn served(text: &str, seeds: std::ops::Range<u64>) -> f64 {
-    let scenario = Scenario::read(text).expect("a scenario");
+    let scenario = Scenario::parse(text).expect("a scenario");
     let count = (seeds.end - seeds.start) as f64;
     let mut sum = 0.0;
     for seed in seeds {
         let outcome = play(&scenario, Kind::Copperspread, seed).expect("it plays");
-        assert!(outcome.breaches.is_empty(), "seed {seed}: {:?} {:?}", outcome.breaches, outcome.examples);
-        assert_eq!(outcome.fell, 0, "seed {seed}: workers fell over");
-        sum += outcome.worth.share();
+        assert!(
+            outcome.violations.is_empty(),
+            "seed {seed}: {:?} {:?}",
+            outcome.violations,
+            outcome.violation_examples
+        );
+        assert_eq!(outcome.overloads, 0, "seed {seed}: workers fell over");
+        sum += outcome.weight.in_time_share();
     }
     sum / count
 }
@@ -43,7 +48,7 @@
 fn real_time_refuses_what_needs_live_sizes() {
     let text = include_str!("../scenarios/vast-zone.toml").replace("schedulers = 100", "schedulers = 3");
     let text = text.replace("count = 21", "count = 1").replace("count = 13", "count = 1");
-    let scenario = Scenario::read(&text.replace("count = 26", "count = 1")).expect("a scenario");
+    let scenario = Scenario::parse(&text.replace("count = 26", "count = 1")).expect("a scenario");
     let (file, arguments) = ("none".into(), Vec::new());
     let none = Schedulers::Started(Program { file, arguments });
     let why = emulate(&scenario, &none, "none", 1).expect_err("no sizes there");
@@ -53,7 +58,7 @@
 #[test]
 fn sizes_renewed_too_often_are_no_scenario() {
     let text = include_str!("../scenarios/vast-zone.toml").replace("sizes = 0.9", "sizes = 0.0001");
-    assert!(Scenario::read(&text).expect_err("too often").contains("discovery.sizes"));
+    assert!(Scenario::parse(&text).expect_err("too often").contains("discovery.sizes"));
 }
 
 /// The same fleets three times as large, as on the operators' standing test: 300 schedulers and 180 workers,
@@ -83,9 +88,12 @@
         let share = served(&text, 1..4);
         assert!(share > least, "{name}: {share}");
         if name == "release" {
-            let scenario = Scenario::read(&text).expect("a scenario");
+            let scenario = Scenario::parse(&text).expect("a scenario");
             let plain = play(&scenario, Kind::TwoChoices, 1).expect("it plays");
-            assert!(plain.fell > 0 || plain.worth.share() <= least, "release: two choices pass it");
+            assert!(
+                plain.overloads > 0 || plain.weight.in_time_share() <= least,
+                "release: two choices pass it"
+            );
         }
     }
 }
@@ -94,16 +102,16 @@
 #[test]
 fn a_scheduler_that_ends_before_it_has_answered_breaks_a_rule() {
     let text = include_str!("../scenarios/vast-roll.toml").replace("lasts = 8.0", "lasts = 0.2");
-    let scenario = Scenario::read(&text).expect("a scenario");
+    let scenario = Scenario::parse(&text).expect("a scenario");
     let outcome = play(&scenario, Kind::Copperspread, 1).expect("it plays");
-    let missed = outcome.breaches.get(&Rule::AnswerInTime).copied().unwrap_or_default();
-    assert!(missed > 10 && outcome.worth.lost > 0.0, "{missed}, {:?}", outcome.worth);
+    let missed = outcome.violations.get(&Rule::ResponseBeforeDeadline).copied().unwrap_or_default();
+    assert!(missed > 10 && outcome.weight.unanswered > 0.0, "{missed}, {:?}", outcome.weight);
 }
 
 #[test]
 fn crowded_schedulers_get_so_many_times_as_many_clients_and_absurd_crowds_are_no_scenario() {
     let text = include_str!("../scenarios/vast-roll.toml");
-    let scenario = Scenario::read(text).expect("a scenario");
+    let scenario = Scenario::parse(text).expect("a scenario");
     let mut each = [0.0; 100];
     Arrivals::new(&scenario, 1).for_each(|job| each[job.scheduler as usize] += 1.0);
     let (crowd, others) = (each[..5].iter().sum::<f64>() / 5.0, each[5..].iter().sum::<f64>() / 95.0);
@@ -112,6 +120,6 @@
         ["schedulers = 0, times = 5.0", "schedulers = 100, times = 5.0", "schedulers = 5, times = -1.0"]
     {
         let text = text.replace("schedulers = 5, times = 5.0", wrong);
-        assert!(Scenario::read(&text).expect_err(wrong).contains("clients.crowded"));
+        assert!(Scenario::parse(&text).expect_err(wrong).contains("clients.crowded"));
     }
 }
