--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -81,7 +81,7 @@
 }
 
 fn measure_program(program: &SchedulerProgram, terms: CostSettings) -> Result<CostSample, String> {
-    let scenario = Scenario::read(COST_SCENARIO)?;
+    let scenario = Scenario::parse(COST_SCENARIO)?;
     let (reserved, listen) = reserve_address().map_err(|e| e.to_string())?;
     let (told, hears) = mpsc::channel();
     // Ends with this run: the thread waits for its sender to go.
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -13,12 +13,12 @@
 use crate::load::job_request;
 use crate::model::arrivals::Arrival;
 use crate::model::random::RandomStream;
-use crate::outcome::End;
-use crate::referee::{GRACE, Heard};
-use crate::scenario::micros;
+use crate::outcome::JobOutcome;
+use crate::rule_checker::{ClientResponse, TIMING_GRACE};
+use crate::scenario::micros_from_seconds;
 
 /// What a client hears.
-enum ClientResponse {
+enum SchedulerResponse {
     Served(Bytes),
     Rejected(Micros),
     Failed,
@@ -43,8 +43,8 @@
     mut chance: RandomStream,
 ) {
     let class = &stage.scenario.classes[of.class as usize];
-    let gives_up = of.at + micros(class.deadline);
-    let mut retries = stage.scenario.clients.retries;
+    let gives_up = of.at + micros_from_seconds(class.deadline_s);
+    let mut retries = stage.scenario.clients.max_retries;
     stage.apply(|world| world.add_job(number, of));
     let end = loop {
         let scheduler = reachable_scheduler(&stage, of.scheduler);
@@ -52,57 +52,63 @@
         let left = u128::from(gives_up.saturating_sub(stage.now()) / 1_000);
         let target = stage.schedulers[scheduler as usize].0;
         let request = job_request(target, &class.name, (id, number), left, &of);
-        let by = stage.instant_at(gives_up + micros(stage.scenario.clients.grace));
+        let by = stage.instant_at(gives_up + micros_from_seconds(stage.scenario.clients.deadline_grace_s));
         let said = timeout_at(by, send_request(&client, request)).await;
         let now = stage.now();
         let Ok(said) = said else {
-            stage.apply(|world| world.referee.gave_up(now, RequestId(id)));
-            break End::Lost;
+            stage.apply(|world| world.referee.deadline_passed(now, RequestId(id)));
+            break JobOutcome::Unanswered;
         };
         let heard = match &said {
             // A result of another request is as forged as one that nobody made.
-            ClientResponse::Served(body) if *body == expected_result(id).as_bytes() => Heard::Served,
-            ClientResponse::Served(_) => Heard::Forged,
-            ClientResponse::Rejected(_) | ClientResponse::Failed => Heard::Said,
-            ClientResponse::ConnectionBroken => Heard::Broken,
+            SchedulerResponse::Served(body) if *body == expected_result(id).as_bytes() => {
+                ClientResponse::Served
+            }
+            SchedulerResponse::Served(_) => ClientResponse::Forged,
+            SchedulerResponse::Rejected(_) | SchedulerResponse::Failed => ClientResponse::Unserved,
+            SchedulerResponse::ConnectionBroken => ClientResponse::ConnectionBroken,
         };
-        stage.apply(|world| world.referee.answered(now, RequestId(id), heard));
+        stage.apply(|world| world.referee.response_received(now, RequestId(id), heard));
         match said {
-            ClientResponse::Served(_) => {
-                let wanted = micros(class.aim + class.stretch * of.work);
-                break if now.saturating_sub(of.at) <= wanted { End::InTime } else { End::Late };
+            SchedulerResponse::Served(_) => {
+                let wanted = micros_from_seconds(class.latency_objective_s + class.latency_stretch * of.work);
+                break if now.saturating_sub(of.at) <= wanted {
+                    JobOutcome::InTime
+                } else {
+                    JobOutcome::Late
+                };
             }
-            ClientResponse::Rejected(after) => {
+            SchedulerResponse::Rejected(after) => {
                 let clients = &stage.scenario.clients;
-                let wait = clients.again.wait(after, clients.heed, chance.random());
-                if retries == 0 || now + wait + GRACE >= gives_up {
-                    break End::Refused;
+                let wait = clients.retry_timing.delay(after, clients.max_retry_after_s, chance.random());
+                if retries == 0 || now + wait + TIMING_GRACE >= gives_up {
+                    break JobOutcome::Rejected;
                 }
                 retries -= 1;
                 sleep(Duration::from_micros(wait)).await;
             }
-            ClientResponse::Failed | ClientResponse::ConnectionBroken => break End::Failed,
+            SchedulerResponse::Failed | SchedulerResponse::ConnectionBroken => break JobOutcome::Failed,
         }
     };
     let took = stage.now().saturating_sub(of.at);
-    stage.apply(|world| world.tally.ended(&of, class, took, end));
+    stage.apply(|world| world.tally.record_job(&of, class, took, end));
 }
 
-async fn send_request(client: &HttpClient, request: Option<Request<Full<Bytes>>>) -> ClientResponse {
-    let Some(request) = request else { return ClientResponse::Failed };
-    let Ok(answer) = client.request(request).await else { return ClientResponse::ConnectionBroken };
+async fn send_request(client: &HttpClient, request: Option<Request<Full<Bytes>>>) -> SchedulerResponse {
+    let Some(request) = request else { return SchedulerResponse::Failed };
+    let Ok(answer) = client.request(request).await else { return SchedulerResponse::ConnectionBroken };
     let (head, body) = answer.into_parts();
     // The last byte gives the answer's time.
     let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
-        return ClientResponse::ConnectionBroken;
+        return SchedulerResponse::ConnectionBroken;
     };
     match head.status {
-        StatusCode::OK => ClientResponse::Served(body.to_bytes()),
+        StatusCode::OK => SchedulerResponse::Served(body.to_bytes()),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
             let after = head.headers.get("retry-after").and_then(|value| value.to_str().ok());
             let after = after.and_then(|value| value.parse::<f64>().ok()).filter(|value| value.is_finite());
-            ClientResponse::Rejected(micros(after.unwrap_or(0.0)))
+            SchedulerResponse::Rejected(micros_from_seconds(after.unwrap_or(0.0)))
         }
-        _ => ClientResponse::Failed,
+        _ => SchedulerResponse::Failed,
     }
 }
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -10,7 +10,7 @@
 
 use crate::emulation::environment::{Environment, HttpResponse, serve_connection};
 use crate::emulation::scheduler_process::zone_name;
-use crate::scenario::micros;
+use crate::scenario::micros_from_seconds;
 
 /// Longest hold of a watch, as on the platform.
 const MAX_HOLD: Micros = 60_000_000;
@@ -71,7 +71,7 @@
     let hold = query_number(query, "hold_ms").unwrap_or_default().saturating_mul(1_000).min(MAX_HOLD);
     let asked = stage.now();
     // Nothing comes before the first list, and nothing while discovery is down.
-    let first = micros(stage.scenario.discovery.first_after);
+    let first = micros_from_seconds(stage.scenario.discovery.first_list_after_s);
     sleep_until(stage.instant_at(first)).await;
     let by = stage.instant_at(asked + hold);
     let (kind, revision, entries) = loop {
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -23,7 +23,7 @@
 use crate::emulation::endpoint_list::VersionedEndpointList;
 use crate::emulation::state::{Callback, CallbackState, EmulationState};
 use crate::model::worker::ProcessState;
-use crate::scenario::{Scenario, micros};
+use crate::scenario::{Scenario, micros_from_seconds};
 
 /// Longest body that is read.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
@@ -163,7 +163,12 @@
         let mut world = self.state.borrow_mut();
         let now = world.now();
         for entry in entries {
-            world.referee.told(now, scheduler, entry.worker.0, entry.state == WorkerState::Ready);
+            world.referee.availability_notified(
+                now,
+                scheduler,
+                entry.worker.0,
+                entry.state == WorkerState::Ready,
+            );
         }
     }
 
@@ -225,7 +230,7 @@
             return self.endpoint_list.borrow_mut().unannounced_workers.push(worker);
         }
         tokio::task::spawn_local(async move {
-            sleep(Duration::from_micros(micros(stage.scenario.discovery.delay))).await;
+            sleep(Duration::from_micros(micros_from_seconds(stage.scenario.discovery.delay_s))).await;
             // An unchanged entry, as of a worker that only refuses, is no news.
             let same = stage.endpoint_list.borrow().endpoints[worker as usize].1 == entry;
             if !same {
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -29,8 +29,8 @@
 use crate::model::arrivals::Arrivals;
 use crate::model::fleet::{FaultTransition, Fleet};
 use crate::model::random::{StreamPurpose, random_stream};
-use crate::outcome::{Measured, Outcome, Played};
-use crate::scenario::{Scenario, Trouble, micros};
+use crate::outcome::{MachineUsage, RunOutcome, RunRecord};
+use crate::scenario::{FaultKind, Scenario, micros_from_seconds};
 use endpoint_list::VersionedEndpointList;
 use environment::{Environment, ListenerState, WorkerListener};
 use scheduler_process::{SchedulerProcess, SchedulerProgram, scheduler_config};
@@ -66,7 +66,7 @@
     schedulers: &SchedulerInstances,
     called: &str,
     seed: u64,
-) -> Result<Outcome, String> {
+) -> Result<RunOutcome, String> {
     check_limits(scenario, seed)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
@@ -83,12 +83,12 @@
             scenario.name, scenario.schedulers
         ));
     }
-    if scenario.discovery.sizes > 0.0 {
+    if scenario.discovery.size_interval_s > 0.0 {
         // Guards against a run in which all workers pass for idle.
         let name = &scenario.name;
         return Err(format!("{name}: discovery.sizes: emulate's list renews no sizes; sim plays it"));
     }
-    if scenario.faults.iter().any(|fault| fault.what == Trouble::DiscoveryMoves) {
+    if scenario.faults.iter().any(|fault| fault.kind == FaultKind::DiscoveryMoves) {
         let name = &scenario.name;
         return Err(format!("{name}: faults: emulate has one discovery, which cannot move; sim plays it"));
     }
@@ -107,7 +107,7 @@
     schedulers: &SchedulerInstances,
     called: &str,
     seed: u64,
-) -> Result<Outcome, String> {
+) -> Result<RunOutcome, String> {
     let fleet = Fleet::generate(scenario, seed);
     let (gone, turns) = (fleet.missing_workers.clone(), fleet.fault_transitions.clone());
     // Each worker's port is bound at once and stays so.
@@ -157,7 +157,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io_error("a list's port"))?;
         let discovery = listener.local_addr().map_err(io_error("a list's port"))?;
         tokio::task::spawn_local(discovery_server::serve_discovery(Rc::clone(&stage), number, listener));
-        let known = (scenario.discovery.first_after > 0.0).then(|| {
+        let known = (scenario.discovery.first_list_after_s > 0.0).then(|| {
             discovery_server::endpoint_list_json(&stage, EndpointUpdateKind::Cached, 0, &remembered)
         });
         let configuration = scheduler_config(scenario, number, seed, address, discovery, known.as_ref());
@@ -205,7 +205,7 @@
             chance,
         ));
     }
-    let longest = scenario.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+    let longest = scenario.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
     let by = Duration::from_secs_f64(longest) + COMPLETION_GRACE;
     let all = timeout(by, async { while jobs.join_next().await.is_some() {} });
     all.await.map_err(|_| "jobs that do not end: a fault of the emulator".to_owned())?;
@@ -222,9 +222,9 @@
     turns.sort_by_key(|turn| turn.at);
     for turn in turns {
         sleep_until(stage.instant_at(turn.at)).await;
-        let what = stage.scenario.faults[turn.fault].what;
+        let what = stage.scenario.faults[turn.fault].kind;
         match (what, turn.target) {
-            (Trouble::SchedulerCrash | Trouble::SchedulerRestart, Some(at)) => {
+            (FaultKind::SchedulerCrash | FaultKind::SchedulerRestart, Some(at)) => {
                 let up = &stage.schedulers[at as usize].1;
                 let Some(process) = processes.get_mut(at as usize) else {
                     return "a scheduler that was not started here cannot end here".into();
@@ -232,7 +232,7 @@
                 if turn.is_start {
                     up.set(false);
                     match what {
-                        Trouble::SchedulerRestart => process.terminate(),
+                        FaultKind::SchedulerRestart => process.terminate(),
                         _ => process.kill().await,
                     }
                 } else {
@@ -245,13 +245,13 @@
                     up.set(true);
                 }
             }
-            (Trouble::DiscoveryDown, _) if turn.is_start => {
+            (FaultKind::DiscoveryDown, _) if turn.is_start => {
                 stage.update_endpoint_list(|listing| listing.outages += 1)
             }
-            (Trouble::DiscoveryDown, _) => {
+            (FaultKind::DiscoveryDown, _) => {
                 tokio::task::spawn_local(end_discovery_outage(Rc::clone(stage)));
             }
-            (Trouble::DiscoveryContradicts, _) => {
+            (FaultKind::DiscoveryContradicts, _) => {
                 let old = turn.is_start.then(|| stage.endpoints());
                 stage.update_endpoint_list(|listing| listing.stale_copy = old);
                 if turn.is_start {
@@ -265,7 +265,7 @@
 }
 
 async fn end_discovery_outage(stage: Rc<Environment>) {
-    let delay: Micros = micros(stage.scenario.discovery.delay);
+    let delay: Micros = micros_from_seconds(stage.scenario.discovery.delay_s);
     sleep(Duration::from_micros(delay)).await;
     // Only now: what changed during the delay waits there as well.
     let untold = std::mem::take(&mut stage.endpoint_list.borrow_mut().unannounced_workers);
@@ -277,7 +277,7 @@
 }
 
 async fn alternate_lists(stage: Rc<Environment>) {
-    sleep(Duration::from_micros(micros(stage.scenario.discovery.delay))).await;
+    sleep(Duration::from_micros(micros_from_seconds(stage.scenario.discovery.delay_s))).await;
     let mut old = true;
     loop {
         let now = stage.endpoints();
@@ -298,29 +298,29 @@
     lag: [f64; 2],
     cpu: Duration,
     played: Duration,
-) -> Outcome {
+) -> RunOutcome {
     let mut world = stage.state.borrow_mut();
-    let referee = std::mem::replace(&mut world.referee, crate::referee::Referee::new(None));
-    let jobs = world.tally.jobs();
-    Played {
+    let referee = std::mem::replace(&mut world.referee, crate::rule_checker::RuleChecker::new(None));
+    let jobs = world.tally.job_count();
+    RunRecord {
         scenario: &stage.scenario,
         policy: called.to_owned(),
         seed,
         events: 0,
-        tally: &world.tally,
+        counter: &world.tally,
         workers: &world.workers,
         kinds: &world.kinds,
         attempts: world.attempts_sent,
-        crossed: world.cross_zone_attempts,
-        probes: world.load_query_count,
-        fell: world.overloaded_workers,
-        held: world.in_flight_job_micros(),
-        verdict: referee.verdict(),
-        measured: Some(Measured {
-            own_lag_ms: lag,
-            cpu_us_a_job: cpu.as_micros() as f64 / jobs.max(1) as f64,
+        cross_zone_attempts: world.cross_zone_attempts,
+        load_queries: world.load_query_count,
+        overloads: world.overloaded_workers,
+        job_microseconds: world.in_flight_job_micros(),
+        violations: referee.into_violations(),
+        machine_usage: Some(MachineUsage {
+            send_lag_ms: lag,
+            cpu_us_per_job: cpu.as_micros() as f64 / jobs.max(1) as f64,
             cores: cpu.as_secs_f64() / played.as_secs_f64().max(1.0 / SECOND as f64),
         }),
     }
-    .outcome()
+    .into_outcome()
 }
--- a/crates/testbed/src/emulation/state.rs
+++ b/crates/testbed/src/emulation/state.rs
@@ -13,9 +13,9 @@
 use crate::model::idempotency_keys::{DuplicateOutcome, KeyHistory, key_group};
 use crate::model::random::{RandomStream, StreamPurpose, random_stream};
 use crate::model::worker::{self, OfferResult, OfferedJob, ProcessState, Worker};
-use crate::outcome::Tally;
-use crate::referee::Referee;
-use crate::scenario::{Scenario, Trouble, micros};
+use crate::outcome::OutcomeCounter;
+use crate::rule_checker::RuleChecker;
+use crate::scenario::{FaultKind, Scenario, micros_from_seconds};
 
 /// News of an attempt, to be called back.
 #[derive(Clone, Debug, PartialEq)]
@@ -118,9 +118,9 @@
     /// What goes wrong on their connections.
     pub connections: Vec<ConnectionFaults>,
     /// The referee.
-    pub referee: Referee,
+    pub referee: RuleChecker,
     /// What became of jobs.
-    pub tally: Tally,
+    pub tally: OutcomeCounter,
     /// Attempts that reached a worker, and those of them that crossed zones.
     pub attempts_sent: u64,
     /// Attempts that crossed zones.
@@ -153,8 +153,8 @@
             workers: fleet.workers,
             kinds: fleet.kinds,
             cells: fleet.cells,
-            referee: Referee::new(slow_start_budget(scenario)),
-            tally: Tally::new(scenario.classes.len(), scenario.zones),
+            referee: RuleChecker::new(slow_start_budget(scenario)),
+            tally: OutcomeCounter::new(scenario.classes.len(), scenario.zones),
             attempts_sent: 0,
             cross_zone_attempts: 0,
             load_query_count: 0,
@@ -194,7 +194,7 @@
     /// The way between two zones, apart from what the machine's own way takes. Ways within a zone are
     /// shorter than a timer's step: the machine's own way stands for them.
     pub fn network_delay(&self, from: u32, to: u32) -> Micros {
-        let way = micros(self.scenario.network.between(from, to).0);
+        let way = micros_from_seconds(self.scenario.network.link_between(from, to).delay_s);
         if way < 1_000 { 0 } else { way }
     }
 
@@ -211,7 +211,7 @@
     pub fn register_request(&mut self, job: u64, scheduler: u32, gives_up: Micros) -> u64 {
         self.last_id = self.last_id.wrapping_add(1);
         self.requests.insert(self.last_id, PendingRequest { job, scheduler });
-        self.referee.asked(RequestId(self.last_id), gives_up);
+        self.referee.request_sent(RequestId(self.last_id), gives_up);
         self.last_id
     }
 
@@ -232,7 +232,7 @@
         let Some(asked) = self.requests.get(&request) else { return 0 };
         let Some(job) = self.jobs.get(&asked.job) else { return 0 };
         let (from, to) = (self.scheduler_zone(asked.scheduler), self.workers[worker as usize].1);
-        self.referee.sent(now, asked.scheduler, worker, job.of.work * job.of.slots);
+        self.referee.attempt_sent(now, asked.scheduler, worker, job.of.work * job.of.slots);
         self.attempts_sent += 1;
         self.cross_zone_attempts += u64::from(from != to);
         self.network_delay(from, to)
@@ -248,7 +248,7 @@
         let Some(of) = self.jobs.get_mut(&job) else { return AttemptResponse::UnknownRequest };
         let arrival = of.of;
         let zone = self.workers[worker as usize].1;
-        let effect = self.scenario.classes[arrival.class as usize].effect();
+        let effect = self.scenario.classes[arrival.class as usize].idempotency();
         let group = match effect {
             Idempotency::IdempotentWithKey { scope, .. } => {
                 key_group(scope, zone, self.cells[worker as usize])
@@ -263,7 +263,7 @@
             && let Some(repeat) = of.keys.check_duplicate(id, group, now, window)
         {
             self.attempts.insert(id, attempt);
-            self.referee.took(now, job, id, effect, group, came);
+            self.referee.attempt_accepted(now, job, id, effect, group, came);
             if repeat == DuplicateOutcome::AlreadyServed {
                 self.queue_callback(id, AttemptState::Done);
             }
@@ -275,8 +275,8 @@
             DeliveryResult::InvalidResponse => return AttemptResponse::Garbage,
             DeliveryResult::ImmediateError => {
                 // As in virtual time: to the rules it may have run.
-                self.referee.took(now, job, id, effect, group, came);
-                self.referee.ran(now, job, effect);
+                self.referee.attempt_accepted(now, job, id, effect, group, came);
+                self.referee.job_started(now, job, effect);
                 self.attempts.insert(id, attempt);
                 self.queue_callback(id, AttemptState::Failed);
                 self.attempts.remove(&id);
@@ -290,7 +290,7 @@
             OfferResult::Accepted => {
                 self.in_flight.0 += 1;
                 self.attempts.insert(id, attempt);
-                self.referee.took(now, job, id, effect, group, came);
+                self.referee.attempt_accepted(now, job, id, effect, group, came);
                 if matches!(effect, Idempotency::IdempotentWithKey { .. })
                     && let Some(of) = self.jobs.get_mut(&job)
                 {
@@ -311,7 +311,7 @@
 
     /// A request's attempts stop at a worker whose scheduler gave it up there.
     pub fn cancel_request(&mut self, request: u64, worker: u32) {
-        if !self.scenario.settings.cancel_stops {
+        if !self.scenario.tuning.cancel_stops_job {
             return;
         }
         self.account_in_flight();
@@ -335,7 +335,7 @@
 
     /// A probe comes to a worker.
     pub fn accept_load_query(&mut self, worker: u32) -> LoadQueryResponse {
-        let Some(probe) = self.scenario.reports.probe else { return LoadQueryResponse::NotFound };
+        let Some(probe) = self.scenario.load_reports.load_query else { return LoadQueryResponse::NotFound };
         self.account_in_flight();
         let now = self.now();
         self.load_query_count += 1;
@@ -351,9 +351,9 @@
         if of.process != ProcessState::Up {
             return LoadQueryResponse::Unavailable;
         }
-        if !probe.deep {
+        if !probe.queued {
             of.charge_side_work(now, probe.work);
-            return LoadQueryResponse::AfterDelay(micros(probe.work / of.spec.speed));
+            return LoadQueryResponse::AfterDelay(micros_from_seconds(probe.work / of.spec.speed));
         }
         self.last_id = self.last_id.wrapping_add(1);
         let id = self.last_id;
@@ -372,26 +372,28 @@
     pub fn queried_load_report(&mut self, worker: u32) -> LoadReport {
         let now = self.now();
         let late =
-            self.scenario.reports.probe.map_or(0, |probe| micros(probe.late)) + self.extra_report_delay;
+            self.scenario.load_reports.load_query.map_or(0, |probe| micros_from_seconds(probe.staleness_s))
+                + self.extra_report_delay;
         self.workers[worker as usize].0.answer_load_query(now, late).unwrap_or_default()
     }
 
     /// A worker's figures for probes are refreshed.
     pub fn refresh_load_report(&mut self, worker: u32) {
-        let (now, every) = (self.now(), micros(self.scenario.reports.refresh));
-        let (noise, sigma) = (&mut self.noise_random, self.scenario.reports.noise);
+        let (now, every) = (self.now(), micros_from_seconds(self.scenario.load_reports.refresh_interval_s));
+        let (noise, sigma) = (&mut self.noise_random, self.scenario.load_reports.noise_slots);
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
         self.workers[worker as usize].0.refresh_load_report(now, every, draw);
     }
 
     /// What comes along with an answer; nothing where workers are to be probed.
     fn response_load_report(&mut self, worker: u32) -> LoadReport {
-        if self.scenario.reports.probe.is_some() {
+        if self.scenario.load_reports.load_query.is_some() {
             return LoadReport::default();
         }
-        let refresh = micros(self.scenario.reports.refresh) + self.extra_report_delay;
+        let refresh =
+            micros_from_seconds(self.scenario.load_reports.refresh_interval_s) + self.extra_report_delay;
         let (noise, sigma, now) =
-            (&mut self.noise_random, self.scenario.reports.noise, self.started_at.elapsed());
+            (&mut self.noise_random, self.scenario.load_reports.noise_slots, self.started_at.elapsed());
         let draw = || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(noise));
         self.workers[worker as usize].0.load_report(now.as_micros() as Micros, refresh, draw)
     }
@@ -413,23 +415,23 @@
     pub fn apply_fault(&mut self, turn: FaultTransition) {
         self.account_in_flight();
         let now = self.now();
-        let what = self.scenario.faults[turn.fault].what;
-        if let Trouble::ReportsLate(by) = what {
-            self.extra_report_delay = if turn.is_start { micros(by) } else { 0 };
+        let what = self.scenario.faults[turn.fault].kind;
+        if let FaultKind::ReportsLate(by) = what {
+            self.extra_report_delay = if turn.is_start { micros_from_seconds(by) } else { 0 };
         }
-        let Some(worker) = turn.target.filter(|_| what.meets_workers()) else { return };
+        let Some(worker) = turn.target.filter(|_| what.affects_workers()) else { return };
         if self.connections[worker as usize].apply_fault(what, turn.is_start) {
             return;
         }
         let mut effects = Vec::new();
         let held = self.workers[worker as usize].0.job_count() as u64;
         let started = self.workers[worker as usize].0.apply_fault(now, what, turn.is_start, &mut effects);
-        if what == Trouble::Vanish && turn.is_start {
+        if what == FaultKind::Vanish && turn.is_start {
             self.in_flight.0 -= held;
         }
         if started {
             let build = self.workers[worker as usize].0.spec;
-            self.referee.started(now, worker, build.cores.min(build.slots) * build.speed);
+            self.referee.worker_started(now, worker, build.cores.min(build.slots) * build.speed);
         }
         self.apply_effects(worker, effects);
         self.changed_workers.push(worker);
@@ -443,7 +445,7 @@
                     let Some(of) = self.attempts.get(&id) else { continue };
                     let job = of.job;
                     let Some(class) = self.jobs.get(&job).map(|job| job.of.class) else { continue };
-                    self.referee.ran(now, job, self.scenario.classes[class as usize].effect());
+                    self.referee.job_started(now, job, self.scenario.classes[class as usize].idempotency());
                     if self.workers[worker as usize].0.silent_class != Some(class) {
                         self.queue_callback(id, AttemptState::Started);
                     }
@@ -468,7 +470,7 @@
                     self.in_flight.0 -= 1;
                     self.load_queries.remove(&id);
                     if let Some(job) = self.attempts.get(&id).map(|of| of.job) {
-                        self.referee.handed_back(job, id);
+                        self.referee.attempt_returned(job, id);
                         if let Some(of) = self.jobs.get_mut(&job) {
                             of.keys.record_handed_back(id);
                         }
@@ -521,7 +523,7 @@
             AttemptState::Failed => CallbackState::Failed,
         };
         if kind == AttemptState::Done {
-            self.referee.made(RequestId(request));
+            self.referee.result_made(RequestId(request));
         }
         let wire = self.connections[worker as usize];
         let way = self.network_delay(self.workers[worker as usize].1, self.scheduler_zone(scheduler));
--- a/crates/testbed/src/emulation/workers.rs
+++ b/crates/testbed/src/emulation/workers.rs
@@ -23,7 +23,7 @@
 };
 use crate::emulation::faulty_socket::{FaultySocket, ResponseFault, reset_connection};
 use crate::emulation::state::{AttemptResponse, LoadQueryResponse};
-use crate::scenario::micros;
+use crate::scenario::micros_from_seconds;
 
 /// An idle connection is closed after this long, as the settings say.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -120,7 +120,7 @@
 async fn serve_worker_connection(stage: Rc<Environment>, worker: u32, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     // What a new connection costs is waited for before anything is read from it.
-    let cost = micros(stage.scenario.network.connect);
+    let cost = micros_from_seconds(stage.scenario.network.connect_delay_s);
     if cost > 0 {
         sleep(Duration::from_micros(cost)).await;
     }
@@ -249,10 +249,10 @@
 
 /// Refreshes what a worker tells when it is probed, where it is.
 pub async fn refresh_load_reports(stage: Rc<Environment>, worker: u32) {
-    if stage.scenario.reports.probe.is_none() {
+    if stage.scenario.load_reports.load_query.is_none() {
         return;
     }
-    let every = Duration::from_micros(micros(stage.scenario.reports.refresh));
+    let every = Duration::from_micros(micros_from_seconds(stage.scenario.load_reports.refresh_interval_s));
     loop {
         stage.apply(|world| world.refresh_load_report(worker));
         sleep(every).await;
@@ -261,7 +261,7 @@
 
 /// Tells how far a worker's jobs are, where workers do.
 pub async fn report_progress(stage: Rc<Environment>, worker: u32) {
-    let every = micros(stage.scenario.reports.progress);
+    let every = micros_from_seconds(stage.scenario.load_reports.progress_interval_s);
     if every == 0 {
         return;
     }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use crate::model::arrivals::{Arrival, Arrivals};
-use crate::scenario::{Class, Scenario};
+use crate::scenario::{JobClass, Scenario};
 
 /// Longest body of an answer that is read.
 const MAX_BODY_BYTES: usize = 64 * 1024;
@@ -140,7 +140,7 @@
         let client = client.clone();
         let id = base.wrapping_add(number as u64);
         tokio::spawn(async move {
-            let by = meant + Duration::from_secs_f64(class.deadline);
+            let by = meant + Duration::from_secs_f64(class.deadline_s);
             let answer = timeout_at(by, send_job(&client, target, &class, &job, id, by)).await;
             let _ = told.send((job, answer.unwrap_or(JobOutcome::TimedOut), meant.elapsed()));
             drop(place);
@@ -182,7 +182,7 @@
 async fn send_job(
     client: &HttpClient,
     target: SocketAddr,
-    class: &Class,
+    class: &JobClass,
     job: &Arrival,
     id: u64,
     by: Instant,
@@ -209,7 +209,7 @@
 }
 
 fn summarize(scenario: &Scenario, all: &[(Arrival, JobOutcome, Duration)]) -> Vec<ClassLoadResult> {
-    let one = |(number, class): (usize, &Class)| {
+    let one = |(number, class): (usize, &JobClass)| {
         let mut of = ClassLoadResult { name: class.name.clone(), ..ClassLoadResult::default() };
         let mut times = new_histogram();
         for (job, heard, took) in all.iter().filter(|(job, _, _)| job.class as usize == number) {
@@ -217,7 +217,7 @@
             match heard {
                 JobOutcome::Served => {
                     of.served += 1;
-                    let wanted = class.aim + class.stretch * job.work;
+                    let wanted = class.latency_objective_s + class.latency_stretch * job.work;
                     of.in_time += u64::from(took.as_secs_f64() <= wanted);
                     times.saturating_record(took.as_micros() as u64);
                 }
--- a/crates/testbed/src/model/connection_faults.rs
+++ b/crates/testbed/src/model/connection_faults.rs
@@ -1,7 +1,7 @@
 //! What goes wrong on a worker's connections, apart from the worker itself.
 use copperspread_dispatcher::Micros;
 
-use crate::scenario::{Trouble, micros};
+use crate::scenario::{FaultKind, micros_from_seconds};
 
 /// A worker's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -35,13 +35,15 @@
 
 impl ConnectionFaults {
     /// A fault begins or is over; whether it was one of connections.
-    pub fn apply_fault(&mut self, what: Trouble, begins: bool) -> bool {
+    pub fn apply_fault(&mut self, what: FaultKind, begins: bool) -> bool {
         match what {
-            Trouble::Resetting(share) => self.reset_share = if begins { share } else { 0.0 },
-            Trouble::Garbled(share) => self.invalid_response_share = if begins { share } else { 0.0 },
-            Trouble::Failing(share) => self.error_share = if begins { share } else { 0.0 },
-            Trouble::LateNews(by) => self.callback_delay = if begins { micros(by) } else { 0 },
-            Trouble::DoubledNews => self.duplicates_callbacks = begins,
+            FaultKind::Resetting(share) => self.reset_share = if begins { share } else { 0.0 },
+            FaultKind::Garbled(share) => self.invalid_response_share = if begins { share } else { 0.0 },
+            FaultKind::Failing(share) => self.error_share = if begins { share } else { 0.0 },
+            FaultKind::LateCallbacks(by) => {
+                self.callback_delay = if begins { micros_from_seconds(by) } else { 0 }
+            }
+            FaultKind::DuplicateCallbacks => self.duplicates_callbacks = begins,
             _ => return false,
         }
         true
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -6,8 +6,8 @@
 
 use crate::model::random::{StreamPurpose, random_stream};
 use crate::model::worker::{ProcessState, Worker, WorkerSpec};
-use crate::referee::ColdBudget;
-use crate::scenario::{Scenario, micros};
+use crate::rule_checker::SlowStartBudget;
+use crate::scenario::{Scenario, micros_from_seconds};
 
 /// A fault that begins or is over, for one worker or for none.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -40,7 +40,7 @@
     /// Draws them.
     pub fn generate(scenario: &Scenario, seed: u64) -> Fleet {
         let mut chance = random_stream(seed, StreamPurpose::Fleet);
-        let cold = &scenario.cold;
+        let cold = &scenario.slow_start;
         let (mut workers, mut kinds) = (Vec::new(), Vec::new());
         for (kind, group) in scenario.workers.iter().enumerate() {
             for _ in 0..group.count {
@@ -49,13 +49,14 @@
                     cores: group.cores,
                     slots: group.slots,
                     speed: low + (high - low) * chance.random::<f64>(),
-                    max_waiting: group.queue,
-                    order: group.order,
+                    max_waiting: group.queue_capacity,
+                    order: group.queue_order,
                     memory: group.memory.unwrap_or(f64::INFINITY),
-                    slow_start_share: cold.from,
-                    slow_start_duration: micros(cold.warm_after),
-                    overload_multiple: cold.fall_multiple,
-                    overload_window: (cold.fall_seconds > 0.0).then(|| micros(cold.fall_seconds)),
+                    slow_start_share: cold.initial_capacity,
+                    slow_start_duration: micros_from_seconds(cold.duration_s),
+                    overload_multiple: cold.overload_multiple,
+                    overload_window: (cold.overload_window_s > 0.0)
+                        .then(|| micros_from_seconds(cold.overload_window_s)),
                 };
                 let zone = workers.len() as u32 % scenario.zones;
                 workers.push((Worker::new(build), zone));
@@ -65,30 +66,35 @@
         let (zones, cells) = (scenario.zones, scenario.cells);
         let cells = (0..workers.len() as u32).map(|at| at % zones + zones * (at / zones % cells)).collect();
         let mut chance = random_stream(seed, StreamPurpose::Faults);
-        let gone = (scenario.discovery.stale * workers.len() as f64).round() as usize;
+        let gone = (scenario.discovery.stale_share * workers.len() as f64).round() as usize;
         let mut all: Vec<u32> = (0..workers.len() as u32).collect();
         all.shuffle(&mut chance);
         all.truncate(gone);
         let mut turns = Vec::new();
         for (fault, of) in scenario.faults.iter().enumerate() {
             let mut chosen: Vec<u32> = Vec::new();
-            if of.what.meets_workers() {
+            if of.kind.affects_workers() {
                 let in_zone = |&at: &u32| of.zone.is_none_or(|zone| workers[at as usize].1 == zone);
                 chosen = (0..workers.len() as u32).filter(in_zone).collect();
-            } else if of.what.meets_schedulers() {
+            } else if of.kind.affects_schedulers() {
                 let in_zone = |&at: &u32| of.zone.is_none_or(|zone| at % scenario.zones == zone);
                 chosen = (0..scenario.schedulers).filter(in_zone).collect();
             }
-            let count = (of.share * chosen.len() as f64).ceil().max(1.0) as usize;
+            let count = (of.worker_share * chosen.len() as f64).ceil().max(1.0) as usize;
             chosen.shuffle(&mut chance);
             chosen.truncate(count);
             let each: Vec<Option<u32>> =
                 if chosen.is_empty() { vec![None] } else { chosen.into_iter().map(Some).collect() };
             for (place, &whom) in each.iter().enumerate() {
-                let begins = of.at + of.spread_over * place as f64 / each.len() as f64;
-                turns.push(FaultTransition { at: micros(begins), fault, target: whom, is_start: true });
+                let begins = of.starts_at_s + of.stagger_s * place as f64 / each.len() as f64;
                 turns.push(FaultTransition {
-                    at: micros(begins + of.lasts),
+                    at: micros_from_seconds(begins),
+                    fault,
+                    target: whom,
+                    is_start: true,
+                });
+                turns.push(FaultTransition {
+                    at: micros_from_seconds(begins + of.duration_s),
                     fault,
                     target: whom,
                     is_start: false,
@@ -103,12 +109,12 @@
 }
 
 /// What the scenario holds a cold worker to, if anything.
-pub fn slow_start_budget(scenario: &Scenario) -> Option<ColdBudget> {
-    let cold = &scenario.cold;
-    (cold.fall_seconds > 0.0).then(|| ColdBudget {
-        from: cold.from,
-        warm_after: micros(cold.warm_after),
-        multiple: cold.fall_multiple,
-        window: micros(cold.fall_seconds),
+pub fn slow_start_budget(scenario: &Scenario) -> Option<SlowStartBudget> {
+    let cold = &scenario.slow_start;
+    (cold.overload_window_s > 0.0).then(|| SlowStartBudget {
+        initial_capacity: cold.initial_capacity,
+        duration: micros_from_seconds(cold.duration_s),
+        overload_multiple: cold.overload_multiple,
+        overload_window: micros_from_seconds(cold.overload_window_s),
     })
 }
--- a/crates/testbed/src/model/worker.rs
+++ b/crates/testbed/src/model/worker.rs
@@ -6,7 +6,7 @@
 
 use copperspread_dispatcher::{LoadReport, Micros, SECOND};
 
-use crate::scenario::{Order, Trouble};
+use crate::scenario::{FaultKind, QueueOrder};
 
 /// What a worker is built of.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,7 +20,7 @@
     /// Most jobs that wait.
     pub max_waiting: usize,
     /// The order in which they start.
-    pub order: Order,
+    pub order: QueueOrder,
     /// Memory, in megabytes.
     pub memory: f64,
     /// A cold worker begins at this share of its capacity ...
@@ -300,9 +300,9 @@
     fn start_waiting_jobs(&mut self, effects: &mut Vec<WorkerEffect>) {
         loop {
             let next = match self.spec.order {
-                Order::Fifo => self.waiting.front().filter(|job| self.has_room_for(job)).map(|_| 0),
-                Order::Backfill => self.waiting.iter().position(|job| self.has_room_for(job)),
-                Order::Priority => {
+                QueueOrder::Fifo => self.waiting.front().filter(|job| self.has_room_for(job)).map(|_| 0),
+                QueueOrder::Backfill => self.waiting.iter().position(|job| self.has_room_for(job)),
+                QueueOrder::Priority => {
                     let places = self.waiting.iter().enumerate();
                     let first = places
                         .max_by(|(a, one), (b, other)| one.weight.total_cmp(&other.weight).then(b.cmp(a)));
@@ -429,21 +429,23 @@
     pub fn apply_fault(
         &mut self,
         now: Micros,
-        what: Trouble,
+        what: FaultKind,
         begins: bool,
         effects: &mut Vec<WorkerEffect>,
     ) -> bool {
         match what {
-            Trouble::Slow(factor) => {
+            FaultKind::Slow(factor) => {
                 self.apply_change(now, |of| of.slowdown = if begins { factor } else { 1.0 })
             }
-            Trouble::Stuck => self.apply_change(now, |of| of.is_stuck = begins),
-            Trouble::Silent(class) => self.apply_change(now, |of| of.silent_class = begins.then_some(class)),
-            Trouble::Refusing => self.apply_change(now, |of| of.is_refusing = begins),
-            Trouble::Crash if begins => self.stop(now, ProcessState::Stopped, effects),
-            Trouble::Vanish if begins => self.stop(now, ProcessState::Unreachable, effects),
-            Trouble::Drain if begins => self.drain(now, true, effects),
-            Trouble::Crash | Trouble::Vanish | Trouble::Drain => {
+            FaultKind::Stuck => self.apply_change(now, |of| of.is_stuck = begins),
+            FaultKind::Silent(class) => {
+                self.apply_change(now, |of| of.silent_class = begins.then_some(class))
+            }
+            FaultKind::Refusing => self.apply_change(now, |of| of.is_refusing = begins),
+            FaultKind::Crash if begins => self.stop(now, ProcessState::Stopped, effects),
+            FaultKind::Vanish if begins => self.stop(now, ProcessState::Unreachable, effects),
+            FaultKind::Drain if begins => self.drain(now, true, effects),
+            FaultKind::Crash | FaultKind::Vanish | FaultKind::Drain => {
                 // What still ran there ends with the old process.
                 self.stop(now, ProcessState::Stopped, effects);
                 self.restart(now);
--- a/crates/testbed/tests/unit/emulation_workers.rs
+++ b/crates/testbed/tests/unit/emulation_workers.rs
@@ -31,7 +31,7 @@
          deadline = 9.0\nworth = 1.0\nrepeat = 'safe'\n\
          [[faults]]\nat = 0.0\nlasts = 9.0\nshare = 1.0\nwhat = {what}\n{extra}"
     );
-    let scenario = Scenario::read(&text).expect("a scenario");
+    let scenario = Scenario::parse(&text).expect("a scenario");
     let world = EmulationState::new(&scenario, Fleet::generate(&scenario, seed), seed);
     let socket = bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let port = WorkerListener::new(socket.local_addr().expect("an address"), ListenerState::Accepting(0));
