--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,9 +1,9 @@
 //! A bare relay: the same exchange as a scheduler's, with the same hyper and axum, and no decision. It
-//! sends each job to the next worker and answers with what that calls back. What the scheduler costs
-//! beyond this is what its decisions, deadlines and rules cost.
+//! sends each job to the next worker in turn and responds with the result that the worker calls back.
+//! What a scheduler costs beyond this is the cost of its decisions, deadlines and rules.
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use axum::Router;
 use axum::body::{Body, Bytes};
@@ -11,25 +11,27 @@
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
-use copperspread_settings::platform;
+use copperspread_settings::StartupConfig;
 use http_body_util::{BodyExt, Full, Limited};
+use hyper::Uri;
 use hyper::http::uri::Authority;
-use hyper_util::client::legacy::{Client, connect::HttpConnector};
-use hyper_util::rt::{TokioExecutor, TokioTimer};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::oneshot;
 
-/// Longest body that is read.
-const MAX_BODY_BYTES: usize = 64 * 1024;
+use crate::http_client::{HttpClient, MAX_BODY_BYTES, new_http_client, read_body};
+use crate::startup::{ServeError, read_config, single_threaded_runtime};
 
+/// What the relay's handlers share; the router owns it.
 struct Relay {
     workers: Vec<Authority>,
     next_worker: AtomicUsize,
-    client: Client<HttpConnector, Full<Bytes>>,
+    client: HttpClient,
+    /// Requests that await their callback, by the id in `x-request-id`.
     pending: Mutex<HashMap<String, oneshot::Sender<Bytes>>>,
 }
 
+/// A worker's callback.
 #[derive(serde::Deserialize)]
 struct Callback {
     id: String,
@@ -39,26 +41,41 @@
 }
 
 impl Relay {
-    fn lock_pending(&self) -> std::sync::MutexGuard<'_, HashMap<String, oneshot::Sender<Bytes>>> {
+    fn new(workers: Vec<Authority>) -> Relay {
+        Relay {
+            workers,
+            next_worker: AtomicUsize::new(0),
+            client: new_http_client(),
+            pending: Mutex::default(),
+        }
+    }
+
+    fn lock_pending(&self) -> MutexGuard<'_, HashMap<String, oneshot::Sender<Bytes>>> {
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// The worker whose turn it is.
+    fn select_worker(&self) -> Authority {
+        let turn = self.next_worker.fetch_add(1, Ordering::Relaxed);
+        self.workers[turn % self.workers.len()].clone()
+    }
+
+    /// Sends a request to a worker and waits for the result; `None` if either fails.
     async fn forward(&self, request: Request) -> Option<Bytes> {
         let (head, body) = request.into_parts();
         let body = Limited::new(body, MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
         let id = head.headers.get("x-request-id")?.to_str().ok()?.to_owned();
-        let at = self.next_worker.fetch_add(1, Ordering::Relaxed) % self.workers.len();
+        let worker = self.select_worker();
         let path = head.uri.path_and_query()?.clone();
-        let uri =
-            hyper::Uri::builder().scheme("http").authority(self.workers[at].clone()).path_and_query(path);
-        let mut passed = hyper::Request::post(uri.build().ok()?).body(Full::new(body)).ok()?;
-        *passed.headers_mut() = head.headers;
-        let (told, hears) = oneshot::channel();
-        self.lock_pending().insert(id, told);
-        let answer = self.client.request(passed).await.ok()?;
-        let taken = answer.status() == StatusCode::ACCEPTED;
-        Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await.ok()?;
-        if taken { hears.await.ok() } else { None }
+        let uri = Uri::builder().scheme("http").authority(worker).path_and_query(path).build().ok()?;
+        let mut forwarded = hyper::Request::post(uri).body(Full::new(body)).ok()?;
+        *forwarded.headers_mut() = head.headers;
+        let (result_sender, result) = oneshot::channel();
+        self.lock_pending().insert(id, result_sender);
+        let response = self.client.request(forwarded).await.ok()?;
+        let is_accepted = response.status() == StatusCode::ACCEPTED;
+        read_body(response.into_body()).await.ok()?;
+        if is_accepted { result.await.ok() } else { None }
     }
 }
 
@@ -70,50 +87,51 @@
 }
 
 async fn handle_callback(State(relay): State<Arc<Relay>>, body: Bytes) -> StatusCode {
-    let Ok(news) = serde_json::from_slice::<Callback>(&body) else { return StatusCode::BAD_REQUEST };
-    if news.state == "done"
-        && let Some(told) = relay.lock_pending().remove(&news.id)
+    let Ok(callback) = serde_json::from_slice::<Callback>(&body) else { return StatusCode::BAD_REQUEST };
+    if callback.state == "done"
+        && let Some(result_sender) = relay.lock_pending().remove(&callback.id)
     {
-        let _ = told.send(news.result.into());
+        // The client may have disconnected.
+        let _ = result_sender.send(callback.result.into());
     }
     StatusCode::NO_CONTENT
 }
 
-/// Serves by the configuration that `EDGE_CONFIG` names, to the workers that it knows, until SIGTERM.
-///
-/// # Errors
-/// A configuration that cannot be used, or an address that cannot be listened on.
-pub fn serve_relay() -> Result<(), String> {
-    let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG names no file".to_owned())?;
-    let content = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-    let start = platform::read_startup_config(&content).map_err(|e| format!("{path}: {e}"))?;
-    let known = start.cached_endpoints.ok_or("known: a relay needs its workers at the start")?;
-    let mut connector = HttpConnector::new();
-    connector.set_nodelay(true);
-    let relay = Arc::new(Relay {
-        workers: known.endpoints.into_iter().map(|member| member.address).collect(),
-        next_worker: AtomicUsize::new(0),
-        client: Client::builder(TokioExecutor::new())
-            .pool_timer(TokioTimer::new())
-            .retry_canceled_requests(false)
-            .build(connector),
-        pending: Mutex::default(),
-    });
-    if relay.workers.is_empty() {
-        return Err("known: no workers".into());
-    }
-    let routes = Router::new()
+fn router(relay: Relay) -> Router {
+    Router::new()
         .route("/_jobs/news", post(handle_callback))
         .route("/-/ready", get(async || StatusCode::OK))
         .fallback(handle_job)
-        .with_state(relay);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|e| format!("runtime: {e}"))?.block_on(async {
-        let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-        let listener = TcpListener::bind(start.listen).await.map_err(|e| format!("{}: {e}", start.listen))?;
+        .with_state(Arc::new(relay))
+}
+
+/// The workers of the cached endpoint list.
+fn cached_workers(config: &mut StartupConfig) -> Result<Vec<Authority>, ServeError> {
+    let list = config.cached_endpoints.take().ok_or(ServeError::NoEndpointList)?;
+    let workers: Vec<Authority> = list.endpoints.into_iter().map(|endpoint| endpoint.address).collect();
+    if workers.is_empty() {
+        return Err(ServeError::NoWorkers);
+    }
+    Ok(workers)
+}
+
+/// Serves by the configuration that `EDGE_CONFIG` names, with the workers of its cached endpoint list,
+/// until SIGTERM.
+///
+/// # Errors
+/// A configuration that cannot be used, or an address that cannot be listened on.
+pub fn serve_relay() -> Result<(), ServeError> {
+    let mut config = read_config()?;
+    let router = router(Relay::new(cached_workers(&mut config)?));
+    let address = config.listen;
+    let runtime = single_threaded_runtime().map_err(ServeError::Runtime)?;
+    runtime.block_on(async {
+        let mut terminate = signal(SignalKind::terminate()).map_err(ServeError::Signals)?;
+        let listener = TcpListener::bind(address).await;
+        let listener = listener.map_err(|source| ServeError::Listen { address, source })?;
         tokio::select! {
-            served = async { axum::serve(listener, routes).await } => served.map_err(|e| e.to_string()),
-            _ = term.recv() => Ok(()),
+            served = async { axum::serve(listener, router).await } => served.map_err(ServeError::Serve),
+            _ = terminate.recv() => Ok(()),
         }
     })
 }
