--- /dev/null
+++ b/crates/testbed/src/cost/stand_ins.rs
@@ -0,0 +1,136 @@
+//! Workers that accept a job and call back at once, and an endpoint list of them that never changes.
+use std::net::SocketAddr;
+use std::sync::mpsc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::{Request, Response, StatusCode};
+use serde_json::{Value, json};
+use tokio::net::TcpListener;
+use tokio::sync::oneshot;
+use tokio::task::{LocalSet, spawn_local};
+use tokio::time::sleep;
+
+use crate::emulation::environment::{HttpResponse, serve_connection};
+use crate::emulation::expected_result;
+use crate::emulation::scheduler_config::zone_name;
+use crate::http_client::{HttpClient, new_http_client, read_body};
+use crate::startup::single_threaded_runtime;
+
+/// How long discovery holds a watch: nothing changes, so the answer to it is always the same list.
+const WATCH_HOLD: Duration = Duration::from_secs(1);
+
+/// Where the list is polled, and the list itself.
+pub(super) struct Discovery {
+    pub(super) address: SocketAddr,
+    pub(super) list: Value,
+}
+
+/// The running stand-ins. Their thread ends soon after this is dropped; nothing joins it.
+pub(super) struct StandIns {
+    pub(super) discovery: Discovery,
+    _stop: oneshot::Sender<()>,
+}
+
+impl StandIns {
+    /// Starts a thread that serves workers for a scheduler, and waits until they listen; `None` if they
+    /// cannot.
+    pub(super) fn start(scheduler: SocketAddr, workers: u32) -> Option<StandIns> {
+        let (ready_sender, ready) = mpsc::channel();
+        let (stop_sender, stop) = oneshot::channel::<()>();
+        std::thread::spawn(move || {
+            let Ok(runtime) = single_threaded_runtime() else { return };
+            LocalSet::new().block_on(&runtime, async move {
+                tokio::select! {
+                    () = serve(scheduler, workers, ready_sender) => {}
+                    _ = stop => {}
+                }
+            });
+        });
+        Some(StandIns { discovery: ready.recv().ok()?, _stop: stop_sender })
+    }
+}
+
+/// Serves workers and their list for good; returns only if one of them cannot listen.
+async fn serve(scheduler: SocketAddr, workers: u32, ready: mpsc::Sender<Discovery>) {
+    let client = new_http_client();
+    let mut members = Vec::new();
+    for worker in 0..workers {
+        let Ok(listener) = TcpListener::bind("127.0.0.1:0").await else { return };
+        let Ok(address) = listener.local_addr() else { return };
+        members.push(json!({
+            "id": format!("w-{worker}"), "host_port": address.to_string(), "locality": zone_name(0),
+            "flavor": "w", "cell": 0, "phase": "SERVING", "size": 1.0, "up_since_ms": 0,
+        }));
+        // Ends with the thread's runtime.
+        spawn_local(serve_worker(listener, Worker { client: client.clone(), scheduler, number: worker }));
+    }
+    let list = json!({"revision": 1, "complete": true, "members": members});
+    let Ok(listener) = TcpListener::bind("127.0.0.1:0").await else { return };
+    let Ok(address) = listener.local_addr() else { return };
+    let body = Bytes::from(list.to_string());
+    let _ = ready.send(Discovery { address, list });
+    serve_list(listener, body).await;
+}
+
+async fn serve_list(listener: TcpListener, list: Bytes) {
+    while let Ok((stream, _)) = listener.accept().await {
+        let list = list.clone();
+        // Ends with its connection, or with the thread's runtime.
+        spawn_local(async move {
+            serve_connection(stream, |request| answer_poll(request, list.clone())).await;
+        });
+    }
+}
+
+async fn answer_poll(request: Request<Incoming>, list: Bytes) -> HttpResponse {
+    let is_watch = request.uri().query().is_some();
+    if is_watch {
+        sleep(WATCH_HOLD).await;
+    }
+    Response::new(Full::new(list))
+}
+
+/// One worker, as its connections share it.
+#[derive(Clone)]
+struct Worker {
+    client: HttpClient,
+    scheduler: SocketAddr,
+    number: u32,
+}
+
+async fn serve_worker(listener: TcpListener, worker: Worker) {
+    while let Ok((stream, _)) = listener.accept().await {
+        let worker = worker.clone();
+        // Ends with its connection, or with the thread's runtime.
+        spawn_local(async move {
+            serve_connection(stream, |request| worker.clone().accept_job(request)).await;
+        });
+    }
+}
+
+impl Worker {
+    /// Accepts a job; its callback is sent by a task of its own, which ends with the callback's response.
+    async fn accept_job(self, request: Request<Incoming>) -> HttpResponse {
+        let id = request.headers().get("x-request-id").and_then(|id| id.to_str().ok());
+        let id = id.unwrap_or_default().to_owned();
+        let _ = read_body(request.into_body()).await;
+        spawn_local(async move { self.call_back(&id).await });
+        let mut response = Response::new(Full::default());
+        *response.status_mut() = StatusCode::ACCEPTED;
+        response
+    }
+
+    async fn call_back(&self, id: &str) {
+        let result = expected_result(u64::from_str_radix(id, 16).unwrap_or_default());
+        let from = format!("w-{}", self.number);
+        let body = json!({"id": id, "from": from, "state": "done", "result": result}).to_string();
+        let url = format!("http://{}/_jobs/news", self.scheduler);
+        let Ok(request) = Request::post(url).body(Full::from(body)) else { return };
+        if let Ok(response) = self.client.request(request).await {
+            let _ = read_body(response.into_body()).await;
+        }
+    }
+}
--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -1,10 +1,10 @@
-//! A scheduler's process that decides by one of the laboratory's policies in place of the module: the
-//! same node, so that in the emulator two policies differ in nothing else.
+//! A scheduler process that dispatches by one of the testbed's policies in place of the scheduler's own:
+//! the same proxy, so that in the emulation two policies differ in nothing else.
 use std::sync::Arc;
 use std::time::Duration;
 
 use copperspread_event_log::writer::Recorder;
-use copperspread_proxy::assembly::assemble;
+use copperspread_proxy::assembly::{AssembledProxy, assemble};
 use copperspread_proxy::clock::Clock;
 use copperspread_proxy::discovery::platform::PlatformDiscovery;
 use copperspread_proxy::discovery::{EndpointPublisher, EndpointSource};
@@ -12,67 +12,82 @@
 use copperspread_proxy::endpoints::EndpointTable;
 use copperspread_proxy::event_recorder::EventRecorder;
 use copperspread_proxy::policy_handle::PolicyHandle;
-use copperspread_settings::{DiscoveryConfig, StartupConfig, platform};
+use copperspread_settings::{DiscoveryConfig, StartupConfig};
+use hyper::http::uri::Authority;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 use tokio::time::sleep;
 
 use crate::model::random::{StreamPurpose, random_stream};
-use crate::policy::PolicyKind;
+use crate::policy::{Policy, PolicyKind};
+use crate::startup::{ServeError, read_config, single_threaded_runtime};
 
-/// When the scheduler that ignores drains stops to listen: it has its first list by then.
+/// When the policy that ignores drains stops to apply endpoint lists: it has its first list by then.
 const DISCOVERY_CUTOFF: Duration = Duration::from_millis(300);
 
-/// A membership that no flow asks.
-fn discarding_publisher(start: &StartupConfig) -> Result<EndpointPublisher, String> {
-    let entries = Arc::new(EndpointTable::new(&start.settings.proxy));
-    let witness = EventRecorder::new(Recorder::disabled(), Arc::clone(&entries), &start.settings.proxy);
-    let chance = random_stream(start.seed, StreamPurpose::Network);
-    let policy = PolicyKind::Random.build(start.settings.dispatch.clone(), start.seed, chance)?;
-    Ok(EndpointPublisher::new(entries, PolicyHandle::new(policy, false, Clock::start(), witness)))
-}
-
 /// Serves by the configuration that `EDGE_CONFIG` names, until SIGTERM.
 ///
 /// # Errors
 /// A configuration that cannot be used, or an address that cannot be listened on.
-pub fn serve_policy(kind: PolicyKind) -> Result<(), String> {
-    let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG names no file".to_owned())?;
-    let content = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-    let start = platform::read_startup_config(&content).map_err(|e| format!("{path}: {e}"))?;
-    let policy = kind.build(
-        start.settings.dispatch.clone(),
-        start.seed,
-        random_stream(start.seed, StreamPurpose::Network),
-    )?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    runtime.block_on(async {
-        let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-        let assembled = assemble(&start, policy, &Recorder::disabled()).await.map_err(|e| e.to_string())?;
-        let DiscoveryConfig::Platform(discovery) = start.discovery.clone() else {
-            return Err("a baseline follows discovery only".to_owned());
-        };
-        let (_moving, address) = watch::channel(discovery);
-        let source = Box::new(PlatformDiscovery {
-            address: address.clone(),
-            cached_revision: assembled.cached_revision,
+pub fn serve_policy(kind: PolicyKind) -> Result<(), ServeError> {
+    let config = read_config()?;
+    let policy = build_policy(kind, &config)?;
+    let runtime = single_threaded_runtime().map_err(ServeError::Runtime)?;
+    runtime.block_on(serve(kind, policy, &config))
+}
+
+fn build_policy(kind: PolicyKind, config: &StartupConfig) -> Result<Box<dyn Policy>, ServeError> {
+    let random = random_stream(config.seed, StreamPurpose::Network);
+    let policy = kind.build(config.settings.dispatch.clone(), config.seed, random);
+    policy.map_err(|error| ServeError::Policy(error.to_string()))
+}
+
+async fn serve(kind: PolicyKind, policy: Box<dyn Policy>, config: &StartupConfig) -> Result<(), ServeError> {
+    let mut terminate = signal(SignalKind::terminate()).map_err(ServeError::Signals)?;
+    let assembled = assemble(config, policy, &Recorder::disabled()).await?;
+    let _address_sender = follow_discovery(kind, config, &assembled)?;
+    // Ends with the runtime, after the connections were drained below.
+    tokio::spawn(Arc::clone(&assembled.connections).accept());
+    terminate.recv().await;
+    let deadlines = assembled.begin_shutdown();
+    assembled.wait_until_drained(deadlines).await;
+    Ok(())
+}
+
+/// Starts the task that polls discovery. It ends with the runtime, or when the address's sender, which
+/// this returns, is dropped.
+fn follow_discovery(
+    kind: PolicyKind,
+    config: &StartupConfig,
+    assembled: &AssembledProxy,
+) -> Result<watch::Sender<Authority>, ServeError> {
+    let DiscoveryConfig::Platform(discovery) = config.discovery.clone() else {
+        return Err(ServeError::StaticEndpoints);
+    };
+    let (address_sender, address) = watch::channel(discovery);
+    let source =
+        Box::new(PlatformDiscovery { address: address.clone(), cached_revision: assembled.cached_revision });
+    let following = tokio::spawn(source.follow(assembled.endpoint_publisher.clone()));
+    if kind == PolicyKind::IgnoresDrains {
+        // The proxy checks an endpoint again before it sends, so only one that no longer applies the list
+        // can break this rule: it is still notified, and discards what it is notified of.
+        let publisher = discarding_publisher(config)?;
+        // Ends with the runtime.
+        tokio::spawn(async move {
+            sleep(DISCOVERY_CUTOFF).await;
+            following.abort();
+            Box::new(PlatformDiscovery { address, cached_revision: None }).follow(publisher).await;
         });
-        let following = tokio::spawn(source.follow(assembled.endpoint_publisher.clone()));
-        if kind == PolicyKind::IgnoresDrains {
-            // The node looks again before it sends, so that only one that is deaf to the list can break
-            // this rule: it goes on being told, and tells it to nobody.
-            let nobody = discarding_publisher(&start)?;
-            tokio::spawn(async move {
-                sleep(DISCOVERY_CUTOFF).await;
-                following.abort();
-                Box::new(PlatformDiscovery { address, cached_revision: None }).follow(nobody).await;
-            });
-        }
-        tokio::spawn(Arc::clone(&assembled.connections).accept());
-        term.recv().await;
-        let ends = assembled.begin_shutdown();
-        assembled.wait_until_drained(ends).await;
-        Ok(())
-    })
+    }
+    Ok(address_sender)
+}
+
+/// A publisher whose endpoint table no request task reads.
+fn discarding_publisher(config: &StartupConfig) -> Result<EndpointPublisher, ServeError> {
+    let proxy = &config.settings.proxy;
+    let endpoints = Arc::new(EndpointTable::new(proxy));
+    let recorder = EventRecorder::new(Recorder::disabled(), Arc::clone(&endpoints), proxy);
+    let policy = build_policy(PolicyKind::Random, config)?;
+    let handle = PolicyHandle::new(policy, false, Clock::start(), recorder);
+    Ok(EndpointPublisher::new(endpoints, handle))
 }
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -1,87 +1,99 @@
-//! Clients: one task a job, over all its tries.
+//! The clients: one task a job, over all its attempts at schedulers.
 use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
 use copperspread_dispatcher::{Micros, RequestId};
-use http_body_util::{BodyExt, Full, Limited};
+use hdrhistogram::Histogram;
+use http_body_util::Full;
+use hyper::header::HeaderMap;
 use hyper::{Request, StatusCode};
 use rand::RngExt;
-use tokio::time::{sleep, timeout_at};
+use tokio::task::JoinSet;
+use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 
-use crate::emulation::environment::{Environment, HttpClient, MAX_BODY_BYTES, expected_result};
-use crate::load::job_request;
-use crate::model::arrivals::Arrival;
-use crate::model::random::RandomStream;
+use crate::emulation::EmulationError;
+use crate::emulation::callbacks::expected_result;
+use crate::emulation::environment::Environment;
+use crate::http_client::{HttpClient, new_http_client, read_body};
+use crate::job_request::JobRequest;
+use crate::model::arrivals::{Arrival, Arrivals};
+use crate::model::random::{RandomStream, StreamPurpose, random_stream};
 use crate::outcome::JobOutcome;
 use crate::rule_checker::{ClientResponse, TIMING_GRACE};
-use crate::scenario::micros_from_seconds;
+use crate::scenario::{JobClass, micros_from_seconds};
 
-/// What a client hears.
+/// How exactly delays in sending are recorded.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Clients that still wait so long after the last deadline are an error.
+const COMPLETION_GRACE: Duration = Duration::from_secs(5);
+
+/// How late this program was itself in sending.
+pub(super) struct SendLag {
+    /// At 99% and at most, in milliseconds.
+    pub(super) quantiles_ms: [f64; 2],
+}
+
+/// Sends all jobs and waits for their ends. The clients' tasks end here, or with this future.
+pub(super) async fn send_jobs(environment: &Rc<Environment>, seed: u64) -> Result<SendLag, EmulationError> {
+    let scenario = &environment.scenario;
+    let client = new_http_client();
+    let mut lag = Histogram::<u64>::new(SIGNIFICANT_DIGITS)?;
+    let mut jobs = JoinSet::new();
+    for (number, arrival) in Arrivals::new(scenario, seed).enumerate() {
+        let send_at = environment.instant_at(arrival.at);
+        sleep_until(send_at).await;
+        lag.saturating_record(send_at.elapsed().as_micros() as u64);
+        let random = random_stream(seed.wrapping_add(number as u64), StreamPurpose::Retries);
+        let job = Job { number: number as u64 + 1, arrival };
+        jobs.spawn_local(run_job(Rc::clone(environment), client.clone(), job, random));
+    }
+    let longest_s = scenario.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
+    let limit = Duration::from_secs_f64(longest_s) + COMPLETION_GRACE;
+    let all_ended = timeout(limit, async { while jobs.join_next().await.is_some() {} });
+    all_ended.await.map_err(|_| EmulationError::UnfinishedJobs)?;
+    Ok(SendLag { quantiles_ms: [0.99, 1.0].map(|quantile| lag.value_at_quantile(quantile) as f64 / 1e3) })
+}
+
+/// A client's job.
+struct Job {
+    number: u64,
+    arrival: Arrival,
+}
+
+/// What a client gets from a scheduler.
 enum SchedulerResponse {
     Served(Bytes),
+    /// With the wait that the scheduler asks for.
     Rejected(Micros),
     Failed,
     ConnectionBroken,
 }
 
-/// The scheduler that clients reach who want one: it, or the next of its zone that is up, or of any.
-fn reachable_scheduler(stage: &Environment, wanted: u32) -> u32 {
-    let (all, zones) = (stage.schedulers.len() as u32, stage.scenario.zones);
-    let after = || (0..all).map(|step| (wanted + step) % all);
-    let up = |at: &u32| stage.schedulers[*at as usize].1.get();
-    let near = after().filter(up).find(|at| at % zones == wanted % zones);
-    near.or_else(|| after().find(up)).unwrap_or(wanted)
+/// A scheduler's response and when its last byte came.
+struct ReceivedResponse {
+    received_at: Micros,
+    response: SchedulerResponse,
 }
 
-/// A client's job, from its first try to its end.
-pub async fn run_job(
-    stage: Rc<Environment>,
-    client: HttpClient,
-    number: u64,
-    of: Arrival,
-    mut chance: RandomStream,
-) {
-    let class = &stage.scenario.classes[of.class as usize];
-    let gives_up = of.at + micros_from_seconds(class.deadline_s);
-    let mut retries = stage.scenario.clients.max_retries;
-    stage.apply(|world| world.add_job(number, of));
-    let end = loop {
-        let scheduler = reachable_scheduler(&stage, of.scheduler);
-        let id = stage.apply(|world| world.register_request(number, scheduler, gives_up));
-        let left = u128::from(gives_up.saturating_sub(stage.now()) / 1_000);
-        let target = stage.schedulers[scheduler as usize].0;
-        let request = job_request(target, &class.name, (id, number), left, &of);
-        let by = stage.instant_at(gives_up + micros_from_seconds(stage.scenario.clients.deadline_grace_s));
-        let said = timeout_at(by, send_request(&client, request)).await;
-        let now = stage.now();
-        let Ok(said) = said else {
-            stage.apply(|world| world.referee.deadline_passed(now, RequestId(id)));
+/// Sends a job until it is served, fails or may not be sent again, and records what became of it.
+async fn run_job(environment: Rc<Environment>, client: HttpClient, job: Job, mut random: RandomStream) {
+    let class = &environment.scenario.classes[job.arrival.class as usize];
+    let deadline = job.arrival.at + micros_from_seconds(class.deadline_s);
+    let mut retries = environment.scenario.clients.max_retries;
+    environment.apply(|state| state.add_job(job.number, job.arrival));
+    let outcome = loop {
+        let received = send_once(&environment, &client, &job, deadline).await;
+        let Some(ReceivedResponse { received_at, response }) = received else {
             break JobOutcome::Unanswered;
         };
-        let heard = match &said {
-            // A result of another request is as forged as one that nobody made.
-            SchedulerResponse::Served(body) if *body == expected_result(id).as_bytes() => {
-                ClientResponse::Served
-            }
-            SchedulerResponse::Served(_) => ClientResponse::Forged,
-            SchedulerResponse::Rejected(_) | SchedulerResponse::Failed => ClientResponse::Unserved,
-            SchedulerResponse::ConnectionBroken => ClientResponse::ConnectionBroken,
-        };
-        stage.apply(|world| world.referee.response_received(now, RequestId(id), heard));
-        match said {
-            SchedulerResponse::Served(_) => {
-                let wanted = micros_from_seconds(class.latency_objective_s + class.latency_stretch * of.work);
-                break if now.saturating_sub(of.at) <= wanted {
-                    JobOutcome::InTime
-                } else {
-                    JobOutcome::Late
-                };
-            }
-            SchedulerResponse::Rejected(after) => {
-                let clients = &stage.scenario.clients;
-                let wait = clients.retry_timing.delay(after, clients.max_retry_after_s, chance.random());
-                if retries == 0 || now + wait + TIMING_GRACE >= gives_up {
+        match response {
+            SchedulerResponse::Served(_) => break served_outcome(class, &job.arrival, received_at),
+            SchedulerResponse::Rejected(retry_after) => {
+                let clients = &environment.scenario.clients;
+                let wait =
+                    clients.retry_timing.delay(retry_after, clients.max_retry_after_s, random.random());
+                if retries == 0 || received_at + wait + TIMING_GRACE >= deadline {
                     break JobOutcome::Rejected;
                 }
                 retries -= 1;
@@ -90,25 +102,87 @@
             SchedulerResponse::Failed | SchedulerResponse::ConnectionBroken => break JobOutcome::Failed,
         }
     };
-    let took = stage.now().saturating_sub(of.at);
-    stage.apply(|world| world.tally.record_job(&of, class, took, end));
+    let latency = environment.now().saturating_sub(job.arrival.at);
+    environment.apply(|state| state.outcomes.record_job(&job.arrival, class, latency, outcome));
+}
+
+fn served_outcome(class: &JobClass, arrival: &Arrival, received_at: Micros) -> JobOutcome {
+    let objective = micros_from_seconds(class.latency_objective_s + class.latency_stretch * arrival.work);
+    let latency = received_at.saturating_sub(arrival.at);
+    if latency <= objective { JobOutcome::InTime } else { JobOutcome::Late }
+}
+
+/// Sends a job to a scheduler once and reports the response to the rule checker; `None` if there was none
+/// in time.
+async fn send_once(
+    environment: &Rc<Environment>,
+    client: &HttpClient,
+    job: &Job,
+    deadline: Micros,
+) -> Option<ReceivedResponse> {
+    let scenario = &environment.scenario;
+    let scheduler = reachable_scheduler(environment, job.arrival.scheduler);
+    let id = environment.apply(|state| state.register_request(job.number, scheduler, deadline));
+    let request = JobRequest {
+        target: environment.schedulers[scheduler as usize].address,
+        class: &scenario.classes[job.arrival.class as usize].name,
+        request_id: id,
+        job_id: job.number,
+        timeout_ms: u128::from(deadline.saturating_sub(environment.now()) / 1_000),
+        arrival: &job.arrival,
+    };
+    let patience = micros_from_seconds(scenario.clients.deadline_grace_s);
+    let patience_ends_at = environment.instant_at(deadline + patience);
+    let response = timeout_at(patience_ends_at, send_request(client, request.build())).await;
+    let received_at = environment.now();
+    let Ok(response) = response else {
+        environment.apply(|state| state.rule_checker.deadline_passed(received_at, RequestId(id)));
+        return None;
+    };
+    let checked = checked_response(&response, id);
+    environment.apply(|state| state.rule_checker.response_received(received_at, RequestId(id), checked));
+    Some(ReceivedResponse { received_at, response })
+}
+
+/// The scheduler that clients of one reach: that one, or the next of its zone that is up, or of any zone.
+fn reachable_scheduler(environment: &Environment, preferred: u32) -> u32 {
+    let (count, zones) = (environment.schedulers.len() as u32, environment.scenario.zones);
+    let from_preferred = || (0..count).map(|step| (preferred + step) % count);
+    let is_up = |scheduler: &u32| environment.schedulers[*scheduler as usize].is_up.get();
+    let in_zone = from_preferred().filter(is_up).find(|scheduler| scheduler % zones == preferred % zones);
+    in_zone.or_else(|| from_preferred().find(is_up)).unwrap_or(preferred)
+}
+
+/// A response as the rule checker counts it.
+fn checked_response(response: &SchedulerResponse, request_id: u64) -> ClientResponse {
+    match response {
+        // A result of another request is as forged as one that no worker made.
+        SchedulerResponse::Served(body) if *body == expected_result(request_id).as_bytes() => {
+            ClientResponse::Served
+        }
+        SchedulerResponse::Served(_) => ClientResponse::Forged,
+        SchedulerResponse::Rejected(_) | SchedulerResponse::Failed => ClientResponse::Unserved,
+        SchedulerResponse::ConnectionBroken => ClientResponse::ConnectionBroken,
+    }
 }
 
 async fn send_request(client: &HttpClient, request: Option<Request<Full<Bytes>>>) -> SchedulerResponse {
     let Some(request) = request else { return SchedulerResponse::Failed };
-    let Ok(answer) = client.request(request).await else { return SchedulerResponse::ConnectionBroken };
-    let (head, body) = answer.into_parts();
-    // The last byte gives the answer's time.
-    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
-        return SchedulerResponse::ConnectionBroken;
-    };
+    let Ok(response) = client.request(request).await else { return SchedulerResponse::ConnectionBroken };
+    let (head, body) = response.into_parts();
+    // The response counts as received with its last byte.
+    let Ok(body) = read_body(body).await else { return SchedulerResponse::ConnectionBroken };
     match head.status {
-        StatusCode::OK => SchedulerResponse::Served(body.to_bytes()),
+        StatusCode::OK => SchedulerResponse::Served(body),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-            let after = head.headers.get("retry-after").and_then(|value| value.to_str().ok());
-            let after = after.and_then(|value| value.parse::<f64>().ok()).filter(|value| value.is_finite());
-            SchedulerResponse::Rejected(micros_from_seconds(after.unwrap_or(0.0)))
+            SchedulerResponse::Rejected(retry_after(&head.headers))
         }
         _ => SchedulerResponse::Failed,
     }
 }
+
+fn retry_after(headers: &HeaderMap) -> Micros {
+    let value = headers.get("retry-after").and_then(|value| value.to_str().ok());
+    let seconds = value.and_then(|value| value.parse::<f64>().ok()).filter(|seconds| seconds.is_finite());
+    micros_from_seconds(seconds.unwrap_or(0.0))
+}
--- a/crates/testbed/src/emulation/endpoint_list.rs
+++ b/crates/testbed/src/emulation/endpoint_list.rs
@@ -1,17 +1,26 @@
-//! The worker list as each scheduler's agent has it.
+//! The endpoint list with its versions, as discovery serves it to each scheduler.
 use copperspread_dispatcher::{Endpoint, EndpointUpdateKind};
 
-/// The list: what all agents have been sent.
+/// An endpoint and the revision of its last change.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct VersionedEndpoint {
+    /// The revision.
+    pub revision: u64,
+    /// The endpoint.
+    pub endpoint: Endpoint,
+}
+
+/// The endpoint list, with what a scheduler needs that has an earlier revision.
 pub struct VersionedEndpointList {
     /// Grows with each change.
     pub revision: u64,
-    /// Each worker with the revision of its last change.
-    pub endpoints: Vec<(u64, Endpoint)>,
-    /// Whoever has an older one gets the whole list.
+    /// Each worker's endpoint, by its number.
+    pub endpoints: Vec<VersionedEndpoint>,
+    /// A scheduler with an earlier revision gets the complete list.
     pub full_list_since: u64,
-    /// The agents stay silent.
+    /// Outages of discovery that have begun and not ended: it does not respond.
     pub outages: u32,
-    /// Workers whose change waits for discovery to be back.
+    /// Workers whose change waits for discovery's recovery.
     pub unannounced_workers: Vec<u32>,
     /// The list as it was when it began to contradict itself.
     pub stale_copy: Option<Vec<Endpoint>>,
@@ -19,11 +28,11 @@
 
 impl VersionedEndpointList {
     /// A first list.
-    pub fn new(entries: Vec<Endpoint>) -> VersionedEndpointList {
-        let entries = entries.into_iter().map(|entry| (1, entry)).collect();
+    pub fn new(endpoints: Vec<Endpoint>) -> VersionedEndpointList {
+        let first = |endpoint| VersionedEndpoint { revision: 1, endpoint };
         VersionedEndpointList {
             revision: 1,
-            endpoints: entries,
+            endpoints: endpoints.into_iter().map(first).collect(),
             full_list_since: 0,
             outages: 0,
             unannounced_workers: Vec::new(),
@@ -31,29 +40,33 @@
         }
     }
 
-    /// Entries change.
-    pub fn update(&mut self, entries: Vec<Endpoint>) {
+    /// Changes some endpoints, in one revision.
+    pub fn update(&mut self, endpoints: Vec<Endpoint>) {
         self.revision += 1;
-        for entry in entries {
-            self.endpoints[entry.worker.0 as usize] = (self.revision, entry);
+        for endpoint in endpoints {
+            let entry = VersionedEndpoint { revision: self.revision, endpoint };
+            self.endpoints[endpoint.worker.0 as usize] = entry;
         }
     }
 
-    /// The whole list is another one, and everyone gets it as such.
-    pub fn replace_all(&mut self, entries: Vec<Endpoint>) {
-        self.update(entries);
+    /// Replaces the list by another one; every scheduler gets it as a complete list.
+    pub fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
+        self.update(endpoints);
         self.full_list_since = self.revision;
     }
 
-    /// What an agent answers whoever has this revision, if it has something newer.
-    pub fn changes_since(&self, from: Option<u64>) -> Option<(EndpointUpdateKind, Vec<Endpoint>)> {
-        match from {
-            Some(from) if from >= self.full_list_since && from <= self.revision => {
-                let newer = self.endpoints.iter().filter(|(revision, _)| *revision > from);
-                let newer: Vec<_> = newer.map(|(_, entry)| *entry).collect();
+    /// What a scheduler with a revision, or with none, has not been sent; `None` if that is nothing.
+    pub fn changes_since(&self, known: Option<u64>) -> Option<(EndpointUpdateKind, Vec<Endpoint>)> {
+        match known {
+            Some(known) if known >= self.full_list_since && known <= self.revision => {
+                let newer = self.endpoints.iter().filter(|entry| entry.revision > known);
+                let newer: Vec<_> = newer.map(|entry| entry.endpoint).collect();
                 (!newer.is_empty()).then_some((EndpointUpdateKind::Changes, newer))
             }
-            _ => Some((EndpointUpdateKind::Full, self.endpoints.iter().map(|(_, entry)| *entry).collect())),
+            _ => {
+                let all = self.endpoints.iter().map(|entry| entry.endpoint).collect();
+                Some((EndpointUpdateKind::Full, all))
+            }
         }
     }
 }
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -1,5 +1,5 @@
-//! What the emulator's tasks share: the world behind a cell, the workers' doors, and what follows from
-//! each change of the world.
+//! What the emulation's tasks share: the state behind a cell, the workers' listeners, the endpoint list,
+//! and what follows from each change of the state.
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -7,128 +7,110 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
-use copperspread_dispatcher::{Endpoint, LoadReport, Micros, WorkerId, WorkerState};
-use http_body_util::{BodyExt, Full, Limited};
+use copperspread_dispatcher::{Endpoint, Micros, WorkerId, WorkerState};
+use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, Response};
-use hyper_util::client::legacy::{Client, connect::HttpConnector};
-use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
-use serde_json::{Value, json};
+use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, watch};
-use tokio::time::{Instant, sleep, timeout};
+use tokio::time::{Instant, sleep};
 
+use crate::emulation::callbacks::deliver_callback;
 use crate::emulation::endpoint_list::VersionedEndpointList;
-use crate::emulation::state::{Callback, CallbackState, EmulationState};
+use crate::emulation::state::EmulationState;
+use crate::http_client::{HttpClient, new_http_client};
 use crate::model::worker::ProcessState;
 use crate::scenario::{Scenario, micros_from_seconds};
 
-/// Longest body that is read.
-pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A worker tries a call-back so often, with this wait between.
-const CALLBACK_ATTEMPTS: u32 = 10;
-const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// A call-back that is not answered by then is tried again.
-const CALLBACK_TIMEOUT: Duration = Duration::from_secs(2);
-
-/// A client of the emulator's own.
-pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
-/// An answer of the emulator's own.
+/// A response of the emulation's own servers.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// What a worker's sockets do.
+/// What a worker's port does with new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerState {
-    /// A process listens; the number tells it from the one before.
+    /// A process accepts them; the number tells it from the process before.
     Accepting(u32),
-    /// Nobody listens.
+    /// No process listens.
     Refusing,
     /// The machine is out of reach.
     Unreachable,
 }
 
-/// A worker as others see it.
+/// A worker as its tasks and connections see it.
 pub struct WorkerListener {
     /// Where it listens while it does.
     pub address: SocketAddr,
-    /// What its sockets do.
+    /// What its port does; the environment sets it.
     pub listener_state: watch::Sender<ListenerState>,
-    /// It is to be looked at.
+    /// Wakes the task that advances the worker's model.
     pub wake: Notify,
-    process: Cell<u32>,
 }
 
 impl WorkerListener {
-    /// At an address.
-    pub fn new(address: SocketAddr, door: ListenerState) -> WorkerListener {
-        WorkerListener {
-            address,
-            listener_state: watch::Sender::new(door),
-            wake: Notify::new(),
-            process: Cell::new(0),
-        }
+    /// A worker at an address.
+    pub fn new(address: SocketAddr, state: ListenerState) -> WorkerListener {
+        WorkerListener { address, listener_state: watch::Sender::new(state), wake: Notify::new() }
     }
 }
 
-/// What the tasks share. One thread: nothing is held over an await.
+/// A scheduler as clients and workers reach it.
+pub struct SchedulerTarget {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Whether its process runs and is not about to end.
+    pub is_up: Cell<bool>,
+}
+
+/// What the tasks of one run share. They run on one thread; nothing is borrowed over an await.
 pub struct Environment {
-    /// What is played.
+    /// The scenario.
     pub scenario: Scenario,
-    /// The world.
+    /// The model's state.
     pub state: RefCell<EmulationState>,
-    /// The workers' doors.
+    /// The workers.
     pub listeners: Vec<WorkerListener>,
-    /// The list.
+    /// The endpoint list that discovery serves.
     pub endpoint_list: RefCell<VersionedEndpointList>,
     list_changed: watch::Sender<u64>,
-    /// Where the schedulers listen, and whether their processes are up.
-    pub schedulers: Vec<(SocketAddr, Cell<bool>)>,
-    /// For call-backs.
-    client: HttpClient,
+    /// The schedulers.
+    pub schedulers: Vec<SchedulerTarget>,
+    /// For callbacks.
+    pub client: HttpClient,
     started_unix_ms: Cell<u64>,
 }
 
-/// A client that resends nothing by itself.
-pub fn new_http_client() -> HttpClient {
-    let mut connector = HttpConnector::new();
-    connector.set_nodelay(true);
-    Client::builder(TokioExecutor::new())
-        .pool_timer(TokioTimer::new())
-        .retry_canceled_requests(false)
-        .build(connector)
-}
-
 impl Environment {
-    /// Round a world.
+    /// Joins a run's parts; all schedulers count as up.
     pub fn new(
-        world: EmulationState,
-        ports: Vec<WorkerListener>,
-        listing: VersionedEndpointList,
+        state: EmulationState,
+        listeners: Vec<WorkerListener>,
+        endpoint_list: VersionedEndpointList,
         schedulers: Vec<SocketAddr>,
     ) -> Environment {
-        let scenario = world.scenario.clone();
+        let target = |address| SchedulerTarget { address, is_up: Cell::new(true) };
         Environment {
-            scenario,
-            state: RefCell::new(world),
-            listeners: ports,
-            endpoint_list: RefCell::new(listing),
+            scenario: state.scenario.clone(),
+            state: RefCell::new(state),
+            listeners,
+            endpoint_list: RefCell::new(endpoint_list),
             list_changed: watch::Sender::new(0),
-            schedulers: schedulers.into_iter().map(|at| (at, Cell::new(true))).collect(),
+            schedulers: schedulers.into_iter().map(target).collect(),
             client: new_http_client(),
             started_unix_ms: Cell::new(0),
         }
     }
 
-    /// The clients begin to come now.
+    /// Starts the run's clock: from now on it counts from 0.
     pub fn start_clock(&self) {
         self.state.borrow_mut().start_clock();
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        self.started_unix_ms.set(since.as_millis() as u64);
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        self.started_unix_ms.set(unix_time.as_millis() as u64);
     }
 
-    /// Microseconds since the clients began.
+    /// Microseconds since the run's clock was started.
     pub fn now(&self) -> Micros {
         self.state.borrow().now()
     }
@@ -138,7 +120,7 @@
         self.state.borrow().instant_at(at)
     }
 
-    /// An instant of the run on the machines' clock.
+    /// An instant of the run in Unix time, in milliseconds.
     pub fn unix_ms_at(&self, at: Micros) -> u64 {
         self.started_unix_ms.get() + at / 1_000
     }
@@ -148,202 +130,140 @@
         self.listeners[worker as usize].address
     }
 
-    /// A worker's kind.
+    /// The name of a worker's kind.
     pub fn worker_kind(&self, worker: u32) -> &str {
         &self.scenario.workers[self.state.borrow().kinds[worker as usize] as usize].kind
     }
 
-    /// Tells when the list changes.
+    /// Wakes the task that advances a worker's model.
+    pub fn wake_worker(&self, worker: u32) {
+        self.listeners[worker as usize].wake.notify_one();
+    }
+
+    /// Changes with each change of the endpoint list.
     pub fn subscribe_to_list(&self) -> watch::Receiver<u64> {
         self.list_changed.subscribe()
     }
 
-    /// A scheduler was told of entries.
-    pub fn record_notification(&self, scheduler: u32, entries: &[Endpoint]) {
-        let mut world = self.state.borrow_mut();
-        let now = world.now();
-        for entry in entries {
-            world.referee.availability_notified(
-                now,
-                scheduler,
-                entry.worker.0,
-                entry.state == WorkerState::Ready,
-            );
+    /// Records that a scheduler was notified of endpoints.
+    pub fn record_notification(&self, scheduler: u32, endpoints: &[Endpoint]) {
+        let mut state = self.state.borrow_mut();
+        let now = state.now();
+        for endpoint in endpoints {
+            let is_ready = endpoint.state == WorkerState::Ready;
+            state.rule_checker.availability_notified(now, scheduler, endpoint.worker.0, is_ready);
         }
     }
 
-    /// A worker's entry as it is now.
+    /// A worker's endpoint as it is now.
     pub fn endpoint(&self, worker: u32) -> Endpoint {
         endpoint_of(&self.state.borrow(), worker)
     }
 
-    /// Every entry as it is now.
+    /// Every worker's endpoint as it is now.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         (0..self.listeners.len() as u32).map(|worker| self.endpoint(worker)).collect()
     }
 
-    /// The list changes.
-    pub fn update_endpoint_list(&self, change: impl FnOnce(&mut VersionedEndpointList)) {
-        change(&mut self.endpoint_list.borrow_mut());
-        self.list_changed.send_modify(|count| *count += 1);
+    /// Changes the endpoint list and wakes the watches on it.
+    pub fn update_endpoint_list(&self, update: impl FnOnce(&mut VersionedEndpointList)) {
+        update(&mut self.endpoint_list.borrow_mut());
+        self.list_changed.send_modify(|changes| *changes += 1);
+    }
+
+    /// How long the endpoint list lags behind the workers.
+    pub fn discovery_delay(&self) -> Duration {
+        Duration::from_micros(micros_from_seconds(self.scenario.discovery.delay_s))
     }
 
-    /// Does something to the world and carries out what follows.
-    pub fn apply<R>(self: &Rc<Self>, deed: impl FnOnce(&mut EmulationState) -> R) -> R {
-        let (result, news, changed) = {
-            let mut world = self.state.borrow_mut();
-            let result = deed(&mut world);
-            (result, std::mem::take(&mut world.callbacks), std::mem::take(&mut world.changed_workers))
+    /// Changes the state and carries out what follows: callbacks, each by a task that ends with it, and
+    /// what the change means for sockets and the endpoint list.
+    pub fn apply<R>(self: &Rc<Self>, change: impl FnOnce(&mut EmulationState) -> R) -> R {
+        let (result, callbacks, changed_workers) = {
+            let mut state = self.state.borrow_mut();
+            let result = change(&mut state);
+            let callbacks = std::mem::take(&mut state.callbacks);
+            (result, callbacks, std::mem::take(&mut state.changed_workers))
         };
-        for one in news {
-            tokio::task::spawn_local(deliver_callback(Rc::clone(self), one));
+        for callback in callbacks {
+            tokio::task::spawn_local(deliver_callback(Rc::clone(self), callback));
         }
-        for worker in changed {
+        for worker in changed_workers {
             self.propagate_worker_change(worker);
         }
         result
     }
 
-    /// A worker's life changed: its sockets follow, and in time the list.
+    /// A worker's process or machine changed: its sockets follow, and in time the endpoint list.
     fn propagate_worker_change(self: &Rc<Self>, worker: u32) {
-        let port = &self.listeners[worker as usize];
-        let (life, refusing, started) = {
-            let world = self.state.borrow();
-            let of = &world.workers[worker as usize].0;
-            (of.process, of.is_refusing, of.started_at)
-        };
-        let door = match life {
-            ProcessState::Up | ProcessState::Draining if refusing => ListenerState::Refusing,
+        let listener_state = self.current_listener_state(worker);
+        let listener = &self.listeners[worker as usize];
+        listener
+            .listener_state
+            .send_if_modified(|known| std::mem::replace(known, listener_state) != listener_state);
+        listener.wake.notify_one();
+        let endpoint = self.endpoint(worker);
+        if self.endpoint_list.borrow().outages > 0 {
+            return self.endpoint_list.borrow_mut().unannounced_workers.push(worker);
+        }
+        // Ends after the list's delay.
+        tokio::task::spawn_local(publish_after_delay(Rc::clone(self), endpoint));
+    }
+
+    fn current_listener_state(&self, worker: u32) -> ListenerState {
+        let state = self.state.borrow();
+        let model = &state.workers[worker as usize].0;
+        match model.process {
+            ProcessState::Up | ProcessState::Draining if model.is_refusing => ListenerState::Refusing,
             ProcessState::Up | ProcessState::Draining => {
                 // Each start is another process.
-                let process = started.map_or(0, |at| (at / 1_000) as u32 + 1);
-                port.process.set(process);
-                ListenerState::Accepting(process)
+                ListenerState::Accepting(model.started_at.map_or(0, |at| (at / 1_000) as u32 + 1))
             }
             ProcessState::Stopped => ListenerState::Refusing,
             ProcessState::Unreachable => ListenerState::Unreachable,
-        };
-        port.listener_state.send_if_modified(|now| std::mem::replace(now, door) != door);
-        port.wake.notify_one();
-        let (entry, stage) = (self.endpoint(worker), Rc::clone(self));
-        if self.endpoint_list.borrow().outages > 0 {
-            return self.endpoint_list.borrow_mut().unannounced_workers.push(worker);
         }
-        tokio::task::spawn_local(async move {
-            sleep(Duration::from_micros(micros_from_seconds(stage.scenario.discovery.delay_s))).await;
-            // An unchanged entry, as of a worker that only refuses, is no news.
-            let same = stage.endpoint_list.borrow().endpoints[worker as usize].1 == entry;
-            if !same {
-                stage.update_endpoint_list(|listing| listing.update(vec![entry]));
-            }
-        });
     }
 }
 
-/// A worker's entry as the world has it.
-pub fn endpoint_of(world: &EmulationState, worker: u32) -> Endpoint {
-    let (of, zone) = &world.workers[worker as usize];
-    let state = match of.process {
+async fn publish_after_delay(environment: Rc<Environment>, endpoint: Endpoint) {
+    sleep(environment.discovery_delay()).await;
+    // An unchanged endpoint, as of a worker that only refuses connections, is no change of the list.
+    let is_unchanged =
+        environment.endpoint_list.borrow().endpoints[endpoint.worker.0 as usize].endpoint == endpoint;
+    if !is_unchanged {
+        environment.update_endpoint_list(|list| list.update(vec![endpoint]));
+    }
+}
+
+/// A worker's endpoint as the state has it.
+pub fn endpoint_of(state: &EmulationState, worker: u32) -> Endpoint {
+    let (model, zone) = &state.workers[worker as usize];
+    let worker_state = match model.process {
         ProcessState::Up => WorkerState::Ready,
         ProcessState::Draining => WorkerState::Draining,
         ProcessState::Stopped | ProcessState::Unreachable => WorkerState::Removed,
     };
-    let kind = world.kinds[worker as usize];
     Endpoint {
         worker: WorkerId(worker),
         zone: *zone,
-        kind,
-        cell: world.cells[worker as usize],
-        state,
-        started_at: of.started_at,
+        kind: state.kinds[worker as usize],
+        cell: state.cells[worker as usize],
+        state: worker_state,
+        started_at: model.started_at,
         hash_key: worker.into(),
         size: None,
     }
 }
 
-/// A load report's figures, by their names.
-fn load_report_fields(report: &LoadReport) -> impl Iterator<Item = (&'static str, f64)> {
-    let all = [
-        ("x0", report.free_slots),
-        ("queue", report.queue),
-        ("util", report.utilization),
-        ("qps", report.qps),
-        ("inflight", report.in_flight),
-    ];
-    all.into_iter().filter_map(|(name, value)| Some((name, value?)))
-}
-
-/// A load report as an object.
-pub fn load_report_json(report: &LoadReport) -> Value {
-    load_report_fields(report).map(|(name, value)| (name.to_owned(), value)).collect()
-}
-
-/// A load report as a header.
-pub fn load_report_header(report: &LoadReport) -> String {
-    let parts = load_report_fields(report).map(|(name, value)| format!("{name}={value:.4}"));
-    format!("TEXT {}", parts.collect::<Vec<_>>().join(", "))
-}
-
-/// The result that a worker makes for a request.
-pub fn expected_result(request: u64) -> String {
-    format!("result of {request:016x}")
-}
-
-async fn deliver_callback(stage: Rc<Environment>, news: Callback) {
-    sleep(Duration::from_micros(news.delay)).await;
-    let mut body = json!({"id": format!("{:016x}", news.request), "from": format!("w-{}", news.worker)});
-    match news.state {
-        CallbackState::Started => body["state"] = "started".into(),
-        CallbackState::Running(share) => {
-            body["state"] = "running".into();
-            body["share"] = share.into();
-        }
-        CallbackState::Done(report) => {
-            body["state"] = "done".into();
-            body["result"] = expected_result(news.request).into();
-            body["load"] = load_report_json(&report);
-        }
-        CallbackState::Returned(report) => {
-            body["state"] = "returned".into();
-            body["load"] = load_report_json(&report);
-        }
-        CallbackState::Lost => body["state"] = "lost".into(),
-        CallbackState::Failed => body["state"] = "failed".into(),
-    }
-    let body = Bytes::from(body.to_string());
-    let (address, up) = &stage.schedulers[news.scheduler as usize];
-    let mut left = 1 + u32::from(news.is_duplicated);
-    for _ in 0..CALLBACK_ATTEMPTS {
-        if !up.get() {
-            return;
-        }
-        let request = Request::post(format!("http://{address}/_jobs/news")).body(Full::new(body.clone()));
-        let Ok(request) = request else { return };
-        let answered = timeout(CALLBACK_TIMEOUT, async {
-            let answer = stage.client.request(request).await.ok()?;
-            // Read to the end, so that the connection can carry the next one.
-            Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await.ok()
-        });
-        if matches!(answered.await, Ok(Some(_))) {
-            left -= 1;
-            if left == 0 {
-                return;
-            }
-        } else {
-            sleep(CALLBACK_RETRY_DELAY).await;
-        }
-    }
-}
-
-/// Serves a connection of the emulator's own that nothing breaks.
-pub async fn serve_connection<F>(stream: TcpStream, answer: impl Fn(Request<Incoming>) -> F)
+/// Serves a connection of the emulation's own that nothing breaks, until it ends.
+pub async fn serve_connection<F>(stream: TcpStream, respond: impl Fn(Request<Incoming>) -> F)
 where
     F: Future<Output = HttpResponse>,
 {
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| {
-        let answer = answer(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = respond(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
--- /dev/null
+++ b/crates/testbed/src/emulation/faults.rs
@@ -0,0 +1,117 @@
+//! Plays a scenario's faults at their instants.
+use std::rc::Rc;
+
+use tokio::task::spawn_local;
+use tokio::time::{sleep, sleep_until};
+
+use crate::emulation::EmulationError;
+use crate::emulation::discovery_server::CONTRADICTION_INTERVAL;
+use crate::emulation::environment::Environment;
+use crate::emulation::scheduler_process::SchedulerProcess;
+use crate::model::fleet::FaultTransition;
+use crate::scenario::FaultKind;
+
+/// Plays the faults; returns only when one of them cannot be played.
+pub(super) async fn play_faults(
+    environment: &Rc<Environment>,
+    transitions: &[FaultTransition],
+    processes: &mut [SchedulerProcess],
+) -> EmulationError {
+    let mut transitions = transitions.to_vec();
+    transitions.sort_by_key(|transition| transition.at);
+    for transition in transitions {
+        sleep_until(environment.instant_at(transition.at)).await;
+        if let Err(error) = play_transition(environment, transition, processes).await {
+            return error;
+        }
+    }
+    std::future::pending().await
+}
+
+async fn play_transition(
+    environment: &Rc<Environment>,
+    transition: FaultTransition,
+    processes: &mut [SchedulerProcess],
+) -> Result<(), EmulationError> {
+    let fault = environment.scenario.faults[transition.fault].kind;
+    match (fault, transition.target) {
+        (FaultKind::SchedulerCrash | FaultKind::SchedulerRestart, Some(scheduler)) => {
+            let process = processes.get_mut(scheduler as usize).ok_or(EmulationError::ExternalScheduler)?;
+            if transition.is_start {
+                stop_scheduler(environment, scheduler, process, fault).await;
+            } else {
+                restart_scheduler(environment, scheduler, process).await?;
+            }
+        }
+        (FaultKind::DiscoveryDown, _) if transition.is_start => {
+            environment.update_endpoint_list(|list| list.outages += 1);
+        }
+        (FaultKind::DiscoveryDown, _) => {
+            // Ends after the list's delay.
+            spawn_local(end_discovery_outage(Rc::clone(environment)));
+        }
+        (FaultKind::DiscoveryContradicts, _) => {
+            let stale_copy = transition.is_start.then(|| environment.endpoints());
+            environment.update_endpoint_list(|list| list.stale_copy = stale_copy);
+            if transition.is_start {
+                // Ends soon after the fault.
+                spawn_local(alternate_lists(Rc::clone(environment)));
+            }
+        }
+        _ => environment.apply(|state| state.apply_fault(transition)),
+    }
+    Ok(())
+}
+
+/// Clients and workers turn away from a scheduler before its process ends.
+async fn stop_scheduler(
+    environment: &Environment,
+    scheduler: u32,
+    process: &mut SchedulerProcess,
+    fault: FaultKind,
+) {
+    environment.schedulers[scheduler as usize].is_up.set(false);
+    match fault {
+        FaultKind::SchedulerRestart => process.terminate(),
+        _ => process.kill().await,
+    }
+}
+
+async fn restart_scheduler(
+    environment: &Environment,
+    scheduler: u32,
+    process: &mut SchedulerProcess,
+) -> Result<(), EmulationError> {
+    process.stop().await?;
+    process.start().await?;
+    environment.schedulers[scheduler as usize].is_up.set(true);
+    Ok(())
+}
+
+async fn end_discovery_outage(environment: Rc<Environment>) {
+    sleep(environment.discovery_delay()).await;
+    // Only now: what changed during the delay waits there as well.
+    let workers = std::mem::take(&mut environment.endpoint_list.borrow_mut().unannounced_workers);
+    let endpoints: Vec<_> = workers.into_iter().map(|worker| environment.endpoint(worker)).collect();
+    environment.update_endpoint_list(|list| {
+        list.outages -= 1;
+        list.update(endpoints);
+    });
+}
+
+/// Serves the stale and the current list in turn until the fault is over.
+async fn alternate_lists(environment: Rc<Environment>) {
+    sleep(environment.discovery_delay()).await;
+    let mut is_stale_next = true;
+    loop {
+        let current = environment.endpoints();
+        let stale = environment.endpoint_list.borrow().stale_copy.clone();
+        let Some(stale) = stale else {
+            return environment.update_endpoint_list(|list| list.replace_all(current));
+        };
+        let next = if is_stale_next { stale } else { current };
+        environment.update_endpoint_list(|list| list.replace_all(next));
+        is_stale_next = !is_stale_next;
+        sleep(CONTRADICTION_INTERVAL).await;
+    }
+}
--- a/crates/testbed/src/emulation/faulty_socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -1,4 +1,4 @@
-//! A connection that breaks on purpose in the middle of what it says.
+//! A connection that breaks on purpose in the middle of a response.
 use std::cell::Cell;
 use std::io;
 use std::pin::Pin;
@@ -8,36 +8,37 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What becomes of the next answer.
+/// What happens to the next response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFault {
     /// It is written.
     None,
     /// Nothing of it is written, and the connection is reset.
     Reset,
-    /// So many bytes are written, then the connection is reset.
+    /// Only so many bytes are written, then the connection is reset.
     Truncate(usize),
-    /// Something that is no HTTP takes its place, then the connection ends.
+    /// Bytes that are no HTTP take its place, then the connection ends.
     Garbage,
 }
 
-/// Sent in place of an answer.
+/// Sent in place of a response.
 const GARBAGE: &[u8] = b"\x16\x03\x01 202 ACCEPTED maybe\r\n\r\n";
 
-/// A worker's side of a connection.
+/// A worker's side of a connection. The fault is shared with the connection's request handler, which sets
+/// it before the response is written.
 pub struct FaultySocket {
     stream: TcpStream,
-    plan: Rc<Cell<ResponseFault>>,
+    fault: Rc<Cell<ResponseFault>>,
 }
 
 impl FaultySocket {
-    /// Over a connection; what `plan` holds when an answer is written becomes of that answer.
-    pub fn new(stream: TcpStream, plan: Rc<Cell<ResponseFault>>) -> FaultySocket {
-        FaultySocket { stream, plan }
+    /// Wraps a connection; the response that is written next meets what `fault` holds then.
+    pub fn new(stream: TcpStream, fault: Rc<Cell<ResponseFault>>) -> FaultySocket {
+        FaultySocket { stream, fault }
     }
 }
 
-/// Ends a connection by a reset.
+/// Makes the connection end by a reset when it is dropped.
 pub fn reset_connection(stream: &TcpStream) {
     // Where that fails, it ends in the usual way.
     let _ = stream.set_zero_linger();
@@ -45,7 +46,7 @@
 
 impl Drop for FaultySocket {
     fn drop(&mut self) {
-        if self.plan.get() == ResponseFault::Reset {
+        if self.fault.get() == ResponseFault::Reset {
             reset_connection(&self.stream);
         }
     }
@@ -54,43 +55,47 @@
 impl AsyncRead for FaultySocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        to: &mut ReadBuf<'_>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_read(cx, to)
+        Pin::new(&mut self.stream).poll_read(context, buffer)
     }
 }
 
 impl AsyncWrite for FaultySocket {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let broken = || Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
-        match self.plan.get() {
-            ResponseFault::None => Pin::new(&mut self.stream).poll_write(cx, from),
+        match self.fault.get() {
+            ResponseFault::None => Pin::new(&mut self.stream).poll_write(context, bytes),
             ResponseFault::Reset => broken(),
-            ResponseFault::Truncate(bytes) => {
-                let part = &from[..bytes.min(from.len())];
-                let polled = Pin::new(&mut self.stream).poll_write(cx, part);
-                if polled.is_ready() {
-                    self.plan.set(ResponseFault::Reset);
+            ResponseFault::Truncate(length) => {
+                let part = &bytes[..length.min(bytes.len())];
+                let written = Pin::new(&mut self.stream).poll_write(context, part);
+                if written.is_ready() {
+                    self.fault.set(ResponseFault::Reset);
                 }
-                polled
+                written
             }
             ResponseFault::Garbage => {
-                let polled = Pin::new(&mut self.stream).poll_write(cx, GARBAGE);
+                let written = Pin::new(&mut self.stream).poll_write(context, GARBAGE);
                 // Its reader is to see it, so that the end is not a reset.
-                if polled.is_ready() { broken() } else { Poll::Pending }
+                if written.is_ready() { broken() } else { Poll::Pending }
             }
         }
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_flush(cx)
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(context)
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.plan.get() == ResponseFault::Reset {
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        if self.fault.get() == ResponseFault::Reset {
             return Poll::Ready(Ok(()));
         }
-        Pin::new(&mut self.stream).poll_shutdown(cx)
+        Pin::new(&mut self.stream).poll_shutdown(context)
     }
 }
--- /dev/null
+++ b/crates/testbed/src/emulation/messages.rs
@@ -0,0 +1,73 @@
+//! What workers say to schedulers: responses to attempts and load queries, and callbacks.
+use copperspread_dispatcher::{LoadReport, Micros};
+use tokio::sync::oneshot;
+
+/// A callback on an attempt, to be delivered.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Callback {
+    /// The request.
+    pub request: u64,
+    /// The worker that calls back.
+    pub worker: u32,
+    /// The scheduler that is called.
+    pub scheduler: u32,
+    /// What it reports.
+    pub state: CallbackState,
+    /// How long it takes: the network's delay and a fault's.
+    pub delay: Micros,
+    /// Whether it is sent twice.
+    pub is_duplicated: bool,
+}
+
+/// What a callback reports of its attempt.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum CallbackState {
+    /// The job began to run.
+    Started,
+    /// This share of it is done.
+    Running(f64),
+    /// It is done.
+    Done(LoadReport),
+    /// It was lost with the process.
+    Lost,
+    /// It is returned without having started.
+    Returned(LoadReport),
+    /// It failed; so does a duplicate whose first attempt came to nothing.
+    Failed,
+}
+
+/// A worker's response to an attempt.
+#[derive(Clone, Debug, PartialEq)]
+pub enum AttemptResponse {
+    /// 202.
+    Accepted,
+    /// 202, of which half is written before the connection is reset.
+    AcceptedThenReset,
+    /// 503, with the header that promises that the job never runs here.
+    Rejected(LoadReport),
+    /// 400: no client sent this request.
+    UnknownRequest,
+    /// The connection is reset.
+    Reset,
+    /// Bytes that are no HTTP.
+    Garbage,
+}
+
+/// A worker's response to a load query.
+#[derive(Debug)]
+pub enum LoadQueryResponse {
+    /// 200 with its load, after so long.
+    AfterDelay(Micros),
+    /// It waits in the queue; the channel ends without a message when it was lost there.
+    Queued(oneshot::Receiver<()>),
+    /// 503.
+    Unavailable,
+    /// 404: workers have no load queries here.
+    NotFound,
+    /// 500.
+    Failed,
+    /// The connection is reset.
+    Reset,
+    /// Bytes that are no HTTP.
+    Garbage,
+}
--- /dev/null
+++ b/crates/testbed/src/emulation/run.rs
@@ -0,0 +1,207 @@
+//! One run: its sockets, tasks and processes, and its outcome.
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use copperspread_dispatcher::{Endpoint, EndpointUpdateKind, SECOND, WorkerState};
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep};
+
+use crate::emulation::clients::{SendLag, send_jobs};
+use crate::emulation::discovery_server::{endpoint_list_json, serve_discovery};
+use crate::emulation::endpoint_list::VersionedEndpointList;
+use crate::emulation::environment::{Environment, ListenerState, WorkerListener, endpoint_of};
+use crate::emulation::faults::play_faults;
+use crate::emulation::scheduler_config::SchedulerConfig;
+use crate::emulation::scheduler_process::{SchedulerProcess, SchedulerProgram, cpu_time, reserve_address};
+use crate::emulation::state::EmulationState;
+use crate::emulation::{EmulationError, SchedulerInstances, workers};
+use crate::model::fleet::Fleet;
+use crate::outcome::{MachineUsage, RunOutcome, RunRecord};
+use crate::rule_checker::RuleChecker;
+use crate::scenario::Scenario;
+
+/// Time between the schedulers' readiness and the first client.
+const SETTLE_TIME: Duration = Duration::from_millis(200);
+/// The shortest run that processor time is divided by, in seconds.
+const MIN_RUN_S: f64 = 1.0 / SECOND as f64;
+
+/// What the schedulers' processes and this program used.
+struct Measurements {
+    send_lag: SendLag,
+    scheduler_cpu: Duration,
+    duration: Duration,
+}
+
+/// Runs a scenario to its end.
+pub(super) async fn run(
+    scenario: &Scenario,
+    schedulers: &SchedulerInstances,
+    policy_name: &str,
+    seed: u64,
+) -> Result<RunOutcome, EmulationError> {
+    let fleet = Fleet::generate(scenario, seed);
+    let (missing_workers, transitions) = (fleet.missing_workers.clone(), fleet.fault_transitions.clone());
+    let (listeners, sockets) = bind_workers(&fleet)?;
+    let state = EmulationState::new(scenario, fleet, seed);
+    let endpoints: Vec<_> = (0..listeners.len() as u32).map(|worker| endpoint_of(&state, worker)).collect();
+    let cached_endpoints = cached_endpoints(&endpoints, &missing_workers);
+    let (addresses, _reserved) = scheduler_addresses(schedulers, scenario.schedulers)?;
+    let list = VersionedEndpointList::new(endpoints);
+    let environment = Rc::new(Environment::new(state, listeners, list, addresses));
+    spawn_workers(&environment, sockets);
+    let folder = tempfile::tempdir().map_err(EmulationError::resource("a folder for configurations"))?;
+    environment.start_clock();
+    let mut processes = match schedulers {
+        SchedulerInstances::Spawned(program) => {
+            prepare_processes(&environment, program, folder.path(), seed, &cached_endpoints).await?
+        }
+        SchedulerInstances::External(_) => Vec::new(),
+    };
+    for process in &mut processes {
+        process.start().await?;
+    }
+    sleep(SETTLE_TIME).await;
+    // The run's time begins here: what schedulers were notified of before counts as known at its start.
+    environment.start_clock();
+    let started_at = Instant::now();
+    let send_lag = tokio::select! {
+        send_lag = send_jobs(&environment, seed) => send_lag,
+        error = play_faults(&environment, &transitions, &mut processes) => return Err(error),
+    };
+    let duration = started_at.elapsed();
+    let scheduler_cpu = stop_processes(&mut processes).await?;
+    let measurements = Measurements { send_lag: send_lag?, scheduler_cpu, duration };
+    Ok(outcome(&environment, policy_name, seed, &measurements))
+}
+
+/// Binds each worker's port, which stays bound for the whole run.
+fn bind_workers(fleet: &Fleet) -> Result<(Vec<WorkerListener>, Vec<TcpSocket>), EmulationError> {
+    let (mut listeners, mut sockets) = (Vec::new(), Vec::new());
+    for (worker, _) in &fleet.workers {
+        let (socket, address) = reserve_address().map_err(EmulationError::resource("a worker's port"))?;
+        let state = if worker.accepts_jobs() { ListenerState::Accepting(0) } else { ListenerState::Refusing };
+        listeners.push(WorkerListener::new(address, state));
+        sockets.push(socket);
+    }
+    Ok((listeners, sockets))
+}
+
+/// The endpoint list that schedulers remember: it still has workers that are gone.
+fn cached_endpoints(endpoints: &[Endpoint], missing_workers: &[u32]) -> Vec<Endpoint> {
+    let mut cached = endpoints.to_vec();
+    for &worker in missing_workers {
+        cached[worker as usize].state = WorkerState::Ready;
+    }
+    cached
+}
+
+/// The schedulers' addresses, with the sockets that reserve those of schedulers that are still to start.
+fn scheduler_addresses(
+    schedulers: &SchedulerInstances,
+    count: u32,
+) -> Result<(Vec<SocketAddr>, Vec<TcpSocket>), EmulationError> {
+    let (mut addresses, mut reserved) = (Vec::new(), Vec::new());
+    for number in 0..count as usize {
+        addresses.push(match schedulers {
+            SchedulerInstances::Spawned(_) => {
+                let (socket, address) =
+                    reserve_address().map_err(EmulationError::resource("a scheduler's port"))?;
+                reserved.push(socket);
+                address
+            }
+            SchedulerInstances::External(running) => {
+                *running.get(number % running.len().max(1)).ok_or(EmulationError::NoScheduler)?
+            }
+        });
+    }
+    Ok((addresses, reserved))
+}
+
+/// Starts the workers' tasks, which end with the run's set of tasks.
+fn spawn_workers(environment: &Rc<Environment>, sockets: Vec<TcpSocket>) {
+    for (worker, socket) in (0..).zip(sockets) {
+        spawn_local(workers::run_listener(Rc::clone(environment), worker, Some(socket)));
+        spawn_local(workers::drive_worker(Rc::clone(environment), worker));
+        spawn_local(workers::report_progress(Rc::clone(environment), worker));
+        spawn_local(workers::refresh_load_reports(Rc::clone(environment), worker));
+    }
+}
+
+/// Starts each scheduler's discovery, which ends with the run's set of tasks, and writes its configuration.
+async fn prepare_processes(
+    environment: &Rc<Environment>,
+    program: &SchedulerProgram,
+    folder: &std::path::Path,
+    seed: u64,
+    cached_endpoints: &[Endpoint],
+) -> Result<Vec<SchedulerProcess>, EmulationError> {
+    let scenario = &environment.scenario;
+    let mut processes = Vec::new();
+    for (number, scheduler) in (0..).zip(&environment.schedulers) {
+        let listener = TcpListener::bind("127.0.0.1:0").await;
+        let listener = listener.map_err(EmulationError::resource("a list's port"))?;
+        let discovery = listener.local_addr().map_err(EmulationError::resource("a list's port"))?;
+        spawn_local(serve_discovery(Rc::clone(environment), number, listener));
+        let cached_list = (scenario.discovery.first_list_after_s > 0.0)
+            .then(|| endpoint_list_json(environment, EndpointUpdateKind::Cached, 0, cached_endpoints));
+        let config = SchedulerConfig {
+            scenario,
+            scheduler: number,
+            seed,
+            listen: scheduler.address,
+            discovery,
+            cached_list: cached_list.as_ref(),
+        };
+        let config = config.to_platform_json();
+        processes.push(SchedulerProcess::new(program, folder, number, scheduler.address, &config)?);
+    }
+    Ok(processes)
+}
+
+/// Ends the schedulers. Returns the processor time that they used.
+async fn stop_processes(processes: &mut [SchedulerProcess]) -> Result<Duration, EmulationError> {
+    let mut cpu = Duration::ZERO;
+    for process in processes.iter_mut() {
+        process.check_running()?;
+        cpu += process.pid().and_then(cpu_time).unwrap_or_default();
+    }
+    for process in processes {
+        process.stop().await?;
+    }
+    Ok(cpu)
+}
+
+fn outcome(
+    environment: &Environment,
+    policy_name: &str,
+    seed: u64,
+    measurements: &Measurements,
+) -> RunOutcome {
+    let mut state = environment.state.borrow_mut();
+    let rule_checker = std::mem::replace(&mut state.rule_checker, RuleChecker::new(None));
+    let jobs = state.outcomes.job_count();
+    let Measurements { send_lag, scheduler_cpu, duration } = measurements;
+    RunRecord {
+        scenario: &environment.scenario,
+        policy: policy_name.to_owned(),
+        seed,
+        events: 0,
+        counter: &state.outcomes,
+        workers: &state.workers,
+        kinds: &state.kinds,
+        attempts: state.attempts_sent,
+        cross_zone_attempts: state.cross_zone_attempts,
+        load_queries: state.load_query_count,
+        overloads: state.overload_count,
+        job_microseconds: state.in_flight_job_micros(),
+        violations: rule_checker.into_violations(),
+        machine_usage: Some(MachineUsage {
+            send_lag_ms: send_lag.quantiles_ms,
+            cpu_us_per_job: scheduler_cpu.as_micros() as f64 / jobs.max(1) as f64,
+            cores: scheduler_cpu.as_secs_f64() / duration.as_secs_f64().max(MIN_RUN_S),
+        }),
+    }
+    .into_outcome()
+}
--- /dev/null
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -0,0 +1,145 @@
+//! A scheduler's configuration in the platform's form, from a scenario.
+use std::net::SocketAddr;
+
+use serde_json::{Value, json};
+
+use crate::scenario::{CONNECT_TIMEOUT, DeduplicationScope, JobClass, LoadQuery, RepeatPolicy, Scenario};
+
+/// The resources that the platform grants one scheduler.
+const CORES: f64 = 1.0;
+const MEMORY_MB: u32 = 192;
+const SOCKETS: u32 = 1024;
+/// How long an idle connection is kept, in seconds.
+const KEEPALIVE_S: f64 = 5.0;
+/// Sets the schedulers' seeds apart.
+const SEED_STRIDE: u64 = 7919;
+/// The shortest overload window that the platform accepts, in seconds.
+const MIN_OVERLOAD_WINDOW_S: f64 = 0.001;
+
+/// What the configuration of one scheduler is made from.
+#[derive(Clone, Copy, Debug)]
+pub struct SchedulerConfig<'a> {
+    /// The scenario.
+    pub scenario: &'a Scenario,
+    /// The scheduler's number.
+    pub scheduler: u32,
+    /// The run's seed.
+    pub seed: u64,
+    /// Where the scheduler listens.
+    pub listen: SocketAddr,
+    /// Where it polls discovery.
+    pub discovery: SocketAddr,
+    /// The endpoint list that it remembers from before a restart, in discovery's form.
+    pub cached_list: Option<&'a Value>,
+}
+
+impl SchedulerConfig<'_> {
+    /// The configuration as the platform writes it.
+    pub fn to_platform_json(&self) -> Value {
+        let seed = self.seed.wrapping_add(u64::from(self.scheduler) * SEED_STRIDE);
+        let mut config = json!({
+            "name": format!("scheduler-{}", self.scheduler),
+            "listen": self.listen.to_string(),
+            "discovery": self.discovery.to_string(),
+            "limits": {"cores": CORES, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
+            "seed": format!("{seed:016x}"),
+            "settings": self.settings(),
+        });
+        if let Some(list) = self.cached_list {
+            config["known"] = list.clone();
+        }
+        config
+    }
+
+    fn settings(&self) -> Value {
+        let Scenario { classes, workers, discovery, .. } = self.scenario;
+        let zones: Vec<String> = (0..self.scenario.zones).map(zone_name).collect();
+        let kinds: Vec<&str> = workers.iter().map(|group| &*group.kind).collect();
+        let stretches: Vec<f64> = classes.iter().map(|class| class.latency_stretch).collect();
+        let mut settings = json!({
+            "fleet_size": self.scenario.schedulers,
+            "me": self.scheduler,
+            "zone": self.scheduler % self.scenario.zones,
+            "zones": zones,
+            "kinds": kinds,
+            "classes": classes.iter().map(class_settings).collect::<Vec<_>>(),
+            "discovery": if discovery.polled { "on_request" } else { "pushed" },
+            "worth_by": "work",
+            "weights": if discovery.size_interval_s > 0.0 { "live" } else { "silent" },
+            "family_info": {"class_stretch": stretches, "tells_start": true},
+            "permissions": self.permissions(),
+            "penalties": {"cross_zone": self.scenario.tuning.cross_zone_cost},
+            "safety": self.slow_start_limits(),
+        });
+        if let Some(query) = self.scenario.load_reports.load_query {
+            self.add_load_queries(&mut settings, &query);
+        }
+        settings
+    }
+
+    fn permissions(&self) -> Value {
+        let tuning = &self.scenario.tuning;
+        json!({
+            "send_cap": tuning.max_attempts,
+            "second_copies": tuning.hedging_allowed,
+            "may_cancel": tuning.cancellation_allowed,
+            "connect_timeout_s": CONNECT_TIMEOUT as f64 / 1e6,
+            "keepalive_s": KEEPALIVE_S,
+            "retry_after": true,
+            "max_retry_after_s": self.scenario.clients.max_retry_after_s,
+        })
+    }
+
+    fn slow_start_limits(&self) -> Value {
+        let slow_start = &self.scenario.slow_start;
+        json!({
+            "cold_from": slow_start.initial_capacity,
+            "cold_s": slow_start.duration_s,
+            "fall_multiple": slow_start.overload_multiple,
+            "fall_s": slow_start.overload_window_s.max(MIN_OVERLOAD_WINDOW_S),
+        })
+    }
+
+    fn add_load_queries(&self, settings: &mut Value, query: &LoadQuery) {
+        let reports = &self.scenario.load_reports;
+        settings["permissions"]["probes"] = true.into();
+        settings["penalties"]["probe"] = query.cost.into();
+        settings["load_info"] = json!({
+            "how": "pull",
+            "fields": ["qps", "inflight", "x0"],
+            "period_s": reports.refresh_interval_s,
+            "delay_s": query.staleness_s,
+            "noise": reports.noise_slots,
+        });
+    }
+}
+
+fn class_settings(class: &JobClass) -> Value {
+    let semantics = match class.repeat {
+        RepeatPolicy::Safe => "pure",
+        RepeatPolicy::Keyed => "token",
+        RepeatPolicy::Never => "side_effect",
+    };
+    let mut settings = json!({
+        "name": class.name,
+        "aim_s": class.latency_objective_s,
+        "deadline_s": class.deadline_s,
+        "importance": class.priority_weight,
+        "semantics": semantics,
+    });
+    if class.repeat == RepeatPolicy::Keyed {
+        let scope = match class.deduplication_scope {
+            DeduplicationScope::All => "all",
+            DeduplicationScope::Zone => "zone",
+            DeduplicationScope::Cell => "cell",
+        };
+        settings["key_scope"] = scope.into();
+        settings["window_s"] = class.deduplication_window_s.into();
+    }
+    settings
+}
+
+/// A zone's name on the platform.
+pub fn zone_name(number: u32) -> String {
+    format!("zone-{number}")
+}
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -1,7 +1,9 @@
-//! The schedulers' processes: their configuration in the platform's form, their start and their end.
+//! The schedulers' processes: their start, their end, and what they used of the machine.
+use std::fs::File;
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::Stdio;
+use std::process::{ExitStatus, Stdio};
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -10,22 +12,84 @@
 use hyper_util::client::legacy::{Client, connect::HttpConnector};
 use hyper_util::rt::TokioExecutor;
 use rustix::process::{Pid, Signal, kill_process};
-use serde_json::{Value, json};
+use serde_json::Value;
 use tokio::net::TcpSocket;
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::policy::PolicyKind;
-use crate::scenario::{CONNECT_TIMEOUT, DeduplicationScope, RepeatPolicy, Scenario};
+use crate::startup::CONFIG_VARIABLE;
 
-/// A program that does not say that it is ready by then is given up.
+/// How long a program may take until it reports that it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often it is asked.
+/// How often it is polled for that.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// A program that has not ended so long after SIGTERM is killed, past the longest deadline.
+/// How long a program may take to end after SIGTERM before it is killed: past the longest deadline.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
+/// The scheduler's own program, beside this one.
+const SCHEDULER_PROGRAM: &str = "copperspread-scheduler";
 
-/// What is started for each scheduler: the program with its arguments. It finds its configuration by
+/// Why a scheduler's process cannot run or does not run as it must.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum ProcessError {
+    /// This program's own file cannot be found.
+    #[error("this program's own file: {0}")]
+    OwnFile(#[source] io::Error),
+    /// The scheduler's program is not beside this one.
+    #[error(
+        "{} is not there: build it with `cargo build --release -p copperspread-scheduler`, or name one with --program",
+        .0.display()
+    )]
+    NoSchedulerProgram(PathBuf),
+    /// A configuration or log file cannot be written, or the program cannot be started or waited for.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+    /// The address makes no valid request.
+    #[error(transparent)]
+    Request(#[from] hyper::http::Error),
+    /// The program ended before it was ready.
+    #[error("{}: ended with {status}; it said: {last_log_line}", program.display())]
+    EndedAtStart {
+        /// The program.
+        program: PathBuf,
+        /// How it ended.
+        status: ExitStatus,
+        /// The last line of its log.
+        last_log_line: String,
+    },
+    /// The program was not ready within the time-out.
+    #[error("{}: was not ready in 10 s", .0.display())]
+    NotReady(PathBuf),
+    /// The program's state cannot be read.
+    #[error(transparent)]
+    Wait(io::Error),
+    /// The program ended without having been told to, or with an error.
+    #[error("a scheduler ended by itself with {status}; it said: {last_log_line}")]
+    Ended {
+        /// How it ended.
+        status: ExitStatus,
+        /// The last line of its log.
+        last_log_line: String,
+    },
+    /// The program did not end on SIGTERM.
+    #[error("a scheduler did not end on SIGTERM and was killed")]
+    Killed,
+}
+
+/// The testbed's program keeps errors as text.
+impl From<ProcessError> for String {
+    fn from(error: ProcessError) -> String {
+        error.to_string()
+    }
+}
+
+/// What is started for each scheduler: a program with its arguments. It finds its configuration by
 /// `EDGE_CONFIG`, as on the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerProgram {
@@ -36,109 +100,39 @@
 }
 
 impl SchedulerProgram {
-    /// What plays a policy: for the module the scheduler's own program, which lies beside this one; else
-    /// this one's node with the policy in it.
+    /// The program that dispatches by a policy: for the scheduler's own policy its own program, which lies
+    /// beside this one; else this program, as a node with the policy.
     ///
     /// # Errors
     /// A program that is not there.
-    pub fn for_policy(policy: PolicyKind) -> Result<SchedulerProgram, String> {
-        let own = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
+    pub fn for_policy(policy: PolicyKind) -> Result<SchedulerProgram, ProcessError> {
+        let own_file = std::env::current_exe().map_err(ProcessError::OwnFile)?;
         if policy != PolicyKind::Copperspread {
             let arguments = ["node", "--policy", &policy.name()].map(str::to_owned).to_vec();
-            return Ok(SchedulerProgram { file: own, arguments });
+            return Ok(SchedulerProgram { file: own_file, arguments });
         }
-        let file = own.with_file_name("copperspread-scheduler");
+        let file = own_file.with_file_name(SCHEDULER_PROGRAM);
         if !file.exists() {
-            return Err(format!(
-                "{} is not there: build it with `cargo build --release -p copperspread-scheduler`, or name one with --program",
-                file.display()
-            ));
+            return Err(ProcessError::NoSchedulerProgram(file));
         }
         Ok(SchedulerProgram { file, arguments: vec!["serve".into()] })
     }
 }
 
-/// A scheduler's configuration, as the platform lays it down.
-pub fn scheduler_config(
-    scenario: &Scenario,
-    scheduler: u32,
-    seed: u64,
-    listen: SocketAddr,
-    discovery: SocketAddr,
-    known: Option<&Value>,
-) -> Value {
-    let classes: Vec<Value> = scenario
-        .classes
-        .iter()
-        .map(|class| {
-            let mut of = json!({
-                "name": class.name, "aim_s": class.latency_objective_s, "deadline_s": class.deadline_s, "importance": class.priority_weight,
-                "semantics": match class.repeat {
-                    RepeatPolicy::Safe => "pure",
-                    RepeatPolicy::Keyed => "token",
-                    RepeatPolicy::Never => "side_effect",
-                },
-            });
-            if class.repeat == RepeatPolicy::Keyed {
-                of["key_scope"] = match class.deduplication_scope {
-                    DeduplicationScope::All => "all",
-                    DeduplicationScope::Zone => "zone",
-                    DeduplicationScope::Cell => "cell",
-                }
-                .into();
-                of["window_s"] = class.deduplication_window_s.into();
-            }
-            of
-        })
-        .collect();
-    let stretches: Vec<f64> = scenario.classes.iter().map(|class| class.latency_stretch).collect();
-    let zones: Vec<String> = (0..scenario.zones).map(zone_name).collect();
-    let kinds: Vec<&str> = scenario.workers.iter().map(|group| &*group.kind).collect();
-    let (cold, tuning) = (&scenario.slow_start, &scenario.tuning);
-    let mut config = json!({
-        "name": format!("scheduler-{scheduler}"),
-        "listen": listen.to_string(),
-        "discovery": discovery.to_string(),
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "seed": format!("{:016x}", seed.wrapping_add(u64::from(scheduler) * 7919)),
-        "settings": {
-            "fleet_size": scenario.schedulers, "me": scheduler, "zone": scheduler % scenario.zones, "zones": zones,
-            "kinds": kinds, "classes": classes, "discovery": if scenario.discovery.polled { "on_request" } else { "pushed" }, "worth_by": "work",
-            "weights": if scenario.discovery.size_interval_s > 0.0 { "live" } else { "silent" },
-            "family_info": {"class_stretch": stretches, "tells_start": true},
-            "permissions": {
-                "send_cap": tuning.max_attempts, "second_copies": tuning.hedging_allowed,
-                "may_cancel": tuning.cancellation_allowed, "connect_timeout_s": CONNECT_TIMEOUT as f64 / 1e6, "keepalive_s": 5.0,
-                "retry_after": true, "max_retry_after_s": scenario.clients.max_retry_after_s,
-            },
-            "penalties": {"cross_zone": tuning.cross_zone_cost},
-            "safety": {
-                "cold_from": cold.initial_capacity, "cold_s": cold.duration_s,
-                "fall_multiple": cold.overload_multiple, "fall_s": cold.overload_window_s.max(0.001),
-            },
-        },
-    });
-    if let Some(probe) = scenario.load_reports.load_query {
-        let settings = &mut config["settings"];
-        settings["permissions"]["probes"] = true.into();
-        settings["penalties"]["probe"] = probe.cost.into();
-        settings["load_info"] = json!({
-            "how": "pull", "fields": ["qps", "inflight", "x0"], "period_s": scenario.load_reports.refresh_interval_s,
-            "delay_s": probe.staleness_s, "noise": scenario.load_reports.noise_slots,
-        });
-    }
-    if let Some(known) = known {
-        config["known"] = known.clone();
-    }
-    config
-}
-
-/// A zone's name.
-pub fn zone_name(number: u32) -> String {
-    format!("zone-{number}")
+/// Reserves a loopback address: bound and not listening, so that the kernel gives it to nobody else,
+/// while a listener that may share addresses, as Rust's do, can still take it.
+///
+/// # Errors
+/// A socket that cannot be had.
+pub fn reserve_address() -> io::Result<(TcpSocket, SocketAddr)> {
+    let socket = TcpSocket::new_v4()?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+    let address = socket.local_addr()?;
+    Ok((socket, address))
 }
 
-/// One scheduler's process.
+/// One scheduler's process. The child is killed when this is dropped.
 pub struct SchedulerProcess {
     /// Where it listens.
     pub address: SocketAddr,
@@ -150,21 +144,8 @@
     is_terminating: bool,
 }
 
-/// An address of its own for a scheduler: bound and not listening, so that the kernel gives it to
-/// nobody else, while a listener that may share addresses, as Rust's do, can still take it.
-///
-/// # Errors
-/// A socket that cannot be had.
-pub fn reserve_address() -> std::io::Result<(TcpSocket, SocketAddr)> {
-    let socket = TcpSocket::new_v4()?;
-    socket.set_reuseaddr(true)?;
-    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
-    let address = socket.local_addr()?;
-    Ok((socket, address))
-}
-
 impl SchedulerProcess {
-    /// Lays its configuration down in a folder; it does not run yet.
+    /// Writes its configuration to a folder; it does not run yet.
     ///
     /// # Errors
     /// A file that cannot be written.
@@ -173,59 +154,66 @@
         folder: &Path,
         number: u32,
         address: SocketAddr,
-        configuration: &Value,
-    ) -> Result<SchedulerProcess, String> {
-        let config = folder.join(format!("scheduler-{number}.json"));
-        std::fs::write(&config, configuration.to_string())
-            .map_err(|e| format!("{}: {e}", config.display()))?;
-        let log = folder.join(format!("scheduler-{number}.log"));
-        Ok(SchedulerProcess {
-            address,
-            program: program.clone(),
-            config_path: config,
-            log_path: log,
-            child: None,
-            is_terminating: false,
-        })
+        config: &Value,
+    ) -> Result<SchedulerProcess, ProcessError> {
+        let config_path = folder.join(format!("scheduler-{number}.json"));
+        if let Err(source) = std::fs::write(&config_path, config.to_string()) {
+            return Err(ProcessError::File { path: config_path, source });
+        }
+        let log_path = folder.join(format!("scheduler-{number}.log"));
+        let program = program.clone();
+        Ok(SchedulerProcess { address, program, config_path, log_path, child: None, is_terminating: false })
     }
 
-    /// Starts it and waits until it says that it is ready.
+    /// Starts it and waits until it reports that it is ready.
     ///
     /// # Errors
-    /// A program that cannot be started, ends, or does not get ready.
-    pub async fn start(&mut self) -> Result<(), String> {
-        let file = &self.program.file;
-        let said = |what: &str| format!("{}: {what}", file.display());
-        let log = std::fs::File::options().create(true).append(true).open(&self.log_path);
-        let log = log.map_err(|e| format!("{}: {e}", self.log_path.display()))?;
-        let mut command = Command::new(file);
-        command.args(&self.program.arguments).env("EDGE_CONFIG", &self.config_path);
+    /// A program that cannot be started, ends, or does not get ready in time.
+    pub async fn start(&mut self) -> Result<(), ProcessError> {
+        let mut child = self.spawn()?;
+        self.wait_until_ready(&mut child).await?;
+        (self.child, self.is_terminating) = (Some(child), false);
+        Ok(())
+    }
+
+    /// Starts the program, with its log appended to the same file at each start.
+    fn spawn(&self) -> Result<Child, ProcessError> {
+        let log = File::options().create(true).append(true).open(&self.log_path);
+        let log = log.map_err(|source| ProcessError::File { path: self.log_path.clone(), source })?;
+        let mut command = Command::new(&self.program.file);
+        command.args(&self.program.arguments).env(CONFIG_VARIABLE, &self.config_path);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true);
-        let mut child = command.spawn().map_err(|e| said(&e.to_string()))?;
+        command.spawn().map_err(|source| self.program_error(source))
+    }
+
+    async fn wait_until_ready(&self, child: &mut Child) -> Result<(), ProcessError> {
         let client: Client<_, Empty<Bytes>> =
             Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build(HttpConnector::new());
-        let by = Instant::now() + READY_TIMEOUT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
-            let request = Request::get(format!("http://{}/-/ready", self.address)).body(Empty::new());
-            let request = request.map_err(|e| e.to_string())?;
-            if client.request(request).await.is_ok_and(|answer| answer.status() == StatusCode::OK) {
-                break;
+            let request = Request::get(format!("http://{}/-/ready", self.address)).body(Empty::new())?;
+            let response = client.request(request).await;
+            if response.is_ok_and(|response| response.status() == StatusCode::OK) {
+                return Ok(());
             }
-            if let Some(status) = child.try_wait().map_err(|e| said(&e.to_string()))? {
-                return Err(said(&format!("ended with {status}; it said: {}", self.last_log_line())));
+            if let Some(status) = child.try_wait().map_err(|source| self.program_error(source))? {
+                let (program, last_log_line) = (self.program.file.clone(), self.last_log_line());
+                return Err(ProcessError::EndedAtStart { program, status, last_log_line });
             }
-            if Instant::now() > by {
-                return Err(said("was not ready in 10 s"));
+            if Instant::now() > deadline {
+                return Err(ProcessError::NotReady(self.program.file.clone()));
             }
             sleep(READY_POLL_INTERVAL).await;
         }
-        (self.child, self.is_terminating) = (Some(child), false);
-        Ok(())
+    }
+
+    fn program_error(&self, source: io::Error) -> ProcessError {
+        ProcessError::File { path: self.program.file.clone(), source }
     }
 
     fn last_log_line(&self) -> String {
-        let text = std::fs::read_to_string(&self.log_path).unwrap_or_default();
-        text.lines().last().unwrap_or_default().to_owned()
+        let log = std::fs::read_to_string(&self.log_path).unwrap_or_default();
+        log.lines().last().unwrap_or_default().to_owned()
     }
 
     /// The process's id while it runs.
@@ -233,31 +221,31 @@
         self.child.as_ref().and_then(Child::id)
     }
 
-    /// Ends it at once, as a crash does.
+    /// Kills it, as a crash does, and waits for its end.
     pub async fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill().await;
         }
     }
 
-    /// Says that it ended by itself, and how.
+    /// Checks that it did not end by itself.
     ///
     /// # Errors
-    /// That it did.
-    pub fn check_running(&mut self) -> Result<(), String> {
-        let ended = match &mut self.child {
-            Some(child) => child.try_wait().map_err(|e| e.to_string())?,
+    /// It did; or its state cannot be read.
+    pub fn check_running(&mut self) -> Result<(), ProcessError> {
+        let exit_status = match &mut self.child {
+            Some(child) => child.try_wait().map_err(ProcessError::Wait)?,
             None => None,
         };
-        match ended {
+        match exit_status {
             Some(status) if !(self.is_terminating && status.success()) => {
-                Err(format!("a scheduler ended by itself with {status}; it said: {}", self.last_log_line()))
+                Err(ProcessError::Ended { status, last_log_line: self.last_log_line() })
             }
             _ => Ok(()),
         }
     }
 
-    /// Tells it to end; it answers what it took.
+    /// Sends it SIGTERM, on which it finishes the requests that it has and ends.
     pub fn terminate(&mut self) {
         self.is_terminating = true;
         if let Some(pid) = self.pid().and_then(|id| Pid::from_raw(id as i32)) {
@@ -265,16 +253,16 @@
         }
     }
 
-    /// Ends it by SIGTERM, or where that does not help, by a kill.
+    /// Ends it by SIGTERM, or where that does not help by a kill, and waits for its end.
     ///
     /// # Errors
     /// A program that had to be killed.
-    pub async fn stop(&mut self) -> Result<(), String> {
+    pub async fn stop(&mut self) -> Result<(), ProcessError> {
         self.terminate();
         let Some(mut child) = self.child.take() else { return Ok(()) };
         if timeout(SHUTDOWN_TIMEOUT, child.wait()).await.is_err() {
             let _ = child.kill().await;
-            return Err("a scheduler did not end on SIGTERM and was killed".into());
+            return Err(ProcessError::Killed);
         }
         Ok(())
     }
@@ -289,5 +277,5 @@
 /// Memory that a process holds, in bytes.
 pub fn resident_memory_bytes(pid: u32) -> Option<u64> {
     let status = procfs::process::Process::new(pid as i32).ok()?.status().ok()?;
-    status.vmrss.map(|kb| kb * 1024)
+    status.vmrss.map(|kibibytes| kibibytes * 1024)
 }
--- /dev/null
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -0,0 +1,178 @@
+//! Attempts at workers: their arrival, acceptance and cancellation.
+use copperspread_dispatcher::{Idempotency, Micros};
+use rand::RngExt;
+
+use crate::emulation::messages::AttemptResponse;
+use crate::emulation::state::effects::AttemptEvent;
+use crate::emulation::state::{Attempt, EmulationState, PendingRequest};
+use crate::model::arrivals::Arrival;
+use crate::model::connection_faults::DeliveryResult;
+use crate::model::idempotency_keys::{DuplicateOutcome, key_group};
+use crate::model::worker::OfferResult;
+
+/// An attempt that has arrived as a whole.
+struct DeliveredAttempt {
+    id: u64,
+    attempt: Attempt,
+    arrival: Arrival,
+    idempotency: Idempotency,
+    /// The workers that share the memory of its key.
+    key_group: u32,
+    /// When its head arrived.
+    head_arrived_at: Micros,
+}
+
+impl EmulationState {
+    /// An attempt's head arrives at a worker. Returns the network's delay until the rest does.
+    pub fn attempt_arrives(&mut self, request: u64, worker: u32) -> Micros {
+        let now = self.now();
+        let Some(&PendingRequest { job, scheduler }) = self.requests.get(&request) else { return 0 };
+        let Some(job) = self.jobs.get(&job) else { return 0 };
+        let (from, to) = (self.scheduler_zone(scheduler), self.workers[worker as usize].1);
+        let load = job.arrival.work * job.arrival.slots;
+        self.rule_checker.attempt_sent(now, scheduler, worker, load);
+        self.attempts_sent += 1;
+        self.cross_zone_attempts += u64::from(from != to);
+        self.network_delay(from, to)
+    }
+
+    /// The same attempt has arrived as a whole, its head at `head_arrived_at`.
+    pub fn accept_attempt(&mut self, request: u64, worker: u32, head_arrived_at: Micros) -> AttemptResponse {
+        self.account_in_flight();
+        let now = self.now();
+        let Some(delivered) = self.deliver_attempt(request, worker, head_arrived_at) else {
+            return AttemptResponse::UnknownRequest;
+        };
+        if self.drop_duplicate(&delivered, now) {
+            return AttemptResponse::Accepted;
+        }
+        let delivery = self.connections[worker as usize].delivery_result(self.network_random.random());
+        match delivery {
+            DeliveryResult::ResetBeforeTaken => AttemptResponse::Reset,
+            DeliveryResult::InvalidResponse => AttemptResponse::Garbage,
+            DeliveryResult::ImmediateError => {
+                self.fail_at_once(&delivered, now);
+                AttemptResponse::Accepted
+            }
+            DeliveryResult::Delivered => self.offer_to_worker(&delivered, now),
+            DeliveryResult::ResetAfterTaken => match self.offer_to_worker(&delivered, now) {
+                AttemptResponse::Accepted => AttemptResponse::AcceptedThenReset,
+                response => response,
+            },
+        }
+    }
+
+    /// Gives an attempt its number; `None` if no client sent the request.
+    fn deliver_attempt(
+        &mut self,
+        request: u64,
+        worker: u32,
+        head_arrived_at: Micros,
+    ) -> Option<DeliveredAttempt> {
+        let PendingRequest { job, scheduler } = *self.requests.get(&request)?;
+        let arrival = self.jobs.get(&job)?.arrival;
+        let idempotency = self.scenario.classes[arrival.class as usize].idempotency();
+        let key_group = match idempotency {
+            Idempotency::IdempotentWithKey { scope, .. } => {
+                key_group(scope, self.workers[worker as usize].1, self.cells[worker as usize])
+            }
+            _ => 0,
+        };
+        let id = self.next_id();
+        let attempt = Attempt { request, job, worker, scheduler };
+        Some(DeliveredAttempt { id, attempt, arrival, idempotency, key_group, head_arrived_at })
+    }
+
+    /// Drops an attempt whose key its worker knows: it is told what becomes of the first. Whether it was one.
+    fn drop_duplicate(&mut self, delivered: &DeliveredAttempt, now: Micros) -> bool {
+        let Idempotency::IdempotentWithKey { window, .. } = delivered.idempotency else { return false };
+        let Attempt { job, worker, .. } = delivered.attempt;
+        if !self.workers[worker as usize].0.accepts_jobs() {
+            return false;
+        }
+        let Some(job) = self.jobs.get_mut(&job) else { return false };
+        let duplicate = job.keys.check_duplicate(delivered.id, delivered.key_group, now, window);
+        let Some(duplicate) = duplicate else { return false };
+        self.record_accepted(delivered, now);
+        if duplicate == DuplicateOutcome::AlreadyServed {
+            self.queue_callback(delivered.id, AttemptEvent::Done);
+        }
+        true
+    }
+
+    /// Fails an attempt at once. As in virtual time, the rules count it as one that may have run.
+    fn fail_at_once(&mut self, delivered: &DeliveredAttempt, now: Micros) {
+        self.record_accepted(delivered, now);
+        self.rule_checker.job_started(now, delivered.attempt.job, delivered.idempotency);
+        self.queue_callback(delivered.id, AttemptEvent::Failed);
+        self.attempts.remove(&delivered.id);
+    }
+
+    fn offer_to_worker(&mut self, delivered: &DeliveredAttempt, now: Micros) -> AttemptResponse {
+        let class = &self.scenario.classes[delivered.arrival.class as usize];
+        let job = delivered.arrival.to_offered_job(delivered.id, class);
+        let worker = delivered.attempt.worker;
+        let mut effects = Vec::new();
+        match self.workers[worker as usize].0.offer(now, job, &mut effects) {
+            OfferResult::Accepted => {
+                self.in_flight.count += 1;
+                self.record_accepted(delivered, now);
+                self.record_key(delivered, now);
+                self.apply_effects(worker, effects);
+                AttemptResponse::Accepted
+            }
+            OfferResult::QueueFull => AttemptResponse::Rejected(self.response_load_report(worker)),
+            // Its sockets are about to close.
+            OfferResult::ConnectionRefused | OfferResult::Unreachable => AttemptResponse::Reset,
+        }
+    }
+
+    fn record_accepted(&mut self, delivered: &DeliveredAttempt, now: Micros) {
+        let DeliveredAttempt { id, attempt, idempotency, key_group, head_arrived_at, .. } = *delivered;
+        self.attempts.insert(id, attempt);
+        self.rule_checker.attempt_accepted(now, attempt.job, id, idempotency, key_group, head_arrived_at);
+    }
+
+    fn record_key(&mut self, delivered: &DeliveredAttempt, now: Micros) {
+        if matches!(delivered.idempotency, Idempotency::IdempotentWithKey { .. })
+            && let Some(job) = self.jobs.get_mut(&delivered.attempt.job)
+        {
+            job.keys.record_taken(delivered.id, delivered.key_group, now);
+        }
+    }
+
+    /// Stops a request's attempts at a worker where a scheduler cancelled it there, if the scenario's
+    /// cancellations stop jobs.
+    pub fn cancel_request(&mut self, request: u64, worker: u32) {
+        if !self.scenario.tuning.cancel_stops_job {
+            return;
+        }
+        self.account_in_flight();
+        let now = self.now();
+        let is_meant = |attempt: &Attempt| attempt.request == request && attempt.worker == worker;
+        let attempts = self.attempts.iter().filter(|(_, attempt)| is_meant(attempt));
+        let ids: Vec<u64> = attempts.map(|(id, _)| *id).collect();
+        for id in ids {
+            self.cancel_attempt(id, worker, now);
+        }
+    }
+
+    fn cancel_attempt(&mut self, id: u64, worker: u32, now: Micros) {
+        let mut effects = Vec::new();
+        if !self.workers[worker as usize].0.cancel(now, id, &mut effects) {
+            return;
+        }
+        self.in_flight.count -= 1;
+        self.forget_key(id);
+        self.end_attempt(id, AttemptEvent::Failed);
+        self.apply_effects(worker, effects);
+    }
+
+    /// The key of an attempt that never ran is forgotten with it.
+    pub(super) fn forget_key(&mut self, id: u64) {
+        let job = self.attempts.get(&id).map(|attempt| attempt.job);
+        if let Some(job) = job.and_then(|job| self.jobs.get_mut(&job)) {
+            job.keys.record_handed_back(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -0,0 +1,138 @@
+//! What follows from a change at a worker: counts, rules, duplicates and callbacks.
+use copperspread_dispatcher::{Micros, RequestId};
+
+use crate::emulation::messages::{Callback, CallbackState};
+use crate::emulation::state::{Attempt, EmulationState};
+use crate::model::worker::WorkerEffect;
+
+/// What happened to an attempt at its worker.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum AttemptEvent {
+    /// It began to run.
+    Started,
+    /// This share of it is done.
+    Running(f64),
+    /// It is done.
+    Done,
+    /// It was lost with the process.
+    Lost,
+    /// It was returned without having started.
+    Returned,
+    /// It failed.
+    Failed,
+}
+
+impl EmulationState {
+    /// Applies what a change of a worker's model led to.
+    pub(super) fn apply_effects(&mut self, worker: u32, effects: Vec<WorkerEffect>) {
+        let now = self.now();
+        for effect in effects {
+            match effect {
+                WorkerEffect::Started(id) => self.attempt_started(worker, id, now),
+                WorkerEffect::Finished { attempt, is_reported } => {
+                    self.attempt_finished(attempt, is_reported);
+                }
+                WorkerEffect::Lost(id) => self.attempt_lost(id),
+                WorkerEffect::HandedBack(id) => self.attempt_returned(id),
+                WorkerEffect::Overloaded => {
+                    self.overload_count += 1;
+                    self.changed_workers.push(worker);
+                }
+            }
+        }
+    }
+
+    fn attempt_started(&mut self, worker: u32, id: u64, now: Micros) {
+        let Some(&Attempt { job, .. }) = self.attempts.get(&id) else { return };
+        let Some(class) = self.jobs.get(&job).map(|job| job.arrival.class) else { return };
+        let idempotency = self.scenario.classes[class as usize].idempotency();
+        self.rule_checker.job_started(now, job, idempotency);
+        if self.workers[worker as usize].0.silent_class != Some(class) {
+            self.queue_callback(id, AttemptEvent::Started);
+        }
+    }
+
+    fn attempt_finished(&mut self, id: u64, is_reported: bool) {
+        self.in_flight.count -= 1;
+        if let Some(response) = self.load_queries.remove(&id) {
+            // Whoever sent the load query may have gone.
+            let _ = response.send(());
+        }
+        if is_reported {
+            self.queue_callback(id, AttemptEvent::Done);
+        }
+        self.end_attempt(id, AttemptEvent::Done);
+    }
+
+    fn attempt_lost(&mut self, id: u64) {
+        self.in_flight.count -= 1;
+        self.load_queries.remove(&id);
+        self.queue_callback(id, AttemptEvent::Lost);
+        self.end_attempt(id, AttemptEvent::Lost);
+    }
+
+    fn attempt_returned(&mut self, id: u64) {
+        self.in_flight.count -= 1;
+        self.load_queries.remove(&id);
+        if let Some(&Attempt { job, .. }) = self.attempts.get(&id) {
+            self.rule_checker.attempt_returned(job, id);
+            self.forget_key(id);
+        }
+        self.queue_callback(id, AttemptEvent::Returned);
+        self.end_attempt(id, AttemptEvent::Failed);
+    }
+
+    /// Queues a callback with the progress of each job that runs at a worker.
+    pub fn report_progress(&mut self, worker: u32) {
+        let now = self.now();
+        let model = &self.workers[worker as usize].0;
+        let at_worker = self.attempts.iter().filter(|(_, attempt)| attempt.worker == worker);
+        let mut shares: Vec<(u64, f64)> =
+            at_worker.filter_map(|(&id, _)| Some((id, model.progress(now, id)?))).collect();
+        shares.sort_unstable_by_key(|&(id, _)| id);
+        for (id, share) in shares {
+            self.queue_callback(id, AttemptEvent::Running(share));
+        }
+    }
+
+    /// Ends an attempt: duplicates that were dropped for it are told the same.
+    pub(super) fn end_attempt(&mut self, id: u64, event: AttemptEvent) {
+        let Some(attempt) = self.attempts.remove(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&attempt.job) else { return };
+        for duplicate in job.keys.record_end(event == AttemptEvent::Done) {
+            self.queue_callback(duplicate, event);
+            self.attempts.remove(&duplicate);
+        }
+    }
+
+    /// Queues a callback on an attempt, if its worker still has it.
+    pub(super) fn queue_callback(&mut self, id: u64, event: AttemptEvent) {
+        let Some(&Attempt { request, worker, scheduler, .. }) = self.attempts.get(&id) else { return };
+        let state = self.callback_state(worker, event);
+        if event == AttemptEvent::Done {
+            self.rule_checker.result_made(RequestId(request));
+        }
+        let faults = self.connections[worker as usize];
+        let network_delay =
+            self.network_delay(self.workers[worker as usize].1, self.scheduler_zone(scheduler));
+        self.callbacks.push(Callback {
+            request,
+            worker,
+            scheduler,
+            state,
+            delay: network_delay + faults.callback_delay,
+            is_duplicated: faults.duplicates_callbacks,
+        });
+    }
+
+    fn callback_state(&mut self, worker: u32, event: AttemptEvent) -> CallbackState {
+        match event {
+            AttemptEvent::Started => CallbackState::Started,
+            AttemptEvent::Running(share) => CallbackState::Running(share),
+            AttemptEvent::Done => CallbackState::Done(self.response_load_report(worker)),
+            AttemptEvent::Returned => CallbackState::Returned(self.response_load_report(worker)),
+            AttemptEvent::Lost => CallbackState::Lost,
+            AttemptEvent::Failed => CallbackState::Failed,
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/emulation/state/load_queries.rs
@@ -0,0 +1,88 @@
+//! Load queries and the load reports of workers.
+use copperspread_dispatcher::{LoadReport, Micros};
+use rand::RngExt;
+use rand_distr::{Distribution, Normal};
+use tokio::sync::oneshot;
+
+use crate::emulation::messages::LoadQueryResponse;
+use crate::emulation::state::EmulationState;
+use crate::model::connection_faults::DeliveryResult;
+use crate::model::random::RandomStream;
+use crate::model::worker::{OfferResult, OfferedJob, ProcessState};
+use crate::scenario::micros_from_seconds;
+
+impl EmulationState {
+    /// A load query arrives at a worker.
+    pub fn accept_load_query(&mut self, worker: u32) -> LoadQueryResponse {
+        let Some(query) = self.scenario.load_reports.load_query else { return LoadQueryResponse::NotFound };
+        self.account_in_flight();
+        let now = self.now();
+        self.load_query_count += 1;
+        match self.connections[worker as usize].delivery_result(self.network_random.random()) {
+            DeliveryResult::Delivered => {}
+            DeliveryResult::ResetBeforeTaken | DeliveryResult::ResetAfterTaken => {
+                return LoadQueryResponse::Reset;
+            }
+            DeliveryResult::InvalidResponse => return LoadQueryResponse::Garbage,
+            DeliveryResult::ImmediateError => return LoadQueryResponse::Failed,
+        }
+        let model = &mut self.workers[worker as usize].0;
+        if model.process != ProcessState::Up {
+            return LoadQueryResponse::Unavailable;
+        }
+        if query.queued {
+            return self.queue_load_query(worker, query.work, now);
+        }
+        model.charge_side_work(now, query.work);
+        LoadQueryResponse::AfterDelay(micros_from_seconds(query.work / model.spec.speed))
+    }
+
+    /// Puts a load query into a worker's queue like a job of one slot.
+    fn queue_load_query(&mut self, worker: u32, work: f64, now: Micros) -> LoadQueryResponse {
+        let id = self.next_id();
+        let mut effects = Vec::new();
+        let model = &mut self.workers[worker as usize].0;
+        if model.offer(now, OfferedJob::load_query(id, work), &mut effects) != OfferResult::Accepted {
+            return LoadQueryResponse::Unavailable;
+        }
+        self.in_flight.count += 1;
+        let (finished_sender, finished) = oneshot::channel();
+        self.load_queries.insert(id, finished_sender);
+        self.apply_effects(worker, effects);
+        LoadQueryResponse::Queued(finished)
+    }
+
+    /// The load report with which a worker responds to a load query.
+    pub fn queried_load_report(&mut self, worker: u32) -> LoadReport {
+        let now = self.now();
+        let query = self.scenario.load_reports.load_query;
+        let staleness = query.map_or(0, |query| micros_from_seconds(query.staleness_s));
+        let delay = staleness + self.extra_report_delay;
+        self.workers[worker as usize].0.answer_load_query(now, delay).unwrap_or_default()
+    }
+
+    /// Refreshes the load report that a worker's responses to load queries hold.
+    pub fn refresh_load_report(&mut self, worker: u32) {
+        let now = self.now();
+        let interval = micros_from_seconds(self.scenario.load_reports.refresh_interval_s);
+        let noise = noise(&mut self.noise_random, self.scenario.load_reports.noise_slots);
+        self.workers[worker as usize].0.refresh_load_report(now, interval, noise);
+    }
+
+    /// The load report that comes with a response or callback; empty where load is learned by load query.
+    pub(super) fn response_load_report(&mut self, worker: u32) -> LoadReport {
+        if self.scenario.load_reports.load_query.is_some() {
+            return LoadReport::default();
+        }
+        let now = self.now();
+        let reports = &self.scenario.load_reports;
+        let interval = micros_from_seconds(reports.refresh_interval_s) + self.extra_report_delay;
+        let noise = noise(&mut self.noise_random, reports.noise_slots);
+        self.workers[worker as usize].0.load_report(now, interval, noise)
+    }
+}
+
+/// Draws the noise of one of a report's figures at each call.
+fn noise(random: &mut RandomStream, sigma: f64) -> impl FnMut() -> f64 {
+    move || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(&mut *random))
+}
--- /dev/null
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -0,0 +1,230 @@
+//! What the emulation knows: the model's workers in real time, who requested what, and the rule checker.
+//! No socket and no await: the tasks around it report what arrived and carry out what it returns.
+mod attempts;
+mod effects;
+mod load_queries;
+
+use std::time::Duration;
+
+use copperspread_dispatcher::{Micros, RequestId};
+use rustc_hash::FxHashMap;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+use crate::emulation::messages::Callback;
+use crate::model::arrivals::Arrival;
+use crate::model::connection_faults::ConnectionFaults;
+use crate::model::fleet::{FaultTransition, Fleet, slow_start_budget};
+use crate::model::idempotency_keys::KeyHistory;
+use crate::model::random::{RandomStream, StreamPurpose, random_stream};
+use crate::model::worker::Worker;
+use crate::outcome::OutcomeCounter;
+use crate::rule_checker::RuleChecker;
+use crate::scenario::{FaultKind, Scenario, micros_from_seconds};
+
+/// Network delays below this are left to the machine's own: they are shorter than a timer's step.
+const MIN_NETWORK_DELAY: Micros = 1_000;
+
+/// A request that a client sent.
+#[derive(Clone, Copy)]
+struct PendingRequest {
+    job: u64,
+    scheduler: u32,
+}
+
+/// An attempt that a worker accepted.
+#[derive(Clone, Copy)]
+struct Attempt {
+    request: u64,
+    job: u64,
+    worker: u32,
+    scheduler: u32,
+}
+
+/// A client's job.
+struct ClientJob {
+    arrival: Arrival,
+    keys: KeyHistory,
+}
+
+/// The jobs in all workers, and their sum over time.
+#[derive(Default)]
+struct InFlightJobs {
+    count: u64,
+    job_micros: f64,
+    accounted_until: Micros,
+}
+
+/// The state of one run. The environment owns it; all its tasks run on one thread.
+pub struct EmulationState {
+    /// The scenario.
+    pub scenario: Scenario,
+    /// Workers with their zones.
+    pub workers: Vec<(Worker, u32)>,
+    /// Each worker's kind.
+    pub kinds: Vec<u32>,
+    /// Each worker's cell.
+    pub cells: Vec<u32>,
+    /// The faults of the workers' connections.
+    connections: Vec<ConnectionFaults>,
+    /// Checks the rules by what clients and workers see.
+    pub rule_checker: RuleChecker,
+    /// Counts what became of jobs.
+    pub outcomes: OutcomeCounter,
+    /// Attempts that reached a worker.
+    pub attempts_sent: u64,
+    /// Those of them that crossed zones.
+    pub cross_zone_attempts: u64,
+    /// Load queries that reached a worker.
+    pub load_query_count: u64,
+    /// How often a worker was overloaded while it was warming up.
+    pub overload_count: u64,
+    /// Callbacks that are to be delivered.
+    pub callbacks: Vec<Callback>,
+    /// Workers whose process or machine changed, for their sockets.
+    pub changed_workers: Vec<u32>,
+    started_at: Instant,
+    requests: FxHashMap<u64, PendingRequest>,
+    jobs: FxHashMap<u64, ClientJob>,
+    attempts: FxHashMap<u64, Attempt>,
+    /// Load queries that wait in a worker's queue.
+    load_queries: FxHashMap<u64, oneshot::Sender<()>>,
+    last_id: u64,
+    extra_report_delay: Micros,
+    network_random: RandomStream,
+    noise_random: RandomStream,
+    in_flight: InFlightJobs,
+}
+
+impl EmulationState {
+    /// The state of a scenario and a seed at its start; time counts from now on.
+    pub fn new(scenario: &Scenario, fleet: Fleet, seed: u64) -> EmulationState {
+        EmulationState {
+            connections: vec![ConnectionFaults::default(); fleet.workers.len()],
+            workers: fleet.workers,
+            kinds: fleet.kinds,
+            cells: fleet.cells,
+            rule_checker: RuleChecker::new(slow_start_budget(scenario)),
+            outcomes: OutcomeCounter::new(scenario.classes.len(), scenario.zones),
+            attempts_sent: 0,
+            cross_zone_attempts: 0,
+            load_query_count: 0,
+            overload_count: 0,
+            callbacks: Vec::new(),
+            changed_workers: Vec::new(),
+            started_at: Instant::now(),
+            requests: FxHashMap::default(),
+            jobs: FxHashMap::default(),
+            attempts: FxHashMap::default(),
+            load_queries: FxHashMap::default(),
+            // Ids that look like no small number, as the platform's do.
+            last_id: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 << 63,
+            extra_report_delay: 0,
+            network_random: random_stream(seed, StreamPurpose::Network),
+            noise_random: random_stream(seed, StreamPurpose::Reports),
+            in_flight: InFlightJobs::default(),
+            scenario: scenario.clone(),
+        }
+    }
+
+    /// Starts the run's clock: from now on it counts from 0.
+    pub fn start_clock(&mut self) {
+        self.started_at = Instant::now();
+    }
+
+    /// Microseconds since the run's clock was started.
+    pub fn now(&self) -> Micros {
+        self.started_at.elapsed().as_micros() as Micros
+    }
+
+    /// An instant of the run.
+    pub fn instant_at(&self, at: Micros) -> Instant {
+        self.started_at + Duration::from_micros(at)
+    }
+
+    /// The delay between two zones that is added to the machine's own.
+    fn network_delay(&self, from: u32, to: u32) -> Micros {
+        let delay = micros_from_seconds(self.scenario.network.link_between(from, to).delay_s);
+        if delay < MIN_NETWORK_DELAY { 0 } else { delay }
+    }
+
+    fn scheduler_zone(&self, scheduler: u32) -> u32 {
+        scheduler % self.scenario.zones
+    }
+
+    /// The next number of a request, attempt or load query; none is used twice.
+    fn next_id(&mut self) -> u64 {
+        self.last_id = self.last_id.wrapping_add(1);
+        self.last_id
+    }
+
+    /// Adds a client's job, by its number.
+    pub fn add_job(&mut self, number: u64, arrival: Arrival) {
+        self.jobs.insert(number, ClientJob { arrival, keys: KeyHistory::default() });
+    }
+
+    /// Registers a request that a client is about to send; returns its id.
+    pub fn register_request(&mut self, job: u64, scheduler: u32, deadline: Micros) -> u64 {
+        let id = self.next_id();
+        self.requests.insert(id, PendingRequest { job, scheduler });
+        self.rule_checker.request_sent(RequestId(id), deadline);
+        id
+    }
+
+    /// Adds the jobs in flight since the last change to their sum. Called before each change.
+    fn account_in_flight(&mut self) {
+        let now = self.now();
+        let in_flight = &mut self.in_flight;
+        in_flight.job_micros += in_flight.count as f64 * now.saturating_sub(in_flight.accounted_until) as f64;
+        in_flight.accounted_until = now;
+    }
+
+    /// Jobs in the workers, summed over microseconds.
+    pub fn in_flight_job_micros(&self) -> f64 {
+        self.in_flight.job_micros
+    }
+
+    /// Ends what a worker has done by now. Returns when it must be advanced again.
+    pub fn advance_worker(&mut self, worker: u32) -> Option<Instant> {
+        self.account_in_flight();
+        let now = self.now();
+        let mut effects = Vec::new();
+        let model = &mut self.workers[worker as usize].0;
+        if model.accepts_jobs() || model.job_count() > 0 {
+            model.advance(now, &mut effects);
+        }
+        self.apply_effects(worker, effects);
+        self.workers[worker as usize].0.next_wake(self.now()).map(|at| self.instant_at(at))
+    }
+
+    /// Begins or ends a fault of workers, their connections or their load reports.
+    pub fn apply_fault(&mut self, transition: FaultTransition) {
+        self.account_in_flight();
+        let fault = self.scenario.faults[transition.fault].kind;
+        if let FaultKind::ReportsLate(delay_s) = fault {
+            self.extra_report_delay = if transition.is_start { micros_from_seconds(delay_s) } else { 0 };
+        }
+        let Some(worker) = transition.target.filter(|_| fault.affects_workers()) else { return };
+        if self.connections[worker as usize].apply_fault(fault, transition.is_start) {
+            return;
+        }
+        self.apply_worker_fault(worker, fault, transition.is_start);
+        self.changed_workers.push(worker);
+    }
+
+    fn apply_worker_fault(&mut self, worker: u32, fault: FaultKind, is_start: bool) {
+        let now = self.now();
+        let mut effects = Vec::new();
+        let model = &mut self.workers[worker as usize].0;
+        let job_count = model.job_count() as u64;
+        let has_started = model.apply_fault(now, fault, is_start, &mut effects);
+        let spec = model.spec;
+        if fault == FaultKind::Vanish && is_start {
+            self.in_flight.count -= job_count;
+        }
+        if has_started {
+            self.rule_checker.worker_started(now, worker, spec.cores.min(spec.slots) * spec.speed);
+        }
+        self.apply_effects(worker, effects);
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/emulation/workers/mod.rs
@@ -0,0 +1,57 @@
+//! The workers' side on sockets: ports that accept, refuse or do not respond, responses to attempts and
+//! load queries, and the tasks that advance each worker's model.
+mod listener;
+mod requests;
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::time::{sleep, sleep_until};
+
+use crate::emulation::environment::Environment;
+use crate::scenario::micros_from_seconds;
+pub(super) use listener::run_listener;
+
+/// Advances a worker's model whenever something of it is due, until the run's tasks end.
+pub(super) async fn drive_worker(environment: Rc<Environment>, worker: u32) {
+    let wake = &environment.listeners[worker as usize].wake;
+    loop {
+        match environment.apply(|state| state.advance_worker(worker)) {
+            Some(due_at) => tokio::select! {
+                () = sleep_until(due_at) => {}
+                () = wake.notified() => {}
+            },
+            None => wake.notified().await,
+        }
+    }
+}
+
+/// Calls back the progress of a worker's jobs, where the scenario's workers do, until the run's tasks end.
+pub(super) async fn report_progress(environment: Rc<Environment>, worker: u32) {
+    let interval = micros_from_seconds(environment.scenario.load_reports.progress_interval_s);
+    if interval == 0 {
+        return;
+    }
+    loop {
+        sleep(Duration::from_micros(interval)).await;
+        environment.apply(|state| state.report_progress(worker));
+    }
+}
+
+/// Refreshes the load report that a worker sends on a load query, where there are load queries, until the
+/// run's tasks end.
+pub(super) async fn refresh_load_reports(environment: Rc<Environment>, worker: u32) {
+    let reports = &environment.scenario.load_reports;
+    if reports.load_query.is_none() {
+        return;
+    }
+    let interval = Duration::from_micros(micros_from_seconds(reports.refresh_interval_s));
+    loop {
+        environment.apply(|state| state.refresh_load_report(worker));
+        sleep(interval).await;
+    }
+}
+
+#[cfg(test)]
+#[path = "../../../tests/unit/emulation_workers.rs"]
+mod tests;
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -177,7 +177,9 @@
         }
         let program = |variant: &Variant| match (variant.drive, &variant.program) {
             (Drive::Sim, _) => Ok(None),
-            (Drive::Emulate, None) => SchedulerProgram::for_policy(variant.policy).map(Some),
+            (Drive::Emulate, None) => {
+                SchedulerProgram::for_policy(variant.policy).map(Some).map_err(String::from)
+            }
             (Drive::Emulate, Some(path)) => {
                 Ok(Some(SchedulerProgram { file: folder.join(path), arguments: variant.arguments.clone() }))
             }
@@ -264,6 +266,7 @@
             None => simulate(scenario, variant.policy, run.seed),
             Some(program) => {
                 emulate(scenario, &SchedulerInstances::Spawned(program.clone()), &variant.name, run.seed)
+                    .map_err(String::from)
             }
         };
         outcome.map_err(|why| format!("{}, {}, seed {}: {why}", scenario.name, variant.name, run.seed))
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -27,6 +27,7 @@
 pub mod emulation;
 pub mod experiment;
 mod http_client;
+mod job_request;
 pub mod load;
 pub mod membership_simulation;
 pub mod model;
--- /dev/null
+++ b/crates/testbed/src/load/mod.rs
@@ -0,0 +1,143 @@
+//! Sends a scenario's jobs over real sockets, in an open loop.
+//!
+//! Each job has the instant at which it is scheduled to be sent, from the same stream of arrivals as in
+//! virtual time, and its latency counts from there. A server that stalls holds no later job back, so that
+//! its stall shows in all the jobs that were scheduled meanwhile, and not in one.
+mod result;
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use hyper::StatusCode;
+use tokio::sync::{Semaphore, mpsc};
+use tokio::time::{Instant, sleep_until, timeout_at};
+
+use crate::http_client::{HttpClient, new_http_client, read_body};
+use crate::job_request::JobRequest;
+use crate::model::arrivals::{Arrival, Arrivals};
+use crate::scenario::{JobClass, Scenario};
+pub use result::{ClassLoadResult, LoadResult};
+use result::{new_histogram, quantile_ms, summarize};
+
+/// What became of one job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum JobOutcome {
+    Served,
+    Rejected,
+    Failed,
+    /// The connection broke, or never came up.
+    ConnectionBroken,
+    /// No response came before the client's deadline.
+    TimedOut,
+    /// Too many requests were open: it was not sent.
+    NotSent,
+}
+
+/// A job and what became of it.
+struct JobRecord {
+    job: Arrival,
+    outcome: JobOutcome,
+    /// From when it was scheduled to be sent.
+    latency: Duration,
+}
+
+/// Sends a scenario's jobs to an address, each once: a client of this tool does not retry. Ends once the
+/// last job has its response or is past its deadline; so do all its tasks.
+pub async fn send_load(
+    scenario: &Scenario,
+    seed: u64,
+    target: SocketAddr,
+    max_open_requests: usize,
+) -> LoadResult {
+    let client = new_http_client();
+    let permits = Arc::new(Semaphore::new(max_open_requests.max(1)));
+    let (records, received_records) = mpsc::unbounded_channel();
+    // Joined below, after the last sender is gone.
+    let collector = tokio::spawn(collect(received_records));
+    // Ids that no run before has used: a scheduler answers those that it knows with 400.
+    let first_id = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
+    let started_at = Instant::now();
+    let mut send_lag = new_histogram();
+    for (number, job) in Arrivals::new(scenario, seed).enumerate() {
+        let scheduled_at = started_at + Duration::from_micros(job.at);
+        sleep_until(scheduled_at).await;
+        send_lag.saturating_record(scheduled_at.elapsed().as_micros() as u64);
+        let records = records.clone();
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
+            let _ = records.send(JobRecord { job, outcome: JobOutcome::NotSent, latency: Duration::ZERO });
+            continue;
+        };
+        let class = scenario.classes[job.class as usize].clone();
+        let request = PlannedRequest {
+            client: client.clone(),
+            target,
+            class,
+            job,
+            id: first_id.wrapping_add(number as u64),
+            scheduled_at,
+        };
+        // Ends by its deadline; the collector waits for its record.
+        tokio::spawn(async move {
+            let _ = records.send(request.send_until_deadline().await);
+            drop(permit);
+        });
+    }
+    drop(records);
+    let records = collector.await.unwrap_or_default();
+    let send_lag_ms = [quantile_ms(&send_lag, 0.99), quantile_ms(&send_lag, 1.0)];
+    LoadResult { classes: summarize(scenario, &records), send_lag_ms }
+}
+
+async fn collect(mut records: mpsc::UnboundedReceiver<JobRecord>) -> Vec<JobRecord> {
+    let mut all = Vec::new();
+    while let Some(record) = records.recv().await {
+        all.push(record);
+    }
+    all
+}
+
+/// A job that is about to be sent.
+struct PlannedRequest {
+    client: HttpClient,
+    target: SocketAddr,
+    class: JobClass,
+    job: Arrival,
+    id: u64,
+    scheduled_at: Instant,
+}
+
+impl PlannedRequest {
+    async fn send_until_deadline(self) -> JobRecord {
+        let deadline = self.scheduled_at + Duration::from_secs_f64(self.class.deadline_s);
+        let outcome = timeout_at(deadline, self.send(deadline)).await;
+        JobRecord {
+            job: self.job,
+            outcome: outcome.unwrap_or(JobOutcome::TimedOut),
+            latency: self.scheduled_at.elapsed(),
+        }
+    }
+
+    async fn send(&self, deadline: Instant) -> JobOutcome {
+        let request = JobRequest {
+            target: self.target,
+            class: &self.class.name,
+            request_id: self.id,
+            job_id: self.id,
+            timeout_ms: deadline.saturating_duration_since(Instant::now()).as_millis(),
+            arrival: &self.job,
+        };
+        let Some(request) = request.build() else { return JobOutcome::Failed };
+        let Ok(response) = self.client.request(request).await else { return JobOutcome::ConnectionBroken };
+        let status = response.status();
+        // The response counts as received with its last byte.
+        if read_body(response.into_body()).await.is_err() {
+            return JobOutcome::ConnectionBroken;
+        }
+        match status {
+            StatusCode::OK => JobOutcome::Served,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => JobOutcome::Rejected,
+            _ => JobOutcome::Failed,
+        }
+    }
+}
--- a/crates/testbed/tests/emulate.rs
+++ b/crates/testbed/tests/emulate.rs
@@ -3,7 +3,8 @@
 
 use copperspread_settings::platform::read_startup_config;
 use copperspread_testbed::cost::{CostSettings, format_table, measure_costs};
-use copperspread_testbed::emulation::scheduler_process::{SchedulerProgram, scheduler_config};
+use copperspread_testbed::emulation::scheduler_config::SchedulerConfig;
+use copperspread_testbed::emulation::scheduler_process::SchedulerProgram;
 use copperspread_testbed::emulation::{SchedulerInstances, emulate};
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::outcome::RunOutcome;
@@ -60,8 +61,15 @@
         let text = std::fs::read_to_string(file.path()).expect("a file");
         let scenario = Scenario::parse(&text).expect("a scenario");
         for scheduler in 0..scenario.schedulers {
-            let laid = scheduler_config(&scenario, scheduler, 7, address, address, None).to_string();
-            let start = read_startup_config(&laid).expect("a configuration");
+            let config = SchedulerConfig {
+                scenario: &scenario,
+                scheduler,
+                seed: 7,
+                listen: address,
+                discovery: address,
+                cached_list: None,
+            };
+            let start = read_startup_config(&config.to_platform_json().to_string()).expect("a configuration");
             assert_eq!(start.settings.dispatch, scenario.settings(scheduler), "{}", scenario.name);
         }
     }
@@ -199,13 +207,13 @@
         file: "no/such/program".into(),
         arguments: Vec::new(),
     });
-    let error = emulate(&small(1.0, 9.0, ""), &gone, "x", 1).expect_err("no program");
+    let error = emulate(&small(1.0, 9.0, ""), &gone, "x", 1).expect_err("no program").to_string();
     assert!(error.contains("no/such/program"), "{error}");
     let ends = SchedulerInstances::Spawned(SchedulerProgram { file: "false".into(), arguments: Vec::new() });
-    let error = emulate(&small(1.0, 9.0, ""), &ends, "x", 1).expect_err("it ends");
+    let error = emulate(&small(1.0, 9.0, ""), &ends, "x", 1).expect_err("it ends").to_string();
     assert!(error.contains("ended with exit status: 1"), "{error}");
     let mut large = small(1.0, 9.0, "");
     large.workers[0].count = 500;
-    let error = emulate(&large, &node("random"), "x", 1).expect_err("too large");
+    let error = emulate(&large, &node("random"), "x", 1).expect_err("too large").to_string();
     assert!(error.contains("500 workers and 3 schedulers; emulate plays 200 and 16 at most"), "{error}");
 }
--- a/crates/testbed/tests/load.rs
+++ b/crates/testbed/tests/load.rs
@@ -48,11 +48,11 @@
         }
     });
     let of = against(stalls, &scenario(100.0, 1.5, 5.0), 1_024).await;
-    assert_eq!((of.served, of.meant), (of.meant, of.meant));
-    assert!(of.meant > 100);
+    assert_eq!((of.served, of.scheduled), (of.scheduled, of.scheduled));
+    assert!(of.scheduled > 100);
     // Half a second of a hundred a second stood in the queue; a closed loop would show a single one.
     let slow = of.served - of.in_time;
-    assert!((15..=60).contains(&slow), "{slow} of {} over 0.2 s", of.meant);
+    assert!((15..=60).contains(&slow), "{slow} of {} over 0.2 s", of.scheduled);
     assert!((450.0..900.0).contains(&of.served_ms[4]), "{:?}", of.served_ms);
 }
 
@@ -81,10 +81,10 @@
         }
     });
     let of = against(mixed, &scenario(200.0, 0.5, 5.0), 1_024).await;
-    assert_eq!(of.meant, of.served + of.refused + of.failed);
-    let off = |part: u64, share: f64| (part as f64 - share * of.meant as f64).abs();
+    assert_eq!(of.scheduled, of.served + of.rejected + of.failed);
+    let off = |part: u64, share: f64| (part as f64 - share * of.scheduled as f64).abs();
     assert!(
-        off(of.refused, 0.5) <= 2.0 && off(of.failed, 0.25) <= 2.0 && off(of.served, 0.25) <= 2.0,
+        off(of.rejected, 0.5) <= 2.0 && off(of.failed, 0.25) <= 2.0 && off(of.served, 0.25) <= 2.0,
         "{of:?}"
     );
 }
@@ -96,12 +96,12 @@
         "late"
     });
     let of = against(silent, &scenario(100.0, 0.5, 0.3), 8).await;
-    assert!(of.silent >= 8 && of.not_sent > 0 && of.served == 0, "{of:?}");
-    assert_eq!(of.silent + of.not_sent, of.meant);
+    assert!(of.timed_out >= 8 && of.not_sent > 0 && of.served == 0, "{of:?}");
+    assert_eq!(of.timed_out + of.not_sent, of.scheduled);
     // Nobody listens there any more.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
     let report = send_load(&scenario(100.0, 0.3, 1.0), 1, address, 64).await;
-    assert_eq!(report.classes[0].broken, report.classes[0].meant);
+    assert_eq!(report.classes[0].connection_broken, report.classes[0].scheduled);
 }
--- a/crates/testbed/tests/unit/emulation_workers.rs
+++ b/crates/testbed/tests/unit/emulation_workers.rs
@@ -1,90 +1,113 @@
-//! Tests of what `lab`'s `emulate::workers` keeps to itself; it takes this file in as its `tests`.
+//! Tests of `emulation::workers`, which takes this file in as its `tests`: what schedulers see on workers'
+//! sockets.
+use std::cell::RefCell;
 use std::io::ErrorKind;
+use std::net::SocketAddr;
 
 use copperspread_dispatcher::SECOND;
+use http_body_util::BodyExt;
+use hyper::StatusCode;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::runtime::Runtime;
 use tokio::task::{LocalSet, spawn_local};
+use tokio::time::{Instant, timeout};
 
+use super::listener::bind;
+use super::requests::empty_response;
 use super::*;
 use crate::emulation::endpoint_list::VersionedEndpointList;
-use tokio::time::Instant;
-
-use crate::emulation::environment::{WorkerListener, endpoint_of, serve_connection};
+use crate::emulation::environment::{ListenerState, WorkerListener, endpoint_of, serve_connection};
 use crate::emulation::state::EmulationState;
 use crate::model::arrivals::Arrival;
 use crate::model::fleet::{FaultTransition, Fleet};
 use crate::scenario::Scenario;
+use crate::startup::single_threaded_runtime;
+
+/// An address at which no scheduler listens.
+fn no_scheduler() -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 9))
+}
+
+fn runtime() -> Runtime {
+    single_threaded_runtime().expect("a runtime")
+}
+
+/// The scenario's fault begins or ends at its worker.
+fn apply_fault(environment: &Rc<Environment>, is_start: bool) {
+    let transition = FaultTransition { at: 0, fault: 0, target: Some(0), is_start };
+    environment.apply(|state| state.apply_fault(transition));
+}
 
-/// One worker with one slot and no queue, and the first fault of a scenario begun.
-async fn stage(what: &str, seed: u64) -> Rc<Environment> {
-    let stage = stage_of(what, seed, "", SocketAddr::from(([127, 0, 0, 1], 9))).await;
-    // Nobody hears its call-backs.
-    stage.schedulers[0].1.set(false);
-    stage
+/// One worker with one slot and no queue, and a fault that has not begun. Callbacks are not sent.
+async fn environment_without_scheduler(fault: &str, seed: u64, settings: &str) -> Rc<Environment> {
+    let environment = environment(fault, seed, settings, no_scheduler()).await;
+    environment.schedulers[0].is_up.set(false);
+    environment
 }
 
-async fn stage_of(what: &str, seed: u64, extra: &str, scheduler: SocketAddr) -> Rc<Environment> {
+async fn environment(fault: &str, seed: u64, settings: &str, scheduler: SocketAddr) -> Rc<Environment> {
     let text = format!(
         "name = 'one'\nabout = 'one worker'\nseconds = 9.0\nschedulers = 1\n[clients]\nrate = 1.0\n\
          [discovery]\ndelay = 0.0\n[[workers]]\nkind = 'w'\ncount = 1\ncores = 1.0\nslots = 1.0\n\
          speed = [1.0, 1.0]\nqueue = 0\nmemory = 4.0\n[[classes]]\nname = 'c'\nshare = 1.0\nwork = 5.0\naim = 9.0\n\
          deadline = 9.0\nworth = 1.0\nrepeat = 'safe'\n\
-         [[faults]]\nat = 0.0\nlasts = 9.0\nshare = 1.0\nwhat = {what}\n{extra}"
+         [[faults]]\nat = 0.0\nlasts = 9.0\nshare = 1.0\nwhat = {fault}\n{settings}"
     );
     let scenario = Scenario::parse(&text).expect("a scenario");
-    let world = EmulationState::new(&scenario, Fleet::generate(&scenario, seed), seed);
+    let state = EmulationState::new(&scenario, Fleet::generate(&scenario, seed), seed);
     let socket = bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-    let port = WorkerListener::new(socket.local_addr().expect("an address"), ListenerState::Accepting(0));
-    let listing = VersionedEndpointList::new(vec![endpoint_of(&world, 0)]);
-    let stage = Rc::new(Environment::new(world, vec![port], listing, vec![scheduler]));
-    stage.start_clock();
-    spawn_local(run_listener(Rc::clone(&stage), 0, Some(socket)));
-    spawn_local(drive_worker(Rc::clone(&stage), 0));
-    spawn_local(report_progress(Rc::clone(&stage), 0));
-    spawn_local(refresh_load_reports(Rc::clone(&stage), 0));
-    while TcpStream::connect(stage.worker_address(0)).await.is_err() {
+    let listener = WorkerListener::new(socket.local_addr().expect("an address"), ListenerState::Accepting(0));
+    let list = VersionedEndpointList::new(vec![endpoint_of(&state, 0)]);
+    let environment = Rc::new(Environment::new(state, vec![listener], list, vec![scheduler]));
+    environment.start_clock();
+    spawn_local(run_listener(Rc::clone(&environment), 0, Some(socket)));
+    spawn_local(drive_worker(Rc::clone(&environment), 0));
+    spawn_local(report_progress(Rc::clone(&environment), 0));
+    spawn_local(refresh_load_reports(Rc::clone(&environment), 0));
+    while TcpStream::connect(environment.worker_address(0)).await.is_err() {
         tokio::task::yield_now().await;
     }
-    stage
+    environment
 }
 
-/// A hand-over of a new job; what is heard, or why nothing.
-async fn hand_over(stage: &Rc<Environment>) -> Result<String, ErrorKind> {
-    hand_over_of(stage, 5.0).await
+/// Sends an attempt of a new job; the response, or why there is none.
+async fn send_attempt(environment: &Rc<Environment>) -> Result<String, ErrorKind> {
+    send_attempt_of(environment, 5.0).await
 }
 
-async fn hand_over_of(stage: &Rc<Environment>, work: f64) -> Result<String, ErrorKind> {
-    let of = Arrival { at: 0, class: 0, work, slots: 1.0, memory: 1.5, cost_hint: None, scheduler: 0 };
-    let id = stage.apply(|world| {
-        world.add_job(1, of);
-        world.register_request(1, 0, 9 * SECOND)
+async fn send_attempt_of(environment: &Rc<Environment>, work: f64) -> Result<String, ErrorKind> {
+    let arrival = Arrival { at: 0, class: 0, work, slots: 1.0, memory: 1.5, cost_hint: None, scheduler: 0 };
+    let id = environment.apply(|state| {
+        state.add_job(1, arrival);
+        state.register_request(1, 0, 9 * SECOND)
     });
     let exchange = async {
-        let mut stream = TcpStream::connect(stage.worker_address(0)).await?;
-        let text =
+        let mut stream = TcpStream::connect(environment.worker_address(0)).await?;
+        let request =
             format!("POST /c/1 HTTP/1.1\r\nHost: w\r\nX-Request-ID: {id:016x}\r\nContent-Length: 0\r\n\r\n");
-        stream.write_all(text.as_bytes()).await?;
-        let mut heard = vec![0; 1_024];
-        let mut length = stream.read(&mut heard).await?;
-        // What is left after a part of an answer is its end or a reset.
-        if !heard[..length].ends_with(b"\r\n\r\n") {
-            match timeout(Duration::from_secs(2), stream.read(&mut heard[length..])).await {
+        stream.write_all(request.as_bytes()).await?;
+        let mut response = vec![0; 1_024];
+        let mut length = stream.read(&mut response).await?;
+        // What follows a part of a response is its end or a reset.
+        if !response[..length].ends_with(b"\r\n\r\n") {
+            match timeout(Duration::from_secs(2), stream.read(&mut response[length..])).await {
                 Ok(more) => length += more.unwrap_or(0),
                 Err(_) => length = 0,
             }
         }
-        heard.truncate(length);
-        Ok::<_, std::io::Error>(String::from_utf8_lossy(&heard).into_owned())
+        response.truncate(length);
+        Ok::<_, std::io::Error>(String::from_utf8_lossy(&response).into_owned())
     };
     match timeout(Duration::from_millis(800), exchange).await {
-        Ok(heard) => heard.map_err(|error| error.kind()),
+        Ok(response) => response.map_err(|error| error.kind()),
         Err(_) => Err(ErrorKind::TimedOut),
     }
 }
 
-// Each trouble as whoever connects sees it, and whether the worker has the job afterwards.
+// Each fault as a scheduler sees it, and how many jobs the worker has afterwards.
 #[test]
-fn what_goes_wrong_shows_on_the_socket() {
+fn a_fault_of_a_worker_shows_on_its_socket() {
     let cases: &[(&str, Result<&str, ErrorKind>, usize)] = &[
         ("{ slow = 1.0 }", Ok("HTTP/1.1 202 Accepted"), 1),
         ("'refusing'", Err(ErrorKind::ConnectionRefused), 0),
@@ -93,131 +116,130 @@
         ("'drain'", Ok("HTTP/1.1 503 Service Unavailable\r\nx-not-processed: 1"), 0),
         ("{ garbled = 1.0 }", Ok("\u{16}\u{3}\u{1} 202 ACCEPTED maybe"), 0),
     ];
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    for (what, heard, held) in cases {
+    let runtime = runtime();
+    for (fault, expected, job_count) in cases {
         LocalSet::new().block_on(&runtime, async {
-            let stage = stage(what, 1).await;
-            stage.apply(|world| {
-                world.apply_fault(FaultTransition { at: 0, fault: 0, target: Some(0), is_start: true })
-            });
-            // The door follows in a task of its own, before the next connection is looked at.
+            let environment = environment_without_scheduler(fault, 1, "").await;
+            apply_fault(&environment, true);
+            // The listener follows in a task of its own, before the next connection is accepted.
             sleep(Duration::from_millis(150)).await;
-            let got = hand_over(&stage).await;
-            let same = match (&got, heard) {
-                (Ok(got), Ok(heard)) => got.starts_with(heard),
-                (got, heard) => got.as_ref().err() == heard.as_ref().err(),
+            let response = send_attempt(&environment).await;
+            let is_as_expected = match (&response, expected) {
+                (Ok(response), Ok(expected)) => response.starts_with(expected),
+                (response, expected) => response.as_ref().err() == expected.as_ref().err(),
             };
-            assert!(same, "{what}: {got:?}, not {heard:?}");
-            assert_eq!(stage.state.borrow().workers[0].0.job_count(), *held, "{what}");
+            assert!(is_as_expected, "{fault}: {response:?}, not {expected:?}");
+            assert_eq!(environment.state.borrow().workers[0].0.job_count(), *job_count, "{fault}");
         });
     }
 }
 
-// A reset comes before the job is taken or in the middle of the 202, by chance; both are met.
+// By chance; both are met.
 #[test]
-fn a_reset_comes_before_the_job_is_taken_or_in_the_middle_of_the_answer() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+fn a_reset_comes_before_the_job_is_accepted_or_in_the_middle_of_the_202() {
+    let runtime = runtime();
     LocalSet::new().block_on(&runtime, async {
-        let (mut before, mut half) = (0, 0);
+        let (mut before, mut during) = (0, 0);
         for seed in 0..12 {
-            let stage = stage("{ resetting = 1.0 }", seed).await;
+            let environment = environment_without_scheduler("{ resetting = 1.0 }", seed, "").await;
             for _ in 0..4 {
-                stage.apply(|world| {
-                    world.apply_fault(FaultTransition { at: 0, fault: 0, target: Some(0), is_start: true })
-                });
-                let got = hand_over(&stage).await;
-                match stage.state.borrow().workers[0].0.job_count() {
+                apply_fault(&environment, true);
+                let response = send_attempt(&environment).await;
+                match environment.state.borrow().workers[0].0.job_count() {
                     0 => {
                         before += 1;
-                        assert_eq!(got, Err(ErrorKind::ConnectionReset));
+                        assert_eq!(response, Err(ErrorKind::ConnectionReset));
                     }
                     _ => {
-                        half += 1;
-                        assert!(got.is_err() || got == Ok("HTTP/1.1 202 Acc".into()), "{got:?}");
+                        during += 1;
+                        assert!(
+                            response.is_err() || response == Ok("HTTP/1.1 202 Acc".into()),
+                            "{response:?}"
+                        );
                         break;
                     }
                 }
             }
         }
-        assert!(before > 0 && half > 0, "{before} before, {half} half");
+        assert!(before > 0 && during > 0, "{before} before, {during} during");
     });
 }
 
-// As a plain client hears it: status, and the load where it was asked for. The queue holds none here.
+// The status, and the load report where that is wanted. The queue takes none here.
 #[test]
-fn a_worker_answers_probes_with_its_load() {
-    let probe = |deep| {
+fn a_worker_responds_to_load_queries_with_its_load() {
+    let load_queries = |is_queued: bool| {
         format!(
-            "[reports]\nnoise = 0.0\nrefresh = 0.1\nprobe = {{ work = 0.002, deep = {deep}, timeout = 1.0 }}"
+            "[reports]\nnoise = 0.0\nrefresh = 0.1\nprobe = {{ work = 0.002, deep = {is_queued}, timeout = 1.0 }}"
         )
     };
     let idle = Some([("inflight", 0.0), ("x0", 1.0)]);
     let busy = Some([("inflight", 1.0), ("x0", 0.0)]);
-    // Settings, what goes wrong, whether a job runs, the path, and what is heard.
+    // Settings, fault, whether a job runs, path, status and load report.
     let cases = [
-        (probe(true), "{ slow = 1.0 }", false, "/-/load", 200, idle),
-        (probe(false), "{ slow = 1.0 }", true, "/-/load", 200, busy),
-        (probe(false), "{ slow = 1.0 }", true, "/-/healthy", 200, None),
-        (probe(true), "{ slow = 1.0 }", true, "/-/load", 503, None),
-        (probe(false), "'drain'", false, "/-/load", 503, None),
-        (probe(false), "{ failing = 1.0 }", false, "/-/load", 500, None),
+        (load_queries(true), "{ slow = 1.0 }", false, "/-/load", 200, idle),
+        (load_queries(false), "{ slow = 1.0 }", true, "/-/load", 200, busy),
+        (load_queries(false), "{ slow = 1.0 }", true, "/-/healthy", 200, None),
+        (load_queries(true), "{ slow = 1.0 }", true, "/-/load", 503, None),
+        (load_queries(false), "'drain'", false, "/-/load", 503, None),
+        (load_queries(false), "{ failing = 1.0 }", false, "/-/load", 500, None),
         (String::new(), "{ slow = 1.0 }", false, "/-/load", 404, None),
     ];
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    for (settings, what, runs, path, status, load) in cases {
+    let runtime = runtime();
+    for (settings, fault, is_busy, path, status, load) in cases {
         LocalSet::new().block_on(&runtime, async {
-            let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
-            let stage = stage_of(what, 1, &settings, nobody).await;
-            stage.schedulers[0].1.set(false);
-            if runs {
-                assert!(hand_over(&stage).await.is_ok_and(|heard| heard.starts_with("HTTP/1.1 202")));
+            let environment = environment_without_scheduler(fault, 1, &settings).await;
+            if is_busy {
+                assert!(
+                    send_attempt(&environment)
+                        .await
+                        .is_ok_and(|response| response.starts_with("HTTP/1.1 202"))
+                );
             }
-            stage.apply(|world| {
-                world.apply_fault(FaultTransition { at: 0, fault: 0, target: Some(0), is_start: true })
-            });
+            apply_fault(&environment, true);
             sleep(Duration::from_millis(250)).await;
-            let mut stream = TcpStream::connect(stage.worker_address(0)).await.expect("a connection");
-            let text = format!("GET {path} HTTP/1.1\r\nHost: w\r\nConnection: close\r\n\r\n");
-            stream.write_all(text.as_bytes()).await.expect("sent");
-            let mut heard = String::new();
-            stream.read_to_string(&mut heard).await.expect("an answer");
-            assert!(heard.starts_with(&format!("HTTP/1.1 {status}")), "{settings} {what} {path}: {heard}");
-            let body = heard.split("\r\n\r\n").nth(1).unwrap_or_default();
-            let Some(load) = load else { return assert_eq!(body, "", "{settings} {what} {path}") };
-            let told: serde_json::Value = serde_json::from_str(body).expect("JSON");
+            let mut stream = TcpStream::connect(environment.worker_address(0)).await.expect("a connection");
+            let request = format!("GET {path} HTTP/1.1\r\nHost: w\r\nConnection: close\r\n\r\n");
+            stream.write_all(request.as_bytes()).await.expect("sent");
+            let mut response = String::new();
+            stream.read_to_string(&mut response).await.expect("a response");
+            assert!(
+                response.starts_with(&format!("HTTP/1.1 {status}")),
+                "{settings} {fault} {path}: {response}"
+            );
+            let body = response.split("\r\n\r\n").nth(1).unwrap_or_default();
+            let Some(load) = load else { return assert_eq!(body, "", "{settings} {fault} {path}") };
+            let report: serde_json::Value = serde_json::from_str(body).expect("JSON");
             for (name, value) in load {
-                assert_eq!(told[name].as_f64(), Some(value), "{settings} {what} {path}: {told}");
+                assert_eq!(report[name].as_f64(), Some(value), "{settings} {fault} {path}: {report}");
             }
-            assert!(told["qps"].as_f64().is_some() && told.get("queue").is_none(), "{told}");
+            assert!(report["qps"].as_f64().is_some() && report.get("queue").is_none(), "{report}");
         });
     }
 }
 
-// A job that was given up by the protocol's DELETE stops where the scenario has it so.
 #[test]
-fn a_delete_stops_the_job_where_it_does() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    for (settings, held) in [("[settings]\ncancel_stops = true", 0), ("", 1)] {
+fn a_cancellation_stops_the_job_where_the_scenario_says_so() {
+    let runtime = runtime();
+    for (settings, job_count) in [("[settings]\ncancel_stops = true", 0), ("", 1)] {
         LocalSet::new().block_on(&runtime, async {
-            let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
-            let stage = stage_of("{ slow = 1.0 }", 1, settings, nobody).await;
-            stage.schedulers[0].1.set(false);
-            let id = stage.apply(|world| world.register_request(0, 0, SECOND));
-            hand_over(&stage).await.expect("a 202");
-            let mut stream = TcpStream::connect(stage.worker_address(0)).await.expect("a connection");
-            let text =
+            let environment = environment_without_scheduler("{ slow = 1.0 }", 1, settings).await;
+            let id = environment.apply(|state| state.register_request(0, 0, SECOND));
+            send_attempt(&environment).await.expect("a 202");
+            let mut stream = TcpStream::connect(environment.worker_address(0)).await.expect("a connection");
+            let request =
                 format!("DELETE /jobs/{:016x} HTTP/1.1\r\nHost: w\r\nConnection: close\r\n\r\n", id + 1);
-            stream.write_all(text.as_bytes()).await.expect("sent");
-            stream.read_to_string(&mut String::new()).await.expect("an answer");
-            assert_eq!(stage.state.borrow().workers[0].0.job_count(), held, "{settings:?}");
+            stream.write_all(request.as_bytes()).await.expect("sent");
+            stream.read_to_string(&mut String::new()).await.expect("a response");
+            assert_eq!(environment.state.borrow().workers[0].0.job_count(), job_count, "{settings:?}");
         });
     }
 }
 
-// What a scheduler hears of a job of 0.3 s: the states in their order, and when the first one comes.
+// The callbacks of a job of 0.3 s: the states in their order, and when the first one comes at the earliest.
 #[test]
-fn call_backs_come_once_or_twice_late_or_never() {
-    type Heard = Vec<(String, f64)>;
+fn callbacks_come_once_or_twice_late_or_never() {
+    type Callbacks = Vec<(String, f64)>;
     let cases: &[(&str, &str, &[&str], f64)] = &[
         ("{ slow = 1.0 }", "", &["started", "done"], 0.0),
         ("'doubled_news'", "", &["started", "started", "done", "done"], 0.0),
@@ -225,57 +247,57 @@
         ("{ silent = 0 }", "", &[], 0.0),
         ("{ slow = 1.0 }", "[reports]\nprogress = 0.12\n", &["started", "running", "running", "done"], 0.0),
     ];
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    for (what, extra, states, least) in cases {
-        let heard: Heard = LocalSet::new().block_on(&runtime, async {
+    let runtime = runtime();
+    for (fault, settings, states, earliest_s) in cases {
+        let callbacks: Callbacks = LocalSet::new().block_on(&runtime, async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let scheduler = listener.local_addr().expect("an address");
-            let stage = stage_of(what, 1, extra, scheduler).await;
-            stage.apply(|world| {
-                world.apply_fault(FaultTransition { at: 0, fault: 0, target: Some(0), is_start: true })
-            });
-            let began = Instant::now();
-            assert!(hand_over_of(&stage, 0.3).await.is_ok_and(|heard| heard.contains("202")), "{what}");
-            let heard = Rc::new(std::cell::RefCell::new(Heard::new()));
-            let list = Rc::clone(&heard);
-            let listens = async {
+            let environment = environment(fault, 1, settings, scheduler).await;
+            apply_fault(&environment, true);
+            let started_at = Instant::now();
+            assert!(
+                send_attempt_of(&environment, 0.3).await.is_ok_and(|response| response.contains("202")),
+                "{fault}"
+            );
+            let callbacks = Rc::new(RefCell::new(Callbacks::new()));
+            let received = Rc::clone(&callbacks);
+            let listen = async {
                 while let Ok((stream, _)) = listener.accept().await {
-                    let list = Rc::clone(&list);
+                    let received = Rc::clone(&received);
                     spawn_local(serve_connection(stream, move |request| {
-                        let list = Rc::clone(&list);
+                        let received = Rc::clone(&received);
                         async move {
                             let body = request.into_body().collect().await.expect("a body").to_bytes();
-                            let news: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
-                            let state = news["state"].as_str().expect("a state").to_owned();
-                            list.borrow_mut().push((state, began.elapsed().as_secs_f64()));
+                            let callback: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
+                            let state = callback["state"].as_str().expect("a state").to_owned();
+                            received.borrow_mut().push((state, started_at.elapsed().as_secs_f64()));
                             empty_response(StatusCode::NO_CONTENT)
                         }
                     }));
                 }
             };
-            let _ = timeout(Duration::from_millis(1_500), listens).await;
-            heard.take()
+            let _ = timeout(Duration::from_millis(1_500), listen).await;
+            callbacks.take()
         });
-        let came: Vec<&str> = heard.iter().map(|of| &*of.0).collect();
-        assert_eq!(came, *states, "{what} {extra}");
-        assert!(heard.first().is_none_or(|of| of.1 >= *least), "{what}: {heard:?}");
+        let received_states: Vec<&str> = callbacks.iter().map(|(state, _)| &**state).collect();
+        assert_eq!(received_states, *states, "{fault} {settings}");
+        assert!(callbacks.first().is_none_or(|(_, at_s)| at_s >= earliest_s), "{fault}: {callbacks:?}");
     }
 }
 
-// A machine that comes back resets what was open, and is another process.
+// It resets connections that were open, and runs another process.
 #[test]
-fn a_machine_that_is_back_takes_jobs_again() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+fn a_machine_that_is_reachable_again_accepts_jobs() {
+    let runtime = runtime();
     LocalSet::new().block_on(&runtime, async {
-        let stage = stage("'vanish'", 1).await;
-        assert!(hand_over(&stage).await.is_ok_and(|heard| heard.contains("202")));
-        let turn = |begins| FaultTransition { at: 0, fault: 0, target: Some(0), is_start: begins };
-        stage.apply(|world| world.apply_fault(turn(true)));
+        let environment = environment_without_scheduler("'vanish'", 1, "").await;
+        assert!(send_attempt(&environment).await.is_ok_and(|response| response.contains("202")));
+        apply_fault(&environment, true);
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(hand_over(&stage).await, Err(ErrorKind::TimedOut));
-        stage.apply(|world| world.apply_fault(turn(false)));
+        assert_eq!(send_attempt(&environment).await, Err(ErrorKind::TimedOut));
+        apply_fault(&environment, false);
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(stage.state.borrow().workers[0].0.job_count(), 0);
-        assert!(hand_over(&stage).await.is_ok_and(|heard| heard.contains("202")));
+        assert_eq!(environment.state.borrow().workers[0].0.job_count(), 0);
+        assert!(send_attempt(&environment).await.is_ok_and(|response| response.contains("202")));
     });
 }
--- a/crates/testbed/tests/vast.rs
+++ b/crates/testbed/tests/vast.rs
@@ -52,7 +52,7 @@
     let (file, arguments) = ("none".into(), Vec::new());
     let none = SchedulerInstances::Spawned(SchedulerProgram { file, arguments });
     let why = emulate(&scenario, &none, "none", 1).expect_err("no sizes there");
-    assert!(why.contains("discovery.sizes"), "{why}");
+    assert!(why.to_string().contains("discovery.sizes"), "{why}");
 }
 
 #[test]
