--- a/crates/testbed/src/emulation/callbacks.rs
+++ b/crates/testbed/src/emulation/callbacks.rs
@@ -21,13 +21,13 @@
 const CALLBACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The result that a worker makes for a request.
-pub fn expected_result(request: u64) -> String {
+pub(crate) fn expected_result(request: u64) -> String {
     format!("result of {request:016x}")
 }
 
 /// Delivers a callback after its delay, again after each failure until the tries are used up or the
 /// scheduler is down, and twice where it is duplicated.
-pub async fn deliver_callback(environment: Rc<Environment>, callback: Callback) {
+pub(crate) async fn deliver_callback(environment: Rc<Environment>, callback: Callback) {
     sleep(Duration::from_micros(callback.delay)).await;
     let body = Bytes::from(callback_body(&callback).to_string());
     let scheduler = &environment.schedulers[callback.scheduler as usize];
@@ -94,12 +94,12 @@
 }
 
 /// A load report as a JSON object.
-pub fn load_report_json(report: &LoadReport) -> Value {
+pub(crate) fn load_report_json(report: &LoadReport) -> Value {
     load_report_fields(report).map(|(name, value)| (name.to_owned(), value)).collect()
 }
 
 /// A load report as a header's value.
-pub fn load_report_header(report: &LoadReport) -> String {
+pub(crate) fn load_report_header(report: &LoadReport) -> String {
     let parts = load_report_fields(report).map(|(name, value)| format!("{name}={value:.4}"));
     format!("TEXT {}", parts.collect::<Vec<_>>().join(", "))
 }
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -16,10 +16,10 @@
 /// Longest hold of a watch, as on the platform.
 const MAX_HOLD: Micros = 60_000_000;
 /// How long a list that contradicts itself stays before the other one follows, as in virtual time.
-pub const CONTRADICTION_INTERVAL: Duration = Duration::from_secs(3);
+pub(crate) const CONTRADICTION_INTERVAL: Duration = Duration::from_secs(3);
 
 /// A list in discovery's form. Only a list of changes names removed workers.
-pub fn endpoint_list_json(
+pub(crate) fn endpoint_list_json(
     environment: &Environment,
     kind: EndpointUpdateKind,
     revision: u64,
@@ -51,7 +51,7 @@
 }
 
 /// Serves one scheduler's discovery on a listener of its own, until the run's tasks end.
-pub async fn serve_discovery(environment: Rc<Environment>, scheduler: u32, listener: TcpListener) {
+pub(crate) async fn serve_discovery(environment: Rc<Environment>, scheduler: u32, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let environment = Rc::clone(&environment);
         // Ends with its connection, or with the run's tasks.
--- a/crates/testbed/src/emulation/endpoint_list.rs
+++ b/crates/testbed/src/emulation/endpoint_list.rs
@@ -3,7 +3,7 @@
 
 /// An endpoint and the revision of its last change.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct VersionedEndpoint {
+pub(crate) struct VersionedEndpoint {
     /// The revision.
     pub revision: u64,
     /// The endpoint.
@@ -11,7 +11,7 @@
 }
 
 /// The endpoint list, with what a scheduler needs that has an earlier revision.
-pub struct VersionedEndpointList {
+pub(crate) struct VersionedEndpointList {
     /// Grows with each change.
     pub revision: u64,
     /// Each worker's endpoint, by its number.
@@ -28,7 +28,7 @@
 
 impl VersionedEndpointList {
     /// A first list.
-    pub fn new(endpoints: Vec<Endpoint>) -> VersionedEndpointList {
+    pub(crate) fn new(endpoints: Vec<Endpoint>) -> VersionedEndpointList {
         let first = |endpoint| VersionedEndpoint { revision: 1, endpoint };
         VersionedEndpointList {
             revision: 1,
@@ -41,7 +41,7 @@
     }
 
     /// Changes some endpoints, in one revision.
-    pub fn update(&mut self, endpoints: Vec<Endpoint>) {
+    pub(crate) fn update(&mut self, endpoints: Vec<Endpoint>) {
         self.revision += 1;
         for endpoint in endpoints {
             let entry = VersionedEndpoint { revision: self.revision, endpoint };
@@ -50,13 +50,13 @@
     }
 
     /// Replaces the list by another one; every scheduler gets it as a complete list.
-    pub fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
+    pub(crate) fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
         self.update(endpoints);
         self.full_list_since = self.revision;
     }
 
     /// What a scheduler with a revision, or with none, has not been sent; `None` if that is nothing.
-    pub fn changes_since(&self, known: Option<u64>) -> Option<(EndpointUpdateKind, Vec<Endpoint>)> {
+    pub(crate) fn changes_since(&self, known: Option<u64>) -> Option<(EndpointUpdateKind, Vec<Endpoint>)> {
         match known {
             Some(known) if known >= self.full_list_since && known <= self.revision => {
                 let newer = self.endpoints.iter().filter(|entry| entry.revision > known);
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -26,11 +26,11 @@
 use crate::scenario::{Scenario, micros_from_seconds};
 
 /// A response of the emulation's own servers.
-pub type HttpResponse = Response<Full<Bytes>>;
+pub(crate) type HttpResponse = Response<Full<Bytes>>;
 
 /// What a worker's port does with new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListenerState {
+pub(crate) enum ListenerState {
     /// A process accepts them; the number tells it from the process before.
     Accepting(u32),
     /// No process listens.
@@ -40,7 +40,7 @@
 }
 
 /// A worker as its tasks and connections see it.
-pub struct WorkerListener {
+pub(crate) struct WorkerListener {
     /// Where it listens while it does.
     pub address: SocketAddr,
     /// What its port does; the environment sets it.
@@ -51,13 +51,13 @@
 
 impl WorkerListener {
     /// A worker at an address.
-    pub fn new(address: SocketAddr, state: ListenerState) -> WorkerListener {
+    pub(crate) fn new(address: SocketAddr, state: ListenerState) -> WorkerListener {
         WorkerListener { address, listener_state: watch::Sender::new(state), wake: Notify::new() }
     }
 }
 
 /// A scheduler as clients and workers reach it.
-pub struct SchedulerTarget {
+pub(crate) struct SchedulerTarget {
     /// Where it listens.
     pub address: SocketAddr,
     /// Whether its process runs and is not about to end.
@@ -65,7 +65,7 @@
 }
 
 /// What the tasks of one run share. They run on one thread; nothing is borrowed over an await.
-pub struct Environment {
+pub(crate) struct Environment {
     /// The scenario.
     pub scenario: Scenario,
     /// The model's state.
@@ -84,7 +84,7 @@
 
 impl Environment {
     /// Joins a run's parts; all schedulers count as up.
-    pub fn new(
+    pub(crate) fn new(
         state: EmulationState,
         listeners: Vec<WorkerListener>,
         endpoint_list: VersionedEndpointList,
@@ -104,49 +104,49 @@
     }
 
     /// Starts the run's clock: from now on it counts from 0.
-    pub fn start_clock(&self) {
+    pub(crate) fn start_clock(&self) {
         self.state.borrow_mut().start_clock();
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.started_unix_ms.set(unix_time.as_millis() as u64);
     }
 
     /// Microseconds since the run's clock was started.
-    pub fn now(&self) -> Micros {
+    pub(crate) fn now(&self) -> Micros {
         self.state.borrow().now()
     }
 
     /// An instant of the run.
-    pub fn instant_at(&self, at: Micros) -> Instant {
+    pub(crate) fn instant_at(&self, at: Micros) -> Instant {
         self.state.borrow().instant_at(at)
     }
 
     /// An instant of the run in Unix time, in milliseconds.
-    pub fn unix_ms_at(&self, at: Micros) -> u64 {
+    pub(crate) fn unix_ms_at(&self, at: Micros) -> u64 {
         self.started_unix_ms.get() + at / 1_000
     }
 
     /// Where a worker listens.
-    pub fn worker_address(&self, worker: u32) -> SocketAddr {
+    pub(crate) fn worker_address(&self, worker: u32) -> SocketAddr {
         self.listeners[worker as usize].address
     }
 
     /// The name of a worker's kind.
-    pub fn worker_kind(&self, worker: u32) -> &str {
+    pub(crate) fn worker_kind(&self, worker: u32) -> &str {
         &self.scenario.workers[self.state.borrow().kinds[worker as usize] as usize].kind
     }
 
     /// Wakes the task that advances a worker's model.
-    pub fn wake_worker(&self, worker: u32) {
+    pub(crate) fn wake_worker(&self, worker: u32) {
         self.listeners[worker as usize].wake.notify_one();
     }
 
     /// Changes with each change of the endpoint list.
-    pub fn subscribe_to_list(&self) -> watch::Receiver<u64> {
+    pub(crate) fn subscribe_to_list(&self) -> watch::Receiver<u64> {
         self.list_changed.subscribe()
     }
 
     /// Records that a scheduler was notified of endpoints.
-    pub fn record_notification(&self, scheduler: u32, endpoints: &[Endpoint]) {
+    pub(crate) fn record_notification(&self, scheduler: u32, endpoints: &[Endpoint]) {
         let mut state = self.state.borrow_mut();
         let now = state.now();
         for endpoint in endpoints {
@@ -156,29 +156,29 @@
     }
 
     /// A worker's endpoint as it is now.
-    pub fn endpoint(&self, worker: u32) -> Endpoint {
+    pub(crate) fn endpoint(&self, worker: u32) -> Endpoint {
         endpoint_of(&self.state.borrow(), worker)
     }
 
     /// Every worker's endpoint as it is now.
-    pub fn endpoints(&self) -> Vec<Endpoint> {
+    pub(crate) fn endpoints(&self) -> Vec<Endpoint> {
         (0..self.listeners.len() as u32).map(|worker| self.endpoint(worker)).collect()
     }
 
     /// Changes the endpoint list and wakes the watches on it.
-    pub fn update_endpoint_list(&self, update: impl FnOnce(&mut VersionedEndpointList)) {
+    pub(crate) fn update_endpoint_list(&self, update: impl FnOnce(&mut VersionedEndpointList)) {
         update(&mut self.endpoint_list.borrow_mut());
         self.list_changed.send_modify(|changes| *changes += 1);
     }
 
     /// How long the endpoint list lags behind the workers.
-    pub fn discovery_delay(&self) -> Duration {
+    pub(crate) fn discovery_delay(&self) -> Duration {
         Duration::from_micros(micros_from_seconds(self.scenario.discovery.delay_s))
     }
 
     /// Changes the state and carries out what follows: callbacks, each by a task that ends with it, and
     /// what the change means for sockets and the endpoint list.
-    pub fn apply<R>(self: &Rc<Self>, change: impl FnOnce(&mut EmulationState) -> R) -> R {
+    pub(crate) fn apply<R>(self: &Rc<Self>, change: impl FnOnce(&mut EmulationState) -> R) -> R {
         let (result, callbacks, changed_workers) = {
             let mut state = self.state.borrow_mut();
             let result = change(&mut state);
@@ -236,7 +236,7 @@
 }
 
 /// A worker's endpoint as the state has it.
-pub fn endpoint_of(state: &EmulationState, worker: u32) -> Endpoint {
+pub(crate) fn endpoint_of(state: &EmulationState, worker: u32) -> Endpoint {
     let (model, zone) = &state.workers[worker as usize];
     let worker_state = match model.process {
         ProcessState::Up => WorkerState::Ready,
@@ -256,7 +256,7 @@
 }
 
 /// Serves a connection of the emulation's own that nothing breaks, until it ends.
-pub async fn serve_connection<F>(stream: TcpStream, respond: impl Fn(Request<Incoming>) -> F)
+pub(crate) async fn serve_connection<F>(stream: TcpStream, respond: impl Fn(Request<Incoming>) -> F)
 where
     F: Future<Output = HttpResponse>,
 {
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -4,7 +4,7 @@
 
 /// A callback on an attempt, to be delivered.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Callback {
+pub(crate) struct Callback {
     /// The request.
     pub request: u64,
     /// The worker that calls back.
@@ -21,7 +21,7 @@
 
 /// What a callback reports of its attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CallbackState {
+pub(crate) enum CallbackState {
     /// The job began to run.
     Started,
     /// This share of it is done.
@@ -38,7 +38,7 @@
 
 /// A worker's response to an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub enum AttemptResponse {
+pub(crate) enum AttemptResponse {
     /// 202.
     Accepted,
     /// 202, of which half is written before the connection is reset.
@@ -55,7 +55,7 @@
 
 /// A worker's response to a load query.
 #[derive(Debug)]
-pub enum LoadQueryResponse {
+pub(crate) enum LoadQueryResponse {
     /// 200 with its load, after so long.
     AfterDelay(Micros),
     /// It waits in the queue; the channel ends without a message when it was lost there.
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -24,7 +24,7 @@
 
 impl EmulationState {
     /// An attempt's head arrives at a worker. Returns the network's delay until the rest does.
-    pub fn attempt_arrives(&mut self, request: u64, worker: u32) -> Micros {
+    pub(crate) fn attempt_arrives(&mut self, request: u64, worker: u32) -> Micros {
         let now = self.now();
         let Some(&PendingRequest { job, scheduler }) = self.requests.get(&request) else { return 0 };
         let Some(job) = self.jobs.get(&job) else { return 0 };
@@ -37,7 +37,12 @@
     }
 
     /// The same attempt has arrived as a whole, its head at `head_arrived_at`.
-    pub fn accept_attempt(&mut self, request: u64, worker: u32, head_arrived_at: Micros) -> AttemptResponse {
+    pub(crate) fn accept_attempt(
+        &mut self,
+        request: u64,
+        worker: u32,
+        head_arrived_at: Micros,
+    ) -> AttemptResponse {
         self.account_in_flight();
         let now = self.now();
         let Some(delivered) = self.deliver_attempt(request, worker, head_arrived_at) else {
@@ -143,7 +148,7 @@
 
     /// Stops a request's attempts at a worker where a scheduler cancelled it there, if the scenario's
     /// cancellations stop jobs.
-    pub fn cancel_request(&mut self, request: u64, worker: u32) {
+    pub(crate) fn cancel_request(&mut self, request: u64, worker: u32) {
         if !self.scenario.tuning.cancel_stops_job {
             return;
         }
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -83,7 +83,7 @@
     }
 
     /// Queues a callback with the progress of each job that runs at a worker.
-    pub fn report_progress(&mut self, worker: u32) {
+    pub(crate) fn report_progress(&mut self, worker: u32) {
         let now = self.now();
         let model = &self.workers[worker as usize].0;
         let at_worker = self.attempts.iter().filter(|(_, attempt)| attempt.worker == worker);
--- a/crates/testbed/src/emulation/state/load_queries.rs
+++ b/crates/testbed/src/emulation/state/load_queries.rs
@@ -13,7 +13,7 @@
 
 impl EmulationState {
     /// A load query arrives at a worker.
-    pub fn accept_load_query(&mut self, worker: u32) -> LoadQueryResponse {
+    pub(crate) fn accept_load_query(&mut self, worker: u32) -> LoadQueryResponse {
         let Some(query) = self.scenario.load_reports.load_query else { return LoadQueryResponse::NotFound };
         self.account_in_flight();
         let now = self.now();
@@ -53,7 +53,7 @@
     }
 
     /// The load report with which a worker responds to a load query.
-    pub fn queried_load_report(&mut self, worker: u32) -> LoadReport {
+    pub(crate) fn queried_load_report(&mut self, worker: u32) -> LoadReport {
         let now = self.now();
         let query = self.scenario.load_reports.load_query;
         let staleness = query.map_or(0, |query| micros_from_seconds(query.staleness_s));
@@ -62,7 +62,7 @@
     }
 
     /// Refreshes the load report that a worker's responses to load queries hold.
-    pub fn refresh_load_report(&mut self, worker: u32) {
+    pub(crate) fn refresh_load_report(&mut self, worker: u32) {
         let now = self.now();
         let interval = micros_from_seconds(self.scenario.load_reports.refresh_interval_s);
         let noise = noise(&mut self.noise_random, self.scenario.load_reports.noise_slots);
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -56,7 +56,7 @@
 }
 
 /// The state of one run. The environment owns it; all its tasks run on one thread.
-pub struct EmulationState {
+pub(crate) struct EmulationState {
     /// The scenario.
     pub scenario: Scenario,
     /// Workers with their zones.
@@ -98,7 +98,7 @@
 
 impl EmulationState {
     /// The state of a scenario and a seed at its start; time counts from now on.
-    pub fn new(scenario: &Scenario, fleet: Fleet, seed: u64) -> EmulationState {
+    pub(crate) fn new(scenario: &Scenario, fleet: Fleet, seed: u64) -> EmulationState {
         EmulationState {
             connections: vec![ConnectionFaults::default(); fleet.workers.len()],
             workers: fleet.workers,
@@ -128,17 +128,17 @@
     }
 
     /// Starts the run's clock: from now on it counts from 0.
-    pub fn start_clock(&mut self) {
+    pub(crate) fn start_clock(&mut self) {
         self.started_at = Instant::now();
     }
 
     /// Microseconds since the run's clock was started.
-    pub fn now(&self) -> Micros {
+    pub(crate) fn now(&self) -> Micros {
         self.started_at.elapsed().as_micros() as Micros
     }
 
     /// An instant of the run.
-    pub fn instant_at(&self, at: Micros) -> Instant {
+    pub(crate) fn instant_at(&self, at: Micros) -> Instant {
         self.started_at + Duration::from_micros(at)
     }
 
@@ -159,12 +159,12 @@
     }
 
     /// Adds a client's job, by its number.
-    pub fn add_job(&mut self, number: u64, arrival: Arrival) {
+    pub(crate) fn add_job(&mut self, number: u64, arrival: Arrival) {
         self.jobs.insert(number, ClientJob { arrival, keys: KeyHistory::default() });
     }
 
     /// Registers a request that a client is about to send; returns its id.
-    pub fn register_request(&mut self, job: u64, scheduler: u32, deadline: Micros) -> u64 {
+    pub(crate) fn register_request(&mut self, job: u64, scheduler: u32, deadline: Micros) -> u64 {
         let id = self.next_id();
         self.requests.insert(id, PendingRequest { job, scheduler });
         self.rule_checker.request_sent(RequestId(id), deadline);
@@ -180,12 +180,12 @@
     }
 
     /// Jobs in the workers, summed over microseconds.
-    pub fn in_flight_job_micros(&self) -> f64 {
+    pub(crate) fn in_flight_job_micros(&self) -> f64 {
         self.in_flight.job_micros
     }
 
     /// Ends what a worker has done by now. Returns when it must be advanced again.
-    pub fn advance_worker(&mut self, worker: u32) -> Option<Instant> {
+    pub(crate) fn advance_worker(&mut self, worker: u32) -> Option<Instant> {
         self.account_in_flight();
         let now = self.now();
         let mut effects = Vec::new();
@@ -198,7 +198,7 @@
     }
 
     /// Begins or ends a fault of workers, their connections or their load reports.
-    pub fn apply_fault(&mut self, transition: FaultTransition) {
+    pub(crate) fn apply_fault(&mut self, transition: FaultTransition) {
         self.account_in_flight();
         let fault = self.scenario.faults[transition.fault].kind;
         if let FaultKind::ReportsLate(delay_s) = fault {
--- a/crates/testbed/src/http_client.rs
+++ b/crates/testbed/src/http_client.rs
@@ -6,14 +6,14 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
 /// Longest request or response body that the testbed reads, in bytes.
-pub const MAX_BODY_BYTES: usize = 64 * 1024;
+pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// A pooled HTTP/1 client for requests with a short body.
-pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
+pub(crate) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
 /// Makes a client that never resends a request by itself: that would hide broken connections from
 /// whatever counts them.
-pub fn new_http_client() -> HttpClient {
+pub(crate) fn new_http_client() -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     Client::builder(TokioExecutor::new())
@@ -26,6 +26,6 @@
 ///
 /// # Errors
 /// A body over [`MAX_BODY_BYTES`], or a connection that breaks.
-pub async fn read_body(body: Incoming) -> Result<Bytes, Box<dyn std::error::Error + Send + Sync>> {
+pub(crate) async fn read_body(body: Incoming) -> Result<Bytes, Box<dyn std::error::Error + Send + Sync>> {
     Ok(Limited::new(body, MAX_BODY_BYTES).collect().await?.to_bytes())
 }
--- a/crates/testbed/src/job_request.rs
+++ b/crates/testbed/src/job_request.rs
@@ -8,7 +8,7 @@
 use crate::model::arrivals::Arrival;
 
 /// What a client's request is made from.
-pub struct JobRequest<'a> {
+pub(crate) struct JobRequest<'a> {
     /// The scheduler.
     pub target: SocketAddr,
     /// The job's class.
@@ -25,7 +25,7 @@
 
 impl JobRequest<'_> {
     /// The request; `None` if a class's name makes no valid path.
-    pub fn build(&self) -> Option<Request<Full<Bytes>>> {
+    pub(crate) fn build(&self) -> Option<Request<Full<Bytes>>> {
         let url = format!("http://{}/{}/{:x}", self.target, self.class, self.job_id);
         let mut request = Request::post(url)
             .header("x-request-id", format!("{:016x}", self.request_id))
