--- a/crates/testbed/src/emulate/world.rs
+++ b/crates/testbed/src/emulate/world.rs
@@ -320,7 +320,7 @@
             self.held.0 -= 1;
             let job = self.attempts.get(&id).map(|of| of.job);
             if let Some(of) = job.and_then(|job| self.jobs.get_mut(&job)) {
-                of.keys.record_handed_back(id);
+                of.keys.record_returned(id);
             }
             self.over(id, Kind::Failed);
             self.effects(worker, effects);
@@ -454,13 +454,13 @@
                     self.tell(id, Kind::Lost);
                     self.over(id, Kind::Lost);
                 }
-                worker::WorkerEffect::HandedBack(id) => {
+                worker::WorkerEffect::ReturnedUnstarted(id) => {
                     self.held.0 -= 1;
                     self.probes.remove(&id);
                     if let Some(job) = self.attempts.get(&id).map(|of| of.job) {
                         self.referee.handed_back(job, id);
                         if let Some(of) = self.jobs.get_mut(&job) {
-                            of.keys.record_handed_back(id);
+                            of.keys.record_returned(id);
                         }
                     }
                     self.tell(id, Kind::Returned);
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -52,7 +52,7 @@
                     max_waiting: group.queue,
                     order: group.order,
                     memory: group.memory.unwrap_or(f64::INFINITY),
-                    slow_start_share: cold.from,
+                    slow_start_fraction: cold.from,
                     slow_start_duration: micros(cold.warm_after),
                     overload_multiple: cold.fall_multiple,
                     overload_window: (cold.fall_seconds > 0.0).then(|| micros(cold.fall_seconds)),
--- a/crates/testbed/src/model/idempotency_keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -55,7 +55,7 @@
     }
 
     /// An attempt was handed back: the key is forgotten with it.
-    pub fn record_handed_back(&mut self, attempt: u64) {
+    pub fn record_returned(&mut self, attempt: u64) {
         self.taken.retain(|&(of, _, _)| of != attempt);
     }
 
--- a/crates/testbed/src/model/worker.rs
+++ b/crates/testbed/src/model/worker.rs
@@ -24,7 +24,7 @@
     /// Memory, in megabytes.
     pub memory: f64,
     /// A cold worker begins at this share of its capacity ...
-    pub slow_start_share: f64,
+    pub slow_start_fraction: f64,
     /// ... and is warm after this long.
     pub slow_start_duration: Micros,
     /// Sent more than so many times its present capacity ...
@@ -97,7 +97,7 @@
     /// A job was lost with the process.
     Lost(u64),
     /// A waiting job is handed back unstarted.
-    HandedBack(u64),
+    ReturnedUnstarted(u64),
     /// It fell over.
     Overloaded,
 }
@@ -194,15 +194,15 @@
     }
 
     /// The share of its capacity that it has now.
-    pub fn capacity_share(&self, now: Micros) -> f64 {
+    pub fn capacity_fraction(&self, now: Micros) -> f64 {
         let Some(start) = self.started_at else { return 1.0 };
         let age = now.saturating_sub(start) as f64 / self.spec.slow_start_duration.max(1) as f64;
-        (self.spec.slow_start_share + (1.0 - self.spec.slow_start_share) * age).min(1.0)
+        (self.spec.slow_start_fraction + (1.0 - self.spec.slow_start_fraction) * age).min(1.0)
     }
 
     /// Core-seconds that it can do in a second.
     pub fn capacity(&self, now: Micros) -> f64 {
-        self.spec.cores.min(self.spec.slots) * self.spec.speed * self.capacity_share(now)
+        self.spec.cores.min(self.spec.slots) * self.spec.speed * self.capacity_fraction(now)
     }
 
     /// How fast each running job goes, in seconds of work a second.
@@ -211,7 +211,7 @@
             return 0.0;
         }
         let share = if self.used_slots > self.spec.cores { self.spec.cores / self.used_slots } else { 1.0 };
-        self.spec.speed * self.capacity_share(now) / self.slowdown * share
+        self.spec.speed * self.capacity_fraction(now) / self.slowdown * share
     }
 
     /// Core-seconds still to do here, waiting ones included.
@@ -261,7 +261,7 @@
         }
         self.offered_since_refresh += 1;
         self.account_progress(now);
-        let fits = self.has_room_for(&job);
+        let fits = self.can_start(&job);
         if !fits && self.waiting.len() >= self.spec.max_waiting {
             return OfferResult::QueueFull;
         }
@@ -276,7 +276,7 @@
         OfferResult::Accepted
     }
 
-    fn has_room_for(&self, job: &OfferedJob) -> bool {
+    fn can_start(&self, job: &OfferedJob) -> bool {
         // A job wider than the machine runs alone.
         let memory = self.used_memory + job.memory <= self.spec.memory;
         (memory && self.used_slots + job.slots <= self.spec.slots) || self.running.is_empty()
@@ -285,7 +285,7 @@
     /// Whether what it was sent while cold, this job included, is more than it bears.
     fn becomes_overloaded(&mut self, now: Micros, load: f64) -> bool {
         let Some(window) = self.spec.overload_window else { return false };
-        if self.capacity_share(now) >= 1.0 {
+        if self.capacity_fraction(now) >= 1.0 {
             self.slow_start_load.clear();
             return false;
         }
@@ -300,13 +300,13 @@
     fn start_waiting_jobs(&mut self, effects: &mut Vec<WorkerEffect>) {
         loop {
             let next = match self.spec.order {
-                Order::Fifo => self.waiting.front().filter(|job| self.has_room_for(job)).map(|_| 0),
-                Order::Backfill => self.waiting.iter().position(|job| self.has_room_for(job)),
+                Order::Fifo => self.waiting.front().filter(|job| self.can_start(job)).map(|_| 0),
+                Order::Backfill => self.waiting.iter().position(|job| self.can_start(job)),
                 Order::Priority => {
                     let places = self.waiting.iter().enumerate();
                     let first = places
                         .max_by(|(a, one), (b, other)| one.weight.total_cmp(&other.weight).then(b.cmp(a)));
-                    first.filter(|(_, job)| self.has_room_for(job)).map(|(at, _)| at)
+                    first.filter(|(_, job)| self.can_start(job)).map(|(at, _)| at)
                 }
             };
             let Some(job) = next.and_then(|at| self.waiting.remove(at)) else { break };
@@ -345,7 +345,7 @@
             return None;
         }
         let ends = now + (least / rate * SECOND as f64).ceil().min(1e15) as Micros;
-        if self.capacity_share(now) < 1.0 { Some(ends.min(now + SLOW_START_STEP)) } else { Some(ends) }
+        if self.capacity_fraction(now) < 1.0 { Some(ends.min(now + SLOW_START_STEP)) } else { Some(ends) }
     }
 
     /// What a scheduler no longer waits for stops, waiting or running; whether it was here.
@@ -393,7 +393,8 @@
         if self.process == ProcessState::Up {
             self.process = ProcessState::Draining;
             if hand_back {
-                effects.extend(self.waiting.drain(..).map(|job| WorkerEffect::HandedBack(job.attempt)));
+                effects
+                    .extend(self.waiting.drain(..).map(|job| WorkerEffect::ReturnedUnstarted(job.attempt)));
             }
         }
         self.wake_epoch += 1;
@@ -456,7 +457,7 @@
 
     /// What is true of it now, for an oracle.
     pub fn true_state(&self, now: Micros) -> TrueState {
-        let rate = self.spec.speed * self.capacity_share(now) / self.slowdown;
+        let rate = self.spec.speed * self.capacity_fraction(now) / self.slowdown;
         let free = self.waiting.is_empty() && self.used_slots < self.spec.slots.min(self.spec.cores);
         let wait = if free { 0.0 } else { self.backlog() / (self.spec.cores.min(self.spec.slots) * rate) };
         TrueState { wait, rate, accepts_jobs: self.accepts_jobs() && !self.is_stuck }
--- a/crates/testbed/tests/calc.rs
+++ b/crates/testbed/tests/calc.rs
@@ -24,7 +24,7 @@
         max_waiting: 3,
         order: Order::Fifo,
         memory: 4.0,
-        slow_start_share: 0.2,
+        slow_start_fraction: 0.2,
         slow_start_duration: 10 * SECOND,
         overload_multiple: 3.0,
         overload_window: None,
--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -219,7 +219,7 @@
         max_waiting: 2,
         order: Order::Fifo,
         memory: 100.0,
-        slow_start_share: 0.25,
+        slow_start_fraction: 0.25,
         slow_start_duration: 20 * SECOND,
         overload_multiple: 2.0,
         overload_window: Some(2 * SECOND),
@@ -249,7 +249,7 @@
     effects.clear();
     assert_eq!(worker.next_wake(0), Some(SECOND));
     worker.drain(SECOND / 2, true, &mut effects);
-    assert_eq!(effects, [WorkerEffect::HandedBack(2), WorkerEffect::HandedBack(3)]);
+    assert_eq!(effects, [WorkerEffect::ReturnedUnstarted(2), WorkerEffect::ReturnedUnstarted(3)]);
     assert_eq!(worker.offer(SECOND / 2, job(9, 1.0), &mut effects), OfferResult::QueueFull);
     effects.clear();
     worker.advance(SECOND, &mut effects);
@@ -262,7 +262,11 @@
     let mut worker = Worker::new(build());
     worker.restart(0);
     assert_eq!(
-        (worker.capacity_share(0), worker.capacity_share(10 * SECOND), worker.capacity_share(40 * SECOND)),
+        (
+            worker.capacity_fraction(0),
+            worker.capacity_fraction(10 * SECOND),
+            worker.capacity_fraction(40 * SECOND)
+        ),
         (0.25, 0.625, 1.0)
     );
     let mut effects = Vec::new();
--- a/crates/testbed/tests/unit/simulation.rs
+++ b/crates/testbed/tests/unit/simulation.rs
@@ -15,13 +15,13 @@
 impl DispatchPolicy for Prober {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Endpoints(_) if now == EPOCH => {
+            Event::Endpoints(_) if now == CLOCK_OFFSET => {
                 actions.push(Action::StartTimer { after: 5 * SECOND, timer: Timer::LoadQuery });
             }
             Event::TimerExpired(Timer::LoadQuery) => actions.push(Action::QueryLoad { worker: self.0 }),
             Event::LoadQueryCompleted { outcome, report, .. } => {
                 let free = report.and_then(|of| of.free_slots);
-                self.1.lock().expect("kept").push((outcome, free, now - EPOCH - 5 * SECOND));
+                self.1.lock().expect("kept").push((outcome, free, now - CLOCK_OFFSET - 5 * SECOND));
             }
             // The only worker gets every job.
             Event::Request(job) => {
@@ -41,14 +41,14 @@
          aim = 30.0\ndeadline = 30.0\nworth = 1.0\nrepeat = 'safe'\n{fault}"
     );
     let scenario = Scenario::read(&text).expect("a scenario");
-    let mut sim = Sim::new(&scenario, PolicyKind::Random, 1).expect("it plays");
+    let mut sim = Simulation::new(&scenario, PolicyKind::Random, 1).expect("it plays");
     let heard = Heard::default();
     sim.schedulers[0].policy = Box::new(Prober(WorkerId(worker), Arc::clone(&heard)));
-    while let Some(Reverse(Timed(at, _, event))) = sim.heap.pop() {
-        sim.hold(at);
-        sim.happen(event);
+    while let Some(Reverse(ScheduledEvent(at, _, event))) = sim.heap.pop() {
+        sim.advance_clock(at);
+        sim.handle_event(event);
     }
-    assert!(sim.probes.is_empty());
+    assert!(sim.load_queries.is_empty());
     let heard = heard.lock().expect("kept");
     heard.clone()
 }
