--- /dev/null
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -0,0 +1,163 @@
+//! Attempts as their scheduler sees them: sent over a connection, in flight, ended.
+use copperspread_dispatcher::{
+    AttemptOutcome, Event, LoadReport, Micros, Outcome as AttemptResult, Progress, RequestId, SECOND,
+};
+
+use super::event_queue::{FinalResponse, SimulationEvent};
+use super::requests::{Attempt, AttemptId};
+use super::{Simulation, draw_report_noise};
+use crate::scenario::micros;
+
+/// An idle connection is closed after this long.
+const IDLE_CONNECTION_TIMEOUT: Micros = 5 * SECOND;
+
+impl Simulation<'_> {
+    pub(super) fn send_attempt(&mut self, request_id: RequestId, worker: u32) {
+        let id = AttemptId(self.last_id + 1);
+        let Some(request) = self.scheduler_requests.get_mut(&request_id) else { return };
+        self.last_id = id.0;
+        let (client_request, scheduler) = (request.client_request, request.scheduler);
+        let is_superseded = request.is_past_deadline || request.is_answered;
+        let attempt = Attempt {
+            request: request_id,
+            client_request,
+            number: request.attempts.len() as u32,
+            worker,
+            sent_at: self.now,
+            is_in_flight: true,
+            is_at_worker: !is_superseded,
+            loses_response: false,
+            is_cancelled: false,
+        };
+        request.attempts.push(id);
+        request.attempts_in_flight += 1;
+        self.attempts.insert(id, attempt);
+        if is_superseded {
+            let result = AttemptResult::Superseded;
+            return self.schedule(self.now, SimulationEvent::AttemptEnded { attempt: id, result });
+        }
+        let Some(client_request) = self.client_requests.get_mut(&client_request) else { return };
+        client_request.open_references += 1;
+        let load = client_request.arrival.work * client_request.arrival.slots;
+        self.referee.sent(self.now, scheduler, worker, load);
+        self.attempts_sent += 1;
+        let (from_zone, to_zone) = (self.scheduler_zone(scheduler), self.worker_zone(worker));
+        self.cross_zone_attempts += u64::from(from_zone != to_zone);
+        let delay = self.network_delay(from_zone, to_zone) + self.connection_delay(scheduler, worker);
+        self.schedule(self.now + delay, SimulationEvent::AttemptArrived(id));
+    }
+
+    /// How long an attempt or load query waits for its connection: not at all where one is idle. The
+    /// connection is then in use until the worker has responded, estimated as one round trip.
+    pub(super) fn connection_delay(&mut self, scheduler: u32, worker: u32) -> Micros {
+        let connect_time = micros(self.scenario.network.connect);
+        if connect_time == 0 {
+            return 0;
+        }
+        let (from_zone, to_zone) = (self.scheduler_zone(scheduler), self.worker_zone(worker));
+        let round_trip = 2 * micros(self.scenario.network.between(from_zone, to_zone).0);
+        let now = self.now;
+        let idle_since = self.idle_connections.entry((scheduler, worker)).or_default();
+        idle_since.retain(|&since| since + IDLE_CONNECTION_TIMEOUT > now);
+        let reusable = idle_since.iter().position(|&since| since <= now);
+        if let Some(position) = reusable {
+            idle_since.swap_remove(position);
+        }
+        let wait = if reusable.is_some() { 0 } else { connect_time };
+        idle_since.push(now + wait + round_trip);
+        wait
+    }
+
+    /// Ends an attempt at its scheduler, unless the scheduler no longer waits for it.
+    pub(super) fn end_attempt(&mut self, id: AttemptId, result: AttemptResult) {
+        let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_in_flight) else { return };
+        attempt.is_in_flight = false;
+        let (request_id, number) = (attempt.request, attempt.number);
+        let (worker, sent_at) = (attempt.worker, attempt.sent_at);
+        if !attempt.is_at_worker {
+            self.attempts.remove(&id);
+        } else if matches!(result, AttemptResult::Cancelled | AttemptResult::TimedOut)
+            && self.scenario.settings.cancel_stops
+        {
+            self.send_cancellation(id, request_id, worker);
+        }
+        let Some(request) = self.scheduler_requests.get_mut(&request_id) else { return };
+        request.attempts_in_flight -= 1;
+        let scheduler = request.scheduler;
+        if result == AttemptResult::Served && !request.is_answered {
+            self.respond(request_id, FinalResponse::Served);
+        }
+        let report = self.load_report_with(worker, result);
+        let request_finished =
+            self.scheduler_requests.get(&request_id).is_none_or(|request| request.is_answered);
+        let outcome = AttemptOutcome {
+            request: request_id,
+            attempt: number,
+            outcome: result,
+            request_finished,
+            elapsed: self.now - sent_at,
+            report,
+        };
+        self.notify_scheduler(scheduler, Event::AttemptCompleted(outcome));
+        self.close_request(request_id);
+    }
+
+    fn send_cancellation(&mut self, id: AttemptId, request: RequestId, worker: u32) {
+        let to_zone = self.worker_zone(worker);
+        let scheduler = self.scheduler_requests.get(&request).map(|request| request.scheduler);
+        let from_zone = scheduler.map_or(to_zone, |scheduler| self.scheduler_zone(scheduler));
+        let delay = self.network_delay(from_zone, to_zone);
+        self.schedule(self.now + delay, SimulationEvent::CancellationArrived(id));
+    }
+
+    /// The load report that comes with a response, where workers send them so.
+    fn load_report_with(&mut self, worker: u32, result: AttemptResult) -> Option<LoadReport> {
+        let reports = &self.scenario.reports;
+        let is_from_worker =
+            matches!(result, AttemptResult::Served | AttemptResult::Error | AttemptResult::Rejected);
+        if reports.probe.is_some() || !is_from_worker {
+            return None;
+        }
+        let refresh = micros(reports.refresh) + self.report_delay;
+        let (random, sigma) = (&mut self.report_random, reports.noise);
+        let worker = &mut self.workers[worker as usize].0;
+        Some(worker.load_report(self.now, refresh, || draw_report_noise(random, sigma)))
+    }
+
+    /// Gives an attempt's progress to its scheduler, if that still waits for it.
+    pub(super) fn notify_progress(&mut self, id: AttemptId, progress: Progress) {
+        let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_in_flight) else { return };
+        let (request, attempt) = (attempt.request, attempt.number);
+        let Some(scheduler) = self.scheduler_requests.get(&request).map(|request| request.scheduler) else {
+            return;
+        };
+        self.notify_scheduler(scheduler, Event::AttemptProgress { request, attempt, progress });
+    }
+
+    /// Removes an attempt that has left its worker or never reached it.
+    pub(super) fn remove_from_worker(&mut self, id: AttemptId) {
+        let Some(attempt) = self.attempts.get_mut(&id) else { return };
+        attempt.is_at_worker = false;
+        let client_request = attempt.client_request;
+        if !attempt.is_in_flight {
+            self.attempts.remove(&id);
+        }
+        self.release_client_request(client_request);
+    }
+
+    /// Sends an attempt's result back to its scheduler.
+    pub(super) fn report_result(&mut self, id: AttemptId, result: AttemptResult) {
+        let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_in_flight) else { return };
+        let (request, worker) = (attempt.request, attempt.worker);
+        let Some(scheduler) = self.scheduler_requests.get(&request).map(|request| request.scheduler) else {
+            return;
+        };
+        if result == AttemptResult::Served {
+            self.referee.made(request);
+        }
+        let (from_zone, to_zone) = (self.worker_zone(worker), self.scheduler_zone(scheduler));
+        let callback_delay = self.connection_faults[worker as usize].callback_delay;
+        let delay = self.network_delay(from_zone, to_zone) + callback_delay;
+        self.schedule(self.now + delay, SimulationEvent::AttemptEnded { attempt: id, result });
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -0,0 +1,218 @@
+//! Discovery: the endpoint list, the updates that schedulers get, and their subscriptions.
+use std::sync::Arc;
+
+use copperspread_dispatcher::{
+    Endpoint, EndpointUpdate, EndpointUpdateKind, Event, Micros, SECOND, WorkerId, WorkerState,
+};
+
+use super::event_queue::SimulationEvent;
+use super::{CLOCK_OFFSET, Simulation};
+use crate::model::worker::ProcessState;
+use crate::scenario::micros;
+
+/// A call to a discovery service that is down fails after this long.
+const DISCOVERY_ERROR_DELAY: Micros = SECOND;
+/// How long each of two contradicting lists stays published.
+const LIST_ALTERNATION_INTERVAL: Micros = 3 * SECOND;
+
+impl Simulation<'_> {
+    /// Schedules the lists with which the schedulers start: the cached one, which still names the missing
+    /// workers, and the full one.
+    pub(super) fn schedule_initial_lists(&mut self, missing_workers: &[u32]) {
+        let full = self.endpoint_list();
+        let mut cached = full.clone();
+        for &worker in missing_workers {
+            cached[worker as usize].state = WorkerState::Ready;
+        }
+        let (cached, full) = (Arc::new(cached), Arc::new(full));
+        let first_at = micros(self.scenario.discovery.first_after);
+        let must_subscribe = self.scenario.discovery.on_request;
+        for scheduler in 0..self.schedulers.len() as u32 {
+            if first_at > 0 || must_subscribe {
+                self.schedule_endpoints(0, scheduler, EndpointUpdateKind::Cached, &cached);
+            }
+            if !must_subscribe {
+                self.schedule_endpoints(first_at, scheduler, EndpointUpdateKind::Full, &full);
+            }
+        }
+    }
+
+    pub(super) fn schedule_endpoints(
+        &mut self,
+        at: Micros,
+        scheduler: u32,
+        kind: EndpointUpdateKind,
+        endpoints: &Arc<Vec<Endpoint>>,
+    ) {
+        let endpoints = Arc::clone(endpoints);
+        self.schedule(at, SimulationEvent::EndpointsDelivered { scheduler, kind, endpoints });
+    }
+
+    fn endpoint(&self, worker: u32) -> Endpoint {
+        let state = self.worker(worker);
+        Endpoint {
+            worker: WorkerId(worker),
+            zone: self.worker_zone(worker),
+            kind: self.kinds[worker as usize],
+            cell: self.cells[worker as usize],
+            state: match state.process {
+                ProcessState::Up => WorkerState::Ready,
+                ProcessState::Draining => WorkerState::Draining,
+                ProcessState::Stopped | ProcessState::Unreachable => WorkerState::Removed,
+            },
+            started_at: state.started_at.map(|at| at + CLOCK_OFFSET),
+            size: (self.scenario.discovery.sizes > 0.0).then(|| self.worker_size(worker)),
+            hash_key: worker.into(),
+        }
+    }
+
+    /// The full list as it is now.
+    pub(super) fn endpoint_list(&self) -> Vec<Endpoint> {
+        self.worker_ids().map(|worker| self.endpoint(worker)).collect()
+    }
+
+    fn worker_ids(&self) -> std::ops::Range<u32> {
+        0..self.workers.len() as u32
+    }
+
+    /// The size that the list gives for a worker: its group's capacity, divided by one plus its jobs per core.
+    fn worker_size(&self, worker: u32) -> f64 {
+        let group = &self.scenario.workers[self.kinds[worker as usize] as usize];
+        let idle_size = group.cores * (group.speed[0] + group.speed[1]) / 2.0;
+        idle_size / (1.0 + self.worker(worker).job_count() as f64 / group.cores)
+    }
+
+    /// Publishes the ready workers whose size has changed since the last time.
+    pub(super) fn publish_sizes(&mut self) {
+        let sizes: Vec<f64> = self.worker_ids().map(|worker| self.worker_size(worker)).collect();
+        let previous = std::mem::replace(&mut self.published_sizes, sizes);
+        let has_new_size = |&worker: &u32| {
+            let at = worker as usize;
+            self.worker(worker).process == ProcessState::Up
+                && previous.get(at).is_none_or(|&size| size != self.published_sizes[at])
+        };
+        let changed: Vec<_> =
+            self.worker_ids().filter(has_new_size).map(|worker| self.endpoint(worker)).collect();
+        if self.discovery_outages == 0 && self.stale_list.is_none() {
+            self.publish_changes(&Arc::new(changed));
+        }
+        let next = self.now + micros(self.scenario.discovery.sizes);
+        if next < micros(self.scenario.seconds) {
+            self.schedule(next, SimulationEvent::SizesDue);
+        }
+    }
+
+    /// Publishes a worker whose state changed, now or when discovery is back.
+    pub(super) fn publish_worker(&mut self, worker: u32) {
+        let endpoint = self.endpoint(worker);
+        if self.discovery_outages > 0 {
+            self.unpublished.push(endpoint);
+            return;
+        }
+        self.publish_changes(&Arc::new(vec![endpoint]));
+    }
+
+    /// Publishes the present state of the workers that changed while discovery was down.
+    pub(super) fn publish_missed_changes(&mut self) {
+        let missed = std::mem::take(&mut self.unpublished);
+        let endpoints: Vec<_> = missed.iter().map(|endpoint| self.endpoint(endpoint.worker.0)).collect();
+        self.publish_changes(&Arc::new(endpoints));
+    }
+
+    fn publish_changes(&mut self, endpoints: &Arc<Vec<Endpoint>>) {
+        let at = self.now + micros(self.scenario.discovery.delay);
+        // The first full list comes before any change.
+        let at = at.max(micros(self.scenario.discovery.first_after) + 1);
+        for scheduler in 0..self.schedulers.len() as u32 {
+            self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Changes, endpoints);
+        }
+    }
+
+    /// Publishes the full list as it is now.
+    pub(super) fn publish_full_list(&mut self) {
+        let list = Arc::new(self.endpoint_list());
+        self.publish_list(&list);
+    }
+
+    fn publish_list(&mut self, list: &Arc<Vec<Endpoint>>) {
+        let at = self.now + micros(self.scenario.discovery.delay);
+        for scheduler in 0..self.schedulers.len() as u32 {
+            self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Full, list);
+        }
+    }
+
+    /// Starts or ends the publication of two lists that contradict each other. At the end the true one is
+    /// published last.
+    pub(super) fn set_list_alternation(&mut self, is_active: bool) {
+        self.stale_list = is_active.then(|| Arc::new(self.endpoint_list()));
+        if is_active {
+            self.alternate_lists(true);
+        } else {
+            self.publish_full_list();
+        }
+    }
+
+    /// Publishes the stale or the true list, and schedules the other one.
+    pub(super) fn alternate_lists(&mut self, is_stale: bool) {
+        let Some(stale) = self.stale_list.clone() else { return };
+        if is_stale {
+            self.publish_list(&stale);
+        } else {
+            self.publish_full_list();
+        }
+        let next = SimulationEvent::AlternateListDue { is_stale: !is_stale };
+        self.schedule(self.now + LIST_ALTERNATION_INTERVAL, next);
+    }
+
+    /// A scheduler subscribes: it gets the full list, and from then on the changes.
+    pub(super) fn subscribe(&mut self, scheduler: u32) {
+        if !self.scenario.discovery.on_request {
+            return;
+        }
+        if self.discovery_outages > 0 {
+            let at = self.now + DISCOVERY_ERROR_DELAY;
+            return self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Failed, &Arc::default());
+        }
+        self.schedulers[scheduler as usize].is_subscribed = true;
+        let zone = self.scheduler_zone(scheduler);
+        let round_trip = self.network_delay(zone, zone) + self.network_delay(zone, zone);
+        let first_at = micros(self.scenario.discovery.first_after);
+        let list = Arc::new(self.endpoint_list());
+        let at = (self.now + round_trip).max(first_at);
+        self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Full, &list);
+    }
+
+    /// Discovery goes down: the calls of subscribed schedulers break.
+    pub(super) fn end_subscriptions(&mut self) {
+        if !self.scenario.discovery.on_request {
+            return;
+        }
+        for scheduler in 0..self.schedulers.len() as u32 {
+            let is_subscribed = &mut self.schedulers[scheduler as usize].is_subscribed;
+            if std::mem::replace(is_subscribed, false) {
+                self.schedule_endpoints(self.now, scheduler, EndpointUpdateKind::Failed, &Arc::default());
+            }
+        }
+    }
+
+    /// Gives an update to a scheduler that runs and either is subscribed or needs no subscription for it.
+    pub(super) fn deliver_endpoints(
+        &mut self,
+        number: u32,
+        kind: EndpointUpdateKind,
+        endpoints: &[Endpoint],
+    ) {
+        let scheduler = &mut self.schedulers[number as usize];
+        let needs_subscription = !matches!(kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
+        if !scheduler.is_up || (needs_subscription && !scheduler.is_subscribed) {
+            return;
+        }
+        scheduler.list_version += 1;
+        let version = scheduler.list_version;
+        for endpoint in endpoints {
+            let is_ready = endpoint.state == WorkerState::Ready;
+            self.referee.told(self.now, number, endpoint.worker.0, is_ready);
+        }
+        self.notify_scheduler(number, Event::Endpoints(EndpointUpdate { kind, version, endpoints }));
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/simulation/faults.rs
@@ -0,0 +1,71 @@
+//! Faults that start and end: each acts on the part of the simulation that it meets.
+use super::Simulation;
+use crate::model::fleet::FaultTransition;
+use crate::scenario::{Trouble, micros};
+
+impl Simulation<'_> {
+    pub(super) fn apply_fault_transition(&mut self, transition: FaultTransition) {
+        let fault = self.scenario.faults[transition.fault].what;
+        let (is_start, target) = (transition.is_start, transition.target.unwrap_or_default());
+        match fault {
+            // These act on the arrivals alone.
+            Trouble::Burst(_) | Trouble::Ramp(_) | Trouble::HeavyTail(_) => {}
+            Trouble::ReportsLate(delay) => self.report_delay = if is_start { micros(delay) } else { 0 },
+            Trouble::DiscoveryDown | Trouble::DiscoveryMoves => {
+                self.apply_discovery_outage(fault, is_start);
+            }
+            Trouble::DiscoveryContradicts => self.set_list_alternation(is_start),
+            Trouble::SchedulerCrash if is_start => self.stop_scheduler(target, false),
+            Trouble::SchedulerCrash => self.start_scheduler(target),
+            Trouble::SchedulerRestart if is_start => {
+                self.schedulers[target as usize].accepts_requests = false;
+            }
+            Trouble::SchedulerRestart => {
+                self.stop_scheduler(target, true);
+                self.start_scheduler(target);
+            }
+            _ => self.apply_worker_fault(target, fault, is_start),
+        }
+    }
+
+    fn apply_discovery_outage(&mut self, fault: Trouble, is_start: bool) {
+        if is_start {
+            self.end_subscriptions();
+            self.discovery_outages += 1;
+            return;
+        }
+        self.discovery_outages -= 1;
+        if self.discovery_outages > 0 {
+            return;
+        }
+        if fault == Trouble::DiscoveryMoves {
+            self.unpublished.clear();
+            self.publish_full_list();
+        } else {
+            self.publish_missed_changes();
+        }
+    }
+
+    fn apply_worker_fault(&mut self, worker: u32, fault: Trouble, is_start: bool) {
+        if self.connection_faults[worker as usize].apply_fault(fault, is_start) {
+            return;
+        }
+        let now = self.now;
+        let mut effects = Vec::new();
+        let state = self.worker_mut(worker);
+        let jobs_before = state.job_count() as u64;
+        let has_restarted = state.apply_fault(now, fault, is_start, &mut effects);
+        let spec = state.spec;
+        if fault == Trouble::Vanish && is_start {
+            // The worker reports nothing, so that no effect counts them down.
+            self.jobs_at_workers -= jobs_before;
+        }
+        if has_restarted {
+            self.referee.started(now, worker, spec.cores.min(spec.slots) * spec.speed);
+        }
+        self.apply_worker_effects(worker, effects);
+        if matches!(fault, Trouble::Crash | Trouble::Vanish | Trouble::Drain) {
+            self.publish_worker(worker);
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/simulation/load_queries.rs
@@ -0,0 +1,142 @@
+//! Load queries: a scheduler asks a worker for its load report and gets exactly one result.
+use copperspread_dispatcher::{Event, LoadReport, Micros, Outcome as AttemptResult, WorkerId};
+use rand::RngExt;
+
+use super::event_queue::SimulationEvent;
+use super::requests::{LoadQueryId, PendingLoadQuery};
+use super::{RUN_OUT, Simulation, draw_report_noise};
+use crate::model::connection_faults::DeliveryResult;
+use crate::model::worker::{OfferResult, OfferedJob, ProcessState};
+use crate::scenario::micros;
+
+impl Simulation<'_> {
+    /// Spreads the workers' first refreshes over one interval.
+    pub(super) fn schedule_initial_refreshes(&mut self) {
+        let interval = micros(self.scenario.reports.refresh);
+        let count = self.workers.len() as u64;
+        for worker in 0..count {
+            let event = SimulationEvent::ReportRefreshDue { worker: worker as u32 };
+            self.schedule(interval * worker / count, event);
+        }
+    }
+
+    pub(super) fn send_load_query(&mut self, scheduler: u32, worker: u32) {
+        let query = LoadQueryId(self.next_id());
+        let incarnation = self.schedulers[scheduler as usize].incarnation;
+        self.load_queries.insert(query, PendingLoadQuery { scheduler, incarnation, worker });
+        let is_known = (worker as usize) < self.workers.len();
+        let Some(settings) = self.scenario.reports.probe.filter(|_| is_known) else {
+            return self.schedule_load_query_end(self.now, query, AttemptResult::Superseded, None);
+        };
+        self.load_queries_sent += 1;
+        let (from_zone, to_zone) = (self.scheduler_zone(scheduler), self.worker_zone(worker));
+        let delay = self.network_delay(from_zone, to_zone) + self.connection_delay(scheduler, worker);
+        self.schedule(self.now + delay, SimulationEvent::LoadQueryArrived(query));
+        let timeout = micros(settings.timeout);
+        self.schedule_load_query_end(self.now + timeout, query, AttemptResult::TimedOut, None);
+    }
+
+    pub(super) fn deliver_load_query(&mut self, query: LoadQueryId) {
+        let Some(&PendingLoadQuery { worker, .. }) = self.load_queries.get(&query) else { return };
+        let Some(settings) = self.scenario.reports.probe else { return };
+        let draw = self.network_random.random();
+        let delivery = self.connection_faults[worker as usize].delivery_result(draw);
+        let state = self.worker(worker);
+        let failure = match (state.process, delivery) {
+            // Nothing answers: the scheduler waits until its timeout.
+            (ProcessState::Unreachable, _) => return,
+            (ProcessState::Stopped, _) => Some(AttemptResult::ConnectFailed),
+            _ if state.is_refusing => Some(AttemptResult::ConnectFailed),
+            (ProcessState::Draining, _) => Some(AttemptResult::Rejected),
+            (_, DeliveryResult::Delivered) => None,
+            (_, DeliveryResult::ImmediateError) => Some(AttemptResult::Error),
+            (
+                _,
+                DeliveryResult::ResetBeforeTaken
+                | DeliveryResult::ResetAfterTaken
+                | DeliveryResult::InvalidResponse,
+            ) => Some(AttemptResult::Reset),
+        };
+        match failure {
+            Some(result) => self.answer_load_query(query, result, 0),
+            None if settings.deep => self.queue_load_query(query, worker, settings.work),
+            None => self.answer_beside_jobs(query, worker, settings.work),
+        }
+    }
+
+    /// The worker answers at once; the work for it slows its jobs down.
+    fn answer_beside_jobs(&mut self, query: LoadQueryId, worker: u32, work: f64) {
+        let now = self.now;
+        let state = self.worker_mut(worker);
+        let elapsed = micros(work / state.spec.speed);
+        state.charge_side_work(now, work);
+        self.answer_load_query(query, AttemptResult::Served, elapsed);
+        self.apply_worker_effects(worker, Vec::new());
+    }
+
+    /// The query waits in the worker's queue like a job.
+    fn queue_load_query(&mut self, query: LoadQueryId, worker: u32, work: f64) {
+        let now = self.now;
+        let job = OfferedJob::load_query(query.0, work);
+        let mut effects = Vec::new();
+        match self.worker_mut(worker).offer(now, job, &mut effects) {
+            OfferResult::Accepted => {
+                self.jobs_at_workers += 1;
+                self.apply_worker_effects(worker, effects);
+            }
+            OfferResult::QueueFull => self.answer_load_query(query, AttemptResult::Rejected, 0),
+            OfferResult::ConnectionRefused | OfferResult::Unreachable => {
+                self.answer_load_query(query, AttemptResult::ConnectFailed, 0);
+            }
+        }
+    }
+
+    /// Sends a result back, with the load report of a query that was served. Does nothing for a number that
+    /// is no open load query's, as workers do not tell attempts and load queries apart.
+    pub(super) fn answer_load_query(&mut self, query: LoadQueryId, result: AttemptResult, elapsed: Micros) {
+        let Some(&PendingLoadQuery { scheduler, worker, .. }) = self.load_queries.get(&query) else { return };
+        let Some(settings) = self.scenario.reports.probe else { return };
+        let (now, age) = (self.now, micros(settings.late) + self.report_delay);
+        let report = self.worker_mut(worker).answer_load_query(now, age);
+        let report = report.filter(|_| result == AttemptResult::Served);
+        let (from_zone, to_zone) = (self.worker_zone(worker), self.scheduler_zone(scheduler));
+        let delay = self.network_delay(from_zone, to_zone) + elapsed;
+        self.schedule_load_query_end(now + delay, query, result, report);
+    }
+
+    fn schedule_load_query_end(
+        &mut self,
+        at: Micros,
+        query: LoadQueryId,
+        result: AttemptResult,
+        report: Option<LoadReport>,
+    ) {
+        self.schedule(at, SimulationEvent::LoadQueryEnded { query, result, report });
+    }
+
+    /// Gives the first result of a query to the scheduler, if its process is still the one that asked.
+    pub(super) fn end_load_query(
+        &mut self,
+        query: LoadQueryId,
+        result: AttemptResult,
+        report: Option<LoadReport>,
+    ) {
+        let Some(pending) = self.load_queries.remove(&query) else { return };
+        if self.schedulers[pending.scheduler as usize].incarnation == pending.incarnation {
+            let worker = WorkerId(pending.worker);
+            let event = Event::LoadQueryCompleted { worker, outcome: result, report };
+            self.notify_scheduler(pending.scheduler, event);
+        }
+    }
+
+    pub(super) fn refresh_load_report(&mut self, worker: u32) {
+        let reports = &self.scenario.reports;
+        let (interval, now) = (micros(reports.refresh), self.now);
+        let (random, sigma) = (&mut self.report_random, reports.noise);
+        let state = &mut self.workers[worker as usize].0;
+        state.refresh_load_report(now, interval, || draw_report_noise(random, sigma));
+        if now <= micros(self.scenario.seconds) + RUN_OUT {
+            self.schedule(now + interval, SimulationEvent::ReportRefreshDue { worker });
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/simulation/mod.rs
@@ -0,0 +1,292 @@
+//! The simulation: the model's parts and any number of schedulers in virtual time, with one queue of events.
+//!
+//! A scheduler's proxy behaves as in `crates/proxy`: the deadline has a margin, attempts in flight at the
+//! deadline end as timed out, the first served attempt answers, and the policy gets the end of every attempt.
+//! A run depends on its scenario, policy and seed alone: the same three give the same outcome to the byte.
+//!
+//! | module | its part |
+//! | --- | --- |
+//! | `event_queue` | events and their order |
+//! | `requests` | state of open jobs, requests, attempts and load queries |
+//! | `clients` | arrivals, retries, final responses |
+//! | `schedulers` | scheduler processes, the policy's events and actions |
+//! | `attempts` | attempts as the scheduler sees them, connections |
+//! | `workers` | attempts at the workers, idempotency keys |
+//! | `load_queries` | load queries and their reports |
+//! | `endpoint_lists` | discovery |
+//! | `faults` | faults that start and end |
+mod attempts;
+mod clients;
+mod endpoint_lists;
+mod event_queue;
+mod faults;
+mod load_queries;
+mod requests;
+mod schedulers;
+mod workers;
+
+use std::sync::Arc;
+
+use copperspread_dispatcher::{Action, Endpoint, Event, Micros, Progress, RequestId, SECOND};
+use rand::RngExt;
+use rand_distr::{Distribution, Exp1, Normal};
+use rustc_hash::FxHashMap;
+
+use self::event_queue::{EventQueue, SimulationEvent};
+use self::requests::{
+    Attempt, AttemptId, ClientRequest, ClientRequestId, LoadQueryId, PendingLoadQuery, SchedulerRequest,
+};
+use self::schedulers::Scheduler;
+use crate::model::arrivals::Arrivals;
+use crate::model::connection_faults::ConnectionFaults;
+use crate::model::fleet::{FaultTransition, Fleet, slow_start_budget};
+use crate::model::random::{RandomStream, StreamPurpose, random_stream};
+use crate::model::worker::Worker;
+use crate::outcome::{Outcome, Played, Tally};
+use crate::policy::PolicyKind;
+use crate::referee::Referee;
+use crate::scenario::{Scenario, micros};
+
+/// What a lost message costs until it is sent again.
+const RETRANSMISSION_DELAY: Micros = 200_000;
+/// Added to the clock that policies see, so that starts of workers before 0 have a time.
+const CLOCK_OFFSET: Micros = 1_000 * SECOND;
+/// Timers and report refreshes go on for this long after the scenario's last arrival.
+const RUN_OUT: Micros = 60 * SECOND;
+
+/// Simulates a scenario under a policy and a seed.
+///
+/// # Errors
+/// Settings that the policy does not accept.
+pub fn simulate(scenario: &Scenario, policy_kind: PolicyKind, seed: u64) -> Result<Outcome, String> {
+    let mut simulation = Simulation::new(scenario, policy_kind, seed)?;
+    while simulation.handle_next_event() {}
+    Ok(simulation.outcome())
+}
+
+/// The state of one run. Only its own thread uses it.
+struct Simulation<'a> {
+    scenario: &'a Scenario,
+    policy_kind: PolicyKind,
+    seed: u64,
+    now: Micros,
+    queue: EventQueue,
+    arrivals: Arrivals<'a>,
+    network_random: RandomStream,
+    retry_random: RandomStream,
+    report_random: RandomStream,
+    /// Workers, each with its zone.
+    workers: Vec<(Worker, u32)>,
+    /// Each worker's group in the scenario.
+    kinds: Vec<u32>,
+    /// Each worker's cell.
+    cells: Vec<u32>,
+    schedulers: Vec<Scheduler>,
+    client_requests: FxHashMap<ClientRequestId, ClientRequest>,
+    scheduler_requests: FxHashMap<RequestId, SchedulerRequest>,
+    attempts: FxHashMap<AttemptId, Attempt>,
+    load_queries: FxHashMap<LoadQueryId, PendingLoadQuery>,
+    /// The last number given to a job, request, attempt or load query; they share one sequence.
+    last_id: u64,
+    /// Endpoints that changed while discovery was down.
+    unpublished: Vec<Endpoint>,
+    /// Faults in force that keep discovery down.
+    discovery_outages: u32,
+    /// The sizes that were last published, by worker.
+    published_sizes: Vec<f64>,
+    /// How much older load reports are than usual, because of a fault.
+    report_delay: Micros,
+    /// Connection faults, by worker.
+    connection_faults: Vec<ConnectionFaults>,
+    /// From when on each connection is idle, by scheduler and worker.
+    idle_connections: FxHashMap<(u32, u32), Vec<Micros>>,
+    /// The full list as it was when discovery began to contradict itself.
+    stale_list: Option<Arc<Vec<Endpoint>>>,
+    /// Kept between events to save allocations.
+    action_buffer: Vec<Action>,
+    referee: Referee,
+    tally: Tally,
+    events_handled: u64,
+    attempts_sent: u64,
+    cross_zone_attempts: u64,
+    load_queries_sent: u64,
+    overload_count: u64,
+    /// Jobs that the workers have now.
+    jobs_at_workers: u64,
+    /// The integral of `jobs_at_workers` over time, in job-microseconds.
+    job_time: f64,
+}
+
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario, policy_kind: PolicyKind, seed: u64) -> Result<Simulation<'a>, String> {
+        let fleet = Fleet::generate(scenario, seed);
+        let schedulers = (0..scenario.schedulers)
+            .map(|number| Scheduler::new(scenario, policy_kind, seed, number))
+            .collect::<Result<Vec<_>, _>>()?;
+        let mut simulation = Simulation {
+            scenario,
+            policy_kind,
+            seed,
+            now: 0,
+            queue: EventQueue::default(),
+            arrivals: Arrivals::new(scenario, seed),
+            network_random: random_stream(seed, StreamPurpose::Network),
+            retry_random: random_stream(seed, StreamPurpose::Retries),
+            report_random: random_stream(seed, StreamPurpose::Reports),
+            connection_faults: vec![ConnectionFaults::default(); fleet.workers.len()],
+            workers: fleet.workers,
+            kinds: fleet.kinds,
+            cells: fleet.cells,
+            schedulers,
+            client_requests: FxHashMap::default(),
+            scheduler_requests: FxHashMap::default(),
+            attempts: FxHashMap::default(),
+            load_queries: FxHashMap::default(),
+            last_id: 0,
+            unpublished: Vec::new(),
+            discovery_outages: 0,
+            published_sizes: Vec::new(),
+            report_delay: 0,
+            idle_connections: FxHashMap::default(),
+            stale_list: None,
+            action_buffer: Vec::new(),
+            referee: Referee::new(slow_start_budget(scenario)),
+            tally: Tally::new(scenario.classes.len(), scenario.zones),
+            events_handled: 0,
+            attempts_sent: 0,
+            cross_zone_attempts: 0,
+            load_queries_sent: 0,
+            overload_count: 0,
+            jobs_at_workers: 0,
+            job_time: 0.0,
+        };
+        simulation.schedule_initial_lists(&fleet.missing_workers);
+        simulation.schedule_initial_events(&fleet.fault_transitions);
+        Ok(simulation)
+    }
+
+    fn schedule_initial_events(&mut self, fault_transitions: &[FaultTransition]) {
+        for transition in fault_transitions {
+            self.schedule(transition.at, SimulationEvent::FaultChanged(*transition));
+        }
+        if self.scenario.discovery.sizes > 0.0 {
+            self.schedule(micros(self.scenario.discovery.sizes), SimulationEvent::SizesDue);
+        }
+        if self.scenario.reports.probe.is_some() {
+            self.schedule_initial_refreshes();
+        }
+        self.schedule_next_arrival();
+    }
+
+    /// Handles the next event; whether there was one.
+    fn handle_next_event(&mut self) -> bool {
+        let Some((at, event)) = self.queue.pop() else { return false };
+        self.advance_clock(at);
+        self.events_handled += 1;
+        self.handle_event(event);
+        true
+    }
+
+    fn advance_clock(&mut self, at: Micros) {
+        self.job_time += self.jobs_at_workers as f64 * (at - self.now) as f64;
+        self.now = at;
+    }
+
+    fn handle_event(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::ClientArrived(arrival) => self.accept_arrival(arrival),
+            SimulationEvent::RetryDue(client_request) => self.retry_request(client_request),
+            SimulationEvent::RequestArrived(request) => self.receive_request(request),
+            SimulationEvent::DeadlinePassed(request) => self.expire_request(request),
+            SimulationEvent::ResponseArrived { request, response } => {
+                self.receive_response(request, response);
+            }
+            SimulationEvent::ClientTimedOut(request) => self.time_out_client(request),
+            SimulationEvent::AttemptArrived(attempt) => self.deliver_attempt(attempt),
+            SimulationEvent::AttemptStarted(attempt) => self.notify_progress(attempt, Progress::Started),
+            SimulationEvent::ProgressDue(attempt) => self.report_progress(attempt),
+            SimulationEvent::AttemptEnded { attempt, result } => self.end_attempt(attempt, result),
+            SimulationEvent::CancellationArrived(attempt) => self.cancel_at_worker(attempt),
+            SimulationEvent::WorkerWake { worker, wake_epoch } => self.wake_worker(worker, wake_epoch),
+            SimulationEvent::TimerExpired { scheduler, incarnation, timer } => {
+                if self.schedulers[scheduler as usize].incarnation == incarnation {
+                    self.notify_scheduler(scheduler, Event::TimerExpired(timer));
+                }
+            }
+            SimulationEvent::EndpointsDelivered { scheduler, kind, endpoints } => {
+                self.deliver_endpoints(scheduler, kind, &endpoints);
+            }
+            SimulationEvent::FaultChanged(transition) => self.apply_fault_transition(transition),
+            SimulationEvent::AlternateListDue { is_stale } => self.alternate_lists(is_stale),
+            SimulationEvent::SizesDue => self.publish_sizes(),
+            SimulationEvent::LoadQueryArrived(query) => self.deliver_load_query(query),
+            SimulationEvent::LoadQueryEnded { query, result, report } => {
+                self.end_load_query(query, result, report);
+            }
+            SimulationEvent::ReportRefreshDue { worker } => self.refresh_load_report(worker),
+        }
+    }
+
+    /// Schedules an event, now at the earliest.
+    fn schedule(&mut self, at: Micros, event: SimulationEvent) {
+        self.queue.push(at.max(self.now), event);
+    }
+
+    /// Draws how long a message takes between two zones.
+    fn network_delay(&mut self, from_zone: u32, to_zone: u32) -> Micros {
+        let (mean, loss) = self.scenario.network.between(from_zone, to_zone);
+        let jitter: f64 = Exp1.sample(&mut self.network_random);
+        let is_lost = self.network_random.random::<f64>() < loss;
+        micros(mean * (0.9 + 0.1 * jitter)) + if is_lost { RETRANSMISSION_DELAY } else { 0 }
+    }
+
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
+    }
+
+    fn worker(&self, worker: u32) -> &Worker {
+        &self.workers[worker as usize].0
+    }
+
+    fn worker_mut(&mut self, worker: u32) -> &mut Worker {
+        &mut self.workers[worker as usize].0
+    }
+
+    fn worker_zone(&self, worker: u32) -> u32 {
+        self.workers[worker as usize].1
+    }
+
+    fn scheduler_zone(&self, scheduler: u32) -> u32 {
+        self.schedulers[scheduler as usize].zone
+    }
+
+    fn outcome(self) -> Outcome {
+        Played {
+            scenario: self.scenario,
+            policy: self.policy_kind.name(),
+            seed: self.seed,
+            events: self.events_handled,
+            tally: &self.tally,
+            workers: &self.workers,
+            kinds: &self.kinds,
+            attempts: self.attempts_sent,
+            crossed: self.cross_zone_attempts,
+            probes: self.load_queries_sent,
+            fell: self.overload_count,
+            held: self.job_time,
+            verdict: self.referee.verdict(),
+            measured: None,
+        }
+        .outcome()
+    }
+}
+
+/// Draws the error of one figure of a load report, in slots.
+fn draw_report_noise(random: &mut RandomStream, sigma: f64) -> f64 {
+    Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(random))
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/simulation.rs"]
+mod tests;
--- /dev/null
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -0,0 +1,233 @@
+//! Scheduler processes: their start and end, the events that their policies get, and the actions that follow.
+use std::sync::Arc;
+
+use copperspread_dispatcher::{
+    Action, EndpointUpdateKind, Event, IncomingRequest, Micros, Outcome as AttemptResult, RequestId, Timer,
+};
+
+use super::event_queue::{FinalResponse, SimulationEvent};
+use super::{CLOCK_OFFSET, RUN_OUT, Simulation};
+use crate::model::random::{StreamPurpose, random_stream};
+use crate::model::worker::TrueState;
+use crate::policy::{Policy, PolicyKind};
+use crate::scenario::{Scenario, micros};
+
+/// The distance between the seeds of two schedulers of one run.
+const SCHEDULER_SEED_STRIDE: u64 = 7919;
+
+/// One scheduler.
+pub(super) struct Scheduler {
+    pub(super) policy: Box<dyn Policy>,
+    pub(super) zone: u32,
+    /// The version of its endpoint list.
+    pub(super) list_version: u64,
+    pub(super) is_up: bool,
+    /// Clients reach it: its shutdown has not begun.
+    pub(super) accepts_requests: bool,
+    /// How often its process ended.
+    pub(super) incarnation: u32,
+    /// It gets changes of the endpoint list.
+    pub(super) is_subscribed: bool,
+}
+
+impl Scheduler {
+    /// A scheduler's first process.
+    ///
+    /// # Errors
+    /// Settings that the policy does not accept.
+    pub(super) fn new(
+        scenario: &Scenario,
+        policy_kind: PolicyKind,
+        seed: u64,
+        number: u32,
+    ) -> Result<Scheduler, String> {
+        Ok(Scheduler {
+            policy: build_policy(scenario, policy_kind, number, scheduler_seed(seed, number))?,
+            zone: number % scenario.zones,
+            list_version: 0,
+            is_up: true,
+            accepts_requests: true,
+            incarnation: 0,
+            is_subscribed: !scenario.discovery.on_request,
+        })
+    }
+}
+
+fn scheduler_seed(seed: u64, number: u32) -> u64 {
+    seed.wrapping_add(u64::from(number) * SCHEDULER_SEED_STRIDE)
+}
+
+fn build_policy(
+    scenario: &Scenario,
+    policy_kind: PolicyKind,
+    number: u32,
+    seed: u64,
+) -> Result<Box<dyn Policy>, String> {
+    policy_kind.build(scenario.settings(number), seed, random_stream(seed, StreamPurpose::Network))
+}
+
+impl Simulation<'_> {
+    pub(super) fn receive_request(&mut self, id: RequestId) {
+        let Some(request) = self.scheduler_requests.get_mut(&id).filter(|request| !request.is_answered)
+        else {
+            return;
+        };
+        let (scheduler, deadline) = (request.scheduler, request.deadline);
+        let client_request = request.client_request;
+        if !self.schedulers[scheduler as usize].is_up {
+            // No scheduler accepts connections.
+            request.is_answered = true;
+            self.break_client_connection(id, client_request);
+            return self.close_request(id);
+        }
+        let Some(client_request) = self.client_requests.get(&client_request) else { return };
+        let incoming = IncomingRequest {
+            request: id,
+            class: client_request.arrival.class,
+            tenant: 0,
+            slots: Some(client_request.arrival.slots),
+            cost_hint: client_request.arrival.cost_hint,
+            time_left: deadline.saturating_sub(self.now),
+        };
+        self.schedule(deadline, SimulationEvent::DeadlinePassed(id));
+        self.show_true_state(scheduler);
+        self.notify_scheduler(scheduler, Event::Request(incoming));
+    }
+
+    fn show_true_state(&mut self, scheduler: u32) {
+        let policy = &mut self.schedulers[scheduler as usize].policy;
+        if policy.needs_true_state() {
+            let states: Vec<TrueState> =
+                self.workers.iter().map(|(worker, _)| worker.true_state(self.now)).collect();
+            policy.observe_true_state(&states);
+        }
+    }
+
+    /// Ends what a request has in flight at its deadline.
+    pub(super) fn expire_request(&mut self, id: RequestId) {
+        let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
+        request.is_past_deadline = true;
+        for attempt in request.attempts.clone() {
+            self.end_attempt(attempt, AttemptResult::TimedOut);
+        }
+    }
+
+    /// Gives an event to a scheduler's policy and carries out its actions.
+    pub(super) fn notify_scheduler(&mut self, scheduler: u32, event: Event<'_>) {
+        if !self.schedulers[scheduler as usize].is_up {
+            return;
+        }
+        let mut actions = std::mem::take(&mut self.action_buffer);
+        let policy = &mut self.schedulers[scheduler as usize].policy;
+        policy.handle(self.now + CLOCK_OFFSET, event, &mut actions);
+        for action in actions.drain(..) {
+            self.apply_action(scheduler, action);
+        }
+        self.action_buffer = actions;
+    }
+
+    fn apply_action(&mut self, scheduler: u32, action: Action) {
+        match action {
+            Action::Send { request, worker, .. } => self.send_attempt(request, worker.0),
+            Action::Reject { request, retry_after, .. } => {
+                self.respond(request, FinalResponse::Rejected { retry_after });
+            }
+            Action::Fail { request } => self.respond(request, FinalResponse::Failed),
+            Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
+            Action::StartTimer { after, timer } => self.start_timer(scheduler, after, timer),
+            Action::Subscribe => self.subscribe(scheduler),
+            Action::QueryLoad { worker } => self.send_load_query(scheduler, worker.0),
+        }
+    }
+
+    fn cancel_attempt(&mut self, request: RequestId, number: u32) {
+        let request = self.scheduler_requests.get(&request);
+        let attempt = request.and_then(|request| request.attempts.get(number as usize)).copied();
+        if let Some(attempt) = attempt {
+            // Not at once: the policy is in the middle of an event.
+            let result = AttemptResult::Cancelled;
+            self.schedule(self.now, SimulationEvent::AttemptEnded { attempt, result });
+        }
+    }
+
+    fn start_timer(&mut self, scheduler: u32, after: Micros, timer: Timer) {
+        // Timers that go on for ever would keep the run from ending.
+        if self.now + after <= micros(self.scenario.seconds) + RUN_OUT {
+            let incarnation = self.schedulers[scheduler as usize].incarnation;
+            let event = SimulationEvent::TimerExpired { scheduler, incarnation, timer };
+            self.schedule(self.now + after, event);
+        }
+    }
+
+    /// Sends a final response to the client, also a second one, which the referee counts.
+    pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
+        let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
+        request.is_answered = true;
+        let scheduler = request.scheduler;
+        self.referee.said(id);
+        let zone = self.scheduler_zone(scheduler);
+        let delay = self.network_delay(zone, zone);
+        self.schedule(self.now + delay, SimulationEvent::ResponseArrived { request: id, response });
+        self.close_request(id);
+    }
+
+    /// Ends a scheduler's process with all its requests, whose client connections break. After a graceful
+    /// shutdown every request should have its response; one that has none is left to its client's timeout,
+    /// and the referee reports it.
+    pub(super) fn stop_scheduler(&mut self, number: u32, is_graceful: bool) {
+        let scheduler = &mut self.schedulers[number as usize];
+        scheduler.is_up = false;
+        scheduler.incarnation += 1;
+        scheduler.is_subscribed = !self.scenario.discovery.on_request;
+        let requests = self.scheduler_requests.iter().filter(|(_, request)| request.scheduler == number);
+        let mut ids: Vec<RequestId> = requests.map(|(id, _)| *id).collect();
+        // By arrival, as the map's order differs between runs.
+        ids.sort_unstable_by_key(|id| id.0);
+        for id in ids {
+            self.abandon_request(id, is_graceful);
+        }
+    }
+
+    /// Drops a request whose scheduler ended.
+    fn abandon_request(&mut self, id: RequestId, is_graceful: bool) {
+        let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
+        let was_answered = std::mem::replace(&mut request.is_answered, true);
+        let client_request = request.client_request;
+        request.attempts_in_flight = 0;
+        for attempt_id in request.attempts.clone() {
+            let Some(attempt) = self.attempts.get_mut(&attempt_id) else { continue };
+            attempt.is_in_flight = false;
+            if !attempt.is_at_worker {
+                self.attempts.remove(&attempt_id);
+            }
+        }
+        if !was_answered && is_graceful {
+            return;
+        }
+        if !was_answered {
+            self.break_client_connection(id, client_request);
+        }
+        self.close_request(id);
+    }
+
+    /// Starts a scheduler's next process, which gets the endpoint list anew.
+    pub(super) fn start_scheduler(&mut self, number: u32) {
+        let seed = scheduler_seed(self.seed, number).wrapping_add(1);
+        let Ok(policy) = build_policy(self.scenario, self.policy_kind, number, seed) else {
+            unreachable!("the first process accepted the same settings")
+        };
+        let scheduler = &mut self.schedulers[number as usize];
+        scheduler.policy = policy;
+        scheduler.is_up = true;
+        scheduler.accepts_requests = true;
+        scheduler.list_version = 0;
+        let delay = if self.discovery_outages > 0 { micros(self.scenario.discovery.delay) } else { 0 };
+        let kind = if self.scenario.discovery.on_request {
+            EndpointUpdateKind::Cached
+        } else {
+            EndpointUpdateKind::Full
+        };
+        let endpoints = Arc::new(self.endpoint_list());
+        self.schedule_endpoints(self.now + delay, number, kind, &endpoints);
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/simulation/workers.rs
@@ -0,0 +1,284 @@
+//! Attempts at the workers: their delivery, what the workers do with them, and duplicates of idempotency keys.
+use copperspread_dispatcher::{Idempotency, Micros, Outcome as AttemptResult, Progress};
+use rand::RngExt;
+
+use super::Simulation;
+use super::event_queue::SimulationEvent;
+use super::requests::{Attempt, AttemptId, ClientRequestId, LoadQueryId};
+use crate::model::arrivals::Arrival;
+use crate::model::connection_faults::DeliveryResult;
+use crate::model::idempotency_keys::{DuplicateOutcome, key_group};
+use crate::model::worker::{OfferResult, WorkerEffect};
+use crate::scenario::{CONNECT, micros};
+
+/// An attempt that reaches its worker.
+struct Delivery {
+    attempt: AttemptId,
+    client_request: ClientRequestId,
+    worker: u32,
+    sent_at: Micros,
+    arrival: Arrival,
+    /// What a second run of the job would do.
+    idempotency: Idempotency,
+    /// The workers that share the memory of its idempotency key.
+    key_group: u32,
+}
+
+impl Simulation<'_> {
+    pub(super) fn deliver_attempt(&mut self, id: AttemptId) {
+        if self.attempts.get(&id).is_some_and(|attempt| attempt.is_cancelled) {
+            return self.remove_from_worker(id);
+        }
+        let Some(delivery) = self.delivery(id) else { return };
+        if self.drop_duplicate(&delivery) {
+            return;
+        }
+        let draw = self.network_random.random();
+        match self.connection_faults[delivery.worker as usize].delivery_result(draw) {
+            DeliveryResult::Delivered => {}
+            DeliveryResult::ResetBeforeTaken | DeliveryResult::InvalidResponse => {
+                return self.return_result(id, AttemptResult::Reset);
+            }
+            DeliveryResult::ImmediateError => {
+                // The error does not say whether the job ran: whoever retries must assume that it did.
+                self.record_taken(&delivery);
+                self.referee.ran(self.now, delivery.client_request.0, delivery.idempotency);
+                return self.return_result(id, AttemptResult::Error);
+            }
+            DeliveryResult::ResetAfterTaken => {
+                self.report_result(id, AttemptResult::Reset);
+                if let Some(attempt) = self.attempts.get_mut(&id) {
+                    attempt.loses_response = true;
+                }
+            }
+        }
+        self.offer_to_worker(&delivery);
+    }
+
+    fn delivery(&self, id: AttemptId) -> Option<Delivery> {
+        let attempt = self.attempts.get(&id)?;
+        let &Attempt { client_request, worker, sent_at, .. } = attempt;
+        let arrival = self.client_requests.get(&client_request)?.arrival;
+        let idempotency = self.scenario.classes[arrival.class as usize].effect();
+        let key_group = match idempotency {
+            Idempotency::IdempotentWithKey { scope, .. } => {
+                key_group(scope, self.worker_zone(worker), self.cells[worker as usize])
+            }
+            _ => 0,
+        };
+        Some(Delivery { attempt: id, client_request, worker, sent_at, arrival, idempotency, key_group })
+    }
+
+    /// Drops an attempt whose idempotency key its worker's group knows; it gets the first one's result.
+    fn drop_duplicate(&mut self, delivery: &Delivery) -> bool {
+        let Idempotency::IdempotentWithKey { window, .. } = delivery.idempotency else { return false };
+        let id = delivery.attempt;
+        if !self.worker(delivery.worker).accepts_jobs() {
+            return false;
+        }
+        let Some(client_request) = self.client_requests.get_mut(&delivery.client_request) else {
+            return false;
+        };
+        let duplicate = client_request.keys.check_duplicate(id.0, delivery.key_group, self.now, window);
+        let Some(duplicate) = duplicate else { return false };
+        self.record_taken(delivery);
+        if duplicate == DuplicateOutcome::AlreadyServed {
+            self.report_result(id, AttemptResult::Served);
+            self.remove_from_worker(id);
+        }
+        true
+    }
+
+    /// Tells the referee that the worker took the attempt.
+    fn record_taken(&mut self, delivery: &Delivery) {
+        self.referee.took(
+            self.now,
+            delivery.client_request.0,
+            delivery.attempt.0,
+            delivery.idempotency,
+            delivery.key_group,
+            delivery.sent_at,
+        );
+    }
+
+    /// Sends the result of an attempt back that is no longer at its worker.
+    fn return_result(&mut self, id: AttemptId, result: AttemptResult) {
+        self.report_result(id, result);
+        self.remove_from_worker(id);
+    }
+
+    fn offer_to_worker(&mut self, delivery: &Delivery) {
+        let Delivery { attempt: id, worker, arrival, .. } = *delivery;
+        let class = &self.scenario.classes[arrival.class as usize];
+        let job = arrival.to_offered_job(id.0, class);
+        let now = self.now;
+        let mut effects = Vec::new();
+        match self.worker_mut(worker).offer(now, job, &mut effects) {
+            OfferResult::Accepted => {
+                self.jobs_at_workers += 1;
+                self.record_taken(delivery);
+                self.record_key(delivery);
+                self.apply_worker_effects(worker, effects);
+            }
+            OfferResult::QueueFull => self.return_result(id, AttemptResult::Rejected),
+            OfferResult::ConnectionRefused => self.return_result(id, AttemptResult::ConnectFailed),
+            OfferResult::Unreachable => {
+                let result = AttemptResult::ConnectFailed;
+                self.schedule(now + CONNECT, SimulationEvent::AttemptEnded { attempt: id, result });
+                self.remove_from_worker(id);
+            }
+        }
+    }
+
+    fn record_key(&mut self, delivery: &Delivery) {
+        if !matches!(delivery.idempotency, Idempotency::IdempotentWithKey { .. }) {
+            return;
+        }
+        if let Some(client_request) = self.client_requests.get_mut(&delivery.client_request) {
+            client_request.keys.record_taken(delivery.attempt.0, delivery.key_group, self.now);
+        }
+    }
+
+    /// Stops a cancelled attempt at its worker, which also forgets its idempotency key.
+    pub(super) fn cancel_at_worker(&mut self, id: AttemptId) {
+        let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_at_worker) else { return };
+        let (worker, client_request) = (attempt.worker, attempt.client_request);
+        let mut effects = Vec::new();
+        if !self.workers[worker as usize].0.cancel(self.now, id.0, &mut effects) {
+            // It is still on its way, or a duplicate that was dropped.
+            attempt.is_cancelled = true;
+            return;
+        }
+        self.jobs_at_workers -= 1;
+        if let Some(client_request) = self.client_requests.get_mut(&client_request) {
+            client_request.keys.record_returned(id.0);
+        }
+        self.resolve_duplicates(id, AttemptResult::Error);
+        self.remove_from_worker(id);
+        self.apply_worker_effects(worker, effects);
+    }
+
+    /// Advances a worker's jobs to now, unless the wake is from an earlier epoch.
+    pub(super) fn wake_worker(&mut self, worker: u32, wake_epoch: u64) {
+        if self.worker(worker).wake_epoch == wake_epoch {
+            let now = self.now;
+            let mut effects = Vec::new();
+            self.worker_mut(worker).advance(now, &mut effects);
+            self.apply_worker_effects(worker, effects);
+        }
+    }
+
+    /// Carries out what happened at a worker and schedules its next wake.
+    pub(super) fn apply_worker_effects(&mut self, worker: u32, effects: Vec<WorkerEffect>) {
+        for effect in effects {
+            self.apply_worker_effect(worker, effect);
+        }
+        let state = self.worker(worker);
+        let wake_epoch = state.wake_epoch;
+        if let Some(at) = state.next_wake(self.now) {
+            self.schedule(at, SimulationEvent::WorkerWake { worker, wake_epoch });
+        }
+    }
+
+    fn apply_worker_effect(&mut self, worker: u32, effect: WorkerEffect) {
+        match effect {
+            WorkerEffect::Started(id) => self.start_attempt(worker, AttemptId(id)),
+            WorkerEffect::Finished { attempt: id, is_reported } => {
+                self.answer_load_query(LoadQueryId(id), AttemptResult::Served, 0);
+                self.finish_attempt(AttemptId(id), is_reported);
+            }
+            WorkerEffect::Lost(id) => {
+                self.answer_load_query(LoadQueryId(id), AttemptResult::Reset, 0);
+                self.lose_attempt(AttemptId(id));
+            }
+            WorkerEffect::ReturnedUnstarted(id) => {
+                self.answer_load_query(LoadQueryId(id), AttemptResult::Rejected, 0);
+                self.return_attempt(AttemptId(id));
+            }
+            WorkerEffect::Overloaded => {
+                self.overload_count += 1;
+                self.publish_worker(worker);
+            }
+        }
+    }
+
+    fn start_attempt(&mut self, worker: u32, id: AttemptId) {
+        let Some(attempt) = self.attempts.get(&id) else { return };
+        let is_awaited = attempt.is_in_flight && !attempt.loses_response;
+        let client_request_id = attempt.client_request;
+        let Some(client_request) = self.client_requests.get(&client_request_id) else { return };
+        let class = client_request.arrival.class;
+        let idempotency = self.scenario.classes[class as usize].effect();
+        self.referee.ran(self.now, client_request_id.0, idempotency);
+        if is_awaited && self.worker(worker).silent_class != Some(class) {
+            self.report_start(worker, id);
+        }
+    }
+
+    fn report_start(&mut self, worker: u32, id: AttemptId) {
+        let zone = self.worker_zone(worker);
+        let faults = self.connection_faults[worker as usize];
+        let delay = self.network_delay(zone, zone) + faults.callback_delay;
+        for _ in 0..1 + u32::from(faults.duplicates_callbacks) {
+            self.schedule(self.now + delay, SimulationEvent::AttemptStarted(id));
+        }
+        let progress_interval = micros(self.scenario.reports.progress);
+        if progress_interval > 0 {
+            self.schedule(self.now + progress_interval, SimulationEvent::ProgressDue(id));
+        }
+    }
+
+    fn finish_attempt(&mut self, id: AttemptId, is_reported: bool) {
+        self.jobs_at_workers -= 1;
+        self.resolve_duplicates(id, AttemptResult::Served);
+        if is_reported && self.attempts.get(&id).is_some_and(|attempt| !attempt.loses_response) {
+            self.report_result(id, AttemptResult::Served);
+        }
+        self.remove_from_worker(id);
+    }
+
+    fn lose_attempt(&mut self, id: AttemptId) {
+        self.jobs_at_workers -= 1;
+        self.resolve_duplicates(id, AttemptResult::Reset);
+        self.return_result(id, AttemptResult::Reset);
+    }
+
+    /// A draining worker returns an attempt that it did not start, and forgets its idempotency key: the
+    /// duplicates that were dropped for it get an error.
+    fn return_attempt(&mut self, id: AttemptId) {
+        self.jobs_at_workers -= 1;
+        if let Some(client_request_id) = self.attempts.get(&id).map(|attempt| attempt.client_request) {
+            self.referee.handed_back(client_request_id.0, id.0);
+            if let Some(client_request) = self.client_requests.get_mut(&client_request_id) {
+                client_request.keys.record_returned(id.0);
+            }
+        }
+        self.resolve_duplicates(id, AttemptResult::Error);
+        self.return_result(id, AttemptResult::Rejected);
+    }
+
+    /// Reports how much of a running attempt is done, and schedules the next report.
+    pub(super) fn report_progress(&mut self, id: AttemptId) {
+        let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_in_flight) else { return };
+        let (worker, request) = (attempt.worker, attempt.request);
+        let Some(done) = self.worker(worker).progress(self.now, id.0) else { return };
+        if !self.scheduler_requests.contains_key(&request) {
+            return;
+        }
+        // Without a network delay: the interval between reports is much longer.
+        self.notify_progress(id, Progress::Done(done));
+        let progress_interval = micros(self.scenario.reports.progress);
+        self.schedule(self.now + progress_interval, SimulationEvent::ProgressDue(id));
+    }
+
+    /// Gives an attempt's result to the duplicates that were dropped for it.
+    fn resolve_duplicates(&mut self, id: AttemptId, result: AttemptResult) {
+        let Some(client_request) = self.attempts.get(&id).map(|attempt| attempt.client_request) else {
+            return;
+        };
+        let Some(client_request) = self.client_requests.get_mut(&client_request) else { return };
+        for duplicate in client_request.keys.record_end(result == AttemptResult::Served) {
+            self.return_result(AttemptId(duplicate), result);
+        }
+    }
+}
--- a/crates/testbed/tests/unit/simulation.rs
+++ b/crates/testbed/tests/unit/simulation.rs
@@ -1,29 +1,37 @@
-//! Tests of what `lab`'s `sim` keeps to itself; it takes this file in as its `tests`.
+//! Tests of the simulation's private parts; `simulation` includes this file as its `tests`.
 use std::sync::Mutex;
 
-use copperspread_dispatcher::DispatchPolicy;
+use copperspread_dispatcher::{DispatchPolicy, Outcome as AttemptResult, Timer, WorkerId};
 
 use super::*;
+use crate::policy::Policy;
 
-type Heard = Arc<Mutex<Vec<(Ended, Option<f64>, Micros)>>>;
+/// What a scheduler learned of a load query: its result, the free slots, and how long it took.
+type QueryResults = Arc<Mutex<Vec<(AttemptResult, Option<f64>, Micros)>>>;
 
-/// Asks for one worker's load at 5 s, and keeps what it hears of it, and when.
-struct Prober(WorkerId, Heard);
+/// Queries one worker's load at 5 s, and records every result.
+struct LoadQuerier {
+    worker: WorkerId,
+    results: QueryResults,
+}
 
-impl Policy for Prober {}
+impl Policy for LoadQuerier {}
 
-impl DispatchPolicy for Prober {
+impl DispatchPolicy for LoadQuerier {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Endpoints(_) if now == CLOCK_OFFSET => {
                 actions.push(Action::StartTimer { after: 5 * SECOND, timer: Timer::LoadQuery });
             }
-            Event::TimerExpired(Timer::LoadQuery) => actions.push(Action::QueryLoad { worker: self.0 }),
+            Event::TimerExpired(Timer::LoadQuery) => {
+                actions.push(Action::QueryLoad { worker: self.worker });
+            }
             Event::LoadQueryCompleted { outcome, report, .. } => {
-                let free = report.and_then(|of| of.free_slots);
-                self.1.lock().expect("kept").push((outcome, free, now - CLOCK_OFFSET - 5 * SECOND));
+                let free_slots = report.and_then(|report| report.free_slots);
+                let elapsed = now - CLOCK_OFFSET - 5 * SECOND;
+                self.results.lock().expect("lock").push((outcome, free_slots, elapsed));
             }
-            // The only worker gets every job.
+            // Worker 0 gets every job.
             Event::Request(job) => {
                 let (request, worker) = (job.request, WorkerId(0));
                 actions.push(Action::Send { request, worker, estimate: 0 });
@@ -33,7 +41,13 @@
     }
 }
 
-fn probed(reports: &str, job: &str, fault: &str, worker: u32) -> Vec<(Ended, Option<f64>, Micros)> {
+/// Simulates one worker with a load query to `worker`; the results that the scheduler got.
+fn load_query_results(
+    reports: &str,
+    job: &str,
+    fault: &str,
+    worker: u32,
+) -> Vec<(AttemptResult, Option<f64>, Micros)> {
     let text = format!(
         "name = 'one'\nabout = 'one worker'\nseconds = 9.0\nschedulers = 1\n[clients]\nrate = 1e-9\n{job}\n\
          [network]\nnear = 0.001\n[reports]\nnoise = 0.0\n{reports}\n[[workers]]\nkind = 'w'\ncount = 1\n\
@@ -41,51 +55,49 @@
          aim = 30.0\ndeadline = 30.0\nworth = 1.0\nrepeat = 'safe'\n{fault}"
     );
     let scenario = Scenario::read(&text).expect("a scenario");
-    let mut sim = Simulation::new(&scenario, PolicyKind::Random, 1).expect("it plays");
-    let heard = Heard::default();
-    sim.schedulers[0].policy = Box::new(Prober(WorkerId(worker), Arc::clone(&heard)));
-    while let Some(Reverse(ScheduledEvent(at, _, event))) = sim.heap.pop() {
-        sim.advance_clock(at);
-        sim.handle_event(event);
-    }
-    assert!(sim.load_queries.is_empty());
-    let heard = heard.lock().expect("kept");
-    heard.clone()
+    let mut simulation = Simulation::new(&scenario, PolicyKind::Random, 1).expect("valid settings");
+    let results = QueryResults::default();
+    let querier = LoadQuerier { worker: WorkerId(worker), results: Arc::clone(&results) };
+    simulation.schedulers[0].policy = Box::new(querier);
+    while simulation.handle_next_event() {}
+    assert!(simulation.load_queries.is_empty());
+    let results = results.lock().expect("lock");
+    results.clone()
 }
 
-// Whatever goes wrong, a probe is answered once; and a deep one waits its turn behind a job.
+// Whatever fails, a load query has one result; one that is queued waits behind a job.
 #[test]
-fn a_probe_is_heard_of_once_whatever_goes_wrong() {
-    let of = |deep| format!("probe = {{ work = 0.004, deep = {deep}, timeout = 0.5, late = 0.0 }}");
+fn a_load_query_has_exactly_one_result_whatever_fails() {
+    let reports = |deep| format!("probe = {{ work = 0.004, deep = {deep}, timeout = 0.5, late = 0.0 }}");
     let fault =
         |what: &str, at: f64| format!("[[faults]]\nat = {at:?}\nlasts = 90.0\nshare = 1.0\nwhat = {what}\n");
     let job = |at: f64, work: f64| format!("trace = [{{ at = {at:?}, class = 0, work = {work:?} }}]");
-    let all = [
-        // What is asked, the job that runs, what goes wrong, and the outcome, the free slots, and how long
-        // it took at least and at most, in milliseconds.
-        (of(false), job(0.5, 0.1), String::new(), Ended::Served, Some(1.0), [5, 9]),
-        (of(true), job(0.5, 0.1), String::new(), Ended::Served, Some(1.0), [5, 9]),
-        (of(false), job(1.0, 8.0), String::new(), Ended::Served, Some(0.0), [5, 9]),
-        (of(true), job(4.5, 0.8), String::new(), Ended::Served, Some(0.0), [290, 330]),
-        (of(true), job(1.0, 8.0), String::new(), Ended::TimedOut, None, [500, 500]),
-        (of(true), job(4.5, 4.0), fault("'crash'", 5.1), Ended::Reset, None, [100, 110]),
-        (of(true), job(4.5, 4.0), fault("'drain'", 5.1), Ended::Rejected, None, [100, 110]),
-        (of(true), job(4.5, 4.0), fault("'vanish'", 5.1), Ended::TimedOut, None, [500, 500]),
-        (of(false), job(0.5, 0.1), fault("'crash'", 1.0), Ended::ConnectFailed, None, [1, 5]),
-        (of(false), job(0.5, 0.1), fault("'refusing'", 1.0), Ended::ConnectFailed, None, [1, 5]),
-        (of(false), job(0.5, 0.1), fault("'vanish'", 1.0), Ended::TimedOut, None, [500, 500]),
-        (of(true), job(0.5, 0.1), fault("{ failing = 1.0 }", 1.0), Ended::Error, None, [1, 5]),
-        (of(true), job(0.5, 0.1), fault("{ garbled = 1.0 }", 1.0), Ended::Reset, None, [1, 5]),
-        // Where workers are not to be probed.
-        (String::new(), job(0.5, 0.1), String::new(), Ended::Superseded, None, [0, 0]),
+    let cases = [
+        // The query, the job that runs, the fault; the outcome, the free slots, and the shortest and longest
+        // time until the result, in milliseconds.
+        (reports(false), job(0.5, 0.1), String::new(), AttemptResult::Served, Some(1.0), [5, 9]),
+        (reports(true), job(0.5, 0.1), String::new(), AttemptResult::Served, Some(1.0), [5, 9]),
+        (reports(false), job(1.0, 8.0), String::new(), AttemptResult::Served, Some(0.0), [5, 9]),
+        (reports(true), job(4.5, 0.8), String::new(), AttemptResult::Served, Some(0.0), [290, 330]),
+        (reports(true), job(1.0, 8.0), String::new(), AttemptResult::TimedOut, None, [500, 500]),
+        (reports(true), job(4.5, 4.0), fault("'crash'", 5.1), AttemptResult::Reset, None, [100, 110]),
+        (reports(true), job(4.5, 4.0), fault("'drain'", 5.1), AttemptResult::Rejected, None, [100, 110]),
+        (reports(true), job(4.5, 4.0), fault("'vanish'", 5.1), AttemptResult::TimedOut, None, [500, 500]),
+        (reports(false), job(0.5, 0.1), fault("'crash'", 1.0), AttemptResult::ConnectFailed, None, [1, 5]),
+        (reports(false), job(0.5, 0.1), fault("'refusing'", 1.0), AttemptResult::ConnectFailed, None, [1, 5]),
+        (reports(false), job(0.5, 0.1), fault("'vanish'", 1.0), AttemptResult::TimedOut, None, [500, 500]),
+        (reports(true), job(0.5, 0.1), fault("{ failing = 1.0 }", 1.0), AttemptResult::Error, None, [1, 5]),
+        (reports(true), job(0.5, 0.1), fault("{ garbled = 1.0 }", 1.0), AttemptResult::Reset, None, [1, 5]),
+        // Load queries are disabled.
+        (String::new(), job(0.5, 0.1), String::new(), AttemptResult::Superseded, None, [0, 0]),
     ];
-    for (reports, job, fault, outcome, free, [least, most]) in all {
-        let heard = probed(&reports, &job, &fault, 0);
-        let case = format!("{reports} {job} {fault}: {heard:?}");
-        assert_eq!(heard.len(), 1, "{case}");
-        assert_eq!((heard[0].0, heard[0].1), (outcome, free), "{case}");
-        assert!((least * 1_000..=most * 1_000).contains(&heard[0].2), "{case}");
+    for (reports, job, fault, outcome, free_slots, [min_ms, max_ms]) in cases {
+        let results = load_query_results(&reports, &job, &fault, 0);
+        let case = format!("{reports} {job} {fault}: {results:?}");
+        assert_eq!(results.len(), 1, "{case}");
+        assert_eq!((results[0].0, results[0].1), (outcome, free_slots), "{case}");
+        assert!((min_ms * 1_000..=max_ms * 1_000).contains(&results[0].2), "{case}");
     }
-    // A worker that there is not.
-    assert_eq!(probed(&of(true), "", "", 7), [(Ended::Superseded, None, 0)]);
+    // An unknown worker.
+    assert_eq!(load_query_results(&reports(true), "", "", 7), [(AttemptResult::Superseded, None, 0)]);
 }
