--- /dev/null
+++ b/crates/testbed/src/policy/baseline.rs
@@ -0,0 +1,289 @@
+//! Textbook policies: each selects a worker on arrival, and retries elsewhere where an attempt never ran.
+use copperspread_dispatcher::{
+    Action, AttemptOutcome, DispatchPolicy, EndpointUpdate, EndpointUpdateKind, Event, IncomingRequest,
+    Micros, Outcome as AttemptResult, Progress, Rejection, RequestId, SECOND, WorkerId, WorkerState,
+};
+use rand::RngExt;
+use rustc_hash::FxHashMap;
+
+use super::Policy;
+use crate::model::random::RandomStream;
+use crate::model::worker::TrueState;
+
+/// The most attempts for one request.
+const MAX_ATTEMPTS: usize = 3;
+/// The weight of one attempt's speed in a worker's learned speed.
+const SPEED_LEARNING_RATE: f64 = 0.1;
+/// The slowest and the fastest speed that one attempt may show.
+const LEARNED_SPEED_RANGE: [f64; 2] = [0.05, 5.0];
+/// The work of a request without a hint, in seconds.
+const DEFAULT_COST: f64 = 1.0;
+
+/// How a baseline selects among the ready workers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum SelectionRule {
+    /// At random.
+    Random,
+    /// In turn.
+    RoundRobin,
+    /// The fewest outstanding requests.
+    LeastOutstanding,
+    /// Fewer outstanding requests, of two at random.
+    TwoChoices,
+    /// The least outstanding work, divided by the learned speed.
+    LeastCost,
+    /// The earliest true finish time; none where the request would be late.
+    EarliestTrueFinish,
+    /// The latest start.
+    Newest,
+}
+
+/// What a baseline knows of one worker.
+#[derive(Clone, Copy)]
+struct KnownWorker {
+    state: WorkerState,
+    started_at: Option<Micros>,
+    /// Outstanding requests of this scheduler.
+    outstanding: u32,
+    /// Their work, in core-seconds by hint.
+    outstanding_work: f64,
+    /// Its speed: hinted work divided by running time, averaged over its requests.
+    learned_speed: f64,
+}
+
+impl Default for KnownWorker {
+    fn default() -> KnownWorker {
+        KnownWorker {
+            state: WorkerState::Removed,
+            started_at: None,
+            outstanding: 0,
+            outstanding_work: 0.0,
+            learned_speed: 1.0,
+        }
+    }
+}
+
+/// A request that has no final response yet.
+struct OpenRequest {
+    job: IncomingRequest,
+    deadline: Micros,
+    attempted: Vec<WorkerId>,
+    /// When its last attempt was sent or, once that is known, when it started.
+    started_at: Micros,
+    is_answered: bool,
+}
+
+/// A textbook policy.
+pub(super) struct Baseline {
+    rule: SelectionRule,
+    random: RandomStream,
+    /// The endpoint list comes only after a subscription.
+    must_subscribe: bool,
+    workers: Vec<KnownWorker>,
+    ready: Vec<u32>,
+    /// Where a rotation over the ready workers stands.
+    rotation: usize,
+    true_states: Vec<TrueState>,
+    open_requests: FxHashMap<RequestId, OpenRequest>,
+}
+
+impl Baseline {
+    pub(super) fn new(rule: SelectionRule, random: RandomStream, must_subscribe: bool) -> Baseline {
+        Baseline {
+            rule,
+            random,
+            must_subscribe,
+            workers: Vec::new(),
+            ready: Vec::new(),
+            rotation: 0,
+            true_states: Vec::new(),
+            open_requests: FxHashMap::default(),
+        }
+    }
+
+    fn apply_endpoint_update(&mut self, update: EndpointUpdate<'_>, actions: &mut Vec<Action>) {
+        // A process that has just started, or a call that failed.
+        let is_unsubscribed = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
+        if self.must_subscribe && is_unsubscribed {
+            actions.push(Action::Subscribe);
+        }
+        if update.kind != EndpointUpdateKind::Failed {
+            self.update_endpoints(update);
+        }
+    }
+
+    fn update_endpoints(&mut self, update: EndpointUpdate<'_>) {
+        if matches!(update.kind, EndpointUpdateKind::Full | EndpointUpdateKind::Cached) {
+            self.workers.iter_mut().for_each(|worker| worker.state = WorkerState::Removed);
+        }
+        for endpoint in update.endpoints {
+            let index = endpoint.worker.0 as usize;
+            if self.workers.len() <= index {
+                self.workers.resize(index + 1, KnownWorker::default());
+            }
+            self.workers[index].state = endpoint.state;
+            self.workers[index].started_at = endpoint.started_at;
+        }
+        let ready = self.workers.iter().enumerate().filter(|(_, worker)| worker.state == WorkerState::Ready);
+        self.ready = ready.map(|(index, _)| index as u32).collect();
+    }
+
+    /// Selects among the ready workers that the request has not been sent to.
+    fn select_untried(&mut self, job: &IncomingRequest, attempted: &[WorkerId]) -> Option<u32> {
+        if !attempted.is_empty() {
+            let untried = self.ready.iter().copied().filter(|&worker| !attempted.contains(&WorkerId(worker)));
+            let untried: Vec<u32> = untried.collect();
+            return self.select(job, &untried);
+        }
+        // Taken out for the call, so that a first attempt copies no list.
+        let ready = std::mem::take(&mut self.ready);
+        let selected = self.select(job, &ready);
+        self.ready = ready;
+        selected
+    }
+
+    fn select(&mut self, job: &IncomingRequest, ready: &[u32]) -> Option<u32> {
+        if ready.is_empty() {
+            return None;
+        }
+        match self.rule {
+            SelectionRule::Random => Some(self.draw(ready)),
+            SelectionRule::RoundRobin => self.rotate(ready).next(),
+            SelectionRule::TwoChoices => {
+                let (first, second) = (self.draw(ready), self.draw(ready));
+                let is_second_idler = self.outstanding(second) < self.outstanding(first);
+                Some(if is_second_idler { second } else { first })
+            }
+            SelectionRule::LeastOutstanding => {
+                self.rotate(ready).min_by_key(|&worker| self.outstanding(worker))
+            }
+            SelectionRule::LeastCost => {
+                let work = hinted_work(job);
+                let rotated = self.rotate(ready);
+                let cost = |worker: u32| {
+                    let worker = &self.workers[worker as usize];
+                    (worker.outstanding_work + work) / worker.learned_speed
+                };
+                rotated.min_by(|&a, &b| cost(a).total_cmp(&cost(b)))
+            }
+            SelectionRule::Newest => {
+                ready.iter().copied().max_by_key(|&worker| self.workers[worker as usize].started_at)
+            }
+            SelectionRule::EarliestTrueFinish => self.select_earliest_finish(job, ready),
+        }
+    }
+
+    fn outstanding(&self, worker: u32) -> u32 {
+        self.workers[worker as usize].outstanding
+    }
+
+    fn draw(&mut self, ready: &[u32]) -> u32 {
+        ready[self.random.random_range(0..ready.len())]
+    }
+
+    /// The ready workers, from one further than last time, so that ties are spread over an idle fleet.
+    fn rotate<'r>(&mut self, ready: &'r [u32]) -> impl Iterator<Item = u32> + use<'r> {
+        self.rotation += 1;
+        let first = self.rotation % ready.len();
+        (0..ready.len()).map(move |step| ready[(first + step) % ready.len()])
+    }
+
+    fn select_earliest_finish(&self, job: &IncomingRequest, ready: &[u32]) -> Option<u32> {
+        let cost = job.cost_hint.unwrap_or(DEFAULT_COST);
+        let seconds_to_finish = |worker: u32| {
+            let state = self.true_states.get(worker as usize).copied().unwrap_or_default();
+            if state.accepts_jobs { state.wait + cost / state.rate.max(1e-9) } else { f64::INFINITY }
+        };
+        let by_finish = |&a: &u32, &b: &u32| seconds_to_finish(a).total_cmp(&seconds_to_finish(b));
+        let earliest = ready.iter().copied().min_by(by_finish)?;
+        let is_late = seconds_to_finish(earliest) * SECOND as f64 > job.time_left as f64;
+        (!is_late).then_some(earliest)
+    }
+
+    fn send(&mut self, now: Micros, id: RequestId, mut open: OpenRequest, actions: &mut Vec<Action>) {
+        let Some(selected) = self.select_untried(&open.job, &open.attempted) else {
+            let reason = Rejection::NoEligibleWorker;
+            actions.push(Action::Reject { request: id, retry_after: SECOND, reason });
+            return;
+        };
+        let worker = &mut self.workers[selected as usize];
+        worker.outstanding += 1;
+        worker.outstanding_work += hinted_work(&open.job);
+        open.attempted.push(WorkerId(selected));
+        open.started_at = now;
+        actions.push(Action::Send { request: id, worker: WorkerId(selected), estimate: 0 });
+        self.open_requests.insert(id, open);
+    }
+
+    fn complete_attempt(&mut self, now: Micros, end: AttemptOutcome, actions: &mut Vec<Action>) {
+        let Some(mut open) = self.open_requests.remove(&end.request) else { return };
+        if let Some(worker) = open.attempted.get(end.attempt as usize) {
+            let running_time = now.saturating_sub(open.started_at) as f64 / SECOND as f64;
+            let worker = &mut self.workers[worker.0 as usize];
+            worker.release(&open.job);
+            if end.outcome == AttemptResult::Served && running_time > 0.0 {
+                worker.learn_speed(open.job.cost_hint.unwrap_or(DEFAULT_COST) / running_time);
+            }
+        }
+        if end.request_finished || open.is_answered {
+            return;
+        }
+        if end.outcome.never_ran() && open.attempted.len() < MAX_ATTEMPTS && now < open.deadline {
+            return self.send(now, end.request, open, actions);
+        }
+        open.is_answered = true;
+        actions.push(Action::Fail { request: end.request });
+    }
+}
+
+impl KnownWorker {
+    fn release(&mut self, job: &IncomingRequest) {
+        self.outstanding = self.outstanding.saturating_sub(1);
+        // Without requests exactly none, so that rounding errors do not add up.
+        self.outstanding_work =
+            if self.outstanding == 0 { 0.0 } else { self.outstanding_work - hinted_work(job) };
+    }
+
+    fn learn_speed(&mut self, speed: f64) {
+        let [slowest, fastest] = LEARNED_SPEED_RANGE;
+        let speed = speed.clamp(slowest, fastest);
+        self.learned_speed += (speed - self.learned_speed) * SPEED_LEARNING_RATE;
+    }
+}
+
+/// A request's work by its hint, in core-seconds.
+fn hinted_work(job: &IncomingRequest) -> f64 {
+    job.cost_hint.unwrap_or(DEFAULT_COST) * job.slots.unwrap_or(1.0)
+}
+
+impl DispatchPolicy for Baseline {
+    fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
+        match event {
+            Event::Endpoints(update) => self.apply_endpoint_update(update, actions),
+            Event::AttemptProgress { request, progress: Progress::Started, .. } => {
+                if let Some(open) = self.open_requests.get_mut(&request) {
+                    open.started_at = now;
+                }
+            }
+            Event::Request(job) => {
+                let deadline = now + job.time_left;
+                let open =
+                    OpenRequest { job, deadline, attempted: Vec::new(), started_at: now, is_answered: false };
+                self.send(now, job.request, open, actions);
+            }
+            Event::AttemptCompleted(end) => self.complete_attempt(now, end, actions),
+            _ => {}
+        }
+    }
+}
+
+impl Policy for Baseline {
+    fn needs_true_state(&self) -> bool {
+        self.rule == SelectionRule::EarliestTrueFinish
+    }
+
+    fn observe_true_state(&mut self, states: &[TrueState]) {
+        self.true_states.clear();
+        self.true_states.extend_from_slice(states);
+    }
+}
