--- /dev/null
+++ b/crates/testbed/src/model/worker/lifecycle.rs
@@ -0,0 +1,93 @@
+//! A worker's process: draining, the end, a new start, and the faults that it meets.
+use copperspread_dispatcher::Micros;
+
+use super::Worker;
+use super::job::{ProcessState, WorkerEffect};
+use crate::scenario::Trouble;
+
+impl Worker {
+    /// Whether it accepts new jobs.
+    pub fn accepts_jobs(&self) -> bool {
+        self.process == ProcessState::Up && !self.is_refusing
+    }
+
+    /// Applies a change from outside, such as of its speed.
+    pub fn apply_change(&mut self, now: Micros, change: impl FnOnce(&mut Worker)) {
+        self.account_progress(now);
+        change(self);
+        self.wake_epoch += 1;
+    }
+
+    /// Drains; with `return_waiting`, waiting jobs are returned unstarted.
+    pub fn drain(&mut self, now: Micros, return_waiting: bool, effects: &mut Vec<WorkerEffect>) {
+        self.account_progress(now);
+        if self.process == ProcessState::Up {
+            self.process = ProcessState::Draining;
+            if return_waiting {
+                let returned = self.waiting.drain(..);
+                effects.extend(returned.map(|job| WorkerEffect::ReturnedUnstarted(job.attempt)));
+            }
+        }
+        self.wake_epoch += 1;
+    }
+
+    /// Ends the process with all its jobs, or makes the machine unreachable, so that nothing is reported.
+    pub fn stop(&mut self, now: Micros, state: ProcessState, effects: &mut Vec<WorkerEffect>) {
+        self.account_progress(now);
+        self.process = state;
+        let running = self.running.drain(..).map(|running| running.job.attempt);
+        let lost = running.chain(self.waiting.drain(..).map(|job| job.attempt));
+        if state == ProcessState::Stopped {
+            effects.extend(lost.map(WorkerEffect::Lost));
+        } else {
+            lost.for_each(drop);
+        }
+        (self.used_slots, self.used_memory) = (0.0, 0.0);
+        self.slow_start_load.clear();
+        self.wake_epoch += 1;
+    }
+
+    /// Starts a new process, in slow start.
+    pub fn restart(&mut self, now: Micros) {
+        self.account_progress(now);
+        self.process = ProcessState::Up;
+        self.started_at = Some(now);
+        self.slowdown = 1.0;
+        self.is_stuck = false;
+        self.silent_class = None;
+        self.is_refusing = false;
+        self.refreshed_reports.clear();
+        self.wake_epoch += 1;
+    }
+
+    /// Applies the start or the end of a fault; whether a new process started.
+    pub fn apply_fault(
+        &mut self,
+        now: Micros,
+        fault: Trouble,
+        is_start: bool,
+        effects: &mut Vec<WorkerEffect>,
+    ) -> bool {
+        match fault {
+            Trouble::Slow(factor) => {
+                self.apply_change(now, |worker| worker.slowdown = if is_start { factor } else { 1.0 });
+            }
+            Trouble::Stuck => self.apply_change(now, |worker| worker.is_stuck = is_start),
+            Trouble::Silent(class) => {
+                self.apply_change(now, |worker| worker.silent_class = is_start.then_some(class));
+            }
+            Trouble::Refusing => self.apply_change(now, |worker| worker.is_refusing = is_start),
+            Trouble::Crash if is_start => self.stop(now, ProcessState::Stopped, effects),
+            Trouble::Vanish if is_start => self.stop(now, ProcessState::Unreachable, effects),
+            Trouble::Drain if is_start => self.drain(now, true, effects),
+            Trouble::Crash | Trouble::Vanish | Trouble::Drain => {
+                // What still runs there ends with the old process.
+                self.stop(now, ProcessState::Stopped, effects);
+                self.restart(now);
+                return true;
+            }
+            _ => {}
+        }
+        false
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -0,0 +1,183 @@
+//! A worker's queue and slots: which jobs start, how far they are, and when they end.
+use copperspread_dispatcher::{Micros, SECOND};
+
+use super::job::{OfferResult, OfferedJob, ProcessState, RunningJob, WorkerEffect};
+use super::{SLOW_START_STEP, Worker};
+use crate::scenario::Order;
+
+/// Work that rounding to whole microseconds may leave of a finished job, in seconds at speed 1.
+const ROUNDING_REMAINDER: f64 = 2.0 / SECOND as f64;
+/// No wake is further away, so that the time fits its type.
+const MAX_WAKE_DELAY: f64 = 1e15;
+
+impl Worker {
+    /// Offers a job.
+    pub fn offer(&mut self, now: Micros, job: OfferedJob, effects: &mut Vec<WorkerEffect>) -> OfferResult {
+        match self.process {
+            ProcessState::Unreachable => return OfferResult::Unreachable,
+            ProcessState::Stopped => return OfferResult::ConnectionRefused,
+            _ if self.is_refusing => return OfferResult::ConnectionRefused,
+            ProcessState::Draining => return OfferResult::QueueFull,
+            ProcessState::Up => {}
+        }
+        self.offered_since_refresh += 1;
+        self.account_progress(now);
+        if !self.can_start(&job) && self.waiting.len() >= self.spec.max_waiting {
+            return OfferResult::QueueFull;
+        }
+        if self.becomes_overloaded(now, job.work * job.slots) {
+            effects.push(WorkerEffect::Overloaded);
+            self.stop(now, ProcessState::Stopped, effects);
+            effects.push(WorkerEffect::Lost(job.attempt));
+            return OfferResult::Accepted;
+        }
+        self.waiting.push_back(job);
+        self.start_waiting_jobs(effects);
+        OfferResult::Accepted
+    }
+
+    /// Advances the jobs to now: those that are done end, and waiting ones start.
+    pub fn advance(&mut self, now: Micros, effects: &mut Vec<WorkerEffect>) {
+        self.account_progress(now);
+        let remainder = ROUNDING_REMAINDER * self.spec.speed.max(1.0);
+        let mut position = 0;
+        while position < self.running.len() {
+            if self.running[position].remaining_work > remainder || self.is_stuck {
+                position += 1;
+                continue;
+            }
+            let RunningJob { job, .. } = self.running.remove(position);
+            self.release(&job);
+            let is_reported = self.silent_class != Some(job.class);
+            effects.push(WorkerEffect::Finished { attempt: job.attempt, is_reported });
+        }
+        self.start_waiting_jobs(effects);
+    }
+
+    /// When it must be advanced again, if at all.
+    pub fn next_wake(&self, now: Micros) -> Option<Micros> {
+        let rate = self.rate(now);
+        let least_work =
+            self.running.iter().map(|running| running.remaining_work).fold(f64::INFINITY, f64::min);
+        if !least_work.is_finite() || rate <= 0.0 {
+            return None;
+        }
+        let delay = (least_work / rate * SECOND as f64).ceil().min(MAX_WAKE_DELAY);
+        let ends_at = now + delay as Micros;
+        let is_slow_start = self.capacity_fraction(now) < 1.0;
+        Some(if is_slow_start { ends_at.min(now + SLOW_START_STEP) } else { ends_at })
+    }
+
+    /// Removes a cancelled attempt, waiting or running; whether it was here.
+    pub fn cancel(&mut self, now: Micros, attempt: u64, effects: &mut Vec<WorkerEffect>) -> bool {
+        self.account_progress(now);
+        if let Some(position) = self.running.iter().position(|running| running.job.attempt == attempt) {
+            let RunningJob { job, .. } = self.running.remove(position);
+            self.release(&job);
+        } else if let Some(position) = self.waiting.iter().position(|job| job.attempt == attempt) {
+            self.waiting.remove(position);
+        } else {
+            return false;
+        }
+        self.start_waiting_jobs(effects);
+        true
+    }
+
+    /// The fraction of a running job that is done; `None` if it does not run here.
+    pub fn progress(&self, now: Micros, attempt: u64) -> Option<f64> {
+        let running = self.running.iter().find(|running| running.job.attempt == attempt)?;
+        let remaining = running.remaining_work - self.work_since_accounted(now);
+        Some(1.0 - (remaining / running.job.work.max(1e-12)).clamp(0.0, 1.0))
+    }
+
+    /// Core-seconds that its jobs still need, waiting ones included.
+    pub fn backlog(&self) -> f64 {
+        let running: f64 =
+            self.running.iter().map(|running| running.remaining_work * running.job.slots).sum();
+        running + self.waiting.iter().map(|job| job.work * job.slots).sum::<f64>()
+    }
+
+    /// The jobs that it has, waiting or running.
+    pub fn job_count(&self) -> usize {
+        self.running.len() + self.waiting.len()
+    }
+
+    /// Adds work beside the jobs, such as for a response: one core does it, and jobs there are delayed.
+    pub fn charge_side_work(&mut self, now: Micros, work: f64) {
+        self.account_progress(now);
+        for running in &mut self.running {
+            running.remaining_work += work / self.spec.cores;
+        }
+        self.wake_epoch += 1;
+    }
+
+    /// How fast each running job goes, in seconds of work per second.
+    fn rate(&self, now: Micros) -> f64 {
+        if self.is_stuck {
+            return 0.0;
+        }
+        let core_fraction =
+            if self.used_slots > self.spec.cores { self.spec.cores / self.used_slots } else { 1.0 };
+        self.spec.speed * self.capacity_fraction(now) / self.slowdown * core_fraction
+    }
+
+    /// The work that each running job has got since progress was last accounted.
+    fn work_since_accounted(&self, now: Micros) -> f64 {
+        let elapsed = now.saturating_sub(self.accounted_until) as f64 / SECOND as f64;
+        elapsed * self.rate(self.accounted_until)
+    }
+
+    /// Accounts the running jobs' progress up to now, at the rate that they had until now.
+    pub(super) fn account_progress(&mut self, now: Micros) {
+        let work = self.work_since_accounted(now);
+        self.accounted_until = now;
+        for running in &mut self.running {
+            let done = work.min(running.remaining_work);
+            self.completed_work += done * running.job.slots;
+            running.remaining_work -= done;
+        }
+    }
+
+    /// Whether a job could start now. One wider than the machine runs alone.
+    fn can_start(&self, job: &OfferedJob) -> bool {
+        let has_memory = self.used_memory + job.memory <= self.spec.memory;
+        let has_slots = self.used_slots + job.slots <= self.spec.slots;
+        (has_memory && has_slots) || self.running.is_empty()
+    }
+
+    /// Starts as many waiting jobs as the order and the slots allow.
+    fn start_waiting_jobs(&mut self, effects: &mut Vec<WorkerEffect>) {
+        while let Some(job) = self.next_startable().and_then(|position| self.waiting.remove(position)) {
+            self.used_slots += job.slots;
+            self.used_memory += job.memory;
+            self.running.push(RunningJob { job, remaining_work: job.work });
+            effects.push(WorkerEffect::Started(job.attempt));
+        }
+        self.wake_epoch += 1;
+    }
+
+    /// The position of the waiting job that starts next, if one can.
+    fn next_startable(&self) -> Option<usize> {
+        match self.spec.order {
+            Order::Fifo => self.waiting.front().filter(|job| self.can_start(job)).map(|_| 0),
+            Order::Backfill => self.waiting.iter().position(|job| self.can_start(job)),
+            Order::Priority => {
+                // The heaviest, of equal ones the first.
+                let by_weight = |(a, one): &(usize, &OfferedJob), (b, other): &(usize, &OfferedJob)| {
+                    one.weight.total_cmp(&other.weight).then(b.cmp(a))
+                };
+                let heaviest = self.waiting.iter().enumerate().max_by(by_weight);
+                heaviest.filter(|(_, job)| self.can_start(job)).map(|(position, _)| position)
+            }
+        }
+    }
+
+    fn release(&mut self, job: &OfferedJob) {
+        self.used_slots -= job.slots;
+        self.used_memory -= job.memory;
+        if self.running.is_empty() {
+            // Exactly zero, so that rounding errors do not add up.
+            (self.used_slots, self.used_memory) = (0.0, 0.0);
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/model/worker/reports.rs
@@ -0,0 +1,56 @@
+//! What a worker reports of its load, and its true state.
+use copperspread_dispatcher::{LoadReport, Micros, SECOND};
+
+use super::Worker;
+use super::job::TrueState;
+
+impl Worker {
+    /// Its true state now, for an oracle.
+    pub fn true_state(&self, now: Micros) -> TrueState {
+        let rate = self.spec.speed * self.capacity_fraction(now) / self.slowdown;
+        let usable = self.spec.cores.min(self.spec.slots);
+        let is_free = self.waiting.is_empty() && self.used_slots < usable;
+        let wait = if is_free { 0.0 } else { self.backlog() / (usable * rate) };
+        TrueState { wait, rate, accepts_jobs: self.accepts_jobs() && !self.is_stuck }
+    }
+
+    /// Refreshes the figures with which it answers load queries, once per `interval`. `noise` draws the error
+    /// of one figure, in slots.
+    pub fn refresh_load_report(&mut self, now: Micros, interval: Micros, mut noise: impl FnMut() -> f64) {
+        let slots = self.spec.slots;
+        let offered = f64::from(std::mem::take(&mut self.offered_since_refresh));
+        let offered_per_second = offered * SECOND as f64 / interval.max(1) as f64;
+        let report = LoadReport {
+            qps: Some((offered_per_second + noise()).max(0.0)),
+            in_flight: Some((self.job_count() as f64 + noise()).max(0.0)),
+            free_slots: Some((slots - self.used_slots + noise()).clamp(0.0, slots)),
+            ..LoadReport::default()
+        };
+        self.refreshed_reports.push_back((now, report));
+    }
+
+    /// Answers a load query with the newest figures that are at least `min_age` old.
+    pub fn answer_load_query(&mut self, now: Micros, min_age: Micros) -> Option<LoadReport> {
+        let is_old_enough = |&(at, _): &(Micros, LoadReport)| at + min_age <= now;
+        while self.refreshed_reports.get(1).is_some_and(is_old_enough) {
+            self.refreshed_reports.pop_front();
+        }
+        self.refreshed_reports.front().filter(|report| is_old_enough(report)).map(|&(_, report)| report)
+    }
+
+    /// The load report that comes with a response, made anew when it is older than `refresh`. `noise` draws
+    /// the error of its free slots.
+    pub fn load_report(&mut self, now: Micros, refresh: Micros, noise: impl FnOnce() -> f64) -> LoadReport {
+        if now >= self.last_report.0 + refresh {
+            let free = (self.spec.slots - self.used_slots).max(0.0);
+            let report = LoadReport {
+                free_slots: Some((free + noise()).clamp(0.0, self.spec.slots)),
+                queue: Some(self.waiting.len() as f64),
+                utilization: Some((self.used_slots / self.spec.cores).min(1.0)),
+                ..LoadReport::default()
+            };
+            self.last_report = (now, report);
+        }
+        self.last_report.1
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/model/worker/slow_start.rs
@@ -0,0 +1,34 @@
+//! Slow start: a new process has a fraction of its capacity, and may fail under too much load.
+use copperspread_dispatcher::{Micros, SECOND};
+
+use super::Worker;
+
+impl Worker {
+    /// The fraction of its capacity that it has now.
+    pub fn capacity_fraction(&self, now: Micros) -> f64 {
+        let Some(start) = self.started_at else { return 1.0 };
+        let age = now.saturating_sub(start) as f64 / self.spec.slow_start_duration.max(1) as f64;
+        let initial = self.spec.slow_start_fraction;
+        (initial + (1.0 - initial) * age).min(1.0)
+    }
+
+    /// Core-seconds that it can do per second.
+    pub fn capacity(&self, now: Micros) -> f64 {
+        self.spec.cores.min(self.spec.slots) * self.spec.speed * self.capacity_fraction(now)
+    }
+
+    /// Records load, in core-seconds, that a worker gets during slow start; whether it fails under it.
+    pub(super) fn becomes_overloaded(&mut self, now: Micros, load: f64) -> bool {
+        let Some(window) = self.spec.overload_window else { return false };
+        if self.capacity_fraction(now) >= 1.0 {
+            self.slow_start_load.clear();
+            return false;
+        }
+        self.slow_start_load.push_back((now, load));
+        while self.slow_start_load.front().is_some_and(|&(at, _)| at + window < now) {
+            self.slow_start_load.pop_front();
+        }
+        let recent_load: f64 = self.slow_start_load.iter().map(|&(_, load)| load).sum();
+        recent_load > self.spec.overload_multiple * self.capacity(now) * window as f64 / SECOND as f64
+    }
+}
