--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -1,5 +1,5 @@
-//! Clients as an open loop: when each job comes and what it is, drawn from one stream, so that it does
-//! not depend on what the scheduler does.
+//! Clients as an open loop: when each job arrives and what it is, drawn from one stream, so that it does not
+//! depend on what the schedulers do.
 use copperspread_dispatcher::Micros;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Exp1, LogNormal};
@@ -8,41 +8,47 @@
 use crate::model::worker::OfferedJob;
 use crate::scenario::{Class, Fault, Scenario, Spread, Trouble, micros};
 
-/// A client's job, over all of its tries.
+/// The fraction of a class's jobs that a heavy tail makes longer.
+const HEAVY_TAIL_FRACTION: f64 = 0.01;
+/// How many times longer those jobs are.
+const HEAVY_TAIL_FACTOR: f64 = 20.0;
+
+/// A client's job, over all requests that the client sends for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When its first try is sent.
+    /// When the first request is sent.
     pub at: Micros,
-    /// Its class.
+    /// The job's class.
     pub class: u32,
     /// Its work, in seconds at speed 1.
     pub work: f64,
     /// Its slots.
     pub slots: f64,
-    /// The memory that it holds while it runs.
+    /// The memory that it uses while it runs, in megabytes.
     pub memory: f64,
-    /// The hint of its work.
+    /// The hint of its work, in seconds.
     pub cost_hint: Option<f64>,
-    /// The scheduler that its first try goes to.
+    /// The scheduler that the first request goes to.
     pub scheduler: u32,
 }
 
 impl Arrival {
     /// The job as an attempt offers it to a worker.
-    pub fn to_offered_job(&self, attempt: u64, of: &Class) -> OfferedJob {
+    pub fn to_offered_job(&self, attempt: u64, class_spec: &Class) -> OfferedJob {
         let Arrival { class, work, slots, memory, .. } = *self;
-        OfferedJob { attempt, class, work, slots, memory, weight: of.worth }
+        OfferedJob { attempt, class, work, slots, memory, weight: class_spec.worth }
     }
 }
 
-/// The stream of arrivals.
+/// The stream of arrivals, in order of time.
 pub struct Arrivals<'a> {
     scenario: &'a Scenario,
     random: RandomStream,
-    next_at: f64,
+    /// The time of the last arrival, in seconds.
+    last_at: f64,
     /// The classes' shares, added up.
     cumulative_shares: Vec<f64>,
-    /// How many jobs of a recorded trace have come.
+    /// The position of the next job of a recorded trace.
     next_recorded: usize,
 }
 
@@ -50,38 +56,128 @@
     /// A scenario's arrivals under a seed.
     pub fn new(scenario: &'a Scenario, seed: u64) -> Arrivals<'a> {
         let mut sum = 0.0;
-        let shares = scenario.classes.iter().map(|class| {
+        let cumulative = scenario.classes.iter().map(|class| {
             sum += class.share;
             sum
         });
-        let (chance, shares) = (random_stream(seed, StreamPurpose::Arrivals), shares.collect());
-        Arrivals { scenario, random: chance, next_at: 0.0, cumulative_shares: shares, next_recorded: 0 }
+        let cumulative_shares = cumulative.collect();
+        let random = random_stream(seed, StreamPurpose::Arrivals);
+        Arrivals { scenario, random, last_at: 0.0, cumulative_shares, next_recorded: 0 }
+    }
+
+    /// The next job of the recorded trace.
+    fn next_recorded_arrival(&mut self) -> Option<Arrival> {
+        let recorded = self.scenario.clients.trace.get(self.next_recorded)?;
+        self.next_recorded += 1;
+        let scheduler = self.draw_scheduler();
+        let arrival = Arrival {
+            at: micros(recorded.at),
+            class: recorded.class,
+            work: recorded.work,
+            slots: recorded.slots,
+            memory: self.scenario.classes[recorded.class as usize].memory * recorded.slots,
+            cost_hint: recorded.hint,
+            scheduler,
+        };
+        (recorded.at < self.scenario.seconds).then_some(arrival)
+    }
+
+    /// Draws the next job. The order of the draws is part of what a seed means.
+    fn draw_arrival(&mut self) -> Option<Arrival> {
+        let scenario = self.scenario;
+        // The rate at the last arrival serves for the whole gap: changes of rate last for many gaps.
+        let gap: f64 = Exp1.sample(&mut self.random);
+        self.last_at += gap / (scenario.clients.rate * self.rate_factor(self.last_at));
+        if self.last_at >= scenario.seconds {
+            return None;
+        }
+        let class_index = self.draw_class();
+        let class = &scenario.classes[class_index];
+        let mut work = self.draw_work(class);
+        let slots = self.draw_slots(class);
+        let memory = self.draw_memory(class, slots);
+        let is_heavy = self.random.random::<f64>() < HEAVY_TAIL_FRACTION;
+        let hint_error = self.draw_log_normal(0.0, scenario.clients.hint_error.unwrap_or(0.0), 1.0);
+        let scheduler = self.draw_scheduler();
+        let cost_hint = scenario.clients.hint_error.map(|_| work * hint_error);
+        if is_heavy && self.has_heavy_tail(class_index as u32) {
+            // The hint does not foresee it.
+            work *= HEAVY_TAIL_FACTOR;
+        }
+        let at = micros(self.last_at);
+        Some(Arrival { at, class: class_index as u32, work, slots, memory, cost_hint, scheduler })
+    }
+
+    fn draw_class(&mut self) -> usize {
+        let draw = self.random.random::<f64>() * self.cumulative_shares.last().copied().unwrap_or(1.0);
+        self.cumulative_shares.iter().position(|&share| draw < share).unwrap_or(0)
+    }
+
+    fn draw_work(&mut self, class: &Class) -> f64 {
+        match class.spread {
+            Spread::Constant => class.work,
+            Spread::Exponential => Exp::new(1.0 / class.work)
+                .map_or(class.work, |distribution| distribution.sample(&mut self.random)),
+            // The location makes the mean the class's.
+            Spread::LogNormal(sigma) => {
+                self.draw_log_normal(class.work.ln() - sigma * sigma / 2.0, sigma, class.work)
+            }
+        }
+    }
+
+    fn draw_slots(&mut self, class: &Class) -> f64 {
+        let draw = self.random.random::<f64>();
+        if class.slots.is_empty() { 1.0 + f64::from(draw < class.wide) } else { slots_at(&class.slots, draw) }
     }
 
-    fn is_active(fault: &Fault, at: f64) -> bool {
-        (fault.at..fault.at + fault.lasts).contains(&at)
+    fn draw_memory(&mut self, class: &Class, slots: f64) -> f64 {
+        let memory = class.memory * slots;
+        let sigma = class.memory_spread;
+        if sigma <= 0.0 {
+            return memory;
+        }
+        // The location keeps the mean the class's.
+        memory * self.draw_log_normal(-sigma * sigma / 2.0, sigma, 1.0)
     }
 
-    /// The scheduler that a client's first try goes to.
+    /// Draws from a log-normal distribution; `default` for parameters that have none.
+    fn draw_log_normal(&mut self, location: f64, sigma: f64, default: f64) -> f64 {
+        LogNormal::new(location, sigma).map_or(default, |distribution| distribution.sample(&mut self.random))
+    }
+
+    /// Draws the scheduler that a client's first request goes to.
     fn draw_scheduler(&mut self) -> u32 {
-        let all = self.scenario.schedulers;
-        let Some(of) = self.scenario.clients.crowded else { return self.random.random_range(0..all) };
-        let crowd = f64::from(of.schedulers) * of.times;
-        let pick = self.random.random::<f64>() * (crowd + f64::from(all - of.schedulers));
-        let place = if pick < crowd { pick / of.times } else { pick - crowd + f64::from(of.schedulers) };
-        (place as u32).min(all - 1)
+        let schedulers = self.scenario.schedulers;
+        let Some(crowded) = self.scenario.clients.crowded else {
+            return self.random.random_range(0..schedulers);
+        };
+        let crowded_weight = f64::from(crowded.schedulers) * crowded.times;
+        let draw =
+            self.random.random::<f64>() * (crowded_weight + f64::from(schedulers - crowded.schedulers));
+        let position = if draw < crowded_weight {
+            draw / crowded.times
+        } else {
+            draw - crowded_weight + f64::from(crowded.schedulers)
+        };
+        (position as u32).min(schedulers - 1)
     }
 
-    /// How many times the usual rate clients come.
+    /// How many times the usual rate jobs arrive at a time, in seconds.
     fn rate_factor(&self, at: f64) -> f64 {
-        let burst = |fault: &Fault| match fault.what {
-            Trouble::Burst(factor) if Self::is_active(fault, at) => factor,
-            Trouble::Ramp(to) if Self::is_active(fault, at) => {
-                1.0 + (to - 1.0) * (at - fault.at) / fault.lasts
+        let factor = |fault: &Fault| match fault.what {
+            Trouble::Burst(factor) if is_active(fault, at) => factor,
+            Trouble::Ramp(factor) if is_active(fault, at) => {
+                1.0 + (factor - 1.0) * (at - fault.at) / fault.lasts
             }
             _ => 1.0,
         };
-        self.scenario.faults.iter().map(burst).product()
+        self.scenario.faults.iter().map(factor).product()
+    }
+
+    fn has_heavy_tail(&self, class: u32) -> bool {
+        let makes_tail =
+            |fault: &Fault| fault.what == Trouble::HeavyTail(class) && is_active(fault, self.last_at);
+        self.scenario.faults.iter().any(makes_tail)
     }
 }
 
@@ -89,68 +185,25 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        let scenario = self.scenario;
-        if !scenario.clients.trace.is_empty() {
-            let of = scenario.clients.trace.get(self.next_recorded)?;
-            self.next_recorded += 1;
-            let scheduler = self.draw_scheduler();
-            let (at, class) = (micros(of.at), of.class);
-            let memory = self.scenario.classes[class as usize].memory * of.slots;
-            let arrival =
-                Arrival { at, class, work: of.work, slots: of.slots, memory, cost_hint: of.hint, scheduler };
-            return (of.at < scenario.seconds).then_some(arrival);
-        }
-        // A changing rate is stepped over at the rate of the last arrival: bursts last for many of them.
-        let gap: f64 = Exp1.sample(&mut self.random);
-        self.next_at += gap / (scenario.clients.rate * self.rate_factor(self.next_at));
-        if self.next_at >= scenario.seconds {
-            return None;
-        }
-        let pick = self.random.random::<f64>() * self.cumulative_shares.last().copied().unwrap_or(1.0);
-        let class = self.cumulative_shares.iter().position(|&to| pick < to).unwrap_or(0);
-        let of = &scenario.classes[class];
-        let mut work = match of.spread {
-            Spread::Constant => of.work,
-            Spread::Exponential => {
-                Exp::new(1.0 / of.work).map_or(of.work, |draw| draw.sample(&mut self.random))
-            }
-            // The mean of the log-normal is to be the class's.
-            Spread::LogNormal(sigma) => LogNormal::new(of.work.ln() - sigma * sigma / 2.0, sigma)
-                .map_or(of.work, |draw| draw.sample(&mut self.random)),
-        };
-        let pick = self.random.random::<f64>();
-        let slots =
-            if of.slots.is_empty() { 1.0 + f64::from(pick < of.wide) } else { draw_slots(&of.slots, pick) };
-        let mut memory = of.memory * slots;
-        if of.memory_spread > 0.0 {
-            // The mean stays the class's.
-            let sigma = of.memory_spread;
-            memory *=
-                LogNormal::new(-sigma * sigma / 2.0, sigma).map_or(1.0, |draw| draw.sample(&mut self.random));
+        if self.scenario.clients.trace.is_empty() {
+            self.draw_arrival()
+        } else {
+            self.next_recorded_arrival()
         }
-        let heavy = self.random.random::<f64>() < 0.01;
-        let error: f64 = LogNormal::new(0.0, scenario.clients.hint_error.unwrap_or(0.0))
-            .map_or(1.0, |draw| draw.sample(&mut self.random));
-        let scheduler = self.draw_scheduler();
-        let tail = |fault: &Fault| {
-            fault.what == Trouble::HeavyTail(class as u32) && Self::is_active(fault, self.next_at)
-        };
-        let hint = scenario.clients.hint_error.map(|_| work * error);
-        if heavy && scenario.faults.iter().any(tail) {
-            // Unforeseen: the hint is that of a usual job.
-            work *= 20.0;
-        }
-        let at = micros(self.next_at);
-        Some(Arrival { at, class: class as u32, work, slots, memory, cost_hint: hint, scheduler })
     }
 }
 
-/// The slots of a job, by a number drawn evenly from 0 to 1.
-fn draw_slots(slots: &[[f64; 2]], pick: f64) -> f64 {
-    let mut left = pick * slots.iter().map(|[_, share]| share).sum::<f64>();
-    let at = slots.iter().position(|[_, share]| {
-        left -= share;
+/// Whether a fault is in force at a time, in seconds.
+fn is_active(fault: &Fault, at: f64) -> bool {
+    (fault.at..fault.at + fault.lasts).contains(&at)
+}
+
+/// The slots of a job among `[slots, weight]` pairs, by a number drawn evenly from 0 to 1.
+fn slots_at(choices: &[[f64; 2]], draw: f64) -> f64 {
+    let mut left = draw * choices.iter().map(|[_, weight]| weight).sum::<f64>();
+    let position = choices.iter().position(|[_, weight]| {
+        left -= weight;
         left < 0.0
     });
-    at.or(slots.len().checked_sub(1)).map_or(1.0, |at| slots[at][0])
+    position.or(choices.len().checked_sub(1)).map_or(1.0, |position| choices[position][0])
 }
--- a/crates/testbed/src/model/connection_faults.rs
+++ b/crates/testbed/src/model/connection_faults.rs
@@ -1,53 +1,54 @@
-//! What goes wrong on a worker's connections, apart from the worker itself.
+//! Faults of a worker's connections, apart from the worker itself.
 use copperspread_dispatcher::Micros;
 
 use crate::scenario::{Trouble, micros};
 
-/// A worker's connections.
+/// The faults of one worker's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConnectionFaults {
-    /// The share of hand-overs whose connection breaks, half of them after the job was taken.
+    /// The fraction of deliveries whose connection breaks, half of them after the job was taken.
     pub reset_fraction: f64,
-    /// The share of hand-overs that are answered with what is no HTTP; those never run.
+    /// The fraction of deliveries that get a response that is not HTTP; those jobs never run.
     pub invalid_response_fraction: f64,
-    /// The share of hand-overs that fail at once; those never run.
+    /// The fraction of deliveries that get an immediate error; those jobs never run.
     pub error_fraction: f64,
-    /// Call-backs come so much later.
+    /// Callbacks are delayed by this.
     pub callback_delay: Micros,
-    /// Call-backs come twice.
+    /// Callbacks come twice.
     pub duplicates_callbacks: bool,
 }
 
-/// What a hand-over meets.
+/// What happens to a delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryResult {
-    /// Nothing.
+    /// It reaches the worker.
     Delivered,
     /// The connection breaks before the job is taken.
     ResetBeforeTaken,
-    /// It breaks in the middle of the answer; the job is taken.
+    /// The connection breaks during the response; the job is taken.
     ResetAfterTaken,
-    /// The answer is garbage; the job is not taken.
+    /// The response is not HTTP; the job is not taken.
     InvalidResponse,
-    /// The worker fails the job at once and says so.
+    /// The worker responds with an error at once.
     ImmediateError,
 }
 
 impl ConnectionFaults {
-    /// A fault begins or is over; whether it was one of connections.
-    pub fn apply_fault(&mut self, what: Trouble, begins: bool) -> bool {
-        match what {
-            Trouble::Resetting(share) => self.reset_fraction = if begins { share } else { 0.0 },
-            Trouble::Garbled(share) => self.invalid_response_fraction = if begins { share } else { 0.0 },
-            Trouble::Failing(share) => self.error_fraction = if begins { share } else { 0.0 },
-            Trouble::LateNews(by) => self.callback_delay = if begins { micros(by) } else { 0 },
-            Trouble::DoubledNews => self.duplicates_callbacks = begins,
+    /// Applies the start or the end of a fault; whether it was one of connections.
+    pub fn apply_fault(&mut self, fault: Trouble, is_start: bool) -> bool {
+        let if_active = |value: f64| if is_start { value } else { 0.0 };
+        match fault {
+            Trouble::Resetting(fraction) => self.reset_fraction = if_active(fraction),
+            Trouble::Garbled(fraction) => self.invalid_response_fraction = if_active(fraction),
+            Trouble::Failing(fraction) => self.error_fraction = if_active(fraction),
+            Trouble::LateNews(delay) => self.callback_delay = micros(if_active(delay)),
+            Trouble::DoubledNews => self.duplicates_callbacks = is_start,
             _ => return false,
         }
         true
     }
 
-    /// What a hand-over meets, by a number drawn evenly from 0 to 1.
+    /// What happens to a delivery, by a number drawn evenly from 0 to 1.
     pub fn delivery_result(&self, draw: f64) -> DeliveryResult {
         if draw < self.reset_fraction / 2.0 {
             DeliveryResult::ResetBeforeTaken
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -1,114 +1,145 @@
-//! The workers of a scenario under a seed, what goes wrong with whom, and the budget they are held to.
-//! Both drives draw them here, so that one seed means the same fleet and the same faults.
+//! The workers of a scenario under a seed, when which fault meets whom, and the load that slow start allows.
+//! Simulation and emulation both generate them here, so that one seed means the same fleet and faults.
 use copperspread_dispatcher::Micros;
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
-use crate::model::random::{StreamPurpose, random_stream};
+use crate::model::random::{RandomStream, StreamPurpose, random_stream};
 use crate::model::worker::{ProcessState, Worker, WorkerSpec};
 use crate::referee::ColdBudget;
-use crate::scenario::{Scenario, micros};
+use crate::scenario::{Cold, Fault, Group, Scenario, micros};
 
-/// A fault that begins or is over, for one worker or for none.
+/// A fault that starts or ends, for one target or for none.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultTransition {
     /// When.
     pub at: Micros,
-    /// The fault's place in the scenario.
+    /// The fault's position in the scenario.
     pub fault: usize,
-    /// Whom it meets, for faults of workers and of schedulers.
+    /// The worker or scheduler that it meets, for faults of those.
     pub target: Option<u32>,
-    /// It begins.
+    /// It starts, or else ends.
     pub is_start: bool,
 }
 
-/// The workers with their zones, and the faults' turns in the order in which they were drawn.
+/// The workers with their zones, and the transitions of the faults in the order in which they were drawn.
 pub struct Fleet {
     /// Workers, each with its zone.
     pub workers: Vec<(Worker, u32)>,
-    /// Each worker's kind: its group's place.
+    /// Each worker's kind: the position of its group in the scenario.
     pub kinds: Vec<u32>,
     /// Each worker's cell; no two zones share one.
     pub cells: Vec<u32>,
-    /// Workers that the remembered list names and that are not there.
+    /// Workers that the cached endpoint list names and that do not exist.
     pub missing_workers: Vec<u32>,
-    /// What goes wrong.
+    /// The faults' starts and ends.
     pub fault_transitions: Vec<FaultTransition>,
 }
 
 impl Fleet {
-    /// Draws them.
+    /// Generates a scenario's fleet and faults under a seed.
     pub fn generate(scenario: &Scenario, seed: u64) -> Fleet {
-        let mut chance = random_stream(seed, StreamPurpose::Fleet);
-        let cold = &scenario.cold;
-        let (mut workers, mut kinds) = (Vec::new(), Vec::new());
-        for (kind, group) in scenario.workers.iter().enumerate() {
-            for _ in 0..group.count {
-                let [low, high] = group.speed;
-                let build = WorkerSpec {
-                    cores: group.cores,
-                    slots: group.slots,
-                    speed: low + (high - low) * chance.random::<f64>(),
-                    max_waiting: group.queue,
-                    order: group.order,
-                    memory: group.memory.unwrap_or(f64::INFINITY),
-                    slow_start_fraction: cold.from,
-                    slow_start_duration: micros(cold.warm_after),
-                    overload_multiple: cold.fall_multiple,
-                    overload_window: (cold.fall_seconds > 0.0).then(|| micros(cold.fall_seconds)),
-                };
-                let zone = workers.len() as u32 % scenario.zones;
-                workers.push((Worker::new(build), zone));
-                kinds.push(kind as u32);
-            }
+        let (mut workers, kinds) = draw_workers(scenario, &mut random_stream(seed, StreamPurpose::Fleet));
+        let mut random = random_stream(seed, StreamPurpose::Faults);
+        let missing_workers = draw_missing_workers(scenario, workers.len(), &mut random);
+        let fault_transitions = draw_fault_transitions(scenario, &workers, &mut random);
+        for &worker in &missing_workers {
+            workers[worker as usize].0.process = ProcessState::Stopped;
         }
-        let (zones, cells) = (scenario.zones, scenario.cells);
-        let cells = (0..workers.len() as u32).map(|at| at % zones + zones * (at / zones % cells)).collect();
-        let mut chance = random_stream(seed, StreamPurpose::Faults);
-        let gone = (scenario.discovery.stale * workers.len() as f64).round() as usize;
-        let mut all: Vec<u32> = (0..workers.len() as u32).collect();
-        all.shuffle(&mut chance);
-        all.truncate(gone);
-        let mut turns = Vec::new();
-        for (fault, of) in scenario.faults.iter().enumerate() {
-            let mut chosen: Vec<u32> = Vec::new();
-            if of.what.meets_workers() {
-                let in_zone = |&at: &u32| of.zone.is_none_or(|zone| workers[at as usize].1 == zone);
-                chosen = (0..workers.len() as u32).filter(in_zone).collect();
-            } else if of.what.meets_schedulers() {
-                let in_zone = |&at: &u32| of.zone.is_none_or(|zone| at % scenario.zones == zone);
-                chosen = (0..scenario.schedulers).filter(in_zone).collect();
-            }
-            let count = (of.share * chosen.len() as f64).ceil().max(1.0) as usize;
-            chosen.shuffle(&mut chance);
-            chosen.truncate(count);
-            let each: Vec<Option<u32>> =
-                if chosen.is_empty() { vec![None] } else { chosen.into_iter().map(Some).collect() };
-            for (place, &whom) in each.iter().enumerate() {
-                let begins = of.at + of.spread_over * place as f64 / each.len() as f64;
-                turns.push(FaultTransition { at: micros(begins), fault, target: whom, is_start: true });
-                turns.push(FaultTransition {
-                    at: micros(begins + of.lasts),
-                    fault,
-                    target: whom,
-                    is_start: false,
-                });
-            }
+        let cells = (0..workers.len() as u32).map(|worker| cell(scenario, worker)).collect();
+        Fleet { workers, kinds, cells, missing_workers, fault_transitions }
+    }
+}
+
+/// A worker's cell: each zone's workers are dealt to the zone's cells in turn.
+fn cell(scenario: &Scenario, worker: u32) -> u32 {
+    let (zones, cells) = (scenario.zones, scenario.cells);
+    worker % zones + zones * (worker / zones % cells)
+}
+
+fn draw_workers(scenario: &Scenario, random: &mut RandomStream) -> (Vec<(Worker, u32)>, Vec<u32>) {
+    let (mut workers, mut kinds) = (Vec::new(), Vec::new());
+    for (kind, group) in scenario.workers.iter().enumerate() {
+        for _ in 0..group.count {
+            let zone = workers.len() as u32 % scenario.zones;
+            workers.push((Worker::new(draw_spec(group, &scenario.cold, random)), zone));
+            kinds.push(kind as u32);
         }
-        for &at in &all {
-            workers[at as usize].0.process = ProcessState::Stopped;
+    }
+    (workers, kinds)
+}
+
+fn draw_spec(group: &Group, slow_start: &Cold, random: &mut RandomStream) -> WorkerSpec {
+    let [slowest, fastest] = group.speed;
+    WorkerSpec {
+        cores: group.cores,
+        slots: group.slots,
+        speed: slowest + (fastest - slowest) * random.random::<f64>(),
+        max_waiting: group.queue,
+        order: group.order,
+        memory: group.memory.unwrap_or(f64::INFINITY),
+        slow_start_fraction: slow_start.from,
+        slow_start_duration: micros(slow_start.warm_after),
+        overload_multiple: slow_start.fall_multiple,
+        overload_window: (slow_start.fall_seconds > 0.0).then(|| micros(slow_start.fall_seconds)),
+    }
+}
+
+fn draw_missing_workers(scenario: &Scenario, workers: usize, random: &mut RandomStream) -> Vec<u32> {
+    let missing = (scenario.discovery.stale * workers as f64).round() as usize;
+    let mut chosen: Vec<u32> = (0..workers as u32).collect();
+    chosen.shuffle(random);
+    chosen.truncate(missing);
+    chosen
+}
+
+fn draw_fault_transitions(
+    scenario: &Scenario,
+    workers: &[(Worker, u32)],
+    random: &mut RandomStream,
+) -> Vec<FaultTransition> {
+    let mut transitions = Vec::new();
+    for (position, fault) in scenario.faults.iter().enumerate() {
+        let targets = draw_targets(scenario, fault, workers, random);
+        for (place, &target) in targets.iter().enumerate() {
+            let starts_at = fault.at + fault.spread_over * place as f64 / targets.len() as f64;
+            let transition =
+                |at: f64, is_start| FaultTransition { at: micros(at), fault: position, target, is_start };
+            transitions.push(transition(starts_at, true));
+            transitions.push(transition(starts_at + fault.lasts, false));
         }
-        Fleet { workers, kinds, cells, missing_workers: all, fault_transitions: turns }
     }
+    transitions
+}
+
+/// Draws whom a fault meets, at least one of those that it can meet; one `None` for a fault without targets.
+fn draw_targets(
+    scenario: &Scenario,
+    fault: &Fault,
+    workers: &[(Worker, u32)],
+    random: &mut RandomStream,
+) -> Vec<Option<u32>> {
+    let is_in_zone = |zone: u32| fault.zone.is_none_or(|wanted| wanted == zone);
+    let mut targets: Vec<u32> = if fault.what.meets_workers() {
+        (0..workers.len() as u32).filter(|&worker| is_in_zone(workers[worker as usize].1)).collect()
+    } else if fault.what.meets_schedulers() {
+        (0..scenario.schedulers).filter(|scheduler| is_in_zone(scheduler % scenario.zones)).collect()
+    } else {
+        Vec::new()
+    };
+    let count = (fault.share * targets.len() as f64).ceil().max(1.0) as usize;
+    targets.shuffle(random);
+    targets.truncate(count);
+    if targets.is_empty() { vec![None] } else { targets.into_iter().map(Some).collect() }
 }
 
-/// What the scenario holds a cold worker to, if anything.
+/// The load that the scenario allows a worker during slow start, if it limits that.
 pub fn slow_start_budget(scenario: &Scenario) -> Option<ColdBudget> {
-    let cold = &scenario.cold;
-    (cold.fall_seconds > 0.0).then(|| ColdBudget {
-        from: cold.from,
-        warm_after: micros(cold.warm_after),
-        multiple: cold.fall_multiple,
-        window: micros(cold.fall_seconds),
+    let slow_start = &scenario.cold;
+    (slow_start.fall_seconds > 0.0).then(|| ColdBudget {
+        from: slow_start.from,
+        warm_after: micros(slow_start.warm_after),
+        multiple: slow_start.fall_multiple,
+        window: micros(slow_start.fall_seconds),
     })
 }
--- a/crates/testbed/src/model/idempotency_keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -1,7 +1,7 @@
-//! How workers drop repeats of a keyed job: by what was taken in their group, and when.
+//! How workers drop duplicates of an idempotency key: by what was taken in their group, and when.
 use copperspread_dispatcher::{KeyScope, Micros};
 
-/// The group of workers that a worker shares the memory of keys with, by its zone and cell.
+/// The group of workers that share the memory of a key with a worker, by the worker's zone and cell.
 pub fn key_group(scope: KeyScope, zone: u32, cell: u32) -> u32 {
     match scope {
         KeyScope::All => 0,
@@ -10,28 +10,36 @@
     }
 }
 
-/// What workers remember of one client's job.
+/// An attempt that a worker took.
+#[derive(Clone, Copy, Debug)]
+struct TakenAttempt {
+    attempt: u64,
+    group: u32,
+    at: Micros,
+}
+
+/// What workers remember of one client request's key.
 #[derive(Clone, Debug, Default)]
 pub struct KeyHistory {
-    /// The attempts that workers took: number, group and when.
-    taken: Vec<(u64, u32, Micros)>,
-    /// Repeats that were dropped, which hear what becomes of the first.
+    taken: Vec<TakenAttempt>,
+    /// Duplicates that were dropped and get the first attempt's result.
     waiting_duplicates: Vec<u64>,
-    /// An attempt was done.
+    /// An attempt was served.
     is_served: bool,
 }
 
 /// What becomes of an attempt whose key is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DuplicateOutcome {
-    /// The first was done: so is this one.
+    /// The first attempt was served, and so is this one.
     AlreadyServed,
-    /// It hears later what becomes of the first.
+    /// It gets the first attempt's result later.
     AwaitsFirst,
 }
 
 impl KeyHistory {
-    /// Whether an attempt that comes to a group is a repeat, and then what of it; one that waits is kept.
+    /// Checks whether an attempt that reaches a group is a duplicate within the key's window, and keeps one
+    /// that awaits the first attempt's result.
     pub fn check_duplicate(
         &mut self,
         attempt: u64,
@@ -39,7 +47,7 @@
         now: Micros,
         window: Micros,
     ) -> Option<DuplicateOutcome> {
-        if !self.taken.iter().any(|&(_, of, at)| of == group && now <= at + window) {
+        if !self.taken.iter().any(|taken| taken.group == group && now <= taken.at + window) {
             return None;
         }
         if self.is_served {
@@ -49,19 +57,19 @@
         Some(DuplicateOutcome::AwaitsFirst)
     }
 
-    /// A worker took an attempt.
+    /// Records that a worker of a group took an attempt.
     pub fn record_taken(&mut self, attempt: u64, group: u32, now: Micros) {
-        self.taken.push((attempt, group, now));
+        self.taken.push(TakenAttempt { attempt, group, at: now });
     }
 
-    /// An attempt was handed back: the key is forgotten with it.
+    /// Records that an attempt was returned unstarted: the key is forgotten with it.
     pub fn record_returned(&mut self, attempt: u64) {
-        self.taken.retain(|&(of, _, _)| of != attempt);
+        self.taken.retain(|taken| taken.attempt != attempt);
     }
 
-    /// An attempt ended, done or not; returns the repeats that hear of it.
-    pub fn record_end(&mut self, done: bool) -> Vec<u64> {
-        self.is_served |= done;
+    /// Records that an attempt ended, served or not; returns the duplicates that get its result.
+    pub fn record_end(&mut self, is_served: bool) -> Vec<u64> {
+        self.is_served |= is_served;
         std::mem::take(&mut self.waiting_duplicates)
     }
 }
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,4 +1,5 @@
-//! The parts of the world, each on its own: time and chance come in as arguments.
+//! The model that simulation and emulation share: clients, workers and faults. Time and random streams come in
+//! as arguments.
 pub mod arrivals;
 pub mod connection_faults;
 pub mod fleet;
--- a/crates/testbed/src/model/random.rs
+++ b/crates/testbed/src/model/random.rs
@@ -1,11 +1,11 @@
-//! Streams of chance: one seed, a stream a component.
+//! Random streams: one for each purpose, all from one seed.
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// A stream of chance.
+/// A reproducible stream of random numbers.
 pub type RandomStream = Pcg64Mcg;
 
-/// Which component draws. What one draws does not move what another one does.
+/// What a stream is used for. Draws for one purpose do not change those for another.
 #[derive(Clone, Copy, Debug)]
 pub enum StreamPurpose {
     /// Arrivals and all that a job is when it arrives.
@@ -22,8 +22,8 @@
     Reports,
 }
 
-/// A component's stream under a seed.
-pub fn random_stream(seed: u64, of: StreamPurpose) -> RandomStream {
-    // Far apart in the seeds' space; the generator's seeding mixes them.
-    Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((of as u64) << 56))
+/// The stream for a purpose under a seed.
+pub fn random_stream(seed: u64, purpose: StreamPurpose) -> RandomStream {
+    // Neighbouring seeds become far apart; the generator's own seeding mixes the bits.
+    Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((purpose as u64) << 56))
 }
