--- a/crates/testbed/benches/decisions.rs
+++ b/crates/testbed/benches/decisions.rs
@@ -1,15 +1,19 @@
-//! What a decision costs: a job with its outcome, a sweep, a change of the list. Run it with
+//! The cost of a decision: a request with its outcome, a periodic refresh, a change of the endpoint list. Run with
 //! `cargo bench -p copperspread-testbed`.
-use copperspread_dispatcher::*;
+use copperspread_dispatcher::{
+    AttemptOutcome, Dispatcher, Endpoint, EndpointUpdate, EndpointUpdateKind, Event, Idempotency,
+    IncomingRequest, Outcome, RequestClass, RequestId, SECOND, Settings, Timer, WorkerId, WorkerState,
+};
 use divan::Bencher;
 
-const FLEETS: [u32; 5] = [10, 100, 1_000, 10_000, 100_000];
+/// Numbers of workers.
+const FLEET_SIZES: [u32; 5] = [10, 100, 1_000, 10_000, 100_000];
 
 fn main() {
     divan::main();
 }
 
-fn entry(worker: u32) -> Endpoint {
+fn endpoint(worker: u32) -> Endpoint {
     let (zone, state) = (worker % 3, WorkerState::Ready);
     Endpoint {
         worker: WorkerId(worker),
@@ -32,15 +36,15 @@
     };
     let settings =
         Settings { classes: vec![class], max_attempts: 4, cancellation_allowed: true, ..Settings::default() };
-    let mut dispatcher = Dispatcher::new(settings, 7).expect("good settings");
-    let entries: Vec<_> = (0..workers).map(entry).collect();
-    let roster = EndpointUpdate { kind: EndpointUpdateKind::Full, version: 1, endpoints: &entries };
-    dispatcher.handle(SECOND, Event::Endpoints(roster), &mut Vec::new());
+    let mut dispatcher = Dispatcher::new(settings, 7).expect("valid settings");
+    let endpoints: Vec<_> = (0..workers).map(endpoint).collect();
+    let update = EndpointUpdate { kind: EndpointUpdateKind::Full, version: 1, endpoints: &endpoints };
+    dispatcher.handle(SECOND, Event::Endpoints(update), &mut Vec::new());
     dispatcher
 }
 
-#[divan::bench(args = FLEETS)]
-fn job_and_outcome(bencher: Bencher<'_, '_>, workers: u32) {
+#[divan::bench(args = FLEET_SIZES)]
+fn request_and_outcome(bencher: Bencher<'_, '_>, workers: u32) {
     let (mut dispatcher, mut actions) = (dispatcher(workers), Vec::new());
     let (mut now, mut request) = (2 * SECOND, RequestId(0));
     bencher.bench_local(|| {
@@ -60,8 +64,8 @@
     });
 }
 
-#[divan::bench(args = FLEETS)]
-fn sweep(bencher: Bencher<'_, '_>, workers: u32) {
+#[divan::bench(args = FLEET_SIZES)]
+fn periodic_refresh(bencher: Bencher<'_, '_>, workers: u32) {
     let (mut dispatcher, mut actions) = (dispatcher(workers), Vec::new());
     let mut now = 2 * SECOND;
     bencher.bench_local(|| {
@@ -71,16 +75,16 @@
     });
 }
 
-#[divan::bench(args = FLEETS)]
-fn one_change_of_the_list(bencher: Bencher<'_, '_>, workers: u32) {
+#[divan::bench(args = FLEET_SIZES)]
+fn endpoint_change(bencher: Bencher<'_, '_>, workers: u32) {
     let (mut dispatcher, mut actions) = (dispatcher(workers), Vec::new());
     let (mut now, mut version) = (2 * SECOND, 1);
     bencher.bench_local(|| {
         (now, version) = (now + 1_000, version + 1);
         let state = if version % 2 == 0 { WorkerState::Draining } else { WorkerState::Ready };
-        let changed = [Endpoint { state, ..entry(workers / 2) }];
-        let roster = EndpointUpdate { kind: EndpointUpdateKind::Changes, version, endpoints: &changed };
-        dispatcher.handle(now, Event::Endpoints(roster), &mut actions);
+        let changed = [Endpoint { state, ..endpoint(workers / 2) }];
+        let update = EndpointUpdate { kind: EndpointUpdateKind::Changes, version, endpoints: &changed };
+        dispatcher.handle(now, Event::Endpoints(update), &mut actions);
         actions.clear();
     });
 }
--- a/crates/testbed/benches/membership.rs
+++ b/crates/testbed/benches/membership.rs
@@ -1,5 +1,5 @@
-//! What membership costs: a second of so many idle members on one core, the network's model included. Items are
-//! members, so that the time of one is the median over their number. `cargo bench -p copperspread-testbed --bench membership`.
+//! The cost of membership: a second of idle members on one core, the simulated network included. Items are members,
+//! so that the time of one is the median divided by their number. `cargo bench -p copperspread-testbed --bench membership`.
 use copperspread_membership::SECOND;
 use copperspread_testbed::membership_simulation::SimulatedNetwork;
 use divan::Bencher;
--- a/crates/testbed/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -1,4 +1,4 @@
-//! Membership's figures, in virtual time: `docs/cluster.md` says how to read them.
+//! Measures membership in virtual time; `docs/cluster.md` explains the figures.
 //! `cargo run --release --locked -p copperspread-testbed --example membership -- death`
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use rayon::prelude::*;
 
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
-enum Part {
+enum Measurement {
     /// How soon a death is known.
     Death,
     /// Members declared dead that live, while packets are lost.
@@ -25,7 +25,7 @@
 #[derive(Parser)]
 struct Args {
     /// What to measure.
-    part: Part,
+    measurement: Measurement,
     /// Members.
     #[arg(long, value_delimiter = ',', default_values_t = [10, 30, 100, 300, 1000])]
     members: Vec<usize>,
@@ -35,88 +35,111 @@
 }
 
 fn main() {
-    let Args { part, members, plays } = Args::parse();
-    let head = match part {
-        Part::Death => {
+    let Args { measurement, members, plays } = Args::parse();
+    let head = match measurement {
+        Measurement::Death => {
             "members | deaths | first suspicion: median | p99 | first down: median | p99 | down everywhere: median | p99"
         }
-        Part::Loss => {
+        Measurement::Loss => {
             "members | loss | plays | member-hours | members given up while alive | an hour of a member"
         }
-        Part::Pauses => {
+        Measurement::Pauses => {
             "members | that pause | for s | plays | member-hours | given up though never paused | given up while paused"
         }
-        Part::Idle => "members | plays | packets a second of a member | bytes a second of a member",
-        Part::Heal => "members | plays | one view again, s: median | longest",
+        Measurement::Idle => "members | plays | packets a second of a member | bytes a second of a member",
+        Measurement::Heal => "members | plays | one view again, s: median | longest",
     };
     println!("| {head} |\n|{}", " --- |".repeat(head.matches('|').count() + 1));
     for members in members {
         let seeds = 0..(plays / members).max(1) as u64;
-        match part {
-            Part::Death => death(members, seeds),
-            Part::Loss => [0.0, 0.1, 0.3].into_iter().for_each(|loss| lossy(members, loss, seeds.clone())),
-            Part::Pauses => [1, 5, 15].into_iter().for_each(|span| paused(members, span, seeds.clone())),
-            Part::Idle => idle(members, seeds),
-            Part::Heal => heal(members, seeds),
+        match measurement {
+            Measurement::Death => measure_deaths(members, seeds),
+            Measurement::Loss => {
+                [0.0, 0.1, 0.3].into_iter().for_each(|loss| measure_loss(members, loss, seeds.clone()))
+            }
+            Measurement::Pauses => {
+                [1, 5, 15].into_iter().for_each(|span| measure_pauses(members, span, seeds.clone()))
+            }
+            Measurement::Idle => measure_idle_traffic(members, seeds),
+            Measurement::Heal => measure_healing(members, seeds),
         }
     }
 }
 
-fn each<T: Send>(seeds: std::ops::Range<u64>, play: impl Fn(u64) -> T + Send + Sync) -> Vec<T> {
-    seeds.into_par_iter().map(play).collect()
+/// Runs a function for each seed in parallel.
+fn for_each_seed<T: Send>(seeds: std::ops::Range<u64>, run: impl Fn(u64) -> T + Send + Sync) -> Vec<T> {
+    seeds.into_par_iter().map(run).collect()
 }
 
-/// The value that this share of them does not exceed, in seconds.
-fn quantile(spans: &mut [Micros], share: f64) -> f64 {
-    spans.sort_unstable();
-    let at = (share * spans.len() as f64).ceil() as usize;
-    spans[at.clamp(1, spans.len()) - 1] as f64 / SECOND as f64
+/// The quantile of durations, in seconds.
+fn quantile(durations: &mut [Micros], fraction: f64) -> f64 {
+    durations.sort_unstable();
+    let rank = (fraction * durations.len() as f64).ceil() as usize;
+    durations[rank.clamp(1, durations.len()) - 1] as f64 / SECOND as f64
 }
 
-/// How long a suspicion lasts among so many.
-fn suspicion(members: usize) -> Micros {
-    let Settings { probe_interval, suspicion_multiplier: suspicion, .. } = Settings::default();
-    (probe_interval as f64 * suspicion * (members as f64).log10().max(1.0)) as Micros
+/// How long a suspicion lasts in a cluster of this size.
+fn suspicion_duration(members: usize) -> Micros {
+    let Settings { probe_interval, suspicion_multiplier, .. } = Settings::default();
+    (probe_interval as f64 * suspicion_multiplier * (members as f64).log10().max(1.0)) as Micros
 }
 
-fn death(members: usize, seeds: std::ops::Range<u64>) {
-    // Some of each play's members die, one after another, at instants that share nothing with their probes.
+/// How long after a death it was found.
+struct DetectionTimes {
+    /// Until the first suspicion.
+    suspected: Micros,
+    /// Until the first report that the member is down.
+    first_report: Micros,
+    /// Until every member had reported it.
+    last_report: Micros,
+}
+
+fn measure_deaths(members: usize, seeds: std::ops::Range<u64>) {
+    // Some of each run's members are killed, one after another, at times unrelated to their probes.
     let deaths = (members / 5).min(10);
-    let found: Vec<_> = each(seeds, |seed| {
+    let found: Vec<_> = for_each_seed(seeds, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
         let mut found = Vec::new();
-        for whom in 1..=deaths {
-            network.run(10 * SECOND + (seed * 7 + whom as u64) * 137 * MILLISECOND % SECOND);
+        for victim in 1..=deaths {
+            network.run(10 * SECOND + (seed * 7 + victim as u64) * 137 * MILLISECOND % SECOND);
             network.effects.clear();
-            let killed = network.now;
-            network.kill(whom);
+            let killed_at = network.now;
+            network.kill(victim);
             network.run_until(120 * SECOND, SECOND, |network| {
-                network.reported_failures().len() >= members - whom
+                network.reported_failures().len() >= members - victim
             });
             assert_eq!(
                 network.reported_failures().len(),
-                members - whom,
-                "known everywhere, and nobody else is down"
+                members - victim,
+                "reported everywhere, and nobody else"
             );
-            let at =
-                network.reported_failures().iter().map(|failure| failure.at - killed).collect::<Vec<_>>();
-            let (first, last) = (at.iter().min().expect("known"), at.iter().max().expect("known"));
-            found.push((first.saturating_sub(suspicion(members + 1 - whom)), *first, *last));
+            let delays =
+                network.reported_failures().iter().map(|failure| failure.at - killed_at).collect::<Vec<_>>();
+            let first_report = *delays.iter().min().expect("reported");
+            let last_report = *delays.iter().max().expect("reported");
+            let suspected = first_report.saturating_sub(suspicion_duration(members + 1 - victim));
+            found.push(DetectionTimes { suspected, first_report, last_report });
         }
         found
     })
     .concat();
-    let column = |of: fn(&(Micros, Micros, Micros)) -> Micros| {
-        let mut spans: Vec<_> = found.iter().map(of).collect();
-        format!("{:.2} | {:.2}", quantile(&mut spans, 0.5), quantile(&mut spans, 0.99))
+    let column = |of: fn(&DetectionTimes) -> Micros| {
+        let mut durations: Vec<_> = found.iter().map(of).collect();
+        format!("{:.2} | {:.2}", quantile(&mut durations, 0.5), quantile(&mut durations, 0.99))
     };
-    let mean = found.iter().map(|of| of.0).sum::<Micros>() as f64 / found.len() as f64 / SECOND as f64;
-    let columns = [column(|of| of.0), column(|of| of.1), column(|of| of.2)].join(" | ");
+    let mean =
+        found.iter().map(|times| times.suspected).sum::<Micros>() as f64 / found.len() as f64 / SECOND as f64;
+    let columns = [
+        column(|times| times.suspected),
+        column(|times| times.first_report),
+        column(|times| times.last_report),
+    ]
+    .join(" | ");
     println!("| {members} | {} | (mean {mean:.2}) {columns} |", found.len());
 }
 
-/// Who was given up by anybody, or was told so, each once a play.
-fn given_up(network: &SimulatedNetwork) -> Vec<String> {
+/// The names of members that were reported down, or refuted it, each once per run.
+fn falsely_reported(network: &SimulatedNetwork) -> Vec<String> {
     let name = |effect: &Effect| match effect {
         Effect::MemberDown(member) | Effect::SelfRefuted(member) => Some(member.name.clone()),
         _ => None,
@@ -127,29 +150,29 @@
     names
 }
 
-fn lossy(members: usize, lose: f64, seeds: std::ops::Range<u64>) {
+fn measure_loss(members: usize, loss_rate: f64, seeds: std::ops::Range<u64>) {
     let plays = seeds.end;
-    let given_up: usize = each(seeds, |seed| {
+    let given_up: usize = for_each_seed(seeds, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
-        let (least, most) = (network.links.conditions.min_delay, network.links.conditions.max_delay);
-        network.run_plan(&plans::lose_packets(lose, least, most, Duration::from_secs(60)));
-        given_up(&network).len()
+        let (min_delay, max_delay) = (network.links.conditions.min_delay, network.links.conditions.max_delay);
+        network.run_plan(&plans::lose_packets(loss_rate, min_delay, max_delay, Duration::from_secs(60)));
+        falsely_reported(&network).len()
     })
     .into_iter()
     .sum();
     let hours = plays as f64 * members as f64 / 60.0;
     println!(
         "| {members} | {:.0} % | {plays} | {hours:.1} | {given_up} | {:.2} |",
-        lose * 100.0,
+        loss_rate * 100.0,
         given_up as f64 / hours
     );
 }
 
 /// A tenth of the members pause for a span, run for a second, and so on for 120 s.
-fn paused(members: usize, span: u64, seeds: std::ops::Range<u64>) {
+fn measure_pauses(members: usize, span: u64, seeds: std::ops::Range<u64>) {
     let (plays, pausing) = (seeds.end, (members / 10).max(1));
     let rounds = 120 / (span + 1);
-    let given_up = each(seeds, |seed| {
+    let given_up = for_each_seed(seeds, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
         let all = |action| (1..=pausing).map(move |member| Fault::Process { member, action });
         let plan = (0..rounds).fold(FaultPlan::default(), |plan, round| {
@@ -160,8 +183,8 @@
         });
         network.run_plan(&plan);
         network.run(10 * SECOND);
-        let names = given_up(&network);
-        let paused = (1..=pausing).filter(|whom| names.contains(&format!("n{whom}"))).count();
+        let names = falsely_reported(&network);
+        let paused = (1..=pausing).filter(|member| names.contains(&format!("n{member}"))).count();
         (names.len() - paused, paused)
     });
     let hours = plays as f64 * members as f64 * (rounds * (span + 1) + 10) as f64 / 3600.0;
@@ -172,11 +195,11 @@
     );
 }
 
-fn idle(members: usize, seeds: std::ops::Range<u64>) {
+fn measure_idle_traffic(members: usize, seeds: std::ops::Range<u64>) {
     let plays = seeds.end.min(5);
-    let sent = each(0..plays, |seed| {
+    let sent = for_each_seed(0..plays, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
-        // The news of the joining is through by then.
+        // The joining is no longer gossiped by then.
         network.run(120 * SECOND);
         (network.packets, network.bytes) = (0, 0);
         network.run(60 * SECOND);
@@ -187,19 +210,23 @@
     println!("| {members} | {plays} | {:.2} | {:.0} |", packets as f64 / seconds, bytes as f64 / seconds);
 }
 
-fn heal(members: usize, seeds: std::ops::Range<u64>) {
+fn measure_healing(members: usize, seeds: std::ops::Range<u64>) {
     let plays = seeds.end.min(20);
-    let mut took = each(0..plays, |seed| {
+    let mut durations = for_each_seed(0..plays, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
         network.run_plan(&plans::partition_in_halves(members, Duration::from_secs(60)));
-        let split = |effect: &Effect| matches!(effect, Effect::MemberDown(_));
+        let is_down = |effect: &Effect| matches!(effect, Effect::MemberDown(_));
         assert!(
-            network.effects.iter().any(|recorded| split(&recorded.effect)),
-            "the halves have given each other up"
+            network.effects.iter().any(|recorded| is_down(&recorded.effect)),
+            "each half reports the other down"
         );
         network
             .run_until(600 * SECOND, 100 * MILLISECOND, |network| network.all_see(members - 1))
             .expect("one view in 600 s")
     });
-    println!("| {members} | {plays} | {:.1} | {:.1} |", quantile(&mut took, 0.5), quantile(&mut took, 1.0));
+    println!(
+        "| {members} | {plays} | {:.1} | {:.1} |",
+        quantile(&mut durations, 0.5),
+        quantile(&mut durations, 1.0)
+    );
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,27 +1,27 @@
-//! The laboratory: a model of the world round a scheduler, a drive in virtual time, and a referee.
+//! The testbed: a model of workers, clients and faults, a simulation and an emulation of it, and a referee.
 //!
 //! ```text
-//!   scenario.rs (TOML) ──► model/ ──► fleet, faults, arrivals, keys, workers, what breaks on the wire
-//!                            │ events and effects, time as an argument
-//!              ┌─────────────┴──────────────┐
-//!           sim.rs                      emulate/
-//!   virtual time, policy.rs        real time on loopback, the program's
-//!   called directly                own processes (or the node with a policy)
-//!              └─────────────┬──────────────┘
-//!                 what clients and workers saw ──► referee.rs
-//!                            │
-//!        outcome.rs ──► compare.rs (paired by seed) ──► report.rs
-//!                            ▲
-//!                      experiment.rs (TOML: scenarios, variants, seeds; kept run by run)
+//!   scenario (TOML) ──► model ──► fleet, faults, arrivals, idempotency keys, workers, connection faults
+//!                         │ events and effects, time as an argument
+//!           ┌─────────────┴──────────────┐
+//!      simulation                     emulate
+//!   virtual time, policies        real time on loopback, the program's
+//!   called directly               own processes (or the proxy with a policy)
+//!           └─────────────┬──────────────┘
+//!              what clients and workers saw ──► referee
+//!                         │
+//!              outcome ──► compare (paired by seed) ──► report
+//!                         ▲
+//!                    experiment (TOML: scenarios, variants, seeds; results kept run by run)
 //! ```
 //!
-//! `load.rs` sends the same arrivals to any address over HTTP; `cost.rs` measures the whole program
-//! against `relay.rs`, which decides nothing.
+//! `load` sends the same arrivals to any address over HTTP; `cost` measures the whole program against `relay`,
+//! which forwards without a decision.
 //!
-//! `members.rs` plays schedulers' membership on a network that loses, delays and cuts, apart from the above.
+//! `membership_simulation` runs the schedulers' membership protocol on a faulty network, apart from the above.
 //!
-//! The model does no I/O and reads no clock. All chance comes from one seed, with a stream for each
-//! component, so that two variants of one experiment meet the same arrivals.
+//! The model does no I/O and reads no clock. All randomness comes from one seed, with a stream for each purpose,
+//! so that two variants of one experiment get the same arrivals.
 pub mod compare;
 pub mod cost;
 pub mod emulate;
