--- a/crates/testbed/benches/membership.rs
+++ b/crates/testbed/benches/membership.rs
@@ -1,5 +1,5 @@
-//! What membership costs: a second of so many idle members on one core, the network's model included. Items are
-//! members, so that the time of one is the median over their number. `cargo bench -p copperspread-testbed --bench membership`.
+//! The cost of membership: a second of idle members on one core, the simulated network included. Items are members,
+//! so that the time of one is the median divided by their number. `cargo bench -p copperspread-testbed --bench membership`.
 use copperspread_membership::SECOND;
 use copperspread_testbed::membership_simulation::SimulatedNetwork;
 use divan::Bencher;
@@ -11,7 +11,7 @@
 
 #[divan::bench(args = [10, 30, 100, 300, 1000], sample_count = 30, sample_size = 1)]
 fn idle_second(bencher: Bencher<'_, '_>, members: usize) {
-    let mut net = SimulatedNetwork::joined(members, 1);
-    net.run(120 * SECOND);
-    bencher.counter(ItemsCount::new(members)).bench_local(|| net.run(SECOND));
+    let mut network = SimulatedNetwork::joined(members, 1);
+    network.run(120 * SECOND);
+    bencher.counter(ItemsCount::new(members)).bench_local(|| network.run(SECOND));
 }
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -177,7 +177,7 @@
     pub(super) fn forget_key(&mut self, id: u64) {
         let job = self.attempts.get(&id).map(|attempt| attempt.job);
         if let Some(job) = job.and_then(|job| self.jobs.get_mut(&job)) {
-            job.keys.record_handed_back(id);
+            job.keys.record_returned(id);
         }
     }
 }
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -33,7 +33,7 @@
                     self.attempt_finished(attempt, is_reported);
                 }
                 WorkerEffect::Lost(id) => self.attempt_lost(id),
-                WorkerEffect::HandedBack(id) => self.attempt_returned(id),
+                WorkerEffect::ReturnedUnstarted(id) => self.attempt_returned(id),
                 WorkerEffect::Overloaded => {
                     self.overload_count += 1;
                     self.changed_workers.push(worker);
--- a/crates/testbed/src/model/connection_faults.rs
+++ b/crates/testbed/src/model/connection_faults.rs
@@ -1,63 +1,62 @@
-//! What goes wrong on a worker's connections, apart from the worker itself.
+//! Faults of a worker's connections, apart from the worker itself.
 use copperspread_dispatcher::Micros;
 
 use crate::scenario::{FaultKind, micros_from_seconds};
 
-/// A worker's connections.
+/// The faults of one worker's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConnectionFaults {
-    /// The share of hand-overs whose connection breaks, half of them after the job was taken.
-    pub reset_share: f64,
-    /// The share of hand-overs that are answered with what is no HTTP; those never run.
-    pub invalid_response_share: f64,
-    /// The share of hand-overs that fail at once; those never run.
-    pub error_share: f64,
-    /// Call-backs come so much later.
+    /// The fraction of deliveries whose connection breaks, half of them after the job was taken.
+    pub reset_fraction: f64,
+    /// The fraction of deliveries that get a response that is not HTTP; those jobs never run.
+    pub invalid_response_fraction: f64,
+    /// The fraction of deliveries that get an immediate error; those jobs never run.
+    pub error_fraction: f64,
+    /// Callbacks are delayed by this.
     pub callback_delay: Micros,
-    /// Call-backs come twice.
+    /// Callbacks come twice.
     pub duplicates_callbacks: bool,
 }
 
-/// What a hand-over meets.
+/// What happens to a delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryResult {
-    /// Nothing.
+    /// It reaches the worker.
     Delivered,
     /// The connection breaks before the job is taken.
     ResetBeforeTaken,
-    /// It breaks in the middle of the answer; the job is taken.
+    /// The connection breaks during the response; the job is taken.
     ResetAfterTaken,
-    /// The answer is garbage; the job is not taken.
+    /// The response is not HTTP; the job is not taken.
     InvalidResponse,
-    /// The worker fails the job at once and says so.
+    /// The worker responds with an error at once.
     ImmediateError,
 }
 
 impl ConnectionFaults {
-    /// A fault begins or is over; whether it was one of connections.
-    pub fn apply_fault(&mut self, what: FaultKind, begins: bool) -> bool {
-        match what {
-            FaultKind::Resetting(share) => self.reset_share = if begins { share } else { 0.0 },
-            FaultKind::Garbled(share) => self.invalid_response_share = if begins { share } else { 0.0 },
-            FaultKind::Failing(share) => self.error_share = if begins { share } else { 0.0 },
-            FaultKind::LateCallbacks(by) => {
-                self.callback_delay = if begins { micros_from_seconds(by) } else { 0 }
-            }
-            FaultKind::DuplicateCallbacks => self.duplicates_callbacks = begins,
+    /// Applies the start or the end of a fault; whether it was one of connections.
+    pub fn apply_fault(&mut self, fault: FaultKind, is_start: bool) -> bool {
+        let if_active = |value: f64| if is_start { value } else { 0.0 };
+        match fault {
+            FaultKind::Resetting(fraction) => self.reset_fraction = if_active(fraction),
+            FaultKind::Garbled(fraction) => self.invalid_response_fraction = if_active(fraction),
+            FaultKind::Failing(fraction) => self.error_fraction = if_active(fraction),
+            FaultKind::LateCallbacks(delay) => self.callback_delay = micros_from_seconds(if_active(delay)),
+            FaultKind::DuplicateCallbacks => self.duplicates_callbacks = is_start,
             _ => return false,
         }
         true
     }
 
-    /// What a hand-over meets, by a number drawn evenly from 0 to 1.
+    /// What happens to a delivery, by a number drawn evenly from 0 to 1.
     pub fn delivery_result(&self, draw: f64) -> DeliveryResult {
-        if draw < self.reset_share / 2.0 {
+        if draw < self.reset_fraction / 2.0 {
             DeliveryResult::ResetBeforeTaken
-        } else if draw < self.reset_share {
+        } else if draw < self.reset_fraction {
             DeliveryResult::ResetAfterTaken
-        } else if draw < self.reset_share + self.invalid_response_share {
+        } else if draw < self.reset_fraction + self.invalid_response_fraction {
             DeliveryResult::InvalidResponse
-        } else if draw < self.reset_share + self.invalid_response_share + self.error_share {
+        } else if draw < self.reset_fraction + self.invalid_response_fraction + self.error_fraction {
             DeliveryResult::ImmediateError
         } else {
             DeliveryResult::Delivered
