--- a/crates/testbed/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -85,6 +85,7 @@
 }
 
 /// How long after a death it was found.
+#[derive(Clone)]
 struct DetectionTimes {
     /// Until the first suspicion.
     suspected: Micros,
--- a/crates/testbed/src/referee.rs
+++ b/crates/testbed/src/referee.rs
@@ -194,7 +194,7 @@
         }
     }
 
-    /// A worker of a group (see [`crate::model::keys::group`]) took an attempt, which may run from now on.
+    /// A worker of a group (see [`crate::model::idempotency_keys::key_group`]) took an attempt, which may run from now on.
     /// Repeats are dropped only in the group of the first, and only so long after that was sent.
     pub fn took(
         &mut self,
