--- /dev/null
+++ b/crates/testbed/src/rule_checker/executions.rs
@@ -0,0 +1,91 @@
+//! Rules on executions: how often a job may run, over all attempts and retries.
+use copperspread_dispatcher::{Idempotency, KeyScope, Micros};
+use rustc_hash::FxHashMap;
+
+use super::TIMING_GRACE;
+use super::violations::{Rule, Violations};
+
+/// An attempt that a worker accepted, and that may therefore have run.
+#[derive(Clone, Copy)]
+pub(super) struct AcceptedAttempt {
+    /// The attempt's number.
+    pub attempt: u64,
+    /// The worker's deduplication group.
+    pub group: u32,
+    /// When the scheduler sent it.
+    pub sent_at: Micros,
+}
+
+#[derive(Default)]
+struct JobExecutions {
+    /// Starts of a non-idempotent job.
+    starts: u32,
+    accepted: Vec<AcceptedAttempt>,
+}
+
+/// The executions of jobs, by the client's job over all its retries.
+#[derive(Default)]
+pub(super) struct ExecutionRules {
+    jobs: FxHashMap<u64, JobExecutions>,
+}
+
+impl ExecutionRules {
+    pub(super) fn job_finished(&mut self, job: u64) {
+        self.jobs.remove(&job);
+    }
+
+    /// An attempt that was returned unstarted never ran.
+    pub(super) fn attempt_returned(&mut self, job: u64, attempt: u64) {
+        if let Some(executions) = self.jobs.get_mut(&job) {
+            executions.accepted.retain(|accepted| accepted.attempt != attempt);
+        }
+    }
+
+    pub(super) fn check_non_idempotent_once(
+        &mut self,
+        now: Micros,
+        job: u64,
+        idempotency: Idempotency,
+        violations: &mut Violations,
+    ) {
+        if idempotency != Idempotency::NonIdempotent {
+            return;
+        }
+        let executions = self.jobs.entry(job).or_default();
+        executions.starts += 1;
+        if executions.starts > 1 {
+            violations.record(Rule::NonIdempotentOnce, now, || format!("job {job}"));
+        }
+    }
+
+    /// Repeats are dropped only in the group of the first attempt, and only within the window after that was
+    /// sent.
+    pub(super) fn check_keyed_within_scope(
+        &mut self,
+        now: Micros,
+        job: u64,
+        attempt: AcceptedAttempt,
+        idempotency: Idempotency,
+        violations: &mut Violations,
+    ) {
+        let Idempotency::IdempotentWithKey { scope, window } = idempotency else { return };
+        let executions = self.jobs.entry(job).or_default();
+        let first = executions.accepted.iter().copied().min_by_key(|accepted| accepted.sent_at);
+        executions.accepted.push(attempt);
+        let Some(first) = first else { return };
+        if first.group != attempt.group || attempt.sent_at > first.sent_at + window + TIMING_GRACE {
+            let scope = scope_name(scope);
+            violations.record(Rule::KeyedWithinScope, now, || {
+                format!("job {job}, sent to {scope} {} and to {scope} {}", first.group, attempt.group)
+            });
+        }
+    }
+}
+
+fn scope_name(scope: KeyScope) -> &'static str {
+    match scope {
+        KeyScope::All => "group",
+        KeyScope::Zone => "zone",
+        KeyScope::Cell => "cell",
+    }
+}
