--- /dev/null
+++ b/crates/testbed/src/commands/compare.rs
@@ -0,0 +1,50 @@
+//! `compare`: policies against one another on the same seeds.
+use std::path::PathBuf;
+
+use clap::Args;
+use copperspread_testbed::compare::{ScenarioResults, compare_policies, comparison_table};
+use copperspread_testbed::policy::Kind;
+
+use super::output::{json_line, print, write_report};
+use super::shipped_scenarios::{LARGE, SHIPPED, read_scenario};
+use super::{CommandOutcome, CommandResult};
+use crate::cli::parse_policy;
+
+#[derive(Debug, Args)]
+pub(crate) struct CompareArguments {
+    /// Scenarios' names or files; none is all that come with the program but the large one
+    scenarios: Vec<String>,
+    /// How many seeds, from 1
+    #[arg(long, default_value_t = 10)]
+    seeds: u64,
+    /// Only these, the first against the others
+    #[arg(long, value_delimiter = ',', value_parser = parse_policy)]
+    policies: Vec<Kind>,
+    /// Print all outcomes as JSON
+    #[arg(long)]
+    json: bool,
+    /// Write a report too: one HTML file that needs nothing else
+    #[arg(long, value_name = "FILE")]
+    report: Option<PathBuf>,
+}
+
+/// Plays scenarios under policies, and prints the results of each scenario when it is played.
+pub(super) fn run(arguments: CompareArguments) -> CommandResult {
+    let CompareArguments { scenarios, seeds, policies, json, report } = arguments;
+    let names = if scenarios.is_empty() { default_scenarios() } else { scenarios };
+    let policies = if policies.is_empty() { Kind::COMPARED.to_vec() } else { policies };
+    let seeds: Vec<u64> = (1..=seeds.max(1)).collect();
+    let mut results = Vec::new();
+    for name in names {
+        let scenario = read_scenario(&name)?;
+        let variants = compare_policies(&scenario, &policies, &seeds)?;
+        print(&if json { json_line(&variants)? } else { comparison_table(&scenario, &variants) + "\n" })?;
+        results.push(ScenarioResults { scenario, variants });
+    }
+    write_report(report.as_deref(), &results)?;
+    Ok(CommandOutcome::Done)
+}
+
+fn default_scenarios() -> Vec<String> {
+    SHIPPED.iter().map(|(name, _)| (*name).to_owned()).filter(|name| name != LARGE).collect()
+}
--- /dev/null
+++ b/crates/testbed/src/commands/emulate.rs
@@ -0,0 +1,48 @@
+//! `emulate`: one run in real time.
+use std::path::PathBuf;
+
+use clap::Args;
+use copperspread_testbed::emulate::program::Program;
+use copperspread_testbed::emulate::{Schedulers, emulate};
+use copperspread_testbed::policy::Kind;
+
+use super::outcome_text::outcome_text;
+use super::output::{json_line, print};
+use super::shipped_scenarios::read_scenario;
+use super::{CommandOutcome, CommandResult};
+use crate::cli::parse_policy;
+
+#[derive(Debug, Args)]
+pub(crate) struct EmulateArguments {
+    /// A scenario's name, or a file
+    scenario: String,
+    /// What decides in the schedulers' node, where no program is named
+    #[arg(long, default_value = "copperspread", value_parser = parse_policy)]
+    policy: Kind,
+    /// The program to start for each scheduler, in place of the one beside this one
+    #[arg(long)]
+    program: Option<PathBuf>,
+    /// Its arguments
+    #[arg(long = "argument", default_value = "serve", requires = "program")]
+    arguments: Vec<String>,
+    /// The seed of all chance
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Print the whole outcome as JSON
+    #[arg(long)]
+    json: bool,
+}
+
+/// Plays a scenario once in real time, and prints the outcome.
+pub(super) fn run(arguments: EmulateArguments) -> CommandResult {
+    let EmulateArguments { scenario, policy, program, arguments, seed, json } = arguments;
+    let scenario = read_scenario(&scenario)?;
+    let variant = program.as_ref().map_or_else(|| policy.name(), |file| file.display().to_string());
+    let program = match program {
+        Some(file) => Program { file, arguments },
+        None => Program::of(policy)?,
+    };
+    let outcome = emulate(&scenario, &Schedulers::Started(program), &variant, seed)?;
+    print(&if json { json_line(&outcome)? } else { outcome_text(&outcome) })?;
+    Ok(CommandOutcome::from_violations(!outcome.violations.is_empty()))
+}
--- /dev/null
+++ b/crates/testbed/src/commands/load.rs
@@ -0,0 +1,56 @@
+//! `load`: a scenario's jobs over HTTP, to any address.
+use std::net::SocketAddr;
+
+use clap::Args;
+use copperspread_testbed::load::load;
+
+use super::output::{json_line, print};
+use super::shipped_scenarios::read_scenario;
+use super::{CommandOutcome, CommandResult};
+
+/// The longest load, in seconds: it stops by itself.
+const MAX_LOAD_DURATION_S: f64 = 3_600.0;
+
+#[derive(Debug, Args)]
+pub(crate) struct LoadArguments {
+    /// A scenario's name, or a file: its classes, rate and bursts
+    scenario: String,
+    /// Where to send them
+    #[arg(long, default_value = "127.0.0.1:8081")]
+    target: SocketAddr,
+    /// Jobs a second, in place of the scenario's
+    #[arg(long)]
+    rate: Option<f64>,
+    /// Seconds, in place of the scenario's; an hour at most
+    #[arg(long)]
+    seconds: Option<f64>,
+    /// Most requests that are open at once; past that, jobs are not sent, and counted
+    #[arg(long, default_value_t = 1_024)]
+    most_open: usize,
+    /// The seed of the arrivals
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Also to an address that is not this machine's own
+    #[arg(long)]
+    anywhere: bool,
+    /// Print the outcome as JSON
+    #[arg(long)]
+    json: bool,
+}
+
+/// Sends a scenario's jobs, and prints what became of them.
+pub(super) fn run(arguments: &LoadArguments) -> CommandResult {
+    let target = arguments.target;
+    if !target.ip().is_loopback() && !arguments.anywhere {
+        return Err(format!("{target} is not this machine's own; --anywhere sends there all the same").into());
+    }
+    let mut scenario = read_scenario(&arguments.scenario)?;
+    scenario.clients.rate_per_s = arguments.rate.unwrap_or(scenario.clients.rate_per_s);
+    scenario.duration_s = arguments.seconds.unwrap_or(scenario.duration_s).min(MAX_LOAD_DURATION_S);
+    scenario.check()?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(|error| format!("runtime: {error}"))?;
+    let report = runtime.block_on(load(&scenario, arguments.seed, target, arguments.most_open));
+    print(&if arguments.json { json_line(&report)? } else { report.text() })?;
+    Ok(CommandOutcome::Done)
+}
--- /dev/null
+++ b/crates/testbed/src/commands/mod.rs
@@ -0,0 +1,60 @@
+//! The commands of the program, one a file.
+pub(crate) mod compare;
+pub(crate) mod cost;
+pub(crate) mod emulate;
+pub(crate) mod load;
+mod outcome_text;
+mod output;
+pub(crate) mod run;
+mod shipped_scenarios;
+mod show;
+pub(crate) mod sim;
+pub(crate) mod trace;
+
+use std::error::Error;
+
+use copperspread_testbed::emulate::baseline;
+use copperspread_testbed::relay;
+
+use crate::cli::Command;
+
+/// How a command that could be carried out ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum CommandOutcome {
+    /// Done; if runs were played, all rules held.
+    Done,
+    /// A run violated a rule.
+    RulesViolated,
+}
+
+impl CommandOutcome {
+    fn from_violations(are_rules_violated: bool) -> CommandOutcome {
+        if are_rules_violated { CommandOutcome::RulesViolated } else { CommandOutcome::Done }
+    }
+}
+
+/// The error is only printed.
+pub(crate) type CommandResult = Result<CommandOutcome, Box<dyn Error>>;
+
+/// Runs a command.
+pub(crate) fn run(command: Command) -> CommandResult {
+    match command {
+        Command::Scenarios => show::list_scenarios(),
+        Command::Show { name } => show::show_scenario(&name),
+        Command::Sim(arguments) => sim::run(&arguments),
+        Command::Emulate(arguments) => emulate::run(arguments),
+        Command::Trace(arguments) => trace::run(&arguments),
+        Command::Cost(arguments) => cost::run(arguments),
+        Command::Node { policy } => {
+            baseline::serve(policy)?;
+            Ok(CommandOutcome::Done)
+        }
+        Command::Relay => {
+            relay::serve()?;
+            Ok(CommandOutcome::Done)
+        }
+        Command::Load(arguments) => load::run(&arguments),
+        Command::Run(arguments) => run::run(arguments),
+        Command::Compare(arguments) => compare::run(arguments),
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/commands/run.rs
@@ -0,0 +1,81 @@
+//! `run`: an experiment's file.
+use std::path::PathBuf;
+
+use clap::Args;
+use copperspread_testbed::compare::comparison_table;
+use copperspread_testbed::experiment::{ExperimentProgress, Plan, ProgressObserver, mode_agreement};
+use indicatif::{ProgressBar, ProgressStyle};
+
+use super::output::{json_line, print, print_note, write_report};
+use super::shipped_scenarios::find_shipped;
+use super::{CommandOutcome, CommandResult};
+
+#[derive(Debug, Args)]
+pub(crate) struct RunArguments {
+    /// The experiment, a TOML file
+    experiment: PathBuf,
+    /// The file that keeps the runs; the experiment's with `.runs.jsonl` if it is not named
+    #[arg(long, value_name = "FILE")]
+    runs: Option<PathBuf>,
+    /// Print all outcomes as JSON
+    #[arg(long)]
+    json: bool,
+    /// Write a report too: one HTML file that needs nothing else
+    #[arg(long, value_name = "FILE")]
+    report: Option<PathBuf>,
+}
+
+/// Plays an experiment, and prints its results when all runs are played.
+pub(super) fn run(arguments: RunArguments) -> CommandResult {
+    let RunArguments { experiment, runs, json, report } = arguments;
+    let plan = Plan::read_file(&experiment, |name| find_shipped(name).map(str::to_owned))?;
+    let runs = runs.unwrap_or_else(|| experiment.with_extension("runs.jsonl"));
+    let results = plan.play(&runs, &TerminalProgress::new())?;
+    for result in &results {
+        print(&if json {
+            json_line(&result.variants)?
+        } else {
+            comparison_table(&result.scenario, &result.variants) + "\n"
+        })?;
+    }
+    let pairs = plan.mode_pairs();
+    if !pairs.is_empty() && !json {
+        print(&mode_agreement(&pairs, &results))?;
+    }
+    write_report(report.as_deref(), &results)?;
+    let mut variants = results.iter().flat_map(|result| &result.variants);
+    Ok(CommandOutcome::from_violations(variants.any(|variant| variant.violations > 0)))
+}
+
+/// A progress bar on standard error, where that is a terminal.
+struct TerminalProgress {
+    bar: ProgressBar,
+}
+
+impl TerminalProgress {
+    fn new() -> TerminalProgress {
+        let style = ProgressStyle::with_template("{bar:40} {pos} of {len} runs, {elapsed} gone, {eta} left");
+        let style = style.unwrap_or_else(|_| ProgressStyle::default_bar());
+        TerminalProgress { bar: ProgressBar::new(0).with_style(style) }
+    }
+}
+
+impl ProgressObserver for TerminalProgress {
+    fn experiment_started(&self, progress: ExperimentProgress) {
+        let ExperimentProgress { stored_runs, total_runs, unreadable_lines } = progress;
+        if stored_runs > 0 || unreadable_lines > 0 {
+            print_note(&format!(
+                "{stored_runs} of {total_runs} runs are kept from before; lines that cannot be read: \
+                 {unreadable_lines}"
+            ));
+        }
+        self.bar.set_length(total_runs as u64);
+        self.bar.set_position(stored_runs as u64);
+        // So that the time left is estimated from what is played now.
+        self.bar.reset_eta();
+    }
+
+    fn run_finished(&self) {
+        self.bar.inc(1);
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/commands/show.rs
@@ -0,0 +1,21 @@
+//! `scenarios` and `show`: the scenarios that come with the program.
+use super::output::print;
+use super::shipped_scenarios::{SHIPPED, find_shipped, read_scenario};
+use super::{CommandOutcome, CommandResult};
+
+/// Lists the scenarios that come with the program.
+pub(super) fn list_scenarios() -> CommandResult {
+    for (name, _) in SHIPPED {
+        let scenario = read_scenario(name)?;
+        print(&format!("{name:<16} {}\n", scenario.description))?;
+    }
+    Ok(CommandOutcome::Done)
+}
+
+/// Prints the text of one of them.
+pub(super) fn show_scenario(name: &str) -> CommandResult {
+    read_scenario(name)?;
+    let text = find_shipped(name).ok_or_else(|| format!("{name} does not come with the program"))?;
+    print(text)?;
+    Ok(CommandOutcome::Done)
+}
--- /dev/null
+++ b/crates/testbed/src/commands/sim.rs
@@ -0,0 +1,46 @@
+//! `sim`: one run in virtual time.
+use std::time::Instant;
+
+use clap::Args;
+use copperspread_testbed::policy::Kind;
+use copperspread_testbed::sim::play;
+
+use super::outcome_text::outcome_text;
+use super::output::{json_line, print};
+use super::shipped_scenarios::read_scenario;
+use super::{CommandOutcome, CommandResult};
+use crate::cli::parse_policy;
+
+#[derive(Debug, Args)]
+pub(crate) struct SimArguments {
+    /// A scenario's name, or a file
+    scenario: String,
+    /// What decides
+    #[arg(long, default_value = "copperspread", value_parser = parse_policy)]
+    policy: Kind,
+    /// The seed of all chance
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Print the whole outcome as JSON
+    #[arg(long)]
+    json: bool,
+}
+
+/// Plays a scenario once in virtual time, and prints the outcome and the speed.
+pub(super) fn run(arguments: &SimArguments) -> CommandResult {
+    let scenario = read_scenario(&arguments.scenario)?;
+    let started = Instant::now();
+    let outcome = play(&scenario, arguments.policy, arguments.seed)?;
+    let elapsed_s = started.elapsed().as_secs_f64();
+    if arguments.json {
+        print(&json_line(&outcome)?)?;
+    } else {
+        let events_per_s = outcome.events as f64 / elapsed_s;
+        print(&outcome_text(&outcome))?;
+        print(&format!(
+            "{} jobs, {} events in {elapsed_s:.1} s: {events_per_s:.0} events a second\n",
+            outcome.jobs, outcome.events
+        ))?;
+    }
+    Ok(CommandOutcome::from_violations(!outcome.violations.is_empty()))
+}
--- /dev/null
+++ b/crates/testbed/src/commands/trace.rs
@@ -0,0 +1,37 @@
+//! `trace`: a scenario with the arrivals of an event log.
+use std::fmt::Display;
+use std::fs::File;
+use std::io::BufReader;
+use std::path::PathBuf;
+
+use clap::Args;
+use copperspread_testbed::trace::load_trace;
+
+use super::output::{print, print_note};
+use super::shipped_scenarios::read_scenario;
+use super::{CommandOutcome, CommandResult};
+
+#[derive(Debug, Args)]
+pub(crate) struct TraceArguments {
+    /// A scenario's name, or a file: fleet, classes and faults
+    scenario: String,
+    /// The file of records
+    records: PathBuf,
+}
+
+/// Prints a scenario with the jobs of an event log.
+pub(super) fn run(arguments: &TraceArguments) -> CommandResult {
+    let mut scenario = read_scenario(&arguments.scenario)?;
+    let in_file = |error: &dyn Display| format!("{}: {error}", arguments.records.display());
+    let event_log = File::open(&arguments.records).map_err(|error| in_file(&error))?;
+    let skipped = load_trace(&mut scenario, BufReader::new(event_log)).map_err(|error| in_file(&error))?;
+    print_note(&format!(
+        "{} jobs; left out: {} without a hint, {} of unknown classes; {} lines cannot be read",
+        scenario.clients.trace.len(),
+        skipped.no_hint,
+        skipped.unknown_class,
+        skipped.unreadable
+    ));
+    print(&toml::to_string(&scenario)?)?;
+    Ok(CommandOutcome::Done)
+}
--- /dev/null
+++ b/crates/testbed/src/experiment/agreement.rs
@@ -0,0 +1,83 @@
+//! Compares what virtual and real time show of the same policies.
+use crate::compare::ScenarioResults;
+
+/// Shares that are closer than this rank alike: in either mode, nothing says which is better.
+const RANKED_ALIKE_WITHIN: f64 = 0.01;
+
+/// Indexes of two variants that differ only in their execution mode.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct VariantPair {
+    /// The variant in virtual time.
+    pub simulated: usize,
+    /// The variant in real time.
+    pub emulated: usize,
+}
+
+/// A policy's shares of weight in time, in each mode.
+#[derive(Clone, Copy)]
+struct ModeShares {
+    simulated: f64,
+    emulated: f64,
+}
+
+impl ModeShares {
+    fn difference(self) -> f64 {
+        self.emulated - self.simulated
+    }
+
+    /// Whether both modes tell the two policies apart, and rank them differently.
+    fn is_ranked_differently(self, other: ModeShares) -> bool {
+        let is_apart = |own: f64, other: f64| (own - other).abs() > RANKED_ALIKE_WITHIN;
+        let differs = (self.simulated > other.simulated) != (self.emulated > other.emulated);
+        differs && is_apart(self.simulated, other.simulated) && is_apart(self.emulated, other.emulated)
+    }
+}
+
+/// A table of the shares in both modes, their difference and ranks, for each scenario and pair.
+pub fn mode_agreement(pairs: &[VariantPair], results: &[ScenarioResults]) -> String {
+    let mut text = format!(
+        "{:<16} {:<18} {:>7} {:>9} {:>11} {:>14}\n",
+        "scenario", "policy", "sim", "emulate", "difference", "rank, each"
+    );
+    let mut largest_difference = 0.0_f64;
+    let mut ranked_differently = 0;
+    let mut compared = 0;
+    for result in results {
+        let shares: Vec<ModeShares> = pairs.iter().map(|&pair| mode_shares(result, pair)).collect();
+        for (&pair, &own) in pairs.iter().zip(&shares) {
+            largest_difference = largest_difference.max(own.difference().abs());
+            text += &agreement_row(result, pair, own, &shares);
+        }
+        for (index, own) in shares.iter().enumerate() {
+            let others = &shares[index + 1..];
+            compared += others.len();
+            ranked_differently += others.iter().filter(|other| own.is_ranked_differently(**other)).count();
+        }
+    }
+    text + &format!(
+        "largest difference {largest_difference:.3}; of {compared} pairs of policies {ranked_differently} are ranked \
+         otherwise where both drives show more than {RANKED_ALIKE_WITHIN} between them\n"
+    )
+}
+
+fn mode_shares(result: &ScenarioResults, pair: VariantPair) -> ModeShares {
+    ModeShares {
+        simulated: result.variants[pair.simulated].in_time_share,
+        emulated: result.variants[pair.emulated].in_time_share,
+    }
+}
+
+fn agreement_row(result: &ScenarioResults, pair: VariantPair, own: ModeShares, all: &[ModeShares]) -> String {
+    let variant = &result.variants[pair.simulated];
+    let policy = variant.runs.first().map_or(&*variant.policy, |run| &*run.policy);
+    let simulated_rank = 1 + all.iter().filter(|shares| shares.simulated > own.simulated).count();
+    let emulated_rank = 1 + all.iter().filter(|shares| shares.emulated > own.emulated).count();
+    format!(
+        "{:<16} {policy:<18} {:>7.3} {:>9.3} {:>+11.3} {:>14}\n",
+        result.scenario.name,
+        own.simulated,
+        own.emulated,
+        own.difference(),
+        format!("{simulated_rank} and {emulated_rank}")
+    )
+}
--- /dev/null
+++ b/crates/testbed/src/experiment/plan.rs
@@ -0,0 +1,352 @@
+//! Reads an experiment's file, plans its runs and plays those that are not stored yet.
+use std::collections::HashMap;
+use std::path::{Path, PathBuf};
+use std::sync::OnceLock;
+
+use rayon::prelude::{IntoParallelRefIterator, ParallelIterator};
+
+use super::run_store::{RunStore, StoredRun};
+use super::{
+    ExecutionMode, Experiment, ExperimentError, ExperimentProgress, ProgressObserver, Variant, VariantPair,
+};
+use crate::compare::{ScenarioResults, variant_results};
+use crate::emulate::program::Program;
+use crate::emulate::{Schedulers, emulate};
+use crate::outcome::RunOutcome;
+use crate::scenario::Scenario;
+use crate::sim::play;
+
+/// Parallel runs for each core in real time, where runs mostly wait.
+const EMULATED_RUNS_PER_CORE: usize = 4;
+/// Length of a run's key, in hexadecimal digits.
+const KEY_DIGITS: usize = 32;
+
+/// A run of the experiment.
+#[derive(Clone, Debug)]
+struct PlannedRun {
+    /// Identifies scenario, variant, seed and programs.
+    key: String,
+    /// The scenario's index.
+    scenario: usize,
+    /// The variant's index.
+    variant: usize,
+    seed: u64,
+}
+
+/// An experiment that was read, with its scenarios as each variant plays them.
+pub struct Plan {
+    /// The experiment.
+    pub experiment: Experiment,
+    /// By scenario and variant.
+    scenarios: Vec<Vec<Scenario>>,
+    /// By variant; `None` in virtual time.
+    programs: Vec<Option<Program>>,
+    runs: Vec<PlannedRun>,
+}
+
+impl Plan {
+    /// Reads an experiment. `find_shipped` gives the text of a scenario that comes with the program.
+    ///
+    /// # Errors
+    /// A file that cannot be read, or what in it is wrong, by file and key.
+    pub fn read_file(
+        file: &Path,
+        find_shipped: impl Fn(&str) -> Option<String>,
+    ) -> Result<Plan, ExperimentError> {
+        let text = std::fs::read_to_string(file)
+            .map_err(|source| ExperimentError::Io { file: file.to_owned(), source })?;
+        let experiment: Experiment = toml::from_str(&text).map_err(|source| {
+            ExperimentError::InvalidToml { file: file.to_owned(), source: Box::new(source) }
+        })?;
+        check_experiment(file, &experiment)?;
+        let scenarios = experiment
+            .scenarios
+            .iter()
+            .map(|name| read_scenario(file, name, &experiment, &find_shipped))
+            .collect::<Result<Vec<_>, _>>()?;
+        let folder = folder_of(file);
+        let programs = experiment
+            .variants
+            .iter()
+            .map(|variant| variant_program(folder, variant))
+            .collect::<Result<Vec<_>, _>>()?;
+        let runs = plan_runs(&experiment, &scenarios, &programs)?;
+        Ok(Plan { experiment, scenarios, programs, runs })
+    }
+
+    /// Number of runs.
+    pub fn run_count(&self) -> usize {
+        self.runs.len()
+    }
+
+    /// Plays the runs that a file does not hold yet, and adds them there; returns the results of each
+    /// scenario. A run counts as held only if scenario, variant, seed and programs are the same.
+    ///
+    /// # Errors
+    /// A file that cannot be written or that another process writes, or runs that failed: all others are
+    /// stored, and the next call plays only what is missing.
+    pub fn play(
+        &self,
+        file: &Path,
+        observer: &impl ProgressObserver,
+    ) -> Result<Vec<ScenarioResults>, ExperimentError> {
+        let (store, mut stored) = RunStore::open(file)?;
+        let missing: Vec<&PlannedRun> =
+            self.runs.iter().filter(|run| !stored.by_key.contains_key(&run.key)).collect();
+        observer.experiment_started(ExperimentProgress {
+            stored_runs: self.runs.len() - missing.len(),
+            total_runs: self.runs.len(),
+            unreadable_lines: stored.unreadable_lines,
+        });
+        // The pool's threads end when it is dropped, at the end of this function.
+        let pool = rayon::ThreadPoolBuilder::new().num_threads(self.parallel_runs()).build()?;
+        let played: Vec<Result<StoredRun, ExperimentError>> = pool
+            .install(|| missing.par_iter().map(|run| self.play_and_store(run, &store, observer)).collect());
+        let mut failures = Vec::new();
+        for result in played {
+            match result {
+                Ok(run) => {
+                    stored.by_key.insert(run.key, run.outcome);
+                }
+                Err(error) => failures.push(error.to_string()),
+            }
+        }
+        if !failures.is_empty() {
+            return Err(runs_failed(failures));
+        }
+        Ok(self.results(&stored.by_key))
+    }
+
+    fn play_and_store(
+        &self,
+        run: &PlannedRun,
+        store: &RunStore,
+        observer: &impl ProgressObserver,
+    ) -> Result<StoredRun, ExperimentError> {
+        let outcome = self.play_run(run)?;
+        let stored = StoredRun {
+            key: run.key.clone(),
+            scenario: outcome.scenario.clone(),
+            variant: self.experiment.variants[run.variant].name.clone(),
+            seed: run.seed,
+            outcome,
+        };
+        store.append(&stored)?;
+        observer.run_finished();
+        Ok(stored)
+    }
+
+    fn play_run(&self, run: &PlannedRun) -> Result<RunOutcome, ExperimentError> {
+        let scenario = &self.scenarios[run.scenario][run.variant];
+        let variant = &self.experiment.variants[run.variant];
+        let outcome = match &self.programs[run.variant] {
+            None => play(scenario, variant.policy, run.seed),
+            Some(program) => {
+                emulate(scenario, &Schedulers::Started(program.clone()), &variant.name, run.seed)
+            }
+        };
+        outcome.map_err(|error| ExperimentError::RunFailed {
+            scenario: scenario.name.clone(),
+            variant: variant.name.clone(),
+            seed: run.seed,
+            reason: error.to_string(),
+        })
+    }
+
+    fn parallel_runs(&self) -> usize {
+        let cores = std::thread::available_parallelism().map_or(1, usize::from);
+        let all_emulated =
+            self.experiment.variants.iter().all(|variant| variant.mode == ExecutionMode::Emulate);
+        let default = if all_emulated { EMULATED_RUNS_PER_CORE * cores } else { cores };
+        self.experiment.max_parallel_runs.unwrap_or(default).max(1)
+    }
+
+    fn results(&self, outcomes: &HashMap<String, RunOutcome>) -> Vec<ScenarioResults> {
+        let scenario_results = |(index, scenarios): (usize, &Vec<Scenario>)| {
+            let variants = self.experiment.variants.iter().enumerate();
+            let with_runs = variants.map(|(variant_index, variant)| {
+                (variant.name.clone(), self.outcomes_of(index, variant_index, outcomes))
+            });
+            ScenarioResults { scenario: scenarios[0].clone(), variants: variant_results(with_runs.collect()) }
+        };
+        self.scenarios.iter().enumerate().map(scenario_results).collect()
+    }
+
+    /// The outcomes of one scenario and variant, in order of the seeds.
+    fn outcomes_of(
+        &self,
+        scenario: usize,
+        variant: usize,
+        outcomes: &HashMap<String, RunOutcome>,
+    ) -> Vec<RunOutcome> {
+        let runs = self.runs.iter().filter(|run| run.scenario == scenario && run.variant == variant);
+        runs.filter_map(|run| outcomes.get(&run.key).cloned()).collect()
+    }
+
+    /// Pairs of variants that differ only in their execution mode.
+    pub fn mode_pairs(&self) -> Vec<VariantPair> {
+        let variants = &self.experiment.variants;
+        let pair = |(simulated, variant): (usize, &Variant)| {
+            let emulated = variants.iter().position(|other| is_emulated_counterpart(variant, other))?;
+            Some(VariantPair { simulated, emulated })
+        };
+        let simulated = variants.iter().enumerate();
+        simulated.filter(|(_, variant)| variant.mode == ExecutionMode::Sim).filter_map(pair).collect()
+    }
+}
+
+fn is_emulated_counterpart(simulated: &Variant, other: &Variant) -> bool {
+    other.mode == ExecutionMode::Emulate
+        && other.policy == simulated.policy
+        && other.scenario_overrides == simulated.scenario_overrides
+        && other.program.is_none()
+}
+
+fn runs_failed(mut reasons: Vec<String>) -> ExperimentError {
+    let count = reasons.len();
+    reasons.sort();
+    reasons.dedup();
+    ExperimentError::RunsFailed { count, reasons }
+}
+
+fn folder_of(file: &Path) -> &Path {
+    file.parent().unwrap_or(Path::new("."))
+}
+
+fn check_experiment(file: &Path, experiment: &Experiment) -> Result<(), ExperimentError> {
+    let file = || file.to_owned();
+    let variants = &experiment.variants;
+    if experiment.scenarios.is_empty() || variants.is_empty() || experiment.seeds[1] == 0 {
+        return Err(ExperimentError::NoRuns { file: file() });
+    }
+    for (index, variant) in variants.iter().enumerate() {
+        if variants[..index].iter().any(|earlier| earlier.name == variant.name) {
+            let name = variant.name.clone();
+            return Err(ExperimentError::DuplicateVariant { file: file(), index, name });
+        }
+        if variant.mode == ExecutionMode::Sim && variant.program.is_some() {
+            return Err(ExperimentError::ProgramInVirtualTime { file: file(), index });
+        }
+    }
+    Ok(())
+}
+
+/// Reads a scenario and applies the changes of each variant.
+fn read_scenario(
+    file: &Path,
+    name: &str,
+    experiment: &Experiment,
+    find_shipped: &impl Fn(&str) -> Option<String>,
+) -> Result<Vec<Scenario>, ExperimentError> {
+    let text = match find_shipped(name) {
+        Some(text) => text,
+        None => read_scenario_file(file, folder_of(file).join(name))?,
+    };
+    let base: toml::Table = toml::from_str(&text).map_err(|source| ExperimentError::InvalidScenarioToml {
+        file: file.to_owned(),
+        scenario: name.to_owned(),
+        source: Box::new(source),
+    })?;
+    let of_variant = |variant: &Variant| {
+        let mut table = base.clone();
+        apply_overrides(&mut table, &experiment.scenario_overrides);
+        apply_overrides(&mut table, &variant.scenario_overrides);
+        let text = toml::to_string(&table)?;
+        Scenario::parse(&text).map_err(|source| ExperimentError::InvalidScenario {
+            file: file.to_owned(),
+            scenario: name.to_owned(),
+            variant: variant.name.clone(),
+            source: Box::new(source),
+        })
+    };
+    experiment.variants.iter().map(of_variant).collect()
+}
+
+fn read_scenario_file(file: &Path, scenario_file: PathBuf) -> Result<String, ExperimentError> {
+    std::fs::read_to_string(&scenario_file).map_err(|source| ExperimentError::UnreadableScenario {
+        file: file.to_owned(),
+        scenario_file,
+        source,
+    })
+}
+
+/// Changes one table by another: tables within tables key by key, all else as a whole.
+fn apply_overrides(base: &mut toml::Table, overrides: &toml::Table) {
+    for (key, value) in overrides {
+        match (base.get_mut(key), value) {
+            (Some(toml::Value::Table(base)), toml::Value::Table(overrides)) => {
+                apply_overrides(base, overrides);
+            }
+            _ => {
+                base.insert(key.clone(), value.clone());
+            }
+        }
+    }
+}
+
+/// The program that plays a variant; `None` in virtual time.
+fn variant_program(folder: &Path, variant: &Variant) -> Result<Option<Program>, ExperimentError> {
+    match (variant.mode, &variant.program) {
+        (ExecutionMode::Sim, _) => Ok(None),
+        (ExecutionMode::Emulate, None) => Program::of(variant.policy)
+            .map(Some)
+            .map_err(|error| ExperimentError::UnknownProgram(error.to_string())),
+        (ExecutionMode::Emulate, Some(path)) => {
+            Ok(Some(Program { file: folder.join(path), arguments: variant.arguments.clone() }))
+        }
+    }
+}
+
+fn plan_runs(
+    experiment: &Experiment,
+    scenarios: &[Vec<Scenario>],
+    programs: &[Option<Program>],
+) -> Result<Vec<PlannedRun>, ExperimentError> {
+    let own_hash = own_program_hash()?;
+    let mut program_hashes = HashMap::new();
+    for program in programs.iter().flatten() {
+        if !program_hashes.contains_key(&program.file) {
+            program_hashes.insert(program.file.clone(), hash_file(&program.file)?);
+        }
+    }
+    let [first_seed, seed_count] = experiment.seeds;
+    let mut runs = Vec::new();
+    for (scenario, as_variants_play_it) in scenarios.iter().enumerate() {
+        for (variant, as_played) in as_variants_play_it.iter().enumerate() {
+            let scenario_text = toml::to_string(as_played)?;
+            let program = programs[variant].as_ref();
+            let program_hash =
+                program.and_then(|program| program_hashes.get(&program.file)).map_or("", String::as_str);
+            let arguments = program.map_or(&[][..], |program| &program.arguments);
+            let Variant { mode, policy, .. } = &experiment.variants[variant];
+            for seed in first_seed..first_seed.saturating_add(seed_count) {
+                let rest = format!("{mode:?} {} {arguments:?} {seed}", policy.name());
+                let key = run_key(&[own_hash, program_hash, &scenario_text, &rest]);
+                runs.push(PlannedRun { key, scenario, variant, seed });
+            }
+        }
+    }
+    Ok(runs)
+}
+
+fn run_key(parts: &[&str]) -> String {
+    blake3::hash(parts.join("\n").as_bytes()).to_hex()[..KEY_DIGITS].to_owned()
+}
+
+/// The hash of this program's file. The dispatch policy is a part of it: what another build played is not
+/// what this one plays.
+fn own_program_hash() -> Result<&'static str, ExperimentError> {
+    static OWN_HASH: OnceLock<String> = OnceLock::new();
+    if let Some(hash) = OWN_HASH.get() {
+        return Ok(hash);
+    }
+    let own_file = std::env::current_exe().map_err(ExperimentError::OwnProgramUnknown)?;
+    let hash = hash_file(&own_file)?;
+    Ok(OWN_HASH.get_or_init(|| hash))
+}
+
+fn hash_file(path: &Path) -> Result<String, ExperimentError> {
+    let bytes =
+        std::fs::read(path).map_err(|source| ExperimentError::Io { file: path.to_owned(), source })?;
+    Ok(blake3::hash(&bytes).to_hex().to_string())
+}
--- /dev/null
+++ b/crates/testbed/src/report/mod.rs
@@ -0,0 +1,121 @@
+//! A comparison as one HTML file that needs nothing else: tables, and charts as SVG.
+mod capacity;
+mod chart;
+mod differences;
+mod over_time;
+
+use minijinja::{Environment, Value, context};
+use plotters::drawing::DrawingAreaErrorKind;
+
+use crate::compare::{ScenarioResults, VariantResult};
+use crate::outcome::ClassOutcome;
+use crate::scenario::{Fault, Scenario};
+
+const TEMPLATE_NAME: &str = "report.html";
+
+/// A report that could not be made, which would be a bug of this program.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum ReportError {
+    /// A chart could not be drawn.
+    #[error(transparent)]
+    Chart(#[from] DrawingAreaErrorKind<std::io::Error>),
+    /// The template could not be filled in.
+    #[error(transparent)]
+    Template(#[from] minijinja::Error),
+}
+
+/// The page for scenarios with their results. The first variant of each is shown in detail.
+///
+/// # Errors
+/// A chart or template that fails.
+pub fn render_html(results: &[ScenarioResults]) -> Result<String, ReportError> {
+    let mut parts = Vec::new();
+    for ScenarioResults { scenario, variants } in results {
+        if let Some(first) = variants.first() {
+            parts.push(scenario_part(scenario, first, variants)?);
+        }
+    }
+    let mut environment = Environment::new();
+    environment.add_template(TEMPLATE_NAME, include_str!("report.html"))?;
+    Ok(environment.get_template(TEMPLATE_NAME)?.render(context! { parts })?)
+}
+
+fn scenario_part(
+    scenario: &Scenario,
+    first: &VariantResult,
+    variants: &[VariantResult],
+) -> Result<Value, ReportError> {
+    let mean_jobs = first.runs.iter().map(|run| run.jobs).sum::<u64>() / first.runs.len().max(1) as u64;
+    let rows: Vec<Value> = variants.iter().map(variant_row).collect();
+    // Classes of the first seed: quantiles of several runs do not add up.
+    let classes: Vec<Value> =
+        first.runs.first().map_or_else(Vec::new, |run| run.classes.iter().map(class_row).collect());
+    let faults: Vec<String> = scenario.faults.iter().map(describe_fault).collect();
+    Ok(context! {
+        name => scenario.name,
+        description => scenario.description,
+        first => first.policy,
+        seeds => first.runs.len(),
+        jobs => mean_jobs,
+        rows,
+        in_time_chart => over_time::in_time_chart(scenario, variants)?,
+        endings_chart => over_time::endings_chart(scenario, first)?,
+        classes,
+        zones => zone_rows(scenario, first),
+        capacity_chart => capacity::capacity_chart(first)?,
+        differences_chart => differences::differences_chart(variants)?,
+        faults,
+    })
+}
+
+fn variant_row(variant: &VariantResult) -> Value {
+    let deficit = variant.deficit.map(|deficit| deficit.to_string()).unwrap_or_default();
+    let unserved_shares = <[f64; 4]>::from(variant.unserved_shares).map(format_share);
+    context! {
+        policy => variant.policy,
+        in_time_share => format_share(variant.in_time_share),
+        unserved_shares,
+        violations => variant.violations,
+        deficit,
+    }
+}
+
+fn class_row(class: &ClassOutcome) -> Value {
+    context! {
+        name => class.name,
+        jobs => class.jobs,
+        in_time_share => format_share(class.weight.in_time_share()),
+        median_ms => format!("{:.0}", class.latency.median_ms),
+        p99_ms => format!("{:.0}", class.latency.p99_ms),
+        max_ms => format!("{:.0}", class.latency.max_ms),
+    }
+}
+
+/// The variant's shares in time by the clients' zone and class.
+fn zone_rows(scenario: &Scenario, variant: &VariantResult) -> Vec<Value> {
+    let row = |zone: usize| {
+        let shares: Vec<String> = (0..scenario.classes.len())
+            .map(|class| zone_share(variant, zone, class).map_or_else(|| "-".to_owned(), format_share))
+            .collect();
+        context! { zone, shares }
+    };
+    (0..scenario.zones as usize).map(row).collect()
+}
+
+/// The share in time over all runs; `None` if nothing was requested.
+fn zone_share(variant: &VariantResult, zone: usize, class: usize) -> Option<f64> {
+    let weights = variant.runs.iter().filter_map(|run| run.zones.get(zone)?.get(class));
+    let (requested, in_time) = weights.fold((0.0, 0.0), |(requested, in_time), weight| {
+        (requested + weight.requested, in_time + weight.in_time)
+    });
+    (requested > 0.0).then(|| in_time / requested)
+}
+
+fn describe_fault(fault: &Fault) -> String {
+    format!("{} from {} s for {} s", fault.kind, fault.starts_at_s, fault.duration_s)
+}
+
+fn format_share(share: f64) -> String {
+    format!("{share:.3}")
+}
--- /dev/null
+++ b/crates/testbed/src/report/over_time.rs
@@ -0,0 +1,126 @@
+//! Charts over the seconds of a scenario: shares in time, and how jobs ended.
+use plotters::series::{AreaSeries, DashedLineSeries};
+use plotters::style::{Color, RGBColor};
+
+use super::ReportError;
+use super::chart::{COLOURS, Dashes, LegendEntry, Points, chart_over_time};
+use crate::compare::VariantResult;
+use crate::outcome::WeightTotals;
+use crate::scenario::Scenario;
+
+/// Seconds over which figures are averaged.
+const SMOOTHING_WINDOW_S: usize = 3;
+/// The dashes of the lines, in order of the variants.
+const LINE_DASHES: [Dashes; 6] = [
+    Dashes { length: 1_000, gap: 0 },
+    Dashes { length: 8, gap: 3 },
+    Dashes { length: 3, gap: 3 },
+    Dashes { length: 12, gap: 5 },
+    Dashes { length: 5, gap: 2 },
+    Dashes { length: 2, gap: 5 },
+];
+
+/// The share of weight in time of each variant.
+pub(super) fn in_time_chart(scenario: &Scenario, variants: &[VariantResult]) -> Result<String, ReportError> {
+    let lines: Vec<(&str, Points)> = variants
+        .iter()
+        .map(|variant| {
+            let seconds = mean_seconds(variant, scenario);
+            (variant.policy.as_str(), smoothed(&seconds, WeightTotals::in_time_share))
+        })
+        .collect();
+    let lowest = lines.iter().flat_map(|(_, points)| points).map(|point| point.1).fold(1.0, f64::min);
+    // Down to the next tenth below the lowest, so that small differences can be seen.
+    let floor = ((lowest * 10.0).floor() / 10.0).clamp(0.0, 0.9);
+    chart_over_time(scenario, floor, 1.0, |chart| {
+        let mut entries = Vec::new();
+        for (index, (name, points)) in lines.iter().enumerate() {
+            let width = if index == 0 { 3 } else { 2 };
+            let style = COLOURS[index % COLOURS.len()].stroke_width(width);
+            let dashes = LINE_DASHES[index % LINE_DASHES.len()];
+            let line = DashedLineSeries::new(points.iter().copied(), dashes.length, dashes.gap, style);
+            chart.draw_series(line)?;
+            entries.push(LegendEntry { name: (*name).to_owned(), style, dashes: Some(dashes) });
+        }
+        Ok(entries)
+    })
+}
+
+/// A band of a stacked chart, which reaches from zero to the sum of its weights.
+struct Band {
+    name: &'static str,
+    top: fn(&WeightTotals) -> f64,
+    colour: RGBColor,
+}
+
+/// From the highest down, in order of drawing: each band covers a part of the one before.
+const BANDS: [Band; 5] = [
+    Band {
+        name: "lost",
+        top: |weight| weight.in_time + weight.late + weight.rejected + weight.failed + weight.unanswered,
+        colour: COLOURS[0],
+    },
+    Band {
+        name: "failed",
+        top: |weight| weight.in_time + weight.late + weight.rejected + weight.failed,
+        colour: COLOURS[4],
+    },
+    Band {
+        name: "refused",
+        top: |weight| weight.in_time + weight.late + weight.rejected,
+        colour: COLOURS[5],
+    },
+    Band { name: "late", top: |weight| weight.in_time + weight.late, colour: COLOURS[1] },
+    Band { name: "in time", top: |weight| weight.in_time, colour: RGBColor(150, 200, 235) },
+];
+
+/// The weight of a variant's jobs by how they ended.
+pub(super) fn endings_chart(scenario: &Scenario, variant: &VariantResult) -> Result<String, ReportError> {
+    let seconds = mean_seconds(variant, scenario);
+    let requested = smoothed(&seconds, |weight| weight.requested);
+    let highest = requested.iter().map(|point| point.1).fold(1e-9, f64::max);
+    chart_over_time(scenario, 0.0, highest * 1.05, |chart| {
+        let mut entries = Vec::new();
+        for Band { name, top, colour } in BANDS {
+            chart.draw_series(AreaSeries::new(smoothed(&seconds, top), 0.0, colour.filled()))?;
+            entries.push(LegendEntry::area(name, colour));
+        }
+        Ok(entries)
+    })
+}
+
+/// Weight by second, the mean over all runs of a variant.
+fn mean_seconds(variant: &VariantResult, scenario: &Scenario) -> Vec<WeightTotals> {
+    let runs = variant.runs.len().max(1) as f64;
+    let mut sums = vec![WeightTotals::default(); scenario.duration_s.ceil() as usize];
+    for run in &variant.runs {
+        for (sum, weight) in sums.iter_mut().zip(&run.seconds) {
+            sum.requested += weight.requested / runs;
+            sum.in_time += weight.in_time / runs;
+            sum.late += weight.late / runs;
+            sum.rejected += weight.rejected / runs;
+            sum.failed += weight.failed / runs;
+            sum.unanswered += weight.unanswered / runs;
+        }
+    }
+    sums
+}
+
+/// A figure of each second, from the mean weights of the seconds around it.
+fn smoothed(seconds: &[WeightTotals], figure: impl Fn(&WeightTotals) -> f64) -> Points {
+    let reach = SMOOTHING_WINDOW_S / 2;
+    let window = |at: usize| &seconds[at.saturating_sub(reach)..(at + reach + 1).min(seconds.len())];
+    (0..seconds.len()).map(|at| (at as f64 + 0.5, figure(&mean_weight(window(at))))).collect()
+}
+
+fn mean_weight(window: &[WeightTotals]) -> WeightTotals {
+    let mean = |part: fn(&WeightTotals) -> f64| window.iter().map(part).sum::<f64>() / window.len() as f64;
+    WeightTotals {
+        requested: mean(|weight| weight.requested),
+        in_time: mean(|weight| weight.in_time),
+        late: mean(|weight| weight.late),
+        rejected: mean(|weight| weight.rejected),
+        failed: mean(|weight| weight.failed),
+        unanswered: mean(|weight| weight.unanswered),
+    }
+}
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -1,66 +1,109 @@
-//! A scheduler's records as a recorded trace: which job came when, of what class, with what hint.
+//! Makes a scenario's trace from a scheduler's event log: which job arrived when, of what class, with what
+//! hint.
 use std::io::BufRead;
 
 use copperspread_dispatcher::{Micros, SECOND};
 use copperspread_event_log::EventKind;
 use copperspread_event_log::reader::{Line, Reader};
 
-use crate::scenario::{RecordedJob, Scenario};
+use crate::scenario::{RecordedJob, Scenario, ScenarioError};
 
-/// Jobs that were left out, and why.
+/// The lowest rate of a trace, as a scenario's must be positive.
+const MIN_RATE_PER_S: f64 = 1e-6;
+
+/// Records that were skipped, and why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SkippedRecords {
-    /// Of a class that the scenario does not have.
+    /// Requests of a class that the scenario does not have.
     pub unknown_class: u64,
-    /// Without a hint, from which nothing tells their work.
+    /// Requests without a hint, whose work is unknown.
     pub no_hint: u64,
-    /// Lines that could not be read.
+    /// Lines that cannot be read.
     pub unreadable: u64,
 }
 
-/// Puts the jobs that a scheduler took into a scenario, from the first of them on. The hint stands for
-/// the work, which no scheduler knows.
+/// Why an event log gives no trace.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum TraceError {
+    /// The event log cannot be read.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    /// The first line is no record: the file is no event log.
+    #[error("line 1 is no record")]
+    NotAnEventLog,
+    /// No request can be used.
+    #[error("no job of the scenario's classes with a hint")]
+    NoJobs,
+    /// The scenario with the trace is wrong.
+    #[error(transparent)]
+    InvalidScenario(#[from] ScenarioError),
+}
+
+/// A job with the time at which a scheduler accepted it, by the machine's clock.
+struct AcceptedJob {
+    unix_us: Micros,
+    job: RecordedJob,
+}
+
+/// Replaces a scenario's arrivals by the requests that a scheduler accepted, from the first of them on. The
+/// hint stands for the work, which no scheduler knows.
 ///
 /// # Errors
-/// Records that cannot be read at all, or in which no job can be used.
-pub fn load_trace(scenario: &mut Scenario, records: impl BufRead) -> Result<SkippedRecords, String> {
-    let mut left_out = SkippedRecords::default();
-    let mut taken: Vec<(Micros, RecordedJob)> = Vec::new();
-    for line in Reader::new(records) {
-        let (number, line) = line.map_err(|e| e.to_string())?;
+/// An event log that cannot be read, or in which no request can be used.
+pub fn load_trace(scenario: &mut Scenario, event_log: impl BufRead) -> Result<SkippedRecords, TraceError> {
+    let mut skipped = SkippedRecords::default();
+    let mut jobs = read_jobs(scenario, event_log, &mut skipped)?;
+    jobs.sort_by_key(|accepted| accepted.unix_us);
+    let first = jobs.first().ok_or(TraceError::NoJobs)?.unix_us;
+    let arrives_at_s = |unix_us: Micros| (unix_us - first) as f64 / SECOND as f64;
+    scenario.clients.trace = jobs
+        .iter()
+        .map(|AcceptedJob { unix_us, job }| RecordedJob { arrives_at_s: arrives_at_s(*unix_us), ..*job })
+        .collect();
+    let last = scenario.clients.trace.last().map_or(0.0, |job| job.arrives_at_s);
+    scenario.duration_s = last.floor() + 1.0;
+    scenario.clients.rate_per_s = (jobs.len() as f64 / scenario.duration_s).max(MIN_RATE_PER_S);
+    scenario.check()?;
+    Ok(skipped)
+}
+
+fn read_jobs(
+    scenario: &Scenario,
+    event_log: impl BufRead,
+    skipped: &mut SkippedRecords,
+) -> Result<Vec<AcceptedJob>, TraceError> {
+    let mut jobs = Vec::new();
+    for numbered_line in Reader::new(event_log) {
+        let (number, line) = numbered_line?;
         let record = match line {
             Line::Record(record) => record,
             Line::UnknownKind { .. } => continue,
+            Line::Invalid { .. } | Line::Truncated if number == 1 => return Err(TraceError::NotAnEventLog),
             Line::Invalid { .. } | Line::Truncated => {
-                left_out.unreadable += 1;
-                if number == 1 {
-                    return Err("line 1 is no record".into());
-                }
+                skipped.unreadable += 1;
                 continue;
             }
         };
-        let EventKind::RequestAccepted { class, cost_hint_s, slots, .. } = record.event else { continue };
-        let Some(class) = scenario.classes.iter().position(|known| known.name == class) else {
-            left_out.unknown_class += 1;
-            continue;
-        };
-        let Some(hint) = cost_hint_s.filter(|hint| hint.is_finite() && *hint > 0.0) else {
-            left_out.no_hint += 1;
-            continue;
-        };
-        let slots = slots.filter(|slots| slots.is_finite() && *slots > 0.0).unwrap_or(1.0);
-        let job = RecordedJob { arrives_at_s: 0.0, class: class as u32, work: hint, slots, hint: Some(hint) };
-        // By the machine's clock, as several runs may follow one another.
-        taken.push((record.unix_us, job));
+        if let Some(job) = recorded_job(scenario, record.event, skipped) {
+            // By the machine's clock, as several runs may follow one another.
+            jobs.push(AcceptedJob { unix_us: record.unix_us, job });
+        }
     }
-    taken.sort_by_key(|of| of.0);
-    let first = taken.first().ok_or("no job of the scenario's classes with a hint")?.0;
-    let at = |unix: Micros| (unix - first) as f64 / SECOND as f64;
-    scenario.clients.trace =
-        taken.iter().map(|(unix, job)| RecordedJob { arrives_at_s: at(*unix), ..*job }).collect();
-    let last = scenario.clients.trace.last().map_or(0.0, |job| job.arrives_at_s);
-    scenario.duration_s = last.floor() + 1.0;
-    scenario.clients.rate_per_s = (taken.len() as f64 / scenario.duration_s).max(1e-6);
-    scenario.check().map_err(|e| e.to_string())?;
-    Ok(left_out)
+    Ok(jobs)
+}
+
+fn recorded_job(scenario: &Scenario, event: EventKind, skipped: &mut SkippedRecords) -> Option<RecordedJob> {
+    let EventKind::RequestAccepted { class, cost_hint_s, slots, .. } = event else { return None };
+    let Some(class) = scenario.classes.iter().position(|known| known.name == class) else {
+        skipped.unknown_class += 1;
+        return None;
+    };
+    let is_positive = |value: &f64| value.is_finite() && *value > 0.0;
+    let Some(hint) = cost_hint_s.filter(is_positive) else {
+        skipped.no_hint += 1;
+        return None;
+    };
+    let slots = slots.filter(is_positive).unwrap_or(1.0);
+    Some(RecordedJob { arrives_at_s: 0.0, class: class as u32, work: hint, slots, hint: Some(hint) })
 }
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -4,7 +4,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use copperspread_testbed::experiment::{Plan, ProgressObserver, drive_agreement};
+use copperspread_testbed::experiment::{
+    ExperimentProgress, Plan, ProgressObserver, VariantPair, mode_agreement,
+};
 
 fn named(name: &str) -> Option<String> {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
@@ -31,9 +33,9 @@
 }
 
 impl ProgressObserver for Count {
-    fn experiment_started(&self, kept: usize, _: usize, unreadable: usize) {
-        self.kept.store(kept, Ordering::Relaxed);
-        self.unreadable.store(unreadable, Ordering::Relaxed);
+    fn experiment_started(&self, progress: ExperimentProgress) {
+        self.kept.store(progress.stored_runs, Ordering::Relaxed);
+        self.unreadable.store(progress.unreadable_lines, Ordering::Relaxed);
     }
     fn run_finished(&self) {
         self.played.fetch_add(1, Ordering::Relaxed);
@@ -54,7 +56,7 @@
         let count = Count::default();
         let plan = Plan::read_file(&file(folder.path(), text), named).expect("an experiment");
         let played = plan.play(&runs, &count).expect("it plays");
-        let rows: Vec<_> = played.iter().map(|of| &of.1).collect();
+        let rows: Vec<_> = played.iter().map(|result| &result.variants).collect();
         (*blake3::hash(&serde_json::to_vec(&rows).expect("JSON")).as_bytes(), count.all())
     };
     let (whole, count) = play(GOOD);
@@ -121,7 +123,7 @@
     ] {
         assert!(GOOD.contains(from), "{from}");
         let path = file(folder.path(), &GOOD.replacen(from, to, 1));
-        let error = Plan::read_file(&path, named).err().unwrap_or_default();
+        let error = Plan::read_file(&path, named).err().map(|error| error.to_string()).unwrap_or_default();
         assert!(error.contains("e.toml") && error.contains(said), "{to}: {error}");
     }
     // Two that write one file would each lose what the other one plays.
@@ -129,7 +131,7 @@
     let runs = folder.path().join("runs.jsonl");
     let other = std::fs::File::create(&runs).expect("runs");
     other.lock().expect("a lock");
-    let error = plan.play(&runs, &()).expect_err("locked");
+    let error = plan.play(&runs, &()).expect_err("locked").to_string();
     assert!(error.contains("another process writes it"), "{error}");
 }
 
@@ -143,7 +145,7 @@
         let text = text.replace("policy = \"copperspread\"", "policy = \"answers_twice\"");
         let scratch = tempfile::tempdir().expect("a folder");
         let plan = Plan::read_file(&file(scratch.path(), &text), named).expect(name);
-        assert_eq!(plan.drive_pairs().len(), pairs, "{name}");
+        assert_eq!(plan.mode_pairs().len(), pairs, "{name}");
     }
 }
 
@@ -154,15 +156,16 @@
         { name = 'a' },\n{ name = 'b', policy = 'random' },\n]\n";
     let plan = Plan::read_file(&file(scratch.path(), text), named).expect("an experiment");
     let played = plan.play(&scratch.path().join("runs"), &()).expect("it plays");
-    let shares: Vec<f64> = played[0].1.iter().map(|row| row.in_time_share).collect();
+    let shares: Vec<f64> = played[0].variants.iter().map(|row| row.in_time_share).collect();
     assert!(shares[0] > shares[1] + 0.02, "{shares:?}");
-    let told = drive_agreement(&[(0, 0), (1, 1)], &played);
+    let pair = |simulated, emulated| VariantPair { simulated, emulated };
+    let told = mode_agreement(&[pair(0, 0), pair(1, 1)], &played);
     assert!(
         told.contains("largest difference 0.000; of 1 pairs of policies 0 are ranked otherwise"),
         "{told}"
     );
     // As if in real time the two had changed places.
-    let told = drive_agreement(&[(0, 1), (1, 0)], &played);
+    let told = mode_agreement(&[pair(0, 1), pair(1, 0)], &played);
     let worst = format!("largest difference {:.3}; of 1 pairs of policies 1 ", shares[0] - shares[1]);
     assert!(told.contains(&worst) && told.contains("1 and 2"), "{told}");
 }
--- a/crates/testbed/tests/lab.rs
+++ b/crates/testbed/tests/lab.rs
@@ -1,7 +1,7 @@
 //! The laboratory itself: against closed forms, against itself, and against schedulers that are broken
 //! on purpose.
 use copperspread_dispatcher::{RequestId, SECOND};
-use copperspread_testbed::compare::{PairedDifference, compare_policies, comparison_table};
+use copperspread_testbed::compare::{PairedDifference, ScenarioResults, compare_policies, comparison_table};
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::model::worker::{Build, Effect, Life, Offer, Offered, Worker};
 use copperspread_testbed::outcome::RunOutcome;
@@ -421,7 +421,7 @@
     let scenario = harsh(40.0, ALL);
     let rows = compare_policies(&scenario, &Kind::COMPARED, &[1, 2, 3]).expect("it plays");
     let share = format!("<td>{:.3}", rows[0].in_time_share);
-    let page = render_html(&[(scenario, rows)]).expect("a page");
+    let page = render_html(&[ScenarioResults { scenario, variants: rows }]).expect("a page");
     assert!(page.contains(&share) && page.contains("least_outstanding") && page.contains("Resetting(0.2)"));
     // Differences, shares over time, where the worth went, and load against capacity.
     assert_eq!(page.matches("<svg").count(), 4);
@@ -435,7 +435,11 @@
     let mut named = harsh(5.0, "");
     named.name = "<b>x".into();
     let rows = compare_policies(&named, &[Kind::Random], &[1]).expect("it plays");
-    assert!(!render_html(&[(named, rows)]).expect("a page").contains("<b>x"));
+    assert!(
+        !render_html(&[ScenarioResults { scenario: named, variants: rows }])
+            .expect("a page")
+            .contains("<b>x")
+    );
 }
 
 // What no policy can break in virtual time, since only a front could: told to the referee by hand.
--- a/crates/testbed/tests/trace.rs
+++ b/crates/testbed/tests/trace.rs
@@ -53,7 +53,7 @@
         (&only, "no job of the scenario's"),
         ("x\n", "line 1 is no record"),
     ] {
-        let error = load_trace(&mut calm(), text.as_bytes()).expect_err(text);
+        let error = load_trace(&mut calm(), text.as_bytes()).expect_err(text).to_string();
         assert!(error.contains(said), "{text}: {error}");
     }
 }
