--- a/crates/testbed/src/cost/mod.rs
+++ b/crates/testbed/src/cost/mod.rs
@@ -83,13 +83,6 @@
     NotRunning,
 }
 
-/// The testbed's program keeps errors as text.
-impl From<CostError> for String {
-    fn from(error: CostError) -> String {
-        error.to_string()
-    }
-}
-
 const COST_SCENARIO: &str = "name = 'cost'\nabout = 'jobs that cost nothing'\nseconds = 1.0\nschedulers = 1\n\
     [clients]\nrate = 1.0\n[cold]\nfall_seconds = 0.0\n\
     [[workers]]\nkind = 'w'\ncount = 1\ncores = 64.0\nslots = 64.0\nspeed = [1.0, 1.0]\n\
--- a/crates/testbed/src/emulation/error.rs
+++ b/crates/testbed/src/emulation/error.rs
@@ -64,10 +64,3 @@
         move |source| EmulationError::Resource { resource, source }
     }
 }
-
-/// The testbed's program keeps errors as text.
-impl From<EmulationError> for String {
-    fn from(error: EmulationError) -> String {
-        error.to_string()
-    }
-}
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -82,13 +82,6 @@
     Killed,
 }
 
-/// The testbed's program keeps errors as text.
-impl From<ProcessError> for String {
-    fn from(error: ProcessError) -> String {
-        error.to_string()
-    }
-}
-
 /// What is started for each scheduler: a program with its arguments. It finds its configuration by
 /// `EDGE_CONFIG`, as on the platform.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -64,13 +64,6 @@
     Serve(io::Error),
 }
 
-/// The testbed's program keeps errors as text.
-impl From<ServeError> for String {
-    fn from(error: ServeError) -> String {
-        error.to_string()
-    }
-}
-
 /// Reads the configuration file that the environment names.
 ///
 /// # Errors
--- a/crates/testbed/tests/calc.rs
+++ b/crates/testbed/tests/calc.rs
@@ -225,7 +225,7 @@
     ] {
         assert!(CALC.contains(from), "{from}");
         let error = Scenario::parse(&CALC.replacen(from, to, 1)).expect_err(to);
-        assert!(error.contains(text), "{to}: {error}");
+        assert!(error.to_string().contains(text), "{to}: {error}");
     }
     let again = Scenario::parse(&toml::to_string(&calc()).expect("TOML")).expect("a scenario");
     assert_eq!(again, calc(), "TOML round trip");
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -1,6 +1,6 @@
 //! The simulation: against queueing theory, against itself, and against deliberately broken policies.
 use copperspread_dispatcher::{RequestId, SECOND};
-use copperspread_testbed::compare::{PairedDifference, compare_policies, comparison_table};
+use copperspread_testbed::compare::{PairedDifference, ScenarioResults, compare_policies, comparison_table};
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::outcome::RunOutcome;
 use copperspread_testbed::policy::PolicyKind;
@@ -231,7 +231,7 @@
     ] {
         assert!(good.contains(from), "{from}");
         let error = Scenario::parse(&good.replacen(from, to, 1)).expect_err(to);
-        assert!(error.contains(text), "{to}: {error}");
+        assert!(error.to_string().contains(text), "{to}: {error}");
     }
 }
 
@@ -268,7 +268,10 @@
     assert_eq!(arrivals, [(500_000, 0, 0.2), (600_000, 2, 0.4)], "no arrival after the end");
     assert_eq!(simulate(&recorded, PolicyKind::Copperspread, 3).expect("valid settings").jobs, 2);
     recorded.clients.trace.reverse();
-    assert_eq!(recorded.check().expect_err("wrong order"), "clients.trace: not in the order of its instants");
+    assert_eq!(
+        recorded.check().expect_err("wrong order").to_string(),
+        "clients.trace: not in the order of its instants"
+    );
 }
 
 // One of nine workers crashes while the lists contradict each other, and stays down. A scheduler left with
@@ -303,7 +306,7 @@
     let scenario = faulty_fleet(40.0, ALL_FAULTS);
     let rows = compare_policies(&scenario, &PolicyKind::COMPARED, &[1, 2, 3]).expect("valid settings");
     let share = format!("<td>{:.3}", rows[0].in_time_share);
-    let page = render_html(&[(scenario, rows)]).expect("a page");
+    let page = render_html(&[ScenarioResults { scenario, variants: rows }]).expect("a page");
     assert!(page.contains(&share) && page.contains("least_outstanding") && page.contains("Resetting(0.2)"));
     // Differences, shares over time, results by weight, and load against capacity.
     assert_eq!(page.matches("<svg").count(), 4);
@@ -317,7 +320,11 @@
     let mut named = faulty_fleet(5.0, "");
     named.name = "<b>x".into();
     let rows = compare_policies(&named, &[PolicyKind::Random], &[1]).expect("valid settings");
-    assert!(!render_html(&[(named, rows)]).expect("a page").contains("<b>x"));
+    assert!(
+        !render_html(&[ScenarioResults { scenario: named, variants: rows }])
+            .expect("a page")
+            .contains("<b>x")
+    );
 }
 
 // No policy can violate this in the simulation, as only a proxy could: the referee is called directly.
