--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -25,8 +25,8 @@
     #[arg(long)]
     seconds: Option<f64>,
     /// Most requests that are open at once; past that, jobs are not sent, and counted
-    #[arg(long, default_value_t = 1_024)]
-    most_open: usize,
+    #[arg(long = "most-open", value_name = "MOST_OPEN", default_value_t = 1_024)]
+    max_open_requests: usize,
     /// The seed of the arrivals
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -50,7 +50,7 @@
     scenario.check()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| format!("runtime: {error}"))?;
-    let report = runtime.block_on(load(&scenario, arguments.seed, target, arguments.most_open));
+    let report = runtime.block_on(load(&scenario, arguments.seed, target, arguments.max_open_requests));
     print(&if arguments.json { json_line(&report)? } else { report.text() })?;
     Ok(CommandOutcome::Done)
 }
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -3,7 +3,7 @@
 
 use clap::Args;
 use copperspread_testbed::compare::comparison_table;
-use copperspread_testbed::experiment::{ExperimentProgress, Plan, ProgressObserver, mode_agreement};
+use copperspread_testbed::experiment::{ExperimentProgress, Plan, ProgressObserver, mode_comparison_table};
 use indicatif::{ProgressBar, ProgressStyle};
 
 use super::output::{json_line, print, print_note, write_report};
@@ -40,7 +40,7 @@
     }
     let pairs = plan.mode_pairs();
     if !pairs.is_empty() && !json {
-        print(&mode_agreement(&pairs, &results))?;
+        print(&mode_comparison_table(&pairs, &results))?;
     }
     write_report(report.as_deref(), &results)?;
     let mut variants = results.iter().flat_map(|result| &result.variants);
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -2,17 +2,18 @@
 //! the format.
 //!
 //! Each run is stored when it ends, so that an interrupted experiment resumes where it stopped.
-mod agreement;
 mod error;
+mod mode_comparison;
 mod plan;
+mod planned_run;
 mod run_store;
 
 use std::path::PathBuf;
 
 use serde::{Deserialize, Serialize};
 
-pub use agreement::{VariantPair, mode_agreement};
 pub use error::ExperimentError;
+pub use mode_comparison::{VariantPair, mode_comparison_table};
 pub use plan::Plan;
 
 use crate::policy::Kind;
--- a/crates/testbed/src/experiment/agreement.rs
+++ b/crates/testbed/src/experiment/mode_comparison.rs
@@ -34,7 +34,7 @@
 }
 
 /// A table of the shares in both modes, their difference and ranks, for each scenario and pair.
-pub fn mode_agreement(pairs: &[VariantPair], results: &[ScenarioResults]) -> String {
+pub fn mode_comparison_table(pairs: &[VariantPair], results: &[ScenarioResults]) -> String {
     let mut text = format!(
         "{:<16} {:<18} {:>7} {:>9} {:>11} {:>14}\n",
         "scenario", "policy", "sim", "emulate", "difference", "rank, each"
@@ -46,7 +46,7 @@
         let shares: Vec<ModeShares> = pairs.iter().map(|&pair| mode_shares(result, pair)).collect();
         for (&pair, &own) in pairs.iter().zip(&shares) {
             largest_difference = largest_difference.max(own.difference().abs());
-            text += &agreement_row(result, pair, own, &shares);
+            text += &comparison_row(result, pair, own, &shares);
         }
         for (index, own) in shares.iter().enumerate() {
             let others = &shares[index + 1..];
@@ -67,7 +67,12 @@
     }
 }
 
-fn agreement_row(result: &ScenarioResults, pair: VariantPair, own: ModeShares, all: &[ModeShares]) -> String {
+fn comparison_row(
+    result: &ScenarioResults,
+    pair: VariantPair,
+    own: ModeShares,
+    all: &[ModeShares],
+) -> String {
     let variant = &result.variants[pair.simulated];
     let policy = variant.runs.first().map_or(&*variant.policy, |run| &*run.policy);
     let simulated_rank = 1 + all.iter().filter(|shares| shares.simulated > own.simulated).count();
--- a/crates/testbed/src/rule_checker/dispatches.rs
+++ b/crates/testbed/src/rule_checker/dispatches.rs
@@ -23,9 +23,9 @@
 impl SlowStartBudget {
     /// Core-seconds that may be sent within the window to a worker of this capacity and age.
     fn core_seconds(&self, capacity: f64, age: Micros) -> f64 {
-        let warmth =
+        let capacity_fraction =
             self.initial_capacity + (1.0 - self.initial_capacity) * age as f64 / self.duration as f64;
-        self.overload_multiple * capacity * warmth * self.overload_window as f64 / SECOND as f64
+        self.overload_multiple * capacity * capacity_fraction * self.overload_window as f64 / SECOND as f64
     }
 }
 
--- a/crates/testbed/tests/cli_transcripts.rs
+++ b/crates/testbed/tests/cli_transcripts.rs
@@ -1,13 +1,13 @@
-//! Approved transcripts of the laboratory's program: help, what it says of scenarios and experiments
-//! that are wrong, and a short comparison in virtual time, figure for figure. What is wrong lies in
-//! `bad_input/`, a case a line, `\n` for an end of line.
+//! Approved transcripts of the testbed's program: help, errors of wrong scenarios, experiments and command
+//! lines, and a short comparison in virtual time, figure for figure. The wrong input is in `bad_input/`, a
+//! case a line, with `\n` for an end of line.
 use std::fmt::Write;
 use std::process::{Command, Stdio};
 
 use copperspread_testbed::scenario::Scenario;
 use tempfile::TempDir;
 
-/// The laboratory program's name. Masked in the transcripts.
+/// The program's name. Masked in the transcripts.
 const NAME: &str = "copperspread-testbed";
 const MASKED_NAME: &str = "LAB";
 /// The policy that is the scheduler's own module goes by the scheduler's name. Masked too.
@@ -19,7 +19,7 @@
 /// Names of policies fill a column of this width.
 const NAME_WIDTH: usize = 26;
 
-/// A short play: two zones, a keyed and a plain class, an overload, and a crash in the middle.
+/// A short scenario: two zones, a keyed and an idempotent class, an overload, and a crash in the middle.
 const SHORT: &str = "name = 'short'\nabout = 'A crash under a burst.'\nseconds = 6.0\nzones = 2\nschedulers = 2\n\
     [clients]\nrate = 20.0\nretries = 1\nhint_error = 0.2\n\
     [[workers]]\nkind = 'plain'\ncount = 4\ncores = 2.0\nslots = 3.0\nspeed = [0.8, 1.2]\n\
--- a/crates/testbed/tests/trace.rs
+++ b/crates/testbed/tests/trace.rs
@@ -1,4 +1,4 @@
-//! Records of a scheduler as a recorded trace.
+//! A scheduler's event log as the trace of a scenario.
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::policy::Kind;
 use copperspread_testbed::scenario::Scenario;
@@ -9,36 +9,37 @@
     Scenario::parse(include_str!("../scenarios/calm.toml")).expect("a scenario")
 }
 
-fn line(seq: u64, unix_us: u64, what: &str) -> String {
+fn log_line(seq: u64, unix_us: u64, what: &str) -> String {
     format!(r#"{{"v":1,"run":"r","seq":{seq},"unix_us":{unix_us},"mono_us":{unix_us},"what":{what}}}"#) + "\n"
 }
 
-fn taken(class: &str, rest: &str) -> String {
+fn request_accepted(class: &str, rest: &str) -> String {
     format!(
         r#"{{"kind":"flow_taken","flow":"0000000000000001","class":"{class}"{rest},"time_left_us":5000000}}"#
     )
 }
 
 #[test]
-fn what_a_scheduler_took_is_played_again() {
+fn accepted_requests_are_played_again() {
     let text = [
-        line(1, 5_000_000, r#"{"kind":"run_started","name":"n","program":"0"}"#),
-        line(2, 7_500_000, &taken("status", r#","cost_hint_s":0.25"#)),
-        line(3, 7_000_000, &taken("uitbetaling", r#","cost_hint_s":0.5,"slots":2.0"#)),
-        line(4, 8_000_000, &taken("status", "")),
-        line(5, 8_000_000, &taken("other", r#","cost_hint_s":0.5"#)),
+        log_line(1, 5_000_000, r#"{"kind":"run_started","name":"n","program":"0"}"#),
+        log_line(2, 7_500_000, &request_accepted("status", r#","cost_hint_s":0.25"#)),
+        log_line(3, 7_000_000, &request_accepted("uitbetaling", r#","cost_hint_s":0.5,"slots":2.0"#)),
+        log_line(4, 8_000_000, &request_accepted("status", "")),
+        log_line(5, 8_000_000, &request_accepted("other", r#","cost_hint_s":0.5"#)),
         "garbage\n".to_owned(),
-        line(7, 10_000_000, &taken("status", r#","cost_hint_s":0.125"#)),
-        line(8, 11_000_000, r#"{"kind":"from a later version"}"#),
+        log_line(7, 10_000_000, &request_accepted("status", r#","cost_hint_s":0.125"#)),
+        log_line(8, 11_000_000, r#"{"kind":"from a later version"}"#),
         "{\"v\":1,\"ru".to_owned(),
     ]
     .concat();
     let mut scenario = calm();
-    let left_out = load_trace(&mut scenario, text.as_bytes()).expect("a trace");
-    assert_eq!(left_out, SkippedRecords { unknown_class: 1, no_hint: 1, unreadable: 2 });
-    let came: Vec<_> = Arrivals::new(&scenario, 1).map(|of| (of.at, of.class, of.work, of.slots)).collect();
-    assert_eq!(came, [(0, 3, 0.5, 2.0), (500_000, 0, 0.25, 1.0), (3_000_000, 0, 0.125, 1.0)]);
-    // As a file it says the same.
+    let skipped = load_trace(&mut scenario, text.as_bytes()).expect("a trace");
+    assert_eq!(skipped, SkippedRecords { unknown_class: 1, no_hint: 1, unreadable: 2 });
+    let arrivals: Vec<_> =
+        Arrivals::new(&scenario, 1).map(|job| (job.at, job.class, job.work, job.slots)).collect();
+    assert_eq!(arrivals, [(0, 3, 0.5, 2.0), (500_000, 0, 0.25, 1.0), (3_000_000, 0, 0.125, 1.0)]);
+    // Written to a file and read again, it is the same.
     let again = Scenario::parse(&toml::to_string(&scenario).expect("TOML")).expect("a scenario");
     assert_eq!(again, scenario);
     let outcome = play(&again, Kind::Copperspread, 1).expect("it plays");
@@ -46,14 +47,14 @@
 }
 
 #[test]
-fn records_without_a_job_are_told() {
-    let only = line(1, 5, r#"{"kind":"run_started","name":"n","program":"0"}"#);
-    for (text, said) in [
+fn an_event_log_without_a_usable_request_is_an_error() {
+    let only = log_line(1, 5, r#"{"kind":"run_started","name":"n","program":"0"}"#);
+    for (text, expected) in [
         ("", "no job of the scenario's classes"),
         (&only, "no job of the scenario's"),
         ("x\n", "line 1 is no record"),
     ] {
         let error = load_trace(&mut calm(), text.as_bytes()).expect_err(text).to_string();
-        assert!(error.contains(said), "{text}: {error}");
+        assert!(error.contains(expected), "{text}: {error}");
     }
 }
