--- a/crates/testbed/tests/emulate.rs
+++ b/crates/testbed/tests/emulate.rs
@@ -1,4 +1,4 @@
-//! Whole runs in real time, scaled down to some seconds: the laboratory's own node as processes.
+//! Whole runs in real time, scaled down to some seconds: the testbed's own policy node as processes.
 use std::net::SocketAddr;
 
 use copperspread_settings::platform::read_startup_config;
@@ -13,8 +13,8 @@
 use copperspread_testbed::scenario::Scenario;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// A small fleet for so many seconds.
-fn small(seconds: f64, rate: f64, faults: &str) -> Scenario {
+/// A small fleet, for so many seconds.
+fn small_scenario(seconds: f64, rate: f64, faults: &str) -> Scenario {
     let class = |name: &str, repeat: &str| {
         format!(
             "[[classes]]\nname = '{name}'\nshare = 1.0\nwork = 0.1\naim = 0.6\nstretch = 2.0\ndeadline = 2.0\n\
@@ -36,8 +36,8 @@
     format!("[[faults]]\nat = {at:?}\nlasts = {lasts:?}\nshare = {share:?}\nwhat = {what}\n")
 }
 
-/// The laboratory's node with a policy in it.
-fn node(policy: &str) -> SchedulerInstances {
+/// The testbed's node with a policy.
+fn policy_node(policy: &str) -> SchedulerInstances {
     let arguments = ["node", "--policy", policy].map(str::to_owned).to_vec();
     SchedulerInstances::Spawned(SchedulerProgram {
         file: env!("CARGO_BIN_EXE_copperspread-testbed").into(),
@@ -45,16 +45,17 @@
     })
 }
 
-fn kept(outcome: &RunOutcome, jobs: usize) {
-    let worth = outcome.weight;
-    let parts = worth.in_time + worth.late + worth.rejected + worth.failed + worth.unanswered;
-    assert!((parts - worth.requested).abs() < 1e-6 * worth.requested, "{worth:?}");
+/// Each job has one outcome.
+fn assert_all_accounted(outcome: &RunOutcome, jobs: usize) {
+    let weight = outcome.weight;
+    let parts = weight.in_time + weight.late + weight.rejected + weight.failed + weight.unanswered;
+    assert!((parts - weight.requested).abs() < 1e-6 * weight.requested, "{weight:?}");
     assert_eq!(outcome.jobs, jobs as u64);
 }
 
-// What a scheduler reads from the configuration is what the module is given in virtual time.
+// What a scheduler reads from its configuration is what the policy is given in virtual time.
 #[test]
-fn both_drives_give_schedulers_the_same_settings() {
+fn simulation_and_emulation_give_schedulers_the_same_settings() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
     let address = SocketAddr::from(([127, 0, 0, 1], 80));
     for file in std::fs::read_dir(folder).expect("a folder").flatten() {
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn the_module_keeps_all_rules_while_everything_goes_wrong_on_sockets() {
+fn the_dispatch_policy_keeps_all_rules_under_all_faults_on_sockets() {
     let faults = [
         fault(0.5, 5.0, 0.3, "{ resetting = 0.3 }"),
         fault(0.5, 5.0, 0.3, "{ garbled = 0.3 }"),
@@ -91,44 +92,47 @@
         fault(1.0, 1.5, 0.2, "'discovery_down'"),
         fault(3.5, 2.0, 0.2, "'discovery_contradicts'"),
     ];
-    let scenario = small(6.0, 60.0, &faults.concat());
-    let outcome = emulate(&scenario, &node("copperspread"), "copperspread", 3).expect("it plays");
-    kept(&outcome, Arrivals::new(&scenario, 3).count());
+    let scenario = small_scenario(6.0, 60.0, &faults.concat());
+    let outcome = emulate(&scenario, &policy_node("copperspread"), "copperspread", 3).expect("an outcome");
+    assert_all_accounted(&outcome, Arrivals::new(&scenario, 3).count());
     assert!(outcome.violations.is_empty(), "{:?} {:?}", outcome.violations, outcome.violation_examples);
     assert!(outcome.weight.in_time_share() > 0.5, "{:?}", outcome.weight);
-    assert!(outcome.weight.failed > 0.0, "what a dead scheduler had taken: {:?}", outcome.weight);
-    assert!(outcome.machine_usage.is_some_and(|of| of.cpu_us_per_job > 0.0));
+    assert!(outcome.weight.failed > 0.0, "requests of a crashed scheduler: {:?}", outcome.weight);
+    assert!(outcome.machine_usage.is_some_and(|usage| usage.cpu_us_per_job > 0.0));
 }
 
 #[test]
-fn a_quiet_fleet_serves_all_and_all_policies_play() {
-    let scenario = small(2.0, 30.0, "");
+fn a_fleet_without_faults_serves_its_jobs_under_each_policy() {
+    let scenario = small_scenario(2.0, 30.0, "");
     let outcomes: Vec<_> = std::thread::scope(|scope| {
         let runs = [PolicyKind::Random, PolicyKind::TwoChoices].map(|kind| {
             let scenario = &scenario;
-            scope.spawn(move || emulate(scenario, &node(&kind.name()), &kind.name(), 5).expect("it plays"))
+            scope.spawn(move || {
+                emulate(scenario, &policy_node(&kind.name()), &kind.name(), 5).expect("an outcome")
+            })
         });
         runs.map(|run| run.join().expect("a run")).into()
     });
     for outcome in &outcomes {
-        kept(outcome, Arrivals::new(&scenario, 5).count());
+        assert_all_accounted(outcome, Arrivals::new(&scenario, 5).count());
         assert!(outcome.violations.is_empty(), "{:?}", outcome.violation_examples);
         assert!(outcome.weight.in_time_share() > 0.8, "{}: {:?}", outcome.policy, outcome.weight);
     }
 }
 
 #[test]
-fn schedulers_that_are_broken_on_purpose_are_caught_on_sockets() {
-    let drains = fault(0.5, 9.0, 0.7, "'drain'");
-    // One attempt: the module itself sends none again, within a zone or not.
-    let resets = fault(0.2, 9.0, 1.0, "{ resetting = 0.6 }") + "[settings]\nmax_attempts = 1\n";
+fn faulty_policies_are_caught_on_sockets() {
+    let drain_fault = fault(0.5, 9.0, 0.7, "'drain'");
+    // One attempt: the policy itself does not retry, within a zone or not.
+    let reset_fault = fault(0.2, 9.0, 1.0, "{ resetting = 0.6 }") + "[settings]\nmax_attempts = 1\n";
     std::thread::scope(|scope| {
         for (policy, faults, rules) in [
-            ("ignores_drains", &drains, &[Rule::NoDispatchWhileDraining][..]),
-            ("resends", &resets, &[Rule::NonIdempotentOnce, Rule::KeyedWithinScope]),
+            ("ignores_drains", &drain_fault, &[Rule::NoDispatchWhileDraining][..]),
+            ("resends", &reset_fault, &[Rule::NonIdempotentOnce, Rule::KeyedWithinScope]),
         ] {
             scope.spawn(move || {
-                let outcome = emulate(&small(4.0, 60.0, faults), &node(policy), policy, 3).expect("it plays");
+                let outcome = emulate(&small_scenario(4.0, 60.0, faults), &policy_node(policy), policy, 3)
+                    .expect("an outcome");
                 let found: Vec<_> = outcome.violations.keys().copied().collect();
                 assert_eq!(found, rules, "{policy}: {:?}", outcome.violation_examples);
             });
@@ -136,32 +140,35 @@
     });
 }
 
-// The same exchange, decided and not: both serve, and neither is free.
+// The same exchange with and without a dispatch decision: both serve, and neither is free.
 #[test]
-fn the_cost_of_both_sides_is_measured_and_told() {
+fn the_cost_of_both_programs_is_measured_and_printed() {
     let program = |arguments: &[&str]| SchedulerProgram {
         file: env!("CARGO_BIN_EXE_copperspread-testbed").into(),
-        arguments: arguments.iter().map(|&of| of.to_owned()).collect(),
+        arguments: arguments.iter().map(|&argument| argument.to_owned()).collect(),
     };
-    let sides = [
+    let programs = [
         ("node".to_owned(), program(&["node", "--policy", "copperspread"])),
         ("relay".to_owned(), program(&["relay"])),
     ];
-    let shown = measure_costs(&sides, CostSettings { rounds: 2, seconds: 0.5, clients: 8, workers: 3 })
+    let costs = measure_costs(&programs, CostSettings { rounds: 2, seconds: 0.5, clients: 8, workers: 3 })
         .expect("it measures");
-    for (name, rounds) in &shown {
+    for (name, rounds) in &costs {
         assert_eq!(rounds.len(), 2, "{name}");
-        for of in rounds {
-            assert!(of.rate > 10.0 && of.cpu_us > 0.0 && of.resident_mb > 0.5, "{name}: {of:?}");
-            assert_eq!(of.not_served, 0, "{name}");
+        for sample in rounds {
+            assert!(
+                sample.rate > 10.0 && sample.cpu_us > 0.0 && sample.resident_mb > 0.5,
+                "{name}: {sample:?}"
+            );
+            assert_eq!(sample.not_served, 0, "{name}");
         }
     }
-    let told = format_table(&shown);
-    assert!(told.contains("node against relay: CPU a request") && told.contains("over 2 rounds"), "{told}");
+    let text = format_table(&costs);
+    assert!(text.contains("node against relay: CPU a request") && text.contains("over 2 rounds"), "{text}");
 }
 
-/// A server that answers every request with a text, or never.
-fn server(answer: Option<&'static str>) -> SocketAddr {
+/// A server that sends every client a text, or never responds. Its thread ends with the test.
+fn server(response: Option<&'static str>) -> SocketAddr {
     let (sender, address) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -170,10 +177,10 @@
             sender.send(listener.local_addr().expect("an address")).expect("the test waits");
             while let Ok((mut stream, _)) = listener.accept().await {
                 tokio::spawn(async move {
-                    let mut heard = [0; 4096];
-                    while stream.read(&mut heard).await.is_ok_and(|bytes| bytes > 0) {
-                        if let Some(answer) = answer {
-                            let _ = stream.write_all(answer.as_bytes()).await;
+                    let mut request = [0; 4096];
+                    while stream.read(&mut request).await.is_ok_and(|bytes| bytes > 0) {
+                        if let Some(response) = response {
+                            let _ = stream.write_all(response.as_bytes()).await;
                         }
                     }
                 });
@@ -184,36 +191,38 @@
 }
 
 #[test]
-fn what_no_worker_made_and_what_never_comes_is_caught() {
+fn forged_results_and_missing_responses_are_caught() {
     let cases = [
         (Some("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfake"), vec![Rule::GenuineResult]),
         (Some("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), vec![]),
         (Some("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), vec![]),
         (None, vec![Rule::ResponseBeforeDeadline]),
     ];
-    for (answer, rules) in cases {
-        let scenario = small(0.5, 30.0, "");
-        let running = SchedulerInstances::External(vec![server(answer)]);
-        let outcome = emulate(&scenario, &running, "a text", 3).expect("it plays");
-        assert_eq!(outcome.violations.keys().copied().collect::<Vec<_>>(), rules, "{answer:?}");
+    for (response, rules) in cases {
+        let scenario = small_scenario(0.5, 30.0, "");
+        let running = SchedulerInstances::External(vec![server(response)]);
+        let outcome = emulate(&scenario, &running, "a text", 3).expect("an outcome");
+        assert_eq!(outcome.violations.keys().copied().collect::<Vec<_>>(), rules, "{response:?}");
         let count: u64 = outcome.violations.values().sum();
         assert!(rules.is_empty() || count == outcome.jobs, "{count} of {}", outcome.jobs);
     }
 }
 
 #[test]
-fn what_cannot_be_played_is_said() {
-    let gone = SchedulerInstances::Spawned(SchedulerProgram {
+fn a_scenario_that_cannot_be_emulated_is_an_error() {
+    let missing = SchedulerInstances::Spawned(SchedulerProgram {
         file: "no/such/program".into(),
         arguments: Vec::new(),
     });
-    let error = emulate(&small(1.0, 9.0, ""), &gone, "x", 1).expect_err("no program").to_string();
+    let error = emulate(&small_scenario(1.0, 9.0, ""), &missing, "x", 1).expect_err("no program").to_string();
     assert!(error.contains("no/such/program"), "{error}");
-    let ends = SchedulerInstances::Spawned(SchedulerProgram { file: "false".into(), arguments: Vec::new() });
-    let error = emulate(&small(1.0, 9.0, ""), &ends, "x", 1).expect_err("it ends").to_string();
+    let ends_at_once =
+        SchedulerInstances::Spawned(SchedulerProgram { file: "false".into(), arguments: Vec::new() });
+    let error =
+        emulate(&small_scenario(1.0, 9.0, ""), &ends_at_once, "x", 1).expect_err("it ends").to_string();
     assert!(error.contains("ended with exit status: 1"), "{error}");
-    let mut large = small(1.0, 9.0, "");
+    let mut large = small_scenario(1.0, 9.0, "");
     large.workers[0].count = 500;
-    let error = emulate(&large, &node("random"), "x", 1).expect_err("too large").to_string();
+    let error = emulate(&large, &policy_node("random"), "x", 1).expect_err("too large").to_string();
     assert!(error.contains("500 workers and 3 schedulers; emulate plays 200 and 16 at most"), "{error}");
 }
--- a/crates/testbed/tests/load.rs
+++ b/crates/testbed/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool against servers that stall, refuse, fail, break off and say nothing.
+//! The load tool against servers that stall, reject, fail, break connections and do not respond.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -23,41 +23,41 @@
     Scenario::parse(&text).expect("a scenario")
 }
 
-async fn against(router: Router, scenario: &Scenario, most_open: usize) -> ClassLoadResult {
+async fn load_against(router: Router, scenario: &Scenario, max_open_requests: usize) -> ClassLoadResult {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let server = tokio::spawn(async move { axum::serve(listener, router).await });
-    let report = send_load(scenario, 1, address, most_open).await;
+    let report = send_load(scenario, 1, address, max_open_requests).await;
     server.abort();
     report.classes.into_iter().next().expect("a class")
 }
 
-// Guards against coordinated omission: a tool that waits for the stalled answer before it sends on
-// would see one slow job where an open loop sees all that came meanwhile.
+// Coordinated omission: a tool that waits for the stalled response before it sends on would see one slow
+// job where an open loop sees all that were scheduled meanwhile.
 #[tokio::test]
-async fn a_server_that_stalls_once_is_seen_by_all_jobs_that_came_meanwhile() {
-    let (turn, count) = (Arc::new(Mutex::new(())), Arc::new(AtomicU64::new(0)));
+async fn a_stall_of_the_server_delays_all_jobs_that_were_scheduled_meanwhile() {
+    let (lock, count) = (Arc::new(Mutex::new(())), Arc::new(AtomicU64::new(0)));
     let stalls = Router::new().fallback(move || {
-        let (turn, count) = (Arc::clone(&turn), Arc::clone(&count));
+        let (lock, count) = (Arc::clone(&lock), Arc::clone(&count));
         async move {
-            let _turn = turn.lock().await;
+            let _guard = lock.lock().await;
             if count.fetch_add(1, Ordering::Relaxed) == 10 {
                 tokio::time::sleep(Duration::from_millis(500)).await;
             }
             "done"
         }
     });
-    let of = against(stalls, &scenario(100.0, 1.5, 5.0), 1_024).await;
-    assert_eq!((of.served, of.scheduled), (of.scheduled, of.scheduled));
-    assert!(of.scheduled > 100);
-    // Half a second of a hundred a second stood in the queue; a closed loop would show a single one.
-    let slow = of.served - of.in_time;
-    assert!((15..=60).contains(&slow), "{slow} of {} over 0.2 s", of.scheduled);
-    assert!((450.0..900.0).contains(&of.served_ms[4]), "{:?}", of.served_ms);
+    let class = load_against(stalls, &scenario(100.0, 1.5, 5.0), 1_024).await;
+    assert_eq!((class.served, class.scheduled), (class.scheduled, class.scheduled));
+    assert!(class.scheduled > 100);
+    // Half a second at a hundred jobs a second was queued; a closed loop would show a single slow job.
+    let slow = class.served - class.in_time;
+    assert!((15..=60).contains(&slow), "{slow} of {} over 0.2 s", class.scheduled);
+    assert!((450.0..900.0).contains(&class.served_ms[4]), "{:?}", class.served_ms);
 }
 
 #[tokio::test]
-async fn answers_are_counted_for_what_they_are() {
+async fn responses_are_counted_by_their_status() {
     let count = Arc::new(AtomicU64::new(0));
     let mixed = Router::new().fallback(move |request: Request| {
         let number = count.fetch_add(1, Ordering::Relaxed);
@@ -65,14 +65,14 @@
             let headers = request.headers();
             let text =
                 |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default();
-            // What the protocol asks of a client.
-            let good = text("x-request-id").len() == 16
+            // What the protocol requires of a client.
+            let is_valid = text("x-request-id").len() == 16
                 && text("x-timeout").ends_with('m')
                 && text("x-cost").parse::<u64>().is_ok()
                 && text("idempotency-key").len() == 32
                 && request.uri().path().starts_with("/c/");
             match number % 4 {
-                _ if !good => StatusCode::BAD_REQUEST.into_response(),
+                _ if !is_valid => StatusCode::BAD_REQUEST.into_response(),
                 0 => StatusCode::SERVICE_UNAVAILABLE.into_response(),
                 1 => StatusCode::TOO_MANY_REQUESTS.into_response(),
                 2 => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
@@ -80,25 +80,27 @@
             }
         }
     });
-    let of = against(mixed, &scenario(200.0, 0.5, 5.0), 1_024).await;
-    assert_eq!(of.scheduled, of.served + of.rejected + of.failed);
-    let off = |part: u64, share: f64| (part as f64 - share * of.scheduled as f64).abs();
+    let class = load_against(mixed, &scenario(200.0, 0.5, 5.0), 1_024).await;
+    assert_eq!(class.scheduled, class.served + class.rejected + class.failed);
+    let deviation = |part: u64, share: f64| (part as f64 - share * class.scheduled as f64).abs();
     assert!(
-        off(of.rejected, 0.5) <= 2.0 && off(of.failed, 0.25) <= 2.0 && off(of.served, 0.25) <= 2.0,
-        "{of:?}"
+        deviation(class.rejected, 0.5) <= 2.0
+            && deviation(class.failed, 0.25) <= 2.0
+            && deviation(class.served, 0.25) <= 2.0,
+        "{class:?}"
     );
 }
 
 #[tokio::test]
-async fn silence_breaks_and_a_full_house_are_told_apart() {
+async fn timeouts_broken_connections_and_unsent_jobs_are_counted_apart() {
     let silent = Router::new().fallback(|| async {
         tokio::time::sleep(Duration::from_secs(30)).await;
         "late"
     });
-    let of = against(silent, &scenario(100.0, 0.5, 0.3), 8).await;
-    assert!(of.timed_out >= 8 && of.not_sent > 0 && of.served == 0, "{of:?}");
-    assert_eq!(of.timed_out + of.not_sent, of.scheduled);
-    // Nobody listens there any more.
+    let class = load_against(silent, &scenario(100.0, 0.5, 0.3), 8).await;
+    assert!(class.timed_out >= 8 && class.not_sent > 0 && class.served == 0, "{class:?}");
+    assert_eq!(class.timed_out + class.not_sent, class.scheduled);
+    // No server listens there any more.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
