--- a/crates/testbed/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -153,7 +153,7 @@
 
 fn measure_loss(members: usize, loss_rate: f64, seeds: std::ops::Range<u64>) {
     let plays = seeds.end;
-    let given_up: usize = for_each_seed(seeds, |seed| {
+    let false_reports: usize = for_each_seed(seeds, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
         let (min_delay, max_delay) = (network.links.conditions.min_delay, network.links.conditions.max_delay);
         network.run_plan(&plans::lose_packets(loss_rate, min_delay, max_delay, Duration::from_secs(60)));
@@ -163,9 +163,9 @@
     .sum();
     let hours = plays as f64 * members as f64 / 60.0;
     println!(
-        "| {members} | {:.0} % | {plays} | {hours:.1} | {given_up} | {:.2} |",
+        "| {members} | {:.0} % | {plays} | {hours:.1} | {false_reports} | {:.2} |",
         loss_rate * 100.0,
-        given_up as f64 / hours
+        false_reports as f64 / hours
     );
 }
 
@@ -173,7 +173,7 @@
 fn measure_pauses(members: usize, span: u64, seeds: std::ops::Range<u64>) {
     let (plays, pausing) = (seeds.end, (members / 10).max(1));
     let rounds = 120 / (span + 1);
-    let given_up = for_each_seed(seeds, |seed| {
+    let false_reports = for_each_seed(seeds, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
         let all = |action| (1..=pausing).map(move |member| Fault::Process { member, action });
         let plan = (0..rounds).fold(FaultPlan::default(), |plan, round| {
@@ -189,7 +189,9 @@
         (names.len() - paused, paused)
     });
     let hours = plays as f64 * members as f64 * (rounds * (span + 1) + 10) as f64 / 3600.0;
-    let (healthy, paused) = given_up.iter().fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
+    let (healthy, paused) = false_reports
+        .iter()
+        .fold((0, 0), |(healthy, paused), reports| (healthy + reports.0, paused + reports.1));
     println!(
         "| {members} | {pausing} | {span} | {plays} | {hours:.1} | {healthy} | {paused} of {} |",
         plays as usize * pausing
@@ -206,7 +208,8 @@
         network.run(60 * SECOND);
         (network.packets, network.bytes)
     });
-    let (packets, bytes) = sent.iter().fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
+    let (packets, bytes) =
+        sent.iter().fold((0, 0), |(packets, bytes), sent| (packets + sent.0, bytes + sent.1));
     let seconds = 60.0 * plays as f64 * members as f64;
     println!("| {members} | {plays} | {:.2} | {:.0} |", packets as f64 / seconds, bytes as f64 / seconds);
 }
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -119,7 +119,7 @@
     workers: &[(Worker, u32)],
     random: &mut RandomStream,
 ) -> Vec<Option<u32>> {
-    let is_in_zone = |zone: u32| fault.zone.is_none_or(|wanted| wanted == zone);
+    let is_in_zone = |zone: u32| fault.zone.is_none_or(|faulty_zone| faulty_zone == zone);
     let mut targets: Vec<u32> = if fault.what.meets_workers() {
         (0..workers.len() as u32).filter(|&worker| is_in_zone(workers[worker as usize].1)).collect()
     } else if fault.what.meets_schedulers() {
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -57,12 +57,12 @@
     /// When it must be advanced again, if at all.
     pub fn next_wake(&self, now: Micros) -> Option<Micros> {
         let rate = self.rate(now);
-        let least_work =
+        let min_work =
             self.running.iter().map(|running| running.remaining_work).fold(f64::INFINITY, f64::min);
-        if !least_work.is_finite() || rate <= 0.0 {
+        if !min_work.is_finite() || rate <= 0.0 {
             return None;
         }
-        let delay = (least_work / rate * SECOND as f64).ceil().min(MAX_WAKE_DELAY);
+        let delay = (min_work / rate * SECOND as f64).ceil().min(MAX_WAKE_DELAY);
         let ends_at = now + delay as Micros;
         let is_slow_start = self.capacity_fraction(now) < 1.0;
         Some(if is_slow_start { ends_at.min(now + SLOW_START_STEP) } else { ends_at })
--- a/crates/testbed/src/simulation/attempts.rs
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -12,7 +12,7 @@
 const IDLE_CONNECTION_TIMEOUT: Micros = 5 * SECOND;
 
 impl Simulation<'_> {
-    pub(super) fn send_attempt(&mut self, request_id: RequestId, worker: u32) {
+    pub(super) fn scomplete_attempt(&mut self, request_id: RequestId, worker: u32) {
         let id = AttemptId(self.last_id + 1);
         let Some(request) = self.scheduler_requests.get_mut(&request_id) else { return };
         self.last_id = id.0;
@@ -34,7 +34,7 @@
         self.attempts.insert(id, attempt);
         if is_superseded {
             let result = AttemptResult::Superseded;
-            return self.schedule(self.now, SimulationEvent::AttemptEnded { attempt: id, result });
+            return self.schedule(self.now, SimulationEvent::AttemptCompleted { attempt: id, result });
         }
         let Some(client_request) = self.client_requests.get_mut(&client_request) else { return };
         client_request.open_references += 1;
@@ -69,7 +69,7 @@
     }
 
     /// Ends an attempt at its scheduler, unless the scheduler no longer waits for it.
-    pub(super) fn end_attempt(&mut self, id: AttemptId, result: AttemptResult) {
+    pub(super) fn complete_attempt(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_in_flight) else { return };
         attempt.is_in_flight = false;
         let (request_id, number) = (attempt.request, attempt.number);
@@ -158,6 +158,6 @@
         let (from_zone, to_zone) = (self.worker_zone(worker), self.scheduler_zone(scheduler));
         let callback_delay = self.connection_faults[worker as usize].callback_delay;
         let delay = self.network_delay(from_zone, to_zone) + callback_delay;
-        self.schedule(self.now + delay, SimulationEvent::AttemptEnded { attempt: id, result });
+        self.schedule(self.now + delay, SimulationEvent::AttemptCompleted { attempt: id, result });
     }
 }
--- a/crates/testbed/src/simulation/clients.rs
+++ b/crates/testbed/src/simulation/clients.rs
@@ -77,7 +77,7 @@
             attempts_in_flight: 0,
             is_answered: false,
             is_past_deadline: false,
-            is_client_gone: false,
+            has_client_disconnected: false,
         };
         self.scheduler_requests.insert(request, scheduler_request);
         self.referee.asked(request, gives_up_at);
@@ -129,7 +129,7 @@
     pub(super) fn time_out_client(&mut self, id: RequestId) {
         self.referee.gave_up(self.now, id);
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
-        request.is_client_gone = true;
+        request.has_client_disconnected = true;
         let (client_request, scheduler) = (request.client_request, request.scheduler);
         if !std::mem::replace(&mut request.is_answered, true) {
             self.notify_scheduler(scheduler, Event::ClientDisconnected(id));
@@ -159,7 +159,7 @@
     /// Drops a scheduler's request once client, scheduler and attempts are done with it.
     pub(super) fn close_request(&mut self, id: RequestId) {
         let Some(request) = self.scheduler_requests.get(&id) else { return };
-        if request.is_client_gone && request.is_answered && request.attempts_in_flight == 0 {
+        if request.has_client_disconnected && request.is_answered && request.attempts_in_flight == 0 {
             let client_request = request.client_request;
             self.scheduler_requests.remove(&id);
             self.referee.over(id);
--- a/crates/testbed/src/simulation/event_queue.rs
+++ b/crates/testbed/src/simulation/event_queue.rs
@@ -32,7 +32,7 @@
     /// A worker reports how much of a running attempt is done.
     ProgressDue(AttemptId),
     /// The scheduler learns how an attempt ended.
-    AttemptEnded { attempt: AttemptId, result: AttemptResult },
+    AttemptCompleted { attempt: AttemptId, result: AttemptResult },
     /// A cancellation reaches the attempt's worker.
     CancellationArrived(AttemptId),
     /// A worker's running jobs must be looked at; void unless its epoch is still this one.
@@ -50,7 +50,7 @@
     /// A load query reaches its worker.
     LoadQueryArrived(LoadQueryId),
     /// The scheduler learns the result of a load query.
-    LoadQueryEnded { query: LoadQueryId, result: AttemptResult, report: Option<LoadReport> },
+    LoadQueryCompleted { query: LoadQueryId, result: AttemptResult, report: Option<LoadReport> },
     /// A worker refreshes the figures with which it answers load queries.
     ReportRefreshDue { worker: u32 },
 }
--- a/crates/testbed/src/simulation/load_queries.rs
+++ b/crates/testbed/src/simulation/load_queries.rs
@@ -20,20 +20,20 @@
         }
     }
 
-    pub(super) fn send_load_query(&mut self, scheduler: u32, worker: u32) {
+    pub(super) fn scomplete_load_query(&mut self, scheduler: u32, worker: u32) {
         let query = LoadQueryId(self.next_id());
         let incarnation = self.schedulers[scheduler as usize].incarnation;
         self.load_queries.insert(query, PendingLoadQuery { scheduler, incarnation, worker });
         let is_known = (worker as usize) < self.workers.len();
         let Some(settings) = self.scenario.reports.probe.filter(|_| is_known) else {
-            return self.schedule_load_query_end(self.now, query, AttemptResult::Superseded, None);
+            return self.schedule_load_query_result(self.now, query, AttemptResult::Superseded, None);
         };
         self.load_queries_sent += 1;
         let (from_zone, to_zone) = (self.scheduler_zone(scheduler), self.worker_zone(worker));
         let delay = self.network_delay(from_zone, to_zone) + self.connection_delay(scheduler, worker);
         self.schedule(self.now + delay, SimulationEvent::LoadQueryArrived(query));
         let timeout = micros(settings.timeout);
-        self.schedule_load_query_end(self.now + timeout, query, AttemptResult::TimedOut, None);
+        self.schedule_load_query_result(self.now + timeout, query, AttemptResult::TimedOut, None);
     }
 
     pub(super) fn deliver_load_query(&mut self, query: LoadQueryId) {
@@ -101,21 +101,21 @@
         let report = report.filter(|_| result == AttemptResult::Served);
         let (from_zone, to_zone) = (self.worker_zone(worker), self.scheduler_zone(scheduler));
         let delay = self.network_delay(from_zone, to_zone) + elapsed;
-        self.schedule_load_query_end(now + delay, query, result, report);
+        self.schedule_load_query_result(now + delay, query, result, report);
     }
 
-    fn schedule_load_query_end(
+    fn schedule_load_query_result(
         &mut self,
         at: Micros,
         query: LoadQueryId,
         result: AttemptResult,
         report: Option<LoadReport>,
     ) {
-        self.schedule(at, SimulationEvent::LoadQueryEnded { query, result, report });
+        self.schedule(at, SimulationEvent::LoadQueryCompleted { query, result, report });
     }
 
     /// Gives the first result of a query to the scheduler, if its process is still the one that asked.
-    pub(super) fn end_load_query(
+    pub(super) fn complete_load_query(
         &mut self,
         query: LoadQueryId,
         result: AttemptResult,
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -205,7 +205,7 @@
             SimulationEvent::AttemptArrived(attempt) => self.deliver_attempt(attempt),
             SimulationEvent::AttemptStarted(attempt) => self.notify_progress(attempt, Progress::Started),
             SimulationEvent::ProgressDue(attempt) => self.report_progress(attempt),
-            SimulationEvent::AttemptEnded { attempt, result } => self.end_attempt(attempt, result),
+            SimulationEvent::AttemptCompleted { attempt, result } => self.complete_attempt(attempt, result),
             SimulationEvent::CancellationArrived(attempt) => self.cancel_at_worker(attempt),
             SimulationEvent::WorkerWake { worker, wake_epoch } => self.wake_worker(worker, wake_epoch),
             SimulationEvent::TimerExpired { scheduler, incarnation, timer } => {
@@ -220,8 +220,8 @@
             SimulationEvent::AlternateListDue { is_stale } => self.alternate_lists(is_stale),
             SimulationEvent::SizesDue => self.publish_sizes(),
             SimulationEvent::LoadQueryArrived(query) => self.deliver_load_query(query),
-            SimulationEvent::LoadQueryEnded { query, result, report } => {
-                self.end_load_query(query, result, report);
+            SimulationEvent::LoadQueryCompleted { query, result, report } => {
+                self.complete_load_query(query, result, report);
             }
             SimulationEvent::ReportRefreshDue { worker } => self.refresh_load_report(worker),
         }
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -39,7 +39,7 @@
     pub(super) attempts_in_flight: u32,
     pub(super) is_answered: bool,
     pub(super) is_past_deadline: bool,
-    pub(super) is_client_gone: bool,
+    pub(super) has_client_disconnected: bool,
 }
 
 /// One attempt, from the scheduler's decision until neither scheduler nor worker refers to it.
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -108,7 +108,7 @@
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         request.is_past_deadline = true;
         for attempt in request.attempts.clone() {
-            self.end_attempt(attempt, AttemptResult::TimedOut);
+            self.complete_attempt(attempt, AttemptResult::TimedOut);
         }
     }
 
@@ -128,7 +128,7 @@
 
     fn apply_action(&mut self, scheduler: u32, action: Action) {
         match action {
-            Action::Send { request, worker, .. } => self.send_attempt(request, worker.0),
+            Action::Send { request, worker, .. } => self.scomplete_attempt(request, worker.0),
             Action::Reject { request, retry_after, .. } => {
                 self.respond(request, FinalResponse::Rejected { retry_after });
             }
@@ -136,7 +136,7 @@
             Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
             Action::StartTimer { after, timer } => self.start_timer(scheduler, after, timer),
             Action::Subscribe => self.subscribe(scheduler),
-            Action::QueryLoad { worker } => self.send_load_query(scheduler, worker.0),
+            Action::QueryLoad { worker } => self.scomplete_load_query(scheduler, worker.0),
         }
     }
 
@@ -146,7 +146,7 @@
         if let Some(attempt) = attempt {
             // Not at once: the policy is in the middle of an event.
             let result = AttemptResult::Cancelled;
-            self.schedule(self.now, SimulationEvent::AttemptEnded { attempt, result });
+            self.schedule(self.now, SimulationEvent::AttemptCompleted { attempt, result });
         }
     }
 
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -124,7 +124,7 @@
             OfferResult::ConnectionRefused => self.return_result(id, AttemptResult::ConnectFailed),
             OfferResult::Unreachable => {
                 let result = AttemptResult::ConnectFailed;
-                self.schedule(now + CONNECT, SimulationEvent::AttemptEnded { attempt: id, result });
+                self.schedule(now + CONNECT, SimulationEvent::AttemptCompleted { attempt: id, result });
                 self.remove_from_worker(id);
             }
         }
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The failures that membership is for, each caused on a faulty network in virtual time.
+//! The failures that membership must handle, each caused on a simulated network.
 use copperspread_fault_injection::Fault;
 use copperspread_membership::{Effect, Input, Key, Membership, PacketError, SECOND, Settings};
 use copperspread_testbed::membership_simulation::{SimulatedNetwork, address, key, member_info};
@@ -33,13 +33,13 @@
     }
 }
 
-/// Longer than any suspicion: it is given up, and comes back by itself.
+/// Longer than any suspicion: it is removed, and rejoins by itself.
 #[test]
 fn a_member_paused_for_30_s_refutes_its_failure() {
     let mut network = SimulatedNetwork::joined(9, 2);
     network.pause(3, 30 * SECOND);
     network.run(29 * SECOND);
-    assert!((0..9).filter(|&by| by != 3).all(|by| !network.can_see(by, 3)), "given up");
+    assert!((0..9).filter(|&by| by != 3).all(|by| !network.can_see(by, 3)), "removed");
     network.run(31 * SECOND);
     assert!(network.all_see(8));
     assert!(
@@ -63,12 +63,12 @@
         network.links.conditions.loss_rate = 0.3;
         network.run(60 * SECOND);
         assert!(network.reported_failures().is_empty(), "seed {seed}: {:?}", network.reported_failures());
-        // Nor was it told so in error, after it had refuted.
+        // Nor had any member to refute a false report.
         assert!((0..9).all(|at| network.membership(at).local_member().rejoins == 0), "seed {seed}");
     }
 }
 
-/// B does not hear A; A hears B, and both hear the others.
+/// One member does not receive from the other; all other links work.
 #[test]
 fn a_one_way_block_between_two_members_removes_neither() {
     for seed in 0..5 {
@@ -83,7 +83,7 @@
     }
 }
 
-/// It hears all and nobody hears it: to the others it is dead, and it must not take their side apart.
+/// It receives from all and nobody receives from it: the others remove it, and it must not disturb them.
 #[test]
 fn a_member_that_nobody_hears_is_removed_and_returns_when_the_block_ends() {
     let mut network = SimulatedNetwork::joined(7, 3);
@@ -110,7 +110,7 @@
     );
     network.links.blocked.clear();
     network.run(30 * SECOND);
-    assert!(network.all_see(8), "30 s after the cut healed");
+    assert!(network.all_see(8), "30 s after the partition");
 }
 
 #[test]
@@ -122,8 +122,11 @@
     network.run(10 * SECOND);
     assert!(network.all_see(4));
     for by in [0, 1, 3, 4] {
-        let found =
-            network.visible_members(by).into_iter().find(|member| member.name == "n2").expect("it is there");
+        let found = network
+            .visible_members(by)
+            .into_iter()
+            .find(|member| member.name == "n2")
+            .expect("a visible member");
         assert_eq!(found.generation, 2, "seen by {by}");
     }
 }
@@ -147,11 +150,11 @@
     assert!(network.all_see(3));
 }
 
-/// Forged, cut, changed, oversized and foreign packets change nothing, however many come.
+/// Forged, truncated, changed and oversized packets change nothing, however many arrive.
 #[test]
 fn a_flood_of_invalid_packets_removes_nobody_and_admits_nobody() {
     let mut network = SimulatedNetwork::joined(5, 8);
-    let mut real = Vec::new();
+    let mut valid = Vec::new();
     let mut stranger = Membership::new(
         member_info(9, 1),
         Settings { seeds: vec![address(0)], ..Settings::default() },
@@ -160,32 +163,37 @@
     )
     .expect("settings");
     let mut effects = Vec::new();
-    stranger.handle(0, Input::TimerDue, &mut effects).expect("time goes on");
+    stranger.handle(0, Input::TimerDue, &mut effects).expect("a timer");
     for effect in effects {
         if let Effect::SendPacket { packet, .. } = effect {
-            real = packet;
+            valid = packet;
         }
     }
-    assert!(!real.is_empty(), "it asks its seed");
+    assert!(!valid.is_empty(), "a packet to its seed");
     let mut forged = vec![(vec![], PacketError::Malformed), (vec![1; 5_000], PacketError::TooLarge)];
-    for cut in 0..real.len() {
+    for cut in 0..valid.len() {
         forged.push((
-            real[..cut].to_vec(),
+            valid[..cut].to_vec(),
             if cut <= 32 { PacketError::Malformed } else { PacketError::Forged },
         ));
-        let mut changed = real.clone();
+        let mut changed = valid.clone();
         changed[cut] ^= 0x40;
         forged.push((changed, PacketError::Forged));
     }
-    for (packet, why) in &forged {
+    for (packet, error) in &forged {
         for _ in 0..20 {
-            assert_eq!(network.handle_input(0, Input::Packet(packet)), Some(*why), "{} bytes", packet.len());
+            assert_eq!(
+                network.handle_input(0, Input::Packet(packet)),
+                Some(*error),
+                "{} bytes",
+                packet.len()
+            );
         }
     }
     network.run(30 * SECOND);
     assert!(network.all_see(4) && network.reported_failures().is_empty());
-    // The same packet with the key is an introduction.
-    assert_eq!(network.handle_input(0, Input::Packet(&real)), None);
+    // The unchanged packet introduces its sender.
+    assert_eq!(network.handle_input(0, Input::Packet(&valid)), None);
     assert!(network.can_see(0, 9));
 }
 
@@ -193,19 +201,19 @@
 fn invalid_settings_and_keys_are_named() {
     let with = |settings| Membership::new(member_info(0, 1), settings, key(), 1).err().map(|e| e.to_string());
     let usual = Settings::default;
-    for (settings, word) in [
+    for (settings, expected) in [
         (Settings { probe_timeout: 0, ..usual() }, "time-out"),
         (Settings { probe_timeout: SECOND, ..usual() }, "time-out"),
         (Settings { indirect_probes: 0, ..usual() }, "indirect"),
         (Settings { suspicion_multiplier: f64::NAN, ..usual() }, "suspicion"),
     ] {
-        assert!(with(settings).expect("refused").contains(word));
+        assert!(with(settings).expect("rejected").contains(expected));
     }
-    assert!(Key::new(b"short").expect_err("refused").to_string().contains("16"));
-    assert_eq!(format!("{:?}", key()), "Key", "a key is not told");
+    assert!(Key::new(b"short").expect_err("rejected").to_string().contains("16"));
+    assert_eq!(format!("{:?}", key()), "Key", "a key is not printed");
 }
 
-/// Three hundred, as on the standing test: a tenth killed at once, found by all, and nobody else.
+/// A tenth of the members is killed at once: all others report these and nobody else.
 #[test]
 fn three_hundred_members_detect_thirty_failures_and_no_other() {
     let mut network = SimulatedNetwork::joined(300, 9);
--- a/crates/testbed/tests/membership_plans.rs
+++ b/crates/testbed/tests/membership_plans.rs
@@ -1,5 +1,5 @@
-//! The hard cases as plans at 300 members, in virtual time; `crates/scheduler/tests/cluster_faults.rs` plays the
-//! same ones on real processes.
+//! Fault plans with 300 members in virtual time; `crates/scheduler/tests/cluster_faults.rs` runs
+//! the same ones on real processes.
 use std::time::Duration;
 
 use copperspread_fault_injection::{FaultPlan, plans};
@@ -8,12 +8,12 @@
 
 const MEMBERS: usize = 300;
 
-fn s(seconds: u64) -> Duration {
+fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-/// All have played the plan, and see so many others within a bound after its end.
-fn played(seed: u64, plan: &FaultPlan, others: usize, bound: Micros) -> SimulatedNetwork {
+/// Runs a plan; each member must see this number of others within a bound after its end.
+fn run_plan(seed: u64, plan: &FaultPlan, others: usize, bound: Micros) -> SimulatedNetwork {
     let mut network = SimulatedNetwork::joined(MEMBERS, seed);
     network.run_plan(plan);
     assert!(
@@ -25,14 +25,14 @@
 
 #[test]
 fn one_killed_of_300_is_down_everywhere_and_nobody_else_is() {
-    let network = played(1, &plans::kill(7), MEMBERS - 2, 30 * SECOND);
+    let network = run_plan(1, &plans::kill(7), MEMBERS - 2, 30 * SECOND);
     assert_eq!(network.reported_failures().len(), MEMBERS - 1);
     assert!(network.reported_failures().iter().all(|failure| failure.name == "n7"));
 }
 
 #[test]
 fn one_of_300_paused_for_5_s_stays() {
-    let mut network = played(2, &plans::pause(7, s(5)), MEMBERS - 1, 0);
+    let mut network = run_plan(2, &plans::pause(7, seconds(5)), MEMBERS - 1, 0);
     network.run(30 * SECOND);
     assert!(
         network.all_see(MEMBERS - 1) && network.reported_failures().is_empty(),
@@ -42,10 +42,10 @@
     assert_eq!(network.membership(7).detected_pauses(), 1);
 }
 
-/// Longer than the suspicion: all give it up, and it returns.
+/// Longer than the suspicion: all remove it, and it rejoins.
 #[test]
 fn one_of_300_paused_for_40_s_is_removed_and_rejoins() {
-    let network = played(3, &plans::pause(7, s(40)), MEMBERS - 1, 60 * SECOND);
+    let network = run_plan(3, &plans::pause(7, seconds(40)), MEMBERS - 1, 60 * SECOND);
     assert!(
         network.reported_failures().iter().all(|failure| failure.name == "n7")
             && !network.reported_failures().is_empty()
@@ -56,41 +56,41 @@
 #[test]
 fn at_30_percent_loss_nobody_of_300_is_reported_down_in_20_s() {
     let usual = Duration::from_micros(500)..Duration::from_micros(20_500);
-    let network = played(4, &plans::lose_packets(0.3, usual.start, usual.end, s(20)), MEMBERS - 1, 0);
+    let network = run_plan(4, &plans::lose_packets(0.3, usual.start, usual.end, seconds(20)), MEMBERS - 1, 0);
     assert!(network.reported_failures().is_empty(), "{:?}", network.reported_failures());
     assert!(
         (0..MEMBERS).all(|at| network.membership(at).local_member().rejoins == 0),
-        "nor told so in error"
+        "no false report to refute"
     );
 }
 
 #[test]
 fn a_one_way_block_between_two_of_300_removes_neither() {
-    let network = played(5, &plans::block_one_way(0, 1, s(30)), MEMBERS - 1, 0);
+    let network = run_plan(5, &plans::block_one_way(0, 1, seconds(30)), MEMBERS - 1, 0);
     assert!(network.reported_failures().is_empty(), "{:?}", network.reported_failures());
 }
 
 #[test]
 fn a_partition_of_300_in_halves_heals_to_one_view() {
     let mut network = SimulatedNetwork::joined(MEMBERS, 6);
-    let plan = plans::partition_in_halves(MEMBERS, s(60));
+    let plan = plans::partition_in_halves(MEMBERS, seconds(60));
     let (until_healed, heal) = (FaultPlan { steps: plan.steps[..1].to_vec() }, &plan.steps[1].fault);
     network.run_plan(&until_healed);
     network.run(60 * SECOND);
     assert!(
         (0..MEMBERS).all(|at| network.visible_members(at).len() == MEMBERS / 2 - 1),
-        "each half has given up the other"
+        "each half has removed the other"
     );
     network.apply_fault(heal);
     assert!(
         network.run_until(120 * SECOND, SECOND, |network| network.all_see(MEMBERS - 1)).is_some(),
-        "120 s after the heal"
+        "120 s after the partition"
     );
 }
 
 #[test]
 fn one_of_300_that_restarts_returns_with_a_new_generation() {
-    let network = played(7, &plans::restart(7, s(1)), MEMBERS - 1, 30 * SECOND);
+    let network = run_plan(7, &plans::restart(7, seconds(1)), MEMBERS - 1, 30 * SECOND);
     let of_7 = |by| {
         network.visible_members(by).into_iter().find(|member| member.name == "n7").expect("seen").generation
     };
@@ -100,8 +100,8 @@
 #[test]
 fn a_seed_that_starts_20_s_late_joins_299_members() {
     let mut network = SimulatedNetwork::new(MEMBERS, 8);
-    network.run_plan(&plans::start_seeds_late(MEMBERS, 1, s(20)));
-    assert!(network.all_see(0), "nobody has found another");
+    network.run_plan(&plans::start_seeds_late(MEMBERS, 1, seconds(20)));
+    assert!(network.all_see(0), "no member sees another");
     assert!(
         network.run_until(60 * SECOND, SECOND, |network| network.all_see(MEMBERS - 1)).is_some(),
         "60 s after the seed"
