--- a/crates/testbed/tests/vast.rs
+++ b/crates/testbed/tests/vast.rs
@@ -24,7 +24,7 @@
 
 /// Six in ten workers replaced within 7 s: the ones in slow start are used. A zone returns in slow start: none is
 /// overloaded. A release kills most schedulers: no rule is violated. Measured: 0.681, 0.860 and 0.608. With a slow-
-/// start share that fades out: 0.661, 0.859 and 0.607; also without placement preferences: 0.650, 0.822 and 0.612;
+/// start share that fades out: 0.661, 0.859 and 0.607; also without affinity: 0.650, 0.822 and 0.612;
 /// the first without the list's sizes: 0.589.
 #[test]
 fn large_fleets_violate_no_rule_and_keep_their_share() {
