--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -124,7 +124,10 @@
             OfferResult::ConnectionRefused => self.return_result(id, AttemptResult::ConnectFailed),
             OfferResult::Unreachable => {
                 let result = AttemptResult::ConnectFailed;
-                self.schedule(now + CONNECT_TIMEOUT, SimulationEvent::AttemptEnded { attempt: id, result });
+                self.schedule(
+                    now + CONNECT_TIMEOUT,
+                    SimulationEvent::AttemptCompleted { attempt: id, result },
+                );
                 self.remove_from_worker(id);
             }
         }
