--- a/crates/dispatcher/tests/failures.rs
+++ b/crates/dispatcher/tests/failures.rs
@@ -195,10 +195,10 @@
         let worker = harness.sent_worker().expect("sent");
         hits[class as usize][worker as usize] += usize::from(request >= 100);
         harness.now += 100 * MS;
-        if (class, worker) != (1, 0) {
-            harness.complete(request, 0, Outcome::Served);
-        } else {
+        if (class, worker) == (1, 0) {
             silent.push_back(request);
+        } else {
+            harness.complete(request, 0, Outcome::Served);
         }
         if silent.front().is_some_and(|&first| first + 20 < request) {
             // Its client goes, which says nothing of the worker.
--- a/crates/scheduler/tests/sockets/fake_discovery.rs
+++ b/crates/scheduler/tests/sockets/fake_discovery.rs
@@ -9,11 +9,11 @@
 use crate::sockets::{endpoint_list, reserve_address, within};
 
 /// A response that refuses a call and closes its connection.
-pub const UNAVAILABLE: &str =
+pub(crate) const UNAVAILABLE: &str =
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
 /// A discovery that may be unavailable, and whose answers may be anything.
-pub struct FakeDiscovery {
+pub(crate) struct FakeDiscovery {
     pub address: SocketAddr,
     pub listener: Option<TcpListener>,
     /// Connections that fill its queue.
@@ -23,27 +23,27 @@
 }
 
 /// One call to it, not answered yet.
-pub struct Call {
+pub(crate) struct Call {
     pub first_line: String,
     stream: BufReader<TcpStream>,
 }
 
 impl FakeDiscovery {
     /// One that refuses connections.
-    pub fn refusing() -> FakeDiscovery {
+    pub(crate) fn refusing() -> FakeDiscovery {
         let (reserved, address) = reserve_address();
         FakeDiscovery { address, listener: None, queued: Vec::new(), _reserved: reserved }
     }
-    pub async fn available() -> FakeDiscovery {
+    pub(crate) async fn available() -> FakeDiscovery {
         let mut discovery = FakeDiscovery::refusing();
         discovery.listen().await;
         discovery
     }
-    pub async fn listen(&mut self) {
+    pub(crate) async fn listen(&mut self) {
         self.listener = Some(TcpListener::bind(self.address).await.expect("its address"));
     }
     /// Unavailable in one of these ways: `refuses`, `silent` or `no connection comes up`.
-    pub async fn unavailable(how: &str) -> FakeDiscovery {
+    pub(crate) async fn unavailable(how: &str) -> FakeDiscovery {
         match how {
             "refuses" => FakeDiscovery::refusing(),
             "silent" => FakeDiscovery::available().await,
@@ -66,14 +66,14 @@
         }
     }
     /// Makes it available again.
-    pub async fn recover(&mut self) {
+    pub(crate) async fn recover(&mut self) {
         self.queued.clear();
         if self.listener.is_none() {
             self.listen().await;
         }
     }
     /// The next call whose caller still waits.
-    pub async fn next_call(&self) -> Call {
+    pub(crate) async fn next_call(&self) -> Call {
         loop {
             let (stream, _) = within("a call", self.listener.as_ref().expect("it is up").accept())
                 .await
@@ -91,7 +91,7 @@
         }
     }
     /// Answers with a complete list until it is applied: the next call watches its revision.
-    pub async fn publish(&self, revision: u64, members: &[String]) -> Call {
+    pub(crate) async fn publish(&self, revision: u64, members: &[String]) -> Call {
         loop {
             self.next_call().await.respond_with_list(&endpoint_list(revision, true, members)).await;
             let next = self.next_call().await;
@@ -104,11 +104,11 @@
 }
 
 impl Call {
-    pub async fn write(&mut self, text: &str) {
+    pub(crate) async fn write(&mut self, text: &str) {
         let _ = self.stream.write_all(text.as_bytes()).await;
     }
     /// Answers with a list and closes, so that each call has a connection of its own.
-    pub async fn respond_with_list(mut self, body: &str) {
+    pub(crate) async fn respond_with_list(mut self, body: &str) {
         let length = body.len();
         self.write(&format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}"
@@ -116,7 +116,7 @@
         .await;
     }
     /// Writes a beginning and then the same again and again, until the scheduler closes.
-    pub fn repeat_forever(mut self, begin: &'static str, again: String, pause: Duration) {
+    pub(crate) fn repeat_forever(mut self, begin: &'static str, again: String, pause: Duration) {
         tokio::spawn(async move {
             let mut text = begin.as_bytes();
             while self.stream.write_all(text).await.is_ok() {
@@ -125,13 +125,13 @@
             }
         });
     }
-    pub fn reset(self) {
+    pub(crate) fn reset(self) {
         let _ = self.stream.get_ref().set_zero_linger();
     }
 }
 
 /// The faults that a watch may meet.
-pub const WATCH_FAULTS: [&str; 15] = [
+pub(crate) const WATCH_FAULTS: [&str; 15] = [
     "silent",
     "closed",
     "reset",
@@ -150,7 +150,7 @@
 ];
 
 /// Lets a watch meet one of [`WATCH_FAULTS`]. Some are kept open in silence: what is returned holds them.
-pub async fn inject(fault: &str, mut watch: Call, members: &[String]) -> Option<Call> {
+pub(crate) async fn inject(fault: &str, mut watch: Call, members: &[String]) -> Option<Call> {
     let body = endpoint_list(6, true, members);
     let long = body.len() + 9;
     let (half, pause) = (&body[..body.len() / 2], Duration::from_millis(20));
--- a/crates/scheduler/tests/sockets/mod.rs
+++ b/crates/scheduler/tests/sockets/mod.rs
@@ -17,20 +17,20 @@
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Waits for what must come.
-pub async fn within<T>(what: &str, event: impl Future<Output = T>) -> T {
+pub(crate) async fn within<T>(what: &str, event: impl Future<Output = T>) -> T {
     timeout(MAX_WAIT, event).await.unwrap_or_else(|_| panic!("{what}: nothing came in {MAX_WAIT:?}"))
 }
 
 /// An HTTP message: its first line, headers by lower-case name, and body.
 #[derive(Debug)]
-pub struct Message {
+pub(crate) struct Message {
     pub first_line: String,
     pub headers: HashMap<String, String>,
     pub body: String,
 }
 
 impl Message {
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.first_line.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status")
     }
 }
@@ -56,7 +56,7 @@
 }
 
 /// The next request on a connection that a test plays byte by byte; nothing if it ended.
-pub async fn next_message(connection: &mut BufReader<TcpStream>) -> Option<Message> {
+pub(crate) async fn next_message(connection: &mut BufReader<TcpStream>) -> Option<Message> {
     within("a request or the connection's end", read(connection)).await
 }
 
@@ -82,14 +82,14 @@
 }
 
 /// A server that answers each request at once and records its bytes.
-pub struct RecordingServer {
+pub(crate) struct RecordingServer {
     pub address: SocketAddr,
     requests: mpsc::UnboundedReceiver<Vec<u8>>,
 }
 
 impl RecordingServer {
     /// One that answers by a function of the request line; an empty answer closes the connection.
-    pub async fn start(answer: fn(&str) -> String) -> RecordingServer {
+    pub(crate) async fn start(answer: fn(&str) -> String) -> RecordingServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let (sender, requests) = mpsc::unbounded_channel();
@@ -111,14 +111,14 @@
         RecordingServer { address, requests }
     }
     /// The next request, byte by byte.
-    pub async fn next_request(&mut self) -> String {
+    pub(crate) async fn next_request(&mut self) -> String {
         let request = within("a request", self.requests.recv()).await.expect("the server runs");
         String::from_utf8(request).expect("UTF-8")
     }
 }
 
 /// A request that reached a server, to be answered; dropped, its connection closes.
-pub struct ReceivedRequest {
+pub(crate) struct ReceivedRequest {
     pub message: Message,
     /// The other end of its connection.
     pub peer: SocketAddr,
@@ -126,17 +126,17 @@
 }
 
 impl ReceivedRequest {
-    pub fn respond(self, status: &str, headers: &str, body: &str) {
+    pub(crate) fn respond(self, status: &str, headers: &str, body: &str) {
         let length = body.len();
         let text = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
         let _ = self.reply.send(text);
     }
     /// Waits until the scheduler has closed the connection.
-    pub async fn wait_until_closed(mut self) {
+    pub(crate) async fn wait_until_closed(mut self) {
         within("the end of a connection", self.reply.closed()).await;
     }
     /// The worker's 202; returns the request's id.
-    pub fn accept(self) -> String {
+    pub(crate) fn accept(self) -> String {
         let id = self.message.headers["x-request-id"].clone();
         self.respond("202 Accepted", "", "");
         id
@@ -144,13 +144,13 @@
 }
 
 /// A server that listens: discovery or a worker.
-pub struct FakeServer {
+pub(crate) struct FakeServer {
     pub address: SocketAddr,
     requests: mpsc::UnboundedReceiver<ReceivedRequest>,
 }
 
 impl FakeServer {
-    pub async fn start() -> FakeServer {
+    pub(crate) async fn start() -> FakeServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let (events, requests) = mpsc::unbounded_channel();
@@ -177,57 +177,57 @@
         });
         FakeServer { address, requests }
     }
-    pub async fn next_request(&mut self) -> ReceivedRequest {
+    pub(crate) async fn next_request(&mut self) -> ReceivedRequest {
         within("a request", self.requests.recv()).await.expect("the server runs")
     }
-    pub fn is_idle(&mut self) -> bool {
+    pub(crate) fn is_idle(&mut self) -> bool {
         self.requests.try_recv().is_err()
     }
 }
 
 /// A client's connection.
-pub struct Client(BufReader<TcpStream>);
+pub(crate) struct Client(BufReader<TcpStream>);
 
 impl Client {
-    pub async fn connect(address: SocketAddr) -> Client {
+    pub(crate) async fn connect(address: SocketAddr) -> Client {
         Client(BufReader::new(TcpStream::connect(address).await.expect("it listens")))
     }
-    pub async fn send(&mut self, text: &str) {
+    pub(crate) async fn send(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).await.expect("it reads");
     }
-    pub async fn next_response(&mut self) -> Option<Message> {
+    pub(crate) async fn next_response(&mut self) -> Option<Message> {
         within("an answer", read(&mut self.0)).await
     }
-    pub async fn exchange(&mut self, text: &str) -> Message {
+    pub(crate) async fn exchange(&mut self, text: &str) -> Message {
         self.send(text).await;
         self.next_response().await.expect("an answer")
     }
     /// The next answer, byte by byte.
-    pub async fn next_response_bytes(&mut self) -> String {
+    pub(crate) async fn next_response_bytes(&mut self) -> String {
         let answer = within("an answer", read_bytes(&mut self.0)).await.expect("an answer");
         String::from_utf8(answer).expect("UTF-8")
     }
-    pub async fn exchange_bytes(&mut self, text: &str) -> String {
+    pub(crate) async fn exchange_bytes(&mut self, text: &str) -> String {
         self.send(text).await;
         self.next_response_bytes().await
     }
-    pub async fn send_request(&mut self, class: &str, id: u64, millis: u64) {
+    pub(crate) async fn send_request(&mut self, class: &str, id: u64, millis: u64) {
         self.send(&request_text(class, id, millis)).await;
     }
     /// Its request is served, with word that the connection closes, and it closes with care.
-    pub async fn expect_served_and_closed(&mut self) {
+    pub(crate) async fn expect_served_and_closed(&mut self) {
         let answer = self.next_response().await.expect("an answer");
         assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
         assert!(self.closes_cleanly().await, "no reset over what was not read");
     }
     /// Waits for the connection's end; whether it came as a close and not as a reset, and after nothing more.
-    pub async fn closes_cleanly(&mut self) -> bool {
+    pub(crate) async fn closes_cleanly(&mut self) -> bool {
         let mut rest = Vec::new();
         within("an end", self.0.read_to_end(&mut rest)).await.is_ok() && rest.is_empty()
     }
 }
 
-pub fn request_text(class: &str, id: u64, millis: u64) -> String {
+pub(crate) fn request_text(class: &str, id: u64, millis: u64) -> String {
     let head = format!("POST /{class}/k?q=1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: {id:016x}\r\n");
     head + &format!(
         "X-Timeout: {millis}m\r\nIdempotency-Key: k7\r\nX-Cost: 1000\r\nContent-Length: 2\r\n\r\nhi"
@@ -242,12 +242,12 @@
 }
 
 /// One line of discovery's list.
-pub fn endpoint(id: &str, address: SocketAddr, phase: &str) -> String {
+pub(crate) fn endpoint(id: &str, address: SocketAddr, phase: &str) -> String {
     let place = r#""locality":"a","flavor":"m","cell":0,"size":1.0,"up_since_ms":0"#;
     format!(r#"{{"id":"{id}","host_port":"{address}","phase":"{phase}",{place}}}"#)
 }
 
-pub fn endpoint_list(revision: u64, complete: bool, members: &[String]) -> String {
+pub(crate) fn endpoint_list(revision: u64, complete: bool, members: &[String]) -> String {
     let members = members.join(",");
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#)
 }
@@ -261,7 +261,7 @@
                 "max_retry_after_s":2},
  "safety":{"cold_from":0.3,"cold_s":9,"fall_multiple":2.5,"fall_s":3}}"#;
 
-pub fn config(listen: SocketAddr, discovery: SocketAddr, known: &str) -> String {
+pub(crate) fn config(listen: SocketAddr, discovery: SocketAddr, known: &str) -> String {
     let limits = r#""limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"seed":"8c1f30d27a5be964""#;
     format!(
         r#"{{"name":"n","listen":"{listen}","discovery":"{discovery}",{limits},"known":{known},"settings":{SETTINGS}}}"#
@@ -270,7 +270,7 @@
 
 /// An address of its own: bound and not listening, so that the kernel gives it to nobody else, while
 /// the program, whose listener may share addresses, can still take it.
-pub fn reserve_address() -> (TcpSocket, SocketAddr) {
+pub(crate) fn reserve_address() -> (TcpSocket, SocketAddr) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseaddr(true).expect("an option");
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
@@ -279,7 +279,7 @@
 }
 
 /// The program, and the discovery it watches.
-pub struct Scheduler {
+pub(crate) struct Scheduler {
     pub address: SocketAddr,
     pub discovery: FakeServer,
     pub child: Child,
@@ -297,14 +297,17 @@
 
 impl Scheduler {
     /// Starts it with workers that it knows from before, named r0, r1, ...
-    pub async fn start(known: &[SocketAddr]) -> Scheduler {
+    pub(crate) async fn start(known: &[SocketAddr]) -> Scheduler {
         Scheduler::start_by_command("exec \"$PROGRAM\"", 1024, known).await
     }
     /// A standalone one, by a file whose text depends on its address.
-    pub async fn standalone(text: impl Fn(SocketAddr) -> String, variables: &[(&str, &str)]) -> Scheduler {
+    pub(crate) async fn standalone(
+        text: impl Fn(SocketAddr) -> String,
+        variables: &[(&str, &str)],
+    ) -> Scheduler {
         Scheduler::standalone_with(&[], text, variables).await
     }
-    pub async fn standalone_with(
+    pub(crate) async fn standalone_with(
         flags: &[&str],
         text: impl Fn(SocketAddr) -> String,
         variables: &[(&str, &str)],
@@ -318,13 +321,13 @@
         Scheduler::run(command, reserved, FakeServer::start().await, path).await
     }
     /// The same by a shell's command, with so many descriptors in its configuration.
-    pub async fn start_by_command(command: &str, sockets: u32, known: &[SocketAddr]) -> Scheduler {
+    pub(crate) async fn start_by_command(command: &str, sockets: u32, known: &[SocketAddr]) -> Scheduler {
         let limit =
             move |config: String| config.replace("\"sockets\":1024", &format!("\"sockets\":{sockets}"));
         Scheduler::start_edited(command, known, limit).await
     }
     /// With another configuration than usual.
-    pub async fn start_with(known: &[SocketAddr], config: impl Fn(String) -> String) -> Scheduler {
+    pub(crate) async fn start_with(known: &[SocketAddr], config: impl Fn(String) -> String) -> Scheduler {
         Scheduler::start_edited("exec \"$PROGRAM\"", known, config).await
     }
     async fn start_edited(
@@ -363,41 +366,47 @@
             }
         }
     }
-    pub async fn client(&self) -> Client {
+    pub(crate) async fn client(&self) -> Client {
         Client::connect(self.address).await
     }
     /// A callback with these further fields; returns the status that it gets.
-    pub async fn call_back(&self, id: &str, from: &str, fields: &str) -> u16 {
+    pub(crate) async fn call_back(&self, id: &str, from: &str, fields: &str) -> u16 {
         self.post_callback(&format!(r#"{{"id":"{id}","from":"{from}",{fields}}}"#)).await
     }
-    pub async fn post_callback(&self, body: &str) -> u16 {
+    pub(crate) async fn post_callback(&self, body: &str) -> u16 {
         let length = body.len();
         let text = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{body}");
         self.client().await.exchange(&text).await.status()
     }
     /// A request of the class `once` goes to the worker r0 and is done.
-    pub async fn serve_request(&self, client: &mut Client, worker: &mut FakeServer, number: u64, done: &str) {
+    pub(crate) async fn serve_request(
+        &self,
+        client: &mut Client,
+        worker: &mut FakeServer,
+        number: u64,
+        done: &str,
+    ) {
         client.send_request("once", number, 9000).await;
         let id = worker.next_request().await.accept();
         assert_eq!(self.call_back(&id, "r0", done).await, 204);
         assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
-    pub async fn terminate(&self) {
+    pub(crate) async fn terminate(&self) {
         self.signal("TERM").await;
     }
     /// Waits for a line of the log.
-    pub async fn wait_for_log(&mut self, part: &str) {
+    pub(crate) async fn wait_for_log(&mut self, part: &str) {
         while !self.next_line().await.contains(part) {}
     }
     /// Replaces the configuration and sends SIGHUP; returns the lines logged up to the one that
     /// tells what came of it.
-    pub async fn reload(&mut self, content: &str) -> Vec<String> {
+    pub(crate) async fn reload(&mut self, content: &str) -> Vec<String> {
         std::fs::write(&self.path, content).expect("a configuration");
         self.signal("HUP").await;
         self.lines_until_configuration().await
     }
     /// The log's lines up to the next that tells what came of a configuration.
-    pub async fn lines_until_configuration(&mut self) -> Vec<String> {
+    pub(crate) async fn lines_until_configuration(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
         while lines.last().is_none_or(|line: &String| !line.contains("configuration")) {
             lines.push(self.next_line().await);
@@ -405,18 +414,18 @@
         lines
     }
     /// The log's next line.
-    pub async fn next_line(&mut self) -> String {
+    pub(crate) async fn next_line(&mut self) -> String {
         self.try_next_line().await.expect("a line")
     }
     /// The same, or nothing once the log has ended.
-    pub async fn try_next_line(&mut self) -> Option<String> {
+    pub(crate) async fn try_next_line(&mut self) -> Option<String> {
         within("a line of the log", self.log.next_line()).await.expect("a log")
     }
-    pub async fn signal(&self, name: &str) {
+    pub(crate) async fn signal(&self, name: &str) {
         self.signals(&[name]).await;
     }
     /// Several, one right after the other.
-    pub async fn signals(&self, names: &[&str]) {
+    pub(crate) async fn signals(&self, names: &[&str]) {
         let pid = self.child.id().expect("it runs");
         let kill: Vec<_> = names.iter().map(|name| format!("kill -{name} {pid}")).collect();
         let kill = kill.join(" && ");
@@ -426,7 +435,7 @@
 
 impl Scheduler {
     /// Ends it by a signal and starts it again, on the same address and from the same file.
-    pub async fn restart(&mut self, signal: &str) {
+    pub(crate) async fn restart(&mut self, signal: &str) {
         self.signal(signal).await;
         within("its end", self.child.wait()).await.expect("it ended");
         let mut start = Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
