--- a/crates/scheduler/tests/standalone.rs
+++ b/crates/scheduler/tests/standalone.rs
@@ -149,23 +149,20 @@
     scheduler.call_back(&id, "r0", DONE).await;
     client.next_response().await.expect("an answer");
     // The 202 may arrive after the callback, so the two lines come in either order.
-    let (mut answered, mut handed) = (None, None);
-    while answered.is_none() || handed.is_none() {
+    let (mut response, mut dispatch) = (None, None);
+    while response.is_none() || dispatch.is_none() {
         let line: serde_json::Value =
             serde_json::from_str(&scheduler.next_line().await).expect("a JSON line");
         match line["message"].as_str() {
-            Some("final answer") => answered = Some(line),
-            Some("handed over") => handed = Some(line),
+            Some("final response") => response = Some(line),
+            Some("dispatch ended") => dispatch = Some(line),
             _ => {}
         }
     }
-    let (answered, handed) = (answered.expect("a line"), handed.expect("a line"));
-    assert_eq!(answered["answer"], "served");
-    assert_eq!(answered["span"]["flow"], "0000000000000002");
-    assert_eq!(
-        (&handed["span"]["real_server"], &handed["spans"][0]["class"]),
-        (&"r0".into(), &"once".into())
-    );
+    let (response, dispatch) = (response.expect("a line"), dispatch.expect("a line"));
+    assert_eq!(response["response"], "served");
+    assert_eq!(response["span"]["request_id"], "0000000000000002");
+    assert_eq!((&dispatch["span"]["worker"], &dispatch["spans"][0]["class"]), (&"r0".into(), &"once".into()));
 }
 
 /// Its pipe fills up.
