--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,7 +1,8 @@
-//! The parts of the world, each on its own: time and chance come in as arguments.
+//! The model that simulation and emulation share: clients, workers and faults. Time and random streams come in
+//! as arguments.
 pub mod arrivals;
-pub mod chance;
+pub mod connection_faults;
 pub mod fleet;
-pub mod keys;
-pub mod wire;
+pub mod idempotency_keys;
+pub mod random;
 pub mod worker;
