--- /dev/null
+++ b/crates/testbed/src/commands/cost.rs
@@ -0,0 +1,47 @@
+//! `cost`: the program's processor time for a job, against a relay.
+use std::path::PathBuf;
+
+use clap::Args;
+use copperspread_testbed::cost::{self, CostSettings};
+use copperspread_testbed::emulation::scheduler_process::SchedulerProgram;
+use copperspread_testbed::policy::PolicyKind;
+
+use super::output::{json_line, print};
+use super::{CommandOutcome, CommandResult};
+
+#[derive(Debug, Args)]
+pub(crate) struct CostArguments {
+    /// The program, in place of the one beside this one
+    #[arg(long)]
+    program: Option<PathBuf>,
+    /// Rounds, each of both in turn
+    #[arg(long, default_value_t = 5)]
+    rounds: u32,
+    /// Seconds of each in a round
+    #[arg(long, default_value_t = 3.0)]
+    seconds: f64,
+    /// Clients that ask one request after the other
+    #[arg(long, default_value_t = 64)]
+    clients: usize,
+    /// Workers
+    #[arg(long, default_value_t = 8)]
+    workers: u32,
+    /// Print all rounds as JSON
+    #[arg(long)]
+    json: bool,
+}
+
+/// Measures the program and the relay in turn, and prints both.
+pub(super) fn run(arguments: CostArguments) -> CommandResult {
+    let CostArguments { program, rounds, seconds, clients, workers, json } = arguments;
+    let program = match program {
+        Some(file) => SchedulerProgram { file, arguments: vec!["serve".into()] },
+        None => SchedulerProgram::for_policy(PolicyKind::Copperspread)?,
+    };
+    let own_file = std::env::current_exe().map_err(|error| format!("this program's own file: {error}"))?;
+    let relay = SchedulerProgram { file: own_file, arguments: vec!["relay".into()] };
+    let programs = [("copperspread".to_owned(), program), ("bare relay".to_owned(), relay)];
+    let measured = cost::measure_costs(&programs, CostSettings { rounds, seconds, clients, workers })?;
+    print(&if json { json_line(&measured)? } else { cost::format_table(&measured) })?;
+    Ok(CommandOutcome::Done)
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -4,11 +4,11 @@
 //!   scenario (TOML) ──► model ──► fleet, faults, arrivals, idempotency keys, workers, connection faults
 //!                         │ events and effects, time as an argument
 //!           ┌─────────────┴──────────────┐
-//!      simulation                     emulate
+//!      simulation                    emulation
 //!   virtual time, policies        real time on loopback, the program's
 //!   called directly               own processes (or the proxy with a policy)
 //!           └─────────────┬──────────────┘
-//!              what clients and workers saw ──► referee
+//!              what clients and workers saw ──► rule_checker
 //!                         │
 //!              outcome ──► compare (paired by seed) ──► report
 //!                         ▲
@@ -24,16 +24,19 @@
 //! so that two variants of one experiment get the same arrivals.
 pub mod compare;
 pub mod cost;
-pub mod emulate;
+pub mod emulation;
 pub mod experiment;
+mod http_client;
+mod job_request;
 pub mod load;
 pub mod membership_simulation;
 pub mod model;
 pub mod outcome;
 pub mod policy;
-pub mod referee;
 pub mod relay;
 pub mod report;
+pub mod rule_checker;
 pub mod scenario;
 pub mod simulation;
+pub mod startup;
 pub mod trace;
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -6,7 +6,7 @@
 
 use crate::model::random::{RandomStream, StreamPurpose, random_stream};
 use crate::model::worker::OfferedJob;
-use crate::scenario::{Class, Fault, Scenario, Spread, Trouble, micros};
+use crate::scenario::{Fault, FaultKind, JobClass, Scenario, WorkDistribution, micros_from_seconds};
 
 /// The fraction of a class's jobs that a heavy tail makes longer.
 const HEAVY_TAIL_FRACTION: f64 = 0.01;
@@ -34,9 +34,9 @@
 
 impl Arrival {
     /// The job as an attempt offers it to a worker.
-    pub fn to_offered_job(&self, attempt: u64, class_spec: &Class) -> OfferedJob {
+    pub fn to_offered_job(&self, attempt: u64, class_spec: &JobClass) -> OfferedJob {
         let Arrival { class, work, slots, memory, .. } = *self;
-        OfferedJob { attempt, class, work, slots, memory, weight: class_spec.worth }
+        OfferedJob { attempt, class, work, slots, memory, weight: class_spec.priority_weight }
     }
 }
 
@@ -71,15 +71,15 @@
         self.next_recorded += 1;
         let scheduler = self.draw_scheduler();
         let arrival = Arrival {
-            at: micros(recorded.at),
+            at: micros_from_seconds(recorded.arrives_at_s),
             class: recorded.class,
             work: recorded.work,
             slots: recorded.slots,
-            memory: self.scenario.classes[recorded.class as usize].memory * recorded.slots,
+            memory: self.scenario.classes[recorded.class as usize].mean_memory * recorded.slots,
             cost_hint: recorded.hint,
             scheduler,
         };
-        (recorded.at < self.scenario.seconds).then_some(arrival)
+        (recorded.arrives_at_s < self.scenario.duration_s).then_some(arrival)
     }
 
     /// Draws the next job. The order of the draws is part of what a seed means.
@@ -87,8 +87,8 @@
         let scenario = self.scenario;
         // The rate at the last arrival serves for the whole gap: changes of rate last for many gaps.
         let gap: f64 = Exp1.sample(&mut self.random);
-        self.last_at += gap / (scenario.clients.rate * self.rate_factor(self.last_at));
-        if self.last_at >= scenario.seconds {
+        self.last_at += gap / (scenario.clients.rate_per_s * self.rate_factor(self.last_at));
+        if self.last_at >= scenario.duration_s {
             return None;
         }
         let class_index = self.draw_class();
@@ -97,14 +97,14 @@
         let slots = self.draw_slots(class);
         let memory = self.draw_memory(class, slots);
         let is_heavy = self.random.random::<f64>() < HEAVY_TAIL_FRACTION;
-        let hint_error = self.draw_log_normal(0.0, scenario.clients.hint_error.unwrap_or(0.0), 1.0);
+        let hint_error = self.draw_log_normal(0.0, scenario.clients.hint_error_sigma.unwrap_or(0.0), 1.0);
         let scheduler = self.draw_scheduler();
-        let cost_hint = scenario.clients.hint_error.map(|_| work * hint_error);
+        let cost_hint = scenario.clients.hint_error_sigma.map(|_| work * hint_error);
         if is_heavy && self.has_heavy_tail(class_index as u32) {
             // The hint does not foresee it.
             work *= HEAVY_TAIL_FACTOR;
         }
-        let at = micros(self.last_at);
+        let at = micros_from_seconds(self.last_at);
         Some(Arrival { at, class: class_index as u32, work, slots, memory, cost_hint, scheduler })
     }
 
@@ -113,26 +113,30 @@
         self.cumulative_shares.iter().position(|&share| draw < share).unwrap_or(0)
     }
 
-    fn draw_work(&mut self, class: &Class) -> f64 {
-        match class.spread {
-            Spread::Constant => class.work,
-            Spread::Exponential => Exp::new(1.0 / class.work)
-                .map_or(class.work, |distribution| distribution.sample(&mut self.random)),
+    fn draw_work(&mut self, class: &JobClass) -> f64 {
+        match class.work_distribution {
+            WorkDistribution::Constant => class.mean_work,
+            WorkDistribution::Exponential => Exp::new(1.0 / class.mean_work)
+                .map_or(class.mean_work, |distribution| distribution.sample(&mut self.random)),
             // The location makes the mean the class's.
-            Spread::LogNormal(sigma) => {
-                self.draw_log_normal(class.work.ln() - sigma * sigma / 2.0, sigma, class.work)
+            WorkDistribution::LogNormal(sigma) => {
+                self.draw_log_normal(class.mean_work.ln() - sigma * sigma / 2.0, sigma, class.mean_work)
             }
         }
     }
 
-    fn draw_slots(&mut self, class: &Class) -> f64 {
+    fn draw_slots(&mut self, class: &JobClass) -> f64 {
         let draw = self.random.random::<f64>();
-        if class.slots.is_empty() { 1.0 + f64::from(draw < class.wide) } else { slots_at(&class.slots, draw) }
+        if class.slot_distribution.is_empty() {
+            1.0 + f64::from(draw < class.two_slot_share)
+        } else {
+            slots_at(&class.slot_distribution, draw)
+        }
     }
 
-    fn draw_memory(&mut self, class: &Class, slots: f64) -> f64 {
-        let memory = class.memory * slots;
-        let sigma = class.memory_spread;
+    fn draw_memory(&mut self, class: &JobClass, slots: f64) -> f64 {
+        let memory = class.mean_memory * slots;
+        let sigma = class.memory_sigma;
         if sigma <= 0.0 {
             return memory;
         }
@@ -148,14 +152,14 @@
     /// Draws the scheduler that a client's first request goes to.
     fn draw_scheduler(&mut self) -> u32 {
         let schedulers = self.scenario.schedulers;
-        let Some(crowded) = self.scenario.clients.crowded else {
+        let Some(crowded) = self.scenario.clients.skew else {
             return self.random.random_range(0..schedulers);
         };
-        let crowded_weight = f64::from(crowded.schedulers) * crowded.times;
+        let crowded_weight = f64::from(crowded.schedulers) * crowded.factor;
         let draw =
             self.random.random::<f64>() * (crowded_weight + f64::from(schedulers - crowded.schedulers));
         let position = if draw < crowded_weight {
-            draw / crowded.times
+            draw / crowded.factor
         } else {
             draw - crowded_weight + f64::from(crowded.schedulers)
         };
@@ -164,10 +168,10 @@
 
     /// How many times the usual rate jobs arrive at a time, in seconds.
     fn rate_factor(&self, at: f64) -> f64 {
-        let factor = |fault: &Fault| match fault.what {
-            Trouble::Burst(factor) if is_active(fault, at) => factor,
-            Trouble::Ramp(factor) if is_active(fault, at) => {
-                1.0 + (factor - 1.0) * (at - fault.at) / fault.lasts
+        let factor = |fault: &Fault| match fault.kind {
+            FaultKind::Burst(factor) if is_active(fault, at) => factor,
+            FaultKind::Ramp(factor) if is_active(fault, at) => {
+                1.0 + (factor - 1.0) * (at - fault.starts_at_s) / fault.duration_s
             }
             _ => 1.0,
         };
@@ -176,7 +180,7 @@
 
     fn has_heavy_tail(&self, class: u32) -> bool {
         let makes_tail =
-            |fault: &Fault| fault.what == Trouble::HeavyTail(class) && is_active(fault, self.last_at);
+            |fault: &Fault| fault.kind == FaultKind::HeavyTail(class) && is_active(fault, self.last_at);
         self.scenario.faults.iter().any(makes_tail)
     }
 }
@@ -195,7 +199,7 @@
 
 /// Whether a fault is in force at a time, in seconds.
 fn is_active(fault: &Fault, at: f64) -> bool {
-    (fault.at..fault.at + fault.lasts).contains(&at)
+    (fault.starts_at_s..fault.starts_at_s + fault.duration_s).contains(&at)
 }
 
 /// The slots of a job among `[slots, weight]` pairs, by a number drawn evenly from 0 to 1.
--- a/crates/testbed/src/model/connection_faults.rs
+++ b/crates/testbed/src/model/connection_faults.rs
@@ -1,7 +1,7 @@
 //! Faults of a worker's connections, apart from the worker itself.
 use copperspread_dispatcher::Micros;
 
-use crate::scenario::{Trouble, micros};
+use crate::scenario::{FaultKind, micros_from_seconds};
 
 /// The faults of one worker's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -35,14 +35,14 @@
 
 impl ConnectionFaults {
     /// Applies the start or the end of a fault; whether it was one of connections.
-    pub fn apply_fault(&mut self, fault: Trouble, is_start: bool) -> bool {
+    pub fn apply_fault(&mut self, fault: FaultKind, is_start: bool) -> bool {
         let if_active = |value: f64| if is_start { value } else { 0.0 };
         match fault {
-            Trouble::Resetting(fraction) => self.reset_fraction = if_active(fraction),
-            Trouble::Garbled(fraction) => self.invalid_response_fraction = if_active(fraction),
-            Trouble::Failing(fraction) => self.error_fraction = if_active(fraction),
-            Trouble::LateNews(delay) => self.callback_delay = micros(if_active(delay)),
-            Trouble::DoubledNews => self.duplicates_callbacks = is_start,
+            FaultKind::Resetting(fraction) => self.reset_fraction = if_active(fraction),
+            FaultKind::Garbled(fraction) => self.invalid_response_fraction = if_active(fraction),
+            FaultKind::Failing(fraction) => self.error_fraction = if_active(fraction),
+            FaultKind::LateCallbacks(delay) => self.callback_delay = micros_from_seconds(if_active(delay)),
+            FaultKind::DuplicateCallbacks => self.duplicates_callbacks = is_start,
             _ => return false,
         }
         true
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -6,8 +6,8 @@
 
 use crate::model::random::{RandomStream, StreamPurpose, random_stream};
 use crate::model::worker::{ProcessState, Worker, WorkerSpec};
-use crate::referee::ColdBudget;
-use crate::scenario::{Cold, Fault, Group, Scenario, micros};
+use crate::rule_checker::SlowStartBudget;
+use crate::scenario::{Fault, Scenario, SlowStart, WorkerGroup, micros_from_seconds};
 
 /// A fault that starts or ends, for one target or for none.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -62,31 +62,32 @@
     for (kind, group) in scenario.workers.iter().enumerate() {
         for _ in 0..group.count {
             let zone = workers.len() as u32 % scenario.zones;
-            workers.push((Worker::new(draw_spec(group, &scenario.cold, random)), zone));
+            workers.push((Worker::new(draw_spec(group, &scenario.slow_start, random)), zone));
             kinds.push(kind as u32);
         }
     }
     (workers, kinds)
 }
 
-fn draw_spec(group: &Group, slow_start: &Cold, random: &mut RandomStream) -> WorkerSpec {
+fn draw_spec(group: &WorkerGroup, slow_start: &SlowStart, random: &mut RandomStream) -> WorkerSpec {
     let [slowest, fastest] = group.speed;
     WorkerSpec {
         cores: group.cores,
         slots: group.slots,
         speed: slowest + (fastest - slowest) * random.random::<f64>(),
-        max_waiting: group.queue,
-        order: group.order,
+        max_waiting: group.queue_capacity,
+        order: group.queue_order,
         memory: group.memory.unwrap_or(f64::INFINITY),
-        slow_start_fraction: slow_start.from,
-        slow_start_duration: micros(slow_start.warm_after),
-        overload_multiple: slow_start.fall_multiple,
-        overload_window: (slow_start.fall_seconds > 0.0).then(|| micros(slow_start.fall_seconds)),
+        slow_start_fraction: slow_start.initial_capacity,
+        slow_start_duration: micros_from_seconds(slow_start.duration_s),
+        overload_multiple: slow_start.overload_multiple,
+        overload_window: (slow_start.overload_window_s > 0.0)
+            .then(|| micros_from_seconds(slow_start.overload_window_s)),
     }
 }
 
 fn draw_missing_workers(scenario: &Scenario, workers: usize, random: &mut RandomStream) -> Vec<u32> {
-    let missing = (scenario.discovery.stale * workers as f64).round() as usize;
+    let missing = (scenario.discovery.stale_share * workers as f64).round() as usize;
     let mut chosen: Vec<u32> = (0..workers as u32).collect();
     chosen.shuffle(random);
     chosen.truncate(missing);
@@ -102,11 +103,15 @@
     for (position, fault) in scenario.faults.iter().enumerate() {
         let targets = draw_targets(scenario, fault, workers, random);
         for (place, &target) in targets.iter().enumerate() {
-            let starts_at = fault.at + fault.spread_over * place as f64 / targets.len() as f64;
-            let transition =
-                |at: f64, is_start| FaultTransition { at: micros(at), fault: position, target, is_start };
+            let starts_at = fault.starts_at_s + fault.stagger_s * place as f64 / targets.len() as f64;
+            let transition = |at: f64, is_start| FaultTransition {
+                at: micros_from_seconds(at),
+                fault: position,
+                target,
+                is_start,
+            };
             transitions.push(transition(starts_at, true));
-            transitions.push(transition(starts_at + fault.lasts, false));
+            transitions.push(transition(starts_at + fault.duration_s, false));
         }
     }
     transitions
@@ -120,26 +125,26 @@
     random: &mut RandomStream,
 ) -> Vec<Option<u32>> {
     let is_in_zone = |zone: u32| fault.zone.is_none_or(|faulty_zone| faulty_zone == zone);
-    let mut targets: Vec<u32> = if fault.what.meets_workers() {
+    let mut targets: Vec<u32> = if fault.kind.affects_workers() {
         (0..workers.len() as u32).filter(|&worker| is_in_zone(workers[worker as usize].1)).collect()
-    } else if fault.what.meets_schedulers() {
+    } else if fault.kind.affects_schedulers() {
         (0..scenario.schedulers).filter(|scheduler| is_in_zone(scheduler % scenario.zones)).collect()
     } else {
         Vec::new()
     };
-    let count = (fault.share * targets.len() as f64).ceil().max(1.0) as usize;
+    let count = (fault.worker_share * targets.len() as f64).ceil().max(1.0) as usize;
     targets.shuffle(random);
     targets.truncate(count);
     if targets.is_empty() { vec![None] } else { targets.into_iter().map(Some).collect() }
 }
 
 /// The load that the scenario allows a worker during slow start, if it limits that.
-pub fn slow_start_budget(scenario: &Scenario) -> Option<ColdBudget> {
-    let slow_start = &scenario.cold;
-    (slow_start.fall_seconds > 0.0).then(|| ColdBudget {
-        from: slow_start.from,
-        warm_after: micros(slow_start.warm_after),
-        multiple: slow_start.fall_multiple,
-        window: micros(slow_start.fall_seconds),
+pub fn slow_start_budget(scenario: &Scenario) -> Option<SlowStartBudget> {
+    let slow_start = &scenario.slow_start;
+    (slow_start.overload_window_s > 0.0).then(|| SlowStartBudget {
+        initial_capacity: slow_start.initial_capacity,
+        duration: micros_from_seconds(slow_start.duration_s),
+        overload_multiple: slow_start.overload_multiple,
+        overload_window: micros_from_seconds(slow_start.overload_window_s),
     })
 }
--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -1,7 +1,7 @@
 //! What a worker is made of, the jobs that it is offered, and what happens to them.
 use copperspread_dispatcher::Micros;
 
-use crate::scenario::Order;
+use crate::scenario::QueueOrder;
 
 /// What a worker is made of.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -15,7 +15,7 @@
     /// The most jobs that wait.
     pub max_waiting: usize,
     /// The order in which waiting jobs start.
-    pub order: Order,
+    pub order: QueueOrder,
     /// Memory, in megabytes.
     pub memory: f64,
     /// The fraction of its capacity that it has when it starts.
--- a/crates/testbed/src/model/worker/lifecycle.rs
+++ b/crates/testbed/src/model/worker/lifecycle.rs
@@ -3,7 +3,7 @@
 
 use super::Worker;
 use super::job::{ProcessState, WorkerEffect};
-use crate::scenario::Trouble;
+use crate::scenario::FaultKind;
 
 impl Worker {
     /// Whether it accepts new jobs.
@@ -64,23 +64,23 @@
     pub fn apply_fault(
         &mut self,
         now: Micros,
-        fault: Trouble,
+        fault: FaultKind,
         is_start: bool,
         effects: &mut Vec<WorkerEffect>,
     ) -> bool {
         match fault {
-            Trouble::Slow(factor) => {
+            FaultKind::Slow(factor) => {
                 self.apply_change(now, |worker| worker.slowdown = if is_start { factor } else { 1.0 });
             }
-            Trouble::Stuck => self.apply_change(now, |worker| worker.is_stuck = is_start),
-            Trouble::Silent(class) => {
+            FaultKind::Stuck => self.apply_change(now, |worker| worker.is_stuck = is_start),
+            FaultKind::Silent(class) => {
                 self.apply_change(now, |worker| worker.silent_class = is_start.then_some(class));
             }
-            Trouble::Refusing => self.apply_change(now, |worker| worker.is_refusing = is_start),
-            Trouble::Crash if is_start => self.stop(now, ProcessState::Stopped, effects),
-            Trouble::Vanish if is_start => self.stop(now, ProcessState::Unreachable, effects),
-            Trouble::Drain if is_start => self.drain(now, true, effects),
-            Trouble::Crash | Trouble::Vanish | Trouble::Drain => {
+            FaultKind::Refusing => self.apply_change(now, |worker| worker.is_refusing = is_start),
+            FaultKind::Crash if is_start => self.stop(now, ProcessState::Stopped, effects),
+            FaultKind::Vanish if is_start => self.stop(now, ProcessState::Unreachable, effects),
+            FaultKind::Drain if is_start => self.drain(now, true, effects),
+            FaultKind::Crash | FaultKind::Vanish | FaultKind::Drain => {
                 // What still runs there ends with the old process.
                 self.stop(now, ProcessState::Stopped, effects);
                 self.restart(now);
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -3,7 +3,7 @@
 
 use super::job::{OfferResult, OfferedJob, ProcessState, RunningJob, WorkerEffect};
 use super::{SLOW_START_STEP, Worker};
-use crate::scenario::Order;
+use crate::scenario::QueueOrder;
 
 /// Work that rounding to whole microseconds may leave of a finished job, in seconds at speed 1.
 const ROUNDING_REMAINDER: f64 = 2.0 / SECOND as f64;
@@ -159,9 +159,9 @@
     /// The position of the waiting job that starts next, if one can.
     fn next_startable(&self) -> Option<usize> {
         match self.spec.order {
-            Order::Fifo => self.waiting.front().filter(|job| self.can_start(job)).map(|_| 0),
-            Order::Backfill => self.waiting.iter().position(|job| self.can_start(job)),
-            Order::Priority => {
+            QueueOrder::Fifo => self.waiting.front().filter(|job| self.can_start(job)).map(|_| 0),
+            QueueOrder::Backfill => self.waiting.iter().position(|job| self.can_start(job)),
+            QueueOrder::Priority => {
                 // The heaviest, of equal ones the first.
                 let by_weight = |(a, one): &(usize, &OfferedJob), (b, other): &(usize, &OfferedJob)| {
                     one.weight.total_cmp(&other.weight).then(b.cmp(a))
--- a/crates/testbed/src/simulation/attempts.rs
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -6,7 +6,7 @@
 use super::event_queue::{FinalResponse, SimulationEvent};
 use super::requests::{Attempt, AttemptId};
 use super::{Simulation, draw_report_noise};
-use crate::scenario::micros;
+use crate::scenario::micros_from_seconds;
 
 /// An idle connection is closed after this long.
 const IDLE_CONNECTION_TIMEOUT: Micros = 5 * SECOND;
@@ -39,7 +39,7 @@
         let Some(client_request) = self.client_requests.get_mut(&client_request) else { return };
         client_request.open_references += 1;
         let load = client_request.arrival.work * client_request.arrival.slots;
-        self.referee.sent(self.now, scheduler, worker, load);
+        self.referee.attempt_sent(self.now, scheduler, worker, load);
         self.attempts_sent += 1;
         let (from_zone, to_zone) = (self.scheduler_zone(scheduler), self.worker_zone(worker));
         self.cross_zone_attempts += u64::from(from_zone != to_zone);
@@ -50,12 +50,13 @@
     /// How long an attempt or load query waits for its connection: not at all where one is idle. The
     /// connection is then in use until the worker has responded, estimated as one round trip.
     pub(super) fn connection_delay(&mut self, scheduler: u32, worker: u32) -> Micros {
-        let connect_time = micros(self.scenario.network.connect);
+        let connect_time = micros_from_seconds(self.scenario.network.connect_delay_s);
         if connect_time == 0 {
             return 0;
         }
         let (from_zone, to_zone) = (self.scheduler_zone(scheduler), self.worker_zone(worker));
-        let round_trip = 2 * micros(self.scenario.network.between(from_zone, to_zone).0);
+        let round_trip =
+            2 * micros_from_seconds(self.scenario.network.link_between(from_zone, to_zone).delay_s);
         let now = self.now;
         let idle_since = self.idle_connections.entry((scheduler, worker)).or_default();
         idle_since.retain(|&since| since + IDLE_CONNECTION_TIMEOUT > now);
@@ -77,7 +78,7 @@
         if !attempt.is_at_worker {
             self.attempts.remove(&id);
         } else if matches!(result, AttemptResult::Cancelled | AttemptResult::TimedOut)
-            && self.scenario.settings.cancel_stops
+            && self.scenario.tuning.cancel_stops_job
         {
             self.send_cancellation(id, request_id, worker);
         }
@@ -112,14 +113,14 @@
 
     /// The load report that comes with a response, where workers send them so.
     fn load_report_with(&mut self, worker: u32, result: AttemptResult) -> Option<LoadReport> {
-        let reports = &self.scenario.reports;
+        let reports = &self.scenario.load_reports;
         let is_from_worker =
             matches!(result, AttemptResult::Served | AttemptResult::Error | AttemptResult::Rejected);
-        if reports.probe.is_some() || !is_from_worker {
+        if reports.load_query.is_some() || !is_from_worker {
             return None;
         }
-        let refresh = micros(reports.refresh) + self.report_delay;
-        let (random, sigma) = (&mut self.report_random, reports.noise);
+        let refresh = micros_from_seconds(reports.refresh_interval_s) + self.report_delay;
+        let (random, sigma) = (&mut self.report_random, reports.noise_slots);
         let worker = &mut self.workers[worker as usize].0;
         Some(worker.load_report(self.now, refresh, || draw_report_noise(random, sigma)))
     }
@@ -153,7 +154,7 @@
             return;
         };
         if result == AttemptResult::Served {
-            self.referee.made(request);
+            self.referee.result_made(request);
         }
         let (from_zone, to_zone) = (self.worker_zone(worker), self.scheduler_zone(scheduler));
         let callback_delay = self.connection_faults[worker as usize].callback_delay;
--- a/crates/testbed/src/simulation/clients.rs
+++ b/crates/testbed/src/simulation/clients.rs
@@ -7,9 +7,9 @@
 use super::requests::{ClientRequest, ClientRequestId, SchedulerRequest};
 use crate::model::arrivals::Arrival;
 use crate::model::idempotency_keys::KeyHistory;
-use crate::outcome::End;
-use crate::referee::Heard;
-use crate::scenario::micros;
+use crate::outcome::JobOutcome;
+use crate::rule_checker::ClientResponse;
+use crate::scenario::micros_from_seconds;
 
 /// How long before the client's timeout a scheduler's deadline is.
 const DEADLINE_MARGIN: Micros = 50_000;
@@ -24,11 +24,11 @@
     pub(super) fn accept_arrival(&mut self, arrival: Arrival) {
         self.schedule_next_arrival();
         let id = ClientRequestId(self.next_id());
-        let deadline = micros(self.scenario.classes[arrival.class as usize].deadline);
+        let deadline = micros_from_seconds(self.scenario.classes[arrival.class as usize].deadline_s);
         let client_request = ClientRequest {
             arrival,
             gives_up_at: arrival.at + deadline,
-            retries_left: self.scenario.clients.retries,
+            retries_left: self.scenario.clients.max_retries,
             is_finished: false,
             open_references: 0,
             keys: KeyHistory::default(),
@@ -80,19 +80,19 @@
             has_client_disconnected: false,
         };
         self.scheduler_requests.insert(request, scheduler_request);
-        self.referee.asked(request, gives_up_at);
+        self.referee.request_sent(request, gives_up_at);
         let delay = self.network_delay(zone, zone);
         self.schedule(self.now + delay, SimulationEvent::RequestArrived(request));
-        let grace = micros(self.scenario.clients.grace);
+        let grace = micros_from_seconds(self.scenario.clients.deadline_grace_s);
         self.schedule(gives_up_at + grace, SimulationEvent::ClientTimedOut(request));
     }
 
     pub(super) fn receive_response(&mut self, request: RequestId, response: FinalResponse) {
         let heard = match response {
-            FinalResponse::Served => Heard::Served,
-            FinalResponse::Rejected { .. } | FinalResponse::Failed => Heard::Said,
+            FinalResponse::Served => ClientResponse::Served,
+            FinalResponse::Rejected { .. } | FinalResponse::Failed => ClientResponse::Unserved,
         };
-        self.referee.answered(self.now, request, heard);
+        self.referee.response_received(self.now, request, heard);
         let Some(id) = self.scheduler_requests.get(&request).map(|request| request.client_request) else {
             return;
         };
@@ -104,11 +104,15 @@
             FinalResponse::Served => {
                 let arrival = &client_request.arrival;
                 let class = &self.scenario.classes[arrival.class as usize];
-                let latency_objective = micros(class.aim + class.stretch * arrival.work);
+                let latency_objective =
+                    micros_from_seconds(class.latency_objective_s + class.latency_stretch * arrival.work);
                 let is_in_time = self.now - arrival.at <= latency_objective;
-                self.finish_client_request(id, if is_in_time { End::InTime } else { End::Late });
+                self.finish_client_request(
+                    id,
+                    if is_in_time { JobOutcome::InTime } else { JobOutcome::Late },
+                );
             }
-            FinalResponse::Failed => self.finish_client_request(id, End::Failed),
+            FinalResponse::Failed => self.finish_client_request(id, JobOutcome::Failed),
             FinalResponse::Rejected { retry_after } => self.retry_later(id, retry_after),
         }
     }
@@ -116,18 +120,19 @@
     /// Schedules a rejected client's next request, if it has retries and time left.
     fn retry_later(&mut self, id: ClientRequestId, retry_after: Micros) {
         let clients = &self.scenario.clients;
-        let wait = clients.again.wait(retry_after, clients.heed, self.retry_random.random());
+        let wait =
+            clients.retry_timing.delay(retry_after, clients.max_retry_after_s, self.retry_random.random());
         let Some(client_request) = self.client_requests.get_mut(&id) else { return };
         let is_too_late = self.now + wait + DEADLINE_MARGIN >= client_request.gives_up_at;
         if client_request.retries_left == 0 || is_too_late {
-            return self.finish_client_request(id, End::Refused);
+            return self.finish_client_request(id, JobOutcome::Rejected);
         }
         client_request.retries_left -= 1;
         self.schedule(self.now + wait, SimulationEvent::RetryDue(id));
     }
 
     pub(super) fn time_out_client(&mut self, id: RequestId) {
-        self.referee.gave_up(self.now, id);
+        self.referee.deadline_passed(self.now, id);
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         request.has_client_disconnected = true;
         let (client_request, scheduler) = (request.client_request, request.scheduler);
@@ -135,25 +140,25 @@
             self.notify_scheduler(scheduler, Event::ClientDisconnected(id));
         }
         if self.is_unfinished(client_request) {
-            self.finish_client_request(client_request, End::Lost);
+            self.finish_client_request(client_request, JobOutcome::Unanswered);
         }
         self.close_request(id);
     }
 
     /// The client's connection breaks before a response came.
     pub(super) fn break_client_connection(&mut self, request: RequestId, client_request: ClientRequestId) {
-        self.referee.answered(self.now, request, Heard::Broken);
+        self.referee.response_received(self.now, request, ClientResponse::ConnectionBroken);
         if self.is_unfinished(client_request) {
-            self.finish_client_request(client_request, End::Failed);
+            self.finish_client_request(client_request, JobOutcome::Failed);
         }
     }
 
-    fn finish_client_request(&mut self, id: ClientRequestId, end: End) {
+    fn finish_client_request(&mut self, id: ClientRequestId, end: JobOutcome) {
         let Some(client_request) = self.client_requests.get_mut(&id) else { return };
         client_request.is_finished = true;
         let arrival = &client_request.arrival;
         let class = &self.scenario.classes[arrival.class as usize];
-        self.tally.ended(arrival, class, self.now - arrival.at, end);
+        self.tally.record_job(arrival, class, self.now - arrival.at, end);
     }
 
     /// Drops a scheduler's request once client, scheduler and attempts are done with it.
@@ -162,7 +167,7 @@
         if request.has_client_disconnected && request.is_answered && request.attempts_in_flight == 0 {
             let client_request = request.client_request;
             self.scheduler_requests.remove(&id);
-            self.referee.over(id);
+            self.referee.request_finished(id);
             self.release_client_request(client_request);
         }
     }
@@ -173,7 +178,7 @@
         client_request.open_references -= 1;
         if client_request.open_references == 0 && client_request.is_finished {
             self.client_requests.remove(&id);
-            self.referee.job_over(id.0);
+            self.referee.job_finished(id.0);
         }
     }
 }
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -8,7 +8,7 @@
 use super::event_queue::SimulationEvent;
 use super::{CLOCK_OFFSET, Simulation};
 use crate::model::worker::ProcessState;
-use crate::scenario::micros;
+use crate::scenario::micros_from_seconds;
 
 /// A call to a discovery service that is down fails after this long.
 const DISCOVERY_ERROR_DELAY: Micros = SECOND;
@@ -25,8 +25,8 @@
             cached[worker as usize].state = WorkerState::Ready;
         }
         let (cached, full) = (Arc::new(cached), Arc::new(full));
-        let first_at = micros(self.scenario.discovery.first_after);
-        let must_subscribe = self.scenario.discovery.on_request;
+        let first_at = micros_from_seconds(self.scenario.discovery.first_list_after_s);
+        let must_subscribe = self.scenario.discovery.polled;
         for scheduler in 0..self.schedulers.len() as u32 {
             if first_at > 0 || must_subscribe {
                 self.schedule_endpoints(0, scheduler, EndpointUpdateKind::Cached, &cached);
@@ -61,7 +61,7 @@
                 ProcessState::Stopped | ProcessState::Unreachable => WorkerState::Removed,
             },
             started_at: state.started_at.map(|at| at + CLOCK_OFFSET),
-            size: (self.scenario.discovery.sizes > 0.0).then(|| self.worker_size(worker)),
+            size: (self.scenario.discovery.size_interval_s > 0.0).then(|| self.worker_size(worker)),
             hash_key: worker.into(),
         }
     }
@@ -96,8 +96,8 @@
         if self.discovery_outages == 0 && self.stale_list.is_none() {
             self.publish_changes(&Arc::new(changed));
         }
-        let next = self.now + micros(self.scenario.discovery.sizes);
-        if next < micros(self.scenario.seconds) {
+        let next = self.now + micros_from_seconds(self.scenario.discovery.size_interval_s);
+        if next < micros_from_seconds(self.scenario.duration_s) {
             self.schedule(next, SimulationEvent::SizesDue);
         }
     }
@@ -120,9 +120,9 @@
     }
 
     fn publish_changes(&mut self, endpoints: &Arc<Vec<Endpoint>>) {
-        let at = self.now + micros(self.scenario.discovery.delay);
+        let at = self.now + micros_from_seconds(self.scenario.discovery.delay_s);
         // The first full list comes before any change.
-        let at = at.max(micros(self.scenario.discovery.first_after) + 1);
+        let at = at.max(micros_from_seconds(self.scenario.discovery.first_list_after_s) + 1);
         for scheduler in 0..self.schedulers.len() as u32 {
             self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Changes, endpoints);
         }
@@ -135,7 +135,7 @@
     }
 
     fn publish_list(&mut self, list: &Arc<Vec<Endpoint>>) {
-        let at = self.now + micros(self.scenario.discovery.delay);
+        let at = self.now + micros_from_seconds(self.scenario.discovery.delay_s);
         for scheduler in 0..self.schedulers.len() as u32 {
             self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Full, list);
         }
@@ -166,7 +166,7 @@
 
     /// A scheduler subscribes: it gets the full list, and from then on the changes.
     pub(super) fn subscribe(&mut self, scheduler: u32) {
-        if !self.scenario.discovery.on_request {
+        if !self.scenario.discovery.polled {
             return;
         }
         if self.discovery_outages > 0 {
@@ -176,7 +176,7 @@
         self.schedulers[scheduler as usize].is_subscribed = true;
         let zone = self.scheduler_zone(scheduler);
         let round_trip = self.network_delay(zone, zone) + self.network_delay(zone, zone);
-        let first_at = micros(self.scenario.discovery.first_after);
+        let first_at = micros_from_seconds(self.scenario.discovery.first_list_after_s);
         let list = Arc::new(self.endpoint_list());
         let at = (self.now + round_trip).max(first_at);
         self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Full, &list);
@@ -184,7 +184,7 @@
 
     /// Discovery goes down: the calls of subscribed schedulers break.
     pub(super) fn end_subscriptions(&mut self) {
-        if !self.scenario.discovery.on_request {
+        if !self.scenario.discovery.polled {
             return;
         }
         for scheduler in 0..self.schedulers.len() as u32 {
@@ -211,7 +211,7 @@
         let version = scheduler.list_version;
         for endpoint in endpoints {
             let is_ready = endpoint.state == WorkerState::Ready;
-            self.referee.told(self.now, number, endpoint.worker.0, is_ready);
+            self.referee.availability_notified(self.now, number, endpoint.worker.0, is_ready);
         }
         self.notify_scheduler(number, Event::Endpoints(EndpointUpdate { kind, version, endpoints }));
     }
--- a/crates/testbed/src/simulation/load_queries.rs
+++ b/crates/testbed/src/simulation/load_queries.rs
@@ -7,12 +7,12 @@
 use super::{RUN_OUT, Simulation, draw_report_noise};
 use crate::model::connection_faults::DeliveryResult;
 use crate::model::worker::{OfferResult, OfferedJob, ProcessState};
-use crate::scenario::micros;
+use crate::scenario::micros_from_seconds;
 
 impl Simulation<'_> {
     /// Spreads the workers' first refreshes over one interval.
     pub(super) fn schedule_initial_refreshes(&mut self) {
-        let interval = micros(self.scenario.reports.refresh);
+        let interval = micros_from_seconds(self.scenario.load_reports.refresh_interval_s);
         let count = self.workers.len() as u64;
         for worker in 0..count {
             let event = SimulationEvent::ReportRefreshDue { worker: worker as u32 };
@@ -25,20 +25,20 @@
         let incarnation = self.schedulers[scheduler as usize].incarnation;
         self.load_queries.insert(query, PendingLoadQuery { scheduler, incarnation, worker });
         let is_known = (worker as usize) < self.workers.len();
-        let Some(settings) = self.scenario.reports.probe.filter(|_| is_known) else {
+        let Some(settings) = self.scenario.load_reports.load_query.filter(|_| is_known) else {
             return self.schedule_load_query_result(self.now, query, AttemptResult::Superseded, None);
         };
         self.load_queries_sent += 1;
         let (from_zone, to_zone) = (self.scheduler_zone(scheduler), self.worker_zone(worker));
         let delay = self.network_delay(from_zone, to_zone) + self.connection_delay(scheduler, worker);
         self.schedule(self.now + delay, SimulationEvent::LoadQueryArrived(query));
-        let timeout = micros(settings.timeout);
+        let timeout = micros_from_seconds(settings.timeout_s);
         self.schedule_load_query_result(self.now + timeout, query, AttemptResult::TimedOut, None);
     }
 
     pub(super) fn deliver_load_query(&mut self, query: LoadQueryId) {
         let Some(&PendingLoadQuery { worker, .. }) = self.load_queries.get(&query) else { return };
-        let Some(settings) = self.scenario.reports.probe else { return };
+        let Some(settings) = self.scenario.load_reports.load_query else { return };
         let draw = self.network_random.random();
         let delivery = self.connection_faults[worker as usize].delivery_result(draw);
         let state = self.worker(worker);
@@ -59,7 +59,7 @@
         };
         match failure {
             Some(result) => self.answer_load_query(query, result, 0),
-            None if settings.deep => self.queue_load_query(query, worker, settings.work),
+            None if settings.queued => self.queue_load_query(query, worker, settings.work),
             None => self.answer_beside_jobs(query, worker, settings.work),
         }
     }
@@ -68,7 +68,7 @@
     fn answer_beside_jobs(&mut self, query: LoadQueryId, worker: u32, work: f64) {
         let now = self.now;
         let state = self.worker_mut(worker);
-        let elapsed = micros(work / state.spec.speed);
+        let elapsed = micros_from_seconds(work / state.spec.speed);
         state.charge_side_work(now, work);
         self.answer_load_query(query, AttemptResult::Served, elapsed);
         self.apply_worker_effects(worker, Vec::new());
@@ -95,8 +95,8 @@
     /// is no open load query's, as workers do not tell attempts and load queries apart.
     pub(super) fn answer_load_query(&mut self, query: LoadQueryId, result: AttemptResult, elapsed: Micros) {
         let Some(&PendingLoadQuery { scheduler, worker, .. }) = self.load_queries.get(&query) else { return };
-        let Some(settings) = self.scenario.reports.probe else { return };
-        let (now, age) = (self.now, micros(settings.late) + self.report_delay);
+        let Some(settings) = self.scenario.load_reports.load_query else { return };
+        let (now, age) = (self.now, micros_from_seconds(settings.staleness_s) + self.report_delay);
         let report = self.worker_mut(worker).answer_load_query(now, age);
         let report = report.filter(|_| result == AttemptResult::Served);
         let (from_zone, to_zone) = (self.worker_zone(worker), self.scheduler_zone(scheduler));
@@ -130,12 +130,12 @@
     }
 
     pub(super) fn refresh_load_report(&mut self, worker: u32) {
-        let reports = &self.scenario.reports;
-        let (interval, now) = (micros(reports.refresh), self.now);
-        let (random, sigma) = (&mut self.report_random, reports.noise);
+        let reports = &self.scenario.load_reports;
+        let (interval, now) = (micros_from_seconds(reports.refresh_interval_s), self.now);
+        let (random, sigma) = (&mut self.report_random, reports.noise_slots);
         let state = &mut self.workers[worker as usize].0;
         state.refresh_load_report(now, interval, || draw_report_noise(random, sigma));
-        if now <= micros(self.scenario.seconds) + RUN_OUT {
+        if now <= micros_from_seconds(self.scenario.duration_s) + RUN_OUT {
             self.schedule(now + interval, SimulationEvent::ReportRefreshDue { worker });
         }
     }
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -42,10 +42,10 @@
 use crate::model::fleet::{FaultTransition, Fleet, slow_start_budget};
 use crate::model::random::{RandomStream, StreamPurpose, random_stream};
 use crate::model::worker::Worker;
-use crate::outcome::{Outcome, Played, Tally};
+use crate::outcome::{OutcomeCounter, RunOutcome, RunRecord};
 use crate::policy::PolicyKind;
-use crate::referee::Referee;
-use crate::scenario::{Scenario, micros};
+use crate::rule_checker::RuleChecker;
+use crate::scenario::{Scenario, micros_from_seconds};
 
 /// What a lost message costs until it is sent again.
 const RETRANSMISSION_DELAY: Micros = 200_000;
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 /// Settings that the policy does not accept.
-pub fn simulate(scenario: &Scenario, policy_kind: PolicyKind, seed: u64) -> Result<Outcome, String> {
+pub fn simulate(scenario: &Scenario, policy_kind: PolicyKind, seed: u64) -> Result<RunOutcome, String> {
     let mut simulation = Simulation::new(scenario, policy_kind, seed)?;
     while simulation.handle_next_event() {}
     Ok(simulation.outcome())
@@ -104,8 +104,8 @@
     stale_list: Option<Arc<Vec<Endpoint>>>,
     /// Kept between events to save allocations.
     action_buffer: Vec<Action>,
-    referee: Referee,
-    tally: Tally,
+    referee: RuleChecker,
+    tally: OutcomeCounter,
     events_handled: u64,
     attempts_sent: u64,
     cross_zone_attempts: u64,
@@ -150,8 +150,8 @@
             idle_connections: FxHashMap::default(),
             stale_list: None,
             action_buffer: Vec::new(),
-            referee: Referee::new(slow_start_budget(scenario)),
-            tally: Tally::new(scenario.classes.len(), scenario.zones),
+            referee: RuleChecker::new(slow_start_budget(scenario)),
+            tally: OutcomeCounter::new(scenario.classes.len(), scenario.zones),
             events_handled: 0,
             attempts_sent: 0,
             cross_zone_attempts: 0,
@@ -169,10 +169,13 @@
         for transition in fault_transitions {
             self.schedule(transition.at, SimulationEvent::FaultChanged(*transition));
         }
-        if self.scenario.discovery.sizes > 0.0 {
-            self.schedule(micros(self.scenario.discovery.sizes), SimulationEvent::SizesDue);
+        if self.scenario.discovery.size_interval_s > 0.0 {
+            self.schedule(
+                micros_from_seconds(self.scenario.discovery.size_interval_s),
+                SimulationEvent::SizesDue,
+            );
         }
-        if self.scenario.reports.probe.is_some() {
+        if self.scenario.load_reports.load_query.is_some() {
             self.schedule_initial_refreshes();
         }
         self.schedule_next_arrival();
@@ -234,10 +237,11 @@
 
     /// Draws how long a message takes between two zones.
     fn network_delay(&mut self, from_zone: u32, to_zone: u32) -> Micros {
-        let (mean, loss) = self.scenario.network.between(from_zone, to_zone);
+        let link = self.scenario.network.link_between(from_zone, to_zone);
+        let (mean, loss) = (link.delay_s, link.loss);
         let jitter: f64 = Exp1.sample(&mut self.network_random);
         let is_lost = self.network_random.random::<f64>() < loss;
-        micros(mean * (0.9 + 0.1 * jitter)) + if is_lost { RETRANSMISSION_DELAY } else { 0 }
+        micros_from_seconds(mean * (0.9 + 0.1 * jitter)) + if is_lost { RETRANSMISSION_DELAY } else { 0 }
     }
 
     fn next_id(&mut self) -> u64 {
@@ -261,24 +265,24 @@
         self.schedulers[scheduler as usize].zone
     }
 
-    fn outcome(self) -> Outcome {
-        Played {
+    fn outcome(self) -> RunOutcome {
+        RunRecord {
             scenario: self.scenario,
             policy: self.policy_kind.name(),
             seed: self.seed,
             events: self.events_handled,
-            tally: &self.tally,
+            counter: &self.tally,
             workers: &self.workers,
             kinds: &self.kinds,
             attempts: self.attempts_sent,
-            crossed: self.cross_zone_attempts,
-            probes: self.load_queries_sent,
-            fell: self.overload_count,
-            held: self.job_time,
-            verdict: self.referee.verdict(),
-            measured: None,
+            cross_zone_attempts: self.cross_zone_attempts,
+            load_queries: self.load_queries_sent,
+            overloads: self.overload_count,
+            job_microseconds: self.job_time,
+            violations: self.referee.into_violations(),
+            machine_usage: None,
         }
-        .outcome()
+        .into_outcome()
     }
 }
 
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -10,7 +10,7 @@
 use crate::model::random::{StreamPurpose, random_stream};
 use crate::model::worker::TrueState;
 use crate::policy::{Policy, PolicyKind};
-use crate::scenario::{Scenario, micros};
+use crate::scenario::{Scenario, micros_from_seconds};
 
 /// The distance between the seeds of two schedulers of one run.
 const SCHEDULER_SEED_STRIDE: u64 = 7919;
@@ -48,7 +48,7 @@
             is_up: true,
             accepts_requests: true,
             incarnation: 0,
-            is_subscribed: !scenario.discovery.on_request,
+            is_subscribed: !scenario.discovery.polled,
         })
     }
 }
@@ -152,7 +152,7 @@
 
     fn start_timer(&mut self, scheduler: u32, after: Micros, timer: Timer) {
         // Timers that go on for ever would keep the run from ending.
-        if self.now + after <= micros(self.scenario.seconds) + RUN_OUT {
+        if self.now + after <= micros_from_seconds(self.scenario.duration_s) + RUN_OUT {
             let incarnation = self.schedulers[scheduler as usize].incarnation;
             let event = SimulationEvent::TimerExpired { scheduler, incarnation, timer };
             self.schedule(self.now + after, event);
@@ -164,7 +164,7 @@
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         request.is_answered = true;
         let scheduler = request.scheduler;
-        self.referee.said(id);
+        self.referee.response_sent(id);
         let zone = self.scheduler_zone(scheduler);
         let delay = self.network_delay(zone, zone);
         self.schedule(self.now + delay, SimulationEvent::ResponseArrived { request: id, response });
@@ -178,7 +178,7 @@
         let scheduler = &mut self.schedulers[number as usize];
         scheduler.is_up = false;
         scheduler.incarnation += 1;
-        scheduler.is_subscribed = !self.scenario.discovery.on_request;
+        scheduler.is_subscribed = !self.scenario.discovery.polled;
         let requests = self.scheduler_requests.iter().filter(|(_, request)| request.scheduler == number);
         let mut ids: Vec<RequestId> = requests.map(|(id, _)| *id).collect();
         // By arrival, as the map's order differs between runs.
@@ -221,8 +221,9 @@
         scheduler.is_up = true;
         scheduler.accepts_requests = true;
         scheduler.list_version = 0;
-        let delay = if self.discovery_outages > 0 { micros(self.scenario.discovery.delay) } else { 0 };
-        let kind = if self.scenario.discovery.on_request {
+        let delay =
+            if self.discovery_outages > 0 { micros_from_seconds(self.scenario.discovery.delay_s) } else { 0 };
+        let kind = if self.scenario.discovery.polled {
             EndpointUpdateKind::Cached
         } else {
             EndpointUpdateKind::Full
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -9,7 +9,7 @@
 use crate::model::connection_faults::DeliveryResult;
 use crate::model::idempotency_keys::{DuplicateOutcome, key_group};
 use crate::model::worker::{OfferResult, WorkerEffect};
-use crate::scenario::{CONNECT, micros};
+use crate::scenario::{CONNECT_TIMEOUT, micros_from_seconds};
 
 /// An attempt that reaches its worker.
 struct Delivery {
@@ -42,7 +42,7 @@
             DeliveryResult::ImmediateError => {
                 // The error does not say whether the job ran: whoever retries must assume that it did.
                 self.record_taken(&delivery);
-                self.referee.ran(self.now, delivery.client_request.0, delivery.idempotency);
+                self.referee.job_started(self.now, delivery.client_request.0, delivery.idempotency);
                 return self.return_result(id, AttemptResult::Error);
             }
             DeliveryResult::ResetAfterTaken => {
@@ -59,7 +59,7 @@
         let attempt = self.attempts.get(&id)?;
         let &Attempt { client_request, worker, sent_at, .. } = attempt;
         let arrival = self.client_requests.get(&client_request)?.arrival;
-        let idempotency = self.scenario.classes[arrival.class as usize].effect();
+        let idempotency = self.scenario.classes[arrival.class as usize].idempotency();
         let key_group = match idempotency {
             Idempotency::IdempotentWithKey { scope, .. } => {
                 key_group(scope, self.worker_zone(worker), self.cells[worker as usize])
@@ -91,7 +91,7 @@
 
     /// Tells the referee that the worker took the attempt.
     fn record_taken(&mut self, delivery: &Delivery) {
-        self.referee.took(
+        self.referee.attempt_accepted(
             self.now,
             delivery.client_request.0,
             delivery.attempt.0,
@@ -124,7 +124,10 @@
             OfferResult::ConnectionRefused => self.return_result(id, AttemptResult::ConnectFailed),
             OfferResult::Unreachable => {
                 let result = AttemptResult::ConnectFailed;
-                self.schedule(now + CONNECT, SimulationEvent::AttemptCompleted { attempt: id, result });
+                self.schedule(
+                    now + CONNECT_TIMEOUT,
+                    SimulationEvent::AttemptCompleted { attempt: id, result },
+                );
                 self.remove_from_worker(id);
             }
         }
@@ -208,8 +211,8 @@
         let client_request_id = attempt.client_request;
         let Some(client_request) = self.client_requests.get(&client_request_id) else { return };
         let class = client_request.arrival.class;
-        let idempotency = self.scenario.classes[class as usize].effect();
-        self.referee.ran(self.now, client_request_id.0, idempotency);
+        let idempotency = self.scenario.classes[class as usize].idempotency();
+        self.referee.job_started(self.now, client_request_id.0, idempotency);
         if is_awaited && self.worker(worker).silent_class != Some(class) {
             self.report_start(worker, id);
         }
@@ -222,7 +225,7 @@
         for _ in 0..1 + u32::from(faults.duplicates_callbacks) {
             self.schedule(self.now + delay, SimulationEvent::AttemptStarted(id));
         }
-        let progress_interval = micros(self.scenario.reports.progress);
+        let progress_interval = micros_from_seconds(self.scenario.load_reports.progress_interval_s);
         if progress_interval > 0 {
             self.schedule(self.now + progress_interval, SimulationEvent::ProgressDue(id));
         }
@@ -248,7 +251,7 @@
     fn return_attempt(&mut self, id: AttemptId) {
         self.jobs_at_workers -= 1;
         if let Some(client_request_id) = self.attempts.get(&id).map(|attempt| attempt.client_request) {
-            self.referee.handed_back(client_request_id.0, id.0);
+            self.referee.attempt_returned(client_request_id.0, id.0);
             if let Some(client_request) = self.client_requests.get_mut(&client_request_id) {
                 client_request.keys.record_returned(id.0);
             }
@@ -267,7 +270,7 @@
         }
         // Without a network delay: the interval between reports is much longer.
         self.notify_progress(id, Progress::Done(done));
-        let progress_interval = micros(self.scenario.reports.progress);
+        let progress_interval = micros_from_seconds(self.scenario.load_reports.progress_interval_s);
         self.schedule(self.now + progress_interval, SimulationEvent::ProgressDue(id));
     }
 
--- a/crates/testbed/tests/calc.rs
+++ b/crates/testbed/tests/calc.rs
@@ -1,19 +1,19 @@
 //! The `calc` scenario: first-in-first-out workers with slots and memory, which report load to queries only.
 use copperspread_dispatcher::{Idempotency, KeyScope, SECOND};
-use copperspread_testbed::compare::compare;
+use copperspread_testbed::compare::compare_policies;
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::model::fleet::Fleet;
 use copperspread_testbed::model::idempotency_keys::key_group;
 use copperspread_testbed::model::worker::{OfferResult, OfferedJob, Worker, WorkerEffect, WorkerSpec};
 use copperspread_testbed::policy::PolicyKind;
-use copperspread_testbed::referee::{Referee, Rule};
-use copperspread_testbed::scenario::{Again, Order, Scenario};
+use copperspread_testbed::rule_checker::{Rule, RuleChecker};
+use copperspread_testbed::scenario::{QueueOrder, RetryTiming, Scenario};
 use copperspread_testbed::simulation::simulate;
 
 const CALC: &str = include_str!("../scenarios/calc.toml");
 
 fn calc() -> Scenario {
-    Scenario::read(CALC).expect("a scenario")
+    Scenario::parse(CALC).expect("a scenario")
 }
 
 fn worker() -> Worker {
@@ -22,7 +22,7 @@
         slots: 4.0,
         speed: 1.0,
         max_waiting: 3,
-        order: Order::Fifo,
+        order: QueueOrder::Fifo,
         memory: 4.0,
         slow_start_fraction: 0.2,
         slow_start_duration: 10 * SECOND,
@@ -123,12 +123,12 @@
         (KeyScope::Cell, (0, 0), (0, 0), 26, true),
     ];
     for (scope, first, second, sent_at, is_violation) in cases {
-        let mut referee = Referee::new(None);
+        let mut referee = RuleChecker::new(None);
         let idempotency = Idempotency::IdempotentWithKey { scope, window: 25 * SECOND };
-        referee.took(0, 1, 1, idempotency, key_group(scope, first.0, first.1), 0);
+        referee.attempt_accepted(0, 1, 1, idempotency, key_group(scope, first.0, first.1), 0);
         let at = sent_at * SECOND;
-        referee.took(at, 1, 2, idempotency, key_group(scope, second.0, second.1), at);
-        let found = referee.verdict().0.contains_key(&Rule::KeyedTwice);
+        referee.attempt_accepted(at, 1, 2, idempotency, key_group(scope, second.0, second.1), at);
+        let found = referee.into_violations().counts.contains_key(&Rule::KeyedWithinScope);
         assert_eq!(found, is_violation, "{scope:?}: {first:?}, then {second:?} after {sent_at} s");
     }
 }
@@ -137,10 +137,10 @@
 #[test]
 fn retrying_in_another_group_violates_a_rule_in_a_whole_run() {
     let faults = "[[faults]]\nat = 2.0\nlasts = 55.0\nshare = 0.9\nwhat = { failing = 0.9 }\n";
-    let scenario = Scenario::read(&format!("{CALC}{faults}")).expect("a scenario");
+    let scenario = Scenario::parse(&format!("{CALC}{faults}")).expect("a scenario");
     for (kind, is_violation) in [(PolicyKind::Copperspread, false), (PolicyKind::Resends, true)] {
-        let breaches = simulate(&scenario, kind, 2).expect("valid settings").breaches;
-        assert_eq!(breaches.contains_key(&Rule::KeyedTwice), is_violation, "{kind:?}: {breaches:?}");
+        let breaches = simulate(&scenario, kind, 2).expect("valid settings").violations;
+        assert_eq!(breaches.contains_key(&Rule::KeyedWithinScope), is_violation, "{kind:?}: {breaches:?}");
         assert_eq!(breaches.len(), usize::from(is_violation), "{kind:?}: {breaches:?}");
     }
     let cells = Fleet::generate(&scenario, 2).cells;
@@ -151,7 +151,7 @@
 #[test]
 fn job_slots_and_memory_follow_the_class() {
     let mut scenario = calc();
-    (scenario.seconds, scenario.clients.rate) = (1_000.0, 30.0);
+    (scenario.duration_s, scenario.clients.rate_per_s) = (1_000.0, 30.0);
     let jobs: Vec<_> = Arrivals::new(&scenario, 5).filter(|job| job.class == 1).collect();
     let share = |slots| jobs.iter().filter(|job| job.slots == slots).count() as f64 / jobs.len() as f64;
     for (slots, expected) in [(1.0, 0.6), (2.0, 0.25), (4.0, 0.15)] {
@@ -164,11 +164,11 @@
 #[test]
 fn clients_retry_as_the_scenario_says() {
     for (again, retry_after, wait) in [
-        (Again::Heed, 5 * SECOND, 2_210_000),
-        (Again::AtOnce, 5 * SECOND, 0),
-        (Again::After(0.05), 5 * SECOND, 50_000),
+        (RetryTiming::HonorRetryAfter, 5 * SECOND, 2_210_000),
+        (RetryTiming::Immediately, 5 * SECOND, 0),
+        (RetryTiming::FixedDelay(0.05), 5 * SECOND, 50_000),
     ] {
-        assert_eq!(again.wait(retry_after, 2.0, 0.5), wait, "{again:?}");
+        assert_eq!(again.delay(retry_after, 2.0, 0.5), wait, "{again:?}");
     }
 }
 
@@ -178,10 +178,14 @@
     let faults = "[[faults]]\nat = 12.0\nlasts = 6.0\nwhat = 'discovery_down'\n\
         [[faults]]\nat = 15.0\nlasts = 6.0\nwhat = 'scheduler_crash'\nshare = 0.3\n\
         [[faults]]\nat = 25.0\nlasts = 20.0\nwhat = 'crash'\nshare = 0.5\n";
-    let scenario = Scenario::read(&format!("{CALC}{faults}")).expect("a scenario");
+    let scenario = Scenario::parse(&format!("{CALC}{faults}")).expect("a scenario");
     for kind in [PolicyKind::Copperspread, PolicyKind::LeastCost] {
         let outcome = simulate(&scenario, kind, 3).expect("valid settings");
-        assert!(!outcome.breaches.contains_key(&Rule::Drained), "{kind:?}: {:?}", outcome.examples);
+        assert!(
+            !outcome.violations.contains_key(&Rule::NoDispatchWhileDraining),
+            "{kind:?}: {:?}",
+            outcome.violation_examples
+        );
         let late: f64 = outcome.seconds[50..].iter().map(|second| second.in_time).sum();
         assert!(late > 0.0, "{kind:?} serves nothing more");
     }
@@ -191,12 +195,17 @@
 #[test]
 fn baselines_keep_their_order_on_calc() {
     let kinds = [PolicyKind::Copperspread, PolicyKind::Random, PolicyKind::LeastCost, PolicyKind::Oracle];
-    let rows = compare(&calc(), &kinds, &[1, 2, 3, 4, 5, 6]).expect("valid settings");
-    let [random, least, oracle] = [&rows[1], &rows[2], &rows[3]].map(|row| row.share);
+    let rows = compare_policies(&calc(), &kinds, &[1, 2, 3, 4, 5, 6]).expect("valid settings");
+    let [random, least, oracle] = [&rows[1], &rows[2], &rows[3]].map(|row| row.in_time_share);
     assert!(random + 0.1 < least && least < oracle && oracle < 0.9, "{random}, {least}, {oracle}");
     assert!((0.4..0.7).contains(&random), "{random}: a scenario that is too easy, or hopeless");
-    assert_eq!(rows[0].breaches, 0, "{:?}", rows[0].runs.iter().map(|run| &run.examples).collect::<Vec<_>>());
-    assert!(rows[2].runs.iter().all(|run| run.worth.refused == 0.0), "it rejects nothing");
+    assert_eq!(
+        rows[0].violations,
+        0,
+        "{:?}",
+        rows[0].runs.iter().map(|run| &run.violation_examples).collect::<Vec<_>>()
+    );
+    assert!(rows[2].runs.iter().all(|run| run.weight.rejected == 0.0), "it rejects nothing");
 }
 
 #[test]
@@ -215,9 +224,9 @@
         ("failing = 0.6", "failing = 1.6", "a share of 1.6"),
     ] {
         assert!(CALC.contains(from), "{from}");
-        let error = Scenario::read(&CALC.replacen(from, to, 1)).expect_err(to);
-        assert!(error.contains(text), "{to}: {error}");
+        let error = Scenario::parse(&CALC.replacen(from, to, 1)).expect_err(to);
+        assert!(error.to_string().contains(text), "{to}: {error}");
     }
-    let again = Scenario::read(&toml::to_string(&calc()).expect("TOML")).expect("a scenario");
+    let again = Scenario::parse(&toml::to_string(&calc()).expect("TOML")).expect("a scenario");
     assert_eq!(again, calc(), "TOML round trip");
 }
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -1,18 +1,18 @@
 //! The simulation: against queueing theory, against itself, and against deliberately broken policies.
 use copperspread_dispatcher::{RequestId, SECOND};
-use copperspread_testbed::compare::{Difference, compare, table};
+use copperspread_testbed::compare::{PairedDifference, ScenarioResults, compare_policies, comparison_table};
 use copperspread_testbed::model::arrivals::Arrivals;
-use copperspread_testbed::outcome::Outcome;
+use copperspread_testbed::outcome::RunOutcome;
 use copperspread_testbed::policy::PolicyKind;
-use copperspread_testbed::referee::{Heard, Referee, Rule};
-use copperspread_testbed::report::html;
-use copperspread_testbed::scenario::{Pair, Recorded, Scenario};
+use copperspread_testbed::report::render_html;
+use copperspread_testbed::rule_checker::{ClientResponse, Rule, RuleChecker};
+use copperspread_testbed::scenario::{RecordedJob, Scenario, ZoneLink};
 use copperspread_testbed::simulation::simulate;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 /// One queue: Poisson arrivals, one worker, no network delay, clients that wait for ever.
-fn simulate_queue(rate: f64, cores: u32, slots: u32, spread: &str) -> Outcome {
+fn simulate_queue(rate: f64, cores: u32, slots: u32, spread: &str) -> RunOutcome {
     let text = format!(
         "name = 'queue'\nabout = 'one queue'\nseconds = 100000.0\nschedulers = 1\n\
          [clients]\nrate = {rate:?}\n[network]\nnear = 0.0\nfar = 0.0\n[cold]\nfall_seconds = 0.0\n\
@@ -20,7 +20,7 @@
          [[classes]]\nname = 'c'\nshare = 1.0\nwork = 1.0\nspread = {spread}\naim = 50000.0\ndeadline = 50000.0\n\
          worth = 1.0\nrepeat = 'never'\n"
     );
-    simulate(&Scenario::read(&text).expect("a scenario"), PolicyKind::RoundRobin, 3).expect("valid settings")
+    simulate(&Scenario::parse(&text).expect("a scenario"), PolicyKind::RoundRobin, 3).expect("valid settings")
 }
 
 /// The mean wait in M/M/c, in service times, by Erlang's formula.
@@ -53,7 +53,7 @@
     ];
     for (load, cores, slots, spread, theory) in cases {
         let outcome = simulate_queue(load, cores, slots, spread);
-        let mean = outcome.classes[0].mean_ms / 1e3;
+        let mean = outcome.classes[0].mean_latency_ms / 1e3;
         let error = (mean / theory - 1.0).abs();
         assert!(
             error < 0.05,
@@ -61,9 +61,13 @@
         );
         // Little's law: the mean number of jobs is the rate times the mean time.
         let rate = outcome.jobs as f64 / 100_000.0;
-        assert!((outcome.held / (rate * mean) - 1.0).abs() < 0.02, "held {}, {rate} x {mean}", outcome.held);
+        assert!(
+            (outcome.mean_jobs_in_workers / (rate * mean) - 1.0).abs() < 0.02,
+            "held {}, {rate} x {mean}",
+            outcome.mean_jobs_in_workers
+        );
         // Work is conserved: all that arrived was done.
-        assert!((outcome.work_done / outcome.worth.asked - 1.0).abs() < 1e-3);
+        assert!((outcome.done_core_s / outcome.weight.requested - 1.0).abs() < 1e-3);
     }
 }
 
@@ -83,7 +87,7 @@
         class("keyed", "keyed"),
         class("once", "never"),
     );
-    Scenario::read(&text).expect("a scenario")
+    Scenario::parse(&text).expect("a scenario")
 }
 
 /// Resets, a crash, drains, a lost zone, a burst, a discovery outage and a silent class.
@@ -100,23 +104,28 @@
     let scenario = faulty_fleet(40.0, ALL_FAULTS);
     let cases: &[(PolicyKind, &[Rule])] = &[
         (PolicyKind::Copperspread, &[]),
-        (PolicyKind::AnswersTwice, &[Rule::OneAnswer]),
-        (PolicyKind::NeverAnswers, &[Rule::AnswerInTime]),
-        (PolicyKind::Resends, &[Rule::UnsafeTwice, Rule::KeyedTwice]),
-        (PolicyKind::IgnoresDrains, &[Rule::Drained]),
-        (PolicyKind::FloodsTheNew, &[Rule::ColdBudget]),
+        (PolicyKind::AnswersTwice, &[Rule::SingleResponse]),
+        (PolicyKind::NeverAnswers, &[Rule::ResponseBeforeDeadline]),
+        (PolicyKind::Resends, &[Rule::NonIdempotentOnce, Rule::KeyedWithinScope]),
+        (PolicyKind::IgnoresDrains, &[Rule::NoDispatchWhileDraining]),
+        (PolicyKind::FloodsTheNew, &[Rule::SlowStartBudgetKept]),
     ];
     for (kind, rules) in cases {
         let outcome = simulate(&scenario, *kind, 1).expect("valid settings");
         for rule in *rules {
-            assert!(outcome.breaches.contains_key(rule), "{kind:?}: {rule:?} not in {:?}", outcome.breaches);
+            assert!(
+                outcome.violations.contains_key(rule),
+                "{kind:?}: {rule:?} not in {:?}",
+                outcome.violations
+            );
         }
         // No other rule, so that a violation points at its cause; but jobs sent to draining workers meet them
         // again in slow start.
-        let is_consequence = |rule: &Rule| *kind == PolicyKind::IgnoresDrains && *rule == Rule::ColdBudget;
+        let is_consequence =
+            |rule: &Rule| *kind == PolicyKind::IgnoresDrains && *rule == Rule::SlowStartBudgetKept;
         let others =
-            outcome.breaches.keys().filter(|rule| !rules.contains(rule) && !is_consequence(rule)).count();
-        assert_eq!(others, 0, "{kind:?}: {:?} {:?}", outcome.breaches, outcome.examples);
+            outcome.violations.keys().filter(|rule| !rules.contains(rule) && !is_consequence(rule)).count();
+        assert_eq!(others, 0, "{kind:?}: {:?} {:?}", outcome.violations, outcome.violation_examples);
     }
 }
 
@@ -141,7 +150,7 @@
         let outcome = simulate(&scenario, kind, 9).expect("valid settings");
         let arrived_work: f64 = arrivals.iter().map(|job| job.work * job.slots).sum();
         assert_eq!(outcome.jobs, arrivals.len() as u64, "{kind:?}");
-        assert!((outcome.worth.asked / arrived_work - 1.0).abs() < 1e-9, "{kind:?}");
+        assert!((outcome.weight.requested / arrived_work - 1.0).abs() < 1e-9, "{kind:?}");
     }
 }
 
@@ -149,19 +158,27 @@
 fn faults_cost_every_policy_and_the_dispatcher_beats_random() {
     let calm_scenario = faulty_fleet(40.0, "");
     let seeds = [1, 2, 3, 4];
-    let faulty =
-        compare(&faulty_fleet(40.0, ALL_FAULTS), &PolicyKind::COMPARED, &seeds).expect("valid settings");
-    let calm = compare(&calm_scenario, &PolicyKind::COMPARED, &seeds).expect("valid settings");
+    let faulty = compare_policies(&faulty_fleet(40.0, ALL_FAULTS), &PolicyKind::COMPARED, &seeds)
+        .expect("valid settings");
+    let calm = compare_policies(&calm_scenario, &PolicyKind::COMPARED, &seeds).expect("valid settings");
     for (faulty, calm) in faulty.iter().zip(&calm) {
-        assert!(faulty.share < calm.share - 0.01, "{}: {} and {}", faulty.policy, faulty.share, calm.share);
+        assert!(
+            faulty.in_time_share < calm.in_time_share - 0.01,
+            "{}: {} and {}",
+            faulty.policy,
+            faulty.in_time_share,
+            calm.in_time_share
+        );
     }
-    let share = |name: &str| faulty.iter().find(|row| row.policy == name).expect("a row").share;
+    let share = |name: &str| faulty.iter().find(|row| row.policy == name).expect("a row").in_time_share;
     assert!(share("copperspread") > share("random") + 0.05);
     assert!(
-        faulty[0].behind.is_none()
-            && faulty[1].behind.is_some_and(|difference| difference.shown() && difference.mean > 0.05)
+        faulty[0].deficit.is_none()
+            && faulty[1]
+                .deficit
+                .is_some_and(|difference| difference.excludes_zero() && difference.mean > 0.05)
     );
-    assert!(table(&faulty_fleet(40.0, ALL_FAULTS), &faulty).contains("least_outstanding"));
+    assert!(comparison_table(&faulty_fleet(40.0, ALL_FAULTS), &faulty).contains("least_outstanding"));
 }
 
 #[test]
@@ -175,12 +192,12 @@
         (&[0.1, 0.1], false),
     ];
     for (pairs, shown) in cases {
-        let difference = Difference::of(pairs).expect("pairs");
-        assert_eq!(difference.shown(), *shown, "{pairs:?}: {difference:?}");
+        let difference = PairedDifference::from_pairs(pairs).expect("pairs");
+        assert_eq!(difference.excludes_zero(), *shown, "{pairs:?}: {difference:?}");
         let [low, high] = difference.interval;
         assert!(low <= difference.mean && difference.mean <= high);
     }
-    assert_eq!(Difference::of(&[]), None);
+    assert_eq!(PairedDifference::from_pairs(&[]), None);
 }
 
 #[test]
@@ -189,10 +206,10 @@
     let mut names = Vec::new();
     for file in std::fs::read_dir(folder).expect("a folder").flatten() {
         let text = std::fs::read_to_string(file.path()).expect("a file");
-        let scenario = Scenario::read(&text).expect("a scenario");
+        let scenario = Scenario::parse(&text).expect("a scenario");
         assert_eq!(format!("{}.toml", scenario.name), file.file_name().to_string_lossy());
         assert!(
-            scenario.clients.rate < scenario.capacity(),
+            scenario.clients.rate_per_s < scenario.capacity(),
             "{}: more than the fleet's capacity",
             scenario.name
         );
@@ -213,8 +230,8 @@
         ("deadline = 5.0", "deadline = nan", "class \"status\": deadline"),
     ] {
         assert!(good.contains(from), "{from}");
-        let error = Scenario::read(&good.replacen(from, to, 1)).expect_err(to);
-        assert!(error.contains(text), "{to}: {error}");
+        let error = Scenario::parse(&good.replacen(from, to, 1)).expect_err(to);
+        assert!(error.to_string().contains(text), "{to}: {error}");
     }
 }
 
@@ -223,35 +240,38 @@
     let base = faulty_fleet(20.0, "");
     let mean = |scenario: &Scenario| {
         let outcome = simulate(scenario, PolicyKind::RoundRobin, 3).expect("valid settings");
-        assert!(outcome.breaches.is_empty(), "{:?}", outcome.examples);
-        outcome.classes.iter().map(|class| class.mean_ms).sum::<f64>() / outcome.classes.len() as f64
+        assert!(outcome.violations.is_empty(), "{:?}", outcome.violation_examples);
+        outcome.classes.iter().map(|class| class.mean_latency_ms).sum::<f64>() / outcome.classes.len() as f64
     };
     let usual = mean(&base);
     let mut distant = base.clone();
-    distant.network.pairs = vec![Pair { zones: [0, 1], way: 0.2, loss: 0.0 }];
+    distant.network.zone_links = vec![ZoneLink { zones: [0, 1], delay_s: 0.2, loss: 0.0 }];
     // Two of nine pairs of zones, in both directions.
     let slower = mean(&distant) - usual;
     assert!((60.0..130.0).contains(&slower), "{slower} ms");
     let mut connecting = base.clone();
-    connecting.network.connect = 0.1;
+    connecting.network.connect_delay_s = 0.1;
     let slower = mean(&connecting) - usual;
     // One scheduler sends a worker 0.74 jobs a second, so that for one in 40 the connection has been idle for
     // over 5 s, and a new one costs 100 ms.
     assert!((1.5..4.0).contains(&slower), "{slower} ms");
     let mut reporting = base.clone();
-    reporting.reports.progress = 0.1;
+    reporting.load_reports.progress_interval_s = 0.1;
     let outcome = simulate(&reporting, PolicyKind::Copperspread, 3).expect("valid settings");
     let silent = simulate(&base, PolicyKind::Copperspread, 3).expect("valid settings");
-    assert!(outcome.events > silent.events + 1_000 && outcome.breaches.is_empty());
+    assert!(outcome.events > silent.events + 1_000 && outcome.violations.is_empty());
     let mut recorded = base.clone();
-    let job = |at: f64, class, work| Recorded { at, class, work, slots: 1.0, hint: None };
+    let job = |at: f64, class, work| RecordedJob { arrives_at_s: at, class, work, slots: 1.0, hint: None };
     recorded.clients.trace = vec![job(0.5, 0, 0.2), job(0.6, 2, 0.4), job(900.0, 0, 1.0)];
     let arrivals: Vec<_> =
         Arrivals::new(&recorded, 3).map(|arrival| (arrival.at, arrival.class, arrival.work)).collect();
     assert_eq!(arrivals, [(500_000, 0, 0.2), (600_000, 2, 0.4)], "no arrival after the end");
     assert_eq!(simulate(&recorded, PolicyKind::Copperspread, 3).expect("valid settings").jobs, 2);
     recorded.clients.trace.reverse();
-    assert_eq!(recorded.check().expect_err("wrong order"), "clients.trace: not in the order of its instants");
+    assert_eq!(
+        recorded.check().expect_err("wrong order").to_string(),
+        "clients.trace: not in the order of its instants"
+    );
 }
 
 // One of nine workers crashes while the lists contradict each other, and stays down. A scheduler left with
@@ -261,7 +281,11 @@
     let faults = "[[faults]]\nat = 10.0\nlasts = 8.0\nwhat = 'discovery_contradicts'\n\
         [[faults]]\nat = 11.0\nlasts = 200.0\nshare = 0.1\nwhat = 'crash'\n";
     let outcome = simulate(&faulty_fleet(20.0, faults), PolicyKind::RoundRobin, 3).expect("valid settings");
-    assert!(outcome.attempts > 1.0 && outcome.attempts < 1.04, "{} attempts a job", outcome.attempts);
+    assert!(
+        outcome.attempts_per_job > 1.0 && outcome.attempts_per_job < 1.04,
+        "{} attempts a job",
+        outcome.attempts_per_job
+    );
 }
 
 #[test]
@@ -280,9 +304,9 @@
 #[test]
 fn a_report_is_self_contained_and_matches_the_table() {
     let scenario = faulty_fleet(40.0, ALL_FAULTS);
-    let rows = compare(&scenario, &PolicyKind::COMPARED, &[1, 2, 3]).expect("valid settings");
-    let share = format!("<td>{:.3}", rows[0].share);
-    let page = html(&[(scenario, rows)]).expect("a page");
+    let rows = compare_policies(&scenario, &PolicyKind::COMPARED, &[1, 2, 3]).expect("valid settings");
+    let share = format!("<td>{:.3}", rows[0].in_time_share);
+    let page = render_html(&[ScenarioResults { scenario, variants: rows }]).expect("a page");
     assert!(page.contains(&share) && page.contains("least_outstanding") && page.contains("Resetting(0.2)"));
     // Differences, shares over time, results by weight, and load against capacity.
     assert_eq!(page.matches("<svg").count(), 4);
@@ -295,27 +319,35 @@
     // A name from a file is escaped.
     let mut named = faulty_fleet(5.0, "");
     named.name = "<b>x".into();
-    let rows = compare(&named, &[PolicyKind::Random], &[1]).expect("valid settings");
-    assert!(!html(&[(named, rows)]).expect("a page").contains("<b>x"));
+    let rows = compare_policies(&named, &[PolicyKind::Random], &[1]).expect("valid settings");
+    assert!(
+        !render_html(&[ScenarioResults { scenario: named, variants: rows }])
+            .expect("a page")
+            .contains("<b>x")
+    );
 }
 
 // No policy can violate this in the simulation, as only a proxy could: the referee is called directly.
 #[test]
 fn a_response_that_no_worker_made_violates_a_rule() {
     for (made, heard, breaches) in [
-        (true, Heard::Served, 0),
-        (false, Heard::Served, 1),
-        (false, Heard::Said, 0),
-        (false, Heard::Broken, 0),
+        (true, ClientResponse::Served, 0),
+        (false, ClientResponse::Served, 1),
+        (false, ClientResponse::Unserved, 0),
+        (false, ClientResponse::ConnectionBroken, 0),
     ] {
-        let mut referee = Referee::new(None);
-        referee.asked(RequestId(1), SECOND);
+        let mut referee = RuleChecker::new(None);
+        referee.request_sent(RequestId(1), SECOND);
         if made {
-            referee.made(RequestId(1));
+            referee.result_made(RequestId(1));
         }
-        referee.answered(5, RequestId(1), heard);
-        let counts = referee.verdict().0;
-        assert_eq!(counts.get(&Rule::Forged).copied().unwrap_or_default(), breaches, "{made} {heard:?}");
+        referee.response_received(5, RequestId(1), heard);
+        let counts = referee.into_violations().counts;
+        assert_eq!(
+            counts.get(&Rule::GenuineResult).copied().unwrap_or_default(),
+            breaches,
+            "{made} {heard:?}"
+        );
     }
 }
 
@@ -323,7 +355,7 @@
 fn a_crashed_scheduler_fails_its_requests_and_others_take_over() {
     let crash = "[[faults]]\nat = 20.0\nlasts = 10.0\nshare = 0.1\nwhat = 'scheduler_crash'\n";
     let outcome = simulate(&faulty_fleet(30.0, crash), PolicyKind::Copperspread, 3).expect("valid settings");
-    assert!(outcome.breaches.is_empty(), "{:?}", outcome.examples);
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violation_examples);
     let failed: Vec<f64> = outcome.seconds.iter().map(|second| second.failed).collect();
     assert!(failed[19..21].iter().sum::<f64>() > 0.0, "requests of the crashed scheduler: {failed:?}");
     assert!(failed[22..].iter().sum::<f64>() == 0.0, "later requests: {failed:?}");
@@ -358,11 +390,11 @@
         let fault = format!("[[faults]]\nat = {at:?}\nlasts = 6.0\nshare = {share:?}\nwhat = {what}\n");
         let scenario = faulty_fleet(rate, &fault);
         let outcome = simulate(&scenario, PolicyKind::COMPARED[policy], seed).expect("valid settings");
-        let worth = outcome.worth;
-        let parts = worth.in_time + worth.late + worth.refused + worth.failed + worth.lost;
-        prop_assert!((parts - worth.asked).abs() < 1e-6 * worth.asked.max(1.0));
+        let worth = outcome.weight;
+        let parts = worth.in_time + worth.late + worth.rejected + worth.failed + worth.unanswered;
+        prop_assert!((parts - worth.requested).abs() < 1e-6 * worth.requested.max(1.0));
         prop_assert_eq!(outcome.jobs, Arrivals::new(&scenario, seed).count() as u64);
         let dispatcher = simulate(&scenario, PolicyKind::Copperspread, seed).expect("valid settings");
-        prop_assert!(dispatcher.breaches.is_empty(), "{:?} {:?}", dispatcher.breaches, dispatcher.examples);
+        prop_assert!(dispatcher.violations.is_empty(), "{:?} {:?}", dispatcher.violations, dispatcher.violation_examples);
     }
 }
--- a/crates/testbed/tests/unit/simulation.rs
+++ b/crates/testbed/tests/unit/simulation.rs
@@ -54,7 +54,7 @@
          cores = 1.0\nslots = 1.0\nspeed = [1.0, 1.0]\n[[classes]]\nname = 'c'\nshare = 1.0\nwork = 1.0\n\
          aim = 30.0\ndeadline = 30.0\nworth = 1.0\nrepeat = 'safe'\n{fault}"
     );
-    let scenario = Scenario::read(&text).expect("a scenario");
+    let scenario = Scenario::parse(&text).expect("a scenario");
     let mut simulation = Simulation::new(&scenario, PolicyKind::Random, 1).expect("valid settings");
     let results = QueryResults::default();
     let querier = LoadQuerier { worker: WorkerId(worker), results: Arc::clone(&results) };
--- a/crates/testbed/tests/vast.rs
+++ b/crates/testbed/tests/vast.rs
@@ -1,23 +1,28 @@
 //! Large fleets, 100 schedulers and 60 workers, in the simulation. The endpoint list has live sizes, a second late
 //! and published every 0.9 s.
-use copperspread_testbed::emulate::program::Program;
-use copperspread_testbed::emulate::{Schedulers, emulate};
+use copperspread_testbed::emulation::scheduler_process::SchedulerProgram;
+use copperspread_testbed::emulation::{SchedulerInstances, emulate};
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::policy::PolicyKind;
-use copperspread_testbed::referee::Rule;
+use copperspread_testbed::rule_checker::Rule;
 use copperspread_testbed::scenario::Scenario;
 use copperspread_testbed::simulation::simulate;
 
 /// The mean share of the weight that is served in time, over some seeds; no run may violate a rule.
 fn mean_share(text: &str, seeds: std::ops::Range<u64>) -> f64 {
-    let scenario = Scenario::read(text).expect("a scenario");
+    let scenario = Scenario::parse(text).expect("a scenario");
     let count = (seeds.end - seeds.start) as f64;
     let mut sum = 0.0;
     for seed in seeds {
         let outcome = simulate(&scenario, PolicyKind::Copperspread, seed).expect("valid settings");
-        assert!(outcome.breaches.is_empty(), "seed {seed}: {:?} {:?}", outcome.breaches, outcome.examples);
-        assert_eq!(outcome.fell, 0, "seed {seed}: workers were overloaded");
-        sum += outcome.worth.share();
+        assert!(
+            outcome.violations.is_empty(),
+            "seed {seed}: {:?} {:?}",
+            outcome.violations,
+            outcome.violation_examples
+        );
+        assert_eq!(outcome.overloads, 0, "seed {seed}: workers were overloaded");
+        sum += outcome.weight.in_time_share();
     }
     sum / count
 }
@@ -43,17 +48,17 @@
 fn emulation_rejects_scenarios_with_live_sizes() {
     let text = include_str!("../scenarios/vast-zone.toml").replace("schedulers = 100", "schedulers = 3");
     let text = text.replace("count = 21", "count = 1").replace("count = 13", "count = 1");
-    let scenario = Scenario::read(&text.replace("count = 26", "count = 1")).expect("a scenario");
+    let scenario = Scenario::parse(&text.replace("count = 26", "count = 1")).expect("a scenario");
     let (file, arguments) = ("none".into(), Vec::new());
-    let none = Schedulers::Started(Program { file, arguments });
+    let none = SchedulerInstances::Spawned(SchedulerProgram { file, arguments });
     let error = emulate(&scenario, &none, "none", 1).expect_err("no sizes there");
-    assert!(error.contains("discovery.sizes"), "{error}");
+    assert!(error.to_string().contains("discovery.sizes"), "{error}");
 }
 
 #[test]
 fn too_frequent_size_updates_are_invalid() {
     let text = include_str!("../scenarios/vast-zone.toml").replace("sizes = 0.9", "sizes = 0.0001");
-    assert!(Scenario::read(&text).expect_err("too often").contains("discovery.sizes"));
+    assert!(Scenario::parse(&text).expect_err("too often").to_string().contains("discovery.sizes"));
 }
 
 /// The same fleets three times as large: 300 schedulers and 180 workers, each scheduler with the same few jobs a
@@ -82,9 +87,12 @@
         let share = mean_share(&text, 1..4);
         assert!(share > min_share, "{name}: {share}");
         if name == "release" {
-            let scenario = Scenario::read(&text).expect("a scenario");
+            let scenario = Scenario::parse(&text).expect("a scenario");
             let plain = simulate(&scenario, PolicyKind::TwoChoices, 1).expect("valid settings");
-            assert!(plain.fell > 0 || plain.worth.share() <= min_share, "release: two choices pass it");
+            assert!(
+                plain.overloads > 0 || plain.weight.in_time_share() <= min_share,
+                "release: two choices pass it"
+            );
         }
     }
 }
@@ -93,16 +101,16 @@
 #[test]
 fn a_scheduler_that_stops_without_responding_violates_a_rule() {
     let text = include_str!("../scenarios/vast-roll.toml").replace("lasts = 8.0", "lasts = 0.2");
-    let scenario = Scenario::read(&text).expect("a scenario");
+    let scenario = Scenario::parse(&text).expect("a scenario");
     let outcome = simulate(&scenario, PolicyKind::Copperspread, 1).expect("valid settings");
-    let unanswered = outcome.breaches.get(&Rule::AnswerInTime).copied().unwrap_or_default();
-    assert!(unanswered > 10 && outcome.worth.lost > 0.0, "{unanswered}, {:?}", outcome.worth);
+    let unanswered = outcome.violations.get(&Rule::ResponseBeforeDeadline).copied().unwrap_or_default();
+    assert!(unanswered > 10 && outcome.weight.unanswered > 0.0, "{unanswered}, {:?}", outcome.weight);
 }
 
 #[test]
 fn crowded_schedulers_get_more_clients_and_invalid_crowds_are_rejected() {
     let text = include_str!("../scenarios/vast-roll.toml");
-    let scenario = Scenario::read(text).expect("a scenario");
+    let scenario = Scenario::parse(text).expect("a scenario");
     let mut arrivals = [0.0; 100];
     Arrivals::new(&scenario, 1).for_each(|job| arrivals[job.scheduler as usize] += 1.0);
     let (crowded, others) =
@@ -112,6 +120,6 @@
         ["schedulers = 0, times = 5.0", "schedulers = 100, times = 5.0", "schedulers = 5, times = -1.0"]
     {
         let text = text.replace("schedulers = 5, times = 5.0", invalid);
-        assert!(Scenario::read(&text).expect_err(invalid).contains("clients.crowded"));
+        assert!(Scenario::parse(&text).expect_err(invalid).to_string().contains("clients.crowded"));
     }
 }
--- a/crates/testbed/tests/worker_model.rs
+++ b/crates/testbed/tests/worker_model.rs
@@ -3,7 +3,7 @@
 use copperspread_testbed::model::worker::{
     OfferResult, OfferedJob, ProcessState, Worker, WorkerEffect, WorkerSpec,
 };
-use copperspread_testbed::scenario::Order;
+use copperspread_testbed::scenario::QueueOrder;
 
 fn worker_spec() -> WorkerSpec {
     WorkerSpec {
@@ -11,7 +11,7 @@
         slots: 2.0,
         speed: 1.0,
         max_waiting: 2,
-        order: Order::Fifo,
+        order: QueueOrder::Fifo,
         memory: 100.0,
         slow_start_fraction: 0.25,
         slow_start_duration: 20 * SECOND,
@@ -118,17 +118,17 @@
 #[test]
 fn order_and_memory_decide_which_job_starts_next() {
     type Waiting = [(f64, f64, f64); 3];
-    let cases: &[(Order, Waiting, u64)] = &[
+    let cases: &[(QueueOrder, Waiting, u64)] = &[
         // Slots, memory and weight of the waiting jobs, and which one starts first.
-        (Order::Fifo, [(1.0, 0.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 10),
-        (Order::Priority, [(1.0, 0.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 11),
-        (Order::Priority, [(1.0, 0.0, 9.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 10),
-        (Order::Backfill, [(2.0, 0.0, 9.0), (1.0, 0.0, 1.0), (1.0, 0.0, 5.0)], 11),
+        (QueueOrder::Fifo, [(1.0, 0.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 10),
+        (QueueOrder::Priority, [(1.0, 0.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 11),
+        (QueueOrder::Priority, [(1.0, 0.0, 9.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 10),
+        (QueueOrder::Backfill, [(2.0, 0.0, 9.0), (1.0, 0.0, 1.0), (1.0, 0.0, 5.0)], 11),
         // The first needs too much memory.
-        (Order::Backfill, [(1.0, 80.0, 9.0), (1.0, 30.0, 1.0), (1.0, 0.0, 5.0)], 11),
+        (QueueOrder::Backfill, [(1.0, 80.0, 9.0), (1.0, 30.0, 1.0), (1.0, 0.0, 5.0)], 11),
         // The first in order blocks the others.
-        (Order::Fifo, [(1.0, 80.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 0),
-        (Order::Priority, [(1.0, 0.0, 1.0), (2.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 0),
+        (QueueOrder::Fifo, [(1.0, 80.0, 1.0), (1.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 0),
+        (QueueOrder::Priority, [(1.0, 0.0, 1.0), (2.0, 0.0, 9.0), (1.0, 0.0, 5.0)], 0),
     ];
     for (order, waiting, starts) in cases {
         let mut worker = Worker::new(WorkerSpec { max_waiting: 3, order: *order, ..worker_spec() });
