--- a/crates/testbed/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -55,10 +55,10 @@
         match measurement {
             Measurement::Death => measure_deaths(members, seeds),
             Measurement::Loss => {
-                [0.0, 0.1, 0.3].into_iter().for_each(|loss| measure_loss(members, loss, seeds.clone()))
+                [0.0, 0.1, 0.3].into_iter().for_each(|loss| measure_loss(members, loss, seeds.clone()));
             }
             Measurement::Pauses => {
-                [1, 5, 15].into_iter().for_each(|span| measure_pauses(members, span, seeds.clone()))
+                [1, 5, 15].into_iter().for_each(|span| measure_pauses(members, span, seeds.clone()));
             }
             Measurement::Idle => measure_idle_traffic(members, seeds),
             Measurement::Heal => measure_healing(members, seeds),
