--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -67,12 +67,12 @@
     Key::new(line).map_err(|source| KeyFileError::Invalid { path: path.to_owned(), source })
 }
 
-/// Checks that a file holds a key. The form of its error is the one that the configuration's check takes.
+/// Checks that a file holds a key.
 ///
 /// # Errors
 /// What is wrong with the file or the key, without a byte of it.
-pub(crate) fn check_key_file(path: &Path) -> Result<(), String> {
-    read_key(path).map(|_| ()).map_err(|error| error.to_string())
+pub(crate) fn check_key_file(path: &Path) -> Result<(), KeyFileError> {
+    read_key(path).map(|_| ())
 }
 
 /// What a member is started with.
