--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! The testbed: a model of workers, clients and faults, a simulation and an emulation of it, and a referee.
+//! The testbed: a model of workers, clients and faults, a simulation and an emulation of it, and a rule checker.
 //!
 //! ```text
 //!   scenario (TOML) ──► model ──► fleet, faults, arrivals, idempotency keys, workers, connection faults
--- a/crates/testbed/src/simulation/attempts.rs
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -39,7 +39,7 @@
         let Some(client_request) = self.client_requests.get_mut(&client_request) else { return };
         client_request.open_references += 1;
         let load = client_request.arrival.work * client_request.arrival.slots;
-        self.referee.attempt_sent(self.now, scheduler, worker, load);
+        self.rule_checker.attempt_sent(self.now, scheduler, worker, load);
         self.attempts_sent += 1;
         let (from_zone, to_zone) = (self.scheduler_zone(scheduler), self.worker_zone(worker));
         self.cross_zone_attempts += u64::from(from_zone != to_zone);
@@ -154,7 +154,7 @@
             return;
         };
         if result == AttemptResult::Served {
-            self.referee.result_made(request);
+            self.rule_checker.result_made(request);
         }
         let (from_zone, to_zone) = (self.worker_zone(worker), self.scheduler_zone(scheduler));
         let callback_delay = self.connection_faults[worker as usize].callback_delay;
--- a/crates/testbed/src/simulation/clients.rs
+++ b/crates/testbed/src/simulation/clients.rs
@@ -80,7 +80,7 @@
             has_client_disconnected: false,
         };
         self.scheduler_requests.insert(request, scheduler_request);
-        self.referee.request_sent(request, gives_up_at);
+        self.rule_checker.request_sent(request, gives_up_at);
         let delay = self.network_delay(zone, zone);
         self.schedule(self.now + delay, SimulationEvent::RequestArrived(request));
         let grace = micros_from_seconds(self.scenario.clients.deadline_grace_s);
@@ -92,7 +92,7 @@
             FinalResponse::Served => ClientResponse::Served,
             FinalResponse::Rejected { .. } | FinalResponse::Failed => ClientResponse::Unserved,
         };
-        self.referee.response_received(self.now, request, heard);
+        self.rule_checker.response_received(self.now, request, heard);
         let Some(id) = self.scheduler_requests.get(&request).map(|request| request.client_request) else {
             return;
         };
@@ -132,7 +132,7 @@
     }
 
     pub(super) fn time_out_client(&mut self, id: RequestId) {
-        self.referee.deadline_passed(self.now, id);
+        self.rule_checker.deadline_passed(self.now, id);
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         request.has_client_disconnected = true;
         let (client_request, scheduler) = (request.client_request, request.scheduler);
@@ -147,7 +147,7 @@
 
     /// The client's connection breaks before a response came.
     pub(super) fn break_client_connection(&mut self, request: RequestId, client_request: ClientRequestId) {
-        self.referee.response_received(self.now, request, ClientResponse::ConnectionBroken);
+        self.rule_checker.response_received(self.now, request, ClientResponse::ConnectionBroken);
         if self.is_unfinished(client_request) {
             self.finish_client_request(client_request, JobOutcome::Failed);
         }
@@ -167,7 +167,7 @@
         if request.has_client_disconnected && request.is_answered && request.attempts_in_flight == 0 {
             let client_request = request.client_request;
             self.scheduler_requests.remove(&id);
-            self.referee.request_finished(id);
+            self.rule_checker.request_finished(id);
             self.release_client_request(client_request);
         }
     }
@@ -178,7 +178,7 @@
         client_request.open_references -= 1;
         if client_request.open_references == 0 && client_request.is_finished {
             self.client_requests.remove(&id);
-            self.referee.job_finished(id.0);
+            self.rule_checker.job_finished(id.0);
         }
     }
 }
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -211,7 +211,7 @@
         let version = scheduler.list_version;
         for endpoint in endpoints {
             let is_ready = endpoint.state == WorkerState::Ready;
-            self.referee.availability_notified(self.now, number, endpoint.worker.0, is_ready);
+            self.rule_checker.availability_notified(self.now, number, endpoint.worker.0, is_ready);
         }
         self.notify_scheduler(number, Event::Endpoints(EndpointUpdate { kind, version, endpoints }));
     }
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -63,7 +63,7 @@
             self.jobs_at_workers -= jobs_before;
         }
         if has_restarted {
-            self.referee.worker_started(now, worker, spec.cores.min(spec.slots) * spec.speed);
+            self.rule_checker.worker_started(now, worker, spec.cores.min(spec.slots) * spec.speed);
         }
         self.apply_worker_effects(worker, effects);
         if matches!(fault, FaultKind::Crash | FaultKind::Vanish | FaultKind::Drain) {
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -104,7 +104,7 @@
     stale_list: Option<Arc<Vec<Endpoint>>>,
     /// Kept between events to save allocations.
     action_buffer: Vec<Action>,
-    referee: RuleChecker,
+    rule_checker: RuleChecker,
     tally: OutcomeCounter,
     events_handled: u64,
     attempts_sent: u64,
@@ -150,7 +150,7 @@
             idle_connections: FxHashMap::default(),
             stale_list: None,
             action_buffer: Vec::new(),
-            referee: RuleChecker::new(slow_start_budget(scenario)),
+            rule_checker: RuleChecker::new(slow_start_budget(scenario)),
             tally: OutcomeCounter::new(scenario.classes.len(), scenario.zones),
             events_handled: 0,
             attempts_sent: 0,
@@ -279,7 +279,7 @@
             load_queries: self.load_queries_sent,
             overloads: self.overload_count,
             job_microseconds: self.job_time,
-            violations: self.referee.into_violations(),
+            violations: self.rule_checker.into_violations(),
             machine_usage: None,
         }
         .into_outcome()
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -159,12 +159,12 @@
         }
     }
 
-    /// Sends a final response to the client, also a second one, which the referee counts.
+    /// Sends a final response to the client, also a second one, which the rule checker counts.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         request.is_answered = true;
         let scheduler = request.scheduler;
-        self.referee.response_sent(id);
+        self.rule_checker.response_sent(id);
         let zone = self.scheduler_zone(scheduler);
         let delay = self.network_delay(zone, zone);
         self.schedule(self.now + delay, SimulationEvent::ResponseArrived { request: id, response });
@@ -173,7 +173,7 @@
 
     /// Ends a scheduler's process with all its requests, whose client connections break. After a graceful
     /// shutdown every request should have its response; one that has none is left to its client's timeout,
-    /// and the referee reports it.
+    /// and the rule checker reports it.
     pub(super) fn stop_scheduler(&mut self, number: u32, is_graceful: bool) {
         let scheduler = &mut self.schedulers[number as usize];
         scheduler.is_up = false;
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -42,7 +42,7 @@
             DeliveryResult::ImmediateError => {
                 // The error does not say whether the job ran: whoever retries must assume that it did.
                 self.record_taken(&delivery);
-                self.referee.job_started(self.now, delivery.client_request.0, delivery.idempotency);
+                self.rule_checker.job_started(self.now, delivery.client_request.0, delivery.idempotency);
                 return self.return_result(id, AttemptResult::Error);
             }
             DeliveryResult::ResetAfterTaken => {
@@ -89,9 +89,9 @@
         true
     }
 
-    /// Tells the referee that the worker took the attempt.
+    /// Notifies the rule checker that the worker took the attempt.
     fn record_taken(&mut self, delivery: &Delivery) {
-        self.referee.attempt_accepted(
+        self.rule_checker.attempt_accepted(
             self.now,
             delivery.client_request.0,
             delivery.attempt.0,
@@ -212,7 +212,7 @@
         let Some(client_request) = self.client_requests.get(&client_request_id) else { return };
         let class = client_request.arrival.class;
         let idempotency = self.scenario.classes[class as usize].idempotency();
-        self.referee.job_started(self.now, client_request_id.0, idempotency);
+        self.rule_checker.job_started(self.now, client_request_id.0, idempotency);
         if is_awaited && self.worker(worker).silent_class != Some(class) {
             self.report_start(worker, id);
         }
@@ -251,7 +251,7 @@
     fn return_attempt(&mut self, id: AttemptId) {
         self.jobs_at_workers -= 1;
         if let Some(client_request_id) = self.attempts.get(&id).map(|attempt| attempt.client_request) {
-            self.referee.attempt_returned(client_request_id.0, id.0);
+            self.rule_checker.attempt_returned(client_request_id.0, id.0);
             if let Some(client_request) = self.client_requests.get_mut(&client_request_id) {
                 client_request.keys.record_returned(id.0);
             }
--- a/crates/testbed/tests/calc.rs
+++ b/crates/testbed/tests/calc.rs
@@ -123,12 +123,12 @@
         (KeyScope::Cell, (0, 0), (0, 0), 26, true),
     ];
     for (scope, first, second, sent_at, is_violation) in cases {
-        let mut referee = RuleChecker::new(None);
+        let mut rule_checker = RuleChecker::new(None);
         let idempotency = Idempotency::IdempotentWithKey { scope, window: 25 * SECOND };
-        referee.attempt_accepted(0, 1, 1, idempotency, key_group(scope, first.0, first.1), 0);
+        rule_checker.attempt_accepted(0, 1, 1, idempotency, key_group(scope, first.0, first.1), 0);
         let at = sent_at * SECOND;
-        referee.attempt_accepted(at, 1, 2, idempotency, key_group(scope, second.0, second.1), at);
-        let found = referee.into_violations().counts.contains_key(&Rule::KeyedWithinScope);
+        rule_checker.attempt_accepted(at, 1, 2, idempotency, key_group(scope, second.0, second.1), at);
+        let found = rule_checker.into_violations().counts.contains_key(&Rule::KeyedWithinScope);
         assert_eq!(found, is_violation, "{scope:?}: {first:?}, then {second:?} after {sent_at} s");
     }
 }
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -327,7 +327,7 @@
     );
 }
 
-// No policy can violate this in the simulation, as only a proxy could: the referee is called directly.
+// No policy can violate this in the simulation, as only a proxy could: the rule checker is called directly.
 #[test]
 fn a_response_that_no_worker_made_violates_a_rule() {
     for (made, heard, breaches) in [
@@ -336,13 +336,13 @@
         (false, ClientResponse::Unserved, 0),
         (false, ClientResponse::ConnectionBroken, 0),
     ] {
-        let mut referee = RuleChecker::new(None);
-        referee.request_sent(RequestId(1), SECOND);
+        let mut rule_checker = RuleChecker::new(None);
+        rule_checker.request_sent(RequestId(1), SECOND);
         if made {
-            referee.result_made(RequestId(1));
+            rule_checker.result_made(RequestId(1));
         }
-        referee.response_received(5, RequestId(1), heard);
-        let counts = referee.into_violations().counts;
+        rule_checker.response_received(5, RequestId(1), heard);
+        let counts = rule_checker.into_violations().counts;
         assert_eq!(
             counts.get(&Rule::GenuineResult).copied().unwrap_or_default(),
             breaches,
