--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,4 +1,5 @@
 //! Compares policies on the same seeds: differences in pairs, with a bootstrap interval.
+use copperspread_dispatcher::SettingsError;
 use rand::RngExt;
 use rayon::prelude::{IntoParallelRefIterator, ParallelIterator};
 use serde::Serialize;
@@ -154,9 +155,9 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CompareError {
-    /// A run failed.
-    #[error("{0}")]
-    RunFailed(String),
+    /// A policy does not accept its settings.
+    #[error(transparent)]
+    InvalidSettings(#[from] SettingsError),
 }
 
 /// Plays a scenario under policies and seeds, on all cores.
@@ -171,7 +172,7 @@
     let pairs: Vec<(PolicyKind, u64)> =
         policies.iter().flat_map(|&policy| seeds.iter().map(move |&seed| (policy, seed))).collect();
     let run = |&(policy, seed): &(PolicyKind, u64)| {
-        simulate(scenario, policy, seed).map_err(|error| CompareError::RunFailed(error.to_string()))
+        simulate(scenario, policy, seed).map_err(CompareError::InvalidSettings)
     };
     let runs: Vec<RunOutcome> = pairs.par_iter().map(run).collect::<Result<_, CompareError>>()?;
     let names = policies.iter().map(|policy| policy.name());
--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -38,8 +38,7 @@
 
 fn build_policy(kind: PolicyKind, config: &StartupConfig) -> Result<Box<dyn Policy>, ServeError> {
     let random = random_stream(config.seed, StreamPurpose::Network);
-    let policy = kind.build(config.settings.dispatch.clone(), config.seed, random);
-    policy.map_err(|error| ServeError::Policy(error.to_string()))
+    Ok(kind.build(config.settings.dispatch.clone(), config.seed, random)?)
 }
 
 async fn serve(kind: PolicyKind, policy: Box<dyn Policy>, config: &StartupConfig) -> Result<(), ServeError> {
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -2,7 +2,7 @@
 mod baseline;
 mod broken;
 
-use copperspread_dispatcher::{Discovery, DispatchPolicy, Dispatcher, Settings};
+use copperspread_dispatcher::{Discovery, DispatchPolicy, Dispatcher, Settings, SettingsError};
 use serde::{Deserialize, Serialize};
 
 use self::baseline::{Baseline, SelectionRule};
@@ -81,11 +81,11 @@
         settings: Settings,
         seed: u64,
         random: RandomStream,
-    ) -> Result<Box<dyn Policy>, String> {
+    ) -> Result<Box<dyn Policy>, SettingsError> {
         let must_subscribe = settings.discovery == Discovery::Polled;
-        let dispatcher = |settings| Dispatcher::new(settings, seed).map_err(|error| error.to_string());
+        let dispatcher = |settings| Dispatcher::new(settings, seed);
         let baseline = |rule| Box::new(Baseline::new(rule, random, must_subscribe));
-        let broken = |defect| -> Result<Box<dyn Policy>, String> {
+        let broken = |defect| -> Result<Box<dyn Policy>, SettingsError> {
             Ok(Box::new(BrokenPolicy::new(dispatcher(settings.clone())?, defect)))
         };
         Ok(match self {
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -27,7 +27,7 @@
 
 use std::sync::Arc;
 
-use copperspread_dispatcher::{Action, Endpoint, Event, Micros, Progress, RequestId, SECOND};
+use copperspread_dispatcher::{Action, Endpoint, Event, Micros, Progress, RequestId, SECOND, SettingsError};
 use rand::RngExt;
 use rand_distr::{Distribution, Exp1, Normal};
 use rustc_hash::FxHashMap;
@@ -58,7 +58,11 @@
 ///
 /// # Errors
 /// Settings that the policy does not accept.
-pub fn simulate(scenario: &Scenario, policy_kind: PolicyKind, seed: u64) -> Result<RunOutcome, String> {
+pub fn simulate(
+    scenario: &Scenario,
+    policy_kind: PolicyKind,
+    seed: u64,
+) -> Result<RunOutcome, SettingsError> {
     let mut simulation = Simulation::new(scenario, policy_kind, seed)?;
     while simulation.handle_next_event() {}
     Ok(simulation.outcome())
@@ -118,7 +122,11 @@
 }
 
 impl<'a> Simulation<'a> {
-    fn new(scenario: &'a Scenario, policy_kind: PolicyKind, seed: u64) -> Result<Simulation<'a>, String> {
+    fn new(
+        scenario: &'a Scenario,
+        policy_kind: PolicyKind,
+        seed: u64,
+    ) -> Result<Simulation<'a>, SettingsError> {
         let fleet = Fleet::generate(scenario, seed);
         let schedulers = (0..scenario.schedulers)
             .map(|number| Scheduler::new(scenario, policy_kind, seed, number))
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -2,7 +2,8 @@
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
-    Action, EndpointUpdateKind, Event, IncomingRequest, Micros, Outcome as AttemptResult, RequestId, Timer,
+    Action, EndpointUpdateKind, Event, IncomingRequest, Micros, Outcome as AttemptResult, RequestId,
+    SettingsError, Timer,
 };
 
 use super::event_queue::{FinalResponse, SimulationEvent};
@@ -40,7 +41,7 @@
         policy_kind: PolicyKind,
         seed: u64,
         number: u32,
-    ) -> Result<Scheduler, String> {
+    ) -> Result<Scheduler, SettingsError> {
         Ok(Scheduler {
             policy: build_policy(scenario, policy_kind, number, scheduler_seed(seed, number))?,
             zone: number % scenario.zones,
@@ -62,7 +63,7 @@
     policy_kind: PolicyKind,
     number: u32,
     seed: u64,
-) -> Result<Box<dyn Policy>, String> {
+) -> Result<Box<dyn Policy>, SettingsError> {
     policy_kind.build(scenario.settings(number), seed, random_stream(seed, StreamPurpose::Network))
 }
 
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -2,6 +2,7 @@
 //! configuration and start.
 use std::io;
 
+use copperspread_dispatcher::SettingsError;
 use copperspread_settings::{ReadError, StartupConfig, platform};
 
 /// The environment variable that names the configuration file, as on the platform.
@@ -31,8 +32,8 @@
         source: ReadError,
     },
     /// The policy does not accept its settings.
-    #[error("{0}")]
-    Policy(String),
+    #[error(transparent)]
+    Policy(#[from] SettingsError),
     /// The node cannot be assembled.
     #[error(transparent)]
     Assembly(#[from] copperspread_proxy::assembly::AssemblyError),
