--- a/crates/dispatcher/src/policy/attempts.rs
+++ b/crates/dispatcher/src/policy/attempts.rs
@@ -4,8 +4,6 @@
 use crate::{Action, AttemptOutcome, Micros, Outcome, Progress, RequestId, WorkerId};
 use crate::{average::move_average, local_load::InFlightAttempt, time::from_seconds, time::to_seconds};
 
-/// Attempts kept for one request; a site that allows more is held to this many.
-pub(super) const MAX_TRACKED_ATTEMPTS: usize = 8;
 /// Shortest valid response time: keeps its mean, by which is divided, above 0.
 const MIN_RESPONSE_TIME: Micros = 1_000;
 
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -2,7 +2,7 @@
 //! a second attempt where the first has not started in time, as its worker's queue is longer than any report
 //! showed, it hangs, or it has slowed down.
 use super::{Dispatcher, state::Attempt, state::Request};
-use super::{attempts::MAX_TRACKED_ATTEMPTS, selection::NotAdmitted};
+use super::{selection::NotAdmitted, state::MAX_TRACKED_ATTEMPTS};
 use crate::time::from_seconds;
 use crate::{Action, DISPATCH_SLACK, Idempotency, KeyScope, Micros, Rejection, RequestId, Timer};
 
--- a/crates/dispatcher/src/policy/state.rs
+++ b/crates/dispatcher/src/policy/state.rs
@@ -1,9 +1,11 @@
 //! What a dispatcher knows of workers, kinds and requests.
-use super::attempts::MAX_TRACKED_ATTEMPTS;
 use crate::average::{LogAverage, SlidingWindowSum};
 use crate::{Micros, RequestId, WorkerState, local_load::LocalLoad};
 use arrayvec::ArrayVec;
 
+/// Attempts kept for one request; a site that allows more is held to this many.
+pub(super) const MAX_TRACKED_ATTEMPTS: usize = 8;
+
 /// What is known of the workers of one kind, or of all.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct GroupStatistics {
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -9,6 +9,7 @@
 use crate::commands::run::RunArguments;
 use crate::commands::sim::SimArguments;
 use crate::commands::trace::TraceArguments;
+use crate::policy_argument::parse_policy;
 
 /// Plays scenarios of workers, clients and failures against the scheduler's decisions.
 #[derive(Debug, Parser)]
@@ -52,11 +53,3 @@
     /// Play scenarios under the module and the baselines, in pairs of one seed
     Compare(CompareArguments),
 }
-
-/// Parses the name of a policy.
-pub(crate) fn parse_policy(text: &str) -> Result<PolicyKind, String> {
-    serde_json::from_value(text.into()).map_err(|_| {
-        let names: Vec<_> = PolicyKind::COMPARED.iter().map(|kind| kind.name()).collect();
-        format!("no such policy; one of {}", names.join(", "))
-    })
-}
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -8,7 +8,7 @@
 use super::output::{json_line, print, write_report};
 use super::shipped_scenarios::{LARGE, SHIPPED, read_scenario};
 use super::{CommandOutcome, CommandResult};
-use crate::cli::parse_policy;
+use crate::policy_argument::parse_policy;
 
 #[derive(Debug, Args)]
 pub(crate) struct CompareArguments {
--- a/crates/testbed/src/commands/emulate.rs
+++ b/crates/testbed/src/commands/emulate.rs
@@ -10,7 +10,7 @@
 use super::output::{json_line, print};
 use super::shipped_scenarios::read_scenario;
 use super::{CommandOutcome, CommandResult};
-use crate::cli::parse_policy;
+use crate::policy_argument::parse_policy;
 
 #[derive(Debug, Args)]
 pub(crate) struct EmulateArguments {
--- a/crates/testbed/src/emulation/callbacks.rs
+++ b/crates/testbed/src/emulation/callbacks.rs
@@ -25,26 +25,28 @@
     format!("result of {request:016x}")
 }
 
-/// Delivers a callback after its delay, again after each failure until the tries are used up or the
-/// scheduler is down, and twice where it is duplicated.
-pub(crate) async fn deliver_callback(environment: Rc<Environment>, callback: Callback) {
-    sleep(Duration::from_micros(callback.delay)).await;
-    let body = Bytes::from(callback_body(&callback).to_string());
-    let scheduler = &environment.schedulers[callback.scheduler as usize];
-    let mut remaining = 1 + u32::from(callback.is_duplicated);
-    for _ in 0..CALLBACK_ATTEMPTS {
-        if !scheduler.is_up.get() {
-            return;
-        }
-        let url = format!("http://{}/_jobs/news", scheduler.address);
-        let Ok(request) = Request::post(url).body(Full::new(body.clone())) else { return };
-        if matches!(timeout(CALLBACK_TIMEOUT, send(&environment.client, request)).await, Ok(Some(_))) {
-            remaining -= 1;
-            if remaining == 0 {
+impl Environment {
+    /// Delivers a callback after its delay, again after each failure until the tries are used up or the
+    /// scheduler is down, and twice where it is duplicated.
+    pub(crate) async fn deliver_callback(self: Rc<Self>, callback: Callback) {
+        sleep(Duration::from_micros(callback.delay)).await;
+        let body = Bytes::from(callback_body(&callback).to_string());
+        let scheduler = &self.schedulers[callback.scheduler as usize];
+        let mut remaining = 1 + u32::from(callback.is_duplicated);
+        for _ in 0..CALLBACK_ATTEMPTS {
+            if !scheduler.is_up.get() {
                 return;
             }
-        } else {
-            sleep(CALLBACK_RETRY_DELAY).await;
+            let url = format!("http://{}/_jobs/news", scheduler.address);
+            let Ok(request) = Request::post(url).body(Full::new(body.clone())) else { return };
+            if matches!(timeout(CALLBACK_TIMEOUT, send(&self.client, request)).await, Ok(Some(_))) {
+                remaining -= 1;
+                if remaining == 0 {
+                    return;
+                }
+            } else {
+                sleep(CALLBACK_RETRY_DELAY).await;
+            }
         }
     }
 }
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -18,7 +18,6 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep};
 
-use crate::emulation::callbacks::deliver_callback;
 use crate::emulation::endpoint_list::VersionedEndpointList;
 use crate::emulation::state::EmulationState;
 use crate::http_client::{HttpClient, new_http_client};
@@ -186,7 +185,7 @@
             (result, callbacks, std::mem::take(&mut state.changed_workers))
         };
         for callback in callbacks {
-            tokio::task::spawn_local(deliver_callback(Rc::clone(self), callback));
+            tokio::task::spawn_local(Rc::clone(self).deliver_callback(callback));
         }
         for worker in changed_workers {
             self.propagate_worker_change(worker);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -3,6 +3,7 @@
 //! Exit codes: 0 done, 1 a rule was violated or the command failed, 2 the command line is wrong.
 mod cli;
 mod commands;
+mod policy_argument;
 
 use std::io::Write;
 use std::process::ExitCode;
--- /dev/null
+++ b/crates/testbed/src/policy_argument.rs
@@ -0,0 +1,10 @@
+//! The command line's form of a policy.
+use copperspread_testbed::policy::PolicyKind;
+
+/// Parses the name of a policy.
+pub(crate) fn parse_policy(text: &str) -> Result<PolicyKind, String> {
+    serde_json::from_value(text.into()).map_err(|_| {
+        let names: Vec<_> = PolicyKind::COMPARED.iter().map(|kind| kind.name()).collect();
+        format!("no such policy; one of {}", names.join(", "))
+    })
+}
