--- a/crates/membership-transport/src/transport.rs
+++ b/crates/membership-transport/src/transport.rs
@@ -43,10 +43,11 @@
     /// # Errors
     /// Settings that the protocol cannot run with, an address that cannot be bound, or a system that refuses a thread.
     pub fn start(config: TransportConfig) -> Result<MembershipTransport, StartError> {
+        let generation = unix_milliseconds();
         let sockets = BoundSockets::bind(config.bind_address)?;
         let address = sockets.address;
         let key = config.key.clone();
-        let membership = new_membership(config, address)?;
+        let membership = new_membership(config, address, generation)?;
         let (sockets, waker) = sockets.register()?;
         let shared = Arc::new(Shared::new(membership.local_member().clone(), waker));
         // Its drop ends the threads that run, should the system refuse a further one. It stands before the queues,
@@ -130,14 +131,23 @@
     }
 }
 
-fn new_membership(config: TransportConfig, address: SocketAddr) -> Result<Membership, StartError> {
+/// The Unix time now, in milliseconds.
+fn unix_milliseconds() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
+}
+
+fn new_membership(
+    config: TransportConfig,
+    address: SocketAddr,
+    generation: u64,
+) -> Result<Membership, StartError> {
     let local = Member {
         name: config.name,
         zone: config.zone,
         region: config.region,
         address: config.advertised_address.unwrap_or(address),
-        generation: u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX),
+        generation,
         rejoins: 0,
     };
     Ok(Membership::new(local, config.membership_settings, config.key, config.seed)?)
