--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -8,14 +8,48 @@
     Idempotency, IncomingRequest, LoadReport, Micros, Outcome, Progress, RequestId, WorkerId,
 };
 use http::HeaderMap;
-use http::uri::PathAndQuery;
+use http::uri::{Authority, PathAndQuery};
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
+use tokio_util::sync::CancellationToken;
+
+/// What ends the dispatch of an attempt early. An upstream asks `is_cancelled`, which does not wait, in the step in
+/// which it writes: otherwise attempts would begin for a client that has disconnected, or that has its response,
+/// because their connection came up late.
+#[derive(Clone, Debug, Default)]
+pub struct DispatchControl {
+    /// Once cancelled, nothing of the attempt is written any more; what has been written goes on. One for all
+    /// attempts of a request.
+    pub withhold: CancellationToken,
+    /// Once cancelled, the attempt is given up: what has not been written is withheld, and a connection on which
+    /// the worker has not accepted it yet is closed. The dispatch ends after that.
+    pub abort: CancellationToken,
+}
+
+impl DispatchControl {
+    /// Whether anything of the attempt may still be written.
+    pub fn permits_write(&self) -> bool {
+        !self.withhold.is_cancelled() && !self.abort.is_cancelled()
+    }
+}
 
-/// Revokes the dispatches of a request that have not been written yet, once for all. An upstream asks
-/// `is_cancelled`, which does not wait, in the step in which it writes: otherwise attempts would begin for a
-/// client that has disconnected, or that has its response, because their connection came up late.
-pub use tokio_util::sync::CancellationToken;
+/// Where an attempt goes: a worker, at the address at which it was listed when the attempt began.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AttemptTarget {
+    /// The worker.
+    pub worker: WorkerId,
+    /// Its address; none if it takes no new work.
+    pub address: Option<Authority>,
+}
+
+/// What is known of a cancellation in the end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CancellationOutcome {
+    /// The worker has acknowledged it: the attempt runs no longer, or never did.
+    Acknowledged,
+    /// No acknowledgement came in time: the worker may not have heard of it.
+    Unconfirmed,
+}
 
 /// The part of the memory for bodies that one body holds, until its last holder drops it; a small body holds
 /// none.
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -2,24 +2,34 @@
 //! dispatch policy decides and reports every attempt's end to it; it decides nothing itself.
 use std::sync::Arc;
 
-use copperspread_dispatcher::{AttemptOutcome, IncomingRequest, Micros, Outcome, RequestId, WorkerId};
+use copperspread_dispatcher::{
+    AttemptOutcome, IncomingRequest, Micros, Outcome, RequestId, SECOND, WorkerId,
+};
 use futures_util::FutureExt;
-use futures_util::future::{AbortHandle, Aborted, BoxFuture, abortable};
+use futures_util::future::BoxFuture;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 use tokio_util::sync::CancellationToken;
 use tracing::{Instrument, debug, info_span};
 
+use crate::clock::from_now;
 use crate::context::ProxyContext;
 use crate::invariant;
+use crate::invariant::note;
 use crate::messages::{
-    AdmissionRequest, AttemptCompletion, DispatchResult, FinalResponse, RequestEvent, UpstreamRequest,
-    WorkerEvent,
+    AdmissionRequest, AttemptCompletion, AttemptTarget, CancellationOutcome, DispatchControl, DispatchResult,
+    FinalResponse, RequestEvent, UpstreamRequest, WorkerEvent,
 };
 use crate::policy_handle::RequestEventSender;
 use crate::shutdown::effective_deadline;
 
+/// How long a worker that has accepted an attempt has to acknowledge its cancellation.
+const CANCELLATION_TIMEOUT: Micros = 2 * SECOND;
+/// The same where the worker had not accepted the attempt when its connection was closed. The close alone gives the
+/// attempt up; the cancellation is for a response that crossed it.
+const CLOSED_ATTEMPT_CANCELLATION_TIMEOUT: Micros = 300_000;
+
 /// What a client connection holds of a request: its final response. Dropping it reports to the request's task
 /// that the client has disconnected.
 pub struct ResponseHandle {
@@ -59,6 +69,7 @@
         dispatch_cancellation: CancellationToken::new(),
         attempts: Vec::new(),
         dispatches: FuturesUnordered::new(),
+        cancellations: FuturesUnordered::new(),
         is_past_deadline: false,
     };
     tokio::spawn(task.run(event_sender.clone(), events).instrument(span));
@@ -67,20 +78,32 @@
 
 /// One attempt of a request at a worker.
 struct Attempt {
-    worker: WorkerId,
+    target: AttemptTarget,
     sent_at: Micros,
     /// Its outcome has not come.
     is_in_flight: bool,
+    /// Its dispatch has not ended.
+    is_dispatching: bool,
     /// Aborts the dispatch while the worker has not accepted it.
-    dispatch_abort: Option<AbortHandle>,
+    abort: CancellationToken,
     /// A callback has come: the worker has the request, whether or not its 202 has come.
     has_called_back: bool,
+    /// The policy has cancelled it, and it is not known yet what came of that.
+    is_cancelling: bool,
 }
 
 /// The end of one attempt's dispatch.
 struct DispatchCompletion {
     attempt: u32,
-    result: Result<DispatchResult, Aborted>,
+    result: DispatchResult,
+}
+
+/// The end of one attempt's cancellation.
+struct CancellationCompletion {
+    attempt: u32,
+    /// The attempt has ended even if the worker does not acknowledge its cancellation.
+    is_closed: bool,
+    outcome: CancellationOutcome,
 }
 
 struct RequestTask {
@@ -96,6 +119,8 @@
     attempts: Vec<Attempt>,
     /// Dispatches that have not ended.
     dispatches: FuturesUnordered<BoxFuture<'static, DispatchCompletion>>,
+    /// Cancellations that decide whether their attempt has ended.
+    cancellations: FuturesUnordered<BoxFuture<'static, CancellationCompletion>>,
     is_past_deadline: bool,
     accepted_at: Micros,
 }
@@ -121,6 +146,9 @@
                 biased;
                 Some(event) = events.recv() => self.handle_event(event),
                 Some(completion) = self.dispatches.next() => self.handle_dispatch_completion(completion),
+                Some(completion) = self.cancellations.next() => {
+                    self.handle_cancellation_completion(&completion);
+                }
                 // This scheduler stops before the request's own deadline.
                 Ok(()) = shutdown.changed() => {
                     expiry.as_mut().reset(effective_deadline(self.deadline, &shutdown));
@@ -149,7 +177,7 @@
             RequestEvent::Dispatch { worker } => self.start_attempt(worker),
             RequestEvent::Reject { retry_after } => self.respond(FinalResponse::Rejected { retry_after }),
             RequestEvent::Fail => self.respond(FinalResponse::Failed),
-            RequestEvent::Cancel { attempt } => self.cancel_attempt(attempt, Outcome::Cancelled),
+            RequestEvent::Cancel { attempt } => self.cancel_attempt(attempt),
             RequestEvent::Worker { worker, event } => self.handle_worker_event(worker, event),
             RequestEvent::ClientDisconnected => self.handle_client_disconnected(),
         }
@@ -158,34 +186,44 @@
     /// Starts the next attempt, or ends it as superseded where none may be sent any more.
     fn start_attempt(&mut self, worker: WorkerId) {
         let number = self.attempts.len() as u32;
-        let is_repeated = self.attempts.iter().any(|attempt| attempt.worker == worker);
+        let is_repeated = self.attempts.iter().any(|attempt| attempt.target.worker == worker);
         invariant!(!is_repeated, "a flow has one scheduling at a real server");
-        let (dispatch, dispatch_abort) = abortable(self.dispatch(number, worker));
+        let target = self.context.upstream.target(worker);
+        let abort = CancellationToken::new();
         self.attempts.push(Attempt {
-            worker,
+            target: target.clone(),
             sent_at: self.context.clock.now(),
             is_in_flight: true,
-            dispatch_abort: Some(dispatch_abort),
+            is_dispatching: true,
+            abort: abort.clone(),
             has_called_back: false,
+            is_cancelling: false,
         });
         if self.is_past_deadline || is_repeated || self.response_sender.is_none() {
+            self.attempts[number as usize].is_dispatching = false;
             self.finish_attempt(number, Outcome::Superseded.into());
             return;
         }
         self.context.recorder.attempt_sent(self.request_id(), number, worker);
+        let control = DispatchControl { withhold: self.dispatch_cancellation.clone(), abort };
+        let dispatch = self.dispatch(number, target, control);
         let completion = dispatch.map(move |result| DispatchCompletion { attempt: number, result });
         self.dispatches.push(completion.boxed());
     }
 
     /// The dispatch of an attempt, not polled yet.
-    fn dispatch(&self, number: u32, worker: WorkerId) -> impl Future<Output = DispatchResult> + use<> {
+    fn dispatch(
+        &self,
+        number: u32,
+        target: AttemptTarget,
+        control: DispatchControl,
+    ) -> impl Future<Output = DispatchResult> + use<> {
         let upstream = Arc::clone(&self.context.upstream);
         let request = Arc::clone(&self.upstream_request);
         let deadline = self.deadline;
-        let cancellation = self.dispatch_cancellation.clone();
-        let span = info_span!("attempt", attempt = number, worker = &*upstream.worker_name(worker));
+        let span = info_span!("attempt", attempt = number, worker = &*upstream.worker_name(target.worker));
         let dispatch = async move {
-            let result = upstream.dispatch(worker, &request, deadline, &cancellation).await;
+            let result = upstream.dispatch(&target, &request, deadline, &control).await;
             debug!(accepted = result.is_ok(), "dispatch ended");
             result
         };
@@ -193,9 +231,16 @@
     }
 
     fn handle_dispatch_completion(&mut self, completion: DispatchCompletion) {
-        self.attempts[completion.attempt as usize].dispatch_abort = None;
-        if let Ok(Err(failure)) = completion.result {
-            self.finish_attempt(completion.attempt, failure.into());
+        let number = completion.attempt;
+        let attempt = &mut self.attempts[number as usize];
+        attempt.is_dispatching = false;
+        match completion.result {
+            // Whether the worker had accepted it as its connection was closed is not known.
+            Err(failure) if failure.outcome == Outcome::Cancelled => self.send_cancellation(number, true),
+            Err(failure) => self.finish_attempt(number, failure.into()),
+            // It was accepted as it was cancelled.
+            Ok(()) if attempt.is_cancelling => self.send_cancellation(number, false),
+            Ok(()) => {}
         }
     }
 
@@ -210,13 +255,11 @@
     fn handle_deadline(&mut self) {
         self.is_past_deadline = true;
         for number in 0..self.attempts.len() as u32 {
-            self.cancel_attempt(number, Outcome::TimedOut);
+            self.abandon_attempt(number, Outcome::TimedOut);
         }
         // Attempts that ended by a callback and whose 202 never came.
-        for attempt in &mut self.attempts {
-            if let Some(dispatch_abort) = attempt.dispatch_abort.take() {
-                dispatch_abort.abort();
-            }
+        for attempt in &self.attempts {
+            attempt.abort.cancel();
         }
     }
 
@@ -250,7 +293,7 @@
     /// Takes a callback. One that comes twice, or late for an attempt that has ended, is dropped; one that
     /// comes before the 202 counts like any other.
     fn handle_worker_event(&mut self, worker: WorkerId, event: WorkerEvent) {
-        let is_meant = |attempt: &Attempt| attempt.worker == worker && attempt.is_in_flight;
+        let is_meant = |attempt: &Attempt| attempt.target.worker == worker && attempt.is_in_flight;
         let Some(index) = self.attempts.iter().position(is_meant) else { return };
         self.attempts[index].has_called_back = true;
         let number = index as u32;
@@ -266,7 +309,7 @@
     fn finish_attempt(&mut self, number: u32, completion: AttemptCompletion) {
         let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
         attempt.is_in_flight = false;
-        let worker = attempt.worker;
+        let worker = attempt.target.worker;
         let elapsed = self.context.clock.now().saturating_sub(attempt.sent_at);
         let AttemptCompletion { outcome, result, load_report } = completion;
         debug!(attempt = number, ?outcome, elapsed_us = elapsed, "attempt ended");
@@ -285,18 +328,59 @@
         self.context.policy.attempt_ended(attempt_outcome);
     }
 
-    /// Stops waiting for an attempt, and tells the worker so if it has accepted it.
-    fn cancel_attempt(&mut self, number: u32, outcome: Outcome) {
+    /// Cancels an attempt for the policy. While a response is owed another attempt may follow, and two must not
+    /// run: so the attempt ends only once nothing of it can run any more. Until then it goes on, and may be served.
+    fn cancel_attempt(&mut self, number: u32) {
+        if self.response_sender.is_none() {
+            self.abandon_attempt(number, Outcome::Cancelled);
+            return;
+        }
+        let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
+        if std::mem::replace(&mut attempt.is_cancelling, true) {
+            return;
+        }
+        if attempt.is_dispatching {
+            attempt.abort.cancel();
+        } else {
+            self.send_cancellation(number, false);
+        }
+    }
+
+    /// Tells the worker of an attempt that is in flight to cancel it; the attempt ends by what comes of that.
+    /// `is_closed` where its connection was closed before the worker accepted it.
+    fn send_cancellation(&mut self, number: u32, is_closed: bool) {
+        let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
+        let is_closed = is_closed && !attempt.has_called_back;
+        let timeout = if is_closed { CLOSED_ATTEMPT_CANCELLATION_TIMEOUT } else { CANCELLATION_TIMEOUT };
+        let cancelled =
+            self.context.upstream.cancel(&attempt.target, &self.upstream_request, from_now(timeout));
+        let completion =
+            cancelled.map(move |outcome| CancellationCompletion { attempt: number, is_closed, outcome });
+        self.cancellations.push(completion.boxed());
+    }
+
+    /// An attempt whose worker may not have heard of the cancellation stays in flight.
+    fn handle_cancellation_completion(&mut self, completion: &CancellationCompletion) {
+        let number = completion.attempt;
+        let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
+        attempt.is_cancelling = false;
+        let has_ended = completion.is_closed && !attempt.has_called_back;
+        if completion.outcome == CancellationOutcome::Acknowledged || has_ended {
+            self.finish_attempt(number, Outcome::Cancelled.into());
+        } else {
+            note("a cancellation was not acknowledged", "the request stays at its worker");
+        }
+    }
+
+    /// Stops waiting for an attempt after which no other follows, and tells the worker so if it has accepted it.
+    fn abandon_attempt(&mut self, number: u32, outcome: Outcome) {
         let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
-        let dispatch_abort = attempt.dispatch_abort.take();
-        let is_accepted = dispatch_abort.is_none() || attempt.has_called_back;
         // Before the 202 the closed connection cancels it. But a worker that has called back already, and
         // whose 202 crosses the close, would go on for nobody: that one gets a cancellation.
-        if let Some(dispatch_abort) = dispatch_abort {
-            dispatch_abort.abort();
-        }
-        if is_accepted {
-            self.context.upstream.cancel(attempt.worker, &self.upstream_request);
+        attempt.abort.cancel();
+        if !attempt.is_dispatching || attempt.has_called_back {
+            let deadline = from_now(CANCELLATION_TIMEOUT);
+            drop(self.context.upstream.cancel(&attempt.target, &self.upstream_request, deadline));
         }
         self.finish_attempt(number, outcome.into());
     }
--- a/crates/proxy/src/upstream/http/cancellation.rs
+++ b/crates/proxy/src/upstream/http/cancellation.rs
@@ -1,26 +1,117 @@
 //! Tells workers that nobody waits for an attempt any longer.
-use copperspread_dispatcher::{Micros, SECOND};
-use hyper::Method;
-use hyper::http::uri::Authority;
-use tokio::time::timeout_at;
+use std::collections::HashMap;
+use std::sync::{Arc, Mutex, PoisonError, Weak};
+
+use copperspread_dispatcher::Micros;
+use futures_util::future::BoxFuture;
+use hyper::http::uri::{Authority, PathAndQuery};
+use hyper::{Method, Request};
+use hyper_util::client::legacy::ResponseFuture;
+use tokio::sync::{Semaphore, oneshot};
+use tokio::time::{Instant, sleep_until, timeout_at};
 
 use crate::clock::from_now;
+use crate::messages::{AttemptTarget, CancellationOutcome};
 use crate::upstream::http::connections::WorkerConnections;
 use crate::upstream::http::guarded_body::GuardedBody;
+use crate::upstream::http::limits::{max_cancellations, max_idle_per_worker};
 use crate::upstream::http::request::{build_request, read_body};
 
-/// A cancellation that has not been answered by then is dropped.
-const CANCELLATION_TIMEOUT: Micros = 2 * SECOND;
-
-/// Sends a cancellation in a task that a time-out ends; whatever is answered changes nothing.
-pub(super) fn send_cancellation(connections: &WorkerConnections, address: Authority, request_id: &str) {
-    let Ok(path) = format!("/jobs/{request_id}").parse() else { return };
-    let Some(request) = build_request(Method::DELETE, address, path, GuardedBody::empty()) else { return };
-    let response = connections.send(request);
-    let deadline = from_now(CANCELLATION_TIMEOUT);
-    tokio::spawn(timeout_at(deadline, async move {
-        if let Ok(response) = response.await {
-            let _ = read_body(response.into_body()).await;
+/// The body of a response, which says nothing, is read for so long, then its connection closes.
+const BODY_DRAIN_TIMEOUT: Micros = 100_000;
+/// Wait before a cancellation that did not reach its worker is sent again.
+const RETRY_DELAY: Micros = 20_000;
+
+/// Sends cancellations.
+pub(super) struct CancellationSender {
+    connections: Arc<WorkerConnections>,
+    /// One for each cancellation in flight.
+    permits: Arc<Semaphore>,
+    /// Those for each worker's address, while a cancellation to it is in flight: a worker that answers none must
+    /// not hold up the others.
+    permits_by_address: Mutex<HashMap<Authority, Weak<Semaphore>>>,
+    max_per_worker: usize,
+}
+
+impl CancellationSender {
+    /// Sends over these connections, for a process of so many descriptors.
+    pub(super) fn new(connections: Arc<WorkerConnections>, descriptor_limit: usize) -> CancellationSender {
+        CancellationSender {
+            connections,
+            permits: Arc::new(Semaphore::new(max_cancellations(descriptor_limit))),
+            permits_by_address: Mutex::default(),
+            max_per_worker: max_idle_per_worker(descriptor_limit),
+        }
+    }
+
+    /// The permits of one worker's address.
+    fn permits_of(&self, address: &Authority) -> Arc<Semaphore> {
+        let mut permits_by_address = self.permits_by_address.lock().unwrap_or_else(PoisonError::into_inner);
+        permits_by_address.retain(|_, permits| permits.strong_count() > 0);
+        if let Some(permits) = permits_by_address.get(address).and_then(Weak::upgrade) {
+            return permits;
+        }
+        let permits = Arc::new(Semaphore::new(self.max_per_worker));
+        permits_by_address.insert(address.clone(), Arc::downgrade(&permits));
+        permits
+    }
+
+    /// Sends the cancellation of a request's attempt in a task that ends at the deadline, and waits for the task.
+    pub(super) fn send(
+        &self,
+        target: &AttemptTarget,
+        request_id: &str,
+        deadline: Instant,
+    ) -> BoxFuture<'static, CancellationOutcome> {
+        let (sender, outcome) = oneshot::channel();
+        let path = format!("/jobs/{request_id}").parse().ok();
+        if let Some((address, path)) = target.address.clone().zip(path) {
+            let worker_permits = self.permits_of(&address);
+            let cancellation = Cancellation { connections: Arc::clone(&self.connections), address, path };
+            let permits = Arc::clone(&self.permits);
+            tokio::spawn(timeout_at(deadline, async move {
+                let _worker_permit = worker_permits.acquire().await;
+                let _permit = permits.acquire().await;
+                cancellation.send_until_acknowledged().await;
+                let _ = sender.send(CancellationOutcome::Acknowledged);
+            }));
         }
-    }));
+        Box::pin(async move { outcome.await.unwrap_or(CancellationOutcome::Unconfirmed) })
+    }
+}
+
+/// One cancellation on its way to a worker.
+struct Cancellation {
+    connections: Arc<WorkerConnections>,
+    address: Authority,
+    path: PathAndQuery,
+}
+
+impl Cancellation {
+    /// Sends it until the worker acknowledges it: first on a connection that may be pooled, which may have broken
+    /// unseen, then on new ones.
+    async fn send_until_acknowledged(&self) {
+        if self.send(WorkerConnections::send).await {
+            return;
+        }
+        loop {
+            sleep_until(from_now(RETRY_DELAY)).await;
+            if self.send(WorkerConnections::send_on_new_connection).await {
+                return;
+            }
+        }
+    }
+
+    /// Sends it once; whether the worker has acknowledged it. A worker that knows no such attempt runs none.
+    async fn send(&self, send: fn(&WorkerConnections, Request<GuardedBody>) -> ResponseFuture) -> bool {
+        let (address, path) = (self.address.clone(), self.path.clone());
+        let Some(request) = build_request(Method::DELETE, address, path, GuardedBody::empty()) else {
+            return false;
+        };
+        let Ok(response) = send(&self.connections, request).await else { return false };
+        let is_acknowledged = !response.status().is_server_error();
+        // So that the connection can carry the next request.
+        let _ = timeout_at(from_now(BODY_DRAIN_TIMEOUT), read_body(response.into_body())).await;
+        is_acknowledged
+    }
 }
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -17,6 +17,7 @@
 use crate::upstream::http::guarded_body::GuardedBody;
 use crate::upstream::http::limits::{idle_timeout, max_idle_per_worker};
 use crate::upstream::http::request::may_run_anywhere;
+use crate::upstream::http::tracked_connector::{ClosedSignal, TrackedConnector};
 
 /// Longest head of a worker's response that is read: a head without end would grow on each connection.
 const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
@@ -45,9 +46,9 @@
 
 /// The connections to all workers.
 pub(super) struct WorkerConnections {
-    pooled_client: Client<HttpConnector, GuardedBody>,
+    pooled_client: Client<TrackedConnector, GuardedBody>,
     /// Opens a connection for each request.
-    unpooled_client: Client<HttpConnector, GuardedBody>,
+    unpooled_client: Client<TrackedConnector, GuardedBody>,
     /// Written only by [`WorkerConnections::record_use`].
     reuse: Mutex<ConnectionReuse>,
     keep_alive_timeout: Duration,
@@ -69,6 +70,11 @@
         self.pooled_client.request(request)
     }
 
+    /// Sends a request on a new connection, which carries nothing else.
+    pub(super) fn send_on_new_connection(&self, request: Request<GuardedBody>) -> ResponseFuture {
+        self.unpooled_client.request(request)
+    }
+
     /// Sends an attempt on a pooled connection or a new one. A connection may have died unseen and break
     /// under the next request; after that a request that must run once may not be sent again, and one whose
     /// repeats only some workers drop may be sent to few. While this was seen lately, such a request gets a
@@ -124,7 +130,7 @@
     }
 }
 
-fn build_client(settings: &ProxySettings, max_idle: usize) -> Client<HttpConnector, GuardedBody> {
+fn build_client(settings: &ProxySettings, max_idle: usize) -> Client<TrackedConnector, GuardedBody> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(Duration::from_micros(settings.connect_timeout)));
@@ -136,12 +142,25 @@
         // The library never resends: that would be a second attempt that nobody decided on.
         .retry_canceled_requests(false)
         .http1_max_buf_size(MAX_RESPONSE_HEAD_BYTES)
-        .build(connector)
+        .build(TrackedConnector(connector))
+}
+
+/// Waits until the socket of the connection that a request went out on has been closed.
+pub(super) async fn wait_until_closed(connection: &CaptureConnection) {
+    let closed = connection_extras(connection).and_then(|mut extras| extras.remove::<ClosedSignal>());
+    if let Some(ClosedSignal(closed)) = closed {
+        closed.cancelled().await;
+    }
 }
 
 /// The local address of the connection that a request went out on, which names the connection.
 fn local_address(connection: &CaptureConnection) -> Option<SocketAddr> {
+    connection_extras(connection)?.get().map(HttpInfo::local_addr)
+}
+
+/// What is known of the connection that a request went out on; nothing while there is none.
+fn connection_extras(connection: &CaptureConnection) -> Option<Extensions> {
     let mut extras = Extensions::new();
     connection.connection_metadata().as_ref()?.get_extras(&mut extras);
-    extras.get().map(HttpInfo::local_addr)
+    Some(extras)
 }
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -1,6 +1,7 @@
 //! A request body that is withheld unless the attempt may still be written.
 use std::pin::Pin;
 use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::task::{Context, Poll};
 
 use bytes::Bytes;
@@ -11,12 +12,12 @@
 use tokio::time::Instant;
 
 use crate::endpoints::EndpointTable;
-use crate::messages::CancellationToken;
+use crate::messages::DispatchControl;
 
 /// The conditions under which an attempt may be written.
 pub(super) struct WriteGuard {
-    /// Not once this is cancelled.
-    pub(super) cancellation: CancellationToken,
+    /// Not once this forbids it.
+    pub(super) control: DispatchControl,
     /// The table in which `worker` must be serving at `address`.
     pub(super) endpoints: Arc<EndpointTable>,
     /// The worker that the attempt was decided for.
@@ -25,19 +26,28 @@
     pub(super) address: Authority,
     /// Not from here on.
     pub(super) write_deadline: Instant,
+    /// Set in the step that writes the attempt.
+    pub(super) is_written: Arc<AtomicBool>,
 }
 
 impl WriteGuard {
     fn permits_write(&self) -> bool {
-        !self.cancellation.is_cancelled()
+        self.control.permits_write()
             && Instant::now() < self.write_deadline
             && self.endpoints.serving_address(self.worker).is_some_and(|address| address == self.address)
     }
+
+    /// Asked in the step that writes the attempt: whether it may be. Records what becomes of it.
+    fn try_write(&self) -> bool {
+        let is_permitted = self.permits_write();
+        self.is_written.store(is_permitted, Ordering::Relaxed);
+        is_permitted
+    }
 }
 
 /// Why a body was withheld.
 #[derive(Debug, thiserror::Error)]
-#[error("its time is over, nobody waits for it, or its real server takes nothing new there")]
+#[error("its time is over, nobody waits for it, or its worker takes nothing new there")]
 pub(super) struct BodyWithheld;
 
 /// A request's body. A connection's task asks for it in the step that writes the head, and before any of it is
@@ -70,7 +80,7 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyWithheld>>> {
-        if self.guard.take().is_some_and(|guard| !guard.permits_write()) {
+        if self.guard.take().is_some_and(|guard| !guard.try_write()) {
             return Poll::Ready(Some(Err(BodyWithheld)));
         }
         Pin::new(&mut self.body).poll_frame(context).map_err(|never| match never {})
@@ -83,7 +93,7 @@
     // Of an empty body only the length is asked for. One that is withheld gives none, and is polled then.
     fn size_hint(&self) -> SizeHint {
         let is_empty = self.body.is_end_stream();
-        let is_withheld = is_empty && self.guard.as_ref().is_some_and(|guard| !guard.permits_write());
+        let is_withheld = is_empty && self.guard.as_ref().is_some_and(|guard| !guard.try_write());
         if is_withheld { SizeHint::default() } else { self.body.size_hint() }
     }
 }
--- a/crates/proxy/src/upstream/http/limits.rs
+++ b/crates/proxy/src/upstream/http/limits.rs
@@ -22,6 +22,12 @@
     (descriptor_limit / 48).clamp(4, 12)
 }
 
+/// Most cancellations in flight at once. A cancellation is sent on an idle connection to its worker, or on a new one
+/// if there is none: its descriptor is one of those kept for idle connections.
+pub fn max_cancellations(descriptor_limit: usize) -> usize {
+    (descriptor_limit / 16).max(4)
+}
+
 /// Most idle connections kept to one worker. The idle connections to two dozen workers must not hold the
 /// descriptors that client connections count on.
 pub fn max_idle_per_worker(descriptor_limit: usize) -> usize {
--- a/crates/proxy/src/upstream/http/mod.rs
+++ b/crates/proxy/src/upstream/http/mod.rs
@@ -8,10 +8,12 @@
 use tokio::time::Instant;
 
 use crate::endpoints::EndpointTable;
-use crate::messages::{CancellationToken, DispatchResult, LoadQueryResult, UpstreamRequest};
+use crate::messages::{
+    AttemptTarget, CancellationOutcome, DispatchControl, DispatchResult, LoadQueryResult, UpstreamRequest,
+};
 use crate::upstream::Upstream;
 use crate::upstream::http::attempt::AttemptSender;
-use crate::upstream::http::cancellation::send_cancellation;
+use crate::upstream::http::cancellation::CancellationSender;
 use crate::upstream::http::connections::WorkerConnections;
 use crate::upstream::http::load_query::LoadQuerySender;
 
@@ -24,12 +26,13 @@
 mod load_query;
 pub mod load_report;
 mod request;
+mod tracked_connector;
 
 /// The HTTP client of all workers.
 pub struct HttpUpstream {
-    connections: Arc<WorkerConnections>,
     endpoints: Arc<EndpointTable>,
     attempts: AttemptSender,
+    cancellations: CancellationSender,
     load_queries: LoadQuerySender,
 }
 
@@ -48,12 +51,8 @@
                 settings,
                 descriptor_limit,
             ),
-            load_queries: LoadQuerySender::new(
-                Arc::clone(&connections),
-                Arc::clone(&endpoints),
-                descriptor_limit,
-            ),
-            connections,
+            cancellations: CancellationSender::new(Arc::clone(&connections), descriptor_limit),
+            load_queries: LoadQuerySender::new(connections, Arc::clone(&endpoints), descriptor_limit),
             endpoints,
         }
     }
@@ -64,20 +63,27 @@
         Box::pin(self.load_queries.send(worker, deadline))
     }
 
+    fn target(&self, worker: WorkerId) -> AttemptTarget {
+        AttemptTarget { worker, address: self.endpoints.serving_address(worker) }
+    }
+
     fn dispatch<'a>(
         &'a self,
-        worker: WorkerId,
+        target: &'a AttemptTarget,
         request: &'a UpstreamRequest,
         deadline: Instant,
-        cancellation: &'a CancellationToken,
+        control: &'a DispatchControl,
     ) -> BoxFuture<'a, DispatchResult> {
-        Box::pin(self.attempts.send(worker, request, deadline, cancellation))
+        Box::pin(self.attempts.send(target, request, deadline, control))
     }
 
-    fn cancel(&self, worker: WorkerId, request: &UpstreamRequest) {
-        if let Some(address) = self.endpoints.last_known_address(worker) {
-            send_cancellation(&self.connections, address, &request.id);
-        }
+    fn cancel(
+        &self,
+        target: &AttemptTarget,
+        request: &UpstreamRequest,
+        deadline: Instant,
+    ) -> BoxFuture<'static, CancellationOutcome> {
+        self.cancellations.send(target, &request.id, deadline)
     }
 
     fn worker_name(&self, worker: WorkerId) -> Arc<str> {
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -5,25 +5,36 @@
 use futures_util::future::BoxFuture;
 use tokio::time::Instant;
 
-use crate::messages::{CancellationToken, DispatchResult, LoadQueryResult, UpstreamRequest};
+use crate::messages::{
+    AttemptTarget, CancellationOutcome, DispatchControl, DispatchResult, LoadQueryResult, UpstreamRequest,
+};
 
 pub mod http;
 
 /// A protocol that workers speak. It decides nothing: it never sends a request twice, and reports that an
 /// attempt never ran only where its protocol proves it.
 pub trait Upstream: Send + Sync + 'static {
-    /// Dispatches an attempt; writes it only while it is not cancelled. Dropping the future cancels what the
-    /// worker has of it.
+    /// Where an attempt at a worker goes now.
+    fn target(&self, worker: WorkerId) -> AttemptTarget;
+
+    /// Dispatches an attempt; writes it only while its control permits. An attempt that is aborted ends as
+    /// superseded if it was never written, or else as cancelled, once its connection has been closed.
     fn dispatch<'a>(
         &'a self,
-        worker: WorkerId,
+        target: &'a AttemptTarget,
         request: &'a UpstreamRequest,
         deadline: Instant,
-        cancellation: &'a CancellationToken,
+        control: &'a DispatchControl,
     ) -> BoxFuture<'a, DispatchResult>;
 
-    /// Tells a worker that nobody waits any longer for an attempt that it has accepted. Does not wait.
-    fn cancel(&self, worker: WorkerId, request: &UpstreamRequest);
+    /// Tells the worker of an attempt that nobody waits for it any longer, and says whether the worker has
+    /// acknowledged that by the deadline. The cancellation goes on also if the future is dropped.
+    fn cancel(
+        &self,
+        target: &AttemptTarget,
+        request: &UpstreamRequest,
+        deadline: Instant,
+    ) -> BoxFuture<'static, CancellationOutcome>;
 
     /// Asks a worker for its load report. A protocol without load queries sends none.
     fn query_load<'a>(&'a self, worker: WorkerId, deadline: Instant) -> BoxFuture<'a, LoadQueryResult> {
--- a/crates/proxy/tests/interfaces.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -18,8 +18,8 @@
 use copperspread_proxy::endpoints::EndpointTable;
 use copperspread_proxy::event_recorder::EventRecorder;
 use copperspread_proxy::messages::{
-    AdmissionRequest, AttemptCompletion, CancellationToken, DispatchResult, FinalResponse, UpstreamRequest,
-    WorkerEvent,
+    AdmissionRequest, AttemptCompletion, AttemptTarget, CancellationOutcome, DispatchControl, DispatchResult,
+    FinalResponse, UpstreamRequest, WorkerEvent,
 };
 use copperspread_proxy::policy_handle::PolicyHandle;
 use copperspread_proxy::request_task;
@@ -39,23 +39,32 @@
 }
 
 impl Upstream for InMemoryUpstream {
+    fn target(&self, worker: WorkerId) -> AttemptTarget {
+        AttemptTarget { worker, address: None }
+    }
     fn dispatch<'a>(
         &'a self,
-        worker: WorkerId,
+        target: &'a AttemptTarget,
         _: &'a UpstreamRequest,
         _: Instant,
-        _: &'a CancellationToken,
+        _: &'a DispatchControl,
     ) -> BoxFuture<'a, DispatchResult> {
         Box::pin(async move {
-            self.dispatched.lock().expect("a lock").push(worker);
+            self.dispatched.lock().expect("a lock").push(target.worker);
             self.script.lock().expect("a lock").pop_front().unwrap_or(Ok(()))
         })
     }
     fn worker_name(&self, worker: WorkerId) -> Arc<str> {
         format!("r{}", worker.0).into()
     }
-    fn cancel(&self, worker: WorkerId, _: &UpstreamRequest) {
-        self.cancelled.lock().expect("a lock").push(worker);
+    fn cancel(
+        &self,
+        target: &AttemptTarget,
+        _: &UpstreamRequest,
+        _: Instant,
+    ) -> BoxFuture<'static, CancellationOutcome> {
+        self.cancelled.lock().expect("a lock").push(target.worker);
+        Box::pin(std::future::ready(CancellationOutcome::Acknowledged))
     }
 }
 
@@ -358,7 +367,9 @@
 #[test]
 fn all_connections_together_fit_within_the_descriptors() {
     use copperspread_proxy::downstream::connection_limits::max_connections;
-    use copperspread_proxy::upstream::http::limits::{max_dispatches, max_idle_per_worker, max_load_queries};
+    use copperspread_proxy::upstream::http::limits::{
+        max_cancellations, max_dispatches, max_idle_per_worker, max_load_queries,
+    };
     // The largest fleet, one connection being accepted, discovery's, and what the runtime holds.
     let (workers, other) = (22, 12);
     for descriptors in [256, 384, 512, 768, 1024] {
@@ -366,5 +377,10 @@
             + max_load_queries(descriptors)
             + workers * max_idle_per_worker(descriptors);
         assert!(max_connections(descriptors, 192.0) + upstream + other <= descriptors, "{descriptors}");
+        let idle = workers * max_idle_per_worker(descriptors);
+        assert!(
+            max_cancellations(descriptors) <= idle,
+            "cancellations use what is kept for idle connections"
+        );
     }
 }
--- /dev/null
+++ b/crates/scheduler/tests/cancellation_races.rs
@@ -0,0 +1,248 @@
+//! A request moves to another worker only once the attempt before can run no longer: each way in which a
+//! cancellation can come late, fail or cross something else, where two attempts may not run together.
+#[path = "sockets/raw_worker.rs"]
+mod raw_worker;
+mod sockets;
+
+use std::time::Duration;
+
+use raw_worker::{Connection, RawWorker, read_to_end, write};
+use sockets::*;
+use tokio::time::timeout;
+
+const DONE: &str = r#""state":"done","result":"paid""#;
+const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+const ACCEPTED_AND_CLOSED: &str = "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const CANCELLED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+/// Nothing may come within this, which is longer than a cancellation takes.
+const QUIET: Duration = Duration::from_millis(400);
+
+/// A scheduler that moves requests which have not started after 2.4 s, and may not hedge.
+async fn start(workers: &[&RawWorker]) -> Scheduler {
+    start_by_command("exec \"$PROGRAM\"", 1024, workers).await
+}
+
+async fn start_by_command(command: &str, sockets: u32, workers: &[&RawWorker]) -> Scheduler {
+    let edit = "s/\"second_copies\":true/\"second_copies\":false/; s/\"aim_s\":9/\"aim_s\":4/g";
+    let command = format!("sed -i -e '{edit}' \"$EDGE_CONFIG\" && {command}");
+    let addresses: Vec<_> = workers.iter().map(|worker| worker.address).collect();
+    Scheduler::start_by_command(&command, sockets, &addresses).await
+}
+
+/// One request on its way: at its first worker, with the other one free.
+struct Moving<'a> {
+    scheduler: Scheduler,
+    client: Client,
+    first: &'a RawWorker,
+    first_name: &'static str,
+    other: &'a RawWorker,
+    connection: Connection,
+    id: String,
+}
+
+impl<'a> Moving<'a> {
+    /// Sends a request and reads it at the worker that the policy chooses.
+    async fn start(workers: &'a [RawWorker; 2]) -> Moving<'a> {
+        let scheduler = start(&[&workers[0], &workers[1]]).await;
+        Moving::start_at(scheduler, workers).await
+    }
+    async fn start_at(scheduler: Scheduler, workers: &'a [RawWorker; 2]) -> Moving<'a> {
+        let mut client = scheduler.client().await;
+        client.send_request("safe", 1, 9000).await;
+        let ((connection, message), index) = tokio::select! {
+            received = workers[0].next_request() => (received, 0),
+            received = workers[1].next_request() => (received, 1),
+        };
+        Moving {
+            scheduler,
+            client,
+            first: &workers[index],
+            first_name: ["r0", "r1"][index],
+            other: &workers[1 - index],
+            connection,
+            id: message.headers["x-request-id"].clone(),
+        }
+    }
+    async fn accept_and_close(&mut self) {
+        write(&mut self.connection, ACCEPTED_AND_CLOSED).await;
+        assert_eq!(read_to_end(&mut self.connection).await, "");
+    }
+    fn expects_cancellation(&self, message: &Message) {
+        assert_eq!(message.first_line, format!("DELETE /jobs/{} HTTP/1.1", self.id));
+    }
+    async fn other_stays_idle(&self) {
+        assert!(timeout(QUIET, self.other.accept()).await.is_err(), "two attempts at once");
+    }
+    /// The request comes to the other worker and is served there.
+    async fn is_served_by_other(mut self) {
+        let (mut connection, message) = self.other.next_request().await;
+        assert_eq!(message.headers["x-request-id"], self.id);
+        write(&mut connection, ACCEPTED).await;
+        let other_name = if self.first_name == "r0" { "r1" } else { "r0" };
+        assert_eq!(self.scheduler.call_back(&self.id, other_name, DONE).await, 204);
+        assert_eq!(self.client.next_response().await.expect("an answer").status(), 200);
+    }
+    /// The first worker serves the request after all.
+    async fn is_served_by_first(mut self) {
+        assert_eq!(self.scheduler.call_back(&self.id, self.first_name, DONE).await, 204);
+        assert_eq!(self.client.next_response().await.expect("an answer").status(), 200);
+        self.other_stays_idle().await;
+    }
+}
+
+#[tokio::test]
+async fn a_request_waits_for_a_cancellation_whose_connection_comes_up_late() {
+    let workers = [RawWorker::new(), RawWorker::new()];
+    let mut moving = Moving::start(&workers).await;
+    moving.accept_and_close().await;
+    let queued = moving.first.fill_queue().await;
+    moving.first.wait_for_connect().await;
+    moving.other_stays_idle().await;
+    drop((queued, moving.first.accept().await));
+    let (mut connection, message) = moving.first.next_request().await;
+    moving.expects_cancellation(&message);
+    moving.other_stays_idle().await;
+    write(&mut connection, CANCELLED).await;
+    moving.is_served_by_other().await;
+}
+
+#[tokio::test]
+async fn a_request_stays_where_its_cancellation_is_refused() {
+    let workers = [RawWorker::new(), RawWorker::new()];
+    let mut moving = Moving::start(&workers).await;
+    moving.accept_and_close().await;
+    moving.first.refuse_connections();
+    tokio::time::sleep(Duration::from_millis(2_500)).await;
+    moving.other_stays_idle().await;
+    moving.is_served_by_first().await;
+}
+
+#[tokio::test]
+async fn a_request_stays_where_its_cancellation_is_not_answered() {
+    let workers = [RawWorker::new(), RawWorker::new()];
+    let mut moving = Moving::start(&workers).await;
+    write(&mut moving.connection, ACCEPTED).await;
+    let message = next_message(&mut moving.connection).await.expect("a cancellation");
+    moving.expects_cancellation(&message);
+    // Longer than the wait for the acknowledgement.
+    tokio::time::sleep(Duration::from_millis(2_500)).await;
+    moving.other_stays_idle().await;
+    moving.is_served_by_first().await;
+}
+
+#[tokio::test]
+async fn a_cancellation_that_breaks_with_its_pooled_connection_is_sent_again() {
+    let workers = [RawWorker::new(), RawWorker::new()];
+    let mut moving = Moving::start(&workers).await;
+    write(&mut moving.connection, ACCEPTED).await;
+    let message = next_message(&mut moving.connection).await.expect("a cancellation");
+    moving.expects_cancellation(&message);
+    moving.connection.get_mut().set_zero_linger().expect("an option");
+    let Moving { connection, .. } = moving;
+    drop(connection);
+    let (mut connection, message) = moving.first.next_request().await;
+    assert!(message.first_line.starts_with("DELETE "), "{}", message.first_line);
+    write(&mut connection, CANCELLED).await;
+    assert!(moving.other.next_request().await.1.first_line.starts_with("POST "));
+}
+
+#[tokio::test]
+async fn an_attempt_that_is_not_accepted_ends_with_its_connection_before_the_next_begins() {
+    let workers = [RawWorker::new(), RawWorker::new()];
+    let mut moving = Moving::start(&workers).await;
+    assert_eq!(read_to_end(&mut moving.connection).await, "", "it is closed");
+    let (mut connection, message) = moving.first.next_request().await;
+    moving.expects_cancellation(&message);
+    assert!(timeout(Duration::from_millis(100), moving.other.accept()).await.is_err(), "two at once");
+    write(&mut connection, CANCELLED).await;
+    moving.is_served_by_other().await;
+}
+
+#[tokio::test]
+async fn a_request_leaves_a_worker_that_neither_accepts_nor_acknowledges() {
+    let workers = [RawWorker::new(), RawWorker::new()];
+    let mut moving = Moving::start(&workers).await;
+    assert_eq!(read_to_end(&mut moving.connection).await, "", "it is closed");
+    moving.is_served_by_other().await;
+}
+
+#[tokio::test]
+async fn an_attempt_that_was_never_written_is_followed_at_once() {
+    let workers = [RawWorker::new(), RawWorker::new()];
+    let queued = [workers[0].fill_queue().await, workers[1].fill_queue().await];
+    let scheduler = start(&[&workers[0], &workers[1]]).await;
+    let mut client = scheduler.client().await;
+    client.send_request("safe", 1, 9000).await;
+    tokio::select! {
+        () = workers[0].wait_for_connect() => {}
+        () = workers[1].wait_for_connect() => {}
+    }
+    // Neither connection comes up: the request tries both, and nothing was written anywhere.
+    let answer = client.next_response().await.expect("an answer");
+    assert_eq!(answer.status(), 503, "it never ran");
+    drop(queued);
+}
+
+#[tokio::test]
+async fn a_result_that_crosses_the_cancellation_is_the_final_response() {
+    let workers = [RawWorker::new(), RawWorker::new()];
+    let mut moving = Moving::start(&workers).await;
+    write(&mut moving.connection, ACCEPTED).await;
+    let message = next_message(&mut moving.connection).await.expect("a cancellation");
+    moving.expects_cancellation(&message);
+    assert_eq!(moving.scheduler.call_back(&moving.id, moving.first_name, DONE).await, 204);
+    assert_eq!(moving.client.next_response().await.expect("an answer").status(), 200);
+    write(&mut moving.connection, CANCELLED).await;
+    moving.other_stays_idle().await;
+}
+
+#[tokio::test]
+async fn an_acceptance_that_crosses_the_cancellation_is_cancelled_too() {
+    let workers = [RawWorker::new(), RawWorker::new()];
+    let moving = Moving::start(&workers).await;
+    // The worker has accepted it, and its 202 has not come: a callback does.
+    assert_eq!(
+        moving.scheduler.call_back(&moving.id, moving.first_name, r#""state":"running","share":0"#).await,
+        204
+    );
+    let (mut connection, message) = moving.first.next_request().await;
+    moving.expects_cancellation(&message);
+    moving.other_stays_idle().await;
+    write(&mut connection, CANCELLED).await;
+    moving.is_served_by_other().await;
+}
+
+#[tokio::test]
+async fn a_cancellation_goes_to_the_address_at_which_the_attempt_runs() {
+    let workers = [RawWorker::new(), RawWorker::new()];
+    let elsewhere = RawWorker::new();
+    let mut moving = Moving::start(&workers).await;
+    moving.accept_and_close().await;
+    let change = endpoint(moving.first_name, elsewhere.address, "SERVING");
+    moving.scheduler.discovery.next_request().await.respond(
+        "200 OK",
+        "",
+        &endpoint_list(6, false, &[change]),
+    );
+    let (mut connection, message) = moving.first.next_request().await;
+    moving.expects_cancellation(&message);
+    write(&mut connection, CANCELLED).await;
+    moving.is_served_by_other().await;
+}
+
+#[tokio::test]
+async fn a_cancellation_finds_a_descriptor_while_idle_clients_fill_all_others() {
+    let workers = [RawWorker::new(), RawWorker::new()];
+    let scheduler =
+        start_by_command("ulimit -n 64 && exec \"$PROGRAM\"", 64, &[&workers[0], &workers[1]]).await;
+    let mut moving = Moving::start_at(scheduler, &workers).await;
+    moving.accept_and_close().await;
+    let mut crowd = Vec::new();
+    for _ in 0..100 {
+        crowd.push(moving.scheduler.client().await);
+    }
+    let (mut connection, message) = moving.first.next_request().await;
+    moving.expects_cancellation(&message);
+    write(&mut connection, CANCELLED).await;
+    moving.is_served_by_other().await;
+}
--- a/crates/scheduler/tests/connection_limits.rs
+++ b/crates/scheduler/tests/connection_limits.rs
@@ -8,7 +8,7 @@
 use copperspread_dispatcher::{Idempotency, Outcome, WorkerId};
 use copperspread_proxy::clock::from_now;
 use copperspread_proxy::endpoints::EndpointTable;
-use copperspread_proxy::messages::{CancellationToken, UpstreamRequest};
+use copperspread_proxy::messages::{DispatchControl, UpstreamRequest};
 use copperspread_proxy::upstream::{Upstream, http::HttpUpstream};
 use copperspread_settings::{json, platform};
 use sockets::*;
@@ -70,7 +70,7 @@
         platform::read_startup_config(&config(server.address, server.address, &endpoint_list(1, true, &[])))
             .expect("it is good");
     let endpoints = Arc::new(EndpointTable::new(&config.settings.proxy));
-    let cancellation = CancellationToken::new();
+    let control = DispatchControl::default();
     let upstream = HttpUpstream::new(&config.settings.proxy, endpoints.clone(), 32);
     let (headers, body) = (Default::default(), Default::default());
     let upstream_request = UpstreamRequest {
@@ -83,14 +83,15 @@
     };
     for (revision, phase) in [(2, "DRAINING"), (3, "DELETED")] {
         apply(&endpoints, &endpoint_list(revision, true, &[endpoint("r0", server.address, phase)]));
-        let result =
-            upstream.dispatch(WorkerId(0), &upstream_request, from_now(9_000_000), &cancellation).await;
+        let target = upstream.target(WorkerId(0));
+        let result = upstream.dispatch(&target, &upstream_request, from_now(9_000_000), &control).await;
         assert_eq!(result, Err(Outcome::Superseded.into()));
     }
     assert!(server.is_idle());
     // Workers that stay silent hold four dispatches, all that 32 descriptors allow.
     apply(&endpoints, &endpoint_list(4, true, &[endpoint("r0", server.address, "SERVING")]));
-    let dispatch = || upstream.dispatch(WorkerId(0), &upstream_request, from_now(9_000_000), &cancellation);
+    let target = upstream.target(WorkerId(0));
+    let dispatch = || upstream.dispatch(&target, &upstream_request, from_now(9_000_000), &control);
     let four = futures_util::future::select_all((0..4).map(|_| Box::pin(dispatch())));
     let fifth = async {
         let mut in_flight = Vec::new();
--- a/crates/scheduler/tests/dispatch_races.rs
+++ b/crates/scheduler/tests/dispatch_races.rs
@@ -4,10 +4,10 @@
 mod raw_worker;
 mod sockets;
 
-use copperspread_dispatcher::{Idempotency, KeyScope, Outcome, WorkerId};
+use copperspread_dispatcher::{Idempotency, KeyScope, WorkerId};
 use copperspread_proxy::upstream::{Upstream, http::HttpUpstream};
 use copperspread_proxy::{
-    clock::from_now, endpoints::EndpointTable, messages::CancellationToken, messages::UpstreamRequest,
+    clock::from_now, endpoints::EndpointTable, messages::DispatchControl, messages::UpstreamRequest,
 };
 use copperspread_settings::{json, platform};
 use futures_util::FutureExt;
@@ -15,8 +15,9 @@
 use sockets::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
+use tokio::time::timeout;
 
 const DONE: &str = r#""state":"done","result":"paid""#;
 const NOT_PROCESSED: &str =
@@ -347,10 +348,10 @@
     connection
 }
 
-// Guards against a repeat that is written after its window, where this process stood still between the
-// decision and the write.
+// The head tells how much time is left when the attempt is prepared: where this process stood still between that
+// and the write, the figure is too high, and a repeat may come after its window.
 #[tokio::test]
-async fn a_request_with_an_idempotency_key_is_written_in_time_or_not_at_all() {
+async fn an_attempt_is_written_in_time_or_not_at_all() {
     let mut server = FakeServer::start().await;
     let config =
         platform::read_startup_config(&config(server.address, server.address, &endpoint_list(1, true, &[])));
@@ -360,28 +361,29 @@
     endpoints.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
     let upstream = HttpUpstream::new(&settings.proxy, endpoints, 1024);
     let keyed = Idempotency::IdempotentWithKey { scope: KeyScope::All, window: 9_000_000 };
-    for (idempotency, late) in [(keyed, true), (keyed, false), (Idempotency::Idempotent, true)] {
-        let (headers, body) = (Default::default(), "hi".into());
-        let path = "/keyed/k".parse().expect("a path");
-        let upstream_request =
-            UpstreamRequest { id: String::new(), path, headers, idempotency, body, body_permit: None };
-        let cancellation = CancellationToken::new();
-        let mut dispatch =
-            upstream.dispatch(WorkerId(0), &upstream_request, from_now(9_000_000), &cancellation);
-        assert!((&mut dispatch).now_or_never().is_none(), "it waits for a connection");
-        if late {
-            std::thread::sleep(
-                Duration::from_micros(settings.proxy.connect_timeout) + Duration::from_millis(100),
-            );
-        }
-        let accepted = async { server.next_request().await.respond("202 Accepted", "", "") };
-        if late && idempotency == keyed {
-            tokio::select! {
-                ended = dispatch => assert_eq!(ended, Err(Outcome::Superseded.into())),
-                () = accepted => panic!("it was written late"),
+    for idempotency in [keyed, Idempotency::Idempotent, Idempotency::NonIdempotent] {
+        for is_late in [true, false] {
+            let (headers, body) = (Default::default(), "hi".into());
+            let path = "/keyed/k".parse().expect("a path");
+            let upstream_request =
+                UpstreamRequest { id: String::new(), path, headers, idempotency, body, body_permit: None };
+            let (target, control) = (upstream.target(WorkerId(0)), DispatchControl::default());
+            let mut dispatch = upstream.dispatch(&target, &upstream_request, from_now(9_000_000), &control);
+            assert!((&mut dispatch).now_or_never().is_none(), "it waits for a connection");
+            if is_late {
+                std::thread::sleep(
+                    Duration::from_micros(settings.proxy.connect_timeout) + Duration::from_millis(100),
+                );
+            }
+            let accepted = async { server.next_request().await.respond("202 Accepted", "", "") };
+            if is_late {
+                tokio::select! {
+                    ended = dispatch => assert!(ended.is_err_and(|failure| failure.outcome.never_ran())),
+                    () = accepted => panic!("it was written late"),
+                }
+            } else {
+                assert_eq!(tokio::join!(dispatch, accepted).0, Ok(()));
             }
-        } else {
-            assert_eq!(tokio::join!(dispatch, accepted).0, Ok(()));
         }
     }
     assert!(server.is_idle(), "nothing came late");
@@ -481,3 +483,33 @@
         assert_eq!(client.next_response().await.expect("an answer").status(), 200);
     }
 }
+
+// The figure in the head is fixed before there is a connection, which may take up to the connect timeout.
+#[tokio::test]
+async fn the_time_told_to_a_worker_is_at_most_what_the_client_has_left_when_it_arrives() {
+    for (millis, connect_millis) in [(9_000, 250), (9_000, 20_000), (600, 250)] {
+        let server = RawWorker::new();
+        let edit =
+            format!("s/\"connect_timeout_s\":0.25/\"connect_timeout_s\":{}/", connect_millis as f64 / 1e3);
+        let scheduler = start_edited_with_sed(&edit, 1024, &[server.address]).await;
+        let queued = server.fill_queue().await;
+        let mut client = scheduler.client().await;
+        let sent_at = Instant::now();
+        client.send_request("once", 200, millis).await;
+        server.wait_for_connect().await;
+        drop((queued, server.accept().await));
+        // The kernel brings the connection up a second later, if it is still wanted.
+        let arrived = timeout(Duration::from_secs(2), server.next_request()).await;
+        let left = Duration::from_millis(millis).saturating_sub(sent_at.elapsed());
+        assert_eq!(
+            arrived.is_ok(),
+            connect_millis > 1_000,
+            "a connection that comes up too late carries nothing"
+        );
+        if let Ok((_connection, message)) = arrived {
+            let told = message.headers["x-timeout"].strip_suffix('m').and_then(|text| text.parse().ok());
+            let told = Duration::from_millis(told.expect("milliseconds"));
+            assert!(told <= left, "{told:?} told, {left:?} left");
+        }
+    }
+}
--- a/crates/scheduler/tests/sockets/raw_worker.rs
+++ b/crates/scheduler/tests/sockets/raw_worker.rs
@@ -1,7 +1,9 @@
 //! A worker played byte by byte.
-use std::net::SocketAddr;
+#![allow(dead_code)]
+use std::net::{Shutdown, SocketAddr};
 use std::time::Duration;
 
+use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
@@ -38,6 +40,10 @@
     pub(crate) async fn fill_queue(&self) -> TcpStream {
         TcpStream::connect(self.address).await.expect("it listens")
     }
+    /// Refuses all connections from here on, as a machine does whose process has ended.
+    pub(crate) fn refuse_connections(&self) {
+        SockRef::from(&self.listener).shutdown(Shutdown::Both).expect("it listens");
+    }
     /// Waits until the scheduler waits for a connection to it, which the kernel shows as SYN_SENT.
     pub(crate) async fn wait_for_connect(&self) {
         let port = format!(":{:04X} 02 ", self.address.port());
