--- a/crates/scheduler/tests/cancellation_races.rs
+++ b/crates/scheduler/tests/cancellation_races.rs
@@ -67,14 +67,14 @@
         write(&mut self.connection, ACCEPTED_AND_CLOSED).await;
         assert_eq!(read_to_end(&mut self.connection).await, "");
     }
-    fn expects_cancellation(&self, message: &Message) {
+    fn assert_cancels(&self, message: &Message) {
         assert_eq!(message.first_line, format!("DELETE /jobs/{} HTTP/1.1", self.id));
     }
-    async fn other_stays_idle(&self) {
+    async fn assert_other_idle(&self) {
         assert!(timeout(QUIET, self.other.accept()).await.is_err(), "two attempts at once");
     }
     /// The request comes to the other worker and is served there.
-    async fn is_served_by_other(mut self) {
+    async fn expect_served_by_other(mut self) {
         let (mut connection, message) = self.other.next_request().await;
         assert_eq!(message.headers["x-request-id"], self.id);
         write(&mut connection, ACCEPTED).await;
@@ -83,10 +83,10 @@
         assert_eq!(self.client.next_response().await.expect("an answer").status(), 200);
     }
     /// The first worker serves the request after all.
-    async fn is_served_by_first(mut self) {
+    async fn expect_served_by_first(mut self) {
         assert_eq!(self.scheduler.call_back(&self.id, self.first_name, DONE).await, 204);
         assert_eq!(self.client.next_response().await.expect("an answer").status(), 200);
-        self.other_stays_idle().await;
+        self.assert_other_idle().await;
     }
 }
 
@@ -97,13 +97,13 @@
     moving.accept_and_close().await;
     let queued = moving.first.fill_queue().await;
     moving.first.wait_for_connect().await;
-    moving.other_stays_idle().await;
+    moving.assert_other_idle().await;
     drop((queued, moving.first.accept().await));
     let (mut connection, message) = moving.first.next_request().await;
-    moving.expects_cancellation(&message);
-    moving.other_stays_idle().await;
+    moving.assert_cancels(&message);
+    moving.assert_other_idle().await;
     write(&mut connection, CANCELLED).await;
-    moving.is_served_by_other().await;
+    moving.expect_served_by_other().await;
 }
 
 #[tokio::test]
@@ -113,8 +113,8 @@
     moving.accept_and_close().await;
     moving.first.refuse_connections();
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    moving.other_stays_idle().await;
-    moving.is_served_by_first().await;
+    moving.assert_other_idle().await;
+    moving.expect_served_by_first().await;
 }
 
 #[tokio::test]
@@ -123,11 +123,11 @@
     let mut moving = Moving::start(&workers).await;
     write(&mut moving.connection, ACCEPTED).await;
     let message = next_message(&mut moving.connection).await.expect("a cancellation");
-    moving.expects_cancellation(&message);
+    moving.assert_cancels(&message);
     // Longer than the wait for the acknowledgement.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    moving.other_stays_idle().await;
-    moving.is_served_by_first().await;
+    moving.assert_other_idle().await;
+    moving.expect_served_by_first().await;
 }
 
 #[tokio::test]
@@ -136,7 +136,7 @@
     let mut moving = Moving::start(&workers).await;
     write(&mut moving.connection, ACCEPTED).await;
     let message = next_message(&mut moving.connection).await.expect("a cancellation");
-    moving.expects_cancellation(&message);
+    moving.assert_cancels(&message);
     moving.connection.get_mut().set_zero_linger().expect("an option");
     let Moving { connection, .. } = moving;
     drop(connection);
@@ -152,10 +152,10 @@
     let mut moving = Moving::start(&workers).await;
     assert_eq!(read_to_end(&mut moving.connection).await, "", "it is closed");
     let (mut connection, message) = moving.first.next_request().await;
-    moving.expects_cancellation(&message);
+    moving.assert_cancels(&message);
     assert!(timeout(Duration::from_millis(100), moving.other.accept()).await.is_err(), "two at once");
     write(&mut connection, CANCELLED).await;
-    moving.is_served_by_other().await;
+    moving.expect_served_by_other().await;
 }
 
 #[tokio::test]
@@ -163,7 +163,7 @@
     let workers = [RawWorker::new(), RawWorker::new()];
     let mut moving = Moving::start(&workers).await;
     assert_eq!(read_to_end(&mut moving.connection).await, "", "it is closed");
-    moving.is_served_by_other().await;
+    moving.expect_served_by_other().await;
 }
 
 #[tokio::test]
@@ -189,11 +189,11 @@
     let mut moving = Moving::start(&workers).await;
     write(&mut moving.connection, ACCEPTED).await;
     let message = next_message(&mut moving.connection).await.expect("a cancellation");
-    moving.expects_cancellation(&message);
+    moving.assert_cancels(&message);
     assert_eq!(moving.scheduler.call_back(&moving.id, moving.first_name, DONE).await, 204);
     assert_eq!(moving.client.next_response().await.expect("an answer").status(), 200);
     write(&mut moving.connection, CANCELLED).await;
-    moving.other_stays_idle().await;
+    moving.assert_other_idle().await;
 }
 
 #[tokio::test]
@@ -206,10 +206,10 @@
         204
     );
     let (mut connection, message) = moving.first.next_request().await;
-    moving.expects_cancellation(&message);
-    moving.other_stays_idle().await;
+    moving.assert_cancels(&message);
+    moving.assert_other_idle().await;
     write(&mut connection, CANCELLED).await;
-    moving.is_served_by_other().await;
+    moving.expect_served_by_other().await;
 }
 
 #[tokio::test]
@@ -225,9 +225,9 @@
         &endpoint_list(6, false, &[change]),
     );
     let (mut connection, message) = moving.first.next_request().await;
-    moving.expects_cancellation(&message);
+    moving.assert_cancels(&message);
     write(&mut connection, CANCELLED).await;
-    moving.is_served_by_other().await;
+    moving.expect_served_by_other().await;
 }
 
 #[tokio::test]
@@ -242,7 +242,7 @@
         crowd.push(moving.scheduler.client().await);
     }
     let (mut connection, message) = moving.first.next_request().await;
-    moving.expects_cancellation(&message);
+    moving.assert_cancels(&message);
     write(&mut connection, CANCELLED).await;
-    moving.is_served_by_other().await;
+    moving.expect_served_by_other().await;
 }
