--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -7,6 +7,8 @@
 };
 
 pub(crate) const MS: Micros = 1_000;
+/// How long the client of a patient request waits.
+const PATIENT_TIME_LEFT: Micros = 10_000 * SECOND;
 
 pub(crate) fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
@@ -32,6 +34,17 @@
     }
 }
 
+/// Settings for patient requests: only the slow-start budget bounds what goes to a worker that is warming up.
+pub(crate) fn patient_settings(fleet_size: u32) -> Settings {
+    let class = RequestClass {
+        latency_objective: 1_000 * SECOND,
+        latency_stretch: 2.0,
+        deadline: PATIENT_TIME_LEFT,
+        ..class(Idempotency::NonIdempotent)
+    };
+    Settings { fleet_size, classes: vec![class], ..settings(Idempotency::NonIdempotent) }
+}
+
 pub(crate) fn endpoint(worker: u32) -> Endpoint {
     Endpoint {
         worker: WorkerId(worker),
@@ -83,6 +96,13 @@
         self.handle(Event::Request(incoming_request(request, work)))
     }
 
+    /// Offers a request of some seconds of work whose client waits for hours; returns the worker it is sent to.
+    pub(crate) fn offer_patiently(&mut self, request: u64, work: f64) -> Option<u32> {
+        let time_left = PATIENT_TIME_LEFT;
+        self.handle(Event::Request(IncomingRequest { time_left, ..incoming_request(request, work) }));
+        self.sent_worker()
+    }
+
     pub(crate) fn complete(&mut self, request: u64, attempt: u32, outcome: Outcome) -> &[Action] {
         self.complete_with_report(request, attempt, outcome, None)
     }
--- a/crates/dispatcher/tests/slow_start_fleet.rs
+++ b/crates/dispatcher/tests/slow_start_fleet.rs
@@ -1,10 +1,9 @@
 //! A warming worker's budget holds for the sum over the fleet, whatever its dispatchers have learned and
-//! forgotten and whenever they hear of the start. See docs/cold-budget.md.
+//! forgotten and whenever they hear of the start. See docs/slow-start.md.
 mod common;
-use common::{Harness, MS, class, endpoint, settings};
+use common::{Harness, MS, endpoint, patient_settings};
 use copperspread_dispatcher::{
-    Dispatcher, Endpoint, EndpointUpdateKind, Event, Idempotency, IncomingRequest, LoadReport, Micros,
-    Outcome, RequestClass, RequestId, SECOND, Settings, WorkerState,
+    Dispatcher, Endpoint, EndpointUpdateKind, LoadReport, Micros, Outcome, SECOND, Settings, WorkerState,
 };
 
 /// Slots of a worker, and its speed once warm.
@@ -35,29 +34,6 @@
     }
 }
 
-/// Settings for patient requests: only the budget bounds what goes to the worker.
-fn patient(fleet: u32) -> Settings {
-    let class = RequestClass {
-        latency_objective: 1_000 * SECOND,
-        latency_stretch: 2.0,
-        deadline: 10_000 * SECOND,
-        ..class(Idempotency::NonIdempotent)
-    };
-    Settings { fleet_size: fleet, classes: vec![class], ..settings(Idempotency::NonIdempotent) }
-}
-
-fn offer(harness: &mut Harness, request: u64, work: f64) -> Option<u32> {
-    let time_left = 10_000 * SECOND;
-    let cost_hint = Some(work);
-    harness.handle(Event::Request(IncomingRequest {
-        request: RequestId(request),
-        cost_hint,
-        time_left,
-        ..IncomingRequest::default()
-    }));
-    harness.sent_worker()
-}
-
 /// The most in any window, as a fraction of what its budget and chance allow.
 #[derive(Clone, Copy, Debug, Default)]
 struct Worst {
@@ -107,7 +83,7 @@
 
 impl Simulation {
     fn new(plan: Plan, seed: u64) -> Simulation {
-        let settings = patient(plan.fleet);
+        let settings = patient_settings(plan.fleet);
         let window = settings.overload_window as f64 / SECOND as f64;
         let budget = settings.overload_multiple * settings.slow_start_initial_capacity * SLOTS * window;
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -151,7 +127,7 @@
         harness.now = START - 100 * SECOND;
         for id in 1_000_000..1_000_030 {
             let work = work * self.mean * -self.rng.f64().max(1e-6).ln();
-            assert!(offer(&mut harness, id, work).is_some(), "a warm one takes it");
+            assert!(harness.offer_patiently(id, work).is_some(), "a warm one takes it");
             harness.start_attempt(id, 0);
             harness.now += (work / rate * SECOND as f64) as Micros;
             harness.complete_with_report(id, 0, Outcome::Served, idle_report());
@@ -209,7 +185,7 @@
             profile.notified_at = START;
         }
         let work = profile.work * self.mean * -self.rng.f64().max(1e-6).ln();
-        if offer(harness, id, work) == Some(0) {
+        if harness.offer_patiently(id, work) == Some(0) {
             self.sends.push(SentWork { at: now, work, notified: profile.notified_at <= now });
             // Served at once, with a report: a dispatcher that knows nothing soon knows the kind's slots.
             harness.complete_with_report(id, 0, Outcome::Served, idle_report());
@@ -314,7 +290,7 @@
 
 /// A dispatcher alone that has records some requests, before a worker starts anew.
 fn alone() -> Harness {
-    let mut harness = Harness::new(patient(1), &[endpoint(0)]);
+    let mut harness = Harness::new(patient_settings(1), &[endpoint(0)]);
     for i in 0..30 {
         harness.serve(1_000_000 + i, 0.1, 0.1, None);
     }
@@ -323,12 +299,12 @@
 
 /// Work that a worker gets before a dispatcher that is asked at once sends it no more.
 fn work_accepted(harness: &mut Harness) -> f64 {
-    (0..1_000).take_while(|&i| offer(harness, 1_000 + i, 0.1).is_some()).count() as f64 * 0.1
+    (0..1_000).take_while(|&i| harness.offer_patiently(1_000 + i, 0.1).is_some()).count() as f64 * 0.1
 }
 
 #[test]
 fn a_dispatcher_that_started_after_a_warming_worker_sends_it_nothing_for_one_window() {
-    let mut harness = Harness::new(patient(1), &[]);
+    let mut harness = Harness::new(patient_settings(1), &[]);
     let own_start = harness.now;
     for (at, from, sends) in [
         (0, own_start - SECOND, false),
@@ -342,7 +318,7 @@
             EndpointUpdateKind::Full,
             &[Endpoint { started_at: Some(from), ..endpoint(0) }],
         );
-        assert_eq!(offer(&mut harness, at, 0.01).is_some(), sends, "at {at}, worker started at {from}");
+        assert_eq!(harness.offer_patiently(at, 0.01).is_some(), sends, "at {at}, worker started at {from}");
     }
 }
 
@@ -352,7 +328,7 @@
         let mut harness = alone();
         harness.now += 10 * SECOND;
         for i in 0..20 {
-            assert!(offer(&mut harness, i, 0.1).is_some(), "a warm one takes it");
+            assert!(harness.offer_patiently(i, 0.1).is_some(), "a warm one takes it");
         }
         harness.now += SECOND;
         let started_at = Some(harness.now - ago);
@@ -371,7 +347,7 @@
     let mut open = 0;
     for number in 0..30 {
         let mut harness =
-            Harness::new(Settings { instance_index: Some(number), ..patient(30) }, &[endpoint(1)]);
+            Harness::new(Settings { instance_index: Some(number), ..patient_settings(30) }, &[endpoint(1)]);
         for i in 0..5 {
             harness.serve(1_000_000 + i, 0.01, 0.01, None);
         }
@@ -379,7 +355,7 @@
         let new = Endpoint { started_at: Some(harness.now), ..endpoint(0) };
         let gone = Endpoint { state: WorkerState::Removed, ..endpoint(1) };
         harness.update_endpoints(EndpointUpdateKind::Changes, &[new, gone]);
-        open += u32::from(offer(&mut harness, 1, 0.01).is_some());
+        open += u32::from(harness.offer_patiently(1, 0.01).is_some());
     }
     // Of 2.5 times 0.3 of one slot for 3 s, 225 requests: 50 parts of four, or all of the fleet.
     assert!(open >= 25, "{open} of 30 share it");
