--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -6,7 +6,7 @@
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 
-use crate::endpoints::EndpointTable;
+use crate::endpoints::{EndpointTable, ListOrigin};
 use crate::policy_handle::PolicyHandle;
 
 pub mod platform;
@@ -34,7 +34,8 @@
 
     /// Publishes the list that was known before the start; returns its revision.
     pub fn publish_cached(&self, cached: Option<&EndpointList>) -> Option<u64> {
-        let endpoints = cached.and_then(|list| self.endpoints.apply(list)).unwrap_or_default();
+        let apply = |list| self.endpoints.apply(list, ListOrigin::Cache, self.policy.read_clocks());
+        let endpoints = cached.and_then(apply).unwrap_or_default();
         // A policy that polls asks for no list before its first event.
         if cached.is_some() || self.is_polled() {
             self.policy.update_endpoints(EndpointUpdateKind::Cached, &endpoints);
@@ -42,10 +43,10 @@
         cached.map(|list| list.revision)
     }
 
-    /// Applies a list to the table and returns its endpoints, or nothing where the table already holds a newer
+    /// Applies a list of discovery's to the table and returns its endpoints, or nothing where the table already holds a newer
     /// revision. The policy is not notified yet.
     pub fn apply(&self, list: &EndpointList) -> Option<Vec<Endpoint>> {
-        self.endpoints.apply(list)
+        self.endpoints.apply(list, ListOrigin::Discovery, self.policy.read_clocks())
     }
 
     /// Notifies the policy of the endpoints that [`EndpointPublisher::apply`] returned for a list.
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -3,10 +3,22 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use copperspread_dispatcher::{Endpoint, WorkerId, WorkerState};
+use copperspread_dispatcher::{Endpoint, Micros, WorkerId, WorkerState};
 use copperspread_settings::{EndpointList, EndpointPhase, EndpointRecord, ProxySettings, name_key};
 use http::uri::Authority;
 
+use crate::clock::ClockReading;
+use crate::worker_starts::WorkerStarts;
+
+/// Where a list comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListOrigin {
+    /// It was kept since before the program's start, and may be old.
+    Cache,
+    /// Discovery has answered it.
+    Discovery,
+}
+
 /// Dense numbers for names. A number is never given to another name.
 #[derive(Debug, Default)]
 struct NameIndex {
@@ -41,6 +53,7 @@
     kinds: NameIndex,
     /// By worker id.
     entries: Vec<Entry>,
+    starts: WorkerStarts,
 }
 
 #[derive(Debug)]
@@ -49,21 +62,35 @@
     /// Where it listens now.
     address: Authority,
     phase: EndpointPhase,
+    start: Option<WorkerStart>,
+}
+
+/// A worker's last start.
+#[derive(Clone, Copy, Debug)]
+struct WorkerStart {
+    /// In Unix time, as listed.
+    listed: Micros,
+    /// By the scheduler's own clock.
+    estimated: Micros,
 }
 
 impl Table {
     /// Applies one record and returns it in the policy's form.
-    fn apply_record(&mut self, record: &EndpointRecord) -> Endpoint {
+    fn apply_record(&mut self, record: &EndpointRecord, reading: ClockReading) -> Endpoint {
         let number = self.ids.get_or_insert(&record.id);
+        let former_start = self.entries.get(number as usize).and_then(|entry| entry.start);
+        let start = record.started_at.map(|listed| self.worker_start(former_start, listed, reading));
         match self.entries.get_mut(number as usize) {
             Some(entry) => {
                 entry.address = record.address.clone();
                 entry.phase = record.phase;
+                entry.start = start.or(former_start);
             }
             None => self.entries.push(Entry {
                 name: record.id.as_str().into(),
                 address: record.address.clone(),
                 phase: record.phase,
+                start,
             }),
         }
         Endpoint {
@@ -76,11 +103,22 @@
                 EndpointPhase::Draining => WorkerState::Draining,
                 EndpointPhase::Deleted => WorkerState::Removed,
             },
-            started_at: record.started_at,
+            started_at: start.map(|start| start.estimated),
             size: record.size,
             hash_key: name_key(&record.id),
         }
     }
+
+    /// A start that is listed again keeps its estimate.
+    fn worker_start(
+        &self,
+        former: Option<WorkerStart>,
+        listed: Micros,
+        reading: ClockReading,
+    ) -> WorkerStart {
+        let kept = former.filter(|former| former.listed == listed);
+        kept.unwrap_or_else(|| WorkerStart { listed, estimated: self.starts.estimate(listed, reading) })
+    }
 }
 
 /// The table of endpoints. An endpoint may change its address; its worker id stays. Written only through the
@@ -99,6 +137,7 @@
             zones: NameIndex::from_names(&settings.zones),
             kinds: NameIndex::from_names(&settings.kinds),
             entries: Vec::new(),
+            starts: WorkerStarts::default(),
         };
         EndpointTable { table: Mutex::new(table) }
     }
@@ -109,12 +148,19 @@
 
     /// The next list comes from another discovery, which may count its revisions in another way.
     pub fn reset_revision(&self) {
-        self.lock().revision = 0;
+        let mut table = self.lock();
+        table.revision = 0;
+        table.starts.forget_answers();
     }
 
     /// Applies a list and returns its endpoints in the policy's form, or nothing where the table already holds
-    /// a newer revision.
-    pub fn apply(&self, list: &EndpointList) -> Option<Vec<Endpoint>> {
+    /// a newer revision. The clocks are read as the list comes.
+    pub fn apply(
+        &self,
+        list: &EndpointList,
+        origin: ListOrigin,
+        reading: ClockReading,
+    ) -> Option<Vec<Endpoint>> {
         let mut table = self.lock();
         if list.revision < table.revision {
             return None;
@@ -123,7 +169,12 @@
         if list.complete {
             table.entries.iter_mut().for_each(|entry| entry.phase = EndpointPhase::Deleted);
         }
-        Some(list.endpoints.iter().map(|record| table.apply_record(record)).collect())
+        table.starts.observe_clocks(reading);
+        let endpoints = list.endpoints.iter().map(|record| table.apply_record(record, reading)).collect();
+        if origin == ListOrigin::Discovery {
+            table.starts.record_answer(reading);
+        }
+        Some(endpoints)
     }
 
     /// Where a worker listens now, while it takes new work.
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -33,3 +33,4 @@
 pub mod request_task;
 pub mod shutdown;
 pub mod upstream;
+mod worker_starts;
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::sleep_until;
 
-use crate::clock::{Clock, from_now};
+use crate::clock::{Clock, ClockReading, from_now};
 use crate::event_recorder::EventRecorder;
 use crate::invariant;
 use crate::messages::{LoadQueryResult, RequestEvent, WorkerEvent};
@@ -189,6 +189,11 @@
         });
     }
 
+    /// The policy's clock and the wall clock now.
+    pub fn read_clocks(&self) -> ClockReading {
+        self.clock.read()
+    }
+
     /// Whether the endpoint list is fetched only when the policy asks for it.
     pub fn polls_endpoints(&self) -> bool {
         self.polls_endpoints
--- a/crates/scheduler/tests/connection_limits.rs
+++ b/crates/scheduler/tests/connection_limits.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use copperspread_dispatcher::{Idempotency, Outcome, WorkerId};
-use copperspread_proxy::clock::from_now;
-use copperspread_proxy::endpoints::EndpointTable;
+use copperspread_proxy::clock::{Clock, from_now};
+use copperspread_proxy::endpoints::{EndpointTable, ListOrigin};
 use copperspread_proxy::messages::{CancellationToken, UpstreamRequest};
 use copperspread_proxy::upstream::{Upstream, http::HttpUpstream};
 use copperspread_settings::{json, platform};
@@ -19,7 +19,8 @@
 /// Applies a list in discovery's form.
 fn apply(endpoints: &EndpointTable, list: &str) {
     let value = json::parse(list).expect("JSON");
-    endpoints.apply(&platform::read_endpoint_list(&value).expect("a list"));
+    let list = platform::read_endpoint_list(&value).expect("a list");
+    endpoints.apply(&list, ListOrigin::Discovery, Clock::start().read());
 }
 
 // Guards against an accept loop that ends, or spins, when descriptors run out.
--- a/crates/scheduler/tests/dispatch_races.rs
+++ b/crates/scheduler/tests/dispatch_races.rs
@@ -5,10 +5,10 @@
 mod sockets;
 
 use copperspread_dispatcher::{Idempotency, KeyScope, Outcome, WorkerId};
+use copperspread_proxy::clock::{Clock, from_now};
+use copperspread_proxy::endpoints::{EndpointTable, ListOrigin};
+use copperspread_proxy::messages::{CancellationToken, UpstreamRequest};
 use copperspread_proxy::upstream::{Upstream, http::HttpUpstream};
-use copperspread_proxy::{
-    clock::from_now, endpoints::EndpointTable, messages::CancellationToken, messages::UpstreamRequest,
-};
 use copperspread_settings::{json, platform};
 use futures_util::FutureExt;
 use raw_worker::{Connection, RawWorker, read_to_end, write};
@@ -357,7 +357,8 @@
     let settings = config.expect("it is good").settings;
     let endpoints = Arc::new(EndpointTable::new(&settings.proxy));
     let told = json::parse(&endpoint_list(2, true, &[endpoint("r0", server.address, "SERVING")]));
-    endpoints.apply(&told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list"));
+    let list = told.and_then(|told| platform::read_endpoint_list(&told)).expect("a list");
+    endpoints.apply(&list, ListOrigin::Discovery, Clock::start().read());
     let upstream = HttpUpstream::new(&settings.proxy, endpoints, 1024);
     let keyed = Idempotency::IdempotentWithKey { scope: KeyScope::All, window: 9_000_000 };
     for (idempotency, late) in [(keyed, true), (keyed, false), (Idempotency::Idempotent, true)] {
