--- a/crates/event-log/src/fleet_summary.rs
+++ b/crates/event-log/src/fleet_summary.rs
@@ -1,14 +1,15 @@
 //! Summarizes the streams of many schedulers by time and by worker: what none of them sees alone, such as how many
 //! requests all of them together have at one worker.
 //!
-//! Runs are put together by their wall clocks, which must agree: those of one machine, or of machines whose clocks are
-//! synchronized.
+//! Runs are put together by their wall clocks at their first records, which must agree: those of one machine, or of
+//! machines whose clocks are synchronized. Within a run the monotonic clock counts, as the wall clock may be set.
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt::Write;
 
 use crate::reader::Line;
 use crate::record::{Decision, EventKind, Record};
+use crate::run_timeline::RunTimeline;
 use crate::text_format::increment;
 use crate::window_summary::WindowSummary;
 use crate::worker_summary::WorkerSummary;
@@ -18,7 +19,8 @@
 pub struct FleetSummary {
     runs: HashMap<String, RunState>,
     scheduler_names: BTreeSet<String>,
-    /// By second of the wall clock.
+    timeline: RunTimeline,
+    /// By second of the timeline.
     seconds: BTreeMap<u64, WindowSummary>,
     workers: BTreeMap<String, WorkerSummary>,
     /// Lines that are no records: logs, and truncated ones.
@@ -73,7 +75,8 @@
     fn add_record(&mut self, record: &Record) {
         let run = self.runs.entry(record.run_id.clone()).or_default();
         run.add_sequence(record.sequence);
-        let second = self.seconds.entry(record.unix_us / 1_000_000).or_default();
+        let time_us = self.timeline.time_us(record);
+        let second = self.seconds.entry(time_us / 1_000_000).or_default();
         match &record.event {
             EventKind::RunStarted { name, .. } => {
                 self.scheduler_names.insert(name.clone());
@@ -92,7 +95,7 @@
             EventKind::AttemptSent { request_id, attempt, worker } => {
                 second.attempts_sent += 1;
                 run.start_attempt(request_id, *attempt);
-                self.workers.entry(worker.clone()).or_default().start_attempt(record.unix_us);
+                self.workers.entry(worker.clone()).or_default().start_attempt(time_us);
             }
             EventKind::AttemptEnded { request_id, attempt, worker, outcome, elapsed_us, .. } => {
                 increment(&mut second.attempt_outcomes, outcome);
@@ -100,7 +103,7 @@
                 worker.add_outcome(outcome);
                 // An attempt whose start is not in the stream was not counted as in flight either.
                 let Some(estimate_us) = run.end_attempt(request_id, *attempt) else { return };
-                worker.end_attempt(record.unix_us);
+                worker.end_attempt(time_us);
                 if let Some(estimate_us) = estimate_us.filter(|_| outcome == "served") {
                     worker.add_served(*elapsed_us, estimate_us);
                 }
@@ -126,6 +129,10 @@
             "{schedulers} schedulers, {runs} runs, {missing} records missing, {} other lines",
             self.other_lines
         );
+        let clock_steps = self.timeline.clock_steps();
+        if clock_steps > 0 {
+            let _ = writeln!(text, "{clock_steps} times a wall clock was set while a run went on");
+        }
         for (start_s, window) in &self.windows(window_s.max(1)) {
             window.write_text(*start_s, &mut text);
         }
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -24,6 +24,7 @@
 mod record;
 pub mod recorder;
 mod run_summary;
+pub mod run_timeline;
 mod sequence_tracker;
 pub mod stream_summary;
 mod text_format;
--- a/crates/event-log/src/run_summary.rs
+++ b/crates/event-log/src/run_summary.rs
@@ -5,11 +5,10 @@
 use hdrhistogram::Histogram;
 
 use crate::record::{Decision, EventKind, Record};
+use crate::run_timeline::RunClock;
 use crate::sequence_tracker::SequenceTracker;
 use crate::text_format::{Counts, elapsed_histogram, format_counts, increment, quantile_ms};
 
-/// If the clocks of consecutive records differ by this much more or less, the wall clock was set between them.
-const MIN_CLOCK_STEP_US: i128 = 1_000_000;
 /// Significant digits of elapsed times.
 const ELAPSED_DIGITS: u8 = 3;
 
@@ -33,9 +32,9 @@
     /// Requests by class.
     pub classes: BTreeMap<String, ClassSummary>,
     sequences: SequenceTracker,
-    /// The wall clock less the monotonic clock, of the last record.
-    clock_offset_us: Option<i128>,
-    first_us: u64,
+    clock: Option<RunClock>,
+    /// The monotonic clock, of the first record and of the last.
+    first_us: Option<u64>,
     last_us: u64,
 }
 
@@ -89,15 +88,10 @@
     }
 
     fn add_clocks(&mut self, record: &Record) {
-        let offset_us = i128::from(record.unix_us) - i128::from(record.mono_us);
-        if self.clock_offset_us.is_some_and(|former_us| (former_us - offset_us).abs() > MIN_CLOCK_STEP_US) {
-            self.clock_steps += 1;
-        }
-        self.clock_offset_us = Some(offset_us);
-        let is_first = self.record_count() == 1;
-        if is_first {
-            self.first_us = record.mono_us;
-        }
+        let clock = self.clock.get_or_insert_with(|| RunClock::new(record));
+        clock.add(record);
+        self.clock_steps = clock.steps();
+        self.first_us.get_or_insert(record.mono_us);
         self.last_us = self.last_us.max(record.mono_us);
     }
 
@@ -129,7 +123,8 @@
 
     pub(crate) fn write_text(&self, text: &mut String) {
         let records = self.record_count();
-        let seconds = self.last_us.saturating_sub(self.first_us) as f64 / 1e6;
+        let first_us = self.first_us.unwrap_or(self.last_us);
+        let seconds = self.last_us.saturating_sub(first_us) as f64 / 1e6;
         let name = self.name.as_deref().unwrap_or("(its start is not here)");
         let end = if self.has_ended { "ended" } else { "no end recorded" };
         let _ = writeln!(text, "run {} of {name}: {records} records over {seconds:.1} s, {end}", self.run_id);
--- a/crates/event-log/src/window_summary.rs
+++ b/crates/event-log/src/window_summary.rs
@@ -1,4 +1,4 @@
-//! What all schedulers did in an interval of the wall clock.
+//! What all schedulers did in an interval of the timeline of all runs.
 use std::fmt::Write;
 
 use hdrhistogram::Histogram;
--- a/crates/event-log/src/worker_summary.rs
+++ b/crates/event-log/src/worker_summary.rs
@@ -9,7 +9,8 @@
 /// A change of the attempts in flight. Of one instant, ends sort before starts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlightChange {
-    unix_us: u64,
+    /// In microseconds of Unix time, by the timeline of all runs.
+    time_us: u64,
     /// 1 for a start, -1 for an end.
     change: i32,
 }
@@ -29,13 +30,13 @@
         self.attempts_sent
     }
 
-    pub(crate) fn start_attempt(&mut self, unix_us: u64) {
+    pub(crate) fn start_attempt(&mut self, time_us: u64) {
         self.attempts_sent += 1;
-        self.in_flight_changes.push(InFlightChange { unix_us, change: 1 });
+        self.in_flight_changes.push(InFlightChange { time_us, change: 1 });
     }
 
-    pub(crate) fn end_attempt(&mut self, unix_us: u64) {
-        self.in_flight_changes.push(InFlightChange { unix_us, change: -1 });
+    pub(crate) fn end_attempt(&mut self, time_us: u64) {
+        self.in_flight_changes.push(InFlightChange { time_us, change: -1 });
     }
 
     pub(crate) fn add_outcome(&mut self, outcome: &str) {
--- a/crates/event-log/tests/fleet_summary.rs
+++ b/crates/event-log/tests/fleet_summary.rs
@@ -5,6 +5,11 @@
 /// One scheduler's stream: a request that is sent to r0 at `sent_at_s` and ends there at `ended_at_s`. Its response is
 /// recorded before the attempt's end, as may happen.
 fn stream(run: &str, sent_at_s: u64, ended_at_s: u64, outcome: &str) -> Vec<String> {
+    stream_with_step(run, sent_at_s, ended_at_s, outcome, 0)
+}
+
+/// The same where the wall clock is set by some seconds while the attempt is in flight.
+fn stream_with_step(run: &str, sent_at_s: u64, ended_at_s: u64, outcome: &str, step_s: i64) -> Vec<String> {
     let (request, elapsed_us) = (format!(r#""flow":"{run:0>16}""#), (ended_at_s - sent_at_s) * 1_000_000);
     let response = if outcome == "served" { "served" } else { "failed" };
     let events = [
@@ -20,10 +25,10 @@
         ),
     ];
     let line = |(sequence, event): (usize, String)| {
-        let unix_s = if sequence < 4 { sent_at_s } else { ended_at_s };
-        format!(
-            r#"{{"v":1,"run":"{run}","seq":{sequence},"unix_us":{unix_s}000000,"mono_us":0,"what":{{{event}}}}}"#
-        ) + "\n"
+        let (at_s, step_s) = if sequence < 4 { (sent_at_s, 0) } else { (ended_at_s, step_s) };
+        let (unix_s, mono_us) = (at_s.saturating_add_signed(step_s), (at_s - sent_at_s) * 1_000_000);
+        let clocks = format!(r#""unix_us":{unix_s}000000,"mono_us":{mono_us}"#);
+        format!(r#"{{"v":1,"run":"{run}","seq":{sequence},{clocks},"what":{{{event}}}}}"#) + "\n"
     };
     events.into_iter().enumerate().map(line).collect()
 }
@@ -55,6 +60,22 @@
     assert!(text.contains("at most 1 out at once"), "{text}");
 }
 
+/// By the wall clock the attempt ends before it starts, or a window of its own comes an hour later.
+#[test]
+fn a_wall_clock_that_is_set_during_a_run_moves_no_record_to_another_window() {
+    for step_s in [-3_600, -5, 5, 3_600] {
+        let streams =
+            [stream_with_step("1", 9_100, 9_103, "served", step_s), stream("2", 9_102, 9_104, "reset")];
+        let text = summary_text(&streams);
+        assert!(text.contains("\n1 times a wall clock was set while a run went on\n"), "{text}");
+        let windows: Vec<_> = text.lines().filter(|line| line.contains(" s: taken ")).collect();
+        assert_eq!(windows.len(), 1, "set by {step_s} s: {text}");
+        assert!(windows[0].starts_with("    0 s: taken 2, sent 2, lists 0; answers: failed 1, served 1;"));
+        let worker = "worker r0: sent 2 (100.0 %), at most 2 out at once; reset 1, served 1; took 3.0";
+        assert!(text.contains(worker), "set by {step_s} s: {text}");
+    }
+}
+
 #[test]
 fn missing_records_are_counted_and_an_end_without_a_start_is_not_in_flight() {
     let mut incomplete = stream("1", 100, 103, "served");
--- a/crates/event-log/tests/reader.rs
+++ b/crates/event-log/tests/reader.rs
@@ -104,6 +104,27 @@
     assert!(text.contains("5 records are missing") && text.contains("no end recorded"), "{text}");
 }
 
+#[test]
+fn how_long_a_run_went_on_is_told_by_the_monotonic_clock_alone() {
+    for (step_s, first_kind) in [(-3_600, "limit"), (5, "limit"), (3_600, "lightning")] {
+        let mut records: Vec<_> = (0..4).map(|sequence| record(sequence, counter_event(sequence))).collect();
+        for record in &mut records {
+            record.mono_us = 40_000_000 + record.sequence * 1_000_000;
+            record.unix_us = 1_700_000_000_000_000 + record.mono_us;
+        }
+        records[3].unix_us = records[3].unix_us.saturating_add_signed(step_s * 1_000_000);
+        let mut stream: String = records.iter().map(line_of).collect();
+        // A stream that begins in the middle of its run, with a kind that this reader may not know.
+        stream = stream.replacen("limit", first_kind, 1);
+        let mut summary = StreamSummary::default();
+        lines(stream.as_bytes()).iter().for_each(|line| summary.add(1, line));
+        let text = summary.to_text();
+        let seconds = if first_kind == "limit" { "3.0" } else { "2.0" };
+        assert!(text.contains(&format!("4 records over {seconds} s")), "set by {step_s} s: {text}");
+        assert_eq!(summary.runs[0].clock_steps, 1);
+    }
+}
+
 fn fixed_seed() -> ProptestConfig {
     ProptestConfig { rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() }
 }
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -5,6 +5,7 @@
 use copperspread_dispatcher::{Micros, SECOND};
 use copperspread_event_log::EventKind;
 use copperspread_event_log::reader::{Line, Reader};
+use copperspread_event_log::run_timeline::RunTimeline;
 
 use crate::scenario::{RecordedJob, Scenario, ScenarioError};
 
@@ -40,9 +41,9 @@
     InvalidScenario(#[from] ScenarioError),
 }
 
-/// A job with the time at which a scheduler accepted it, by the machine's clock.
+/// A job with the time at which a scheduler accepted it, by the timeline of all runs.
 struct AcceptedJob {
-    unix_us: Micros,
+    time_us: Micros,
     job: RecordedJob,
 }
 
@@ -54,12 +55,12 @@
 pub fn load_trace(scenario: &mut Scenario, event_log: impl BufRead) -> Result<SkippedRecords, TraceError> {
     let mut skipped = SkippedRecords::default();
     let mut jobs = read_jobs(scenario, event_log, &mut skipped)?;
-    jobs.sort_by_key(|accepted| accepted.unix_us);
-    let first = jobs.first().ok_or(TraceError::NoJobs)?.unix_us;
-    let arrives_at_s = |unix_us: Micros| (unix_us - first) as f64 / SECOND as f64;
+    jobs.sort_by_key(|accepted| accepted.time_us);
+    let first = jobs.first().ok_or(TraceError::NoJobs)?.time_us;
+    let arrives_at_s = |time_us: Micros| (time_us - first) as f64 / SECOND as f64;
     scenario.clients.trace = jobs
         .iter()
-        .map(|AcceptedJob { unix_us, job }| RecordedJob { arrives_at_s: arrives_at_s(*unix_us), ..*job })
+        .map(|AcceptedJob { time_us, job }| RecordedJob { arrives_at_s: arrives_at_s(*time_us), ..*job })
         .collect();
     let last = scenario.clients.trace.last().map_or(0.0, |job| job.arrives_at_s);
     scenario.duration_s = last.floor() + 1.0;
@@ -74,6 +75,8 @@
     skipped: &mut SkippedRecords,
 ) -> Result<Vec<AcceptedJob>, TraceError> {
     let mut jobs = Vec::new();
+    // Several runs may follow one another, and the machine's clock may be set during one.
+    let mut timeline = RunTimeline::default();
     for numbered_line in Reader::new(event_log) {
         let (number, line) = numbered_line?;
         let record = match line {
@@ -85,9 +88,9 @@
                 continue;
             }
         };
+        let time_us = timeline.time_us(&record);
         if let Some(job) = recorded_job(scenario, record.event, skipped) {
-            // By the machine's clock, as several runs may follow one another.
-            jobs.push(AcceptedJob { unix_us: record.unix_us, job });
+            jobs.push(AcceptedJob { time_us, job });
         }
     }
     Ok(jobs)
--- a/crates/testbed/tests/trace.rs
+++ b/crates/testbed/tests/trace.rs
@@ -58,3 +58,26 @@
         assert!(error.contains(expected), "{text}: {error}");
     }
 }
+
+#[test]
+fn a_wall_clock_that_is_set_while_requests_arrive_changes_no_arrival() {
+    let arrivals_with_step = |step_s: i64| -> Vec<u64> {
+        let line = |sequence: u64, at_us: u64| {
+            let set_by_us = if at_us < 6_000_000 { 0 } else { step_s * 1_000_000 };
+            let unix_us = 1_700_000_000_000_000_u64.saturating_add_signed(set_by_us) + at_us;
+            let accepted = request_accepted("status", r#","cost_hint_s":0.25"#);
+            format!(
+                r#"{{"v":1,"run":"r","seq":{sequence},"unix_us":{unix_us},"mono_us":{at_us},"what":{accepted}}}"#
+            ) + "\n"
+        };
+        let text: String = [(0, 5_000_000), (1, 5_500_000), (2, 6_500_000), (3, 8_000_000)]
+            .map(|(sequence, at_us)| line(sequence, at_us))
+            .concat();
+        let mut scenario = calm();
+        load_trace(&mut scenario, text.as_bytes()).expect("a trace");
+        Arrivals::new(&scenario, 1).map(|job| job.at).collect()
+    };
+    for step_s in [-3_600, -1, 0, 5, 3_600] {
+        assert_eq!(arrivals_with_step(step_s), [0, 500_000, 1_500_000, 3_000_000], "set by {step_s} s");
+    }
+}
