--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -40,6 +40,8 @@
         /// The identity that replaces it.
         after: Member,
     },
+    /// The others knew an earlier process of this member by a later generation; it goes on under this identity.
+    GenerationRaised(Member),
     /// The others had declared this member dead; it has rejoined under this identity.
     SelfRefuted(Member),
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -18,7 +18,8 @@
     pub region: String,
     /// Where its peers reach it.
     pub address: SocketAddr,
-    /// Grows with every start of its process, such as the start's Unix time.
+    /// Grows with every start of its process, such as the start's Unix time. Where it was lower than that of an
+    /// earlier process, as after a step back of the clock, the member raises it as soon as it learns of that one.
     pub generation: u64,
     /// How often it rejoined, within this run of its process, after the others had declared it dead.
     #[serde(rename = "returned")]
@@ -31,6 +32,18 @@
         [&self.name, &self.zone, &self.region].iter().all(|text| text.len() <= MAX_NAME_BYTES)
     }
 
+    /// The identity that counts over an earlier one of this member, which the others still know. It is `None`
+    /// where this one does already, or where another member was known under this one's address.
+    pub(crate) fn superseding(&self, known: &Member) -> Option<Member> {
+        let is_superseded =
+            known.address == self.address && known.name == self.name && known.win_addr_conflict(self);
+        is_superseded.then(|| Member {
+            generation: known.generation.saturating_add(1),
+            rejoins: 0,
+            ..self.clone()
+        })
+    }
+
     /// Stands for whoever listens at an address; any real member there replaces it.
     pub(crate) fn placeholder(address: SocketAddr) -> Member {
         let (name, zone, region) = Default::default();
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,7 +1,7 @@
 //! One member's part in the protocol: drives `foca` with packets, states and timers.
 use std::net::SocketAddr;
 
-use foca::{Foca, NoCustomBroadcast, PostcardCodec, Timer};
+use foca::{Codec, Foca, NoCustomBroadcast, PostcardCodec, Timer};
 use rand::SeedableRng;
 use rand::seq::IteratorRandom;
 use rand_pcg::Pcg64Mcg;
@@ -37,6 +37,8 @@
     sender: Option<SocketAddr>,
     /// Whether others have answered this member under its present identity.
     has_joined: bool,
+    /// Whether others have answered this process under any identity.
+    has_ever_joined: bool,
     detected_pauses: u64,
 }
 
@@ -66,6 +68,7 @@
             last_received: 0,
             sender: None,
             has_joined: false,
+            has_ever_joined: false,
             detected_pauses: 0,
         })
     }
@@ -82,6 +85,7 @@
     ) -> Result<(), PacketError> {
         self.detect_pause(now);
         let (member_count, had_joined) = (self.protocol.num_members(), self.has_joined);
+        let earlier_effects = effects.len();
         self.sender = None;
         let result = match input {
             Input::Packet(packet) => self.handle_packet(now, packet, effects),
@@ -99,6 +103,12 @@
             // is certainly up: after a breakdown others that it names may not be.
             effects.extend(self.sender.map(Effect::ExchangeState));
         }
+        self.has_ever_joined |= self.has_joined;
+        let was_refuted = effects[earlier_effects..].iter().any(|of| matches!(of, Effect::SelfRefuted(_)));
+        if was_refuted && !self.has_ever_joined {
+            // A new process that passes for dead: its peer remembers an earlier one, maybe of a later generation.
+            effects.extend(self.sender.map(Effect::ExchangeState));
+        }
         if self.protocol.num_members() != member_count {
             // Limits and time-outs follow the number of members; `foca` accepts a change of each that may differ.
             let _ = self.protocol.set_config(self.settings.foca_config(self.protocol.num_members() + 1));
@@ -114,6 +124,9 @@
     ) -> Result<(), PacketError> {
         let body = self.key.open(PACKET_FORMAT, packet)?;
         self.last_received = now;
+        if let Ok(header) = PostcardCodec.decode_header(body) {
+            self.supersede(now, &header.dst, effects);
+        }
         let (protocol, collector) = self.split(now, effects);
         match protocol.handle_data(body, collector) {
             Err(foca::Error::Decode(_) | foca::Error::MalformedPacket) => Err(PacketError::Malformed),
@@ -123,9 +136,25 @@
         }
     }
 
+    /// Takes an identity that counts over the one by which a peer knows this member, if that is of an earlier
+    /// process with a later generation: the machine's clock was set back in between. The others would otherwise
+    /// take this process for the earlier one for as long as they remember it.
+    fn supersede(&mut self, now: Micros, known: &Member, effects: &mut Vec<Effect>) {
+        let Some(identity) = self.protocol.identity().superseding(known) else { return };
+        let (protocol, collector) = self.split(now, effects);
+        // Only the codec can fail, and it writes to memory.
+        if protocol.change_identity(identity.clone(), collector).is_ok() {
+            self.has_joined = false;
+            effects.push(Effect::GenerationRaised(identity));
+        }
+    }
+
     /// Applies what a peer knows.
     fn apply_state(&mut self, now: Micros, state: &MembershipState, effects: &mut Vec<Effect>) {
         self.last_received = now;
+        if let Some(known) = state.member_at(self.protocol.identity().address) {
+            self.supersede(now, known, effects);
+        }
         let updates = state.updates_for(self.protocol.identity(), self.protocol.iter_membership_state());
         let (protocol, collector) = self.split(now, effects);
         // Only the codec can fail, and it writes to memory.
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -33,6 +33,11 @@
         self.0.len()
     }
 
+    /// The identity that is known at an address, up or down.
+    pub(crate) fn member_at(&self, address: SocketAddr) -> Option<&Member> {
+        self.0.iter().map(foca::Member::id).find(|member| member.address == address)
+    }
+
     /// The sealed form for a stream, of [`MAX_STATE_BYTES`](crate::MAX_STATE_BYTES) at most. Members at the end of
     /// a larger state are left out.
     pub fn seal(&self, key: &Key) -> Vec<u8> {
--- a/crates/membership/tests/transcripts.rs
+++ b/crates/membership/tests/transcripts.rs
@@ -96,6 +96,7 @@
                 Effect::MemberUp(_)
                 | Effect::MemberDown(_)
                 | Effect::MemberReplaced { .. }
+                | Effect::GenerationRaised(_)
                 | Effect::SelfRefuted(_) => {}
             }
         }
--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -11,7 +11,7 @@
     Fault, FaultPlan, FaultStep, LinkConditions, NetworkLinks, ProcessAction,
 };
 use copperspread_membership::{
-    Effect, Input, MAX_PACKET_BYTES, Membership, Micros, PacketError, SECOND, Settings,
+    Effect, Input, MAX_PACKET_BYTES, Member, Membership, Micros, PacketError, SECOND, Settings,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -124,17 +124,29 @@
     /// # Panics
     /// Settings that membership does not accept.
     pub fn start(&mut self, member: usize, generation: u64, seeds: &[usize]) {
+        self.start_as(member, member_info(member, generation), seeds);
+    }
+
+    /// The same with an identity that may be wrong.
+    ///
+    /// # Panics
+    /// Settings that membership does not accept.
+    pub fn start_as(&mut self, member: usize, info: Member, seeds: &[usize]) {
         let seeds = seeds.iter().map(|&seed| address(seed)).collect();
         let settings = Settings { seeds, ..self.settings.clone() };
-        self.generations[member] = generation;
+        self.generations[member] = info.generation;
         let seed = self.random.random();
-        let info = member_info(member, generation);
         let membership = Membership::new(info, settings, key(), seed).expect("settings");
         let process = Process { membership, paused_until: 0, wake_at: 0, waiting_packets: Vec::new() };
         self.processes[member] = Some(process);
         self.schedule_wake(member, self.now + 1);
     }
 
+    /// The number of members, those without a process included.
+    pub fn member_count(&self) -> usize {
+        self.processes.len()
+    }
+
     /// Ends a process, which sends nothing.
     pub fn kill(&mut self, member: usize) {
         self.processes[member] = None;
@@ -191,6 +203,17 @@
         &mut self,
         timeout: Micros,
         step: Micros,
+        condition: impl FnMut(&SimulatedNetwork) -> bool,
+    ) -> Option<Micros> {
+        self.run_until_with(timeout, step, |_| {}, condition)
+    }
+
+    /// The same with something that is done after each step.
+    pub fn run_until_with(
+        &mut self,
+        timeout: Micros,
+        step: Micros,
+        mut after_step: impl FnMut(&mut SimulatedNetwork),
         mut condition: impl FnMut(&SimulatedNetwork) -> bool,
     ) -> Option<Micros> {
         let start = self.now;
@@ -199,6 +222,7 @@
                 return None;
             }
             self.run(step);
+            after_step(self);
         }
         Some(self.now - start)
     }
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -1,6 +1,6 @@
 //! The failures that membership must handle, each caused on a simulated network.
 use copperspread_fault_injection::Fault;
-use copperspread_membership::{Effect, Input, Key, Membership, PacketError, SECOND, Settings};
+use copperspread_membership::{Effect, Input, Key, Member, Membership, PacketError, SECOND, Settings};
 use copperspread_testbed::membership_simulation::{SimulatedNetwork, address, key, member_info};
 
 #[test]
@@ -222,3 +222,95 @@
     assert!(network.all_see(269));
     assert!(network.reported_failures().iter().all(|failure| failure.name.ends_with('0')));
 }
+
+/// Unix time in milliseconds, as a process's generation.
+const GENERATION: u64 = 1_700_000_000_000;
+const HOUR_MS: u64 = 3_600_000;
+
+/// Members whose processes started at one Unix time, and know each other.
+fn joined_at_generation(members: usize, seed: u64) -> SimulatedNetwork {
+    let mut network = SimulatedNetwork::new(members, seed);
+    (0..members).for_each(|member| network.start(member, GENERATION, &[0]));
+    network.run(30 * SECOND);
+    assert!(network.all_see(members - 1));
+    network
+}
+
+/// Whether a member sees the present identity of each other one, and no more.
+fn sees_current_processes(network: &SimulatedNetwork, by: usize, members: usize) -> bool {
+    let visible = network.visible_members(by);
+    let mut others = (0..members).filter(|&other| other != by);
+    visible.len() == members - 1
+        && others.all(|other| visible.contains(&network.membership(other).local_member()))
+}
+
+/// Carries out the exchanges of states that members ask for: the simulated network has no streams.
+fn exchange_states(network: &mut SimulatedNetwork) {
+    for recorded in std::mem::take(&mut network.effects) {
+        let Effect::ExchangeState(peer) = recorded.effect else { continue };
+        let members = 0..network.member_count();
+        let Some(peer) = members.into_iter().find(|&member| address(member) == peer) else { continue };
+        let state = network.membership(recorded.member).state();
+        network.handle_input(peer, Input::State(&state));
+        let reply = network.membership(peer).state();
+        network.handle_input(recorded.member, Input::State(&reply));
+    }
+}
+
+/// A process that starts again after its machine's clock was set back has a lower generation than the one before,
+/// whom the others hold for alive or for down, or remember as one that left.
+#[test]
+fn a_member_that_restarts_after_its_clock_was_set_back_is_accepted() {
+    let absences = [(SECOND / 5, false), (SECOND, false), (60 * SECOND, false), (2 * SECOND, true)];
+    for (absent_for, leaves) in absences {
+        for set_back_ms in [1, 5_000, HOUR_MS, 24 * HOUR_MS] {
+            for (members, restarted) in [(2, 1), (5, 2), (5, 0)] {
+                let mut network = joined_at_generation(members, 11);
+                if leaves {
+                    network.leave(restarted);
+                }
+                network.kill(restarted);
+                network.run(absent_for);
+                let seed = usize::from(restarted == 0);
+                network.start(restarted, GENERATION - set_back_ms, &[seed]);
+                let context =
+                    format!("{restarted} of {members}, absent for {absent_for}, {set_back_ms} ms back");
+                let accepted = network.run_until_with(10 * SECOND, SECOND / 10, exchange_states, |network| {
+                    (0..members).all(|by| sees_current_processes(network, by, members))
+                });
+                assert!(accepted.is_some(), "{context}");
+                let local = network.membership(restarted).local_member();
+                assert_eq!(local.generation, GENERATION + 1, "{context}: one above the earlier process");
+                network.run(30 * SECOND);
+                assert!((0..members).all(|by| sees_current_processes(&network, by, members)), "{context}");
+            }
+        }
+    }
+}
+
+/// Of three starts the second and the third are each after a further step back.
+#[test]
+fn a_member_that_restarts_again_and_again_after_steps_back_is_accepted_each_time() {
+    let mut network = joined_at_generation(5, 12);
+    for restart in 1..=3 {
+        network.kill(2);
+        network.run(SECOND);
+        network.start(2, GENERATION - restart * HOUR_MS, &[0]);
+        let accepted = network.run_until_with(10 * SECOND, SECOND / 10, exchange_states, |network| {
+            (0..5).all(|by| sees_current_processes(network, by, 5))
+        });
+        assert!(accepted.is_some(), "restart {restart}");
+    }
+}
+
+/// A member with a wrong configuration must not drive the generation of the one whose address it has.
+#[test]
+fn a_generation_is_raised_over_that_of_an_earlier_process_of_the_same_member_only() {
+    let mut network = joined_at_generation(3, 13);
+    network.kill(2);
+    network.run(SECOND);
+    let other = Member { name: "other".into(), ..member_info(2, GENERATION - HOUR_MS) };
+    network.start_as(2, other, &[0]);
+    network.run(10 * SECOND);
+    assert_eq!(network.membership(2).local_member().generation, GENERATION - HOUR_MS);
+}
