--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -186,7 +186,7 @@
     pub worker: String,
     /// `ready`, `draining` or `gone`.
     pub state: String,
-    /// Its last start, in microseconds of Unix time; absent if that is long ago.
+    /// Its last start, in microseconds of Unix time by the scheduler's own clock; absent if that is long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_us: Option<u64>,
     /// Its kind, by the number that the policy has for it.
--- a/crates/proxy/tests/interfaces.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -3,6 +3,7 @@
 use std::future::poll_fn;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
+use std::time::Duration;
 
 use bytes::Bytes;
 use copperspread_dispatcher::{
@@ -242,6 +243,27 @@
 }
 
 // What each first outcome allows, by class: served at the other worker, or a failure after one attempt.
+/// The wall clock was set forward, or back and the lists contradict it: by the worker's start as listed it would
+/// stay cold for an hour, or be warm at once. It has room for a request of a second only once it is warm.
+#[tokio::test(start_paused = true)]
+async fn a_worker_whose_start_was_stamped_by_a_stepped_clock_is_cold_and_then_warm() {
+    let (hour, slow_start) = (3_600 * SECOND, 10 * SECOND);
+    for is_ahead in [true, false] {
+        let proxy = TestProxy::start(&[]).await;
+        proxy.publish(list(1, &[])).await;
+        let now = proxy.context.clock.now();
+        let mut started = list(2, &[EndpointPhase::Serving]);
+        started.endpoints[0].started_at = Some(if is_ahead { now + hour } else { now - hour });
+        proxy.publish(started).await;
+        let mut response = proxy.send(1, 2);
+        assert!(matches!(response.final_response().await, FinalResponse::Rejected { .. }), "{is_ahead}");
+        tokio::time::advance(Duration::from_micros(slow_start + SECOND)).await;
+        let _response = proxy.send(2, 2);
+        settle().await;
+        assert_eq!(proxy.dispatched(), [WorkerId(0)], "{is_ahead}");
+    }
+}
+
 #[tokio::test(start_paused = true)]
 async fn a_request_that_may_have_run_is_retried_only_as_its_class_allows() {
     let first_outcomes =
