--- a/crates/dispatcher/tests/slow_start_budget.rs
+++ b/crates/dispatcher/tests/slow_start_budget.rs
@@ -244,6 +244,7 @@
         }
         worst = worst.max(sent);
     }
+    println!("{worst:.1} requests of mean work at the worst, {:.1} are allowed", allowed(budget));
     assert!(worst > budget / 2.0, "the worker was offered more than it may get");
     assert!(worst <= allowed(budget), "{worst:.1} requests of mean work, {:.1} are allowed", allowed(budget));
 }
