--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -77,8 +77,8 @@
         self.settings.overload_multiple * capacity * to_seconds(window)
     }
 
-    /// Work beyond a budget that is laid to chance: 2 x root of N + 2 requests of mean work. Where N is under 30
-    /// the platform allows 3 x root of N + 3; the rest is left for dispatchers that judge the worker unlike.
+    /// Work beyond a budget that is laid to chance: 2 x root of N + 2 requests of mean work. Where N is under
+    /// 30 the platform allows 3 x root of N + 3; the rest is for dispatchers that judge the worker unlike.
     fn slow_start_chance(&self, budget: f64) -> f64 {
         let mean_load = self.mean_request_load;
         2.0 * (budget * mean_load).sqrt() + 2.0 * mean_load
