--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -2,9 +2,10 @@
 //! while slots are scarce, those of least weight are rejected, as else all would be late.
 use super::load_reports::{LOAD_QUERY_COST_FRACTION, MAX_LOAD_QUERY_BUDGET};
 use super::retries::{HEDGE_BUDGET_PER_REQUEST, MAX_HEDGE_BUDGET};
+use super::selection::NotAdmitted;
 use super::{Dispatcher, GROUP_GAIN, MAX_FIGURE, REFRESH_INTERVAL, SLOW_GAIN, validated};
 use super::{service_time::INITIAL_SLOTS, state::Request};
-use crate::{Action, IncomingRequest, Micros, Rejection};
+use crate::{Action, IncomingRequest, Micros, Rejection, SECOND};
 use crate::{average::move_average, time::from_seconds, time::to_seconds};
 
 /// Weight of one request in the fraction of those that arrive when their whole objective seems spent.
@@ -22,13 +23,17 @@
 const TENANT_WINDOW_SECONDS: f64 = 3.0;
 /// A tenant may use its part of the quota here this many times: clients are not spread evenly.
 const TENANT_QUOTA_TOLERANCE: f64 = 1.2;
+/// After so many requests rejected on arrival over so long, with no attempt in between, the next one is attempted
+/// although it would be shed or late: what rejects them is learned from attempts, and would hold for good.
+const MAX_REJECTION_STREAK: u32 = 7;
+const MAX_REJECTION_STREAK_TIME: Micros = 2 * SECOND;
 
 impl Dispatcher {
     pub(super) fn on_request(&mut self, now: Micros, incoming: IncomingRequest) {
         let id = incoming.request;
-        let reject = |retry_after, reason| Action::Reject { request: id, retry_after, reason };
         if incoming.class as usize >= self.settings.classes.len() || incoming.time_left == 0 {
-            self.actions.push(reject(REFRESH_INTERVAL, Rejection::Invalid));
+            let reason = Rejection::Invalid;
+            self.actions.push(Action::Reject { request: id, retry_after: REFRESH_INTERVAL, reason });
             return;
         }
         if self.requests.contains_key(&id) {
@@ -36,18 +41,31 @@
         }
         let mut request = self.new_request(now, &incoming);
         self.record_offered_request(&request);
-        if self.should_shed(now, &request, incoming.tenant as usize) {
-            // About one usual response later some of the slots are free.
-            self.actions.push(reject(from_seconds(self.mean_response_seconds), Rejection::Overloaded));
-            return;
-        }
-        match self.select_worker(now, &request) {
+        match self.admit(now, &request, incoming.tenant as usize) {
             Ok(index) => {
                 self.send(now, &mut request, index);
                 self.requests.insert(id, request);
             }
-            Err(not_admitted) => self.actions.push(reject(not_admitted.retry_after, not_admitted.reason)),
+            Err(NotAdmitted { retry_after, reason, .. }) => {
+                self.rejection_streak.add(now);
+                self.actions.push(Action::Reject { request: id, retry_after, reason });
+            }
+        }
+    }
+
+    /// The worker for a request that has arrived, unless it is shed or would be late everywhere.
+    fn admit(&mut self, now: Micros, request: &Request, tenant: usize) -> Result<usize, NotAdmitted> {
+        let must_attempt = self.rejection_streak.count >= MAX_REJECTION_STREAK
+            && now.saturating_sub(self.rejection_streak.started_at) >= MAX_REJECTION_STREAK_TIME;
+        if self.should_shed(now, request, tenant) && !must_attempt {
+            // About one usual response later some of the slots are free.
+            let retry_after = from_seconds(self.mean_response_seconds);
+            return Err(NotAdmitted { retry_after, reason: Rejection::Overloaded, late_worker: None });
         }
+        self.select_worker(now, request).or_else(|not_admitted| {
+            let late_worker = not_admitted.late_worker.filter(|_| must_attempt);
+            late_worker.ok_or(not_admitted)
+        })
     }
 
     fn new_request(&mut self, now: Micros, incoming: &IncomingRequest) -> Request {
--- a/crates/dispatcher/src/policy/attempts.rs
+++ b/crates/dispatcher/src/policy/attempts.rs
@@ -1,5 +1,5 @@
 //! Attempts, from sending to completion or cancellation.
-use super::state::{Attempt, ProgressMark, Request};
+use super::state::{Attempt, ProgressMark, RejectionStreak, Request};
 use super::{Dispatcher, GROUP_GAIN, SLOW_GAIN, load_reports::REPORT_AGE};
 use crate::{Action, AttemptOutcome, Micros, Outcome, Progress, RequestId, WorkerId};
 use crate::{average::move_average, local_load::InFlightAttempt, time::from_seconds, time::to_seconds};
@@ -16,6 +16,7 @@
         worker.local_load.add(InFlightAttempt { request: id, attempt, slots: request.slots, sent_at: now });
         let fitted_slots = worker.local_load.slots_in_use() <= slots;
         self.record_slow_start_work(now, index, request.work * request.slots);
+        self.rejection_streak = RejectionStreak::default();
         request.attempts.push(Attempt {
             worker: index as u32,
             sent_at: now,
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -15,7 +15,7 @@
 mod state;
 
 use self::load_reports::{INITIAL_UTILIZATION, LOAD_QUERY_ROUND, MAX_LOAD_QUERY_BUDGET};
-use self::state::{GroupStatistics, Request, Worker};
+use self::state::{GroupStatistics, RejectionStreak, Request, Worker};
 use crate::average::{AverageRatio, EventRate, LogAverage};
 use crate::{Action, Discovery, Event, Micros, RequestId, SECOND, Settings, SettingsError, Timer};
 use rustc_hash::FxHashMap;
@@ -54,6 +54,7 @@
     started_at: Option<Micros>,
     /// Priority weight per slot-second below which requests are shed while slots are scarce.
     shed_price: f64,
+    rejection_streak: RejectionStreak,
     tenant_rates: Vec<EventRate>,
     /// Mean of work times slots of a request, the requests it rests on (up to a hundred), mean of slots.
     mean_request_load: f64,
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -20,7 +20,8 @@
 impl Dispatcher {
     pub(super) fn retry_or_respond(&mut self, now: Micros, request: &mut Request) {
         let retry_after = from_seconds(self.mean_response_seconds);
-        let mut not_admitted = NotAdmitted { retry_after, reason: Rejection::AttemptsExhausted };
+        let mut not_admitted =
+            NotAdmitted { retry_after, reason: Rejection::AttemptsExhausted, late_worker: None };
         if self.may_retry(now, request) {
             match self.select_worker(now, request) {
                 Ok(index) => return self.send(now, request, index),
@@ -28,7 +29,7 @@
             }
         }
         self.finish(request);
-        let NotAdmitted { retry_after, reason } = not_admitted;
+        let NotAdmitted { retry_after, reason, .. } = not_admitted;
         self.actions.push(if self.may_reject(request) && now < request.deadline {
             Action::Reject { request: request.id, retry_after, reason }
         } else {
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -15,6 +15,8 @@
 pub(super) struct NotAdmitted {
     pub(super) retry_after: Micros,
     pub(super) reason: Rejection,
+    /// The lowest ranked eligible worker, where the request would be late.
+    pub(super) late_worker: Option<usize>,
 }
 
 #[derive(Clone, Copy)]
@@ -61,13 +63,17 @@
                 best = Some(candidate);
             }
         }
-        let no_worker = NotAdmitted { retry_after: REFRESH_INTERVAL, reason: Rejection::NoEligibleWorker };
+        let no_worker = NotAdmitted {
+            retry_after: REFRESH_INTERVAL,
+            reason: Rejection::NoEligibleWorker,
+            late_worker: None,
+        };
         let Candidate { index, excess_seconds, .. } = best.ok_or(no_worker)?;
         if excess_seconds <= 0.0 {
             return Ok(index);
         }
         let retry_after = from_seconds(excess_seconds);
-        Err(NotAdmitted { retry_after, reason: Rejection::TooLate(retry_after) })
+        Err(NotAdmitted { retry_after, reason: Rejection::TooLate(retry_after), late_worker: Some(index) })
     }
 
     fn is_eligible(&self, index: usize, request: &Request) -> bool {
--- a/crates/dispatcher/src/policy/state.rs
+++ b/crates/dispatcher/src/policy/state.rs
@@ -91,3 +91,20 @@
         self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
 }
+
+/// Requests rejected on arrival since the last attempt.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct RejectionStreak {
+    pub(super) count: u32,
+    /// When the first of them came.
+    pub(super) started_at: Micros,
+}
+
+impl RejectionStreak {
+    pub(super) fn add(&mut self, now: Micros) {
+        if self.count == 0 {
+            self.started_at = now;
+        }
+        self.count = self.count.saturating_add(1);
+    }
+}
--- a/crates/dispatcher/tests/retry_invariants.rs
+++ b/crates/dispatcher/tests/retry_invariants.rs
@@ -169,7 +169,24 @@
         self.is_ready[worker] = self.rng.bool();
         let state = if self.is_ready[worker] { WorkerState::Ready } else { WorkerState::Draining };
         let changed = Endpoint { state, ..self.endpoints[worker] };
-        self.harness.update_endpoints(EndpointUpdateKind::Changes, &[changed]);
+        match self.rng.u32(0..4) {
+            // Its process was replaced under the same id, with attempts of the earlier one in flight.
+            0 => {
+                let started_at = Some(self.harness.now);
+                let replaced = Endpoint { started_at, ..changed };
+                self.harness.update_endpoints(EndpointUpdateKind::Changes, &[replaced]);
+            }
+            // It left, and comes back with the next list that names it.
+            1 if !self.is_ready[worker] => {
+                let is_ready = self.is_ready;
+                let ready = self.endpoints.iter().filter(|endpoint| is_ready[endpoint.worker.0 as usize]);
+                let ready: Vec<_> = ready.copied().collect();
+                self.harness.update_endpoints(EndpointUpdateKind::Full, &ready);
+            }
+            _ => {
+                self.harness.update_endpoints(EndpointUpdateKind::Changes, &[changed]);
+            }
+        }
     }
 
     fn complete(&mut self, (id, number): AttemptId, outcome: Outcome) {
@@ -202,6 +219,8 @@
         let request = self.requests.get_mut(&id).expect("a known request");
         assert!(!request.is_closed && request.responses == 0, "seed {seed}: sent after the end");
         assert!(now < request.deadline && request.attempts.len() < 4);
+        let is_repeated = request.attempts.iter().any(|attempt| attempt.worker == worker);
+        assert!(!is_repeated, "seed {seed}: a second attempt at worker {worker}");
         let in_flight = request.attempts.iter().any(AttemptRecord::is_in_flight);
         assert!(self.hedging_allowed || !in_flight, "seed {seed}: a hedge");
         let first = request.attempts.iter().find(|attempt| attempt.may_have_run());
