--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use crate::clock::from_now;
-use crate::discovery::platform::fetch::{DiscoveryClient, FetchError};
+use crate::discovery::platform::fetch::{CallDeadlines, DiscoveryClient, FetchError};
 use crate::discovery::{EndpointPublisher, EndpointSource};
 use crate::invariant::note;
 
@@ -16,23 +16,31 @@
 
 /// How long a watch is held at discovery. Short, because the wait for a watch that fell silent adds to how late a
 /// change is seen, and empty answers cost little. It and what adds to it can be read from outside:
-/// `docs/crossings-list.md` sums them, a test too.
+/// `docs/endpoint-list-delays.md` sums them, a test too.
 pub const WATCH_HOLD_TIME: Micros = 2 * SECOND;
-/// A pushed list is at an agent nearby, which answers at once: a watch that has not been answered this long after
-/// its hold time is dropped.
-pub const PUSHED_WATCH_MARGIN: Micros = SECOND;
-/// So is a call for a complete list that is pushed, after this long.
-pub const PUSHED_LIST_TIMEOUT: Micros = 700_000;
-/// Where lists are polled, calls wait their turn for up to a second before they fail; the rest is for their way.
-/// It bounds a call for a complete list, and a watch after its hold time. It counts twice in the wait for a
-/// change: for the call that is given up and for the next.
+/// A watch that has not been answered this long after its hold time is dropped: a slow or crowded discovery answers
+/// up to a second late, the rest is for the way.
+pub const WATCH_MARGIN: Micros = 1_200_000;
+/// Where lists are pushed, a call for the complete list is dropped after this long. The agent nearby answers at once
+/// unless it is slow, so the call is hedged meanwhile.
+pub const PUSHED_LIST_TIMEOUT: Micros = 2_200_000;
+/// Until then it is made again after each such interval, on a further connection: what the agent has counts as
+/// notified at once, also where it was silent before and does not answer the calls of that time.
+pub const PUSHED_HEDGE_INTERVAL: Micros = 400_000;
+/// Where lists are polled, calls wait their turn for up to a second before they fail; the rest is for their way. It
+/// bounds a call for the complete list. It counts twice in the wait for a change: for the call that is given up and
+/// for the next.
 pub const POLLED_LIST_TIMEOUT: Micros = 1_500_000;
+/// A watch, and a polled list, whose head has come in time is read for so much longer: its bytes may trickle.
+pub const BODY_MARGIN: Micros = 700_000;
 /// First wait before a failed call is made again where lists are pushed; where they are polled, before a watch
 /// that broke is opened anew.
 pub const RETRY_BACKOFF_INITIAL: Micros = 100_000;
-/// Longest wait before a failed call is made again. Together with [`PUSHED_LIST_TIMEOUT`] under a second: what
-/// the agent has is binding, also while it was silent.
+/// Longest wait before a failed call is made again. Not over [`PUSHED_HEDGE_INTERVAL`].
 pub const RETRY_BACKOFF_MAX: Micros = 200_000;
+/// Where lists are polled, the wait before a call for the complete list is made again after the first refusal since a
+/// list came: a crowded discovery can be reached, and the policy's backoff on top would be too long.
+pub const REFUSED_RETRY_BACKOFF: Micros = 300_000;
 
 /// The platform's discovery at an address, which may move.
 pub struct PlatformDiscovery {
@@ -50,7 +58,8 @@
 
 /// Follows discovery for good: one watch after the other. The first call and any after one that failed want the
 /// complete list, as a watch is silent for as long as it is held. Where lists are polled, a watch that broke is
-/// opened anew once before the policy is notified; after any other failure the policy asks for the next call.
+/// opened anew once before the policy is notified, and a call for the complete list is made again after the first
+/// refusal; after any other failure the policy asks for the next call.
 /// When discovery moves, what is in flight is dropped and the new address is asked for the complete list.
 struct PlatformWatcher {
     publisher: EndpointPublisher,
@@ -69,6 +78,8 @@
     awaits_policy: bool,
     /// The last call was answered.
     is_connected: bool,
+    /// A call was refused since the last list came.
+    was_refused: bool,
 }
 
 /// A call that was made.
@@ -102,6 +113,7 @@
             owes_update: is_polled,
             awaits_policy: false,
             is_connected: false,
+            was_refused: false,
         }
     }
 
@@ -124,10 +136,11 @@
 
     /// Starts anew where discovery has moved.
     fn follow_address(&mut self) {
-        if *self.configured_address.borrow() == self.address {
+        let address = self.configured_address.borrow_and_update().clone();
+        if address == self.address {
             return;
         }
-        self.address = self.configured_address.borrow().clone();
+        self.address = address;
         // A connection to the old address would stay until it is closed there.
         self.client = DiscoveryClient::new();
         // A new list would pass for an old one, as its revisions count anew.
@@ -135,23 +148,19 @@
         self.revision = None;
         self.backoff = RETRY_BACKOFF_INITIAL;
         self.is_connected = false;
+        self.was_refused = false;
     }
 
     /// Calls for the complete list, or watches the revision that is known.
     async fn call(&mut self) -> Call {
         let watched_revision = self.revision.filter(|_| self.is_connected);
-        let path = match watched_revision {
-            Some(revision) => format!("/api/targets?from={revision}&hold_ms={}", WATCH_HOLD_TIME / 1_000),
-            None => "/api/targets".to_owned(),
-        };
-        // A discovery that is down may keep its connections open in silence.
-        let deadline = from_now(self.call_timeout(watched_revision));
         let earliest_unchanged = from_now(WATCH_HOLD_TIME / 2);
+        let mut configured_address = self.configured_address.clone();
         let outcome = tokio::select! {
             // An answer of the old address must not be taken after discovery moved.
             biased;
-            Ok(()) = self.configured_address.changed() => CallOutcome::AddressChanged,
-            fetched = self.client.fetch(&self.address, &path, deadline) => match fetched {
+            Ok(()) = configured_address.changed() => CallOutcome::AddressChanged,
+            fetched = self.fetch(watched_revision) => match fetched {
                 Ok(list) => CallOutcome::Answered(list),
                 Err(error) => CallOutcome::Failed(error),
             },
@@ -159,13 +168,19 @@
         Call { watched_revision, earliest_unchanged, outcome }
     }
 
-    fn call_timeout(&self, watched_revision: Option<u64>) -> Micros {
-        match (self.is_polled, watched_revision.is_some()) {
-            (true, true) => WATCH_HOLD_TIME + POLLED_LIST_TIMEOUT,
-            (true, false) => POLLED_LIST_TIMEOUT,
-            (false, true) => WATCH_HOLD_TIME + PUSHED_WATCH_MARGIN,
-            (false, false) => PUSHED_LIST_TIMEOUT,
-        }
+    /// One call, dropped at its time-out: a discovery that is down may keep its connections open in silence.
+    async fn fetch(&self, watched_revision: Option<u64>) -> Result<EndpointList, FetchError> {
+        const LIST_PATH: &str = "/api/targets";
+        let Some(revision) = watched_revision else {
+            return if self.is_polled {
+                self.client.fetch(&self.address, LIST_PATH, deadlines_after(POLLED_LIST_TIMEOUT)).await
+            } else {
+                let deadline = from_now(PUSHED_LIST_TIMEOUT);
+                self.client.fetch_hedged(&self.address, LIST_PATH, PUSHED_HEDGE_INTERVAL, deadline).await
+            };
+        };
+        let path = format!("{LIST_PATH}?from={revision}&hold_ms={}", WATCH_HOLD_TIME / 1_000);
+        self.client.fetch(&self.address, &path, deadlines_after(WATCH_HOLD_TIME + WATCH_MARGIN)).await
     }
 
     /// Publishes what a list changes.
@@ -177,6 +192,7 @@
     ) {
         self.backoff = RETRY_BACKOFF_INITIAL;
         self.is_connected = true;
+        self.was_refused = false;
         let is_unchanged = self.revision == Some(list.revision) && list.endpoints.is_empty();
         let must_publish = self.owes_update || list.complete || !is_unchanged;
         if let Some(endpoints) = self.publisher.apply(list).filter(|_| must_publish) {
@@ -196,24 +212,34 @@
 
     /// Waits until the next call is due.
     async fn handle_failure(&mut self, error: &FetchError) {
-        let was_connected = std::mem::take(&mut self.is_connected);
         note("no answer of discovery, the list stays", &error.to_string());
-        let is_broken_watch = was_connected && !error.is_refusal();
-        if self.is_polled && !is_broken_watch {
-            // Notified once, and then waited for until the policy asks: a move in this wait must not lead to two
-            // calls after each failure, then three.
-            if !std::mem::replace(&mut self.awaits_policy, true) {
-                self.publisher.poll_failed();
-            }
-            self.owes_update = true;
-            self.await_subscription_request().await;
-        } else {
+        if let Some(backoff) = self.retry_backoff(error) {
+            // A move is not waited out.
+            let _ = timeout_at(from_now(backoff), self.configured_address.changed()).await;
+            return;
+        }
+        // Notified once, and then waited for until the policy asks: a move in this wait must not lead to two
+        // calls after each failure, then three.
+        if !std::mem::replace(&mut self.awaits_policy, true) {
+            self.publisher.poll_failed();
+        }
+        self.owes_update = true;
+        self.await_subscription_request().await;
+    }
+
+    /// The wait before a failed call is made again; none where the policy asks for the next call.
+    fn retry_backoff(&mut self, error: &FetchError) -> Option<Micros> {
+        let was_watch = std::mem::take(&mut self.is_connected);
+        let is_broken_watch = was_watch && !error.is_refusal();
+        if !self.is_polled || is_broken_watch {
             // Soon: what a silent watch missed counts as notified. Not at once: a discovery may answer complete
-            // lists and break each watch. A move is not waited out.
-            let retry_at = from_now(self.backoff);
-            let _ = timeout_at(retry_at, self.configured_address.changed()).await;
-            self.backoff = (self.backoff * 2).min(RETRY_BACKOFF_MAX);
+            // lists and break each watch.
+            let doubled = (self.backoff * 2).min(RETRY_BACKOFF_MAX);
+            return Some(std::mem::replace(&mut self.backoff, doubled));
         }
+        let is_first_refusal = error.is_refusal() && !self.was_refused;
+        self.was_refused |= is_first_refusal;
+        (is_first_refusal && !was_watch).then_some(REFUSED_RETRY_BACKOFF)
     }
 
     /// Waits until the policy asks for the list, or discovery moves: the old place is not waited for, and the
@@ -227,3 +253,8 @@
         self.awaits_policy = !is_requested;
     }
 }
+
+/// Deadlines of a call whose response's head must come within a time.
+fn deadlines_after(head_timeout: Micros) -> CallDeadlines {
+    CallDeadlines { head: from_now(head_timeout), body: from_now(head_timeout + BODY_MARGIN) }
+}
--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -1,113 +1,26 @@
 //! The program follows the endpoint list through the moments in which discovery fails: whatever went wrong,
 //! a change is known within 6 s of discovery's having it, and requests are served all along.
+#[path = "sockets/discovery_fixture.rs"]
+mod discovery_fixture;
 #[path = "sockets/fake_discovery.rs"]
 mod fake_discovery;
 mod sockets;
 
-use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use copperspread_dispatcher::{
-    Action, Dispatcher, EndpointUpdate, EndpointUpdateKind, Event, Micros, RequestClass, SECOND, Settings,
-    Timer,
+    Action, Dispatcher, EndpointUpdate, EndpointUpdateKind, Event, RequestClass, SECOND, Settings, Timer,
 };
 use copperspread_proxy::discovery::platform::{
-    POLLED_LIST_TIMEOUT, PUSHED_LIST_TIMEOUT, PUSHED_WATCH_MARGIN, RETRY_BACKOFF_INITIAL, RETRY_BACKOFF_MAX,
-    WATCH_HOLD_TIME,
+    BODY_MARGIN, POLLED_LIST_TIMEOUT, PUSHED_HEDGE_INTERVAL, REFUSED_RETRY_BACKOFF, RETRY_BACKOFF_INITIAL,
+    RETRY_BACKOFF_MAX, WATCH_HOLD_TIME, WATCH_MARGIN,
 };
-use fake_discovery::{Call, FakeDiscovery, UNAVAILABLE, WATCH_FAULTS, inject};
+use discovery_fixture::*;
+use fake_discovery::{FakeDiscovery, UNAVAILABLE, WATCH_FAULTS, inject};
 use futures_util::FutureExt;
 use futures_util::future::join_all;
 use sockets::*;
 
-/// The longest time until a change counts as known, and the part of it that is left for the way and a busy machine.
-const MAX_CHANGE_DELAY: Micros = 6 * SECOND;
-const DELAY_MARGIN: Micros = SECOND / 2;
-const FULL_LIST_REQUEST: &str = "GET /api/targets HTTP/1.1";
-const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
-const DONE: &str = r#""state":"done","result":"well""#;
-const DISCOVERY_KINDS: [&str; 2] = ["pushed", "on_request"];
-const OUTAGES: [&str; 3] = ["refuses", "silent", "no connection comes up"];
-
-/// The program, a worker r0 of its cached list, a client, and the id of its last request.
-struct Fixture {
-    scheduler: Scheduler,
-    worker: FakeServer,
-    client: Client,
-    last_id: u64,
-}
-
-impl Fixture {
-    async fn start(kind: &str, discovery: &FakeDiscovery) -> Fixture {
-        Fixture::start_with(kind, discovery, 1024, "").await
-    }
-    /// With so many descriptors, and its configuration changed by a further command of `sed`.
-    async fn start_with(kind: &str, discovery: &FakeDiscovery, sockets: u32, further: &str) -> Fixture {
-        let worker = FakeServer::start().await;
-        let place = format!(r#"s/"discovery":"127[^"]*"/"discovery":"{}"/"#, discovery.address);
-        let kind = format!(r#"s/"discovery":"pushed"/"discovery":"{kind}"/"#);
-        let edit = format!("sed -i -e '{place}' -e '{kind}' -e '{further}' \"$EDGE_CONFIG\"");
-        let command = format!("{edit} && ulimit -n {sockets} && exec \"$PROGRAM\"");
-        let scheduler = Scheduler::start_by_command(&command, sockets, &[worker.address]).await;
-        let mut client = scheduler.client().await;
-        // One that says nothing at first is not kept for long.
-        assert_eq!(client.exchange(READINESS_REQUEST).await.status(), 200);
-        Fixture { scheduler, worker, client, last_id: 1 }
-    }
-    fn r0(&self, phase: &str) -> [String; 1] {
-        [endpoint("r0", self.worker.address, phase)]
-    }
-    async fn serve_request(&mut self) {
-        self.last_id += 1;
-        self.scheduler.serve_request(&mut self.client, &mut self.worker, self.last_id, DONE).await;
-    }
-    /// The next request does not reach the worker that drains.
-    async fn assert_draining_worker_gets_nothing(&mut self) {
-        self.last_id += 1;
-        let request = request_text("once", self.last_id, 9000);
-        assert_eq!(self.client.exchange(&request).await.status(), 503);
-        assert!(self.worker.is_idle());
-    }
-    /// Points it to another discovery.
-    async fn move_discovery(&mut self, from: SocketAddr, to: SocketAddr) {
-        let content = std::fs::read_to_string(&self.scheduler.path).expect("a configuration");
-        let from = format!(r#""discovery":"{from}""#);
-        assert!(content.contains(&from));
-        let content = content.replace(&from, &format!(r#""discovery":"{to}""#));
-        let lines = self.scheduler.reload(&content).await;
-        assert!(lines.iter().any(|line| line.contains(r#""discovery_changed":true"#)), "{lines:?}");
-    }
-    /// Waits for the log's line of so many failed calls in all.
-    async fn wait_for_failures(&mut self, count: u32) {
-        let count = format!("\"count\":{count}");
-        loop {
-            let line = self.scheduler.next_line().await;
-            if line.contains("no answer of discovery") && line.contains(&count) {
-                return;
-            }
-        }
-    }
-}
-
-/// Discovery announces a drain from now on: it is known in time and kept; then serving goes on.
-async fn assert_drain_is_known_in_time(
-    what: &str,
-    fixture: &mut Fixture,
-    discovery: &FakeDiscovery,
-    revision: u64,
-) -> Call {
-    let since = Instant::now();
-    let watch = discovery.publish(revision, &fixture.r0("DRAINING")).await;
-    let took = since.elapsed();
-    assert!(took < Duration::from_micros(MAX_CHANGE_DELAY - DELAY_MARGIN), "{what}: {took:?}");
-    fixture.assert_draining_worker_gets_nothing().await;
-    watch.respond_with_list(&endpoint_list(revision + 1, true, &fixture.r0("SERVING"))).await;
-    let watch = discovery.next_call().await;
-    assert!(watch.first_line.contains(&format!("from={}&", revision + 1)), "{what}: {}", watch.first_line);
-    fixture.serve_request().await;
-    watch
-}
-
 #[test]
 fn all_waits_for_a_change_added_up_stay_within_the_limit() {
     // The policy's longest waits where lists are asked for, in a fleet that spreads as far as any.
@@ -130,33 +43,45 @@
         };
         let update = |kind| Event::Endpoints(EndpointUpdate { kind, version: 1, endpoints: &[] });
         first = first.max(timer_delay(update(EndpointUpdateKind::Cached)).expect("a first call"));
-        for _ in 0..12 {
+        // Over two minutes of an outage.
+        for _ in 0..100 {
             assert_eq!(timer_delay(Event::TimerExpired(Timer::Subscription)), None);
             wait = wait.max(timer_delay(update(EndpointUpdateKind::Failed)).expect("a further call"));
         }
     }
+    let silent_watch = WATCH_HOLD_TIME + WATCH_MARGIN + RETRY_BACKOFF_INITIAL;
+    let answered_late = SECOND;
+    let refused_late = answered_late + REFUSED_RETRY_BACKOFF;
+    let recalled = PUSHED_HEDGE_INTERVAL.max(RETRY_BACKOFF_MAX);
     let sums = [
+        ("asked: a watch that is silent, and the next call", silent_watch + POLLED_LIST_TIMEOUT),
         (
-            "asked: a watch that is silent, and the next call",
-            WATCH_HOLD_TIME + POLLED_LIST_TIMEOUT + RETRY_BACKOFF_INITIAL + POLLED_LIST_TIMEOUT,
-        ),
-        (
-            "asked: a call given up, the module's wait, and the next call",
+            "asked: a call given up, the policy's wait, and the next call",
             POLLED_LIST_TIMEOUT + wait + POLLED_LIST_TIMEOUT,
         ),
         ("asked: the first call of a start", first + POLLED_LIST_TIMEOUT),
-        (
-            "pushed: a watch that is silent, and the next call",
-            WATCH_HOLD_TIME + PUSHED_WATCH_MARGIN + RETRY_BACKOFF_INITIAL + PUSHED_LIST_TIMEOUT,
-        ),
-        (
-            "pushed: a call given up, and the next",
-            PUSHED_LIST_TIMEOUT + RETRY_BACKOFF_MAX + PUSHED_LIST_TIMEOUT,
-        ),
+        ("pushed: a watch that is silent, and the next call late", silent_watch + answered_late),
+        ("pushed: a call that stays silent, and the next late", recalled + answered_late),
     ];
     for (what, sum) in sums {
         assert!(sum <= MAX_CHANGE_DELAY - DELAY_MARGIN, "{what}: {sum} us");
     }
+    // One refusal more, by a discovery that is crowded, or bytes that trickle: what is left covers a process that is
+    // held up.
+    let crowded_sums = [
+        ("a watch that is silent", silent_watch + refused_late + answered_late),
+        ("a call given up", POLLED_LIST_TIMEOUT + wait + refused_late + answered_late),
+        ("the first call of a start", first + refused_late + answered_late),
+        ("a watch that trickles without end", silent_watch + BODY_MARGIN + POLLED_LIST_TIMEOUT),
+        ("a call that trickles without end", POLLED_LIST_TIMEOUT + BODY_MARGIN + wait + POLLED_LIST_TIMEOUT),
+        ("a watch that is silent, and bytes that trickle", silent_watch + POLLED_LIST_TIMEOUT + BODY_MARGIN),
+        ("pushed, a watch that is silent", silent_watch + recalled + answered_late),
+    ];
+    for (what, sum) in crowded_sums {
+        assert!(sum <= MAX_CHANGE_DELAY - HOLD_UP, "crowded, {what}: {sum} us");
+    }
+    // What the agent has at its return counts at once, and half a second later nothing goes to what drains.
+    assert!(recalled + HOLD_UP / 2 < DRAIN_GRACE);
 }
 
 #[tokio::test]
--- /dev/null
+++ b/crates/scheduler/tests/sockets/discovery_fixture.rs
@@ -0,0 +1,126 @@
+//! A scheduler that follows a played discovery, and its one worker.
+#![allow(dead_code, reason = "each test program uses a part of it")]
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+use copperspread_dispatcher::{Micros, SECOND};
+
+use crate::fake_discovery::{Call, FakeDiscovery};
+use crate::sockets::*;
+
+/// The longest time until a change counts as known, and the part of it that is left for the way and a busy machine.
+pub(crate) const MAX_CHANGE_DELAY: Micros = 6 * SECOND;
+pub(crate) const DELAY_MARGIN: Micros = SECOND / 2;
+/// The longest time for which a scheduler is held up between reading its clock and writing.
+pub(crate) const HOLD_UP: Micros = 150_000;
+/// From so long after a drain was told, nothing new is written to its worker.
+pub(crate) const DRAIN_GRACE: Micros = SECOND / 2;
+pub(crate) const FULL_LIST_REQUEST: &str = "GET /api/targets HTTP/1.1";
+pub(crate) const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
+pub(crate) const DONE: &str = r#""state":"done","result":"well""#;
+pub(crate) const DISCOVERY_KINDS: [&str; 2] = ["pushed", "on_request"];
+pub(crate) const OUTAGES: [&str; 3] = ["refuses", "silent", "no connection comes up"];
+
+/// The program, a worker r0 of its cached list, a client, and the id of its last request.
+pub(crate) struct Fixture {
+    pub(crate) scheduler: Scheduler,
+    pub(crate) worker: FakeServer,
+    pub(crate) client: Client,
+    pub(crate) last_id: u64,
+}
+
+impl Fixture {
+    pub(crate) async fn start(kind: &str, discovery: &FakeDiscovery) -> Fixture {
+        Fixture::start_with(kind, discovery, 1024, "").await
+    }
+    /// With so many descriptors, and its configuration changed by a further command of `sed`.
+    pub(crate) async fn start_with(
+        kind: &str,
+        discovery: &FakeDiscovery,
+        sockets: u32,
+        further: &str,
+    ) -> Fixture {
+        let worker = FakeServer::start().await;
+        let place = format!(r#"s/"discovery":"127[^"]*"/"discovery":"{}"/"#, discovery.address);
+        let kind = format!(r#"s/"discovery":"pushed"/"discovery":"{kind}"/"#);
+        let edit = format!("sed -i -e '{place}' -e '{kind}' -e '{further}' \"$EDGE_CONFIG\"");
+        let command = format!("{edit} && ulimit -n {sockets} && exec \"$PROGRAM\"");
+        let scheduler = Scheduler::start_by_command(&command, sockets, &[worker.address]).await;
+        let mut client = scheduler.client().await;
+        // One that says nothing at first is not kept for long.
+        assert_eq!(client.exchange(READINESS_REQUEST).await.status(), 200);
+        Fixture { scheduler, worker, client, last_id: 1 }
+    }
+    pub(crate) fn r0(&self, phase: &str) -> [String; 1] {
+        [endpoint("r0", self.worker.address, phase)]
+    }
+    pub(crate) async fn serve_request(&mut self) {
+        self.last_id += 1;
+        self.scheduler.serve_request(&mut self.client, &mut self.worker, self.last_id, DONE).await;
+    }
+    /// The next request does not reach the worker that drains.
+    pub(crate) async fn assert_draining_worker_gets_nothing(&mut self) {
+        self.last_id += 1;
+        let request = request_text("once", self.last_id, 9000);
+        assert_eq!(self.client.exchange(&request).await.status(), 503);
+        assert!(self.worker.is_idle());
+    }
+    /// Waits until a request is rejected, as the one worker drains; earlier ones are served. None in a while: none.
+    pub(crate) async fn drain_known_at(&mut self, give_up_at: Instant) -> Option<Instant> {
+        while Instant::now() < give_up_at {
+            self.last_id += 1;
+            self.client.send_request("once", self.last_id, 9000).await;
+            tokio::select! {
+                response = self.client.next_response() => {
+                    assert_eq!(response.expect("an answer").status(), 503);
+                    return Some(Instant::now());
+                }
+                request = self.worker.next_request() => {
+                    let id = request.accept();
+                    assert_eq!(self.scheduler.call_back(&id, "r0", DONE).await, 204);
+                    assert_eq!(self.client.next_response().await.expect("an answer").status(), 200);
+                }
+            }
+            tokio::time::sleep(Duration::from_millis(10)).await;
+        }
+        None
+    }
+    /// Points it to another discovery.
+    pub(crate) async fn move_discovery(&mut self, from: SocketAddr, to: SocketAddr) {
+        let content = std::fs::read_to_string(&self.scheduler.path).expect("a configuration");
+        let from = format!(r#""discovery":"{from}""#);
+        assert!(content.contains(&from));
+        let content = content.replace(&from, &format!(r#""discovery":"{to}""#));
+        let lines = self.scheduler.reload(&content).await;
+        assert!(lines.iter().any(|line| line.contains(r#""discovery_changed":true"#)), "{lines:?}");
+    }
+    /// Waits for the log's line of so many failed calls in all.
+    pub(crate) async fn wait_for_failures(&mut self, count: u32) {
+        let count = format!("\"count\":{count}");
+        loop {
+            let line = self.scheduler.next_line().await;
+            if line.contains("no answer of discovery") && line.contains(&count) {
+                return;
+            }
+        }
+    }
+}
+
+/// Discovery announces a drain from now on: it is known in time and kept; then serving goes on.
+pub(crate) async fn assert_drain_is_known_in_time(
+    what: &str,
+    fixture: &mut Fixture,
+    discovery: &FakeDiscovery,
+    revision: u64,
+) -> Call {
+    let since = Instant::now();
+    let watch = discovery.publish(revision, &fixture.r0("DRAINING")).await;
+    let took = since.elapsed();
+    assert!(took < Duration::from_micros(MAX_CHANGE_DELAY - DELAY_MARGIN), "{what}: {took:?}");
+    fixture.assert_draining_worker_gets_nothing().await;
+    watch.respond_with_list(&endpoint_list(revision + 1, true, &fixture.r0("SERVING"))).await;
+    let watch = discovery.next_call().await;
+    assert!(watch.first_line.contains(&format!("from={}&", revision + 1)), "{what}: {}", watch.first_line);
+    fixture.serve_request().await;
+    watch
+}
--- a/crates/scheduler/tests/sockets/fake_discovery.rs
+++ b/crates/scheduler/tests/sockets/fake_discovery.rs
@@ -1,4 +1,5 @@
 //! A discovery played over sockets, which may be unavailable and whose answers may be anything.
+#![allow(dead_code, reason = "each test program uses a part of it")]
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/scheduler/tests/sockets/mod.rs
+++ b/crates/scheduler/tests/sockets/mod.rs
@@ -188,6 +188,12 @@
 /// A client's connection.
 pub(crate) struct Client(BufReader<TcpStream>);
 
+impl From<TcpStream> for Client {
+    fn from(stream: TcpStream) -> Client {
+        Client(BufReader::new(stream))
+    }
+}
+
 impl Client {
     pub(crate) async fn connect(address: SocketAddr) -> Client {
         Client(BufReader::new(TcpStream::connect(address).await.expect("it listens")))
@@ -436,8 +442,14 @@
 impl Scheduler {
     /// Ends it by a signal and starts it again, on the same address and from the same file.
     pub(crate) async fn restart(&mut self, signal: &str) {
+        self.end(signal).await;
+        self.start_again().await;
+    }
+    pub(crate) async fn end(&mut self, signal: &str) {
         self.signal(signal).await;
         within("its end", self.child.wait()).await.expect("it ended");
+    }
+    pub(crate) async fn start_again(&mut self) {
         let mut start = Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
         start.env("EDGE_CONFIG", &self.path).stderr(Stdio::piped()).kill_on_drop(true);
         self.child = start.spawn().expect("it starts");
