--- a/crates/event-log/src/batch_writer.rs
+++ b/crates/event-log/src/batch_writer.rs
@@ -6,6 +6,7 @@
 
 use crate::config::EventLogConfig;
 use crate::error::EventLogError;
+use crate::file_system::FileSystem;
 use crate::log_file::{LogFile, rotate};
 use crate::record::{EventKind, Record};
 use crate::recorder::SharedCounts;
@@ -19,26 +20,39 @@
 const BATCH_DELAY: Duration = Duration::from_millis(20);
 /// How often a file that cannot be opened is opened again, and an open one is checked to be still at its path.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// While the file cannot be rotated, it grows up to so many times its size limit; what comes then is lost.
+const MAX_OVERSIZE_FACTOR: u64 = 2;
 
 /// The only owner of the log file; runs on a thread of its own.
 pub(crate) struct BatchWriter {
     config: EventLogConfig,
+    files: Box<dyn FileSystem>,
     file: Option<LogFile>,
     last_check: Instant,
     /// How many batches could not be written.
     failures: u64,
+    /// How often the file could not be rotated.
+    rotation_failures: u64,
     /// The sequence number that is written next if none is missing.
     next_sequence: u64,
     counts: Arc<SharedCounts>,
 }
 
 impl BatchWriter {
-    pub(crate) fn new(config: EventLogConfig, file: LogFile, counts: Arc<SharedCounts>) -> BatchWriter {
+    /// A writer to a file that is open, or that is opened at the next check.
+    pub(crate) fn new(
+        config: EventLogConfig,
+        files: Box<dyn FileSystem>,
+        file: Option<LogFile>,
+        counts: Arc<SharedCounts>,
+    ) -> BatchWriter {
         BatchWriter {
             config,
-            file: Some(file),
+            files,
+            file,
             last_check: Instant::now(),
             failures: 0,
+            rotation_failures: 0,
             next_sequence: 0,
             counts,
         }
@@ -86,13 +100,34 @@
         self.reopen_if_due()?;
         let max_file_bytes = self.config.max_file_bytes;
         if self.open_file()?.would_exceed(max_file_bytes, lines.len()) {
-            rotate(&self.config.path, self.config.max_rotated_files)?;
-            self.file = None;
-            self.file = Some(LogFile::open(&self.config.path)?);
+            self.rotate(lines.len())?;
         }
         Ok(self.open_file()?.append(lines)?)
     }
 
+    /// Rotates the file. One that cannot be renamed is appended to for a while; the next batch tries again.
+    fn rotate(&mut self, added_bytes: usize) -> Result<(), EventLogError> {
+        if let Err(error) = rotate(&*self.files, &self.config.path, self.config.max_rotated_files) {
+            let max_file_bytes = self.config.max_file_bytes.saturating_mul(MAX_OVERSIZE_FACTOR);
+            if self.open_file()?.would_exceed(max_file_bytes, added_bytes) {
+                return Err(error.into());
+            }
+            self.rotation_failures += 1;
+            if self.rotation_failures.is_power_of_two() {
+                let (failures, file) = (self.rotation_failures, self.config.path.display());
+                tracing::warn!(%error, failures, %file, "event log not rotated");
+            }
+            return Ok(());
+        }
+        self.file = None;
+        self.open()
+    }
+
+    fn open(&mut self) -> Result<(), EventLogError> {
+        self.file = Some(LogFile::open(&*self.files, &self.config.path)?);
+        Ok(())
+    }
+
     /// At each check interval: closes a file that is no longer at its path, since nobody would find what is written to
     /// it after it was moved or removed, or its disk was; and opens it anew.
     fn reopen_if_due(&mut self) -> Result<(), EventLogError> {
@@ -104,7 +139,7 @@
             self.file = None;
         }
         if self.file.is_none() {
-            self.file = Some(LogFile::open(&self.config.path)?);
+            self.open()?;
         }
         Ok(())
     }
@@ -131,3 +166,7 @@
         Err(_) => lines.truncate(start),
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/batch_writer.rs"]
+mod tests;
--- a/crates/event-log/src/error.rs
+++ b/crates/event-log/src/error.rs
@@ -15,3 +15,15 @@
     #[error(transparent)]
     Io(#[from] io::Error),
 }
+
+/// The system's number for an input or output error of a device, for which there is no `ErrorKind`.
+const EIO: i32 = 5;
+
+impl EventLogError {
+    /// Whether the disk is full or fails, which may pass, as against a path that nothing can be written to.
+    pub(crate) fn is_storage_failure(&self) -> bool {
+        let EventLogError::Io(error) = self else { return false };
+        matches!(error.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded)
+            || error.raw_os_error() == Some(EIO)
+    }
+}
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -18,6 +18,7 @@
 mod batch_writer;
 mod config;
 pub mod error;
+mod file_system;
 pub mod fleet_summary;
 mod log_file;
 pub mod reader;
--- a/crates/event-log/src/log_file.rs
+++ b/crates/event-log/src/log_file.rs
@@ -1,54 +1,57 @@
 //! The open log file, and the names of rotated files.
-use std::fs::{File, Metadata, OpenOptions, TryLockError};
-use std::io::{self, Read, Seek, SeekFrom, Write};
-use std::os::fd::AsFd;
-use std::os::unix::fs::{MetadataExt, OpenOptionsExt};
+use std::fs::Metadata;
+use std::io::{self, SeekFrom};
+use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
 use crate::error::EventLogError;
+use crate::file_system::{FileSystem, OpenFile};
 
 /// The path that stands for the standard error: for a machine without a disk whose output is collected.
 pub const STANDARD_ERROR: &str = "-";
 
-const FILE_MODE: u32 = 0o640;
-
 /// The open log file, or the standard error, which is neither locked, rotated nor truncated.
 pub(crate) struct LogFile {
-    file: File,
+    file: Box<dyn OpenFile>,
     /// Length in bytes of the lines that are written completely; 0 for the standard error.
     length: u64,
     is_standard_error: bool,
+    /// The last line may have no end: a crash or a failed write cut it off.
+    may_end_in_partial_line: bool,
 }
 
 impl LogFile {
     /// Opens a file to append to it, and locks it. An incomplete last line, of a crash, is ended, so that it does not
     /// spoil the next one.
-    pub(crate) fn open(path: &Path) -> Result<LogFile, EventLogError> {
+    pub(crate) fn open(files: &dyn FileSystem, path: &Path) -> Result<LogFile, EventLogError> {
         if path == Path::new(STANDARD_ERROR) {
-            let file = File::from(io::stderr().as_fd().try_clone_to_owned()?);
-            return Ok(LogFile { file, length: 0, is_standard_error: true });
+            let file = files.open_standard_error()?;
+            return Ok(LogFile { file, length: 0, is_standard_error: true, may_end_in_partial_line: false });
         }
-        let mut file = OpenOptions::new().read(true).append(true).create(true).mode(FILE_MODE).open(path)?;
-        file.try_lock().map_err(|error| match error {
-            TryLockError::WouldBlock => EventLogError::LockedByOtherProcess,
-            TryLockError::Error(error) => EventLogError::Io(error),
-        })?;
-        let length = end_last_line(&mut file)?;
-        Ok(LogFile { file, length, is_standard_error: false })
+        let file = files.open(path)?;
+        let length = file.metadata()?.len();
+        let is_empty = length == 0;
+        let mut log_file =
+            LogFile { file, length, is_standard_error: false, may_end_in_partial_line: !is_empty };
+        // A disk that is full has no place for the line's end: the next write tries again.
+        let _ = log_file.end_partial_line();
+        Ok(log_file)
     }
 
     /// Appends complete lines, all or none of them.
     pub(crate) fn append(&mut self, lines: &[u8]) -> io::Result<()> {
-        let result = self.file.write_all(lines);
-        if self.is_standard_error {
-            return result;
-        }
-        match result {
+        self.end_partial_line()?;
+        match self.file.write_all(lines) {
+            Ok(()) if self.is_standard_error => {}
             Ok(()) => self.length += lines.len() as u64,
-            // The disk may be full in the middle of a line: what was written of it is removed.
-            Err(_) => drop(self.file.set_len(self.length)),
+            Err(error) => {
+                // The disk may be full in the middle of a line: what was written of it is removed.
+                let is_removed = !self.is_standard_error && self.file.set_len(self.length).is_ok();
+                self.may_end_in_partial_line = !is_removed;
+                return Err(error);
+            }
         }
-        result
+        Ok(())
     }
 
     /// Whether these bytes would make the file longer than allowed; never of an empty file.
@@ -65,22 +68,33 @@
         let open_metadata = self.file.metadata().ok();
         open_metadata.zip(path.metadata().ok()).is_some_and(|(a, b)| same_inode(a, b))
     }
-}
 
-/// Ends the last line if it is incomplete, and returns the length of the file.
-fn end_last_line(file: &mut File) -> io::Result<u64> {
-    let length = file.metadata()?.len();
-    if length == 0 {
-        return Ok(0);
+    /// Ends the last line if it is incomplete, and takes the file's length as it is then.
+    fn end_partial_line(&mut self) -> io::Result<()> {
+        if !self.may_end_in_partial_line {
+            return Ok(());
+        }
+        // What the standard error holds cannot be read: an empty line does less harm than two joined ones.
+        if self.is_standard_error || !self.ends_with_complete_line()? {
+            self.file.write_all(b"\n")?;
+        }
+        if !self.is_standard_error {
+            self.length = self.file.metadata()?.len();
+        }
+        self.may_end_in_partial_line = false;
+        Ok(())
     }
-    let mut last_byte = [0];
-    file.seek(SeekFrom::Start(length - 1))?;
-    file.read_exact(&mut last_byte)?;
-    if last_byte == *b"\n" {
-        return Ok(length);
+
+    fn ends_with_complete_line(&mut self) -> io::Result<bool> {
+        let length = self.file.metadata()?.len();
+        if length == 0 {
+            return Ok(true);
+        }
+        let mut last_byte = [0];
+        self.file.seek(SeekFrom::Start(length - 1))?;
+        self.file.read_exact(&mut last_byte)?;
+        Ok(last_byte == *b"\n")
     }
-    file.write_all(b"\n")?;
-    Ok(length + 1)
 }
 
 /// The path of a rotated file: `number` 1 is the latest.
@@ -90,14 +104,16 @@
     name.into()
 }
 
-/// Renames the file to its rotated path 1, that one to 2 and so on, up to `max_rotated_files`; the last one is
-/// replaced.
-pub(crate) fn rotate(file: &Path, max_rotated_files: u32) -> io::Result<()> {
-    for number in (1..max_rotated_files).rev() {
-        match std::fs::rename(rotated_path(file, number), rotated_path(file, number + 1)) {
-            Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
-            _ => {}
-        }
+/// Renames the file to its rotated path 1, that one to 2 and so on, up to the first path that is free, as one is after
+/// a rotation that failed half-way; if none of the `max_rotated_files` is, the last one is replaced.
+pub(crate) fn rotate(files: &dyn FileSystem, file: &Path, max_rotated_files: u32) -> io::Result<()> {
+    let is_free = |number: &u32| {
+        let metadata = rotated_path(file, *number).symlink_metadata();
+        metadata.is_err_and(|error| error.kind() == io::ErrorKind::NotFound)
+    };
+    let last = (1..max_rotated_files).find(is_free).unwrap_or(max_rotated_files);
+    for number in (1..last).rev() {
+        files.rename(&rotated_path(file, number), &rotated_path(file, number + 1))?;
     }
-    std::fs::rename(file, rotated_path(file, 1))
+    files.rename(file, &rotated_path(file, 1))
 }
--- a/crates/event-log/tests/transcripts.rs
+++ b/crates/event-log/tests/transcripts.rs
@@ -129,7 +129,8 @@
     .expect("a file");
     every_kind().into_iter().for_each(|event| recorder.record(event));
     recorder.close();
-    assert!(writer.finish(), "all that was queued is written");
+    let is_complete = writer.finish(std::time::Duration::from_secs(1));
+    assert!(is_complete, "all that was queued is written");
     let written = std::fs::read_to_string(&file).expect("text");
     std::fs::remove_dir_all(&directory).expect("removed");
     // Run id, sequence numbers and times are of this run: they replace the fixed ones.
--- /dev/null
+++ b/crates/event-log/tests/unit/batch_writer.rs
@@ -0,0 +1,266 @@
+//! Unit tests of `batch_writer` on files of which each operation can fail.
+use std::fs::{self, File, Metadata};
+use std::io::{self, Read, Seek, SeekFrom, Write};
+use std::path::{Path, PathBuf};
+use std::sync::Mutex;
+
+use super::*;
+use crate::file_system::{OpenFile, SystemFiles};
+use crate::log_file::rotated_path;
+use crate::stream_summary::StreamSummary;
+use crate::writer::start_writer_on;
+
+const EIO: i32 = 5;
+const ENOSPC: i32 = 28;
+
+/// Which operations fail.
+#[derive(Default)]
+struct Faults {
+    /// Opening a file.
+    open: bool,
+    /// Renaming a file to this path.
+    rename_to: Option<PathBuf>,
+    /// Writing, after so many bytes more.
+    write_after: Option<usize>,
+    truncate: bool,
+}
+
+#[derive(Clone, Default)]
+struct FaultyFiles(Arc<Mutex<Faults>>);
+
+impl FaultyFiles {
+    fn set(&self, faults: Faults) {
+        *self.0.lock().expect("a lock") = faults;
+    }
+
+    fn mend(&self) {
+        self.set(Faults::default());
+    }
+}
+
+fn fail_if(fails: bool, error_number: i32) -> io::Result<()> {
+    if fails { Err(io::Error::from_raw_os_error(error_number)) } else { Ok(()) }
+}
+
+impl FileSystem for FaultyFiles {
+    fn open(&self, path: &Path) -> Result<Box<dyn OpenFile>, EventLogError> {
+        fail_if(self.0.lock().expect("a lock").open, ENOSPC)?;
+        drop(SystemFiles.open(path)?);
+        let file = File::options().read(true).append(true).open(path)?;
+        Ok(Box::new(FaultyFile { file, faults: self.clone() }))
+    }
+
+    fn open_standard_error(&self) -> io::Result<Box<dyn OpenFile>> {
+        SystemFiles.open_standard_error()
+    }
+
+    fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
+        fail_if(self.0.lock().expect("a lock").rename_to.as_deref() == Some(to), EIO)?;
+        SystemFiles.rename(from, to)
+    }
+}
+
+struct FaultyFile {
+    file: File,
+    faults: FaultyFiles,
+}
+
+impl Read for FaultyFile {
+    fn read(&mut self, bytes: &mut [u8]) -> io::Result<usize> {
+        self.file.read(bytes)
+    }
+}
+
+impl Seek for FaultyFile {
+    fn seek(&mut self, position: SeekFrom) -> io::Result<u64> {
+        self.file.seek(position)
+    }
+}
+
+impl Write for FaultyFile {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        let mut faults = self.faults.0.lock().expect("a lock");
+        let Some(bytes_left) = &mut faults.write_after else { return self.file.write(bytes) };
+        fail_if(*bytes_left == 0, ENOSPC)?;
+        let written = self.file.write(&bytes[..bytes.len().min(*bytes_left)])?;
+        *bytes_left -= written;
+        Ok(written)
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        self.file.flush()
+    }
+}
+
+impl OpenFile for FaultyFile {
+    fn metadata(&self) -> io::Result<Metadata> {
+        self.file.metadata()
+    }
+
+    fn set_len(&mut self, length: u64) -> io::Result<()> {
+        fail_if(self.faults.0.lock().expect("a lock").truncate, EIO)?;
+        self.file.set_len(length)
+    }
+}
+
+/// A writer to faulty files in a folder of its own.
+struct Fixture {
+    folder: PathBuf,
+    files: FaultyFiles,
+    writer: BatchWriter,
+}
+
+impl Fixture {
+    fn new(name: &str, max_file_bytes: u64, max_rotated_files: u32) -> Fixture {
+        let folder = std::env::temp_dir().join(format!("copperspread-batch-{}-{name}", std::process::id()));
+        let _ = fs::remove_dir_all(&folder);
+        fs::create_dir_all(&folder).expect("a folder");
+        let path = folder.join("r.jsonl");
+        let config = EventLogConfig { path, max_file_bytes, max_rotated_files, queue_capacity: 64 };
+        let files = FaultyFiles::default();
+        let file = LogFile::open(&files, &config.path).expect("a file");
+        let writer = BatchWriter::new(config, Box::new(files.clone()), Some(file), Arc::default());
+        Fixture { folder, files, writer }
+    }
+
+    fn path(&self) -> &Path {
+        &self.writer.config.path
+    }
+
+    /// All lines, from the oldest file to the newest.
+    fn lines(&self) -> Vec<String> {
+        let rotated = (1..=self.writer.config.max_rotated_files).rev();
+        let files = rotated.map(|number| rotated_path(self.path(), number)).chain([self.path().to_owned()]);
+        let text: String = files.map(|file| fs::read_to_string(file).unwrap_or_default()).collect();
+        text.lines().map(str::to_owned).collect()
+    }
+}
+
+impl Drop for Fixture {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.folder);
+    }
+}
+
+#[test]
+fn a_failed_write_that_cannot_be_removed_joins_no_lines() {
+    let batch = b"first\nsecond\n";
+    for cut in 0..=batch.len() - 1 {
+        let mut fixture = Fixture::new("joins", 1 << 20, 1);
+        fixture.writer.write(b"before\n").expect("it writes");
+        fixture.files.set(Faults { write_after: Some(cut), truncate: true, ..Faults::default() });
+        assert!(fixture.writer.write(batch).is_err());
+        // The disk is still full: nothing more comes into the file.
+        assert!(fixture.writer.write(b"lost\n").is_err());
+        fixture.files.mend();
+        fixture.writer.write(b"after\n").expect("it writes");
+        let mut expected = vec!["before"];
+        expected.extend(std::str::from_utf8(&batch[..cut]).expect("UTF-8").lines());
+        expected.push("after");
+        assert_eq!(fixture.lines(), expected, "cut after {cut}");
+        let length = fs::metadata(fixture.path()).expect("a file").len();
+        assert!(!fixture.writer.open_file().expect("a file").would_exceed(length, 0), "cut after {cut}");
+        assert!(fixture.writer.open_file().expect("a file").would_exceed(length, 1), "cut after {cut}");
+    }
+}
+
+#[test]
+fn a_failed_write_that_can_be_removed_leaves_no_trace() {
+    let mut fixture = Fixture::new("removed", 1 << 20, 1);
+    fixture.files.set(Faults { write_after: Some(8), ..Faults::default() });
+    assert!(fixture.writer.write(b"first\nsecond\n").is_err());
+    fixture.files.mend();
+    fixture.writer.write(b"after\n").expect("it writes");
+    assert_eq!(fixture.lines(), ["after"]);
+}
+
+// With the three rotated files all there, each step of a rotation fails some times in a row.
+#[test]
+fn a_rotation_that_fails_half_way_loses_no_file_and_no_line() {
+    for failing in 1..=3 {
+        let mut fixture = Fixture::new(&format!("rotation-{failing}"), 12, 3);
+        for number in 0..4 {
+            fixture.writer.write(format!("line {number}...\n").as_bytes()).expect("it writes");
+        }
+        assert_eq!(fixture.lines(), ["line 0...", "line 1...", "line 2...", "line 3..."]);
+        let rename_to = Some(rotated_path(fixture.path(), failing));
+        fixture.files.set(Faults { rename_to, ..Faults::default() });
+        for _ in 0..5 {
+            fixture.writer.write(b"x\n").expect("it goes on");
+        }
+        // The oldest gives way to a rotation that begins, and nothing else does.
+        let kept = fixture.lines();
+        let first = usize::from(!kept[0].contains('0'));
+        let mut expected: Vec<_> = (first..4).map(|number| format!("line {number}...")).collect();
+        expected.resize(expected.len() + 5, "x".to_owned());
+        assert_eq!(kept, expected, "failing: .{failing}");
+        fixture.files.mend();
+        fixture.writer.write(b"after...\n").expect("it writes");
+        assert_eq!(fs::read(fixture.path()).expect("a file"), b"after...\n", "failing: .{failing}");
+        let kept = fixture.lines();
+        assert!(kept[0].contains('0') || kept[0].contains('1'), "one file more gave way at most: {kept:?}");
+    }
+}
+
+#[test]
+fn a_file_that_is_never_rotated_grows_up_to_a_bound() {
+    let mut fixture = Fixture::new("bound", 100, 1);
+    fixture.files.set(Faults { rename_to: Some(rotated_path(fixture.path(), 1)), ..Faults::default() });
+    let written = (0..100).filter(|_| fixture.writer.write(b"0123456789\n").is_ok()).count();
+    assert_eq!(written, 18, "twice the size");
+    fixture.files.mend();
+    fixture.writer.write(b"after\n").expect("it writes");
+    assert_eq!(fs::read(fixture.path()).expect("a file"), b"after\n");
+}
+
+#[test]
+fn after_a_rotation_whose_new_file_cannot_be_made_the_next_check_makes_it() {
+    let mut fixture = Fixture::new("new-file", 12, 2);
+    fixture.writer.write(b"line 0...\n").expect("it writes");
+    fixture.files.set(Faults { open: true, ..Faults::default() });
+    assert!(fixture.writer.write(b"lost 1...\n").is_err());
+    fixture.files.mend();
+    assert!(fixture.writer.write(b"lost 2...\n").is_err(), "not due");
+    fixture.writer.last_check -= CHECK_INTERVAL;
+    fixture.writer.write(b"line 3...\n").expect("it writes");
+    assert_eq!(fixture.lines(), ["line 0...", "line 3..."]);
+}
+
+#[test]
+fn a_full_disk_at_the_start_delays_the_file_and_not_the_scheduler() {
+    let fixture = Fixture::new("start", 1 << 20, 1);
+    let (files, config) = (fixture.files.clone(), fixture.writer.config.clone());
+    files.set(Faults { open: true, ..Faults::default() });
+    let (recorder, writer) = start_writer_on(Box::new(files.clone()), config.clone()).expect("it starts");
+    let record_until = |is_reached: &dyn Fn() -> bool| {
+        let start = Instant::now();
+        while !is_reached() {
+            assert!(start.elapsed() < Duration::from_secs(10), "{:?}", recorder.counts());
+            recorder.record(EventKind::RunEnded { requests_left: 0 });
+            thread::sleep(BATCH_DELAY);
+        }
+    };
+    record_until(&|| recorder.counts().failed > 0);
+    files.mend();
+    record_until(&|| recorder.counts().written > 0);
+    recorder.close();
+    assert!(writer.finish(CHECK_INTERVAL));
+    let mut summary = StreamSummary::default();
+    for line in crate::reader::Reader::new(&*fs::read(&config.path).expect("a file")) {
+        let (number, line) = line.expect("it reads");
+        summary.add(number, &line);
+    }
+    assert_eq!(summary.runs[0].missing(), recorder.counts().failed);
+}
+
+#[test]
+fn a_partial_line_on_a_full_disk_prevents_no_start_and_is_ended_later() {
+    let mut fixture = Fixture::new("partial-start", 1 << 20, 1);
+    fs::write(fixture.path(), b"before\n{\"torn").expect("a file");
+    fixture.files.set(Faults { write_after: Some(0), ..Faults::default() });
+    fixture.writer.open().expect("it opens");
+    assert!(fixture.writer.write(b"lost\n").is_err());
+    fixture.files.mend();
+    fixture.writer.write(b"after\n").expect("it writes");
+    assert_eq!(fixture.lines(), ["before", "{\"torn", "after"]);
+}
--- a/crates/event-log/tests/writer.rs
+++ b/crates/event-log/tests/writer.rs
@@ -44,9 +44,12 @@
     summary
 }
 
+/// How long the tests wait for what is queued.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+
 fn finish(recorder: &Recorder, writer: Writer) -> RecordCounts {
     recorder.close();
-    assert!(writer.finish(), "all that was queued is written");
+    assert!(writer.finish(MAX_WAIT), "all that was queued is written");
     recorder.counts()
 }
 
@@ -141,7 +144,7 @@
     (0..4_000).for_each(|count| recorder.record(counter_event(count)));
     recorder.close();
     let start = Instant::now();
-    assert!(!writer.finish(), "not all was written");
+    assert!(!writer.finish(MAX_WAIT), "not all was written");
     assert!(start.elapsed() < Duration::from_secs(5));
 }
 
@@ -250,3 +253,45 @@
         start_writer(EventLogConfig { path: directory.0.join("no/such"), ..directory.config(1, 1) }).is_err()
     );
 }
+
+/// The bytes of a file that a writer made, with records of several kinds and a gap.
+fn written_file(name: &str) -> Vec<u8> {
+    let directory = TempDirectory::new(name);
+    let config = directory.config(1 << 20, 64);
+    let (recorder, writer) = start_writer(config.clone()).expect("a file");
+    recorder.record(EventKind::RunStarted { name: "n\u{e9}\"".into(), version: "0".into() });
+    (0..4).for_each(|count| recorder.record(counter_event(count)));
+    recorder.record(EventKind::RunEnded { requests_left: 0 });
+    finish(&recorder, writer);
+    fs::read(&config.path).expect("a file")
+}
+
+// A kill at any byte of a write.
+#[test]
+fn each_prefix_of_a_file_is_read_up_to_its_last_whole_line() {
+    let bytes = written_file("prefixes");
+    for end in 0..=bytes.len() {
+        let prefix = &bytes[..end];
+        let whole_lines = prefix.iter().filter(|&&byte| byte == b'\n').count();
+        let read = lines(prefix);
+        let records = read.iter().filter(|line| matches!(line, Line::Record(_))).count();
+        let truncated = usize::from(end > 0 && !prefix.ends_with(b"\n"));
+        assert_eq!((records, read.len()), (whole_lines, whole_lines + truncated), "{end} bytes");
+        assert!(truncated == 0 || read.last() == Some(&Line::Truncated), "{end} bytes");
+    }
+}
+
+// What an earlier writer left that ended no half-written line: the next line is joined to it.
+#[test]
+fn a_file_whose_half_written_line_is_joined_with_the_next_is_read_on() {
+    let bytes = written_file("joined");
+    let starts: Vec<usize> =
+        bytes.iter().enumerate().filter(|(_, byte)| **byte == b'\n').map(|(at, _)| at + 1).collect();
+    for cut in starts[1] + 1..starts[2] - 1 {
+        let joined = [&bytes[..cut], &bytes[starts[2]..]].concat();
+        let read = lines(&joined);
+        let records = read.iter().filter(|line| matches!(line, Line::Record(_))).count();
+        assert_eq!((records, read.len()), (starts.len() - 2, starts.len() - 1), "cut at {cut}: {read:?}");
+        assert!(matches!(read[2], Line::Invalid { .. }), "cut at {cut}");
+    }
+}
--- a/crates/scheduler/src/serve/event_log.rs
+++ b/crates/scheduler/src/serve/event_log.rs
@@ -1,5 +1,6 @@
 //! The event log of one run.
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 
 use copperspread_event_log::writer::{self, EventLogConfig, RecordCounts, Recorder, Writer};
 use tracing::info;
@@ -11,6 +12,8 @@
 const DEFAULT_ROTATE_AT_BYTES: u64 = 64_000_000;
 const DEFAULT_ROTATED_FILES: u32 = 4;
 const DEFAULT_MAX_QUEUED_EVENTS: usize = 4_096;
+/// Longest wait at shutdown for what is queued: a disk may hang.
+const MAX_CLOSE_WAIT: Duration = Duration::from_secs(1);
 
 /// The event log while it is kept, or the absence of one. It owns the writer's thread.
 pub(super) struct EventLog {
@@ -52,7 +55,7 @@
     pub(super) fn close(self) {
         let Some(writer) = self.writer else { return };
         self.recorder.close();
-        let is_complete = writer.finish();
+        let is_complete = writer.finish(MAX_CLOSE_WAIT);
         let RecordCounts { written, dropped, failed: lost } = self.recorder.counts();
         info!(written, dropped, lost, is_complete, "event log closed");
     }
