--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use copperspread_dispatcher::{Discovery, DispatchPolicy, Micros, SECOND};
+use copperspread_dispatcher::{Discovery, DispatchPolicy, Micros};
 use copperspread_event_log::writer::Recorder;
 use copperspread_settings::StartupConfig;
 use tokio::net::TcpListener;
@@ -20,18 +20,12 @@
 use crate::load_queries;
 use crate::policy_handle::PolicyHandle;
 use crate::shutdown::Shutdown;
+use crate::shutdown_schedule::{FINAL_WRITE_TIME, ShutdownDeadlines, ShutdownSchedule};
 use crate::upstream::http::HttpUpstream;
 use crate::upstream::http::callback::{CALLBACK_PATH, callback_handler};
 
-/// The longest time that requests get after SIGTERM. The kill follows the longest deadline, of which no more
-/// than 3 s count, by 0.7 s at the soonest: half a second later.
-const MAX_DRAIN_TIME: Micros = 3 * SECOND + 200_000;
-/// New client connections keep coming for some tenths of a second after SIGTERM.
-const LATE_CONNECTION_WINDOW: Micros = SECOND;
 /// How often a shutdown checks whether all requests are answered.
 const DRAIN_POLL_INTERVAL: Micros = 20_000;
-/// Time for the last responses to be written.
-const FINAL_WRITE_TIME: Micros = 100_000;
 
 /// Why a scheduler could not be assembled.
 #[derive(Debug, thiserror::Error)]
@@ -57,7 +51,7 @@
     pub endpoint_publisher: EndpointPublisher,
     /// The revision of the list that was known before the start.
     pub cached_revision: Option<u64>,
-    longest_deadline: Micros,
+    shutdown_schedule: ShutdownSchedule,
 }
 
 /// Assembles a scheduler around a dispatch policy.
@@ -117,15 +111,16 @@
     );
     tokio::spawn(load_queries::run(Arc::clone(&context)));
     let longest_deadline = settings.dispatch.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-    Ok(AssembledProxy { context, connections, endpoint_publisher, cached_revision, longest_deadline })
+    let shutdown_schedule = ShutdownSchedule::for_longest_deadline(longest_deadline);
+    Ok(AssembledProxy { context, connections, endpoint_publisher, cached_revision, shutdown_schedule })
 }
 
 impl AssembledProxy {
     /// Begins the graceful shutdown.
     pub fn begin_shutdown(&self) -> ShutdownDeadlines {
-        let drain_deadline = from_now(self.longest_deadline.min(MAX_DRAIN_TIME));
-        self.context.shutdown.begin(drain_deadline);
-        ShutdownDeadlines { drain_deadline, late_connections_until: from_now(LATE_CONNECTION_WINDOW) }
+        let deadlines = self.shutdown_schedule.deadlines_from(Instant::now());
+        self.context.shutdown.begin(deadlines.drain_deadline);
+        deadlines
     }
 
     /// Waits until all requests are answered or the time for it is over, closes the connections that are still
@@ -146,9 +141,3 @@
         }
     }
 }
-
-/// The deadlines of a shutdown that has begun.
-pub struct ShutdownDeadlines {
-    drain_deadline: Instant,
-    late_connections_until: Instant,
-}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -32,4 +32,5 @@
 pub mod policy_handle;
 pub mod request_task;
 pub mod shutdown;
+pub mod shutdown_schedule;
 pub mod upstream;
--- a/crates/scheduler/src/serve/event_log.rs
+++ b/crates/scheduler/src/serve/event_log.rs
@@ -12,8 +12,6 @@
 const DEFAULT_ROTATE_AT_BYTES: u64 = 64_000_000;
 const DEFAULT_ROTATED_FILES: u32 = 4;
 const DEFAULT_MAX_QUEUED_EVENTS: usize = 4_096;
-/// Longest wait at shutdown for what is queued: a disk may hang.
-const MAX_CLOSE_WAIT: Duration = Duration::from_secs(1);
 
 /// The event log while it is kept, or the absence of one. It owns the writer's thread.
 pub(super) struct EventLog {
@@ -51,11 +49,11 @@
         &self.recorder
     }
 
-    /// Writes what is queued, waits for the writer's end and logs the counts.
-    pub(super) fn close(self) {
+    /// Writes what is queued, waits so long at most for the writer's end and logs the counts.
+    pub(super) fn close(self, max_wait: Duration) {
         let Some(writer) = self.writer else { return };
         self.recorder.close();
-        let is_complete = writer.finish(MAX_CLOSE_WAIT);
+        let is_complete = writer.finish(max_wait);
         let RecordCounts { written, dropped, failed: lost } = self.recorder.counts();
         info!(written, dropped, lost, is_complete, "event log closed");
     }
--- a/crates/scheduler/src/serve/mod.rs
+++ b/crates/scheduler/src/serve/mod.rs
@@ -4,6 +4,8 @@
 //! 2. `Scheduler::start` starts the parts and serves.
 //! 3. `serve_until_terminated` waits; SIGHUP reloads the configuration, SIGTERM ends the wait.
 //! 4. `Scheduler::shut_down` answers what was accepted and ends.
+//! 5. [`run`] ends the event log and the log, within the time before the SIGKILL.
+mod bounded_end;
 mod discovery_handle;
 mod error;
 mod event_log;
@@ -19,6 +21,7 @@
 
 use crate::configuration::{ConfigSource, LoadedConfig};
 use crate::logging::{self, Log};
+use bounded_end::{EndDeadlines, run_bounded};
 pub(crate) use error::StartError;
 use event_log::EventLog;
 use reload::Reloader;
@@ -46,8 +49,12 @@
     let event_log = EventLog::open(spec_of_command_line.or_else(|| config.event_log.clone()))?;
     let runtime = single_threaded_runtime()?;
     let served = runtime.block_on(serve(options, &config, &log, event_log.recorder()));
-    event_log.close();
-    served
+    let deadlines = *served.as_ref().unwrap_or(&EndDeadlines::of_failed_start());
+    event_log.close(deadlines.event_log_wait());
+    // What its threads still do, such as to look a name up, is not waited for.
+    runtime.shutdown_background();
+    run_bounded(deadlines.log_wait(), move || drop(log));
+    served.map(|_| ())
 }
 
 /// A runtime for a machine with one core: one thread does all the work.
@@ -58,12 +65,13 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)
 }
 
+/// Returns until when the parts that are left may end.
 async fn serve(
     options: &ServeOptions,
     config: &LoadedConfig,
     log: &Log,
     recorder: &Recorder,
-) -> Result<(), StartError> {
+) -> Result<EndDeadlines, StartError> {
     // Kept until the end: without the handler, a SIGHUP during the shutdown would kill the process.
     let mut signals = Signals::install()?;
     let scheduler = Scheduler::start(config, recorder).await?;
@@ -73,8 +81,7 @@
     }
     let mut reloader = Reloader::new(&options.source, config, scheduler.discovery(), log);
     serve_until_terminated(&mut signals, &mut reloader).await;
-    scheduler.shut_down(log, recorder).await;
-    Ok(())
+    Ok(scheduler.shut_down(log, recorder).await)
 }
 
 /// The signals that the scheduler handles.
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -12,6 +12,9 @@
 use copperspread_settings::StartupConfig;
 use tracing::info;
 
+use super::bounded_end::EndDeadlines;
+#[cfg(feature = "standalone")]
+use super::bounded_end::run_bounded;
 use super::discovery_handle::DiscoveryHandle;
 use super::error::StartError;
 use crate::configuration::LoadedConfig;
@@ -59,21 +62,27 @@
         &self.discovery
     }
 
-    /// Answers what was accepted, within the time for it, and ends the parts.
-    pub(super) async fn shut_down(self, log: &Log, recorder: &Recorder) {
+    /// Answers what was accepted, within the time for it, and ends the parts. Returns until when the process's
+    /// other parts may end.
+    pub(super) async fn shut_down(self, log: &Log, recorder: &Recorder) -> EndDeadlines {
         // First of all, so that the other members know while this one still answers.
         #[cfg(feature = "standalone")]
         self.member.iter().for_each(MembershipTransport::leave);
         let deadlines = self.proxy.begin_shutdown();
         info!(requests = self.proxy.context.policy.active_requests(), "shutting down");
         let requests_left = self.proxy.wait_until_drained(deadlines).await;
+        let end_deadlines = EndDeadlines::before_exit(deadlines.exit_deadline.into_std());
         #[cfg(feature = "standalone")]
-        self.member.into_iter().for_each(crate::membership::wait_until_stopped);
+        if let Some(member) = self.member {
+            let wait = move || crate::membership::wait_until_stopped(member);
+            run_bounded(end_deadlines.membership_wait(), wait);
+        }
         for (what, count) in invariant::counts() {
             info!(what, count, "count at the end");
         }
         recorder.record(EventKind::RunEnded { requests_left: requests_left as u64 });
         info!(requests_left, log_lines_dropped = log.dropped_lines(), "shut down");
+        end_deadlines
     }
 }
 
