--- a/crates/scheduler/src/configuration/source.rs
+++ b/crates/scheduler/src/configuration/source.rs
@@ -29,18 +29,25 @@
         std::env::var_os(PLATFORM_CONFIG_VARIABLE).map(|path| ConfigSource::Platform(path.into()))
     }
 
-    /// The content of a file that its writer may replace piece by piece. `None` where there is no such file:
-    /// the platform replaces its own atomically.
-    pub(crate) fn content_while_written(&self) -> Option<Vec<u8>> {
+    /// Whether a file that is cut short may be a valid configuration by itself. A JSON object never is.
+    pub(crate) fn may_be_valid_when_truncated(&self) -> bool {
         match self {
-            ConfigSource::Platform(_) => None,
+            ConfigSource::Platform(_) => false,
             #[cfg(feature = "standalone")]
-            ConfigSource::Layers { file, .. } => {
-                file.as_ref().map(|path| std::fs::read(path).unwrap_or_default())
-            }
+            ConfigSource::Layers { file, .. } => file.is_some(),
         }
     }
 
+    /// The file's content as it is now; empty where there is none, or where it cannot be read.
+    pub(crate) fn content(&self) -> Vec<u8> {
+        let path = match self {
+            ConfigSource::Platform(path) => Some(path),
+            #[cfg(feature = "standalone")]
+            ConfigSource::Layers { file, .. } => file.as_ref(),
+        };
+        path.and_then(|path| std::fs::read(path).ok()).unwrap_or_default()
+    }
+
     /// Reads the configuration as it is now.
     ///
     /// # Errors
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -333,6 +333,25 @@
     assert!(one.is_idle());
 }
 
+// The file with the cached list, cut anywhere by a writer that pauses: it is no configuration, and the rest of it
+// needs no further SIGHUP.
+#[tokio::test]
+async fn a_half_written_file_is_refused_and_read_again_when_it_is_whole() {
+    let (one, mut other) = (FakeServer::start().await, FakeServer::start().await);
+    let mut scheduler = Scheduler::start(&[one.address]).await;
+    let known = endpoint_list(5, true, &[endpoint("r0", one.address, "SERVING")]);
+    let whole = config(scheduler.address, other.address, &known);
+    let cuts = [0, 1, whole.len() / 3, whole.find("SERVING").expect("a list") + 3, whole.len() - 1];
+    for cut in cuts {
+        let lines = scheduler.reload(&whole[..cut]).await;
+        assert!(lines.len() == 1 && lines[0].contains("the old configuration stays"), "{cut}: {lines:?}");
+    }
+    std::fs::write(&scheduler.path, &whole).expect("a configuration");
+    let lines = scheduler.lines_until_configuration().await;
+    assert!(lines.len() == 1 && lines[0].contains("configuration reloaded"), "{lines:?}");
+    assert_eq!(other.next_request().await.message.first_line, "GET /api/targets HTTP/1.1");
+}
+
 // Guards against a reset over unread data, which takes the error from a sender that reads late.
 #[tokio::test]
 async fn a_body_that_is_too_large_is_refused_with_a_readable_response() {
--- a/crates/scheduler/tests/standalone.rs
+++ b/crates/scheduler/tests/standalone.rs
@@ -2,8 +2,10 @@
 #![cfg(feature = "standalone")]
 mod sockets;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 use sockets::{FakeServer, Scheduler, reserve_address};
+use tokio::time::timeout;
 
 /// A callback's fields: the job is done.
 const DONE: &str = r#""state":"done","result":"paid""#;
@@ -106,6 +108,48 @@
     true
 }
 
+// A writer may pause for longer than a reload waits for its file. The part that it has written is valid by itself.
+#[tokio::test]
+async fn a_file_whose_writer_pauses_is_read_again_when_it_goes_on() {
+    let (one, mut two) = (FakeServer::start().await, FakeServer::start().await);
+    let at = [one.address, two.address];
+    let mut scheduler =
+        Scheduler::standalone(|listen| config_with_workers(listen, &[("serving", at[0])]), &[]).await;
+    let whole = config_with_workers(scheduler.address, &[("draining", at[0]), ("serving", at[1])]);
+    let half = whole.find("[[source.workers]]\nid = 'r1'").expect("a second worker");
+    let lines = scheduler.reload(&whole[..half]).await;
+    assert!(lines.iter().any(|line| line.contains(r#""discovery_changed":true"#)), "{lines:?}");
+    std::fs::write(&scheduler.path, &whole).expect("a configuration");
+    let lines = scheduler.lines_until_configuration().await;
+    assert!(lines.len() == 1 && lines[0].contains(r#""discovery_changed":true"#), "{lines:?}");
+    let mut client = scheduler.client().await;
+    client.send_request("once", 1, 9000).await;
+    two.next_request().await.accept();
+    // Long after SIGHUP a change waits for the next one.
+    tokio::time::sleep(Duration::from_millis(2_600)).await;
+    std::fs::write(&scheduler.path, &whole[..half]).expect("a configuration");
+    let next_line = timeout(Duration::from_millis(800), scheduler.next_line()).await;
+    assert!(next_line.is_err(), "{next_line:?}");
+}
+
+#[tokio::test]
+async fn a_key_file_that_is_being_written_at_sighup_is_waited_for() {
+    let key = std::env::temp_dir().join(format!("copperspread-{}-half.key", std::process::id()));
+    std::fs::write(&key, "a key of this cluster\n").expect("a key");
+    let cluster = format!("[cluster]\nbind = '127.0.0.1:0'\nkey_file = '{}'\nregion = 'nl'\n", key.display());
+    let text =
+        |listen| config_with_workers(listen, &[]).replace("[[classes]]", &format!("{cluster}[[classes]]"));
+    let mut scheduler = Scheduler::standalone(text, &[]).await;
+    std::fs::write(&key, "a key").expect("a half-written key");
+    scheduler.signal("HUP").await;
+    let line = scheduler.next_line().await;
+    assert!(line.contains("the old configuration stays") && line.contains("5 bytes"), "{line}");
+    std::fs::write(&key, "a key of this cluster\n").expect("a key");
+    let line = scheduler.next_line().await;
+    assert!(line.contains("configuration reloaded"), "{line}");
+    let _ = std::fs::remove_file(&key);
+}
+
 #[tokio::test]
 async fn sigterm_while_a_reload_waits_drops_the_reload_and_completes_every_request() {
     let mut one = FakeServer::start().await;
