--- a/crates/scheduler/src/commands/event_log.rs
+++ b/crates/scheduler/src/commands/event_log.rs
@@ -80,16 +80,32 @@
     print(&fleet.to_text(window_seconds, max_workers))
 }
 
-/// An event log's file, and before it those that were rotated if they are asked for.
+/// An event log's file, and before it those that were rotated if they are asked for. A rotation that was cut off
+/// half-way leaves a free name among them, or none of the file's own name.
 fn files_oldest_first(file: &Path, with_rotated: bool) -> Vec<PathBuf> {
-    let mut files = vec![file.to_owned()];
-    if with_rotated {
-        files.extend((1..).map(|number| writer::rotated_path(file, number)).take_while(|path| path.exists()));
-        files.reverse();
+    let rotated = if with_rotated { rotated_numbers(file) } else { Vec::new() };
+    let mut files: Vec<_> =
+        rotated.into_iter().rev().map(|number| writer::rotated_path(file, number)).collect();
+    if files.is_empty() || file.exists() {
+        files.push(file.to_owned());
     }
     files
 }
 
+/// The numbers of the rotated files that there are, the latest file's first.
+fn rotated_numbers(file: &Path) -> Vec<u32> {
+    let folder = file.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let name = file.file_name().unwrap_or_default();
+    let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
+    let mut numbers: Vec<u32> = entries
+        .map(|entry| PathBuf::from(entry.file_name()))
+        .filter(|entry| entry.file_stem() == Some(name))
+        .filter_map(|entry| entry.extension()?.to_str()?.parse().ok())
+        .collect();
+    numbers.sort_unstable();
+    numbers
+}
+
 /// The files among the paths and directly in the folders among them, in order.
 fn files_below(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CommandError> {
     let mut files = Vec::new();
--- a/crates/scheduler/tests/event_log.rs
+++ b/crates/scheduler/tests/event_log.rs
@@ -217,3 +217,26 @@
     assert!(out.contains("worker r0: sent 2 (100.0 %), at most 1 out at once; served 2; took"), "{out}");
     let _ = std::fs::remove_dir_all(&folder);
 }
+
+// A kill in the middle of a rotation, or one of its renames that failed: a name among the files is free.
+#[test]
+fn all_files_are_read_where_a_rotation_was_cut_off() {
+    let folder = scratch("cut-off");
+    std::fs::create_dir(&folder).expect("a folder");
+    let file = folder.join("r.jsonl");
+    let write = |name: &str, sequence: u32| {
+        let event = r#"{"kind":"run_ended","requests_left":0}"#;
+        let line = format!(r#"{{"v":1,"run":"r","seq":{sequence},"unix_us":1,"mono_us":1,"what":{event}}}"#);
+        std::fs::write(folder.join(name), line + "\n").expect("a file");
+    };
+    for (name, sequence) in [("r.jsonl.3", 0), ("r.jsonl.1", 1), ("r.jsonl.old", 9), ("q.jsonl.2", 9)] {
+        write(name, sequence);
+    }
+    for count in 2..4 {
+        let (out, err) = read(&["records", "cat", "--all"], &file);
+        let sequences: Vec<_> = out.lines().map(|line| line.split(',').nth(2).expect("fields")).collect();
+        assert_eq!(sequences, ["\"seq\":0", "\"seq\":1", "\"seq\":2"][..count], "{err}");
+        write("r.jsonl", 2);
+    }
+    let _ = std::fs::remove_dir_all(&folder);
+}
