--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -1,6 +1,6 @@
 //! Starts the event log: a recorder for the serving path, and the thread that writes what it records.
 use std::sync::Arc;
-use std::sync::mpsc::{Receiver, RecvTimeoutError, sync_channel};
+use std::sync::mpsc::{Receiver, RecvTimeoutError, SendError, SyncSender, sync_channel};
 use std::thread;
 use std::time::Duration;
 
@@ -13,6 +13,9 @@
 use crate::recorder::SharedCounts;
 pub use crate::recorder::{RecordCounts, Recorder};
 
+/// Longest wait at the start for the file: a disk may hang.
+const MAX_OPEN_WAIT: Duration = Duration::from_secs(1);
+
 /// The thread that writes. It ends once the recorder is closed, or dropped with all its clones.
 pub struct Writer {
     /// Disconnected when the thread ends.
@@ -27,8 +30,8 @@
     }
 }
 
-/// Opens the log file and starts the thread that writes to it; [`Writer`] says when it ends. Where the disk is full or
-/// fails, the thread starts all the same and tries to open the file again.
+/// Starts the thread that opens the log file and writes to it; [`Writer`] says when it ends. Where the disk is full,
+/// fails or hangs, the scheduler starts all the same, and the thread tries on.
 ///
 /// # Errors
 /// A file that cannot be opened for another reason, or that another process writes.
@@ -40,20 +43,41 @@
     files: Box<dyn FileSystem>,
     config: EventLogConfig,
 ) -> Result<(Recorder, Writer), EventLogError> {
-    let file = match LogFile::open(&*files, &config.path) {
-        Err(error) if error.is_storage_failure() => {
-            tracing::warn!(%error, file = %config.path.display(), "event log not open yet");
-            None
-        }
-        opened => Some(opened?),
-    };
     let counts = Arc::new(SharedCounts::default());
     let (recorder, queue) = Recorder::new(config.queue_capacity, Arc::clone(&counts));
-    let batch_writer = BatchWriter::new(config, files, file, counts);
     let (end_sender, ended) = sync_channel::<()>(0);
+    let (opened_sender, opened) = sync_channel(1);
     thread::Builder::new().name("records".into()).spawn(move || {
-        batch_writer.run(&queue);
+        match open_log_file(&*files, &config) {
+            Ok(file) => {
+                let _ = opened_sender.send(Ok(()));
+                BatchWriter::new(config, files, file, counts).run(&queue);
+            }
+            Err(error) => report_unusable_file(&opened_sender, error),
+        }
         drop(end_sender);
     })?;
+    match opened.recv_timeout(MAX_OPEN_WAIT) {
+        Ok(result) => result?,
+        Err(_) => tracing::warn!("the event log's disk does not answer yet"),
+    }
     Ok((recorder, Writer { ended }))
 }
+
+/// The open file, or none where the disk is full or fails.
+fn open_log_file(files: &dyn FileSystem, config: &EventLogConfig) -> Result<Option<LogFile>, EventLogError> {
+    match LogFile::open(files, &config.path) {
+        Err(error) if error.is_storage_failure() => {
+            tracing::warn!(%error, file = %config.path.display(), "event log not open yet");
+            Ok(None)
+        }
+        opened => opened.map(Some),
+    }
+}
+
+/// Reports a file that cannot be used to the start, or to the log where the start did not wait for it.
+fn report_unusable_file(opened_sender: &SyncSender<Result<(), EventLogError>>, error: EventLogError) {
+    if let Err(SendError(Err(error))) = opened_sender.send(Err(error)) {
+        tracing::warn!(%error, "event log not open, and no event is written");
+    }
+}
--- a/crates/event-log/tests/unit/batch_writer.rs
+++ b/crates/event-log/tests/unit/batch_writer.rs
@@ -18,6 +18,8 @@
 struct Faults {
     /// Opening a file.
     open: bool,
+    /// Opening a file takes so long.
+    open_delay: Duration,
     /// Renaming a file to this path.
     rename_to: Option<PathBuf>,
     /// Writing, after so many bytes more.
@@ -44,6 +46,8 @@
 
 impl FileSystem for FaultyFiles {
     fn open(&self, path: &Path) -> Result<Box<dyn OpenFile>, EventLogError> {
+        let open_delay = self.0.lock().expect("a lock").open_delay;
+        thread::sleep(open_delay);
         fail_if(self.0.lock().expect("a lock").open, ENOSPC)?;
         drop(SystemFiles.open(path)?);
         let file = File::options().read(true).append(true).open(path)?;
@@ -253,6 +257,21 @@
     assert_eq!(summary.runs[0].missing(), recorder.counts().failed);
 }
 
+#[test]
+fn a_disk_that_hangs_at_the_start_delays_the_scheduler_by_a_bounded_time() {
+    let fixture = Fixture::new("start-hangs", 1 << 20, 1);
+    let open_delay = Duration::from_millis(2_500);
+    fixture.files.set(Faults { open_delay, ..Faults::default() });
+    let (files, config) = (fixture.files.clone(), fixture.writer.config.clone());
+    let start = Instant::now();
+    let (recorder, writer) = start_writer_on(Box::new(files), config).expect("it starts");
+    assert!(start.elapsed() < open_delay, "{:?}", start.elapsed());
+    recorder.record(EventKind::RunEnded { requests_left: 0 });
+    recorder.close();
+    assert!(writer.finish(open_delay * 2), "what was recorded meanwhile is written");
+    assert_eq!((recorder.counts().written, fixture.lines().len()), (1, 1));
+}
+
 #[test]
 fn a_partial_line_on_a_full_disk_prevents_no_start_and_is_ended_later() {
     let mut fixture = Fixture::new("partial-start", 1 << 20, 1);
