--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -73,7 +73,7 @@
 
     /// Reloads, at once or when the file has settled.
     pub(super) fn request_reload(&mut self) {
-        self.last_error = None;
+        (self.pending, self.last_error) = (None, None);
         if self.source.may_be_valid_when_truncated() {
             self.pending = Some(FileWatch::settling(self.source.content()));
         } else {
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -343,13 +343,20 @@
     let whole = config(scheduler.address, other.address, &known);
     let cuts = [0, 1, whole.len() / 3, whole.find("SERVING").expect("a list") + 3, whole.len() - 1];
     for cut in cuts {
-        let lines = scheduler.reload(&whole[..cut]).await;
-        assert!(lines.len() == 1 && lines[0].contains("the old configuration stays"), "{cut}: {lines:?}");
+        let outcome = scheduler.reload(&whole[..cut]).await.pop().expect("a line");
+        assert!(outcome.contains("the old configuration stays"), "{cut}: {outcome}");
     }
     std::fs::write(&scheduler.path, &whole).expect("a configuration");
-    let lines = scheduler.lines_until_configuration().await;
-    assert!(lines.len() == 1 && lines[0].contains("configuration reloaded"), "{lines:?}");
+    let outcome = scheduler.lines_until_configuration().await.pop().expect("a line");
+    assert!(outcome.contains("configuration reloaded"), "{outcome}");
     assert_eq!(other.next_request().await.message.first_line, "GET /api/targets HTTP/1.1");
+    // A SIGHUP after a failure ends its follow-up: the file is read once.
+    scheduler.reload(&whole[..1]).await;
+    let outcome = scheduler.reload(&whole).await.pop().expect("a line");
+    assert!(outcome.contains("configuration reloaded"), "{outcome}");
+    let follow_up_time = std::time::Duration::from_millis(800);
+    let next_outcome = tokio::time::timeout(follow_up_time, scheduler.lines_until_configuration()).await;
+    assert!(next_outcome.is_err(), "{next_outcome:?}");
 }
 
 // Guards against a reset over unread data, which takes the error from a sender that reads late.
