--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -8,7 +8,7 @@
 //! | `min(1 s, K - 0.5 s)` | new connections are refused from here on, if all is answered |
 //! | `K - 0.5 s`, at least 0.5 s | every request has its final response |
 //! | 0.1 s later | connections are closed |
-//! | `K - 0.15 s` | the process has ended, also where a disk or another scheduler keeps it waiting |
+//! | `K - 0.2 s` | the process has ended, also where a disk or another scheduler keeps it waiting |
 use std::time::Duration;
 
 use copperspread_dispatcher::{Micros, SECOND};
@@ -28,7 +28,7 @@
 /// The longest time that new connections are waited for where nothing else is left to do.
 const MAX_LATE_CONNECTION_WINDOW: Micros = SECOND;
 /// The process ends this long before the SIGKILL.
-const EXIT_MARGIN: Micros = 150_000;
+const EXIT_MARGIN: Micros = 200_000;
 
 /// The times of a shutdown, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/proxy/tests/unit/shutdown_schedule.rs
+++ b/crates/proxy/tests/unit/shutdown_schedule.rs
@@ -19,7 +19,7 @@
         );
         assert!(schedule.late_connection_window >= 500_000, "{context}");
         assert!(schedule.late_connection_window <= schedule.drain_time, "{context}");
-        assert_eq!(ms(schedule.exit_time), kill_ms(deadline_ms) - 150, "{context}");
+        assert_eq!(ms(schedule.exit_time), kill_ms(deadline_ms) - 200, "{context}");
         // What came before SIGTERM keeps its whole time, as far as it counts.
         assert!(ms(schedule.drain_time) >= deadline_ms.min(3_000), "{context}");
     }
@@ -28,7 +28,7 @@
 #[test]
 fn long_deadlines_are_drained_for_as_long_as_ever() {
     let expected =
-        ShutdownSchedule { drain_time: 3_200_000, late_connection_window: 1_000_000, exit_time: 3_550_000 };
+        ShutdownSchedule { drain_time: 3_200_000, late_connection_window: 1_000_000, exit_time: 3_500_000 };
     for seconds in [9, 25, 480] {
         assert_eq!(ShutdownSchedule::for_longest_deadline(seconds * 1_000_000), expected);
     }
