--- a/crates/scheduler/src/serve/event_log.rs
+++ b/crates/scheduler/src/serve/event_log.rs
@@ -1,5 +1,6 @@
 //! The event log of one run.
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 
 use copperspread_event_log::writer::{self, EventLogConfig, RecordCounts, Recorder, Writer};
 use tracing::info;
@@ -48,11 +49,11 @@
         &self.recorder
     }
 
-    /// Writes what is queued, waits for the writer's end and logs the counts.
-    pub(super) fn close(self) {
+    /// Writes what is queued, waits so long at most for the writer's end and logs the counts.
+    pub(super) fn close(self, max_wait: Duration) {
         let Some(writer) = self.writer else { return };
         self.recorder.close();
-        let is_complete = writer.finish();
+        let is_complete = writer.finish(max_wait);
         let RecordCounts { written, dropped, failed: lost } = self.recorder.counts();
         info!(written, dropped, lost, is_complete, "event log closed");
     }
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -333,6 +333,32 @@
     assert!(one.is_idle());
 }
 
+// The file with the cached list, cut anywhere by a writer that pauses: it is no configuration, and the rest of it
+// needs no further SIGHUP.
+#[tokio::test]
+async fn a_half_written_file_is_refused_and_read_again_when_it_is_whole() {
+    let (one, mut other) = (FakeServer::start().await, FakeServer::start().await);
+    let mut scheduler = Scheduler::start(&[one.address]).await;
+    let known = endpoint_list(5, true, &[endpoint("r0", one.address, "SERVING")]);
+    let whole = config(scheduler.address, other.address, &known);
+    let cuts = [0, 1, whole.len() / 3, whole.find("SERVING").expect("a list") + 3, whole.len() - 1];
+    for cut in cuts {
+        let outcome = scheduler.reload(&whole[..cut]).await.pop().expect("a line");
+        assert!(outcome.contains("the old configuration stays"), "{cut}: {outcome}");
+    }
+    std::fs::write(&scheduler.path, &whole).expect("a configuration");
+    let outcome = scheduler.lines_until_configuration().await.pop().expect("a line");
+    assert!(outcome.contains("configuration reloaded"), "{outcome}");
+    assert_eq!(other.next_request().await.message.first_line, "GET /api/targets HTTP/1.1");
+    // A SIGHUP after a failure ends its follow-up: the file is read once.
+    scheduler.reload(&whole[..1]).await;
+    let outcome = scheduler.reload(&whole).await.pop().expect("a line");
+    assert!(outcome.contains("configuration reloaded"), "{outcome}");
+    let follow_up_time = std::time::Duration::from_millis(800);
+    let next_outcome = tokio::time::timeout(follow_up_time, scheduler.lines_until_configuration()).await;
+    assert!(next_outcome.is_err(), "{next_outcome:?}");
+}
+
 // Guards against a reset over unread data, which takes the error from a sender that reads late.
 #[tokio::test]
 async fn a_body_that_is_too_large_is_refused_with_a_readable_response() {
