--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -189,6 +189,7 @@
         let is_repeated = self.attempts.iter().any(|attempt| attempt.target.worker == worker);
         invariant!(!is_repeated, "a flow has one scheduling at a real server");
         let target = self.context.upstream.target(worker);
+        let is_at_same_address = self.has_attempt_at(&target);
         let abort = CancellationToken::new();
         self.attempts.push(Attempt {
             target: target.clone(),
@@ -199,7 +200,7 @@
             has_called_back: false,
             is_cancelling: false,
         });
-        if self.is_past_deadline || is_repeated || self.response_sender.is_none() {
+        if self.is_past_deadline || is_repeated || is_at_same_address || self.response_sender.is_none() {
             self.attempts[number as usize].is_dispatching = false;
             self.finish_attempt(number, Outcome::Superseded.into());
             return;
@@ -211,6 +212,13 @@
         self.dispatches.push(completion.boxed());
     }
 
+    /// Whether an attempt is in flight at the address of a target. A worker may be listed under two names, as when
+    /// its process was replaced: it gets one attempt of a request at a time.
+    fn has_attempt_at(&self, target: &AttemptTarget) -> bool {
+        let mut in_flight = self.attempts.iter().filter(|attempt| attempt.is_in_flight);
+        target.address.is_some() && in_flight.any(|attempt| attempt.target.address == target.address)
+    }
+
     /// The dispatch of an attempt, not polled yet.
     fn dispatch(
         &self,
--- a/crates/scheduler/tests/cancellation_races.rs
+++ b/crates/scheduler/tests/cancellation_races.rs
@@ -246,3 +246,28 @@
     write(&mut connection, CANCELLED).await;
     moving.expect_served_by_other().await;
 }
+
+#[tokio::test]
+async fn a_hedge_does_not_go_to_the_address_where_the_first_attempt_runs() {
+    let worker = RawWorker::new();
+    let edit = "s/\"aim_s\":9/\"aim_s\":1/g";
+    let command = format!("sed -i -e '{edit}' \"$EDGE_CONFIG\" && exec \"$PROGRAM\"");
+    let scheduler = Scheduler::start_by_command(&command, 1024, &[worker.address, worker.address]).await;
+    let mut client = scheduler.client().await;
+    client.send_request("safe", 1, 9000).await;
+    let (mut connection, message) = worker.next_request().await;
+    write(&mut connection, ACCEPTED).await;
+    let second = async {
+        tokio::select! {
+            message = next_message(&mut connection) => message,
+            (_, message) = worker.next_request() => Some(message),
+        }
+    };
+    // The hedge is due after 0.6 s.
+    assert!(timeout(Duration::from_millis(1_500), second).await.is_err(), "two attempts at once");
+    let id = message.headers["x-request-id"].clone();
+    for name in ["r0", "r1"] {
+        assert_eq!(scheduler.call_back(&id, name, DONE).await, 204);
+    }
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
+}
