--- a/crates/scheduler/tests/sockets/mod.rs
+++ b/crates/scheduler/tests/sockets/mod.rs
@@ -42,6 +42,8 @@
     loop {
         let mut line = String::new();
         stream.read_line(&mut line).await.ok().filter(|&n| n > 0)?;
+        // A head that broke off in the middle of a line has not ended with it.
+        line.ends_with('\n').then_some(())?;
         let Some((name, value)) = line.split_once(':') else { break };
         headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
     }
@@ -236,7 +238,7 @@
 
 /// Where configurations lie: in memory where the machine has such a folder. Guards against a disk that is
 /// busy with a build, on which a rename can take most of a second, longer than a file takes to settle.
-fn configuration_folder() -> std::path::PathBuf {
+pub(crate) fn configuration_folder() -> std::path::PathBuf {
     let memory = std::path::PathBuf::from("/dev/shm");
     if memory.is_dir() { memory } else { std::env::temp_dir() }
 }
@@ -330,7 +332,8 @@
     pub(crate) async fn start_with(known: &[SocketAddr], config: impl Fn(String) -> String) -> Scheduler {
         Scheduler::start_edited("exec \"$PROGRAM\"", known, config).await
     }
-    async fn start_edited(
+    /// By a shell's command and with another configuration.
+    pub(crate) async fn start_edited(
         command: &str,
         known: &[SocketAddr],
         changed: impl Fn(String) -> String,
--- /dev/null
+++ b/crates/system-call-faults/src/errno.rs
@@ -0,0 +1,62 @@
+//! Error numbers by their names.
+use libc::c_int;
+
+/// The error numbers that plans may name.
+const ERRNO_NAMES: [(&str, c_int); 30] = [
+    ("EACCES", libc::EACCES),
+    ("EADDRNOTAVAIL", libc::EADDRNOTAVAIL),
+    ("ECONNABORTED", libc::ECONNABORTED),
+    ("ECONNREFUSED", libc::ECONNREFUSED),
+    ("ECONNRESET", libc::ECONNRESET),
+    ("EDQUOT", libc::EDQUOT),
+    ("EHOSTDOWN", libc::EHOSTDOWN),
+    ("EHOSTUNREACH", libc::EHOSTUNREACH),
+    ("EINTR", libc::EINTR),
+    ("EINVAL", libc::EINVAL),
+    ("EIO", libc::EIO),
+    ("EMFILE", libc::EMFILE),
+    ("ENETDOWN", libc::ENETDOWN),
+    ("ENETUNREACH", libc::ENETUNREACH),
+    ("ENFILE", libc::ENFILE),
+    ("ENOBUFS", libc::ENOBUFS),
+    ("ENOENT", libc::ENOENT),
+    ("ENOMEM", libc::ENOMEM),
+    ("ENONET", libc::ENONET),
+    ("ENOPROTOOPT", libc::ENOPROTOOPT),
+    ("ENOSPC", libc::ENOSPC),
+    ("ENOSR", libc::ENOSR),
+    ("EOPNOTSUPP", libc::EOPNOTSUPP),
+    ("EPERM", libc::EPERM),
+    ("EPIPE", libc::EPIPE),
+    ("EPROTO", libc::EPROTO),
+    ("EROFS", libc::EROFS),
+    ("ESTALE", libc::ESTALE),
+    ("ETIMEDOUT", libc::ETIMEDOUT),
+    ("EXDEV", libc::EXDEV),
+];
+
+/// An error number that a plan names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Errno(pub(crate) c_int);
+
+impl Errno {
+    pub(crate) fn from_name(name: &str) -> Option<Errno> {
+        ERRNO_NAMES.iter().find(|(known, _)| *known == name).map(|(_, number)| Errno(*number))
+    }
+
+    pub(crate) fn name(self) -> &'static str {
+        ERRNO_NAMES.iter().find(|(_, number)| *number == self.0).map_or("", |(name, _)| name)
+    }
+
+    /// Whether a connection under a read or write that fails so is no more.
+    pub(crate) fn ends_connection(self) -> bool {
+        !matches!(self.0, libc::EINTR | libc::ENOBUFS | libc::ENOMEM)
+    }
+
+    /// Sets the thread's error number, as a call that fails does; returns what such a call returns.
+    pub(crate) fn set(self) -> c_int {
+        // SAFETY: the C library gives each thread a valid address of its error number.
+        unsafe { *libc::__errno_location() = self.0 };
+        -1
+    }
+}
--- /dev/null
+++ b/crates/system-call-faults/src/plan.rs
@@ -0,0 +1,235 @@
+//! Which calls fail, and how: the plan, read from its text.
+use std::collections::HashMap;
+use std::fmt;
+use std::net::SocketAddrV4;
+use std::path::PathBuf;
+use std::str::FromStr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+use crate::call::{Call, SocketKind, Target};
+use crate::errno::Errno;
+
+/// What a call does in place of what was asked.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Fault {
+    /// It fails.
+    Fail(Errno),
+    /// It transfers at most so many bytes.
+    Short(usize),
+    /// The process is killed.
+    Kill,
+}
+
+impl fmt::Display for Fault {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Fault::Fail(errno) => formatter.write_str(errno.name()),
+            Fault::Short(bytes) => write!(formatter, "short {bytes}"),
+            Fault::Kill => formatter.write_str("kill"),
+        }
+    }
+}
+
+/// Which targets a rule is for.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) enum TargetPattern {
+    Any,
+    Socket(SocketKind),
+    /// Files whose path ends so.
+    FileSuffix(String),
+}
+
+impl TargetPattern {
+    fn matches(&self, target: Target<'_>) -> bool {
+        match (self, target) {
+            (TargetPattern::Any, _) => true,
+            (TargetPattern::Socket(wanted), Target::Socket(kind)) => *wanted == kind,
+            (TargetPattern::FileSuffix(suffix), Target::File(path)) => path.ends_with(suffix.as_str()),
+            _ => false,
+        }
+    }
+}
+
+/// Which of the calls that match a rule have its fault; counted from 1.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Selection {
+    /// From the first to the last, with both.
+    Range { first: u64, last: u64 },
+    /// Each whose number this divides.
+    Every(u64),
+}
+
+impl Selection {
+    fn contains(self, number: u64) -> bool {
+        match self {
+            Selection::Range { first, last } => (first..=last).contains(&number),
+            Selection::Every(step) => number.is_multiple_of(step),
+        }
+    }
+}
+
+/// A fault of some calls on some targets.
+#[derive(Debug)]
+pub(crate) struct Rule {
+    pub(crate) call: Call,
+    pub(crate) pattern: TargetPattern,
+    pub(crate) fault: Fault,
+    pub(crate) selection: Selection,
+    /// The calls that matched so far.
+    matched: AtomicU64,
+}
+
+/// From when on the wall clock is off, and by how much.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ClockOffset {
+    pub(crate) since_start: Duration,
+    pub(crate) nanoseconds: i64,
+}
+
+/// A whole plan.
+#[derive(Debug, Default)]
+pub(crate) struct Plan {
+    pub(crate) log_path: Option<PathBuf>,
+    addresses: HashMap<SocketAddrV4, SocketKind>,
+    rules: Vec<Rule>,
+    clock_offsets: Vec<ClockOffset>,
+}
+
+/// Why a text is no plan.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct PlanError {
+    /// Counted from 1.
+    pub(crate) line: usize,
+    pub(crate) reason: String,
+}
+
+impl fmt::Display for PlanError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "line {}: {}", self.line, self.reason)
+    }
+}
+
+impl FromStr for Plan {
+    type Err = PlanError;
+
+    fn from_str(text: &str) -> Result<Plan, PlanError> {
+        let mut plan = Plan::default();
+        for (number, line) in (1..).zip(text.lines()) {
+            let statement = line.split('#').next().unwrap_or_default();
+            let words: Vec<&str> = statement.split_whitespace().collect();
+            plan.add(&words).map_err(|reason| PlanError { line: number, reason })?;
+        }
+        plan.clock_offsets.sort_by_key(|offset| offset.since_start);
+        Ok(plan)
+    }
+}
+
+impl Plan {
+    fn add(&mut self, words: &[&str]) -> Result<(), String> {
+        match *words {
+            [] => {}
+            ["log", path] => self.log_path = Some(path.into()),
+            ["address", kind, address] => {
+                let address = address.parse().map_err(|_| format!("no IPv4 address and port: {address}"))?;
+                self.addresses.insert(address, parse_socket_kind(kind)?);
+            }
+            ["fail", call, pattern, errno, ref when @ ..] => {
+                let errno = Errno::from_name(errno).ok_or_else(|| format!("unknown errno: {errno}"))?;
+                self.rules.push(parse_rule(call, pattern, Fault::Fail(errno), when)?);
+            }
+            ["short", call, pattern, bytes, ref when @ ..] => {
+                let bytes = parse_positive(bytes)?;
+                let fault = Fault::Short(usize::try_from(bytes).unwrap_or(usize::MAX));
+                let rule = parse_rule(call, pattern, fault, when)?;
+                if !rule.call.transfers_bytes() {
+                    return Err(format!("transfers no bytes: {call}"));
+                }
+                self.rules.push(rule);
+            }
+            ["kill", call, pattern, ref when @ ..] => {
+                self.rules.push(parse_rule(call, pattern, Fault::Kill, when)?);
+            }
+            ["clock", offset, "at", since_start] => {
+                let nanoseconds = parse_seconds(offset)?;
+                let since_start = u64::try_from(parse_seconds(since_start)?)
+                    .map_err(|_| format!("before the start: {since_start}"))?;
+                let since_start = Duration::from_nanos(since_start);
+                self.clock_offsets.push(ClockOffset { since_start, nanoseconds });
+            }
+            _ => return Err(format!("no statement: {}", words.join(" "))),
+        }
+        Ok(())
+    }
+
+    /// The kind of the sockets at an address, if the plan tells.
+    pub(crate) fn kind_at(&self, address: SocketAddrV4) -> Option<SocketKind> {
+        self.addresses.get(&address).copied()
+    }
+
+    /// Whether a rule is for this call.
+    pub(crate) fn concerns(&self, call: Call) -> bool {
+        self.rules.iter().any(|rule| rule.call == call)
+    }
+
+    /// Counts a call, and tells its fault: that of the first rule which wants one.
+    pub(crate) fn next_fault(&self, call: Call, target: Target<'_>) -> Option<Fault> {
+        let matching = self.rules.iter().filter(|rule| rule.call == call && rule.pattern.matches(target));
+        let mut fault = None;
+        for rule in matching {
+            let number = rule.matched.fetch_add(1, Ordering::Relaxed) + 1;
+            if rule.selection.contains(number) {
+                fault = fault.or(Some(rule.fault));
+            }
+        }
+        fault
+    }
+
+    /// By how many nanoseconds the wall clock is off, so long after the start.
+    pub(crate) fn clock_offset(&self, since_start: Duration) -> i64 {
+        let reached = self.clock_offsets.iter().take_while(|offset| offset.since_start <= since_start);
+        reached.last().map_or(0, |offset| offset.nanoseconds)
+    }
+}
+
+fn parse_rule(call: &str, pattern: &str, fault: Fault, when: &[&str]) -> Result<Rule, String> {
+    let call = Call::from_name(call).ok_or_else(|| format!("unknown call: {call}"))?;
+    let pattern = match (pattern, pattern.strip_prefix("file:")) {
+        ("any", _) => TargetPattern::Any,
+        (_, Some(suffix)) => TargetPattern::FileSuffix(suffix.to_owned()),
+        _ => TargetPattern::Socket(parse_socket_kind(pattern)?),
+    };
+    Ok(Rule { call, pattern, fault, selection: parse_selection(when)?, matched: AtomicU64::new(0) })
+}
+
+fn parse_selection(words: &[&str]) -> Result<Selection, String> {
+    match *words {
+        ["every", step] => Ok(Selection::Every(parse_positive(step)?)),
+        ["calls", range] => {
+            let (first, last) = range.split_once("..").unwrap_or((range, range));
+            let first = parse_positive(first)?;
+            let last = if last.is_empty() { u64::MAX } else { parse_positive(last)? };
+            Ok(Selection::Range { first, last })
+        }
+        _ => Err(format!("no selection of calls: {}", words.join(" "))),
+    }
+}
+
+fn parse_socket_kind(name: &str) -> Result<SocketKind, String> {
+    SocketKind::from_name(name).ok_or_else(|| format!("unknown kind: {name}"))
+}
+
+fn parse_positive(text: &str) -> Result<u64, String> {
+    text.parse().ok().filter(|number| *number > 0).ok_or_else(|| format!("no number from 1: {text}"))
+}
+
+/// Reads seconds, in decimals and with a sign, as nanoseconds.
+fn parse_seconds(text: &str) -> Result<i64, String> {
+    let seconds = text.strip_suffix('s').and_then(|seconds| seconds.parse::<f64>().ok());
+    let seconds = seconds.filter(|seconds| seconds.is_finite());
+    seconds.map(|seconds| (seconds * 1e9) as i64).ok_or_else(|| format!("no number of seconds: {text}"))
+}
+
+#[cfg(test)]
+#[path = "../tests/unit/plan.rs"]
+mod tests;
