--- a/crates/proxy/src/downstream/client_connections.rs
+++ b/crates/proxy/src/downstream/client_connections.rs
@@ -16,8 +16,11 @@
 use crate::invariant::note;
 use crate::shutdown::{Shutdown, ShutdownPhase};
 
-/// Wait after an accept that failed for want of descriptors.
+/// Wait after an accept that failed for want of descriptors or memory.
 const ACCEPT_RETRY_DELAY: Micros = 20_000;
+/// Connections in a row that may fail as they are accepted before a wait of [`ACCEPT_RETRY_DELAY`] follows, so that an
+/// error which stays does not keep the loop busy.
+const MAX_FAILED_CONNECTIONS: u32 = 8;
 
 /// All client connections of a scheduler.
 pub struct ClientConnections {
@@ -51,6 +54,7 @@
         let listener = self.listener.lock().unwrap_or_else(PoisonError::into_inner).take();
         let Some(listener) = listener else { return };
         let mut shutdown = self.handler.shutdown.watch();
+        let mut failed_in_a_row = 0;
         loop {
             let accepted = tokio::select! {
                 biased;
@@ -59,12 +63,16 @@
             };
             match accepted {
                 Ok((stream, _)) => {
+                    failed_in_a_row = 0;
                     let permit = Arc::new(self.limits.acquire().await);
                     tokio::spawn(serve_connection(Arc::clone(&self.handler), stream, permit));
                 }
-                Err(error) if concerns_one_connection(&error) => {}
+                Err(error) if !is_shortage(&error) && failed_in_a_row < MAX_FAILED_CONNECTIONS => {
+                    failed_in_a_row += 1;
+                }
                 // When descriptors run out, neither an end nor a busy loop.
                 Err(error) => {
+                    failed_in_a_row = 0;
                     note("no connection taken", &error.to_string());
                     sleep_until(from_now(ACCEPT_RETRY_DELAY)).await;
                 }
@@ -83,13 +91,9 @@
     }
 }
 
-/// Whether the error is that of the connection which would have been accepted, so that the next may come.
-fn concerns_one_connection(error: &io::Error) -> bool {
-    matches!(
-        error.kind(),
-        io::ErrorKind::ConnectionAborted
-            | io::ErrorKind::ConnectionRefused
-            | io::ErrorKind::ConnectionReset
-            | io::ErrorKind::Interrupted
-    )
+/// Whether an accept failed for want of something that the process or the machine lacks, so that the next fails too.
+/// Any other error is that of the connection which would have been accepted: Linux reports what the network had
+/// against it in this place, and the next may come.
+fn is_shortage(error: &io::Error) -> bool {
+    matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM))
 }
