--- a/crates/scheduler/tests/membership.rs
+++ b/crates/scheduler/tests/membership.rs
@@ -1,11 +1,14 @@
 //! Two schedulers that are members of one cluster: the status page, leaving, and invalid configurations.
 #![cfg(feature = "standalone")]
 mod sockets;
+#[path = "sockets/system_call_faults.rs"]
+mod system_call_faults;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use serde_json::Value;
-use sockets::{Message, Scheduler, within};
+use sockets::{Message, Scheduler, reserve_address, within};
+use system_call_faults::FaultPlan;
 
 /// Writes a key file for one test.
 fn write_key(name: &str, content: &str) -> PathBuf {
@@ -110,3 +113,54 @@
         assert!(!errors.contains("secret"), "{errors}");
     }
 }
+
+/// A member whose sockets, and those to its peer, are of the plan's kind `membership`.
+async fn start_member(name: &str, address: SocketAddr, peer: SocketAddr, plan: &FaultPlan) -> Scheduler {
+    for address in [address, peer] {
+        plan.add(&format!("address membership {address}"));
+    }
+    let key = write_key(name, "a key for this test alone\n");
+    let cluster = cluster_section(&key, &[peer]).replace("127.0.0.1:0'", &format!("{address}'"));
+    Scheduler::standalone(|at| config(name, at, &cluster), &plan.variables()).await
+}
+
+// Guards against a member that an error on its sockets ends, deafens or keeps busy.
+#[tokio::test]
+async fn members_see_each_other_after_errors_on_their_sockets() {
+    let statement = |call: &str, errno: &str| format!("fail {call} membership {errno} calls 1..3\n");
+    for errno in ["EMFILE", "ECONNABORTED", "ENETUNREACH", "ENOBUFS", "ETIMEDOUT", "EHOSTUNREACH"] {
+        let calls = ["accept4", "connect", "recv", "send"].map(|call| statement(call, errno)).concat();
+        let plan = FaultPlan::new(&(calls + "fail epoll_wait any EINTR every 2"));
+        let ((_one, one), (_two, two)) = (reserve_address(), reserve_address());
+        let (first, second) = (
+            start_member("one", one, two, &plan).await,
+            start_member("two", two, one, &FaultPlan::new("")).await,
+        );
+        wait_until_it_sees(&first, &["two"]).await;
+        wait_until_it_sees(&second, &["one"]).await;
+        for call in ["recv", "send"] {
+            assert!(
+                plan.count(&format!("{call} membership {errno}")) > 0,
+                "{call} {errno}: {:?}",
+                plan.injected()
+            );
+        }
+    }
+}
+
+// Guards against a loop that an error which stays keeps busy.
+#[tokio::test]
+async fn a_member_that_can_accept_no_stream_waits_and_hears_packets() {
+    let plan = FaultPlan::new("fail accept4 membership EMFILE calls 1..");
+    let ((_one, one), (_two, two)) = (reserve_address(), reserve_address());
+    let first = start_member("one-deaf", one, two, &plan).await;
+    let second = start_member("two-heard", two, one, &FaultPlan::new("")).await;
+    wait_until_it_sees(&first, &["two-heard"]).await;
+    let fault = "accept4 membership EMFILE";
+    plan.wait_for(fault, 1).await;
+    let (since, before) = (std::time::Instant::now(), plan.count(fault));
+    tokio::time::sleep(std::time::Duration::from_secs(1)).await;
+    let (elapsed, failed) = (since.elapsed(), plan.count(fault) - before);
+    assert!(failed as f64 <= 100.0 * (elapsed.as_secs_f64() + 1.0), "{failed} in {elapsed:?}");
+    wait_until_it_sees(&second, &["one-deaf"]).await;
+}
