--- a/crates/scheduler/tests/random_system_call_faults.rs
+++ b/crates/scheduler/tests/random_system_call_faults.rs
@@ -44,7 +44,7 @@
     let upstream = *rng.choice(&["worker", "worker", "discovery"]).expect("a kind");
     let transfer = *rng.choice(&["recv", "send"]).expect("a call");
     let one_of = |rng: &mut Rng, errors: &[&'static str]| *rng.choice(errors).expect("an errno");
-    match rng.u32(0..9) {
+    match rng.u32(0..10) {
         0 => format!("fail accept4 client {} {calls}", one_of(rng, &CONNECTION_ERRORS)),
         1 => format!("fail accept4 client {} {calls}", one_of(rng, &SHORTAGES)),
         2 => format!("fail connect {upstream} {} {calls}", one_of(rng, &CONNECT_ERRORS)),
@@ -55,7 +55,11 @@
         }
         5 | 6 => format!("fail {transfer} {kind} {} {calls}", one_of(rng, &BROKEN_CONNECTION_ERRORS)),
         7 => format!("short {transfer} {kind} {} calls {first}..", rng.u64(1..40)),
-        _ => format!("fail epoll_wait any EINTR every {}", rng.u64(2..6)),
+        8 => format!("fail epoll_wait any EINTR every {}", rng.u64(2..6)),
+        _ => {
+            let offset = *rng.choice(&["+3s", "-3s", "+3600s", "-3600s"]).expect("an offset");
+            format!("clock {offset} at {}s", rng.f64() / 2.0)
+        }
     }
 }
 
--- a/crates/scheduler/tests/sockets/system_call_faults.rs
+++ b/crates/scheduler/tests/sockets/system_call_faults.rs
@@ -29,8 +29,17 @@
     "EINTR",
 ];
 /// What a connection that does not come up shows.
-pub(crate) const CONNECT_ERRORS: [&str; 7] =
-    ["EADDRNOTAVAIL", "ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT", "ENOBUFS", "ECONNREFUSED", "ENETDOWN"];
+pub(crate) const CONNECT_ERRORS: [&str; 9] = [
+    "EADDRNOTAVAIL",
+    "ENETUNREACH",
+    "EHOSTUNREACH",
+    "ETIMEDOUT",
+    "ENOBUFS",
+    "ECONNREFUSED",
+    "ENETDOWN",
+    "EPERM",
+    "EINTR",
+];
 /// What a connection that is no more shows.
 pub(crate) const BROKEN_CONNECTION_ERRORS: [&str; 4] =
     ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "ENETUNREACH"];
--- a/crates/scheduler/tests/system_call_errors.rs
+++ b/crates/scheduler/tests/system_call_errors.rs
@@ -6,12 +6,15 @@
 
 use std::time::{Duration, Instant};
 
+use futures_util::{StreamExt, stream};
 use sockets::*;
 use system_call_faults::{
     BROKEN_CONNECTION_ERRORS, CONNECT_ERRORS, CONNECTION_ERRORS, SHORTAGES, start_with_faults,
 };
 
 const DONE: &str = r#""state":"done","result":"paid""#;
+/// Programs that one test runs side by side.
+const PROGRAMS: usize = 4;
 
 /// Ends the program; returns what it had logged.
 async fn log_to_the_end(scheduler: &mut Scheduler) -> Vec<String> {
@@ -26,16 +29,18 @@
 
 #[tokio::test]
 async fn an_error_of_one_connection_delays_no_other() {
-    for errno in CONNECTION_ERRORS {
-        let mut worker = FakeServer::start().await;
-        let statement = format!("fail accept4 client {errno} calls 1..6");
-        let (mut scheduler, faults) = start_with_faults(&statement, &[worker.address]).await;
-        let mut client = scheduler.client().await;
-        scheduler.serve_request(&mut client, &mut worker, 1, DONE).await;
-        assert_eq!(faults.count(&format!("accept4 client {errno}")), 6);
-        let log = log_to_the_end(&mut scheduler).await;
-        assert!(!log.iter().any(|line| line.contains("no connection taken")), "{errno}: {log:?}");
-    }
+    stream::iter(CONNECTION_ERRORS).for_each_concurrent(PROGRAMS, accept_after_errors_of_connections).await;
+}
+
+async fn accept_after_errors_of_connections(errno: &str) {
+    let mut worker = FakeServer::start().await;
+    let statement = format!("fail accept4 client {errno} calls 1..6");
+    let (mut scheduler, faults) = start_with_faults(&statement, &[worker.address]).await;
+    let mut client = scheduler.client().await;
+    scheduler.serve_request(&mut client, &mut worker, 1, DONE).await;
+    assert_eq!(faults.count(&format!("accept4 client {errno}")), 6);
+    let log = log_to_the_end(&mut scheduler).await;
+    assert!(!log.iter().any(|line| line.contains("no connection taken")), "{errno}: {log:?}");
 }
 
 #[tokio::test]
@@ -280,3 +285,33 @@
         log_to_the_end(&mut scheduler).await;
     }
 }
+
+// Guards against a second run of a request that was written to a connection which had broken while it rested, and
+// against a promise that it never ran.
+#[tokio::test]
+async fn a_request_on_a_kept_connection_that_has_broken_is_not_repeated_if_it_may_run_but_once() {
+    for (call, errno) in
+        BROKEN_CONNECTION_ERRORS.iter().flat_map(|errno| ["recv", "send"].map(|call| (call, errno)))
+    {
+        let mut worker = FakeServer::start().await;
+        // The first on each side is the first request's.
+        let statement = format!("fail {call} worker {errno} calls 2");
+        let (scheduler, faults) = start_with_faults(&statement, &[worker.address]).await;
+        let mut client = scheduler.client().await;
+        scheduler.serve_request(&mut client, &mut worker, 1, DONE).await;
+        client.send_request("once", 2, 9000).await;
+        let answer = tokio::select! {
+            // Its answer does not come through.
+            request = worker.next_request() => {
+                assert_eq!(call, "recv", "{errno}");
+                request.accept();
+                client.next_response().await
+            }
+            answer = client.next_response() => answer,
+        };
+        assert_eq!(answer.expect("an answer").status(), 500, "{call} {errno}");
+        assert_eq!(faults.injected(), [format!("{call} worker {errno}")]);
+        assert!(worker.is_idle(), "{call} {errno}");
+        scheduler.serve_request(&mut client, &mut worker, 3, DONE).await;
+    }
+}
