--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -1,56 +1,31 @@
 //! Serves one client connection: the deadline of its first request, its requests one after the other, and its
 //! end. Clients that send nothing, stop half-way, send too much or frame a body in two ways must not use up
 //! the connections, the memory or the responses of the usual ones.
-use std::convert::Infallible;
-use std::future::poll_fn;
+use std::future::{poll_fn, ready};
+use std::pin::Pin;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::atomic::Ordering;
 use std::task::{Context, Poll};
-use std::time::Duration;
 
-use axum::body::Body;
-use axum::http::header::{self, HeaderValue};
-use axum::response::Response;
 use copperspread_dispatcher::{Micros, SECOND};
-use futures_util::future::BoxFuture;
-use hyper::body::Incoming;
 use hyper::server::conn::http1;
-use hyper::service::Service;
-use hyper_util::rt::{TokioIo, TokioTimer};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
-use tokio::time::{Instant, sleep_until, timeout_at};
+use tokio::time::{Instant, sleep_until};
 use tokio_util::io::InspectReader;
 
 use crate::clock::from_now;
+use crate::downstream::connection_close::{CloseReason, ConnectionEnd, LINGER_TIMEOUT, close, write_refusal};
 use crate::downstream::connection_limits::{ConnectionPermit, ConnectionState, EVICTION_NOTICE};
-use crate::downstream::raw_head::{MAX_HEAD_BYTES, RawHead};
-use crate::downstream::read_ahead::ReadAhead;
+use crate::downstream::raw_head::MAX_HEAD_BYTES;
+use crate::downstream::read_ahead::{ReadAhead, Unread};
 use crate::downstream::request_handler::RequestHandler;
-use crate::downstream::request_limits::RequestLimits;
+use crate::downstream::served_connection::{RequestService, ServedConnection, ServerStep};
 use crate::invariant::note;
-use crate::shutdown::ShutdownPhase;
+use crate::shutdown::{ShutdownPhase, ShutdownWatch};
 
-/// The first whole request of a connection has come by then, or the connection ends. Apart from the limit
-/// between requests, so that it cuts no usual client, which sends as soon as it connects.
-const FIRST_REQUEST_TIMEOUT: Micros = 2 * SECOND;
-/// A later request's body has come this long after its head.
-const BODY_TIMEOUT: Micros = 2 * SECOND;
 /// A connection that sends no further request for this long is closed.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// After the last response on a connection that this side closes, what still comes is read and dropped for so
-/// long and so much, as a reset over unread data would take the response from its reader.
-const LINGER_TIMEOUT: Micros = 2 * SECOND;
-const MAX_LINGER_BYTES: u64 = 64 << 20;
-
-/// How a connection's last request ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ConnectionEnd {
-    /// With a response that its reader may not have yet.
-    Responded,
-    /// Without: the client has disconnected, or is not waited for.
-    Abandoned,
-}
+const IDLE_TIMEOUT: Micros = 75 * SECOND;
 
 /// Serves one client connection until either side closes it.
 pub(super) async fn serve_connection(
@@ -61,81 +36,25 @@
     let _ = stream.set_nodelay(true);
     let stream = ReadAhead::new(stream);
     let connection = ClientConnection::new(handler, stream.clone(), Arc::clone(&permit));
-    if connection.serve_requests().await == ConnectionEnd::Abandoned {
-        return;
-    }
+    let end = connection.serve_requests().await;
     permit.set_state(ConnectionState::Closing);
     let Some(stream) = stream.into_stream() else { return };
     tokio::select! {
-        () = linger(stream) => {}
+        () = close(stream, end) => {}
         () = permit.eviction.notified() => {}
     }
 }
 
-/// Closes a connection whose response may still be on its way to its reader.
-async fn linger(mut stream: TcpStream) {
-    if stream.shutdown().await.is_ok() {
-        let mut rest = stream.take(MAX_LINGER_BYTES);
-        let _ =
-            timeout_at(from_now(LINGER_TIMEOUT), tokio::io::copy(&mut rest, &mut tokio::io::sink())).await;
-    }
-}
-
-/// What a connection's loop and its requests share. All of it is used from one task.
-struct Shared {
-    handler: Arc<RequestHandler>,
-    permit: Arc<ConnectionPermit>,
-    stream: ReadAhead,
-    raw_head: RawHead,
-    first_request_deadline: Instant,
-    /// The last request was a client's, and not a callback.
-    is_used_by_client: AtomicBool,
-    /// A request has come to its last byte and is being answered.
-    is_request_complete: Arc<AtomicBool>,
-}
-
 /// A connection's stream, whose bytes an observer sees as the server library reads them.
 type ObservedStream<Observer> = TokioIo<InspectReader<ReadAhead, Observer>>;
 
-/// Answers the requests of one connection.
-struct RequestService(Arc<Shared>);
-
-impl Service<hyper::Request<Incoming>> for RequestService {
-    type Response = Response;
-    type Error = Infallible;
-    type Future = BoxFuture<'static, Result<Response, Infallible>>;
-
-    fn call(&self, request: hyper::Request<Incoming>) -> Self::Future {
-        let shared = Arc::clone(&self.0);
-        let body_deadline = if shared.permit.is_in_state(ConnectionState::New) {
-            shared.first_request_deadline
-        } else {
-            from_now(BODY_TIMEOUT)
-        };
-        Box::pin(async move { Ok(shared.respond(request, body_deadline).await) })
-    }
-}
+/// The server library on one connection.
+type Server<Observer> = http1::Connection<ObservedStream<Observer>, RequestService>;
 
-impl Shared {
-    async fn respond(&self, request: hyper::Request<Incoming>, body_deadline: Instant) -> Response {
-        self.permit.set_state(ConnectionState::Serving);
-        self.is_used_by_client.store(self.handler.is_client_request(&request), Ordering::Relaxed);
-        let limits = RequestLimits {
-            body_deadline,
-            body_memory: Arc::clone(&self.handler.body_memory),
-            is_request_complete: Arc::clone(&self.is_request_complete),
-        };
-        let raw_head = self.raw_head.take();
-        let mut response = self.handler.respond(request.map(Body::new), &raw_head, limits).await;
-        self.is_request_complete.store(false, Ordering::Relaxed);
-        // More came than was kept: what follows cannot be read as a request.
-        if self.stream.is_overrun() {
-            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
-        }
-        self.raw_head.start();
-        self.permit.set_state(ConnectionState::Idle);
-        response
-    }
+/// A close that was decided on. A request that has come by then is served all the same.
+struct PendingClose {
+    reason: CloseReason,
+    unread: Unread,
 }
 
 /// What a phase of the shutdown means for a connection.
@@ -148,10 +67,28 @@
     CloseIfIdle,
 }
 
+/// What happens next on a connection.
+enum ConnectionEvent {
+    /// Its last request has ended.
+    Ended(ConnectionEnd),
+    /// The next head is due at another instant than before.
+    DeadlineMoved,
+    /// The server has been polled since a close was decided on.
+    PendingClosePolled,
+    /// The shutdown has advanced.
+    ShutdownAdvanced,
+    /// The next request's head has not come by its deadline.
+    HeadOverdue,
+    /// The connection is asked for its permit.
+    EvictionNotified,
+    /// It has had notice of that for long enough.
+    EvictionDue,
+}
+
 /// One client connection and what its loop alone knows.
 struct ClientConnection {
-    shared: Arc<Shared>,
-    is_past_first_deadline: bool,
+    shared: Arc<ServedConnection>,
+    pending_close: Option<PendingClose>,
     /// When it closes, if it is being evicted and begins no request before.
     eviction_deadline: Option<Instant>,
 }
@@ -162,75 +99,161 @@
         stream: ReadAhead,
         permit: Arc<ConnectionPermit>,
     ) -> ClientConnection {
-        let shared = Shared {
-            handler,
-            permit,
-            stream,
-            raw_head: RawHead::default(),
-            first_request_deadline: from_now(FIRST_REQUEST_TIMEOUT),
-            is_used_by_client: AtomicBool::new(false),
-            is_request_complete: Arc::new(AtomicBool::new(false)),
-        };
-        ClientConnection { shared: Arc::new(shared), is_past_first_deadline: false, eviction_deadline: None }
+        let shared = Arc::new(ServedConnection::new(handler, stream, permit));
+        ClientConnection { shared, pending_close: None, eviction_deadline: None }
     }
 
     /// Answers one request after the other.
     async fn serve_requests(mut self) -> ConnectionEnd {
         let mut server = self.start_server();
         let mut shutdown = self.shared.handler.shutdown.watch();
-        let first_request_deadline = self.shared.first_request_deadline;
         loop {
-            tokio::select! {
-                biased;
-                // First of all: what has come is read, and what is to be written is, before anything ends. The
-                // connection is not shut down at once: what its peer still sends is read first.
-                _ = poll_fn(|cx| server.poll_without_shutdown(cx)) => return ConnectionEnd::Responded,
-                // Right after the request was read, and so before its task has sent anything: a client may
-                // send and disconnect at once, or disconnect while it waits. Dropping the connection notifies
-                // the request's task.
-                () = poll_fn(|cx| self.poll_client_disconnected(cx)) => return ConnectionEnd::Abandoned,
-                _ = shutdown.changed() => match self.shutdown_step() {
-                    ShutdownStep::Stay => {}
-                    ShutdownStep::FinishWriting => std::pin::Pin::new(&mut server).graceful_shutdown(),
-                    ShutdownStep::CloseIfIdle => {
-                        let unread = server.into_parts().read_buf;
-                        if !self.has_started_request(&unread) {
-                            return ConnectionEnd::Responded;
-                        }
-                        server = self.start_server();
-                    }
+            let close_reason = match self.next_event(&mut server, &mut shutdown).await {
+                ConnectionEvent::Ended(end) => return end,
+                ConnectionEvent::DeadlineMoved => None,
+                ConnectionEvent::PendingClosePolled => match self.finish_pending_close().await {
+                    Some(end) => return end,
+                    None => None,
                 },
-                // Clients that connect and send nothing, or begin a request and do not end it.
-                () = sleep_until(first_request_deadline), if !self.is_past_first_deadline => {
-                    self.is_past_first_deadline = true;
-                    if self.shared.permit.is_in_state(ConnectionState::New) {
-                        note("no first request in time", "closed");
-                        return ConnectionEnd::Abandoned;
+                ConnectionEvent::ShutdownAdvanced => {
+                    match self.shutdown_step() {
+                        ShutdownStep::Stay => {}
+                        ShutdownStep::FinishWriting => Pin::new(&mut server).graceful_shutdown(),
+                        ShutdownStep::CloseIfIdle => {
+                            if self.take_back(server) == Unread::Nothing {
+                                return ConnectionEnd::Idle;
+                            }
+                            server = self.start_server();
+                        }
                     }
+                    None
                 }
-                () = self.shared.permit.eviction.notified(), if self.eviction_deadline.is_none() => {
+                ConnectionEvent::HeadOverdue => Some(CloseReason::TimedOut),
+                ConnectionEvent::EvictionNotified => {
                     self.eviction_deadline = Some(from_now(EVICTION_NOTICE));
+                    None
                 }
-                () = sleep_until(self.eviction_deadline.unwrap_or(first_request_deadline)),
-                    if self.eviction_deadline.is_some() =>
-                {
+                ConnectionEvent::EvictionDue => {
                     self.eviction_deadline = None;
-                    if self.shared.permit.is_in_state(ConnectionState::Evicting) {
-                        note("an edge connection gave its place up", "closed");
-                        return ConnectionEnd::Abandoned;
+                    let is_evicting = self.shared.permit.is_in_state(ConnectionState::Evicting);
+                    is_evicting.then_some(CloseReason::Evicted)
+                }
+            };
+            if let Some(reason) = close_reason
+                && !self.postpones_close(reason)
+            {
+                self.pending_close = Some(PendingClose { reason, unread: self.take_back(server) });
+                server = self.start_server();
+            }
+        }
+    }
+
+    /// Waits for the next event; of several the first in this order.
+    async fn next_event(
+        &self,
+        server: &mut Server<impl FnMut(&[u8]) + Unpin>,
+        shutdown: &mut ShutdownWatch,
+    ) -> ConnectionEvent {
+        let head_deadline = self.shared.head_deadline();
+        tokio::select! {
+            biased;
+            // First of all: what has come is read, and what is to be written is, before anything ends. The
+            // connection is not shut down at once: what its peer still sends is read first.
+            step = poll_fn(|cx| {
+                let polled = server.poll_without_shutdown(cx);
+                self.shared.server_step(polled, head_deadline)
+            }) => match step {
+                ServerStep::Finished => {
+                    if self.shared.stream.presence().is_gone() {
+                        self.shared.count_disconnected();
                     }
+                    ConnectionEvent::Ended(ConnectionEnd::Responded)
                 }
+                ServerStep::DeadlineMoved => ConnectionEvent::DeadlineMoved,
+            },
+            // Right after the request was read, and so before its task has sent anything: a client may
+            // send and disconnect at once, or disconnect while it waits. Dropping the connection notifies
+            // the request's task.
+            () = poll_fn(|cx| self.poll_client_disconnected(cx)) => {
+                self.shared.count_disconnected();
+                ConnectionEvent::Ended(ConnectionEnd::Abandoned)
             }
+            () = ready(()), if self.pending_close.is_some() => ConnectionEvent::PendingClosePolled,
+            _ = shutdown.changed() => ConnectionEvent::ShutdownAdvanced,
+            // Clients that connect and send nothing, or begin a request and do not end it.
+            () = sleep_until(head_deadline.unwrap_or_else(Instant::now)), if head_deadline.is_some() => {
+                ConnectionEvent::HeadOverdue
+            }
+            () = self.shared.permit.eviction.notified(), if self.eviction_deadline.is_none() => {
+                ConnectionEvent::EvictionNotified
+            }
+            () = sleep_until(self.eviction_deadline.unwrap_or_else(Instant::now)),
+                if self.eviction_deadline.is_some() => ConnectionEvent::EvictionDue,
+        }
+    }
+
+    /// Whether a response that waits for its reader keeps the connection open for now.
+    fn postpones_close(&self, reason: CloseReason) -> bool {
+        let blocked_until = match reason {
+            CloseReason::TimedOut => self.shared.idle_for(IDLE_TIMEOUT),
+            CloseReason::Evicted => self.shared.idle_for(LINGER_TIMEOUT),
+        };
+        if !self.shared.stream.is_write_blocked() || Instant::now() >= blocked_until {
+            return false;
+        }
+        match reason {
+            CloseReason::TimedOut => self.shared.set_head_deadline(Some(blocked_until)),
+            CloseReason::Evicted => self.shared.permit.set_state(ConnectionState::Idle),
+        }
+        true
+    }
+
+    /// Closes the connection for its pending reason, unless a request has come by now; none if it stays.
+    async fn finish_pending_close(&mut self) -> Option<ConnectionEnd> {
+        let PendingClose { reason, unread } = self.pending_close.take()?;
+        let shared = &self.shared;
+        if shared.permit.is_in_state(ConnectionState::Serving) {
+            return None;
+        }
+        let is_first = !shared.has_received_request.load(Ordering::Relaxed);
+        match (unread, reason) {
+            (Unread::Nothing, CloseReason::Evicted) => {
+                note("an edge connection gave its place up", "closed");
+                Some(ConnectionEnd::Abandoned)
+            }
+            (Unread::Nothing, CloseReason::TimedOut) if is_first => {
+                note("no first request in time", "closed");
+                Some(ConnectionEnd::Abandoned)
+            }
+            (Unread::Nothing, CloseReason::TimedOut) => self.end_if_idle(),
+            (Unread::NewBytes, CloseReason::TimedOut) if !is_first => None,
+            (Unread::NewBytes, CloseReason::Evicted) => None,
+            (Unread::Bytes | Unread::NewBytes, _) => {
+                note("a request did not come to its end", "refused");
+                write_refusal(shared.stream.clone(), reason.partial_request_status()).await;
+                Some(ConnectionEnd::Responded)
+            }
+            (Unread::End, _) => Some(ConnectionEnd::Abandoned),
+        }
+    }
+
+    /// Closes a connection that has rested for too long, or looks again when it will have.
+    fn end_if_idle(&self) -> Option<ConnectionEnd> {
+        let idle_until = self.shared.idle_for(IDLE_TIMEOUT);
+        if Instant::now() >= idle_until {
+            return Some(ConnectionEnd::Idle);
         }
+        self.shared.set_head_deadline(Some(idle_until));
+        None
     }
 
     /// The server library on this connection, which reads from its next unread byte.
-    fn start_server(&self) -> http1::Connection<ObservedStream<impl FnMut(&[u8]) + use<>>, RequestService> {
+    fn start_server(&self) -> Server<impl FnMut(&[u8]) + Unpin + use<>> {
         let shared = Arc::clone(&self.shared);
         let reader =
-            InspectReader::new(self.shared.stream.clone(), move |bytes: &[u8]| shared.raw_head.add(bytes));
+            InspectReader::new(self.shared.stream.clone(), move |bytes: &[u8]| shared.observe_read(bytes));
         let mut builder = http1::Builder::new();
-        builder.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT).max_buf_size(MAX_HEAD_BYTES);
+        builder.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
         builder.serve_connection(TokioIo::new(reader), RequestService(Arc::clone(&self.shared)))
     }
 
@@ -259,11 +282,11 @@
         }
     }
 
-    /// Whether a request has begun to come, by what the server had read and not used, or what waits in the
-    /// stream. All of it is read again by the next server.
-    fn has_started_request(&self, unread: &[u8]) -> bool {
+    /// Ends a server; what it had read and not used, or what waits in the stream, is read again by the next.
+    fn take_back(&self, server: Server<impl FnMut(&[u8]) + Unpin>) -> Unread {
+        let unused = server.into_parts().read_buf;
         self.shared.raw_head.take();
         self.shared.raw_head.start();
-        self.shared.stream.put_back(unread)
+        self.shared.stream.put_back(&unused)
     }
 }
--- a/crates/proxy/src/downstream/client_connections.rs
+++ b/crates/proxy/src/downstream/client_connections.rs
@@ -13,6 +13,7 @@
 use crate::downstream::client_connection::serve_connection;
 use crate::downstream::connection_limits::{ConnectionLimits, max_connections};
 use crate::downstream::request_handler::RequestHandler;
+use crate::downstream::request_totals::RequestTotals;
 use crate::invariant::note;
 use crate::shutdown::{Shutdown, ShutdownPhase};
 
@@ -46,6 +47,11 @@
         })
     }
 
+    /// What became of clients' requests so far.
+    pub fn request_totals(&self) -> RequestTotals {
+        self.handler.totals.totals()
+    }
+
     /// Accepts connections until they close. Each is served in a task of its own, which ends with it.
     async fn accept_all(self: Arc<Self>) {
         let listener = self.listener.lock().unwrap_or_else(PoisonError::into_inner).take();
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -14,6 +14,8 @@
 const CONNECTION_BYTES: usize = 2 * MAX_HEAD_BYTES;
 /// A connection younger in its state than this is not evicted: its request may be on its way.
 const EVICTION_GRACE: Micros = 20_000;
+/// A connection that is in the middle of a head is not evicted before this: clients may write slowly.
+const HEAD_EVICTION_GRACE: Micros = 250_000;
 /// A connection that is being evicted may still begin a request for so long.
 pub(super) const EVICTION_NOTICE: Micros = 5_000;
 
@@ -30,6 +32,8 @@
 pub(super) enum ConnectionState {
     /// Its first request has not come.
     New,
+    /// Part of a request's head has come.
+    Receiving,
     /// A request is read or answered.
     Serving,
     /// It is between requests.
@@ -47,9 +51,21 @@
 }
 
 impl ConnectionEntry {
-    /// It has sent nothing, or has nothing more to receive.
-    fn is_unused(&self) -> bool {
-        matches!(self.state, ConnectionState::New | ConnectionState::Closing)
+    /// Connections of the lowest rank are evicted first; those of none are not.
+    fn eviction_rank(&self) -> Option<u8> {
+        match self.state {
+            // They have sent nothing, or have nothing more to receive.
+            ConnectionState::New | ConnectionState::Closing => Some(0),
+            ConnectionState::Idle => Some(1),
+            ConnectionState::Receiving => Some(2),
+            ConnectionState::Serving | ConnectionState::Evicting => None,
+        }
+    }
+
+    fn is_past_grace(&self) -> bool {
+        let is_receiving = self.state == ConnectionState::Receiving;
+        let grace = if is_receiving { HEAD_EVICTION_GRACE } else { EVICTION_GRACE };
+        self.since.elapsed() >= Duration::from_micros(grace)
     }
 }
 
@@ -116,17 +132,17 @@
         }
     }
 
-    /// Evicts one connection: those that are unused first, then those between requests; each time the one that
-    /// has been so for longest. False if there is none.
+    /// Evicts one connection: those that are unused first, then those between requests, and last those in the
+    /// middle of a head; each time the one that has been so for longest. False if there is none.
     fn evict_one(&mut self) -> bool {
-        let grace = Duration::from_micros(EVICTION_GRACE);
-        let all_used = self.connections.values().all(|entry| !entry.is_unused());
+        let Some(rank) = self.connections.values().filter_map(ConnectionEntry::eviction_rank).min() else {
+            return false;
+        };
         let longest = self
             .connections
             .values_mut()
-            .filter(|entry| entry.since.elapsed() >= grace)
-            .filter(|entry| entry.is_unused() || (all_used && entry.state == ConnectionState::Idle))
-            .reduce(|longest, entry| if entry.since < longest.since { entry } else { longest });
+            .filter(|entry| entry.eviction_rank() == Some(rank) && entry.is_past_grace())
+            .min_by_key(|entry| entry.since);
         let Some(longest) = longest else { return false };
         longest.state = ConnectionState::Evicting;
         longest.eviction.notify_one();
@@ -149,6 +165,13 @@
         }
     }
 
+    /// Part of a head has come: the connection has begun a request, also while it is being evicted.
+    pub(super) fn set_receiving(&self) {
+        if !self.is_in_state(ConnectionState::Receiving) {
+            self.set_state(ConnectionState::Receiving);
+        }
+    }
+
     pub(super) fn is_in_state(&self, state: ConnectionState) -> bool {
         self.limits.lock().connections.get(&self.number).is_some_and(|entry| entry.state == state)
     }
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -188,6 +188,7 @@
         idempotency,
         body: body.bytes,
         body_permit: body.permit,
+        client: limits.client_presence(),
     };
     Ok(AdmissionRequest { request, deadline, upstream_request })
 }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -5,12 +5,15 @@
 
 mod client_connection;
 pub mod client_connections;
+mod connection_close;
 pub mod connection_limits;
 pub mod http;
 mod raw_head;
 pub mod read_ahead;
 mod request_handler;
 pub mod request_limits;
+pub mod request_totals;
+mod served_connection;
 
 /// A protocol that clients speak. It starts a request's task for what it has accepted and gives the final
 /// response its form; it rejects nothing by itself.
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -24,12 +24,13 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds bytes that the library reads.
-    pub(super) fn add(&self, bytes: &[u8]) {
+    /// Adds bytes that the library reads; whether they belong to a head.
+    pub(super) fn add(&self, bytes: &[u8]) -> bool {
         let mut inner = self.lock();
         if !inner.is_complete && inner.bytes.len() <= MAX_HEAD_BYTES {
             inner.bytes.extend_from_slice(bytes);
         }
+        !inner.is_complete
     }
 
     /// Takes what came since the last response; from here on a body is read.
--- a/crates/proxy/src/downstream/read_ahead.rs
+++ b/crates/proxy/src/downstream/read_ahead.rs
@@ -1,15 +1,18 @@
 //! A client connection's stream that can be read ahead of the server library: what has come is buffered for it,
 //! in order, and the stream's end is seen although the library does not read.
-use std::io;
+use std::io::{self, Read};
 use std::pin::Pin;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 use std::task::{Context, Poll, ready};
 
+use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
 /// Most bytes that are buffered ahead of the library.
 const MAX_BUFFERED_BYTES: usize = 8 * 1024;
+/// Most bytes that one check for the stream's end reads past: as many as a socket's receive buffer holds.
+const MAX_CHECKED_BYTES: usize = 8 << 20;
 
 struct Inner {
     stream: TcpStream,
@@ -21,6 +24,19 @@
     is_write_blocked: bool,
 }
 
+/// What stands in a stream that the library has not used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Unread {
+    /// Nothing so far.
+    Nothing,
+    /// Bytes that had been read, which the library reads next.
+    Bytes,
+    /// Bytes that have been read just now, which the library reads next.
+    NewBytes,
+    /// The stream's end, or its reset.
+    End,
+}
+
 /// A handle on the stream; its clones share it. All are used from one task, so that its waker serves them all.
 #[derive(Clone)]
 pub struct ReadAhead(Arc<Mutex<Inner>>);
@@ -62,19 +78,28 @@
         self.lock().is_write_blocked
     }
 
-    /// Takes back what the library had read and not used, and reads what else has come; whether there is
-    /// anything, or an end of the stream, that the library should see.
-    pub fn put_back(&self, unused: &[u8]) -> bool {
+    /// Takes back what the library had read and not used, and reads what else the system has.
+    pub fn put_back(&self, unused: &[u8]) -> Unread {
         let inner = &mut *self.lock();
         inner.buffered.splice(0..0, unused.iter().copied());
+        if !inner.buffered.is_empty() {
+            return Unread::Bytes;
+        }
         let mut bytes = [0; 1024];
-        if inner.buffered.is_empty()
-            && let Ok(count) = inner.stream.try_read(&mut bytes)
-        {
-            inner.buffered.extend_from_slice(&bytes[..count]);
-            return true;
+        match inner.read_now(&mut bytes) {
+            Ok(0) => Unread::End,
+            Ok(count) => {
+                inner.buffered.extend_from_slice(&bytes[..count]);
+                Unread::NewBytes
+            }
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Unread::Nothing,
+            Err(_) => Unread::End,
         }
-        !inner.buffered.is_empty()
+    }
+
+    /// Tells others whether the peer has disconnected; it does not keep the stream open.
+    pub fn presence(&self) -> PeerPresence {
+        PeerPresence(Arc::downgrade(&self.0))
     }
 
     /// The stream, where no clone is left.
@@ -84,7 +109,45 @@
     }
 }
 
+/// Whether a stream's peer is still connected.
+#[derive(Clone)]
+pub struct PeerPresence(Weak<Mutex<Inner>>);
+
+impl PeerPresence {
+    /// Whether the peer has closed or reset by now, or the stream is no longer served. Only while a whole request
+    /// is answered, as [`ReadAhead::poll_disconnected`], which sees an end only after the runtime has polled for
+    /// events: a process that was held up may have more to do before it does.
+    pub fn is_gone(&self) -> bool {
+        let Some(inner) = self.0.upgrade() else { return true };
+        let mut inner = inner.lock().unwrap_or_else(PoisonError::into_inner);
+        inner.has_ended()
+    }
+}
+
 impl Inner {
+    /// Reads what the system has, whatever the runtime knows of it.
+    fn read_now(&self, bytes: &mut [u8]) -> io::Result<usize> {
+        (&*SockRef::from(&self.stream)).read(bytes)
+    }
+
+    /// Buffers what has come; whether the stream's end has come behind it.
+    fn has_ended(&mut self) -> bool {
+        let mut bytes = [0; 16 * 1024];
+        let mut total = 0;
+        while total < MAX_CHECKED_BYTES {
+            match self.read_now(&mut bytes) {
+                Ok(0) => return true,
+                Ok(count) => {
+                    self.buffer(&bytes[..count]);
+                    total += count;
+                }
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => return error.kind() != io::ErrorKind::WouldBlock,
+            }
+        }
+        false
+    }
+
     fn buffer(&mut self, bytes: &[u8]) {
         self.is_overrun |= self.buffered.len() + bytes.len() > MAX_BUFFERED_BYTES;
         if !self.is_overrun {
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -12,6 +12,7 @@
 
 use crate::downstream::raw_head::has_conflicting_framing;
 use crate::downstream::request_limits::{RequestLimits, body_memory};
+use crate::downstream::request_totals::RequestCounters;
 use crate::invariant::note;
 use crate::shutdown::Shutdown;
 
@@ -24,6 +25,8 @@
     /// More clients' requests than this are not answered: the rest of the connections is for callbacks.
     max_client_requests: usize,
     pub(super) body_memory: Arc<Semaphore>,
+    /// What became of all clients' requests so far.
+    pub(super) totals: RequestCounters,
     /// Requests that are being read or answered.
     requests: AtomicUsize,
     /// Those of clients among them.
@@ -44,6 +47,7 @@
             shutdown,
             max_client_requests: max_connections - max_connections / 8,
             body_memory: body_memory(memory_limit_mb),
+            totals: RequestCounters::default(),
             requests: AtomicUsize::new(0),
             client_requests: AtomicUsize::new(0),
         }
@@ -64,18 +68,21 @@
         let _request = CountGuard::new(&self.requests);
         let is_client_request = self.is_client_request(&request);
         let _client_request = is_client_request.then(|| CountGuard::new(&self.client_requests));
+        let mut is_refused_unread = false;
         let mut response = if has_conflicting_framing(raw_head, request.headers()) {
             note("bad request", "a body framed in two ways");
             StatusCode::BAD_REQUEST.into_response()
         } else if is_client_request && self.is_crowded() {
             // Clients that use all connections would shut out the callbacks on which their responses wait. Not
             // a rejection: those are the policy's.
+            is_refused_unread = true;
             StatusCode::INTERNAL_SERVER_ERROR.into_response()
         } else {
             self.route(request, limits).await
         };
-        // A client whose request cannot be served must not keep its connection.
-        if self.shutdown.is_started() || response.status().is_client_error() {
+        // A client whose request cannot be served must not keep its connection. Nor may one whose body was left
+        // unread send its next request behind it.
+        if is_refused_unread || self.shutdown.is_started() || response.status().is_client_error() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- a/crates/proxy/src/downstream/request_limits.rs
+++ b/crates/proxy/src/downstream/request_limits.rs
@@ -5,7 +5,8 @@
 use tokio::sync::Semaphore;
 use tokio::time::Instant;
 
-use crate::messages::BodyPermit;
+use crate::downstream::read_ahead::PeerPresence;
+use crate::messages::{BodyPermit, ClientPresence};
 
 /// Longest body of a request.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
@@ -29,6 +30,8 @@
     pub(super) body_memory: Arc<Semaphore>,
     /// Shared with the request's connection.
     pub(super) is_request_complete: Arc<AtomicBool>,
+    /// Whether the request's client is still connected.
+    pub(super) peer: PeerPresence,
 }
 
 impl RequestLimits {
@@ -38,6 +41,12 @@
         self.is_request_complete.store(true, Ordering::Relaxed);
     }
 
+    /// Whether the client still waits, from when its request is complete to its response.
+    pub fn client_presence(&self) -> ClientPresence {
+        let peer = self.peer.clone();
+        ClientPresence::new(move || peer.is_gone())
+    }
+
     /// Waits for the memory of a body of at most so many bytes.
     pub async fn acquire_body_permit(&self, max_bytes: usize) -> BodyPermit {
         if max_bytes <= MAX_UNCOUNTED_BODY_BYTES {
--- /dev/null
+++ b/crates/proxy/src/downstream/request_totals.rs
@@ -0,0 +1,50 @@
+//! Counts what becomes of clients' requests: each that was received has its response, or its client left first.
+use std::sync::atomic::{AtomicU64, Ordering};
+
+/// What became of clients' requests so far.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RequestTotals {
+    /// Requests whose head was received.
+    pub received: u64,
+    /// Requests whose final response was written.
+    pub answered: u64,
+    /// Requests whose client disconnected first.
+    pub disconnected: u64,
+}
+
+impl RequestTotals {
+    /// Requests that have no response although their client is there.
+    pub fn unanswered(&self) -> u64 {
+        self.received.saturating_sub(self.answered + self.disconnected)
+    }
+}
+
+/// The counters behind [`RequestTotals`].
+#[derive(Default)]
+pub(super) struct RequestCounters {
+    received: AtomicU64,
+    answered: AtomicU64,
+    disconnected: AtomicU64,
+}
+
+impl RequestCounters {
+    pub(super) fn add_received(&self) {
+        self.received.fetch_add(1, Ordering::Relaxed);
+    }
+
+    pub(super) fn add_answered(&self, count: usize) {
+        self.answered.fetch_add(count as u64, Ordering::Relaxed);
+    }
+
+    pub(super) fn add_disconnected(&self, count: usize) {
+        self.disconnected.fetch_add(count as u64, Ordering::Relaxed);
+    }
+
+    pub(super) fn totals(&self) -> RequestTotals {
+        RequestTotals {
+            received: self.received.load(Ordering::Relaxed),
+            answered: self.answered.load(Ordering::Relaxed),
+            disconnected: self.disconnected.load(Ordering::Relaxed),
+        }
+    }
+}
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,6 +1,7 @@
 //! The messages between a client connection, a request's task and the upstream: the request as the client
 //! sent it, what workers report of it, and the final response. The forms are HTTP's own message parts, since
 //! the platform wants path and headers forwarded unchanged; a protocol that has none leaves them empty.
+use std::fmt;
 use std::sync::Arc;
 
 use bytes::Bytes;
@@ -21,6 +22,30 @@
 /// none.
 pub type BodyPermit = Option<Arc<OwnedSemaphorePermit>>;
 
+/// Whether a request's client still waits for its response, by what the system knows at this instant. The default
+/// is a client that never leaves.
+#[derive(Clone, Default)]
+pub struct ClientPresence(Option<Arc<dyn Fn() -> bool + Send + Sync>>);
+
+impl ClientPresence {
+    /// The presence of a client of whom a function tells whether it has gone.
+    pub fn new(is_gone: impl Fn() -> bool + Send + Sync + 'static) -> ClientPresence {
+        ClientPresence(Some(Arc::new(is_gone)))
+    }
+
+    /// Whether the client has gone. It does not wait; an upstream asks it in the step in which it writes, after
+    /// `CancellationToken::is_cancelled`, and not once that is true.
+    pub fn is_gone(&self) -> bool {
+        self.0.as_ref().is_some_and(|is_gone| is_gone())
+    }
+}
+
+impl fmt::Debug for ClientPresence {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.debug_tuple("ClientPresence").field(&self.0.is_some()).finish()
+    }
+}
+
 /// What of a client's request is forwarded to a worker.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
@@ -36,6 +61,8 @@
     pub body: Bytes,
     /// The memory that the body holds.
     pub body_permit: BodyPermit,
+    /// No attempt is written once the client has gone.
+    pub client: ClientPresence,
 }
 
 /// What a request's task starts with.
--- a/crates/proxy/tests/interfaces.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -198,6 +198,7 @@
             idempotency: CLASSES[class as usize],
             body: Bytes::new(),
             body_permit: None,
+            client: Default::default(),
         };
         AdmissionRequest { request, deadline: from_now(request.time_left), upstream_request }
     }
--- a/crates/scheduler/tests/answers.rs
+++ b/crates/scheduler/tests/answers.rs
@@ -128,13 +128,15 @@
 }
 
 #[tokio::test]
-async fn a_connection_without_a_complete_head_within_2_s_is_closed() {
+async fn a_connection_without_a_complete_head_within_2_s_gets_408_or_is_closed() {
     let scheduler = Scheduler::start(&[]).await;
     let since = Instant::now();
     let mut silent = scheduler.client().await;
     let mut half = scheduler.client().await;
     half.send("POST /safe/k HTTP/1.1\r\nHo").await;
-    assert!(silent.next_response().await.is_none() && half.next_response().await.is_none());
+    assert!(silent.next_response().await.is_none());
+    assert_eq!(half.next_response().await.expect("an answer").status(), 408);
+    assert!(half.closes_cleanly().await);
     let took = since.elapsed();
     assert!((Duration::from_millis(1_900)..Duration::from_secs(4)).contains(&took), "{took:?}");
 }
--- a/crates/scheduler/tests/connection_limits.rs
+++ b/crates/scheduler/tests/connection_limits.rs
@@ -80,6 +80,7 @@
         idempotency: Idempotency::Idempotent,
         body,
         body_permit: None,
+        client: Default::default(),
     };
     for (revision, phase) in [(2, "DRAINING"), (3, "DELETED")] {
         apply(&endpoints, &endpoint_list(revision, true, &[endpoint("r0", server.address, phase)]));
@@ -120,7 +121,13 @@
         crowd.push(client);
     }
     // All but the last eighth of the 32 connections read or wait for an answer.
-    while scheduler.client().await.exchange(&request_text("once", 200, 9000)).await.status() != 500 {}
+    let refused = loop {
+        let answer = scheduler.client().await.exchange(&request_text("once", 200, 9000)).await;
+        if answer.status() == 500 {
+            break answer;
+        }
+    };
+    assert_eq!(refused.headers["connection"], "close", "nothing is sent behind a body that was left unread");
     assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
     assert_eq!(first.next_response().await.expect("an answer").status(), 200);
 }
@@ -136,7 +143,7 @@
     let since = Instant::now();
     let good = request_text("once", 100, 9000);
     let mut bad = Vec::new();
-    for (part, status) in [("", None), (&good[..40], None), (&good[..good.len() - 1], Some(408))] {
+    for (part, status) in [("", None), (&good[..40], Some(408)), (&good[..good.len() - 1], Some(408))] {
         let mut client = scheduler.client().await;
         client.send(part).await;
         bad.push((client, status));
--- /dev/null
+++ b/crates/scheduler/tests/departed_clients.rs
@@ -0,0 +1,154 @@
+//! No attempt begins for a client that has gone, wherever its request was when it went.
+#[path = "sockets/raw_worker.rs"]
+mod raw_worker;
+mod sockets;
+
+use std::time::{Duration, Instant};
+
+use raw_worker::{RawWorker, read_to_end};
+use sockets::*;
+
+const DONE: &str = r#""state":"done","result":"ok""#;
+const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
+
+/// Well under the requests' deadline, at which all is cancelled in any case.
+const MAX_CANCELLATION_TIME: Duration = Duration::from_secs(3);
+
+/// Serves one more request: what had been sent to the worker before would have come before it.
+async fn expect_nothing_before(scheduler: &Scheduler, worker: &mut FakeServer, number: u64) {
+    let mut client = scheduler.client().await;
+    client.send_request("once", number, 9000).await;
+    let id = worker.next_request().await.accept();
+    assert_eq!(id, format!("{number:016x}"), "it is the first that comes");
+    assert_eq!(scheduler.call_back(&id, "r0", DONE).await, 204);
+    assert_eq!(client.next_response().await.expect("an answer").status(), 200);
+    assert!(worker.is_idle());
+}
+
+// The connection, its request and its end wait in the kernel for a scheduler that is held up.
+#[tokio::test]
+async fn a_client_that_left_in_the_accept_queue_has_no_attempt() {
+    let mut worker = FakeServer::start().await;
+    let scheduler = Scheduler::start(&[worker.address]).await;
+    let mut kept = Vec::new();
+    scheduler.signal("STOP").await;
+    for number in 0..30 {
+        let mut client = scheduler.client().await;
+        let text = request_text("safe", 100 + number, 9000);
+        let (head, rest) = text.split_at(if number < 15 { text.len() } else { text.len() - 1 });
+        client.send(head).await;
+        client.send(rest).await;
+        kept.extend(client.leave(WAYS_TO_LEAVE[number as usize % 3]).await);
+    }
+    tokio::time::sleep(Duration::from_millis(150)).await;
+    scheduler.signal("CONT").await;
+    expect_nothing_before(&scheduler, &mut worker, 1).await;
+}
+
+// The request waits behind a crowd: for a descriptor, for a permit, for the memory of its body.
+#[tokio::test]
+async fn a_client_that_left_while_its_request_waited_has_no_attempt() {
+    let large = request_text("safe", 7, 9000).replace("Content-Length: 2", "Content-Length: 65536");
+    let large = large.strip_suffix("hi").expect("a body").to_owned();
+    let (unlimited, no_edit) = ("exec \"$PROGRAM\"", ("\"cores\":1.0", "\"cores\":1.0"));
+    let cases = [
+        ("descriptors", "ulimit -n 24; exec \"$PROGRAM\"", no_edit, 40, String::new()),
+        ("permits", unlimited, ("\"sockets\":1024", "\"sockets\":64"), 32, large.clone()),
+        ("memory", unlimited, ("\"memory_mb\":192", "\"memory_mb\":1"), 4, large.clone()),
+    ];
+    for (what, command, (from, to), crowd_size, text) in cases {
+        let mut worker = FakeServer::start().await;
+        let scheduler =
+            Scheduler::start_edited(command, &[worker.address], |config| config.replace(from, to)).await;
+        let mut crowd = Vec::new();
+        for number in 0..crowd_size {
+            let mut client = scheduler.client().await;
+            client.send(&text.replace(&format!("{:016x}", 7), &format!("{:016x}", 1_000 + number))).await;
+            crowd.push(client);
+        }
+        tokio::time::sleep(Duration::from_millis(100)).await;
+        let mut kept = Vec::new();
+        for (number, how) in (200..).zip(WAYS_TO_LEAVE) {
+            let mut client = scheduler.client().await;
+            let text = large.replace(&format!("{:016x}", 7), &format!("{number:016x}"));
+            client.send(&(text + &"x".repeat(65_536))).await;
+            kept.extend(client.leave(how).await);
+        }
+        tokio::time::sleep(Duration::from_millis(150)).await;
+        assert!(worker.is_idle(), "{what}: they wait");
+        drop(crowd);
+        tokio::time::sleep(Duration::from_millis(150)).await;
+        expect_nothing_before(&scheduler, &mut worker, 1).await;
+    }
+}
+
+// Behind another request, whose attempt ends only after the client has gone.
+#[tokio::test]
+async fn a_pipelined_request_of_a_client_that_left_has_no_attempt() {
+    for (number, how) in (300..).step_by(2).zip(WAYS_TO_LEAVE) {
+        let mut worker = FakeServer::start().await;
+        let scheduler = Scheduler::start(&[worker.address]).await;
+        let mut client = scheduler.client().await;
+        client.send(&(request_text("safe", number, 9000) + &request_text("safe", number + 1, 9000))).await;
+        let first = worker.next_request().await;
+        let left_at = Instant::now();
+        let _kept = client.leave(how).await;
+        first.wait_until_closed().await;
+        assert!(left_at.elapsed() < MAX_CANCELLATION_TIME, "{how}: {:?}", left_at.elapsed());
+        expect_nothing_before(&scheduler, &mut worker, 1).await;
+    }
+}
+
+// The refusal that would bring a retry, and the client's end, come while the scheduler is held up: in either order.
+#[tokio::test]
+async fn a_retry_does_not_begin_after_the_client_left() {
+    for (number, how) in (400..).zip(WAYS_TO_LEAVE.iter().cycle().take(6)) {
+        let (mut one, mut two) = (FakeServer::start().await, FakeServer::start().await);
+        let scheduler = Scheduler::start(&[one.address, two.address]).await;
+        let mut client = scheduler.client().await;
+        client.send_request("safe", number, 9000).await;
+        let first =
+            tokio::select! { first = one.next_request() => first, first = two.next_request() => first };
+        scheduler.signal("STOP").await;
+        let refuse = || first.respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "");
+        let _kept = if number % 2 == 0 {
+            refuse();
+            tokio::time::sleep(Duration::from_millis(20)).await;
+            client.leave(how).await
+        } else {
+            let kept = client.leave(how).await;
+            refuse();
+            kept
+        };
+        tokio::time::sleep(Duration::from_millis(150)).await;
+        scheduler.signal("CONT").await;
+        for _ in 0..3 {
+            assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
+        }
+        tokio::time::sleep(Duration::from_millis(50)).await;
+        assert!(one.is_idle() && two.is_idle(), "{how}");
+    }
+}
+
+// The connection to the worker comes up some time after the client went.
+#[tokio::test]
+async fn a_connect_that_outlasts_its_client_carries_nothing() {
+    for how in WAYS_TO_LEAVE {
+        let worker = RawWorker::new();
+        let scheduler = Scheduler::start_with(&[worker.address], |config| {
+            config
+                .replace("\"connect_timeout_s\":0.25", "\"connect_timeout_s\":20")
+                .replace("\"may_cancel\":true", "\"may_cancel\":false")
+        })
+        .await;
+        let queued = worker.fill_queue().await;
+        let mut client = scheduler.client().await;
+        client.send_request("safe", 500, 9000).await;
+        worker.wait_for_connect().await;
+        let _kept = client.leave(how).await;
+        assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
+        drop((queued, worker.accept().await));
+        let mut late = worker.accept().await;
+        assert_eq!(read_to_end(&mut late).await, "", "{how}");
+    }
+}
--- a/crates/scheduler/tests/dispatch_races.rs
+++ b/crates/scheduler/tests/dispatch_races.rs
@@ -363,8 +363,15 @@
     for (idempotency, late) in [(keyed, true), (keyed, false), (Idempotency::Idempotent, true)] {
         let (headers, body) = (Default::default(), "hi".into());
         let path = "/keyed/k".parse().expect("a path");
-        let upstream_request =
-            UpstreamRequest { id: String::new(), path, headers, idempotency, body, body_permit: None };
+        let upstream_request = UpstreamRequest {
+            id: String::new(),
+            path,
+            headers,
+            idempotency,
+            body,
+            body_permit: None,
+            client: Default::default(),
+        };
         let cancellation = CancellationToken::new();
         let mut dispatch =
             upstream.dispatch(WorkerId(0), &upstream_request, from_now(9_000_000), &cancellation);
--- a/crates/scheduler/tests/sockets/mod.rs
+++ b/crates/scheduler/tests/sockets/mod.rs
@@ -192,6 +192,22 @@
     pub(crate) async fn connect(address: SocketAddr) -> Client {
         Client(BufReader::new(TcpStream::connect(address).await.expect("it listens")))
     }
+    /// Leaves in one of these ways: `close`, `half-close` or `reset`. What is returned keeps a connection that is
+    /// closed by half.
+    pub(crate) async fn leave(mut self, how: &str) -> Option<Client> {
+        match how {
+            "half-close" => {
+                self.0.get_mut().shutdown().await.expect("it is open");
+                return Some(self);
+            }
+            "reset" => self.0.get_ref().set_zero_linger().expect("an option"),
+            _ => {}
+        }
+        None
+    }
+    pub(crate) fn local_address(&self) -> SocketAddr {
+        self.0.get_ref().local_addr().expect("an address")
+    }
     pub(crate) async fn send(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).await.expect("it reads");
     }
@@ -227,6 +243,9 @@
     }
 }
 
+/// The ways in which a client leaves, for [`Client::leave`].
+pub(crate) const WAYS_TO_LEAVE: [&str; 3] = ["close", "half-close", "reset"];
+
 pub(crate) fn request_text(class: &str, id: u64, millis: u64) -> String {
     let head = format!("POST /{class}/k?q=1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: {id:016x}\r\n");
     head + &format!(
@@ -330,7 +349,7 @@
     pub(crate) async fn start_with(known: &[SocketAddr], config: impl Fn(String) -> String) -> Scheduler {
         Scheduler::start_edited("exec \"$PROGRAM\"", known, config).await
     }
-    async fn start_edited(
+    pub(crate) async fn start_edited(
         command: &str,
         known: &[SocketAddr],
         changed: impl Fn(String) -> String,
--- a/crates/scheduler/tests/sockets/raw_worker.rs
+++ b/crates/scheduler/tests/sockets/raw_worker.rs
@@ -1,4 +1,5 @@
 //! A worker played byte by byte.
+#![allow(dead_code)]
 use std::net::SocketAddr;
 use std::time::Duration;
 
