--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -31,4 +31,4 @@
 mod worker_summary;
 pub mod writer;
 
-pub use record::{Decision, EndpointEntry, EventKind, FORMAT, Record};
+pub use record::{Decision, EndpointEntry, EventKind, FORMAT, Record, RequestCounts};
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -44,6 +44,9 @@
     RunEnded {
         /// Requests without a final response.
         requests_left: u64,
+        /// What became of the run's requests.
+        #[serde(default, skip_serializing_if = "Option::is_none")]
+        requests: Option<RequestCounts>,
     },
     /// The endpoint list changed.
     #[serde(rename = "roster")]
@@ -145,6 +148,19 @@
     },
 }
 
+/// What became of the requests of one run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RequestCounts {
+    /// Requests that were received from clients.
+    pub received: u64,
+    /// Requests whose final response was written.
+    pub answered: u64,
+    /// Requests whose client disconnected first.
+    pub disconnected: u64,
+    /// The rest: none, unless a request was lost.
+    pub unanswered: u64,
+}
+
 /// What the dispatch policy decided.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "choice", rename_all = "snake_case")]
--- a/crates/event-log/src/run_summary.rs
+++ b/crates/event-log/src/run_summary.rs
@@ -4,7 +4,7 @@
 
 use hdrhistogram::Histogram;
 
-use crate::record::{Decision, EventKind, Record};
+use crate::record::{Decision, EventKind, Record, RequestCounts};
 use crate::sequence_tracker::SequenceTracker;
 use crate::text_format::{Counts, elapsed_histogram, format_counts, increment, quantile_ms};
 
@@ -26,6 +26,8 @@
     pub clock_steps: u64,
     /// Whether the run states that it ended; else it goes on, or it was killed.
     pub has_ended: bool,
+    /// What became of the run's requests, if its end says so.
+    pub requests: Option<RequestCounts>,
     /// Attempts by their outcome.
     pub attempt_outcomes: BTreeMap<String, u64>,
     /// Rejections by their reason.
@@ -104,7 +106,10 @@
     fn add_event(&mut self, event: &EventKind) {
         match event {
             EventKind::RunStarted { name, .. } => self.name = Some(name.clone()),
-            EventKind::RunEnded { .. } => self.has_ended = true,
+            EventKind::RunEnded { requests, .. } => {
+                self.has_ended = true;
+                self.requests = *requests;
+            }
             EventKind::RequestAccepted { class, .. } => {
                 self.classes.entry(class.clone()).or_default().accepted += 1;
             }
@@ -134,6 +139,13 @@
         let end = if self.has_ended { "ended" } else { "no end recorded" };
         let _ = writeln!(text, "run {} of {name}: {records} records over {seconds:.1} s, {end}", self.run_id);
         self.write_faults(text);
+        if let Some(RequestCounts { received, answered, disconnected, unanswered }) = self.requests {
+            let _ = writeln!(
+                text,
+                "  requests: received {received}, answered {answered}, disconnected {disconnected}, \
+                 unanswered {unanswered}"
+            );
+        }
         for (title, counts) in [
             ("kinds", &self.records_by_kind),
             ("schedulings", &self.attempt_outcomes),
--- a/crates/event-log/tests/transcripts.rs
+++ b/crates/event-log/tests/transcripts.rs
@@ -3,7 +3,7 @@
 use copperspread_event_log::reader::{Line, Reader};
 use copperspread_event_log::stream_summary::StreamSummary;
 use copperspread_event_log::writer::{EventLogConfig, start_writer};
-use copperspread_event_log::{Decision, EndpointEntry, EventKind, FORMAT, Record};
+use copperspread_event_log::{Decision, EndpointEntry, EventKind, FORMAT, Record, RequestCounts};
 
 const REQUEST_ID: &str = "00000000000000a1";
 const WORKER: &str = "worker-1:80";
@@ -79,7 +79,12 @@
         finished("failed"),
         EventKind::CounterReached { counter: "too many connections".into(), count: 4 },
         EventKind::Gap { dropped: 2 },
-        EventKind::RunEnded { requests_left: 1 },
+        // As older programs wrote it, and as this one does.
+        EventKind::RunEnded { requests_left: 1, requests: None },
+        EventKind::RunEnded {
+            requests_left: 1,
+            requests: Some(RequestCounts { received: 5, answered: 3, disconnected: 1, unanswered: 1 }),
+        },
     ]
 }
 
--- a/crates/event-log/tests/writer.rs
+++ b/crates/event-log/tests/writer.rs
@@ -69,7 +69,7 @@
         for count in 0..500 {
             recorder.record(counter_event(count));
         }
-        recorder.record(EventKind::RunEnded { requests_left: 0 });
+        recorder.record(EventKind::RunEnded { requests_left: 0, requests: None });
         assert_eq!(finish(&recorder, writer), RecordCounts { written: 502, dropped: 0, failed: 0 });
         recorder.record(counter_event(0));
     }
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -2,12 +2,13 @@
 use std::sync::Arc;
 
 use copperspread_dispatcher::Dispatcher;
-use copperspread_event_log::EventKind;
 use copperspread_event_log::writer::Recorder;
+use copperspread_event_log::{EventKind, RequestCounts};
 #[cfg(feature = "standalone")]
 use copperspread_membership_transport::MembershipTransport;
 use copperspread_proxy::assembly::{AssembledProxy, assemble_with};
 use copperspread_proxy::downstream::Downstream;
+use copperspread_proxy::downstream::request_totals::RequestTotals;
 use copperspread_proxy::invariant;
 use copperspread_settings::StartupConfig;
 use tracing::info;
@@ -72,11 +73,21 @@
         for (what, count) in invariant::counts() {
             info!(what, count, "count at the end");
         }
-        recorder.record(EventKind::RunEnded { requests_left: requests_left as u64 });
+        let requests = request_counts(self.proxy.connections.request_totals());
+        recorder
+            .record(EventKind::RunEnded { requests_left: requests_left as u64, requests: Some(requests) });
+        let RequestCounts { received, answered, disconnected, unanswered } = requests;
+        info!(received, answered, disconnected, unanswered, "requests at the end");
         info!(requests_left, log_lines_dropped = log.dropped_lines(), "shut down");
     }
 }
 
+/// The totals of a run, in the event log's form.
+fn request_counts(totals: RequestTotals) -> RequestCounts {
+    let RequestTotals { received, answered, disconnected } = totals;
+    RequestCounts { received, answered, disconnected, unanswered: totals.unanswered() }
+}
+
 /// Records the start, and from now on each count of what went wrong that reaches a power of two.
 fn record_start(proxy: &AssembledProxy, startup: &StartupConfig, recorder: &Recorder) {
     let event_recorder = Arc::clone(&proxy.context.recorder);
--- /dev/null
+++ b/crates/scheduler/tests/request_accounting.rs
@@ -0,0 +1,133 @@
+//! Each request that is read has its final response, or its client left first, whatever happens to workers and to
+//! other clients: by the clients' count, and by the scheduler's own.
+mod sockets;
+
+use std::time::Duration;
+
+use sockets::*;
+
+const DONE: &str = r#""state":"done","result":"ok""#;
+const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
+/// The deadline of the requests, in milliseconds: hung workers hold them for as long.
+const DEADLINE_MS: u64 = 1_500;
+
+/// The numbers of a log line by their names.
+fn number(line: &str, name: &str) -> u64 {
+    let rest = line.split_once(&format!("{name}=")).or_else(|| line.split_once(&format!("\"{name}\":")));
+    let digits: String = rest.map_or("", |(_, rest)| rest).chars().take_while(char::is_ascii_digit).collect();
+    digits.parse().unwrap_or_else(|_| panic!("no {name} in {line}"))
+}
+
+/// The scheduler's own count at its end: received, answered and disconnected.
+async fn final_counts(scheduler: &mut Scheduler) -> (u64, u64, u64) {
+    scheduler.terminate().await;
+    let line = loop {
+        let line = scheduler.next_line().await;
+        if line.contains("requests at the end") {
+            break line;
+        }
+    };
+    assert_eq!(number(&line, "unanswered"), 0, "{line}");
+    (number(&line, "received"), number(&line, "answered"), number(&line, "disconnected"))
+}
+
+/// Answers whatever comes in one of some ways by turns; the last hangs.
+fn answer_by_turns(mut worker: FakeServer, address: std::net::SocketAddr) {
+    tokio::spawn(async move {
+        let mut hung = Vec::new();
+        for turn in 0_usize.. {
+            let request = worker.next_request().await;
+            match (request.message.first_line.starts_with("DELETE"), turn % 6) {
+                (true, _) => request.respond("200 OK", "", ""),
+                (_, 0) => request.respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", ""),
+                (_, 1) => request.respond("500 Internal Server Error", "", ""),
+                (_, 2) => drop(request),
+                (_, 3) => hung.push(request),
+                (_, 4) => drop(request.accept()),
+                _ => {
+                    let body = format!(r#"{{"id":"{}","from":"r0",{DONE}}}"#, request.accept());
+                    let length = body.len();
+                    let head = "POST /_jobs/news HTTP/1.1\r\nHost: s\r\nConnection: close\r\n";
+                    let text = format!("{head}Content-Length: {length}\r\n\r\n{body}");
+                    let mut connection = Client::connect(address).await;
+                    connection.send(&text).await;
+                }
+            }
+        }
+    });
+}
+
+// Faults of workers, clients that leave, stop, flood and fill permits and memory, all at once.
+#[tokio::test]
+async fn every_request_of_a_day_of_faults_is_accounted_for() {
+    for edit in [("\"sockets\":1024", "\"sockets\":64"), ("\"memory_mb\":192", "\"memory_mb\":2")] {
+        let worker = FakeServer::start().await;
+        let edited = |config: String| config.replace(edit.0, edit.1);
+        let mut scheduler = Scheduler::start_edited("exec \"$PROGRAM\"", &[worker.address], edited).await;
+        answer_by_turns(worker, scheduler.address);
+        let (mut waiting, mut kept) = (Vec::new(), Vec::new());
+        for turn in 0_u64..160 {
+            let class = ["safe", "keyed", "once"][turn as usize % 3];
+            let text = request_text(class, 1_000 + turn, DEADLINE_MS);
+            let large = text.replace("Content-Length: 2\r\n\r\nhi", "Content-Length: 65536\r\n\r\n");
+            let mut client = scheduler.client().await;
+            match turn % 8 {
+                // They stay silent, or stop in the middle.
+                0 => kept.push(client),
+                1 => {
+                    client.send(&large).await;
+                    kept.push(client);
+                }
+                // They leave.
+                2 | 3 => {
+                    client.send(&text).await;
+                    kept.extend(client.leave(WAYS_TO_LEAVE[turn as usize / 8 % 3]).await);
+                }
+                // They send much behind their request, or a large body.
+                4 => {
+                    client.send(&(text + &"x".repeat(100_000))).await;
+                    waiting.push(client);
+                }
+                5 => {
+                    client.send(&(large + &"x".repeat(65_536))).await;
+                    waiting.push(client);
+                }
+                _ => {
+                    client.send(&text).await;
+                    waiting.push(client);
+                }
+            }
+        }
+        let mut answered = 0;
+        for (number, client) in waiting.iter_mut().enumerate() {
+            let answer = client.next_response().await;
+            assert!(answer.is_some(), "{edit:?}: client {number} has no answer");
+            answered += 1;
+        }
+        assert_eq!(answered, 80);
+        drop((waiting, kept));
+        tokio::time::sleep(Duration::from_millis(50)).await;
+        assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
+        let (received, written, disconnected) = final_counts(&mut scheduler).await;
+        assert_eq!(received, written + disconnected);
+        assert!(written > answered, "{written} written, {answered} of them to those that waited");
+    }
+}
+
+// The same while the scheduler ends, with requests that no worker answers.
+#[tokio::test]
+async fn requests_that_hang_through_a_shutdown_are_accounted_for() {
+    let mut worker = FakeServer::start().await;
+    let mut scheduler = Scheduler::start(&[worker.address]).await;
+    let mut clients = Vec::new();
+    for number in 0..20 {
+        let mut client = scheduler.client().await;
+        client.send_request("safe", 2_000 + number, 9000).await;
+        clients.push((client, worker.next_request().await));
+    }
+    assert_eq!(final_counts(&mut scheduler).await, (20, 20, 0));
+    for (client, _) in &mut clients {
+        let status = client.next_response().await.expect("an answer").status();
+        assert!(matches!(status, 500 | 503), "{status}");
+    }
+}
