--- a/crates/scheduler/tests/client_races.rs
+++ b/crates/scheduler/tests/client_races.rs
@@ -10,7 +10,6 @@
 
 const DONE: &str = r#""state":"done","result":"ok""#;
 const STARTED: &str = r#""state":"started""#;
-const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
 /// Well under the requests' deadline, at which all is cancelled in any case.
 const MAX_CANCELLATION_TIME: Duration = Duration::from_secs(3);
 
--- a/crates/scheduler/tests/close_races.rs
+++ b/crates/scheduler/tests/close_races.rs
@@ -7,11 +7,8 @@
 use sockets::*;
 
 const DONE: &str = r#""state":"done","result":"ok""#;
-const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
 /// Clients that stop in the middle of a request have their error or close within this.
 const MAX_STALLED_TIME: Duration = Duration::from_secs(3);
-/// More connections than the runtime hears of at one poll for events.
-const CROWD_SIZE: u64 = 1_300;
 /// A first request has come within so long.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -120,14 +117,7 @@
     let command = "exec \"$PROGRAM\"";
     let limit = |config: String| config.replace("\"sockets\":1024", "\"sockets\":4096");
     let scheduler = Scheduler::start_edited(command, &[], limit).await;
-    let mut crowd = Vec::new();
-    for number in 0..CROWD_SIZE {
-        crowd.push(scheduler.client().await);
-        // The accept queue is short: a connection that finds it full comes up a second later.
-        if number % 50 == 49 {
-            assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
-        }
-    }
+    let mut crowd = scheduler.crowd().await;
     if is_used {
         for client in &mut crowd {
             assert_eq!(client.exchange(READINESS_REQUEST).await.status(), 200);
--- a/crates/scheduler/tests/connection_limits.rs
+++ b/crates/scheduler/tests/connection_limits.rs
@@ -14,7 +14,6 @@
 use sockets::*;
 
 const DONE: &str = r#""state":"done","result":"r\u00e9sult","load":{"x0":3.5,"waiting":0}"#;
-const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
 
 /// Applies a list in discovery's form.
 fn apply(endpoints: &EndpointTable, list: &str) {
--- a/crates/scheduler/tests/departed_clients.rs
+++ b/crates/scheduler/tests/departed_clients.rs
@@ -9,7 +9,6 @@
 use sockets::*;
 
 const DONE: &str = r#""state":"done","result":"ok""#;
-const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
 
 /// Well under the requests' deadline, at which all is cancelled in any case.
 const MAX_CANCELLATION_TIME: Duration = Duration::from_secs(3);
@@ -130,6 +129,36 @@
     }
 }
 
+// The second attempt is due while the scheduler is held up, and the client leaves before it goes on; one that stays
+// has its second attempt.
+#[tokio::test]
+async fn a_hedge_does_not_begin_after_the_client_left() {
+    const MILLIS: u64 = 1_000;
+    for (number, how) in (450..).zip(["stays"].into_iter().chain(WAYS_TO_LEAVE)) {
+        let (mut one, mut two) = (FakeServer::start().await, FakeServer::start().await);
+        let scheduler = Scheduler::start(&[one.address, two.address]).await;
+        let mut client = scheduler.client().await;
+        client.send_request("safe", number, MILLIS).await;
+        let is_at_one = tokio::select! {
+            first = one.next_request() => { first.accept(); true }
+            first = two.next_request() => { first.accept(); false }
+        };
+        let other = if is_at_one { &mut two } else { &mut one };
+        assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
+        assert!(other.is_idle(), "it is not due yet");
+        scheduler.signal("STOP").await;
+        let _kept = if how == "stays" { Some(client) } else { client.leave(how).await };
+        tokio::time::sleep(Duration::from_millis(MILLIS * 7 / 10)).await;
+        scheduler.signal("CONT").await;
+        if how == "stays" {
+            assert!(other.next_request().await.message.first_line.starts_with("POST"));
+        } else {
+            tokio::time::sleep(Duration::from_millis(MILLIS / 2)).await;
+            assert!(other.is_idle(), "{how}");
+        }
+    }
+}
+
 // The connection to the worker comes up some time after the client went.
 #[tokio::test]
 async fn a_connect_that_outlasts_its_client_carries_nothing() {
--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -24,7 +24,6 @@
 const MAX_CHANGE_DELAY: Micros = 6 * SECOND;
 const DELAY_MARGIN: Micros = SECOND / 2;
 const FULL_LIST_REQUEST: &str = "GET /api/targets HTTP/1.1";
-const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
 const DONE: &str = r#""state":"done","result":"well""#;
 const DISCOVERY_KINDS: [&str; 2] = ["pushed", "on_request"];
 const OUTAGES: [&str; 3] = ["refuses", "silent", "no connection comes up"];
--- a/crates/scheduler/tests/request_accounting.rs
+++ b/crates/scheduler/tests/request_accounting.rs
@@ -7,7 +7,6 @@
 use sockets::*;
 
 const DONE: &str = r#""state":"done","result":"ok""#;
-const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
 /// The deadline of the requests, in milliseconds: hung workers hold them for as long.
 const DEADLINE_MS: u64 = 1_500;
 
--- a/crates/scheduler/tests/sockets/mod.rs
+++ b/crates/scheduler/tests/sockets/mod.rs
@@ -16,6 +16,11 @@
 /// Longest wait for anything: what does not come fails its test and keeps nobody waiting.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
+pub(crate) const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
+/// More connections than the runtime hears of at one poll for events. A scheduler takes so many only with more
+/// descriptors in its configuration than usual.
+const CROWD_SIZE: usize = 1_300;
+
 /// Waits for what must come.
 pub(crate) async fn within<T>(what: &str, event: impl Future<Output = T>) -> T {
     timeout(MAX_WAIT, event).await.unwrap_or_else(|_| panic!("{what}: nothing came in {MAX_WAIT:?}"))
@@ -385,6 +390,18 @@
             }
         }
     }
+    /// As many connections that have sent nothing as [`CROWD_SIZE`].
+    pub(crate) async fn crowd(&self) -> Vec<Client> {
+        let mut crowd = Vec::new();
+        for number in 0..CROWD_SIZE {
+            crowd.push(self.client().await);
+            // The accept queue is short: a connection that finds it full comes up a second later.
+            if number % 50 == 49 {
+                assert_eq!(self.client().await.exchange(READINESS_REQUEST).await.status(), 200);
+            }
+        }
+        crowd
+    }
     pub(crate) async fn client(&self) -> Client {
         Client::connect(self.address).await
     }
