--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -188,6 +188,7 @@
         let is_written = Arc::new(AtomicBool::new(false));
         let guard = WriteGuard {
             control: control.clone(),
+            client: upstream_request.client.clone(),
             endpoints: Arc::clone(&self.endpoints),
             worker: target.worker,
             address: address.clone(),
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -12,12 +12,14 @@
 use tokio::time::Instant;
 
 use crate::endpoints::EndpointTable;
-use crate::messages::DispatchControl;
+use crate::messages::{ClientPresence, DispatchControl};
 
 /// The conditions under which an attempt may be written.
 pub(super) struct WriteGuard {
     /// Not once this forbids it.
     pub(super) control: DispatchControl,
+    /// Nor once the client has gone, by what the system knows in the step that writes.
+    pub(super) client: ClientPresence,
     /// The table in which `worker` must be serving at `address`.
     pub(super) endpoints: Arc<EndpointTable>,
     /// The worker that the attempt was decided for.
@@ -35,6 +37,7 @@
         self.control.permits_write()
             && Instant::now() < self.write_deadline
             && self.endpoints.serving_address(self.worker).is_some_and(|address| address == self.address)
+            && !self.client.is_gone()
     }
 
     /// Asked in the step that writes the attempt: whether it may be. Records what becomes of it.
--- a/crates/scheduler/tests/sockets/discovery_fixture.rs
+++ b/crates/scheduler/tests/sockets/discovery_fixture.rs
@@ -16,7 +16,6 @@
 /// From so long after a drain was told, nothing new is written to its worker.
 pub(crate) const DRAIN_GRACE: Micros = SECOND / 2;
 pub(crate) const FULL_LIST_REQUEST: &str = "GET /api/targets HTTP/1.1";
-pub(crate) const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
 pub(crate) const DONE: &str = r#""state":"done","result":"well""#;
 pub(crate) const DISCOVERY_KINDS: [&str; 2] = ["pushed", "on_request"];
 pub(crate) const OUTAGES: [&str; 3] = ["refuses", "silent", "no connection comes up"];
--- a/crates/scheduler/tests/sockets/mod.rs
+++ b/crates/scheduler/tests/sockets/mod.rs
@@ -16,6 +16,11 @@
 /// Longest wait for anything: what does not come fails its test and keeps nobody waiting.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
+pub(crate) const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
+/// More connections than the runtime hears of at one poll for events. A scheduler takes so many only with more
+/// descriptors in its configuration than usual.
+const CROWD_SIZE: usize = 1_300;
+
 /// Waits for what must come.
 pub(crate) async fn within<T>(what: &str, event: impl Future<Output = T>) -> T {
     timeout(MAX_WAIT, event).await.unwrap_or_else(|_| panic!("{what}: nothing came in {MAX_WAIT:?}"))
@@ -200,6 +205,22 @@
     pub(crate) async fn connect(address: SocketAddr) -> Client {
         Client(BufReader::new(TcpStream::connect(address).await.expect("it listens")))
     }
+    /// Leaves in one of these ways: `close`, `half-close` or `reset`. What is returned keeps a connection that is
+    /// closed by half.
+    pub(crate) async fn leave(mut self, how: &str) -> Option<Client> {
+        match how {
+            "half-close" => {
+                self.0.get_mut().shutdown().await.expect("it is open");
+                return Some(self);
+            }
+            "reset" => self.0.get_ref().set_zero_linger().expect("an option"),
+            _ => {}
+        }
+        None
+    }
+    pub(crate) fn local_address(&self) -> SocketAddr {
+        self.0.get_ref().local_addr().expect("an address")
+    }
     pub(crate) async fn send(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).await.expect("it reads");
     }
@@ -235,6 +256,9 @@
     }
 }
 
+/// The ways in which a client leaves, for [`Client::leave`].
+pub(crate) const WAYS_TO_LEAVE: [&str; 3] = ["close", "half-close", "reset"];
+
 pub(crate) fn request_text(class: &str, id: u64, millis: u64) -> String {
     let head = format!("POST /{class}/k?q=1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: {id:016x}\r\n");
     head + &format!(
@@ -375,6 +399,18 @@
             }
         }
     }
+    /// As many connections that have sent nothing as [`CROWD_SIZE`].
+    pub(crate) async fn crowd(&self) -> Vec<Client> {
+        let mut crowd = Vec::new();
+        for number in 0..CROWD_SIZE {
+            crowd.push(self.client().await);
+            // The accept queue is short: a connection that finds it full comes up a second later.
+            if number % 50 == 49 {
+                assert_eq!(self.client().await.exchange(READINESS_REQUEST).await.status(), 200);
+            }
+        }
+        crowd
+    }
     pub(crate) async fn client(&self) -> Client {
         Client::connect(self.address).await
     }
