--- a/crates/scheduler/tests/short_deadlines.rs
+++ b/crates/scheduler/tests/short_deadlines.rs
@@ -141,7 +141,10 @@
 
 #[tokio::test]
 async fn with_short_deadlines_every_request_is_answered_before_the_kill_although_workers_hang() {
-    join_all([300, 400, 800, 1_500].map(|millis| outcomes_of_shutdown(Duration::from_millis(millis)))).await;
+    // One after the other: hundreds of connections at once would delay this test's own clock.
+    for millis in [300, 400, 800, 1_500] {
+        outcomes_of_shutdown(Duration::from_millis(millis)).await;
+    }
 }
 
 /// Disks and a reader of the log that hang, from before SIGTERM.
