--- a/crates/membership-transport/tests/transport.rs
+++ b/crates/membership-transport/tests/transport.rs
@@ -265,6 +265,8 @@
     let rejected = a.view().rejected;
     // "GET " read as a length is too large.
     assert_eq!((rejected.too_large, rejected.forged, rejected.malformed), (4, 257, 4), "{rejected:?}");
+    // It is counted after its connection is closed.
+    wait_until("a failed stream is counted", || a.drop_counts().streams_failed > 0);
     assert_eq!(a.drop_counts().streams_failed, 1, "the truncated one");
     let after = a.view();
     assert_eq!((&after.local_member, &after.members), (&before.local_member, &before.members));
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -172,14 +172,15 @@
     let received_at = Instant::now();
     let (parts, body) = request.into_parts();
     let RequestHead { mut request, id, idempotency } = parse_client_head(context, &parts)?;
-    // A request that cannot be answered before this scheduler stops would fail then: the policy gets the time
-    // that there is, and a client that is rejected can go elsewhere.
     let client_deadline = received_at + Duration::from_micros(request.time_left);
-    let deadline = effective_deadline(client_deadline, &context.shutdown.watch());
-    request.time_left = deadline.saturating_duration_since(received_at).as_micros() as Micros;
-    limits.body_deadline = limits.body_deadline.min(deadline);
+    let shutdown = context.shutdown.watch();
+    limits.body_deadline = limits.body_deadline.min(effective_deadline(client_deadline, &shutdown));
     let body = read_body(body, &limits).await.map_err(RefusedRequest::Body)?;
     limits.mark_request_complete();
+    // A request that cannot be answered before this scheduler stops would fail then: the policy gets the time
+    // that there is once the body has come, and a client that is rejected can go elsewhere.
+    let deadline = effective_deadline(client_deadline, &shutdown);
+    request.time_left = deadline.saturating_duration_since(Instant::now()).as_micros() as Micros;
     let path = parts.uri.path_and_query().cloned().ok_or(RefusedRequest::InvalidHead)?;
     let upstream_request = UpstreamRequest {
         id,
--- a/crates/scheduler/tests/event_log.rs
+++ b/crates/scheduler/tests/event_log.rs
@@ -240,3 +240,26 @@
     }
     let _ = std::fs::remove_dir_all(&folder);
 }
+
+#[tokio::test]
+async fn the_time_left_is_counted_from_the_last_byte_of_a_slow_body() {
+    let mut worker = FakeServer::start().await;
+    let file = scratch("slow-body");
+    let mut scheduler = start(&worker, &file).await;
+    let mut client = scheduler.client().await;
+    let request = request_text("once", 1, 9000);
+    let (head, body) = request.split_at(request.len() - 1);
+    client.send(head).await;
+    tokio::time::sleep(std::time::Duration::from_secs(1)).await;
+    client.send(body).await;
+    let id = worker.next_request().await.accept();
+    scheduler.call_back(&id, "r0", DONE).await;
+    client.next_response().await.expect("an answer");
+    scheduler.terminate().await;
+    assert!(scheduler.child.wait().await.expect("it ends").success());
+    let (out, _) = read(&["records", "cat"], &file);
+    let accepted = out.lines().find(|line| line.contains("flow_taken")).expect("it was accepted");
+    let record: serde_json::Value = serde_json::from_str(accepted).expect("JSON");
+    let time_left_us = record["what"]["time_left_us"].as_u64().expect("a time");
+    assert!((7_000_000..=7_960_000).contains(&time_left_us), "{time_left_us}");
+}
