--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -1,7 +1,6 @@
 //! Admission control: a request is sent if its lowest estimate fits into the time it has left. Load shedding:
 //! while slots are scarce, those of least weight are rejected, as else all would be late.
 use super::load_reports::{LOAD_QUERY_COST_FRACTION, MAX_LOAD_QUERY_BUDGET};
-use super::retries::{HEDGE_BUDGET_PER_REQUEST, MAX_HEDGE_BUDGET};
 use super::selection::NotAdmitted;
 use super::{Dispatcher, GROUP_GAIN, MAX_FIGURE, REFRESH_INTERVAL, SLOW_GAIN, validated};
 use super::{service_time::INITIAL_SLOTS, state::Request};
@@ -23,8 +22,9 @@
 const TENANT_WINDOW_SECONDS: f64 = 3.0;
 /// A tenant may use its part of the quota here this many times: clients are not spread evenly.
 const TENANT_QUOTA_TOLERANCE: f64 = 1.2;
-/// After so many requests rejected on arrival over so long, with no attempt in between, the next one is attempted
-/// although it would be shed or late: what rejects them is learned from attempts, and would hold for good.
+/// After so many requests rejected on arrival over so long, with no attempt in between, the next one is
+/// attempted although it would be shed or late: what rejects them is learned from attempts, and would hold for
+/// good.
 const MAX_REJECTION_STREAK: u32 = 7;
 const MAX_REJECTION_STREAK_TIME: Micros = 2 * SECOND;
 
@@ -105,7 +105,7 @@
     fn record_offered_request(&mut self, request: &Request) {
         let load_queries = LOAD_QUERY_COST_FRACTION / self.settings.load_query_cost;
         self.load_query_budget = (self.load_query_budget + load_queries).min(MAX_LOAD_QUERY_BUDGET);
-        self.hedge_budget = (self.hedge_budget + HEDGE_BUDGET_PER_REQUEST).min(MAX_HEDGE_BUDGET);
+        self.hedge_budget.earn();
         self.load_samples = (self.load_samples + 1.0).min(1.0 / GROUP_GAIN);
         self.mean_request_load += (request.work * request.slots - self.mean_request_load) / self.load_samples;
         move_average(&mut self.mean_request_slots, request.slots, SLOW_GAIN);
--- a/crates/dispatcher/src/policy/endpoint_updates.rs
+++ b/crates/dispatcher/src/policy/endpoint_updates.rs
@@ -1,57 +1,28 @@
-//! Endpoint updates, and when to poll discovery for them.
+//! Endpoint updates: what they change of workers.
 use super::{Dispatcher, load_reports::INITIAL_UTILIZATION, state::GroupStatistics, state::Worker};
 use crate::WorkerState;
 use crate::average::{AverageRatio, LogAverage};
-use crate::{Action, Discovery, Endpoint, EndpointUpdate, EndpointUpdateKind, Micros, SECOND, Timer};
+use crate::{Action, Endpoint, EndpointUpdate, EndpointUpdateKind, Micros, Timer};
 
-/// Latest first poll: early, but spread out so that restarted dispatchers do not stampede discovery.
-const MAX_FIRST_POLL_DELAY: Micros = 3 * SECOND;
-/// Spread of the first poll for each dispatcher of the fleet: small fleets need none.
-const FIRST_POLL_SPREAD: Micros = 150_000;
-/// First and longest wait after a failed poll. A change counts as notified 6 s after discovery could be
-/// reached, whatever failed: a poll given up just then, this wait and the next poll fit in.
-const POLL_BACKOFF_INITIAL: Micros = SECOND;
-const POLL_BACKOFF_MAX: Micros = 2 * SECOND;
 /// Ids are given out densely; one this far beyond the last would only ask for memory.
 const MAX_WORKER_ID_GAP: usize = 100_000;
 const MAX_GROUPS: usize = 10_000;
 
 impl Dispatcher {
-    pub(super) fn schedule_first_poll(&mut self) {
-        let max = MAX_FIRST_POLL_DELAY.min(self.settings.poll_within / 2);
-        let spread = (FIRST_POLL_SPREAD * Micros::from(self.settings.fleet_size)).min(max);
-        let after = self.rng.u64(0..=spread);
-        self.schedule_poll(after);
-    }
-
-    fn schedule_poll(&mut self, after: Micros) {
-        self.is_polling = true;
+    pub(super) fn schedule_poll(&mut self, after: Micros) {
         self.actions.push(Action::StartTimer { after, timer: Timer::Subscription });
     }
 
-    /// Polls again, later each time and at a random moment: a recovering discovery must not be stampeded.
-    fn on_failed_poll(&mut self) {
-        self.is_subscribed = false;
-        if self.settings.discovery == Discovery::Polled {
-            let doubled = POLL_BACKOFF_INITIAL << self.failed_polls.min(4);
-            let max = doubled.min(POLL_BACKOFF_MAX).min(self.settings.poll_within);
-            self.failed_polls += 1;
-            let after = max / 2 + self.rng.u64(0..=max / 2);
-            self.schedule_poll(after);
-        }
-    }
-
     pub(super) fn on_endpoint_update(&mut self, now: Micros, update: EndpointUpdate<'_>) {
         if update.kind == EndpointUpdateKind::Failed {
-            return self.on_failed_poll();
-        }
-        if self.is_polling && update.kind != EndpointUpdateKind::Cached {
-            (self.is_polling, self.is_subscribed, self.failed_polls) = (false, true, 0);
+            if let Some(after) = self.subscription.record_failure(&self.settings, &mut self.rng) {
+                self.schedule_poll(after);
+            }
+            return;
         }
-        if update.version < self.endpoint_version {
+        if !self.subscription.record_update(update.kind, update.version) {
             return;
         }
-        self.endpoint_version = update.version;
         if update.kind != EndpointUpdateKind::Changes {
             self.workers.iter_mut().for_each(|worker| worker.state = WorkerState::Removed);
         }
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -5,7 +5,9 @@
 //! time it has left. Each module holds one concern; all work on the one state of `Dispatcher`.
 mod admission;
 mod attempts;
+mod endpoint_subscription;
 mod endpoint_updates;
+mod hedging;
 mod load_reports;
 mod outlier_detection;
 mod retries;
@@ -14,10 +16,12 @@
 mod slow_start;
 mod state;
 
+use self::endpoint_subscription::EndpointSubscription;
+use self::hedging::HedgeBudget;
 use self::load_reports::{INITIAL_UTILIZATION, LOAD_QUERY_ROUND, MAX_LOAD_QUERY_BUDGET};
 use self::state::{GroupStatistics, RejectionStreak, Request, Worker};
 use crate::average::{AverageRatio, EventRate, LogAverage};
-use crate::{Action, Discovery, Event, Micros, RequestId, SECOND, Settings, SettingsError, Timer};
+use crate::{Action, Event, Micros, RequestId, SECOND, Settings, SettingsError, Timer};
 use rustc_hash::FxHashMap;
 
 /// Interval of the periodic refresh of all workers: short beside the seconds in which rates change.
@@ -46,7 +50,7 @@
     affinity_scale: f64,
     last_queried: usize,
     load_query_budget: f64,
-    hedge_budget: f64,
+    hedge_budget: HedgeBudget,
     requests: FxHashMap<RequestId, Request>,
     /// What the event at hand asks of the caller, in order.
     actions: Vec<Action>,
@@ -60,11 +64,7 @@
     mean_request_load: f64,
     load_samples: f64,
     mean_request_slots: f64,
-    endpoint_version: u64,
-    is_subscribed: bool,
-    /// A poll of discovery is under way or has a timer.
-    is_polling: bool,
-    failed_polls: u32,
+    subscription: EndpointSubscription,
     service_time_by_class: Vec<LogAverage>,
     longest_time_left_by_class: Vec<Micros>,
     /// Fraction of requests that arrive when their whole latency objective seems spent.
@@ -86,7 +86,6 @@
             affinity_scale: 1.0,
             mean_response_seconds: 1.0,
             tenant_rates: vec![EventRate::default(); tenant_count],
-            hedge_budget: 1.0,
             load_query_budget: MAX_LOAD_QUERY_BUDGET,
             mean_request_load: 1.0,
             mean_request_slots: 1.0,
@@ -111,9 +110,10 @@
             }
             Event::ClientDisconnected(request) => self.on_client_disconnected(request),
             Event::TimerExpired(Timer::PeriodicRefresh) => self.on_periodic_refresh(now),
-            Event::TimerExpired(Timer::Subscription) if self.is_subscribed => {}
-            // Still polling until the one endpoint update that answers the call.
-            Event::TimerExpired(Timer::Subscription) => self.actions.push(Action::Subscribe),
+            Event::TimerExpired(Timer::Subscription) if self.subscription.needs_poll() => {
+                self.actions.push(Action::Subscribe);
+            }
+            Event::TimerExpired(Timer::Subscription) => {}
             Event::TimerExpired(Timer::HedgeCheck(request)) => self.on_hedge_check(now, request),
             Event::TimerExpired(Timer::LoadQuery) => self.on_load_query_timer(),
             Event::LoadQueryCompleted { worker, outcome, report } => {
@@ -130,8 +130,8 @@
             let after = self.rng.u64(0..=LOAD_QUERY_ROUND / 10);
             self.actions.push(Action::StartTimer { after, timer: Timer::LoadQuery });
         }
-        if self.settings.discovery == Discovery::Polled {
-            self.schedule_first_poll();
+        if let Some(after) = self.subscription.start(&self.settings, &mut self.rng) {
+            self.schedule_poll(after);
         }
     }
 
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -1,6 +1,7 @@
 //! Retries: another attempt after all before it have completed, or else the final response. Hedged requests:
 //! a second attempt where the first has not started in time, as its worker's queue is longer than any report
 //! showed, it hangs, or it has slowed down.
+use super::hedging::hedge_delay;
 use super::{Dispatcher, state::Attempt, state::Request};
 use super::{selection::NotAdmitted, state::MAX_TRACKED_ATTEMPTS};
 use crate::time::from_seconds;
@@ -8,15 +9,6 @@
 
 /// Attempts of a request while all are rejected; as many more as fewer are.
 const ATTEMPTS_WHILE_REJECTED: f64 = 1.5;
-/// A request that has not started after this part of the time it could wait is hedged.
-const HEDGE_DELAY_FRACTION: f64 = 0.6;
-/// Shortest wait before that, so that start notes under way arrive first.
-const MIN_HEDGE_DELAY: Micros = 20_000;
-/// Hedges earned by each request: bounds what they add to the load where a canceled attempt still runs, or
-/// still waits and then runs. Each is one request more for workers that were late already.
-pub(super) const HEDGE_BUDGET_PER_REQUEST: f64 = 0.03;
-pub(super) const MAX_HEDGE_BUDGET: f64 = 3.0;
-
 impl Dispatcher {
     pub(super) fn retry_or_respond(&mut self, now: Micros, request: &mut Request) {
         let retry_after = from_seconds(self.mean_response_seconds);
@@ -72,7 +64,7 @@
         if self.settings.reports_job_start && self.may_hedge_or_move(now, request) {
             let worker = &self.workers[index];
             let slack = self.time_left(now, worker, request) - request.work / worker.service_rate;
-            let after = from_seconds(slack * HEDGE_DELAY_FRACTION).max(MIN_HEDGE_DELAY);
+            let after = hedge_delay(slack);
             self.actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(request.id) });
         }
     }
@@ -85,11 +77,11 @@
         let has_not_started = in_flight.all(|attempt| attempt.progress.is_none());
         if !request.is_finished
             && has_not_started
-            && self.hedge_budget >= 1.0
+            && self.hedge_budget.has_hedge()
             && self.may_hedge_or_move(now, &request)
             && let Ok(index) = self.select_worker(now, &request)
         {
-            self.hedge_budget -= 1.0;
+            self.hedge_budget.spend();
             if self.settings.hedging_allowed {
                 self.send(now, &mut request, index);
             } else {
