--- a/crates/dispatcher/src/policy/attempts.rs
+++ b/crates/dispatcher/src/policy/attempts.rs
@@ -1,13 +1,106 @@
-//! Attempts, from sending to completion or cancellation.
-use super::state::{Attempt, ProgressMark, RejectionStreak, Request};
-use super::{Dispatcher, GROUP_GAIN, SLOW_GAIN, load_reports::REPORT_AGE};
-use crate::{Action, AttemptOutcome, Micros, Outcome, Progress, RequestId, WorkerId};
+//! Requests from their arrival to their final response, and their attempts from sending to their end.
+use super::Dispatcher;
+use super::admission::FleetLoad;
+use super::figures::GROUP_GAIN;
+use super::figures::MAX_FIGURE;
+use super::figures::REFRESH_INTERVAL;
+use super::figures::SLOW_GAIN;
+use super::figures::validated;
+use super::hedging::hedge_delay;
+use super::load_reports::LOAD_QUERY_COST_FRACTION;
+use super::load_reports::MAX_LOAD_QUERY_BUDGET;
+use super::load_reports::REPORT_AGE;
+use super::request::Attempt;
+use super::request::ProgressMark;
+use super::request::Request;
+use super::retries::RetryRules;
+use super::selection::NotAdmitted;
+use super::service_time::INITIAL_SLOTS;
+use crate::WorkerId;
+use crate::{
+    Action, AttemptOutcome, IncomingRequest, Micros, Outcome, Progress, Rejection, RequestId, Timer,
+};
 use crate::{average::move_average, local_load::InFlightAttempt, time::from_seconds, time::to_seconds};
 
 /// Shortest valid response time: keeps its mean, by which is divided, above 0.
 const MIN_RESPONSE_TIME: Micros = 1_000;
 
 impl Dispatcher {
+    pub(super) fn on_request(&mut self, now: Micros, incoming: IncomingRequest) {
+        let id = incoming.request;
+        if incoming.class as usize >= self.settings.classes.len() || incoming.time_left == 0 {
+            let reason = Rejection::Invalid;
+            self.actions.push(Action::Reject { request: id, retry_after: REFRESH_INTERVAL, reason });
+            return;
+        }
+        if self.requests.contains_key(&id) {
+            return;
+        }
+        let mut request = self.new_request(now, &incoming);
+        self.record_offered_request(&request);
+        match self.admit(now, &request, incoming.tenant as usize) {
+            Ok(index) => {
+                self.send(now, &mut request, index);
+                self.requests.insert(id, request);
+            }
+            Err(NotAdmitted { retry_after, reason, .. }) => {
+                self.admission.record_rejection(now);
+                self.actions.push(Action::Reject { request: id, retry_after, reason });
+            }
+        }
+    }
+
+    /// The worker for a request that has arrived, unless it is shed or would be late everywhere.
+    fn admit(&mut self, now: Micros, request: &Request, tenant: usize) -> Result<usize, NotAdmitted> {
+        let must_attempt = self.admission.must_attempt(now);
+        if self.should_shed(now, request, tenant) && !must_attempt {
+            // About one usual response later some of the slots are free.
+            let retry_after = from_seconds(self.mean_response_seconds);
+            return Err(NotAdmitted { retry_after, reason: Rejection::Overloaded, late_worker: None });
+        }
+        self.select_worker(now, request).or_else(|not_admitted| {
+            let late_worker = not_admitted.late_worker.filter(|_| must_attempt);
+            late_worker.ok_or(not_admitted)
+        })
+    }
+
+    fn should_shed(&mut self, now: Micros, request: &Request, tenant: usize) -> bool {
+        let fleet = FleetLoad {
+            utilization: self.fleet_utilization,
+            slots: self.fleet.slots.unwrap_or(INITIAL_SLOTS),
+            mean_request_load: self.offered_load.mean_request_load(),
+        };
+        self.admission.should_shed(now, request, tenant, fleet, &self.settings, &mut self.rng)
+    }
+
+    fn new_request(&mut self, now: Micros, incoming: &IncomingRequest) -> Request {
+        let class = incoming.class as usize;
+        let hint = validated(incoming.cost_hint, MAX_FIGURE);
+        let work = hint.unwrap_or_else(|| self.service_time_by_class[class].log_mean.exp());
+        let objective_seconds = self.objective_seconds(class, work);
+        let class_settings = &self.settings.classes[class];
+        let spent =
+            self.late_retries.time_spent_before(class, class_settings, incoming.time_left, objective_seconds);
+        Request {
+            id: incoming.request,
+            class,
+            slots: validated(incoming.slots, MAX_FIGURE).unwrap_or(1.0),
+            work,
+            has_hint: hint.is_some(),
+            objective_at: now.saturating_add(class_settings.latency_objective).saturating_sub(spent),
+            deadline: now.saturating_add(incoming.time_left),
+            ..Request::default()
+        }
+    }
+
+    /// Earns the budgets for load queries and hedges, and learns the mean request.
+    fn record_offered_request(&mut self, request: &Request) {
+        let load_queries = LOAD_QUERY_COST_FRACTION / self.settings.load_query_cost;
+        self.load_query_budget = (self.load_query_budget + load_queries).min(MAX_LOAD_QUERY_BUDGET);
+        self.hedge_budget.earn();
+        self.offered_load.record(request.work, request.slots);
+    }
+
     pub(super) fn send(&mut self, now: Micros, request: &mut Request, index: usize) {
         let slots = self.slots_of(&self.workers[index]);
         let estimate = self.estimate(now, &self.workers[index], request).seconds;
@@ -16,7 +109,7 @@
         worker.local_load.add(InFlightAttempt { request: id, attempt, slots: request.slots, sent_at: now });
         let fitted_slots = worker.local_load.slots_in_use() <= slots;
         self.record_slow_start_work(now, index, request.work * request.slots);
-        self.rejection_streak = RejectionStreak::default();
+        self.admission.record_attempt();
         request.attempts.push(Attempt {
             worker: index as u32,
             sent_at: now,
@@ -114,6 +207,62 @@
         }
     }
 
+    fn retry_rules(&self) -> RetryRules<'_> {
+        RetryRules { settings: &self.settings, rejection_rate: self.fleet.rejection_rate }
+    }
+
+    fn retry_or_respond(&mut self, now: Micros, request: &mut Request) {
+        let retry_after = from_seconds(self.mean_response_seconds);
+        let mut not_admitted =
+            NotAdmitted { retry_after, reason: Rejection::AttemptsExhausted, late_worker: None };
+        if self.retry_rules().may_retry(now, request) {
+            match self.select_worker(now, request) {
+                Ok(index) => return self.send(now, request, index),
+                Err(error) => not_admitted = error,
+            }
+        }
+        self.finish(request);
+        let NotAdmitted { retry_after, reason, .. } = not_admitted;
+        let may_reject = self.retry_rules().may_reject(request) && now < request.deadline;
+        self.actions.push(if may_reject {
+            Action::Reject { request: request.id, retry_after, reason }
+        } else {
+            Action::Fail { request: request.id }
+        });
+    }
+
+    fn schedule_hedge_check(&mut self, now: Micros, request: &Request, index: usize) {
+        if !self.settings.reports_job_start || !self.retry_rules().may_hedge_or_move(now, request) {
+            return;
+        }
+        let worker = &self.workers[index];
+        let slack = self.time_left(now, worker, request) - request.work / worker.service_rate;
+        let after = hedge_delay(slack);
+        self.actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(request.id) });
+    }
+
+    /// A request that should have started by now is hedged, through the same estimate and admission; where
+    /// two attempts may not be in flight together, it is canceled and moves once that completes.
+    pub(super) fn on_hedge_check(&mut self, now: Micros, id: RequestId) {
+        let Some(mut request) = self.requests.remove(&id) else { return };
+        let mut in_flight = request.attempts.iter().filter(|attempt| attempt.is_in_flight);
+        let has_not_started = in_flight.all(|attempt| attempt.progress.is_none());
+        if !request.is_finished
+            && has_not_started
+            && self.hedge_budget.has_hedge()
+            && self.retry_rules().may_hedge_or_move(now, &request)
+            && let Ok(index) = self.select_worker(now, &request)
+        {
+            self.hedge_budget.spend();
+            if self.settings.hedging_allowed {
+                self.send(now, &mut request, index);
+            } else {
+                self.cancel_in_flight(&request);
+            }
+        }
+        self.requests.insert(id, request);
+    }
+
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         self.finish(&mut request);
--- a/crates/dispatcher/src/policy/endpoint_updates.rs
+++ b/crates/dispatcher/src/policy/endpoint_updates.rs
@@ -1,5 +1,8 @@
 //! Endpoint updates: what they change of workers.
-use super::{Dispatcher, load_reports::INITIAL_UTILIZATION, state::GroupStatistics, state::Worker};
+use super::Dispatcher;
+use super::load_reports::INITIAL_UTILIZATION;
+use super::worker::GroupStatistics;
+use super::worker::Worker;
 use crate::WorkerState;
 use crate::average::{AverageRatio, LogAverage};
 use crate::{Action, Endpoint, EndpointUpdate, EndpointUpdateKind, Micros, Timer};
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -1,5 +1,9 @@
 //! Load reports, load queries and listed sizes: what other dispatchers have at the workers.
-use super::{Dispatcher, MAX_FIGURE, SLOW_GAIN, state::Worker, validated};
+use super::Dispatcher;
+use super::figures::MAX_FIGURE;
+use super::figures::SLOW_GAIN;
+use super::figures::validated;
+use super::worker::Worker;
 use crate::{Action, Endpoint, LoadReport, Micros, Outcome, SECOND, Timer, WorkerId, WorkerState};
 use crate::{average::move_average, time::to_seconds};
 
@@ -68,13 +72,14 @@
     fn reported_slots_in_use(&mut self, index: usize, report: &LoadReport) -> f64 {
         let figure = |x: Option<f64>| x.filter(|&x| (0.0..=MAX_FIGURE).contains(&x));
         let (in_flight, queue) = (figure(report.in_flight), figure(report.queue));
-        let waiting = queue.unwrap_or(0.0) * self.mean_request_slots;
+        let waiting = queue.unwrap_or(0.0) * self.offered_load.mean_request_slots();
         if let Some(free) = figure(report.free_slots) {
             let running = in_flight.zip(queue).map_or(0.0, |(all, queue)| (all - queue).max(0.0));
             self.learn_slots(self.workers[index].kind as usize, free + running);
             let taken = (self.slots_of(&self.workers[index]) - free).max(0.0);
             // Where the waiting requests are not reported, they are those beyond the slots taken.
-            let in_use = in_flight.filter(|_| queue.is_none()).unwrap_or(0.0) * self.mean_request_slots;
+            let in_use =
+                in_flight.filter(|_| queue.is_none()).unwrap_or(0.0) * self.offered_load.mean_request_slots();
             return in_use.max(taken) + waiting;
         }
         // Counted without a report too, as the utilization would else follow rejections alone and never fall.
@@ -137,7 +142,7 @@
         let load = (self.kinds[worker.kind as usize].max_size / size - 1.0).clamp(0.0, MAX_LISTED_LOAD);
         let slots = self.slots_of(worker);
         let worker = &mut self.workers[index];
-        worker.listed_slots = load * slots * self.mean_request_slots;
+        worker.listed_slots = load * slots * self.offered_load.mean_request_slots();
         let gain = if worker.listed_at.is_some() { LISTED_LOAD_GAIN } else { 1.0 };
         move_average(&mut worker.mean_listed_slots, worker.listed_slots, gain);
         worker.listed_at = Some(now);
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -7,32 +7,33 @@
 mod attempts;
 mod endpoint_subscription;
 mod endpoint_updates;
+mod figures;
 mod hedging;
+mod late_retries;
 mod load_reports;
+mod offered_load;
 mod outlier_detection;
+mod request;
 mod retries;
 mod selection;
 mod service_time;
 mod slow_start;
-mod state;
+mod worker;
 
+use self::admission::AdmissionController;
 use self::endpoint_subscription::EndpointSubscription;
+use self::figures::REFRESH_INTERVAL;
 use self::hedging::HedgeBudget;
+use self::late_retries::LateRetries;
 use self::load_reports::{INITIAL_UTILIZATION, LOAD_QUERY_ROUND, MAX_LOAD_QUERY_BUDGET};
-use self::state::{GroupStatistics, RejectionStreak, Request, Worker};
-use crate::average::{AverageRatio, EventRate, LogAverage};
-use crate::{Action, Event, Micros, RequestId, SECOND, Settings, SettingsError, Timer};
+use self::offered_load::OfferedLoad;
+use self::request::Request;
+use self::worker::GroupStatistics;
+use self::worker::Worker;
+use crate::average::{AverageRatio, LogAverage};
+use crate::{Action, Event, Micros, RequestId, Settings, SettingsError, Timer};
 use rustc_hash::FxHashMap;
 
-/// Interval of the periodic refresh of all workers: short beside the seconds in which rates change.
-const REFRESH_INTERVAL: Micros = SECOND;
-/// Weight of one sample in a mean over all requests or many workers: about the last hundred count.
-const GROUP_GAIN: f64 = 0.01;
-/// Weight of one sample in a mean that moves slowly: about the last twenty count.
-const SLOW_GAIN: f64 = 0.05;
-/// Largest valid count of slots, and hint in seconds; beyond it they count as absent.
-const MAX_FIGURE: f64 = 1e4;
-
 /// The decisions of one dispatcher. See [`Dispatcher::handle`].
 #[derive(Clone, Debug, Default)]
 pub struct Dispatcher {
@@ -56,19 +57,11 @@
     actions: Vec<Action>,
     mean_response_seconds: f64,
     started_at: Option<Micros>,
-    /// Priority weight per slot-second below which requests are shed while slots are scarce.
-    shed_price: f64,
-    rejection_streak: RejectionStreak,
-    tenant_rates: Vec<EventRate>,
-    /// Mean of work times slots of a request, the requests it rests on (up to a hundred), mean of slots.
-    mean_request_load: f64,
-    load_samples: f64,
-    mean_request_slots: f64,
+    admission: AdmissionController,
+    offered_load: OfferedLoad,
+    late_retries: LateRetries,
     subscription: EndpointSubscription,
     service_time_by_class: Vec<LogAverage>,
-    longest_time_left_by_class: Vec<Micros>,
-    /// Fraction of requests that arrive when their whole latency objective seems spent.
-    late_retry_fraction: f64,
 }
 
 impl Dispatcher {
@@ -78,19 +71,18 @@
     /// The first of the settings that makes no sense.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let (class_count, tenant_count) = (settings.classes.len(), settings.tenants.len());
+        let class_count = settings.classes.len();
+        let tenant_count = settings.tenants.len();
         Ok(Dispatcher {
             settings,
             rng: fastrand::Rng::with_seed(seed),
             fleet_utilization: INITIAL_UTILIZATION,
             affinity_scale: 1.0,
             mean_response_seconds: 1.0,
-            tenant_rates: vec![EventRate::default(); tenant_count],
+            admission: AdmissionController::new(tenant_count),
+            late_retries: LateRetries::new(class_count),
             load_query_budget: MAX_LOAD_QUERY_BUDGET,
-            mean_request_load: 1.0,
-            mean_request_slots: 1.0,
             service_time_by_class: vec![LogAverage::default(); class_count],
-            longest_time_left_by_class: vec![0; class_count],
             ..Dispatcher::default()
         })
     }
@@ -144,8 +136,3 @@
         self.actions.push(Action::StartTimer { after: REFRESH_INTERVAL, timer: Timer::PeriodicRefresh });
     }
 }
-
-/// A figure from outside, if it is one that can be meant.
-fn validated(figure: Option<f64>, max: f64) -> Option<f64> {
-    figure.filter(|&x| x.is_finite() && x > 0.0 && x <= max)
-}
--- a/crates/dispatcher/src/policy/outlier_detection.rs
+++ b/crates/dispatcher/src/policy/outlier_detection.rs
@@ -1,5 +1,7 @@
 //! Outlier detection: workers whose attempts fail are ranked down, never ejected.
-use super::{Dispatcher, REFRESH_INTERVAL, state::Worker};
+use super::Dispatcher;
+use super::figures::REFRESH_INTERVAL;
+use super::worker::Worker;
 use crate::{Micros, Outcome, average::move_average, time::to_seconds};
 
 /// Weight of one outcome in a worker's failure rate.
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -1,5 +1,7 @@
 //! Worker selection: the lowest ranked among the eligible workers.
-use super::{Dispatcher, REFRESH_INTERVAL, state::Request};
+use super::Dispatcher;
+use super::figures::REFRESH_INTERVAL;
+use super::request::Request;
 use crate::{Idempotency, KeyScope, Micros, Rejection, WorkerState, time::from_seconds};
 
 /// Workers compared for one request, from a random one on: more would cost more than they find.
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -1,5 +1,9 @@
 //! Service-time estimates, and the rates and slots of workers that they rest on.
-use super::{Dispatcher, GROUP_GAIN, load_reports::RemoteSlots, state::Request, state::Worker};
+use super::Dispatcher;
+use super::figures::GROUP_GAIN;
+use super::load_reports::RemoteSlots;
+use super::request::Request;
+use super::worker::Worker;
 use crate::{Micros, average::weighted_mean, time::to_seconds};
 
 /// Weight of one sample in a worker's rate: about the last ten count.
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -1,5 +1,7 @@
 //! Slow start: what all dispatchers together may send to a worker that is warming up.
-use super::{Dispatcher, state::Request, state::Worker};
+use super::Dispatcher;
+use super::request::Request;
+use super::worker::Worker;
 use crate::{Micros, time::to_seconds};
 
 /// Fraction of a slow-start budget that all may use. What one sends counts for a whole window, so that none
@@ -80,7 +82,7 @@
     /// Work beyond a budget that is laid to chance: 2 x root of N + 2 requests of mean work. Where N is under
     /// 30 the platform allows 3 x root of N + 3; the rest is for dispatchers that judge the worker unlike.
     fn slow_start_chance(&self, budget: f64) -> f64 {
-        let mean_load = self.mean_request_load;
+        let mean_load = self.offered_load.mean_request_load();
         2.0 * (budget * mean_load).sqrt() + 2.0 * mean_load
     }
 
@@ -90,7 +92,7 @@
         // Of an overload the notified dispatchers must not have sent over two thirds, and the others a third.
         let target = (SLOW_START_BUDGET_FRACTION * budget).min(allowed / SLOW_START_NOTIFIED_DIVISOR);
         let fleet_size = f64::from(self.settings.fleet_size);
-        let mean_load = self.mean_request_load;
+        let mean_load = self.offered_load.mean_request_load();
         let sharers = (target / (SLOW_START_PART_REQUESTS * mean_load)).clamp(1.0, fleet_size).floor();
         let part = target / sharers;
         if self.settings.instance_index.is_some() || sharers >= fleet_size {
--- /dev/null
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -0,0 +1,45 @@
+//! What a dispatcher knows of workers and of their kinds.
+use crate::Micros;
+use crate::WorkerState;
+use crate::average::LogAverage;
+use crate::average::SlidingWindowSum;
+use crate::local_load::LocalLoad;
+
+/// What is known of the workers of one kind, or of all.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct GroupStatistics {
+    pub(super) rate: LogAverage,
+    pub(super) slots: Option<f64>,
+    pub(super) rejection_rate: f64,
+    /// Largest size listed: that of an idle worker.
+    pub(super) max_size: f64,
+}
+
+#[derive(Clone, Debug, Default)]
+pub(super) struct Worker {
+    pub(super) state: WorkerState,
+    pub(super) zone: u32,
+    pub(super) kind: u32,
+    pub(super) cell: u32,
+    pub(super) started_at: Option<Micros>,
+    pub(super) local_load: LocalLoad,
+    pub(super) rate: LogAverage,
+    /// Work a second on one slot, as used in estimates.
+    pub(super) service_rate: f64,
+    pub(super) failure_rate: f64,
+    pub(super) class_failure_rates: Vec<f64>,
+    /// Slots of other dispatchers' attempts by the last report, and when it came.
+    pub(super) reported_remote_slots: f64,
+    pub(super) reported_at: Option<Micros>,
+    /// Size as last listed; slots taken by all dispatchers by that, and by the mean of the lists.
+    pub(super) size: Option<f64>,
+    pub(super) listed_slots: f64,
+    pub(super) mean_listed_slots: f64,
+    pub(super) listed_at: Option<Micros>,
+    pub(super) slow_start_sent: SlidingWindowSum,
+    pub(super) hash_key: u64,
+    /// This dispatcher's position among those that share the slow-start budget.
+    pub(super) slow_start_position: Option<u32>,
+    /// Factor of the rank by this dispatcher's random preference.
+    pub(super) affinity: f64,
+}
--- /dev/null
+++ b/crates/dispatcher/tests/unit/retries.rs
@@ -0,0 +1,95 @@
+use super::RetryRules;
+use crate::policy::request::{Attempt, MAX_TRACKED_ATTEMPTS, Request};
+use crate::{DISPATCH_SLACK, Idempotency, KeyScope, Micros, RequestClass, SECOND, Settings};
+
+const WINDOW: Micros = 2 * SECOND;
+
+fn settings(idempotency: Idempotency) -> Settings {
+    let class = RequestClass { idempotency, ..RequestClass::default() };
+    Settings { classes: vec![class], max_attempts: 4, ..Settings::default() }
+}
+
+fn keyed(scope: KeyScope) -> Settings {
+    settings(Idempotency::IdempotentWithKey { scope, window: WINDOW })
+}
+
+fn rules(settings: &Settings) -> RetryRules<'_> {
+    RetryRules { settings, rejection_rate: 0.0 }
+}
+
+fn request(attempts: &[Attempt]) -> Request {
+    let attempts = attempts.iter().copied().collect();
+    Request { deadline: 100 * SECOND, attempts, ..Request::default() }
+}
+
+const IN_FLIGHT: Attempt = Attempt { is_in_flight: true, ..ENDED };
+const NEVER_RAN: Attempt = Attempt { never_ran: true, ..ENDED };
+const ENDED: Attempt = Attempt {
+    worker: 0,
+    sent_at: SECOND,
+    fitted_slots: false,
+    progress: None,
+    is_in_flight: false,
+    never_ran: false,
+    estimate: 0.0,
+    is_overdue: false,
+};
+
+#[test]
+fn a_non_idempotent_request_is_repeated_only_where_no_attempt_may_have_run() {
+    let settings = settings(Idempotency::NonIdempotent);
+    assert!(rules(&settings).may_retry(SECOND, &request(&[NEVER_RAN])));
+    assert!(rules(&settings).may_reject(&request(&[NEVER_RAN])));
+    assert!(!rules(&settings).may_retry(SECOND, &request(&[NEVER_RAN, ENDED])));
+    assert!(!rules(&settings).may_reject(&request(&[ENDED])));
+}
+
+#[test]
+fn a_keyed_retry_must_be_written_before_the_window_ends() {
+    let mut settings = keyed(KeyScope::Cell);
+    settings.connect_timeout = 100_000;
+    let last = SECOND + WINDOW - settings.connect_timeout - DISPATCH_SLACK;
+    assert!(rules(&settings).may_retry(last - 1, &request(&[ENDED])));
+    assert!(!rules(&settings).may_retry(last, &request(&[ENDED])));
+    assert!(rules(&settings).may_retry(last, &request(&[NEVER_RAN])), "nothing to forget");
+}
+
+#[test]
+fn a_keyed_request_that_may_have_run_is_rejected_only_where_all_workers_drop_a_repeat() {
+    for (scope, may_reject) in [(KeyScope::All, true), (KeyScope::Zone, false), (KeyScope::Cell, false)] {
+        assert_eq!(rules(&keyed(scope)).may_reject(&request(&[ENDED])), may_reject, "{scope:?}");
+        assert!(rules(&keyed(scope)).may_reject(&request(&[NEVER_RAN])), "{scope:?}");
+    }
+}
+
+#[test]
+fn attempts_end_at_the_deadline_and_at_their_maximum() {
+    let settings = settings(Idempotency::Idempotent);
+    assert!(rules(&settings).may_retry(100 * SECOND - 1, &request(&[ENDED])));
+    assert!(!rules(&settings).may_retry(100 * SECOND, &request(&[ENDED])));
+    assert!(rules(&settings).may_retry(SECOND, &request(&[ENDED; 3])));
+    assert!(!rules(&settings).may_retry(SECOND, &request(&[ENDED; 4])));
+    let generous = Settings { max_attempts: 100, ..settings };
+    assert!(!rules(&generous).may_retry(SECOND, &request(&[ENDED; MAX_TRACKED_ATTEMPTS])));
+}
+
+#[test]
+fn a_fleet_that_rejects_all_is_asked_twice_for_a_request() {
+    let settings = settings(Idempotency::Idempotent);
+    let full = RetryRules { settings: &settings, rejection_rate: 1.0 };
+    assert!(full.may_retry(SECOND, &request(&[NEVER_RAN])));
+    assert!(!full.may_retry(SECOND, &request(&[NEVER_RAN; 2])));
+}
+
+#[test]
+fn a_second_attempt_beside_the_first_needs_hedging_and_a_move_needs_cancellation() {
+    let neither = settings(Idempotency::Idempotent);
+    assert!(!rules(&neither).may_retry(SECOND, &request(&[IN_FLIGHT])));
+    assert!(!rules(&neither).may_hedge_or_move(SECOND, &request(&[IN_FLIGHT])));
+    let hedging = Settings { hedging_allowed: true, ..neither.clone() };
+    assert!(rules(&hedging).may_hedge_or_move(SECOND, &request(&[IN_FLIGHT])));
+    let cancellation = Settings { cancellation_allowed: true, ..neither };
+    assert!(rules(&cancellation).may_hedge_or_move(SECOND, &request(&[IN_FLIGHT])));
+    let keyed = Settings { cancellation_allowed: true, ..keyed(KeyScope::All) };
+    assert!(!rules(&keyed).may_hedge_or_move(SECOND, &request(&[IN_FLIGHT])), "a canceled one may have run");
+}
