--- a/crates/dispatcher/src/policy/attempts.rs
+++ b/crates/dispatcher/src/policy/attempts.rs
@@ -4,7 +4,6 @@
 use super::figures::GROUP_GAIN;
 use super::figures::MAX_FIGURE;
 use super::figures::REFRESH_INTERVAL;
-use super::figures::SLOW_GAIN;
 use super::figures::validated;
 use super::hedging::hedge_delay;
 use super::load_reports::LOAD_QUERY_COST_FRACTION;
@@ -174,15 +173,13 @@
         let index = attempt.worker as usize;
         self.workers[index].local_load.complete(end.request, end.attempt, now, REPORT_AGE);
         if !(attempt.is_overdue && end.outcome == Outcome::TimedOut) {
-            self.record_failure(index, Some(request.class), end.outcome);
+            self.outlier_detector.record_outcome(index, Some(request.class), end.outcome);
         }
         if end.outcome == Outcome::Served {
             self.learn_service_time(now, attempt, request, end.elapsed);
         }
         let is_rejected = end.outcome == Outcome::Rejected;
-        for group in [&mut self.kinds[self.workers[index].kind as usize], &mut self.fleet] {
-            move_average(&mut group.rejection_rate, f64::from(is_rejected), SLOW_GAIN);
-        }
+        self.outlier_detector.record_rejection(self.workers[index].kind, is_rejected);
         let is_served = end.outcome == Outcome::Served && !self.settings.load_by_query;
         if is_rejected || end.report.is_some() || is_served {
             self.on_load_report(now, index, &end.report.unwrap_or_default(), is_rejected);
@@ -208,7 +205,7 @@
     }
 
     fn retry_rules(&self) -> RetryRules<'_> {
-        RetryRules { settings: &self.settings, rejection_rate: self.fleet.rejection_rate }
+        RetryRules { settings: &self.settings, rejection_rate: self.outlier_detector.rejection_rate() }
     }
 
     fn retry_or_respond(&mut self, now: Micros, request: &mut Request) {
--- a/crates/dispatcher/src/policy/endpoint_updates.rs
+++ b/crates/dispatcher/src/policy/endpoint_updates.rs
@@ -32,7 +32,8 @@
         for endpoint in update.endpoints {
             self.update_worker(now, endpoint);
         }
-        self.update_affinity_scale();
+        let is_ready = |worker: &&Worker| worker.state == WorkerState::Ready;
+        self.affinities.set_ready_workers(self.workers.iter().filter(is_ready).count());
         if self.settings.sizes_reflect_load {
             self.learn_sizes(update.endpoints);
             for endpoint in update.endpoints {
@@ -56,16 +57,16 @@
             self.kind_load_ratios.resize(kind + 1, initial_ratio);
         }
         while self.workers.len() <= index {
-            let class_failure_rates = vec![0.0; self.settings.classes.len()];
-            self.workers.push(Worker { class_failure_rates, affinity: 1.0, ..Worker::default() });
+            self.workers.push(Worker::default());
         }
+        self.outlier_detector.resize(self.workers.len(), self.kinds.len());
+        self.affinities.resize(self.workers.len());
         let started_at = endpoint.started_at.filter(|&at| at > 0);
         let worker = &mut self.workers[index];
         if started_at.is_some() && endpoint.started_at != worker.started_at {
             // A new or restarted process: what was learned of the old one no longer holds.
             worker.rate = LogAverage::default();
-            worker.failure_rate = 0.0;
-            worker.class_failure_rates.fill(0.0);
+            self.outlier_detector.reset(index);
             (worker.reported_at, worker.listed_at) = (None, None);
         }
         (worker.state, worker.zone) = (endpoint.state, endpoint.zone);
@@ -73,7 +74,7 @@
         worker.started_at = started_at;
         if endpoint.hash_key != worker.hash_key {
             (worker.hash_key, worker.slow_start_position) = (endpoint.hash_key, None);
-            self.draw_affinity(index);
+            self.affinities.draw(index, &mut self.rng);
         }
         self.refresh_service_rate(now, index);
     }
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -177,7 +177,7 @@
         }
         let is_late = outcome == Outcome::TimedOut;
         if !is_late {
-            self.record_failure(index, None, outcome);
+            self.outlier_detector.record_outcome(index, None, outcome);
         }
         if is_late || report.is_some() {
             self.on_load_report(now, index, &report.unwrap_or_default(), is_late);
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -4,6 +4,7 @@
 //! Network Model with Orchestrator in MEC", eq. (1), and is rejected on arrival when even that exceeds the
 //! time it has left. Each module holds one concern; all work on the one state of `Dispatcher`.
 mod admission;
+mod affinity;
 mod attempts;
 mod endpoint_subscription;
 mod endpoint_updates;
@@ -21,12 +22,14 @@
 mod worker;
 
 use self::admission::AdmissionController;
+use self::affinity::AffinityTable;
 use self::endpoint_subscription::EndpointSubscription;
 use self::figures::REFRESH_INTERVAL;
 use self::hedging::HedgeBudget;
 use self::late_retries::LateRetries;
 use self::load_reports::{INITIAL_UTILIZATION, LOAD_QUERY_ROUND, MAX_LOAD_QUERY_BUDGET};
 use self::offered_load::OfferedLoad;
+use self::outlier_detection::OutlierDetector;
 use self::request::Request;
 use self::worker::GroupStatistics;
 use self::worker::Worker;
@@ -47,8 +50,8 @@
     fleet: GroupStatistics,
     /// Mean fraction of slots taken by all dispatchers, waiting requests included.
     fleet_utilization: f64,
-    /// With this factor the lowest affinity of the ready workers is about 1.
-    affinity_scale: f64,
+    outlier_detector: OutlierDetector,
+    affinities: AffinityTable,
     last_queried: usize,
     load_query_budget: f64,
     hedge_budget: HedgeBudget,
@@ -72,12 +75,14 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let class_count = settings.classes.len();
+        let fleet_size = settings.fleet_size;
         let tenant_count = settings.tenants.len();
         Ok(Dispatcher {
             settings,
             rng: fastrand::Rng::with_seed(seed),
             fleet_utilization: INITIAL_UTILIZATION,
-            affinity_scale: 1.0,
+            outlier_detector: OutlierDetector::new(class_count),
+            affinities: AffinityTable::new(fleet_size),
             mean_response_seconds: 1.0,
             admission: AdmissionController::new(tenant_count),
             late_retries: LateRetries::new(class_count),
@@ -128,8 +133,8 @@
     }
 
     fn on_periodic_refresh(&mut self, now: Micros) {
-        self.record_overdue_attempts(now);
-        self.decay_failure_rates();
+        self.outlier_detector.record_overdue_attempts(now, self.requests.values_mut());
+        self.outlier_detector.decay(REFRESH_INTERVAL);
         for index in 0..self.workers.len() {
             self.refresh_service_rate(now, index);
         }
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -6,11 +6,6 @@
 
 /// Workers compared for one request, from a random one on: more would cost more than they find.
 const MAX_WORKERS_COMPARED: usize = 200;
-/// From so many dispatchers on, local requests tell little of what the others have at a worker.
-const LARGE_FLEET_SIZE: u32 = 16;
-/// How much affinity weighs there: of two workers one that ranks 1.1 times as high is chosen 1.1 to the power
-/// of 1 / this times as rarely. At 0.1 too many still meet at one; 0.35 was no better.
-const AFFINITY_EXPONENT: f64 = 0.2;
 /// Latency objectives that one whole request's weight is held equal to, for the cross-zone cost.
 const OBJECTIVES_PER_WEIGHT: f64 = 3.0;
 
@@ -106,32 +101,10 @@
         let excess_seconds = estimate.seconds - self.time_left(now, worker, request);
         let cross_zone = if worker.zone == self.settings.zone { 0.0 } else { cross_zone_seconds };
         // Few dispatchers, each with a part, send to a worker that warms up: there no crowd can meet.
-        let affinity = if is_warming_up { 1.0 } else { worker.affinity * self.affinity_scale };
+        let affinity = if is_warming_up { 1.0 } else { self.affinities.rank_factor(index) };
         let seconds = (estimate.seconds_for_ranking + cross_zone) * affinity
-            / self.expected_success_rate(worker, request.class);
-        let rank = (self.is_large_fleet() && excess_seconds > 0.0, seconds);
+            / self.outlier_detector.expected_success_rate(index, worker.kind, request.class);
+        let rank = (self.affinities.is_large_fleet() && excess_seconds > 0.0, seconds);
         Candidate { index, rank, excess_seconds, is_warming_up }
     }
-
-    fn is_large_fleet(&self) -> bool {
-        self.settings.fleet_size >= LARGE_FLEET_SIZE
-    }
-
-    /// Draws this dispatcher's affinity for a worker: in a large fleet, dispatchers that know the same would
-    /// all meet at one worker, of which each hears only when its own responses come back late.
-    pub(super) fn draw_affinity(&mut self, index: usize) {
-        if self.is_large_fleet() {
-            // Of exponential figures to a power, each times a rank, the lowest is at a worker with a chance
-            // that falls with its rank to the inverse power.
-            self.workers[index].affinity = (-(1.0 - self.rng.f64()).ln()).powf(AFFINITY_EXPONENT);
-        }
-    }
-
-    pub(super) fn update_affinity_scale(&mut self) {
-        if self.is_large_fleet() {
-            // Not of those that left: a list that changes for days would raise it without end.
-            let ready = self.workers.iter().filter(|worker| worker.state == WorkerState::Ready).count();
-            self.affinity_scale = (ready.max(1) as f64).powf(AFFINITY_EXPONENT);
-        }
-    }
 }
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -10,7 +10,6 @@
 pub(super) struct GroupStatistics {
     pub(super) rate: LogAverage,
     pub(super) slots: Option<f64>,
-    pub(super) rejection_rate: f64,
     /// Largest size listed: that of an idle worker.
     pub(super) max_size: f64,
 }
@@ -26,8 +25,6 @@
     pub(super) rate: LogAverage,
     /// Work a second on one slot, as used in estimates.
     pub(super) service_rate: f64,
-    pub(super) failure_rate: f64,
-    pub(super) class_failure_rates: Vec<f64>,
     /// Slots of other dispatchers' attempts by the last report, and when it came.
     pub(super) reported_remote_slots: f64,
     pub(super) reported_at: Option<Micros>,
@@ -40,6 +37,4 @@
     pub(super) hash_key: u64,
     /// This dispatcher's position among those that share the slow-start budget.
     pub(super) slow_start_position: Option<u32>,
-    /// Factor of the rank by this dispatcher's random preference.
-    pub(super) affinity: f64,
 }
