--- a/crates/dispatcher/src/policy/attempts.rs
+++ b/crates/dispatcher/src/policy/attempts.rs
@@ -102,12 +102,12 @@
 
     pub(super) fn send(&mut self, now: Micros, request: &mut Request, index: usize) {
         let slots = self.slots_of(&self.workers[index]);
-        let estimate = self.estimate(now, &self.workers[index], request).seconds;
+        let estimate = self.estimate(now, index, request).seconds;
         let worker = &mut self.workers[index];
         let (id, attempt) = (request.id, request.attempts.len() as u32);
         worker.local_load.add(InFlightAttempt { request: id, attempt, slots: request.slots, sent_at: now });
         let fitted_slots = worker.local_load.slots_in_use() <= slots;
-        self.record_slow_start_work(now, index, request.work * request.slots);
+        self.slow_start.record_sent(now, index, request.work * request.slots);
         self.admission.record_attempt();
         request.attempts.push(Attempt {
             worker: index as u32,
--- a/crates/dispatcher/src/policy/endpoint_updates.rs
+++ b/crates/dispatcher/src/policy/endpoint_updates.rs
@@ -61,19 +61,20 @@
         }
         self.outlier_detector.resize(self.workers.len(), self.kinds.len());
         self.affinities.resize(self.workers.len());
-        let started_at = endpoint.started_at.filter(|&at| at > 0);
+        self.slow_start.resize(self.workers.len());
         let worker = &mut self.workers[index];
-        if started_at.is_some() && endpoint.started_at != worker.started_at {
+        if self.slow_start.set_started_at(index, endpoint.started_at) {
             // A new or restarted process: what was learned of the old one no longer holds.
             worker.rate = LogAverage::default();
+            worker.reported_at = None;
+            worker.listed_at = None;
             self.outlier_detector.reset(index);
-            (worker.reported_at, worker.listed_at) = (None, None);
         }
-        (worker.state, worker.zone) = (endpoint.state, endpoint.zone);
-        (worker.kind, worker.cell) = (endpoint.kind, endpoint.cell);
-        worker.started_at = started_at;
-        if endpoint.hash_key != worker.hash_key {
-            (worker.hash_key, worker.slow_start_position) = (endpoint.hash_key, None);
+        worker.state = endpoint.state;
+        worker.zone = endpoint.zone;
+        worker.kind = endpoint.kind;
+        worker.cell = endpoint.cell;
+        if self.slow_start.set_hash_key(index, endpoint.hash_key) {
             self.affinities.draw(index, &mut self.rng);
         }
         self.refresh_service_rate(now, index);
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -3,7 +3,6 @@
 use super::figures::MAX_FIGURE;
 use super::figures::SLOW_GAIN;
 use super::figures::validated;
-use super::worker::Worker;
 use crate::{Action, Endpoint, LoadReport, Micros, Outcome, SECOND, Timer, WorkerId, WorkerState};
 use crate::{average::move_average, time::to_seconds};
 
@@ -88,11 +87,12 @@
     }
 
     /// The last report or list, fading to the mean of the worker's kind as it ages.
-    pub(super) fn remote_slots(&self, now: Micros, worker: &Worker, slots: f64) -> RemoteSlots {
+    pub(super) fn remote_slots(&self, now: Micros, index: usize, slots: f64) -> RemoteSlots {
+        let worker = &self.workers[index];
         let local_part = 1.0 / f64::from(self.settings.fleet_size);
         // Workers that warm up would pass for as crowded as the rest and stay idle. Not for warm ones: all
         // who read one list would meet at those it shows idle.
-        if let Some(listed_at) = worker.listed_at.filter(|_| self.is_warming_up(now, worker)) {
+        if let Some(listed_at) = worker.listed_at.filter(|_| self.slow_start.is_warming_up(now, index)) {
             let age = LIST_AGE_SECONDS + to_seconds(now.saturating_sub(listed_at));
             let fresh = (-age / LIST_FADE_SECONDS).exp();
             let all = worker.mean_listed_slots + (worker.listed_slots - worker.mean_listed_slots) * fresh;
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -31,6 +31,7 @@
 use self::offered_load::OfferedLoad;
 use self::outlier_detection::OutlierDetector;
 use self::request::Request;
+use self::slow_start::SlowStartBudgets;
 use self::worker::GroupStatistics;
 use self::worker::Worker;
 use crate::average::{AverageRatio, LogAverage};
@@ -59,7 +60,8 @@
     /// What the event at hand asks of the caller, in order.
     actions: Vec<Action>,
     mean_response_seconds: f64,
-    started_at: Option<Micros>,
+    is_started: bool,
+    slow_start: SlowStartBudgets,
     admission: AdmissionController,
     offered_load: OfferedLoad,
     late_retries: LateRetries,
@@ -78,9 +80,9 @@
         let fleet_size = settings.fleet_size;
         let tenant_count = settings.tenants.len();
         Ok(Dispatcher {
-            settings,
             rng: fastrand::Rng::with_seed(seed),
             fleet_utilization: INITIAL_UTILIZATION,
+            slow_start: SlowStartBudgets::new(&settings),
             outlier_detector: OutlierDetector::new(class_count),
             affinities: AffinityTable::new(fleet_size),
             mean_response_seconds: 1.0,
@@ -88,6 +90,7 @@
             late_retries: LateRetries::new(class_count),
             load_query_budget: MAX_LOAD_QUERY_BUDGET,
             service_time_by_class: vec![LogAverage::default(); class_count],
+            settings,
             ..Dispatcher::default()
         })
     }
@@ -95,7 +98,7 @@
     /// Takes one event and appends what is to be done about it, in order. `now` never goes back.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.actions, actions);
-        if self.started_at.is_none() {
+        if !self.is_started {
             self.start(now);
         }
         match event {
@@ -121,7 +124,8 @@
     }
 
     fn start(&mut self, now: Micros) {
-        self.started_at = Some(now);
+        self.is_started = true;
+        self.slow_start.start(now);
         self.actions.push(Action::StartTimer { after: REFRESH_INTERVAL, timer: Timer::PeriodicRefresh });
         if self.settings.load_by_query {
             let after = self.rng.u64(0..=LOAD_QUERY_ROUND / 10);
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -2,6 +2,7 @@
 use super::Dispatcher;
 use super::figures::REFRESH_INTERVAL;
 use super::request::Request;
+use super::slow_start::WorkerCapacity;
 use crate::{Idempotency, KeyScope, Micros, Rejection, WorkerState, time::from_seconds};
 
 /// Workers compared for one request, from a random one on: more would cost more than they find.
@@ -73,6 +74,17 @@
         Err(NotAdmitted { retry_after, reason: Rejection::TooLate(retry_after), late_worker: Some(index) })
     }
 
+    fn slow_start_admits(&mut self, now: Micros, index: usize, request: &Request) -> bool {
+        let worker = &self.workers[index];
+        let capacity = WorkerCapacity {
+            slots: self.kinds[worker.kind as usize].slots.unwrap_or(1.0),
+            service_rate: worker.service_rate,
+        };
+        let work = request.work * request.slots;
+        let mean_request_load = self.offered_load.mean_request_load();
+        self.slow_start.admits(now, index, work, capacity, mean_request_load, &mut self.rng)
+    }
+
     fn is_eligible(&self, index: usize, request: &Request) -> bool {
         let worker = &self.workers[index];
         let class = &self.settings.classes[request.class];
@@ -96,8 +108,8 @@
 
     fn candidate(&self, now: Micros, index: usize, request: &Request, cross_zone_seconds: f64) -> Candidate {
         let worker = &self.workers[index];
-        let estimate = self.estimate(now, worker, request);
-        let is_warming_up = self.is_warming_up(now, worker);
+        let estimate = self.estimate(now, index, request);
+        let is_warming_up = self.slow_start.is_warming_up(now, index);
         let excess_seconds = estimate.seconds - self.time_left(now, worker, request);
         let cross_zone = if worker.zone == self.settings.zone { 0.0 } else { cross_zone_seconds };
         // Few dispatchers, each with a part, send to a worker that warms up: there no crowd can meet.
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -37,10 +37,11 @@
 impl Dispatcher {
     /// Eq. (1). Where the paper knows all requests at a worker, a dispatcher knows its own and expects the
     /// others'; the excess over the slots is a mean over what they may hold.
-    pub(super) fn estimate(&self, now: Micros, worker: &Worker, request: &Request) -> ServiceTimeEstimate {
+    pub(super) fn estimate(&self, now: Micros, index: usize, request: &Request) -> ServiceTimeEstimate {
+        let worker = &self.workers[index];
         let alone = request.work / worker.service_rate;
         let slots = self.slots_of(worker);
-        let RemoteSlots { mean, variance } = self.remote_slots(now, worker, slots);
+        let RemoteSlots { mean, variance } = self.remote_slots(now, index, slots);
         let over = worker.local_load.slots_in_use() + request.slots + mean - slots;
         let excess = 0.5 * (over + (over * over + EXCESS_SPREAD * variance).sqrt());
         let seconds = alone * (1.0 + excess / slots);
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -2,7 +2,6 @@
 use crate::Micros;
 use crate::WorkerState;
 use crate::average::LogAverage;
-use crate::average::SlidingWindowSum;
 use crate::local_load::LocalLoad;
 
 /// What is known of the workers of one kind, or of all.
@@ -20,7 +19,6 @@
     pub(super) zone: u32,
     pub(super) kind: u32,
     pub(super) cell: u32,
-    pub(super) started_at: Option<Micros>,
     pub(super) local_load: LocalLoad,
     pub(super) rate: LogAverage,
     /// Work a second on one slot, as used in estimates.
@@ -33,8 +31,4 @@
     pub(super) listed_slots: f64,
     pub(super) mean_listed_slots: f64,
     pub(super) listed_at: Option<Micros>,
-    pub(super) slow_start_sent: SlidingWindowSum,
-    pub(super) hash_key: u64,
-    /// This dispatcher's position among those that share the slow-start budget.
-    pub(super) slow_start_position: Option<u32>,
 }
