--- a/crates/dispatcher/src/policy/attempts.rs
+++ b/crates/dispatcher/src/policy/attempts.rs
@@ -6,8 +6,6 @@
 use super::figures::REFRESH_INTERVAL;
 use super::figures::validated;
 use super::hedging::hedge_delay;
-use super::load_reports::LOAD_QUERY_COST_FRACTION;
-use super::load_reports::MAX_LOAD_QUERY_BUDGET;
 use super::load_reports::REPORT_AGE;
 use super::request::Attempt;
 use super::request::ProgressMark;
@@ -65,7 +63,7 @@
 
     fn should_shed(&mut self, now: Micros, request: &Request, tenant: usize) -> bool {
         let fleet = FleetLoad {
-            utilization: self.fleet_utilization,
+            utilization: self.load_reports.fleet_utilization(),
             slots: self.fleet.slots.unwrap_or(INITIAL_SLOTS),
             mean_request_load: self.offered_load.mean_request_load(),
         };
@@ -94,8 +92,7 @@
 
     /// Earns the budgets for load queries and hedges, and learns the mean request.
     fn record_offered_request(&mut self, request: &Request) {
-        let load_queries = LOAD_QUERY_COST_FRACTION / self.settings.load_query_cost;
-        self.load_query_budget = (self.load_query_budget + load_queries).min(MAX_LOAD_QUERY_BUDGET);
+        self.load_queries.earn(self.settings.load_query_cost);
         self.hedge_budget.earn();
         self.offered_load.record(request.work, request.slots);
     }
--- a/crates/dispatcher/src/policy/endpoint_updates.rs
+++ b/crates/dispatcher/src/policy/endpoint_updates.rs
@@ -1,11 +1,18 @@
 //! Endpoint updates: what they change of workers.
 use super::Dispatcher;
-use super::load_reports::INITIAL_UTILIZATION;
+use super::figures::SLOW_GAIN;
+use super::load_reports::REPORT_AGE;
+use super::load_reports::ReportFigures;
+use super::load_reports::WorkerLoad;
+use super::remote_slots::RemoteSlots;
 use super::worker::GroupStatistics;
 use super::worker::Worker;
 use crate::WorkerState;
-use crate::average::{AverageRatio, LogAverage};
-use crate::{Action, Endpoint, EndpointUpdate, EndpointUpdateKind, Micros, Timer};
+use crate::average::LogAverage;
+use crate::average::move_average;
+use crate::{
+    Action, Endpoint, EndpointUpdate, EndpointUpdateKind, LoadReport, Micros, Outcome, Timer, WorkerId,
+};
 
 /// Ids are given out densely; one this far beyond the last would only ask for memory.
 const MAX_WORKER_ID_GAP: usize = 100_000;
@@ -35,10 +42,21 @@
         let is_ready = |worker: &&Worker| worker.state == WorkerState::Ready;
         self.affinities.set_ready_workers(self.workers.iter().filter(is_ready).count());
         if self.settings.sizes_reflect_load {
-            self.learn_sizes(update.endpoints);
-            for endpoint in update.endpoints {
-                self.learn_listed_load(now, endpoint);
-            }
+            self.learn_listed_loads(now, update.endpoints);
+        }
+    }
+
+    fn learn_listed_loads(&mut self, now: Micros, endpoints: &[Endpoint]) {
+        for endpoint in endpoints {
+            self.listed_loads.set_size(endpoint.worker.0 as usize, endpoint.size);
+        }
+        self.listed_loads.learn_max_sizes(self.workers.iter().map(|worker| worker.kind));
+        let mean_request_slots = self.offered_load.mean_request_slots();
+        for endpoint in endpoints.iter().filter(|endpoint| endpoint.state == WorkerState::Ready) {
+            let index = endpoint.worker.0 as usize;
+            let Some(worker) = self.workers.get(index) else { continue };
+            let slots = self.slots_of(worker);
+            self.listed_loads.record(now, index, worker.kind, slots, mean_request_slots);
         }
     }
 
@@ -48,26 +66,26 @@
         if index > self.workers.len() + MAX_WORKER_ID_GAP || kind > MAX_GROUPS || zone > MAX_GROUPS {
             return;
         }
-        let initial_ratio = AverageRatio::starting_at(INITIAL_UTILIZATION);
-        if zone >= self.zone_load_ratios.len() {
-            self.zone_load_ratios.resize(zone + 1, initial_ratio);
-        }
+        self.zone_count = self.zone_count.max(zone + 1);
         if kind >= self.kinds.len() {
             self.kinds.resize(kind + 1, GroupStatistics::default());
-            self.kind_load_ratios.resize(kind + 1, initial_ratio);
         }
         while self.workers.len() <= index {
             self.workers.push(Worker::default());
         }
-        self.outlier_detector.resize(self.workers.len(), self.kinds.len());
-        self.affinities.resize(self.workers.len());
-        self.slow_start.resize(self.workers.len());
+        let worker_count = self.workers.len();
+        let kind_count = self.kinds.len();
+        self.outlier_detector.resize(worker_count, kind_count);
+        self.affinities.resize(worker_count);
+        self.slow_start.resize(worker_count);
+        self.load_reports.resize(worker_count, kind_count, self.zone_count);
+        self.listed_loads.resize(worker_count, kind_count);
         let worker = &mut self.workers[index];
         if self.slow_start.set_started_at(index, endpoint.started_at) {
             // A new or restarted process: what was learned of the old one no longer holds.
             worker.rate = LogAverage::default();
-            worker.reported_at = None;
-            worker.listed_at = None;
+            self.load_reports.reset(index);
+            self.listed_loads.reset(index);
             self.outlier_detector.reset(index);
         }
         worker.state = endpoint.state;
@@ -79,4 +97,67 @@
         }
         self.refresh_service_rate(now, index);
     }
+
+    pub(super) fn on_load_report(&mut self, now: Micros, index: usize, report: &LoadReport, is_full: bool) {
+        let figures = ReportFigures::new(report);
+        let worker = &self.workers[index];
+        let kind = worker.kind;
+        let zone = worker.zone;
+        if let Some(slots) = figures.slots() {
+            self.learn_slots(kind as usize, slots);
+        }
+        let worker = &self.workers[index];
+        let slots = self.slots_of(worker);
+        let local_slots = worker.local_load.slots_at(now.saturating_sub(REPORT_AGE));
+        move_average(self.fleet.slots.get_or_insert(slots), slots, SLOW_GAIN);
+        let load = WorkerLoad { worker: index, kind, zone, slots, local_slots };
+        let mean_request_slots = self.offered_load.mean_request_slots();
+        self.load_reports.record(now, load, figures, is_full, mean_request_slots);
+    }
+
+    /// Slots of the other dispatchers: by the list where the worker warms up, else by its reports. Workers
+    /// that warm up would pass for as crowded as the rest and stay idle. Not by the list for warm ones: all
+    /// who read one list would meet at those it shows idle.
+    pub(super) fn remote_slots(&self, now: Micros, index: usize, slots: f64) -> RemoteSlots {
+        if self.settings.sizes_reflect_load
+            && self.slow_start.is_warming_up(now, index)
+            && let Some(listed) = self.listed_loads.remote_slots(now, index, self.load_reports.local_part())
+        {
+            return listed;
+        }
+        let worker = &self.workers[index];
+        let local_slots = worker.local_load.slots_in_use();
+        let load = WorkerLoad { worker: index, kind: worker.kind, zone: worker.zone, slots, local_slots };
+        self.load_reports.remote_slots(now, load, self.mean_response_seconds)
+    }
+
+    pub(super) fn on_load_query_timer(&mut self) {
+        let is_ready = |worker: usize| self.workers[worker].state == WorkerState::Ready;
+        let turn = self.load_queries.take_turn(self.workers.len(), is_ready);
+        if let Some(worker) = turn.worker {
+            self.actions.push(Action::QueryLoad { worker: WorkerId(worker as u32) });
+        }
+        self.actions.push(Action::StartTimer { after: turn.next_after, timer: Timer::LoadQuery });
+    }
+
+    /// A query that timed out waited behind requests: it says as much as a rejection, nothing of failures.
+    pub(super) fn on_load_query_completed(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
+        let index = worker.0 as usize;
+        if index >= self.workers.len() {
+            return;
+        }
+        let is_late = outcome == Outcome::TimedOut;
+        if !is_late {
+            self.outlier_detector.record_outcome(index, None, outcome);
+        }
+        if is_late || report.is_some() {
+            self.on_load_report(now, index, &report.unwrap_or_default(), is_late);
+        }
+    }
 }
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -11,9 +11,12 @@
 mod figures;
 mod hedging;
 mod late_retries;
+mod listed_load;
+mod load_queries;
 mod load_reports;
 mod offered_load;
 mod outlier_detection;
+mod remote_slots;
 mod request;
 mod retries;
 mod selection;
@@ -27,14 +30,16 @@
 use self::figures::REFRESH_INTERVAL;
 use self::hedging::HedgeBudget;
 use self::late_retries::LateRetries;
-use self::load_reports::{INITIAL_UTILIZATION, LOAD_QUERY_ROUND, MAX_LOAD_QUERY_BUDGET};
+use self::listed_load::ListedLoads;
+use self::load_queries::LoadQueries;
+use self::load_reports::LoadReports;
 use self::offered_load::OfferedLoad;
 use self::outlier_detection::OutlierDetector;
 use self::request::Request;
 use self::slow_start::SlowStartBudgets;
 use self::worker::GroupStatistics;
 use self::worker::Worker;
-use crate::average::{AverageRatio, LogAverage};
+use crate::average::LogAverage;
 use crate::{Action, Event, Micros, RequestId, Settings, SettingsError, Timer};
 use rustc_hash::FxHashMap;
 
@@ -45,16 +50,13 @@
     rng: fastrand::Rng,
     workers: Vec<Worker>,
     kinds: Vec<GroupStatistics>,
-    /// For each kind and zone, the fraction of slots taken against the fleet's.
-    kind_load_ratios: Vec<AverageRatio>,
-    zone_load_ratios: Vec<AverageRatio>,
+    zone_count: usize,
     fleet: GroupStatistics,
-    /// Mean fraction of slots taken by all dispatchers, waiting requests included.
-    fleet_utilization: f64,
+    load_reports: LoadReports,
+    listed_loads: ListedLoads,
     outlier_detector: OutlierDetector,
     affinities: AffinityTable,
-    last_queried: usize,
-    load_query_budget: f64,
+    load_queries: LoadQueries,
     hedge_budget: HedgeBudget,
     requests: FxHashMap<RequestId, Request>,
     /// What the event at hand asks of the caller, in order.
@@ -81,14 +83,13 @@
         let tenant_count = settings.tenants.len();
         Ok(Dispatcher {
             rng: fastrand::Rng::with_seed(seed),
-            fleet_utilization: INITIAL_UTILIZATION,
+            load_reports: LoadReports::new(fleet_size),
             slow_start: SlowStartBudgets::new(&settings),
             outlier_detector: OutlierDetector::new(class_count),
             affinities: AffinityTable::new(fleet_size),
             mean_response_seconds: 1.0,
             admission: AdmissionController::new(tenant_count),
             late_retries: LateRetries::new(class_count),
-            load_query_budget: MAX_LOAD_QUERY_BUDGET,
             service_time_by_class: vec![LogAverage::default(); class_count],
             settings,
             ..Dispatcher::default()
@@ -128,7 +129,7 @@
         self.slow_start.start(now);
         self.actions.push(Action::StartTimer { after: REFRESH_INTERVAL, timer: Timer::PeriodicRefresh });
         if self.settings.load_by_query {
-            let after = self.rng.u64(0..=LOAD_QUERY_ROUND / 10);
+            let after = LoadQueries::first_delay(&mut self.rng);
             self.actions.push(Action::StartTimer { after, timer: Timer::LoadQuery });
         }
         if let Some(after) = self.subscription.start(&self.settings, &mut self.rng) {
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -1,7 +1,7 @@
 //! Service-time estimates, and the rates and slots of workers that they rest on.
 use super::Dispatcher;
 use super::figures::GROUP_GAIN;
-use super::load_reports::RemoteSlots;
+use super::remote_slots::RemoteSlots;
 use super::request::Request;
 use super::worker::Worker;
 use crate::{Micros, average::weighted_mean, time::to_seconds};
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -1,5 +1,4 @@
 //! What a dispatcher knows of workers and of their kinds.
-use crate::Micros;
 use crate::WorkerState;
 use crate::average::LogAverage;
 use crate::local_load::LocalLoad;
@@ -9,8 +8,6 @@
 pub(super) struct GroupStatistics {
     pub(super) rate: LogAverage,
     pub(super) slots: Option<f64>,
-    /// Largest size listed: that of an idle worker.
-    pub(super) max_size: f64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -23,12 +20,4 @@
     pub(super) rate: LogAverage,
     /// Work a second on one slot, as used in estimates.
     pub(super) service_rate: f64,
-    /// Slots of other dispatchers' attempts by the last report, and when it came.
-    pub(super) reported_remote_slots: f64,
-    pub(super) reported_at: Option<Micros>,
-    /// Size as last listed; slots taken by all dispatchers by that, and by the mean of the lists.
-    pub(super) size: Option<f64>,
-    pub(super) listed_slots: f64,
-    pub(super) mean_listed_slots: f64,
-    pub(super) listed_at: Option<Micros>,
 }
