--- a/crates/dispatcher/src/policy/endpoint_updates.rs
+++ b/crates/dispatcher/src/policy/endpoint_updates.rs
@@ -1,69 +1,62 @@
-//! Endpoint updates, and when to poll discovery for them.
-use super::{Dispatcher, load_reports::INITIAL_UTILIZATION, state::GroupStatistics, state::Worker};
+//! Endpoint updates: what they change of workers.
+use super::Dispatcher;
+use super::load_reports::REPORT_AGE;
+use super::load_reports::ReportFigures;
+use super::load_reports::WorkerLoad;
+use super::remote_slots::RemoteSlots;
+use super::request::Request;
+use super::service_time::ServiceTimeEstimate;
+use super::service_time::WorkerOccupancy;
+use super::worker::Worker;
 use crate::WorkerState;
-use crate::average::{AverageRatio, LogAverage};
-use crate::{Action, Discovery, Endpoint, EndpointUpdate, EndpointUpdateKind, Micros, SECOND, Timer};
+use crate::time::to_seconds;
+use crate::{
+    Action, Endpoint, EndpointUpdate, EndpointUpdateKind, LoadReport, Micros, Outcome, Timer, WorkerId,
+};
 
-/// Latest first poll: early, but spread out so that restarted dispatchers do not stampede discovery.
-const MAX_FIRST_POLL_DELAY: Micros = 3 * SECOND;
-/// Spread of the first poll for each dispatcher of the fleet: small fleets need none.
-const FIRST_POLL_SPREAD: Micros = 150_000;
-/// First and longest wait after a failed poll. A change counts as notified 6 s after discovery could be
-/// reached, whatever failed: a poll given up just then, this wait and the next poll fit in.
-const POLL_BACKOFF_INITIAL: Micros = SECOND;
-const POLL_BACKOFF_MAX: Micros = 2 * SECOND;
 /// Ids are given out densely; one this far beyond the last would only ask for memory.
 const MAX_WORKER_ID_GAP: usize = 100_000;
 const MAX_GROUPS: usize = 10_000;
 
 impl Dispatcher {
-    pub(super) fn schedule_first_poll(&mut self) {
-        let max = MAX_FIRST_POLL_DELAY.min(self.settings.poll_within / 2);
-        let spread = (FIRST_POLL_SPREAD * Micros::from(self.settings.fleet_size)).min(max);
-        let after = self.rng.u64(0..=spread);
-        self.schedule_poll(after);
-    }
-
-    fn schedule_poll(&mut self, after: Micros) {
-        self.is_polling = true;
+    pub(super) fn schedule_poll(&mut self, after: Micros) {
         self.actions.push(Action::StartTimer { after, timer: Timer::Subscription });
     }
 
-    /// Polls again, later each time and at a random moment: a recovering discovery must not be stampeded.
-    fn on_failed_poll(&mut self) {
-        self.is_subscribed = false;
-        if self.settings.discovery == Discovery::Polled {
-            let doubled = POLL_BACKOFF_INITIAL << self.failed_polls.min(4);
-            let max = doubled.min(POLL_BACKOFF_MAX).min(self.settings.poll_within);
-            self.failed_polls += 1;
-            let after = max / 2 + self.rng.u64(0..=max / 2);
-            self.schedule_poll(after);
-        }
-    }
-
     pub(super) fn on_endpoint_update(&mut self, now: Micros, update: EndpointUpdate<'_>) {
         if update.kind == EndpointUpdateKind::Failed {
-            return self.on_failed_poll();
-        }
-        if self.is_polling && update.kind != EndpointUpdateKind::Cached {
-            (self.is_polling, self.is_subscribed, self.failed_polls) = (false, true, 0);
+            if let Some(after) = self.subscription.record_failure(&self.settings, &mut self.rng) {
+                self.schedule_poll(after);
+            }
+            return;
         }
-        if update.version < self.endpoint_version {
+        if !self.subscription.record_update(update.kind, update.version) {
             return;
         }
-        self.endpoint_version = update.version;
         if update.kind != EndpointUpdateKind::Changes {
             self.workers.iter_mut().for_each(|worker| worker.state = WorkerState::Removed);
         }
         for endpoint in update.endpoints {
             self.update_worker(now, endpoint);
         }
-        self.update_affinity_scale();
+        let is_ready = |worker: &&Worker| worker.state == WorkerState::Ready;
+        self.affinities.set_ready_workers(self.workers.iter().filter(is_ready).count());
         if self.settings.sizes_reflect_load {
-            self.learn_sizes(update.endpoints);
-            for endpoint in update.endpoints {
-                self.learn_listed_load(now, endpoint);
-            }
+            self.learn_listed_loads(now, update.endpoints);
+        }
+    }
+
+    fn learn_listed_loads(&mut self, now: Micros, endpoints: &[Endpoint]) {
+        for endpoint in endpoints {
+            self.listed_loads.set_size(endpoint.worker.0 as usize, endpoint.size);
+        }
+        self.listed_loads.learn_max_sizes(self.workers.iter().map(|worker| worker.kind));
+        let mean_request_slots = self.offered_load.mean_request_slots();
+        for endpoint in endpoints.iter().filter(|endpoint| endpoint.state == WorkerState::Ready) {
+            let index = endpoint.worker.0 as usize;
+            let Some(worker) = self.workers.get(index) else { continue };
+            let slots = self.service_times.slots_of(worker.kind);
+            self.listed_loads.record(now, index, worker.kind, slots, mean_request_slots);
         }
     }
 
@@ -73,34 +66,122 @@
         if index > self.workers.len() + MAX_WORKER_ID_GAP || kind > MAX_GROUPS || zone > MAX_GROUPS {
             return;
         }
-        let initial_ratio = AverageRatio::starting_at(INITIAL_UTILIZATION);
-        if zone >= self.zone_load_ratios.len() {
-            self.zone_load_ratios.resize(zone + 1, initial_ratio);
-        }
-        if kind >= self.kinds.len() {
-            self.kinds.resize(kind + 1, GroupStatistics::default());
-            self.kind_load_ratios.resize(kind + 1, initial_ratio);
-        }
+        self.zone_count = self.zone_count.max(zone + 1);
+        self.kind_count = self.kind_count.max(kind + 1);
         while self.workers.len() <= index {
-            let class_failure_rates = vec![0.0; self.settings.classes.len()];
-            self.workers.push(Worker { class_failure_rates, affinity: 1.0, ..Worker::default() });
+            self.workers.push(Worker::default());
         }
-        let started_at = endpoint.started_at.filter(|&at| at > 0);
-        let worker = &mut self.workers[index];
-        if started_at.is_some() && endpoint.started_at != worker.started_at {
+        let worker_count = self.workers.len();
+        let kind_count = self.kind_count;
+        self.service_times.resize(worker_count, kind_count);
+        self.outlier_detector.resize(worker_count, kind_count);
+        self.affinities.resize(worker_count);
+        self.slow_start.resize(worker_count);
+        self.load_reports.resize(worker_count, kind_count, self.zone_count);
+        self.listed_loads.resize(worker_count, kind_count);
+        if self.slow_start.set_started_at(index, endpoint.started_at) {
             // A new or restarted process: what was learned of the old one no longer holds.
-            worker.rate = LogAverage::default();
-            worker.failure_rate = 0.0;
-            worker.class_failure_rates.fill(0.0);
-            (worker.reported_at, worker.listed_at) = (None, None);
-        }
-        (worker.state, worker.zone) = (endpoint.state, endpoint.zone);
-        (worker.kind, worker.cell) = (endpoint.kind, endpoint.cell);
-        worker.started_at = started_at;
-        if endpoint.hash_key != worker.hash_key {
-            (worker.hash_key, worker.slow_start_position) = (endpoint.hash_key, None);
-            self.draw_affinity(index);
-        }
-        self.refresh_service_rate(now, index);
+            self.service_times.reset(index);
+            self.load_reports.reset(index);
+            self.listed_loads.reset(index);
+            self.outlier_detector.reset(index);
+        }
+        let worker = &mut self.workers[index];
+        worker.state = endpoint.state;
+        worker.zone = endpoint.zone;
+        worker.kind = endpoint.kind;
+        worker.cell = endpoint.cell;
+        if self.slow_start.set_hash_key(index, endpoint.hash_key) {
+            self.affinities.draw(index, &mut self.rng);
+        }
+        let is_idle = self.workers[index].local_load.is_idle();
+        self.service_times.refresh(now, index, endpoint.kind, is_idle);
+    }
+
+    pub(super) fn on_load_report(&mut self, now: Micros, index: usize, report: &LoadReport, is_full: bool) {
+        let figures = ReportFigures::new(report);
+        let worker = &self.workers[index];
+        let kind = worker.kind;
+        let zone = worker.zone;
+        if let Some(slots) = figures.slots() {
+            self.service_times.learn_slots(kind, slots);
+        }
+        let slots = self.service_times.slots_of(kind);
+        let local_slots = worker.local_load.slots_at(now.saturating_sub(REPORT_AGE));
+        self.service_times.learn_fleet_slots(slots);
+        let load = WorkerLoad { worker: index, kind, zone, slots, local_slots };
+        let mean_request_slots = self.offered_load.mean_request_slots();
+        self.load_reports.record(now, load, figures, is_full, mean_request_slots);
+    }
+
+    /// Slots of the other dispatchers: by the list where the worker warms up, else by its reports. Workers
+    /// that warm up would pass for as crowded as the rest and stay idle. Not by the list for warm ones: all
+    /// who read one list would meet at those it shows idle.
+    pub(super) fn remote_slots(&self, now: Micros, index: usize, slots: f64) -> RemoteSlots {
+        if self.settings.sizes_reflect_load
+            && self.slow_start.is_warming_up(now, index)
+            && let Some(listed) = self.listed_loads.remote_slots(now, index, self.load_reports.local_part())
+        {
+            return listed;
+        }
+        let worker = &self.workers[index];
+        let local_slots = worker.local_load.slots_in_use();
+        let load = WorkerLoad { worker: index, kind: worker.kind, zone: worker.zone, slots, local_slots };
+        self.load_reports.remote_slots(now, load, self.service_times.mean_response_seconds())
+    }
+
+    pub(super) fn on_load_query_timer(&mut self) {
+        let is_ready = |worker: usize| self.workers[worker].state == WorkerState::Ready;
+        let turn = self.load_queries.take_turn(self.workers.len(), is_ready);
+        if let Some(worker) = turn.worker {
+            self.actions.push(Action::QueryLoad { worker: WorkerId(worker as u32) });
+        }
+        self.actions.push(Action::StartTimer { after: turn.next_after, timer: Timer::LoadQuery });
+    }
+
+    /// A query that timed out waited behind requests: it says as much as a rejection, nothing of failures.
+    pub(super) fn on_load_query_completed(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
+        let index = worker.0 as usize;
+        if index >= self.workers.len() {
+            return;
+        }
+        let is_late = outcome == Outcome::TimedOut;
+        if !is_late {
+            self.outlier_detector.record_outcome(index, None, outcome);
+        }
+        if is_late || report.is_some() {
+            self.on_load_report(now, index, &report.unwrap_or_default(), is_late);
+        }
+    }
+
+    pub(super) fn estimate(&self, now: Micros, index: usize, request: &Request) -> ServiceTimeEstimate {
+        let worker = &self.workers[index];
+        let slots = self.service_times.slots_of(worker.kind);
+        let occupancy = WorkerOccupancy {
+            slots,
+            local_slots: worker.local_load.slots_in_use(),
+            remote_slots: self.remote_slots(now, index, slots),
+        };
+        self.service_times.estimate(index, request.work, request.slots, occupancy)
+    }
+
+    /// Seconds left until the latency objective, which grows with the request's own time at the worker.
+    pub(super) fn time_left(&self, now: Micros, index: usize, request: &Request) -> f64 {
+        let stretch = self.settings.classes[request.class].latency_stretch;
+        let alone = request.work / self.service_times.service_rate(index);
+        let objective = to_seconds(request.objective_at) + stretch * alone;
+        objective.min(to_seconds(request.deadline)) - to_seconds(now)
+    }
+
+    pub(super) fn learn_rate(&mut self, now: Micros, index: usize, work: f64, seconds: f64) {
+        let worker = &self.workers[index];
+        let is_idle = worker.local_load.is_idle();
+        self.service_times.learn_rate(now, index, worker.kind, is_idle, work, seconds);
     }
 }
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -4,71 +4,68 @@
 //! Network Model with Orchestrator in MEC", eq. (1), and is rejected on arrival when even that exceeds the
 //! time it has left. Each module holds one concern; all work on the one state of `Dispatcher`.
 mod admission;
+mod affinity;
 mod attempts;
+mod endpoint_subscription;
 mod endpoint_updates;
+mod figures;
+mod hedging;
+mod late_retries;
+mod listed_load;
+mod load_queries;
 mod load_reports;
+mod offered_load;
 mod outlier_detection;
+mod remote_slots;
+mod request;
 mod retries;
 mod selection;
 mod service_time;
 mod slow_start;
-mod state;
+mod worker;
 
-use self::load_reports::{INITIAL_UTILIZATION, LOAD_QUERY_ROUND, MAX_LOAD_QUERY_BUDGET};
-use self::state::{GroupStatistics, RejectionStreak, Request, Worker};
-use crate::average::{AverageRatio, EventRate, LogAverage};
-use crate::{Action, Discovery, Event, Micros, RequestId, SECOND, Settings, SettingsError, Timer};
+use self::admission::AdmissionController;
+use self::affinity::AffinityTable;
+use self::endpoint_subscription::EndpointSubscription;
+use self::figures::REFRESH_INTERVAL;
+use self::hedging::HedgeBudget;
+use self::late_retries::LateRetries;
+use self::listed_load::ListedLoads;
+use self::load_queries::LoadQueries;
+use self::load_reports::LoadReports;
+use self::offered_load::OfferedLoad;
+use self::outlier_detection::OutlierDetector;
+use self::request::Request;
+use self::service_time::ServiceTimeEstimator;
+use self::slow_start::SlowStartBudgets;
+use self::worker::Worker;
+use crate::{Action, Event, Micros, RequestId, Settings, SettingsError, Timer};
 use rustc_hash::FxHashMap;
 
-/// Interval of the periodic refresh of all workers: short beside the seconds in which rates change.
-const REFRESH_INTERVAL: Micros = SECOND;
-/// Weight of one sample in a mean over all requests or many workers: about the last hundred count.
-const GROUP_GAIN: f64 = 0.01;
-/// Weight of one sample in a mean that moves slowly: about the last twenty count.
-const SLOW_GAIN: f64 = 0.05;
-/// Largest valid count of slots, and hint in seconds; beyond it they count as absent.
-const MAX_FIGURE: f64 = 1e4;
-
 /// The decisions of one dispatcher. See [`Dispatcher::handle`].
 #[derive(Clone, Debug, Default)]
 pub struct Dispatcher {
     settings: Settings,
     rng: fastrand::Rng,
     workers: Vec<Worker>,
-    kinds: Vec<GroupStatistics>,
-    /// For each kind and zone, the fraction of slots taken against the fleet's.
-    kind_load_ratios: Vec<AverageRatio>,
-    zone_load_ratios: Vec<AverageRatio>,
-    fleet: GroupStatistics,
-    /// Mean fraction of slots taken by all dispatchers, waiting requests included.
-    fleet_utilization: f64,
-    /// With this factor the lowest affinity of the ready workers is about 1.
-    affinity_scale: f64,
-    last_queried: usize,
-    load_query_budget: f64,
-    hedge_budget: f64,
+    kind_count: usize,
+    zone_count: usize,
+    service_times: ServiceTimeEstimator,
+    load_reports: LoadReports,
+    listed_loads: ListedLoads,
+    outlier_detector: OutlierDetector,
+    affinities: AffinityTable,
+    load_queries: LoadQueries,
+    hedge_budget: HedgeBudget,
     requests: FxHashMap<RequestId, Request>,
     /// What the event at hand asks of the caller, in order.
     actions: Vec<Action>,
-    mean_response_seconds: f64,
-    started_at: Option<Micros>,
-    /// Priority weight per slot-second below which requests are shed while slots are scarce.
-    shed_price: f64,
-    rejection_streak: RejectionStreak,
-    tenant_rates: Vec<EventRate>,
-    /// Mean of work times slots of a request, the requests it rests on (up to a hundred), mean of slots.
-    mean_request_load: f64,
-    load_samples: f64,
-    mean_request_slots: f64,
-    endpoint_version: u64,
-    is_subscribed: bool,
-    /// A poll of discovery is under way or has a timer.
-    is_polling: bool,
-    failed_polls: u32,
-    service_time_by_class: Vec<LogAverage>,
-    longest_time_left_by_class: Vec<Micros>,
-    /// Fraction of requests that arrive when their whole latency objective seems spent.
-    late_retry_fraction: f64,
+    is_started: bool,
+    slow_start: SlowStartBudgets,
+    admission: AdmissionController,
+    offered_load: OfferedLoad,
+    late_retries: LateRetries,
+    subscription: EndpointSubscription,
 }
 
 impl Dispatcher {
@@ -78,20 +75,19 @@
     /// The first of the settings that makes no sense.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let (class_count, tenant_count) = (settings.classes.len(), settings.tenants.len());
+        let class_count = settings.classes.len();
+        let fleet_size = settings.fleet_size;
+        let tenant_count = settings.tenants.len();
         Ok(Dispatcher {
-            settings,
             rng: fastrand::Rng::with_seed(seed),
-            fleet_utilization: INITIAL_UTILIZATION,
-            affinity_scale: 1.0,
-            mean_response_seconds: 1.0,
-            tenant_rates: vec![EventRate::default(); tenant_count],
-            hedge_budget: 1.0,
-            load_query_budget: MAX_LOAD_QUERY_BUDGET,
-            mean_request_load: 1.0,
-            mean_request_slots: 1.0,
-            service_time_by_class: vec![LogAverage::default(); class_count],
-            longest_time_left_by_class: vec![0; class_count],
+            load_reports: LoadReports::new(fleet_size),
+            slow_start: SlowStartBudgets::new(&settings),
+            outlier_detector: OutlierDetector::new(class_count),
+            affinities: AffinityTable::new(fleet_size),
+            service_times: ServiceTimeEstimator::new(class_count),
+            admission: AdmissionController::new(tenant_count),
+            late_retries: LateRetries::new(class_count),
+            settings,
             ..Dispatcher::default()
         })
     }
@@ -99,7 +95,7 @@
     /// Takes one event and appends what is to be done about it, in order. `now` never goes back.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.actions, actions);
-        if self.started_at.is_none() {
+        if !self.is_started {
             self.start(now);
         }
         match event {
@@ -111,9 +107,10 @@
             }
             Event::ClientDisconnected(request) => self.on_client_disconnected(request),
             Event::TimerExpired(Timer::PeriodicRefresh) => self.on_periodic_refresh(now),
-            Event::TimerExpired(Timer::Subscription) if self.is_subscribed => {}
-            // Still polling until the one endpoint update that answers the call.
-            Event::TimerExpired(Timer::Subscription) => self.actions.push(Action::Subscribe),
+            Event::TimerExpired(Timer::Subscription) if self.subscription.needs_poll() => {
+                self.actions.push(Action::Subscribe);
+            }
+            Event::TimerExpired(Timer::Subscription) => {}
             Event::TimerExpired(Timer::HedgeCheck(request)) => self.on_hedge_check(now, request),
             Event::TimerExpired(Timer::LoadQuery) => self.on_load_query_timer(),
             Event::LoadQueryCompleted { worker, outcome, report } => {
@@ -124,28 +121,25 @@
     }
 
     fn start(&mut self, now: Micros) {
-        self.started_at = Some(now);
+        self.is_started = true;
+        self.slow_start.start(now);
         self.actions.push(Action::StartTimer { after: REFRESH_INTERVAL, timer: Timer::PeriodicRefresh });
         if self.settings.load_by_query {
-            let after = self.rng.u64(0..=LOAD_QUERY_ROUND / 10);
+            let after = LoadQueries::first_delay(&mut self.rng);
             self.actions.push(Action::StartTimer { after, timer: Timer::LoadQuery });
         }
-        if self.settings.discovery == Discovery::Polled {
-            self.schedule_first_poll();
+        if let Some(after) = self.subscription.start(&self.settings, &mut self.rng) {
+            self.schedule_poll(after);
         }
     }
 
     fn on_periodic_refresh(&mut self, now: Micros) {
-        self.record_overdue_attempts(now);
-        self.decay_failure_rates();
+        self.outlier_detector.record_overdue_attempts(now, self.requests.values_mut());
+        self.outlier_detector.decay(REFRESH_INTERVAL);
         for index in 0..self.workers.len() {
-            self.refresh_service_rate(now, index);
+            let worker = &self.workers[index];
+            self.service_times.refresh(now, index, worker.kind, worker.local_load.is_idle());
         }
         self.actions.push(Action::StartTimer { after: REFRESH_INTERVAL, timer: Timer::PeriodicRefresh });
     }
 }
-
-/// A figure from outside, if it is one that can be meant.
-fn validated(figure: Option<f64>, max: f64) -> Option<f64> {
-    figure.filter(|&x| x.is_finite() && x > 0.0 && x <= max)
-}
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -1,14 +1,12 @@
 //! Worker selection: the lowest ranked among the eligible workers.
-use super::{Dispatcher, REFRESH_INTERVAL, state::Request};
+use super::Dispatcher;
+use super::figures::REFRESH_INTERVAL;
+use super::request::Request;
+use super::slow_start::WorkerCapacity;
 use crate::{Idempotency, KeyScope, Micros, Rejection, WorkerState, time::from_seconds};
 
 /// Workers compared for one request, from a random one on: more would cost more than they find.
 const MAX_WORKERS_COMPARED: usize = 200;
-/// From so many dispatchers on, local requests tell little of what the others have at a worker.
-const LARGE_FLEET_SIZE: u32 = 16;
-/// How much affinity weighs there: of two workers one that ranks 1.1 times as high is chosen 1.1 to the power
-/// of 1 / this times as rarely. At 0.1 too many still meet at one; 0.35 was no better.
-const AFFINITY_EXPONENT: f64 = 0.2;
 /// Latency objectives that one whole request's weight is held equal to, for the cross-zone cost.
 const OBJECTIVES_PER_WEIGHT: f64 = 3.0;
 
@@ -34,7 +32,8 @@
     /// to retry: the queue must first shrink by as much as the estimate exceeds the time left.
     pub(super) fn select_worker(&mut self, now: Micros, request: &Request) -> Result<usize, NotAdmitted> {
         // The cross-zone cost is given as weight, and weight falls over the latency objective.
-        let objective = self.objective_seconds(request.class, request.work);
+        let objective =
+            self.service_times.objective_seconds(&self.settings.classes[request.class], request.work);
         let cross_zone_seconds = OBJECTIVES_PER_WEIGHT * self.settings.cross_zone_cost * objective;
         let mut best: Option<Candidate> = None;
         let (mut ties, mut compared) = (1, 0);
@@ -76,6 +75,17 @@
         Err(NotAdmitted { retry_after, reason: Rejection::TooLate(retry_after), late_worker: Some(index) })
     }
 
+    fn slow_start_admits(&mut self, now: Micros, index: usize, request: &Request) -> bool {
+        let worker = &self.workers[index];
+        let capacity = WorkerCapacity {
+            slots: self.service_times.min_slots_of(worker.kind),
+            service_rate: self.service_times.service_rate(index),
+        };
+        let work = request.work * request.slots;
+        let mean_request_load = self.offered_load.mean_request_load();
+        self.slow_start.admits(now, index, work, capacity, mean_request_load, &mut self.rng)
+    }
+
     fn is_eligible(&self, index: usize, request: &Request) -> bool {
         let worker = &self.workers[index];
         let class = &self.settings.classes[request.class];
@@ -99,37 +109,15 @@
 
     fn candidate(&self, now: Micros, index: usize, request: &Request, cross_zone_seconds: f64) -> Candidate {
         let worker = &self.workers[index];
-        let estimate = self.estimate(now, worker, request);
-        let is_warming_up = self.is_warming_up(now, worker);
-        let excess_seconds = estimate.seconds - self.time_left(now, worker, request);
+        let estimate = self.estimate(now, index, request);
+        let is_warming_up = self.slow_start.is_warming_up(now, index);
+        let excess_seconds = estimate.seconds - self.time_left(now, index, request);
         let cross_zone = if worker.zone == self.settings.zone { 0.0 } else { cross_zone_seconds };
         // Few dispatchers, each with a part, send to a worker that warms up: there no crowd can meet.
-        let affinity = if is_warming_up { 1.0 } else { worker.affinity * self.affinity_scale };
+        let affinity = if is_warming_up { 1.0 } else { self.affinities.rank_factor(index) };
         let seconds = (estimate.seconds_for_ranking + cross_zone) * affinity
-            / self.expected_success_rate(worker, request.class);
-        let rank = (self.is_large_fleet() && excess_seconds > 0.0, seconds);
+            / self.outlier_detector.expected_success_rate(index, worker.kind, request.class);
+        let rank = (self.affinities.is_large_fleet() && excess_seconds > 0.0, seconds);
         Candidate { index, rank, excess_seconds, is_warming_up }
     }
-
-    fn is_large_fleet(&self) -> bool {
-        self.settings.fleet_size >= LARGE_FLEET_SIZE
-    }
-
-    /// Draws this dispatcher's affinity for a worker: in a large fleet, dispatchers that know the same would
-    /// all meet at one worker, of which each hears only when its own responses come back late.
-    pub(super) fn draw_affinity(&mut self, index: usize) {
-        if self.is_large_fleet() {
-            // Of exponential figures to a power, each times a rank, the lowest is at a worker with a chance
-            // that falls with its rank to the inverse power.
-            self.workers[index].affinity = (-(1.0 - self.rng.f64()).ln()).powf(AFFINITY_EXPONENT);
-        }
-    }
-
-    pub(super) fn update_affinity_scale(&mut self) {
-        if self.is_large_fleet() {
-            // Not of those that left: a list that changes for days would raise it without end.
-            let ready = self.workers.iter().filter(|worker| worker.state == WorkerState::Ready).count();
-            self.affinity_scale = (ready.max(1) as f64).powf(AFFINITY_EXPONENT);
-        }
-    }
 }
