--- a/crates/dispatcher/src/policy/request.rs
+++ b/crates/dispatcher/src/policy/request.rs
@@ -1,4 +1,5 @@
 //! Requests in progress and their attempts.
+use crate::Action;
 use crate::Micros;
 use crate::RequestId;
 use arrayvec::ArrayVec;
@@ -50,6 +51,22 @@
         self.attempts.iter().find(|attempt| attempt.is_in_flight || !attempt.never_ran)
     }
 
+    /// Whether an attempt in flight has started to run.
+    pub(super) fn has_started(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.is_in_flight && attempt.progress.is_some())
+    }
+
+    /// The actions that cancel the attempts in flight that are no longer wanted.
+    pub(super) fn cancellations(
+        &self,
+        is_unwanted: impl Fn(&Attempt) -> bool,
+    ) -> impl Iterator<Item = Action> {
+        let unwanted = move |(_, attempt): &(usize, &Attempt)| attempt.is_in_flight && is_unwanted(attempt);
+        let numbered = self.attempts.iter().enumerate();
+        let cancel = |number| Action::Cancel { request: self.id, attempt: number as u32 };
+        numbered.filter(unwanted).map(move |(number, _)| cancel(number))
+    }
+
     pub(super) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -1,15 +1,31 @@
-//! Worker selection: the lowest ranked among the eligible workers.
-use super::Dispatcher;
+//! Worker selection: the lowest ranked among the eligible workers. All that makes a worker be passed over is
+//! read here: its state, kind and key scope, its estimate, its failure rate, its slow-start budget.
+use super::affinity::AffinityTable;
+use super::estimates::EstimatedWorker;
+use super::estimates::TimeLimits;
+use super::estimates::WorkerEstimates;
 use super::figures::REFRESH_INTERVAL;
+use super::outlier_detection::OutlierDetector;
 use super::request::Request;
+use super::slow_start::SlowStartBudgets;
 use super::slow_start::WorkerCapacity;
-use crate::{Idempotency, KeyScope, Micros, Rejection, WorkerState, time::from_seconds};
+use super::worker::Worker;
+use super::worker::WorkerTable;
+use crate::Idempotency;
+use crate::KeyScope;
+use crate::Micros;
+use crate::Rejection;
+use crate::RequestClass;
+use crate::Settings;
+use crate::WorkerState;
+use crate::time::from_seconds;
 
 /// Workers compared for one request, from a random one on: more would cost more than they find.
 const MAX_WORKERS_COMPARED: usize = 200;
 /// Latency objectives that one whole request's weight is held equal to, for the cross-zone cost.
 const OBJECTIVES_PER_WEIGHT: f64 = 3.0;
 
+/// Why a request is not sent now.
 pub(super) struct NotAdmitted {
     pub(super) retry_after: Micros,
     pub(super) reason: Rejection,
@@ -27,16 +43,58 @@
     is_warming_up: bool,
 }
 
-impl Dispatcher {
+/// Where a request may run at all, beside the workers that have an attempt of it.
+#[derive(Clone, Copy)]
+struct Placement {
+    kind: Option<u32>,
+    zone: Option<u32>,
+    cell: Option<u32>,
+}
+
+/// What a request brings to the comparison of workers.
+struct Comparison<'a> {
+    now: Micros,
+    request: &'a Request,
+    placement: Placement,
+    limits: TimeLimits,
+    cross_zone_seconds: f64,
+}
+
+/// A view of what the selection goes by.
+pub(super) struct WorkerSelector<'a> {
+    pub(super) settings: &'a Settings,
+    pub(super) workers: &'a WorkerTable,
+    pub(super) estimates: WorkerEstimates<'a>,
+    pub(super) outlier_detector: &'a OutlierDetector,
+    pub(super) affinities: &'a AffinityTable,
+    pub(super) slow_start: &'a mut SlowStartBudgets,
+    /// Mean work times slots of a request offered here.
+    pub(super) mean_request_load: f64,
+    pub(super) rng: &'a mut fastrand::Rng,
+}
+
+impl WorkerSelector<'_> {
     /// The lowest ranked eligible worker, if the request is admitted there; ties at random. Otherwise, when
     /// to retry: the queue must first shrink by as much as the estimate exceeds the time left.
-    pub(super) fn select_worker(&mut self, now: Micros, request: &Request) -> Result<usize, NotAdmitted> {
-        // The cross-zone cost is given as weight, and weight falls over the latency objective.
-        let objective =
-            self.service_times.objective_seconds(&self.settings.classes[request.class], request.work);
-        let cross_zone_seconds = OBJECTIVES_PER_WEIGHT * self.settings.cross_zone_cost * objective;
+    pub(super) fn select(mut self, now: Micros, request: &Request) -> Result<usize, NotAdmitted> {
+        let no_worker = NotAdmitted {
+            retry_after: REFRESH_INTERVAL,
+            reason: Rejection::NoEligibleWorker,
+            late_worker: None,
+        };
+        let Candidate { index, excess_seconds, .. } = self.lowest_ranked(now, request).ok_or(no_worker)?;
+        if excess_seconds <= 0.0 {
+            return Ok(index);
+        }
+        let retry_after = from_seconds(excess_seconds);
+        Err(NotAdmitted { retry_after, reason: Rejection::TooLate(retry_after), late_worker: Some(index) })
+    }
+
+    fn lowest_ranked(&mut self, now: Micros, request: &Request) -> Option<Candidate> {
+        let comparison = self.comparison(now, request);
         let mut best: Option<Candidate> = None;
-        let (mut ties, mut compared) = (1, 0);
+        let mut ties = 1;
+        let mut compared = 0;
         let count = self.workers.len();
         let start = if count > MAX_WORKERS_COMPARED { self.rng.usize(0..count) } else { 0 };
         for step in 0..count {
@@ -44,11 +102,12 @@
                 break;
             }
             let index = (start + step) % count;
-            if !self.is_eligible(index, request) {
+            let worker = &self.workers[index];
+            if !is_eligible(index, worker, &comparison) {
                 continue;
             }
             compared += 1;
-            let candidate = self.candidate(now, index, request, cross_zone_seconds);
+            let candidate = self.candidate(index, worker, &comparison);
             let is_lowest = match best {
                 None => !candidate.rank.1.is_nan(),
                 Some(best) => candidate.rank <= best.rank,
@@ -62,56 +121,44 @@
                 best = Some(candidate);
             }
         }
-        let no_worker = NotAdmitted {
-            retry_after: REFRESH_INTERVAL,
-            reason: Rejection::NoEligibleWorker,
-            late_worker: None,
-        };
-        let Candidate { index, excess_seconds, .. } = best.ok_or(no_worker)?;
-        if excess_seconds <= 0.0 {
-            return Ok(index);
-        }
-        let retry_after = from_seconds(excess_seconds);
-        Err(NotAdmitted { retry_after, reason: Rejection::TooLate(retry_after), late_worker: Some(index) })
-    }
-
-    fn slow_start_admits(&mut self, now: Micros, index: usize, request: &Request) -> bool {
-        let worker = &self.workers[index];
-        let capacity = WorkerCapacity {
-            slots: self.service_times.min_slots_of(worker.kind),
-            service_rate: self.service_times.service_rate(index),
-        };
-        let work = request.work * request.slots;
-        let mean_request_load = self.offered_load.mean_request_load();
-        self.slow_start.admits(now, index, work, capacity, mean_request_load, &mut self.rng)
+        best
     }
 
-    fn is_eligible(&self, index: usize, request: &Request) -> bool {
-        let worker = &self.workers[index];
+    fn comparison<'r>(&self, now: Micros, request: &'r Request) -> Comparison<'r> {
         let class = &self.settings.classes[request.class];
-        if worker.state != WorkerState::Ready || class.worker_kind.is_some_and(|kind| kind != worker.kind) {
-            return false;
+        // The cross-zone cost is given as weight, and weight falls over the latency objective.
+        let objective = self.estimates.service_times.objective_seconds(class, request.work);
+        Comparison {
+            now,
+            request,
+            placement: self.placement(request, class),
+            limits: TimeLimits::new(now, request, class),
+            cross_zone_seconds: OBJECTIVES_PER_WEIGHT * self.settings.cross_zone_cost * objective,
         }
-        // Retries of a keyed request stay among the workers that drop a repeat.
-        let first = request.first_that_may_have_run();
-        let first = first.map(|attempt| &self.workers[attempt.worker as usize]);
-        let is_in_key_scope = match (class.idempotency, first) {
-            (Idempotency::IdempotentWithKey { scope: KeyScope::Zone, .. }, Some(first)) => {
-                first.zone == worker.zone
+    }
+
+    /// Retries of a keyed request stay among the workers that drop a repeat.
+    fn placement(&self, request: &Request, class: &RequestClass) -> Placement {
+        let anywhere = Placement { kind: class.worker_kind, zone: None, cell: None };
+        let Some(first) = request.first_that_may_have_run() else { return anywhere };
+        let first = &self.workers[first.worker as usize];
+        match class.idempotency {
+            Idempotency::IdempotentWithKey { scope: KeyScope::Zone, .. } => {
+                Placement { zone: Some(first.zone), ..anywhere }
             }
-            (Idempotency::IdempotentWithKey { scope: KeyScope::Cell, .. }, Some(first)) => {
-                first.cell == worker.cell
+            Idempotency::IdempotentWithKey { scope: KeyScope::Cell, .. } => {
+                Placement { cell: Some(first.cell), ..anywhere }
             }
-            _ => true,
-        };
-        is_in_key_scope && !request.attempts.iter().any(|attempt| attempt.worker as usize == index)
+            _ => anywhere,
+        }
     }
 
-    fn candidate(&self, now: Micros, index: usize, request: &Request, cross_zone_seconds: f64) -> Candidate {
-        let worker = &self.workers[index];
-        let estimate = self.estimate(now, index, request);
+    fn candidate(&self, index: usize, worker: &Worker, comparison: &Comparison<'_>) -> Candidate {
+        let Comparison { now, request, limits, cross_zone_seconds, .. } = *comparison;
         let is_warming_up = self.slow_start.is_warming_up(now, index);
-        let excess_seconds = estimate.seconds - self.time_left(now, index, request);
+        let at = EstimatedWorker { index, worker, is_warming_up };
+        let estimate = self.estimates.estimate(now, at, request);
+        let excess_seconds = estimate.seconds - limits.seconds_left(estimate.seconds_alone);
         let cross_zone = if worker.zone == self.settings.zone { 0.0 } else { cross_zone_seconds };
         // Few dispatchers, each with a part, send to a worker that warms up: there no crowd can meet.
         let affinity = if is_warming_up { 1.0 } else { self.affinities.rank_factor(index) };
@@ -120,4 +167,22 @@
         let rank = (self.affinities.is_large_fleet() && excess_seconds > 0.0, seconds);
         Candidate { index, rank, excess_seconds, is_warming_up }
     }
+
+    fn slow_start_admits(&mut self, now: Micros, index: usize, request: &Request) -> bool {
+        let capacity = WorkerCapacity {
+            slots: self.estimates.service_times.min_slots_of(self.workers[index].kind),
+            service_rate: self.estimates.service_times.service_rate(index),
+        };
+        let work = request.work * request.slots;
+        self.slow_start.admits(now, index, work, capacity, self.mean_request_load, self.rng)
+    }
+}
+
+fn is_eligible(index: usize, worker: &Worker, comparison: &Comparison<'_>) -> bool {
+    let placement = comparison.placement;
+    worker.state == WorkerState::Ready
+        && placement.kind.is_none_or(|kind| kind == worker.kind)
+        && placement.zone.is_none_or(|zone| zone == worker.zone)
+        && placement.cell.is_none_or(|cell| cell == worker.cell)
+        && !comparison.request.attempts.iter().any(|attempt| attempt.worker as usize == index)
 }
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -27,8 +27,8 @@
 /// Weight when it shows fewer, so that one noisy report does not stand for good.
 const SLOTS_FALL_GAIN: f64 = 0.002;
 /// The ranking counts the excess this many times: the time it costs the request itself and, about twice as
-/// much, those that wait behind it. At 1 all crowd onto the fast kind, at 5 they spread too thin. Eight days of
-/// a large fleet gave a sum of 4.78 at 1.5 and of 4.86 at 3 (`docs/large-fleet.md`).
+/// much, those that wait behind it. At 1 all crowd onto the fast kind, at 5 they spread too thin. Eight days
+/// of a large fleet gave a sum of 4.78 at 1.5 and of 4.86 at 3 (`docs/large-fleet.md`).
 const QUEUEING_RANK_FACTOR: f64 = 3.0;
 /// Makes a hyperbola follow the mean of a normal figure's part above 0: both agree at a mean of 0, where it
 /// is 0.4 standard deviations, and far from it.
@@ -41,6 +41,8 @@
 /// How long a request would take at a worker; for the ranking, with what it costs those behind it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceTimeEstimate {
+    /// With a slot to itself.
+    pub(super) seconds_alone: f64,
     pub(super) seconds: f64,
     pub(super) seconds_for_ranking: f64,
 }
@@ -148,13 +150,13 @@
         request_slots: f64,
         occupancy: WorkerOccupancy,
     ) -> ServiceTimeEstimate {
-        let alone = work / self.workers[worker].service_rate;
+        let seconds_alone = work / self.workers[worker].service_rate;
         let WorkerOccupancy { slots, local_slots, remote_slots } = occupancy;
         let over = local_slots + request_slots + remote_slots.mean - slots;
         let excess = 0.5 * (over + (over * over + EXCESS_SPREAD * remote_slots.variance).sqrt());
-        let seconds = alone * (1.0 + excess / slots);
-        let seconds_for_ranking = alone * (1.0 + QUEUEING_RANK_FACTOR * excess / slots);
-        ServiceTimeEstimate { seconds, seconds_for_ranking }
+        let seconds = seconds_alone * (1.0 + excess / slots);
+        let seconds_for_ranking = seconds_alone * (1.0 + QUEUEING_RANK_FACTOR * excess / slots);
+        ServiceTimeEstimate { seconds_alone, seconds, seconds_for_ranking }
     }
 
     /// The latency objective of a class for some work at the fleet's mean rate, in seconds.
