--- a/crates/reservations/benches/calendar.rs
+++ b/crates/reservations/benches/calendar.rs
@@ -1,15 +1,15 @@
 //! The cost of up to 100,000 claims: one more claim, allowances, the next change, displacement, a replay.
 //! Run it with `cargo bench -p copperspread-reservations`.
 use copperspread_reservations::{
-    Amount, Calendar, Command, CommandBody, CommandId, DAY, Flexibility, HOUR, Interval, Millis, Name, Owner,
-    ReservationRequest, Schedule, Settings,
+    Amount, Calendar, Command, CommandBody, CommandId, DAY, Flexibility, HOUR, Interval, Name, Owner,
+    ReservationRequest, Schedule, Settings, SpanMillis, UnixMillis,
 };
 use divan::{Bencher, black_box};
 
 const CLAIM_COUNTS: [u64; 3] = [1_000, 10_000, 100_000];
 /// Pools among which the claims are spread.
 const POOL_COUNT: u64 = 50;
-const START: Millis = 1_796_601_600_000;
+const START: UnixMillis = UnixMillis(1_796_601_600_000);
 const SLOTS_PER_POOL: u32 = 4_000;
 
 fn main() {
@@ -32,11 +32,15 @@
     )
 }
 
+fn random_span(random: &mut fastrand::Rng, min: SpanMillis, max: SpanMillis) -> SpanMillis {
+    SpanMillis(random.i64(min.0..max.0))
+}
+
 /// A claim of 1 to 48 hours. The claims are spread over a year and the pools; some accept less.
 fn claim(number: u64, precedence: u32) -> Command {
     let mut random = fastrand::Rng::with_seed(number);
-    let start = START + random.i64(2 * HOUR..390 * DAY);
-    let interval = Interval { start, end: start + random.i64(HOUR..48 * HOUR) };
+    let start = START + random_span(&mut random, 2 * HOUR, 390 * DAY);
+    let interval = Interval { start, end: start + random_span(&mut random, HOUR, 48 * HOUR) };
     let flexibility = Flexibility {
         min_slots: number.is_multiple_of(4).then_some(1),
         allows_split: number.is_multiple_of(8),
@@ -112,7 +116,7 @@
         if let CommandBody::Reserve(request) = &mut proposal.body {
             request.pool = name("pool-0");
             if let Schedule::Once(Interval { start, end }) = &mut request.schedule {
-                let shift = (*start - START) / (31 * DAY) * 31 * DAY;
+                let shift = (*start - START) / (31 * DAY) * (31 * DAY);
                 (*start, *end) = (*start - shift, *end - shift);
             }
         }
--- a/crates/reservations/src/allowance_query.rs
+++ b/crates/reservations/src/allowance_query.rs
@@ -8,10 +8,10 @@
 use crate::interval::Interval;
 use crate::limits::BLACKOUT_LOOKAHEAD;
 use crate::store::ClaimStore;
-use crate::time::Millis;
+use crate::time::{MILLISECOND, UnixMillis};
 
 /// Reservations and blackouts at an instant.
-pub(crate) fn allowances(store: &ClaimStore, at: Millis) -> Allowances {
+pub(crate) fn allowances(store: &ClaimStore, at: UnixMillis) -> Allowances {
     let mut allowances = Allowances::default();
     for (name, pool) in store.pools() {
         allowances.pools.insert(name.clone(), pool_allowance(store, name, pool, at));
@@ -32,12 +32,12 @@
 }
 
 /// The next instant after which allowances may differ.
-pub(crate) fn next_change_after(store: &ClaimStore, after: Millis) -> Option<Millis> {
+pub(crate) fn next_change_after(store: &ClaimStore, after: UnixMillis) -> Option<UnixMillis> {
     let changes = &store.index().allowance_changes;
-    changes.range(after.checked_add(1)?..).next().map(|(at, _)| *at)
+    changes.range(after.checked_add(MILLISECOND)?..).next().map(|(at, _)| *at)
 }
 
-fn pool_allowance(store: &ClaimStore, name: &Name, pool: &Pool, at: Millis) -> PoolAllowance {
+fn pool_allowance(store: &ClaimStore, name: &Name, pool: &Pool, at: UnixMillis) -> PoolAllowance {
     let index = store.index().pools.get(name);
     let allocations = index.into_iter().flat_map(|index| index.allocations.overlap(at));
     let mut reservations: Vec<ActiveReservation> = allocations
@@ -74,7 +74,7 @@
     })
 }
 
-fn blackout_status(store: &ClaimStore, target: &BlackoutTarget, at: Millis) -> BlackoutStatus {
+fn blackout_status(store: &ClaimStore, target: &BlackoutTarget, at: UnixMillis) -> BlackoutStatus {
     let no_work_until = blackout_end(store, target, at, BlackoutEffect::NoWork);
     BlackoutStatus {
         no_new_work_until: blackout_end(store, target, at, BlackoutEffect::NoNewWork),
@@ -87,11 +87,11 @@
 fn upcoming_blackout(
     store: &ClaimStore,
     target: &BlackoutTarget,
-    at: Millis,
-    from: Millis,
+    at: UnixMillis,
+    from: UnixMillis,
 ) -> Option<UpcomingBlackout> {
     let mut blackouts = store.index().blackouts.get(target)?.iter(from..);
-    let is_upcoming = |start: Millis, id: &ClaimId| {
+    let is_upcoming = |start: UnixMillis, id: &ClaimId| {
         start > at && blackout_effect(store, id) == Some(BlackoutEffect::NoWork)
     };
     let start = blackouts.find(|(range, id)| is_upcoming(range.start, id)).map(|(range, _)| range.start)?;
@@ -106,9 +106,9 @@
 fn blackout_end(
     store: &ClaimStore,
     target: &BlackoutTarget,
-    at: Millis,
+    at: UnixMillis,
     min_effect: BlackoutEffect,
-) -> Option<Millis> {
+) -> Option<UnixMillis> {
     let blackouts = store.index().blackouts.get(target)?;
     let mut end = at;
     loop {
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -7,7 +7,7 @@
 use crate::command::Owner;
 use crate::command_id::ClaimId;
 use crate::limits::PARTS_PER_MILLION;
-use crate::time::Millis;
+use crate::time::{SpanMillis, UnixMillis};
 
 /// Reservations and blackouts at an instant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,10 +55,10 @@
     pub slots: u32,
     /// Since when it has this number of slots.
     #[serde(rename = "since")]
-    pub start: Millis,
+    pub start: UnixMillis,
     /// Until when it has this number of slots.
     #[serde(rename = "until")]
-    pub end: Millis,
+    pub end: UnixMillis,
     /// How fast unused slots are lent, for [`lendable_slots`].
     #[serde(rename = "give_back")]
     pub lending_rate_ppm: u32,
@@ -69,9 +69,9 @@
 #[serde(rename = "BlackedOut", expecting = "struct BlackedOut")]
 pub struct BlackoutStatus {
     /// No work may start until then, through blackouts that meet; none if work may start.
-    pub no_new_work_until: Option<Millis>,
+    pub no_new_work_until: Option<UnixMillis>,
     /// No work may run until then, through blackouts that meet; none if work may run.
-    pub no_work_until: Option<Millis>,
+    pub no_work_until: Option<UnixMillis>,
     /// The next interval without any work that has not started, if within
     /// [`BLACKOUT_LOOKAHEAD`](crate::BLACKOUT_LOOKAHEAD).
     #[serde(rename = "ahead")]
@@ -83,16 +83,16 @@
 #[serde(rename = "Ahead", expecting = "struct Ahead")]
 pub struct UpcomingBlackout {
     /// The first instant.
-    pub start: Millis,
+    pub start: UnixMillis,
     /// The first instant after it, through blackouts that meet.
-    pub end: Millis,
+    pub end: UnixMillis,
 }
 
 impl BlackoutStatus {
     /// Until when work of at most `max_duration` must not start; none if it may start now. Work may end at
     /// the very start of a blackout.
-    pub fn wait_until(&self, now: Millis, max_duration: Millis) -> Option<Millis> {
-        let latest_end = now.saturating_add(max_duration.max(0));
+    pub fn wait_until(&self, now: UnixMillis, max_duration: SpanMillis) -> Option<UnixMillis> {
+        let latest_end = now.saturating_add(max_duration.max(SpanMillis::ZERO));
         let conflict = self.upcoming.filter(|upcoming| latest_end > upcoming.start);
         self.no_new_work_until.max(conflict.map(|upcoming| upcoming.end))
     }
@@ -101,12 +101,17 @@
 /// The slots of a reservation that others may use now.
 ///
 /// Of what the owner leaves unused, lending grows from 0 to the whole reservation at `lending_rate_ppm` parts
-/// per million of it a second. `unused_for` is how many milliseconds the owner has used no more than
+/// per million of it a second. `unused_for` is how long the owner has used no more than
 /// `used_by_owner`. Slots that the owner uses again are no longer lendable from that instant on.
-pub fn lendable_slots(reserved: u32, used_by_owner: u32, unused_for: Millis, lending_rate_ppm: u32) -> u32 {
+pub fn lendable_slots(
+    reserved: u32,
+    used_by_owner: u32,
+    unused_for: SpanMillis,
+    lending_rate_ppm: u32,
+) -> u32 {
     const MILLIS_PER_SECOND: u128 = 1_000;
     let unused = reserved.saturating_sub(used_by_owner);
-    let elapsed = u128::from(unused_for.max(0).unsigned_abs());
+    let elapsed = u128::from(unused_for.0.max(0).unsigned_abs());
     let lent = u128::from(reserved) * u128::from(lending_rate_ppm) * elapsed
         / (u128::from(PARTS_PER_MILLION) * MILLIS_PER_SECOND);
     u32::try_from(lent).unwrap_or(u32::MAX).min(unused)
--- a/crates/reservations/src/alternative.rs
+++ b/crates/reservations/src/alternative.rs
@@ -5,10 +5,10 @@
 use crate::limits::PLANNING_HORIZON;
 use crate::planner::Segment;
 use crate::store::ClaimStore;
-use crate::time::{DAY, Millis};
+use crate::time::{DAY, SpanMillis, UnixMillis};
 
 /// How far from the requested start an alternative may start.
-const MAX_DISTANCE: Millis = 30 * DAY;
+const MAX_DISTANCE: SpanMillis = DAY.times(30);
 /// How many blocked segments the search passes in each direction.
 const MAX_BLOCKED_SEGMENTS: usize = 256;
 
@@ -35,19 +35,19 @@
 }
 
 impl AlternativeSearch<'_> {
-    fn interval_at(&self, start: Millis) -> Interval {
+    fn interval_at(&self, start: UnixMillis) -> Interval {
         Interval { start, end: start.saturating_add(self.requested.length()) }
     }
 
     /// The segments of the interval from `start` on in which the request does not fit.
-    fn blocked_segments(&self, start: Millis) -> Vec<Segment> {
+    fn blocked_segments(&self, start: UnixMillis) -> Vec<Segment> {
         let mut segments = segments(self.store, self.reservation, self.interval_at(start), &[], &[]);
         segments.retain(|segment| segment.is_blacked_out || segment.free_slots < self.slots.into());
         segments
     }
 
     /// The first start at or after the requested one.
-    fn first_later_start(&self) -> Option<Millis> {
+    fn first_later_start(&self) -> Option<UnixMillis> {
         let now = self.store.now();
         let max_start = self.requested.start.saturating_add(MAX_DISTANCE);
         let max_end = now.saturating_add(PLANNING_HORIZON);
@@ -63,7 +63,7 @@
     }
 
     /// The last start at or before the requested one, no further from it than `max_distance`.
-    fn last_earlier_start(&self, max_distance: Option<Millis>) -> Option<Millis> {
+    fn last_earlier_start(&self, max_distance: Option<SpanMillis>) -> Option<UnixMillis> {
         let min_start = self.store.now().max(self.requested.start.saturating_sub(MAX_DISTANCE));
         let mut start = self.requested.start;
         for _ in 0..MAX_BLOCKED_SEGMENTS {
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -7,7 +7,7 @@
 use crate::interval::{Allocation, Interval};
 use crate::planner::Segment;
 use crate::store::ClaimStore;
-use crate::time::Millis;
+use crate::time::UnixMillis;
 
 /// The segments of an interval of the reservation's pool. What the `released` occurrences have counts as
 /// free; what the `candidates` have does not, but segments are cut where it starts and ends.
@@ -58,7 +58,7 @@
 /// The edges between the segments of an interval.
 struct Edges {
     interval: Interval,
-    changes: BTreeMap<Millis, EdgeChange>,
+    changes: BTreeMap<UnixMillis, EdgeChange>,
 }
 
 impl Edges {
@@ -69,11 +69,11 @@
     }
 
     /// The edge at an instant, or at the interval's nearest bound if that is outside.
-    fn at(&mut self, instant: Millis) -> &mut EdgeChange {
+    fn at(&mut self, instant: UnixMillis) -> &mut EdgeChange {
         self.changes.entry(instant.clamp(self.interval.start, self.interval.end)).or_default()
     }
 
-    fn cut(&mut self, instant: Millis) {
+    fn cut(&mut self, instant: UnixMillis) {
         self.at(instant);
     }
 
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar.rs
@@ -14,10 +14,10 @@
 use crate::interval::Allocation;
 use crate::limits::MAX_INSTANT;
 use crate::proposal::{propose_blackout, propose_reservation};
-use crate::rejection::{FieldError, Rejection, check_range};
+use crate::rejection::{FieldError, Rejection, check_instant};
 use crate::settings::{Settings, SettingsError};
 use crate::store::ClaimStore;
-use crate::time::Millis;
+use crate::time::UnixMillis;
 
 /// Reservations and blackouts as the log's entries up to now make them.
 ///
@@ -39,7 +39,7 @@
     }
 
     /// The instant of the latest entry.
-    pub fn now(&self) -> Millis {
+    pub fn now(&self) -> UnixMillis {
         self.store.now()
     }
 
@@ -56,20 +56,20 @@
     }
 
     /// Reservations and blackouts at an instant, by the log so far.
-    pub fn allowances(&self, at: Millis) -> Allowances {
+    pub fn allowances(&self, at: UnixMillis) -> Allowances {
         allowance_query::allowances(&self.store, at)
     }
 
     /// The next instant after which allowances may differ, by the log so far.
-    pub fn next_change_after(&self, after: Millis) -> Option<Millis> {
+    pub fn next_change_after(&self, after: UnixMillis) -> Option<UnixMillis> {
         allowance_query::next_change_after(&self.store, after)
     }
 
     /// Applies an entry of the log at its instant and returns what changed. Time never goes back: an entry
     /// with an earlier instant than the last is applied at the last.
-    pub fn apply(&mut self, at: Millis, command: &Command) -> Vec<Event> {
+    pub fn apply(&mut self, at: UnixMillis, command: &Command) -> Vec<Event> {
         let mut events = EventBuffer { at: self.store.now(), command: Some(&command.id), events: Vec::new() };
-        if let Err(rejection) = check_range("at", at, 0, MAX_INSTANT) {
+        if let Err(rejection) = check_instant("at", at, UnixMillis::EPOCH, MAX_INSTANT) {
             events.push(Change::Rejected(rejection));
             return events.events;
         }
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -9,7 +9,7 @@
 use crate::command_id::ClaimId;
 use crate::interval::{Allocation, Interval};
 use crate::limits::CLAIM_RETENTION;
-use crate::time::Millis;
+use crate::time::UnixMillis;
 
 /// A pool as the log's last command on it set it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -48,9 +48,9 @@
     pub(crate) state: ClaimState,
     /// When it got its rank: when it was held, or confirmed if it never was held.
     #[serde(rename = "since")]
-    pub(crate) ranked_at: Millis,
+    pub(crate) ranked_at: UnixMillis,
     #[serde(rename = "moved")]
-    pub(crate) last_transition_at: Millis,
+    pub(crate) last_transition_at: UnixMillis,
     #[serde(rename = "wanted")]
     pub(crate) request: ClaimRequest,
     /// The requested amount in slots of the pool at its current size.
@@ -65,13 +65,13 @@
 pub(crate) struct Rank {
     is_not_started: bool,
     precedence: Reverse<u32>,
-    ranked_at: Millis,
+    ranked_at: UnixMillis,
     pub(crate) key: OccurrenceKey,
 }
 
 impl Claim {
     /// When its next transition, or its removal, is due.
-    pub(crate) fn next_due(&self) -> Option<Millis> {
+    pub(crate) fn next_due(&self) -> Option<UnixMillis> {
         match self.state {
             ClaimState::Proposed | ClaimState::Held => Some(self.hold_end()),
             ClaimState::Confirmed => self.effective_intervals().next().map(|interval| interval.start),
@@ -98,7 +98,7 @@
     }
 
     /// The rank of one of its occurrences at an instant.
-    pub(crate) fn rank(&self, key: &OccurrenceKey, occurrence: &Occurrence, now: Millis) -> Rank {
+    pub(crate) fn rank(&self, key: &OccurrenceKey, occurrence: &Occurrence, now: UnixMillis) -> Rank {
         let precedence = self.reservation().map_or(0, |reservation| reservation.precedence);
         Rank {
             is_not_started: occurrence.interval.start > now,
@@ -108,7 +108,7 @@
         }
     }
 
-    fn hold_end(&self) -> Millis {
+    fn hold_end(&self) -> UnixMillis {
         match &self.request {
             ClaimRequest::Reservation(reservation) => reservation.hold_end,
             ClaimRequest::Blackout(blackout) => blackout.hold_end,
--- a/crates/reservations/src/claim_planning.rs
+++ b/crates/reservations/src/claim_planning.rs
@@ -12,7 +12,7 @@
 use crate::interval::{Allocation, Interval};
 use crate::planner::{AllocationPlan, Segment, plan};
 use crate::store::ClaimStore;
-use crate::time::Millis;
+use crate::time::UnixMillis;
 
 /// Candidates for displacement by one occurrence; of more only those that are displaced first.
 const MAX_CANDIDATES: usize = 1_024;
@@ -39,7 +39,10 @@
 /// # Errors
 /// Why it does not fit.
 pub(crate) fn plan_claim(store: &ClaimStore, id: &ClaimId) -> Result<ClaimPlan, Reason> {
-    let nothing = Reason::Infeasible { blocked: Interval { start: 0, end: 0 }, alternative: None };
+    let nothing = Reason::Infeasible {
+        blocked: Interval { start: UnixMillis::EPOCH, end: UnixMillis::EPOCH },
+        alternative: None,
+    };
     let Some(claim) = store.claim(id) else { return Err(nothing) };
     let Some(reservation) = claim.reservation() else { return Err(nothing) };
     let slots = claim.requested_slots;
@@ -130,7 +133,7 @@
 
 /// The occurrences in terms of the segments, which are cut at the edges of their allocations.
 fn candidates(occurrences: &[(OccurrenceKey, &Occurrence)], segments: &[Segment]) -> Vec<Candidate> {
-    let segment_at = |at: Millis| segments.partition_point(|segment| segment.interval.start < at);
+    let segment_at = |at: UnixMillis| segments.partition_point(|segment| segment.interval.start < at);
     let usage = |allocation: &Allocation| Usage {
         segments: segment_at(allocation.interval.start)..segment_at(allocation.interval.end),
         slots: i64::from(allocation.slots),
--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -5,9 +5,9 @@
 use crate::command_id::{ClaimId, CommandId};
 use crate::interval::Interval;
 use crate::limits::{MAX_HOLD_LENGTH, MAX_POOL_SLOTS, PARTS_PER_MILLION};
-use crate::rejection::{Rejection, check_range};
+use crate::rejection::{Rejection, check_instant, check_range};
 use crate::schedule::Schedule;
-use crate::time::Millis;
+use crate::time::{MILLISECOND, UnixMillis};
 
 /// One entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,7 +68,7 @@
     #[serde(rename = "give_back")]
     pub lending_rate_ppm: u32,
     /// The instant at which it lapses unless confirmed; at most 7 days ahead.
-    pub hold_end: Millis,
+    pub hold_end: UnixMillis,
 }
 
 /// The owner of a reservation.
@@ -127,7 +127,7 @@
     #[serde(rename = "when")]
     pub schedule: Schedule,
     /// The instant at which it lapses unless confirmed; at most 7 days ahead.
-    pub hold_end: Millis,
+    pub hold_end: UnixMillis,
 }
 
 /// The work that a blackout applies to.
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     /// The first field that is out of its bounds.
-    pub(crate) fn validate(&self, now: Millis) -> Result<Vec<Interval>, Rejection> {
+    pub(crate) fn validate(&self, now: UnixMillis) -> Result<Vec<Interval>, Rejection> {
         match self.amount {
             Amount::Slots(slots) => check_range("amount.slots", slots.into(), 1, MAX_POOL_SLOTS.into())?,
             Amount::PartsPerMillion(parts) => {
@@ -180,12 +180,12 @@
     ///
     /// # Errors
     /// The first field that is out of its bounds.
-    pub(crate) fn validate(&self, now: Millis) -> Result<Vec<Interval>, Rejection> {
+    pub(crate) fn validate(&self, now: UnixMillis) -> Result<Vec<Interval>, Rejection> {
         check_hold_end(self.hold_end, now)?;
         self.schedule.intervals(now)
     }
 }
 
-fn check_hold_end(hold_end: Millis, now: Millis) -> Result<(), Rejection> {
-    check_range("hold_end", hold_end, now.saturating_add(1), now.saturating_add(MAX_HOLD_LENGTH))
+fn check_hold_end(hold_end: UnixMillis, now: UnixMillis) -> Result<(), Rejection> {
+    check_instant("hold_end", hold_end, now.saturating_add(MILLISECOND), now.saturating_add(MAX_HOLD_LENGTH))
 }
--- a/crates/reservations/src/deduplication.rs
+++ b/crates/reservations/src/deduplication.rs
@@ -5,14 +5,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::command_id::CommandId;
-use crate::time::{DAY, Millis};
+use crate::time::{DAY, SpanMillis, UnixMillis};
 
 /// Members whose windows are kept.
 pub(crate) const MAX_MEMBERS: usize = 1_024;
 /// How far back in a member's sequence a late command can still be told from a duplicate.
 const WINDOW_LENGTH: u64 = 128;
 /// A member that sent nothing for so long may be replaced by another.
-const MEMBER_RETENTION: Millis = 7 * DAY;
+const MEMBER_RETENTION: SpanMillis = DAY.times(7);
 
 /// The result of looking up a command's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,12 +39,12 @@
     #[serde(rename = "window")]
     applied_bits: u128,
     #[serde(rename = "last")]
-    last_received_at: Millis,
+    last_received_at: UnixMillis,
 }
 
 impl MemberWindow {
     /// The window after a member's first command of an incarnation.
-    fn starting_with(id: &CommandId, now: Millis) -> MemberWindow {
+    fn starting_with(id: &CommandId, now: UnixMillis) -> MemberWindow {
         MemberWindow {
             incarnation: id.incarnation,
             highest_sequence: id.sequence,
@@ -81,7 +81,7 @@
 
 impl DeduplicationWindows {
     /// Looks up a command's id and records it.
-    pub(crate) fn record(&mut self, now: Millis, id: &CommandId) -> DuplicateCheck {
+    pub(crate) fn record(&mut self, now: UnixMillis, id: &CommandId) -> DuplicateCheck {
         let Some(window) = self.0.get_mut(&id.member) else {
             if !self.make_space(now) {
                 return DuplicateCheck::MemberLimitReached;
@@ -102,7 +102,7 @@
 
     /// Evicts the member that was silent longest if all windows are taken; whether there is space for
     /// another.
-    fn make_space(&mut self, now: Millis) -> bool {
+    fn make_space(&mut self, now: UnixMillis) -> bool {
         if self.0.len() < MAX_MEMBERS {
             return true;
         }
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -6,13 +6,13 @@
 use crate::command_id::{ClaimId, CommandId};
 use crate::interval::{Allocation, Interval};
 use crate::rejection::Rejection;
-use crate::time::Millis;
+use crate::time::UnixMillis;
 
 /// One change. Every member of the fleet gets the same events.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// The instant of the log's entry.
-    pub at: Millis,
+    pub at: UnixMillis,
     /// The command that caused it; none if it was due by time.
     pub command: Option<CommandId>,
     /// What changed.
@@ -137,7 +137,7 @@
 
 /// Collects the events of one log entry, with the instant and the command that they have in common.
 pub(crate) struct EventBuffer<'a> {
-    pub(crate) at: Millis,
+    pub(crate) at: UnixMillis,
     pub(crate) command: Option<&'a CommandId>,
     pub(crate) events: Vec<Event>,
 }
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -9,15 +9,15 @@
 use crate::command_id::ClaimId;
 use crate::interval::Interval;
 use crate::limits::BLACKOUT_LOOKAHEAD;
-use crate::time::Millis;
+use crate::time::{MILLISECOND, SpanMillis, UnixMillis};
 
 /// What is allocated of one pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolIndex {
     /// The allocated slots from each key on, up to the next.
-    levels: BTreeMap<Millis, i64>,
+    levels: BTreeMap<UnixMillis, i64>,
     /// The allocations that occupy capacity.
-    pub(crate) allocations: IntervalMap<Millis, OccurrenceKey>,
+    pub(crate) allocations: IntervalMap<UnixMillis, OccurrenceKey>,
 }
 
 /// The index of all claims.
@@ -25,11 +25,11 @@
 pub(crate) struct Index {
     pub(crate) pools: BTreeMap<Name, PoolIndex>,
     /// The blackouts that are in effect.
-    pub(crate) blackouts: BTreeMap<BlackoutTarget, IntervalMap<Millis, ClaimId>>,
+    pub(crate) blackouts: BTreeMap<BlackoutTarget, IntervalMap<UnixMillis, ClaimId>>,
     /// The instants at which allowances change, with the number of claims that cause it.
-    pub(crate) allowance_changes: BTreeMap<Millis, u32>,
+    pub(crate) allowance_changes: BTreeMap<UnixMillis, u32>,
     /// When a claim is due. Entries that are out of date are ignored when they come up.
-    pub(crate) due_claims: BTreeSet<(Millis, ClaimId)>,
+    pub(crate) due_claims: BTreeSet<(UnixMillis, ClaimId)>,
     pub(crate) occurrence_count: usize,
 }
 
@@ -42,15 +42,15 @@
 
 /// The entries that overlap an interval; none where it is empty, on which the map would panic.
 pub(crate) fn overlapping<V>(
-    map: &IntervalMap<Millis, V>,
+    map: &IntervalMap<UnixMillis, V>,
     interval: Interval,
 ) -> impl Iterator<Item = (Interval, &V)> {
-    let found = (interval.length() > 0).then(|| map.iter(interval.start..interval.end));
+    let found = (interval.length() > SpanMillis::ZERO).then(|| map.iter(interval.start..interval.end));
     found.into_iter().flatten().map(|(range, value)| (Interval { start: range.start, end: range.end }, value))
 }
 
 impl PoolIndex {
-    fn level_at(&self, at: Millis) -> i64 {
+    fn level_at(&self, at: UnixMillis) -> i64 {
         self.levels.range(..=at).next_back().map_or(0, |(_, level)| *level)
     }
 
@@ -73,8 +73,8 @@
     pub(crate) fn segments(&self, interval: Interval) -> Vec<(Interval, i64)> {
         let mut segments = Vec::new();
         let (mut start, mut level) = (interval.start, self.level_at(interval.start));
-        if interval.length() > 0 {
-            for (&edge, &next_level) in self.levels.range(interval.start + 1..interval.end) {
+        if interval.length() > SpanMillis::ZERO {
+            for (&edge, &next_level) in self.levels.range(interval.start + MILLISECOND..interval.end) {
                 segments.push((Interval { start, end: edge }, level));
                 (start, level) = (edge, next_level);
             }
@@ -84,7 +84,7 @@
     }
 
     /// The segments from an instant on in which more than so many slots are allocated.
-    pub(crate) fn segments_above(&self, from: Millis, slots: i64) -> Vec<Interval> {
+    pub(crate) fn segments_above(&self, from: UnixMillis, slots: i64) -> Vec<Interval> {
         let end = self.levels.last_key_value().map_or(from, |(edge, _)| *edge);
         let segments = self.segments(Interval { start: from, end });
         segments.into_iter().filter(|(_, level)| *level > slots).map(|(segment, _)| segment).collect()
@@ -132,7 +132,7 @@
             let key = OccurrenceKey { claim: id.clone(), position };
             for allocation in &occurrence.allocations {
                 let interval = allocation.interval;
-                if interval.length() == 0 {
+                if interval.length() == SpanMillis::ZERO {
                     continue;
                 }
                 let range = interval.start..interval.end;
@@ -155,7 +155,7 @@
         if !claim.state.is_in_effect() {
             return;
         }
-        for interval in claim.effective_intervals().filter(|interval| interval.length() > 0) {
+        for interval in claim.effective_intervals().filter(|interval| interval.length() > SpanMillis::ZERO) {
             self.count_allowance_change(interval.start, update);
             self.count_allowance_change(interval.end, update);
             let ClaimRequest::Blackout(blackout) = &claim.request else { continue };
@@ -180,7 +180,7 @@
         }
     }
 
-    fn count_allowance_change(&mut self, at: Millis, update: Update) {
+    fn count_allowance_change(&mut self, at: UnixMillis, update: Update) {
         let count = self.allowance_changes.entry(at).or_default();
         *count = match update {
             Update::Add => *count + 1,
--- a/crates/reservations/src/interval.rs
+++ b/crates/reservations/src/interval.rs
@@ -1,21 +1,21 @@
 //! Intervals of time, and slots that are allocated over them.
 use serde::{Deserialize, Serialize};
 
-use crate::time::Millis;
+use crate::time::{SpanMillis, UnixMillis};
 
 /// A half-open interval: from one instant to before another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Interval {
     /// The first instant.
-    pub start: Millis,
+    pub start: UnixMillis,
     /// The first instant after it.
-    pub end: Millis,
+    pub end: UnixMillis,
 }
 
 impl Interval {
-    /// The length in milliseconds; 0 for an empty or reversed interval.
-    pub fn length(self) -> Millis {
-        self.end.saturating_sub(self.start).max(0)
+    /// The length; none for an empty or reversed interval.
+    pub fn length(self) -> SpanMillis {
+        self.end.saturating_since(self.start).max(SpanMillis::ZERO)
     }
 
     /// Whether the two have an instant in common.
@@ -37,7 +37,7 @@
 impl Allocation {
     /// Slots times milliseconds.
     pub fn slot_millis(self) -> u64 {
-        self.interval.length().unsigned_abs().saturating_mul(self.slots.into())
+        self.interval.length().0.unsigned_abs().saturating_mul(self.slots.into())
     }
 }
 
@@ -58,7 +58,7 @@
 }
 
 /// Removes what lies at `now` or later.
-pub(crate) fn truncate_at(allocations: &mut Vec<Allocation>, now: Millis) {
+pub(crate) fn truncate_at(allocations: &mut Vec<Allocation>, now: UnixMillis) {
     allocations.retain(|allocation| allocation.interval.start < now);
     for allocation in allocations {
         allocation.interval.end = allocation.interval.end.min(now);
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -71,4 +71,4 @@
 pub use rejection::{FieldError, Rejection};
 pub use schedule::Schedule;
 pub use settings::{Settings, SettingsError};
-pub use time::{DAY, HOUR, MINUTE, Millis};
+pub use time::{DAY, HOUR, MILLISECOND, MINUTE, SpanMillis, UnixMillis};
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -11,6 +11,7 @@
 use crate::interval::{Allocation, Interval, merge_adjacent, truncate_at};
 use crate::planner::plan;
 use crate::store::ClaimStore;
+use crate::time::SpanMillis;
 
 /// An occurrence whose remaining allocations were released.
 pub(crate) struct ReleasedOccurrence {
@@ -122,7 +123,7 @@
     let Some(reservation) = claim.reservation() else { return };
     let Interval { start, end } = occurrence.interval;
     let rest = Interval { start: start.max(now), end };
-    if slots == 0 || rest.length() == 0 {
+    if slots == 0 || rest.length() == SpanMillis::ZERO {
         return;
     }
     let segments = segments(store, reservation, rest, &[], released);
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -9,7 +9,7 @@
 
 use crate::interval::Interval;
 use crate::rejection::{FieldError, Rejection};
-use crate::time::{DAY, Millis};
+use crate::time::{DAY, UnixMillis};
 
 /// Minutes of a local day, as a wall clock counts them.
 pub(crate) const MINUTES_PER_DAY: u16 = 1_440;
@@ -34,9 +34,9 @@
     pub end_minute: u16,
     /// No occurrence starts before.
     #[serde(rename = "first")]
-    pub not_before: Millis,
+    pub not_before: UnixMillis,
     /// No occurrence ends later.
-    pub until: Millis,
+    pub until: UnixMillis,
 }
 
 /// Days of the local calendar.
@@ -105,7 +105,7 @@
 impl Recurrence {
     /// The occurrences that end after `now`, in order and disjoint, at most `max_count`. The first is without
     /// what has passed of it.
-    pub(crate) fn occurrences(&self, now: Millis, max_count: usize) -> Result<Vec<Interval>, Rejection> {
+    pub(crate) fn occurrences(&self, now: UnixMillis, max_count: usize) -> Result<Vec<Interval>, Rejection> {
         // The bundled database and no other: the systems' own may differ among members.
         let zone = TimeZoneDatabase::bundled()
             .get(self.zone.as_str())
@@ -113,9 +113,9 @@
         let mut occurrences: Vec<Interval> = Vec::new();
         // From two days before, as an occurrence may have started already.
         let search_start = self.not_before.max(now).saturating_sub(2 * DAY);
-        let Ok(search_start) = Timestamp::from_millisecond(search_start) else { return Ok(occurrences) };
+        let Ok(search_start) = Timestamp::from_millisecond(search_start.0) else { return Ok(occurrences) };
         let mut date = zone.to_datetime(search_start).date();
-        let mut last_end = Millis::MIN;
+        let mut last_end = UnixMillis::MIN;
         while occurrences.len() < max_count {
             let Some(Interval { start, end }) = self.occurrence_on(&zone, date) else { break };
             if start >= self.until {
@@ -152,7 +152,7 @@
     Some(date.to_datetime(Time::new(hour, minute, 0, 0).ok()?))
 }
 
-fn resolve_instant(zone: &TimeZone, local: DateTime, bound: IntervalBound) -> Option<Millis> {
+fn resolve_instant(zone: &TimeZone, local: DateTime, bound: IntervalBound) -> Option<UnixMillis> {
     let ambiguous = zone.to_ambiguous_timestamp(local);
     let timestamp = match (ambiguous.offset(), bound) {
         (AmbiguousOffset::Gap { .. }, _) => {
@@ -163,5 +163,5 @@
         (_, IntervalBound::Start) => ambiguous.earlier().ok()?,
         (_, IntervalBound::End) => ambiguous.later().ok()?,
     };
-    Some(timestamp.as_millisecond())
+    Some(UnixMillis(timestamp.as_millisecond()))
 }
--- a/crates/reservations/src/rejection.rs
+++ b/crates/reservations/src/rejection.rs
@@ -4,6 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::claim_state::InvalidTransition;
+use crate::time::UnixMillis;
 
 /// A rejected command: the field and what is wrong with it. The command changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
@@ -81,3 +82,13 @@
         Err(Rejection::new(field, FieldError::OutOfRange { min, max }))
     }
 }
+
+/// Checks that an instant lies in `min` to `max`, both included.
+pub(crate) fn check_instant(
+    field: &'static str,
+    instant: UnixMillis,
+    min: UnixMillis,
+    max: UnixMillis,
+) -> Result<(), Rejection> {
+    check_range(field, instant.0, min.0, max.0)
+}
--- a/crates/reservations/src/schedule.rs
+++ b/crates/reservations/src/schedule.rs
@@ -4,8 +4,8 @@
 use crate::interval::Interval;
 use crate::limits::{MAX_INSTANT, MAX_INTERVAL_LENGTH, MAX_OCCURRENCES_PER_RECURRENCE, PLANNING_HORIZON};
 use crate::recurrence::{MINUTES_PER_DAY, Recurrence};
-use crate::rejection::{FieldError, Rejection, check_range};
-use crate::time::Millis;
+use crate::rejection::{FieldError, Rejection, check_instant, check_range};
+use crate::time::{MILLISECOND, UnixMillis};
 
 /// When a claim applies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     /// A field that is out of its bounds.
-    pub fn intervals(&self, now: Millis) -> Result<Vec<Interval>, Rejection> {
+    pub fn intervals(&self, now: UnixMillis) -> Result<Vec<Interval>, Rejection> {
         let horizon = now.saturating_add(PLANNING_HORIZON).min(MAX_INSTANT);
         match self {
             Schedule::Once(interval) => remaining_interval(*interval, now, horizon).map(|rest| vec![rest]),
@@ -32,27 +32,31 @@
     }
 }
 
-fn remaining_interval(interval: Interval, now: Millis, horizon: Millis) -> Result<Interval, Rejection> {
+fn remaining_interval(
+    interval: Interval,
+    now: UnixMillis,
+    horizon: UnixMillis,
+) -> Result<Interval, Rejection> {
     let Interval { start, end } = interval;
-    check_range("when.start", start, 0, horizon)?;
-    check_range("when.end", end, 0, horizon)?;
+    check_instant("when.start", start, UnixMillis::EPOCH, horizon)?;
+    check_instant("when.end", end, UnixMillis::EPOCH, horizon)?;
     if end <= start {
         return Err(Rejection::new("when.end", FieldError::Empty));
     }
     if end <= now {
         return Err(Rejection::new("when.end", FieldError::InThePast));
     }
-    check_range("when.end", end, start + 1, start.saturating_add(MAX_INTERVAL_LENGTH))?;
+    check_instant("when.end", end, start + MILLISECOND, start.saturating_add(MAX_INTERVAL_LENGTH))?;
     Ok(Interval { start: start.max(now), end })
 }
 
 fn recurring_intervals(
     recurrence: &Recurrence,
-    now: Millis,
-    horizon: Millis,
+    now: UnixMillis,
+    horizon: UnixMillis,
 ) -> Result<Vec<Interval>, Rejection> {
-    check_range("when.first", recurrence.not_before, 0, horizon)?;
-    check_range("when.until", recurrence.until, 0, horizon)?;
+    check_instant("when.first", recurrence.not_before, UnixMillis::EPOCH, horizon)?;
+    check_instant("when.until", recurrence.until, UnixMillis::EPOCH, horizon)?;
     check_range("when.from", recurrence.start_minute.into(), 0, i64::from(MINUTES_PER_DAY) - 1)?;
     check_range("when.to", recurrence.end_minute.into(), 0, MINUTES_PER_DAY.into())?;
     recurrence.days.validate()?;
--- a/crates/reservations/src/settings.rs
+++ b/crates/reservations/src/settings.rs
@@ -2,14 +2,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::limits::MAX_DISPLACEMENT_NOTICE;
-use crate::time::{HOUR, Millis};
+use crate::time::{HOUR, SpanMillis};
 
 /// Settings of the calendar. They must be the same for every member of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settings {
     /// An occurrence that starts sooner than this is not displaced by a claim: 0 to 30 days.
     #[serde(rename = "notice")]
-    pub displacement_notice: Millis,
+    pub displacement_notice: SpanMillis,
 }
 
 impl Default for Settings {
@@ -25,7 +25,7 @@
     /// # Errors
     /// The first setting that is out of its bounds.
     pub(crate) fn validate(self) -> Result<(), SettingsError> {
-        if (0..=MAX_DISPLACEMENT_NOTICE).contains(&self.displacement_notice) {
+        if (SpanMillis::ZERO..=MAX_DISPLACEMENT_NOTICE).contains(&self.displacement_notice) {
             Ok(())
         } else {
             Err(SettingsError::NoticeOutOfRange)
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -15,14 +15,14 @@
 use crate::limits::{MAX_CLAIMS, MAX_TOTAL_OCCURRENCES};
 use crate::rejection::{FieldError, Rejection};
 use crate::settings::Settings;
-use crate::time::Millis;
+use crate::time::{MILLISECOND, UnixMillis};
 
 /// What a snapshot contains. The maps are ordered, so that the same log gives the same bytes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Inner", expecting = "struct Inner")]
 struct CalendarState {
     settings: Settings,
-    now: Millis,
+    now: UnixMillis,
     pools: BTreeMap<Name, Pool>,
     #[serde(with = "map_as_pairs")]
     claims: BTreeMap<ClaimId, Claim>,
@@ -80,7 +80,7 @@
     pub(crate) fn new(settings: Settings) -> ClaimStore {
         let state = CalendarState {
             settings,
-            now: 0,
+            now: UnixMillis::EPOCH,
             pools: BTreeMap::new(),
             claims: BTreeMap::new(),
             deduplication: DeduplicationWindows::default(),
@@ -88,14 +88,14 @@
         ClaimStore { state, index: Index::default() }
     }
 
-    pub(crate) fn now(&self) -> Millis {
+    pub(crate) fn now(&self) -> UnixMillis {
         self.state.now
     }
 
     /// The first instant at which an occurrence may start and still be displaced.
-    pub(crate) fn displaceable_from(&self) -> Millis {
+    pub(crate) fn displaceable_from(&self) -> UnixMillis {
         let now = self.state.now;
-        now.saturating_add(self.state.settings.displacement_notice).max(now + 1)
+        now.saturating_add(self.state.settings.displacement_notice).max(now + MILLISECOND)
     }
 
     pub(crate) fn index(&self) -> &Index {
@@ -121,7 +121,7 @@
     }
 
     /// Advances time; an earlier instant has no effect.
-    pub(crate) fn advance_to(&mut self, at: Millis) {
+    pub(crate) fn advance_to(&mut self, at: UnixMillis) {
         self.state.now = self.state.now.max(at);
     }
 
--- a/crates/reservations/src/time.rs
+++ b/crates/reservations/src/time.rs
@@ -1,11 +1,155 @@
-//! Instants and spans of time.
+//! Instants and spans of time, as types that cannot be taken for each other. In JSON both are plain integers.
+use std::fmt::{self, Display, Formatter};
+use std::ops::{Add, AddAssign, Div, Mul, Rem, Sub};
 
-/// An instant in milliseconds of Unix time, or a span in milliseconds.
-pub type Millis = i64;
+use serde::{Deserialize, Serialize};
 
+/// An instant, in milliseconds of Unix time.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct UnixMillis(pub i64);
+
+/// A span of time, in milliseconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct SpanMillis(pub i64);
+
+/// The smallest span, which lies between an instant and the next.
+pub const MILLISECOND: SpanMillis = SpanMillis(1);
 /// A minute.
-pub const MINUTE: Millis = 60_000;
+pub const MINUTE: SpanMillis = MILLISECOND.times(60_000);
 /// An hour.
-pub const HOUR: Millis = 60 * MINUTE;
+pub const HOUR: SpanMillis = MINUTE.times(60);
 /// A day of 24 hours.
-pub const DAY: Millis = 24 * HOUR;
+pub const DAY: SpanMillis = HOUR.times(24);
+
+impl UnixMillis {
+    /// The start of Unix time.
+    pub const EPOCH: UnixMillis = UnixMillis(0);
+    /// The earliest instant.
+    pub const MIN: UnixMillis = UnixMillis(i64::MIN);
+    /// The latest instant.
+    pub const MAX: UnixMillis = UnixMillis(i64::MAX);
+
+    /// The instant a span later, or the latest one.
+    pub const fn saturating_add(self, span: SpanMillis) -> UnixMillis {
+        UnixMillis(self.0.saturating_add(span.0))
+    }
+
+    /// The instant a span later, if there is one.
+    pub fn checked_add(self, span: SpanMillis) -> Option<UnixMillis> {
+        self.0.checked_add(span.0).map(UnixMillis)
+    }
+
+    /// The instant a span earlier, or the earliest one.
+    pub const fn saturating_sub(self, span: SpanMillis) -> UnixMillis {
+        UnixMillis(self.0.saturating_sub(span.0))
+    }
+
+    /// The span since an instant, or the longest one; negative if that is later.
+    pub const fn saturating_since(self, earlier: UnixMillis) -> SpanMillis {
+        SpanMillis(self.0.saturating_sub(earlier.0))
+    }
+}
+
+impl SpanMillis {
+    /// No time at all.
+    pub const ZERO: SpanMillis = SpanMillis(0);
+    /// The longest span.
+    pub const MAX: SpanMillis = SpanMillis(i64::MAX);
+
+    /// So many times this span.
+    pub const fn times(self, factor: i64) -> SpanMillis {
+        SpanMillis(self.0 * factor)
+    }
+}
+
+impl Add<SpanMillis> for UnixMillis {
+    type Output = UnixMillis;
+
+    fn add(self, span: SpanMillis) -> UnixMillis {
+        UnixMillis(self.0 + span.0)
+    }
+}
+
+impl AddAssign<SpanMillis> for UnixMillis {
+    fn add_assign(&mut self, span: SpanMillis) {
+        *self = *self + span;
+    }
+}
+
+impl Sub<SpanMillis> for UnixMillis {
+    type Output = UnixMillis;
+
+    fn sub(self, span: SpanMillis) -> UnixMillis {
+        UnixMillis(self.0 - span.0)
+    }
+}
+
+impl Sub for UnixMillis {
+    type Output = SpanMillis;
+
+    fn sub(self, earlier: UnixMillis) -> SpanMillis {
+        SpanMillis(self.0 - earlier.0)
+    }
+}
+
+impl Add for SpanMillis {
+    type Output = SpanMillis;
+
+    fn add(self, other: SpanMillis) -> SpanMillis {
+        SpanMillis(self.0 + other.0)
+    }
+}
+
+impl Sub for SpanMillis {
+    type Output = SpanMillis;
+
+    fn sub(self, other: SpanMillis) -> SpanMillis {
+        SpanMillis(self.0 - other.0)
+    }
+}
+
+impl Mul<SpanMillis> for i64 {
+    type Output = SpanMillis;
+
+    fn mul(self, span: SpanMillis) -> SpanMillis {
+        span.times(self)
+    }
+}
+
+impl Div<i64> for SpanMillis {
+    type Output = SpanMillis;
+
+    fn div(self, divisor: i64) -> SpanMillis {
+        SpanMillis(self.0 / divisor)
+    }
+}
+
+impl Div for SpanMillis {
+    type Output = i64;
+
+    fn div(self, divisor: SpanMillis) -> i64 {
+        self.0 / divisor.0
+    }
+}
+
+impl Rem for SpanMillis {
+    type Output = SpanMillis;
+
+    fn rem(self, divisor: SpanMillis) -> SpanMillis {
+        SpanMillis(self.0 % divisor.0)
+    }
+}
+
+impl Display for UnixMillis {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        Display::fmt(&self.0, formatter)
+    }
+}
+
+impl Display for SpanMillis {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        Display::fmt(&self.0, formatter)
+    }
+}
--- a/crates/reservations/tests/allowances.rs
+++ b/crates/reservations/tests/allowances.rs
@@ -3,8 +3,8 @@
 
 use common::{INFLEXIBLE, START, TestLog, hours, name};
 use copperspread_reservations::{
-    ActiveReservation, BlackoutEffect, BlackoutStatus, BlackoutTarget, HOUR, Interval, PARTS_PER_MILLION,
-    UpcomingBlackout, lendable_slots,
+    ActiveReservation, BlackoutEffect, BlackoutStatus, BlackoutTarget, HOUR, Interval, MILLISECOND,
+    PARTS_PER_MILLION, SpanMillis, UpcomingBlackout, lendable_slots,
 };
 
 #[test]
@@ -33,8 +33,8 @@
     assert_eq!(reported, [2, 4, 6, 30, 32, 40, 41]);
     let mut changes = Vec::new();
     for hour in 1..50 {
-        let [before, now] =
-            [1, 0].map(|earlier_by| log.calendar.allowances(START + hour * HOUR - earlier_by));
+        let [before, now] = [MILLISECOND, SpanMillis::ZERO]
+            .map(|earlier_by| log.calendar.allowances(START + hour * HOUR - earlier_by));
         if before != now {
             changes.push(hour);
         }
@@ -73,10 +73,18 @@
         assert_eq!(status_at(hour), expected, "at hour {hour}");
     }
     let nine = status_at(9).expect("a blackout ahead");
-    for (max_duration, expected) in [(0, None), (HOUR, None), (HOUR + 1, until(13)), (i64::MAX, until(13))] {
+    for (max_duration, expected) in [
+        (SpanMillis::ZERO, None),
+        (HOUR, None),
+        (HOUR + MILLISECOND, until(13)),
+        (SpanMillis::MAX, until(13)),
+    ] {
         assert_eq!(nine.wait_until(START + 9 * HOUR, max_duration), expected, "{max_duration} ms");
     }
-    assert_eq!(status_at(14).expect("a current blackout").wait_until(START + 14 * HOUR, 0), until(15));
+    assert_eq!(
+        status_at(14).expect("a current blackout").wait_until(START + 14 * HOUR, SpanMillis::ZERO),
+        until(15)
+    );
 }
 
 #[test]
@@ -95,7 +103,7 @@
         (100, 40, 1_000, PARTS_PER_MILLION, 60),
         (u32::MAX, 0, i64::MAX, u32::MAX, u32::MAX),
     ] {
-        let found = lendable_slots(reserved, used, unused_for, rate);
+        let found = lendable_slots(reserved, used, SpanMillis(unused_for), rate);
         assert_eq!(found, expected, "{reserved} {used} {unused_for} {rate}");
     }
 }
--- a/crates/reservations/tests/common/mod.rs
+++ b/crates/reservations/tests/common/mod.rs
@@ -2,12 +2,12 @@
 #![allow(dead_code, reason = "each test program uses a part of it")]
 use copperspread_reservations::{
     Allocation, Amount, BlackoutEffect, BlackoutRequest, BlackoutTarget, Calendar, Change, ClaimId,
-    ClaimState, Command, CommandBody, CommandId, DAY, Event, Flexibility, HOUR, Interval, Millis, Name,
-    Owner, Reason, ReservationRequest, Schedule, Settings,
+    ClaimState, Command, CommandBody, CommandId, DAY, Event, Flexibility, HOUR, Interval, Name, Owner,
+    Reason, ReservationRequest, Schedule, Settings, SpanMillis, UnixMillis,
 };
 
 /// A Monday's midnight.
-pub(crate) const START: Millis = 1_796_601_600_000;
+pub(crate) const START: UnixMillis = UnixMillis(1_796_601_600_000);
 
 pub(crate) fn name(text: &str) -> Name {
     Name::new(text).expect("a name")
@@ -60,15 +60,15 @@
 pub(crate) struct TestLog {
     pub(crate) calendar: Calendar,
     /// The instant of the next entry.
-    pub(crate) at: Millis,
+    pub(crate) at: UnixMillis,
     sequence: u64,
-    pub(crate) entries: Vec<(Millis, Command)>,
+    pub(crate) entries: Vec<(UnixMillis, Command)>,
     /// The events of the last entry.
     pub(crate) events: Vec<Event>,
 }
 
 impl TestLog {
-    pub(crate) fn new(displacement_notice: Millis, slots: u32) -> TestLog {
+    pub(crate) fn new(displacement_notice: SpanMillis, slots: u32) -> TestLog {
         let calendar = Calendar::new(Settings { displacement_notice }).expect("good settings");
         let (entries, events) = (Vec::new(), Vec::new());
         let mut log = TestLog { calendar, at: START, sequence: 0, entries, events };
--- a/crates/reservations/tests/conflicts.rs
+++ b/crates/reservations/tests/conflicts.rs
@@ -4,8 +4,8 @@
 use common::{INFLEXIBLE, PARTIAL, SPLITTABLE, START, TestLog, allocation, hours, name, reservation_request};
 use copperspread_reservations::{
     AllocationChange, Amount, BlackoutEffect, BlackoutTarget, Change, ClaimState, CommandBody, DAY,
-    FieldError, Flexibility, HOUR, InvalidTransition, Reason, Recurrence, RecurrenceDays, Rejection,
-    ReservationRequest, Schedule, Transition,
+    FieldError, Flexibility, HOUR, InvalidTransition, MILLISECOND, Reason, Recurrence, RecurrenceDays,
+    Rejection, ReservationRequest, Schedule, SpanMillis, Transition,
 };
 
 #[test]
@@ -85,8 +85,8 @@
         (hours(2, 4), 5, HOUR, false),
         (hours(2, 4), 6, HOUR, false),
         (hours(2, 4), 4, 2 * HOUR, true),
-        (hours(2, 4), 4, 2 * HOUR + 1, false),
-        (hours(0, 4), 0, 0, false),
+        (hours(2, 4), 4, 2 * HOUR + MILLISECOND, false),
+        (hours(0, 4), 0, SpanMillis::ZERO, false),
     ] {
         let mut log = TestLog::new(notice, 10);
         let other = log.propose_and_confirm(6, interval, precedence, INFLEXIBLE);
--- a/crates/reservations/tests/error_texts.rs
+++ b/crates/reservations/tests/error_texts.rs
@@ -3,8 +3,8 @@
 
 use common::{hours, id};
 use copperspread_reservations::{
-    Calendar, ClaimState, Command, DAY, Event, FieldError, InvalidTransition, Reason, Rejection, Settings,
-    Transition,
+    Calendar, ClaimState, Command, DAY, Event, FieldError, InvalidTransition, MILLISECOND, Reason, Rejection,
+    Settings, SpanMillis, Transition,
 };
 
 #[test]
@@ -54,7 +54,7 @@
 
 #[test]
 fn settings_out_of_bounds_have_their_text() {
-    for displacement_notice in [-1, 30 * DAY + 1] {
+    for displacement_notice in [SpanMillis(-1), 30 * DAY + MILLISECOND] {
         let error = Calendar::new(Settings { displacement_notice }).expect_err("out of bounds");
         assert_eq!(error.to_string(), "notice: not in 0 to 30 days");
     }
--- a/crates/reservations/tests/recurrence.rs
+++ b/crates/reservations/tests/recurrence.rs
@@ -1,7 +1,7 @@
 //! Recurrences by local time, through the nights on which the clock changes.
 use copperspread_reservations::{
-    DAY, FieldError, HOUR, Interval, MAX_INTERVAL_LENGTH, Millis, Name, PLANNING_HORIZON, Recurrence,
-    RecurrenceDays, Rejection, Schedule,
+    DAY, FieldError, HOUR, Interval, MAX_INTERVAL_LENGTH, MILLISECOND, Name, PLANNING_HORIZON, Recurrence,
+    RecurrenceDays, Rejection, Schedule, UnixMillis,
 };
 
 /// Two instants, written out.
@@ -9,8 +9,8 @@
 /// A local day's interval, by hour and minute.
 type WallClock = ((u16, u16), (u16, u16));
 
-fn utc(text: &str) -> Millis {
-    text.parse::<jiff::Timestamp>().expect("an instant").as_millisecond()
+fn utc(text: &str) -> UnixMillis {
+    UnixMillis(text.parse::<jiff::Timestamp>().expect("an instant").as_millisecond())
 }
 
 fn recurring(
@@ -122,12 +122,21 @@
     };
     let once = |start, end| Schedule::Once(Interval { start, end });
     let range = |least, most| FieldError::OutOfRange { min: least, max: most };
+    let instants = |least: UnixMillis, most: UnixMillis| range(least.0, most.0);
     let cases = [
-        (once(now + 2, now + 1), "when.end", FieldError::Empty),
-        (once(now - 2, now), "when.end", FieldError::InThePast),
-        (once(now, now + MAX_INTERVAL_LENGTH + 1), "when.end", range(now + 1, now + MAX_INTERVAL_LENGTH)),
-        (once(i64::MIN, i64::MAX), "when.start", range(0, now + PLANNING_HORIZON)),
-        (once(now, i64::MAX), "when.end", range(0, now + PLANNING_HORIZON)),
+        (once(now + 2 * MILLISECOND, now + MILLISECOND), "when.end", FieldError::Empty),
+        (once(now - 2 * MILLISECOND, now), "when.end", FieldError::InThePast),
+        (
+            once(now, now + MAX_INTERVAL_LENGTH + MILLISECOND),
+            "when.end",
+            instants(now + MILLISECOND, now + MAX_INTERVAL_LENGTH),
+        ),
+        (
+            once(UnixMillis::MIN, UnixMillis::MAX),
+            "when.start",
+            instants(UnixMillis::EPOCH, now + PLANNING_HORIZON),
+        ),
+        (once(now, UnixMillis::MAX), "when.end", instants(UnixMillis::EPOCH, now + PLANNING_HORIZON)),
         (
             Schedule::Recurring(Recurrence { zone: Name::new("Mars/Base").expect("a name"), ..good() }),
             "when.zone",
@@ -137,9 +146,9 @@
         (Schedule::Recurring(Recurrence { end_minute: 1_441, ..good() }), "when.to", range(0, 1_440)),
         (Schedule::Recurring(Recurrence { until: now, ..good() }), "when.until", FieldError::Empty),
         (
-            Schedule::Recurring(Recurrence { until: i64::MAX, ..good() }),
+            Schedule::Recurring(Recurrence { until: UnixMillis::MAX, ..good() }),
             "when.until",
-            range(0, now + PLANNING_HORIZON),
+            instants(UnixMillis::EPOCH, now + PLANNING_HORIZON),
         ),
         (
             Schedule::Recurring(Recurrence { days: RecurrenceDays::Weekdays([8].into()), ..good() }),
--- a/crates/reservations/tests/replay.rs
+++ b/crates/reservations/tests/replay.rs
@@ -4,17 +4,17 @@
 use common::{START, TestLog, blackout_request, id, name, reservation_request};
 use copperspread_reservations::{
     Amount, BlackoutEffect, BlackoutRequest, BlackoutTarget, Calendar, Change, ClaimId, Command, CommandBody,
-    CommandId, Event, FieldError, Flexibility, HOUR, Interval, MAX_INSTANT, Millis, Name, ReservationRequest,
-    Settings, StateChange,
+    CommandId, Event, FieldError, Flexibility, HOUR, Interval, MAX_INSTANT, MILLISECOND, Name,
+    ReservationRequest, Settings, SpanMillis, StateChange, UnixMillis,
 };
 
 /// A log with all kinds of commands, some of which are rejected.
-fn entries(seed: u64) -> Vec<(Millis, Command)> {
+fn entries(seed: u64) -> Vec<(UnixMillis, Command)> {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut log = TestLog::new(HOUR, 20);
     let mut claims = Vec::new();
     for _ in 0..400 {
-        log.at += random.i64(0..HOUR);
+        log.at += SpanMillis(random.i64(0..HOUR.0));
         let start = log.at + random.i64(-2..30) * HOUR;
         let interval = Interval { start, end: start + random.i64(0..12) * HOUR };
         let flexibility = Flexibility { min_slots: random.bool().then_some(2), allows_split: random.bool() };
@@ -117,7 +117,7 @@
 fn an_entry_with_an_invalid_instant_or_of_an_earlier_incarnation_changes_nothing() {
     let mut log = TestLog::new(HOUR, 10);
     let before = bytes(&log.calendar);
-    for at in [-1, MAX_INSTANT + 1, i64::MIN, i64::MAX] {
+    for at in [UnixMillis(-1), MAX_INSTANT + MILLISECOND, UnixMillis::MIN, UnixMillis::MAX] {
         let events = log.calendar.apply(at, &Command { id: id(9), body: CommandBody::AdvanceTime });
         assert!(
             matches!(&events[..], [Event { change: Change::Rejected(rejection), .. }] if rejection.field == "at")
--- a/crates/reservations/tests/unit/deduplication.rs
+++ b/crates/reservations/tests/unit/deduplication.rs
@@ -1,5 +1,6 @@
 //! Unit tests of `deduplication`, which includes this file as its `tests`.
 use super::*;
+use crate::time::MILLISECOND;
 
 fn id(member: &str, incarnation: u64, sequence: u64) -> CommandId {
     CommandId { member: Name::new(member).expect("a name"), incarnation, sequence }
@@ -24,19 +25,30 @@
         (2, 1, DuplicateCheck::Duplicate),
     ];
     for (incarnation, sequence, expected) in cases {
-        assert_eq!(windows.record(0, &id("a", incarnation, sequence)), expected, "{incarnation}/{sequence}");
+        assert_eq!(
+            windows.record(UnixMillis::EPOCH, &id("a", incarnation, sequence)),
+            expected,
+            "{incarnation}/{sequence}"
+        );
     }
-    assert_eq!(windows.record(0, &id("b", 1, 5)), DuplicateCheck::New);
+    assert_eq!(windows.record(UnixMillis::EPOCH, &id("b", 1, 5)), DuplicateCheck::New);
 }
 
 #[test]
 fn at_the_member_limit_a_new_member_waits_until_another_was_silent_for_a_week() {
     let mut windows = DeduplicationWindows::default();
     for member in 0..MAX_MEMBERS {
-        assert_eq!(windows.record(member as Millis, &id(&member.to_string(), 1, 1)), DuplicateCheck::New);
+        assert_eq!(
+            windows.record(UnixMillis(member as i64), &id(&member.to_string(), 1, 1)),
+            DuplicateCheck::New
+        );
     }
-    assert_eq!(windows.record(MEMBER_RETENTION - 1, &id("late", 1, 1)), DuplicateCheck::MemberLimitReached);
-    assert_eq!(windows.record(MEMBER_RETENTION, &id("late", 1, 1)), DuplicateCheck::New);
+    let a_week_later = UnixMillis::EPOCH + MEMBER_RETENTION;
+    assert_eq!(
+        windows.record(a_week_later - MILLISECOND, &id("late", 1, 1)),
+        DuplicateCheck::MemberLimitReached
+    );
+    assert_eq!(windows.record(a_week_later, &id("late", 1, 1)), DuplicateCheck::New);
     assert_eq!(windows.0.len(), MAX_MEMBERS);
-    assert_eq!(windows.record(MEMBER_RETENTION, &id("1", 1, 1)), DuplicateCheck::Duplicate);
+    assert_eq!(windows.record(a_week_later, &id("1", 1, 1)), DuplicateCheck::Duplicate);
 }
