--- a/crates/testbed/src/cost/stand_ins.rs
+++ b/crates/testbed/src/cost/stand_ins.rs
@@ -4,18 +4,19 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use copperspread_dispatcher::{WorkerId, WorkerState};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
-use serde_json::{Value, json};
+use serde_json::Value;
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
 use crate::emulation::environment::{HttpResponse, serve_connection};
-use crate::emulation::expected_result;
-use crate::emulation::scheduler_config::zone_name;
+use crate::emulation::messages::CallbackState;
+use crate::emulation::platform_json::{EndpointRecord, callback_json, endpoint_list_json};
 use crate::http_client::{HttpClient, new_http_client, read_body};
 use crate::startup::single_threaded_runtime;
 
@@ -60,14 +61,14 @@
     for worker in 0..workers {
         let Ok(listener) = TcpListener::bind("127.0.0.1:0").await else { return };
         let Ok(address) = listener.local_addr() else { return };
-        members.push(json!({
-            "id": format!("w-{worker}"), "host_port": address.to_string(), "locality": zone_name(0),
-            "flavor": "w", "cell": 0, "phase": "SERVING", "size": 1.0, "up_since_ms": 0,
-        }));
+        members.push(ready_endpoint(WorkerId(worker), address).to_json());
         // Ends with the thread's runtime.
-        spawn_local(serve_worker(listener, Worker { client: client.clone(), scheduler, number: worker }));
+        spawn_local(serve_worker(
+            listener,
+            Worker { client: client.clone(), scheduler, id: WorkerId(worker) },
+        ));
     }
-    let list = json!({"revision": 1, "complete": true, "members": members});
+    let list = endpoint_list_json(1, true, &members);
     let Ok(listener) = TcpListener::bind("127.0.0.1:0").await else { return };
     let Ok(address) = listener.local_addr() else { return };
     let body = Bytes::from(list.to_string());
@@ -75,6 +76,12 @@
     serve_list(listener, body).await;
 }
 
+/// A worker of the first zone and cell that accepts jobs.
+fn ready_endpoint(worker: WorkerId, address: SocketAddr) -> EndpointRecord<'static> {
+    let state = WorkerState::Ready;
+    EndpointRecord { worker, address, zone: 0, kind: "w", cell: 0, state, started_at_unix_ms: 0 }
+}
+
 async fn serve_list(listener: TcpListener, list: Bytes) {
     while let Ok((stream, _)) = listener.accept().await {
         let list = list.clone();
@@ -98,7 +105,7 @@
 struct Worker {
     client: HttpClient,
     scheduler: SocketAddr,
-    number: u32,
+    id: WorkerId,
 }
 
 async fn serve_worker(listener: TcpListener, worker: Worker) {
@@ -115,18 +122,16 @@
     /// Accepts a job; its callback is sent by a task of its own, which ends with the callback's response.
     async fn accept_job(self, request: Request<Incoming>) -> HttpResponse {
         let id = request.headers().get("x-request-id").and_then(|id| id.to_str().ok());
-        let id = id.unwrap_or_default().to_owned();
+        let id = u64::from_str_radix(id.unwrap_or_default(), 16).unwrap_or_default();
         let _ = read_body(request.into_body()).await;
-        spawn_local(async move { self.call_back(&id).await });
+        spawn_local(async move { self.send_callback(id).await });
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::ACCEPTED;
         response
     }
 
-    async fn call_back(&self, id: &str) {
-        let result = expected_result(u64::from_str_radix(id, 16).unwrap_or_default());
-        let from = format!("w-{}", self.number);
-        let body = json!({"id": id, "from": from, "state": "done", "result": result}).to_string();
+    async fn send_callback(&self, request: u64) {
+        let body = callback_json(request, self.id, CallbackState::Done, None).to_string();
         let url = format!("http://{}/_jobs/news", self.scheduler);
         let Ok(request) = Request::post(url).body(Full::from(body)) else { return };
         if let Ok(response) = self.client.request(request).await {
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -13,8 +13,8 @@
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 
 use crate::emulation::EmulationError;
-use crate::emulation::callbacks::expected_result;
 use crate::emulation::environment::Environment;
+use crate::emulation::platform_json::expected_result;
 use crate::http_client::{HttpClient, new_http_client, read_body};
 use crate::job_request::JobRequest;
 use crate::model::arrivals::{Arrival, Arrivals};
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -5,12 +5,12 @@
 use copperspread_dispatcher::{Endpoint, EndpointUpdateKind, Micros, WorkerState};
 use http_body_util::Full;
 use hyper::{Request, Response};
-use serde_json::{Value, json};
+use serde_json::Value;
 use tokio::net::TcpListener;
 use tokio::time::{sleep_until, timeout_at};
 
 use crate::emulation::environment::{Environment, HttpResponse, serve_connection};
-use crate::emulation::scheduler_config::zone_name;
+use crate::emulation::platform_json::{EndpointRecord, endpoint_list_json};
 use crate::scenario::micros_from_seconds;
 
 /// Longest hold of a watch, as on the platform.
@@ -19,7 +19,7 @@
 pub(crate) const CONTRADICTION_INTERVAL: Duration = Duration::from_secs(3);
 
 /// A list in discovery's form. Only a list of changes names removed workers.
-pub(crate) fn endpoint_list_json(
+pub(crate) fn discovery_response_json(
     environment: &Environment,
     kind: EndpointUpdateKind,
     revision: u64,
@@ -27,27 +27,21 @@
 ) -> Value {
     let is_complete = kind != EndpointUpdateKind::Changes;
     let listed = endpoints.iter().filter(|endpoint| !is_complete || endpoint.state != WorkerState::Removed);
-    let members: Vec<Value> = listed.map(|endpoint| endpoint_json(environment, endpoint)).collect();
-    json!({"revision": revision, "complete": is_complete, "members": members})
+    let members: Vec<Value> =
+        listed.map(|endpoint| endpoint_record(environment, endpoint).to_json()).collect();
+    endpoint_list_json(revision, is_complete, &members)
 }
 
-fn endpoint_json(environment: &Environment, endpoint: &Endpoint) -> Value {
-    let worker = endpoint.worker.0;
-    let phase = match endpoint.state {
-        WorkerState::Ready => "SERVING",
-        WorkerState::Draining => "DRAINING",
-        WorkerState::Removed => "DELETED",
-    };
-    json!({
-        "id": format!("w-{worker}"),
-        "host_port": environment.worker_address(worker).to_string(),
-        "locality": zone_name(endpoint.zone),
-        "flavor": environment.worker_kind(worker),
-        "cell": endpoint.cell,
-        "phase": phase,
-        "size": 1.0,
-        "up_since_ms": endpoint.started_at.map_or(0, |at| environment.unix_ms_at(at)),
-    })
+fn endpoint_record<'a>(environment: &'a Environment, endpoint: &Endpoint) -> EndpointRecord<'a> {
+    EndpointRecord {
+        worker: endpoint.worker,
+        address: environment.worker_address(endpoint.worker.0),
+        zone: endpoint.zone,
+        kind: environment.worker_kind(endpoint.worker.0),
+        cell: endpoint.cell,
+        state: endpoint.state,
+        started_at_unix_ms: endpoint.started_at.map_or(0, |at| environment.unix_ms_at(at)),
+    }
 }
 
 /// Serves one scheduler's discovery on a listener of its own, until the run's tasks end.
@@ -76,7 +70,7 @@
     let known_revision = query_number(query, "from");
     let hold = query_number(query, "hold_ms").unwrap_or_default().saturating_mul(1_000).min(MAX_HOLD);
     let (kind, revision, endpoints) = wait_for_changes(environment, known_revision, hold).await;
-    let body = endpoint_list_json(environment, kind, revision, &endpoints).to_string();
+    let body = discovery_response_json(environment, kind, revision, &endpoints).to_string();
     environment.record_notification(scheduler, &endpoints);
     Response::new(Full::from(body))
 }
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -13,6 +13,8 @@
     pub scheduler: u32,
     /// What it reports.
     pub state: CallbackState,
+    /// The worker's load, with a callback that ends the attempt.
+    pub load: Option<LoadReport>,
     /// How long it takes: the network's delay and a fault's.
     pub delay: Micros,
     /// Whether it is sent twice.
@@ -27,11 +29,11 @@
     /// This share of it is done.
     Running(f64),
     /// It is done.
-    Done(LoadReport),
+    Done,
     /// It was lost with the process.
     Lost,
     /// It is returned without having started.
-    Returned(LoadReport),
+    Returned,
     /// It failed; so does a duplicate whose first attempt came to nothing.
     Failed,
 }
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -17,7 +17,8 @@
 mod error;
 mod faults;
 pub mod faulty_socket;
-mod messages;
+pub(crate) mod messages;
+pub(crate) mod platform_json;
 mod run;
 pub mod scheduler_config;
 pub mod scheduler_process;
@@ -32,7 +33,6 @@
 use crate::outcome::RunOutcome;
 use crate::scenario::{FaultKind, Scenario};
 use crate::startup::single_threaded_runtime;
-pub(crate) use callbacks::expected_result;
 pub use error::EmulationError;
 use scheduler_process::SchedulerProgram;
 
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::emulation::clients::{SendLag, send_jobs};
-use crate::emulation::discovery_server::{endpoint_list_json, serve_discovery};
+use crate::emulation::discovery_server::{discovery_response_json, serve_discovery};
 use crate::emulation::endpoint_list::VersionedEndpointList;
 use crate::emulation::environment::{Environment, ListenerState, WorkerListener, endpoint_of};
 use crate::emulation::faults::play_faults;
@@ -145,7 +145,7 @@
         let discovery = listener.local_addr().map_err(EmulationError::resource("a list's port"))?;
         spawn_local(serve_discovery(Rc::clone(environment), number, listener));
         let cached_list = (scenario.discovery.first_list_after_s > 0.0)
-            .then(|| endpoint_list_json(environment, EndpointUpdateKind::Cached, 0, cached_endpoints));
+            .then(|| discovery_response_json(environment, EndpointUpdateKind::Cached, 0, cached_endpoints));
         let config = SchedulerConfig {
             scenario,
             scheduler: number,
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -1,5 +1,5 @@
 //! What follows from a change at a worker: counts, rules, duplicates and callbacks.
-use copperspread_dispatcher::{Micros, RequestId};
+use copperspread_dispatcher::{LoadReport, Micros, RequestId};
 
 use crate::emulation::messages::{Callback, CallbackState};
 use crate::emulation::state::{Attempt, EmulationState};
@@ -22,6 +22,19 @@
     Failed,
 }
 
+impl AttemptEvent {
+    fn callback_state(self) -> CallbackState {
+        match self {
+            AttemptEvent::Started => CallbackState::Started,
+            AttemptEvent::Running(share) => CallbackState::Running(share),
+            AttemptEvent::Done => CallbackState::Done,
+            AttemptEvent::Lost => CallbackState::Lost,
+            AttemptEvent::Returned => CallbackState::Returned,
+            AttemptEvent::Failed => CallbackState::Failed,
+        }
+    }
+}
+
 impl EmulationState {
     /// Applies what a change of a worker's model led to.
     pub(super) fn apply_effects(&mut self, worker: u32, effects: Vec<WorkerEffect>) {
@@ -108,7 +121,7 @@
     /// Queues a callback on an attempt, if its worker still has it.
     pub(super) fn queue_callback(&mut self, id: u64, event: AttemptEvent) {
         let Some(&Attempt { request, worker, scheduler, .. }) = self.attempts.get(&id) else { return };
-        let state = self.callback_state(worker, event);
+        let load = self.callback_load(worker, event);
         if event == AttemptEvent::Done {
             self.rule_checker.result_made(RequestId(request));
         }
@@ -119,20 +132,16 @@
             request,
             worker,
             scheduler,
-            state,
+            state: event.callback_state(),
+            load,
             delay: network_delay + faults.callback_delay,
             is_duplicated: faults.duplicates_callbacks,
         });
     }
 
-    fn callback_state(&mut self, worker: u32, event: AttemptEvent) -> CallbackState {
-        match event {
-            AttemptEvent::Started => CallbackState::Started,
-            AttemptEvent::Running(share) => CallbackState::Running(share),
-            AttemptEvent::Done => CallbackState::Done(self.response_load_report(worker)),
-            AttemptEvent::Returned => CallbackState::Returned(self.response_load_report(worker)),
-            AttemptEvent::Lost => CallbackState::Lost,
-            AttemptEvent::Failed => CallbackState::Failed,
-        }
+    /// The load that a worker sends with a callback.
+    fn callback_load(&mut self, worker: u32, event: AttemptEvent) -> Option<LoadReport> {
+        let is_sent = matches!(event, AttemptEvent::Done | AttemptEvent::Returned);
+        is_sent.then(|| self.response_load_report(worker))
     }
 }
--- a/crates/testbed/src/emulation/workers/requests.rs
+++ b/crates/testbed/src/emulation/workers/requests.rs
@@ -11,10 +11,10 @@
 use hyper::{Method, Request, Response, StatusCode};
 use tokio::time::sleep;
 
-use crate::emulation::callbacks::{load_report_header, load_report_json};
 use crate::emulation::environment::{Environment, HttpResponse};
 use crate::emulation::faulty_socket::ResponseFault;
 use crate::emulation::messages::{AttemptResponse, LoadQueryResponse};
+use crate::emulation::platform_json::{load_report_header, load_report_json};
 use crate::http_client::read_body;
 
 /// How much of an accepting response is written before its connection is reset.
