--- a/crates/test-harness/src/view.rs
+++ b/crates/test-harness/src/view.rs
@@ -1,5 +1,6 @@
 //! What a member shows of itself and the others: the response to `GET /-/cluster`. The names in its JSON are those of
-//! the page.
+//! the page. `copperspread-membership-transport` has types of these forms too. They stand twice on purpose: the harness
+//! reads the page independently of the code that writes it, so that a name that changes there fails here.
 use std::net::SocketAddr;
 
 use serde::Deserialize;
