--- a/crates/consensus/src/member_progress.rs
+++ b/crates/consensus/src/member_progress.rs
@@ -20,8 +20,8 @@
     drift: Option<ClockDrift>,
     /// When it was last granted a lease while each version was the newest.
     granted_at: BTreeMap<Version, Micros>,
-    /// When it was last sent an update; 0 for never.
-    last_update: Micros,
+    /// When it was last sent an update.
+    last_update: Option<Micros>,
 }
 
 impl MemberProgress {
@@ -77,13 +77,13 @@
         settings: &Settings,
     ) -> bool {
         let is_up_to_date = self.newest >= newest && self.in_force >= in_force;
-        let is_due =
-            self.last_update == 0 || now.saturating_sub(self.last_update) >= settings.max_round_trip / 2;
+        let min_interval = settings.max_round_trip / 2;
+        let is_due = self.last_update.is_none_or(|at| now.saturating_sub(at) >= min_interval);
         !is_up_to_date && self.is_recent(now) && is_due
     }
 
     pub(crate) fn record_update(&mut self, now: Micros) {
-        self.last_update = now.max(1);
+        self.last_update = Some(now);
     }
 
     pub(crate) fn newest(&self) -> Version {
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -18,22 +18,20 @@
     pub(super) fn request_rejoin(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let voter_count = self.settings.voter_count();
         let Role::Rejoining(rejoin) = &mut self.role else { return };
-        if rejoin.started_at == 0 {
-            rejoin.started_at = now.max(1);
-        }
+        let started_at = *rejoin.started_at.get_or_insert(now);
         let are_all_empty = rejoin.empty_voters.len() as u64 == voter_count - 1;
         // Leases that were granted before the storage was lost have expired by then.
-        if are_all_empty && now.saturating_sub(rejoin.started_at) >= self.settings.lease_expiry_wait() {
+        if are_all_empty && now.saturating_sub(started_at) >= self.settings.lease_expiry_wait() {
             let generations = rejoin.empty_voters.values().copied();
             self.max_generation = generations.fold(self.max_generation, u64::max);
             self.install(StoredState::default(), effects);
             return;
         }
-        let since_request = now.saturating_sub(rejoin.requested_at);
-        if rejoin.requested_at != 0 && since_request < self.settings.retry_interval() {
+        let retry_interval = self.settings.retry_interval();
+        if rejoin.requested_at.is_some_and(|at| now.saturating_sub(at) < retry_interval) {
             return;
         }
-        rejoin.requested_at = now.max(1);
+        rejoin.requested_at = Some(now);
         let request = Packet::RejoinRequest { nonce: rejoin.nonce, generation: self.identity.generation };
         let own_id = self.voter_id;
         for voter_id in self.settings.voter_ids().filter(|voter_id| Some(*voter_id) != own_id) {
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -31,16 +31,16 @@
 /// The requests of a voter without storage.
 pub(super) struct Rejoin {
     pub(super) nonce: u64,
-    /// When the first request was sent; 0 for not yet.
-    pub(super) started_at: Micros,
-    /// When the last request was sent; 0 for not yet.
-    pub(super) requested_at: Micros,
+    /// When the first request was sent.
+    pub(super) started_at: Option<Micros>,
+    /// When the last request was sent.
+    pub(super) requested_at: Option<Micros>,
     /// The generations of the voters that have no storage either, by voter.
     pub(super) empty_voters: BTreeMap<VoterId, u64>,
 }
 
 impl Rejoin {
     pub(super) fn new(nonce: u64) -> Rejoin {
-        Rejoin { nonce, started_at: 0, requested_at: 0, empty_voters: BTreeMap::new() }
+        Rejoin { nonce, started_at: None, requested_at: None, empty_voters: BTreeMap::new() }
     }
 }
