--- a/crates/testbed/src/cost/mod.rs
+++ b/crates/testbed/src/cost/mod.rs
@@ -22,6 +22,7 @@
     ProcessError, SchedulerProcess, SchedulerProgram, cpu_time, reserve_address, resident_memory_bytes,
 };
 use crate::http_client::{HttpClient, new_http_client, read_body};
+use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::Scenario;
 use crate::startup::single_threaded_runtime;
 use stand_ins::StandIns;
@@ -132,13 +133,13 @@
 ) -> Result<SchedulerProcess, ProcessError> {
     let config = SchedulerConfig {
         scenario,
-        scheduler: 0,
+        scheduler: SchedulerId(0),
         seed: 1,
         listen,
         discovery: stand_ins.discovery.address,
         cached_list: Some(&stand_ins.discovery.list),
     };
-    SchedulerProcess::new(program, folder, 0, listen, &config.to_platform_json())
+    SchedulerProcess::new(program, folder, SchedulerId(0), listen, &config.to_platform_json())
 }
 
 /// Starts a program, sends requests for a while, and kills it.
--- a/crates/testbed/src/emulation/callbacks.rs
+++ b/crates/testbed/src/emulation/callbacks.rs
@@ -3,7 +3,6 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperspread_dispatcher::WorkerId;
 use http_body_util::Full;
 use hyper::Request;
 use tokio::time::{sleep, timeout};
@@ -25,10 +24,9 @@
     /// scheduler is down, and twice where it is duplicated.
     pub(crate) async fn deliver_callback(self: Rc<Self>, callback: Callback) {
         sleep(Duration::from_micros(callback.delay)).await;
-        let worker = WorkerId(callback.worker);
-        let body = callback_json(callback.request, worker, callback.state, callback.load.as_ref());
+        let body = callback_json(callback.request, callback.worker, callback.state, callback.load.as_ref());
         let body = Bytes::from(body.to_string());
-        let scheduler = &self.schedulers[callback.scheduler as usize];
+        let scheduler = &self.schedulers[callback.scheduler.index()];
         let mut remaining = 1 + u32::from(callback.is_duplicated);
         for _ in 0..CALLBACK_ATTEMPTS {
             if !scheduler.is_up.get() {
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -19,6 +19,7 @@
 use crate::job_request::JobRequest;
 use crate::model::arrivals::{Arrival, Arrivals};
 use crate::model::random::{RandomStream, StreamPurpose, random_stream};
+use crate::model::scheduler_id::SchedulerId;
 use crate::outcome::JobOutcome;
 use crate::rule_checker::{ClientResponse, TIMING_GRACE};
 use crate::scenario::{JobClass, micros_from_seconds};
@@ -124,7 +125,7 @@
     let scheduler = reachable_scheduler(environment, job.arrival.scheduler);
     let id = environment.apply(|state| state.register_request(job.number, scheduler, deadline));
     let request = JobRequest {
-        target: environment.schedulers[scheduler as usize].address,
+        target: environment.schedulers[scheduler.index()].address,
         class: &scenario.classes[job.arrival.class as usize].name,
         request_id: id,
         job_id: job.number,
@@ -144,13 +145,9 @@
     Some(ReceivedResponse { received_at, response })
 }
 
-/// The scheduler that clients of one reach: that one, or the next of its zone that is up, or of any zone.
-fn reachable_scheduler(environment: &Environment, preferred: u32) -> u32 {
-    let (count, zones) = (environment.schedulers.len() as u32, environment.scenario.zones);
-    let from_preferred = || (0..count).map(|step| (preferred + step) % count);
-    let is_up = |scheduler: &u32| environment.schedulers[*scheduler as usize].is_up.get();
-    let in_zone = from_preferred().filter(is_up).find(|scheduler| scheduler % zones == preferred % zones);
-    in_zone.or_else(|| from_preferred().find(is_up)).unwrap_or(preferred)
+fn reachable_scheduler(environment: &Environment, preferred: SchedulerId) -> SchedulerId {
+    let is_up = |id: SchedulerId| environment.schedulers[id.index()].is_up.get();
+    preferred.reachable(environment.schedulers.len() as u32, environment.scenario.zones, is_up)
 }
 
 /// A response as the rule checker counts it.
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -11,6 +11,7 @@
 
 use crate::emulation::environment::{Environment, HttpResponse, serve_connection};
 use crate::emulation::platform_json::{EndpointRecord, endpoint_list_json};
+use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::micros_from_seconds;
 
 /// Longest hold of a watch, as on the platform.
@@ -35,9 +36,9 @@
 fn endpoint_record<'a>(environment: &'a Environment, endpoint: &Endpoint) -> EndpointRecord<'a> {
     EndpointRecord {
         worker: endpoint.worker,
-        address: environment.worker_address(endpoint.worker.0),
+        address: environment.worker_address(endpoint.worker),
         zone: endpoint.zone,
-        kind: environment.worker_kind(endpoint.worker.0),
+        kind: environment.worker_kind(endpoint.worker),
         cell: endpoint.cell,
         state: endpoint.state,
         started_at_unix_ms: endpoint.started_at.map_or(0, |at| environment.unix_ms_at(at)),
@@ -45,7 +46,11 @@
 }
 
 /// Serves one scheduler's discovery on a listener of its own, until the run's tasks end.
-pub(crate) async fn serve_discovery(environment: Rc<Environment>, scheduler: u32, listener: TcpListener) {
+pub(crate) async fn serve_discovery(
+    environment: Rc<Environment>,
+    scheduler: SchedulerId,
+    listener: TcpListener,
+) {
     while let Ok((stream, _)) = listener.accept().await {
         let environment = Rc::clone(&environment);
         // Ends with its connection, or with the run's tasks.
@@ -65,7 +70,11 @@
     pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
 }
 
-async fn answer_poll<B>(environment: &Rc<Environment>, scheduler: u32, request: &Request<B>) -> HttpResponse {
+async fn answer_poll<B>(
+    environment: &Rc<Environment>,
+    scheduler: SchedulerId,
+    request: &Request<B>,
+) -> HttpResponse {
     let query = request.uri().query().unwrap_or_default();
     let known_revision = query_number(query, "from");
     let hold = query_number(query, "hold_ms").unwrap_or_default().saturating_mul(1_000).min(MAX_HOLD);
--- a/crates/testbed/src/emulation/endpoint_list.rs
+++ b/crates/testbed/src/emulation/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! The endpoint list with its versions, as discovery serves it to each scheduler.
-use copperspread_dispatcher::{Endpoint, EndpointUpdateKind};
+use copperspread_dispatcher::{Endpoint, EndpointUpdateKind, WorkerId};
 
 /// An endpoint and the revision of its last change.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -21,7 +21,7 @@
     /// Outages of discovery that have begun and not ended: it does not respond.
     pub outages: u32,
     /// Workers whose change waits for discovery's recovery.
-    pub unannounced_workers: Vec<u32>,
+    pub unannounced_workers: Vec<WorkerId>,
     /// The list as it was when it began to contradict itself.
     pub stale_copy: Option<Vec<Endpoint>>,
 }
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -21,6 +21,8 @@
 use crate::emulation::endpoint_list::VersionedEndpointList;
 use crate::emulation::state::EmulationState;
 use crate::http_client::{HttpClient, new_http_client};
+use crate::model::fleet::worker_ids;
+use crate::model::scheduler_id::SchedulerId;
 use crate::model::worker::ProcessState;
 use crate::scenario::{Scenario, micros_from_seconds};
 
@@ -125,18 +127,18 @@
     }
 
     /// Where a worker listens.
-    pub(crate) fn worker_address(&self, worker: u32) -> SocketAddr {
-        self.listeners[worker as usize].address
+    pub(crate) fn worker_address(&self, worker: WorkerId) -> SocketAddr {
+        self.listeners[worker.0 as usize].address
     }
 
     /// The name of a worker's kind.
-    pub(crate) fn worker_kind(&self, worker: u32) -> &str {
-        &self.scenario.workers[self.state.borrow().kinds[worker as usize] as usize].kind
+    pub(crate) fn worker_kind(&self, worker: WorkerId) -> &str {
+        &self.scenario.workers[self.state.borrow().kinds[worker.0 as usize] as usize].kind
     }
 
     /// Wakes the task that advances a worker's model.
-    pub(crate) fn wake_worker(&self, worker: u32) {
-        self.listeners[worker as usize].wake.notify_one();
+    pub(crate) fn wake_worker(&self, worker: WorkerId) {
+        self.listeners[worker.0 as usize].wake.notify_one();
     }
 
     /// Changes with each change of the endpoint list.
@@ -145,23 +147,23 @@
     }
 
     /// Records that a scheduler was notified of endpoints.
-    pub(crate) fn record_notification(&self, scheduler: u32, endpoints: &[Endpoint]) {
+    pub(crate) fn record_notification(&self, scheduler: SchedulerId, endpoints: &[Endpoint]) {
         let mut state = self.state.borrow_mut();
         let now = state.now();
         for endpoint in endpoints {
             let is_ready = endpoint.state == WorkerState::Ready;
-            state.rule_checker.availability_notified(now, scheduler, endpoint.worker.0, is_ready);
+            state.rule_checker.availability_notified(now, scheduler, endpoint.worker, is_ready);
         }
     }
 
     /// A worker's endpoint as it is now.
-    pub(crate) fn endpoint(&self, worker: u32) -> Endpoint {
+    pub(crate) fn endpoint(&self, worker: WorkerId) -> Endpoint {
         endpoint_of(&self.state.borrow(), worker)
     }
 
     /// Every worker's endpoint as it is now.
     pub(crate) fn endpoints(&self) -> Vec<Endpoint> {
-        (0..self.listeners.len() as u32).map(|worker| self.endpoint(worker)).collect()
+        worker_ids(self.listeners.len()).map(|worker| self.endpoint(worker)).collect()
     }
 
     /// Changes the endpoint list and wakes the watches on it.
@@ -194,9 +196,9 @@
     }
 
     /// A worker's process or machine changed: its sockets follow, and in time the endpoint list.
-    fn propagate_worker_change(self: &Rc<Self>, worker: u32) {
+    fn propagate_worker_change(self: &Rc<Self>, worker: WorkerId) {
         let listener_state = self.current_listener_state(worker);
-        let listener = &self.listeners[worker as usize];
+        let listener = &self.listeners[worker.0 as usize];
         listener
             .listener_state
             .send_if_modified(|known| std::mem::replace(known, listener_state) != listener_state);
@@ -209,9 +211,9 @@
         tokio::task::spawn_local(publish_after_delay(Rc::clone(self), endpoint));
     }
 
-    fn current_listener_state(&self, worker: u32) -> ListenerState {
+    fn current_listener_state(&self, worker: WorkerId) -> ListenerState {
         let state = self.state.borrow();
-        let model = &state.workers[worker as usize].0;
+        let model = &state.workers[worker.0 as usize].0;
         match model.process {
             ProcessState::Up | ProcessState::Draining if model.is_refusing => ListenerState::Refusing,
             ProcessState::Up | ProcessState::Draining => {
@@ -235,21 +237,21 @@
 }
 
 /// A worker's endpoint as the state has it.
-pub(crate) fn endpoint_of(state: &EmulationState, worker: u32) -> Endpoint {
-    let (model, zone) = &state.workers[worker as usize];
+pub(crate) fn endpoint_of(state: &EmulationState, worker: WorkerId) -> Endpoint {
+    let (model, zone) = &state.workers[worker.0 as usize];
     let worker_state = match model.process {
         ProcessState::Up => WorkerState::Ready,
         ProcessState::Draining => WorkerState::Draining,
         ProcessState::Stopped | ProcessState::Unreachable => WorkerState::Removed,
     };
     Endpoint {
-        worker: WorkerId(worker),
+        worker,
         zone: *zone,
-        kind: state.kinds[worker as usize],
-        cell: state.cells[worker as usize],
+        kind: state.kinds[worker.0 as usize],
+        cell: state.cells[worker.0 as usize],
         state: worker_state,
         started_at: model.started_at,
-        hash_key: worker.into(),
+        hash_key: worker.0.into(),
         size: None,
     }
 }
--- a/crates/testbed/src/emulation/faults.rs
+++ b/crates/testbed/src/emulation/faults.rs
@@ -8,7 +8,8 @@
 use crate::emulation::discovery_server::CONTRADICTION_INTERVAL;
 use crate::emulation::environment::Environment;
 use crate::emulation::scheduler_process::SchedulerProcess;
-use crate::model::fleet::FaultTransition;
+use crate::model::fleet::{FaultTarget, FaultTransition};
+use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::FaultKind;
 
 /// Plays the faults; returns only when one of them cannot be played.
@@ -35,8 +36,11 @@
 ) -> Result<(), EmulationError> {
     let fault = environment.scenario.faults[transition.fault].kind;
     match (fault, transition.target) {
-        (FaultKind::SchedulerCrash | FaultKind::SchedulerRestart, Some(scheduler)) => {
-            let process = processes.get_mut(scheduler as usize).ok_or(EmulationError::ExternalScheduler)?;
+        (
+            FaultKind::SchedulerCrash | FaultKind::SchedulerRestart,
+            Some(FaultTarget::Scheduler(scheduler)),
+        ) => {
+            let process = processes.get_mut(scheduler.index()).ok_or(EmulationError::ExternalScheduler)?;
             if transition.is_start {
                 stop_scheduler(environment, scheduler, process, fault).await;
             } else {
@@ -66,11 +70,11 @@
 /// Clients and workers turn away from a scheduler before its process ends.
 async fn stop_scheduler(
     environment: &Environment,
-    scheduler: u32,
+    scheduler: SchedulerId,
     process: &mut SchedulerProcess,
     fault: FaultKind,
 ) {
-    environment.schedulers[scheduler as usize].is_up.set(false);
+    environment.schedulers[scheduler.index()].is_up.set(false);
     match fault {
         FaultKind::SchedulerRestart => process.terminate(),
         _ => process.kill().await,
@@ -79,12 +83,12 @@
 
 async fn restart_scheduler(
     environment: &Environment,
-    scheduler: u32,
+    scheduler: SchedulerId,
     process: &mut SchedulerProcess,
 ) -> Result<(), EmulationError> {
     process.stop().await?;
     process.start().await?;
-    environment.schedulers[scheduler as usize].is_up.set(true);
+    environment.schedulers[scheduler.index()].is_up.set(true);
     Ok(())
 }
 
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -1,5 +1,6 @@
 //! What workers say to schedulers: responses to attempts and load queries, and callbacks.
-use copperspread_dispatcher::{LoadReport, Micros};
+use crate::model::scheduler_id::SchedulerId;
+use copperspread_dispatcher::{LoadReport, Micros, WorkerId};
 use tokio::sync::oneshot;
 
 /// A callback on an attempt, to be delivered.
@@ -8,9 +9,9 @@
     /// The request.
     pub request: u64,
     /// The worker that calls back.
-    pub worker: u32,
+    pub worker: WorkerId,
     /// The scheduler that is called.
-    pub scheduler: u32,
+    pub scheduler: SchedulerId,
     /// What it reports.
     pub state: CallbackState,
     /// The worker's load, with a callback that ends the attempt.
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use copperspread_dispatcher::{Endpoint, EndpointUpdateKind, SECOND, WorkerState};
+use copperspread_dispatcher::{Endpoint, EndpointUpdateKind, SECOND, WorkerId, WorkerState};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -17,7 +17,8 @@
 use crate::emulation::scheduler_process::{SchedulerProcess, SchedulerProgram, cpu_time, reserve_address};
 use crate::emulation::state::EmulationState;
 use crate::emulation::{EmulationError, SchedulerInstances, workers};
-use crate::model::fleet::Fleet;
+use crate::model::fleet::{Fleet, worker_ids};
+use crate::model::scheduler_id::SchedulerId;
 use crate::outcome::{MachineUsage, RunOutcome, RunRecord};
 use crate::rule_checker::RuleChecker;
 use crate::scenario::Scenario;
@@ -45,7 +46,7 @@
     let (missing_workers, transitions) = (fleet.missing_workers.clone(), fleet.fault_transitions.clone());
     let (listeners, sockets) = bind_workers(&fleet)?;
     let state = EmulationState::new(scenario, fleet, seed);
-    let endpoints: Vec<_> = (0..listeners.len() as u32).map(|worker| endpoint_of(&state, worker)).collect();
+    let endpoints: Vec<_> = worker_ids(listeners.len()).map(|worker| endpoint_of(&state, worker)).collect();
     let cached_endpoints = cached_endpoints(&endpoints, &missing_workers);
     let (addresses, _reserved) = scheduler_addresses(schedulers, scenario.schedulers)?;
     let list = VersionedEndpointList::new(endpoints);
@@ -89,10 +90,10 @@
 }
 
 /// The endpoint list that schedulers remember: it still has workers that are gone.
-fn cached_endpoints(endpoints: &[Endpoint], missing_workers: &[u32]) -> Vec<Endpoint> {
+fn cached_endpoints(endpoints: &[Endpoint], missing_workers: &[WorkerId]) -> Vec<Endpoint> {
     let mut cached = endpoints.to_vec();
     for &worker in missing_workers {
-        cached[worker as usize].state = WorkerState::Ready;
+        cached[worker.0 as usize].state = WorkerState::Ready;
     }
     cached
 }
@@ -121,7 +122,7 @@
 
 /// Starts the workers' tasks, which end with the run's set of tasks.
 fn spawn_workers(environment: &Rc<Environment>, sockets: Vec<TcpSocket>) {
-    for (worker, socket) in (0..).zip(sockets) {
+    for (worker, socket) in worker_ids(sockets.len()).zip(sockets) {
         spawn_local(workers::run_listener(Rc::clone(environment), worker, Some(socket)));
         spawn_local(workers::drive_worker(Rc::clone(environment), worker));
         spawn_local(workers::report_progress(Rc::clone(environment), worker));
@@ -139,23 +140,24 @@
 ) -> Result<Vec<SchedulerProcess>, EmulationError> {
     let scenario = &environment.scenario;
     let mut processes = Vec::new();
-    for (number, scheduler) in (0..).zip(&environment.schedulers) {
+    let ids = SchedulerId::first(environment.schedulers.len() as u32);
+    for (id, scheduler) in ids.zip(&environment.schedulers) {
         let listener = TcpListener::bind("127.0.0.1:0").await;
         let listener = listener.map_err(EmulationError::resource("a list's port"))?;
         let discovery = listener.local_addr().map_err(EmulationError::resource("a list's port"))?;
-        spawn_local(serve_discovery(Rc::clone(environment), number, listener));
+        spawn_local(serve_discovery(Rc::clone(environment), id, listener));
         let cached_list = (scenario.discovery.first_list_after_s > 0.0)
             .then(|| discovery_response_json(environment, EndpointUpdateKind::Cached, 0, cached_endpoints));
         let config = SchedulerConfig {
             scenario,
-            scheduler: number,
+            scheduler: id,
             seed,
             listen: scheduler.address,
             discovery,
             cached_list: cached_list.as_ref(),
         };
         let config = config.to_platform_json();
-        processes.push(SchedulerProcess::new(program, folder, number, scheduler.address, &config)?);
+        processes.push(SchedulerProcess::new(program, folder, id, scheduler.address, &config)?);
     }
     Ok(processes)
 }
--- a/crates/testbed/src/emulation/scheduler_config.rs
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -3,6 +3,7 @@
 
 use serde_json::{Value, json};
 
+use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::{CONNECT_TIMEOUT, DeduplicationScope, JobClass, LoadQuery, RepeatPolicy, Scenario};
 
 /// The resources that the platform grants one scheduler.
@@ -22,7 +23,7 @@
     /// The scenario.
     pub scenario: &'a Scenario,
     /// The scheduler's number.
-    pub scheduler: u32,
+    pub scheduler: SchedulerId,
     /// The run's seed.
     pub seed: u64,
     /// Where the scheduler listens.
@@ -36,9 +37,9 @@
 impl SchedulerConfig<'_> {
     /// The configuration as the platform writes it.
     pub fn to_platform_json(&self) -> Value {
-        let seed = self.seed.wrapping_add(u64::from(self.scheduler) * SEED_STRIDE);
+        let seed = self.seed.wrapping_add(u64::from(self.scheduler.0) * SEED_STRIDE);
         let mut config = json!({
-            "name": format!("scheduler-{}", self.scheduler),
+            "name": format!("scheduler-{}", self.scheduler.0),
             "listen": self.listen.to_string(),
             "discovery": self.discovery.to_string(),
             "limits": {"cores": CORES, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
@@ -58,8 +59,8 @@
         let stretches: Vec<f64> = classes.iter().map(|class| class.latency_stretch).collect();
         let mut settings = json!({
             "fleet_size": self.scenario.schedulers,
-            "me": self.scheduler,
-            "zone": self.scheduler % self.scenario.zones,
+            "me": self.scheduler.0,
+            "zone": self.scheduler.zone(self.scenario.zones),
             "zones": zones,
             "kinds": kinds,
             "classes": classes.iter().map(class_settings).collect::<Vec<_>>(),
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -17,6 +17,7 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::model::scheduler_id::SchedulerId;
 use crate::policy::PolicyKind;
 use crate::startup::CONFIG_VARIABLE;
 
@@ -145,15 +146,15 @@
     pub fn new(
         program: &SchedulerProgram,
         folder: &Path,
-        number: u32,
+        id: SchedulerId,
         address: SocketAddr,
         config: &Value,
     ) -> Result<SchedulerProcess, ProcessError> {
-        let config_path = folder.join(format!("scheduler-{number}.json"));
+        let config_path = folder.join(format!("scheduler-{}.json", id.0));
         if let Err(source) = std::fs::write(&config_path, config.to_string()) {
             return Err(ProcessError::File { path: config_path, source });
         }
-        let log_path = folder.join(format!("scheduler-{number}.log"));
+        let log_path = folder.join(format!("scheduler-{}.log", id.0));
         let program = program.clone();
         Ok(SchedulerProcess { address, program, config_path, log_path, child: None, is_terminating: false })
     }
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -1,5 +1,5 @@
 //! Attempts at workers: their arrival, acceptance and cancellation.
-use copperspread_dispatcher::{Idempotency, Micros};
+use copperspread_dispatcher::{Idempotency, Micros, WorkerId};
 use rand::RngExt;
 
 use crate::emulation::messages::AttemptResponse;
@@ -24,11 +24,11 @@
 
 impl EmulationState {
     /// An attempt's head arrives at a worker. Returns the network's delay until the rest does.
-    pub(crate) fn attempt_arrives(&mut self, request: u64, worker: u32) -> Micros {
+    pub(crate) fn attempt_arrives(&mut self, request: u64, worker: WorkerId) -> Micros {
         let now = self.now();
         let Some(&PendingRequest { job, scheduler }) = self.requests.get(&request) else { return 0 };
         let Some(job) = self.jobs.get(&job) else { return 0 };
-        let (from, to) = (self.scheduler_zone(scheduler), self.workers[worker as usize].1);
+        let (from, to) = (self.scheduler_zone(scheduler), self.workers[worker.0 as usize].1);
         let load = job.arrival.work * job.arrival.slots;
         self.rule_checker.attempt_sent(now, scheduler, worker, load);
         self.attempts_sent += 1;
@@ -40,7 +40,7 @@
     pub(crate) fn accept_attempt(
         &mut self,
         request: u64,
-        worker: u32,
+        worker: WorkerId,
         head_arrived_at: Micros,
     ) -> AttemptResponse {
         self.account_in_flight();
@@ -51,7 +51,7 @@
         if self.drop_duplicate(&delivered, now) {
             return AttemptResponse::Accepted;
         }
-        let delivery = self.connections[worker as usize].delivery_result(self.network_random.random());
+        let delivery = self.connections[worker.0 as usize].delivery_result(self.network_random.random());
         match delivery {
             DeliveryResult::ResetBeforeTaken => AttemptResponse::Reset,
             DeliveryResult::InvalidResponse => AttemptResponse::Garbage,
@@ -71,7 +71,7 @@
     fn deliver_attempt(
         &mut self,
         request: u64,
-        worker: u32,
+        worker: WorkerId,
         head_arrived_at: Micros,
     ) -> Option<DeliveredAttempt> {
         let PendingRequest { job, scheduler } = *self.requests.get(&request)?;
@@ -79,7 +79,7 @@
         let idempotency = self.scenario.classes[arrival.class as usize].idempotency();
         let key_group = match idempotency {
             Idempotency::IdempotentWithKey { scope, .. } => {
-                key_group(scope, self.workers[worker as usize].1, self.cells[worker as usize])
+                key_group(scope, self.workers[worker.0 as usize].1, self.cells[worker.0 as usize])
             }
             _ => 0,
         };
@@ -92,7 +92,7 @@
     fn drop_duplicate(&mut self, delivered: &DeliveredAttempt, now: Micros) -> bool {
         let Idempotency::IdempotentWithKey { window, .. } = delivered.idempotency else { return false };
         let Attempt { job, worker, .. } = delivered.attempt;
-        if !self.workers[worker as usize].0.accepts_jobs() {
+        if !self.workers[worker.0 as usize].0.accepts_jobs() {
             return false;
         }
         let Some(job) = self.jobs.get_mut(&job) else { return false };
@@ -118,7 +118,7 @@
         let job = delivered.arrival.to_offered_job(delivered.id, class);
         let worker = delivered.attempt.worker;
         let mut effects = Vec::new();
-        match self.workers[worker as usize].0.offer(now, job, &mut effects) {
+        match self.workers[worker.0 as usize].0.offer(now, job, &mut effects) {
             OfferResult::Accepted => {
                 self.in_flight.count += 1;
                 self.record_accepted(delivered, now);
@@ -148,7 +148,7 @@
 
     /// Stops a request's attempts at a worker where a scheduler cancelled it there, if the scenario's
     /// cancellations stop jobs.
-    pub(crate) fn cancel_request(&mut self, request: u64, worker: u32) {
+    pub(crate) fn cancel_request(&mut self, request: u64, worker: WorkerId) {
         if !self.scenario.tuning.cancel_stops_job {
             return;
         }
@@ -162,9 +162,9 @@
         }
     }
 
-    fn cancel_attempt(&mut self, id: u64, worker: u32, now: Micros) {
+    fn cancel_attempt(&mut self, id: u64, worker: WorkerId, now: Micros) {
         let mut effects = Vec::new();
-        if !self.workers[worker as usize].0.cancel(now, id, &mut effects) {
+        if !self.workers[worker.0 as usize].0.cancel(now, id, &mut effects) {
             return;
         }
         self.in_flight.count -= 1;
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -1,5 +1,5 @@
 //! What follows from a change at a worker: counts, rules, duplicates and callbacks.
-use copperspread_dispatcher::{LoadReport, Micros, RequestId};
+use copperspread_dispatcher::{LoadReport, Micros, RequestId, WorkerId};
 
 use crate::emulation::messages::{Callback, CallbackState};
 use crate::emulation::state::{Attempt, EmulationState};
@@ -37,7 +37,7 @@
 
 impl EmulationState {
     /// Applies what a change of a worker's model led to.
-    pub(super) fn apply_effects(&mut self, worker: u32, effects: Vec<WorkerEffect>) {
+    pub(super) fn apply_effects(&mut self, worker: WorkerId, effects: Vec<WorkerEffect>) {
         let now = self.now();
         for effect in effects {
             match effect {
@@ -55,12 +55,12 @@
         }
     }
 
-    fn attempt_started(&mut self, worker: u32, id: u64, now: Micros) {
+    fn attempt_started(&mut self, worker: WorkerId, id: u64, now: Micros) {
         let Some(&Attempt { job, .. }) = self.attempts.get(&id) else { return };
         let Some(class) = self.jobs.get(&job).map(|job| job.arrival.class) else { return };
         let idempotency = self.scenario.classes[class as usize].idempotency();
         self.rule_checker.job_started(now, job, idempotency);
-        if self.workers[worker as usize].0.silent_class != Some(class) {
+        if self.workers[worker.0 as usize].0.silent_class != Some(class) {
             self.queue_callback(id, AttemptEvent::Started);
         }
     }
@@ -96,9 +96,9 @@
     }
 
     /// Queues a callback with the progress of each job that runs at a worker.
-    pub(crate) fn report_progress(&mut self, worker: u32) {
+    pub(crate) fn report_progress(&mut self, worker: WorkerId) {
         let now = self.now();
-        let model = &self.workers[worker as usize].0;
+        let model = &self.workers[worker.0 as usize].0;
         let at_worker = self.attempts.iter().filter(|(_, attempt)| attempt.worker == worker);
         let mut shares: Vec<(u64, f64)> =
             at_worker.filter_map(|(&id, _)| Some((id, model.progress(now, id)?))).collect();
@@ -125,9 +125,9 @@
         if event == AttemptEvent::Done {
             self.rule_checker.result_made(RequestId(request));
         }
-        let faults = self.connections[worker as usize];
+        let faults = self.connections[worker.0 as usize];
         let network_delay =
-            self.network_delay(self.workers[worker as usize].1, self.scheduler_zone(scheduler));
+            self.network_delay(self.workers[worker.0 as usize].1, self.scheduler_zone(scheduler));
         self.callbacks.push(Callback {
             request,
             worker,
@@ -140,7 +140,7 @@
     }
 
     /// The load that a worker sends with a callback.
-    fn callback_load(&mut self, worker: u32, event: AttemptEvent) -> Option<LoadReport> {
+    fn callback_load(&mut self, worker: WorkerId, event: AttemptEvent) -> Option<LoadReport> {
         let is_sent = matches!(event, AttemptEvent::Done | AttemptEvent::Returned);
         is_sent.then(|| self.response_load_report(worker))
     }
--- a/crates/testbed/src/emulation/state/load_queries.rs
+++ b/crates/testbed/src/emulation/state/load_queries.rs
@@ -1,5 +1,5 @@
 //! Load queries and the load reports of workers.
-use copperspread_dispatcher::{LoadReport, Micros};
+use copperspread_dispatcher::{LoadReport, Micros, WorkerId};
 use rand::RngExt;
 use rand_distr::{Distribution, Normal};
 use tokio::sync::oneshot;
@@ -13,12 +13,12 @@
 
 impl EmulationState {
     /// A load query arrives at a worker.
-    pub(crate) fn accept_load_query(&mut self, worker: u32) -> LoadQueryResponse {
+    pub(crate) fn accept_load_query(&mut self, worker: WorkerId) -> LoadQueryResponse {
         let Some(query) = self.scenario.load_reports.load_query else { return LoadQueryResponse::NotFound };
         self.account_in_flight();
         let now = self.now();
         self.load_query_count += 1;
-        match self.connections[worker as usize].delivery_result(self.network_random.random()) {
+        match self.connections[worker.0 as usize].delivery_result(self.network_random.random()) {
             DeliveryResult::Delivered => {}
             DeliveryResult::ResetBeforeTaken | DeliveryResult::ResetAfterTaken => {
                 return LoadQueryResponse::Reset;
@@ -26,7 +26,7 @@
             DeliveryResult::InvalidResponse => return LoadQueryResponse::Garbage,
             DeliveryResult::ImmediateError => return LoadQueryResponse::Failed,
         }
-        let model = &mut self.workers[worker as usize].0;
+        let model = &mut self.workers[worker.0 as usize].0;
         if model.process != ProcessState::Up {
             return LoadQueryResponse::Unavailable;
         }
@@ -38,10 +38,10 @@
     }
 
     /// Puts a load query into a worker's queue like a job of one slot.
-    fn queue_load_query(&mut self, worker: u32, work: f64, now: Micros) -> LoadQueryResponse {
+    fn queue_load_query(&mut self, worker: WorkerId, work: f64, now: Micros) -> LoadQueryResponse {
         let id = self.next_id();
         let mut effects = Vec::new();
-        let model = &mut self.workers[worker as usize].0;
+        let model = &mut self.workers[worker.0 as usize].0;
         if model.offer(now, OfferedJob::load_query(id, work), &mut effects) != OfferResult::Accepted {
             return LoadQueryResponse::Unavailable;
         }
@@ -53,24 +53,24 @@
     }
 
     /// The load report with which a worker responds to a load query.
-    pub(crate) fn queried_load_report(&mut self, worker: u32) -> LoadReport {
+    pub(crate) fn queried_load_report(&mut self, worker: WorkerId) -> LoadReport {
         let now = self.now();
         let query = self.scenario.load_reports.load_query;
         let staleness = query.map_or(0, |query| micros_from_seconds(query.staleness_s));
         let delay = staleness + self.extra_report_delay;
-        self.workers[worker as usize].0.answer_load_query(now, delay).unwrap_or_default()
+        self.workers[worker.0 as usize].0.answer_load_query(now, delay).unwrap_or_default()
     }
 
     /// Refreshes the load report that a worker's responses to load queries hold.
-    pub(crate) fn refresh_load_report(&mut self, worker: u32) {
+    pub(crate) fn refresh_load_report(&mut self, worker: WorkerId) {
         let now = self.now();
         let interval = micros_from_seconds(self.scenario.load_reports.refresh_interval_s);
         let noise = noise(&mut self.noise_random, self.scenario.load_reports.noise_slots);
-        self.workers[worker as usize].0.refresh_load_report(now, interval, noise);
+        self.workers[worker.0 as usize].0.refresh_load_report(now, interval, noise);
     }
 
     /// The load report that comes with a response or callback; empty where load is learned by load query.
-    pub(super) fn response_load_report(&mut self, worker: u32) -> LoadReport {
+    pub(super) fn response_load_report(&mut self, worker: WorkerId) -> LoadReport {
         if self.scenario.load_reports.load_query.is_some() {
             return LoadReport::default();
         }
@@ -78,7 +78,7 @@
         let reports = &self.scenario.load_reports;
         let interval = micros_from_seconds(reports.refresh_interval_s) + self.extra_report_delay;
         let noise = noise(&mut self.noise_random, reports.noise_slots);
-        self.workers[worker as usize].0.load_report(now, interval, noise)
+        self.workers[worker.0 as usize].0.load_report(now, interval, noise)
     }
 }
 
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use copperspread_dispatcher::{Micros, RequestId};
+use copperspread_dispatcher::{Micros, RequestId, WorkerId};
 use rustc_hash::FxHashMap;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -14,9 +14,10 @@
 use crate::emulation::messages::Callback;
 use crate::model::arrivals::Arrival;
 use crate::model::connection_faults::ConnectionFaults;
-use crate::model::fleet::{FaultTransition, Fleet, slow_start_budget};
+use crate::model::fleet::{FaultTarget, FaultTransition, Fleet, slow_start_budget};
 use crate::model::idempotency_keys::KeyHistory;
 use crate::model::random::{RandomStream, StreamPurpose, random_stream};
+use crate::model::scheduler_id::SchedulerId;
 use crate::model::worker::Worker;
 use crate::outcome::OutcomeCounter;
 use crate::rule_checker::RuleChecker;
@@ -29,7 +30,7 @@
 #[derive(Clone, Copy)]
 struct PendingRequest {
     job: u64,
-    scheduler: u32,
+    scheduler: SchedulerId,
 }
 
 /// An attempt that a worker accepted.
@@ -37,8 +38,8 @@
 struct Attempt {
     request: u64,
     job: u64,
-    worker: u32,
-    scheduler: u32,
+    worker: WorkerId,
+    scheduler: SchedulerId,
 }
 
 /// A client's job.
@@ -82,7 +83,7 @@
     /// Callbacks that are to be delivered.
     pub callbacks: Vec<Callback>,
     /// Workers whose process or machine changed, for their sockets.
-    pub changed_workers: Vec<u32>,
+    pub changed_workers: Vec<WorkerId>,
     started_at: Instant,
     requests: FxHashMap<u64, PendingRequest>,
     jobs: FxHashMap<u64, ClientJob>,
@@ -148,8 +149,8 @@
         if delay < MIN_NETWORK_DELAY { 0 } else { delay }
     }
 
-    fn scheduler_zone(&self, scheduler: u32) -> u32 {
-        scheduler % self.scenario.zones
+    fn scheduler_zone(&self, scheduler: SchedulerId) -> u32 {
+        scheduler.zone(self.scenario.zones)
     }
 
     /// The next number of a request, attempt or load query; none is used twice.
@@ -164,7 +165,7 @@
     }
 
     /// Registers a request that a client is about to send; returns its id.
-    pub(crate) fn register_request(&mut self, job: u64, scheduler: u32, deadline: Micros) -> u64 {
+    pub(crate) fn register_request(&mut self, job: u64, scheduler: SchedulerId, deadline: Micros) -> u64 {
         let id = self.next_id();
         self.requests.insert(id, PendingRequest { job, scheduler });
         self.rule_checker.request_sent(RequestId(id), deadline);
@@ -185,16 +186,16 @@
     }
 
     /// Ends what a worker has done by now. Returns when it must be advanced again.
-    pub(crate) fn advance_worker(&mut self, worker: u32) -> Option<Instant> {
+    pub(crate) fn advance_worker(&mut self, worker: WorkerId) -> Option<Instant> {
         self.account_in_flight();
         let now = self.now();
         let mut effects = Vec::new();
-        let model = &mut self.workers[worker as usize].0;
+        let model = &mut self.workers[worker.0 as usize].0;
         if model.accepts_jobs() || model.job_count() > 0 {
             model.advance(now, &mut effects);
         }
         self.apply_effects(worker, effects);
-        self.workers[worker as usize].0.next_wake(self.now()).map(|at| self.instant_at(at))
+        self.workers[worker.0 as usize].0.next_wake(self.now()).map(|at| self.instant_at(at))
     }
 
     /// Begins or ends a fault of workers, their connections or their load reports.
@@ -204,18 +205,18 @@
         if let FaultKind::ReportsLate(delay_s) = fault {
             self.extra_report_delay = if transition.is_start { micros_from_seconds(delay_s) } else { 0 };
         }
-        let Some(worker) = transition.target.filter(|_| fault.affects_workers()) else { return };
-        if self.connections[worker as usize].apply_fault(fault, transition.is_start) {
+        let Some(FaultTarget::Worker(worker)) = transition.target else { return };
+        if self.connections[worker.0 as usize].apply_fault(fault, transition.is_start) {
             return;
         }
         self.apply_worker_fault(worker, fault, transition.is_start);
         self.changed_workers.push(worker);
     }
 
-    fn apply_worker_fault(&mut self, worker: u32, fault: FaultKind, is_start: bool) {
+    fn apply_worker_fault(&mut self, worker: WorkerId, fault: FaultKind, is_start: bool) {
         let now = self.now();
         let mut effects = Vec::new();
-        let model = &mut self.workers[worker as usize].0;
+        let model = &mut self.workers[worker.0 as usize].0;
         let job_count = model.job_count() as u64;
         let has_started = model.apply_fault(now, fault, is_start, &mut effects);
         let spec = model.spec;
--- a/crates/testbed/src/emulation/workers/listener.rs
+++ b/crates/testbed/src/emulation/workers/listener.rs
@@ -19,6 +19,7 @@
 use crate::emulation::faulty_socket::{FaultySocket, ResponseFault, reset_connection};
 use crate::emulation::workers::requests::handle_request;
 use crate::scenario::micros_from_seconds;
+use copperspread_dispatcher::WorkerId;
 
 /// How long an idle connection is kept, as the schedulers' settings say.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -56,11 +57,11 @@
 /// else gets it.
 pub(in crate::emulation) async fn run_listener(
     environment: Rc<Environment>,
-    worker: u32,
+    worker: WorkerId,
     mut first_socket: Option<TcpSocket>,
 ) {
-    let address = environment.listeners[worker as usize].address;
-    let mut state = environment.listeners[worker as usize].listener_state.subscribe();
+    let address = environment.listeners[worker.0 as usize].address;
+    let mut state = environment.listeners[worker.0 as usize].listener_state.subscribe();
     loop {
         let current = *state.borrow_and_update();
         let socket = match first_socket.take() {
@@ -105,7 +106,7 @@
 /// run's tasks.
 async fn accept_connections(
     environment: &Rc<Environment>,
-    worker: u32,
+    worker: WorkerId,
     listener: &TcpListener,
     state: &mut watch::Receiver<ListenerState>,
 ) {
@@ -124,14 +125,14 @@
 }
 
 /// Serves one connection until either side ends it or its process or machine goes.
-async fn serve_worker_connection(environment: Rc<Environment>, worker: u32, stream: TcpStream) {
+async fn serve_worker_connection(environment: Rc<Environment>, worker: WorkerId, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     // A new connection's delay passes before anything is read from it.
     let connect_delay = micros_from_seconds(environment.scenario.network.connect_delay_s);
     if connect_delay > 0 {
         sleep(Duration::from_micros(connect_delay)).await;
     }
-    let mut state = environment.listeners[worker as usize].listener_state.subscribe();
+    let mut state = environment.listeners[worker.0 as usize].listener_state.subscribe();
     let fault = Rc::new(Cell::new(ResponseFault::None));
     let service = service_fn(|request: Request<Incoming>| {
         let (environment, fault) = (Rc::clone(&environment), Rc::clone(&fault));
--- a/crates/testbed/src/emulation/workers/mod.rs
+++ b/crates/testbed/src/emulation/workers/mod.rs
@@ -10,11 +10,12 @@
 
 use crate::emulation::environment::Environment;
 use crate::scenario::micros_from_seconds;
+use copperspread_dispatcher::WorkerId;
 pub(super) use listener::run_listener;
 
 /// Advances a worker's model whenever something of it is due, until the run's tasks end.
-pub(super) async fn drive_worker(environment: Rc<Environment>, worker: u32) {
-    let wake = &environment.listeners[worker as usize].wake;
+pub(super) async fn drive_worker(environment: Rc<Environment>, worker: WorkerId) {
+    let wake = &environment.listeners[worker.0 as usize].wake;
     loop {
         match environment.apply(|state| state.advance_worker(worker)) {
             Some(due_at) => tokio::select! {
@@ -27,7 +28,7 @@
 }
 
 /// Calls back the progress of a worker's jobs, where the scenario's workers do, until the run's tasks end.
-pub(super) async fn report_progress(environment: Rc<Environment>, worker: u32) {
+pub(super) async fn report_progress(environment: Rc<Environment>, worker: WorkerId) {
     let interval = micros_from_seconds(environment.scenario.load_reports.progress_interval_s);
     if interval == 0 {
         return;
@@ -40,7 +41,7 @@
 
 /// Refreshes the load report that a worker sends on a load query, where there are load queries, until the
 /// run's tasks end.
-pub(super) async fn refresh_load_reports(environment: Rc<Environment>, worker: u32) {
+pub(super) async fn refresh_load_reports(environment: Rc<Environment>, worker: WorkerId) {
     let reports = &environment.scenario.load_reports;
     if reports.load_query.is_none() {
         return;
--- a/crates/testbed/src/emulation/workers/requests.rs
+++ b/crates/testbed/src/emulation/workers/requests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperspread_dispatcher::{LoadReport, Micros};
+use copperspread_dispatcher::{LoadReport, Micros, WorkerId};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
@@ -34,7 +34,7 @@
 /// Handles any request to a worker; `fault` is what its response is to meet.
 pub(super) async fn handle_request(
     environment: &Rc<Environment>,
-    worker: u32,
+    worker: WorkerId,
     request: Request<Incoming>,
     fault: &Cell<ResponseFault>,
 ) -> HttpResponse {
@@ -53,7 +53,7 @@
 }
 
 /// A cancellation names the request: DELETE /jobs/ID.
-fn handle_cancellation(environment: &Rc<Environment>, worker: u32, path: &str) -> HttpResponse {
+fn handle_cancellation(environment: &Rc<Environment>, worker: WorkerId, path: &str) -> HttpResponse {
     let id = path.strip_prefix("/jobs/").and_then(|id| u64::from_str_radix(id, 16).ok());
     if let Some(id) = id {
         environment.apply(|state| state.cancel_request(id, worker));
@@ -64,7 +64,7 @@
 
 async fn handle_attempt(
     environment: &Rc<Environment>,
-    worker: u32,
+    worker: WorkerId,
     request_id: u64,
     body: Incoming,
     fault: &Cell<ResponseFault>,
@@ -121,7 +121,7 @@
 /// 200, with the load report where that is wanted, or an error.
 async fn handle_load_query(
     environment: &Rc<Environment>,
-    worker: u32,
+    worker: WorkerId,
     wants_report: bool,
     fault: &Cell<ResponseFault>,
 ) -> HttpResponse {
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -5,6 +5,7 @@
 use rand_distr::{Distribution, Exp, Exp1, LogNormal};
 
 use crate::model::random::{RandomStream, StreamPurpose, random_stream};
+use crate::model::scheduler_id::SchedulerId;
 use crate::model::worker::OfferedJob;
 use crate::scenario::{Fault, FaultKind, JobClass, Scenario, WorkDistribution, micros_from_seconds};
 
@@ -29,7 +30,7 @@
     /// The hint of its work, in seconds.
     pub cost_hint: Option<f64>,
     /// The scheduler that the first request goes to.
-    pub scheduler: u32,
+    pub scheduler: SchedulerId,
 }
 
 impl Arrival {
@@ -150,10 +151,10 @@
     }
 
     /// Draws the scheduler that a client's first request goes to.
-    fn draw_scheduler(&mut self) -> u32 {
+    fn draw_scheduler(&mut self) -> SchedulerId {
         let schedulers = self.scenario.schedulers;
         let Some(crowded) = self.scenario.clients.skew else {
-            return self.random.random_range(0..schedulers);
+            return SchedulerId(self.random.random_range(0..schedulers));
         };
         let crowded_weight = f64::from(crowded.schedulers) * crowded.factor;
         let draw =
@@ -163,7 +164,7 @@
         } else {
             draw - crowded_weight + f64::from(crowded.schedulers)
         };
-        (position as u32).min(schedulers - 1)
+        SchedulerId((position as u32).min(schedulers - 1))
     }
 
     /// How many times the usual rate jobs arrive at a time, in seconds.
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -1,10 +1,11 @@
 //! The workers of a scenario under a seed, when which fault meets whom, and the load that slow start allows.
 //! Simulation and emulation both generate them here, so that one seed means the same fleet and faults.
-use copperspread_dispatcher::Micros;
+use copperspread_dispatcher::{Micros, WorkerId};
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
 use crate::model::random::{RandomStream, StreamPurpose, random_stream};
+use crate::model::scheduler_id::SchedulerId;
 use crate::model::worker::{ProcessState, Worker, WorkerSpec};
 use crate::rule_checker::SlowStartBudget;
 use crate::scenario::{Fault, Scenario, SlowStart, WorkerGroup, micros_from_seconds};
@@ -17,11 +18,20 @@
     /// The fault's position in the scenario.
     pub fault: usize,
     /// The worker or scheduler that it meets, for faults of those.
-    pub target: Option<u32>,
+    pub target: Option<FaultTarget>,
     /// It starts, or else ends.
     pub is_start: bool,
 }
 
+/// What a fault meets.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FaultTarget {
+    /// A worker: its process, machine or connections.
+    Worker(WorkerId),
+    /// A scheduler's process.
+    Scheduler(SchedulerId),
+}
+
 /// The workers with their zones, and the transitions of the faults in the order in which they were drawn.
 pub struct Fleet {
     /// Workers, each with its zone.
@@ -31,7 +41,7 @@
     /// Each worker's cell; no two zones share one.
     pub cells: Vec<u32>,
     /// Workers that the cached endpoint list names and that do not exist.
-    pub missing_workers: Vec<u32>,
+    pub missing_workers: Vec<WorkerId>,
     /// The faults' starts and ends.
     pub fault_transitions: Vec<FaultTransition>,
 }
@@ -44,17 +54,22 @@
         let missing_workers = draw_missing_workers(scenario, workers.len(), &mut random);
         let fault_transitions = draw_fault_transitions(scenario, &workers, &mut random);
         for &worker in &missing_workers {
-            workers[worker as usize].0.process = ProcessState::Stopped;
+            workers[worker.0 as usize].0.process = ProcessState::Stopped;
         }
-        let cells = (0..workers.len() as u32).map(|worker| cell(scenario, worker)).collect();
+        let cells = worker_ids(workers.len()).map(|worker| cell(scenario, worker)).collect();
         Fleet { workers, kinds, cells, missing_workers, fault_transitions }
     }
 }
 
+/// So many workers, in order.
+pub fn worker_ids(count: usize) -> impl Iterator<Item = WorkerId> {
+    (0..count as u32).map(WorkerId)
+}
+
 /// A worker's cell: each zone's workers are dealt to the zone's cells in turn.
-fn cell(scenario: &Scenario, worker: u32) -> u32 {
+fn cell(scenario: &Scenario, worker: WorkerId) -> u32 {
     let (zones, cells) = (scenario.zones, scenario.cells);
-    worker % zones + zones * (worker / zones % cells)
+    worker.0 % zones + zones * (worker.0 / zones % cells)
 }
 
 fn draw_workers(scenario: &Scenario, random: &mut RandomStream) -> (Vec<(Worker, u32)>, Vec<u32>) {
@@ -86,9 +101,9 @@
     }
 }
 
-fn draw_missing_workers(scenario: &Scenario, workers: usize, random: &mut RandomStream) -> Vec<u32> {
+fn draw_missing_workers(scenario: &Scenario, workers: usize, random: &mut RandomStream) -> Vec<WorkerId> {
     let missing = (scenario.discovery.stale_share * workers as f64).round() as usize;
-    let mut chosen: Vec<u32> = (0..workers as u32).collect();
+    let mut chosen: Vec<WorkerId> = worker_ids(workers).collect();
     chosen.shuffle(random);
     chosen.truncate(missing);
     chosen
@@ -123,12 +138,14 @@
     fault: &Fault,
     workers: &[(Worker, u32)],
     random: &mut RandomStream,
-) -> Vec<Option<u32>> {
+) -> Vec<Option<FaultTarget>> {
     let is_in_zone = |zone: u32| fault.zone.is_none_or(|faulty_zone| faulty_zone == zone);
-    let mut targets: Vec<u32> = if fault.kind.affects_workers() {
-        (0..workers.len() as u32).filter(|&worker| is_in_zone(workers[worker as usize].1)).collect()
+    let mut targets: Vec<FaultTarget> = if fault.kind.affects_workers() {
+        let is_met = |worker: &WorkerId| is_in_zone(workers[worker.0 as usize].1);
+        worker_ids(workers.len()).filter(is_met).map(FaultTarget::Worker).collect()
     } else if fault.kind.affects_schedulers() {
-        (0..scenario.schedulers).filter(|scheduler| is_in_zone(scheduler % scenario.zones)).collect()
+        let is_met = |scheduler: &SchedulerId| is_in_zone(scheduler.zone(scenario.zones));
+        SchedulerId::first(scenario.schedulers).filter(is_met).map(FaultTarget::Scheduler).collect()
     } else {
         Vec::new()
     };
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -5,4 +5,5 @@
 pub mod fleet;
 pub mod idempotency_keys;
 pub mod random;
+pub mod scheduler_id;
 pub mod worker;
--- a/crates/testbed/src/outcome/counter.rs
+++ b/crates/testbed/src/outcome/counter.rs
@@ -66,7 +66,7 @@
     pub fn record_job(&mut self, job: &Arrival, class: &JobClass, latency: Micros, end: JobOutcome) {
         let weight = class.priority_weight * job.work * job.slots;
         let class_index = job.class as usize;
-        let zone = job.scheduler as usize % self.zones.len();
+        let zone = job.scheduler.index() % self.zones.len();
         self.total.add(weight, end);
         self.zones[zone][class_index].add(weight, end);
         self.second_mut(job.at).add(weight, end);
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -80,7 +80,7 @@
     /// The endpoint list comes only after a subscription.
     must_subscribe: bool,
     workers: Vec<KnownWorker>,
-    ready: Vec<u32>,
+    ready: Vec<WorkerId>,
     /// Where a rotation over the ready workers stands.
     rotation: usize,
     true_states: Vec<TrueState>,
@@ -125,14 +125,14 @@
             self.workers[index].started_at = endpoint.started_at;
         }
         let ready = self.workers.iter().enumerate().filter(|(_, worker)| worker.state == WorkerState::Ready);
-        self.ready = ready.map(|(index, _)| index as u32).collect();
+        self.ready = ready.map(|(index, _)| WorkerId(index as u32)).collect();
     }
 
     /// Selects among the ready workers that the request has not been sent to.
-    fn select_untried(&mut self, job: &IncomingRequest, attempted: &[WorkerId]) -> Option<u32> {
+    fn select_untried(&mut self, job: &IncomingRequest, attempted: &[WorkerId]) -> Option<WorkerId> {
         if !attempted.is_empty() {
-            let untried = self.ready.iter().copied().filter(|&worker| !attempted.contains(&WorkerId(worker)));
-            let untried: Vec<u32> = untried.collect();
+            let untried = self.ready.iter().copied().filter(|worker| !attempted.contains(worker));
+            let untried: Vec<WorkerId> = untried.collect();
             return self.select(job, &untried);
         }
         // Taken out for the call, so that a first attempt copies no list.
@@ -142,7 +142,7 @@
         selected
     }
 
-    fn select(&mut self, job: &IncomingRequest, ready: &[u32]) -> Option<u32> {
+    fn select(&mut self, job: &IncomingRequest, ready: &[WorkerId]) -> Option<WorkerId> {
         if ready.is_empty() {
             return None;
         }
@@ -160,41 +160,41 @@
             SelectionRule::LeastCost => {
                 let work = hinted_work(job);
                 let rotated = self.rotate(ready);
-                let cost = |worker: u32| {
-                    let worker = &self.workers[worker as usize];
+                let cost = |worker: WorkerId| {
+                    let worker = &self.workers[worker.0 as usize];
                     (worker.outstanding_work + work) / worker.learned_speed
                 };
                 rotated.min_by(|&a, &b| cost(a).total_cmp(&cost(b)))
             }
             SelectionRule::Newest => {
-                ready.iter().copied().max_by_key(|&worker| self.workers[worker as usize].started_at)
+                ready.iter().copied().max_by_key(|&worker| self.workers[worker.0 as usize].started_at)
             }
             SelectionRule::EarliestTrueFinish => self.select_earliest_finish(job, ready),
         }
     }
 
-    fn outstanding(&self, worker: u32) -> u32 {
-        self.workers[worker as usize].outstanding
+    fn outstanding(&self, worker: WorkerId) -> u32 {
+        self.workers[worker.0 as usize].outstanding
     }
 
-    fn draw(&mut self, ready: &[u32]) -> u32 {
+    fn draw(&mut self, ready: &[WorkerId]) -> WorkerId {
         ready[self.random.random_range(0..ready.len())]
     }
 
     /// The ready workers, from one further than last time, so that ties are spread over an idle fleet.
-    fn rotate<'r>(&mut self, ready: &'r [u32]) -> impl Iterator<Item = u32> + use<'r> {
+    fn rotate<'r>(&mut self, ready: &'r [WorkerId]) -> impl Iterator<Item = WorkerId> + use<'r> {
         self.rotation += 1;
         let first = self.rotation % ready.len();
         (0..ready.len()).map(move |step| ready[(first + step) % ready.len()])
     }
 
-    fn select_earliest_finish(&self, job: &IncomingRequest, ready: &[u32]) -> Option<u32> {
+    fn select_earliest_finish(&self, job: &IncomingRequest, ready: &[WorkerId]) -> Option<WorkerId> {
         let cost = job.cost_hint.unwrap_or(DEFAULT_COST);
-        let seconds_to_finish = |worker: u32| {
-            let state = self.true_states.get(worker as usize).copied().unwrap_or_default();
+        let seconds_to_finish = |worker: WorkerId| {
+            let state = self.true_states.get(worker.0 as usize).copied().unwrap_or_default();
             if state.accepts_jobs { state.wait + cost / state.rate.max(1e-9) } else { f64::INFINITY }
         };
-        let by_finish = |&a: &u32, &b: &u32| seconds_to_finish(a).total_cmp(&seconds_to_finish(b));
+        let by_finish = |&a: &WorkerId, &b: &WorkerId| seconds_to_finish(a).total_cmp(&seconds_to_finish(b));
         let earliest = ready.iter().copied().min_by(by_finish)?;
         let is_late = seconds_to_finish(earliest) * SECOND as f64 > job.time_left as f64;
         (!is_late).then_some(earliest)
@@ -206,12 +206,12 @@
             actions.push(Action::Reject { request: id, retry_after: SECOND, reason });
             return;
         };
-        let worker = &mut self.workers[selected as usize];
+        let worker = &mut self.workers[selected.0 as usize];
         worker.outstanding += 1;
         worker.outstanding_work += hinted_work(&open.job);
-        open.attempted.push(WorkerId(selected));
+        open.attempted.push(selected);
         open.started_at = now;
-        actions.push(Action::Send { request: id, worker: WorkerId(selected), estimate: 0 });
+        actions.push(Action::Send { request: id, worker: selected, estimate: 0 });
         self.open_requests.insert(id, open);
     }
 
--- a/crates/testbed/src/rule_checker/dispatches.rs
+++ b/crates/testbed/src/rule_checker/dispatches.rs
@@ -1,11 +1,12 @@
 //! Rules on dispatches: none to draining workers, and no more than the budget to those that warm up.
 use std::collections::VecDeque;
 
-use copperspread_dispatcher::{Micros, SECOND};
+use copperspread_dispatcher::{Micros, SECOND, WorkerId};
 use rustc_hash::FxHashMap;
 
 use super::violations::{Rule, Violations};
 use super::{DRAIN_GRACE, TIMING_GRACE};
+use crate::model::scheduler_id::SchedulerId;
 
 /// What all schedulers together may send to a worker that is warming up.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -37,16 +38,16 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct SchedulerAndWorker {
-    scheduler: u32,
-    worker: u32,
+    scheduler: SchedulerId,
+    worker: WorkerId,
 }
 
 impl DrainRule {
     pub(super) fn availability_notified(
         &mut self,
         now: Micros,
-        scheduler: u32,
-        worker: u32,
+        scheduler: SchedulerId,
+        worker: WorkerId,
         is_available: bool,
     ) {
         let key = SchedulerAndWorker { scheduler, worker };
@@ -57,14 +58,20 @@
         }
     }
 
-    pub(super) fn check(&self, now: Micros, scheduler: u32, worker: u32, violations: &mut Violations) {
+    pub(super) fn check(
+        &self,
+        now: Micros,
+        scheduler: SchedulerId,
+        worker: WorkerId,
+        violations: &mut Violations,
+    ) {
         let Some(&since) = self.unavailable_since.get(&SchedulerAndWorker { scheduler, worker }) else {
             return;
         };
         if now > since + DRAIN_GRACE + TIMING_GRACE {
             let late_s = (now - since) as f64 / SECOND as f64;
             violations.record(Rule::NoDispatchWhileDraining, now, || {
-                format!("worker {worker}, told {late_s:.2} s before")
+                format!("worker {}, told {late_s:.2} s before", worker.0)
             });
         }
     }
@@ -81,7 +88,7 @@
 /// The workers that are warming up, and what they were sent.
 pub(super) struct SlowStartRule {
     budget: Option<SlowStartBudget>,
-    warming: FxHashMap<u32, WarmingWorker>,
+    warming: FxHashMap<WorkerId, WarmingWorker>,
 }
 
 impl SlowStartRule {
@@ -89,12 +96,18 @@
         SlowStartRule { budget, warming: FxHashMap::default() }
     }
 
-    pub(super) fn worker_started(&mut self, now: Micros, worker: u32, capacity: f64) {
+    pub(super) fn worker_started(&mut self, now: Micros, worker: WorkerId, capacity: f64) {
         let warming = WarmingWorker { started_at: now, capacity, sent: VecDeque::new(), is_violated: false };
         self.warming.insert(worker, warming);
     }
 
-    pub(super) fn check(&mut self, now: Micros, worker: u32, core_seconds: f64, violations: &mut Violations) {
+    pub(super) fn check(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        core_seconds: f64,
+        violations: &mut Violations,
+    ) {
         let Some(budget) = self.budget else { return };
         let Some(warming) = self.warming.get_mut(&worker) else { return };
         let age = now.saturating_sub(warming.started_at);
@@ -112,7 +125,7 @@
         if sent > allowed && !warming.is_violated {
             warming.is_violated = true;
             violations.record(Rule::SlowStartBudgetKept, now, || {
-                format!("worker {worker}: {sent:.1} of {allowed:.1} core-seconds")
+                format!("worker {}: {sent:.1} of {allowed:.1} core-seconds", worker.0)
             });
         }
     }
--- a/crates/testbed/src/rule_checker/mod.rs
+++ b/crates/testbed/src/rule_checker/mod.rs
@@ -6,8 +6,9 @@
 mod responses;
 mod violations;
 
-use copperspread_dispatcher::{Idempotency, Micros, RequestId, SECOND};
+use copperspread_dispatcher::{Idempotency, Micros, RequestId, SECOND, WorkerId};
 
+use crate::model::scheduler_id::SchedulerId;
 pub use dispatches::SlowStartBudget;
 pub use responses::ClientResponse;
 pub use violations::{Rule, RuleViolation, Violations};
@@ -104,17 +105,23 @@
     }
 
     /// A scheduler was notified that a worker drains or was removed, or takes work again.
-    pub fn availability_notified(&mut self, now: Micros, scheduler: u32, worker: u32, is_available: bool) {
+    pub fn availability_notified(
+        &mut self,
+        now: Micros,
+        scheduler: SchedulerId,
+        worker: WorkerId,
+        is_available: bool,
+    ) {
         self.drains.availability_notified(now, scheduler, worker, is_available);
     }
 
     /// A worker's process started, cold; `capacity` is in cores once it is warm.
-    pub fn worker_started(&mut self, now: Micros, worker: u32, capacity: f64) {
+    pub fn worker_started(&mut self, now: Micros, worker: WorkerId, capacity: f64) {
         self.slow_starts.worker_started(now, worker, capacity);
     }
 
     /// A scheduler sent an attempt of this many core-seconds to a worker.
-    pub fn attempt_sent(&mut self, now: Micros, scheduler: u32, worker: u32, core_seconds: f64) {
+    pub fn attempt_sent(&mut self, now: Micros, scheduler: SchedulerId, worker: WorkerId, core_seconds: f64) {
         self.drains.check(now, scheduler, worker, &mut self.violations);
         self.slow_starts.check(now, worker, core_seconds, &mut self.violations);
     }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -13,6 +13,7 @@
 use copperspread_dispatcher::{self as dispatcher, Micros, SECOND, Settings};
 use serde::{Deserialize, Serialize};
 
+use crate::model::scheduler_id::SchedulerId;
 pub use checks::ScenarioError;
 pub use classes::{DeduplicationScope, JobClass, RepeatPolicy, WorkDistribution};
 pub use clients::{ClientSkew, Clients, RecordedJob, RetryTiming};
@@ -143,12 +144,12 @@
     }
 
     /// The dispatch policy's settings in one scheduler.
-    pub fn settings(&self, scheduler: u32) -> Settings {
+    pub fn settings(&self, scheduler: SchedulerId) -> Settings {
         Settings {
             fleet_size: self.schedulers,
-            instance_index: Some(scheduler),
+            instance_index: Some(scheduler.0),
             sizes_reflect_load: self.discovery.size_interval_s > 0.0,
-            zone: scheduler % self.zones,
+            zone: scheduler.zone(self.zones),
             classes: self.classes.iter().map(JobClass::request_class).collect(),
             weight_by_work: true,
             slow_start_initial_capacity: self.slow_start.initial_capacity,
--- a/crates/testbed/src/simulation/attempts.rs
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -1,18 +1,20 @@
 //! Attempts as their scheduler sees them: sent over a connection, in flight, ended.
 use copperspread_dispatcher::{
     AttemptOutcome, Event, LoadReport, Micros, Outcome as AttemptResult, Progress, RequestId, SECOND,
+    WorkerId,
 };
 
 use super::event_queue::{FinalResponse, SimulationEvent};
 use super::requests::{Attempt, AttemptId};
 use super::{Simulation, draw_report_noise};
+use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::micros_from_seconds;
 
 /// An idle connection is closed after this long.
 const IDLE_CONNECTION_TIMEOUT: Micros = 5 * SECOND;
 
 impl Simulation<'_> {
-    pub(super) fn scomplete_attempt(&mut self, request_id: RequestId, worker: u32) {
+    pub(super) fn send_attempt(&mut self, request_id: RequestId, worker: WorkerId) {
         let id = AttemptId(self.last_id + 1);
         let Some(request) = self.scheduler_requests.get_mut(&request_id) else { return };
         self.last_id = id.0;
@@ -49,7 +51,7 @@
 
     /// How long an attempt or load query waits for its connection: not at all where one is idle. The
     /// connection is then in use until the worker has responded, estimated as one round trip.
-    pub(super) fn connection_delay(&mut self, scheduler: u32, worker: u32) -> Micros {
+    pub(super) fn connection_delay(&mut self, scheduler: SchedulerId, worker: WorkerId) -> Micros {
         let connect_time = micros_from_seconds(self.scenario.network.connect_delay_s);
         if connect_time == 0 {
             return 0;
@@ -103,7 +105,7 @@
         self.close_request(request_id);
     }
 
-    fn send_cancellation(&mut self, id: AttemptId, request: RequestId, worker: u32) {
+    fn send_cancellation(&mut self, id: AttemptId, request: RequestId, worker: WorkerId) {
         let to_zone = self.worker_zone(worker);
         let scheduler = self.scheduler_requests.get(&request).map(|request| request.scheduler);
         let from_zone = scheduler.map_or(to_zone, |scheduler| self.scheduler_zone(scheduler));
@@ -112,7 +114,7 @@
     }
 
     /// The load report that comes with a response, where workers send them so.
-    fn load_report_with(&mut self, worker: u32, result: AttemptResult) -> Option<LoadReport> {
+    fn load_report_with(&mut self, worker: WorkerId, result: AttemptResult) -> Option<LoadReport> {
         let reports = &self.scenario.load_reports;
         let is_from_worker =
             matches!(result, AttemptResult::Served | AttemptResult::Error | AttemptResult::Rejected);
@@ -121,7 +123,7 @@
         }
         let refresh = micros_from_seconds(reports.refresh_interval_s) + self.report_delay;
         let (random, sigma) = (&mut self.report_random, reports.noise_slots);
-        let worker = &mut self.workers[worker as usize].0;
+        let worker = &mut self.workers[worker.0 as usize].0;
         Some(worker.load_report(self.now, refresh, || draw_report_noise(random, sigma)))
     }
 
@@ -157,7 +159,7 @@
             self.rule_checker.result_made(request);
         }
         let (from_zone, to_zone) = (self.worker_zone(worker), self.scheduler_zone(scheduler));
-        let callback_delay = self.connection_faults[worker as usize].callback_delay;
+        let callback_delay = self.connection_faults[worker.0 as usize].callback_delay;
         let delay = self.network_delay(from_zone, to_zone) + callback_delay;
         self.schedule(self.now + delay, SimulationEvent::AttemptCompleted { attempt: id, result });
     }
--- a/crates/testbed/src/simulation/clients.rs
+++ b/crates/testbed/src/simulation/clients.rs
@@ -7,6 +7,7 @@
 use super::requests::{ClientRequest, ClientRequestId, SchedulerRequest};
 use crate::model::arrivals::Arrival;
 use crate::model::idempotency_keys::KeyHistory;
+use crate::model::scheduler_id::SchedulerId;
 use crate::outcome::JobOutcome;
 use crate::rule_checker::ClientResponse;
 use crate::scenario::micros_from_seconds;
@@ -48,17 +49,11 @@
         self.client_requests.get(&client_request).is_some_and(|request| !request.is_finished)
     }
 
-    /// The scheduler that a client reaches: the preferred one, or the next of its zone that accepts requests,
-    /// or the next of any zone.
-    fn reachable_scheduler(&self, preferred: u32) -> u32 {
-        let (count, zones) = (self.schedulers.len() as u32, self.scenario.zones);
-        let candidates = || (0..count).map(|step| (preferred + step) % count);
-        let accepts = |at: &u32| {
-            let scheduler = &self.schedulers[*at as usize];
+    fn reachable_scheduler(&self, preferred: SchedulerId) -> SchedulerId {
+        preferred.reachable(self.schedulers.len() as u32, self.scenario.zones, |id| {
+            let scheduler = &self.schedulers[id.index()];
             scheduler.is_up && scheduler.accepts_requests
-        };
-        let in_zone = candidates().filter(accepts).find(|at| at % zones == preferred % zones);
-        in_zone.or_else(|| candidates().find(accepts)).unwrap_or(preferred)
+        })
     }
 
     fn send_request(&mut self, id: ClientRequestId) {
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -7,6 +7,8 @@
 
 use super::event_queue::SimulationEvent;
 use super::{CLOCK_OFFSET, Simulation};
+use crate::model::fleet::worker_ids;
+use crate::model::scheduler_id::SchedulerId;
 use crate::model::worker::ProcessState;
 use crate::scenario::micros_from_seconds;
 
@@ -18,16 +20,16 @@
 impl Simulation<'_> {
     /// Schedules the lists with which the schedulers start: the cached one, which still names the missing
     /// workers, and the full one.
-    pub(super) fn schedule_initial_lists(&mut self, missing_workers: &[u32]) {
+    pub(super) fn schedule_initial_lists(&mut self, missing_workers: &[WorkerId]) {
         let full = self.endpoint_list();
         let mut cached = full.clone();
         for &worker in missing_workers {
-            cached[worker as usize].state = WorkerState::Ready;
+            cached[worker.0 as usize].state = WorkerState::Ready;
         }
         let (cached, full) = (Arc::new(cached), Arc::new(full));
         let first_at = micros_from_seconds(self.scenario.discovery.first_list_after_s);
         let must_subscribe = self.scenario.discovery.polled;
-        for scheduler in 0..self.schedulers.len() as u32 {
+        for scheduler in SchedulerId::first(self.schedulers.len() as u32) {
             if first_at > 0 || must_subscribe {
                 self.schedule_endpoints(0, scheduler, EndpointUpdateKind::Cached, &cached);
             }
@@ -40,7 +42,7 @@
     pub(super) fn schedule_endpoints(
         &mut self,
         at: Micros,
-        scheduler: u32,
+        scheduler: SchedulerId,
         kind: EndpointUpdateKind,
         endpoints: &Arc<Vec<Endpoint>>,
     ) {
@@ -48,13 +50,13 @@
         self.schedule(at, SimulationEvent::EndpointsDelivered { scheduler, kind, endpoints });
     }
 
-    fn endpoint(&self, worker: u32) -> Endpoint {
+    fn endpoint(&self, worker: WorkerId) -> Endpoint {
         let state = self.worker(worker);
         Endpoint {
-            worker: WorkerId(worker),
+            worker,
             zone: self.worker_zone(worker),
-            kind: self.kinds[worker as usize],
-            cell: self.cells[worker as usize],
+            kind: self.kinds[worker.0 as usize],
+            cell: self.cells[worker.0 as usize],
             state: match state.process {
                 ProcessState::Up => WorkerState::Ready,
                 ProcessState::Draining => WorkerState::Draining,
@@ -62,37 +64,33 @@
             },
             started_at: state.started_at.map(|at| at + CLOCK_OFFSET),
             size: (self.scenario.discovery.size_interval_s > 0.0).then(|| self.worker_size(worker)),
-            hash_key: worker.into(),
+            hash_key: worker.0.into(),
         }
     }
 
     /// The full list as it is now.
     pub(super) fn endpoint_list(&self) -> Vec<Endpoint> {
-        self.worker_ids().map(|worker| self.endpoint(worker)).collect()
-    }
-
-    fn worker_ids(&self) -> std::ops::Range<u32> {
-        0..self.workers.len() as u32
+        worker_ids(self.workers.len()).map(|worker| self.endpoint(worker)).collect()
     }
 
     /// The size that the list gives for a worker: its group's capacity, divided by one plus its jobs per core.
-    fn worker_size(&self, worker: u32) -> f64 {
-        let group = &self.scenario.workers[self.kinds[worker as usize] as usize];
+    fn worker_size(&self, worker: WorkerId) -> f64 {
+        let group = &self.scenario.workers[self.kinds[worker.0 as usize] as usize];
         let idle_size = group.cores * (group.speed[0] + group.speed[1]) / 2.0;
         idle_size / (1.0 + self.worker(worker).job_count() as f64 / group.cores)
     }
 
     /// Publishes the ready workers whose size has changed since the last time.
     pub(super) fn publish_sizes(&mut self) {
-        let sizes: Vec<f64> = self.worker_ids().map(|worker| self.worker_size(worker)).collect();
+        let sizes: Vec<f64> = worker_ids(self.workers.len()).map(|worker| self.worker_size(worker)).collect();
         let previous = std::mem::replace(&mut self.published_sizes, sizes);
-        let has_new_size = |&worker: &u32| {
-            let at = worker as usize;
+        let has_new_size = |&worker: &WorkerId| {
+            let at = worker.0 as usize;
             self.worker(worker).process == ProcessState::Up
                 && previous.get(at).is_none_or(|&size| size != self.published_sizes[at])
         };
         let changed: Vec<_> =
-            self.worker_ids().filter(has_new_size).map(|worker| self.endpoint(worker)).collect();
+            worker_ids(self.workers.len()).filter(has_new_size).map(|worker| self.endpoint(worker)).collect();
         if self.discovery_outages == 0 && self.stale_list.is_none() {
             self.publish_changes(&Arc::new(changed));
         }
@@ -103,7 +101,7 @@
     }
 
     /// Publishes a worker whose state changed, now or when discovery is back.
-    pub(super) fn publish_worker(&mut self, worker: u32) {
+    pub(super) fn publish_worker(&mut self, worker: WorkerId) {
         let endpoint = self.endpoint(worker);
         if self.discovery_outages > 0 {
             self.unpublished.push(endpoint);
@@ -115,7 +113,7 @@
     /// Publishes the present state of the workers that changed while discovery was down.
     pub(super) fn publish_missed_changes(&mut self) {
         let missed = std::mem::take(&mut self.unpublished);
-        let endpoints: Vec<_> = missed.iter().map(|endpoint| self.endpoint(endpoint.worker.0)).collect();
+        let endpoints: Vec<_> = missed.iter().map(|endpoint| self.endpoint(endpoint.worker)).collect();
         self.publish_changes(&Arc::new(endpoints));
     }
 
@@ -123,7 +121,7 @@
         let at = self.now + micros_from_seconds(self.scenario.discovery.delay_s);
         // The first full list comes before any change.
         let at = at.max(micros_from_seconds(self.scenario.discovery.first_list_after_s) + 1);
-        for scheduler in 0..self.schedulers.len() as u32 {
+        for scheduler in SchedulerId::first(self.schedulers.len() as u32) {
             self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Changes, endpoints);
         }
     }
@@ -136,7 +134,7 @@
 
     fn publish_list(&mut self, list: &Arc<Vec<Endpoint>>) {
         let at = self.now + micros_from_seconds(self.scenario.discovery.delay_s);
-        for scheduler in 0..self.schedulers.len() as u32 {
+        for scheduler in SchedulerId::first(self.schedulers.len() as u32) {
             self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Full, list);
         }
     }
@@ -165,7 +163,7 @@
     }
 
     /// A scheduler subscribes: it gets the full list, and from then on the changes.
-    pub(super) fn subscribe(&mut self, scheduler: u32) {
+    pub(super) fn subscribe(&mut self, scheduler: SchedulerId) {
         if !self.scenario.discovery.polled {
             return;
         }
@@ -173,7 +171,7 @@
             let at = self.now + DISCOVERY_ERROR_DELAY;
             return self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Failed, &Arc::default());
         }
-        self.schedulers[scheduler as usize].is_subscribed = true;
+        self.schedulers[scheduler.index()].is_subscribed = true;
         let zone = self.scheduler_zone(scheduler);
         let round_trip = self.network_delay(zone, zone) + self.network_delay(zone, zone);
         let first_at = micros_from_seconds(self.scenario.discovery.first_list_after_s);
@@ -187,8 +185,8 @@
         if !self.scenario.discovery.polled {
             return;
         }
-        for scheduler in 0..self.schedulers.len() as u32 {
-            let is_subscribed = &mut self.schedulers[scheduler as usize].is_subscribed;
+        for scheduler in SchedulerId::first(self.schedulers.len() as u32) {
+            let is_subscribed = &mut self.schedulers[scheduler.index()].is_subscribed;
             if std::mem::replace(is_subscribed, false) {
                 self.schedule_endpoints(self.now, scheduler, EndpointUpdateKind::Failed, &Arc::default());
             }
@@ -198,11 +196,11 @@
     /// Gives an update to a scheduler that runs and either is subscribed or needs no subscription for it.
     pub(super) fn deliver_endpoints(
         &mut self,
-        number: u32,
+        id: SchedulerId,
         kind: EndpointUpdateKind,
         endpoints: &[Endpoint],
     ) {
-        let scheduler = &mut self.schedulers[number as usize];
+        let scheduler = &mut self.schedulers[id.index()];
         let needs_subscription = !matches!(kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
         if !scheduler.is_up || (needs_subscription && !scheduler.is_subscribed) {
             return;
@@ -211,8 +209,8 @@
         let version = scheduler.list_version;
         for endpoint in endpoints {
             let is_ready = endpoint.state == WorkerState::Ready;
-            self.rule_checker.availability_notified(self.now, number, endpoint.worker.0, is_ready);
+            self.rule_checker.availability_notified(self.now, id, endpoint.worker, is_ready);
         }
-        self.notify_scheduler(number, Event::Endpoints(EndpointUpdate { kind, version, endpoints }));
+        self.notify_scheduler(id, Event::Endpoints(EndpointUpdate { kind, version, endpoints }));
     }
 }
--- a/crates/testbed/src/simulation/event_queue.rs
+++ b/crates/testbed/src/simulation/event_queue.rs
@@ -4,12 +4,13 @@
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
-    Endpoint, EndpointUpdateKind, LoadReport, Micros, Outcome as AttemptResult, RequestId, Timer,
+    Endpoint, EndpointUpdateKind, LoadReport, Micros, Outcome as AttemptResult, RequestId, Timer, WorkerId,
 };
 
 use super::requests::{AttemptId, ClientRequestId, LoadQueryId};
 use crate::model::arrivals::Arrival;
 use crate::model::fleet::FaultTransition;
+use crate::model::scheduler_id::SchedulerId;
 
 /// What happens at one instant.
 pub(super) enum SimulationEvent {
@@ -36,11 +37,11 @@
     /// A cancellation reaches the attempt's worker.
     CancellationArrived(AttemptId),
     /// A worker's running jobs must be looked at; void unless its epoch is still this one.
-    WorkerWake { worker: u32, wake_epoch: u64 },
+    WorkerWake { worker: WorkerId, wake_epoch: u64 },
     /// A timer of one incarnation of a scheduler expires.
-    TimerExpired { scheduler: u32, incarnation: u32, timer: Timer },
+    TimerExpired { scheduler: SchedulerId, incarnation: u32, timer: Timer },
     /// An endpoint update reaches a scheduler.
-    EndpointsDelivered { scheduler: u32, kind: EndpointUpdateKind, endpoints: Arc<Vec<Endpoint>> },
+    EndpointsDelivered { scheduler: SchedulerId, kind: EndpointUpdateKind, endpoints: Arc<Vec<Endpoint>> },
     /// A fault starts or ends.
     FaultChanged(FaultTransition),
     /// The stale or the true list is published while discovery contradicts itself.
@@ -52,7 +53,7 @@
     /// The scheduler learns the result of a load query.
     LoadQueryCompleted { query: LoadQueryId, result: AttemptResult, report: Option<LoadReport> },
     /// A worker refreshes the figures with which it answers load queries.
-    ReportRefreshDue { worker: u32 },
+    ReportRefreshDue { worker: WorkerId },
 }
 
 /// A final response on its way to the client.
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -1,12 +1,14 @@
 //! Faults that start and end: each acts on the part of the simulation that it meets.
 use super::Simulation;
-use crate::model::fleet::FaultTransition;
+use crate::model::fleet::{FaultTarget, FaultTransition};
+use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::{FaultKind, micros_from_seconds};
+use copperspread_dispatcher::WorkerId;
 
 impl Simulation<'_> {
     pub(super) fn apply_fault_transition(&mut self, transition: FaultTransition) {
         let fault = self.scenario.faults[transition.fault].kind;
-        let (is_start, target) = (transition.is_start, transition.target.unwrap_or_default());
+        let is_start = transition.is_start;
         match fault {
             // These act on the arrivals alone.
             FaultKind::Burst(_) | FaultKind::Ramp(_) | FaultKind::HeavyTail(_) => {}
@@ -17,16 +19,29 @@
                 self.apply_discovery_outage(fault, is_start);
             }
             FaultKind::DiscoveryContradicts => self.set_list_alternation(is_start),
-            FaultKind::SchedulerCrash if is_start => self.stop_scheduler(target, false),
-            FaultKind::SchedulerCrash => self.start_scheduler(target),
-            FaultKind::SchedulerRestart if is_start => {
-                self.schedulers[target as usize].accepts_requests = false;
+            _ => match transition.target {
+                Some(FaultTarget::Scheduler(scheduler)) => {
+                    self.apply_scheduler_fault(scheduler, fault, is_start);
+                }
+                Some(FaultTarget::Worker(worker)) => self.apply_worker_fault(worker, fault, is_start),
+                None => {}
+            },
+        }
+    }
+
+    /// A crash ends the process at the fault's start. A restart ends it at the fault's end, before the next one
+    /// starts.
+    fn apply_scheduler_fault(&mut self, scheduler: SchedulerId, fault: FaultKind, is_start: bool) {
+        match (fault, is_start) {
+            (FaultKind::SchedulerCrash, true) => self.stop_scheduler(scheduler, false),
+            (FaultKind::SchedulerRestart, true) => {
+                self.schedulers[scheduler.index()].accepts_requests = false;
             }
-            FaultKind::SchedulerRestart => {
-                self.stop_scheduler(target, true);
-                self.start_scheduler(target);
+            (FaultKind::SchedulerRestart, false) => {
+                self.stop_scheduler(scheduler, true);
+                self.start_scheduler(scheduler);
             }
-            _ => self.apply_worker_fault(target, fault, is_start),
+            _ => self.start_scheduler(scheduler),
         }
     }
 
@@ -48,8 +63,8 @@
         }
     }
 
-    fn apply_worker_fault(&mut self, worker: u32, fault: FaultKind, is_start: bool) {
-        if self.connection_faults[worker as usize].apply_fault(fault, is_start) {
+    fn apply_worker_fault(&mut self, worker: WorkerId, fault: FaultKind, is_start: bool) {
+        if self.connection_faults[worker.0 as usize].apply_fault(fault, is_start) {
             return;
         }
         let now = self.now;
--- a/crates/testbed/src/simulation/load_queries.rs
+++ b/crates/testbed/src/simulation/load_queries.rs
@@ -6,6 +6,8 @@
 use super::requests::{LoadQueryId, PendingLoadQuery};
 use super::{RUN_OUT, Simulation, draw_report_noise};
 use crate::model::connection_faults::DeliveryResult;
+use crate::model::fleet::worker_ids;
+use crate::model::scheduler_id::SchedulerId;
 use crate::model::worker::{OfferResult, OfferedJob, ProcessState};
 use crate::scenario::micros_from_seconds;
 
@@ -14,17 +16,17 @@
     pub(super) fn schedule_initial_refreshes(&mut self) {
         let interval = micros_from_seconds(self.scenario.load_reports.refresh_interval_s);
         let count = self.workers.len() as u64;
-        for worker in 0..count {
-            let event = SimulationEvent::ReportRefreshDue { worker: worker as u32 };
-            self.schedule(interval * worker / count, event);
+        for worker in worker_ids(self.workers.len()) {
+            let event = SimulationEvent::ReportRefreshDue { worker };
+            self.schedule(interval * u64::from(worker.0) / count, event);
         }
     }
 
-    pub(super) fn scomplete_load_query(&mut self, scheduler: u32, worker: u32) {
+    pub(super) fn send_load_query(&mut self, scheduler: SchedulerId, worker: WorkerId) {
         let query = LoadQueryId(self.next_id());
-        let incarnation = self.schedulers[scheduler as usize].incarnation;
+        let incarnation = self.schedulers[scheduler.index()].incarnation;
         self.load_queries.insert(query, PendingLoadQuery { scheduler, incarnation, worker });
-        let is_known = (worker as usize) < self.workers.len();
+        let is_known = (worker.0 as usize) < self.workers.len();
         let Some(settings) = self.scenario.load_reports.load_query.filter(|_| is_known) else {
             return self.schedule_load_query_result(self.now, query, AttemptResult::Superseded, None);
         };
@@ -40,7 +42,7 @@
         let Some(&PendingLoadQuery { worker, .. }) = self.load_queries.get(&query) else { return };
         let Some(settings) = self.scenario.load_reports.load_query else { return };
         let draw = self.network_random.random();
-        let delivery = self.connection_faults[worker as usize].delivery_result(draw);
+        let delivery = self.connection_faults[worker.0 as usize].delivery_result(draw);
         let state = self.worker(worker);
         let failure = match (state.process, delivery) {
             // Nothing answers: the scheduler waits until its timeout.
@@ -65,7 +67,7 @@
     }
 
     /// The worker answers at once; the work for it slows its jobs down.
-    fn answer_beside_jobs(&mut self, query: LoadQueryId, worker: u32, work: f64) {
+    fn answer_beside_jobs(&mut self, query: LoadQueryId, worker: WorkerId, work: f64) {
         let now = self.now;
         let state = self.worker_mut(worker);
         let elapsed = micros_from_seconds(work / state.spec.speed);
@@ -75,7 +77,7 @@
     }
 
     /// The query waits in the worker's queue like a job.
-    fn queue_load_query(&mut self, query: LoadQueryId, worker: u32, work: f64) {
+    fn queue_load_query(&mut self, query: LoadQueryId, worker: WorkerId, work: f64) {
         let now = self.now;
         let job = OfferedJob::load_query(query.0, work);
         let mut effects = Vec::new();
@@ -122,18 +124,18 @@
         report: Option<LoadReport>,
     ) {
         let Some(pending) = self.load_queries.remove(&query) else { return };
-        if self.schedulers[pending.scheduler as usize].incarnation == pending.incarnation {
-            let worker = WorkerId(pending.worker);
+        if self.schedulers[pending.scheduler.index()].incarnation == pending.incarnation {
+            let worker = pending.worker;
             let event = Event::LoadQueryCompleted { worker, outcome: result, report };
             self.notify_scheduler(pending.scheduler, event);
         }
     }
 
-    pub(super) fn refresh_load_report(&mut self, worker: u32) {
+    pub(super) fn refresh_load_report(&mut self, worker: WorkerId) {
         let reports = &self.scenario.load_reports;
         let (interval, now) = (micros_from_seconds(reports.refresh_interval_s), self.now);
         let (random, sigma) = (&mut self.report_random, reports.noise_slots);
-        let state = &mut self.workers[worker as usize].0;
+        let state = &mut self.workers[worker.0 as usize].0;
         state.refresh_load_report(now, interval, || draw_report_noise(random, sigma));
         if now <= micros_from_seconds(self.scenario.duration_s) + RUN_OUT {
             self.schedule(now + interval, SimulationEvent::ReportRefreshDue { worker });
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -27,7 +27,9 @@
 
 use std::sync::Arc;
 
-use copperspread_dispatcher::{Action, Endpoint, Event, Micros, Progress, RequestId, SECOND, SettingsError};
+use copperspread_dispatcher::{
+    Action, Endpoint, Event, Micros, Progress, RequestId, SECOND, SettingsError, WorkerId,
+};
 use rand::RngExt;
 use rand_distr::{Distribution, Exp1, Normal};
 use rustc_hash::FxHashMap;
@@ -41,6 +43,7 @@
 use crate::model::connection_faults::ConnectionFaults;
 use crate::model::fleet::{FaultTransition, Fleet, slow_start_budget};
 use crate::model::random::{RandomStream, StreamPurpose, random_stream};
+use crate::model::scheduler_id::SchedulerId;
 use crate::model::worker::Worker;
 use crate::outcome::{OutcomeCounter, RunOutcome, RunRecord};
 use crate::policy::PolicyKind;
@@ -103,7 +106,7 @@
     /// Connection faults, by worker.
     connection_faults: Vec<ConnectionFaults>,
     /// From when on each connection is idle, by scheduler and worker.
-    idle_connections: FxHashMap<(u32, u32), Vec<Micros>>,
+    idle_connections: FxHashMap<(SchedulerId, WorkerId), Vec<Micros>>,
     /// The full list as it was when discovery began to contradict itself.
     stale_list: Option<Arc<Vec<Endpoint>>>,
     /// Kept between events to save allocations.
@@ -128,8 +131,8 @@
         seed: u64,
     ) -> Result<Simulation<'a>, SettingsError> {
         let fleet = Fleet::generate(scenario, seed);
-        let schedulers = (0..scenario.schedulers)
-            .map(|number| Scheduler::new(scenario, policy_kind, seed, number))
+        let schedulers = SchedulerId::first(scenario.schedulers)
+            .map(|id| Scheduler::new(scenario, policy_kind, seed, id))
             .collect::<Result<Vec<_>, _>>()?;
         let mut simulation = Simulation {
             scenario,
@@ -220,7 +223,7 @@
             SimulationEvent::CancellationArrived(attempt) => self.cancel_at_worker(attempt),
             SimulationEvent::WorkerWake { worker, wake_epoch } => self.wake_worker(worker, wake_epoch),
             SimulationEvent::TimerExpired { scheduler, incarnation, timer } => {
-                if self.schedulers[scheduler as usize].incarnation == incarnation {
+                if self.schedulers[scheduler.index()].incarnation == incarnation {
                     self.notify_scheduler(scheduler, Event::TimerExpired(timer));
                 }
             }
@@ -257,20 +260,20 @@
         self.last_id
     }
 
-    fn worker(&self, worker: u32) -> &Worker {
-        &self.workers[worker as usize].0
+    fn worker(&self, worker: WorkerId) -> &Worker {
+        &self.workers[worker.0 as usize].0
     }
 
-    fn worker_mut(&mut self, worker: u32) -> &mut Worker {
-        &mut self.workers[worker as usize].0
+    fn worker_mut(&mut self, worker: WorkerId) -> &mut Worker {
+        &mut self.workers[worker.0 as usize].0
     }
 
-    fn worker_zone(&self, worker: u32) -> u32 {
-        self.workers[worker as usize].1
+    fn worker_zone(&self, worker: WorkerId) -> u32 {
+        self.workers[worker.0 as usize].1
     }
 
-    fn scheduler_zone(&self, scheduler: u32) -> u32 {
-        self.schedulers[scheduler as usize].zone
+    fn scheduler_zone(&self, scheduler: SchedulerId) -> u32 {
+        self.schedulers[scheduler.index()].zone
     }
 
     fn outcome(self) -> RunOutcome {
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -1,8 +1,9 @@
 //! What a simulation remembers of each job, request, attempt and load query while it is open.
-use copperspread_dispatcher::{Micros, RequestId};
+use copperspread_dispatcher::{Micros, RequestId, WorkerId};
 
 use crate::model::arrivals::Arrival;
 use crate::model::idempotency_keys::KeyHistory;
+use crate::model::scheduler_id::SchedulerId;
 
 /// A client's job, over all requests that the client sends for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -32,7 +33,7 @@
 /// A client's request as one scheduler has it.
 pub(super) struct SchedulerRequest {
     pub(super) client_request: ClientRequestId,
-    pub(super) scheduler: u32,
+    pub(super) scheduler: SchedulerId,
     /// The scheduler's own deadline, somewhat before the client's.
     pub(super) deadline: Micros,
     pub(super) attempts: Vec<AttemptId>,
@@ -48,7 +49,7 @@
     pub(super) client_request: ClientRequestId,
     /// Its place among the request's attempts.
     pub(super) number: u32,
-    pub(super) worker: u32,
+    pub(super) worker: WorkerId,
     pub(super) sent_at: Micros,
     /// The scheduler waits for it.
     pub(super) is_in_flight: bool,
@@ -63,8 +64,8 @@
 /// A load query whose result its scheduler waits for.
 #[derive(Clone, Copy)]
 pub(super) struct PendingLoadQuery {
-    pub(super) scheduler: u32,
+    pub(super) scheduler: SchedulerId,
     /// The scheduler's incarnation that asked; a later one does not get the result.
     pub(super) incarnation: u32,
-    pub(super) worker: u32,
+    pub(super) worker: WorkerId,
 }
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -9,6 +9,7 @@
 use super::event_queue::{FinalResponse, SimulationEvent};
 use super::{CLOCK_OFFSET, RUN_OUT, Simulation};
 use crate::model::random::{StreamPurpose, random_stream};
+use crate::model::scheduler_id::SchedulerId;
 use crate::model::worker::TrueState;
 use crate::policy::{Policy, PolicyKind};
 use crate::scenario::{Scenario, micros_from_seconds};
@@ -40,11 +41,11 @@
         scenario: &Scenario,
         policy_kind: PolicyKind,
         seed: u64,
-        number: u32,
+        id: SchedulerId,
     ) -> Result<Scheduler, SettingsError> {
         Ok(Scheduler {
-            policy: build_policy(scenario, policy_kind, number, scheduler_seed(seed, number))?,
-            zone: number % scenario.zones,
+            policy: build_policy(scenario, policy_kind, id, scheduler_seed(seed, id))?,
+            zone: id.zone(scenario.zones),
             list_version: 0,
             is_up: true,
             accepts_requests: true,
@@ -54,17 +55,17 @@
     }
 }
 
-fn scheduler_seed(seed: u64, number: u32) -> u64 {
-    seed.wrapping_add(u64::from(number) * SCHEDULER_SEED_STRIDE)
+fn scheduler_seed(seed: u64, id: SchedulerId) -> u64 {
+    seed.wrapping_add(u64::from(id.0) * SCHEDULER_SEED_STRIDE)
 }
 
 fn build_policy(
     scenario: &Scenario,
     policy_kind: PolicyKind,
-    number: u32,
+    id: SchedulerId,
     seed: u64,
 ) -> Result<Box<dyn Policy>, SettingsError> {
-    policy_kind.build(scenario.settings(number), seed, random_stream(seed, StreamPurpose::Network))
+    policy_kind.build(scenario.settings(id), seed, random_stream(seed, StreamPurpose::Network))
 }
 
 impl Simulation<'_> {
@@ -75,7 +76,7 @@
         };
         let (scheduler, deadline) = (request.scheduler, request.deadline);
         let client_request = request.client_request;
-        if !self.schedulers[scheduler as usize].is_up {
+        if !self.schedulers[scheduler.index()].is_up {
             // No scheduler accepts connections.
             request.is_answered = true;
             self.break_client_connection(id, client_request);
@@ -95,8 +96,8 @@
         self.notify_scheduler(scheduler, Event::Request(incoming));
     }
 
-    fn show_true_state(&mut self, scheduler: u32) {
-        let policy = &mut self.schedulers[scheduler as usize].policy;
+    fn show_true_state(&mut self, scheduler: SchedulerId) {
+        let policy = &mut self.schedulers[scheduler.index()].policy;
         if policy.needs_true_state() {
             let states: Vec<TrueState> =
                 self.workers.iter().map(|(worker, _)| worker.true_state(self.now)).collect();
@@ -114,12 +115,12 @@
     }
 
     /// Gives an event to a scheduler's policy and carries out its actions.
-    pub(super) fn notify_scheduler(&mut self, scheduler: u32, event: Event<'_>) {
-        if !self.schedulers[scheduler as usize].is_up {
+    pub(super) fn notify_scheduler(&mut self, scheduler: SchedulerId, event: Event<'_>) {
+        if !self.schedulers[scheduler.index()].is_up {
             return;
         }
         let mut actions = std::mem::take(&mut self.action_buffer);
-        let policy = &mut self.schedulers[scheduler as usize].policy;
+        let policy = &mut self.schedulers[scheduler.index()].policy;
         policy.handle(self.now + CLOCK_OFFSET, event, &mut actions);
         for action in actions.drain(..) {
             self.apply_action(scheduler, action);
@@ -127,9 +128,9 @@
         self.action_buffer = actions;
     }
 
-    fn apply_action(&mut self, scheduler: u32, action: Action) {
+    fn apply_action(&mut self, scheduler: SchedulerId, action: Action) {
         match action {
-            Action::Send { request, worker, .. } => self.scomplete_attempt(request, worker.0),
+            Action::Send { request, worker, .. } => self.send_attempt(request, worker),
             Action::Reject { request, retry_after, .. } => {
                 self.respond(request, FinalResponse::Rejected { retry_after });
             }
@@ -137,7 +138,7 @@
             Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
             Action::StartTimer { after, timer } => self.start_timer(scheduler, after, timer),
             Action::Subscribe => self.subscribe(scheduler),
-            Action::QueryLoad { worker } => self.scomplete_load_query(scheduler, worker.0),
+            Action::QueryLoad { worker } => self.send_load_query(scheduler, worker),
         }
     }
 
@@ -151,10 +152,10 @@
         }
     }
 
-    fn start_timer(&mut self, scheduler: u32, after: Micros, timer: Timer) {
+    fn start_timer(&mut self, scheduler: SchedulerId, after: Micros, timer: Timer) {
         // Timers that go on for ever would keep the run from ending.
         if self.now + after <= micros_from_seconds(self.scenario.duration_s) + RUN_OUT {
-            let incarnation = self.schedulers[scheduler as usize].incarnation;
+            let incarnation = self.schedulers[scheduler.index()].incarnation;
             let event = SimulationEvent::TimerExpired { scheduler, incarnation, timer };
             self.schedule(self.now + after, event);
         }
@@ -175,17 +176,17 @@
     /// Ends a scheduler's process with all its requests, whose client connections break. After a graceful
     /// shutdown every request should have its response; one that has none is left to its client's timeout,
     /// and the rule checker reports it.
-    pub(super) fn stop_scheduler(&mut self, number: u32, is_graceful: bool) {
-        let scheduler = &mut self.schedulers[number as usize];
+    pub(super) fn stop_scheduler(&mut self, id: SchedulerId, is_graceful: bool) {
+        let scheduler = &mut self.schedulers[id.index()];
         scheduler.is_up = false;
         scheduler.incarnation += 1;
         scheduler.is_subscribed = !self.scenario.discovery.polled;
-        let requests = self.scheduler_requests.iter().filter(|(_, request)| request.scheduler == number);
+        let requests = self.scheduler_requests.iter().filter(|(_, request)| request.scheduler == id);
         let mut ids: Vec<RequestId> = requests.map(|(id, _)| *id).collect();
         // By arrival, as the map's order differs between runs.
         ids.sort_unstable_by_key(|id| id.0);
-        for id in ids {
-            self.abandon_request(id, is_graceful);
+        for request in ids {
+            self.abandon_request(request, is_graceful);
         }
     }
 
@@ -212,12 +213,12 @@
     }
 
     /// Starts a scheduler's next process, which gets the endpoint list anew.
-    pub(super) fn start_scheduler(&mut self, number: u32) {
-        let seed = scheduler_seed(self.seed, number).wrapping_add(1);
-        let Ok(policy) = build_policy(self.scenario, self.policy_kind, number, seed) else {
+    pub(super) fn start_scheduler(&mut self, id: SchedulerId) {
+        let seed = scheduler_seed(self.seed, id).wrapping_add(1);
+        let Ok(policy) = build_policy(self.scenario, self.policy_kind, id, seed) else {
             unreachable!("the first process accepted the same settings")
         };
-        let scheduler = &mut self.schedulers[number as usize];
+        let scheduler = &mut self.schedulers[id.index()];
         scheduler.policy = policy;
         scheduler.is_up = true;
         scheduler.accepts_requests = true;
@@ -230,6 +231,6 @@
             EndpointUpdateKind::Full
         };
         let endpoints = Arc::new(self.endpoint_list());
-        self.schedule_endpoints(self.now + delay, number, kind, &endpoints);
+        self.schedule_endpoints(self.now + delay, id, kind, &endpoints);
     }
 }
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -1,5 +1,5 @@
 //! Attempts at the workers: their delivery, what the workers do with them, and duplicates of idempotency keys.
-use copperspread_dispatcher::{Idempotency, Micros, Outcome as AttemptResult, Progress};
+use copperspread_dispatcher::{Idempotency, Micros, Outcome as AttemptResult, Progress, WorkerId};
 use rand::RngExt;
 
 use super::Simulation;
@@ -15,7 +15,7 @@
 struct Delivery {
     attempt: AttemptId,
     client_request: ClientRequestId,
-    worker: u32,
+    worker: WorkerId,
     sent_at: Micros,
     arrival: Arrival,
     /// What a second run of the job would do.
@@ -34,7 +34,7 @@
             return;
         }
         let draw = self.network_random.random();
-        match self.connection_faults[delivery.worker as usize].delivery_result(draw) {
+        match self.connection_faults[delivery.worker.0 as usize].delivery_result(draw) {
             DeliveryResult::Delivered => {}
             DeliveryResult::ResetBeforeTaken | DeliveryResult::InvalidResponse => {
                 return self.return_result(id, AttemptResult::Reset);
@@ -62,7 +62,7 @@
         let idempotency = self.scenario.classes[arrival.class as usize].idempotency();
         let key_group = match idempotency {
             Idempotency::IdempotentWithKey { scope, .. } => {
-                key_group(scope, self.worker_zone(worker), self.cells[worker as usize])
+                key_group(scope, self.worker_zone(worker), self.cells[worker.0 as usize])
             }
             _ => 0,
         };
@@ -147,7 +147,7 @@
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_at_worker) else { return };
         let (worker, client_request) = (attempt.worker, attempt.client_request);
         let mut effects = Vec::new();
-        if !self.workers[worker as usize].0.cancel(self.now, id.0, &mut effects) {
+        if !self.workers[worker.0 as usize].0.cancel(self.now, id.0, &mut effects) {
             // It is still on its way, or a duplicate that was dropped.
             attempt.is_cancelled = true;
             return;
@@ -162,7 +162,7 @@
     }
 
     /// Advances a worker's jobs to now, unless the wake is from an earlier epoch.
-    pub(super) fn wake_worker(&mut self, worker: u32, wake_epoch: u64) {
+    pub(super) fn wake_worker(&mut self, worker: WorkerId, wake_epoch: u64) {
         if self.worker(worker).wake_epoch == wake_epoch {
             let now = self.now;
             let mut effects = Vec::new();
@@ -172,7 +172,7 @@
     }
 
     /// Carries out what happened at a worker and schedules its next wake.
-    pub(super) fn apply_worker_effects(&mut self, worker: u32, effects: Vec<WorkerEffect>) {
+    pub(super) fn apply_worker_effects(&mut self, worker: WorkerId, effects: Vec<WorkerEffect>) {
         for effect in effects {
             self.apply_worker_effect(worker, effect);
         }
@@ -183,7 +183,7 @@
         }
     }
 
-    fn apply_worker_effect(&mut self, worker: u32, effect: WorkerEffect) {
+    fn apply_worker_effect(&mut self, worker: WorkerId, effect: WorkerEffect) {
         match effect {
             WorkerEffect::Started(id) => self.start_attempt(worker, AttemptId(id)),
             WorkerEffect::Finished { attempt: id, is_reported } => {
@@ -205,7 +205,7 @@
         }
     }
 
-    fn start_attempt(&mut self, worker: u32, id: AttemptId) {
+    fn start_attempt(&mut self, worker: WorkerId, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let is_awaited = attempt.is_in_flight && !attempt.loses_response;
         let client_request_id = attempt.client_request;
@@ -218,9 +218,9 @@
         }
     }
 
-    fn report_start(&mut self, worker: u32, id: AttemptId) {
+    fn report_start(&mut self, worker: WorkerId, id: AttemptId) {
         let zone = self.worker_zone(worker);
-        let faults = self.connection_faults[worker as usize];
+        let faults = self.connection_faults[worker.0 as usize];
         let delay = self.network_delay(zone, zone) + faults.callback_delay;
         for _ in 0..1 + u32::from(faults.duplicates_callbacks) {
             self.schedule(self.now + delay, SimulationEvent::AttemptStarted(id));
--- a/crates/testbed/tests/emulate.rs
+++ b/crates/testbed/tests/emulate.rs
@@ -7,6 +7,7 @@
 use copperspread_testbed::emulation::scheduler_process::SchedulerProgram;
 use copperspread_testbed::emulation::{SchedulerInstances, emulate};
 use copperspread_testbed::model::arrivals::Arrivals;
+use copperspread_testbed::model::scheduler_id::SchedulerId;
 use copperspread_testbed::outcome::RunOutcome;
 use copperspread_testbed::policy::PolicyKind;
 use copperspread_testbed::rule_checker::Rule;
@@ -61,7 +62,7 @@
     for file in std::fs::read_dir(folder).expect("a folder").flatten() {
         let text = std::fs::read_to_string(file.path()).expect("a file");
         let scenario = Scenario::parse(&text).expect("a scenario");
-        for scheduler in 0..scenario.schedulers {
+        for scheduler in SchedulerId::first(scenario.schedulers) {
             let config = SchedulerConfig {
                 scenario: &scenario,
                 scheduler,
--- a/crates/testbed/tests/unit/emulation_workers.rs
+++ b/crates/testbed/tests/unit/emulation_workers.rs
@@ -4,7 +4,7 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-use copperspread_dispatcher::SECOND;
+use copperspread_dispatcher::{SECOND, WorkerId};
 use http_body_util::BodyExt;
 use hyper::StatusCode;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -20,10 +20,16 @@
 use crate::emulation::environment::{ListenerState, WorkerListener, endpoint_of, serve_connection};
 use crate::emulation::state::EmulationState;
 use crate::model::arrivals::Arrival;
-use crate::model::fleet::{FaultTransition, Fleet};
+use crate::model::fleet::{FaultTarget, FaultTransition, Fleet};
+use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::Scenario;
 use crate::startup::single_threaded_runtime;
 
+/// The only worker.
+const WORKER: WorkerId = WorkerId(0);
+/// The only scheduler.
+const SCHEDULER: SchedulerId = SchedulerId(0);
+
 /// An address at which no scheduler listens.
 fn no_scheduler() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9))
@@ -35,7 +41,8 @@
 
 /// The scenario's fault begins or ends at its worker.
 fn apply_fault(environment: &Rc<Environment>, is_start: bool) {
-    let transition = FaultTransition { at: 0, fault: 0, target: Some(0), is_start };
+    let target = Some(FaultTarget::Worker(WORKER));
+    let transition = FaultTransition { at: 0, fault: 0, target, is_start };
     environment.apply(|state| state.apply_fault(transition));
 }
 
@@ -58,14 +65,14 @@
     let state = EmulationState::new(&scenario, Fleet::generate(&scenario, seed), seed);
     let socket = bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let listener = WorkerListener::new(socket.local_addr().expect("an address"), ListenerState::Accepting(0));
-    let list = VersionedEndpointList::new(vec![endpoint_of(&state, 0)]);
+    let list = VersionedEndpointList::new(vec![endpoint_of(&state, WORKER)]);
     let environment = Rc::new(Environment::new(state, vec![listener], list, vec![scheduler]));
     environment.start_clock();
-    spawn_local(run_listener(Rc::clone(&environment), 0, Some(socket)));
-    spawn_local(drive_worker(Rc::clone(&environment), 0));
-    spawn_local(report_progress(Rc::clone(&environment), 0));
-    spawn_local(refresh_load_reports(Rc::clone(&environment), 0));
-    while TcpStream::connect(environment.worker_address(0)).await.is_err() {
+    spawn_local(run_listener(Rc::clone(&environment), WORKER, Some(socket)));
+    spawn_local(drive_worker(Rc::clone(&environment), WORKER));
+    spawn_local(report_progress(Rc::clone(&environment), WORKER));
+    spawn_local(refresh_load_reports(Rc::clone(&environment), WORKER));
+    while TcpStream::connect(environment.worker_address(WORKER)).await.is_err() {
         tokio::task::yield_now().await;
     }
     environment
@@ -77,13 +84,14 @@
 }
 
 async fn send_attempt_of(environment: &Rc<Environment>, work: f64) -> Result<String, ErrorKind> {
-    let arrival = Arrival { at: 0, class: 0, work, slots: 1.0, memory: 1.5, cost_hint: None, scheduler: 0 };
+    let arrival =
+        Arrival { at: 0, class: 0, work, slots: 1.0, memory: 1.5, cost_hint: None, scheduler: SCHEDULER };
     let id = environment.apply(|state| {
         state.add_job(1, arrival);
-        state.register_request(1, 0, 9 * SECOND)
+        state.register_request(1, SCHEDULER, 9 * SECOND)
     });
     let exchange = async {
-        let mut stream = TcpStream::connect(environment.worker_address(0)).await?;
+        let mut stream = TcpStream::connect(environment.worker_address(WORKER)).await?;
         let request =
             format!("POST /c/1 HTTP/1.1\r\nHost: w\r\nX-Request-ID: {id:016x}\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(request.as_bytes()).await?;
@@ -198,7 +206,8 @@
             }
             apply_fault(&environment, true);
             sleep(Duration::from_millis(250)).await;
-            let mut stream = TcpStream::connect(environment.worker_address(0)).await.expect("a connection");
+            let mut stream =
+                TcpStream::connect(environment.worker_address(WORKER)).await.expect("a connection");
             let request = format!("GET {path} HTTP/1.1\r\nHost: w\r\nConnection: close\r\n\r\n");
             stream.write_all(request.as_bytes()).await.expect("sent");
             let mut response = String::new();
@@ -224,9 +233,10 @@
     for (settings, job_count) in [("[settings]\ncancel_stops = true", 0), ("", 1)] {
         LocalSet::new().block_on(&runtime, async {
             let environment = environment_without_scheduler("{ slow = 1.0 }", 1, settings).await;
-            let id = environment.apply(|state| state.register_request(0, 0, SECOND));
+            let id = environment.apply(|state| state.register_request(0, SCHEDULER, SECOND));
             send_attempt(&environment).await.expect("a 202");
-            let mut stream = TcpStream::connect(environment.worker_address(0)).await.expect("a connection");
+            let mut stream =
+                TcpStream::connect(environment.worker_address(WORKER)).await.expect("a connection");
             let request =
                 format!("DELETE /jobs/{:016x} HTTP/1.1\r\nHost: w\r\nConnection: close\r\n\r\n", id + 1);
             stream.write_all(request.as_bytes()).await.expect("sent");
--- a/crates/testbed/tests/vast.rs
+++ b/crates/testbed/tests/vast.rs
@@ -112,7 +112,7 @@
     let text = include_str!("../scenarios/vast-roll.toml");
     let scenario = Scenario::parse(text).expect("a scenario");
     let mut arrivals = [0.0; 100];
-    Arrivals::new(&scenario, 1).for_each(|job| arrivals[job.scheduler as usize] += 1.0);
+    Arrivals::new(&scenario, 1).for_each(|job| arrivals[job.scheduler.index()] += 1.0);
     let (crowded, others) =
         (arrivals[..5].iter().sum::<f64>() / 5.0, arrivals[5..].iter().sum::<f64>() / 95.0);
     assert!((4.5..5.5).contains(&(crowded / others)), "{crowded} against {others}");
