--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line. The arguments of each command are in its own file.
+//! Defines the command line. The arguments of each command are in its own file.
 use clap::{Parser, Subcommand};
 use copperspread_testbed::policy::PolicyKind;
 
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the program, one a file.
+//! Runs the commands of the program, one a file.
 pub(crate) mod compare;
 pub(crate) mod cost;
 pub(crate) mod emulate;
--- a/crates/testbed/src/commands/outcome_text.rs
+++ b/crates/testbed/src/commands/outcome_text.rs
@@ -1,4 +1,4 @@
-//! A run's outcome as text.
+//! Formats a run's outcome as text.
 use copperspread_testbed::outcome::{ClassOutcome, MachineUsage, RunOutcome};
 
 /// The outcome in sentences, a line for each class and violation.
--- a/crates/testbed/src/commands/output.rs
+++ b/crates/testbed/src/commands/output.rs
@@ -1,4 +1,4 @@
-//! Standard output and reports.
+//! Writes to standard output, and to the files of reports.
 use std::error::Error;
 use std::io::{ErrorKind, Write};
 use std::path::Path;
--- a/crates/testbed/src/commands/shipped_scenarios.rs
+++ b/crates/testbed/src/commands/shipped_scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios that come with the program, and those in files.
+//! Finds scenarios by name among those that come with the program, or in files.
 use std::path::Path;
 
 use copperspread_testbed::scenario::Scenario;
--- a/crates/testbed/src/cost/mod.rs
+++ b/crates/testbed/src/cost/mod.rs
@@ -1,5 +1,5 @@
-//! What the whole program costs for a job, against a bare relay, in one run: requests a second on one
-//! thread and processor time a request. Clients and workers run on threads of their own.
+//! Measures what the whole program costs for a job, against a bare relay, in one run: requests a second on
+//! one thread and processor time a request. Clients and workers run on threads of their own.
 mod stand_ins;
 mod table;
 
--- a/crates/testbed/src/cost/stand_ins.rs
+++ b/crates/testbed/src/cost/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Workers that accept a job and call back at once, and an endpoint list of them that never changes.
+//! Serves workers that accept a job and call back at once, and an endpoint list of them that never changes.
 use std::net::SocketAddr;
 use std::sync::mpsc;
 use std::time::Duration;
--- a/crates/testbed/src/cost/table.rs
+++ b/crates/testbed/src/cost/table.rs
@@ -1,4 +1,4 @@
-//! The measured costs as text.
+//! Formats the measured costs as text.
 use super::{CostSample, ProgramCosts};
 
 /// Something that a sample shows.
--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -1,5 +1,5 @@
-//! A scheduler process that dispatches by one of the testbed's policies in place of the scheduler's own:
-//! the same proxy, so that in the emulation two policies differ in nothing else.
+//! Serves the proxy with one of the testbed's policies in place of the scheduler's own, so that in the
+//! emulation two policies differ in nothing else.
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -1,4 +1,4 @@
-//! Discovery's servers, one for each scheduler, and their responses.
+//! Serves discovery, with one server for each scheduler.
 use std::rc::Rc;
 use std::time::Duration;
 
--- a/crates/testbed/src/emulation/endpoint_list.rs
+++ b/crates/testbed/src/emulation/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list with its versions, as discovery serves it to each scheduler.
+//! Keeps the endpoint list with its versions, as discovery serves it to each scheduler.
 use copperspread_dispatcher::{Endpoint, EndpointUpdateKind, WorkerId};
 
 /// An endpoint and the revision of its last change.
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -1,5 +1,5 @@
-//! What the emulation's tasks share: the state behind a cell, the workers' listeners, the endpoint list,
-//! and what follows from each change of the state.
+//! Shares the state, the workers' listeners and the endpoint list among the emulation's tasks, and carries
+//! out what follows from each change of the state.
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::net::SocketAddr;
--- a/crates/testbed/src/emulation/error.rs
+++ b/crates/testbed/src/emulation/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario cannot be emulated.
+//! The errors of emulations: why a scenario cannot be emulated, or a run ended early.
 use std::io;
 
 use crate::emulation::scheduler_process::ProcessError;
--- a/crates/testbed/src/emulation/faulty_socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -1,4 +1,4 @@
-//! A connection that breaks on purpose in the middle of a response.
+//! Breaks a connection on purpose in the middle of a response.
 use std::cell::Cell;
 use std::io;
 use std::pin::Pin;
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -1,4 +1,4 @@
-//! What workers say to schedulers: responses to attempts and load queries, and callbacks.
+//! The messages of workers to schedulers: responses to attempts and load queries, and callbacks.
 use crate::model::scheduler_id::SchedulerId;
 use copperspread_dispatcher::{LoadReport, Micros, WorkerId};
 use tokio::sync::oneshot;
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -1,5 +1,5 @@
-//! Emulation: a scenario in real time. Schedulers are processes, and everything around them runs here on
-//! loopback by the platform's protocol: the same fleet, faults, clients and rule checker as in virtual time.
+//! Runs a scenario in real time. Schedulers are processes, and everything around them runs here on loopback
+//! by the platform's protocol: the same fleet, faults, clients and rule checker as in virtual time.
 //!
 //! ```text
 //!   clients.rs ──HTTP──► scheduler processes ──HTTP──► workers/ (faulty_socket.rs breaks connections)
--- a/crates/testbed/src/emulation/platform_json.rs
+++ b/crates/testbed/src/emulation/platform_json.rs
@@ -1,5 +1,5 @@
-//! Writes what discovery and workers send to schedulers, in the platform's JSON: endpoint lists, callbacks and load
-//! reports.
+//! Writes what discovery and workers send to schedulers, in the platform's JSON: endpoint lists, callbacks
+//! and load reports.
 use std::net::SocketAddr;
 
 use copperspread_dispatcher::{LoadReport, WorkerId, WorkerState};
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -1,4 +1,4 @@
-//! One run: its sockets, tasks and processes, and its outcome.
+//! Starts and ends one run: its sockets, tasks and processes, and its outcome.
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/testbed/src/emulation/scheduler_config.rs
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -1,4 +1,4 @@
-//! A scheduler's configuration in the platform's form, from a scenario.
+//! Writes a scheduler's configuration in the platform's form, from a scenario.
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at workers: their arrival, acceptance and cancellation.
+//! Accepts and cancels attempts at workers.
 use copperspread_dispatcher::{Idempotency, Micros, WorkerId};
 use rand::RngExt;
 
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -1,4 +1,4 @@
-//! What follows from a change at a worker: counts, rules, duplicates and callbacks.
+//! Applies what follows from a change at a worker: counts, rules, duplicates and callbacks.
 use copperspread_dispatcher::{LoadReport, Micros, RequestId, WorkerId};
 
 use crate::emulation::messages::{Callback, CallbackState};
--- a/crates/testbed/src/emulation/state/load_queries.rs
+++ b/crates/testbed/src/emulation/state/load_queries.rs
@@ -1,4 +1,4 @@
-//! Load queries and the load reports of workers.
+//! Answers load queries, and makes the load reports of workers.
 use copperspread_dispatcher::{LoadReport, Micros, WorkerId};
 use rand::RngExt;
 use rand_distr::{Distribution, Normal};
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the emulation knows: the model's workers in real time, who requested what, and the rule checker.
-//! No socket and no await: the tasks around it report what arrived and carry out what it returns.
+//! Holds what the emulation knows: the model's workers in real time, who requested what, and the rule
+//! checker. No socket and no await: the tasks around it report what arrived and carry out what it returns.
 mod attempts;
 mod effects;
 mod load_queries;
--- a/crates/testbed/src/emulation/workers/listener.rs
+++ b/crates/testbed/src/emulation/workers/listener.rs
@@ -1,4 +1,4 @@
-//! A worker's port and its connections, as the worker's process and machine have them.
+//! Opens, closes and silences a worker's port and connections, as its process and machine would.
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::net::SocketAddr;
--- a/crates/testbed/src/emulation/workers/mod.rs
+++ b/crates/testbed/src/emulation/workers/mod.rs
@@ -1,5 +1,5 @@
-//! The workers' side on sockets: ports that accept, refuse or do not respond, responses to attempts and
-//! load queries, and the tasks that advance each worker's model.
+//! Plays the workers on sockets: ports that accept, refuse or do not respond, responses to attempts and load
+//! queries, and the tasks that advance each worker's model.
 mod listener;
 mod requests;
 
--- a/crates/testbed/src/emulation/workers/requests.rs
+++ b/crates/testbed/src/emulation/workers/requests.rs
@@ -1,4 +1,4 @@
-//! A worker's responses to attempts, cancellations and load queries.
+//! Responds to attempts, cancellations and load queries for a worker.
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -1,4 +1,4 @@
-//! Why an experiment cannot be read or played.
+//! The errors of experiments: why one cannot be read or played.
 use std::path::PathBuf;
 
 use crate::scenario::ScenarioError;
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: scenarios, variants and seeds in a TOML file, played in parallel. docs/testbed.md describes
+//! Plays experiments: scenarios, variants and seeds in a TOML file, in parallel. docs/testbed.md describes
 //! the format.
 //!
 //! Each run is stored when it ends, so that an interrupted experiment resumes where it stopped.
--- a/crates/testbed/src/experiment/planned_run.rs
+++ b/crates/testbed/src/experiment/planned_run.rs
@@ -1,4 +1,4 @@
-//! The runs of an experiment, with the keys under which they are stored.
+//! Names the runs of an experiment by the keys under which they are stored.
 use std::collections::HashMap;
 use std::path::Path;
 use std::sync::OnceLock;
--- a/crates/testbed/src/experiment/run_store.rs
+++ b/crates/testbed/src/experiment/run_store.rs
@@ -1,4 +1,4 @@
-//! The file of runs: one JSON line for each run that has ended.
+//! Reads and appends to the file of runs: one JSON line for each run that has ended.
 //!
 //! One process at a time writes it; each run is appended when it ends.
 use std::collections::HashMap;
--- a/crates/testbed/src/http_client.rs
+++ b/crates/testbed/src/http_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that the testbed's clients, workers and relay share.
+//! Makes the HTTP client that the testbed's clients, workers and relay use.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
--- a/crates/testbed/src/job_request.rs
+++ b/crates/testbed/src/job_request.rs
@@ -1,4 +1,4 @@
-//! A client's request by the platform's protocol.
+//! Builds a client's request by the platform's protocol.
 use std::net::SocketAddr;
 
 use bytes::Bytes;
--- a/crates/testbed/src/load/result.rs
+++ b/crates/testbed/src/load/result.rs
@@ -1,4 +1,4 @@
-//! What a load came to, by class.
+//! Counts what became of a load's jobs, by class.
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The testbed's program.
+//! Parses the command line, runs a command and exits with its code.
 //!
 //! Exit codes: 0 done, 1 a rule was violated or the command failed, 2 the command line is wrong.
 mod cli;
--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Membership in virtual time: members on a network that loses, delays and blocks packets, and processes that
-//! pause, end and start again. The same seed gives the same run.
+//! Runs membership in virtual time: members on a network that loses, delays and blocks packets, and processes
+//! that pause, end and start again. The same seed gives the same run.
 mod identities;
 mod observations;
 
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -1,5 +1,4 @@
-//! Clients as an open loop: when each job arrives and what it is, drawn from one stream, so that it does not
-//! depend on what the schedulers do.
+//! Draws when each job arrives and what it is. An open loop: it does not depend on what the schedulers do.
 use copperspread_dispatcher::Micros;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Exp1, LogNormal};
--- a/crates/testbed/src/model/connection_faults.rs
+++ b/crates/testbed/src/model/connection_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a worker's connections, apart from the worker itself.
+//! Decides how the faults of a worker's connections end a delivery, apart from the worker itself.
 use copperspread_dispatcher::Micros;
 
 use crate::scenario::{FaultKind, micros_from_seconds};
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -1,5 +1,5 @@
-//! The workers of a scenario under a seed, when which fault meets whom, and the load that slow start allows.
-//! Simulation and emulation both generate them here, so that one seed means the same fleet and faults.
+//! Generates a scenario's workers and the instants of its faults from a seed, for simulation and emulation
+//! alike, so that one seed means the same fleet and faults.
 use copperspread_dispatcher::{Micros, WorkerId};
 use rand::RngExt;
 use rand::seq::SliceRandom;
--- a/crates/testbed/src/model/idempotency_keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -1,4 +1,5 @@
-//! How workers drop duplicates of an idempotency key: by what was taken in their group, and when.
+//! Decides which attempts workers drop as duplicates of an idempotency key: by what was taken in their group,
+//! and when.
 use copperspread_dispatcher::{KeyScope, Micros};
 
 /// The group of workers that share the memory of a key with a worker, by the worker's zone and cell.
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! The model that simulation and emulation share: clients, workers and faults. Time and random streams come in
-//! as arguments.
+//! Models clients, workers and faults for simulation and emulation alike. No I/O and no clock: time and
+//! random streams come in as arguments.
 pub mod arrivals;
 pub mod connection_faults;
 pub mod fleet;
--- a/crates/testbed/src/model/random.rs
+++ b/crates/testbed/src/model/random.rs
@@ -1,4 +1,4 @@
-//! Random streams: one for each purpose, all from one seed.
+//! Makes the random streams of a run: one for each purpose, all from one seed.
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/testbed/src/model/scheduler_id.rs
+++ b/crates/testbed/src/model/scheduler_id.rs
@@ -1,4 +1,4 @@
-//! Names a scheduler of a run.
+//! Names a scheduler of a run, and says whom its clients reach.
 
 /// A scheduler, by its position among the scenario's schedulers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -20,8 +20,8 @@
         self.0 % zones
     }
 
-    /// The scheduler that its clients reach: this one, or the next of its zone that accepts requests, or the next
-    /// of any zone; this one if none does.
+    /// The scheduler that its clients reach: this one, or the next of its zone that accepts requests, or the
+    /// next of any zone; this one if none does.
     pub fn reachable(self, count: u32, zones: u32, accepts: impl Fn(SchedulerId) -> bool) -> SchedulerId {
         let candidates = (0..count).map(|step| SchedulerId((self.0 + step) % count));
         let mut accepting = candidates.filter(|candidate| accepts(*candidate));
--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -1,4 +1,4 @@
-//! What a worker is made of, the jobs that it is offered, and what happens to them.
+//! The types of the worker model: what a worker is made of, what it is offered, and what happens to it.
 use copperspread_dispatcher::Micros;
 
 use crate::scenario::QueueOrder;
--- a/crates/testbed/src/model/worker/lifecycle.rs
+++ b/crates/testbed/src/model/worker/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A worker's process: draining, the end, a new start, and the faults that it meets.
+//! Starts, drains and ends a worker's process, and applies the faults that it meets.
 use copperspread_dispatcher::Micros;
 
 use super::Worker;
--- a/crates/testbed/src/model/worker/mod.rs
+++ b/crates/testbed/src/model/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A worker: slots, cores, a bounded queue, slow start, and the faults that it meets.
+//! Models one worker: slots, cores, a bounded queue, slow start, and the faults that it meets.
 //!
 //! Running jobs share the cores when they use more slots than there are cores. A job of `k` slots does `k`
 //! cores' work; alone, after slow start, it takes `work / speed`.
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -1,4 +1,4 @@
-//! A worker's queue and slots: which jobs start, how far they are, and when they end.
+//! Advances a worker's queue and slots: which jobs start, how far they are, and when they end.
 use copperspread_dispatcher::{Micros, SECOND};
 
 use super::job::{OfferResult, OfferedJob, ProcessState, RunningJob, WorkerEffect};
--- a/crates/testbed/src/model/worker/reports.rs
+++ b/crates/testbed/src/model/worker/reports.rs
@@ -1,4 +1,4 @@
-//! What a worker reports of its load, and its true state.
+//! Makes a worker's load reports, and its true state for policies that may see it.
 use copperspread_dispatcher::{LoadReport, Micros, SECOND};
 
 use super::Worker;
--- a/crates/testbed/src/model/worker/slow_start.rs
+++ b/crates/testbed/src/model/worker/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: a new process has a fraction of its capacity, and may fail under too much load.
+//! Models slow start: a new process has a fraction of its capacity, and may fail under too much load.
 use copperspread_dispatcher::{Micros, SECOND};
 
 use super::Worker;
--- a/crates/testbed/src/outcome/mod.rs
+++ b/crates/testbed/src/outcome/mod.rs
@@ -1,4 +1,4 @@
-//! What one run resulted in: weight in time, latencies, load of workers and violations.
+//! Sums up one run: weight in time, latencies, load of workers and violations.
 mod counter;
 
 use std::collections::BTreeMap;
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -1,4 +1,5 @@
-//! Textbook policies: each selects a worker on arrival, and retries elsewhere where an attempt never ran.
+//! Dispatches by textbook policies: each selects a worker on arrival, and retries elsewhere where an attempt
+//! never ran.
 use copperspread_dispatcher::{
     Action, AttemptOutcome, DispatchPolicy, EndpointUpdate, EndpointUpdateKind, Event, IncomingRequest,
     Micros, Outcome as AttemptResult, Progress, Rejection, RequestId, SECOND, WorkerId, WorkerState,
--- a/crates/testbed/src/policy/broken.rs
+++ b/crates/testbed/src/policy/broken.rs
@@ -1,4 +1,4 @@
-//! The dispatcher with a deliberate defect, to show that the rule checker finds each of them.
+//! Breaks the dispatcher by one deliberate defect at a time, to show that the rule checker finds each.
 use copperspread_dispatcher::{
     Action, AttemptOutcome, DispatchPolicy, Dispatcher, Endpoint, EndpointUpdate, Event, Micros,
     Outcome as AttemptResult, RequestId, WorkerId, WorkerState,
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Dispatch policies that can be compared: the dispatcher, textbook baselines, and deliberately broken ones.
+//! Builds the dispatch policies that can be compared: the dispatcher, textbook baselines, and broken ones.
 mod baseline;
 mod broken;
 
--- a/crates/testbed/src/policy_argument.rs
+++ b/crates/testbed/src/policy_argument.rs
@@ -1,4 +1,4 @@
-//! The command line's form of a policy.
+//! Parses a policy's name on the command line.
 use copperspread_testbed::policy::PolicyKind;
 
 /// Parses the name of a policy.
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,4 +1,4 @@
-//! A bare relay: the same exchange as a scheduler's, with the same hyper and axum, and no decision. It
+//! Serves a bare relay: the same exchange as a scheduler's, with the same hyper and axum, and no decision. It
 //! sends each job to the next worker in turn and responds with the result that the worker calls back.
 //! What a scheduler costs beyond this is the cost of its decisions, deadlines and rules.
 use std::collections::HashMap;
--- a/crates/testbed/src/report/capacity.rs
+++ b/crates/testbed/src/report/capacity.rs
@@ -1,4 +1,4 @@
-//! The chart of what each worker did against its capacity.
+//! Draws the chart of what each worker did against its capacity.
 use std::ops::Range;
 
 use plotters::chart::ChartBuilder;
--- a/crates/testbed/src/report/chart.rs
+++ b/crates/testbed/src/report/chart.rs
@@ -1,4 +1,4 @@
-//! What all charts share: size, colours, legend and the SVG around them.
+//! Draws what all charts have in common: size, colours, legend and the SVG around them.
 use plotters::chart::{ChartBuilder, ChartContext};
 use plotters::coord::Shift;
 use plotters::coord::cartesian::Cartesian2d;
--- a/crates/testbed/src/report/differences.rs
+++ b/crates/testbed/src/report/differences.rs
@@ -1,4 +1,4 @@
-//! The chart of differences between the first variant and each other one.
+//! Draws the chart of differences between the first variant and each other one.
 use plotters::chart::ChartBuilder;
 use plotters::element::{Circle, Text};
 use plotters::series::LineSeries;
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! A comparison as one HTML file that needs nothing else: tables, and charts as SVG.
+//! Writes a comparison as one HTML file that needs nothing else: tables, and charts as SVG.
 mod capacity;
 mod chart;
 mod differences;
--- a/crates/testbed/src/report/over_time.rs
+++ b/crates/testbed/src/report/over_time.rs
@@ -1,4 +1,4 @@
-//! Charts over the seconds of a scenario: shares in time, and how jobs ended.
+//! Draws the charts over the seconds of a scenario: shares in time, and how jobs ended.
 use plotters::series::{AreaSeries, DashedLineSeries};
 use plotters::style::{Color, RGBColor};
 
--- a/crates/testbed/src/rule_checker/executions.rs
+++ b/crates/testbed/src/rule_checker/executions.rs
@@ -1,4 +1,4 @@
-//! Rules on executions: how often a job may run, over all attempts and retries.
+//! Checks the rules on executions: how often a job may run, over all attempts and retries.
 use copperspread_dispatcher::{Idempotency, KeyScope, Micros};
 use rustc_hash::FxHashMap;
 
--- a/crates/testbed/src/rule_checker/responses.rs
+++ b/crates/testbed/src/rule_checker/responses.rs
@@ -1,4 +1,4 @@
-//! Rules on final responses: one for each request, genuine, and before the deadline.
+//! Checks the rules on final responses: one for each request, genuine, and before the deadline.
 use copperspread_dispatcher::{Micros, RequestId};
 use rustc_hash::FxHashMap;
 
--- a/crates/testbed/src/scenario/classes.rs
+++ b/crates/testbed/src/scenario/classes.rs
@@ -1,4 +1,4 @@
-//! Job classes of a scenario: their sizes, time limits, weights and whether a job may be repeated.
+//! Types of a scenario's job classes: sizes, time limits, weights and whether a job may be repeated.
 use copperspread_dispatcher::{Idempotency, KeyScope, RequestClass};
 use serde::{Deserialize, Serialize};
 
--- a/crates/testbed/src/scenario/clients.rs
+++ b/crates/testbed/src/scenario/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a scenario: when their jobs arrive, and when they retry after a rejection.
+//! Types of a scenario's clients: when their jobs arrive, and when they retry after a rejection.
 use copperspread_dispatcher::{Micros, SECOND};
 use serde::{Deserialize, Serialize};
 
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -1,4 +1,4 @@
-//! What schedulers learn of workers in a scenario: endpoint lists and load reports, and how late.
+//! Types of what schedulers learn of workers in a scenario: endpoint lists and load reports, and how late.
 use serde::{Deserialize, Serialize};
 
 use super::is_false;
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a scenario: what goes wrong, when, and for which workers.
+//! Types of a scenario's faults: what goes wrong, when, and for whom.
 use serde::{Deserialize, Serialize};
 
 /// A fault that lasts for a while.
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios: workers, clients, the network between them and the faults, as TOML files.
+//! Reads scenarios: workers, clients, the network between them and the faults, as TOML files.
 //! docs/testbed.md describes the format.
 //!
 //! The TOML keys are older than the names of the fields and stay as they are.
--- a/crates/testbed/src/scenario/network.rs
+++ b/crates/testbed/src/scenario/network.rs
@@ -1,4 +1,4 @@
-//! The network of a scenario: delays and losses between zones.
+//! Types of a scenario's network: delays and losses between zones.
 use serde::{Deserialize, Serialize};
 
 /// The link between two zones, in both directions, where it differs from all others.
--- a/crates/testbed/src/scenario/workers.rs
+++ b/crates/testbed/src/scenario/workers.rs
@@ -1,4 +1,4 @@
-//! Workers of a scenario: their build, their queues and how they warm up.
+//! Types of a scenario's workers: their build, their queues and how they warm up.
 use serde::{Deserialize, Serialize};
 
 /// The order in which a worker starts the jobs in its queue.
--- a/crates/testbed/src/simulation/attempts.rs
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts as their scheduler sees them: sent over a connection, in flight, ended.
+//! Sends attempts over connections, and reports their progress and end to their scheduler.
 use copperspread_dispatcher::{
     AttemptOutcome, Event, LoadReport, Micros, Outcome as AttemptResult, Progress, RequestId, SECOND,
     WorkerId,
--- a/crates/testbed/src/simulation/clients.rs
+++ b/crates/testbed/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: their arrivals, the requests that they send for a job, and the responses that they get.
+//! Plays the clients: their arrivals, the requests that they send for a job, and the responses that they get.
 use copperspread_dispatcher::{Event, Micros, RequestId};
 use rand::RngExt;
 
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list, the updates that schedulers get, and their subscriptions.
+//! Plays discovery: the endpoint list, the updates that schedulers get, and their subscriptions.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
--- a/crates/testbed/src/simulation/event_queue.rs
+++ b/crates/testbed/src/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation and the queue that orders them by time, then by the order of scheduling.
+//! Orders the events of a simulation by time, then by the order in which they were scheduled.
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 use std::sync::Arc;
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that start and end: each acts on the part of the simulation that it meets.
+//! Starts and ends faults: each acts on the part of the simulation that it meets.
 use super::Simulation;
 use crate::model::fleet::{FaultTarget, FaultTransition};
 use crate::model::scheduler_id::SchedulerId;
@@ -29,8 +29,8 @@
         }
     }
 
-    /// A crash ends the process at the fault's start. A restart ends it at the fault's end, before the next one
-    /// starts.
+    /// A crash ends the process at the fault's start. A restart ends it at the fault's end, before the next
+    /// one starts.
     fn apply_scheduler_fault(&mut self, scheduler: SchedulerId, fault: FaultKind, is_start: bool) {
         match (fault, is_start) {
             (FaultKind::SchedulerCrash, true) => self.stop_scheduler(scheduler, false),
--- a/crates/testbed/src/simulation/load_queries.rs
+++ b/crates/testbed/src/simulation/load_queries.rs
@@ -1,4 +1,4 @@
-//! Load queries: a scheduler asks a worker for its load report and gets exactly one result.
+//! Plays load queries: a scheduler asks a worker for its load report and gets exactly one result.
 use copperspread_dispatcher::{Event, LoadReport, Micros, Outcome as AttemptResult, WorkerId};
 use rand::RngExt;
 
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The simulation: the model's parts and any number of schedulers in virtual time, with one queue of events.
+//! Runs the model and any number of schedulers in virtual time, with one queue of events.
 //!
 //! A scheduler's proxy behaves as in `crates/proxy`: the deadline has a margin, attempts in flight at the
 //! deadline end as timed out, the first served attempt answers, and the policy gets the end of every attempt.
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! What a simulation remembers of each job, request, attempt and load query while it is open.
+//! The state of each job, request, attempt and load query while it is open.
 use copperspread_dispatcher::{Micros, RequestId, WorkerId};
 
 use crate::model::arrivals::Arrival;
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -1,4 +1,4 @@
-//! Scheduler processes: their start and end, the events that their policies get, and the actions that follow.
+//! Runs scheduler processes: their start and end, their policies' events, and the actions that follow.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! Attempts at the workers: their delivery, what the workers do with them, and duplicates of idempotency keys.
+//! Delivers attempts to the workers, applies what the workers do with them, and drops duplicates of keys.
 use copperspread_dispatcher::{Idempotency, Micros, Outcome as AttemptResult, Progress, WorkerId};
 use rand::RngExt;
 
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -1,5 +1,5 @@
-//! How the processes that the testbed serves itself, the policy node and the relay, read their
-//! configuration and start.
+//! Starts the processes that the testbed serves itself, the policy node and the relay, from their
+//! configuration.
 use std::io;
 
 use copperspread_dispatcher::SettingsError;
