--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -1,5 +1,6 @@
-//! What workers say to schedulers: responses to attempts and load queries, and callbacks.
-use copperspread_dispatcher::{LoadReport, Micros};
+//! The messages of workers to schedulers: responses to attempts and load queries, and callbacks.
+use crate::model::scheduler_id::SchedulerId;
+use copperspread_dispatcher::{LoadReport, Micros, WorkerId};
 use tokio::sync::oneshot;
 
 /// A callback on an attempt, to be delivered.
@@ -8,11 +9,13 @@
     /// The request.
     pub request: u64,
     /// The worker that calls back.
-    pub worker: u32,
+    pub worker: WorkerId,
     /// The scheduler that is called.
-    pub scheduler: u32,
+    pub scheduler: SchedulerId,
     /// What it reports.
     pub state: CallbackState,
+    /// The worker's load, with a callback that ends the attempt.
+    pub load: Option<LoadReport>,
     /// How long it takes: the network's delay and a fault's.
     pub delay: Micros,
     /// Whether it is sent twice.
@@ -27,11 +30,11 @@
     /// This share of it is done.
     Running(f64),
     /// It is done.
-    Done(LoadReport),
+    Done,
     /// It was lost with the process.
     Lost,
     /// It is returned without having started.
-    Returned(LoadReport),
+    Returned,
     /// It failed; so does a duplicate whose first attempt came to nothing.
     Failed,
 }
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -1,5 +1,5 @@
-//! Emulation: a scenario in real time. Schedulers are processes, and everything around them runs here on
-//! loopback by the platform's protocol: the same fleet, faults, clients and rule checker as in virtual time.
+//! Runs a scenario in real time. Schedulers are processes, and everything around them runs here on loopback
+//! by the platform's protocol: the same fleet, faults, clients and rule checker as in virtual time.
 //!
 //! ```text
 //!   clients.rs ──HTTP──► scheduler processes ──HTTP──► workers/ (faulty_socket.rs breaks connections)
@@ -17,7 +17,8 @@
 mod error;
 mod faults;
 pub mod faulty_socket;
-mod messages;
+pub(crate) mod messages;
+pub(crate) mod platform_json;
 mod run;
 pub mod scheduler_config;
 pub mod scheduler_process;
@@ -32,7 +33,6 @@
 use crate::outcome::RunOutcome;
 use crate::scenario::{FaultKind, Scenario};
 use crate::startup::single_threaded_runtime;
-pub(crate) use callbacks::expected_result;
 pub use error::EmulationError;
 use scheduler_process::SchedulerProgram;
 
