--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -81,7 +81,7 @@
         "started" => attempt_progress(message, Progress::Streaming),
         "aborted" => Ok(Event::ClientDisconnected(request_id(message)?)),
         "bell" => timer_expired(message),
-        "checked" => load_query_ended(message, workers),
+        "checked" => load_query_completed(message, workers),
         kind => Err(SkipReason::UnknownKind { kind: kind.to_owned() }.into()),
     }
 }
@@ -130,7 +130,7 @@
     Ok(Event::TimerExpired(timer))
 }
 
-fn load_query_ended(message: &Line<'_>, workers: &WorkerTable) -> Result<Event<'static>, HandleError> {
+fn load_query_completed(message: &Line<'_>, workers: &WorkerTable) -> Result<Event<'static>, HandleError> {
     let name = message.required(message.executor.as_deref(), "executor")?;
     let worker = workers.id(name).ok_or_else(|| SkipReason::UnknownWorker { worker: name.to_owned() })?;
     Ok(Event::LoadQueryCompleted {
--- a/crates/test-harness/src/fleet/waits.rs
+++ b/crates/test-harness/src/fleet/waits.rs
@@ -35,12 +35,12 @@
         &mut self,
         bound: Duration,
         condition: &str,
-        holds: impl Fn(&[ObservedView]) -> bool,
+        is_reached: impl Fn(&[ObservedView]) -> bool,
     ) -> Duration {
         let start = Instant::now();
         loop {
             let responses = self.fetch_views();
-            if all_views(&responses).is_some_and(|views| holds(&views)) {
+            if all_views(&responses).is_some_and(|views| is_reached(&views)) {
                 return start.elapsed();
             }
             if let Some(member) = self.exited_member() {
@@ -112,9 +112,9 @@
 }
 
 fn describe_view(view: &MembershipView) -> String {
-    let seen: Vec<_> = view.members.iter().map(|member| &*member.name).collect();
+    let visible: Vec<_> = view.members.iter().map(|member| &*member.name).collect();
     format!(
-        "sees {seen:?}, local health multiplier {}, detected pauses {}, {:?}",
+        "sees {visible:?}, local health multiplier {}, detected pauses {}, {:?}",
         view.local_health_multiplier, view.detected_pauses, view.rejected
     )
 }
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: one task a job, over all its attempts at schedulers.
+//! Plays the clients: one task a job, over all its requests to schedulers.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -51,8 +51,8 @@
     }
     let longest_s = scenario.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
     let limit = Duration::from_secs_f64(longest_s) + COMPLETION_GRACE;
-    let all_ended = timeout(limit, async { while jobs.join_next().await.is_some() {} });
-    all_ended.await.map_err(|_| EmulationError::UnfinishedJobs)?;
+    let all_completed = timeout(limit, async { while jobs.join_next().await.is_some() {} });
+    all_completed.await.map_err(|_| EmulationError::UnfinishedJobs)?;
     Ok(SendLag { quantiles_ms: [0.99, 1.0].map(|quantile| lag.value_at_quantile(quantile) as f64 / 1e3) })
 }
 
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -1,4 +1,4 @@
-//! The schedulers' processes: their start, their end, and what they used of the machine.
+//! Starts and ends the schedulers' processes, and measures what they used of the machine.
 use std::fs::File;
 use std::io;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
     Request(#[from] hyper::http::Error),
     /// The program ended before it was ready.
     #[error("{}: ended with {status}; it said: {last_log_line}", program.display())]
-    EndedAtStart {
+    ExitedAtStart {
         /// The program.
         program: PathBuf,
         /// How it ended.
@@ -72,7 +72,7 @@
     Wait(io::Error),
     /// The program ended without having been told to, or with an error.
     #[error("a scheduler ended by itself with {status}; it said: {last_log_line}")]
-    Ended {
+    ExitedEarly {
         /// How it ended.
         status: ExitStatus,
         /// The last line of its log.
@@ -192,7 +192,7 @@
             }
             if let Some(status) = child.try_wait().map_err(|source| self.program_error(source))? {
                 let (program, last_log_line) = (self.program.file.clone(), self.last_log_line());
-                return Err(ProcessError::EndedAtStart { program, status, last_log_line });
+                return Err(ProcessError::ExitedAtStart { program, status, last_log_line });
             }
             if Instant::now() > deadline {
                 return Err(ProcessError::NotReady(self.program.file.clone()));
@@ -233,7 +233,7 @@
         };
         match exit_status {
             Some(status) if !(self.is_terminating && status.success()) => {
-                Err(ProcessError::Ended { status, last_log_line: self.last_log_line() })
+                Err(ProcessError::ExitedEarly { status, last_log_line: self.last_log_line() })
             }
             _ => Ok(()),
         }
--- a/crates/testbed/src/rule_checker/dispatches.rs
+++ b/crates/testbed/src/rule_checker/dispatches.rs
@@ -1,4 +1,4 @@
-//! Rules on dispatches: none to draining workers, and no more than the budget to those that warm up.
+//! Checks the rules on dispatches: none to draining workers, and within the budget to those that warm up.
 use std::collections::VecDeque;
 
 use copperspread_dispatcher::{Micros, SECOND, WorkerId};
@@ -124,7 +124,7 @@
         // Recorded once for each start: what follows is the same overload.
         if sent > allowed && !warming.is_violated {
             warming.is_violated = true;
-            violations.record(Rule::SlowStartBudgetKept, now, || {
+            violations.record(Rule::WithinSlowStartBudget, now, || {
                 format!("worker {}: {sent:.1} of {allowed:.1} core-seconds", worker.0)
             });
         }
--- a/crates/testbed/src/rule_checker/violations.rs
+++ b/crates/testbed/src/rule_checker/violations.rs
@@ -1,4 +1,4 @@
-//! The rules, and the record of their violations.
+//! Names the rules and records their violations.
 use std::collections::BTreeMap;
 
 use copperspread_dispatcher::Micros;
@@ -32,7 +32,7 @@
     NoDispatchWhileDraining,
     /// A worker that is warming up is sent no more than its budget.
     #[serde(rename = "cold_budget")]
-    SlowStartBudgetKept,
+    WithinSlowStartBudget,
 }
 
 impl std::fmt::Display for Rule {
@@ -45,7 +45,7 @@
             Rule::NonIdempotentOnce => "UnsafeTwice",
             Rule::KeyedWithinScope => "KeyedTwice",
             Rule::NoDispatchWhileDraining => "Drained",
-            Rule::SlowStartBudgetKept => "ColdBudget",
+            Rule::WithinSlowStartBudget => "ColdBudget",
         })
     }
 }
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -108,7 +108,7 @@
         (PolicyKind::NeverAnswers, &[Rule::ResponseBeforeDeadline]),
         (PolicyKind::Resends, &[Rule::NonIdempotentOnce, Rule::KeyedWithinScope]),
         (PolicyKind::IgnoresDrains, &[Rule::NoDispatchWhileDraining]),
-        (PolicyKind::FloodsTheNew, &[Rule::SlowStartBudgetKept]),
+        (PolicyKind::FloodsTheNew, &[Rule::WithinSlowStartBudget]),
     ];
     for (kind, rules) in cases {
         let outcome = simulate(&scenario, *kind, 1).expect("valid settings");
@@ -122,7 +122,7 @@
         // No other rule, so that a violation points at its cause; but jobs sent to draining workers meet them
         // again in slow start.
         let is_consequence =
-            |rule: &Rule| *kind == PolicyKind::IgnoresDrains && *rule == Rule::SlowStartBudgetKept;
+            |rule: &Rule| *kind == PolicyKind::IgnoresDrains && *rule == Rule::WithinSlowStartBudget;
         let others =
             outcome.violations.keys().filter(|rule| !rules.contains(rule) && !is_consequence(rule)).count();
         assert_eq!(others, 0, "{kind:?}: {:?} {:?}", outcome.violations, outcome.violation_examples);
@@ -390,9 +390,9 @@
         let fault = format!("[[faults]]\nat = {at:?}\nlasts = 6.0\nshare = {share:?}\nwhat = {what}\n");
         let scenario = faulty_fleet(rate, &fault);
         let outcome = simulate(&scenario, PolicyKind::COMPARED[policy], seed).expect("valid settings");
-        let worth = outcome.weight;
-        let parts = worth.in_time + worth.late + worth.rejected + worth.failed + worth.unanswered;
-        prop_assert!((parts - worth.requested).abs() < 1e-6 * worth.requested.max(1.0));
+        let weight = outcome.weight;
+        let parts = weight.in_time + weight.late + weight.rejected + weight.failed + weight.unanswered;
+        prop_assert!((parts - weight.requested).abs() < 1e-6 * weight.requested.max(1.0));
         prop_assert_eq!(outcome.jobs, Arrivals::new(&scenario, seed).count() as u64);
         let dispatcher = simulate(&scenario, PolicyKind::Copperspread, seed).expect("valid settings");
         prop_assert!(dispatcher.violations.is_empty(), "{:?} {:?}", dispatcher.violations, dispatcher.violation_examples);
