--- a/crates/consensus/tests/faults.rs
+++ b/crates/consensus/tests/faults.rs
@@ -11,9 +11,9 @@
         let mut simulation = Simulation::settled(voters, members, 1);
         let next = next_version(simulation.newest_in_force());
         simulation.propose_next(members - 1);
-        let took = simulation.run_until(5 * SECOND, |simulation| simulation.all_follow(next));
-        let took = took.expect("a new version in 5 s");
-        assert!(took < SECOND / 2, "{voters} of {members}: {took} us");
+        let elapsed = simulation.run_until(5 * SECOND, |simulation| simulation.all_follow(next));
+        let elapsed = elapsed.expect("a new version in 5 s");
+        assert!(elapsed < SECOND / 2, "{voters} of {members}: {elapsed} us");
         assert_eq!(simulation.longest_conflict(), 0);
     }
 }
@@ -23,9 +23,9 @@
     let mut simulation = Simulation::settled(5, 120, 2);
     let next = next_version(simulation.newest_in_force());
     simulation.propose_next(100);
-    let took = simulation.run_until(5 * SECOND, |simulation| simulation.all_follow(next));
-    let took = took.expect("a new version in 5 s");
-    assert!(took < SECOND, "{took} us");
+    let elapsed = simulation.run_until(5 * SECOND, |simulation| simulation.all_follow(next));
+    let elapsed = elapsed.expect("a new version in 5 s");
+    assert!(elapsed < SECOND, "{elapsed} us");
     assert_eq!(simulation.longest_conflict(), 0);
 }
 
--- a/crates/testbed/tests/cli_transcripts.rs
+++ b/crates/testbed/tests/cli_transcripts.rs
@@ -59,15 +59,15 @@
     folder
 }
 
-/// A good scenario with one key, dotted, set to a value; numbers are places in a list.
+/// A good scenario with one key, dotted, set to a value; numbers are positions in a list.
 fn changed(key: &str, value: &str) -> String {
-    let mut whole: toml::Value = toml::from_str(SHORT).expect("TOML");
+    let mut scenario: toml::Value = toml::from_str(SHORT).expect("TOML");
     let table: toml::Table = format!("value = {value}").parse().expect("TOML");
     let (parents, last) = key.rsplit_once('.').unwrap_or(("", key));
-    let mut at = &mut whole;
+    let mut at = &mut scenario;
     for part in parents.split('.').filter(|part| !part.is_empty()) {
         at = match (part.parse::<usize>(), at) {
-            (Ok(number), at) => at.get_mut(number).expect("a place in the list"),
+            (Ok(number), at) => at.get_mut(number).expect("a position in the list"),
             (Err(_), at) => {
                 let table = at.as_table_mut().expect("a table");
                 table.entry(part).or_insert_with(|| toml::Table::new().into())
@@ -75,11 +75,11 @@
         };
     }
     at.as_table_mut().expect("a table").insert(last.into(), table["value"].clone());
-    toml::to_string(&whole).expect("TOML")
+    toml::to_string(&scenario).expect("TOML")
 }
 
 #[test]
-fn wrong_scenarios() {
+fn each_wrong_scenario_is_an_error_with_the_approved_text() {
     let mut text = String::new();
     for case in include_str!("bad_input/scenarios.txt").lines() {
         let (key, value) = case.split_once(" = ").expect("a key and a value");
@@ -95,19 +95,19 @@
 }
 
 #[test]
-fn wrong_experiments() {
+fn each_wrong_experiment_is_an_error_with_the_approved_text() {
     let folder = folder_with(&[("short.toml", SHORT), ("broken.toml", "nonsense")]);
     let mut text = String::new();
     for case in include_str!("bad_input/experiments.txt").lines() {
         std::fs::write(folder.path().join("e.toml"), case.replace("\\n", "\n")).expect("a file");
-        let said = transcript(&["run", "e.toml"], &folder);
-        write!(text, "## {case}\n{said}\n").expect("a text");
+        let output = transcript(&["run", "e.toml"], &folder);
+        write!(text, "## {case}\n{output}\n").expect("a text");
     }
     insta::assert_snapshot!("wrong_experiments", text);
 }
 
 #[test]
-fn wrong_command_lines() {
+fn each_wrong_command_line_is_an_error_with_the_approved_text() {
     let no_zone = changed("zones", "0");
     let folder = folder_with(&[("short.toml", SHORT), ("broken.toml", "nonsense"), ("wrong.toml", &no_zone)]);
     let cases: &[&[&str]] = &[
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn help_of_the_program_and_of_each_subcommand() {
+fn the_help_of_the_program_and_of_each_subcommand_is_as_approved() {
     let folder = folder_with(&[]);
     insta::assert_snapshot!("help_program", transcript(&["--help"], &folder));
     for command in "scenarios show sim emulate trace cost load run compare node relay".split(' ') {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_short_comparison_figure_for_figure() {
+fn a_short_comparison_has_the_approved_figures() {
     let folder = folder_with(&[("short.toml", SHORT)]);
     let table = transcript(&["compare", "short.toml", "--seeds", "1"], &folder);
     insta::assert_snapshot!("compare_table", table);
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -98,16 +98,16 @@
     }
     child.kill().expect("it runs");
     child.wait().expect("it ends");
-    let kept = lines();
-    assert!((20..360).contains(&kept), "{kept} runs before the kill");
+    let stored = lines();
+    assert!((20..360).contains(&stored), "{stored} runs before the kill");
     let first = start().output().expect("it runs");
     assert!(first.status.success());
     // Stored runs were not played again: every run has one line, but for one that was truncated.
     assert!((360..=361).contains(&lines()), "{} lines", lines());
     // The same bytes as from an uninterrupted run.
     std::fs::remove_file(&runs).expect("runs");
-    let whole = start().output().expect("it runs");
-    assert!(whole.stdout == first.stdout && !whole.stdout.is_empty());
+    let uninterrupted = start().output().expect("it runs");
+    assert!(uninterrupted.stdout == first.stdout && !uninterrupted.stdout.is_empty());
 }
 
 #[test]
