--- a/crates/proxy/src/downstream/client_connections.rs
+++ b/crates/proxy/src/downstream/client_connections.rs
@@ -80,6 +80,9 @@
                 Err(error) => {
                     failed_in_a_row = 0;
                     note("no connection taken", &error.to_string());
+                    if is_shortage(&error) {
+                        self.limits.evict_for_shortage();
+                    }
                     sleep_until(from_now(ACCEPT_RETRY_DELAY)).await;
                 }
             }
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -103,6 +103,16 @@
         }
     }
 
+    /// Evicts a connection where the system has no descriptor for the next one, although permits are left: the
+    /// process may have fewer descriptors than its configuration says, or need more for workers than usual.
+    pub(super) fn evict_for_shortage(&self) {
+        let inner = &mut *self.lock();
+        let is_evicting = inner.connections.values().any(|entry| entry.state == ConnectionState::Evicting);
+        if !is_evicting {
+            inner.evict_one();
+        }
+    }
+
     fn try_acquire(self: &Arc<Self>) -> Option<ConnectionPermit> {
         let inner = &mut *self.lock();
         inner.evict_surplus(self.max_connections);
--- a/crates/scheduler/tests/connection_limits.rs
+++ b/crates/scheduler/tests/connection_limits.rs
@@ -180,3 +180,21 @@
     assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
     assert!(since.elapsed().as_millis() < 1_500, "{:?}", since.elapsed());
 }
+
+// The process has fewer descriptors than its configuration says, so that permits never run short: resting connections
+// must not keep new clients waiting until they close by themselves.
+#[tokio::test]
+async fn resting_connections_make_way_where_the_system_has_no_descriptor_left() {
+    let worker = FakeServer::start().await;
+    let command = "ulimit -n 30 && exec \"$PROGRAM\"";
+    let scheduler = Scheduler::start_by_command(command, 256, &[worker.address]).await;
+    let mut resting = Vec::new();
+    for number in 0..60 {
+        let mut client = scheduler.client().await;
+        let answer =
+            tokio::time::timeout(std::time::Duration::from_secs(2), client.exchange(READINESS_REQUEST));
+        let answer = answer.await.unwrap_or_else(|_| panic!("client {number} waits for a descriptor"));
+        assert_eq!(answer.status(), 200);
+        resting.push(client);
+    }
+}
