--- a/crates/dispatcher/src/policy/affinity.rs
+++ b/crates/dispatcher/src/policy/affinity.rs
@@ -7,25 +7,34 @@
 /// of 1 / this times as rarely. At 0.1 too many still meet at one; 0.35 was no better.
 const AFFINITY_EXPONENT: f64 = 0.2;
 
-/// This dispatcher's affinity for each worker.
+/// This dispatcher's affinity for one worker.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct Affinity(f64);
+
+impl Default for Affinity {
+    /// That of a worker which is not preferred to others.
+    fn default() -> Self {
+        Affinity(1.0)
+    }
+}
+
+/// How this dispatcher's affinities weigh.
 #[derive(Clone, Debug)]
-pub(super) struct AffinityTable {
+pub(super) struct AffinityRules {
     is_large_fleet: bool,
-    /// By worker.
-    affinities: Vec<f64>,
     /// With this factor the lowest affinity of the ready workers is about 1.
     scale: f64,
 }
 
-impl Default for AffinityTable {
+impl Default for AffinityRules {
     fn default() -> Self {
-        AffinityTable { is_large_fleet: false, affinities: Vec::new(), scale: 1.0 }
+        AffinityRules { is_large_fleet: false, scale: 1.0 }
     }
 }
 
-impl AffinityTable {
+impl AffinityRules {
     pub(super) fn new(fleet_size: u32) -> Self {
-        AffinityTable { is_large_fleet: fleet_size >= LARGE_FLEET_SIZE, ..AffinityTable::default() }
+        AffinityRules { is_large_fleet: fleet_size >= LARGE_FLEET_SIZE, ..AffinityRules::default() }
     }
 
     /// Whether workers are ranked by affinity.
@@ -33,18 +42,14 @@
         self.is_large_fleet
     }
 
-    /// Makes room for so many workers, none of which is preferred.
-    pub(super) fn resize(&mut self, worker_count: usize) {
-        self.affinities.resize(worker_count, 1.0);
-    }
-
     /// Draws the affinity for a worker that was not known.
-    pub(super) fn draw(&mut self, worker: usize, rng: &mut fastrand::Rng) {
-        if self.is_large_fleet {
-            // Of exponential figures to a power, each times a rank, the lowest is at a worker with a chance
-            // that falls with its rank to the inverse power.
-            self.affinities[worker] = (-(1.0 - rng.f64()).ln()).powf(AFFINITY_EXPONENT);
+    pub(super) fn draw(&self, rng: &mut fastrand::Rng) -> Affinity {
+        if !self.is_large_fleet {
+            return Affinity::default();
         }
+        // Of exponential figures to a power, each times a rank, the lowest is at a worker with a chance
+        // that falls with its rank to the inverse power.
+        Affinity((-(1.0 - rng.f64()).ln()).powf(AFFINITY_EXPONENT))
     }
 
     /// Notes how many workers are ready. Those that left do not count: a list that changes for days would
@@ -56,8 +61,8 @@
     }
 
     /// The factor of a worker's rank.
-    pub(super) fn rank_factor(&self, worker: usize) -> f64 {
-        self.affinities[worker] * self.scale
+    pub(super) fn rank_factor(&self, worker: Affinity) -> f64 {
+        worker.0 * self.scale
     }
 }
 
--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -1,7 +1,7 @@
 //! The dispatcher: joins the parts of the policy, holds requests and workers, leads each event through them.
 use super::admission::AdmissionController;
 use super::admission::FleetLoad;
-use super::affinity::AffinityTable;
+use super::affinity::AffinityRules;
 use super::endpoint_subscription::EndpointSubscription;
 use super::estimates::EstimatedWorker;
 use super::estimates::TimeLimits;
@@ -20,6 +20,7 @@
 use super::load_reports::WorkerLoad;
 use super::offered_load::OfferedLoad;
 use super::outlier_detection::OutlierDetector;
+use super::outlier_detection::failure_decay;
 use super::request::Attempt;
 use super::request::ProgressMark;
 use super::request::Request;
@@ -70,7 +71,7 @@
     load_queries: LoadQueries,
     slow_start: SlowStartBudgets,
     outlier_detector: OutlierDetector,
-    affinities: AffinityTable,
+    affinities: AffinityRules,
     offered_load: OfferedLoad,
     late_retries: LateRetries,
     admission: AdmissionController,
@@ -91,8 +92,7 @@
             rng: fastrand::Rng::with_seed(seed),
             load_reports: LoadReports::new(fleet_size),
             slow_start: SlowStartBudgets::new(&settings),
-            outlier_detector: OutlierDetector::new(class_count),
-            affinities: AffinityTable::new(fleet_size),
+            affinities: AffinityRules::new(fleet_size),
             service_times: ServiceTimeEstimator::new(class_count),
             admission: AdmissionController::new(tenant_count),
             late_retries: LateRetries::new(class_count),
@@ -140,8 +140,15 @@
     }
 
     fn on_periodic_refresh(&mut self, now: Micros) {
-        self.outlier_detector.record_overdue_attempts(now, self.requests.values_mut());
-        self.outlier_detector.decay(REFRESH_INTERVAL);
+        for request in self.requests.values_mut() {
+            let class = request.class;
+            for attempt in &mut request.attempts {
+                let worker = &mut self.workers[attempt.worker as usize];
+                worker.failure_rates.record_if_overdue(now, class, attempt);
+            }
+        }
+        let decay = failure_decay(REFRESH_INTERVAL);
+        self.workers.iter_mut().for_each(|worker| worker.failure_rates.decay(decay));
         for index in 0..self.workers.len() {
             self.refresh_service_rate(now, index);
         }
@@ -186,15 +193,16 @@
         if applied.has_grown {
             self.resize_parts();
         }
-        if self.slow_start.set_started_at(index, endpoint.started_at) {
+        let worker = &mut self.workers[index];
+        if worker.slow_start.set_started_at(endpoint.started_at) {
             // A new or restarted process: what was learned of the old one no longer holds.
-            self.service_times.reset(index);
-            self.load_reports.reset(index);
+            worker.rate.reset();
+            worker.reported.reset();
             self.listed_loads.reset(index);
-            self.outlier_detector.reset(index);
+            worker.failure_rates.reset();
         }
-        if self.slow_start.set_hash_key(index, endpoint.hash_key) {
-            self.affinities.draw(index, &mut self.rng);
+        if worker.slow_start.set_hash_key(endpoint.hash_key) {
+            worker.affinity = self.affinities.draw(&mut self.rng);
         }
         self.refresh_service_rate(now, index);
     }
@@ -202,12 +210,10 @@
     /// Makes room in all parts for the workers, kinds and zones that are listed by now.
     fn resize_parts(&mut self) {
         let size = self.workers.size();
-        self.service_times.resize(size.workers, size.kinds);
-        self.load_reports.resize(size.workers, size.kinds, size.zones);
+        self.service_times.resize(size.kinds);
+        self.load_reports.resize(size.kinds, size.zones);
         self.listed_loads.resize(size.workers, size.kinds);
-        self.slow_start.resize(size.workers);
-        self.outlier_detector.resize(size.workers, size.kinds);
-        self.affinities.resize(size.workers);
+        self.outlier_detector.resize(size.kinds);
     }
 
     fn learn_listed_loads(&mut self, now: Micros, endpoints: &[Endpoint]) {
@@ -226,7 +232,7 @@
 
     fn on_load_report(&mut self, now: Micros, index: usize, report: &LoadReport, is_full: bool) {
         let figures = ReportFigures::new(report);
-        let worker = &self.workers[index];
+        let worker = &mut self.workers[index];
         let kind = worker.kind;
         let zone = worker.zone;
         if let Some(slots) = figures.slots() {
@@ -235,9 +241,9 @@
         let slots = self.service_times.slots_of(kind);
         let local_slots = worker.local_load.slots_at(now.saturating_sub(REPORT_AGE));
         self.service_times.learn_fleet_slots(slots);
-        let load = WorkerLoad { worker: index, kind, zone, slots, local_slots };
+        let load = WorkerLoad { kind, zone, slots, local_slots };
         let mean_request_slots = self.offered_load.mean_request_slots();
-        self.load_reports.record(now, load, figures, is_full, mean_request_slots);
+        self.load_reports.record(now, &mut worker.reported, load, figures, is_full, mean_request_slots);
     }
 
     fn on_load_query_timer(&mut self) {
@@ -263,7 +269,7 @@
         }
         let is_late = outcome == Outcome::TimedOut;
         if !is_late {
-            self.outlier_detector.record_outcome(index, None, outcome);
+            self.workers[index].failure_rates.record_outcome(None, outcome);
         }
         if is_late || report.is_some() {
             self.on_load_report(now, index, &report.unwrap_or_default(), is_late);
@@ -356,7 +362,7 @@
         };
         worker.local_load.add(attempt);
         let fitted_slots = worker.local_load.slots_in_use() <= slots;
-        self.slow_start.record_sent(now, index, request.work * request.slots);
+        self.slow_start.record_sent(now, &mut worker.slow_start, request.work * request.slots);
         self.admission.record_attempt();
         request.attempts.push(Attempt {
             worker: index as u32,
@@ -422,7 +428,8 @@
         let index = attempt.worker as usize;
         self.workers[index].local_load.complete(end.request, end.attempt, now, REPORT_AGE);
         if !(attempt.is_overdue && end.outcome == Outcome::TimedOut) {
-            self.outlier_detector.record_outcome(index, Some(request.class), end.outcome);
+            let class = Some(request.class);
+            self.workers[index].failure_rates.record_outcome(class, end.outcome);
         }
         if end.outcome == Outcome::Served {
             self.learn_service_time(now, attempt, request, end.elapsed);
@@ -480,7 +487,7 @@
             return;
         }
         let class = &self.settings.classes[request.class];
-        let alone = request.work / self.service_times.service_rate(index);
+        let alone = request.work / self.workers[index].rate.service_rate();
         let slack = TimeLimits::new(now, request, class).seconds_left(alone) - alone;
         let after = hedge_delay(slack);
         self.actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(request.id) });
@@ -529,15 +536,15 @@
     }
 
     fn learn_rate(&mut self, now: Micros, index: usize, work: f64, seconds: f64) {
-        let worker = &self.workers[index];
+        let worker = &mut self.workers[index];
         let is_idle = worker.local_load.is_idle();
-        self.service_times.learn_rate(now, index, worker.kind, is_idle, work, seconds);
+        self.service_times.learn_rate(now, &mut worker.rate, worker.kind, is_idle, work, seconds);
     }
 
     fn refresh_service_rate(&mut self, now: Micros, index: usize) {
-        let worker = &self.workers[index];
+        let worker = &mut self.workers[index];
         let is_idle = worker.local_load.is_idle();
-        self.service_times.refresh(now, index, worker.kind, is_idle);
+        self.service_times.refresh(now, &mut worker.rate, worker.kind, is_idle);
     }
 
     fn estimate(&self, now: Micros, request: &Request, index: usize) -> ServiceTimeEstimate {
@@ -549,7 +556,7 @@
         let at = EstimatedWorker {
             index,
             worker: &self.workers[index],
-            is_warming_up: self.slow_start.is_warming_up(now, index),
+            is_warming_up: self.slow_start.is_warming_up(now, &self.workers[index].slow_start),
         };
         estimates.estimate(now, at, request)
     }
@@ -557,7 +564,7 @@
     fn select_worker(&mut self, now: Micros, request: &Request) -> Result<usize, NotAdmitted> {
         let selector = WorkerSelector {
             settings: &self.settings,
-            workers: &self.workers,
+            workers: &mut self.workers,
             estimates: WorkerEstimates {
                 service_times: &self.service_times,
                 load_reports: &self.load_reports,
@@ -565,7 +572,7 @@
             },
             outlier_detector: &self.outlier_detector,
             affinities: &self.affinities,
-            slow_start: &mut self.slow_start,
+            slow_start: &self.slow_start,
             mean_request_load: self.offered_load.mean_request_load(),
             rng: &mut self.rng,
         };
--- a/crates/dispatcher/src/policy/estimates.rs
+++ b/crates/dispatcher/src/policy/estimates.rs
@@ -40,7 +40,7 @@
         let local_slots = at.worker.local_load.slots_in_use();
         let remote_slots = self.remote_slots(now, at, slots, local_slots);
         let occupancy = WorkerOccupancy { slots, local_slots, remote_slots };
-        self.service_times.estimate(at.index, request.work, request.slots, occupancy)
+        self.service_times.estimate(&at.worker.rate, request.work, request.slots, occupancy)
     }
 
     /// Slots of the other dispatchers: by the list where the worker warms up, else by its reports. Workers
@@ -60,8 +60,13 @@
             }
         }
         let worker = at.worker;
-        let load = WorkerLoad { worker: at.index, kind: worker.kind, zone: worker.zone, slots, local_slots };
-        self.load_reports.remote_slots(now, load, self.service_times.mean_response_seconds())
+        let load = WorkerLoad { kind: worker.kind, zone: worker.zone, slots, local_slots };
+        self.load_reports.remote_slots(
+            now,
+            &worker.reported,
+            load,
+            self.service_times.mean_response_seconds(),
+        )
     }
 }
 
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -71,7 +71,6 @@
 /// A worker as a load report is judged, and as its remote slots are expected.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkerLoad {
-    pub(super) worker: usize,
     pub(super) kind: u32,
     pub(super) zone: u32,
     pub(super) slots: f64,
@@ -89,16 +88,23 @@
     /// For each kind and zone, the fraction of slots taken against the fleet's.
     kind_load_ratios: Vec<AverageRatio>,
     zone_load_ratios: Vec<AverageRatio>,
-    workers: Vec<ReportedLoad>,
 }
 
+/// What one worker reported last.
 #[derive(Clone, Copy, Debug, Default)]
-struct ReportedLoad {
+pub(super) struct ReportedLoad {
     /// Slots of other dispatchers' attempts by the last report, and when it came.
     remote_slots: f64,
     reported_at: Option<Micros>,
 }
 
+impl ReportedLoad {
+    /// Forgets the report of a worker that has started anew.
+    pub(super) fn reset(&mut self) {
+        self.reported_at = None;
+    }
+}
+
 impl LoadReports {
     pub(super) fn new(fleet_size: u32) -> Self {
         LoadReports {
@@ -108,19 +114,13 @@
         }
     }
 
-    /// Makes room for so many workers, kinds and zones.
-    pub(super) fn resize(&mut self, worker_count: usize, kind_count: usize, zone_count: usize) {
+    /// Makes room for so many kinds and zones.
+    pub(super) fn resize(&mut self, kind_count: usize, zone_count: usize) {
         let initial_ratio = AverageRatio::starting_at(INITIAL_UTILIZATION);
-        self.workers.resize(worker_count, ReportedLoad::default());
         self.kind_load_ratios.resize(kind_count, initial_ratio);
         self.zone_load_ratios.resize(zone_count, initial_ratio);
     }
 
-    /// Forgets the report of a worker that has started anew.
-    pub(super) fn reset(&mut self, worker: usize) {
-        self.workers[worker].reported_at = None;
-    }
-
     /// This dispatcher's part of all requests, from 0 to 1.
     pub(super) fn local_part(&self) -> f64 {
         self.local_part
@@ -136,6 +136,7 @@
     pub(super) fn record(
         &mut self,
         now: Micros,
+        worker: &mut ReportedLoad,
         load: WorkerLoad,
         figures: ReportFigures,
         is_full: bool,
@@ -157,7 +158,6 @@
         self.zone_load_ratios[load.zone as usize].add(utilization, expected, SLOW_GAIN);
         // Attempts sent since are not in the report, some that completed since are. Otherwise dispatchers
         // would take each other's requests for their own and meet there.
-        let worker = &mut self.workers[load.worker];
         worker.remote_slots = (total - load.local_slots).max(0.0);
         worker.reported_at = Some(now);
     }
@@ -166,6 +166,7 @@
     pub(super) fn remote_slots(
         &self,
         now: Micros,
+        worker: &ReportedLoad,
         load: WorkerLoad,
         mean_response_seconds: f64,
     ) -> RemoteSlots {
@@ -177,7 +178,6 @@
         let all = (load.local_slots + MEAN_PRIOR_WEIGHT)
             / (self.local_part + MEAN_PRIOR_WEIGHT / mean.max(MIN_MEAN_SLOTS));
         let usual = all * (1.0 - self.local_part);
-        let worker = &self.workers[load.worker];
         let Some(reported_at) = worker.reported_at else {
             return RemoteSlots { mean: usual, variance: usual };
         };
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -1,6 +1,6 @@
 //! Worker selection: the lowest ranked among the eligible workers. All that makes a worker be passed over is
 //! read here: its state, kind and key scope, its estimate, its failure rate, its slow-start budget.
-use super::affinity::AffinityTable;
+use super::affinity::AffinityRules;
 use super::estimates::EstimatedWorker;
 use super::estimates::TimeLimits;
 use super::estimates::WorkerEstimates;
@@ -43,19 +43,27 @@
     is_warming_up: bool,
 }
 
-/// Where a request may run at all, beside the workers that have an attempt of it.
+/// The workers that a request is bound to.
 #[derive(Clone, Copy)]
-struct Placement {
+struct Binding {
     kind: Option<u32>,
     zone: Option<u32>,
     cell: Option<u32>,
 }
 
+impl Binding {
+    fn allows(self, worker: &Worker) -> bool {
+        self.kind.is_none_or(|kind| kind == worker.kind)
+            && self.zone.is_none_or(|zone| zone == worker.zone)
+            && self.cell.is_none_or(|cell| cell == worker.cell)
+    }
+}
+
 /// What a request brings to the comparison of workers.
 struct Comparison<'a> {
     now: Micros,
     request: &'a Request,
-    placement: Placement,
+    binding: Option<Binding>,
     limits: TimeLimits,
     cross_zone_seconds: f64,
 }
@@ -63,11 +71,11 @@
 /// A view of what the selection goes by.
 pub(super) struct WorkerSelector<'a> {
     pub(super) settings: &'a Settings,
-    pub(super) workers: &'a WorkerTable,
+    pub(super) workers: &'a mut WorkerTable,
     pub(super) estimates: WorkerEstimates<'a>,
     pub(super) outlier_detector: &'a OutlierDetector,
-    pub(super) affinities: &'a AffinityTable,
-    pub(super) slow_start: &'a mut SlowStartBudgets,
+    pub(super) affinities: &'a AffinityRules,
+    pub(super) slow_start: &'a SlowStartBudgets,
     /// Mean work times slots of a request offered here.
     pub(super) mean_request_load: f64,
     pub(super) rng: &'a mut fastrand::Rng,
@@ -131,58 +139,58 @@
         Comparison {
             now,
             request,
-            placement: self.placement(request, class),
+            binding: self.binding(request, class),
             limits: TimeLimits::new(now, request, class),
             cross_zone_seconds: OBJECTIVES_PER_WEIGHT * self.settings.cross_zone_cost * objective,
         }
     }
 
-    /// Retries of a keyed request stay among the workers that drop a repeat.
-    fn placement(&self, request: &Request, class: &RequestClass) -> Placement {
-        let anywhere = Placement { kind: class.worker_kind, zone: None, cell: None };
-        let Some(first) = request.first_that_may_have_run() else { return anywhere };
-        let first = &self.workers[first.worker as usize];
+    /// What binds a request: its class to a kind, and a keyed retry to the workers that drop a repeat. Most
+    /// requests are bound to nothing.
+    fn binding(&self, request: &Request, class: &RequestClass) -> Option<Binding> {
+        let first = request.first_that_may_have_run().map(|attempt| &self.workers[attempt.worker as usize]);
+        let mut binding = Binding { kind: class.worker_kind, zone: None, cell: None };
         match class.idempotency {
             Idempotency::IdempotentWithKey { scope: KeyScope::Zone, .. } => {
-                Placement { zone: Some(first.zone), ..anywhere }
+                binding.zone = first.map(|worker| worker.zone);
             }
             Idempotency::IdempotentWithKey { scope: KeyScope::Cell, .. } => {
-                Placement { cell: Some(first.cell), ..anywhere }
+                binding.cell = first.map(|worker| worker.cell);
             }
-            _ => anywhere,
+            _ => {}
         }
+        let is_bound = binding.kind.is_some() || binding.zone.is_some() || binding.cell.is_some();
+        is_bound.then_some(binding)
     }
 
     fn candidate(&self, index: usize, worker: &Worker, comparison: &Comparison<'_>) -> Candidate {
         let Comparison { now, request, limits, cross_zone_seconds, .. } = *comparison;
-        let is_warming_up = self.slow_start.is_warming_up(now, index);
+        let is_warming_up = self.slow_start.is_warming_up(now, &worker.slow_start);
         let at = EstimatedWorker { index, worker, is_warming_up };
         let estimate = self.estimates.estimate(now, at, request);
         let excess_seconds = estimate.seconds - limits.seconds_left(estimate.seconds_alone);
         let cross_zone = if worker.zone == self.settings.zone { 0.0 } else { cross_zone_seconds };
         // Few dispatchers, each with a part, send to a worker that warms up: there no crowd can meet.
-        let affinity = if is_warming_up { 1.0 } else { self.affinities.rank_factor(index) };
+        let affinity = if is_warming_up { 1.0 } else { self.affinities.rank_factor(worker.affinity) };
         let seconds = (estimate.seconds_for_ranking + cross_zone) * affinity
-            / self.outlier_detector.expected_success_rate(index, worker.kind, request.class);
+            / self.outlier_detector.expected_success_rate(&worker.failure_rates, worker.kind, request.class);
         let rank = (self.affinities.is_large_fleet() && excess_seconds > 0.0, seconds);
         Candidate { index, rank, excess_seconds, is_warming_up }
     }
 
     fn slow_start_admits(&mut self, now: Micros, index: usize, request: &Request) -> bool {
+        let worker = &mut self.workers[index];
         let capacity = WorkerCapacity {
-            slots: self.estimates.service_times.min_slots_of(self.workers[index].kind),
-            service_rate: self.estimates.service_times.service_rate(index),
+            slots: self.estimates.service_times.min_slots_of(worker.kind),
+            service_rate: worker.rate.service_rate(),
         };
         let work = request.work * request.slots;
-        self.slow_start.admits(now, index, work, capacity, self.mean_request_load, self.rng)
+        self.slow_start.admits(now, &mut worker.slow_start, work, capacity, self.mean_request_load, self.rng)
     }
 }
 
 fn is_eligible(index: usize, worker: &Worker, comparison: &Comparison<'_>) -> bool {
-    let placement = comparison.placement;
     worker.state == WorkerState::Ready
-        && placement.kind.is_none_or(|kind| kind == worker.kind)
-        && placement.zone.is_none_or(|zone| zone == worker.zone)
-        && placement.cell.is_none_or(|cell| cell == worker.cell)
+        && comparison.binding.is_none_or(|binding| binding.allows(worker))
         && !comparison.request.attempts.iter().any(|attempt| attempt.worker as usize == index)
 }
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -61,7 +61,6 @@
 /// Rates of workers, slots of kinds, usual times of requests.
 #[derive(Clone, Debug)]
 pub(super) struct ServiceTimeEstimator {
-    workers: Vec<WorkerRate>,
     kinds: Vec<GroupCapacity>,
     fleet: GroupCapacity,
     mean_response_seconds: f64,
@@ -69,8 +68,9 @@
     service_time_by_class: Vec<LogAverage>,
 }
 
+/// What is known of one worker's rate.
 #[derive(Clone, Copy, Debug, Default)]
-struct WorkerRate {
+pub(super) struct WorkerRate {
     rate: LogAverage,
     /// Work a second on one slot, as used in estimates.
     service_rate: f64,
@@ -83,6 +83,18 @@
     slots: Option<f64>,
 }
 
+impl WorkerRate {
+    /// Forgets the rate of a worker that has started anew; the one in use stays until it is refreshed.
+    pub(super) fn reset(&mut self) {
+        self.rate = LogAverage::default();
+    }
+
+    /// Work a second on one slot.
+    pub(super) fn service_rate(&self) -> f64 {
+        self.service_rate
+    }
+}
+
 impl Default for ServiceTimeEstimator {
     fn default() -> Self {
         ServiceTimeEstimator::new(0)
@@ -92,7 +104,6 @@
 impl ServiceTimeEstimator {
     pub(super) fn new(class_count: usize) -> Self {
         ServiceTimeEstimator {
-            workers: Vec::new(),
             kinds: Vec::new(),
             fleet: GroupCapacity::default(),
             mean_response_seconds: INITIAL_RESPONSE_SECONDS,
@@ -100,22 +111,11 @@
         }
     }
 
-    /// Makes room for so many workers and kinds.
-    pub(super) fn resize(&mut self, worker_count: usize, kind_count: usize) {
-        self.workers.resize(worker_count, WorkerRate::default());
+    /// Makes room for so many kinds.
+    pub(super) fn resize(&mut self, kind_count: usize) {
         self.kinds.resize(kind_count, GroupCapacity::default());
     }
 
-    /// Forgets the rate of a worker that has started anew.
-    pub(super) fn reset(&mut self, worker: usize) {
-        self.workers[worker].rate = LogAverage::default();
-    }
-
-    /// Work a second on one slot of a worker.
-    pub(super) fn service_rate(&self, worker: usize) -> f64 {
-        self.workers[worker].service_rate
-    }
-
     /// Mean response time of served requests, in seconds.
     pub(super) fn mean_response_seconds(&self) -> f64 {
         self.mean_response_seconds
@@ -145,12 +145,12 @@
     /// others'; the excess over the slots is a mean over what they may hold.
     pub(super) fn estimate(
         &self,
-        worker: usize,
+        worker: &WorkerRate,
         work: f64,
         request_slots: f64,
         occupancy: WorkerOccupancy,
     ) -> ServiceTimeEstimate {
-        let seconds_alone = work / self.workers[worker].service_rate;
+        let seconds_alone = work / worker.service_rate;
         let WorkerOccupancy { slots, local_slots, remote_slots } = occupancy;
         let over = local_slots + request_slots + remote_slots.mean - slots;
         let excess = 0.5 * (over + (over * over + EXCESS_SPREAD * remote_slots.variance).sqrt());
@@ -166,10 +166,9 @@
     }
 
     /// The rate in use: the worker's own samples, shrunk to its kind's, and that to the fleet's.
-    pub(super) fn refresh(&mut self, now: Micros, worker: usize, kind: u32, is_idle: bool) {
+    pub(super) fn refresh(&self, now: Micros, worker: &mut WorkerRate, kind: u32, is_idle: bool) {
         let fleet = self.fleet.rate;
         let kind = self.kinds[kind as usize].rate;
-        let worker = &mut self.workers[worker];
         let group = weighted_mean(kind.log_mean, kind.samples, fleet.log_mean, GROUP_PRIOR_WEIGHT);
         let mut weight = worker.rate.samples;
         if is_idle {
@@ -184,7 +183,7 @@
     pub(super) fn learn_rate(
         &mut self,
         now: Micros,
-        worker: usize,
+        worker: &mut WorkerRate,
         kind: u32,
         is_idle: bool,
         work: f64,
@@ -195,7 +194,7 @@
             return;
         }
         let log_rate = rate.ln();
-        self.workers[worker].rate.add(log_rate, WORKER_RATE_GAIN, now);
+        worker.rate.add(log_rate, WORKER_RATE_GAIN, now);
         self.kinds[kind as usize].rate.add(log_rate, GROUP_GAIN, now);
         self.fleet.rate.add(log_rate, GROUP_GAIN, now);
         self.refresh(now, worker, kind, is_idle);
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -29,13 +29,12 @@
     pub(super) service_rate: f64,
 }
 
-/// The slow-start budgets of all workers, and this dispatcher's part of them.
+/// Shares out the slow-start budgets of workers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlowStartBudgets {
     rules: SlowStartRules,
     /// When this dispatcher started.
     dispatcher_started_at: Option<Micros>,
-    workers: Vec<WorkerSlowStart>,
 }
 
 /// The settings that slow start goes by.
@@ -49,8 +48,9 @@
     instance_index: Option<u32>,
 }
 
+/// What slow start knows of one worker.
 #[derive(Clone, Debug, Default)]
-struct WorkerSlowStart {
+pub(super) struct WorkerSlowStart {
     started_at: Option<Micros>,
     sent: SlidingWindowSum,
     hash_key: u64,
@@ -66,6 +66,26 @@
     part: f64,
 }
 
+impl WorkerSlowStart {
+    /// Takes the worker's start as listed, where 0 is long ago. Whether it is the start of a new process.
+    pub(super) fn set_started_at(&mut self, listed: Option<Micros>) -> bool {
+        let started_at = listed.filter(|&at| at > 0);
+        let is_new_process = started_at.is_some() && started_at != self.started_at;
+        self.started_at = started_at;
+        is_new_process
+    }
+
+    /// Takes the figure that tells the worker from others. Whether it is another one than before.
+    pub(super) fn set_hash_key(&mut self, hash_key: u64) -> bool {
+        if hash_key == self.hash_key {
+            return false;
+        }
+        self.hash_key = hash_key;
+        self.position = None;
+        true
+    }
+}
+
 impl SlowStartBudgets {
     pub(super) fn new(settings: &Settings) -> Self {
         let rules = SlowStartRules {
@@ -84,40 +104,13 @@
         self.dispatcher_started_at = Some(now);
     }
 
-    /// Makes room for so many workers, all of them warm.
-    pub(super) fn resize(&mut self, worker_count: usize) {
-        self.workers.resize_with(worker_count, WorkerSlowStart::default);
-    }
-
-    /// Takes a worker's start as listed, where 0 is long ago. Whether it is the start of a new process.
-    pub(super) fn set_started_at(&mut self, worker: usize, listed: Option<Micros>) -> bool {
-        let worker = &mut self.workers[worker];
-        let started_at = listed.filter(|&at| at > 0);
-        let is_new_process = started_at.is_some() && started_at != worker.started_at;
-        worker.started_at = started_at;
-        is_new_process
-    }
-
-    /// Takes the figure that tells the worker from others. Whether it is another one than before.
-    pub(super) fn set_hash_key(&mut self, worker: usize, hash_key: u64) -> bool {
-        let worker = &mut self.workers[worker];
-        if hash_key == worker.hash_key {
-            return false;
-        }
-        worker.hash_key = hash_key;
-        worker.position = None;
-        true
-    }
-
-    pub(super) fn is_warming_up(&self, now: Micros, worker: usize) -> bool {
-        let started_at = self.workers[worker].started_at;
-        started_at.is_some_and(|at| now < at.saturating_add(self.rules.duration))
+    pub(super) fn is_warming_up(&self, now: Micros, worker: &WorkerSlowStart) -> bool {
+        worker.started_at.is_some_and(|at| now < at.saturating_add(self.rules.duration))
     }
 
     /// Counts work that is sent, to any worker, as each may turn out to have started anew.
-    pub(super) fn record_sent(&mut self, now: Micros, worker: usize, work: f64) {
-        let window = self.rules.window;
-        self.workers[worker].sent.add(now, window, SLOW_START_WINDOW_STEPS, work);
+    pub(super) fn record_sent(&self, now: Micros, worker: &mut WorkerSlowStart, work: f64) {
+        worker.sent.add(now, self.rules.window, SLOW_START_WINDOW_STEPS, work);
     }
 
     /// Whether a request of so much work may be sent to a worker that is warming up.
@@ -127,16 +120,15 @@
     /// none sends more than its part: in a large fleet, equal parts of all would be smaller than any request,
     /// and chance goes beyond any budget with small requests of many.
     pub(super) fn admits(
-        &mut self,
+        &self,
         now: Micros,
-        worker: usize,
+        worker: &mut WorkerSlowStart,
         work: f64,
         capacity: WorkerCapacity,
         mean_request_load: f64,
         rng: &mut fastrand::Rng,
     ) -> bool {
         let rules = self.rules;
-        let worker = &mut self.workers[worker];
         let hash_key = worker.hash_key;
         let position = *worker.position.get_or_insert_with(|| rules.position(hash_key, rng));
         // Not what its earlier process got.
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -1,4 +1,9 @@
 //! The workers as discovery lists them, and this dispatcher's attempts there.
+use super::affinity::Affinity;
+use super::load_reports::ReportedLoad;
+use super::outlier_detection::FailureRates;
+use super::service_time::WorkerRate;
+use super::slow_start::WorkerSlowStart;
 use crate::Endpoint;
 use crate::WorkerState;
 use crate::local_load::LocalLoad;
@@ -8,7 +13,9 @@
 /// Kinds and zones are numbered densely too; a number beyond this would only ask for memory.
 const MAX_GROUPS: usize = 10_000;
 
-/// What is known of a worker itself. What is learned of it belongs to the parts that learn it.
+/// What is known of a worker. What is learned of it belongs to the parts that learn it, and only they look
+/// in; it lies here so that a comparison of workers reads one place for each: a vector in each part cost 25 to
+/// 30 % more instructions a decision.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Worker {
     pub(super) state: WorkerState,
@@ -16,6 +23,11 @@
     pub(super) kind: u32,
     pub(super) cell: u32,
     pub(super) local_load: LocalLoad,
+    pub(super) rate: WorkerRate,
+    pub(super) reported: ReportedLoad,
+    pub(super) slow_start: WorkerSlowStart,
+    pub(super) failure_rates: FailureRates,
+    pub(super) affinity: Affinity,
 }
 
 /// How many workers, kinds and zones there are room for: of each, one more than the highest number seen.
@@ -46,6 +58,10 @@
         self.workers.get(index)
     }
 
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
+        self.workers.iter_mut()
+    }
+
     pub(super) fn iter(&self) -> impl Iterator<Item = &Worker> {
         self.workers.iter()
     }
--- a/crates/dispatcher/tests/module_dependencies.rs
+++ b/crates/dispatcher/tests/module_dependencies.rs
@@ -76,7 +76,7 @@
 fn the_parts_that_own_state_show_none_of_it() {
     let owners = [
         ("admission", "AdmissionController"),
-        ("affinity", "AffinityTable"),
+        ("affinity", "AffinityRules"),
         ("endpoint_subscription", "EndpointSubscription"),
         ("hedging", "HedgeBudget"),
         ("late_retries", "LateRetries"),
@@ -89,7 +89,20 @@
         ("slow_start", "SlowStartBudgets"),
         ("worker", "WorkerTable"),
     ];
+    let of_one_worker = [
+        ("affinity", "Affinity"),
+        ("load_reports", "ReportedLoad"),
+        ("outlier_detection", "FailureRates"),
+        ("service_time", "WorkerRate"),
+        ("slow_start", "WorkerSlowStart"),
+    ];
     let sources = policy_sources();
+    for (module, owner) in of_one_worker {
+        let (_, body) = sources[module].split_once(&format!("pub(super) struct {owner}")).expect("the owner");
+        let (fields, _) = body.split_once("\n\n").expect("the end of its fields");
+        assert!(!fields.contains("pub"), "{owner}: {fields}");
+        assert!(sources["worker"].contains(&format!(": {owner},")), "{owner} is held by the worker");
+    }
     for (module, owner) in owners {
         let source = &sources[module];
         let (_, body) = source.split_once(&format!("pub(super) struct {owner} {{")).expect("the owner");
--- a/crates/dispatcher/tests/unit/estimates.rs
+++ b/crates/dispatcher/tests/unit/estimates.rs
@@ -22,11 +22,11 @@
 #[test]
 fn the_list_counts_for_workers_that_warm_up_alone() {
     let mut service_times = ServiceTimeEstimator::new(1);
-    service_times.resize(2, 1);
-    service_times.refresh(0, 0, 0, true);
-    service_times.refresh(0, 1, 0, true);
+    service_times.resize(1);
+    let mut worker = Worker::default();
+    service_times.refresh(0, &mut worker.rate, 0, true);
     let mut load_reports = LoadReports::new(3);
-    load_reports.resize(2, 1, 1);
+    load_reports.resize(1, 1);
     let mut listed_loads = ListedLoads::default();
     listed_loads.resize(2, 1);
     listed_loads.set_size(0, Some(8.0));
@@ -38,7 +38,6 @@
         load_reports: &load_reports,
         listed_loads: &listed_loads,
     };
-    let worker = Worker::default();
     let seconds = |index, is_warming_up| {
         let at = EstimatedWorker { index, worker: &worker, is_warming_up };
         estimates.estimate(SECOND, at, &request()).seconds
--- a/crates/dispatcher/tests/unit/service_time.rs
+++ b/crates/dispatcher/tests/unit/service_time.rs
@@ -1,4 +1,4 @@
-use super::{ServiceTimeEstimator, WorkerOccupancy};
+use super::{ServiceTimeEstimator, WorkerOccupancy, WorkerRate};
 use crate::policy::remote_slots::RemoteSlots;
 use crate::{RequestClass, SECOND};
 
@@ -7,14 +7,20 @@
 
 fn estimator() -> ServiceTimeEstimator {
     let mut estimator = ServiceTimeEstimator::new(2);
-    estimator.resize(2, 2);
-    estimator.refresh(0, 0, 0, true);
-    estimator.refresh(0, 1, 1, true);
+    estimator.resize(2);
     estimator
 }
 
+fn refreshed(estimator: &ServiceTimeEstimator, kind: u32) -> WorkerRate {
+    let mut worker = WorkerRate::default();
+    estimator.refresh(0, &mut worker, kind, true);
+    worker
+}
+
 fn seconds(occupancy: WorkerOccupancy) -> (f64, f64) {
-    let estimate = estimator().estimate(0, 2.0, 1.0, occupancy);
+    let estimator = estimator();
+    let estimate = estimator.estimate(&refreshed(&estimator, 0), 2.0, 1.0, occupancy);
+    assert_eq!(estimate.seconds_alone, 2.0);
     (estimate.seconds, estimate.seconds_for_ranking)
 }
 
@@ -63,41 +69,48 @@
 #[test]
 fn a_rate_is_shrunk_to_its_kind_s_and_that_to_the_fleet_s() {
     let mut estimator = estimator();
-    estimator.learn_rate(SECOND, 0, 0, false, 2.0, 1.0);
+    let mut first = refreshed(&estimator, 0);
+    estimator.learn_rate(SECOND, &mut first, 0, false, 2.0, 1.0);
     // All three have the one sample.
-    assert!((estimator.service_rate(0) - 2.0).abs() < 1e-12);
-    estimator.refresh(SECOND, 1, 1, true);
-    assert!((estimator.service_rate(1) - 2.0).abs() < 1e-12, "the fleet's, where nothing else is known");
+    assert!((first.service_rate() - 2.0).abs() < 1e-12);
+    let mut second = refreshed(&estimator, 1);
+    assert!((second.service_rate() - 2.0).abs() < 1e-12, "the fleet's, where nothing else is known");
     for _ in 0..100 {
-        estimator.learn_rate(SECOND, 1, 1, false, 1.0, 2.0);
+        estimator.learn_rate(SECOND, &mut second, 1, false, 1.0, 2.0);
     }
-    assert!(estimator.service_rate(1) < 0.55, "{}", estimator.service_rate(1));
+    assert!(second.service_rate() < 0.55, "{}", second.service_rate());
+    second.reset();
+    estimator.refresh(SECOND, &mut second, 0, true);
+    assert!(second.service_rate() > 0.55, "another process, of another kind: {}", second.service_rate());
 }
 
 #[test]
 fn absurd_rates_are_not_learned() {
     let mut estimator = estimator();
+    let mut worker = refreshed(&estimator, 0);
     for (work, seconds) in [(1.0, 1e4), (1e4, 1.0), (1.0, 0.0), (f64::NAN, 1.0), (0.0, 0.0), (-1.0, 1.0)] {
-        estimator.learn_rate(SECOND, 0, 0, false, work, seconds);
-        assert_eq!(estimator.service_rate(0), 1.0, "{work} {seconds}");
+        estimator.learn_rate(SECOND, &mut worker, 0, false, work, seconds);
+        assert_eq!(worker.service_rate(), 1.0, "{work} {seconds}");
     }
 }
 
 #[test]
 fn an_idle_worker_s_rate_fades_to_its_kind_s_in_mean_response_times() {
     let mut estimator = estimator();
+    let mut slow = refreshed(&estimator, 0);
+    let mut quick = refreshed(&estimator, 0);
     for _ in 0..10 {
-        estimator.learn_rate(0, 0, 0, false, 1.0, 4.0);
-        estimator.learn_rate(0, 1, 0, false, 1.0, 1.0);
+        estimator.learn_rate(0, &mut slow, 0, false, 1.0, 4.0);
+        estimator.learn_rate(0, &mut quick, 0, false, 1.0, 1.0);
     }
-    estimator.refresh(0, 0, 0, false);
-    let busy = estimator.service_rate(0);
-    estimator.refresh(1_000 * SECOND, 0, 0, false);
-    assert_eq!(estimator.service_rate(0), busy, "a busy worker's rate stands");
-    estimator.refresh(5 * SECOND, 0, 0, true);
-    let after_half_life = estimator.service_rate(0);
-    estimator.refresh(1_000 * SECOND, 0, 0, true);
-    assert!(busy < after_half_life && after_half_life < estimator.service_rate(0));
+    estimator.refresh(0, &mut slow, 0, false);
+    let busy = slow.service_rate();
+    estimator.refresh(1_000 * SECOND, &mut slow, 0, false);
+    assert_eq!(slow.service_rate(), busy, "a busy worker's rate stands");
+    estimator.refresh(5 * SECOND, &mut slow, 0, true);
+    let after_half_life = slow.service_rate();
+    estimator.refresh(1_000 * SECOND, &mut slow, 0, true);
+    assert!(busy < after_half_life && after_half_life < slow.service_rate());
 }
 
 #[test]
@@ -123,6 +136,7 @@
     let class = RequestClass { latency_objective: SECOND, latency_stretch: 2.0, ..RequestClass::default() };
     let mut estimator = estimator();
     assert_eq!(estimator.objective_seconds(&class, 3.0), 7.0);
-    estimator.learn_rate(0, 0, 0, false, 2.0, 1.0);
+    let mut worker = refreshed(&estimator, 0);
+    estimator.learn_rate(0, &mut worker, 0, false, 2.0, 1.0);
     assert!((estimator.objective_seconds(&class, 3.0) - 4.0).abs() < 1e-12);
 }
