--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -6,11 +6,12 @@
 use hyper::http::uri::Authority;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until, timeout_at};
+use tracing::info;
 
 use crate::clock::from_now;
 use crate::discovery::platform::fetch::{CallDeadlines, DiscoveryClient, FetchError};
 use crate::discovery::{EndpointPublisher, EndpointSource};
-use crate::invariant::note;
+use crate::invariant::{Subject, note_of};
 
 mod fetch;
 
@@ -80,6 +81,8 @@
     is_connected: bool,
     /// A call was refused since the last list came.
     was_refused: bool,
+    /// A call has failed since the last list came.
+    has_failed: bool,
 }
 
 /// A call that was made.
@@ -114,6 +117,7 @@
             awaits_policy: false,
             is_connected: false,
             was_refused: false,
+            has_failed: false,
         }
     }
 
@@ -193,6 +197,10 @@
         self.backoff = RETRY_BACKOFF_INITIAL;
         self.is_connected = true;
         self.was_refused = false;
+        if std::mem::take(&mut self.has_failed) {
+            let (peer, revision) = (self.address.as_str(), list.revision);
+            info!(peer, revision, "discovery answers again");
+        }
         let is_unchanged = self.revision == Some(list.revision) && list.endpoints.is_empty();
         let must_publish = self.owes_update || list.complete || !is_unchanged;
         if let Some(endpoints) = self.publisher.apply(list).filter(|_| must_publish) {
@@ -212,7 +220,9 @@
 
     /// Waits until the next call is due.
     async fn handle_failure(&mut self, error: &FetchError) {
-        note("no answer of discovery, the list stays", &error.to_string());
+        let subject = Subject { peer: Some(self.address.as_str()), ..Subject::default() };
+        note_of("no answer of discovery, the list stays", &error.to_string(), subject);
+        self.has_failed = true;
         if let Some(backoff) = self.retry_backoff(error) {
             // A move is not waited out.
             let _ = timeout_at(from_now(backoff), self.configured_address.changed()).await;
--- a/crates/proxy/src/downstream/client_connections.rs
+++ b/crates/proxy/src/downstream/client_connections.rs
@@ -7,6 +7,7 @@
 use futures_util::future::BoxFuture;
 use tokio::net::TcpListener;
 use tokio::time::sleep_until;
+use tracing::{Instrument, warn_span};
 
 use crate::clock::from_now;
 use crate::downstream::Downstream;
@@ -58,9 +59,13 @@
                 accepted = listener.accept() => accepted,
             };
             match accepted {
-                Ok((stream, _)) => {
+                Ok((stream, peer)) => {
                     let permit = Arc::new(self.limits.acquire().await);
-                    tokio::spawn(serve_connection(Arc::clone(&self.handler), stream, permit));
+                    // What is logged of the connection names its peer.
+                    let span = warn_span!("connection", %peer);
+                    tokio::spawn(
+                        serve_connection(Arc::clone(&self.handler), stream, permit).instrument(span),
+                    );
                 }
                 Err(error) if concerns_one_connection(&error) => {}
                 // When descriptors run out, neither an end nor a busy loop.
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -21,7 +21,7 @@
 use crate::downstream::client_connections::ClientConnections;
 use crate::downstream::http::request_head::{RequestHead, end_to_end_headers, parse_head};
 use crate::downstream::request_limits::{MAX_BODY_BYTES, RequestLimits};
-use crate::invariant::note;
+use crate::invariant::{Subject, note, note_of};
 use crate::messages::{AdmissionRequest, BodyPermit, FinalResponse, UpstreamRequest};
 use crate::request_task;
 use crate::shutdown::effective_deadline;
@@ -202,7 +202,8 @@
         return Err(RefusedRequest::MethodNotAllowed);
     }
     parse_head(&parts.headers, class as u32, &context.settings).map_err(|error| {
-        note("bad request", &error.to_string());
+        let subject = Subject { class: Some(class_name), ..Subject::default() };
+        note_of("bad request", &error.to_string(), subject);
         RefusedRequest::InvalidHead
     })
 }
--- a/crates/proxy/src/event_recorder.rs
+++ b/crates/proxy/src/event_recorder.rs
@@ -24,6 +24,17 @@
     format!("{:016x}", request.0)
 }
 
+/// A rejection's reason, as the event log and the log name it.
+pub(crate) fn rejection_name(reason: &Rejection) -> &'static str {
+    match reason {
+        Rejection::Invalid => "invalid",
+        Rejection::Overloaded => "scarce",
+        Rejection::NoEligibleWorker => "no_worker",
+        Rejection::TooLate(_) => "late",
+        Rejection::AttemptsExhausted => "spent",
+    }
+}
+
 impl EventRecorder {
     /// Writes to a recorder, with the names of the endpoint table and of the settings.
     pub fn new(
@@ -100,14 +111,11 @@
                 (request, Decision::Send { worker: self.worker_name(*worker), estimate_us: *estimate })
             }
             Action::Reject { request, retry_after, reason } => {
-                let (reason, late_by_us) = match reason {
-                    Rejection::Invalid => ("invalid", None),
-                    Rejection::Overloaded => ("scarce", None),
-                    Rejection::NoEligibleWorker => ("no_worker", None),
-                    Rejection::TooLate(excess) => ("late", Some(*excess)),
-                    Rejection::AttemptsExhausted => ("spent", None),
+                let late_by_us = match reason {
+                    Rejection::TooLate(excess) => Some(*excess),
+                    _ => None,
                 };
-                let reason = reason.into();
+                let reason = rejection_name(reason).into();
                 (request, Decision::Reject { retry_after_us: *retry_after, reason, late_by_us })
             }
             Action::Fail { request } => (request, Decision::Fail),
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, OnceLock, PoisonError};
 
-/// Owned by this module; only [`note`] writes to it.
+/// Owned by this module; only [`note_of`] writes to it.
 static COUNTS: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
 
 /// Called with a counter's name and its count, at the 1st, 2nd, 4th, 8th ... time.
@@ -22,14 +22,31 @@
     note(invariant, "it does not hold");
 }
 
-/// Counts an event and logs its 1st, 2nd, 4th, 8th ... time: a peer that repeats its mistake must not flood
-/// the log, nor the thread that writes it.
+/// Whom a counted event concerns, as far as the code that notes it knows.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Subject<'a> {
+    /// The worker's name.
+    pub worker: Option<&'a str>,
+    /// The request class.
+    pub class: Option<&'a str>,
+    /// The address of the other end.
+    pub peer: Option<&'a str>,
+}
+
+/// Counts an event of which no subject is known; see [`note_of`].
 pub fn note(counter: &'static str, reason: &str) {
+    note_of(counter, reason, Subject::default());
+}
+
+/// Counts an event and logs its 1st, 2nd, 4th, 8th ... time, with the subject of that time: a peer that repeats
+/// its mistake must not flood the log, nor the thread that writes it.
+pub fn note_of(counter: &'static str, reason: &str, subject: Subject<'_>) {
     let mut counts = COUNTS.lock().unwrap_or_else(PoisonError::into_inner);
     let count = counts.entry(counter).or_default();
     *count += 1;
     if count.is_power_of_two() {
-        tracing::warn!(count, reason, "{counter}");
+        let Subject { worker, class, peer } = subject;
+        tracing::warn!(count, reason, worker, class, peer, "{counter}");
         if let Some(observer) = OBSERVER.get() {
             observer(counter, *count);
         }
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use copperspread_dispatcher::{
-    Idempotency, IncomingRequest, LoadReport, Micros, Outcome, Progress, RequestId, WorkerId,
+    Idempotency, IncomingRequest, LoadReport, Micros, Outcome, Progress, Rejection, RequestId, WorkerId,
 };
 use http::HeaderMap;
 use http::uri::{Authority, PathAndQuery};
@@ -189,6 +189,8 @@
     Reject {
         /// How long the client should wait before it tries again.
         retry_after: Micros,
+        /// Why.
+        reason: Rejection,
     },
     /// The policy: the final response is a failure.
     Fail,
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -119,8 +119,8 @@
     fn carry_out(self: &Arc<Self>, inner: &mut Inner, action: Action) {
         match action {
             Action::Send { request, worker, .. } => inner.deliver(request, RequestEvent::Dispatch { worker }),
-            Action::Reject { request, retry_after, .. } => {
-                inner.deliver(request, RequestEvent::Reject { retry_after });
+            Action::Reject { request, retry_after, reason } => {
+                inner.deliver(request, RequestEvent::Reject { retry_after, reason });
             }
             Action::Fail { request } => inner.deliver(request, RequestEvent::Fail),
             Action::Cancel { request, attempt } => inner.deliver(request, RequestEvent::Cancel { attempt }),
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
-    AttemptOutcome, IncomingRequest, Micros, Outcome, RequestId, SECOND, WorkerId,
+    AttemptOutcome, IncomingRequest, Micros, Outcome, Rejection, RequestId, SECOND, WorkerId,
 };
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
@@ -15,8 +15,9 @@
 
 use crate::clock::from_now;
 use crate::context::ProxyContext;
+use crate::event_recorder::rejection_name;
 use crate::invariant;
-use crate::invariant::note;
+use crate::invariant::{Subject, note_of};
 use crate::messages::{
     AdmissionRequest, AttemptCompletion, AttemptTarget, CancellationOutcome, DispatchControl, DispatchResult,
     FinalResponse, RequestEvent, UpstreamRequest, WorkerEvent,
@@ -57,8 +58,9 @@
     let (event_sender, events) = mpsc::unbounded_channel();
     let (response_sender, response) = oneshot::channel();
     let AdmissionRequest { request, deadline, upstream_request } = admission;
-    let class = context.settings.classes.get(request.class as usize).map_or("", String::as_str);
-    let span = info_span!("request", request_id = upstream_request.id, class);
+    let class = class_name(context, &request);
+    // Not within the connection's span: the request outlives the connection.
+    let span = info_span!(parent: None, "request", request_id = upstream_request.id, class);
     let task = RequestTask {
         context: Arc::clone(context),
         request,
@@ -76,6 +78,11 @@
     ResponseHandle { response, events: event_sender }
 }
 
+/// The name of a request's class.
+fn class_name<'a>(context: &'a ProxyContext, request: &IncomingRequest) -> &'a str {
+    context.settings.classes.get(request.class as usize).map_or("", String::as_str)
+}
+
 /// One attempt of a request at a worker.
 struct Attempt {
     target: AttemptTarget,
@@ -175,7 +182,7 @@
     fn handle_event(&mut self, event: RequestEvent) {
         match event {
             RequestEvent::Dispatch { worker } => self.start_attempt(worker),
-            RequestEvent::Reject { retry_after } => self.respond(FinalResponse::Rejected { retry_after }),
+            RequestEvent::Reject { retry_after, reason } => self.reject(retry_after, &reason),
             RequestEvent::Fail => self.respond(FinalResponse::Failed),
             RequestEvent::Cancel { attempt } => self.cancel_attempt(attempt),
             RequestEvent::Worker { worker, event } => self.handle_worker_event(worker, event),
@@ -183,6 +190,17 @@
         }
     }
 
+    /// Responds with a rejection. A class that no worker serves is a fault of lists or configuration, and logged.
+    fn reject(&mut self, retry_after: Micros, reason: &Rejection) {
+        debug!(reason = rejection_name(reason), "request rejected");
+        if *reason == Rejection::NoEligibleWorker {
+            let subject =
+                Subject { class: Some(class_name(&self.context, &self.request)), ..Subject::default() };
+            note_of("no worker is eligible", "the request was rejected", subject);
+        }
+        self.respond(FinalResponse::Rejected { retry_after });
+    }
+
     /// Starts the next attempt, or ends it as superseded where none may be sent any more.
     fn start_attempt(&mut self, worker: WorkerId) {
         let number = self.attempts.len() as u32;
@@ -320,7 +338,11 @@
         let worker = attempt.target.worker;
         let elapsed = self.context.clock.now().saturating_sub(attempt.sent_at);
         let AttemptCompletion { outcome, result, load_report } = completion;
-        debug!(attempt = number, ?outcome, elapsed_us = elapsed, "attempt ended");
+        let worker_name = self.context.upstream.worker_name(worker);
+        debug!(attempt = number, worker = &*worker_name, ?outcome, elapsed_us = elapsed, "attempt ended");
+        if let Some(counter) = failure_counter(outcome) {
+            note_of(counter, &format!("after {} ms", elapsed / 1_000), self.subject(&worker_name));
+        }
         if outcome == Outcome::Served {
             self.respond(FinalResponse::Served(result.unwrap_or_default()));
         }
@@ -376,7 +398,17 @@
         if completion.outcome == CancellationOutcome::Acknowledged || has_ended {
             self.finish_attempt(number, Outcome::Cancelled.into());
         } else {
-            note("a cancellation was not acknowledged", "the request stays at its worker");
+            let worker_name = self.context.upstream.worker_name(attempt.target.worker);
+            let subject = self.subject(&worker_name);
+            note_of("a cancellation was not acknowledged", "the request stays at its worker", subject);
+        }
+    }
+
+    fn subject<'a>(&'a self, worker_name: &'a str) -> Subject<'a> {
+        Subject {
+            worker: Some(worker_name),
+            class: Some(class_name(&self.context, &self.request)),
+            peer: None,
         }
     }
 
@@ -394,6 +426,17 @@
     }
 }
 
+/// The counter of attempts that a worker failed in this way; none for outcomes that are no failure of the worker.
+fn failure_counter(outcome: Outcome) -> Option<&'static str> {
+    match outcome {
+        Outcome::TimedOut => Some("an attempt timed out"),
+        Outcome::ConnectFailed => Some("a worker was not reached"),
+        Outcome::Reset => Some("a connection broke under an attempt"),
+        Outcome::Error => Some("a worker failed an attempt"),
+        Outcome::Served | Outcome::Rejected | Outcome::Cancelled | Outcome::Superseded => None,
+    }
+}
+
 /// The attempt of a number, if it has not ended.
 fn in_flight(attempts: &mut [Attempt], number: u32) -> Option<&mut Attempt> {
     attempts.get_mut(number as usize).filter(|attempt| attempt.is_in_flight)
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use tokio::time::Instant;
 
-use crate::invariant::note;
+use crate::invariant::{Subject, note_of};
 use crate::upstream::http::guarded_body::GuardedBody;
 use crate::upstream::http::limits::{idle_timeout, max_idle_per_worker};
 use crate::upstream::http::request::may_run_anywhere;
@@ -119,9 +119,12 @@
             }
             ConnectionUse::Broken if previous_use.is_some() => {
                 reuse.suspended_until = Some(now + Duration::from_micros(REUSE_SUSPENSION));
-                note(
+                let worker_address = remote_address(connection).map(|address| address.to_string());
+                let subject = Subject { peer: worker_address.as_deref(), ..Subject::default() };
+                note_of(
                     "a kept connection broke under its next request",
-                    "jobs that may not go anywhere get new ones",
+                    "requests that may not run at any worker get new connections",
+                    subject,
                 );
             }
             ConnectionUse::Broken => {}
@@ -154,6 +157,10 @@
 }
 
 /// The local address of the connection that a request went out on, which names the connection.
+fn remote_address(connection: &CaptureConnection) -> Option<SocketAddr> {
+    connection_extras(connection)?.get().map(HttpInfo::remote_addr)
+}
+
 fn local_address(connection: &CaptureConnection) -> Option<SocketAddr> {
     connection_extras(connection)?.get().map(HttpInfo::local_addr)
 }
--- a/crates/scheduler/tests/standalone.rs
+++ b/crates/scheduler/tests/standalone.rs
@@ -5,6 +5,8 @@
 use std::time::Duration;
 
 use sockets::{FakeServer, Scheduler, reserve_address};
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 /// A callback's fields: the job is done.
@@ -209,6 +211,46 @@
     assert_eq!((&dispatch["span"]["worker"], &dispatch["spans"][0]["class"]), (&"r0".into(), &"once".into()));
 }
 
+/// The next line of the log.
+async fn next_log_event(scheduler: &mut Scheduler) -> serde_json::Value {
+    serde_json::from_str(&scheduler.next_line().await).expect("a JSON line")
+}
+
+#[tokio::test]
+async fn a_warning_names_the_worker_the_class_and_the_peer() {
+    let mut one = FakeServer::start().await;
+    let at = one.address;
+    let mut scheduler =
+        Scheduler::standalone(|listen| config_with_workers(listen, &[("serving", at)]), &[]).await;
+    let mut client = scheduler.client().await;
+    client.send_request("once", 1, 400).await;
+    let _unanswered = one.next_request().await;
+    let event = next_log_event(&mut scheduler).await;
+    assert_eq!(event["message"], "an attempt timed out");
+    assert_eq!((&event["worker"], &event["class"]), (&"r0".into(), &"once".into()));
+
+    let mut peer = TcpStream::connect(scheduler.address).await.expect("it connects");
+    let without_id = b"POST /once/1 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
+    peer.write_all(without_id).await.expect("it is sent");
+    let event = next_log_event(&mut scheduler).await;
+    assert_eq!((&event["message"], &event["class"]), (&"bad request".into(), &"once".into()));
+    let address = peer.local_addr().expect("an address").to_string();
+    assert_eq!(event["span"]["peer"], address.as_str());
+}
+
+#[tokio::test]
+async fn a_rejection_for_want_of_workers_is_warned_of_with_its_class() {
+    let one = FakeServer::start().await;
+    let at = one.address;
+    let mut scheduler =
+        Scheduler::standalone(|listen| config_with_workers(listen, &[("draining", at)]), &[]).await;
+    let mut client = scheduler.client().await;
+    client.send_request("once", 1, 3000).await;
+    assert_eq!(client.next_response().await.expect("an answer").status(), 503);
+    let event = next_log_event(&mut scheduler).await;
+    assert_eq!((&event["message"], &event["class"]), (&"no worker is eligible".into(), &"once".into()));
+}
+
 /// Its pipe fills up.
 #[tokio::test]
 async fn a_log_that_nobody_reads_neither_blocks_nor_ends_the_program() {
