--- a/crates/config/src/describe/reference_page.rs
+++ b/crates/config/src/describe/reference_page.rs
@@ -13,7 +13,7 @@
 Each value comes from the last of these that sets it: the built-in default, the file (TOML), the
 environment, flags. A variable's name is `COPPERSPREAD_` and the key in capitals with `__` for each
 dot: `COPPERSPREAD_LIMITS__MEMORY=\"64 MB\"`. A flag is `--set limits.memory=\"64 MB\"`. A list is set
-as a whole. Unknown keys are refused.
+as a whole. Unknown keys are an error.
 
 Spans of time are texts such as `\"250ms\"` or `\"1m 30s\"`, sizes such as `\"192 MB\"` or `\"64 KiB\"`.
 ";
--- a/crates/config/src/types/classes.rs
+++ b/crates/config/src/types/classes.rs
@@ -11,13 +11,13 @@
 pub struct Class {
     /// The first part of the path of its requests.
     pub name: String,
-    /// Full worth is earned by an answer within this time plus the stretch.
+    /// Full worth is earned by a response within this time plus the stretch.
     #[serde(default = "default_aim")]
     pub aim: HumanDuration,
     /// The aim grows by this many times the job's own running time.
     #[serde(default)]
     pub stretch: f64,
-    /// The client gives up after this time, over all its tries.
+    /// The client gives up after this time, over all its attempts.
     #[serde(default = "default_deadline")]
     pub deadline: HumanDuration,
     /// What one unit of this class is worth.
--- a/crates/config/src/types/dispatch.rs
+++ b/crates/config/src/types/dispatch.rs
@@ -11,9 +11,9 @@
 pub struct AttemptConfig {
     /// The most attempts that one request may have.
     pub most: u32,
-    /// Two attempts of one request may be out together, where its class may be repeated.
+    /// Two attempts of one request may be in flight at once (hedging), where its class may be repeated.
     pub second_copies: bool,
-    /// An attempt may be called off at the worker.
+    /// An attempt may be cancelled at the worker.
     pub may_cancel: bool,
 }
 
--- a/crates/config/src/types/downstream.rs
+++ b/crates/config/src/types/downstream.rs
@@ -19,11 +19,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct HttpFront")]
 pub struct HttpDownstreamConfig {
-    /// Address and port for clients and for workers' call-backs.
+    /// Address and port for clients and for workers' callbacks.
     #[serde(deserialize_with = "deserialize_listen_address")]
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// The longest `Retry-After` that a refusal names.
+    /// The longest `Retry-After` that a rejection names.
     pub max_retry_after: HumanDuration,
 }
 
--- a/crates/config/src/types/mod.rs
+++ b/crates/config/src/types/mod.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// The scheduler's name, in logs and records.
+    /// The scheduler's name, in log and event log.
     pub name: String,
     /// Seed of all chance; absent, each start draws one.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -52,7 +52,7 @@
     pub limits: ResourceLimits,
     /// The log, on standard error.
     pub log: LogConfig,
-    /// The record of what happened.
+    /// The event log: what happened.
     pub records: EventLogConfig,
     /// Classes of jobs. A request's class is the first part of its path.
     pub classes: Vec<Class>,
--- a/crates/config/src/types/process.rs
+++ b/crates/config/src/types/process.rs
@@ -51,18 +51,18 @@
     Json,
 }
 
-/// The record of what happened.
+/// The event log: what happened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Records")]
 pub struct EventLogConfig {
-    /// The file that records are added to; absent, none are kept.
+    /// The file that events are appended to; absent, there is no event log.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub file: Option<PathBuf>,
-    /// A file of this size is put aside as `FILE.1` and a new one begun; at least 64 KiB.
+    /// A file of this size is rotated to `FILE.1` and a new one begun; at least 64 KiB.
     pub rotate_at: HumanSize,
-    /// How many files put aside are kept; at least 1.
+    /// How many rotated files are kept; at least 1.
     pub keep: u32,
-    /// How many records may wait to be written. Past that they are dropped, counted and told as a gap.
+    /// How many events may wait to be written. Past that they are dropped, counted and reported as a gap.
     pub queue: u32,
 }
 
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -3,7 +3,7 @@
 
 use clap::{Parser, Subcommand};
 
-/// Pushes jobs to workers: to the one with the lowest estimated finish time, or refuses on arrival.
+/// Forwards requests to workers: each to the one with the lowest estimated finish time, or rejects it on arrival.
 #[derive(Debug, Parser)]
 #[command(name = "copperspread-scheduler", version, arg_required_else_help = false)]
 #[command(after_help = "With no command, EDGE_CONFIG must name the platform's configuration.")]
@@ -28,7 +28,7 @@
     #[cfg(feature = "standalone")]
     #[command(subcommand)]
     Config(ConfigDescription),
-    /// Read records
+    /// Read event logs
     #[cfg(feature = "standalone")]
     #[command(subcommand)]
     Records(EventLogCommand),
@@ -38,7 +38,7 @@
         /// The shell
         shell: clap_complete::Shell,
     },
-    /// Run a toy real server on 127.0.0.1:9001, and its discovery on 127.0.0.1:8500
+    /// Run a toy worker on 127.0.0.1:9001, and its discovery on 127.0.0.1:8500
     #[cfg(feature = "toy")]
     Toy {
         /// The scheduler to call back
@@ -50,35 +50,35 @@
 #[cfg(feature = "standalone")]
 #[derive(Debug, Subcommand)]
 pub(crate) enum EventLogCommand {
-    /// Print the records as they are, without what is no record; what is missing goes to standard error
+    /// Print the events as they are, without lines that are no events; what is missing goes to standard error
     Cat {
         /// The file
         file: PathBuf,
-        /// Only those that name this flow
+        /// Only those of the request with this id
         #[arg(long = "flow", value_name = "FLOW")]
         request_id: Option<String>,
-        /// The files put aside before it too, oldest first
+        /// The files that were rotated too, oldest first
         #[arg(long = "all")]
         with_rotated: bool,
     },
-    /// Sum those of many schedulers by time and by worker, as `serve --records` kept them
+    /// Sum the events of one or many schedulers by time and by worker
     Fleet {
-        /// The files, or folders of files, one a scheduler; other lines in them are passed over
+        /// The files, or folders of files, one a scheduler; other lines in them are skipped
         #[arg(required = true)]
         files: Vec<PathBuf>,
         /// Seconds that are summed in one line
         #[arg(long = "window", default_value_t = 5, value_name = "WINDOW")]
         #[arg(value_parser = clap::value_parser!(u64).range(1..))]
         window_seconds: u64,
-        /// Workers that are told of, those with the most jobs out at once first
+        /// How many workers are listed, those with the most attempts in flight first
         #[arg(long = "workers", default_value_t = 20, value_name = "WORKERS")]
         max_workers: usize,
     },
-    /// Sum them up: runs, gaps, disorder, and what clients got
+    /// Sum the events up: runs, gaps, disorder, and what clients got
     Stat {
         /// The file
         file: PathBuf,
-        /// The files put aside before it too, oldest first
+        /// The files that were rotated too, oldest first
         #[arg(long = "all")]
         with_rotated: bool,
     },
@@ -93,11 +93,11 @@
     #[cfg(feature = "standalone")]
     #[arg(long = "config", env = "COPPERSPREAD_CONFIG", value_name = "FILE")]
     pub(crate) config_file: Option<PathBuf>,
-    /// Run a toy real server too, in place of the first worker of the static list
+    /// Run a toy worker too, in place of the first worker of the static list
     #[cfg(feature = "toy")]
     #[arg(long = "toy")]
     pub(crate) with_toy_worker: bool,
-    /// Keep records in a file, or `-` on standard error, whatever the configuration says
+    /// Write the event log to a file, or `-` for standard error, whatever the configuration says
     #[arg(long = "records", value_name = "FILE")]
     pub(crate) event_log_file: Option<PathBuf>,
 }
--- a/crates/scheduler/src/serve/bounded_end.rs
+++ b/crates/scheduler/src/serve/bounded_end.rs
@@ -5,7 +5,7 @@
 
 /// Kept of the time up to the exit for the last lines of the log.
 const LOG_TIME: Duration = Duration::from_millis(50);
-/// Kept for the event log's last records, before that. Only membership ends before the event log.
+/// Kept for the event log's last events, before that. Only membership ends before the event log.
 #[cfg(feature = "standalone")]
 const EVENT_LOG_TIME: Duration = Duration::from_millis(100);
 /// Longest wait for the event log, also where the exit is not due yet.
