--- a/crates/scheduler/tests/wire_transcripts.rs
+++ b/crates/scheduler/tests/wire_transcripts.rs
@@ -321,12 +321,12 @@
     assert_snapshot!("records_of_each_kind", first_of_each(written.lines().chain([gap.as_str()])));
 }
 
-/// The first event of each combination of kind, choice, reason, outcome, answer and form, in this order.
+/// The first event of each combination of kind, counter, choice, reason, outcome, answer and form, in this order.
 fn first_of_each<'a>(lines: impl Iterator<Item = &'a str>) -> String {
     let mut first = BTreeMap::new();
     for line in lines {
         let record: serde_json::Value = serde_json::from_str(line).expect("JSON");
-        let named = ["kind", "choice", "why", "outcome", "answer", "form"];
+        let named = ["kind", "what", "choice", "why", "outcome", "answer", "form"];
         let key = named.map(|name| record["what"][name].to_string());
         first.entry(key).or_insert_with(|| event_line(line));
     }
