--- /dev/null
+++ b/crates/event-log/src/counter_names.rs
@@ -0,0 +1,16 @@
+//! Counters that were renamed. Older files have the old names, and a reader gives the names of today for both.
+use serde::{Deserialize, Deserializer};
+
+/// Each old name and the one that is written today.
+const RENAMED_COUNTERS: [(&str, &str); 3] = [
+    ("an action finds its flow", "an action finds its request"),
+    ("a flow has one scheduling at a real server", "a request has one attempt at a worker"),
+    ("a kept connection broke under its next request", "a reused connection broke under its request"),
+];
+
+/// Deserializes a counter's name as it is today.
+pub(crate) fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<String, D::Error> {
+    let written = String::deserialize(deserializer)?;
+    let renamed = RENAMED_COUNTERS.iter().find(|(old, _)| *old == written);
+    Ok(renamed.map_or(written, |(_, current)| (*current).to_owned()))
+}
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -17,6 +17,7 @@
 //! The log is not for recovery: it is flushed, not synced, and a crash of the machine may lose its end.
 mod batch_writer;
 mod config;
+mod counter_names;
 pub mod error;
 mod file_system;
 pub mod fleet_summary;
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -4,6 +4,8 @@
 //! it and go on. Any other change raises [`FORMAT`]. The serialized names are fixed, whatever the Rust names are.
 use serde::{Deserialize, Serialize};
 
+use crate::counter_names;
+
 /// The version of the format. A reader rejects records of a later one.
 pub const FORMAT: u32 = 1;
 
@@ -132,8 +134,8 @@
     /// A counter reached 1, 2, 4, 8 ...: of a limit, or of a peer's errors.
     #[serde(rename = "limit")]
     CounterReached {
-        /// What is counted.
-        #[serde(rename = "what")]
+        /// What is counted, by the name that the counter has today.
+        #[serde(rename = "what", deserialize_with = "counter_names::deserialize")]
         counter: String,
         /// How often so far.
         count: u64,
--- a/crates/event-log/tests/reader.rs
+++ b/crates/event-log/tests/reader.rs
@@ -51,6 +51,34 @@
     }
 }
 
+/// A scheduler's file of before the counters were renamed, with its one renamed counter.
+const FILE_WITH_OLD_COUNTER_NAME: &str = include_str!("files/renamed_counters.jsonl");
+
+fn counters(text: &str) -> Vec<String> {
+    let counter = |line| match line {
+        Line::Record(Record { event: EventKind::CounterReached { counter, .. }, .. }) => Some(counter),
+        _ => None,
+    };
+    lines(text.as_bytes()).into_iter().filter_map(counter).collect()
+}
+
+#[test]
+fn old_and_new_names_of_a_counter_are_read_as_the_new_one() {
+    let old_name = "a kept connection broke under its next request";
+    assert!(FILE_WITH_OLD_COUNTER_NAME.contains(old_name));
+    let cases = [
+        (old_name, "a reused connection broke under its request"),
+        ("an action finds its flow", "an action finds its request"),
+        ("a flow has one scheduling at a real server", "a request has one attempt at a worker"),
+    ];
+    for (old, new) in cases {
+        for written in [old, new] {
+            let text = FILE_WITH_OLD_COUNTER_NAME.replace(old_name, written);
+            assert_eq!(counters(&text), [new, "a connection broke under an attempt"], "{written}");
+        }
+    }
+}
+
 // Part of the texts that a summary prints; the names in it are older than those of the types.
 #[test]
 fn the_reasons_of_invalid_lines_keep_their_texts() {
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -1,6 +1,7 @@
 //! Invariants, which are asserted in debug builds and counted in release builds, and counters of the mistakes
 //! of peers. A counter's name is also its log message and its
-//! key in the event log, so that it stays as it was first written.
+//! key in the event log, so that it stays as it was first written; one that changes all the same is listed with its
+//! old name in the event log's `counter_names`.
 use std::collections::BTreeMap;
 use std::sync::{Mutex, OnceLock, PoisonError};
 
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -56,7 +56,7 @@
 impl Inner {
     fn deliver(&self, request: RequestId, event: RequestEvent) {
         let is_delivered = self.requests.get(&request).is_some_and(|events| events.send(event).is_ok());
-        invariant!(is_delivered, "an action finds its flow");
+        invariant!(is_delivered, "an action finds its request");
     }
 }
 
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -205,7 +205,7 @@
     fn start_attempt(&mut self, worker: WorkerId) {
         let number = self.attempts.len() as u32;
         let is_repeated = self.attempts.iter().any(|attempt| attempt.target.worker == worker);
-        invariant!(!is_repeated, "a flow has one scheduling at a real server");
+        invariant!(!is_repeated, "a request has one attempt at a worker");
         let target = self.context.upstream.target(worker);
         let is_at_same_address = self.has_attempt_at(&target);
         let abort = CancellationToken::new();
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -122,7 +122,7 @@
                 let worker_address = remote_address(connection).map(|address| address.to_string());
                 let subject = Subject { peer: worker_address.as_deref(), ..Subject::default() };
                 note_of(
-                    "a kept connection broke under its next request",
+                    "a reused connection broke under its request",
                     "requests that may not run at any worker get new connections",
                     subject,
                 );
--- a/crates/scheduler/src/toy_worker.rs
+++ b/crates/scheduler/src/toy_worker.rs
@@ -83,7 +83,10 @@
         let request = hyper::Request::post(uri).body(Full::from(body)).expect("a valid request");
         match self.client.request(request).await {
             Ok(response) => debug!(status = response.status().as_u16(), "toy worker's callback was answered"),
-            Err(error) => warn!(%error, "toy worker's callback failed"),
+            Err(error) => {
+                let (worker, scheduler) = (&*self.name, self.scheduler);
+                warn!(%error, worker, %scheduler, "toy worker's callback failed");
+            }
         }
     }
 }
