--- a/crates/scheduler/tests/cancellation_races.rs
+++ b/crates/scheduler/tests/cancellation_races.rs
@@ -67,6 +67,18 @@
         write(&mut self.connection, ACCEPTED_AND_CLOSED).await;
         assert_eq!(read_to_end(&mut self.connection).await, "");
     }
+    /// Accepts the request, and reads the cancellation on the same connection.
+    async fn accept_until_cancelled(&mut self) {
+        write(&mut self.connection, ACCEPTED).await;
+        let message = next_message(&mut self.connection).await.expect("a cancellation");
+        self.assert_cancels(&message);
+    }
+    /// Reads the cancellation on a new connection to the first worker.
+    async fn next_cancellation(&self) -> Connection {
+        let (connection, message) = self.first.next_request().await;
+        self.assert_cancels(&message);
+        connection
+    }
     fn assert_cancels(&self, message: &Message) {
         assert_eq!(message.first_line, format!("DELETE /jobs/{} HTTP/1.1", self.id));
     }
@@ -99,8 +111,7 @@
     moving.first.wait_for_connect().await;
     moving.assert_other_idle().await;
     drop((queued, moving.first.accept().await));
-    let (mut connection, message) = moving.first.next_request().await;
-    moving.assert_cancels(&message);
+    let mut connection = moving.next_cancellation().await;
     moving.assert_other_idle().await;
     write(&mut connection, CANCELLED).await;
     moving.expect_served_by_other().await;
@@ -121,9 +132,7 @@
 async fn a_request_stays_where_its_cancellation_is_not_answered() {
     let workers = [RawWorker::new(), RawWorker::new()];
     let mut moving = Moving::start(&workers).await;
-    write(&mut moving.connection, ACCEPTED).await;
-    let message = next_message(&mut moving.connection).await.expect("a cancellation");
-    moving.assert_cancels(&message);
+    moving.accept_until_cancelled().await;
     // Longer than the wait for the acknowledgement.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     moving.assert_other_idle().await;
@@ -134,9 +143,7 @@
 async fn a_cancellation_that_breaks_with_its_pooled_connection_is_sent_again() {
     let workers = [RawWorker::new(), RawWorker::new()];
     let mut moving = Moving::start(&workers).await;
-    write(&mut moving.connection, ACCEPTED).await;
-    let message = next_message(&mut moving.connection).await.expect("a cancellation");
-    moving.assert_cancels(&message);
+    moving.accept_until_cancelled().await;
     moving.connection.get_mut().set_zero_linger().expect("an option");
     let Moving { connection, .. } = moving;
     drop(connection);
@@ -151,8 +158,7 @@
     let workers = [RawWorker::new(), RawWorker::new()];
     let mut moving = Moving::start(&workers).await;
     assert_eq!(read_to_end(&mut moving.connection).await, "", "it is closed");
-    let (mut connection, message) = moving.first.next_request().await;
-    moving.assert_cancels(&message);
+    let mut connection = moving.next_cancellation().await;
     assert!(timeout(Duration::from_millis(100), moving.other.accept()).await.is_err(), "two at once");
     write(&mut connection, CANCELLED).await;
     moving.expect_served_by_other().await;
@@ -187,9 +193,7 @@
 async fn a_result_that_crosses_the_cancellation_is_the_final_response() {
     let workers = [RawWorker::new(), RawWorker::new()];
     let mut moving = Moving::start(&workers).await;
-    write(&mut moving.connection, ACCEPTED).await;
-    let message = next_message(&mut moving.connection).await.expect("a cancellation");
-    moving.assert_cancels(&message);
+    moving.accept_until_cancelled().await;
     assert_eq!(moving.scheduler.call_back(&moving.id, moving.first_name, DONE).await, 204);
     assert_eq!(moving.client.next_response().await.expect("an answer").status(), 200);
     write(&mut moving.connection, CANCELLED).await;
@@ -205,8 +209,7 @@
         moving.scheduler.call_back(&moving.id, moving.first_name, r#""state":"running","share":0"#).await,
         204
     );
-    let (mut connection, message) = moving.first.next_request().await;
-    moving.assert_cancels(&message);
+    let mut connection = moving.next_cancellation().await;
     moving.assert_other_idle().await;
     write(&mut connection, CANCELLED).await;
     moving.expect_served_by_other().await;
@@ -224,8 +227,7 @@
         "",
         &endpoint_list(6, false, &[change]),
     );
-    let (mut connection, message) = moving.first.next_request().await;
-    moving.assert_cancels(&message);
+    let mut connection = moving.next_cancellation().await;
     write(&mut connection, CANCELLED).await;
     moving.expect_served_by_other().await;
 }
@@ -241,8 +243,7 @@
     for _ in 0..100 {
         crowd.push(moving.scheduler.client().await);
     }
-    let (mut connection, message) = moving.first.next_request().await;
-    moving.assert_cancels(&message);
+    let mut connection = moving.next_cancellation().await;
     write(&mut connection, CANCELLED).await;
     moving.expect_served_by_other().await;
 }
