--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -42,10 +42,8 @@
 //! # Ok::<(), copperspread_dispatcher::SettingsError>(())
 //! ```
 mod actions;
-mod average;
 mod endpoints;
 mod events;
-mod local_load;
 mod outcomes;
 mod policy;
 mod requests;
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -1,10 +1,10 @@
 //! Load shedding: while slots are scarce, requests of least weight are rejected, as else all would be late.
 //! And the end of rejecting everything: after a streak of rejections one request is attempted all the same.
+use super::average::EventRate;
 use super::request::Request;
 use crate::Micros;
 use crate::SECOND;
 use crate::Settings;
-use crate::average::EventRate;
 
 /// Slots are scarce when the fraction taken is above this and one request a worker: few slots see queues too.
 const OVERLOAD_THRESHOLD: f64 = 0.9;
--- a/crates/dispatcher/src/average.rs
+++ b/crates/dispatcher/src/policy/average.rs
@@ -1,32 +1,32 @@
-//! Moving averages and sums. Nothing here decides: weights and windows come from the policy.
+//! Moving averages and sums. Nothing here decides: weights and windows come from the rules.
+use crate::Micros;
+use crate::time::to_seconds;
 use std::collections::VecDeque;
 
-use crate::time::{Micros, to_seconds};
-
 /// Moves an exponential moving average toward a sample, which counts with this weight.
-pub(crate) fn move_average(average: &mut f64, sample: f64, weight: f64) {
+pub(super) fn move_average(average: &mut f64, sample: f64, weight: f64) {
     *average += (sample - *average) * weight;
 }
 
 /// The mean of two figures by their weights.
-pub(crate) fn weighted_mean(first: f64, first_weight: f64, second: f64, second_weight: f64) -> f64 {
+pub(super) fn weighted_mean(first: f64, first_weight: f64, second: f64, second_weight: f64) -> f64 {
     (first_weight * first + second_weight * second) / (first_weight + second_weight)
 }
 
 /// A moving average of logarithms, so that one odd sample moves it little.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct LogAverage {
+pub(super) struct LogAverage {
     /// The average of the samples' logarithms.
-    pub(crate) log_mean: f64,
+    pub(super) log_mean: f64,
     /// How many samples it rests on, up to the inverse of the least weight given.
-    pub(crate) samples: f64,
+    pub(super) samples: f64,
     /// When the last sample came.
-    pub(crate) updated_at: Micros,
+    pub(super) updated_at: Micros,
 }
 
 impl LogAverage {
     /// Adds a sample, given as its logarithm; the first ones count alike, later ones with `min_weight`.
-    pub(crate) fn add(&mut self, log_sample: f64, min_weight: f64, now: Micros) {
+    pub(super) fn add(&mut self, log_sample: f64, min_weight: f64, now: Micros) {
         self.samples += 1.0;
         self.log_mean += (log_sample - self.log_mean) * min_weight.max(1.0 / self.samples);
         self.samples = self.samples.min(1.0 / min_weight);
@@ -34,41 +34,44 @@
     }
 }
 
+/// Lowest expected average by which is divided.
+const MIN_EXPECTED: f64 = 1e-3;
+
 /// The ratio of two moving averages.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AverageRatio {
+pub(super) struct AverageRatio {
     observed: f64,
     expected: f64,
 }
 
 impl AverageRatio {
     /// Starts both averages at one figure.
-    pub(crate) fn starting_at(figure: f64) -> Self {
+    pub(super) fn starting_at(figure: f64) -> Self {
         AverageRatio { observed: figure, expected: figure }
     }
 
     /// Adds a sample to each average.
-    pub(crate) fn add(&mut self, observed: f64, expected: f64, weight: f64) {
+    pub(super) fn add(&mut self, observed: f64, expected: f64, weight: f64) {
         move_average(&mut self.observed, observed, weight);
         move_average(&mut self.expected, expected, weight);
     }
 
     /// The ratio, at most `max` and at least its inverse.
-    pub(crate) fn ratio(&self, max: f64) -> f64 {
-        (self.observed / self.expected.max(1e-3)).clamp(1.0 / max, max)
+    pub(super) fn ratio(&self, max: f64) -> f64 {
+        (self.observed / self.expected.max(MIN_EXPECTED)).clamp(1.0 / max, max)
     }
 }
 
 /// Events a second, as an exponentially decaying average.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct EventRate {
+pub(super) struct EventRate {
     per_second: f64,
     measured_at: Micros,
 }
 
 impl EventRate {
     /// Adds an event and gives the rate now; earlier events fade over the window.
-    pub(crate) fn add_event(&mut self, now: Micros, window_seconds: f64) -> f64 {
+    pub(super) fn add_event(&mut self, now: Micros, window_seconds: f64) -> f64 {
         let elapsed = to_seconds(now.saturating_sub(self.measured_at));
         self.per_second = self.per_second * (-elapsed / window_seconds).exp() + 1.0 / window_seconds;
         self.measured_at = now;
@@ -78,7 +81,7 @@
 
 /// A sum over a sliding window, kept in steps so that its cost does not grow with the number of amounts.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SlidingWindowSum {
+pub(super) struct SlidingWindowSum {
     steps: VecDeque<WindowStep>,
 }
 
@@ -91,7 +94,7 @@
 
 impl SlidingWindowSum {
     /// Adds an amount that counts for one window of `steps` steps from the end of the present step.
-    pub(crate) fn add(&mut self, now: Micros, window: Micros, steps: Micros, amount: f64) {
+    pub(super) fn add(&mut self, now: Micros, window: Micros, steps: Micros, amount: f64) {
         let step = (window / steps).max(1);
         let expires_at = (now / step + 1) * step + window;
         match self.steps.back_mut().filter(|last| last.expires_at == expires_at) {
@@ -104,7 +107,11 @@
     }
 
     /// The sum of the amounts that still count after `instant`.
-    pub(crate) fn sum_after(&self, instant: Micros) -> f64 {
+    pub(super) fn sum_after(&self, instant: Micros) -> f64 {
         self.steps.iter().filter(|step| step.expires_at > instant).map(|step| step.amount).sum()
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/average.rs"]
+mod tests;
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -1,7 +1,7 @@
 //! The time that a client spent on a request before this dispatcher saw it.
+use super::average::move_average;
 use crate::Micros;
 use crate::RequestClass;
-use crate::average::move_average;
 use crate::time::to_seconds;
 
 /// Weight of one request in the fraction of those that arrive when their whole objective seems spent.
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -1,9 +1,9 @@
 //! Listed load: where a worker's listed size falls with its load, it shows what all dispatchers have there.
+use super::average::move_average;
 use super::figures::MAX_FIGURE;
 use super::figures::validated;
 use super::remote_slots::RemoteSlots;
 use crate::Micros;
-use crate::average::move_average;
 use crate::time::to_seconds;
 
 /// Most that a listed size shows of what a worker holds, in times its slots.
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -1,11 +1,11 @@
 //! Load reports: what the other dispatchers have at the workers, by the workers' own reports.
+use super::average::AverageRatio;
+use super::average::move_average;
 use super::figures::MAX_FIGURE;
 use super::figures::SLOW_GAIN;
 use super::remote_slots::RemoteSlots;
 use crate::LoadReport;
 use crate::Micros;
-use crate::average::AverageRatio;
-use crate::average::move_average;
 use crate::time::to_seconds;
 
 /// Fraction of slots taken before any report has come.
--- a/crates/dispatcher/src/local_load.rs
+++ b/crates/dispatcher/src/policy/local_load.rs
@@ -1,16 +1,15 @@
 //! The attempts that this dispatcher has at one worker. Bookkeeping only: nothing here decides.
+use crate::Micros;
+use crate::RequestId;
 use std::collections::VecDeque;
 
-use crate::requests::RequestId;
-use crate::time::Micros;
-
 /// One attempt in flight.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct InFlightAttempt {
-    pub(crate) request: RequestId,
-    pub(crate) attempt: u32,
-    pub(crate) slots: f64,
-    pub(crate) sent_at: Micros,
+pub(super) struct InFlightAttempt {
+    pub(super) request: RequestId,
+    pub(super) attempt: u32,
+    pub(super) slots: f64,
+    pub(super) sent_at: Micros,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +20,7 @@
 
 /// Attempts in flight and completed lately, with their slots.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LocalLoad {
+pub(super) struct LocalLoad {
     local_slots_in_use: f64,
     /// In the order of sending.
     in_flight: Vec<InFlightAttempt>,
@@ -31,23 +30,23 @@
 
 impl LocalLoad {
     /// Slots of the attempts in flight.
-    pub(crate) fn slots_in_use(&self) -> f64 {
+    pub(super) fn slots_in_use(&self) -> f64 {
         self.local_slots_in_use
     }
 
     /// Whether no attempt is in flight.
-    pub(crate) fn is_idle(&self) -> bool {
+    pub(super) fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
     /// Adds an attempt that was sent.
-    pub(crate) fn add(&mut self, attempt: InFlightAttempt) {
+    pub(super) fn add(&mut self, attempt: InFlightAttempt) {
         self.local_slots_in_use += attempt.slots;
         self.in_flight.push(attempt);
     }
 
     /// Moves an attempt to those that completed, which are kept for a while.
-    pub(crate) fn complete(&mut self, request: RequestId, attempt: u32, now: Micros, keep_for: Micros) {
+    pub(super) fn complete(&mut self, request: RequestId, attempt: u32, now: Micros, keep_for: Micros) {
         let is_it = |other: &InFlightAttempt| (other.request, other.attempt) == (request, attempt);
         if let Some(at) = self.in_flight.iter().position(is_it) {
             let attempt = self.in_flight.remove(at);
@@ -61,9 +60,13 @@
     }
 
     /// Slots of the attempts that were in flight at an earlier instant.
-    pub(crate) fn slots_at(&self, instant: Micros) -> f64 {
+    pub(super) fn slots_at(&self, instant: Micros) -> f64 {
         let completed = self.completed.iter().filter(|end| end.completed_at >= instant);
         let attempts = self.in_flight.iter().chain(completed.map(|end| &end.attempt));
         attempts.filter(|attempt| attempt.sent_at <= instant).map(|attempt| attempt.slots).sum()
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/local_load.rs"]
+mod tests;
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -6,6 +6,7 @@
 //! each what it needs of another.
 mod admission;
 mod affinity;
+mod average;
 mod dispatcher;
 mod endpoint_subscription;
 mod estimates;
@@ -15,6 +16,7 @@
 mod listed_load;
 mod load_queries;
 mod load_reports;
+mod local_load;
 mod offered_load;
 mod outlier_detection;
 mod remote_slots;
--- a/crates/dispatcher/src/policy/offered_load.rs
+++ b/crates/dispatcher/src/policy/offered_load.rs
@@ -1,7 +1,7 @@
 //! The mean of the requests that this dispatcher is offered.
+use super::average::move_average;
 use super::figures::GROUP_GAIN;
 use super::figures::SLOW_GAIN;
-use crate::average::move_average;
 
 /// Mean work and slots of the offered requests.
 #[derive(Clone, Debug)]
--- a/crates/dispatcher/src/policy/outlier_detection.rs
+++ b/crates/dispatcher/src/policy/outlier_detection.rs
@@ -1,9 +1,9 @@
 //! Outlier detection: workers whose attempts fail are ranked down, never ejected.
+use super::average::move_average;
 use super::figures::SLOW_GAIN;
 use super::request::Attempt;
 use crate::Micros;
 use crate::Outcome;
-use crate::average::move_average;
 use crate::time::to_seconds;
 
 /// Weight of one outcome in a worker's failure rate.
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -1,12 +1,12 @@
 //! Service-time estimates, and the rates and slots of workers that they rest on.
+use super::average::LogAverage;
+use super::average::move_average;
+use super::average::weighted_mean;
 use super::figures::GROUP_GAIN;
 use super::figures::SLOW_GAIN;
 use super::remote_slots::RemoteSlots;
 use crate::Micros;
 use crate::RequestClass;
-use crate::average::LogAverage;
-use crate::average::move_average;
-use crate::average::weighted_mean;
 use crate::time::to_seconds;
 
 /// Weight of one sample in a worker's rate: about the last ten count.
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: what all dispatchers together may send to a worker that is warming up. The reasons and the
 //! measurements are in `docs/slow-start.md`.
+use super::average::SlidingWindowSum;
 use crate::Micros;
 use crate::Settings;
-use crate::average::SlidingWindowSum;
 use crate::time::to_seconds;
 
 /// Fraction of a slow-start budget that all may use. What one sends counts for a whole window, so that none
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -1,12 +1,12 @@
 //! The workers as discovery lists them, and this dispatcher's attempts there.
 use super::affinity::Affinity;
 use super::load_reports::ReportedLoad;
+use super::local_load::LocalLoad;
 use super::outlier_detection::FailureRates;
 use super::service_time::WorkerRate;
 use super::slow_start::WorkerSlowStart;
 use crate::Endpoint;
 use crate::WorkerState;
-use crate::local_load::LocalLoad;
 
 /// Ids are given out densely; one this far beyond the last would only ask for memory.
 const MAX_WORKER_ID_GAP: usize = 100_000;
@@ -14,8 +14,8 @@
 const MAX_GROUPS: usize = 10_000;
 
 /// What is known of a worker. What is learned of it belongs to the parts that learn it, and only they look
-/// in; it lies here so that a comparison of workers reads one place for each: a vector in each part cost 25 to
-/// 30 % more instructions a decision.
+/// in. It lies here so that a comparison of workers reads one place for each: with a vector in each part a
+/// decision took 25 to 30 % more instructions.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Worker {
     pub(super) state: WorkerState,
