--- a/crates/dispatcher/src/policy/request.rs
+++ b/crates/dispatcher/src/policy/request.rs
@@ -71,3 +71,7 @@
         self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/request.rs"]
+mod tests;
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -15,7 +15,7 @@
 
 /// What is known of a worker. What is learned of it belongs to the parts that learn it, and only they look
 /// in. It lies here so that a comparison of workers reads one place for each: with a vector in each part a
-/// decision took 25 to 30 % more instructions.
+/// decision among 10 workers took 7 %, among 1,000 workers 13 to 18 % more instructions.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Worker {
     pub(super) state: WorkerState,
--- /dev/null
+++ b/crates/dispatcher/tests/unit/request.rs
@@ -0,0 +1,47 @@
+use super::{Attempt, ProgressMark, Request};
+use crate::{Action, RequestId};
+
+const RUNNING: Option<ProgressMark> = Some(ProgressMark { at: 0, fraction_done: 0.0 });
+
+fn in_flight(worker: u32) -> Attempt {
+    Attempt { worker, is_in_flight: true, ..Attempt::default() }
+}
+
+fn request(attempts: &[Attempt]) -> Request {
+    Request { id: RequestId(7), attempts: attempts.iter().copied().collect(), ..Request::default() }
+}
+
+#[test]
+fn the_first_attempt_that_may_have_run_is_in_flight_or_not_proven_never_to_have() {
+    let never_ran = Attempt { worker: 1, never_ran: true, ..Attempt::default() };
+    let ended = Attempt { worker: 2, ..Attempt::default() };
+    let first =
+        |attempts: &[Attempt]| request(attempts).first_that_may_have_run().map(|attempt| attempt.worker);
+    assert_eq!(first(&[]), None);
+    assert_eq!(first(&[never_ran]), None);
+    assert_eq!(first(&[never_ran, ended, in_flight(3)]), Some(2));
+    assert_eq!(first(&[never_ran, in_flight(3), ended]), Some(3));
+}
+
+#[test]
+fn only_an_attempt_in_flight_has_started() {
+    let ended = Attempt { progress: RUNNING, ..Attempt::default() };
+    assert!(!request(&[]).has_started());
+    assert!(!request(&[ended, in_flight(1)]).has_started());
+    assert!(request(&[ended, Attempt { progress: RUNNING, ..in_flight(1) }]).has_started());
+}
+
+#[test]
+fn cancellations_name_the_unwanted_attempts_in_flight_by_their_numbers() {
+    let running = Attempt { progress: RUNNING, ..in_flight(2) };
+    let request = request(&[Attempt::default(), in_flight(1), running, in_flight(3)]);
+    let numbers = |actions: Vec<Action>| -> Vec<u32> {
+        let number = |action| match action {
+            Action::Cancel { request: RequestId(7), attempt } => attempt,
+            other => panic!("{other:?}"),
+        };
+        actions.into_iter().map(number).collect()
+    };
+    assert_eq!(numbers(request.cancellations(|_| true).collect()), [1, 2, 3]);
+    assert_eq!(numbers(request.cancellations(|attempt| attempt.progress.is_none()).collect()), [1, 3]);
+}
