--- a/crates/config/src/types/classes.rs
+++ b/crates/config/src/types/classes.rs
@@ -5,7 +5,7 @@
 
 use crate::units::HumanDuration;
 
-/// A class of jobs.
+/// A request class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
@@ -14,7 +14,7 @@
     /// Full worth is earned by a response within this time plus the stretch.
     #[serde(default = "default_aim")]
     pub aim: HumanDuration,
-    /// The aim grows by this many times the job's own running time.
+    /// The aim grows by this many times the request's own running time.
     #[serde(default)]
     pub stretch: f64,
     /// The client gives up after this time, over all its attempts.
@@ -65,7 +65,7 @@
     1.0
 }
 
-/// What may be repeated of a class's jobs.
+/// What may be repeated of a class's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", expecting = "enum Repeat")]
 pub enum RepeatPolicy {
--- a/crates/config/src/types/endpoints.rs
+++ b/crates/config/src/types/endpoints.rs
@@ -80,7 +80,7 @@
     pub here: String,
     /// All zones.
     pub names: Vec<String>,
-    /// What sending a job to another zone costs, as a share of the job's worth.
+    /// What sending a request to another zone costs, as a share of the request's worth.
     pub price_of_crossing: f64,
 }
 
--- a/crates/config/src/types/membership.rs
+++ b/crates/config/src/types/membership.rs
@@ -28,7 +28,7 @@
     /// The file with the key that all members share, of at least 16 bytes; a line's end after it does not count.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key_file: Option<PathBuf>,
-    /// This scheduler's region, told to its peers.
+    /// This scheduler's region, which its peers learn.
     pub region: String,
     /// Between two probes; each is of one member, all in turn.
     pub probe_interval: HumanDuration,
--- a/crates/config/src/types/mod.rs
+++ b/crates/config/src/types/mod.rs
@@ -54,7 +54,7 @@
     pub log: LogConfig,
     /// The event log: what happened.
     pub records: EventLogConfig,
-    /// Classes of jobs. A request's class is the first part of its path.
+    /// Request classes. A request's class is the first part of its path.
     pub classes: Vec<Class>,
 }
 
--- a/crates/config/src/types/upstream.rs
+++ b/crates/config/src/types/upstream.rs
@@ -9,20 +9,20 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Backs")]
 pub struct UpstreamConfig {
-    /// Workers that take a job by HTTP and call back.
+    /// Workers that take a request by HTTP and call back.
     pub http: HttpUpstreamConfig,
 }
 
-/// Workers that take a job by HTTP and call back.
+/// Workers that take a request by HTTP and call back.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct HttpBack")]
 pub struct HttpUpstreamConfig {
-    /// A connection that is not up by then has failed. A keyed job is repeated only while so much of its
+    /// A connection that is not up by then has failed. A keyed request is repeated only while so much of its
     /// `key_window`, and 50 ms, are left.
     pub connect_within: HumanDuration,
     /// Workers close a connection that has stood idle for this long.
     pub keep_idle: HumanDuration,
-    /// Workers tell when a job starts to run.
+    /// Workers call back when a request starts to run.
     pub tells_start: bool,
 }
 
