--- a/crates/scheduler/tests/slow_discovery.rs
+++ b/crates/scheduler/tests/slow_discovery.rs
@@ -89,6 +89,24 @@
     DISCOVERY_KINDS.into_iter().flat_map(|kind| MANNERS.map(|manner| (kind, manner)))
 }
 
+#[tokio::test]
+async fn an_unavailable_discovery_and_its_return_are_logged_with_its_address() {
+    let mut discovery = FakeDiscovery::unavailable("refuses").await;
+    let mut fixture = Fixture::start("pushed", &discovery).await;
+    let address = discovery.address.to_string();
+    let event: serde_json::Value =
+        serde_json::from_str(&fixture.scheduler.next_line().await).expect("a JSON line");
+    assert_eq!(event["message"], "no answer of discovery, the list stays");
+    assert_eq!(event["peer"], address.as_str());
+    discovery.recover().await;
+    let _watch = discovery.publish(7, &fixture.r0("SERVING")).await;
+    let mut event = serde_json::Value::Null;
+    while event["message"] != "discovery answers again" {
+        event = serde_json::from_str(&fixture.scheduler.next_line().await).expect("a JSON line");
+    }
+    assert_eq!((&event["peer"], &event["revision"]), (&address.as_str().into(), &7.into()));
+}
+
 // Guards against a time-out that a slow answer never meets, and against waits that add up.
 #[tokio::test]
 async fn a_slow_or_crowded_discovery_is_followed_in_time_after_a_silent_watch() {
