--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use copperspread_dispatcher::Micros;
+use copperspread_dispatcher::{Micros, SECOND};
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
@@ -27,6 +27,9 @@
     by_descriptors.min(by_memory).max(8)
 }
 
+/// A connection that has rested for less than this is not evicted for a shortage of the system's.
+const MIN_REST_BEFORE_SHORTAGE_EVICTION: Micros = 2 * SECOND;
+
 /// What a client connection does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
@@ -51,6 +54,12 @@
 }
 
 impl ConnectionEntry {
+    /// Asks the connection to close.
+    fn evict(&mut self) {
+        self.state = ConnectionState::Evicting;
+        self.eviction.notify_one();
+    }
+
     /// Connections of the lowest rank are evicted first; those of none are not.
     fn eviction_rank(&self) -> Option<u8> {
         match self.state {
@@ -103,13 +112,20 @@
         }
     }
 
-    /// Evicts a connection where the system has no descriptor for the next one, although permits are left: the
-    /// process may have fewer descriptors than its configuration says, or need more for workers than usual.
+    /// Evicts the connection that has rested for longest where the system has no descriptor for the next one, although
+    /// permits are left: the process may have fewer descriptors than its configuration says, or need more for workers
+    /// than usual. Those in use stay, as the shortage may pass.
     pub(super) fn evict_for_shortage(&self) {
         let inner = &mut *self.lock();
-        let is_evicting = inner.connections.values().any(|entry| entry.state == ConnectionState::Evicting);
-        if !is_evicting {
-            inner.evict_one();
+        if inner.connections.values().any(|entry| entry.state == ConnectionState::Evicting) {
+            return;
+        }
+        let rested = |entry: &&mut ConnectionEntry| {
+            entry.state == ConnectionState::Idle
+                && entry.since.elapsed() >= Duration::from_micros(MIN_REST_BEFORE_SHORTAGE_EVICTION)
+        };
+        if let Some(longest) = inner.connections.values_mut().filter(rested).min_by_key(|entry| entry.since) {
+            longest.evict();
         }
     }
 
@@ -154,8 +170,7 @@
             .filter(|entry| entry.eviction_rank() == Some(rank) && entry.is_past_grace())
             .min_by_key(|entry| entry.since);
         let Some(longest) = longest else { return false };
-        longest.state = ConnectionState::Evicting;
-        longest.eviction.notify_one();
+        longest.evict();
         true
     }
 }
