--- /dev/null
+++ b/crates/scheduler/tests/outer_names/collect.rs
@@ -0,0 +1,106 @@
+//! Names that stand in the source: of serde types, in literals, counters and log lines.
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+use crate::OuterName;
+use crate::macros;
+use crate::serde_types;
+use crate::tokens::{Token, tokens};
+
+/// The page by which operators read log lines.
+const OPERATING_GUIDE: &str = "docs/operating.md";
+
+/// All names in the crates' source.
+pub(crate) fn from_source(root: &Path) -> BTreeSet<OuterName> {
+    let matched = texts_that_are_matched(root);
+    let guide = read(&root.join(OPERATING_GUIDE));
+    let mut names = BTreeSet::new();
+    for (place, file) in source_files(root) {
+        let tokens = tokens(&read(&file));
+        let add = |kind, name: String| OuterName::new(kind, name, place.as_str());
+        names.extend(serde_types::names(&tokens).into_iter().map(|(kind, name)| add(kind, name)));
+        names.extend(macros::counters(&tokens).into_iter().map(|name| add("counter", name)));
+        let (words, sentences) = literals(&tokens).into_iter().partition::<Vec<_>, _>(|text| is_name(text));
+        names.extend(words.into_iter().map(|name| add("literal", name)));
+        let in_guide =
+            sentences.into_iter().filter(|text| text.contains(' ') && guide.contains(text.as_str()));
+        names.extend(in_guide.map(|text| add("text in the operating guide", text)));
+        for (message, fields) in macros::log_lines(&tokens) {
+            names.extend(message.filter(|text| matched.contains(text)).map(|text| add("log message", text)));
+            names.extend(fields.into_iter().map(|field| add("log field", field)));
+        }
+    }
+    names
+}
+
+fn read(path: &Path) -> String {
+    fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+}
+
+/// Each Rust file below the crates' `src`, with the name of its crate.
+fn source_files(root: &Path) -> Vec<(String, PathBuf)> {
+    let crates = children(&root.join("crates")).into_iter();
+    let of_crate = |folder: PathBuf| {
+        let name = folder.file_name().expect("a crate has a name").to_string_lossy().into_owned();
+        rust_files(&folder.join("src")).into_iter().map(move |file| (name.clone(), file))
+    };
+    crates.flat_map(of_crate).collect()
+}
+
+fn children(folder: &Path) -> Vec<PathBuf> {
+    let Ok(entries) = fs::read_dir(folder) else { return Vec::new() };
+    entries.map(|entry| entry.expect("the folder is readable").path()).collect()
+}
+
+fn rust_files(folder: &Path) -> Vec<PathBuf> {
+    let (folders, files): (Vec<_>, Vec<_>) = children(folder).into_iter().partition(|path| path.is_dir());
+    let files = files.into_iter().filter(|path| path.extension().is_some_and(|extension| extension == "rs"));
+    files.chain(folders.iter().flat_map(|folder| rust_files(folder))).collect()
+}
+
+/// What tests and the operating guide look for in the log, as one text.
+fn texts_that_are_matched(root: &Path) -> String {
+    let tests =
+        children(&root.join("crates")).into_iter().flat_map(|folder| rust_files(&folder.join("tests")));
+    let texts = tests.chain([root.join(OPERATING_GUIDE)]).map(|path| read(&path));
+    texts.collect()
+}
+
+/// The string literals outside of attributes that are more than punctuation.
+fn literals(tokens: &[Token]) -> Vec<String> {
+    let mut literals = Vec::new();
+    let mut position = 0;
+    while position < tokens.len() {
+        if tokens[position].is('#') {
+            position = end_of_attribute(tokens, position);
+        } else if let Token::Text(text) = &tokens[position]
+            && text.chars().any(|character| character.is_ascii_alphabetic())
+            && !is_panic_message(tokens, position)
+        {
+            literals.push(text.clone());
+        }
+        position += 1;
+    }
+    literals
+}
+
+/// The last token of an attribute that begins here; this one where none does.
+fn end_of_attribute(tokens: &[Token], position: usize) -> usize {
+    let open = position + 1 + usize::from(tokens.get(position + 1).is_some_and(|token| token.is('!')));
+    match tokens.get(open) {
+        Some(token) if token.is('[') => serde_types::closing(tokens, open),
+        _ => position,
+    }
+}
+
+/// Whether a literal could be a key, a path, a header or a value: it is one word, or part of an HTTP head.
+fn is_name(text: &str) -> bool {
+    let is_word = |character: char| character.is_ascii_alphanumeric() || "_-./:?=&".contains(character);
+    text.contains("\r\n") || text.chars().all(is_word)
+}
+
+fn is_panic_message(tokens: &[Token], position: usize) -> bool {
+    let is_call = position >= 2 && tokens[position - 1].is('(');
+    is_call && (tokens[position - 2].is_word("expect") || tokens[position - 2].is_word("expect_err"))
+}
--- /dev/null
+++ b/crates/scheduler/tests/outer_names/tokens.rs
@@ -0,0 +1,171 @@
+//! Splits Rust source into the tokens that names are collected from. Comments are dropped.
+
+/// One token.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub(crate) enum Token {
+    /// A name or keyword.
+    Identifier(String),
+    /// A string literal's value; of a byte string, its bytes as characters.
+    Text(String),
+    /// One character of punctuation.
+    Punctuation(char),
+    /// A number, character literal or lifetime, whose value does not matter here.
+    Other,
+}
+
+impl Token {
+    /// Whether it is this character of punctuation.
+    pub(crate) fn is(&self, character: char) -> bool {
+        *self == Token::Punctuation(character)
+    }
+
+    /// Whether it is this name or keyword.
+    pub(crate) fn is_word(&self, word: &str) -> bool {
+        matches!(self, Token::Identifier(name) if name == word)
+    }
+}
+
+/// The tokens of one source file.
+pub(crate) fn tokens(source: &str) -> Vec<Token> {
+    let characters: Vec<char> = source.chars().collect();
+    let mut scanner = Scanner { characters: &characters, position: 0 };
+    let mut tokens = Vec::new();
+    while scanner.position < characters.len() {
+        tokens.extend(scanner.next_token());
+    }
+    tokens
+}
+
+struct Scanner<'a> {
+    characters: &'a [char],
+    position: usize,
+}
+
+impl Scanner<'_> {
+    fn peek(&self, ahead: usize) -> Option<char> {
+        self.characters.get(self.position + ahead).copied()
+    }
+
+    fn next_token(&mut self) -> Option<Token> {
+        let character = self.peek(0)?;
+        match (character, self.peek(1)) {
+            ('/', Some('/')) => self.skip_line(),
+            ('/', Some('*')) => self.skip_block_comment(),
+            ('"', _) => return Some(self.quoted()),
+            ('\'', _) => return Some(self.character_or_lifetime()),
+            _ if character.is_whitespace() => self.position += 1,
+            _ if character.is_ascii_digit() => return Some(self.number()),
+            _ if character.is_alphanumeric() || character == '_' => return Some(self.word()),
+            _ => {
+                self.position += 1;
+                return Some(Token::Punctuation(character));
+            }
+        }
+        None
+    }
+
+    fn skip_line(&mut self) {
+        while self.peek(0).is_some_and(|character| character != '\n') {
+            self.position += 1;
+        }
+    }
+
+    fn skip_block_comment(&mut self) {
+        self.position += 2;
+        while self.peek(0).is_some() && (self.peek(0), self.peek(1)) != (Some('*'), Some('/')) {
+            self.position += 1;
+        }
+        self.position += 2;
+    }
+
+    /// A name, or a string with a prefix such as `r#"` or `b"`.
+    fn word(&mut self) -> Token {
+        let start = self.position;
+        while self.peek(0).is_some_and(|character| character.is_alphanumeric() || character == '_') {
+            self.position += 1;
+        }
+        let word: String = self.characters[start..self.position].iter().collect();
+        match (word.as_str(), self.peek(0)) {
+            ("b" | "c", Some('"')) => self.quoted(),
+            ("r" | "br" | "cr", Some('"' | '#')) => self.raw(),
+            _ => Token::Identifier(word),
+        }
+    }
+
+    fn number(&mut self) -> Token {
+        let is_part = |character: char| character.is_alphanumeric() || character == '_';
+        while self.peek(0).is_some_and(is_part) {
+            self.position += 1;
+        }
+        Token::Other
+    }
+
+    fn raw(&mut self) -> Token {
+        let mut hashes = 0;
+        while self.peek(0) == Some('#') {
+            hashes += 1;
+            self.position += 1;
+        }
+        if self.peek(0) != Some('"') {
+            return self.word();
+        }
+        self.position += 1;
+        let end: Vec<char> = std::iter::once('"').chain(std::iter::repeat_n('#', hashes)).collect();
+        let start = self.position;
+        while self.position < self.characters.len() && !self.characters[self.position..].starts_with(&end) {
+            self.position += 1;
+        }
+        let value = self.characters[start..self.position].iter().collect();
+        self.position += end.len();
+        Token::Text(value)
+    }
+
+    fn quoted(&mut self) -> Token {
+        self.position += 1;
+        let mut value = String::new();
+        while let Some(character) = self.peek(0) {
+            self.position += 1;
+            match character {
+                '"' => break,
+                '\\' => self.escape(&mut value),
+                _ => value.push(character),
+            }
+        }
+        Token::Text(value)
+    }
+
+    fn escape(&mut self, value: &mut String) {
+        let escaped = self.peek(0);
+        self.position += 1;
+        match escaped {
+            Some('n') => value.push('\n'),
+            Some('r') => value.push('\r'),
+            Some('t') => value.push('\t'),
+            Some('\n') => {
+                while self.peek(0).is_some_and(char::is_whitespace) {
+                    self.position += 1;
+                }
+            }
+            Some(other) => value.push(other),
+            None => {}
+        }
+    }
+
+    fn character_or_lifetime(&mut self) -> Token {
+        let is_character = self.peek(1) == Some('\\') || self.peek(2) == Some('\'');
+        self.position += 2;
+        if is_character {
+            // An escaped quote must not end the literal.
+            self.position += usize::from(self.peek(0) == Some('\'') && self.peek(1) == Some('\''));
+            while self.peek(0).is_some_and(|character| character != '\'') {
+                self.position += 1;
+            }
+            self.position += 1;
+        } else {
+            while self.peek(0).is_some_and(|character| character.is_alphanumeric() || character == '_') {
+                self.position += 1;
+            }
+        }
+        Token::Other
+    }
+}
