--- a/crates/scheduler/tests/outer_names/collect.rs
+++ b/crates/scheduler/tests/outer_names/collect.rs
@@ -23,9 +23,9 @@
         names.extend(macros::counters(&tokens).into_iter().map(|name| add("counter", name)));
         let (words, sentences) = literals(&tokens).into_iter().partition::<Vec<_>, _>(|text| is_name(text));
         names.extend(words.into_iter().map(|name| add("literal", name)));
-        let in_guide =
-            sentences.into_iter().filter(|text| text.contains(' ') && guide.contains(text.as_str()));
-        names.extend(in_guide.map(|text| add("text in the operating guide", text)));
+        let in_guide = sentences.into_iter().filter(|text| is_in_guide(text, &guide));
+        let errors = error_texts(&tokens).into_iter().filter(|text| error_is_in_guide(text, &guide));
+        names.extend(in_guide.chain(errors).map(|text| add("text in the operating guide", text)));
         for (message, fields) in macros::log_lines(&tokens) {
             names.extend(message.filter(|text| matched.contains(text)).map(|text| add("log message", text)));
             names.extend(fields.into_iter().map(|field| add("log field", field)));
@@ -67,6 +67,27 @@
     texts.collect()
 }
 
+/// Whether the operating guide has a sentence.
+fn is_in_guide(text: &str, guide: &str) -> bool {
+    text.contains(' ') && !text.contains('{') && guide.contains(text)
+}
+
+/// Whether the operating guide names an error by its first words, in code quotes.
+fn error_is_in_guide(text: &str, guide: &str) -> bool {
+    let constant = text.split('{').next().unwrap_or_default().trim();
+    let is_words = constant.starts_with(|first: char| first.is_ascii_lowercase());
+    is_in_guide(text, guide) || (is_words && guide.contains(&format!("`{constant}`")))
+}
+
+/// The texts of error types, as `#[error("...")]` gives them.
+fn error_texts(tokens: &[Token]) -> Vec<String> {
+    let calls = tokens.windows(3).filter_map(|window| match window {
+        [word, open, Token::Text(text)] if word.is_word("error") && open.is('(') => Some(text.clone()),
+        _ => None,
+    });
+    calls.collect()
+}
+
 /// The string literals outside of attributes that are more than punctuation.
 fn literals(tokens: &[Token]) -> Vec<String> {
     let mut literals = Vec::new();
