--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -1,4 +1,4 @@
-//! Assembles one scheduler from its startup configuration: the platform's HTTP towards clients and workers.
+//! Assembles a scheduler from its startup configuration, with HTTP as the protocol of clients and workers.
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,32 +24,32 @@
 use crate::upstream::http::HttpUpstream;
 use crate::upstream::http::callback::{CALLBACK_PATH, callback_handler};
 
-/// How often a shutdown checks whether all requests are answered.
+/// How often a shutdown checks whether all requests have a final response.
 const DRAIN_POLL_INTERVAL: Micros = 20_000;
 
 /// Why a scheduler could not be assembled.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum AssemblyError {
-    /// The address cannot be listened on.
+    /// The listening socket could not be opened.
     #[error("listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// A scheduler that listens and accepts nothing yet.
+/// An assembled scheduler, whose socket is bound but which does not accept connections yet.
 pub struct AssembledProxy {
-    /// What its parts share.
+    /// The state that the components share.
     pub context: Arc<ProxyContext>,
-    /// The clients' side.
+    /// The client connections.
     pub connections: Arc<ClientConnections>,
-    /// Where an endpoint source publishes its lists.
+    /// The publisher through which an endpoint source updates the endpoint table.
     pub endpoint_publisher: EndpointPublisher,
-    /// The revision of the list that was known before the start.
+    /// The revision of the cached endpoint list, if there is one.
     pub cached_revision: Option<u64>,
     shutdown_schedule: ShutdownSchedule,
 }
@@ -57,7 +57,7 @@
 /// Assembles a scheduler around a dispatch policy.
 ///
 /// # Errors
-/// An address that cannot be listened on.
+/// [`AssemblyError::Listen`] if the socket for clients cannot be opened.
 pub async fn assemble(
     config: &StartupConfig,
     policy: Box<dyn DispatchPolicy>,
@@ -66,10 +66,11 @@
     assemble_with(config, policy, recorder, &[]).await
 }
 
-/// The same with status pages of the program's own. The task that sends load queries ends with the runtime.
+/// Assembles a scheduler as [`assemble`] does, with additional status pages. The task that sends load queries
+/// runs until the runtime shuts down.
 ///
 /// # Errors
-/// As [`assemble`].
+/// [`AssemblyError::Listen`] if the socket for clients cannot be opened.
 pub async fn assemble_with(
     config: &StartupConfig,
     policy: Box<dyn DispatchPolicy>,
@@ -123,10 +124,10 @@
         deadlines
     }
 
-    /// Waits until all requests are answered or the time for it is over, closes the connections that are still
-    /// open and returns how many requests are left. Connections and callbacks are accepted until the closing;
-    /// then they close, because clients go on using whatever stays open, and a request that comes after
-    /// the last check would be taken and lost.
+    /// Waits until all requests have a final response or the drain deadline has passed, closes the client
+    /// connections and returns how many requests are left. Connections and callbacks are accepted until then.
+    /// The connections are closed because clients keep using open ones, and a request that arrives after the
+    /// last check would be accepted and lost.
     pub async fn wait_until_drained(&self, deadlines: ShutdownDeadlines) -> usize {
         self.wait_until_idle(deadlines.late_connections_until, deadlines.drain_deadline).await;
         self.context.shutdown.close();
@@ -134,7 +135,7 @@
         self.connections.busy()
     }
 
-    /// Waits for an instant, and then until nothing is read or answered or the deadline has come.
+    /// Waits until `earliest`, then until no request is being read or answered, at most until `deadline`.
     async fn wait_until_idle(&self, earliest: Instant, deadline: Instant) {
         while Instant::now() < earliest || (self.connections.busy() > 0 && Instant::now() < deadline) {
             sleep_until(from_now(DRAIN_POLL_INTERVAL)).await;
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,58 +1,59 @@
-//! The scheduler's clock: microseconds that only advance, counted so that Unix time fits in.
+//! The scheduler's clock: a monotonic clock in microseconds whose origin is the Unix epoch.
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::time::Instant;
 
-/// The longest span that [`from_now`] takes as given.
+/// The longest span that [`from_now`] accepts, in microseconds; longer ones are shortened to it.
 const MAX_SPAN: Micros = 86_400 * SECOND;
 
-/// The policy's time. Discovery gives workers' starts in Unix time, so that is what it counts from; it
-/// advances with the monotonic clock, so that a step of the system's time does not reach deadlines. What such a
-/// step means for workers' starts is settled where lists are applied.
+/// The clock of the dispatch policy, in microseconds since the Unix epoch. It is set from the wall clock
+/// once, since discovery reports workers' start times in Unix time, and then advances with the monotonic
+/// clock, so that a step of the wall clock does not move deadlines. Such a step is taken into account for
+/// workers' start times when an endpoint list is applied.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
     unix_start: Micros,
 }
 
-/// The clocks at one moment.
+/// One reading of the scheduler's clock and the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// When the scheduler's own clock was started, by itself.
+    /// When the scheduler's clock was started, in its own time.
     pub started_at: Micros,
-    /// The time by the scheduler's own clock.
+    /// The time of the scheduler's clock.
     pub now: Micros,
-    /// The time by the wall clock, in microseconds of Unix time.
+    /// The time of the wall clock, in microseconds since the Unix epoch.
     pub unix: Micros,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock, set from the wall clock.
     pub fn start() -> Clock {
         Clock { unix_start: unix_now(), start: Instant::now() }
     }
 
-    /// This clock and the wall clock. If the program is held up in between, the wall clock is ahead: that passes
-    /// for no step back.
+    /// Reads this clock, then the wall clock. A pause of the process between the two readings makes the wall
+    /// clock appear ahead, which is not mistaken for a step back.
     pub fn read(&self) -> ClockReading {
         let now = self.now();
         ClockReading { started_at: self.unix_start, now, unix: unix_now() }
     }
 
-    /// The time now.
+    /// The current time, in microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
         self.unix_start + self.start.elapsed().as_micros() as Micros
     }
 }
 
-/// The wall clock, in microseconds of Unix time.
+/// The wall clock's time, in microseconds since the Unix epoch.
 fn unix_now() -> Micros {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since_epoch.as_micros() as Micros
 }
 
-/// The instant that lies some microseconds from now, at most a day.
+/// The instant `span` microseconds from now, at most one day ahead.
 pub fn from_now(span: Micros) -> Instant {
     Instant::now() + Duration::from_micros(span.min(MAX_SPAN))
 }
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of one scheduler share.
+//! The state that the components of one scheduler share.
 use std::sync::Arc;
 
 use copperspread_settings::ProxySettings;
@@ -9,15 +9,15 @@
 use crate::shutdown::Shutdown;
 use crate::upstream::Upstream;
 
-/// The shared parts of one scheduler.
+/// The clock, dispatch policy, upstream, settings, event recorder and shutdown phase of one scheduler.
 pub struct ProxyContext {
-    /// The clock of all events.
+    /// The clock that timestamps all events.
     pub clock: Clock,
-    /// The dispatch policy and the way from it to the requests' tasks.
+    /// The dispatch policy, which also delivers its actions to the requests' tasks.
     pub policy: Arc<PolicyHandle>,
-    /// The protocol that workers speak.
+    /// The worker protocol.
     pub upstream: Arc<dyn Upstream>,
-    /// The settings that concern the proxy.
+    /// The proxy's settings.
     pub settings: ProxySettings,
     /// Writes the event log.
     pub recorder: Arc<EventRecorder>,
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! The table of endpoints, by the dense numbers that the dispatch policy knows them by. It knows no endpoint
-//! source's own form.
+//! The endpoint table, which assigns each worker the dense id that the dispatch policy uses. It is
+//! independent of the formats of endpoint sources.
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -10,16 +10,16 @@
 use crate::clock::ClockReading;
 use crate::worker_starts::WorkerStarts;
 
-/// Where a list comes from.
+/// Where an endpoint list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListOrigin {
-    /// It was kept since before the program's start, and may be old.
+    /// The cached list, which was stored before the program's start and may be out of date.
     Cache,
-    /// Discovery has answered it.
+    /// A response of discovery.
     Discovery,
 }
 
-/// Dense numbers for names. A number is never given to another name.
+/// Assigns dense numbers to names. A number is never reused for another name.
 #[derive(Debug, Default)]
 struct NameIndex {
     numbers: HashMap<String, u32>,
@@ -34,7 +34,7 @@
         index
     }
 
-    /// The number of a name, which gets the next one if it has none.
+    /// Returns the number of a name, and assigns the next one to a name that has none.
     fn get_or_insert(&mut self, name: &str) -> u32 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -51,7 +51,7 @@
     ids: NameIndex,
     zones: NameIndex,
     kinds: NameIndex,
-    /// By worker id.
+    /// Indexed by worker id.
     entries: Vec<Entry>,
     starts: WorkerStarts,
 }
@@ -59,23 +59,23 @@
 #[derive(Debug)]
 struct Entry {
     name: Arc<str>,
-    /// Where it listens now.
+    /// The address at which the worker was last listed.
     address: Authority,
     phase: EndpointPhase,
     start: Option<WorkerStart>,
 }
 
-/// A worker's last start.
+/// The time of a worker's last start, as listed and as estimated.
 #[derive(Clone, Copy, Debug)]
 struct WorkerStart {
-    /// In Unix time, as listed.
+    /// As the endpoint list has it, in Unix time.
     listed: Micros,
-    /// By the scheduler's own clock.
+    /// On the scheduler's clock.
     estimated: Micros,
 }
 
 impl Table {
-    /// Applies one record and returns it in the policy's form.
+    /// Applies one record and converts it for the dispatch policy.
     fn apply_record(&mut self, record: &EndpointRecord, reading: ClockReading) -> Endpoint {
         let number = self.ids.get_or_insert(&record.id);
         let former_start = self.entries.get(number as usize).and_then(|entry| entry.start);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// A start that is listed again keeps its estimate.
+    /// Estimates a start; an unchanged listed start keeps its previous estimate.
     fn worker_start(
         &self,
         former: Option<WorkerStart>,
@@ -121,15 +121,15 @@
     }
 }
 
-/// The table of endpoints. An endpoint may change its address; its worker id stays. Written only through the
-/// endpoint publisher.
+/// The endpoint table, which only the endpoint publisher updates. An endpoint keeps its worker id when its
+/// address changes.
 #[derive(Debug)]
 pub struct EndpointTable {
     table: Mutex<Table>,
 }
 
 impl EndpointTable {
-    /// An empty table that numbers the settings' zones and kinds in their order.
+    /// Creates an empty table that numbers zones and worker kinds in the order of the settings.
     pub fn new(settings: &ProxySettings) -> EndpointTable {
         let table = Table {
             revision: 0,
@@ -146,15 +146,16 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The next list comes from another discovery, which may count its revisions in another way.
+    /// Resets the revision and forgets earlier answers, since the next list comes from another discovery
+    /// service, whose revisions are unrelated.
     pub fn reset_revision(&self) {
         let mut table = self.lock();
         table.revision = 0;
         table.starts.forget_answers();
     }
 
-    /// Applies a list and returns its endpoints in the policy's form, or nothing where the table already holds
-    /// a newer revision. The clocks are read as the list comes.
+    /// Applies a list and returns its endpoints for the dispatch policy, or `None` if the table already has a
+    /// newer revision. `reading` is the clocks' reading when the list was received.
     pub fn apply(
         &self,
         list: &EndpointList,
@@ -177,25 +178,25 @@
         Some(endpoints)
     }
 
-    /// Where a worker listens now, while it takes new work.
+    /// The address of a worker, or `None` if the worker is draining, removed or unknown.
     pub fn serving_address(&self, worker: WorkerId) -> Option<Authority> {
         let table = self.lock();
         let entry = table.entries.get(worker.0 as usize)?;
         (entry.phase == EndpointPhase::Serving).then(|| entry.address.clone())
     }
 
-    /// Where a worker was last known to listen, whatever its phase.
+    /// The last known address of a worker, also of one that is draining or removed.
     pub fn last_known_address(&self, worker: WorkerId) -> Option<Authority> {
         self.lock().entries.get(worker.0 as usize).map(|entry| entry.address.clone())
     }
 
-    /// A worker's name; empty if there is none of this number.
+    /// The name of a worker, or an empty string if the id is unknown.
     pub fn name(&self, worker: WorkerId) -> Arc<str> {
         let table = self.lock();
         table.entries.get(worker.0 as usize).map(|entry| Arc::clone(&entry.name)).unwrap_or_default()
     }
 
-    /// The worker id of a worker's name.
+    /// The id of the worker of this name.
     pub fn worker_by_name(&self, name: &str) -> Option<WorkerId> {
         self.lock().ids.numbers.get(name).copied().map(WorkerId)
     }
--- a/crates/proxy/src/event_recorder.rs
+++ b/crates/proxy/src/event_recorder.rs
@@ -1,5 +1,5 @@
-//! Writes what happens to the event log, with names in place of numbers. Where no event log is kept it builds
-//! no events.
+//! Writes the scheduler's events to the event log, with the names of workers and request classes instead of
+//! their numbers. Events are not built if the event log is disabled.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
@@ -12,19 +12,19 @@
 
 use crate::endpoints::EndpointTable;
 
-/// Translates the events of one scheduler into those of its event log.
+/// Converts the events of one scheduler into records of its event log.
 pub struct EventRecorder {
     recorder: Recorder,
     endpoints: Arc<EndpointTable>,
     classes: Vec<String>,
 }
 
-/// The outer form of a request id.
+/// Formats a request id as 16 hexadecimal digits.
 fn request_id(request: RequestId) -> String {
     format!("{:016x}", request.0)
 }
 
-/// A rejection's reason, as the event log and the log name it.
+/// The name of a rejection's reason in the event log and in log messages.
 pub(crate) fn rejection_name(reason: &Rejection) -> &'static str {
     match reason {
         Rejection::Invalid => "invalid",
@@ -36,7 +36,8 @@
 }
 
 impl EventRecorder {
-    /// Writes to a recorder, with the names of the endpoint table and of the settings.
+    /// Creates an event recorder that takes worker names from the endpoint table and class names from the
+    /// settings.
     pub fn new(
         recorder: Recorder,
         endpoints: Arc<EndpointTable>,
@@ -59,7 +60,7 @@
         self.classes.get(class as usize).cloned().unwrap_or_default()
     }
 
-    /// The policy is notified of an endpoint update.
+    /// Records that the dispatch policy is notified of an endpoint update.
     pub fn endpoints_changed(&self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
         let form = match kind {
             EndpointUpdateKind::Changes => "changes",
@@ -67,7 +68,7 @@
             EndpointUpdateKind::Cached => "remembered",
             EndpointUpdateKind::Failed => "failed",
         };
-        // An empty response to a watch changes nothing.
+        // A watch that ends without changes is not recorded.
         if kind == EndpointUpdateKind::Changes && endpoints.is_empty() {
             return;
         }
@@ -90,7 +91,7 @@
         });
     }
 
-    /// A request was accepted.
+    /// Records that a request was accepted.
     pub fn request_accepted(&self, request: &IncomingRequest) {
         self.record(|| EventKind::RequestAccepted {
             request_id: request_id(request.request),
@@ -101,7 +102,7 @@
         });
     }
 
-    /// The policy decided on an action.
+    /// Records an action of the dispatch policy that concerns a request.
     pub fn action_decided(&self, action: &Action) {
         if !self.recorder.is_enabled() {
             return;
@@ -125,7 +126,7 @@
         self.recorder.record(EventKind::Decided { request_id: request_id(*request), decision });
     }
 
-    /// An attempt is dispatched.
+    /// Records that an attempt is dispatched.
     pub fn attempt_sent(&self, request: RequestId, attempt: u32, worker: WorkerId) {
         self.record(|| EventKind::AttemptSent {
             request_id: request_id(request),
@@ -134,7 +135,7 @@
         });
     }
 
-    /// An attempt ended.
+    /// Records that an attempt ended.
     pub fn attempt_ended(&self, attempt: &AttemptOutcome, worker: WorkerId) {
         let outcome = match attempt.outcome {
             Outcome::Served => "served",
@@ -157,7 +158,7 @@
         });
     }
 
-    /// The client got its final response, or disconnected before.
+    /// Records that a request got its final response or that its client disconnected before it.
     pub fn response_sent(&self, request: &IncomingRequest, response: &'static str, elapsed: Micros) {
         self.record(|| EventKind::RequestFinished {
             request_id: request_id(request.request),
@@ -167,7 +168,7 @@
         });
     }
 
-    /// A counter reached a count that is logged.
+    /// Records that a counter reached a power of two.
     pub fn counter_reached(&self, counter: &'static str, count: u64) {
         self.record(|| EventKind::CounterReached { counter: counter.into(), count });
     }
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -1,46 +1,47 @@
-//! Invariants, which are asserted in debug builds and counted in release builds, and counters of the mistakes
-//! of peers. A counter's name is also its log message and its
-//! key in the event log, so that it stays as it was first written; one that changes all the same is listed with its
-//! old name in the event log's `counter_names`.
+//! Counters of violated invariants and of errors of clients, workers and discovery. A violated invariant also
+//! fails an assertion in debug builds.
+//!
+//! A counter's name is also its log message and its key in the event log, and therefore must not change. If
+//! it has to, its old name is added to `counter_names` of the event log.
 use std::collections::BTreeMap;
 use std::sync::{Mutex, OnceLock, PoisonError};
 
-/// Owned by this module; only [`note_of`] writes to it.
+/// The count of each counter; only [`note_of`] writes to it.
 static COUNTS: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
 
-/// Called with a counter's name and its count, at the 1st, 2nd, 4th, 8th ... time.
+/// Called with a counter's name and its count whenever the count reaches a power of two.
 pub type CounterObserver = Box<dyn Fn(&'static str, u64) + Send + Sync>;
 
 static OBSERVER: OnceLock<CounterObserver> = OnceLock::new();
 
-/// Sets the process's one observer of counters; a second one is ignored.
+/// Sets the process-wide observer of counters. Only the first call has an effect.
 pub fn observe_counters(observer: CounterObserver) {
     let _ = OBSERVER.set(observer);
 }
 
-/// Counts an invariant that does not hold.
+/// Counts a violation of an invariant.
 pub fn broken(invariant: &'static str) {
     note(invariant, "it does not hold");
 }
 
-/// Whom a counted event concerns, as far as the code that notes it knows.
+/// The worker, request class and peer that a counted event concerns, as far as they are known.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Subject<'a> {
     /// The worker's name.
     pub worker: Option<&'a str>,
     /// The request class.
     pub class: Option<&'a str>,
-    /// The address of the other end.
+    /// The peer's address.
     pub peer: Option<&'a str>,
 }
 
-/// Counts an event of which no subject is known; see [`note_of`].
+/// Counts an event without a subject; see [`note_of`].
 pub fn note(counter: &'static str, reason: &str) {
     note_of(counter, reason, Subject::default());
 }
 
-/// Counts an event and logs its 1st, 2nd, 4th, 8th ... time, with the subject of that time: a peer that repeats
-/// its mistake must not flood the log, nor the thread that writes it.
+/// Counts an event, and logs it with its subject when the count reaches a power of two. The log is limited in
+/// this way so that a peer that repeats an error cannot flood it or overload the thread that writes it.
 pub fn note_of(counter: &'static str, reason: &str, subject: Subject<'_>) {
     let mut counts = COUNTS.lock().unwrap_or_else(PoisonError::into_inner);
     let count = counts.entry(counter).or_default();
@@ -54,13 +55,13 @@
     }
 }
 
-/// All counts so far, for the closing lines of the log.
+/// All counters with their counts so far, which are logged at shutdown.
 pub fn counts() -> Vec<(&'static str, u64)> {
     let counts = COUNTS.lock().unwrap_or_else(PoisonError::into_inner);
     counts.iter().map(|(&counter, &count)| (counter, count)).collect()
 }
 
-/// States an invariant.
+/// Checks an invariant: a violation fails an assertion in debug builds and is counted in release builds.
 #[macro_export]
 macro_rules! invariant {
     ($holds:expr, $invariant:literal) => {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,24 +1,24 @@
-//! The proxy around the dispatch policy: it accepts clients' requests, forwards them to workers and keeps the
-//! timers. It decides neither which worker gets a request, nor what is retried or rejected: that is the policy's,
-//! for every protocol.
+//! The proxy between clients and workers: it accepts clients' requests, forwards them to workers and runs the
+//! dispatch policy's timers. The dispatch policy decides which worker gets a request and what is retried or
+//! rejected, whatever the protocol; the proxy only carries out these decisions.
 //!
 //! ```text
 //!   downstream::http ─┐                                               ┌─ upstream::http
 //!   (a Downstream)    ├─► request_task ─► policy ─► request_task ─► Upstream
-//!   another one ──────┘   admission        ▲  decision                └─ another one
+//!   other protocols ──┘   admission        ▲  decision                └─ other protocols
 //!                         FinalResponse    │
 //!                                          │ EndpointPublisher
 //!                      discovery::platform, discovery::static_list (each an EndpointSource)
 //! ```
 //!
-//! * A [`downstream::Downstream`] speaks a clients' protocol: it makes a [`messages::AdmissionRequest`], spawns
-//!   the request's task with it and gives the [`messages::FinalResponse`] its form.
-//! * An [`upstream::Upstream`] speaks a workers' protocol: it dispatches one attempt and turns what comes back
-//!   into a [`messages::DispatchResult`] or [`messages::WorkerEvent`].
-//! * A [`discovery::EndpointSource`] turns its own form of an endpoint list into updates of the endpoint table,
-//!   through [`discovery::EndpointPublisher`].
+//! * A [`downstream::Downstream`] implements a client protocol: it parses a request into a
+//!   [`messages::AdmissionRequest`], spawns the request's task and serializes the [`messages::FinalResponse`].
+//! * An [`upstream::Upstream`] implements a worker protocol: it dispatches attempts and converts what the
+//!   worker returns into a [`messages::DispatchResult`] or [`messages::WorkerEvent`].
+//! * A [`discovery::EndpointSource`] converts endpoint lists from the format of its source into updates
+//!   of the endpoint table, through [`discovery::EndpointPublisher`].
 //!
-//! The modules use one another in one direction only; `tests/module_dependencies.rs` checks that.
+//! The modules have no circular dependencies; `tests/module_dependencies.rs` checks this.
 pub mod assembly;
 pub mod clock;
 pub mod context;
--- a/crates/proxy/src/load_queries.rs
+++ b/crates/proxy/src/load_queries.rs
@@ -1,4 +1,4 @@
-//! Sends the load queries that the policy asks for.
+//! Sends the load queries that the dispatch policy requests.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{Micros, Outcome, SECOND};
@@ -7,18 +7,18 @@
 use crate::clock::from_now;
 use crate::context::ProxyContext;
 
-/// A load query that is not answered by then shows that its worker has a queue, as it may wait there like a
-/// request. A later answer is stale, and is dropped.
+/// How long to wait for the answer to a load query. A worker may queue a load query like a request, so a
+/// timeout indicates that the worker has a queue. A later answer would be stale and is discarded.
 const LOAD_QUERY_TIMEOUT: Micros = SECOND;
 
-/// Sends load queries until the runtime stops. The policy is notified exactly once of each one's end; one that
-/// was not sent is superseded.
+/// Sends load queries until the runtime shuts down. The dispatch policy is notified exactly once of the
+/// result of each load query; one that was not sent is reported as superseded.
 pub async fn run(context: Arc<ProxyContext>) {
     let mut in_flight = FuturesUnordered::new();
     loop {
         tokio::select! {
             worker = context.policy.next_load_query() => {
-                // During a shutdown nobody will use the answer.
+                // During a shutdown the answer would not be used.
                 if context.shutdown.is_started() {
                     context.policy.load_query_ended(worker, Outcome::Superseded.into());
                     continue;
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,6 +1,6 @@
-//! The messages between a client connection, a request's task and the upstream: the request as the client
-//! sent it, what workers report of it, and the final response. The forms are HTTP's own message parts, since
-//! the platform wants path and headers forwarded unchanged; a protocol that has none leaves them empty.
+//! The messages that client connections, request tasks and upstreams exchange: the client's request, workers'
+//! reports on its attempts, and the final response. Path and headers are those of HTTP, because they are
+//! forwarded to workers unchanged; a protocol without them leaves them empty.
 use std::fmt;
 use std::sync::Arc;
 
@@ -14,61 +14,61 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// What ends the dispatch of an attempt early. An upstream asks `is_cancelled`, which does not wait, in the step in
-/// which it writes: otherwise attempts would begin for a client that has disconnected, or that has its response,
-/// because their connection came up late.
+/// The cancellation tokens that end the dispatch of an attempt early. An upstream checks `is_cancelled`,
+/// which does not block, in the same step in which it writes. Otherwise an attempt whose connection is
+/// established late could start after the client has disconnected or has received its response.
 #[derive(Clone, Debug, Default)]
 pub struct DispatchControl {
-    /// Once cancelled, nothing of the attempt is written any more; what has been written goes on. One for all
-    /// attempts of a request.
+    /// Once cancelled, an attempt that has not been written is withheld; one that has been written continues.
+    /// All attempts of a request share this token.
     pub withhold: CancellationToken,
-    /// Once cancelled, the attempt is given up: what has not been written is withheld, and a connection on which
-    /// the worker has not accepted it yet is closed. The dispatch ends after that.
+    /// Once cancelled, the attempt is aborted: it is withheld if it has not been written, and its connection
+    /// is closed if the worker has not accepted it. The dispatch ends after that.
     pub abort: CancellationToken,
 }
 
 impl DispatchControl {
-    /// Whether anything of the attempt may still be written.
+    /// Whether the attempt may still be written.
     pub fn permits_write(&self) -> bool {
         !self.withhold.is_cancelled() && !self.abort.is_cancelled()
     }
 }
 
-/// Where an attempt goes: a worker, at the address at which it was listed when the attempt began.
+/// The target of an attempt: a worker, and its listed address at the time the attempt began.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptTarget {
     /// The worker.
     pub worker: WorkerId,
-    /// Its address; none if it takes no new work.
+    /// The worker's address, or `None` if the worker accepts no new attempts.
     pub address: Option<Authority>,
 }
 
-/// What is known of a cancellation in the end.
+/// The outcome of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancellationOutcome {
-    /// The worker has acknowledged it: the attempt runs no longer, or never did.
+    /// The worker has acknowledged the cancellation: the attempt no longer runs, or never ran.
     Acknowledged,
-    /// No acknowledgement came in time: the worker may not have heard of it.
+    /// No acknowledgement was received by the deadline: the worker may not have received the cancellation.
     Unconfirmed,
 }
 
-/// The part of the memory for bodies that one body holds, until its last holder drops it; a small body holds
-/// none.
+/// A body's share of the memory reserved for request bodies, which is released when the last clone is
+/// dropped. A small body has no permit.
 pub type BodyPermit = Option<Arc<OwnedSemaphorePermit>>;
 
-/// Whether a request's client still waits for its response, by what the system knows at this instant. The default
-/// is a client that never leaves.
+/// A check whether a request's client is still connected, according to the operating system at the time of
+/// the call. The default is a client that never disconnects.
 #[derive(Clone, Default)]
 pub struct ClientPresence(Option<Arc<dyn Fn() -> bool + Send + Sync>>);
 
 impl ClientPresence {
-    /// The presence of a client of whom a function tells whether it has gone.
+    /// Creates a check from a function that returns whether the client has disconnected.
     pub fn new(is_gone: impl Fn() -> bool + Send + Sync + 'static) -> ClientPresence {
         ClientPresence(Some(Arc::new(is_gone)))
     }
 
-    /// Whether the client has gone. It does not wait; an upstream asks it in the step in which it writes, after
-    /// `CancellationToken::is_cancelled`, and not once that is true.
+    /// Whether the client has disconnected. It does not block. An upstream calls it in the same step in which
+    /// it writes, after [`DispatchControl::permits_write`], and only if that returned true.
     pub fn is_gone(&self) -> bool {
         self.0.as_ref().is_some_and(|is_gone| is_gone())
     }
@@ -80,33 +80,33 @@
     }
 }
 
-/// What of a client's request is forwarded to a worker.
+/// The parts of a client's request that an upstream needs for its attempts.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
-    /// The request's id, as the client wrote it.
+    /// The request id, as the client sent it.
     pub id: String,
-    /// Path and query.
+    /// The path and query.
     pub path: PathAndQuery,
-    /// The headers that are forwarded.
+    /// The headers to forward.
     pub headers: HeaderMap,
-    /// Whether the request may run more than once.
+    /// Whether and where the request may run more than once.
     pub idempotency: Idempotency,
     /// The body.
     pub body: Bytes,
-    /// The memory that the body holds.
+    /// The memory reserved for the body.
     pub body_permit: BodyPermit,
-    /// No attempt is written once the client has gone.
+    /// The check for a disconnected client, after which no attempt is written.
     pub client: ClientPresence,
 }
 
-/// What a request's task starts with.
+/// A client's request as it is passed to its task.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// The request, in the policy's form.
+    /// The request as the dispatch policy sees it.
     pub request: IncomingRequest,
-    /// When the client must have its final response.
+    /// When the client must have received its final response.
     pub deadline: Instant,
-    /// What is forwarded to workers.
+    /// The request as it is forwarded to workers.
     pub upstream_request: UpstreamRequest,
 }
 
@@ -115,19 +115,19 @@
 pub enum FinalResponse {
     /// A worker's result.
     Served(Bytes),
-    /// Rejected by the policy: it never ran, and is safe to try again.
+    /// Rejected by the policy: the request never ran and can be retried safely.
     Rejected {
-        /// How long the client should wait before.
+        /// How long the client should wait before it retries.
         retry_after: Micros,
     },
-    /// Failed, with nothing promised.
+    /// Failed: the request may or may not have run.
     Failed,
-    /// Another request had this id.
+    /// Another request has the same id.
     Duplicate,
 }
 
 impl FinalResponse {
-    /// Its name in logs and in the event log.
+    /// The response's name in log messages and in the event log.
     pub fn name(&self) -> &'static str {
         match self {
             FinalResponse::Served(_) => "served",
@@ -138,16 +138,16 @@
     }
 }
 
-/// The result of a dispatch: the worker has accepted the request and will send callbacks, or the attempt has
-/// ended already.
+/// The result of a dispatch: either the worker has accepted the attempt and will send callbacks, or the
+/// attempt has ended.
 pub type DispatchResult = Result<(), DispatchFailure>;
 
-/// How an attempt ended that its worker did not accept.
+/// The end of an attempt that its worker did not accept.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchFailure {
-    /// What the failure allows.
+    /// The outcome, which determines whether the request may be retried.
     pub outcome: Outcome,
-    /// The load report that the worker's response brought.
+    /// The load report in the worker's response.
     pub load_report: Option<LoadReport>,
 }
 
@@ -160,7 +160,7 @@
 /// The result of a load query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadQueryResult {
-    /// Served, or why there is no answer.
+    /// [`Outcome::Served`], or the reason why there is no answer.
     pub outcome: Outcome,
     /// The worker's load report.
     pub load_report: Option<LoadReport>,
@@ -172,12 +172,12 @@
     }
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptCompletion {
-    /// What became of it.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The result, where it was served.
+    /// The worker's result, if the outcome is [`Outcome::Served`].
     pub result: Option<Bytes>,
     /// The worker's load report.
     pub load_report: Option<LoadReport>,
@@ -195,49 +195,49 @@
     }
 }
 
-/// What a worker reports of an attempt that it has accepted.
+/// A worker's report on an attempt that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerEvent {
-    /// The request runs.
+    /// The attempt has started or made progress.
     Progress(Progress),
     /// The attempt has ended.
     Completed(AttemptCompletion),
 }
 
-/// What reaches a request's task from outside.
+/// An event for a request's task.
 #[derive(Debug)]
 pub enum RequestEvent {
-    /// The policy: send the next attempt to this worker.
+    /// The policy has decided to send the next attempt to this worker.
     Dispatch {
         /// The worker.
         worker: WorkerId,
     },
-    /// The policy: the final response is a rejection.
+    /// The policy has rejected the request.
     Reject {
-        /// How long the client should wait before it tries again.
+        /// How long the client should wait before it retries.
         retry_after: Micros,
-        /// Why.
+        /// The reason.
         reason: Rejection,
     },
-    /// The policy: the final response is a failure.
+    /// The policy has failed the request.
     Fail,
-    /// The policy: stop waiting for an attempt.
+    /// The policy has cancelled an attempt.
     Cancel {
-        /// Its number, from 0.
+        /// The attempt's number, starting at 0.
         attempt: u32,
     },
-    /// A worker reports.
+    /// A worker has reported on an attempt.
     Worker {
         /// The worker.
         worker: WorkerId,
-        /// Its report.
+        /// The report.
         event: WorkerEvent,
     },
     /// The client has disconnected.
     ClientDisconnected,
 }
 
-/// Parses a request id in its outer form: 16 hex digits.
+/// Parses a request id, which consists of 16 hexadecimal digits.
 pub fn parse_request_id(text: &str) -> Option<RequestId> {
     let is_hex = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     u64::from_str_radix(text, 16).ok().filter(|_| is_hex).map(RequestId)
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -1,5 +1,5 @@
-//! The one owner of the dispatch policy: feeds it events, keeps its timers and delivers its actions to the
-//! requests' tasks.
+//! The owner of the dispatch policy, which passes events to it, runs its timers and delivers its actions to
+//! the requests' tasks.
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,13 +16,14 @@
 use crate::invariant;
 use crate::messages::{LoadQueryResult, RequestEvent, WorkerEvent};
 
-/// Sends events to a request's task.
+/// The sender of events to a request's task.
 pub type RequestEventSender = mpsc::UnboundedSender<RequestEvent>;
 
-/// How many ids of completed requests are retained at least; twice as many at most.
+/// The minimum number of ids of completed requests that are retained; up to twice as many are kept.
 const MIN_COMPLETED_REQUESTS_RETAINED: usize = 8_192;
 
-/// The ids of the requests that completed last, in two generations.
+/// The ids of the most recently completed requests. There are two sets: when the recent one is full, it
+/// replaces the previous one.
 #[derive(Default)]
 struct CompletedRequests {
     recent: HashSet<RequestId>,
@@ -47,9 +48,9 @@
     requests: HashMap<RequestId, RequestEventSender>,
     completed: CompletedRequests,
     actions: Vec<Action>,
-    /// How many endpoint updates the policy was notified of.
+    /// The number of endpoint updates passed to the policy, which is the version of the last one.
     endpoint_version: u64,
-    /// Load queries that nobody has taken yet.
+    /// Load queries that [`PolicyHandle::next_load_query`] has not returned yet.
     pending_load_queries: VecDeque<WorkerId>,
 }
 
@@ -60,7 +61,8 @@
     }
 }
 
-/// The dispatch policy and the way from it to the requests' tasks. Its lock is never held over an await.
+/// A shared handle to the dispatch policy, which delivers the policy's actions to the requests' tasks. Its
+/// lock is never held across an await point.
 pub struct PolicyHandle {
     clock: Clock,
     polls_endpoints: bool,
@@ -71,7 +73,8 @@
 }
 
 impl PolicyHandle {
-    /// Takes a policy over; `polls_endpoints` where the endpoint list is fetched only when the policy asks.
+    /// Takes ownership of a policy. `polls_endpoints` means that the endpoint list is fetched only when the
+    /// policy requests it.
     pub fn new(
         policy: Box<dyn DispatchPolicy>,
         polls_endpoints: bool,
@@ -100,23 +103,23 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Feeds the policy one event; the actions that follow are delivered, in order, when this returns.
+    /// Passes an event to the policy. The resulting actions have been delivered, in order, when this returns.
     fn handle(self: &Arc<Self>, event: Event<'_>) {
-        self.update(|inner, now, actions| inner.policy.handle(now, event, actions));
+        self.with_policy(|inner, now, actions| inner.policy.handle(now, event, actions));
     }
 
-    fn update(self: &Arc<Self>, event: impl FnOnce(&mut Inner, Micros, &mut Vec<Action>)) {
+    fn with_policy(self: &Arc<Self>, operation: impl FnOnce(&mut Inner, Micros, &mut Vec<Action>)) {
         let mut inner = self.lock();
         let mut actions = std::mem::take(&mut inner.actions);
-        event(&mut inner, self.clock.now(), &mut actions);
+        operation(&mut inner, self.clock.now(), &mut actions);
         for action in actions.drain(..) {
             self.recorder.action_decided(&action);
-            self.carry_out(&mut inner, action);
+            self.execute_action(&mut inner, action);
         }
         inner.actions = actions;
     }
 
-    fn carry_out(self: &Arc<Self>, inner: &mut Inner, action: Action) {
+    fn execute_action(self: &Arc<Self>, inner: &mut Inner, action: Action) {
         match action {
             Action::Send { request, worker, .. } => inner.deliver(request, RequestEvent::Dispatch { worker }),
             Action::Reject { request, retry_after, reason } => {
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Spawns a timer, which ends when it has fired.
+    /// Spawns a task that notifies the policy when the timer expires.
     fn start_timer(self: &Arc<Self>, after: Micros, timer: Timer) {
         let handle = Arc::clone(self);
         let expiry = from_now(after);
@@ -143,13 +146,13 @@
         });
     }
 
-    /// Admits a request; false if another one had its id.
+    /// Admits a request. Returns false if another request has or recently had the same id.
     pub fn admit(self: &Arc<Self>, request: IncomingRequest, events: RequestEventSender) -> bool {
         let mut is_admitted = false;
-        self.update(|inner, now, actions| {
-            // An id that comes twice is not taken: the policy would not answer the second while the first is
-            // open. Afterwards the same request would run again, and a client that tries again as soon as it
-            // is rejected would be answered as fast as it can send.
+        self.with_policy(|inner, now, actions| {
+            // A request id is admitted only once. The policy would not answer a second request while the
+            // first is active. After the first has completed, the same request would run again, and a client
+            // that retries immediately after a rejection would be answered as fast as it can send.
             if inner.completed.contains(request.request) {
                 return;
             }
@@ -168,7 +171,7 @@
         self.handle(Event::AttemptCompleted(outcome));
     }
 
-    /// Notifies the policy of the progress of an attempt that is in flight.
+    /// Notifies the policy of the progress of an attempt in flight.
     pub fn attempt_progress(self: &Arc<Self>, request: RequestId, attempt: u32, progress: Progress) {
         self.handle(Event::AttemptProgress { request, attempt, progress });
     }
@@ -178,10 +181,11 @@
         self.handle(Event::ClientDisconnected(request));
     }
 
-    /// Notifies the policy of an endpoint update, whose order the endpoint table has settled. Revisions may
-    /// begin anew where discovery moves, so the policy gets a version of its own, which only grows.
+    /// Notifies the policy of an endpoint update. The endpoint table has already dropped outdated lists. The
+    /// policy gets a version that increases with every update, because revisions may restart when the
+    /// discovery service changes.
     pub fn update_endpoints(self: &Arc<Self>, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
-        self.update(|inner, now, actions| {
+        self.with_policy(|inner, now, actions| {
             inner.endpoint_version += 1;
             self.recorder.endpoints_changed(kind, endpoints);
             let update = EndpointUpdate { kind, version: inner.endpoint_version, endpoints };
@@ -189,22 +193,23 @@
         });
     }
 
-    /// The policy's clock and the wall clock now.
+    /// Reads the policy's clock and the wall clock.
     pub fn read_clocks(&self) -> ClockReading {
         self.clock.read()
     }
 
-    /// Whether the endpoint list is fetched only when the policy asks for it.
+    /// Whether the endpoint list is fetched only when the policy requests it.
     pub fn polls_endpoints(&self) -> bool {
         self.polls_endpoints
     }
 
-    /// Waits until the policy asks for a subscription to the endpoint list.
+    /// Waits until the policy requests a subscription to the endpoint list.
     pub async fn subscription_requested(&self) {
         self.subscription_requested.notified().await;
     }
 
-    /// Waits until the policy asks for a load query. Only one task may call this.
+    /// Waits until the policy requests a load query, and returns the worker to query. Only one task may call
+    /// this.
     pub async fn next_load_query(&self) -> WorkerId {
         loop {
             let pending = self.lock().pending_load_queries.pop_front();
@@ -215,27 +220,27 @@
         }
     }
 
-    /// Notifies the policy of the end of a load query.
+    /// Notifies the policy of the result of a load query.
     pub fn load_query_ended(self: &Arc<Self>, worker: WorkerId, result: LoadQueryResult) {
         let LoadQueryResult { outcome, load_report: report } = result;
         self.handle(Event::LoadQueryCompleted { worker, outcome, report });
     }
 
-    /// Delivers a callback to its request's task; false if the request has completed.
+    /// Delivers a worker's event to its request's task. Returns false if the request has completed.
     pub fn deliver_worker_event(&self, request: RequestId, worker: WorkerId, event: WorkerEvent) -> bool {
         let inner = self.lock();
         let task = inner.requests.get(&request);
         task.is_some_and(|events| events.send(RequestEvent::Worker { worker, event }).is_ok())
     }
 
-    /// A request has completed, with all its attempts.
+    /// Removes a request that has completed with all its attempts.
     pub fn request_completed(&self, request: RequestId) {
         let mut inner = self.lock();
         inner.requests.remove(&request);
         inner.completed.insert(request);
     }
 
-    /// How many requests have not completed.
+    /// The number of requests that have not completed.
     pub fn active_requests(&self) -> usize {
         self.lock().requests.len()
     }
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -1,5 +1,6 @@
-//! The task of one request, from its admission to the end of its last attempt. It carries out what the
-//! dispatch policy decides and reports every attempt's end to it; it decides nothing itself.
+//! The task that handles one request, from its admission to the end of its last attempt. It executes the
+//! actions of the dispatch policy and reports the outcome of every attempt to it; it makes no decisions
+//! itself.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
@@ -25,41 +26,44 @@
 use crate::policy_handle::RequestEventSender;
 use crate::shutdown::effective_deadline;
 
-/// How long a worker that has accepted an attempt has to acknowledge its cancellation.
+/// How long to wait for the acknowledgement of a cancellation by a worker that has accepted the attempt.
 const CANCELLATION_TIMEOUT: Micros = 2 * SECOND;
-/// The same where the worker had not accepted the attempt when its connection was closed. The close alone gives the
-/// attempt up; the cancellation is for a response that crossed it.
+/// How long to wait for the acknowledgement of a cancellation if the connection was closed before the worker
+/// had accepted the attempt. The close alone cancels such an attempt; the cancellation covers the case that
+/// the worker sent its acceptance at the same time.
 const CLOSED_ATTEMPT_CANCELLATION_TIMEOUT: Micros = 300_000;
 
-/// What a client connection holds of a request: its final response. Dropping it reports to the request's task
-/// that the client has disconnected.
+/// A client connection's handle to a request, from which it receives the final response. Dropping it notifies
+/// the request's task that the client has disconnected.
 pub struct ResponseHandle {
     response: oneshot::Receiver<FinalResponse>,
     events: RequestEventSender,
 }
 
 impl ResponseHandle {
-    /// Waits for the final response.
+    /// Waits for the final response. The response is [`FinalResponse::Failed`] if the request's task ended
+    /// without one.
     pub async fn final_response(&mut self) -> FinalResponse {
         (&mut self.response).await.unwrap_or(FinalResponse::Failed)
     }
 }
 
 impl Drop for ResponseHandle {
-    // axum drops the handler when the client disconnects; without this the request would go on for nobody.
+    // axum drops the handler when the client disconnects. Without this notification the request would
+    // continue although no client waits for it.
     fn drop(&mut self) {
         let _ = self.events.send(RequestEvent::ClientDisconnected);
     }
 }
 
-/// Starts a request in a task of its own. The task outlives the client connection, because the policy is
-/// notified of every attempt's end; it ends by itself, at the latest with the request's deadline.
+/// Spawns the task of a request. The task outlives the client connection, because the dispatch policy must be
+/// notified of every attempt's outcome. It ends no later than the request's deadline.
 pub fn spawn(context: &Arc<ProxyContext>, admission: AdmissionRequest) -> ResponseHandle {
     let (event_sender, events) = mpsc::unbounded_channel();
     let (response_sender, response) = oneshot::channel();
     let AdmissionRequest { request, deadline, upstream_request } = admission;
     let class = class_name(context, &request);
-    // Not within the connection's span: the request outlives the connection.
+    // The span has no parent, because the request outlives the span of its client connection.
     let span = info_span!(parent: None, "request", request_id = upstream_request.id, class);
     let task = RequestTask {
         context: Arc::clone(context),
@@ -68,7 +72,7 @@
         upstream_request: Arc::new(upstream_request),
         accepted_at: context.clock.now(),
         response_sender: Some(response_sender),
-        dispatch_cancellation: CancellationToken::new(),
+        withhold_attempts: CancellationToken::new(),
         attempts: Vec::new(),
         dispatches: FuturesUnordered::new(),
         cancellations: FuturesUnordered::new(),
@@ -78,7 +82,7 @@
     ResponseHandle { response, events: event_sender }
 }
 
-/// The name of a request's class.
+/// The name of a request's class, or an empty string if the class is unknown.
 fn class_name<'a>(context: &'a ProxyContext, request: &IncomingRequest) -> &'a str {
     context.settings.classes.get(request.class as usize).map_or("", String::as_str)
 }
@@ -87,46 +91,48 @@
 struct Attempt {
     target: AttemptTarget,
     sent_at: Micros,
-    /// Its outcome has not come.
+    /// Its outcome is not known yet.
     is_in_flight: bool,
-    /// Its dispatch has not ended.
+    /// Its dispatch is in progress.
     is_dispatching: bool,
-    /// Aborts the dispatch while the worker has not accepted it.
+    /// Aborts the dispatch as long as the worker has not accepted the attempt.
     abort: CancellationToken,
-    /// A callback has come: the worker has the request, whether or not its 202 has come.
-    has_called_back: bool,
-    /// The policy has cancelled it, and it is not known yet what came of that.
+    /// A callback was received, so the worker has the request even if its 202 has not been received.
+    has_received_callback: bool,
+    /// The policy has cancelled it, and the outcome of the cancellation is not known yet.
     is_cancelling: bool,
 }
 
-/// The end of one attempt's dispatch.
+/// The result of one attempt's dispatch.
 struct DispatchCompletion {
     attempt: u32,
     result: DispatchResult,
 }
 
-/// The end of one attempt's cancellation.
+/// The outcome of one attempt's cancellation.
 struct CancellationCompletion {
     attempt: u32,
-    /// The attempt has ended even if the worker does not acknowledge its cancellation.
-    is_closed: bool,
+    /// The connection was closed before an acceptance was received. Unless a callback is received, the
+    /// attempt has then ended even if the worker does not acknowledge the cancellation.
+    closed_before_acceptance: bool,
     outcome: CancellationOutcome,
 }
 
 struct RequestTask {
     context: Arc<ProxyContext>,
     request: IncomingRequest,
-    /// When the client must have its final response.
+    /// When the client must have received its final response.
     deadline: Instant,
     upstream_request: Arc<UpstreamRequest>,
     response_sender: Option<oneshot::Sender<FinalResponse>>,
-    /// Cancelled when the response's sender is taken: what has not been written by then is not.
-    dispatch_cancellation: CancellationToken,
-    /// By number.
+    /// Cancelled when the response's sender is taken: attempts that have not been written by then are
+    /// withheld.
+    withhold_attempts: CancellationToken,
+    /// Indexed by the attempt's number.
     attempts: Vec<Attempt>,
-    /// Dispatches that have not ended.
+    /// Dispatches in progress.
     dispatches: FuturesUnordered<BoxFuture<'static, DispatchCompletion>>,
-    /// Cancellations that decide whether their attempt has ended.
+    /// Cancellations in progress whose outcome decides whether their attempt has ended.
     cancellations: FuturesUnordered<BoxFuture<'static, CancellationCompletion>>,
     is_past_deadline: bool,
     accepted_at: Micros,
@@ -138,7 +144,8 @@
         event_sender: RequestEventSender,
         mut events: mpsc::UnboundedReceiver<RequestEvent>,
     ) {
-        // The policy decides: a first worker, or a rejection.
+        // The policy answers with the first attempt or with a rejection, unless the request id is a
+        // duplicate.
         if !self.context.policy.admit(self.request, event_sender) {
             self.respond(FinalResponse::Duplicate);
             return;
@@ -148,15 +155,15 @@
         tokio::pin!(expiry);
         while self.is_active(&events) {
             tokio::select! {
-                // Events come first: otherwise the policy could answer an attempt's end with a further
-                // attempt although the event that the client has disconnected is waiting.
+                // Events come first: otherwise the policy could respond to an attempt's outcome with another
+                // attempt while the event that the client has disconnected is still queued.
                 biased;
                 Some(event) = events.recv() => self.handle_event(event),
                 Some(completion) = self.dispatches.next() => self.handle_dispatch_completion(completion),
                 Some(completion) = self.cancellations.next() => {
                     self.handle_cancellation_completion(&completion);
                 }
-                // This scheduler stops before the request's own deadline.
+                // A shutdown may end before the request's own deadline.
                 Ok(()) = shutdown.changed() => {
                     expiry.as_mut().reset(effective_deadline(self.deadline, &shutdown));
                 }
@@ -167,7 +174,8 @@
         self.context.policy.request_completed(self.request_id());
     }
 
-    /// A response is owed, an attempt is in flight, an event waits or a dispatch has not ended.
+    /// Whether the final response is outstanding, an attempt is in flight, an event is queued or a dispatch
+    /// is in progress.
     fn is_active(&self, events: &mpsc::UnboundedReceiver<RequestEvent>) -> bool {
         self.response_sender.is_some()
             || self.attempts.iter().any(|attempt| attempt.is_in_flight)
@@ -190,7 +198,8 @@
         }
     }
 
-    /// Responds with a rejection. A class that no worker serves is a fault of lists or configuration, and logged.
+    /// Responds with a rejection. If no worker is eligible, the endpoint list or the configuration is wrong,
+    /// which is counted and logged.
     fn reject(&mut self, retry_after: Micros, reason: &Rejection) {
         debug!(reason = rejection_name(reason), "request rejected");
         if *reason == Rejection::NoEligibleWorker {
@@ -201,7 +210,7 @@
         self.respond(FinalResponse::Rejected { retry_after });
     }
 
-    /// Starts the next attempt, or ends it as superseded where none may be sent any more.
+    /// Starts the next attempt, or ends it as superseded if it must not be sent.
     fn start_attempt(&mut self, worker: WorkerId) {
         let number = self.attempts.len() as u32;
         let is_repeated = self.attempts.iter().any(|attempt| attempt.target.worker == worker);
@@ -215,7 +224,7 @@
             is_in_flight: true,
             is_dispatching: true,
             abort: abort.clone(),
-            has_called_back: false,
+            has_received_callback: false,
             is_cancelling: false,
         });
         if self.is_past_deadline || is_repeated || is_at_same_address || self.response_sender.is_none() {
@@ -224,20 +233,20 @@
             return;
         }
         self.context.recorder.attempt_sent(self.request_id(), number, worker);
-        let control = DispatchControl { withhold: self.dispatch_cancellation.clone(), abort };
+        let control = DispatchControl { withhold: self.withhold_attempts.clone(), abort };
         let dispatch = self.dispatch(number, target, control);
         let completion = dispatch.map(move |result| DispatchCompletion { attempt: number, result });
         self.dispatches.push(completion.boxed());
     }
 
-    /// Whether an attempt is in flight at the address of a target. A worker may be listed under two names, as when
-    /// its process was replaced: it gets one attempt of a request at a time.
+    /// Whether an attempt is in flight at the address of a target. A worker may be listed under two names,
+    /// for example after its process was replaced, but must get only one attempt of a request at a time.
     fn has_attempt_at(&self, target: &AttemptTarget) -> bool {
         let mut in_flight = self.attempts.iter().filter(|attempt| attempt.is_in_flight);
         target.address.is_some() && in_flight.any(|attempt| attempt.target.address == target.address)
     }
 
-    /// The dispatch of an attempt, not polled yet.
+    /// Creates the future that dispatches an attempt.
     fn dispatch(
         &self,
         number: u32,
@@ -261,10 +270,10 @@
         let attempt = &mut self.attempts[number as usize];
         attempt.is_dispatching = false;
         match completion.result {
-            // Whether the worker had accepted it as its connection was closed is not known.
+            // It is not known whether the worker had accepted the attempt when the connection was closed.
             Err(failure) if failure.outcome == Outcome::Cancelled => self.send_cancellation(number, true),
             Err(failure) => self.finish_attempt(number, failure.into()),
-            // It was accepted as it was cancelled.
+            // The worker accepted the attempt while it was being cancelled.
             Ok(()) if attempt.is_cancelling => self.send_cancellation(number, false),
             Ok(()) => {}
         }
@@ -277,19 +286,19 @@
         }
     }
 
-    /// Times all attempts out. The policy is notified, and decides the final response.
+    /// Ends all attempts as timed out. The policy is notified and decides on the final response.
     fn handle_deadline(&mut self) {
         self.is_past_deadline = true;
         for number in 0..self.attempts.len() as u32 {
             self.abandon_attempt(number, Outcome::TimedOut);
         }
-        // Attempts that ended by a callback and whose 202 never came.
+        // This also ends the dispatch of attempts that ended by a callback but whose 202 was never received.
         for attempt in &self.attempts {
             attempt.abort.cancel();
         }
     }
 
-    /// Fails a request that the policy left without a response past its deadline.
+    /// Fails a request for which the policy has not decided on a final response by its deadline.
     fn fail_if_overdue(&mut self, events: &mpsc::UnboundedReceiver<RequestEvent>) {
         if self.is_past_deadline && events.is_empty() && self.response_sender.is_some() {
             invariant!(false, "the module answers what is overdue");
@@ -297,9 +306,10 @@
         }
     }
 
-    /// Takes the right to respond, once; from here on nothing more is written for the client.
+    /// Takes the sender of the final response; `None` if it was taken before. Attempts that have not been
+    /// written are withheld from now on.
     fn take_response_sender(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
-        self.dispatch_cancellation.cancel();
+        self.withhold_attempts.cancel();
         self.response_sender.take()
     }
 
@@ -316,12 +326,12 @@
         self.context.recorder.response_sent(&self.request, response, elapsed);
     }
 
-    /// Takes a callback. One that comes twice, or late for an attempt that has ended, is dropped; one that
-    /// comes before the 202 counts like any other.
+    /// Handles a callback. A callback for an attempt that has ended, such as a repeated one, is ignored. One
+    /// that is received before the 202 is handled like any other.
     fn handle_worker_event(&mut self, worker: WorkerId, event: WorkerEvent) {
-        let is_meant = |attempt: &Attempt| attempt.target.worker == worker && attempt.is_in_flight;
-        let Some(index) = self.attempts.iter().position(is_meant) else { return };
-        self.attempts[index].has_called_back = true;
+        let is_recipient = |attempt: &Attempt| attempt.target.worker == worker && attempt.is_in_flight;
+        let Some(index) = self.attempts.iter().position(is_recipient) else { return };
+        self.attempts[index].has_received_callback = true;
         let number = index as u32;
         match event {
             WorkerEvent::Progress(progress) => {
@@ -331,9 +341,9 @@
         }
     }
 
-    /// Ends an attempt that is in flight: responds to the client if it was served, and notifies the policy.
+    /// Ends an attempt that is in flight: sends the final response if it was served, and notifies the policy.
     fn finish_attempt(&mut self, number: u32, completion: AttemptCompletion) {
-        let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
+        let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
         attempt.is_in_flight = false;
         let worker = attempt.target.worker;
         let elapsed = self.context.clock.now().saturating_sub(attempt.sent_at);
@@ -341,7 +351,7 @@
         let worker_name = self.context.upstream.worker_name(worker);
         debug!(attempt = number, worker = &*worker_name, ?outcome, elapsed_us = elapsed, "attempt ended");
         if let Some(counter) = failure_counter(outcome) {
-            note_of(counter, &format!("after {} ms", elapsed / 1_000), self.subject(&worker_name));
+            note_of(counter, &format!("after {} ms", elapsed / 1_000), self.counter_subject(&worker_name));
         }
         if outcome == Outcome::Served {
             self.respond(FinalResponse::Served(result.unwrap_or_default()));
@@ -358,14 +368,15 @@
         self.context.policy.attempt_ended(attempt_outcome);
     }
 
-    /// Cancels an attempt for the policy. While a response is owed another attempt may follow, and two must not
-    /// run: so the attempt ends only once nothing of it can run any more. Until then it goes on, and may be served.
+    /// Cancels an attempt on the policy's request. While the final response is outstanding, another attempt
+    /// may follow, and the two must not run at the same time. The attempt therefore ends only when it
+    /// certainly does not run any more; until then it remains in flight and may still be served.
     fn cancel_attempt(&mut self, number: u32) {
         if self.response_sender.is_none() {
             self.abandon_attempt(number, Outcome::Cancelled);
             return;
         }
-        let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
+        let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
         if std::mem::replace(&mut attempt.is_cancelling, true) {
             return;
         }
@@ -376,35 +387,41 @@
         }
     }
 
-    /// Tells the worker of an attempt that is in flight to cancel it; the attempt ends by what comes of that.
-    /// `is_closed` where its connection was closed before the worker accepted it.
-    fn send_cancellation(&mut self, number: u32, is_closed: bool) {
-        let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
-        let is_closed = is_closed && !attempt.has_called_back;
-        let timeout = if is_closed { CLOSED_ATTEMPT_CANCELLATION_TIMEOUT } else { CANCELLATION_TIMEOUT };
+    /// Sends the cancellation of an attempt that is in flight to its worker. The outcome of the cancellation
+    /// decides whether the attempt ends. `closed_before_acceptance` means that the connection was closed
+    /// before an acceptance was received.
+    fn send_cancellation(&mut self, number: u32, closed_before_acceptance: bool) {
+        let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
+        let closed_before_acceptance = closed_before_acceptance && !attempt.has_received_callback;
+        let timeout =
+            if closed_before_acceptance { CLOSED_ATTEMPT_CANCELLATION_TIMEOUT } else { CANCELLATION_TIMEOUT };
         let cancelled =
             self.context.upstream.cancel(&attempt.target, &self.upstream_request, from_now(timeout));
-        let completion =
-            cancelled.map(move |outcome| CancellationCompletion { attempt: number, is_closed, outcome });
+        let completion = cancelled.map(move |outcome| CancellationCompletion {
+            attempt: number,
+            closed_before_acceptance,
+            outcome,
+        });
         self.cancellations.push(completion.boxed());
     }
 
-    /// An attempt whose worker may not have heard of the cancellation stays in flight.
+    /// Ends a cancelled attempt, unless its worker may not have received the cancellation: then it stays in
+    /// flight.
     fn handle_cancellation_completion(&mut self, completion: &CancellationCompletion) {
         let number = completion.attempt;
-        let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
+        let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
         attempt.is_cancelling = false;
-        let has_ended = completion.is_closed && !attempt.has_called_back;
+        let has_ended = completion.closed_before_acceptance && !attempt.has_received_callback;
         if completion.outcome == CancellationOutcome::Acknowledged || has_ended {
             self.finish_attempt(number, Outcome::Cancelled.into());
         } else {
             let worker_name = self.context.upstream.worker_name(attempt.target.worker);
-            let subject = self.subject(&worker_name);
-            note_of("a cancellation was not acknowledged", "the request stays at its worker", subject);
+            let subject = self.counter_subject(&worker_name);
+            note_of("a cancellation was not acknowledged", "the worker may still run the attempt", subject);
         }
     }
 
-    fn subject<'a>(&'a self, worker_name: &'a str) -> Subject<'a> {
+    fn counter_subject<'a>(&'a self, worker_name: &'a str) -> Subject<'a> {
         Subject {
             worker: Some(worker_name),
             class: Some(class_name(&self.context, &self.request)),
@@ -412,13 +429,15 @@
         }
     }
 
-    /// Stops waiting for an attempt after which no other follows, and tells the worker so if it has accepted it.
+    /// Ends an attempt that no other attempt follows, without waiting for its worker, and sends a
+    /// cancellation if the worker has accepted it.
     fn abandon_attempt(&mut self, number: u32, outcome: Outcome) {
-        let Some(attempt) = in_flight(&mut self.attempts, number) else { return };
-        // Before the 202 the closed connection cancels it. But a worker that has called back already, and
-        // whose 202 crosses the close, would go on for nobody: that one gets a cancellation.
+        let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
+        // Before the 202, closing the connection cancels the attempt. A worker that has already sent a
+        // callback may send its 202 at the same time and would continue to run the attempt, so it gets a
+        // cancellation.
         attempt.abort.cancel();
-        if !attempt.is_dispatching || attempt.has_called_back {
+        if !attempt.is_dispatching || attempt.has_received_callback {
             let deadline = from_now(CANCELLATION_TIMEOUT);
             drop(self.context.upstream.cancel(&attempt.target, &self.upstream_request, deadline));
         }
@@ -426,7 +445,7 @@
     }
 }
 
-/// The counter of attempts that a worker failed in this way; none for outcomes that are no failure of the worker.
+/// The counter for a worker's failures of this kind, or `None` if the outcome is not a failure of the worker.
 fn failure_counter(outcome: Outcome) -> Option<&'static str> {
     match outcome {
         Outcome::TimedOut => Some("an attempt timed out"),
@@ -437,7 +456,7 @@
     }
 }
 
-/// The attempt of a number, if it has not ended.
-fn in_flight(attempts: &mut [Attempt], number: u32) -> Option<&mut Attempt> {
+/// The attempt with this number, if it is in flight.
+fn in_flight_attempt(attempts: &mut [Attempt], number: u32) -> Option<&mut Attempt> {
     attempts.get_mut(number as usize).filter(|attempt| attempt.is_in_flight)
 }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,35 +1,37 @@
-//! The phases of a graceful shutdown, which requests' tasks and client connections watch.
+//! The phases of a graceful shutdown, which request tasks and client connections watch.
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How far a shutdown has come.
+/// The phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ShutdownPhase {
-    /// All requests are taken.
+    /// The scheduler accepts requests; no shutdown has begun.
     #[default]
     Running,
-    /// Shutdown has begun: what was taken, and what still comes, is answered by this instant.
+    /// The shutdown has begun: accepted and newly arriving requests get their final response by this instant.
     Draining(Instant),
-    /// All is answered, by this instant at the latest; client connections close, and no more are accepted.
+    /// Client connections are being closed and no new ones are accepted. The final responses that are still
+    /// outstanding are written by this instant.
     Closing(Instant),
 }
 
-/// The shutdown of one scheduler. It only advances.
+/// The state of one scheduler's graceful shutdown. Its phase never goes back.
 #[derive(Clone, Default)]
 pub struct Shutdown {
     phase: watch::Sender<ShutdownPhase>,
 }
 
-/// Follows the phase.
+/// A receiver that follows the phase of a shutdown.
 pub type ShutdownWatch = watch::Receiver<ShutdownPhase>;
 
 impl Shutdown {
-    /// Begins it: all requests are answered by the deadline.
+    /// Begins the shutdown: all requests get their final response by the deadline.
     pub fn begin(&self, deadline: Instant) {
         self.phase.send_replace(ShutdownPhase::Draining(deadline));
     }
 
-    /// Closes the client connections, as its last phase.
+    /// Enters the last phase, in which client connections are closed. Has no effect unless the phase is
+    /// draining.
     pub fn close(&self) {
         self.phase.send_modify(|phase| {
             if let ShutdownPhase::Draining(deadline) = *phase {
@@ -38,23 +40,23 @@
         });
     }
 
-    /// How far it has come.
+    /// The current phase.
     pub fn phase(&self) -> ShutdownPhase {
         *self.phase.borrow()
     }
 
-    /// Whether it has begun.
+    /// Whether the shutdown has begun.
     pub fn is_started(&self) -> bool {
         self.phase() != ShutdownPhase::Running
     }
 
-    /// Follows the phase from here on.
+    /// Subscribes to changes of the phase.
     pub fn watch(&self) -> ShutdownWatch {
         self.phase.subscribe()
     }
 }
 
-/// A deadline, or that of the shutdown if it comes first.
+/// The earlier of a request's deadline and the drain deadline, if a shutdown has begun.
 pub fn effective_deadline(deadline: Instant, shutdown: &ShutdownWatch) -> Instant {
     match *shutdown.borrow() {
         ShutdownPhase::Running => deadline,
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -1,48 +1,49 @@
-//! The times of a graceful shutdown, which follow from the longest deadline of the settings in force.
+//! The schedule of a graceful shutdown, which is derived from the longest deadline of the settings in force.
 //!
-//! The supervisor sends SIGKILL no sooner than `min(longest deadline, 3 s) + 0.7 s` after SIGTERM. All times here are
-//! counted back from that instant, so that short deadlines end a shutdown sooner. With `K` for it:
+//! The supervisor sends SIGKILL no earlier than `K = min(longest deadline, 3 s) + 0.7 s` after SIGTERM. The
+//! schedule is computed backwards from `K`, so that a shutdown takes less time if the deadlines are short:
 //!
 //! | time after SIGTERM | what happens |
 //! | --- | --- |
-//! | `min(1 s, K - 0.5 s)` | new connections are refused from here on, if all is answered |
+//! | `min(1 s, K - 0.5 s)` | new connections are refused from now on, if no request is outstanding |
 //! | `K - 0.5 s`, at least 0.5 s | every request has its final response |
 //! | 0.1 s later | connections are closed |
-//! | `K - 0.2 s` | the process has ended, also where a disk or another scheduler keeps it waiting |
+//! | `K - 0.2 s` | the process has exited, even if a disk or another scheduler delays it |
 use std::time::Duration;
 
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::time::Instant;
 
-/// Of the longest deadline, no more than this counts for the SIGKILL.
+/// The supervisor counts at most this much of the longest deadline.
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
-/// The SIGKILL follows the counted deadline by this much at the soonest.
+/// The supervisor sends SIGKILL no earlier than this long after the counted deadline.
 const KILL_DELAY: Micros = 700_000;
-/// Requests are answered this long before the SIGKILL: a tenth of a second to write the last responses, and the rest
-/// for a process that reads its clock late or waits for its part of a core.
+/// How long before SIGKILL every request has its final response: 0.1 s to write the last responses, and the
+/// rest for a process that is scheduled late or throttled.
 const DRAIN_MARGIN: Micros = 500_000;
-/// Time for the last responses to be written.
+/// The time allowed for writing the last responses.
 pub(crate) const FINAL_WRITE_TIME: Micros = 100_000;
-/// New connections keep coming for 0.4 s at most; a tenth of a second more, and the last of them are answered.
+/// The shortest time for draining: new connections arrive for up to 0.4 s after SIGTERM, and the last of
+/// their requests are answered within another 0.1 s.
 const MIN_DRAIN_TIME: Micros = 500_000;
-/// The longest time that new connections are waited for where nothing else is left to do.
+/// How long at most to wait for new connections when no request is outstanding.
 const MAX_LATE_CONNECTION_WINDOW: Micros = SECOND;
-/// The process ends this long before the SIGKILL.
+/// How long before SIGKILL the process exits.
 const EXIT_MARGIN: Micros = 200_000;
 
-/// The times of a shutdown, counted from SIGTERM.
+/// The times of a graceful shutdown, in microseconds after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// All requests are answered by then.
+    /// When every request has its final response.
     pub drain_time: Micros,
-    /// New connections are waited for until then.
+    /// How long new connections are accepted even if no request is outstanding.
     pub late_connection_window: Micros,
-    /// The process has ended by then.
+    /// When the process has exited.
     pub exit_time: Micros,
 }
 
 impl ShutdownSchedule {
-    /// The schedule where clients wait for `longest_deadline` at most.
+    /// Computes the schedule for the longest deadline of all request classes, in microseconds.
     pub fn for_longest_deadline(longest_deadline: Micros) -> ShutdownSchedule {
         let kill_time = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
         let drain_time = (kill_time - DRAIN_MARGIN).max(MIN_DRAIN_TIME);
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The deadlines of a shutdown that begins at an instant.
+    /// The deadlines of a shutdown whose SIGTERM was received at `sigterm_at`.
     pub(crate) fn deadlines_from(&self, sigterm_at: Instant) -> ShutdownDeadlines {
         let after = |span| sigterm_at + Duration::from_micros(span);
         ShutdownDeadlines {
@@ -64,12 +65,12 @@
     }
 }
 
-/// The deadlines of a shutdown that has begun.
+/// The deadlines of a shutdown that has begun, as instants.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownDeadlines {
     pub(crate) drain_deadline: Instant,
     pub(crate) late_connections_until: Instant,
-    /// What still runs at this instant is not waited for.
+    /// When the process exits without waiting for tasks that are still running.
     pub exit_deadline: Instant,
 }
 
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends attempts to workers.
+//! The dispatch of attempts to workers over HTTP.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -22,78 +22,85 @@
 use crate::upstream::http::guarded_body::{GuardedBody, WriteGuard};
 use crate::upstream::http::limits::max_dispatches;
 use crate::upstream::http::load_report::header_load_report;
-use crate::upstream::http::request::{build_request, failure_outcome, may_run_anywhere, read_body};
+use crate::upstream::http::request::{build_request, failure_outcome, is_retryable_at_any_worker, read_body};
 
-/// The body of a response whose head has decided the outcome is read for so long, then its connection closes.
+/// How long the body of a response is read after its head has decided the outcome. Then the connection is
+/// closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
-/// A second response to a request may follow the first by so much: the protocol's slack on time limits.
+/// How long after the first response to a request a second one may arrive, which is the protocol's tolerance
+/// on time limits.
 const STRAY_RESPONSE_WINDOW: Micros = 50_000;
 
-/// The connect timeout is kept back from an attempt's time, but no more than this fraction of it.
-const MAX_CONNECT_FRACTION: u32 = 4;
-/// An attempt may be written this much later than the time kept back for its connection allows.
+/// The connect timeout is subtracted from an attempt's time limit, but no more than the limit divided by
+/// this.
+const CONNECT_RESERVE_DIVISOR: u32 = 4;
+/// How much later than the time reserved for its connection an attempt may be written, in microseconds.
 const WRITE_SLACK: Micros = DISPATCH_SLACK;
-/// The socket of a connection that is given up has been closed by then: a task of the client library has to run.
+/// How long to wait for the socket of an aborted attempt to be closed. The client library closes it in a
+/// separate task.
 const CLOSE_TIMEOUT: Micros = SECOND;
 
-/// Sends attempts and reads what their responses mean.
+/// Sends attempts and interprets their responses.
 pub(super) struct AttemptSender {
     connections: Arc<WorkerConnections>,
     endpoints: Arc<EndpointTable>,
-    /// One for each dispatch in progress: an eighth of the descriptors.
+    /// Limits the dispatches in progress to an eighth of the file descriptors.
     permits: Arc<Semaphore>,
-    /// How long a connection may take to come up.
+    /// How long establishing a connection may take.
     connect_timeout: Duration,
-    /// An attempt of a request with an idempotency key, which may have run before, is written within this, or
-    /// not at all.
-    keyed_write_window: Duration,
+    /// How long after its start an attempt of a request with an idempotency key may be written, since the
+    /// request may have run before.
+    key_write_window: Duration,
 }
 
 /// An attempt whose request is ready to be sent.
 struct PreparedAttempt {
     request: Request<GuardedBody>,
     started_at: Instant,
-    /// From here on it is not written any more.
+    /// From this instant on the attempt must not be written.
     write_deadline: Instant,
     is_written: Arc<AtomicBool>,
     /// Held until the response's body has been read.
     permit: OwnedSemaphorePermit,
 }
 
-/// What came of the wait for a response.
-enum Exchange {
+/// The result of waiting for the response to an attempt.
+enum WaitResult {
     Response(Response<Incoming>),
     Failed(Error),
-    /// The attempt was not written in time.
+    /// The attempt was not written by its write deadline.
     NotWritten,
     Aborted,
 }
 
-/// When an attempt of a request is written at the latest, and what it tells its worker. The figure is fixed before
-/// there is a connection, and may be at most 0.15 s above the time that the client has left when it arrives. So the
-/// time for a connection is kept back, and an attempt that has waited for longer is not written. The 0.15 s stay for
-/// a process that is held up as it writes: [`WRITE_SLACK`] is what the client waits beyond the request's deadline.
+/// The time limits of an attempt: when it must be written and the limit that is announced to the worker.
+///
+/// The announced limit is fixed before the connection is established. When the attempt arrives at the worker,
+/// the protocol allows it to exceed the client's remaining time by at most 0.15 s. Time for the connection is
+/// therefore subtracted from it, and an attempt that has waited longer for its connection is not written. The
+/// whole 0.15 s remain for delays of the process while it writes, because [`WRITE_SLACK`] is the time that
+/// the client waits beyond the request's deadline.
 struct AttemptTiming {
-    /// From here on it is not written any more.
+    /// From this instant on the attempt must not be written.
     write_deadline: Instant,
-    /// How long the worker may take, in milliseconds.
-    told_millis: u128,
+    /// The limit announced to the worker, in milliseconds.
+    announced_limit_ms: u128,
 }
 
 impl AttemptTiming {
-    /// The timing of an attempt that is prepared now, for a request's deadline.
+    /// Computes the time limits of an attempt that is prepared at `now`.
     fn new(now: Instant, deadline: Instant, connect_timeout: Duration) -> AttemptTiming {
         let time_left = deadline.saturating_duration_since(now);
-        let kept_back = connect_timeout.min(time_left / MAX_CONNECT_FRACTION);
+        let connect_reserve = connect_timeout.min(time_left / CONNECT_RESERVE_DIVISOR);
         AttemptTiming {
-            write_deadline: deadline.min(now + kept_back + Duration::from_micros(WRITE_SLACK)),
-            told_millis: (time_left - kept_back).as_millis(),
+            write_deadline: deadline.min(now + connect_reserve + Duration::from_micros(WRITE_SLACK)),
+            announced_limit_ms: (time_left - connect_reserve).as_millis(),
         }
     }
 }
 
 impl AttemptSender {
-    /// Sends over these connections, for a process of so many descriptors.
+    /// Creates a sender whose limits fit a process with `descriptor_limit` file descriptors.
     pub(super) fn new(
         connections: Arc<WorkerConnections>,
         endpoints: Arc<EndpointTable>,
@@ -105,11 +112,11 @@
             endpoints,
             permits: Arc::new(Semaphore::new(max_dispatches(descriptor_limit))),
             connect_timeout: Duration::from_micros(settings.connect_timeout),
-            keyed_write_window: Duration::from_micros(settings.connect_timeout + DISPATCH_SLACK / 2),
+            key_write_window: Duration::from_micros(settings.connect_timeout + DISPATCH_SLACK / 2),
         }
     }
 
-    /// Sends an attempt; returns once the worker has accepted it, or how it ended.
+    /// Sends an attempt, and returns when the worker has accepted it or the attempt has ended otherwise.
     pub(super) async fn send(
         &self,
         target: &AttemptTarget,
@@ -122,26 +129,26 @@
         let connection = capture_connection(&mut request);
         let response = self.connections.send_attempt(request, upstream_request.idempotency);
         match exchange(response, control, write_deadline, &is_written).await {
-            Exchange::Response(response) => {
+            WaitResult::Response(response) => {
                 self.read_response(response, &connection, upstream_request.idempotency, started_at, permit)
             }
-            Exchange::Failed(error) => {
+            WaitResult::Failed(error) => {
                 let outcome = failure_outcome(&error);
                 if outcome != Outcome::Superseded {
                     self.connections.record_use(&connection, ConnectionUse::Broken);
                 }
                 Err(outcome.into())
             }
-            Exchange::NotWritten => Err(Outcome::ConnectFailed.into()),
-            Exchange::Aborted if is_written.load(Ordering::Relaxed) => {
+            WaitResult::NotWritten => Err(Outcome::ConnectFailed.into()),
+            WaitResult::Aborted if is_written.load(Ordering::Relaxed) => {
                 let _ = timeout_at(from_now(CLOSE_TIMEOUT), wait_until_closed(&connection)).await;
                 Err(Outcome::Cancelled.into())
             }
-            Exchange::Aborted => Err(Outcome::Superseded.into()),
+            WaitResult::Aborted => Err(Outcome::Superseded.into()),
         }
     }
 
-    /// Reads what a response says of its attempt.
+    /// Interprets the response to an attempt.
     fn read_response(
         &self,
         response: Response<Incoming>,
@@ -150,7 +157,7 @@
         started_at: Instant,
         permit: OwnedSemaphorePermit,
     ) -> DispatchResult {
-        // The head decides: a body that never ends must not delay a request whose outcome is known.
+        // The head decides the outcome, so that a body that never ends does not delay the request.
         let (head, body) = response.into_parts();
         match response_outcome(head.status, &head.headers) {
             None => {
@@ -158,11 +165,11 @@
                 drain_body(body, permit);
                 Ok(())
             }
-            Some(outcome) => Err(self.unaccepted(connection, &head, outcome, idempotency, started_at)),
+            Some(outcome) => Err(self.dispatch_failure(connection, &head, outcome, idempotency, started_at)),
         }
     }
 
-    /// Takes a permit and builds the request, with its last checks in its body.
+    /// Acquires a permit and builds the HTTP request. Its body performs the last checks when it is written.
     fn prepare(
         &self,
         target: &AttemptTarget,
@@ -170,19 +177,19 @@
         deadline: Instant,
         control: &DispatchControl,
     ) -> Result<PreparedAttempt, DispatchFailure> {
-        // After the policy's decision discovery may have announced that the worker drains or is removed: then
-        // it gets no new work. The body checks again as it is written.
+        // The worker may have been listed as draining or removed since the policy's decision; then it gets no
+        // new attempts. The body checks this again when it is written.
         let address = target.address.clone().ok_or(Outcome::Superseded)?;
-        // Workers that fall silent by the dozen must not hold the descriptors that callbacks need. The outcome
-        // is as where no descriptor is left: no connection comes up.
+        // If dozens of workers stop responding, they must not hold the file descriptors that callbacks need.
+        // The outcome is the same as without a free file descriptor: no connection can be established.
         let permit = Arc::clone(&self.permits).try_acquire_owned().map_err(|_| Outcome::ConnectFailed)?;
         let started_at = Instant::now();
-        let AttemptTiming { write_deadline, told_millis } =
+        let AttemptTiming { write_deadline, announced_limit_ms } =
             AttemptTiming::new(started_at, deadline, self.connect_timeout);
-        // A repeat must not be written after the workers have forgotten its key: the policy has left this much
-        // of the key's window.
+        // A retry must not be written after the workers have dropped its idempotency key. The policy decides
+        // such that at least this much of the key's window is left.
         let write_deadline = match upstream_request.idempotency {
-            Idempotency::IdempotentWithKey { .. } => write_deadline.min(started_at + self.keyed_write_window),
+            Idempotency::IdempotentWithKey { .. } => write_deadline.min(started_at + self.key_write_window),
             _ => write_deadline,
         };
         let is_written = Arc::new(AtomicBool::new(false));
@@ -195,13 +202,13 @@
             write_deadline,
             is_written: Arc::clone(&is_written),
         };
-        let request = build_attempt(upstream_request, address, guard, told_millis);
-        let request = request.filter(|_| told_millis > 0).ok_or(Outcome::Superseded)?;
+        let request = build_attempt(upstream_request, address, guard, announced_limit_ms);
+        let request = request.filter(|_| announced_limit_ms > 0).ok_or(Outcome::Superseded)?;
         Ok(PreparedAttempt { request, started_at, write_deadline, is_written, permit })
     }
 
-    /// How an attempt ended whose response does not accept it.
-    fn unaccepted(
+    /// The failure of an attempt whose response does not accept it.
+    fn dispatch_failure(
         &self,
         connection: &CaptureConnection,
         head: &Parts,
@@ -210,33 +217,34 @@
         started_at: Instant,
     ) -> DispatchFailure {
         let previous_use = self.connections.record_use(connection, ConnectionUse::NotReusable);
-        // The response may be the last request's second one, which is no ground for a second run.
+        // The response may be a second one to the previous request on this connection. Then it does not prove
+        // that this attempt never ran.
         let stray_window = Duration::from_micros(STRAY_RESPONSE_WINDOW);
         let is_stray = previous_use.is_some_and(|previous| started_at < previous + stray_window);
-        let is_doubtful = is_stray && outcome.never_ran() && !may_run_anywhere(idempotency);
-        let outcome = if is_doubtful { Outcome::Error } else { outcome };
+        let is_unproven = is_stray && outcome.never_ran() && !is_retryable_at_any_worker(idempotency);
+        let outcome = if is_unproven { Outcome::Error } else { outcome };
         DispatchFailure { outcome, load_report: header_load_report(&head.headers) }
     }
 }
 
-/// Waits for an attempt's response, for as long as its control and the deadline for writing it allow.
+/// Waits for the response to an attempt until the attempt is aborted or has missed its write deadline.
 async fn exchange(
     mut response: ResponseFuture,
     control: &DispatchControl,
     write_deadline: Instant,
     is_written: &AtomicBool,
-) -> Exchange {
+) -> WaitResult {
     let mut is_past_write_deadline = false;
     loop {
         tokio::select! {
-            // A response that has come counts, whatever else has happened.
+            // A response that was received takes precedence over an abort and the deadline.
             biased;
-            result = &mut response => return result.map_or_else(Exchange::Failed, Exchange::Response),
-            () = control.abort.cancelled() => return Exchange::Aborted,
+            result = &mut response => return result.map_or_else(WaitResult::Failed, WaitResult::Response),
+            () = control.abort.cancelled() => return WaitResult::Aborted,
             () = sleep_until(write_deadline), if !is_past_write_deadline => {
                 is_past_write_deadline = true;
                 if !is_written.load(Ordering::Relaxed) {
-                    return Exchange::NotWritten;
+                    return WaitResult::NotWritten;
                 }
             }
         }
@@ -247,32 +255,32 @@
     upstream_request: &UpstreamRequest,
     address: Authority,
     guard: WriteGuard,
-    told_millis: u128,
+    announced_limit_ms: u128,
 ) -> Option<Request<GuardedBody>> {
     let body = GuardedBody::new(upstream_request.body.clone(), guard);
     let mut request = build_request(Method::POST, address, upstream_request.path.clone(), body)?;
     *request.headers_mut() = upstream_request.headers.clone();
-    // The body gives its length.
+    // The HTTP library sets the length of the body.
     request.headers_mut().remove(CONTENT_LENGTH);
-    if let Ok(value) = format!("{told_millis}m").parse() {
+    if let Ok(value) = format!("{announced_limit_ms}m").parse() {
         request.headers_mut().insert("x-timeout", value);
     }
     Some(request)
 }
 
-/// What a response to an attempt means; `None` is that the worker has accepted it.
+/// The outcome that a response to an attempt means, or `None` if the worker has accepted it.
 fn response_outcome(status: StatusCode, headers: &HeaderMap) -> Option<Outcome> {
     let never_ran = headers.get("x-not-processed").is_some_and(|value| value == "1");
     match status {
         StatusCode::ACCEPTED => None,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Some(Outcome::Rejected),
-        // Any other response leaves open whether it ran.
+        // Any other response does not state whether the request ran.
         _ => Some(Outcome::Error),
     }
 }
 
-/// Reads a body to its end, so that its connection can carry the next request, in a task that a time-out ends.
-/// Until then it holds its permit.
+/// Spawns a task that reads a body to its end, so that the connection can be reused. The task is limited by a
+/// timeout and holds the permit until it ends.
 fn drain_body(body: Incoming, permit: OwnedSemaphorePermit) {
     if body.is_end_stream() {
         return;
--- a/crates/proxy/src/upstream/http/callback.rs
+++ b/crates/proxy/src/upstream/http/callback.rs
@@ -1,4 +1,4 @@
-//! Workers' callbacks: parsed, and delivered to the requests that they belong to.
+//! Parses workers' callbacks and delivers them to the tasks of their requests.
 use std::sync::Arc;
 
 use bytes::Bytes;
@@ -12,34 +12,34 @@
 use crate::policy_handle::PolicyHandle;
 use crate::upstream::http::load_report::parse_load_object;
 
-/// Where workers call back.
+/// The path to which workers send callbacks.
 pub const CALLBACK_PATH: &str = "/_jobs/news";
 
-/// A worker's message on an attempt that it has accepted.
+/// A worker's report on an attempt that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Callback {
     /// The attempt's request.
     pub request: RequestId,
     /// The worker's name.
     pub worker_name: String,
-    /// What the worker reports.
+    /// The reported event.
     pub event: WorkerEvent,
 }
 
-/// Why a message is no callback.
+/// Why a message is not a valid callback.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CallbackError {
-    /// It is no JSON, or a field is missing or of another type.
+    /// The message is not JSON, or a field is missing or has the wrong type.
     #[error(transparent)]
     Malformed(#[from] ReadError),
-    /// The state is none that workers report.
+    /// The reported state is unknown.
     #[error("unknown state {state:?}")]
     UnknownState {
         /// The state.
         state: String,
     },
-    /// The request id has another form.
+    /// The request id is malformed.
     #[error("id {id:?} is not 16 hex digits")]
     InvalidRequestId {
         /// The id.
@@ -50,7 +50,7 @@
 /// Parses a callback.
 ///
 /// # Errors
-/// A message that is no callback.
+/// Returns an error if the message is not a valid callback.
 pub fn parse_callback(body: &[u8]) -> Result<Callback, CallbackError> {
     let message = json::parse_bytes(body)?;
     let id = required(&message, "id", text)?;
@@ -84,8 +84,8 @@
     })
 }
 
-/// Takes the workers' callbacks, wherever these come in. One whose request has completed is accepted like the
-/// rest.
+/// Creates the handler of workers' callbacks, for use by any server that receives them. A callback for a
+/// completed request or from an unknown worker is accepted and ignored.
 pub fn callback_handler(
     endpoints: Arc<EndpointTable>,
     policy: Arc<PolicyHandle>,
--- a/crates/proxy/src/upstream/http/cancellation.rs
+++ b/crates/proxy/src/upstream/http/cancellation.rs
@@ -1,4 +1,4 @@
-//! Tells workers that nobody waits for an attempt any longer.
+//! Sends cancellations of attempts to workers.
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError, Weak};
 
@@ -17,24 +17,24 @@
 use crate::upstream::http::limits::{max_cancellations, max_idle_per_worker};
 use crate::upstream::http::request::{build_request, read_body};
 
-/// The body of a response, which says nothing, is read for so long, then its connection closes.
+/// How long the body of a response, which is ignored, is read. Then the connection is closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
-/// Wait before a cancellation that did not reach its worker is sent again.
+/// The delay before a cancellation that was not acknowledged is sent again.
 const RETRY_DELAY: Micros = 20_000;
 
-/// Sends cancellations.
+/// Sends cancellations, with a limit on those in flight in total and for each worker.
 pub(super) struct CancellationSender {
     connections: Arc<WorkerConnections>,
-    /// One for each cancellation in flight.
+    /// Limits the cancellations in flight to all workers.
     permits: Arc<Semaphore>,
-    /// Those for each worker's address, while a cancellation to it is in flight: a worker that answers none must
-    /// not hold up the others.
+    /// Limits the cancellations in flight to each worker's address, so that a worker that answers none does
+    /// not delay the others. Addresses without a cancellation in flight are removed.
     permits_by_address: Mutex<HashMap<Authority, Weak<Semaphore>>>,
     max_per_worker: usize,
 }
 
 impl CancellationSender {
-    /// Sends over these connections, for a process of so many descriptors.
+    /// Creates a sender whose limits fit a process with `descriptor_limit` file descriptors.
     pub(super) fn new(connections: Arc<WorkerConnections>, descriptor_limit: usize) -> CancellationSender {
         CancellationSender {
             connections,
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The permits of one worker's address.
-    fn permits_of(&self, address: &Authority) -> Arc<Semaphore> {
+    /// The semaphore of one worker's address.
+    fn permits_for(&self, address: &Authority) -> Arc<Semaphore> {
         let mut permits_by_address = self.permits_by_address.lock().unwrap_or_else(PoisonError::into_inner);
         permits_by_address.retain(|_, permits| permits.strong_count() > 0);
         if let Some(permits) = permits_by_address.get(address).and_then(Weak::upgrade) {
@@ -56,7 +56,7 @@
         permits
     }
 
-    /// Sends the cancellation of a request's attempt in a task that ends at the deadline, and waits for the task.
+    /// Spawns a task that sends the cancellation of an attempt until the deadline, and waits for its outcome.
     pub(super) fn send(
         &self,
         target: &AttemptTarget,
@@ -66,7 +66,7 @@
         let (sender, outcome) = oneshot::channel();
         let path = format!("/jobs/{request_id}").parse().ok();
         if let Some((address, path)) = target.address.clone().zip(path) {
-            let worker_permits = self.permits_of(&address);
+            let worker_permits = self.permits_for(&address);
             let cancellation = Cancellation { connections: Arc::clone(&self.connections), address, path };
             let permits = Arc::clone(&self.permits);
             tokio::spawn(timeout_at(deadline, async move {
@@ -80,7 +80,7 @@
     }
 }
 
-/// One cancellation on its way to a worker.
+/// A cancellation that is being sent to a worker.
 struct Cancellation {
     connections: Arc<WorkerConnections>,
     address: Authority,
@@ -88,8 +88,8 @@
 }
 
 impl Cancellation {
-    /// Sends it until the worker acknowledges it: first on a connection that may be pooled, which may have broken
-    /// unseen, then on new ones.
+    /// Sends the cancellation until the worker acknowledges it. The first try may use a pooled connection,
+    /// which may have broken unnoticed; later ones use new connections.
     async fn send_until_acknowledged(&self) {
         if self.send(WorkerConnections::send).await {
             return;
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Sends it once; whether the worker has acknowledged it. A worker that knows no such attempt runs none.
+    /// Sends the cancellation once, and returns whether the worker has acknowledged it. A response that the
+    /// attempt is unknown counts as an acknowledgement, since the worker does not run it.
     async fn send(&self, send: fn(&WorkerConnections, Request<GuardedBody>) -> ResponseFuture) -> bool {
         let (address, path) = (self.address.clone(), self.path.clone());
         let Some(request) = build_request(Method::DELETE, address, path, GuardedBody::empty()) else {
@@ -110,7 +111,7 @@
         };
         let Ok(response) = send(&self.connections, request).await else { return false };
         let is_acknowledged = !response.status().is_server_error();
-        // So that the connection can carry the next request.
+        // The connection can be reused only after the body has been read.
         let _ = timeout_at(from_now(BODY_DRAIN_TIMEOUT), read_body(response.into_body())).await;
         is_acknowledged
     }
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to workers: their pool, and which requests may reuse one.
+//! The connection pool for workers, and the rule that decides which requests may reuse a connection.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -16,38 +16,40 @@
 use crate::invariant::{Subject, note_of};
 use crate::upstream::http::guarded_body::GuardedBody;
 use crate::upstream::http::limits::{idle_timeout, max_idle_per_worker};
-use crate::upstream::http::request::may_run_anywhere;
+use crate::upstream::http::request::is_retryable_at_any_worker;
 use crate::upstream::http::tracked_connector::{ClosedSignal, TrackedConnector};
 
-/// Longest head of a worker's response that is read: a head without end would grow on each connection.
+/// The maximum size of the head of a worker's response, which limits the memory that an endless head can use.
 const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
-/// For this long after a reused connection broke under its request, no reused connection is relied on: long
-/// enough for the requests that may be repeated to show whether it still happens.
+/// How long the reuse of connections is suspended after a reused connection has broken during a request.
+/// Requests that may run at any worker continue to reuse connections, and show within this time whether it
+/// still happens.
 const REUSE_SUSPENSION: Micros = 10 * SECOND;
-/// Connections whose last use is remembered before old ones are forgotten.
+/// The number of connections whose last use is tracked before entries older than the keep-alive time are
+/// removed.
 const MAX_TRACKED_CONNECTIONS: usize = 256;
 
-/// How a connection carried a request.
+/// The result of using a connection for a request.
 pub(super) enum ConnectionUse {
-    /// It brought the usual response, and carries the next request.
+    /// The response was as expected; the connection may be reused.
     Reusable,
-    /// It brought another response, and carries no more.
+    /// There was another response; the connection must not be reused.
     NotReusable,
-    /// It broke.
+    /// The connection broke.
     Broken,
 }
 
-/// What is known of reused connections.
+/// The state that decides whether connections may be reused.
 struct ConnectionReuse {
-    /// When each connection, named by its local address, carried its last request.
+    /// The time of the last use of each connection, which its local address identifies.
     last_uses: HashMap<SocketAddr, Instant>,
     suspended_until: Option<Instant>,
 }
 
-/// The connections to all workers.
+/// The HTTP connections to all workers.
 pub(super) struct WorkerConnections {
     pooled_client: Client<TrackedConnector, GuardedBody>,
-    /// Opens a connection for each request.
+    /// Opens a new connection for each request.
     unpooled_client: Client<TrackedConnector, GuardedBody>,
     /// Written only by [`WorkerConnections::record_use`].
     reuse: Mutex<ConnectionReuse>,
@@ -55,7 +57,7 @@
 }
 
 impl WorkerConnections {
-    /// Connections within the settings, for a process of so many descriptors.
+    /// Creates a pool whose limits fit a process with `descriptor_limit` file descriptors.
     pub(super) fn new(settings: &ProxySettings, descriptor_limit: usize) -> WorkerConnections {
         WorkerConnections {
             pooled_client: build_client(settings, max_idle_per_worker(descriptor_limit)),
@@ -65,20 +67,20 @@
         }
     }
 
-    /// Sends a request on a pooled connection, or a new one.
+    /// Sends a request on a pooled connection, or on a new one if none is idle.
     pub(super) fn send(&self, request: Request<GuardedBody>) -> ResponseFuture {
         self.pooled_client.request(request)
     }
 
-    /// Sends a request on a new connection, which carries nothing else.
+    /// Sends a request on a new connection, which is not reused.
     pub(super) fn send_on_new_connection(&self, request: Request<GuardedBody>) -> ResponseFuture {
         self.unpooled_client.request(request)
     }
 
-    /// Sends an attempt on a pooled connection or a new one. A connection may have died unseen and break
-    /// under the next request; after that a request that must run once may not be sent again, and one whose
-    /// repeats only some workers drop may be sent to few. While this was seen lately, such a request gets a
-    /// connection of its own.
+    /// Sends an attempt on a pooled connection or on a new one. A pooled connection may have failed unnoticed
+    /// and break during the next request. After that, a non-idempotent request must not be retried, and one
+    /// whose idempotency key only some workers know can be retried only at those. If this has happened
+    /// recently, such a request is sent on a new connection that is not reused.
     pub(super) fn send_attempt(
         &self,
         request: Request<GuardedBody>,
@@ -88,14 +90,14 @@
             let reuse = self.reuse.lock().unwrap_or_else(PoisonError::into_inner);
             reuse.suspended_until.is_some_and(|until| Instant::now() < until)
         };
-        if is_suspended && !may_run_anywhere(idempotency) {
+        if is_suspended && !is_retryable_at_any_worker(idempotency) {
             self.unpooled_client.request(request)
         } else {
             self.pooled_client.request(request)
         }
     }
 
-    /// Records how a connection carried a request; returns when it carried the one before.
+    /// Records the result of a connection's use, and returns the time of its previous use if that is tracked.
     pub(super) fn record_use(
         &self,
         connection: &CaptureConnection,
@@ -112,8 +114,8 @@
                 }
                 reuse.last_uses.insert(address, now);
             }
-            // A second response that comes a little after the first would be taken for the next request's own,
-            // and all later ones would be off by one.
+            // If a second response followed the first, it would be taken for the response to the next
+            // request, and all later responses would be assigned to the wrong requests.
             ConnectionUse::NotReusable => {
                 connection.connection_metadata().iter().for_each(Connected::poison);
             }
@@ -123,7 +125,7 @@
                 let subject = Subject { peer: worker_address.as_deref(), ..Subject::default() };
                 note_of(
                     "a reused connection broke under its request",
-                    "requests that may not run at any worker get new connections",
+                    "requests that may not run at any worker are sent on new connections",
                     subject,
                 );
             }
@@ -139,16 +141,18 @@
     connector.set_connect_timeout(Some(Duration::from_micros(settings.connect_timeout)));
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        // Shorter than the workers' own: a request must not be written to a connection that its worker closes.
+        // Shorter than the workers' timeout, so that no request is written to a connection that its worker
+        // closes.
         .pool_idle_timeout(Duration::from_micros(idle_timeout(settings.keep_alive_timeout)))
         .pool_max_idle_per_host(max_idle)
-        // The library never resends: that would be a second attempt that nobody decided on.
+        // The library must not retry: that would be an attempt that the policy has not decided on.
         .retry_canceled_requests(false)
         .http1_max_buf_size(MAX_RESPONSE_HEAD_BYTES)
         .build(TrackedConnector(connector))
 }
 
-/// Waits until the socket of the connection that a request went out on has been closed.
+/// Waits until the socket of a request's connection has been closed. Returns at once if there is no
+/// connection.
 pub(super) async fn wait_until_closed(connection: &CaptureConnection) {
     let closed = connection_extras(connection).and_then(|mut extras| extras.remove::<ClosedSignal>());
     if let Some(ClosedSignal(closed)) = closed {
@@ -156,16 +160,17 @@
     }
 }
 
-/// The local address of the connection that a request went out on, which names the connection.
+/// The worker's address of a request's connection.
 fn remote_address(connection: &CaptureConnection) -> Option<SocketAddr> {
     connection_extras(connection)?.get().map(HttpInfo::remote_addr)
 }
 
+/// The local address of a request's connection, which identifies the connection.
 fn local_address(connection: &CaptureConnection) -> Option<SocketAddr> {
     connection_extras(connection)?.get().map(HttpInfo::local_addr)
 }
 
-/// What is known of the connection that a request went out on; nothing while there is none.
+/// The metadata of a request's connection, or `None` if the request has no connection yet.
 fn connection_extras(connection: &CaptureConnection) -> Option<Extensions> {
     let mut extras = Extensions::new();
     connection.connection_metadata().as_ref()?.get_extras(&mut extras);
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -1,4 +1,4 @@
-//! A request body that is withheld unless the attempt may still be written.
+//! A request body that is withheld if the attempt must no longer be written.
 use std::pin::Pin;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,19 +16,19 @@
 
 /// The conditions under which an attempt may be written.
 pub(super) struct WriteGuard {
-    /// Not once this forbids it.
+    /// Must permit the write.
     pub(super) control: DispatchControl,
-    /// Nor once the client has gone, by what the system knows in the step that writes.
+    /// Must report the client as connected in the step that writes.
     pub(super) client: ClientPresence,
-    /// The table in which `worker` must be serving at `address`.
+    /// The table that must list `worker` as serving at `address`.
     pub(super) endpoints: Arc<EndpointTable>,
-    /// The worker that the attempt was decided for.
+    /// The worker of the attempt.
     pub(super) worker: WorkerId,
-    /// Where the attempt is sent.
+    /// The address to which the attempt is sent.
     pub(super) address: Authority,
-    /// Not from here on.
+    /// From this instant on the attempt must not be written.
     pub(super) write_deadline: Instant,
-    /// Set in the step that writes the attempt.
+    /// Set in the step in which the attempt is written or withheld.
     pub(super) is_written: Arc<AtomicBool>,
 }
 
@@ -40,36 +40,38 @@
             && !self.client.is_gone()
     }
 
-    /// Asked in the step that writes the attempt: whether it may be. Records what becomes of it.
-    fn try_write(&self) -> bool {
+    /// Checks, in the step that writes the attempt, whether it may be written, and records the result.
+    fn check_and_record(&self) -> bool {
         let is_permitted = self.permits_write();
         self.is_written.store(is_permitted, Ordering::Relaxed);
         is_permitted
     }
 }
 
-/// Why a body was withheld.
+/// The error of a body that was withheld.
 #[derive(Debug, thiserror::Error)]
-#[error("its time is over, nobody waits for it, or its worker takes nothing new there")]
+#[error("attempt aborted or too late, client disconnected, or worker not serving at this address")]
 pub(super) struct BodyWithheld;
 
-/// A request's body. A connection's task asks for it in the step that writes the head, and before any of it is
-/// flushed, so that this is the last moment for a check: a dispatch may have waited for its connection, new or
-/// reused, while discovery announced that the worker drains or moved, or while its time ran out. Without its
-/// last byte it never runs.
+/// A request body that checks the write guard when it is polled.
+///
+/// The connection's task polls the body in the step in which it writes the head, before any of it is flushed.
+/// This is the last opportunity for a check: while the dispatch waited for a new or reused connection, the
+/// worker may have been listed as draining or at another address, or the write deadline may have passed. A
+/// request whose body is incomplete never runs.
 pub(super) struct GuardedBody {
     body: Full<Bytes>,
-    /// Until it has been asked.
+    /// `None` after it has been checked.
     guard: Option<WriteGuard>,
 }
 
 impl GuardedBody {
-    /// A body that is given out only if the guard permits it.
+    /// Creates a body that is withheld unless the guard permits writing it.
     pub(super) fn new(body: Bytes, guard: WriteGuard) -> GuardedBody {
         GuardedBody { body: Full::new(body), guard: Some(guard) }
     }
 
-    /// No body, and no condition.
+    /// Creates an empty body without a guard.
     pub(super) fn empty() -> GuardedBody {
         GuardedBody { body: Full::default(), guard: None }
     }
@@ -83,7 +85,7 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyWithheld>>> {
-        if self.guard.take().is_some_and(|guard| !guard.try_write()) {
+        if self.guard.take().is_some_and(|guard| !guard.check_and_record()) {
             return Poll::Ready(Some(Err(BodyWithheld)));
         }
         Pin::new(&mut self.body).poll_frame(context).map_err(|never| match never {})
@@ -93,10 +95,11 @@
         self.body.is_end_stream() && self.guard.is_none()
     }
 
-    // Of an empty body only the length is asked for. One that is withheld gives none, and is polled then.
+    // For an empty body, hyper only asks for the length. If the guard forbids the write, the length is
+    // reported as unknown, so that the body is polled and returns the error.
     fn size_hint(&self) -> SizeHint {
         let is_empty = self.body.is_end_stream();
-        let is_withheld = is_empty && self.guard.as_ref().is_some_and(|guard| !guard.try_write());
+        let is_withheld = is_empty && self.guard.as_ref().is_some_and(|guard| !guard.check_and_record());
         if is_withheld { SizeHint::default() } else { self.body.size_hint() }
     }
 }
--- a/crates/proxy/src/upstream/http/limits.rs
+++ b/crates/proxy/src/upstream/http/limits.rs
@@ -1,35 +1,39 @@
-//! The parts of a process's descriptors that connections to workers get, and how long idle ones are kept.
+//! Limits on connections to workers, which are derived from the process's file descriptor limit, and the
+//! timeout of idle connections.
 use copperspread_dispatcher::Micros;
 
-/// The fraction of the workers' keep-alive time for which idle connections are kept here ...
+/// The fraction of the workers' keep-alive time for which idle connections are kept.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.9;
-/// ... and at least this much less, since a request may be on its way when they close.
+/// The minimum difference between the workers' keep-alive time and the timeout of idle connections. A request
+/// may be in transit when a worker closes its connection.
 const MIN_IDLE_TIMEOUT_MARGIN: Micros = 300_000;
 
-/// How long an idle connection is kept here, for a keep-alive time of the workers.
+/// How long an idle connection is kept, given the workers' keep-alive time; both in microseconds.
 pub fn idle_timeout(keep_alive: Micros) -> Micros {
     let fraction = (keep_alive as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
     fraction.min(keep_alive.saturating_sub(MIN_IDLE_TIMEOUT_MARGIN))
 }
 
-/// Most dispatches in progress at once, for a process of so many descriptors.
+/// The maximum number of dispatches in progress: an eighth of the file descriptors, but at least 4.
 pub fn max_dispatches(descriptor_limit: usize) -> usize {
     (descriptor_limit / 8).max(4)
 }
 
-/// Most load queries in flight at once, beside the dispatches: load queries must not use up what requests need.
+/// The maximum number of load queries in flight, from 4 to 12. They are not counted as dispatches; the limit
+/// keeps them from using the file descriptors that requests need.
 pub fn max_load_queries(descriptor_limit: usize) -> usize {
     (descriptor_limit / 48).clamp(4, 12)
 }
 
-/// Most cancellations in flight at once. A cancellation is sent on an idle connection to its worker, or on a new one
-/// if there is none: its descriptor is one of those kept for idle connections.
+/// The maximum number of cancellations in flight, at least 4. A cancellation uses an idle connection to its
+/// worker, or a new one if there is none. Its file descriptor is therefore one of those reserved for idle
+/// connections.
 pub fn max_cancellations(descriptor_limit: usize) -> usize {
     (descriptor_limit / 16).max(4)
 }
 
-/// Most idle connections kept to one worker. The idle connections to two dozen workers must not hold the
-/// descriptors that client connections count on.
+/// The maximum number of idle connections to one worker, from 1 to 8. Idle connections to two dozen workers
+/// must not use the file descriptors that client connections need.
 pub fn max_idle_per_worker(descriptor_limit: usize) -> usize {
     (descriptor_limit / 192).clamp(1, 8)
 }
--- a/crates/proxy/src/upstream/http/load_query.rs
+++ b/crates/proxy/src/upstream/http/load_query.rs
@@ -1,4 +1,4 @@
-//! Asks workers for their load reports.
+//! Sends load queries to workers over HTTP.
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -21,22 +21,22 @@
 use crate::upstream::http::load_report::parse_load_response;
 use crate::upstream::http::request::{build_request, failure_outcome, read_body_or_empty};
 
-/// Where workers answer load queries.
+/// The path at which workers answer load queries.
 const LOAD_QUERY_PATH: &str = "/-/load";
-/// For this long after its deadline a load query's response is still read, so that its connection stays: a load
-/// query that waits long in a queue would otherwise cost a new connection each time.
+/// How long after its deadline the response to a load query is still read, so that its connection can be
+/// reused. Otherwise each load query that waits long in a worker's queue would need a new connection.
 const LATE_RESPONSE_WINDOW: Micros = 4 * SECOND;
 
 /// Sends load queries, at most one at a time to each worker.
 pub(super) struct LoadQuerySender {
     connections: Arc<WorkerConnections>,
     endpoints: Arc<EndpointTable>,
-    /// The workers that have a load query unanswered.
+    /// The workers with a load query in flight.
     queried_workers: Arc<Mutex<HashSet<WorkerId>>>,
     max_load_queries: usize,
 }
 
-/// The right to have a load query in flight at one worker, until it is dropped.
+/// A permit for one load query at a worker, which is released when it is dropped.
 struct LoadQueryPermit {
     queried_workers: Arc<Mutex<HashSet<WorkerId>>>,
     worker: WorkerId,
@@ -49,7 +49,7 @@
 }
 
 impl LoadQuerySender {
-    /// Sends over these connections, for a process of so many descriptors.
+    /// Creates a sender whose limits fit a process with `descriptor_limit` file descriptors.
     pub(super) fn new(
         connections: Arc<WorkerConnections>,
         endpoints: Arc<EndpointTable>,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Sends a load query and waits for its answer until the deadline.
+    /// Sends a load query and waits for the answer until the deadline.
     pub(super) async fn send(&self, worker: WorkerId, deadline: Instant) -> LoadQueryResult {
         let Some(permit) = self.try_acquire(worker) else { return Outcome::Superseded.into() };
         let Some(mut request) = self.build_query(worker) else { return Outcome::Superseded.into() };
@@ -87,8 +87,8 @@
         }
     }
 
-    /// A permit, unless there are enough or the worker has one: load queries must not pile up at a worker that
-    /// answers none.
+    /// Acquires a permit, unless the limit is reached or the worker has a load query in flight. Load queries
+    /// must not accumulate at a worker that answers none.
     fn try_acquire(&self, worker: WorkerId) -> Option<LoadQueryPermit> {
         let mut queried_workers = self.queried_workers.lock().unwrap_or_else(PoisonError::into_inner);
         let is_permitted = queried_workers.len() < self.max_load_queries && queried_workers.insert(worker);
@@ -101,7 +101,8 @@
         build_request(Method::GET, address, path, GuardedBody::empty())
     }
 
-    /// Sends a query in a task of its own, which a time-out after the deadline ends.
+    /// Spawns a task that sends a load query and reads the response, until [`LATE_RESPONSE_WINDOW`] after the
+    /// deadline.
     fn spawn_query(
         &self,
         request: Request<GuardedBody>,
--- a/crates/proxy/src/upstream/http/load_report.rs
+++ b/crates/proxy/src/upstream/http/load_report.rs
@@ -1,4 +1,4 @@
-//! Parses workers' load reports. A garbled report counts as none.
+//! Parses workers' load reports. A malformed report is ignored.
 use std::collections::HashMap;
 
 use copperspread_dispatcher::LoadReport;
@@ -6,10 +6,10 @@
 use hyper::HeaderMap;
 use tinyjson::JsonValue;
 
-/// The header that brings a load report with a response.
+/// The response header that contains a load report.
 const LOAD_HEADER: &str = "x-server-load";
 
-/// A load report as an object.
+/// Parses a load report in the form of a JSON object.
 pub(super) fn parse_load_object(object: &JsonValue) -> Option<LoadReport> {
     let fields: &HashMap<String, JsonValue> = object.get()?;
     let mut report = LoadReport::default();
@@ -23,7 +23,7 @@
     Some(report)
 }
 
-/// A load report as a header's value, `TEXT name=value, name=value`.
+/// Parses a load report in the form of a header value, `TEXT name=value, name=value`.
 pub fn parse_load_header(value: &str) -> Option<LoadReport> {
     let pairs = value.trim().strip_prefix("TEXT")?;
     let mut report = LoadReport::default();
@@ -35,14 +35,14 @@
     Some(report)
 }
 
-/// The load report in a response's headers.
+/// Parses the load report in a response's headers, if there is one.
 pub(super) fn header_load_report(headers: &HeaderMap) -> Option<LoadReport> {
     let value = headers.get(LOAD_HEADER).and_then(|value| value.to_str().ok());
     value.and_then(parse_load_header)
 }
 
-/// The load report that the response to a load query brings: in its body, as an object or in the header's
-/// form, or in the header.
+/// Parses the load report in the response to a load query. The body may contain it as a JSON object or in the
+/// form of the header value; if it contains none, the header is used.
 pub fn parse_load_response(headers: &HeaderMap, body: &[u8]) -> Option<LoadReport> {
     let object = json::parse_bytes(body).ok();
     let from_object =
@@ -51,7 +51,7 @@
     from_object.or(from_text).or_else(|| header_load_report(headers))
 }
 
-/// Unknown names are ignored.
+/// Sets the field of this name; unknown names are ignored.
 fn set_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "queue" | "waiting" => report.queue = Some(value),
--- a/crates/proxy/src/upstream/http/mod.rs
+++ b/crates/proxy/src/upstream/http/mod.rs
@@ -1,5 +1,5 @@
-//! The HTTP/1.1 that the platform's workers speak: `POST` for an attempt, `DELETE` for its cancellation, `GET`
-//! for a load query, and callbacks at the clients' address.
+//! The HTTP/1.1 protocol of workers: `POST` for an attempt, `DELETE` for its cancellation, `GET` for a load
+//! query. Workers send callbacks to the address at which the scheduler listens for clients.
 use std::sync::Arc;
 
 use copperspread_dispatcher::WorkerId;
@@ -28,7 +28,7 @@
 mod request;
 mod tracked_connector;
 
-/// The HTTP client of all workers.
+/// The HTTP client for all workers.
 pub struct HttpUpstream {
     endpoints: Arc<EndpointTable>,
     attempts: AttemptSender,
@@ -37,7 +37,7 @@
 }
 
 impl HttpUpstream {
-    /// A client within the settings, for a process of so many descriptors.
+    /// Creates a client whose limits fit a process with `descriptor_limit` file descriptors.
     pub fn new(
         settings: &ProxySettings,
         endpoints: Arc<EndpointTable>,
--- a/crates/proxy/src/upstream/http/request.rs
+++ b/crates/proxy/src/upstream/http/request.rs
@@ -1,4 +1,4 @@
-//! Requests to workers and what their failures mean.
+//! Builds requests to workers, reads their responses' bodies and interprets their failures.
 use std::error::Error as _;
 
 use bytes::Bytes;
@@ -12,10 +12,10 @@
 
 use crate::upstream::http::guarded_body::{BodyWithheld, GuardedBody};
 
-/// Longest body of a worker's response that is read.
+/// The maximum size of the body of a worker's response.
 const MAX_RESPONSE_BODY_BYTES: usize = 64 * 1024;
 
-/// A request without headers, if its address and path make a URI.
+/// Builds a request without headers; `None` if its address and path do not form a valid URI.
 pub(super) fn build_request(
     method: Method,
     address: Authority,
@@ -26,13 +26,14 @@
     Request::builder().method(method).uri(uri).body(body).ok()
 }
 
-/// Reads a response's body to its end or its bound.
+/// Reads the body of a response; fails if it exceeds the maximum size.
 pub(super) fn read_body(body: Incoming) -> Collect<Limited<Incoming>> {
     Limited::new(body, MAX_RESPONSE_BODY_BYTES).collect()
 }
 
-/// What a failed request means. It never ran only where the protocol proves it: no connection came up, its body
-/// was withheld, or the client library gave the request back unwritten. In doubt it is a reset.
+/// The outcome of a failed request. It is one that never ran only if this is certain: no connection was
+/// established, the body was withheld, or the client library did not write the request. In all other cases it
+/// is a reset.
 pub(super) fn failure_outcome(error: &Error) -> Outcome {
     let cause = error.source().and_then(|source| source.downcast_ref::<hyper::Error>());
     let is_withheld =
@@ -45,15 +46,15 @@
     }
 }
 
-/// Whether a request that may have run may be sent to any worker.
-pub(super) fn may_run_anywhere(idempotency: Idempotency) -> bool {
+/// Whether a request that may have run can be retried at any worker.
+pub(super) fn is_retryable_at_any_worker(idempotency: Idempotency) -> bool {
     matches!(
         idempotency,
         Idempotency::Idempotent | Idempotency::IdempotentWithKey { scope: KeyScope::All, .. }
     )
 }
 
-/// A response body's bytes, empty where it could not be read.
+/// Reads the body of a response; empty if it cannot be read.
 pub(super) async fn read_body_or_empty(body: Incoming) -> Bytes {
     read_body(body).await.map_or_else(|_| Bytes::new(), |body| body.to_bytes())
 }
--- a/crates/proxy/src/upstream/http/tracked_connector.rs
+++ b/crates/proxy/src/upstream/http/tracked_connector.rs
@@ -1,6 +1,6 @@
-//! A connector whose connections say when their socket has been closed. The client library closes a connection in
-//! a task of its own, some time after its last request was dropped; a worker counts an attempt as cancelled only
-//! from then on.
+//! A connector whose connections signal when their socket has been closed. The client library closes a
+//! connection in a separate task, some time after its last request was dropped. A worker treats an attempt as
+//! cancelled only after the socket has been closed.
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -15,11 +15,12 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tower_service::Service;
 
-/// Cancelled once the socket of a connection has been closed. Found among the extras of its [`Connected`].
+/// A token that is cancelled when the socket of its connection has been closed. It is stored in the extras of
+/// the connection's [`Connected`].
 #[derive(Clone)]
 pub(super) struct ClosedSignal(pub(super) CancellationToken);
 
-/// Opens tracked connections.
+/// A connector that opens connections with a [`ClosedSignal`].
 #[derive(Clone)]
 pub(super) struct TrackedConnector(pub(super) HttpConnector);
 
@@ -37,7 +38,8 @@
     }
 }
 
-/// A connection's stream. Its fields are dropped in order: the socket is closed before the signal is given.
+/// The stream of a tracked connection. Its fields are dropped in declaration order, so that the socket is
+/// closed before the signal is sent.
 pub(super) struct TrackedStream {
     stream: TokioIo<TcpStream>,
     closed: DropGuard,
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The interface to workers.
+//! The interface of worker protocols.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{Outcome, WorkerId};
@@ -11,14 +11,14 @@
 
 pub mod http;
 
-/// A protocol that workers speak. It decides nothing: it never sends a request twice, and reports that an
-/// attempt never ran only where its protocol proves it.
+/// A worker protocol. An implementation never retries a request by itself, and reports that an attempt never
+/// ran only if the protocol proves it.
 pub trait Upstream: Send + Sync + 'static {
-    /// Where an attempt at a worker goes now.
+    /// The target of an attempt at a worker that begins now.
     fn target(&self, worker: WorkerId) -> AttemptTarget;
 
-    /// Dispatches an attempt; writes it only while its control permits. An attempt that is aborted ends as
-    /// superseded if it was never written, or else as cancelled, once its connection has been closed.
+    /// Dispatches an attempt, which is written only if `control` permits it. An aborted attempt ends as
+    /// superseded if it was not written. Otherwise it ends as cancelled after its connection has been closed.
     fn dispatch<'a>(
         &'a self,
         target: &'a AttemptTarget,
@@ -27,8 +27,8 @@
         control: &'a DispatchControl,
     ) -> BoxFuture<'a, DispatchResult>;
 
-    /// Tells the worker of an attempt that nobody waits for it any longer, and says whether the worker has
-    /// acknowledged that by the deadline. The cancellation goes on also if the future is dropped.
+    /// Sends the cancellation of an attempt to its worker, and returns whether the worker has acknowledged it
+    /// by the deadline. The cancellation continues if the future is dropped.
     fn cancel(
         &self,
         target: &AttemptTarget,
@@ -36,12 +36,13 @@
         deadline: Instant,
     ) -> BoxFuture<'static, CancellationOutcome>;
 
-    /// Asks a worker for its load report. A protocol without load queries sends none.
+    /// Sends a load query to a worker and waits for the answer until the deadline. The default
+    /// implementation, for protocols without load queries, sends nothing.
     fn query_load<'a>(&'a self, worker: WorkerId, deadline: Instant) -> BoxFuture<'a, LoadQueryResult> {
         let _ = (worker, deadline);
         Box::pin(std::future::ready(Outcome::Superseded.into()))
     }
 
-    /// A worker's name, for logs and the event log; empty if there is none of this number.
+    /// The name of a worker for log messages and the event log, or an empty string if the id is unknown.
     fn worker_name(&self, worker: WorkerId) -> Arc<str>;
 }
--- a/crates/proxy/src/worker_starts.rs
+++ b/crates/proxy/src/worker_starts.rs
@@ -1,34 +1,38 @@
-//! When workers started, on the scheduler's own clock.
+//! Estimates of workers' start times on the scheduler's clock.
 //!
-//! Discovery gives a worker's start in Unix time, and the wall clock may be set, before this program started or
-//! while it runs. A worker that is taken for older than it is gets more than it bears, so of all that a start can
-//! mean the latest counts, as far as it is no later than the list that shows it.
+//! Discovery reports a worker's start in Unix time, and the wall clock may be set before this program starts
+//! or while it runs. A worker whose start is estimated too early gets more requests than it can handle during
+//! its slow start. The estimate is therefore the latest start that the listed time can mean, but no later
+//! than the reading of the clocks at which the list was received.
 use copperspread_dispatcher::{Micros, SECOND};
 
 use crate::clock::ClockReading;
 
-/// How long before the last list without it a worker may have started: a restarted worker registers late, and the
-/// news of it may take seconds. An outage of discovery does not count, as nothing is answered then. Starts
-/// further back are taken for those of a clock that was set. Longer than any worker's slow start on the
-/// platform's pages, so that it matters little where it is wrong.
+/// How long a worker may have been running before the last list that did not contain its start: a restarted
+/// worker registers late, and the list may reach the scheduler seconds later. An outage of discovery is not
+/// included, since there are no answers during it. If a listed start is older, the wall clock is assumed to
+/// have been set. The value exceeds every slow start that the platform specifies, so that a wrong assumption
+/// has little effect.
 const MAX_LIST_DELAY: Micros = 30 * SECOND;
-/// A smaller difference of the clocks is no step of the wall clock: the program may be held up between reading the
-/// one and the other.
+/// The smallest difference of the clocks that counts as a step of the wall clock. Smaller differences can
+/// arise when the process is delayed between reading the two clocks.
 const MIN_CLOCK_STEP: Micros = SECOND / 2;
-/// The first list comes by then after the program's start, if discovery can be reached.
+/// The time after the program's start within which the first list arrives if discovery is reachable.
 const FIRST_LIST_DELAY: Micros = 3 * SECOND;
 
-/// Estimates workers' starts from what the wall clock has shown and from what the lists have.
+/// Estimates workers' start times from the observed steps of the wall clock and the times of discovery's
+/// answers.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerStarts {
-    /// How far the wall clock was ever set back against the scheduler's own.
+    /// The largest amount by which the wall clock was behind the scheduler's clock.
     largest_step_back: Micros,
-    /// When discovery last answered. What its answer did not have has started since, but for the news' delay.
+    /// When discovery last answered. A start that this answer did not contain is later than it, except for
+    /// the delay of lists.
     last_answered_at: Option<Micros>,
 }
 
 impl WorkerStarts {
-    /// Compares the clocks, when a list came and before its starts are estimated.
+    /// Compares the clocks when a list is received. Called before the starts of the list are estimated.
     pub(crate) fn observe_clocks(&mut self, reading: ClockReading) {
         let step_back = reading.now.saturating_sub(reading.unix);
         if step_back >= MIN_CLOCK_STEP {
@@ -36,19 +40,20 @@
         }
     }
 
-    /// Discovery has answered, and all starts of its answer are estimated.
+    /// Records that discovery has answered. Called after all starts of the answer have been estimated.
     pub(crate) fn record_answer(&mut self, reading: ClockReading) {
         self.last_answered_at = Some(reading.now);
     }
 
-    /// The next list comes from another discovery, which may have workers that this one never had.
+    /// Forgets the last answer, since the next list comes from another discovery service, which may know
+    /// other workers.
     pub(crate) fn forget_answers(&mut self) {
         self.last_answered_at = None;
     }
 
-    /// When a worker started whose start the last answer did not have, on the scheduler's own clock.
+    /// Estimates, on the scheduler's clock, a start that the last answer did not contain.
     pub(crate) fn estimate(&self, listed: Micros, reading: ClockReading) -> Micros {
-        // Whether the worker started before the clock was set back or after is not known.
+        // It is not known whether the worker started before or after the wall clock was set back.
         let latest = listed.saturating_add(self.largest_step_back);
         let contradicts_lists =
             self.last_answered_at.is_some_and(|at| latest.saturating_add(MAX_LIST_DELAY) < at);
@@ -56,8 +61,8 @@
             return reading.now;
         }
         if latest > reading.now && self.is_first_list(reading) {
-            // The clock was set back before this program started, and the worker started before that. An earlier
-            // process of this scheduler may have sent to it.
+            // The wall clock was set back before this program started, and the worker started before that. A
+            // previous process of this scheduler may have sent requests to the worker.
             return reading.started_at.saturating_sub(1);
         }
         latest.min(reading.now)
