--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -128,7 +128,7 @@
             self.prepare(target, upstream_request, deadline, control)?;
         let connection = capture_connection(&mut request);
         let response = self.connections.send_attempt(request, upstream_request.idempotency);
-        match exchange(response, control, write_deadline, &is_written).await {
+        match wait_for_response(response, control, write_deadline, &is_written).await {
             WaitResult::Response(response) => {
                 self.read_response(response, &connection, upstream_request.idempotency, started_at, permit)
             }
@@ -228,7 +228,7 @@
 }
 
 /// Waits for the response to an attempt until the attempt is aborted or has missed its write deadline.
-async fn exchange(
+async fn wait_for_response(
     mut response: ResponseFuture,
     control: &DispatchControl,
     write_deadline: Instant,
