--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -124,10 +124,11 @@
         deadlines
     }
 
-    /// Waits until all requests have a final response or the drain deadline has passed, closes the client
-    /// connections and returns how many requests are left. Connections and callbacks are accepted until then.
-    /// The connections are closed because clients keep using open ones, and a request that arrives after the
-    /// last check would be accepted and lost.
+    /// Waits until the time for late connections is over and no request is being read or answered, at most
+    /// until the drain deadline. Then closes the client connections, waits for the last responses to be
+    /// written, and returns how many requests are left. Connections and callbacks are accepted until the
+    /// client connections are closed. The connections are closed because clients keep using open ones, and a
+    /// request that arrives after the last check would be accepted and lost.
     pub async fn wait_until_drained(&self, deadlines: ShutdownDeadlines) -> usize {
         self.wait_until_idle(deadlines.late_connections_until, deadlines.drain_deadline).await;
         self.context.shutdown.close();
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -20,7 +20,7 @@
 /// One reading of the scheduler's clock and the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// When the scheduler's clock was started, in its own time.
+    /// The time at which the scheduler's clock was started, in microseconds on this clock.
     pub started_at: Micros,
     /// The time of the scheduler's clock.
     pub now: Micros,
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -68,9 +68,9 @@
 /// The time of a worker's last start, as listed and as estimated.
 #[derive(Clone, Copy, Debug)]
 struct WorkerStart {
-    /// As the endpoint list has it, in Unix time.
+    /// The start time in the endpoint list, in microseconds since the Unix epoch.
     listed: Micros,
-    /// On the scheduler's clock.
+    /// The estimated start time, in microseconds on the scheduler's clock.
     estimated: Micros,
 }
 
@@ -146,12 +146,12 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Resets the revision and forgets earlier answers, since the next list comes from another discovery
-    /// service, whose revisions are unrelated.
+    /// Resets the revision and forgets when discovery last answered, since the next list comes from another
+    /// discovery service, whose revisions are unrelated.
     pub fn reset_revision(&self) {
         let mut table = self.lock();
         table.revision = 0;
-        table.starts.forget_answers();
+        table.starts.forget_last_answer();
     }
 
     /// Applies a list and returns its endpoints for the dispatch policy, or `None` if the table already has a
--- a/crates/proxy/src/event_recorder.rs
+++ b/crates/proxy/src/event_recorder.rs
@@ -1,5 +1,8 @@
 //! Writes the scheduler's events to the event log, with the names of workers and request classes instead of
 //! their numbers. Events are not built if the event log is disabled.
+//!
+//! The names of reasons, states and outcomes are part of the event log's format, and stay when the types are
+//! renamed.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
@@ -91,7 +94,7 @@
         });
     }
 
-    /// Records that a request was accepted.
+    /// Records that a request is passed to the dispatch policy, which may still reject it.
     pub fn request_accepted(&self, request: &IncomingRequest) {
         self.record(|| EventKind::RequestAccepted {
             request_id: request_id(request.request),
@@ -158,8 +161,8 @@
         });
     }
 
-    /// Records that a request got its final response or that its client disconnected before it.
-    pub fn response_sent(&self, request: &IncomingRequest, response: &'static str, elapsed: Micros) {
+    /// Records that a request got its final response, or that its client disconnected before that.
+    pub fn request_ended(&self, request: &IncomingRequest, response: &'static str, elapsed: Micros) {
         self.record(|| EventKind::RequestFinished {
             request_id: request_id(request.request),
             class: self.class_name(request.class),
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -1,8 +1,8 @@
 //! Counters of violated invariants and of errors of clients, workers and discovery. A violated invariant also
 //! fails an assertion in debug builds.
 //!
-//! A counter's name is also its log message and its key in the event log, and therefore must not change. If
-//! it has to, its old name is added to `counter_names` of the event log.
+//! A counter's name is also its log message and its key in the event log, so avoid changing it. If a
+//! counter is renamed, add its old name to the module `counter_names` of the event log's crate.
 use std::collections::BTreeMap;
 use std::sync::{Mutex, OnceLock, PoisonError};
 
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,6 +1,6 @@
 //! The messages that client connections, request tasks and upstreams exchange: the client's request, workers'
-//! reports on its attempts, and the final response. Path and headers are those of HTTP, because they are
-//! forwarded to workers unchanged; a protocol without them leaves them empty.
+//! reports on its attempts, and the final response. Path and headers are those of HTTP, because the
+//! platform requires that they are forwarded to workers unchanged; a protocol without them leaves them empty.
 use std::fmt;
 use std::sync::Arc;
 
@@ -19,11 +19,11 @@
 /// established late could start after the client has disconnected or has received its response.
 #[derive(Clone, Debug, Default)]
 pub struct DispatchControl {
-    /// Once cancelled, an attempt that has not been written is withheld; one that has been written continues.
-    /// All attempts of a request share this token.
+    /// When this token is cancelled, an attempt that has not been written is withheld; one that has been
+    /// written continues. All attempts of a request share this token.
     pub withhold: CancellationToken,
-    /// Once cancelled, the attempt is aborted: it is withheld if it has not been written, and its connection
-    /// is closed if the worker has not accepted it. The dispatch ends after that.
+    /// When this token is cancelled, the attempt is aborted: it is withheld if it has not been written, and
+    /// its connection is closed if the worker has not accepted the attempt. The dispatch ends after that.
     pub abort: CancellationToken,
 }
 
@@ -48,7 +48,8 @@
 pub enum CancellationOutcome {
     /// The worker has acknowledged the cancellation: the attempt no longer runs, or never ran.
     Acknowledged,
-    /// No acknowledgement was received by the deadline: the worker may not have received the cancellation.
+    /// No acknowledgement was received by the deadline, or the cancellation could not be sent: the worker may
+    /// not have received it.
     Unconfirmed,
 }
 
@@ -89,13 +90,13 @@
     pub path: PathAndQuery,
     /// The headers to forward.
     pub headers: HeaderMap,
-    /// Whether and where the request may run more than once.
+    /// Whether, and at which workers, the request may run more than once.
     pub idempotency: Idempotency,
     /// The body.
     pub body: Bytes,
     /// The memory reserved for the body.
     pub body_permit: BodyPermit,
-    /// The check for a disconnected client, after which no attempt is written.
+    /// The check whether the client has disconnected. If it has, no attempt is written.
     pub client: ClientPresence,
 }
 
@@ -122,12 +123,12 @@
     },
     /// Failed: the request may or may not have run.
     Failed,
-    /// Another request has the same id.
+    /// Another request has, or recently had, the same id.
     Duplicate,
 }
 
 impl FinalResponse {
-    /// The response's name in log messages and in the event log.
+    /// The response's name in log messages and in the event log, of whose format it is a part.
     pub fn name(&self) -> &'static str {
         match self {
             FinalResponse::Served(_) => "served",
@@ -160,7 +161,7 @@
 /// The result of a load query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadQueryResult {
-    /// [`Outcome::Served`], or the reason why there is no answer.
+    /// [`Outcome::Served`] if the worker answered the load query, or else the kind of failure.
     pub outcome: Outcome,
     /// The worker's load report.
     pub load_report: Option<LoadReport>,
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -146,13 +146,14 @@
         });
     }
 
-    /// Admits a request. Returns false if another request has or recently had the same id.
+    /// Passes a request to the policy for admission. Returns false, and does not pass it, if another request
+    /// has or recently had the same id.
     pub fn admit(self: &Arc<Self>, request: IncomingRequest, events: RequestEventSender) -> bool {
         let mut is_admitted = false;
         self.with_policy(|inner, now, actions| {
-            // A request id is admitted only once. The policy would not answer a second request while the
-            // first is active. After the first has completed, the same request would run again, and a client
-            // that retries immediately after a rejection would be answered as fast as it can send.
+            // A request id is passed to the policy only once. The policy would not answer a second request
+            // while the first is active. After the first has completed, the same request would run again, and
+            // a client that retries immediately after a rejection would be answered as fast as it can send.
             if inner.completed.contains(request.request) {
                 return;
             }
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -57,7 +57,8 @@
 }
 
 /// Spawns the task of a request. The task outlives the client connection, because the dispatch policy must be
-/// notified of every attempt's outcome. It ends no later than the request's deadline.
+/// notified of every attempt's outcome. At the request's deadline all attempts end; the task ends when the
+/// dispatches that are aborted then have ended.
 pub fn spawn(context: &Arc<ProxyContext>, admission: AdmissionRequest) -> ResponseHandle {
     let (event_sender, events) = mpsc::unbounded_channel();
     let (response_sender, response) = oneshot::channel();
@@ -90,16 +91,18 @@
 /// One attempt of a request at a worker.
 struct Attempt {
     target: AttemptTarget,
-    sent_at: Micros,
-    /// Its outcome is not known yet.
+    /// When the attempt started, on the scheduler's clock.
+    started_at: Micros,
+    /// Whether the attempt's outcome is still unknown.
     is_in_flight: bool,
-    /// Its dispatch is in progress.
+    /// Whether the attempt's dispatch is in progress.
     is_dispatching: bool,
     /// Aborts the dispatch as long as the worker has not accepted the attempt.
     abort: CancellationToken,
-    /// A callback was received, so the worker has the request even if its 202 has not been received.
+    /// Whether a callback was received. The worker then has the attempt, even if its 202 has not been
+    /// received.
     has_received_callback: bool,
-    /// The policy has cancelled it, and the outcome of the cancellation is not known yet.
+    /// Whether the policy has cancelled the attempt and the outcome of the cancellation is not known yet.
     is_cancelling: bool,
 }
 
@@ -112,8 +115,8 @@
 /// The outcome of one attempt's cancellation.
 struct CancellationCompletion {
     attempt: u32,
-    /// The connection was closed before an acceptance was received. Unless a callback is received, the
-    /// attempt has then ended even if the worker does not acknowledge the cancellation.
+    /// Whether the connection was closed before an acceptance was received. Unless a callback is received,
+    /// the attempt has then ended even if the worker does not acknowledge the cancellation.
     closed_before_acceptance: bool,
     outcome: CancellationOutcome,
 }
@@ -125,8 +128,8 @@
     deadline: Instant,
     upstream_request: Arc<UpstreamRequest>,
     response_sender: Option<oneshot::Sender<FinalResponse>>,
-    /// Cancelled when the response's sender is taken: attempts that have not been written by then are
-    /// withheld.
+    /// Cancelled when the final response is sent or the client disconnects. Attempts that have not been
+    /// written by then are withheld.
     withhold_attempts: CancellationToken,
     /// Indexed by the attempt's number.
     attempts: Vec<Attempt>,
@@ -163,7 +166,7 @@
                 Some(completion) = self.cancellations.next() => {
                     self.handle_cancellation_completion(&completion);
                 }
-                // A shutdown may end before the request's own deadline.
+                // The drain deadline of a shutdown may be earlier than the request's own deadline.
                 Ok(()) = shutdown.changed() => {
                     expiry.as_mut().reset(effective_deadline(self.deadline, &shutdown));
                 }
@@ -220,7 +223,7 @@
         let abort = CancellationToken::new();
         self.attempts.push(Attempt {
             target: target.clone(),
-            sent_at: self.context.clock.now(),
+            started_at: self.context.clock.now(),
             is_in_flight: true,
             is_dispatching: true,
             abort: abort.clone(),
@@ -323,7 +326,7 @@
 
     fn record_response(&self, response: &'static str) {
         let elapsed = self.context.clock.now().saturating_sub(self.accepted_at);
-        self.context.recorder.response_sent(&self.request, response, elapsed);
+        self.context.recorder.request_ended(&self.request, response, elapsed);
     }
 
     /// Handles a callback. A callback for an attempt that has ended, such as a repeated one, is ignored. One
@@ -346,7 +349,7 @@
         let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
         attempt.is_in_flight = false;
         let worker = attempt.target.worker;
-        let elapsed = self.context.clock.now().saturating_sub(attempt.sent_at);
+        let elapsed = self.context.clock.now().saturating_sub(attempt.started_at);
         let AttemptCompletion { outcome, result, load_report } = completion;
         let worker_name = self.context.upstream.worker_name(worker);
         debug!(attempt = number, worker = &*worker_name, ?outcome, elapsed_us = elapsed, "attempt ended");
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -15,7 +15,8 @@
     Closing(Instant),
 }
 
-/// The state of one scheduler's graceful shutdown. Its phase never goes back.
+/// The state of one scheduler's graceful shutdown. The phases follow in the order of [`ShutdownPhase`];
+/// `begin` is called once.
 #[derive(Clone, Default)]
 pub struct Shutdown {
     phase: watch::Sender<ShutdownPhase>,
@@ -56,7 +57,7 @@
     }
 }
 
-/// The earlier of a request's deadline and the drain deadline, if a shutdown has begun.
+/// A request's deadline, or the drain deadline if a shutdown has begun and its drain deadline is earlier.
 pub fn effective_deadline(deadline: Instant, shutdown: &ShutdownWatch) -> Instant {
     match *shutdown.borrow() {
         ShutdownPhase::Running => deadline,
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -5,16 +5,16 @@
 //!
 //! | time after SIGTERM | what happens |
 //! | --- | --- |
-//! | `min(1 s, K - 0.5 s)` | new connections are refused from now on, if no request is outstanding |
+//! | `min(1 s, K - 0.5 s)` | new connections are refused from then on, if no request is outstanding |
 //! | `K - 0.5 s`, at least 0.5 s | every request has its final response |
 //! | 0.1 s later | connections are closed |
-//! | `K - 0.2 s` | the process has exited, even if a disk or another scheduler delays it |
+//! | `K - 0.2 s` | the process has exited, even if a disk or another scheduler process delays it |
 use std::time::Duration;
 
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::time::Instant;
 
-/// The supervisor counts at most this much of the longest deadline.
+/// The supervisor adds at most this much of the longest deadline to the time before SIGKILL.
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
 /// The supervisor sends SIGKILL no earlier than this long after the counted deadline.
 const KILL_DELAY: Micros = 700_000;
@@ -34,11 +34,11 @@
 /// The times of a graceful shutdown, in microseconds after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// When every request has its final response.
+    /// The time by which every request has its final response.
     pub drain_time: Micros,
     /// How long new connections are accepted even if no request is outstanding.
     pub late_connection_window: Micros,
-    /// When the process has exited.
+    /// The time by which the process has exited.
     pub exit_time: Micros,
 }
 
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -27,14 +27,15 @@
 /// How long the body of a response is read after its head has decided the outcome. Then the connection is
 /// closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
-/// How long after the first response to a request a second one may arrive, which is the protocol's tolerance
-/// on time limits.
+/// How long after the first response to a request a second one may arrive: as long as the protocol's
+/// tolerance on time limits.
 const STRAY_RESPONSE_WINDOW: Micros = 50_000;
 
-/// The connect timeout is subtracted from an attempt's time limit, but no more than the limit divided by
-/// this.
+/// The time reserved for an attempt's connection is the connect timeout, but at most the remaining time
+/// divided by this.
 const CONNECT_RESERVE_DIVISOR: u32 = 4;
-/// How much later than the time reserved for its connection an attempt may be written, in microseconds.
+/// How long after the time reserved for its connection has passed an attempt may still be written, in
+/// microseconds.
 const WRITE_SLACK: Micros = DISPATCH_SLACK;
 /// How long to wait for the socket of an aborted attempt to be closed. The client library closes it in a
 /// separate task.
@@ -48,8 +49,8 @@
     permits: Arc<Semaphore>,
     /// How long establishing a connection may take.
     connect_timeout: Duration,
-    /// How long after its start an attempt of a request with an idempotency key may be written, since the
-    /// request may have run before.
+    /// How long after its start an attempt of a request with an idempotency key may be written. The request
+    /// may have run before, and after the key's window the workers would run it again.
     key_write_window: Duration,
 }
 
@@ -75,11 +76,11 @@
 
 /// The time limits of an attempt: when it must be written and the limit that is announced to the worker.
 ///
-/// The announced limit is fixed before the connection is established. When the attempt arrives at the worker,
-/// the protocol allows it to exceed the client's remaining time by at most 0.15 s. Time for the connection is
-/// therefore subtracted from it, and an attempt that has waited longer for its connection is not written. The
-/// whole 0.15 s remain for delays of the process while it writes, because [`WRITE_SLACK`] is the time that
-/// the client waits beyond the request's deadline.
+/// The announced limit is fixed before the connection is established. The protocol allows it to exceed the
+/// client's remaining time by at most 0.15 s when the attempt arrives at the worker. Time for the connection
+/// is therefore subtracted from it, and an attempt that has waited longer for its connection is not written.
+/// Writing up to [`WRITE_SLACK`] later does not use up any of the 0.15 s, since the client waits for as long
+/// beyond the request's deadline. The whole 0.15 s remain for delays of the process while it writes.
 struct AttemptTiming {
     /// From this instant on the attempt must not be written.
     write_deadline: Instant,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Sends an attempt, and returns when the worker has accepted it or the attempt has ended otherwise.
+    /// Sends an attempt, and returns when the worker has accepted the attempt or the attempt has ended.
     pub(super) async fn send(
         &self,
         target: &AttemptTarget,
@@ -187,7 +188,7 @@
         let AttemptTiming { write_deadline, announced_limit_ms } =
             AttemptTiming::new(started_at, deadline, self.connect_timeout);
         // A retry must not be written after the workers have dropped its idempotency key. The policy decides
-        // such that at least this much of the key's window is left.
+        // on a retry only if more than `key_write_window` of the key's window is left.
         let write_deadline = match upstream_request.idempotency {
             Idempotency::IdempotentWithKey { .. } => write_deadline.min(started_at + self.key_write_window),
             _ => write_deadline,
--- a/crates/proxy/src/upstream/http/cancellation.rs
+++ b/crates/proxy/src/upstream/http/cancellation.rs
@@ -57,6 +57,7 @@
     }
 
     /// Spawns a task that sends the cancellation of an attempt until the deadline, and waits for its outcome.
+    /// Nothing is sent to a target without an address, and the outcome is then unconfirmed.
     pub(super) fn send(
         &self,
         target: &AttemptTarget,
@@ -102,8 +103,9 @@
         }
     }
 
-    /// Sends the cancellation once, and returns whether the worker has acknowledged it. A response that the
-    /// attempt is unknown counts as an acknowledgement, since the worker does not run it.
+    /// Sends the cancellation once, and returns whether the worker has acknowledged it. Every response except
+    /// a server error counts as an acknowledgement. This includes a response that the attempt is unknown, since
+    /// the worker then does not run it.
     async fn send(&self, send: fn(&WorkerConnections, Request<GuardedBody>) -> ResponseFuture) -> bool {
         let (address, path) = (self.address.clone(), self.path.clone());
         let Some(request) = build_request(Method::DELETE, address, path, GuardedBody::empty()) else {
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -22,18 +22,18 @@
 /// The maximum size of the head of a worker's response, which limits the memory that an endless head can use.
 const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
 /// How long the reuse of connections is suspended after a reused connection has broken during a request.
-/// Requests that may run at any worker continue to reuse connections, and show within this time whether it
-/// still happens.
+/// Requests that can be retried at any worker continue to reuse connections, and show within this time
+/// whether reused connections still break.
 const REUSE_SUSPENSION: Micros = 10 * SECOND;
-/// The number of connections whose last use is tracked before entries older than the keep-alive time are
+/// When the last uses of this many connections are tracked, the entries older than the keep-alive time are
 /// removed.
-const MAX_TRACKED_CONNECTIONS: usize = 256;
+const TRACKED_CONNECTIONS_PRUNE_THRESHOLD: usize = 256;
 
 /// The result of using a connection for a request.
 pub(super) enum ConnectionUse {
     /// The response was as expected; the connection may be reused.
     Reusable,
-    /// There was another response; the connection must not be reused.
+    /// The response was not as expected; the connection must not be reused.
     NotReusable,
     /// The connection broke.
     Broken,
@@ -109,7 +109,7 @@
         let previous_use = reuse.last_uses.remove(&address);
         match connection_use {
             ConnectionUse::Reusable => {
-                if reuse.last_uses.len() >= MAX_TRACKED_CONNECTIONS {
+                if reuse.last_uses.len() >= TRACKED_CONNECTIONS_PRUNE_THRESHOLD {
                     reuse.last_uses.retain(|_, used| now.duration_since(*used) < self.keep_alive_timeout);
                 }
                 reuse.last_uses.insert(address, now);
@@ -125,7 +125,7 @@
                 let subject = Subject { peer: worker_address.as_deref(), ..Subject::default() };
                 note_of(
                     "a reused connection broke under its request",
-                    "requests that may not run at any worker are sent on new connections",
+                    "requests that cannot be retried at every worker are sent on new connections",
                     subject,
                 );
             }
@@ -142,7 +142,7 @@
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         // Shorter than the workers' timeout, so that no request is written to a connection that its worker
-        // closes.
+        // is closing.
         .pool_idle_timeout(Duration::from_micros(idle_timeout(settings.keep_alive_timeout)))
         .pool_max_idle_per_host(max_idle)
         // The library must not retry: that would be an attempt that the policy has not decided on.
@@ -160,7 +160,7 @@
     }
 }
 
-/// The worker's address of a request's connection.
+/// The remote address of a request's connection, which is the worker's.
 fn remote_address(connection: &CaptureConnection) -> Option<SocketAddr> {
     connection_extras(connection)?.get().map(HttpInfo::remote_addr)
 }
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -28,7 +28,7 @@
     pub(super) address: Authority,
     /// From this instant on the attempt must not be written.
     pub(super) write_deadline: Instant,
-    /// Set in the step in which the attempt is written or withheld.
+    /// Whether the attempt was written; set in the step that writes or withholds it.
     pub(super) is_written: Arc<AtomicBool>,
 }
 
@@ -50,7 +50,7 @@
 
 /// The error of a body that was withheld.
 #[derive(Debug, thiserror::Error)]
-#[error("attempt aborted or too late, client disconnected, or worker not serving at this address")]
+#[error("aborted, too late, already answered, client disconnected, or worker not serving at this address")]
 pub(super) struct BodyWithheld;
 
 /// A request body that checks the write guard when it is polled.
--- a/crates/proxy/src/upstream/http/load_query.rs
+++ b/crates/proxy/src/upstream/http/load_query.rs
@@ -24,7 +24,8 @@
 /// The path at which workers answer load queries.
 const LOAD_QUERY_PATH: &str = "/-/load";
 /// How long after its deadline the response to a load query is still read, so that its connection can be
-/// reused. Otherwise each load query that waits long in a worker's queue would need a new connection.
+/// reused. Otherwise each load query that waits long in a worker's queue would cost its connection, and the
+/// next request would need a new one.
 const LATE_RESPONSE_WINDOW: Micros = 4 * SECOND;
 
 /// Sends load queries, at most one at a time to each worker.
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Sends a load query and waits for the answer until the deadline.
+    /// Sends a load query and waits for the answer until the deadline. Without a permit or an address nothing
+    /// is sent, and the outcome is [`Outcome::Superseded`].
     pub(super) async fn send(&self, worker: WorkerId, deadline: Instant) -> LoadQueryResult {
         let Some(permit) = self.try_acquire(worker) else { return Outcome::Superseded.into() };
         let Some(mut request) = self.build_query(worker) else { return Outcome::Superseded.into() };
--- a/crates/proxy/src/upstream/http/request.rs
+++ b/crates/proxy/src/upstream/http/request.rs
@@ -31,9 +31,9 @@
     Limited::new(body, MAX_RESPONSE_BODY_BYTES).collect()
 }
 
-/// The outcome of a failed request. It is one that never ran only if this is certain: no connection was
-/// established, the body was withheld, or the client library did not write the request. In all other cases it
-/// is a reset.
+/// The outcome of a failed request. It states that the request never ran only if that is certain: no
+/// connection was established, the body was withheld, or the client library did not write the request. In all
+/// other cases the outcome is a reset.
 pub(super) fn failure_outcome(error: &Error) -> Outcome {
     let cause = error.source().and_then(|source| source.downcast_ref::<hyper::Error>());
     let is_withheld =
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -14,7 +14,7 @@
 /// A worker protocol. An implementation never retries a request by itself, and reports that an attempt never
 /// ran only if the protocol proves it.
 pub trait Upstream: Send + Sync + 'static {
-    /// The target of an attempt at a worker that begins now.
+    /// The target of an attempt that begins now at this worker.
     fn target(&self, worker: WorkerId) -> AttemptTarget;
 
     /// Dispatches an attempt, which is written only if `control` permits it. An aborted attempt ends as
@@ -37,7 +37,7 @@
     ) -> BoxFuture<'static, CancellationOutcome>;
 
     /// Sends a load query to a worker and waits for the answer until the deadline. The default
-    /// implementation, for protocols without load queries, sends nothing.
+    /// implementation, for protocols without load queries, sends nothing and returns [`Outcome::Superseded`].
     fn query_load<'a>(&'a self, worker: WorkerId, deadline: Instant) -> BoxFuture<'a, LoadQueryResult> {
         let _ = (worker, deadline);
         Box::pin(std::future::ready(Outcome::Superseded.into()))
--- a/crates/proxy/src/worker_starts.rs
+++ b/crates/proxy/src/worker_starts.rs
@@ -3,12 +3,13 @@
 //! Discovery reports a worker's start in Unix time, and the wall clock may be set before this program starts
 //! or while it runs. A worker whose start is estimated too early gets more requests than it can handle during
 //! its slow start. The estimate is therefore the latest start that the listed time can mean, but no later
-//! than the reading of the clocks at which the list was received.
+//! than the reading of the clocks at which the list was received. [`WorkerStarts::estimate`] has two
+//! exceptions.
 use copperspread_dispatcher::{Micros, SECOND};
 
 use crate::clock::ClockReading;
 
-/// How long a worker may have been running before the last list that did not contain its start: a restarted
+/// How much earlier than discovery's last answer a start may be that this answer did not contain: a restarted
 /// worker registers late, and the list may reach the scheduler seconds later. An outage of discovery is not
 /// included, since there are no answers during it. If a listed start is older, the wall clock is assumed to
 /// have been set. The value exceeds every slow start that the platform specifies, so that a wrong assumption
@@ -26,8 +27,8 @@
 pub(crate) struct WorkerStarts {
     /// The largest amount by which the wall clock was behind the scheduler's clock.
     largest_step_back: Micros,
-    /// When discovery last answered. A start that this answer did not contain is later than it, except for
-    /// the delay of lists.
+    /// When discovery last answered. A start that this answer did not contain is at most [`MAX_LIST_DELAY`]
+    /// earlier than it.
     last_answered_at: Option<Micros>,
 }
 
@@ -47,11 +48,13 @@
 
     /// Forgets the last answer, since the next list comes from another discovery service, which may know
     /// other workers.
-    pub(crate) fn forget_answers(&mut self) {
+    pub(crate) fn forget_last_answer(&mut self) {
         self.last_answered_at = None;
     }
 
-    /// Estimates, on the scheduler's clock, a start that the last answer did not contain.
+    /// Estimates, on the scheduler's clock, a start that the last answer did not contain. A start that
+    /// contradicts the earlier lists is taken for the time of the reading. One that is in the future of the
+    /// first list is taken for a time before the start of this program.
     pub(crate) fn estimate(&self, listed: Micros, reading: ClockReading) -> Micros {
         // It is not known whether the worker started before or after the wall clock was set back.
         let latest = listed.saturating_add(self.largest_step_back);
@@ -62,7 +65,8 @@
         }
         if latest > reading.now && self.is_first_list(reading) {
             // The wall clock was set back before this program started, and the worker started before that. A
-            // previous process of this scheduler may have sent requests to the worker.
+            // previous process of this scheduler may have sent requests to the worker, so the start is placed
+            // before the start of this program, and the slow start allows for those requests.
             return reading.started_at.saturating_sub(1);
         }
         latest.min(reading.now)
