--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -148,7 +148,7 @@
 pub struct DispatchFailure {
     /// The outcome, which determines whether the request may be retried.
     pub outcome: Outcome,
-    /// The load report in the worker's response.
+    /// The load report in the worker's response, or `None` if there is no valid one.
     pub load_report: Option<LoadReport>,
 }
 
@@ -163,7 +163,7 @@
 pub struct LoadQueryResult {
     /// [`Outcome::Served`] if the worker answered the load query, or else the kind of failure.
     pub outcome: Outcome,
-    /// The worker's load report.
+    /// The worker's load report, or `None` if there is no valid one.
     pub load_report: Option<LoadReport>,
 }
 
@@ -180,7 +180,7 @@
     pub outcome: Outcome,
     /// The worker's result, if the outcome is [`Outcome::Served`].
     pub result: Option<Bytes>,
-    /// The worker's load report.
+    /// The worker's load report, or `None` if there is no valid one.
     pub load_report: Option<LoadReport>,
 }
 
