--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The interface to what knows the workers.
+//! Discovery of workers: the [`EndpointSource`] trait, its implementations, and the publisher of their lists.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{Endpoint, EndpointUpdateKind};
@@ -12,14 +12,19 @@
 pub mod platform;
 pub mod static_list;
 
-/// Where an endpoint list comes from. A source turns its own form into an [`EndpointList`] and applies that as a
-/// whole; a list that it cannot read in full changes nothing.
+/// Source of endpoint lists.
+///
+/// An implementation converts its own format into an [`EndpointList`] and applies each list as a whole. A
+/// list that cannot be parsed completely changes nothing.
 pub trait EndpointSource: Send + 'static {
-    /// Follows the list for good. Whoever spawns it ends it with the runtime.
+    /// Publishes lists until the returned future is dropped; it never completes.
+    ///
+    /// The caller spawns it, and it ends with the runtime.
     fn follow(self: Box<Self>, publisher: EndpointPublisher) -> BoxFuture<'static, ()>;
 }
 
-/// Applies lists to the endpoint table, and then notifies the policy.
+/// Endpoint publisher: applies endpoint lists to the endpoint table, and notifies the dispatch policy of
+/// them.
 #[derive(Clone)]
 pub struct EndpointPublisher {
     endpoints: Arc<EndpointTable>,
@@ -27,53 +32,55 @@
 }
 
 impl EndpointPublisher {
-    /// Publishes to a table and a policy.
+    /// Creates a publisher for an endpoint table and a dispatch policy.
     pub fn new(endpoints: Arc<EndpointTable>, policy: Arc<PolicyHandle>) -> EndpointPublisher {
         EndpointPublisher { endpoints, policy }
     }
 
-    /// Publishes the list that was known before the start; returns its revision.
+    /// Publishes the list that was cached before the process started, and returns its revision.
     pub fn publish_cached(&self, cached: Option<&EndpointList>) -> Option<u64> {
         let apply = |list| self.endpoints.apply(list, ListOrigin::Cache, self.policy.read_clocks());
         let endpoints = cached.and_then(apply).unwrap_or_default();
-        // A policy that polls asks for no list before its first event.
+        // A policy that polls requests no list before its first endpoint update, so it gets one in any case.
         if cached.is_some() || self.is_polled() {
             self.policy.update_endpoints(EndpointUpdateKind::Cached, &endpoints);
         }
         cached.map(|list| list.revision)
     }
 
-    /// Applies a list of discovery's to the table and returns its endpoints, or nothing where the table already holds a newer
-    /// revision. The policy is not notified yet.
+    /// Applies a list from discovery to the table and returns its endpoints, without notifying the policy.
+    ///
+    /// Returns `None` if the table already has a newer revision.
     pub fn apply(&self, list: &EndpointList) -> Option<Vec<Endpoint>> {
         self.endpoints.apply(list, ListOrigin::Discovery, self.policy.read_clocks())
     }
 
-    /// Notifies the policy of the endpoints that [`EndpointPublisher::apply`] returned for a list.
+    /// Notifies the policy of the endpoints that [`EndpointPublisher::apply`] has returned for a list.
     pub fn publish(&self, list: &EndpointList, endpoints: &[Endpoint]) {
         let kind = if list.complete { EndpointUpdateKind::Full } else { EndpointUpdateKind::Changes };
         self.policy.update_endpoints(kind, endpoints);
     }
 
-    /// The next list comes from another discovery, which may count its revisions in another way.
+    /// Resets the table's revision, because the next list comes from another discovery with its own
+    /// revisions.
     pub fn reset_revision(&self) {
         self.endpoints.reset_revision();
     }
 
-    /// Notifies the policy that a poll failed, or that a subscription broke.
+    /// Notifies the policy that a poll or a watch failed.
     pub fn poll_failed(&self) {
-        // An older request for a subscription, which came while a poll was in flight already, would pass for the
-        // policy's reaction to this failure.
+        // Discards a request that the policy made while the failed poll was in flight: it would be mistaken
+        // for the policy's reaction to this failure.
         let _ = self.subscription_requested().now_or_never();
         self.policy.update_endpoints(EndpointUpdateKind::Failed, &[]);
     }
 
-    /// Whether the list is fetched only when the policy asks for it.
+    /// Returns whether lists are fetched only when the policy requests one.
     pub fn is_polled(&self) -> bool {
         self.policy.polls_endpoints()
     }
 
-    /// Waits until the policy asks for the list.
+    /// Waits until the policy requests a list.
     pub async fn subscription_requested(&self) {
         self.policy.subscription_requested().await;
     }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -1,5 +1,10 @@
-//! The platform's discovery: an endpoint list over HTTP, and the watch on it. How a list is parsed is in
-//! `copperspread_settings::platform`; how it is fetched, only here.
+//! Endpoint source that fetches lists from the platform's discovery over HTTP and watches them for changes.
+//!
+//! Lists are parsed in `copperspread_settings::platform`.
+//!
+//! Lists are pushed or polled. Where they are pushed, a discovery agent near the scheduler receives them, and
+//! this module retries failed calls by itself. Where they are polled, the dispatch policy requests the first
+//! list and, after most failures, the next one.
 use copperspread_dispatcher::{Micros, SECOND};
 use copperspread_settings::EndpointList;
 use futures_util::future::BoxFuture;
@@ -15,39 +20,52 @@
 
 mod fetch;
 
-/// How long a watch is held at discovery. Short, because the wait for a watch that fell silent adds to how late a
-/// change is seen, and empty answers cost little. It and what adds to it can be read from outside:
-/// `docs/endpoint-list-delays.md` sums them, a test too.
+/// Maximum time for which discovery holds a watch, that is, delays its answer until the list changes.
+///
+/// It is short because the wait for a watch that gets no answer delays the next endpoint update, and empty
+/// answers cost little. This constant and those that add to the delay are public for the test
+/// `endpoint_list_races`, which sums them, as does `docs/endpoint-list-delays.md`.
 pub const WATCH_HOLD_TIME: Micros = 2 * SECOND;
-/// A watch that has not been answered this long after its hold time is dropped: a slow or crowded discovery answers
-/// up to a second late, the rest is for the way.
+/// Time after a watch's hold time at which a watch without an answer is dropped.
+///
+/// A slow or overloaded discovery answers up to 1 s late; the rest covers the network.
 pub const WATCH_MARGIN: Micros = 1_200_000;
-/// Where lists are pushed, a call for the complete list is dropped after this long. The agent nearby answers at once
-/// unless it is slow, so the call is hedged meanwhile.
+/// Time-out of calls for the complete list where lists are pushed.
+///
+/// The discovery agent, which is nearby, answers at once unless it is slow, so the call is hedged until then.
 pub const PUSHED_LIST_TIMEOUT: Micros = 2_200_000;
-/// Until then it is made again after each such interval, on a further connection: what the agent has counts as
-/// notified at once, also where it was silent before and does not answer the calls of that time.
+/// Interval between hedged calls for the complete list where lists are pushed.
+///
+/// Each hedge uses a further connection. The interval is short because a change counts as delivered as soon
+/// as the discovery agent has it, even if the agent was unresponsive before and never answers the calls of
+/// that time.
 pub const PUSHED_HEDGE_INTERVAL: Micros = 400_000;
-/// Where lists are polled, calls wait their turn for up to a second before they fail; the rest is for their way. It
-/// bounds a call for the complete list. It counts twice in the wait for a change: for the call that is given up and
-/// for the next.
+/// Time-out of a call for the complete list where lists are polled.
+///
+/// A call may be queued for up to 1 s before it fails; the rest covers the network. The time-out counts twice
+/// in the delay of an endpoint update: for the call that is given up and for the next one.
 pub const POLLED_LIST_TIMEOUT: Micros = 1_500_000;
-/// A watch, and a polled list, whose head has come in time is read for so much longer: its bytes may trickle.
+/// Additional time for the body of a watch or a polled list after the time-out of its head.
+///
+/// The body may arrive slowly.
 pub const BODY_MARGIN: Micros = 700_000;
-/// First wait before a failed call is made again where lists are pushed; where they are polled, before a watch
-/// that broke is opened anew.
+/// Initial backoff before a failed call is retried.
+///
+/// Where lists are pushed, it applies to every call; where they are polled, only to a watch that broke.
 pub const RETRY_BACKOFF_INITIAL: Micros = 100_000;
-/// Longest wait before a failed call is made again. Not over [`PUSHED_HEDGE_INTERVAL`].
+/// Maximum backoff before a failed call is retried; at most [`PUSHED_HEDGE_INTERVAL`].
 pub const RETRY_BACKOFF_MAX: Micros = 200_000;
-/// Where lists are polled, the wait before a call for the complete list is made again after the first refusal since a
-/// list came: a crowded discovery can be reached, and the policy's backoff on top would be too long.
+/// Backoff before the retry of a refused call for the complete list where lists are polled.
+///
+/// It applies to the first refusal since the last list: an overloaded discovery is reachable, and the
+/// policy's own backoff would add too much delay.
 pub const REFUSED_RETRY_BACKOFF: Micros = 300_000;
 
-/// The platform's discovery at an address, which may move.
+/// Endpoint source for the platform's discovery, whose address may change.
 pub struct PlatformDiscovery {
-    /// Where it is.
+    /// Configured address of discovery.
     pub address: watch::Receiver<Authority>,
-    /// The revision of the cached list.
+    /// Revision of the cached list, if there is one.
     pub cached_revision: Option<u64>,
 }
 
@@ -57,47 +75,53 @@
     }
 }
 
-/// Follows discovery for good: one watch after the other. The first call and any after one that failed want the
-/// complete list, as a watch is silent for as long as it is held. Where lists are polled, a watch that broke is
-/// opened anew once before the policy is notified, and a call for the complete list is made again after the first
-/// refusal; after any other failure the policy asks for the next call.
-/// When discovery moves, what is in flight is dropped and the new address is asked for the complete list.
+/// Watches discovery without end, one call after the other.
+///
+/// The first call, and each call after a failed one, fetches the complete list, as a watch gives no answer
+/// while it is held. Where lists are polled, a watch that broke is followed by one call before the policy is
+/// notified, and a call for the complete list is retried after the first refusal; after any other failure,
+/// the policy requests the next call.
+///
+/// When the address changes, the call in flight is dropped and the complete list is fetched from the new
+/// address.
 struct PlatformWatcher {
     publisher: EndpointPublisher,
-    /// The configured address, which may move.
+    /// Configured address, which may change.
     configured_address: watch::Receiver<Authority>,
-    /// The address that is called.
+    /// Address that is called now.
     address: Authority,
     client: DiscoveryClient,
+    /// Revision of the last list received from this address, or of the cached list.
     revision: Option<u64>,
-    /// The wait before the next retry.
+    /// Backoff before the next retry.
     backoff: Micros,
     is_polled: bool,
-    /// The policy must be notified that its subscription has come about, also by an empty list.
-    owes_update: bool,
-    /// The policy will ask in its own time: at the start, and once it was notified of a failure.
-    awaits_policy: bool,
-    /// The last call was answered.
-    is_connected: bool,
-    /// A call was refused since the last list came.
-    was_refused: bool,
-    /// A call has failed since the last list came.
-    has_failed: bool,
+    /// Whether the policy must be notified of the next list even if the list is empty, as an answer to its
+    /// request.
+    must_notify_policy: bool,
+    /// Whether the policy is still to request a list: at the start, or after it was notified of a failure.
+    awaits_policy_request: bool,
+    /// Whether the last call returned a list, so that the next call can be a watch.
+    last_call_succeeded: bool,
+    /// Whether a call was refused since the last list.
+    refused_since_list: bool,
+    /// Whether a call has failed since the last list.
+    failed_since_list: bool,
 }
 
-/// A call that was made.
-struct Call {
-    /// The revision that is watched; none if the complete list was asked for.
+/// Call to discovery that has ended.
+struct CompletedCall {
+    /// Revision that was watched; `None` if the call was for the complete list.
     watched_revision: Option<u64>,
-    /// A watch that is answered before this was not held.
-    earliest_unchanged: Instant,
+    /// Earliest time of an answer to a watch that discovery held; an earlier answer was not held.
+    earliest_held_answer: Instant,
     outcome: CallOutcome,
 }
 
 enum CallOutcome {
     Answered(EndpointList),
     Failed(FetchError),
-    /// Discovery moved; the call was dropped.
+    /// Discovery's address changed, and the call was dropped.
     AddressChanged,
 }
 
@@ -113,11 +137,11 @@
             revision: discovery.cached_revision,
             backoff: RETRY_BACKOFF_INITIAL,
             is_polled,
-            owes_update: is_polled,
-            awaits_policy: false,
-            is_connected: false,
-            was_refused: false,
-            has_failed: false,
+            must_notify_policy: is_polled,
+            awaits_policy_request: false,
+            last_call_succeeded: false,
+            refused_since_list: false,
+            failed_since_list: false,
         }
     }
 
@@ -126,42 +150,44 @@
             self.await_subscription_request().await;
         }
         loop {
-            self.follow_address();
+            self.apply_address_change();
             let call = self.call().await;
             match call.outcome {
                 CallOutcome::AddressChanged => {}
                 CallOutcome::Answered(list) => {
-                    self.handle_list(&list, call.watched_revision, call.earliest_unchanged).await;
+                    self.handle_list(&list, call.watched_revision, call.earliest_held_answer).await;
                 }
                 CallOutcome::Failed(error) => self.handle_failure(&error).await,
             }
         }
     }
 
-    /// Starts anew where discovery has moved.
-    fn follow_address(&mut self) {
+    /// Resets the state if the configured address has changed.
+    fn apply_address_change(&mut self) {
         let address = self.configured_address.borrow_and_update().clone();
         if address == self.address {
             return;
         }
         self.address = address;
-        // A connection to the old address would stay until it is closed there.
+        // The old client would keep its connection to the old address open until the peer closes it.
         self.client = DiscoveryClient::new();
-        // A new list would pass for an old one, as its revisions count anew.
+        // Revisions of the new discovery are unrelated to the old ones: its lists could be taken for older
+        // ones.
         self.publisher.reset_revision();
         self.revision = None;
         self.backoff = RETRY_BACKOFF_INITIAL;
-        self.is_connected = false;
-        self.was_refused = false;
+        self.last_call_succeeded = false;
+        self.refused_since_list = false;
     }
 
-    /// Calls for the complete list, or watches the revision that is known.
-    async fn call(&mut self) -> Call {
-        let watched_revision = self.revision.filter(|_| self.is_connected);
-        let earliest_unchanged = from_now(WATCH_HOLD_TIME / 2);
+    /// Makes the next call: a watch on the known revision if the last call succeeded, or else for the
+    /// complete list.
+    async fn call(&mut self) -> CompletedCall {
+        let watched_revision = self.revision.filter(|_| self.last_call_succeeded);
+        let earliest_held_answer = from_now(WATCH_HOLD_TIME / 2);
         let mut configured_address = self.configured_address.clone();
         let outcome = tokio::select! {
-            // An answer of the old address must not be taken after discovery moved.
+            // An answer from the old address must not be used after the address has changed.
             biased;
             Ok(()) = configured_address.changed() => CallOutcome::AddressChanged,
             fetched = self.fetch(watched_revision) => match fetched {
@@ -169,10 +195,10 @@
                 Err(error) => CallOutcome::Failed(error),
             },
         };
-        Call { watched_revision, earliest_unchanged, outcome }
+        CompletedCall { watched_revision, earliest_held_answer, outcome }
     }
 
-    /// One call, dropped at its time-out: a discovery that is down may keep its connections open in silence.
+    /// Makes one call with a time-out, since a failed discovery may keep connections open without answering.
     async fn fetch(&self, watched_revision: Option<u64>) -> Result<EndpointList, FetchError> {
         const LIST_PATH: &str = "/api/targets";
         let Some(revision) = watched_revision else {
@@ -187,84 +213,86 @@
         self.client.fetch(&self.address, &path, deadlines_after(WATCH_HOLD_TIME + WATCH_MARGIN)).await
     }
 
-    /// Publishes what a list changes.
+    /// Publishes a list if it changes anything or the policy waits for it.
     async fn handle_list(
         &mut self,
         list: &EndpointList,
         watched_revision: Option<u64>,
-        earliest_unchanged: Instant,
+        earliest_held_answer: Instant,
     ) {
         self.backoff = RETRY_BACKOFF_INITIAL;
-        self.is_connected = true;
-        self.was_refused = false;
-        if std::mem::take(&mut self.has_failed) {
+        self.last_call_succeeded = true;
+        self.refused_since_list = false;
+        if std::mem::take(&mut self.failed_since_list) {
             let (peer, revision) = (self.address.as_str(), list.revision);
             info!(peer, revision, "discovery answers again");
         }
         let is_unchanged = self.revision == Some(list.revision) && list.endpoints.is_empty();
-        let must_publish = self.owes_update || list.complete || !is_unchanged;
+        let must_publish = self.must_notify_policy || list.complete || !is_unchanged;
         if let Some(endpoints) = self.publisher.apply(list).filter(|_| must_publish) {
             self.publisher.publish(list, &endpoints);
-            self.owes_update = false;
-            self.awaits_policy = false;
+            self.must_notify_policy = false;
+            self.awaits_policy_request = false;
         }
-        // A list that is older than the table, and a watch that is not held: called for again at once, the same
-        // would come again at once.
+        // After a list that is older than the last one, or an answer to a watch that was not held, the next
+        // call would return the same at once: the delay avoids a busy loop.
         let is_older = self.revision.is_some_and(|revision| list.revision < revision);
-        let is_unheld = watched_revision == Some(list.revision) && Instant::now() < earliest_unchanged;
+        let was_not_held = watched_revision == Some(list.revision) && Instant::now() < earliest_held_answer;
         self.revision = Some(list.revision);
-        if is_older || is_unheld {
+        if is_older || was_not_held {
             sleep_until(from_now(RETRY_BACKOFF_INITIAL)).await;
         }
     }
 
-    /// Waits until the next call is due.
+    /// Counts a failed call, and waits until the next call is due.
     async fn handle_failure(&mut self, error: &FetchError) {
         let subject = Subject { peer: Some(self.address.as_str()), ..Subject::default() };
         note_of("no answer of discovery, the list stays", &error.to_string(), subject);
-        self.has_failed = true;
+        self.failed_since_list = true;
         if let Some(backoff) = self.retry_backoff(error) {
-            // A move is not waited out.
+            // An address change ends the wait.
             let _ = timeout_at(from_now(backoff), self.configured_address.changed()).await;
             return;
         }
-        // Notified once, and then waited for until the policy asks: a move in this wait must not lead to two
-        // calls after each failure, then three.
-        if !std::mem::replace(&mut self.awaits_policy, true) {
+        // The policy is notified once, and not again before it has requested a list. If an address change
+        // ended the wait for that request, a second notification would lead to two calls after each failure,
+        // then three.
+        if !std::mem::replace(&mut self.awaits_policy_request, true) {
             self.publisher.poll_failed();
         }
-        self.owes_update = true;
+        self.must_notify_policy = true;
         self.await_subscription_request().await;
     }
 
-    /// The wait before a failed call is made again; none where the policy asks for the next call.
+    /// Returns the backoff before the failed call is retried; `None` if the policy requests the next call.
     fn retry_backoff(&mut self, error: &FetchError) -> Option<Micros> {
-        let was_watch = std::mem::take(&mut self.is_connected);
+        let was_watch = std::mem::take(&mut self.last_call_succeeded);
         let is_broken_watch = was_watch && !error.is_refusal();
         if !self.is_polled || is_broken_watch {
-            // Soon: what a silent watch missed counts as notified. Not at once: a discovery may answer complete
-            // lists and break each watch.
+            // The backoff is short because changes that an unanswered watch missed count as delivered. There
+            // is one because a discovery may answer calls for the complete list and break every watch.
             let doubled = (self.backoff * 2).min(RETRY_BACKOFF_MAX);
             return Some(std::mem::replace(&mut self.backoff, doubled));
         }
-        let is_first_refusal = error.is_refusal() && !self.was_refused;
-        self.was_refused |= is_first_refusal;
+        let is_first_refusal = error.is_refusal() && !self.refused_since_list;
+        self.refused_since_list |= is_first_refusal;
         (is_first_refusal && !was_watch).then_some(REFUSED_RETRY_BACKOFF)
     }
 
-    /// Waits until the policy asks for the list, or discovery moves: the old place is not waited for, and the
-    /// policy's request is not lost, but stays for the next wait.
+    /// Waits until the policy requests a list or discovery's address changes.
+    ///
+    /// If the address changes first, the policy's request is not lost: the next wait gets it.
     async fn await_subscription_request(&mut self) {
         let is_requested = tokio::select! {
             biased;
             () = self.publisher.subscription_requested() => true,
             Ok(()) = self.configured_address.changed() => false,
         };
-        self.awaits_policy = !is_requested;
+        self.awaits_policy_request = !is_requested;
     }
 }
 
-/// Deadlines of a call whose response's head must come within a time.
+/// Returns the deadlines of a call whose response head must be received within `head_timeout`.
 fn deadlines_after(head_timeout: Micros) -> CallDeadlines {
     CallDeadlines { head: from_now(head_timeout), body: from_now(head_timeout + BODY_MARGIN) }
 }
--- a/crates/proxy/src/discovery/platform/fetch.rs
+++ b/crates/proxy/src/discovery/platform/fetch.rs
@@ -1,4 +1,4 @@
-//! One call to the platform's discovery.
+//! HTTP calls to the platform's discovery.
 use std::error::Error;
 
 use bytes::Bytes;
@@ -15,39 +15,41 @@
 
 use crate::clock::from_now;
 
-/// Longest list that is read: some 10,000 endpoints, so that no fleet in sight reaches it, and a sixteenth of the
-/// least memory. The 64 KiB of the protocol's other bodies hold about 400.
+/// Maximum length of an endpoint list, in bytes.
+///
+/// It holds about 10,000 endpoints, more than any expected fleet has, and takes a sixteenth of the smallest
+/// memory limit. The limit of 64 KiB on the protocol's other bodies would hold only about 400 endpoints.
 const MAX_LIST_BYTES: usize = 2 << 20;
 
-/// Why a call brought no list.
+/// Error of a call to discovery that returned no list.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(super) enum FetchError {
-    /// Discovery refused the call.
-    #[error("answered {0}")]
+    /// Discovery refused the call with this status.
+    #[error("discovery responded with status {0}")]
     Refused(StatusCode),
-    /// The address and the path make no request.
+    /// The address and the path don't form a valid HTTP request.
     #[error(transparent)]
     InvalidRequest(#[from] hyper::http::Error),
     /// The connection failed.
     #[error(transparent)]
     Connection(#[from] hyper_util::client::legacy::Error),
-    /// The body broke off or is too long.
+    /// The body ended early or is too long.
     #[error("{0}")]
     Body(Box<dyn Error + Send + Sync>),
-    /// The body is no endpoint list.
+    /// The body is not a valid endpoint list.
     #[error("{reason}")]
     InvalidList {
-        /// What is wrong with it.
+        /// Parser's description of the fault.
         reason: String,
     },
-    /// No answer came in time.
-    #[error("fell silent")]
+    /// The response was not received in time.
+    #[error("timed out")]
     TimedOut,
 }
 
 impl FetchError {
-    /// Whether discovery answered, and refused.
+    /// Returns whether discovery responded and refused the call.
     pub(super) fn is_refusal(&self) -> bool {
         matches!(self, FetchError::Refused(_))
     }
@@ -57,16 +59,16 @@
     FetchError::InvalidList { reason: error.to_string() }
 }
 
-/// When a call is dropped.
+/// Deadlines at which a call is dropped.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallDeadlines {
-    /// Unless the head of its response has come.
+    /// Deadline for the head of the response.
     pub(super) head: Instant,
-    /// Unless all of it has come.
+    /// Deadline for the whole response.
     pub(super) body: Instant,
 }
 
-/// The HTTP client of one discovery address.
+/// HTTP client for one discovery address.
 pub(super) struct DiscoveryClient(Client<HttpConnector, Empty<Bytes>>);
 
 impl DiscoveryClient {
@@ -81,7 +83,7 @@
         DiscoveryClient(client)
     }
 
-    /// Fetches a list; the call is dropped at its deadlines.
+    /// Fetches a list with one call, which is dropped at its deadlines.
     pub(super) async fn fetch(
         &self,
         address: &Authority,
@@ -94,8 +96,11 @@
         list.unwrap_or(Err(FetchError::TimedOut))
     }
 
-    /// Fetches a list by hedged calls: after each interval without a list the call is made again on a further
-    /// connection, and the first list counts. All are dropped at the deadline.
+    /// Fetches a list with hedged calls.
+    ///
+    /// After each `interval` without a list, the call is made again on a further connection, and the first
+    /// list is returned. All calls are dropped at the deadline. If all calls so far have failed, the last
+    /// error is returned.
     pub(super) async fn fetch_hedged(
         &self,
         address: &Authority,
@@ -115,7 +120,7 @@
         }
     }
 
-    /// Makes a call; returns the response once its head says that it brings a list.
+    /// Makes a call, and returns the response once its head is received with status 200.
     async fn request(&self, address: &Authority, path: &str) -> Result<Response<Incoming>, FetchError> {
         let uri = Uri::builder().scheme("http").authority(address.clone()).path_and_query(path).build()?;
         let request = Request::get(uri).body(Empty::new())?;
--- a/crates/proxy/src/discovery/static_list.rs
+++ b/crates/proxy/src/discovery/static_list.rs
@@ -1,17 +1,19 @@
-//! An endpoint list that the configuration holds, until the configuration is read again.
+//! Endpoint source whose list is part of the configuration.
 use copperspread_settings::EndpointList;
 use futures_util::future::BoxFuture;
 use tokio::sync::watch;
 
 use crate::discovery::{EndpointPublisher, EndpointSource};
 
-/// The list as last configured. Its revision grows with each one; the sender counts.
+/// Endpoint source for the last configured list.
+///
+/// The sender replaces the list when the configuration is reloaded, and increments its revision each time.
 pub struct StaticEndpoints(pub watch::Receiver<EndpointList>);
 
 impl EndpointSource for StaticEndpoints {
     fn follow(mut self: Box<Self>, publisher: EndpointPublisher) -> BoxFuture<'static, ()> {
         Box::pin(async move {
-            // Once: a subscription lasts, as nothing can fail here.
+            // One request of the policy is enough, as this source cannot fail afterwards.
             if publisher.is_polled() {
                 publisher.subscription_requested().await;
             }
@@ -20,7 +22,7 @@
                 if let Some(endpoints) = publisher.apply(&list) {
                     publisher.publish(&list, &endpoints);
                 }
-                // The sender is dropped with the program; the list then stays.
+                // The sender is dropped only when the process ends; the list stays until then.
                 if self.0.changed().await.is_err() {
                     return std::future::pending().await;
                 }
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -1,6 +1,7 @@
-//! Serves one client connection: the deadline of its first request, its requests one after the other, and its
-//! end. Clients that send nothing, stop half-way, send too much or frame a body in two ways must not use up
-//! the connections, the memory or the responses of the usual ones.
+//! Serves one client connection from its first request until it closes.
+//!
+//! Clients that send nothing, stop in the middle of a request, send too much or frame a body in two ways must
+//! not use up the connections or the memory that other clients need, nor affect their responses.
 use std::future::{poll_fn, ready};
 use std::pin::Pin;
 use std::sync::Arc;
@@ -20,11 +21,11 @@
 use crate::downstream::raw_head::MAX_HEAD_BYTES;
 use crate::downstream::read_ahead::{ReadAhead, Unread};
 use crate::downstream::request_handler::RequestHandler;
-use crate::downstream::served_connection::{RequestService, ServedConnection, ServerStep};
+use crate::downstream::served_connection::{RequestService, ServedConnection, ServerEvent};
 use crate::invariant::note;
 use crate::shutdown::{ShutdownPhase, ShutdownWatch};
 
-/// A connection that sends no further request for this long is closed.
+/// Time without a further request after which a connection is closed.
 const IDLE_TIMEOUT: Micros = 75 * SECOND;
 
 /// Serves one client connection until either side closes it.
@@ -45,51 +46,51 @@
     }
 }
 
-/// A connection's stream, whose bytes an observer sees as the server library reads them.
+/// Stream of a connection; `Observer` sees all bytes that the server library (hyper) reads from it.
 type ObservedStream<Observer> = TokioIo<InspectReader<ReadAhead, Observer>>;
 
-/// The server library on one connection.
+/// Server library (hyper) that serves one connection.
 type Server<Observer> = http1::Connection<ObservedStream<Observer>, RequestService>;
 
-/// A close that was decided on. A request that has come by then is served all the same.
+/// Close of a connection that has been decided on, unless a request arrives before it is carried out.
 struct PendingClose {
     reason: CloseReason,
     unread: Unread,
 }
 
-/// What a phase of the shutdown means for a connection.
-enum ShutdownStep {
-    /// It stays open for now.
-    Stay,
-    /// It closes once its last response has been written.
+/// Action of a connection when the shutdown phase changes.
+enum ShutdownAction {
+    /// Stay open for now.
+    StayOpen,
+    /// Close once the last response has been written.
     FinishWriting,
-    /// It closes unless a request has begun to come.
+    /// Close unless part of a request has been received.
     CloseIfIdle,
 }
 
-/// What happens next on a connection.
+/// Next event of a connection.
 enum ConnectionEvent {
-    /// Its last request has ended.
+    /// The last request has ended.
     Ended(ConnectionEnd),
-    /// The next head is due at another instant than before.
-    DeadlineMoved,
-    /// The server has been polled since a close was decided on.
+    /// The deadline for the next request's head has changed.
+    DeadlineChanged,
+    /// The server was polled after a close was decided on, so that the close can be carried out or dropped.
     PendingClosePolled,
-    /// The shutdown has advanced.
-    ShutdownAdvanced,
-    /// The next request's head has not come by its deadline.
-    HeadOverdue,
-    /// The connection is asked for its permit.
+    /// The shutdown phase has changed.
+    ShutdownPhaseChanged,
+    /// The next request's head was not received by its deadline.
+    HeadTimedOut,
+    /// Another connection needs this one's permit.
     EvictionNotified,
-    /// It has had notice of that for long enough.
+    /// The notice period of an eviction has ended.
     EvictionDue,
 }
 
-/// One client connection and what its loop alone knows.
+/// One client connection, with the state that only its event loop uses.
 struct ClientConnection {
     shared: Arc<ServedConnection>,
     pending_close: Option<PendingClose>,
-    /// When it closes, if it is being evicted and begins no request before.
+    /// When the connection closes, unless a request begins before; `None` if it is not being evicted.
     eviction_deadline: Option<Instant>,
 }
 
@@ -103,24 +104,24 @@
         ClientConnection { shared, pending_close: None, eviction_deadline: None }
     }
 
-    /// Answers one request after the other.
+    /// Serves the connection's requests one after the other; returns how the last one ended.
     async fn serve_requests(mut self) -> ConnectionEnd {
         let mut server = self.start_server();
         let mut shutdown = self.shared.handler.shutdown.watch();
         loop {
             let close_reason = match self.next_event(&mut server, &mut shutdown).await {
                 ConnectionEvent::Ended(end) => return end,
-                ConnectionEvent::DeadlineMoved => None,
+                ConnectionEvent::DeadlineChanged => None,
                 ConnectionEvent::PendingClosePolled => match self.finish_pending_close().await {
                     Some(end) => return end,
                     None => None,
                 },
-                ConnectionEvent::ShutdownAdvanced => {
-                    match self.shutdown_step() {
-                        ShutdownStep::Stay => {}
-                        ShutdownStep::FinishWriting => Pin::new(&mut server).graceful_shutdown(),
-                        ShutdownStep::CloseIfIdle => {
-                            if self.take_back(server) == Unread::Nothing {
+                ConnectionEvent::ShutdownPhaseChanged => {
+                    match self.shutdown_action() {
+                        ShutdownAction::StayOpen => {}
+                        ShutdownAction::FinishWriting => Pin::new(&mut server).graceful_shutdown(),
+                        ShutdownAction::CloseIfIdle => {
+                            if self.stop_server(server) == Unread::Nothing {
                                 return ConnectionEnd::Idle;
                             }
                             server = self.start_server();
@@ -128,7 +129,7 @@
                     }
                     None
                 }
-                ConnectionEvent::HeadOverdue => Some(CloseReason::TimedOut),
+                ConnectionEvent::HeadTimedOut => Some(CloseReason::TimedOut),
                 ConnectionEvent::EvictionNotified => {
                     self.eviction_deadline = Some(from_now(EVICTION_NOTICE));
                     None
@@ -142,13 +143,13 @@
             if let Some(reason) = close_reason
                 && !self.postpones_close(reason)
             {
-                self.pending_close = Some(PendingClose { reason, unread: self.take_back(server) });
+                self.pending_close = Some(PendingClose { reason, unread: self.stop_server(server) });
                 server = self.start_server();
             }
         }
     }
 
-    /// Waits for the next event; of several the first in this order.
+    /// Waits for the next event. If several are ready, the first in the order of the branches is returned.
     async fn next_event(
         &self,
         server: &mut Server<impl FnMut(&[u8]) + Unpin>,
@@ -157,32 +158,32 @@
         let head_deadline = self.shared.head_deadline();
         tokio::select! {
             biased;
-            // First of all: what has come is read, and what is to be written is, before anything ends. The
-            // connection is not shut down at once: what its peer still sends is read first.
-            step = poll_fn(|cx| {
+            // Polled first, so that received data is read and pending data is written before the connection
+            // closes. The socket is not shut down here: what the peer still sends is read first.
+            event = poll_fn(|cx| {
                 let polled = server.poll_without_shutdown(cx);
-                self.shared.server_step(polled, head_deadline)
-            }) => match step {
-                ServerStep::Finished => {
+                self.shared.process_server_poll(polled, head_deadline)
+            }) => match event {
+                ServerEvent::Finished => {
                     if self.shared.stream.presence().is_gone() {
                         self.shared.count_disconnected();
                     }
                     ConnectionEvent::Ended(ConnectionEnd::Responded)
                 }
-                ServerStep::DeadlineMoved => ConnectionEvent::DeadlineMoved,
+                ServerEvent::DeadlineChanged => ConnectionEvent::DeadlineChanged,
             },
-            // Right after the request was read, and so before its task has sent anything: a client may
-            // send and disconnect at once, or disconnect while it waits. Dropping the connection notifies
-            // the request's task.
+            // Checked right after a request was read, and so before its task dispatches anything: a client
+            // may disconnect right after sending, or while it waits. Dropping the server's connection
+            // notifies the request's task.
             () = poll_fn(|cx| self.poll_client_disconnected(cx)) => {
                 self.shared.count_disconnected();
                 ConnectionEvent::Ended(ConnectionEnd::Abandoned)
             }
             () = ready(()), if self.pending_close.is_some() => ConnectionEvent::PendingClosePolled,
-            _ = shutdown.changed() => ConnectionEvent::ShutdownAdvanced,
-            // Clients that connect and send nothing, or begin a request and do not end it.
+            _ = shutdown.changed() => ConnectionEvent::ShutdownPhaseChanged,
+            // The client has sent nothing, or has not completed the head that it began.
             () = sleep_until(head_deadline.unwrap_or_else(Instant::now)), if head_deadline.is_some() => {
-                ConnectionEvent::HeadOverdue
+                ConnectionEvent::HeadTimedOut
             }
             () = self.shared.permit.eviction.notified(), if self.eviction_deadline.is_none() => {
                 ConnectionEvent::EvictionNotified
@@ -192,11 +193,14 @@
         }
     }
 
-    /// Whether a response that waits for its reader keeps the connection open for now.
+    /// Returns whether a close is postponed because the client has not read the last response yet.
+    ///
+    /// It also arranges for the next check: a new head deadline, or a return to the idle state, from which
+    /// the connection can be evicted again.
     fn postpones_close(&self, reason: CloseReason) -> bool {
         let blocked_until = match reason {
-            CloseReason::TimedOut => self.shared.idle_for(IDLE_TIMEOUT),
-            CloseReason::Evicted => self.shared.idle_for(LINGER_TIMEOUT),
+            CloseReason::TimedOut => self.shared.idle_deadline(IDLE_TIMEOUT),
+            CloseReason::Evicted => self.shared.idle_deadline(LINGER_TIMEOUT),
         };
         if !self.shared.stream.is_write_blocked() || Instant::now() >= blocked_until {
             return false;
@@ -208,7 +212,10 @@
         true
     }
 
-    /// Closes the connection for its pending reason, unless a request has come by now; none if it stays.
+    /// Carries out the pending close, and returns how the connection ended.
+    ///
+    /// Returns `None` if the connection stays open, because a request has been received since the decision or
+    /// there is still time for one.
     async fn finish_pending_close(&mut self) -> Option<ConnectionEnd> {
         let PendingClose { reason, unread } = self.pending_close.take()?;
         let shared = &self.shared;
@@ -237,9 +244,11 @@
         }
     }
 
-    /// Closes a connection that has rested for too long, or looks again when it will have.
+    /// Returns the end of a connection that has been idle for [`IDLE_TIMEOUT`].
+    ///
+    /// Otherwise it sets the deadline for the next check and returns `None`.
     fn end_if_idle(&self) -> Option<ConnectionEnd> {
-        let idle_until = self.shared.idle_for(IDLE_TIMEOUT);
+        let idle_until = self.shared.idle_deadline(IDLE_TIMEOUT);
         if Instant::now() >= idle_until {
             return Some(ConnectionEnd::Idle);
         }
@@ -247,7 +256,7 @@
         None
     }
 
-    /// The server library on this connection, which reads from its next unread byte.
+    /// Starts the server library on this connection, from the next unread byte.
     fn start_server(&self) -> Server<impl FnMut(&[u8]) + Unpin + use<>> {
         let shared = Arc::clone(&self.shared);
         let reader =
@@ -257,8 +266,10 @@
         builder.serve_connection(TokioIo::new(reader), RequestService(Arc::clone(&self.shared)))
     }
 
-    /// Ready once the client has disconnected, while a whole request is answered. Asked anew at each poll, as
-    /// the server may have read the request's end just before.
+    /// Returns `Poll::Ready` once the client has disconnected during a request.
+    ///
+    /// It is `Poll::Pending` unless a completely received request is being answered. Whether the request is
+    /// complete is checked at each poll, as the server may have read its last byte just before.
     fn poll_client_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         if !self.shared.is_request_complete.load(Ordering::Relaxed) {
             return Poll::Pending;
@@ -266,24 +277,29 @@
         self.shared.stream.poll_disconnected(cx)
     }
 
-    /// A client's connection closes once it is idle, so that its next request goes to another scheduler. One
-    /// that has sent nothing yet stays until all close: its first request may be on its way. So does a worker's,
-    /// for its callbacks. A request that has begun to come is answered, and its connection closes with that.
-    fn shutdown_step(&self) -> ShutdownStep {
+    /// Returns what the connection does in the current shutdown phase.
+    ///
+    /// A connection used by a client closes once it is idle, so that the client's next request goes to
+    /// another scheduler. A connection that has sent nothing stays open until the `Closing` phase, as its
+    /// first request may be in transit; so does a worker's connection, for its callbacks. A request that is
+    /// partly received is answered, and its connection closes after the response.
+    fn shutdown_action(&self) -> ShutdownAction {
         let closes_all = matches!(self.shared.handler.shutdown.phase(), ShutdownPhase::Closing(_));
         let is_used_by_client = self.shared.is_used_by_client.load(Ordering::Relaxed);
         if self.shared.permit.is_in_state(ConnectionState::Serving) || !(closes_all || is_used_by_client) {
-            ShutdownStep::Stay
+            ShutdownAction::StayOpen
         } else if self.shared.stream.is_write_blocked() {
-            // A response that waits for its reader would be lost.
-            ShutdownStep::FinishWriting
+            // Closing now would lose a response that the client has not read yet.
+            ShutdownAction::FinishWriting
         } else {
-            ShutdownStep::CloseIfIdle
+            ShutdownAction::CloseIfIdle
         }
     }
 
-    /// Ends a server; what it had read and not used, or what waits in the stream, is read again by the next.
-    fn take_back(&self, server: Server<impl FnMut(&[u8]) + Unpin>) -> Unread {
+    /// Stops a server and returns what it left unread.
+    ///
+    /// Bytes that the server had read but not used are put back, so that the next server reads them.
+    fn stop_server(&self, server: Server<impl FnMut(&[u8]) + Unpin>) -> Unread {
         let unused = server.into_parts().read_buf;
         self.shared.raw_head.take();
         self.shared.raw_head.start();
--- a/crates/proxy/src/downstream/client_connections.rs
+++ b/crates/proxy/src/downstream/client_connections.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, within their limits, until the shutdown closes.
+//! Accepts client connections, within their limits, until the shutdown phase is `Closing`.
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -18,22 +18,25 @@
 use crate::invariant::note;
 use crate::shutdown::{Shutdown, ShutdownPhase};
 
-/// Wait after an accept that failed for want of descriptors or memory.
+/// Delay before the next `accept` after one that failed for lack of descriptors or memory.
 const ACCEPT_RETRY_DELAY: Micros = 20_000;
-/// Connections in a row that may fail as they are accepted before a wait of [`ACCEPT_RETRY_DELAY`] follows, so that an
-/// error which stays does not keep the loop busy.
+/// Consecutive failures of single connections after which `accept` waits for [`ACCEPT_RETRY_DELAY`], so that
+/// a persistent error doesn't cause a busy loop.
 const MAX_FAILED_CONNECTIONS: u32 = 8;
 
-/// All client connections of a scheduler.
+/// Listener for client connections, with the limits and the request handler that all of them share.
 pub struct ClientConnections {
     handler: Arc<RequestHandler>,
-    /// Moves to the task that accepts connections, and closes with it.
+    /// Taken by the task that accepts connections; closed when that task ends.
     listener: Mutex<Option<TcpListener>>,
     limits: Arc<ConnectionLimits>,
 }
 
 impl ClientConnections {
-    /// Connections that a router answers, within a process's limits.
+    /// Creates the client connections of `listener`, whose requests `router` answers.
+    ///
+    /// The limits of the process, on descriptors and on memory in MB (10^6 bytes), bound the number of
+    /// connections.
     pub fn new(
         router: Router,
         callback_path: &'static str,
@@ -51,17 +54,17 @@
         })
     }
 
-    /// What became of clients' requests so far.
+    /// Returns the totals of client requests so far.
     pub fn request_totals(&self) -> RequestTotals {
         self.handler.totals.totals()
     }
 
-    /// Accepts connections until they close. Each is served in a task of its own, which ends with it.
-    async fn accept_all(self: Arc<Self>) {
+    /// Accepts connections until the shutdown phase is `Closing`. Each connection is served in its own task.
+    async fn accept_connections(self: Arc<Self>) {
         let listener = self.listener.lock().unwrap_or_else(PoisonError::into_inner).take();
         let Some(listener) = listener else { return };
         let mut shutdown = self.handler.shutdown.watch();
-        let mut failed_in_a_row = 0;
+        let mut consecutive_failures = 0;
         loop {
             let accepted = tokio::select! {
                 biased;
@@ -70,23 +73,25 @@
             };
             match accepted {
                 Ok((stream, peer)) => {
-                    failed_in_a_row = 0;
+                    consecutive_failures = 0;
                     let permit = Arc::new(self.limits.acquire().await);
-                    // What is logged of the connection names its peer.
+                    // Adds the peer's address to the log events of this connection.
                     let span = warn_span!("connection", %peer);
                     tokio::spawn(
                         serve_connection(Arc::clone(&self.handler), stream, permit).instrument(span),
                     );
                 }
-                Err(error) if !is_shortage(&error) && failed_in_a_row < MAX_FAILED_CONNECTIONS => {
-                    failed_in_a_row += 1;
+                Err(error)
+                    if !is_resource_exhaustion(&error) && consecutive_failures < MAX_FAILED_CONNECTIONS =>
+                {
+                    consecutive_failures += 1;
                 }
-                // When descriptors run out, neither an end nor a busy loop.
+                // When descriptors run out, the loop must neither end nor spin.
                 Err(error) => {
-                    failed_in_a_row = 0;
+                    consecutive_failures = 0;
                     note("no connection taken", &error.to_string());
-                    if is_shortage(&error) {
-                        self.limits.evict_for_shortage();
+                    if is_resource_exhaustion(&error) {
+                        self.limits.evict_on_exhaustion();
                     }
                     sleep_until(from_now(ACCEPT_RETRY_DELAY)).await;
                 }
@@ -97,17 +102,18 @@
 
 impl Downstream for ClientConnections {
     fn accept(self: Arc<Self>) -> BoxFuture<'static, ()> {
-        Box::pin(self.accept_all())
+        Box::pin(self.accept_connections())
     }
 
     fn busy(&self) -> usize {
-        self.handler.requests()
+        self.handler.active_requests()
     }
 }
 
-/// Whether an accept failed for want of something that the process or the machine lacks, so that the next fails too.
-/// Any other error is that of the connection which would have been accepted: Linux reports what the network had
-/// against it in this place, and the next may come.
-fn is_shortage(error: &io::Error) -> bool {
+/// Returns whether `accept` failed because the process or the machine is out of descriptors or memory.
+///
+/// The next call would then fail too. Any other error concerns only the connection that would have been
+/// accepted: on Linux, `accept` returns network errors that are already pending on the new socket.
+fn is_resource_exhaustion(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM))
 }
--- a/crates/proxy/src/downstream/connection_close.rs
+++ b/crates/proxy/src/downstream/connection_close.rs
@@ -1,5 +1,5 @@
-//! How this side closes a client connection: with care for a response that is on its way, and without reading what
-//! crosses the close.
+//! Closes client connections so that a response in transit still reaches its client, and so that a request
+//! which arrives during the close stays unread.
 use axum::http::StatusCode;
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
@@ -9,34 +9,39 @@
 use crate::clock::from_now;
 use crate::downstream::read_ahead::ReadAhead;
 
-/// After the last response on a connection that this side closes, what still comes is read and dropped for so
-/// long and so much, as a reset over unread data would take the response from its reader.
+/// Maximum time for which data is read and dropped after the last response on a connection.
+///
+/// Closing a socket with unread data sends a TCP reset, which may destroy the response before the client
+/// reads it.
 pub(super) const LINGER_TIMEOUT: Micros = 2 * SECOND;
+/// Maximum number of bytes read and dropped after the last response on a connection.
 const MAX_LINGER_BYTES: u64 = 64 << 20;
 
 /// How a connection's last request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
-    /// With a response that its reader may not have yet.
+    /// With a response that the client may not have read yet.
     Responded,
-    /// Between requests.
+    /// Between two requests, with no response due.
     Idle,
-    /// The client has disconnected, or is not waited for.
+    /// The client has disconnected, or is no longer waited for.
     Abandoned,
 }
 
-/// Why this side ends a connection that serves no request.
+/// Why the scheduler closes a connection that serves no request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// The next request's head has not come in time.
+    /// The next request's head was not received in time.
     TimedOut,
     /// Another connection needs its permit.
     Evicted,
 }
 
 impl CloseReason {
-    /// The response to a request that has begun to come. Its client may write the last byte at any instant, and is
-    /// owed a response from then on.
+    /// Returns the status of the response to a partly received request.
+    ///
+    /// Such a request gets a response because its client may write the last byte at any time, and must get
+    /// one from then on.
     pub(super) fn partial_request_status(self) -> StatusCode {
         match self {
             CloseReason::TimedOut => StatusCode::REQUEST_TIMEOUT,
@@ -45,7 +50,9 @@
     }
 }
 
-/// Closes a connection whose requests have ended, until its client has closed it too or the time for that is over.
+/// Closes a connection whose requests have ended.
+///
+/// It waits until the client has closed the connection too, for at most [`LINGER_TIMEOUT`].
 pub(super) async fn close(stream: TcpStream, end: ConnectionEnd) {
     match end {
         ConnectionEnd::Responded => linger(stream).await,
@@ -54,8 +61,9 @@
     }
 }
 
-/// Closes a connection that owes no response. What still comes crosses the close and stays unread: its client
-/// sends it once more on another connection.
+/// Closes a connection on which no response is due.
+///
+/// A request that arrives during the close stays unread; its client sends it again on another connection.
 async fn close_between_requests(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
@@ -69,7 +77,9 @@
     let _ = timeout_at(from_now(LINGER_TIMEOUT), closed).await;
 }
 
-/// Closes a connection whose response may still be on its way to its reader.
+/// Closes a connection whose last response may still be in transit.
+///
+/// What the client still sends is read and dropped, up to [`LINGER_TIMEOUT`] and [`MAX_LINGER_BYTES`].
 async fn linger(mut stream: TcpStream) {
     if stream.shutdown().await.is_ok() {
         let mut rest = stream.take(MAX_LINGER_BYTES);
@@ -78,7 +88,7 @@
     }
 }
 
-/// Writes a response to a request whose end has not come.
+/// Writes an empty response to a request that was received only in part.
 pub(super) async fn write_refusal(mut stream: ReadAhead, status: StatusCode) {
     let head = format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
     let _ = timeout_at(from_now(LINGER_TIMEOUT), stream.write_all(head.as_bytes())).await;
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -1,4 +1,4 @@
-//! The permits of client connections, and which connections must close when few permits are left.
+//! Limits the number of client connections, and evicts the least used ones when few permits are left.
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,46 +10,51 @@
 use crate::clock::from_now;
 use crate::downstream::raw_head::MAX_HEAD_BYTES;
 
-/// Most bytes that one client connection holds: its buffers, its task and a small body.
-const CONNECTION_BYTES: usize = 2 * MAX_HEAD_BYTES;
-/// A connection younger in its state than this is not evicted: its request may be on its way.
+/// Maximum memory of one client connection: its buffers, its task and a small body.
+const MAX_CONNECTION_BYTES: usize = 2 * MAX_HEAD_BYTES;
+/// Minimum time in its state before a connection is evicted, since its next request may be in transit.
 const EVICTION_GRACE: Micros = 20_000;
-/// A connection that is in the middle of a head is not evicted before this: clients may write slowly.
+/// Minimum time in the middle of a request head before a connection is evicted, since clients may write
+/// slowly.
 const HEAD_EVICTION_GRACE: Micros = 250_000;
-/// A connection that is being evicted may still begin a request for so long.
+/// Time for which a connection that is being evicted may still begin a request.
 pub(super) const EVICTION_NOTICE: Micros = 5_000;
 
-/// How many client connections fit: a quarter of the descriptors is kept for workers, discovery and files, and
-/// half of the memory for larger bodies and all else.
+/// Returns the maximum number of client connections for a process.
+///
+/// It follows from the limit on descriptors and the limit on memory, in MB (10^6 bytes). A quarter of the
+/// descriptors, and 16 more, are reserved for workers, discovery and files; half of the memory is reserved
+/// for larger bodies and everything else. At least 8 connections are allowed in any case.
 pub fn max_connections(descriptor_limit: usize, memory_limit_mb: f64) -> usize {
     let by_descriptors = (descriptor_limit - descriptor_limit / 4).saturating_sub(16);
-    let by_memory = (memory_limit_mb * 1e6 / 2.0) as usize / CONNECTION_BYTES;
+    let by_memory = (memory_limit_mb * 1e6 / 2.0) as usize / MAX_CONNECTION_BYTES;
     by_descriptors.min(by_memory).max(8)
 }
 
-/// A connection that has rested for less than this is not evicted for a shortage of the system's.
-const MIN_REST_BEFORE_SHORTAGE_EVICTION: Micros = 2 * SECOND;
+/// Minimum idle time before a connection is evicted because the process or the machine is out of descriptors
+/// or memory.
+const MIN_IDLE_TIME_ON_EXHAUSTION: Micros = 2 * SECOND;
 
-/// What a client connection does.
+/// State of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// Its first request has not come.
+    /// No byte of the first request has been received.
     New,
-    /// Part of a request's head has come.
+    /// Part of a request's head has been received.
     Receiving,
-    /// A request is read or answered.
+    /// A request is being read or answered.
     Serving,
-    /// It is between requests.
+    /// The connection is between two requests.
     Idle,
-    /// It was asked to close and has not begun a request since.
+    /// The connection was asked to close, and no request has begun since.
     Evicting,
-    /// Its last response has been written.
+    /// The last response has been written.
     Closing,
 }
 
 struct ConnectionEntry {
     state: ConnectionState,
-    since: Instant,
+    state_since: Instant,
     eviction: Arc<Notify>,
 }
 
@@ -60,10 +65,10 @@
         self.eviction.notify_one();
     }
 
-    /// Connections of the lowest rank are evicted first; those of none are not.
+    /// Returns the connection's eviction rank: the lowest rank is evicted first, and `None` is never evicted.
     fn eviction_rank(&self) -> Option<u8> {
         match self.state {
-            // They have sent nothing, or have nothing more to receive.
+            // The client has sent nothing, or its last response has been written.
             ConnectionState::New | ConnectionState::Closing => Some(0),
             ConnectionState::Idle => Some(1),
             ConnectionState::Receiving => Some(2),
@@ -74,18 +79,18 @@
     fn is_past_grace(&self) -> bool {
         let is_receiving = self.state == ConnectionState::Receiving;
         let grace = if is_receiving { HEAD_EVICTION_GRACE } else { EVICTION_GRACE };
-        self.since.elapsed() >= Duration::from_micros(grace)
+        self.state_since.elapsed() >= Duration::from_micros(grace)
     }
 }
 
 #[derive(Default)]
 struct Inner {
-    last_number: u64,
-    /// By number, in the order in which they came.
+    last_id: u64,
+    /// Keyed by connection id, in the order of acceptance.
     connections: BTreeMap<u64, ConnectionEntry>,
 }
 
-/// The permits of all client connections.
+/// Permits of all client connections.
 pub(super) struct ConnectionLimits {
     max_connections: usize,
     inner: Mutex<Inner>,
@@ -101,8 +106,10 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a permit. When few are left, the connections that use theirs least are evicted, so that clients
-    /// which connect by the hundred and send nothing wait for each other and the usual ones do not wait for them.
+    /// Waits for a permit.
+    ///
+    /// When few permits are left, the least used connections are evicted. Clients that open hundreds of
+    /// connections and send nothing then compete with each other and don't delay other clients.
     pub(super) async fn acquire(self: &Arc<Self>) -> ConnectionPermit {
         loop {
             if let Some(permit) = self.try_acquire() {
@@ -112,19 +119,24 @@
         }
     }
 
-    /// Evicts the connection that has rested for longest where the system has no descriptor for the next one, although
-    /// permits are left: the process may have fewer descriptors than its configuration says, or need more for workers
-    /// than usual. Those in use stay, as the shortage may pass.
-    pub(super) fn evict_for_shortage(&self) {
+    /// Evicts the connection that has been idle for longest, after `accept` ran out of descriptors or memory
+    /// although permits are left.
+    ///
+    /// The process may have fewer descriptors than its configuration says, or may need more than usual for
+    /// workers. Connections in use stay open, as the shortage may pass. At most one connection is being
+    /// evicted at a time.
+    pub(super) fn evict_on_exhaustion(&self) {
         let inner = &mut *self.lock();
         if inner.connections.values().any(|entry| entry.state == ConnectionState::Evicting) {
             return;
         }
-        let rested = |entry: &&mut ConnectionEntry| {
+        let is_evictable = |entry: &&mut ConnectionEntry| {
             entry.state == ConnectionState::Idle
-                && entry.since.elapsed() >= Duration::from_micros(MIN_REST_BEFORE_SHORTAGE_EVICTION)
+                && entry.state_since.elapsed() >= Duration::from_micros(MIN_IDLE_TIME_ON_EXHAUSTION)
         };
-        if let Some(longest) = inner.connections.values_mut().filter(rested).min_by_key(|entry| entry.since) {
+        if let Some(longest) =
+            inner.connections.values_mut().filter(is_evictable).min_by_key(|entry| entry.state_since)
+        {
             longest.evict();
         }
     }
@@ -135,17 +147,17 @@
         if inner.connections.len() >= self.max_connections {
             return None;
         }
-        inner.last_number += 1;
+        inner.last_id += 1;
         let eviction = Arc::new(Notify::new());
         let state = ConnectionState::New;
-        let entry = ConnectionEntry { state, since: Instant::now(), eviction: Arc::clone(&eviction) };
-        inner.connections.insert(inner.last_number, entry);
-        Some(ConnectionPermit { limits: Arc::clone(self), number: inner.last_number, eviction })
+        let entry = ConnectionEntry { state, state_since: Instant::now(), eviction: Arc::clone(&eviction) };
+        inner.connections.insert(inner.last_id, entry);
+        Some(ConnectionPermit { limits: Arc::clone(self), id: inner.last_id, eviction })
     }
 }
 
 impl Inner {
-    /// Evicts connections until an eighth of the permits is free for the next ones.
+    /// Evicts connections until, besides the connection being accepted, an eighth of the permits is free.
     fn evict_surplus(&mut self, max_connections: usize) {
         let is_evicting = |entry: &&ConnectionEntry| entry.state == ConnectionState::Evicting;
         let evicting = self.connections.values().filter(is_evicting).count();
@@ -158,8 +170,11 @@
         }
     }
 
-    /// Evicts one connection: those that are unused first, then those between requests, and last those in the
-    /// middle of a head; each time the one that has been so for longest. False if there is none.
+    /// Evicts one connection and returns whether there was one to evict.
+    ///
+    /// New and closing connections come first, then idle ones, then those in the middle of a head. Of the
+    /// first of these groups that is not empty, the connection that has been in its state for longest is
+    /// chosen, among those past their grace time.
     fn evict_one(&mut self) -> bool {
         let Some(rank) = self.connections.values().filter_map(ConnectionEntry::eviction_rank).min() else {
             return false;
@@ -168,29 +183,29 @@
             .connections
             .values_mut()
             .filter(|entry| entry.eviction_rank() == Some(rank) && entry.is_past_grace())
-            .min_by_key(|entry| entry.since);
+            .min_by_key(|entry| entry.state_since);
         let Some(longest) = longest else { return false };
         longest.evict();
         true
     }
 }
 
-/// The right of one client connection to be open, until it is dropped.
+/// Permit of one open client connection, released when dropped.
 pub(super) struct ConnectionPermit {
     limits: Arc<ConnectionLimits>,
-    number: u64,
-    /// Notified when the connection is to close.
+    id: u64,
+    /// Notified when the connection should close.
     pub(super) eviction: Arc<Notify>,
 }
 
 impl ConnectionPermit {
     pub(super) fn set_state(&self, state: ConnectionState) {
-        if let Some(entry) = self.limits.lock().connections.get_mut(&self.number) {
-            (entry.state, entry.since) = (state, Instant::now());
+        if let Some(entry) = self.limits.lock().connections.get_mut(&self.id) {
+            (entry.state, entry.state_since) = (state, Instant::now());
         }
     }
 
-    /// Part of a head has come: the connection has begun a request, also while it is being evicted.
+    /// Marks the connection as having begun a request, which also revokes an eviction in progress.
     pub(super) fn set_receiving(&self) {
         if !self.is_in_state(ConnectionState::Receiving) {
             self.set_state(ConnectionState::Receiving);
@@ -198,13 +213,13 @@
     }
 
     pub(super) fn is_in_state(&self, state: ConnectionState) -> bool {
-        self.limits.lock().connections.get(&self.number).is_some_and(|entry| entry.state == state)
+        self.limits.lock().connections.get(&self.id).is_some_and(|entry| entry.state == state)
     }
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.limits.lock().connections.remove(&self.number);
+        self.limits.lock().connections.remove(&self.id);
         self.limits.released.notify_one();
     }
 }
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -1,5 +1,6 @@
-//! The HTTP/1.1 that the platform's clients speak: routes, a request's way from its head to its final response,
-//! and the forms of responses. No other module knows this protocol.
+//! HTTP/1.1 protocol of the clients: routes, parsing of requests, and encoding of final responses.
+//!
+//! No other module depends on the details of this protocol.
 use std::error::Error;
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,28 +29,31 @@
 
 pub mod request_head;
 
-/// Messages of another protocol that come to the clients' address: workers have no other one to call back at.
+/// Route for workers' callbacks on the client listener, the only address that workers can call.
 #[derive(Clone)]
 pub struct CallbackRoute {
-    /// Where they come, by `POST`.
+    /// Path to which callbacks are sent with `POST`.
     pub path: &'static str,
-    /// What takes them.
+    /// Handler of the callbacks' bodies.
     pub handle: Arc<CallbackHandler>,
 }
 
-/// Takes one message, or says why it is none.
+/// Handles the body of one callback; returns an error if it is not a valid callback.
 pub type CallbackHandler = dyn Fn(&[u8]) -> Result<(), Box<dyn Error + Send + Sync>> + Send + Sync;
 
-/// A page of the program's own at the clients' address, beside `/-/ready`.
+/// Status page of the process on the client listener, beside `/-/ready`.
 #[derive(Clone)]
 pub struct StatusPage {
-    /// Where it is, by `GET`.
+    /// Path of the page, for `GET`.
     pub path: &'static str,
-    /// Renders its JSON, on each request; it waits for nothing.
+    /// Renders the page as JSON; called for each request, and must not block.
     pub json: Arc<dyn Fn() -> String + Send + Sync>,
 }
 
-/// The client connections of a listener, within a process's limits.
+/// Creates the client connections of a listener.
+///
+/// The limits of the process, on descriptors and on memory in MB (10^6 bytes), bound the number of
+/// connections.
 pub fn listen(
     context: Arc<ProxyContext>,
     callbacks: CallbackRoute,
@@ -64,7 +68,7 @@
     ClientConnections::new(router, callback_path, shutdown, listener, descriptor_limit, memory_limit_mb)
 }
 
-/// The routes of the clients' address.
+/// Builds the router of the client listener.
 pub fn routes(context: Arc<ProxyContext>, callbacks: CallbackRoute, pages: &[StatusPage]) -> Router {
     let router = Router::new()
         .route(callbacks.path, post(handle_callback).with_state(callbacks))
@@ -82,16 +86,21 @@
     if context.shutdown.is_started() { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK }
 }
 
-/// A body that has been read, and the memory that it holds.
+/// Received body, with the permit for its memory.
 struct ReceivedBody {
     bytes: Bytes,
     permit: BodyPermit,
 }
 
-/// Reads a body within its bound, its deadline and the memory for bodies.
+/// Reads a body within the limits on its length, its time and the memory for bodies.
+///
+/// # Errors
+///
+/// Returns the status of the response: 413 for a body that is too long, 400 for one that cannot be read, and
+/// 408 at the body's deadline.
 async fn read_body(body: Body, limits: &RequestLimits) -> Result<ReceivedBody, StatusCode> {
     let size = hyper::body::Body::size_hint(&body);
-    // A length that is announced too large is not waited for.
+    // A body whose announced length is too large is refused without reading it.
     if size.lower() > MAX_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
@@ -108,7 +117,7 @@
     }
 }
 
-/// Takes a callback. One whose request has completed is answered like the rest.
+/// Handles a callback. A callback for a completed request gets the same response as any other.
 async fn handle_callback(
     State(callbacks): State<CallbackRoute>,
     Extension(limits): Extension<RequestLimits>,
@@ -127,7 +136,7 @@
     }
 }
 
-/// Takes a client's request and waits for its final response.
+/// Handles a client's request and waits for its final response.
 async fn handle_request(
     State(context): State<Arc<ProxyContext>>,
     Extension(limits): Extension<RequestLimits>,
@@ -142,7 +151,9 @@
     }
 }
 
-/// Why a client's request got no further than this protocol. Not a rejection: those are the policy's.
+/// Why a client's request was refused before admission.
+///
+/// This is not a rejection: only the policy rejects requests.
 enum RefusedRequest {
     UnknownClass,
     MethodNotAllowed,
@@ -163,7 +174,7 @@
     }
 }
 
-/// Reads a client's request.
+/// Reads a client's request with its body, and sets its deadline.
 async fn receive(
     context: &ProxyContext,
     mut limits: RequestLimits,
@@ -177,8 +188,9 @@
     limits.body_deadline = limits.body_deadline.min(effective_deadline(client_deadline, &shutdown));
     let body = read_body(body, &limits).await.map_err(RefusedRequest::Body)?;
     limits.mark_request_complete();
-    // A request that cannot be answered before this scheduler stops would fail then: the policy gets the time
-    // that there is once the body has come, and a client that is rejected can go elsewhere.
+    // A request that cannot be answered before this scheduler stops would fail then. So the policy gets the
+    // time that is left once the body has been received, and can reject the request, so that the client tries
+    // elsewhere.
     let deadline = effective_deadline(client_deadline, &shutdown);
     request.time_left = deadline.saturating_duration_since(Instant::now()).as_micros() as Micros;
     let path = parts.uri.path_and_query().cloned().ok_or(RefusedRequest::InvalidHead)?;
@@ -194,7 +206,7 @@
     Ok(AdmissionRequest { request, deadline, upstream_request })
 }
 
-/// Reads a request's class from its path, and what its headers say.
+/// Parses a request's class from its path, and its headers.
 fn parse_client_head(context: &ProxyContext, parts: &Parts) -> Result<RequestHead, RefusedRequest> {
     let class_name = parts.uri.path().split('/').nth(1).unwrap_or_default();
     let mut classes = context.settings.classes.iter();
@@ -210,12 +222,12 @@
     })
 }
 
-/// The form of a final response. 503 is sent only where the policy rejected.
+/// Encodes a final response. Status 503 is sent only if the policy rejected the request.
 fn render(context: &ProxyContext, response: FinalResponse) -> Response {
     match response {
         FinalResponse::Served(result) => result.into_response(),
         FinalResponse::Rejected { retry_after } => {
-            // A client must not wait for a scheduler that stops: others may have capacity now.
+            // During a shutdown, clients should try another scheduler at once: it may have capacity now.
             let retry_after = if context.shutdown.is_started() { 0 } else { retry_after };
             let seconds = retry_after.min(context.settings.max_retry_after) as f64 / SECOND as f64;
             (StatusCode::SERVICE_UNAVAILABLE, [(header::RETRY_AFTER, seconds.to_string())]).into_response()
--- a/crates/proxy/src/downstream/http/request_head.rs
+++ b/crates/proxy/src/downstream/http/request_head.rs
@@ -1,16 +1,17 @@
-//! Parses the heads of clients' requests.
+//! Parses the heads of client requests.
 use axum::http::HeaderMap;
 use copperspread_dispatcher::{Idempotency, IncomingRequest, Micros, SECOND};
 use copperspread_settings::ProxySettings;
 
 use crate::messages::parse_request_id;
 
-/// A response is due this long before the client stops waiting: it covers the way of both messages and this
-/// process's own waits for its part of a core.
+/// Margin by which a response is due before the client's time-out.
+///
+/// It covers the transit of the request and the response, and the time that this process waits for CPU.
 const RESPONSE_MARGIN: Micros = 50_000;
-/// Longest time-out of a client that is taken as given.
+/// Maximum client time-out; longer ones are reduced to it.
 const MAX_CLIENT_TIMEOUT: Micros = 86_400 * SECOND;
-/// Headers that concern one connection only and are not forwarded.
+/// Headers that apply to a single connection (hop-by-hop headers) and are not forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -22,50 +23,55 @@
     "expect",
 ];
 
-/// What the head of a client's request says.
+/// Parsed head of a client's request.
 pub(super) struct RequestHead {
-    /// The request, in the policy's form.
+    /// Request as passed to the dispatch policy.
     pub(super) request: IncomingRequest,
-    /// The request's id as written.
+    /// Request id as the client wrote it.
     pub(super) id: String,
-    /// Whether it may run more than once.
+    /// Idempotency of the request's class, which says whether it may run more than once.
     pub(super) idempotency: Idempotency,
 }
 
-/// Why a head is not that of a request.
+/// Error of a request head that is not valid.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(super) enum RequestHeadError {
-    /// A header that must be unique is not: the next reader may choose the other one.
-    #[error("{name} comes twice")]
+    /// A header that must be unique is repeated; another server might use the other value.
+    #[error("header {name} is repeated")]
     RepeatedHeader {
-        /// The header.
+        /// Name of the header.
         name: &'static str,
     },
-    /// There is no request id.
-    #[error("no X-Request-ID")]
+    /// The request id is missing.
+    #[error("missing X-Request-ID header")]
     MissingRequestId,
-    /// The request id has another form.
-    #[error("X-Request-ID {value:?}")]
+    /// The request id is malformed.
+    #[error("invalid X-Request-ID header: {value:?}")]
     InvalidRequestId {
         /// The header's value.
         value: String,
     },
-    /// There is no time-out.
-    #[error("no X-Timeout")]
+    /// The time-out is missing.
+    #[error("missing X-Timeout header")]
     MissingTimeout,
-    /// The time-out has another form.
-    #[error("X-Timeout {value:?}")]
+    /// The time-out is malformed.
+    #[error("invalid X-Timeout header: {value:?}")]
     InvalidTimeout {
         /// The header's value.
         value: String,
     },
-    /// The class wants an idempotency key: no worker could tell the request's repeats from another request.
-    #[error("no Idempotency-Key")]
+    /// The idempotency key is missing, which the class requires so that workers can recognize a retry.
+    #[error("missing Idempotency-Key header")]
     MissingIdempotencyKey,
 }
 
-/// Parses the headers of a request of a class.
+/// Parses the headers of a request of the class with index `class`.
+///
+/// # Errors
+///
+/// Returns an error if the request id or the time-out is missing, malformed or repeated, or if a required
+/// idempotency key is missing. Other headers that are malformed count as absent.
 pub(super) fn parse_head(
     headers: &HeaderMap,
     class: u32,
@@ -102,14 +108,17 @@
     Ok(RequestHead { request, id: id.to_owned(), idempotency })
 }
 
-/// Which tenant a header names, by its name or number; an unknown one counts as none, which is the number after
-/// the last.
+/// Returns the index of the tenant that a header gives by name or by index.
+///
+/// An unknown tenant counts as no tenant, whose index is `tenants.len()`.
 fn tenant_index(tenant: &str, tenants: &[String]) -> usize {
     let by_name = tenants.iter().position(|name| name == tenant);
     by_name.or_else(|| tenant.parse().ok()).unwrap_or(tenants.len()).min(tenants.len())
 }
 
-/// Parses a number and a unit: `m` for milliseconds, `u` for microseconds. More than a day counts as a day.
+/// Parses a time-out: a decimal number and a unit, `m` for milliseconds or `u` for microseconds.
+///
+/// A time-out of more than a day counts as a day. Returns `None` if the text is malformed.
 pub fn parse_timeout(text: &str) -> Option<Micros> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let micros_per_unit = match unit {
@@ -117,19 +126,21 @@
         "u" => 1.0,
         _ => return None,
     };
-    let is_plain = number.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-    let timeout: f64 = number.parse().ok().filter(|_| is_plain)?;
+    let is_decimal = number.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let timeout: f64 = number.parse().ok().filter(|_| is_decimal)?;
     Some(((timeout * micros_per_unit) as Micros).min(MAX_CLIENT_TIMEOUT))
 }
 
-/// One of the further attributes, `name=value,name=value`; a garbled one counts as absent.
+/// Returns the value of the first attribute in a `name=value,name=value` list whose name is in `names`.
+///
+/// A malformed value counts as absent.
 pub fn parse_attribute(attributes: &str, names: &[&str]) -> Option<f64> {
     let pairs = attributes.split(',').filter_map(|pair| pair.split_once('='));
     let mut named = pairs.filter(|(name, _)| names.contains(&name.trim()));
     named.next().and_then(|(_, value)| value.trim().parse().ok())
 }
 
-/// The headers that are forwarded to a worker: all that do not concern the client connection.
+/// Returns the headers that are forwarded to a worker: all except hop-by-hop headers.
 pub(super) fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! The interface to clients.
+//! Client side of the proxy: the [`Downstream`] trait and its HTTP/1.1 implementation.
 use std::sync::Arc;
 
 use futures_util::future::BoxFuture;
@@ -15,12 +15,14 @@
 pub mod request_totals;
 mod served_connection;
 
-/// A protocol that clients speak. It starts a request's task for what it has accepted and gives the final
-/// response its form; it rejects nothing by itself.
+/// Server for one client protocol.
+///
+/// An implementation starts a request task for each request that it accepts, and encodes the final response.
+/// It doesn't reject requests: only the dispatch policy does.
 pub trait Downstream: Send + Sync + 'static {
-    /// Accepts clients until the shutdown closes.
+    /// Accepts client connections until the shutdown phase is `Closing`.
     fn accept(self: Arc<Self>) -> BoxFuture<'static, ()>;
 
-    /// How many requests are being read or answered.
+    /// Returns the number of requests that are being read or answered.
     fn busy(&self) -> usize;
 }
--- a/crates/proxy/src/downstream/read_ahead.rs
+++ b/crates/proxy/src/downstream/read_ahead.rs
@@ -1,5 +1,7 @@
-//! A client connection's stream that can be read ahead of the server library: what has come is buffered for it,
-//! in order, and the stream's end is seen although the library does not read.
+//! Client connection stream that can be read ahead of the server library (hyper).
+//!
+//! Received bytes are buffered for the library in order. The end of the stream, which shows that the client
+//! has disconnected, is detected even while the library does not read.
 use std::io::{self, Read};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -9,40 +11,43 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Most bytes that are buffered ahead of the library.
+/// Maximum number of bytes buffered ahead of the library.
 const MAX_BUFFERED_BYTES: usize = 8 * 1024;
-/// Most bytes that one check for the stream's end reads past: as many as a socket's receive buffer holds.
+/// Maximum number of bytes that one check for the stream's end reads, as many as a socket's receive buffer
+/// holds.
 const MAX_CHECKED_BYTES: usize = 8 << 20;
 
 struct Inner {
     stream: TcpStream,
-    /// What came and the library has not read.
+    /// Received bytes that the library has not read.
     buffered: Vec<u8>,
-    /// More came than is buffered, and was dropped: what follows `buffered` cannot be read as requests any more.
+    /// Whether bytes beyond the buffer's limit were dropped, so that no request can be read after `buffered`.
     is_overrun: bool,
-    /// The library's last write waits for its reader.
+    /// Whether the library's last write is blocked because the client does not read.
     is_write_blocked: bool,
 }
 
-/// What stands in a stream that the library has not used.
+/// Unread content of a stream after the library has stopped reading it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
-    /// Nothing so far.
+    /// Nothing has been received so far.
     Nothing,
-    /// Bytes that had been read, which the library reads next.
+    /// Bytes that were already read from the socket, which the library reads next.
     Bytes,
-    /// Bytes that have been read just now, which the library reads next.
+    /// Bytes that were read from the socket just now, which the library reads next.
     NewBytes,
-    /// The stream's end, or its reset.
+    /// The stream has ended or was reset.
     End,
 }
 
-/// A handle on the stream; its clones share it. All are used from one task, so that its waker serves them all.
+/// Shared handle to a stream that is read ahead.
+///
+/// All clones must be used from one task, as they share its waker.
 #[derive(Clone)]
 pub struct ReadAhead(Arc<Mutex<Inner>>);
 
 impl ReadAhead {
-    /// Reads from a stream of which nothing has been read.
+    /// Wraps a stream from which nothing has been read.
     pub fn new(stream: TcpStream) -> ReadAhead {
         let inner = Inner { stream, buffered: Vec::new(), is_overrun: false, is_write_blocked: false };
         ReadAhead(Arc::new(Mutex::new(inner)))
@@ -52,9 +57,11 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ready once the peer has closed or reset, however much it sent before. Only while a whole request is
-    /// answered: beyond what is buffered, what comes then is dropped. The library alone would not see the end of a
-    /// client that sends more than it buffers and disconnects.
+    /// Returns `Poll::Ready` once the peer has closed or reset the connection, however much it sent before.
+    ///
+    /// Call it only while a completely received request is being answered, as bytes beyond the buffer's limit
+    /// are dropped. The library alone doesn't detect the disconnect of a client that has sent more than the
+    /// library buffers.
     pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let inner = &mut *self.lock();
         loop {
@@ -68,17 +75,19 @@
         }
     }
 
-    /// Whether more came than is buffered, so that the connection can carry no further request.
+    /// Returns whether received bytes were dropped, so that the connection can carry no further request.
     pub fn is_overrun(&self) -> bool {
         self.lock().is_overrun
     }
 
-    /// Whether the last response still waits for its reader.
+    /// Returns whether the last write is blocked because the client does not read.
     pub fn is_write_blocked(&self) -> bool {
         self.lock().is_write_blocked
     }
 
-    /// Takes back what the library had read and not used, and reads what else the system has.
+    /// Puts back the bytes that the library had read but not used, and returns what is unread.
+    ///
+    /// If nothing is buffered, it also reads what the socket has received.
     pub fn put_back(&self, unused: &[u8]) -> Unread {
         let inner = &mut *self.lock();
         inner.buffered.splice(0..0, unused.iter().copied());
@@ -86,7 +95,7 @@
             return Unread::Bytes;
         }
         let mut bytes = [0; 1024];
-        match inner.read_now(&mut bytes) {
+        match inner.read_nonblocking(&mut bytes) {
             Ok(0) => Unread::End,
             Ok(count) => {
                 inner.buffered.extend_from_slice(&bytes[..count]);
@@ -97,26 +106,28 @@
         }
     }
 
-    /// Tells others whether the peer has disconnected; it does not keep the stream open.
+    /// Returns a handle that tells whether the peer is connected and does not keep the stream open.
     pub fn presence(&self) -> PeerPresence {
         PeerPresence(Arc::downgrade(&self.0))
     }
 
-    /// The stream, where no clone is left.
+    /// Returns the stream, or `None` if another clone exists.
     pub fn into_stream(self) -> Option<TcpStream> {
         let inner = Arc::into_inner(self.0)?;
         Some(inner.into_inner().unwrap_or_else(PoisonError::into_inner).stream)
     }
 }
 
-/// Whether a stream's peer is still connected.
+/// Handle that tells whether the peer of a stream is still connected.
 #[derive(Clone)]
 pub struct PeerPresence(Weak<Mutex<Inner>>);
 
 impl PeerPresence {
-    /// Whether the peer has closed or reset by now, or the stream is no longer served. Only while a whole request
-    /// is answered, as [`ReadAhead::poll_disconnected`], which sees an end only after the runtime has polled for
-    /// events: a process that was held up may have more to do before it does.
+    /// Returns whether the peer has closed or reset the connection, or the stream is no longer served.
+    ///
+    /// Call it only while a completely received request is being answered, like
+    /// [`ReadAhead::poll_disconnected`]. Unlike that method, it doesn't depend on the runtime having polled
+    /// for I/O events, which a delayed process may do only after other work.
     pub fn is_gone(&self) -> bool {
         let Some(inner) = self.0.upgrade() else { return true };
         let mut inner = inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -125,17 +136,17 @@
 }
 
 impl Inner {
-    /// Reads what the system has, whatever the runtime knows of it.
-    fn read_now(&self, bytes: &mut [u8]) -> io::Result<usize> {
+    /// Reads from the socket directly, without regard to the readiness that the runtime has recorded.
+    fn read_nonblocking(&self, bytes: &mut [u8]) -> io::Result<usize> {
         (&*SockRef::from(&self.stream)).read(bytes)
     }
 
-    /// Buffers what has come; whether the stream's end has come behind it.
+    /// Buffers all received bytes and returns whether the stream has ended after them.
     fn has_ended(&mut self) -> bool {
         let mut bytes = [0; 16 * 1024];
         let mut total = 0;
         while total < MAX_CHECKED_BYTES {
-            match self.read_now(&mut bytes) {
+            match self.read_nonblocking(&mut bytes) {
                 Ok(0) => return true,
                 Ok(count) => {
                     self.buffer(&bytes[..count]);
@@ -155,7 +166,7 @@
         }
     }
 
-    /// Remembers whether a write waits for its reader.
+    /// Records whether a write is blocked.
     fn record_write(&mut self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         self.is_write_blocked = written.is_pending();
         written
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of all client connections through one router, and counts those in progress.
+//! Answers the requests of all client connections through one router.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -16,21 +16,21 @@
 use crate::invariant::note;
 use crate::shutdown::Shutdown;
 
-/// What answers requests.
+/// Request handler that all client connections share; it counts the requests in progress.
 pub(super) struct RequestHandler {
     router: Router,
-    /// Where callbacks come: they are no clients' requests.
+    /// Path of workers' callbacks, which don't count as client requests.
     callback_path: &'static str,
     pub(super) shutdown: Shutdown,
-    /// More clients' requests than this are not answered: the rest of the connections is for callbacks.
+    /// Limit on concurrent client requests; the remaining connections are reserved for callbacks.
     max_client_requests: usize,
     pub(super) body_memory: Arc<Semaphore>,
-    /// What became of all clients' requests so far.
+    /// Totals of the client requests of all connections.
     pub(super) totals: RequestCounters,
-    /// Requests that are being read or answered.
-    requests: AtomicUsize,
-    /// Those of clients among them.
-    client_requests: AtomicUsize,
+    /// Requests that are being read or answered, including callbacks.
+    active_requests: AtomicUsize,
+    /// Client requests that are being read or answered.
+    active_client_requests: AtomicUsize,
 }
 
 impl RequestHandler {
@@ -48,40 +48,43 @@
             max_client_requests: max_connections - max_connections / 8,
             body_memory: body_memory(memory_limit_mb),
             totals: RequestCounters::default(),
-            requests: AtomicUsize::new(0),
-            client_requests: AtomicUsize::new(0),
+            active_requests: AtomicUsize::new(0),
+            active_client_requests: AtomicUsize::new(0),
         }
     }
 
-    /// Whether a request is a client's, and not a callback.
+    /// Returns whether a request comes from a client; if not, it is a callback.
     pub(super) fn is_client_request<B>(&self, request: &hyper::Request<B>) -> bool {
         request.uri().path() != self.callback_path
     }
 
-    /// How many requests are being read or answered.
-    pub(super) fn requests(&self) -> usize {
-        self.requests.load(Ordering::Relaxed)
+    /// Returns the number of requests that are being read or answered, including callbacks.
+    pub(super) fn active_requests(&self) -> usize {
+        self.active_requests.load(Ordering::Relaxed)
     }
 
-    /// The response to one request, and whether its connection stays open.
+    /// Returns the response to one request.
+    ///
+    /// `raw_head` is the request's head as received. The response has `Connection: close` if the connection
+    /// must not carry a further request.
     pub(super) async fn respond(&self, request: Request, raw_head: &[u8], limits: RequestLimits) -> Response {
-        let _request = CountGuard::new(&self.requests);
+        let _request = CountGuard::new(&self.active_requests);
         let is_client_request = self.is_client_request(&request);
-        let _client_request = is_client_request.then(|| CountGuard::new(&self.client_requests));
+        let _client_request = is_client_request.then(|| CountGuard::new(&self.active_client_requests));
         let mut is_refused_unread = false;
         let mut response = if has_conflicting_framing(raw_head, request.headers()) {
             note("bad request", "a body framed in two ways");
             StatusCode::BAD_REQUEST.into_response()
-        } else if is_client_request && self.is_crowded() {
-            // Clients that use all connections would shut out the callbacks on which their responses wait. Not
-            // a rejection: those are the policy's.
+        } else if is_client_request && self.exceeds_client_request_limit() {
+            // If clients used all connections, the callbacks that their responses depend on could not
+            // connect. This is an error and not a rejection: only the policy rejects requests.
             is_refused_unread = true;
             StatusCode::INTERNAL_SERVER_ERROR.into_response()
         } else {
             self.route(request, limits).await
         };
-        // A client whose request cannot be served must not keep its connection. Nor may one whose body was left
-        // unread send its next request behind it.
+        // A client whose request cannot be served must not keep its connection open. After an unread body,
+        // the connection cannot carry a further request.
         if is_refused_unread || self.shutdown.is_started() || response.status().is_client_error() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
@@ -96,12 +99,12 @@
         }
     }
 
-    fn is_crowded(&self) -> bool {
-        self.client_requests.load(Ordering::Relaxed) > self.max_client_requests
+    fn exceeds_client_request_limit(&self) -> bool {
+        self.active_client_requests.load(Ordering::Relaxed) > self.max_client_requests
     }
 }
 
-/// Counts one more until it is dropped.
+/// Guard that increments a count, and decrements it when dropped.
 struct CountGuard<'a>(&'a AtomicUsize);
 
 impl CountGuard<'_> {
--- a/crates/proxy/src/downstream/request_limits.rs
+++ b/crates/proxy/src/downstream/request_limits.rs
@@ -1,4 +1,4 @@
-//! What one request may use: time and memory for its body.
+//! Limits on the time and the memory for a request's body.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -8,46 +8,55 @@
 use crate::downstream::read_ahead::PeerPresence;
 use crate::messages::{BodyPermit, ClientPresence};
 
-/// Longest body of a request.
+/// Maximum length of a request's body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A body up to this size needs no permit of its own.
+/// Maximum length of a body that needs no body permit.
 const MAX_UNCOUNTED_BODY_BYTES: usize = 4 * 1024;
-/// The unit in which memory for bodies is counted.
+/// Memory that one unit of a body permit stands for.
 const BODY_PERMIT_UNIT_BYTES: usize = 1024;
 
-/// The memory for bodies, in permits: a quarter of a process's memory, and one body in any case.
+/// Creates the semaphore for the memory of all bodies, with one permit per [`BODY_PERMIT_UNIT_BYTES`].
+///
+/// It covers a quarter of the process's memory limit, given in MB (10^6 bytes), and at least one body of
+/// maximum length.
 pub(super) fn body_memory(memory_limit_mb: f64) -> Arc<Semaphore> {
     let permits = ((memory_limit_mb * 1e6 / 4.0) as usize).max(MAX_BODY_BYTES) / BODY_PERMIT_UNIT_BYTES;
     Arc::new(Semaphore::new(permits.min(Semaphore::MAX_PERMITS)))
 }
 
-/// The limits of one request.
+/// Limits on one request's body, and the state that the request shares with its connection.
 #[derive(Clone)]
 pub struct RequestLimits {
-    /// The body has come by then.
+    /// When the body must be received completely.
     pub body_deadline: Instant,
-    /// Shared by all requests.
+    /// Memory for bodies, shared by all requests.
     pub(super) body_memory: Arc<Semaphore>,
-    /// Shared with the request's connection.
+    /// Whether the request is received completely; shared with the request's connection.
     pub(super) is_request_complete: Arc<AtomicBool>,
-    /// Whether the request's client is still connected.
+    /// Tells whether the request's client is still connected.
     pub(super) peer: PeerPresence,
 }
 
 impl RequestLimits {
-    /// The request has come to its last byte: what follows on its connection is no part of it, and from here on
-    /// its connection watches whether the client disconnects.
+    /// Marks the request as completely received.
+    ///
+    /// What follows on its connection is not part of it, and from now on the connection detects whether the
+    /// client disconnects.
     pub fn mark_request_complete(&self) {
         self.is_request_complete.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the client still waits, from when its request is complete to its response.
+    /// Returns a handle that tells whether the client still waits for the response.
+    ///
+    /// It is valid from when the request is received completely until its response.
     pub fn client_presence(&self) -> ClientPresence {
         let peer = self.peer.clone();
         ClientPresence::new(move || peer.is_gone())
     }
 
-    /// Waits for the memory of a body of at most so many bytes.
+    /// Waits for a body permit for at most `max_bytes` bytes.
+    ///
+    /// Returns `None` for a body so small that it needs no permit.
     pub async fn acquire_body_permit(&self, max_bytes: usize) -> BodyPermit {
         if max_bytes <= MAX_UNCOUNTED_BODY_BYTES {
             return None;
--- a/crates/proxy/src/downstream/request_totals.rs
+++ b/crates/proxy/src/downstream/request_totals.rs
@@ -1,25 +1,27 @@
-//! Counts what becomes of clients' requests: each that was received has its response, or its client left first.
+//! Counts client requests by how they end.
+//!
+//! Each received request either gets its response or ends early because its client disconnects.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What became of clients' requests so far.
+/// Totals of client requests since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestTotals {
     /// Requests whose head was received.
     pub received: u64,
     /// Requests whose final response was written.
     pub answered: u64,
-    /// Requests whose client disconnected first.
+    /// Requests whose client disconnected before the response was written.
     pub disconnected: u64,
 }
 
 impl RequestTotals {
-    /// Requests that have no response although their client is there.
+    /// Returns the number of requests without a response whose client is still connected.
     pub fn unanswered(&self) -> u64 {
         self.received.saturating_sub(self.answered + self.disconnected)
     }
 }
 
-/// The counters behind [`RequestTotals`].
+/// Atomic counters from which [`RequestTotals`] is read.
 #[derive(Default)]
 pub(super) struct RequestCounters {
     received: AtomicU64,
--- a/crates/proxy/src/downstream/served_connection.rs
+++ b/crates/proxy/src/downstream/served_connection.rs
@@ -1,5 +1,5 @@
-//! What a client connection's loop and its requests know of each other: by when the next request has come, and which
-//! requests have their response.
+//! State that a client connection's event loop shares with its requests: deadlines for reading the next
+//! request, and which requests have had their response written.
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -22,38 +22,40 @@
 use crate::downstream::request_handler::RequestHandler;
 use crate::downstream::request_limits::RequestLimits;
 
-/// The first whole request of a connection has come by then, or the connection ends. Apart from the limit
-/// between requests, so that it cuts no usual client, which sends as soon as it connects.
+/// Time after accepting a connection within which its first request must be received completely.
+///
+/// After it, the connection is closed. It is separate from the idle time-out between requests, as clients
+/// usually send as soon as they connect.
 const FIRST_REQUEST_TIMEOUT: Micros = 2 * SECOND;
-/// A later request's head has come this long after its first byte.
+/// Time from the first byte of a later request until its head must be received completely.
 const HEAD_TIMEOUT: Micros = 2 * SECOND;
-/// A later request's body has come this long after its head.
+/// Time from the head of a later request until its body must be received completely.
 const BODY_TIMEOUT: Micros = 2 * SECOND;
 
-/// What a connection's loop and its requests share. All of it is used from one task.
+/// State that a connection's event loop and its requests share. It is used from one task only.
 pub(super) struct ServedConnection {
     pub(super) handler: Arc<RequestHandler>,
     pub(super) permit: Arc<ConnectionPermit>,
     pub(super) stream: ReadAhead,
     pub(super) raw_head: RawHead,
     pub(super) first_request_deadline: Instant,
-    /// When the next request's head must have come, or is looked for; none while a request is served.
+    /// When the next request's head must be received, or is checked for; `None` while a request is served.
     pub(super) head_deadline: Mutex<Option<Instant>>,
-    /// The first request's head has come.
+    /// Whether the first request's head has been received.
     pub(super) has_received_request: AtomicBool,
-    /// When its last response was given.
+    /// When the last response was returned, or the connection was accepted.
     pub(super) idle_since: Mutex<Instant>,
-    /// Clients' requests whose response has not been written.
+    /// Client requests whose response has not been written.
     pub(super) unanswered_requests: AtomicUsize,
-    /// Those among them whose response is known.
+    /// Unanswered client requests whose response was returned to the server library but is not written yet.
     pub(super) unwritten_responses: AtomicUsize,
-    /// The last request was a client's, and not a callback.
+    /// Whether the last request came from a client, and not from a worker as a callback.
     pub(super) is_used_by_client: AtomicBool,
-    /// A request has come to its last byte and is being answered.
+    /// Whether a completely received request is being answered.
     pub(super) is_request_complete: Arc<AtomicBool>,
 }
 
-/// Answers the requests of one connection.
+/// hyper service that answers the requests of one connection.
 pub(super) struct RequestService(pub(super) Arc<ServedConnection>);
 
 impl Service<hyper::Request<Incoming>> for RequestService {
@@ -106,13 +108,14 @@
         let raw_head = self.raw_head.take();
         let mut response = self.handler.respond(request.map(Body::new), &raw_head, limits).await;
         self.is_request_complete.store(false, Ordering::Relaxed);
-        // More came than was kept: what follows cannot be read as a request.
+        // Some of the received bytes were dropped, so that what follows cannot be parsed as a request.
         if self.stream.is_overrun() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         self.raw_head.start();
         self.permit.set_state(ConnectionState::Idle);
-        // The library may hold the next head's beginning, unseen from here: it is looked for by then.
+        // The library may already have buffered the start of the next head, which is not visible here. This
+        // deadline makes the event loop check for it.
         self.set_head_deadline(Some(from_now(HEAD_TIMEOUT)));
         *self.idle_since.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
         if self.is_used_by_client.load(Ordering::Relaxed) {
@@ -121,7 +124,7 @@
         response
     }
 
-    /// A request's head has come.
+    /// Updates the state when a request's head has been received.
     fn begin_request(&self, request: &hyper::Request<Incoming>) {
         let is_client_request = self.handler.is_client_request(request);
         self.permit.set_state(ConnectionState::Serving);
@@ -133,7 +136,7 @@
         }
     }
 
-    /// The library reads bytes of the stream.
+    /// Updates the state when the library has read `bytes` from the stream.
     pub(super) fn observe_read(&self, bytes: &[u8]) {
         if !self.raw_head.add(bytes) || bytes.is_empty() {
             return;
@@ -145,35 +148,35 @@
         self.permit.set_receiving();
     }
 
-    /// What the server's poll means for the connection, and counts the responses that it has written.
-    pub(super) fn server_step(
+    /// Counts the responses written during a poll of the server, and returns the event that resulted.
+    pub(super) fn process_server_poll(
         &self,
         polled: Poll<hyper::Result<()>>,
         known_head_deadline: Option<Instant>,
-    ) -> Poll<ServerStep> {
+    ) -> Poll<ServerEvent> {
         if !self.stream.is_write_blocked() && !matches!(polled, Poll::Ready(Err(_))) {
             let written = self.unwritten_responses.swap(0, Ordering::Relaxed);
             self.unanswered_requests.fetch_sub(written, Ordering::Relaxed);
             self.handler.totals.add_answered(written);
         }
         if polled.is_ready() {
-            Poll::Ready(ServerStep::Finished)
+            Poll::Ready(ServerEvent::Finished)
         } else if self.head_deadline() != known_head_deadline {
-            Poll::Ready(ServerStep::DeadlineMoved)
+            Poll::Ready(ServerEvent::DeadlineChanged)
         } else {
             Poll::Pending
         }
     }
 
-    /// The client has disconnected: nobody waits for what is unanswered.
+    /// Counts all unanswered requests as disconnected, once the client has disconnected.
     pub(super) fn count_disconnected(&self) {
         self.handler.totals.add_disconnected(self.unanswered_requests.swap(0, Ordering::Relaxed));
     }
 
-    /// The instant that comes so long after its last response.
-    pub(super) fn idle_for(&self, time: Micros) -> Instant {
+    /// Returns the instant that is `timeout` after the last response.
+    pub(super) fn idle_deadline(&self, timeout: Micros) -> Instant {
         let idle_since = *self.idle_since.lock().unwrap_or_else(PoisonError::into_inner);
-        idle_since + Duration::from_micros(time)
+        idle_since + Duration::from_micros(timeout)
     }
 
     pub(super) fn head_deadline(&self) -> Option<Instant> {
@@ -185,10 +188,10 @@
     }
 }
 
-/// What polling the server came to.
-pub(super) enum ServerStep {
+/// Event produced by polling the server.
+pub(super) enum ServerEvent {
     /// The connection has ended.
     Finished,
-    /// The next head is due at another instant than before.
-    DeadlineMoved,
+    /// The deadline for the next request's head has changed.
+    DeadlineChanged,
 }
