--- a/crates/proxy/tests/interfaces.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -1,4 +1,4 @@
-//! Each interface with a second, small implementation in memory: no socket, and the same rules.
+//! Tests the proxy with in-memory implementations of its interfaces, and so without sockets.
 use std::collections::VecDeque;
 use std::future::poll_fn;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -31,10 +31,12 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-/// An upstream that records what it is given and answers by a script; without one it accepts the attempt.
+/// Upstream that records attempts and returns the prepared dispatch results in order.
+///
+/// Without a prepared result it accepts the attempt.
 #[derive(Default)]
 struct InMemoryUpstream {
-    script: Mutex<VecDeque<DispatchResult>>,
+    dispatch_results: Mutex<VecDeque<DispatchResult>>,
     dispatched: Mutex<Vec<WorkerId>>,
     cancelled: Mutex<Vec<WorkerId>>,
 }
@@ -51,8 +53,8 @@
         _: &'a DispatchControl,
     ) -> BoxFuture<'a, DispatchResult> {
         Box::pin(async move {
-            self.dispatched.lock().expect("a lock").push(target.worker);
-            self.script.lock().expect("a lock").pop_front().unwrap_or(Ok(()))
+            self.dispatched.lock().expect("lock is not poisoned").push(target.worker);
+            self.dispatch_results.lock().expect("lock is not poisoned").pop_front().unwrap_or(Ok(()))
         })
     }
     fn worker_name(&self, worker: WorkerId) -> Arc<str> {
@@ -64,12 +66,12 @@
         _: &UpstreamRequest,
         _: Instant,
     ) -> BoxFuture<'static, CancellationOutcome> {
-        self.cancelled.lock().expect("a lock").push(target.worker);
+        self.cancelled.lock().expect("lock is not poisoned").push(target.worker);
         Box::pin(std::future::ready(CancellationOutcome::Acknowledged))
     }
 }
 
-/// A source whose lists come through a channel; each is published as a whole.
+/// Endpoint source whose lists come from a channel.
 struct InMemorySource(mpsc::Receiver<EndpointList>);
 
 impl EndpointSource for InMemorySource {
@@ -84,10 +86,10 @@
     }
 }
 
-/// One client's request, and where the name of its final response goes.
+/// A client's request, and the sender for the name of its final response.
 type ClientRequest = (AdmissionRequest, oneshot::Sender<&'static str>);
 
-/// A downstream whose clients are a channel.
+/// Downstream whose client requests come from a channel.
 struct InMemoryDownstream {
     context: Arc<ProxyContext>,
     clients: Mutex<mpsc::Receiver<ClientRequest>>,
@@ -98,7 +100,7 @@
     fn accept(self: Arc<Self>) -> BoxFuture<'static, ()> {
         Box::pin(async move {
             while let Some((admission, reply)) =
-                poll_fn(|cx| self.clients.lock().expect("a lock").poll_recv(cx)).await
+                poll_fn(|cx| self.clients.lock().expect("lock is not poisoned").poll_recv(cx)).await
             {
                 self.busy.fetch_add(1, Ordering::Relaxed);
                 let mut response = request_task::spawn(&self.context, admission);
@@ -125,7 +127,7 @@
 fn list(revision: u64, phases: &[EndpointPhase]) -> EndpointList {
     let record = |(number, &phase): (usize, &EndpointPhase)| EndpointRecord {
         id: format!("r{number}"),
-        address: format!("m{number}:1").parse().expect("an address"),
+        address: format!("m{number}:1").parse().expect("valid address"),
         zone: format!("z{number}"),
         kind: "m".into(),
         cell: number as u32,
@@ -136,7 +138,7 @@
     EndpointList { revision, complete: true, endpoints: phases.iter().enumerate().map(record).collect() }
 }
 
-/// A proxy whose interfaces are all in memory. It is the client itself: `send` starts a request.
+/// Proxy with in-memory interfaces only; `send` starts a client's request.
 struct TestProxy {
     context: Arc<ProxyContext>,
     upstream: Arc<InMemoryUpstream>,
@@ -144,7 +146,7 @@
 }
 
 impl TestProxy {
-    async fn start(script: &[DispatchResult]) -> TestProxy {
+    async fn start(dispatch_results: &[DispatchResult]) -> TestProxy {
         let class = |&idempotency: &Idempotency| RequestClass {
             latency_objective: 5 * SECOND,
             idempotency,
@@ -170,10 +172,12 @@
         let clock = Clock::start();
         let endpoints = Arc::new(EndpointTable::new(&proxy_settings));
         let recorder = EventRecorder::new(Recorder::disabled(), Arc::clone(&endpoints), &proxy_settings);
-        let dispatcher = Box::new(Dispatcher::new(settings, 7).expect("good settings"));
+        let dispatcher = Box::new(Dispatcher::new(settings, 7).expect("settings are valid"));
         let policy = PolicyHandle::new(dispatcher, false, clock, Arc::clone(&recorder));
-        let upstream =
-            Arc::new(InMemoryUpstream { script: Mutex::new(script.to_vec().into()), ..Default::default() });
+        let upstream = Arc::new(InMemoryUpstream {
+            dispatch_results: Mutex::new(dispatch_results.to_vec().into()),
+            ..Default::default()
+        });
         let (lists, list_receiver) = mpsc::channel(4);
         let publisher = EndpointPublisher::new(endpoints, Arc::clone(&policy));
         tokio::spawn(Box::new(InMemorySource(list_receiver)).follow(publisher));
@@ -188,7 +192,7 @@
         TestProxy { context: Arc::new(context), upstream, lists }
     }
     async fn publish(&self, list: EndpointList) {
-        self.lists.send(list).await.expect("the source runs");
+        self.lists.send(list).await.expect("source is running");
         settle().await;
     }
     fn send(&self, id: u64, class: u32) -> request_task::ResponseHandle {
@@ -203,7 +207,7 @@
         };
         let upstream_request = UpstreamRequest {
             id: format!("{id:016x}"),
-            path: "/".parse().expect("a path"),
+            path: "/".parse().expect("valid path"),
             headers: Default::default(),
             idempotency: CLASSES[class as usize],
             body: Bytes::new(),
@@ -213,15 +217,15 @@
         AdmissionRequest { request, deadline: from_now(request.time_left), upstream_request }
     }
     fn dispatched(&self) -> Vec<WorkerId> {
-        self.upstream.dispatched.lock().expect("a lock").clone()
+        self.upstream.dispatched.lock().expect("lock is not poisoned").clone()
     }
-    /// A worker's callback; false if the request has completed.
+    /// Delivers a worker's callback; returns false if the request has completed.
     fn call_back(&self, id: u64, worker: WorkerId, event: WorkerEvent) -> bool {
         self.context.policy.deliver_worker_event(RequestId(id), worker, event)
     }
 }
 
-/// Lets all tasks run until each waits: on one thread, some turns do.
+/// Lets all tasks run until each of them waits; on one thread, 32 yields are enough for that.
 async fn settle() {
     for _ in 0..32 {
         tokio::task::yield_now().await;
@@ -237,7 +241,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_is_served_through_all_interfaces_without_a_socket() {
+async fn a_request_is_served_through_in_memory_interfaces() {
     let proxy = TestProxy::start(&[]).await;
     proxy.publish(list(1, &[EndpointPhase::Serving])).await;
     let mut response = proxy.send(1, 2);
@@ -247,16 +251,18 @@
     assert!(proxy.call_back(1, WorkerId(0), served()));
     assert_eq!(response.final_response().await, FinalResponse::Served(Bytes::from_static(b"result")));
     settle().await;
-    assert!(!proxy.call_back(1, WorkerId(0), served()), "no task is left for a second callback");
+    assert!(!proxy.call_back(1, WorkerId(0), served()), "a second callback has no task to receive it");
     assert_eq!(proxy.send(1, 2).final_response().await, FinalResponse::Duplicate);
     assert_eq!(proxy.dispatched().len(), 1);
 }
 
-// What each first outcome allows, by class: served at the other worker, or a failure after one attempt.
-/// The wall clock was set forward, or back and the lists contradict it: by the worker's start as listed it would
-/// stay cold for an hour, or be warm at once. It has room for a request of a second only once it is warm.
+/// The worker's clock is an hour ahead, or an hour behind so that earlier lists contradict the worker's
+/// start.
+///
+/// Taken as listed, the start would put the worker in slow start for an hour, or end its slow start at once.
+/// The worker accepts a request of one second only after its slow start.
 #[tokio::test(start_paused = true)]
-async fn a_worker_whose_start_was_stamped_by_a_stepped_clock_is_cold_and_then_warm() {
+async fn a_worker_whose_start_was_listed_by_a_stepped_clock_completes_its_slow_start() {
     let (hour, slow_start) = (3_600 * SECOND, 10 * SECOND);
     for is_ahead in [true, false] {
         let proxy = TestProxy::start(&[]).await;
@@ -274,6 +280,7 @@
     }
 }
 
+/// For each first outcome and class, the request is served by the other worker or fails after one attempt.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_may_have_run_is_retried_only_as_its_class_allows() {
     let first_outcomes =
@@ -287,7 +294,7 @@
             let mut response = proxy.send(id, class);
             settle().await;
             let dispatched = proxy.dispatched();
-            // The two stand in different zones, so that a key's scope ends between them.
+            // The workers are in different zones, and the idempotency key's scope is one zone.
             let may_retry = first.never_ran() || CLASSES[class as usize] == Idempotency::Idempotent;
             assert_eq!(dispatched.len(), if may_retry { 2 } else { 1 }, "{first:?} of class {class}");
             if may_retry {
@@ -302,7 +309,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn another_downstream_gives_final_responses_its_own_form() {
+async fn an_in_memory_downstream_encodes_final_responses() {
     let proxy = TestProxy::start(&[]).await;
     proxy.publish(list(1, &[EndpointPhase::Serving])).await;
     let (clients, client_receiver) = mpsc::channel(8);
@@ -313,7 +320,7 @@
     let mut responses = Vec::new();
     for (id, class) in [(1, 2), (2, 0)] {
         let (reply, response) = oneshot::channel();
-        clients.send((proxy.admission(id, class), reply)).await.expect("it accepts");
+        clients.send((proxy.admission(id, class), reply)).await.expect("downstream is accepting");
         responses.push(response);
     }
     settle().await;
@@ -333,13 +340,13 @@
     settle().await;
     drop(response);
     settle().await;
-    assert_eq!(*proxy.upstream.cancelled.lock().expect("a lock"), [WorkerId(0)]);
+    assert_eq!(*proxy.upstream.cancelled.lock().expect("lock is not poisoned"), [WorkerId(0)]);
     assert_eq!(proxy.context.policy.active_requests(), 0);
     assert!(!proxy.call_back(1, WorkerId(0), served()), "a cancelled attempt has ended");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_upstream_leaves_a_final_response_by_the_deadline() {
+async fn a_request_without_a_worker_response_fails_by_its_deadline() {
     let proxy = TestProxy::start(&[]).await;
     proxy.publish(list(1, &[EndpointPhase::Serving])).await;
     let started_at = Instant::now();
@@ -366,7 +373,7 @@
         proxy.send(9, 2).final_response().await,
         FinalResponse::Rejected { .. } | FinalResponse::Failed
     ));
-    assert_eq!(proxy.dispatched().len(), 3, "nothing goes to a removed worker");
+    assert_eq!(proxy.dispatched().len(), 3, "a removed worker gets no attempt");
 }
 
 #[tokio::test(start_paused = true)]
@@ -393,7 +400,8 @@
     use copperspread_proxy::upstream::http::limits::{
         max_cancellations, max_dispatches, max_idle_per_worker, max_load_queries,
     };
-    // The largest fleet, one connection being accepted, discovery's, and what the runtime holds.
+    // `workers` is the size of the largest fleet. `other` covers a connection being accepted, discovery's
+    // connections and the runtime's descriptors.
     let (workers, other) = (22, 12);
     for descriptors in [256, 384, 512, 768, 1024] {
         let upstream = max_dispatches(descriptors)
@@ -403,7 +411,7 @@
         let idle = workers * max_idle_per_worker(descriptors);
         assert!(
             max_cancellations(descriptors) <= idle,
-            "cancellations use what is kept for idle connections"
+            "cancellations use the descriptors reserved for idle connections"
         );
     }
 }
--- a/crates/proxy/tests/module_dependencies.rs
+++ b/crates/proxy/tests/module_dependencies.rs
@@ -1,12 +1,13 @@
-//! The proxy's modules use one another without a circle, and the dispatch policy knows no runtime.
+//! Checks that the proxy's modules have no dependency cycle, and that the dispatcher depends on no runtime or
+//! clock.
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Module by module, the modules of this crate that its code names by `crate::`.
+/// Returns, for each module of this crate, the other modules that its source names by `crate::`.
 fn graph(root: &Path) -> BTreeMap<String, BTreeSet<String>> {
     fn walk(folder: &Path, prefix: &str, found: &mut BTreeMap<String, String>) {
-        for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
-            let (path, name) = (entry.path(), entry.file_name().into_string().expect("UTF-8"));
+        for entry in std::fs::read_dir(folder).expect("directory can be read").flatten() {
+            let (path, name) = (entry.path(), entry.file_name().into_string().expect("file name is UTF-8"));
             if path.is_dir() {
                 walk(&path, &format!("{prefix}{name}::"), found);
             } else if let Some(module) = name.strip_suffix(".rs").filter(|&module| module != "lib") {
@@ -15,7 +16,7 @@
                 } else {
                     format!("{prefix}{module}")
                 };
-                found.insert(path_name, std::fs::read_to_string(path).expect("a source"));
+                found.insert(path_name, std::fs::read_to_string(path).expect("source file can be read"));
             }
         }
     }
@@ -26,7 +27,8 @@
             let end = rest.find(|c: char| !(c.is_alphanumeric() || c == '_' || c == ':'));
             rest[..end.unwrap_or(rest.len())].to_owned()
         });
-        // The longest module that the path begins with; `crate::invariant!` is one, too.
+        // The longest module path that is a prefix of the path; this also maps `crate::invariant!` to its
+        // module.
         let module_of = |path: String| {
             let matching =
                 sources.keys().filter(|known| path == **known || path.starts_with(&format!("{known}::")));
@@ -37,8 +39,10 @@
     sources.iter().map(|(module, source)| (module.clone(), uses(module, source))).collect()
 }
 
-/// The modules that are left when those that use nothing left are taken away again and again.
-fn modules_in_circles(mut graph: BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
+/// Returns the modules in dependency cycles, and those that depend on them.
+///
+/// These are left after repeatedly removing each module that uses no remaining module.
+fn modules_blocked_by_cycles(mut graph: BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
     loop {
         let leaves: Vec<_> =
             graph.iter().filter(|(_, uses)| uses.is_empty()).map(|(module, _)| module.clone()).collect();
@@ -55,7 +59,7 @@
 }
 
 #[test]
-fn the_modules_of_the_proxy_use_one_another_in_one_direction() {
+fn proxy_modules_have_no_dependency_cycle() {
     let graph = graph(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
     assert!(
         graph["context"].contains("upstream") && graph["downstream::http"].contains("request_task"),
@@ -64,29 +68,30 @@
     let protocols = ["downstream::http", "upstream::http", "discovery::platform"];
     assert!(
         graph["request_task"].iter().all(|used| !protocols.iter().any(|protocol| used.starts_with(protocol))),
-        "the request's task knows no protocol"
+        "the request task depends on no protocol"
     );
-    assert_eq!(modules_in_circles(graph), BTreeSet::new());
+    assert_eq!(modules_blocked_by_cycles(graph), BTreeSet::new());
 }
 
 #[test]
-fn a_circle_between_modules_is_found() {
+fn a_dependency_cycle_between_modules_is_found() {
     let uses = |used: &[&str]| used.iter().map(|&name| name.to_owned()).collect();
     let graph = [("a", uses(&["b"])), ("b", uses(&["c"])), ("c", uses(&["b"])), ("d", uses(&[]))];
-    let found =
-        modules_in_circles(graph.into_iter().map(|(module, uses)| (module.to_owned(), uses)).collect());
+    let found = modules_blocked_by_cycles(
+        graph.into_iter().map(|(module, uses)| (module.to_owned(), uses)).collect(),
+    );
     assert_eq!(found.into_iter().collect::<Vec<_>>(), ["a", "b", "c"]);
 }
 
-/// All sources below a folder.
+/// Returns the contents of all files below a directory.
 fn sources(folder: &Path) -> Vec<String> {
     let mut found = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
+    for entry in std::fs::read_dir(folder).expect("directory can be read").flatten() {
         let path = entry.path();
         if path.is_dir() {
             found.extend(sources(&path));
         } else {
-            found.push(std::fs::read_to_string(path).expect("a source"));
+            found.push(std::fs::read_to_string(path).expect("source file can be read"));
         }
     }
     found
@@ -95,14 +100,16 @@
 #[test]
 fn the_dispatch_policy_depends_on_no_runtime_and_no_clock() {
     let dispatcher = Path::new(env!("CARGO_MANIFEST_DIR")).join("../dispatcher");
-    let manifest = std::fs::read_to_string(dispatcher.join("Cargo.toml")).expect("a manifest");
-    let (_, dependencies) = manifest.split_once("[dependencies]").expect("dependencies");
+    let manifest =
+        std::fs::read_to_string(dispatcher.join("Cargo.toml")).expect("dispatcher manifest can be read");
+    let (_, dependencies) =
+        manifest.split_once("[dependencies]").expect("manifest has a [dependencies] section");
     let dependencies = dependencies.split("\n[").next().unwrap_or_default();
     let names: Vec<_> =
         dependencies.split_whitespace().filter_map(|word| word.strip_suffix(".workspace")).collect();
     assert_eq!(names, ["arrayvec", "fastrand", "rustc-hash"]);
     let sources = sources(&dispatcher.join("src"));
-    assert!(sources.len() >= 3, "the policy's sources are elsewhere");
+    assert!(sources.len() >= 3, "dispatcher sources not found");
     for source in sources {
         for word in ["std::time", "std::net", "std::fs", "std::io", "std::thread"] {
             assert!(!source.contains(word), "{word}");
--- a/crates/proxy/tests/unit/invariant.rs
+++ b/crates/proxy/tests/unit/invariant.rs
@@ -1,6 +1,6 @@
 //! Unit tests of `invariant`.
 #[test]
-fn what_does_not_hold_stops_a_debug_build_and_is_counted_in_release() {
+fn a_broken_invariant_panics_in_debug_builds_and_is_counted_in_release_builds() {
     let broken = std::panic::catch_unwind(|| {
         invariant!(1 + 1 == 3, "sums hold");
     });
--- a/crates/proxy/tests/unit/raw_head.rs
+++ b/crates/proxy/tests/unit/raw_head.rs
@@ -1,12 +1,14 @@
 //! Unit tests of `downstream::raw_head`.
 use super::*;
 
-// A head of which only the end was seen may hide the other length in its start.
+// A head whose start is missing counts as conflicting: the missing part may have contained a Content-Length.
 #[test]
-fn a_body_framed_in_two_ways_is_distinguished_from_a_chunked_one() {
+fn a_body_framed_in_two_ways_is_distinguished_from_a_chunked_body() {
     let headers: HeaderMap = [("host", "s"), ("transfer-encoding", "chunked")]
         .into_iter()
-        .map(|(name, value)| (name.parse().expect("a name"), value.parse().expect("a value")))
+        .map(|(name, value)| {
+            (name.parse().expect("valid header name"), value.parse().expect("valid header value"))
+        })
         .collect();
     let conflicts = |head: &str| has_conflicting_framing(head.as_bytes(), &headers);
     assert!(!conflicts(
@@ -16,6 +18,6 @@
         "POST / HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\ncontent-LENGTH: 1\r\n\r\n"
     ));
     assert!(conflicts("POST / HTTP/1.1\nContent-Length: 1\nHost: s\nTransfer-Encoding: chunked\n\n"));
-    assert!(conflicts("ost: s\r\nTransfer-Encoding: chunked\r\n\r\n"), "the start was not seen");
+    assert!(conflicts("ost: s\r\nTransfer-Encoding: chunked\r\n\r\n"), "the start of the head is missing");
     assert!(!has_conflicting_framing(b"", &HeaderMap::new()));
 }
--- a/crates/proxy/tests/worker_starts.rs
+++ b/crates/proxy/tests/worker_starts.rs
@@ -1,14 +1,16 @@
-//! Workers' starts while the wall clock is set, in virtual time: no worker passes for older than it is, and none
-//! for younger than the list that first shows its start.
+//! Tests the estimates of workers' start times when the wall clock is stepped.
+//!
+//! No worker may be taken for older than it is, nor for younger than the list that first shows its start.
+//! Time is simulated.
 use copperspread_dispatcher::{Micros, SECOND};
 use copperspread_proxy::clock::ClockReading;
 use copperspread_proxy::endpoints::{EndpointTable, ListOrigin};
 use copperspread_settings::{EndpointList, EndpointPhase, EndpointRecord, ProxySettings};
 
-/// When the scheduler starts, by its own clock.
+/// Start of the scheduler, on its own clock.
 const OWN_START: Micros = 1_700_000_000 * SECOND;
 const HOUR: Micros = 3_600 * SECOND;
-/// How far the wall clock is set.
+/// Sizes of the wall clock's steps.
 const STEPS: [Micros; 6] = [SECOND, 5 * SECOND, 20 * SECOND, 60 * SECOND, HOUR, 24 * HOUR];
 
 fn settings() -> ProxySettings {
@@ -28,7 +30,7 @@
 fn record(id: &str, started_at: Option<Micros>) -> EndpointRecord {
     EndpointRecord {
         id: id.into(),
-        address: "10.0.0.1:80".parse().expect("an address"),
+        address: "10.0.0.1:80".parse().expect("valid address"),
         zone: "a".into(),
         kind: "m".into(),
         cell: 0,
@@ -38,56 +40,57 @@
     }
 }
 
-/// A scheduler's table, its clock and the wall clock.
+/// Endpoint table of a scheduler, with the scheduler's own clock and the wall clock.
 struct Fixture {
     table: EndpointTable,
     now: Micros,
-    /// By how much the wall clock is ahead of the scheduler's own.
-    wall_ahead: i64,
+    /// Difference of the wall clock from the scheduler's own clock, in microseconds.
+    wall_clock_offset: i64,
     revision: u64,
 }
 
 impl Fixture {
     fn new() -> Fixture {
-        Fixture { table: EndpointTable::new(&settings()), now: OWN_START, wall_ahead: 0, revision: 0 }
+        Fixture { table: EndpointTable::new(&settings()), now: OWN_START, wall_clock_offset: 0, revision: 0 }
     }
 
-    /// One that has a complete list without the worker since its start, and has had answers since.
-    fn watching(quiet_for: Micros) -> Fixture {
+    /// Returns a fixture that received a list without the worker at its start, and unchanged answers for a
+    /// time since.
+    fn after_first_list(unchanged_for: Micros) -> Fixture {
         let mut fixture = Fixture::new();
         fixture.apply(ListOrigin::Discovery, &[record("other", None)]);
-        fixture.answers_for(quiet_for);
+        fixture.answer_unchanged_for(unchanged_for);
         fixture
     }
 
-    fn unix(&self, at: Micros) -> Micros {
-        at.saturating_add_signed(self.wall_ahead)
+    fn unix_time(&self, at: Micros) -> Micros {
+        at.saturating_add_signed(self.wall_clock_offset)
     }
 
-    /// Applies a list; the start of its first endpoint by the scheduler's clock.
+    /// Applies a list, and returns the start of its first endpoint on the scheduler's clock.
     fn apply(&mut self, origin: ListOrigin, endpoints: &[EndpointRecord]) -> Option<Micros> {
         self.revision += 1;
         let list = EndpointList { revision: self.revision, complete: false, endpoints: endpoints.to_vec() };
-        let reading = ClockReading { started_at: OWN_START, now: self.now, unix: self.unix(self.now) };
-        let applied = self.table.apply(&list, origin, reading).expect("a newer list");
+        let reading = ClockReading { started_at: OWN_START, now: self.now, unix: self.unix_time(self.now) };
+        let applied = self.table.apply(&list, origin, reading).expect("list is newer than the table");
         applied.first().and_then(|endpoint| endpoint.started_at)
     }
 
-    /// A watch that is answered every two seconds, with nothing new.
-    fn answers_for(&mut self, duration: Micros) {
+    /// Advances the clock while a watch is answered every two seconds without a change.
+    fn answer_unchanged_for(&mut self, duration: Micros) {
         for _ in 0..duration / (2 * SECOND) {
             self.now += 2 * SECOND;
             self.apply(ListOrigin::Discovery, &[]);
         }
     }
 
-    /// Discovery lists a worker with this start.
-    fn listed(&mut self, started_at: Micros) -> Micros {
-        self.apply(ListOrigin::Discovery, &[record("w", Some(started_at))]).expect("a start")
+    /// Applies a list with a worker that has this start, and returns its estimated start.
+    fn list_worker(&mut self, started_at: Micros) -> Micros {
+        self.apply(ListOrigin::Discovery, &[record("w", Some(started_at))]).expect("worker has a start time")
     }
 
-    fn step(&mut self, seconds_ahead: i64) {
-        self.wall_ahead += seconds_ahead;
+    fn step_wall_clock(&mut self, offset: i64) {
+        self.wall_clock_offset += offset;
     }
 }
 
@@ -95,131 +98,144 @@
     STEPS.into_iter().flat_map(|step| [step as i64, -(step as i64)])
 }
 
-/// How late the list is that first shows a start.
+/// Delays of the list that first shows a worker.
 const LIST_DELAYS: [Micros; 4] = [0, 20_000, 2 * SECOND, 6 * SECOND];
 
 #[test]
-fn without_a_step_a_start_is_as_listed() {
+fn without_a_clock_step_a_start_is_as_listed() {
     for delay in [0, 1, SECOND, 6 * SECOND, 29 * SECOND] {
-        for quiet_for in [0, 10 * SECOND, HOUR] {
-            let mut fixture = Fixture::watching(quiet_for);
+        for unchanged_for in [0, 10 * SECOND, HOUR] {
+            let mut fixture = Fixture::after_first_list(unchanged_for);
             let started_at = fixture.now;
-            fixture.answers_for(delay);
+            fixture.answer_unchanged_for(delay);
             fixture.now += delay % (2 * SECOND);
-            assert_eq!(fixture.listed(started_at), started_at, "{delay} late after {quiet_for}");
+            assert_eq!(
+                fixture.list_worker(started_at),
+                started_at,
+                "{delay} us late after {unchanged_for} us"
+            );
         }
     }
-    // A hold-up between the two clocks' readings is no step.
-    let mut fixture = Fixture::watching(10 * SECOND);
-    fixture.wall_ahead = -150_000;
+    // A small difference, caused by a delay between reading the two clocks, is not taken for a step.
+    let mut fixture = Fixture::after_first_list(10 * SECOND);
+    fixture.wall_clock_offset = -150_000;
     let started_at = fixture.now - SECOND;
-    assert_eq!(fixture.listed(started_at), started_at);
+    assert_eq!(fixture.list_worker(started_at), started_at);
 }
 
-/// All machines read one clock, which is set before the worker starts, or between its start and its list.
+/// All machines share a clock, which is stepped before the worker starts, or between its start and its list.
 #[test]
-fn after_a_step_of_all_clocks_a_new_worker_is_as_old_as_it_is_at_most() {
+fn after_a_step_of_all_clocks_a_new_worker_is_not_taken_for_older_than_it_is() {
     for step in steps_both_ways() {
         for delay in LIST_DELAYS {
-            for quiet_after_step in [0, 10 * SECOND, 2 * HOUR] {
-                let mut fixture = Fixture::watching(20 * SECOND);
-                fixture.step(step);
-                fixture.answers_for(quiet_after_step);
-                let (started_at, listed) = (fixture.now, fixture.unix(fixture.now));
+            for time_after_step in [0, 10 * SECOND, 2 * HOUR] {
+                let mut fixture = Fixture::after_first_list(20 * SECOND);
+                fixture.step_wall_clock(step);
+                fixture.answer_unchanged_for(time_after_step);
+                let (started_at, listed_start) = (fixture.now, fixture.unix_time(fixture.now));
                 fixture.now += delay;
-                let estimate = fixture.listed(listed);
-                let context = format!("step {step}, list {delay} late, {quiet_after_step} after the step");
+                let estimate = fixture.list_worker(listed_start);
+                let context =
+                    format!("step {step} us, list {delay} us late, {time_after_step} us after the step");
                 assert!((started_at..=fixture.now).contains(&estimate), "{context}: {estimate}");
             }
-            let mut fixture = Fixture::watching(20 * SECOND);
-            let (started_at, listed) = (fixture.now, fixture.unix(fixture.now));
+            let mut fixture = Fixture::after_first_list(20 * SECOND);
+            let (started_at, listed_start) = (fixture.now, fixture.unix_time(fixture.now));
             fixture.now += delay / 2;
-            fixture.step(step);
+            fixture.step_wall_clock(step);
             fixture.now += delay - delay / 2;
-            let estimate = fixture.listed(listed);
-            let context = format!("step {step} after the start, list {delay} late");
+            let estimate = fixture.list_worker(listed_start);
+            let context = format!("step {step} us after the start, list {delay} us late");
             assert!((started_at..=fixture.now).contains(&estimate), "{context}: {estimate}");
         }
     }
 }
 
-/// Only this machine's clock is set, while the program runs.
+/// Only the clock of the scheduler's machine is stepped, while the scheduler runs.
 #[test]
-fn after_a_step_of_its_own_clock_alone_a_new_worker_is_as_old_as_it_is_at_most() {
+fn after_a_step_of_the_schedulers_clock_a_new_worker_is_not_taken_for_older_than_it_is() {
     for step in steps_both_ways() {
         for delay in LIST_DELAYS {
-            let mut fixture = Fixture::watching(20 * SECOND);
-            fixture.step(step);
-            fixture.answers_for(10 * SECOND);
+            let mut fixture = Fixture::after_first_list(20 * SECOND);
+            fixture.step_wall_clock(step);
+            fixture.answer_unchanged_for(10 * SECOND);
             let started_at = fixture.now;
             fixture.now += delay;
-            let estimate = fixture.listed(started_at);
-            assert!((started_at..=fixture.now).contains(&estimate), "step {step}, {delay} late: {estimate}");
+            let estimate = fixture.list_worker(started_at);
+            assert!(
+                (started_at..=fixture.now).contains(&estimate),
+                "step {step} us, list {delay} us late: {estimate}"
+            );
         }
     }
 }
 
-/// Its clock was wrong when it started, or is set right on all other machines: only the lists contradict it.
+/// The worker's clock was wrong when it started, or those of all other machines were corrected since.
+///
+/// Only the earlier lists, which don't have the worker, contradict its start.
 #[test]
-fn a_start_long_before_the_lists_that_do_not_have_it_counts_from_its_list() {
-    for wrong_by in [40 * SECOND, HOUR] {
+fn a_start_that_earlier_lists_contradict_is_replaced_by_the_time_of_its_list() {
+    for clock_error in [40 * SECOND, HOUR] {
         for delay in LIST_DELAYS {
-            let mut fixture = Fixture::watching(20 * SECOND);
-            fixture.answers_for(60 * SECOND);
+            let mut fixture = Fixture::after_first_list(20 * SECOND);
+            fixture.answer_unchanged_for(60 * SECOND);
             let started_at = fixture.now;
-            fixture.answers_for(delay);
-            let estimate = fixture.listed(started_at - wrong_by);
-            assert!((started_at..=fixture.now).contains(&estimate), "{wrong_by}, {delay} late: {estimate}");
-            // Listed again, also after the worker was removed, it is the same start.
-            fixture.answers_for(20 * SECOND);
-            assert_eq!(fixture.listed(started_at - wrong_by), estimate);
-            // It restarts.
-            fixture.answers_for(20 * SECOND);
+            fixture.answer_unchanged_for(delay);
+            let estimate = fixture.list_worker(started_at - clock_error);
+            assert!(
+                (started_at..=fixture.now).contains(&estimate),
+                "clock wrong by {clock_error} us, list {delay} us late: {estimate}"
+            );
+            // If the worker is listed again, also after its removal, its estimated start is the same.
+            fixture.answer_unchanged_for(20 * SECOND);
+            assert_eq!(fixture.list_worker(started_at - clock_error), estimate);
+            // The worker restarts.
+            fixture.answer_unchanged_for(20 * SECOND);
             let restarted_at = fixture.now;
-            assert_eq!(fixture.listed(restarted_at - wrong_by), restarted_at);
+            assert_eq!(fixture.list_worker(restarted_at - clock_error), restarted_at);
         }
     }
 }
 
 #[test]
-fn a_start_in_the_future_is_now_at_the_latest_so_that_the_worker_warms_up() {
+fn a_start_in_the_future_is_replaced_by_the_current_time() {
     for ahead in STEPS {
-        let mut fixture = Fixture::watching(20 * SECOND);
-        let listed = fixture.now + ahead;
-        assert_eq!(fixture.listed(listed), fixture.now);
+        let mut fixture = Fixture::after_first_list(20 * SECOND);
+        let listed_start = fixture.now + ahead;
+        assert_eq!(fixture.list_worker(listed_start), fixture.now);
     }
 }
 
-/// After a step back before the program's start, of which nothing shows but starts in the future.
+/// The wall clock was stepped back before the scheduler started, which shows only by starts in the future.
 #[test]
-fn a_start_in_the_future_of_the_first_list_lies_before_the_programs_own_start() {
+fn a_start_in_the_future_of_the_first_list_is_placed_before_the_schedulers_start() {
     for (origin, delay) in
         [(ListOrigin::Cache, 1), (ListOrigin::Discovery, 1), (ListOrigin::Discovery, SECOND)]
     {
         let mut fixture = Fixture::new();
         fixture.now += delay;
-        let listed = fixture.now + 5 * SECOND;
-        let estimate = fixture.apply(origin, &[record("w", Some(listed))]);
-        assert_eq!(estimate, Some(OWN_START - 1), "{origin:?} after {delay}");
+        let listed_start = fixture.now + 5 * SECOND;
+        let estimate = fixture.apply(origin, &[record("w", Some(listed_start))]);
+        assert_eq!(estimate, Some(OWN_START - 1), "{origin:?} after {delay} us");
     }
-    // Long after it, the clocks disagree, and the worker may just have started.
+    // Long after the scheduler's start, the machines' clocks disagree, and the worker may just have started.
     let mut fixture = Fixture::new();
     fixture.now += 60 * SECOND;
-    let listed = fixture.now + 5 * SECOND;
-    assert_eq!(fixture.listed(listed), fixture.now);
+    let listed_start = fixture.now + 5 * SECOND;
+    assert_eq!(fixture.list_worker(listed_start), fixture.now);
 }
 
 #[test]
-fn an_outage_of_discovery_and_a_move_to_another_one_contradict_no_start() {
+fn an_outage_or_a_change_of_discovery_contradicts_no_start() {
     for outage in [8 * SECOND, 60 * SECOND, HOUR] {
-        let mut fixture = Fixture::watching(20 * SECOND);
+        let mut fixture = Fixture::after_first_list(20 * SECOND);
         let started_at = fixture.now + SECOND;
         fixture.now += outage;
-        assert_eq!(fixture.listed(started_at), started_at, "after {outage} without an answer");
-        let mut fixture = Fixture::watching(20 * SECOND);
-        fixture.answers_for(outage);
+        assert_eq!(fixture.list_worker(started_at), started_at, "after {outage} us without an answer");
+        let mut fixture = Fixture::after_first_list(20 * SECOND);
+        fixture.answer_unchanged_for(outage);
         fixture.table.reset_revision();
         let started_at = fixture.now - outage;
-        assert_eq!(fixture.listed(started_at), started_at, "at another discovery");
+        assert_eq!(fixture.list_worker(started_at), started_at, "after a change of discovery");
     }
 }
