--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -38,10 +38,13 @@
     }
 
     /// Publishes the list that was cached before the process started, and returns its revision.
+    ///
+    /// Without a cached list it returns `None`, and sends an empty update to a policy that polls.
     pub fn publish_cached(&self, cached: Option<&EndpointList>) -> Option<u64> {
         let apply = |list| self.endpoints.apply(list, ListOrigin::Cache, self.policy.read_clocks());
         let endpoints = cached.and_then(apply).unwrap_or_default();
-        // A policy that polls requests no list before its first endpoint update, so it gets one in any case.
+        // A polling policy doesn't request a list before its first endpoint update, so it is sent an update
+        // even without a cached list.
         if cached.is_some() || self.is_polled() {
             self.policy.update_endpoints(EndpointUpdateKind::Cached, &endpoints);
         }
@@ -61,8 +64,9 @@
         self.policy.update_endpoints(kind, endpoints);
     }
 
-    /// Resets the table's revision, because the next list comes from another discovery with its own
-    /// revisions.
+    /// Resets what the table knows of the last discovery: its revision and the time of its last answer.
+    ///
+    /// The next list comes from another discovery, with its own revisions.
     pub fn reset_revision(&self) {
         self.endpoints.reset_revision();
     }
@@ -71,7 +75,7 @@
     pub fn poll_failed(&self) {
         // Discards a request that the policy made while the failed poll was in flight: it would be mistaken
         // for the policy's reaction to this failure.
-        let _ = self.subscription_requested().now_or_never();
+        let _ = self.list_requested().now_or_never();
         self.policy.update_endpoints(EndpointUpdateKind::Failed, &[]);
     }
 
@@ -81,7 +85,7 @@
     }
 
     /// Waits until the policy requests a list.
-    pub async fn subscription_requested(&self) {
+    pub async fn list_requested(&self) {
         self.policy.subscription_requested().await;
     }
 }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -1,10 +1,11 @@
 //! Endpoint source that fetches lists from the platform's discovery over HTTP and watches them for changes.
 //!
-//! Lists are parsed in `copperspread_settings::platform`.
+//! Lists are parsed in `copperspread_settings::platform`; only this module knows how they are fetched.
 //!
-//! Lists are pushed or polled. Where they are pushed, a discovery agent near the scheduler receives them, and
-//! this module retries failed calls by itself. Where they are polled, the dispatch policy requests the first
-//! list and, after most failures, the next one.
+//! Discovery is used in one of two modes (see [`EndpointPublisher::is_polled`]). Where lists are
+//! pushed, they are pushed to a discovery agent near the scheduler; this module calls the agent, and retries
+//! failed calls by itself. Where lists are polled, the dispatch policy requests the first list and, after
+//! most failures, the next one.
 use copperspread_dispatcher::{Micros, SECOND};
 use copperspread_settings::EndpointList;
 use futures_util::future::BoxFuture;
@@ -32,13 +33,14 @@
 pub const WATCH_MARGIN: Micros = 1_200_000;
 /// Time-out of calls for the complete list where lists are pushed.
 ///
-/// The discovery agent, which is nearby, answers at once unless it is slow, so the call is hedged until then.
+/// The discovery agent, which is nearby, usually answers at once. If it is slow, the call is hedged until
+/// this time-out.
 pub const PUSHED_LIST_TIMEOUT: Micros = 2_200_000;
 /// Interval between hedged calls for the complete list where lists are pushed.
 ///
-/// Each hedge uses a further connection. The interval is short because a change counts as delivered as soon
-/// as the discovery agent has it, even if the agent was unresponsive before and never answers the calls of
-/// that time.
+/// Each hedge uses a further connection. The interval is short because a change counts as delivered once the
+/// discovery agent has it. The agent may have been unresponsive until then, and may never answer the calls
+/// that were made meanwhile.
 pub const PUSHED_HEDGE_INTERVAL: Micros = 400_000;
 /// Time-out of a call for the complete list where lists are polled.
 ///
@@ -51,7 +53,8 @@
 pub const BODY_MARGIN: Micros = 700_000;
 /// Initial backoff before a failed call is retried.
 ///
-/// Where lists are pushed, it applies to every call; where they are polled, only to a watch that broke.
+/// Where lists are pushed, it applies to every failed call; where they are polled, only to a watch that
+/// broke.
 pub const RETRY_BACKOFF_INITIAL: Micros = 100_000;
 /// Maximum backoff before a failed call is retried; at most [`PUSHED_HEDGE_INTERVAL`].
 pub const RETRY_BACKOFF_MAX: Micros = 200_000;
@@ -100,7 +103,7 @@
     /// request.
     must_notify_policy: bool,
     /// Whether the policy is still to request a list: at the start, or after it was notified of a failure.
-    awaits_policy_request: bool,
+    awaits_list_request: bool,
     /// Whether the last call returned a list, so that the next call can be a watch.
     last_call_succeeded: bool,
     /// Whether a call was refused since the last list.
@@ -113,7 +116,8 @@
 struct CompletedCall {
     /// Revision that was watched; `None` if the call was for the complete list.
     watched_revision: Option<u64>,
-    /// Earliest time of an answer to a watch that discovery held; an earlier answer was not held.
+    /// Half the hold time after the call's start. If a watch is answered earlier and without a change,
+    /// discovery did not hold it.
     earliest_held_answer: Instant,
     outcome: CallOutcome,
 }
@@ -138,7 +142,7 @@
             backoff: RETRY_BACKOFF_INITIAL,
             is_polled,
             must_notify_policy: is_polled,
-            awaits_policy_request: false,
+            awaits_list_request: false,
             last_call_succeeded: false,
             refused_since_list: false,
             failed_since_list: false,
@@ -147,7 +151,7 @@
 
     async fn run(mut self) {
         if self.is_polled {
-            self.await_subscription_request().await;
+            self.await_list_request().await;
         }
         loop {
             self.apply_address_change();
@@ -213,7 +217,9 @@
         self.client.fetch(&self.address, &path, deadlines_after(WATCH_HOLD_TIME + WATCH_MARGIN)).await
     }
 
-    /// Publishes a list if it changes anything or the policy waits for it.
+    /// Applies a list, and publishes it if it is complete, has changes or answers a request of the policy.
+    ///
+    /// Then waits for a short time if the next call would return the same list at once.
     async fn handle_list(
         &mut self,
         list: &EndpointList,
@@ -232,7 +238,7 @@
         if let Some(endpoints) = self.publisher.apply(list).filter(|_| must_publish) {
             self.publisher.publish(list, &endpoints);
             self.must_notify_policy = false;
-            self.awaits_policy_request = false;
+            self.awaits_list_request = false;
         }
         // After a list that is older than the last one, or an answer to a watch that was not held, the next
         // call would return the same at once: the delay avoids a busy loop.
@@ -247,6 +253,8 @@
     /// Counts a failed call, and waits until the next call is due.
     async fn handle_failure(&mut self, error: &FetchError) {
         let subject = Subject { peer: Some(self.address.as_str()), ..Subject::default() };
+        // Counts failed calls to discovery, including refusals and invalid lists; the table keeps its
+        // endpoints.
         note_of("no answer of discovery, the list stays", &error.to_string(), subject);
         self.failed_since_list = true;
         if let Some(backoff) = self.retry_backoff(error) {
@@ -255,13 +263,13 @@
             return;
         }
         // The policy is notified once, and not again before it has requested a list. If an address change
-        // ended the wait for that request, a second notification would lead to two calls after each failure,
-        // then three.
-        if !std::mem::replace(&mut self.awaits_policy_request, true) {
+        // ended the wait for that request, a second notification would make the policy request a second list,
+        // and later failures would lead to two calls each, then three.
+        if !std::mem::replace(&mut self.awaits_list_request, true) {
             self.publisher.poll_failed();
         }
         self.must_notify_policy = true;
-        self.await_subscription_request().await;
+        self.await_list_request().await;
     }
 
     /// Returns the backoff before the failed call is retried; `None` if the policy requests the next call.
@@ -269,8 +277,9 @@
         let was_watch = std::mem::take(&mut self.last_call_succeeded);
         let is_broken_watch = was_watch && !error.is_refusal();
         if !self.is_polled || is_broken_watch {
-            // The backoff is short because changes that an unanswered watch missed count as delivered. There
-            // is one because a discovery may answer calls for the complete list and break every watch.
+            // The backoff is short because changes count as delivered even if the watch that should have
+            // returned them got no answer. It is not zero because a discovery may answer calls for the
+            // complete list but break every watch.
             let doubled = (self.backoff * 2).min(RETRY_BACKOFF_MAX);
             return Some(std::mem::replace(&mut self.backoff, doubled));
         }
@@ -282,13 +291,13 @@
     /// Waits until the policy requests a list or discovery's address changes.
     ///
     /// If the address changes first, the policy's request is not lost: the next wait gets it.
-    async fn await_subscription_request(&mut self) {
+    async fn await_list_request(&mut self) {
         let is_requested = tokio::select! {
             biased;
-            () = self.publisher.subscription_requested() => true,
+            () = self.publisher.list_requested() => true,
             Ok(()) = self.configured_address.changed() => false,
         };
-        self.awaits_policy_request = !is_requested;
+        self.awaits_list_request = !is_requested;
     }
 }
 
--- a/crates/proxy/src/discovery/static_list.rs
+++ b/crates/proxy/src/discovery/static_list.rs
@@ -15,7 +15,7 @@
         Box::pin(async move {
             // One request of the policy is enough, as this source cannot fail afterwards.
             if publisher.is_polled() {
-                publisher.subscription_requested().await;
+                publisher.list_requested().await;
             }
             loop {
                 let list = self.0.borrow_and_update().clone();
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -52,9 +52,11 @@
 /// Server library (hyper) that serves one connection.
 type Server<Observer> = http1::Connection<ObservedStream<Observer>, RequestService>;
 
-/// Close of a connection that has been decided on, unless a request arrives before it is carried out.
+/// Close that was decided on but not carried out yet; it is dropped if the connection can still serve a
+/// request.
 struct PendingClose {
     reason: CloseReason,
+    /// What the server had left unread when it was stopped.
     unread: Unread,
 }
 
@@ -70,7 +72,7 @@
 
 /// Next event of a connection.
 enum ConnectionEvent {
-    /// The last request has ended.
+    /// The connection has ended: the server has finished, or the client has disconnected.
     Ended(ConnectionEnd),
     /// The deadline for the next request's head has changed.
     DeadlineChanged,
@@ -90,7 +92,7 @@
 struct ClientConnection {
     shared: Arc<ServedConnection>,
     pending_close: Option<PendingClose>,
-    /// When the connection closes, unless a request begins before; `None` if it is not being evicted.
+    /// When the notice period of an eviction ends; `None` if no notice is running.
     eviction_deadline: Option<Instant>,
 }
 
@@ -104,7 +106,7 @@
         ClientConnection { shared, pending_close: None, eviction_deadline: None }
     }
 
-    /// Serves the connection's requests one after the other; returns how the last one ended.
+    /// Serves the connection's requests one after the other; returns how the connection ended.
     async fn serve_requests(mut self) -> ConnectionEnd {
         let mut server = self.start_server();
         let mut shutdown = self.shared.handler.shutdown.watch();
@@ -149,7 +151,8 @@
         }
     }
 
-    /// Waits for the next event. If several are ready, the first in the order of the branches is returned.
+    /// Waits for the next event. If several are ready, the first in the order of the `select!` branches is
+    /// returned.
     async fn next_event(
         &self,
         server: &mut Server<impl FnMut(&[u8]) + Unpin>,
@@ -173,7 +176,7 @@
                 ServerEvent::DeadlineChanged => ConnectionEvent::DeadlineChanged,
             },
             // Checked right after a request was read, and so before its task dispatches anything: a client
-            // may disconnect right after sending, or while it waits. Dropping the server's connection
+            // may disconnect right after sending, or while it waits. The caller then drops `server`, which
             // notifies the request's task.
             () = poll_fn(|cx| self.poll_client_disconnected(cx)) => {
                 self.shared.count_disconnected();
@@ -195,18 +198,19 @@
 
     /// Returns whether a close is postponed because the client has not read the last response yet.
     ///
-    /// It also arranges for the next check: a new head deadline, or a return to the idle state, from which
-    /// the connection can be evicted again.
+    /// A close is postponed until [`IDLE_TIMEOUT`], or for an eviction [`LINGER_TIMEOUT`], has passed since
+    /// the last response. The function also sets the next check: a new head deadline, or a return to the idle
+    /// state, from which the connection can be evicted again.
     fn postpones_close(&self, reason: CloseReason) -> bool {
-        let blocked_until = match reason {
+        let postponed_until = match reason {
             CloseReason::TimedOut => self.shared.idle_deadline(IDLE_TIMEOUT),
             CloseReason::Evicted => self.shared.idle_deadline(LINGER_TIMEOUT),
         };
-        if !self.shared.stream.is_write_blocked() || Instant::now() >= blocked_until {
+        if !self.shared.stream.is_write_blocked() || Instant::now() >= postponed_until {
             return false;
         }
         match reason {
-            CloseReason::TimedOut => self.shared.set_head_deadline(Some(blocked_until)),
+            CloseReason::TimedOut => self.shared.set_head_deadline(Some(postponed_until)),
             CloseReason::Evicted => self.shared.permit.set_state(ConnectionState::Idle),
         }
         true
@@ -222,20 +226,22 @@
         if shared.permit.is_in_state(ConnectionState::Serving) {
             return None;
         }
-        let is_first = !shared.has_received_request.load(Ordering::Relaxed);
+        let awaits_first_request = !shared.has_received_request.load(Ordering::Relaxed);
         match (unread, reason) {
             (Unread::Nothing, CloseReason::Evicted) => {
+                // Counts client connections that were evicted.
                 note("an edge connection gave its place up", "closed");
                 Some(ConnectionEnd::Abandoned)
             }
-            (Unread::Nothing, CloseReason::TimedOut) if is_first => {
+            (Unread::Nothing, CloseReason::TimedOut) if awaits_first_request => {
                 note("no first request in time", "closed");
                 Some(ConnectionEnd::Abandoned)
             }
             (Unread::Nothing, CloseReason::TimedOut) => self.end_if_idle(),
-            (Unread::NewBytes, CloseReason::TimedOut) if !is_first => None,
+            (Unread::NewBytes, CloseReason::TimedOut) if !awaits_first_request => None,
             (Unread::NewBytes, CloseReason::Evicted) => None,
             (Unread::Bytes | Unread::NewBytes, _) => {
+                // Counts requests that were received only in part.
                 note("a request did not come to its end", "refused");
                 write_refusal(shared.stream.clone(), reason.partial_request_status()).await;
                 Some(ConnectionEnd::Responded)
@@ -280,9 +286,9 @@
     /// Returns what the connection does in the current shutdown phase.
     ///
     /// A connection used by a client closes once it is idle, so that the client's next request goes to
-    /// another scheduler. A connection that has sent nothing stays open until the `Closing` phase, as its
-    /// first request may be in transit; so does a worker's connection, for its callbacks. A request that is
-    /// partly received is answered, and its connection closes after the response.
+    /// another scheduler. A connection on which nothing has been received stays open until the `Closing`
+    /// phase, as its first request may be in transit; so does a worker's connection, for its callbacks. A
+    /// request that is partly received is answered, and its connection closes after the response.
     fn shutdown_action(&self) -> ShutdownAction {
         let closes_all = matches!(self.shared.handler.shutdown.phase(), ShutdownPhase::Closing(_));
         let is_used_by_client = self.shared.is_used_by_client.load(Ordering::Relaxed);
--- a/crates/proxy/src/downstream/client_connections.rs
+++ b/crates/proxy/src/downstream/client_connections.rs
@@ -20,8 +20,10 @@
 
 /// Delay before the next `accept` after one that failed for lack of descriptors or memory.
 const ACCEPT_RETRY_DELAY: Micros = 20_000;
-/// Consecutive failures of single connections after which `accept` waits for [`ACCEPT_RETRY_DELAY`], so that
-/// a persistent error doesn't cause a busy loop.
+/// Number of consecutive `accept` errors of single connections that are retried at once.
+///
+/// After the next one the loop waits for [`ACCEPT_RETRY_DELAY`], so that a persistent error doesn't cause a
+/// busy loop.
 const MAX_FAILED_CONNECTIONS: u32 = 8;
 
 /// Listener for client connections, with the limits and the request handler that all of them share.
@@ -33,7 +35,8 @@
 }
 
 impl ClientConnections {
-    /// Creates the client connections of `listener`, whose requests `router` answers.
+    /// Creates a server that accepts client connections on `listener` and answers their requests through
+    /// `router`.
     ///
     /// The limits of the process, on descriptors and on memory in MB (10^6 bytes), bound the number of
     /// connections.
@@ -89,6 +92,7 @@
                 // When descriptors run out, the loop must neither end nor spin.
                 Err(error) => {
                     consecutive_failures = 0;
+                    // Counts failed calls of `accept`.
                     note("no connection taken", &error.to_string());
                     if is_resource_exhaustion(&error) {
                         self.limits.evict_on_exhaustion();
--- a/crates/proxy/src/downstream/connection_close.rs
+++ b/crates/proxy/src/downstream/connection_close.rs
@@ -1,5 +1,7 @@
-//! Closes client connections so that a response in transit still reaches its client, and so that a request
-//! which arrives during the close stays unread.
+//! Closes client connections so that a response in transit still reaches its client.
+//!
+//! On a connection with no response due, a request that arrives during the close is left unread, and its
+//! client sends it again on another connection.
 use axum::http::StatusCode;
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
@@ -12,17 +14,17 @@
 /// Maximum time for which data is read and dropped after the last response on a connection.
 ///
 /// Closing a socket with unread data sends a TCP reset, which may destroy the response before the client
-/// reads it.
+/// reads it. The time also limits other waits for a client whose connection is closed.
 pub(super) const LINGER_TIMEOUT: Micros = 2 * SECOND;
 /// Maximum number of bytes read and dropped after the last response on a connection.
 const MAX_LINGER_BYTES: u64 = 64 << 20;
 
-/// How a connection's last request ended.
+/// How a connection ended, which decides how it is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
     /// With a response that the client may not have read yet.
     Responded,
-    /// Between two requests, with no response due.
+    /// While idle: no response is due.
     Idle,
     /// The client has disconnected, or is no longer waited for.
     Abandoned,
@@ -52,7 +54,8 @@
 
 /// Closes a connection whose requests have ended.
 ///
-/// It waits until the client has closed the connection too, for at most [`LINGER_TIMEOUT`].
+/// Unless the client is gone, waits until it has closed the connection too, for at most [`LINGER_TIMEOUT`] or
+/// [`MAX_LINGER_BYTES`].
 pub(super) async fn close(stream: TcpStream, end: ConnectionEnd) {
     match end {
         ConnectionEnd::Responded => linger(stream).await,
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -1,4 +1,5 @@
-//! Limits the number of client connections, and evicts the least used ones when few permits are left.
+//! Limits the number of client connections, and evicts connections that serve no request when few permits are
+//! left.
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -12,7 +13,9 @@
 
 /// Maximum memory of one client connection: its buffers, its task and a small body.
 const MAX_CONNECTION_BYTES: usize = 2 * MAX_HEAD_BYTES;
-/// Minimum time in its state before a connection is evicted, since its next request may be in transit.
+/// Minimum time that a connection has been in its current state before it is evicted.
+///
+/// Its next request may be in transit. In the middle of a head, [`HEAD_EVICTION_GRACE`] applies instead.
 const EVICTION_GRACE: Micros = 20_000;
 /// Minimum time in the middle of a request head before a connection is evicted, since clients may write
 /// slowly.
@@ -48,7 +51,7 @@
     Idle,
     /// The connection was asked to close, and no request has begun since.
     Evicting,
-    /// The last response has been written.
+    /// The connection serves no further request and is being closed.
     Closing,
 }
 
@@ -68,7 +71,7 @@
     /// Returns the connection's eviction rank: the lowest rank is evicted first, and `None` is never evicted.
     fn eviction_rank(&self) -> Option<u8> {
         match self.state {
-            // The client has sent nothing, or its last response has been written.
+            // The client has sent nothing, or the connection is being closed.
             ConnectionState::New | ConnectionState::Closing => Some(0),
             ConnectionState::Idle => Some(1),
             ConnectionState::Receiving => Some(2),
@@ -108,8 +111,9 @@
 
     /// Waits for a permit.
     ///
-    /// When few permits are left, the least used connections are evicted. Clients that open hundreds of
-    /// connections and send nothing then compete with each other and don't delay other clients.
+    /// When few permits are left, connections that serve no request are evicted, in the order of
+    /// [`Inner::evict_one`]. Clients that open hundreds of connections and send nothing then compete with
+    /// each other and don't delay other clients.
     pub(super) async fn acquire(self: &Arc<Self>) -> ConnectionPermit {
         loop {
             if let Some(permit) = self.try_acquire() {
@@ -123,8 +127,8 @@
     /// although permits are left.
     ///
     /// The process may have fewer descriptors than its configuration says, or may need more than usual for
-    /// workers. Connections in use stay open, as the shortage may pass. At most one connection is being
-    /// evicted at a time.
+    /// workers. Connections in use stay open, as the shortage may pass. Nothing is evicted while an earlier
+    /// eviction is in progress.
     pub(super) fn evict_on_exhaustion(&self) {
         let inner = &mut *self.lock();
         if inner.connections.values().any(|entry| entry.state == ConnectionState::Evicting) {
@@ -157,7 +161,11 @@
 }
 
 impl Inner {
-    /// Evicts connections until, besides the connection being accepted, an eighth of the permits is free.
+    /// Evicts connections until an eighth of the permits is free, besides the permit of the connection being
+    /// accepted.
+    ///
+    /// Permits of connections that are being evicted count as free. Fewer become free if no more connections
+    /// can be evicted.
     fn evict_surplus(&mut self, max_connections: usize) {
         let is_evicting = |entry: &&ConnectionEntry| entry.state == ConnectionState::Evicting;
         let evicting = self.connections.values().filter(is_evicting).count();
@@ -172,9 +180,9 @@
 
     /// Evicts one connection and returns whether there was one to evict.
     ///
-    /// New and closing connections come first, then idle ones, then those in the middle of a head. Of the
-    /// first of these groups that is not empty, the connection that has been in its state for longest is
-    /// chosen, among those past their grace time.
+    /// New and closing connections come first, then idle ones, then those in the middle of a head. Only the
+    /// first group that is not empty is considered: of its connections that are past their grace time, the
+    /// one that has been in its state for longest is evicted.
     fn evict_one(&mut self) -> bool {
         let Some(rank) = self.connections.values().filter_map(ConnectionEntry::eviction_rank).min() else {
             return false;
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -50,7 +50,7 @@
     pub json: Arc<dyn Fn() -> String + Send + Sync>,
 }
 
-/// Creates the client connections of a listener.
+/// Creates a server that accepts client connections on a listener and answers their requests.
 ///
 /// The limits of the process, on descriptors and on memory in MB (10^6 bytes), bound the number of
 /// connections.
@@ -206,7 +206,7 @@
     Ok(AdmissionRequest { request, deadline, upstream_request })
 }
 
-/// Parses a request's class from its path, and its headers.
+/// Parses a request's head: the class from its path, and its headers.
 fn parse_client_head(context: &ProxyContext, parts: &Parts) -> Result<RequestHead, RefusedRequest> {
     let class_name = parts.uri.path().split('/').nth(1).unwrap_or_default();
     let mut classes = context.settings.classes.iter();
--- a/crates/proxy/src/downstream/http/request_head.rs
+++ b/crates/proxy/src/downstream/http/request_head.rs
@@ -7,7 +7,8 @@
 
 /// Margin by which a response is due before the client's time-out.
 ///
-/// It covers the transit of the request and the response, and the time that this process waits for CPU.
+/// It covers the transit of the request and the response, and the time that this process waits for CPU. At
+/// most a quarter of the time-out is taken as margin.
 const RESPONSE_MARGIN: Micros = 50_000;
 /// Maximum client time-out; longer ones are reduced to it.
 const MAX_CLIENT_TIMEOUT: Micros = 86_400 * SECOND;
@@ -131,9 +132,9 @@
     Some(((timeout * micros_per_unit) as Micros).min(MAX_CLIENT_TIMEOUT))
 }
 
-/// Returns the value of the first attribute in a `name=value,name=value` list whose name is in `names`.
+/// Returns the numeric value of the first attribute whose name is in `names`.
 ///
-/// A malformed value counts as absent.
+/// `attributes` is a list `name=value,name=value`. A malformed value counts as absent.
 pub fn parse_attribute(attributes: &str, names: &[&str]) -> Option<f64> {
     let pairs = attributes.split(',').filter_map(|pair| pair.split_once('='));
     let mut named = pairs.filter(|(name, _)| names.contains(&name.trim()));
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -7,7 +7,7 @@
 use axum::http::HeaderMap;
 use axum::http::header;
 
-/// Maximum number of bytes kept of a head, equal to the library's buffer size.
+/// Number of bytes of a head, equal to the library's buffer size, after which no further read is kept.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 #[derive(Default)]
@@ -48,11 +48,11 @@
     }
 }
 
-/// Returns whether a request's body may be framed in two ways.
+/// Returns whether a request's body may be framed by both `Content-Length` and `Transfer-Encoding`.
 ///
-/// One of them may hide another request (request smuggling). `head` is the raw head and `headers` the parsed
-/// one. A raw head that lacks lines of the parsed one counts as conflicting, since a missing line may be the
-/// `Content-Length`.
+/// With two framings, the body may hide another request (request smuggling). `head` is the raw head and
+/// `headers` the parsed one. A raw head lacks lines if part of it was received before the last response; it
+/// then counts as conflicting, since a missing line may be the `Content-Length`.
 pub(super) fn has_conflicting_framing(head: &[u8], headers: &HeaderMap) -> bool {
     if !headers.contains_key(header::TRANSFER_ENCODING) {
         return false;
--- a/crates/proxy/src/downstream/read_ahead.rs
+++ b/crates/proxy/src/downstream/read_ahead.rs
@@ -30,7 +30,7 @@
 /// Unread content of a stream after the library has stopped reading it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
-    /// Nothing has been received so far.
+    /// No unread byte has been received so far.
     Nothing,
     /// Bytes that were already read from the socket, which the library reads next.
     Bytes,
@@ -42,7 +42,7 @@
 
 /// Shared handle to a stream that is read ahead.
 ///
-/// All clones must be used from one task, as they share its waker.
+/// All clones must be used from one task, as the stream keeps only one waker for reads and one for writes.
 #[derive(Clone)]
 pub struct ReadAhead(Arc<Mutex<Inner>>);
 
@@ -106,7 +106,9 @@
         }
     }
 
-    /// Returns a handle that tells whether the peer is connected and does not keep the stream open.
+    /// Returns a handle that tells whether the peer is still connected.
+    ///
+    /// The handle does not keep the stream open.
     pub fn presence(&self) -> PeerPresence {
         PeerPresence(Arc::downgrade(&self.0))
     }
@@ -141,7 +143,9 @@
         (&*SockRef::from(&self.stream)).read(bytes)
     }
 
-    /// Buffers all received bytes and returns whether the stream has ended after them.
+    /// Buffers the received bytes and returns whether the stream has ended after them.
+    ///
+    /// It reads about [`MAX_CHECKED_BYTES`] at most, and drops what exceeds the buffer's limit.
     fn has_ended(&mut self) -> bool {
         let mut bytes = [0; 16 * 1024];
         let mut total = 0;
--- a/crates/proxy/src/downstream/served_connection.rs
+++ b/crates/proxy/src/downstream/served_connection.rs
@@ -1,5 +1,5 @@
 //! State that a client connection's event loop shares with its requests: deadlines for reading the next
-//! request, and which requests have had their response written.
+//! request, and how many requests have no written response yet.
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -24,8 +24,8 @@
 
 /// Time after accepting a connection within which its first request must be received completely.
 ///
-/// After it, the connection is closed. It is separate from the idle time-out between requests, as clients
-/// usually send as soon as they connect.
+/// A connection that exceeds it is closed. It can be much shorter than the idle time-out between requests
+/// without affecting ordinary clients, which send as soon as they connect.
 const FIRST_REQUEST_TIMEOUT: Micros = 2 * SECOND;
 /// Time from the first byte of a later request until its head must be received completely.
 const HEAD_TIMEOUT: Micros = 2 * SECOND;
@@ -39,7 +39,8 @@
     pub(super) stream: ReadAhead,
     pub(super) raw_head: RawHead,
     pub(super) first_request_deadline: Instant,
-    /// When the next request's head must be received, or is checked for; `None` while a request is served.
+    /// Deadline of the next request's head, or time of the next check whether one has begun; `None` while a
+    /// request is served.
     pub(super) head_deadline: Mutex<Option<Instant>>,
     /// Whether the first request's head has been received.
     pub(super) has_received_request: AtomicBool,
@@ -141,8 +142,8 @@
         if !self.raw_head.add(bytes) || bytes.is_empty() {
             return;
         }
-        let is_continued = self.permit.is_in_state(ConnectionState::Receiving);
-        if !is_continued && self.has_received_request.load(Ordering::Relaxed) {
+        let head_has_begun = self.permit.is_in_state(ConnectionState::Receiving);
+        if !head_has_begun && self.has_received_request.load(Ordering::Relaxed) {
             self.set_head_deadline(Some(from_now(HEAD_TIMEOUT)));
         }
         self.permit.set_receiving();
@@ -173,7 +174,7 @@
         self.handler.totals.add_disconnected(self.unanswered_requests.swap(0, Ordering::Relaxed));
     }
 
-    /// Returns the instant that is `timeout` after the last response.
+    /// Returns the instant that is `timeout` after the last response, or after the connection was accepted.
     pub(super) fn idle_deadline(&self, timeout: Micros) -> Instant {
         let idle_since = *self.idle_since.lock().unwrap_or_else(PoisonError::into_inner);
         idle_since + Duration::from_micros(timeout)
--- a/crates/proxy/tests/interfaces.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -259,10 +259,10 @@
 /// The worker's clock is an hour ahead, or an hour behind so that earlier lists contradict the worker's
 /// start.
 ///
-/// Taken as listed, the start would put the worker in slow start for an hour, or end its slow start at once.
-/// The worker accepts a request of one second only after its slow start.
+/// If the listed start were used, the worker would be in slow start for an hour, or not at all. During the
+/// slow start, the policy rejects a request whose service-time estimate is one second.
 #[tokio::test(start_paused = true)]
-async fn a_worker_whose_start_was_listed_by_a_stepped_clock_completes_its_slow_start() {
+async fn a_worker_whose_listed_start_is_wrong_by_an_hour_completes_its_slow_start() {
     let (hour, slow_start) = (3_600 * SECOND, 10 * SECOND);
     for is_ahead in [true, false] {
         let proxy = TestProxy::start(&[]).await;
@@ -272,11 +272,14 @@
         started.endpoints[0].started_at = Some(if is_ahead { now + hour } else { now - hour });
         proxy.publish(started).await;
         let mut response = proxy.send(1, 2);
-        assert!(matches!(response.final_response().await, FinalResponse::Rejected { .. }), "{is_ahead}");
+        assert!(
+            matches!(response.final_response().await, FinalResponse::Rejected { .. }),
+            "worker's clock ahead: {is_ahead}"
+        );
         tokio::time::advance(Duration::from_micros(slow_start + SECOND)).await;
         let _response = proxy.send(2, 2);
         settle().await;
-        assert_eq!(proxy.dispatched(), [WorkerId(0)], "{is_ahead}");
+        assert_eq!(proxy.dispatched(), [WorkerId(0)], "worker's clock ahead: {is_ahead}");
     }
 }
 
@@ -328,6 +331,7 @@
     proxy.call_back(1, WorkerId(0), served());
     proxy.call_back(2, WorkerId(0), WorkerEvent::Completed(Outcome::Rejected.into()));
     settle().await;
+    // `refused` is the name of a rejection in logs and in the event log.
     assert_eq!((responses.remove(0).await, responses.remove(0).await), (Ok("served"), Ok("refused")));
     assert_eq!(downstream.busy(), 0);
 }
@@ -407,7 +411,10 @@
         let upstream = max_dispatches(descriptors)
             + max_load_queries(descriptors)
             + workers * max_idle_per_worker(descriptors);
-        assert!(max_connections(descriptors, 192.0) + upstream + other <= descriptors, "{descriptors}");
+        assert!(
+            max_connections(descriptors, 192.0) + upstream + other <= descriptors,
+            "with {descriptors} descriptors"
+        );
         let idle = workers * max_idle_per_worker(descriptors);
         assert!(
             max_cancellations(descriptors) <= idle,
--- a/crates/proxy/tests/module_dependencies.rs
+++ b/crates/proxy/tests/module_dependencies.rs
@@ -112,7 +112,7 @@
     assert!(sources.len() >= 3, "dispatcher sources not found");
     for source in sources {
         for word in ["std::time", "std::net", "std::fs", "std::io", "std::thread"] {
-            assert!(!source.contains(word), "{word}");
+            assert!(!source.contains(word), "a dispatcher source contains {word}");
         }
     }
 }
--- a/crates/proxy/tests/unit/shutdown_schedule.rs
+++ b/crates/proxy/tests/unit/shutdown_schedule.rs
@@ -1,7 +1,9 @@
 //! Unit tests of `shutdown_schedule`.
 use super::{Micros, ShutdownSchedule};
 
-/// Earliest time of the supervisor's SIGKILL after SIGTERM, in milliseconds.
+/// Earliest time of the supervisor's SIGKILL after SIGTERM, for a longest deadline of `deadline_ms`.
+///
+/// Both times are in milliseconds, not in microseconds as `Micros` are elsewhere.
 fn kill_ms(deadline_ms: Micros) -> Micros {
     deadline_ms.min(3_000) + 700
 }
@@ -12,7 +14,10 @@
         let schedule = ShutdownSchedule::for_longest_deadline(deadline_ms * 1_000);
         let ms = |micros: Micros| micros / 1_000;
         let context = format!("{deadline_ms} ms: {schedule:?}");
+        // 100 ms are for writing the last responses.
         assert!(ms(schedule.drain_time) + 100 <= kill_ms(deadline_ms) - 150, "{context}");
+        // From a deadline of 300 ms on, the minimum drain time no longer applies, and responses are written
+        // by 400 ms before the SIGKILL.
         assert!(
             deadline_ms < 300 || ms(schedule.drain_time) + 100 == kill_ms(deadline_ms) - 400,
             "{context}"
--- a/crates/proxy/tests/worker_starts.rs
+++ b/crates/proxy/tests/worker_starts.rs
@@ -44,7 +44,7 @@
 struct Fixture {
     table: EndpointTable,
     now: Micros,
-    /// Difference of the wall clock from the scheduler's own clock, in microseconds.
+    /// Wall clock minus the scheduler's own clock, in microseconds.
     wall_clock_offset: i64,
     revision: u64,
 }
@@ -54,8 +54,8 @@
         Fixture { table: EndpointTable::new(&settings()), now: OWN_START, wall_clock_offset: 0, revision: 0 }
     }
 
-    /// Returns a fixture that received a list without the worker at its start, and unchanged answers for a
-    /// time since.
+    /// Returns a fixture that received a list without worker `w` at the scheduler's start, and then answers
+    /// without a change for `unchanged_for`.
     fn after_first_list(unchanged_for: Micros) -> Fixture {
         let mut fixture = Fixture::new();
         fixture.apply(ListOrigin::Discovery, &[record("other", None)]);
@@ -84,9 +84,10 @@
         }
     }
 
-    /// Applies a list with a worker that has this start, and returns its estimated start.
-    fn list_worker(&mut self, started_at: Micros) -> Micros {
-        self.apply(ListOrigin::Discovery, &[record("w", Some(started_at))]).expect("worker has a start time")
+    /// Lists worker `w` with this start, in Unix time, and returns its estimated start on the scheduler's
+    /// clock.
+    fn list_worker(&mut self, unix_start: Micros) -> Micros {
+        self.apply(ListOrigin::Discovery, &[record("w", Some(unix_start))]).expect("worker has a start time")
     }
 
     fn step_wall_clock(&mut self, offset: i64) {
@@ -186,7 +187,7 @@
                 (started_at..=fixture.now).contains(&estimate),
                 "clock wrong by {clock_error} us, list {delay} us late: {estimate}"
             );
-            // If the worker is listed again, also after its removal, its estimated start is the same.
+            // If the worker is listed again, its estimated start is the same.
             fixture.answer_unchanged_for(20 * SECOND);
             assert_eq!(fixture.list_worker(started_at - clock_error), estimate);
             // The worker restarts.
@@ -197,6 +198,7 @@
     }
 }
 
+/// The worker is then in slow start for no longer than after any other start.
 #[test]
 fn a_start_in_the_future_is_replaced_by_the_current_time() {
     for ahead in STEPS {
@@ -208,7 +210,7 @@
 
 /// The wall clock was stepped back before the scheduler started, which shows only by starts in the future.
 #[test]
-fn a_start_in_the_future_of_the_first_list_is_placed_before_the_schedulers_start() {
+fn a_future_start_in_the_first_list_is_placed_before_the_schedulers_start() {
     for (origin, delay) in
         [(ListOrigin::Cache, 1), (ListOrigin::Discovery, 1), (ListOrigin::Discovery, SECOND)]
     {
