--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -1,75 +1,75 @@
-//! The actions that a dispatcher asks of its caller.
+//! The actions that a dispatcher requests from its caller.
 use crate::endpoints::WorkerId;
 use crate::events::Timer;
 use crate::requests::RequestId;
 use crate::time::Micros;
 
-/// What may pass between a decision and its attempt on the wire beyond
-/// [`Settings::connect_timeout`](crate::Settings::connect_timeout): half of it before the caller begins to
-/// dispatch, half before the connection that is up is written to.
+/// Longest time, in microseconds, from the decision to send an attempt until its request is written, in
+/// addition to [`Settings::connect_timeout`](crate::Settings::connect_timeout). Half of it may pass before
+/// the caller starts to dispatch, the other half between the established connection and the write.
 pub const DISPATCH_SLACK: Micros = 50_000;
 
-/// Why a request is rejected.
+/// The reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Its class is unknown, or no time is left.
+    /// The request's class is unknown, or it has no time left.
     Invalid,
-    /// Slots are scarce, and it has too little weight.
+    /// The fleet is overloaded, and the request's weight is too low.
     Overloaded,
-    /// No worker may have it.
+    /// No worker is eligible for the request.
     NoEligibleWorker,
-    /// The lowest estimate exceeds the time left, by this much.
+    /// The lowest service-time estimate exceeds the time left by this much.
     TooLate(Micros),
-    /// Its attempts are spent, or its class allows no more.
+    /// The request has used all its attempts, or its class allows no further one.
     AttemptsExhausted,
 }
 
-/// What the caller is to do, in order.
+/// An action that the caller must carry out; actions are to be carried out in order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of a request to a worker, with no time-out but the client's deadline.
+    /// Send an attempt of a request to a worker, without a timeout other than the request's deadline.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The worker.
+        /// The worker that it is sent to.
         worker: WorkerId,
-        /// How long from now until it completes there, as estimated.
+        /// Estimated time from now until the attempt completes.
         estimate: Micros,
     },
-    /// Final response: rejected, safe to try again.
+    /// Give the final response "rejected", after which a retry by the client is safe.
     Reject {
-        /// The request.
+        /// The request to reject.
         request: RequestId,
-        /// How long the client should wait: sooner, it would be rejected once more.
+        /// How long the client should wait before a retry; an earlier one would probably be rejected too.
         retry_after: Micros,
-        /// Why.
+        /// Why the request is rejected.
         reason: Rejection,
     },
-    /// Final response: failed, nothing promised.
+    /// Give the final response "failed", after which a retry by the client may run the request again.
     Fail {
-        /// The request.
+        /// The request that failed.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
     },
-    /// Notify of a timer after a span.
+    /// Start a timer; when it expires, pass [`Event::TimerExpired`](crate::Event::TimerExpired).
     StartTimer {
-        /// How far from now.
+        /// Time from now until the timer expires.
         after: Micros,
-        /// What it is for.
+        /// The purpose of the timer.
         timer: Timer,
     },
-    /// Subscribe to changes of the endpoint list.
+    /// Poll discovery for the endpoint list and subscribe to its changes.
     Subscribe,
-    /// Query a worker's load; answered by exactly one
+    /// Send a load query to a worker. The caller must answer with exactly one
     /// [`Event::LoadQueryCompleted`](crate::Event::LoadQueryCompleted).
     QueryLoad {
-        /// The worker.
+        /// The worker to query.
         worker: WorkerId,
     },
 }
--- a/crates/dispatcher/src/endpoints.rs
+++ b/crates/dispatcher/src/endpoints.rs
@@ -1,66 +1,66 @@
-//! Workers as discovery lists them.
+//! Endpoints, which describe workers, and endpoint updates from discovery.
 use crate::time::Micros;
 
-/// A worker, by a small number that the caller gives out densely from 0 and never reuses.
+/// Identifies a worker. The caller assigns ids densely from 0 and never reuses one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct WorkerId(pub u32);
 
 /// Whether a worker takes new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It takes requests.
+    /// The worker accepts new requests.
     Ready,
-    /// It completes what it has.
+    /// The worker completes the requests that it has and accepts no new ones.
     Draining,
-    /// It left the endpoint list.
+    /// The worker is no longer in the endpoint list.
     #[default]
     Removed,
 }
 
-/// One worker of an endpoint list.
+/// The entry of one worker in an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Which worker.
+    /// The worker that this entry describes.
     pub worker: WorkerId,
-    /// Its zone.
+    /// Zone of the worker, numbered densely from 0.
     pub zone: u32,
-    /// The kind of machine.
+    /// Worker kind, such as a machine type, numbered densely from 0.
     pub kind: u32,
-    /// The cell, a group that shares the memory of idempotency keys.
+    /// Cell of the worker: a group of workers that shares a store of idempotency keys.
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Whether the worker accepts new requests.
     pub state: WorkerState,
-    /// When it last started; `None` is long ago.
+    /// When the worker last started; `None` means long ago.
     pub started_at: Option<Micros>,
-    /// A figure that is the same for this worker at every dispatcher and unlike other workers', such as
-    /// a hash of its name.
+    /// A number that is the same for this worker at every dispatcher and differs between workers, such as a
+    /// hash of the worker's name.
     pub hash_key: u64,
-    /// Its size as listed: a figure to compare with other workers' (see
-    /// [`Settings::sizes_reflect_load`](crate::Settings::sizes_reflect_load)).
-    /// Taken for absent where it is not a finite figure above 0.
+    /// Listed size of the worker, comparable between workers (see
+    /// [`Settings::sizes_reflect_load`](crate::Settings::sizes_reflect_load)). A value that is not finite and
+    /// above 0 counts as absent.
     pub size: Option<f64>,
 }
 
-/// What an endpoint update holds.
+/// What the endpoints of an endpoint update stand for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// Only the endpoints that changed.
+    /// The endpoints that have changed.
     Changes,
     /// All endpoints.
     Full,
-    /// All endpoints as last held before a restart, possibly old.
+    /// All endpoints as known before a restart, possibly outdated.
     Cached,
-    /// A poll failed or the subscription dropped; no endpoints.
+    /// No endpoints: a poll failed or the subscription was lost.
     Failed,
 }
 
-/// What discovery answered, or that it did not.
+/// An update from discovery, or the notice that a poll failed.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointUpdate<'a> {
-    /// What the endpoints are.
+    /// What `endpoints` stands for.
     pub kind: EndpointUpdateKind,
-    /// The version of the endpoint list.
+    /// Version of the endpoint list; an update with an older version than the known one is ignored.
     pub version: u64,
-    /// The endpoints.
+    /// The changed endpoints or all of them, depending on `kind`.
     pub endpoints: &'a [Endpoint],
 }
--- a/crates/dispatcher/src/events.rs
+++ b/crates/dispatcher/src/events.rs
@@ -1,79 +1,79 @@
-//! The events that a dispatcher is notified of.
+//! The events that the caller passes to a dispatcher.
 use crate::endpoints::{EndpointUpdate, WorkerId};
 use crate::outcomes::{LoadReport, Outcome};
 use crate::requests::{IncomingRequest, RequestId};
 use crate::time::Micros;
 
-/// The completion of one attempt.
+/// The outcome of one completed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptOutcome {
-    /// The request.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// Which attempt, from 0 in order of sending.
+    /// Number of the attempt within its request, from 0 in the order of sending.
     pub attempt: u32,
-    /// How it completed.
+    /// How the attempt completed.
     pub outcome: Outcome,
-    /// The request has its final response, by this outcome or before.
+    /// Whether the request has had its final response, with this outcome or earlier.
     pub request_finished: bool,
-    /// How long ago it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// The worker's load report, if one came along.
+    /// The load report that the worker sent with the outcome, if any.
     pub report: Option<LoadReport>,
 }
 
 /// The progress of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
-    /// It has started to run.
+    /// The attempt has started to run.
     Started,
-    /// This fraction of it is done.
+    /// This fraction of the attempt's work is done, from 0 to 1.
     Done(f64),
-    /// Its response has begun to stream to the client, which now owns it.
+    /// The response has started to stream to the client, so no other final response may follow.
     Streaming,
 }
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The periodic refresh of all workers.
+    /// Periodic refresh of the state of all workers.
     PeriodicRefresh,
-    /// A poll of discovery is due.
+    /// Poll of discovery, unless subscribed by then.
     Subscription,
-    /// Whether a request needs a hedge.
+    /// Check whether a request needs a hedge.
     HedgeCheck(RequestId),
-    /// The next load query is due.
+    /// Next load query.
     LoadQuery,
 }
 
-/// What happens to a dispatcher.
+/// An event that a dispatcher handles.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// Discovery answered or failed.
+    /// Discovery sent an endpoint update, or a poll failed.
     Endpoints(EndpointUpdate<'a>),
-    /// A client's request came in; it is owed one final response.
+    /// A client's request arrived; it must get exactly one final response.
     Request(IncomingRequest),
     /// An attempt completed.
     AttemptCompleted(AttemptOutcome),
-    /// An attempt in flight has progressed.
+    /// An attempt in flight made progress.
     AttemptProgress {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// How far it is.
+        /// The progress made.
         progress: Progress,
     },
-    /// The client disconnected, or its final response is overdue.
+    /// The client of a request disconnected, or the final response is overdue.
     ClientDisconnected(RequestId),
     /// A timer expired.
     TimerExpired(Timer),
     /// A load query completed.
     LoadQueryCompleted {
-        /// The worker queried.
+        /// The worker that was queried.
         worker: WorkerId,
-        /// How it completed.
+        /// How the query completed.
         outcome: Outcome,
-        /// The load report, if one came along.
+        /// The load report in the answer, if any.
         report: Option<LoadReport>,
     },
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,10 +1,12 @@
-//! The dispatch policy of a scheduler that pushes requests to workers.
+//! The dispatch policy of a request scheduler, which forwards clients' requests to workers.
 //!
-//! For every request it estimates the finish time at each worker by the processor-sharing formula,
-//! sends the request to the lowest estimate and rejects it on arrival when that estimate exceeds the
-//! time it has left. [`Dispatcher`] does no I/O, reads no clock and starts no thread: its caller
-//! hands in events with their time and carries out the actions it gets back. The scheduler on
-//! sockets is such a caller (`crates/proxy`), the simulator adapter another, the testbed a third.
+//! For each request, the policy estimates the finish time at every worker by a processor-sharing formula. It
+//! sends the request to the worker with the lowest estimate, or rejects it on arrival if even that estimate
+//! exceeds the time that the request has left.
+//!
+//! [`Dispatcher`] does no I/O, reads no clock and starts no thread: the caller passes events with their time
+//! and carries out the actions that are returned. The callers are the scheduler process (`crates/proxy`), the
+//! simulator adapter and the testbed.
 //!
 //! ```
 //! use copperspread_dispatcher::{
@@ -24,7 +26,7 @@
 //! let update = EndpointUpdate { kind: EndpointUpdateKind::Full, version: 1, endpoints: &[worker] };
 //! dispatcher.handle(0, Event::Endpoints(update), &mut actions);
 //!
-//! // A request comes in and is sent there.
+//! // A request arrives and is sent to that worker.
 //! let request = IncomingRequest {
 //!     request: RequestId(1), cost_hint: Some(0.2), time_left: 2_000_000, ..IncomingRequest::default()
 //! };
@@ -32,7 +34,7 @@
 //! dispatcher.handle(1_000, Event::Request(request), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { worker: WorkerId(0), .. }));
 //!
-//! // Its attempt completes.
+//! // The attempt completes.
 //! let outcome = AttemptOutcome {
 //!     request: RequestId(1), attempt: 0, outcome: Outcome::Served, request_finished: true,
 //!     elapsed: 200_000, report: None,
@@ -59,9 +61,10 @@
 pub use settings::{Discovery, Settings, SettingsError};
 pub use time::{Micros, SECOND};
 
-/// What the caller notifies: the [`Dispatcher`], or another policy to be compared with it.
+/// A policy that turns events into actions: the [`Dispatcher`], or another one for comparison.
 pub trait DispatchPolicy: Send {
-    /// Takes an event and appends what is to be done. `now` never goes back.
+    /// Handles one event and appends the resulting actions to `actions`, in order. `now` must not decrease
+    /// from call to call.
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>);
 }
 
--- a/crates/dispatcher/src/outcomes.rs
+++ b/crates/dispatcher/src/outcomes.rs
@@ -1,44 +1,44 @@
-//! How attempts and load queries complete, and what workers report of their load.
+//! Outcomes of attempts and load queries, and load reports of workers.
 
-/// How an attempt or a load query completed.
+/// The outcome of an attempt or of a load query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served.
+    /// The worker served it.
     Served,
-    /// The worker responded with an error; it may have run.
+    /// The worker responded with an error; the attempt may have run.
     Error,
-    /// Rejected by the worker; it never ran.
+    /// The worker rejected it; the attempt never ran.
     Rejected,
-    /// No response in time; it may have run or still run.
+    /// There was no response in time; the attempt may have run or may still be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// The connection could not be established; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was lost; the attempt may have run.
     Reset,
-    /// Canceled; it may have run.
+    /// It was canceled; the attempt may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     Superseded,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Returns whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::Superseded)
     }
 }
 
-/// A worker's report of its load; what is absent was not reported.
+/// A load report of a worker; values that it did not report are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub queue: Option<f64>,
-    /// Requests it holds, waiting or running.
+    /// Number of requests at the worker, waiting or running.
     pub in_flight: Option<f64>,
-    /// Fraction of its cores that is in use.
+    /// Fraction of the worker's cores that is in use, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub qps: Option<f64>,
-    /// Free slots.
+    /// Number of free slots.
     pub free_slots: Option<f64>,
 }
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -1,55 +1,64 @@
-//! Load shedding: while slots are scarce, requests of least weight are rejected, as else all would be late.
-//! And the end of rejecting everything: after a streak of rejections one request is attempted all the same.
+//! Admission: decides which requests are rejected on arrival while the fleet is overloaded.
+//!
+//! Load shedding rejects the requests with the least weight per slot-second, since otherwise all would be
+//! late. After a streak of rejections, one request is attempted regardless, so that new outcomes are
+//! observed.
 use super::average::EventRate;
 use super::request::Request;
 use crate::Micros;
 use crate::SECOND;
 use crate::Settings;
 
-/// Slots are scarce when the fraction taken is above this and one request a worker: few slots see queues too.
+/// Load shedding starts when the fleet utilization exceeds this plus one request per worker: workers with few
+/// slots have queues at lower loads too.
 const OVERLOAD_THRESHOLD: f64 = 0.9;
-/// ... and [`MAX_SHED_FRACTION`] of the work is shed at the latest when they are taken this much further.
+/// Fleet utilization above the threshold at which all offered work would be shed if [`MAX_SHED_FRACTION`] did
+/// not limit it; the fraction rises linearly.
 const OVERLOAD_SPAN: f64 = 1.0;
+/// Largest fraction of the offered work that is shed.
 const MAX_SHED_FRACTION: f64 = 0.7;
-/// How fast the price below which requests are shed follows what is offered.
+/// Gain with which the shed price follows the offered requests.
 const SHED_PRICE_GAIN: f64 = 0.1;
-/// One request moves the price by no more than so many of mean load.
-const MAX_SHED_PRICE_WEIGHT: f64 = 3.0;
-/// Window of a tenant's rate: bursts last several seconds.
+/// Largest weight of one request in the adjustment of the shed price, as a multiple of the mean request load.
+const MAX_SHED_PRICE_SAMPLE_WEIGHT: f64 = 3.0;
+/// Time constant of a tenant's request rate, in seconds; bursts last several seconds.
 const TENANT_WINDOW_SECONDS: f64 = 3.0;
-/// A tenant may use its part of the quota here this many times: clients are not spread evenly.
+/// Multiple of its share of the quota that a tenant may use at one dispatcher, since clients are not
+/// distributed evenly.
 const TENANT_QUOTA_TOLERANCE: f64 = 1.2;
-/// After so many requests rejected on arrival over so long, with no attempt in between, the next one is
-/// attempted although it would be shed or late: what rejects them is learned from attempts, and would hold
-/// for good.
+/// Number of consecutive rejections on arrival after which the next request is attempted although it would be
+/// shed or late. The estimates that lead to rejections are learned from attempts: without any attempt, they
+/// would never change.
 const MAX_REJECTION_STREAK: u32 = 7;
-const MAX_REJECTION_STREAK_TIME: Micros = 2 * SECOND;
+/// Time that a rejection streak must also last before the next request is attempted.
+const MIN_REJECTION_STREAK_DURATION: Micros = 2 * SECOND;
 
-/// How full the fleet is, as far as this dispatcher knows.
+/// The load of the fleet as known to this dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FleetLoad {
-    /// Mean fraction of slots taken by all dispatchers, waiting requests included.
+    /// Mean fraction of slots in use by all dispatchers, including waiting requests; may exceed 1.
     pub(super) utilization: f64,
-    /// Mean slots of a worker.
+    /// Mean number of slots of a worker.
     pub(super) slots: f64,
-    /// Mean work times slots of a request offered here.
+    /// Mean load of an offered request: its work times its slots, in slot-seconds on a standard core.
     pub(super) mean_request_load: f64,
 }
 
-/// Rejects requests of little weight while slots are scarce.
+/// Decides on load shedding and tracks the rejection streak.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AdmissionController {
-    /// Priority weight per slot-second below which requests are shed while slots are scarce; 0 before any.
+    /// Shed price: the priority weight per slot-second below which requests are shed while the fleet is
+    /// overloaded; 0 before the first request.
     shed_price: f64,
     tenant_rates: Vec<EventRate>,
     rejection_streak: RejectionStreak,
 }
 
-/// Requests rejected on arrival since the last attempt.
+/// Consecutive requests rejected on arrival since the last attempt.
 #[derive(Clone, Copy, Debug, Default)]
 struct RejectionStreak {
     count: u32,
-    /// When the first of them came.
+    /// Arrival time of the first of them.
     started_at: Micros,
 }
 
@@ -62,7 +71,7 @@
         }
     }
 
-    /// Counts a request that was rejected on arrival.
+    /// Records a request that was rejected on arrival.
     pub(super) fn record_rejection(&mut self, now: Micros) {
         let streak = &mut self.rejection_streak;
         if streak.count == 0 {
@@ -71,19 +80,20 @@
         streak.count = streak.count.saturating_add(1);
     }
 
-    /// Ends the streak of rejections: something new will be learned.
+    /// Ends the rejection streak, since the outcome of an attempt will be observed.
     pub(super) fn record_attempt(&mut self) {
         self.rejection_streak = RejectionStreak::default();
     }
 
-    /// Whether the next request is attempted although it would be shed or late.
+    /// Returns whether the next request is to be attempted although it would be shed or late.
     pub(super) fn must_attempt(&self, now: Micros) -> bool {
         self.rejection_streak.count >= MAX_REJECTION_STREAK
-            && now.saturating_sub(self.rejection_streak.started_at) >= MAX_REJECTION_STREAK_TIME
+            && now.saturating_sub(self.rejection_streak.started_at) >= MIN_REJECTION_STREAK_DURATION
     }
 
-    /// Whether a request is rejected for too little weight per slot-second while slots are scarce. The price
-    /// floats so that, of the work offered, as much falls below it as is to be shed.
+    /// Returns whether a request is shed because its weight per slot-second is below the shed price while the
+    /// fleet is overloaded. The shed price adapts so that the fraction of the offered work below it matches
+    /// the fraction to be shed.
     pub(super) fn should_shed(
         &mut self,
         now: Micros,
@@ -105,12 +115,14 @@
             self.shed_price = price;
         }
         let is_below_price = price < self.shed_price;
-        let weight = (request.work * request.slots / fleet.mean_request_load).min(MAX_SHED_PRICE_WEIGHT);
+        let weight =
+            (request.work * request.slots / fleet.mean_request_load).min(MAX_SHED_PRICE_SAMPLE_WEIGHT);
         self.shed_price *= (SHED_PRICE_GAIN * (shed_fraction - f64::from(is_below_price)) * weight).exp();
         shed_fraction > 0.0 && is_below_price
     }
 
-    /// The fraction of a tenant's requests that lies beyond its quota, as seen from here.
+    /// Records a request of a tenant and returns the fraction of the tenant's requests that exceeds its
+    /// quota, as observed by this dispatcher; 0 for an unknown tenant or one without a quota.
     fn over_quota_fraction(&mut self, now: Micros, tenant: usize, settings: &Settings) -> f64 {
         let Some(rate) = self.tenant_rates.get_mut(tenant) else { return 0.0 };
         let quota_per_second = settings.tenants[tenant].quota_per_second;
--- a/crates/dispatcher/src/policy/affinity.rs
+++ b/crates/dispatcher/src/policy/affinity.rs
@@ -1,28 +1,32 @@
-//! Affinity: in a large fleet, dispatchers that know the same would all meet at one worker, of which each
-//! hears only when its own responses come back late. So each also ranks by a random preference of its own.
+//! Affinity: a random preference for certain workers that each dispatcher of a large fleet draws for itself.
+//!
+//! Dispatchers with the same information would all select the same worker, and each would notice the pile-up
+//! only when its own responses are late. Multiplying the rank of a worker by the dispatcher's own random
+//! affinity spreads their requests.
 
-/// From so many dispatchers on, local requests tell little of what the others have at a worker.
+/// Smallest fleet, in dispatchers, in which workers are ranked by affinity: from this size on, a dispatcher's
+/// own requests reveal little about the load that the others put on a worker.
 const LARGE_FLEET_SIZE: u32 = 16;
-/// How much affinity weighs there: of two workers one that ranks 1.1 times as high is chosen 1.1 to the power
-/// of 1 / this times as rarely. At 0.1 too many still meet at one; 0.35 was no better.
+/// Exponent of the random affinity. A worker whose rank is 1.1 times that of another is selected
+/// 1.1^(1 / exponent) times less often. At 0.1 too many dispatchers still select the same worker.
 const AFFINITY_EXPONENT: f64 = 0.2;
 
-/// This dispatcher's affinity for one worker.
+/// This dispatcher's affinity for one worker: a factor of the worker's rank; lower means preferred.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Affinity(f64);
 
 impl Default for Affinity {
-    /// That of a worker which is not preferred to others.
+    /// The neutral affinity of 1, which leaves the worker's rank unchanged.
     fn default() -> Self {
         Affinity(1.0)
     }
 }
 
-/// How this dispatcher's affinities weigh.
+/// Draws affinities and applies them to the ranks of workers.
 #[derive(Clone, Debug)]
 pub(super) struct AffinityRules {
     is_large_fleet: bool,
-    /// With this factor the lowest affinity of the ready workers is about 1.
+    /// Factor by which affinities are multiplied so that the lowest among the ready workers is about 1.
     scale: f64,
 }
 
@@ -37,30 +41,30 @@
         AffinityRules { is_large_fleet: fleet_size >= LARGE_FLEET_SIZE, ..AffinityRules::default() }
     }
 
-    /// Whether workers are ranked by affinity.
+    /// Returns whether the fleet is large enough for workers to be ranked by affinity.
     pub(super) fn is_large_fleet(&self) -> bool {
         self.is_large_fleet
     }
 
-    /// Draws the affinity for a worker that was not known.
+    /// Draws the affinity for a newly listed worker; the neutral one in a small fleet.
     pub(super) fn draw(&self, rng: &mut fastrand::Rng) -> Affinity {
         if !self.is_large_fleet {
             return Affinity::default();
         }
-        // Of exponential figures to a power, each times a rank, the lowest is at a worker with a chance
-        // that falls with its rank to the inverse power.
+        // Raising an exponentially distributed value to the power `e` and multiplying it by a rank makes a
+        // worker the lowest ranked with a probability proportional to `rank^(-1 / e)`.
         Affinity((-(1.0 - rng.f64()).ln()).powf(AFFINITY_EXPONENT))
     }
 
-    /// Notes how many workers are ready. Those that left do not count: a list that changes for days would
-    /// raise the scale without end.
+    /// Updates the scale for the number of ready workers. Removed workers are not counted: otherwise the
+    /// scale would keep growing while workers are replaced over days.
     pub(super) fn set_ready_workers(&mut self, ready: usize) {
         if self.is_large_fleet {
             self.scale = (ready.max(1) as f64).powf(AFFINITY_EXPONENT);
         }
     }
 
-    /// The factor of a worker's rank.
+    /// Returns the factor by which a worker's rank is multiplied.
     pub(super) fn rank_factor(&self, worker: Affinity) -> f64 {
         worker.0 * self.scale
     }
--- a/crates/dispatcher/src/policy/average.rs
+++ b/crates/dispatcher/src/policy/average.rs
@@ -1,31 +1,32 @@
-//! Moving averages and sums. Nothing here decides: weights and windows come from the rules.
+//! Moving averages and sliding sums; the caller passes the weights and windows.
 use crate::Micros;
 use crate::time::to_seconds;
 use std::collections::VecDeque;
 
-/// Moves an exponential moving average toward a sample, which counts with this weight.
+/// Adds a sample with this weight, from 0 to 1, to an exponential moving average.
 pub(super) fn move_average(average: &mut f64, sample: f64, weight: f64) {
     *average += (sample - *average) * weight;
 }
 
-/// The mean of two figures by their weights.
+/// The weighted mean of two values.
 pub(super) fn weighted_mean(first: f64, first_weight: f64, second: f64, second_weight: f64) -> f64 {
     (first_weight * first + second_weight * second) / (first_weight + second_weight)
 }
 
-/// A moving average of logarithms, so that one odd sample moves it little.
+/// A moving average of logarithms, which limits the effect of outliers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LogAverage {
     /// The average of the samples' logarithms.
     pub(super) log_mean: f64,
-    /// How many samples it rests on, up to the inverse of the least weight given.
+    /// Number of samples in the average, at most the inverse of the smallest sample weight.
     pub(super) samples: f64,
-    /// When the last sample came.
+    /// When the last sample was added.
     pub(super) updated_at: Micros,
 }
 
 impl LogAverage {
-    /// Adds a sample, given as its logarithm; the first ones count alike, later ones with `min_weight`.
+    /// Adds a sample, given as its logarithm. The first samples have equal weights; once `1 / min_weight`
+    /// samples are in the average, each further one has the weight `min_weight`.
     pub(super) fn add(&mut self, log_sample: f64, min_weight: f64, now: Micros) {
         self.samples += 1.0;
         self.log_mean += (log_sample - self.log_mean) * min_weight.max(1.0 / self.samples);
@@ -34,10 +35,10 @@
     }
 }
 
-/// Lowest expected average by which is divided.
+/// Lower bound of the expected average used as a divisor.
 const MIN_EXPECTED: f64 = 1e-3;
 
-/// The ratio of two moving averages.
+/// The ratio of two moving averages: of observed and of expected values.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AverageRatio {
     observed: f64,
@@ -45,24 +46,24 @@
 }
 
 impl AverageRatio {
-    /// Starts both averages at one figure.
-    pub(super) fn starting_at(figure: f64) -> Self {
-        AverageRatio { observed: figure, expected: figure }
+    /// Creates a ratio of 1 with both averages at `value`.
+    pub(super) fn starting_at(value: f64) -> Self {
+        AverageRatio { observed: value, expected: value }
     }
 
-    /// Adds a sample to each average.
+    /// Adds one sample to each average.
     pub(super) fn add(&mut self, observed: f64, expected: f64, weight: f64) {
         move_average(&mut self.observed, observed, weight);
         move_average(&mut self.expected, expected, weight);
     }
 
-    /// The ratio, at most `max` and at least its inverse.
+    /// Returns the ratio, bounded by `max` and its inverse.
     pub(super) fn ratio(&self, max: f64) -> f64 {
         (self.observed / self.expected.max(MIN_EXPECTED)).clamp(1.0 / max, max)
     }
 }
 
-/// Events a second, as an exponentially decaying average.
+/// Events per second, as an exponentially decaying average.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct EventRate {
     per_second: f64,
@@ -70,7 +71,7 @@
 }
 
 impl EventRate {
-    /// Adds an event and gives the rate now; earlier events fade over the window.
+    /// Adds an event and returns the rate at `now`. Earlier events decay with the window as time constant.
     pub(super) fn add_event(&mut self, now: Micros, window_seconds: f64) -> f64 {
         let elapsed = to_seconds(now.saturating_sub(self.measured_at));
         self.per_second = self.per_second * (-elapsed / window_seconds).exp() + 1.0 / window_seconds;
@@ -79,21 +80,24 @@
     }
 }
 
-/// A sum over a sliding window, kept in steps so that its cost does not grow with the number of amounts.
+/// A sum over a sliding window. Amounts are grouped into time steps, so its cost does not grow with their
+/// number.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlidingWindowSum {
     steps: VecDeque<WindowStep>,
 }
 
+/// The sum of the amounts added in one time step.
 #[derive(Clone, Copy, Debug)]
 struct WindowStep {
-    /// Until when the step's amounts count.
+    /// When the amounts leave the window.
     expires_at: Micros,
     amount: f64,
 }
 
 impl SlidingWindowSum {
-    /// Adds an amount that counts for one window of `steps` steps from the end of the present step.
+    /// Adds an amount that counts until one window after the end of the current step. The window is divided
+    /// into `steps` steps.
     pub(super) fn add(&mut self, now: Micros, window: Micros, steps: Micros, amount: f64) {
         let step = (window / steps).max(1);
         let expires_at = (now / step + 1) * step + window;
@@ -106,7 +110,7 @@
         }
     }
 
-    /// The sum of the amounts that still count after `instant`.
+    /// Returns the sum of the amounts that have not left the window at `instant`.
     pub(super) fn sum_after(&self, instant: Micros) -> f64 {
         self.steps.iter().filter(|step| step.expires_at > instant).map(|step| step.amount).sum()
     }
--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: joins the parts of the policy, holds requests and workers, leads each event through them.
+//! The dispatcher: combines the policy modules, owns the requests and workers, and handles each event.
 use super::admission::AdmissionController;
 use super::admission::FleetLoad;
 use super::affinity::AffinityRules;
@@ -6,7 +6,7 @@
 use super::estimates::EstimatedWorker;
 use super::estimates::TimeLimits;
 use super::estimates::WorkerEstimates;
-use super::figures::MAX_FIGURE;
+use super::figures::MAX_VALID_VALUE;
 use super::figures::REFRESH_INTERVAL;
 use super::figures::validated;
 use super::hedging::HedgeBudget;
@@ -16,7 +16,7 @@
 use super::load_queries::LoadQueries;
 use super::load_reports::LoadReports;
 use super::load_reports::REPORT_AGE;
-use super::load_reports::ReportFigures;
+use super::load_reports::ReportedValues;
 use super::load_reports::WorkerLoad;
 use super::local_load::InFlightAttempt;
 use super::offered_load::OfferedLoad;
@@ -54,13 +54,13 @@
 use crate::time::to_seconds;
 use rustc_hash::FxHashMap;
 
-/// The decisions of one dispatcher. See [`Dispatcher::handle`].
+/// A dispatcher, which decides where and whether requests are sent; see [`Dispatcher::handle`].
 #[derive(Clone, Debug, Default)]
 pub struct Dispatcher {
     settings: Settings,
     rng: fastrand::Rng,
     is_started: bool,
-    /// What the event at hand asks of the caller, in order.
+    /// Actions requested by the current event, in order.
     actions: Vec<Action>,
     requests: FxHashMap<RequestId, Request>,
     workers: WorkerTable,
@@ -79,10 +79,10 @@
 }
 
 impl Dispatcher {
-    /// Makes a dispatcher; `seed` determines all its random draws.
+    /// Creates a dispatcher; `seed` determines all its random decisions.
     ///
     /// # Errors
-    /// The first of the settings that makes no sense.
+    /// The first problem found by [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let class_count = settings.classes.len();
@@ -101,7 +101,8 @@
         })
     }
 
-    /// Takes one event and appends what is to be done about it, in order. `now` never goes back.
+    /// Handles one event and appends the resulting actions to `actions`, in order. `now` must not decrease
+    /// from call to call.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.actions, actions);
         if !self.is_started {
@@ -191,11 +192,11 @@
         let Some(applied) = self.workers.apply(endpoint) else { return };
         let index = applied.index;
         if applied.has_grown {
-            self.resize_parts();
+            self.resize_tables();
         }
         let worker = &mut self.workers[index];
         if worker.slow_start.set_started_at(endpoint.started_at) {
-            // A new or restarted process: what was learned of the old one no longer holds.
+            // The worker process is new: what was learned about an earlier one no longer applies.
             worker.rate.reset();
             worker.reported.reset();
             self.listed_loads.reset(index);
@@ -207,8 +208,8 @@
         self.refresh_service_rate(now, index);
     }
 
-    /// Makes room in all parts for the workers, kinds and zones that are listed by now.
-    fn resize_parts(&mut self) {
+    /// Resizes the tables of all policy modules for the workers, worker kinds and zones listed so far.
+    fn resize_tables(&mut self) {
         let size = self.workers.size();
         self.service_times.resize(size.kinds);
         self.load_reports.resize(size.kinds, size.zones);
@@ -231,11 +232,11 @@
     }
 
     fn on_load_report(&mut self, now: Micros, index: usize, report: &LoadReport, is_full: bool) {
-        let figures = ReportFigures::new(report);
+        let values = ReportedValues::new(report);
         let worker = &mut self.workers[index];
         let kind = worker.kind;
         let zone = worker.zone;
-        if let Some(slots) = figures.slots() {
+        if let Some(slots) = values.slots() {
             self.service_times.learn_slots(kind, slots);
         }
         let slots = self.service_times.slots_of(kind);
@@ -243,7 +244,7 @@
         self.service_times.learn_fleet_slots(slots);
         let load = WorkerLoad { kind, zone, slots, local_slots };
         let mean_request_slots = self.offered_load.mean_request_slots();
-        self.load_reports.record(now, &mut worker.reported, load, figures, is_full, mean_request_slots);
+        self.load_reports.record(now, &mut worker.reported, load, values, is_full, mean_request_slots);
     }
 
     fn on_load_query_timer(&mut self) {
@@ -252,10 +253,11 @@
         if let Some(worker) = turn.worker {
             self.actions.push(Action::QueryLoad { worker: WorkerId(worker as u32) });
         }
-        self.actions.push(Action::StartTimer { after: turn.next_after, timer: Timer::LoadQuery });
+        self.actions.push(Action::StartTimer { after: turn.next_delay, timer: Timer::LoadQuery });
     }
 
-    /// A query that timed out waited behind requests: it says as much as a rejection, nothing of failures.
+    /// A load query that timed out has waited behind requests, so it counts as a rejection by a full worker
+    /// and not as a failure.
     fn on_load_query_completed(
         &mut self,
         now: Micros,
@@ -300,11 +302,12 @@
         }
     }
 
-    /// The worker for a request that has arrived, unless it is shed or would be late everywhere.
+    /// Selects the worker for a request that has arrived, unless the request is shed or would be late at
+    /// every worker.
     fn admit(&mut self, now: Micros, request: &Request, tenant: usize) -> Result<usize, NotAdmitted> {
         let must_attempt = self.admission.must_attempt(now);
         if self.should_shed(now, request, tenant) && !must_attempt {
-            // About one usual response later some of the slots are free.
+            // After about a mean response time, some of the slots are free.
             let retry_after = from_seconds(self.service_times.mean_response_seconds());
             return Err(NotAdmitted { retry_after, reason: Rejection::Overloaded, late_worker: None });
         }
@@ -325,8 +328,8 @@
 
     fn new_request(&mut self, now: Micros, incoming: &IncomingRequest) -> Request {
         let class = incoming.class as usize;
-        let hint = validated(incoming.cost_hint, MAX_FIGURE);
-        let work = hint.unwrap_or_else(|| self.service_times.usual_work(class));
+        let hint = validated(incoming.cost_hint, MAX_VALID_VALUE);
+        let work = hint.unwrap_or_else(|| self.service_times.expected_work(class));
         let class_settings = &self.settings.classes[class];
         let objective_seconds = self.service_times.objective_seconds(class_settings, work);
         let spent =
@@ -334,7 +337,7 @@
         Request {
             id: incoming.request,
             class,
-            slots: validated(incoming.slots, MAX_FIGURE).unwrap_or(1.0),
+            slots: validated(incoming.slots, MAX_VALID_VALUE).unwrap_or(1.0),
             work,
             has_hint: hint.is_some(),
             objective_at: now.saturating_add(class_settings.latency_objective).saturating_sub(spent),
@@ -343,7 +346,7 @@
         }
     }
 
-    /// Earns the budgets for load queries and hedges, and learns the mean request.
+    /// Adds a request to the offered load and to the budgets for load queries and hedges.
     fn record_offered_request(&mut self, request: &Request) {
         self.load_queries.earn(self.settings.load_query_cost);
         self.hedge_budget.earn();
@@ -361,13 +364,13 @@
             sent_at: now,
         };
         worker.local_load.add(attempt);
-        let fitted_slots = worker.local_load.slots_in_use() <= slots;
+        let had_free_slots = worker.local_load.slots_in_use() <= slots;
         self.slow_start.record_sent(now, &mut worker.slow_start, request.work * request.slots);
         self.admission.record_attempt();
         request.attempts.push(Attempt {
             worker: index as u32,
             sent_at: now,
-            fitted_slots,
+            had_free_slots,
             is_in_flight: true,
             estimate,
             ..Attempt::default()
@@ -385,7 +388,7 @@
             Progress::Started => {
                 attempt.progress = Some(ProgressMark { at: now, fraction_done: 0.0 });
                 if self.settings.cancellation_allowed {
-                    // One attempt runs: those that still wait are canceled.
+                    // One attempt is running: those that have not started are canceled.
                     self.actions.extend(request.cancellations(|attempt| attempt.progress.is_none()));
                 }
             }
@@ -398,7 +401,7 @@
                 }
             }
             Progress::Done(_) => {}
-            // The client owns it now: no final response is owed any more.
+            // The response is streaming to the client: the scheduler owes no other final response.
             Progress::Streaming => request.is_finished = true,
         }
     }
@@ -424,21 +427,27 @@
         }
     }
 
-    fn record_outcome(&mut self, now: Micros, attempt: &Attempt, request: &Request, end: &AttemptOutcome) {
+    fn record_outcome(
+        &mut self,
+        now: Micros,
+        attempt: &Attempt,
+        request: &Request,
+        completion: &AttemptOutcome,
+    ) {
         let index = attempt.worker as usize;
-        self.workers[index].local_load.complete(end.request, end.attempt, now, REPORT_AGE);
-        if !(attempt.is_overdue && end.outcome == Outcome::TimedOut) {
+        self.workers[index].local_load.complete(completion.request, completion.attempt, now, REPORT_AGE);
+        if !(attempt.is_overdue && completion.outcome == Outcome::TimedOut) {
             let class = Some(request.class);
-            self.workers[index].failure_rates.record_outcome(class, end.outcome);
+            self.workers[index].failure_rates.record_outcome(class, completion.outcome);
         }
-        if end.outcome == Outcome::Served {
-            self.learn_service_time(now, attempt, request, end.elapsed);
+        if completion.outcome == Outcome::Served {
+            self.learn_service_time(now, attempt, request, completion.elapsed);
         }
-        let is_rejected = end.outcome == Outcome::Rejected;
+        let is_rejected = completion.outcome == Outcome::Rejected;
         self.outlier_detector.record_rejection(self.workers[index].kind, is_rejected);
-        let is_served = end.outcome == Outcome::Served && !self.settings.load_by_query;
-        if is_rejected || end.report.is_some() || is_served {
-            self.on_load_report(now, index, &end.report.unwrap_or_default(), is_rejected);
+        let is_served = completion.outcome == Outcome::Served && !self.settings.load_by_query;
+        if is_rejected || completion.report.is_some() || is_served {
+            self.on_load_report(now, index, &completion.report.unwrap_or_default(), is_rejected);
         }
     }
 
@@ -446,7 +455,7 @@
         self.service_times.learn_response_time(elapsed);
         let (fraction, time) = match attempt.progress {
             Some(ProgressMark { at, fraction_done }) => (1.0 - fraction_done, now.saturating_sub(at)),
-            None if attempt.fitted_slots && !self.settings.reports_job_start => (1.0, elapsed),
+            None if attempt.had_free_slots && !self.settings.reports_job_start => (1.0, elapsed),
             None => return,
         };
         if fraction > 0.0 && time > 0 {
@@ -493,8 +502,9 @@
         self.actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(request.id) });
     }
 
-    /// A request that should have started by now is hedged, through the same estimate and admission; where
-    /// two attempts may not be in flight together, it is canceled and moves once that completes.
+    /// Hedges a request that should have started by now, if a worker can still serve it in time. If hedging
+    /// is not allowed, the attempt in flight is canceled instead, and the request is retried once that
+    /// completes.
     fn on_hedge_check(&mut self, now: Micros, id: RequestId) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         if !request.is_finished
@@ -521,7 +531,7 @@
         }
     }
 
-    /// Marks a request as finished: nothing more is sent for it, and what is in flight is canceled.
+    /// Marks a request as finished: no further attempt is sent, and attempts in flight are canceled.
     fn finish(&mut self, request: &mut Request) {
         if !request.is_finished {
             request.is_finished = true;
@@ -553,12 +563,12 @@
             load_reports: &self.load_reports,
             listed_loads: &self.listed_loads,
         };
-        let at = EstimatedWorker {
+        let target = EstimatedWorker {
             index,
             worker: &self.workers[index],
             is_warming_up: self.slow_start.is_warming_up(now, &self.workers[index].slow_start),
         };
-        estimates.estimate(now, at, request)
+        estimates.estimate(now, target, request)
     }
 
     fn select_worker(&mut self, now: Micros, request: &Request) -> Result<usize, NotAdmitted> {
--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -1,33 +1,36 @@
-//! The subscription to the endpoint list: which version is known, and when discovery is polled for changes.
+//! The subscription to the endpoint list: the known version of the list, and when to poll discovery.
 use crate::Discovery;
 use crate::EndpointUpdateKind;
 use crate::Micros;
 use crate::SECOND;
 use crate::Settings;
 
-/// Latest first poll: early, but spread out so that restarted dispatchers do not stampede discovery.
+/// Longest delay of the first poll. It is random, so that dispatchers that restart together do not overload
+/// discovery.
 const MAX_FIRST_POLL_DELAY: Micros = 3 * SECOND;
-/// Spread of the first poll for each dispatcher of the fleet: small fleets need none.
+/// Range of the first poll's random delay for each dispatcher of the fleet: small fleets need little spread.
 const FIRST_POLL_SPREAD: Micros = 150_000;
-/// First and longest wait after a failed poll. A change counts as notified 6 s after discovery could be
-/// reached, whatever failed: a poll given up just then, this wait and the next poll fit in.
+/// Backoff after the first failed poll.
 const POLL_BACKOFF_INITIAL: Micros = SECOND;
+/// Longest backoff after a failed poll. A dispatcher counts as notified of a change 6 s after discovery
+/// became reachable, regardless of failures: a poll that times out just then, this backoff and the next poll
+/// fit into that time.
 const POLL_BACKOFF_MAX: Micros = 2 * SECOND;
-/// The backoff doubles no more than this many times, so that the shift cannot overflow.
+/// Maximum number of backoff doublings, so that the shift cannot overflow.
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// Which endpoint list is known, and whether its changes come.
+/// The known version of the endpoint list and the state of the subscription to its changes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndpointSubscription {
     version: u64,
     is_subscribed: bool,
-    /// A poll of discovery is under way or has a timer.
+    /// Whether a poll is in progress or scheduled.
     is_polling: bool,
     failed_polls: u32,
 }
 
 impl EndpointSubscription {
-    /// The delay of the first poll, where lists are polled.
+    /// Returns the delay of the first poll, or `None` if endpoint updates are pushed.
     pub(super) fn start(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Option<Micros> {
         if settings.discovery != Discovery::Polled {
             return None;
@@ -38,14 +41,15 @@
         Some(rng.u64(0..=spread))
     }
 
-    /// Whether the subscription's timer, now expired, still has a poll to send. The poll is under way until
-    /// the one endpoint update that answers it.
+    /// Returns whether a poll is to be sent when the subscription timer expires. Each poll is answered by
+    /// exactly one endpoint update.
     pub(super) fn needs_poll(&self) -> bool {
         !self.is_subscribed
     }
 
-    /// Ends the subscription after a failed poll. The delay of the next poll, where lists are polled: later
-    /// each time and at a random moment, as a recovering discovery must not be stampeded.
+    /// Ends the subscription after a failed poll and returns the delay of the next poll, or `None` if
+    /// endpoint updates are pushed. The delay grows with each failure and is random, so that dispatchers do
+    /// not overload a recovering discovery.
     pub(super) fn record_failure(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Option<Micros> {
         self.is_subscribed = false;
         if settings.discovery != Discovery::Polled {
@@ -58,7 +62,8 @@
         Some(max / 2 + rng.u64(0..=max / 2))
     }
 
-    /// Records an update that holds endpoints. Whether it is to be applied: an older version changes nothing.
+    /// Records an update that contains endpoints and returns whether it is to be applied: an update with an
+    /// older version than the known one is ignored.
     pub(super) fn record_update(&mut self, kind: EndpointUpdateKind, version: u64) -> bool {
         if self.is_polling && kind != EndpointUpdateKind::Cached {
             self.is_polling = false;
--- a/crates/dispatcher/src/policy/estimates.rs
+++ b/crates/dispatcher/src/policy/estimates.rs
@@ -1,4 +1,5 @@
-//! Estimates of a request at a worker, from all that is known of the worker, and the time that it has.
+//! Service-time estimates of a request at a worker, from the data of all policy modules, and the time limits
+//! to which they are compared.
 use super::listed_load::ListedLoads;
 use super::load_reports::LoadReports;
 use super::load_reports::WorkerLoad;
@@ -12,7 +13,7 @@
 use crate::RequestClass;
 use crate::time::to_seconds;
 
-/// A view of what an estimate rests on.
+/// References to the data that estimates are computed from.
 #[derive(Clone, Copy)]
 pub(super) struct WorkerEstimates<'a> {
     pub(super) service_times: &'a ServiceTimeEstimator,
@@ -20,7 +21,7 @@
     pub(super) listed_loads: &'a ListedLoads,
 }
 
-/// A worker for which an estimate is made.
+/// The worker for which an estimate is computed.
 #[derive(Clone, Copy)]
 pub(super) struct EstimatedWorker<'a> {
     pub(super) index: usize,
@@ -29,37 +30,38 @@
 }
 
 impl WorkerEstimates<'_> {
-    /// How long a request would take at a worker.
+    /// Estimates how long a request would take at a worker.
     pub(super) fn estimate(
         &self,
         now: Micros,
-        at: EstimatedWorker<'_>,
+        target: EstimatedWorker<'_>,
         request: &Request,
     ) -> ServiceTimeEstimate {
-        let slots = self.service_times.slots_of(at.worker.kind);
-        let local_slots = at.worker.local_load.slots_in_use();
-        let remote_slots = self.remote_slots(now, at, slots, local_slots);
+        let slots = self.service_times.slots_of(target.worker.kind);
+        let local_slots = target.worker.local_load.slots_in_use();
+        let remote_slots = self.remote_slots(now, target, slots, local_slots);
         let occupancy = WorkerOccupancy { slots, local_slots, remote_slots };
-        self.service_times.estimate(&at.worker.rate, request.work, request.slots, occupancy)
+        self.service_times.estimate(&target.worker.rate, request.work, request.slots, occupancy)
     }
 
-    /// Slots of the other dispatchers: by the list where the worker warms up, else by its reports. Workers
-    /// that warm up would pass for as crowded as the rest and stay idle. Not by the list for warm ones: all
-    /// who read one list would meet at those it shows idle.
+    /// Slots of the other dispatchers: from the listed load while a worker is warming up, otherwise from load
+    /// reports. By its reports a worker that is warming up would count as loaded as the others and stay idle.
+    /// The listed load is not used for other workers, because all dispatchers that read the same list would
+    /// select the workers that it shows as idle.
     fn remote_slots(
         &self,
         now: Micros,
-        at: EstimatedWorker<'_>,
+        target: EstimatedWorker<'_>,
         slots: f64,
         local_slots: f64,
     ) -> RemoteSlots {
-        if at.is_warming_up {
-            let listed = self.listed_loads.remote_slots(now, at.index, self.load_reports.local_part());
+        if target.is_warming_up {
+            let listed = self.listed_loads.remote_slots(now, target.index, self.load_reports.local_share());
             if let Some(listed) = listed {
                 return listed;
             }
         }
-        let worker = at.worker;
+        let worker = target.worker;
         let load = WorkerLoad { kind: worker.kind, zone: worker.zone, slots, local_slots };
         self.load_reports.remote_slots(
             now,
@@ -70,7 +72,7 @@
     }
 }
 
-/// The time that a request has, in seconds of the caller's clock.
+/// The latency objective and the deadline of a request, in seconds on the caller's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TimeLimits {
     now: f64,
@@ -89,7 +91,9 @@
         }
     }
 
-    /// Seconds left until the latency objective, which grows with the seconds that the request takes alone.
+    /// Seconds left until the latency objective, or until the deadline if that comes first; negative once it
+    /// has passed. The objective grows with `seconds_alone`, the time that the request takes with a slot to
+    /// itself.
     pub(super) fn seconds_left(&self, seconds_alone: f64) -> f64 {
         let objective = self.objective_at + self.latency_stretch * seconds_alone;
         objective.min(self.deadline) - self.now
--- a/crates/dispatcher/src/policy/figures.rs
+++ b/crates/dispatcher/src/policy/figures.rs
@@ -1,19 +1,21 @@
-//! Figures that several rules have in common, and the check of figures from outside.
+//! Constants shared by several policy modules, and validation of externally supplied numbers.
 use crate::Micros;
 use crate::SECOND;
 
-/// Interval of the periodic refresh of all workers: short beside the seconds in which rates change.
+/// Interval of the periodic refresh of all workers; service rates change over several seconds.
 pub(super) const REFRESH_INTERVAL: Micros = SECOND;
-/// Weight of one sample in a mean over all requests or many workers: about the last hundred count.
+/// Weight of one sample in a moving average over all requests or many workers: about the last 100 samples
+/// contribute.
 pub(super) const GROUP_GAIN: f64 = 0.01;
-/// Weight of one sample in a mean that moves slowly: about the last twenty count.
+/// Weight of one sample in a slowly moving average: about the last 20 samples contribute.
 pub(super) const SLOW_GAIN: f64 = 0.05;
-/// Largest valid count of slots, and hint in seconds; beyond it they count as absent.
-pub(super) const MAX_FIGURE: f64 = 1e4;
+/// Largest valid value of a cost hint (in seconds), a listed size, a slot count or another number of a load
+/// report; a larger value is treated as absent.
+pub(super) const MAX_VALID_VALUE: f64 = 1e4;
 
-/// A figure from outside, if it is one that can be meant.
-pub(super) fn validated(figure: Option<f64>, max: f64) -> Option<f64> {
-    figure.filter(|&x| x.is_finite() && x > 0.0 && x <= max)
+/// Returns an externally supplied value if it is finite, above 0 and at most `max`.
+pub(super) fn validated(value: Option<f64>, max: f64) -> Option<f64> {
+    value.filter(|&x| x.is_finite() && x > 0.0 && x <= max)
 }
 
 #[cfg(test)]
--- a/crates/dispatcher/src/policy/hedging.rs
+++ b/crates/dispatcher/src/policy/hedging.rs
@@ -1,26 +1,27 @@
-//! Hedged requests: a second attempt where the first has not started in time, as its worker's queue is longer
-//! than any report showed, it hangs, or it has slowed down.
+//! Hedged requests: a second attempt is sent if the first has not started in time, because the worker's queue
+//! is longer than its reports showed, or because the worker hangs or has slowed down.
 use crate::Micros;
 use crate::time::from_seconds;
 
-/// A request that has not started after this part of the time it could wait is hedged.
+/// Fraction of a request's slack after which it is hedged if it has not started.
 const HEDGE_DELAY_FRACTION: f64 = 0.6;
-/// Shortest wait before that, so that start notes under way arrive first.
+/// Shortest delay before a hedge, so that a start notification in transit arrives first.
 const MIN_HEDGE_DELAY: Micros = 20_000;
-/// Hedges earned by each request: bounds what they add to the load where a canceled attempt still runs, or
-/// still waits and then runs. Each is one request more for workers that were late already.
+/// Hedges earned by each offered request. This limits the extra load on workers that are already late: a
+/// canceled attempt may still run or stay queued, so each hedge can cost a whole request.
 const HEDGE_BUDGET_PER_REQUEST: f64 = 0.03;
-/// Most hedges that can be saved up.
+/// Largest number of unspent hedges.
 const MAX_HEDGE_BUDGET: f64 = 3.0;
-/// Hedges that a dispatcher may send before any request has earned one.
+/// Hedges that a dispatcher may send before its requests have earned any.
 const INITIAL_HEDGE_BUDGET: f64 = 1.0;
 
-/// How long after a request was sent it is checked, if it could wait this many seconds.
+/// Returns the time from sending a request to its hedge check. `slack_seconds` is how long the request can
+/// wait and still meet its latency objective.
 pub(super) fn hedge_delay(slack_seconds: f64) -> Micros {
     from_seconds(slack_seconds * HEDGE_DELAY_FRACTION).max(MIN_HEDGE_DELAY)
 }
 
-/// Hedges that earlier requests have earned.
+/// The number of hedges that may be sent, earned by earlier requests.
 #[derive(Clone, Debug)]
 pub(super) struct HedgeBudget {
     hedges: f64,
@@ -33,17 +34,17 @@
 }
 
 impl HedgeBudget {
-    /// Adds what one offered request earns.
+    /// Adds the fraction of a hedge that one offered request earns.
     pub(super) fn earn(&mut self) {
         self.hedges = (self.hedges + HEDGE_BUDGET_PER_REQUEST).min(MAX_HEDGE_BUDGET);
     }
 
-    /// Whether a whole hedge is there to be spent.
+    /// Returns whether the budget covers one hedge.
     pub(super) fn has_hedge(&self) -> bool {
         self.hedges >= 1.0
     }
 
-    /// Takes one hedge away.
+    /// Deducts one hedge.
     pub(super) fn spend(&mut self) {
         self.hedges -= 1.0;
     }
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -1,21 +1,23 @@
-//! The time that a client spent on a request before this dispatcher saw it.
+//! Late retries: estimates how much of a request's deadline the client spent on earlier tries.
 use super::average::move_average;
 use crate::Micros;
 use crate::RequestClass;
 use crate::time::to_seconds;
 
-/// Weight of one request in the fraction of those that arrive when their whole objective seems spent.
+/// Weight of one request in the fraction of late retries: about the last 20 requests contribute.
 const LATE_RETRY_GAIN: f64 = 0.05;
-/// Largest fraction that can be retries of so late; beyond it, clients wait less long than they might.
+/// Largest plausible fraction of late retries. Above it, clients are assumed to use shorter deadlines than
+/// their class allows.
 const MAX_LATE_RETRY_FRACTION: f64 = 0.08;
-/// A request counts as its client's first if it has all but one part in so many of the longest time left.
-const FIRST_REQUEST_PARTS: Micros = 1_000;
+/// Divisor for the tolerance of first requests: a request counts as its client's first try if its time left
+/// is within this part of the longest one seen in its class.
+const FIRST_REQUEST_TOLERANCE_DIVISOR: Micros = 1_000;
 
-/// Tells clients' retries from first requests by the time that they have left.
+/// Distinguishes clients' retries from first requests by their time left.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LateRetries {
     longest_time_left_by_class: Vec<Micros>,
-    /// Fraction of requests that arrive when their whole latency objective seems spent.
+    /// Fraction of requests that seem to have spent their whole latency objective before arrival.
     late_fraction: f64,
 }
 
@@ -24,8 +26,9 @@
         LateRetries { longest_time_left_by_class: vec![0; class_count], late_fraction: 0.0 }
     }
 
-    /// Time that the client spent before. Where every request of a class is shortened, the time left says
-    /// nothing unless it falls below the longest.
+    /// Returns the time that the client spent on earlier tries of a request with `time_left` until it gives
+    /// up. It is 0 if `time_left` is about the longest one seen in the class, since clients may use a shorter
+    /// deadline for all their requests.
     pub(super) fn time_spent_before(
         &mut self,
         class_index: usize,
@@ -35,10 +38,10 @@
     ) -> Micros {
         let longest = &mut self.longest_time_left_by_class[class_index];
         *longest = (*longest).max(time_left);
-        let is_first = time_left >= *longest - *longest / FIRST_REQUEST_PARTS;
+        let is_first = time_left >= *longest - *longest / FIRST_REQUEST_TOLERANCE_DIVISOR;
         let spent = if is_first { 0 } else { class.deadline.saturating_sub(time_left) };
-        // Many clients may wait less long than their class allows: taken for time spent before, the rest
-        // would leave none of the objective, and all of them would be rejected.
+        // Many clients may use shorter deadlines than their class allows. If the difference were treated as
+        // time spent, nothing would be left of the objective and all their requests would be rejected.
         let is_late_retry = to_seconds(spent) >= objective_seconds;
         move_average(&mut self.late_fraction, f64::from(is_late_retry), LATE_RETRY_GAIN);
         if is_late_retry && self.late_fraction > MAX_LATE_RETRY_FRACTION { 0 } else { spent }
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -1,26 +1,27 @@
-//! Load queries: where workers report their load only when they are asked, and each question has its price.
+//! Load queries: asks workers for their load, if they report it only on request and each query has a cost.
 use crate::Micros;
 use crate::SECOND;
 
-/// All ready workers are queried once in this time, about as often as they renew their reports.
+/// Time in which all ready workers are queried once; workers update their load reports about as often.
 const LOAD_QUERY_ROUND: Micros = SECOND;
-/// The first query comes within this part of a round, at a random moment.
-const FIRST_LOAD_QUERY_PARTS: Micros = 10;
-/// What a request's load queries may cost of its weight.
+/// Divisor of a round that gives the longest delay of the first query, which is random.
+const FIRST_LOAD_QUERY_DIVISOR: Micros = 10;
+/// Fraction of a request's weight that load queries may cost.
 const LOAD_QUERY_COST_FRACTION: f64 = 0.01;
-/// Most queries that can be saved up, and how many there are at the start.
+/// Largest number of unspent load queries; also the initial budget.
 const MAX_LOAD_QUERY_BUDGET: f64 = 20.0;
 
-/// What to do when a load query is due.
+/// The worker to query now, if any, and when the next query is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LoadQueryTurn {
-    /// The worker to be queried, if one is ready and the budget allows it.
+    /// Index of the worker to query; `None` if no worker is ready or the budget is spent.
     pub(super) worker: Option<usize>,
-    /// The delay of the next turn.
-    pub(super) next_after: Micros,
+    /// Time until the next query is due.
+    pub(super) next_delay: Micros,
 }
 
-/// Whose turn it is, and the queries that requests have earned: a large fleet would be queried without end.
+/// Queries the ready workers in turn within a budget that requests earn. Without the budget, the number of
+/// queries would grow with the fleet regardless of their cost.
 #[derive(Clone, Debug)]
 pub(super) struct LoadQueries {
     last_queried: usize,
@@ -34,17 +35,18 @@
 }
 
 impl LoadQueries {
-    /// The delay of the first turn.
+    /// Returns the random delay of the first query.
     pub(super) fn first_delay(rng: &mut fastrand::Rng) -> Micros {
-        rng.u64(0..=LOAD_QUERY_ROUND / FIRST_LOAD_QUERY_PARTS)
+        rng.u64(0..=LOAD_QUERY_ROUND / FIRST_LOAD_QUERY_DIVISOR)
     }
 
-    /// Adds what one offered request earns, where a query costs this part of a request's weight.
+    /// Adds what one offered request earns. `cost` is the cost of one query as a fraction of a request's
+    /// weight; a cost of 0 fills the budget.
     pub(super) fn earn(&mut self, cost: f64) {
         self.budget = (self.budget + LOAD_QUERY_COST_FRACTION / cost).min(MAX_LOAD_QUERY_BUDGET);
     }
 
-    /// Takes the next turn: the ready workers are queried in the order of their numbers.
+    /// Chooses the next worker to query, round robin over the ready workers, and spends one query on it.
     pub(super) fn take_turn(
         &mut self,
         worker_count: usize,
@@ -59,7 +61,7 @@
             self.budget -= 1.0;
             self.last_queried = worker;
         }
-        LoadQueryTurn { worker, next_after: LOAD_QUERY_ROUND / ready_count as Micros }
+        LoadQueryTurn { worker, next_delay: LOAD_QUERY_ROUND / ready_count as Micros }
     }
 }
 
--- a/crates/dispatcher/src/policy/local_load.rs
+++ b/crates/dispatcher/src/policy/local_load.rs
@@ -1,4 +1,4 @@
-//! The attempts that this dispatcher has at one worker. Bookkeeping only: nothing here decides.
+//! Local load: this dispatcher's attempts at one worker and the slots that they occupy.
 use crate::Micros;
 use crate::RequestId;
 use std::collections::VecDeque;
@@ -12,57 +12,58 @@
     pub(super) sent_at: Micros,
 }
 
+/// An attempt that has completed recently.
 #[derive(Clone, Copy, Debug)]
 struct CompletedAttempt {
     completed_at: Micros,
     attempt: InFlightAttempt,
 }
 
-/// Attempts in flight and completed lately, with their slots.
+/// Attempts in flight and recently completed attempts at one worker.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LocalLoad {
     local_slots_in_use: f64,
-    /// In the order of sending.
+    /// Attempts in flight, in the order of sending.
     in_flight: Vec<InFlightAttempt>,
-    /// In the order of completion.
+    /// Completed attempts, in the order of completion.
     completed: VecDeque<CompletedAttempt>,
 }
 
 impl LocalLoad {
-    /// Slots of the attempts in flight.
+    /// Number of slots that the attempts in flight occupy.
     pub(super) fn slots_in_use(&self) -> f64 {
         self.local_slots_in_use
     }
 
-    /// Whether no attempt is in flight.
+    /// Returns whether no attempt is in flight.
     pub(super) fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// Adds an attempt that was sent.
+    /// Adds an attempt that has just been sent.
     pub(super) fn add(&mut self, attempt: InFlightAttempt) {
         self.local_slots_in_use += attempt.slots;
         self.in_flight.push(attempt);
     }
 
-    /// Moves an attempt to those that completed, which are kept for a while.
+    /// Moves an attempt to the completed attempts and discards those that completed more than `keep_for` ago.
     pub(super) fn complete(&mut self, request: RequestId, attempt: u32, now: Micros, keep_for: Micros) {
-        let is_it = |other: &InFlightAttempt| (other.request, other.attempt) == (request, attempt);
-        if let Some(at) = self.in_flight.iter().position(is_it) {
+        let is_same_attempt = |other: &InFlightAttempt| (other.request, other.attempt) == (request, attempt);
+        if let Some(at) = self.in_flight.iter().position(is_same_attempt) {
             let attempt = self.in_flight.remove(at);
             self.completed.push_back(CompletedAttempt { completed_at: now, attempt });
-            while self.completed.front().is_some_and(|end| end.completed_at + keep_for < now) {
+            while self.completed.front().is_some_and(|entry| entry.completed_at + keep_for < now) {
                 self.completed.pop_front();
             }
         }
-        // Summed anew, so that no rounding error builds up.
+        // Recomputed rather than decremented, so that rounding errors do not accumulate.
         self.local_slots_in_use = self.in_flight.iter().map(|attempt| attempt.slots).sum();
     }
 
-    /// Slots of the attempts that were in flight at an earlier instant.
+    /// Number of slots that the attempts in flight at an earlier instant occupied.
     pub(super) fn slots_at(&self, instant: Micros) -> f64 {
-        let completed = self.completed.iter().filter(|end| end.completed_at >= instant);
-        let attempts = self.in_flight.iter().chain(completed.map(|end| &end.attempt));
+        let completed = self.completed.iter().filter(|entry| entry.completed_at >= instant);
+        let attempts = self.in_flight.iter().chain(completed.map(|entry| &entry.attempt));
         attempts.filter(|attempt| attempt.sent_at <= instant).map(|attempt| attempt.slots).sum()
     }
 }
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -1,9 +1,11 @@
 //! The dispatch policy: every rule, threshold and tuned constant of a [`Dispatcher`].
 //!
-//! A request goes to the worker with the lowest service-time estimate, after "Empirical Study of Low-Latency
-//! Network Model with Orchestrator in MEC", eq. (1), and is rejected on arrival when even that exceeds the
-//! time it has left. Each module holds one concern and owns its state; `dispatcher` joins them, and hands
-//! each what it needs of another.
+//! A request goes to the worker with the lowest service-time estimate (processor sharing, after equation (1)
+//! of "Empirical Study of Low-Latency Network Model with Orchestrator in MEC"). It is rejected on arrival if
+//! even the lowest estimate exceeds the time that the request has left.
+//!
+//! Each module implements one concern and owns its state. `dispatcher` combines them and passes each module
+//! the values it needs from the others.
 mod admission;
 mod affinity;
 mod average;
--- a/crates/dispatcher/src/policy/offered_load.rs
+++ b/crates/dispatcher/src/policy/offered_load.rs
@@ -1,13 +1,13 @@
-//! The mean of the requests that this dispatcher is offered.
+//! Offered load: the mean size of the requests that arrive at this dispatcher.
 use super::average::move_average;
 use super::figures::GROUP_GAIN;
 use super::figures::SLOW_GAIN;
 
-/// Mean work and slots of the offered requests.
+/// Moving averages of the load and the slots of the offered requests.
 #[derive(Clone, Debug)]
 pub(super) struct OfferedLoad {
     mean_request_load: f64,
-    /// The requests that the mean load rests on, up to the inverse of [`GROUP_GAIN`].
+    /// Number of requests in the mean load, at most the inverse of [`GROUP_GAIN`].
     samples: f64,
     mean_request_slots: f64,
 }
@@ -19,21 +19,21 @@
 }
 
 impl OfferedLoad {
-    /// Counts a request. The mean load is a plain mean of the first hundred requests: a mean of the last
-    /// twenty, from 1, made the count of dispatchers that share a slow-start budget rise and fall within a
-    /// window (`docs/slow-start.md`).
+    /// Adds a request to the averages. The mean load is the arithmetic mean of the first 100 requests: with a
+    /// moving average over about 20 requests that starts at 1, the number of dispatchers that share a
+    /// slow-start budget rose and fell within one window (see `docs/slow-start.md`).
     pub(super) fn record(&mut self, work: f64, slots: f64) {
         self.samples = (self.samples + 1.0).min(1.0 / GROUP_GAIN);
         self.mean_request_load += (work * slots - self.mean_request_load) / self.samples;
         move_average(&mut self.mean_request_slots, slots, SLOW_GAIN);
     }
 
-    /// Mean work times slots of a request.
+    /// Mean load of a request: its work times its slots, in slot-seconds on a standard core.
     pub(super) fn mean_request_load(&self) -> f64 {
         self.mean_request_load
     }
 
-    /// Mean slots of a request.
+    /// Mean number of slots that a request occupies.
     pub(super) fn mean_request_slots(&self) -> f64 {
         self.mean_request_slots
     }
--- a/crates/dispatcher/src/policy/outlier_detection.rs
+++ b/crates/dispatcher/src/policy/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: workers whose attempts fail are ranked down, never ejected.
+//! Outlier detection: workers whose attempts fail get a worse rank, but are never ejected.
 use super::average::move_average;
 use super::figures::SLOW_GAIN;
 use super::request::Attempt;
@@ -8,33 +8,37 @@
 
 /// Weight of one outcome in a worker's failure rate.
 const FAILURE_GAIN: f64 = 0.2;
-/// ... and in its failure rate of one class, of which a few must suffice: each costs its whole request.
+/// Weight of one outcome in a worker's failure rate for one request class. It is higher because few failures
+/// of a class must suffice: each can cost a whole request.
 const CLASS_FAILURE_GAIN: f64 = 0.3;
-/// An attempt in flight for this many times its estimate, and for this long, counts as a failure.
-const OVERDUE_ESTIMATES: f64 = 4.0;
+/// Multiple of its estimate after which an attempt in flight is overdue, which counts as a failure.
+const OVERDUE_ESTIMATE_MULTIPLE: f64 = 4.0;
+/// Shortest time after which an attempt in flight is overdue, in seconds.
 const MIN_OVERDUE_SECONDS: f64 = 0.5;
-/// A worker's failure rate halves in this time without outcomes, so that it is tried again.
+/// Half-life of a worker's failure rate without outcomes, in seconds, so that the worker is tried again.
 const FAILURE_HALF_LIFE_SECONDS: f64 = 5.0;
-/// Highest failure rate used: keeps the estimate finite, so that retries stay possible.
+/// Highest failure or rejection rate used in the ranking: keeps ranks finite, so that the worker stays
+/// available for retries.
 const MAX_FAILURE_RATE: f64 = 0.9;
 
-/// How often attempts at one worker fail.
+/// Failure rates of the attempts at one worker.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FailureRates {
+    /// Failure rate over all classes, including load queries.
     all: f64,
-    /// By class, as far as one has failed.
+    /// Failure rate of each class; may be shorter than the list of classes.
     by_class: Vec<f64>,
 }
 
 impl FailureRates {
-    /// Forgets the failures of a worker that has started anew.
+    /// Discards the failure rates of a worker that has restarted.
     pub(super) fn reset(&mut self) {
         self.all = 0.0;
         self.by_class.fill(0.0);
     }
 
-    /// Counts an outcome of an attempt, or of a load query, which has no class. Failures are counted for each
-    /// class too, as some workers serve all classes but one.
+    /// Records the outcome of an attempt, or of a load query if `class` is `None`. Failures are also counted
+    /// for each class, since a worker may fail for one class only.
     pub(super) fn record_outcome(&mut self, class: Option<usize>, outcome: Outcome) {
         let failed = match outcome {
             Outcome::Served => 0.0,
@@ -47,8 +51,9 @@
         }
     }
 
-    /// Counts an attempt here, once, if it has become overdue: a worker that takes requests and falls silent
-    /// would show it only at their deadline. It has not failed yet, and may be of this class alone.
+    /// Counts an attempt as a failure, once, if it has become overdue: otherwise a worker that accepts
+    /// requests but does not respond would be noticed only at their deadlines. Only the failure rate of the
+    /// class changes, since the attempt has not failed yet and the fault may affect this class alone.
     pub(super) fn record_if_overdue(&mut self, now: Micros, class: usize, attempt: &mut Attempt) {
         if becomes_overdue(now, attempt) {
             attempt.is_overdue = true;
@@ -56,7 +61,7 @@
         }
     }
 
-    /// Lets the failure rates fade to this part: see [`failure_decay`].
+    /// Multiplies all failure rates by `decay`, as [`failure_decay`] returns it.
     pub(super) fn decay(&mut self, decay: f64) {
         self.all *= decay;
         self.by_class.iter_mut().for_each(|rate| *rate *= decay);
@@ -69,12 +74,13 @@
         &mut self.by_class[class]
     }
 
+    /// Failure rate to be expected for a request of this class.
     fn expected(&self, class: usize) -> f64 {
         self.by_class.get(class).map_or(self.all, |&rate| rate.max(self.all))
     }
 }
 
-/// Rejection rates of kinds and of the fleet, which the failure rates of workers are judged with.
+/// Tracks rejection rates and combines them with the failure rates of workers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OutlierDetector {
     kind_rejection_rates: Vec<f64>,
@@ -82,24 +88,26 @@
 }
 
 impl OutlierDetector {
-    /// Makes room for so many kinds, which have rejected nothing.
+    /// Resizes the table for the given number of worker kinds; new kinds have a rejection rate of 0.
     pub(super) fn resize(&mut self, kind_count: usize) {
         self.kind_rejection_rates.resize(kind_count, 0.0);
     }
 
-    /// The ranking divides by this: fast errors look like speed, and a full kind spends a request's attempts.
+    /// Expected fraction of attempts at a worker that succeed, by which its rank is divided. Otherwise fast
+    /// error responses would look like a fast worker, and a worker kind that is full would use up a request's
+    /// attempts.
     pub(super) fn expected_success_rate(&self, worker: &FailureRates, kind: u32, class: usize) -> f64 {
         let rejection_rate = self.kind_rejection_rates[kind as usize];
         let failure_rate = worker.expected(class);
         (1.0 - failure_rate.min(MAX_FAILURE_RATE)) * (1.0 - rejection_rate.min(MAX_FAILURE_RATE))
     }
 
-    /// The fraction of all attempts that workers reject.
+    /// Fraction of all attempts that workers reject.
     pub(super) fn rejection_rate(&self) -> f64 {
         self.fleet_rejection_rate
     }
 
-    /// Counts whether a worker of this kind rejected an attempt.
+    /// Records whether a worker of this kind rejected an attempt.
     pub(super) fn record_rejection(&mut self, kind: u32, is_rejected: bool) {
         let sample = f64::from(is_rejected);
         move_average(&mut self.kind_rejection_rates[kind as usize], sample, SLOW_GAIN);
@@ -107,18 +115,18 @@
     }
 }
 
-/// The part of a failure rate that is left after a span without outcomes.
-pub(super) fn failure_decay(span: Micros) -> f64 {
-    0.5_f64.powf(to_seconds(span) / FAILURE_HALF_LIFE_SECONDS)
+/// Returns the fraction of a failure rate that remains after a time without outcomes.
+pub(super) fn failure_decay(duration: Micros) -> f64 {
+    0.5_f64.powf(to_seconds(duration) / FAILURE_HALF_LIFE_SECONDS)
 }
 
-/// Whether an attempt in flight has become overdue, which counts once as a failure.
+/// Returns whether an attempt in flight is overdue and has not been counted as such.
 fn becomes_overdue(now: Micros, attempt: &Attempt) -> bool {
     if !attempt.is_in_flight || attempt.is_overdue {
         return false;
     }
     let elapsed = to_seconds(now.saturating_sub(attempt.sent_at));
-    let limit = (OVERDUE_ESTIMATES * attempt.estimate).max(MIN_OVERDUE_SECONDS);
+    let limit = (OVERDUE_ESTIMATE_MULTIPLE * attempt.estimate).max(MIN_OVERDUE_SECONDS);
     elapsed > limit
 }
 
--- a/crates/dispatcher/src/policy/remote_slots.rs
+++ b/crates/dispatcher/src/policy/remote_slots.rs
@@ -1,6 +1,6 @@
-//! What a rule expects of the other dispatchers at a worker, as figures.
+//! The expected load of the other dispatchers at a worker.
 
-/// Slots that the other dispatchers' requests are expected to take at a worker.
+/// Mean and variance of the slots that other dispatchers' requests are expected to occupy at a worker.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RemoteSlots {
     pub(super) mean: f64,
--- a/crates/dispatcher/src/policy/request.rs
+++ b/crates/dispatcher/src/policy/request.rs
@@ -1,13 +1,13 @@
-//! Requests in progress and their attempts.
+//! State of the requests in progress and of their attempts.
 use crate::Action;
 use crate::Micros;
 use crate::RequestId;
 use arrayvec::ArrayVec;
 
-/// Attempts kept for one request; a site that allows more is held to this many.
+/// Maximum number of attempts of one request; a higher configured maximum is reduced to this.
 pub(super) const MAX_TRACKED_ATTEMPTS: usize = 8;
 
-/// When it was last known how much of an attempt was done, and that fraction.
+/// The last known progress of an attempt, and when it was reported.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProgressMark {
     pub(super) at: Micros,
@@ -19,26 +19,28 @@
 pub(super) struct Attempt {
     pub(super) worker: u32,
     pub(super) sent_at: Micros,
-    /// Local slots at the worker fitted when it was sent, so its time shows the worker's rate.
-    pub(super) fitted_slots: bool,
+    /// Whether this dispatcher's attempts at the worker fitted into its slots when this one was sent, so that
+    /// the response time reflects the worker's service rate.
+    pub(super) had_free_slots: bool,
     pub(super) progress: Option<ProgressMark>,
     pub(super) is_in_flight: bool,
     pub(super) never_ran: bool,
-    /// How long it was to take, in seconds, and whether it has taken far longer.
+    /// Estimated service time in seconds.
     pub(super) estimate: f64,
+    /// Whether the attempt has been counted as overdue.
     pub(super) is_overdue: bool,
 }
 
-/// A request that has its final response to come, or attempts in flight.
+/// A request that has not had its final response, or that has attempts in flight.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Request {
     pub(super) id: RequestId,
     pub(super) class: usize,
     pub(super) slots: f64,
-    /// The cost hint, or the usual time of its class, or 1.
+    /// Work in seconds on a standard core: the cost hint, or the typical service time of its class, or 1.
     pub(super) work: f64,
     pub(super) has_hint: bool,
-    /// When its full weight is lost, before the stretch.
+    /// The latency objective as an instant, without the latency stretch.
     pub(super) objective_at: Micros,
     pub(super) deadline: Micros,
     pub(super) is_finished: bool,
@@ -46,17 +48,17 @@
 }
 
 impl Request {
-    /// The first attempt that may have run, or is still in flight.
-    pub(super) fn first_that_may_have_run(&self) -> Option<&Attempt> {
+    /// Returns the first attempt that is in flight or may have run.
+    pub(super) fn first_possibly_run_attempt(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.is_in_flight || !attempt.never_ran)
     }
 
-    /// Whether an attempt in flight has started to run.
+    /// Returns whether an attempt in flight has started to run.
     pub(super) fn has_started(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.is_in_flight && attempt.progress.is_some())
     }
 
-    /// The actions that cancel the attempts in flight that are no longer wanted.
+    /// Returns the actions that cancel the attempts in flight for which `is_unwanted` holds.
     pub(super) fn cancellations(
         &self,
         is_unwanted: impl Fn(&Attempt) -> bool,
@@ -67,6 +69,7 @@
         numbered.filter(unwanted).map(move |(number, _)| cancel(number))
     }
 
+    /// Returns whether an attempt is in flight.
     pub(super) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -1,5 +1,5 @@
-//! Retries: whether a request may have another attempt, after all before it have completed or beside them,
-//! and whether it may be rejected rather than failed.
+//! Retries: decides whether a request may have another attempt, and whether its final response may be
+//! "rejected", which tells the client that a retry is safe.
 use super::request::Attempt;
 use super::request::MAX_TRACKED_ATTEMPTS;
 use super::request::Request;
@@ -9,38 +9,40 @@
 use crate::Micros;
 use crate::Settings;
 
-/// Attempts of a request while all are rejected; as many more as fewer are.
-const ATTEMPTS_WHILE_REJECTED: f64 = 1.5;
+/// Maximum number of attempts of a request, before rounding up, while workers reject all attempts; the
+/// maximum is inversely proportional to the rejection rate.
+const MAX_ATTEMPTS_WHILE_REJECTED: f64 = 1.5;
 
-/// What allows and forbids further attempts.
+/// The conditions for further attempts of a request.
 pub(super) struct RetryRules<'a> {
     pub(super) settings: &'a Settings,
-    /// The fraction of all attempts that workers reject.
+    /// Fraction of all attempts that workers reject.
     pub(super) rejection_rate: f64,
 }
 
 impl RetryRules<'_> {
-    /// The most attempts that a request may have now.
+    /// Returns the maximum number of attempts that a request may have at the current rejection rate.
     fn max_attempts(&self) -> usize {
         let max = (self.settings.max_attempts as usize).min(MAX_TRACKED_ATTEMPTS);
-        // A full fleet would be asked for the same request all over, at the price of its own work. While
-        // nothing is rejected, the quotient is infinite and the cast saturates.
-        max.min((ATTEMPTS_WHILE_REJECTED / self.rejection_rate).ceil() as usize)
+        // Retries at a full fleet would only add load. If nothing is rejected, the quotient is infinite and
+        // the cast saturates.
+        max.min((MAX_ATTEMPTS_WHILE_REJECTED / self.rejection_rate).ceil() as usize)
     }
 
-    /// Whether the request may have another attempt now.
+    /// Returns whether a request may have another attempt now.
     pub(super) fn may_retry(&self, now: Micros, request: &Request) -> bool {
         let must_wait = request.has_attempt_in_flight() && !self.settings.hedging_allowed;
         if request.attempts.len() >= self.max_attempts() || now >= request.deadline || must_wait {
             return false;
         }
-        // After the window the workers have forgotten the key and would run it again. It counts from the
-        // first attempt that may have run, and holds for when the retry is written, not decided on.
+        // After the window, workers have discarded the idempotency key and would run the request again. The
+        // window starts at the first attempt that may have run, and the retry must be written before it ends.
         let written_by = now.saturating_add(self.settings.connect_timeout).saturating_add(DISPATCH_SLACK);
         self.is_repeatable(request, |_, window, first| written_by < first.sent_at.saturating_add(window))
     }
 
-    /// Whether a request whose first attempt has not started may be hedged, or canceled there and moved.
+    /// Returns whether a request whose first attempt has not started may be hedged, or else be canceled there
+    /// and sent to another worker.
     pub(super) fn may_hedge_or_move(&self, now: Micros, request: &Request) -> bool {
         if self.settings.hedging_allowed {
             return self.may_retry(now, request);
@@ -50,17 +52,18 @@
             && request.attempts.len() < self.max_attempts()
     }
 
-    /// Whether the client may be told that it is safe to try again.
+    /// Returns whether a request may be rejected, which promises the client that a retry is safe.
     pub(super) fn may_reject(&self, request: &Request) -> bool {
         self.is_repeatable(request, |scope, _, _| scope == KeyScope::All)
     }
 
-    /// Whether the request may run again, after this rule where a keyed attempt may have run.
-    fn is_repeatable(&self, request: &Request, key: impl Fn(KeyScope, Micros, &Attempt) -> bool) -> bool {
-        match (self.settings.classes[request.class].idempotency, request.first_that_may_have_run()) {
+    /// Returns whether a request may run again. `is_safe` decides for a request with an idempotency key of which
+    /// an attempt may have run: it gets the scope, the window and the first such attempt.
+    fn is_repeatable(&self, request: &Request, is_safe: impl Fn(KeyScope, Micros, &Attempt) -> bool) -> bool {
+        match (self.settings.classes[request.class].idempotency, request.first_possibly_run_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::NonIdempotent, Some(_)) => false,
-            (Idempotency::IdempotentWithKey { scope, window }, Some(first)) => key(scope, window, first),
+            (Idempotency::IdempotentWithKey { scope, window }, Some(first)) => is_safe(scope, window, first),
         }
     }
 }
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -1,5 +1,8 @@
-//! Worker selection: the lowest ranked among the eligible workers. All that makes a worker be passed over is
-//! read here: its state, kind and key scope, its estimate, its failure rate, its slow-start budget.
+//! Worker selection: finds the eligible worker with the lowest rank for a request.
+//!
+//! A worker is eligible if it is ready, matches the request's worker kind and key scope and has had no
+//! attempt of the request. Its rank follows from the service-time estimate, the cross-zone cost, the affinity
+//! and the failure rates; a worker that is warming up must also have slow-start budget left.
 use super::affinity::AffinityRules;
 use super::estimates::EstimatedWorker;
 use super::estimates::TimeLimits;
@@ -20,38 +23,43 @@
 use crate::WorkerState;
 use crate::time::from_seconds;
 
-/// Workers compared for one request, from a random one on: more would cost more than they find.
+/// Maximum number of workers compared for one request, starting at a random one. Comparing more costs more
+/// time than the better choice saves.
 const MAX_WORKERS_COMPARED: usize = 200;
-/// Latency objectives that one whole request's weight is held equal to, for the cross-zone cost.
+/// Number of latency objectives that equal the full weight of a request, to convert the cross-zone cost into
+/// seconds.
 const OBJECTIVES_PER_WEIGHT: f64 = 3.0;
 
-/// Why a request is not sent now.
+/// The reason why a request is not sent, and when the client may retry.
 pub(super) struct NotAdmitted {
     pub(super) retry_after: Micros,
     pub(super) reason: Rejection,
-    /// The lowest ranked eligible worker, where the request would be late.
+    /// The lowest ranked eligible worker, if the request is rejected because it would be late there.
     pub(super) late_worker: Option<usize>,
 }
 
+/// An eligible worker and its rank for a request.
 #[derive(Clone, Copy)]
 struct Candidate {
     index: usize,
-    /// The lowest is selected. Those that would be late come last in a large fleet, where affinity alone
-    /// might put one first; then the weighted seconds count.
+    /// The candidate with the lowest rank is selected. The first part is true if the request would be late
+    /// there and the fleet is large, where the affinity alone could otherwise put such a worker first. The
+    /// second part is the weighted estimate in seconds.
     rank: (bool, f64),
+    /// Seconds by which the estimate exceeds the time left; negative if the request would be on time.
     excess_seconds: f64,
     is_warming_up: bool,
 }
 
-/// The workers that a request is bound to.
+/// Restricts a request to workers of a kind, zone or cell; `None` allows any.
 #[derive(Clone, Copy)]
-struct Binding {
+struct PlacementConstraint {
     kind: Option<u32>,
     zone: Option<u32>,
     cell: Option<u32>,
 }
 
-impl Binding {
+impl PlacementConstraint {
     fn allows(self, worker: &Worker) -> bool {
         self.kind.is_none_or(|kind| kind == worker.kind)
             && self.zone.is_none_or(|zone| zone == worker.zone)
@@ -59,16 +67,16 @@
     }
 }
 
-/// What a request brings to the comparison of workers.
-struct Comparison<'a> {
+/// Values of a request that are the same for all workers compared.
+struct SelectionContext<'a> {
     now: Micros,
     request: &'a Request,
-    binding: Option<Binding>,
+    constraint: Option<PlacementConstraint>,
     limits: TimeLimits,
     cross_zone_seconds: f64,
 }
 
-/// A view of what the selection goes by.
+/// References to the data that the selection of a worker needs.
 pub(super) struct WorkerSelector<'a> {
     pub(super) settings: &'a Settings,
     pub(super) workers: &'a mut WorkerTable,
@@ -76,14 +84,17 @@
     pub(super) outlier_detector: &'a OutlierDetector,
     pub(super) affinities: &'a AffinityRules,
     pub(super) slow_start: &'a SlowStartBudgets,
-    /// Mean work times slots of a request offered here.
+    /// Mean load of an offered request: its work times its slots, in slot-seconds on a standard core.
     pub(super) mean_request_load: f64,
     pub(super) rng: &'a mut fastrand::Rng,
 }
 
 impl WorkerSelector<'_> {
-    /// The lowest ranked eligible worker, if the request is admitted there; ties at random. Otherwise, when
-    /// to retry: the queue must first shrink by as much as the estimate exceeds the time left.
+    /// Selects the eligible worker with the lowest rank; ties are broken at random.
+    ///
+    /// # Errors
+    /// The request would be late there, or no worker is eligible. A late request may be retried after the
+    /// time by which the estimate exceeds the time left, since the queue must shrink by that much first.
     pub(super) fn select(mut self, now: Micros, request: &Request) -> Result<usize, NotAdmitted> {
         let no_worker = NotAdmitted {
             retry_after: REFRESH_INTERVAL,
@@ -99,7 +110,7 @@
     }
 
     fn lowest_ranked(&mut self, now: Micros, request: &Request) -> Option<Candidate> {
-        let comparison = self.comparison(now, request);
+        let context = self.context(now, request);
         let mut best: Option<Candidate> = None;
         let mut ties = 1;
         let mut compared = 0;
@@ -111,11 +122,11 @@
             }
             let index = (start + step) % count;
             let worker = &self.workers[index];
-            if !is_eligible(index, worker, &comparison) {
+            if !is_eligible(index, worker, &context) {
                 continue;
             }
             compared += 1;
-            let candidate = self.candidate(index, worker, &comparison);
+            let candidate = self.candidate(index, worker, &context);
             let is_lowest = match best {
                 None => !candidate.rank.1.is_nan(),
                 Some(best) => candidate.rank <= best.rank,
@@ -132,45 +143,48 @@
         best
     }
 
-    fn comparison<'r>(&self, now: Micros, request: &'r Request) -> Comparison<'r> {
+    fn context<'r>(&self, now: Micros, request: &'r Request) -> SelectionContext<'r> {
         let class = &self.settings.classes[request.class];
-        // The cross-zone cost is given as weight, and weight falls over the latency objective.
+        // The cross-zone cost is a loss of weight, and a request's weight falls over its latency objective.
         let objective = self.estimates.service_times.objective_seconds(class, request.work);
-        Comparison {
+        SelectionContext {
             now,
             request,
-            binding: self.binding(request, class),
+            constraint: self.constraint(request, class),
             limits: TimeLimits::new(now, request, class),
             cross_zone_seconds: OBJECTIVES_PER_WEIGHT * self.settings.cross_zone_cost * objective,
         }
     }
 
-    /// What binds a request: its class to a kind, and a keyed retry to the workers that drop a repeat. Most
-    /// requests are bound to nothing.
-    fn binding(&self, request: &Request, class: &RequestClass) -> Option<Binding> {
-        let first = request.first_that_may_have_run().map(|attempt| &self.workers[attempt.worker as usize]);
-        let mut binding = Binding { kind: class.worker_kind, zone: None, cell: None };
+    /// Returns the constraint on the workers of a request: the worker kind of its class and, for a retry with
+    /// an idempotency key, the zone or cell whose workers drop duplicates. `None` for most requests.
+    fn constraint(&self, request: &Request, class: &RequestClass) -> Option<PlacementConstraint> {
+        let first =
+            request.first_possibly_run_attempt().map(|attempt| &self.workers[attempt.worker as usize]);
+        let mut constraint = PlacementConstraint { kind: class.worker_kind, zone: None, cell: None };
         match class.idempotency {
             Idempotency::IdempotentWithKey { scope: KeyScope::Zone, .. } => {
-                binding.zone = first.map(|worker| worker.zone);
+                constraint.zone = first.map(|worker| worker.zone);
             }
             Idempotency::IdempotentWithKey { scope: KeyScope::Cell, .. } => {
-                binding.cell = first.map(|worker| worker.cell);
+                constraint.cell = first.map(|worker| worker.cell);
             }
             _ => {}
         }
-        let is_bound = binding.kind.is_some() || binding.zone.is_some() || binding.cell.is_some();
-        is_bound.then_some(binding)
+        let is_constrained =
+            constraint.kind.is_some() || constraint.zone.is_some() || constraint.cell.is_some();
+        is_constrained.then_some(constraint)
     }
 
-    fn candidate(&self, index: usize, worker: &Worker, comparison: &Comparison<'_>) -> Candidate {
-        let Comparison { now, request, limits, cross_zone_seconds, .. } = *comparison;
+    fn candidate(&self, index: usize, worker: &Worker, context: &SelectionContext<'_>) -> Candidate {
+        let SelectionContext { now, request, limits, cross_zone_seconds, .. } = *context;
         let is_warming_up = self.slow_start.is_warming_up(now, &worker.slow_start);
-        let at = EstimatedWorker { index, worker, is_warming_up };
-        let estimate = self.estimates.estimate(now, at, request);
+        let target = EstimatedWorker { index, worker, is_warming_up };
+        let estimate = self.estimates.estimate(now, target, request);
         let excess_seconds = estimate.seconds - limits.seconds_left(estimate.seconds_alone);
         let cross_zone = if worker.zone == self.settings.zone { 0.0 } else { cross_zone_seconds };
-        // Few dispatchers, each with a part, send to a worker that warms up: there no crowd can meet.
+        // Slow start limits the dispatchers that send to a worker that is warming up, so affinity is not
+        // needed to spread them.
         let affinity = if is_warming_up { 1.0 } else { self.affinities.rank_factor(worker.affinity) };
         let seconds = (estimate.seconds_for_ranking + cross_zone) * affinity
             / self.outlier_detector.expected_success_rate(&worker.failure_rates, worker.kind, request.class);
@@ -189,8 +203,8 @@
     }
 }
 
-fn is_eligible(index: usize, worker: &Worker, comparison: &Comparison<'_>) -> bool {
+fn is_eligible(index: usize, worker: &Worker, context: &SelectionContext<'_>) -> bool {
     worker.state == WorkerState::Ready
-        && comparison.binding.is_none_or(|binding| binding.allows(worker))
-        && !comparison.request.attempts.iter().any(|attempt| attempt.worker as usize == index)
+        && context.constraint.is_none_or(|constraint| constraint.allows(worker))
+        && !context.request.attempts.iter().any(|attempt| attempt.worker as usize == index)
 }
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -1,4 +1,4 @@
-//! Service-time estimates, and the rates and slots of workers that they rest on.
+//! Service-time estimates by processor sharing, and the learned service rates and slots that they use.
 use super::average::LogAverage;
 use super::average::move_average;
 use super::average::weighted_mean;
@@ -9,48 +9,54 @@
 use crate::RequestClass;
 use crate::time::to_seconds;
 
-/// Weight of one sample in a worker's rate: about the last ten count.
+/// Weight of one sample in a worker's service rate: about the last 10 samples contribute.
 const WORKER_RATE_GAIN: f64 = 0.1;
-/// A worker's own rate counts as much as its kind's after this many samples, as hints are noisy.
+/// Number of samples after which a worker's own service rate weighs as much as the rate of its kind. A few
+/// are needed because cost hints are noisy.
 const GROUP_PRIOR_WEIGHT: f64 = 3.0;
-/// A rate not refreshed for this many mean response times loses half its weight against the kind's.
-const RATE_HALF_LIFE_RESPONSES: f64 = 5.0;
-/// Bounds of a valid rate sample, in work a second: beyond them the hint or clock was absurd.
+/// Half-life of the weight of an idle worker's own service rate against the rate of its kind, in mean
+/// response times.
+const RATE_HALF_LIFE_RESPONSE_TIMES: f64 = 5.0;
+/// Lowest valid service-rate sample, in work per second; a lower one comes from a wrong cost hint or clock.
 const MIN_RATE: f64 = 1e-3;
+/// Highest valid service-rate sample, in work per second; a higher one comes from a wrong cost hint or clock.
 const MAX_RATE: f64 = 1e3;
-/// Slots of a worker before any report of its kind: small, so as not to pile requests up.
+/// Slots assumed of a worker before the first load report: low, so that requests do not queue up there.
 const INITIAL_SLOTS: f64 = 2.0;
-/// Slots of a kind that has not been reported, for the slow-start budget: the fewest that a worker can have.
+/// Slots assumed for the slow-start budget of a kind without load reports: the fewest that a worker can have.
 const MIN_SLOTS: f64 = 1.0;
-/// Weight of one report in a kind's slots when it shows more than is known; noise is up to a fifth.
+/// Weight of a load report that shows more slots than known for its kind; reports have a noise of up to 20 %.
 const SLOTS_RISE_GAIN: f64 = 0.6;
-/// Weight when it shows fewer, so that one noisy report does not stand for good.
+/// Weight of a load report that shows fewer slots than known for its kind: above 0, so that one report that
+/// was too high does not last forever.
 const SLOTS_FALL_GAIN: f64 = 0.002;
-/// The ranking counts the excess this many times: the time it costs the request itself and, about twice as
-/// much, those that wait behind it. At 1 all crowd onto the fast kind, at 5 they spread too thin. Eight days
-/// of a large fleet gave a sum of 4.78 at 1.5 and of 4.86 at 3 (`docs/large-fleet.md`).
+/// Weight of the excess over a worker's slots in the ranking: the delay of the request itself and, about
+/// twice as much, the delay that it causes for requests behind it. At 1 requests crowd onto the fastest
+/// worker kind, at 5 they are spread over too many workers.
 const QUEUEING_RANK_FACTOR: f64 = 3.0;
-/// Makes a hyperbola follow the mean of a normal figure's part above 0: both agree at a mean of 0, where it
-/// is 0.4 standard deviations, and far from it.
-const EXCESS_SPREAD: f64 = 0.64;
-/// Shortest valid response time: keeps its mean, by which is divided, above 0.
+/// Weight of the variance in the hyperbola that approximates the mean positive part of a normally distributed
+/// value. Both agree at a mean of 0, where they are 0.4 standard deviations, and far from it.
+const EXCESS_VARIANCE_WEIGHT: f64 = 0.64;
+/// Lower bound of a response-time sample, so that the mean, which is used as a divisor, stays above 0.
 const MIN_RESPONSE_TIME: Micros = 1_000;
-/// Mean response time before any response, in seconds.
+/// Mean response time assumed before the first response, in seconds.
 const INITIAL_RESPONSE_SECONDS: f64 = 1.0;
 
-/// How long a request would take at a worker; for the ranking, with what it costs those behind it.
+/// The estimated service time of a request at a worker.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceTimeEstimate {
-    /// With a slot to itself.
+    /// Time that the request takes with its slots to itself.
     pub(super) seconds_alone: f64,
+    /// Time that the request takes beside the other requests at the worker.
     pub(super) seconds: f64,
+    /// Time used to rank workers, which includes the delay of the requests behind this one.
     pub(super) seconds_for_ranking: f64,
 }
 
-/// Slots of a worker, and what is taken of them.
+/// Number of slots of a worker, and how many of them are in use.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkerOccupancy {
-    /// Slots that it has.
+    /// Slots that the worker has.
     pub(super) slots: f64,
     /// Slots of this dispatcher's attempts in flight.
     pub(super) local_slots: f64,
@@ -58,25 +64,26 @@
     pub(super) remote_slots: RemoteSlots,
 }
 
-/// Rates of workers, slots of kinds, usual times of requests.
+/// Estimates service times from the learned service rates, slots and response times.
 #[derive(Clone, Debug)]
 pub(super) struct ServiceTimeEstimator {
     kinds: Vec<GroupCapacity>,
     fleet: GroupCapacity,
     mean_response_seconds: f64,
-    /// Service times of requests without a hint.
+    /// Service times of requests without a cost hint.
     service_time_by_class: Vec<LogAverage>,
 }
 
-/// What is known of one worker's rate.
+/// The learned service rate of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WorkerRate {
+    /// Average of the worker's own samples.
     rate: LogAverage,
-    /// Work a second on one slot, as used in estimates.
+    /// Work per second on one slot, as used in estimates.
     service_rate: f64,
 }
 
-/// What is known of the workers of one kind, or of all.
+/// The learned capacity of the workers of one kind or of the whole fleet.
 #[derive(Clone, Copy, Debug, Default)]
 struct GroupCapacity {
     rate: LogAverage,
@@ -84,12 +91,13 @@
 }
 
 impl WorkerRate {
-    /// Forgets the rate of a worker that has started anew; the one in use stays until it is refreshed.
+    /// Discards the samples of a worker that has restarted; the service rate in use stays until the next
+    /// refresh.
     pub(super) fn reset(&mut self) {
         self.rate = LogAverage::default();
     }
 
-    /// Work a second on one slot.
+    /// Work per second on one slot, as used in estimates.
     pub(super) fn service_rate(&self) -> f64 {
         self.service_rate
     }
@@ -111,7 +119,7 @@
         }
     }
 
-    /// Makes room for so many kinds.
+    /// Resizes the tables for the given number of worker kinds.
     pub(super) fn resize(&mut self, kind_count: usize) {
         self.kinds.resize(kind_count, GroupCapacity::default());
     }
@@ -121,28 +129,31 @@
         self.mean_response_seconds
     }
 
-    /// Work of a request of this class without a hint: the usual time of its class, or 1.
-    pub(super) fn usual_work(&self, class: usize) -> f64 {
+    /// Expected work of a request of this class without a cost hint: the typical service time of such
+    /// requests, or 1 if none has been served.
+    pub(super) fn expected_work(&self, class: usize) -> f64 {
         self.service_time_by_class[class].log_mean.exp()
     }
 
-    /// Slots of a worker of this kind.
+    /// Number of slots of a worker of this kind, or the fleet's mean if the kind has no load report.
     pub(super) fn slots_of(&self, kind: u32) -> f64 {
         self.kinds[kind as usize].slots.or(self.fleet.slots).unwrap_or(INITIAL_SLOTS)
     }
 
-    /// Slots that a worker of this kind has at the least.
+    /// Number of slots that a worker of this kind has at least.
     pub(super) fn min_slots_of(&self, kind: u32) -> f64 {
         self.kinds[kind as usize].slots.unwrap_or(MIN_SLOTS)
     }
 
-    /// Mean slots of a worker of the fleet.
+    /// Mean number of slots of the fleet's workers.
     pub(super) fn fleet_slots(&self) -> f64 {
         self.fleet.slots.unwrap_or(INITIAL_SLOTS)
     }
 
-    /// Eq. (1). Where the paper knows all requests at a worker, a dispatcher knows its own and expects the
-    /// others'; the excess over the slots is a mean over what they may hold.
+    /// Estimates the service time of a request at a worker: equation (1) of the paper named in
+    /// [`policy`](crate::policy). The paper assumes that all requests at a worker are known. A dispatcher
+    /// knows its own and only the distribution of the others', so the excess over the slots is an expected
+    /// value.
     pub(super) fn estimate(
         &self,
         worker: &WorkerRate,
@@ -152,20 +163,24 @@
     ) -> ServiceTimeEstimate {
         let seconds_alone = work / worker.service_rate;
         let WorkerOccupancy { slots, local_slots, remote_slots } = occupancy;
-        let over = local_slots + request_slots + remote_slots.mean - slots;
-        let excess = 0.5 * (over + (over * over + EXCESS_SPREAD * remote_slots.variance).sqrt());
+        let mean_excess = local_slots + request_slots + remote_slots.mean - slots;
+        let excess = 0.5
+            * (mean_excess
+                + (mean_excess * mean_excess + EXCESS_VARIANCE_WEIGHT * remote_slots.variance).sqrt());
         let seconds = seconds_alone * (1.0 + excess / slots);
         let seconds_for_ranking = seconds_alone * (1.0 + QUEUEING_RANK_FACTOR * excess / slots);
         ServiceTimeEstimate { seconds_alone, seconds, seconds_for_ranking }
     }
 
-    /// The latency objective of a class for some work at the fleet's mean rate, in seconds.
+    /// Latency objective, in seconds, of a request of this class with this much work, which is taken to run
+    /// at the fleet's mean service rate.
     pub(super) fn objective_seconds(&self, class: &RequestClass, work: f64) -> f64 {
         let stretch_seconds = class.latency_stretch * work / self.fleet.rate.log_mean.exp();
         to_seconds(class.latency_objective) + stretch_seconds
     }
 
-    /// The rate in use: the worker's own samples, shrunk to its kind's, and that to the fleet's.
+    /// Updates the service rate in use: the average of the worker's own samples shrunk toward the rate of its
+    /// kind, which is itself shrunk toward the rate of the fleet.
     pub(super) fn refresh(&self, now: Micros, worker: &mut WorkerRate, kind: u32, is_idle: bool) {
         let fleet = self.fleet.rate;
         let kind = self.kinds[kind as usize].rate;
@@ -173,13 +188,13 @@
         let mut weight = worker.rate.samples;
         if is_idle {
             let idle = to_seconds(now.saturating_sub(worker.rate.updated_at));
-            weight *= 0.5_f64.powf(idle / (RATE_HALF_LIFE_RESPONSES * self.mean_response_seconds));
+            weight *= 0.5_f64.powf(idle / (RATE_HALF_LIFE_RESPONSE_TIMES * self.mean_response_seconds));
         }
         let log_rate = weighted_mean(worker.rate.log_mean, weight, group, GROUP_PRIOR_WEIGHT);
         worker.service_rate = log_rate.exp();
     }
 
-    /// Learns that a worker did so much work in so many seconds.
+    /// Learns from a worker that did this much work in this many seconds; an invalid rate is ignored.
     pub(super) fn learn_rate(
         &mut self,
         now: Micros,
@@ -200,26 +215,26 @@
         self.refresh(now, worker, kind, is_idle);
     }
 
-    /// Learns how long a served request took from its sending.
+    /// Learns the response time of a served request, measured from the sending of its attempt.
     pub(super) fn learn_response_time(&mut self, elapsed: Micros) {
         let response_time = to_seconds(elapsed.max(MIN_RESPONSE_TIME));
         move_average(&mut self.mean_response_seconds, response_time, GROUP_GAIN);
     }
 
-    /// Learns the service time of a request without a hint. At a work of 1 for all classes, a worker's rate
-    /// would show its mix of classes.
+    /// Learns the service time of a request without a cost hint. If the work were 1 for all classes, a
+    /// worker's service rate would reflect its mix of classes.
     pub(super) fn learn_class_time(&mut self, now: Micros, class: usize, seconds: f64) {
         self.service_time_by_class[class].add(seconds.ln(), GROUP_GAIN, now);
     }
 
-    /// Learns the slots of a kind from one worker's report.
+    /// Learns the slots of a worker kind from the load report of one worker.
     pub(super) fn learn_slots(&mut self, kind: u32, reported: f64) {
-        // From one slot at the least: a first report of none free must not divide by zero.
+        // Starts at one slot or more, so that a first report without free slots causes no division by zero.
         let slots = self.kinds[kind as usize].slots.get_or_insert(reported.max(MIN_SLOTS));
         *slots += (reported - *slots) * if reported > *slots { SLOTS_RISE_GAIN } else { SLOTS_FALL_GAIN };
     }
 
-    /// Learns the mean slots of the fleet from those of a worker that reported.
+    /// Learns the fleet's mean number of slots from the slots of a worker that sent a load report.
     pub(super) fn learn_fleet_slots(&mut self, slots: f64) {
         move_average(self.fleet.slots.get_or_insert(slots), slots, SLOW_GAIN);
     }
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -1,4 +1,4 @@
-//! The workers as discovery lists them, and this dispatcher's attempts there.
+//! The table of all workers, with their endpoint data and the state that policy modules keep for each.
 use super::affinity::Affinity;
 use super::load_reports::ReportedLoad;
 use super::local_load::LocalLoad;
@@ -8,14 +8,17 @@
 use crate::Endpoint;
 use crate::WorkerState;
 
-/// Ids are given out densely; one this far beyond the last would only ask for memory.
+/// Largest accepted gap between a new worker id and the end of the table. Ids are assigned densely; a larger
+/// gap would only waste memory.
 const MAX_WORKER_ID_GAP: usize = 100_000;
-/// Kinds and zones are numbered densely too; a number beyond this would only ask for memory.
-const MAX_GROUPS: usize = 10_000;
-
-/// What is known of a worker. What is learned of it belongs to the parts that learn it, and only they look
-/// in. It lies here so that a comparison of workers reads one place for each: with a vector in each part a
-/// decision among 10 workers took 7 %, among 1,000 workers 13 to 18 % more instructions.
+/// Largest accepted number of a worker kind or zone. Both are numbered densely; a larger number would only
+/// waste memory.
+const MAX_KIND_OR_ZONE: usize = 10_000;
+
+/// The data of one worker. Learned state belongs to the policy module that learns it, which alone reads its
+/// fields. It is stored here rather than in a vector of each module so that comparing workers reads one place
+/// in memory for each worker: separate vectors took 7 % more instructions per decision among 10 workers, and
+/// 13 to 18 % more among 1,000.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Worker {
     pub(super) state: WorkerState,
@@ -30,7 +33,7 @@
     pub(super) affinity: Affinity,
 }
 
-/// How many workers, kinds and zones there are room for: of each, one more than the highest number seen.
+/// Numbers of workers, worker kinds and zones that the tables hold: for each, the highest number seen plus 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct TableSize {
     pub(super) workers: usize,
@@ -38,7 +41,7 @@
     pub(super) zones: usize,
 }
 
-/// All workers ever listed, by their numbers.
+/// All workers ever listed, indexed by worker id.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WorkerTable {
     workers: Vec<Worker>,
@@ -74,18 +77,21 @@
         self.workers.iter().filter(|worker| worker.state == WorkerState::Ready).count()
     }
 
-    /// Takes all workers from the list, before it is read anew.
+    /// Marks all workers as removed, before a full endpoint list is applied.
     pub(super) fn remove_all(&mut self) {
         self.workers.iter_mut().for_each(|worker| worker.state = WorkerState::Removed);
     }
 
-    /// Takes an endpoint as listed; one with an absurd number is ignored. Its worker's number, and whether
-    /// the table has grown.
+    /// Updates a worker from its endpoint, adding it if it is new. Returns `None`, and changes nothing, if
+    /// the id, kind or zone is implausibly large.
     pub(super) fn apply(&mut self, endpoint: &Endpoint) -> Option<AppliedEndpoint> {
         let index = endpoint.worker.0 as usize;
         let kind = endpoint.kind as usize;
         let zone = endpoint.zone as usize;
-        if index > self.workers.len() + MAX_WORKER_ID_GAP || kind > MAX_GROUPS || zone > MAX_GROUPS {
+        if index > self.workers.len() + MAX_WORKER_ID_GAP
+            || kind > MAX_KIND_OR_ZONE
+            || zone > MAX_KIND_OR_ZONE
+        {
             return None;
         }
         let size_before = self.size;
@@ -102,12 +108,12 @@
     }
 }
 
-/// What applying an endpoint did.
+/// The result of applying an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AppliedEndpoint {
-    /// The worker's number.
+    /// Index of the worker.
     pub(super) index: usize,
-    /// There are more workers, kinds or zones than before.
+    /// Whether the number of workers, worker kinds or zones has grown.
     pub(super) has_grown: bool,
 }
 
--- a/crates/dispatcher/src/requests.rs
+++ b/crates/dispatcher/src/requests.rs
@@ -1,51 +1,53 @@
-//! Requests, their classes and their tenants.
+//! Incoming requests, request classes and tenants.
 use crate::time::{Micros, SECOND};
 
-/// A client's request, by a number that the caller never uses twice.
+/// Identifies a client's request. The caller never uses an id twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct RequestId(pub u64);
 
-/// Whether an attempt of a request may be repeated.
+/// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to run any number of times.
+    /// The request may be run any number of times.
     Idempotent,
-    /// Carries a key: workers of one group drop a repeat within `window` of the first send.
+    /// The request carries an idempotency key: the workers within `scope` drop a duplicate that arrives
+    /// within `window` after the first attempt was sent.
     IdempotentWithKey {
-        /// The group within which repeats are dropped.
+        /// The group of workers that drops duplicates.
         scope: KeyScope,
-        /// For how long they are dropped.
+        /// How long duplicates are dropped.
         window: Micros,
     },
-    /// Must never run twice.
+    /// The request must not be run twice.
     NonIdempotent,
 }
 
-/// Which workers share the memory of idempotency keys.
+/// The group of workers that shares a store of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All workers.
+    /// All workers share one store.
     All,
-    /// Workers of one zone.
+    /// The workers of a zone share one store.
     Zone,
-    /// Workers of one cell.
+    /// The workers of a cell share one store.
     Cell,
 }
 
-/// A class of requests.
+/// A request class: the service level and the constraints of its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// A response within this time plus the stretch earns the full weight.
+    /// Response time up to which a request earns its full weight, without the latency stretch.
     pub latency_objective: Micros,
-    /// The latency objective grows by this many times the request's own running time.
+    /// Multiple of a request's own running time by which its latency objective is extended.
     pub latency_stretch: f64,
-    /// The client gives up after this time, over all its own retries.
+    /// Time after which the client gives up, including all its own retries.
     pub deadline: Micros,
-    /// What one request, or one unit of its work, counts for.
+    /// Weight of one request, or of one unit of its work if
+    /// [`Settings::weight_by_work`](crate::Settings::weight_by_work) is set.
     pub priority_weight: f64,
-    /// Whether attempts may be repeated.
+    /// Whether a request of this class may be run more than once.
     pub idempotency: Idempotency,
-    /// The one kind of worker that runs it, if it is bound to one.
+    /// The worker kind that must run requests of this class; `None` allows any.
     pub worker_kind: Option<u32>,
 }
 
@@ -62,27 +64,27 @@
     }
 }
 
-/// A tenant's quota.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Tenant {
-    /// Requests a second over all dispatchers that count in full.
+    /// Requests per second over all dispatchers that get their full weight; 0 means no quota.
     pub quota_per_second: f64,
 }
 
 /// A client's request as it arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IncomingRequest {
-    /// Its id.
+    /// Id of the request.
     pub request: RequestId,
-    /// Its class, by index.
+    /// Index of the request class.
     pub class: u32,
-    /// Its tenant, by index.
+    /// Index of the tenant.
     pub tenant: u32,
-    /// The slots it takes while it runs; absent is 1.
+    /// Number of slots that the request occupies while it runs; 1 if absent.
     pub slots: Option<f64>,
-    /// The hint of its running time on a standard core, in seconds.
+    /// Cost hint: the expected running time on a standard core, in seconds.
     pub cost_hint: Option<f64>,
-    /// How long until the client stops waiting.
+    /// Time until the client stops waiting.
     pub time_left: Micros,
 }
 
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -1,63 +1,66 @@
-//! The settings of a dispatcher and what is wrong with them.
+//! The settings of a dispatcher and their validation.
 use crate::requests::{RequestClass, Tenant};
 use crate::time::{Micros, SECOND};
 
 /// How endpoint updates reach a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// They come by themselves.
+    /// Discovery sends updates without a subscription.
     Pushed,
-    /// They come only after a subscription.
+    /// Discovery sends updates only in answer to a poll and while the subscription that it starts lasts.
     Polled,
 }
 
-/// What a dispatcher is configured with at its start.
+/// The settings of a dispatcher, fixed at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many dispatchers share the workers, this one included.
+    /// Number of dispatchers that share the workers, including this one.
     pub fleet_size: u32,
-    /// This dispatcher's number among them, from 0, where it has one.
+    /// Index of this dispatcher within the fleet of dispatchers, from 0, if it has one.
     pub instance_index: Option<u32>,
-    /// This dispatcher's zone.
+    /// Zone of this dispatcher.
     pub zone: u32,
-    /// The request classes, by index.
+    /// Request classes, in the order of their indices; at least one.
     pub classes: Vec<RequestClass>,
-    /// The tenants, by index; may be empty.
+    /// Tenants, in the order of their indices; may be empty.
     pub tenants: Vec<Tenant>,
-    /// What a request over its tenant's quota counts for, as a part of its class's weight.
+    /// Weight of a request over its tenant's quota, as a fraction (0 to 1) of its class's priority weight.
     pub over_quota_weight: f64,
-    /// The priority weight counts for each unit of work, not for each request.
+    /// Whether the priority weight applies to each unit of work instead of each request.
     pub weight_by_work: bool,
-    /// How endpoint updates arrive.
+    /// How endpoint updates reach this dispatcher.
     pub discovery: Discovery,
-    /// A dispatcher that is not subscribed and has not polled for this long counts as notified of the
-    /// endpoints of then.
+    /// Upper limit for the time between polls: a dispatcher without a subscription that has not polled for
+    /// this long counts as notified of the endpoints at that time.
     pub poll_within: Micros,
-    /// A worker starts at this fraction of its capacity or more.
+    /// Least fraction of its capacity that a worker has at its start, above 0 and up to 1.
     pub slow_start_initial_capacity: f64,
-    /// It has its full capacity after this long at most.
+    /// Longest time from a worker's start to its full capacity.
     pub slow_start_duration: Micros,
-    /// Sent more than this many times its present capacity ...
+    /// Multiple of its current capacity above which the work sent to a worker that is warming up overloads
+    /// it.
     pub overload_multiple: f64,
-    /// ... for this long, a worker that is warming up is overloaded.
+    /// Time window over which the work sent to a worker that is warming up is compared with its capacity.
     pub overload_window: Micros,
-    /// A connection that is not up within this has failed: an attempt may be written so much later.
+    /// Time limit for establishing a connection; the request of an attempt may be written this much later
+    /// than it was dispatched.
     pub connect_timeout: Micros,
-    /// The most attempts one request may have.
+    /// Maximum number of attempts of one request; at least 1.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging_allowed: bool,
-    /// An attempt may be canceled.
+    /// Whether attempts may be canceled.
     pub cancellation_allowed: bool,
-    /// Workers report when a request starts to run.
+    /// Whether workers report when a request starts to run.
     pub reports_job_start: bool,
-    /// Workers report their load only when they are queried, and load queries are allowed.
+    /// Whether workers report their load only in answer to load queries, which are then sent.
     pub load_by_query: bool,
-    /// Price of a load query, as weight lost for each request.
+    /// Cost of a load query, as a fraction of a request's weight.
     pub load_query_cost: f64,
-    /// Price of sending an attempt to another zone, as weight lost for each request.
+    /// Cost of sending an attempt to another zone, as a fraction of a request's weight.
     pub cross_zone_cost: f64,
-    /// A listed size is the worker's own, divided by 1 and the requests it held a core some time before.
+    /// Whether listed sizes reflect the load: the worker's size divided by 1 plus the number of requests per
+    /// core that it held shortly before.
     pub sizes_reflect_load: bool,
 }
 
@@ -91,10 +94,10 @@
 }
 
 impl Settings {
-    /// Whether a dispatcher can work by them.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// The first figure that makes no sense.
+    /// The first problem found.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClass);
@@ -129,27 +132,27 @@
     }
 }
 
-/// Why a dispatcher could not be made from its settings. A figure that is no number counts as out of range.
+/// The reason why settings are invalid. NaN counts as out of range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// There is no request class.
+    /// [`Settings::classes`] is empty.
     NoClass,
-    /// The fleet has no dispatcher.
+    /// [`Settings::fleet_size`] is 0.
     NoDispatcher,
-    /// A request may have no attempt.
+    /// [`Settings::max_attempts`] is 0.
     NoAttempt,
-    /// [`Settings::slow_start_initial_capacity`] is not above 0 and up to 1.
+    /// [`Settings::slow_start_initial_capacity`] is not above 0 and at most 1.
     InitialCapacityOutOfRange,
-    /// [`Settings::overload_multiple`] is not above 0.
+    /// [`Settings::overload_multiple`] is not positive and finite.
     OverloadMultipleNotPositive,
     /// [`Settings::over_quota_weight`] is not between 0 and 1.
     OverQuotaWeightOutOfRange,
-    /// [`Settings::load_query_cost`] is negative.
+    /// [`Settings::load_query_cost`] is negative or not finite.
     LoadQueryCostNegative,
-    /// A class's [`RequestClass::latency_stretch`] is negative.
+    /// The [`RequestClass::latency_stretch`] of a class is negative or not finite.
     LatencyStretchNegative,
-    /// A class's [`RequestClass::priority_weight`] is negative.
+    /// The [`RequestClass::priority_weight`] of a class is negative or not finite.
     PriorityWeightNegative,
 }
 
--- a/crates/dispatcher/src/time.rs
+++ b/crates/dispatcher/src/time.rs
@@ -1,18 +1,18 @@
-//! Time as the policy counts it: whole microseconds. An instant counts from any fixed start; spans are
+//! Time in whole microseconds. Instants count from an arbitrary fixed origin; durations are their
 //! differences.
 
-/// Microseconds: an instant on the caller's clock, or a span.
+/// A number of microseconds: an instant on the caller's clock, or a duration.
 pub type Micros = u64;
 
-/// One second.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
 
-/// A span in seconds.
-pub(crate) fn to_seconds(span: Micros) -> f64 {
-    span as f64 / SECOND as f64
+/// Converts microseconds to seconds.
+pub(crate) fn to_seconds(duration: Micros) -> f64 {
+    duration as f64 / SECOND as f64
 }
 
-/// The span of some seconds; figures out of range saturate, NaN is 0.
+/// Converts seconds to microseconds. Values out of range saturate; NaN becomes 0.
 pub(crate) fn from_seconds(seconds: f64) -> Micros {
     (seconds * SECOND as f64) as Micros
 }
--- a/crates/dispatcher/tests/unit/admission.rs
+++ b/crates/dispatcher/tests/unit/admission.rs
@@ -14,7 +14,8 @@
     Request { class, work: 1.0, slots: 1.0, ..Request::default() }
 }
 
-/// How many of a thousand requests of each class are shed, offered in turn.
+/// Offers 1,000 requests for each tenant in `tenants`, with alternating classes, and counts how many are shed
+/// for each.
 fn shed_counts(fleet: FleetLoad, settings: &Settings, tenants: &[usize]) -> Vec<u32> {
     let mut controller = AdmissionController::new(settings.tenants.len());
     let mut rng = fastrand::Rng::with_seed(1);
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn nothing_is_shed_up_to_the_threshold_which_is_higher_for_workers_of_few_slots() {
+fn nothing_is_shed_up_to_the_threshold_which_is_higher_for_workers_with_few_slots() {
     let settings = settings(&[1.0, 9.0]);
     let at_threshold = FleetLoad { utilization: 0.9 + 0.25, ..IDLE };
     assert_eq!(shed_counts(at_threshold, &settings, &[0, 0]), [0, 0]);
@@ -42,14 +43,14 @@
 }
 
 #[test]
-fn those_of_least_weight_are_shed_first() {
+fn requests_with_the_least_weight_are_shed_first() {
     let mild = FleetLoad { utilization: 0.9 + 0.25 + 0.3, ..IDLE };
     let counts = shed_counts(mild, &settings(&[1.0, 9.0]), &[0, 0]);
     assert!(counts[0] > 500 && counts[1] < 100, "{counts:?}");
 }
 
 #[test]
-fn at_most_the_maximum_fraction_is_shed() {
+fn at_most_the_maximum_fraction_of_the_work_is_shed() {
     let endless = FleetLoad { utilization: 1e6, ..IDLE };
     let counts = shed_counts(endless, &settings(&[1.0, 9.0]), &[0, 0]);
     let all: u32 = counts.iter().sum();
@@ -57,18 +58,18 @@
 }
 
 #[test]
-fn a_tenant_over_its_quota_is_shed_before_one_within_it() {
+fn requests_of_a_tenant_over_its_quota_are_shed_first() {
     let tenants = vec![Tenant { quota_per_second: 10.0 }, Tenant { quota_per_second: 1_000.0 }];
     let settings = Settings { tenants, over_quota_weight: 0.1, ..settings(&[1.0]) };
     let mild = FleetLoad { utilization: 0.9 + 0.25 + 0.3, ..IDLE };
     let counts = shed_counts(mild, &settings, &[0, 1]);
     assert!(counts[0] > 2 * counts[1], "{counts:?}");
     let unknown_tenant = shed_counts(IDLE, &settings, &[7]);
-    assert_eq!(unknown_tenant, [0], "a tenant that the settings do not name has no quota");
+    assert_eq!(unknown_tenant, [0], "a tenant that is not in the settings has no quota");
 }
 
 #[test]
-fn the_price_does_not_shed_the_first_request() {
+fn the_first_request_is_not_shed() {
     let settings = settings(&[1.0]);
     let mut controller = AdmissionController::new(0);
     let mut rng = fastrand::Rng::with_seed(1);
@@ -76,18 +77,21 @@
 }
 
 #[test]
-fn an_attempt_is_due_after_seven_rejections_over_two_seconds() {
+fn an_attempt_must_follow_seven_rejections_over_two_seconds() {
     let mut controller = AdmissionController::new(0);
     let reject = |controller: &mut AdmissionController, times: &[Micros]| {
         times.iter().for_each(|&at| controller.record_rejection(at));
     };
     reject(&mut controller, &[SECOND; 6]);
-    assert!(!controller.must_attempt(100 * SECOND), "six are too few");
+    assert!(!controller.must_attempt(100 * SECOND), "six rejections are too few");
     reject(&mut controller, &[SECOND]);
-    assert!(!controller.must_attempt(3 * SECOND - 1), "too soon");
+    assert!(!controller.must_attempt(3 * SECOND - 1), "the streak has not lasted long enough");
     assert!(controller.must_attempt(3 * SECOND));
     controller.record_attempt();
     assert!(!controller.must_attempt(3 * SECOND));
     reject(&mut controller, &[50 * SECOND; 7]);
-    assert!(!controller.must_attempt(51 * SECOND), "the span counts from the first of the new streak");
+    assert!(
+        !controller.must_attempt(51 * SECOND),
+        "the duration is measured from the first rejection of the new streak"
+    );
 }
--- a/crates/dispatcher/tests/unit/affinity.rs
+++ b/crates/dispatcher/tests/unit/affinity.rs
@@ -1,7 +1,7 @@
 use super::{Affinity, AffinityRules};
 
 #[test]
-fn a_small_fleet_prefers_no_worker_and_draws_nothing() {
+fn a_small_fleet_has_neutral_affinities_and_draws_no_random_number() {
     let mut rules = AffinityRules::new(15);
     let mut rng = fastrand::Rng::with_seed(1);
     let drawn = rules.draw(&mut rng);
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_large_fleet_draws_once_for_a_worker() {
+fn a_large_fleet_draws_one_random_number_for_each_worker() {
     let rules = AffinityRules::new(16);
     let mut rng = fastrand::Rng::with_seed(1);
     assert_ne!(rules.draw(&mut rng), Affinity::default());
@@ -21,25 +21,25 @@
 }
 
 #[test]
-fn before_it_is_drawn_no_worker_is_preferred() {
+fn an_affinity_that_has_not_been_drawn_is_neutral() {
     assert_eq!(AffinityRules::new(16).rank_factor(Affinity::default()), 1.0);
 }
 
 #[test]
-fn the_lowest_of_many_ready_workers_is_about_one() {
+fn the_lowest_rank_factor_of_many_ready_workers_is_about_one() {
     for count in [10, 1_000] {
         let mut rules = AffinityRules::new(100);
         let mut rng = fastrand::Rng::with_seed(7);
         let drawn: Vec<_> = (0..count).map(|_| rules.draw(&mut rng)).collect();
         rules.set_ready_workers(count);
         let factors = drawn.into_iter().map(|affinity| rules.rank_factor(affinity));
-        let lowest = factors.min_by(f64::total_cmp).expect("there are workers");
+        let lowest = factors.min_by(f64::total_cmp).expect("at least one worker has a rank factor");
         assert!((0.4..=1.6).contains(&lowest), "{count}: {lowest}");
     }
 }
 
 #[test]
-fn with_no_worker_ready_the_factor_stays_finite() {
+fn the_rank_factor_is_finite_without_ready_workers() {
     let mut rules = AffinityRules::new(100);
     rules.set_ready_workers(0);
     assert_eq!(rules.rank_factor(Affinity::default()), 1.0);
--- a/crates/dispatcher/tests/unit/average.rs
+++ b/crates/dispatcher/tests/unit/average.rs
@@ -2,7 +2,7 @@
 use crate::SECOND;
 
 #[test]
-fn an_average_moves_by_the_sample_s_weight() {
+fn a_moving_average_changes_by_the_weight_of_the_sample() {
     let mut average = 1.0;
     move_average(&mut average, 3.0, 0.25);
     assert_eq!(average, 1.5);
@@ -10,19 +10,19 @@
 }
 
 #[test]
-fn the_first_samples_of_a_log_average_count_alike() {
+fn the_first_samples_of_a_log_average_have_equal_weights() {
     let mut average = LogAverage::default();
     for (sample, mean) in [(4.0, 4.0), (2.0, 3.0), (0.0, 2.0), (6.0, 3.0)] {
         average.add(sample, 0.25, SECOND);
         assert!((average.log_mean - mean).abs() < 1e-12, "{mean}");
     }
     average.add(7.0, 0.25, 2 * SECOND);
-    assert!((average.log_mean - 4.0).abs() < 1e-12, "from the fifth on by a quarter");
+    assert!((average.log_mean - 4.0).abs() < 1e-12, "from the fifth sample on, the weight is 1/4");
     assert_eq!((average.samples, average.updated_at), (4.0, 2 * SECOND));
 }
 
 #[test]
-fn a_ratio_is_bounded_both_ways() {
+fn a_ratio_is_bounded_in_both_directions() {
     let mut ratio = AverageRatio::starting_at(0.5);
     assert_eq!(ratio.ratio(5.0), 1.0);
     ratio.add(0.0, 0.5, 1.0);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_event_rate_fades_over_its_window() {
+fn an_event_rate_decays_with_its_window_as_time_constant() {
     let mut rate = EventRate::default();
     assert_eq!(rate.add_event(0, 2.0), 0.5);
     assert_eq!(rate.add_event(0, 2.0), 1.0);
@@ -41,12 +41,12 @@
 }
 
 #[test]
-fn an_amount_counts_for_a_window_from_the_end_of_its_step() {
+fn an_amount_counts_until_one_window_after_the_end_of_its_step() {
     let mut sum = SlidingWindowSum::default();
     sum.add(SECOND, 8 * SECOND, 8, 2.0);
     sum.add(SECOND + 1, 8 * SECOND, 8, 3.0);
     assert_eq!(sum.sum_after(10 * SECOND - 1), 5.0);
     assert_eq!(sum.sum_after(10 * SECOND), 0.0);
     sum.add(10 * SECOND, 8 * SECOND, 8, 1.0);
-    assert_eq!(sum.sum_after(0), 1.0, "what has expired is forgotten");
+    assert_eq!(sum.sum_after(0), 1.0, "expired amounts have been discarded");
 }
--- a/crates/dispatcher/tests/unit/endpoint_subscription.rs
+++ b/crates/dispatcher/tests/unit/endpoint_subscription.rs
@@ -6,22 +6,22 @@
 }
 
 #[test]
-fn pushed_lists_are_never_polled() {
+fn discovery_is_not_polled_if_updates_are_pushed() {
     let mut subscription = EndpointSubscription::default();
     let mut rng = fastrand::Rng::with_seed(1);
     let settings = Settings::default();
     assert_eq!(subscription.start(&settings, &mut rng), None);
     assert_eq!(subscription.record_failure(&settings, &mut rng), None);
     assert!(subscription.record_update(EndpointUpdateKind::Full, 1));
-    assert!(subscription.needs_poll(), "what comes by itself is no subscription");
+    assert!(subscription.needs_poll(), "a pushed update does not start a subscription");
 }
 
 #[test]
-fn the_first_poll_is_spread_by_the_size_of_the_fleet_up_to_half_the_polling_time() {
+fn the_first_poll_delay_grows_with_the_fleet_up_to_half_the_poll_limit() {
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let first = |settings: &Settings, rng: &mut fastrand::Rng| {
-            EndpointSubscription::default().start(settings, rng).expect("lists are polled")
+            EndpointSubscription::default().start(settings, rng).expect("the first poll is scheduled")
         };
         assert!(first(&polled(1), &mut rng) <= 150_000);
         assert!(first(&polled(1_000), &mut rng) <= 3 * SECOND);
@@ -31,11 +31,11 @@
 }
 
 #[test]
-fn the_backoff_doubles_up_to_its_maximum_and_begins_anew_after_an_answer() {
+fn the_backoff_doubles_up_to_its_maximum_and_restarts_after_a_successful_poll() {
     let mut subscription = EndpointSubscription::default();
     let mut rng = fastrand::Rng::with_seed(1);
     let mut fail = |subscription: &mut EndpointSubscription| {
-        subscription.record_failure(&polled(1), &mut rng).expect("lists are polled")
+        subscription.record_failure(&polled(1), &mut rng).expect("the next poll is scheduled")
     };
     let first = fail(&mut subscription);
     assert!((SECOND / 2..=SECOND).contains(&first), "{first}");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_cached_list_is_no_answer_to_a_poll() {
+fn a_cached_list_does_not_answer_a_poll() {
     let mut subscription = EndpointSubscription::default();
     subscription.start(&polled(1), &mut fastrand::Rng::with_seed(1));
     assert!(subscription.record_update(EndpointUpdateKind::Cached, 7));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_older_version_answers_the_poll_and_is_not_applied() {
+fn an_older_version_answers_the_poll_but_is_not_applied() {
     let mut subscription = EndpointSubscription::default();
     subscription.start(&polled(1), &mut fastrand::Rng::with_seed(1));
     assert!(subscription.record_update(EndpointUpdateKind::Cached, 7));
--- a/crates/dispatcher/tests/unit/estimates.rs
+++ b/crates/dispatcher/tests/unit/estimates.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_objective_grows_with_the_request_s_own_time_up_to_the_deadline() {
+fn the_objective_grows_with_the_running_time_of_the_request_up_to_the_deadline() {
     let class = RequestClass { latency_stretch: 2.0, ..RequestClass::default() };
     let limits = TimeLimits::new(10 * SECOND, &request(), &class);
     assert_eq!([0.0, 3.0, 4.0, 5.0].map(|alone| limits.seconds_left(alone)), [2.0, 8.0, 10.0, 10.0]);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_list_counts_for_workers_that_warm_up_alone() {
+fn the_listed_load_is_used_only_for_workers_that_are_warming_up() {
     let mut service_times = ServiceTimeEstimator::new(1);
     service_times.resize(1);
     let mut worker = Worker::default();
@@ -42,7 +42,7 @@
         let at = EstimatedWorker { index, worker: &worker, is_warming_up };
         estimates.estimate(SECOND, at, &request()).seconds
     };
-    // Seven times two slots are taken by the list.
+    // By its listed size, 7 times its 2 slots are in use.
     assert!(seconds(1, true) > 4.0 * seconds(1, false));
-    assert_eq!(seconds(0, true), seconds(0, false), "it has not been listed as ready");
+    assert_eq!(seconds(0, true), seconds(0, false), "no listed load was recorded for this worker");
 }
--- a/crates/dispatcher/tests/unit/figures.rs
+++ b/crates/dispatcher/tests/unit/figures.rs
@@ -1,11 +1,11 @@
-use super::{MAX_FIGURE, validated};
+use super::{MAX_VALID_VALUE, validated};
 
 #[test]
-fn only_finite_figures_above_zero_and_up_to_the_maximum_are_taken() {
-    assert_eq!(validated(Some(MAX_FIGURE), MAX_FIGURE), Some(MAX_FIGURE));
-    assert_eq!(validated(Some(f64::MIN_POSITIVE), MAX_FIGURE), Some(f64::MIN_POSITIVE));
-    for absurd in [0.0, -1.0, 1.1e4, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-        assert_eq!(validated(Some(absurd), MAX_FIGURE), None, "{absurd}");
+fn only_finite_values_above_zero_and_up_to_the_maximum_are_valid() {
+    assert_eq!(validated(Some(MAX_VALID_VALUE), MAX_VALID_VALUE), Some(MAX_VALID_VALUE));
+    assert_eq!(validated(Some(f64::MIN_POSITIVE), MAX_VALID_VALUE), Some(f64::MIN_POSITIVE));
+    for invalid in [0.0, -1.0, 1.1e4, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
+        assert_eq!(validated(Some(invalid), MAX_VALID_VALUE), None, "{invalid}");
     }
-    assert_eq!(validated(None, MAX_FIGURE), None);
+    assert_eq!(validated(None, MAX_VALID_VALUE), None);
 }
--- a/crates/dispatcher/tests/unit/hedging.rs
+++ b/crates/dispatcher/tests/unit/hedging.rs
@@ -2,7 +2,7 @@
 use crate::SECOND;
 
 #[test]
-fn a_hedge_check_waits_a_part_of_the_slack_but_never_less_than_its_minimum() {
+fn the_hedge_delay_is_a_fraction_of_the_slack_and_at_least_its_minimum() {
     assert_eq!(hedge_delay(1.0), 6 * SECOND / 10);
     assert_eq!(hedge_delay(0.0), MIN_HEDGE_DELAY);
     assert_eq!(hedge_delay(-5.0), MIN_HEDGE_DELAY);
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn one_hedge_is_there_at_the_start_and_the_next_after_thirty_four_requests() {
+fn one_hedge_is_available_initially_and_the_next_after_34_requests() {
     let mut budget = HedgeBudget::default();
     assert!(budget.has_hedge());
     budget.spend();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn at_most_three_hedges_are_saved_up() {
+fn the_budget_holds_at_most_three_hedges() {
     let mut budget = HedgeBudget::default();
     for _ in 0..100_000 {
         budget.earn();
--- a/crates/dispatcher/tests/unit/load_queries.rs
+++ b/crates/dispatcher/tests/unit/load_queries.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn the_ready_workers_are_queried_in_turn() {
+fn ready_workers_are_queried_round_robin() {
     let mut queries = LoadQueries::default();
     let ready = [true, false, true, true];
     let asked: Vec<_> = (0..6).filter_map(|_| queried(&mut queries, &ready)).collect();
@@ -14,24 +14,24 @@
 }
 
 #[test]
-fn all_ready_workers_have_a_turn_within_a_round() {
+fn each_ready_worker_is_due_once_in_a_round() {
     let mut queries = LoadQueries::default();
-    assert_eq!(queries.take_turn(4, |worker| worker > 1).next_after, SECOND / 2);
+    assert_eq!(queries.take_turn(4, |worker| worker > 1).next_delay, SECOND / 2);
 }
 
 #[test]
-fn without_a_ready_worker_the_turn_passes_and_costs_nothing() {
+fn without_a_ready_worker_no_query_is_sent_or_deducted_from_the_budget() {
     let mut queries = LoadQueries::default();
     for _ in 0..100 {
         let turn = queries.take_turn(0, |_| true);
-        assert_eq!((turn.worker, turn.next_after), (None, SECOND));
+        assert_eq!((turn.worker, turn.next_delay), (None, SECOND));
         assert_eq!(queried(&mut queries, &[false, false]), None);
     }
     assert_eq!(queried(&mut queries, &[true]), Some(0));
 }
 
 #[test]
-fn the_budget_is_spent_earned_by_requests_and_bounded() {
+fn the_budget_is_spent_by_queries_earned_by_requests_and_bounded() {
     let mut queries = LoadQueries::default();
     let whole_budget = MAX_LOAD_QUERY_BUDGET as usize;
     let spend_all = |queries: &mut LoadQueries| (0..100).filter_map(|_| queried(queries, &[true])).count();
@@ -43,11 +43,11 @@
     (0..1_000_000).for_each(|_| queries.earn(0.1));
     assert_eq!(spend_all(&mut queries), whole_budget);
     queries.earn(0.0);
-    assert_eq!(spend_all(&mut queries), whole_budget, "queries without a price fill the budget at once");
+    assert_eq!(spend_all(&mut queries), whole_budget, "a cost of 0 fills the budget at once");
 }
 
 #[test]
-fn the_first_turn_comes_within_a_tenth_of_a_round() {
+fn the_first_query_is_due_within_a_tenth_of_a_round() {
     for seed in 0..100 {
         assert!(LoadQueries::first_delay(&mut fastrand::Rng::with_seed(seed)) <= SECOND / 10);
     }
--- a/crates/dispatcher/tests/unit/offered_load.rs
+++ b/crates/dispatcher/tests/unit/offered_load.rs
@@ -1,23 +1,26 @@
 use super::OfferedLoad;
 
 #[test]
-fn before_any_request_the_means_are_one() {
+fn the_means_are_one_before_the_first_request() {
     let offered = OfferedLoad::default();
     assert_eq!((offered.mean_request_load(), offered.mean_request_slots()), (1.0, 1.0));
 }
 
 #[test]
-fn the_first_requests_count_alike() {
+fn the_first_requests_have_equal_weights() {
     let mut offered = OfferedLoad::default();
     offered.record(3.0, 2.0);
-    assert_eq!(offered.mean_request_load(), 6.0, "nothing of the initial figure is left");
+    assert_eq!(offered.mean_request_load(), 6.0, "the initial value no longer contributes");
     offered.record(1.0, 2.0);
     assert_eq!(offered.mean_request_load(), 4.0);
-    assert!((offered.mean_request_slots() - 1.0975).abs() < 1e-12, "slots move by a twentieth");
+    assert!(
+        (offered.mean_request_slots() - 1.0975).abs() < 1e-12,
+        "a sample has a weight of 1/20 in the mean slots"
+    );
 }
 
 #[test]
-fn after_a_hundred_requests_each_counts_for_a_hundredth() {
+fn after_100_requests_each_further_one_has_a_weight_of_one_percent() {
     let mut offered = OfferedLoad::default();
     for _ in 0..1_000 {
         offered.record(1.0, 1.0);
--- a/crates/dispatcher/tests/unit/outlier_detection.rs
+++ b/crates/dispatcher/tests/unit/outlier_detection.rs
@@ -15,24 +15,27 @@
 }
 
 #[test]
-fn a_failure_counts_for_its_worker_and_more_in_its_class() {
+fn a_failure_counts_for_the_worker_and_with_more_weight_for_the_request_class() {
     let mut rates = FailureRates::default();
     assert_eq!((success_rate(&rates, 0), success_rate(&rates, 1)), (1.0, 1.0));
     rates.record_outcome(Some(0), Outcome::Error);
     assert_eq!((success_rate(&rates, 0), success_rate(&rates, 1)), (0.7, 0.8));
     rates.record_outcome(Some(3), Outcome::Served);
-    assert!((success_rate(&rates, 3) - 0.84).abs() < 1e-12, "its class has none, the worker has");
+    assert!(
+        (success_rate(&rates, 3) - 0.84).abs() < 1e-12,
+        "the class has no failure, but the worker has one"
+    );
 }
 
 #[test]
-fn a_load_query_counts_for_no_class() {
+fn a_failed_load_query_counts_for_the_worker_but_for_no_class() {
     let mut rates = FailureRates::default();
     rates.record_outcome(None, Outcome::ConnectFailed);
     assert_eq!((success_rate(&rates, 0), success_rate(&rates, 1)), (0.8, 0.8));
 }
 
 #[test]
-fn rejections_and_what_was_never_decided_are_no_failures() {
+fn rejected_canceled_and_unsent_attempts_are_not_failures() {
     let mut rates = FailureRates::default();
     for outcome in [Outcome::Rejected, Outcome::Cancelled, Outcome::Superseded, Outcome::Served] {
         rates.record_outcome(Some(0), outcome);
@@ -46,7 +49,7 @@
 }
 
 #[test]
-fn the_success_rate_never_falls_to_zero() {
+fn the_expected_success_rate_stays_above_zero() {
     let mut rates = FailureRates::default();
     let mut detector = detector();
     for _ in 0..1_000 {
@@ -57,11 +60,11 @@
     assert_eq!(detector.expected_success_rate(&rates, KIND, 0), least * least);
     assert!(detector.rejection_rate() > 0.99);
     let fresh = FailureRates::default();
-    assert_eq!(detector.expected_success_rate(&fresh, 1, 0), 1.0, "another kind is not meant");
+    assert_eq!(detector.expected_success_rate(&fresh, 1, 0), 1.0, "another worker kind is not affected");
 }
 
 #[test]
-fn failures_halve_in_five_seconds_and_a_new_process_has_none() {
+fn failure_rates_halve_in_five_seconds_and_are_discarded_for_a_new_process() {
     let mut rates = FailureRates::default();
     rates.record_outcome(Some(0), Outcome::Error);
     rates.decay(failure_decay(5 * SECOND));
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn an_attempt_becomes_overdue_once_after_four_estimates_and_half_a_second() {
+fn an_attempt_becomes_overdue_once_after_four_times_its_estimate_and_half_a_second() {
     let mut rates = FailureRates::default();
     let mut short = Attempt { is_in_flight: true, estimate: 0.01, ..Attempt::default() };
     let mut long = Attempt { estimate: 1.0, ..short };
@@ -88,7 +91,7 @@
 }
 
 #[test]
-fn an_attempt_that_has_ended_is_never_overdue() {
+fn a_completed_attempt_is_never_overdue() {
     let mut rates = FailureRates::default();
     let mut ended = Attempt::default();
     rates.record_if_overdue(1_000 * SECOND, 0, &mut ended);
--- a/crates/dispatcher/tests/unit/request.rs
+++ b/crates/dispatcher/tests/unit/request.rs
@@ -12,11 +12,11 @@
 }
 
 #[test]
-fn the_first_attempt_that_may_have_run_is_in_flight_or_not_proven_never_to_have() {
+fn the_first_possibly_run_attempt_is_in_flight_or_not_known_to_have_never_run() {
     let never_ran = Attempt { worker: 1, never_ran: true, ..Attempt::default() };
     let ended = Attempt { worker: 2, ..Attempt::default() };
     let first =
-        |attempts: &[Attempt]| request(attempts).first_that_may_have_run().map(|attempt| attempt.worker);
+        |attempts: &[Attempt]| request(attempts).first_possibly_run_attempt().map(|attempt| attempt.worker);
     assert_eq!(first(&[]), None);
     assert_eq!(first(&[never_ran]), None);
     assert_eq!(first(&[never_ran, ended, in_flight(3)]), Some(2));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn only_an_attempt_in_flight_has_started() {
+fn only_attempts_in_flight_count_as_started() {
     let ended = Attempt { progress: RUNNING, ..Attempt::default() };
     assert!(!request(&[]).has_started());
     assert!(!request(&[ended, in_flight(1)]).has_started());
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn cancellations_name_the_unwanted_attempts_in_flight_by_their_numbers() {
+fn cancellations_contain_the_numbers_of_the_unwanted_attempts_in_flight() {
     let running = Attempt { progress: RUNNING, ..in_flight(2) };
     let request = request(&[Attempt::default(), in_flight(1), running, in_flight(3)]);
     let numbers = |actions: Vec<Action>| -> Vec<u32> {
         let number = |action| match action {
             Action::Cancel { request: RequestId(7), attempt } => attempt,
-            other => panic!("{other:?}"),
+            other => panic!("expected a cancellation of request 7, got {other:?}"),
         };
         actions.into_iter().map(number).collect()
     };
--- a/crates/dispatcher/tests/unit/retries.rs
+++ b/crates/dispatcher/tests/unit/retries.rs
@@ -27,7 +27,7 @@
 const ENDED: Attempt = Attempt {
     worker: 0,
     sent_at: SECOND,
-    fitted_slots: false,
+    had_free_slots: false,
     progress: None,
     is_in_flight: false,
     never_ran: false,
@@ -36,7 +36,7 @@
 };
 
 #[test]
-fn a_non_idempotent_request_is_repeated_only_where_no_attempt_may_have_run() {
+fn a_non_idempotent_request_is_retried_or_rejected_only_if_no_attempt_may_have_run() {
     let settings = settings(Idempotency::NonIdempotent);
     assert!(rules(&settings).may_retry(SECOND, &request(&[NEVER_RAN])));
     assert!(rules(&settings).may_reject(&request(&[NEVER_RAN])));
@@ -45,17 +45,20 @@
 }
 
 #[test]
-fn a_keyed_retry_must_be_written_before_the_window_ends() {
+fn a_retry_with_an_idempotency_key_must_be_written_before_the_window_ends() {
     let mut settings = keyed(KeyScope::Cell);
     settings.connect_timeout = 100_000;
     let last = SECOND + WINDOW - settings.connect_timeout - DISPATCH_SLACK;
     assert!(rules(&settings).may_retry(last - 1, &request(&[ENDED])));
     assert!(!rules(&settings).may_retry(last, &request(&[ENDED])));
-    assert!(rules(&settings).may_retry(last, &request(&[NEVER_RAN])), "nothing to forget");
+    assert!(
+        rules(&settings).may_retry(last, &request(&[NEVER_RAN])),
+        "no attempt has run, so the window does not apply"
+    );
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_is_rejected_only_where_all_workers_drop_a_repeat() {
+fn a_request_with_a_key_that_may_have_run_is_rejected_only_if_all_workers_drop_duplicates() {
     for (scope, may_reject) in [(KeyScope::All, true), (KeyScope::Zone, false), (KeyScope::Cell, false)] {
         assert_eq!(rules(&keyed(scope)).may_reject(&request(&[ENDED])), may_reject, "{scope:?}");
         assert!(rules(&keyed(scope)).may_reject(&request(&[NEVER_RAN])), "{scope:?}");
@@ -63,7 +66,7 @@
 }
 
 #[test]
-fn attempts_end_at_the_deadline_and_at_their_maximum() {
+fn no_attempt_is_allowed_after_the_deadline_or_beyond_the_maximum() {
     let settings = settings(Idempotency::Idempotent);
     assert!(rules(&settings).may_retry(100 * SECOND - 1, &request(&[ENDED])));
     assert!(!rules(&settings).may_retry(100 * SECOND, &request(&[ENDED])));
@@ -74,7 +77,7 @@
 }
 
 #[test]
-fn a_fleet_that_rejects_all_is_asked_twice_for_a_request() {
+fn a_request_has_two_attempts_while_workers_reject_all_attempts() {
     let settings = settings(Idempotency::Idempotent);
     let full = RetryRules { settings: &settings, rejection_rate: 1.0 };
     assert!(full.may_retry(SECOND, &request(&[NEVER_RAN])));
@@ -82,7 +85,7 @@
 }
 
 #[test]
-fn a_second_attempt_beside_the_first_needs_hedging_and_a_move_needs_cancellation() {
+fn a_concurrent_attempt_needs_hedging_and_moving_an_attempt_needs_cancellation() {
     let neither = settings(Idempotency::Idempotent);
     assert!(!rules(&neither).may_retry(SECOND, &request(&[IN_FLIGHT])));
     assert!(!rules(&neither).may_hedge_or_move(SECOND, &request(&[IN_FLIGHT])));
@@ -91,5 +94,8 @@
     let cancellation = Settings { cancellation_allowed: true, ..neither };
     assert!(rules(&cancellation).may_hedge_or_move(SECOND, &request(&[IN_FLIGHT])));
     let keyed = Settings { cancellation_allowed: true, ..keyed(KeyScope::All) };
-    assert!(!rules(&keyed).may_hedge_or_move(SECOND, &request(&[IN_FLIGHT])), "a canceled one may have run");
+    assert!(
+        !rules(&keyed).may_hedge_or_move(SECOND, &request(&[IN_FLIGHT])),
+        "a canceled attempt may have run"
+    );
 }
--- a/crates/dispatcher/tests/unit/worker.rs
+++ b/crates/dispatcher/tests/unit/worker.rs
@@ -1,4 +1,4 @@
-use super::{AppliedEndpoint, MAX_GROUPS, MAX_WORKER_ID_GAP, TableSize, WorkerTable};
+use super::{AppliedEndpoint, MAX_KIND_OR_ZONE, MAX_WORKER_ID_GAP, TableSize, WorkerTable};
 use crate::{Endpoint, WorkerId, WorkerState};
 
 fn endpoint(worker: usize) -> Endpoint {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_table_grows_to_the_highest_numbers_seen() {
+fn the_table_grows_to_the_highest_worker_kind_and_zone_seen() {
     let mut table = WorkerTable::default();
     assert_eq!(table.apply(&endpoint(4)), Some(AppliedEndpoint { index: 4, has_grown: true }));
     assert_eq!(table.size(), TableSize { workers: 5, kinds: 3, zones: 2 });
@@ -23,20 +23,20 @@
     let other_zone = Endpoint { zone: 7, ..endpoint(0) };
     assert_eq!(table.apply(&other_zone), Some(AppliedEndpoint { index: 0, has_grown: true }));
     assert_eq!(table.size(), TableSize { workers: 5, kinds: 3, zones: 8 });
-    assert_eq!((table.len(), table.ready_count()), (5, 2), "those between are not listed");
+    assert_eq!((table.len(), table.ready_count()), (5, 2), "the workers between the two ids are not ready");
 }
 
 #[test]
-fn absurd_numbers_change_nothing() {
+fn implausibly_large_numbers_are_ignored() {
     let mut table = WorkerTable::default();
     table.apply(&endpoint(0));
-    let absurd = [
+    let implausible = [
         endpoint(1 + MAX_WORKER_ID_GAP + 1),
-        Endpoint { kind: MAX_GROUPS as u32 + 1, ..endpoint(0) },
-        Endpoint { zone: MAX_GROUPS as u32 + 1, ..endpoint(0) },
+        Endpoint { kind: MAX_KIND_OR_ZONE as u32 + 1, ..endpoint(0) },
+        Endpoint { zone: MAX_KIND_OR_ZONE as u32 + 1, ..endpoint(0) },
         Endpoint { worker: WorkerId(u32::MAX), ..endpoint(0) },
     ];
-    for endpoint in absurd {
+    for endpoint in implausible {
         assert_eq!(table.apply(&endpoint), None);
     }
     assert_eq!(table.size(), TableSize { workers: 1, kinds: 3, zones: 2 });
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn only_listed_workers_that_take_requests_are_ready() {
+fn only_listed_workers_that_accept_requests_are_ready() {
     let mut table = WorkerTable::default();
     table.apply(&endpoint(0));
     table.apply(&Endpoint { state: WorkerState::Draining, ..endpoint(1) });
