--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -269,12 +269,12 @@
         if index >= self.workers.len() {
             return;
         }
-        let is_late = outcome == Outcome::TimedOut;
-        if !is_late {
+        let timed_out = outcome == Outcome::TimedOut;
+        if !timed_out {
             self.workers[index].failure_rates.record_outcome(None, outcome);
         }
-        if is_late || report.is_some() {
-            self.on_load_report(now, index, &report.unwrap_or_default(), is_late);
+        if timed_out || report.is_some() {
+            self.on_load_report(now, index, &report.unwrap_or_default(), timed_out);
         }
     }
 
@@ -393,9 +393,9 @@
                 }
             }
             Progress::Done(fraction) if fraction > 0.0 && fraction < 1.0 => {
-                let earlier = attempt.progress.replace(ProgressMark { at: now, fraction_done: fraction });
+                let previous = attempt.progress.replace(ProgressMark { at: now, fraction_done: fraction });
                 let index = attempt.worker as usize;
-                if let Some(mark) = earlier.filter(|mark| fraction > mark.fraction_done && now > mark.at) {
+                if let Some(mark) = previous.filter(|mark| fraction > mark.fraction_done && now > mark.at) {
                     let work = request.work * (fraction - mark.fraction_done);
                     self.learn_rate(now, index, work, to_seconds(now - mark.at));
                 }
@@ -496,8 +496,8 @@
             return;
         }
         let class = &self.settings.classes[request.class];
-        let alone = request.work / self.workers[index].rate.service_rate();
-        let slack = TimeLimits::new(now, request, class).seconds_left(alone) - alone;
+        let seconds_alone = request.work / self.workers[index].rate.service_rate();
+        let slack = TimeLimits::new(now, request, class).seconds_left(seconds_alone) - seconds_alone;
         let after = hedge_delay(slack);
         self.actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(request.id) });
     }
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -17,7 +17,7 @@
 /// Age of the listed sizes when an endpoint list arrives, in seconds.
 const LIST_AGE_SECONDS: f64 = 0.9;
 /// Time constant of the decay from the last listed load to the worker's mean, in seconds.
-const LIST_FADE_SECONDS: f64 = 1.0;
+const LIST_DECAY_SECONDS: f64 = 1.0;
 
 /// Loads of all workers by their listed sizes.
 #[derive(Clone, Debug, Default)]
@@ -101,9 +101,12 @@
         let worker = &self.workers[worker];
         let listed_at = worker.listed_at?;
         let age = LIST_AGE_SECONDS + to_seconds(now.saturating_sub(listed_at));
-        let freshness = (-age / LIST_FADE_SECONDS).exp();
-        let all = worker.mean_slots + (worker.slots - worker.mean_slots) * freshness;
-        Some(RemoteSlots { mean: all * (1.0 - local_share), variance: all * (1.0 - freshness * freshness) })
+        let freshness = (-age / LIST_DECAY_SECONDS).exp();
+        let total_slots = worker.mean_slots + (worker.slots - worker.mean_slots) * freshness;
+        Some(RemoteSlots {
+            mean: total_slots * (1.0 - local_share),
+            variance: total_slots * (1.0 - freshness * freshness),
+        })
     }
 }
 
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -16,7 +16,8 @@
 /// Number of steps into which the overload window is divided for summing sent work. Work counts for up to one
 /// step longer than the window.
 const SLOW_START_WINDOW_STEPS: Micros = 32;
-/// Size of a dispatcher's share of a budget, in requests of mean load; the whole budget if it is smaller.
+/// Least size of a dispatcher's share of a budget, in requests of mean load. If the usable budget is
+/// smaller, one dispatcher gets all of it.
 const SLOW_START_SHARE_REQUESTS: f64 = 4.0;
 /// Margin, in standard deviations, for dispatchers that by chance hold the same random positions. With 2
 /// dispatchers added, it is exceeded in about one of a million worker starts.
--- a/crates/dispatcher/tests/unit/admission.rs
+++ b/crates/dispatcher/tests/unit/admission.rs
@@ -2,8 +2,8 @@
 use crate::policy::request::Request;
 use crate::{Micros, RequestClass, SECOND, Settings, Tenant};
 
-const IDLE: FleetLoad = FleetLoad { utilization: 0.5, slots: 4.0, mean_request_load: 1.0 };
-const OVERLOADED: FleetLoad = FleetLoad { utilization: 2.0, ..IDLE };
+const NOT_OVERLOADED: FleetLoad = FleetLoad { utilization: 0.5, slots: 4.0, mean_request_load: 1.0 };
+const OVERLOADED: FleetLoad = FleetLoad { utilization: 2.0, ..NOT_OVERLOADED };
 
 fn settings(weights: &[f64]) -> Settings {
     let class = |&priority_weight| RequestClass { priority_weight, ..RequestClass::default() };
@@ -34,9 +34,9 @@
 #[test]
 fn nothing_is_shed_up_to_the_threshold_which_is_higher_for_workers_with_few_slots() {
     let settings = settings(&[1.0, 9.0]);
-    let at_threshold = FleetLoad { utilization: 0.9 + 0.25, ..IDLE };
+    let at_threshold = FleetLoad { utilization: 0.9 + 0.25, ..NOT_OVERLOADED };
     assert_eq!(shed_counts(at_threshold, &settings, &[0, 0]), [0, 0]);
-    let beyond = FleetLoad { utilization: 1.3, ..IDLE };
+    let beyond = FleetLoad { utilization: 1.3, ..NOT_OVERLOADED };
     assert!(shed_counts(beyond, &settings, &[0, 0])[0] > 0);
     let few_slots = FleetLoad { slots: 1.0, ..beyond };
     assert_eq!(shed_counts(few_slots, &settings, &[0, 0]), [0, 0]);
@@ -44,15 +44,15 @@
 
 #[test]
 fn requests_with_the_least_weight_are_shed_first() {
-    let mild = FleetLoad { utilization: 0.9 + 0.25 + 0.3, ..IDLE };
-    let counts = shed_counts(mild, &settings(&[1.0, 9.0]), &[0, 0]);
+    let mild_overload = FleetLoad { utilization: 0.9 + 0.25 + 0.3, ..NOT_OVERLOADED };
+    let counts = shed_counts(mild_overload, &settings(&[1.0, 9.0]), &[0, 0]);
     assert!(counts[0] > 500 && counts[1] < 100, "{counts:?}");
 }
 
 #[test]
 fn at_most_the_maximum_fraction_of_the_work_is_shed() {
-    let endless = FleetLoad { utilization: 1e6, ..IDLE };
-    let counts = shed_counts(endless, &settings(&[1.0, 9.0]), &[0, 0]);
+    let extreme_overload = FleetLoad { utilization: 1e6, ..NOT_OVERLOADED };
+    let counts = shed_counts(extreme_overload, &settings(&[1.0, 9.0]), &[0, 0]);
     let all: u32 = counts.iter().sum();
     assert!((1_300..=1_500).contains(&all), "{counts:?}");
 }
@@ -61,10 +61,10 @@
 fn requests_of_a_tenant_over_its_quota_are_shed_first() {
     let tenants = vec![Tenant { quota_per_second: 10.0 }, Tenant { quota_per_second: 1_000.0 }];
     let settings = Settings { tenants, over_quota_weight: 0.1, ..settings(&[1.0]) };
-    let mild = FleetLoad { utilization: 0.9 + 0.25 + 0.3, ..IDLE };
-    let counts = shed_counts(mild, &settings, &[0, 1]);
+    let mild_overload = FleetLoad { utilization: 0.9 + 0.25 + 0.3, ..NOT_OVERLOADED };
+    let counts = shed_counts(mild_overload, &settings, &[0, 1]);
     assert!(counts[0] > 2 * counts[1], "{counts:?}");
-    let unknown_tenant = shed_counts(IDLE, &settings, &[7]);
+    let unknown_tenant = shed_counts(NOT_OVERLOADED, &settings, &[7]);
     assert_eq!(unknown_tenant, [0], "a tenant that is not in the settings has no quota");
 }
 
--- a/crates/dispatcher/tests/unit/load_queries.rs
+++ b/crates/dispatcher/tests/unit/load_queries.rs
@@ -9,8 +9,8 @@
 fn ready_workers_are_queried_round_robin() {
     let mut queries = LoadQueries::default();
     let ready = [true, false, true, true];
-    let asked: Vec<_> = (0..6).filter_map(|_| queried(&mut queries, &ready)).collect();
-    assert_eq!(asked, [2, 3, 0, 2, 3, 0]);
+    let queried_workers: Vec<_> = (0..6).filter_map(|_| queried(&mut queries, &ready)).collect();
+    assert_eq!(queried_workers, [2, 3, 0, 2, 3, 0]);
 }
 
 #[test]
--- a/crates/dispatcher/tests/unit/load_reports.rs
+++ b/crates/dispatcher/tests/unit/load_reports.rs
@@ -64,8 +64,8 @@
     let full = values(LoadReport { utilization: Some(1.0), ..LoadReport::default() });
     reports.record(SECOND, &mut worker, LOAD, full, false, 1.0);
     assert!((reports.fleet_utilization() - 0.55).abs() < 1e-12);
-    let sick = values(LoadReport { utilization: Some(1.0), queue: Some(9_000.0), ..LoadReport::default() });
-    reports.record(SECOND, &mut worker, LOAD, sick, false, 1.0);
+    let faulty = values(LoadReport { utilization: Some(1.0), queue: Some(9_000.0), ..LoadReport::default() });
+    reports.record(SECOND, &mut worker, LOAD, faulty, false, 1.0);
     assert!((reports.fleet_utilization() - (0.55 + 0.145)).abs() < 1e-12);
 }
 
--- a/crates/dispatcher/tests/unit/outlier_detection.rs
+++ b/crates/dispatcher/tests/unit/outlier_detection.rs
@@ -93,8 +93,8 @@
 #[test]
 fn a_completed_attempt_is_never_overdue() {
     let mut rates = FailureRates::default();
-    let mut ended = Attempt::default();
-    rates.record_if_overdue(1_000 * SECOND, 0, &mut ended);
-    assert!(!ended.is_overdue);
+    let mut completed = Attempt::default();
+    rates.record_if_overdue(1_000 * SECOND, 0, &mut completed);
+    assert!(!completed.is_overdue);
     assert_eq!(success_rate(&rates, 0), 1.0);
 }
--- a/crates/dispatcher/tests/unit/request.rs
+++ b/crates/dispatcher/tests/unit/request.rs
@@ -14,21 +14,21 @@
 #[test]
 fn the_first_possibly_run_attempt_is_in_flight_or_not_known_to_have_never_run() {
     let never_ran = Attempt { worker: 1, never_ran: true, ..Attempt::default() };
-    let ended = Attempt { worker: 2, ..Attempt::default() };
+    let completed = Attempt { worker: 2, ..Attempt::default() };
     let first =
         |attempts: &[Attempt]| request(attempts).first_possibly_run_attempt().map(|attempt| attempt.worker);
     assert_eq!(first(&[]), None);
     assert_eq!(first(&[never_ran]), None);
-    assert_eq!(first(&[never_ran, ended, in_flight(3)]), Some(2));
-    assert_eq!(first(&[never_ran, in_flight(3), ended]), Some(3));
+    assert_eq!(first(&[never_ran, completed, in_flight(3)]), Some(2));
+    assert_eq!(first(&[never_ran, in_flight(3), completed]), Some(3));
 }
 
 #[test]
 fn only_attempts_in_flight_count_as_started() {
-    let ended = Attempt { progress: RUNNING, ..Attempt::default() };
+    let completed = Attempt { progress: RUNNING, ..Attempt::default() };
     assert!(!request(&[]).has_started());
-    assert!(!request(&[ended, in_flight(1)]).has_started());
-    assert!(request(&[ended, Attempt { progress: RUNNING, ..in_flight(1) }]).has_started());
+    assert!(!request(&[completed, in_flight(1)]).has_started());
+    assert!(request(&[completed, Attempt { progress: RUNNING, ..in_flight(1) }]).has_started());
 }
 
 #[test]
--- a/crates/dispatcher/tests/unit/retries.rs
+++ b/crates/dispatcher/tests/unit/retries.rs
@@ -22,9 +22,9 @@
     Request { deadline: 100 * SECOND, attempts, ..Request::default() }
 }
 
-const IN_FLIGHT: Attempt = Attempt { is_in_flight: true, ..ENDED };
-const NEVER_RAN: Attempt = Attempt { never_ran: true, ..ENDED };
-const ENDED: Attempt = Attempt {
+const IN_FLIGHT: Attempt = Attempt { is_in_flight: true, ..COMPLETED };
+const NEVER_RAN: Attempt = Attempt { never_ran: true, ..COMPLETED };
+const COMPLETED: Attempt = Attempt {
     worker: 0,
     sent_at: SECOND,
     had_free_slots: false,
@@ -40,8 +40,8 @@
     let settings = settings(Idempotency::NonIdempotent);
     assert!(rules(&settings).may_retry(SECOND, &request(&[NEVER_RAN])));
     assert!(rules(&settings).may_reject(&request(&[NEVER_RAN])));
-    assert!(!rules(&settings).may_retry(SECOND, &request(&[NEVER_RAN, ENDED])));
-    assert!(!rules(&settings).may_reject(&request(&[ENDED])));
+    assert!(!rules(&settings).may_retry(SECOND, &request(&[NEVER_RAN, COMPLETED])));
+    assert!(!rules(&settings).may_reject(&request(&[COMPLETED])));
 }
 
 #[test]
@@ -49,8 +49,8 @@
     let mut settings = keyed(KeyScope::Cell);
     settings.connect_timeout = 100_000;
     let last = SECOND + WINDOW - settings.connect_timeout - DISPATCH_SLACK;
-    assert!(rules(&settings).may_retry(last - 1, &request(&[ENDED])));
-    assert!(!rules(&settings).may_retry(last, &request(&[ENDED])));
+    assert!(rules(&settings).may_retry(last - 1, &request(&[COMPLETED])));
+    assert!(!rules(&settings).may_retry(last, &request(&[COMPLETED])));
     assert!(
         rules(&settings).may_retry(last, &request(&[NEVER_RAN])),
         "no attempt has run, so the window does not apply"
@@ -60,7 +60,7 @@
 #[test]
 fn a_request_with_a_key_that_may_have_run_is_rejected_only_if_all_workers_drop_duplicates() {
     for (scope, may_reject) in [(KeyScope::All, true), (KeyScope::Zone, false), (KeyScope::Cell, false)] {
-        assert_eq!(rules(&keyed(scope)).may_reject(&request(&[ENDED])), may_reject, "{scope:?}");
+        assert_eq!(rules(&keyed(scope)).may_reject(&request(&[COMPLETED])), may_reject, "{scope:?}");
         assert!(rules(&keyed(scope)).may_reject(&request(&[NEVER_RAN])), "{scope:?}");
     }
 }
@@ -68,20 +68,20 @@
 #[test]
 fn no_attempt_is_allowed_after_the_deadline_or_beyond_the_maximum() {
     let settings = settings(Idempotency::Idempotent);
-    assert!(rules(&settings).may_retry(100 * SECOND - 1, &request(&[ENDED])));
-    assert!(!rules(&settings).may_retry(100 * SECOND, &request(&[ENDED])));
-    assert!(rules(&settings).may_retry(SECOND, &request(&[ENDED; 3])));
-    assert!(!rules(&settings).may_retry(SECOND, &request(&[ENDED; 4])));
-    let generous = Settings { max_attempts: 100, ..settings };
-    assert!(!rules(&generous).may_retry(SECOND, &request(&[ENDED; MAX_TRACKED_ATTEMPTS])));
+    assert!(rules(&settings).may_retry(100 * SECOND - 1, &request(&[COMPLETED])));
+    assert!(!rules(&settings).may_retry(100 * SECOND, &request(&[COMPLETED])));
+    assert!(rules(&settings).may_retry(SECOND, &request(&[COMPLETED; 3])));
+    assert!(!rules(&settings).may_retry(SECOND, &request(&[COMPLETED; 4])));
+    let high_maximum = Settings { max_attempts: 100, ..settings };
+    assert!(!rules(&high_maximum).may_retry(SECOND, &request(&[COMPLETED; MAX_TRACKED_ATTEMPTS])));
 }
 
 #[test]
 fn a_request_has_two_attempts_while_workers_reject_all_attempts() {
     let settings = settings(Idempotency::Idempotent);
-    let full = RetryRules { settings: &settings, rejection_rate: 1.0 };
-    assert!(full.may_retry(SECOND, &request(&[NEVER_RAN])));
-    assert!(!full.may_retry(SECOND, &request(&[NEVER_RAN; 2])));
+    let all_rejected = RetryRules { settings: &settings, rejection_rate: 1.0 };
+    assert!(all_rejected.may_retry(SECOND, &request(&[NEVER_RAN])));
+    assert!(!all_rejected.may_retry(SECOND, &request(&[NEVER_RAN; 2])));
 }
 
 #[test]
--- a/crates/dispatcher/tests/unit/service_time.rs
+++ b/crates/dispatcher/tests/unit/service_time.rs
@@ -2,8 +2,8 @@
 use crate::policy::remote_slots::RemoteSlots;
 use crate::{RequestClass, SECOND};
 
-const NO_OTHERS: RemoteSlots = RemoteSlots { mean: 0.0, variance: 0.0 };
-const IDLE: WorkerOccupancy = WorkerOccupancy { slots: 4.0, local_slots: 0.0, remote_slots: NO_OTHERS };
+const NO_REMOTE_SLOTS: RemoteSlots = RemoteSlots { mean: 0.0, variance: 0.0 };
+const IDLE: WorkerOccupancy = WorkerOccupancy { slots: 4.0, local_slots: 0.0, remote_slots: NO_REMOTE_SLOTS };
 
 fn estimator() -> ServiceTimeEstimator {
     let mut estimator = ServiceTimeEstimator::new(2);
@@ -106,10 +106,10 @@
 fn the_rate_of_an_idle_worker_decays_toward_its_kind_over_mean_response_times() {
     let mut estimator = estimator();
     let mut slow = refreshed(&estimator, 0);
-    let mut quick = refreshed(&estimator, 0);
+    let mut fast = refreshed(&estimator, 0);
     for _ in 0..10 {
         estimator.learn_rate(0, &mut slow, 0, false, 1.0, 4.0);
-        estimator.learn_rate(0, &mut quick, 0, false, 1.0, 1.0);
+        estimator.learn_rate(0, &mut fast, 0, false, 1.0, 1.0);
     }
     estimator.refresh(0, &mut slow, 0, false);
     let busy = slow.service_rate();
