--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -57,8 +57,8 @@
         self.is_repeatable(request, |scope, _, _| scope == KeyScope::All)
     }
 
-    /// Returns whether a request may run again. `is_safe` decides for a request with an idempotency key of which
-    /// an attempt may have run: it gets the scope, the window and the first such attempt.
+    /// Returns whether a request may run again. `is_safe` decides for a request with an idempotency key of
+    /// which an attempt may have run: it gets the scope, the window and the first such attempt.
     fn is_repeatable(&self, request: &Request, is_safe: impl Fn(KeyScope, Micros, &Attempt) -> bool) -> bool {
         match (self.settings.classes[request.class].idempotency, request.first_possibly_run_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
