--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -12,13 +12,13 @@
 /// The reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The request's class is unknown, or it has no time left.
+    /// The class of the request is unknown, or the request has no time left.
     Invalid,
     /// The fleet is overloaded, and the request's weight is too low.
     Overloaded,
     /// No worker is eligible for the request.
     NoEligibleWorker,
-    /// The lowest service-time estimate exceeds the time left by this much.
+    /// The service-time estimate at the lowest ranked worker exceeds the time left by this much.
     TooLate(Micros),
     /// The request has used all its attempts, or its class allows no further one.
     AttemptsExhausted,
@@ -64,7 +64,8 @@
         /// The purpose of the timer.
         timer: Timer,
     },
-    /// Poll discovery for the endpoint list and subscribe to its changes.
+    /// Poll discovery for the endpoint list and subscribe to its changes. The caller must answer the poll
+    /// with exactly one [`Event::Endpoints`](crate::Event::Endpoints).
     Subscribe,
     /// Send a load query to a worker. The caller must answer with exactly one
     /// [`Event::LoadQueryCompleted`](crate::Event::LoadQueryCompleted).
--- a/crates/dispatcher/src/endpoints.rs
+++ b/crates/dispatcher/src/endpoints.rs
@@ -36,8 +36,8 @@
     /// hash of the worker's name.
     pub hash_key: u64,
     /// Listed size of the worker, comparable between workers (see
-    /// [`Settings::sizes_reflect_load`](crate::Settings::sizes_reflect_load)). A value that is not finite and
-    /// above 0 counts as absent.
+    /// [`Settings::sizes_reflect_load`](crate::Settings::sizes_reflect_load)). A value that is not finite,
+    /// not above 0, or above 10,000 counts as absent.
     pub size: Option<f64>,
 }
 
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,8 +1,9 @@
 //! The dispatch policy of a request scheduler, which forwards clients' requests to workers.
 //!
-//! For each request, the policy estimates the finish time at every worker by a processor-sharing formula. It
-//! sends the request to the worker with the lowest estimate, or rejects it on arrival if even that estimate
-//! exceeds the time that the request has left.
+//! For each request, the policy estimates the finish time at the workers by a processor-sharing formula. It
+//! sends the request to the worker with the lowest rank, which follows mainly from the estimate, or rejects
+//! it on arrival if it would be late there, if no worker is eligible, or if it is shed because the fleet is
+//! overloaded.
 //!
 //! [`Dispatcher`] does no I/O, reads no clock and starts no thread: the caller passes events with their time
 //! and carries out the actions that are returned. The callers are the scheduler process (`crates/proxy`), the
--- a/crates/dispatcher/src/outcomes.rs
+++ b/crates/dispatcher/src/outcomes.rs
@@ -3,11 +3,11 @@
 /// The outcome of an attempt or of a load query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The worker served it.
+    /// The worker served the attempt or answered the load query.
     Served,
     /// The worker responded with an error; the attempt may have run.
     Error,
-    /// The worker rejected it; the attempt never ran.
+    /// The worker rejected the attempt, which never ran.
     Rejected,
     /// There was no response in time; the attempt may have run or may still be running.
     TimedOut,
@@ -15,9 +15,9 @@
     ConnectFailed,
     /// The connection was lost; the attempt may have run.
     Reset,
-    /// It was canceled; the attempt may have run.
+    /// The attempt was cancelled and may have run.
     Cancelled,
-    /// The attempt was never sent.
+    /// The attempt or load query was given up before it was sent.
     Superseded,
 }
 
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -9,27 +9,29 @@
 use crate::SECOND;
 use crate::Settings;
 
-/// Load shedding starts when the fleet utilization exceeds this plus one request per worker: workers with few
-/// slots have queues at lower loads too.
+/// Load shedding starts when the fleet utilization exceeds this plus one slot of each worker (1 / mean
+/// slots): workers with few slots have queues at a lower utilization too.
 const OVERLOAD_THRESHOLD: f64 = 0.9;
-/// Fleet utilization above the threshold at which all offered work would be shed if [`MAX_SHED_FRACTION`] did
-/// not limit it; the fraction rises linearly.
+/// Excess of the fleet utilization over the threshold that would shed all offered work, if
+/// [`MAX_SHED_FRACTION`] did not limit it. The shed fraction rises linearly from 0 at the threshold.
 const OVERLOAD_SPAN: f64 = 1.0;
 /// Largest fraction of the offered work that is shed.
 const MAX_SHED_FRACTION: f64 = 0.7;
-/// Gain with which the shed price follows the offered requests.
+/// Gain of the shed price: a request of mean load changes the logarithm of the price by this times the
+/// difference between the fraction to be shed and 1 (for a request below the price) or 0 (for any other).
 const SHED_PRICE_GAIN: f64 = 0.1;
-/// Largest weight of one request in the adjustment of the shed price, as a multiple of the mean request load.
-const MAX_SHED_PRICE_SAMPLE_WEIGHT: f64 = 3.0;
+/// Largest load of one request that counts in an adjustment of the shed price, as a multiple of the mean
+/// request load.
+const MAX_SHED_PRICE_SAMPLE_LOAD: f64 = 3.0;
 /// Time constant of a tenant's request rate, in seconds; bursts last several seconds.
 const TENANT_WINDOW_SECONDS: f64 = 3.0;
 /// Multiple of its share of the quota that a tenant may use at one dispatcher, since clients are not
 /// distributed evenly.
 const TENANT_QUOTA_TOLERANCE: f64 = 1.2;
-/// Number of consecutive rejections on arrival after which the next request is attempted although it would be
-/// shed or late. The estimates that lead to rejections are learned from attempts: without any attempt, they
-/// would never change.
-const MAX_REJECTION_STREAK: u32 = 7;
+/// Number of consecutive rejections on arrival that a streak must reach before the next request is attempted
+/// although it would be shed or late. The estimates that lead to rejections are learned from attempts:
+/// without any attempt, they would never change.
+const MIN_REJECTION_STREAK_LENGTH: u32 = 7;
 /// Time that a rejection streak must also last before the next request is attempted.
 const MIN_REJECTION_STREAK_DURATION: Micros = 2 * SECOND;
 
@@ -54,7 +56,7 @@
     rejection_streak: RejectionStreak,
 }
 
-/// Consecutive requests rejected on arrival since the last attempt.
+/// Consecutive requests rejected on arrival since the last attempt; invalid requests do not count.
 #[derive(Clone, Copy, Debug, Default)]
 struct RejectionStreak {
     count: u32,
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Records a request that was rejected on arrival.
+    /// Records a valid request that was rejected on arrival.
     pub(super) fn record_rejection(&mut self, now: Micros) {
         let streak = &mut self.rejection_streak;
         if streak.count == 0 {
@@ -87,7 +89,7 @@
 
     /// Returns whether the next request is to be attempted although it would be shed or late.
     pub(super) fn must_attempt(&self, now: Micros) -> bool {
-        self.rejection_streak.count >= MAX_REJECTION_STREAK
+        self.rejection_streak.count >= MIN_REJECTION_STREAK_LENGTH
             && now.saturating_sub(self.rejection_streak.started_at) >= MIN_REJECTION_STREAK_DURATION
     }
 
@@ -115,14 +117,16 @@
             self.shed_price = price;
         }
         let is_below_price = price < self.shed_price;
-        let weight =
-            (request.work * request.slots / fleet.mean_request_load).min(MAX_SHED_PRICE_SAMPLE_WEIGHT);
-        self.shed_price *= (SHED_PRICE_GAIN * (shed_fraction - f64::from(is_below_price)) * weight).exp();
+        let relative_load =
+            (request.work * request.slots / fleet.mean_request_load).min(MAX_SHED_PRICE_SAMPLE_LOAD);
+        self.shed_price *=
+            (SHED_PRICE_GAIN * (shed_fraction - f64::from(is_below_price)) * relative_load).exp();
         shed_fraction > 0.0 && is_below_price
     }
 
-    /// Records a request of a tenant and returns the fraction of the tenant's requests that exceeds its
-    /// quota, as observed by this dispatcher; 0 for an unknown tenant or one without a quota.
+    /// Records a request of a tenant and returns the fraction of the tenant's requests that exceeds this
+    /// dispatcher's share of the tenant's quota, including [`TENANT_QUOTA_TOLERANCE`]; 0 for an unknown
+    /// tenant or one without a quota.
     fn over_quota_fraction(&mut self, now: Micros, tenant: usize, settings: &Settings) -> f64 {
         let Some(rate) = self.tenant_rates.get_mut(tenant) else { return 0.0 };
         let quota_per_second = settings.tenants[tenant].quota_per_second;
--- a/crates/dispatcher/src/policy/affinity.rs
+++ b/crates/dispatcher/src/policy/affinity.rs
@@ -16,7 +16,8 @@
 pub(super) struct Affinity(f64);
 
 impl Default for Affinity {
-    /// The neutral affinity of 1, which leaves the worker's rank unchanged.
+    /// The neutral affinity of 1. It leaves the worker's rank unchanged in a small fleet; in a large fleet,
+    /// it is multiplied by the scale like any other.
     fn default() -> Self {
         Affinity(1.0)
     }
@@ -46,13 +47,14 @@
         self.is_large_fleet
     }
 
-    /// Draws the affinity for a newly listed worker; the neutral one in a small fleet.
+    /// Draws the affinity for a worker with a new hash key; the neutral one in a small fleet.
     pub(super) fn draw(&self, rng: &mut fastrand::Rng) -> Affinity {
         if !self.is_large_fleet {
             return Affinity::default();
         }
-        // Raising an exponentially distributed value to the power `e` and multiplying it by a rank makes a
-        // worker the lowest ranked with a probability proportional to `rank^(-1 / e)`.
+        // Multiplying the ranks by exponentially distributed values raised to the power `AFFINITY_EXPONENT`
+        // makes a worker the lowest ranked with a probability that is proportional to its rank to the power
+        // `-1 / AFFINITY_EXPONENT`.
         Affinity((-(1.0 - rng.f64()).ln()).powf(AFFINITY_EXPONENT))
     }
 
@@ -65,8 +67,8 @@
     }
 
     /// Returns the factor by which a worker's rank is multiplied.
-    pub(super) fn rank_factor(&self, worker: Affinity) -> f64 {
-        worker.0 * self.scale
+    pub(super) fn rank_factor(&self, affinity: Affinity) -> f64 {
+        affinity.0 * self.scale
     }
 }
 
--- a/crates/dispatcher/src/policy/average.rs
+++ b/crates/dispatcher/src/policy/average.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns the sum of the amounts that have not left the window at `instant`.
-    pub(super) fn sum_after(&self, instant: Micros) -> f64 {
+    pub(super) fn sum_at(&self, instant: Micros) -> f64 {
         self.steps.iter().filter(|step| step.expires_at > instant).map(|step| step.amount).sum()
     }
 }
--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -364,13 +364,13 @@
             sent_at: now,
         };
         worker.local_load.add(attempt);
-        let had_free_slots = worker.local_load.slots_in_use() <= slots;
+        let local_load_fitted = worker.local_load.slots_in_use() <= slots;
         self.slow_start.record_sent(now, &mut worker.slow_start, request.work * request.slots);
         self.admission.record_attempt();
         request.attempts.push(Attempt {
             worker: index as u32,
             sent_at: now,
-            had_free_slots,
+            local_load_fitted,
             is_in_flight: true,
             estimate,
             ..Attempt::default()
@@ -388,7 +388,7 @@
             Progress::Started => {
                 attempt.progress = Some(ProgressMark { at: now, fraction_done: 0.0 });
                 if self.settings.cancellation_allowed {
-                    // One attempt is running: those that have not started are canceled.
+                    // One attempt is running: those that have not started are cancelled.
                     self.actions.extend(request.cancellations(|attempt| attempt.progress.is_none()));
                 }
             }
@@ -445,8 +445,8 @@
         }
         let is_rejected = completion.outcome == Outcome::Rejected;
         self.outlier_detector.record_rejection(self.workers[index].kind, is_rejected);
-        let is_served = completion.outcome == Outcome::Served && !self.settings.load_by_query;
-        if is_rejected || completion.report.is_some() || is_served {
+        let counts_as_report = completion.outcome == Outcome::Served && !self.settings.load_by_query;
+        if is_rejected || completion.report.is_some() || counts_as_report {
             self.on_load_report(now, index, &completion.report.unwrap_or_default(), is_rejected);
         }
     }
@@ -455,7 +455,7 @@
         self.service_times.learn_response_time(elapsed);
         let (fraction, time) = match attempt.progress {
             Some(ProgressMark { at, fraction_done }) => (1.0 - fraction_done, now.saturating_sub(at)),
-            None if attempt.had_free_slots && !self.settings.reports_job_start => (1.0, elapsed),
+            None if attempt.local_load_fitted && !self.settings.reports_job_start => (1.0, elapsed),
             None => return,
         };
         if fraction > 0.0 && time > 0 {
@@ -502,9 +502,9 @@
         self.actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(request.id) });
     }
 
-    /// Hedges a request that should have started by now, if a worker can still serve it in time. If hedging
-    /// is not allowed, the attempt in flight is canceled instead, and the request is retried once that
-    /// completes.
+    /// Hedges a request that should have started by now, if the hedge budget covers it and a worker can still
+    /// serve it in time. If hedging is not allowed, the attempt in flight is cancelled instead, which also
+    /// spends a hedge, and the request is retried once that attempt has completed.
     fn on_hedge_check(&mut self, now: Micros, id: RequestId) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         if !request.is_finished
@@ -531,7 +531,8 @@
         }
     }
 
-    /// Marks a request as finished: no further attempt is sent, and attempts in flight are canceled.
+    /// Marks a request as finished: no further attempt is sent, and attempts in flight are cancelled if
+    /// cancellation is allowed.
     fn finish(&mut self, request: &mut Request) {
         if !request.is_finished {
             request.is_finished = true;
--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -8,11 +8,12 @@
 /// Longest delay of the first poll. It is random, so that dispatchers that restart together do not overload
 /// discovery.
 const MAX_FIRST_POLL_DELAY: Micros = 3 * SECOND;
-/// Range of the first poll's random delay for each dispatcher of the fleet: small fleets need little spread.
+/// The range of the first poll's random delay is this times the fleet size, up to [`MAX_FIRST_POLL_DELAY`]:
+/// small fleets need little spread.
 const FIRST_POLL_SPREAD: Micros = 150_000;
-/// Backoff after the first failed poll.
+/// Longest backoff after the first failed poll; the delay is drawn between half of it and all of it.
 const POLL_BACKOFF_INITIAL: Micros = SECOND;
-/// Longest backoff after a failed poll. A dispatcher counts as notified of a change 6 s after discovery
+/// Longest backoff after any failed poll. A dispatcher counts as notified of a change 6 s after discovery
 /// became reachable, regardless of failures: a poll that times out just then, this backoff and the next poll
 /// fit into that time.
 const POLL_BACKOFF_MAX: Micros = 2 * SECOND;
--- a/crates/dispatcher/src/policy/hedging.rs
+++ b/crates/dispatcher/src/policy/hedging.rs
@@ -8,7 +8,7 @@
 /// Shortest delay before a hedge, so that a start notification in transit arrives first.
 const MIN_HEDGE_DELAY: Micros = 20_000;
 /// Hedges earned by each offered request. This limits the extra load on workers that are already late: a
-/// canceled attempt may still run or stay queued, so each hedge can cost a whole request.
+/// cancelled attempt may still run or stay queued, so each hedge can cost a whole request.
 const HEDGE_BUDGET_PER_REQUEST: f64 = 0.03;
 /// Largest number of unspent hedges.
 const MAX_HEDGE_BUDGET: f64 = 3.0;
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -9,8 +9,8 @@
 /// Largest plausible fraction of late retries. Above it, clients are assumed to use shorter deadlines than
 /// their class allows.
 const MAX_LATE_RETRY_FRACTION: f64 = 0.08;
-/// Divisor for the tolerance of first requests: a request counts as its client's first try if its time left
-/// is within this part of the longest one seen in its class.
+/// Divisor of the tolerance for first requests: a request counts as its client's first try if its time left
+/// falls short of the longest one seen in its class by at most that time divided by this.
 const FIRST_REQUEST_TOLERANCE_DIVISOR: Micros = 1_000;
 
 /// Distinguishes clients' retries from first requests by their time left.
@@ -26,9 +26,10 @@
         LateRetries { longest_time_left_by_class: vec![0; class_count], late_fraction: 0.0 }
     }
 
-    /// Returns the time that the client spent on earlier tries of a request with `time_left` until it gives
-    /// up. It is 0 if `time_left` is about the longest one seen in the class, since clients may use a shorter
-    /// deadline for all their requests.
+    /// Returns the time that a client spent on earlier tries of a request, given that the client gives up
+    /// after `time_left`. It is 0 if `time_left` is about the longest one seen in the class, since clients
+    /// may use a shorter deadline for all their requests, or if the request seems late and implausibly many
+    /// do.
     pub(super) fn time_spent_before(
         &mut self,
         class_index: usize,
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -75,9 +75,9 @@
         }
     }
 
-    /// Records the load that a ready worker's listed size shows: the requests of all dispatchers, known
-    /// sooner than from load reports. `slots` is the number of slots of the worker, `mean_request_slots` the
-    /// mean number that a request occupies.
+    /// Records the load that a ready worker's listed size shows, at most [`MAX_LISTED_LOAD`]. It includes the
+    /// requests of all dispatchers, which nothing else shows as early. `slots` is the number of slots of the
+    /// worker, `mean_request_slots` the mean number that a request occupies.
     pub(super) fn record(
         &mut self,
         now: Micros,
@@ -96,7 +96,8 @@
     }
 
     /// Slots that other dispatchers are expected to occupy at a worker: the value of the last list, which
-    /// decays to the worker's mean as it ages. `None` if no load is known for this worker.
+    /// decays to the worker's mean as it ages. `None` if no load is known for this worker. `local_share`, the
+    /// fraction of all requests that this dispatcher handles, is subtracted.
     pub(super) fn remote_slots(&self, now: Micros, worker: usize, local_share: f64) -> Option<RemoteSlots> {
         let worker = &self.workers[worker];
         let listed_at = worker.listed_at?;
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -4,9 +4,9 @@
 
 /// Time in which all ready workers are queried once; workers update their load reports about as often.
 const LOAD_QUERY_ROUND: Micros = SECOND;
-/// Divisor of a round that gives the longest delay of the first query, which is random.
+/// The first query has a random delay of at most [`LOAD_QUERY_ROUND`] divided by this.
 const FIRST_LOAD_QUERY_DIVISOR: Micros = 10;
-/// Fraction of a request's weight that load queries may cost.
+/// Fraction of a request's weight that load queries may cost for each offered request.
 const LOAD_QUERY_COST_FRACTION: f64 = 0.01;
 /// Largest number of unspent load queries; also the initial budget.
 const MAX_LOAD_QUERY_BUDGET: f64 = 20.0;
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -21,8 +21,8 @@
 const MAX_LOAD_RATIO: f64 = 5.0;
 /// Least load assumed of a worker that rejected an attempt, as a multiple of its slots.
 const MIN_REJECTING_LOAD: f64 = 1.5;
-/// Weight of the prior mean of a worker's kind and zone against this dispatcher's own requests, which are a
-/// sample of all requests there; in requests.
+/// Weight of the load expected of a worker's kind and zone against the load that this dispatcher's own slots
+/// there suggest, as a number of local slots. `docs/large-fleet.md` compares values.
 const MEAN_PRIOR_WEIGHT: f64 = 1.0;
 /// Lower bound of the mean used as a divisor, in slots.
 const MIN_MEAN_SLOTS: f64 = 1e-3;
@@ -76,7 +76,8 @@
     pub(super) kind: u32,
     pub(super) zone: u32,
     pub(super) slots: f64,
-    /// Slots of this dispatcher's attempts: when the report was made, if one is interpreted, otherwise now.
+    /// Slots of this dispatcher's attempts: those at the time of the report if a report is recorded, the
+    /// current ones if remote slots are estimated.
     pub(super) local_slots: f64,
 }
 
@@ -89,7 +90,7 @@
     fleet_utilization: f64,
     /// Utilization of each worker kind relative to the fleet.
     kind_load_ratios: Vec<AverageRatio>,
-    /// Utilization of each zone relative to what its worker kinds lead to expect.
+    /// Utilization of each zone relative to the utilization expected of its worker kinds.
     zone_load_ratios: Vec<AverageRatio>,
 }
 
@@ -135,8 +136,9 @@
         self.fleet_utilization
     }
 
-    /// Records a worker's load report, or with `is_full` that the worker rejected an attempt for lack of
-    /// capacity. `load.local_slots` must be those in use when the report was made, [`REPORT_AGE`] ago.
+    /// Records a worker's load report. `is_full` means that the worker rejected an attempt or that a load
+    /// query to it timed out, which both count as a lack of capacity. `load.local_slots` must be those in use
+    /// when the report was made, [`REPORT_AGE`] ago.
     pub(super) fn record(
         &mut self,
         now: Micros,
@@ -162,8 +164,8 @@
         let expected = self.fleet_utilization * kind.ratio(MAX_LOAD_RATIO);
         self.zone_load_ratios[load.zone as usize].add(utilization, expected, SLOW_GAIN);
         // The local slots are those at the time of the report: it lacks attempts sent since, and includes
-        // some that have completed since. Otherwise dispatchers would mistake the requests of others for
-        // their own and select the same worker.
+        // some that have completed since. If the current local slots were subtracted, dispatchers would
+        // mistake the requests of others for their own and select the same worker.
         worker.remote_slots = (total - load.local_slots).max(0.0);
         worker.reported_at = Some(now);
     }
--- a/crates/dispatcher/src/policy/local_load.rs
+++ b/crates/dispatcher/src/policy/local_load.rs
@@ -60,7 +60,8 @@
         self.local_slots_in_use = self.in_flight.iter().map(|attempt| attempt.slots).sum();
     }
 
-    /// Number of slots that the attempts in flight at an earlier instant occupied.
+    /// Number of slots that the attempts in flight at an earlier instant occupied. The instant must not be
+    /// further back than the `keep_for` of [`LocalLoad::complete`].
     pub(super) fn slots_at(&self, instant: Micros) -> f64 {
         let completed = self.completed.iter().filter(|entry| entry.completed_at >= instant);
         let attempts = self.in_flight.iter().chain(completed.map(|entry| &entry.attempt));
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -1,8 +1,9 @@
 //! The dispatch policy: every rule, threshold and tuned constant of a [`Dispatcher`].
 //!
-//! A request goes to the worker with the lowest service-time estimate (processor sharing, after equation (1)
-//! of "Empirical Study of Low-Latency Network Model with Orchestrator in MEC"). It is rejected on arrival if
-//! even the lowest estimate exceeds the time that the request has left.
+//! A request goes to the eligible worker with the lowest rank, which follows mainly from its service-time
+//! estimate (processor sharing, after equation (1) of "Empirical Study of Low-Latency Network Model with
+//! Orchestrator in MEC"). It is rejected on arrival if it would be late at that worker, if no worker is
+//! eligible, or if it is shed.
 //!
 //! Each module implements one concern and owns its state. `dispatcher` combines them and passes each module
 //! the values it needs from the others.
--- a/crates/dispatcher/src/policy/offered_load.rs
+++ b/crates/dispatcher/src/policy/offered_load.rs
@@ -1,4 +1,4 @@
-//! Offered load: the mean size of the requests that arrive at this dispatcher.
+//! Offered load: the mean load and the mean slots of the requests that arrive at this dispatcher.
 use super::average::move_average;
 use super::figures::GROUP_GAIN;
 use super::figures::SLOW_GAIN;
@@ -19,9 +19,10 @@
 }
 
 impl OfferedLoad {
-    /// Adds a request to the averages. The mean load is the arithmetic mean of the first 100 requests: with a
-    /// moving average over about 20 requests that starts at 1, the number of dispatchers that share a
-    /// slow-start budget rose and fell within one window (see `docs/slow-start.md`).
+    /// Adds a request to the averages. The mean load is the arithmetic mean of the first 100 requests and a
+    /// moving average from then on. A moving average over about 20 requests that starts at 1 would make the
+    /// number of dispatchers that share a slow-start budget rise and fall within one window (see
+    /// `docs/slow-start.md`).
     pub(super) fn record(&mut self, work: f64, slots: f64) {
         self.samples = (self.samples + 1.0).min(1.0 / GROUP_GAIN);
         self.mean_request_load += (work * slots - self.mean_request_load) / self.samples;
--- a/crates/dispatcher/src/policy/outlier_detection.rs
+++ b/crates/dispatcher/src/policy/outlier_detection.rs
@@ -15,7 +15,7 @@
 const OVERDUE_ESTIMATE_MULTIPLE: f64 = 4.0;
 /// Shortest time after which an attempt in flight is overdue, in seconds.
 const MIN_OVERDUE_SECONDS: f64 = 0.5;
-/// Half-life of a worker's failure rate without outcomes, in seconds, so that the worker is tried again.
+/// Half-life of a worker's failure rates, in seconds. They decay so that the worker is tried again.
 const FAILURE_HALF_LIFE_SECONDS: f64 = 5.0;
 /// Highest failure or rejection rate used in the ranking: keeps ranks finite, so that the worker stays
 /// available for retries.
@@ -115,7 +115,7 @@
     }
 }
 
-/// Returns the fraction of a failure rate that remains after a time without outcomes.
+/// Returns the fraction of a failure rate that remains after `duration`, apart from new outcomes.
 pub(super) fn failure_decay(duration: Micros) -> f64 {
     0.5_f64.powf(to_seconds(duration) / FAILURE_HALF_LIFE_SECONDS)
 }
--- a/crates/dispatcher/src/policy/request.rs
+++ b/crates/dispatcher/src/policy/request.rs
@@ -21,7 +21,7 @@
     pub(super) sent_at: Micros,
     /// Whether this dispatcher's attempts at the worker fitted into its slots when this one was sent, so that
     /// the response time reflects the worker's service rate.
-    pub(super) had_free_slots: bool,
+    pub(super) local_load_fitted: bool,
     pub(super) progress: Option<ProgressMark>,
     pub(super) is_in_flight: bool,
     pub(super) never_ran: bool,
@@ -40,7 +40,8 @@
     /// Work in seconds on a standard core: the cost hint, or the typical service time of its class, or 1.
     pub(super) work: f64,
     pub(super) has_hint: bool,
-    /// The latency objective as an instant, without the latency stretch.
+    /// The latency objective as an instant, without the latency stretch and less the time that the client
+    /// spent on earlier tries.
     pub(super) objective_at: Micros,
     pub(super) deadline: Micros,
     pub(super) is_finished: bool,
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -41,8 +41,8 @@
         self.is_repeatable(request, |_, window, first| written_by < first.sent_at.saturating_add(window))
     }
 
-    /// Returns whether a request whose first attempt has not started may be hedged, or else be canceled there
-    /// and sent to another worker.
+    /// Returns whether a request whose first attempt has not started may be hedged, or else be cancelled at
+    /// its worker and sent to another.
     pub(super) fn may_hedge_or_move(&self, now: Micros, request: &Request) -> bool {
         if self.settings.hedging_allowed {
             return self.may_retry(now, request);
@@ -57,8 +57,8 @@
         self.is_repeatable(request, |scope, _, _| scope == KeyScope::All)
     }
 
-    /// Returns whether a request may run again. `is_safe` decides for a request with an idempotency key of
-    /// which an attempt may have run: it gets the scope, the window and the first such attempt.
+    /// Returns whether a request may run again. If the request has an idempotency key and an attempt of it
+    /// may have run, `is_safe` decides: it gets the scope, the window and the first such attempt.
     fn is_repeatable(&self, request: &Request, is_safe: impl Fn(KeyScope, Micros, &Attempt) -> bool) -> bool {
         match (self.settings.classes[request.class].idempotency, request.first_possibly_run_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -23,11 +23,12 @@
 use crate::WorkerState;
 use crate::time::from_seconds;
 
-/// Maximum number of workers compared for one request, starting at a random one. Comparing more costs more
-/// time than the better choice saves.
+/// Number of eligible workers compared for one request, unless none of them may be selected. If there are
+/// more workers, the first one compared is random. Comparing more costs more time than the better choice
+/// saves.
 const MAX_WORKERS_COMPARED: usize = 200;
-/// Number of latency objectives that equal the full weight of a request, to convert the cross-zone cost into
-/// seconds.
+/// Converts the cross-zone cost into seconds: the loss of a request's full weight counts as a delay of this
+/// many latency objectives.
 const OBJECTIVES_PER_WEIGHT: f64 = 3.0;
 
 /// The reason why a request is not sent, and when the client may retry.
@@ -44,7 +45,8 @@
     index: usize,
     /// The candidate with the lowest rank is selected. The first part is true if the request would be late
     /// there and the fleet is large, where the affinity alone could otherwise put such a worker first. The
-    /// second part is the weighted estimate in seconds.
+    /// second part is the estimate for ranking plus the cross-zone cost, in seconds, multiplied by the
+    /// affinity and divided by the expected success rate.
     rank: (bool, f64),
     /// Seconds by which the estimate exceeds the time left; negative if the request would be on time.
     excess_seconds: f64,
@@ -93,8 +95,9 @@
     /// Selects the eligible worker with the lowest rank; ties are broken at random.
     ///
     /// # Errors
-    /// The request would be late there, or no worker is eligible. A late request may be retried after the
-    /// time by which the estimate exceeds the time left, since the queue must shrink by that much first.
+    /// The request would be late at that worker, or no worker is eligible or has slow-start budget left for
+    /// it. A late request may be retried after the time by which the estimate exceeds the time left, since
+    /// the queue must shrink by that much first.
     pub(super) fn select(mut self, now: Micros, request: &Request) -> Result<usize, NotAdmitted> {
         let no_worker = NotAdmitted {
             retry_after: REFRESH_INTERVAL,
@@ -145,7 +148,7 @@
 
     fn context<'r>(&self, now: Micros, request: &'r Request) -> SelectionContext<'r> {
         let class = &self.settings.classes[request.class];
-        // The cross-zone cost is a loss of weight, and a request's weight falls over its latency objective.
+        // The cross-zone cost is a fraction of the weight, which is lost over several latency objectives.
         let objective = self.estimates.service_times.objective_seconds(class, request.work);
         SelectionContext {
             now,
@@ -198,8 +201,8 @@
             slots: self.estimates.service_times.min_slots_of(worker.kind),
             service_rate: worker.rate.service_rate(),
         };
-        let work = request.work * request.slots;
-        self.slow_start.admits(now, &mut worker.slow_start, work, capacity, self.mean_request_load, self.rng)
+        let load = request.work * request.slots;
+        self.slow_start.admits(now, &mut worker.slow_start, load, capacity, self.mean_request_load, self.rng)
     }
 }
 
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -11,8 +11,8 @@
 
 /// Weight of one sample in a worker's service rate: about the last 10 samples contribute.
 const WORKER_RATE_GAIN: f64 = 0.1;
-/// Number of samples after which a worker's own service rate weighs as much as the rate of its kind. A few
-/// are needed because cost hints are noisy.
+/// Number of samples after which a worker's own service rate weighs as much as the rate of its kind, and the
+/// rate of the kind as much as that of the fleet. A few are needed because cost hints are noisy.
 const GROUP_PRIOR_WEIGHT: f64 = 3.0;
 /// Half-life of the weight of an idle worker's own service rate against the rate of its kind, in mean
 /// response times.
@@ -32,7 +32,7 @@
 const SLOTS_FALL_GAIN: f64 = 0.002;
 /// Weight of the excess over a worker's slots in the ranking: the delay of the request itself and, about
 /// twice as much, the delay that it causes for requests behind it. At 1 requests crowd onto the fastest
-/// worker kind, at 5 they are spread over too many workers.
+/// worker kind, at 5 they are spread over too many workers. `docs/large-fleet.md` compares values.
 const QUEUEING_RANK_FACTOR: f64 = 3.0;
 /// Weight of the variance in the hyperbola that approximates the mean positive part of a normally distributed
 /// value. Both agree at a mean of 0, where they are 0.4 standard deviations, and far from it.
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WorkerRate {
     /// Average of the worker's own samples.
-    rate: LogAverage,
+    own_rate: LogAverage,
     /// Work per second on one slot, as used in estimates.
     service_rate: f64,
 }
@@ -94,7 +94,7 @@
     /// Discards the samples of a worker that has restarted; the service rate in use stays until the next
     /// refresh.
     pub(super) fn reset(&mut self) {
-        self.rate = LogAverage::default();
+        self.own_rate = LogAverage::default();
     }
 
     /// Work per second on one slot, as used in estimates.
@@ -135,12 +135,14 @@
         self.service_time_by_class[class].log_mean.exp()
     }
 
-    /// Number of slots of a worker of this kind, or the fleet's mean if the kind has no load report.
+    /// Number of slots of a worker of this kind, or the fleet's mean if the kind has no load report, or
+    /// [`INITIAL_SLOTS`] if there is no report at all.
     pub(super) fn slots_of(&self, kind: u32) -> f64 {
         self.kinds[kind as usize].slots.or(self.fleet.slots).unwrap_or(INITIAL_SLOTS)
     }
 
-    /// Number of slots that a worker of this kind has at least.
+    /// Number of slots of a worker of this kind, or [`MIN_SLOTS`] if the kind has no load report; for the
+    /// slow-start budget.
     pub(super) fn min_slots_of(&self, kind: u32) -> f64 {
         self.kinds[kind as usize].slots.unwrap_or(MIN_SLOTS)
     }
@@ -185,16 +187,17 @@
         let fleet = self.fleet.rate;
         let kind = self.kinds[kind as usize].rate;
         let group = weighted_mean(kind.log_mean, kind.samples, fleet.log_mean, GROUP_PRIOR_WEIGHT);
-        let mut weight = worker.rate.samples;
+        let mut weight = worker.own_rate.samples;
         if is_idle {
-            let idle = to_seconds(now.saturating_sub(worker.rate.updated_at));
+            let idle = to_seconds(now.saturating_sub(worker.own_rate.updated_at));
             weight *= 0.5_f64.powf(idle / (RATE_HALF_LIFE_RESPONSE_TIMES * self.mean_response_seconds));
         }
-        let log_rate = weighted_mean(worker.rate.log_mean, weight, group, GROUP_PRIOR_WEIGHT);
+        let log_rate = weighted_mean(worker.own_rate.log_mean, weight, group, GROUP_PRIOR_WEIGHT);
         worker.service_rate = log_rate.exp();
     }
 
-    /// Learns from a worker that did this much work in this many seconds; an invalid rate is ignored.
+    /// Learns the service rates of a worker, its kind and the fleet from `work` done in `seconds`. A rate
+    /// outside [`MIN_RATE`] to [`MAX_RATE`] is ignored.
     pub(super) fn learn_rate(
         &mut self,
         now: Micros,
@@ -209,7 +212,7 @@
             return;
         }
         let log_rate = rate.ln();
-        worker.rate.add(log_rate, WORKER_RATE_GAIN, now);
+        worker.own_rate.add(log_rate, WORKER_RATE_GAIN, now);
         self.kinds[kind as usize].rate.add(log_rate, GROUP_GAIN, now);
         self.fleet.rate.add(log_rate, GROUP_GAIN, now);
         self.refresh(now, worker, kind, is_idle);
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -16,11 +16,12 @@
 /// Number of steps into which the overload window is divided for summing sent work. Work counts for up to one
 /// step longer than the window.
 const SLOW_START_WINDOW_STEPS: Micros = 32;
-/// Least size of a dispatcher's share of a budget, in requests of mean load. If the usable budget is
-/// smaller, one dispatcher gets all of it.
+/// Least size of a dispatcher's share of a budget, in requests of mean load. If the usable budget is smaller,
+/// one dispatcher gets all of it; dispatchers with random positions get less. `docs/large-fleet.md` compares
+/// values.
 const SLOW_START_SHARE_REQUESTS: f64 = 4.0;
-/// Margin, in standard deviations, for dispatchers that by chance hold the same random positions. With 2
-/// dispatchers added, it is exceeded in about one of a million worker starts.
+/// Margin, in standard deviations, for dispatchers that by chance hold the same random positions. Together
+/// with 2 further dispatchers, this margin is exceeded in about one of a million worker starts.
 const SLOW_START_HOLDER_STD_DEVIATIONS: f64 = 5.0;
 /// Fraction of its share that a dispatcher with a random position uses if not all dispatchers share the
 /// budget, because others may hold the same position.
@@ -115,24 +116,25 @@
         worker.started_at.is_some_and(|at| now < at.saturating_add(self.rules.duration))
     }
 
-    /// Records work sent to a worker. This is done for every worker, since any of them may turn out to have
-    /// restarted.
-    pub(super) fn record_sent(&self, now: Micros, worker: &mut WorkerSlowStart, work: f64) {
-        worker.sent.add(now, self.rules.window, SLOW_START_WINDOW_STEPS, work);
+    /// Records load sent to a worker, in slot-seconds on a standard core. This is done for every worker,
+    /// since any of them may turn out to have restarted.
+    pub(super) fn record_sent(&self, now: Micros, worker: &mut WorkerSlowStart, load: f64) {
+        worker.sent.add(now, self.rules.window, SLOW_START_WINDOW_STEPS, load);
     }
 
-    /// Returns whether a request with this much work may be sent to a worker that is warming up.
+    /// Returns whether a request with this load, in slot-seconds on a standard core, may be sent to a worker
+    /// that is warming up.
     ///
     /// All dispatchers together must stay within the worker's budget, and none knows what the others send.
-    /// The budget is therefore divided among the dispatchers with the lowest positions, only so many of them
-    /// that each share holds a few requests, and none exceeds its share. In a large fleet, equal shares for
-    /// all dispatchers would be smaller than any request, and random sending of small requests by many
+    /// The budget is therefore divided among the dispatchers with the lowest positions, as many of them as
+    /// leave each share a few requests, and none exceeds its share. In a large fleet, equal shares for all
+    /// dispatchers would be smaller than any request, and random sending of small requests by many
     /// dispatchers would exceed any budget by chance.
     pub(super) fn admits(
         &self,
         now: Micros,
         worker: &mut WorkerSlowStart,
-        work: f64,
+        load: f64,
         capacity: WorkerCapacity,
         mean_request_load: f64,
         rng: &mut fastrand::Rng,
@@ -142,8 +144,9 @@
         let position = *worker.position.get_or_insert_with(|| rules.position(hash_key, rng));
         // Work sent to an earlier process of the worker does not count.
         let from = now.max(worker.started_at.map_or(0, |at| at.saturating_add(rules.window)));
-        let sent = worker.sent.sum_after(from);
-        // A dispatcher that has restarted since does not know what it sent, possibly its whole share.
+        let sent = worker.sent.sum_at(from);
+        // A dispatcher that has started since the worker's start does not know what an earlier process of it
+        // sent, possibly its whole share.
         if let Some(dispatcher_started_at) = self.dispatcher_started_at
             && worker.started_at < self.dispatcher_started_at
             && now < dispatcher_started_at + rules.window
@@ -152,13 +155,14 @@
         }
         let budget = rules.budget(now, worker.started_at, capacity);
         let SlowStartShares { sharers, share } = rules.shares(budget, mean_request_load);
-        f64::from(position) < sharers && sent + work <= share
+        f64::from(position) < sharers && sent + load <= share
     }
 }
 
 impl SlowStartRules {
     /// Computes this dispatcher's position for a worker, from 0, by rendezvous hashing: every dispatcher can
-    /// compute the hash of each dispatcher and worker, and positions follow the order of the hashes.
+    /// compute the hash of each pair of dispatcher and worker, and the dispatcher with the lowest hash has
+    /// position 0.
     fn position(&self, hash_key: u64, rng: &mut fastrand::Rng) -> u32 {
         let fleet_size = self.fleet_size;
         let hash = |number: u32| fastrand::Rng::with_seed(hash_key ^ (u64::from(number) << 32)).u64(..);
@@ -182,8 +186,8 @@
         self.initial_capacity + (1.0 - self.initial_capacity) * elapsed
     }
 
-    /// The work that a worker can take in the window that ends at `now`, by its capacity in the middle of
-    /// that window.
+    /// The work up to which a worker is not overloaded in the window that ends at `now`, by its capacity in
+    /// the middle of that window.
     fn budget(&self, now: Micros, started_at: Option<Micros>, worker: WorkerCapacity) -> f64 {
         let fraction = self.capacity_fraction(now.saturating_sub(self.window / 2), started_at);
         let capacity = fraction * worker.slots * worker.service_rate;
@@ -193,12 +197,12 @@
     /// Determines how many dispatchers share a budget and what each of them may send in a window.
     fn shares(&self, budget: f64, mean_request_load: f64) -> SlowStartShares {
         let allowed = budget + random_excess_allowance(budget, mean_request_load);
-        // Of an overload, the notified dispatchers must not have sent more than two thirds; the others may
-        // send a third.
+        // The notified dispatchers must not have sent more than two thirds of an overload's work; the others
+        // may have sent a third.
         let target = (SLOW_START_BUDGET_FRACTION * budget).min(allowed / SLOW_START_NOTIFIED_DIVISOR);
         let fleet_size = f64::from(self.fleet_size);
-        let full_share = SLOW_START_SHARE_REQUESTS * mean_request_load;
-        let sharers = (target / full_share).clamp(1.0, fleet_size).floor();
+        let min_share = SLOW_START_SHARE_REQUESTS * mean_request_load;
+        let sharers = (target / min_share).clamp(1.0, fleet_size).floor();
         let share = target / sharers;
         if self.instance_index.is_some() || sharers >= fleet_size {
             return SlowStartShares { sharers, share };
--- a/crates/dispatcher/src/requests.rs
+++ b/crates/dispatcher/src/requests.rs
@@ -67,7 +67,7 @@
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Tenant {
-    /// Requests per second over all dispatchers that get their full weight; 0 means no quota.
+    /// Number of requests per second, over all dispatchers, that have their full weight; 0 means no quota.
     pub quota_per_second: f64,
 }
 
@@ -80,9 +80,11 @@
     pub class: u32,
     /// Index of the tenant.
     pub tenant: u32,
-    /// Number of slots that the request occupies while it runs; 1 if absent.
+    /// Number of slots that the request occupies while it runs; 1 if absent. A value that is not finite, not
+    /// above 0, or above 10,000 counts as absent.
     pub slots: Option<f64>,
-    /// Cost hint: the expected running time on a standard core, in seconds.
+    /// Cost hint: the expected running time on a standard core, in seconds. A value that is not finite, not
+    /// above 0, or above 10,000 counts as absent.
     pub cost_hint: Option<f64>,
     /// Time until the client stops waiting.
     pub time_left: Micros,
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -30,8 +30,8 @@
     pub weight_by_work: bool,
     /// How endpoint updates reach this dispatcher.
     pub discovery: Discovery,
-    /// Upper limit for the time between polls: a dispatcher without a subscription that has not polled for
-    /// this long counts as notified of the endpoints at that time.
+    /// Longest time without a subscription or a poll: once it is over, the dispatcher counts as notified of
+    /// the endpoints listed at that moment.
     pub poll_within: Micros,
     /// Least fraction of its capacity that a worker has at its start, above 0 and up to 1.
     pub slow_start_initial_capacity: f64,
@@ -49,7 +49,7 @@
     pub max_attempts: u32,
     /// Whether two attempts of one request may be in flight at the same time.
     pub hedging_allowed: bool,
-    /// Whether attempts may be canceled.
+    /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
     /// Whether workers report when a request starts to run.
     pub reports_job_start: bool,
@@ -59,8 +59,8 @@
     pub load_query_cost: f64,
     /// Cost of sending an attempt to another zone, as a fraction of a request's weight.
     pub cross_zone_cost: f64,
-    /// Whether listed sizes reflect the load: the worker's size divided by 1 plus the number of requests per
-    /// core that it held shortly before.
+    /// Whether listed sizes reflect the load: each listed size is then the worker's own size divided by (1 +
+    /// the number of requests per core that it held shortly before).
     pub sizes_reflect_load: bool,
 }
 
@@ -142,9 +142,9 @@
     NoDispatcher,
     /// [`Settings::max_attempts`] is 0.
     NoAttempt,
-    /// [`Settings::slow_start_initial_capacity`] is not above 0 and at most 1.
+    /// [`Settings::slow_start_initial_capacity`] is not in the range above 0 up to 1.
     InitialCapacityOutOfRange,
-    /// [`Settings::overload_multiple`] is not positive and finite.
+    /// [`Settings::overload_multiple`] is not positive or not finite.
     OverloadMultipleNotPositive,
     /// [`Settings::over_quota_weight`] is not between 0 and 1.
     OverQuotaWeightOutOfRange,
--- a/crates/dispatcher/tests/unit/admission.rs
+++ b/crates/dispatcher/tests/unit/admission.rs
@@ -14,8 +14,8 @@
     Request { class, work: 1.0, slots: 1.0, ..Request::default() }
 }
 
-/// Offers 1,000 requests for each tenant in `tenants`, with alternating classes, and counts how many are shed
-/// for each.
+/// Offers 1,000 requests for each entry of `tenants` and counts how many are shed for each entry. All
+/// requests of an entry have the same class: the index of the entry modulo the number of classes.
 fn shed_counts(fleet: FleetLoad, settings: &Settings, tenants: &[usize]) -> Vec<u32> {
     let mut controller = AdmissionController::new(settings.tenants.len());
     let mut rng = fastrand::Rng::with_seed(1);
--- a/crates/dispatcher/tests/unit/affinity.rs
+++ b/crates/dispatcher/tests/unit/affinity.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_affinity_that_has_not_been_drawn_is_neutral() {
+fn an_affinity_that_has_not_been_drawn_is_neutral_before_workers_are_ready() {
     assert_eq!(AffinityRules::new(16).rank_factor(Affinity::default()), 1.0);
 }
 
--- a/crates/dispatcher/tests/unit/average.rs
+++ b/crates/dispatcher/tests/unit/average.rs
@@ -45,8 +45,8 @@
     let mut sum = SlidingWindowSum::default();
     sum.add(SECOND, 8 * SECOND, 8, 2.0);
     sum.add(SECOND + 1, 8 * SECOND, 8, 3.0);
-    assert_eq!(sum.sum_after(10 * SECOND - 1), 5.0);
-    assert_eq!(sum.sum_after(10 * SECOND), 0.0);
+    assert_eq!(sum.sum_at(10 * SECOND - 1), 5.0);
+    assert_eq!(sum.sum_at(10 * SECOND), 0.0);
     sum.add(10 * SECOND, 8 * SECOND, 8, 1.0);
-    assert_eq!(sum.sum_after(0), 1.0, "expired amounts have been discarded");
+    assert_eq!(sum.sum_at(0), 1.0, "expired amounts have been discarded");
 }
--- a/crates/dispatcher/tests/unit/estimates.rs
+++ b/crates/dispatcher/tests/unit/estimates.rs
@@ -39,8 +39,8 @@
         listed_loads: &listed_loads,
     };
     let seconds = |index, is_warming_up| {
-        let at = EstimatedWorker { index, worker: &worker, is_warming_up };
-        estimates.estimate(SECOND, at, &request()).seconds
+        let target = EstimatedWorker { index, worker: &worker, is_warming_up };
+        estimates.estimate(SECOND, target, &request()).seconds
     };
     // By its listed size, 7 times its 2 slots are in use.
     assert!(seconds(1, true) > 4.0 * seconds(1, false));
--- a/crates/dispatcher/tests/unit/listed_load.rs
+++ b/crates/dispatcher/tests/unit/listed_load.rs
@@ -19,7 +19,7 @@
 
 /// Mean slots of all dispatchers, long after the last list, when its own value has decayed.
 fn mean_slots_of(loads: &ListedLoads, worker: usize) -> f64 {
-    loads.remote_slots(1_000 * SECOND, worker, 0.0).expect("it was listed").mean
+    loads.remote_slots(1_000 * SECOND, worker, 0.0).expect("the worker was listed").mean
 }
 
 #[test]
@@ -62,7 +62,7 @@
     let mut loads = listed(&[Some(8.0), Some(8.0)]);
     list(&mut loads, 2 * SECOND, &[Some(8.0), Some(4.0)]);
     assert_eq!(mean_slots_of(&loads, 1), 0.35 * SLOTS);
-    let at_once = loads.remote_slots(2 * SECOND, 1, 0.0).expect("it was listed");
+    let at_once = loads.remote_slots(2 * SECOND, 1, 0.0).expect("the worker was listed");
     let fresh = (-0.9_f64).exp();
     assert!((at_once.mean - (0.35 + 0.65 * fresh) * SLOTS).abs() < 1e-12, "{}", at_once.mean);
     assert!((at_once.variance - at_once.mean * (1.0 - fresh * fresh)).abs() < 1e-12);
@@ -73,6 +73,6 @@
 #[test]
 fn the_share_of_this_dispatcher_is_subtracted() {
     let loads = listed(&[Some(8.0), Some(4.0)]);
-    let remote = loads.remote_slots(1_000 * SECOND, 1, 0.25).expect("it was listed");
+    let remote = loads.remote_slots(1_000 * SECOND, 1, 0.25).expect("the worker was listed");
     assert_eq!(remote.mean, 0.75 * SLOTS);
 }
--- a/crates/dispatcher/tests/unit/load_queries.rs
+++ b/crates/dispatcher/tests/unit/load_queries.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_budget_is_spent_by_queries_earned_by_requests_and_bounded() {
+fn queries_spend_the_budget_and_requests_earn_it_up_to_its_maximum() {
     let mut queries = LoadQueries::default();
     let whole_budget = MAX_LOAD_QUERY_BUDGET as usize;
     let spend_all = |queries: &mut LoadQueries| (0..100).filter_map(|_| queried(queries, &[true])).count();
--- a/crates/dispatcher/tests/unit/outlier_detection.rs
+++ b/crates/dispatcher/tests/unit/outlier_detection.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn rejected_canceled_and_unsent_attempts_are_not_failures() {
+fn rejected_cancelled_and_unsent_attempts_are_not_failures() {
     let mut rates = FailureRates::default();
     for outcome in [Outcome::Rejected, Outcome::Cancelled, Outcome::Superseded, Outcome::Served] {
         rates.record_outcome(Some(0), outcome);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn an_attempt_becomes_overdue_once_after_four_times_its_estimate_and_half_a_second() {
+fn an_attempt_becomes_overdue_once_after_the_longer_of_four_estimates_and_half_a_second() {
     let mut rates = FailureRates::default();
     let mut short = Attempt { is_in_flight: true, estimate: 0.01, ..Attempt::default() };
     let mut long = Attempt { estimate: 1.0, ..short };
--- a/crates/dispatcher/tests/unit/retries.rs
+++ b/crates/dispatcher/tests/unit/retries.rs
@@ -27,7 +27,7 @@
 const COMPLETED: Attempt = Attempt {
     worker: 0,
     sent_at: SECOND,
-    had_free_slots: false,
+    local_load_fitted: false,
     progress: None,
     is_in_flight: false,
     never_ran: false,
@@ -96,6 +96,6 @@
     let keyed = Settings { cancellation_allowed: true, ..keyed(KeyScope::All) };
     assert!(
         !rules(&keyed).may_hedge_or_move(SECOND, &request(&[IN_FLIGHT])),
-        "a canceled attempt may have run"
+        "a cancelled attempt may have run"
     );
 }
--- a/crates/dispatcher/tests/unit/service_time.rs
+++ b/crates/dispatcher/tests/unit/service_time.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn before_any_report_a_worker_counts_as_having_two_slots_and_at_least_one() {
+fn before_any_report_estimates_assume_two_slots_and_slow_start_assumes_one() {
     let estimator = estimator();
     assert_eq!((estimator.slots_of(0), estimator.fleet_slots(), estimator.min_slots_of(0)), (2.0, 2.0, 1.0));
 }
@@ -87,7 +87,7 @@
     estimator.refresh(SECOND, &mut second, 0, true);
     assert!(
         second.service_rate() > 0.55,
-        "the samples of the earlier process were discarded: {}",
+        "the samples of the earlier process, of another kind, were discarded: {}",
         second.service_rate()
     );
 }
--- a/crates/dispatcher/tests/unit/slow_start.rs
+++ b/crates/dispatcher/tests/unit/slow_start.rs
@@ -40,16 +40,16 @@
         self.budgets.is_warming_up(now, &self.worker)
     }
 
-    fn record_sent(&mut self, now: Micros, work: f64) {
-        self.budgets.record_sent(now, &mut self.worker, work);
+    fn record_sent(&mut self, now: Micros, load: f64) {
+        self.budgets.record_sent(now, &mut self.worker, load);
     }
 
-    fn admits(&mut self, now: Micros, work: f64) -> bool {
-        self.admits_with_rng(now, work, SMALL_REQUEST, &mut fastrand::Rng::with_seed(1))
+    fn admits(&mut self, now: Micros, load: f64) -> bool {
+        self.admits_with_rng(now, load, SMALL_REQUEST, &mut fastrand::Rng::with_seed(1))
     }
 
-    fn admits_with_rng(&mut self, now: Micros, work: f64, mean_load: f64, rng: &mut fastrand::Rng) -> bool {
-        self.budgets.admits(now, &mut self.worker, work, CAPACITY, mean_load, rng)
+    fn admits_with_rng(&mut self, now: Micros, load: f64, mean_load: f64, rng: &mut fastrand::Rng) -> bool {
+        self.budgets.admits(now, &mut self.worker, load, CAPACITY, mean_load, rng)
     }
 }
 
@@ -77,39 +77,39 @@
     // At the start the capacity is 0.5 of 4 slots. Over 3 s, the budget is twice that. Of the budget, 0.9 may
     // be used, or 1 / 1.5 of the budget plus the allowance for random variation; the latter is less here.
     let at_start = 2.0 * 0.5 * 4.0 * 3.0 / 1.5;
-    let mut one = DispatcherAndWorker::new(&settings(1, None));
-    assert!(one.admits(START, at_start));
-    assert!(!one.admits(START, at_start * 1.01));
+    let mut single_dispatcher = DispatcherAndWorker::new(&settings(1, None));
+    assert!(single_dispatcher.admits(START, at_start));
+    assert!(!single_dispatcher.admits(START, at_start * 1.01));
     // At 6.5 s, the capacity half a window (1.5 s) earlier counts: 0.75 of the full one, after 5 of 10 s.
     let later = at_start * 1.5;
-    assert!(one.admits(START + 6 * SECOND + SECOND / 2, later));
-    assert!(!one.admits(START + 6 * SECOND + SECOND / 2, later * 1.01));
+    assert!(single_dispatcher.admits(START + 6 * SECOND + SECOND / 2, later));
+    assert!(!single_dispatcher.admits(START + 6 * SECOND + SECOND / 2, later * 1.01));
 }
 
 #[test]
 fn sent_work_counts_for_a_window_and_at_most_one_step_longer() {
-    let mut one = DispatcherAndWorker::new(&settings(1, None));
-    one.record_sent(START + 1, 7.9);
-    assert!(!one.admits(START + 1, 1.0));
-    assert!(!one.admits(START + WINDOW, 7.9));
+    let mut single_dispatcher = DispatcherAndWorker::new(&settings(1, None));
+    single_dispatcher.record_sent(START + 1, 7.9);
+    assert!(!single_dispatcher.admits(START + 1, 1.0));
+    assert!(!single_dispatcher.admits(START + WINDOW, 7.9));
     let step = WINDOW / SLOW_START_WINDOW_STEPS;
-    assert!(one.admits(START + WINDOW + step + 1, 7.9));
+    assert!(single_dispatcher.admits(START + WINDOW + step + 1, 7.9));
 }
 
 #[test]
 fn work_sent_to_an_earlier_process_does_not_count() {
-    let mut one = DispatcherAndWorker::new(&settings(1, None));
-    one.record_sent(START - WINDOW / 2, 7.9);
-    assert!(one.admits(START, 7.9));
+    let mut single_dispatcher = DispatcherAndWorker::new(&settings(1, None));
+    single_dispatcher.record_sent(START - WINDOW / 2, 7.9);
+    assert!(single_dispatcher.admits(START, 7.9));
 }
 
 #[test]
 fn a_dispatcher_that_started_after_the_worker_sends_nothing_for_one_window() {
-    let mut one = DispatcherAndWorker::new(&settings(1, None));
-    one.budgets.start(START + 1);
-    assert!(!one.admits(START + 1, SMALL_REQUEST));
-    assert!(!one.admits(START + WINDOW, SMALL_REQUEST));
-    assert!(one.admits(START + 1 + WINDOW, SMALL_REQUEST));
+    let mut single_dispatcher = DispatcherAndWorker::new(&settings(1, None));
+    single_dispatcher.budgets.start(START + 1);
+    assert!(!single_dispatcher.admits(START + 1, SMALL_REQUEST));
+    assert!(!single_dispatcher.admits(START + WINDOW, SMALL_REQUEST));
+    assert!(single_dispatcher.admits(START + 1 + WINDOW, SMALL_REQUEST));
 }
 
 #[test]
@@ -127,8 +127,8 @@
 
 #[test]
 fn a_dispatcher_without_a_position_among_the_sharers_sends_nothing() {
-    let mut unnamed = DispatcherAndWorker::new(&settings(20, Some(20)));
-    assert!(!unnamed.admits(START, SMALL_REQUEST));
+    let mut beyond_fleet = DispatcherAndWorker::new(&settings(20, Some(20)));
+    assert!(!beyond_fleet.admits(START, SMALL_REQUEST));
     // With requests as large as the budget, one dispatcher gets the whole budget.
     let mut rng = fastrand::Rng::with_seed(1);
     let admitted = (0..20).filter(|&index| {
--- a/crates/dispatcher/tests/unit/worker.rs
+++ b/crates/dispatcher/tests/unit/worker.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn implausibly_large_numbers_are_ignored() {
+fn endpoints_with_implausibly_large_numbers_are_ignored() {
     let mut table = WorkerTable::default();
     table.apply(&endpoint(0));
     let implausible = [
