--- a/crates/proxy/src/discovery/platform/fetch.rs
+++ b/crates/proxy/src/discovery/platform/fetch.rs
@@ -26,7 +26,7 @@
 #[non_exhaustive]
 pub(super) enum FetchError {
     /// Discovery refused the call with this status.
-    #[error("discovery responded with status {0}")]
+    #[error("answered {0}")]
     Refused(StatusCode),
     /// The address and the path don't form a valid HTTP request.
     #[error(transparent)]
@@ -44,7 +44,7 @@
         reason: String,
     },
     /// The response was not received in time.
-    #[error("timed out")]
+    #[error("fell silent")]
     TimedOut,
 }
 
