--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A harness around a dispatcher, and builders of its settings, endpoints and requests.
+//! Test support: a harness that drives a dispatcher, and builders of its settings, endpoints and requests.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 use copperspread_dispatcher::{
     Action, AttemptOutcome, Dispatcher, Endpoint, EndpointUpdate, EndpointUpdateKind, Event, Idempotency,
@@ -7,8 +7,8 @@
 };
 
 pub(crate) const MS: Micros = 1_000;
-/// How long the client of a patient request waits.
-const PATIENT_TIME_LEFT: Micros = 10_000 * SECOND;
+/// Time left of a request whose deadline is not reached within a test.
+const LONG_TIME_LEFT: Micros = 10_000 * SECOND;
 
 pub(crate) fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
@@ -34,12 +34,13 @@
     }
 }
 
-/// Settings for patient requests: only the slow-start budget bounds what goes to a worker that is warming up.
-pub(crate) fn patient_settings(fleet_size: u32) -> Settings {
+/// Settings with a latency objective and a deadline so long that only the slow-start budget limits what is
+/// sent to a worker in slow start.
+pub(crate) fn long_deadline_settings(fleet_size: u32) -> Settings {
     let class = RequestClass {
         latency_objective: 1_000 * SECOND,
         latency_stretch: 2.0,
-        deadline: PATIENT_TIME_LEFT,
+        deadline: LONG_TIME_LEFT,
         ..class(Idempotency::NonIdempotent)
     };
     Settings { fleet_size, classes: vec![class], ..settings(Idempotency::NonIdempotent) }
@@ -58,7 +59,7 @@
     }
 }
 
-/// A dispatcher under test with its clock and the actions of its last event.
+/// A dispatcher under test, with its clock and the actions that its last event caused.
 pub(crate) struct Harness {
     pub(crate) dispatcher: Dispatcher,
     pub(crate) now: Micros,
@@ -72,7 +73,7 @@
     }
 
     pub(crate) fn seeded(settings: Settings, endpoints: &[Endpoint], seed: u64) -> Harness {
-        let dispatcher = Dispatcher::new(settings, seed).expect("settings are good");
+        let dispatcher = Dispatcher::new(settings, seed).expect("the settings are valid");
         let mut harness = Harness { dispatcher, now: 100 * SECOND, actions: Vec::new(), version: 0 };
         harness.update_endpoints(EndpointUpdateKind::Cached, endpoints);
         harness
@@ -91,14 +92,15 @@
         self.handle(Event::Endpoints(EndpointUpdate { kind, version: self.version, endpoints }))
     }
 
-    /// Offers a request of some seconds of work; its client stops waiting after ten seconds.
+    /// Offers a request with a cost hint of `work` seconds and a deadline in 10 s.
     pub(crate) fn offer(&mut self, request: u64, work: f64) -> &[Action] {
         self.handle(Event::Request(incoming_request(request, work)))
     }
 
-    /// Offers a request of some seconds of work whose client waits for hours; returns the worker it is sent to.
-    pub(crate) fn offer_patiently(&mut self, request: u64, work: f64) -> Option<u32> {
-        let time_left = PATIENT_TIME_LEFT;
+    /// Offers a request with a cost hint of `work` seconds and a deadline in 10,000 s; returns the worker
+    /// that it is sent to.
+    pub(crate) fn offer_with_long_deadline(&mut self, request: u64, work: f64) -> Option<u32> {
+        let time_left = LONG_TIME_LEFT;
         self.handle(Event::Request(IncomingRequest { time_left, ..incoming_request(request, work) }));
         self.sent_worker()
     }
@@ -124,30 +126,37 @@
         }))
     }
 
-    /// Notifies the dispatcher that an attempt has started to run.
+    /// Reports to the dispatcher that an attempt has started to run.
     pub(crate) fn start_attempt(&mut self, request: u64, attempt: u32) -> &[Action] {
         let request = RequestId(request);
         self.handle(Event::AttemptProgress { request, attempt, progress: Progress::Started })
     }
 
-    /// Sends a request, lets it start at once and complete after some seconds; returns its worker.
-    pub(crate) fn serve(&mut self, request: u64, work: f64, takes: f64, report: Option<LoadReport>) -> u32 {
+    /// Offers a request, starts its attempt at once and completes it after `service_seconds`; returns its
+    /// worker.
+    pub(crate) fn serve(
+        &mut self,
+        request: u64,
+        work: f64,
+        service_seconds: f64,
+        report: Option<LoadReport>,
+    ) -> u32 {
         self.offer(request, work);
         let worker = self.sent_worker().expect("the request is sent");
         self.start_attempt(request, 0);
-        self.now += (takes * SECOND as f64) as Micros;
+        self.now += (service_seconds * SECOND as f64) as Micros;
         self.complete_with_report(request, 0, Outcome::Served, report);
         worker
     }
 
-    /// The worker of the one send among the last actions.
+    /// The worker of the only `Send` among the last actions, if there is one.
     pub(crate) fn sent_worker(&self) -> Option<u32> {
         let mut sends = self.actions.iter().filter_map(|action| match action {
             Action::Send { worker, .. } => Some(worker.0),
             _ => None,
         });
         let first = sends.next();
-        assert!(sends.next().is_none(), "one send at a time");
+        assert!(sends.next().is_none(), "one event sends at most one attempt");
         first
     }
 
--- a/crates/dispatcher/tests/failures.rs
+++ b/crates/dispatcher/tests/failures.rs
@@ -1,4 +1,5 @@
-//! Failures that are on no list, singly and in pairs: what the module does and does not do.
+//! Failures of workers, zones and discovery, alone and combined: which workers the dispatcher avoids or uses
+//! again, and what becomes of the requests.
 mod common;
 use common::{Harness, MS, class, endpoint, incoming_request, settings};
 use copperspread_dispatcher::{
@@ -9,15 +10,16 @@
 const IDLE: LoadReport =
     LoadReport { queue: Some(0.0), in_flight: None, utilization: None, qps: None, free_slots: Some(2.0) };
 
-fn fleet(count: u32) -> Vec<Endpoint> {
+fn workers_in_two_zones(count: u32) -> Vec<Endpoint> {
     (0..count).map(|i| Endpoint { zone: i % 2, ..endpoint(i) }).collect()
 }
 
-/// Sends requests one after the other and completes each as given for its worker; returns the attempts a worker.
+/// Sends requests one after the other and completes each attempt with the outcome and the duration that
+/// `outcome_at` gives for its worker. Returns the number of attempts at each worker.
 fn run_sequentially(
     harness: &mut Harness,
     requests: std::ops::Range<u64>,
-    ends: impl Fn(u32) -> (Outcome, Micros),
+    outcome_at: impl Fn(u32) -> (Outcome, Micros),
 ) -> Vec<u32> {
     let mut sends = vec![0; 16];
     for id in requests {
@@ -25,11 +27,11 @@
         let mut attempt = 0;
         while let Some(worker) = harness.sent_worker() {
             sends[worker as usize] += 1;
-            let (outcome, takes) = ends(worker);
+            let (outcome, duration) = outcome_at(worker);
             if outcome == Outcome::Served {
                 harness.start_attempt(id, attempt);
             }
-            harness.now += takes;
+            harness.now += duration;
             harness.complete_with_report(id, attempt, outcome, (outcome == Outcome::Served).then_some(IDLE));
             attempt += 1;
         }
@@ -37,7 +39,7 @@
     sends
 }
 
-/// Sends requests that stay in flight; returns how many go to the workers in question.
+/// Sends requests that stay in flight; returns how many go to workers for which `is_counted` holds.
 fn count_in_flight_at(
     harness: &mut Harness,
     requests: std::ops::Range<u64>,
@@ -55,51 +57,51 @@
 
 #[test]
 fn a_hung_worker_is_avoided_after_its_timeouts() {
-    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(4));
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &workers_in_two_zones(4));
     let hung = |w| if w == 0 { (Outcome::TimedOut, 10 * SECOND) } else { SERVED };
     run_sequentially(&mut harness, 0..40, hung);
     let sends = run_sequentially(&mut harness, 100..140, hung);
-    assert!(sends[0] <= 4, "fewer than one in ten: {sends:?}");
+    assert!(sends[0] <= 4, "at most one request in ten is sent to the hung worker: {sends:?}");
 }
 
 #[test]
-fn requests_in_flight_at_a_hung_worker_keep_new_ones_away_at_once() {
-    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(2));
-    let mut held = [0; 2];
-    // Nothing comes back from worker 0; the other serves.
+fn requests_in_flight_at_a_hung_worker_divert_new_ones_before_any_timeout() {
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &workers_in_two_zones(2));
+    let mut counts = [0; 2];
+    // Worker 0 never responds; worker 1 serves each request in 100 ms.
     for id in 0..60 {
         harness.offer(id, 0.1);
         let Some(worker) = harness.sent_worker() else { continue };
-        held[worker as usize] += 1;
+        counts[worker as usize] += 1;
         if worker == 1 {
             harness.now += 100 * MS;
             harness.complete_with_report(id, 0, Outcome::Served, Some(IDLE));
         }
     }
-    assert!(held[0] < 12 && held[1] > 40, "{held:?}");
+    assert!(counts[0] < 12 && counts[1] > 40, "{counts:?}");
 }
 
 #[test]
-fn a_crashed_worker_costs_an_attempt_and_the_requests_are_retried_elsewhere() {
-    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(4));
+fn requests_at_a_crashed_worker_are_retried_elsewhere_and_it_is_avoided() {
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &workers_in_two_zones(4));
     let crashed = |w| if w == 0 { (Outcome::ConnectFailed, 50 * MS) } else { SERVED };
     let sends = run_sequentially(&mut harness, 0..60, crashed);
     assert_eq!(sends[1] + sends[2] + sends[3], 60, "every request was served: {sends:?}");
-    assert!(sends[0] < 15, "and the dead one is passed over: {sends:?}");
+    assert!(sends[0] < 15, "the crashed worker is avoided: {sends:?}");
 }
 
 #[test]
 fn when_all_workers_slow_down_together_none_is_avoided() {
-    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(4));
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &workers_in_two_zones(4));
     run_sequentially(&mut harness, 0..40, |_| SERVED);
     let sends = run_sequentially(&mut harness, 100..180, |_| (Outcome::Served, 500 * MS));
     let (least, most) = (sends[..4].iter().min(), sends[..4].iter().max());
-    assert!(least > Some(&5) && most < Some(&45), "all stay in use: {sends:?}");
+    assert!(least > Some(&5) && most < Some(&45), "all workers stay in use: {sends:?}");
 }
 
 #[test]
 fn a_paused_worker_that_comes_back_is_used_again() {
-    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(2));
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &workers_in_two_zones(2));
     let paused = |w| if w == 0 { (Outcome::Reset, SECOND) } else { SERVED };
     run_sequentially(&mut harness, 0..30, paused);
     for _ in 0..60 {
@@ -111,12 +113,12 @@
 
 #[test]
 fn a_partitioned_zone_is_avoided_and_tried_again() {
-    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(6));
-    let cut = |w| if w % 2 == 1 { (Outcome::ConnectFailed, 250 * MS) } else { SERVED };
-    run_sequentially(&mut harness, 0..60, cut);
-    let sends = run_sequentially(&mut harness, 100..160, cut);
-    let away: u32 = sends.iter().skip(1).step_by(2).sum();
-    assert!(away < 20, "{sends:?}");
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &workers_in_two_zones(6));
+    let partitioned = |w| if w % 2 == 1 { (Outcome::ConnectFailed, 250 * MS) } else { SERVED };
+    run_sequentially(&mut harness, 0..60, partitioned);
+    let sends = run_sequentially(&mut harness, 100..160, partitioned);
+    let sent_to_partition: u32 = sends.iter().skip(1).step_by(2).sum();
+    assert!(sent_to_partition < 20, "{sends:?}");
     for _ in 0..60 {
         harness.now += SECOND;
         harness.handle(Event::TimerExpired(Timer::PeriodicRefresh));
@@ -125,28 +127,32 @@
 }
 
 #[test]
-fn a_shrinking_fleet_rejects_what_no_longer_fits_and_loses_nothing() {
-    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(8));
-    let mut out = Vec::new();
+fn a_shrinking_fleet_rejects_excess_requests_and_every_request_gets_a_final_response() {
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &workers_in_two_zones(8));
+    let mut sent_requests = Vec::new();
     let mut rejected = 0;
     for id in 0..80 {
         if id % 10 == 9 {
-            harness.update_endpoints(EndpointUpdateKind::Full, &fleet(8 - id as u32 / 10));
+            harness.update_endpoints(EndpointUpdateKind::Full, &workers_in_two_zones(8 - id as u32 / 10));
         }
         harness.offer(id, 0.3);
         match harness.sent_worker() {
             Some(worker) => {
-                assert!(worker < 8.min(9 - (id as u32 + 1) / 10), "a worker of the present list");
-                out.push(id);
+                assert!(
+                    worker < 8.min(9 - (id as u32 + 1) / 10),
+                    "only workers of the current list get requests"
+                );
+                sent_requests.push(id);
             }
             None => rejected += u32::from(harness.is_rejected()),
         }
     }
-    assert_eq!(out.len() + rejected as usize, 80);
-    assert!(rejected > 10 && out.len() > 20);
-    // Jobs of workers that have left still end: what never ran is rejected, what may have run fails.
+    assert_eq!(sent_requests.len() + rejected as usize, 80);
+    assert!(rejected > 10 && sent_requests.len() > 20);
+    // Requests at removed workers still get a final response: rejected if they never ran, failed if they may
+    // have run.
     harness.update_endpoints(EndpointUpdateKind::Full, &[]);
-    for (index, &id) in out.iter().enumerate() {
+    for (index, &id) in sent_requests.iter().enumerate() {
         let outcome = if index % 2 == 0 { Outcome::Reset } else { Outcome::ConnectFailed };
         harness.complete(id, 0, outcome);
         assert_eq!((harness.is_failed(), harness.is_rejected()), (index % 2 == 0, index % 2 == 1));
@@ -154,25 +160,25 @@
 }
 
 #[test]
-fn a_restart_with_a_stale_list_copes_with_dead_and_warming_workers() {
-    // The remembered list names workers 0 to 3; 0 is gone for good, 1 has restarted since.
-    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &fleet(4));
+fn a_dispatcher_with_a_stale_cached_list_avoids_dead_workers_and_workers_in_slow_start() {
+    // The cached list names workers 0 to 3. Worker 0 no longer exists, and worker 1 has restarted.
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &workers_in_two_zones(4));
     let stale = |w| if w == 0 { (Outcome::ConnectFailed, 50 * MS) } else { SERVED };
     let sends = run_sequentially(&mut harness, 0..20, stale);
     assert_eq!(sends[1..4].iter().sum::<u32>(), 20);
-    let mut current = fleet(4);
+    let mut current = workers_in_two_zones(4);
     current.remove(0);
     current[0].started_at = Some(harness.now);
     harness.update_endpoints(EndpointUpdateKind::Full, &current);
     let sends = run_sequentially(&mut harness, 100..110, stale);
-    assert_eq!(sends[0], 0, "gone");
-    assert!(sends[1] <= 2, "warming up: {sends:?}");
+    assert_eq!(sends[0], 0, "worker 0 is no longer listed");
+    assert!(sends[1] <= 2, "worker 1 is in slow start: {sends:?}");
 }
 
 #[test]
 fn slow_workers_and_failing_discovery_together_leave_the_rest_in_use() {
     let settings = Settings { discovery: Discovery::Polled, ..settings(Idempotency::NonIdempotent) };
-    let mut harness = Harness::new(settings, &fleet(4));
+    let mut harness = Harness::new(settings, &workers_in_two_zones(4));
     let slow = |w| (Outcome::Served, if w < 2 { 1_000 * MS } else { 200 * MS });
     run_sequentially(&mut harness, 0..40, slow);
     harness.update_endpoints(EndpointUpdateKind::Failed, &[]);
@@ -180,35 +186,35 @@
     assert!(sends[2] + sends[3] > 30, "{sends:?}");
 }
 
-// A worker may take the requests of one class and hang: it shows before the deadline,
-// and only that class goes elsewhere.
+// A worker may hang on the requests of one class only. The dispatcher must notice before their deadline, and
+// send only that class elsewhere.
 #[test]
 fn a_class_that_hangs_at_one_worker_is_sent_elsewhere() {
     let classes = vec![class(Idempotency::NonIdempotent), class(Idempotency::NonIdempotent)];
     let endpoints = [endpoint(0), endpoint(1)];
     let mut harness = Harness::new(Settings { classes, ..settings(Idempotency::NonIdempotent) }, &endpoints);
-    let mut hits = [[0; 2]; 2];
-    let mut silent = std::collections::VecDeque::new();
+    let mut class_counts = [[0; 2]; 2];
+    let mut unanswered = std::collections::VecDeque::new();
     for request in 0..300 {
         let class = (request % 2) as u32;
         harness.handle(Event::Request(IncomingRequest { class, ..incoming_request(request, 0.2) }));
-        let worker = harness.sent_worker().expect("sent");
-        hits[class as usize][worker as usize] += usize::from(request >= 100);
+        let worker = harness.sent_worker().expect("the request is sent");
+        class_counts[class as usize][worker as usize] += usize::from(request >= 100);
         harness.now += 100 * MS;
         if (class, worker) == (1, 0) {
-            silent.push_back(request);
+            unanswered.push_back(request);
         } else {
             harness.complete(request, 0, Outcome::Served);
         }
-        if silent.front().is_some_and(|&first| first + 20 < request) {
-            // Its client goes, which says nothing of the worker.
-            let first = silent.pop_front().expect("one");
+        if unanswered.front().is_some_and(|&first| first + 20 < request) {
+            // Its client disconnects, which is no evidence about the worker.
+            let first = unanswered.pop_front().expect("a request hangs");
             harness.complete(first, 0, Outcome::Cancelled);
         }
         if request % 10 == 9 {
             harness.handle(Event::TimerExpired(Timer::PeriodicRefresh));
         }
     }
-    let [[other_class, _], [lost, well]] = hits;
-    assert!(lost * 4 < well && other_class * 4 > 100, "{hits:?}");
+    let [[other_class, _], [at_hung_worker, at_healthy_worker]] = class_counts;
+    assert!(at_hung_worker * 4 < at_healthy_worker && other_class * 4 > 100, "{class_counts:?}");
 }
--- a/crates/dispatcher/tests/learning.rs
+++ b/crates/dispatcher/tests/learning.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher learns of workers' rates, slots and load, and how it forgets.
+//! How a dispatcher learns the rates, slots and load of workers, and how old samples lose their weight.
 mod common;
 use common::{Harness, MS, class, endpoint, incoming_request, settings};
 use copperspread_dispatcher::{
@@ -9,15 +9,16 @@
 const IDLE: LoadReport =
     LoadReport { queue: Some(0.0), in_flight: None, utilization: None, qps: None, free_slots: Some(2.0) };
 
-/// Runs requests on one worker alone until its rate is known.
-fn teach(harness: &mut Harness, worker: Endpoint, rate: f64, first: u64) {
+/// Serves requests at one worker alone until its rate is learned: the seconds of work that it serves per
+/// second.
+fn learn_rate(harness: &mut Harness, worker: Endpoint, rate: f64, first: u64) {
     harness.update_endpoints(EndpointUpdateKind::Full, &[worker]);
     for i in 0..40 {
         harness.serve(first + i, 0.2, 0.2 / rate, Some(IDLE));
     }
 }
 
-/// Which of the workers gets a small request now, over and over; each is served at once.
+/// The fraction of 100 small requests that is sent to a worker; each is canceled at once and so adds no load.
 fn fraction_sent_to(harness: &mut Harness, worker: u32, first: u64) -> f64 {
     let mut hits = 0;
     for i in 0..100 {
@@ -29,10 +30,10 @@
 }
 
 #[test]
-fn a_slower_worker_of_the_same_kind_is_known_by_its_own_service_times() {
+fn a_slower_worker_of_the_same_kind_is_recognized_by_its_own_service_times() {
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[]);
-    teach(&mut harness, endpoint(0), 1.0, 1000);
-    teach(&mut harness, endpoint(1), 0.25, 2000);
+    learn_rate(&mut harness, endpoint(0), 1.0, 1000);
+    learn_rate(&mut harness, endpoint(1), 0.25, 2000);
     harness.update_endpoints(EndpointUpdateKind::Full, &[endpoint(0), endpoint(1)]);
     assert!(fraction_sent_to(&mut harness, 0, 1) > 0.9);
 }
@@ -40,43 +41,44 @@
 #[test]
 fn a_rate_without_new_samples_drifts_back_to_the_mean() {
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[]);
-    teach(&mut harness, endpoint(0), 1.0, 1000);
-    teach(&mut harness, endpoint(1), 0.25, 2000);
+    learn_rate(&mut harness, endpoint(0), 1.0, 1000);
+    learn_rate(&mut harness, endpoint(1), 0.25, 2000);
     harness.update_endpoints(EndpointUpdateKind::Full, &[endpoint(0), endpoint(1)]);
     harness.now += 300 * SECOND;
     harness.handle(Event::TimerExpired(Timer::PeriodicRefresh));
-    let share = fraction_sent_to(&mut harness, 1, 1);
-    assert!(share > 0.2, "the slow worker is tried again: {share}");
+    let fraction = fraction_sent_to(&mut harness, 1, 1);
+    assert!(fraction > 0.2, "the slow worker is tried again: {fraction}");
 }
 
 #[test]
 fn a_restarted_worker_starts_at_the_mean_of_the_others() {
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[]);
-    teach(&mut harness, endpoint(0), 0.25, 1000);
-    teach(&mut harness, endpoint(1), 0.25, 2000);
-    teach(&mut harness, endpoint(2), 1.0, 3000);
+    learn_rate(&mut harness, endpoint(0), 0.25, 1000);
+    learn_rate(&mut harness, endpoint(1), 0.25, 2000);
+    learn_rate(&mut harness, endpoint(2), 1.0, 3000);
     let restarted = Endpoint { started_at: Some(harness.now), ..endpoint(1) };
     harness.update_endpoints(EndpointUpdateKind::Full, &[endpoint(0), restarted]);
-    // Warm again by its listed start, before the other's samples have faded.
+    // Its slow start has ended, and the samples of the other workers still count.
     harness.now += 11 * SECOND;
-    let share = fraction_sent_to(&mut harness, 1, 1);
-    assert!(share > 0.9, "its old slowness is forgotten: {share}");
+    let fraction = fraction_sent_to(&mut harness, 1, 1);
+    assert!(fraction > 0.9, "the low rate of its earlier process is discarded: {fraction}");
 }
 
 #[test]
-fn progress_shows_the_rate_where_starts_are_not_reported() {
-    let quiet = Settings { reports_job_start: false, ..settings(Idempotency::NonIdempotent) };
-    let mut harness = Harness::new(quiet, &[]);
+fn rates_are_learned_from_progress_where_starts_are_not_reported() {
+    let without_starts = Settings { reports_job_start: false, ..settings(Idempotency::NonIdempotent) };
+    let mut harness = Harness::new(without_starts, &[]);
     for (worker, rate) in [(0u32, 1.0), (1, 0.25)] {
         harness.update_endpoints(EndpointUpdateKind::Full, &[endpoint(worker)]);
         for i in 0..20 {
             let request = 1000 * (1 + u64::from(worker)) + i;
             harness.offer(request, 4.0 * rate);
             assert!(harness.sent_worker().is_some());
-            // Half of it is done between two notes a second apart, whenever it began.
-            for share in [0.25, 0.5] {
+            // A quarter of the work is done between two progress reports one second apart, whenever it
+            // started.
+            for done in [0.25, 0.5] {
                 harness.now += SECOND;
-                let progress = Progress::Done(share);
+                let progress = Progress::Done(done);
                 harness.handle(Event::AttemptProgress { request: RequestId(request), attempt: 0, progress });
             }
             harness.now += 2 * SECOND;
@@ -88,21 +90,21 @@
 }
 
 #[test]
-fn errors_that_come_fast_do_not_look_like_speed() {
+fn fast_errors_do_not_raise_the_learned_rate() {
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[endpoint(0), endpoint(1)]);
     for i in 0..100 {
         harness.offer(i, 0.2);
-        let worker = harness.sent_worker().expect("sent");
+        let worker = harness.sent_worker().expect("the request is sent");
         harness.now += 5 * MS;
-        // Worker 0 fails at once, worker 1 serves after its time.
+        // Worker 0 fails after 5 ms; worker 1 serves after 205 ms.
         if worker == 1 {
             harness.now += 200 * MS;
         }
         harness.complete(i, 0, if worker == 0 { Outcome::Error } else { Outcome::Served });
     }
     assert!(fraction_sent_to(&mut harness, 1, 1000) > 0.9);
-    // Without outcomes it is tried again after a while.
-    let tried = |harness: &mut Harness, first: u64| {
+    // After a minute without outcomes, worker 0 is tried again.
+    let attempts_at_worker_0 = |harness: &mut Harness, first: u64| {
         let sent = (0..4).filter(|i| {
             harness.offer(first + i, 0.2);
             harness.sent_worker() == Some(0)
@@ -113,49 +115,49 @@
         harness.now += SECOND;
         harness.handle(Event::TimerExpired(Timer::PeriodicRefresh));
     }
-    assert!(tried(&mut harness, 3000) > 0);
+    assert!(attempts_at_worker_0(&mut harness, 3000) > 0);
 }
 
-/// Peers' requests are records only in reports: a worker that reports a queue is passed over, and the
-/// report fades as it ages.
+/// Load from other dispatchers is visible only in load reports: a worker that reports a queue is avoided, and
+/// the report loses weight as it ages.
 #[test]
-fn a_reported_queue_counts_and_fades() {
+fn a_reported_queue_counts_and_loses_weight_with_age() {
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[]);
-    teach(&mut harness, endpoint(0), 1.0, 1000);
-    teach(&mut harness, endpoint(1), 1.0, 2000);
+    learn_rate(&mut harness, endpoint(0), 1.0, 1000);
+    learn_rate(&mut harness, endpoint(1), 1.0, 2000);
     harness.update_endpoints(EndpointUpdateKind::Full, &[endpoint(0)]);
     let queue = LoadReport { queue: Some(9.0), free_slots: Some(0.0), ..IDLE };
     harness.serve(1, 0.2, 0.2, Some(queue));
     harness.update_endpoints(EndpointUpdateKind::Full, &[endpoint(0), endpoint(1)]);
-    assert!(fraction_sent_to(&mut harness, 1, 100) > 0.9, "crowded by peers");
+    assert!(fraction_sent_to(&mut harness, 1, 100) > 0.9, "worker 0 is loaded by other dispatchers");
     harness.now += 60 * SECOND;
-    assert!(fraction_sent_to(&mut harness, 0, 300) > 0.2, "an old report says little");
+    assert!(fraction_sent_to(&mut harness, 0, 300) > 0.2, "an old report has little weight");
 }
 
-/// The first report of a kind may show no free slot at all; dividing by it made every estimate
-/// infinite and all requests were rejected.
+/// Guards against a division by zero: where the first report of a kind showed no free slot, every estimate
+/// became infinite and all requests were rejected.
 #[test]
-fn a_first_report_of_no_free_slot_does_not_stop_a_kind() {
+fn a_first_report_of_no_free_slot_does_not_exclude_a_kind() {
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[endpoint(0)]);
     harness.serve(1, 0.2, 0.2, Some(LoadReport { free_slots: Some(0.0), ..IDLE }));
     harness.offer(2, 0.2);
     assert!(harness.sent_worker().is_some());
 }
 
-/// A kind whose reports end at "all cores busy" kept looking inviting while it turned away nearly
-/// every request, and requests used up their attempts on it.
+/// Guards against a kind whose reports cannot show more than "all cores busy": its estimate stayed low while
+/// it rejected nearly every request, and requests used up their attempts on it.
 #[test]
 fn rejections_rank_a_whole_kind_lower() {
-    let kinds = |i: u32| Endpoint { kind: i / 4, ..endpoint(i) };
+    let worker_of_kind = |i: u32| Endpoint { kind: i / 4, ..endpoint(i) };
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[]);
     let busy = LoadReport { utilization: Some(1.0), qps: Some(4.0), ..LoadReport::default() };
     for (worker, rate) in [(0, 2.0), (4, 1.0)] {
-        harness.update_endpoints(EndpointUpdateKind::Full, &[kinds(worker)]);
+        harness.update_endpoints(EndpointUpdateKind::Full, &[worker_of_kind(worker)]);
         for i in 0..40 {
             harness.serve(u64::from(worker) * 100 + i, 0.2, 0.2 / rate, Some(busy));
         }
     }
-    let all: Vec<_> = (0..8).map(kinds).collect();
+    let all: Vec<_> = (0..8).map(worker_of_kind).collect();
     harness.update_endpoints(EndpointUpdateKind::Full, &all);
     for i in 1000..1100 {
         harness.now += 10 * MS;
@@ -167,12 +169,12 @@
             attempt += 1;
         }
     }
-    let share: f64 = (4..8).map(|w| fraction_sent_to(&mut harness, w, 2000 + u64::from(w) * 200)).sum();
-    assert!(share > 0.7, "most first attempts go to the kind that serves: {share}");
+    let fraction: f64 = (4..8).map(|w| fraction_sent_to(&mut harness, w, 2000 + u64::from(w) * 200)).sum();
+    assert!(fraction > 0.7, "most first attempts go to the kind that serves: {fraction}");
 }
 
-/// Where nothing is reported, full responses alone raised the level of load for good and everything
-/// cheap was shed.
+/// Guards against a fleet utilization that only rises: without load reports, rejections by workers raised it
+/// for good, and all requests of low priority weight were shed.
 #[test]
 fn responses_without_reports_bring_the_utilization_down_again() {
     let mut settings = settings(Idempotency::NonIdempotent);
@@ -187,12 +189,12 @@
             attempt += 1;
         }
     }
-    let mut rejected = 0;
+    let mut rejected_in_a_row = 0;
     for i in 100..200 {
         harness.now += SECOND;
         harness.offer(i, 0.1);
-        rejected = if harness.is_rejected() { rejected + 1 } else { 0 };
-        // An important request keeps responses coming while the cheap ones are shed.
+        rejected_in_a_row = if harness.is_rejected() { rejected_in_a_row + 1 } else { 0 };
+        // Requests of the class with high weight keep responses coming while those with low weight are shed.
         harness.handle(Event::Request(IncomingRequest { class: 1, ..incoming_request(1000 + i, 0.1) }));
         let served = harness.sent_worker().is_some();
         if served {
@@ -201,15 +203,15 @@
         }
         harness.complete(i, 0, Outcome::Served);
     }
-    assert_eq!(rejected, 0, "the cheap class is served again");
+    assert_eq!(rejected_in_a_row, 0, "the class with low weight is served again");
 }
 
-/// In a large fleet a worker that all took for fast was sent everything: local counts see two or three
-/// requests of hundreds.
+/// Guards against herding in a large fleet: all dispatchers sent everything to the worker that they had
+/// learned to be fast, as the local load of each shows only two or three of the hundreds of requests there.
 #[test]
 fn many_dispatchers_do_not_herd_to_the_fast_kind() {
-    let kinds = |i: u32| Endpoint { kind: i / 10, ..endpoint(i) };
-    let all: Vec<_> = (0..20).map(kinds).collect();
+    let worker_of_kind = |i: u32| Endpoint { kind: i / 10, ..endpoint(i) };
+    let all: Vec<_> = (0..20).map(worker_of_kind).collect();
     let mut sent = [0.0; 2];
     for seed in 0..50 {
         let settings = Settings { fleet_size: 50, ..settings(Idempotency::NonIdempotent) };
@@ -217,7 +219,7 @@
         let full = LoadReport { queue: Some(3.0), free_slots: Some(0.0), ..IDLE };
         for i in 0..60 {
             for (worker, rate, report) in [(0, 2.0, full), (10, 1.0, IDLE)] {
-                harness.update_endpoints(EndpointUpdateKind::Full, &[kinds(worker)]);
+                harness.update_endpoints(EndpointUpdateKind::Full, &[worker_of_kind(worker)]);
                 let request = u64::from(worker) * 1000 + i;
                 harness.offer(request, 0.2);
                 harness.now += (0.2 / rate * SECOND as f64) as Micros;
@@ -234,54 +236,55 @@
             sent[worker as usize / 10] += 1.0;
         }
     }
-    assert!(sent[1] > sent[0], "the loaded fast kind gets the smaller part: {sent:?}");
+    assert!(sent[1] > sent[0], "the loaded fast kind gets fewer requests: {sent:?}");
 }
 
 #[test]
-fn a_cross_zone_attempt_has_its_cost() {
+fn the_cross_zone_cost_counts_against_workers_of_another_zone() {
     let settings = Settings { cross_zone_cost: 0.02, zone: 1, ..settings(Idempotency::NonIdempotent) };
-    let away = Endpoint { zone: 0, ..endpoint(0) };
-    let home = Endpoint { zone: 1, ..endpoint(1) };
+    let remote = Endpoint { zone: 0, ..endpoint(0) };
+    let local = Endpoint { zone: 1, ..endpoint(1) };
     for seed in 0..20 {
-        let mut harness = Harness::seeded(settings.clone(), &[away, home], seed);
+        let mut harness = Harness::seeded(settings.clone(), &[remote, local], seed);
         harness.offer(1, 0.2);
         assert_eq!(harness.sent_worker(), Some(1));
         harness.offer(2, 0.2);
         harness.offer(3, 0.2);
         harness.offer(4, 0.2);
     }
-    let mut harness = Harness::new(settings, &[away, home]);
+    let mut harness = Harness::new(settings, &[remote, local]);
     let cross_zone = (0..8).filter(|&i| {
         harness.offer(i, 0.2);
         harness.sent_worker() == Some(0)
     });
-    assert!(cross_zone.count() > 0, "a loaded own zone is worth the cross-zone cost");
+    assert!(cross_zone.count() > 0, "requests leave a loaded zone despite the cross-zone cost");
 }
 
-/// Without hints a work of 1 for every class made a worker that had run short requests look fast, and
-/// short requests pass for long ones.
+/// Guards against a fixed work of 1 for requests without a cost hint: workers that had served short requests
+/// were estimated as fast, and short requests were treated as long ones.
 #[test]
-fn without_hints_a_class_costs_its_usual_time() {
+fn without_a_cost_hint_a_request_counts_as_the_usual_work_of_its_class() {
     let mut settings = settings(Idempotency::NonIdempotent);
     settings.classes.push(class(Idempotency::NonIdempotent));
     let mut harness = Harness::new(settings, &[endpoint(0), endpoint(1)]);
     let unhinted =
         |request, class| IncomingRequest { class, cost_hint: None, ..incoming_request(request, 0.0) };
-    // Class 0 takes 0.1 s and class 1 takes 2 s, wherever they run.
+    // Class 0 takes 0.1 s and class 1 takes 2 s, at either worker.
     for i in 0..60 {
-        for (class, takes) in [(0, 100 * MS), (1, 2 * SECOND)] {
+        for (class, service_time) in [(0, 100 * MS), (1, 2 * SECOND)] {
             let request = 10 * i + u64::from(class);
             harness.handle(Event::Request(unhinted(request, class)));
             if harness.sent_worker().is_none() {
                 continue;
             }
             harness.start_attempt(request, 0);
-            harness.now += takes;
+            harness.now += service_time;
             harness.complete_with_report(request, 0, Outcome::Served, Some(IDLE));
         }
     }
-    // Two workers of two slots hold this many short requests before one of them would miss 1.2 s; at the
-    // mean of both classes, two of them would.
+    // Two workers of two slots take 12 short requests before one of them would exceed the limit of 1.2 s (the
+    // objective of 1 s plus twice 0.1 s). Counted at the mean work of both classes, two of them would exceed
+    // it.
     let sent = (0..12).filter(|&i| {
         harness.handle(Event::Request(unhinted(5000 + i, 0)));
         harness.sent_worker().is_some()
@@ -289,9 +292,10 @@
     assert_eq!(sent.count(), 12);
 }
 
-/// With all workers full, each request was tried as often as allowed, at the workers' own cost.
+/// Guards against retries that load a full fleet further: with all workers full, each request used all the
+/// attempts that it was allowed, and each attempt cost its worker time.
 #[test]
-fn a_full_fleet_gets_few_attempts_of_one_request() {
+fn a_request_gets_few_attempts_in_a_full_fleet() {
     let endpoints: Vec<_> = (0..20).map(endpoint).collect();
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &endpoints);
     let mut attempts_of = |request: u64, outcome: Outcome| {
@@ -303,20 +307,20 @@
         }
         attempts
     };
-    assert_eq!(attempts_of(1, Outcome::Rejected), 4, "as many as allowed at first");
+    assert_eq!(attempts_of(1, Outcome::Rejected), 4, "all allowed attempts at first");
     for i in 2..60 {
         attempts_of(i, Outcome::Rejected);
     }
-    assert_eq!(attempts_of(99, Outcome::Rejected), 2, "two when all are turned away");
+    assert_eq!(attempts_of(99, Outcome::Rejected), 2, "two attempts once all requests are rejected");
 }
 
-// The last report must not draw all requests: it is older than the requests sent since.
+// The last load report is older than the requests sent since. It must not attract all of them to one worker.
 #[test]
 fn local_requests_weigh_more_than_a_load_report() {
-    let fleet = Settings { fleet_size: 3, ..settings(Idempotency::NonIdempotent) };
-    let mut harness = Harness::new(fleet, &[]);
-    teach(&mut harness, endpoint(0), 1.0, 1000);
-    teach(&mut harness, endpoint(1), 1.0, 2000);
+    let small_fleet = Settings { fleet_size: 3, ..settings(Idempotency::NonIdempotent) };
+    let mut harness = Harness::new(small_fleet, &[]);
+    learn_rate(&mut harness, endpoint(0), 1.0, 1000);
+    learn_rate(&mut harness, endpoint(1), 1.0, 2000);
     harness.update_endpoints(EndpointUpdateKind::Full, &[endpoint(0), endpoint(1)]);
     for (worker, queue, free) in [(0, 1.0, 0.0), (1, 0.0, 2.0)] {
         let report = Some(LoadReport { queue: Some(queue), free_slots: Some(free), ..IDLE });
@@ -329,14 +333,14 @@
     let mut counts = [0; 2];
     for request in 1..=4 {
         harness.offer(request, 0.2);
-        counts[harness.sent_worker().expect("sent") as usize] += 1;
+        counts[harness.sent_worker().expect("the request is sent") as usize] += 1;
     }
-    assert_eq!(counts, [2, 2], "worker 0 was said to be full");
+    assert_eq!(counts, [2, 2], "worker 0 was reported as full, and still gets half of the requests");
 }
 
-// Hedges load workers where a canceled request runs all the same, so they are bounded.
+// A canceled request may keep running at its worker, so hedges add load and their number is limited.
 #[test]
-fn few_waiting_requests_are_hedged() {
+fn few_requests_are_hedged() {
     let endpoints: Vec<_> = (0..4).map(endpoint).collect();
     let mut harness = Harness::new(settings(Idempotency::Idempotent), &endpoints);
     let mut hedges = 0;
--- a/crates/dispatcher/tests/load_queries.rs
+++ b/crates/dispatcher/tests/load_queries.rs
@@ -1,4 +1,4 @@
-//! Load queries where nothing else shows a worker's load, and what is learned from them.
+//! Load queries: when a dispatcher sends them, and how their outcomes change its estimates.
 mod common;
 use common::{Harness, MS, endpoint, incoming_request, settings};
 use copperspread_dispatcher::{
@@ -9,11 +9,12 @@
 const FREE: LoadReport =
     LoadReport { queue: None, in_flight: Some(0.0), utilization: None, qps: None, free_slots: Some(4.0) };
 
-/// Workers of 4 slots that report starts, and their load when queried.
-fn queried_workers(count: u32) -> Harness {
+/// A dispatcher whose workers have 4 slots each, report when requests start, and report their load only when
+/// queried. Each worker has reported 4 free slots.
+fn harness_with_queried_workers(count: u32) -> Harness {
     let mut settings =
         Settings { load_by_query: true, load_query_cost: 0.002, ..settings(Idempotency::Idempotent) };
-    // Admission is not what is tested here.
+    // Long limits, so that no request is rejected on arrival.
     (settings.classes[0].latency_objective, settings.classes[0].deadline) = (100 * SECOND, 200 * SECOND);
     let workers: Vec<_> = (0..count).map(endpoint).collect();
     let mut harness = Harness::new(settings, &workers);
@@ -25,70 +26,76 @@
     harness.handle(Event::LoadQueryCompleted { worker: WorkerId(worker), outcome, report });
 }
 
-fn long(id: u64, work: f64) -> IncomingRequest {
+fn long_deadline_request(id: u64, work: f64) -> IncomingRequest {
     IncomingRequest { time_left: 200 * SECOND, ..incoming_request(id, work) }
 }
 
-/// Sends a request of some slots and work, and lets it start at once; returns its worker.
+/// Sends a request of so many slots and seconds of work, and starts it at once; returns its worker.
 fn start(harness: &mut Harness, id: u64, slots: f64, work: f64) -> u32 {
-    harness.handle(Event::Request(IncomingRequest { slots: Some(slots), ..long(id, work) }));
-    let worker = harness.sent_worker().expect("it is sent");
+    harness.handle(Event::Request(IncomingRequest { slots: Some(slots), ..long_deadline_request(id, work) }));
+    let worker = harness.sent_worker().expect("the request is sent");
     harness.start_attempt(id, 0);
     worker
 }
 
 #[test]
-fn a_request_of_many_slots_is_rejected_only_until_load_queries_show_the_slots() {
-    // A request of 4 slots and little slack: at the first guess of 2 slots its estimate is twice its time.
+fn a_request_of_many_slots_is_rejected_until_load_queries_show_the_slots() {
+    // The request of 4 slots has little slack. Before any report a worker counts as having 2 slots, at which
+    // the estimate is twice the service time.
     let with_load_queries =
         Settings { load_by_query: true, load_query_cost: 0.002, ..settings(Idempotency::Idempotent) };
     let mut harness = Harness::new(with_load_queries, &[endpoint(0), endpoint(1)]);
-    let wide = |id| IncomingRequest { slots: Some(4.0), ..incoming_request(id, 8.0) };
-    harness.handle(Event::Request(IncomingRequest { time_left: 9 * SECOND, ..wide(1) }));
+    let request_of_4_slots = |id| IncomingRequest { slots: Some(4.0), ..incoming_request(id, 8.0) };
+    harness.handle(Event::Request(IncomingRequest { time_left: 9 * SECOND, ..request_of_4_slots(1) }));
     assert!(harness.is_rejected(), "{:?}", harness.actions);
     (0..2).for_each(|worker| complete_load_query(&mut harness, worker, Outcome::Served, Some(FREE)));
-    harness.handle(Event::Request(IncomingRequest { time_left: 9 * SECOND, ..wide(2) }));
+    harness.handle(Event::Request(IncomingRequest { time_left: 9 * SECOND, ..request_of_4_slots(2) }));
     assert!(harness.sent_worker().is_some(), "{:?}", harness.actions);
 }
 
 #[test]
-fn local_requests_too_new_for_a_report_are_not_subtracted_from_it() {
-    // The report shows 3 slots that others took; of this dispatcher's 3 requests it knows nothing yet.
-    let mut harness = queried_workers(2);
+fn local_requests_too_recent_for_a_report_are_not_subtracted_from_it() {
+    // This dispatcher's request of 3 slots is too recent for the report, so the 3 slots in flight belong to
+    // requests of other dispatchers.
+    let mut harness = harness_with_queried_workers(2);
     let first = start(&mut harness, 1, 3.0, 4.0);
     let taken = LoadReport { in_flight: Some(3.0), free_slots: Some(1.0), ..FREE };
     complete_load_query(&mut harness, first, Outcome::Served, Some(taken));
     complete_load_query(&mut harness, 1 - first, Outcome::Served, Some(taken));
-    harness.handle(Event::Request(IncomingRequest { slots: Some(1.0), ..long(2, 1.0) }));
-    assert_eq!(harness.sent_worker(), Some(1 - first), "6 slots are taken at the first");
-    // A second later it does.
-    let mut harness = queried_workers(2);
+    harness.handle(Event::Request(IncomingRequest { slots: Some(1.0), ..long_deadline_request(2, 1.0) }));
+    assert_eq!(harness.sent_worker(), Some(1 - first), "6 slots are taken at the first worker");
+    // A report that comes one second later includes the request.
+    let mut harness = harness_with_queried_workers(2);
     let first = start(&mut harness, 1, 3.0, 4.0);
     harness.now += SECOND;
     complete_load_query(&mut harness, first, Outcome::Served, Some(taken));
-    let crowded = LoadReport { in_flight: Some(12.0), free_slots: Some(0.0), ..FREE };
-    complete_load_query(&mut harness, 1 - first, Outcome::Served, Some(crowded));
-    harness.handle(Event::Request(IncomingRequest { slots: Some(1.0), ..long(2, 1.0) }));
-    assert_eq!(harness.sent_worker(), Some(first), "the 3 are its own, and a slot is free");
+    let full = LoadReport { in_flight: Some(12.0), free_slots: Some(0.0), ..FREE };
+    complete_load_query(&mut harness, 1 - first, Outcome::Served, Some(full));
+    harness.handle(Event::Request(IncomingRequest { slots: Some(1.0), ..long_deadline_request(2, 1.0) }));
+    assert_eq!(
+        harness.sent_worker(),
+        Some(first),
+        "the 3 slots in flight are this dispatcher's own, and one slot is free"
+    );
 }
 
 #[test]
-fn a_load_query_that_times_out_means_loaded_and_not_failing() {
-    let mut harness = queried_workers(2);
+fn a_load_query_that_times_out_counts_as_load_and_not_as_a_failure() {
+    let mut harness = harness_with_queried_workers(2);
     for _ in 0..10 {
         complete_load_query(&mut harness, 0, Outcome::TimedOut, None);
     }
     complete_load_query(&mut harness, 1, Outcome::Served, Some(FREE));
-    assert_eq!(start(&mut harness, 1, 4.0, 0.2), 1, "behind the queue of worker 0 it would wait");
-    // As soon as it responses it is as good as any: a fault would be remembered for seconds.
+    assert_eq!(start(&mut harness, 1, 4.0, 0.2), 1, "worker 0 counts as loaded");
+    // As soon as worker 0 responds, it ranks like an idle worker. A failure would lower its rank for seconds.
     complete_load_query(&mut harness, 0, Outcome::Served, Some(FREE));
     harness.now += 100 * MS;
     assert_eq!(start(&mut harness, 5, 4.0, 0.2), 0);
 }
 
 #[test]
-fn a_response_without_a_report_leaves_the_last_load_report() {
-    let mut harness = queried_workers(2);
+fn a_response_without_a_load_report_leaves_the_last_one_in_use() {
+    let mut harness = harness_with_queried_workers(2);
     let busy = LoadReport { in_flight: Some(8.0), free_slots: Some(0.0), ..FREE };
     start(&mut harness, 1, 1.0, 0.2);
     complete_load_query(&mut harness, 0, Outcome::Served, Some(busy));
@@ -98,12 +105,13 @@
     assert_eq!(start(&mut harness, 2, 4.0, 0.2), 1);
 }
 
-/// Probes in so many seconds, with so many requests a second, each served at once.
-fn load_queries(settings: Settings, workers: u32, seconds: u64, requests: u64) -> u64 {
+/// The number of load queries that a dispatcher sends in `seconds`, while it is offered `requests_per_second`
+/// that are each served at once.
+fn count_load_queries(settings: Settings, workers: u32, seconds: u64, requests_per_second: u64) -> u64 {
     let workers: Vec<_> = (0..workers).map(endpoint).collect();
     let mut harness = Harness::new(settings, &workers);
     let (mut timers, mut count, mut id) = (vec![], 0, 0);
-    let mut take = |harness: &Harness, timers: &mut Vec<(Micros, Timer)>| {
+    let mut collect_actions = |harness: &Harness, timers: &mut Vec<(Micros, Timer)>| {
         for action in &harness.actions {
             match action {
                 Action::StartTimer { after, timer } => timers.push((harness.now + after, *timer)),
@@ -112,22 +120,22 @@
             }
         }
     };
-    take(&harness, &mut timers);
+    collect_actions(&harness, &mut timers);
     let end = harness.now + seconds * SECOND;
     while harness.now < end {
         harness.now += SECOND / 100;
-        if (harness.now / (SECOND / 100)).is_multiple_of(100 / requests) {
+        if (harness.now / (SECOND / 100)).is_multiple_of(100 / requests_per_second) {
             id += 1;
             harness.offer(id, 0.1);
-            take(&harness, &mut timers);
+            collect_actions(&harness, &mut timers);
             harness.complete_with_report(id, 0, Outcome::Served, None);
-            take(&harness, &mut timers);
+            collect_actions(&harness, &mut timers);
         }
         let (due, later): (Vec<_>, Vec<_>) = timers.into_iter().partition(|(at, _)| *at <= harness.now);
         timers = later;
         for (_, timer) in due {
             harness.handle(Event::TimerExpired(timer));
-            take(&harness, &mut timers);
+            collect_actions(&harness, &mut timers);
         }
     }
     count
@@ -137,24 +145,31 @@
 fn load_queries_are_sent_only_where_needed_and_within_their_budget() {
     let with_load_queries =
         Settings { load_by_query: true, load_query_cost: 0.002, ..settings(Idempotency::Idempotent) };
-    assert_eq!(load_queries(settings(Idempotency::Idempotent), 10, 20, 10), 0, "responses show it");
-    let few = load_queries(with_load_queries.clone(), 10, 20, 10);
-    assert!((180..=220).contains(&few), "each worker about once a second: {few}");
-    let many = load_queries(with_load_queries.clone(), 200, 20, 1);
-    assert!((20..=125).contains(&many), "a request earns five, and twenty were saved: {many}");
+    assert_eq!(
+        count_load_queries(settings(Idempotency::Idempotent), 10, 20, 10),
+        0,
+        "responses show the load"
+    );
+    let few = count_load_queries(with_load_queries.clone(), 10, 20, 10);
+    assert!((180..=220).contains(&few), "each worker is queried about once a second: {few}");
+    let many = count_load_queries(with_load_queries.clone(), 200, 20, 1);
+    assert!(
+        (20..=125).contains(&many),
+        "each request adds five to the budget, which starts at twenty: {many}"
+    );
     let expensive = Settings { load_query_cost: 0.1, ..with_load_queries };
-    assert!(load_queries(expensive, 10, 20, 10) <= 45, "expensive ones are fewer");
+    assert!(count_load_queries(expensive, 10, 20, 10) <= 45, "at a higher cost, fewer are sent");
 }
 
 #[test]
 fn a_draining_worker_gets_no_load_query() {
-    let mut harness = queried_workers(2);
+    let mut harness = harness_with_queried_workers(2);
     let draining = Endpoint { state: WorkerState::Draining, ..endpoint(1) };
     harness.update_endpoints(EndpointUpdateKind::Changes, &[draining]);
     for _ in 0..10 {
         harness.handle(Event::TimerExpired(Timer::LoadQuery));
-        let complete_load_query =
+        let queries_worker_1 =
             |action: &Action| matches!(action, Action::QueryLoad { worker } if worker.0 == 1);
-        assert!(!harness.actions.iter().any(complete_load_query), "{:?}", harness.actions);
+        assert!(!harness.actions.iter().any(queries_worker_1), "{:?}", harness.actions);
     }
 }
--- a/crates/dispatcher/tests/module_dependencies.rs
+++ b/crates/dispatcher/tests/module_dependencies.rs
@@ -1,4 +1,5 @@
-//! The modules of the dispatch policy use one another in one direction, and only one of them is the dispatcher.
+//! Checks of the dispatch policy's source: its modules have no dependency cycles, only one implements the
+//! dispatcher, and types that own state keep it private.
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -6,24 +7,25 @@
 
 type Graph = BTreeMap<String, BTreeSet<String>>;
 
-fn policy_folder() -> PathBuf {
+fn policy_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy")
 }
 
-/// The policy's sources by module, without the file that only lists the modules.
+/// The source of each policy module by its name, except `mod.rs`, which only declares the modules.
 fn policy_sources() -> BTreeMap<String, String> {
     let mut sources = BTreeMap::new();
-    for entry in std::fs::read_dir(policy_folder()).expect("a folder").flatten() {
+    for entry in std::fs::read_dir(policy_directory()).expect("the policy directory is readable").flatten() {
         let path = entry.path();
-        let module = path.file_stem().and_then(|stem| stem.to_str()).expect("UTF-8").to_owned();
+        let module =
+            path.file_stem().and_then(|stem| stem.to_str()).expect("the file name is UTF-8").to_owned();
         if module != "mod" {
-            sources.insert(module, std::fs::read_to_string(path).expect("a source"));
+            sources.insert(module, std::fs::read_to_string(path).expect("the source file is readable"));
         }
     }
     sources
 }
 
-/// The modules that a source names after `super::` or `crate::policy::`.
+/// The modules that a source file refers to with `super::` or `crate::policy::`.
 fn used_modules(source: &str) -> BTreeSet<String> {
     let paths = source.split("super::").skip(1).chain(source.split("crate::policy::").skip(1));
     let first_name = |path: &str| {
@@ -37,8 +39,9 @@
     sources.iter().map(|(module, source)| (module.clone(), used_modules(source))).collect()
 }
 
-/// The modules that are left when those that use nothing left are taken away again and again.
-fn modules_in_circles(mut graph: Graph) -> BTreeSet<String> {
+/// The modules that are in a dependency cycle or depend on one: what is left after modules without remaining
+/// dependencies are removed repeatedly.
+fn modules_in_cycles(mut graph: Graph) -> BTreeSet<String> {
     loop {
         let is_leaf = |uses: &BTreeSet<String>| uses.iter().all(|used| !graph.contains_key(used));
         let leaves: Vec<_> =
@@ -53,19 +56,19 @@
 }
 
 #[test]
-fn the_modules_of_the_policy_use_one_another_in_one_direction() {
+fn the_policy_modules_have_no_dependency_cycle() {
     let graph = graph(&policy_sources());
     assert!(graph["dispatcher"].contains("slow_start") && graph["selection"].contains("estimates"));
     for (module, uses) in &graph {
         let unknown: Vec<_> = uses.iter().filter(|used| !graph.contains_key(*used)).collect();
-        assert!(unknown.is_empty(), "{module} names {unknown:?}, which this test cannot follow");
-        assert!(!uses.contains("dispatcher"), "{module} knows the dispatcher");
+        assert!(unknown.is_empty(), "{module} refers to {unknown:?}, which are not policy modules");
+        assert!(!uses.contains("dispatcher"), "{module} depends on the dispatcher");
     }
-    assert_eq!(modules_in_circles(graph), BTreeSet::new());
+    assert_eq!(modules_in_cycles(graph), BTreeSet::new());
 }
 
 #[test]
-fn the_dispatcher_is_changed_in_its_own_file_alone() {
+fn only_the_dispatcher_module_implements_the_dispatcher() {
     for (module, source) in policy_sources() {
         let is_dispatcher = module == "dispatcher";
         assert_eq!(source.contains("impl Dispatcher"), is_dispatcher, "{module}");
@@ -73,8 +76,8 @@
 }
 
 #[test]
-fn the_parts_that_own_state_show_none_of_it() {
-    let owners = [
+fn types_that_own_state_have_no_public_fields() {
+    let dispatcher_fields = [
         ("admission", "AdmissionController"),
         ("affinity", "AffinityRules"),
         ("endpoint_subscription", "EndpointSubscription"),
@@ -89,7 +92,7 @@
         ("slow_start", "SlowStartBudgets"),
         ("worker", "WorkerTable"),
     ];
-    let of_one_worker = [
+    let worker_fields = [
         ("affinity", "Affinity"),
         ("load_reports", "ReportedLoad"),
         ("outlier_detection", "FailureRates"),
@@ -97,31 +100,41 @@
         ("slow_start", "WorkerSlowStart"),
     ];
     let sources = policy_sources();
-    for (module, owner) in of_one_worker {
-        let (_, body) = sources[module].split_once(&format!("pub(super) struct {owner}")).expect("the owner");
-        let (fields, _) = body.split_once("\n\n").expect("the end of its fields");
-        assert!(!fields.contains("pub"), "{owner}: {fields}");
-        assert!(sources["worker"].contains(&format!(": {owner},")), "{owner} is held by the worker");
+    for (module, type_name) in worker_fields {
+        let (_, body) = sources[module]
+            .split_once(&format!("pub(super) struct {type_name}"))
+            .expect("the module defines the type");
+        let (fields, _) = body.split_once("\n\n").expect("a blank line follows the type");
+        assert!(!fields.contains("pub"), "{type_name}: {fields}");
+        assert!(
+            sources["worker"].contains(&format!(": {type_name},")),
+            "{type_name} is a field of the worker"
+        );
     }
-    for (module, owner) in owners {
+    for (module, type_name) in dispatcher_fields {
         let source = &sources[module];
-        let (_, body) = source.split_once(&format!("pub(super) struct {owner} {{")).expect("the owner");
-        let (fields, _) = body.split_once("\n}").expect("the end of its fields");
-        assert!(!fields.contains("pub"), "{owner}: {fields}");
-        assert!(sources["dispatcher"].contains(&format!(": {owner},")), "{owner} is held by the dispatcher");
+        let (_, body) = source
+            .split_once(&format!("pub(super) struct {type_name} {{"))
+            .expect("the module defines the type");
+        let (fields, _) = body.split_once("\n}").expect("a closing brace ends the fields");
+        assert!(!fields.contains("pub"), "{type_name}: {fields}");
+        assert!(
+            sources["dispatcher"].contains(&format!(": {type_name},")),
+            "{type_name} is a field of the dispatcher"
+        );
     }
 }
 
 #[test]
-fn a_circle_between_modules_is_found() {
+fn a_dependency_cycle_is_found() {
     let uses = |used: &[&str]| used.iter().map(|&name| name.to_owned()).collect();
     let modules = [("a", uses(&["b"])), ("b", uses(&["c"])), ("c", uses(&["b"])), ("d", uses(&[]))];
     let graph = modules.into_iter().map(|(module, uses)| (module.to_owned(), uses)).collect();
-    assert_eq!(modules_in_circles(graph).into_iter().collect::<Vec<_>>(), ["a", "b", "c"]);
+    assert_eq!(modules_in_cycles(graph).into_iter().collect::<Vec<_>>(), ["a", "b", "c"]);
 }
 
 #[test]
-fn a_module_that_is_named_in_code_or_imports_is_found() {
+fn modules_used_in_imports_and_in_code_are_found() {
     let source = "use super::figures::GROUP_GAIN;\nlet x = crate::policy::worker::X + super::affinity::Y;";
     assert_eq!(used_modules(source).into_iter().collect::<Vec<_>>(), ["affinity", "figures", "worker"]);
 }
--- a/crates/dispatcher/tests/retries.rs
+++ b/crates/dispatcher/tests/retries.rs
@@ -1,4 +1,4 @@
-//! What may be retried, hedged, moved or rejected, for each idempotency.
+//! Which requests may be retried, hedged, moved to another worker or rejected, by idempotency.
 mod common;
 use common::{Harness, MS, endpoint, settings};
 use copperspread_dispatcher::{
@@ -6,16 +6,20 @@
     Progress, RequestId, SECOND, Settings, Timer, WorkerState,
 };
 
-const KEYED_ALL: Idempotency = Idempotency::IdempotentWithKey { scope: KeyScope::All, window: 5 * SECOND };
-const KEYED_CELL: Idempotency = Idempotency::IdempotentWithKey { scope: KeyScope::Cell, window: 5 * SECOND };
-const KEYED_ZONE: Idempotency = Idempotency::IdempotentWithKey { scope: KeyScope::Zone, window: 5 * SECOND };
+const KEY_SCOPE_ALL: Idempotency =
+    Idempotency::IdempotentWithKey { scope: KeyScope::All, window: 5 * SECOND };
+const KEY_SCOPE_CELL: Idempotency =
+    Idempotency::IdempotentWithKey { scope: KeyScope::Cell, window: 5 * SECOND };
+const KEY_SCOPE_ZONE: Idempotency =
+    Idempotency::IdempotentWithKey { scope: KeyScope::Zone, window: 5 * SECOND };
 const CONNECT_TIMEOUT: Micros = 250 * MS;
 
-fn sent_to_one_of_four(idempotency: Idempotency) -> (Harness, u32) {
+/// A dispatcher that has sent request 1 to one of four workers, and that worker.
+fn harness_with_sent_request(idempotency: Idempotency) -> (Harness, u32) {
     let endpoints: Vec<_> = (0..4).map(|i| Endpoint { zone: i / 2, ..endpoint(i) }).collect();
     let mut harness = Harness::new(settings(idempotency), &endpoints);
     harness.offer(1, 0.2);
-    let first = harness.sent_worker().expect("sent");
+    let first = harness.sent_worker().expect("the request is sent");
     harness.now += 50 * MS;
     (harness, first)
 }
@@ -23,7 +27,7 @@
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails_without_a_retry() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled] {
-        let (mut harness, _) = sent_to_one_of_four(Idempotency::NonIdempotent);
+        let (mut harness, _) = harness_with_sent_request(Idempotency::NonIdempotent);
         harness.complete(1, 0, outcome);
         assert!(
             harness.is_failed() && harness.sent_worker().is_none() && !harness.is_rejected(),
@@ -35,54 +39,62 @@
 #[test]
 fn a_non_idempotent_request_that_never_ran_is_retried_elsewhere() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::Superseded] {
-        let (mut harness, first) = sent_to_one_of_four(Idempotency::NonIdempotent);
+        let (mut harness, first) = harness_with_sent_request(Idempotency::NonIdempotent);
         harness.complete(1, 0, outcome);
         assert!(harness.sent_worker().is_some_and(|next| next != first), "{outcome:?}");
     }
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_in_its_scope_and_window() {
+fn a_request_with_key_that_may_have_run_stays_within_its_key_scope_and_window() {
     for _ in 0..4 {
-        let (mut harness, first) = sent_to_one_of_four(KEYED_CELL);
+        let (mut harness, first) = harness_with_sent_request(KEY_SCOPE_CELL);
         harness.complete(1, 0, Outcome::Reset);
         assert_eq!(harness.sent_worker(), Some(first ^ 1), "the other worker of the cell");
     }
-    let (mut harness, first) = sent_to_one_of_four(KEYED_ZONE);
+    let (mut harness, first) = harness_with_sent_request(KEY_SCOPE_ZONE);
     harness.complete(1, 0, Outcome::Reset);
-    assert_eq!(harness.sent_worker().map(|w| w / 2), Some(first / 2), "the zone");
-    let (mut harness, _) = sent_to_one_of_four(KEYED_ALL);
+    assert_eq!(harness.sent_worker().map(|w| w / 2), Some(first / 2), "a worker of the same zone");
+    let (mut harness, _) = harness_with_sent_request(KEY_SCOPE_ALL);
     harness.now += 6 * SECOND;
     harness.complete(1, 0, Outcome::Reset);
-    assert!(harness.sent_worker().is_none(), "the workers have forgotten the key");
+    assert!(harness.sent_worker().is_none(), "the key window has passed");
 }
 
-/// A retry may be decided on within the window and written after it: its connection may
-/// take as long as the settings allow to come up.
+/// Guards against a retry that is decided within the key window and written after it, since connecting may
+/// take up to the connect timeout.
 #[test]
-fn a_keyed_request_is_retried_only_if_it_can_be_written_within_its_window() {
+fn a_request_with_key_is_retried_only_if_the_retry_can_be_written_within_the_window() {
     const WINDOW: Micros = 500 * MS;
-    for (after, goes_on) in [(0, true), (190, true), (210, false), (300, false), (499, false)] {
+    for (after_ms, is_retried) in [(0, true), (190, true), (210, false), (300, false), (499, false)] {
         let endpoints: Vec<_> = (0..4).map(endpoint).collect();
         let idempotency = Idempotency::IdempotentWithKey { scope: KeyScope::All, window: WINDOW };
         let mut harness =
             Harness::new(Settings { connect_timeout: CONNECT_TIMEOUT, ..settings(idempotency) }, &endpoints);
         harness.offer(1, 0.2);
-        // The first attempt never ran: its time does not count.
+        // The first attempt never ran, so the key window does not start with it.
         harness.now += 400 * MS;
         harness.complete(1, 0, Outcome::ConnectFailed);
-        assert!(harness.sent_worker().is_some(), "what never ran goes on");
-        harness.now += after * MS;
+        assert!(harness.sent_worker().is_some(), "an attempt that never ran is retried");
+        harness.now += after_ms * MS;
         harness.complete(1, 1, Outcome::Reset);
-        assert_eq!(harness.sent_worker().is_some(), goes_on, "{after} ms after the first that may have run");
-        assert_eq!(harness.is_rejected(), !goes_on, "all workers know its key");
+        assert_eq!(
+            harness.sent_worker().is_some(),
+            is_retried,
+            "{after_ms} ms after the first attempt that may have run"
+        );
+        assert_eq!(
+            harness.is_rejected(),
+            !is_retried,
+            "a request may be rejected if its key is valid at all workers"
+        );
     }
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_is_rejected_only_if_all_workers_know_its_key() {
-    for (idempotency, rejected) in [(KEYED_ALL, true), (KEYED_CELL, false), (KEYED_ZONE, false)] {
-        let (mut harness, _) = sent_to_one_of_four(idempotency);
+fn a_request_with_key_that_may_have_run_is_rejected_only_if_its_key_is_valid_at_all_workers() {
+    for (idempotency, rejected) in [(KEY_SCOPE_ALL, true), (KEY_SCOPE_CELL, false), (KEY_SCOPE_ZONE, false)] {
+        let (mut harness, _) = harness_with_sent_request(idempotency);
         harness.update_endpoints(EndpointUpdateKind::Full, &[]);
         harness.complete(1, 0, Outcome::Reset);
         assert_eq!(harness.is_rejected(), rejected, "{idempotency:?}");
@@ -92,7 +104,7 @@
 
 #[test]
 fn a_timeout_at_the_deadline_fails_the_request() {
-    let (mut harness, _) = sent_to_one_of_four(Idempotency::Idempotent);
+    let (mut harness, _) = harness_with_sent_request(Idempotency::Idempotent);
     harness.now += 10 * SECOND;
     harness.complete(1, 0, Outcome::TimedOut);
     assert!(harness.is_failed() && harness.sent_worker().is_none());
@@ -100,17 +112,17 @@
 
 #[test]
 fn a_retry_that_would_be_late_is_not_sent() {
-    let (mut harness, _) = sent_to_one_of_four(Idempotency::Idempotent);
+    let (mut harness, _) = harness_with_sent_request(Idempotency::Idempotent);
     harness.now += 5 * SECOND;
     harness.complete(1, 0, Outcome::Error);
     assert!(
         harness.sent_worker().is_none() && harness.is_rejected(),
-        "the objective has passed: safe to try again"
+        "the latency objective has passed, and the client may retry safely"
     );
 }
 
 #[test]
-fn attempts_are_capped() {
+fn the_number_of_attempts_is_limited() {
     let endpoints: Vec<_> = (0..20).map(endpoint).collect();
     let mut harness = Harness::new(settings(Idempotency::Idempotent), &endpoints);
     harness.offer(1, 0.01);
@@ -134,7 +146,7 @@
         }
         harness.update_endpoints(EndpointUpdateKind::Full, &[endpoint(0)]);
         harness.offer(30, 0.01);
-        assert_eq!(harness.sent_worker(), Some(0), "back in the full list, and the other one gone with it");
+        assert_eq!(harness.sent_worker(), Some(0), "the full list names worker 0 and not worker 1");
     }
 }
 
@@ -177,23 +189,23 @@
         harness.handle(Event::AttemptProgress { request: RequestId(99), attempt: 3, progress }).is_empty()
     );
     harness.offer(1, 0.1);
-    assert!(harness.complete(1, 7, Outcome::Error).is_empty(), "an attempt never made");
+    assert!(harness.complete(1, 7, Outcome::Error).is_empty(), "the request has no attempt 7");
     harness.complete(1, 0, Outcome::Served);
     assert!(harness.complete(1, 0, Outcome::Error).is_empty(), "a second outcome of the same attempt");
 }
 
-/// A worker whose queue is longer than any report showed, that hangs or slows down: the request gets a
-/// hedge, and the first to start calls the other off.
+/// Guards against requests that wait at a worker that hangs, slows down or has a longer queue than it
+/// reported: the request is hedged, and the first attempt to start cancels the other.
 #[test]
 fn a_request_that_does_not_start_is_hedged_and_one_attempt_runs() {
-    let (mut harness, first) = sent_to_one_of_four(Idempotency::Idempotent);
+    let (mut harness, first) = harness_with_sent_request(Idempotency::Idempotent);
     for i in 10..20 {
-        // Copies are earned by requests.
+        // Each request adds to the hedge budget.
         harness.offer(i, 0.01);
         harness.complete(i, 0, Outcome::Served);
     }
     harness.handle(Event::TimerExpired(Timer::HedgeCheck(RequestId(1))));
-    let hedge = harness.sent_worker().expect("a hedge");
+    let hedge = harness.sent_worker().expect("a hedge is sent");
     assert_ne!(hedge, first);
     harness.start_attempt(1, 1);
     assert_eq!(harness.actions, [Action::Cancel { request: RequestId(1), attempt: 0 }]);
@@ -202,7 +214,7 @@
 }
 
 #[test]
-fn a_request_that_does_not_start_moves_where_hedging_is_not_allowed() {
+fn a_request_that_does_not_start_is_moved_to_another_worker_where_hedging_is_not_allowed() {
     let endpoints: Vec<_> = (0..4).map(endpoint).collect();
     let mut harness =
         Harness::new(Settings { hedging_allowed: false, ..settings(Idempotency::Idempotent) }, &endpoints);
--- a/crates/dispatcher/tests/retry_invariants.rs
+++ b/crates/dispatcher/tests/retry_invariants.rs
@@ -1,4 +1,4 @@
-//! The rules of retries, hedges and final responses as invariants over seeded random events.
+//! Invariants of retries, hedges and final responses, checked over seeded random events.
 mod common;
 use common::{Harness, MS, endpoint, settings};
 use copperspread_dispatcher::{
@@ -7,10 +7,13 @@
 };
 use std::collections::HashMap;
 
-const WINDOW: Micros = 5 * SECOND;
-const KEYED_ALL: Idempotency = Idempotency::IdempotentWithKey { scope: KeyScope::All, window: WINDOW };
-const KEYED_CELL: Idempotency = Idempotency::IdempotentWithKey { scope: KeyScope::Cell, window: WINDOW };
-const KEYED_ZONE: Idempotency = Idempotency::IdempotentWithKey { scope: KeyScope::Zone, window: WINDOW };
+const KEY_WINDOW: Micros = 5 * SECOND;
+const KEY_SCOPE_ALL: Idempotency =
+    Idempotency::IdempotentWithKey { scope: KeyScope::All, window: KEY_WINDOW };
+const KEY_SCOPE_CELL: Idempotency =
+    Idempotency::IdempotentWithKey { scope: KeyScope::Cell, window: KEY_WINDOW };
+const KEY_SCOPE_ZONE: Idempotency =
+    Idempotency::IdempotentWithKey { scope: KeyScope::Zone, window: KEY_WINDOW };
 const CONNECT_TIMEOUT: Micros = 250 * MS;
 const OUTCOMES: [Outcome; 6] = [
     Outcome::Served,
@@ -21,7 +24,7 @@
     Outcome::Cancelled,
 ];
 
-/// One attempt as the checker saw it.
+/// One attempt, as the simulation has observed it.
 struct AttemptRecord {
     worker: u32,
     sent_at: Micros,
@@ -38,19 +41,20 @@
     }
 }
 
-/// What the checker knows of one request.
+/// One request, as the simulation has observed it.
 #[derive(Default)]
 struct RequestRecord {
     attempts: Vec<AttemptRecord>,
     responses: u32,
+    /// The request has a final response, or its client has disconnected.
     is_closed: bool,
     deadline: Micros,
 }
 
-/// An attempt by its request and number.
+/// An attempt, identified by its request and its number.
 type AttemptId = (u64, u32);
 
-/// A dispatcher under random events, with all that happened.
+/// A dispatcher that receives random events, with a record of its requests and attempts.
 struct Simulation {
     harness: Harness,
     rng: fastrand::Rng,
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Plays random events and checks the rules on every action.
+    /// Sends random events to the dispatcher and checks the invariants on every action.
     fn run(&mut self) {
         for _ in 0..400 {
             self.harness.now += self.rng.u64(0..200 * MS);
@@ -99,7 +103,10 @@
             for (id, request) in &self.requests {
                 let in_flight = request.attempts.iter().any(AttemptRecord::is_in_flight);
                 let seed = self.seed;
-                assert!(request.is_closed || in_flight, "seed {seed}: request {id} is left with no attempt");
+                assert!(
+                    request.is_closed || in_flight,
+                    "seed {seed}: request {id} is open and has no attempt in flight"
+                );
             }
         }
     }
@@ -117,10 +124,10 @@
         in_flight
     }
 
-    /// Lets one event happen; false if there was nothing for it to happen to.
+    /// Sends one random event to the dispatcher; returns false if no attempt is in flight for it.
     fn random_event(&mut self) -> bool {
         let in_flight = self.attempts_in_flight();
-        // Attempts past their deadline time out first, as the caller's network would see to.
+        // Attempts past their deadline time out first, as a real caller ensures.
         let is_overdue = |&(id, _): &AttemptId| self.requests[&id].deadline <= self.harness.now;
         let overdue = in_flight.iter().copied().find(is_overdue);
         let event = self.rng.u32(0..10);
@@ -143,7 +150,7 @@
             _ => {
                 let Some((id, number)) = self.random_attempt(&in_flight) else { return false };
                 if self.rng.u32(0..4) == 0 {
-                    self.requests.get_mut(&id).expect("known").is_closed = true;
+                    self.requests.get_mut(&id).expect("the request is recorded").is_closed = true;
                     self.harness.handle(Event::ClientDisconnected(RequestId(id)));
                 } else {
                     self.harness.start_attempt(id, number);
@@ -170,13 +177,13 @@
         let state = if self.is_ready[worker] { WorkerState::Ready } else { WorkerState::Draining };
         let changed = Endpoint { state, ..self.endpoints[worker] };
         match self.rng.u32(0..4) {
-            // Its process was replaced under the same id, with attempts of the earlier one in flight.
+            // The worker restarts under the same id, while attempts at its earlier process are in flight.
             0 => {
                 let started_at = Some(self.harness.now);
-                let replaced = Endpoint { started_at, ..changed };
-                self.harness.update_endpoints(EndpointUpdateKind::Changes, &[replaced]);
+                let restarted = Endpoint { started_at, ..changed };
+                self.harness.update_endpoints(EndpointUpdateKind::Changes, &[restarted]);
             }
-            // It left, and comes back with the next list that names it.
+            // The worker is removed, and comes back with the next list that names it.
             1 if !self.is_ready[worker] => {
                 let is_ready = self.is_ready;
                 let ready = self.endpoints.iter().filter(|endpoint| is_ready[endpoint.worker.0 as usize]);
@@ -190,7 +197,7 @@
     }
 
     fn complete(&mut self, (id, number): AttemptId, outcome: Outcome) {
-        let request = self.requests.get_mut(&id).expect("known");
+        let request = self.requests.get_mut(&id).expect("the request is recorded");
         request.attempts[number as usize].outcome = Some(outcome);
         request.is_closed |= outcome == Outcome::Served;
         self.harness.handle(Event::AttemptCompleted(AttemptOutcome {
@@ -216,24 +223,28 @@
         let (seed, now) = (self.seed, self.harness.now);
         self.sends += 1;
         assert!(self.is_ready[worker as usize], "seed {seed}: sent to a draining worker");
-        let request = self.requests.get_mut(&id).expect("a known request");
-        assert!(!request.is_closed && request.responses == 0, "seed {seed}: sent after the end");
+        let request = self.requests.get_mut(&id).expect("the request is recorded");
+        assert!(
+            !request.is_closed && request.responses == 0,
+            "seed {seed}: sent after the request was closed"
+        );
         assert!(now < request.deadline && request.attempts.len() < 4);
         let is_repeated = request.attempts.iter().any(|attempt| attempt.worker == worker);
         assert!(!is_repeated, "seed {seed}: a second attempt at worker {worker}");
         let in_flight = request.attempts.iter().any(AttemptRecord::is_in_flight);
-        assert!(self.hedging_allowed || !in_flight, "seed {seed}: a hedge");
+        assert!(self.hedging_allowed || !in_flight, "seed {seed}: hedged where hedging is not allowed");
         let first = request.attempts.iter().find(|attempt| attempt.may_have_run());
         match (self.idempotency, first) {
             (Idempotency::NonIdempotent, first) => assert!(first.is_none(), "seed {seed}: may run twice"),
             (Idempotency::IdempotentWithKey { scope, window }, Some(first)) => {
                 let written_by = now + CONNECT_TIMEOUT + DISPATCH_SLACK;
-                assert!(written_by <= first.sent_at + window, "seed {seed}: after the window");
-                let (a, b) = (self.endpoints[first.worker as usize], self.endpoints[worker as usize]);
+                assert!(written_by <= first.sent_at + window, "seed {seed}: written after the key window");
+                let (first_endpoint, next_endpoint) =
+                    (self.endpoints[first.worker as usize], self.endpoints[worker as usize]);
                 assert!(match scope {
                     KeyScope::All => true,
-                    KeyScope::Zone => a.zone == b.zone,
-                    KeyScope::Cell => a.cell == b.cell,
+                    KeyScope::Zone => first_endpoint.zone == next_endpoint.zone,
+                    KeyScope::Cell => first_endpoint.cell == next_endpoint.cell,
                 });
             }
             _ => {}
@@ -244,17 +255,17 @@
     fn check_response(&mut self, id: u64, is_rejection: bool) {
         let seed = self.seed;
         self.responses += 1;
-        let request = self.requests.get_mut(&id).expect("a known request");
-        assert!(!request.is_closed, "seed {seed}: a response after the end");
+        let request = self.requests.get_mut(&id).expect("the request is recorded");
+        assert!(!request.is_closed, "seed {seed}: a final response after the request was closed");
         request.responses += 1;
         request.is_closed = true;
         let may_have_run = request.attempts.iter().any(AttemptRecord::may_have_run);
         if is_rejection && may_have_run {
-            let is_repeatable = matches!(
+            let may_be_rejected = matches!(
                 self.idempotency,
                 Idempotency::Idempotent | Idempotency::IdempotentWithKey { scope: KeyScope::All, .. }
             );
-            assert!(is_repeatable, "seed {seed}: rejected though it may have run");
+            assert!(may_be_rejected, "seed {seed}: rejected although it may have run");
         }
     }
 }
@@ -262,7 +273,7 @@
 #[test]
 fn idempotency_and_retry_rules_hold_over_random_events() {
     for idempotency in
-        [Idempotency::Idempotent, Idempotency::NonIdempotent, KEYED_ALL, KEYED_ZONE, KEYED_CELL]
+        [Idempotency::Idempotent, Idempotency::NonIdempotent, KEY_SCOPE_ALL, KEY_SCOPE_ZONE, KEY_SCOPE_CELL]
     {
         for hedging_allowed in [false, true] {
             let (mut sends, mut responses) = (0, 0);
--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -1,47 +1,48 @@
-//! Slow start: all dispatchers together stay inside the budget, though none knows of the others.
+//! Slow start: all dispatchers of a fleet together stay within a worker's slow-start budget, although they do
+//! not communicate. A worker that has ended its slow start is called warm.
 mod common;
 use common::{Harness, MS, endpoint, settings};
 use copperspread_dispatcher::{
     Endpoint, EndpointUpdateKind, Idempotency, LoadReport, Micros, Outcome, SECOND, Settings, WorkerState,
 };
 
-/// What happens to the fleet in a run.
+/// What happens to the fleet in a simulated run.
 #[derive(Clone, Copy, Default)]
-struct Plan {
-    /// No dispatcher has records a request before.
+struct RunOptions {
+    /// All dispatchers have just restarted and have had no request.
     restarted: bool,
-    /// Requests are of unequal work, some many times the usual.
-    heavy: bool,
-    /// All read what the worker held a second before, renewed every 0.9 s.
-    listed: bool,
-    /// Seven in ten dispatchers come back with nothing 1.5 s after the worker's start.
-    killed: bool,
+    /// Requests are of unequal work, some of many times the mean.
+    unequal_work: bool,
+    /// Every 0.9 s, all dispatchers receive listed sizes that reflect the worker's load of one second before.
+    sizes_listed: bool,
+    /// Seven in ten dispatchers restart without state 1.5 s after the worker's start.
+    seven_in_ten_restart: bool,
 }
 
-/// When the worker starts: long after the dispatchers, as what is offered a second counts from there.
+/// The worker's start. It comes long after that of the dispatchers, since when they measure the offered load.
 const START: Micros = 200 * SECOND;
-const DURATION: Micros = 6 * SECOND;
+const RUN_DURATION: Micros = 6 * SECOND;
 const LIST_INTERVAL: Micros = 900 * MS;
-/// Slots of the worker that is warming up.
+/// Slots of the worker in slow start.
 const SLOTS: f64 = 2.0;
 
-/// Work sent to the worker that is warming up.
+/// Work sent to the worker in slow start, in seconds.
 struct SentWork {
     at: Micros,
     work: f64,
 }
 
-/// What a fleet sent to the worker that is warming up, as fractions of its budget.
+/// The work that a fleet sent to the worker in slow start, as fractions of its budget.
 struct BudgetUse {
-    /// The largest work within any window, of the multiple of the worker's mean capacity there.
+    /// The most work in any window, as a fraction of the budget at the worker's mean capacity in that window.
     worst_window: f64,
-    /// All work, of the budget at its start.
+    /// All work of the run, as a fraction of one window's budget at the worker's start.
     total: f64,
 }
 
-/// A fleet of dispatchers with one worker that is warming up.
+/// A fleet of dispatchers with one worker in slow start.
 struct Simulation {
-    plan: Plan,
+    options: RunOptions,
     seed: u64,
     settings: Settings,
     endpoints: Vec<Endpoint>,
@@ -50,23 +51,23 @@
 }
 
 impl Simulation {
-    fn new(fleet: u32, seed: u64, plan: Plan) -> Simulation {
+    fn new(dispatcher_count: u32, seed: u64, options: RunOptions) -> Simulation {
         let settings = Settings {
-            fleet_size: fleet,
-            sizes_reflect_load: plan.listed,
+            fleet_size: dispatcher_count,
+            sizes_reflect_load: options.sizes_listed,
             ..settings(Idempotency::NonIdempotent)
         };
         let warm: Vec<_> = (0..8).map(endpoint).collect();
         let mut endpoints = warm.clone();
         endpoints[0].started_at = Some(START);
-        if plan.listed {
-            // Nobody else takes work: whatever is let through goes to the warming one.
-            endpoints.iter_mut().skip(1).for_each(|of| of.state = WorkerState::Draining);
+        if options.sizes_listed {
+            // All other workers are draining, so every admitted request goes to the worker in slow start.
+            endpoints.iter_mut().skip(1).for_each(|listed| listed.state = WorkerState::Draining);
         }
         let mut simulation =
-            Simulation { plan, seed, settings, endpoints, harnesses: Vec::new(), sends: Vec::new() };
-        for index in 0..fleet {
-            let harness = simulation.experienced_dispatcher(index, &warm);
+            Simulation { options, seed, settings, endpoints, harnesses: Vec::new(), sends: Vec::new() };
+        for index in 0..dispatcher_count {
+            let harness = simulation.notified_dispatcher(index, &warm);
             simulation.harnesses.push(harness);
         }
         simulation
@@ -76,14 +77,15 @@
         Settings { instance_index: Some(index), ..self.settings.clone() }
     }
 
-    /// A dispatcher that knows loaded workers and has just been notified of the start.
-    fn experienced_dispatcher(&self, index: u32, warm: &[Endpoint]) -> Harness {
+    /// A dispatcher that has just been notified of the worker's start. It has load reports of the warm
+    /// workers, unless all dispatchers have just restarted.
+    fn notified_dispatcher(&self, index: u32, warm: &[Endpoint]) -> Harness {
         let seed = self.seed * 1000 + u64::from(index);
         let mut harness = Harness::seeded(self.settings_of(index), warm, seed);
         harness.now = START - 60 * SECOND;
-        if !self.plan.restarted {
+        if !self.options.restarted {
             for i in 0..30 {
-                // The warm ones have queues, so that a warming one is preferred.
+                // The warm workers have few free slots, so that the worker in slow start is preferred.
                 let free_slots = Some(if i == 0 { 2.0 } else { 0.5 });
                 let report = LoadReport { queue: Some(0.0), free_slots, ..LoadReport::default() };
                 harness.serve(1_000_000 + i, 0.5, 0.5, Some(report));
@@ -96,27 +98,27 @@
     }
 
     fn run(&mut self) {
-        let Plan { heavy, listed, killed, .. } = self.plan;
-        let fleet = self.settings.fleet_size;
+        let RunOptions { unequal_work, sizes_listed, seven_in_ten_restart, .. } = self.options;
+        let dispatcher_count = self.settings.fleet_size;
         let mut rng = fastrand::Rng::with_seed(self.seed);
-        // About as much as eight workers of two slots can do, over all dispatchers.
-        // In the large fleet each gets three requests a second.
-        let steps = if listed { 3 * 6 * u64::from(fleet) } else { 8 * 2 * 2 * 6 };
+        // With listed sizes, each dispatcher is offered three requests per second. Otherwise the whole fleet
+        // is offered about as much as eight workers of two slots can serve.
+        let steps = if sizes_listed { 3 * 6 * u64::from(dispatcher_count) } else { 8 * 2 * 2 * 6 };
         let mut next_list = START + LIST_INTERVAL;
-        let mut kill_at = killed.then_some(START + 1500 * MS);
+        let mut restart_at = seven_in_ten_restart.then_some(START + 1500 * MS);
         for step in 0..steps {
-            let now = START + step * DURATION / steps;
-            if kill_at.is_some_and(|at| now >= at) {
-                kill_at = None;
+            let now = START + step * RUN_DURATION / steps;
+            if restart_at.is_some_and(|at| now >= at) {
+                restart_at = None;
                 self.restart_seven_in_ten(now);
             }
-            if listed && now >= next_list {
+            if sizes_listed && now >= next_list {
                 next_list += LIST_INTERVAL;
                 self.publish_sizes(now);
             }
-            let harness = &mut self.harnesses[rng.usize(0..fleet as usize)];
+            let harness = &mut self.harnesses[rng.usize(0..dispatcher_count as usize)];
             harness.now = now;
-            let work = if heavy { 0.1 - rng.f64().max(1e-6).ln() * 0.4 } else { 0.5 };
+            let work = if unequal_work { 0.1 - rng.f64().max(1e-6).ln() * 0.4 } else { 0.5 };
             harness.offer(step, work);
             if harness.sent_worker() == Some(0) {
                 self.sends.push(SentWork { at: now, work });
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Work that the worker held a second ago, if it serves at the capacity of its first moment.
+    /// Work that the worker held one second before `now`, if it serves at its initial capacity; in seconds.
     fn work_held_a_second_before(&self, now: Micros) -> f64 {
         let rate = self.settings.slow_start_initial_capacity * SLOTS;
         let (mut held, mut at): (f64, _) = (0.0, START);
@@ -149,7 +151,7 @@
         let held = self.work_held_a_second_before(now);
         let mut endpoints = self.endpoints.clone();
         endpoints[0].size = Some(4.0 / (1.0 + held / 0.5 / SLOTS));
-        // One that drains holds nothing any more: so large is an idle one.
+        // A draining worker holds no work, so its size is that of an idle worker.
         endpoints[1].size = Some(4.0);
         for harness in &mut self.harnesses {
             harness.now = now;
@@ -161,8 +163,8 @@
         let Settings { slow_start_initial_capacity: initial, overload_window: window, .. } = self.settings;
         let budget = self.settings.overload_multiple * (initial * SLOTS) * window as f64 / SECOND as f64;
         let capacity_growth = |at: Micros| {
-            let warm = (at - START) as f64 / self.settings.slow_start_duration as f64;
-            (initial + (1.0 - initial) * warm) / initial
+            let elapsed = (at - START) as f64 / self.settings.slow_start_duration as f64;
+            (initial + (1.0 - initial) * elapsed) / initial
         };
         let in_window_from = |(i, first): (usize, &SentWork)| {
             let sends = self.sends[i..].iter().take_while(|sent| sent.at < first.at + window);
@@ -175,73 +177,88 @@
     }
 }
 
-/// Simulates a fleet of dispatchers for some seconds after a worker's start.
-fn simulate(fleet: u32, seed: u64, plan: Plan) -> BudgetUse {
-    let mut simulation = Simulation::new(fleet, seed, plan);
+/// Simulates a fleet of dispatchers for [`RUN_DURATION`] after a worker's start.
+fn simulate(dispatcher_count: u32, seed: u64, options: RunOptions) -> BudgetUse {
+    let mut simulation = Simulation::new(dispatcher_count, seed, options);
     simulation.run();
     simulation.budget_use()
 }
 
-fn worst_window(fleet: u32, seed: u64, plan: Plan) -> f64 {
-    simulate(fleet, seed, plan).worst_window
+fn worst_window(dispatcher_count: u32, seed: u64, options: RunOptions) -> f64 {
+    simulate(dispatcher_count, seed, options).worst_window
 }
 
-/// A part of the budget may be smaller than any request, and many that each send a little at random go
-/// beyond any budget together.
+/// In a large fleet, one dispatcher's part of the budget may be smaller than any request, and dispatchers
+/// that each send a few requests at random may exceed the budget together.
 #[test]
-fn a_large_fleet_keeps_a_lone_warming_worker_at_work_inside_its_budget() {
-    for fleet in [40, 100, 200] {
+fn a_large_fleet_uses_a_lone_worker_in_slow_start_within_its_budget() {
+    for dispatcher_count in [40, 100, 200] {
         let mut used = 0.0;
-        for heavy in [false, true] {
+        for unequal_work in [false, true] {
             for seed in 0..10 {
-                let plan = Plan { heavy, listed: true, ..Plan::default() };
-                let BudgetUse { worst_window: worst, total } = simulate(fleet, seed, plan);
-                assert!(worst < 1.0, "{fleet} dispatchers, heavy {heavy}, seed {seed}: {worst}");
+                let options = RunOptions { unequal_work, sizes_listed: true, ..RunOptions::default() };
+                let BudgetUse { worst_window: worst, total } = simulate(dispatcher_count, seed, options);
+                assert!(
+                    worst < 1.0,
+                    "{dispatcher_count} dispatchers, unequal work {unequal_work}, seed {seed}: {worst}"
+                );
                 used += total / 20.0;
             }
         }
-        assert!(used > 0.2, "{fleet} dispatchers: {used} of the budget in two windows");
+        assert!(used > 0.2, "{dispatcher_count} dispatchers use only {used} of the budget in two windows");
     }
 }
 
 #[test]
-fn the_fleet_stays_inside_the_budget_at_every_size() {
-    for fleet in [1, 2, 7, 40, 200] {
-        for heavy in [false, true] {
+fn a_fleet_of_any_size_stays_within_the_budget() {
+    for dispatcher_count in [1, 2, 7, 40, 200] {
+        for unequal_work in [false, true] {
             for seed in 0..10 {
-                let worst = worst_window(fleet, seed, Plan { heavy, ..Plan::default() });
-                assert!(worst < 1.0, "{fleet} dispatchers, heavy {heavy}, seed {seed}: {worst}");
+                let worst = worst_window(
+                    dispatcher_count,
+                    seed,
+                    RunOptions { unequal_work, ..RunOptions::default() },
+                );
+                assert!(
+                    worst < 1.0,
+                    "{dispatcher_count} dispatchers, unequal work {unequal_work}, seed {seed}: {worst}"
+                );
             }
         }
     }
 }
 
 #[test]
-fn restarted_dispatchers_stay_inside_the_budget_too() {
-    for fleet in [1, 7, 200] {
+fn restarted_dispatchers_stay_within_the_budget() {
+    for dispatcher_count in [1, 7, 200] {
         for seed in 0..10 {
-            let worst = worst_window(fleet, seed, Plan { restarted: true, heavy: true, ..Plan::default() });
-            assert!(worst < 1.0, "{fleet} dispatchers, seed {seed}: {worst}");
+            let worst = worst_window(
+                dispatcher_count,
+                seed,
+                RunOptions { restarted: true, unequal_work: true, ..RunOptions::default() },
+            );
+            assert!(worst < 1.0, "{dispatcher_count} dispatchers, seed {seed}: {worst}");
         }
     }
 }
 
-/// Dispatchers that restart in the middle of a window have forgotten what they sent.
+/// Dispatchers that restart within a window have lost the record of what they sent in it.
 #[test]
-fn seven_in_ten_dispatchers_killed_within_a_window_do_not_spend_the_budget_twice() {
-    for fleet in [40, 100, 300] {
+fn seven_in_ten_dispatchers_restarted_within_a_window_do_not_use_the_budget_twice() {
+    for dispatcher_count in [40, 100, 300] {
         for seed in 0..10 {
-            let plan = Plan { listed: true, killed: true, ..Plan::default() };
-            let worst = worst_window(fleet, seed, plan);
-            assert!(worst < 1.0, "{fleet} dispatchers, seed {seed}: {worst}");
+            let options =
+                RunOptions { sizes_listed: true, seven_in_ten_restart: true, ..RunOptions::default() };
+            let worst = worst_window(dispatcher_count, seed, options);
+            assert!(worst < 1.0, "{dispatcher_count} dispatchers, seed {seed}: {worst}");
         }
     }
 }
 
-/// What was sent must not count for longer than the window: at a steady load half of the budget
-/// then stays unused while warm workers queue.
+/// Guards against counting sent work for longer than the window: at a steady load, half of the budget then
+/// stays unused while requests queue at warm workers.
 #[test]
-fn a_warming_worker_with_room_gets_most_of_its_budget_window_after_window() {
+fn a_worker_in_slow_start_gets_most_of_its_budget_in_each_window() {
     let settings = settings(Idempotency::NonIdempotent);
     let mut harness = Harness::new(settings.clone(), &[]);
     let start = harness.now;
@@ -251,12 +268,13 @@
     for step in 0..900 {
         harness.now = start + step * 10 * MS;
         if step == 300 {
-            // What a first burst spends is not what comes window after window.
+            // Leaves out the first burst, which is not part of the steady load of later windows.
             (sent, budget) = (0.0, 0.0);
         }
-        let warm = step as f64 * 0.01 / (settings.slow_start_duration as f64 / SECOND as f64);
+        let elapsed_fraction = step as f64 * 0.01 / (settings.slow_start_duration as f64 / SECOND as f64);
         budget += settings.overload_multiple
-            * (settings.slow_start_initial_capacity + (1.0 - settings.slow_start_initial_capacity) * warm)
+            * (settings.slow_start_initial_capacity
+                + (1.0 - settings.slow_start_initial_capacity) * elapsed_fraction)
             * 0.01;
         harness.offer(step, 0.05);
         if harness.sent_worker().is_some() {
@@ -264,17 +282,17 @@
             harness.complete(step, 0, Outcome::Served);
         }
     }
-    assert!((0.75..1.0).contains(&(sent / budget)), "{sent} of {budget}");
+    assert!((0.75..1.0).contains(&(sent / budget)), "{sent} s of work sent, of a budget of {budget} s");
 }
 
 #[test]
-fn a_warming_worker_does_get_work() {
-    let total: f64 = (0..10).map(|seed| worst_window(7, seed, Plan::default())).sum();
-    assert!(total > 0.3, "thinned, not shut out: {total} over ten runs");
+fn a_worker_in_slow_start_gets_work() {
+    let total: f64 = (0..10).map(|seed| worst_window(7, seed, RunOptions::default())).sum();
+    assert!(total > 0.3, "the worst windows of ten runs add up to only {total} of the budget");
 }
 
 #[test]
-fn a_request_too_heavy_for_the_budget_is_never_sent_to_a_warming_worker() {
+fn a_request_larger_than_the_budget_is_never_sent_to_a_worker_in_slow_start() {
     let mut sent = 0;
     for seed in 0..200 {
         let mut harness = Harness::seeded(settings(Idempotency::NonIdempotent), &[], seed);
@@ -301,7 +319,8 @@
     assert_eq!(harness.sent_worker(), Some(0));
 }
 
-/// A dispatcher of a hundred that has heard of crowded warm workers, and of one that is new.
+/// The worker that gets the next request of one in 100 dispatchers, which knows the warm workers 0 to 7 as
+/// loaded, and worker 8 as new and listed with `size`.
 fn sent_beside_loaded_workers(size: Option<f64>, seed: u64) -> Option<u32> {
     let settings = Settings {
         fleet_size: 100,
@@ -309,7 +328,7 @@
         sizes_reflect_load: true,
         ..settings(Idempotency::NonIdempotent)
     };
-    // Of a budget so large that all may share it: here the choice counts.
+    // The budget is large enough for all dispatchers, so that only worker selection matters.
     let settings = Settings { overload_multiple: 1000.0, ..settings };
     let warm: Vec<_> = (0..8).map(|i| Endpoint { size: Some(4.0), ..endpoint(i) }).collect();
     let mut harness = Harness::seeded(settings, &warm, seed);
@@ -331,24 +350,24 @@
     harness.sent_worker()
 }
 
-/// New workers once passed for as loaded as the old ones and stood idle.
+/// Guards against new workers that stay idle because they are assumed to be as loaded as the warm ones.
 #[test]
-fn a_warming_worker_listed_as_idle_is_preferred_to_loaded_ones_and_one_listed_as_full_is_not() {
-    let count_sent_there =
+fn a_worker_in_slow_start_is_preferred_where_listed_as_idle_and_not_where_listed_as_full() {
+    let count_sent_to_it =
         |size| (0..40).filter(|&seed| sent_beside_loaded_workers(size, seed) == Some(8)).count();
     let (idle, full, unlisted) =
-        (count_sent_there(Some(4.0)), count_sent_there(Some(0.8)), count_sent_there(None));
-    assert!(idle >= 30, "{idle} of 40 to the idle one");
+        (count_sent_to_it(Some(4.0)), count_sent_to_it(Some(0.8)), count_sent_to_it(None));
+    assert!(idle >= 30, "{idle} of 40 requests are sent to the worker if listed as idle");
     assert!(
         full <= 2 && unlisted < idle / 2,
-        "{full} to the full one, {unlisted} to one with no listed size"
+        "of 40 requests, {full} are sent to the worker if listed as full, {unlisted} if it has no listed size"
     );
 }
 
 #[test]
-fn absurd_sizes_neither_panic_nor_exclude_a_kind() {
-    for odd in [f64::NAN, f64::INFINITY, 0.0, -3.0, 1e-300, 9_999.0, 1e300] {
-        // A budget that all hundred may share, so that only what the list shows counts.
+fn invalid_sizes_neither_cause_a_panic_nor_exclude_a_kind() {
+    for invalid_size in [f64::NAN, f64::INFINITY, 0.0, -3.0, 1e-300, 9_999.0, 1e300] {
+        // The budget is large enough for all 100 dispatchers, so that only the listed sizes matter.
         let settings = Settings {
             fleet_size: 100,
             overload_multiple: 1000.0,
@@ -356,42 +375,42 @@
             ..settings(Idempotency::NonIdempotent)
         };
         let mut endpoints: Vec<_> = (0..4).map(|i| Endpoint { size: Some(4.0), ..endpoint(i) }).collect();
-        endpoints[0].size = Some(odd);
+        endpoints[0].size = Some(invalid_size);
         endpoints[1].started_at = Some(100 * SECOND);
         let mut harness = Harness::new(settings, &endpoints[..0]);
         harness.update_endpoints(EndpointUpdateKind::Full, &endpoints);
-        // Only the warming one is left, idle by the list.
-        for of in [0, 2, 3] {
-            endpoints[of].state = WorkerState::Draining;
+        // Only the worker in slow start is left; its listed size is that of an idle worker.
+        for worker in [0, 2, 3] {
+            endpoints[worker].state = WorkerState::Draining;
         }
         harness.update_endpoints(EndpointUpdateKind::Changes, &endpoints);
         harness.now += 5 * SECOND;
         harness.offer(1, 0.2);
-        assert_eq!(harness.sent_worker(), Some(1), "beside a size of {odd}");
+        assert_eq!(harness.sent_worker(), Some(1), "where worker 0 is listed with size {invalid_size}");
     }
 }
 
 #[test]
 fn endpoint_lists_and_fleets_of_any_size_are_handled() {
-    for fleet in [1, 100, 10_000] {
+    for dispatcher_count in [1, 100, 10_000] {
         for count in [0, 1, 5_000] {
             let settings = Settings {
-                fleet_size: fleet,
-                instance_index: Some(fleet - 1),
+                fleet_size: dispatcher_count,
+                instance_index: Some(dispatcher_count - 1),
                 sizes_reflect_load: true,
                 ..settings(Idempotency::NonIdempotent)
             };
             let started_at = Some(100 * SECOND);
-            let warming: Vec<_> =
+            let in_slow_start: Vec<_> =
                 (0..count).map(|i| Endpoint { started_at, size: Some(4.0), ..endpoint(i) }).collect();
             let mut harness = Harness::new(settings, &[]);
-            harness.update_endpoints(EndpointUpdateKind::Full, &warming);
+            harness.update_endpoints(EndpointUpdateKind::Full, &in_slow_start);
             harness.now += SECOND;
             harness.offer(1, 0.1);
             assert!(count > 0 || harness.is_rejected(), "no worker is listed");
             assert!(
                 harness.is_rejected() != harness.sent_worker().is_some(),
-                "{fleet} dispatchers, {count} endpoints"
+                "{dispatcher_count} dispatchers, {count} endpoints"
             );
         }
     }
--- a/crates/dispatcher/tests/slow_start_budget.rs
+++ b/crates/dispatcher/tests/slow_start_budget.rs
@@ -1,118 +1,124 @@
-//! The platform's rule on a worker that is warming up, for fleets of any size: what the dispatchers that were
-//! notified of its start send within any window, in requests of mean work, stays under N + 2 x root of N + 2
-//! (N + 3 x root of N + 3 under 30), N being what the settings allow the worker then. Other tests have
-//! dispatchers that hear of the start late, or have learned unlike figures (`slow_start_fleet`).
+//! The platform's limit on the work sent to a worker in slow start, for fleets of any size. What the
+//! dispatchers that were notified of its start send it in any window must not exceed N + 2 sqrt(N) + 2
+//! requests of mean work, or N + 3 sqrt(N) + 3 if N is less than 30, where N is the budget that the settings
+//! give the worker in that window. `slow_start_fleet` tests dispatchers that are notified late or have
+//! unequal estimates.
 mod common;
-use common::{Harness, endpoint, patient_settings};
+use common::{Harness, endpoint, long_deadline_settings};
 use copperspread_dispatcher::{Dispatcher, Endpoint, EndpointUpdateKind, Micros, SECOND, Settings};
 
 const START: Micros = 200 * SECOND;
 const WINDOW: Micros = 3 * SECOND;
-/// How long a run lasts.
-const DURATION: Micros = 3 * WINDOW;
-/// All dispatchers are offered requests so many times in a run.
+const RUN_DURATION: Micros = 3 * WINDOW;
+/// Times in a run at which all dispatchers are offered requests.
 const ROUNDS: u64 = 48;
-/// Requests offered to each dispatcher in a round, smallest last: what is left of a part is used up.
+/// Work of the requests offered to each dispatcher in a round, in multiples of the mean. The smallest comes
+/// last, to use up the rest of the dispatcher's part of the budget.
 const OFFERED_WORK: [f64; 4] = [1.9, 1.0, 0.8, 0.3];
-const FLEETS: [u32; 10] = [1, 2, 3, 5, 8, 20, 60, 150, 400, 900];
-/// Requests of mean work that a worker bears in its first window.
+const FLEET_SIZES: [u32; 10] = [1, 2, 3, 5, 8, 20, 60, 150, 400, 900];
+/// The worker's budgets in its first window, in requests of mean work.
 const BUDGETS: [f64; 9] = [0.8, 2.5, 5.0, 8.0, 12.0, 28.0, 31.0, 90.0, 500.0];
 
-/// How the dispatchers are numbered.
+/// Which instance indexes the dispatchers have.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Numbering {
-    /// Each has a number of its own, and the settings name as many as run.
-    Full,
-    /// None has a number.
+enum InstanceIndexes {
+    /// Each dispatcher has its own, and `fleet_size` is the number of dispatchers.
+    WithinFleetSize,
+    /// No dispatcher has one.
     Absent,
-    /// Each has a number of its own, and the settings name a third of those that run.
+    /// Each dispatcher has its own, and `fleet_size` is a third of the number of dispatchers.
     BeyondFleetSize,
 }
 
+/// The parameters of a simulated run.
 #[derive(Clone, Copy, Debug)]
-struct Plan {
+struct RunOptions {
     dispatchers: u32,
-    numbering: Numbering,
-    /// Requests of mean work that the worker bears in its first window.
+    indexes: InstanceIndexes,
+    /// The worker's budget in its first window, in requests of mean work.
     budget: f64,
-    /// Capacity at the worker's start.
+    /// The worker's capacity at its start, as a fraction of its full capacity.
     initial_capacity: f64,
-    /// One in so many dispatchers is restarted, at two random moments.
-    restarted: Option<u32>,
+    /// If set, one in this many dispatchers restarts, at two random moments.
+    restarting_one_in: Option<u32>,
     seed: u64,
 }
 
-/// What the platform lets a worker that is warming up get in a window in which it bears N.
-fn allowed(budget: f64) -> f64 {
+/// The work that the platform allows a worker in slow start in a window with this budget. Both are in
+/// requests of mean work.
+fn allowed_work(budget: f64) -> f64 {
     let (per_root, fixed) = if budget < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
     budget + per_root * budget.sqrt() + fixed
 }
 
+/// A fleet of dispatchers whose only worker is in slow start.
 struct Simulation {
-    plan: Plan,
+    options: RunOptions,
     settings: Settings,
-    /// Mean work of a request.
-    mean: f64,
-    started: Endpoint,
+    /// Mean work of a request, in seconds.
+    mean_work: f64,
+    /// The worker as listed after its start.
+    started_worker: Endpoint,
     harnesses: Vec<Harness>,
-    /// When work was sent to the worker, and how much.
+    /// The times at which work was sent to the worker, and the work in seconds.
     sends: Vec<(Micros, f64)>,
     last_request: u64,
 }
 
 impl Simulation {
-    fn new(plan: Plan) -> Simulation {
-        let fleet_size = match plan.numbering {
-            Numbering::BeyondFleetSize => plan.dispatchers.div_ceil(3),
-            Numbering::Full | Numbering::Absent => plan.dispatchers,
+    fn new(options: RunOptions) -> Simulation {
+        let fleet_size = match options.indexes {
+            InstanceIndexes::BeyondFleetSize => options.dispatchers.div_ceil(3),
+            InstanceIndexes::WithinFleetSize | InstanceIndexes::Absent => options.dispatchers,
         };
         let settings = Settings {
-            slow_start_initial_capacity: plan.initial_capacity,
+            slow_start_initial_capacity: options.initial_capacity,
             overload_window: WINDOW,
-            ..patient_settings(fleet_size)
+            ..long_deadline_settings(fleet_size)
         };
-        // A worker has one slot, as nothing else is known of it, and serves a second of work in a second.
-        let budget = settings.overload_multiple * plan.initial_capacity * WINDOW as f64 / SECOND as f64;
-        let hash_key = fastrand::Rng::with_seed(plan.seed).u64(..);
+        // Without reports, a worker counts as one of a single slot that serves one second of work per second.
+        let budget = settings.overload_multiple * options.initial_capacity * WINDOW as f64 / SECOND as f64;
+        let hash_key = fastrand::Rng::with_seed(options.seed).u64(..);
         let mut simulation = Simulation {
-            plan,
+            options,
             settings,
-            mean: budget / plan.budget,
-            started: Endpoint { started_at: Some(START), hash_key, ..endpoint(0) },
+            mean_work: budget / options.budget,
+            started_worker: Endpoint { started_at: Some(START), hash_key, ..endpoint(0) },
             harnesses: Vec::new(),
             sends: Vec::new(),
             last_request: 0,
         };
-        for number in 0..plan.dispatchers {
-            let mut harness = simulation.dispatcher(number, START - 60 * SECOND, 0);
-            // It has had requests, for which there was no worker.
+        for index in 0..options.dispatchers {
+            let mut harness = simulation.new_dispatcher(index, START - 60 * SECOND, 0);
+            // The dispatcher has had requests, but no worker to send them to.
             for work in OFFERED_WORK.repeat(2) {
                 simulation.offer(&mut harness, work);
             }
             harness.now = START;
-            harness.update_endpoints(EndpointUpdateKind::Changes, &[simulation.started]);
+            harness.update_endpoints(EndpointUpdateKind::Changes, &[simulation.started_worker]);
             simulation.harnesses.push(harness);
         }
         simulation
     }
 
-    /// A new process of a dispatcher, which has no list yet.
-    fn dispatcher(&self, number: u32, now: Micros, life: u64) -> Harness {
-        let instance_index = (self.plan.numbering != Numbering::Absent).then_some(number);
+    /// A dispatcher that has just started and has no endpoint list yet; `restart` counts its earlier starts.
+    fn new_dispatcher(&self, index: u32, now: Micros, restart: u64) -> Harness {
+        let instance_index = (self.options.indexes != InstanceIndexes::Absent).then_some(index);
         let settings = Settings { instance_index, ..self.settings.clone() };
-        let seed = (self.plan.seed * 10_000 + u64::from(number)) * 3 + life;
+        let seed = (self.options.seed * 10_000 + u64::from(index)) * 3 + restart;
         let mut harness = Harness::new(settings.clone(), &[]);
-        // One that has had no event yet: it starts with its first.
-        harness.dispatcher = Dispatcher::new(settings, seed).expect("settings are good");
+        // Replaces the harness's dispatcher by one without any event, as a dispatcher's start is its first
+        // event.
+        harness.dispatcher = Dispatcher::new(settings, seed).expect("the settings are valid");
         harness.now = now;
         harness
     }
 
-    /// Offers a request of so many times the mean work; whether it was sent.
+    /// Offers a request of `work` times the mean work; returns whether it was sent.
     fn offer(&mut self, harness: &mut Harness, work: f64) -> bool {
         self.last_request += 1;
-        let work = work * self.mean;
-        let is_sent = harness.offer_patiently(self.last_request, work).is_some();
+        let work = work * self.mean_work;
+        let is_sent = harness.offer_with_long_deadline(self.last_request, work).is_some();
         if is_sent {
             self.sends.push((harness.now, work));
         }
@@ -120,13 +126,13 @@
     }
 
     fn run(&mut self) {
-        let mut rng = fastrand::Rng::with_seed(self.plan.seed);
-        let mut restarts = [1, 2].map(|life| (rng.u64(0..ROUNDS), life));
+        let mut rng = fastrand::Rng::with_seed(self.options.seed);
+        let mut restarts = [1, 2].map(|restart| (rng.u64(0..ROUNDS), restart));
         restarts.sort_unstable();
         for round in 0..ROUNDS {
-            let now = START + round * DURATION / ROUNDS;
-            for (_, life) in restarts.iter().filter(|&&(at, _)| at == round) {
-                self.restart_some(now, *life);
+            let now = START + round * RUN_DURATION / ROUNDS;
+            for (_, restart) in restarts.iter().filter(|&&(at, _)| at == round) {
+                self.restart_some(now, *restart);
             }
             let mut harnesses = std::mem::take(&mut self.harnesses);
             for harness in &mut harnesses {
@@ -139,112 +145,118 @@
         }
     }
 
-    fn restart_some(&mut self, now: Micros, life: u64) {
-        let Some(one_in) = self.plan.restarted else { return };
-        for number in (0..self.plan.dispatchers).filter(|number| number % one_in == 0) {
-            let mut harness = self.dispatcher(number, now, life);
-            harness.update_endpoints(EndpointUpdateKind::Full, &[self.started]);
-            self.harnesses[number as usize] = harness;
+    fn restart_some(&mut self, now: Micros, restart: u64) {
+        let Some(one_in) = self.options.restarting_one_in else { return };
+        for index in (0..self.options.dispatchers).filter(|index| index % one_in == 0) {
+            let mut harness = self.new_dispatcher(index, now, restart);
+            harness.update_endpoints(EndpointUpdateKind::Full, &[self.started_worker]);
+            self.harnesses[index as usize] = harness;
         }
     }
 
-    /// The most in any window, as a fraction of what is allowed.
+    /// The most work in any window, as a fraction of the allowed work.
     fn worst_window(&self) -> f64 {
-        let initial = self.plan.initial_capacity;
+        let initial = self.options.initial_capacity;
         let duration = self.settings.slow_start_duration as f64;
         let budget_at = |at: Micros| {
             let elapsed = (at - START) as f64 / duration;
-            self.plan.budget * (initial + (1.0 - initial) * elapsed.min(1.0)) / initial
+            self.options.budget * (initial + (1.0 - initial) * elapsed.min(1.0)) / initial
         };
-        let in_window_from = |(index, &(first_at, _)): (usize, &(Micros, f64))| {
-            let sends = self.sends[index..].iter().take_while(|(at, _)| *at < first_at + WINDOW);
-            let work: f64 = sends.map(|(_, work)| work / self.mean).sum();
-            work / allowed(budget_at(first_at + WINDOW / 2))
+        let in_window_from = |(first, &(first_at, _)): (usize, &(Micros, f64))| {
+            let sends = self.sends[first..].iter().take_while(|(at, _)| *at < first_at + WINDOW);
+            let work: f64 = sends.map(|(_, work)| work / self.mean_work).sum();
+            work / allowed_work(budget_at(first_at + WINDOW / 2))
         };
         self.sends.iter().enumerate().map(in_window_from).fold(0.0, f64::max)
     }
 }
 
-fn worst_window(plan: Plan) -> f64 {
-    let mut simulation = Simulation::new(plan);
+fn worst_window(options: RunOptions) -> f64 {
+    let mut simulation = Simulation::new(options);
     simulation.run();
     simulation.worst_window()
 }
 
-fn assert_budget_holds(numbering: Numbering, restarted: Option<u32>) {
+fn assert_budget_holds(indexes: InstanceIndexes, restarting_one_in: Option<u32>) {
     let (mut seed, mut worst) = (0, 0.0_f64);
-    for dispatchers in FLEETS {
+    for dispatchers in FLEET_SIZES {
         for budget in BUDGETS {
-            // A large fleet costs time, so it is played on fewer seeds and one start; the others are as cold.
+            // Large fleets take long to simulate, so they run on fewer seeds and with one initial capacity;
+            // smaller fleets run with lower and higher ones too.
             let initial_capacities = if dispatchers > 60 { &[0.12][..] } else { &[0.02, 0.12, 0.3] };
             for &initial_capacity in initial_capacities {
                 seed += 1;
-                let plan = Plan { dispatchers, numbering, budget, initial_capacity, restarted, seed };
-                let share = worst_window(plan);
-                assert!(share <= 1.0, "{plan:?}: {share:.2} of what is allowed");
-                worst = worst.max(share);
+                let options =
+                    RunOptions { dispatchers, indexes, budget, initial_capacity, restarting_one_in, seed };
+                let used = worst_window(options);
+                assert!(used <= 1.0, "{options:?}: {used:.2} of the allowed work");
+                worst = worst.max(used);
             }
         }
     }
-    println!("{numbering:?}, restarted {restarted:?}: {worst:.2} of what is allowed at the worst");
-    assert!(worst > 0.3, "the worker was offered more than it may get");
+    println!("{indexes:?}, restarting one in {restarting_one_in:?}: at most {worst:.2} of the allowed work");
+    assert!(worst > 0.3, "too little work was sent to test the limit: {worst:.2} of the allowed work");
 }
 
 #[test]
-fn a_fleet_of_any_size_stays_inside_the_budget() {
-    assert_budget_holds(Numbering::Full, None);
+fn a_fleet_of_any_size_stays_within_the_limit() {
+    assert_budget_holds(InstanceIndexes::WithinFleetSize, None);
 }
 
 #[test]
-fn a_fleet_of_any_size_whose_processes_restart_within_a_window_stays_inside_the_budget() {
+fn a_fleet_of_any_size_with_restarts_within_a_window_stays_within_the_limit() {
     for one_in in [1, 3] {
-        assert_budget_holds(Numbering::Full, Some(one_in));
+        assert_budget_holds(InstanceIndexes::WithinFleetSize, Some(one_in));
     }
 }
 
 #[test]
-fn a_fleet_without_numbers_stays_inside_the_budget() {
-    assert_budget_holds(Numbering::Absent, None);
-    assert_budget_holds(Numbering::Absent, Some(3));
+fn a_fleet_without_instance_indexes_stays_within_the_limit() {
+    assert_budget_holds(InstanceIndexes::Absent, None);
+    assert_budget_holds(InstanceIndexes::Absent, Some(3));
 }
 
 #[test]
-fn more_dispatchers_than_the_settings_name_stay_inside_the_budget() {
-    assert_budget_holds(Numbering::BeyondFleetSize, None);
-    assert_budget_holds(Numbering::BeyondFleetSize, Some(3));
+fn more_dispatchers_than_the_fleet_size_stay_within_the_limit() {
+    assert_budget_holds(InstanceIndexes::BeyondFleetSize, None);
+    assert_budget_holds(InstanceIndexes::BeyondFleetSize, Some(3));
 }
 
-/// Where a budget has room for one position only, six of the dispatchers without a number draw it by chance in one
-/// of two thousand starts.
+/// Where a budget has room for one slow-start position only, six of the dispatchers without an instance index
+/// draw that position by chance in one of 2,000 starts of a worker.
 #[test]
-fn those_that_draw_the_same_position_by_chance_stay_inside_the_budget_together() {
-    const FLEET: u32 = 40;
+fn dispatchers_that_draw_the_same_position_by_chance_stay_within_the_limit() {
+    const FLEET_SIZE: u32 = 40;
     const STARTS: u64 = 10_000;
-    let (budget, mean) = (8.0, 0.1);
+    let (budget, mean_work) = (8.0, 0.1);
     let settings = Settings {
-        slow_start_initial_capacity: budget * mean / 2.5 / 3.0,
+        slow_start_initial_capacity: budget * mean_work / 2.5 / 3.0,
         overload_window: WINDOW,
-        ..patient_settings(FLEET)
+        ..long_deadline_settings(FLEET_SIZE)
     };
     let mut harnesses: Vec<_> =
-        (0..FLEET).map(|number| Harness::seeded(settings.clone(), &[], u64::from(number))).collect();
+        (0..FLEET_SIZE).map(|index| Harness::seeded(settings.clone(), &[], u64::from(index))).collect();
     let (mut worst, mut last_request) = (0.0_f64, 0);
     for start in 0..STARTS {
         let mut sent = 0.0;
         for harness in &mut harnesses {
             harness.now += SECOND;
-            // Another key, as of another worker: positions are drawn anew.
+            // A new hash key, as of another worker, so that the dispatchers draw new positions.
             let started = Endpoint { started_at: Some(harness.now), hash_key: start, ..endpoint(0) };
             harness.update_endpoints(EndpointUpdateKind::Changes, &[started]);
             for work in OFFERED_WORK.repeat(2) {
                 last_request += 1;
-                let is_sent = harness.offer_patiently(last_request, work * mean).is_some();
+                let is_sent = harness.offer_with_long_deadline(last_request, work * mean_work).is_some();
                 sent += if is_sent { work } else { 0.0 };
             }
         }
         worst = worst.max(sent);
     }
-    println!("{worst:.1} requests of mean work at the worst, {:.1} are allowed", allowed(budget));
-    assert!(worst > budget / 2.0, "the worker was offered more than it may get");
-    assert!(worst <= allowed(budget), "{worst:.1} requests of mean work, {:.1} are allowed", allowed(budget));
+    println!("at most {worst:.1} requests of mean work in a window, {:.1} are allowed", allowed_work(budget));
+    assert!(worst > budget / 2.0, "too little work was sent to test the limit: {worst:.1}");
+    assert!(
+        worst <= allowed_work(budget),
+        "{worst:.1} requests of mean work, {:.1} are allowed",
+        allowed_work(budget)
+    );
 }
