--- a/crates/settings/src/endpoints.rs
+++ b/crates/settings/src/endpoints.rs
@@ -1,53 +1,54 @@
-//! Endpoint lists in the form that all sources of them share.
+//! Endpoint lists, in one form for all sources of discovery.
 use std::hash::Hasher;
 
 use copperspread_dispatcher::Micros;
 use http::uri::Authority;
 
-/// An endpoint's state as discovery gives it.
+/// The state of an endpoint in an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointPhase {
-    /// It takes new work.
+    /// The endpoint accepts new requests.
     Serving,
-    /// It finishes the work it has and takes no more.
+    /// The endpoint finishes the requests that it has and accepts no new ones.
     Draining,
-    /// It left the list.
+    /// The endpoint was removed from the list.
     Deleted,
 }
 
-/// One endpoint as discovery lists it.
+/// One entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
     /// The worker's name, the same at every scheduler.
     pub id: String,
-    /// Where it listens, as seen from here.
+    /// The host and port at which this scheduler reaches it.
     pub address: Authority,
     /// The name of its zone.
     pub zone: String,
-    /// The name of its kind of machine.
+    /// The name of its worker kind.
     pub kind: String,
     /// The cell that it belongs to.
     pub cell: u32,
-    /// Whether it takes work.
+    /// Whether it accepts new requests.
     pub phase: EndpointPhase,
-    /// Its last start, in Unix time; `None` is long ago.
+    /// The time of its last start, in microseconds since the Unix epoch. `None` stands
+    /// for a start long ago.
     pub started_at: Option<Micros>,
-    /// Its size as listed, if it is.
+    /// Its size, if the list has one.
     pub size: Option<f64>,
 }
 
-/// One answer of discovery.
+/// An endpoint list with its version, as discovery publishes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// The list's version.
+    /// The version of the list.
     pub revision: u64,
-    /// Whether it holds all endpoints, or only those that changed.
+    /// Whether the list holds all endpoints, or only those that changed.
     pub complete: bool,
-    /// The endpoints.
+    /// The listed endpoints.
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// A hash of a worker's name, the same on every machine: FNV-1a of its bytes.
+/// Computes the FNV-1a hash of a worker's name, which is the same on every machine.
 pub fn name_key(name: &str) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(name.as_bytes());
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,16 +1,16 @@
-//! Why a text or value is not what a reader of this crate expects.
+//! The error type of this crate's readers.
 
-/// Why reading failed. The text of each variant is shown to operators and clients as it is.
+/// The reason why JSON could not be read. Operators and clients are shown the message of each variant.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ReadError {
     /// The bytes are not UTF-8.
     #[error("no UTF-8")]
     InvalidUtf8(#[source] std::str::Utf8Error),
-    /// The text is not JSON.
+    /// The text is not valid JSON.
     #[error("no JSON: {0}")]
     InvalidJson(#[source] tinyjson::JsonParseError),
-    /// The JSON value is nested more deeply than is read.
+    /// The JSON value is nested more than 32 levels deep.
     #[error("nested too deeply")]
     NestedTooDeeply,
     /// A required field is absent or null.
@@ -25,13 +25,13 @@
         /// The field's name.
         field: &'static str,
     },
-    /// A field is not a non-negative integer that a float holds exactly.
+    /// A field is not a non-negative integer of at most 2^53, up to which a float is exact.
     #[error("{field} is no whole number")]
     NotAnInteger {
         /// The field's name.
         field: &'static str,
     },
-    /// An integer does not fit into the field's type.
+    /// An integer exceeds the range of the field's type.
     #[error("{field} is out of range")]
     OutOfRange {
         /// The field's name.
@@ -73,7 +73,7 @@
         /// The string as given.
         text: String,
     },
-    /// A field has none of the values defined for it.
+    /// A field has a value that is not defined for it.
     #[error("unknown {field} {value:?}")]
     UnknownValue {
         /// The field's name.
@@ -81,18 +81,18 @@
         /// The value as given.
         value: String,
     },
-    /// A part of a larger value is wrong.
+    /// An error in a field that holds a larger value, with the name of that field.
     #[error("{section}: {source}")]
     InSection {
-        /// The name of the field that holds the part.
+        /// The name of the field.
         section: &'static str,
-        /// What is wrong with the part.
+        /// The error in the field's value.
         source: Box<ReadError>,
     },
 }
 
 impl ReadError {
-    /// This error as one of the field `section`, which holds what was read.
+    /// Wraps this error with the name of the field whose value was read.
     #[must_use]
     pub fn in_section(self, section: &'static str) -> ReadError {
         ReadError::InSection { section, source: Box::new(self) }
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,34 +1,35 @@
-//! Reading JSON with tinyjson: a limit on its recursion, and typed access to the fields of objects.
+//! Typed access to the fields of JSON, which tinyjson parses up to a limited nesting depth.
 use copperspread_dispatcher::{Micros, SECOND};
 use tinyjson::JsonValue;
 
 use crate::error::ReadError;
 
-/// Deepest nesting that is read. tinyjson recurses once for each level and has no limit of its own:
-/// a body of nothing but brackets would overflow the stack and abort the process.
+/// Deepest nesting that is parsed. tinyjson recurses for each level without a limit, so a body of brackets
+/// alone would overflow the stack and abort the process.
 const MAX_NESTING_DEPTH: usize = 32;
 
-/// Up to 2^53 each integer has an exact representation as a float.
+/// 2^53: up to it, every integer has an exact representation as a float.
 const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
-/// Reads one JSON value.
+/// Parses one JSON value.
 ///
 /// # Errors
-/// A text that is not JSON or is nested too deeply.
+/// [`ReadError::NestedTooDeeply`] for a text nested more than 32 levels deep, [`ReadError::InvalidJson`] for
+/// other text that is not valid JSON.
 pub fn parse(text: &str) -> Result<JsonValue, ReadError> {
     check_nesting(text)?;
     text.parse().map_err(ReadError::InvalidJson)
 }
 
-/// Reads one JSON value from bytes.
+/// Parses one JSON value from bytes.
 ///
 /// # Errors
-/// Bytes that are not UTF-8; otherwise as [`parse`].
+/// [`ReadError::InvalidUtf8`] for bytes that are not UTF-8; otherwise as [`parse`].
 pub fn parse_bytes(bytes: &[u8]) -> Result<JsonValue, ReadError> {
     parse(std::str::from_utf8(bytes).map_err(ReadError::InvalidUtf8)?)
 }
 
-/// Counts brackets outside strings, without allocation and before anything is parsed.
+/// Checks the depth of brackets outside strings, before parsing and without allocation.
 fn check_nesting(text: &str) -> Result<(), ReadError> {
     let mut depth = 0_usize;
     let mut is_in_string = false;
@@ -51,22 +52,21 @@
     Ok(())
 }
 
-/// A field of an object; null counts as absent, and a value that is no object has no fields.
+/// The value of an object's field, or `None` where it is absent or null or `value` is not an object.
 pub fn field<'a>(value: &'a JsonValue, name: &str) -> Option<&'a JsonValue> {
     let object: &std::collections::HashMap<String, JsonValue> = value.get()?;
     object.get(name).filter(|field| !field.is_null())
 }
 
-/// A field whose own fields are read next; null, which has none, where it is absent.
+/// The value of a field that holds an object, or null, which has no fields, where it is absent.
 pub(crate) fn object_or_null<'a>(value: &'a JsonValue, name: &str) -> &'a JsonValue {
     field(value, name).unwrap_or(&JsonValue::Null)
 }
 
-/// A field that must be there, read by one of the readers of this module:
-/// `required(&config, "listen", text)`.
+/// Reads a required field with one of the readers of this module: `required(&config, "listen", text)`.
 ///
 /// # Errors
-/// An absent field; otherwise as `read`.
+/// [`ReadError::Missing`] if the field is absent or null; otherwise as `read`.
 pub fn required<'a, T>(
     value: &'a JsonValue,
     name: &'static str,
@@ -75,10 +75,10 @@
     read(value, name)?.ok_or(ReadError::Missing { field: name })
 }
 
-/// A field that is a finite number, if it is there.
+/// Reads an optional field that holds a finite number.
 ///
 /// # Errors
-/// A field that is anything else.
+/// [`ReadError::NotANumber`] if the field holds anything else.
 pub fn number(value: &JsonValue, name: &'static str) -> Result<Option<f64>, ReadError> {
     match field(value, name) {
         None => Ok(None),
@@ -87,10 +87,11 @@
     }
 }
 
-/// A field that is a non-negative integer within the range of `T`, if it is there.
+/// Reads an optional field that holds a non-negative integer within the range of `T`.
 ///
 /// # Errors
-/// A field that is anything else.
+/// [`ReadError::NotAnInteger`] for a number that is negative, fractional or above 2^53,
+/// [`ReadError::OutOfRange`] for an integer that exceeds the range of `T`; otherwise as [`number`].
 pub fn integer<T: TryFrom<u64>>(value: &JsonValue, name: &'static str) -> Result<Option<T>, ReadError> {
     match number(value, name)? {
         None => Ok(None),
@@ -101,7 +102,7 @@
     }
 }
 
-/// A field of seconds as microseconds, if it is there; negative ones are 0.
+/// Reads an optional field of seconds as microseconds; negative values become 0.
 ///
 /// # Errors
 /// As [`number`].
@@ -109,15 +110,15 @@
     Ok(number(value, name)?.map(micros_from_seconds))
 }
 
-/// Seconds, rounded to microseconds; negative ones are 0.
+/// Converts seconds to microseconds, rounded to the nearest; negative values become 0.
 pub fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds * SECOND as f64).round() as Micros
 }
 
-/// A field that is a string, if it is there.
+/// Reads an optional field that holds a string.
 ///
 /// # Errors
-/// A field that is anything else.
+/// [`ReadError::NotAString`] if the field holds anything else.
 pub fn text<'a>(value: &'a JsonValue, name: &'static str) -> Result<Option<&'a str>, ReadError> {
     match field(value, name) {
         None => Ok(None),
@@ -126,10 +127,10 @@
     }
 }
 
-/// A field that is true or false, if it is there.
+/// Reads an optional field that holds a boolean.
 ///
 /// # Errors
-/// A field that is anything else.
+/// [`ReadError::NotABoolean`] if the field holds anything else.
 pub fn boolean(value: &JsonValue, name: &'static str) -> Result<Option<bool>, ReadError> {
     match field(value, name) {
         None => Ok(None),
@@ -138,10 +139,10 @@
     }
 }
 
-/// A field that is an array, if it is there.
+/// Reads an optional field that holds an array.
 ///
 /// # Errors
-/// A field that is anything else.
+/// [`ReadError::NotAnArray`] if the field holds anything else.
 pub fn array<'a>(value: &'a JsonValue, name: &'static str) -> Result<Option<&'a [JsonValue]>, ReadError> {
     match field(value, name) {
         None => Ok(None),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings, limits and endpoint lists that a scheduler is given before and while it runs.
+//! Settings, limits and endpoint lists that a scheduler receives at its start and while it runs.
 //!
-//! The types belong to no format: [`platform`] reads the platform's JSON into them, and the crate
-//! `copperspread-config` maps its TOML onto the same ones. Nothing here opens a file or a socket.
+//! The types are independent of any file format: [`platform`] reads the platform's JSON into them, and the
+//! crate `copperspread-config` maps its TOML onto them. This crate opens no file and no socket.
 mod endpoints;
 mod error;
 pub mod json;
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,6 +1,7 @@
-//! The platform's JSON: the configuration that it writes for each start of a scheduler, the settings
-//! object in it, which the simulator sends as well, and discovery's endpoint lists. This is their one
-//! reader; unknown keys are ignored.
+//! The reader of the platform's JSON.
+//!
+//! It covers the configuration that the platform writes for each start of a scheduler, the settings object in
+//! it, which the simulator sends as well, and the endpoint lists of discovery. Unknown keys are ignored.
 mod endpoints;
 mod parse;
 mod settings;
@@ -14,15 +15,16 @@
 pub use endpoints::read_endpoint_list;
 pub use settings::read_settings;
 
-/// Descriptors that the process may hold open where the configuration has no limit.
+/// File descriptors that the process may hold open if the configuration has no limit.
 const DEFAULT_DESCRIPTOR_LIMIT: usize = 1024;
-/// Memory that the process may use where the configuration has no limit, in megabytes.
+/// Memory that the process may use if the configuration has no limit, in megabytes.
 const DEFAULT_MEMORY_LIMIT_MB: f64 = 192.0;
 
-/// Reads the configuration of a start.
+/// Reads the startup configuration that the platform writes.
 ///
 /// # Errors
-/// A text that is not JSON, and a field that is missing or wrong.
+/// As [`json::parse`]; [`ReadError::Missing`] for a required field that is absent, or the error of the
+/// field's type. Errors within a field are wrapped in [`ReadError::InSection`].
 pub fn read_startup_config(content: &str) -> Result<StartupConfig, ReadError> {
     let config = json::parse(content)?;
     let listen = required(&config, "listen", text)?;
--- a/crates/settings/src/platform/endpoints.rs
+++ b/crates/settings/src/platform/endpoints.rs
@@ -1,4 +1,4 @@
-//! Discovery's endpoint lists in the platform's JSON.
+//! The reader of endpoint lists in the platform's JSON.
 use copperspread_dispatcher::Micros;
 use http::uri::Authority;
 use tinyjson::JsonValue;
@@ -10,10 +10,11 @@
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// Reads one answer of discovery.
+/// Reads an endpoint list, from a response of discovery or from the cached list in the configuration.
 ///
 /// # Errors
-/// A field that is missing or wrong; one invalid endpoint makes the whole list invalid.
+/// [`ReadError::Missing`] for a required field that is absent, or the error of the field's type. One invalid
+/// endpoint makes the whole list invalid.
 pub fn read_endpoint_list(value: &JsonValue) -> Result<EndpointList, ReadError> {
     let members = required(value, "members", array)?;
     Ok(EndpointList {
@@ -33,7 +34,7 @@
         cell: integer(value, "cell")?.unwrap_or(0),
         phase: read_phase(value)?,
         started_at: read_start_time(value)?,
-        // A size of another type is no reason to reject the list.
+        // An invalid size counts as absent and does not make the list invalid.
         size: number(value, "size").unwrap_or_default(),
     })
 }
@@ -56,7 +57,7 @@
     }
 }
 
-/// The time of the last start; 0 stands for one that is not known.
+/// The time of the last start; 0 in the JSON means unknown.
 fn read_start_time(value: &JsonValue) -> Result<Option<Micros>, ReadError> {
     let milliseconds = integer::<u64>(value, "up_since_ms")?;
     Ok(milliseconds.filter(|&at| at > 0).map(|at| at * MICROS_PER_MILLISECOND))
--- a/crates/settings/src/platform/parse.rs
+++ b/crates/settings/src/platform/parse.rs
@@ -1,4 +1,4 @@
-//! Values that the platform writes as strings.
+//! Parsers of values that the platform's JSON holds as strings.
 use std::str::FromStr;
 
 use crate::error::ReadError;
--- a/crates/settings/src/platform/settings.rs
+++ b/crates/settings/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The settings object of the platform's JSON.
+//! The reader of the settings object in the platform's JSON.
 use copperspread_dispatcher::{Discovery, Idempotency, KeyScope, RequestClass, Settings, Tenant};
 use tinyjson::JsonValue;
 
@@ -13,28 +13,29 @@
 const DEFAULT_KEEP_ALIVE_TIMEOUT_SECONDS: f64 = 5.0;
 const DEFAULT_MAX_RETRY_AFTER_SECONDS: f64 = 1.0;
 
-/// Reads the settings.
+/// Reads the settings object.
 ///
 /// # Errors
-/// A field that is missing or wrong.
-pub fn read_settings(params: &JsonValue) -> Result<SchedulerSettings, ReadError> {
-    let classes = read_classes(params)?;
-    let tenants = read_tenants(params)?;
-    let dispatch = read_dispatch_settings(params, classes, tenants)?;
-    let proxy = read_proxy_settings(params, &dispatch)?;
+/// [`ReadError::Missing`] for a required field that is absent, or the error of the field's type. Invalid
+/// `class_stretch` and `class_kind` items and invalid names count as absent.
+pub fn read_settings(settings: &JsonValue) -> Result<SchedulerSettings, ReadError> {
+    let classes = read_classes(settings)?;
+    let tenants = read_tenants(settings)?;
+    let dispatch = read_dispatch_settings(settings, classes, tenants)?;
+    let proxy = read_proxy_settings(settings, &dispatch)?;
     Ok(SchedulerSettings { dispatch, proxy })
 }
 
-fn read_classes(params: &JsonValue) -> Result<Vec<RequestClass>, ReadError> {
-    let family = object_or_null(params, "family_info");
+fn read_classes(settings: &JsonValue) -> Result<Vec<RequestClass>, ReadError> {
+    let family = object_or_null(settings, "family_info");
     let stretches = array(family, "class_stretch")?.unwrap_or_default();
     let kinds = array(family, "class_kind")?.unwrap_or_default();
-    let classes = array(params, "classes")?.unwrap_or_default();
+    let classes = array(settings, "classes")?.unwrap_or_default();
     let read = |(index, class)| read_class(class, stretches.get(index), kinds.get(index));
     classes.iter().enumerate().map(read).collect()
 }
 
-/// A class; its own stretch is used before the family's.
+/// Reads a request class. Its own `aim_stretch` takes precedence over the stretch in `family_info`.
 fn read_class(
     class: &JsonValue,
     family_stretch: Option<&JsonValue>,
@@ -68,8 +69,8 @@
     }
 }
 
-fn read_tenants(params: &JsonValue) -> Result<Vec<Tenant>, ReadError> {
-    let tenants = array(params, "tenants")?.unwrap_or_default();
+fn read_tenants(settings: &JsonValue) -> Result<Vec<Tenant>, ReadError> {
+    let tenants = array(settings, "tenants")?.unwrap_or_default();
     let read = |tenant| {
         let quota_per_second = number(tenant, "allowance_per_s")?.unwrap_or(0.0);
         Ok(Tenant { quota_per_second })
@@ -78,24 +79,24 @@
 }
 
 fn read_dispatch_settings(
-    params: &JsonValue,
+    settings: &JsonValue,
     classes: Vec<RequestClass>,
     tenants: Vec<Tenant>,
 ) -> Result<Settings, ReadError> {
-    let family = object_or_null(params, "family_info");
-    let permissions = object_or_null(params, "permissions");
-    let safety = object_or_null(params, "safety");
-    let load_info = object_or_null(params, "load_info");
-    let penalties = object_or_null(params, "penalties");
+    let family = object_or_null(settings, "family_info");
+    let permissions = object_or_null(settings, "permissions");
+    let safety = object_or_null(settings, "safety");
+    let load_info = object_or_null(settings, "load_info");
+    let penalties = object_or_null(settings, "penalties");
     Ok(Settings {
-        fleet_size: required(params, "fleet_size", integer)?,
-        instance_index: integer(params, "me")?,
-        zone: integer(params, "zone")?.unwrap_or(0),
+        fleet_size: required(settings, "fleet_size", integer)?,
+        instance_index: integer(settings, "me")?,
+        zone: integer(settings, "zone")?.unwrap_or(0),
         classes,
         tenants,
-        over_quota_weight: number(params, "over_share_worth")?.unwrap_or(1.0),
-        weight_by_work: text(params, "worth_by")? == Some("work"),
-        discovery: read_discovery(params)?,
+        over_quota_weight: number(settings, "over_share_worth")?.unwrap_or(1.0),
+        weight_by_work: text(settings, "worth_by")? == Some("work"),
+        discovery: read_discovery(settings)?,
         poll_within: seconds_as_micros(safety, "ask_within_s")?
             .unwrap_or(micros_from_seconds(DEFAULT_POLL_WITHIN_SECONDS)),
         slow_start_initial_capacity: required(safety, "cold_from", number)?,
@@ -112,26 +113,26 @@
             && text(load_info, "how")? == Some("pull"),
         load_query_cost: number(penalties, "probe")?.unwrap_or(0.0),
         cross_zone_cost: number(penalties, "cross_zone")?.unwrap_or(0.0),
-        sizes_reflect_load: text(params, "weights")? == Some("live"),
+        sizes_reflect_load: text(settings, "weights")? == Some("live"),
     })
 }
 
-fn read_discovery(params: &JsonValue) -> Result<Discovery, ReadError> {
-    match required(params, "discovery", text)? {
+fn read_discovery(settings: &JsonValue) -> Result<Discovery, ReadError> {
+    match required(settings, "discovery", text)? {
         "pushed" => Ok(Discovery::Pushed),
         "on_request" => Ok(Discovery::Polled),
         other => Err(ReadError::UnknownValue { field: "discovery", value: other.to_owned() }),
     }
 }
 
-fn read_proxy_settings(params: &JsonValue, dispatch: &Settings) -> Result<ProxySettings, ReadError> {
-    let permissions = object_or_null(params, "permissions");
+fn read_proxy_settings(settings: &JsonValue, dispatch: &Settings) -> Result<ProxySettings, ReadError> {
+    let permissions = object_or_null(settings, "permissions");
     Ok(ProxySettings {
-        classes: read_names(params, "classes")?,
+        classes: read_names(settings, "classes")?,
         idempotency: dispatch.classes.iter().map(|class| class.idempotency).collect(),
-        tenants: read_names(params, "tenants")?,
-        zones: read_names(params, "zones")?,
-        kinds: read_names(params, "kinds")?,
+        tenants: read_names(settings, "tenants")?,
+        zones: read_names(settings, "zones")?,
+        kinds: read_names(settings, "kinds")?,
         connect_timeout: dispatch.connect_timeout,
         keep_alive_timeout: seconds_as_micros(permissions, "keepalive_s")?
             .unwrap_or(micros_from_seconds(DEFAULT_KEEP_ALIVE_TIMEOUT_SECONDS)),
@@ -141,10 +142,10 @@
     })
 }
 
-/// The names in a field's array, whose items are strings or objects with a `name`; other items count
-/// as an empty name.
-fn read_names(params: &JsonValue, name: &'static str) -> Result<Vec<String>, ReadError> {
-    let items = array(params, name)?.unwrap_or_default();
+/// Reads the names in an array field, whose items are strings or objects with a `name`; other items count as
+/// an empty name.
+fn read_names(settings: &JsonValue, name: &'static str) -> Result<Vec<String>, ReadError> {
+    let items = array(settings, name)?.unwrap_or_default();
     Ok(items.iter().map(name_of).collect())
 }
 
--- a/crates/settings/src/startup.rs
+++ b/crates/settings/src/startup.rs
@@ -1,4 +1,4 @@
-//! The configuration that a scheduler starts with, whatever format it came in.
+//! The startup configuration of a scheduler, independent of the format in which it is written.
 use std::mem::discriminant;
 use std::net::SocketAddr;
 
@@ -7,31 +7,31 @@
 
 use crate::endpoints::EndpointList;
 
-/// What a scheduler is given at its start.
+/// The configuration that a scheduler starts with.
 #[derive(Clone, Debug)]
 pub struct StartupConfig {
     /// The scheduler's name, the same after a restart.
     pub name: String,
-    /// Where clients connect, and workers with their callbacks.
+    /// The address on which the scheduler accepts client connections and callbacks of workers.
     pub listen: SocketAddr,
-    /// Where endpoint lists come from.
+    /// The source of endpoint lists.
     pub discovery: DiscoveryConfig,
-    /// The seed of the dispatch policy's random numbers.
+    /// The seed of the dispatch policy's random number generator.
     pub seed: u64,
-    /// How many descriptors the process may hold open.
+    /// The number of file descriptors that the process may hold open.
     pub descriptor_limit: usize,
-    /// How much memory it may use, in megabytes.
+    /// The memory that the process may use, in megabytes.
     pub memory_limit_mb: f64,
-    /// The endpoint list as this scheduler last held it, possibly stale.
+    /// The last endpoint list that this scheduler held before its start, possibly stale.
     pub cached_endpoints: Option<EndpointList>,
-    /// The settings of its parts.
+    /// The settings of the dispatch policy and of the proxy.
     pub settings: SchedulerSettings,
 }
 
 impl StartupConfig {
-    /// The names of the parts in which `other` differs and that only a restart can change. The seed
-    /// does not count, as each file has a new one, nor the cached endpoints, which discovery's own
-    /// list replaces.
+    /// The names of the parts that differ in `other` and take effect only after a restart. The seed does not
+    /// count, since each configuration file has a new one, nor do the cached endpoints, since discovery
+    /// replaces them.
     pub fn restart_only_changes(&self, other: &StartupConfig) -> Vec<&'static str> {
         let has_same_limits =
             self.descriptor_limit == other.descriptor_limit && self.memory_limit_mb == other.memory_limit_mb;
@@ -46,25 +46,25 @@
     }
 }
 
-/// Where endpoint lists come from.
+/// The source of endpoint lists.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryConfig {
-    /// The platform's discovery, at this address.
+    /// The platform's discovery service at this address.
     Platform(Authority),
-    /// This list, until the configuration is read again.
+    /// A fixed list, until the configuration is reloaded.
     Static(EndpointList),
 }
 
-/// The settings, divided by who uses them.
+/// The settings of a scheduler, divided into those of the dispatch policy and those of the proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerSettings {
-    /// Those of the dispatch policy.
+    /// The settings of the dispatch policy.
     pub dispatch: Settings,
-    /// Those of the proxy that runs the policy.
+    /// The settings of the proxy, which carries out the policy's decisions.
     pub proxy: ProxySettings,
 }
 
-/// The settings that the proxy needs beside the policy's own.
+/// The settings of the proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxySettings {
     /// The request classes' names, by index.
@@ -75,14 +75,14 @@
     pub tenants: Vec<String>,
     /// The zones' names, by index.
     pub zones: Vec<String>,
-    /// The names of the kinds of worker, by index.
+    /// The names of the worker kinds, by index.
     pub kinds: Vec<String>,
-    /// A connection that is not established within this time has failed.
+    /// The time after which a connection that is not established counts as failed.
     pub connect_timeout: Micros,
-    /// Workers close a connection that has been idle for this long.
+    /// The idle time after which workers close a connection.
     pub keep_alive_timeout: Micros,
-    /// Whether a rejection carries a Retry-After.
+    /// Whether rejections carry a Retry-After header.
     pub sends_retry_after: bool,
-    /// The longest Retry-After that clients follow.
+    /// The longest Retry-After that clients respect.
     pub max_retry_after: Micros,
 }
--- a/crates/settings/tests/read_errors.rs
+++ b/crates/settings/tests/read_errors.rs
@@ -1,5 +1,5 @@
-//! The texts of the errors that reading the platform's JSON gives. Operators and clients see them, so
-//! they stay as they are.
+//! Messages of the errors that invalid platform JSON causes. Operators and clients see them, so they must not
+//! change.
 use copperspread_settings::{json, platform};
 
 const CONFIG: &str = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"a","settings":{
@@ -12,7 +12,7 @@
 
 #[test]
 fn each_error_of_a_startup_config_names_its_field() {
-    platform::read_startup_config(CONFIG).expect("the configuration without a change is valid");
+    platform::read_startup_config(CONFIG).expect("the unchanged configuration is valid");
     let cases = [
         (r#""listen":"127.0.0.1:1""#, r#""listen":null"#, "listen is missing"),
         (r#""listen":"127.0.0.1:1""#, r#""listen":1"#, "listen is no text"),
@@ -40,8 +40,8 @@
 
 #[test]
 fn each_error_of_an_endpoint_list_names_its_field() {
-    let read = |text: &str| platform::read_endpoint_list(&json::parse(text).expect("JSON"));
-    read(LIST).expect("the list without a change is valid");
+    let read = |text: &str| platform::read_endpoint_list(&json::parse(text).expect("the list is valid JSON"));
+    read(LIST).expect("the unchanged list is valid");
     let cases = [
         (r#""revision":1,"#, "", "revision is missing"),
         (r#""complete":true"#, r#""complete":1"#, "complete is neither true nor false"),
@@ -58,11 +58,14 @@
 }
 
 #[test]
-fn a_body_that_is_no_json_is_rejected_with_the_reason() {
-    let text_of = |bytes: &[u8]| json::parse_bytes(bytes).expect_err("no JSON").to_string();
+fn a_body_that_is_not_json_is_rejected_with_the_reason() {
+    let text_of = |bytes: &[u8]| json::parse_bytes(bytes).expect_err("the body is not JSON").to_string();
     assert_eq!(text_of(b"\xff"), "no UTF-8");
     assert_eq!(text_of("[".repeat(33).as_bytes()), "nested too deeply");
     assert!(text_of(b"{").starts_with("no JSON: "));
     assert!(json::parse(&format!("{}{}", "[".repeat(32), "]".repeat(32))).is_ok());
-    assert!(json::parse(&format!("\"{}\\\"\"", "[".repeat(33))).is_ok(), "brackets in a string do not nest");
+    assert!(
+        json::parse(&format!("\"{}\\\"\"", "[".repeat(33))).is_ok(),
+        "brackets in a string do not count as nesting"
+    );
 }
--- a/crates/settings/tests/unit/endpoints.rs
+++ b/crates/settings/tests/unit/endpoints.rs
@@ -1,8 +1,8 @@
 //! Unit tests of `copperspread_settings::endpoints`.
 use super::name_key;
 
-/// Every scheduler must compute the same keys, whatever machine it runs on. The expected values are
-/// those that the authors of FNV-1a publish.
+/// Every scheduler must compute the same keys on any machine. The expected values are the test vectors that
+/// the authors of FNV-1a publish.
 #[test]
 fn a_name_key_is_the_same_on_every_machine() {
     assert_eq!(name_key(""), 0xcbf2_9ce4_8422_2325);
