--- a/crates/dispatcher/tests/slow_start_budget.rs
+++ b/crates/dispatcher/tests/slow_start_budget.rs
@@ -76,7 +76,8 @@
             overload_window: WINDOW,
             ..long_deadline_settings(fleet_size)
         };
-        // Without reports, a worker counts as one of a single slot that serves one second of work per second.
+        // For the slow-start budget, a worker without reports has one slot and serves one second of work per
+        // second.
         let budget = settings.overload_multiple * options.initial_capacity * WINDOW as f64 / SECOND as f64;
         let hash_key = fastrand::Rng::with_seed(options.seed).u64(..);
         let mut simulation = Simulation {
