--- a/crates/dispatcher/tests/admission.rs
+++ b/crates/dispatcher/tests/admission.rs
@@ -73,13 +73,13 @@
 }
 
 #[test]
-fn requests_that_all_have_little_time_left_are_not_taken_for_late_retries() {
+fn the_first_request_of_a_class_is_not_taken_for_a_late_retry() {
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[endpoint(0)]);
     let short = IncomingRequest { time_left: 4 * SECOND, ..incoming_request(1, 0.2) };
     harness.handle(Event::Request(short));
     assert!(
         harness.sent_worker().is_some(),
-        "the first request of a class sets the time left that is expected of a first attempt"
+        "a request with the longest time left of its class so far is not a late retry"
     );
 }
 
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_rejection_gives_the_time_in_which_the_queue_shrinks_as_its_retry_after() {
+fn the_retry_after_of_a_rejection_is_the_time_by_which_the_queue_must_shrink() {
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[endpoint(0)]);
     let mut suggested = 0;
     for request in 1.. {
--- a/crates/dispatcher/tests/affinity.rs
+++ b/crates/dispatcher/tests/affinity.rs
@@ -60,7 +60,8 @@
     assert_eq!(fraction_sent_to_the_fast_worker(3), 1.0);
 }
 
-/// A tenfold difference in service time outweighs any affinity, and so does admission.
+/// Affinity selects no worker whose service time is ten times that of another, and rejects no request that
+/// another worker can admit.
 #[test]
 fn affinity_neither_selects_a_far_slower_worker_nor_rejects_what_another_worker_can_admit() {
     for seed in 0..200 {
@@ -100,7 +101,10 @@
 
 #[test]
 fn removed_workers_do_not_improve_the_rank_of_a_worker_in_slow_start() {
-    let (without, with) =
+    let (hits_without_removed, hits_with_removed) =
         (first_attempts_at_the_worker_in_slow_start(0), first_attempts_at_the_worker_in_slow_start(2_000));
-    assert!((10..80).contains(&without) && with.abs_diff(without) < 20, "{without}, {with}");
+    assert!(
+        (10..80).contains(&hits_without_removed) && hits_with_removed.abs_diff(hits_without_removed) < 20,
+        "{hits_without_removed} of 100 without removed workers, {hits_with_removed} with them"
+    );
 }
--- a/crates/dispatcher/tests/endpoint_updates.rs
+++ b/crates/dispatcher/tests/endpoint_updates.rs
@@ -27,8 +27,8 @@
 
 #[test]
 fn all_dispatchers_poll_early_and_a_large_fleet_spreads_its_polls() {
-    // A dispatcher counts as notified of a change 6 s after it, which must cover this delay and a call of a
-    // few seconds.
+    // A dispatcher counts as notified of a change 6 s after the change. The delay of the first poll and a
+    // call of a few seconds must fit in that time.
     let limit = 3 * SECOND;
     let delays: Vec<_> = (0..200)
         .map(|seed| poll_delay(&polling_dispatcher(200, seed)).expect("the poll timer is started"))
@@ -40,7 +40,7 @@
         assert!((25..=80).contains(&count), "{count} in quarter {quarter}");
     }
     assert!(poll_delay(&polling_dispatcher(2, 1)).expect("the poll timer is started") < SECOND);
-    // A shorter `poll_within` in the settings shortens the limit.
+    // The limit is half of `poll_within` if that is less than 3 s.
     for seed in 0..200 {
         let poll_within = 2 * SECOND;
         let discovery = Discovery::Polled;
--- a/crates/dispatcher/tests/failures.rs
+++ b/crates/dispatcher/tests/failures.rs
@@ -193,13 +193,13 @@
     let classes = vec![class(Idempotency::NonIdempotent), class(Idempotency::NonIdempotent)];
     let endpoints = [endpoint(0), endpoint(1)];
     let mut harness = Harness::new(Settings { classes, ..settings(Idempotency::NonIdempotent) }, &endpoints);
-    let mut class_counts = [[0; 2]; 2];
+    let mut counts_by_class_and_worker = [[0; 2]; 2];
     let mut unanswered = std::collections::VecDeque::new();
     for request in 0..300 {
         let class = (request % 2) as u32;
         harness.handle(Event::Request(IncomingRequest { class, ..incoming_request(request, 0.2) }));
         let worker = harness.sent_worker().expect("the request is sent");
-        class_counts[class as usize][worker as usize] += usize::from(request >= 100);
+        counts_by_class_and_worker[class as usize][worker as usize] += usize::from(request >= 100);
         harness.now += 100 * MS;
         if (class, worker) == (1, 0) {
             unanswered.push_back(request);
@@ -215,6 +215,10 @@
             harness.handle(Event::TimerExpired(Timer::PeriodicRefresh));
         }
     }
-    let [[other_class, _], [at_hung_worker, at_healthy_worker]] = class_counts;
-    assert!(at_hung_worker * 4 < at_healthy_worker && other_class * 4 > 100, "{class_counts:?}");
+    let [[class_0_at_hung_worker, _], [class_1_at_hung_worker, class_1_at_other_worker]] =
+        counts_by_class_and_worker;
+    assert!(
+        class_1_at_hung_worker * 4 < class_1_at_other_worker && class_0_at_hung_worker * 4 > 100,
+        "{counts_by_class_and_worker:?}"
+    );
 }
--- a/crates/dispatcher/tests/learning.rs
+++ b/crates/dispatcher/tests/learning.rs
@@ -11,20 +11,21 @@
 
 /// Serves requests at one worker alone until its rate is learned: the seconds of work that it serves per
 /// second.
-fn learn_rate(harness: &mut Harness, worker: Endpoint, rate: f64, first: u64) {
+fn learn_rate(harness: &mut Harness, worker: Endpoint, rate: f64, first_request: u64) {
     harness.update_endpoints(EndpointUpdateKind::Full, &[worker]);
     for i in 0..40 {
-        harness.serve(first + i, 0.2, 0.2 / rate, Some(IDLE));
+        harness.serve(first_request + i, 0.2, 0.2 / rate, Some(IDLE));
     }
 }
 
-/// The fraction of 100 small requests that is sent to a worker; each is canceled at once and so adds no load.
-fn fraction_sent_to(harness: &mut Harness, worker: u32, first: u64) -> f64 {
+/// The fraction of 100 small requests that is sent to a worker; each is cancelled at once and so adds no
+/// load.
+fn fraction_sent_to(harness: &mut Harness, worker: u32, first_request: u64) -> f64 {
     let mut hits = 0;
     for i in 0..100 {
-        harness.offer(first + i, 0.2);
+        harness.offer(first_request + i, 0.2);
         hits += u32::from(harness.sent_worker() == Some(worker));
-        harness.complete(first + i, 0, Outcome::Cancelled);
+        harness.complete(first_request + i, 0, Outcome::Cancelled);
     }
     f64::from(hits) / 100.0
 }
@@ -104,9 +105,9 @@
     }
     assert!(fraction_sent_to(&mut harness, 1, 1000) > 0.9);
     // After a minute without outcomes, worker 0 is tried again.
-    let attempts_at_worker_0 = |harness: &mut Harness, first: u64| {
+    let attempts_at_worker_0 = |harness: &mut Harness, first_request: u64| {
         let sent = (0..4).filter(|i| {
-            harness.offer(first + i, 0.2);
+            harness.offer(first_request + i, 0.2);
             harness.sent_worker() == Some(0)
         });
         sent.count()
@@ -134,8 +135,8 @@
     assert!(fraction_sent_to(&mut harness, 0, 300) > 0.2, "an old report has little weight");
 }
 
-/// Guards against a division by zero: where the first report of a kind showed no free slot, every estimate
-/// became infinite and all requests were rejected.
+/// Guards against a division by zero, by which every estimate would be infinite and all requests would be
+/// rejected where the first report of a kind shows no free slot.
 #[test]
 fn a_first_report_of_no_free_slot_does_not_exclude_a_kind() {
     let mut harness = Harness::new(settings(Idempotency::NonIdempotent), &[endpoint(0)]);
@@ -144,8 +145,8 @@
     assert!(harness.sent_worker().is_some());
 }
 
-/// Guards against a kind whose reports cannot show more than "all cores busy": its estimate stayed low while
-/// it rejected nearly every request, and requests used up their attempts on it.
+/// Guards against a low estimate of a kind whose reports cannot show more than "all cores busy": while the
+/// kind rejected nearly every request, requests would use up their attempts on it.
 #[test]
 fn rejections_rank_a_whole_kind_lower() {
     let worker_of_kind = |i: u32| Endpoint { kind: i / 4, ..endpoint(i) };
@@ -173,8 +174,8 @@
     assert!(fraction > 0.7, "most first attempts go to the kind that serves: {fraction}");
 }
 
-/// Guards against a fleet utilization that only rises: without load reports, rejections by workers raised it
-/// for good, and all requests of low priority weight were shed.
+/// Guards against a fleet utilization that only rises: without load reports, rejections by workers would
+/// raise it for good, and all requests of low priority weight would be shed.
 #[test]
 fn responses_without_reports_bring_the_utilization_down_again() {
     let mut settings = settings(Idempotency::NonIdempotent);
@@ -206,8 +207,9 @@
     assert_eq!(rejected_in_a_row, 0, "the class with low weight is served again");
 }
 
-/// Guards against herding in a large fleet: all dispatchers sent everything to the worker that they had
-/// learned to be fast, as the local load of each shows only two or three of the hundreds of requests there.
+/// Guards against herding in a large fleet: all dispatchers would send everything to the worker that they
+/// have learned to be fast, as the local load of each shows only two or three of the hundreds of requests
+/// there.
 #[test]
 fn many_dispatchers_do_not_herd_to_the_fast_kind() {
     let worker_of_kind = |i: u32| Endpoint { kind: i / 10, ..endpoint(i) };
@@ -260,8 +262,8 @@
     assert!(cross_zone.count() > 0, "requests leave a loaded zone despite the cross-zone cost");
 }
 
-/// Guards against a fixed work of 1 for requests without a cost hint: workers that had served short requests
-/// were estimated as fast, and short requests were treated as long ones.
+/// Guards against a fixed work of 1 for requests without a cost hint, by which workers that have served short
+/// requests would be estimated as fast, and short requests would count as long ones.
 #[test]
 fn without_a_cost_hint_a_request_counts_as_the_usual_work_of_its_class() {
     let mut settings = settings(Idempotency::NonIdempotent);
@@ -282,9 +284,8 @@
             harness.complete_with_report(request, 0, Outcome::Served, Some(IDLE));
         }
     }
-    // Two workers of two slots take 12 short requests before one of them would exceed the limit of 1.2 s (the
-    // objective of 1 s plus twice 0.1 s). Counted at the mean work of both classes, two of them would exceed
-    // it.
+    // Two workers of two slots serve 12 short requests within the limit of 1.2 s (the objective of 1 s plus
+    // twice 0.1 s). Counted at the mean work of both classes, not all of them would be admitted.
     let sent = (0..12).filter(|&i| {
         harness.handle(Event::Request(unhinted(5000 + i, 0)));
         harness.sent_worker().is_some()
@@ -292,8 +293,8 @@
     assert_eq!(sent.count(), 12);
 }
 
-/// Guards against retries that load a full fleet further: with all workers full, each request used all the
-/// attempts that it was allowed, and each attempt cost its worker time.
+/// Guards against retries that add load to a full fleet: with all workers full, each request would use all
+/// its allowed attempts, and each of them takes up time of the worker that rejects it.
 #[test]
 fn a_request_gets_few_attempts_in_a_full_fleet() {
     let endpoints: Vec<_> = (0..20).map(endpoint).collect();
@@ -338,7 +339,7 @@
     assert_eq!(counts, [2, 2], "worker 0 was reported as full, and still gets half of the requests");
 }
 
-// A canceled request may keep running at its worker, so hedges add load and their number is limited.
+// A cancelled request may keep running at its worker, so hedges add load and their number is limited.
 #[test]
 fn few_requests_are_hedged() {
     let endpoints: Vec<_> = (0..4).map(endpoint).collect();
--- a/crates/dispatcher/tests/load_queries.rs
+++ b/crates/dispatcher/tests/load_queries.rs
@@ -30,8 +30,9 @@
     IncomingRequest { time_left: 200 * SECOND, ..incoming_request(id, work) }
 }
 
-/// Sends a request of so many slots and seconds of work, and starts it at once; returns its worker.
-fn start(harness: &mut Harness, id: u64, slots: f64, work: f64) -> u32 {
+/// Sends a request of `slots` slots and `work` seconds of work, and starts its attempt at once; returns its
+/// worker.
+fn send_and_start(harness: &mut Harness, id: u64, slots: f64, work: f64) -> u32 {
     harness.handle(Event::Request(IncomingRequest { slots: Some(slots), ..long_deadline_request(id, work) }));
     let worker = harness.sent_worker().expect("the request is sent");
     harness.start_attempt(id, 0);
@@ -58,7 +59,7 @@
     // This dispatcher's request of 3 slots is too recent for the report, so the 3 slots in flight belong to
     // requests of other dispatchers.
     let mut harness = harness_with_queried_workers(2);
-    let first = start(&mut harness, 1, 3.0, 4.0);
+    let first = send_and_start(&mut harness, 1, 3.0, 4.0);
     let taken = LoadReport { in_flight: Some(3.0), free_slots: Some(1.0), ..FREE };
     complete_load_query(&mut harness, first, Outcome::Served, Some(taken));
     complete_load_query(&mut harness, 1 - first, Outcome::Served, Some(taken));
@@ -66,7 +67,7 @@
     assert_eq!(harness.sent_worker(), Some(1 - first), "6 slots are taken at the first worker");
     // A report that comes one second later includes the request.
     let mut harness = harness_with_queried_workers(2);
-    let first = start(&mut harness, 1, 3.0, 4.0);
+    let first = send_and_start(&mut harness, 1, 3.0, 4.0);
     harness.now += SECOND;
     complete_load_query(&mut harness, first, Outcome::Served, Some(taken));
     let full = LoadReport { in_flight: Some(12.0), free_slots: Some(0.0), ..FREE };
@@ -86,27 +87,27 @@
         complete_load_query(&mut harness, 0, Outcome::TimedOut, None);
     }
     complete_load_query(&mut harness, 1, Outcome::Served, Some(FREE));
-    assert_eq!(start(&mut harness, 1, 4.0, 0.2), 1, "worker 0 counts as loaded");
+    assert_eq!(send_and_start(&mut harness, 1, 4.0, 0.2), 1, "worker 0 counts as loaded");
     // As soon as worker 0 responds, it ranks like an idle worker. A failure would lower its rank for seconds.
     complete_load_query(&mut harness, 0, Outcome::Served, Some(FREE));
     harness.now += 100 * MS;
-    assert_eq!(start(&mut harness, 5, 4.0, 0.2), 0);
+    assert_eq!(send_and_start(&mut harness, 5, 4.0, 0.2), 0);
 }
 
 #[test]
 fn a_response_without_a_load_report_leaves_the_last_one_in_use() {
     let mut harness = harness_with_queried_workers(2);
     let busy = LoadReport { in_flight: Some(8.0), free_slots: Some(0.0), ..FREE };
-    start(&mut harness, 1, 1.0, 0.2);
+    send_and_start(&mut harness, 1, 1.0, 0.2);
     complete_load_query(&mut harness, 0, Outcome::Served, Some(busy));
     complete_load_query(&mut harness, 1, Outcome::Served, Some(FREE));
     harness.now += 200 * MS;
     harness.complete_with_report(1, 0, Outcome::Served, None);
-    assert_eq!(start(&mut harness, 2, 4.0, 0.2), 1);
+    assert_eq!(send_and_start(&mut harness, 2, 4.0, 0.2), 1);
 }
 
 /// The number of load queries that a dispatcher sends in `seconds`, while it is offered `requests_per_second`
-/// that are each served at once.
+/// requests per second, each served at once.
 fn count_load_queries(settings: Settings, workers: u32, seconds: u64, requests_per_second: u64) -> u64 {
     let workers: Vec<_> = (0..workers).map(endpoint).collect();
     let mut harness = Harness::new(settings, &workers);
@@ -148,7 +149,7 @@
     assert_eq!(
         count_load_queries(settings(Idempotency::Idempotent), 10, 20, 10),
         0,
-        "responses show the load"
+        "without `load_by_query`, no load query is sent"
     );
     let few = count_load_queries(with_load_queries.clone(), 10, 20, 10);
     assert!((180..=220).contains(&few), "each worker is queried about once a second: {few}");
--- a/crates/dispatcher/tests/overload.rs
+++ b/crates/dispatcher/tests/overload.rs
@@ -24,16 +24,16 @@
 }
 
 /// The number of rejections in each class while every response carries the same load report.
-fn count_rejections(harness: &mut Harness, report: LoadReport, first: u64) -> [u32; 2] {
+fn count_rejections(harness: &mut Harness, report: LoadReport, first_request: u64) -> [u32; 2] {
     let mut rejected = [0; 2];
     for i in 0..200 {
         harness.now += 300 * MS;
         let class = (i % 2) as u32;
-        harness.handle(Event::Request(long_deadline_request(first + i, class)));
+        harness.handle(Event::Request(long_deadline_request(first_request + i, class)));
         if harness.is_rejected() {
             rejected[class as usize] += 1;
         } else {
-            harness.complete_with_report(first + i, 0, Outcome::Served, Some(report));
+            harness.complete_with_report(first_request + i, 0, Outcome::Served, Some(report));
         }
     }
     rejected
--- a/crates/dispatcher/tests/retries.rs
+++ b/crates/dispatcher/tests/retries.rs
@@ -6,11 +6,11 @@
     Progress, RequestId, SECOND, Settings, Timer, WorkerState,
 };
 
-const KEY_SCOPE_ALL: Idempotency =
+const WITH_KEY_AT_ALL_WORKERS: Idempotency =
     Idempotency::IdempotentWithKey { scope: KeyScope::All, window: 5 * SECOND };
-const KEY_SCOPE_CELL: Idempotency =
+const WITH_KEY_IN_CELL: Idempotency =
     Idempotency::IdempotentWithKey { scope: KeyScope::Cell, window: 5 * SECOND };
-const KEY_SCOPE_ZONE: Idempotency =
+const WITH_KEY_IN_ZONE: Idempotency =
     Idempotency::IdempotentWithKey { scope: KeyScope::Zone, window: 5 * SECOND };
 const CONNECT_TIMEOUT: Micros = 250 * MS;
 
@@ -48,20 +48,20 @@
 #[test]
 fn a_request_with_key_that_may_have_run_stays_within_its_key_scope_and_window() {
     for _ in 0..4 {
-        let (mut harness, first) = harness_with_sent_request(KEY_SCOPE_CELL);
+        let (mut harness, first) = harness_with_sent_request(WITH_KEY_IN_CELL);
         harness.complete(1, 0, Outcome::Reset);
         assert_eq!(harness.sent_worker(), Some(first ^ 1), "the other worker of the cell");
     }
-    let (mut harness, first) = harness_with_sent_request(KEY_SCOPE_ZONE);
+    let (mut harness, first) = harness_with_sent_request(WITH_KEY_IN_ZONE);
     harness.complete(1, 0, Outcome::Reset);
     assert_eq!(harness.sent_worker().map(|w| w / 2), Some(first / 2), "a worker of the same zone");
-    let (mut harness, _) = harness_with_sent_request(KEY_SCOPE_ALL);
+    let (mut harness, _) = harness_with_sent_request(WITH_KEY_AT_ALL_WORKERS);
     harness.now += 6 * SECOND;
     harness.complete(1, 0, Outcome::Reset);
     assert!(harness.sent_worker().is_none(), "the key window has passed");
 }
 
-/// Guards against a retry that is decided within the key window and written after it, since connecting may
+/// Guards against a retry that is decided on within the key window and written after it: its connection may
 /// take up to the connect timeout.
 #[test]
 fn a_request_with_key_is_retried_only_if_the_retry_can_be_written_within_the_window() {
@@ -93,7 +93,9 @@
 
 #[test]
 fn a_request_with_key_that_may_have_run_is_rejected_only_if_its_key_is_valid_at_all_workers() {
-    for (idempotency, rejected) in [(KEY_SCOPE_ALL, true), (KEY_SCOPE_CELL, false), (KEY_SCOPE_ZONE, false)] {
+    for (idempotency, rejected) in
+        [(WITH_KEY_AT_ALL_WORKERS, true), (WITH_KEY_IN_CELL, false), (WITH_KEY_IN_ZONE, false)]
+    {
         let (mut harness, _) = harness_with_sent_request(idempotency);
         harness.update_endpoints(EndpointUpdateKind::Full, &[]);
         harness.complete(1, 0, Outcome::Reset);
--- a/crates/dispatcher/tests/retry_invariants.rs
+++ b/crates/dispatcher/tests/retry_invariants.rs
@@ -8,11 +8,11 @@
 use std::collections::HashMap;
 
 const KEY_WINDOW: Micros = 5 * SECOND;
-const KEY_SCOPE_ALL: Idempotency =
+const WITH_KEY_AT_ALL_WORKERS: Idempotency =
     Idempotency::IdempotentWithKey { scope: KeyScope::All, window: KEY_WINDOW };
-const KEY_SCOPE_CELL: Idempotency =
+const WITH_KEY_IN_CELL: Idempotency =
     Idempotency::IdempotentWithKey { scope: KeyScope::Cell, window: KEY_WINDOW };
-const KEY_SCOPE_ZONE: Idempotency =
+const WITH_KEY_IN_ZONE: Idempotency =
     Idempotency::IdempotentWithKey { scope: KeyScope::Zone, window: KEY_WINDOW };
 const CONNECT_TIMEOUT: Micros = 250 * MS;
 const OUTCOMES: [Outcome; 6] = [
@@ -124,7 +124,8 @@
         in_flight
     }
 
-    /// Sends one random event to the dispatcher; returns false if no attempt is in flight for it.
+    /// Sends one random event to the dispatcher; returns false, and sends none, if the event needs an attempt
+    /// in flight and there is none.
     fn random_event(&mut self) -> bool {
         let in_flight = self.attempts_in_flight();
         // Attempts past their deadline time out first, as a real caller ensures.
@@ -272,9 +273,13 @@
 
 #[test]
 fn idempotency_and_retry_rules_hold_over_random_events() {
-    for idempotency in
-        [Idempotency::Idempotent, Idempotency::NonIdempotent, KEY_SCOPE_ALL, KEY_SCOPE_ZONE, KEY_SCOPE_CELL]
-    {
+    for idempotency in [
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        WITH_KEY_AT_ALL_WORKERS,
+        WITH_KEY_IN_ZONE,
+        WITH_KEY_IN_CELL,
+    ] {
         for hedging_allowed in [false, true] {
             let (mut sends, mut responses) = (0, 0);
             for seed in 0..25 {
--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -9,17 +9,19 @@
 /// What happens to the fleet in a simulated run.
 #[derive(Clone, Copy, Default)]
 struct RunOptions {
-    /// All dispatchers have just restarted and have had no request.
-    restarted: bool,
+    /// The dispatchers have had no request yet, as after a restart.
+    without_requests: bool,
     /// Requests are of unequal work, some of many times the mean.
     unequal_work: bool,
     /// Every 0.9 s, all dispatchers receive listed sizes that reflect the worker's load of one second before.
     sizes_listed: bool,
-    /// Seven in ten dispatchers restart without state 1.5 s after the worker's start.
-    seven_in_ten_restart: bool,
+    /// Seven in ten dispatchers lose their state 1.5 s after the worker's start. They count as started before
+    /// the worker, since [`Harness::seeded`] hands them their first event earlier.
+    seven_in_ten_lose_state: bool,
 }
 
-/// The worker's start. It comes long after that of the dispatchers, since when they measure the offered load.
+/// The worker's start, long after that of the dispatchers: a dispatcher that started after a worker sends it
+/// nothing for one window.
 const START: Micros = 200 * SECOND;
 const RUN_DURATION: Micros = 6 * SECOND;
 const LIST_INTERVAL: Micros = 900 * MS;
@@ -78,12 +80,12 @@
     }
 
     /// A dispatcher that has just been notified of the worker's start. It has load reports of the warm
-    /// workers, unless all dispatchers have just restarted.
+    /// workers, unless the dispatchers have had no request.
     fn notified_dispatcher(&self, index: u32, warm: &[Endpoint]) -> Harness {
         let seed = self.seed * 1000 + u64::from(index);
         let mut harness = Harness::seeded(self.settings_of(index), warm, seed);
         harness.now = START - 60 * SECOND;
-        if !self.options.restarted {
+        if !self.options.without_requests {
             for i in 0..30 {
                 // The warm workers have few free slots, so that the worker in slow start is preferred.
                 let free_slots = Some(if i == 0 { 2.0 } else { 0.5 });
@@ -98,19 +100,19 @@
     }
 
     fn run(&mut self) {
-        let RunOptions { unequal_work, sizes_listed, seven_in_ten_restart, .. } = self.options;
+        let RunOptions { unequal_work, sizes_listed, seven_in_ten_lose_state, .. } = self.options;
         let dispatcher_count = self.settings.fleet_size;
         let mut rng = fastrand::Rng::with_seed(self.seed);
         // With listed sizes, each dispatcher is offered three requests per second. Otherwise the whole fleet
         // is offered about as much as eight workers of two slots can serve.
         let steps = if sizes_listed { 3 * 6 * u64::from(dispatcher_count) } else { 8 * 2 * 2 * 6 };
         let mut next_list = START + LIST_INTERVAL;
-        let mut restart_at = seven_in_ten_restart.then_some(START + 1500 * MS);
+        let mut replace_at = seven_in_ten_lose_state.then_some(START + 1500 * MS);
         for step in 0..steps {
             let now = START + step * RUN_DURATION / steps;
-            if restart_at.is_some_and(|at| now >= at) {
-                restart_at = None;
-                self.restart_seven_in_ten(now);
+            if replace_at.is_some_and(|at| now >= at) {
+                replace_at = None;
+                self.replace_seven_in_ten(now);
             }
             if sizes_listed && now >= next_list {
                 next_list += LIST_INTERVAL;
@@ -126,7 +128,7 @@
         }
     }
 
-    fn restart_seven_in_ten(&mut self, now: Micros) {
+    fn replace_seven_in_ten(&mut self, now: Micros) {
         for index in (0..self.settings.fleet_size).filter(|index| index % 10 < 7) {
             let seed = self.seed * 1000 + 500 + u64::from(index);
             let mut harness = Harness::seeded(self.settings_of(index), &[], seed);
@@ -205,7 +207,10 @@
                 used += total / 20.0;
             }
         }
-        assert!(used > 0.2, "{dispatcher_count} dispatchers use only {used} of the budget in two windows");
+        assert!(
+            used > 0.2,
+            "{dispatcher_count} dispatchers sent only {used} of one window's budget in two windows (mean)"
+        );
     }
 }
 
@@ -229,26 +234,26 @@
 }
 
 #[test]
-fn restarted_dispatchers_stay_within_the_budget() {
+fn dispatchers_without_requests_stay_within_the_budget() {
     for dispatcher_count in [1, 7, 200] {
         for seed in 0..10 {
             let worst = worst_window(
                 dispatcher_count,
                 seed,
-                RunOptions { restarted: true, unequal_work: true, ..RunOptions::default() },
+                RunOptions { without_requests: true, unequal_work: true, ..RunOptions::default() },
             );
             assert!(worst < 1.0, "{dispatcher_count} dispatchers, seed {seed}: {worst}");
         }
     }
 }
 
-/// Dispatchers that restart within a window have lost the record of what they sent in it.
+/// Dispatchers that lose their state within a window have no record of what they sent in it.
 #[test]
-fn seven_in_ten_dispatchers_restarted_within_a_window_do_not_use_the_budget_twice() {
+fn seven_in_ten_dispatchers_that_lose_their_state_within_a_window_do_not_use_the_budget_twice() {
     for dispatcher_count in [40, 100, 300] {
         for seed in 0..10 {
             let options =
-                RunOptions { sizes_listed: true, seven_in_ten_restart: true, ..RunOptions::default() };
+                RunOptions { sizes_listed: true, seven_in_ten_lose_state: true, ..RunOptions::default() };
             let worst = worst_window(dispatcher_count, seed, options);
             assert!(worst < 1.0, "{dispatcher_count} dispatchers, seed {seed}: {worst}");
         }
@@ -319,8 +324,8 @@
     assert_eq!(harness.sent_worker(), Some(0));
 }
 
-/// The worker that gets the next request of one in 100 dispatchers, which knows the warm workers 0 to 7 as
-/// loaded, and worker 8 as new and listed with `size`.
+/// The worker to which one dispatcher of a fleet of 100 sends its next request. The dispatcher knows the warm
+/// workers 0 to 7 as loaded, and worker 8 as new and listed with `size`.
 fn sent_beside_loaded_workers(size: Option<f64>, seed: u64) -> Option<u32> {
     let settings = Settings {
         fleet_size: 100,
--- a/crates/dispatcher/tests/slow_start_budget.rs
+++ b/crates/dispatcher/tests/slow_start_budget.rs
@@ -102,14 +102,15 @@
         simulation
     }
 
-    /// A dispatcher that has just started and has no endpoint list yet; `restart` counts its earlier starts.
+    /// A dispatcher that has just started and has no endpoint list yet; `restart` is 0 for its first start
+    /// and the number of the restart otherwise, which gives each start its own seed.
     fn new_dispatcher(&self, index: u32, now: Micros, restart: u64) -> Harness {
         let instance_index = (self.options.indexes != InstanceIndexes::Absent).then_some(index);
         let settings = Settings { instance_index, ..self.settings.clone() };
         let seed = (self.options.seed * 10_000 + u64::from(index)) * 3 + restart;
         let mut harness = Harness::new(settings.clone(), &[]);
-        // Replaces the harness's dispatcher by one without any event, as a dispatcher's start is its first
-        // event.
+        // Replaces the harness's dispatcher with one that has had no event, since a dispatcher takes the time
+        // of its first event for its start.
         harness.dispatcher = Dispatcher::new(settings, seed).expect("the settings are valid");
         harness.now = now;
         harness
@@ -182,8 +183,8 @@
     let (mut seed, mut worst) = (0, 0.0_f64);
     for dispatchers in FLEET_SIZES {
         for budget in BUDGETS {
-            // Large fleets take long to simulate, so they run on fewer seeds and with one initial capacity;
-            // smaller fleets run with lower and higher ones too.
+            // Large fleets take long to simulate, so they run with one initial capacity and fewer seeds in
+            // all; smaller fleets run with a lower and a higher capacity too.
             let initial_capacities = if dispatchers > 60 { &[0.12][..] } else { &[0.02, 0.12, 0.3] };
             for &initial_capacity in initial_capacities {
                 seed += 1;
@@ -195,7 +196,7 @@
             }
         }
     }
-    println!("{indexes:?}, restarting one in {restarting_one_in:?}: at most {worst:.2} of the allowed work");
+    println!("{indexes:?}, restarting_one_in {restarting_one_in:?}: at most {worst:.2} of the allowed work");
     assert!(worst > 0.3, "too little work was sent to test the limit: {worst:.2} of the allowed work");
 }
 
--- a/crates/dispatcher/tests/slow_start_fleet.rs
+++ b/crates/dispatcher/tests/slow_start_fleet.rs
@@ -42,13 +42,14 @@
     }
 }
 
-/// What a fleet sent to the worker in slow start, as fractions of the limit that its budget and chance allow.
+/// What a fleet sent to the worker in slow start. The limit of a window is N + 2 sqrt(N) + 2 requests of mean
+/// work, where N is the worker's budget in that window.
 #[derive(Clone, Copy, Debug, Default)]
 struct BudgetUse {
-    /// The most work in any window, out of those in which more than two thirds came from notified
-    /// dispatchers.
+    /// The most work in any window, as a fraction of the limit. A window counts as far as more than two
+    /// thirds of its work came from notified dispatchers.
     worst_work: f64,
-    /// The most requests in any such window, whatever their work.
+    /// The most requests in any such window, whatever their work, as a fraction of the limit.
     worst_requests: f64,
     /// All work of the run, as a fraction of the budget of its two windows.
     total_work: f64,
@@ -306,7 +307,8 @@
 fn dispatchers_notified_late_do_not_make_the_notified_ones_exceed_the_budget() {
     for notified_late in [0.1, 0.3] {
         assert_budget_holds(|options| RunOptions { notified_late, ..options }, 0.0);
-        // With unequal requests as well, 16 of 6,720 runs exceed the limit, the worst by a factor of 1.11.
+        // With unequal requests as well, a few runs exceed the limit: in a larger set of 6,720 runs, 16 did,
+        // the worst by a factor of 1.11.
         assert_budget_holds(|options| RunOptions { unequal: true, notified_late, ..options }, 0.01);
     }
 }
@@ -351,7 +353,7 @@
         assert_eq!(
             harness.offer_with_long_deadline(at, 0.01).is_some(),
             is_sent,
-            "at {at}, worker started at {worker_start}"
+            "{at} us after the dispatcher's start at {own_start} us, worker started at {worker_start} us"
         );
     }
 }
@@ -370,15 +372,15 @@
         work_accepted(&mut harness)
     };
     let (before, since) = (work_accepted_after_start(800 * MS), work_accepted_after_start(1_200 * MS));
-    assert!(before > 1.5, "work sent to the earlier process does not count: {before} s are accepted");
+    assert!(before > 1.5, "work sent to the earlier process does not count: {before} s of work accepted");
     assert!(
         since < before - 1.5,
-        "work sent to the new process counts: {since} s are accepted after 2.0 s, {before} s after none"
+        "{since} s of work accepted where the new process was sent 2.0 s, {before} s where it was sent none"
     );
 }
 
 /// Guards against a mean of the offered work that still rests on the value assumed before the first request,
-/// from which a dispatcher would conclude that it alone shares the budget.
+/// from which a dispatcher would conclude that it has the budget to itself.
 #[test]
 fn a_few_short_requests_show_a_new_dispatcher_how_many_share_a_budget() {
     let mut sharing = 0;
@@ -396,16 +398,17 @@
         harness.update_endpoints(EndpointUpdateKind::Changes, &[started, removed]);
         sharing += u32::from(harness.offer_with_long_deadline(1, 0.01).is_some());
     }
-    // The budget, 2.5 times 0.3 of one slot for 3 s, is 225 requests: 50 parts of four requests, which is
-    // more than the 30 dispatchers.
+    // The budget, 2.5 times 0.3 of one slot for 3 s, is 225 requests of 0.01 s. Of it the dispatchers use
+    // about 171 requests, or 42 parts of four, so that all 30 dispatchers share it.
     assert!(sharing >= 25, "{sharing} of 30 dispatchers share the budget");
 }
 
 /// Guards against an overload by dispatchers that are notified late. For a budget of many requests the limit
-/// leaves little room for chance: the notified dispatchers sent nine tenths of the budget, the late ones
-/// another third.
+/// leaves little room for chance: the notified dispatchers would send nine tenths of the budget, the late
+/// ones another third. A window over the limit counts only if notified dispatchers sent more than two thirds
+/// of its work.
 #[test]
-fn with_a_large_budget_notified_dispatchers_send_at_most_two_thirds_of_an_overload() {
+fn with_a_large_budget_and_late_notification_no_counted_window_exceeds_the_limit() {
     let mut over = Vec::new();
     for dispatcher_count in [20, 30] {
         for seed in 0..25 {
--- a/crates/dispatcher/tests/total_rejection.rs
+++ b/crates/dispatcher/tests/total_rejection.rs
@@ -124,7 +124,7 @@
     settings.classes[0].latency_stretch = 0.0;
     let mut simulation = Simulation::new(settings, &warm_workers());
     simulation.run(20 * SECOND, request(), Outcome::Served, IDLE);
-    // For a while, every request takes about fifty times as long.
+    // For a while, every request takes 9 s instead of 0.1 s.
     for _ in 0..40 {
         if let Some(number) = simulation.offer(request()) {
             simulation.harness.start_attempt(number, 0);
--- a/crates/settings/src/endpoints.rs
+++ b/crates/settings/src/endpoints.rs
@@ -20,20 +20,20 @@
 pub struct EndpointRecord {
     /// The worker's name, the same at every scheduler.
     pub id: String,
-    /// The host and port at which this scheduler reaches it.
+    /// The worker's host and port, as this scheduler reaches them.
     pub address: Authority,
-    /// The name of its zone.
+    /// The name of the worker's zone.
     pub zone: String,
-    /// The name of its worker kind.
+    /// The name of the worker kind.
     pub kind: String,
-    /// The cell that it belongs to.
+    /// The cell that the worker belongs to.
     pub cell: u32,
-    /// Whether it accepts new requests.
+    /// Whether the worker accepts new requests, finishes those that it has, or was removed.
     pub phase: EndpointPhase,
-    /// The time of its last start, in microseconds since the Unix epoch. `None` stands
-    /// for a start long ago.
+    /// The time of the worker's last start, in microseconds since the Unix epoch; `None` if it is unknown,
+    /// which counts as long ago.
     pub started_at: Option<Micros>,
-    /// Its size, if the list has one.
+    /// The worker's listed size, relative to those of other workers; `None` if the list has none.
     pub size: Option<f64>,
 }
 
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,6 +1,7 @@
 //! The error type of this crate's readers.
 
-/// The reason why JSON could not be read. Operators and clients are shown the message of each variant.
+/// The reason why JSON could not be read. Operators and clients are shown the message of each variant
+/// unchanged.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ReadError {
@@ -25,7 +26,8 @@
         /// The field's name.
         field: &'static str,
     },
-    /// A field is not a non-negative integer of at most 2^53, up to which a float is exact.
+    /// A field is not a non-negative integer of at most 2^53, up to which a float represents every integer
+    /// exactly.
     #[error("{field} is no whole number")]
     NotAnInteger {
         /// The field's name.
@@ -81,7 +83,7 @@
         /// The value as given.
         value: String,
     },
-    /// An error in a field that holds a larger value, with the name of that field.
+    /// An error within the value of a field, such as an object or an address, with the field's name.
     #[error("{section}: {source}")]
     InSection {
         /// The name of the field.
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,4 +1,4 @@
-//! Typed access to the fields of JSON, which tinyjson parses up to a limited nesting depth.
+//! Parsing of JSON with tinyjson up to a limited nesting depth, and typed access to the fields of objects.
 use copperspread_dispatcher::{Micros, SECOND};
 use tinyjson::JsonValue;
 
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -23,8 +23,8 @@
 /// Reads the startup configuration that the platform writes.
 ///
 /// # Errors
-/// As [`json::parse`]; [`ReadError::Missing`] for a required field that is absent, or the error of the
-/// field's type. Errors within a field are wrapped in [`ReadError::InSection`].
+/// As [`json::parse`]; [`ReadError::Missing`] for a required field that is absent or null; for a field with
+/// an invalid value, the variant that says what is wrong with it, wrapped in [`ReadError::InSection`].
 pub fn read_startup_config(content: &str) -> Result<StartupConfig, ReadError> {
     let config = json::parse(content)?;
     let listen = required(&config, "listen", text)?;
--- a/crates/settings/src/platform/endpoints.rs
+++ b/crates/settings/src/platform/endpoints.rs
@@ -13,8 +13,8 @@
 /// Reads an endpoint list, from a response of discovery or from the cached list in the configuration.
 ///
 /// # Errors
-/// [`ReadError::Missing`] for a required field that is absent, or the error of the field's type. One invalid
-/// endpoint makes the whole list invalid.
+/// [`ReadError::Missing`] for a required field that is absent or null; for a field with an invalid value, the
+/// variant that says what is wrong with it. One invalid endpoint makes the whole list invalid.
 pub fn read_endpoint_list(value: &JsonValue) -> Result<EndpointList, ReadError> {
     let members = required(value, "members", array)?;
     Ok(EndpointList {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The time of the last start; 0 in the JSON means unknown.
+/// The time of the last start, or `None` if it is unknown, which the JSON writes as 0 or leaves out.
 fn read_start_time(value: &JsonValue) -> Result<Option<Micros>, ReadError> {
     let milliseconds = integer::<u64>(value, "up_since_ms")?;
     Ok(milliseconds.filter(|&at| at > 0).map(|at| at * MICROS_PER_MILLISECOND))
--- a/crates/settings/src/platform/settings.rs
+++ b/crates/settings/src/platform/settings.rs
@@ -16,8 +16,9 @@
 /// Reads the settings object.
 ///
 /// # Errors
-/// [`ReadError::Missing`] for a required field that is absent, or the error of the field's type. Invalid
-/// `class_stretch` and `class_kind` items and invalid names count as absent.
+/// [`ReadError::Missing`] for a required field that is absent or null; for a field with an invalid value, the
+/// variant that says what is wrong with it. Invalid items of `class_stretch` and `class_kind` count as
+/// absent, invalid names as empty.
 pub fn read_settings(settings: &JsonValue) -> Result<SchedulerSettings, ReadError> {
     let classes = read_classes(settings)?;
     let tenants = read_tenants(settings)?;
--- a/crates/settings/src/startup.rs
+++ b/crates/settings/src/startup.rs
@@ -22,7 +22,7 @@
     pub descriptor_limit: usize,
     /// The memory that the process may use, in megabytes.
     pub memory_limit_mb: f64,
-    /// The last endpoint list that this scheduler held before its start, possibly stale.
+    /// The endpoint list that this scheduler held last before it was restarted, possibly stale.
     pub cached_endpoints: Option<EndpointList>,
     /// The settings of the dispatch policy and of the proxy.
     pub settings: SchedulerSettings,
--- a/crates/settings/tests/read_errors.rs
+++ b/crates/settings/tests/read_errors.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn each_error_of_an_endpoint_list_names_its_field() {
+fn each_error_of_an_endpoint_list_names_its_field_or_value() {
     let read = |text: &str| platform::read_endpoint_list(&json::parse(text).expect("the list is valid JSON"));
     read(LIST).expect("the unchanged list is valid");
     let cases = [
