--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -1,52 +1,56 @@
-//! Proves that this member's clock and the leader's drift apart beyond the bound; never estimates.
+//! Detects that a member's clock and the leader's drift apart beyond the clock bound. Reports only a drift
+//! that the samples prove; rates are never estimated.
 use serde::{Deserialize, Serialize};
 
 use crate::settings::Settings;
 use crate::time::{Micros, SECOND};
 
-/// After this span the older of two samples is replaced by the newer, so that a change of a clock's rate is seen and
-/// a clock that is back within the bound can be cleared.
+/// The duration after which the older of two reference samples is replaced with the newer one, so that a
+/// change of a clock's rate is detected and a clock that is back within the bound can be cleared.
 const SAMPLE_WINDOW: Micros = 30 * SECOND;
-/// How long samples without a proof must span before a clock counts as within the bound.
+/// The duration that samples without a proven drift must cover before a clock counts as within the bound.
 const CLEARING_SPAN: Micros = SAMPLE_WINDOW / 6;
 
 const MILLION: u128 = 1_000_000;
 
-/// A proven difference between two clocks' rates.
+/// A proven difference between the rates of two clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockDrift {
-    /// This member's clock runs fast against the leader's (or the leader's slow); else the other way.
+    /// Whether this member's clock runs faster than the leader's; otherwise it runs slower. The comparison
+    /// cannot tell which of the two clocks is wrong.
     pub is_fast: bool,
-    /// The least difference that explains the samples, in parts per million.
+    /// The smallest difference that explains the samples, in parts per million.
     pub min_ppm: u64,
 }
 
-/// One request and its response.
+/// The times of one request and its response.
 #[derive(Clone, Copy, Debug)]
 struct ClockSample {
     sent_at: Micros,
     received_at: Micros,
-    /// When the response was made, by the other clock.
+    /// The time at which the response was made, by the remote clock.
     remote_time: Micros,
 }
 
-/// Compares the leader's clock with this member's.
+/// A comparison of a remote clock, such as the leader's, with the local clock.
 ///
-/// Between two responses the leader's clock moved by a known span. By the local clock that took at least the time
-/// from receiving the first response to sending the second request, and at most the time from sending the first
-/// request to receiving the second response. Delays and pauses only widen these two; a span outside them proves that
-/// one of the clocks drifts.
+/// Between two responses, the remote clock advances by a known duration. By the local clock, that duration is
+/// at least the time from receiving the first response to sending the second request, and at most the time
+/// from sending the first request to receiving the second response. Delays and pauses only widen this range;
+/// a remote duration outside it, by more than the clock bound permits, proves that one of the clocks drifts.
 #[derive(Clone, Debug, Default)]
 pub struct ClockComparison {
     oldest: Option<ClockSample>,
-    /// Becomes the oldest sample one window later.
+    /// The sample that becomes the oldest one window later.
     next_oldest: Option<ClockSample>,
     drift: Option<ClockDrift>,
 }
 
 impl ClockComparison {
-    /// Records a response: when its request was sent and when it was received, by the local clock, and when it was
-    /// made, by the other. Returns what is proved so far.
+    /// Records a response, and returns the drift that is proven so far.
+    ///
+    /// `sent_at` and `received_at` are the times of the request and of the response by the local clock,
+    /// `remote_time` is the time at which the response was made by the remote clock; all are in microseconds.
     pub fn record_sample(
         &mut self,
         settings: &Settings,
@@ -72,7 +76,7 @@
         match self.next_oldest {
             None if sample.sent_at - oldest.sent_at >= SAMPLE_WINDOW => self.next_oldest = Some(sample),
             Some(next) if sample.sent_at.saturating_sub(next.sent_at) >= SAMPLE_WINDOW => {
-                // A whole window without a proof clears the drift.
+                // A whole window without a proven drift clears an earlier one.
                 self.drift = prove_drift(settings, next, sample);
                 (self.oldest, self.next_oldest) = (Some(next), None);
             }
@@ -80,14 +84,14 @@
         }
     }
 
-    /// Whether the clocks were compared for long enough and no drift is proved.
+    /// Whether the clocks were compared for long enough and no drift is proven.
     pub fn is_cleared(&self, now: Micros) -> bool {
         let compared_since = self.oldest.map(|oldest| oldest.sent_at);
         let is_long = compared_since.is_some_and(|since| now.saturating_sub(since) >= CLEARING_SPAN);
         is_long && self.drift.is_none()
     }
 
-    /// The drift that is proved.
+    /// The drift that is proven so far, if any.
     pub fn drift(&self) -> Option<ClockDrift> {
         self.drift
     }
@@ -107,7 +111,7 @@
     }
 }
 
-/// By how much the longer span exceeds the shorter, in parts per million of the shorter.
+/// The difference between two durations, in parts per million of the shorter one.
 fn excess_ppm(longer: u128, shorter: u128) -> u64 {
     (longer.saturating_sub(shorter) * MILLION / shorter.max(1)) as u64
 }
--- a/crates/consensus/src/decision_conflict.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -1,38 +1,39 @@
-//! When two decisions conflict: what the tests check after every run.
+//! The definition of a conflict between two decisions, which tests check after every run.
 use crate::versioned_document::Version;
 
-/// The rules on which a decision rests.
+/// The rules on which a decision is based.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DecisionBasis {
-    /// This version, in force and within the lease.
+    /// The version in force, while the lease held.
     InForce(Version),
-    /// What all versions from the one in force to the newest allow; without a lease also restricted to what no
-    /// later version forbids ([`crate::Rules::without_lease`]).
+    /// The restricted rules: what all versions from the one in force to the newest allow. Without a lease
+    /// they are narrowed to what no later version may forbid ([`crate::Rules::without_lease`]).
     Restricted {
         /// The version last known to be in force.
         in_force: Version,
-        /// The newest version known.
+        /// The newest committed version known.
         newest: Version,
-        /// Whether the lease held: then no later version was in force.
+        /// Whether the lease held; if so, no version later than `newest` was in force.
         has_lease: bool,
     },
 }
 
-/// One decision, as far as conflicts are concerned.
+/// The parts of a decision that determine whether it conflicts with another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision<Q> {
-    /// The rules on which it rests.
+    /// The rules on which the decision is based.
     pub basis: DecisionBasis,
-    /// What was requested.
+    /// The request that was decided on.
     pub request: Q,
-    /// Whether it was allowed.
+    /// Whether the request was allowed.
     pub is_allowed: bool,
 }
 
-/// Whether two decisions conflict: they rest on different versions, and one allowed what the other forbade.
+/// Whether two decisions conflict: they are based on different versions, and one allowed what the other
+/// forbade.
 ///
-/// Restricted rules are no version of their own. That they forbid what a version allows is no conflict; that they
-/// allow what a version forbids is one, whether that version was known or not.
+/// Restricted rules are not a version. It is no conflict if they forbid what a version allows; it is a
+/// conflict if they allow what a version in force forbids, whether or not the member knew that version.
 pub fn decisions_conflict<Q: PartialEq>(first: &Decision<Q>, second: &Decision<Q>) -> bool {
     if first.request != second.request || first.is_allowed == second.is_allowed {
         return false;
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -1,65 +1,68 @@
-//! What a member asks its driver to do, or reports.
+//! The effects of a member: messages and writes that its caller carries out, and reports.
 use crate::clock_comparison::ClockDrift;
 use crate::storage::{StorageWrite, WriteToken};
 use crate::versioned_document::Version;
 
-/// An effect of [`crate::Node::handle`].
+/// An effect of [`crate::Node::handle`]: an action for the caller to carry out, or a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a message; it may be lost, duplicated, delayed and reordered.
+    /// Send a message. The network may lose, duplicate, delay or reorder it.
     Send {
         /// The recipient's name.
         to: String,
-        /// The message.
+        /// The serialized message.
         bytes: Vec<u8>,
     },
-    /// Write to storage, in the order of the tokens, and then confirm with [`crate::Input::Persisted`].
+    /// Write to storage in the order of the tokens, and confirm with [`crate::Input::Persisted`] once it is
+    /// durable.
     Persist {
-        /// Increases with each write.
+        /// The token of this write, which increases with each write.
         token: WriteToken,
-        /// What to write.
+        /// The data to write.
         write: StorageWrite,
     },
-    /// A proposal of this member changed nothing.
+    /// Reports that a proposal of this member was rejected and changed nothing.
     ProposalRejected {
-        /// The version that it was derived from.
+        /// The version that the proposal was derived from.
         base_version: Version,
         /// The version in force.
         in_force: Version,
-        /// Why.
+        /// The reason for the rejection.
         reason: RejectionReason,
     },
-    /// A proposal of this member was committed; it takes effect later.
+    /// Reports that a proposal of this member was committed; it takes effect later.
     ProposalAccepted {
-        /// The version that it was derived from.
+        /// The version that the proposal was derived from.
         base_version: Version,
-        /// Its own version.
+        /// The version that the proposal was committed as.
         version: Version,
     },
-    /// This version was committed, and is not yet in force: until then what it forbids is forbidden here.
+    /// Reports that this version was committed and is not yet in force. From now on this member forbids what
+    /// the version forbids.
     VersionCommitted(Version),
-    /// This version took effect.
+    /// Reports that this version took effect.
     VersionInForce(Version),
-    /// The lease expired because no leader with a quorum was heard: the restricted rules hold here, and versions do
-    /// not change as far as this member can tell.
+    /// Reports that the lease expired without a new grant from a leader with a quorum. This member follows
+    /// the restricted rules, and as far as it knows no version can change meanwhile.
     LeaseExpired,
-    /// A lease holds again after [`Effect::LeaseExpired`].
+    /// Reports that a lease holds again after [`Effect::LeaseExpired`].
     LeaseRestored,
-    /// The drift between this member's clock and the leader's exceeds the bound. Reported by the member, and by the
-    /// leader of itself when most members report it. Such a member follows the restricted rules.
+    /// Reports that the drift between this member's clock and the leader's exceeds the clock bound. A member
+    /// with such a clock follows the restricted rules. The leader reports it of its own clock when most
+    /// members do.
     ClockDriftDetected(ClockDrift),
-    /// The member's clock is within the bound again.
+    /// Reports that the member's clock is within the clock bound again.
     ClockDriftCleared,
 }
 
-/// Why a proposal was rejected.
+/// The reason for which a proposal was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum RejectionReason {
-    /// Its base is not the newest version, or too many versions are pending.
+    /// The proposal's base is not the newest version, or too many versions are pending.
     StaleBase,
     /// The document exceeds [`crate::Settings::max_document_bytes`], or cannot be serialized.
     TooLarge,
-    /// Eight proposals of this member are pending.
+    /// Eight proposals of this member are pending already, which is the limit.
     PendingLimitReached,
 }
--- a/crates/consensus/src/input.rs
+++ b/crates/consensus/src/input.rs
@@ -1,29 +1,29 @@
-//! What a member is given.
+//! The inputs of a member: time, messages, proposals and storage confirmations.
 use crate::storage::WriteToken;
 use crate::versioned_document::Version;
 
-/// An event for [`crate::Node::handle`].
+/// An input event for [`crate::Node::handle`].
 #[derive(Clone, Debug)]
 pub enum Input<'a, R> {
-    /// Time has passed. Expected every [`crate::Settings::tick_interval`].
+    /// The periodic timer fired; expected every [`crate::Settings::tick_interval`].
     Tick,
     /// A message from another member.
     Message {
         /// The sender's name, authenticated by the transport.
         from: &'a str,
-        /// The bytes of its [`crate::Effect::Send`].
+        /// The bytes of the sender's [`crate::Effect::Send`].
         bytes: &'a [u8],
     },
-    /// This member proposes new rules.
+    /// A proposal of new rules by this member.
     Propose {
-        /// The version that they were derived from.
+        /// The version that the new rules are derived from.
         base_version: Version,
         /// The new rules.
         rules: R,
     },
-    /// All writes up to this token of [`crate::Effect::Persist`] are durable.
+    /// Confirmation that all writes up to and including this token of [`crate::Effect::Persist`] are durable.
     Persisted(WriteToken),
-    /// The names of all other members, by membership. Decides only who is sent updates without asking; safety does
-    /// not depend on it.
+    /// The names of all other members that the membership lists. They determine only which members are sent
+    /// unsolicited updates; safety does not depend on them.
     Members(&'a [String]),
 }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,4 +1,5 @@
-//! What a leader decides in its term: leases, when versions take effect, and what to append to the log.
+//! The state that a leader keeps for its term, and its decisions on leases, activations and appended
+//! commands.
 use std::collections::BTreeMap;
 
 use crate::clock_comparison::ClockDrift;
@@ -10,10 +11,11 @@
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// Proposals that may be appended and not yet forgotten.
+/// The number of appended proposals that are remembered at once; further proposals are not appended.
 const MAX_APPENDED_PROPOSALS: usize = 1_024;
-/// Other members that must be there before their reports on the leader's clock count.
-const MIN_CLOCK_WITNESSES: usize = 2;
+/// The number of other members that must have been heard from recently before their reports on the leader's
+/// clock count.
+const MIN_CLOCK_REPORTERS: usize = 2;
 
 /// An activation that was appended to the log.
 struct Activation {
@@ -21,7 +23,7 @@
     appended_at: Micros,
 }
 
-/// A leader's state, for one term. Owned by its [`crate::Node`].
+/// A leader's state for one term. Owned by its [`crate::Node`].
 pub(crate) struct LeaderState {
     term: u64,
     elected_at: Micros,
@@ -29,7 +31,7 @@
     quorum_reads: QuorumReads,
     epoch_appended_at: Option<Micros>,
     last_activation: Option<Activation>,
-    /// When each proposal was appended to the log.
+    /// The time at which each proposal was appended to the log.
     appended_proposals: BTreeMap<ProposalId, Micros>,
     drift_reported_at: Option<Micros>,
 }
@@ -59,7 +61,7 @@
         self.quorum_reads.add(from, PendingLease { session, sent_at, newest });
     }
 
-    /// Starts the next quorum read if any lease request waits for one; returns its number.
+    /// Starts the next quorum read if one is due; returns its ID.
     pub(crate) fn start_quorum_read(&mut self, now: Micros, settings: &Settings) -> Option<u64> {
         self.quorum_reads.start_read(now, settings)
     }
@@ -68,7 +70,8 @@
         self.quorum_reads.confirm(read_id, index);
     }
 
-    /// Grants a lease to every member whose request is confirmed, with `newest` as the newest version.
+    /// Grants a lease to every member whose request is confirmed by a quorum read, and records the grants
+    /// with `newest` as the newest version.
     pub(crate) fn grant_leases(
         &mut self,
         now: Micros,
@@ -84,7 +87,8 @@
         grants
     }
 
-    /// Whether to append the start of an epoch now; if so, not again for a while.
+    /// Whether to append the start of an epoch now. If so, it returns false until the lease expiry wait has
+    /// passed.
     pub(crate) fn try_start_epoch(&mut self, now: Micros, settings: &Settings) -> bool {
         let is_due = is_due(self.epoch_appended_at, now, settings);
         if is_due {
@@ -93,7 +97,8 @@
         is_due
     }
 
-    /// Whether to append a proposal now; if so, not again for a while.
+    /// Whether to append a proposal now. If so, it returns false for the same proposal until the lease expiry
+    /// wait has passed.
     pub(crate) fn try_append_proposal(&mut self, now: Micros, id: &ProposalId, settings: &Settings) -> bool {
         let wait = settings.lease_expiry_wait();
         self.appended_proposals.retain(|_, appended_at| now.saturating_sub(*appended_at) < wait);
@@ -105,15 +110,17 @@
         is_new
     }
 
-    /// The newest pending version that every member knows, or has lost its lease without knowing. If one is returned,
-    /// it is to be activated, and is not returned again for a while.
+    /// The newest pending version that can be activated: each member either knows it, or can no longer hold a
+    /// lease that was granted without it. A returned version is not returned again until the lease expiry
+    /// wait has passed.
     pub(crate) fn next_activation(
         &mut self,
         now: Micros,
         state: &ReplicatedState,
         settings: &Settings,
     ) -> Option<Version> {
-        // Until then a member may hold a lease of an earlier leader, of which nothing is known here.
+        // Before this wait has passed, a member may hold a lease of an earlier leader, which this leader does
+        // not know of.
         if now.saturating_sub(self.elected_at) < settings.lease_expiry_wait() {
             return None;
         }
@@ -133,7 +140,8 @@
         Some(version)
     }
 
-    /// The members that lack an update, and the newest version that each knows. Forgets members that are gone.
+    /// Takes the members to send an update to, with the newest version that each knows. Also removes the
+    /// members that have not been heard from recently and cannot hold a lease.
     pub(crate) fn take_members_to_update(
         &mut self,
         now: Micros,
@@ -143,7 +151,7 @@
     ) -> Vec<(String, Version)> {
         for name in known_members {
             if !self.members.contains_key(name) {
-                self.members.insert(name.clone(), MemberProgress::unheard(now));
+                self.members.insert(name.clone(), MemberProgress::from_membership(now));
             }
         }
         self.members.retain(|_, member| {
@@ -161,26 +169,27 @@
         outdated
     }
 
-    /// The drift of the leader's own clock, if most members report that it differs from theirs; once in a while.
+    /// The drift of the leader's own clock if most of the other members report one, at most once per lease
+    /// expiry wait.
     pub(crate) fn take_own_drift(&mut self, now: Micros, settings: &Settings) -> Option<ClockDrift> {
         let recent = self.members.values().filter(|member| member.is_recent(now));
         let reports: Vec<Option<ClockDrift>> = recent.map(MemberProgress::drift).collect();
         let drifts: Vec<ClockDrift> = reports.iter().copied().flatten().collect();
-        // The leader itself is among them, and never reports a drift.
-        let witnesses = reports.len().saturating_sub(1);
-        let is_majority = witnesses >= MIN_CLOCK_WITNESSES && 2 * drifts.len() > witnesses;
+        // The reports include the leader's own, which never has a drift.
+        let reporters = reports.len().saturating_sub(1);
+        let is_majority = reporters >= MIN_CLOCK_REPORTERS && 2 * drifts.len() > reporters;
         if !is_majority || !is_due(self.drift_reported_at, now, settings) {
             return None;
         }
         self.drift_reported_at = Some(now);
         let min_ppm = drifts.iter().map(|drift| drift.min_ppm).min().unwrap_or(0);
-        // Their clocks are slow against the leader's: its own is fast.
+        // If the members' clocks are slow compared with the leader's, the leader's own clock is fast.
         let slow_members = drifts.iter().filter(|drift| !drift.is_fast).count();
         Some(ClockDrift { is_fast: slow_members * 2 > drifts.len(), min_ppm })
     }
 }
 
-/// Whether something last done at this instant is to be done again.
+/// Whether an action last taken at `last` is due again, after the lease expiry wait.
 fn is_due(last: Option<Micros>, now: Micros, settings: &Settings) -> bool {
     last.is_none_or(|last| now.saturating_sub(last) > settings.lease_expiry_wait())
 }
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -1,4 +1,4 @@
-//! The versions that one member knows, its lease, and the rules that follow for a decision.
+//! The versions that one member knows, its lease, and the rules that apply to its decisions.
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -7,17 +7,17 @@
 use crate::time::Micros;
 use crate::versioned_document::{Version, VersionedDocument};
 
-/// The rules that a decision is to follow.
+/// The rules that a decision must follow.
 #[derive(Debug)]
 pub enum EffectiveRules<'a, R> {
-    /// The version in force.
+    /// The rules of the version in force.
     InForce(&'a R),
-    /// What all versions that may be in force allow.
+    /// The restricted rules, which allow only what all versions that may be in force allow.
     Restricted(&'a R),
 }
 
 impl<R> EffectiveRules<'_, R> {
-    /// The rules, whichever they are.
+    /// The rules of either variant.
     pub fn rules(&self) -> &R {
         match self {
             EffectiveRules::InForce(rules) | EffectiveRules::Restricted(rules) => rules,
@@ -25,26 +25,27 @@
     }
 }
 
-/// The versions that may be in force as far as a member knows, and its lease. While the lease holds, no version
-/// later than the newest known here is in force, and none earlier than the first. Changed only by the member's
-/// [`crate::Node`]; cheap to clone, as a snapshot for another thread.
+/// A member's lease, and the versions that may be in force as far as the member knows.
+///
+/// While the lease holds, the version in force is one of the known versions. Only the member's
+/// [`crate::Node`] changes this type; it is cheap to clone as a snapshot for another thread.
 #[derive(Clone, Debug)]
 pub struct LeasedRules<R> {
-    /// From the version known to be in force to the newest; never empty.
+    /// All versions from the one last known to be in force to the newest; never empty.
     versions: BTreeMap<Version, Arc<R>>,
-    /// What all of them allow, computed when they change so that a decision only reads it.
+    /// The intersection of all known versions, computed when they change so that a decision only reads it.
     intersection: Arc<R>,
-    /// What may be acted on without a lease.
+    /// The restricted rules that apply without a lease.
     without_lease: Arc<R>,
     lease_expires_at: Micros,
-    /// The clock was proved to drift beyond its bound, so that the expiry says nothing.
+    /// Whether the clock is proven to drift beyond the clock bound, so that the expiry time is not reliable.
     is_clock_suspect: bool,
-    /// False only in tests that show that the checkers notice a missing check.
+    /// False only in tests that show that their checker detects the missing check.
     checks_lease: bool,
 }
 
 impl<R: Rules> LeasedRules<R> {
-    /// For a member that knows only its own configuration, and has no lease.
+    /// Creates the state of a member that knows only the rules of its own configuration and has no lease.
     pub(crate) fn new(initial: R) -> LeasedRules<R> {
         let without_lease = Arc::new(initial.without_lease());
         let initial = Arc::new(initial);
@@ -58,8 +59,10 @@
         }
     }
 
-    /// The rules for a decision at this instant. Checks the lease itself: a process that was stopped and resumes
-    /// calls this before any of its timers has run.
+    /// The rules for a decision at the time `now`.
+    ///
+    /// Checks the lease at each call instead of relying on a timer, because a process that resumes from a
+    /// pause may make decisions before any of its timers has run.
     pub fn effective_rules(&self, now: Micros) -> EffectiveRules<'_, R> {
         if self.checks_lease && !self.has_lease(now) {
             EffectiveRules::Restricted(&self.without_lease)
@@ -70,7 +73,7 @@
         }
     }
 
-    /// What [`LeasedRules::effective_rules`] rests on at this instant, for event logs and checkers.
+    /// The basis of [`LeasedRules::effective_rules`] at the time `now`, for event logs and test checkers.
     pub fn basis(&self, now: Micros) -> DecisionBasis {
         let has_lease = self.has_lease(now) || !self.checks_lease;
         if has_lease && self.versions.len() == 1 {
@@ -79,7 +82,7 @@
         DecisionBasis::Restricted { in_force: self.in_force(), newest: self.newest(), has_lease }
     }
 
-    /// Whether the lease holds at this instant.
+    /// Whether the lease holds at the time `now`.
     pub fn has_lease(&self, now: Micros) -> bool {
         now < self.lease_expires_at && !self.is_clock_suspect
     }
@@ -94,10 +97,10 @@
         self.versions.last_key_value().map_or(Version::default(), |(version, _)| *version)
     }
 
-    /// Takes the leader's versions, from the one in force to the newest, and the documents of some of them.
+    /// Applies the leader's versions, from the one in force to the newest, and the documents of some of them.
     ///
-    /// Returns whether all of them are known now. If a document is missing or damaged, nothing changes and no lease
-    /// may be based on this update.
+    /// Returns whether all of the versions are known now. If a document is missing or damaged, nothing
+    /// changes, and no lease may be based on this update.
     pub(crate) fn apply_update(&mut self, versions: &[Version], documents: &[VersionedDocument]) -> bool {
         let (Some(&first), Some(&last)) = (versions.first(), versions.last()) else { return false };
         if self.is_outdated(first, last) {
@@ -121,7 +124,7 @@
         true
     }
 
-    /// Whether an update from `first` to `last` says nothing new.
+    /// Whether an update with the versions `first` to `last` contains nothing new.
     fn is_outdated(&self, first: Version, last: Version) -> bool {
         last < self.in_force() || (first <= self.in_force() && last <= self.newest())
     }
@@ -136,17 +139,17 @@
         self.without_lease = Arc::new(self.intersection.without_lease());
     }
 
-    /// Extends the lease to this instant; never shortens it.
+    /// Extends the lease to `expires_at`; never shortens it.
     pub(crate) fn extend_lease(&mut self, expires_at: Micros) {
         self.lease_expires_at = self.lease_expires_at.max(expires_at);
     }
 
-    /// Records whether the clock is proved to drift beyond its bound.
+    /// Records whether the clock is proven to drift beyond the clock bound.
     pub(crate) fn set_clock_suspect(&mut self, is_suspect: bool) {
         self.is_clock_suspect = is_suspect;
     }
 
-    /// Removes the check of the lease, to show that a checker notices.
+    /// Disables the lease check, so that a test can show that its checker detects the missing check.
     pub(crate) fn disable_lease_check(&mut self) {
         self.checks_lease = false;
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,21 +1,24 @@
-//! Consensus among the schedulers on one versioned document of rules, with no I/O and no clock: time, messages and
-//! the random seed come in, messages and writes to storage go out.
+//! Replicates one versioned document of rules among the schedulers, by consensus (Raft) and leases.
+//!
+//! The crate does no I/O and reads no clock. Its caller passes in the time, received messages and a random
+//! seed, and carries out the messages and storage writes that the crate returns.
 //!
 //! ```text
-//!  Propose ──► Node::handle ──► Raft among the voters ──► ReplicatedState: committed, then in force
-//!  Message ──►   (one a         (crate `raft`, its log    │
-//!  Tick    ──►    member)        by Persist, Persisted)   ▼ lease grants, version updates
-//!                                     LeasedRules::effective_rules(now): within the lease, or restricted
+//!  Propose ──► Node::handle ──► Raft among the voters ──► ReplicatedState: versions committed, then in force
+//!  Message ──►  (one per        (crate `raft`; log stored │
+//!  Tick    ──►   member)         by Persist, Persisted)   ▼ lease grants, version updates
+//!                                     LeasedRules::effective_rules(now): rules in force, or restricted rules
 //! ```
 //!
-//! 1. Three, five or seven voters order the versions of one document ([`ReplicatedState`]). All members, voters
-//!    included, hold copies of it under leases that the voters' leader grants.
-//! 2. A version takes effect once every member that may hold a lease without knowing it has reported that it
-//!    knows it, or has lost that lease ([`Settings::lease_expiry_wait`]).
-//! 3. A decision calls [`LeasedRules::effective_rules`] with its own instant: within the lease it gets the one
-//!    version in force, else what all versions that may be in force allow.
+//! 1. Three, five or seven voters agree on the order of the document's versions ([`ReplicatedState`]). All
+//!    members, voters included, hold copies of the document under leases that the leader grants.
+//! 2. A committed version takes effect once each member either has reported that it knows the version, or can
+//!    no longer hold a lease that was granted without it ([`Settings::lease_expiry_wait`]).
+//! 3. Each decision calls [`LeasedRules::effective_rules`] with the current time. While the lease holds and
+//!    one version is known, it gets the version in force; otherwise it gets the restricted rules, which allow
+//!    only what all versions that may be in force allow.
 //!
-//! The crate does not know what the rules say: [`Rules::intersection`] narrows two documents to what both allow.
+//! The crate does not interpret the rules; it only combines documents through the [`Rules`] trait.
 #![forbid(unsafe_code)]
 
 mod clock_comparison;
--- a/crates/consensus/src/member_progress.rs
+++ b/crates/consensus/src/member_progress.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one member: the versions that it knows, and the leases that it may hold.
+//! The leader's record of one member: the versions that the member knows, and the leases that it may hold.
 use std::collections::BTreeMap;
 
 use crate::clock_comparison::ClockDrift;
@@ -7,10 +7,10 @@
 use crate::time::{Micros, SECOND};
 use crate::versioned_document::Version;
 
-/// Members that were heard from within this span are sent updates, and count when clocks are compared.
+/// Only members that were heard from within this window are sent updates and counted in clock comparisons.
 const RECENT_WINDOW: Micros = 5 * SECOND;
 
-/// One member's progress, in one leader's term.
+/// One member's progress during one leader's term.
 #[derive(Default)]
 pub(crate) struct MemberProgress {
     session: u64,
@@ -18,15 +18,15 @@
     in_force: Version,
     newest: Version,
     drift: Option<ClockDrift>,
-    /// When it was last granted a lease while each version was the newest.
+    /// For each version, the time of the last lease grant at which that version was the newest.
     granted_at: BTreeMap<Version, Micros>,
-    /// When it was last sent an update.
+    /// The time at which the member was last sent an update.
     last_update: Option<Micros>,
 }
 
 impl MemberProgress {
-    /// A member that is known by membership only: counts as heard now.
-    pub(crate) fn unheard(now: Micros) -> MemberProgress {
+    /// A member known only from the membership, which counts as heard from at `now`.
+    pub(crate) fn from_membership(now: Micros) -> MemberProgress {
         MemberProgress { last_heard: now, ..MemberProgress::default() }
     }
 
@@ -35,8 +35,8 @@
             self.in_force = self.in_force.max(request.in_force);
             self.newest = self.newest.max(request.newest);
         } else {
-            // Another process: what the one before knew is lost, and its leases are too. Keeping its grants only
-            // delays an activation.
+            // The member has restarted and lost the versions and leases that it had. Keeping the earlier
+            // grants is safe; it only delays an activation.
             self.session = request.session;
             (self.in_force, self.newest) = (request.in_force, request.newest);
         }
@@ -52,7 +52,8 @@
         self.granted_at.retain(|_, granted_at| may_be_leased(now, *granted_at, settings));
     }
 
-    /// Whether it knows the version, or has lost every lease that it was granted without it.
+    /// Whether the member knows the version, or every lease that it was granted before that version has
+    /// expired.
     pub(crate) fn allows_activation(&self, version: Version, now: Micros, settings: &Settings) -> bool {
         let mut earlier = self.granted_at.iter().filter(|(newest, _)| **newest < version);
         self.newest >= version || !earlier.any(|(_, granted_at)| may_be_leased(now, *granted_at, settings))
@@ -62,13 +63,13 @@
         now.saturating_sub(self.last_heard) < RECENT_WINDOW
     }
 
-    /// Whether the leader must still remember it: heard lately, or it may hold a lease.
+    /// Whether the leader must still track the member: it was heard from recently, or may hold a lease.
     pub(crate) fn is_relevant(&self, now: Micros, settings: &Settings) -> bool {
         let is_heard = now.saturating_sub(self.last_heard) < RECENT_WINDOW.max(settings.lease_expiry_wait());
         is_heard || !self.granted_at.is_empty()
     }
 
-    /// Whether to send it an update of these versions now; at most two in a round trip.
+    /// Whether to send the member an update to these versions now, at most twice per maximum round trip.
     pub(crate) fn needs_update(
         &self,
         now: Micros,
@@ -90,13 +91,13 @@
         self.newest
     }
 
-    /// What it has proved of its clock against the leader's.
+    /// The drift of its clock against the leader's that the member has proven, if any.
     pub(crate) fn drift(&self) -> Option<ClockDrift> {
         self.drift
     }
 }
 
-/// Whether a lease that was granted at this instant may still hold by some clock within the bound.
+/// Whether a lease granted at `granted_at` may still hold by some clock within the clock bound.
 fn may_be_leased(now: Micros, granted_at: Micros, settings: &Settings) -> bool {
     now.saturating_sub(granted_at) < settings.lease_expiry_wait()
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,7 +1,7 @@
-//! One member: takes inputs, and appends the effects that follow.
+//! The state machine of one member, which turns inputs into effects.
 //!
-//! [`Node`] owns all state of a member. Its submodules each add the methods of one concern; messages are dispatched
-//! in `messages`, and `settle` runs Raft and the leader's duties after each input.
+//! [`Node`] owns all state of a member. Each submodule adds the methods of one concern: `messages` dispatches
+//! the received packets, and `process_until_idle` runs Raft and the leader's duties after each input.
 mod leader_duties;
 mod lease_client;
 mod messages;
@@ -30,42 +30,45 @@
 use crate::time::Micros;
 use crate::voter_id::VoterId;
 
-/// A member of the consensus group: a voter, or one that only holds leased copies of the document.
+/// A member of the consensus group: a voter, or a non-voter that only holds leased copies of the document.
 pub struct Node<R> {
     identity: MemberIdentity,
     settings: Settings,
     rng: fastrand::Rng,
-    /// Distinguishes this process from earlier ones of the same name.
+    /// A random number that distinguishes this process from earlier processes of the same name.
     session: u64,
     leased_rules: LeasedRules<R>,
-    /// Its own configuration's rules, serialized: the first document if it starts the first epoch.
+    /// The serialized rules of this member's configuration, which become the first document if this member
+    /// starts the first epoch.
     initial_rules: Vec<u8>,
-    /// `None` for a member that is no voter.
+    /// `None` for a non-voter.
     voter_id: Option<VoterId>,
     role: Role,
     /// The token of the last write.
     last_token: WriteToken,
     state: ReplicatedState,
-    /// The largest generation of a voter that was heard; the epoch if it starts the first one.
+    /// The largest generation known of any voter, which becomes the epoch if this member starts the first
+    /// one.
     max_generation: u64,
-    /// Present while it leads the voters.
+    /// `Some` while this member leads the voters.
     leader: Option<LeaderState>,
     next_tick_at: Micros,
     lease: LeaseClient,
     proposals: ProposalClient,
-    /// The other members' names, by membership.
+    /// The names of the other members that the membership lists.
     members: Vec<String>,
-    /// Packets to itself.
+    /// Packets from this member to itself that are not yet handled.
     local_packets: VecDeque<Packet>,
 }
 
 impl<R: Rules> Node<R> {
-    /// A member that holds its own configuration's rules and no lease. `seed` determines all its random numbers, and
-    /// must differ for each start of each process: it makes the session by which answers to an earlier process are
-    /// recognized.
+    /// Creates a member that knows only the rules of its own configuration and holds no lease.
+    ///
+    /// `seed` determines all its random numbers, and must differ for each start of each process: it also
+    /// determines the session number, by which responses to an earlier process are recognized.
     ///
     /// # Errors
-    /// Settings, a name, initial rules or stored state that are invalid.
+    /// Returns an error if the settings, the name, the initial rules or the stored state are invalid.
     pub fn new(
         identity: MemberIdentity,
         settings: Settings,
@@ -110,34 +113,37 @@
         })
     }
 
-    /// Removes the check of the lease from decisions, to show that a checker notices; for tests only.
+    /// Disables the lease check in decisions, so that a test can show that its checker detects the missing
+    /// check.
     #[doc(hidden)]
     pub fn without_lease_check(mut self) -> Node<R> {
         self.leased_rules.disable_lease_check();
         self
     }
 
-    /// The rules for a decision at this instant: see [`LeasedRules::effective_rules`].
+    /// The rules for a decision at the time `now`; see [`LeasedRules::effective_rules`].
     pub fn effective_rules(&self, now: Micros) -> EffectiveRules<'_, R> {
         self.leased_rules.effective_rules(now)
     }
 
-    /// The versions that this member knows and its lease, as a snapshot for other threads.
+    /// The versions that this member knows, with its lease. Cheap to clone as a snapshot for other threads.
     pub fn leased_rules(&self) -> &LeasedRules<R> {
         &self.leased_rules
     }
 
-    /// Whether it leads the voters, as far as it knows.
+    /// Whether this member leads the voters, as far as it knows.
     pub fn is_leader(&self) -> bool {
         self.leader.is_some()
     }
 
-    /// Whether it is a voter that takes part: false for one without storage that has not caught up.
+    /// Whether this member is a voter that takes part in votes. False for a voter without stored state that
+    /// has not caught up yet.
     pub fn is_voting(&self) -> bool {
         matches!(self.role, Role::Voting(_))
     }
 
-    /// Takes an input at an instant that never goes back, and appends the effects in order.
+    /// Handles an input at the time `now`, which must never decrease, and appends the resulting effects in
+    /// order.
     pub fn handle(&mut self, now: Micros, input: Input<'_, R>, effects: &mut Vec<Effect>) {
         match input {
             Input::Tick => self.tick(now, effects),
@@ -150,13 +156,14 @@
             Input::Persisted(token) => self.on_persisted(token, effects),
             Input::Members(names) => self.members = names.to_vec(),
         }
-        self.settle(now, effects);
+        self.process_until_idle(now, effects);
     }
 
     fn tick(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.report_lease_expiry(now, effects);
         if now >= self.next_tick_at {
-            // One tick, however late: after a pause the messages that wait count before the silence does.
+            // A late timer counts as one tick: after a pause, the waiting messages are handled before the
+            // missed time can start an election.
             self.next_tick_at = now.saturating_add(self.settings.tick_interval);
             match &mut self.role {
                 Role::Voting(voter) => voter.tick(),
@@ -168,8 +175,8 @@
         self.resend_proposals(now, effects);
     }
 
-    /// Does what follows from an input, until nothing more does.
-    fn settle(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+    /// Runs Raft, packets to this member itself and the leader's duties until they produce nothing more.
+    fn process_until_idle(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         loop {
             while let Some(packet) = self.local_packets.pop_front() {
                 let own_name = self.identity.name.clone();
@@ -183,7 +190,8 @@
             let has_output = voter.drain(&mut output);
             let leader_term = voter.leader_term();
             if self.leader.as_ref().map(LeaderState::term) != leader_term {
-                // Leases of earlier leaders were requested before now.
+                // Leases of earlier leaders were requested before now; they expire within one lease expiry
+                // wait.
                 self.leader = leader_term.map(|term| LeaderState::new(term, now));
             }
             self.apply_output(output, effects);
--- a/crates/consensus/src/node/leader_duties.rs
+++ b/crates/consensus/src/node/leader_duties.rs
@@ -1,5 +1,5 @@
-//! What the leader does besides replication: confirms its leadership, grants leases, activates and announces
-//! versions, and checks its own clock.
+//! The leader's duties besides replication: it confirms its leadership, grants leases, activates versions,
+//! sends updates, and checks its own clock.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -13,7 +13,8 @@
 impl<R: Rules> Node<R> {
     pub(super) fn run_leader_duties(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let (Some(leader), Role::Voting(voter)) = (&mut self.leader, &mut self.role) else { return };
-        // A leader that has not applied the log from before would take the state for empty, and start an epoch.
+        // Before a leader has applied the entries of earlier terms, its state may look empty, and it would
+        // start an epoch.
         if !voter.has_applied_own_term() {
             return;
         }
@@ -23,11 +24,11 @@
         let applied_index = voter.applied_index();
         let mut commands = Vec::new();
         if self.state.newest() == Version::default() {
-            commands.extend(self.first_epoch(now));
+            commands.extend(self.first_epoch_command(now));
         } else {
             let grants = self.grant_leases(now, applied_index, effects);
-            commands.extend(self.epoch_after_lost_storage(now, &grants));
-            commands.extend(self.next_activation(now));
+            commands.extend(self.epoch_command_after_lost_storage(now, &grants));
+            commands.extend(self.activation_command(now));
             self.send_updates(now, effects);
             self.check_own_clock(now, effects);
         }
@@ -36,8 +37,8 @@
         }
     }
 
-    /// The start of the first epoch, with this member's own rules.
-    fn first_epoch(&mut self, now: Micros) -> Option<Command> {
+    /// The command that starts the first epoch with this member's own rules, if it is due.
+    fn first_epoch_command(&mut self, now: Micros) -> Option<Command> {
         let leader = self.leader.as_mut()?;
         leader.try_start_epoch(now, &self.settings).then(|| Command::StartEpoch {
             epoch: self.max_generation.max(1),
@@ -45,9 +46,10 @@
         })
     }
 
-    /// The start of an epoch that is later than one that a member knows. Such a member knows an epoch from before all
-    /// voters lost their storage, whose number came from a clock that ran ahead.
-    fn epoch_after_lost_storage(
+    /// The command that starts an epoch later than that of any member, if a member reports an epoch later
+    /// than the leader's. Such an epoch is from before all voters lost their storage; its number came from a
+    /// clock that was ahead.
+    fn epoch_command_after_lost_storage(
         &mut self,
         now: Micros,
         grants: &[(String, PendingLease)],
@@ -81,7 +83,7 @@
         grants
     }
 
-    fn next_activation(&mut self, now: Micros) -> Option<Command> {
+    fn activation_command(&mut self, now: Micros) -> Option<Command> {
         let leader = self.leader.as_mut()?;
         leader.next_activation(now, &self.state, &self.settings).map(Command::Activate)
     }
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Transfers the leadership if most members report that this leader's clock drifts.
+    /// Transfers the leadership if most members report that the leader's clock drifts from theirs.
     fn check_own_clock(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let (Some(leader), Role::Voting(voter)) = (&mut self.leader, &mut self.role) else { return };
         if let Some(own_id) = self.voter_id
@@ -107,7 +109,7 @@
     }
 }
 
-/// The committed versions, for a member that knows those up to `known`.
+/// An update for a member that knows the versions up to `known`.
 fn version_update(state: &ReplicatedState, known: Version) -> VersionUpdate {
     VersionUpdate {
         versions: state.documents().map(|document| document.version).collect(),
--- a/crates/consensus/src/node/lease_client.rs
+++ b/crates/consensus/src/node/lease_client.rs
@@ -1,4 +1,4 @@
-//! Requests a lease, and takes grants and updates of the versions.
+//! The member's side of its lease: it requests leases, and handles grants and version updates.
 use super::Node;
 use crate::clock_comparison::ClockComparison;
 use crate::effect::Effect;
@@ -8,10 +8,10 @@
 use crate::versioned_document::Version;
 use crate::voter_id::VoterId;
 
-/// Requests without an answer after which another voter is asked.
+/// The number of unanswered requests after which the next voter is asked.
 const MAX_UNANSWERED_REQUESTS: u32 = 2;
 
-/// A leader in one of its terms.
+/// A leader and the term in which it leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct LeaderTerm {
     leader_id: VoterId,
@@ -20,15 +20,15 @@
 
 /// A member's side of its lease. Owned by its [`Node`].
 pub(super) struct LeaseClient {
-    /// The voter to which requests and proposals go: the leader as far as is known.
+    /// The voter to which requests and proposals are sent: the leader, as far as it is known.
     target_voter: VoterId,
     unanswered_requests: u32,
     next_request_at: Micros,
-    /// Compares with the clock of the leader that granted last.
+    /// The comparison with the clock of the leader that sent the last grant.
     clock: ClockComparison,
     granted_by: Option<LeaderTerm>,
     is_clock_suspect: bool,
-    /// Whether [`Effect::LeaseExpired`] was reported last.
+    /// Whether [`Effect::LeaseExpired`] was reported, and [`Effect::LeaseRestored`] not yet.
     is_expiry_reported: bool,
 }
 
@@ -49,7 +49,7 @@
         self.target_voter
     }
 
-    /// Directs requests to a voter that is known to lead or to know the leader.
+    /// Sets the voter to which requests and proposals are sent, and resets the count of unanswered requests.
     fn set_target(&mut self, voter_id: VoterId) {
         self.target_voter = voter_id;
         self.unanswered_requests = 0;
@@ -57,7 +57,7 @@
 }
 
 impl<R: Rules> Node<R> {
-    /// Reports that the lease expired or holds again, once for each change.
+    /// Reports once for each change that the lease has expired or holds again.
     pub(super) fn report_lease_expiry(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let is_reported = self.lease.is_expiry_reported;
         let had_lease = self.leased_rules.newest() > Version::default() || is_reported;
@@ -75,9 +75,10 @@
         }
     }
 
-    /// Requests the lease from the leader, or from a voter that may know it.
+    /// Requests a lease from the leader, or from a voter that may know the leader.
     fn request_lease(&mut self, now: Micros, effects: &mut Vec<Effect>) {
-        // What Raft knows here comes first; else, after some silence, the next voter is asked.
+        // Prefers the leader that this member's own Raft state knows. Without one, it tries the next voter
+        // after several unanswered requests.
         if let Some(leader_id) = self.role.leader_id() {
             self.lease.target_voter = leader_id;
         } else if self.lease.unanswered_requests > MAX_UNANSWERED_REQUESTS {
@@ -95,7 +96,8 @@
         self.send_to_voter(self.lease.target_voter, Packet::LeaseRequest(request), effects);
     }
 
-    /// The leader collects the request for a quorum read; another voter answers with the leader that it knows.
+    /// Handles a lease request: the leader adds it to the next quorum read, another voter responds with the
+    /// leader that it knows.
     pub(super) fn on_lease_request(
         &mut self,
         now: Micros,
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Takes a lease, which counts from when it was requested.
+    /// Accepts a lease, which begins at the time when it was requested.
     pub(super) fn on_lease_grant(
         &mut self,
         now: Micros,
@@ -124,7 +126,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let LeaseGrant { session, sent_at, term, leader_time, update } = grant;
-        // From an earlier process, too late, or from a leader that another has replaced.
+        // Ignores grants to an earlier process of this member, late ones, and those of a leader that was
+        // replaced.
         let is_late = sent_at > now || now - sent_at > self.settings.max_round_trip;
         let is_replaced = self.lease.granted_by.is_some_and(|leader| term < leader.term);
         if session != self.session || is_late || is_replaced {
@@ -143,7 +146,8 @@
         }
     }
 
-    /// Compares the own clock with the leader's, and reports when the proof of a drift begins or ends.
+    /// Compares this member's clock with the leader's, and reports when a drift is first proven and when it
+    /// is cleared.
     fn compare_clocks(
         &mut self,
         now: Micros,
@@ -169,7 +173,8 @@
         self.leased_rules.set_clock_suspect(lease.is_clock_suspect);
     }
 
-    /// Takes an update without a lease, and reports by a new request that it is known.
+    /// Applies an update that grants no lease. If it changed anything, a new lease request reports the known
+    /// versions to the leader.
     pub(super) fn on_version_update(
         &mut self,
         now: Micros,
@@ -186,7 +191,7 @@
         }
     }
 
-    /// Asks the voter that another voter takes for the leader.
+    /// Sends the lease request to the voter that another voter named as the leader.
     pub(super) fn on_leader_hint(
         &mut self,
         now: Micros,
@@ -201,7 +206,7 @@
         }
     }
 
-    /// Takes the leader's versions; returns whether all of them are known now.
+    /// Applies the leader's versions and reports changes; returns whether all of the versions are known now.
     fn apply_update(&mut self, update: &VersionUpdate, effects: &mut Vec<Effect>) -> bool {
         let (in_force, newest) = (self.leased_rules.in_force(), self.leased_rules.newest());
         let is_known = self.leased_rules.apply_update(&update.versions, &update.documents);
--- a/crates/consensus/src/node/messages.rs
+++ b/crates/consensus/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! Dispatches the packets of other members.
+//! Dispatches received packets to their handlers.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -8,7 +8,7 @@
 use crate::voter_id::VoterId;
 
 impl<R: Rules> Node<R> {
-    /// Takes a packet of the member of this name.
+    /// Handles a packet from the member named `from`.
     pub(super) fn on_packet(&mut self, now: Micros, from: &str, packet: Packet, effects: &mut Vec<Effect>) {
         match packet {
             Packet::LeaseRequest(request) => self.on_lease_request(now, from, &request, effects),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Takes a packet that only voters send.
+    /// Handles a packet of a kind that only voters send.
     fn on_voter_packet(&mut self, now: Micros, voter_id: VoterId, packet: Packet, effects: &mut Vec<Effect>) {
         match packet {
             Packet::Raft(message) => {
--- a/crates/consensus/src/node/proposals.rs
+++ b/crates/consensus/src/node/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals: sent by their member until they are answered, appended to the log by the leader.
+//! Proposals, which the proposing member resends until it has the result, and the leader appends to the log.
 use std::collections::BTreeMap;
 
 use super::Node;
@@ -9,7 +9,7 @@
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// Proposals of this member that may be pending at once.
+/// The number of proposals of this member that may be pending at once.
 const MAX_PENDING_PROPOSALS: usize = 8;
 
 struct PendingProposal {
@@ -18,10 +18,10 @@
     sent_at: Micros,
 }
 
-/// This member's proposals. Owned by its [`Node`].
+/// This member's proposals that have no result yet. Owned by its [`Node`].
 #[derive(Default)]
 pub(super) struct ProposalClient {
-    /// By number.
+    /// The pending proposals by their number.
     pending: BTreeMap<u64, PendingProposal>,
     last_number: u64,
 }
@@ -33,7 +33,7 @@
         self.last_number
     }
 
-    /// The numbers of those that were last sent at least this long ago.
+    /// The numbers of the proposals that were last sent at least `retry_interval` ago.
     fn unanswered(&self, now: Micros, retry_interval: Micros) -> Vec<u64> {
         let is_due = |proposal: &PendingProposal| now.saturating_sub(proposal.sent_at) >= retry_interval;
         let due = self.pending.iter().filter(|(_, proposal)| is_due(proposal));
@@ -49,7 +49,7 @@
         rules: &R,
         effects: &mut Vec<Effect>,
     ) {
-        match self.accept_proposal(base_version, rules) {
+        match self.validate_proposal(base_version, rules) {
             Ok(bytes) => {
                 let number = self.proposals.add(base_version, bytes, now);
                 self.send_proposal(now, number, effects);
@@ -61,9 +61,10 @@
         }
     }
 
-    /// Checks and serializes a proposal. A base that is older than this member knows is rejected here; one that is
-    /// older than the log knows, by the log.
-    fn accept_proposal(&self, base_version: Version, rules: &R) -> Result<Vec<u8>, RejectionReason> {
+    /// Validates and serializes a proposal. A base older than the newest version that this member knows is
+    /// rejected here; a base that is older than the newest committed version is rejected when the log entry
+    /// is applied.
+    fn validate_proposal(&self, base_version: Version, rules: &R) -> Result<Vec<u8>, RejectionReason> {
         if base_version < self.leased_rules.newest() {
             return Err(RejectionReason::StaleBase);
         }
@@ -90,7 +91,8 @@
         self.send_to_voter(self.lease.target_voter(), Packet::Proposal(proposal), effects);
     }
 
-    /// The leader answers a proposal whose outcome is known, and appends another to the log.
+    /// Handles a proposal at the leader: sends the result if the outcome is known already, otherwise appends
+    /// the proposal to the log.
     pub(super) fn on_proposal(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -1,7 +1,8 @@
-//! How a voter without storage takes part again.
+//! The rejoining of a voter without stored state.
 //!
-//! It may have voted in the current term and does not remember it. So it votes only after it has stored a state that
-//! a leader committed after its request; or, if no voter has any storage, after all earlier leases have expired.
+//! Such a voter may have voted in the current term without remembering it. It therefore votes only after it
+//! has stored a state that a leader committed after its request, or, if no voter has any stored state, after
+//! all earlier leases have expired.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -14,13 +15,14 @@
 use crate::voter_id::VoterId;
 
 impl<R: Rules> Node<R> {
-    /// Asks the other voters for the state, and begins without one once all report that they have none.
+    /// Requests the state from the other voters. Once all of them report that they have none and all earlier
+    /// leases have expired, starts with an empty state.
     pub(super) fn request_rejoin(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let voter_count = self.settings.voter_count();
         let Role::Rejoining(rejoin) = &mut self.role else { return };
         let started_at = *rejoin.started_at.get_or_insert(now);
         let are_all_empty = rejoin.empty_voters.len() as u64 == voter_count - 1;
-        // Leases that were granted before the storage was lost have expired by then.
+        // After this wait, the leases that were granted before the storage was lost have expired.
         if are_all_empty && now.saturating_sub(started_at) >= self.settings.lease_expiry_wait() {
             let generations = rejoin.empty_voters.values().copied();
             self.max_generation = generations.fold(self.max_generation, u64::max);
@@ -39,7 +41,9 @@
         }
     }
 
-    /// The leader commits an entry that is later than the request, and answers once that is applied.
+    /// Handles a rejoin request. The leader appends an entry, which is thereby later than the request, and
+    /// responds with a snapshot once it has applied that entry. A voter that rejoins itself responds that it
+    /// has no state.
     pub(super) fn on_rejoin_request(
         &mut self,
         voter_id: VoterId,
@@ -79,13 +83,14 @@
         let Role::Rejoining(rejoin) = &self.role else { return };
         let is_readable = postcard::from_bytes::<ReplicatedState>(&snapshot.state).is_ok();
         if nonce == rejoin.nonce && is_readable && snapshot.index > 0 && snapshot.term > 0 {
-            // It may have voted in this term before. The term has this leader, so a vote for it is no second vote.
+            // This voter may have voted in this term before its storage was lost. Recording a vote for the
+            // leader of the term is safe, because the election of that term is already decided.
             let vote = TermVote { term: snapshot.term, voted_for: leader_id.get() };
             self.install(StoredState { snapshot: Some(snapshot), entries: Vec::new(), vote }, effects);
         }
     }
 
-    /// Stores what this voter begins from, before it takes part.
+    /// Stores the state that this voter starts from; it takes part in votes once the write is durable.
     fn install(&mut self, stored: StoredState, effects: &mut Vec<Effect>) {
         self.last_token = self.last_token.next();
         let token = self.last_token;
@@ -95,7 +100,7 @@
         effects.push(Effect::Persist { token, write });
     }
 
-    /// Begins to vote from a state that is durable now.
+    /// Starts voting from a state that is durable now.
     pub(super) fn finish_install(&mut self, stored: &StoredState) {
         let Some(voter_id) = self.voter_id else { return };
         let snapshot = stored.snapshot.as_ref();
@@ -103,7 +108,7 @@
             .map_or_else(|| Ok(ReplicatedState::default()), |snapshot| postcard::from_bytes(&snapshot.state));
         let seed = self.rng.u64(..);
         let voter = RaftVoter::new(voter_id, &self.settings, stored, seed, self.last_token);
-        // Both were checked before they were stored.
+        // Both were validated before they were stored, so neither fails here.
         if let (Ok(state), Ok(voter)) = (state, voter) {
             self.state = state;
             self.role = Role::Voting(Box::new(voter));
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -1,4 +1,4 @@
-//! Connects Raft with storage, the other voters and the replicated state.
+//! Connects the Raft library with storage, the other voters and the replicated state.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -9,7 +9,7 @@
 use crate::storage::{LogEntry, Snapshot, WriteToken};
 use crate::voter_id::VoterId;
 
-/// Who waits for a command to be applied.
+/// The origin of a command, which receives a response once the command is applied.
 enum CommandOrigin {
     Proposal(ProposalId),
     RejoiningVoter { voter_id: VoterId, nonce: u64 },
@@ -28,14 +28,14 @@
 }
 
 impl<R: Rules> Node<R> {
-    /// Appends a command to the log, if this member leads.
+    /// Appends a command to the log if this member leads.
     pub(super) fn append_command(&mut self, command: &Command) {
         if let (Role::Voting(voter), Ok(bytes)) = (&mut self.role, postcard::to_allocvec(command)) {
             voter.propose(bytes);
         }
     }
 
-    /// Takes the confirmation that all writes up to this token are durable.
+    /// Handles the confirmation that all writes up to and including this token are durable.
     pub(super) fn on_persisted(&mut self, token: WriteToken, effects: &mut Vec<Effect>) {
         match &mut self.role {
             Role::Voting(voter) => {
@@ -45,7 +45,7 @@
             }
             Role::Installing { token: awaited, stored } if *awaited <= token => {
                 let stored = std::mem::take(stored);
-                // In case that the state cannot be read after all: then it does not vote.
+                // If the state cannot be loaded after all, this member keeps this role and does not vote.
                 self.role = Role::NonVoter;
                 self.finish_install(&stored);
             }
@@ -53,14 +53,15 @@
         }
     }
 
-    /// Does what Raft wants.
+    /// Carries out the writes, messages and state changes that Raft produced.
     pub(super) fn apply_output(&mut self, output: VoterOutput, effects: &mut Vec<Effect>) {
         for write in output.writes {
             self.persist(write, effects);
         }
         self.send_to_voters(output.messages, effects);
         if let Some(Snapshot { state, .. }) = output.installed_snapshot {
-            // The leader that sent it has applied the same.
+            // Deserialization is not expected to fail: the leader serialized the state that it had applied
+            // itself.
             self.state = postcard::from_bytes(&state).unwrap_or_default();
         }
         for entry in output.committed_entries {
@@ -95,9 +96,9 @@
         }
     }
 
-    /// Applies a committed entry; the leader then answers whoever waits for it.
+    /// Applies a committed entry; the leader then responds to the origin of the command.
     fn apply_entry(&mut self, entry: &LogEntry, effects: &mut Vec<Effect>) {
-        // The entry with which a term begins is empty.
+        // Skips the empty entry with which a leader begins its term.
         let Ok(command) = postcard::from_bytes::<Command>(&entry.data) else { return };
         let origin = CommandOrigin::of(&command);
         let limits = StateLimits {
@@ -108,7 +109,8 @@
         let Some(leader) = &self.leader else { return };
         match origin {
             Some(CommandOrigin::Proposal(id)) => self.send_proposal_result(id, effects),
-            // Only of the own term: then a quorum without that voter has taken this entry from this leader.
+            // Only for an entry of the current term: a quorum without the rejoining voter has then accepted
+            // it from this leader.
             Some(CommandOrigin::RejoiningVoter { voter_id, nonce }) if leader.term() == entry.term => {
                 self.send_rejoin_snapshot(voter_id, nonce, entry, effects);
             }
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -1,4 +1,4 @@
-//! A member's role in Raft.
+//! The roles of a member in Raft: non-voter, rejoining, installing or voting.
 use std::collections::BTreeMap;
 
 use crate::raft_voter::RaftVoter;
@@ -8,18 +8,18 @@
 
 /// A member's role in Raft.
 pub(super) enum Role {
-    /// Not a voter: holds leased copies only.
+    /// A non-voter, which only holds leased copies of the document.
     NonVoter,
-    /// A voter without storage, that asks the others for the state.
+    /// A voter without stored state that requests the state from the other voters.
     Rejoining(Rejoin),
-    /// A voter that waits until the state that it begins from is durable.
+    /// A voter that waits until the state that it starts from is durable.
     Installing { token: WriteToken, stored: StoredState },
-    /// A voter that takes part.
+    /// A voter that takes part in votes.
     Voting(Box<RaftVoter>),
 }
 
 impl Role {
-    /// The leader as far as it knows.
+    /// The leader that this member's Raft state knows; `None` for a member that is not voting.
     pub(super) fn leader_id(&self) -> Option<VoterId> {
         match self {
             Role::Voting(voter) => voter.leader_id(),
@@ -28,14 +28,15 @@
     }
 }
 
-/// The requests of a voter without storage.
+/// The progress of a voter's rejoining.
 pub(super) struct Rejoin {
+    /// A random number that identifies the responses to this voter's requests.
     pub(super) nonce: u64,
-    /// When the first request was sent.
+    /// The time at which the first request was sent.
     pub(super) started_at: Option<Micros>,
-    /// When the last request was sent.
+    /// The time at which the last request was sent.
     pub(super) requested_at: Option<Micros>,
-    /// The generations of the voters that have no storage either, by voter.
+    /// The generations of the voters that have no stored state either, by voter.
     pub(super) empty_voters: BTreeMap<VoterId, u64>,
 }
 
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -1,5 +1,5 @@
-//! The messages between members: postcard after a byte for the format's version. Their bytes depend on the order of
-//! variants and fields.
+//! The messages between members and their wire format: one byte for the format version, followed by postcard.
+//! The bytes depend on the order of variants and fields.
 use serde::{Deserialize, Serialize};
 
 use crate::clock_comparison::ClockDrift;
@@ -11,44 +11,45 @@
 use crate::voter_id::VoterId;
 
 const PACKET_FORMAT_VERSION: u8 = 1;
-/// Size limit of a message: a snapshot of nine documents of 1 MiB fits.
+/// The size limit of a message in bytes, which leaves room for a snapshot of nine documents of 1 MiB.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// The committed versions, as the leader has applied them.
+/// The versions that are committed and applied at the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VersionUpdate {
-    /// From the one in force to the newest.
+    /// All versions from the one in force to the newest.
     pub(crate) versions: Vec<Version>,
-    /// Those that the recipient may lack.
+    /// The documents that the recipient may lack.
     pub(crate) documents: Vec<VersionedDocument>,
 }
 
-/// A member requests a lease, and reports what it knows.
+/// A member's request for a lease, with a report of the versions that it knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseRequest {
-    /// A random number of this start of its process.
+    /// A random number that identifies this start of the member's process.
     pub(crate) session: u64,
-    /// By its own clock.
+    /// The time of sending by the member's clock.
     pub(crate) sent_at: Micros,
     pub(crate) in_force: Version,
     pub(crate) newest: Version,
-    /// What it has proved of its clock against the leader's.
+    /// The proven drift of the member's clock against the leader's, if any.
     pub(crate) drift: Option<ClockDrift>,
 }
 
-/// The leader grants a lease, after a quorum has confirmed that it leads since it got the request.
+/// The grant of a lease by the leader, sent after a quorum has confirmed, since the request arrived, that it
+/// still leads.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseGrant {
     pub(crate) session: u64,
-    /// Copied from the request: the lease begins there.
+    /// The time of sending, copied from the request; the lease begins at this time.
     pub(crate) sent_at: Micros,
     pub(crate) term: u64,
-    /// The instant of the grant by the leader's clock.
+    /// The time of the grant by the leader's clock.
     pub(crate) leader_time: Micros,
     pub(crate) update: VersionUpdate,
 }
 
-/// A proposal on its way to the leader.
+/// A proposal that a member sends to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Proposal {
     pub(crate) id: ProposalId,
@@ -59,13 +60,13 @@
 /// One message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Packet {
-    /// Between voters.
+    /// A Raft message between voters.
     Raft(RaftMessage),
     LeaseRequest(LeaseRequest),
     LeaseGrant(LeaseGrant),
-    /// What changed, without a lease.
+    /// An update of the committed versions that grants no lease.
     VersionUpdate(VersionUpdate),
-    /// The answer of a voter that does not lead to a lease request: which voter leads, as far as it knows.
+    /// The response of a voter that does not lead to a lease request: the leader that it knows of.
     LeaderHint {
         session: u64,
         leader_id: VoterId,
@@ -75,17 +76,17 @@
         id: ProposalId,
         outcome: ProposalOutcome,
     },
-    /// A voter without storage asks the others for the state.
+    /// The request of a voter without stored state for the current state.
     RejoinRequest {
         nonce: u64,
         generation: u64,
     },
-    /// The answer of a voter that has no storage either.
+    /// The response to a rejoin request of a voter that has no stored state either.
     RejoinEmpty {
         nonce: u64,
         generation: u64,
     },
-    /// The leader's answer: the state with a commit that is later than the request.
+    /// The leader's response to a rejoin request: the state after a commit that is later than the request.
     RejoinSnapshot {
         nonce: u64,
         leader_id: VoterId,
@@ -95,11 +96,11 @@
 
 impl Packet {
     pub(crate) fn serialize(&self) -> Vec<u8> {
-        // Serializing to memory fails for no value of these types.
+        // Serializing these types to memory cannot fail.
         postcard::to_extend(self, vec![PACKET_FORMAT_VERSION]).unwrap_or_default()
     }
 
-    /// `None` for bytes that are no packet of this format.
+    /// Deserializes a packet; `None` if the bytes are not a valid packet of this format version.
     pub(crate) fn parse(bytes: &[u8]) -> Option<Packet> {
         let (&format_version, body) = bytes.split_first()?;
         if format_version != PACKET_FORMAT_VERSION || bytes.len() > MAX_MESSAGE_BYTES {
--- a/crates/consensus/src/quorum_reads.rs
+++ b/crates/consensus/src/quorum_reads.rs
@@ -1,14 +1,14 @@
-//! Lease requests that wait until a quorum has confirmed that this voter still leads.
+//! The quorum reads of a leader, by which a quorum confirms that it still leads before it grants leases.
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::settings::Settings;
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// Reads that may be pending.
+/// The number of reads that may be pending at once.
 const MAX_PENDING_READS: usize = 16;
 
-/// A member's lease request, as far as the grant needs it.
+/// The parts of a member's lease request that its grant needs.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingLease {
     pub(crate) session: u64,
@@ -16,7 +16,7 @@
     pub(crate) newest: Version,
 }
 
-/// By the member's name.
+/// Lease requests by the name of the member.
 type PendingLeases = BTreeMap<String, PendingLease>;
 
 struct PendingRead {
@@ -25,8 +25,8 @@
     leases: PendingLeases,
 }
 
-struct AnsweredRead {
-    /// The log must be applied up to here before the leases are granted.
+struct ReadAwaitingApply {
+    /// The index up to which the log must be applied before the leases are granted.
     index: u64,
     leases: PendingLeases,
 }
@@ -34,10 +34,10 @@
 /// The quorum reads of one term. Owned by its [`crate::leader::LeaderState`].
 #[derive(Default)]
 pub(crate) struct QuorumReads {
-    /// Requested since the last read was started.
+    /// The leases that were requested since the last read was started.
     new_leases: PendingLeases,
     pending: VecDeque<PendingRead>,
-    answered: Vec<AnsweredRead>,
+    awaiting_apply: Vec<ReadAwaitingApply>,
     last_read_id: u64,
 }
 
@@ -47,7 +47,7 @@
         let entry = self.new_leases.entry(member.to_owned());
         entry
             .and_modify(|known| {
-                // The latest: an older one that arrives late would only give a shorter lease.
+                // Keeps the latest request: an older one that arrives late would only give a shorter lease.
                 if known.session != lease.session || known.sent_at < lease.sent_at {
                     (known.session, known.sent_at) = (lease.session, lease.sent_at);
                 }
@@ -56,7 +56,7 @@
             .or_insert(lease);
     }
 
-    /// Starts the next read if any request waits for one; returns its number.
+    /// Starts the next read if any request waits for one and the limits allow it; returns the ID of the read.
     pub(crate) fn start_read(&mut self, now: Micros, settings: &Settings) -> Option<u64> {
         let age = |read: &PendingRead| now.saturating_sub(read.started_at);
         while self.pending.front().is_some_and(|read| age(read) > settings.max_round_trip) {
@@ -65,7 +65,7 @@
         if self.new_leases.is_empty() || self.pending.len() >= MAX_PENDING_READS {
             return None;
         }
-        // While others are pending, at most four a tick.
+        // While another read is pending, starts at most four reads per tick interval.
         if self.pending.back().is_some_and(|read| age(read) < settings.tick_interval / 4) {
             return None;
         }
@@ -75,19 +75,19 @@
         Some(self.last_read_id)
     }
 
-    /// Records that a quorum confirmed a read, and with it all before it.
+    /// Records that a quorum confirmed a read, which also confirms all earlier reads.
     pub(crate) fn confirm(&mut self, read_id: u64, index: u64) {
         while self.pending.front().is_some_and(|read| read.read_id <= read_id) {
             if let Some(PendingRead { leases, .. }) = self.pending.pop_front() {
-                self.answered.push(AnsweredRead { index, leases });
+                self.awaiting_apply.push(ReadAwaitingApply { index, leases });
             }
         }
     }
 
-    /// Takes the lease requests whose reads are confirmed and applied.
+    /// Takes the lease requests whose reads are confirmed and whose index is applied.
     pub(crate) fn take_grantable(&mut self, applied_index: u64) -> Vec<(String, PendingLease)> {
         let mut grantable = Vec::new();
-        self.answered.retain_mut(|read| {
+        self.awaiting_apply.retain_mut(|read| {
             let is_applied = read.index <= applied_index;
             if is_applied {
                 grantable.extend(std::mem::take(&mut read.leases));
--- a/crates/consensus/src/raft_conversion.rs
+++ b/crates/consensus/src/raft_conversion.rs
@@ -1,4 +1,4 @@
-//! Conversions between this crate's stored forms and those of the crate `raft`.
+//! Conversions between this crate's stored types and those of the crate `raft`.
 use raft::eraftpb;
 
 use crate::storage::{LogEntry, Snapshot};
@@ -16,24 +16,24 @@
     LogEntry { term: entry.term, index: entry.index, data: entry.data.to_vec() }
 }
 
-/// The voters are numbered from 1 to `voter_count`.
+/// Converts a snapshot, with a Raft configuration of the voters 1 to `voter_count`.
 pub(crate) fn snapshot_to_raft(snapshot: &Snapshot, voter_count: u64) -> eraftpb::Snapshot {
     let data = snapshot.state.clone().into();
     let mut converted = eraftpb::Snapshot { data, ..eraftpb::Snapshot::default() };
     let metadata = converted.mut_metadata();
     metadata.index = snapshot.index;
     metadata.term = snapshot.term;
-    metadata.set_conf_state(configuration(voter_count));
+    metadata.set_conf_state(conf_state(voter_count));
     converted
 }
 
-/// A snapshot that another voter sent, and that therefore replaces the log.
+/// Converts a snapshot that another voter sent, and that therefore replaces the whole log.
 pub(crate) fn snapshot_from_raft(snapshot: &eraftpb::Snapshot) -> Snapshot {
     let metadata = snapshot.get_metadata();
     Snapshot { index: metadata.index, term: metadata.term, state: snapshot.data.to_vec(), replaces_log: true }
 }
 
-/// Raft's configuration of so many voters, without learners.
-pub(crate) fn configuration(voter_count: u64) -> eraftpb::ConfState {
+/// The Raft configuration of the voters 1 to `voter_count`, without learners.
+pub(crate) fn conf_state(voter_count: u64) -> eraftpb::ConfState {
     ((1..=voter_count).collect::<Vec<u64>>(), Vec::new()).into()
 }
--- a/crates/consensus/src/raft_message.rs
+++ b/crates/consensus/src/raft_message.rs
@@ -1,12 +1,12 @@
-//! Raft's messages in this crate's form, so that nothing received is parsed as protobuf.
+//! Raft messages in this crate's own wire format, so that received bytes are never parsed as protobuf.
 use raft::eraftpb::{self, MessageType};
 use serde::{Deserialize, Serialize};
 
 use crate::raft_conversion::{entry_from_raft, entry_to_raft, snapshot_from_raft, snapshot_to_raft};
 use crate::storage::{LogEntry, Snapshot};
 
-/// The kinds that voters send each other; the others of the crate `raft` never leave a process. The order of the
-/// variants is that of their numbers on the wire.
+/// The kinds of Raft messages that voters send each other; the other kinds of the crate `raft` stay within a
+/// process. The order of the variants determines their numbers on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum RaftMessageKind {
     Append,
@@ -34,7 +34,7 @@
     (RaftMessageKind::RequestPreVoteResponse, MessageType::MsgRequestPreVoteResponse),
 ];
 
-/// A message between voters, without sender and recipient. The order of the fields is that on the wire.
+/// A Raft message between voters, without sender and recipient. The order of the fields is that on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RaftMessage {
     pub(crate) kind: RaftMessageKind,
@@ -53,7 +53,7 @@
 }
 
 impl RaftMessage {
-    /// `None` for a kind that voters do not send.
+    /// Converts a message of the crate `raft`; `None` for a kind that voters do not send each other.
     pub(crate) fn from_raft(message: &eraftpb::Message) -> Option<RaftMessage> {
         let message_type = message.get_msg_type();
         let kind = MESSAGE_KINDS.iter().find(|(_, raft_type)| *raft_type == message_type)?.0;
--- a/crates/consensus/src/raft_storage.rs
+++ b/crates/consensus/src/raft_storage.rs
@@ -1,12 +1,13 @@
-//! The copy in memory of a voter's storage, from which the crate `raft` reads.
+//! The in-memory copy of a voter's storage, from which the crate `raft` reads.
 use raft::eraftpb::{self, HardState};
 use raft::storage::{MemStorage, Storage};
 use raft::{GetEntriesContext, RaftState, StorageError};
 
-use crate::raft_conversion::{configuration, entry_to_raft, snapshot_to_raft};
+use crate::raft_conversion::{conf_state, entry_to_raft, snapshot_to_raft};
 use crate::storage::{StoredState, TermVote};
 
-/// What this voter's writes add up to, durable or not yet. Owned by its [`crate::raft_voter::RaftVoter`].
+/// The state after all writes of this voter, including those that are not yet durable. Owned by its
+/// [`crate::raft_voter::RaftVoter`].
 pub(crate) struct RaftStorage {
     memory: MemStorage,
     snapshot: Option<eraftpb::Snapshot>,
@@ -14,7 +15,7 @@
 
 impl RaftStorage {
     pub(crate) fn new(voter_count: u64, stored: &StoredState) -> raft::Result<RaftStorage> {
-        let memory = MemStorage::new_with_conf_state(configuration(voter_count));
+        let memory = MemStorage::new_with_conf_state(conf_state(voter_count));
         let mut storage = RaftStorage { memory, snapshot: None };
         if let Some(snapshot) = &stored.snapshot {
             storage.install(snapshot_to_raft(snapshot, voter_count))?;
@@ -27,7 +28,7 @@
         Ok(storage)
     }
 
-    /// Replaces the whole log by a snapshot.
+    /// Replaces the whole log with a snapshot.
     pub(crate) fn install(&mut self, snapshot: eraftpb::Snapshot) -> raft::Result<()> {
         self.memory.wl().apply_snapshot(snapshot.clone())?;
         self.snapshot = Some(snapshot);
@@ -42,7 +43,7 @@
         self.memory.wl().set_hardstate(hard_state);
     }
 
-    /// Replaces the entries before the snapshot's index by the snapshot.
+    /// Replaces the entries before the snapshot's index with the snapshot.
     pub(crate) fn compact(&mut self, snapshot: eraftpb::Snapshot) -> raft::Result<()> {
         self.memory.wl().compact(snapshot.get_metadata().index)?;
         self.snapshot = Some(snapshot);
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -1,4 +1,5 @@
-//! One voter's Raft: the crate `raft`, its election timeout from the seed, and the writes that it wants stored.
+//! A voter's Raft instance: wraps the crate `raft` with seeded election timeouts and asynchronous storage
+//! writes.
 mod message_check;
 mod output;
 
@@ -20,7 +21,7 @@
 const MAX_INFLIGHT_MESSAGES: usize = 16;
 const MAX_UNCOMMITTED_BYTES: u64 = 16 << 20;
 
-/// Messages that may be sent only when the writes up to a token are durable.
+/// Messages that may be sent only once the writes up to and including a token are durable.
 struct DelayedMessages {
     token: WriteToken,
     ready_number: u64,
@@ -38,12 +39,12 @@
     vote: TermVote,
     applied_index: u64,
     snapshot_index: u64,
-    /// Ticks still to skip before the one that would begin an election.
+    /// The number of ticks still to skip before the tick that starts an election.
     election_delay_ticks: Option<usize>,
 }
 
 impl RaftVoter {
-    /// The voter with what it stored; `last_token` is the last that was used.
+    /// Creates a voter from its stored state. `last_token` is the last token that this process has used.
     pub(crate) fn new(
         voter_id: VoterId,
         settings: &Settings,
@@ -69,11 +70,11 @@
         })
     }
 
-    /// Passes a tick to Raft.
+    /// Passes a tick to Raft, or skips it to randomize the election timeout.
     ///
-    /// The crate's own random election timeout has one value only, [`ELECTION_TICKS`], because it cannot be seeded.
-    /// Instead the last tick before an election is skipped for a number of times drawn from the seed; by then the
-    /// voter grants its vote to others already.
+    /// The random election timeout of the crate `raft` cannot be seeded, so it is configured to the
+    /// single value [`ELECTION_TICKS`]. Instead, the last tick before an election is skipped a number of
+    /// times drawn from this voter's seeded generator. The voter already grants its vote to others by then.
     pub(crate) fn tick(&mut self) {
         let raft = &self.raft.raft;
         let is_before_election =
@@ -90,22 +91,23 @@
         self.raft.tick();
     }
 
-    /// The term, if this voter leads.
+    /// The current term if this voter leads; otherwise `None`.
     pub(crate) fn leader_term(&self) -> Option<u64> {
         (self.raft.raft.state == StateRole::Leader).then_some(self.raft.raft.term)
     }
 
-    /// Whether all that earlier leaders committed is applied here: an entry of the own term is.
+    /// Whether an entry of the current term is applied here, and therefore everything that earlier leaders
+    /// committed.
     pub(crate) fn has_applied_own_term(&self) -> bool {
         self.raft.raft.apply_to_current_term()
     }
 
-    /// The leader as far as it knows.
+    /// The leader, as far as this voter knows.
     pub(crate) fn leader_id(&self) -> Option<VoterId> {
         VoterId::from_raft(self.raft.raft.leader_id)
     }
 
-    /// How many entries were applied since the last snapshot.
+    /// The number of entries applied since the last snapshot.
     pub(crate) fn entries_since_snapshot(&self) -> u64 {
         self.applied_index - self.snapshot_index
     }
@@ -114,25 +116,27 @@
         self.applied_index
     }
 
-    /// Takes another voter's message, unless no correct voter sends it.
+    /// Handles another voter's message; ignores one that no correct voter can have sent.
     pub(crate) fn step(&mut self, from: VoterId, message: RaftMessage) {
         if !self.is_acceptable(&message) {
             return;
         }
         let message = message.into_raft(from.get(), self.raft.raft.id, self.voter_count);
-        // Its errors are messages that come out of place, which a network may deliver.
+        // An error means that the message does not fit the current state, which is normal on a network that
+        // delays and duplicates messages.
         let _ = self.raft.step(message);
     }
 
-    /// Appends a command to the log, if this voter leads.
+    /// Appends a command to the log if this voter leads.
     pub(crate) fn propose(&mut self, data: Vec<u8>) {
         if self.leader_term().is_some() {
-            // An error means that too much is uncommitted; whoever proposed it retries.
+            // An error means that the limit on uncommitted bytes is reached; the origin of the command
+            // retries.
             let _ = self.raft.propose(Vec::new(), data);
         }
     }
 
-    /// Asks a quorum to confirm that this voter still leads (Raft's read index).
+    /// Asks a quorum to confirm that this voter still leads (ReadIndex in Raft).
     pub(crate) fn request_quorum_read(&mut self, read_id: u64) {
         if self.leader_term().is_some() {
             self.raft.read_index(read_id.to_le_bytes().to_vec());
@@ -144,18 +148,19 @@
         self.raft.transfer_leader(to.get());
     }
 
-    /// Takes the confirmation that all writes up to this token are durable, and sends what waited for them.
+    /// Handles the confirmation that all writes up to and including this token are durable, and outputs the
+    /// messages that were delayed until then.
     pub(crate) fn on_persisted(&mut self, token: WriteToken, output: &mut VoterOutput) {
         while self.delayed_messages.front().is_some_and(|front| front.token <= token) {
             if let Some(DelayedMessages { ready_number, messages, .. }) = self.delayed_messages.pop_front() {
                 self.raft.on_persist_ready(ready_number);
-                output.send(messages);
+                output.add_messages(messages);
             }
         }
     }
 
-    /// Compacts the log up to the applied index into a snapshot of this state. `None` while entries up to there are
-    /// not durable.
+    /// Compacts the log up to the applied index into a snapshot of this state. Returns the write that stores
+    /// it, or `None` while the entries up to that index are not durable.
     pub(crate) fn compact(&mut self, state: Vec<u8>) -> Option<PendingWrite> {
         let index = self.applied_index;
         let term = self.raft.raft.raft_log.term(index).ok()?;
@@ -184,7 +189,7 @@
         max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
         check_quorum: true,
         pre_vote: true,
-        // One value only: see `RaftVoter::tick`.
+        // A range of one value; `RaftVoter::tick` randomizes the timeout.
         min_election_tick: ELECTION_TICKS,
         max_election_tick: ELECTION_TICKS + 1,
         max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
--- a/crates/consensus/src/raft_voter/message_check.rs
+++ b/crates/consensus/src/raft_voter/message_check.rs
@@ -1,10 +1,10 @@
-//! Rejects messages on which the crate `raft` panics.
+//! Rejects messages that would make the crate `raft` panic.
 use super::RaftVoter;
 use crate::raft_message::{RaftMessage, RaftMessageKind};
 
 impl RaftVoter {
-    /// Whether a correct voter may have sent the message. Others would undo what is committed, or commit what this
-    /// voter does not have, and the crate `raft` panics on either.
+    /// Whether a correct voter can have sent the message. The crate `raft` panics on messages that overwrite
+    /// committed entries, or that commit entries which this voter does not have.
     pub(super) fn is_acceptable(&self, message: &RaftMessage) -> bool {
         let last_index = self.raft.raft.raft_log.last_index();
         if message.term == 0 || !self.has_acceptable_entries(message) {
@@ -22,13 +22,13 @@
         }
     }
 
-    /// Whether the entries follow each other, and agree with what is committed here.
+    /// Whether the entries are consecutive, have valid terms, and agree with the entries committed here.
     fn has_acceptable_entries(&self, message: &RaftMessage) -> bool {
         let log = &self.raft.raft.raft_log;
         let mut expected_index = message.index;
         message.entries.iter().all(|entry| {
             expected_index = expected_index.saturating_add(1);
-            // The crate gives term 0 for entries that are compacted.
+            // The crate `raft` reports term 0 for entries outside the log, such as compacted ones.
             let own_term = log.term(entry.index).unwrap_or(0);
             let is_consistent = entry.index > log.committed || own_term == 0 || own_term == entry.term;
             let has_valid_term = (1..=message.term).contains(&entry.term);
--- a/crates/consensus/src/raft_voter/output.rs
+++ b/crates/consensus/src/raft_voter/output.rs
@@ -1,4 +1,4 @@
-//! Collects what Raft wants sent, stored and applied.
+//! Collects the messages, writes and committed entries that Raft produces.
 use raft::{Ready, eraftpb};
 
 use super::{DelayedMessages, RaftVoter};
@@ -13,25 +13,25 @@
     pub(crate) message: RaftMessage,
 }
 
-/// A write whose durability is to be confirmed by its token.
+/// A write whose durability the caller must confirm by its token.
 pub(crate) struct PendingWrite {
     pub(crate) token: WriteToken,
     pub(crate) write: StorageWrite,
 }
 
-/// A quorum has confirmed that this voter led when it asked; what it had committed by then is known once the log is
-/// applied up to the index.
+/// A quorum's confirmation that this voter led when it started the read. Once the log is applied up to
+/// `index`, the state includes everything committed by then.
 pub(crate) struct ConfirmedRead {
     pub(crate) read_id: u64,
     pub(crate) index: u64,
 }
 
-/// What a voter wants done. The caller does it in the order of the fields.
+/// The output of a voter. The caller must process it in the order of the fields.
 #[derive(Default)]
 pub(crate) struct VoterOutput {
     pub(crate) writes: Vec<PendingWrite>,
     pub(crate) messages: Vec<OutgoingMessage>,
-    /// Replaces the state, before the committed entries are applied.
+    /// A snapshot that replaces the state before the committed entries are applied.
     pub(crate) installed_snapshot: Option<Snapshot>,
     pub(crate) committed_entries: Vec<LogEntry>,
     pub(crate) confirmed_reads: Vec<ConfirmedRead>,
@@ -46,7 +46,7 @@
             && self.confirmed_reads.is_empty()
     }
 
-    pub(super) fn send(&mut self, messages: Vec<eraftpb::Message>) {
+    pub(super) fn add_messages(&mut self, messages: Vec<eraftpb::Message>) {
         for message in messages {
             let to = VoterId::new(message.to);
             if let Some(message) = RaftMessage::from_raft(&message) {
@@ -57,11 +57,11 @@
 }
 
 impl RaftVoter {
-    /// Collects what Raft wants, until it wants nothing more; returns whether there was anything.
+    /// Collects Raft's output until there is no more; returns whether there was any.
     pub(crate) fn drain(&mut self, output: &mut VoterOutput) -> bool {
         while self.raft.has_ready() {
             let mut ready = self.raft.ready();
-            output.send(ready.take_messages());
+            output.add_messages(ready.take_messages());
             let write = StorageWrite {
                 snapshot: self.install_snapshot(&ready, output),
                 entries: self.take_entries(&mut ready, output),
@@ -70,7 +70,7 @@
             take_confirmed_reads(&mut ready, output);
             self.advance(ready, write, output);
         }
-        // An installed snapshot counts as applied for the crate only when it is durable.
+        // The crate `raft` accepts an installed snapshot as applied only once it is durable.
         if self.applied_index <= self.raft.raft.raft_log.persisted {
             self.raft.advance_apply_to(self.applied_index);
         }
@@ -89,7 +89,7 @@
         Some(snapshot)
     }
 
-    /// Takes the committed entries for the state machine, and returns the new ones for storage.
+    /// Moves the committed entries to the output, and returns the new entries for storage.
     fn take_entries(&mut self, ready: &mut Ready, output: &mut VoterOutput) -> Vec<LogEntry> {
         for entry in ready.take_committed_entries() {
             self.applied_index = entry.index;
@@ -100,7 +100,8 @@
         entries.iter().map(entry_from_raft).collect()
     }
 
-    /// Returns the vote if it changed. The commit index alone need not be stored: it is found out again.
+    /// Returns the term and vote if they changed. The commit index need not be stored, because a restarted
+    /// voter learns it again from the leader.
     fn update_vote(&mut self, ready: &Ready) -> Option<TermVote> {
         let hard_state = ready.hs().cloned()?;
         let vote = TermVote { term: hard_state.term, voted_for: hard_state.vote };
@@ -110,7 +111,8 @@
         is_changed.then_some(vote)
     }
 
-    /// Ends a `Ready`: its last messages wait for its write, and for those before it.
+    /// Finishes a `Ready`. Its persisted messages are delayed until its write and all earlier writes are
+    /// durable.
     fn advance(&mut self, mut ready: Ready, write: StorageWrite, output: &mut VoterOutput) {
         let messages = ready.take_persisted_messages();
         let ready_number = ready.number();
@@ -120,7 +122,7 @@
             output.writes.push(write);
         } else if self.delayed_messages.is_empty() {
             self.raft.on_persist_ready(ready_number);
-            output.send(messages);
+            output.add_messages(messages);
             return;
         }
         self.delayed_messages.push_back(DelayedMessages { token: self.last_token, ready_number, messages });
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -1,4 +1,4 @@
-//! The state machine that the log's commands drive: the same on every voter.
+//! The replicated state machine, to which every voter applies the commands of the log.
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
@@ -6,54 +6,57 @@
 use crate::versioned_document::{Version, VersionedDocument};
 use crate::voter_id::VoterId;
 
-/// Proposals whose outcome is remembered. One that is forgotten has a base that is no longer the newest version, so
-/// that it cannot be accepted a second time; only its result is then "rejected".
+/// The number of proposals whose outcome is remembered. A proposal whose outcome is forgotten cannot be
+/// accepted a second time, because its base is no longer the newest version; a duplicate of it is reported as
+/// rejected.
 const MAX_REMEMBERED_OUTCOMES: usize = 256;
 
-/// Identifies a proposal, so that one that arrives twice acts once.
+/// The ID of a proposal, by which a duplicate is recognized and applied only once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposalId {
-    /// The member that made it.
+    /// The name of the member that made the proposal.
     pub member: String,
-    /// A random number of that start of its process.
+    /// A random number that identifies the start of the member's process.
     pub session: u64,
-    /// Counts from 1 in each session.
+    /// The proposal's number, counted from 1 in each session.
     pub number: u64,
 }
 
 /// The result of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It was committed as this version.
+    /// The proposal was committed as this version.
     Accepted(Version),
-    /// Its base is not the newest version, or too many versions are pending; this version is in force.
+    /// The proposal was rejected, because its base is not the newest version, too many versions are pending,
+    /// or the document is too large. Holds the version in force.
     Rejected(Version),
 }
 
-/// The content of a log entry. The order of the variants is that of their numbers in the log.
+/// The command in a log entry. The order of the variants determines their numbers in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Command {
-    /// Begins an epoch: with these rules if there are none yet, else with the newest.
+    /// Starts an epoch with the newest rules, or with the given ones if there are none yet.
     StartEpoch { epoch: u64, bytes: Vec<u8> },
-    /// Rules, derived from a version.
+    /// Proposes rules that were derived from a base version.
     Propose { id: ProposalId, base_version: Version, bytes: Vec<u8> },
-    /// Every member knows this version or has lost its lease.
+    /// Puts a version in force, because every member knows it or can no longer hold a lease without it.
     Activate(Version),
-    /// A voter without storage has started: what is committed from here on is later than its start.
+    /// Marks that a voter without stored state has started; this entry and later ones are committed after its
+    /// start.
     VoterRejoined { voter_id: VoterId, nonce: u64 },
 }
 
-/// Limits that a proposal must keep to. The same on every voter, from [`crate::Settings`].
+/// The limits for proposals, from [`crate::Settings`]; they must be equal on every voter.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StateLimits {
     pub(crate) max_pending_versions: usize,
     pub(crate) max_document_bytes: usize,
 }
 
-/// The versions that may be in force, and the outcomes of proposals.
+/// The replicated state: the versions that may be in force, and the outcomes of recent proposals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The first is in force, the others are pending in order. Empty before the first epoch.
+    /// The document in force, followed by the pending ones in order. Empty before the first epoch.
     documents: VecDeque<VersionedDocument>,
     outcomes: VecDeque<(ProposalId, ProposalOutcome)>,
 }
@@ -69,7 +72,7 @@
         self.documents.back().map_or(Version::default(), |document| document.version)
     }
 
-    /// The document in force, then the pending ones in order.
+    /// The document in force, followed by the pending ones in order.
     pub(crate) fn documents(&self) -> impl Iterator<Item = &VersionedDocument> {
         self.documents.iter()
     }
@@ -78,7 +81,8 @@
         self.outcomes.iter().find(|(proposal, _)| proposal == id).map(|(_, outcome)| *outcome)
     }
 
-    /// Applies a command. The same commands in the same order give the same state everywhere.
+    /// Applies a command. Deterministic: the same commands in the same order give the same state on every
+    /// voter.
     pub(crate) fn apply(&mut self, command: Command, limits: StateLimits) {
         match command {
             Command::StartEpoch { epoch, bytes } => self.start_epoch(epoch, bytes, limits),
--- a/crates/consensus/src/rules.rs
+++ b/crates/consensus/src/rules.rs
@@ -1,14 +1,16 @@
-//! The trait of the documents that are replicated.
+//! The trait that replicated rules implement.
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The content of a document, of which this crate knows only how to restrict it.
+/// The content of a document. This crate only restricts rules; it does not interpret them.
 pub trait Rules: Clone + Serialize + DeserializeOwned {
-    /// What both documents allow. Commutative, idempotent, and never more than either allows.
+    /// The rules that allow only what both `self` and `other` allow. Must be commutative and idempotent.
     fn intersection(&self, other: &Self) -> Self;
 
-    /// What may be acted on without a lease, while a newer version that this member does not know may be in force:
-    /// no new reservations, the lowest limits, no retries. What it allows no later document may forbid, or decisions
-    /// by it can conflict with those of members that hold a lease. Never more than `self` allows.
+    /// The restricted rules for a member without a lease, which may not know a newer version that is in
+    /// force. They allow, for example, no new reservations, only the lowest limits, and no retries.
+    ///
+    /// They must not allow more than `self`, nor anything that a later version may forbid; otherwise
+    /// decisions under them can conflict with those of members that hold a lease.
     fn without_lease(&self) -> Self;
 }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,12 +1,12 @@
-//! The members' common settings, and the bounds that follow from them.
+//! The settings that all members share, and the time bounds derived from them.
 use crate::time::{MILLISECOND, Micros};
 use crate::voter_id::VoterId;
 
 const MILLION: u64 = 1_000_000;
-const HOUR: Micros = 3_600_000 * MILLISECOND;
-/// Ticks of Raft between two heartbeats.
+const MAX_LEASE_DURATION: Micros = 3_600_000 * MILLISECOND;
+/// Raft ticks between two heartbeats.
 pub(crate) const HEARTBEAT_TICKS: usize = 4;
-/// Ticks of Raft before the earliest election.
+/// Raft ticks without a heartbeat before the earliest election.
 pub(crate) const ELECTION_TICKS: usize = 20;
 
 const MAX_NAME_BYTES: usize = 64;
@@ -15,31 +15,35 @@
 const MAX_PENDING_VERSIONS: usize = 8;
 const MIN_LOG_ENTRIES: u64 = 8;
 
-/// The settings of consensus, the same on all members. All spans are in microseconds.
+/// The settings of consensus, which must be equal on all members. All durations are in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The names of the voters, in the same order everywhere: 3, 5 or 7.
+    /// The names of the 3, 5 or 7 voters, in the same order on all members. Each is 1 to 64 bytes long.
     pub voters: Vec<String>,
-    /// How long a member acts on a version after it last requested a lease. Over 4 [`Settings::max_round_trip`].
+    /// The duration of a lease, counted from when the member sent the request. At least 4 times
+    /// [`Settings::max_round_trip`], and at most an hour.
     pub lease_duration: Micros,
-    /// The clock bound: a span on one member's clock may be longer or shorter than the true one by this many parts
-    /// per million; up to 100,000.
+    /// The clock bound: a duration measured by one member's clock may differ from the true one by this many
+    /// parts per million. At most 100,000.
     pub max_drift_ppm: u32,
-    /// A lease grant whose request was sent longer ago than this is ignored.
+    /// The longest accepted time from a lease request to its grant; a later grant is ignored. At least twice
+    /// [`Settings::tick_interval`].
     pub max_round_trip: Micros,
-    /// Between two ticks of Raft; [`crate::Input::Tick`] is expected as often. Over 0.
+    /// The interval between two Raft ticks, at which [`crate::Input::Tick`] is expected. Greater than 0.
     pub tick_interval: Micros,
-    /// Size limit of a document.
+    /// The size limit of a serialized document, from 1 byte to 1 MiB.
     pub max_document_bytes: usize,
-    /// Limit on versions that are committed and not yet in force.
+    /// The limit on versions that are committed and not yet in force, from 1 to 8.
     pub max_pending_versions: usize,
-    /// Entries in the log before it is compacted into a snapshot.
+    /// The number of applied entries at which the log is compacted into a snapshot. At least 8.
     pub max_log_entries: u64,
 }
 
 impl Default for Settings {
-    /// A staleness bound of 1.998 s: a lease of 1.8 s, clocks within 1 %, 0.18 s for a round trip; ticks of 20 ms,
-    /// documents of 256 KiB. No voters.
+    /// Settings without voters, which the caller must add.
+    ///
+    /// The staleness bound is 1.998 s: a lease of 1.8 s, clocks within 1 %, and a round trip of at most 0.18
+    /// s. Ticks are 20 ms apart, and documents are limited to 256 KiB.
     fn default() -> Settings {
         Settings {
             voters: Vec::new(),
@@ -54,51 +58,50 @@
     }
 }
 
-/// A setting outside its range. The texts are part of the outer interface and keep the settings' first names:
-/// `way` for the round trip, `drift` for the clock bound, `most_...` for limits.
+/// A setting that is outside its range. Each message begins with the name of the field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// Wrong number of voters.
-    #[error("voters: not 3, 5 or 7")]
+    /// The number of voters is not 3, 5 or 7.
+    #[error("voters: must list 3, 5 or 7 names")]
     VoterCount,
-    /// A voter's name is empty or too long.
-    #[error("voters: a name is not of 1 to 64 bytes")]
+    /// A voter's name is empty or longer than 64 bytes.
+    #[error("voters: each name must be 1 to 64 bytes long")]
     VoterName,
-    /// Two voters have one name.
-    #[error("voters: a name comes twice")]
+    /// Two voters have the same name.
+    #[error("voters: a name is listed twice")]
     DuplicateVoter,
-    /// No time between ticks.
-    #[error("tick: not above 0")]
+    /// The tick interval is 0.
+    #[error("tick_interval: must be greater than 0")]
     TickInterval,
-    /// The round trip is too short for the ticks.
-    #[error("way: under 2 ticks")]
+    /// The maximum round trip is shorter than 2 tick intervals.
+    #[error("max_round_trip: must be at least twice tick_interval")]
     RoundTripTooShort,
-    /// The lease is too short for the round trip.
-    #[error("lease: under 4 ways")]
+    /// The lease duration is shorter than 4 maximum round trips.
+    #[error("lease_duration: must be at least 4 times max_round_trip")]
     LeaseTooShort,
-    /// The lease is too long.
-    #[error("lease: over an hour")]
+    /// The lease duration is longer than an hour.
+    #[error("lease_duration: must be at most one hour")]
     LeaseTooLong,
-    /// The clock bound is too wide.
-    #[error("drift: over 100,000 parts in a million")]
+    /// The clock bound exceeds 100,000 parts per million.
+    #[error("max_drift_ppm: must be at most 100,000")]
     DriftTooLarge,
-    /// The size limit of documents is out of range.
-    #[error("most_rules: not of 1 byte to 1 MiB")]
+    /// The size limit of documents is not between 1 byte and 1 MiB.
+    #[error("max_document_bytes: must be 1 byte to 1 MiB")]
     DocumentLimit,
-    /// The limit on pending versions is out of range.
-    #[error("most_waiting: not 1 to 8")]
+    /// The limit on pending versions is not between 1 and 8.
+    #[error("max_pending_versions: must be 1 to 8")]
     PendingVersionsLimit,
-    /// The log would be compacted too often.
-    #[error("most_log: under 8")]
+    /// The limit on log entries is below 8, so that the log would be compacted too often.
+    #[error("max_log_entries: must be at least 8")]
     LogLimit,
 }
 
 impl Settings {
-    /// Checks all fields.
+    /// Checks that all fields are within their ranges.
     ///
     /// # Errors
-    /// The first field that is out of its range.
+    /// The error of the first field that is out of its range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.validate_voters()?;
         let has_valid_document_limit = (1..=MAX_DOCUMENT_BYTES).contains(&self.max_document_bytes);
@@ -107,7 +110,7 @@
             (self.tick_interval > 0, SettingsError::TickInterval),
             (self.max_round_trip >= 2 * self.tick_interval, SettingsError::RoundTripTooShort),
             (self.lease_duration / 4 >= self.max_round_trip, SettingsError::LeaseTooShort),
-            (self.lease_duration <= HOUR, SettingsError::LeaseTooLong),
+            (self.lease_duration <= MAX_LEASE_DURATION, SettingsError::LeaseTooLong),
             (self.max_drift_ppm <= MAX_DRIFT_PPM, SettingsError::DriftTooLarge),
             (has_valid_document_limit, SettingsError::DocumentLimit),
             (has_valid_pending_limit, SettingsError::PendingVersionsLimit),
@@ -129,20 +132,20 @@
         if distinct.len() == self.voters.len() { Ok(()) } else { Err(SettingsError::DuplicateVoter) }
     }
 
-    /// The staleness bound: after this span no member acts on a version that a newer one has replaced:
-    /// lease x (1 + drift) + round trip.
+    /// The staleness bound in microseconds: how long after a newer version takes effect a member may still
+    /// act on an older one, `lease_duration * (1 + drift) + max_round_trip`.
     pub fn staleness_bound(&self) -> Micros {
         self.stretch_by_drift(self.lease_duration).saturating_add(self.max_round_trip)
     }
 
-    /// How long the leader waits by its own clock until a lease has expired by any clock within the bound:
-    /// lease x (1 + drift)^2.
+    /// The time in microseconds, by the leader's clock, after which a lease has expired by every clock within
+    /// the clock bound, `lease_duration * (1 + drift)^2`.
     pub fn lease_expiry_wait(&self) -> Micros {
         self.stretch_by_drift(self.stretch_by_drift(self.lease_duration))
     }
 
-    /// By how much a span can be longer on one clock than on another when both are within the bound, in parts per
-    /// million.
+    /// The largest relative difference, in parts per million, between the durations that two clocks within
+    /// the clock bound measure for the same interval.
     pub(crate) fn max_relative_drift_ppm(&self) -> u64 {
         let drift = u64::from(self.max_drift_ppm);
         2 * drift + (drift * drift).div_ceil(MILLION)
@@ -153,12 +156,12 @@
         span.saturating_add(extra as u64)
     }
 
-    /// How often a member requests its lease.
+    /// The interval at which a member renews its lease.
     pub(crate) fn renewal_interval(&self) -> Micros {
         self.lease_duration / 4
     }
 
-    /// How soon an unanswered message is sent again.
+    /// The delay after which an unanswered message is sent again.
     pub(crate) fn retry_interval(&self) -> Micros {
         self.max_round_trip
     }
@@ -168,30 +171,30 @@
         self.voters.len() as u64
     }
 
-    /// The number of the voter of this name; `None` for a member that is no voter.
+    /// The ID of the voter with this name; `None` for a non-voter.
     pub(crate) fn voter_id(&self, name: &str) -> Option<VoterId> {
         let position = self.voters.iter().position(|voter| voter == name)?;
         Some(VoterId::new(position as u64 + 1))
     }
 
-    /// The name of the voter of this number.
+    /// The name of the voter with this ID; `None` if no voter has it.
     pub(crate) fn voter_name(&self, voter_id: VoterId) -> Option<&str> {
         let position = (voter_id.get() as usize).checked_sub(1)?;
         self.voters.get(position).map(String::as_str)
     }
 
-    /// All voters in their order.
+    /// The IDs of all voters in ascending order.
     pub(crate) fn voter_ids(&self) -> impl Iterator<Item = VoterId> + use<> {
         (1..=self.voter_count()).map(VoterId::new)
     }
 
-    /// The voter after this one; the first after the last.
+    /// The voter after this one in the list; the first voter follows the last.
     pub(crate) fn next_voter(&self, voter_id: VoterId) -> VoterId {
         VoterId::new(voter_id.get() % self.voter_count() + 1)
     }
 }
 
-/// Whether a member may have this name.
+/// Whether a member's name has a valid length: 1 to 64 bytes.
 pub(crate) fn is_valid_name(name: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&name.len())
 }
--- a/crates/consensus/src/start.rs
+++ b/crates/consensus/src/start.rs
@@ -1,49 +1,51 @@
-//! What a member is started with, and why it may not start.
+//! The identity and stored state that a member starts with, and the errors of a failed start.
 use crate::settings::SettingsError;
 use crate::storage::StoredState;
 
-/// Who a member is.
+/// The identity of a member's process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberIdentity {
-    /// Its name, of 1 to 64 bytes; a voter if [`crate::Settings::voters`] lists it.
+    /// The member's name, 1 to 64 bytes long. The member is a voter if [`crate::Settings::voters`] lists the
+    /// name.
     pub name: String,
-    /// Increases with every start of its process, such as the start's Unix time in milliseconds.
+    /// A number that increases with every start of the process, such as its start time in Unix milliseconds.
     pub generation: u64,
 }
 
-/// What a voter stored before this start. Members that are no voters ignore it.
+/// The state that a voter stored before this start. Non-voters ignore it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartState {
-    /// Nothing: the first start, or the storage is lost, which a voter cannot tell apart. It does not vote until it
-    /// has caught up with what was committed after its start, or until all voters report that they have nothing.
+    /// No stored state: either this is the first start, or the storage was lost; a voter cannot tell which.
+    /// The voter does not vote until it has received state that was committed after its start, or until all
+    /// other voters report that they have no stored state either.
     Empty,
-    /// All writes that were confirmed by [`crate::Input::Persisted`].
+    /// The state after all writes that were confirmed by [`crate::Input::Persisted`].
     Stored(StoredState),
 }
 
-/// Why a member cannot start. The texts are part of the outer interface.
+/// An error that prevents a member from starting.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
     /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The member's name is empty or too long.
-    #[error("name: not of 1 to 64 bytes")]
+    /// The member's name is empty or longer than 64 bytes.
+    #[error("name: must be 1 to 64 bytes long")]
     Name,
     /// The initial rules cannot be serialized.
-    #[error("rules: cannot be written")]
+    #[error("rules: cannot be serialized")]
     UnserializableRules(#[source] postcard::Error),
-    /// The initial rules exceed [`crate::Settings::max_document_bytes`].
-    #[error("rules: more than most_rules bytes")]
+    /// The serialized initial rules exceed [`crate::Settings::max_document_bytes`].
+    #[error("rules: serialized size exceeds max_document_bytes")]
     RulesTooLarge,
-    /// The stored log has a gap, or an entry of a term that the voter does not know.
-    #[error("store: entries do not follow each other")]
+    /// The stored log has a gap, or an entry whose term is later than the stored term.
+    #[error("storage: the log has a gap or an entry of an unknown term")]
     InconsistentLog,
     /// The stored snapshot cannot be deserialized.
-    #[error("store: the snapshot cannot be read")]
+    #[error("storage: the snapshot cannot be deserialized")]
     UnreadableSnapshot(#[source] postcard::Error),
-    /// Raft does not accept the stored log.
-    #[error("store: the log cannot be read")]
+    /// The Raft library does not accept the stored log.
+    #[error("storage: the log cannot be loaded")]
     UnreadableLog(#[source] raft::Error),
 }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,40 +1,43 @@
-//! What a voter stores. The order of the fields is that of the stored bytes.
+//! The state that a voter stores durably, and the writes to it. The order of the fields determines the stored
+//! bytes.
 use serde::{Deserialize, Serialize};
 
-/// An entry of the log.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
     /// The term of the leader that appended it.
     pub term: u64,
-    /// Its position, from 1.
+    /// The entry's position in the log, from 1.
     pub index: u64,
-    /// A command of this crate; empty where a leader's term begins.
+    /// A serialized command; empty in the entry with which a leader begins its term.
     pub data: Vec<u8>,
 }
 
-/// The term that a voter is in, and its vote there.
+/// The newest term that a voter knows, and its vote in that term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermVote {
     /// The newest term that it knows.
     pub term: u64,
-    /// The number of the voter for whom it voted in that term, from 1; 0 for none.
+    /// The ID of the voter that it voted for in that term, from 1; 0 if it has not voted.
     pub voted_for: u64,
 }
 
-/// The state after the log up to an index.
+/// A snapshot of the replicated state after all log entries up to an index.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The index of the last entry that is part of it.
+    /// The index of the last entry that the snapshot includes.
     pub index: u64,
-    /// That entry's term.
+    /// The term of the last entry that the snapshot includes.
     pub term: u64,
-    /// The state, serialized.
+    /// The serialized state.
     pub state: Vec<u8>,
-    /// It came from another voter and replaces the whole log; else the entries after it stay.
+    /// Whether the snapshot replaces the whole log, because another voter sent it; if not, later entries are
+    /// kept.
     pub replaces_log: bool,
 }
 
-/// Identifies a write until it is durable; later writes have larger tokens. Means nothing to another process.
+/// A token that identifies a write until it is durable. Later writes have larger tokens; a token is valid
+/// only in the process that issued it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WriteToken(u64);
 
@@ -45,30 +48,32 @@
     }
 }
 
-/// What to store before confirming it, in this order: snapshot, entries, vote; all or nothing.
+/// A write to a voter's storage, which must be atomic. Its parts apply in the order snapshot, entries, vote.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StorageWrite {
-    /// Replaces all entries up to its index, or all entries.
+    /// A snapshot that replaces the entries up to its index, or all entries if [`Snapshot::replaces_log`] is
+    /// set.
     pub snapshot: Option<Snapshot>,
-    /// Replace all entries from the first one's index on.
+    /// Entries that replace all stored entries from the first one's index on.
     pub entries: Vec<LogEntry>,
-    /// Replaces the vote.
+    /// The new term and vote, if they changed.
     pub vote: Option<TermVote>,
 }
 
-/// All that a voter has stored.
+/// The complete state that a voter has stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredState {
     /// The last snapshot.
     pub snapshot: Option<Snapshot>,
-    /// The entries after it, without a gap.
+    /// The log entries after the snapshot, without a gap.
     pub entries: Vec<LogEntry>,
-    /// The last vote.
+    /// The last term and vote.
     pub vote: TermVote,
 }
 
 impl StoredState {
-    /// Applies a write: the reference for every storage, and the implementation of one in memory.
+    /// Applies a write. This is the reference semantics for every storage implementation, and sufficient for
+    /// an in-memory one.
     pub fn apply(&mut self, write: StorageWrite) {
         if let Some(snapshot) = write.snapshot {
             self.entries.retain(|entry| !snapshot.replaces_log && entry.index > snapshot.index);
@@ -83,8 +88,8 @@
         }
     }
 
-    /// Whether the entries follow the snapshot and each other without a gap, and none has a term that the voter does
-    /// not know. False after a torn write.
+    /// Whether the entries continue the snapshot without a gap, and none has a term later than the stored
+    /// one. False after a torn write.
     pub fn is_consistent(&self) -> bool {
         let mut next_index = self.snapshot.as_ref().map_or(1, |snapshot| snapshot.index.saturating_add(1));
         self.entries.iter().all(|entry| {
--- a/crates/consensus/src/time.rs
+++ b/crates/consensus/src/time.rs
@@ -1,11 +1,11 @@
-//! Instants and spans as integers, so that every member of a test can have a clock of its own.
+//! Instants and durations as integers, so that a test can give each member its own clock.
 
-/// An instant or a span in microseconds. Instants count from any moment that is the same for all calls of one
-/// process. The clock must go on while the machine sleeps.
+/// An instant or a duration in microseconds. Instants count from an arbitrary origin that is fixed within one
+/// process. The clock must keep running while the machine is suspended.
 pub type Micros = u64;
 
-/// A millisecond.
+/// One millisecond.
 pub const MILLISECOND: Micros = 1_000;
 
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/consensus/src/versioned_document.rs
+++ b/crates/consensus/src/versioned_document.rs
@@ -1,12 +1,13 @@
-//! The replicated document with its version and digest.
+//! The replicated document, with its version and digest.
 use serde::{Deserialize, Serialize};
 
-/// The version of a document. Epochs compare first, then numbers.
+/// The version of a document, ordered by epoch and then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Increases when voters that all lost their storage start again; 0 before the first document.
+    /// The epoch, which increases when all voters have lost their storage and start again; 0 before the first
+    /// document.
     pub epoch: u64,
-    /// Counts from 1 in each epoch.
+    /// The number of the version, counted from 1 in each epoch.
     pub number: u64,
 }
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// BLAKE3 of a document's version and bytes.
+/// The BLAKE3 digest of a document's version and bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest(pub [u8; 32]);
 
@@ -33,25 +34,25 @@
     }
 }
 
-/// One version of the rules as it is replicated, stored and sent.
+/// One version of the rules, in the form in which it is replicated, stored and sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedDocument {
-    /// Its version.
+    /// The version of the document.
     pub version: Version,
-    /// Of version and bytes.
+    /// The digest of the version and the bytes.
     pub digest: Digest,
     /// The rules, serialized with postcard.
     pub bytes: Vec<u8>,
 }
 
 impl VersionedDocument {
-    /// A document of these bytes, with its digest.
+    /// Creates a document and computes its digest.
     pub fn new(version: Version, bytes: Vec<u8>) -> VersionedDocument {
         let digest = document_digest(version, &bytes);
         VersionedDocument { version, digest, bytes }
     }
 
-    /// Whether the digest matches version and bytes.
+    /// Whether the digest matches the version and the bytes.
     pub fn has_valid_digest(&self) -> bool {
         self.digest == document_digest(self.version, &self.bytes)
     }
--- a/crates/consensus/src/voter_id.rs
+++ b/crates/consensus/src/voter_id.rs
@@ -1,7 +1,8 @@
-//! The number by which voters refer to each other.
+//! The numeric ID by which voters refer to each other.
 use serde::{Deserialize, Serialize};
 
-/// A voter's number: its position in [`crate::Settings::voters`], from 1. One that was received may name no voter.
+/// A voter's ID: its position in [`crate::Settings::voters`], from 1. A received ID may not belong to any
+/// voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct VoterId(u64);
@@ -11,12 +12,12 @@
         VoterId(number)
     }
 
-    /// `None` for 0, by which the crate `raft` means no voter.
+    /// Converts an ID of the crate `raft`; `None` for 0, which means no voter there.
     pub(crate) fn from_raft(number: u64) -> Option<VoterId> {
         (number != 0).then_some(VoterId(number))
     }
 
-    /// The number, for the crate `raft` and for storage.
+    /// The ID as a number, for the crate `raft` and for storage.
     pub(crate) fn get(self) -> u64 {
         self.0
     }
--- a/crates/consensus/tests/clocks.rs
+++ b/crates/consensus/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! Clocks within and beyond their bound, and the settings that give it.
+//! Tests members whose clocks drift within and beyond the clock bound, and the validation of the settings.
 mod simulation;
 
 use copperspread_consensus::{Effect, SECOND, Settings, SettingsError};
@@ -24,12 +24,12 @@
 #[test]
 fn a_clock_20_percent_off_is_detected_within_3_s_and_its_member_follows_the_restricted_rules() {
     for ppm in [200_000, -200_000] {
-        let mut simulation = Simulation::settled(3, 5, 13);
+        let mut simulation = Simulation::with_stable_leader(3, 5, 13);
         simulation.set_clock_ppm(4, ppm);
         simulation
             .run_until(3 * SECOND, |simulation| simulation.reported_drift(4).is_some())
-            .expect("reported");
-        let drift = simulation.reported_drift(4).expect("reported");
+            .expect("the member reports its drift within 3 s");
+        let drift = simulation.reported_drift(4).expect("the member has reported its drift");
         assert_eq!(drift.is_fast, ppm > 0);
         assert!((20_000..=250_000).contains(&drift.min_ppm), "{drift:?}");
         for second in 0..20 {
@@ -37,11 +37,14 @@
             simulation.run_for(SECOND);
             assert_eq!(simulation.followed_version(4), None);
         }
-        assert!((0..4).all(|member| simulation.reported_drift(member).is_none()), "only it drifts");
+        assert!(
+            (0..4).all(|member| simulation.reported_drift(member).is_none()),
+            "only member 4 must report a drift"
+        );
         simulation.set_clock_ppm(4, 0);
         simulation
             .run_until(120 * SECOND, |simulation| simulation.followed_version(4).is_some())
-            .expect("cleared again");
+            .expect("the member's drift is cleared within 120 s");
         assert_eq!(simulation.reports_of(|effect| *effect == Effect::ClockDriftCleared).len(), 1);
         assert!(simulation.longest_conflict() <= simulation.settings.staleness_bound());
     }
@@ -50,17 +53,22 @@
 #[test]
 fn a_leader_whose_clock_is_20_percent_off_reports_it_and_transfers_the_leadership() {
     for ppm in [200_000, -200_000] {
-        let mut simulation = Simulation::settled(5, 9, 14);
-        let leader = simulation.leader().expect("a leader");
+        let mut simulation = Simulation::with_stable_leader(5, 9, 14);
+        let leader = simulation.leader().expect("a leader was elected");
         simulation.set_clock_ppm(leader, ppm);
         simulation
             .run_until(6 * SECOND, |simulation| simulation.leader().is_some_and(|other| other != leader))
-            .expect("it transfers the leadership");
-        assert_eq!(simulation.reported_drift(leader).expect("reported").is_fast, ppm > 0);
+            .expect("the leader transfers the leadership within 6 s");
+        assert_eq!(
+            simulation.reported_drift(leader).expect("the leader reported its drift").is_fast,
+            ppm > 0
+        );
         let others_have_leases = |simulation: &Simulation| {
             (0..9).all(|member| member == leader || simulation.followed_version(member).is_some())
         };
-        simulation.run_until(20 * SECOND, others_have_leases).expect("the others have leases again");
+        simulation
+            .run_until(20 * SECOND, others_have_leases)
+            .expect("the other members have leases within 20 s");
         simulation.propose_next((leader + 1) % 5);
         simulation.run_for(5 * SECOND);
         assert!(others_have_leases(&simulation) && simulation.followed_version(leader).is_none());
@@ -69,7 +77,7 @@
 }
 
 #[test]
-fn the_defaults_give_a_bound_within_2_s_and_invalid_settings_are_named_in_the_error() {
+fn the_default_staleness_bound_is_under_2_s_and_validation_errors_name_the_invalid_field() {
     let valid = Simulation::new(3, 3, 0).settings;
     assert_eq!(
         (valid.staleness_bound(), valid.lease_expiry_wait(), valid.validate()),
@@ -81,14 +89,16 @@
         ("voters", SettingsError::DuplicateVoter, |settings| {
             settings.voters[0] = settings.voters[1].clone();
         }),
-        ("lease", SettingsError::LeaseTooShort, |settings| {
+        ("lease_duration", SettingsError::LeaseTooShort, |settings| {
             settings.lease_duration = settings.max_round_trip;
         }),
-        ("way", SettingsError::RoundTripTooShort, |settings| {
+        ("max_round_trip", SettingsError::RoundTripTooShort, |settings| {
             settings.max_round_trip = settings.tick_interval;
         }),
-        ("drift", SettingsError::DriftTooLarge, |settings| settings.max_drift_ppm = 100_001),
-        ("most_waiting", SettingsError::PendingVersionsLimit, |settings| settings.max_pending_versions = 0),
+        ("max_drift_ppm", SettingsError::DriftTooLarge, |settings| settings.max_drift_ppm = 100_001),
+        ("max_pending_versions", SettingsError::PendingVersionsLimit, |settings| {
+            settings.max_pending_versions = 0;
+        }),
     ];
     for (field, expected, invalidate) in cases {
         let mut settings = valid.clone();
--- a/crates/consensus/tests/components.rs
+++ b/crates/consensus/tests/components.rs
@@ -1,4 +1,5 @@
-//! The components alone: intersections of rules, conflicts, clock comparison, storage, damaged messages, digests.
+//! Tests single components: rule intersections, decision conflicts, clock comparison, stored state, corrupted
+//! messages and document digests.
 mod simulation;
 
 use std::collections::BTreeSet;
@@ -10,7 +11,7 @@
 };
 use proptest::prelude::{Strategy, prop_assert, prop_assert_eq};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use simulation::{Simulation, TestRules, name, next_version};
+use simulation::{Simulation, TestRules, member_name, next_version};
 
 fn runner(cases: u32) -> TestRunner {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn the_intersection_of_test_rules_is_commutative_idempotent_and_never_allows_more_than_either() {
+fn the_intersection_of_test_rules_is_commutative_and_idempotent_and_allows_no_more_than_either() {
     let allows_no_more = |narrow: &TestRules, wide: &TestRules| {
         narrow.limit <= wide.limit && narrow.closed_classes.is_superset(&wide.closed_classes)
     };
@@ -38,14 +39,14 @@
         prop_assert!(allows_no_more(&both, &first) && allows_no_more(&both, &second));
         let without_lease = first.without_lease();
         let is_safe = allows_no_more(&without_lease, &first) && allows_no_more(&without_lease, &second);
-        prop_assert!(is_safe, "no later version forbids it");
+        prop_assert!(is_safe, "rules without a lease must not allow what a later version forbids");
         Ok(())
     };
-    runner(256).run(&(any_rules(), any_rules()), check).expect("holds");
+    runner(256).run(&(any_rules(), any_rules()), check).expect("the property holds in all cases");
 }
 
 #[test]
-fn two_decisions_conflict_only_where_one_allows_by_one_version_what_another_forbids() {
+fn decisions_conflict_only_if_one_allows_what_the_other_forbids_by_a_different_version() {
     let in_force = |number| DecisionBasis::InForce(version(number));
     let restricted = DecisionBasis::Restricted { in_force: version(1), newest: version(2), has_lease: true };
     let cases = [
@@ -67,40 +68,43 @@
 }
 
 #[test]
-fn no_drift_is_proved_within_the_bound_whatever_the_delays_and_always_one_of_20_percent() {
+fn clocks_within_the_bound_never_prove_a_drift_and_a_drift_of_20_percent_is_always_proven() {
     let settings = Settings::default();
     let span = 0u64..2_000 * MILLISECOND;
     let delays = proptest::collection::vec((span.clone(), span, 0u64..500 * MILLISECOND), 2..120);
     let check = |(local_ppm, remote_ppm, delays): (i64, i64, Vec<(u64, u64, u64)>)| {
-        let shown = |at: u64, ppm: i64| (at as i128 * i128::from(1_000_000 + ppm) / 1_000_000) as u64;
+        let clock_reading = |at: u64, ppm: i64| (at as i128 * i128::from(1_000_000 + ppm) / 1_000_000) as u64;
         let (mut clock, mut now) = (ClockComparison::default(), SECOND);
         for (pause, request_delay, response_delay) in delays {
             let sent_at = now + pause;
             let answered_at = sent_at + request_delay;
             now = answered_at + response_delay;
-            let (local_sent, local_received) = (shown(sent_at, local_ppm), shown(now, local_ppm));
-            let remote_time = shown(answered_at, remote_ppm);
+            let (local_sent, local_received) =
+                (clock_reading(sent_at, local_ppm), clock_reading(now, local_ppm));
+            let remote_time = clock_reading(answered_at, remote_ppm);
             let drift = clock.record_sample(&settings, local_sent, local_received, remote_time);
             prop_assert_eq!(drift, None);
         }
         Ok(())
     };
     let within_bound = -9_900i64..=10_000;
-    runner(64).run(&(within_bound.clone(), within_bound, delays), check).expect("holds");
+    runner(64)
+        .run(&(within_bound.clone(), within_bound, delays), check)
+        .expect("the property holds in all cases");
     for (ppm, is_fast) in [(200_000, true), (-200_000, false)] {
         let mut clock = ClockComparison::default();
-        let shown = |at: u64| (at as i64 + at as i64 * ppm / 1_000_000) as u64;
+        let clock_reading = |at: u64| (at as i64 + at as i64 * ppm / 1_000_000) as u64;
         let drift = (0..10).find_map(|half_second| {
             let sent_at = SECOND + half_second * SECOND / 2;
             let (answered_at, received_at) = (sent_at + 30 * MILLISECOND, sent_at + 60 * MILLISECOND);
-            clock.record_sample(&settings, shown(sent_at), shown(received_at), answered_at)
+            clock.record_sample(&settings, clock_reading(sent_at), clock_reading(received_at), answered_at)
         });
-        assert_eq!(drift.expect("proved in 5 s").is_fast, is_fast);
+        assert_eq!(drift.expect("the drift is proven within 5 s").is_fast, is_fast);
     }
 }
 
 #[test]
-fn stored_state_follows_snapshots_and_truncations_and_a_gap_makes_it_inconsistent() {
+fn stored_state_applies_snapshots_and_truncations_and_a_gap_makes_it_inconsistent() {
     let entry = |term, index| LogEntry { term, index, data: vec![index as u8] };
     let snapshot = |index, replaces_log| Some(Snapshot { index, term: 1, state: Vec::new(), replaces_log });
     let mut stored = StoredState::default();
@@ -115,23 +119,25 @@
     assert!(stored.is_consistent());
     stored.entries.remove(0);
     assert!(!stored.is_consistent());
-    let identity = MemberIdentity { name: name(0), generation: 1 };
+    let identity = MemberIdentity { name: member_name(0), generation: 1 };
     let settings = Simulation::new(3, 3, 0).settings;
     let start = StartState::Stored(stored.clone());
     let error = Node::new(identity, settings, start, TestRules::new(1, &[]), 1).err();
-    assert!(error.expect("rejected").to_string().starts_with("store"));
+    assert!(error.expect("a stored log with a gap is rejected").to_string().starts_with("storage"));
     stored.apply(StorageWrite { snapshot: snapshot(9, true), ..StorageWrite::default() });
     assert!(stored.entries.is_empty() && stored.is_consistent());
 }
 
 #[test]
-fn truncated_and_corrupted_messages_change_no_member_and_none_panics() {
+fn members_ignore_truncated_and_corrupted_messages_without_a_panic() {
     let mut simulation = Simulation::with_first_version(3, 4, 20);
     simulation.network.corrupts = true;
     simulation.run_for(20 * SECOND);
     simulation.network.corrupts = false;
     let first = simulation.newest_in_force();
-    simulation.run_until(20 * SECOND, |simulation| simulation.all_follow(first)).expect("all go on");
+    simulation
+        .run_until(20 * SECOND, |simulation| simulation.all_follow(first))
+        .expect("all members follow the first version within 20 s");
     simulation.propose_next(3);
     simulation.run_for(5 * SECOND);
     assert!(simulation.all_follow(next_version(first)));
@@ -139,7 +145,7 @@
 }
 
 #[test]
-fn documents_of_other_bytes_or_versions_have_other_digests_and_a_changed_one_fails_its_check() {
+fn digests_differ_for_different_bytes_or_versions_and_a_modified_document_fails_its_check() {
     let documents = [(1, vec![1]), (1, vec![2]), (2, vec![1])]
         .map(|(number, bytes)| VersionedDocument::new(version(number), bytes));
     let digests: BTreeSet<String> = documents.iter().map(|document| document.digest.to_string()).collect();
--- a/crates/consensus/tests/faults.rs
+++ b/crates/consensus/tests/faults.rs
@@ -1,14 +1,15 @@
-//! Members that crash, pause, lose their disks or are cut off: see `docs/design/0004-fleet.md`.
+//! Tests the group while members crash, pause, lose their disks or are partitioned; see
+//! `docs/design/0004-fleet.md`.
 mod simulation;
 
 use copperspread_consensus::{Effect, Node, SECOND};
-use simulation::queries::members_of;
+use simulation::queries::reporting_members;
 use simulation::{Simulation, TestRules, next_version};
 
 #[test]
-fn three_five_and_seven_voters_put_a_version_in_force_everywhere_within_half_a_second() {
+fn with_3_5_or_7_voters_all_members_follow_a_new_version_within_half_a_second() {
     for (voters, members) in [(3, 3), (3, 5), (5, 9), (7, 9)] {
-        let mut simulation = Simulation::settled(voters, members, 1);
+        let mut simulation = Simulation::with_stable_leader(voters, members, 1);
         let next = next_version(simulation.newest_in_force());
         simulation.propose_next(members - 1);
         let elapsed = simulation.run_until(5 * SECOND, |simulation| simulation.all_follow(next));
@@ -20,7 +21,7 @@
 
 #[test]
 fn all_of_120_members_follow_a_new_version_within_a_second() {
-    let mut simulation = Simulation::settled(5, 120, 2);
+    let mut simulation = Simulation::with_stable_leader(5, 120, 2);
     let next = next_version(simulation.newest_in_force());
     simulation.propose_next(100);
     let elapsed = simulation.run_until(5 * SECOND, |simulation| simulation.all_follow(next));
@@ -30,13 +31,14 @@
 }
 
 #[test]
-fn a_leader_that_crashes_between_commit_and_answer_leaves_one_committed_version_that_takes_effect() {
+fn a_version_committed_by_a_leader_that_crashes_before_its_response_takes_effect_and_is_reported_once() {
     for seed in 0..10 {
-        let mut simulation = Simulation::settled(5, 7, seed);
-        let leader = simulation.leader().expect("a leader");
+        let mut simulation = Simulation::with_stable_leader(5, 7, seed);
+        let leader = simulation.leader().expect("a leader was elected");
         let first = simulation.newest_in_force();
         let proposer = (leader + 1) % 5;
-        // What the leader sends reaches only the other voters, so that it commits and cannot answer.
+        // The leader reaches only the other three voters, so that it can commit but cannot respond to the
+        // proposer.
         for member in (0..7).filter(|member| *member >= 5 || *member == proposer) {
             simulation.network.cut_links.insert((leader, member));
         }
@@ -49,72 +51,79 @@
         let next = next_version(first);
         simulation
             .run_until(10 * SECOND, |simulation| simulation.others_follow(leader, next))
-            .expect("the committed version takes effect");
-        assert_eq!(simulation.accepted_proposals().len(), 1, "reported by the next leader, once");
+            .expect("the committed version takes effect within 10 s");
+        assert_eq!(simulation.accepted_proposals().len(), 1, "the next leader must report the result once");
         assert_eq!(simulation.longest_conflict(), 0);
     }
 }
 
 #[test]
 fn a_minority_follows_the_old_version_until_its_lease_expires_and_then_the_restricted_rules() {
-    let mut simulation = Simulation::settled(5, 9, 3);
+    let mut simulation = Simulation::with_stable_leader(5, 9, 3);
     let first = simulation.newest_in_force();
-    let leader = simulation.leader().expect("a leader");
+    let leader = simulation.leader().expect("a leader was elected");
     let minority = [leader, (leader + 1) % 5, 7];
     simulation.partition(&minority);
     let partitioned_at = simulation.now;
     simulation.run_for(simulation.settings.lease_duration / 2);
     let follows_first = |&member: &usize| simulation.followed_version(member) == Some(first);
-    assert!(minority.iter().all(follows_first), "their leases hold");
+    assert!(minority.iter().all(follows_first), "the minority's leases must still hold");
     simulation.run_for(simulation.settings.lease_duration);
     let is_restricted = |&member: &usize| simulation.followed_version(member).is_none();
-    assert!(minority.iter().all(is_restricted), "their leases have expired");
+    assert!(minority.iter().all(is_restricted), "the minority's leases must have expired");
     let expired = simulation.reports_of(|effect| *effect == Effect::LeaseExpired);
     let bound = simulation.settings.staleness_bound();
-    let expired_members = members_of(&expired);
+    let expired_members = reporting_members(&expired);
     let is_any_late = expired.iter().any(|report| report.at - partitioned_at > bound);
     assert!(minority.iter().all(|member| expired_members.contains(member)) && !is_any_late);
-    let outside = (0..5).find(|member| !minority.contains(member)).expect("a voter outside");
-    simulation.propose_next(outside);
+    let majority_voter =
+        (0..5).find(|member| !minority.contains(member)).expect("a voter of the majority exists");
+    simulation.propose_next(majority_voter);
     let next = next_version(first);
     let majority_follows = |simulation: &Simulation| {
         let mut majority = (0..9).filter(|member| !minority.contains(member));
         majority.all(|member| simulation.followed_version(member) == Some(next))
     };
-    simulation.run_until(10 * SECOND, majority_follows).expect("the majority goes on");
+    simulation
+        .run_until(10 * SECOND, majority_follows)
+        .expect("the majority follows the new version within 10 s");
     simulation.network.cut_links.clear();
     simulation
         .run_until(10 * SECOND, |simulation| simulation.all_follow(next))
-        .expect("all are together again");
+        .expect("all members follow the new version within 10 s of healing the partition");
     assert!(simulation.reports_of(|effect| *effect == Effect::LeaseRestored).len() >= 3);
     assert_eq!(simulation.longest_conflict(), 0);
 }
 
 #[test]
-fn without_a_quorum_no_version_changes_and_members_report_it_and_go_on_with_restricted_rules() {
-    let mut simulation = Simulation::settled(3, 6, 4);
+fn without_a_quorum_no_version_changes_and_members_report_it_and_follow_the_restricted_rules() {
+    let mut simulation = Simulation::with_stable_leader(3, 6, 4);
     let first = simulation.newest_in_force();
     simulation.crash(0);
     simulation.crash(1);
     simulation.propose_next(4);
     simulation.run_for(10 * SECOND);
     assert_eq!(simulation.newest_in_force(), first);
-    let expired = members_of(&simulation.reports_of(|effect| *effect == Effect::LeaseExpired));
+    let expired = reporting_members(&simulation.reports_of(|effect| *effect == Effect::LeaseExpired));
     for member in 2..6 {
         assert!(expired.contains(&member), "m{member}");
         let clock = simulation.clock(member);
-        let node = simulation.node(member).expect("it runs");
+        let node = simulation.node(member).expect("the member is running");
         let restricted = TestRules::new(1, &[0, 1, 2, 3, 4, 5, 6, 7]);
-        assert_eq!(*node.effective_rules(clock).rules(), restricted, "the restricted rules");
+        assert_eq!(
+            *node.effective_rules(clock).rules(),
+            restricted,
+            "m{member} must follow the restricted rules"
+        );
     }
     simulation.start(0);
     simulation
         .run_until(10 * SECOND, |simulation| simulation.others_follow(1, next_version(first)))
-        .expect("a voter back with its disk makes a quorum, and the proposal goes on");
+        .expect("the restarted voter restores the quorum, and the pending proposal takes effect within 10 s");
 }
 
 #[test]
-fn a_member_paused_past_its_lease_resumes_with_a_burst_and_follows_no_old_version() {
+fn a_member_that_resumes_after_its_lease_has_expired_does_not_decide_by_the_old_version() {
     for skips_lease_check in [false, true] {
         let configure = |simulation: &mut Simulation| simulation.skips_lease_check = skips_lease_check;
         let mut simulation = Simulation::configured(3, 5, 5, configure);
@@ -125,7 +134,10 @@
         simulation.run_for(12 * SECOND);
         let longest = simulation.longest_conflict();
         if skips_lease_check {
-            assert!(longest > simulation.settings.staleness_bound(), "the checker finds it: {longest} us");
+            assert!(
+                longest > simulation.settings.staleness_bound(),
+                "the checker must find a conflict beyond the bound: {longest} us"
+            );
         } else {
             assert_eq!(longest, 0);
         }
@@ -133,8 +145,8 @@
 }
 
 #[test]
-fn at_30_percent_loss_with_a_proposal_every_second_versions_take_effect_without_conflict() {
-    let mut simulation = Simulation::settled(5, 9, 6);
+fn with_30_percent_loss_and_a_proposal_every_second_versions_take_effect_without_conflict() {
+    let mut simulation = Simulation::with_stable_leader(5, 9, 6);
     (simulation.network.loss_percent, simulation.network.duplicate_percent) = (30, 10);
     let first = simulation.newest_in_force();
     for second in 0..60 {
@@ -144,74 +156,83 @@
     simulation.network.loss_percent = 0;
     simulation.run_for(5 * SECOND);
     let in_force = simulation.newest_in_force().number - first.number;
-    assert!(in_force >= 30, "of 60 proposals {in_force} took effect");
-    assert_eq!(simulation.accepted_proposals().len() as u64, in_force, "each acted once");
+    assert!(in_force >= 30, "only {in_force} of 60 proposals took effect");
+    assert_eq!(
+        simulation.accepted_proposals().len() as u64,
+        in_force,
+        "each accepted proposal must take effect once"
+    );
     assert!(simulation.all_follow(simulation.newest_in_force()));
     assert_eq!(simulation.longest_conflict(), 0);
 }
 
 #[test]
-fn a_one_way_cut_between_leader_and_followers_leaves_one_leader_that_is_heard() {
+fn after_a_one_way_partition_of_the_leader_a_leader_with_a_quorum_replaces_it() {
     for cuts_towards_leader in [false, true] {
-        let mut simulation = Simulation::settled(5, 7, 7);
-        let leader = simulation.leader().expect("a leader");
+        let mut simulation = Simulation::with_stable_leader(5, 7, 7);
+        let leader = simulation.leader().expect("a leader was elected");
         let next = next_version(simulation.newest_in_force());
         for member in (0..7).filter(|member| *member != leader) {
             let link = if cuts_towards_leader { (member, leader) } else { (leader, member) };
             simulation.network.cut_links.insert(link);
         }
         simulation.run_for(3 * SECOND);
-        let other = simulation.leader().expect("another leads");
+        let other = simulation.leader().expect("a leader exists after 3 s");
         assert_ne!(other, leader);
         simulation.propose_next(other);
         simulation
             .run_until(10 * SECOND, |simulation| simulation.others_follow(leader, next))
-            .expect("the others go on");
+            .expect("the other members follow the new version within 10 s");
         assert_eq!(simulation.followed_version(leader), None);
         simulation.network.cut_links.clear();
         simulation
             .run_until(10 * SECOND, |simulation| simulation.all_follow(next))
-            .expect("all are together again");
+            .expect("all members follow the new version within 10 s of healing the partition");
         assert_eq!(simulation.longest_conflict(), 0);
     }
 }
 
 #[test]
-fn a_voter_back_with_an_empty_disk_does_not_vote_before_it_has_a_commit_from_after_its_start() {
-    let mut simulation = Simulation::settled(3, 4, 8);
+fn a_voter_restarted_with_an_empty_disk_votes_only_after_it_has_a_commit_from_after_its_start() {
+    let mut simulation = Simulation::with_stable_leader(3, 4, 8);
     let first = simulation.newest_in_force();
     let second = next_version(first);
     let third = next_version(second);
     simulation.crash(1);
     simulation.run_for(SECOND);
-    // The only other running voter cannot make a quorum of a voter that remembers nothing.
+    // Only one other voter runs; a voter that has lost its state must not complete its quorum.
     simulation.crash(0);
     simulation.erase_disk(1);
     simulation.start(1);
     simulation.run_for(10 * SECOND);
-    assert!(!simulation.node(1).expect("it runs").is_voting(), "it has caught up with nobody");
+    assert!(
+        !simulation.node(1).expect("the restarted voter is running").is_voting(),
+        "the restarted voter must not vote before it has caught up"
+    );
     assert_eq!(simulation.leader(), None);
     simulation.start(0);
     simulation
         .run_until(10 * SECOND, |simulation| simulation.node(1).is_some_and(Node::is_voting))
-        .expect("it has caught up");
+        .expect("the restarted voter catches up within 10 s");
     simulation
         .run_until(10 * SECOND, |simulation| simulation.followed_version(1) == Some(first))
-        .expect("it has a lease");
+        .expect("the restarted voter has a lease within 10 s");
     simulation.propose_next(1);
-    simulation.run_until(10 * SECOND, |simulation| simulation.all_follow(second)).expect("it takes part");
-    // Now its vote is needed, and counts.
+    simulation
+        .run_until(10 * SECOND, |simulation| simulation.all_follow(second))
+        .expect("its proposal takes effect within 10 s");
+    // The quorum now needs the vote of the restarted voter.
     simulation.crash(0);
     simulation.propose_next(2);
     simulation
         .run_until(10 * SECOND, |simulation| simulation.others_follow(0, third))
-        .expect("a quorum with it");
+        .expect("the restarted voter completes the quorum within 10 s");
     assert_eq!(simulation.longest_conflict(), 0);
 }
 
 #[test]
-fn when_all_voters_lost_their_disks_a_later_epoch_begins_once_no_old_lease_can_hold() {
-    let mut simulation = Simulation::settled(3, 5, 9);
+fn when_all_voters_lose_their_disks_a_later_epoch_begins_once_all_old_leases_have_expired() {
+    let mut simulation = Simulation::with_stable_leader(3, 5, 9);
     let first = simulation.newest_in_force();
     simulation.propose_next(0);
     simulation.run_for(SECOND);
@@ -224,6 +245,6 @@
                 simulation.followed_version(member).is_some_and(|version| version.epoch > first.epoch)
             })
         })
-        .expect("a new epoch");
+        .expect("all members follow a version of a later epoch within 20 s");
     assert_eq!(simulation.longest_conflict(), 0);
 }
--- a/crates/consensus/tests/lease_model.rs
+++ b/crates/consensus/tests/lease_model.rs
@@ -1,17 +1,18 @@
-//! The rules of activation and leases as a model of their own, in which every order of events is tried: two members,
-//! one change, one election, one crash, pauses, loss, duplicates, delay and drift.
+//! Model-checks the lease and activation protocol in every order of events.
 //!
-//! Raft is taken as given: one log, and a leader that is deposed grants nothing more (`Node` has a quorum confirm each
-//! grant). A tick is a lease; a slow clock makes it last 2.
+//! The model has two members, one change of the rules, one election, one crash, pauses, clock drift, and
+//! messages that are lost, duplicated and delayed. It assumes that Raft is correct: there is one log, and a
+//! deposed leader grants no more leases (`Node` has a quorum confirm each grant). A lease lasts one tick, or
+//! two by a slow clock.
 use std::collections::BTreeSet;
 
 use stateright::{Checker, Model, Property};
 
 const LEASE_TICKS: u8 = 1;
 const STRETCHED_LEASE_TICKS: u8 = 2;
-/// A member's grants count up to an age of one tick.
+/// The maximum age in ticks at which a message is delivered.
 const MAX_MESSAGE_AGE: u8 = 1;
-/// The staleness bound in ticks: the stretched lease, and a message's age.
+/// The staleness bound in ticks: the stretched lease and the maximum message age.
 const STALENESS_BOUND: u8 = STRETCHED_LEASE_TICKS + MAX_MESSAGE_AGE;
 const NEVER: u8 = u8::MAX;
 const VERSIONS: usize = 2;
@@ -44,7 +45,7 @@
     }
 }
 
-/// What the leader knows of a member.
+/// The session and newest version of a member that the leader knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Progress {
     session: u8,
@@ -56,13 +57,13 @@
     session: u8,
     in_force: u8,
     newest: u8,
-    /// True ticks until the lease expires.
+    /// The ticks of true time until the lease expires.
     lease_ticks: u8,
-    /// What a timer last found of the lease; only decisions that skip the check go by it.
-    believes_leased: bool,
+    /// Whether the lease held when a timer last checked it; used only by decisions without the lease check.
+    had_lease_at_last_check: bool,
     is_paused: bool,
     progress: Progress,
-    /// What the leader knows: ticks since a grant with each version as the newest.
+    /// The ticks since the last grant with each version as the newest, which the leader tracks.
     ticks_since_grant: [u8; VERSIONS],
 }
 
@@ -71,12 +72,12 @@
     members: [Member; 2],
     in_force: u8,
     newest: u8,
-    /// Ticks since the leader was elected, up to the wait.
+    /// The ticks since the leader was elected, at most `wait_ticks`.
     ticks_since_election: u8,
     elections: u8,
     crashes: u8,
     messages: BTreeSet<Message>,
-    /// Ticks since a member first followed each version.
+    /// The ticks since any member first followed each version.
     ticks_since_followed: [u8; VERSIONS],
 }
 
@@ -94,16 +95,18 @@
     Crash(usize),
 }
 
-/// The protocol. Clocks are within their bound if the leader waits as long as a slow member's lease lasts.
+/// The modeled protocol. A `wait_ticks` of at least [`STRETCHED_LEASE_TICKS`] models clocks within the clock
+/// bound.
 struct LeaseProtocol {
     checks_lease: bool,
     wait_ticks: u8,
 }
 
 impl LeaseProtocol {
-    /// The version that a member follows.
+    /// The version in force that a member follows; `None` while it is paused or follows the restricted rules.
     fn followed_version(&self, member: &Member) -> Option<u8> {
-        let has_lease = if self.checks_lease { member.lease_ticks > 0 } else { member.believes_leased };
+        let has_lease =
+            if self.checks_lease { member.lease_ticks > 0 } else { member.had_lease_at_last_check };
         let is_unrestricted = member.in_force == member.newest;
         (!member.is_paused && has_lease && is_unrestricted).then_some(member.in_force)
     }
@@ -116,7 +119,7 @@
         group.ticks_since_election >= self.wait_ticks && group.members.iter().all(allows_activation)
     }
 
-    /// Whether a member follows a version although a later one was first followed at least so long ago.
+    /// Whether a member follows a version although a later one was first followed at least `ticks` ago.
     fn follows_replaced_version(&self, group: &Group, ticks: u8) -> bool {
         let followed = group.members.iter().filter_map(|member| self.followed_version(member));
         let mut later = followed.flat_map(|version| &group.ticks_since_followed[usize::from(version) + 1..]);
@@ -129,14 +132,14 @@
             actions.push(Action::Resume(index));
             return;
         }
-        // One request of each member is under way, and its grant.
+        // At most one request of each member and its grant are in transit.
         if !group.messages.iter().any(|message| message.member() == index) {
             actions.push(Action::RequestLease(index));
         }
         if (member.in_force, member.newest) != (group.in_force, group.newest) {
             actions.push(Action::Update(index));
         }
-        // Either may be paused; one of them is enough for every conflict of two.
+        // At most one member is paused at a time, which suffices for every conflict between two members.
         if group.members.iter().all(|member| !member.is_paused) {
             actions.push(Action::Pause(index));
         }
@@ -149,7 +152,7 @@
         for member in &mut group.members {
             member.lease_ticks = member.lease_ticks.saturating_sub(1);
             if !member.is_paused {
-                member.believes_leased = member.lease_ticks > 0;
+                member.had_lease_at_last_check = member.lease_ticks > 0;
             }
             for ticks in &mut member.ticks_since_grant {
                 *ticks = if *ticks >= self.wait_ticks { NEVER } else { *ticks + 1 };
@@ -163,7 +166,8 @@
         group.messages = messages.filter(|message| message.age() <= MAX_MESSAGE_AGE).collect();
     }
 
-    /// Delivers a message, which stays and may be delivered again; returns whether it was taken.
+    /// Delivers a message, and keeps it so that it may be delivered again; returns whether the recipient
+    /// accepted it.
     fn deliver(group: &mut Group, message: Message) -> bool {
         match message {
             Message::LeaseRequest { member: index, session, age, newest } => {
@@ -183,10 +187,10 @@
                 }
                 member.in_force = member.in_force.max(in_force);
                 member.newest = member.newest.max(newest);
-                // The first member's clock is slow, the other's is right.
+                // The first member's clock is slow, the other's is exact.
                 let lease = if index == 0 { STRETCHED_LEASE_TICKS } else { LEASE_TICKS };
                 member.lease_ticks = member.lease_ticks.max(lease.saturating_sub(age));
-                member.believes_leased = member.lease_ticks > 0;
+                member.had_lease_at_last_check = member.lease_ticks > 0;
             }
         }
         true
@@ -208,10 +212,11 @@
             Member { session: session + 1, progress, ticks_since_grant, ..Member::default() };
     }
 
-    /// Brings what no rule reads to one value, so that it makes no further states, and records what is followed.
+    /// Resets values that no rule reads, which reduces the number of states, and records the versions that
+    /// members follow.
     fn normalize(&self, group: &mut Group) {
         for member in &mut group.members {
-            member.believes_leased &= !self.checks_lease;
+            member.had_lease_at_last_check &= !self.checks_lease;
             member.ticks_since_grant[VERSIONS - 1] = NEVER;
         }
         for index in 0..group.members.len() {
@@ -306,14 +311,15 @@
 const NO_CONFLICT_BEYOND_BOUND: &str = "none follows an older version after the staleness bound";
 const ALL_FOLLOW_LAST: &str = "all follow the last version";
 
-/// The number of states, and the properties for which an example or counterexample was found.
+/// Explores all states; returns their number and the properties for which an example or counterexample was
+/// found.
 fn check(checks_lease: bool, wait_ticks: u8) -> (usize, BTreeSet<&'static str>) {
     let checker = LeaseProtocol { checks_lease, wait_ticks }.checker().threads(2).spawn_bfs().join();
     (checker.unique_state_count(), checker.discoveries().into_keys().collect())
 }
 
 #[test]
-fn no_order_of_pauses_loss_crash_election_and_drift_lets_two_members_follow_different_versions() {
+fn no_order_of_events_lets_two_members_follow_different_versions_at_the_same_time() {
     let (states, found) = check(true, STRETCHED_LEASE_TICKS);
     println!("{states} states");
     assert!(states > 10_000, "{states}");
@@ -321,14 +327,14 @@
 }
 
 #[test]
-fn a_leader_that_waits_too_short_by_a_fast_clock_lets_two_conflict_but_not_beyond_the_bound() {
+fn a_leader_whose_fast_clock_shortens_its_wait_allows_conflicts_only_within_the_staleness_bound() {
     let (states, found) = check(true, 0);
     println!("{states} states");
     assert!(found.contains(NO_CONFLICT) && !found.contains(NO_CONFLICT_BEYOND_BOUND), "{found:?}");
 }
 
 #[test]
-fn without_the_lease_check_a_member_that_resumes_follows_an_older_version_beyond_the_bound() {
+fn without_the_lease_check_a_resumed_member_follows_an_older_version_beyond_the_staleness_bound() {
     let (states, found) = check(false, STRETCHED_LEASE_TICKS);
     println!("{states} states");
     assert!(found.contains(NO_CONFLICT_BEYOND_BOUND), "{found:?}");
--- a/crates/consensus/tests/random_faults.rs
+++ b/crates/consensus/tests/random_faults.rs
@@ -1,14 +1,15 @@
-//! Runs with random faults, all of which are checked for conflicting decisions.
+//! Runs simulations with random faults, and checks each for conflicting decisions.
 mod simulation;
 
 use copperspread_consensus::{MILLISECOND, Node, SECOND};
 use simulation::Simulation;
 
-/// One random fault or proposal.
+/// Injects one random fault, or makes a proposal.
 fn inject_fault(simulation: &mut Simulation, rng: &mut fastrand::Rng, voters: usize) {
     let members = simulation.member_count();
     let member = rng.usize(0..members);
-    // Of the voters' disks at most a minority is lost at once: one at a time, and only when all vote.
+    // Erases a voter's disk only while all voters vote, so that never more than a minority has lost its
+    // state.
     let all_vote = (0..voters).all(|voter| simulation.node(voter).is_some_and(Node::is_voting));
     match rng.u32(0..12) {
         0..4 => simulation.propose_next(member),
@@ -29,7 +30,7 @@
     }
 }
 
-/// A run of 40 s with random faults, and then 15 s without any.
+/// A run of about 40 s with random faults, followed by 15 s without any.
 fn random_run(seed: u64, skips_lease_check: bool) -> Simulation {
     let mut rng = fastrand::Rng::with_seed(seed);
     let voters = [3, 5, 7][seed as usize % 3];
@@ -58,23 +59,23 @@
 }
 
 #[test]
-fn in_200_runs_with_faults_and_clocks_within_the_bound_no_decisions_conflict_and_all_end_on_one_version() {
+fn in_200_runs_with_faults_and_clocks_within_the_bound_no_decisions_conflict_and_members_converge() {
     let (mut longest, mut versions) = (0, 0);
     for seed in 0..200 {
         let simulation = random_run(seed, false);
         let longest_in_run = simulation.longest_conflict();
-        // The leases alone limit it to the staleness bound; with clocks within their bound there is none at all.
+        // Leases alone limit a conflict to the staleness bound; if clocks are within the bound, none occurs.
         assert_eq!(longest_in_run, 0, "run {seed}");
         let newest = simulation.newest_in_force();
-        assert!(simulation.all_follow(newest), "run {seed}: different versions at its end");
+        assert!(simulation.all_follow(newest), "run {seed}: all members must follow one version at its end");
         (longest, versions) = (longest.max(longest_in_run), versions + newest.number);
     }
     println!("longest conflict {longest} us; {versions} versions took effect");
-    assert!(versions > 400, "{versions} in 200 runs");
+    assert!(versions > 400, "only {versions} versions took effect in 200 runs");
 }
 
 #[test]
-fn without_the_lease_check_in_decisions_the_same_checker_finds_conflicts_beyond_the_bound() {
+fn without_the_lease_check_the_same_checker_finds_conflicts_beyond_the_staleness_bound() {
     let beyond_bound = (0..20).filter(|seed| {
         let simulation = random_run(*seed, true);
         simulation.longest_conflict() > simulation.settings.staleness_bound()
--- a/crates/consensus/tests/recording/kinds.rs
+++ b/crates/consensus/tests/recording/kinds.rs
@@ -1,14 +1,15 @@
-//! The kinds of messages and writes, as the approved transcripts name them.
+//! The names of the kinds of packets and writes in the approved snapshots.
 use copperspread_consensus::{
     ClockDrift, LogEntry, Micros, ProposalId, ProposalOutcome, StorageWrite, Version,
 };
 
-/// The packets in the order of their numbers on the wire. The transcripts keep their first names: "renew" is a lease
-/// request, "grant" a lease grant, "news" a version update, "leader" a leader hint, "answered" a proposal's result;
-/// "ask", "empty" and "caught" are the rejoin request and its answers.
+/// The packet kinds in the order of their numbers on the wire. The snapshots use short labels: "renew" is a
+/// lease request, "grant" a lease grant, "news" a version update, "leader" a leader hint, "propose" a
+/// proposal, "answered" a proposal result, "ask" a rejoin request, "empty" a rejoin response without state,
+/// "caught" a rejoin snapshot.
 pub(crate) const PACKETS: [&str; 10] =
     ["raft", "renew", "grant", "news", "leader", "propose", "answered", "ask", "empty", "caught"];
-/// Raft's messages in the order of their numbers on the wire.
+/// The kinds of Raft messages in the order of their numbers on the wire.
 pub(crate) const RAFT_MESSAGES: [&str; 10] = [
     "append",
     "append response",
@@ -21,25 +22,27 @@
     "request pre-vote",
     "request pre-vote response",
 ];
-/// The commands in the log's entries in the order of their numbers: start of an epoch, proposal, activation, rejoined
-/// voter.
+/// The labels of the commands in log entries, in the order of their numbers: start of an epoch, proposal,
+/// activation, rejoined voter.
 pub(crate) const COMMANDS: [&str; 4] = ["found", "propose", "in force", "returned"];
 
-/// The fields of a lease request: session, sent at, in force, newest, drift.
+/// The fields of a lease request: `session`, `sent_at`, `in_force`, `newest` and `drift`.
 type LeaseRequestFields = (u64, Micros, Version, Version, Option<ClockDrift>);
 
-/// The kind of a packet: after the format's version comes the kind's number, then its fields.
+/// The label of a packet's kind. A packet consists of the format version, the number of its kind, and its
+/// fields.
 pub(super) fn packet_kind(packet: &[u8]) -> String {
     let (kind, fields) = (PACKETS[usize::from(packet[1])], &packet[2..]);
     match kind {
         "raft" => format!("raft {}", RAFT_MESSAGES[usize::from(fields[0])]),
         "renew" => {
-            let (.., drift): LeaseRequestFields = postcard::from_bytes(fields).expect("its fields");
+            let (.., drift): LeaseRequestFields =
+                postcard::from_bytes(fields).expect("the fields of a lease request");
             if drift.is_some() { "renew with drift".to_owned() } else { kind.to_owned() }
         }
         "answered" => {
             let (_, outcome): (ProposalId, ProposalOutcome) =
-                postcard::from_bytes(fields).expect("its fields");
+                postcard::from_bytes(fields).expect("the fields of a proposal result");
             let outcome = match outcome {
                 ProposalOutcome::Accepted(_) => "ordered",
                 ProposalOutcome::Rejected(_) => "refused",
@@ -50,13 +53,13 @@
     }
 }
 
-/// What a log entry holds: a command, or nothing where a leader's term begins.
+/// The label of a log entry: its command, or "empty" for the entry with which a leader begins its term.
 fn entry_kind(entry: &LogEntry) -> String {
     let command = entry.data.first().map_or("empty", |&number| COMMANDS[usize::from(number)]);
     format!("entry: {command}")
 }
 
-/// The parts of a write.
+/// The label of a write, made of the labels of its parts.
 pub(super) fn write_kind(write: &StorageWrite) -> String {
     let snapshot = write
         .snapshot
--- a/crates/consensus/tests/recording/mod.rs
+++ b/crates/consensus/tests/recording/mod.rs
@@ -1,4 +1,4 @@
-//! A small deterministic run whose messages and writes are recorded.
+//! A small deterministic simulation that records all messages and writes.
 mod kinds;
 
 use std::collections::BTreeMap;
@@ -8,16 +8,16 @@
     StoredState, Version, WriteToken,
 };
 
-use crate::simulation::{TestRules, name};
+use crate::simulation::{TestRules, member_name};
 pub(crate) use kinds::{COMMANDS, PACKETS, RAFT_MESSAGES};
 use kinds::{packet_kind, write_kind};
 
 pub(crate) const VOTERS: usize = 3;
-/// The voters, and one member that only holds copies.
+/// The number of members: the voters and one non-voter.
 pub(crate) const MEMBERS: usize = 4;
-/// How long every message and every write takes.
+/// The delay of every message and every write.
 const DELAY: Micros = 5 * MILLISECOND;
-/// The drift of a clock that is beyond the bound.
+/// A clock drift beyond the clock bound.
 const EXCESSIVE_DRIFT_PPM: u64 = 200_000;
 const MILLION: u64 = 1_000_000;
 
@@ -29,7 +29,7 @@
 
 struct ScheduledEvent {
     member: usize,
-    /// Which start of the member's process it belongs to.
+    /// The number of the start of the member's process that the event belongs to.
     start: u64,
     event: Event,
 }
@@ -39,35 +39,36 @@
     since: Micros,
 }
 
-/// Members on a network without faults, and a record of what they send and store.
+/// Members on a network without faults, and a record of the bytes that they send and store.
 pub(crate) struct Recording {
-    /// What each voter has stored.
+    /// The stored state of each member; a non-voter's stays empty.
     pub(crate) stored: Vec<StoredState>,
     /// The first message of each kind, in hexadecimal.
     pub(crate) packets: BTreeMap<String, String>,
     /// The first write of each kind, in hexadecimal.
     pub(crate) writes: BTreeMap<String, String>,
-    /// Of all messages and writes, in order.
+    /// The digest of all messages and writes, in order.
     pub(crate) digest: blake3::Hasher,
     now: Micros,
     settings: Settings,
     nodes: Vec<Option<Node<TestRules>>>,
-    /// Counts each member's starts: the events of an earlier process are dropped.
+    /// The number of starts and stops of each member, by which events of an earlier process are recognized
+    /// and dropped.
     starts: Vec<u64>,
     fast_clock: Option<FastClock>,
-    /// By instant, then by number.
+    /// The scheduled events by their time, then by their number.
     events: BTreeMap<(Micros, u64), ScheduledEvent>,
     last_event: u64,
 }
 
-/// Bytes as hexadecimal digits.
+/// Formats bytes as hexadecimal digits.
 pub(crate) fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 impl Recording {
     pub(crate) fn new() -> Recording {
-        let voters = (0..VOTERS).map(name).collect();
+        let voters = (0..VOTERS).map(member_name).collect();
         Recording {
             stored: vec![StoredState::default(); MEMBERS],
             packets: BTreeMap::new(),
@@ -85,11 +86,11 @@
 
     pub(crate) fn start(&mut self, member: usize, start: StartState) {
         self.starts[member] += 1;
-        let identity = MemberIdentity { name: name(member), generation: self.starts[member] };
+        let identity = MemberIdentity { name: member_name(member), generation: self.starts[member] };
         let seed = 10 * self.starts[member] + member as u64;
         let node = Node::new(identity, self.settings.clone(), start, TestRules::new(4, &[]), seed);
-        self.nodes[member] = Some(node.expect("settings and storage are valid"));
-        let others: Vec<String> = (0..MEMBERS).filter(|&other| other != member).map(name).collect();
+        self.nodes[member] = Some(node.expect("the settings and the stored state are valid"));
+        let others: Vec<String> = (0..MEMBERS).filter(|&other| other != member).map(member_name).collect();
         self.handle(member, Input::Members(&others));
         self.schedule(MILLISECOND * member as u64, member, Event::Tick);
     }
@@ -99,7 +100,7 @@
         self.nodes[member] = None;
     }
 
-    /// From now on a member's clock runs faster than the bound allows.
+    /// Makes a member's clock run faster than the clock bound allows, from now on.
     pub(crate) fn speed_up_clock(&mut self, member: usize) {
         self.fast_clock = Some(FastClock { member, since: self.now });
     }
@@ -136,12 +137,12 @@
     fn send(&mut self, from: usize, to: &str, bytes: Vec<u8>) {
         self.digest.update(&bytes);
         self.packets.entry(packet_kind(&bytes)).or_insert_with(|| hex(&bytes));
-        let to = (0..MEMBERS).find(|&member| name(member) == to).expect("a member");
+        let to = (0..MEMBERS).find(|&member| member_name(member) == to).expect("the recipient is a member");
         self.schedule(DELAY, to, Event::Message { from, bytes });
     }
 
     fn persist(&mut self, member: usize, token: WriteToken, write: StorageWrite) {
-        let bytes = postcard::to_allocvec(&write).expect("bytes");
+        let bytes = postcard::to_allocvec(&write).expect("the write can be serialized");
         self.digest.update(&bytes);
         self.writes.entry(write_kind(&write)).or_insert(hex(&bytes));
         self.schedule(DELAY, member, Event::Persisted { token, write });
@@ -153,7 +154,8 @@
             && at <= end
         {
             self.now = at;
-            let (_, ScheduledEvent { member, start, event }) = self.events.pop_first().expect("an event");
+            let (_, ScheduledEvent { member, start, event }) =
+                self.events.pop_first().expect("an event is scheduled");
             if start == self.starts[member] {
                 self.on_event(member, event);
             }
@@ -164,7 +166,7 @@
     fn on_event(&mut self, member: usize, event: Event) {
         match event {
             Event::Message { from, bytes } => {
-                self.handle(member, Input::Message { from: &name(from), bytes: &bytes });
+                self.handle(member, Input::Message { from: &member_name(from), bytes: &bytes });
             }
             Event::Persisted { token, write } => {
                 self.stored[member].apply(write);
@@ -181,20 +183,20 @@
         self.handle(member, Input::Propose { base_version, rules });
     }
 
-    /// A member proposes rules, which then take effect.
+    /// Proposes rules at a member and runs until they are committed.
     pub(crate) fn change_rules(&mut self, member: usize, limit: u32) {
         let base_version = self.newest(member);
         self.propose(member, base_version, TestRules::new(limit, &[3]));
         self.run_for(SECOND);
-        assert!(self.newest(member) > base_version, "the proposal was committed");
+        assert!(self.newest(member) > base_version, "the proposal must be committed");
     }
 
     pub(crate) fn newest(&self, member: usize) -> Version {
-        self.nodes[member].as_ref().expect("it runs").leased_rules().newest()
+        self.nodes[member].as_ref().expect("the member is running").leased_rules().newest()
     }
 
     pub(crate) fn leader(&self) -> usize {
         let is_leader = |&member: &usize| self.nodes[member].as_ref().is_some_and(Node::is_leader);
-        (0..VOTERS).find(is_leader).expect("a leader")
+        (0..VOTERS).find(is_leader).expect("a leader was elected")
     }
 }
--- a/crates/consensus/tests/simulation/decisions.rs
+++ b/crates/consensus/tests/simulation/decisions.rs
@@ -1,4 +1,4 @@
-//! Records decisions of all members, and finds conflicts between them.
+//! Records the decisions of all members, and finds conflicts between them.
 use std::collections::BTreeMap;
 
 use copperspread_consensus::{Decision, DecisionBasis, Micros, Version, decisions_conflict};
@@ -17,20 +17,20 @@
         Decision { basis: self.basis, request: self.request, is_allowed: self.is_allowed }
     }
 
-    /// Two decisions on one basis and one request must be the same.
+    /// False if the two are different decisions on the same request and basis.
     fn is_consistent_with(self, other: DecisionKind) -> bool {
         self.is_allowed == other.is_allowed || self.request != other.request || self.basis != other.basis
     }
 }
 
-/// The first and last instant at which something was decided.
+/// The times of the first and the last decision of a kind.
 #[derive(Clone, Copy)]
 struct Interval {
     first: Micros,
     last: Micros,
 }
 
-/// All decisions of a run, by kind.
+/// All decisions of a run, by their kind.
 #[derive(Default)]
 pub(crate) struct DecisionLog(BTreeMap<DecisionKind, Interval>);
 
@@ -40,10 +40,11 @@
         self.0.entry(kind).or_insert(Interval { first: now, last: now }).last = now;
     }
 
-    /// The longest conflict of all decisions: from the first by the newer version to the last by the older.
+    /// The duration of the longest conflict between two decisions, in microseconds: from the first decision
+    /// by the newer version to the last decision by the older one; 0 if there is no conflict.
     ///
     /// # Panics
-    /// Two decisions by one version in force differ.
+    /// Panics if two decisions on the same request by the same version in force differ.
     pub(crate) fn longest_conflict(&self) -> Micros {
         let mut longest = 0;
         for (left, left_interval) in &self.0 {
@@ -75,7 +76,8 @@
     span.map_or(0, |span| span + 1)
 }
 
-/// The versions on which two decisions rest: of restricted rules, the end of their range that is nearer.
+/// The versions on which two decisions are based. For restricted rules, this is the end of their version
+/// range that is nearer to the other version.
 fn versions(left: DecisionBasis, right: DecisionBasis) -> Option<(Version, Version)> {
     let nearer_end = |in_force: Version, newest: Version, other: Version| {
         if other > newest { newest } else { in_force }
--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -1,5 +1,7 @@
-//! Members on a network in virtual time that loses, delays, duplicates and cuts, with clocks of their own, disks that
-//! take time, and processes that pause, crash and restart. One seed always gives the same run.
+//! A deterministic simulation of a group of members in virtual time; a seed always gives the same run.
+//!
+//! The network loses, delays, duplicates and corrupts messages, and can be partitioned. Each member has its
+//! own clock and a disk whose writes take time; its process can pause, crash and restart.
 #![allow(dead_code, reason = "each test binary uses some of it")]
 mod decisions;
 mod network;
@@ -32,23 +34,23 @@
     /// Whether decisions are made without checking the lease.
     pub(crate) skips_lease_check: bool,
     pub(crate) reports: Vec<Report>,
-    /// Events by instant, and by number where the instant is the same.
+    /// The scheduled events by their time, then by their number.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, ScheduledEvent>,
     last_event: u64,
     processes: Vec<Option<Process>>,
-    /// How often each process was started: the events of one process do not reach the next.
+    /// The number of starts and crashes of each member, by which events of an earlier process are recognized.
     starts: Vec<u64>,
     disks: Vec<Disk>,
     clocks: Vec<SimulatedClock>,
     decisions: DecisionLog,
-    /// The newest version that each member has followed.
+    /// The version of each member's last decision by a version in force.
     newest_followed: Vec<Version>,
     proposal_count: u64,
 }
 
 /// The name of a member.
-pub(crate) fn name(member: usize) -> String {
+pub(crate) fn member_name(member: usize) -> String {
     format!("m{member}")
 }
 
@@ -58,12 +60,13 @@
 }
 
 impl Simulation {
-    /// So many members, of whom the first are voters, none of which runs.
+    /// Creates members that are not running yet; the first `voters` of them are the voters.
     pub(crate) fn new(voters: usize, members: usize, seed: u64) -> Simulation {
-        let clock = |member: u64| SimulatedClock { ppm: 0, set_at: 0, shown_when_set: 77 * SECOND * member };
+        let clock =
+            |member: u64| SimulatedClock { ppm: 0, set_at: 0, reading_when_set: 77 * SECOND * member };
         Simulation {
             now: SECOND,
-            settings: Settings { voters: (0..voters).map(name).collect(), ..Settings::default() },
+            settings: Settings { voters: (0..voters).map(member_name).collect(), ..Settings::default() },
             rng: fastrand::Rng::with_seed(seed),
             network: Network::default(),
             skips_lease_check: false,
@@ -81,19 +84,20 @@
         }
     }
 
-    /// All members run, and follow the first version.
+    /// Starts all members, and runs until all follow the first version.
     pub(crate) fn with_first_version(voters: usize, members: usize, seed: u64) -> Simulation {
         Simulation::configured(voters, members, seed, |_| {})
     }
 
-    /// As [`Simulation::with_first_version`], and the leader has led for longer than any lease.
-    pub(crate) fn settled(voters: usize, members: usize, seed: u64) -> Simulation {
+    /// Like [`Simulation::with_first_version`], but runs on until the leader has led for longer than any
+    /// lease lasts.
+    pub(crate) fn with_stable_leader(voters: usize, members: usize, seed: u64) -> Simulation {
         let mut simulation = Simulation::with_first_version(voters, members, seed);
         simulation.run_for(3 * SECOND);
         simulation
     }
 
-    /// As [`Simulation::with_first_version`], configured before the members start.
+    /// Like [`Simulation::with_first_version`], but calls `configure` before the members start.
     pub(crate) fn configured(
         voters: usize,
         members: usize,
@@ -107,35 +111,35 @@
             (0..members)
                 .all(|member| simulation.followed_version(member).is_some_and(|version| version.number == 1))
         });
-        assert!(first_version.is_some(), "no first version in 20 s");
+        assert!(first_version.is_some(), "all members must follow the first version within 20 s");
         simulation.reports.clear();
         simulation
     }
 
-    /// What a member's clock shows.
+    /// The current reading of a member's clock.
     pub(crate) fn clock(&self, member: usize) -> Micros {
-        self.clocks[member].shows(self.now)
+        self.clocks[member].reading_at(self.now)
     }
 
-    /// From now on a member's clock is fast by so many parts per million.
+    /// Makes a member's clock fast by `ppm` parts per million from now on; slow if negative.
     pub(crate) fn set_clock_ppm(&mut self, member: usize, ppm: i64) {
-        let shown_when_set = self.clock(member);
-        self.clocks[member] = SimulatedClock { ppm, set_at: self.now, shown_when_set };
+        let reading_when_set = self.clock(member);
+        self.clocks[member] = SimulatedClock { ppm, set_at: self.now, reading_when_set };
     }
 
-    /// A member's clock has been fast by so many parts per million from the beginning.
+    /// Makes a member's clock fast by `ppm` parts per million since the start of the run; slow if negative.
     pub(crate) fn set_initial_clock_ppm(&mut self, member: usize, ppm: i64) {
         self.clocks[member].ppm = ppm;
     }
 
-    /// Starts a process, with what its disk has.
+    /// Starts a member's process with the state on its disk.
     pub(crate) fn start(&mut self, member: usize) {
-        let identity = MemberIdentity { name: name(member), generation: self.now };
+        let identity = MemberIdentity { name: member_name(member), generation: self.now };
         let disk = &self.disks[member];
         let start = if disk.is_written { StartState::Stored(disk.stored.clone()) } else { StartState::Empty };
         let seed = self.rng.u64(..);
         let node = Node::new(identity, self.settings.clone(), start, TestRules::new(4, &[]), seed);
-        let node = node.expect("settings and storage are valid");
+        let node = node.expect("the settings and the stored state are valid");
         let node = if self.skips_lease_check { node.without_lease_check() } else { node };
         self.starts[member] += 1;
         self.processes[member] = Some(Process { node, is_paused: false, queued: Vec::new() });
@@ -143,14 +147,14 @@
         self.schedule(first_tick, member, Event::Tick);
     }
 
-    /// Starts every process that does not run.
+    /// Starts every member that is not running.
     pub(crate) fn start_all(&mut self) {
         let stopped: Vec<usize> =
             (0..self.member_count()).filter(|member| self.node(*member).is_none()).collect();
         stopped.into_iter().for_each(|member| self.start(member));
     }
 
-    /// Ends a process without notice.
+    /// Ends a member's process abruptly.
     pub(crate) fn crash(&mut self, member: usize) {
         self.processes[member] = None;
         self.starts[member] += 1;
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Cuts all links between a group and the others, both ways.
+    /// Cuts all links between a group and the other members, in both directions.
     pub(crate) fn partition(&mut self, group: &[usize]) {
         self.network.partition(group, self.processes.len());
     }
@@ -188,7 +192,8 @@
             self.queue.pop();
             self.now = at;
             let Some(ScheduledEvent { member, start, event }) = self.events.remove(&number) else { continue };
-            // Messages reach whichever process listens; the other events belong to one process.
+            // A message reaches whichever process of the member is running; other events belong to one
+            // process.
             if start == self.starts[member] || matches!(event, Event::Arrival(_)) {
                 self.on_event(member, event);
             }
@@ -196,7 +201,8 @@
         self.now = end;
     }
 
-    /// Runs until the condition holds, and returns how long that took; `None` if it took longer than the span.
+    /// Runs until the condition holds, and returns how long that took; `None` if it does not hold within the
+    /// span.
     pub(crate) fn run_until(
         &mut self,
         span: Micros,
@@ -244,7 +250,7 @@
         let Some(process) = &mut self.processes[member] else { return };
         process.is_paused = false;
         let queued = std::mem::take(&mut process.queued);
-        // A burst of requests that waited, before any message is read and any timer runs.
+        // A burst of queued requests is decided before any message is read and before any timer runs.
         (0..8).for_each(|_| self.record_decisions(member));
         for message in queued {
             self.deliver(member, &message);
@@ -252,10 +258,10 @@
     }
 
     fn deliver(&mut self, member: usize, message: &Message) {
-        self.handle(member, Input::Message { from: &name(message.from), bytes: &message.bytes });
+        self.handle(member, Input::Message { from: &member_name(message.from), bytes: &message.bytes });
     }
 
-    /// Lets a member decide on every request.
+    /// Makes a member decide on every request, and records the decisions.
     fn record_decisions(&mut self, member: usize) {
         let now = self.clock(member);
         let Some(process) = &self.processes[member] else { return };
@@ -278,7 +284,7 @@
         self.handle(member, Input::Propose { base_version, rules });
     }
 
-    /// Proposes the next numbered rules, derived from the newest version that the member knows.
+    /// Proposes the next numbered rules, based on the newest version that the member knows.
     pub(crate) fn propose_next(&mut self, member: usize) {
         let Some(node) = self.node(member) else { return };
         let base_version = node.leased_rules().newest();
@@ -303,7 +309,7 @@
     }
 
     fn send(&mut self, from: usize, to: &str, bytes: Vec<u8>) {
-        let Some(to) = (0..self.member_count()).find(|&member| name(member) == to) else { return };
+        let Some(to) = (0..self.member_count()).find(|&member| member_name(member) == to) else { return };
         for copy in self.network.transmit(&mut self.rng, from, to, &bytes) {
             let arrival = Event::Arrival(Message { from, bytes: copy.bytes });
             self.schedule(self.now + copy.delay, to, arrival);
--- a/crates/consensus/tests/simulation/network.rs
+++ b/crates/consensus/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! A network that loses, delays, duplicates, corrupts and cuts.
+//! A simulated network that loses, delays, duplicates and corrupts messages, and cuts links.
 use std::collections::HashSet;
 
 use copperspread_consensus::{MILLISECOND, Micros};
@@ -7,15 +7,15 @@
 const CORRUPTED_DELAY: Micros = MILLISECOND;
 const FORMAT_VERSION: u8 = 1;
 
-/// The network's faults; none at first.
+/// The faults of the simulated network; none by default.
 pub(crate) struct Network {
     pub(crate) loss_percent: u32,
     pub(crate) duplicate_percent: u32,
-    /// Each message arrives once more, truncated or with a byte changed.
+    /// Whether each message arrives once more, truncated or with a byte changed.
     pub(crate) corrupts: bool,
-    /// A message takes 0.5 ms and up to so much more.
+    /// The maximum random delay of a message, in addition to the minimum of 0.5 ms.
     pub(crate) max_extra_delay: Micros,
-    /// From one member to another.
+    /// The links that deliver nothing, each from one member to another.
     pub(crate) cut_links: HashSet<(usize, usize)>,
 }
 
@@ -31,8 +31,8 @@
     }
 }
 
-/// A copy of a message that arrives.
-pub(super) struct Copy {
+/// A delivered copy of a message.
+pub(super) struct MessageCopy {
     pub(super) delay: Micros,
     pub(super) bytes: Vec<u8>,
 }
@@ -46,14 +46,14 @@
         }
     }
 
-    /// The copies of a message that arrive.
+    /// Returns the copies of a message that are delivered.
     pub(super) fn transmit(
         &self,
         rng: &mut fastrand::Rng,
         from: usize,
         to: usize,
         bytes: &[u8],
-    ) -> Vec<Copy> {
+    ) -> Vec<MessageCopy> {
         let mut copies = Vec::new();
         if self.corrupts && !bytes.is_empty() {
             copies.extend(corrupted(rng, bytes));
@@ -64,15 +64,18 @@
                 continue;
             }
             let delay = MIN_DELAY + rng.u64(0..self.max_extra_delay);
-            copies.push(Copy { delay, bytes: bytes.to_vec() });
+            copies.push(MessageCopy { delay, bytes: bytes.to_vec() });
         }
         copies
     }
 }
 
-/// A corrupted copy. The transport authenticates messages, and so detects corruption; what passes all the same must
-/// not stop a member. Only the form is broken here: no valid message with another content.
-fn corrupted(rng: &mut fastrand::Rng, bytes: &[u8]) -> Option<Copy> {
+/// A truncated or altered copy of a message, which cannot be parsed; `None` if the copy may still be well
+/// formed.
+///
+/// The transport authenticates messages and thereby detects corruption, but a malformed message that gets
+/// through must not stop a member. Valid messages with altered content are out of scope.
+fn corrupted(rng: &mut fastrand::Rng, bytes: &[u8]) -> Option<MessageCopy> {
     let mut corrupted = bytes.to_vec();
     let position = rng.usize(0..corrupted.len());
     if rng.bool() {
@@ -81,5 +84,5 @@
         corrupted[position] = rng.u8(..);
     }
     let is_malformed = corrupted.first() != Some(&FORMAT_VERSION) || corrupted.len() < bytes.len();
-    is_malformed.then_some(Copy { delay: CORRUPTED_DELAY, bytes: corrupted })
+    is_malformed.then_some(MessageCopy { delay: CORRUPTED_DELAY, bytes: corrupted })
 }
--- a/crates/consensus/tests/simulation/process.rs
+++ b/crates/consensus/tests/simulation/process.rs
@@ -12,7 +12,7 @@
     pub(super) queued: Vec<Message>,
 }
 
-/// A message on its way, and the number of its sender.
+/// A message in transit, with the index of its sender.
 pub(super) struct Message {
     pub(super) from: usize,
     pub(super) bytes: Vec<u8>,
@@ -27,7 +27,7 @@
 
 pub(super) struct ScheduledEvent {
     pub(super) member: usize,
-    /// Which start of the member's process it belongs to.
+    /// The number of the start of the member's process that the event belongs to.
     pub(super) start: u64,
     pub(super) event: Event,
 }
@@ -38,17 +38,17 @@
     pub(super) is_written: bool,
 }
 
-/// A clock that is fast by a rate since it was last set.
+/// A clock that has been fast by `ppm` parts per million since it was last set.
 pub(super) struct SimulatedClock {
     pub(super) ppm: i64,
     pub(super) set_at: Micros,
-    pub(super) shown_when_set: Micros,
+    pub(super) reading_when_set: Micros,
 }
 
 impl SimulatedClock {
-    pub(super) fn shows(&self, now: Micros) -> Micros {
+    pub(super) fn reading_at(&self, now: Micros) -> Micros {
         let rate = i128::from(MILLION + self.ppm);
         let elapsed = i128::from(now - self.set_at) * rate / i128::from(MILLION);
-        self.shown_when_set + elapsed as Micros
+        self.reading_when_set + elapsed as Micros
     }
 }
--- a/crates/consensus/tests/simulation/queries.rs
+++ b/crates/consensus/tests/simulation/queries.rs
@@ -11,8 +11,8 @@
     pub(crate) effect: Effect,
 }
 
-/// The members that made the reports.
-pub(crate) fn members_of(reports: &[&Report]) -> Vec<usize> {
+/// The members that made the reports, in order.
+pub(crate) fn reporting_members(reports: &[&Report]) -> Vec<usize> {
     reports.iter().map(|report| report.member).collect()
 }
 
@@ -29,7 +29,7 @@
         self.processes[member].as_ref().map(|process| &process.node)
     }
 
-    /// The version that a member follows; `None` while its rules are restricted.
+    /// The version in force that a member follows; `None` while it follows the restricted rules.
     pub(crate) fn followed_version(&self, member: usize) -> Option<Version> {
         match self.node(member)?.leased_rules().basis(self.clock(member)) {
             DecisionBasis::InForce(version) => Some(version),
@@ -41,13 +41,13 @@
         (0..self.member_count()).all(|member| self.followed_version(member) == Some(version))
     }
 
-    /// Whether all members but one follow a version.
+    /// Whether all members except one follow a version.
     pub(crate) fn others_follow(&self, excluded: usize, version: Version) -> bool {
         (0..self.member_count())
             .all(|member| member == excluded || self.followed_version(member) == Some(version))
     }
 
-    /// The leader, of the processes that are not paused.
+    /// The first running member that considers itself the leader; `None` if there is none.
     pub(crate) fn leader(&self) -> Option<usize> {
         (0..self.member_count())
             .find(|&member| self.is_running(member) && self.node(member).is_some_and(Node::is_leader))
@@ -64,16 +64,16 @@
         self.decisions.longest_conflict()
     }
 
-    /// The reports whose effect fits.
-    pub(crate) fn reports_of(&self, fits: impl Fn(&Effect) -> bool) -> Vec<&Report> {
-        self.reports.iter().filter(|report| fits(&report.effect)).collect()
+    /// The reports whose effect matches a predicate.
+    pub(crate) fn reports_of(&self, predicate: impl Fn(&Effect) -> bool) -> Vec<&Report> {
+        self.reports.iter().filter(|report| predicate(&report.effect)).collect()
     }
 
     pub(crate) fn accepted_proposals(&self) -> Vec<&Report> {
         self.reports_of(|effect| matches!(effect, Effect::ProposalAccepted { .. }))
     }
 
-    /// The last drift that a member reported of its own clock.
+    /// The last clock drift that a member reported.
     pub(crate) fn reported_drift(&self, member: usize) -> Option<ClockDrift> {
         self.reports.iter().rev().find_map(|report| match &report.effect {
             Effect::ClockDriftDetected(drift) if report.member == member => Some(*drift),
