--- a/crates/consensus/tests/simulation/rules.rs
+++ b/crates/consensus/tests/simulation/rules.rs
@@ -1,4 +1,4 @@
-//! Rules for the tests: a limit, and request classes that are closed.
+//! The rules that tests replicate: a limit on slots, and a set of closed request classes.
 use std::collections::BTreeSet;
 
 use copperspread_consensus::Rules;
@@ -9,7 +9,7 @@
 /// The largest limit of a numbered document.
 const MAX_LIMIT: u32 = 8;
 
-/// The document of the tests.
+/// The rules that the tests replicate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct TestRules {
     /// At least 1 in every version.
@@ -28,7 +28,7 @@
     }
 }
 
-/// What a decision is about.
+/// A request that a decision allows or forbids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Request {
     Slots(u32),
@@ -36,7 +36,7 @@
 }
 
 impl Request {
-    /// Every request that is answered differently by some rules.
+    /// Every request that some rules allow and others forbid.
     pub(crate) fn all() -> impl Iterator<Item = Request> {
         (1..=MAX_LIMIT).map(Request::Slots).chain((0..CLASSES).map(Request::Class))
     }
@@ -47,7 +47,7 @@
         TestRules { limit, closed_classes: closed_classes.iter().copied().collect() }
     }
 
-    /// Rules that forbid something of what any others with another number (modulo 8) allow.
+    /// Rules that forbid something that the rules of any other number (modulo 8) allow.
     pub(crate) fn numbered(number: u64) -> TestRules {
         TestRules::new(1 + (number * 5 % 8) as u32, &[(number % 8) as u8])
     }
