--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -1,12 +1,12 @@
-//! Detects that a member's clock and the leader's drift apart beyond the clock bound. Reports only a drift
-//! that the samples prove; rates are never estimated.
+//! Detects that the local clock and a remote one, such as the leader's, drift apart beyond the clock bound.
+//! Reports only a drift that the samples prove; rates are never estimated.
 use serde::{Deserialize, Serialize};
 
 use crate::settings::Settings;
 use crate::time::{Micros, SECOND};
 
-/// The duration after which the older of two reference samples is replaced with the newer one, so that a
-/// change of a clock's rate is detected and a clock that is back within the bound can be cleared.
+/// The minimum time between `oldest` and `next_oldest`, and from `next_oldest` until it replaces `oldest`, so
+/// that a change of a clock's rate is detected and a clock that is back within the bound can be cleared.
 const SAMPLE_WINDOW: Micros = 30 * SECOND;
 /// The duration that samples without a proven drift must cover before a clock counts as within the bound.
 const CLEARING_SPAN: Micros = SAMPLE_WINDOW / 6;
@@ -16,8 +16,9 @@
 /// A proven difference between the rates of two clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockDrift {
-    /// Whether this member's clock runs faster than the leader's; otherwise it runs slower. The comparison
-    /// cannot tell which of the two clocks is wrong.
+    /// Whether the local clock runs faster than the remote one; otherwise it runs slower. In the leader's
+    /// report on its own clock, the remote clocks are those of the members. The comparison cannot tell which
+    /// of the two clocks is wrong.
     pub is_fast: bool,
     /// The smallest difference that explains the samples, in parts per million.
     pub min_ppm: u64,
@@ -41,7 +42,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClockComparison {
     oldest: Option<ClockSample>,
-    /// The sample that becomes the oldest one window later.
+    /// The sample that replaces `oldest` once it is one window old.
     next_oldest: Option<ClockSample>,
     drift: Option<ClockDrift>,
 }
@@ -76,7 +77,8 @@
         match self.next_oldest {
             None if sample.sent_at - oldest.sent_at >= SAMPLE_WINDOW => self.next_oldest = Some(sample),
             Some(next) if sample.sent_at.saturating_sub(next.sent_at) >= SAMPLE_WINDOW => {
-                // A whole window without a proven drift clears an earlier one.
+                // Only the last window counts from here on: a drift that was proven earlier is cleared if
+                // this window proves none.
                 self.drift = prove_drift(settings, next, sample);
                 (self.oldest, self.next_oldest) = (Some(next), None);
             }
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -1,4 +1,4 @@
-//! The effects of a member: messages and writes that its caller carries out, and reports.
+//! The effects of a member: reports, and the messages and writes that the caller must carry out.
 use crate::clock_comparison::ClockDrift;
 use crate::storage::{StorageWrite, WriteToken};
 use crate::versioned_document::Version;
@@ -37,19 +37,22 @@
         /// The version that the proposal was committed as.
         version: Version,
     },
-    /// Reports that this version was committed and is not yet in force. From now on this member forbids what
-    /// the version forbids.
+    /// Reports the newest committed version that this member now knows. From now on this member forbids what
+    /// the version forbids; [`Effect::VersionInForce`] follows when the version takes effect, possibly at
+    /// once.
     VersionCommitted(Version),
     /// Reports that this version took effect.
     VersionInForce(Version),
-    /// Reports that the lease expired without a new grant from a leader with a quorum. This member follows
-    /// the restricted rules, and as far as it knows no version can change meanwhile.
+    /// Reports that this member no longer has a lease, because no new grant from a leader with a quorum
+    /// arrived in time or because its clock was proven to drift. Until [`Effect::LeaseRestored`] it follows
+    /// the restricted rules, and it may not learn of version changes.
     LeaseExpired,
     /// Reports that a lease holds again after [`Effect::LeaseExpired`].
     LeaseRestored,
     /// Reports that the drift between this member's clock and the leader's exceeds the clock bound. A member
-    /// with such a clock follows the restricted rules. The leader reports it of its own clock when most
-    /// members do.
+    /// that proves such a drift follows the restricted rules until [`Effect::ClockDriftCleared`]. The leader
+    /// also reports its own clock when most of the other members report a drift, and then transfers the
+    /// leadership.
     ClockDriftDetected(ClockDrift),
     /// Reports that the member's clock is within the clock bound again.
     ClockDriftCleared,
@@ -59,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum RejectionReason {
-    /// The proposal's base is not the newest version, or too many versions are pending.
+    /// The proposal's base is not the newest version. Also reported if too many versions are pending.
     StaleBase,
     /// The document exceeds [`crate::Settings::max_document_bytes`], or cannot be serialized.
     TooLarge,
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -14,7 +14,7 @@
 /// The number of appended proposals that are remembered at once; further proposals are not appended.
 const MAX_APPENDED_PROPOSALS: usize = 1_024;
 /// The number of other members that must have been heard from recently before their reports on the leader's
-/// clock count.
+/// clock count. A member of the membership list counts as heard from when it is added.
 const MIN_CLOCK_REPORTERS: usize = 2;
 
 /// An activation that was appended to the log.
@@ -87,9 +87,9 @@
         grants
     }
 
-    /// Whether to append the start of an epoch now. If so, it returns false until the lease expiry wait has
-    /// passed.
-    pub(crate) fn try_start_epoch(&mut self, now: Micros, settings: &Settings) -> bool {
+    /// Returns whether the start of an epoch must be appended now, and if so records the time: further calls
+    /// return false until the lease expiry wait has passed.
+    pub(crate) fn take_due_epoch_start(&mut self, now: Micros, settings: &Settings) -> bool {
         let is_due = is_due(self.epoch_appended_at, now, settings);
         if is_due {
             self.epoch_appended_at = Some(now);
@@ -97,9 +97,10 @@
         is_due
     }
 
-    /// Whether to append a proposal now. If so, it returns false for the same proposal until the lease expiry
-    /// wait has passed.
-    pub(crate) fn try_append_proposal(&mut self, now: Micros, id: &ProposalId, settings: &Settings) -> bool {
+    /// Returns whether a proposal must be appended now, and if so records the time: further calls for it
+    /// return false until the lease expiry wait has passed. Also false while [`MAX_APPENDED_PROPOSALS`]
+    /// proposals are remembered.
+    pub(crate) fn take_due_proposal(&mut self, now: Micros, id: &ProposalId, settings: &Settings) -> bool {
         let wait = settings.lease_expiry_wait();
         self.appended_proposals.retain(|_, appended_at| now.saturating_sub(*appended_at) < wait);
         let is_new = !self.appended_proposals.contains_key(id)
@@ -140,8 +141,9 @@
         Some(version)
     }
 
-    /// Takes the members to send an update to, with the newest version that each knows. Also removes the
-    /// members that have not been heard from recently and cannot hold a lease.
+    /// Returns the members that are due an update, each with the newest version that it has reported, and
+    /// records the sending. First adds `known_members`, and removes members that have not been heard from
+    /// recently and cannot hold a lease.
     pub(crate) fn take_members_to_update(
         &mut self,
         now: Micros,
@@ -156,7 +158,7 @@
         }
         self.members.retain(|_, member| {
             member.forget_expired_grants(now, settings);
-            member.is_relevant(now, settings)
+            member.must_be_tracked(now, settings)
         });
         let (in_force, newest) = (state.in_force(), state.newest());
         let mut outdated = Vec::new();
@@ -169,7 +171,8 @@
         outdated
     }
 
-    /// The drift of the leader's own clock if most of the other members report one, at most once per lease
+    /// The drift of the leader's own clock if most of the other members that were heard from recently report
+    /// one. At least [`MIN_CLOCK_REPORTERS`] must have been heard from; returned at most once per lease
     /// expiry wait.
     pub(crate) fn take_own_drift(&mut self, now: Micros, settings: &Settings) -> Option<ClockDrift> {
         let recent = self.members.values().filter(|member| member.is_recent(now));
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -28,7 +28,7 @@
 /// A member's lease, and the versions that may be in force as far as the member knows.
 ///
 /// While the lease holds, the version in force is one of the known versions. Only the member's
-/// [`crate::Node`] changes this type; it is cheap to clone as a snapshot for another thread.
+/// [`crate::Node`] modifies it. A clone serves as a snapshot for another thread, and is cheap.
 #[derive(Clone, Debug)]
 pub struct LeasedRules<R> {
     /// All versions from the one last known to be in force to the newest; never empty.
@@ -40,7 +40,8 @@
     lease_expires_at: Micros,
     /// Whether the clock is proven to drift beyond the clock bound, so that the expiry time is not reliable.
     is_clock_suspect: bool,
-    /// False only in tests that show that their checker detects the missing check.
+    /// False only in tests that show that their search for conflicting decisions detects the missing lease
+    /// check.
     checks_lease: bool,
 }
 
@@ -73,7 +74,8 @@
         }
     }
 
-    /// The basis of [`LeasedRules::effective_rules`] at the time `now`, for event logs and test checkers.
+    /// The basis of [`LeasedRules::effective_rules`] at the time `now`, for event logs and for tests that
+    /// search for conflicts.
     pub fn basis(&self, now: Micros) -> DecisionBasis {
         let has_lease = self.has_lease(now) || !self.checks_lease;
         if has_lease && self.versions.len() == 1 {
@@ -99,8 +101,8 @@
 
     /// Applies the leader's versions, from the one in force to the newest, and the documents of some of them.
     ///
-    /// Returns whether all of the versions are known now. If a document is missing or damaged, nothing
-    /// changes, and no lease may be based on this update.
+    /// Returns whether all of the versions that are not older than the version in force here are known now.
+    /// If a document is missing or damaged, nothing changes, and no lease may be based on this update.
     pub(crate) fn apply_update(&mut self, versions: &[Version], documents: &[VersionedDocument]) -> bool {
         let (Some(&first), Some(&last)) = (versions.first(), versions.last()) else { return false };
         if self.is_outdated(first, last) {
@@ -149,7 +151,8 @@
         self.is_clock_suspect = is_suspect;
     }
 
-    /// Disables the lease check, so that a test can show that its checker detects the missing check.
+    /// Disables the lease check, so that a test can show that its search for conflicting decisions detects
+    /// the missing lease check.
     pub(crate) fn disable_lease_check(&mut self) {
         self.checks_lease = false;
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,7 +1,8 @@
 //! Replicates one versioned document of rules among the schedulers, by consensus (Raft) and leases.
 //!
-//! The crate does no I/O and reads no clock. Its caller passes in the time, received messages and a random
-//! seed, and carries out the messages and storage writes that the crate returns.
+//! Each scheduler is a member: a voter or a non-voter. The crate does no I/O and reads no clock. Its caller
+//! passes in the time, received messages and a random seed, and carries out the messages and storage writes
+//! that the crate returns.
 //!
 //! ```text
 //!  Propose ──► Node::handle ──► Raft among the voters ──► ReplicatedState: versions committed, then in force
@@ -15,8 +16,8 @@
 //! 2. A committed version takes effect once each member either has reported that it knows the version, or can
 //!    no longer hold a lease that was granted without it ([`Settings::lease_expiry_wait`]).
 //! 3. Each decision calls [`LeasedRules::effective_rules`] with the current time. While the lease holds and
-//!    one version is known, it gets the version in force; otherwise it gets the restricted rules, which allow
-//!    only what all versions that may be in force allow.
+//!    only one version is known, the call returns the rules of that version, which is in force; otherwise it
+//!    returns the restricted rules, which allow only what all versions that may be in force allow.
 //!
 //! The crate does not interpret the rules; it only combines documents through the [`Rules`] trait.
 #![forbid(unsafe_code)]
--- a/crates/consensus/src/member_progress.rs
+++ b/crates/consensus/src/member_progress.rs
@@ -7,7 +7,8 @@
 use crate::time::{Micros, SECOND};
 use crate::versioned_document::Version;
 
-/// Only members that were heard from within this window are sent updates and counted in clock comparisons.
+/// Only members that were heard from within this window are sent updates and counted in clock comparisons. A
+/// member of the membership list counts as heard from when it is added.
 const RECENT_WINDOW: Micros = 5 * SECOND;
 
 /// One member's progress during one leader's term.
@@ -52,8 +53,8 @@
         self.granted_at.retain(|_, granted_at| may_be_leased(now, *granted_at, settings));
     }
 
-    /// Whether the member knows the version, or every lease that it was granted before that version has
-    /// expired.
+    /// Whether the member knows the version, or every lease that was granted to it while an older version was
+    /// the newest has expired.
     pub(crate) fn allows_activation(&self, version: Version, now: Micros, settings: &Settings) -> bool {
         let mut earlier = self.granted_at.iter().filter(|(newest, _)| **newest < version);
         self.newest >= version || !earlier.any(|(_, granted_at)| may_be_leased(now, *granted_at, settings))
@@ -64,9 +65,10 @@
     }
 
     /// Whether the leader must still track the member: it was heard from recently, or may hold a lease.
-    pub(crate) fn is_relevant(&self, now: Micros, settings: &Settings) -> bool {
-        let is_heard = now.saturating_sub(self.last_heard) < RECENT_WINDOW.max(settings.lease_expiry_wait());
-        is_heard || !self.granted_at.is_empty()
+    pub(crate) fn must_be_tracked(&self, now: Micros, settings: &Settings) -> bool {
+        let is_heard_from =
+            now.saturating_sub(self.last_heard) < RECENT_WINDOW.max(settings.lease_expiry_wait());
+        is_heard_from || !self.granted_at.is_empty()
     }
 
     /// Whether to send the member an update to these versions now, at most twice per maximum round trip.
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -62,7 +62,8 @@
 }
 
 impl<R: Rules> Node<R> {
-    /// Creates a member that knows only the rules of its own configuration and holds no lease.
+    /// Creates a member without a lease, which follows the rules of its own configuration, restricted, until
+    /// the first grant.
     ///
     /// `seed` determines all its random numbers, and must differ for each start of each process: it also
     /// determines the session number, by which responses to an earlier process are recognized.
@@ -113,8 +114,8 @@
         })
     }
 
-    /// Disables the lease check in decisions, so that a test can show that its checker detects the missing
-    /// check.
+    /// Disables the lease check in decisions, so that a test can show that its search for conflicting
+    /// decisions detects the missing lease check.
     #[doc(hidden)]
     pub fn without_lease_check(mut self) -> Node<R> {
         self.leased_rules.disable_lease_check();
@@ -162,8 +163,8 @@
     fn tick(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.report_lease_expiry(now, effects);
         if now >= self.next_tick_at {
-            // A late timer counts as one tick: after a pause, the waiting messages are handled before the
-            // missed time can start an election.
+            // A late timer counts as a single tick, so that the duration of a pause cannot start an election
+            // before the waiting messages have been handled.
             self.next_tick_at = now.saturating_add(self.settings.tick_interval);
             match &mut self.role {
                 Role::Voting(voter) => voter.tick(),
@@ -190,8 +191,8 @@
             let has_output = voter.drain(&mut output);
             let leader_term = voter.leader_term();
             if self.leader.as_ref().map(LeaderState::term) != leader_term {
-                // Leases of earlier leaders were requested before now; they expire within one lease expiry
-                // wait.
+                // `now` becomes the start of the wait in `LeaderState::next_activation`: leases of earlier
+                // leaders were requested before now, so they expire within one lease expiry wait.
                 self.leader = leader_term.map(|term| LeaderState::new(term, now));
             }
             self.apply_output(output, effects);
--- a/crates/consensus/src/node/leader_duties.rs
+++ b/crates/consensus/src/node/leader_duties.rs
@@ -40,15 +40,15 @@
     /// The command that starts the first epoch with this member's own rules, if it is due.
     fn first_epoch_command(&mut self, now: Micros) -> Option<Command> {
         let leader = self.leader.as_mut()?;
-        leader.try_start_epoch(now, &self.settings).then(|| Command::StartEpoch {
+        leader.take_due_epoch_start(now, &self.settings).then(|| Command::StartEpoch {
             epoch: self.max_generation.max(1),
             bytes: self.initial_rules.clone(),
         })
     }
 
-    /// The command that starts an epoch later than that of any member, if a member reports an epoch later
-    /// than the leader's. Such an epoch is from before all voters lost their storage; its number came from a
-    /// clock that was ahead.
+    /// The command that starts the epoch after one that a member reports, if the reported epoch is later than
+    /// the leader's. The reported epoch is from before all voters lost their storage; its number came from a
+    /// generation that was read from a clock that was ahead.
     fn epoch_command_after_lost_storage(
         &mut self,
         now: Micros,
@@ -58,7 +58,9 @@
         let (_, lease) = grants.iter().find(|(_, lease)| lease.newest.epoch > newest_epoch)?;
         let epoch = lease.newest.epoch.saturating_add(1);
         let leader = self.leader.as_mut()?;
-        leader.try_start_epoch(now, &self.settings).then(|| Command::StartEpoch { epoch, bytes: Vec::new() })
+        leader
+            .take_due_epoch_start(now, &self.settings)
+            .then(|| Command::StartEpoch { epoch, bytes: Vec::new() })
     }
 
     fn grant_leases(
--- a/crates/consensus/src/node/lease_client.rs
+++ b/crates/consensus/src/node/lease_client.rs
@@ -57,7 +57,7 @@
 }
 
 impl<R: Rules> Node<R> {
-    /// Reports once for each change that the lease has expired or holds again.
+    /// Reports that the lease has expired or holds again, once for each change.
     pub(super) fn report_lease_expiry(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let is_reported = self.lease.is_expiry_reported;
         let had_lease = self.leased_rules.newest() > Version::default() || is_reported;
@@ -96,8 +96,8 @@
         self.send_to_voter(self.lease.target_voter, Packet::LeaseRequest(request), effects);
     }
 
-    /// Handles a lease request: the leader adds it to the next quorum read, another voter responds with the
-    /// leader that it knows.
+    /// Handles a lease request. The leader adds it to the next quorum read; another voter responds with the
+    /// ID of the leader, if it knows one.
     pub(super) fn on_lease_request(
         &mut self,
         now: Micros,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Accepts a lease, which begins at the time when it was requested.
+    /// Handles a lease grant. An accepted lease begins at the time when it was requested.
     pub(super) fn on_lease_grant(
         &mut self,
         now: Micros,
@@ -206,7 +206,8 @@
         }
     }
 
-    /// Applies the leader's versions and reports changes; returns whether all of the versions are known now.
+    /// Applies the leader's versions and reports changes; returns whether all of the versions that are not
+    /// older than the version in force here are known now.
     fn apply_update(&mut self, update: &VersionUpdate, effects: &mut Vec<Effect>) -> bool {
         let (in_force, newest) = (self.leased_rules.in_force(), self.leased_rules.newest());
         let is_known = self.leased_rules.apply_update(&update.versions, &update.documents);
--- a/crates/consensus/src/node/proposals.rs
+++ b/crates/consensus/src/node/proposals.rs
@@ -108,7 +108,7 @@
         if let Some(outcome) = self.state.outcome(&id) {
             self.send_to_member(from, Packet::ProposalResult { id, outcome }, effects);
         } else if bytes.len() <= self.settings.max_document_bytes
-            && leader.try_append_proposal(now, &id, &self.settings)
+            && leader.take_due_proposal(now, &id, &self.settings)
         {
             self.append_command(&Command::Propose { id, base_version, bytes });
         }
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -42,8 +42,8 @@
     }
 
     /// Handles a rejoin request. The leader appends an entry, which is thereby later than the request, and
-    /// responds with a snapshot once it has applied that entry. A voter that rejoins itself responds that it
-    /// has no state.
+    /// responds with a snapshot once it has applied that entry. A voter that is also rejoining responds that
+    /// it has no state.
     pub(super) fn on_rejoin_request(
         &mut self,
         voter_id: VoterId,
@@ -108,7 +108,8 @@
             .map_or_else(|| Ok(ReplicatedState::default()), |snapshot| postcard::from_bytes(&snapshot.state));
         let seed = self.rng.u64(..);
         let voter = RaftVoter::new(voter_id, &self.settings, stored, seed, self.last_token);
-        // Both were validated before they were stored, so neither fails here.
+        // The snapshot was checked before it was stored, so neither is expected to fail. If one does, the
+        // member keeps the role that the caller has set.
         if let (Ok(state), Ok(voter)) = (state, voter) {
             self.state = state;
             self.role = Role::Voting(Box::new(voter));
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -45,7 +45,8 @@
             }
             Role::Installing { token: awaited, stored } if *awaited <= token => {
                 let stored = std::mem::take(stored);
-                // If the state cannot be loaded after all, this member keeps this role and does not vote.
+                // `finish_install` sets the role to voting. If it cannot load the state, the member remains a
+                // non-voter.
                 self.role = Role::NonVoter;
                 self.finish_install(&stored);
             }
@@ -61,7 +62,7 @@
         self.send_to_voters(output.messages, effects);
         if let Some(Snapshot { state, .. }) = output.installed_snapshot {
             // Deserialization is not expected to fail: the leader serialized the state that it had applied
-            // itself.
+            // itself. A failure would leave an empty state.
             self.state = postcard::from_bytes(&state).unwrap_or_default();
         }
         for entry in output.committed_entries {
@@ -109,8 +110,8 @@
         let Some(leader) = &self.leader else { return };
         match origin {
             Some(CommandOrigin::Proposal(id)) => self.send_proposal_result(id, effects),
-            // Only for an entry of the current term: a quorum without the rejoining voter has then accepted
-            // it from this leader.
+            // Responds only if the entry is of the leader's own term: a quorum that excludes the rejoining
+            // voter has then accepted the entry from this leader.
             Some(CommandOrigin::RejoiningVoter { voter_id, nonce }) if leader.term() == entry.term => {
                 self.send_rejoin_snapshot(voter_id, nonce, entry, effects);
             }
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -11,7 +11,8 @@
 use crate::voter_id::VoterId;
 
 const PACKET_FORMAT_VERSION: u8 = 1;
-/// The size limit of a message in bytes, which leaves room for a snapshot of nine documents of 1 MiB.
+/// The size limit of a message in bytes, which leaves room for a snapshot of nine documents of 1 MiB: the one
+/// in force and eight pending ones.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
 /// The versions that are committed and applied at the leader.
@@ -36,8 +37,8 @@
     pub(crate) drift: Option<ClockDrift>,
 }
 
-/// The grant of a lease by the leader, sent after a quorum has confirmed, since the request arrived, that it
-/// still leads.
+/// The grant of a lease by the leader, sent once a quorum has confirmed, after the request arrived, that the
+/// leader still leads.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseGrant {
     pub(crate) session: u64,
@@ -66,7 +67,8 @@
     LeaseGrant(LeaseGrant),
     /// An update of the committed versions that grants no lease.
     VersionUpdate(VersionUpdate),
-    /// The response of a voter that does not lead to a lease request: the leader that it knows of.
+    /// The response to a lease request by a voter that is not the leader: the leader, as far as that voter
+    /// knows.
     LeaderHint {
         session: u64,
         leader_id: VoterId,
@@ -76,12 +78,12 @@
         id: ProposalId,
         outcome: ProposalOutcome,
     },
-    /// The request of a voter without stored state for the current state.
+    /// A rejoin request: a voter without stored state asks the other voters for the current state.
     RejoinRequest {
         nonce: u64,
         generation: u64,
     },
-    /// The response to a rejoin request of a voter that has no stored state either.
+    /// The response to a rejoin request, sent by a voter that has no stored state either.
     RejoinEmpty {
         nonce: u64,
         generation: u64,
--- a/crates/consensus/src/quorum_reads.rs
+++ b/crates/consensus/src/quorum_reads.rs
@@ -1,4 +1,5 @@
-//! The quorum reads of a leader, by which a quorum confirms that it still leads before it grants leases.
+//! The quorum reads of a leader: before the leader grants leases, a quorum confirms that it is still the
+//! leader.
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::settings::Settings;
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -72,9 +72,11 @@
 
     /// Passes a tick to Raft, or skips it to randomize the election timeout.
     ///
-    /// The random election timeout of the crate `raft` cannot be seeded, so it is configured to the
-    /// single value [`ELECTION_TICKS`]. Instead, the last tick before an election is skipped a number of
-    /// times drawn from this voter's seeded generator. The voter already grants its vote to others by then.
+    /// The random election timeout of the crate `raft` cannot be seeded, so it is configured to the single
+    /// value [`ELECTION_TICKS`]. Instead, the last tick before an election is skipped 0 to [`ELECTION_TICKS`]
+    /// times, drawn from this voter's seeded generator. This delays only the voter's own election:
+    /// `election_tick` ticks after the last heartbeat (see [`raft_config`]), it already grants its vote to
+    /// others.
     pub(crate) fn tick(&mut self) {
         let raft = &self.raft.raft;
         let is_before_election =
@@ -130,8 +132,8 @@
     /// Appends a command to the log if this voter leads.
     pub(crate) fn propose(&mut self, data: Vec<u8>) {
         if self.leader_term().is_some() {
-            // An error means that the limit on uncommitted bytes is reached; the origin of the command
-            // retries.
+            // An error means that the command was dropped, because the limit on uncommitted bytes is reached
+            // or a leadership transfer is in progress. The member that issued the command tries again later.
             let _ = self.raft.propose(Vec::new(), data);
         }
     }
@@ -182,6 +184,7 @@
 fn raft_config(voter_id: VoterId, applied_index: u64) -> Config {
     Config {
         id: voter_id.get(),
+        // The time after a heartbeat for which a voter refuses its vote; shorter than the earliest election.
         election_tick: ELECTION_TICKS - HEARTBEAT_TICKS,
         heartbeat_tick: HEARTBEAT_TICKS,
         applied: applied_index,
--- a/crates/consensus/src/raft_voter/output.rs
+++ b/crates/consensus/src/raft_voter/output.rs
@@ -20,7 +20,7 @@
 }
 
 /// A quorum's confirmation that this voter led when it started the read. Once the log is applied up to
-/// `index`, the state includes everything committed by then.
+/// `index`, the state includes everything that was committed when the read started.
 pub(crate) struct ConfirmedRead {
     pub(crate) read_id: u64,
     pub(crate) index: u64,
@@ -111,8 +111,8 @@
         is_changed.then_some(vote)
     }
 
-    /// Finishes a `Ready`. Its persisted messages are delayed until its write and all earlier writes are
-    /// durable.
+    /// Finishes a `Ready` of the crate `raft`. The messages that must wait for its write are delayed until
+    /// that write and all earlier ones are durable.
     fn advance(&mut self, mut ready: Ready, write: StorageWrite, output: &mut VoterOutput) {
         let messages = ready.take_persisted_messages();
         let ready_number = ready.number();
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -23,10 +23,11 @@
     /// The duration of a lease, counted from when the member sent the request. At least 4 times
     /// [`Settings::max_round_trip`], and at most an hour.
     pub lease_duration: Micros,
-    /// The clock bound: a duration measured by one member's clock may differ from the true one by this many
-    /// parts per million. At most 100,000.
+    /// The clock bound in parts per million, at most 100,000. A duration by a member's clock, divided by the
+    /// true duration, is between 1 / (1 + d) and 1 + d, where d is this setting / 1,000,000.
     pub max_drift_ppm: u32,
-    /// The longest accepted time from a lease request to its grant; a later grant is ignored. At least twice
+    /// The longest accepted time from sending a lease request to receiving its grant, by the member's clock;
+    /// a later grant is ignored. An unanswered message is sent again after this time. At least twice
     /// [`Settings::tick_interval`].
     pub max_round_trip: Micros,
     /// The interval between two Raft ticks, at which [`crate::Input::Tick`] is expected. Greater than 0.
@@ -35,7 +36,8 @@
     pub max_document_bytes: usize,
     /// The limit on versions that are committed and not yet in force, from 1 to 8.
     pub max_pending_versions: usize,
-    /// The number of applied entries at which the log is compacted into a snapshot. At least 8.
+    /// The number of entries applied since the last snapshot at which the log is compacted into a new one. At
+    /// least 8.
     pub max_log_entries: u64,
 }
 
@@ -132,14 +134,16 @@
         if distinct.len() == self.voters.len() { Ok(()) } else { Err(SettingsError::DuplicateVoter) }
     }
 
-    /// The staleness bound in microseconds: how long after a newer version takes effect a member may still
-    /// act on an older one, `lease_duration * (1 + drift) + max_round_trip`.
+    /// The staleness bound in microseconds: no member acts on an older version later than this after a newer
+    /// one took effect, even if the leader's clock exceeds the clock bound. It is
+    /// `lease_duration * (1 + drift) + max_round_trip`, where `drift` is `max_drift_ppm` / 1,000,000.
     pub fn staleness_bound(&self) -> Micros {
         self.stretch_by_drift(self.lease_duration).saturating_add(self.max_round_trip)
     }
 
-    /// The time in microseconds, by the leader's clock, after which a lease has expired by every clock within
-    /// the clock bound, `lease_duration * (1 + drift)^2`.
+    /// The time in microseconds from the grant of a lease, by the leader's clock, after which the lease has
+    /// expired by every clock within the clock bound. It is `lease_duration * (1 + drift)^2`, where `drift`
+    /// is `max_drift_ppm` / 1,000,000.
     pub fn lease_expiry_wait(&self) -> Micros {
         self.stretch_by_drift(self.stretch_by_drift(self.lease_duration))
     }
--- a/crates/consensus/src/start.rs
+++ b/crates/consensus/src/start.rs
@@ -16,14 +16,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartState {
     /// No stored state: either this is the first start, or the storage was lost; a voter cannot tell which.
-    /// The voter does not vote until it has received state that was committed after its start, or until all
-    /// other voters report that they have no stored state either.
+    /// The voter does not vote until it has stored a state that was committed after its start, or until all
+    /// other voters report that they have no stored state either and all earlier leases have expired.
     Empty,
     /// The state after all writes that were confirmed by [`crate::Input::Persisted`].
     Stored(StoredState),
 }
 
-/// An error that prevents a member from starting.
+/// An error that prevents a member from starting. Each message begins with what is invalid: `name`, `rules`,
+/// `storage`, or a field of [`crate::Settings`].
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
@@ -39,8 +40,8 @@
     /// The serialized initial rules exceed [`crate::Settings::max_document_bytes`].
     #[error("rules: serialized size exceeds max_document_bytes")]
     RulesTooLarge,
-    /// The stored log has a gap, or an entry whose term is later than the stored term.
-    #[error("storage: the log has a gap or an entry of an unknown term")]
+    /// The stored log has a gap, or an entry whose term is 0 or later than the stored term.
+    #[error("storage: the log has a gap, or an entry whose term is 0 or later than the stored term")]
     InconsistentLog,
     /// The stored snapshot cannot be deserialized.
     #[error("storage: the snapshot cannot be deserialized")]
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -5,7 +5,7 @@
 /// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// The term of the leader that appended it.
+    /// The term of the leader that appended the entry.
     pub term: u64,
     /// The entry's position in the log, from 1.
     pub index: u64,
@@ -16,9 +16,9 @@
 /// The newest term that a voter knows, and its vote in that term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermVote {
-    /// The newest term that it knows.
+    /// The newest term that the voter knows.
     pub term: u64,
-    /// The ID of the voter that it voted for in that term, from 1; 0 if it has not voted.
+    /// The ID, from 1, of the voter that received this voter's vote in that term; 0 if it has not voted.
     pub voted_for: u64,
 }
 
@@ -54,7 +54,7 @@
     /// A snapshot that replaces the entries up to its index, or all entries if [`Snapshot::replaces_log`] is
     /// set.
     pub snapshot: Option<Snapshot>,
-    /// Entries that replace all stored entries from the first one's index on.
+    /// New entries, which replace all stored entries from the index of the first new entry on.
     pub entries: Vec<LogEntry>,
     /// The new term and vote, if they changed.
     pub vote: Option<TermVote>,
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Whether the entries continue the snapshot without a gap, and none has a term later than the stored
-    /// one. False after a torn write.
+    /// Whether the entries continue the snapshot without a gap, and the term of each is between 1 and the
+    /// term in [`StoredState::vote`]. False after a torn write.
     pub fn is_consistent(&self) -> bool {
         let mut next_index = self.snapshot.as_ref().map_or(1, |snapshot| snapshot.index.saturating_add(1));
         self.entries.iter().all(|entry| {
--- a/crates/consensus/src/voter_id.rs
+++ b/crates/consensus/src/voter_id.rs
@@ -12,7 +12,7 @@
         VoterId(number)
     }
 
-    /// Converts an ID of the crate `raft`; `None` for 0, which means no voter there.
+    /// Converts an ID of the crate `raft`, in which 0 means no voter; `None` for 0.
     pub(crate) fn from_raft(number: u64) -> Option<VoterId> {
         (number != 0).then_some(VoterId(number))
     }
--- a/crates/consensus/tests/clocks.rs
+++ b/crates/consensus/tests/clocks.rs
@@ -6,6 +6,7 @@
 
 #[test]
 fn a_clock_1_percent_fast_or_slow_is_within_the_bound_and_no_drift_is_reported() {
+    // The slowest clock within the bound of 1 % has 1 / 1.01 of the true rate, which is about -9,901 ppm.
     for ppm in [10_000, -9_900] {
         for member in [0, 1, 4] {
             let configure = |simulation: &mut Simulation| simulation.set_initial_clock_ppm(member, ppm);
@@ -39,7 +40,7 @@
         }
         assert!(
             (0..4).all(|member| simulation.reported_drift(member).is_none()),
-            "only member 4 must report a drift"
+            "no member except 4 may report a drift"
         );
         simulation.set_clock_ppm(4, 0);
         simulation
--- a/crates/consensus/tests/components.rs
+++ b/crates/consensus/tests/components.rs
@@ -87,6 +87,7 @@
         }
         Ok(())
     };
+    // The slowest clock within the bound of 1 % has 1 / 1.01 of the true rate, which is about -9,901 ppm.
     let within_bound = -9_900i64..=10_000;
     runner(64)
         .run(&(within_bound.clone(), within_bound, delays), check)
--- a/crates/consensus/tests/faults.rs
+++ b/crates/consensus/tests/faults.rs
@@ -13,8 +13,11 @@
         let next = next_version(simulation.newest_in_force());
         simulation.propose_next(members - 1);
         let elapsed = simulation.run_until(5 * SECOND, |simulation| simulation.all_follow(next));
-        let elapsed = elapsed.expect("a new version in 5 s");
-        assert!(elapsed < SECOND / 2, "{voters} of {members}: {elapsed} us");
+        let elapsed = elapsed.expect("all members follow the new version within 5 s");
+        assert!(
+            elapsed < SECOND / 2,
+            "with {voters} voters and {members} members the new version took {elapsed} us"
+        );
         assert_eq!(simulation.longest_conflict(), 0);
     }
 }
@@ -25,8 +28,8 @@
     let next = next_version(simulation.newest_in_force());
     simulation.propose_next(100);
     let elapsed = simulation.run_until(5 * SECOND, |simulation| simulation.all_follow(next));
-    let elapsed = elapsed.expect("a new version in 5 s");
-    assert!(elapsed < SECOND, "{elapsed} us");
+    let elapsed = elapsed.expect("all members follow the new version within 5 s");
+    assert!(elapsed < SECOND, "the new version took {elapsed} us");
     assert_eq!(simulation.longest_conflict(), 0);
 }
 
@@ -106,7 +109,7 @@
     assert_eq!(simulation.newest_in_force(), first);
     let expired = reporting_members(&simulation.reports_of(|effect| *effect == Effect::LeaseExpired));
     for member in 2..6 {
-        assert!(expired.contains(&member), "m{member}");
+        assert!(expired.contains(&member), "m{member} must report that its lease expired");
         let clock = simulation.clock(member);
         let node = simulation.node(member).expect("the member is running");
         let restricted = TestRules::new(1, &[0, 1, 2, 3, 4, 5, 6, 7]);
@@ -200,7 +203,7 @@
     let third = next_version(second);
     simulation.crash(1);
     simulation.run_for(SECOND);
-    // Only one other voter runs; a voter that has lost its state must not complete its quorum.
+    // Only one other voter runs; a voter that has lost its state must not form a quorum with it.
     simulation.crash(0);
     simulation.erase_disk(1);
     simulation.start(1);
--- a/crates/consensus/tests/lease_model.rs
+++ b/crates/consensus/tests/lease_model.rs
@@ -10,7 +10,8 @@
 
 const LEASE_TICKS: u8 = 1;
 const STRETCHED_LEASE_TICKS: u8 = 2;
-/// The maximum age in ticks at which a message is delivered.
+/// The maximum age in ticks of a delivered message. Models `max_round_trip`, because a grant takes over the
+/// age of its request.
 const MAX_MESSAGE_AGE: u8 = 1;
 /// The staleness bound in ticks: the stretched lease and the maximum message age.
 const STALENESS_BOUND: u8 = STRETCHED_LEASE_TICKS + MAX_MESSAGE_AGE;
@@ -45,7 +46,7 @@
     }
 }
 
-/// The session and newest version of a member that the leader knows.
+/// What the leader knows of a member: its session and its newest version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Progress {
     session: u8,
@@ -63,7 +64,9 @@
     had_lease_at_last_check: bool,
     is_paused: bool,
     progress: Progress,
-    /// The ticks since the last grant with each version as the newest, which the leader tracks.
+    /// For each version, the ticks since the leader last granted this member a lease with that version as the
+    /// newest; `NEVER` if it did not, or more than `wait_ticks` ago. Always `NEVER` for the last version, see
+    /// `normalize`.
     ticks_since_grant: [u8; VERSIONS],
 }
 
@@ -77,7 +80,7 @@
     elections: u8,
     crashes: u8,
     messages: BTreeSet<Message>,
-    /// The ticks since any member first followed each version.
+    /// For each version, the ticks since a member first followed it; `NEVER` if none has.
     ticks_since_followed: [u8; VERSIONS],
 }
 
@@ -212,8 +215,8 @@
             Member { session: session + 1, progress, ticks_since_grant, ..Member::default() };
     }
 
-    /// Resets values that no rule reads, which reduces the number of states, and records the versions that
-    /// members follow.
+    /// Resets values that no action or property reads, which reduces the number of states, and records the
+    /// versions that members follow.
     fn normalize(&self, group: &mut Group) {
         for member in &mut group.members {
             member.had_lease_at_last_check &= !self.checks_lease;
@@ -308,8 +311,8 @@
 }
 
 const NO_CONFLICT: &str = "no two members follow different versions";
-const NO_CONFLICT_BEYOND_BOUND: &str = "none follows an older version after the staleness bound";
-const ALL_FOLLOW_LAST: &str = "all follow the last version";
+const NO_CONFLICT_BEYOND_BOUND: &str = "no member follows an older version after the staleness bound";
+const ALL_FOLLOW_LAST: &str = "all members follow the last version";
 
 /// Explores all states; returns their number and the properties for which an example or counterexample was
 /// found.
--- a/crates/consensus/tests/proposals.rs
+++ b/crates/consensus/tests/proposals.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_proposal_that_is_too_large_over_the_limit_or_on_a_stale_base_is_rejected_at_once_without_effect() {
+fn a_proposal_on_a_stale_base_over_the_pending_limit_or_too_large_is_rejected_at_once_without_effect() {
     let mut simulation = Simulation::with_stable_leader(3, 4, 11);
     let first = simulation.newest_in_force();
     simulation.propose(3, Version::default(), TestRules::new(2, &[]));
--- a/crates/consensus/tests/random_faults.rs
+++ b/crates/consensus/tests/random_faults.rs
@@ -35,6 +35,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let voters = [3, 5, 7][seed as usize % 3];
     let members = voters + rng.usize(0..=9 - voters);
+    // The slowest clock within the bound of 1 % has 1 / 1.01 of the true rate, which is about -9,901 ppm.
     let clocks: Vec<i64> = (0..members).map(|_| rng.i64(-9_900..=10_000)).collect();
     let mut simulation = Simulation::configured(voters, members, seed, |simulation| {
         for (member, ppm) in clocks.into_iter().enumerate() {
--- a/crates/consensus/tests/recording/mod.rs
+++ b/crates/consensus/tests/recording/mod.rs
@@ -29,8 +29,8 @@
 
 struct ScheduledEvent {
     member: usize,
-    /// The number of the start of the member's process that the event belongs to.
-    start: u64,
+    /// The number of the member's process that the event belongs to.
+    process_number: u64,
     event: Event,
 }
 
@@ -52,9 +52,9 @@
     now: Micros,
     settings: Settings,
     nodes: Vec<Option<Node<TestRules>>>,
-    /// The number of starts and stops of each member, by which events of an earlier process are recognized
-    /// and dropped.
-    starts: Vec<u64>,
+    /// A number for each member that changes with each start and stop of its process, by which events of an
+    /// earlier process are recognized and dropped.
+    process_numbers: Vec<u64>,
     fast_clock: Option<FastClock>,
     /// The scheduled events by their time, then by their number.
     events: BTreeMap<(Micros, u64), ScheduledEvent>,
@@ -77,7 +77,7 @@
             now: SECOND,
             settings: Settings { voters, max_log_entries: 8, ..Settings::default() },
             nodes: (0..MEMBERS).map(|_| None).collect(),
-            starts: vec![0; MEMBERS],
+            process_numbers: vec![0; MEMBERS],
             fast_clock: None,
             events: BTreeMap::new(),
             last_event: 0,
@@ -85,9 +85,9 @@
     }
 
     pub(crate) fn start(&mut self, member: usize, start: StartState) {
-        self.starts[member] += 1;
-        let identity = MemberIdentity { name: member_name(member), generation: self.starts[member] };
-        let seed = 10 * self.starts[member] + member as u64;
+        self.process_numbers[member] += 1;
+        let identity = MemberIdentity { name: member_name(member), generation: self.process_numbers[member] };
+        let seed = 10 * self.process_numbers[member] + member as u64;
         let node = Node::new(identity, self.settings.clone(), start, TestRules::new(4, &[]), seed);
         self.nodes[member] = Some(node.expect("the settings and the stored state are valid"));
         let others: Vec<String> = (0..MEMBERS).filter(|&other| other != member).map(member_name).collect();
@@ -96,7 +96,7 @@
     }
 
     pub(crate) fn stop(&mut self, member: usize) {
-        self.starts[member] += 1;
+        self.process_numbers[member] += 1;
         self.nodes[member] = None;
     }
 
@@ -107,7 +107,7 @@
 
     fn schedule(&mut self, delay: Micros, member: usize, event: Event) {
         self.last_event += 1;
-        let scheduled = ScheduledEvent { member, start: self.starts[member], event };
+        let scheduled = ScheduledEvent { member, process_number: self.process_numbers[member], event };
         self.events.insert((self.now + delay, self.last_event), scheduled);
     }
 
@@ -154,9 +154,9 @@
             && at <= end
         {
             self.now = at;
-            let (_, ScheduledEvent { member, start, event }) =
+            let (_, ScheduledEvent { member, process_number, event }) =
                 self.events.pop_first().expect("an event is scheduled");
-            if start == self.starts[member] {
+            if process_number == self.process_numbers[member] {
                 self.on_event(member, event);
             }
         }
@@ -183,7 +183,7 @@
         self.handle(member, Input::Propose { base_version, rules });
     }
 
-    /// Proposes rules at a member and runs until they are committed.
+    /// Proposes rules at a member, runs for a second, and asserts that they are committed.
     pub(crate) fn change_rules(&mut self, member: usize, limit: u32) {
         let base_version = self.newest(member);
         self.propose(member, base_version, TestRules::new(limit, &[3]));
--- a/crates/consensus/tests/simulation/decisions.rs
+++ b/crates/consensus/tests/simulation/decisions.rs
@@ -41,7 +41,8 @@
     }
 
     /// The duration of the longest conflict between two decisions, in microseconds: from the first decision
-    /// by the newer version to the last decision by the older one; 0 if there is no conflict.
+    /// by the newer version to the last decision by the older one, plus 1 us so that a conflict within one
+    /// instant counts; 0 if there is no conflict.
     ///
     /// # Panics
     /// Panics if two decisions on the same request by the same version in force differ.
--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The network loses, delays, duplicates and corrupts messages, and can be partitioned. Each member has its
 //! own clock and a disk whose writes take time; its process can pause, crash and restart.
-#![allow(dead_code, reason = "each test binary uses some of it")]
+#![allow(dead_code, reason = "each test binary uses only a part of this module")]
 mod decisions;
 mod network;
 mod process;
@@ -39,8 +39,9 @@
     events: BTreeMap<u64, ScheduledEvent>,
     last_event: u64,
     processes: Vec<Option<Process>>,
-    /// The number of starts and crashes of each member, by which events of an earlier process are recognized.
-    starts: Vec<u64>,
+    /// A number for each member that changes with each start and crash of its process, by which events of an
+    /// earlier process are recognized.
+    process_numbers: Vec<u64>,
     disks: Vec<Disk>,
     clocks: Vec<SimulatedClock>,
     decisions: DecisionLog,
@@ -75,7 +76,7 @@
             events: BTreeMap::new(),
             last_event: 0,
             processes: (0..members).map(|_| None).collect(),
-            starts: vec![0; members],
+            process_numbers: vec![0; members],
             disks: vec![Disk::default(); members],
             clocks: (0..members as u64).map(clock).collect(),
             decisions: DecisionLog::default(),
@@ -141,13 +142,13 @@
         let node = Node::new(identity, self.settings.clone(), start, TestRules::new(4, &[]), seed);
         let node = node.expect("the settings and the stored state are valid");
         let node = if self.skips_lease_check { node.without_lease_check() } else { node };
-        self.starts[member] += 1;
+        self.process_numbers[member] += 1;
         self.processes[member] = Some(Process { node, is_paused: false, queued: Vec::new() });
         let first_tick = self.now + 1 + self.rng.u64(0..20 * MILLISECOND);
         self.schedule(first_tick, member, Event::Tick);
     }
 
-    /// Starts every member that is not running.
+    /// Starts every member that has no process.
     pub(crate) fn start_all(&mut self) {
         let stopped: Vec<usize> =
             (0..self.member_count()).filter(|member| self.node(*member).is_none()).collect();
@@ -157,7 +158,7 @@
     /// Ends a member's process abruptly.
     pub(crate) fn crash(&mut self, member: usize) {
         self.processes[member] = None;
-        self.starts[member] += 1;
+        self.process_numbers[member] += 1;
     }
 
     pub(crate) fn erase_disk(&mut self, member: usize) {
@@ -178,7 +179,7 @@
 
     fn schedule(&mut self, at: Micros, member: usize, event: Event) {
         self.last_event += 1;
-        let scheduled = ScheduledEvent { member, start: self.starts[member], event };
+        let scheduled = ScheduledEvent { member, process_number: self.process_numbers[member], event };
         self.events.insert(self.last_event, scheduled);
         self.queue.push(Reverse((at, self.last_event)));
     }
@@ -191,10 +192,12 @@
             }
             self.queue.pop();
             self.now = at;
-            let Some(ScheduledEvent { member, start, event }) = self.events.remove(&number) else { continue };
+            let Some(ScheduledEvent { member, process_number, event }) = self.events.remove(&number) else {
+                continue;
+            };
             // A message reaches whichever process of the member is running; other events belong to one
             // process.
-            if start == self.starts[member] || matches!(event, Event::Arrival(_)) {
+            if process_number == self.process_numbers[member] || matches!(event, Event::Arrival(_)) {
                 self.on_event(member, event);
             }
         }
--- a/crates/consensus/tests/simulation/network.rs
+++ b/crates/consensus/tests/simulation/network.rs
@@ -7,7 +7,7 @@
 const CORRUPTED_DELAY: Micros = MILLISECOND;
 const FORMAT_VERSION: u8 = 1;
 
-/// The faults of the simulated network; none by default.
+/// The faults of the simulated network. By default, messages are only delayed, by up to 10.5 ms.
 pub(crate) struct Network {
     pub(crate) loss_percent: u32,
     pub(crate) duplicate_percent: u32,
--- a/crates/consensus/tests/simulation/process.rs
+++ b/crates/consensus/tests/simulation/process.rs
@@ -27,8 +27,8 @@
 
 pub(super) struct ScheduledEvent {
     pub(super) member: usize,
-    /// The number of the start of the member's process that the event belongs to.
-    pub(super) start: u64,
+    /// The number of the member's process that the event belongs to.
+    pub(super) process_number: u64,
     pub(super) event: Event,
 }
 
--- a/crates/consensus/tests/simulation/queries.rs
+++ b/crates/consensus/tests/simulation/queries.rs
@@ -21,6 +21,7 @@
         self.processes.len()
     }
 
+    /// Whether the member's process exists and is not paused.
     pub(crate) fn is_running(&self, member: usize) -> bool {
         self.processes[member].as_ref().is_some_and(|process| !process.is_paused)
     }
--- a/crates/consensus/tests/simulation/rules.rs
+++ b/crates/consensus/tests/simulation/rules.rs
@@ -12,7 +12,7 @@
 /// The rules that the tests replicate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct TestRules {
-    /// At least 1 in every version.
+    /// The largest number of slots that is allowed, at least 1 in every version.
     pub(crate) limit: u32,
     pub(crate) closed_classes: BTreeSet<u8>,
 }
@@ -36,7 +36,7 @@
 }
 
 impl Request {
-    /// Every request that some rules allow and others forbid.
+    /// All requests on which the rules can decide.
     pub(crate) fn all() -> impl Iterator<Item = Request> {
         (1..=MAX_LIMIT).map(Request::Slots).chain((0..CLASSES).map(Request::Class))
     }
--- a/crates/consensus/tests/transcripts.rs
+++ b/crates/consensus/tests/transcripts.rs
@@ -9,8 +9,9 @@
 use recording::{COMMANDS, MEMBERS, PACKETS, RAFT_MESSAGES, Recording, VOTERS, hex};
 use simulation::TestRules;
 
-/// A run that covers the first epoch, rule changes, a voter that was stopped until the log was compacted past
-/// its last entry, a voter that lost its storage, and a leader whose clock drifts.
+/// A run that covers the first epoch, rule changes, a voter that was stopped until the other voters had
+/// compacted the log past the last entry that it had stored, a voter that lost its storage, and a leader
+/// whose clock drifts.
 fn recorded_run() -> Recording {
     let mut recording = Recording::new();
     (0..MEMBERS).for_each(|member| recording.start(member, StartState::Empty));
@@ -68,7 +69,10 @@
     assert_eq!(recording.packets.len(), kinds, "every kind must be sent: {:?}", recording.packets.keys());
     for command in COMMANDS {
         let entry = format!("entry: {command}");
-        assert!(recording.writes.keys().any(|kind| kind.contains(&entry)), "{command} must be stored");
+        assert!(
+            recording.writes.keys().any(|kind| kind.contains(&entry)),
+            "a log entry with the command {command:?} must be stored"
+        );
     }
 
     let serialize = |stored| postcard::to_allocvec(stored).expect("the stored state can be serialized");
