--- a/crates/reservations/benches/calendar.rs
+++ b/crates/reservations/benches/calendar.rs
@@ -1,5 +1,5 @@
-//! The cost of up to 100,000 claims: one more claim, allowances, the next change, displacement, a replay.
-//! Run it with `cargo bench -p copperspread-reservations`.
+//! Benchmarks of a calendar with up to 100,000 claims: another claim, allowances, the next change,
+//! displacement and replay. Run them with `cargo bench -p copperspread-reservations`.
 use copperspread_reservations::{
     Amount, Calendar, Command, CommandBody, CommandId, DAY, Flexibility, HOUR, Interval, Name, Owner,
     ReservationRequest, Schedule, Settings, SpanMillis, UnixMillis,
@@ -7,7 +7,7 @@
 use divan::{Bencher, black_box};
 
 const CLAIM_COUNTS: [u64; 3] = [1_000, 10_000, 100_000];
-/// Pools among which the claims are spread.
+/// The number of pools among which the claims are distributed.
 const POOL_COUNT: u64 = 50;
 const START: UnixMillis = UnixMillis(1_796_601_600_000);
 const SLOTS_PER_POOL: u32 = 4_000;
@@ -17,7 +17,7 @@
 }
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a name")
+    Name::new(text).expect("valid name")
 }
 
 fn command(member: &str, sequence: u64, body: CommandBody) -> Command {
@@ -36,7 +36,8 @@
     SpanMillis(random.i64(min.0..max.0))
 }
 
-/// A claim of 1 to 48 hours. The claims are spread over a year and the pools; some accept less.
+/// The proposal of a claim of 1 to 48 hours. The claims are distributed over the pools and about a year, and
+/// every fourth one accepts fewer slots.
 fn claim(number: u64, precedence: u32) -> Command {
     let mut random = fastrand::Rng::with_seed(number);
     let start = START + random_span(&mut random, 2 * HOUR, 390 * DAY);
@@ -58,7 +59,7 @@
     command("claims", number, CommandBody::Reserve(request))
 }
 
-fn log(claims: u64) -> Vec<Command> {
+fn log_entries(claims: u64) -> Vec<Command> {
     let pools = (0..POOL_COUNT).map(|pool| set_capacity(pool + 1, pool, SLOTS_PER_POOL));
     let confirmed = (1..=claims).flat_map(|number| {
         let proposal = claim(number, 1);
@@ -69,8 +70,8 @@
 }
 
 fn calendar(claims: u64) -> Calendar {
-    let mut calendar = Calendar::new(Settings::default()).expect("good settings");
-    for command in log(claims) {
+    let mut calendar = Calendar::new(Settings::default()).expect("valid settings");
+    for command in log_entries(claims) {
         calendar.apply(START, &command);
     }
     calendar
@@ -107,10 +108,11 @@
     });
 }
 
-/// All claims in one pool within 31 days, and one that displaces all of them over 48 hours.
+/// Puts all claims into one pool within 31 days, and confirms a claim that displaces all others over 48
+/// hours.
 #[divan::bench(args = [1_000, 10_000], sample_count = 3, sample_size = 1)]
 fn displace_all_overlapping(bencher: Bencher<'_, '_>, claims: u64) {
-    let mut calendar = Calendar::new(Settings::default()).expect("good settings");
+    let mut calendar = Calendar::new(Settings::default()).expect("valid settings");
     let claim_in_one_pool = |number, precedence| {
         let mut proposal = claim(number, precedence);
         if let CommandBody::Reserve(request) = &mut proposal.body {
@@ -141,7 +143,7 @@
     });
 }
 
-/// All pools lose slots at once: the last in rank are displaced, each with a search for its nearest
+/// Shrinks all pools, so that the claims last in rank are displaced, each with a search for its nearest
 /// alternative.
 #[divan::bench(args = CLAIM_COUNTS, sample_count = 3, sample_size = 1)]
 fn shrink_all_pools(bencher: Bencher<'_, '_>, claims: u64) {
@@ -156,9 +158,9 @@
 
 #[divan::bench(args = CLAIM_COUNTS, sample_count = 3, sample_size = 1)]
 fn replay_the_log(bencher: Bencher<'_, '_>, claims: u64) {
-    let log = log(claims);
+    let log = log_entries(claims);
     bencher.bench_local(|| {
-        let mut calendar = Calendar::new(Settings::default()).expect("good settings");
+        let mut calendar = Calendar::new(Settings::default()).expect("valid settings");
         log.iter().for_each(|command| drop(calendar.apply(START, command)));
         calendar
     });
--- a/crates/reservations/src/allowance_query.rs
+++ b/crates/reservations/src/allowance_query.rs
@@ -1,4 +1,4 @@
-//! Reads allowances from the stored claims.
+//! Queries over the stored claims: the allowances at an instant, and when they change next.
 use copperspread_identifiers::Name;
 
 use crate::allowances::{ActiveReservation, Allowances, BlackoutStatus, PoolAllowance, UpcomingBlackout};
@@ -10,7 +10,7 @@
 use crate::store::ClaimStore;
 use crate::time::{MILLISECOND, UnixMillis};
 
-/// Reservations and blackouts at an instant.
+/// The reservations and blackouts at an instant.
 pub(crate) fn allowances(store: &ClaimStore, at: UnixMillis) -> Allowances {
     let mut allowances = Allowances::default();
     for (name, pool) in store.pools() {
@@ -31,7 +31,7 @@
     allowances
 }
 
-/// The next instant after which allowances may differ.
+/// The first instant later than `after` at which the allowances may change.
 pub(crate) fn next_change_after(store: &ClaimStore, after: UnixMillis) -> Option<UnixMillis> {
     let changes = &store.index().allowance_changes;
     changes.range(after.checked_add(MILLISECOND)?..).next().map(|(at, _)| *at)
@@ -55,7 +55,7 @@
     }
 }
 
-/// The reservation that an allocation belongs to, if its claim is in effect.
+/// The reservation that an allocation belongs to; `None` unless its claim is confirmed or active.
 fn active_reservation(
     store: &ClaimStore,
     key: &OccurrenceKey,
@@ -83,7 +83,8 @@
     }
 }
 
-/// The first blackout without any work that starts after `at` and ends at `from` or later, if it is near.
+/// The first blackout with [`BlackoutEffect::NoWork`] that starts after `at` and ends at `from` or later;
+/// `None` if it starts more than [`BLACKOUT_LOOKAHEAD`] after `at`.
 fn upcoming_blackout(
     store: &ClaimStore,
     target: &BlackoutTarget,
@@ -102,7 +103,8 @@
     Some(UpcomingBlackout { start, end })
 }
 
-/// The end of the blackouts of at least this effect at an instant, through those that meet.
+/// The end of the blackout of at least `min_effect` at an instant, extended by the blackouts that overlap or
+/// adjoin it; `None` if there is no such blackout.
 fn blackout_end(
     store: &ClaimStore,
     target: &BlackoutTarget,
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -1,4 +1,4 @@
-//! What the rest of the fleet gets from the calendar: what is reserved and what is blacked out at an instant.
+//! Allowances: the reservations and blackouts at an instant, as the calendar reports them to the fleet.
 use std::collections::BTreeMap;
 
 use copperspread_identifiers::Name;
@@ -9,10 +9,10 @@
 use crate::limits::PARTS_PER_MILLION;
 use crate::time::{SpanMillis, UnixMillis};
 
-/// Reservations and blackouts at an instant.
+/// The reservations and blackouts at an instant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allowances {
-    /// Every pool that the calendar knows.
+    /// Allowances of every pool in the calendar.
     pub pools: BTreeMap<Name, PoolAllowance>,
     /// Classes with a current or upcoming blackout.
     #[serde(rename = "classes")]
@@ -20,7 +20,8 @@
     /// Tenants with a current or upcoming blackout.
     #[serde(rename = "tenants")]
     pub tenant_blackouts: BTreeMap<Name, BlackoutStatus>,
-    /// Pools with a current or upcoming blackout of their own; those of their zones are in `zone_blackouts`.
+    /// Pools with a current or upcoming blackout of their own. Blackouts of a pool's zone are in
+    /// `zone_blackouts` only.
     #[serde(rename = "blacked_pools")]
     pub pool_blackouts: BTreeMap<Name, BlackoutStatus>,
     /// Zones with a current or upcoming blackout.
@@ -28,69 +29,72 @@
     pub zone_blackouts: BTreeMap<Name, BlackoutStatus>,
 }
 
-/// What is reserved of a pool.
+/// The reserved and unreserved slots of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolAllowance {
-    /// The pool's zone.
+    /// The zone of the pool.
     pub zone: Name,
-    /// The pool's slots.
+    /// The total number of slots in the pool.
     pub slots: u32,
-    /// Slots that nobody has reserved.
+    /// The number of slots without a reservation.
     #[serde(rename = "open")]
     pub unreserved_slots: u32,
-    /// The reservations of the other slots, by claim.
+    /// The reservations of the other slots, ordered by claim.
     #[serde(rename = "reserved")]
     pub reservations: Vec<ActiveReservation>,
 }
 
-/// A reservation that is in effect.
+/// A reservation whose claim is confirmed or active, over the interval of one allocation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Reserved", expecting = "struct Reserved")]
 pub struct ActiveReservation {
-    /// The claim.
+    /// The id of the reservation's claim.
     pub claim: ClaimId,
-    /// For whom.
+    /// The owner of the reservation.
     pub owner: Owner,
-    /// The number of slots.
+    /// The number of reserved slots.
     pub slots: u32,
-    /// Since when it has this number of slots.
+    /// The first instant at which the reservation has this number of slots.
     #[serde(rename = "since")]
     pub start: UnixMillis,
-    /// Until when it has this number of slots.
+    /// The instant from which on the reservation no longer has this number of slots.
     #[serde(rename = "until")]
     pub end: UnixMillis,
-    /// How fast unused slots are lent, for [`lendable_slots`].
+    /// The rate at which unused slots are lent, in parts per million of the reservation per second; see
+    /// [`lendable_slots`].
     #[serde(rename = "give_back")]
     pub lending_rate_ppm: u32,
 }
 
-/// The blackouts of one target.
+/// The current and upcoming blackouts of one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "BlackedOut", expecting = "struct BlackedOut")]
 pub struct BlackoutStatus {
-    /// No work may start until then, through blackouts that meet; none if work may start.
+    /// The instant until which no work may start, with overlapping and adjoining blackouts counted as one;
+    /// `None` if work may start now.
     pub no_new_work_until: Option<UnixMillis>,
-    /// No work may run until then, through blackouts that meet; none if work may run.
+    /// The instant until which no work may run, with overlapping and adjoining blackouts counted as one;
+    /// `None` if work may run now.
     pub no_work_until: Option<UnixMillis>,
-    /// The next interval without any work that has not started, if within
-    /// [`BLACKOUT_LOOKAHEAD`](crate::BLACKOUT_LOOKAHEAD).
+    /// The next [`NoWork`](crate::BlackoutEffect::NoWork) blackout; `None` if there is none that starts
+    /// within [`BLACKOUT_LOOKAHEAD`](crate::BLACKOUT_LOOKAHEAD).
     #[serde(rename = "ahead")]
     pub upcoming: Option<UpcomingBlackout>,
 }
 
-/// A blackout that has not started.
+/// A blackout that has not started yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Ahead", expecting = "struct Ahead")]
 pub struct UpcomingBlackout {
-    /// The first instant.
+    /// The first instant of the blackout.
     pub start: UnixMillis,
-    /// The first instant after it, through blackouts that meet.
+    /// The first instant after the blackout, with overlapping and adjoining blackouts counted as one.
     pub end: UnixMillis,
 }
 
 impl BlackoutStatus {
-    /// Until when work of at most `max_duration` must not start; none if it may start now. Work may end at
-    /// the very start of a blackout.
+    /// The instant until which work that takes at most `max_duration` must not start; `None` if it may start
+    /// now. Work may end exactly at the start of a blackout.
     pub fn wait_until(&self, now: UnixMillis, max_duration: SpanMillis) -> Option<UnixMillis> {
         let latest_end = now.saturating_add(max_duration.max(SpanMillis::ZERO));
         let conflict = self.upcoming.filter(|upcoming| latest_end > upcoming.start);
@@ -98,11 +102,11 @@
     }
 }
 
-/// The slots of a reservation that others may use now.
+/// The number of a reservation's slots that others than its owner may use now.
 ///
-/// Of what the owner leaves unused, lending grows from 0 to the whole reservation at `lending_rate_ppm` parts
-/// per million of it a second. `unused_for` is how long the owner has used no more than
-/// `used_by_owner`. Slots that the owner uses again are no longer lendable from that instant on.
+/// While slots are unused, the lendable number grows by `lending_rate_ppm` parts per million of the
+/// reservation per second, up to the number of unused slots. `unused_for` is the time for which the owner has
+/// used no more than `used_by_owner` slots. A slot that the owner uses again stops being lendable at once.
 pub fn lendable_slots(
     reserved: u32,
     used_by_owner: u32,
--- a/crates/reservations/src/alternative.rs
+++ b/crates/reservations/src/alternative.rs
@@ -1,4 +1,4 @@
-//! The search for the nearest interval in which a request fits.
+//! Search for the nearest interval in which a reservation request fits.
 use crate::availability::segments;
 use crate::command::ReservationRequest;
 use crate::interval::Interval;
@@ -7,13 +7,13 @@
 use crate::store::ClaimStore;
 use crate::time::{DAY, SpanMillis, UnixMillis};
 
-/// How far from the requested start an alternative may start.
+/// The maximum distance between the requested start and the start of an alternative.
 const MAX_DISTANCE: SpanMillis = DAY.times(30);
-/// How many blocked segments the search passes in each direction.
+/// The maximum number of blocked segments that the search skips in each direction.
 const MAX_BLOCKED_SEGMENTS: usize = 256;
 
-/// The interval nearest to the requested one, and of its length, in which so many slots are free without any
-/// displacement; of two equally near ones the earlier.
+/// The nearest interval of the requested length in which `slots` slots are free without displacement. Of two
+/// intervals at the same distance it is the earlier one; `None` if the search finds none within its bounds.
 pub(crate) fn nearest_interval(
     store: &ClaimStore,
     reservation: &ReservationRequest,
@@ -39,14 +39,14 @@
         Interval { start, end: start.saturating_add(self.requested.length()) }
     }
 
-    /// The segments of the interval from `start` on in which the request does not fit.
+    /// The segments in which the request does not fit if its interval begins at `start`.
     fn blocked_segments(&self, start: UnixMillis) -> Vec<Segment> {
         let mut segments = segments(self.store, self.reservation, self.interval_at(start), &[], &[]);
         segments.retain(|segment| segment.is_blacked_out || segment.free_slots < self.slots.into());
         segments
     }
 
-    /// The first start at or after the requested one.
+    /// The first start at or after the requested one at which the request fits.
     fn first_later_start(&self) -> Option<UnixMillis> {
         let now = self.store.now();
         let max_start = self.requested.start.saturating_add(MAX_DISTANCE);
@@ -62,7 +62,8 @@
         None
     }
 
-    /// The last start at or before the requested one, no further from it than `max_distance`.
+    /// The last start at or before the requested one, and at most `max_distance` from it, at which the
+    /// request fits.
     fn last_earlier_start(&self, max_distance: Option<SpanMillis>) -> Option<UnixMillis> {
         let min_start = self.store.now().max(self.requested.start.saturating_sub(MAX_DISTANCE));
         let mut start = self.requested.start;
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -1,4 +1,4 @@
-//! What is free of a pool over an interval, in segments within which nothing changes.
+//! Free slots and blackouts of a pool over an interval, as segments within which neither changes.
 use std::collections::BTreeMap;
 
 use crate::claim::{Occurrence, OccurrenceKey};
@@ -9,8 +9,8 @@
 use crate::store::ClaimStore;
 use crate::time::UnixMillis;
 
-/// The segments of an interval of the reservation's pool. What the `released` occurrences have counts as
-/// free; what the `candidates` have does not, but segments are cut where it starts and ends.
+/// The segments of the reservation's pool over an interval. The allocations of the `released` occurrences
+/// count as free. Those of the `candidates` do not, but a segment ends wherever one of them starts or ends.
 pub(crate) fn segments(
     store: &ClaimStore,
     reservation: &ReservationRequest,
@@ -23,14 +23,14 @@
     let pool = store.index().pools.get(&reservation.pool).unwrap_or(&empty);
     let levels = pool.segments(interval);
     let mut edges = Edges::new(interval);
-    levels.iter().for_each(|(segment, _)| edges.cut(segment.start));
+    levels.iter().for_each(|(segment, _)| edges.add_edge(segment.start));
     for allocation in candidates.iter().flat_map(|(_, occurrence)| &occurrence.allocations) {
-        edges.cut(allocation.interval.start);
-        edges.cut(allocation.interval.end);
+        edges.add_edge(allocation.interval.start);
+        edges.add_edge(allocation.interval.end);
     }
     let released = released.iter().filter_map(|key| store.occurrence(key));
     released.flat_map(|(_, occurrence)| &occurrence.allocations).for_each(|each| edges.release(each));
-    blackouts(store, reservation, interval).into_iter().for_each(|each| edges.black_out(each));
+    blackouts(store, reservation, interval).into_iter().for_each(|each| edges.add_blackout(each));
     edges.into_segments(pool_slots, &levels)
 }
 
@@ -46,16 +46,16 @@
     blackouts.flat_map(|map| overlapping(map, interval)).map(|(blackout, _)| blackout).collect()
 }
 
-/// What changes at an edge between two segments.
+/// The changes at an edge between two segments.
 #[derive(Clone, Copy, Debug, Default)]
 struct EdgeChange {
-    /// Slots that are released from here on, less those whose release ends here.
+    /// The released slots that become free here, less those whose allocation ends here.
     released_slots: i64,
-    /// Blackouts that start here, less those that end.
+    /// The number of blackouts that start here, less the number that end here.
     blackouts: i64,
 }
 
-/// The edges between the segments of an interval.
+/// Collects the edges between the segments of an interval.
 struct Edges {
     interval: Interval,
     changes: BTreeMap<UnixMillis, EdgeChange>,
@@ -64,16 +64,16 @@
 impl Edges {
     fn new(interval: Interval) -> Edges {
         let mut edges = Edges { interval, changes: BTreeMap::new() };
-        edges.cut(interval.end);
+        edges.add_edge(interval.end);
         edges
     }
 
-    /// The edge at an instant, or at the interval's nearest bound if that is outside.
+    /// The edge at an instant, or at the nearest bound of the interval if the instant is outside it.
     fn at(&mut self, instant: UnixMillis) -> &mut EdgeChange {
         self.changes.entry(instant.clamp(self.interval.start, self.interval.end)).or_default()
     }
 
-    fn cut(&mut self, instant: UnixMillis) {
+    fn add_edge(&mut self, instant: UnixMillis) {
         self.at(instant);
     }
 
@@ -82,12 +82,13 @@
         self.at(allocation.interval.end).released_slots -= i64::from(allocation.slots);
     }
 
-    fn black_out(&mut self, blackout: Interval) {
+    fn add_blackout(&mut self, blackout: Interval) {
         self.at(blackout.start).blackouts += 1;
         self.at(blackout.end).blackouts -= 1;
     }
 
-    /// The segments between the edges. `levels` are the allocated slots, in order, over the same interval.
+    /// The segments between the edges. `levels` are the allocated slots over the same interval, in order of
+    /// time.
     fn into_segments(self, pool_slots: i64, levels: &[(Interval, i64)]) -> Vec<Segment> {
         let mut segments: Vec<Segment> = Vec::with_capacity(self.changes.len());
         let mut levels = levels.iter().peekable();
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar.rs
@@ -1,4 +1,4 @@
-//! The state machine over the replicated log: commands in, events and allowances out.
+//! State machine over the replicated log: applies commands, returns events, and answers queries.
 use serde::{Deserialize, Serialize};
 
 use crate::allowance_query;
@@ -19,9 +19,9 @@
 use crate::store::ClaimStore;
 use crate::time::UnixMillis;
 
-/// Reservations and blackouts as the log's entries up to now make them.
+/// The reservations and blackouts that result from the log entries applied so far.
 ///
-/// Its stored form is a snapshot: a calendar that is read from it continues as the original does.
+/// The serialized form is a snapshot: a calendar deserialized from it behaves as the original does.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Calendar {
@@ -29,44 +29,46 @@
 }
 
 impl Calendar {
-    /// A calendar without pools and claims.
+    /// Creates a calendar without pools and claims.
     ///
     /// # Errors
-    /// Settings that are out of bounds.
+    /// A setting is out of its bounds.
     pub fn new(settings: Settings) -> Result<Calendar, SettingsError> {
         settings.validate()?;
         Ok(Calendar { store: ClaimStore::new(settings) })
     }
 
-    /// The instant of the latest entry.
+    /// The current time of the calendar: the latest instant of the applied log entries.
     pub fn now(&self) -> UnixMillis {
         self.store.now()
     }
 
-    /// A claim's state; none if it is unknown or no longer retained.
+    /// The state of a claim; `None` if the claim is unknown or no longer retained.
     pub fn state_of(&self, claim: &ClaimId) -> Option<ClaimState> {
         self.store.claim(claim).map(|claim| claim.state)
     }
 
-    /// What a reservation has, in order.
+    /// The allocations of a reservation, in order of time; empty unless it occupies capacity.
     pub fn allocations_of(&self, claim: &ClaimId) -> Vec<Allocation> {
         let claim = self.store.claim(claim).filter(|claim| claim.state.occupies_capacity());
         let occurrences = claim.into_iter().flat_map(|claim| &claim.occurrences);
         occurrences.flat_map(|occurrence| occurrence.allocations.clone()).collect()
     }
 
-    /// Reservations and blackouts at an instant, by the log so far.
+    /// The reservations and blackouts at an instant, according to the log entries applied so far.
     pub fn allowances(&self, at: UnixMillis) -> Allowances {
         allowance_query::allowances(&self.store, at)
     }
 
-    /// The next instant after which allowances may differ, by the log so far.
+    /// The first instant later than `after` at which the allowances may change, according to the log entries
+    /// applied so far; `None` if no change is known.
     pub fn next_change_after(&self, after: UnixMillis) -> Option<UnixMillis> {
         allowance_query::next_change_after(&self.store, after)
     }
 
-    /// Applies an entry of the log at its instant and returns what changed. Time never goes back: an entry
-    /// with an earlier instant than the last is applied at the last.
+    /// Applies a log entry at its instant and returns the events that it caused. Time never goes back: an
+    /// entry whose instant is before [`now`](Calendar::now) is applied at `now`. An entry whose instant is
+    /// before the Unix epoch or after [`MAX_INSTANT`] is rejected, and changes nothing.
     pub fn apply(&mut self, at: UnixMillis, command: &Command) -> Vec<Event> {
         let mut events = EventBuffer { at: self.store.now(), command: Some(&command.id), events: Vec::new() };
         if let Err(rejection) = check_instant("at", at, UnixMillis::EPOCH, MAX_INSTANT) {
@@ -89,7 +91,7 @@
         if let Err(rejection) = result {
             events.push(Change::Rejected(rejection));
         }
-        // A claim may have been confirmed after its start.
+        // A claim that was confirmed after its start is due at once.
         self.apply_due_transitions(&mut events);
         events.events
     }
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Makes the transitions, and removes the claims, that are due by now.
+    /// Makes the transitions that are due by now, and removes the claims whose retention has ended.
     fn apply_due_transitions(&mut self, events: &mut EventBuffer<'_>) {
         while let Some(id) = self.store.pop_due_claim() {
             let Some(state) = self.state_of(&id) else { continue };
@@ -123,7 +125,7 @@
                     continue;
                 }
             };
-            // The match pairs each state with a transition that it allows.
+            // This cannot fail: the match above pairs each state with a transition that the state allows.
             let _ = self.store.transition(&id, transition, reason, events);
         }
     }
--- a/crates/reservations/src/capacity.rs
+++ b/crates/reservations/src/capacity.rs
@@ -1,4 +1,4 @@
-//! The command that sets a pool's slots and zone, and the displacement that it causes.
+//! Implementation of the command that sets a pool's slots and zone, with the displacement that it causes.
 use std::collections::{BTreeMap, BTreeSet};
 
 use copperspread_identifiers::Name;
@@ -14,11 +14,12 @@
 use crate::rejection::{FieldError, Rejection, check_range};
 use crate::store::ClaimStore;
 
-/// Sets a pool's slots and zone. Reservations that no longer fit are displaced by rank, and amounts in parts
-/// per million follow the pool's size.
+/// Sets a pool's slots and zone. Reservations that no longer fit are displaced, the last in rank first, and
+/// amounts in parts per million are converted to slots of the new size.
 ///
 /// # Errors
-/// Too many slots, or too many pools; nothing changed.
+/// `slots` exceeds [`MAX_POOL_SLOTS`], or there are [`MAX_POOLS`] other pools already. Nothing has changed
+/// then.
 pub(crate) fn set_capacity(
     store: &mut ClaimStore,
     name: &Name,
@@ -39,14 +40,15 @@
         resized.iter().map(|(key, amount)| (key.claim.clone(), amount.in_slots(slots))).collect();
     affected.extend(resized.into_iter().map(|(key, _)| key));
     for (id, requested_slots) in new_sizes {
-        store.edit(&id, |claim| claim.requested_slots = requested_slots);
+        store.update_claim(&id, |claim| claim.requested_slots = requested_slots);
     }
     let released = release(store, &affected);
     reallocate(store, released, &Reason::PoolChanged, events);
     Ok(())
 }
 
-/// The occurrences in segments that are overbooked at the new size, or blacked out in the new zone.
+/// The occurrences with allocations in a segment that is overbooked at the new size or blacked out in the new
+/// zone.
 fn occurrences_without_capacity(
     store: &ClaimStore,
     index: &PoolIndex,
@@ -63,7 +65,7 @@
     overlapping.map(|(_, key)| key.clone()).collect()
 }
 
-/// The occurrences from now on whose amount is a fraction of the pool.
+/// The occurrences with allocations from now on whose amount is given in parts per million of the pool.
 fn occurrences_sized_by_pool(store: &ClaimStore, index: &PoolIndex) -> Vec<(OccurrenceKey, Amount)> {
     let sized_by_pool = |key: &OccurrenceKey| match store.reservation(&key.claim)?.amount {
         amount @ Amount::PartsPerMillion(_) => Some((key.clone(), amount)),
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -1,4 +1,4 @@
-//! The stored form of pools and claims, and the rank of their occurrences.
+//! Stored pools and claims, and the rank of a claim's occurrences.
 use std::cmp::Reverse;
 
 use copperspread_identifiers::Name;
@@ -11,14 +11,14 @@
 use crate::limits::CLAIM_RETENTION;
 use crate::time::UnixMillis;
 
-/// A pool as the log's last command on it set it.
+/// The size and zone of a pool, as set by the last command for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Pool {
     pub(crate) zone: Name,
     pub(crate) slots: u32,
 }
 
-/// What a claim requested.
+/// The request that a claim was proposed with.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Wanted")]
 pub(crate) enum ClaimRequest {
@@ -27,7 +27,7 @@
     Blackout(BlackoutRequest),
 }
 
-/// One interval of a claim with what is allocated of it; a blackout has no allocations.
+/// One interval of a claim, with the slots allocated over it. A blackout has no allocations.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Occurrence {
     pub(crate) interval: Interval,
@@ -35,32 +35,33 @@
     pub(crate) allocations: Vec<Allocation>,
 }
 
-/// Names one occurrence of a claim by its position.
+/// Identifies an occurrence by its claim and its position among the claim's occurrences.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct OccurrenceKey {
     pub(crate) claim: ClaimId,
     pub(crate) position: usize,
 }
 
-/// A reservation or blackout in any state.
+/// A reservation or a blackout, in any state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Claim {
     pub(crate) state: ClaimState,
-    /// When it got its rank: when it was held, or confirmed if it never was held.
+    /// The instant at which the claim was held, or confirmed if it never was held; until then that of its
+    /// proposal. Earlier instants rank first.
     #[serde(rename = "since")]
     pub(crate) ranked_at: UnixMillis,
     #[serde(rename = "moved")]
     pub(crate) last_transition_at: UnixMillis,
     #[serde(rename = "wanted")]
     pub(crate) request: ClaimRequest,
-    /// The requested amount in slots of the pool at its current size.
+    /// The requested amount, in slots at the current size of the pool.
     #[serde(rename = "slots")]
     pub(crate) requested_slots: u32,
     pub(crate) occurrences: Vec<Occurrence>,
 }
 
-/// The order in which occurrences are served: the started ones, then the higher precedence, then the earlier
-/// ranked, then the key.
+/// The order in which occurrences are allocated: started ones first, then by higher precedence, by earlier
+/// `ranked_at`, and by key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     is_not_started: bool,
@@ -70,7 +71,7 @@
 }
 
 impl Claim {
-    /// When its next transition, or its removal, is due.
+    /// The instant at which the claim's next transition by time, or its removal, is due.
     pub(crate) fn next_due(&self) -> Option<UnixMillis> {
         match self.state {
             ClaimState::Proposed | ClaimState::Held => Some(self.hold_end()),
@@ -80,7 +81,8 @@
         }
     }
 
-    /// The intervals in which it has an effect: a reservation's allocations, or a blackout's occurrences.
+    /// The intervals in which the claim has an effect: the allocations of a reservation, or the occurrences
+    /// of a blackout.
     pub(crate) fn effective_intervals(&self) -> impl DoubleEndedIterator<Item = Interval> {
         let is_blackout = matches!(self.request, ClaimRequest::Blackout(_));
         let blackouts =
@@ -89,7 +91,7 @@
         blackouts.chain(allocations.map(|allocation| allocation.interval))
     }
 
-    /// What it requested, if it is a reservation.
+    /// The reservation request; `None` for a blackout.
     pub(crate) fn reservation(&self) -> Option<&ReservationRequest> {
         match &self.request {
             ClaimRequest::Reservation(reservation) => Some(reservation),
@@ -97,7 +99,7 @@
         }
     }
 
-    /// The rank of one of its occurrences at an instant.
+    /// The rank of one of the claim's occurrences at an instant.
     pub(crate) fn rank(&self, key: &OccurrenceKey, occurrence: &Occurrence, now: UnixMillis) -> Rank {
         let precedence = self.reservation().map_or(0, |reservation| reservation.precedence);
         Rank {
--- a/crates/reservations/src/claim_planning.rs
+++ b/crates/reservations/src/claim_planning.rs
@@ -1,4 +1,5 @@
-//! What of a proposed reservation fits, occurrence by occurrence, and whom it would displace.
+//! Planning of a proposed reservation: which part of each occurrence fits, and which occurrences of other
+//! claims it would displace.
 use std::collections::BTreeSet;
 
 use crate::alternative::nearest_interval;
@@ -14,16 +15,16 @@
 use crate::store::ClaimStore;
 use crate::time::UnixMillis;
 
-/// Candidates for displacement by one occurrence; of more only those that are displaced first.
+/// The maximum number of candidates for displacement by one occurrence. Of more, the last in rank are used.
 const MAX_CANDIDATES: usize = 1_024;
 
 /// A plan for all occurrences of a claim.
 pub(crate) struct ClaimPlan {
-    /// What each occurrence gets.
+    /// The allocations of each occurrence, in the order of the claim's occurrences.
     allocations: Vec<Vec<Allocation>>,
     /// The occurrences of other claims that are displaced.
     pub(crate) displaced: Vec<OccurrenceKey>,
-    /// Whether it gets all that was requested.
+    /// Whether everything that was requested is granted.
     pub(crate) is_complete: bool,
 }
 
@@ -34,17 +35,17 @@
     is_complete: bool,
 }
 
-/// Plans a reservation's occurrences in the order of time.
+/// Plans a reservation's occurrences in order of time.
 ///
 /// # Errors
-/// Why it does not fit.
+/// [`Reason::Infeasible`] if the reservation does not fit.
 pub(crate) fn plan_claim(store: &ClaimStore, id: &ClaimId) -> Result<ClaimPlan, Reason> {
-    let nothing = Reason::Infeasible {
+    let nothing_to_plan = Reason::Infeasible {
         blocked: Interval { start: UnixMillis::EPOCH, end: UnixMillis::EPOCH },
         alternative: None,
     };
-    let Some(claim) = store.claim(id) else { return Err(nothing) };
-    let Some(reservation) = claim.reservation() else { return Err(nothing) };
+    let Some(claim) = store.claim(id) else { return Err(nothing_to_plan) };
+    let Some(reservation) = claim.reservation() else { return Err(nothing_to_plan) };
     let slots = claim.requested_slots;
     let infeasible = |blocked, requested| Reason::Infeasible {
         blocked,
@@ -68,15 +69,18 @@
         }
     }
     if claim_plan.allocations.iter().all(Vec::is_empty) {
-        return Err(first_blocked.map_or(nothing, |(blocked, requested)| infeasible(blocked, requested)));
+        return Err(
+            first_blocked.map_or(nothing_to_plan, |(blocked, requested)| infeasible(blocked, requested))
+        );
     }
     Ok(claim_plan)
 }
 
-/// Plans one occurrence, given the occurrences that earlier ones of the claim displace.
+/// Plans one occurrence. `displaced` are the occurrences that the claim's earlier occurrences displace; their
+/// slots count as free.
 ///
 /// # Errors
-/// The first segment in which it does not fit.
+/// The first segment in which the occurrence does not fit.
 fn plan_occurrence(
     store: &ClaimStore,
     reservation: &ReservationRequest,
@@ -84,7 +88,7 @@
     interval: Interval,
     displaced: &[OccurrenceKey],
 ) -> Result<OccurrencePlan, Interval> {
-    // Where all of it is free no candidates are needed.
+    // If everything requested is free, no candidates for displacement are needed.
     let free = segments(store, reservation, interval, &[], displaced);
     if let Ok(AllocationPlan { allocations, .. }) = plan(slots, Flexibility::default(), &free, &[]) {
         return Ok(OccurrencePlan { allocations, displaced: Vec::new(), is_complete: true });
@@ -100,7 +104,7 @@
     })
 }
 
-/// The occurrences of lower precedence in an interval that may be displaced, the last in rank first.
+/// The displaceable occurrences of lower precedence with allocations in an interval, the last in rank first.
 fn displaceable_occurrences<'a>(
     store: &'a ClaimStore,
     reservation: &ReservationRequest,
@@ -131,7 +135,8 @@
     ranked.into_iter().map(|(rank, occurrence)| (rank.key, occurrence)).collect()
 }
 
-/// The occurrences in terms of the segments, which are cut at the edges of their allocations.
+/// The occurrences as candidates, with their allocations as ranges of segments. Each allocation must start
+/// and end at segment edges or outside the segments.
 fn candidates(occurrences: &[(OccurrenceKey, &Occurrence)], segments: &[Segment]) -> Vec<Candidate> {
     let segment_at = |at: UnixMillis| segments.partition_point(|segment| segment.interval.start < at);
     let usage = |allocation: &Allocation| Usage {
@@ -148,9 +153,9 @@
     occurrences.iter().map(candidate).collect()
 }
 
-/// Allocates what a plan gives to a claim, and reports its occurrences if that is less than it requested.
+/// Stores a plan's allocations in the claim, and reports the claim's occurrences if the plan is not complete.
 pub(crate) fn grant(store: &mut ClaimStore, id: &ClaimId, plan: &ClaimPlan, events: &mut EventBuffer<'_>) {
-    store.edit(id, |claim| {
+    store.update_claim(id, |claim| {
         for (occurrence, allocations) in claim.occurrences.iter_mut().zip(&plan.allocations) {
             occurrence.allocations.clone_from(allocations);
         }
--- a/crates/reservations/src/claim_state.rs
+++ b/crates/reservations/src/claim_state.rs
@@ -1,4 +1,5 @@
-//! The states of a claim and the transitions between them.
+//! States of a claim, and the transitions between them. The diagram leaves out some of them; see
+//! [`ClaimState::apply`].
 //!
 //! ```text
 //!  Proposed ──► Held ──► Confirmed ──► Active ──► Done
@@ -14,24 +15,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "State")]
 pub enum ClaimState {
-    /// Known, but without capacity: it fits only if others are displaced, which its confirmation does.
+    /// Recorded without allocations: the claim fits only if others are displaced, which happens when it is
+    /// confirmed.
     Proposed,
-    /// Has its capacity until its hold ends.
+    /// The claim's allocations are kept for it until its hold ends.
     Held,
-    /// Confirmed, and its first interval has not started.
+    /// The claim is confirmed, and its first interval has not started.
     Confirmed,
-    /// Started; a recurring claim is active from its first start to its last end.
+    /// The claim has started. A recurring claim is active from its first start to its last end.
     Active,
-    /// Its last interval ended.
+    /// The last interval of the claim has ended.
     Done,
-    /// Did not fit, or had passed when it was confirmed.
+    /// The claim did not fit, or its last interval had ended when it was confirmed.
     #[serde(rename = "Refused")]
     Rejected,
-    /// Lost its capacity to a claim of higher precedence, to a blackout or to a smaller pool.
+    /// The claim lost all allocations to a claim of higher precedence, a blackout, or a change of its pool.
     Displaced,
-    /// Taken back by a command.
+    /// The claim was withdrawn by a command.
     Withdrawn,
-    /// Not confirmed before its hold ended.
+    /// The claim was not confirmed before its hold ended.
     Lapsed,
 }
 
@@ -39,31 +41,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "Step")]
 pub enum Transition {
-    /// It fits, and its capacity is held.
+    /// The claim fits, and its allocations are held.
     Hold,
-    /// It is confirmed.
+    /// The claim is confirmed.
     Confirm,
-    /// Its first interval begins.
+    /// The first interval of the claim begins.
     Begin,
-    /// Its last interval ends.
+    /// The last interval of the claim ends.
     End,
-    /// It cannot be granted.
+    /// The claim cannot be granted.
     #[serde(rename = "Refuse")]
     Reject,
-    /// It loses all its capacity.
+    /// The claim loses all its allocations.
     Displace,
-    /// It is taken back.
+    /// The claim is withdrawn.
     Withdraw,
-    /// Its hold ends.
+    /// The hold of the claim ends.
     Lapse,
 }
 
-/// A transition that does not exist from a claim's state.
+/// The error for a transition that a claim's state does not allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-#[error("a claim that is {from} has no step {transition}")]
+#[error("a claim in state {from} does not allow the transition {transition}")]
 #[serde(rename = "Illegal", expecting = "struct Illegal")]
 pub struct InvalidTransition {
-    /// The claim's state.
+    /// The state of the claim.
     pub from: ClaimState,
     /// The transition that was requested.
     #[serde(rename = "step")]
@@ -74,7 +76,7 @@
     /// The state after a transition.
     ///
     /// # Errors
-    /// The transition does not exist from this state.
+    /// This state does not allow the transition.
     pub fn apply(self, transition: Transition) -> Result<ClaimState, InvalidTransition> {
         match (self, transition) {
             (ClaimState::Proposed, Transition::Hold) => Ok(ClaimState::Held),
@@ -103,19 +105,19 @@
         )
     }
 
-    /// Whether the claim's allocations are kept from other claims.
+    /// Whether the slots allocated to a claim in this state are unavailable to other claims.
     pub fn occupies_capacity(self) -> bool {
         matches!(self, ClaimState::Held | ClaimState::Confirmed | ClaimState::Active)
     }
 
-    /// Whether the claim's intervals count in [`Allowances`](crate::Allowances).
+    /// Whether the intervals of a claim in this state appear in [`Allowances`](crate::Allowances).
     pub fn is_in_effect(self) -> bool {
         matches!(self, ClaimState::Confirmed | ClaimState::Active)
     }
 }
 
 impl fmt::Display for ClaimState {
-    /// The name in the stored form.
+    /// Writes the name that the serialized form uses.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ClaimState::Rejected => f.write_str("Refused"),
@@ -125,7 +127,7 @@
 }
 
 impl fmt::Display for Transition {
-    /// The name in the stored form.
+    /// Writes the name that the serialized form uses.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Transition::Reject => f.write_str("Refuse"),
--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the calendar's log, and the checks of their form.
+//! Commands of the replicated log, and the validation of their fields.
 use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
@@ -9,16 +9,16 @@
 use crate::schedule::Schedule;
 use crate::time::{MILLISECOND, UnixMillis};
 
-/// One entry of the replicated log.
+/// The command of one log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// The member that proposed it, and its number there.
+    /// The id of the command, which identifies duplicates.
     pub id: CommandId,
-    /// What is to be done.
+    /// The action to take.
     pub body: CommandBody,
 }
 
-/// What a command does.
+/// The action of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Body", expecting = "struct variant Body::Capacity")]
 pub enum CommandBody {
@@ -30,68 +30,69 @@
     Confirm(ClaimId),
     /// Withdraws a claim whose state is not terminal.
     Withdraw(ClaimId),
-    /// Sets a pool's slots and its zone from now on.
+    /// Sets a pool's slots and zone, from now on.
     #[serde(rename = "Capacity")]
     SetCapacity {
-        /// The pool.
+        /// The name of the pool.
         pool: Name,
-        /// Its zone.
+        /// The zone of the pool.
         zone: Name,
-        /// Its slots, 0 to 10 million.
+        /// The number of slots in the pool, 0 to 10 million.
         slots: u32,
     },
-    /// Advances time to the entry's instant and does nothing else.
+    /// Advances the calendar's time to the instant of the log entry, and does nothing else.
     #[serde(rename = "Advance")]
     AdvanceTime,
 }
 
-/// A request for a share of a pool.
+/// A request for slots of a pool over one or more intervals.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Reserve", expecting = "struct Reserve")]
 pub struct ReservationRequest {
-    /// For whom.
+    /// The owner of the reservation.
     pub owner: Owner,
     /// The pool to reserve from.
     pub pool: Name,
-    /// How much of it.
+    /// The amount to reserve.
     pub amount: Amount,
-    /// When.
+    /// The intervals to reserve.
     #[serde(rename = "when")]
     pub schedule: Schedule,
-    /// A claim of higher precedence may displace one of lower.
+    /// The precedence: a claim of higher precedence may displace one of lower precedence.
     pub precedence: u32,
-    /// What is acceptable where it does not fit as requested.
+    /// What the owner accepts if the request does not fit as it is.
     #[serde(rename = "accepts")]
     pub flexibility: Flexibility,
-    /// How fast slots that the owner leaves unused are lent: parts per million of the reservation a second, 0
-    /// (never) to a million.
+    /// The rate at which unused slots are lent, in parts per million of the reservation per second: 0 (never)
+    /// to 1,000,000.
     #[serde(rename = "give_back")]
     pub lending_rate_ppm: u32,
-    /// The instant at which it lapses unless confirmed; at most 7 days ahead.
+    /// The instant at which the claim lapses unless it is confirmed, at most 7 days ahead.
     pub hold_end: UnixMillis,
 }
 
 /// The owner of a reservation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Owner {
-    /// A tenant.
+    /// A single tenant.
     Tenant(Name),
-    /// A federation, whose tenants share it by the federation's own agreement.
+    /// A federation of tenants, which share the reservation as they agree among themselves.
     Federation(Name),
 }
 
-/// How much of a pool.
+/// An amount of slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Amount {
     /// A fixed number of slots, at least 1.
     Slots(u32),
-    /// A share of the pool's slots in parts per million, rounded down to whole slots, at least 1 slot.
+    /// A fraction of the pool's slots in parts per million, 1 to 1,000,000, rounded down to whole slots. A
+    /// request for less than one slot is rejected.
     #[serde(rename = "Parts")]
     PartsPerMillion(u32),
 }
 
 impl Amount {
-    /// The amount in slots of a pool with `pool_slots`.
+    /// The amount in slots, for a pool of `pool_slots` slots.
     pub(crate) fn in_slots(self, pool_slots: u32) -> u32 {
         match self {
             Amount::Slots(slots) => slots,
@@ -103,30 +104,33 @@
     }
 }
 
-/// What a claim accepts where it does not fit as requested. With both, each segment gets what is free in it.
+/// What a reservation accepts if it does not fit as requested. If it accepts both fewer slots and a split,
+/// the number of slots may vary over the interval, and is 0 where fewer than the minimum are available.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Accepts", expecting = "struct Accepts")]
 pub struct Flexibility {
-    /// Fewer slots, constant over the whole interval, but at least this many (at least 1).
+    /// The minimum number of slots, at least 1, if fewer than requested are accepted. Without `allows_split`
+    /// the granted number is constant over the interval.
     #[serde(rename = "partial")]
     pub min_slots: Option<u32>,
-    /// Its interval without the parts in which it does not fit; of a recurrence also some occurrences only.
+    /// Whether the parts of an interval in which the request does not fit may be left out; of a recurrence
+    /// also whole occurrences.
     #[serde(rename = "split")]
     pub allows_split: bool,
 }
 
-/// A request for an interval in which certain work must not run.
+/// A request for intervals in which certain work must not start or run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Blackout", expecting = "struct Blackout")]
 pub struct BlackoutRequest {
-    /// The work it applies to.
+    /// The work that the blackout applies to.
     pub target: BlackoutTarget,
-    /// What it forbids.
+    /// What the blackout forbids.
     pub effect: BlackoutEffect,
-    /// When.
+    /// The intervals of the blackout.
     #[serde(rename = "when")]
     pub schedule: Schedule,
-    /// The instant at which it lapses unless confirmed; at most 7 days ahead.
+    /// The instant at which the claim lapses unless it is confirmed, at most 7 days ahead.
     pub hold_end: UnixMillis,
 }
 
@@ -144,21 +148,21 @@
     Zone(Name),
 }
 
-/// What a blackout forbids, the weaker first.
+/// What a blackout forbids, from the weakest to the strongest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "Effect")]
 pub enum BlackoutEffect {
-    /// Starting work; running work continues.
+    /// No work may start; running work continues.
     NoNewWork,
-    /// All work: what would still run at its start must not be started.
+    /// No work may run: work that would still be running at the blackout's start must not be started.
     NoWork,
 }
 
 impl ReservationRequest {
-    /// Checks the form, and returns the intervals from `now` on, in order and disjoint.
+    /// Validates the fields and returns the intervals from `now` on, in order of time and disjoint.
     ///
     /// # Errors
-    /// The first field that is out of its bounds.
+    /// The first invalid field.
     pub(crate) fn validate(&self, now: UnixMillis) -> Result<Vec<Interval>, Rejection> {
         match self.amount {
             Amount::Slots(slots) => check_range("amount.slots", slots.into(), 1, MAX_POOL_SLOTS.into())?,
@@ -176,10 +180,10 @@
 }
 
 impl BlackoutRequest {
-    /// Checks the form, and returns the intervals from `now` on, in order and disjoint.
+    /// Validates the fields and returns the intervals from `now` on, in order of time and disjoint.
     ///
     /// # Errors
-    /// The first field that is out of its bounds.
+    /// The first invalid field.
     pub(crate) fn validate(&self, now: UnixMillis) -> Result<Vec<Interval>, Rejection> {
         check_hold_end(self.hold_end, now)?;
         self.schedule.intervals(now)
--- a/crates/reservations/src/command_id.rs
+++ b/crates/reservations/src/command_id.rs
@@ -1,23 +1,23 @@
-//! The ids of commands and claims.
+//! Ids of commands and claims.
 use std::fmt;
 
 use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
-/// The member that proposed a command, and the command's number there. A member numbers its commands from 1
-/// upwards; after a restart it has a higher incarnation.
+/// The id of a command: the member that proposed it, and the command's number at that member. A member
+/// numbers its commands upwards from 1 in each incarnation, and each restart has a higher incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CommandId {
-    /// The member.
+    /// The name of the member that proposed the command.
     pub member: Name,
-    /// Grows with every start of the member's process.
+    /// The incarnation of the member, which grows with every start of its process.
     #[serde(rename = "generation")]
     pub incarnation: u64,
-    /// Grows with every command.
+    /// The sequence number of the command within the incarnation.
     pub sequence: u64,
 }
 
-/// A claim's id is that of the command which proposed it.
+/// The id of a claim, which is the id of the command that proposed it.
 pub type ClaimId = CommandId;
 
 impl fmt::Display for CommandId {
--- a/crates/reservations/src/confirmation.rs
+++ b/crates/reservations/src/confirmation.rs
@@ -1,4 +1,4 @@
-//! The command that confirms a claim, and the displacement that it causes.
+//! Implementation of the command that confirms a claim, with the displacement that it causes.
 use std::collections::BTreeSet;
 
 use crate::claim::{ClaimRequest, OccurrenceKey};
@@ -13,10 +13,11 @@
 use crate::rejection::{FieldError, Rejection};
 use crate::store::ClaimStore;
 
-/// Confirms a claim that is held, or one that is proposed and still fits.
+/// Confirms a claim that is held, or one that is proposed and still fits by displacing others. A proposed
+/// claim that no longer fits is rejected.
 ///
 /// # Errors
-/// The claim is unknown, or its state does not allow it; nothing changed.
+/// The claim is unknown, or its state does not allow confirmation. Nothing has changed then.
 pub(crate) fn confirm(
     store: &mut ClaimStore,
     id: &ClaimId,
@@ -40,7 +41,8 @@
     Ok(())
 }
 
-/// Confirms a claim that fits only if others are displaced, and displaces them.
+/// Confirms a proposed claim and displaces the occurrences that are in its way, or rejects it if it no longer
+/// fits.
 fn confirm_with_displacement(
     store: &mut ClaimStore,
     id: &ClaimId,
@@ -64,7 +66,7 @@
 
 fn drop_past_intervals(store: &mut ClaimStore, id: &ClaimId) {
     let now = store.now();
-    store.edit(id, |claim| {
+    store.update_claim(id, |claim| {
         claim.occurrences.retain(|occurrence| occurrence.interval.end > now);
         for occurrence in &mut claim.occurrences {
             occurrence.interval.start = occurrence.interval.start.max(now);
@@ -72,7 +74,7 @@
     });
 }
 
-/// If the claim is a blackout: displaces the reservations under it.
+/// Displaces the reservations that a claim applies to if it is a blackout, or else does nothing.
 fn displace_under_blackout(store: &mut ClaimStore, id: &ClaimId, events: &mut EventBuffer<'_>) {
     let Some(claim) = store.claim(id) else { return };
     let ClaimRequest::Blackout(blackout) = &claim.request else { return };
@@ -84,7 +86,7 @@
     reallocate(store, released, &Reason::UnderBlackout(id.clone()), events);
 }
 
-/// The occurrences of reservations that a blackout over an interval applies to, from now on.
+/// The occurrences of reservations that a blackout over an interval applies to from now on.
 fn reservations_under<'a>(
     store: &'a ClaimStore,
     target: &'a BlackoutTarget,
--- a/crates/reservations/src/deduplication.rs
+++ b/crates/reservations/src/deduplication.rs
@@ -1,4 +1,4 @@
-//! Which commands have been applied, so that none is applied twice.
+//! Deduplication of commands: remembers which ones were applied, so that none is applied twice.
 use std::collections::BTreeMap;
 
 use copperspread_identifiers::Name;
@@ -7,27 +7,27 @@
 use crate::command_id::CommandId;
 use crate::time::{DAY, SpanMillis, UnixMillis};
 
-/// Members whose windows are kept.
+/// The maximum number of members whose windows are kept.
 pub(crate) const MAX_MEMBERS: usize = 1_024;
-/// How far back in a member's sequence a late command can still be told from a duplicate.
+/// The number of a member's latest sequence numbers for which a late command can be told from a duplicate.
 const WINDOW_LENGTH: u64 = 128;
-/// A member that sent nothing for so long may be replaced by another.
+/// The time without commands after which a member's window may be evicted for another member's.
 const MEMBER_RETENTION: SpanMillis = DAY.times(7);
 
-/// The result of looking up a command's id.
+/// The result of checking a command's id against the commands applied so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DuplicateCheck {
-    /// It was not applied yet; from now on it counts as applied.
+    /// The command was not applied yet, and counts as applied from now on.
     New,
-    /// It was applied.
+    /// The command was applied before.
     Duplicate,
-    /// It lies before the window, or is of an earlier incarnation of its member.
+    /// The command precedes the window, or is from an earlier incarnation of its member.
     TooOld,
-    /// There are windows of [`MAX_MEMBERS`] other members already.
+    /// The member is new, there are windows of [`MAX_MEMBERS`] others already, and none may be evicted.
     MemberLimitReached,
 }
 
-/// The window of one member.
+/// The deduplication window of one member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Heard", expecting = "struct Heard")]
 struct MemberWindow {
@@ -35,7 +35,7 @@
     incarnation: u64,
     #[serde(rename = "highest")]
     highest_sequence: u64,
-    /// Bit n: the sequence `highest_sequence - n` was applied.
+    /// Bit `n` is set if the sequence number `highest_sequence - n` was applied.
     #[serde(rename = "window")]
     applied_bits: u128,
     #[serde(rename = "last")]
@@ -43,7 +43,7 @@
 }
 
 impl MemberWindow {
-    /// The window after a member's first command of an incarnation.
+    /// The window after the first command of an incarnation.
     fn starting_with(id: &CommandId, now: UnixMillis) -> MemberWindow {
         MemberWindow {
             incarnation: id.incarnation,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Looks up a sequence of the current incarnation and records it.
+    /// Checks a sequence number of the current incarnation, and records it as applied.
     fn record(&mut self, sequence: u64) -> DuplicateCheck {
         if sequence > self.highest_sequence {
             let shift = sequence - self.highest_sequence;
@@ -74,13 +74,13 @@
     }
 }
 
-/// For each member the highest sequence, and which of the 128 up to it were applied.
+/// For each member the highest sequence number, and which of the last 128 numbers up to it were applied.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(rename = "Seen", expecting = "tuple struct Seen")]
 pub(crate) struct DeduplicationWindows(BTreeMap<Name, MemberWindow>);
 
 impl DeduplicationWindows {
-    /// Looks up a command's id and records it.
+    /// Checks a command's id, and records it as applied.
     pub(crate) fn record(&mut self, now: UnixMillis, id: &CommandId) -> DuplicateCheck {
         let Some(window) = self.0.get_mut(&id.member) else {
             if !self.make_space(now) {
@@ -100,15 +100,15 @@
         window.record(id.sequence)
     }
 
-    /// Evicts the member that was silent longest if all windows are taken; whether there is space for
-    /// another.
+    /// Makes space for another window and returns whether there is any. If there are [`MAX_MEMBERS`] windows,
+    /// it evicts that of the longest inactive member, unless that one was active within [`MEMBER_RETENTION`].
     fn make_space(&mut self, now: UnixMillis) -> bool {
         if self.0.len() < MAX_MEMBERS {
             return true;
         }
-        let silent_since = now.saturating_sub(MEMBER_RETENTION);
+        let inactive_since = now.saturating_sub(MEMBER_RETENTION);
         let oldest = self.0.iter().min_by_key(|(_, window)| window.last_received_at);
-        let evicted = oldest.filter(|(_, window)| window.last_received_at <= silent_since);
+        let evicted = oldest.filter(|(_, window)| window.last_received_at <= inactive_since);
         let Some(member) = evicted.map(|(member, _)| member.clone()) else { return false };
         self.0.remove(&member);
         true
--- a/crates/reservations/src/displacement_search.rs
+++ b/crates/reservations/src/displacement_search.rs
@@ -1,38 +1,39 @@
-//! The search for the candidates whose displacement frees enough slots at the least cost: the fewest
+//! Search for the candidates whose displacement frees enough slots at the least cost: the fewest
 //! slot-milliseconds, then the fewest occurrences, then those that come last in rank.
 //!
-//! It is exact among up to [`MAX_SEARCHED_CANDIDATES`] candidates and within [`MAX_SEARCH_WORK`] steps.
-//! Beyond these bounds the best cover found so far is taken, at worst the greedy one.
+//! The result is optimal for up to [`MAX_SEARCHED_CANDIDATES`] candidates if the search ends within
+//! [`MAX_SEARCH_WORK`] steps. Beyond these bounds it is the best cover found so far, at worst the greedy one.
 use std::ops::Range;
 
-/// Steps of a search, counted in segments looked at.
+/// The maximum work of a search, in segments examined.
 const MAX_SEARCH_WORK: usize = 20_000_000;
-/// With more candidates only the greedy cover is taken. This bounds the depth of the recursion.
+/// The number of candidates above which only the greedy cover is used. It bounds the depth of the recursion.
 const MAX_SEARCHED_CANDIDATES: usize = 256;
 
-/// An occurrence that may be displaced.
+/// An occurrence that may be displaced. A slice of candidates has the last in rank first.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
-    /// The slot-milliseconds that it loses.
+    /// The slot-milliseconds that the occurrence would lose.
     pub(crate) cost: u64,
     pub(crate) usages: Vec<Usage>,
 }
 
-/// The slots that a candidate has in a range of segments.
+/// The slots that a candidate occupies in a range of segments.
 #[derive(Clone, Debug)]
 pub(crate) struct Usage {
     pub(crate) segments: Range<usize>,
     pub(crate) slots: i64,
 }
 
-/// Candidates whose displacement covers the shortage, by index in ascending order.
+/// A set of candidates, by ascending index, whose displacement frees the missing slots.
 #[derive(Clone, Debug)]
 struct Cover {
     cost: u64,
     candidates: Vec<usize>,
 }
 
-/// The candidates to displace for a shortage, given in slots for each segment; none where nothing is short.
+/// The indices of the candidates to displace, in ascending order. `shortage` is the number of missing slots
+/// in each segment; it is 0 or less where enough are free.
 pub(crate) fn find_displacement(mut shortage: Vec<i64>, candidates: &[Candidate]) -> Vec<usize> {
     if shortage.iter().all(|&slots| slots <= 0) {
         return Vec::new();
@@ -66,7 +67,8 @@
     }
 }
 
-/// The first candidates that have what is short, without those that turn out not to be needed.
+/// A cover that takes each candidate in order that frees a missing slot, and then drops those that are not
+/// needed, the last taken first.
 fn greedy_cover(shortage: &[i64], candidates: &[Candidate]) -> Vec<usize> {
     let mut shortage = shortage.to_vec();
     let mut chosen = Vec::new();
@@ -89,12 +91,12 @@
     chosen
 }
 
-/// A depth-first search with branch and bound.
+/// The state of a depth-first branch-and-bound search.
 struct DisplacementSearch<'a> {
     candidates: &'a [Candidate],
-    /// What is still short after the chosen candidates.
+    /// The slots that are still missing in each segment once the chosen candidates are displaced.
     shortage: &'a mut [i64],
-    /// Chosen, or left out on this branch.
+    /// Whether the current branch has already chosen or excluded each candidate.
     is_decided: Vec<bool>,
     chosen: Vec<usize>,
     best: Cover,
@@ -102,7 +104,7 @@
 }
 
 impl DisplacementSearch<'_> {
-    /// Covers the first segment that is short by each candidate in turn, and searches on from there.
+    /// Tries each candidate that frees slots in the first segment with a shortage, and continues recursively.
     fn search_covers(&mut self, cost: u64) {
         self.work += self.shortage.len();
         let Some(segment) = self.shortage.iter().position(|&slots| slots > 0) else {
@@ -110,14 +112,14 @@
             return;
         };
         let candidates = self.candidates;
-        let mut left_out = Vec::new();
+        let mut excluded = Vec::new();
         for (index, candidate) in candidates.iter().enumerate() {
             let covers_segment = candidate.usages.iter().any(|usage| usage.segments.contains(&segment));
             if self.is_decided[index] || !covers_segment {
                 continue;
             }
             self.is_decided[index] = true;
-            left_out.push(index);
+            excluded.push(index);
             let next_cost = cost.saturating_add(candidate.cost);
             if self.may_improve(next_cost) {
                 self.chosen.push(index);
@@ -127,19 +129,20 @@
                 self.chosen.pop();
             }
         }
-        for index in left_out {
+        for index in excluded {
             self.is_decided[index] = false;
         }
     }
 
-    /// Whether one more candidate may lead to a better cover. It may not when the work is used up: then the
-    /// best cover so far stands, which may not be the least.
+    /// Whether a branch with one more candidate, at a total cost of `next_cost`, may lead to a better cover.
+    /// It is false once [`MAX_SEARCH_WORK`] is reached, which ends the search with a cover that may not be
+    /// optimal.
     fn may_improve(&self, next_cost: u64) -> bool {
         let best = (self.best.cost, self.best.candidates.len());
         (next_cost, self.chosen.len() + 1) <= best && self.work < MAX_SEARCH_WORK
     }
 
-    /// Takes the chosen candidates as the best cover if they are better.
+    /// Replaces the best cover by the chosen candidates if they are better.
     fn consider_chosen(&mut self, cost: u64) {
         let mut candidates = self.chosen.clone();
         candidates.sort_unstable();
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that report every change of the calendar, each with its reason.
+//! Events, which report every change of the calendar.
 use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
@@ -8,27 +8,27 @@
 use crate::rejection::Rejection;
 use crate::time::UnixMillis;
 
-/// One change. Every member of the fleet gets the same events.
+/// A change of the calendar, with its instant and cause. Every member of the fleet gets the same events.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// The instant of the log's entry.
+    /// The calendar's time at which the change happened.
     pub at: UnixMillis,
-    /// The command that caused it; none if it was due by time.
+    /// The command that caused the change; `None` if it was due by time.
     pub command: Option<CommandId>,
-    /// What changed.
+    /// The change itself.
     pub change: Change,
 }
 
-/// What changed.
+/// The kinds of changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[non_exhaustive]
 pub enum Change {
-    /// The command was rejected for its form, its id or the claim's state, and changed nothing.
+    /// The command was rejected for a field, its id or the claim's state, and changed nothing.
     Rejected(Rejection),
-    /// A claim made a transition.
+    /// A claim was proposed or made a transition.
     #[serde(rename = "Moved")]
     StateChanged(StateChange),
-    /// One occurrence of a reservation has other allocations than before.
+    /// The allocations of one occurrence of a reservation were granted or changed.
     #[serde(rename = "Granted")]
     AllocationsChanged(AllocationChange),
     /// A pool's slots and zone were set.
@@ -36,17 +36,17 @@
     CapacityChanged(CapacityChange),
 }
 
-/// A claim's transition.
+/// A new claim, or a transition of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct variant Change::Moved")]
 pub struct StateChange {
-    /// The claim.
+    /// The id of the claim.
     pub claim: ClaimId,
-    /// Its state before; none for a new claim.
+    /// The state before; `None` for a new claim.
     pub from: Option<ClaimState>,
-    /// Its state now.
+    /// The state after the transition.
     pub to: ClaimState,
-    /// Why.
+    /// The reason for the change.
     #[serde(rename = "why")]
     pub reason: Reason,
 }
@@ -55,87 +55,89 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct variant Change::Granted")]
 pub struct AllocationChange {
-    /// The claim.
+    /// The id of the claim.
     pub claim: ClaimId,
-    /// The occurrence as it was requested.
+    /// The interval of the occurrence.
     pub occurrence: Interval,
-    /// What it has now, in order; empty if nothing.
+    /// The allocations that the occurrence has now, in order of time.
     #[serde(rename = "pieces")]
     pub allocations: Vec<Allocation>,
-    /// Why.
+    /// The reason for the change.
     #[serde(rename = "why")]
     pub reason: Reason,
-    /// If it has nothing: the nearest interval of its length that fits, if one is near.
+    /// The nearest interval of the same length that fits, if the occurrence has no allocations left from now
+    /// on and there is such an interval within the bounds of the search.
     #[serde(rename = "offer")]
     pub alternative: Option<Interval>,
 }
 
-/// A pool's slots and zone.
+/// The new size and zone of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct variant Change::Capacity")]
 pub struct CapacityChange {
-    /// The pool.
+    /// The name of the pool.
     pub pool: Name,
-    /// Its zone.
+    /// The zone of the pool.
     pub zone: Name,
-    /// Its slots.
+    /// The number of slots in the pool.
     pub slots: u32,
 }
 
-/// Why something changed.
+/// The reason for a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[non_exhaustive]
 pub enum Reason {
-    /// A command requested it.
+    /// The change was requested by a command.
     #[error("asked for")]
     #[serde(rename = "Asked")]
     Requested,
-    /// It fits as requested.
-    #[error("it fits")]
+    /// The claim fits as requested.
+    #[error("fits as requested")]
     Fits,
-    /// Only less of it fits, which its flexibility accepts.
-    #[error("less of it fits, which it accepts")]
+    /// The claim fits only partially, and accepts that.
+    #[error("fits partially, as the request accepts")]
     #[serde(rename = "LessFits")]
     FitsPartially,
-    /// It fits only if these claims are displaced, which its confirmation does.
-    #[error("it fits only if {} make room", .0.len())]
+    /// The claim fits only if these claims are displaced, which happens when it is confirmed.
+    #[error("fits only by displacement (claims to displace: {})", .0.len())]
     #[serde(rename = "NeedsRoom")]
     RequiresDisplacement(Vec<ClaimId>),
-    /// It does not fit, whoever is displaced.
+    /// The claim does not fit, even if every candidate is displaced.
     #[error("infeasible: blocked from {} to {}", .blocked.start, .blocked.end)]
     Infeasible {
-        /// The first segment in which it does not fit.
+        /// The first segment in which the claim does not fit.
         blocked: Interval,
-        /// The nearest interval of its length that fits, if one is near.
+        /// The nearest interval of the same length that fits, if there is one within the bounds of the
+        /// search.
         #[serde(rename = "offer")]
         alternative: Option<Interval>,
     },
-    /// Its last interval ended before it was confirmed.
-    #[error("past")]
+    /// The last interval of the claim ended before the claim was confirmed.
+    #[error("in the past")]
     #[serde(rename = "Past")]
     InThePast,
-    /// Its hold ended before it was confirmed.
+    /// The hold of the claim ended before the claim was confirmed.
     #[error("not confirmed before its hold ended")]
     #[serde(rename = "HoldEnded")]
     HoldExpired,
-    /// Its start or end was reached.
-    #[error("its time came")]
+    /// The first start or last end of the claim was reached.
+    #[error("start or end reached")]
     #[serde(rename = "TimeCame")]
     TimeReached,
-    /// A claim of higher precedence displaced it.
-    #[error("makes room for {0}")]
+    /// The claim was displaced by a claim of higher precedence.
+    #[error("displaced by claim {0}")]
     #[serde(rename = "RoomFor")]
     DisplacedBy(ClaimId),
-    /// A blackout displaced it.
-    #[error("under the blackout {0}")]
+    /// The claim was displaced by a blackout.
+    #[error("displaced by blackout {0}")]
     #[serde(rename = "Blackout")]
     UnderBlackout(ClaimId),
-    /// The pool's slots or zone changed.
-    #[error("the pool changed")]
+    /// The slots or zone of the claim's pool changed.
+    #[error("the pool's slots or zone changed")]
     PoolChanged,
 }
 
-/// Collects the events of one log entry, with the instant and the command that they have in common.
+/// Collects the events of one log entry, and adds the instant and the command to each.
 pub(crate) struct EventBuffer<'a> {
     pub(crate) at: UnixMillis,
     pub(crate) command: Option<&'a CommandId>,
@@ -143,12 +145,12 @@
 }
 
 impl EventBuffer<'_> {
-    /// Adds an event.
+    /// Adds an event for a change.
     pub(crate) fn push(&mut self, change: Change) {
         self.events.push(Event { at: self.at, command: self.command.cloned(), change });
     }
 
-    /// Adds a claim's transition.
+    /// Adds an event for a claim that is new (`from` is `None`) or changes its state.
     pub(crate) fn push_state_change(
         &mut self,
         claim: &ClaimId,
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -1,4 +1,4 @@
-//! Look-up structures that are derived from the claims. They are no part of the stored state.
+//! Lookup structures that are derived from the claims. They are not part of the stored state.
 use std::collections::{BTreeMap, BTreeSet};
 
 use copperspread_identifiers::Name;
@@ -11,24 +11,26 @@
 use crate::limits::BLACKOUT_LOOKAHEAD;
 use crate::time::{MILLISECOND, SpanMillis, UnixMillis};
 
-/// What is allocated of one pool.
+/// The allocations of one pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolIndex {
-    /// The allocated slots from each key on, up to the next.
+    /// The number of allocated slots from each key on, up to the next key.
     levels: BTreeMap<UnixMillis, i64>,
-    /// The allocations that occupy capacity.
+    /// The allocations of the claims that occupy capacity.
     pub(crate) allocations: IntervalMap<UnixMillis, OccurrenceKey>,
 }
 
-/// The index of all claims.
+/// Lookup structures over all claims.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Index {
     pub(crate) pools: BTreeMap<Name, PoolIndex>,
-    /// The blackouts that are in effect.
+    /// The intervals of the confirmed and active blackouts.
     pub(crate) blackouts: BTreeMap<BlackoutTarget, IntervalMap<UnixMillis, ClaimId>>,
-    /// The instants at which allowances change, with the number of claims that cause it.
+    /// The instants at which allowances change, each with the number of interval starts, interval ends and
+    /// lookahead starts that fall on it.
     pub(crate) allowance_changes: BTreeMap<UnixMillis, u32>,
-    /// When a claim is due. Entries that are out of date are ignored when they come up.
+    /// The instants at which claims are due for a transition or removal. Outdated entries stay in the set and
+    /// are skipped when they are due.
     pub(crate) due_claims: BTreeSet<(UnixMillis, ClaimId)>,
     pub(crate) occurrence_count: usize,
 }
@@ -40,7 +42,7 @@
     Remove,
 }
 
-/// The entries that overlap an interval; none where it is empty, on which the map would panic.
+/// The entries that overlap an interval. An empty interval, on which the map would panic, has none.
 pub(crate) fn overlapping<V>(
     map: &IntervalMap<UnixMillis, V>,
     interval: Interval,
@@ -69,7 +71,8 @@
         }
     }
 
-    /// The segments of constant level that cover an interval, with their level.
+    /// The segments of an interval within which the number of allocated slots is constant, each with that
+    /// number.
     pub(crate) fn segments(&self, interval: Interval) -> Vec<(Interval, i64)> {
         let mut segments = Vec::new();
         let (mut start, mut level) = (interval.start, self.level_at(interval.start));
@@ -83,7 +86,7 @@
         segments
     }
 
-    /// The segments from an instant on in which more than so many slots are allocated.
+    /// The segments from an instant on in which more than `slots` slots are allocated.
     pub(crate) fn segments_above(&self, from: UnixMillis, slots: i64) -> Vec<Interval> {
         let end = self.levels.last_key_value().map_or(from, |(edge, _)| *edge);
         let segments = self.segments(Interval { start: from, end });
@@ -92,23 +95,23 @@
 }
 
 impl Index {
-    /// Adds a claim.
-    pub(crate) fn attach(&mut self, id: &ClaimId, claim: &Claim) {
+    /// Adds a claim's entries.
+    pub(crate) fn insert_claim(&mut self, id: &ClaimId, claim: &Claim) {
         self.occurrence_count += claim.occurrences.len();
         self.insert_due(id, claim);
         self.update_allocations(id, claim, Update::Add);
         self.update_allowance_changes(id, claim, Update::Add);
     }
 
-    /// Removes a claim. It must be as it was when it was attached.
-    pub(crate) fn detach(&mut self, id: &ClaimId, claim: &Claim) {
+    /// Removes a claim's entries. The claim must be unchanged since they were added.
+    pub(crate) fn remove_claim(&mut self, id: &ClaimId, claim: &Claim) {
         self.occurrence_count -= claim.occurrences.len();
         self.update_allocations(id, claim, Update::Remove);
         self.update_allowance_changes(id, claim, Update::Remove);
     }
 
-    /// Changes a claim's state, from one that occupies capacity to another that does, or between two that do
-    /// not.
+    /// Changes a claim's state and updates its entries. The old and the new state must either both occupy
+    /// capacity or both not.
     pub(crate) fn update_state(&mut self, id: &ClaimId, claim: &mut Claim, change: impl FnOnce(&mut Claim)) {
         self.update_allowance_changes(id, claim, Update::Remove);
         change(claim);
--- a/crates/reservations/src/interval.rs
+++ b/crates/reservations/src/interval.rs
@@ -1,47 +1,48 @@
-//! Intervals of time, and slots that are allocated over them.
+//! Intervals of time, and allocations of slots over them.
 use serde::{Deserialize, Serialize};
 
 use crate::time::{SpanMillis, UnixMillis};
 
-/// A half-open interval: from one instant to before another.
+/// A half-open interval of time, which contains its start but not its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Interval {
-    /// The first instant.
+    /// The first instant of the interval.
     pub start: UnixMillis,
-    /// The first instant after it.
+    /// The first instant after the interval.
     pub end: UnixMillis,
 }
 
 impl Interval {
-    /// The length; none for an empty or reversed interval.
+    /// The length of the interval; zero if it ends at or before its start.
     pub fn length(self) -> SpanMillis {
         self.end.saturating_since(self.start).max(SpanMillis::ZERO)
     }
 
-    /// Whether the two have an instant in common.
+    /// Whether two non-empty intervals have an instant in common.
     pub fn overlaps(self, other: Interval) -> bool {
         self.start < other.end && other.start < self.end
     }
 }
 
-/// Slots over an interval.
+/// A constant number of slots over an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "Piece", expecting = "struct Piece")]
 pub struct Allocation {
-    /// When.
+    /// The interval over which the slots are allocated.
     pub interval: Interval,
-    /// The number of slots.
+    /// The number of allocated slots.
     pub slots: u32,
 }
 
 impl Allocation {
-    /// Slots times milliseconds.
+    /// The product of slots and milliseconds, or `u64::MAX` if it is larger.
     pub fn slot_millis(self) -> u64 {
         self.interval.length().0.unsigned_abs().saturating_mul(self.slots.into())
     }
 }
 
-/// Merges successive allocations that meet and have as many slots, so that equal allocations compare equal.
+/// Merges consecutive allocations that adjoin and have the same number of slots, so that lists of equal
+/// effect compare equal.
 pub(crate) fn merge_adjacent(allocations: impl IntoIterator<Item = Allocation>) -> Vec<Allocation> {
     let mut merged: Vec<Allocation> = Vec::new();
     for allocation in allocations {
@@ -57,7 +58,7 @@
     merged
 }
 
-/// Removes what lies at `now` or later.
+/// Removes the parts of the allocations that lie at `now` or later.
 pub(crate) fn truncate_at(allocations: &mut Vec<Allocation>, now: UnixMillis) {
     allocations.retain(|allocation| allocation.interval.start < now);
     for allocation in allocations {
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -1,24 +1,30 @@
-//! The fleet's calendar of reservations and blackouts. It has no I/O and no clock: commands come in from the
-//! replicated log, events and allowances go out, and every member that applies the same log gets the same
-//! bytes.
+//! Replicated calendar of a fleet's reservations and blackouts: it decides which claims get which slots of
+//! which pools, and when. A claim is a request for a reservation or a blackout.
+//!
+//! The crate does no I/O and reads no clock. Commands come from the replicated log, each with the instant at
+//! which it applies; applying one returns events. Every member that applies the same log gets the same events
+//! and the same serialized state.
 //!
 //! ```text
 //!  command ──► Calendar::apply ──► deduplication ──► proposal, confirmation, capacity ──► events
 //!
-//!  proposal, confirmation ──► claim_planning   what of a claim fits, and whom it would displace
-//!  confirmation, capacity ──► reallocation     who is displaced, and what the displaced get instead
+//!  proposal, confirmation ──► claim_planning   which part of a claim fits, and which claims it displaces
+//!  confirmation, capacity ──► reallocation     which claims are displaced, and what they get instead
 //!  both ──► availability, planner, displacement_search, alternative ──► store (claims, pools, index)
 //!
 //!  store ──► allowance_query ──► allowances(at), next_change_after(at)
 //! ```
 //!
-//! 1. A claim is proposed, then held or rejected, confirmed, active, done; or displaced, withdrawn, lapsed
-//!    (`claim_state`). A recurrence by local time is expanded to instants when it is proposed (`recurrence`).
-//! 2. Conflicts: a blackout overrides every reservation; an occurrence that has started is not displaced by a
-//!    claim; then the higher precedence wins; then the earlier ranked claim; then the lower id.
-//! 3. The stored state is ordered, so that the same log gives the same bytes.
+//! 1. A proposed claim is held, or rejected, or stays proposed if it fits only by displacing others. A held
+//!    claim becomes confirmed, active and done, unless it is displaced, withdrawn, or lapses (`claim_state`).
+//!    A recurrence by local time is expanded to instants when it is proposed (`recurrence`).
+//! 2. Conflicts are resolved in this order: a blackout overrides every reservation; a claim never displaces
+//!    an occurrence that has started; the higher precedence wins; the claim that was ranked earlier wins; the
+//!    lower claim id wins.
+//! 3. The stored state uses ordered maps only, so that its serialized form is deterministic.
 //!
-//! It does not check who may propose what; that is up to those who write the log. Its rules in full:
+//! The crate does not check who may propose what: whoever appends to the log has to. The complete rules are
+//! in
 //! `docs/design/0004-fleet.md`.
 #![forbid(unsafe_code)]
 
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -1,8 +1,10 @@
-//! What of a request fits, and which candidates are displaced for it: a pure search over segments.
+//! Planning of one request over segments: how much of it is granted, and which candidates are displaced for
+//! it.
 //!
-//! 1. What is granted is the most that fits if every candidate were displaced: all of it, or else what the
-//!    request's flexibility accepts.
-//! 2. Of all ways to make that fit the one of least displacement is taken (see `displacement_search`).
+//! 1. The grant is the most that would fit if every candidate were displaced: the whole request, or else as
+//!    much as its flexibility accepts.
+//! 2. Of all ways to make the grant fit, the one with the least displacement is used (see
+//!    `displacement_search`).
 use crate::command::Flexibility;
 use crate::displacement_search::{Candidate, find_displacement};
 use crate::interval::{Allocation, Interval, merge_adjacent};
@@ -11,18 +13,18 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Segment {
     pub(crate) interval: Interval,
-    /// Slots that nobody has; below 0 where the pool lost slots.
+    /// The number of unallocated slots; negative if the pool has shrunk below what is allocated.
     pub(crate) free_slots: i64,
-    /// Under a blackout: nothing is granted.
+    /// Whether a blackout applies, so that nothing is granted.
     pub(crate) is_blacked_out: bool,
 }
 
-/// What is granted, and the candidates (by index, ascending) that are displaced for it.
+/// The granted allocations, and the candidates (by ascending index) to displace for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AllocationPlan {
     pub(crate) allocations: Vec<Allocation>,
     pub(crate) displaced: Vec<usize>,
-    /// Whether all of the request is granted.
+    /// Whether the whole request is granted.
     pub(crate) is_complete: bool,
 }
 
@@ -32,11 +34,11 @@
     is_complete: bool,
 }
 
-/// Plans a request for `slots` over the segments. Of the candidates those come first that are displaced
-/// first.
+/// Plans a request for `slots` slots over the segments. The candidates are in the order in which they are to
+/// be displaced.
 ///
 /// # Errors
-/// The first segment in which it does not fit.
+/// The first segment in which the request does not fit.
 pub(crate) fn plan(
     slots: u32,
     flexibility: Flexibility,
@@ -58,7 +60,7 @@
 fn max_available_slots(segments: &[Segment], candidates: &[Candidate]) -> Vec<i64> {
     let mut available: Vec<i64> = segments
         .iter()
-        // The bound leaves room to add the candidates' slots without overflow.
+        // The lower bound prevents an overflow when the candidates' slots are added.
         .map(|segment| if segment.is_blacked_out { 0 } else { segment.free_slots.max(i64::MIN / 4) })
         .collect();
     for usage in candidates.iter().flat_map(|candidate| &candidate.usages) {
@@ -69,7 +71,10 @@
     available
 }
 
-/// The most that the request accepts of what is available.
+/// The largest grant of the available slots that the request accepts.
+///
+/// # Errors
+/// The first segment in which the request does not fit, if it accepts no grant.
 fn choose_grant(
     slots: u32,
     flexibility: Flexibility,
@@ -94,13 +99,15 @@
     }
 }
 
-/// As many slots in each segment as in the fullest; nothing if that is below the minimum.
+/// Grants in every segment the slots that are available in all of them, up to the request; nothing if that is
+/// below the minimum.
 fn constant_grant(requested: i64, min_slots: i64, max_available: &[i64]) -> Vec<i64> {
     let level = max_available.iter().copied().min().unwrap_or(0).min(requested);
     if level >= min_slots { vec![level; max_available.len()] } else { Vec::new() }
 }
 
-/// In each segment what is available, up to the request; none where that is below the minimum.
+/// Grants in each segment the slots that are available there, up to the request; none in a segment where that
+/// is below the minimum.
 fn split_grant(requested: i64, min_slots: i64, max_available: &[i64]) -> Vec<i64> {
     let grant = |&available: &i64| if available >= min_slots { available.min(requested) } else { 0 };
     max_available.iter().map(grant).collect()
--- a/crates/reservations/src/proposal.rs
+++ b/crates/reservations/src/proposal.rs
@@ -1,4 +1,4 @@
-//! The commands that propose claims.
+//! Implementation of the commands that propose claims.
 use std::collections::BTreeSet;
 
 use crate::claim::ClaimRequest;
@@ -10,10 +10,10 @@
 use crate::rejection::{FieldError, Rejection};
 use crate::store::ClaimStore;
 
-/// Proposes a blackout, which is held at once.
+/// Adds a blackout to the calendar, and holds it at once.
 ///
 /// # Errors
-/// The first field that is out of its bounds; nothing changed.
+/// The first invalid field, or the limit that is reached. Nothing has changed then.
 pub(crate) fn propose_blackout(
     store: &mut ClaimStore,
     id: &ClaimId,
@@ -27,11 +27,11 @@
     transition_proposed(store, id, Transition::Hold, Reason::Fits, events)
 }
 
-/// Proposes a reservation: it is held if it fits, stays proposed if it fits only by displacement, and is
-/// rejected otherwise.
+/// Adds a reservation to the calendar. It is held if it fits, stays proposed if it fits only by displacement,
+/// and is rejected otherwise.
 ///
 /// # Errors
-/// The first field that is out of its bounds; nothing changed.
+/// The first invalid field, or the limit that is reached. Nothing has changed then.
 pub(crate) fn propose_reservation(
     store: &mut ClaimStore,
     id: &ClaimId,
@@ -68,7 +68,11 @@
     store.transition(id, transition, reason, events).map_err(|error| Rejection::new("claim", error))
 }
 
-/// The requested amount in slots of the pool, which must have them unless the request accepts fewer.
+/// The requested amount in slots of the pool.
+///
+/// # Errors
+/// The pool is unknown, the amount is less than one slot, or it exceeds the pool and the request does not
+/// accept fewer slots.
 fn requested_slots(store: &ClaimStore, reservation: &ReservationRequest) -> Result<u32, Rejection> {
     let pool = store.pools().get(&reservation.pool);
     let pool = pool.ok_or(Rejection::new("pool", FieldError::Unknown))?;
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -1,4 +1,5 @@
-//! Displacement: takes the remaining allocations of some occurrences away and allocates by rank what is free.
+//! Displacement: releases the remaining allocations of some occurrences, and allocates the free slots to them
+//! again in the order of their rank.
 use std::collections::BTreeSet;
 
 use crate::alternative::nearest_interval;
@@ -31,7 +32,7 @@
     }
 }
 
-/// Takes from occurrences what they have from now on.
+/// Releases the allocations that occurrences have from now on.
 pub(crate) fn release<'a>(
     store: &mut ClaimStore,
     keys: impl IntoIterator<Item = &'a OccurrenceKey>,
@@ -39,7 +40,7 @@
     let now = store.now();
     let mut released = Vec::new();
     for key in keys {
-        store.edit(&key.claim, |claim| {
+        store.update_claim(&key.claim, |claim| {
             if let Some(occurrence) = claim.occurrences.get_mut(key.position) {
                 let allocations_before = occurrence.allocations.clone();
                 truncate_at(&mut occurrence.allocations, now);
@@ -50,8 +51,8 @@
     released
 }
 
-/// Allocates what is free to released occurrences, by rank, and reports those that have other allocations
-/// than before. A claim that is left with nothing is displaced.
+/// Allocates free slots to released occurrences in the order of their rank, and reports those whose
+/// allocations differ from before. A claim that has no allocations left from now on is displaced.
 pub(crate) fn reallocate(
     store: &mut ClaimStore,
     released: Vec<ReleasedOccurrence>,
@@ -60,9 +61,9 @@
 ) {
     let ranked = in_rank_order(store, released);
     for occurrence in &ranked {
-        refill(store, &occurrence.rank.key, occurrence.max_slots_before());
+        allocate_free_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
-    // Growth comes last, so that it takes nothing from the occurrences that had their slots before.
+    // Growth comes last, so that it takes no slots from occurrences that had them before.
     for occurrence in &ranked {
         grow_with_pool(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
@@ -87,19 +88,19 @@
     ranked
 }
 
-/// Allocates what is free to an occurrence, up to `max_slots`, as far as its flexibility accepts less.
-fn refill(store: &mut ClaimStore, key: &OccurrenceKey, max_slots: u32) {
+/// Allocates up to `max_slots` free slots to an occurrence, or fewer if its flexibility accepts that.
+fn allocate_free_slots(store: &mut ClaimStore, key: &OccurrenceKey, max_slots: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
     let mut flexibility = reservation.flexibility;
-    // An occurrence that has started continues wherever it can.
+    // An occurrence that has started keeps the parts of its interval that still fit.
     flexibility.allows_split |= occurrence.interval.start <= store.now();
     let slots = max_slots.min(claim.requested_slots);
     allocate_rest(store, key, slots, flexibility, &[]);
 }
 
-/// Allocates its new size to an occurrence whose amount is a fraction of a pool that has grown, if all of
-/// that is free.
+/// Allocates the new amount to an occurrence whose amount is a fraction of a pool that has grown, if so many
+/// slots are free.
 fn grow_with_pool(store: &mut ClaimStore, key: &OccurrenceKey, slots_before: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
@@ -110,7 +111,8 @@
     }
 }
 
-/// Plans the rest of an occurrence from now on, and replaces its allocations there if the plan succeeds.
+/// Plans an occurrence from now on, and replaces its allocations there if the plan succeeds. The allocations
+/// of the `released` occurrences count as free.
 fn allocate_rest(
     store: &mut ClaimStore,
     key: &OccurrenceKey,
@@ -128,7 +130,7 @@
     }
     let segments = segments(store, reservation, rest, &[], released);
     let Ok(rest_plan) = plan(slots, flexibility, &segments, &[]) else { return };
-    store.edit(&key.claim, |claim| {
+    store.update_claim(&key.claim, |claim| {
         if let Some(occurrence) = claim.occurrences.get_mut(key.position) {
             truncate_at(&mut occurrence.allocations, now);
             occurrence.allocations.extend(rest_plan.allocations);
@@ -137,7 +139,7 @@
     });
 }
 
-/// Reports an occurrence that has other allocations than before, with an alternative if it has none left.
+/// Reports an occurrence if its allocations differ from before, with an alternative if it has none left.
 fn report_change(
     store: &ClaimStore,
     key: &OccurrenceKey,
@@ -172,7 +174,8 @@
     let claim = store.claim(id);
     let last_end = claim.and_then(|claim| claim.effective_intervals().map(|interval| interval.end).max());
     if last_end.is_none_or(|end| end <= store.now()) {
-        // A claim that had allocations occupies capacity, and each such state allows displacement.
+        // This cannot fail: a claim with released allocations occupies capacity, and every state that does
+        // allows displacement.
         let _ = store.transition(id, Transition::Displace, reason.clone(), events);
     }
 }
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -1,4 +1,4 @@
-//! Recurrences by local time, including the hours that a clock change skips or repeats.
+//! Recurrences by local time, with rules for the hours that a clock change skips or repeats.
 use std::collections::BTreeSet;
 
 use copperspread_identifiers::Name;
@@ -11,49 +11,50 @@
 use crate::rejection::{FieldError, Rejection};
 use crate::time::{DAY, UnixMillis};
 
-/// Minutes of a local day, as a wall clock counts them.
+/// The minutes of a local day without a clock change.
 pub(crate) const MINUTES_PER_DAY: u16 = 1_440;
 
-/// An interval of the local day, on certain days, between two instants.
+/// A recurring interval of the local day, on certain days, between two instants.
 ///
-/// A start or an end in an hour that a clock change skips is the instant of the change. Of an hour that is
-/// repeated the start is in the first and the end in the second, so that the interval covers all that its
-/// wall clock times name.
+/// A start or end within an hour that a clock change skips is moved to the instant of the change. Within an
+/// hour that is repeated, a start is in the first pass and an end in the second, so that the interval
+/// contains every instant whose local time lies between the two.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Repeat", expecting = "struct Repeat")]
 pub struct Recurrence {
-    /// The zone's name in the IANA database, such as `Africa/Cairo`.
+    /// The name of the time zone in the IANA database, such as `Africa/Cairo`.
     pub zone: Name,
     /// The local days on which an occurrence starts.
     pub days: RecurrenceDays,
-    /// The start in minutes of the local day, 0 to 1,439.
+    /// The start in minutes since local midnight, 0 to 1,439.
     #[serde(rename = "from")]
     pub start_minute: u16,
-    /// The end in minutes of the local day, 0 to 1,440; of the next day unless it is after `start_minute`.
+    /// The end in minutes since local midnight, 0 to 1,440. It is on the next day unless it is greater than
+    /// `start_minute`.
     #[serde(rename = "to")]
     pub end_minute: u16,
-    /// No occurrence starts before.
+    /// The instant before which no occurrence starts.
     #[serde(rename = "first")]
     pub not_before: UnixMillis,
-    /// No occurrence ends later.
+    /// The instant after which no occurrence ends.
     pub until: UnixMillis,
 }
 
-/// Days of the local calendar.
+/// The local days on which a recurrence has an occurrence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Days")]
 pub enum RecurrenceDays {
-    /// Days of the week: 1 for Monday to 7 for Sunday.
+    /// Days of the week, from 1 for Monday to 7 for Sunday.
     #[serde(rename = "Week")]
     Weekdays(BTreeSet<u8>),
-    /// Days of the month: 1 to 31 from its start, or -1 (the last) to -31 from its end. A month without such
-    /// a day has no occurrence.
+    /// Days of the month: 1 to 31 counted from its start, or -1 (the last day) to -31 counted from its end. A
+    /// day that a month does not have is skipped.
     #[serde(rename = "Month")]
     MonthDays(BTreeSet<i8>),
 }
 
 impl RecurrenceDays {
-    /// Checks that there is a day, and that all are in range.
+    /// Checks that there is at least one day, and that all days are in range.
     pub(crate) fn validate(&self) -> Result<(), Rejection> {
         match self {
             RecurrenceDays::Weekdays(days) => {
@@ -95,7 +96,8 @@
     }
 }
 
-/// Which bound of an interval a local time is; it decides between the two instants of a repeated hour.
+/// The bound of an interval that a local time stands for. It selects one of the two instants that a time in a
+/// repeated hour has.
 #[derive(Clone, Copy)]
 enum IntervalBound {
     Start,
@@ -103,15 +105,18 @@
 }
 
 impl Recurrence {
-    /// The occurrences that end after `now`, in order and disjoint, at most `max_count`. The first is without
-    /// what has passed of it.
+    /// The first `max_count` occurrences that end after `now`, in order of time and disjoint. An occurrence
+    /// that has started begins at `now`.
+    ///
+    /// # Errors
+    /// The time zone is unknown.
     pub(crate) fn occurrences(&self, now: UnixMillis, max_count: usize) -> Result<Vec<Interval>, Rejection> {
-        // The bundled database and no other: the systems' own may differ among members.
+        // Always the bundled time zone database: those of the members' operating systems may differ.
         let zone = TimeZoneDatabase::bundled()
             .get(self.zone.as_str())
             .map_err(|_| Rejection::new("when.zone", FieldError::Unknown))?;
         let mut occurrences: Vec<Interval> = Vec::new();
-        // From two days before, as an occurrence may have started already.
+        // The search starts two days early, because an occurrence may already have started.
         let search_start = self.not_before.max(now).saturating_sub(2 * DAY);
         let Ok(search_start) = Timestamp::from_millisecond(search_start.0) else { return Ok(occurrences) };
         let mut date = zone.to_datetime(search_start).date();
@@ -122,7 +127,7 @@
                 break;
             }
             let is_included = self.days.contains(date) && start >= self.not_before && end <= self.until;
-            // An end in the second of a repeated hour may lie after the next start, which is in the first.
+            // In a repeated hour, an occurrence's end (second pass) may be after the next start (first pass).
             let start = start.max(last_end).max(now);
             if is_included && start < end {
                 occurrences.push(Interval { start, end });
@@ -143,7 +148,7 @@
     }
 }
 
-/// The local time so many minutes into a date; the midnight after it at [`MINUTES_PER_DAY`].
+/// The local time at a minute of a date; at [`MINUTES_PER_DAY`] the midnight at the end of the date.
 fn local_time(date: Date, minute_of_day: u16) -> Option<DateTime> {
     let (date, minute_of_day) =
         if minute_of_day >= MINUTES_PER_DAY { (date.tomorrow().ok()?, 0) } else { (date, minute_of_day) };
@@ -156,7 +161,8 @@
     let ambiguous = zone.to_ambiguous_timestamp(local);
     let timestamp = match (ambiguous.offset(), bound) {
         (AmbiguousOffset::Gap { .. }, _) => {
-            // The later reading lies at the change or after it, by less than a day.
+            // `later()` is at the change or less than a day after it, so the change is the last transition up
+            // to that instant.
             let after_change = ambiguous.later().ok()?.checked_add(SignedDuration::from_millis(1)).ok()?;
             zone.preceding(after_change).next()?.timestamp()
         }
--- a/crates/reservations/src/rejection.rs
+++ b/crates/reservations/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Why a command is rejected.
+//! Errors for which a command is rejected.
 use std::borrow::Cow;
 
 use serde::{Deserialize, Serialize};
@@ -6,14 +6,14 @@
 use crate::claim_state::InvalidTransition;
 use crate::time::UnixMillis;
 
-/// A rejected command: the field and what is wrong with it. The command changed nothing.
+/// The error of a rejected command, with the field that caused it. The command changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{field}: {error}")]
 #[serde(rename = "Refusal", expecting = "struct Refusal")]
 pub struct Rejection {
-    /// The path of the field in the command's stored form, such as `when.end`.
+    /// The path of the field in the serialized command, such as `when.end`.
     pub field: Cow<'static, str>,
-    /// What is wrong with it.
+    /// The error in the field.
     #[serde(rename = "fault")]
     pub error: FieldError,
 }
@@ -24,57 +24,57 @@
     }
 }
 
-/// What is wrong with a field.
+/// The error in a field of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename = "Fault", expecting = "struct variant Fault::Range")]
 #[non_exhaustive]
 pub enum FieldError {
-    /// Below its minimum or above its maximum.
-    #[error("not in {min} to {max}")]
+    /// The value is below its minimum or above its maximum.
+    #[error("not in the range {min} to {max}")]
     #[serde(rename = "range")]
     OutOfRange {
-        /// The least valid value.
+        /// The minimum valid value.
         #[serde(rename = "least")]
         min: i64,
-        /// The greatest valid value.
+        /// The maximum valid value.
         #[serde(rename = "most")]
         max: i64,
     },
-    /// An interval that ends at or before its start, or a set without elements.
+    /// The interval ends at or before its start, a set has no elements, or a recurrence has no occurrence.
     #[error("empty")]
     #[serde(rename = "empty")]
     Empty,
-    /// It ended before the command came.
-    #[error("past")]
+    /// The interval ended before the command was applied.
+    #[error("in the past")]
     #[serde(rename = "past")]
     InThePast,
-    /// More elements than the limit.
-    #[error("more than {0}")]
+    /// The number of elements would exceed the limit.
+    #[error("exceeds the limit of {0}")]
     #[serde(rename = "too_many")]
     LimitExceeded(u64),
-    /// No claim, pool or time zone has this name.
+    /// There is no claim, pool or time zone of this id or name.
     #[error("unknown")]
     #[serde(rename = "unknown")]
     Unknown,
-    /// Less than one slot at the pool's current size.
-    #[error("less than a slot")]
+    /// The amount is less than one slot at the current size of the pool.
+    #[error("less than one slot")]
     #[serde(rename = "less_than_a_slot")]
     BelowOneSlot,
-    /// More than all slots of the pool at its current size.
+    /// The amount exceeds the current size of the pool, which is given in slots.
     #[error("more than the pool's {0} slots")]
     #[serde(rename = "more_than_the_pool")]
     ExceedsPool(u32),
-    /// The claim's state does not allow it.
+    /// The state of the claim does not allow the transition.
     #[error(transparent)]
     #[serde(rename = "life")]
     InvalidTransition(#[from] InvalidTransition),
-    /// The command is older than what the deduplication window covers.
-    #[error("too old to know whether it acted")]
+    /// The command is older than the deduplication window of its member, or from an earlier incarnation.
+    #[error("too old for duplicate detection")]
     #[serde(rename = "too_old")]
     TooOld,
 }
 
-/// Checks that `value` lies in `min` to `max`, both included.
+/// Checks that a value lies in the range `min` to `max`, both included.
 pub(crate) fn check_range(field: &'static str, value: i64, min: i64, max: i64) -> Result<(), Rejection> {
     if (min..=max).contains(&value) {
         Ok(())
@@ -83,7 +83,7 @@
     }
 }
 
-/// Checks that an instant lies in `min` to `max`, both included.
+/// Checks that an instant lies in the range `min` to `max`, both included.
 pub(crate) fn check_instant(
     field: &'static str,
     instant: UnixMillis,
--- a/crates/reservations/src/schedule.rs
+++ b/crates/reservations/src/schedule.rs
@@ -1,4 +1,4 @@
-//! When a claim applies: one interval, or a recurrence.
+//! Schedules of claims: one interval, or a recurrence.
 use serde::{Deserialize, Serialize};
 
 use crate::interval::Interval;
@@ -7,22 +7,23 @@
 use crate::rejection::{FieldError, Rejection, check_instant, check_range};
 use crate::time::{MILLISECOND, UnixMillis};
 
-/// When a claim applies.
+/// The intervals of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "When")]
 pub enum Schedule {
-    /// Over one interval. The part that has passed when it is proposed does not count.
+    /// A single interval. The part that has passed when the claim is proposed is left out.
     Once(Interval),
-    /// Repeatedly by local time.
+    /// An interval that recurs by local time.
     #[serde(rename = "Repeat")]
     Recurring(Recurrence),
 }
 
 impl Schedule {
-    /// Its intervals from `now` on: at least one, in order and disjoint, the first without what has passed.
+    /// The intervals from `now` on: at least one, in order of time and disjoint. An interval that has started
+    /// begins at `now`.
     ///
     /// # Errors
-    /// A field that is out of its bounds.
+    /// The first invalid field, or the field that leaves no interval or too many.
     pub fn intervals(&self, now: UnixMillis) -> Result<Vec<Interval>, Rejection> {
         let horizon = now.saturating_add(PLANNING_HORIZON).min(MAX_INSTANT);
         match self {
--- a/crates/reservations/src/settings.rs
+++ b/crates/reservations/src/settings.rs
@@ -1,4 +1,4 @@
-//! The calendar's settings.
+//! Settings of the calendar.
 use serde::{Deserialize, Serialize};
 
 use crate::limits::MAX_DISPLACEMENT_NOTICE;
@@ -7,20 +7,20 @@
 /// Settings of the calendar. They must be the same for every member of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settings {
-    /// An occurrence that starts sooner than this is not displaced by a claim: 0 to 30 days.
+    /// The time before its start within which an occurrence is not displaced by a claim, 0 to 30 days.
     #[serde(rename = "notice")]
     pub displacement_notice: SpanMillis,
 }
 
 impl Default for Settings {
-    /// An hour's notice.
+    /// Settings with a displacement notice of one hour.
     fn default() -> Settings {
         Settings { displacement_notice: HOUR }
     }
 }
 
 impl Settings {
-    /// Checks the bounds.
+    /// Checks that every setting is within its bounds.
     ///
     /// # Errors
     /// The first setting that is out of its bounds.
@@ -33,11 +33,11 @@
     }
 }
 
-/// A setting that is out of its bounds.
+/// The error for a setting that is out of its bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
     /// [`Settings::displacement_notice`] is negative or longer than 30 days.
-    #[error("notice: not in 0 to 30 days")]
+    #[error("notice: not in the range 0 to 30 days")]
     NoticeOutOfRange,
 }
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -1,4 +1,5 @@
-//! The stored state of the calendar, with the index kept in step: every change of a claim goes through here.
+//! Stored state of the calendar, with an index over it. Every change of a claim goes through [`ClaimStore`],
+//! which updates the index with it.
 use std::collections::BTreeMap;
 
 use copperspread_identifiers::Name;
@@ -17,7 +18,7 @@
 use crate::settings::Settings;
 use crate::time::{MILLISECOND, UnixMillis};
 
-/// What a snapshot contains. The maps are ordered, so that the same log gives the same bytes.
+/// The content of a snapshot. The maps are ordered, so that the same log gives the same bytes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Inner", expecting = "struct Inner")]
 struct CalendarState {
@@ -30,7 +31,7 @@
     deduplication: DeduplicationWindows,
 }
 
-/// A map as a sequence of pairs, for formats whose map keys are strings.
+/// Serialization of a map as a sequence of pairs, for formats whose map keys must be strings.
 mod map_as_pairs {
     use std::collections::BTreeMap;
 
@@ -50,8 +51,8 @@
     }
 }
 
-/// The pools and claims, owned by one [`Calendar`](crate::Calendar). Its stored form is the state alone; the
-/// index is built anew when it is read.
+/// The pools and claims of a [`Calendar`](crate::Calendar), with an index. Only the state is serialized; the
+/// index is rebuilt on deserialization.
 #[derive(Clone, Debug)]
 pub(crate) struct ClaimStore {
     state: CalendarState,
@@ -69,14 +70,14 @@
         let state = CalendarState::deserialize(deserializer)?;
         let mut index = Index::default();
         for (id, claim) in &state.claims {
-            index.attach(id, claim);
+            index.insert_claim(id, claim);
         }
         Ok(ClaimStore { state, index })
     }
 }
 
 impl ClaimStore {
-    /// A store without pools and claims, at instant 0.
+    /// Creates a store without pools and claims, with the time at the Unix epoch.
     pub(crate) fn new(settings: Settings) -> ClaimStore {
         let state = CalendarState {
             settings,
@@ -92,7 +93,7 @@
         self.state.now
     }
 
-    /// The first instant at which an occurrence may start and still be displaced.
+    /// The earliest start at which an occurrence may be displaced by a claim.
     pub(crate) fn displaceable_from(&self) -> UnixMillis {
         let now = self.state.now;
         now.saturating_add(self.state.settings.displacement_notice).max(now + MILLISECOND)
@@ -110,7 +111,7 @@
         self.state.claims.get(id)
     }
 
-    /// What a claim requested, if it is a reservation.
+    /// The reservation request of a claim; `None` if the claim is unknown or a blackout.
     pub(crate) fn reservation(&self, id: &ClaimId) -> Option<&ReservationRequest> {
         self.claim(id)?.reservation()
     }
@@ -120,12 +121,12 @@
         Some((claim, claim.occurrences.get(key.position)?))
     }
 
-    /// Advances time; an earlier instant has no effect.
+    /// Advances the time to an instant; an instant in the past has no effect.
     pub(crate) fn advance_to(&mut self, at: UnixMillis) {
         self.state.now = self.state.now.max(at);
     }
 
-    /// Looks up a command's id and records it as applied.
+    /// Checks a command's id for a duplicate, and records it as applied.
     pub(crate) fn record_command(&mut self, id: &CommandId) -> DuplicateCheck {
         self.state.deduplication.record(self.state.now, id)
     }
@@ -134,7 +135,10 @@
         self.state.pools.insert(name.clone(), pool);
     }
 
-    /// Checks that one more claim with so many occurrences is within the limits.
+    /// Checks that one more claim, with `new_occurrences` occurrences, is within the limits.
+    ///
+    /// # Errors
+    /// The limit that would be exceeded.
     pub(crate) fn check_limits(&self, new_occurrences: usize) -> Result<(), Rejection> {
         if self.state.claims.len() >= MAX_CLAIMS {
             return Err(Rejection::new("claim", FieldError::LimitExceeded(MAX_CLAIMS as u64)));
@@ -163,17 +167,17 @@
             requested_slots,
             occurrences: intervals.iter().map(unallocated).collect(),
         };
-        self.index.attach(id, &claim);
+        self.index.insert_claim(id, &claim);
         self.state.claims.insert(id.clone(), claim);
     }
 
     pub(crate) fn remove(&mut self, id: &ClaimId) {
         if let Some(claim) = self.state.claims.remove(id) {
-            self.index.detach(id, &claim);
+            self.index.remove_claim(id, &claim);
         }
     }
 
-    /// Takes the next claim whose transition or removal is due by now.
+    /// Removes the next claim whose transition or removal is due by now from the queue, and returns it.
     pub(crate) fn pop_due_claim(&mut self) -> Option<ClaimId> {
         while self.index.due_claims.first()?.0 <= self.state.now {
             let (due, id) = self.index.due_claims.pop_first()?;
@@ -184,19 +188,19 @@
         None
     }
 
-    /// Changes a claim and its entries in the index.
-    pub(crate) fn edit(&mut self, id: &ClaimId, change: impl FnOnce(&mut Claim)) {
+    /// Changes a claim and updates its entries in the index. An unknown claim is ignored.
+    pub(crate) fn update_claim(&mut self, id: &ClaimId, change: impl FnOnce(&mut Claim)) {
         if let Some(claim) = self.state.claims.get_mut(id) {
-            self.index.detach(id, claim);
+            self.index.remove_claim(id, claim);
             change(claim);
-            self.index.attach(id, claim);
+            self.index.insert_claim(id, claim);
         }
     }
 
-    /// Changes a claim's state and reports it.
+    /// Changes a claim's state and adds the event for it.
     ///
     /// # Errors
-    /// The claim is unknown, or its state does not allow the transition; nothing changed.
+    /// The claim is unknown, or its state does not allow the transition. Nothing has changed then.
     pub(crate) fn transition(
         &mut self,
         id: &ClaimId,
@@ -207,7 +211,7 @@
         let from = self.claim(id).ok_or(FieldError::Unknown)?.state;
         let to = from.apply(transition)?;
         let now = self.state.now;
-        // A held claim keeps the rank that it got then.
+        // A claim that was held before keeps its rank when it is confirmed.
         let is_ranked = matches!(transition, Transition::Hold | Transition::Confirm);
         let change = |claim: &mut Claim| {
             if is_ranked && from == ClaimState::Proposed {
@@ -217,7 +221,7 @@
             claim.last_transition_at = now;
         };
         if from.occupies_capacity() != to.occupies_capacity() {
-            self.edit(id, change);
+            self.update_claim(id, change);
         } else if let Some(claim) = self.state.claims.get_mut(id) {
             self.index.update_state(id, claim, change);
         }
--- a/crates/reservations/src/time.rs
+++ b/crates/reservations/src/time.rs
@@ -1,4 +1,4 @@
-//! Instants and spans of time, as types that cannot be taken for each other. In JSON both are plain integers.
+//! Instants and spans of time in milliseconds, as distinct types. Both are serialized as plain integers.
 use std::fmt::{self, Display, Formatter};
 use std::ops::{Add, AddAssign, Div, Mul, Rem, Sub};
 
@@ -14,7 +14,7 @@
 #[serde(transparent)]
 pub struct SpanMillis(pub i64);
 
-/// The smallest span, which lies between an instant and the next.
+/// A millisecond, the smallest positive span.
 pub const MILLISECOND: SpanMillis = SpanMillis(1);
 /// A minute.
 pub const MINUTE: SpanMillis = MILLISECOND.times(60_000);
@@ -24,41 +24,42 @@
 pub const DAY: SpanMillis = HOUR.times(24);
 
 impl UnixMillis {
-    /// The start of Unix time.
+    /// The Unix epoch, 1 January 1970, 00:00 UTC.
     pub const EPOCH: UnixMillis = UnixMillis(0);
-    /// The earliest instant.
+    /// The earliest instant that can be represented.
     pub const MIN: UnixMillis = UnixMillis(i64::MIN);
-    /// The latest instant.
+    /// The latest instant that can be represented.
     pub const MAX: UnixMillis = UnixMillis(i64::MAX);
 
-    /// The instant a span later, or the latest one.
+    /// The instant a span later, or the nearest instant that can be represented.
     pub const fn saturating_add(self, span: SpanMillis) -> UnixMillis {
         UnixMillis(self.0.saturating_add(span.0))
     }
 
-    /// The instant a span later, if there is one.
+    /// The instant a span later; `None` if it cannot be represented.
     pub fn checked_add(self, span: SpanMillis) -> Option<UnixMillis> {
         self.0.checked_add(span.0).map(UnixMillis)
     }
 
-    /// The instant a span earlier, or the earliest one.
+    /// The instant a span earlier, or the nearest instant that can be represented.
     pub const fn saturating_sub(self, span: SpanMillis) -> UnixMillis {
         UnixMillis(self.0.saturating_sub(span.0))
     }
 
-    /// The span since an instant, or the longest one; negative if that is later.
+    /// The span since `earlier`, or the nearest span that can be represented; negative if `earlier` is later
+    /// than this instant.
     pub const fn saturating_since(self, earlier: UnixMillis) -> SpanMillis {
         SpanMillis(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl SpanMillis {
-    /// No time at all.
+    /// A span of length zero.
     pub const ZERO: SpanMillis = SpanMillis(0);
-    /// The longest span.
+    /// The longest span that can be represented.
     pub const MAX: SpanMillis = SpanMillis(i64::MAX);
 
-    /// So many times this span.
+    /// This span multiplied by a factor. It must not overflow.
     pub const fn times(self, factor: i64) -> SpanMillis {
         SpanMillis(self.0 * factor)
     }
--- a/crates/reservations/tests/allowances.rs
+++ b/crates/reservations/tests/allowances.rs
@@ -1,4 +1,4 @@
-//! What the calendar reports as reserved and blacked out.
+//! Tests of allowances: the reservations and blackouts that the calendar reports at an instant.
 mod common;
 
 use common::{INFLEXIBLE, START, TestLog, hours, name};
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn allowances_list_active_reservations_and_differ_only_after_a_reported_change() {
+fn allowances_list_reservations_in_effect_and_change_only_at_reported_instants() {
     let mut log = TestLog::new(HOUR, 10);
     let claim = log.propose_and_confirm(4, hours(2, 4), 0, INFLEXIBLE);
     let held = log.propose(3, hours(3, 5), 0, INFLEXIBLE);
@@ -20,7 +20,7 @@
         assert_eq!(cpu(START + hour * HOUR).unreserved_slots, unreserved, "at hour {hour}");
     }
     let reservations = &cpu(START + 3 * HOUR).reservations;
-    assert_eq!(reservations.len(), 1, "{held} is not confirmed");
+    assert_eq!(reservations.len(), 1, "the held claim {held} is not listed");
     let ActiveReservation { start, end, slots, .. } = reservations[0];
     assert_eq!((&reservations[0].claim, start, end, slots), (&claim, hours(2, 4).start, hours(2, 4).end, 4));
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_blackout_reports_its_end_and_until_when_work_must_wait() {
+fn a_blackout_status_has_the_end_of_the_blackout_and_the_instant_until_which_work_must_wait() {
     let mut log = TestLog::new(HOUR, 10);
     let target = BlackoutTarget::Tenant(name("food"));
     log.confirm_blackout(target.clone(), BlackoutEffect::NoWork, hours(10, 11));
@@ -72,25 +72,29 @@
     ] {
         assert_eq!(status_at(hour), expected, "at hour {hour}");
     }
-    let nine = status_at(9).expect("a blackout ahead");
+    let status_at_hour_9 = status_at(9).expect("a blackout is upcoming");
     for (max_duration, expected) in [
         (SpanMillis::ZERO, None),
         (HOUR, None),
         (HOUR + MILLISECOND, until(13)),
         (SpanMillis::MAX, until(13)),
     ] {
-        assert_eq!(nine.wait_until(START + 9 * HOUR, max_duration), expected, "{max_duration} ms");
+        assert_eq!(
+            status_at_hour_9.wait_until(START + 9 * HOUR, max_duration),
+            expected,
+            "{max_duration} ms"
+        );
     }
     assert_eq!(
-        status_at(14).expect("a current blackout").wait_until(START + 14 * HOUR, SpanMillis::ZERO),
+        status_at(14).expect("a blackout applies").wait_until(START + 14 * HOUR, SpanMillis::ZERO),
         until(15)
     );
 }
 
 #[test]
-fn unused_slots_are_lent_at_the_lending_rate_and_no_others() {
-    // Slots reserved and used, milliseconds unused, lending rate in parts per million a second, and slots
-    // lent.
+fn only_unused_slots_are_lendable_and_at_the_lending_rate() {
+    // Columns: slots reserved, slots used, milliseconds unused, lending rate in parts per million per second,
+    // expected lendable slots.
     for (reserved, used, unused_for, rate, expected) in [
         (100, 0, 1_000, 10_000, 1),
         (100, 0, 999, 10_000, 0),
--- a/crates/reservations/tests/brute_force.rs
+++ b/crates/reservations/tests/brute_force.rs
@@ -1,4 +1,4 @@
-//! What is granted and whom it displaces, compared with a search of all possibilities on a small grid.
+//! Compares the granted slots and the displaced claims with an exhaustive search on a small grid of hours.
 mod common;
 
 use std::cmp::Reverse;
@@ -10,31 +10,31 @@
 use proptest::prelude::{ProptestConfig, Strategy, any, prop, prop_assert, prop_assert_eq, proptest};
 use proptest::test_runner::RngSeed;
 
-/// Hours of the grid; all intervals are of whole hours.
-const CELLS: usize = 6;
-/// With the notice of the test an occurrence that starts in an earlier cell is not displaced.
-const FIRST_DISPLACEABLE_CELL: usize = 2;
+/// The number of hours in the grid. All intervals consist of whole hours.
+const GRID_HOURS: usize = 6;
+/// The first hour at whose start an occurrence may be displaced, given the displacement notice of the test.
+const FIRST_DISPLACEABLE_HOUR: usize = 2;
 
-/// Slots in each cell.
-type Grid = [u32; CELLS];
+/// A number of slots for each hour of the grid.
+type Grid = [u32; GRID_HOURS];
 
 #[derive(Clone, Debug)]
-struct SmallClaim {
+struct TestClaim {
     slots: u32,
-    first_cell: usize,
-    cell_count: usize,
+    first_hour: usize,
+    hour_count: usize,
     precedence: u32,
     flexibility: Flexibility,
     is_confirmed: bool,
 }
 
-fn small_claim() -> impl Strategy<Value = SmallClaim> {
+fn test_claim() -> impl Strategy<Value = TestClaim> {
     let flexibility = (prop::option::of(1..4_u32), any::<bool>());
-    (1..5_u32, 0..CELLS, 1..4_usize, 0..4_u32, flexibility, prop::bool::weighted(0.8)).prop_map(
-        |(slots, first_cell, cell_count, precedence, (min_slots, allows_split), is_confirmed)| SmallClaim {
+    (1..5_u32, 0..GRID_HOURS, 1..4_usize, 0..4_u32, flexibility, prop::bool::weighted(0.8)).prop_map(
+        |(slots, first_hour, hour_count, precedence, (min_slots, allows_split), is_confirmed)| TestClaim {
             slots,
-            first_cell,
-            cell_count: cell_count.min(CELLS - first_cell),
+            first_hour,
+            hour_count: hour_count.min(GRID_HOURS - first_hour),
             precedence,
             flexibility: Flexibility { min_slots, allows_split },
             is_confirmed,
@@ -42,23 +42,23 @@
     )
 }
 
-impl SmallClaim {
-    fn cells(&self) -> std::ops::Range<usize> {
-        self.first_cell..self.first_cell + self.cell_count
+impl TestClaim {
+    fn hour_range(&self) -> std::ops::Range<usize> {
+        self.first_hour..self.first_hour + self.hour_count
     }
 
     fn interval(&self) -> Interval {
-        hours(self.cells().start as i64, self.cells().end as i64)
+        hours(self.hour_range().start as i64, self.hour_range().end as i64)
     }
 
-    /// All grants that the claim accepts, in slots for each of its cells.
+    /// All grants that the claim accepts, as slots for each of its hours.
     fn acceptable_grants(&self) -> Vec<Vec<u32>> {
         let min_slots = self.flexibility.min_slots.map_or(self.slots, |min_slots| min_slots.min(self.slots));
         if !self.flexibility.allows_split {
-            return (min_slots..=self.slots).map(|slots| vec![slots; self.cell_count]).collect();
+            return (min_slots..=self.slots).map(|slots| vec![slots; self.hour_count]).collect();
         }
         let mut grants: Vec<Vec<u32>> = vec![Vec::new()];
-        for _ in 0..self.cell_count {
+        for _ in 0..self.hour_count {
             let choices = || std::iter::once(0).chain(min_slots..=self.slots);
             let extend =
                 |grant: &Vec<u32>| choices().map(|slots| [&grant[..], &[slots]].concat()).collect::<Vec<_>>();
@@ -70,29 +70,29 @@
 }
 
 fn grid(allocations: &[Allocation]) -> Grid {
-    std::array::from_fn(|cell| {
-        let interval = hours(cell as i64, cell as i64 + 1);
+    std::array::from_fn(|hour| {
+        let interval = hours(hour as i64, hour as i64 + 1);
         let overlapping = allocations.iter().filter(|allocation| allocation.interval.overlaps(interval));
         overlapping.map(|allocation| allocation.slots).sum()
     })
 }
 
-/// The best grant and the others, by index, that are displaced for it.
+/// The best grant, with the indices of the other claims that are displaced for it.
 struct BestGrant {
     slots: Vec<u32>,
     displaced: Vec<usize>,
 }
 
-/// Tries every set of others and every acceptable grant: the most slots granted, then the fewest slot-hours
-/// displaced, then the fewest claims, then the last in rank.
-fn best_grant(claim: &SmallClaim, others: &[SmallClaim], grids: &[Grid], capacity: u32) -> Option<BestGrant> {
+/// Tries every set of displaced claims with every acceptable grant. The best has the most slots granted, then
+/// the fewest slot-hours displaced, then the fewest claims displaced, then those that come last in rank.
+fn best_grant(claim: &TestClaim, others: &[TestClaim], grids: &[Grid], capacity: u32) -> Option<BestGrant> {
     let is_displaceable = |index: usize| {
         let other = &others[index];
         other.precedence < claim.precedence
-            && other.first_cell >= FIRST_DISPLACEABLE_CELL
-            && grids[index][claim.cells()].iter().any(|&slots| slots > 0)
+            && other.first_hour >= FIRST_DISPLACEABLE_HOUR
+            && grids[index][claim.hour_range()].iter().any(|&slots| slots > 0)
     };
-    // Those that are displaced first have the lower precedence, then the later rank.
+    // Claims of lower precedence are displaced first, then those that were ranked later.
     let mut order: Vec<usize> = (0..others.len()).filter(|&index| is_displaceable(index)).collect();
     order.sort_by_key(|&index| (others[index].precedence, Reverse(index)));
     let mut best = None;
@@ -102,7 +102,7 @@
         let cost: u32 = displaced.iter().map(|&index| grids[index].iter().sum::<u32>()).sum();
         let free = allocated_without(grids, &displaced).map(|slots| capacity - slots);
         for grant in claim.acceptable_grants() {
-            if grant.iter().zip(&free[claim.cells()]).all(|(slots, free)| slots <= free) {
+            if grant.iter().zip(&free[claim.hour_range()]).all(|(slots, free)| slots <= free) {
                 let granted = grant.iter().sum::<u32>();
                 let key = (Reverse(granted), cost, positions.len(), positions.clone());
                 if best.as_ref().is_none_or(|(best_key, _)| key < *best_key) {
@@ -115,9 +115,9 @@
 }
 
 fn allocated_without(grids: &[Grid], displaced: &[usize]) -> Grid {
-    std::array::from_fn(|cell| {
+    std::array::from_fn(|hour| {
         let remaining = grids.iter().enumerate().filter(|(index, _)| !displaced.contains(index));
-        remaining.map(|(_, grid)| grid[cell]).sum()
+        remaining.map(|(_, grid)| grid[hour]).sum()
     })
 }
 
@@ -127,10 +127,10 @@
     })]
 
     #[test]
-    fn granted_slots_and_displaced_claims_equal_a_brute_force_search(
-        others in prop::collection::vec(small_claim(), 1..7), claim in small_claim(), capacity in 3..7_u32,
+    fn granted_slots_and_displaced_claims_equal_those_of_an_exhaustive_search(
+        others in prop::collection::vec(test_claim(), 1..7), claim in test_claim(), capacity in 3..7_u32,
     ) {
-        let mut log = TestLog::new(FIRST_DISPLACEABLE_CELL as i64 * HOUR, capacity);
+        let mut log = TestLog::new(FIRST_DISPLACEABLE_HOUR as i64 * HOUR, capacity);
         let mut ids = Vec::new();
         for other in &others {
             let id = log.propose(other.slots, other.interval(), other.precedence, other.flexibility);
@@ -148,7 +148,7 @@
 
         let id = log.propose(claim.slots, claim.interval(), claim.precedence, claim.flexibility);
         let Some(best) = best else {
-            // A request for more than the whole pool makes no claim.
+            // A request for more slots than the pool has creates no claim, unless it accepts fewer.
             let is_claim = claim.slots <= capacity || claim.flexibility.min_slots.is_some();
             prop_assert_eq!(log.calendar.state_of(&id), is_claim.then_some(ClaimState::Rejected));
             return Ok(());
@@ -162,13 +162,13 @@
             log.append(CommandBody::Confirm(id.clone()));
         }
         let granted = grid(&log.calendar.allocations_of(&id));
-        prop_assert_eq!(&granted[claim.cells()], &best.slots[..]);
+        prop_assert_eq!(&granted[claim.hour_range()], &best.slots[..]);
         let after = grids(&log);
         for (index, id) in ids.iter().enumerate() {
             prop_assert_eq!(after[index] != before[index], displaced.contains(id), "{}", id);
         }
-        for cell in 0..CELLS {
-            prop_assert!(after.iter().map(|grid| grid[cell]).sum::<u32>() + granted[cell] <= capacity);
+        for hour in 0..GRID_HOURS {
+            prop_assert!(after.iter().map(|grid| grid[hour]).sum::<u32>() + granted[hour] <= capacity);
         }
     }
 }
--- a/crates/reservations/tests/claim_state.rs
+++ b/crates/reservations/tests/claim_state.rs
@@ -1,8 +1,8 @@
-//! The states of a claim: every transition from every state.
+//! Tests of the states of a claim: every transition from every state.
 use copperspread_reservations::{ClaimState, InvalidTransition, Transition};
 
 #[test]
-fn each_transition_follows_the_table_and_every_other_is_an_error() {
+fn every_transition_leads_to_the_state_in_the_table_or_is_an_error() {
     let states = [
         ClaimState::Proposed,
         ClaimState::Held,
@@ -24,7 +24,8 @@
         Transition::Withdraw,
         Transition::Lapse,
     ];
-    // One row a state, one letter a transition; "." is an error.
+    // A row for each state, with a letter for each transition: the initial of the expected state (E for
+    // `Done`, A for `Active`), or "." for an error.
     let table = [
         "HC..R.WL", ".C...DWL", "..A..DW.", "...E.DW.", "........", "........", "........", "........",
         "........",
--- a/crates/reservations/tests/common/mod.rs
+++ b/crates/reservations/tests/common/mod.rs
@@ -1,23 +1,23 @@
-//! Builders of requests, and a calendar that keeps the log it was given.
-#![allow(dead_code, reason = "each test program uses a part of it")]
+//! Builders of requests, and a calendar that records the log entries applied to it.
+#![allow(dead_code, reason = "each test binary uses only some of these items")]
 use copperspread_reservations::{
     Allocation, Amount, BlackoutEffect, BlackoutRequest, BlackoutTarget, Calendar, Change, ClaimId,
     ClaimState, Command, CommandBody, CommandId, DAY, Event, Flexibility, HOUR, Interval, Name, Owner,
     Reason, ReservationRequest, Schedule, Settings, SpanMillis, UnixMillis,
 };
 
-/// A Monday's midnight.
+/// Monday, 7 December 2026, 00:00 UTC.
 pub(crate) const START: UnixMillis = UnixMillis(1_796_601_600_000);
 
 pub(crate) fn name(text: &str) -> Name {
-    Name::new(text).expect("a name")
+    Name::new(text).expect("valid name")
 }
 
 pub(crate) fn id(sequence: u64) -> CommandId {
     CommandId { member: name("m"), incarnation: 1, sequence }
 }
 
-/// The interval between two hours, counted from [`START`].
+/// The interval between two instants, given in hours since [`START`].
 pub(crate) fn hours(start: i64, end: i64) -> Interval {
     Interval { start: START + start * HOUR, end: START + end * HOUR }
 }
@@ -59,7 +59,7 @@
 /// Appends commands to a log and applies them to a calendar with the pool `cpu` in the zone `north`.
 pub(crate) struct TestLog {
     pub(crate) calendar: Calendar,
-    /// The instant of the next entry.
+    /// The instant at which the next entry is applied.
     pub(crate) at: UnixMillis,
     sequence: u64,
     pub(crate) entries: Vec<(UnixMillis, Command)>,
@@ -69,7 +69,7 @@
 
 impl TestLog {
     pub(crate) fn new(displacement_notice: SpanMillis, slots: u32) -> TestLog {
-        let calendar = Calendar::new(Settings { displacement_notice }).expect("good settings");
+        let calendar = Calendar::new(Settings { displacement_notice }).expect("valid settings");
         let (entries, events) = (Vec::new(), Vec::new());
         let mut log = TestLog { calendar, at: START, sequence: 0, entries, events };
         log.set_capacity(slots);
@@ -127,15 +127,15 @@
     }
 
     pub(crate) fn state_of(&self, claim: &ClaimId) -> ClaimState {
-        self.calendar.state_of(claim).expect("a known claim")
+        self.calendar.state_of(claim).expect("the claim is in the calendar")
     }
 
-    /// The reason of a claim's last transition among the events of the last entry.
+    /// The reason for a claim's last state change among the events of the last entry.
     pub(crate) fn last_reason(&self, claim: &ClaimId) -> Reason {
         let reason = self.events.iter().rev().find_map(|event| match &event.change {
             Change::StateChanged(change) if change.claim == *claim => Some(change.reason.clone()),
             _ => None,
         });
-        reason.expect("a transition")
+        reason.expect("the last entry changed the state of the claim")
     }
 }
--- a/crates/reservations/tests/conflicts.rs
+++ b/crates/reservations/tests/conflicts.rs
@@ -1,4 +1,4 @@
-//! Conflicts between claims, blackouts and pool sizes: the rules one by one.
+//! Tests of the rules for conflicts between claims, blackouts and pool sizes.
 mod common;
 
 use common::{INFLEXIBLE, PARTIAL, SPLITTABLE, START, TestLog, allocation, hours, name, reservation_request};
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn a_claim_that_fits_is_held_confirmed_active_done_and_removed() {
+fn a_claim_that_fits_is_held_then_confirmed_active_done_and_removed() {
     let mut log = TestLog::new(HOUR, 10);
     let claim = log.propose(10, hours(2, 4), 0, INFLEXIBLE);
     assert_eq!((log.state_of(&claim), log.last_reason(&claim)), (ClaimState::Held, Reason::Fits));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_hold_occupies_capacity_until_it_lapses_and_not_after() {
+fn a_hold_occupies_capacity_only_until_it_lapses() {
     let mut log = TestLog::new(HOUR, 10);
     let held = log.propose(10, hours(30, 32), 0, INFLEXIBLE);
     let conflicting = log.propose(1, hours(31, 33), 0, INFLEXIBLE);
@@ -42,7 +42,7 @@
     let invalid_transition = InvalidTransition { from: ClaimState::Lapsed, transition: Transition::Confirm };
     let rejection =
         Rejection { field: "confirm".into(), error: FieldError::InvalidTransition(invalid_transition) };
-    assert_eq!(log.events.last().expect("a rejection").change, Change::Rejected(rejection));
+    assert_eq!(log.events.last().expect("the command was rejected").change, Change::Rejected(rejection));
     let later_request = ReservationRequest {
         hold_end: START + 25 * HOUR,
         ..reservation_request(10, hours(31, 33), 0, INFLEXIBLE)
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn a_request_that_does_not_fit_gets_the_nearest_alternative_and_of_two_the_earlier() {
-    // The hours in which the pool is taken, and the alternative for a request of all of it over hours 10 to
-    // 12.
+fn a_request_that_does_not_fit_gets_the_nearest_alternative_and_of_two_equally_near_the_earlier() {
+    // Columns: the hours during which one slot is taken, and the expected alternative for a request of the
+    // whole pool over hours 10 to 12.
     for (taken, expected) in [
         (vec![(9, 13)], Some(hours(7, 9))),
         (vec![(10, 13)], Some(hours(8, 10))),
@@ -70,16 +70,16 @@
         }
         let claim = log.propose(10, hours(10, 12), 0, INFLEXIBLE);
         let Reason::Infeasible { alternative, .. } = log.last_reason(&claim) else {
-            panic!("{taken:?} fits")
+            panic!("the request fits beside {taken:?}")
         };
         assert_eq!(alternative, expected, "{taken:?}");
     }
 }
 
 #[test]
-fn precedence_displaces_at_confirmation_with_notice_and_never_what_has_started() {
-    // The other's interval and precedence, the notice, and whether precedence 5 over hours 0 to 6 displaces
-    // it.
+fn confirmation_displaces_lower_precedence_with_notice_but_no_started_occurrence() {
+    // Columns: interval and precedence of the other claim, the displacement notice, and whether a claim of
+    // precedence 5 over hours 0 to 6 displaces it.
     for (interval, precedence, notice, is_displaced) in [
         (hours(2, 4), 4, HOUR, true),
         (hours(2, 4), 5, HOUR, false),
@@ -92,7 +92,7 @@
         let other = log.propose_and_confirm(6, interval, precedence, INFLEXIBLE);
         let state_before = log.state_of(&other);
         let claim = log.propose(6, hours(0, 6), 5, INFLEXIBLE);
-        assert_eq!(log.state_of(&other), state_before, "a proposal displaces nobody");
+        assert_eq!(log.state_of(&other), state_before, "a proposal displaces no claim");
         if is_displaced {
             assert_eq!(log.last_reason(&claim), Reason::RequiresDisplacement(vec![other.clone()]));
             log.append(CommandBody::Confirm(claim.clone()));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn when_a_pool_shrinks_the_last_in_rank_are_displaced_and_relative_amounts_follow_it() {
+fn when_a_pool_is_resized_the_last_in_rank_are_displaced_and_relative_amounts_are_adjusted() {
     let mut log = TestLog::new(HOUR, 12);
     let started = log.propose_and_confirm(3, hours(0, 6), 0, INFLEXIBLE);
     let early = log.propose_and_confirm(3, hours(1, 6), 1, INFLEXIBLE);
@@ -194,7 +194,7 @@
     for (slots, expected_slots) in [(8, 3), (20, 10), (13, 6)] {
         log.set_capacity(slots);
         let allocations = log.calendar.allocations_of(&relative);
-        // Of 8 slots the half, 4, ranks before the 5 that were held later.
+        // Half of 8 slots is 4, and this claim ranks before the one for 5 slots, which was held later.
         if slots == 8 {
             assert_eq!(
                 (log.state_of(&fixed), allocations),
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn of_a_recurrence_only_the_conflicting_occurrence_is_displaced() {
+fn only_the_conflicting_occurrences_of_a_recurrence_are_displaced() {
     let mut log = TestLog::new(HOUR, 10);
     let daily = Recurrence {
         zone: name("Europe/Amsterdam"),
--- a/crates/reservations/tests/recurrence.rs
+++ b/crates/reservations/tests/recurrence.rs
@@ -1,16 +1,16 @@
-//! Recurrences by local time, through the nights on which the clock changes.
+//! Tests of recurrences by local time, including the nights on which the clock changes.
 use copperspread_reservations::{
     DAY, FieldError, HOUR, Interval, MAX_INTERVAL_LENGTH, MILLISECOND, Name, PLANNING_HORIZON, Recurrence,
     RecurrenceDays, Rejection, Schedule, UnixMillis,
 };
 
-/// Two instants, written out.
+/// The bounds of a recurrence, as RFC 3339 texts.
 type Bounds<'a> = (&'a str, &'a str);
-/// A local day's interval, by hour and minute.
+/// The start and end of an interval of the local day, each as hour and minute.
 type WallClock = ((u16, u16), (u16, u16));
 
 fn utc(text: &str) -> UnixMillis {
-    UnixMillis(text.parse::<jiff::Timestamp>().expect("an instant").as_millisecond())
+    UnixMillis(text.parse::<jiff::Timestamp>().expect("valid instant").as_millisecond())
 }
 
 fn recurring(
@@ -20,7 +20,7 @@
     bounds: Bounds<'_>,
 ) -> Schedule {
     Schedule::Recurring(Recurrence {
-        zone: Name::new(zone).expect("a name"),
+        zone: Name::new(zone).expect("valid name"),
         days,
         start_minute: start_hour * 60 + start_minute,
         end_minute: end_hour * 60 + end_minute,
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn on_nights_with_a_clock_change_an_interval_covers_all_that_its_wall_clock_times_name() {
-    // Amsterdam puts its clock forward at 01:00Z on 29 March 2026 (02:00 to 03:00) and back at 01:00Z on
-    // 25 October (03:00 to 02:00); Cairo forward at 22:00Z on 23 April (midnight to 01:00 on the 24th) and
-    // back at 21:00Z on 29 October (midnight to 23:00 on the 29th).
+fn an_interval_across_a_clock_change_contains_every_instant_between_its_local_times() {
+    // Clock changes in 2026, with the local times before and after: in Amsterdam at 01:00Z on 29 March (02:00
+    // to 03:00) and at 01:00Z on 25 October (03:00 to 02:00); in Cairo at 22:00Z on 23 April (midnight to
+    // 01:00 on the 24th) and at 21:00Z on 29 October (midnight to 23:00 on the 29th).
     let (amsterdam, cairo) = ("Europe/Amsterdam", "Africa/Cairo");
     let spring = ("2026-03-28T12:00:00Z", "2026-03-29T12:00:00Z");
     let autumn = ("2026-10-24T12:00:00Z", "2026-10-25T12:00:00Z");
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn a_24_hour_occurrence_never_overlaps_the_next_through_a_repeated_hour() {
+fn a_24_hour_occurrence_does_not_overlap_the_next_in_a_repeated_hour() {
     let bounds = ("2026-10-22T00:00:00Z", "2026-10-28T12:00:00Z");
     let found =
         recurring("Europe/Amsterdam", every_day(), ((2, 30), (2, 30)), bounds).intervals(utc(bounds.0));
-    let found = found.expect("good");
+    let found = found.expect("valid schedule");
     assert_eq!(found.len(), 6);
     assert!(found.windows(2).all(|two| two[0].end == two[1].start), "{found:?}");
-    assert_eq!(found[2].length(), 25 * HOUR, "from 02:30 of the 24th to the second of the 25th");
+    assert_eq!(found[2].length(), 25 * HOUR, "from 02:30 on the 24th to the second 02:30 on the 25th");
     assert_eq!(found[3].length(), 24 * HOUR);
 }
 
@@ -96,14 +96,14 @@
         ),
         (vec![-31], vec!["2026-03-01", "2026-05-01"]),
     ] {
-        let when = recurring(
+        let monthly = recurring(
             "UTC",
             RecurrenceDays::MonthDays(days.iter().copied().collect()),
             ((8, 0), (9, 0)),
             bounds,
         );
         let starts: Vec<_> =
-            when.intervals(utc(bounds.0)).expect("good").iter().map(|each| each.start).collect();
+            monthly.intervals(utc(bounds.0)).expect("valid schedule").iter().map(|each| each.start).collect();
         let expected: Vec<_> = expected.iter().map(|day| utc(&format!("{day}T08:00:00Z"))).collect();
         assert_eq!(starts, expected, "{days:?}");
     }
@@ -112,8 +112,8 @@
 #[test]
 fn a_value_out_of_bounds_is_rejected_with_its_field() {
     let now = utc("2026-01-01T00:00:00Z");
-    let good = || Recurrence {
-        zone: Name::new("UTC").expect("a name"),
+    let valid = || Recurrence {
+        zone: Name::new("UTC").expect("valid name"),
         days: RecurrenceDays::Weekdays([1].into()),
         start_minute: 480,
         end_minute: 540,
@@ -138,30 +138,30 @@
         ),
         (once(now, UnixMillis::MAX), "when.end", instants(UnixMillis::EPOCH, now + PLANNING_HORIZON)),
         (
-            Schedule::Recurring(Recurrence { zone: Name::new("Mars/Base").expect("a name"), ..good() }),
+            Schedule::Recurring(Recurrence { zone: Name::new("Mars/Base").expect("valid name"), ..valid() }),
             "when.zone",
             FieldError::Unknown,
         ),
-        (Schedule::Recurring(Recurrence { start_minute: 1_440, ..good() }), "when.from", range(0, 1_439)),
-        (Schedule::Recurring(Recurrence { end_minute: 1_441, ..good() }), "when.to", range(0, 1_440)),
-        (Schedule::Recurring(Recurrence { until: now, ..good() }), "when.until", FieldError::Empty),
+        (Schedule::Recurring(Recurrence { start_minute: 1_440, ..valid() }), "when.from", range(0, 1_439)),
+        (Schedule::Recurring(Recurrence { end_minute: 1_441, ..valid() }), "when.to", range(0, 1_440)),
+        (Schedule::Recurring(Recurrence { until: now, ..valid() }), "when.until", FieldError::Empty),
         (
-            Schedule::Recurring(Recurrence { until: UnixMillis::MAX, ..good() }),
+            Schedule::Recurring(Recurrence { until: UnixMillis::MAX, ..valid() }),
             "when.until",
             instants(UnixMillis::EPOCH, now + PLANNING_HORIZON),
         ),
         (
-            Schedule::Recurring(Recurrence { days: RecurrenceDays::Weekdays([8].into()), ..good() }),
+            Schedule::Recurring(Recurrence { days: RecurrenceDays::Weekdays([8].into()), ..valid() }),
             "when.days.week",
             range(1, 7),
         ),
         (
-            Schedule::Recurring(Recurrence { days: RecurrenceDays::MonthDays([0].into()), ..good() }),
+            Schedule::Recurring(Recurrence { days: RecurrenceDays::MonthDays([0].into()), ..valid() }),
             "when.days.month",
             range(-31, 31),
         ),
         (
-            Schedule::Recurring(Recurrence { days: RecurrenceDays::MonthDays([].into()), ..good() }),
+            Schedule::Recurring(Recurrence { days: RecurrenceDays::MonthDays([].into()), ..valid() }),
             "when.days.month",
             FieldError::Empty,
         ),
@@ -170,5 +170,5 @@
         let expected = Err(Rejection { field: field.into(), error });
         assert_eq!(schedule.intervals(now), expected, "{schedule:?}");
     }
-    assert_eq!(Schedule::Recurring(good()).intervals(now).map(|found| found.len()), Ok(4));
+    assert_eq!(Schedule::Recurring(valid()).intervals(now).map(|found| found.len()), Ok(4));
 }
--- a/crates/reservations/tests/replay.rs
+++ b/crates/reservations/tests/replay.rs
@@ -1,4 +1,5 @@
-//! The same log gives the same bytes, also if commands are repeated, and from any snapshot on.
+//! Tests that replaying a log gives the same events and bytes, also with duplicate commands and from a
+//! snapshot.
 mod common;
 
 use common::{START, TestLog, blackout_request, id, name, reservation_request};
@@ -8,7 +9,7 @@
     ReservationRequest, Settings, SpanMillis, StateChange, UnixMillis,
 };
 
-/// A log with all kinds of commands, some of which are rejected.
+/// A random log with commands of every kind except `AdvanceTime`, some of which are rejected.
 fn entries(seed: u64) -> Vec<(UnixMillis, Command)> {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut log = TestLog::new(HOUR, 20);
@@ -29,7 +30,7 @@
                 CommandBody::Reserve(ReservationRequest { amount, hold_end, ..request })
             }
             5..=7 if !claims.is_empty() => {
-                let claim: ClaimId = random.choice(&claims).cloned().expect("some");
+                let claim: ClaimId = random.choice(&claims).cloned().expect("there is a claim");
                 if random.u32(0..5) == 0 { CommandBody::Withdraw(claim) } else { CommandBody::Confirm(claim) }
             }
             8 => {
@@ -53,24 +54,24 @@
 }
 
 fn bytes(calendar: &Calendar) -> String {
-    serde_json::to_string(calendar).expect("JSON")
+    serde_json::to_string(calendar).expect("the calendar serializes")
 }
 
 #[test]
-fn a_replayed_log_gives_the_same_events_and_bytes_even_if_every_command_is_repeated() {
+fn a_replayed_log_gives_the_same_events_and_bytes_even_if_every_command_is_duplicated() {
     let mut outcomes = std::collections::BTreeSet::new();
     for seed in 0..4 {
         let entries = entries(seed);
-        let new = || Calendar::new(Settings { displacement_notice: HOUR }).expect("good settings");
+        let new = || Calendar::new(Settings { displacement_notice: HOUR }).expect("valid settings");
         let (mut once, mut twice, mut restored) = (new(), new(), new());
         for (index, (at, command)) in entries.iter().enumerate() {
             let events = once.apply(*at, command);
             assert_eq!(twice.apply(*at, command), events);
             assert_eq!(twice.apply(*at, command), [], "a duplicate changes nothing");
             let (earlier, repeated) = &entries[index.saturating_sub(100)];
-            assert_eq!(twice.apply(*earlier, repeated), [], "nor does a late one");
+            assert_eq!(twice.apply(*earlier, repeated), [], "a late duplicate changes nothing");
             if index % 10 == 0 {
-                restored = serde_json::from_str(&bytes(&restored)).expect("a snapshot");
+                restored = serde_json::from_str(&bytes(&restored)).expect("the snapshot deserializes");
             }
             assert_eq!(restored.apply(*at, command), events);
             for event in &events {
@@ -88,13 +89,13 @@
             assert_eq!(restored.next_change_after(at), once.next_change_after(at));
         }
     }
-    assert_eq!(outcomes.len(), 10, "the logs had every state, and rejections: {outcomes:?}");
+    assert_eq!(outcomes.len(), 10, "the logs reach every state, and have rejections: {outcomes:?}");
 }
 
 #[test]
 fn allocations_never_exceed_the_pool_nor_overlap_blackouts() {
     for seed in 100..104 {
-        let mut calendar = Calendar::new(Settings { displacement_notice: HOUR }).expect("good settings");
+        let mut calendar = Calendar::new(Settings { displacement_notice: HOUR }).expect("valid settings");
         for (at, command) in entries(seed) {
             calendar.apply(at, &command);
             let mut next = Some(calendar.now());
@@ -105,7 +106,7 @@
                 assert_eq!(reserved + cpu.unreserved_slots, cpu.slots, "at {now}");
                 let food = allowances.tenant_blackouts.get(&name("food"));
                 if food.is_some_and(|food| food.no_new_work_until.is_some()) {
-                    assert_eq!(reserved, 0, "all are food's");
+                    assert_eq!(reserved, 0, "every reservation belongs to the tenant under the blackout");
                 }
                 next = calendar.next_change_after(now);
             }
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn an_entry_with_an_invalid_instant_or_of_an_earlier_incarnation_changes_nothing() {
+fn an_entry_with_an_invalid_instant_or_from_an_earlier_incarnation_changes_nothing() {
     let mut log = TestLog::new(HOUR, 10);
     let before = bytes(&log.calendar);
     for at in [UnixMillis(-1), MAX_INSTANT + MILLISECOND, UnixMillis::MIN, UnixMillis::MAX] {
@@ -131,11 +132,11 @@
 }
 
 #[test]
-fn an_invalid_name_is_not_deserialized() {
+fn an_invalid_name_does_not_deserialize() {
     for (text, is_valid) in
         [("a", true), (&"a".repeat(64), true), (&"a".repeat(65), false), ("", false), ("a\n", false)]
     {
-        let json = serde_json::to_string(text).expect("JSON");
+        let json = serde_json::to_string(text).expect("the text serializes");
         assert_eq!(serde_json::from_str::<Name>(&json).is_ok(), is_valid, "{text:?}");
     }
 }
--- a/crates/reservations/tests/transcripts.rs
+++ b/crates/reservations/tests/transcripts.rs
@@ -1,4 +1,5 @@
-//! Approved transcripts: the JSON of commands, of events and of the calendar that is restored from it.
+//! Snapshot tests of the JSON of commands, events, settings, allowances and the calendar. Commands, events
+//! and the calendar must also be restored unchanged from their JSON.
 mod common;
 
 use std::fmt::Debug;
@@ -12,11 +13,11 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The JSON of each value, a line each; every line is read back as the same value.
+/// The JSON of each value on a line of its own. Asserts that each line deserializes to the same value.
 fn json_lines<T: Serialize + DeserializeOwned + PartialEq + Debug>(values: &[T]) -> String {
     let line = |value: &T| {
-        let line = serde_json::to_string(value).expect("JSON");
-        assert_eq!(&serde_json::from_str::<T>(&line).expect("a value"), value);
+        let line = serde_json::to_string(value).expect("the value serializes");
+        assert_eq!(&serde_json::from_str::<T>(&line).expect("the line deserializes"), value);
         line + "\n"
     };
     values.iter().map(line).collect()
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn commands_and_events_are_as_approved_and_are_read_back() {
+fn commands_and_events_match_their_snapshots_and_deserialize() {
     insta::assert_snapshot!("commands", json_lines(&commands()));
     let event = |(number, change): (usize, Change)| {
         let command = (number % 2 == 0).then(|| id(9));
@@ -129,20 +130,20 @@
 }
 
 #[test]
-fn calendar_and_allowances_are_as_approved_and_continue_when_restored() {
+fn calendar_and_allowances_match_their_snapshots_and_a_restored_calendar_continues() {
     let settings = Settings { displacement_notice: HOUR };
     insta::assert_snapshot!("settings", json_lines(&[settings]));
-    let mut calendar = Calendar::new(settings).expect("good settings");
+    let mut calendar = Calendar::new(settings).expect("valid settings");
     let apply = |(number, command): (i64, Command)| calendar.apply(START + number * HOUR / 2, &command);
     let events: Vec<Event> = (0..).zip(commands()).flat_map(apply).collect();
     insta::assert_snapshot!("run", json_lines(&events));
-    let text = serde_json::to_string_pretty(&calendar).expect("JSON");
+    let text = serde_json::to_string_pretty(&calendar).expect("the calendar serializes");
     insta::assert_snapshot!("calendar", text);
     let at = START + 6 * HOUR;
     let allowances = calendar.allowances(at);
     insta::assert_snapshot!("allowances", json_lines(&[allowances]));
 
-    let mut restored: Calendar = serde_json::from_str(&text).expect("a calendar");
+    let mut restored: Calendar = serde_json::from_str(&text).expect("the calendar deserializes");
     let next = Command { id: id(20), body: CommandBody::Withdraw(id(4)) };
     assert_eq!(restored.apply(at, &next), calendar.apply(at, &next));
     assert_eq!(serde_json::to_string(&restored).ok(), serde_json::to_string(&calendar).ok());
--- a/crates/reservations/tests/unit/deduplication.rs
+++ b/crates/reservations/tests/unit/deduplication.rs
@@ -1,13 +1,13 @@
-//! Unit tests of `deduplication`, which includes this file as its `tests`.
+//! Unit tests of the module `deduplication`, which includes this file as its submodule `tests`.
 use super::*;
 use crate::time::MILLISECOND;
 
 fn id(member: &str, incarnation: u64, sequence: u64) -> CommandId {
-    CommandId { member: Name::new(member).expect("a name"), incarnation, sequence }
+    CommandId { member: Name::new(member).expect("valid name"), incarnation, sequence }
 }
 
 #[test]
-fn a_command_is_new_once_even_if_late_and_too_old_before_the_window() {
+fn a_command_is_new_only_once_even_if_late_and_too_old_before_the_window() {
     let mut windows = DeduplicationWindows::default();
     let cases = [
         (1, 5, DuplicateCheck::New),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn at_the_member_limit_a_new_member_waits_until_another_was_silent_for_a_week() {
+fn at_the_member_limit_a_new_member_is_refused_until_another_was_inactive_for_a_week() {
     let mut windows = DeduplicationWindows::default();
     for member in 0..MAX_MEMBERS {
         assert_eq!(
