--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -23,9 +23,8 @@
 //!    lower claim id wins.
 //! 3. The stored state uses ordered maps only, so that its serialized form is deterministic.
 //!
-//! The crate does not check who may propose what: whoever appends to the log has to. The complete rules are
-//! in
-//! `docs/design/0004-fleet.md`.
+//! The crate does not check who may propose what: whoever appends to the log has to.
+//! `docs/design/0004-fleet.md` has the complete rules.
 #![forbid(unsafe_code)]
 
 mod allowance_query;
