--- a/crates/reservations/tests/transcripts.rs
+++ b/crates/reservations/tests/transcripts.rs
@@ -1,5 +1,5 @@
-//! Snapshot tests of the JSON of commands, events, settings, allowances and the calendar. Each value must also
-//! be restored unchanged from its JSON.
+//! Snapshot tests of the JSON of commands, events, settings, allowances and the calendar. Each value must
+//! also be restored unchanged from its JSON.
 mod common;
 
 use std::fmt::Debug;
