--- a/crates/reservations/benches/calendar.rs
+++ b/crates/reservations/benches/calendar.rs
@@ -1,5 +1,6 @@
-//! Benchmarks of a calendar with up to 100,000 claims: another claim, allowances, the next change,
-//! displacement and replay. Run them with `cargo bench -p copperspread-reservations`.
+//! Benchmarks of a calendar with up to 100,000 claims: proposal and withdrawal of another claim, reading
+//! allowances, finding the next change, displacement, and replay.
+//! Run them with `cargo bench -p copperspread-reservations`.
 use copperspread_reservations::{
     Amount, Calendar, Command, CommandBody, CommandId, DAY, Flexibility, HOUR, Interval, Name, Owner,
     ReservationRequest, Schedule, Settings, SpanMillis, UnixMillis,
@@ -9,6 +10,7 @@
 const CLAIM_COUNTS: [u64; 3] = [1_000, 10_000, 100_000];
 /// The number of pools among which the claims are distributed.
 const POOL_COUNT: u64 = 50;
+/// Monday, 7 December 2026, 00:00 UTC.
 const START: UnixMillis = UnixMillis(1_796_601_600_000);
 const SLOTS_PER_POOL: u32 = 4_000;
 
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -36,7 +36,7 @@
     pub zone: Name,
     /// The total number of slots in the pool.
     pub slots: u32,
-    /// The number of slots without a reservation.
+    /// The number of slots without a confirmed or active reservation.
     #[serde(rename = "open")]
     pub unreserved_slots: u32,
     /// The reservations of the other slots, ordered by claim.
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar.rs
@@ -68,7 +68,8 @@
 
     /// Applies a log entry at its instant and returns the events that it caused. Time never goes back: an
     /// entry whose instant is before [`now`](Calendar::now) is applied at `now`. An entry whose instant is
-    /// before the Unix epoch or after [`MAX_INSTANT`] is rejected, and changes nothing.
+    /// before the Unix epoch or after [`MAX_INSTANT`] is rejected, and changes nothing. A duplicate command
+    /// only advances the time, as [`CommandBody::AdvanceTime`] does.
     pub fn apply(&mut self, at: UnixMillis, command: &Command) -> Vec<Event> {
         let mut events = EventBuffer { at: self.store.now(), command: Some(&command.id), events: Vec::new() };
         if let Err(rejection) = check_instant("at", at, UnixMillis::EPOCH, MAX_INSTANT) {
--- a/crates/reservations/src/capacity.rs
+++ b/crates/reservations/src/capacity.rs
@@ -14,8 +14,9 @@
 use crate::rejection::{FieldError, Rejection, check_range};
 use crate::store::ClaimStore;
 
-/// Sets a pool's slots and zone. Reservations that no longer fit are displaced, the last in rank first, and
-/// amounts in parts per million are converted to slots of the new size.
+/// Sets a pool's slots and zone. Reservations that no longer fit are displaced, the last in rank first. For
+/// claims with allocations from now on, amounts in parts per million are converted to slots by the pool's new
+/// size.
 ///
 /// # Errors
 /// `slots` exceeds [`MAX_POOL_SLOTS`], or there are [`MAX_POOLS`] other pools already. Nothing has changed
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -54,13 +54,14 @@
     pub(crate) last_transition_at: UnixMillis,
     #[serde(rename = "wanted")]
     pub(crate) request: ClaimRequest,
-    /// The requested amount, in slots at the current size of the pool.
+    /// The requested amount in slots; 0 for a blackout. Parts per million are converted when the claim is
+    /// proposed, and again whenever the pool is set while the claim has allocations from then on.
     #[serde(rename = "slots")]
     pub(crate) requested_slots: u32,
     pub(crate) occurrences: Vec<Occurrence>,
 }
 
-/// The order in which occurrences are allocated: started ones first, then by higher precedence, by earlier
+/// The order in which occurrences get slots: started ones first, then by higher precedence, by earlier
 /// `ranked_at`, and by key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
@@ -71,7 +72,8 @@
 }
 
 impl Claim {
-    /// The instant at which the claim's next transition by time, or its removal, is due.
+    /// The instant at which the claim's next transition by time, or its removal, is due; `None` for a
+    /// confirmed or active claim without effective intervals.
     pub(crate) fn next_due(&self) -> Option<UnixMillis> {
         match self.state {
             ClaimState::Proposed | ClaimState::Held => Some(self.hold_end()),
--- a/crates/reservations/src/claim_planning.rs
+++ b/crates/reservations/src/claim_planning.rs
@@ -15,7 +15,8 @@
 use crate::store::ClaimStore;
 use crate::time::UnixMillis;
 
-/// The maximum number of candidates for displacement by one occurrence. Of more, the last in rank are used.
+/// The maximum number of candidates for displacement by one occurrence. If there are more, only the last in
+/// rank are candidates.
 const MAX_CANDIDATES: usize = 1_024;
 
 /// A plan for all occurrences of a claim.
--- a/crates/reservations/src/claim_state.rs
+++ b/crates/reservations/src/claim_state.rs
@@ -1,11 +1,10 @@
-//! States of a claim, and the transitions between them. The diagram leaves out some of them; see
-//! [`ClaimState::apply`].
+//! States of a claim, and the transitions between them.
 //!
 //! ```text
-//!  Proposed ──► Held ──► Confirmed ──► Active ──► Done
-//!     │ └──────────────────►┘  │          │
-//!     ▼          │             ▼          ▼
-//!  Rejected    Lapsed      Displaced, Withdrawn
+//!  Proposed   ──► Held, Confirmed, Rejected, Withdrawn, Lapsed
+//!  Held       ──► Confirmed, Displaced, Withdrawn, Lapsed
+//!  Confirmed  ──► Active, Displaced, Withdrawn
+//!  Active     ──► Done, Displaced, Withdrawn
 //! ```
 use std::fmt;
 
@@ -29,7 +28,8 @@
     /// The claim did not fit, or its last interval had ended when it was confirmed.
     #[serde(rename = "Refused")]
     Rejected,
-    /// The claim lost all allocations to a claim of higher precedence, a blackout, or a change of its pool.
+    /// The claim lost all allocations that remained from then on, to a reservation of higher precedence, a
+    /// blackout, or a change of its pool.
     Displaced,
     /// The claim was withdrawn by a command.
     Withdrawn,
@@ -52,7 +52,7 @@
     /// The claim cannot be granted.
     #[serde(rename = "Refuse")]
     Reject,
-    /// The claim loses all its allocations.
+    /// The claim loses all its remaining allocations.
     Displace,
     /// The claim is withdrawn.
     Withdraw,
--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -67,7 +67,7 @@
     /// to 1,000,000.
     #[serde(rename = "give_back")]
     pub lending_rate_ppm: u32,
-    /// The instant at which the claim lapses unless it is confirmed, at most 7 days ahead.
+    /// The instant at which the claim lapses unless it is confirmed, at most 7 days after the proposal.
     pub hold_end: UnixMillis,
 }
 
@@ -109,12 +109,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Accepts", expecting = "struct Accepts")]
 pub struct Flexibility {
-    /// The minimum number of slots, at least 1, if fewer than requested are accepted. Without `allows_split`
-    /// the granted number is constant over the interval.
+    /// The minimum number of slots that is accepted, at least 1; `None` if fewer than requested are not
+    /// accepted. Without `allows_split` the granted number is constant over the interval.
     #[serde(rename = "partial")]
     pub min_slots: Option<u32>,
-    /// Whether the parts of an interval in which the request does not fit may be left out; of a recurrence
-    /// also whole occurrences.
+    /// Whether the parts of an interval in which the request does not fit may be left out. For a recurrence
+    /// this includes whole occurrences.
     #[serde(rename = "split")]
     pub allows_split: bool,
 }
@@ -130,7 +130,7 @@
     /// The intervals of the blackout.
     #[serde(rename = "when")]
     pub schedule: Schedule,
-    /// The instant at which the claim lapses unless it is confirmed, at most 7 days ahead.
+    /// The instant at which the claim lapses unless it is confirmed, at most 7 days after the proposal.
     pub hold_end: UnixMillis,
 }
 
@@ -138,9 +138,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "Target")]
 pub enum BlackoutTarget {
-    /// All work of a class.
+    /// All work of a class. It displaces no reservation, because a reservation has no class.
     Class(Name),
-    /// All work of a tenant.
+    /// All work of a tenant. It displaces the reservations that the tenant itself owns, not those of a
+    /// federation.
     Tenant(Name),
     /// All work in a pool.
     Pool(Name),
--- a/crates/reservations/src/confirmation.rs
+++ b/crates/reservations/src/confirmation.rs
@@ -74,7 +74,7 @@
     });
 }
 
-/// Displaces the reservations that a claim applies to if it is a blackout, or else does nothing.
+/// If the claim is a blackout, displaces the reservations that it applies to; otherwise does nothing.
 fn displace_under_blackout(store: &mut ClaimStore, id: &ClaimId, events: &mut EventBuffer<'_>) {
     let Some(claim) = store.claim(id) else { return };
     let ClaimRequest::Blackout(blackout) = &claim.request else { return };
@@ -83,7 +83,7 @@
         keys.extend(reservations_under(store, &blackout.target, occurrence.interval));
     }
     let released = release(store, &keys);
-    reallocate(store, released, &Reason::UnderBlackout(id.clone()), events);
+    reallocate(store, released, &Reason::DisplacedByBlackout(id.clone()), events);
 }
 
 /// The occurrences of reservations that a blackout over an interval applies to from now on.
--- a/crates/reservations/src/displacement_search.rs
+++ b/crates/reservations/src/displacement_search.rs
@@ -1,8 +1,9 @@
 //! Search for the candidates whose displacement frees enough slots at the least cost: the fewest
 //! slot-milliseconds, then the fewest occurrences, then those that come last in rank.
 //!
-//! The result is optimal for up to [`MAX_SEARCHED_CANDIDATES`] candidates if the search ends within
-//! [`MAX_SEARCH_WORK`] steps. Beyond these bounds it is the best cover found so far, at worst the greedy one.
+//! The result is optimal for up to [`MAX_SEARCHED_CANDIDATES`] candidates if the search examines fewer than
+//! [`MAX_SEARCH_WORK`] segments. Beyond these bounds it is the best cover found so far, at worst the greedy
+//! one.
 use std::ops::Range;
 
 /// The maximum work of a search, in segments examined.
@@ -67,8 +68,8 @@
     }
 }
 
-/// A cover that takes each candidate in order that frees a missing slot, and then drops those that are not
-/// needed, the last taken first.
+/// Takes, in the given order, each candidate that frees a missing slot, and then drops those that are not
+/// needed, the last taken first. Returns their indices in ascending order.
 fn greedy_cover(shortage: &[i64], candidates: &[Candidate]) -> Vec<usize> {
     let mut shortage = shortage.to_vec();
     let mut chosen = Vec::new();
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -1,4 +1,6 @@
-//! Events, which report every change of the calendar.
+//! Events, which report the changes of claims, allocations and pools, and the rejection of commands.
+//!
+//! The removal of a claim after its retention is not reported.
 use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
@@ -11,7 +13,8 @@
 /// A change of the calendar, with its instant and cause. Every member of the fleet gets the same events.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// The calendar's time at which the change happened.
+    /// The calendar's time when the log entry was applied. A change that is due by time may have been due
+    /// earlier.
     pub at: UnixMillis,
     /// The command that caused the change; `None` if it was due by time.
     pub command: Option<CommandId>,
@@ -23,12 +26,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[non_exhaustive]
 pub enum Change {
-    /// The command was rejected for a field, its id or the claim's state, and changed nothing.
+    /// The command was rejected for a field, its id or the claim's state; see [`Rejection`].
     Rejected(Rejection),
-    /// A claim was proposed or made a transition.
+    /// A claim was proposed or changed its state, or stays proposed because it fits only by displacement.
     #[serde(rename = "Moved")]
     StateChanged(StateChange),
-    /// The allocations of one occurrence of a reservation were granted or changed.
+    /// The allocations of one occurrence of a reservation were granted partially, or changed afterwards. A
+    /// reservation that is granted completely has no such event.
     #[serde(rename = "Granted")]
     AllocationsChanged(AllocationChange),
     /// A pool's slots and zone were set.
@@ -36,7 +40,10 @@
     CapacityChanged(CapacityChange),
 }
 
-/// A new claim, or a transition of a claim.
+/// A new claim, or a change of its state.
+///
+/// If a claim stays proposed because it fits only by displacement, `from` and `to` are both
+/// [`ClaimState::Proposed`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct variant Change::Moved")]
 pub struct StateChange {
@@ -44,7 +51,7 @@
     pub claim: ClaimId,
     /// The state before; `None` for a new claim.
     pub from: Option<ClaimState>,
-    /// The state after the transition.
+    /// The state now.
     pub to: ClaimState,
     /// The reason for the change.
     #[serde(rename = "why")]
@@ -65,8 +72,9 @@
     /// The reason for the change.
     #[serde(rename = "why")]
     pub reason: Reason,
-    /// The nearest interval of the same length that fits, if the occurrence has no allocations left from now
-    /// on and there is such an interval within the bounds of the search.
+    /// The nearest interval of the same length that fits and starts at most 30 days from the requested start,
+    /// if one was found. It is searched only if a displacement leaves the occurrence without allocations from
+    /// now on; `None` in a partial grant.
     #[serde(rename = "offer")]
     pub alternative: Option<Interval>,
 }
@@ -102,13 +110,13 @@
     #[error("fits only by displacement (claims to displace: {})", .0.len())]
     #[serde(rename = "NeedsRoom")]
     RequiresDisplacement(Vec<ClaimId>),
-    /// The claim does not fit, even if every candidate is displaced.
+    /// The claim does not fit, even if all occurrences that it may displace are displaced.
     #[error("infeasible: blocked from {} to {}", .blocked.start, .blocked.end)]
     Infeasible {
         /// The first segment in which the claim does not fit.
         blocked: Interval,
-        /// The nearest interval of the same length that fits, if there is one within the bounds of the
-        /// search.
+        /// The nearest interval of the same length that fits and starts at most 30 days from the requested
+        /// start, if one was found.
         #[serde(rename = "offer")]
         alternative: Option<Interval>,
     },
@@ -124,14 +132,14 @@
     #[error("start or end reached")]
     #[serde(rename = "TimeCame")]
     TimeReached,
-    /// The claim was displaced by a claim of higher precedence.
+    /// Allocations of the claim were displaced by a reservation of higher precedence.
     #[error("displaced by claim {0}")]
     #[serde(rename = "RoomFor")]
     DisplacedBy(ClaimId),
-    /// The claim was displaced by a blackout.
+    /// Allocations of the claim were displaced by a blackout.
     #[error("displaced by blackout {0}")]
     #[serde(rename = "Blackout")]
-    UnderBlackout(ClaimId),
+    DisplacedByBlackout(ClaimId),
     /// The slots or zone of the claim's pool changed.
     #[error("the pool's slots or zone changed")]
     PoolChanged,
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -10,20 +10,26 @@
 //!
 //!  proposal, confirmation ──► claim_planning   which part of a claim fits, and which claims it displaces
 //!  confirmation, capacity ──► reallocation     which claims are displaced, and what they get instead
-//!  both ──► availability, planner, displacement_search, alternative ──► store (claims, pools, index)
+//!  claim_planning, reallocation ──► availability, planner, displacement_search, alternative
+//!                               ──► store (claims, pools, index)
 //!
 //!  store ──► allowance_query ──► allowances(at), next_change_after(at)
 //! ```
 //!
-//! 1. A proposed claim is held, or rejected, or stays proposed if it fits only by displacing others. A held
-//!    claim becomes confirmed, active and done, unless it is displaced, withdrawn, or lapses (`claim_state`).
-//!    A recurrence by local time is expanded to instants when it is proposed (`recurrence`).
-//! 2. Conflicts are resolved in this order: a blackout overrides every reservation; a claim never displaces
-//!    an occurrence that has started; the higher precedence wins; the claim that was ranked earlier wins; the
-//!    lower claim id wins.
+//! 1. A proposed claim is held, or rejected, or stays proposed if it fits only by displacing others. Such a
+//!    claim displaces the others when it is confirmed. A held claim becomes confirmed, active and done,
+//!    unless it is displaced, withdrawn, or lapses (`claim_state`). A recurrence by local time is expanded to
+//!    instants when it is proposed (`recurrence`).
+//! 2. Conflicts are resolved in this order: a blackout overrides every reservation that it applies to; a
+//!    reservation never displaces an occurrence that has started or starts within the displacement notice;
+//!    the higher precedence wins; the claim that was held earlier wins (confirmed earlier, if it never was
+//!    held); the lower claim id wins.
 //! 3. The stored state uses ordered maps only, so that its serialized form is deterministic.
 //!
-//! The crate does not check who may propose what: whoever appends to the log has to.
+//! Some serialized names differ from the Rust names. They are part of the stored form and must not change;
+//! the `expecting` attributes put them into the errors for malformed data.
+//!
+//! The crate does not check who may propose what: that is up to whoever appends commands to the log.
 //! `docs/design/0004-fleet.md` has the complete rules.
 #![forbid(unsafe_code)]
 
--- a/crates/reservations/src/limits.rs
+++ b/crates/reservations/src/limits.rs
@@ -1,7 +1,7 @@
 //! Limits of what the calendar accepts and retains. They must be the same for every member of the fleet.
 use crate::time::{DAY, SpanMillis, UnixMillis};
 
-/// The whole in parts per million.
+/// The number of parts per million in a whole.
 pub const PARTS_PER_MILLION: u32 = 1_000_000;
 
 /// The maximum time from the proposal of a claim to the end of its last interval.
@@ -10,7 +10,7 @@
 pub const MAX_INTERVAL_LENGTH: SpanMillis = DAY.times(62);
 /// The maximum time from the proposal of a claim to the end of its hold.
 pub const MAX_HOLD_LENGTH: SpanMillis = DAY.times(7);
-/// The maximum instant of a command: 1 January 2200, 00:00 UTC.
+/// The latest valid instant of a log entry or in a schedule: 1 January 2200, 00:00 UTC.
 pub const MAX_INSTANT: UnixMillis = UnixMillis(7_258_118_400_000);
 /// The maximum number of claims in the calendar, including terminal ones that are still retained.
 pub const MAX_CLAIMS: usize = 200_000;
@@ -26,6 +26,6 @@
 pub const MAX_OCCURRENCES_PER_RECURRENCE: usize = 512;
 /// The maximum of [`Settings::displacement_notice`](crate::Settings::displacement_notice).
 pub(crate) const MAX_DISPLACEMENT_NOTICE: SpanMillis = DAY.times(30);
-/// The time before its start from which on [`Allowances`](crate::Allowances) report a
-/// [`NoWork`](crate::BlackoutEffect::NoWork) blackout as upcoming. No work is expected to run longer.
+/// How long before the start of a [`NoWork`](crate::BlackoutEffect::NoWork) blackout
+/// [`Allowances`](crate::Allowances) report it as upcoming. No work is expected to run longer than this.
 pub const BLACKOUT_LOOKAHEAD: SpanMillis = DAY;
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -1,5 +1,5 @@
 //! Planning of one request over segments: how much of it is granted, and which candidates are displaced for
-//! it.
+//! it. The result depends only on the given segments and candidates, not on the store.
 //!
 //! 1. The grant is the most that would fit if every candidate were displaced: the whole request, or else as
 //!    much as its flexibility accepts.
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -65,7 +65,7 @@
     }
     // Growth comes last, so that it takes no slots from occurrences that had them before.
     for occurrence in &ranked {
-        grow_with_pool(store, &occurrence.rank.key, occurrence.max_slots_before());
+        grow_to_requested_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
     let mut affected_claims = BTreeSet::new();
     for RankedOccurrence { rank, allocations_before } in ranked {
@@ -88,7 +88,8 @@
     ranked
 }
 
-/// Allocates up to `max_slots` free slots to an occurrence, or fewer if its flexibility accepts that.
+/// Allocates `max_slots` free slots, but no more than requested, to an occurrence; fewer if its flexibility
+/// accepts that, and otherwise none.
 fn allocate_free_slots(store: &mut ClaimStore, key: &OccurrenceKey, max_slots: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
@@ -99,9 +100,9 @@
     allocate_rest(store, key, slots, flexibility, &[]);
 }
 
-/// Allocates the new amount to an occurrence whose amount is a fraction of a pool that has grown, if so many
-/// slots are free.
-fn grow_with_pool(store: &mut ClaimStore, key: &OccurrenceKey, slots_before: u32) {
+/// Allocates all requested slots to an occurrence that had fewer and whose amount is a fraction of the pool,
+/// if that many are free over the rest of its interval. This happens mainly after the pool has grown.
+fn grow_to_requested_slots(store: &mut ClaimStore, key: &OccurrenceKey, slots_before: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
     let is_fraction_of_pool = matches!(reservation.amount, Amount::PartsPerMillion(_));
@@ -174,8 +175,8 @@
     let claim = store.claim(id);
     let last_end = claim.and_then(|claim| claim.effective_intervals().map(|interval| interval.end).max());
     if last_end.is_none_or(|end| end <= store.now()) {
-        // This cannot fail: a claim with released allocations occupies capacity, and every state that does
-        // allows displacement.
+        // This cannot fail: a claim with released allocations occupies capacity, and every state that
+        // occupies capacity allows displacement.
         let _ = store.transition(id, Transition::Displace, reason.clone(), events);
     }
 }
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -29,8 +29,8 @@
     /// The start in minutes since local midnight, 0 to 1,439.
     #[serde(rename = "from")]
     pub start_minute: u16,
-    /// The end in minutes since local midnight, 0 to 1,440. It is on the next day unless it is greater than
-    /// `start_minute`.
+    /// The end in minutes since local midnight, 0 to 1,440. An end at or before `start_minute` is on the next
+    /// day.
     #[serde(rename = "to")]
     pub end_minute: u16,
     /// The instant before which no occurrence starts.
@@ -54,7 +54,8 @@
 }
 
 impl RecurrenceDays {
-    /// Checks that there is at least one day, and that all days are in range.
+    /// Checks that there is at least one day, and that all days are in range. Day 0 of the month, which does
+    /// not exist, is reported as out of the range -31 to 31.
     pub(crate) fn validate(&self) -> Result<(), Rejection> {
         match self {
             RecurrenceDays::Weekdays(days) => {
@@ -105,13 +106,14 @@
 }
 
 impl Recurrence {
-    /// The first `max_count` occurrences that end after `now`, in order of time and disjoint. An occurrence
-    /// that has started begins at `now`.
+    /// At most the first `max_count` occurrences that end after `now`, in order of time and disjoint. An
+    /// occurrence that has started begins at `now`.
     ///
     /// # Errors
     /// The time zone is unknown.
     pub(crate) fn occurrences(&self, now: UnixMillis, max_count: usize) -> Result<Vec<Interval>, Rejection> {
-        // Always the bundled time zone database: those of the members' operating systems may differ.
+        // The bundled time zone database is used, because the databases of the members' operating systems may
+        // differ.
         let zone = TimeZoneDatabase::bundled()
             .get(self.zone.as_str())
             .map_err(|_| Rejection::new("when.zone", FieldError::Unknown))?;
--- a/crates/reservations/src/rejection.rs
+++ b/crates/reservations/src/rejection.rs
@@ -6,12 +6,17 @@
 use crate::claim_state::InvalidTransition;
 use crate::time::UnixMillis;
 
-/// The error of a rejected command, with the field that caused it. The command changed nothing.
+/// The error of a rejected command, with the field that caused it.
+///
+/// The command changed nothing, except that its id counts as applied from now on. That does not hold if the
+/// error is in `at` or in the id: then the id is not recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{field}: {error}")]
 #[serde(rename = "Refusal", expecting = "struct Refusal")]
 pub struct Rejection {
-    /// The path of the field in the serialized command, such as `when.end`.
+    /// The field, named as in the serialized command, such as `when.end`; `at` for the instant of the log
+    /// entry; `confirm` or `withdraw` for the claim that such a command names; `claim` for the new claim
+    /// itself.
     pub field: Cow<'static, str>,
     /// The error in the field.
     #[serde(rename = "fault")]
@@ -48,7 +53,7 @@
     #[error("in the past")]
     #[serde(rename = "past")]
     InThePast,
-    /// The number of elements would exceed the limit.
+    /// The number of claims, occurrences, pools or members would exceed the limit.
     #[error("exceeds the limit of {0}")]
     #[serde(rename = "too_many")]
     LimitExceeded(u64),
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -93,7 +93,7 @@
         self.state.now
     }
 
-    /// The earliest start at which an occurrence may be displaced by a claim.
+    /// The earliest start of an occurrence that a reservation may displace.
     pub(crate) fn displaceable_from(&self) -> UnixMillis {
         let now = self.state.now;
         now.saturating_add(self.state.settings.displacement_notice).max(now + MILLISECOND)
@@ -212,9 +212,9 @@
         let to = from.apply(transition)?;
         let now = self.state.now;
         // A claim that was held before keeps its rank when it is confirmed.
-        let is_ranked = matches!(transition, Transition::Hold | Transition::Confirm);
+        let sets_rank = matches!(transition, Transition::Hold | Transition::Confirm);
         let change = |claim: &mut Claim| {
-            if is_ranked && from == ClaimState::Proposed {
+            if sets_rank && from == ClaimState::Proposed {
                 claim.ranked_at = now;
             }
             claim.state = to;
--- a/crates/reservations/src/time.rs
+++ b/crates/reservations/src/time.rs
@@ -31,17 +31,17 @@
     /// The latest instant that can be represented.
     pub const MAX: UnixMillis = UnixMillis(i64::MAX);
 
-    /// The instant a span later, or the nearest instant that can be represented.
+    /// The instant that lies `span` after this one, or the nearest instant that can be represented.
     pub const fn saturating_add(self, span: SpanMillis) -> UnixMillis {
         UnixMillis(self.0.saturating_add(span.0))
     }
 
-    /// The instant a span later; `None` if it cannot be represented.
+    /// The instant that lies `span` after this one; `None` if it cannot be represented.
     pub fn checked_add(self, span: SpanMillis) -> Option<UnixMillis> {
         self.0.checked_add(span.0).map(UnixMillis)
     }
 
-    /// The instant a span earlier, or the nearest instant that can be represented.
+    /// The instant that lies `span` before this one, or the nearest instant that can be represented.
     pub const fn saturating_sub(self, span: SpanMillis) -> UnixMillis {
         UnixMillis(self.0.saturating_sub(span.0))
     }
@@ -59,7 +59,7 @@
     /// The longest span that can be represented.
     pub const MAX: SpanMillis = SpanMillis(i64::MAX);
 
-    /// This span multiplied by a factor. It must not overflow.
+    /// This span multiplied by a factor. The product must fit in an `i64`, as with `*`.
     pub const fn times(self, factor: i64) -> SpanMillis {
         SpanMillis(self.0 * factor)
     }
--- a/crates/reservations/tests/brute_force.rs
+++ b/crates/reservations/tests/brute_force.rs
@@ -12,7 +12,7 @@
 
 /// The number of hours in the grid. All intervals consist of whole hours.
 const GRID_HOURS: usize = 6;
-/// The first hour at whose start an occurrence may be displaced, given the displacement notice of the test.
+/// The earliest hour at which an occurrence must start to be displaceable under the notice of the test.
 const FIRST_DISPLACEABLE_HOUR: usize = 2;
 
 /// A number of slots for each hour of the grid.
--- a/crates/reservations/tests/error_texts.rs
+++ b/crates/reservations/tests/error_texts.rs
@@ -49,7 +49,7 @@
         (Reason::HoldExpired, "not confirmed before its hold ended"),
         (Reason::TimeReached, "start or end reached"),
         (Reason::DisplacedBy(id(3)), "displaced by claim m/1/3"),
-        (Reason::UnderBlackout(id(4)), "displaced by blackout m/1/4"),
+        (Reason::DisplacedByBlackout(id(4)), "displaced by blackout m/1/4"),
         (Reason::PoolChanged, "the pool's slots or zone changed"),
     ] {
         assert_eq!(reason.to_string(), expected);
--- a/crates/reservations/tests/recurrence.rs
+++ b/crates/reservations/tests/recurrence.rs
@@ -4,10 +4,10 @@
     RecurrenceDays, Rejection, Schedule, UnixMillis,
 };
 
-/// The bounds of a recurrence, as RFC 3339 texts.
+/// The start and end of a recurrence or of an interval, as RFC 3339 texts.
 type Bounds<'a> = (&'a str, &'a str);
 /// The start and end of an interval of the local day, each as hour and minute.
-type WallClock = ((u16, u16), (u16, u16));
+type LocalInterval = ((u16, u16), (u16, u16));
 
 fn utc(text: &str) -> UnixMillis {
     UnixMillis(text.parse::<jiff::Timestamp>().expect("valid instant").as_millisecond())
@@ -16,7 +16,7 @@
 fn recurring(
     zone: &str,
     days: RecurrenceDays,
-    ((start_hour, start_minute), (end_hour, end_minute)): WallClock,
+    ((start_hour, start_minute), (end_hour, end_minute)): LocalInterval,
     bounds: Bounds<'_>,
 ) -> Schedule {
     Schedule::Recurring(Recurrence {
@@ -43,7 +43,7 @@
     let autumn = ("2026-10-24T12:00:00Z", "2026-10-25T12:00:00Z");
     let cairo_spring = ("2026-04-23T12:00:00Z", "2026-04-24T12:00:00Z");
     let cairo_autumn = ("2026-10-29T12:00:00Z", "2026-10-30T12:00:00Z");
-    let cases: [(&str, Bounds<'_>, WallClock, Option<Bounds<'_>>); 17] = [
+    let cases: [(&str, Bounds<'_>, LocalInterval, Option<Bounds<'_>>); 17] = [
         (amsterdam, spring, ((1, 0), (4, 0)), Some(("2026-03-29T00:00:00Z", "2026-03-29T02:00:00Z"))),
         (amsterdam, spring, ((2, 0), (4, 0)), Some(("2026-03-29T01:00:00Z", "2026-03-29T02:00:00Z"))),
         (amsterdam, spring, ((2, 30), (4, 0)), Some(("2026-03-29T01:00:00Z", "2026-03-29T02:00:00Z"))),
@@ -62,13 +62,13 @@
         (cairo, cairo_autumn, ((23, 30), (0, 30)), Some(("2026-10-29T20:30:00Z", "2026-10-29T22:30:00Z"))),
         (cairo, cairo_autumn, ((22, 0), (23, 30)), Some(("2026-10-29T19:00:00Z", "2026-10-29T21:30:00Z"))),
     ];
-    for (zone, bounds, wall_clock, expected) in cases {
-        let found = recurring(zone, every_day(), wall_clock, bounds).intervals(utc(bounds.0));
+    for (zone, bounds, local_interval, expected) in cases {
+        let found = recurring(zone, every_day(), local_interval, bounds).intervals(utc(bounds.0));
         let expected = match expected {
             Some((start, end)) => Ok(vec![Interval { start: utc(start), end: utc(end) }]),
             None => Err(Rejection { field: "when".into(), error: FieldError::Empty }),
         };
-        assert_eq!(found, expected, "{zone} {bounds:?} {wall_clock:?}");
+        assert_eq!(found, expected, "{zone} {bounds:?} {local_interval:?}");
     }
 }
 
--- a/crates/reservations/tests/transcripts.rs
+++ b/crates/reservations/tests/transcripts.rs
@@ -106,7 +106,7 @@
         state_changed(Some(ClaimState::Active), ClaimState::Done, Reason::TimeReached),
         state_changed(None, ClaimState::Rejected, infeasible),
         state_changed(Some(ClaimState::Confirmed), ClaimState::Displaced, Reason::DisplacedBy(id(5))),
-        state_changed(Some(ClaimState::Active), ClaimState::Displaced, Reason::UnderBlackout(id(6))),
+        state_changed(Some(ClaimState::Active), ClaimState::Displaced, Reason::DisplacedByBlackout(id(6))),
         state_changed(Some(ClaimState::Held), ClaimState::Withdrawn, Reason::Requested),
         state_changed(Some(ClaimState::Held), ClaimState::Lapsed, Reason::HoldExpired),
         state_changed(Some(ClaimState::Proposed), ClaimState::Lapsed, Reason::InThePast),
--- a/crates/reservations/tests/unit/deduplication.rs
+++ b/crates/reservations/tests/unit/deduplication.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_command_is_new_only_once_even_if_late_and_too_old_before_the_window() {
+fn a_late_command_is_new_only_once_and_one_before_the_window_is_too_old() {
     let mut windows = DeduplicationWindows::default();
     let cases = [
         (1, 5, DuplicateCheck::New),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn at_the_member_limit_a_new_member_is_refused_until_another_was_inactive_for_a_week() {
+fn at_the_member_limit_a_new_member_is_rejected_until_another_was_inactive_for_a_week() {
     let mut windows = DeduplicationWindows::default();
     for member in 0..MAX_MEMBERS {
         assert_eq!(
