--- a/crates/scheduler/tests/outer_names/collect.rs
+++ b/crates/scheduler/tests/outer_names/collect.rs
@@ -8,13 +8,15 @@
 use crate::serde_types;
 use crate::tokens::{Token, tokens};
 
-/// The page by which operators read log lines.
+/// The page by which operators read log lines and their reasons.
 const OPERATING_GUIDE: &str = "docs/operating.md";
+/// The page by which operators read the log lines of membership.
+const MEMBERSHIP_GUIDE: &str = "docs/cluster.md";
 
 /// All names in the crates' source.
 pub(crate) fn from_source(root: &Path) -> BTreeSet<OuterName> {
     let matched = texts_that_are_matched(root);
-    let guide = read(&root.join(OPERATING_GUIDE));
+    let (guide, reasons) = (operating_guides(root), read(&root.join(OPERATING_GUIDE)));
     let mut names = BTreeSet::new();
     for (place, file) in source_files(root) {
         let tokens = tokens(&read(&file));
@@ -24,7 +26,8 @@
         let (words, sentences) = literals(&tokens).into_iter().partition::<Vec<_>, _>(|text| is_name(text));
         names.extend(words.into_iter().map(|name| add("literal", name)));
         let in_guide = sentences.into_iter().filter(|text| is_in_guide(text, &guide));
-        let errors = error_texts(&tokens).into_iter().filter(|text| error_is_in_guide(text, &guide));
+        let errors =
+            error_texts(&tokens).into_iter().filter(|text| error_is_in_guide(text, &guide, &reasons));
         names.extend(in_guide.chain(errors).map(|text| add("text in the operating guide", text)));
         for (message, fields) in macros::log_lines(&tokens) {
             names.extend(message.filter(|text| matched.contains(text)).map(|text| add("log message", text)));
@@ -34,6 +37,10 @@
     names
 }
 
+fn operating_guides(root: &Path) -> String {
+    read(&root.join(OPERATING_GUIDE)) + &read(&root.join(MEMBERSHIP_GUIDE))
+}
+
 fn read(path: &Path) -> String {
     fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
@@ -63,8 +70,8 @@
 fn texts_that_are_matched(root: &Path) -> String {
     let tests =
         children(&root.join("crates")).into_iter().flat_map(|folder| rust_files(&folder.join("tests")));
-    let texts = tests.chain([root.join(OPERATING_GUIDE)]).map(|path| read(&path));
-    texts.collect()
+    let texts: String = tests.map(|path| read(&path)).collect();
+    texts + &operating_guides(root)
 }
 
 /// Whether the operating guide has a sentence.
@@ -72,11 +79,11 @@
     text.contains(' ') && !text.contains('{') && guide.contains(text)
 }
 
-/// Whether the operating guide names an error by its first words, in code quotes.
-fn error_is_in_guide(text: &str, guide: &str) -> bool {
+/// Whether the guides have an error's text, or the operating guide quotes its first words as a reason.
+fn error_is_in_guide(text: &str, guide: &str, reasons: &str) -> bool {
     let constant = text.split('{').next().unwrap_or_default().trim();
     let is_words = constant.starts_with(|first: char| first.is_ascii_lowercase());
-    is_in_guide(text, guide) || (is_words && guide.contains(&format!("`{constant}`")))
+    is_in_guide(text, guide) || (is_words && reasons.contains(&format!("`{constant}`")))
 }
 
 /// The texts of error types, as `#[error("...")]` gives them.
