--- a/crates/membership-transport/src/config.rs
+++ b/crates/membership-transport/src/config.rs
@@ -1,4 +1,4 @@
-//! What a member is started with, and why it may not start.
+//! The configuration of a member, and the errors at its start.
 use std::io;
 use std::net::SocketAddr;
 
@@ -7,41 +7,43 @@
 /// The configuration of one member.
 #[derive(Clone, Debug)]
 pub struct TransportConfig {
-    /// The address that packets and streams are received on and sent from. With port 0 the system chooses a port,
-    /// the same for both.
+    /// The address that packets and streams are received on, and sent from. If the port is 0, the system
+    /// chooses a port for packets, and streams are received on the same one.
     pub bind_address: SocketAddr,
-    /// Where peers reach the member, if not at the address that it is bound to.
+    /// The address at which peers reach the member, if it differs from the address that the member is bound
+    /// to.
     pub advertised_address: Option<SocketAddr>,
-    /// Its name, the same after a restart.
+    /// The member's name, which is the same after a restart.
     pub name: String,
-    /// Its zone.
+    /// The member's zone.
     pub zone: String,
-    /// Its region.
+    /// The member's region.
     pub region: String,
-    /// How it monitors the others.
+    /// The settings of the failure detector.
     pub membership_settings: Settings,
     /// The cluster's key.
     pub key: Key,
-    /// Determines all random choices of the protocol.
+    /// The seed of all random choices of the protocol.
     pub seed: u64,
 }
 
-/// Why a member does not start.
+/// The reason why a member could not be started.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
-    /// Settings or an identity that the protocol cannot run with.
+    /// A setting is out of its range, or the name, zone or region is too long.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An address that cannot be bound.
-    #[error("bind {address}: {source}")]
+    /// The address cannot be bound.
+    #[error("cannot bind {address}: {source}")]
     Bind {
         /// The address as configured.
         address: SocketAddr,
-        /// What the system answered.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Anything else that the system refused: a poll, a socket option, a thread.
+    /// Another call to the operating system failed: creating a poll, setting a socket option or starting a
+    /// thread.
     #[error(transparent)]
     System(#[from] io::Error),
 }
--- a/crates/membership-transport/src/counters.rs
+++ b/crates/membership-transport/src/counters.rs
@@ -1,4 +1,4 @@
-//! The counters that all threads of a member share.
+//! The counters of a member, which all its threads update.
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use copperspread_membership::PacketError;
@@ -6,7 +6,8 @@
 
 use crate::view::{DropCounts, RejectionCounts};
 
-/// A counter that is logged at its 1st, 2nd, 4th, 8th ... event, so that a flood does not write a line for each packet.
+/// A counter whose value is logged at the 1st, 2nd, 4th, 8th ... event, so that a flood of packets does not
+/// produce a log line for each of them.
 pub(crate) struct LoggedCounter {
     cause: &'static str,
     count: AtomicU64,
@@ -29,7 +30,7 @@
     }
 }
 
-/// Packets and their bytes, without the headers of UDP and IP.
+/// Counters of packets and their bytes, without UDP and IP headers.
 #[derive(Default)]
 pub(crate) struct PacketCounters {
     pub(crate) received: AtomicU64,
@@ -50,7 +51,7 @@
     }
 }
 
-/// All counters of a member.
+/// The counters of a member.
 pub(crate) struct Counters {
     too_large: LoggedCounter,
     malformed: LoggedCounter,
--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -1,4 +1,5 @@
-//! The thread that holds the protocol: reads the sockets and the clock, and carries out the protocol's effects.
+//! The driver thread, which runs the protocol: it reads the sockets and the clock, and carries out the
+//! protocol's effects.
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -13,41 +14,42 @@
 use crate::shared::{RunState, Shared, Snapshot};
 use crate::sockets::PolledSockets;
 
-/// Streams that were accepted and not yet served. While it is full, further ones are closed
-/// ([`DropCounts::streams_rejected`](crate::DropCounts::streams_rejected)).
+/// Capacity of the queue of streams that were accepted and are not yet served. While the queue is full,
+/// further streams are closed ([`DropCounts::streams_rejected`](crate::DropCounts::streams_rejected)).
 pub(crate) const MAX_ACCEPTED_STREAMS: usize = 4;
-/// Streams accepted before the other inputs are looked at again.
+/// Maximum number of streams accepted in one turn of the loop, before the other inputs are read again.
 const MAX_ACCEPTS_PER_TURN: usize = 4 * MAX_ACCEPTED_STREAMS;
-/// Packets read before timers run: more than the socket's buffer holds, so that after a pause all that waited is read
-/// first, while a flood does not keep the timers from running.
+/// Maximum number of packets read in one turn of the loop, before due timers run. It exceeds what the
+/// socket's buffer holds, so that after a pause all waiting packets are read first; the bound lets timers run
+/// during a flood.
 const MAX_PACKETS_PER_TURN: usize = 4_096;
-/// Longest wait for an event, also where the protocol has no timer.
+/// Maximum time to wait for an event, also if the protocol has no timer.
 const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Events that one poll reports: above the number of sources.
+/// Maximum number of events that one poll reports. It exceeds the number of event sources.
 const EVENT_CAPACITY: usize = 8;
 
-/// The queues' ends that the driver uses. Their drop ends the streams' threads.
+/// The driver's ends of the queues to and from the stream threads. Dropping them ends these threads.
 pub(crate) struct DriverQueues {
     pub(crate) accepted_streams: Sender<TcpStream>,
     pub(crate) received_states: Receiver<ReceivedState>,
     pub(crate) exchange_requests: Sender<ExchangeRequest>,
 }
 
-/// The driver of one member. It owns the protocol and the sockets; its thread runs until the transport ends the run.
+/// The driver of a member. It owns the protocol and the sockets, and runs until the transport ends it.
 pub(crate) struct Driver {
     membership: Membership,
     sockets: PolledSockets,
     queues: DriverQueues,
     shared: Arc<Shared>,
-    /// The protocol's instants count from here.
+    /// The origin of the protocol's instants.
     started: Instant,
-    /// Empty between two inputs; kept for its capacity.
+    /// Buffer for the effects of an input; empty between inputs, and kept to reuse its allocation.
     effects: Vec<Effect>,
-    /// Whether members have changed since the last snapshot.
+    /// Whether the local member or the list of members has changed since the last snapshot.
     members_changed: bool,
 }
 
-/// Whether a source of input was read to its end, or has more.
+/// Whether an input source was read completely, or may have more.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadProgress {
     Drained,
@@ -76,14 +78,15 @@
         u64::try_from(self.started.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    /// Runs until the transport ends the run.
+    /// Runs the loop of the driver until the transport ends it.
     pub(crate) fn run(mut self) {
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         let mut more_waiting = false;
         loop {
             let timeout = if more_waiting { Duration::ZERO } else { self.poll_timeout() };
             self.wait_for_events(&mut events, timeout);
-            // All sources are read whichever woke the thread: that costs little, and nothing is missed.
+            // All sources are read, whichever of them woke the thread: this costs little, and misses no
+            // input.
             let packets = self.read_packets();
             self.apply_received_states();
             let streams = self.accept_streams();
@@ -110,14 +113,14 @@
             && error.kind() != io::ErrorKind::Interrupted
         {
             warn!(%error, "membership poll failed");
-            // Not known to happen; keeps the loop from being busy if it does.
+            // Prevents a busy loop if the error persists. No such error is known.
             std::thread::sleep(MAX_POLL_TIMEOUT);
         }
     }
 
-    /// Hands in the packets that wait, up to a bound.
+    /// Passes the waiting packets to the protocol, up to [`MAX_PACKETS_PER_TURN`].
     fn read_packets(&mut self) -> ReadProgress {
-        // One byte more shows that a packet is too large.
+        // The additional byte reveals a packet that is too large.
         let mut buffer = [0; MAX_PACKET_BYTES + 1];
         for _ in 0..MAX_PACKETS_PER_TURN {
             match self.sockets.udp.recv_from(&mut buffer) {
@@ -126,7 +129,8 @@
                     self.handle(Input::Packet(&buffer[..size]));
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // Nothing more, or an error of the network that the next read leaves behind.
+                // No packet is waiting, or the read returned a network error, which later reads do not
+                // repeat.
                 Err(_) => return ReadProgress::Drained,
             }
         }
@@ -137,25 +141,25 @@
         while let Ok(ReceivedState { state, reply }) = self.queues.received_states.try_recv() {
             self.handle(Input::State(&state));
             if let Some(reply) = reply {
-                // The queue holds one reply, and one is sent. Its reader may have given up.
+                // The queue has room for the only reply. Sending fails if its reader has given up.
                 let _ = reply.try_send(self.membership.state());
             }
         }
     }
 
-    /// Accepts the streams that wait, up to a bound.
+    /// Accepts the waiting streams, up to [`MAX_ACCEPTS_PER_TURN`].
     fn accept_streams(&mut self) -> ReadProgress {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             match self.sockets.tcp.accept() {
                 Ok((stream, _)) => {
-                    // One that does not fit is closed by its drop.
+                    // A stream that does not fit into the queue is dropped, which closes it.
                     if self.queues.accepted_streams.try_send(stream.into()).is_err() {
                         self.shared.counters.streams_rejected.increment();
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return ReadProgress::Drained,
                 Err(_) => {
-                    // Such as a stream that was reset, or a lack of descriptors.
+                    // For example, the stream was reset, or no file descriptor is available.
                     self.shared.counters.streams_failed.increment();
                     return ReadProgress::Drained;
                 }
@@ -212,7 +216,7 @@
     fn send_packet(&self, to: SocketAddr, packet: &[u8]) {
         match self.sockets.udp.send_to(packet, to) {
             Ok(_) => self.shared.counters.packets.record_sent(packet.len()),
-            // To the protocol it is the same as a packet that is lost on its way.
+            // For the protocol, this is the same as a packet that is lost in the network.
             Err(_) => self.shared.counters.packets_unsent.increment(),
         }
     }
@@ -224,7 +228,7 @@
         }
     }
 
-    /// Publishes a new snapshot where something has changed.
+    /// Publishes a new snapshot if it differs from the last one.
     fn publish_snapshot(&mut self) {
         let last = self.shared.snapshot();
         let local_health_multiplier = self.membership.local_health_multiplier();
--- a/crates/membership-transport/src/lib.rs
+++ b/crates/membership-transport/src/lib.rs
@@ -1,9 +1,9 @@
-//! The driver of `copperspread-membership`: its sockets, clock and threads. The protocol's rules are all in that crate,
-//! which knows no socket and no clock; this one holds no rule.
+//! The transport for `copperspread-membership`: sockets, clock and threads. That crate implements the
+//! membership protocol without them; this one runs it, and contains no rule of the protocol.
 //!
 //! ```text
 //!                 ┌─────────── thread "membership" (driver.rs) ────────────┐
-//!  UDP  ◄────────►│ all packets that wait, then states, then due timers    │──► MembershipView (arc-swap)
+//!  UDP  ◄────────►│ all waiting packets, then states, then due timers      │──► MembershipView (arc-swap)
 //!                 │             Membership::handle ──► effects             │──► log
 //!                 └──▲ received states     │ exchange requests (bounded) ───┘
 //!                    │ (bounded) + waker   ▼
@@ -11,15 +11,16 @@
 //!                      (state_exchange.rs) (bounded)            (state_exchange.rs)
 //! ```
 //!
-//! 1. One thread holds the protocol. It waits for nothing but the sockets and the time.
-//! 2. Whole states pass over TCP streams, whose threads read, write and verify tags within time limits: a peer that is
-//!    slow or hostile occupies one of these threads and nothing else.
-//! 3. Every queue is bounded, and the protocol's thread never waits on one: what does not fit is dropped and counted
-//!    ([`DropCounts`]), and the next exchange, 30 s later, makes up for it.
-//! 4. The [`MembershipTransport`] owns and joins all threads. The driver's thread ends at a shutdown; with it end the
-//!    queues, and with these the streams' threads.
+//! 1. One thread, the driver, runs the protocol. It blocks only while it waits for the sockets and the next
+//!    timer.
+//! 2. States are exchanged over TCP streams. The stream threads read, write and verify them within time
+//!    limits: a slow or hostile peer occupies one of these threads, and nothing else.
+//! 3. Every queue is bounded, and the driver never waits for a queue. What does not fit is dropped and
+//!    counted ([`DropCounts`]); the next state exchange, 30 s later, makes up for it.
+//! 4. [`MembershipTransport`] owns and joins all threads. At a shutdown, the driver thread ends and drops its
+//!    ends of the queues, which ends the stream threads.
 //!
-//! Nothing that comes from the network ends a thread.
+//! No input from the network ends a thread.
 #![forbid(unsafe_code)]
 
 mod config;
--- a/crates/membership-transport/src/messages.rs
+++ b/crates/membership-transport/src/messages.rs
@@ -1,19 +1,20 @@
-//! The messages between the driver's thread and the threads of the streams.
+//! The messages between the driver thread and the stream threads.
 use std::net::SocketAddr;
 
 use copperspread_membership::MembershipState;
 use crossbeam_channel::Sender;
 
-/// A peer's state, from a stream's thread to the driver.
+/// The state of a peer, sent from a stream thread to the driver.
 pub(crate) struct ReceivedState {
     pub(crate) state: MembershipState,
-    /// Where the driver sends this member's own state once it has applied the peer's, if the peer waits for it.
+    /// The queue to which the driver sends the state of this member after it has applied the peer's; `None`
+    /// if the peer does not wait for an answer.
     pub(crate) reply: Option<Sender<MembershipState>>,
 }
 
-/// A request of the driver to exchange states with a peer.
+/// A request to exchange states with a peer, sent from the driver to a stream thread.
 pub(crate) struct ExchangeRequest {
     pub(crate) peer: SocketAddr,
-    /// This member's own state.
+    /// The state of this member.
     pub(crate) state: MembershipState,
 }
--- a/crates/membership-transport/src/shared.rs
+++ b/crates/membership-transport/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of one member and its owner share.
+//! The state that the threads of a member share with its owner.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
 
@@ -9,18 +9,18 @@
 use crate::counters::Counters;
 use crate::view::MembershipView;
 
-/// Whether the member runs, or how it ends.
+/// Whether the member is running, or in which way it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum RunState {
     Running,
-    /// It notifies the others, and ends.
+    /// The member notifies the other members, then ends.
     Leaving,
-    /// It ends without notice, as if killed.
+    /// The member ends without notifying the other members, as if killed.
     Stopping,
 }
 
-/// What the driver has published of the protocol; it changes less often than the counters.
+/// The part of the view that the driver publishes. It changes less often than the counters.
 pub(crate) struct Snapshot {
     pub(crate) local_member: Member,
     pub(crate) members: Arc<[Member]>,
@@ -28,8 +28,8 @@
     pub(crate) detected_pauses: u64,
 }
 
-/// Shared state. Only the driver's thread publishes snapshots, only the
-/// [`MembershipTransport`](crate::MembershipTransport) ends the run, and all threads count.
+/// The shared state of a member. Only the driver thread publishes snapshots, only the
+/// [`MembershipTransport`](crate::MembershipTransport) ends the run, and all threads update the counters.
 pub(crate) struct Shared {
     snapshot: ArcSwap<Snapshot>,
     pub(crate) counters: Counters,
@@ -38,7 +38,7 @@
 }
 
 impl Shared {
-    /// The shared state of a member that knows nobody yet. The waker wakes its driver.
+    /// Creates the shared state of a member that knows no other member. `waker` wakes the driver.
     pub(crate) fn new(local_member: Member, waker: Waker) -> Shared {
         let snapshot = Snapshot {
             local_member,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Ends the run by leaving or stopping. The first call decides which.
+    /// Ends the run by leaving or stopping; `how` is one of these. Only the first call has an effect.
     pub(crate) fn end_run(&self, how: RunState) {
         let (running, how) = (RunState::Running as u8, how as u8);
         if self.run_state.compare_exchange(running, how, Ordering::Relaxed, Ordering::Relaxed).is_ok() {
@@ -98,7 +98,7 @@
     }
 
     pub(crate) fn wake_driver(&self) {
-        // It fails only where the driver has ended.
+        // Waking fails only if the driver has ended.
         let _ = self.waker.wake();
     }
 }
--- a/crates/membership-transport/src/sockets.rs
+++ b/crates/membership-transport/src/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a member: UDP for packets and TCP for streams, on one port.
+//! The sockets of a member: UDP for packets and TCP for streams, with the same port number.
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
@@ -6,23 +6,24 @@
 
 use crate::config::StartError;
 
-/// Receive buffer that is asked for, in bytes, for the packets that wait during a pause; the system may give less.
+/// Requested size of the UDP receive buffer, in bytes. The buffer holds the packets that arrive during a
+/// pause of the process. The system may grant less.
 const RECEIVE_BUFFER_BYTES: usize = 1 << 20;
-/// Attempts to get one port for both protocols where the system chooses it.
+/// Maximum number of attempts to bind both protocols to the same port, if the system chooses the port.
 const MAX_BIND_ATTEMPTS: usize = 16;
 
-const PACKETS: Token = Token(0);
-const STREAMS: Token = Token(1);
-const WAKE: Token = Token(2);
+const UDP_TOKEN: Token = Token(0);
+const TCP_TOKEN: Token = Token(1);
+const WAKER_TOKEN: Token = Token(2);
 
-/// The sockets as the system bound them, not yet polled.
+/// The bound sockets, not yet registered with a poll.
 pub(crate) struct BoundSockets {
     udp: UdpSocket,
     tcp: TcpListener,
     pub(crate) address: SocketAddr,
 }
 
-/// The sockets with the poll that waits for them. The driver's thread owns and closes them.
+/// The sockets and the poll that waits for them. The driver thread owns and closes them.
 pub(crate) struct PolledSockets {
     pub(crate) poll: Poll,
     pub(crate) udp: mio::net::UdpSocket,
@@ -30,7 +31,7 @@
 }
 
 impl BoundSockets {
-    /// Binds both protocols to one port.
+    /// Binds both sockets to the same address and port.
     pub(crate) fn bind(wanted: SocketAddr) -> Result<BoundSockets, StartError> {
         let bind_error = |source| StartError::Bind { address: wanted, source };
         let mut attempts_left = if wanted.port() == 0 { MAX_BIND_ATTEMPTS } else { 1 };
@@ -45,18 +46,19 @@
         }
     }
 
-    /// Registers them with a poll, and gives what wakes it.
+    /// Registers the sockets with a poll. Returns a waker for the poll with them.
     pub(crate) fn register(self) -> io::Result<(PolledSockets, Waker)> {
-        // A smaller buffer does as well, with more packets lost while the process is stopped.
+        // An error is ignored: with a smaller buffer, only more packets are lost during a pause of the
+        // process.
         let _ = socket2::SockRef::from(&self.udp).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
         self.udp.set_nonblocking(true)?;
         self.tcp.set_nonblocking(true)?;
         let mut udp = mio::net::UdpSocket::from_std(self.udp);
         let mut tcp = mio::net::TcpListener::from_std(self.tcp);
         let poll = Poll::new()?;
-        poll.registry().register(&mut udp, PACKETS, Interest::READABLE)?;
-        poll.registry().register(&mut tcp, STREAMS, Interest::READABLE)?;
-        let waker = Waker::new(poll.registry(), WAKE)?;
+        poll.registry().register(&mut udp, UDP_TOKEN, Interest::READABLE)?;
+        poll.registry().register(&mut tcp, TCP_TOKEN, Interest::READABLE)?;
+        let waker = Waker::new(poll.registry(), WAKER_TOKEN)?;
         Ok((PolledSockets { poll, udp, tcp }, waker))
     }
 }
--- a/crates/membership-transport/src/state_exchange.rs
+++ b/crates/membership-transport/src/state_exchange.rs
@@ -1,7 +1,9 @@
-//! The exchange of whole states over TCP: the caller sends its own, the other answers with its own, each once.
+//! The exchange of states over TCP: the peer that connects sends its state, and the other one answers with
+//! its own. Each sends one state per stream.
 //!
-//! On the wire a state is its length, four bytes in network order, and the sealed state. The length is bounded, memory
-//! grows with the bytes that have arrived and not with the announced length, and a whole stream has one time limit.
+//! On the wire, a state is its length as four bytes in network order, followed by the sealed state. The
+//! length is bounded, memory is allocated for the bytes that have arrived and not for the announced length,
+//! and each stream has one time limit as a whole.
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -15,20 +17,20 @@
 use crate::shared::Shared;
 use crate::timed_stream::TimedStream;
 
-/// Threads that serve accepted streams, and so the streams that are served at once.
+/// Number of threads that serve accepted streams, which is the maximum number of streams served at once.
 pub(crate) const SERVER_THREADS: usize = 4;
-/// A connection that takes longer has failed.
+/// Time limit for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Bytes of the length before a state.
+/// Size of the length that precedes a state, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// What a thread that exchanges states needs; each has a clone of its own.
+/// The context of a stream thread. Each of these threads has its own clone.
 #[derive(Clone)]
 pub(crate) struct StateExchange {
     pub(crate) shared: Arc<Shared>,
     pub(crate) key: Key,
     pub(crate) received_states: Sender<ReceivedState>,
-    /// The address that the member is bound to.
+    /// The IP address that the member is bound to.
     pub(crate) bind_ip: IpAddr,
 }
 
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Carries out exchange requests until the driver has ended.
+    /// Carries out the driver's exchange requests until the driver has ended.
     pub(crate) fn run_requests(&self, requests: &Receiver<ExchangeRequest>) {
         for request in requests {
             let result = self.exchange(&request);
@@ -55,9 +57,9 @@
         }
     }
 
-    /// Reads a peer's state and answers with this member's own.
+    /// Reads the state of a peer, and answers with the state of this member.
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
-        // It inherits the mode of its listener, which does not block.
+        // An accepted stream is non-blocking, like its listener.
         stream.set_nonblocking(false)?;
         let mut stream = TimedStream::new(stream, &self.shared);
         let Some(state) = self.read_state(&mut stream)? else { return Ok(()) };
@@ -71,7 +73,7 @@
         Ok(())
     }
 
-    /// Sends this member's own state to a peer and reads the peer's.
+    /// Sends the state of this member to a peer, and reads the peer's state.
     fn exchange(&self, request: &ExchangeRequest) -> io::Result<()> {
         let stream = self.connect(request.peer)?;
         let mut stream = TimedStream::new(stream, &self.shared);
@@ -82,7 +84,7 @@
         Ok(())
     }
 
-    /// Connects from the address that peers know this member by.
+    /// Connects to a peer, from the IP address that this member is bound to.
     fn connect(&self, peer: SocketAddr) -> io::Result<TcpStream> {
         let socket = Socket::new(Domain::for_address(peer), Type::STREAM, None)?;
         if !self.bind_ip.is_unspecified() {
@@ -92,8 +94,8 @@
         Ok(socket.into())
     }
 
-    /// Reads a state that was sealed with the key; one that was not is counted, and gives `None`. The tag is verified
-    /// here and not in the driver's thread, which has no time for forgeries.
+    /// Reads and opens a sealed state. A state that is rejected is counted, and `None` is returned. The tag
+    /// is verified in this thread, because forged states must not take up the time of the driver thread.
     fn read_state(&self, stream: &mut TimedStream<'_>) -> io::Result<Option<MembershipState>> {
         let mut length = [0; LENGTH_BYTES];
         stream.read_exact(&mut length)?;
@@ -113,12 +115,12 @@
 
     fn write_state(&self, stream: &mut TimedStream<'_>, state: &MembershipState) -> io::Result<()> {
         let frame = state.seal(&self.key);
-        // A sealed state is far shorter than four bytes can say.
+        // The length of a sealed state is at most `MAX_STATE_BYTES`, so it always fits into four bytes.
         let length = u32::try_from(frame.len()).unwrap_or(u32::MAX).to_be_bytes();
         stream.write_all(&[&length[..], &frame].concat())
     }
 
-    /// Queues a state for the driver; whether there was room before the deadline.
+    /// Queues a state for the driver. Returns whether the queue had room before the deadline.
     fn send_to_driver(&self, received: ReceivedState, deadline: Instant) -> bool {
         let is_queued = self.received_states.send_deadline(received, deadline).is_ok();
         if is_queued {
--- a/crates/membership-transport/src/timed_stream.rs
+++ b/crates/membership-transport/src/timed_stream.rs
@@ -1,17 +1,17 @@
-//! A TCP stream with one time limit for all that passes over it.
+//! A TCP stream with one time limit for all its reads and writes.
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
 use crate::shared::Shared;
 
-/// Time for all of one stream, from when it is connected.
+/// Time limit for all reads and writes of a stream, from its creation.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a read or write blocks before the shutdown is looked at.
+/// How long a read or write blocks before the shutdown is checked for.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A stream that fails at one deadline, and as soon as the member ends. A time limit for each read alone would let a
-/// peer that sends a byte now and then hold the thread without end.
+/// A TCP stream whose reads and writes fail once its deadline has passed or the member ends. With a time
+/// limit for each read instead, a peer that sends a byte now and then would occupy the thread forever.
 pub(crate) struct TimedStream<'a> {
     stream: TcpStream,
     deadline: Instant,
@@ -27,7 +27,7 @@
         self.deadline
     }
 
-    /// Repeats an operation until it is done, the deadline has passed or the member ends.
+    /// Repeats an operation until it completes, the deadline has passed or the member ends.
     fn retry_until_deadline(
         &mut self,
         mut operation: impl FnMut(&mut TcpStream) -> io::Result<usize>,
--- a/crates/membership-transport/src/transport.rs
+++ b/crates/membership-transport/src/transport.rs
@@ -1,4 +1,4 @@
-//! A running member: starts its threads, and ends them.
+//! The handle of a running member, which starts and ends the member's threads.
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 use std::thread::{Builder, JoinHandle};
@@ -15,22 +15,23 @@
 use crate::state_exchange::{SERVER_THREADS, StateExchange};
 use crate::view::{DropCounts, MembershipView};
 
-/// States from streams that the driver has not applied yet. While it is full, the streams' threads wait within their
-/// time limit, then give up ([`DropCounts::states_dropped`]).
+/// Capacity of the queue of received states that the driver has not yet applied. While the queue is full, the
+/// stream threads wait within the time limits of their streams, then drop the state
+/// ([`DropCounts::states_dropped`]).
 const MAX_RECEIVED_STATES: usize = 8;
-/// Exchanges that were requested and not yet begun. While it is full, further ones are left out
-/// ([`DropCounts::exchanges_skipped`]).
+/// Capacity of the queue of exchange requests that are not yet started. While the queue is full, further
+/// exchanges are skipped ([`DropCounts::exchanges_skipped`]).
 const MAX_EXCHANGE_REQUESTS: usize = 2;
 
-/// A member that runs, and the owner of its threads. Dropped, it ends without notice to the others, as if killed;
-/// [`MembershipTransport::leave`] is the orderly way.
+/// A running member, which owns its threads. Dropping it ends the member without notifying the other members,
+/// as if killed; [`MembershipTransport::leave`] notifies them.
 pub struct MembershipTransport {
     shared: Arc<Shared>,
     address: SocketAddr,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// The queues' ends that the streams' threads use.
+/// The ends of the queues that the stream threads use.
 struct StreamQueues {
     accepted_streams: Receiver<std::net::TcpStream>,
     received_states: Sender<ReceivedState>,
@@ -41,7 +42,8 @@
     /// Binds the sockets and starts the threads. The member's generation is the Unix time in milliseconds.
     ///
     /// # Errors
-    /// Settings that the protocol cannot run with, an address that cannot be bound, or a system that refuses a thread.
+    /// [`StartError`] if the settings or the identity are rejected, the address cannot be bound, or another
+    /// call to the operating system fails.
     pub fn start(config: TransportConfig) -> Result<MembershipTransport, StartError> {
         let generation = unix_milliseconds();
         let sockets = BoundSockets::bind(config.bind_address)?;
@@ -50,8 +52,9 @@
         let membership = new_membership(config, address, generation)?;
         let (sockets, waker) = sockets.register()?;
         let shared = Arc::new(Shared::new(membership.local_member().clone(), waker));
-        // Its drop ends the threads that run, should the system refuse a further one. It stands before the queues,
-        // so that their ends are dropped first.
+        // If a thread cannot be started, dropping the transport ends those already running. The transport is
+        // declared before the queues, so that their ends are dropped first and the stream threads can be
+        // joined.
         let mut transport = MembershipTransport { shared: Arc::clone(&shared), address, threads: Vec::new() };
         let (driver_queues, stream_queues) = create_queues();
         transport.spawn_stream_threads(key, address.ip(), stream_queues)?;
@@ -60,7 +63,8 @@
         Ok(transport)
     }
 
-    /// Starts the threads that exchange states. They end when the driver, and with it its ends of the queues, is gone.
+    /// Starts the stream threads, which exchange states. They end when the driver has ended and dropped its
+    /// ends of the queues.
     fn spawn_stream_threads(
         &mut self,
         key: Key,
@@ -77,40 +81,42 @@
         self.spawn("membership-out", move || exchange.run_requests(&exchange_requests))
     }
 
-    /// Starts a thread, which [`MembershipTransport::stop_and_join`] joins.
+    /// Starts a thread, which is joined by [`MembershipTransport::stop_and_join`].
     fn spawn(&mut self, name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), StartError> {
         self.threads.push(Builder::new().name(name.into()).spawn(run)?);
         Ok(())
     }
 
-    /// The address that it is bound to.
+    /// The address that the member is bound to.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it knows now.
+    /// The member's current view of the cluster, and its counters.
     pub fn view(&self) -> MembershipView {
         self.shared.view()
     }
 
-    /// A function that gives the view for as long as the member runs, and the last one after that.
+    /// A function that returns the current view while the member is running, and the last view after that.
     pub fn view_reader(&self) -> impl Fn() -> MembershipView + Send + Sync + use<> {
         let shared = Arc::clone(&self.shared);
         move || shared.view()
     }
 
-    /// What was dropped so far, by cause.
+    /// The number of dropped packets, streams, exchanges and states so far, by cause.
     pub fn drop_counts(&self) -> DropCounts {
         self.shared.counters.drops()
     }
 
-    /// Notifies the others that it leaves, so that they need not detect it. Returns at once.
+    /// Ends the member after notifying the other members, so that they do not have to detect its absence.
+    /// Returns without waiting for the end.
     pub fn leave(&self) {
         self.shared.end_run(RunState::Leaving);
     }
 
-    /// Waits until it has ended, after [`MembershipTransport::leave`] or else without notice to the others: a second
-    /// at most, the time for a stream that is being connected. Gives the last view.
+    /// Waits until the member has ended, and returns the last view. Unless [`MembershipTransport::leave`] was
+    /// called before, the member ends without notifying the other members. A stream that is being connected
+    /// delays the end by up to a second.
     pub fn shutdown(mut self) -> MembershipView {
         self.stop_and_join();
         self.shared.view()
@@ -119,7 +125,7 @@
     fn stop_and_join(&mut self) {
         self.shared.end_run(RunState::Stopping);
         for thread in self.threads.drain(..) {
-            // One that panicked has reported it by itself.
+            // An error means that the thread panicked, which the panic handler has already reported.
             let _ = thread.join();
         }
     }
@@ -131,7 +137,7 @@
     }
 }
 
-/// The Unix time now, in milliseconds.
+/// The current Unix time, in milliseconds.
 fn unix_milliseconds() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
@@ -153,7 +159,7 @@
     Ok(Membership::new(local, config.membership_settings, config.key, config.seed)?)
 }
 
-/// The bounded queues between the driver and the streams' threads.
+/// Creates the bounded queues between the driver and the stream threads.
 fn create_queues() -> (DriverQueues, StreamQueues) {
     let (accepted_sender, accepted_streams) = bounded(MAX_ACCEPTED_STREAMS);
     let (received_states, received_receiver) = bounded(MAX_RECEIVED_STATES);
--- a/crates/membership-transport/src/view.rs
+++ b/crates/membership-transport/src/view.rs
@@ -1,33 +1,34 @@
-//! What a member shows of itself: the form of the page `GET /-/cluster`. The names in its JSON are fixed.
+//! The view of a member that the status page `GET /-/cluster` returns as JSON. The JSON names are fixed:
+//! clients of the page depend on them.
 use std::sync::Arc;
 
 use copperspread_membership::Member;
 use serde::{Serialize, Serializer};
 
-/// What a member knows, and what it has counted since its start.
+/// What a member knows about the cluster, and its counters since its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct MembershipView {
-    /// This member's present identity.
+    /// The current identity of this member.
     #[serde(rename = "own")]
     pub local_member: Member,
-    /// The other members that are up, suspected ones included, sorted by name.
+    /// The other members that are up, including suspected ones, sorted by name.
     #[serde(serialize_with = "serialize_members")]
     pub members: Arc<[Member]>,
     /// Lifeguard's local health multiplier, from 0 (healthy) to 8.
     #[serde(rename = "doubt")]
     pub local_health_multiplier: u32,
-    /// How many pauses of its own process it has detected.
+    /// The number of pauses of its own process that this member has detected.
     #[serde(rename = "pauses")]
     pub detected_pauses: u64,
-    /// Packets and states that were rejected.
+    /// Number of rejected packets and states, by cause.
     pub rejected: RejectionCounts,
-    /// Packets received, rejected ones included.
+    /// Number of packets received, including rejected ones.
     pub packets_in: u64,
-    /// Packets sent.
+    /// Number of packets sent.
     pub packets_out: u64,
-    /// Bytes of the packets received, without the headers of UDP and IP.
+    /// Bytes of the packets received, without UDP and IP headers.
     pub bytes_in: u64,
-    /// Bytes of the packets sent, without the headers of UDP and IP.
+    /// Bytes of the packets sent, without UDP and IP headers.
     pub bytes_out: u64,
 }
 
@@ -35,30 +36,30 @@
     (**members).serialize(serializer)
 }
 
-/// Packets and states that were rejected, by cause.
+/// The number of rejected packets and states, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RejectionCounts {
-    /// Longer than any of this protocol.
+    /// Larger than the maximum size of a packet or state.
     pub too_large: u64,
     /// Too short, or with a body that cannot be decoded.
     pub malformed: u64,
     /// Not made with the cluster's key.
     pub forged: u64,
-    /// Of another version.
+    /// Of another version of the protocol.
     pub other_version: u64,
 }
 
-/// What was dropped or failed on this side, by cause.
+/// The number of packets, streams, exchanges and states that this member dropped or that failed, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounts {
-    /// Packets that the socket did not take.
+    /// Packets that could not be sent because the socket returned an error.
     pub packets_unsent: u64,
-    /// Streams that arrived while the queue of accepted streams was full.
+    /// Streams that were closed because the queue of accepted streams was full.
     pub streams_rejected: u64,
-    /// Streams that failed or took too long, in either direction.
+    /// Streams that failed or exceeded their time limit, in either direction.
     pub streams_failed: u64,
-    /// Exchanges that were due while the queue of exchange requests was full.
+    /// State exchanges that were skipped because the queue of exchange requests was full.
     pub exchanges_skipped: u64,
-    /// States for which the driver's queue had no room within their stream's time limit.
+    /// States that were dropped because the driver's queue had no room within the time limit of the stream.
     pub states_dropped: u64,
 }
--- a/crates/membership-transport/tests/transcripts.rs
+++ b/crates/membership-transport/tests/transcripts.rs
@@ -1,4 +1,5 @@
-//! Approved transcripts: the bytes of a whole-state exchange over TCP, and the JSON of the view.
+//! Compares the bytes of a state exchange over TCP and the JSON of the view with snapshots, so that a change
+//! of these formats does not go unnoticed.
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -11,7 +12,7 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn key() -> Key {
-    Key::new(b"a key for the transcripts").expect("a key")
+    Key::new(b"a key for the transcripts").expect("the key should be long enough")
 }
 
 fn member(name: &str, address: SocketAddr) -> Member {
@@ -19,19 +20,19 @@
     Member { name: name.into(), zone, region, address, generation: 1_700_000_000_000, rejoins: 2 }
 }
 
-/// Settings of a member that sends no probe within the test.
+/// Settings with which a member sends no probe within the test.
 fn idle_settings() -> Settings {
     Settings { probe_interval: 600 * SECOND, ..Settings::default() }
 }
 
 fn membership(local: Member) -> Membership {
-    Membership::new(local, idle_settings(), key(), 7).expect("settings")
+    Membership::new(local, idle_settings(), key(), 7).expect("the settings should be valid")
 }
 
-/// A sealed state with the length before it, as on the wire.
-fn with_length(state: &MembershipState) -> Vec<u8> {
+/// A sealed state preceded by its length, as on the wire.
+fn length_prefixed(state: &MembershipState) -> Vec<u8> {
     let frame = state.seal(&key());
-    let length = u32::try_from(frame.len()).expect("a short state");
+    let length = u32::try_from(frame.len()).expect("the length should fit into four bytes");
     [&length.to_be_bytes()[..], &frame].concat()
 }
 
@@ -40,11 +41,11 @@
 }
 
 #[test]
-fn an_exchange_of_states_over_tcp_is_as_approved() {
-    // Nothing listens there: packets to it are lost.
+fn state_exchange_over_tcp_matches_snapshot() {
+    // Nothing listens at this address: packets to it are lost.
     let caller = membership(member("caller", ([127, 0, 0, 9], 9).into()));
-    let question = with_length(&caller.state());
-    insta::assert_snapshot!("question", hex(&question));
+    let request = length_prefixed(&caller.state());
+    insta::assert_snapshot!("question", hex(&request));
 
     let config = TransportConfig {
         bind_address: ([127, 0, 0, 1], 0).into(),
@@ -56,24 +57,26 @@
         key: key(),
         seed: 7,
     };
-    let transport = MembershipTransport::start(config).expect("a member");
-    let mut stream = TcpStream::connect(transport.local_address()).expect("a stream");
-    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a limit");
-    stream.write_all(&question).expect("sent");
+    let transport = MembershipTransport::start(config).expect("the member should start");
+    let mut stream =
+        TcpStream::connect(transport.local_address()).expect("the member should accept a stream");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("the read timeout should be set");
+    stream.write_all(&request).expect("the state should be sent");
     let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).expect("an answer");
+    stream.read_to_end(&mut answer).expect("an answer should be read");
 
-    // Its port and generation are of this run: the answer is compared with that of the same member without sockets.
-    let mut twin = membership(transport.view().local_member);
-    twin.handle(0, Input::State(&caller.state()), &mut Vec::new()).expect("a state");
-    assert_eq!(hex(&answer), hex(&with_length(&twin.state())));
+    // The port and the generation of the member differ between runs, so the answer is compared with the state
+    // of the same member without sockets.
+    let mut expected = membership(transport.view().local_member);
+    expected.handle(0, Input::State(&caller.state()), &mut Vec::new()).expect("the state should be accepted");
+    assert_eq!(hex(&answer), hex(&length_prefixed(&expected.state())));
 }
 
 #[test]
-fn the_views_json_is_as_approved() {
+fn view_json_matches_snapshot() {
     let view = MembershipView {
         local_member: member("own", ([127, 0, 0, 1], 7_946).into()),
-        members: [member("other", "[::1]:7946".parse().expect("an address"))].into(),
+        members: [member("other", "[::1]:7946".parse().expect("the address should be valid"))].into(),
         local_health_multiplier: 1,
         detected_pauses: 2,
         rejected: RejectionCounts { too_large: 3, malformed: 4, forged: 5, other_version: 6 },
@@ -82,5 +85,8 @@
         bytes_in: 9,
         bytes_out: 10,
     };
-    insta::assert_snapshot!("view", serde_json::to_string_pretty(&view).expect("JSON"));
+    insta::assert_snapshot!(
+        "view",
+        serde_json::to_string_pretty(&view).expect("the view should be serializable")
+    );
 }
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -1,4 +1,5 @@
-//! The runtime that `foca` runs in: turns its notifications, packets and timers into effects and queued timers.
+//! The runtime of `foca`: converts its notifications and packets into effects, and its timers into queued
+//! timers.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -11,19 +12,20 @@
 use crate::time::Micros;
 use crate::timer_queue::TimerQueue;
 
-/// What a queued timer is for.
+/// The action that a queued timer triggers.
 #[derive(Clone)]
 pub(crate) enum TimerEvent {
-    /// One of the protocol's own.
+    /// A timer of `foca`.
     Protocol(Timer<Member>),
-    /// Announce to the seeds as long as nobody has answered.
+    /// Announce this member to the seeds and some known members, unless another member has answered.
     AnnounceToSeeds,
-    /// Exchange whole states with a random member.
+    /// Exchange states with a random member if the state is too large for packets.
     ExchangeState,
 }
 
-/// Collects the protocol's effects, and stretches its time-outs by the local health multiplier. It borrows the
-/// parts of [`Membership`](crate::Membership) for one call of the protocol.
+/// Collects the effects and timers of one call of the protocol, and scales the protocol's timeouts by the
+/// local health multiplier. Borrows the fields of [`Membership`](crate::Membership) for the duration of the
+/// call.
 pub(crate) struct EffectCollector<'a> {
     pub(crate) now: Micros,
     pub(crate) key: &'a Key,
@@ -32,9 +34,9 @@
     pub(crate) effects: &'a mut Vec<Effect>,
     /// When the last authentic packet or state arrived.
     pub(crate) last_received: Micros,
-    /// After how long without one this member counts as isolated.
+    /// How long after the last authentic packet or state this member counts as isolated.
     pub(crate) isolation_timeout: Micros,
-    /// Who sent the packet that is being handled.
+    /// The address of the sender of the packet that is being handled.
     pub(crate) sender: &'a mut Option<SocketAddr>,
     pub(crate) has_joined: &'a mut bool,
 }
@@ -56,12 +58,14 @@
             }
             Notification::Rejoin(identity) => {
                 *self.has_joined = false;
-                // The others declared it dead while it was alive: it is slow, or hard to reach.
+                // The other members declared this member dead although it is running: it is slow or hard to
+                // reach.
                 self.local_health.record_failure();
                 self.effects.push(Effect::SelfRefuted(identity.clone()));
             }
-            // This member's own fault only where nobody else was heard of either: a partition into two halves,
-            // each of which hears itself, must not stretch the time until the other half is declared dead.
+            // A failed probe indicates a fault of this member only if it receives nothing from any other
+            // member. In a partitioned cluster, both halves still receive packets, and must not take longer
+            // to declare the other half dead.
             Notification::ProbeFailed(..) if self.is_isolated() => self.local_health.record_failure(),
             Notification::ProbeFailed(..) => {}
             Notification::DataReceived(header) => {
@@ -84,7 +88,7 @@
         let after = match event {
             Timer::ProbeRandomMember(_)
             | Timer::SendIndirectProbe { .. }
-            | Timer::ChangeSuspectToDown { .. } => self.local_health.stretch(after),
+            | Timer::ChangeSuspectToDown { .. } => self.local_health.scale_timeout(after),
             _ => after,
         };
         let due = self.now.saturating_add(after.as_micros() as Micros);
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the protocol, and what comes out of it.
+//! The inputs and effects of the membership protocol.
 use std::net::SocketAddr;
 
 use crate::member::Member;
@@ -7,27 +7,28 @@
 /// An input of [`Membership::handle`](crate::Membership::handle).
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
-    /// A packet from any sender.
+    /// A packet from any sender, not yet verified.
     Packet(&'a [u8]),
-    /// A peer's state, received over a stream.
+    /// The state of a peer, received over a stream.
     State(&'a MembershipState),
-    /// The time has reached [`Membership::next_due`](crate::Membership::next_due). The driver must hand in all
-    /// packets that wait before this.
+    /// The time has reached [`Membership::next_due`](crate::Membership::next_due). Before this input, the
+    /// driver must pass in all packets that have arrived, so that answers are seen before the timers that
+    /// wait for them expire.
     TimerDue,
 }
 
-/// What the driver has to do, or what has changed.
+/// An action that the driver has to carry out, or a change in the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a packet.
     SendPacket {
-        /// The receiver.
+        /// The address of the receiver.
         to: SocketAddr,
-        /// The whole packet.
+        /// The sealed packet.
         packet: Vec<u8>,
     },
-    /// Exchange whole states with the member at this address over a stream: send it
-    /// [`Membership::state`](crate::Membership::state), and hand in its answer as [`Input::State`].
+    /// Exchange states with the member at this address over a stream: send it
+    /// [`Membership::state`](crate::Membership::state), and pass in its answer as [`Input::State`].
     ExchangeState(SocketAddr),
     /// A member has joined.
     MemberUp(Member),
@@ -35,13 +36,14 @@
     MemberDown(Member),
     /// A member restarted or rejoined under a new identity.
     MemberReplaced {
-        /// The identity that no longer counts.
+        /// The previous identity, which is no longer valid.
         before: Member,
-        /// The identity that replaces it.
+        /// The new identity.
         after: Member,
     },
-    /// The others knew an earlier process of this member by a later generation; it goes on under this identity.
+    /// The other members knew an earlier process of this member with a later generation. This member
+    /// continues under this identity, whose generation is later still.
     GenerationRaised(Member),
-    /// The others had declared this member dead; it has rejoined under this identity.
+    /// The other members had declared this member dead. It has rejoined under this identity.
     SelfRefuted(Member),
 }
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -1,16 +1,17 @@
-//! Whom a member announces itself to until somebody has answered it.
+//! Selection of the members that a member announces itself to until one of them has answered.
 use std::net::SocketAddr;
 
 use crate::member::Member;
 use crate::time::Micros;
 
-/// Known members that are announced to in one round, besides the seeds.
+/// Maximum number of known members that one round of announcements goes to, in addition to the seeds.
 const MAX_KNOWN_TARGETS: usize = 4;
 
-/// The receivers of one round of announcements: all seeds, and some members that are already known.
+/// The receivers of one round of announcements: all seeds, and some of the known members.
 ///
-/// The known ones are there for a member that came back under a new identity and whose first packets were lost: the
-/// others go on writing to the old identity, and `foca` does nothing until a packet to the new one arrives.
+/// Known members are included for the case that a member has taken a new identity and its first packets were
+/// lost: the other members keep sending to the old identity, and `foca` does nothing until a packet to the
+/// new one arrives.
 pub(crate) fn announce_targets<'a>(
     local: &Member,
     seeds: &[SocketAddr],
@@ -18,7 +19,7 @@
     now: Micros,
 ) -> Vec<Member> {
     let known: Vec<&Member> = known.collect();
-    // The start differs from round to round, so that all are reached in the end.
+    // The first one depends on the time, so that all known members are reached over several rounds.
     let start = now as usize % known.len().max(1);
     let rotated = known.iter().cycle().skip(start).take(known.len().min(MAX_KNOWN_TARGETS));
     let seeds = seeds.iter().map(|&seed| Member::placeholder(seed));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,22 +1,25 @@
-//! Membership of a fleet of schedulers by the SWIM protocol, without I/O and without a clock: packets, peers' states
-//! and the time come in as [`Input`]s, and what has to be sent or is now known goes out as [`Effect`]s.
+//! Cluster membership for schedulers by the SWIM protocol, without I/O and without a clock. Packets, states
+//! of peers and the time are passed in as [`Input`]s; packets to send and changes in the cluster are returned
+//! as [`Effect`]s.
 //!
 //! ```text
 //!  packet ──► Key::open ──► Membership::handle ──► Effect::SendPacket ──► Key::seal ──► the transport's socket
 //!  time   ─────────────────►   (foca: SWIM)    ──► Effect::MemberUp, MemberDown, MemberReplaced, SelfRefuted
 //! ```
 //!
-//! 1. The protocol itself is `foca`'s: random probes, indirect probes through other members, suspicion before a
-//!    member is declared dead, incarnation numbers for refutation, and gossip with a bounded number of sends.
-//! 2. This crate owns the timers (`timer_queue.rs`) and with them Lifeguard's local health multiplier
-//!    (`local_health.rs`): a member whose own probes fail widens its own time-outs, and one that was paused reads
-//!    the packets that waited for it before it judges others.
-//! 3. The list of all members, which no packet can hold, is exchanged as a [`MembershipState`] over a stream
-//!    (`state.rs`).
-//! 4. Every packet and state carries a version and an authentication tag under the cluster's key (`seal.rs`):
-//!    without the key nobody joins, and nobody is evicted.
+//! 1. The crate `foca` implements the protocol: random probes, indirect probes through other members,
+//!    suspicion before a member is declared dead, incarnation numbers for refutation, and gossip with a
+//!    bounded number of transmissions.
+//! 2. This crate owns the timers (`timer_queue.rs`), and scales their durations by Lifeguard's local health
+//!    multiplier (`local_health.rs`): a member that may itself be slow or isolated lengthens its own
+//!    timeouts. After a pause of its process, a member delays its timers, so that it reads the packets that
+//!    have arrived before it suspects others.
+//! 3. The list of all members may be too large for a packet. It is exchanged as a [`MembershipState`] over a
+//!    stream (`state.rs`).
+//! 4. Every packet and state carries a version and an authentication tag under the cluster's key (`seal.rs`).
+//!    Without the key, nobody can join the cluster or remove a member from it.
 //!
-//! The crate elects no leader, stores nothing and does not judge the health of zones; crates above it do.
+//! This crate elects no leader, stores nothing and does not assess the health of zones; other crates do that.
 #![forbid(unsafe_code)]
 
 mod effect_collector;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,10 +1,12 @@
-//! Lifeguard's local health multiplier: how far a member mistrusts its own observations.
+//! The local health multiplier of Lifeguard, an extension of SWIM: a member that may itself be slow or hard
+//! to reach lengthens its own timeouts.
 use std::time::Duration;
 
-/// Largest multiplier: Lifeguard's 8.
+/// Maximum of the multiplier, as in Lifeguard.
 const MAX_MULTIPLIER: u32 = 8;
 
-/// A counter from 0 (healthy) to 8; the member's own time-outs are `1 + multiplier` times as long.
+/// The local health multiplier, from 0 (healthy) to 8. The member's own timeouts are `1 + multiplier` times
+/// as long.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LocalHealth {
     multiplier: u32,
@@ -15,17 +17,17 @@
         self.multiplier
     }
 
-    /// Something suggests that this member, not another, is slow or hard to reach.
+    /// Records a sign that this member, and not another one, is slow or hard to reach.
     pub(crate) fn record_failure(&mut self) {
         self.multiplier = (self.multiplier + 1).min(MAX_MULTIPLIER);
     }
 
-    /// A probe of this member was answered.
+    /// Records that a probe sent by this member was answered.
     pub(crate) fn record_success(&mut self) {
         self.multiplier = self.multiplier.saturating_sub(1);
     }
 
-    pub(crate) fn stretch(self, timeout: Duration) -> Duration {
+    pub(crate) fn scale_timeout(self, timeout: Duration) -> Duration {
         timeout * (1 + self.multiplier)
     }
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -4,37 +4,41 @@
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// Longest name, zone or region, in bytes: the header of a packet alone names up to three members.
+/// Maximum length of a name, zone or region, in bytes. Bounded because the header of a packet alone contains
+/// up to three members.
 const MAX_NAME_BYTES: usize = 64;
 
-/// A scheduler as its peers know it. Of two with one address the one of the later generation counts.
+/// The identity of a member, which is a scheduler. Of two identities with the same address, the one with the
+/// later generation takes precedence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name, the same after a restart.
+    /// The member's name, which is the same after a restart.
     pub name: String,
-    /// Its zone.
+    /// The member's zone.
     pub zone: String,
-    /// Its region.
+    /// The member's region.
     pub region: String,
-    /// Where its peers reach it.
+    /// The address at which peers reach the member.
     pub address: SocketAddr,
-    /// Grows with every start of its process, such as the start's Unix time. Where it was lower than that of an
-    /// earlier process, as after a step back of the clock, the member raises it as soon as it learns of that one.
+    /// A number that grows with every start of the member's process, for example the Unix time of the start.
+    /// If it is lower than that of an earlier process, for example because the clock was set back, the member
+    /// raises it as soon as it learns of the earlier process.
     pub generation: u64,
-    /// How often it rejoined, within this run of its process, after the others had declared it dead.
+    /// How often this process of the member has rejoined after the other members had declared it dead.
     #[serde(rename = "returned")]
     pub rejoins: u32,
 }
 
 impl Member {
-    /// Whether its texts are short enough for a packet.
+    /// Whether the name, zone and region are short enough for a packet.
     pub(crate) fn fits_in_packet(&self) -> bool {
         [&self.name, &self.zone, &self.region].iter().all(|text| text.len() <= MAX_NAME_BYTES)
     }
 
-    /// The identity that counts over an earlier one of this member, which the others still know. It is `None`
-    /// where this one does already, or where another member was known under this one's address.
-    pub(crate) fn superseding(&self, known: &Member) -> Option<Member> {
+    /// This identity with a generation above that of `known`, by which the other members still know an
+    /// earlier process of this member. `None` if `known` does not take precedence over this identity, or is
+    /// another member at this address.
+    pub(crate) fn with_generation_above(&self, known: &Member) -> Option<Member> {
         let is_superseded =
             known.address == self.address && known.name == self.name && known.win_addr_conflict(self);
         is_superseded.then(|| Member {
@@ -44,7 +48,8 @@
         })
     }
 
-    /// Stands for whoever listens at an address; any real member there replaces it.
+    /// A placeholder for the unknown member at an address. The identity of any real member there takes
+    /// precedence.
     pub(crate) fn placeholder(address: SocketAddr) -> Member {
         let (name, zone, region) = Default::default();
         Member { name, zone, region, address, generation: 0, rejoins: 0 }
@@ -63,7 +68,8 @@
     }
 
     fn win_addr_conflict(&self, other: &Member) -> bool {
-        // Where a wrong configuration makes the rest equal, the names decide: the same way at every member.
+        // Two members can only be equal in the rest because of a wrong configuration. Comparing the names
+        // makes every member decide in the same way.
         (self.generation, self.rejoins, &self.name) > (other.generation, other.rejoins, &other.name)
     }
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! One member's part in the protocol: drives `foca` with packets, states and timers.
+//! The membership protocol at one member: drives `foca` with packets, states and timers.
 use std::net::SocketAddr;
 
 use foca::{Codec, Foca, NoCustomBroadcast, PostcardCodec, Timer};
@@ -19,35 +19,36 @@
 
 type Protocol = Foca<Member, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>;
 
-/// One member's view of the cluster, and its part in the protocol. It has one owner, the driver, which calls it with
-/// instants that never go back.
+/// The membership protocol at one member, with the member's view of the cluster. It is called by one driver,
+/// with instants that never decrease.
 pub struct Membership {
     protocol: Protocol,
     settings: Settings,
     key: Key,
     timers: TimerQueue<TimerEvent>,
-    /// Chooses partners for state exchanges; apart from the protocol's own generator.
+    /// Chooses partners for state exchanges; separate from the protocol's own generator.
     rng: Pcg64Mcg,
     local_health: LocalHealth,
     /// The instant of the last input.
     last_handled: Micros,
     /// When the last authentic packet or state arrived.
     last_received: Micros,
-    /// Who sent the packet that is being handled.
+    /// The address of the sender of the packet that is being handled.
     sender: Option<SocketAddr>,
-    /// Whether others have answered this member under its present identity.
+    /// Whether another member has answered this member under its current identity. Reset when no other member
+    /// is up.
     has_joined: bool,
-    /// Whether others have answered this process under any identity.
+    /// Whether another member has answered this process under any identity.
     has_ever_joined: bool,
     detected_pauses: u64,
 }
 
 impl Membership {
-    /// A member that knows nobody; `seed` determines all its random choices. It announces itself to its seeds at the
-    /// first [`Input::TimerDue`].
+    /// Creates a member that knows no other member. `seed` determines all its random choices. The member
+    /// announces itself to its seeds at the first [`Input::TimerDue`].
     ///
     /// # Errors
-    /// Settings or an identity that the protocol cannot run with.
+    /// [`SettingsError`] if a setting is out of its range, or the name, zone or region is too long.
     pub fn new(local: Member, settings: Settings, key: Key, seed: u64) -> Result<Membership, SettingsError> {
         settings.validate()?;
         if !local.fits_in_packet() {
@@ -73,10 +74,12 @@
         })
     }
 
-    /// Handles an input at an instant that never goes back, and appends what has to be done, in order.
+    /// Handles an input at the instant `now`, which must not be earlier than in previous calls. The resulting
+    /// effects are appended to `effects`, in the order in which they have to be carried out.
     ///
     /// # Errors
-    /// A packet that was rejected.
+    /// [`PacketError`] if the input is a packet that is rejected. A packet that is forged or of another
+    /// version has no effect on the membership.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -85,7 +88,7 @@
     ) -> Result<(), PacketError> {
         self.detect_pause(now);
         let (member_count, had_joined) = (self.protocol.num_members(), self.has_joined);
-        let earlier_effects = effects.len();
+        let first_new_effect = effects.len();
         self.sender = None;
         let result = match input {
             Input::Packet(packet) => self.handle_packet(now, packet, effects),
@@ -99,18 +102,22 @@
             }
         };
         if self.has_joined && !had_joined {
-            // A packet names some twenty members, and a newcomer needs them all. The sender is the one member that
-            // is certainly up: after a breakdown others that it names may not be.
+            // A member that joins needs the list of all members, and a packet holds only about twenty. The
+            // exchange is with the sender, which is certainly up: after an outage, the members that its
+            // packet names may be down.
             effects.extend(self.sender.map(Effect::ExchangeState));
         }
         self.has_ever_joined |= self.has_joined;
-        let was_refuted = effects[earlier_effects..].iter().any(|of| matches!(of, Effect::SelfRefuted(_)));
+        let was_refuted =
+            effects[first_new_effect..].iter().any(|effect| matches!(effect, Effect::SelfRefuted(_)));
         if was_refuted && !self.has_ever_joined {
-            // A new process that passes for dead: its peer remembers an earlier one, maybe of a later generation.
+            // This process is new and was taken for dead: the peer remembers an earlier process of this
+            // member, possibly with a later generation.
             effects.extend(self.sender.map(Effect::ExchangeState));
         }
         if self.protocol.num_members() != member_count {
-            // Limits and time-outs follow the number of members; `foca` accepts a change of each that may differ.
+            // The transmission limit and the timeouts depend on the number of members. `foca` accepts a
+            // change of every parameter that can differ here.
             let _ = self.protocol.set_config(self.settings.foca_config(self.protocol.num_members() + 1));
         }
         result
@@ -125,44 +132,47 @@
         let body = self.key.open(PACKET_FORMAT, packet)?;
         self.last_received = now;
         if let Ok(header) = PostcardCodec.decode_header(body) {
-            self.supersede(now, &header.dst, effects);
+            self.raise_generation_above(now, &header.dst, effects);
         }
-        let (protocol, collector) = self.split(now, effects);
+        let (protocol, collector) = self.protocol_and_collector(now, effects);
         match protocol.handle_data(body, collector) {
             Err(foca::Error::Decode(_) | foca::Error::MalformedPacket) => Err(PacketError::Malformed),
             Err(foca::Error::DataTooBig) => Err(PacketError::TooLarge),
-            // The other errors change nothing, such as an echo of a packet of its own.
+            // The other errors have no effect; one example is a packet of this member that is sent back to
+            // it.
             _ => Ok(()),
         }
     }
 
-    /// Takes an identity that counts over the one by which a peer knows this member, if that is of an earlier
-    /// process with a later generation: the machine's clock was set back in between. The others would otherwise
-    /// take this process for the earlier one for as long as they remember it.
-    fn supersede(&mut self, now: Micros, known: &Member, effects: &mut Vec<Effect>) {
-        let Some(identity) = self.protocol.identity().superseding(known) else { return };
-        let (protocol, collector) = self.split(now, effects);
-        // Only the codec can fail, and it writes to memory.
+    /// Raises the generation of this member if `known`, the identity by which a peer knows it, is that of an
+    /// earlier process with a later generation. This happens if the machine's clock was set back between the
+    /// two processes. The other members would otherwise take this process for the earlier one for as long as
+    /// they remember it.
+    fn raise_generation_above(&mut self, now: Micros, known: &Member, effects: &mut Vec<Effect>) {
+        let Some(identity) = self.protocol.identity().with_generation_above(known) else { return };
+        let (protocol, collector) = self.protocol_and_collector(now, effects);
+        // Only encoding can fail, and encoding to memory does not.
         if protocol.change_identity(identity.clone(), collector).is_ok() {
             self.has_joined = false;
             effects.push(Effect::GenerationRaised(identity));
         }
     }
 
-    /// Applies what a peer knows.
+    /// Applies the state of a peer.
     fn apply_state(&mut self, now: Micros, state: &MembershipState, effects: &mut Vec<Effect>) {
         self.last_received = now;
         if let Some(known) = state.member_at(self.protocol.identity().address) {
-            self.supersede(now, known, effects);
+            self.raise_generation_above(now, known, effects);
         }
         let updates = state.updates_for(self.protocol.identity(), self.protocol.iter_membership_state());
-        let (protocol, collector) = self.split(now, effects);
-        // Only the codec can fail, and it writes to memory.
+        let (protocol, collector) = self.protocol_and_collector(now, effects);
+        // Only encoding can fail, and encoding to memory does not.
         let _ = protocol.apply_many(updates.into_iter(), true, collector);
     }
 
-    /// Delays all timers by the length of a pause of this process, if there was one. A member that was stopped would
-    /// otherwise take its overdue timers for the silence of others, whose answers still wait to be read.
+    /// Detects a pause of this process, and delays all timers by its length. After a pause, timers are
+    /// overdue while the answers of other members still wait to be read; without the delay, these members
+    /// would be suspected.
     fn detect_pause(&mut self, now: Micros) {
         let overdue = self.timers.next_due().map_or(0, |due| now.saturating_sub(due.max(self.last_handled)));
         if overdue > self.settings.probe_timeout {
@@ -173,8 +183,8 @@
         self.last_handled = now;
     }
 
-    /// Splits the borrow into the protocol and the collector that it runs with.
-    fn split<'a>(
+    /// Borrows the protocol together with the collector that it is called with.
+    fn protocol_and_collector<'a>(
         &'a mut self,
         now: Micros,
         effects: &'a mut Vec<Effect>,
@@ -203,7 +213,7 @@
                     self.timers.add(next, TimerEvent::AnnounceToSeeds);
                 }
                 TimerEvent::ExchangeState => {
-                    self.exchange_large_state(effects);
+                    self.request_large_state_exchange(effects);
                     self.timers.add(now.saturating_add(STATE_EXCHANGE_INTERVAL), TimerEvent::ExchangeState);
                 }
             }
@@ -211,17 +221,18 @@
     }
 
     fn handle_protocol_timer(&mut self, now: Micros, timer: Timer<Member>, effects: &mut Vec<Effect>) {
-        if self.is_refuted_suspicion(&timer) {
+        if self.ends_refuted_suspicion(&timer) {
             return;
         }
-        let (protocol, collector) = self.split(now, effects);
-        // An error here is a timer of a probe that is over.
+        let (protocol, collector) = self.protocol_and_collector(now, effects);
+        // An error here means that the timer belongs to a probe that has ended.
         let _ = protocol.handle_timer(timer, collector);
     }
 
-    /// Whether a timer ends a suspicion that was refuted in time. `foca` 2.0 does not declare the member dead then,
-    /// but notifies it that it was: the member came back under a new identity, which all others had to apply.
-    fn is_refuted_suspicion(&self, timer: &Timer<Member>) -> bool {
+    /// Whether a timer ends a suspicion that was already refuted. Such a timer must not reach `foca` 2.0: it
+    /// would not declare the member dead, but would notify it that it was declared dead. The member would
+    /// rejoin under a new identity, which all other members would have to apply.
+    fn ends_refuted_suspicion(&self, timer: &Timer<Member>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
         let is_suspect =
             |member: &foca::Member<Member>| member.id() == member_id && member.incarnation() == *incarnation;
@@ -234,55 +245,55 @@
         }
         let local = self.protocol.identity();
         for target in announce_targets(local, &self.settings.seeds, self.members(), now) {
-            let (protocol, collector) = self.split(now, effects);
-            // Only the codec can fail, and it writes to memory.
+            let (protocol, collector) = self.protocol_and_collector(now, effects);
+            // Only encoding can fail, and encoding to memory does not.
             let _ = protocol.announce(target, collector);
         }
     }
 
-    /// Asks for an exchange with a random member, unless a packet holds all members: then the protocol's own
-    /// announcements are enough.
-    fn exchange_large_state(&mut self, effects: &mut Vec<Effect>) {
+    /// Requests a state exchange with a random member if the state exceeds half a packet. A smaller state
+    /// needs none: the packets that answer the protocol's periodic announcements hold all members.
+    fn request_large_state_exchange(&mut self, effects: &mut Vec<Effect>) {
         if self.state().encoded_bytes() > MAX_PACKET_BODY_BYTES / 2 {
             let partner = self.protocol.iter_members().choose(&mut self.rng);
             effects.extend(partner.map(|member| Effect::ExchangeState(member.id().address)));
         }
     }
 
-    /// All that this member knows, for an exchange of whole states.
+    /// The state of this member, for a state exchange.
     pub fn state(&self) -> MembershipState {
         MembershipState::new(self.protocol.identity(), self.protocol.iter_membership_state())
     }
 
-    /// Leaves the cluster: the others are notified, and need not detect it.
+    /// Leaves the cluster. Notifies the other members, so that they do not have to detect the absence.
     pub fn leave(&mut self, now: Micros, effects: &mut Vec<Effect>) {
-        let (protocol, collector) = self.split(now, effects);
-        // Only the codec can fail, and it writes to memory.
+        let (protocol, collector) = self.protocol_and_collector(now, effects);
+        // Only encoding can fail, and encoding to memory does not.
         let _ = protocol.leave_cluster(collector);
     }
 
-    /// When [`Input::TimerDue`] has to be handed in next.
+    /// The instant at which [`Input::TimerDue`] has to be passed in next; `None` if no timer is pending.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.next_due()
     }
 
-    /// This member's present identity.
+    /// This member's current identity.
     pub fn local_member(&self) -> &Member {
         self.protocol.identity()
     }
 
-    /// The other members that are up, suspected ones included.
+    /// The other members that are up, including suspected ones.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.protocol.iter_members().map(foca::Member::id)
     }
 
-    /// Lifeguard's local health multiplier, from 0 (healthy) to 8: this member's time-outs are
+    /// Lifeguard's local health multiplier, from 0 (healthy) to 8. The timeouts of this member are
     /// `1 + multiplier` times as long.
     pub fn local_health_multiplier(&self) -> u32 {
         self.local_health.multiplier()
     }
 
-    /// How many pauses of its own process this member has detected.
+    /// The number of pauses of its own process that this member has detected.
     pub fn detected_pauses(&self) -> u64 {
         self.detected_pauses
     }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -8,46 +8,50 @@
 use crate::seal::MAX_PACKET_BODY_BYTES;
 use crate::time::{Micros, SECOND};
 
-/// Each member sends an update at most so many times the logarithm (base 10) of the number of members. Of 9 members
-/// at 30 % loss, 30 runs of 60 s gave 80 false deaths with Serf's 4, 6 with 8 and 8 intervals of suspicion, and
-/// none with 14: with fewer, some of those who wait for a refutation are never reached.
-const UPDATE_SENDS_PER_LOG_MEMBER: f64 = 14.0;
-/// `foca` takes a count of one byte; 60 is above what any fleet needs.
-const UPDATE_SENDS_BOUNDS: (f64, f64) = (2.0, 60.0);
-/// Besides on probes, updates are gossiped so many times in a probe interval: Serf's figure.
+/// Factor of the maximum number of times that each member sends an update, which is this factor times
+/// `log10(members + 1)`. With Serf's 4 and with 8, a cluster of 9 members at 30 % packet loss declared
+/// running members dead, because some of the members that wait for a refutation were never reached.
+const TRANSMISSION_MULTIPLIER: f64 = 14.0;
+/// Minimum and maximum of the number of times that each member sends an update. `foca` takes it as one byte;
+/// 60 is above what any fleet needs.
+const TRANSMISSION_BOUNDS: (f64, f64) = (2.0, 60.0);
+/// Rounds of gossip in each probe interval, as in Serf. Probes carry updates in addition.
 const GOSSIPS_PER_PROBE_INTERVAL: u64 = 5;
-/// Members that each round of gossip goes to: Serf's figure.
+/// Number of members that each round of gossip goes to, as in Serf.
 const GOSSIP_FANOUT: usize = 3;
-/// Members that each periodic announcement goes to.
+/// Number of members that each periodic announcement goes to.
 const ANNOUNCE_FANOUT: usize = 1;
-/// How often a member that is down is announced to, so that the halves of a healed partition join again.
+/// Interval of the announcements to members that are down, by which the halves of a healed partition find
+/// each other.
 const DOWN_ANNOUNCE_INTERVAL: Micros = 5 * SECOND;
-/// How often a random member is asked for the members that it knows: by a packet and, where one could not hold
-/// them, by an exchange of whole states.
+/// Interval at which a random member is asked for the members that it knows: by an announcement and, if a
+/// packet might not hold them all, also by a state exchange.
 pub(crate) const STATE_EXCHANGE_INTERVAL: Micros = 30 * SECOND;
-/// How long a member that is down is remembered, so that old gossip does not revive it.
+/// How long a member that is down is remembered, so that old gossip does not list it as up again.
 const DOWN_MEMBER_RETENTION: Duration = Duration::from_secs(24 * 3600);
-/// Largest [`Settings::suspicion_multiplier`].
+/// Maximum of [`Settings::suspicion_multiplier`].
 const MAX_SUSPICION_MULTIPLIER: f64 = 1_000.0;
 
-/// How a member monitors the others.
+/// The settings of the failure detector of a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Time between two probes; each is of one member, all in turn. Over 0.
+    /// Time between two probes, in microseconds. The members are probed one after the other. Greater than 0.
     pub probe_interval: Micros,
-    /// A direct answer takes no longer than this; then indirect probes are sent. Over 0, under the interval.
+    /// How long a direct probe waits for its answer, in microseconds; after that, indirect probes are sent.
+    /// Greater than 0 and less than the probe interval.
     pub probe_timeout: Micros,
-    /// Number of other members through which an unresponsive member is probed. Over 0.
+    /// Number of other members through which an unresponsive member is probed. Greater than 0.
     pub indirect_probes: usize,
-    /// A suspected member is declared dead after so many probe intervals times the logarithm (base 10) of the
-    /// number of members, which counts as 1 at least. Over 0, at most 1,000.
+    /// Factor of the time after which a suspected member is declared dead, which is this factor times the
+    /// probe interval times the larger of 1 and `log10(members)`. Greater than 0 and at most 1,000.
     pub suspicion_multiplier: f64,
-    /// Whom the member announces itself to at the start, and as long as nobody has answered.
+    /// Addresses that the member announces itself to, from its start until another member has answered.
     pub seeds: Vec<SocketAddr>,
 }
 
 impl Default for Settings {
-    /// SWIM's usual figures: a probe a second, 0.3 s for an answer, 3 indirect probes, and 5 intervals of suspicion.
+    /// Usual values of SWIM: one probe per second, a probe timeout of 0.3 s, 3 indirect probes, and a
+    /// suspicion multiplier of 5.
     fn default() -> Settings {
         Settings {
             probe_interval: SECOND,
@@ -59,26 +63,26 @@
     }
 }
 
-/// Settings or a member's identity that the protocol cannot run with.
+/// The reason why the settings or the identity of a member are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// [`Settings::probe_timeout`] is 0, or not less than the interval.
-    #[error("the probe time-out is not above 0 and under the interval")]
+    /// [`Settings::probe_timeout`] is 0, or not less than [`Settings::probe_interval`].
+    #[error("the probe time-out must be greater than 0 and less than the probe interval")]
     ProbeTimeoutOutOfRange,
     /// [`Settings::indirect_probes`] is 0.
-    #[error("no indirect probe")]
+    #[error("the number of indirect probes must be greater than 0")]
     NoIndirectProbes,
     /// [`Settings::suspicion_multiplier`] is out of its range, or not a number.
-    #[error("the suspicion is not above 0 and up to 1000 intervals")]
+    #[error("the suspicion multiplier must be greater than 0 and at most 1000")]
     SuspicionOutOfRange,
-    /// The member's name, zone or region is too long for a packet.
-    #[error("a name, zone or region of more than 64 bytes")]
+    /// The name, zone or region of the member is longer than 64 bytes.
+    #[error("the name, zone or region is longer than 64 bytes")]
     IdentityTooLong,
 }
 
 impl Settings {
-    /// Checks the bounds that the fields' docs give.
+    /// Checks that each field is within its documented range.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         if self.probe_timeout == 0 || self.probe_timeout >= self.probe_interval {
             return Err(SettingsError::ProbeTimeoutOutOfRange);
@@ -92,7 +96,7 @@
         Ok(())
     }
 
-    /// The protocol's parameters in a cluster of so many members, this one included.
+    /// The configuration of `foca` for a cluster of `members` members, including this one.
     pub(crate) fn foca_config(&self, members: usize) -> foca::Config {
         let probe_period = Duration::from_micros(self.probe_interval);
         let suspicion_scale = (members.max(1) as f64).log10().max(1.0);
@@ -100,7 +104,7 @@
             probe_period,
             probe_rtt: Duration::from_micros(self.probe_timeout),
             num_indirect_probes: at_least_one(self.indirect_probes),
-            max_transmissions: update_sends(members),
+            max_transmissions: transmission_limit(members),
             suspect_to_down_after: probe_period.mul_f64(self.suspicion_multiplier * suspicion_scale),
             remove_down_after: Some(DOWN_MEMBER_RETENTION),
             max_packet_size: at_least_one(MAX_PACKET_BODY_BYTES),
@@ -112,11 +116,11 @@
     }
 }
 
-/// How many times each member sends an update.
-fn update_sends(members: usize) -> NonZeroU8 {
-    let (min, max) = UPDATE_SENDS_BOUNDS;
-    let sends = (UPDATE_SENDS_PER_LOG_MEMBER * ((members + 1) as f64).log10()).ceil().clamp(min, max);
-    NonZeroU8::new(sends as u8).unwrap_or(NonZeroU8::MIN)
+/// The maximum number of times that each member sends an update.
+fn transmission_limit(members: usize) -> NonZeroU8 {
+    let (min, max) = TRANSMISSION_BOUNDS;
+    let transmissions = (TRANSMISSION_MULTIPLIER * ((members + 1) as f64).log10()).ceil().clamp(min, max);
+    NonZeroU8::new(transmissions as u8).unwrap_or(NonZeroU8::MIN)
 }
 
 fn periodic(interval: Micros, fanout: usize) -> Option<PeriodicParams> {
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,4 +1,4 @@
-//! A member's whole state: all that it knows about the members, for the exchange over a stream.
+//! The state of a member: the list of all members that it knows, for the exchange over a stream.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -9,7 +9,8 @@
 
 type KnownMember = foca::Member<Member>;
 
-/// All that a member knows: itself, the members that are up, then those that are down.
+/// The members that a member knows, in this order: itself, the members that are up, the members that are
+/// down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipState(Vec<KnownMember>);
 
@@ -17,33 +18,34 @@
     pub(crate) fn new<'a>(local: &Member, known: impl Iterator<Item = &'a KnownMember>) -> MembershipState {
         let (up, down): (Vec<_>, Vec<_>) =
             known.cloned().partition(|member| member.state() != MemberStatus::Down);
-        // With the first incarnation: it refutes no suspicion, and the member's own packets carry the true one.
+        // The entry has the initial incarnation, which refutes no suspicion. The packets of the local member
+        // carry the current one.
         let local = foca::Member::alive(local.clone());
-        // Those that are up come first, as the end may be cut.
+        // The members that are up come first, because the end of a large state is left out when it is sealed.
         MembershipState(std::iter::once(local).chain(up).chain(down).collect())
     }
 
-    /// Size of the encoded form without its seal, in bytes.
+    /// Size of the encoded state without the seal, in bytes.
     pub(crate) fn encoded_bytes(&self) -> usize {
         postcard::to_allocvec(&self.0).map_or(0, |body| body.len())
     }
 
-    /// The number of members in it, the sender included.
+    /// The number of members in the state, including the member that it was taken from.
     pub fn member_count(&self) -> usize {
         self.0.len()
     }
 
-    /// The identity that is known at an address, up or down.
+    /// The identity of the member at an address, whether it is up or down.
     pub(crate) fn member_at(&self, address: SocketAddr) -> Option<&Member> {
         self.0.iter().map(foca::Member::id).find(|member| member.address == address)
     }
 
-    /// The sealed form for a stream, of [`MAX_STATE_BYTES`](crate::MAX_STATE_BYTES) at most. Members at the end of
-    /// a larger state are left out.
+    /// Seals the state for a stream, in at most [`MAX_STATE_BYTES`](crate::MAX_STATE_BYTES) bytes. Members at
+    /// the end of a larger state are left out.
     pub fn seal(&self, key: &Key) -> Vec<u8> {
         let mut included = &self.0[..];
         loop {
-            // Writing to memory does not fail.
+            // Encoding to memory does not fail.
             let body = postcard::to_allocvec(included).unwrap_or_default();
             if body.len() <= MAX_STATE_BODY_BYTES {
                 return key.seal(STATE_FORMAT, &body);
@@ -52,10 +54,11 @@
         }
     }
 
-    /// Opens a state that was sealed with the key.
+    /// Verifies and decodes a state that was sealed with `key`.
     ///
     /// # Errors
-    /// The frame is too large, not sealed with the key, of another version, or cannot be decoded.
+    /// [`PacketError`] if the frame is too large, not sealed with the key, of another version, or cannot be
+    /// decoded.
     pub fn open(key: &Key, frame: &[u8]) -> Result<MembershipState, PacketError> {
         let body = key.open(STATE_FORMAT, frame)?;
         let members: Vec<KnownMember> = postcard::from_bytes(body).map_err(|_| PacketError::Malformed)?;
@@ -66,7 +69,7 @@
         }
     }
 
-    /// The entries that a member which already knows `known` should apply.
+    /// The entries of this state that the member `local`, which already knows `known`, has to apply.
     pub(crate) fn updates_for<'a>(
         &self,
         local: &Member,
@@ -77,11 +80,11 @@
         let is_update = |member: &&KnownMember| {
             let identity = member.id();
             if identity.address == local.address {
-                // What became of an earlier identity at this address does not concern the present one.
+                // An entry of an earlier identity at this address says nothing about the current one.
                 return identity == local;
             }
-            // A dead member is applied only where it is known: two members that forget it at different times
-            // would otherwise remind each other of it forever.
+            // An entry of a dead member is applied only if this member knows it. Otherwise, two members that
+            // forget the dead member at different times would pass its entry back and forth forever.
             member.state() != MemberStatus::Down
                 || known.get(&identity.address).is_some_and(|known| known.id() == identity)
         };
--- a/crates/membership/src/time.rs
+++ b/crates/membership/src/time.rs
@@ -1,7 +1,8 @@
-//! The unit of time.
+//! The representation of time.
 
-/// An instant or a duration in microseconds. Instants count from an arbitrary moment that is the same for all calls.
+/// An instant or a duration, in microseconds. Instants count from an arbitrary origin that is the same for
+/// all calls.
 pub type Micros = u64;
 
-/// One second.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/membership/src/timer_queue.rs
+++ b/crates/membership/src/timer_queue.rs
@@ -1,10 +1,11 @@
-//! Timers in the order of their instants, which a pause of the process can shift together.
+//! A queue of timers in the order of their due times, which can all be delayed together after a pause of the
+//! process.
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use crate::time::Micros;
 
-/// A timer that has not fired. Ordered by instant, then by the order of addition.
+/// A timer that has not fired. Ordered by due time, then by the order of addition.
 struct PendingTimer<T> {
     due: Micros,
     sequence: u64,
@@ -37,10 +38,10 @@
     }
 }
 
-/// A queue of timers; those of one instant fire in the order in which they were added.
+/// A queue of timers. Timers with the same due time fire in the order in which they were added.
 pub(crate) struct TimerQueue<T> {
     heap: BinaryHeap<Reverse<PendingTimer<T>>>,
-    /// Timers added so far.
+    /// The number of timers added so far.
     added: u64,
 }
 
@@ -54,12 +55,12 @@
         self.heap.push(Reverse(PendingTimer { due, sequence: self.added, event }));
     }
 
-    /// The instant of the first timer.
+    /// The due time of the first timer.
     pub(crate) fn next_due(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse(timer)| timer.due)
     }
 
-    /// Takes the first timer, if it is due.
+    /// Removes the first timer if it is due, and returns its event.
     pub(crate) fn pop_due(&mut self, now: Micros) -> Option<T> {
         if self.next_due().is_none_or(|due| due > now) {
             return None;
@@ -67,7 +68,7 @@
         self.heap.pop().map(|Reverse(timer)| timer.event)
     }
 
-    /// Makes all timers due later by a duration.
+    /// Delays all timers by a duration.
     pub(crate) fn delay_all(&mut self, delay: Micros) {
         let timers = std::mem::take(&mut self.heap);
         self.heap = timers
--- a/crates/membership/tests/transcripts.rs
+++ b/crates/membership/tests/transcripts.rs
@@ -1,4 +1,5 @@
-//! Approved transcripts: the bytes of every kind of packet that three members send each other, and of a whole state.
+//! Compares the bytes of packets and states with snapshots, so that a change of the wire format does not go
+//! unnoticed. Three members send each other every kind of packet.
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -8,14 +9,15 @@
 use foca::{Header, Message};
 use sha2::{Digest, Sha256};
 
-/// How long every packet takes.
+/// Transit time of every packet.
 const PACKET_DELAY: Micros = SECOND / 1_000;
-/// The seal's bytes: the version before the body, the tag after it.
+/// Length of the version, which a sealed packet has before its body.
 const VERSION_BYTES: usize = 1;
+/// Length of the tag, which a sealed packet has after its body.
 const TAG_BYTES: usize = 32;
 
 fn key() -> Key {
-    Key::new(b"a key for the transcripts").expect("a key")
+    Key::new(b"a key for the transcripts").expect("the key should be long enough")
 }
 
 fn address(number: usize) -> SocketAddr {
@@ -27,17 +29,18 @@
     let (zone, region) = (format!("zone-{number}"), "north".into());
     let local = Member { name, zone, region, address: address(number), generation: 1, rejoins: 0 };
     let settings = Settings { seeds: vec![address(0)], ..Settings::default() };
-    Membership::new(local, settings, key(), number as u64).expect("settings")
+    Membership::new(local, settings, key(), number as u64).expect("the settings should be valid")
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The kind of a packet, and whether it carries updates about members.
+/// The kind of a packet, with a note if the packet carries updates about members.
 fn packet_kind(packet: &[u8]) -> String {
     let body = &packet[VERSION_BYTES..packet.len() - TAG_BYTES];
-    let (header, updates) = postcard::take_from_bytes::<Header<Member>>(body).expect("a header");
+    let (header, updates) =
+        postcard::take_from_bytes::<Header<Member>>(body).expect("the packet should start with a header");
     let kind = match header.message {
         Message::Ping(_) => "ping",
         Message::Ack(_) => "ack",
@@ -54,16 +57,18 @@
     if updates.is_empty() { kind.to_owned() } else { format!("{kind} with updates") }
 }
 
-/// Three members in virtual time, between some of which the links are blocked.
+/// Three members in virtual time. The links between pairs of them can be blocked.
 struct SimulatedCluster {
     now: Micros,
     members: Vec<Membership>,
-    /// Packets in transit, by arrival and number: the receiver and the bytes.
+    /// The receiver and the bytes of each packet in transit, by time of arrival and number of the packet.
     in_transit: BTreeMap<(Micros, u64), (usize, Vec<u8>)>,
     packets_sent: u64,
+    /// Digest of all packets sent.
     digest: Sha256,
+    /// Pairs of sender and receiver between which packets are lost.
     blocked: BTreeSet<(usize, usize)>,
-    /// The first packet of each kind.
+    /// The transcript line of the first packet of each kind.
     first_of_kind: BTreeMap<String, String>,
 }
 
@@ -85,7 +90,9 @@
     }
 
     fn member_at(&self, wanted: SocketAddr) -> usize {
-        (0..self.members.len()).find(|&number| address(number) == wanted).expect("a member")
+        (0..self.members.len())
+            .find(|&number| address(number) == wanted)
+            .expect("a member should have this address")
     }
 
     fn carry_out(&mut self, from: usize, effects: Vec<Effect>) {
@@ -116,14 +123,15 @@
     fn exchange_states(&mut self, from: usize, with: SocketAddr) {
         let with = self.member_at(with);
         let frames = [from, with].map(|number| self.members[number].state().seal(&key()));
-        let [request, reply] = frames.map(|frame| MembershipState::open(&key(), &frame).expect("a state"));
+        let [request, reply] =
+            frames.map(|frame| MembershipState::open(&key(), &frame).expect("the state should be readable"));
         self.handle_input(with, Input::State(&request));
         self.handle_input(from, Input::State(&reply));
     }
 
     fn handle_input(&mut self, to: usize, input: Input<'_>) {
         let mut effects = Vec::new();
-        self.members[to].handle(self.now, input, &mut effects).expect("taken");
+        self.members[to].handle(self.now, input, &mut effects).expect("the input should be accepted");
         self.carry_out(to, effects);
     }
 
@@ -135,7 +143,8 @@
             match (arrival, due) {
                 (Some(at), due) if at <= end && due.is_none_or(|(due, _)| at <= due) => {
                     self.now = at;
-                    let (_, (to, packet)) = self.in_transit.pop_first().expect("a packet");
+                    let (_, (to, packet)) =
+                        self.in_transit.pop_first().expect("a packet should be in transit");
                     self.handle_input(to, Input::Packet(&packet));
                 }
                 (_, Some((at, number))) if at <= end => {
@@ -148,7 +157,7 @@
         self.now = end;
     }
 
-    /// A member leaves; the packets that it sends are listed apart.
+    /// Makes a member leave. The packets that it sends then are listed separately, with a prefix.
     fn leave(&mut self, number: usize) {
         let mut effects = Vec::new();
         self.members[number].leave(self.now, &mut effects);
@@ -168,7 +177,7 @@
 }
 
 #[test]
-fn packets_and_states_are_as_approved() {
+fn packets_and_states_match_snapshots() {
     let mut cluster = SimulatedCluster::new();
     cluster.run_until(5 * SECOND);
     cluster.block(&[(0, 1)]);
@@ -177,7 +186,11 @@
     cluster.run_until(25 * SECOND);
     let state = cluster.members[0].state();
     let frame = state.seal(&key());
-    assert_eq!(MembershipState::open(&key(), &frame), Ok(state), "the state is read back");
+    assert_eq!(
+        MembershipState::open(&key(), &frame),
+        Ok(state),
+        "opening a sealed state should return the same state"
+    );
     insta::assert_snapshot!("state", hex(&frame));
     cluster.block(&[]);
     cluster.run_until(45 * SECOND);
