--- a/crates/membership-transport/src/config.rs
+++ b/crates/membership-transport/src/config.rs
@@ -7,7 +7,8 @@
 /// The configuration of one member.
 #[derive(Clone, Debug)]
 pub struct TransportConfig {
-    /// The address that packets and streams are received on, and sent from. If the port is 0, the system
+    /// The address that packets are received on and sent from, and that streams are received on. Streams to
+    /// peers are opened from its IP address, with a port chosen by the system. If the port is 0, the system
     /// chooses a port for packets, and streams are received on the same one.
     pub bind_address: SocketAddr,
     /// The address at which peers reach the member, if it differs from the address that the member is bound
@@ -42,8 +43,8 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// Another call to the operating system failed: creating a poll, setting a socket option or starting a
-    /// thread.
+    /// Another call to the operating system failed: creating a `mio::Poll`, setting a socket option or
+    /// starting a thread.
     #[error(transparent)]
     System(#[from] io::Error),
 }
--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -25,7 +25,8 @@
 const MAX_PACKETS_PER_TURN: usize = 4_096;
 /// Maximum time to wait for an event, also if the protocol has no timer.
 const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum number of events that one poll reports. It exceeds the number of event sources.
+/// Maximum number of events that one call of `mio::Poll::poll` reports. It exceeds the number of event
+/// sources.
 const EVENT_CAPACITY: usize = 8;
 
 /// The driver's ends of the queues to and from the stream threads. Dropping them ends these threads.
@@ -129,8 +130,8 @@
                     self.handle(Input::Packet(&buffer[..size]));
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // No packet is waiting, or the read returned a network error, which later reads do not
-                // repeat.
+                // No packet is waiting, or the read returned a network error. Packets that still wait are
+                // then read in the next turn of the loop, at the latest after `MAX_POLL_TIMEOUT`.
                 Err(_) => return ReadProgress::Drained,
             }
         }
@@ -141,7 +142,8 @@
         while let Ok(ReceivedState { state, reply }) = self.queues.received_states.try_recv() {
             self.handle(Input::State(&state));
             if let Some(reply) = reply {
-                // The queue has room for the only reply. Sending fails if its reader has given up.
+                // The queue has room for one reply, and only one is sent. Sending fails if the stream thread
+                // no longer waits for it.
                 let _ = reply.try_send(self.membership.state());
             }
         }
@@ -209,7 +211,7 @@
             Effect::GenerationRaised(local) => {
                 log_member("known by a later generation to others, generation raised", &local);
             }
-            Effect::SelfRefuted(local) => log_member("declared dead by others, rejoined", &local),
+            Effect::SelfRefuted(local) => log_member("rejoined after being declared dead by others", &local),
         }
     }
 
--- a/crates/membership-transport/src/lib.rs
+++ b/crates/membership-transport/src/lib.rs
@@ -14,9 +14,10 @@
 //! 1. One thread, the driver, runs the protocol. It blocks only while it waits for the sockets and the next
 //!    timer.
 //! 2. States are exchanged over TCP streams. The stream threads read, write and verify them within time
-//!    limits: a slow or hostile peer occupies one of these threads, and nothing else.
+//!    limits: a slow or hostile peer can occupy these threads for a limited time, but never the driver.
 //! 3. Every queue is bounded, and the driver never waits for a queue. What does not fit is dropped and
-//!    counted ([`DropCounts`]); the next state exchange, 30 s later, makes up for it.
+//!    counted ([`DropCounts`]); the next periodic announcement or state exchange, within 30 s, makes up for
+//!    it.
 //! 4. [`MembershipTransport`] owns and joins all threads. At a shutdown, the driver thread ends and drops its
 //!    ends of the queues, which ends the stream threads.
 //!
--- a/crates/membership-transport/src/messages.rs
+++ b/crates/membership-transport/src/messages.rs
@@ -8,7 +8,7 @@
 pub(crate) struct ReceivedState {
     pub(crate) state: MembershipState,
     /// The queue to which the driver sends the state of this member after it has applied the peer's; `None`
-    /// if the peer does not wait for an answer.
+    /// if the peer does not wait for a reply.
     pub(crate) reply: Option<Sender<MembershipState>>,
 }
 
--- a/crates/membership-transport/src/shared.rs
+++ b/crates/membership-transport/src/shared.rs
@@ -29,7 +29,7 @@
 }
 
 /// The shared state of a member. Only the driver thread publishes snapshots, only the
-/// [`MembershipTransport`](crate::MembershipTransport) ends the run, and all threads update the counters.
+/// [`MembershipTransport`](crate::MembershipTransport) ends the member, and all threads update the counters.
 pub(crate) struct Shared {
     snapshot: ArcSwap<Snapshot>,
     pub(crate) counters: Counters,
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Ends the run by leaving or stopping; `how` is one of these. Only the first call has an effect.
-    pub(crate) fn end_run(&self, how: RunState) {
+    /// Ends the member by leaving or stopping; `how` is one of these. Only the first call has an effect.
+    pub(crate) fn end_member(&self, how: RunState) {
         let (running, how) = (RunState::Running as u8, how as u8);
         if self.run_state.compare_exchange(running, how, Ordering::Relaxed, Ordering::Relaxed).is_ok() {
             self.wake_driver();
--- a/crates/membership-transport/src/sockets.rs
+++ b/crates/membership-transport/src/sockets.rs
@@ -16,14 +16,14 @@
 const TCP_TOKEN: Token = Token(1);
 const WAKER_TOKEN: Token = Token(2);
 
-/// The bound sockets, not yet registered with a poll.
+/// The bound sockets, not yet registered with a `mio::Poll`.
 pub(crate) struct BoundSockets {
     udp: UdpSocket,
     tcp: TcpListener,
     pub(crate) address: SocketAddr,
 }
 
-/// The sockets and the poll that waits for them. The driver thread owns and closes them.
+/// The sockets and the `mio::Poll` that waits for them. The driver thread owns and closes them.
 pub(crate) struct PolledSockets {
     pub(crate) poll: Poll,
     pub(crate) udp: mio::net::UdpSocket,
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Registers the sockets with a poll. Returns a waker for the poll with them.
+    /// Registers the sockets with a new `mio::Poll`. Returns both, and a waker for the `mio::Poll`.
     pub(crate) fn register(self) -> io::Result<(PolledSockets, Waker)> {
-        // An error is ignored: with a smaller buffer, only more packets are lost during a pause of the
+        // An error is ignored: a smaller buffer only means that more packets are lost during a pause of the
         // process.
         let _ = socket2::SockRef::from(&self.udp).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
         self.udp.set_nonblocking(true)?;
--- a/crates/membership-transport/src/state_exchange.rs
+++ b/crates/membership-transport/src/state_exchange.rs
@@ -1,9 +1,9 @@
-//! The exchange of states over TCP: the peer that connects sends its state, and the other one answers with
+//! The exchange of states over TCP: the peer that connects sends its state, and the other one replies with
 //! its own. Each sends one state per stream.
 //!
 //! On the wire, a state is its length as four bytes in network order, followed by the sealed state. The
-//! length is bounded, memory is allocated for the bytes that have arrived and not for the announced length,
-//! and each stream has one time limit as a whole.
+//! length is bounded, memory is allocated for the bytes that have arrived and not for the length that the
+//! peer has sent, and each stream has one time limit as a whole.
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Reads the state of a peer, and answers with the state of this member.
+    /// Reads the state of a peer, and replies with the state of this member.
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
-        // An accepted stream is non-blocking, like its listener.
+        // An accepted stream is non-blocking, like its listener, but `TimedStream` needs a blocking stream.
         stream.set_nonblocking(false)?;
         let mut stream = TimedStream::new(stream, &self.shared);
         let Some(state) = self.read_state(&mut stream)? else { return Ok(()) };
@@ -84,7 +84,8 @@
         Ok(())
     }
 
-    /// Connects to a peer, from the IP address that this member is bound to.
+    /// Connects to a peer, from the IP address that this member is bound to, by which peers usually know it.
+    /// If that is the unspecified address, the system chooses the IP address.
     fn connect(&self, peer: SocketAddr) -> io::Result<TcpStream> {
         let socket = Socket::new(Domain::for_address(peer), Type::STREAM, None)?;
         if !self.bind_ip.is_unspecified() {
--- a/crates/membership-transport/src/timed_stream.rs
+++ b/crates/membership-transport/src/timed_stream.rs
@@ -5,9 +5,10 @@
 
 use crate::shared::Shared;
 
-/// Time limit for all reads and writes of a stream, from its creation.
+/// Time limit for all reads and writes of a stream. It starts when the stream is connected or, for an
+/// accepted stream, when a thread begins to serve it.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a read or write blocks before the shutdown is checked for.
+/// How long a read or write blocks before it checks whether the member ends.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A TCP stream whose reads and writes fail once its deadline has passed or the member ends. With a time
--- a/crates/membership-transport/src/transport.rs
+++ b/crates/membership-transport/src/transport.rs
@@ -111,19 +111,19 @@
     /// Ends the member after notifying the other members, so that they do not have to detect its absence.
     /// Returns without waiting for the end.
     pub fn leave(&self) {
-        self.shared.end_run(RunState::Leaving);
+        self.shared.end_member(RunState::Leaving);
     }
 
     /// Waits until the member has ended, and returns the last view. Unless [`MembershipTransport::leave`] was
-    /// called before, the member ends without notifying the other members. A stream that is being connected
-    /// delays the end by up to a second.
+    /// called before, the member ends without notifying the other members. Each state exchange that is
+    /// connecting or queued, at most three, can delay the end by up to 0.8 s.
     pub fn shutdown(mut self) -> MembershipView {
         self.stop_and_join();
         self.shared.view()
     }
 
     fn stop_and_join(&mut self) {
-        self.shared.end_run(RunState::Stopping);
+        self.shared.end_member(RunState::Stopping);
         for thread in self.threads.drain(..) {
             // An error means that the thread panicked, which the panic handler has already reported.
             let _ = thread.join();
--- a/crates/membership-transport/src/view.rs
+++ b/crates/membership-transport/src/view.rs
@@ -1,5 +1,5 @@
-//! The view of a member that the status page `GET /-/cluster` returns as JSON. The JSON names are fixed:
-//! clients of the page depend on them.
+//! The view of a member that the status page `GET /-/cluster` returns as JSON. The JSON names are part of the
+//! interface of this page, and must not change.
 use std::sync::Arc;
 
 use copperspread_membership::Member;
@@ -39,13 +39,13 @@
 /// The number of rejected packets and states, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RejectionCounts {
-    /// Larger than the maximum size of a packet or state.
+    /// Packets and states that are larger than the maximum size.
     pub too_large: u64,
-    /// Too short, or with a body that cannot be decoded.
+    /// Packets and states that are too short, or whose body cannot be decoded.
     pub malformed: u64,
-    /// Not made with the cluster's key.
+    /// Packets and states whose tag was not made with the cluster's key.
     pub forged: u64,
-    /// Of another version of the protocol.
+    /// Packets and states with a valid tag whose version is not the expected one.
     pub other_version: u64,
 }
 
@@ -56,7 +56,8 @@
     pub packets_unsent: u64,
     /// Streams that were closed because the queue of accepted streams was full.
     pub streams_rejected: u64,
-    /// Streams that failed or exceeded their time limit, in either direction.
+    /// Streams that failed or exceeded their time limit, whether accepted or opened by this member, and
+    /// failed accepts. Streams that fail during a shutdown are not counted.
     pub streams_failed: u64,
     /// State exchanges that were skipped because the queue of exchange requests was full.
     pub exchanges_skipped: u64,
--- a/crates/membership-transport/tests/transcripts.rs
+++ b/crates/membership-transport/tests/transcripts.rs
@@ -62,14 +62,14 @@
         TcpStream::connect(transport.local_address()).expect("the member should accept a stream");
     stream.set_read_timeout(Some(READ_TIMEOUT)).expect("the read timeout should be set");
     stream.write_all(&request).expect("the state should be sent");
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).expect("an answer should be read");
+    let mut reply = Vec::new();
+    stream.read_to_end(&mut reply).expect("a reply should be read");
 
-    // The port and the generation of the member differ between runs, so the answer is compared with the state
+    // The port and the generation of the member differ between runs, so the reply is compared with the state
     // of the same member without sockets.
     let mut expected = membership(transport.view().local_member);
     expected.handle(0, Input::State(&caller.state()), &mut Vec::new()).expect("the state should be accepted");
-    assert_eq!(hex(&answer), hex(&length_prefixed(&expected.state())));
+    assert_eq!(hex(&reply), hex(&length_prefixed(&expected.state())));
 }
 
 #[test]
--- a/crates/membership-transport/tests/transport.rs
+++ b/crates/membership-transport/tests/transport.rs
@@ -177,7 +177,8 @@
 
 #[test]
 fn a_member_list_larger_than_a_packet_arrives_over_a_stream() {
-    // With this interval no member is probed during the test, because the listed members do not exist.
+    // The interval is so long that no member is probed during the test: the listed members do not exist, and
+    // would be declared dead.
     let start_with_slow_probes = |name, seeds: &[SocketAddr]| start(name, seeds, 600 * SECOND);
     let a = start_with_slow_probes("a", &[]);
     let state = unreachable_cluster(400).state();
@@ -186,14 +187,14 @@
     assert!(frame.len() > 10 * MAX_PACKET_BYTES, "the state has only {} bytes", frame.len());
     let mut stream = connect(a.local_address());
     stream.write_all(&length_prefixed(&frame)).expect("the state should be sent");
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).expect("an answer should be read");
-    let answered =
-        MembershipState::open(&key(), &answer[LENGTH_BYTES..]).expect("the answer should be a state");
+    let mut reply = Vec::new();
+    stream.read_to_end(&mut reply).expect("a reply should be read");
+    let reply_state =
+        MembershipState::open(&key(), &reply[LENGTH_BYTES..]).expect("the reply should be a state");
     assert_eq!(
-        answered.member_count(),
+        reply_state.member_count(),
         401,
-        "the answer should hold the members sent and the answering member"
+        "the reply should hold the members sent and the replying member"
     );
     wait_until("member a lists the members sent to it", || a.view().members.len() == 400);
     // A member that joins learns of all members in its first state exchange. A packet holds only about
@@ -201,7 +202,7 @@
     let b = start_with_slow_probes("b", &[a.local_address()]);
     wait_until("member b lists all members", || b.view().members.len() == 401);
     assert_eq!(b.drop_counts(), Default::default());
-    // Packets and streams have the same port.
+    // Without an advertised address, peers reach the member at the address that it is bound to.
     assert_eq!(b.view().local_member.address, b.local_address());
 }
 
@@ -231,16 +232,16 @@
     });
 }
 
-/// Sends bytes to a member over a stream, and returns its answer.
-fn answer_to(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
+/// Sends bytes to a member over a stream, and returns its reply.
+fn reply_to(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = connect(address);
     stream.write_all(bytes).expect("the bytes should be sent");
     // An error is ignored, because the member may have closed the stream already.
     let _ = stream.shutdown(Shutdown::Write);
-    let mut answer = Vec::new();
+    let mut reply = Vec::new();
     // An error is ignored, because the stream is reset if the member left bytes unread.
-    let _ = stream.read_to_end(&mut answer);
-    answer
+    let _ = stream.read_to_end(&mut reply);
+    reply
 }
 
 #[test]
@@ -276,7 +277,7 @@
         b"GET /-/cluster HTTP/1.1\r\n\r\n".to_vec(),
     ];
     for bytes in &invalid_streams {
-        assert!(answer_to(a.local_address(), bytes).is_empty(), "{bytes:?} was answered");
+        assert!(reply_to(a.local_address(), bytes).is_empty(), "{bytes:?} got a reply");
     }
     let rejected = a.view().rejected;
     // The bytes "GET ", read as a length, exceed the maximum.
@@ -299,9 +300,9 @@
     let frame = length_prefixed(&unreachable_cluster(2).state().seal(&key()));
     wait_until("a stream is served", || {
         let mut stream = connect(a.local_address());
-        let mut answer = Vec::new();
-        let exchanged = stream.write_all(&frame).and_then(|()| stream.read_to_end(&mut answer));
-        exchanged.is_ok() && !answer.is_empty()
+        let mut reply = Vec::new();
+        let exchanged = stream.write_all(&frame).and_then(|()| stream.read_to_end(&mut reply));
+        exchanged.is_ok() && !reply.is_empty()
     });
     let mut unfinished_stream = connect(a.local_address());
     unfinished_stream.write_all(&[0, 0]).expect("the bytes should be sent");
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -19,13 +19,13 @@
     Protocol(Timer<Member>),
     /// Announce this member to the seeds and some known members, unless another member has answered.
     AnnounceToSeeds,
-    /// Exchange states with a random member if the state is too large for packets.
+    /// Exchange states with a random member if the state exceeds half a packet.
     ExchangeState,
 }
 
-/// Collects the effects and timers of one call of the protocol, and scales the protocol's timeouts by the
-/// local health multiplier. Borrows the fields of [`Membership`](crate::Membership) for the duration of the
-/// call.
+/// Collects the effects and timers of one call of the protocol, and lengthens the probe interval, the probe
+/// timeout and the suspicion timeout according to the local health multiplier. Borrows the fields of
+/// [`Membership`](crate::Membership) for the duration of the call.
 pub(crate) struct EffectCollector<'a> {
     pub(crate) now: Micros,
     pub(crate) key: &'a Key,
@@ -34,7 +34,7 @@
     pub(crate) effects: &'a mut Vec<Effect>,
     /// When the last authentic packet or state arrived.
     pub(crate) last_received: Micros,
-    /// How long after the last authentic packet or state this member counts as isolated.
+    /// Time without an authentic packet or state after which this member counts as isolated.
     pub(crate) isolation_timeout: Micros,
     /// The address of the sender of the packet that is being handled.
     pub(crate) sender: &'a mut Option<SocketAddr>,
@@ -64,8 +64,8 @@
                 self.effects.push(Effect::SelfRefuted(identity.clone()));
             }
             // A failed probe indicates a fault of this member only if it receives nothing from any other
-            // member. In a partitioned cluster, both halves still receive packets, and must not take longer
-            // to declare the other half dead.
+            // member. In a partitioned cluster, the members of each half still receive packets from each
+            // other, and must not take longer to declare the other half dead.
             Notification::ProbeFailed(..) if self.is_isolated() => self.local_health.record_failure(),
             Notification::ProbeFailed(..) => {}
             Notification::DataReceived(header) => {
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -28,9 +28,9 @@
         packet: Vec<u8>,
     },
     /// Exchange states with the member at this address over a stream: send it
-    /// [`Membership::state`](crate::Membership::state), and pass in its answer as [`Input::State`].
+    /// [`Membership::state`](crate::Membership::state), and pass in its reply as [`Input::State`].
     ExchangeState(SocketAddr),
-    /// A member has joined.
+    /// Another member is up: it has joined, or this member has learned of it.
     MemberUp(Member),
     /// A member was declared dead, or has left.
     MemberDown(Member),
@@ -41,8 +41,8 @@
         /// The new identity.
         after: Member,
     },
-    /// The other members knew an earlier process of this member with a later generation. This member
-    /// continues under this identity, whose generation is later still.
+    /// Other members knew an earlier process of this member by an identity that takes precedence. This member
+    /// continues under this identity, whose generation is later.
     GenerationRaised(Member),
     /// The other members had declared this member dead. It has rejoined under this identity.
     SelfRefuted(Member),
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -19,7 +19,8 @@
     now: Micros,
 ) -> Vec<Member> {
     let known: Vec<&Member> = known.collect();
-    // The first one depends on the time, so that all known members are reached over several rounds.
+    // The first known member to announce to depends on the time, so that the rounds usually reach different
+    // members.
     let start = now as usize % known.len().max(1);
     let rotated = known.iter().cycle().skip(start).take(known.len().min(MAX_KNOWN_TARGETS));
     let seeds = seeds.iter().map(|&seed| Member::placeholder(seed));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -3,17 +3,17 @@
 //! as [`Effect`]s.
 //!
 //! ```text
-//!  packet ──► Key::open ──► Membership::handle ──► Effect::SendPacket ──► Key::seal ──► the transport's socket
-//!  time   ─────────────────►   (foca: SWIM)    ──► Effect::MemberUp, MemberDown, MemberReplaced, SelfRefuted
+//!  packet      ──► Membership::handle: Key::open ──► foca (SWIM) ──► Key::seal ──► Effect::SendPacket
+//!  state, time ──► Membership::handle ─────────────► foca (SWIM) ──► Effect::MemberUp, ExchangeState, ...
 //! ```
 //!
 //! 1. The crate `foca` implements the protocol: random probes, indirect probes through other members,
 //!    suspicion before a member is declared dead, incarnation numbers for refutation, and gossip with a
 //!    bounded number of transmissions.
-//! 2. This crate owns the timers (`timer_queue.rs`), and scales their durations by Lifeguard's local health
-//!    multiplier (`local_health.rs`): a member that may itself be slow or isolated lengthens its own
-//!    timeouts. After a pause of its process, a member delays its timers, so that it reads the packets that
-//!    have arrived before it suspects others.
+//! 2. This crate owns the timers (`timer_queue.rs`). It multiplies the probe interval, the probe timeout and
+//!    the suspicion timeout by 1 + Lifeguard's local health multiplier (`local_health.rs`): a member that may
+//!    itself be slow or isolated lengthens its own timeouts. After a pause of its process, a member delays
+//!    its timers, so that it reads the packets that have arrived before it suspects others.
 //! 3. The list of all members may be too large for a packet. It is exchanged as a [`MembershipState`] over a
 //!    stream (`state.rs`).
 //! 4. Every packet and state carries a version and an authentication tag under the cluster's key (`seal.rs`).
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -5,8 +5,8 @@
 /// Maximum of the multiplier, as in Lifeguard.
 const MAX_MULTIPLIER: u32 = 8;
 
-/// The local health multiplier, from 0 (healthy) to 8. The member's own timeouts are `1 + multiplier` times
-/// as long.
+/// The local health multiplier, from 0 (healthy) to 8. The member's probe interval, probe timeout and
+/// suspicion timeout are `1 + multiplier` times as long as configured.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LocalHealth {
     multiplier: u32,
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -4,12 +4,12 @@
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a name, zone or region, in bytes. Bounded because the header of a packet alone contains
-/// up to three members.
+/// Maximum length of a name, zone or region, in bytes. The length is bounded because the header of a packet
+/// contains up to three members, each with these three texts.
 const MAX_NAME_BYTES: usize = 64;
 
 /// The identity of a member, which is a scheduler. Of two identities with the same address, the one with the
-/// later generation takes precedence.
+/// later generation takes precedence; if the generations are equal, the one with more rejoins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The member's name, which is the same after a restart.
@@ -24,7 +24,9 @@
     /// If it is lower than that of an earlier process, for example because the clock was set back, the member
     /// raises it as soon as it learns of the earlier process.
     pub generation: u64,
-    /// How often this process of the member has rejoined after the other members had declared it dead.
+    /// How often this process of the member has rejoined, under this generation, after the other members had
+    /// declared it dead.
+    // The name in the JSON of the status page `GET /-/cluster`, which is fixed.
     #[serde(rename = "returned")]
     pub rejoins: u32,
 }
@@ -35,13 +37,13 @@
         [&self.name, &self.zone, &self.region].iter().all(|text| text.len() <= MAX_NAME_BYTES)
     }
 
-    /// This identity with a generation above that of `known`, by which the other members still know an
-    /// earlier process of this member. `None` if `known` does not take precedence over this identity, or is
-    /// another member at this address.
+    /// This identity with a generation above that of `known`, an identity by which other members still know
+    /// an earlier process of this member. `None` if `known` does not take precedence over this identity, or
+    /// is another member at this address.
     pub(crate) fn with_generation_above(&self, known: &Member) -> Option<Member> {
-        let is_superseded =
+        let known_takes_precedence =
             known.address == self.address && known.name == self.name && known.win_addr_conflict(self);
-        is_superseded.then(|| Member {
+        known_takes_precedence.then(|| Member {
             generation: known.generation.saturating_add(1),
             rejoins: 0,
             ..self.clone()
@@ -68,8 +70,8 @@
     }
 
     fn win_addr_conflict(&self, other: &Member) -> bool {
-        // Two members can only be equal in the rest because of a wrong configuration. Comparing the names
-        // makes every member decide in the same way.
+        // Two members with the same address, generation and number of rejoins can exist only because of a
+        // wrong configuration. Comparing the names makes every member prefer the same one.
         (self.generation, self.rejoins, &self.name) > (other.generation, other.rejoins, &other.name)
     }
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -78,8 +78,10 @@
     /// effects are appended to `effects`, in the order in which they have to be carried out.
     ///
     /// # Errors
-    /// [`PacketError`] if the input is a packet that is rejected. A packet that is forged or of another
-    /// version has no effect on the membership.
+    /// [`PacketError`] if the input is a packet that is rejected. A packet that is too large, forged, of
+    /// another version, or shorter than its version and tag has no effect on the membership. A packet with a
+    /// valid tag but a malformed body counts as received from the cluster, and can raise this member's
+    /// generation.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -108,16 +110,17 @@
             effects.extend(self.sender.map(Effect::ExchangeState));
         }
         self.has_ever_joined |= self.has_joined;
-        let was_refuted =
+        let has_rejoined =
             effects[first_new_effect..].iter().any(|effect| matches!(effect, Effect::SelfRefuted(_)));
-        if was_refuted && !self.has_ever_joined {
+        if has_rejoined && !self.has_ever_joined {
             // This process is new and was taken for dead: the peer remembers an earlier process of this
-            // member, possibly with a later generation.
+            // member, possibly with a later generation. From the state of the peer, this member learns the
+            // generation that it has to exceed.
             effects.extend(self.sender.map(Effect::ExchangeState));
         }
         if self.protocol.num_members() != member_count {
-            // The transmission limit and the timeouts depend on the number of members. `foca` accepts a
-            // change of every parameter that can differ here.
+            // The transmission limit and the suspicion timeout depend on the number of members. The result is
+            // ignored: `foca` accepts a change of these parameters.
             let _ = self.protocol.set_config(self.settings.foca_config(self.protocol.num_members() + 1));
         }
         result
@@ -138,16 +141,16 @@
         match protocol.handle_data(body, collector) {
             Err(foca::Error::Decode(_) | foca::Error::MalformedPacket) => Err(PacketError::Malformed),
             Err(foca::Error::DataTooBig) => Err(PacketError::TooLarge),
-            // The other errors have no effect; one example is a packet of this member that is sent back to
-            // it.
+            // Any other error means that `foca` has ignored the packet, for example one that this member
+            // itself has sent.
             _ => Ok(()),
         }
     }
 
-    /// Raises the generation of this member if `known`, the identity by which a peer knows it, is that of an
-    /// earlier process with a later generation. This happens if the machine's clock was set back between the
-    /// two processes. The other members would otherwise take this process for the earlier one for as long as
-    /// they remember it.
+    /// Raises the generation of this member if `known`, the identity by which a peer knows it, takes
+    /// precedence over the current identity. This happens if an earlier process had a later generation, for
+    /// example because the machine's clock was set back between the two processes. The other members would
+    /// otherwise take this process for the earlier one for as long as they remember it.
     fn raise_generation_above(&mut self, now: Micros, known: &Member, effects: &mut Vec<Effect>) {
         let Some(identity) = self.protocol.identity().with_generation_above(known) else { return };
         let (protocol, collector) = self.protocol_and_collector(now, effects);
@@ -170,8 +173,9 @@
         let _ = protocol.apply_many(updates.into_iter(), true, collector);
     }
 
-    /// Detects a pause of this process, and delays all timers by its length. After a pause, timers are
-    /// overdue while the answers of other members still wait to be read; without the delay, these members
+    /// Detects a pause of this process, which is assumed if a timer is overdue by more than the probe
+    /// timeout. Delays all timers by that time, and raises the local health multiplier. After a pause, timers
+    /// are overdue while the answers of other members still wait to be read; without the delay, these members
     /// would be suspected.
     fn detect_pause(&mut self, now: Micros) {
         let overdue = self.timers.next_due().map_or(0, |due| now.saturating_sub(due.max(self.last_handled)));
@@ -221,7 +225,7 @@
     }
 
     fn handle_protocol_timer(&mut self, now: Micros, timer: Timer<Member>, effects: &mut Vec<Effect>) {
-        if self.ends_refuted_suspicion(&timer) {
+        if self.belongs_to_ended_suspicion(&timer) {
             return;
         }
         let (protocol, collector) = self.protocol_and_collector(now, effects);
@@ -229,14 +233,15 @@
         let _ = protocol.handle_timer(timer, collector);
     }
 
-    /// Whether a timer ends a suspicion that was already refuted. Such a timer must not reach `foca` 2.0: it
-    /// would not declare the member dead, but would notify it that it was declared dead. The member would
-    /// rejoin under a new identity, which all other members would have to apply.
-    fn ends_refuted_suspicion(&self, timer: &Timer<Member>) -> bool {
+    /// Whether a timer belongs to a suspicion that is over, because the member has refuted it or is no longer
+    /// listed as up under this identity. `foca` 2.0 must not receive such a timer: instead of declaring the
+    /// member dead, `foca` would notify the member that it was declared dead. The member would then rejoin
+    /// under a new identity, which all other members would have to apply.
+    fn belongs_to_ended_suspicion(&self, timer: &Timer<Member>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
-        let is_suspect =
+        let is_unchanged =
             |member: &foca::Member<Member>| member.id() == member_id && member.incarnation() == *incarnation;
-        !self.protocol.iter_members().any(is_suspect)
+        !self.protocol.iter_members().any(is_unchanged)
     }
 
     fn announce_until_joined(&mut self, now: Micros, effects: &mut Vec<Effect>) {
@@ -287,8 +292,8 @@
         self.protocol.iter_members().map(foca::Member::id)
     }
 
-    /// Lifeguard's local health multiplier, from 0 (healthy) to 8. The timeouts of this member are
-    /// `1 + multiplier` times as long.
+    /// Lifeguard's local health multiplier, from 0 (healthy) to 8. The probe interval, probe timeout and
+    /// suspicion timeout of this member are `1 + multiplier` times as long as configured.
     pub fn local_health_multiplier(&self) -> u32 {
         self.local_health.multiplier()
     }
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -6,11 +6,11 @@
 
 const VERSION_BYTES: usize = 1;
 const TAG_BYTES: usize = 32;
-/// Maximum size of a sealed packet, in bytes. Packets up to this size are not fragmented on paths with a
-/// usual MTU, as RFC 8085 advises.
+/// Maximum size of a sealed packet, in bytes. Packets up to this size are not fragmented on paths with the
+/// usual MTU of 1,500 bytes, as RFC 8085 advises.
 pub const MAX_PACKET_BYTES: usize = 1_400;
 pub(crate) const MAX_PACKET_BODY_BYTES: usize = MAX_PACKET_BYTES - VERSION_BYTES - TAG_BYTES;
-/// Maximum size of a sealed state, in bytes. It holds about 15,000 members.
+/// Maximum size of a sealed state, in bytes. It holds about 15,000 members of 70 bytes each.
 pub const MAX_STATE_BYTES: usize = 1 << 20;
 pub(crate) const MAX_STATE_BODY_BYTES: usize = MAX_STATE_BYTES - VERSION_BYTES - TAG_BYTES;
 /// Minimum length of a key, in bytes: half the length of the hash. A shorter key would be the weakest part of
@@ -29,7 +29,8 @@
 pub(crate) const STATE_FORMAT: SealFormat = SealFormat { version: 0x81, max_bytes: MAX_STATE_BYTES };
 
 /// The reason why a packet or state was rejected. The enum is exhaustive because the transport counts each
-/// reason.
+/// reason. The effects of a rejected packet are described at
+/// [`Membership::handle`](crate::Membership::handle).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum PacketError {
     /// The packet or state exceeds [`MAX_PACKET_BYTES`] or [`MAX_STATE_BYTES`].
@@ -50,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum KeyError {
-    /// A key must have at least 16 bytes.
+    /// The key has fewer than 16 bytes.
     #[error("a cluster key of {bytes} bytes; {MIN_KEY_BYTES} at least")]
     TooShort {
         /// The number of bytes given.
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -8,12 +8,14 @@
 use crate::seal::MAX_PACKET_BODY_BYTES;
 use crate::time::{Micros, SECOND};
 
-/// Factor of the maximum number of times that each member sends an update, which is this factor times
-/// `log10(members + 1)`. With Serf's 4 and with 8, a cluster of 9 members at 30 % packet loss declared
-/// running members dead, because some of the members that wait for a refutation were never reached.
+/// The maximum number of times that each member sends an update is this factor times `log10(members + 1)`,
+/// rounded up and limited to [`TRANSMISSION_BOUNDS`]. With smaller factors, some of the members that wait for
+/// a refutation are never reached under heavy packet loss, and a running member is declared dead: at 30 %
+/// loss, 9 members need more than Serf's 4, and more than 8 even with a suspicion multiplier of 8; 14 is
+/// enough.
 const TRANSMISSION_MULTIPLIER: f64 = 14.0;
-/// Minimum and maximum of the number of times that each member sends an update. `foca` takes it as one byte;
-/// 60 is above what any fleet needs.
+/// Minimum and maximum of the number of times that each member sends an update. `foca` stores the number in
+/// one byte. The maximum of 60 is reached only with about 16,000 members.
 const TRANSMISSION_BOUNDS: (f64, f64) = (2.0, 60.0);
 /// Rounds of gossip in each probe interval, as in Serf. Probes carry updates in addition.
 const GOSSIPS_PER_PROBE_INTERVAL: u64 = 5;
@@ -24,8 +26,9 @@
 /// Interval of the announcements to members that are down, by which the halves of a healed partition find
 /// each other.
 const DOWN_ANNOUNCE_INTERVAL: Micros = 5 * SECOND;
-/// Interval at which a random member is asked for the members that it knows: by an announcement and, if a
-/// packet might not hold them all, also by a state exchange.
+/// Interval at which this member sends an announcement to a random member, which answers with the members
+/// that it knows. If a packet might not hold them all, this member also requests a state exchange with a
+/// random member.
 pub(crate) const STATE_EXCHANGE_INTERVAL: Micros = 30 * SECOND;
 /// How long a member that is down is remembered, so that old gossip does not list it as up again.
 const DOWN_MEMBER_RETENTION: Duration = Duration::from_secs(24 * 3600);
@@ -42,10 +45,12 @@
     pub probe_timeout: Micros,
     /// Number of other members through which an unresponsive member is probed. Greater than 0.
     pub indirect_probes: usize,
-    /// Factor of the time after which a suspected member is declared dead, which is this factor times the
-    /// probe interval times the larger of 1 and `log10(members)`. Greater than 0 and at most 1,000.
+    /// A suspected member that does not refute the suspicion is declared dead after this factor times the
+    /// probe interval times the larger of 1 and `log10(members)`, where `members` is the number of members
+    /// including this one. Greater than 0 and at most 1,000.
     pub suspicion_multiplier: f64,
-    /// Addresses that the member announces itself to, from its start until another member has answered.
+    /// Addresses that the member announces itself to, once per probe interval, while no other member has
+    /// answered it: after its start, after a change of its identity, and when no other member is up.
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -76,7 +81,7 @@
     /// [`Settings::suspicion_multiplier`] is out of its range, or not a number.
     #[error("the suspicion multiplier must be greater than 0 and at most 1000")]
     SuspicionOutOfRange,
-    /// The name, zone or region of the member is longer than 64 bytes.
+    /// The name, zone or region of the member is longer than 64 bytes, and so too long for a packet.
     #[error("the name, zone or region is longer than 64 bytes")]
     IdentityTooLong,
 }
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -40,8 +40,8 @@
         self.0.iter().map(foca::Member::id).find(|member| member.address == address)
     }
 
-    /// Seals the state for a stream, in at most [`MAX_STATE_BYTES`](crate::MAX_STATE_BYTES) bytes. Members at
-    /// the end of a larger state are left out.
+    /// Seals the state for a stream, in at most [`MAX_STATE_BYTES`](crate::MAX_STATE_BYTES) bytes. Of a
+    /// larger state, the last half of the members is left out, repeatedly until the rest fits.
     pub fn seal(&self, key: &Key) -> Vec<u8> {
         let mut included = &self.0[..];
         loop {
@@ -57,8 +57,8 @@
     /// Verifies and decodes a state that was sealed with `key`.
     ///
     /// # Errors
-    /// [`PacketError`] if the frame is too large, not sealed with the key, of another version, or cannot be
-    /// decoded.
+    /// [`PacketError`] if the frame is too large, not sealed with the key, of another version, cannot be
+    /// decoded, or contains a member whose name, zone or region is longer than 64 bytes.
     pub fn open(key: &Key, frame: &[u8]) -> Result<MembershipState, PacketError> {
         let body = key.open(STATE_FORMAT, frame)?;
         let members: Vec<KnownMember> = postcard::from_bytes(body).map_err(|_| PacketError::Malformed)?;
--- a/crates/membership/tests/transcripts.rs
+++ b/crates/membership/tests/transcripts.rs
@@ -1,5 +1,5 @@
 //! Compares the bytes of packets and states with snapshots, so that a change of the wire format does not go
-//! unnoticed. Three members send each other every kind of packet.
+//! unnoticed. Three members send each other every kind of packet that the protocol uses.
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
