--- a/crates/fair-share/examples/late.rs
+++ b/crates/fair-share/examples/late.rs
@@ -1,5 +1,7 @@
-//! Plays a million reports to a ledger, 30 % of them late: the ledger's memory, and how far provisional shares are
-//! off. Run it with `cargo run --release -p copperspread-fair-share --example late`.
+//! Measures a usage ledger that gets a million reports, 30 % of them late: its memory, the time per report,
+//! and the error of the provisional shares.
+//!
+//! Run it with `cargo run --release -p copperspread-fair-share --example late`.
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -10,41 +12,42 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const REPORTERS: u32 = 300;
-const SLOTS: u32 = 64;
-const TENANTS: u32 = 1_000;
-const FEDERATIONS: u32 = 30;
-const REPORTS_PER_STEP: u32 = 10;
-const STEPS: i64 = 334;
+const REPORTER_COUNT: u32 = 300;
+const SLOTS_PER_REPORTER: u32 = 64;
+const TENANT_COUNT: u32 = 1_000;
+const FEDERATION_COUNT: u32 = 30;
+/// Number of reports that each reporter sends in a step.
+const REPORTS_PER_REPORTER_AND_STEP: u32 = 10;
+const STEP_COUNT: i64 = 334;
 const STEP_MS: i64 = 3_000;
 const WINDOW_MS: i64 = 10_000;
-/// Work of the whole fleet in a window, in slot-milliseconds.
-const CAPACITY: u64 = REPORTERS as u64 * SLOTS as u64 * WINDOW_MS as u64;
+/// Capacity of the whole fleet in a window, in slot-milliseconds.
+const CAPACITY: u64 = REPORTER_COUNT as u64 * SLOTS_PER_REPORTER as u64 * WINDOW_MS as u64;
 
 fn name(kind: &str, number: u32) -> Name {
-    Name::new(&format!("{kind}-{number:04}")).expect("a short name")
+    Name::new(&format!("{kind}-{number:04}")).expect("the name should be valid")
 }
 
 fn policy() -> FairSharePolicy {
-    let federations = (0..FEDERATIONS).map(|number| {
-        let tenants = (number..TENANTS).step_by(FEDERATIONS as usize).map(|tenant| {
+    let federations = (0..FEDERATION_COUNT).map(|number| {
+        let tenants = (number..TENANT_COUNT).step_by(FEDERATION_COUNT as usize).map(|tenant| {
             let share_config = ShareConfig { weight: 1 + tenant % 5, guarantee: 300, ceiling: 200_000 };
             (name("tenant", tenant), share_config)
         });
         let share_config = ShareConfig { weight: 1 + number % 3, guarantee: 12_000, ceiling: 500_000 };
         (name("federation", number), Federation { share_config, tenants: tenants.collect() })
     });
-    FairSharePolicy::new(federations.collect()).expect("a valid policy")
+    FairSharePolicy::new(federations.collect()).expect("the policy should be valid")
 }
 
-/// Every report with the instant at which it arrives: most within a second, 30 % within a minute. Each states from
-/// `min_percent` to all of what the pool can do.
+/// Returns each report with its arrival time, sorted by it: most arrive within a second after their end, 30 %
+/// within a minute. Each report states from `min_percent` to 100 % of its part of the pool's capacity.
 fn reports(min_percent: u64) -> Vec<(i64, UsageReport)> {
     let mut rng = Pcg64Mcg::seed_from_u64(28);
     let mut reports = Vec::new();
-    for step in 0..STEPS {
-        for reporter in 0..REPORTERS {
-            for number in 0..REPORTS_PER_STEP {
+    for step in 0..STEP_COUNT {
+        for reporter in 0..REPORTER_COUNT {
+            for number in 0..REPORTS_PER_REPORTER_AND_STEP {
                 reports.push(random_report(&mut rng, step, reporter, number, min_percent));
             }
         }
@@ -60,32 +63,36 @@
     number: u32,
     min_percent: u64,
 ) -> (i64, UsageReport) {
-    // Few tenants do most of the work, and which ones changes from minute to minute.
-    let skewed = rng.random_range(0..TENANTS) * rng.random_range(0..TENANTS) / TENANTS;
-    let tenant = (skewed + (step / 20) as u32) % TENANTS;
+    // A few tenants do most of the work, and which ones they are changes over the minutes.
+    let skewed = rng.random_range(0..TENANT_COUNT) * rng.random_range(0..TENANT_COUNT) / TENANT_COUNT;
+    let tenant = (skewed + (step / 20) as u32) % TENANT_COUNT;
     let (start_ms, end_ms) = (step * STEP_MS, (step + 1) * STEP_MS);
     let is_late = rng.random_range(0..10) < 3;
     let arrival_ms = end_ms + rng.random_range(0..if is_late { 60_000 } else { 1_000 });
-    let step_capacity = u64::from(SLOTS) * STEP_MS as u64;
+    let step_capacity = u64::from(SLOTS_PER_REPORTER) * STEP_MS as u64;
     let report = UsageReport {
         reporter: name("reporter", reporter),
         incarnation: 1,
-        sequence: (step as u64) * u64::from(REPORTS_PER_STEP) + u64::from(number) + 1,
+        sequence: (step as u64) * u64::from(REPORTS_PER_REPORTER_AND_STEP) + u64::from(number) + 1,
         tenant: name("tenant", tenant),
         start_ms,
         end_ms,
-        work: rng.random_range(min_percent..=100) * step_capacity / u64::from(REPORTS_PER_STEP) / 100,
+        work: rng.random_range(min_percent..=100) * step_capacity
+            / u64::from(REPORTS_PER_REPORTER_AND_STEP)
+            / 100,
         corrects: None,
     };
     (arrival_ms, report)
 }
 
 fn ledger() -> UsageLedger {
-    let mut ledger = UsageLedger::new(LedgerSettings::default(), 0).expect("valid settings");
-    let reporter = |number| (name("reporter", number), Reporter { slots: SLOTS, federation: None });
-    let tenant = |number| (name("tenant", number), name("federation", number % FEDERATIONS));
-    let (reporters, tenants) = ((0..REPORTERS).map(reporter).collect(), (0..TENANTS).map(tenant).collect());
-    ledger.enroll(Enrollment { reporters, tenants }).expect("a small enrollment");
+    let mut ledger = UsageLedger::new(LedgerSettings::default(), 0).expect("the settings should be valid");
+    let reporter =
+        |number| (name("reporter", number), Reporter { slots: SLOTS_PER_REPORTER, federation: None });
+    let tenant = |number| (name("tenant", number), name("federation", number % FEDERATION_COUNT));
+    let (reporters, tenants) =
+        ((0..REPORTER_COUNT).map(reporter).collect(), (0..TENANT_COUNT).map(tenant).collect());
+    ledger.enroll(Enrollment { reporters, tenants }).expect("the enrollment should be within its limits");
     ledger
 }
 
@@ -95,7 +102,7 @@
 }
 
 fn stored_bytes(ledger: &UsageLedger) -> f64 {
-    postcard::to_allocvec(ledger).expect("serializes").len() as f64
+    postcard::to_allocvec(ledger).expect("the ledger should be serializable").len() as f64
 }
 
 fn share_table(policy: &FairSharePolicy, work: &BTreeMap<Name, u64>) -> ShareTable {
@@ -103,13 +110,17 @@
     allocate_shares(policy, &demands, &ReservedShares::default())
 }
 
-/// How far share tables are off, in parts per million.
+/// Errors of share tables against the expected ones, in parts per million of the fleet.
 #[derive(Default)]
 struct ShareError {
-    tables: u64,
-    max_of_tenant: u32,
-    max_misplaced: u64,
-    misplaced_sum: u64,
+    table_count: u64,
+    /// Maximum error of the share of one tenant.
+    max_tenant_error: u32,
+    /// Maximum, over the tables, of the share that is allocated to other tenants than expected.
+    max_misallocated: u64,
+    /// Sum, over the tables, of the share that is allocated to other tenants than expected.
+    misallocated_sum: u64,
+    /// Maximum, over the tables, of the bound on the error that the outstanding work allows.
     bound: u64,
 }
 
@@ -117,30 +128,30 @@
     fn add(&mut self, table: &ShareTable, expected: &ShareTable, max_outstanding: u64) {
         let difference =
             |(tenant, share): (&Name, &TenantShare)| share.share.abs_diff(expected.tenants[tenant].share);
-        let misplaced = table.tenants.iter().map(|share| u64::from(difference(share))).sum::<u64>() / 2;
-        let max_of_tenant = table.tenants.iter().map(difference).max().unwrap_or(0);
+        let misallocated = table.tenants.iter().map(|share| u64::from(difference(share))).sum::<u64>() / 2;
+        let max_tenant_error = table.tenants.iter().map(difference).max().unwrap_or(0);
         let bound = (2 * u128::from(max_outstanding) * 1_000_000 / u128::from(CAPACITY)) as u64 + 8;
-        self.tables += 1;
-        self.max_of_tenant = self.max_of_tenant.max(max_of_tenant);
-        self.max_misplaced = self.max_misplaced.max(misplaced);
-        self.misplaced_sum += misplaced;
+        self.table_count += 1;
+        self.max_tenant_error = self.max_tenant_error.max(max_tenant_error);
+        self.max_misallocated = self.max_misallocated.max(misallocated);
+        self.misallocated_sum += misallocated;
         self.bound = self.bound.max(bound);
     }
 
     fn print(&self, title: &str) {
-        let mean = self.misplaced_sum as f64 / self.tables.max(1) as f64 / 1e4;
-        let (most, tenant) = (self.max_misplaced as f64 / 1e4, f64::from(self.max_of_tenant) / 1e4);
+        let mean = self.misallocated_sum as f64 / self.table_count.max(1) as f64 / 1e4;
+        let (most, tenant) = (self.max_misallocated as f64 / 1e4, f64::from(self.max_tenant_error) / 1e4);
         let bound = self.bound.min(1_000_000) as f64 / 1e4;
         println!(
-            "{title}: {} tables, of the fleet {mean:.2} % is misplaced on average, at most {most:.2} %; one tenant is \
-             off by at most {tenant:.3} %, the bound is {bound:.1} %",
-            self.tables
+            "{title}: {} tables; misallocated share of the fleet: {mean:.2} % on average, at most {most:.2} %; error \
+             of one tenant: at most {tenant:.3} %; bound: {bound:.1} %",
+            self.table_count
         );
     }
 }
 
 fn main() {
-    for (title, min_percent) in [("half busy", 0), ("nearly full", 80)] {
+    for (title, min_percent) in [("half of capacity used", 0), ("nearly full capacity used", 80)] {
         println!("== {title}");
         let reports = reports(min_percent);
         let expected = record_at_once(&reports);
@@ -148,47 +159,50 @@
     }
 }
 
-/// Records all reports at once, in the order of their sequence numbers: the ledger's memory, and the share tables of
-/// complete usage by window.
+/// Records all reports at once, in the order of their sequence numbers, and prints the memory of the ledger.
+/// Returns the share tables of the complete usage by window.
 fn record_at_once(reports: &[(i64, UsageReport)]) -> BTreeMap<i64, ShareTable> {
     let mut sorted: Vec<UsageReport> = reports.iter().map(|(_, report)| report.clone()).collect();
     sorted.sort_by(|a, b| (a.start_ms, &a.reporter, a.sequence).cmp(&(b.start_ms, &b.reporter, b.sequence)));
     let (mut ledger, policy, no_dead) = (ledger(), policy(), BTreeSet::new());
     let (resident_before, began) = (resident_megabytes(), Instant::now());
     for report in sorted.iter().cloned() {
-        ledger.record(STEPS * STEP_MS, report).expect("a valid report");
+        ledger.record(STEP_COUNT * STEP_MS, report).expect("the report should be accepted");
     }
     let nanoseconds = began.elapsed().as_secs_f64() * 1e9 / sorted.len() as f64;
     let resident = resident_megabytes() - resident_before;
-    println!("{} reports at once: {nanoseconds:.0} ns each, {resident:.1} MB resident", sorted.len());
-    println!("stored: {:.1} MB", stored_bytes(&ledger) / 1e6);
-    let tables = (0..STEPS * STEP_MS / WINDOW_MS)
+    println!(
+        "{} reports recorded at once: {nanoseconds:.0} ns per report, {resident:.1} MB resident",
+        sorted.len()
+    );
+    println!("serialized ledger: {:.1} MB", stored_bytes(&ledger) / 1e6);
+    let tables = (0..STEP_COUNT * STEP_MS / WINDOW_MS)
         .map(|window| (window, share_table(&policy, &ledger.provisional_usage(window * WINDOW_MS).work)))
         .collect();
-    let closed = ledger.advance(STEPS * STEP_MS + 60_000, &no_dead);
+    let closed = ledger.advance(STEP_COUNT * STEP_MS + 60_000, &no_dead);
     let last = UsageReport { start_ms: 9_999_000, end_ms: 10_000_000, sequence: 3_341, ..sorted[0].clone() };
     ledger.record(10_000_000, last).ok();
     ledger.advance(10_100_000, &no_dead);
     println!(
-        "after {} windows closed and the horizon passed: {:.1} kB stored",
+        "serialized ledger after {} windows were closed and discarded: {:.1} kB",
         closed.len(),
         stored_bytes(&ledger) / 1e3
     );
     tables
 }
 
-/// What is measured of reports that are recorded as they arrive.
+/// Measurements of a ledger that records reports as they arrive.
 #[derive(Default)]
 struct ArrivalErrors {
     at_window_end: ShareError,
-    later: ShareError,
+    ten_seconds_later: ShareError,
     closed: ShareError,
     work: u64,
     adjustments: i64,
 }
 
 impl ArrivalErrors {
-    /// Compares the provisional shares of the windows that ended now and 10 s ago.
+    /// Adds the errors of the provisional shares of the windows that ended now and 10 s ago.
     fn add_provisional(
         &mut self,
         ledger: &UsageLedger,
@@ -196,7 +210,7 @@
         policy: &FairSharePolicy,
         expected: &BTreeMap<i64, ShareTable>,
     ) {
-        for (delay_ms, error) in [(0, &mut self.at_window_end), (10_000, &mut self.later)] {
+        for (delay_ms, error) in [(0, &mut self.at_window_end), (10_000, &mut self.ten_seconds_later)] {
             let end_ms = now_ms - delay_ms;
             let ended = expected.get(&(end_ms / WINDOW_MS - 1)).filter(|_| end_ms % WINDOW_MS == 0);
             let Some(expected) = ended else { continue };
@@ -219,28 +233,28 @@
     }
 
     fn print(&self, reported_work: u64) {
-        self.at_window_end.print("provisional at a window's end");
-        self.later.print("provisional 10 s after it");
-        self.closed.print("closed, 30 s after it, what comes later aside");
+        self.at_window_end.print("provisional shares at the end of a window");
+        self.ten_seconds_later.print("provisional shares 10 s after the end of a window");
+        self.closed.print("shares of closed windows, 30 s after their end and without later adjustments");
         let percent = self.adjustments as f64 * 100.0 / reported_work as f64;
         println!(
-            "settled as adjustments: {percent:.2} % of the work; lost: {}",
+            "settled as adjustments: {percent:.2} % of the work; lost work: {} slot-ms",
             reported_work as i64 - self.work as i64 - self.adjustments
         );
     }
 }
 
-/// Records each report when it arrives, and closes windows each second.
+/// Records each report when it arrives, advances the ledger each second, and prints the errors of the shares.
 fn record_as_they_arrive(reports: Vec<(i64, UsageReport)>, expected: &BTreeMap<i64, ShareTable>) {
     let (mut ledger, policy, no_dead) = (ledger(), policy(), BTreeSet::new());
     let (count, reported_work) = (reports.len(), reports.iter().map(|(_, report)| report.work).sum());
     let (mut errors, mut elapsed) = (ArrivalErrors::default(), Duration::ZERO);
     let mut arriving = reports.into_iter().peekable();
-    for second in 1..=(STEPS * STEP_MS / 1_000 + 100) {
+    for second in 1..=(STEP_COUNT * STEP_MS / 1_000 + 100) {
         let now_ms = second * 1_000;
         let began = Instant::now();
         while let Some((_, report)) = arriving.next_if(|(arrival_ms, _)| *arrival_ms <= now_ms) {
-            ledger.record(now_ms, report).expect("a valid report");
+            ledger.record(now_ms, report).expect("the report should be accepted");
         }
         let closed = ledger.advance(now_ms, &no_dead);
         elapsed += began.elapsed();
@@ -248,6 +262,6 @@
         closed.iter().for_each(|window| errors.add_closed(window, &policy, expected));
     }
     let nanoseconds = elapsed.as_secs_f64() * 1e9 / count as f64;
-    println!("as they arrive: {nanoseconds:.0} ns a report, windows closed each second");
+    println!("reports recorded as they arrive, ledger advanced each second: {nanoseconds:.0} ns per report");
     errors.print(reported_work);
 }
--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -8,32 +8,34 @@
 use crate::water_filling::{Claimant, water_fill};
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Everything demanded and no debt.
+/// Demand for the whole fleet, without debt.
 const FULL_DEMAND: TenantDemand = TenantDemand { demand: FULL_SHARE_PPM, debt: 0 };
 
-/// The result of one division over both levels, beside the tenants' own reservations.
+/// Result of one division over federations and tenants; tenants' shares exclude their own reservations.
 struct Allocation<'a> {
     tenants: BTreeMap<&'a Name, u32>,
     federations: BTreeMap<&'a Name, u32>,
     has_reduced_guarantees: bool,
 }
 
-/// Allocates the shares; a pure function.
+/// Allocates the shares of all tenants and federations; a pure function.
 ///
-/// 1. Reservations are subtracted. What is reserved counts first towards its owner's demand, guarantee and ceiling.
-/// 2. The rest is divided over the federations by weighted max-min: each gets at least what it demands of its
-///    guarantee, and at most what its tenants demand and its ceiling.
-/// 3. A federation's share, with its reservation, is divided over its tenants in the same way. There a tenant with a
-///    debt counts with a weight of `weight / (1 + debt)`, never under half of its weight.
+/// 1. Reservations are subtracted. A reservation counts towards its owner's demand, guarantee and ceiling.
+/// 2. The rest is divided over the federations by weighted max-min: each gets at least the part of its
+///    guarantee that it demands, and at most its ceiling or what its tenants demand, whichever is less.
+/// 3. The share of each federation, including its own reservation, is divided over its tenants in the same
+///    way. The weight of a tenant with a debt is `weight / (1 + debt)`, which is at least half of its
+///    configured weight.
 ///
-/// Shares are whole parts per million; what rounding leaves goes to the largest remainders, among equal ones by name.
+/// Shares are whole parts per million; the units left by rounding go to the largest remainders, ties in the
+/// order of names.
 pub fn allocate_shares(
     policy: &FairSharePolicy,
     demands: &TenantDemands,
     reserved: &ReservedShares,
 ) -> ShareTable {
-    let reserved = reserved.cut_to_full_share();
-    let allocated = allocate(policy, &reserved, &|tenant| demands.of(tenant));
+    let reserved = reserved.limit_to_full_share();
+    let allocated = allocate(policy, &reserved, &|tenant| demands.of_tenant(tenant));
     let entitled = allocate(policy, &reserved, &|_| FULL_DEMAND);
     let has_reduced_guarantees = allocated.has_reduced_guarantees;
     let mut tenants = BTreeMap::new();
@@ -54,13 +56,14 @@
     ShareTable { tenants, federations, reserved_elsewhere, unallocated, has_reduced_guarantees }
 }
 
-/// Each tenant's share if all demanded everything, none had a debt and nothing was reserved, in parts per million.
+/// Entitlement of each tenant: its share, in parts per million, if all tenants demanded everything, none had
+/// a debt and nothing was reserved.
 pub fn entitlements(policy: &FairSharePolicy) -> BTreeMap<Name, u32> {
     let entitled = allocate(policy, &ReservedShares::default(), &|_| FULL_DEMAND);
     entitled.tenants.into_iter().map(|(name, share)| (name.clone(), share)).collect()
 }
 
-/// The sum of the reservations whose owners are not listed.
+/// Sum of the reservations whose owners are not listed.
 fn sum_of_unlisted<T>(reservations: &BTreeMap<Name, u32>, listed: &BTreeMap<Name, T>) -> u32 {
     reservations.iter().filter(|(name, _)| !listed.contains_key(*name)).map(|(_, part)| part).sum()
 }
@@ -83,7 +86,7 @@
         Allocation { tenants: BTreeMap::new(), federations: BTreeMap::new(), has_reduced_guarantees };
     for (claim, divided) in claims.iter().zip(water_fill(capacity, &claimants)) {
         let available = divided + claim.own_reservation;
-        // The federation's reservation may exceed what its tenants demand: the excess stays with the federation.
+        // The reservation of a federation may exceed its tenants' demands: the rest stays with the federation.
         let parts = water_fill(available, &claim.tenant_claimants);
         allocation.federations.insert(claim.name, available + claim.tenant_reservations);
         allocation.tenants.extend(claim.tenants.iter().copied().zip(parts));
@@ -91,15 +94,15 @@
     allocation
 }
 
-/// A federation as a claimant among the others, and its tenants as claimants to its share.
+/// Claim of a federation in the division of the fleet, with the claims of its tenants to its share.
 struct FederationClaim<'a> {
     name: &'a Name,
     tenants: Vec<&'a Name>,
     tenant_claimants: Vec<Claimant>,
     claimant: Claimant,
-    /// What is reserved for the federation itself.
+    /// Share reserved for the federation itself.
     own_reservation: u32,
-    /// What is reserved for its tenants.
+    /// Sum of the shares reserved for its tenants.
     tenant_reservations: u32,
 }
 
@@ -129,7 +132,7 @@
     }
 }
 
-/// A federation as a claimant, beside its own and its tenants' reservations.
+/// Returns the claimant of a federation, excluding its own and its tenants' reservations.
 fn federation_claimant(
     config: &ShareConfig,
     tenants: &[Claimant],
@@ -141,7 +144,8 @@
         sum.min(FULL_SHARE_PPM.into()) as u32
     };
     let reserved = own_reservation.saturating_add(tenant_reservations);
-    // Reservations of one tenant must not use up the guarantees of the others: their sum stands above the ceiling.
+    // The tenants' guarantees take precedence over the federation's ceiling: otherwise the reservation of one
+    // tenant could use up the guarantees of the others.
     let tenants_minimum = sum(&|tenant| tenant.minimum).saturating_sub(own_reservation);
     let tenants_maximum = sum(&|tenant| tenant.maximum).saturating_sub(own_reservation);
     let maximum = tenants_maximum.min(config.ceiling.saturating_sub(reserved)).max(tenants_minimum);
@@ -149,12 +153,12 @@
     Claimant { weight: config.weight.into(), minimum, maximum }
 }
 
-/// A tenant as a claimant, beside its own reservation.
+/// Returns the claimant of a tenant, excluding its own reservation.
 fn tenant_claimant(config: &ShareConfig, demand: TenantDemand, reservation: u32) -> Claimant {
-    let beside_reservation = |part: u32| part.saturating_sub(reservation);
-    let demanded = beside_reservation(demand.demand.min(FULL_SHARE_PPM));
-    let maximum = demanded.min(beside_reservation(config.ceiling));
-    let minimum = beside_reservation(config.guarantee).min(maximum);
+    let less_reservation = |part: u32| part.saturating_sub(reservation);
+    let demanded = less_reservation(demand.demand.min(FULL_SHARE_PPM));
+    let maximum = demanded.min(less_reservation(config.ceiling));
+    let minimum = less_reservation(config.guarantee).min(maximum);
     let full = u64::from(FULL_SHARE_PPM);
     let debt = u64::from(demand.debt.min(FULL_SHARE_PPM));
     let weight = u64::from(config.weight) * full * full / (full + debt);
--- a/crates/fair-share/src/apportionment.rs
+++ b/crates/fair-share/src/apportionment.rs
@@ -1,8 +1,9 @@
-//! Apportionment of a whole number by the method of the largest remainder.
+//! Apportionment of an integer by the largest remainder method.
 use std::cmp::Reverse;
 
-/// Divides a total by weights, so that the parts add up to it: each gets its quotient, rounded down, and the units
-/// left over go one each to the largest remainders, among equal ones to the first. If all weights are 0, all get 0.
+/// Divides a total in proportion to weights into parts that add up to it. Each part is its quotient rounded
+/// down; the remaining units go one each to the largest remainders, ties to the lowest index. If all weights
+/// are 0, all parts are 0.
 ///
 /// The total times the largest weight, and the sum of the weights, must fit into 128 bits.
 pub fn apportion(total: u64, weights: &[u128]) -> Vec<u64> {
@@ -12,11 +13,11 @@
     }
     let products = weights.iter().map(|&weight| u128::from(total) * weight);
     let mut parts: Vec<u64> = products.clone().map(|product| (product / weight_sum) as u64).collect();
-    let left_over = total - parts.iter().sum::<u64>();
+    let remaining_units = total - parts.iter().sum::<u64>();
     let mut remainders: Vec<(u128, usize)> =
         products.enumerate().map(|(index, product)| (product % weight_sum, index)).collect();
     remainders.sort_unstable_by_key(|&(remainder, index)| (Reverse(remainder), index));
-    for &(_, index) in remainders.iter().take(left_over as usize) {
+    for &(_, index) in remainders.iter().take(remaining_units as usize) {
         parts[index] += 1;
     }
     parts
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -1,4 +1,4 @@
-//! Debts of tenants that used more than their entitlement; they decay over time.
+//! Decaying debts of tenants that used more than their entitlement.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
@@ -6,45 +6,52 @@
 use crate::window::ClosedWindow;
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Binary places below a slot-millisecond: a contribution is exact for as many half-lives.
+/// Number of fractional bits of a sum, below a slot-millisecond: a contribution is exact for this many
+/// half-lives.
 const FRACTION_BITS: u32 = 32;
-/// Longest half-life, in windows.
+/// Maximum half-life, in windows.
 const MAX_HALF_LIFE_WINDOWS: u32 = 4_096;
-/// No window contributes as much: with it no sum exceeds 128 bits.
+/// Maximum contribution of a window, in slot-milliseconds: with this bound no sum exceeds 128 bits.
 const MAX_CONTRIBUTION: i128 = 1 << 60;
-/// More halvings than bits that a sum can have, less the sign.
+/// Maximum number of halvings at once, after which every sum is 0: a sum has fewer bits without its sign.
 const MAX_HALVINGS: i64 = 126;
 
-/// What tenants used above their entitlement, decaying by half in each half-life.
+/// Debts of tenants: their usage above their entitlement, which decays by half in each half-life.
 ///
-/// A window's contribution is the work and the adjustments less the entitlement, and may be negative. It decays along
-/// a straight line to one half over the first half-life, to a quarter over the second, and so on: never more than
-/// 6.2 % above the exponential curve, and on it at each half-life. There is one sum for each position of a window in
-/// its half-life. It is halved when its position recurs, and the debt is computed from the sums anew each time. So
-/// rounding errors do not accumulate, and the order of contributions does not matter; one is exact for 32 half-lives,
-/// then less than a slot-millisecond, at last nothing.
+/// The contribution of a window is the work plus the adjustments minus the entitlement, in slot-milliseconds,
+/// and may be negative. It decays linearly to one half over the first half-life, to a quarter over the
+/// second, and so on: at most 6.2 % above the exponential curve, and equal to it at each multiple of the
+/// half-life.
+///
+/// Each tenant has one sum per position of a window in the half-life, which is the window's index modulo the
+/// half-life. A sum is halved each time a window with its position is reached, and the balance is computed
+/// from the sums on each call. Therefore rounding errors do not accumulate, and the order of contributions
+/// does not matter. A contribution is exact for 32 half-lives; after that it is less than a slot-millisecond,
+/// and finally 0.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debts {
-    /// Windows to a half-life.
+    /// Half-life, in windows.
     #[serde(rename = "half_life")]
     half_life_windows: u32,
-    /// The number of the window that was settled last.
+    /// Index of the window that was settled last.
     #[serde(rename = "last")]
     last_window: Option<i64>,
-    /// By tenant, a sum for each position in the half-life.
+    /// Sums by tenant, one for each position in the half-life, with [`FRACTION_BITS`] fractional bits.
     sums: BTreeMap<Name, Vec<i128>>,
 }
 
 impl Debts {
-    /// No debts. The half-life is in windows and counts as at least 1, at most 4 096.
+    /// Creates an empty set of debts. The half-life is in windows and is clamped to the range 1 to 4 096.
     pub fn new(half_life_windows: u32) -> Debts {
         let half_life_windows = half_life_windows.clamp(1, MAX_HALF_LIFE_WINDOWS);
         Debts { half_life_windows, last_window: None, sums: BTreeMap::new() }
     }
 
-    /// Adds a closed window; `entitlements` is what each tenant was entitled to in it, in slot-milliseconds. Tenants
-    /// that are not among them are removed. Windows that were left out, as they had no usage, only let debts decay; a
-    /// window that is not later than the last changes nothing.
+    /// Adds the usage of a closed window to the debts. `entitlements` is the entitlement of each tenant in
+    /// that window, in slot-milliseconds; the debts of tenants that are not in it are removed.
+    ///
+    /// Windows that the ledger omits because they have no usage only let debts decay. A window that is not
+    /// later than the last one changes nothing.
     pub fn settle(&mut self, closed: &ClosedWindow, entitlements: &BTreeMap<Name, u64>) {
         if self.last_window.is_some_and(|last| closed.index <= last) {
             return;
@@ -64,21 +71,22 @@
         self.last_window = Some(closed.index);
     }
 
-    /// Halves each sum as often as its position recurred after the last window, up to this one.
+    /// Halves each sum once per window at its position, after the last settled window and up to the given one.
     fn decay(&mut self, window: i64) {
         let last_window = self.last_window.unwrap_or(window - 1);
         let half_life = i64::from(self.half_life_windows);
         for position in 0..half_life {
-            let recurrences_up_to = |window: i64| (window - position).div_euclid(half_life);
-            let recurrences = recurrences_up_to(window) - recurrences_up_to(last_window);
-            let halvings = recurrences.min(MAX_HALVINGS) as u32;
+            let passes_up_to = |window: i64| (window - position).div_euclid(half_life);
+            let passes = passes_up_to(window) - passes_up_to(last_window);
+            let halvings = passes.min(MAX_HALVINGS) as u32;
             if halvings > 0 {
                 self.sums.values_mut().for_each(|sums| sums[position as usize] /= 1 << halvings);
             }
         }
     }
 
-    /// The debt of a tenant, in slot-milliseconds; negative where it used less than its entitlement.
+    /// Debt of a tenant, in slot-milliseconds; negative if it used less than its entitlement, 0 if it is
+    /// unknown.
     pub fn balance(&self, tenant: &str) -> i128 {
         let (Some(sums), Some(last_window)) = (self.sums.get(tenant), self.last_window) else { return 0 };
         let half_life = i64::from(self.half_life_windows);
@@ -89,8 +97,8 @@
         decayed.sum::<i128>() / i128::from(2 * half_life) / (1 << FRACTION_BITS)
     }
 
-    /// Each tenant's debt, in parts per million of its entitlement over one half-life, as in
-    /// [`crate::TenantDemand::debt`]: from 0 to 1 000 000. `entitlements` are those of one window, in
+    /// Debt of each tenant in parts per million of its entitlement over one half-life, clamped to the range
+    /// from 0 to 1 000 000, as in [`crate::TenantDemand::debt`]. `entitlements` are those of one window, in
     /// slot-milliseconds.
     pub fn relative_debts(&self, entitlements: &BTreeMap<Name, u64>) -> BTreeMap<Name, u32> {
         let debts = entitlements.iter().map(|(tenant, &entitlement)| {
--- a/crates/fair-share/src/demand.rs
+++ b/crates/fair-share/src/demand.rs
@@ -1,28 +1,28 @@
-//! What tenants demand of the fleet, and how much of it counts against them as debt.
+//! Demands and debts of tenants, the input of an allocation.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// The demand and the debt of a tenant.
+/// Demand and debt of a tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantDemand {
-    /// What it would use, in parts per million of the fleet; above 1 000 000 counts as that.
+    /// Share that the tenant would use, in parts per million of the fleet; capped at 1 000 000.
     pub demand: u32,
-    /// What it used beyond its entitlement, in parts per million of its entitlement over one half-life; above
-    /// 1 000 000 counts as that.
+    /// Decayed usage above the tenant's entitlement, in parts per million of its entitlement over one
+    /// half-life; capped at 1 000 000.
     pub debt: u32,
 }
 
-/// The demands by tenant; a tenant that is not listed demands nothing.
+/// Demands and debts by tenant; a tenant that is not listed demands nothing and has no debt.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantDemands(pub BTreeMap<Name, TenantDemand>);
 
 impl TenantDemands {
-    /// The demand of a tenant.
-    pub(crate) fn of(&self, tenant: &Name) -> TenantDemand {
+    /// Demand and debt of a tenant; zero if it is not listed.
+    pub(crate) fn of_tenant(&self, tenant: &Name) -> TenantDemand {
         self.0.get(tenant).copied().unwrap_or_default()
     }
 }
--- a/crates/fair-share/src/enrollment.rs
+++ b/crates/fair-share/src/enrollment.rs
@@ -1,46 +1,47 @@
-//! Who may report, and on which tenants.
+//! Enrollment: the reporters that may report usage, and the tenants that they may report on.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// Most slots of one reporter's pool; with it, and the bounds of the settings, no sum exceeds 64 bits.
+/// Maximum slots of a reporter's pool; with it and the limits of the settings no sum exceeds 64 bits.
 const MAX_SLOTS: u32 = 1_000_000;
 const MAX_REPORTERS: usize = 4_096;
 const MAX_TENANTS: usize = 65_536;
 
-/// A scheduler, or a federation's partner, that may report usage.
+/// Reporter of usage: a scheduler, or a partner of a federation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Reporter {
-    /// Slots of the pool it reports on, from 0 to 1 000 000: the pool can do no more work than these allow.
+    /// Slots of the pool that the reporter reports on, from 0 to 1 000 000; they limit the work that the pool
+    /// can do.
     pub slots: u32,
-    /// The only federation on whose tenants it may report; all if there is none.
+    /// Only federation on whose tenants the reporter may report; `None` allows all federations.
     pub federation: Option<Name>,
 }
 
-/// The enrolled reporters and tenants.
+/// Enrolled reporters and tenants.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Enrollment {
-    /// The reporters, at most 4 096.
+    /// Reporters by name, at most 4 096.
     pub reporters: BTreeMap<Name, Reporter>,
-    /// The tenants, each with its federation, at most 65 536.
+    /// Federation of each tenant, at most 65 536 tenants.
     pub tenants: BTreeMap<Name, Name>,
 }
 
-/// An enrollment that is out of its bounds.
+/// Error for an enrollment that exceeds a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum EnrollmentError {
-    /// More than 4 096 reporters.
+    /// There are more than 4 096 reporters.
     #[error("reporters: more than 4096")]
     TooManyReporters,
-    /// More than 65 536 tenants.
+    /// There are more than 65 536 tenants.
     #[error("tenants: more than 65536")]
     TooManyTenants,
-    /// A reporter with more than 1 000 000 slots.
+    /// A reporter has more than 1 000 000 slots.
     #[error("slots: more than 1000000")]
     TooManySlots,
 }
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -1,4 +1,4 @@
-//! The reports of one incarnation of a reporter, by sequence number.
+//! Log of the reports of one incarnation of a reporter, by sequence number.
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 
@@ -9,53 +9,54 @@
 use crate::usage_entry::UsageEntry;
 use crate::usage_report::ReportRejection;
 
-/// The sequence numbers of an incarnation that are missing.
+/// Missing sequence numbers of one incarnation of a reporter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SequenceGaps {
-    /// The incarnation.
+    /// Number of the incarnation.
     pub incarnation: u64,
-    /// Sequence numbers that were not received, though a later one was.
+    /// Sequence numbers that were not received, though a higher one was.
     pub missing: Vec<RangeInclusive<u64>>,
-    /// How many were never received and are no longer waited for.
+    /// Number of sequence numbers that were never received and are no longer expected.
     pub abandoned: u64,
 }
 
-/// The relation of an entry to what its log holds for the same sequence number.
+/// Relation of a new entry to the entry that the log has for the same sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EntryStatus {
-    /// The log holds none.
+    /// The log has no entry for it.
     New,
-    /// The log holds the same one, or held one that is no longer kept.
+    /// The log has the same entry, or had one that it has discarded.
     Duplicate,
-    /// The log holds another one, which compares greater.
+    /// The log has another entry, which compares greater and is replaced.
     Replacement,
 }
 
-/// The entries that an insertion changed: which of them counted before, and which count after.
+/// Effect of an insertion: the affected entries that counted before it, and those that count after it.
 pub(crate) struct EntryChange {
     pub(crate) before: Vec<UsageEntry>,
     pub(crate) after: Vec<UsageEntry>,
 }
 
-/// The log of one incarnation. Its owner is the reporter's account.
+/// Log of the entries of one incarnation; it belongs to the account of the reporter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct IncarnationLog {
-    /// Sequence numbers that were received, or are no longer waited for; all up to `discarded_through` are among them.
+    /// Sequence numbers that were received or are no longer expected, including all up to
+    /// `discarded_through`.
     received: RangeInclusiveSet<u64>,
-    /// The entries up to this sequence number were discarded.
+    /// Entries up to this sequence number were discarded.
     discarded_through: u64,
-    /// The highest sequence number that is accepted until the next advance.
+    /// Highest sequence number that is accepted until the next advance.
     max_accepted: u64,
-    /// All up to this sequence number had been received at the last advance.
+    /// Highest sequence number up to which all had been received at the last advance.
     contiguous_through: u64,
-    /// The latest start of an interval among those.
+    /// Latest start of an interval among the entries up to `contiguous_through`.
     watermark_ms: Option<i64>,
-    /// How many sequence numbers were never received and are no longer waited for.
+    /// Number of sequence numbers that were never received and are no longer expected.
     abandoned: u64,
-    /// Whether there was no advance since the first entry.
+    /// Whether the ledger has not advanced since the first entry.
     is_new: bool,
     entries: BTreeMap<u64, UsageEntry>,
-    /// By sequence number, the sequence numbers of its corrections.
+    /// Sequence numbers of the corrections, by the sequence number that they correct.
     corrections: BTreeMap<u64, BTreeSet<u64>>,
 }
 
@@ -86,15 +87,15 @@
         self.watermark_ms
     }
 
-    /// What is missing of this log, which is that of `incarnation`.
+    /// Missing sequence numbers of this log, labeled with its `incarnation`.
     pub(crate) fn sequence_gaps(&self, incarnation: u64) -> SequenceGaps {
         let all = 1..=self.highest_received();
         let missing = if all.is_empty() { Vec::new() } else { self.received.gaps(&all).collect() };
         SequenceGaps { incarnation, missing, abandoned: self.abandoned }
     }
 
-    /// Whether an entry may be inserted, and what it is to the log. `corrects` is the report's: a 0 there, which the
-    /// entry does not hold, is rejected.
+    /// Checks whether an entry may be inserted, and returns its relation to the existing one. `corrects` is
+    /// the field of the report: its value 0, which an entry cannot represent, is rejected.
     pub(crate) fn classify(
         &self,
         sequence: u64,
@@ -130,7 +131,7 @@
         self.received.insert(sequence..=sequence);
         let existing = self.entries.get(&sequence);
         if existing.is_none() && !entry.is_correction() && !self.corrections.contains_key(&sequence) {
-            // The usual case: nothing else is affected.
+            // The usual case: no other entry is affected.
             self.entries.insert(sequence, entry.clone());
             return EntryChange { before: Vec::new(), after: vec![entry] };
         }
@@ -156,8 +157,9 @@
         }
     }
 
-    /// The entry that counts for a sequence number: that of its last correction, or its own. A correction's own entry
-    /// does not count beside that, and a correction of a correction is void; so the order of arrival does not matter.
+    /// Returns the entry that counts for a sequence number: that of its last correction, otherwise its own. A
+    /// correction counts only for the sequence number that it corrects, and a correction of a correction has
+    /// no effect; so the order of arrival does not matter.
     fn effective_entry(&self, sequence: u64) -> Option<&UsageEntry> {
         let own = self.entries.get(&sequence);
         if own.is_some_and(UsageEntry::is_correction) {
@@ -171,13 +173,17 @@
         sequences.iter().filter_map(|&sequence| self.effective_entry(sequence).cloned()).collect()
     }
 
-    /// All entries that count.
+    /// Iterates over all entries that count.
     pub(crate) fn effective_entries(&self) -> impl Iterator<Item = &UsageEntry> {
-        let corrected_only = self.corrections.keys().filter(|sequence| !self.entries.contains_key(sequence));
-        self.entries.keys().chain(corrected_only).filter_map(|&sequence| self.effective_entry(sequence))
+        let corrected_without_entry =
+            self.corrections.keys().filter(|sequence| !self.entries.contains_key(sequence));
+        self.entries
+            .keys()
+            .chain(corrected_without_entry)
+            .filter_map(|&sequence| self.effective_entry(sequence))
     }
 
-    /// Moves the watermark past what was received without a gap, and the limit of what is accepted.
+    /// Moves the watermark up to the first gap, and raises the highest sequence number that is accepted.
     pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
         let next = self.contiguous_through + 1;
         let contiguous_through =
@@ -200,8 +206,8 @@
         self.max_accepted = max_ahead.min(max_tracked);
     }
 
-    /// Discards the entries that begin before an instant, each with what it corrects and what corrects it, so that
-    /// nothing that is left can change what was discarded.
+    /// Discards the entries that start before an instant, each with the entry that it corrects and its
+    /// corrections, so that no remaining entry can change a discarded one.
     pub(crate) fn discard_before(&mut self, instant_ms: i64, settings: &LedgerSettings) {
         let old_entries = self.entries.iter().filter(|(_, entry)| entry.start_ms() < instant_ms);
         let old_sequences: BTreeSet<u64> =
@@ -214,7 +220,7 @@
     }
 
     fn discard_with_corrections(&mut self, sequence: u64) {
-        // Whether or not it was received, it is no longer accepted.
+        // Marks the sequence number as received even if it was not, so that it is no longer accepted.
         self.received.insert(sequence..=sequence);
         if self.entries.get(&sequence).is_some_and(|entry| !entry.is_correction()) {
             self.entries.remove(&sequence);
@@ -229,8 +235,9 @@
         }
     }
 
-    /// Stops waiting for what is missing before the first entry that is kept: it is older than the horizon, as starts
-    /// never decrease. What is missing after that entry may still arrive.
+    /// Abandons the missing sequence numbers before the first entry that is kept. Starts do not decrease with
+    /// the sequence number, so these reports are older than the horizon. Those missing after that entry may
+    /// still arrive.
     fn raise_discarded_through(&mut self) {
         let discarded_through = self.last_received_before_retained();
         if discarded_through <= self.discarded_through {
@@ -245,8 +252,8 @@
         self.discarded_through = discarded_through;
     }
 
-    /// The last sequence number that was received before the first one that is kept, as an entry or as corrected by
-    /// one; the highest one received if none is kept.
+    /// Returns the last sequence number that was received before the first one that is kept. One is kept if
+    /// it has an entry or a correction; if none is kept, the result is the highest one received.
     fn last_received_before_retained(&self) -> u64 {
         let first_entry = self.entries.keys().next();
         let first_corrected = self.corrections.keys().next();
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The usage ledger: the accounts of all reporters, and the accounting windows that close over them.
+//! Usage ledger, which turns the usage reports of all reporters into closed accounting windows.
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
@@ -12,12 +12,12 @@
 use crate::validation::validate_report;
 use crate::window::{ClosedWindow, ProvisionalUsage};
 
-/// The reports of one reporter that changed nothing. The counts are not serialized with the ledger.
+/// Counts of the reports of one reporter that changed nothing. They are not serialized with the ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DiscardCounts {
-    /// Reports that were rejected, by reason.
+    /// Number of rejected reports, by reason.
     pub rejected: BTreeMap<ReportRejection, u64>,
-    /// Reports that were recorded before.
+    /// Number of reports that had been recorded before.
     pub duplicates: u64,
 }
 
@@ -30,13 +30,16 @@
     }
 }
 
-/// Instants are clamped to this, so that no sum of them exceeds 64 bits.
+/// Instants are clamped to this absolute value, so that no sum of them exceeds 64 bits.
 const MAX_INSTANT_MS: i64 = 1 << 60;
-/// The horizon moves by this part of its length at once, since to discard is to look at all that is kept.
-const HORIZON_STEPS: i64 = 16;
+/// Number of steps in which the horizon moves by its own length. Each step discards old entries, which scans
+/// all entries that are kept; therefore the horizon does not move with each window.
+const STEPS_PER_HORIZON: i64 = 16;
 
-/// The usage ledger. Serialized it is the same bytes for the same reports in any order and repetition, after the same
-/// calls of [`UsageLedger::advance`] and [`UsageLedger::enroll`]; [`DiscardCounts`] are not serialized.
+/// Usage ledger: the accounts of all reporters, and the accounting windows that are open.
+///
+/// Its serialized form does not depend on the order and repetition of the reports between two calls of
+/// [`UsageLedger::advance`] or [`UsageLedger::enroll`]. [`DiscardCounts`] are not serialized.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct UsageLedger {
     settings: LedgerSettings,
@@ -50,10 +53,10 @@
 }
 
 impl UsageLedger {
-    /// An empty ledger: the window that holds `begin_ms`, in milliseconds of Unix time, is the first open one.
+    /// Creates an empty ledger, whose first open window contains `begin_ms`, in milliseconds of Unix time.
     ///
     /// # Errors
-    /// Settings out of their bounds.
+    /// A [`SettingsError`] if a setting is out of range.
     pub fn new(settings: LedgerSettings, begin_ms: i64) -> Result<UsageLedger, SettingsError> {
         settings.validate()?;
         Ok(UsageLedger {
@@ -66,10 +69,11 @@
         })
     }
 
-    /// Replaces the enrollment. No window waits for a reporter that is no longer enrolled; its usage stays.
+    /// Replaces the enrollment. Windows no longer wait for a reporter that is not in it, but its recorded
+    /// usage stays.
     ///
     /// # Errors
-    /// An enrollment out of its bounds; the former one stays.
+    /// An [`EnrollmentError`] if the enrollment exceeds a limit; the previous enrollment then stays in place.
     pub fn enroll(&mut self, enrollment: Enrollment) -> Result<(), EnrollmentError> {
         enrollment.validate()?;
         self.enrollment = enrollment;
@@ -77,10 +81,11 @@
         Ok(())
     }
 
-    /// Records a report. `now_ms`, in milliseconds of Unix time, determines only what is in the future.
+    /// Records a report. `now_ms`, in milliseconds of Unix time, is used only to reject intervals in the
+    /// future.
     ///
     /// # Errors
-    /// Why the report was rejected: that is counted, and nothing else changes.
+    /// The reason why the report was rejected. The rejection is counted; nothing else changes.
     pub fn record(&mut self, now_ms: i64, report: UsageReport) -> Result<ReportOutcome, ReportRejection> {
         let Some((name, reporter)) = self.enrollment.reporters.get_key_value(&report.reporter) else {
             self.unknown_reporter_count += 1;
@@ -101,14 +106,17 @@
         result
     }
 
-    /// Advances the time to `now_ms`, in milliseconds of Unix time, and closes the windows that are over.
+    /// Advances the time to `now_ms`, in milliseconds of Unix time, and returns the windows that this closes,
+    /// in their order.
     ///
-    /// A window is over when the watermarks of all reporters that are enrolled and not in `dead` are past it, or when
-    /// `now_ms` is past its end by the longest delay. A reporter's watermark is the start of the last report before
-    /// its first gap. Windows without usage, and with nothing to settle, are left out.
-    pub fn advance(&mut self, now_ms: i64, dead: &BTreeSet<Name>) -> Vec<ClosedWindow> {
+    /// A window closes after its end, as soon as the watermarks of all enrolled reporters that are not in
+    /// `dead_reporters` have reached its end, but at the latest after the maximum close delay. If there is no
+    /// such reporter, it closes after that delay. The watermark of a reporter is the latest start among its
+    /// reports before the first gap in their sequence numbers. Windows without usage and without adjustments
+    /// are omitted.
+    pub fn advance(&mut self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> Vec<ClosedWindow> {
         self.accounts.values_mut().for_each(|account| account.advance_watermark(&self.settings));
-        let first_open = self.next_open_window(clamp_instant(now_ms), dead);
+        let first_open = self.next_open_window(clamp_instant(now_ms), dead_reporters);
         if first_open <= self.first_open_window {
             return Vec::new();
         }
@@ -124,16 +132,18 @@
         closed.into_values().collect()
     }
 
-    /// The first window that is open at an instant.
-    fn next_open_window(&self, now_ms: i64, dead: &BTreeSet<Name>) -> i64 {
-        let latest_close_ms = now_ms.saturating_sub(self.settings.max_close_delay_ms.into());
-        let living = self.enrollment.reporters.keys().filter(|name| !dead.contains(*name));
-        let reported_ms = living.map(|name| self.watermark_or_min(name)).min().unwrap_or(latest_close_ms);
-        // No watermark closes a window that is not over by the clock.
-        reported_ms.min(now_ms).max(latest_close_ms).div_euclid(self.settings.window_ms.into())
+    /// Index of the first window that stays open at an instant.
+    fn next_open_window(&self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> i64 {
+        let forced_close_ms = now_ms.saturating_sub(self.settings.max_close_delay_ms.into());
+        let live_reporters = self.enrollment.reporters.keys().filter(|name| !dead_reporters.contains(*name));
+        let min_watermark_ms =
+            live_reporters.map(|name| self.watermark_or_min(name)).min().unwrap_or(forced_close_ms);
+        // Watermarks do not close a window before its end by the clock.
+        min_watermark_ms.min(now_ms).max(forced_close_ms).div_euclid(self.settings.window_ms.into())
     }
 
-    /// The windows from `first_closed` to the first open one: their usage, and what is settled with the first.
+    /// Returns the windows from `first_closed` up to the first open one by index, with their usage. The first
+    /// one also has the adjustments of all earlier windows.
     fn collect_closed(&mut self, first_closed: i64) -> BTreeMap<i64, ClosedWindow> {
         let mut closed: BTreeMap<i64, ClosedWindow> = BTreeMap::new();
         for (name, account) in &mut self.accounts {
@@ -151,7 +161,8 @@
         closed
     }
 
-    /// Discards what the horizon passed, and the accounts of which nothing is left.
+    /// Discards the windows and entries before the horizon, and the empty accounts of reporters that are not
+    /// enrolled.
     fn discard_before_horizon(&mut self, former_first_retained: i64) {
         let first_retained = self.first_retained_window();
         if first_retained > former_first_retained {
@@ -163,7 +174,7 @@
         self.accounts.retain(|name, account| enrolled.contains_key(name) || !account.is_empty());
     }
 
-    /// What is known of the window that holds an instant, in milliseconds of Unix time.
+    /// Usage known so far of the window that contains an instant, in milliseconds of Unix time.
     pub fn provisional_usage(&self, instant_ms: i64) -> ProvisionalUsage {
         let index = instant_ms.div_euclid(self.settings.window_ms.into());
         let mut provisional = ProvisionalUsage::default();
@@ -182,27 +193,28 @@
         provisional
     }
 
-    /// Up to when a reporter has reported all, in milliseconds of Unix time, as of the last advance.
+    /// Watermark of a reporter as of the last advance, in milliseconds of Unix time: it has reported all
+    /// usage before it. `None` if it has no watermark yet.
     pub fn watermark(&self, reporter: &str) -> Option<i64> {
         self.accounts.get(reporter).and_then(ReporterAccount::watermark_ms)
     }
 
-    /// The beginning of the first open window, in milliseconds of Unix time.
+    /// Start of the first open window, in milliseconds of Unix time.
     pub fn open_window_start_ms(&self) -> i64 {
         self.first_open_window * i64::from(self.settings.window_ms)
     }
 
-    /// What is missing of each of a reporter's incarnations.
+    /// Missing sequence numbers of each incarnation of a reporter.
     pub fn sequence_gaps(&self, reporter: &str) -> Vec<SequenceGaps> {
         self.accounts.get(reporter).into_iter().flat_map(ReporterAccount::sequence_gaps).collect()
     }
 
-    /// How many reports of an enrolled reporter were rejected or duplicates.
+    /// Counts of the rejected and duplicate reports of a reporter; all 0 if it is not enrolled.
     pub fn discard_counts(&self, reporter: &str) -> DiscardCounts {
         self.discarded.get(reporter).cloned().unwrap_or_default()
     }
 
-    /// How many reports came from reporters that are not enrolled.
+    /// Number of rejected reports from reporters that are not enrolled.
     pub fn unknown_reporter_count(&self) -> u64 {
         self.unknown_reporter_count
     }
@@ -211,16 +223,16 @@
         self.watermark(reporter.as_str()).unwrap_or(i64::MIN)
     }
 
-    /// The enrolled reporters that have not reported all of a window.
+    /// Enrolled reporters that have not reported all usage of a window.
     fn incomplete_reporters(&self, index: i64) -> impl Iterator<Item = &Name> {
         let end_ms = index.saturating_add(1).saturating_mul(self.settings.window_ms.into());
         self.enrollment.reporters.keys().filter(move |name| self.watermark_or_min(name) < end_ms)
     }
 
-    /// The first window that is retained.
+    /// Index of the first window that is retained: the start of the horizon, rounded down to a step.
     fn first_retained_window(&self) -> i64 {
         let windows = i64::from(self.settings.horizon_ms / self.settings.window_ms);
-        let step = (windows / HORIZON_STEPS).max(1);
+        let step = (windows / STEPS_PER_HORIZON).max(1);
         (self.first_open_window - windows).div_euclid(step) * step
     }
 }
@@ -229,7 +241,7 @@
     instant_ms.clamp(-MAX_INSTANT_MS, MAX_INSTANT_MS)
 }
 
-/// Records a valid report; an account is created only if the report is accepted.
+/// Records a valid report in the account of its reporter, which is created only if the report is accepted.
 fn record_in_account(
     accounts: &mut BTreeMap<Name, ReporterAccount>,
     reporter: &Name,
@@ -241,7 +253,7 @@
     }
     let mut account = ReporterAccount::default();
     let outcome = account.record(context, report)?;
-    // The name shares the memory of the enrollment's.
+    // This name shares its memory with the name in the enrollment.
     accounts.insert(reporter.clone(), account);
     Ok(outcome)
 }
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fair shares of federated tenants, computed from usage reports that may arrive late, twice, out of order or with
-//! gaps. No I/O and no clock: time is an argument.
+//! Weighted max-min fair shares of federated tenants, computed from usage reports that may arrive late, twice,
+//! out of order or with gaps. The crate does no I/O and reads no clock: the current time is an argument.
 //!
 //! ```text
 //!  UsageReport ─► UsageLedger::record ─► accounting windows ─► UsageLedger::advance ─► ClosedWindow ─► Debts
@@ -10,13 +10,14 @@
 //!                          FairSharePolicy, ReservedShares ─► allocate_shares ◄───────┘  ─► ShareTable
 //! ```
 //!
-//! 1. The ledger is a function of the *set* of reports that arrived between two calls of [`UsageLedger::advance`]:
-//!    any order and any repetition leaves the same bytes. The limits on what is accepted (sequences, incarnations,
-//!    event time) change in `advance` alone.
-//! 2. Usage is conserved: the work in windows, the adjustments and the excess add up to the work accepted.
-//! 3. [`allocate_shares`] is weighted max-min over federations and then over their tenants, in parts per million.
+//! 1. The state of the ledger depends only on the *set* of reports that arrive between two calls of
+//!    [`UsageLedger::advance`]: their order and repetition do not change a byte of its serialized form. The
+//!    limits on accepted reports (sequence numbers, incarnations, event time) change only in `advance`.
+//! 2. Usage is conserved: the work in windows, the adjustments and the excess add up to the accepted work.
+//! 3. [`allocate_shares`] divides the fleet by weighted max-min, first over federations and then over the
+//!    tenants of each, in parts per million.
 //!
-//! All arithmetic is on integers.
+//! All arithmetic uses integers.
 #![forbid(unsafe_code)]
 
 mod allocation;
@@ -56,5 +57,5 @@
 pub use usage_report::{ReportOutcome, ReportRejection, UsageReport};
 pub use window::{ClosedWindow, ProvisionalUsage};
 
-/// The whole of the fleet's capacity: shares are in parts per million.
+/// Share of the whole fleet, in parts per million.
 pub const FULL_SHARE_PPM: u32 = 1_000_000;
--- a/crates/fair-share/src/measured_demand.rs
+++ b/crates/fair-share/src/measured_demand.rs
@@ -6,17 +6,18 @@
 use crate::policy::FairSharePolicy;
 use crate::{FULL_SHARE_PPM, Name};
 
-/// A demand is this many times the measured usage, so that a tenant that lent its share regains it in two windows.
-const DEMAND_GROWTH: u128 = 2;
-/// A demand is at least the entitlement divided by this, so that a new tenant has something to begin with.
+/// Factor from measured usage to demand: a tenant that lent its share regains it within two windows.
+const DEMAND_FACTOR: u128 = 2;
+/// A demand is at least the entitlement divided by this, so that a new tenant has a share to start with.
 const MIN_DEMAND_DIVISOR: u32 = 4;
 
 impl TenantDemands {
     /// Estimates the demands from measured usage.
     ///
-    /// `work` is each tenant's work in a window, in slot-milliseconds, and `capacity` what the whole fleet can do in
-    /// it; `debts` are those of [`crate::Debts::relative_debts`]. The demand of a tenant is twice its usage, but no
-    /// less than a quarter of its entitlement. If the capacity is 0, each demands that quarter.
+    /// `work` is the work of each tenant in a window and `capacity` the capacity of the whole fleet in that
+    /// window, both in slot-milliseconds; `debts` are the result of [`crate::Debts::relative_debts`]. The
+    /// demand of a tenant is twice its usage, and at least a quarter of its entitlement. If the capacity is
+    /// 0, each tenant demands that quarter.
     pub fn from_measured_usage(
         policy: &FairSharePolicy,
         work: &BTreeMap<Name, u64>,
@@ -38,6 +39,6 @@
     if capacity == 0 {
         return 0;
     }
-    let ppm = u128::from(work) * DEMAND_GROWTH * u128::from(FULL_SHARE_PPM) / u128::from(capacity);
+    let ppm = u128::from(work) * DEMAND_FACTOR * u128::from(FULL_SHARE_PPM) / u128::from(capacity);
     ppm.min(FULL_SHARE_PPM.into()) as u32
 }
--- a/crates/fair-share/src/policy.rs
+++ b/crates/fair-share/src/policy.rs
@@ -5,83 +5,86 @@
 
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Most tenants of one policy, and most federations.
+/// Maximum number of tenants in a policy, and of federations.
 const MAX_PARTIES: usize = 65_536;
 
-/// The share that a tenant or federation is configured to have, in parts per million of the fleet.
+/// Configured share of a tenant or a federation; guarantee and ceiling are in parts per million of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShareConfig {
-    /// From 1 to 1 000 000; its part relative to its neighbours' when all demand more than they get.
+    /// Weight relative to the other federations, or to the other tenants of the federation, when all demand
+    /// more than they get; from 1 to 1 000 000.
     pub weight: u32,
-    /// What it gets whenever it demands it.
+    /// Share that is allocated whenever it is demanded.
     pub guarantee: u32,
-    /// The most that it gets; not under the guarantee.
+    /// Maximum share; from the guarantee to 1 000 000.
     pub ceiling: u32,
 }
 
-/// A group of tenants that have a share in common.
+/// Group of tenants with a common share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Federation {
-    /// The share of all its tenants together.
+    /// Configured share of all its tenants together.
     #[serde(rename = "terms")]
     pub share_config: ShareConfig,
-    /// The share of each of its tenants.
+    /// Configured share of each tenant.
     pub tenants: BTreeMap<Name, ShareConfig>,
 }
 
-/// All federations. Their guarantees can all be met at once.
+/// Fair-share policy: all federations by name, validated so that all guarantees can be met at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "BTreeMap<Name, Federation>", into = "BTreeMap<Name, Federation>")]
 pub struct FairSharePolicy(BTreeMap<Name, Federation>);
 
-/// What is wrong with a policy.
+/// Kind of error in a fair-share policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum PolicyErrorKind {
     /// A weight is not from 1 to 1 000 000.
-    #[error("weight: not from 1 to 1000000")]
+    #[error("weight: must be from 1 to 1000000")]
     InvalidWeight,
-    /// A guarantee is above its ceiling, or a ceiling above 1 000 000.
-    #[error("ceiling: under the guarantee, or above 1000000")]
+    /// A guarantee exceeds its ceiling, or a ceiling exceeds 1 000 000.
+    #[error("ceiling: must be from the guarantee to 1000000")]
     InvalidCeiling,
-    /// The tenants' guarantees add up to more than their federation's, or the federations' to more than 1 000 000.
-    #[error("guarantee: those within add up to more")]
+    /// The guarantees of a federation's tenants add up to more than its own, or those of all federations to
+    /// more than 1 000 000.
+    #[error("guarantee: exceeded by the sum of the guarantees within it")]
     GuaranteesExceedParent,
     /// A tenant is in two federations.
-    #[error("tenants: in two federations")]
+    #[error("tenants: listed in two federations")]
     DuplicateTenant,
     /// More than 65 536 tenants or federations.
     #[error("tenants: more than 65536")]
     TooManyParties,
 }
 
-/// A policy that cannot be met.
+/// Error for a fair-share policy that is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}{kind}", party.as_ref().map_or(String::new(), |party| format!("{party}: ")))]
 pub struct PolicyError {
-    /// The tenant or federation that it is about; none if it is about the policy as a whole.
+    /// Tenant or federation that has the error; `None` if the error concerns the policy as a whole.
     pub party: Option<Name>,
-    /// What is wrong.
+    /// Kind of error.
     pub kind: PolicyErrorKind,
 }
 
 impl PolicyError {
-    fn of(party: &Name, kind: PolicyErrorKind) -> PolicyError {
+    fn for_party(party: &Name, kind: PolicyErrorKind) -> PolicyError {
         PolicyError { party: Some(party.clone()), kind }
     }
 
-    fn of_policy(kind: PolicyErrorKind) -> PolicyError {
+    fn for_policy(kind: PolicyErrorKind) -> PolicyError {
         PolicyError { party: None, kind }
     }
 }
 
 impl FairSharePolicy {
-    /// A policy of these federations.
+    /// Creates a policy from federations by name.
     ///
     /// # Errors
-    /// The first tenant or federation, by name, whose configuration cannot be met.
+    /// The first [`PolicyError`] found: the checks are made one after the other, each in the order of the
+    /// names.
     pub fn new(federations: BTreeMap<Name, Federation>) -> Result<FairSharePolicy, PolicyError> {
         let policy = FairSharePolicy(federations);
         policy.validate_size()?;
@@ -91,12 +94,13 @@
         Ok(policy)
     }
 
-    /// The federations by name.
+    /// All federations by name.
     pub fn federations(&self) -> &BTreeMap<Name, Federation> {
         &self.0
     }
 
-    /// The federation, name and configuration of each tenant, in the order of federations and then of tenants.
+    /// Iterates over all tenants as (federation, tenant, configuration), ordered by federation and then by
+    /// tenant.
     pub fn tenants(&self) -> impl Iterator<Item = (&Name, &Name, &ShareConfig)> {
         self.0.iter().flat_map(|(name, federation)| {
             federation.tenants.iter().map(move |(tenant, config)| (name, tenant, config))
@@ -105,7 +109,7 @@
 
     fn validate_size(&self) -> Result<(), PolicyError> {
         if self.0.len() > MAX_PARTIES || self.tenants().count() > MAX_PARTIES {
-            return Err(PolicyError::of_policy(PolicyErrorKind::TooManyParties));
+            return Err(PolicyError::for_policy(PolicyErrorKind::TooManyParties));
         }
         Ok(())
     }
@@ -115,10 +119,10 @@
         let tenants = self.tenants().map(|(_, tenant, config)| (tenant, config));
         for (party, config) in federations.chain(tenants) {
             if !(1..=FULL_SHARE_PPM).contains(&config.weight) {
-                return Err(PolicyError::of(party, PolicyErrorKind::InvalidWeight));
+                return Err(PolicyError::for_party(party, PolicyErrorKind::InvalidWeight));
             }
             if config.guarantee > config.ceiling || config.ceiling > FULL_SHARE_PPM {
-                return Err(PolicyError::of(party, PolicyErrorKind::InvalidCeiling));
+                return Err(PolicyError::for_party(party, PolicyErrorKind::InvalidCeiling));
             }
         }
         Ok(())
@@ -127,12 +131,12 @@
     fn validate_guarantees(&self) -> Result<(), PolicyError> {
         for (name, federation) in &self.0 {
             if guarantee_sum(federation.tenants.values()) > u64::from(federation.share_config.guarantee) {
-                return Err(PolicyError::of(name, PolicyErrorKind::GuaranteesExceedParent));
+                return Err(PolicyError::for_party(name, PolicyErrorKind::GuaranteesExceedParent));
             }
         }
         let configs = self.0.values().map(|federation| &federation.share_config);
         if guarantee_sum(configs) > u64::from(FULL_SHARE_PPM) {
-            return Err(PolicyError::of_policy(PolicyErrorKind::GuaranteesExceedParent));
+            return Err(PolicyError::for_policy(PolicyErrorKind::GuaranteesExceedParent));
         }
         Ok(())
     }
@@ -141,7 +145,7 @@
         let mut known_tenants = BTreeSet::new();
         for (_, tenant, _) in self.tenants() {
             if !known_tenants.insert(tenant) {
-                return Err(PolicyError::of(tenant, PolicyErrorKind::DuplicateTenant));
+                return Err(PolicyError::for_party(tenant, PolicyErrorKind::DuplicateTenant));
             }
         }
         Ok(())
--- a/crates/fair-share/src/reporter_account.rs
+++ b/crates/fair-share/src/reporter_account.rs
@@ -1,4 +1,4 @@
-//! The account of one reporter: the logs of its incarnations, and its usage by window.
+//! Account of one reporter in the usage ledger.
 use std::collections::BTreeMap;
 use std::ops::Range;
 
@@ -10,14 +10,15 @@
 use crate::usage_report::{ReportOutcome, ReportRejection, UsageReport};
 use crate::window_usage::{UsageDelta, WindowUsage};
 
-/// What an account must know of the ledger and of its reporter.
+/// Values of the ledger and of the enrolled reporter that an account needs.
 #[derive(Clone, Copy)]
 pub(crate) struct AccountContext<'a> {
     pub(crate) settings: &'a LedgerSettings,
-    /// Slots of the reporter's pool.
+    /// Number of slots of the reporter's pool.
     pub(crate) slots: u32,
+    /// Index of the first open window.
     pub(crate) first_open_window: i64,
-    /// The first window that is retained.
+    /// Index of the first window that is retained.
     pub(crate) first_retained_window: i64,
 }
 
@@ -30,17 +31,17 @@
         instant_ms.div_euclid(self.window_ms())
     }
 
-    /// What the reporter's pool can do in a window, in slot-milliseconds.
+    /// Capacity of the reporter's pool in a window, in slot-milliseconds.
     fn window_capacity(&self) -> u64 {
         u64::from(self.slots) * u64::from(self.settings.window_ms)
     }
 }
 
-/// The account of one reporter. Its owner is the ledger.
+/// Account of one reporter: the logs of its incarnations, and its usage by window. It belongs to the ledger.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ReporterAccount {
     incarnations: BTreeMap<u64, IncarnationLog>,
-    /// Earlier incarnations than this one are rejected.
+    /// Incarnations before this one are rejected.
     oldest_incarnation: u64,
     watermark_ms: Option<i64>,
     windows: BTreeMap<i64, WindowUsage>,
@@ -58,7 +59,7 @@
         if window < context.first_retained_window {
             return Err(ReportRejection::BeforeHorizon);
         }
-        let displaced = self.displaced_incarnation(incarnation, context.settings)?;
+        let outdated = self.incarnation_to_discard(incarnation, context.settings)?;
         let empty_log = IncarnationLog::new(context.settings);
         let log = self.incarnations.get(&incarnation).unwrap_or(&empty_log);
         let entry = UsageEntry::new(report);
@@ -68,8 +69,8 @@
             EntryStatus::New if window < context.first_open_window => ReportOutcome::Late,
             EntryStatus::New => ReportOutcome::Counted,
         };
-        if let Some(displaced) = displaced {
-            self.discard_incarnation(displaced, context);
+        if let Some(outdated) = outdated {
+            self.discard_incarnation(outdated, context);
         }
         let change = self.incarnations.entry(incarnation).or_insert(empty_log).insert(sequence, entry);
         change.before.iter().for_each(|entry| self.subtract_from_windows(entry, context));
@@ -78,9 +79,12 @@
         Ok(outcome)
     }
 
-    /// The incarnation that a report's incarnation displaces, if any. Of those that began since the last advance the
-    /// latest are kept, in whatever order they arrive.
-    fn displaced_incarnation(
+    /// Returns the incarnation to discard in favor of that of a report, if any. Of the incarnations that are
+    /// new since the last advance the latest are kept, regardless of the order in which their reports arrive.
+    ///
+    /// # Errors
+    /// [`ReportRejection::OldIncarnation`] if the incarnation of the report is the one that is not kept.
+    fn incarnation_to_discard(
         &self,
         incarnation: u64,
         settings: &LedgerSettings,
@@ -101,7 +105,7 @@
         }
     }
 
-    /// Takes back all entries of an incarnation since whose start there was no advance.
+    /// Removes an incarnation that is new since the last advance, and its work from the windows.
     fn discard_incarnation(&mut self, incarnation: u64, context: AccountContext<'_>) {
         let Some(log) = self.incarnations.remove(&incarnation) else { return };
         log.effective_entries().for_each(|entry| self.subtract_from_windows(entry, context));
@@ -126,25 +130,26 @@
             let usage =
                 self.windows.entry(index).or_insert_with(|| WindowUsage::new(context.window_capacity()));
             if index < context.first_open_window {
-                usage.remember_settled();
+                usage.save_settled_work();
             }
             usage.update_work(entry.tenant(), work, update);
         }
     }
 
-    /// Leaves no trace of an entry that was subtracted, so that it does not matter that it was ever received.
+    /// Removes the window records that are empty after an entry was subtracted, so that the serialized form
+    /// is the same as if the entry had never been received.
     fn prune_windows(&mut self, entry: &UsageEntry, context: AccountContext<'_>) {
         for (index, _) in entry.split_by_window(context.window_ms()) {
             let Some(usage) = self.windows.get_mut(&index) else { continue };
-            usage.forget_settled_if_unchanged();
+            usage.clear_settled_work_if_unchanged();
             if usage.is_empty() {
                 self.windows.remove(&index);
             }
         }
     }
 
-    /// Moves the watermark past what was received since the last advance, and drops the oldest incarnations. Their
-    /// work stays in the windows.
+    /// Moves the watermark past the reports received since the last advance, and removes the oldest
+    /// incarnations above the limit. Their work stays in the windows.
     pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
         self.incarnations.values_mut().for_each(|log| log.advance_watermark(settings));
         let latest_ms = self.incarnations.values().filter_map(IncarnationLog::watermark_ms).max();
@@ -155,12 +160,12 @@
         }
     }
 
-    /// All before this instant was reported, in milliseconds of Unix time.
+    /// Watermark, in milliseconds of Unix time: all usage before it was reported.
     pub(crate) fn watermark_ms(&self) -> Option<i64> {
         self.watermark_ms
     }
 
-    /// Settles what changed in closed windows since they were last settled.
+    /// Settles the closed windows and returns what changed in them since they were last settled.
     pub(crate) fn settle_changes(&mut self, first_open_window: i64) -> UsageDelta {
         let mut delta = UsageDelta::default();
         let mut emptied = Vec::new();
@@ -176,7 +181,7 @@
         delta
     }
 
-    /// What counts in one window.
+    /// Usage that counts in a window; `None` if there is none.
     pub(crate) fn window_usage(&self, index: i64) -> Option<UsageDelta> {
         let usage = self.windows.get(&index)?;
         let mut delta = UsageDelta::default();
@@ -184,24 +189,24 @@
         Some(delta)
     }
 
-    /// The numbers of the windows within a range for which usage was reported.
+    /// Indexes of the windows in a range for which usage was reported.
     pub(crate) fn windows_in(&self, range: Range<i64>) -> impl Iterator<Item = i64> {
         self.windows.range(range).map(|(&index, _)| index)
     }
 
-    /// Discards windows, and the entries that begin in them.
+    /// Discards the windows before `first_retained_window`, and the entries that start in them.
     pub(crate) fn discard_before(&mut self, first_retained_window: i64, settings: &LedgerSettings) {
         self.windows = self.windows.split_off(&first_retained_window);
         let instant_ms = first_retained_window.saturating_mul(settings.window_ms.into());
         self.incarnations.values_mut().for_each(|log| log.discard_before(instant_ms, settings));
     }
 
-    /// Whether nothing is left that a report could still change.
+    /// Whether the account has neither windows nor entries, so that no report could change recorded usage.
     pub(crate) fn is_empty(&self) -> bool {
         self.windows.is_empty() && !self.incarnations.values().any(IncarnationLog::has_entries)
     }
 
-    /// For each incarnation, what is missing.
+    /// Missing sequence numbers of each incarnation.
     pub(crate) fn sequence_gaps(&self) -> impl Iterator<Item = SequenceGaps> {
         self.incarnations.iter().map(|(&incarnation, log)| log.sequence_gaps(incarnation))
     }
--- a/crates/fair-share/src/reservation.rs
+++ b/crates/fair-share/src/reservation.rs
@@ -1,4 +1,4 @@
-//! Shares that are reserved, and so not divided.
+//! Reserved shares, which are excluded from the division of the fleet.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
@@ -6,20 +6,21 @@
 use crate::apportionment::apportion;
 use crate::{FULL_SHARE_PPM, Name};
 
-/// What is reserved and not lent, in parts per million of the fleet. It is allocated before everything else.
-/// Reservations that add up to more than 1 000 000 are cut in proportion.
+/// Reserved shares that are not lent, in parts per million of the fleet. They are allocated before everything
+/// else; if they add up to more than 1 000 000, all are reduced in proportion.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ReservedShares {
-    /// By tenant. The reservation of a tenant that the policy does not list is subtracted, but gives it no share.
+    /// Reservations by tenant. That of a tenant that the policy does not list is subtracted, but gives it no
+    /// share.
     pub tenants: BTreeMap<Name, u32>,
-    /// By federation, for those of its tenants that demand it.
+    /// Reservations by federation, for those of its tenants that demand them.
     pub federations: BTreeMap<Name, u32>,
 }
 
 impl ReservedShares {
-    /// The reservations, cut in proportion if they add up to more than the whole.
-    pub(crate) fn cut_to_full_share(&self) -> ReservedShares {
+    /// Returns the reservations, reduced in proportion if they add up to more than the full share.
+    pub(crate) fn limit_to_full_share(&self) -> ReservedShares {
         if self.parts().map(u64::from).sum::<u64>() <= FULL_SHARE_PPM.into() {
             return self.clone();
         }
@@ -33,7 +34,8 @@
         ReservedShares { tenants, federations }
     }
 
-    /// The sum of all reservations, which must have been cut to the whole.
+    /// Sum of all reservations, which must not exceed the full share (see
+    /// [`ReservedShares::limit_to_full_share`]).
     pub(crate) fn total(&self) -> u32 {
         self.parts().sum()
     }
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -1,49 +1,52 @@
-//! The settings of a ledger.
+//! Settings of a usage ledger.
 use serde::{Deserialize, Serialize};
 
-/// Longest window, and longest interval of one report.
+/// Maximum length of a window and of the interval of one report.
 const MAX_INTERVAL_MS: u32 = 600_000;
-/// Longest horizon, delay and clock skew: a day.
+/// Maximum horizon, close delay and clock skew: one day.
 const MAX_HORIZON_MS: u32 = 86_400_000;
-/// Most reports of one incarnation that are kept.
+/// Maximum number of sequence numbers that may be tracked per incarnation.
 const MAX_TRACKED_SEQUENCES: u32 = 1 << 20;
 const MAX_INCARNATIONS: u8 = 8;
 
-/// The settings of a ledger; times are in milliseconds.
+/// Settings of a usage ledger; times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LedgerSettings {
     /// Length of an accounting window; from 1 to 600 000.
     #[serde(rename = "window")]
     pub window_ms: u32,
-    /// How long after its end a window waits at most for reporters that are alive; at most a day.
+    /// Maximum time after its end that a window waits for the reports of live reporters; at most one day.
     #[serde(rename = "lateness")]
     pub max_close_delay_ms: u32,
-    /// How far before the first open window reports still count, as adjustments, and may be corrected; at least the
-    /// window, at most a day. Entries older by a sixteenth more are discarded.
+    /// How far before the first open window reports are still accepted, as adjustments, and may be corrected;
+    /// from one window to one day. Older entries are discarded in steps of a sixteenth of the horizon, so
+    /// that reports may be accepted up to one step further back.
     #[serde(rename = "horizon")]
     pub horizon_ms: u32,
-    /// How far clocks may differ: an interval that ends later than this is rejected. At most a day.
+    /// Maximum clock skew: a report whose interval ends further in the future is rejected. At most one day.
     #[serde(rename = "skew")]
     pub max_clock_skew_ms: u32,
-    /// Longest interval of one report; from 1 to 600 000.
+    /// Maximum length of the interval of one report; from 1 to 600 000.
     #[serde(rename = "span")]
     pub max_interval_ms: u32,
     /// How far an incarnation's sequence numbers may advance between two calls of
-    /// [`crate::UsageLedger::advance`]. Over 0.
+    /// [`crate::UsageLedger::advance`]; greater than 0.
     #[serde(rename = "ahead")]
     pub max_sequences_ahead: u32,
-    /// How many sequence numbers of an incarnation are tracked; at least `max_sequences_ahead`, at most 2^20.
+    /// Maximum number of sequence numbers tracked per incarnation; from `max_sequences_ahead` to 2^20.
     #[serde(rename = "kept")]
     pub max_tracked_sequences: u32,
-    /// How many incarnations of a reporter are kept, and as many that are new since the last advance. From 1 to 8.
+    /// Maximum number of incarnations kept per reporter, in addition to as many that are new since the last
+    /// advance; from 1 to 8.
     #[serde(rename = "starts")]
     pub max_incarnations: u8,
 }
 
 impl Default for LedgerSettings {
-    /// Windows of 10 s that wait 30 s at most, a horizon of one hour, clocks within 2 s, 16 384 reports of a reporter
-    /// between two advances and 262 144 kept, 3 incarnations.
+    /// Returns windows of 10 s with a close delay of at most 30 s, a horizon of one hour, a clock skew of 2 s,
+    /// intervals of at most 60 s, 16 384 sequence numbers of an incarnation between two advances and 262 144
+    /// that are tracked, and 3 incarnations per reporter.
     fn default() -> LedgerSettings {
         LedgerSettings {
             window_ms: 10_000,
@@ -58,44 +61,44 @@
     }
 }
 
-/// A setting that is out of its bounds.
+/// Error for a ledger setting that is out of range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// The length of a window is out of its bounds.
-    #[error("window: not from 1 to 600000 ms")]
+    /// The window length is out of range.
+    #[error("window: must be from 1 to 600000 ms")]
     WindowLength,
     /// The horizon is shorter than a window.
-    #[error("horizon: shorter than a window")]
+    #[error("horizon: must be at least one window")]
     HorizonTooShort,
-    /// The horizon is longer than a day.
-    #[error("horizon: longer than a day")]
+    /// The horizon is longer than one day.
+    #[error("horizon: must be at most one day")]
     HorizonTooLong,
-    /// A window waits longer than a day.
-    #[error("lateness: longer than a day")]
+    /// The close delay is longer than one day.
+    #[error("lateness: must be at most one day")]
     CloseDelayTooLong,
-    /// Clocks may differ by more than a day.
-    #[error("skew: longer than a day")]
+    /// The clock skew is longer than one day.
+    #[error("skew: must be at most one day")]
     ClockSkewTooLong,
-    /// The longest interval of a report is out of its bounds.
-    #[error("span: not from 1 to 600000 ms")]
+    /// The maximum interval of a report is out of range.
+    #[error("span: must be from 1 to 600000 ms")]
     IntervalLength,
-    /// No sequence number can be accepted.
-    #[error("ahead: 0")]
+    /// The number of sequence numbers ahead is 0, so that no report could be accepted.
+    #[error("ahead: must be greater than 0")]
     NoSequencesAhead,
-    /// Fewer sequence numbers are tracked than may be accepted.
-    #[error("kept: under ahead")]
+    /// Fewer sequence numbers are tracked than may be accepted between two advances.
+    #[error("kept: must be at least the value of ahead")]
     TooFewTrackedSequences,
-    /// More than 2^20 sequence numbers are tracked.
-    #[error("kept: over 1048576")]
+    /// More than 2^20 sequence numbers are tracked per incarnation.
+    #[error("kept: must be at most 1048576")]
     TooManyTrackedSequences,
-    /// The number of incarnations is out of its bounds.
-    #[error("starts: not from 1 to 8")]
+    /// The number of incarnations is out of range.
+    #[error("starts: must be from 1 to 8")]
     IncarnationCount,
 }
 
 impl LedgerSettings {
-    /// The first error, in the order of [`SettingsError`].
+    /// Checks all settings and returns the first error, in the order of the variants of [`SettingsError`].
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         let checks = [
             ((1..=MAX_INTERVAL_MS).contains(&self.window_ms), SettingsError::WindowLength),
--- a/crates/fair-share/src/usage_entry.rs
+++ b/crates/fair-share/src/usage_entry.rs
@@ -1,4 +1,4 @@
-//! A report as an incarnation's log keeps it.
+//! Entry of a usage report in the log of an incarnation.
 use std::num::NonZeroU64;
 
 use serde::{Deserialize, Serialize};
@@ -6,20 +6,21 @@
 use crate::Name;
 use crate::usage_report::UsageReport;
 
-/// A report without its reporter, incarnation and sequence number. Of two with the same sequence number the lesser
-/// one, by the order of these fields, counts.
+/// Usage report as it is kept in the log of an incarnation, without its reporter, incarnation and sequence
+/// number. Of two entries with the same sequence number the lesser one counts, compared field by field in the
+/// order of declaration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct UsageEntry {
     work: u64,
     start_ms: i64,
-    /// Over 0.
+    /// Length of the interval, greater than 0.
     length_ms: u32,
     tenant: Name,
     corrects: Option<NonZeroU64>,
 }
 
 impl UsageEntry {
-    /// The entry of a report whose interval is valid.
+    /// Creates the entry of a report whose interval is valid.
     pub(crate) fn new(report: UsageReport) -> UsageEntry {
         UsageEntry {
             work: report.work,
@@ -38,7 +39,7 @@
         self.start_ms
     }
 
-    /// The sequence number that it corrects.
+    /// Sequence number that the entry corrects; `None` if it is not a correction.
     pub(crate) fn corrects(&self) -> Option<u64> {
         self.corrects.map(NonZeroU64::get)
     }
@@ -47,8 +48,9 @@
         self.corrects.is_some()
     }
 
-    /// The work in each window, with the window's number. Work done by an instant is rounded down, so that the parts
-    /// add up to the whole.
+    /// Splits the work evenly over the interval and returns (window index, work) for each window that it
+    /// overlaps. The cumulative work at each window boundary is rounded down, so that the parts add up to the
+    /// whole.
     pub(crate) fn split_by_window(&self, window_ms: i64) -> impl Iterator<Item = (i64, u64)> {
         let (start_ms, length_ms, work) = (self.start_ms, i64::from(self.length_ms), u128::from(self.work));
         let first = start_ms.div_euclid(window_ms);
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -1,50 +1,53 @@
-//! Usage reports, and what becomes of them.
+//! Usage reports, with the outcome or rejection of each.
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// What a scheduler, or a federation's partner, reports that a tenant used.
+/// Report of a scheduler, or of a partner of a federation, on the usage of a tenant in an interval.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UsageReport {
-    /// Who reports it.
+    /// Name of the reporter.
     pub reporter: Name,
-    /// The incarnation of the reporter; greater with each of its starts.
+    /// Incarnation of the reporter, which increases each time that it starts.
     #[serde(rename = "generation")]
     pub incarnation: u64,
-    /// The number of the report within its incarnation, from 1 without a gap; corrections are numbered too.
+    /// Sequence number of the report in its incarnation, counted from 1 without gaps, corrections included.
     pub sequence: u64,
-    /// Who used it.
+    /// Name of the tenant.
     pub tenant: Name,
-    /// When the work began, in milliseconds of Unix time. Within an incarnation it never decreases from one sequence
-    /// number to the next, except in corrections.
+    /// Start of the interval, inclusive, in milliseconds of Unix time. In an incarnation it does not decrease
+    /// from one sequence number to the next, except in corrections.
     #[serde(rename = "start")]
     pub start_ms: i64,
-    /// The end of the interval, exclusive, in milliseconds of Unix time.
+    /// End of the interval, exclusive, in milliseconds of Unix time.
     #[serde(rename = "end")]
     pub end_ms: i64,
-    /// Work done in the interval, in slot-milliseconds; 0 states that there was none, so that no window waits for it.
+    /// Work done in the interval, in slot-milliseconds. A report of 0 states that there was none, so that
+    /// windows do not wait for it.
     pub work: u64,
-    /// The earlier sequence number of the same incarnation that this report replaces. That must be no correction
-    /// itself; of two corrections the one with the higher sequence number counts.
+    /// Sequence number of the earlier report of the same incarnation that this report replaces, if any. The
+    /// replaced report must not be a correction itself. Of two corrections of the same report the one with the
+    /// higher sequence number counts.
     pub corrects: Option<u64>,
 }
 
-/// What became of a report that was not rejected.
+/// Outcome of a report that was not rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum ReportOutcome {
-    /// It counts in windows that are open.
+    /// The report counts in windows that are open.
     Counted,
-    /// It counts, and some of it in closed windows: that is an adjustment of the next window that closes.
+    /// The report counts and starts in a closed window: its work in closed windows is an adjustment of the
+    /// next window that closes.
     Late,
-    /// It was recorded before; nothing changed.
+    /// The same report was recorded before; nothing changed.
     Duplicate,
-    /// It replaces another report with the same sequence number, which compares greater.
+    /// The report replaces another one with the same sequence number, which compares greater.
     Replaced,
 }
 
-/// Why a report was rejected. Nothing but the count of rejections changed.
+/// Reason why a report was rejected. A rejection changes nothing but its count.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
 )]
@@ -56,7 +59,7 @@
     /// The tenant is not enrolled.
     #[error("tenant: not enrolled")]
     UnknownTenant,
-    /// The tenant is of a federation on which this reporter may not report.
+    /// The tenant belongs to a federation on which this reporter may not report.
     #[error("tenant: of a federation that the reporter does not speak for")]
     #[serde(rename = "NotItsTenant")]
     ForeignTenant,
@@ -68,42 +71,42 @@
     #[error("end: too far from the start")]
     #[serde(rename = "TooLong")]
     IntervalTooLong,
-    /// The end is in the future, by more than clocks may differ.
+    /// The end is in the future by more than the maximum clock skew.
     #[error("end: in the future")]
     #[serde(rename = "Future")]
     InFuture,
-    /// The start is before the horizon: its window is no longer kept.
+    /// The start is before the horizon: its window was discarded.
     #[error("start: before the horizon")]
     #[serde(rename = "TooOld")]
     BeforeHorizon,
-    /// The work is more than the reporter's pool can do in the interval.
+    /// The work exceeds the capacity of the reporter's pool in the interval.
     #[error("work: more than the pool can do in the interval")]
     #[serde(rename = "Absurd")]
     ExceedsCapacity,
-    /// The incarnation is older than those that are kept.
+    /// The incarnation is older than those that are kept for the reporter.
     #[error("generation: older than those that are kept")]
     #[serde(rename = "OldGeneration")]
     OldIncarnation,
-    /// The sequence number is 0, or so old that it is no longer known whether it was recorded.
+    /// The sequence number is 0, or so old that the ledger no longer knows whether it was recorded.
     #[error("sequence: before those that are kept")]
     #[serde(rename = "FarBack")]
     SequenceTooOld,
-    /// The sequence number is further ahead than a reporter may go between two advances.
+    /// The sequence number is further ahead than is allowed between two advances.
     #[error("sequence: too far ahead of what had come")]
     #[serde(rename = "FarAhead")]
     SequenceTooFarAhead,
-    /// Another report, which compares less, has the same sequence number.
+    /// Another report with the same sequence number was recorded, which compares less.
     #[error("sequence: came before with less work")]
     #[serde(rename = "Contradicts")]
     ConflictingDuplicate,
-    /// The sequence number that it corrects is not an earlier one, or is no longer kept.
+    /// The corrected sequence number is 0, is not lower than the report's own, or was discarded.
     #[error("corrects: not an earlier sequence that is kept")]
     #[serde(rename = "Corrects")]
     InvalidCorrection,
 }
 
 impl ReportRejection {
-    /// The serialized name of the field that was rejected.
+    /// Serialized name of the field of [`UsageReport`] that caused the rejection.
     pub fn field(self) -> &'static str {
         match self {
             ReportRejection::UnknownReporter => "reporter",
--- a/crates/fair-share/src/validation.rs
+++ b/crates/fair-share/src/validation.rs
@@ -1,10 +1,10 @@
-//! Validation of a report by itself, whatever else was recorded.
+//! Validation of a usage report independently of the reports recorded before it.
 use crate::enrollment::{Enrollment, Reporter};
 use crate::settings::LedgerSettings;
 use crate::usage_report::{ReportRejection, UsageReport};
 
-/// Checks tenant, interval and work of a report from an enrolled reporter. The tenant's name in the returned report
-/// shares the memory of the enrollment's.
+/// Checks tenant, interval and work of a report from an enrolled reporter. The name of the tenant in the
+/// returned report shares its memory with the name in the enrollment.
 pub(crate) fn validate_report(
     settings: &LedgerSettings,
     enrollment: &Enrollment,
--- a/crates/fair-share/src/water_filling.rs
+++ b/crates/fair-share/src/water_filling.rs
@@ -1,29 +1,29 @@
-//! Weighted max-min division by water-filling: one level for all, between each claimant's minimum and maximum.
+//! Weighted max-min division by water-filling, with a minimum and a maximum for each claimant.
 use crate::apportionment::apportion;
 
-/// One that takes part in a division.
+/// Participant in a division: a federation or a tenant.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Claimant {
-    /// Over 0, at most 10^18.
+    /// Weight, from 1 to 10^18.
     pub(crate) weight: u64,
-    /// Allocated before anything is divided by weight; not above `maximum`.
+    /// Part that is allocated before the rest is divided by weight; at most `maximum`.
     pub(crate) minimum: u32,
-    /// The most that is allocated.
+    /// Maximum part that is allocated.
     pub(crate) maximum: u32,
 }
 
-/// A level at which a claimant's part begins or ceases to grow.
+/// Level at which a claimant's part starts or stops to grow, `part / weight`.
 struct Breakpoint {
-    /// The claimant's part there: its minimum or its maximum.
+    /// Part of the claimant at this level: its minimum or its maximum.
     part: u32,
     weight: u64,
     is_maximum: bool,
     claimant: usize,
 }
 
-/// Divides the capacity by weighted max-min: each claimant gets `weight * level`, but no less than its minimum and no
-/// more than its maximum, with the one level that uses all of the capacity. If the minimums do not fit, they are cut
-/// in proportion; if all maximums fit, each gets its maximum and the rest is left.
+/// Divides the capacity by weighted max-min. Each claimant gets `weight * level`, bounded by its minimum and
+/// maximum; the level is the one that uses the whole capacity. If the minimums do not fit, they are reduced
+/// in proportion; if all maximums fit, each claimant gets its maximum and the rest is not allocated.
 pub(crate) fn water_fill(capacity: u32, claimants: &[Claimant]) -> Vec<u32> {
     let capacity = u64::from(capacity);
     let minimum_sum: u64 = claimants.iter().map(|claimant| u64::from(claimant.minimum)).sum();
@@ -38,8 +38,8 @@
     raise_level(capacity, minimum_sum, claimants)
 }
 
-/// Raises the level from breakpoint to breakpoint until the capacity is used, and divides by weight what is left to
-/// those whose parts grow there.
+/// Raises the level from breakpoint to breakpoint until the capacity is used up, then divides the capacity
+/// that is not fixed by weight over the claimants whose parts grow at that level.
 fn raise_level(capacity: u64, minimum_sum: u64, claimants: &[Claimant]) -> Vec<u32> {
     let mut fixed_sum = minimum_sum;
     let mut growing_weight = 0_u128;
@@ -69,8 +69,8 @@
     parts
 }
 
-/// Both breakpoints of each claimant by rising level, which is the part over the weight; among equal levels those at
-/// which a part begins to grow come first.
+/// Returns both breakpoints of each claimant, sorted by level. At equal levels those at which a part starts
+/// to grow come first.
 fn sorted_breakpoints(claimants: &[Claimant]) -> Vec<Breakpoint> {
     let mut breakpoints = Vec::with_capacity(2 * claimants.len());
     for (index, claimant) in claimants.iter().enumerate() {
--- a/crates/fair-share/src/window_usage.rs
+++ b/crates/fair-share/src/window_usage.rs
@@ -1,4 +1,4 @@
-//! One reporter's usage of one accounting window.
+//! Usage that one reporter reported for one accounting window.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
@@ -6,21 +6,22 @@
 use crate::Name;
 use crate::apportionment::apportion;
 
-/// The part of a window's reported work that counts, and the excess that does not.
+/// Part of the reported work of a window that counts, and the excess that does not, in slot-milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CountedWork {
     by_tenant: BTreeMap<Name, u64>,
     excess: u64,
 }
 
-/// One reporter's usage of one window, in slot-milliseconds. Its owner is the reporter's account.
+/// Usage that one reporter reported for one window, in slot-milliseconds; it belongs to the account of the
+/// reporter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct WindowUsage {
-    /// What the reporter's pool can do in a window: the most that counts.
+    /// Capacity of the reporter's pool in a window, the maximum work that counts.
     capacity: u64,
-    /// Reported work by tenant; none of 0.
+    /// Reported work by tenant, without entries of 0.
     reported: BTreeMap<Name, u64>,
-    /// What counted when the window was last settled, if something was reported for it since.
+    /// Work that counted when the window was last settled; `None` if nothing was reported for it since.
     last_settled: Option<CountedWork>,
 }
 
@@ -29,7 +30,7 @@
         WindowUsage { capacity, reported: BTreeMap::new(), last_settled: None }
     }
 
-    /// What counts: the reported work, cut in proportion to the pool's capacity.
+    /// Returns the work that counts: the reported work, reduced in proportion if it exceeds the capacity.
     pub(crate) fn counted_work(&self) -> CountedWork {
         let total = sum(&self.reported);
         if total <= self.capacity {
@@ -43,14 +44,14 @@
         CountedWork { by_tenant, excess }
     }
 
-    /// Remembers what counted before the first change to a window that is closed.
-    pub(crate) fn remember_settled(&mut self) {
+    /// Saves the work that counts now, before the first change to a closed window since it was last settled.
+    pub(crate) fn save_settled_work(&mut self) {
         if self.last_settled.is_none() {
             self.last_settled = Some(self.counted_work());
         }
     }
 
-    /// Changes a tenant's work by `update(work so far, work)`.
+    /// Sets the work of a tenant to `update(previous work, work)`.
     pub(crate) fn update_work(&mut self, tenant: &Name, work: u64, update: fn(u64, u64) -> u64) {
         let total = self.reported.entry(tenant.clone()).or_default();
         *total = update(*total, work);
@@ -59,15 +60,15 @@
         }
     }
 
-    /// Forgets what was last settled if nothing differs from it.
-    pub(crate) fn forget_settled_if_unchanged(&mut self) {
+    /// Clears the work that was last settled if the work that counts now is equal to it.
+    pub(crate) fn clear_settled_work_if_unchanged(&mut self) {
         if self.last_settled.as_ref().is_some_and(|settled| *settled == self.counted_work()) {
             self.last_settled = None;
         }
     }
 
-    /// Adds what changed since the window was last settled, and counts it as settled; whether anything was reported
-    /// for it since.
+    /// Adds the change since the window was last settled to `delta`, and marks it as settled. Returns whether
+    /// anything was reported for the window since.
     pub(crate) fn settle(&mut self, delta: &mut UsageDelta) -> bool {
         let Some(settled) = self.last_settled.take() else { return false };
         let counted = self.counted_work();
@@ -76,7 +77,7 @@
         true
     }
 
-    /// Whether there is neither reported work nor anything to settle.
+    /// Whether there is neither reported work nor a change to settle.
     pub(crate) fn is_empty(&self) -> bool {
         self.reported.is_empty() && self.last_settled.is_none()
     }
@@ -86,7 +87,7 @@
     work.values().fold(0, |sum, &work| sum.saturating_add(work))
 }
 
-/// A change of what counts, in slot-milliseconds.
+/// Change of the work that counts and of the excess, in slot-milliseconds.
 #[derive(Debug, Default)]
 pub(crate) struct UsageDelta {
     pub(crate) work_by_tenant: BTreeMap<Name, i64>,
@@ -113,7 +114,7 @@
         self.work_by_tenant.is_empty() && self.excess == 0
     }
 
-    /// The sum over all tenants of what counts.
+    /// Sum of the work of all tenants that counts, in slot-milliseconds.
     pub(crate) fn total_work(&self) -> u64 {
         self.work_by_tenant.values().map(|work| work.unsigned_abs()).sum()
     }
--- a/crates/fair-share/tests/allocation.rs
+++ b/crates/fair-share/tests/allocation.rs
@@ -1,4 +1,4 @@
-//! Properties of allocations on random policies, and chosen cases.
+//! Tests of the allocation of shares: properties on random policies, and fixed cases.
 use std::collections::BTreeMap;
 
 use copperspread_fair_share::{
@@ -9,7 +9,7 @@
 use proptest::test_runner::RngSeed;
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a valid name")
+    Name::new(text).expect("the name should be valid")
 }
 
 fn proptest_config() -> ProptestConfig {
@@ -21,7 +21,8 @@
     }
 }
 
-/// Federations `f0..` of tenants `t0_0..`; each federation's guarantee exceeds its tenants' by a random slack.
+/// Random policies of federations `f0`, `f1` and so on with tenants `t0_0`, `t0_1` and so on. The guarantee
+/// of each federation exceeds the sum of its tenants' by a random slack.
 fn policies() -> impl Strategy<Value = FairSharePolicy> {
     let tenant = (1_u32..10, 0_u32..50_000, 0_u32..400_000);
     let federation = (1_u32..10, 0_u32..20_000, 0_u32..600_000, prop::collection::vec(tenant, 1..5));
@@ -40,7 +41,7 @@
                     ShareConfig { weight, guarantee, ceiling: (guarantee + headroom).min(FULL_SHARE_PPM) };
                 (name(&format!("f{index}")), Federation { share_config: config, tenants: tenants.collect() })
             });
-        FairSharePolicy::new(federations.collect()).expect("a valid policy")
+        FairSharePolicy::new(federations.collect()).expect("the policy should be valid")
     })
 }
 
@@ -102,10 +103,10 @@
             let tenants = || federation.tenants.iter();
             let reservations = reserved.federations.get(name).copied().unwrap_or(0)
                 + tenants().map(|(tenant, _)| table.tenants[tenant].reserved).sum::<u32>();
-            // Its tenants' guarantees take precedence over its ceiling only where reservations use that up.
+            // Tenants' guarantees exceed the ceiling of the federation only if reservations use it up.
             let reservations_and_guarantees = reservations + tenants().map(|(_, config)| config.guarantee).sum::<u32>();
             prop_assert!(table.federations[name] <= federation.share_config.ceiling.max(reservations_and_guarantees));
-            // Its guarantee is its tenants', as far as they demand it.
+            // The federation gets its guarantee as far as its tenants demand it.
             let demanded: u32 = tenants().map(|(tenant, config)| demand_of(&demands, tenant).min(config.ceiling)).sum();
             prop_assert!(table.has_reduced_guarantees || table.federations[name] >= federation.share_config.guarantee.min(demanded));
         }
@@ -142,7 +143,7 @@
                 prop_assert!(share_after >= config.guarantee.min(demand_of(&demands, tenant)));
                 moved += share_before.saturating_sub(share_after);
             }
-            // Two roundings before, two after, each by less than one.
+            // Each share is rounded twice, before and after the change, each time by less than 1.
             prop_assert!(share_before.abs_diff(share_after) <= added + 4, "{tenant}: {share_before} to {share_after} by {added}");
         }
         prop_assert!(moved <= added + 4 * tenants.len() as u32);
@@ -159,26 +160,29 @@
     }
 }
 
-/// North, weight 3, of a (guaranteed 200 000) and b; south, weight 1, of c.
+/// Creates a policy of federation north (weight 3) with tenants a (guarantee 200 000) and b, and south
+/// (weight 1) with c.
 fn two_federations() -> FairSharePolicy {
     let north = federation(3, 300_000, &[("a", 1, 200_000), ("b", 1, 0)]);
     let south = federation(1, 100_000, &[("c", 1, 100_000)]);
-    FairSharePolicy::new([(name("north"), north), (name("south"), south)].into()).expect("a valid policy")
+    FairSharePolicy::new([(name("north"), north), (name("south"), south)].into())
+        .expect("the policy should be valid")
 }
 
 #[test]
 fn shares_follow_weights_guarantees_debts_and_reservations() {
     let all = FULL_SHARE_PPM;
-    // Demand and debt of a, b and c; reserved for a, for south; the shares of a, b and c, and what is unallocated.
+    // (Demand, debt) of a, b and c; reservations of a and of south; expected shares of a, b and c; expected
+    // unallocated share.
     type Case = ([(u32, u32); 3], (u32, u32), [u32; 3], u32);
     let cases: [Case; 9] = [
         ([(all, 0), (all, 0), (all, 0)], (0, 0), [375_000, 375_000, 250_000], 0),
-        // What a does not demand goes to its neighbour first, as the federations' weights stay.
+        // What a does not demand goes first to b, because the weights of the federations do not change.
         ([(100_000, 0), (all, 0), (all, 0)], (0, 0), [100_000, 650_000, 250_000], 0),
-        // What a federation does not demand goes to the other.
+        // What one federation does not demand goes to the other.
         ([(100_000, 0), (100_000, 0), (all, 0)], (0, 0), [100_000, 100_000, 800_000], 0),
         ([(100_000, 0), (100_000, 0), (50_000, 0)], (0, 0), [100_000, 100_000, 50_000], 750_000),
-        // A debt of a whole entitlement halves the weight; a guarantee takes precedence.
+        // A debt of one whole entitlement or more halves the weight; a guarantee takes precedence over that.
         ([(all, 0), (all, all), (all, 0)], (0, 0), [500_000, 250_000, 250_000], 0),
         ([(all, 2 * all), (all, 0), (all, 0)], (0, 0), [250_000, 500_000, 250_000], 0),
         // Reservations are subtracted first, and count towards the owner's guarantee.
@@ -205,7 +209,7 @@
 }
 
 #[test]
-fn reservations_above_the_full_share_and_guarantees_that_do_not_fit_are_cut_in_proportion() {
+fn reservations_above_the_full_share_and_guarantees_that_do_not_fit_are_reduced_in_proportion() {
     let all = [("a", FULL_SHARE_PPM), ("b", FULL_SHARE_PPM), ("c", FULL_SHARE_PPM)];
     let demands =
         TenantDemands(all.map(|(tenant, demand)| (name(tenant), TenantDemand { demand, debt: 0 })).into());
@@ -222,6 +226,7 @@
         ReservedShares { tenants: BTreeMap::from([(name("x"), 800_000)]), ..Default::default() };
     let halved = allocate_shares(&two_federations(), &demands, &most_of_fleet);
     let allocated = ["a", "b", "c"].map(|tenant| halved.tenants[tenant].share);
-    // Half of 300 000 for north, of which a's guarantee comes first, and half of 100 000 for south.
+    // North gets half of its guarantee of 300 000, which all goes to the guarantee of a; south gets half of
+    // its guarantee of 100 000.
     assert_eq!((allocated, halved.has_reduced_guarantees), ([150_000, 0, 50_000], true));
 }
--- a/crates/fair-share/tests/debts.rs
+++ b/crates/fair-share/tests/debts.rs
@@ -1,4 +1,4 @@
-//! Debts decay, and are exact.
+//! Tests of debts: their decay and their exactness.
 use std::collections::BTreeMap;
 
 use copperspread_fair_share::{ClosedWindow, Debts, FULL_SHARE_PPM, Name};
@@ -6,10 +6,10 @@
 use proptest::test_runner::RngSeed;
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a valid name")
+    Name::new(text).expect("the name should be valid")
 }
 
-/// A window in which `t0` did so much work.
+/// Creates a closed window with the given work of `t0`.
 fn closed_window(index: i64, work: u64) -> ClosedWindow {
     ClosedWindow { index, work: BTreeMap::from([(name("t0"), work)]), ..ClosedWindow::default() }
 }
@@ -29,7 +29,7 @@
         [4_096, 3_072, 2_048, 1_024, 512]
     );
     assert!(balances.is_sorted_by(|a, b| a > b));
-    // Windows without usage are left out, and only let it decay.
+    // Windows without usage are omitted; they only let the debt decay.
     debts.settle(&closed_window(125, 1_000), &entitlements);
     assert_eq!(debts.balance("t0"), 0);
     let adjusted =
@@ -37,11 +37,11 @@
     debts.settle(&adjusted, &entitlements);
     assert_eq!((debts.balance("t0"), debts.relative_debts(&entitlements)[&name("t0")]), (300, 30_000));
     debts.settle(&adjusted, &entitlements);
-    assert_eq!(debts.balance("t0"), 300, "a window counts once");
+    assert_eq!(debts.balance("t0"), 300, "a window should count only once");
     debts.settle(&closed_window(127, 1_000_000), &entitlements);
     assert_eq!(debts.relative_debts(&entitlements)[&name("t0")], FULL_SHARE_PPM);
     debts.settle(&ClosedWindow { index: 128, ..ClosedWindow::default() }, &BTreeMap::new());
-    assert_eq!(debts.balance("t0"), 0, "a tenant that is not entitled is removed");
+    assert_eq!(debts.balance("t0"), 0, "the debt of a tenant without entitlement should be removed");
 }
 
 proptest! {
@@ -53,7 +53,8 @@
     ) {
         let entitlements = BTreeMap::from([(name("t0"), 300_000)]);
         let mut debts = Debts::new(half_life);
-        // Exact fractions: all are over 2 * half_life * 2^halvings, of at most 2^80.
+        // Sum of exact fractions over the common denominator 2 * half_life * 2^32. Contributions that were halved
+        // more than 32 times, of at most 80, are left out.
         let (mut sum, half_life_windows) = (0_i128, i128::from(half_life));
         for (window, &work) in works.iter().enumerate() {
             debts.settle(&closed_window(window as i64, work), &entitlements);
@@ -64,7 +65,7 @@
             }
         }
         let exact = sum / (2 * half_life_windows) / (1 << 32);
-        // Beyond 32 half-lives less than a slot-millisecond each is left.
+        // Of each contribution older than 32 half-lives less than a slot-millisecond remains.
         let beyond = works.len() as i128 / (32 * half_life_windows);
         prop_assert!((debts.balance("t0") - exact).abs() <= beyond, "{} {exact}", debts.balance("t0"));
     }
--- a/crates/fair-share/tests/ledger.rs
+++ b/crates/fair-share/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger on chosen reports: windows, gaps, rejections and floods.
+//! Tests of the usage ledger on fixed reports: windows, gaps, rejections and floods.
 mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,12 +10,16 @@
 use support::{BEGIN_MS, SLOTS, bytes, ledger, name, policy, record_all, report};
 
 #[test]
-fn a_window_waits_for_living_reporters_and_for_none_past_the_close_delay() {
+fn a_window_waits_for_live_reporters_but_not_longer_than_the_close_delay() {
     let report_all = |ledger: &mut UsageLedger, reporters: &[&str]| {
         for reporter in reporters {
-            // The second report starts where the window ends: now all of the window is reported.
-            ledger.record(BEGIN_MS + 1_100, report(reporter, 1, 0, 1_000, 500)).expect("a valid report");
-            ledger.record(BEGIN_MS + 1_100, report(reporter, 2, 1_000, 100, 0)).expect("a valid report");
+            // The second report starts at the end of the window, so that the whole window is reported.
+            ledger
+                .record(BEGIN_MS + 1_100, report(reporter, 1, 0, 1_000, 500))
+                .expect("the report should be accepted");
+            ledger
+                .record(BEGIN_MS + 1_100, report(reporter, 2, 1_000, 100, 0))
+                .expect("the report should be accepted");
         }
     };
     let name_set = |names: &[&str]| names.iter().map(|text| name(text)).collect::<BTreeSet<Name>>();
@@ -27,17 +31,17 @@
         (&["r0"], &[], 3_000, 1),
         (&["r0"], &["p", "r0", "r1", "r2"], 2_999, 0),
     ];
-    for (reporting, dead, now, window_count) in cases {
+    for (reporters, dead, now, window_count) in cases {
         let mut ledger = ledger();
-        report_all(&mut ledger, reporting);
+        report_all(&mut ledger, reporters);
         let closed = ledger.advance(BEGIN_MS + now, &name_set(dead));
-        assert_eq!(closed.len(), window_count, "{reporting:?} reported, {dead:?} dead, at {now}");
+        assert_eq!(closed.len(), window_count, "{reporters:?} reported, {dead:?} dead, at {now}");
         if let Some(first) = closed.first() {
             let incomplete: BTreeSet<Name> =
-                name_set(&["p", "r0", "r1", "r2"]).difference(&name_set(reporting)).cloned().collect();
+                name_set(&["p", "r0", "r1", "r2"]).difference(&name_set(reporters)).cloned().collect();
             assert_eq!(
                 (&first.incomplete_reporters, first.work[&name("t0")]),
-                (&incomplete, 500 * reporting.len() as u64)
+                (&incomplete, 500 * reporters.len() as u64)
             );
         }
     }
@@ -53,15 +57,15 @@
         (ledger.watermark("r0").map(|watermark| watermark - BEGIN_MS), missing)
     };
     for (sequence, start) in [(1, 0), (2, 200), (5, 800), (8, 1_400)] {
-        ledger.record(now, report("r0", sequence, start, 100, 1)).expect("a valid report");
+        ledger.record(now, report("r0", sequence, start, 100, 1)).expect("the report should be accepted");
     }
     assert_eq!(advance(&mut ledger), (Some(200), vec![vec![3..=4, 6..=7]]));
-    ledger.record(now, report("r0", 4, 600, 100, 1)).expect("a valid report");
-    ledger.record(now, report("r0", 3, 400, 100, 1)).expect("a valid report");
+    ledger.record(now, report("r0", 4, 600, 100, 1)).expect("the report should be accepted");
+    ledger.record(now, report("r0", 3, 400, 100, 1)).expect("the report should be accepted");
     assert_eq!(advance(&mut ledger), (Some(800), vec![vec![6..=7]]));
     ledger
         .record(now, UsageReport { incarnation: 2, ..report("r0", 1, 1_450, 50, 1) })
-        .expect("a valid report");
+        .expect("the report should be accepted");
     assert_eq!(advance(&mut ledger), (Some(1_450), vec![vec![6..=7], vec![]]));
     // A late report of the earlier incarnation still counts.
     assert_eq!(ledger.record(now, report("r0", 6, 1_000, 100, 7)), Ok(ReportOutcome::Counted));
@@ -72,7 +76,7 @@
 fn delayed_reports_in_reverse_order_and_five_times_each_are_settled_in_the_next_window() {
     let mut ledger = ledger();
     let no_dead = BTreeSet::new();
-    assert!(ledger.advance(BEGIN_MS + 9_000, &no_dead).is_empty(), "nothing was reported");
+    assert!(ledger.advance(BEGIN_MS + 9_000, &no_dead).is_empty(), "no window should have usage");
     for sequence in (1..=6).rev() {
         let sent = report("r0", sequence, 1_000 * (sequence as i64 - 1), 1_000, 100 * sequence);
         assert_eq!(ledger.record(BEGIN_MS + 9_000, sent.clone()), Ok(ReportOutcome::Late));
@@ -89,11 +93,12 @@
         closed,
         [ClosedWindow { index: first, adjustments, incomplete_reporters, ..ClosedWindow::default() }]
     );
-    // What is missing before the first received report is waited for as long as anything else.
+    // A report missing before the first received one is accepted as long as any other.
     assert_eq!(ledger.record(BEGIN_MS + 10_000, report("r1", 2, 8_500, 400, 9)), Ok(ReportOutcome::Counted));
     assert_eq!(ledger.advance(BEGIN_MS + 11_000, &no_dead)[0].work, BTreeMap::from([(name("t0"), 9)]));
     assert_eq!(ledger.record(BEGIN_MS + 11_000, report("r1", 1, 8_000, 500, 1)), Ok(ReportOutcome::Late));
-    // A late correction takes back work; one that is received before what it corrects counts too.
+    // A late correction reduces the work; a correction that arrives before the report that it corrects
+    // counts, too.
     let late_correction = UsageReport { corrects: Some(6), ..report("r0", 7, 5_000, 1_000, 50) };
     assert_eq!(ledger.record(BEGIN_MS + 11_000, late_correction), Ok(ReportOutcome::Late));
     let early_correction = UsageReport { corrects: Some(8), ..report("r0", 9, 9_000, 500, 30) };
@@ -143,15 +148,17 @@
         (UsageReport { corrects: Some(0), ..valid() }, ReportRejection::InvalidCorrection, "corrects"),
     ];
     let mut ledger = ledger();
-    ledger.record(BEGIN_MS + 2_000, UsageReport { sequence: 3, ..valid() }).expect("a valid report");
+    ledger
+        .record(BEGIN_MS + 2_000, UsageReport { sequence: 3, ..valid() })
+        .expect("the report should be accepted");
     ledger.advance(BEGIN_MS + 2_000, &BTreeSet::new());
     let before = bytes(&ledger);
     let mut counts: BTreeMap<ReportRejection, u64> = BTreeMap::new();
     for (invalid, rejection, field) in cases {
-        let (is_of_r0, description) = (invalid.reporter.as_str() == "r0", format!("{invalid:?}"));
+        let (is_from_r0, description) = (invalid.reporter.as_str() == "r0", format!("{invalid:?}"));
         assert_eq!(ledger.record(BEGIN_MS + 5_000, invalid), Err(rejection), "{description}");
         assert_eq!((rejection.field(), bytes(&ledger) == before), (field, true), "{description}");
-        *counts.entry(rejection).or_default() += u64::from(is_of_r0);
+        *counts.entry(rejection).or_default() += u64::from(is_from_r0);
     }
     counts.retain(|_, count| *count > 0);
     assert_eq!((ledger.discard_counts("r0").rejected, ledger.unknown_reporter_count()), (counts, 1));
@@ -159,7 +166,7 @@
 }
 
 #[test]
-fn of_many_new_incarnations_the_latest_are_kept_in_any_order_and_old_ones_are_rejected_later() {
+fn the_latest_new_incarnations_are_kept_in_any_order_of_arrival_and_older_ones_are_rejected() {
     let first_report =
         |incarnation| UsageReport { incarnation, ..report("r0", 1, 100, 100, 1 << incarnation) };
     let orders: [&[u64]; 4] = [&[1, 2, 3, 4, 5], &[5, 4, 3, 2, 1], &[3, 5, 1, 4, 2], &[2, 1, 5, 3, 4, 2, 1]];
@@ -171,25 +178,31 @@
         ledger
     });
     assert!(ledgers.iter().all(|ledger| bytes(ledger) == bytes(&ledgers[0])));
-    let mut ledger = ledgers.into_iter().next().expect("four");
-    ledger.record(BEGIN_MS + 1_000, first_report(6)).expect("a new incarnation");
+    let mut ledger = ledgers.into_iter().next().expect("there should be four ledgers");
+    ledger
+        .record(BEGIN_MS + 1_000, first_report(6))
+        .expect("the report of a new incarnation should be accepted");
     ledger.advance(BEGIN_MS + 1_000, &BTreeSet::new());
     assert_eq!(ledger.record(BEGIN_MS + 1_000, first_report(3)), Err(ReportRejection::OldIncarnation));
-    assert_eq!(ledger.provisional_usage(BEGIN_MS).work[&name("t0")], 8 + 16 + 32 + 64, "its work stays");
+    assert_eq!(
+        ledger.provisional_usage(BEGIN_MS).work[&name("t0")],
+        8 + 16 + 32 + 64,
+        "the work of a removed incarnation should stay"
+    );
 }
 
 #[test]
-fn a_flood_is_bounded_in_bytes_and_moves_shares_by_at_most_twice_the_senders_pool() {
+fn a_flood_of_reports_takes_bounded_memory_and_moves_shares_by_at_most_twice_the_senders_pool() {
     let capacity = 4 * u64::from(SLOTS) * 1_000;
     let simulate = |floods: bool| {
         let mut ledger = ledger();
         for (reporter, tenant, work) in [("r0", "t0", 9_000), ("r1", "t1", 8_000), ("r2", "t2", 3_000)] {
             let sent = UsageReport { tenant: name(tenant), ..report(reporter, 1, 0, 1_000, work) };
-            ledger.record(BEGIN_MS + 1_000, sent).expect("a valid report");
+            ledger.record(BEGIN_MS + 1_000, sent).expect("the report should be accepted");
         }
         let (mut max_bytes, mut accepted) = (0, 0);
         for number in (1..=2_000).filter(|_| floods) {
-            // Each claims the full capacity of the pool, for another incarnation, tenant and interval.
+            // Each report states the full capacity of the pool; incarnation, tenant and interval vary.
             let sent = UsageReport {
                 tenant: name(["t1", "t3"][number as usize % 2]),
                 incarnation: number % 7,
@@ -200,7 +213,10 @@
         }
         let closed = ledger.advance(BEGIN_MS + 4_000, &BTreeSet::new());
         (
-            closed.into_iter().find(|window| window.index == BEGIN_MS / 1_000).expect("closed"),
+            closed
+                .into_iter()
+                .find(|window| window.index == BEGIN_MS / 1_000)
+                .expect("the first window should be closed"),
             max_bytes,
             accepted,
         )
@@ -211,10 +227,10 @@
         "{accepted} accepted, {:?} excess",
         flooded.excess
     );
-    // 6 incarnations of 64 sequences, and the windows.
+    // At most 6 incarnations of 64 sequence numbers each, and the windows.
     assert!(max_bytes < 6 * 64 * 40, "{max_bytes} bytes");
     let added: u64 = flooded.work.values().sum::<u64>() - honest.work.values().sum::<u64>();
-    assert_eq!(added, u64::from(SLOTS) * 1_000, "no more than its pool can do counts");
+    assert_eq!(added, u64::from(SLOTS) * 1_000, "only work up to the capacity of the pool should count");
     let demands = |closed: &ClosedWindow| {
         TenantDemands::from_measured_usage(&policy(), &closed.work, capacity, &BTreeMap::new())
     };
@@ -226,7 +242,7 @@
     let moved: Vec<u32> =
         before.iter().map(|(tenant, share)| share.share.abs_diff(after[tenant].share)).collect();
     assert!(moved.iter().all(|&moved| moved <= bound), "{moved:?}");
-    assert!(moved.iter().any(|&moved| moved > 0), "the flood had an effect");
-    // And all that demand their guarantee have it.
+    assert!(moved.iter().any(|&moved| moved > 0), "the flood should move at least one share");
+    // Each tenant that demands its guarantee gets it.
     assert!(["t0", "t1", "t2"].iter().all(|&tenant| after[&name(tenant)].share >= 100_000));
 }
--- a/crates/fair-share/tests/ledger_properties.rs
+++ b/crates/fair-share/tests/ledger_properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the ledger on random reports: order, repetition and sums.
+//! Property tests of the usage ledger on random reports: order, repetition and conservation of work.
 mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,8 +11,9 @@
 use proptest::test_runner::RngSeed;
 use support::{BEGIN_MS, SLOTS, bytes, ledger, name, policy, record_all, report};
 
-/// Faulty reports: gaps, restarts, sequence numbers used twice, corrections of received and missing reports and of
-/// corrections, more work than a pool can do, from the future and from before the horizon.
+/// Random faulty reports: with gaps, restarts, sequence numbers used twice, corrections of received reports,
+/// of missing reports and of corrections, work above the pool's capacity, intervals in the future and before
+/// the horizon.
 fn faulty_reports(incarnations: u64) -> impl Strategy<Value = Vec<UsageReport>> {
     let source = (0_u8..3, 1..=incarnations, 1_u64..24, 0_u8..4);
     let content = (-9_000_i64..6_500, 1_i64..3_000, 0_u64..31_000, prop::option::weighted(0.3, 1_u64..20));
@@ -27,8 +28,9 @@
     prop::collection::vec(report_strategy, 1..60)
 }
 
-/// The work that counts of all accepted reports, by the documented rules: of each sequence number the report that was
-/// accepted last, of each corrected one the last correction, and none of what corrects a correction.
+/// Returns the sum of the work that counts of all accepted reports, by the documented rules: for each
+/// sequence number the report that was accepted last, for each corrected one the last correction, and nothing
+/// for corrections of corrections.
 fn accepted_work(accepted: &BTreeMap<(Name, u64, u64), UsageReport>) -> i64 {
     let corrected = |key: &(Name, u64, u64)| {
         let corrections =
@@ -94,13 +96,13 @@
             }
             now_ms += 1_700;
             closed.extend(ledger.advance(now_ms, &BTreeSet::new()));
-            ledger = postcard::from_bytes(&bytes(&ledger)).expect("deserializes");
+            ledger = postcard::from_bytes(&bytes(&ledger)).expect("the serialized ledger should be readable");
         }
         closed.extend(ledger.advance(now_ms + 60_000, &BTreeSet::new()));
         prop_assert_eq!(total_work(&closed), accepted_work(&accepted));
         let windows: Vec<i64> = closed.iter().map(|window| window.index).collect();
         prop_assert!(windows.is_sorted_by(|a, b| a < b), "{:?}", windows);
-        // Closed windows past the horizon are discarded.
+        // Closed windows before the horizon are discarded.
         ledger.advance(now_ms + 90_000, &BTreeSet::new());
         prop_assert!(bytes(&ledger).len() < 400, "{} bytes", bytes(&ledger).len());
     }
@@ -116,14 +118,14 @@
         let capacity = 4 * u64::from(SLOTS) * 1_000;
         for (&(reporter, tenant, work), is_late) in usages.iter().zip(&late) {
             sequences[usize::from(reporter)] += 1;
-            // Excess work above a reporter's pool is the subject of another test.
+            // Keeps the work within the capacity of the pool; the flood test covers excess.
             let work = work.min(10_000 - reported[usize::from(reporter)]);
             reported[usize::from(reporter)] += work;
             let sent = report(&format!("r{reporter}"), sequences[usize::from(reporter)], 0, 1_000, work);
             let sent = UsageReport { tenant: name(&format!("t{tenant}")), ..sent };
-            complete.record(BEGIN_MS + 1_000, sent.clone()).expect("a valid report");
+            complete.record(BEGIN_MS + 1_000, sent.clone()).expect("the report should be accepted");
             if !is_late {
-                partial.record(BEGIN_MS + 1_000, sent).expect("a valid report");
+                partial.record(BEGIN_MS + 1_000, sent).expect("the report should be accepted");
             }
         }
         let provisional = partial.provisional_usage(BEGIN_MS);
--- a/crates/fair-share/tests/transcripts.rs
+++ b/crates/fair-share/tests/transcripts.rs
@@ -1,4 +1,4 @@
-//! Approved transcripts: the postcard bytes of reports, of a stored ledger and of its results.
+//! Snapshot tests of the postcard encoding of reports, of a stored ledger and of its results.
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
@@ -10,11 +10,11 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The start of the first window, in milliseconds of Unix time.
+/// Start of the first window, in milliseconds of Unix time.
 const BEGIN_MS: i64 = 1_000_000;
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a valid name")
+    Name::new(text).expect("the name should be valid")
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -22,13 +22,13 @@
 }
 
 fn bytes(value: &impl Serialize) -> Vec<u8> {
-    postcard::to_allocvec(value).expect("bytes")
+    postcard::to_allocvec(value).expect("the value should be serializable")
 }
 
-/// A line with a value's bytes, which are read back as the same value.
+/// Returns a line with the bytes of a value, after a check that they are read back as the same value.
 fn line<T: Serialize + DeserializeOwned + PartialEq + Debug>(title: &str, value: &T) -> String {
     let bytes = bytes(value);
-    assert_eq!(&postcard::from_bytes::<T>(&bytes).expect("a value"), value, "{title}");
+    assert_eq!(&postcard::from_bytes::<T>(&bytes).expect("the bytes should be readable"), value, "{title}");
     format!("{title}: {}\n", hex(&bytes))
 }
 
@@ -82,10 +82,10 @@
         }
     };
     let federations = [(name("f0"), federation("t0", 1)), (name("f1"), federation("t1", 3))];
-    FairSharePolicy::new(federations.into()).expect("a valid policy")
+    FairSharePolicy::new(federations.into()).expect("the policy should be valid")
 }
 
-/// Each rejection under the name that its serialized form has.
+/// Returns each rejection with its serialized name.
 fn rejections() -> Vec<(&'static str, ReportRejection)> {
     vec![
         ("UnknownReporter", ReportRejection::UnknownReporter),
@@ -104,10 +104,10 @@
     ]
 }
 
-/// A ledger with open and closed windows, a correction, a gap and more work than a pool can do.
+/// Creates a ledger with open and closed windows, a correction, a gap and work above a pool's capacity.
 fn ledger() -> (UsageLedger, Vec<ClosedWindow>) {
-    let mut ledger = UsageLedger::new(settings(), BEGIN_MS).expect("valid settings");
-    ledger.enroll(enrollment()).expect("a small enrollment");
+    let mut ledger = UsageLedger::new(settings(), BEGIN_MS).expect("the settings should be valid");
+    ledger.enroll(enrollment()).expect("the enrollment should be within its limits");
     let first = [
         report("r0", 1, "t0", 0, 9_000),
         report("r0", 2, "t1", 500, 9_500),
@@ -115,17 +115,19 @@
         report("partner", 4, "t1", 1_500, 2_000),
     ];
     for report in first {
-        ledger.record(BEGIN_MS + 2_500, report).expect("a valid report");
+        ledger.record(BEGIN_MS + 2_500, report).expect("the report should be accepted");
     }
     let mut closed = ledger.advance(BEGIN_MS + 3_500, &BTreeSet::new());
-    ledger.record(BEGIN_MS + 3_500, correction()).expect("a valid report");
-    ledger.record(BEGIN_MS + 3_500, report("r0", 4, "t0", 2_000, 8_000)).expect("a valid report");
+    ledger.record(BEGIN_MS + 3_500, correction()).expect("the report should be accepted");
+    ledger
+        .record(BEGIN_MS + 3_500, report("r0", 4, "t0", 2_000, 8_000))
+        .expect("the report should be accepted");
     closed.extend(ledger.advance(BEGIN_MS + 4_200, &[name("partner")].into()));
     (ledger, closed)
 }
 
 #[test]
-fn inputs_have_the_approved_bytes_and_are_read_back() {
+fn inputs_have_the_bytes_of_the_snapshot_and_are_read_back() {
     let mut text = line("report", &report("r0", 1, "t0", 0, 9_000));
     text += &line("correction", &correction());
     text += &line("settings", &settings());
@@ -138,10 +140,11 @@
 }
 
 #[test]
-fn a_ledger_and_its_results_have_the_approved_bytes_and_a_restored_ledger_continues() {
+fn a_ledger_and_its_results_have_the_bytes_of_the_snapshot_and_a_restored_ledger_continues() {
     let (mut ledger, closed) = ledger();
     let stored = bytes(&ledger);
-    let mut restored: UsageLedger = postcard::from_bytes(&stored).expect("a ledger");
+    let mut restored: UsageLedger =
+        postcard::from_bytes(&stored).expect("the stored ledger should be readable");
     assert_eq!(bytes(&restored), stored);
 
     let mut debts = Debts::new(4);
--- a/crates/fair-share/tests/unit/apportionment.rs
+++ b/crates/fair-share/tests/unit/apportionment.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn units_left_over_go_to_the_largest_remainders_and_among_equal_ones_to_the_first() {
+fn remaining_units_go_to_the_largest_remainders_and_ties_to_the_lowest_index() {
     let cases: [(u64, &[u128], &[u64]); 5] = [
         (10, &[1, 1, 1], &[4, 3, 3]),
         (10, &[1, 1, 4], &[2, 2, 6]),
--- a/crates/fair-share/tests/unit/policy.rs
+++ b/crates/fair-share/tests/unit/policy.rs
@@ -6,12 +6,13 @@
 }
 
 fn federation_of(share_config: ShareConfig, tenants: &[(&str, ShareConfig)]) -> Federation {
-    let with_name = |&(name, config): &(&str, ShareConfig)| (Name::new(name).expect("name"), config);
+    let with_name =
+        |&(name, config): &(&str, ShareConfig)| (Name::new(name).expect("the name should be valid"), config);
     Federation { share_config, tenants: tenants.iter().map(with_name).collect() }
 }
 
 #[test]
-fn a_policy_that_cannot_be_met_is_rejected_with_the_party_and_the_kind_of_error() {
+fn an_invalid_policy_is_rejected_with_the_party_and_the_kind_of_error() {
     let valid = config(1, 10, 20);
     let cases = [
         (federation_of(config(0, 0, 1), &[]), Some("f"), PolicyErrorKind::InvalidWeight),
@@ -43,9 +44,9 @@
         let federations = [("e", other()), ("f", federation)];
         let federations = federations
             .into_iter()
-            .map(|(name, federation)| (Name::new(name).expect("name"), federation))
+            .map(|(name, federation)| (Name::new(name).expect("the name should be valid"), federation))
             .collect();
-        let error = FairSharePolicy::new(federations).expect_err("rejected");
+        let error = FairSharePolicy::new(federations).expect_err("the policy should be rejected");
         assert_eq!((error.party.as_ref().map(Name::as_str), error.kind), (party, kind));
     }
 }
--- a/crates/fair-share/tests/unit/water_filling.rs
+++ b/crates/fair-share/tests/unit/water_filling.rs
@@ -3,7 +3,8 @@
 
 use super::*;
 
-/// Raises one level for all by steps of 1/840 until the capacity is used up: each part, in units of 1/840.
+/// Reference implementation that raises the common level in steps of 1/840 until the capacity is used up.
+/// Returns the parts in units of 1/840.
 fn raise_level_in_small_steps(capacity: u32, claimants: &[Claimant]) -> Vec<u64> {
     let parts_at = |level: u64| -> Vec<u64> {
         let clamped = |claimant: &Claimant| {
@@ -13,7 +14,7 @@
         claimants.iter().map(clamped).collect()
     };
     let fits = |level: &u64| parts_at(*level).iter().sum::<u64>() <= 840 * u64::from(capacity);
-    parts_at((0..).take_while(fits).take(840 * 60).last().expect("the minimums fit"))
+    parts_at((0..).take_while(fits).take(840 * 60).last().expect("the minimums should fit"))
 }
 
 proptest! {
@@ -31,7 +32,7 @@
         prop_assert_eq!(parts.iter().sum::<u32>(), capacity.min(maximum_sum));
         for ((part, exact), claimant) in parts.iter().zip(raise_level_in_small_steps(capacity, &claimants)).zip(&claimants) {
             prop_assert!((claimant.minimum..=claimant.maximum).contains(part));
-            // One unit for rounding, and a step of the level.
+            // The tolerance is one unit of rounding and one step of the level.
             prop_assert!((840 * u64::from(*part)).abs_diff(exact) <= 840 + 6 * claimant.weight);
         }
     }
