--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -35,7 +35,7 @@
     reserved: &ReservedShares,
 ) -> ShareTable {
     let reserved = reserved.limit_to_full_share();
-    let allocated = allocate(policy, &reserved, &|tenant| demands.of_tenant(tenant));
+    let allocated = allocate(policy, &reserved, &|tenant| demands.for_tenant(tenant));
     let entitled = allocate(policy, &reserved, &|_| FULL_DEMAND);
     let has_reduced_guarantees = allocated.has_reduced_guarantees;
     let mut tenants = BTreeMap::new();
--- a/crates/fair-share/tests/ledger.rs
+++ b/crates/fair-share/tests/ledger.rs
@@ -31,17 +31,17 @@
         (&["r0"], &[], 3_000, 1),
         (&["r0"], &["p", "r0", "r1", "r2"], 2_999, 0),
     ];
-    for (reporters, dead, now, window_count) in cases {
+    for (reporter_names, dead, now, window_count) in cases {
         let mut ledger = ledger();
-        report_all(&mut ledger, reporters);
+        report_all(&mut ledger, reporter_names);
         let closed = ledger.advance(BEGIN_MS + now, &name_set(dead));
-        assert_eq!(closed.len(), window_count, "{reporters:?} reported, {dead:?} dead, at {now}");
+        assert_eq!(closed.len(), window_count, "{reporter_names:?} reported, {dead:?} dead, at {now}");
         if let Some(first) = closed.first() {
             let incomplete: BTreeSet<Name> =
-                name_set(&["p", "r0", "r1", "r2"]).difference(&name_set(reporters)).cloned().collect();
+                name_set(&["p", "r0", "r1", "r2"]).difference(&name_set(reporter_names)).cloned().collect();
             assert_eq!(
                 (&first.incomplete_reporters, first.work[&name("t0")]),
-                (&incomplete, 500 * reporters.len() as u64)
+                (&incomplete, 500 * reporter_names.len() as u64)
             );
         }
     }
