--- a/crates/fair-share/examples/late.rs
+++ b/crates/fair-share/examples/late.rs
@@ -110,9 +110,9 @@
     allocate_shares(policy, &demands, &ReservedShares::default())
 }
 
-/// Errors of share tables against the expected ones, in parts per million of the fleet.
+/// Deviation of share tables from the expected ones, in parts per million of the fleet.
 #[derive(Default)]
-struct ShareError {
+struct ShareDeviation {
     table_count: u64,
     /// Maximum error of the share of one tenant.
     max_tenant_error: u32,
@@ -120,16 +120,18 @@
     max_misallocated: u64,
     /// Sum, over the tables, of the share that is allocated to other tenants than expected.
     misallocated_sum: u64,
-    /// Maximum, over the tables, of the bound on the error that the outstanding work allows.
+    /// Maximum, over the tables, of the upper bound on the error of one tenant, which follows from the
+    /// outstanding work.
     bound: u64,
 }
 
-impl ShareError {
+impl ShareDeviation {
     fn add(&mut self, table: &ShareTable, expected: &ShareTable, max_outstanding: u64) {
         let difference =
             |(tenant, share): (&Name, &TenantShare)| share.share.abs_diff(expected.tenants[tenant].share);
         let misallocated = table.tenants.iter().map(|share| u64::from(difference(share))).sum::<u64>() / 2;
         let max_tenant_error = table.tenants.iter().map(difference).max().unwrap_or(0);
+        // Twice the outstanding work in parts per million of the fleet, and 8 for the rounding of shares.
         let bound = (2 * u128::from(max_outstanding) * 1_000_000 / u128::from(CAPACITY)) as u64 + 8;
         self.table_count += 1;
         self.max_tenant_error = self.max_tenant_error.max(max_tenant_error);
@@ -144,7 +146,7 @@
         let bound = self.bound.min(1_000_000) as f64 / 1e4;
         println!(
             "{title}: {} tables; misallocated share of the fleet: {mean:.2} % on average, at most {most:.2} %; error \
-             of one tenant: at most {tenant:.3} %; bound: {bound:.1} %",
+             of one tenant: at most {tenant:.3} %, by the bound at most {bound:.1} %",
             self.table_count
         );
     }
@@ -159,8 +161,9 @@
     }
 }
 
-/// Records all reports at once, in the order of their sequence numbers, and prints the memory of the ledger.
-/// Returns the share tables of the complete usage by window.
+/// Records all reports without an advance in between, ordered by start, reporter and sequence number, and
+/// prints the time per report and the size of the ledger. Returns the share tables of the complete usage by
+/// window.
 fn record_at_once(reports: &[(i64, UsageReport)]) -> BTreeMap<i64, ShareTable> {
     let mut sorted: Vec<UsageReport> = reports.iter().map(|(_, report)| report.clone()).collect();
     sorted.sort_by(|a, b| (a.start_ms, &a.reporter, a.sequence).cmp(&(b.start_ms, &b.reporter, b.sequence)));
@@ -180,6 +183,7 @@
         .map(|window| (window, share_table(&policy, &ledger.provisional_usage(window * WINDOW_MS).work)))
         .collect();
     let closed = ledger.advance(STEP_COUNT * STEP_MS + 60_000, &no_dead);
+    // Advances far past the horizon, so that all earlier windows and entries are discarded.
     let last = UsageReport { start_ms: 9_999_000, end_ms: 10_000_000, sequence: 3_341, ..sorted[0].clone() };
     ledger.record(10_000_000, last).ok();
     ledger.advance(10_100_000, &no_dead);
@@ -193,15 +197,15 @@
 
 /// Measurements of a ledger that records reports as they arrive.
 #[derive(Default)]
-struct ArrivalErrors {
-    at_window_end: ShareError,
-    ten_seconds_later: ShareError,
-    closed: ShareError,
+struct ArrivalMeasurements {
+    at_window_end: ShareDeviation,
+    ten_seconds_later: ShareDeviation,
+    closed: ShareDeviation,
     work: u64,
     adjustments: i64,
 }
 
-impl ArrivalErrors {
+impl ArrivalMeasurements {
     /// Adds the errors of the provisional shares of the windows that ended now and 10 s ago.
     fn add_provisional(
         &mut self,
@@ -235,7 +239,9 @@
     fn print(&self, reported_work: u64) {
         self.at_window_end.print("provisional shares at the end of a window");
         self.ten_seconds_later.print("provisional shares 10 s after the end of a window");
-        self.closed.print("shares of closed windows, 30 s after their end and without later adjustments");
+        self.closed.print(
+            "shares of windows when they close, at most 30 s after their end, without later adjustments",
+        );
         let percent = self.adjustments as f64 * 100.0 / reported_work as f64;
         println!(
             "settled as adjustments: {percent:.2} % of the work; lost work: {} slot-ms",
@@ -248,7 +254,7 @@
 fn record_as_they_arrive(reports: Vec<(i64, UsageReport)>, expected: &BTreeMap<i64, ShareTable>) {
     let (mut ledger, policy, no_dead) = (ledger(), policy(), BTreeSet::new());
     let (count, reported_work) = (reports.len(), reports.iter().map(|(_, report)| report.work).sum());
-    let (mut errors, mut elapsed) = (ArrivalErrors::default(), Duration::ZERO);
+    let (mut measurements, mut elapsed) = (ArrivalMeasurements::default(), Duration::ZERO);
     let mut arriving = reports.into_iter().peekable();
     for second in 1..=(STEP_COUNT * STEP_MS / 1_000 + 100) {
         let now_ms = second * 1_000;
@@ -258,10 +264,10 @@
         }
         let closed = ledger.advance(now_ms, &no_dead);
         elapsed += began.elapsed();
-        errors.add_provisional(&ledger, now_ms, &policy, expected);
-        closed.iter().for_each(|window| errors.add_closed(window, &policy, expected));
+        measurements.add_provisional(&ledger, now_ms, &policy, expected);
+        closed.iter().for_each(|window| measurements.add_closed(window, &policy, expected));
     }
     let nanoseconds = elapsed.as_secs_f64() * 1e9 / count as f64;
     println!("reports recorded as they arrive, ledger advanced each second: {nanoseconds:.0} ns per report");
-    errors.print(reported_work);
+    measurements.print(reported_work);
 }
--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -22,10 +22,11 @@
 ///
 /// 1. Reservations are subtracted. A reservation counts towards its owner's demand, guarantee and ceiling.
 /// 2. The rest is divided over the federations by weighted max-min: each gets at least the part of its
-///    guarantee that it demands, and at most its ceiling or what its tenants demand, whichever is less.
+///    guarantee that it demands, and at most its ceiling or what its tenants demand, whichever is less. The
+///    demanded guarantees of its tenants take precedence over its ceiling.
 /// 3. The share of each federation, including its own reservation, is divided over its tenants in the same
-///    way. The weight of a tenant with a debt is `weight / (1 + debt)`, which is at least half of its
-///    configured weight.
+///    way. The weight of a tenant with a debt is `weight / (1 + debt)`, with the debt as a fraction of at
+///    most 1; it is therefore at least half of the configured weight.
 ///
 /// Shares are whole parts per million; the units left by rounding go to the largest remainders, ties in the
 /// order of names.
@@ -86,7 +87,7 @@
         Allocation { tenants: BTreeMap::new(), federations: BTreeMap::new(), has_reduced_guarantees };
     for (claim, divided) in claims.iter().zip(water_fill(capacity, &claimants)) {
         let available = divided + claim.own_reservation;
-        // The reservation of a federation may exceed its tenants' demands: the rest stays with the federation.
+        // The reservation of a federation may exceed its tenants' demands; the federation keeps the rest.
         let parts = water_fill(available, &claim.tenant_claimants);
         allocation.federations.insert(claim.name, available + claim.tenant_reservations);
         allocation.tenants.extend(claim.tenants.iter().copied().zip(parts));
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -13,7 +13,8 @@
 const MAX_HALF_LIFE_WINDOWS: u32 = 4_096;
 /// Maximum contribution of a window, in slot-milliseconds: with this bound no sum exceeds 128 bits.
 const MAX_CONTRIBUTION: i128 = 1 << 60;
-/// Maximum number of halvings at once, after which every sum is 0: a sum has fewer bits without its sign.
+/// Maximum number of halvings at once. The magnitude of a sum has fewer bits than this, so that it is 0 after
+/// them.
 const MAX_HALVINGS: i64 = 126;
 
 /// Debts of tenants: their usage above their entitlement, which decays by half in each half-life.
@@ -26,14 +27,14 @@
 /// Each tenant has one sum per position of a window in the half-life, which is the window's index modulo the
 /// half-life. A sum is halved each time a window with its position is reached, and the balance is computed
 /// from the sums on each call. Therefore rounding errors do not accumulate, and the order of contributions
-/// does not matter. A contribution is exact for 32 half-lives; after that it is less than a slot-millisecond,
-/// and finally 0.
+/// does not matter. A contribution is exact for 32 half-lives. After that each halving of its sum is rounded
+/// towards 0, by less than 2^-32 slot-milliseconds, until the sum is 0.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debts {
     /// Half-life, in windows.
     #[serde(rename = "half_life")]
     half_life_windows: u32,
-    /// Index of the window that was settled last.
+    /// Index of the window that was added last.
     #[serde(rename = "last")]
     last_window: Option<i64>,
     /// Sums by tenant, one for each position in the half-life, with [`FRACTION_BITS`] fractional bits.
@@ -52,7 +53,7 @@
     ///
     /// Windows that the ledger omits because they have no usage only let debts decay. A window that is not
     /// later than the last one changes nothing.
-    pub fn settle(&mut self, closed: &ClosedWindow, entitlements: &BTreeMap<Name, u64>) {
+    pub fn add_window(&mut self, closed: &ClosedWindow, entitlements: &BTreeMap<Name, u64>) {
         if self.last_window.is_some_and(|last| closed.index <= last) {
             return;
         }
@@ -71,22 +72,24 @@
         self.last_window = Some(closed.index);
     }
 
-    /// Halves each sum once per window at its position, after the last settled window and up to the given one.
+    /// Halves each sum once for each window at its position, from the window after the last added one through
+    /// the given one.
     fn decay(&mut self, window: i64) {
         let last_window = self.last_window.unwrap_or(window - 1);
         let half_life = i64::from(self.half_life_windows);
         for position in 0..half_life {
-            let passes_up_to = |window: i64| (window - position).div_euclid(half_life);
-            let passes = passes_up_to(window) - passes_up_to(last_window);
-            let halvings = passes.min(MAX_HALVINGS) as u32;
+            let windows_at_position_up_to = |window: i64| (window - position).div_euclid(half_life);
+            let windows_at_position =
+                windows_at_position_up_to(window) - windows_at_position_up_to(last_window);
+            let halvings = windows_at_position.min(MAX_HALVINGS) as u32;
             if halvings > 0 {
                 self.sums.values_mut().for_each(|sums| sums[position as usize] /= 1 << halvings);
             }
         }
     }
 
-    /// Debt of a tenant, in slot-milliseconds; negative if it used less than its entitlement, 0 if it is
-    /// unknown.
+    /// Debt of a tenant, in slot-milliseconds; negative if it used less than its entitlement, 0 if no
+    /// debt of the tenant is kept.
     pub fn balance(&self, tenant: &str) -> i128 {
         let (Some(sums), Some(last_window)) = (self.sums.get(tenant), self.last_window) else { return 0 };
         let half_life = i64::from(self.half_life_windows);
--- a/crates/fair-share/src/demand.rs
+++ b/crates/fair-share/src/demand.rs
@@ -9,10 +9,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantDemand {
-    /// Share that the tenant would use, in parts per million of the fleet; capped at 1 000 000.
+    /// Share that the tenant would use, in parts per million of the fleet; a value above 1 000 000 counts as
+    /// 1 000 000.
     pub demand: u32,
     /// Decayed usage above the tenant's entitlement, in parts per million of its entitlement over one
-    /// half-life; capped at 1 000 000.
+    /// half-life; a value above 1 000 000 counts as 1 000 000.
     pub debt: u32,
 }
 
--- a/crates/fair-share/src/enrollment.rs
+++ b/crates/fair-share/src/enrollment.rs
@@ -10,14 +10,14 @@
 const MAX_REPORTERS: usize = 4_096;
 const MAX_TENANTS: usize = 65_536;
 
-/// Reporter of usage: a scheduler, or a partner of a federation.
+/// Reporter of usage: a scheduler, or a partner that reports only on the tenants of one federation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Reporter {
     /// Slots of the pool that the reporter reports on, from 0 to 1 000 000; they limit the work that the pool
     /// can do.
     pub slots: u32,
-    /// Only federation on whose tenants the reporter may report; `None` allows all federations.
+    /// The only federation on whose tenants the reporter may report; `None` allows all federations.
     pub federation: Option<Name>,
 }
 
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -14,18 +14,19 @@
 pub struct SequenceGaps {
     /// Number of the incarnation.
     pub incarnation: u64,
-    /// Sequence numbers that were not received, though a higher one was.
+    /// Sequence numbers that are still expected because a higher one was received.
     pub missing: Vec<RangeInclusive<u64>>,
-    /// Number of sequence numbers that were never received and are no longer expected.
+    /// Number of sequence numbers that were never received and are no longer expected, without those whose
+    /// correction was discarded.
     pub abandoned: u64,
 }
 
 /// Relation of a new entry to the entry that the log has for the same sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EntryStatus {
-    /// The log has no entry for it.
+    /// The sequence number was neither received nor discarded.
     New,
-    /// The log has the same entry, or had one that it has discarded.
+    /// The log has the same entry, or has discarded the sequence number.
     Duplicate,
     /// The log has another entry, which compares greater and is replaced.
     Replacement,
@@ -51,7 +52,8 @@
     contiguous_through: u64,
     /// Latest start of an interval among the entries up to `contiguous_through`.
     watermark_ms: Option<i64>,
-    /// Number of sequence numbers that were never received and are no longer expected.
+    /// Number of sequence numbers that were never received and are no longer expected, without those whose
+    /// correction was discarded.
     abandoned: u64,
     /// Whether the ledger has not advanced since the first entry.
     is_new: bool,
@@ -94,8 +96,10 @@
         SequenceGaps { incarnation, missing, abandoned: self.abandoned }
     }
 
-    /// Checks whether an entry may be inserted, and returns its relation to the existing one. `corrects` is
-    /// the field of the report: its value 0, which an entry cannot represent, is rejected.
+    /// Checks whether an entry may be inserted, and returns its relation to the existing one.
+    ///
+    /// `corrects` is that of the report. It is passed separately because an entry cannot represent the value
+    /// 0, which is rejected.
     pub(crate) fn classify(
         &self,
         sequence: u64,
@@ -252,8 +256,8 @@
         self.discarded_through = discarded_through;
     }
 
-    /// Returns the last sequence number that was received before the first one that is kept. One is kept if
-    /// it has an entry or a correction; if none is kept, the result is the highest one received.
+    /// Returns the highest received sequence number below the first one that is kept, or 0. A sequence number
+    /// is kept if it has an entry or a correction. If none is kept, returns the highest one received.
     fn last_received_before_retained(&self) -> u64 {
         let first_entry = self.entries.keys().next();
         let first_corrected = self.corrections.keys().next();
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -36,7 +36,8 @@
 /// all entries that are kept; therefore the horizon does not move with each window.
 const STEPS_PER_HORIZON: i64 = 16;
 
-/// Usage ledger: the accounts of all reporters, and the accounting windows that are open.
+/// Usage ledger: the accounts of all reporters, with their usage in the open windows and in the closed
+/// windows since the start of the horizon.
 ///
 /// Its serialized form does not depend on the order and repetition of the reports between two calls of
 /// [`UsageLedger::advance`] or [`UsageLedger::enroll`]. [`DiscardCounts`] are not serialized.
@@ -47,7 +48,7 @@
     first_open_window: i64,
     accounts: BTreeMap<Name, ReporterAccount>,
     #[serde(skip)]
-    discarded: BTreeMap<Name, DiscardCounts>,
+    discard_counts_by_reporter: BTreeMap<Name, DiscardCounts>,
     #[serde(skip)]
     unknown_reporter_count: u64,
 }
@@ -64,7 +65,7 @@
             enrollment: Enrollment::default(),
             first_open_window: clamp_instant(begin_ms).div_euclid(settings.window_ms.into()),
             accounts: BTreeMap::new(),
-            discarded: BTreeMap::new(),
+            discard_counts_by_reporter: BTreeMap::new(),
             unknown_reporter_count: 0,
         })
     }
@@ -77,7 +78,7 @@
     pub fn enroll(&mut self, enrollment: Enrollment) -> Result<(), EnrollmentError> {
         enrollment.validate()?;
         self.enrollment = enrollment;
-        self.discarded.retain(|name, _| self.enrollment.reporters.contains_key(name));
+        self.discard_counts_by_reporter.retain(|name, _| self.enrollment.reporters.contains_key(name));
         Ok(())
     }
 
@@ -101,7 +102,7 @@
         let result = validate_report(&self.settings, &self.enrollment, reporter, now_ms, report)
             .and_then(|report| record_in_account(&mut self.accounts, name, context, report));
         if matches!(result, Ok(ReportOutcome::Duplicate) | Err(_)) {
-            self.discarded.entry(name.clone()).or_default().count(result);
+            self.discard_counts_by_reporter.entry(name.clone()).or_default().count(result);
         }
         result
     }
@@ -111,9 +112,11 @@
     ///
     /// A window closes after its end, as soon as the watermarks of all enrolled reporters that are not in
     /// `dead_reporters` have reached its end, but at the latest after the maximum close delay. If there is no
-    /// such reporter, it closes after that delay. The watermark of a reporter is the latest start among its
-    /// reports before the first gap in their sequence numbers. Windows without usage and without adjustments
-    /// are omitted.
+    /// such reporter, it closes after that delay. Windows without usage, adjustments and excess are omitted.
+    ///
+    /// The watermark of an incarnation is the latest start among its reports before the first gap in their
+    /// sequence numbers. That of a reporter is the latest of its incarnations, so that a new incarnation
+    /// passes the gaps of earlier ones.
     pub fn advance(&mut self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> Vec<ClosedWindow> {
         self.accounts.values_mut().for_each(|account| account.advance_watermark(&self.settings));
         let first_open = self.next_open_window(clamp_instant(now_ms), dead_reporters);
@@ -132,7 +135,8 @@
         closed.into_values().collect()
     }
 
-    /// Index of the first window that stays open at an instant.
+    /// Index of the first window that stays open when the time is advanced to `now_ms`, by the watermarks and
+    /// the close delay.
     fn next_open_window(&self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> i64 {
         let forced_close_ms = now_ms.saturating_sub(self.settings.max_close_delay_ms.into());
         let live_reporters = self.enrollment.reporters.keys().filter(|name| !dead_reporters.contains(*name));
@@ -193,8 +197,8 @@
         provisional
     }
 
-    /// Watermark of a reporter as of the last advance, in milliseconds of Unix time: it has reported all
-    /// usage before it. `None` if it has no watermark yet.
+    /// Watermark of a reporter as of the last advance, in milliseconds of Unix time: the reporter has
+    /// reported all its usage before this instant. `None` if it has no watermark yet.
     pub fn watermark(&self, reporter: &str) -> Option<i64> {
         self.accounts.get(reporter).and_then(ReporterAccount::watermark_ms)
     }
@@ -211,7 +215,7 @@
 
     /// Counts of the rejected and duplicate reports of a reporter; all 0 if it is not enrolled.
     pub fn discard_counts(&self, reporter: &str) -> DiscardCounts {
-        self.discarded.get(reporter).cloned().unwrap_or_default()
+        self.discard_counts_by_reporter.get(reporter).cloned().unwrap_or_default()
     }
 
     /// Number of rejected reports from reporters that are not enrolled.
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -1,19 +1,23 @@
-//! Weighted max-min fair shares of federated tenants, computed from usage reports that may arrive late, twice,
-//! out of order or with gaps. The crate does no I/O and reads no clock: the current time is an argument.
+//! Weighted max-min fair shares of federated tenants, computed from usage reports that may arrive late,
+//! twice, out of order or with gaps. The crate does no I/O and reads no clock: callers pass the current time.
 //!
 //! ```text
 //!  UsageReport ─► UsageLedger::record ─► accounting windows ─► UsageLedger::advance ─► ClosedWindow ─► Debts
-//!                                          by event time                                     │           │
-//!                                               │                                            ▼           │
-//!                                               └─► provisional_usage ─► TenantDemands::from_measured_usage
-//!                                                                                     │
-//!                          FairSharePolicy, ReservedShares ─► allocate_shares ◄───────┘  ─► ShareTable
+//!                                         (by event time)                                   │            │
+//!                                                ▼                                          ▼            │
+//!                                        provisional_usage ───► TenantDemands::from_measured_usage ◄─────┘
+//!                                                                         │
+//!                                                                         ▼
+//!                               FairSharePolicy, ReservedShares ─► allocate_shares ─► ShareTable
 //! ```
 //!
-//! 1. The state of the ledger depends only on the *set* of reports that arrive between two calls of
-//!    [`UsageLedger::advance`]: their order and repetition do not change a byte of its serialized form. The
-//!    limits on accepted reports (sequence numbers, incarnations, event time) change only in `advance`.
-//! 2. Usage is conserved: the work in windows, the adjustments and the excess add up to the accepted work.
+//! 1. The order and repetition of the reports between two calls of [`UsageLedger::advance`] or
+//!    [`UsageLedger::enroll`] do not change a byte of the serialized form of the ledger. The limits on
+//!    sequence numbers, incarnations and the horizon change only in `advance`; the limit on intervals in the
+//!    future depends on the `now_ms` of each [`UsageLedger::record`].
+//! 2. Usage is conserved: the work in windows, the adjustments and the excess add up to the work of the
+//!    accepted reports, except for those that were corrected, replaced or discarded with one of too many new
+//!    incarnations.
 //! 3. [`allocate_shares`] divides the fleet by weighted max-min, first over federations and then over the
 //!    tenants of each, in parts per million.
 //!
@@ -57,5 +61,5 @@
 pub use usage_report::{ReportOutcome, ReportRejection, UsageReport};
 pub use window::{ClosedWindow, ProvisionalUsage};
 
-/// Share of the whole fleet, in parts per million.
+/// The whole fleet as a share, in parts per million.
 pub const FULL_SHARE_PPM: u32 = 1_000_000;
--- a/crates/fair-share/src/measured_demand.rs
+++ b/crates/fair-share/src/measured_demand.rs
@@ -6,7 +6,8 @@
 use crate::policy::FairSharePolicy;
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Factor from measured usage to demand: a tenant that lent its share regains it within two windows.
+/// Factor from measured usage to demand. It lets a tenant that lent its share regain it within two windows,
+/// starting from the minimum demand of a quarter of its entitlement.
 const DEMAND_FACTOR: u128 = 2;
 /// A demand is at least the entitlement divided by this, so that a new tenant has a share to start with.
 const MIN_DEMAND_DIVISOR: u32 = 4;
--- a/crates/fair-share/src/policy.rs
+++ b/crates/fair-share/src/policy.rs
@@ -15,9 +15,10 @@
     /// Weight relative to the other federations, or to the other tenants of the federation, when all demand
     /// more than they get; from 1 to 1 000 000.
     pub weight: u32,
-    /// Share that is allocated whenever it is demanded.
+    /// Share that is allocated whenever it is demanded, unless reservations leave too little for all
+    /// guarantees (see [`crate::ShareTable::has_reduced_guarantees`]).
     pub guarantee: u32,
-    /// Maximum share; from the guarantee to 1 000 000.
+    /// Maximum share, unless the own reservation is larger; from the guarantee to 1 000 000.
     pub ceiling: u32,
 }
 
@@ -49,13 +50,13 @@
     InvalidCeiling,
     /// The guarantees of a federation's tenants add up to more than its own, or those of all federations to
     /// more than 1 000 000.
-    #[error("guarantee: exceeded by the sum of the guarantees within it")]
+    #[error("guarantee: tenants' exceed their federation's, or all federations' exceed 1000000")]
     GuaranteesExceedParent,
     /// A tenant is in two federations.
     #[error("tenants: listed in two federations")]
     DuplicateTenant,
-    /// More than 65 536 tenants or federations.
-    #[error("tenants: more than 65536")]
+    /// There are more than 65 536 tenants, or more than 65 536 federations.
+    #[error("tenants: more than 65536 tenants or federations")]
     TooManyParties,
 }
 
@@ -83,8 +84,9 @@
     /// Creates a policy from federations by name.
     ///
     /// # Errors
-    /// The first [`PolicyError`] found: the checks are made one after the other, each in the order of the
-    /// names.
+    /// The first [`PolicyError`] found. The checks are, in this order: the number of tenants and federations;
+    /// weights and ceilings, of all federations and then of all tenants; guarantees; tenants that are listed
+    /// twice. Each check goes through the federations, and through the tenants of a federation, by name.
     pub fn new(federations: BTreeMap<Name, Federation>) -> Result<FairSharePolicy, PolicyError> {
         let policy = FairSharePolicy(federations);
         policy.validate_size()?;
--- a/crates/fair-share/src/reporter_account.rs
+++ b/crates/fair-share/src/reporter_account.rs
@@ -80,10 +80,11 @@
     }
 
     /// Returns the incarnation to discard in favor of that of a report, if any. Of the incarnations that are
-    /// new since the last advance the latest are kept, regardless of the order in which their reports arrive.
+    /// new since the last advance the `max_incarnations` latest are kept, regardless of the order in which
+    /// their reports arrive.
     ///
     /// # Errors
-    /// [`ReportRejection::OldIncarnation`] if the incarnation of the report is the one that is not kept.
+    /// [`ReportRejection::OldIncarnation`] if the incarnation of the report is too old to be kept.
     fn incarnation_to_discard(
         &self,
         incarnation: u64,
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Moves the watermark past the reports received since the last advance, and removes the oldest
-    /// incarnations above the limit. Their work stays in the windows.
+    /// Moves the watermark of each incarnation up to its first gap, and that of the account to the latest of
+    /// them; then removes the oldest incarnations above `max_incarnations`. Their work stays in the windows.
     pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
         self.incarnations.values_mut().for_each(|log| log.advance_watermark(settings));
         let latest_ms = self.incarnations.values().filter_map(IncarnationLog::watermark_ms).max();
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Watermark, in milliseconds of Unix time: all usage before it was reported.
+    /// Watermark, in milliseconds of Unix time: the reporter has reported all its usage before this instant.
     pub(crate) fn watermark_ms(&self) -> Option<i64> {
         self.watermark_ms
     }
@@ -201,7 +202,7 @@
         self.incarnations.values_mut().for_each(|log| log.discard_before(instant_ms, settings));
     }
 
-    /// Whether the account has neither windows nor entries, so that no report could change recorded usage.
+    /// Whether the account has neither windows nor entries, so that a report has nothing left to change.
     pub(crate) fn is_empty(&self) -> bool {
         self.windows.is_empty() && !self.incarnations.values().any(IncarnationLog::has_entries)
     }
--- a/crates/fair-share/src/reservation.rs
+++ b/crates/fair-share/src/reservation.rs
@@ -14,7 +14,7 @@
     /// Reservations by tenant. That of a tenant that the policy does not list is subtracted, but gives it no
     /// share.
     pub tenants: BTreeMap<Name, u32>,
-    /// Reservations by federation, for those of its tenants that demand them.
+    /// Reservations by federation. That of a federation is for those of its tenants that demand it.
     pub federations: BTreeMap<Name, u32>,
 }
 
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -2,9 +2,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum length of a window and of the interval of one report.
-const MAX_INTERVAL_MS: u32 = 600_000;
+const MAX_WINDOW_OR_INTERVAL_MS: u32 = 600_000;
 /// Maximum horizon, close delay and clock skew: one day.
-const MAX_HORIZON_MS: u32 = 86_400_000;
+const ONE_DAY_MS: u32 = 86_400_000;
 /// Maximum number of sequence numbers that may be tracked per incarnation.
 const MAX_TRACKED_SEQUENCES: u32 = 1 << 20;
 const MAX_INCARNATIONS: u8 = 8;
@@ -37,16 +37,17 @@
     /// Maximum number of sequence numbers tracked per incarnation; from `max_sequences_ahead` to 2^20.
     #[serde(rename = "kept")]
     pub max_tracked_sequences: u32,
-    /// Maximum number of incarnations kept per reporter, in addition to as many that are new since the last
-    /// advance; from 1 to 8.
+    /// Maximum number of incarnations that an advance keeps per reporter. Until the next advance the same
+    /// number of new ones may be added. From 1 to 8.
     #[serde(rename = "starts")]
     pub max_incarnations: u8,
 }
 
 impl Default for LedgerSettings {
-    /// Returns windows of 10 s with a close delay of at most 30 s, a horizon of one hour, a clock skew of 2 s,
-    /// intervals of at most 60 s, 16 384 sequence numbers of an incarnation between two advances and 262 144
-    /// that are tracked, and 3 incarnations per reporter.
+    /// Returns settings with windows of 10 s, a close delay of at most 30 s, a horizon of one hour, a clock
+    /// skew of at most 2 s, intervals of at most 60 s, at most 16 384 sequence numbers ahead between two
+    /// advances, at most 262 144 tracked sequence numbers per incarnation, and at most 3 incarnations per
+    /// reporter.
     fn default() -> LedgerSettings {
         LedgerSettings {
             window_ms: 10_000,
@@ -86,10 +87,10 @@
     /// The number of sequence numbers ahead is 0, so that no report could be accepted.
     #[error("ahead: must be greater than 0")]
     NoSequencesAhead,
-    /// Fewer sequence numbers are tracked than may be accepted between two advances.
+    /// `max_tracked_sequences` is less than `max_sequences_ahead`.
     #[error("kept: must be at least the value of ahead")]
     TooFewTrackedSequences,
-    /// More than 2^20 sequence numbers are tracked per incarnation.
+    /// `max_tracked_sequences` exceeds 2^20.
     #[error("kept: must be at most 1048576")]
     TooManyTrackedSequences,
     /// The number of incarnations is out of range.
@@ -101,12 +102,12 @@
     /// Checks all settings and returns the first error, in the order of the variants of [`SettingsError`].
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         let checks = [
-            ((1..=MAX_INTERVAL_MS).contains(&self.window_ms), SettingsError::WindowLength),
+            ((1..=MAX_WINDOW_OR_INTERVAL_MS).contains(&self.window_ms), SettingsError::WindowLength),
             (self.horizon_ms >= self.window_ms, SettingsError::HorizonTooShort),
-            (self.horizon_ms <= MAX_HORIZON_MS, SettingsError::HorizonTooLong),
-            (self.max_close_delay_ms <= MAX_HORIZON_MS, SettingsError::CloseDelayTooLong),
-            (self.max_clock_skew_ms <= MAX_HORIZON_MS, SettingsError::ClockSkewTooLong),
-            ((1..=MAX_INTERVAL_MS).contains(&self.max_interval_ms), SettingsError::IntervalLength),
+            (self.horizon_ms <= ONE_DAY_MS, SettingsError::HorizonTooLong),
+            (self.max_close_delay_ms <= ONE_DAY_MS, SettingsError::CloseDelayTooLong),
+            (self.max_clock_skew_ms <= ONE_DAY_MS, SettingsError::ClockSkewTooLong),
+            ((1..=MAX_WINDOW_OR_INTERVAL_MS).contains(&self.max_interval_ms), SettingsError::IntervalLength),
             (self.max_sequences_ahead > 0, SettingsError::NoSequencesAhead),
             (self.max_tracked_sequences >= self.max_sequences_ahead, SettingsError::TooFewTrackedSequences),
             (self.max_tracked_sequences <= MAX_TRACKED_SEQUENCES, SettingsError::TooManyTrackedSequences),
--- a/crates/fair-share/src/share_table.rs
+++ b/crates/fair-share/src/share_table.rs
@@ -14,10 +14,12 @@
     /// Part of the share that is the tenant's own reservation.
     pub reserved: u32,
     /// Share, excluding the tenant's own reservation, that it would have if all tenants demanded everything
-    /// and none had a debt.
+    /// and none had a debt. Reservations are subtracted first; [`crate::entitlements`] assumes that there are
+    /// none.
     #[serde(rename = "entitled")]
     pub entitlement: u32,
-    /// Part of the tenant's guarantee that is lent to others until the tenant demands it.
+    /// Part of the tenant's guarantee that it does not demand and that is lent to others until it does; 0 if
+    /// the guarantees are reduced.
     pub lent: u32,
     /// Part of the share above the tenant's entitlement and reservation, which it has until others demand it.
     pub borrowed: u32,
@@ -35,12 +37,12 @@
     /// Sum of the reservations of tenants and federations that the policy does not list.
     #[serde(rename = "elsewhere")]
     pub reserved_elsewhere: u32,
-    /// Share that is not allocated because no tenant demands it within its ceiling. Together with
-    /// `federations` and `reserved_elsewhere` it adds up to 1 000 000.
+    /// Share that remains because the demands within the ceilings of tenants and federations do not use it.
+    /// Together with `federations` and `reserved_elsewhere` it adds up to 1 000 000.
     #[serde(rename = "spare")]
     pub unallocated: u32,
-    /// Whether the reservations leave less than the guarantees need, so that the guarantees are reduced in
-    /// proportion.
+    /// Whether the reservations leave less than the demanded parts of the guarantees need, so that these are
+    /// reduced in proportion.
     #[serde(rename = "short")]
     pub has_reduced_guarantees: bool,
 }
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -16,19 +16,20 @@
     pub sequence: u64,
     /// Name of the tenant.
     pub tenant: Name,
-    /// Start of the interval, inclusive, in milliseconds of Unix time. In an incarnation it does not decrease
-    /// from one sequence number to the next, except in corrections.
+    /// Start of the interval, inclusive, in milliseconds of Unix time. The reporter must not decrease it from
+    /// one sequence number of an incarnation to the next, except in corrections; the ledger relies on this
+    /// and does not check it.
     #[serde(rename = "start")]
     pub start_ms: i64,
     /// End of the interval, exclusive, in milliseconds of Unix time.
     #[serde(rename = "end")]
     pub end_ms: i64,
-    /// Work done in the interval, in slot-milliseconds. A report of 0 states that there was none, so that
-    /// windows do not wait for it.
+    /// Work done in the interval, in slot-milliseconds. A report of work 0 states that there was none: it
+    /// moves the watermark of the reporter, so that windows can close.
     pub work: u64,
     /// Sequence number of the earlier report of the same incarnation that this report replaces, if any. The
-    /// replaced report must not be a correction itself. Of two corrections of the same report the one with the
-    /// higher sequence number counts.
+    /// replaced report must not be a correction itself. Of two corrections of the same report the one with
+    /// the higher sequence number counts.
     pub corrects: Option<u64>,
 }
 
@@ -36,14 +37,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum ReportOutcome {
-    /// The report counts in windows that are open.
+    /// The report was recorded and starts in an open window.
     Counted,
-    /// The report counts and starts in a closed window: its work in closed windows is an adjustment of the
-    /// next window that closes.
+    /// The report was recorded and starts in a closed window: its work in closed windows is an adjustment of
+    /// the next window that closes.
     Late,
     /// The same report was recorded before; nothing changed.
     Duplicate,
-    /// The report replaces another one with the same sequence number, which compares greater.
+    /// The report replaces another one with the same sequence number, because it has less work; at equal work
+    /// the earlier start, then the shorter interval, the lesser tenant name and the lesser `corrects` decide.
     Replaced,
 }
 
@@ -91,11 +93,12 @@
     #[error("sequence: before those that are kept")]
     #[serde(rename = "FarBack")]
     SequenceTooOld,
-    /// The sequence number is further ahead than is allowed between two advances.
+    /// The sequence number is further ahead than is allowed between two advances, or than can be tracked.
     #[error("sequence: too far ahead of what had come")]
     #[serde(rename = "FarAhead")]
     SequenceTooFarAhead,
-    /// Another report with the same sequence number was recorded, which compares less.
+    /// Another report with the same sequence number was recorded that takes precedence (see
+    /// [`ReportOutcome::Replaced`]).
     #[error("sequence: came before with less work")]
     #[serde(rename = "Contradicts")]
     ConflictingDuplicate,
--- a/crates/fair-share/src/water_filling.rs
+++ b/crates/fair-share/src/water_filling.rs
@@ -6,13 +6,14 @@
 pub(crate) struct Claimant {
     /// Weight, from 1 to 10^18.
     pub(crate) weight: u64,
-    /// Part that is allocated before the rest is divided by weight; at most `maximum`.
+    /// Minimum part, at most `maximum`. It is reduced only if the minimums of all claimants exceed the
+    /// capacity.
     pub(crate) minimum: u32,
     /// Maximum part that is allocated.
     pub(crate) maximum: u32,
 }
 
-/// Level at which a claimant's part starts or stops to grow, `part / weight`.
+/// Level at which the part of a claimant starts or stops growing. The level is `part / weight`.
 struct Breakpoint {
     /// Part of the claimant at this level: its minimum or its maximum.
     part: u32,
@@ -22,8 +23,9 @@
 }
 
 /// Divides the capacity by weighted max-min. Each claimant gets `weight * level`, bounded by its minimum and
-/// maximum; the level is the one that uses the whole capacity. If the minimums do not fit, they are reduced
-/// in proportion; if all maximums fit, each claimant gets its maximum and the rest is not allocated.
+/// maximum, where the level is the same for all claimants and such that the parts use the whole capacity. If
+/// the minimums do not fit, they are reduced in proportion; if all maximums fit, each claimant gets its
+/// maximum and the rest is not allocated.
 pub(crate) fn water_fill(capacity: u32, claimants: &[Claimant]) -> Vec<u32> {
     let capacity = u64::from(capacity);
     let minimum_sum: u64 = claimants.iter().map(|claimant| u64::from(claimant.minimum)).sum();
@@ -38,8 +40,9 @@
     raise_level(capacity, minimum_sum, claimants)
 }
 
-/// Raises the level from breakpoint to breakpoint until the capacity is used up, then divides the capacity
-/// that is not fixed by weight over the claimants whose parts grow at that level.
+/// Raises the level from breakpoint to breakpoint until the capacity is used up. Then it divides the capacity
+/// that no minimum or maximum takes up, in proportion to weight, over the claimants whose parts grow at that
+/// level.
 fn raise_level(capacity: u64, minimum_sum: u64, claimants: &[Claimant]) -> Vec<u32> {
     let mut fixed_sum = minimum_sum;
     let mut growing_weight = 0_u128;
--- a/crates/fair-share/src/window.rs
+++ b/crates/fair-share/src/window.rs
@@ -17,10 +17,12 @@
     /// Work by tenant in this window, in slot-milliseconds.
     pub work: BTreeMap<Name, u64>,
     /// Changes of the work in earlier windows that are settled with this window, by tenant, in
-    /// slot-milliseconds; negative if corrections reduced the work.
+    /// slot-milliseconds; negative if corrections reduced the work. To settle an earlier window is to return
+    /// what changed in it since it was closed or last settled, as an adjustment of a later window.
     pub adjustments: BTreeMap<Name, i64>,
-    /// Excess by reporter, in slot-milliseconds: reported work above the capacity of its pool, which does not
-    /// count. Negative if the excess of an earlier window decreased.
+    /// Excess by reporter, in slot-milliseconds: the work reported for this window above the capacity of the
+    /// reporter's pool, which does not count, plus the change of the excess of earlier windows. It may
+    /// therefore be negative.
     #[serde(rename = "cut")]
     pub excess: BTreeMap<Name, i64>,
     /// Reporters, dead ones included, that had not reported all usage of this window when it closed.
--- a/crates/fair-share/src/window_usage.rs
+++ b/crates/fair-share/src/window_usage.rs
@@ -6,7 +6,8 @@
 use crate::Name;
 use crate::apportionment::apportion;
 
-/// Part of the reported work of a window that counts, and the excess that does not, in slot-milliseconds.
+/// Reported work of a window, divided into the work that counts and the excess, which does not; in
+/// slot-milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CountedWork {
     by_tenant: BTreeMap<Name, u64>,
@@ -21,7 +22,8 @@
     capacity: u64,
     /// Reported work by tenant, without entries of 0.
     reported: BTreeMap<Name, u64>,
-    /// Work that counted when the window was last settled; `None` if nothing was reported for it since.
+    /// Work that counted when the window was last settled; `None` if the window is open or has not changed
+    /// since.
     last_settled: Option<CountedWork>,
 }
 
@@ -68,7 +70,7 @@
     }
 
     /// Adds the change since the window was last settled to `delta`, and marks it as settled. Returns whether
-    /// anything was reported for the window since.
+    /// the window had changed since.
     pub(crate) fn settle(&mut self, delta: &mut UsageDelta) -> bool {
         let Some(settled) = self.last_settled.take() else { return false };
         let counted = self.counted_work();
@@ -87,7 +89,8 @@
     work.values().fold(0, |sum, &work| sum.saturating_add(work))
 }
 
-/// Change of the work that counts and of the excess, in slot-milliseconds.
+/// Change of the work that counts and of the excess, in slot-milliseconds. It also represents the whole usage
+/// of a window, as the change from no usage; then nothing is negative.
 #[derive(Debug, Default)]
 pub(crate) struct UsageDelta {
     pub(crate) work_by_tenant: BTreeMap<Name, i64>,
@@ -114,7 +117,7 @@
         self.work_by_tenant.is_empty() && self.excess == 0
     }
 
-    /// Sum of the work of all tenants that counts, in slot-milliseconds.
+    /// Sum of the work of all tenants, in slot-milliseconds; no work may be negative.
     pub(crate) fn total_work(&self) -> u64 {
         self.work_by_tenant.values().map(|work| work.unsigned_abs()).sum()
     }
--- a/crates/fair-share/tests/allocation.rs
+++ b/crates/fair-share/tests/allocation.rs
@@ -143,7 +143,7 @@
                 prop_assert!(share_after >= config.guarantee.min(demand_of(&demands, tenant)));
                 moved += share_before.saturating_sub(share_after);
             }
-            // Each share is rounded twice, before and after the change, each time by less than 1.
+            // Each share is rounded twice before the change and twice after it, each time by less than 1.
             prop_assert!(share_before.abs_diff(share_after) <= added + 4, "{tenant}: {share_before} to {share_after} by {added}");
         }
         prop_assert!(moved <= added + 4 * tenants.len() as u32);
@@ -182,7 +182,7 @@
         // What one federation does not demand goes to the other.
         ([(100_000, 0), (100_000, 0), (all, 0)], (0, 0), [100_000, 100_000, 800_000], 0),
         ([(100_000, 0), (100_000, 0), (50_000, 0)], (0, 0), [100_000, 100_000, 50_000], 750_000),
-        // A debt of one whole entitlement or more halves the weight; a guarantee takes precedence over that.
+        // A debt of one entitlement over a half-life, or more, halves the weight.
         ([(all, 0), (all, all), (all, 0)], (0, 0), [500_000, 250_000, 250_000], 0),
         ([(all, 2 * all), (all, 0), (all, 0)], (0, 0), [250_000, 500_000, 250_000], 0),
         // Reservations are subtracted first, and count towards the owner's guarantee.
--- a/crates/fair-share/tests/ledger.rs
+++ b/crates/fair-share/tests/ledger.rs
@@ -31,11 +31,15 @@
         (&["r0"], &[], 3_000, 1),
         (&["r0"], &["p", "r0", "r1", "r2"], 2_999, 0),
     ];
-    for (reporter_names, dead, now, window_count) in cases {
+    for (reporter_names, dead, after_begin_ms, window_count) in cases {
         let mut ledger = ledger();
         report_all(&mut ledger, reporter_names);
-        let closed = ledger.advance(BEGIN_MS + now, &name_set(dead));
-        assert_eq!(closed.len(), window_count, "{reporter_names:?} reported, {dead:?} dead, at {now}");
+        let closed = ledger.advance(BEGIN_MS + after_begin_ms, &name_set(dead));
+        assert_eq!(
+            closed.len(),
+            window_count,
+            "{reporter_names:?} reported, {dead:?} dead, at {after_begin_ms}"
+        );
         if let Some(first) = closed.first() {
             let incomplete: BTreeSet<Name> =
                 name_set(&["p", "r0", "r1", "r2"]).difference(&name_set(reporter_names)).cloned().collect();
@@ -50,25 +54,27 @@
 #[test]
 fn a_gap_holds_the_watermark_until_it_is_filled_or_a_new_incarnation_reports() {
     let mut ledger = ledger();
-    let now = BEGIN_MS + 1_500;
+    let now_ms = BEGIN_MS + 1_500;
     let advance = |ledger: &mut UsageLedger| {
-        ledger.advance(now, &BTreeSet::new());
+        ledger.advance(now_ms, &BTreeSet::new());
         let missing: Vec<_> = ledger.sequence_gaps("r0").into_iter().map(|gaps| gaps.missing).collect();
         (ledger.watermark("r0").map(|watermark| watermark - BEGIN_MS), missing)
     };
-    for (sequence, start) in [(1, 0), (2, 200), (5, 800), (8, 1_400)] {
-        ledger.record(now, report("r0", sequence, start, 100, 1)).expect("the report should be accepted");
+    for (sequence, start_ms) in [(1, 0), (2, 200), (5, 800), (8, 1_400)] {
+        ledger
+            .record(now_ms, report("r0", sequence, start_ms, 100, 1))
+            .expect("the report should be accepted");
     }
     assert_eq!(advance(&mut ledger), (Some(200), vec![vec![3..=4, 6..=7]]));
-    ledger.record(now, report("r0", 4, 600, 100, 1)).expect("the report should be accepted");
-    ledger.record(now, report("r0", 3, 400, 100, 1)).expect("the report should be accepted");
+    ledger.record(now_ms, report("r0", 4, 600, 100, 1)).expect("the report should be accepted");
+    ledger.record(now_ms, report("r0", 3, 400, 100, 1)).expect("the report should be accepted");
     assert_eq!(advance(&mut ledger), (Some(800), vec![vec![6..=7]]));
     ledger
-        .record(now, UsageReport { incarnation: 2, ..report("r0", 1, 1_450, 50, 1) })
+        .record(now_ms, UsageReport { incarnation: 2, ..report("r0", 1, 1_450, 50, 1) })
         .expect("the report should be accepted");
     assert_eq!(advance(&mut ledger), (Some(1_450), vec![vec![6..=7], vec![]]));
     // A late report of the earlier incarnation still counts.
-    assert_eq!(ledger.record(now, report("r0", 6, 1_000, 100, 7)), Ok(ReportOutcome::Counted));
+    assert_eq!(ledger.record(now_ms, report("r0", 6, 1_000, 100, 7)), Ok(ReportOutcome::Counted));
     assert_eq!(ledger.provisional_usage(BEGIN_MS + 1_000).work[&name("t0")], 1 + 1 + 7);
 }
 
@@ -93,7 +99,7 @@
         closed,
         [ClosedWindow { index: first, adjustments, incomplete_reporters, ..ClosedWindow::default() }]
     );
-    // A report missing before the first received one is accepted as long as any other.
+    // A report that is missing before the first received one is accepted for as long as any other report.
     assert_eq!(ledger.record(BEGIN_MS + 10_000, report("r1", 2, 8_500, 400, 9)), Ok(ReportOutcome::Counted));
     assert_eq!(ledger.advance(BEGIN_MS + 11_000, &no_dead)[0].work, BTreeMap::from([(name("t0"), 9)]));
     assert_eq!(ledger.record(BEGIN_MS + 11_000, report("r1", 1, 8_000, 500, 1)), Ok(ReportOutcome::Late));
@@ -192,7 +198,7 @@
 }
 
 #[test]
-fn a_flood_of_reports_takes_bounded_memory_and_moves_shares_by_at_most_twice_the_senders_pool() {
+fn a_flood_of_reports_takes_bounded_memory_and_moves_shares_by_at_most_twice_the_reporters_pool() {
     let capacity = 4 * u64::from(SLOTS) * 1_000;
     let simulate = |floods: bool| {
         let mut ledger = ledger();
@@ -227,7 +233,8 @@
         "{accepted} accepted, {:?} excess",
         flooded.excess
     );
-    // At most 6 incarnations of 64 sequence numbers each, and the windows.
+    // At most 6 incarnations of 64 sequence numbers each, with 40 bytes for each number, the windows
+    // included.
     assert!(max_bytes < 6 * 64 * 40, "{max_bytes} bytes");
     let added: u64 = flooded.work.values().sum::<u64>() - honest.work.values().sum::<u64>();
     assert_eq!(added, u64::from(SLOTS) * 1_000, "only work up to the capacity of the pool should count");
@@ -238,6 +245,7 @@
         allocate_shares(&policy(), &demands(closed), &ReservedShares::default()).tenants
     };
     let (before, after) = (shares(&honest), shares(&flooded));
+    // Twice the pool of the reporter, which is a quarter of the fleet, and 8 for the rounding of shares.
     let bound = 2 * FULL_SHARE_PPM / 4 + 8;
     let moved: Vec<u32> =
         before.iter().map(|(tenant, share)| share.share.abs_diff(after[tenant].share)).collect();
--- a/crates/fair-share/tests/ledger_properties.rs
+++ b/crates/fair-share/tests/ledger_properties.rs
@@ -28,9 +28,9 @@
     prop::collection::vec(report_strategy, 1..60)
 }
 
-/// Returns the sum of the work that counts of all accepted reports, by the documented rules: for each
-/// sequence number the report that was accepted last, for each corrected one the last correction, and nothing
-/// for corrections of corrections.
+/// Returns the sum of the work of the accepted reports that are in effect, excess included: for each sequence
+/// number the report that was accepted last, for each corrected sequence number its last correction, and
+/// nothing for corrections of corrections.
 fn accepted_work(accepted: &BTreeMap<(Name, u64, u64), UsageReport>) -> i64 {
     let corrected = |key: &(Name, u64, u64)| {
         let corrections =
@@ -50,6 +50,7 @@
         as i64
 }
 
+/// Returns the sum of work, adjustments and excess in slot-milliseconds.
 fn total_work(closed: &[ClosedWindow]) -> i64 {
     let work = closed.iter().flat_map(|window| window.work.values()).sum::<u64>() as i64;
     work + closed
@@ -108,7 +109,7 @@
     }
 
     #[test]
-    fn provisional_shares_differ_by_at_most_twice_the_outstanding_work(
+    fn provisional_shares_differ_from_complete_ones_by_at_most_twice_the_outstanding_work(
         mut usages in prop::collection::vec((0_u8..3, 0_u8..4, 0_u64..4_000), 0..40),
         late in prop::collection::vec(any::<bool>(), 40),
     ) {
@@ -134,6 +135,7 @@
             allocate_shares(&policy(), &TenantDemands::from_measured_usage(&policy(), work, capacity, &no_debts), &ReservedShares::default())
         };
         let (before, after) = (shares(&provisional.work), shares(&complete.provisional_usage(BEGIN_MS).work));
+        // Twice the outstanding work in parts per million of the fleet, and 8 for the rounding of shares.
         let bound = (2 * provisional.max_outstanding * u64::from(FULL_SHARE_PPM)).div_ceil(capacity) as u32 + 8;
         for (tenant, share) in &before.tenants {
             prop_assert!(share.share.abs_diff(after.tenants[tenant].share) <= bound);
--- a/crates/fair-share/tests/support/mod.rs
+++ b/crates/fair-share/tests/support/mod.rs
@@ -30,7 +30,7 @@
 }
 
 /// Creates a ledger with reporters `r0` to `r2`, which may report on all federations, and `p`, which may
-/// report only on `f1`, each with 10 slots. Federation `f0` has the tenants `t0` and `t2`, `f1` has `t1` and `t3`.
+/// report only on `f1`, each with 10 slots. Federation `f0` has tenants `t0` and `t2`, `f1` has `t1` and `t3`.
 pub(crate) fn ledger() -> UsageLedger {
     let mut ledger = UsageLedger::new(settings(), BEGIN_MS).expect("the settings should be valid");
     let reporter = |federation: Option<&str>| Reporter { slots: SLOTS, federation: federation.map(name) };
--- a/crates/fair-share/tests/transcripts.rs
+++ b/crates/fair-share/tests/transcripts.rs
@@ -149,7 +149,7 @@
 
     let mut debts = Debts::new(4);
     let entitlements: BTreeMap<Name, u64> = [(name("t0"), 3_000), (name("t1"), 3_000)].into();
-    closed.iter().for_each(|window| debts.settle(window, &entitlements));
+    closed.iter().for_each(|window| debts.add_window(window, &entitlements));
     let provisional = ledger.provisional_usage(BEGIN_MS + 2_000);
     let demands = TenantDemands::from_measured_usage(
         &policy(),
--- a/crates/fair-share/tests/unit/apportionment.rs
+++ b/crates/fair-share/tests/unit/apportionment.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the private items of `apportionment`, which includes this file as its `tests`.
+//! Unit tests of `apportionment`, which includes this file as its `tests`.
 use super::*;
 
 #[test]
--- a/crates/fair-share/tests/unit/fairness_index.rs
+++ b/crates/fair-share/tests/unit/fairness_index.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the private items of `fairness_index`, which includes this file as its `tests`.
+//! Unit tests of `fairness_index`, which includes this file as its `tests`.
 use super::*;
 
 #[test]
--- a/crates/fair-share/tests/unit/policy.rs
+++ b/crates/fair-share/tests/unit/policy.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the private items of `policy`, which includes this file as its `tests`.
+//! Unit tests of `policy`, which includes this file as its `tests`.
 use super::*;
 
 fn config(weight: u32, guarantee: u32, ceiling: u32) -> ShareConfig {
--- a/crates/fair-share/tests/unit/water_filling.rs
+++ b/crates/fair-share/tests/unit/water_filling.rs
@@ -32,7 +32,7 @@
         prop_assert_eq!(parts.iter().sum::<u32>(), capacity.min(maximum_sum));
         for ((part, exact), claimant) in parts.iter().zip(raise_level_in_small_steps(capacity, &claimants)).zip(&claimants) {
             prop_assert!((claimant.minimum..=claimant.maximum).contains(part));
-            // The tolerance is one unit of rounding and one step of the level.
+            // The tolerance is one unit of rounding and six steps of the level.
             prop_assert!((840 * u64::from(*part)).abs_diff(exact) <= 840 + 6 * claimant.weight);
         }
     }
