--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -1,12 +1,12 @@
-//! The command line's grammar. The doc comments below are the help that is printed.
+//! Command-line arguments. The doc comments on commands and arguments are printed as help texts.
 use std::path::PathBuf;
 
 use clap::{Parser, Subcommand};
 
-/// Forwards requests to workers: each to the one with the lowest estimated finish time, or rejects it on arrival.
+/// Forwards each request to the worker with the lowest estimated finish time, or rejects it on arrival.
 #[derive(Debug, Parser)]
 #[command(name = "copperspread-scheduler", version, arg_required_else_help = false)]
-#[command(after_help = "With no command, EDGE_CONFIG must name the platform's configuration.")]
+#[command(after_help = "Without a command, EDGE_CONFIG must name the platform's configuration file.")]
 pub(crate) struct CommandLine {
     #[command(subcommand)]
     pub(crate) command: Option<Command>,
@@ -14,14 +14,15 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Serve until SIGTERM; SIGHUP reads the configuration again
+    /// Serve until SIGTERM; SIGHUP reloads the configuration
     Serve(ServeArguments),
-    /// Check a configuration and print what is in force, with each value's origin
+    /// Check a configuration and print each effective value with its origin
     #[cfg(feature = "standalone")]
     Check {
         #[command(flatten)]
         layers: LayerArguments,
-        /// The file: TOML, or the platform's JSON if it ends in .json; absent, the built-in default
+        /// Configuration file: TOML, or the platform's JSON if it ends in .json; if omitted, the built-in
+        /// default
         file: Option<PathBuf>,
     },
     /// Describe the configuration
@@ -32,16 +33,16 @@
     #[cfg(feature = "standalone")]
     #[command(subcommand)]
     Records(EventLogCommand),
-    /// Print a shell's completions
+    /// Print a shell completion script
     #[cfg(feature = "standalone")]
     Completions {
-        /// The shell
+        /// Shell to print the script for
         shell: clap_complete::Shell,
     },
-    /// Run a toy worker on 127.0.0.1:9001, and its discovery on 127.0.0.1:8500
+    /// Run a toy worker on 127.0.0.1:9001 and the discovery that lists it on 127.0.0.1:8500
     #[cfg(feature = "toy")]
     Toy {
-        /// The scheduler to call back
+        /// Address of the scheduler that receives the callbacks
         #[arg(long, default_value = "127.0.0.1:8081")]
         scheduler: std::net::SocketAddr,
     },
@@ -52,33 +53,33 @@
 pub(crate) enum EventLogCommand {
     /// Print the events as they are, without lines that are no events; what is missing goes to standard error
     Cat {
-        /// The file
+        /// File of the event log
         file: PathBuf,
-        /// Only those of the request with this id
+        /// Print only the events of the request with this id
         #[arg(long = "flow", value_name = "FLOW")]
         request_id: Option<String>,
-        /// The files that were rotated too, oldest first
+        /// Also read the rotated files, oldest first
         #[arg(long = "all")]
         with_rotated: bool,
     },
     /// Sum the events of one or many schedulers by time and by worker
     Fleet {
-        /// The files, or folders of files, one a scheduler; other lines in them are skipped
+        /// Files, one per scheduler, or folders of such files; lines that are not events are skipped
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Seconds that are summed in one line
+        /// Length of the time window summed in one line, in seconds
         #[arg(long = "window", default_value_t = 5, value_name = "WINDOW")]
         #[arg(value_parser = clap::value_parser!(u64).range(1..))]
         window_seconds: u64,
-        /// How many workers are listed, those with the most attempts in flight first
+        /// Maximum number of workers to list, those with the most attempts in flight first
         #[arg(long = "workers", default_value_t = 20, value_name = "WORKERS")]
         max_workers: usize,
     },
     /// Sum the events up: runs, gaps, disorder, and what clients got
     Stat {
-        /// The file
+        /// File of the event log
         file: PathBuf,
-        /// The files that were rotated too, oldest first
+        /// Also read the rotated files, oldest first
         #[arg(long = "all")]
         with_rotated: bool,
     },
@@ -89,15 +90,15 @@
     #[cfg(feature = "standalone")]
     #[command(flatten)]
     pub(crate) layers: LayerArguments,
-    /// The configuration, TOML; absent, EDGE_CONFIG's if that is set, or else the built-in default
+    /// Configuration file in TOML; if omitted, the file named by EDGE_CONFIG, or else the built-in default
     #[cfg(feature = "standalone")]
     #[arg(long = "config", env = "COPPERSPREAD_CONFIG", value_name = "FILE")]
     pub(crate) config_file: Option<PathBuf>,
-    /// Run a toy worker too, in place of the first worker of the static list
+    /// Also run a toy worker in place of the first worker of the static list
     #[cfg(feature = "toy")]
     #[arg(long = "toy")]
     pub(crate) with_toy_worker: bool,
-    /// Write the event log to a file, or `-` for standard error, whatever the configuration says
+    /// Write the event log to this file, or to standard error if `-`; overrides the configuration
     #[arg(long = "records", value_name = "FILE")]
     pub(crate) event_log_file: Option<PathBuf>,
 }
@@ -105,7 +106,7 @@
 #[cfg(feature = "standalone")]
 #[derive(Debug, Default, clap::Args)]
 pub(crate) struct LayerArguments {
-    /// Set a value, before all else: --set limits.memory="64 MB"; may come several times
+    /// Set a value, overriding all other layers: --set limits.memory="64 MB"; may be repeated
     #[arg(long = "set", value_name = "KEY=VALUE")]
     pub(crate) overrides: Vec<String>,
 }
