--- a/crates/scheduler/src/commands/check.rs
+++ b/crates/scheduler/src/commands/check.rs
@@ -1,14 +1,15 @@
-//! `check`: whether a configuration can be used, and what is in force.
+//! The `check` command, which checks a configuration and prints its effective values.
 use std::path::Path;
 
 use super::error::CommandError;
 use super::output::print;
 use crate::configuration::{layers, platform};
 
-/// Checks a configuration and prints what is in force.
+/// Checks a configuration and prints its effective values.
 ///
 /// # Errors
-/// All that is wrong, a line each.
+/// Fails if the configuration is not valid or the output cannot be written. The message lists all faults of
+/// layers, one per line, but only the first fault of a platform file.
 pub(super) fn check(file: Option<&Path>, overrides: &[String]) -> Result<(), CommandError> {
     match file.filter(|path| path.extension().is_some_and(|extension| extension == "json")) {
         Some(path) if overrides.is_empty() => check_platform_config(path),
--- a/crates/scheduler/src/commands/describe.rs
+++ b/crates/scheduler/src/commands/describe.rs
@@ -1,4 +1,4 @@
-//! `config`: descriptions of the configuration.
+//! The `config` command, which prints descriptions of the configuration.
 use super::error::CommandError;
 use super::output::print;
 use crate::cli::ConfigDescription;
@@ -6,7 +6,7 @@
 /// Prints a description of the configuration.
 ///
 /// # Errors
-/// An output that cannot be written.
+/// Fails if the description cannot be generated or the output cannot be written.
 pub(super) fn print_description(what: &ConfigDescription) -> Result<(), CommandError> {
     match what {
         ConfigDescription::Schema => print(&schema()?),
--- a/crates/scheduler/src/commands/error.rs
+++ b/crates/scheduler/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command cannot be carried out, as it is printed.
+//! Errors of the commands. Their messages are printed to standard error.
 #[cfg(feature = "standalone")]
 use std::error::Error;
 #[cfg(any(feature = "standalone", feature = "toy"))]
@@ -9,21 +9,21 @@
 use crate::configuration::ConfigError;
 use crate::serve::StartError;
 
-/// Why a command cannot be carried out.
+/// Error of a command.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum CommandError {
-    /// No command was given, and the environment names no configuration to serve by.
+    /// No command was given, and the environment does not name the platform's configuration.
     #[error("EDGE_CONFIG names no configuration, and no command was given; try `{program} --help`")]
     NoCommand {
         /// The program's name.
         program: String,
     },
-    /// This build serves by the platform's configuration alone, and the environment names none.
+    /// This build reads only the platform's configuration, and the environment does not name it.
     #[cfg(not(feature = "standalone"))]
     #[error("EDGE_CONFIG names no configuration")]
     NoConfiguration,
-    /// The scheduler, or a part of it that the command needs, did not start.
+    /// The scheduler, or a component of it that the command needs, did not start.
     #[error(transparent)]
     Start(#[from] StartError),
     /// The configuration cannot be used.
@@ -33,11 +33,11 @@
     #[cfg(feature = "standalone")]
     #[error("--set goes with TOML; the platform's JSON has no layers")]
     OverridesOfPlatformConfig,
-    /// A description of the configuration cannot be put into words.
+    /// A description of the configuration cannot be generated.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     Description(Box<dyn Error + Send + Sync>),
-    /// An event cannot be written as JSON.
+    /// A value cannot be serialized as JSON.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     Json(#[from] serde_json::Error),
@@ -45,16 +45,16 @@
     #[cfg(feature = "standalone")]
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// What the system answered.
+        /// The I/O error.
         source: io::Error,
     },
-    /// Standard output cannot be written.
+    /// Standard output cannot be written to.
     #[cfg(feature = "standalone")]
     #[error("standard output: {0}")]
     Output(#[source] io::Error),
-    /// The toy worker or its discovery cannot listen.
+    /// The toy worker or the toy discovery cannot listen.
     #[cfg(feature = "toy")]
     #[error(transparent)]
     ToyWorker(io::Error),
--- a/crates/scheduler/src/commands/event_log.rs
+++ b/crates/scheduler/src/commands/event_log.rs
@@ -1,4 +1,4 @@
-//! `records`: what event logs hold.
+//! The `records` commands, which read event logs.
 use std::fs::File;
 use std::io::{BufReader, BufWriter, Write};
 use std::path::{Path, PathBuf};
@@ -12,76 +12,77 @@
 use super::output::print;
 use crate::cli::EventLogCommand;
 
-/// Carries out one of the commands.
+/// Executes a `records` command.
 ///
 /// # Errors
-/// A file that cannot be read, or an output that cannot be written.
+/// Fails if a file cannot be read or the output cannot be written.
 pub(super) fn execute(command: EventLogCommand) -> Result<(), CommandError> {
     match command {
         EventLogCommand::Cat { file, request_id, with_rotated } => {
             print_events(&file, request_id.as_deref(), with_rotated)
         }
-        EventLogCommand::Stat { file, with_rotated } => print_report(&file, with_rotated),
+        EventLogCommand::Stat { file, with_rotated } => print_summary(&file, with_rotated),
         EventLogCommand::Fleet { files, window_seconds, max_workers } => {
-            print_fleet_report(&files, window_seconds, max_workers)
+            print_fleet_summary(&files, window_seconds, max_workers)
         }
     }
 }
 
-/// Prints events, those of one request or all, and on standard error what is missing or is no event.
+/// Prints all events or those of one request. Missing events and lines that are not events are reported on
+/// standard error.
 fn print_events(file: &Path, request_id: Option<&str>, with_rotated: bool) -> Result<(), CommandError> {
     let mut output = BufWriter::new(std::io::stdout().lock());
     let mut is_output_closed = false;
-    // Ids are hexadecimal digits: the quoted id stands nowhere else.
-    let quoted_id = request_id.map(|id| format!("\"flow\":\"{id}\""));
-    let report = read_files(files_oldest_first(file, with_rotated), |line| {
+    // Ids consist of hexadecimal digits, so this text cannot occur elsewhere in an event.
+    let id_field = request_id.map(|id| format!("\"flow\":\"{id}\""));
+    let summary = read_files(files_oldest_first(file, with_rotated), |line| {
         let Line::Record(event) = line else { return Ok(()) };
         let text = serde_json::to_string(event)?;
-        if quoted_id.as_ref().is_none_or(|quoted_id| text.contains(quoted_id)) {
+        if id_field.as_ref().is_none_or(|id_field| text.contains(id_field)) {
             is_output_closed |= writeln!(output, "{text}").is_err();
         }
         Ok(())
     })?;
     is_output_closed |= output.flush().is_err();
     if !is_output_closed {
-        warn_of_missing_events(&report);
+        warn_about_missing_events(&summary);
     }
     Ok(())
 }
 
-fn warn_of_missing_events(report: &StreamSummary) {
-    let missing: u64 = report.runs.iter().map(|run| run.missing()).sum();
-    let disorder: u64 = report.runs.iter().map(|run| run.out_of_order()).sum();
-    if missing > 0 || disorder > 0 || report.invalid_line_count > 0 || report.is_truncated {
+fn warn_about_missing_events(summary: &StreamSummary) {
+    let missing: u64 = summary.runs.iter().map(|run| run.missing()).sum();
+    let out_of_order_count: u64 = summary.runs.iter().map(|run| run.out_of_order()).sum();
+    if missing > 0 || out_of_order_count > 0 || summary.invalid_line_count > 0 || summary.is_truncated {
         eprintln!(
-            "{missing} records are missing, {disorder} out of order; {} lines are none{}",
-            report.invalid_line_count,
-            if report.is_truncated { "; the last is torn" } else { "" },
+            "{missing} records are missing, {out_of_order_count} out of order; {} lines are none{}",
+            summary.invalid_line_count,
+            if summary.is_truncated { "; the last is torn" } else { "" },
         );
     }
 }
 
-/// Prints the sums of one event log.
-fn print_report(file: &Path, with_rotated: bool) -> Result<(), CommandError> {
+/// Prints the summary of one event log.
+fn print_summary(file: &Path, with_rotated: bool) -> Result<(), CommandError> {
     print(&read_files(files_oldest_first(file, with_rotated), |_| Ok(()))?.to_text())
 }
 
-/// Prints the sums of many schedulers' event logs, each of the paths a file or a folder of files.
-fn print_fleet_report(
+/// Prints a common summary of the event logs of several schedulers. Each path is a file or a folder of files.
+fn print_fleet_summary(
     paths: &[PathBuf],
     window_seconds: u64,
     max_workers: usize,
 ) -> Result<(), CommandError> {
     let mut fleet = FleetSummary::default();
-    read_files(files_below(paths)?, |line| {
+    read_files(expand_folders(paths)?, |line| {
         fleet.add(line);
         Ok(())
     })?;
     print(&fleet.to_text(window_seconds, max_workers))
 }
 
-/// An event log's file, and before it those that were rotated if they are asked for. A rotation that was cut off
-/// half-way leaves a free name among them, or none of the file's own name.
+/// Returns the file of an event log, preceded by its rotated files if requested. After an interrupted
+/// rotation a number may be missing among the rotated files, or the file itself.
 fn files_oldest_first(file: &Path, with_rotated: bool) -> Vec<PathBuf> {
     let rotated = if with_rotated { rotated_numbers(file) } else { Vec::new() };
     let mut files: Vec<_> =
@@ -92,7 +93,7 @@
     files
 }
 
-/// The numbers of the rotated files that there are, the latest file's first.
+/// Returns the numbers of the existing rotated files, that of the newest file first.
 fn rotated_numbers(file: &Path) -> Vec<u32> {
     let folder = file.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let name = file.file_name().unwrap_or_default();
@@ -106,8 +107,8 @@
     numbers
 }
 
-/// The files among the paths and directly in the folders among them, in order.
-fn files_below(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CommandError> {
+/// Returns the files among the paths and directly within the folders among them, sorted by path.
+fn expand_folders(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CommandError> {
     let mut files = Vec::new();
     for path in paths {
         if path.is_dir() {
@@ -123,21 +124,21 @@
     Ok(files)
 }
 
-/// Reads files in order, line by line, and reports on them together.
+/// Reads files in order, passes each line to `on_line` and returns a common summary.
 fn read_files(
     files: Vec<PathBuf>,
     mut on_line: impl FnMut(&Line) -> Result<(), CommandError>,
 ) -> Result<StreamSummary, CommandError> {
-    let mut report = StreamSummary::default();
+    let mut summary = StreamSummary::default();
     for path in files {
         let input = BufReader::new(File::open(&path).map_err(unreadable(&path))?);
         for line in Reader::new(input) {
             let (number, line) = line.map_err(unreadable(&path))?;
-            report.add(number, &line);
+            summary.add(number, &line);
             on_line(&line)?;
         }
     }
-    Ok(report)
+    Ok(summary)
 }
 
 fn unreadable(path: &Path) -> impl FnOnce(std::io::Error) -> CommandError {
--- a/crates/scheduler/src/commands/mod.rs
+++ b/crates/scheduler/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What each command does: it takes a parsed command line and calls the part that carries it out.
+//! Execution of the commands of a parsed command line.
 #[cfg(feature = "standalone")]
 mod check;
 #[cfg(feature = "standalone")]
@@ -16,10 +16,10 @@
 use crate::serve::{self, ServeOptions};
 use error::CommandError;
 
-/// Does what the command line asks for.
+/// Executes the command that the command line names, or serves on the platform if it names none.
 ///
 /// # Errors
-/// Why it cannot be done, as it is printed.
+/// Returns the error of the command. Its message is meant to be printed to standard error.
 pub(crate) fn execute(command_line: CommandLine) -> Result<(), CommandError> {
     let Some(command) = command_line.command else { return serve_on_platform() };
     match command {
@@ -40,10 +40,10 @@
     }
 }
 
-/// Serves by the platform's configuration, which alone needs no command.
+/// Serves with the platform's configuration, the only one that needs no command.
 fn serve_on_platform() -> Result<(), CommandError> {
     if ConfigSource::from_environment().is_none() {
-        // One clear line; the help is for those who ask for it.
+        // A one-line error rather than the whole help.
         return Err(CommandError::NoCommand { program: CommandLine::command().get_name().to_owned() });
     }
     serve(ServeArguments::default())
@@ -59,12 +59,13 @@
     Ok(serve::run(&options)?)
 }
 
-/// The platform's configuration if the environment names it and the command line names no layer, else layers.
+/// Returns the platform's configuration if the environment names one and the command line sets no layer, else
+/// the layers.
 #[cfg(feature = "standalone")]
 fn config_source(arguments: &ServeArguments) -> Result<ConfigSource, CommandError> {
-    let names_layers = arguments.config_file.is_some() || !arguments.layers.overrides.is_empty();
+    let has_layers = arguments.config_file.is_some() || !arguments.layers.overrides.is_empty();
     match ConfigSource::from_environment() {
-        Some(source) if !names_layers => Ok(source),
+        Some(source) if !has_layers => Ok(source),
         _ => Ok(ConfigSource::Layers {
             file: arguments.config_file.clone(),
             overrides: arguments.layers.overrides.clone(),
@@ -80,8 +81,8 @@
 
 #[cfg(feature = "standalone")]
 fn print_completions(shell: clap_complete::Shell) {
-    let mut grammar = CommandLine::command();
-    clap_complete::generate(shell, &mut grammar, "copperspread-scheduler", &mut std::io::stdout());
+    let mut clap_command = CommandLine::command();
+    clap_complete::generate(shell, &mut clap_command, "copperspread-scheduler", &mut std::io::stdout());
 }
 
 #[cfg(feature = "toy")]
--- a/crates/scheduler/src/configuration/error.rs
+++ b/crates/scheduler/src/configuration/error.rs
@@ -1,28 +1,28 @@
-//! Why a configuration cannot be used.
+//! Errors of reading a configuration.
 use std::error::Error;
 use std::path::PathBuf;
 
-/// Why a configuration cannot be used. The text names the place of each fault; it may hold several lines.
+/// Error in a configuration. The message names the place of each fault and may have several lines.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum ConfigError {
     /// The platform's file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system answered.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The platform's file does not hold a valid configuration.
+    /// The platform's file does not contain a valid configuration.
     #[error("{}: {source}", path.display())]
     InvalidPlatformConfig {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The first fault found in it.
+        /// The first fault found in the file.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// The layers hold faults; all of them are listed, one a line.
+    /// The layers contain faults. The message lists all of them, one per line.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     InvalidLayers(#[from] copperspread_config::InvalidConfig),
@@ -30,12 +30,12 @@
     #[cfg(feature = "standalone")]
     #[error("{origin}: log.level: {source}")]
     InvalidLogLevel {
-        /// The layer that sets it.
+        /// The layer that sets the level.
         origin: String,
-        /// What is wrong with it.
+        /// Why the level is not valid.
         source: crate::logging::LevelError,
     },
-    /// The layers are valid each by itself and still describe no scheduler.
+    /// The values are each valid, but no scheduler can be started with their combination.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     Unusable(Box<dyn Error + Send + Sync>),
--- a/crates/scheduler/src/configuration/layers.rs
+++ b/crates/scheduler/src/configuration/layers.rs
@@ -1,5 +1,6 @@
-//! The configuration of installations other than the platform: TOML, environment and command line in layers
-//! over the built-in default.
+//! Layered configuration of standalone installations.
+//!
+//! The layers are a TOML file, environment variables and the command line, over the built-in default.
 use std::path::Path;
 
 use copperspread_config::{CheckContext, EffectiveConfig, LogFormat};
@@ -14,7 +15,7 @@
 /// Reads and checks the layers.
 ///
 /// # Errors
-/// All faults, one a line.
+/// Fails if the layers contain faults. The message lists all of them, one per line.
 pub(super) fn load(
     file: Option<&Path>,
     overrides: &[String],
@@ -23,7 +24,7 @@
     let effective = read_effective(file, overrides)?;
     Ok(LoadedConfig {
         log: log_config(&effective),
-        event_log: event_log_spec(&effective),
+        event_log: event_log_config(&effective),
         membership: MembershipConfig::from_config(&effective.config),
         startup: startup_config(&effective, default_seed)?,
     })
@@ -32,7 +33,7 @@
 /// Merges and checks the layers, and keeps each value's origin.
 ///
 /// # Errors
-/// All faults, one a line.
+/// Fails if the layers contain faults. The message lists all of them, one per line.
 pub(crate) fn read_effective(
     file: Option<&Path>,
     overrides: &[String],
@@ -43,10 +44,10 @@
     Ok(effective)
 }
 
-/// The part that describes the scheduler. The default seed is used where no layer sets one.
+/// Extracts the settings that the scheduler is started with. `default_seed` applies if no layer sets a seed.
 ///
 /// # Errors
-/// Values that are valid each by itself and still describe no scheduler.
+/// Fails if the values are each valid, but no scheduler can be started with their combination.
 pub(crate) fn startup_config(
     effective: &EffectiveConfig,
     default_seed: u64,
@@ -54,7 +55,7 @@
     effective.config.startup_config(default_seed).map_err(|error| ConfigError::Unusable(error.into()))
 }
 
-/// The bounds that this process has from outside.
+/// Returns the limits of this process that the configuration is checked against.
 fn process_limits() -> CheckContext {
     CheckContext {
         descriptor_limit: getrlimit(Resource::Nofile).current,
@@ -74,7 +75,7 @@
     }
 }
 
-fn event_log_spec(effective: &EffectiveConfig) -> Option<writer::EventLogConfig> {
+fn event_log_config(effective: &EffectiveConfig) -> Option<writer::EventLogConfig> {
     let records = &effective.config.records;
     records.file.clone().map(|file| writer::EventLogConfig {
         path: file,
--- a/crates/scheduler/src/configuration/loaded.rs
+++ b/crates/scheduler/src/configuration/loaded.rs
@@ -1,25 +1,25 @@
-//! What every form of configuration is read into.
+//! The configuration as read, the same for each source.
 use copperspread_event_log::writer;
 use copperspread_settings::StartupConfig;
 
 use crate::logging::LogConfig;
 
-/// One complete configuration, as read at one time.
+/// A complete configuration, read from the platform's JSON file or from layers.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadedConfig {
-    /// The scheduler itself.
+    /// Settings of the scheduler.
     pub(crate) startup: StartupConfig,
-    /// The log.
+    /// Settings of the log.
     pub(crate) log: LogConfig,
-    /// The event log, if one is kept. The platform has no lasting disk: none there.
+    /// Settings of the event log, if one is written. `None` on the platform, which has no persistent disk.
     pub(crate) event_log: Option<writer::EventLogConfig>,
-    /// Membership among schedulers, if it is on. The platform names no other schedulers: off there.
+    /// Settings of membership, if it is on. `None` on the platform, which does not name the other schedulers.
     #[cfg(feature = "standalone")]
     pub(crate) membership: Option<crate::membership::MembershipConfig>,
 }
 
 impl LoadedConfig {
-    /// The parts in which `other` differs and which only a restart can change.
+    /// Returns the names of the parts in which `other` differs and that only a restart can change.
     pub(crate) fn restart_only_changes(&self, other: &LoadedConfig) -> Vec<&'static str> {
         let mut parts = self.startup.restart_only_changes(&other.startup);
         if self.log.json != other.log.json {
--- a/crates/scheduler/src/configuration/mod.rs
+++ b/crates/scheduler/src/configuration/mod.rs
@@ -1,7 +1,7 @@
-//! Where a configuration comes from, and what all its forms are read into.
+//! Reading of the configuration.
 //!
-//! [`ConfigSource`] names the place and reads it, again on SIGHUP; `platform` and `layers` each read one form
-//! into a [`LoadedConfig`]. Nothing here starts anything.
+//! A [`ConfigSource`] is read at the start and again on SIGHUP. `platform` reads the platform's JSON file and
+//! `layers` the layers of a standalone installation, each into a [`LoadedConfig`].
 mod error;
 #[cfg(feature = "standalone")]
 pub(crate) mod layers;
--- a/crates/scheduler/src/configuration/platform.rs
+++ b/crates/scheduler/src/configuration/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: one JSON file.
+//! The platform's configuration, a single JSON file.
 use std::path::Path;
 
 use copperspread_settings::{StartupConfig, platform};
@@ -6,10 +6,10 @@
 use super::{ConfigError, LoadedConfig};
 use crate::logging::LogConfig;
 
-/// Reads the platform's file. It configures neither log, event log nor membership.
+/// Reads the platform's file, which configures neither the log, the event log nor membership.
 ///
 /// # Errors
-/// As [`read_startup_config`].
+/// Fails if the file cannot be read or is not valid. The message names the first fault.
 pub(super) fn load(path: &Path) -> Result<LoadedConfig, ConfigError> {
     Ok(LoadedConfig {
         startup: read_startup_config(path)?,
@@ -20,10 +20,10 @@
     })
 }
 
-/// Reads the part of the platform's file that describes the scheduler.
+/// Reads the settings that the scheduler is started with from the platform's file.
 ///
 /// # Errors
-/// A file that cannot be read, or the first fault in it.
+/// Fails if the file cannot be read or is not valid. The message names the first fault.
 pub(crate) fn read_startup_config(path: &Path) -> Result<StartupConfig, ConfigError> {
     let content = std::fs::read_to_string(path)
         .map_err(|source| ConfigError::Unreadable { path: path.to_owned(), source })?;
--- a/crates/scheduler/src/configuration/source.rs
+++ b/crates/scheduler/src/configuration/source.rs
@@ -1,12 +1,12 @@
-//! The place of a configuration.
+//! The source that a configuration is read from.
 use std::path::PathBuf;
 
 use super::{ConfigError, LoadedConfig, platform};
 
-/// The environment variable that names the platform's configuration file.
-const PLATFORM_CONFIG_VARIABLE: &str = "EDGE_CONFIG";
+/// Environment variable that names the platform's configuration file.
+const PLATFORM_CONFIG_ENV_VAR: &str = "EDGE_CONFIG";
 
-/// Where a configuration is read, at the start and again on SIGHUP.
+/// Source of the configuration, read at the start and again on SIGHUP.
 #[derive(Clone, Debug)]
 pub(crate) enum ConfigSource {
     /// The platform's JSON file.
@@ -14,22 +14,22 @@
     /// Layers over the built-in default.
     #[cfg(feature = "standalone")]
     Layers {
-        /// The TOML file among them.
+        /// TOML file, if there is one.
         file: Option<PathBuf>,
-        /// `key=value` from the command line, over all other layers.
+        /// `key=value` pairs from the command line, which override all other layers.
         overrides: Vec<String>,
-        /// The random seed where no layer sets one.
+        /// Random seed if no layer sets one.
         default_seed: u64,
     },
 }
 
 impl ConfigSource {
-    /// The file that the platform names in the environment.
+    /// Returns the platform's file if the environment names one.
     pub(crate) fn from_environment() -> Option<ConfigSource> {
-        std::env::var_os(PLATFORM_CONFIG_VARIABLE).map(|path| ConfigSource::Platform(path.into()))
+        std::env::var_os(PLATFORM_CONFIG_ENV_VAR).map(|path| ConfigSource::Platform(path.into()))
     }
 
-    /// Whether a file that is cut short may be a valid configuration by itself. A JSON object never is.
+    /// Returns whether a truncated file may be a valid configuration. A truncated JSON object never is.
     pub(crate) fn may_be_valid_when_truncated(&self) -> bool {
         match self {
             ConfigSource::Platform(_) => false,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The file's content as it is now; empty where there is none, or where it cannot be read.
+    /// Returns the current content of the file; empty if there is no file or it cannot be read.
     pub(crate) fn content(&self) -> Vec<u8> {
         let path = match self {
             ConfigSource::Platform(path) => Some(path),
@@ -48,10 +48,10 @@
         path.and_then(|path| std::fs::read(path).ok()).unwrap_or_default()
     }
 
-    /// Reads the configuration as it is now.
+    /// Reads the current configuration.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Fails if the configuration cannot be read or is not valid.
     pub(crate) fn load(&self) -> Result<LoadedConfig, ConfigError> {
         match self {
             ConfigSource::Platform(path) => platform::load(path),
--- a/crates/scheduler/src/log_targets.rs
+++ b/crates/scheduler/src/log_targets.rs
@@ -1,10 +1,9 @@
-//! The log targets of parts that have been renamed, so that levels written for the old names keep their effect.
+//! Replacement of former log target names, so that level settings written for them still apply.
 
-/// Old targets and those that replace them, the longer before those that they begin with.
+/// Former targets with their replacements. A target comes before any shorter one that is its prefix.
 ///
-/// The old `copperspread` alone is not here: a target covers all targets that begin with it, so that this one
-/// covers every crate, before the renames as after. `copperspread_settings` and `copperspread_config` kept
-/// their names.
+/// A target applies to all targets that begin with it. `copperspread` alone therefore applies to every crate
+/// and needs no entry. `copperspread_settings` and `copperspread_config` have kept their names.
 const RENAMED_TARGETS: &[(&str, &str)] = &[
     ("copperspread_node::front", "copperspread_proxy::downstream"),
     ("copperspread_node::back", "copperspread_proxy::upstream"),
@@ -13,15 +12,15 @@
     ("copperspread_node::decisions", "copperspread_proxy::policy_handle"),
     ("copperspread_node", "copperspread_proxy"),
     ("copperspread_decisions", "copperspread_dispatcher"),
-    // With the colons, as `copperspread_membership` alone would cover the transport too, which the old name
-    // did not. The crate logs nothing at its root.
+    // The colons are needed because `copperspread_membership` alone would also apply to the transport, which
+    // the former name did not. Nothing is logged in the root module of the crate, so no target is missed.
     ("copperspread_cluster", "copperspread_membership::"),
     ("copperspread_peers", "copperspread_membership_transport"),
     ("copperspread_records", "copperspread_event_log"),
     ("copperspread::", "copperspread_scheduler::"),
 ];
 
-/// Replaces the old targets in a list of levels such as `info,copperspread_node=debug`.
+/// Replaces former targets in a list of levels such as `info,copperspread_node=debug`.
 pub(crate) fn with_current_targets(levels: &str) -> String {
     levels.split(',').map(with_current_target).collect::<Vec<_>>().join(",")
 }
@@ -30,7 +29,7 @@
     let target = directive.trim_start();
     for (old, new) in RENAMED_TARGETS {
         if let Some(rest) = target.strip_prefix(old)
-            && ends_a_name(old, rest)
+            && is_whole_name(old, rest)
         {
             return join_target(new, rest);
         }
@@ -38,12 +37,13 @@
     directive.to_owned()
 }
 
-/// Whether a name that is followed by `rest` ends there, and is not the beginning of a longer one.
-fn ends_a_name(name: &str, rest: &str) -> bool {
+/// Returns whether `name`, which is followed by `rest`, is a whole name rather than the prefix of a longer
+/// one.
+fn is_whole_name(name: &str, rest: &str) -> bool {
     name.ends_with(':') || rest.starts_with(['=', ':', '[']) || rest.trim_start().is_empty()
 }
 
-/// Joins a target and what follows it, with the colons between them once.
+/// Joins a target and the text that follows it without repeating the `::` between them.
 fn join_target(target: &str, rest: &str) -> String {
     let rest = if target.ends_with("::") { rest.strip_prefix("::").unwrap_or(rest) } else { rest };
     format!("{target}{rest}")
--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -1,7 +1,7 @@
-//! The log: text on a terminal, JSON lines otherwise, on standard error.
+//! Log output on standard error: text if that is a terminal, JSON lines otherwise.
 //!
-//! A thread of its own writes it from a bounded queue, so that a log that nobody reads neither blocks nor ends
-//! the scheduler: lines that do not fit are dropped and counted.
+//! A separate thread writes the lines from a bounded queue. Lines that do not fit into the queue are dropped
+//! and counted, so that a reader that is slow or gone neither blocks nor ends the scheduler.
 use std::io::{IsTerminal, stderr};
 
 use tracing::Subscriber;
@@ -15,17 +15,17 @@
 
 use crate::log_targets::with_current_targets;
 
-/// Lines that may wait to be written: at some hundred bytes each, about a megabyte.
+/// Capacity of the queue of the log writer: about a megabyte at some hundred bytes a line.
 const MAX_QUEUED_LINES: usize = 4_096;
-/// The environment variable whose levels take precedence over the configuration's.
-const LEVEL_VARIABLE: &str = "RUST_LOG";
+/// Environment variable whose levels take precedence over the configuration's.
+const LEVELS_ENV_VAR: &str = "RUST_LOG";
 
-/// How the log is kept.
+/// Log settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LogConfig {
-    /// The level, for all or by target. RUST_LOG takes precedence.
+    /// Level for all targets or by target. RUST_LOG takes precedence.
     pub(crate) level: String,
-    /// Whether lines are JSON; absent, they are unless standard error is a terminal.
+    /// Whether lines are JSON. If `None`, they are unless standard error is a terminal.
     pub(crate) json: Option<bool>,
 }
 
@@ -35,24 +35,24 @@
     }
 }
 
-/// Why a list of levels is not valid.
+/// Error in a list of log levels.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum LevelError {
-    /// No level of this name.
+    /// There is no level of this name.
     #[error("{0:?} is no level; one of off, error, warn, info, debug, trace")]
     UnknownLevel(String),
-    /// A target that cannot be read.
+    /// A target cannot be parsed.
     #[error("{levels:?}: {source}")]
     InvalidTarget {
         /// The list of levels.
         levels: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: ParseError,
     },
 }
 
-/// Why the log does not start or take another level.
+/// Error when starting the log or changing its levels.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum LogError {
@@ -62,28 +62,28 @@
     /// The configuration's level is not valid.
     #[error("log.level: {0}")]
     Configuration(#[source] LevelError),
-    /// The log was started before.
+    /// The log is already started.
     #[error("log: {0}")]
     AlreadyStarted(#[from] TryInitError),
-    /// The running log cannot take another level.
+    /// The levels of the running log cannot be changed.
     #[error("log.level: {0}")]
     Reload(#[from] reload::Error),
 }
 
-/// The running log. Its writer thread ends, after the last lines, when this is dropped.
+/// Handle of the running log. When it is dropped, the writer thread writes the queued lines and ends.
 pub(crate) struct Log {
     levels: reload::Handle<Targets, Registry>,
     dropped: ErrorCounter,
     _writer: WorkerGuard,
 }
 
-/// Reads a level, for all or by target, such as `info` or `info,copperspread_proxy=debug`. Targets from before
-/// the crates were renamed are read as the present ones.
+/// Parses a list of levels, for all targets or by target, such as `info` or `info,copperspread_proxy=debug`.
+/// Former target names are replaced by the current ones.
 ///
 /// # Errors
-/// A level that does not exist, or a target that cannot be read.
+/// Fails if a level does not exist or a target cannot be parsed.
 pub(crate) fn parse_levels(levels: &str) -> Result<Targets, LevelError> {
-    // A misspelt level would pass for the name of a target.
+    // `Targets` would take a misspelt level for the name of a target.
     for directive in levels.split(',').map(str::trim) {
         let level = directive.rsplit('=').next().unwrap_or_default();
         if level.is_empty() || level.parse::<LevelFilter>().is_err() {
@@ -95,9 +95,9 @@
         .map_err(|source| LevelError::InvalidTarget { levels: levels.to_owned(), source })
 }
 
-/// RUST_LOG's levels, or else the configuration's.
+/// Returns the levels from RUST_LOG if it is set and not empty, else those of the configuration.
 fn effective_levels(config: &LogConfig) -> Result<Targets, LogError> {
-    match std::env::var(LEVEL_VARIABLE) {
+    match std::env::var(LEVELS_ENV_VAR) {
         Ok(levels) if !levels.is_empty() => parse_levels(&levels).map_err(LogError::Environment),
         _ => parse_levels(&config.level).map_err(LogError::Configuration),
     }
@@ -106,18 +106,19 @@
 /// Starts the log.
 ///
 /// # Errors
-/// A level that is not valid, or a log that was started before.
+/// Fails if a level is not valid or the log is already started.
 pub(crate) fn start(config: &LogConfig) -> Result<Log, LogError> {
     let (filter, levels) = reload::Layer::new(effective_levels(config)?);
     let queue = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
     let (output, writer) = queue.thread_name("log").finish(stderr());
     let dropped = output.error_counter();
     let json = config.json.unwrap_or(!stderr().is_terminal());
-    tracing_subscriber::registry().with(filter).with(line_format(output, json)).try_init()?;
+    tracing_subscriber::registry().with(filter).with(format_layer(output, json)).try_init()?;
     Ok(Log { levels, dropped, _writer: writer })
 }
 
-fn line_format<S: Subscriber + for<'a> LookupSpan<'a>>(
+/// Creates the layer that formats lines as JSON or as text.
+fn format_layer<S: Subscriber + for<'a> LookupSpan<'a>>(
     output: NonBlocking,
     json: bool,
 ) -> Box<dyn Layer<S> + Send + Sync> {
@@ -126,15 +127,15 @@
 }
 
 impl Log {
-    /// Takes a configuration's level while running. The form of the lines stays.
+    /// Applies the levels of a new configuration. The line format does not change.
     ///
     /// # Errors
-    /// A level that is not valid: the old one stays.
+    /// Fails if a level is not valid; the old levels then stay in force.
     pub(crate) fn reload(&self, config: &LogConfig) -> Result<(), LogError> {
         Ok(self.levels.reload(effective_levels(config)?)?)
     }
 
-    /// Lines dropped so far.
+    /// Returns how many lines have been dropped because the queue was full.
     pub(crate) fn dropped_lines(&self) -> usize {
         self.dropped.dropped_lines()
     }
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -1,18 +1,20 @@
-//! The scheduler's program: command line, configuration, start, signals and log.
+//! The scheduler program: the process that reads the configuration, starts the components and serves until
+//! SIGTERM.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | `cli` | the command line's grammar |
-//! | `commands` | what each command does, apart from serving |
-//! | `configuration` | where a configuration comes from, and what all its forms are read into |
-//! | `logging`, `log_targets` | the log and its levels |
-//! | `membership` | membership among schedulers: its start, status page and key |
-//! | `serve` | one scheduler from start to shutdown, and its reloads |
-//! | `toy_worker` | a toy worker and its discovery, for trials |
+//! | `cli` | command-line arguments |
+//! | `commands` | implementation of the commands other than `serve` |
+//! | `configuration` | reading of the configuration from the platform's JSON or from TOML layers |
+//! | `logging`, `log_targets` | log output, levels and former target names |
+//! | `membership` | start, status page and key file of scheduler membership |
+//! | `serve` | one scheduler from start to shutdown, and configuration reloads |
+//! | `toy_worker` | toy worker and toy discovery for trying out the scheduler |
 //!
-//! It knows no protocol and decides nothing about requests.
+//! The dispatch policy and the protocols are in other crates. "The platform" is the hosting environment that
+//! names a JSON configuration file in `EDGE_CONFIG`; any other installation is "standalone" and uses TOML.
 //!
-//! Exit codes: 0 done, 1 what was asked for cannot be done, 2 the command line is wrong.
+//! Exit codes: 0 success, 1 the command failed, 2 the command line is invalid.
 mod cli;
 mod commands;
 mod configuration;
@@ -35,8 +37,7 @@
     match commands::execute(CommandLine::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // Not through the log, which may not have started or may be off. Not by `eprintln!` either: it
-            // panics where standard error is closed.
+            // The log may not be started or may be off, and `eprintln!` panics if standard error is closed.
             let _ = writeln!(std::io::stderr(), "copperspread-scheduler: {error}");
             ExitCode::FAILURE
         }
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -1,5 +1,8 @@
-//! Membership among schedulers, where the configuration asks for it: its start, its status page and its key.
-//! The protocol is in `copperspread-membership`, its sockets and threads in `copperspread-membership-transport`.
+//! Start and end of scheduler membership, if the configuration enables it.
+//!
+//! The protocol is in `copperspread-membership`, its sockets and threads in
+//! `copperspread-membership-transport`. This module reads the configuration and the key file and provides the
+//! status page.
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
@@ -11,71 +14,72 @@
 use copperspread_proxy::downstream::http::StatusPage;
 use tracing::info;
 
-/// The path of the status page.
+/// HTTP path of the membership status page.
 const STATUS_PATH: &str = "/-/cluster";
 
-/// Why a key file cannot be used. No text holds a byte of the key.
+/// Error in a key file. The message never contains any part of the key.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum KeyFileError {
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// What the system answered.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file's content is no key.
+    /// The file's content is not a valid key.
     #[error("{}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why the key is rejected.
         source: KeyError,
     },
 }
 
-/// Why membership does not start.
+/// Error when starting membership.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum MembershipError {
     /// No key file is configured.
     #[error("cluster.key_file is missing")]
     NoKeyFile,
-    /// No address is configured.
+    /// No address to bind is configured.
     #[error("cluster.bind is missing")]
-    NoAddress,
+    NoBindAddress,
     /// The key file cannot be used.
     #[error("cluster.key_file: {0}")]
     KeyFile(#[from] KeyFileError),
-    /// The transport did not start.
+    /// The membership transport did not start.
     #[error("cluster: {0}")]
     Transport(#[from] StartError),
 }
 
-/// Reads the key that a file holds.
+/// Reads the key from a file. One line break at the end is not part of the key.
 ///
 /// # Errors
-/// What is wrong with the file or the key.
+/// Fails if the file cannot be read or its content is not a valid key.
 fn read_key(path: &Path) -> Result<Key, KeyFileError> {
     let bytes =
         std::fs::read(path).map_err(|source| KeyFileError::Unreadable { path: path.to_owned(), source })?;
-    // An editor or `echo` ends the line; another member's file may have been made without.
+    // Editors and `echo` append a line break. Files with and without it contain the same key.
     let line = bytes.strip_suffix(b"\n").unwrap_or(&bytes);
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     Key::new(line).map_err(|source| KeyFileError::Invalid { path: path.to_owned(), source })
 }
 
-/// Checks that a file holds a key.
+/// Checks that a file contains a valid key.
 ///
 /// # Errors
-/// What is wrong with the file or the key, without a byte of it.
+/// Fails if the file cannot be read or its content is not a valid key. The message contains no part of the
+/// key.
 pub(crate) fn check_key_file(path: &Path) -> Result<(), KeyFileError> {
     read_key(path).map(|_| ())
 }
 
-/// What a member is started with.
+/// Settings that a member of the cluster is started with.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct MembershipConfig {
     name: String,
@@ -84,7 +88,7 @@
 }
 
 impl MembershipConfig {
-    /// The part of a configuration that concerns membership; `None` where it is off.
+    /// Extracts the membership settings from a configuration; `None` if membership is off.
     pub(crate) fn from_config(config: &Config) -> Option<MembershipConfig> {
         let (name, zone, cluster) = (&config.name, &config.zones.here, &config.cluster);
         cluster.bind.map(|_| MembershipConfig {
@@ -94,21 +98,21 @@
         })
     }
 
-    /// Starts the member. Its threads end with the returned handle.
+    /// Starts the member. Its threads end when the returned handle is dropped.
     ///
     /// # Errors
-    /// A key that cannot be read, or an address that cannot be bound.
+    /// Fails if the key cannot be read or the address cannot be bound.
     pub(crate) fn start(&self, seed: u64) -> Result<MembershipTransport, MembershipError> {
-        let member = MembershipTransport::start(self.transport_spec(seed)?)?;
+        let member = MembershipTransport::start(self.transport_config(seed)?)?;
         info!(scheduler = self.name, address = %member.local_address(), "membership started");
         Ok(member)
     }
 
-    fn transport_spec(&self, seed: u64) -> Result<TransportConfig, MembershipError> {
+    fn transport_config(&self, seed: u64) -> Result<TransportConfig, MembershipError> {
         let config::MembershipConfig { bind, advertise, key_file, region, .. } = &self.cluster;
         let key = read_key(key_file.as_deref().ok_or(MembershipError::NoKeyFile)?)?;
         Ok(TransportConfig {
-            bind_address: bind.ok_or(MembershipError::NoAddress)?,
+            bind_address: bind.ok_or(MembershipError::NoBindAddress)?,
             advertised_address: *advertise,
             name: self.name.clone(),
             zone: self.zone.clone(),
@@ -130,15 +134,15 @@
     }
 }
 
-/// The status page that shows a member's view of the others.
+/// Creates the status page with a member's view of the cluster.
 pub(crate) fn status_page(member: &MembershipTransport) -> StatusPage {
     let view = member.view_reader();
-    // Plain names and figures, which JSON can always express.
+    // The view consists of names and numbers, which always serialize.
     let json = move || serde_json::to_string(&view()).unwrap_or_default();
     StatusPage { path: STATUS_PATH, json: Arc::new(json) }
 }
 
-/// Waits until a member that is leaving has ended, and logs its counts.
+/// Waits until the threads of a leaving member have ended, and logs its packet and error counts.
 pub(crate) fn wait_until_stopped(member: MembershipTransport) {
     let dropped = member.drop_counts();
     let view = member.shutdown();
--- a/crates/scheduler/src/serve/discovery_handle.rs
+++ b/crates/scheduler/src/serve/discovery_handle.rs
@@ -1,4 +1,4 @@
-//! How a reload reaches the running endpoint source.
+//! Changes of the running endpoint source by a reload.
 use copperspread_proxy::discovery::EndpointSource;
 use copperspread_proxy::discovery::platform::PlatformDiscovery;
 use copperspread_proxy::discovery::static_list::StaticEndpoints;
@@ -6,18 +6,19 @@
 use http::uri::Authority;
 use tokio::sync::watch;
 
-/// Tells the running endpoint source when the configuration names another discovery or another list. It owns
-/// the sending ends; the source watches the receiving ones and ends with the runtime.
+/// Sends a changed discovery address or static list to the running endpoint source. The source holds the
+/// receiving end of the channel and runs until the runtime ends.
 pub(super) enum DiscoveryHandle {
-    /// The address of the platform's discovery.
+    /// Sender of the address of the platform's discovery.
     Platform(watch::Sender<Authority>),
-    /// The static list.
+    /// Sender of the static list.
     Static(watch::Sender<EndpointList>),
 }
 
 impl DiscoveryHandle {
-    /// Makes the endpoint source of a start and its handle. `cached_revision` is that of the list known before.
-    pub(super) fn connect(
+    /// Creates an endpoint source and its handle. `cached_revision` is the revision of the cached list, if
+    /// there is one.
+    pub(super) fn create(
         config: &DiscoveryConfig,
         cached_revision: Option<u64>,
     ) -> (DiscoveryHandle, Box<dyn EndpointSource>) {
@@ -34,8 +35,8 @@
         }
     }
 
-    /// Points the source to what another configuration names; returns whether that is a change. Another kind of
-    /// source is none: that takes a restart.
+    /// Applies the discovery settings of a new configuration; returns whether they change anything. Settings
+    /// for another kind of source are ignored and return false, because changing the kind requires a restart.
     pub(super) fn update(&self, config: DiscoveryConfig) -> bool {
         match (self, config) {
             (DiscoveryHandle::Platform(sender), DiscoveryConfig::Platform(new)) => {
@@ -57,7 +58,7 @@
 
 fn replace_list(current: &mut EndpointList, new: EndpointList) -> bool {
     let is_changed = current.endpoints != new.endpoints;
-    // The endpoint table takes no list that is older than its own.
+    // The endpoint table ignores a list whose revision is older than its own.
     *current = EndpointList { revision: current.revision + 1, ..new };
     is_changed
 }
--- a/crates/scheduler/src/serve/error.rs
+++ b/crates/scheduler/src/serve/error.rs
@@ -1,4 +1,4 @@
-//! Why a scheduler does not start or reload.
+//! Errors of starting a scheduler and of reloading its configuration.
 use std::error::Error;
 use std::io;
 use std::path::PathBuf;
@@ -9,54 +9,54 @@
 use crate::configuration::ConfigError;
 use crate::logging::LogError;
 
-/// Why a scheduler does not start.
+/// Error when starting a scheduler.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum StartError {
     /// The configuration cannot be used.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The log does not start.
+    /// The log cannot be started.
     #[error(transparent)]
     Log(#[from] LogError),
     /// The event log's file cannot be opened.
     #[error("records.file: {}: {source}", path.display())]
     EventLog {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system answered.
+        /// Why the file cannot be opened.
         source: EventLogError,
     },
-    /// The asynchronous runtime does not start.
+    /// The asynchronous runtime cannot be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A signal's handler cannot be installed.
+    /// A signal handler cannot be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
     /// The dispatch policy's settings contradict themselves.
     #[error(transparent)]
     DispatchPolicy(#[from] SettingsError),
-    /// Membership among schedulers does not start.
+    /// Membership cannot be started.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     Membership(#[from] crate::membership::MembershipError),
-    /// The proxy cannot be assembled, such as for an address that cannot be listened on.
+    /// The proxy cannot be assembled, for example because an address cannot be listened on.
     #[error(transparent)]
     Proxy(Box<dyn Error + Send + Sync>),
-    /// A toy worker was asked for and no static list names a worker that it could stand for.
+    /// A toy worker is requested, but there is no static list with a worker that it could replace.
     #[cfg(feature = "toy")]
     #[error("--toy stands for the first worker of a static list")]
     NoWorkerForToy,
 }
 
-/// Why a reload changes nothing.
+/// Error when reloading the configuration. The old configuration then stays in force.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(super) enum ReloadError {
     /// The configuration cannot be used.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The log's level cannot be used.
+    /// The log levels cannot be used.
     #[error(transparent)]
     Log(#[from] LogError),
 }
--- a/crates/scheduler/src/serve/event_log.rs
+++ b/crates/scheduler/src/serve/event_log.rs
@@ -1,4 +1,4 @@
-//! The event log of one run.
+//! Start and end of the event log of one run.
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -7,53 +7,53 @@
 
 use super::error::StartError;
 
-// For a file named on the command line: as the configuration's own defaults, which the platform's build leaves
-// out.
-const DEFAULT_ROTATE_AT_BYTES: u64 = 64_000_000;
-const DEFAULT_ROTATED_FILES: u32 = 4;
-const DEFAULT_MAX_QUEUED_EVENTS: usize = 4_096;
+// Limits of an event log whose file is named on the command line. They equal the defaults of the
+// configuration crate, which the platform's build does not contain.
+const DEFAULT_MAX_FILE_BYTES: u64 = 64_000_000;
+const DEFAULT_MAX_ROTATED_FILES: u32 = 4;
+const DEFAULT_QUEUE_CAPACITY: usize = 4_096;
 
-/// The event log while it is kept, or the absence of one. It owns the writer's thread.
+/// The event log of a run; it records nothing if none is configured.
 pub(super) struct EventLog {
     recorder: Recorder,
     writer: Option<Writer>,
 }
 
-/// What a file that is named on the command line is written by.
-pub(super) fn spec_of_command_line(file: &Path) -> EventLogConfig {
+/// Returns the settings of an event log whose file is named on the command line.
+pub(super) fn config_for_file(file: &Path) -> EventLogConfig {
     EventLogConfig {
         path: file.to_owned(),
-        max_file_bytes: DEFAULT_ROTATE_AT_BYTES,
-        max_rotated_files: DEFAULT_ROTATED_FILES,
-        queue_capacity: DEFAULT_MAX_QUEUED_EVENTS,
+        max_file_bytes: DEFAULT_MAX_FILE_BYTES,
+        max_rotated_files: DEFAULT_MAX_ROTATED_FILES,
+        queue_capacity: DEFAULT_QUEUE_CAPACITY,
     }
 }
 
 impl EventLog {
-    /// Opens the file and starts its writer; with no spec, nothing is recorded.
+    /// Opens the file and starts the writer thread. Without a configuration, nothing is recorded.
     ///
     /// # Errors
-    /// A file that cannot be opened, or that another process writes.
-    pub(super) fn open(spec: Option<EventLogConfig>) -> Result<EventLog, StartError> {
-        let Some(spec) = spec else {
+    /// Fails if the file cannot be opened or is being written by another process.
+    pub(super) fn open(config: Option<EventLogConfig>) -> Result<EventLog, StartError> {
+        let Some(config) = config else {
             return Ok(EventLog { recorder: Recorder::disabled(), writer: None });
         };
-        let path = PathBuf::from(&spec.path);
+        let path = PathBuf::from(&config.path);
         let (recorder, writer) =
-            writer::start_writer(spec).map_err(|source| StartError::EventLog { path, source })?;
+            writer::start_writer(config).map_err(|source| StartError::EventLog { path, source })?;
         Ok(EventLog { recorder, writer: Some(writer) })
     }
 
-    /// What records events.
+    /// Returns the recorder that accepts events for this log.
     pub(super) fn recorder(&self) -> &Recorder {
         &self.recorder
     }
 
-    /// Writes what is queued, waits so long at most for the writer's end and logs the counts.
-    pub(super) fn close(self, max_wait: Duration) {
+    /// Closes the recorder, waits up to `timeout` until the queued events are written, and logs the counts.
+    pub(super) fn close(self, timeout: Duration) {
         let Some(writer) = self.writer else { return };
         self.recorder.close();
-        let is_complete = writer.finish(max_wait);
+        let is_complete = writer.finish(timeout);
         let RecordCounts { written, dropped, failed: lost } = self.recorder.counts();
         info!(written, dropped, lost, is_complete, "event log closed");
     }
--- a/crates/scheduler/src/serve/exit_budget.rs
+++ b/crates/scheduler/src/serve/exit_budget.rs
@@ -1,68 +1,70 @@
-//! Ends parts that may hang, such as on a disk, within a time.
+//! Time limits for ending components that may hang, for example on a disk, before the process must exit.
 use std::sync::mpsc::{RecvTimeoutError, sync_channel};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Kept of the time up to the exit for the last lines of the log.
-const LOG_TIME: Duration = Duration::from_millis(50);
-/// Kept for the event log's last events, before that. Only membership ends before the event log.
+/// Time reserved before the exit deadline for writing the last log lines.
+const LOG_RESERVE: Duration = Duration::from_millis(50);
+/// Time reserved before that for writing the last events. Membership ends first and must leave this time too.
 #[cfg(feature = "standalone")]
-const EVENT_LOG_TIME: Duration = Duration::from_millis(100);
-/// Longest wait for the event log, also where the exit is not due yet.
-const MAX_EVENT_LOG_WAIT: Duration = Duration::from_secs(1);
-/// Time for the end of a scheduler that did not start.
-const FAILED_START_TIME: Duration = Duration::from_secs(2);
+const EVENT_LOG_RESERVE: Duration = Duration::from_millis(100);
+/// Longest wait for the event log, even if the exit deadline is later.
+const MAX_EVENT_LOG_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for ending the components of a scheduler that failed to start.
+const FAILED_START_EXIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Until when the parts of a scheduler whose requests are answered are waited for, one after the other.
+/// The time left until the process must exit, divided among the components that end one after another once
+/// the requests are answered.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct EndDeadlines {
+pub(super) struct ExitBudget {
     exit: Instant,
 }
 
-impl EndDeadlines {
-    /// The process ends at this instant at the latest.
-    pub(super) fn before_exit(exit: Instant) -> EndDeadlines {
-        EndDeadlines { exit }
+impl ExitBudget {
+    /// Creates the budget of a process that must exit by this instant.
+    pub(super) fn until(exit: Instant) -> ExitBudget {
+        ExitBudget { exit }
     }
 
-    /// Those of a scheduler that did not start: no supervisor waits to kill it.
-    pub(super) fn of_failed_start() -> EndDeadlines {
-        EndDeadlines { exit: Instant::now() + FAILED_START_TIME }
+    /// Creates the budget after a failed start, where no supervisor is waiting to send a SIGKILL.
+    pub(super) fn for_failed_start() -> ExitBudget {
+        ExitBudget { exit: Instant::now() + FAILED_START_EXIT_TIMEOUT }
     }
 
-    /// How long membership is waited for.
+    /// Returns how long to wait for membership to end.
     #[cfg(feature = "standalone")]
-    pub(super) fn membership_wait(&self) -> Duration {
-        self.time_left_before(LOG_TIME + EVENT_LOG_TIME)
+    pub(super) fn membership_timeout(&self) -> Duration {
+        self.time_left_before(LOG_RESERVE + EVENT_LOG_RESERVE)
     }
 
-    /// How long the event log is waited for.
-    pub(super) fn event_log_wait(&self) -> Duration {
-        self.time_left_before(LOG_TIME).min(MAX_EVENT_LOG_WAIT)
+    /// Returns how long to wait for the event log to end.
+    pub(super) fn event_log_timeout(&self) -> Duration {
+        self.time_left_before(LOG_RESERVE).min(MAX_EVENT_LOG_TIMEOUT)
     }
 
-    /// How long the log is waited for.
-    pub(super) fn log_wait(&self) -> Duration {
+    /// Returns how long to wait for the log to end.
+    pub(super) fn log_timeout(&self) -> Duration {
         self.time_left_before(Duration::ZERO)
     }
 
+    /// Returns the time left until `reserved` before the exit deadline.
     fn time_left_before(&self, reserved: Duration) -> Duration {
         self.exit.saturating_duration_since(Instant::now()).saturating_sub(reserved)
     }
 }
 
-/// Runs work that may hang in a thread of its own, and waits for its end so long at most; whether it ended.
-pub(super) fn run_bounded(max_wait: Duration, work: impl FnOnce() + Send + 'static) -> bool {
+/// Runs work that may hang in a separate thread and waits up to `timeout` for it; returns whether it ended.
+pub(super) fn run_with_timeout(timeout: Duration, work: impl FnOnce() + Send + 'static) -> bool {
     let (end_sender, ended) = sync_channel::<()>(0);
     let run = move || {
         work();
         drop(end_sender);
     };
-    // Without a thread the work is dropped, and what it owns with it.
+    // If the thread cannot be started, the work and everything that it owns are dropped.
     let is_started = thread::Builder::new().name("end".into()).spawn(run).is_ok();
-    is_started && matches!(ended.recv_timeout(max_wait), Err(RecvTimeoutError::Disconnected))
+    is_started && matches!(ended.recv_timeout(timeout), Err(RecvTimeoutError::Disconnected))
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/bounded_end.rs"]
+#[path = "../../tests/unit/exit_budget.rs"]
 mod tests;
--- a/crates/scheduler/src/serve/mod.rs
+++ b/crates/scheduler/src/serve/mod.rs
@@ -1,14 +1,14 @@
-//! One scheduler from its start to its end.
+//! The run of one scheduler from start to shutdown.
 //!
 //! 1. [`run`] reads the configuration, then starts the log, the event log and the runtime.
-//! 2. `Scheduler::start` starts the parts and serves.
-//! 3. `serve_until_terminated` waits; SIGHUP reloads the configuration, SIGTERM ends the wait.
-//! 4. `Scheduler::shut_down` answers what was accepted and ends.
-//! 5. [`run`] ends the event log and the log, within the time before the SIGKILL.
-mod bounded_end;
+//! 2. `Scheduler::start` starts the components and serves.
+//! 3. `serve_until_terminated` reloads the configuration on SIGHUP and returns on SIGTERM.
+//! 4. `Scheduler::shut_down` waits until the accepted requests are answered and ends the components.
+//! 5. [`run`] ends the event log and the log in time before the SIGKILL that follows a SIGTERM.
 mod discovery_handle;
 mod error;
 mod event_log;
+mod exit_budget;
 mod reload;
 mod scheduler;
 
@@ -21,57 +21,57 @@
 
 use crate::configuration::{ConfigSource, LoadedConfig};
 use crate::logging::{self, Log};
-use bounded_end::{EndDeadlines, run_bounded};
 pub(crate) use error::StartError;
 use event_log::EventLog;
+use exit_budget::{ExitBudget, run_with_timeout};
 use reload::Reloader;
 use scheduler::Scheduler;
 
-/// What the command line says about serving.
+/// Options of serving, from the command line.
 pub(crate) struct ServeOptions {
-    /// Where the configuration is read.
+    /// Source of the configuration.
     pub(crate) source: ConfigSource,
-    /// Whether a toy worker runs in place of the first one listed.
+    /// Whether a toy worker runs in place of the first worker of the static list.
     #[cfg(feature = "toy")]
     pub(crate) with_toy_worker: bool,
-    /// The event log's file; takes precedence over the configuration's.
+    /// File of the event log. It takes precedence over the configuration's event log.
     pub(crate) event_log_file: Option<PathBuf>,
 }
 
 /// Serves until SIGTERM.
 ///
 /// # Errors
-/// A configuration that cannot be used, or a part that does not start.
+/// Fails if the configuration cannot be used or a component does not start.
 pub(crate) fn run(options: &ServeOptions) -> Result<(), StartError> {
     let config = options.source.load()?;
     let log = logging::start(&config.log)?;
-    let spec_of_command_line = options.event_log_file.as_deref().map(event_log::spec_of_command_line);
-    let event_log = EventLog::open(spec_of_command_line.or_else(|| config.event_log.clone()))?;
+    let command_line_config = options.event_log_file.as_deref().map(event_log::config_for_file);
+    let event_log = EventLog::open(command_line_config.or_else(|| config.event_log.clone()))?;
     let runtime = single_threaded_runtime()?;
     let served = runtime.block_on(serve(options, &config, &log, event_log.recorder()));
-    let deadlines = *served.as_ref().unwrap_or(&EndDeadlines::of_failed_start());
-    event_log.close(deadlines.event_log_wait());
-    // What its threads still do, such as to look a name up, is not waited for.
+    let exit_budget = *served.as_ref().unwrap_or(&ExitBudget::for_failed_start());
+    event_log.close(exit_budget.event_log_timeout());
+    // Blocking work on the runtime's other threads, such as a name lookup, is not waited for.
     runtime.shutdown_background();
-    run_bounded(deadlines.log_wait(), move || drop(log));
+    run_with_timeout(exit_budget.log_timeout(), move || drop(log));
     served.map(|_| ())
 }
 
-/// A runtime for a machine with one core: one thread does all the work.
+/// Creates a runtime that runs all tasks on one thread, for machines with one core.
 ///
 /// # Errors
-/// What the system refused.
+/// Fails if the operating system refuses a resource that the runtime needs.
 pub(crate) fn single_threaded_runtime() -> Result<Runtime, StartError> {
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)
 }
 
-/// Returns until when the parts that are left may end.
+/// Serves until SIGTERM and shuts down. Returns the time left for ending the event log and the log.
 async fn serve(
     options: &ServeOptions,
     config: &LoadedConfig,
     log: &Log,
     recorder: &Recorder,
-) -> Result<EndDeadlines, StartError> {
+) -> Result<ExitBudget, StartError> {
     // Kept until the end: without the handler, a SIGHUP during the shutdown would kill the process.
     let mut signals = Signals::install()?;
     let scheduler = Scheduler::start(config, recorder).await?;
@@ -84,7 +84,7 @@
     Ok(scheduler.shut_down(log, recorder).await)
 }
 
-/// The signals that the scheduler handles.
+/// Streams of the signals that the scheduler handles.
 struct Signals {
     terminate: Signal,
     hangup: Signal,
@@ -97,7 +97,8 @@
     }
 }
 
-/// Waits for SIGTERM and reloads on SIGHUP. A reload that still waits for its file at SIGTERM is dropped.
+/// Reloads on SIGHUP until SIGTERM. A reload that is still waiting for its file to settle at SIGTERM is
+/// dropped.
 async fn serve_until_terminated(signals: &mut Signals, reloader: &mut Reloader<'_>) {
     loop {
         let next_check = reloader.next_check();
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -1,11 +1,12 @@
-//! Reloads of the configuration on SIGHUP.
+//! Reloading of the configuration on SIGHUP.
 //!
-//! A reload changes the discovery and the log's level, and nothing else. A configuration that is not valid
+//! A reload changes the discovery and the log levels, and nothing else. A configuration that is not valid
 //! changes nothing.
 //!
-//! The file may still be being written. One that may be valid though it is cut short is read once it has settled. And
-//! as a writer may pause for longer than that, the file is followed up: for some seconds after a reload that may have
-//! read a part, what has changed since is read without another SIGHUP.
+//! The file may still be incomplete at SIGHUP, because it is being written. A file that may be valid even
+//! when truncated is therefore read only once it has settled, that is, once its content has stopped changing.
+//! As the writer may pause for longer than that, a file that may have been incomplete when it was read is
+//! rechecked for some seconds, and a change is applied without another SIGHUP.
 use std::time::Duration;
 
 use tokio::time::Instant;
@@ -16,34 +17,34 @@
 use crate::configuration::{ConfigSource, LoadedConfig};
 use crate::logging::Log;
 
-/// A file is read once it has not changed for this long.
+/// A file counts as settled after not changing for this long.
 const FILE_SETTLE_TIME: Duration = Duration::from_millis(50);
-/// A file that may have been read in part is followed up for this long after its last change.
-const FOLLOW_UP_TIME: Duration = Duration::from_secs(2);
-/// A file that is followed up is looked at this often, and read once two looks found the same.
-const FOLLOW_UP_INTERVAL: Duration = Duration::from_millis(250);
+/// Time after its last change during which a file that may have been incomplete is rechecked.
+const RECHECK_DURATION: Duration = Duration::from_secs(2);
+/// Interval between rechecks of a file. It is read once two checks in a row find the same content.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Carries out reloads. It owns the one that is waiting for its file.
+/// Reloads the configuration, and keeps track of a reload that is waiting for its file.
 pub(super) struct Reloader<'a> {
     source: &'a ConfigSource,
     initial: &'a LoadedConfig,
     discovery: &'a DiscoveryHandle,
     log: &'a Log,
     pending: Option<FileWatch>,
-    /// Why the last reload failed; what repeats itself is logged once.
+    /// Error of the last reload if it failed. The same error is not logged twice in a row.
     last_error: Option<String>,
 }
 
-/// A file that may change.
+/// A file whose content may still change.
 struct FileWatch {
     last_content: Vec<u8>,
     check_at: Instant,
-    /// Absent until the file has settled and was read.
-    follow_up: Option<FollowUp>,
+    /// `None` until the file has settled and been read.
+    recheck: Option<Recheck>,
 }
 
-/// What the last reload read, where it may have been a part.
-struct FollowUp {
+/// Rechecking of a file that may have been incomplete when it was last read.
+struct Recheck {
     content: Vec<u8>,
     is_valid: bool,
     ends_at: Instant,
@@ -51,17 +52,17 @@
 
 impl FileWatch {
     fn settling(last_content: Vec<u8>) -> FileWatch {
-        FileWatch { last_content, check_at: Instant::now() + FILE_SETTLE_TIME, follow_up: None }
+        FileWatch { last_content, check_at: Instant::now() + FILE_SETTLE_TIME, recheck: None }
     }
 
-    fn following_up(last_content: Vec<u8>, follow_up: FollowUp) -> FileWatch {
-        let check_at = Instant::now() + FOLLOW_UP_INTERVAL;
-        FileWatch { last_content, check_at, follow_up: Some(follow_up) }
+    fn rechecking(last_content: Vec<u8>, recheck: Recheck) -> FileWatch {
+        let check_at = Instant::now() + RECHECK_INTERVAL;
+        FileWatch { last_content, check_at, recheck: Some(recheck) }
     }
 }
 
 impl<'a> Reloader<'a> {
-    /// A reloader of the scheduler that was started with `initial`.
+    /// Creates a reloader for the scheduler that was started with the configuration `initial`.
     pub(super) fn new(
         source: &'a ConfigSource,
         initial: &'a LoadedConfig,
@@ -71,42 +72,43 @@
         Reloader { source, initial, discovery, log, pending: None, last_error: None }
     }
 
-    /// Reloads, at once or when the file has settled.
+    /// Starts a reload, which happens at once or when the file has settled.
     pub(super) fn request_reload(&mut self) {
         (self.pending, self.last_error) = (None, None);
         if self.source.may_be_valid_when_truncated() {
             self.pending = Some(FileWatch::settling(self.source.content()));
         } else {
-            self.reload_and_follow_up(None);
+            self.reload_and_recheck(None);
         }
     }
 
-    /// When [`Reloader::check_pending`] is due; `None` while no reload waits.
+    /// Returns when [`Reloader::check_pending`] is due; `None` if no file is being watched.
     pub(super) fn next_check(&self) -> Option<Instant> {
         self.pending.as_ref().map(|pending| pending.check_at)
     }
 
-    /// Reloads if the file has settled and is not the one that was read, or else waits on.
+    /// Reloads if the file has settled and its content is new or was not valid; otherwise schedules the next
+    /// check.
     pub(super) fn check_pending(&mut self) {
-        let Some(FileWatch { last_content, follow_up, .. }) = self.pending.take() else { return };
+        let Some(FileWatch { last_content, recheck, .. }) = self.pending.take() else { return };
         let content = self.source.content();
         let has_settled = content == last_content;
-        match follow_up {
-            None if has_settled => self.reload_and_follow_up(None),
+        match recheck {
+            None if has_settled => self.reload_and_recheck(None),
             None => self.pending = Some(FileWatch::settling(content)),
             Some(last) if has_settled && (content != last.content || !last.is_valid) => {
-                self.reload_and_follow_up(Some(last));
+                self.reload_and_recheck(Some(last));
             }
             Some(last) if !has_settled || Instant::now() < last.ends_at => {
-                self.pending = Some(FileWatch::following_up(content, last));
+                self.pending = Some(FileWatch::rechecking(content, last));
             }
             Some(_) => {}
         }
     }
 
-    /// Reloads, and follows the file up if it may have been read in part.
-    fn reload_and_follow_up(&mut self, last: Option<FollowUp>) {
-        // Read before the reload: what is written in between is a change.
+    /// Reloads, and schedules a recheck if the file may have been incomplete.
+    fn reload_and_recheck(&mut self, last: Option<Recheck>) {
+        // Read before the reload, so that anything written in between counts as a change.
         let content = self.source.content();
         let is_valid = self.reload();
         if is_valid && !self.source.may_be_valid_when_truncated() {
@@ -114,19 +116,19 @@
         }
         let now = Instant::now();
         let is_unchanged = last.as_ref().is_some_and(|last| last.content == content);
-        let ends_at = last.filter(|_| is_unchanged).map_or(now + FOLLOW_UP_TIME, |last| last.ends_at);
+        let ends_at = last.filter(|_| is_unchanged).map_or(now + RECHECK_DURATION, |last| last.ends_at);
         if now < ends_at {
-            let follow_up = FollowUp { content: content.clone(), is_valid, ends_at };
-            self.pending = Some(FileWatch::following_up(content, follow_up));
+            let recheck = Recheck { content: content.clone(), is_valid, ends_at };
+            self.pending = Some(FileWatch::rechecking(content, recheck));
         }
     }
 
-    /// Whether the configuration was valid and is in force.
+    /// Reads and applies the configuration; returns whether it was valid.
     fn reload(&mut self) -> bool {
         let config = match self.load() {
             Ok(config) => config,
             Err(error) => {
-                self.log_failure(on_one_line(&error.to_string()));
+                self.log_failure(join_lines(&error.to_string()));
                 return false;
             }
         };
@@ -147,8 +149,8 @@
         self.last_error = Some(error);
     }
 
-    /// Reads the configuration and applies its log level, in this order, so that a configuration that is not
-    /// valid in any part changes nothing.
+    /// Reads the configuration and then applies its log levels, so that an invalid configuration changes
+    /// nothing.
     fn load(&self) -> Result<LoadedConfig, ReloadError> {
         let config = self.source.load()?;
         self.log.reload(&config.log)?;
@@ -156,6 +158,7 @@
     }
 }
 
-fn on_one_line(text: &str) -> String {
+/// Replaces line breaks, so that an error with several lines fits on one log line.
+fn join_lines(text: &str) -> String {
     text.replace('\n', "; ")
 }
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -1,4 +1,4 @@
-//! The parts of one running scheduler: their start and their shutdown.
+//! Start and shutdown of the components of one scheduler.
 use std::sync::Arc;
 
 use copperspread_dispatcher::Dispatcher;
@@ -13,38 +13,39 @@
 use copperspread_settings::StartupConfig;
 use tracing::info;
 
-use super::bounded_end::EndDeadlines;
-#[cfg(feature = "standalone")]
-use super::bounded_end::run_bounded;
 use super::discovery_handle::DiscoveryHandle;
 use super::error::StartError;
+use super::exit_budget::ExitBudget;
+#[cfg(feature = "standalone")]
+use super::exit_budget::run_with_timeout;
 use crate::configuration::LoadedConfig;
 use crate::logging::Log;
 
-/// A scheduler that serves. It owns the parts; the tasks that it spawned end with the runtime.
+/// A running scheduler and its components. The tasks that it spawned run until the runtime ends.
 pub(super) struct Scheduler {
     proxy: AssembledProxy,
     discovery: DiscoveryHandle,
-    // Dropped without `shut_down`, it ends at once and the other members find out by themselves.
+    // If dropped without `shut_down`, it ends without notice and the other members must detect that by
+    // probing.
     #[cfg(feature = "standalone")]
     member: Option<MembershipTransport>,
 }
 
 impl Scheduler {
-    /// Starts the parts and serves.
+    /// Starts the components and serves.
     ///
     /// # Errors
-    /// The first part that does not start.
+    /// Fails if a component does not start.
     pub(super) async fn start(config: &LoadedConfig, recorder: &Recorder) -> Result<Scheduler, StartError> {
         let startup = &config.startup;
         let policy = Dispatcher::new(startup.settings.dispatch.clone(), startup.seed)?;
         #[cfg(feature = "standalone")]
         let member = config.membership.as_ref().map(|member| member.start(startup.seed)).transpose()?;
         #[cfg(feature = "standalone")]
-        let pages: Vec<_> = member.iter().map(crate::membership::status_page).collect();
+        let status_pages: Vec<_> = member.iter().map(crate::membership::status_page).collect();
         #[cfg(not(feature = "standalone"))]
-        let pages = [];
-        let proxy = assemble_with(startup, Box::new(policy), recorder, &pages)
+        let status_pages = [];
+        let proxy = assemble_with(startup, Box::new(policy), recorder, &status_pages)
             .await
             .map_err(|error| StartError::Proxy(error.into()))?;
         record_start(&proxy, startup, recorder);
@@ -58,25 +59,25 @@
         })
     }
 
-    /// Where a reload changes the endpoint source.
+    /// Returns the handle through which a reload changes the endpoint source.
     pub(super) fn discovery(&self) -> &DiscoveryHandle {
         &self.discovery
     }
 
-    /// Answers what was accepted, within the time for it, and ends the parts. Returns until when the process's
-    /// other parts may end.
-    pub(super) async fn shut_down(self, log: &Log, recorder: &Recorder) -> EndDeadlines {
-        // First of all, so that the other members know while this one still answers.
+    /// Waits until the accepted requests are answered or the drain deadline has passed, and ends the
+    /// components. Returns the time left for ending the event log and the log.
+    pub(super) async fn shut_down(self, log: &Log, recorder: &Recorder) -> ExitBudget {
+        // Before draining, so that the other members learn of the shutdown while this one still serves.
         #[cfg(feature = "standalone")]
         self.member.iter().for_each(MembershipTransport::leave);
         let deadlines = self.proxy.begin_shutdown();
         info!(requests = self.proxy.context.policy.active_requests(), "shutting down");
         let requests_left = self.proxy.wait_until_drained(deadlines).await;
-        let end_deadlines = EndDeadlines::before_exit(deadlines.exit_deadline.into_std());
+        let exit_budget = ExitBudget::until(deadlines.exit_deadline.into_std());
         #[cfg(feature = "standalone")]
         if let Some(member) = self.member {
             let wait = move || crate::membership::wait_until_stopped(member);
-            run_bounded(end_deadlines.membership_wait(), wait);
+            run_with_timeout(exit_budget.membership_timeout(), wait);
         }
         for (what, count) in invariant::counts() {
             info!(what, count, "count at the end");
@@ -87,36 +88,37 @@
         let RequestCounts { received, answered, disconnected, unanswered } = requests;
         info!(received, answered, disconnected, unanswered, "requests at the end");
         info!(requests_left, log_lines_dropped = log.dropped_lines(), "shut down");
-        end_deadlines
+        exit_budget
     }
 }
 
-/// The totals of a run, in the event log's form.
+/// Converts the request totals of a run to the form of the event log.
 fn request_counts(totals: RequestTotals) -> RequestCounts {
     let RequestTotals { received, answered, disconnected } = totals;
     RequestCounts { received, answered, disconnected, unanswered: totals.unanswered() }
 }
 
-/// Records the start, and from now on each count of what went wrong that reaches a power of two.
+/// Records the start of the run and, from then on, each counter of the proxy that reaches a power of two.
 fn record_start(proxy: &AssembledProxy, startup: &StartupConfig, recorder: &Recorder) {
     let event_recorder = Arc::clone(&proxy.context.recorder);
     invariant::observe_counters(Box::new(move |what, count| event_recorder.counter_reached(what, count)));
-    let (name, program) = (startup.name.clone(), env!("CARGO_PKG_VERSION").into());
-    recorder.record(EventKind::RunStarted { name, version: program });
+    let (name, program_version) = (startup.name.clone(), env!("CARGO_PKG_VERSION").into());
+    recorder.record(EventKind::RunStarted { name, version: program_version });
 }
 
-/// Follows the endpoint source and accepts clients, each in a task that ends with the runtime.
+/// Spawns the tasks that follow the endpoint source and accept clients. They run until the runtime ends.
 fn spawn_tasks(proxy: &AssembledProxy, startup: &StartupConfig) -> DiscoveryHandle {
-    let (discovery, source) = DiscoveryHandle::connect(&startup.discovery, proxy.cached_revision);
+    let (discovery, source) = DiscoveryHandle::create(&startup.discovery, proxy.cached_revision);
     tokio::spawn(source.follow(proxy.endpoint_publisher.clone()));
     tokio::spawn(Arc::clone(&proxy.connections).accept());
     discovery
 }
 
-/// Runs a toy worker in place of the first one listed, in a task that ends with the runtime.
+/// Runs a toy worker in place of the first worker of the static list, in a task that runs until the runtime
+/// ends.
 ///
 /// # Errors
-/// No static list, or an empty one.
+/// Fails if there is no static list or it is empty.
 #[cfg(feature = "toy")]
 pub(super) fn spawn_toy_worker(startup: &StartupConfig) -> Result<(), StartError> {
     use copperspread_settings::DiscoveryConfig;
--- a/crates/scheduler/src/toy_worker.rs
+++ b/crates/scheduler/src/toy_worker.rs
@@ -1,8 +1,8 @@
-//! A toy worker and the discovery that lists it, to try the scheduler with. See README.md.
+//! A toy worker and a discovery that lists it, for trying out the scheduler as README.md describes.
 //!
-//! The worker accepts any job, works on it for as long as `X-Cost` says and calls back. It runs one job at a
-//! time in each of its two slots and reports the slots that are free. It is no worker for others: it listens
-//! on loopback only.
+//! The worker accepts every request, sleeps for the cost hint (the `X-Cost` header, in microseconds) and
+//! sends a callback. It processes one request at a time in each of its two slots, and its load reports name
+//! the free slots. It is not meant for real traffic and listens on loopback addresses only.
 use std::future::IntoFuture;
 use std::io;
 use std::net::SocketAddr;
@@ -22,20 +22,20 @@
 use tokio::time::sleep;
 use tracing::{debug, info, warn};
 
-/// Where the discovery listens.
+/// Address that the toy discovery listens on.
 const DISCOVERY_ADDRESS: &str = "127.0.0.1:8500";
-/// The worker's name in the built-in default and in the discovery's list.
+/// Name of the toy worker in the built-in default configuration and in the toy discovery's endpoint list.
 const DEFAULT_WORKER_NAME: &str = "toy-1";
-/// Its address there.
+/// Address of the toy worker in the built-in default configuration and in the toy discovery's endpoint list.
 const DEFAULT_WORKER_ADDRESS: &str = "127.0.0.1:9001";
-/// Jobs that run at once.
+/// Number of requests that the toy worker processes at once.
 const SLOTS: usize = 2;
-/// How long a job takes that does not say so, in microseconds.
+/// Service time of a request without a cost hint, in microseconds.
 const DEFAULT_COST_MICROS: u64 = 100_000;
 
 type CallbackClient = Client<HttpConnector, Full<Bytes>>;
 
-/// What all jobs of one worker share.
+/// State shared by all requests of one toy worker.
 #[derive(Clone)]
 struct ToyWorker {
     client: CallbackClient,
@@ -54,19 +54,19 @@
         }
     }
 
-    /// Accepts a job. Its task ends when the job is done or with the runtime.
+    /// Accepts a request, or returns 404 if it has no id. A spawned task processes it.
     fn accept(self, headers: &HeaderMap, request: &Request) -> StatusCode {
         let header = |name| headers.get(name).and_then(|value| value.to_str().ok());
         let Some(id) = header("x-request-id") else { return StatusCode::NOT_FOUND };
         let cost_us = header("x-cost").and_then(|cost| cost.parse().ok()).unwrap_or(DEFAULT_COST_MICROS);
         let (method, uri) = (request.method(), request.uri());
-        info!(request_id = id, cost_us, %method, %uri, "toy worker accepted a job");
-        tokio::spawn(self.run_job(id.to_owned(), Duration::from_micros(cost_us)));
+        info!(request_id = id, cost_us, %method, %uri, "toy worker accepted a request");
+        tokio::spawn(self.process_request(id.to_owned(), Duration::from_micros(cost_us)));
         StatusCode::ACCEPTED
     }
 
-    /// Waits for a slot, then works and calls back at the start and at the end.
-    async fn run_job(self, id: String, cost: Duration) {
+    /// Waits for a slot, then sleeps for `cost` and sends a callback before and after.
+    async fn process_request(self, id: String, cost: Duration) {
         let Ok(slot) = self.slots.acquire().await else { return };
         let name = &self.name;
         self.send_callback(format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#)).await;
@@ -77,10 +77,11 @@
         self.send_callback(format!(r#"{{"id":"{id}","from":"{name}",{result}}}"#)).await;
     }
 
-    /// Calls the scheduler back once; a real worker would retry.
+    /// Sends a callback to the scheduler, without the retries that a real worker would make.
     async fn send_callback(&self, body: String) {
         let uri = format!("http://{}/_jobs/news", self.scheduler);
-        let request = hyper::Request::post(uri).body(Full::from(body)).expect("a valid request");
+        let request =
+            hyper::Request::post(uri).body(Full::from(body)).expect("the callback request is valid");
         match self.client.request(request).await {
             Ok(response) => debug!(status = response.status().as_u16(), "toy worker's callback was answered"),
             Err(error) => {
@@ -91,23 +92,25 @@
     }
 }
 
-/// Answers with the complete list. A watch from its only revision is held open for as long as it asks.
+/// Returns the complete endpoint list. A watch from the only revision, 1, is first held open for `hold_ms`
+/// milliseconds.
 async fn answer_with_list(request: Request) -> String {
     let query = request.uri().query().unwrap_or_default();
-    let number = |name| query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse::<u64>().ok());
-    if number("from=") == Some(1) {
-        sleep(Duration::from_millis(number("hold_ms=").unwrap_or(0))).await;
+    let numeric_parameter =
+        |prefix| query.split('&').find_map(|pair| pair.strip_prefix(prefix)?.parse::<u64>().ok());
+    if numeric_parameter("from=") == Some(1) {
+        sleep(Duration::from_millis(numeric_parameter("hold_ms=").unwrap_or(0))).await;
     }
-    let placement = r#""locality":"a","flavor":"toy","cell":0,"phase":"SERVING","size":1.0,"up_since_ms":0"#;
+    let attributes = r#""locality":"a","flavor":"toy","cell":0,"phase":"SERVING","size":1.0,"up_since_ms":0"#;
     let (name, address) = (DEFAULT_WORKER_NAME, DEFAULT_WORKER_ADDRESS);
-    let endpoint = format!(r#"{{"id":"{name}","host_port":"{address}",{placement}}}"#);
+    let endpoint = format!(r#"{{"id":"{name}","host_port":"{address}",{attributes}}}"#);
     format!(r#"{{"revision":1,"complete":true,"members":[{endpoint}]}}"#)
 }
 
-/// Serves as a worker of this name and address until the task is dropped.
+/// Runs a toy worker with this name and address until the task is dropped.
 ///
 /// # Errors
-/// An address that cannot be listened on, or that is not loopback.
+/// Fails if the address cannot be listened on or is not a loopback address.
 pub(crate) async fn serve(scheduler: SocketAddr, name: &str, address: &str) -> io::Result<()> {
     let worker = ToyWorker::new(scheduler, name);
     let accept = move |headers: HeaderMap, request: Request| async move { worker.accept(&headers, &request) };
@@ -117,10 +120,10 @@
     axum::serve(listener, router).await
 }
 
-/// Serves as the default worker and as the discovery that lists it.
+/// Runs the default toy worker and the discovery that lists it.
 ///
 /// # Errors
-/// As [`serve`].
+/// Fails if one of their addresses cannot be listened on.
 pub(crate) async fn serve_with_discovery(scheduler: SocketAddr) -> io::Result<()> {
     let listener = listen(DISCOVERY_ADDRESS).await?;
     let router = Router::new().route("/api/targets", get(answer_with_list));
--- a/crates/scheduler/tests/unit/logging.rs
+++ b/crates/scheduler/tests/unit/logging.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_level_for_a_crates_old_name_applies_to_its_present_name_alone() {
+fn a_level_for_a_crates_former_name_applies_only_to_its_current_name() {
     let crates = [
         ("copperspread_node", "copperspread_proxy::assembly"),
         ("copperspread_decisions", "copperspread_dispatcher::decide"),
@@ -26,7 +26,7 @@
         ("copperspread::serve", "copperspread_scheduler::serve"),
     ];
     for (old, _) in crates {
-        let levels = parse_levels(&format!("info,{old}=debug")).expect("a list of levels");
+        let levels = parse_levels(&format!("info,{old}=debug")).expect("the list of levels is valid");
         for (other, target) in crates {
             assert_eq!(levels.would_enable(target, &Level::DEBUG), other == old, "{old}: {target}");
             assert!(levels.would_enable(target, &Level::INFO), "{old}: {target}");
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn a_level_for_copperspread_alone_applies_to_every_crate_as_before_the_renames() {
-    let levels = parse_levels("warn,copperspread=debug").expect("a list of levels");
+fn a_level_for_copperspread_applies_to_every_crate() {
+    let levels = parse_levels("warn,copperspread=debug").expect("the list of levels is valid");
     for target in ["copperspread_scheduler::serve", "copperspread_proxy", "copperspread_membership_transport"]
     {
         assert!(levels.would_enable(target, &Level::DEBUG), "{target}");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn old_targets_are_replaced_as_whole_names_and_with_the_modules_below_them() {
+fn former_targets_are_replaced_as_whole_names_and_with_their_modules() {
     for (old, current) in [
         ("info, copperspread_node=debug", "info,copperspread_proxy=debug"),
         ("copperspread_node::front=debug", "copperspread_proxy::downstream=debug"),
--- a/crates/scheduler/tests/unit/membership.rs
+++ b/crates/scheduler/tests/unit/membership.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn the_configurations_defaults_are_those_of_the_protocol() {
+fn the_defaults_of_the_configuration_equal_those_of_the_protocol() {
     let (configured, protocol) = (config::MembershipConfig::default(), Settings::default());
     assert_eq!(
         (configured.probe_interval.0, configured.probe_timeout.0),
