--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -16,7 +16,7 @@
 pub(crate) enum Command {
     /// Serve until SIGTERM; SIGHUP reloads the configuration
     Serve(ServeArguments),
-    /// Check a configuration and print each effective value with its origin
+    /// Check a configuration and print its values with their origins, or a summary of the platform's JSON
     #[cfg(feature = "standalone")]
     Check {
         #[command(flatten)]
@@ -39,7 +39,7 @@
         /// Shell to print the script for
         shell: clap_complete::Shell,
     },
-    /// Run a toy worker on 127.0.0.1:9001 and the discovery that lists it on 127.0.0.1:8500
+    /// Run a toy worker on 127.0.0.1:9001 and, on 127.0.0.1:8500, the discovery that lists it
     #[cfg(feature = "toy")]
     Toy {
         /// Address of the scheduler that receives the callbacks
@@ -90,7 +90,8 @@
     #[cfg(feature = "standalone")]
     #[command(flatten)]
     pub(crate) layers: LayerArguments,
-    /// Configuration file in TOML; if omitted, the file named by EDGE_CONFIG, or else the built-in default
+    /// Configuration file in TOML; if omitted, the platform's JSON that EDGE_CONFIG names, unless --set is
+    /// given, or else the built-in default
     #[cfg(feature = "standalone")]
     #[arg(long = "config", env = "COPPERSPREAD_CONFIG", value_name = "FILE")]
     pub(crate) config_file: Option<PathBuf>,
--- a/crates/scheduler/src/commands/check.rs
+++ b/crates/scheduler/src/commands/check.rs
@@ -1,15 +1,16 @@
-//! The `check` command, which checks a configuration and prints its effective values.
+//! The `check` command, which checks a configuration and prints its effective values or a summary.
 use std::path::Path;
 
 use super::error::CommandError;
 use super::output::print;
 use crate::configuration::{layers, platform};
 
-/// Checks a configuration and prints its effective values.
+/// Checks a configuration and prints each effective value with its origin or, for the platform's JSON, a
+/// one-line summary.
 ///
 /// # Errors
-/// Fails if the configuration is not valid or the output cannot be written. The message lists all faults of
-/// layers, one per line, but only the first fault of a platform file.
+/// Fails if the configuration is not valid or the output cannot be written. Several invalid values of layers
+/// are listed one per line; of a platform file only the first fault is named.
 pub(super) fn check(file: Option<&Path>, overrides: &[String]) -> Result<(), CommandError> {
     match file.filter(|path| path.extension().is_some_and(|extension| extension == "json")) {
         Some(path) if overrides.is_empty() => check_platform_config(path),
--- a/crates/scheduler/src/commands/event_log.rs
+++ b/crates/scheduler/src/commands/event_log.rs
@@ -15,7 +15,8 @@
 /// Executes a `records` command.
 ///
 /// # Errors
-/// Fails if a file cannot be read or the output cannot be written.
+/// Fails if a file cannot be read or, for `stat` and `fleet`, if the output cannot be written. `cat` returns
+/// no error if its output cannot be written.
 pub(super) fn execute(command: EventLogCommand) -> Result<(), CommandError> {
     match command {
         EventLogCommand::Cat { file, request_id, with_rotated } => {
@@ -28,23 +29,25 @@
     }
 }
 
-/// Prints all events or those of one request. Missing events and lines that are not events are reported on
-/// standard error.
+/// Prints all events or those of one request, one per line. Events of unknown kinds are left out. The numbers
+/// of missing events, of events out of order and of lines that are not events go to standard error, unless
+/// the output could not be written.
 fn print_events(file: &Path, request_id: Option<&str>, with_rotated: bool) -> Result<(), CommandError> {
     let mut output = BufWriter::new(std::io::stdout().lock());
-    let mut is_output_closed = false;
-    // Ids consist of hexadecimal digits, so this text cannot occur elsewhere in an event.
+    let mut has_write_failed = false;
+    // Quotes within JSON strings are escaped and ids need no escaping, so this text occurs only as the id's
+    // field.
     let id_field = request_id.map(|id| format!("\"flow\":\"{id}\""));
     let summary = read_files(files_oldest_first(file, with_rotated), |line| {
         let Line::Record(event) = line else { return Ok(()) };
         let text = serde_json::to_string(event)?;
         if id_field.as_ref().is_none_or(|id_field| text.contains(id_field)) {
-            is_output_closed |= writeln!(output, "{text}").is_err();
+            has_write_failed |= writeln!(output, "{text}").is_err();
         }
         Ok(())
     })?;
-    is_output_closed |= output.flush().is_err();
-    if !is_output_closed {
+    has_write_failed |= output.flush().is_err();
+    if !has_write_failed {
         warn_about_missing_events(&summary);
     }
     Ok(())
@@ -67,7 +70,7 @@
     print(&read_files(files_oldest_first(file, with_rotated), |_| Ok(()))?.to_text())
 }
 
-/// Prints a common summary of the event logs of several schedulers. Each path is a file or a folder of files.
+/// Prints one summary of the event logs of several schedulers. Each path is a file or a folder of files.
 fn print_fleet_summary(
     paths: &[PathBuf],
     window_seconds: u64,
@@ -81,8 +84,8 @@
     print(&fleet.to_text(window_seconds, max_workers))
 }
 
-/// Returns the file of an event log, preceded by its rotated files if requested. After an interrupted
-/// rotation a number may be missing among the rotated files, or the file itself.
+/// Returns the file of an event log, preceded by its rotated files if requested. An interrupted rotation can
+/// leave a gap in the numbers of the rotated files, or no file without a number; both are allowed.
 fn files_oldest_first(file: &Path, with_rotated: bool) -> Vec<PathBuf> {
     let rotated = if with_rotated { rotated_numbers(file) } else { Vec::new() };
     let mut files: Vec<_> =
@@ -107,7 +110,7 @@
     numbers
 }
 
-/// Returns the files among the paths and directly within the folders among them, sorted by path.
+/// Replaces each folder by the files directly in it and returns all files, sorted by path.
 fn expand_folders(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CommandError> {
     let mut files = Vec::new();
     for path in paths {
@@ -124,7 +127,7 @@
     Ok(files)
 }
 
-/// Reads files in order, passes each line to `on_line` and returns a common summary.
+/// Reads files in order, passes each line to `on_line` and returns one summary of all of them.
 fn read_files(
     files: Vec<PathBuf>,
     mut on_line: impl FnMut(&Line) -> Result<(), CommandError>,
--- a/crates/scheduler/src/commands/mod.rs
+++ b/crates/scheduler/src/commands/mod.rs
@@ -59,8 +59,8 @@
     Ok(serve::run(&options)?)
 }
 
-/// Returns the platform's configuration if the environment names one and the command line sets no layer, else
-/// the layers.
+/// Returns the platform's file as the source if EDGE_CONFIG names it and neither a TOML file nor `--set` is
+/// given, else the layers.
 #[cfg(feature = "standalone")]
 fn config_source(arguments: &ServeArguments) -> Result<ConfigSource, CommandError> {
     let has_layers = arguments.config_file.is_some() || !arguments.layers.overrides.is_empty();
--- a/crates/scheduler/src/configuration/error.rs
+++ b/crates/scheduler/src/configuration/error.rs
@@ -22,7 +22,7 @@
         /// The first fault found in the file.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// The layers contain faults. The message lists all of them, one per line.
+    /// The TOML file cannot be read, or the layers contain faults. Several faults are listed one per line.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     InvalidLayers(#[from] copperspread_config::InvalidConfig),
--- a/crates/scheduler/src/configuration/layers.rs
+++ b/crates/scheduler/src/configuration/layers.rs
@@ -10,12 +10,13 @@
 
 use super::{ConfigError, LoadedConfig};
 use crate::logging::{self, LogConfig};
-use crate::membership::{self, MembershipConfig};
+use crate::membership::{self, MemberConfig};
 
 /// Reads and checks the layers.
 ///
 /// # Errors
-/// Fails if the layers contain faults. The message lists all of them, one per line.
+/// Fails if the file cannot be read or a layer contains faults. Several invalid values are listed one per
+/// line; a syntax error in the file and an invalid log level are reported alone.
 pub(super) fn load(
     file: Option<&Path>,
     overrides: &[String],
@@ -25,7 +26,7 @@
     Ok(LoadedConfig {
         log: log_config(&effective),
         event_log: event_log_config(&effective),
-        membership: MembershipConfig::from_config(&effective.config),
+        membership: MemberConfig::from_config(&effective.config),
         startup: startup_config(&effective, default_seed)?,
     })
 }
@@ -33,12 +34,13 @@
 /// Merges and checks the layers, and keeps each value's origin.
 ///
 /// # Errors
-/// Fails if the layers contain faults. The message lists all of them, one per line.
+/// Fails if the file cannot be read or a layer contains faults. Several invalid values are listed one per
+/// line; a syntax error in the file and an invalid log level are reported alone.
 pub(crate) fn read_effective(
     file: Option<&Path>,
     overrides: &[String],
 ) -> Result<EffectiveConfig, ConfigError> {
-    let effective = copperspread_config::read(file, overrides, &process_limits())?;
+    let effective = copperspread_config::read(file, overrides, &check_context())?;
     logging::parse_levels(&effective.config.log.level)
         .map_err(|source| ConfigError::InvalidLogLevel { origin: effective.origin("log.level"), source })?;
     Ok(effective)
@@ -55,8 +57,9 @@
     effective.config.startup_config(default_seed).map_err(|error| ConfigError::Unusable(error.into()))
 }
 
-/// Returns the limits of this process that the configuration is checked against.
-fn process_limits() -> CheckContext {
+/// Returns what the configuration is checked against outside itself: the descriptor limit of this process and
+/// the content of the key file.
+fn check_context() -> CheckContext {
     CheckContext {
         descriptor_limit: getrlimit(Resource::Nofile).current,
         check_key_file: Some(|path| Ok(membership::check_key_file(path)?)),
--- a/crates/scheduler/src/configuration/loaded.rs
+++ b/crates/scheduler/src/configuration/loaded.rs
@@ -1,10 +1,10 @@
-//! The configuration as read, the same for each source.
+//! The form that each source of the configuration is read into.
 use copperspread_event_log::writer;
 use copperspread_settings::StartupConfig;
 
 use crate::logging::LogConfig;
 
-/// A complete configuration, read from the platform's JSON file or from layers.
+/// A complete configuration from one read of the platform's JSON file or of the layers.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadedConfig {
     /// Settings of the scheduler.
@@ -15,7 +15,7 @@
     pub(crate) event_log: Option<writer::EventLogConfig>,
     /// Settings of membership, if it is on. `None` on the platform, which does not name the other schedulers.
     #[cfg(feature = "standalone")]
-    pub(crate) membership: Option<crate::membership::MembershipConfig>,
+    pub(crate) membership: Option<crate::membership::MemberConfig>,
 }
 
 impl LoadedConfig {
--- a/crates/scheduler/src/configuration/mod.rs
+++ b/crates/scheduler/src/configuration/mod.rs
@@ -1,7 +1,8 @@
 //! Reading of the configuration.
 //!
 //! A [`ConfigSource`] is read at the start and again on SIGHUP. `platform` reads the platform's JSON file and
-//! `layers` the layers of a standalone installation, each into a [`LoadedConfig`].
+//! `layers` the layers of a standalone installation, each into a [`LoadedConfig`]. This module only reads; it
+//! starts nothing.
 mod error;
 #[cfg(feature = "standalone")]
 pub(crate) mod layers;
--- a/crates/scheduler/src/configuration/platform.rs
+++ b/crates/scheduler/src/configuration/platform.rs
@@ -20,7 +20,7 @@
     })
 }
 
-/// Reads the settings that the scheduler is started with from the platform's file.
+/// Reads from the platform's file the settings that the scheduler is started with.
 ///
 /// # Errors
 /// Fails if the file cannot be read or is not valid. The message names the first fault.
--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -15,7 +15,7 @@
 
 use crate::log_targets::with_current_targets;
 
-/// Capacity of the queue of the log writer: about a megabyte at some hundred bytes a line.
+/// Capacity of the log writer's queue, in lines: about a megabyte at 250 bytes a line.
 const MAX_QUEUED_LINES: usize = 4_096;
 /// Environment variable whose levels take precedence over the configuration's.
 const LEVELS_ENV_VAR: &str = "RUST_LOG";
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -1,5 +1,5 @@
-//! The scheduler program: the process that reads the configuration, starts the components and serves until
-//! SIGTERM.
+//! The scheduler program. It reads the configuration, starts the components and serves until SIGTERM; other
+//! commands check configurations and read event logs.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -37,7 +37,8 @@
     match commands::execute(CommandLine::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // The log may not be started or may be off, and `eprintln!` panics if standard error is closed.
+            // Not printed through the log, which may be off or not started, nor with `eprintln!`, which
+            // panics if standard error is closed.
             let _ = writeln!(std::io::stderr(), "copperspread-scheduler: {error}");
             ExitCode::FAILURE
         }
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -1,8 +1,8 @@
 //! Start and end of scheduler membership, if the configuration enables it.
 //!
 //! The protocol is in `copperspread-membership`, its sockets and threads in
-//! `copperspread-membership-transport`. This module reads the configuration and the key file and provides the
-//! status page.
+//! `copperspread-membership-transport`. This module extracts the membership settings from the configuration,
+//! reads the key file, starts and ends the member and provides the status page.
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
@@ -17,7 +17,8 @@
 /// HTTP path of the membership status page.
 const STATUS_PATH: &str = "/-/cluster";
 
-/// Error in a key file. The message never contains any part of the key.
+/// Error in the file with the key that all members of the cluster share. The message never contains any part
+/// of the key.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum KeyFileError {
@@ -57,7 +58,7 @@
     Transport(#[from] StartError),
 }
 
-/// Reads the key from a file. One line break at the end is not part of the key.
+/// Reads the cluster's key from a file. One line break at the end is not part of the key.
 ///
 /// # Errors
 /// Fails if the file cannot be read or its content is not a valid key.
@@ -70,7 +71,7 @@
     Key::new(line).map_err(|source| KeyFileError::Invalid { path: path.to_owned(), source })
 }
 
-/// Checks that a file contains a valid key.
+/// Checks that a file contains a valid key of the cluster.
 ///
 /// # Errors
 /// Fails if the file cannot be read or its content is not a valid key. The message contains no part of the
@@ -81,24 +82,24 @@
 
 /// Settings that a member of the cluster is started with.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct MembershipConfig {
+pub(crate) struct MemberConfig {
     name: String,
     zone: String,
     cluster: config::MembershipConfig,
 }
 
-impl MembershipConfig {
+impl MemberConfig {
     /// Extracts the membership settings from a configuration; `None` if membership is off.
-    pub(crate) fn from_config(config: &Config) -> Option<MembershipConfig> {
+    pub(crate) fn from_config(config: &Config) -> Option<MemberConfig> {
         let (name, zone, cluster) = (&config.name, &config.zones.here, &config.cluster);
-        cluster.bind.map(|_| MembershipConfig {
+        cluster.bind.map(|_| MemberConfig {
             name: name.clone(),
             zone: zone.clone(),
             cluster: cluster.clone(),
         })
     }
 
-    /// Starts the member. Its threads end when the returned handle is dropped.
+    /// Starts the member with `seed` as its random seed. Its threads end when the returned handle is dropped.
     ///
     /// # Errors
     /// Fails if the key cannot be read or the address cannot be bound.
@@ -142,11 +143,13 @@
     StatusPage { path: STATUS_PATH, json: Arc::new(json) }
 }
 
-/// Waits until the threads of a leaving member have ended, and logs its packet and error counts.
+/// Waits until the threads of a leaving member have ended, and logs its counts of packets and errors.
+/// Packets, streams and states that it drops during the wait are not counted.
 pub(crate) fn wait_until_stopped(member: MembershipTransport) {
     let dropped = member.drop_counts();
     let view = member.shutdown();
     let RejectionCounts { too_large, malformed, forged, other_version } = view.rejected;
+    // `unsent` and `streams_refused` are the names of log fields and must not change.
     let DropCounts {
         packets_unsent: unsent,
         streams_rejected: streams_refused,
--- a/crates/scheduler/src/serve/discovery_handle.rs
+++ b/crates/scheduler/src/serve/discovery_handle.rs
@@ -1,4 +1,4 @@
-//! Changes of the running endpoint source by a reload.
+//! Handle through which a reload changes the running endpoint source.
 use copperspread_proxy::discovery::EndpointSource;
 use copperspread_proxy::discovery::platform::PlatformDiscovery;
 use copperspread_proxy::discovery::static_list::StaticEndpoints;
@@ -35,8 +35,9 @@
         }
     }
 
-    /// Applies the discovery settings of a new configuration; returns whether they change anything. Settings
-    /// for another kind of source are ignored and return false, because changing the kind requires a restart.
+    /// Applies the discovery settings of a new configuration and returns whether they differ from the current
+    /// ones. Returns false and ignores settings for another kind of source, because changing the kind
+    /// requires a restart.
     pub(super) fn update(&self, config: DiscoveryConfig) -> bool {
         match (self, config) {
             (DiscoveryHandle::Platform(sender), DiscoveryConfig::Platform(new)) => {
@@ -58,7 +59,8 @@
 
 fn replace_list(current: &mut EndpointList, new: EndpointList) -> bool {
     let is_changed = current.endpoints != new.endpoints;
-    // The endpoint table ignores a list whose revision is older than its own.
+    // The revision grows with each reload, because the endpoint table ignores a list whose revision is older
+    // than its own.
     *current = EndpointList { revision: current.revision + 1, ..new };
     is_changed
 }
--- a/crates/scheduler/src/serve/error.rs
+++ b/crates/scheduler/src/serve/error.rs
@@ -33,7 +33,7 @@
     /// A signal handler cannot be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
-    /// The dispatch policy's settings contradict themselves.
+    /// The settings of the dispatch policy are not valid.
     #[error(transparent)]
     DispatchPolicy(#[from] SettingsError),
     /// Membership cannot be started.
--- a/crates/scheduler/src/serve/event_log.rs
+++ b/crates/scheduler/src/serve/event_log.rs
@@ -33,7 +33,8 @@
     /// Opens the file and starts the writer thread. Without a configuration, nothing is recorded.
     ///
     /// # Errors
-    /// Fails if the file cannot be opened or is being written by another process.
+    /// Fails if the file cannot be opened or is being written by another process. A disk that is full, fails
+    /// or hangs is not an error here: the writer thread keeps trying.
     pub(super) fn open(config: Option<EventLogConfig>) -> Result<EventLog, StartError> {
         let Some(config) = config else {
             return Ok(EventLog { recorder: Recorder::disabled(), writer: None });
@@ -54,6 +55,7 @@
         let Some(writer) = self.writer else { return };
         self.recorder.close();
         let is_complete = writer.finish(timeout);
+        // `lost` is the name of a log field and must not change.
         let RecordCounts { written, dropped, failed: lost } = self.recorder.counts();
         info!(written, dropped, lost, is_complete, "event log closed");
     }
--- a/crates/scheduler/src/serve/mod.rs
+++ b/crates/scheduler/src/serve/mod.rs
@@ -1,10 +1,10 @@
 //! The run of one scheduler from start to shutdown.
 //!
 //! 1. [`run`] reads the configuration, then starts the log, the event log and the runtime.
-//! 2. `Scheduler::start` starts the components and serves.
+//! 2. `Scheduler::start` starts the components and the tasks that serve clients.
 //! 3. `serve_until_terminated` reloads the configuration on SIGHUP and returns on SIGTERM.
 //! 4. `Scheduler::shut_down` waits until the accepted requests are answered and ends the components.
-//! 5. [`run`] ends the event log and the log in time before the SIGKILL that follows a SIGTERM.
+//! 5. [`run`] ends the event log and the log before the supervisor sends a SIGKILL.
 mod discovery_handle;
 mod error;
 mod event_log;
@@ -27,14 +27,15 @@
 use reload::Reloader;
 use scheduler::Scheduler;
 
-/// Options of serving, from the command line.
+/// Options of the `serve` command, from the command line and the environment.
 pub(crate) struct ServeOptions {
     /// Source of the configuration.
     pub(crate) source: ConfigSource,
     /// Whether a toy worker runs in place of the first worker of the static list.
     #[cfg(feature = "toy")]
     pub(crate) with_toy_worker: bool,
-    /// File of the event log. It takes precedence over the configuration's event log.
+    /// File of the event log, or `-` for standard error. It takes precedence over the configuration's event
+    /// log.
     pub(crate) event_log_file: Option<PathBuf>,
 }
 
@@ -72,7 +73,7 @@
     log: &Log,
     recorder: &Recorder,
 ) -> Result<ExitBudget, StartError> {
-    // Kept until the end: without the handler, a SIGHUP during the shutdown would kill the process.
+    // Installed before the start, so that a SIGHUP from here on never kills the process.
     let mut signals = Signals::install()?;
     let scheduler = Scheduler::start(config, recorder).await?;
     #[cfg(feature = "toy")]
@@ -97,8 +98,8 @@
     }
 }
 
-/// Reloads on SIGHUP until SIGTERM. A reload that is still waiting for its file to settle at SIGTERM is
-/// dropped.
+/// Reloads on SIGHUP until SIGTERM. At SIGTERM, a reload whose file has not settled yet is dropped, and so
+/// are rechecks.
 async fn serve_until_terminated(signals: &mut Signals, reloader: &mut Reloader<'_>) {
     loop {
         let next_check = reloader.next_check();
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -1,12 +1,13 @@
 //! Reloading of the configuration on SIGHUP.
 //!
-//! A reload changes the discovery and the log levels, and nothing else. A configuration that is not valid
-//! changes nothing.
+//! A reload changes the address of the platform's discovery or the static list, and the log levels. Other
+//! changes need a restart and are logged as a warning. A configuration that is not valid changes nothing.
 //!
 //! The file may still be incomplete at SIGHUP, because it is being written. A file that may be valid even
 //! when truncated is therefore read only once it has settled, that is, once its content has stopped changing.
-//! As the writer may pause for longer than that, a file that may have been incomplete when it was read is
-//! rechecked for some seconds, and a change is applied without another SIGHUP.
+//! The program that writes the file may pause for longer than the settle time. A file that may have been
+//! incomplete when it was read is therefore rechecked for some seconds, and a change is applied without
+//! another SIGHUP.
 use std::time::Duration;
 
 use tokio::time::Instant;
@@ -19,24 +20,28 @@
 
 /// A file counts as settled after not changing for this long.
 const FILE_SETTLE_TIME: Duration = Duration::from_millis(50);
-/// Time after its last change during which a file that may have been incomplete is rechecked.
+/// How long after its last change a file that may have been incomplete is rechecked.
 const RECHECK_DURATION: Duration = Duration::from_secs(2);
-/// Interval between rechecks of a file. It is read once two checks in a row find the same content.
+/// Interval between rechecks of a file. The configuration is reloaded once two checks in a row find the same
+/// content and that content is new or was not valid.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Reloads the configuration, and keeps track of a reload that is waiting for its file.
+/// Reloads the configuration, and watches a file that has not settled or may have been incomplete when it was
+/// read.
 pub(super) struct Reloader<'a> {
     source: &'a ConfigSource,
     initial: &'a LoadedConfig,
     discovery: &'a DiscoveryHandle,
     log: &'a Log,
     pending: Option<FileWatch>,
-    /// Error of the last reload if it failed. The same error is not logged twice in a row.
+    /// Error of the last reload since the last SIGHUP, if it failed. A recheck does not log the same error
+    /// again.
     last_error: Option<String>,
 }
 
 /// A file whose content may still change.
 struct FileWatch {
+    /// Content found by the last check.
     last_content: Vec<u8>,
     check_at: Instant,
     /// `None` until the file has settled and been read.
@@ -45,8 +50,11 @@
 
 /// Rechecking of a file that may have been incomplete when it was last read.
 struct Recheck {
-    content: Vec<u8>,
-    is_valid: bool,
+    /// Content when the configuration was last read.
+    read_content: Vec<u8>,
+    /// Whether that content was a valid configuration.
+    was_valid: bool,
+    /// When rechecking ends.
     ends_at: Instant,
 }
 
@@ -72,7 +80,8 @@
         Reloader { source, initial, discovery, log, pending: None, last_error: None }
     }
 
-    /// Starts a reload, which happens at once or when the file has settled.
+    /// Reloads at once or, if a truncated file may be valid, once the file has settled. A pending reload is
+    /// replaced.
     pub(super) fn request_reload(&mut self) {
         (self.pending, self.last_error) = (None, None);
         if self.source.may_be_valid_when_truncated() {
@@ -87,8 +96,9 @@
         self.pending.as_ref().map(|pending| pending.check_at)
     }
 
-    /// Reloads if the file has settled and its content is new or was not valid; otherwise schedules the next
-    /// check.
+    /// Reloads if the file has settled and has not been read yet, has changed since or was not valid.
+    /// Otherwise schedules the next check, unless the time for rechecks is over. An unchanged file that was
+    /// not valid is read again because a file that it names, such as the key file, may have been incomplete.
     pub(super) fn check_pending(&mut self) {
         let Some(FileWatch { last_content, recheck, .. }) = self.pending.take() else { return };
         let content = self.source.content();
@@ -96,7 +106,7 @@
         match recheck {
             None if has_settled => self.reload_and_recheck(None),
             None => self.pending = Some(FileWatch::settling(content)),
-            Some(last) if has_settled && (content != last.content || !last.is_valid) => {
+            Some(last) if has_settled && (content != last.read_content || !last.was_valid) => {
                 self.reload_and_recheck(Some(last));
             }
             Some(last) if !has_settled || Instant::now() < last.ends_at => {
@@ -110,22 +120,22 @@
     fn reload_and_recheck(&mut self, last: Option<Recheck>) {
         // Read before the reload, so that anything written in between counts as a change.
         let content = self.source.content();
-        let is_valid = self.reload();
-        if is_valid && !self.source.may_be_valid_when_truncated() {
+        let was_valid = self.reload();
+        if was_valid && !self.source.may_be_valid_when_truncated() {
             return;
         }
         let now = Instant::now();
-        let is_unchanged = last.as_ref().is_some_and(|last| last.content == content);
+        let is_unchanged = last.as_ref().is_some_and(|last| last.read_content == content);
         let ends_at = last.filter(|_| is_unchanged).map_or(now + RECHECK_DURATION, |last| last.ends_at);
         if now < ends_at {
-            let recheck = Recheck { content: content.clone(), is_valid, ends_at };
+            let recheck = Recheck { read_content: content.clone(), was_valid, ends_at };
             self.pending = Some(FileWatch::rechecking(content, recheck));
         }
     }
 
     /// Reads and applies the configuration; returns whether it was valid.
     fn reload(&mut self) -> bool {
-        let config = match self.load() {
+        let config = match self.load_and_apply_log_levels() {
             Ok(config) => config,
             Err(error) => {
                 self.log_failure(join_lines(&error.to_string()));
@@ -151,7 +161,7 @@
 
     /// Reads the configuration and then applies its log levels, so that an invalid configuration changes
     /// nothing.
-    fn load(&self) -> Result<LoadedConfig, ReloadError> {
+    fn load_and_apply_log_levels(&self) -> Result<LoadedConfig, ReloadError> {
         let config = self.source.load()?;
         self.log.reload(&config.log)?;
         Ok(config)
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -25,14 +25,14 @@
 pub(super) struct Scheduler {
     proxy: AssembledProxy,
     discovery: DiscoveryHandle,
-    // If dropped without `shut_down`, it ends without notice and the other members must detect that by
-    // probing.
+    // If the scheduler is dropped without `shut_down`, the member ends without notice, and the other members
+    // must detect that by probing.
     #[cfg(feature = "standalone")]
     member: Option<MembershipTransport>,
 }
 
 impl Scheduler {
-    /// Starts the components and serves.
+    /// Starts the components and the tasks that serve clients.
     ///
     /// # Errors
     /// Fails if a component does not start.
@@ -64,10 +64,12 @@
         &self.discovery
     }
 
-    /// Waits until the accepted requests are answered or the drain deadline has passed, and ends the
-    /// components. Returns the time left for ending the event log and the log.
+    /// Shuts down: waits until the accepted requests are answered, at the latest until the drain deadline,
+    /// closes the connections and ends the components. Returns the time left for ending the event log and the
+    /// log.
     pub(super) async fn shut_down(self, log: &Log, recorder: &Recorder) -> ExitBudget {
-        // Before draining, so that the other members learn of the shutdown while this one still serves.
+        // Before the wait for requests, so that the other members learn of the shutdown while this one still
+        // serves.
         #[cfg(feature = "standalone")]
         self.member.iter().for_each(MembershipTransport::leave);
         let deadlines = self.proxy.begin_shutdown();
@@ -98,7 +100,7 @@
     RequestCounts { received, answered, disconnected, unanswered: totals.unanswered() }
 }
 
-/// Records the start of the run and, from then on, each counter of the proxy that reaches a power of two.
+/// Records the start of the run and, from then on, each time that a counter of faults reaches a power of two.
 fn record_start(proxy: &AssembledProxy, startup: &StartupConfig, recorder: &Recorder) {
     let event_recorder = Arc::clone(&proxy.context.recorder);
     invariant::observe_counters(Box::new(move |what, count| event_recorder.counter_reached(what, count)));
--- a/crates/scheduler/src/toy_worker.rs
+++ b/crates/scheduler/src/toy_worker.rs
@@ -1,8 +1,9 @@
 //! A toy worker and a discovery that lists it, for trying out the scheduler as README.md describes.
 //!
-//! The worker accepts every request, sleeps for the cost hint (the `X-Cost` header, in microseconds) and
-//! sends a callback. It processes one request at a time in each of its two slots, and its load reports name
-//! the free slots. It is not meant for real traffic and listens on loopback addresses only.
+//! The worker accepts every request that has an id, sends a callback, sleeps for the cost hint (the `X-Cost`
+//! header, in microseconds) and sends the final callback. It processes one request at a time in each of its
+//! two slots, and its load reports name the free slots. It is not meant for real traffic and listens on
+//! loopback addresses only.
 use std::future::IntoFuture;
 use std::io;
 use std::net::SocketAddr;
@@ -30,7 +31,7 @@
 const DEFAULT_WORKER_ADDRESS: &str = "127.0.0.1:9001";
 /// Number of requests that the toy worker processes at once.
 const SLOTS: usize = 2;
-/// Service time of a request without a cost hint, in microseconds.
+/// Service time, in microseconds, of a request without a valid cost hint.
 const DEFAULT_COST_MICROS: u64 = 100_000;
 
 type CallbackClient = Client<HttpConnector, Full<Bytes>>;
@@ -73,8 +74,9 @@
         sleep(cost).await;
         drop(slot);
         let free = self.slots.available_permits();
-        let result = format!(r#""state":"done","result":"{id} is done","load":{{"x0":{free},"waiting":0}}"#);
-        self.send_callback(format!(r#"{{"id":"{id}","from":"{name}",{result}}}"#)).await;
+        let final_fields =
+            format!(r#""state":"done","result":"{id} is done","load":{{"x0":{free},"waiting":0}}"#);
+        self.send_callback(format!(r#"{{"id":"{id}","from":"{name}",{final_fields}}}"#)).await;
     }
 
     /// Sends a callback to the scheduler, without the retries that a real worker would make.
@@ -92,8 +94,8 @@
     }
 }
 
-/// Returns the complete endpoint list. A watch from the only revision, 1, is first held open for `hold_ms`
-/// milliseconds.
+/// Returns the complete endpoint list, whose revision is always 1. A watch (a request with `from=1`) is first
+/// held open for its parameter `hold_ms`, in milliseconds.
 async fn answer_with_list(request: Request) -> String {
     let query = request.uri().query().unwrap_or_default();
     let numeric_parameter =
@@ -116,6 +118,7 @@
     let accept = move |headers: HeaderMap, request: Request| async move { worker.accept(&headers, &request) };
     let listener = listen(address).await?;
     info!(worker = name, address, "toy worker is listening");
+    // Cancellations arrive at `/jobs/{id}`; they are answered and ignored.
     let router = Router::new().route("/jobs/{id}", any(async || StatusCode::NO_CONTENT)).fallback(accept);
     axum::serve(listener, router).await
 }
