--- a/crates/scheduler/src/configuration/layers.rs
+++ b/crates/scheduler/src/configuration/layers.rs
@@ -1,5 +1,6 @@
-//! The configuration of installations other than the platform: TOML, environment and command line in layers
-//! over the built-in default.
+//! Layered configuration of standalone installations.
+//!
+//! The layers are a TOML file, environment variables and the command line, over the built-in default.
 use std::path::Path;
 
 use copperspread_config::{CheckContext, EffectiveConfig, LogFormat};
@@ -9,12 +10,13 @@
 
 use super::{ConfigError, LoadedConfig};
 use crate::logging::{self, LogConfig};
-use crate::membership::{self, MembershipConfig};
+use crate::membership::{self, MemberConfig};
 
 /// Reads and checks the layers.
 ///
 /// # Errors
-/// All faults, one a line.
+/// Fails if the file cannot be read or a layer contains faults. Several invalid values are listed one per
+/// line; a syntax error in the file and an invalid log level are reported alone.
 pub(super) fn load(
     file: Option<&Path>,
     overrides: &[String],
@@ -23,8 +25,8 @@
     let effective = read_effective(file, overrides)?;
     Ok(LoadedConfig {
         log: log_config(&effective),
-        event_log: event_log_spec(&effective),
-        membership: MembershipConfig::from_config(&effective.config),
+        event_log: event_log_config(&effective),
+        membership: MemberConfig::from_config(&effective.config),
         startup: startup_config(&effective, default_seed)?,
     })
 }
@@ -32,21 +34,22 @@
 /// Merges and checks the layers, and keeps each value's origin.
 ///
 /// # Errors
-/// All faults, one a line.
+/// Fails if the file cannot be read or a layer contains faults. Several invalid values are listed one per
+/// line; a syntax error in the file and an invalid log level are reported alone.
 pub(crate) fn read_effective(
     file: Option<&Path>,
     overrides: &[String],
 ) -> Result<EffectiveConfig, ConfigError> {
-    let effective = copperspread_config::read(file, overrides, &process_limits())?;
+    let effective = copperspread_config::read(file, overrides, &check_context())?;
     logging::parse_levels(&effective.config.log.level)
         .map_err(|source| ConfigError::InvalidLogLevel { origin: effective.origin("log.level"), source })?;
     Ok(effective)
 }
 
-/// The part that describes the scheduler. The default seed is used where no layer sets one.
+/// Extracts the settings that the scheduler is started with. `default_seed` applies if no layer sets a seed.
 ///
 /// # Errors
-/// Values that are valid each by itself and still describe no scheduler.
+/// Fails if the values are each valid, but no scheduler can be started with their combination.
 pub(crate) fn startup_config(
     effective: &EffectiveConfig,
     default_seed: u64,
@@ -54,8 +57,9 @@
     effective.config.startup_config(default_seed).map_err(|error| ConfigError::Unusable(error.into()))
 }
 
-/// The bounds that this process has from outside.
-fn process_limits() -> CheckContext {
+/// Returns what the configuration is checked against outside itself: the descriptor limit of this process and
+/// the content of the key file.
+fn check_context() -> CheckContext {
     CheckContext {
         descriptor_limit: getrlimit(Resource::Nofile).current,
         check_key_file: Some(|path| Ok(membership::check_key_file(path)?)),
@@ -74,7 +78,7 @@
     }
 }
 
-fn event_log_spec(effective: &EffectiveConfig) -> Option<writer::EventLogConfig> {
+fn event_log_config(effective: &EffectiveConfig) -> Option<writer::EventLogConfig> {
     let records = &effective.config.records;
     records.file.clone().map(|file| writer::EventLogConfig {
         path: file,
