--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -211,7 +211,7 @@
             Effect::GenerationRaised(local) => {
                 log_member("known by a later generation to others, generation raised", &local);
             }
-            Effect::SelfRefuted(local) => log_member("rejoined after being declared dead by others", &local),
+            Effect::SelfRefuted(local) => log_member("declared dead by others, rejoined", &local),
         }
     }
 
