--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -1,4 +1,4 @@
-//! Checks of the request classes.
+//! Checks the request classes.
 use std::collections::BTreeSet;
 
 use super::violations::Violations;
@@ -6,7 +6,7 @@
 use crate::units::HumanDuration;
 
 const MAX_DEADLINE: HumanDuration = HumanDuration(86_400_000_000);
-/// First parts of paths that the program itself answers.
+/// First path segments of the program's own paths.
 const RESERVED_NAMES: [&str; 2] = ["-", "_jobs"];
 
 pub(super) fn check_classes(config: &Config, violations: &mut Violations) {
@@ -16,7 +16,7 @@
         let key = |name: &str| format!("classes[{index}].{name}");
         check_name(class, &key("name"), violations);
         violations
-            .require(names.insert(&class.name), &key("name"), || format!("{:?} comes twice", class.name));
+            .require(names.insert(&class.name), &key("name"), || format!("{:?} occurs twice", class.name));
         check_times(class, key, violations);
         for (name, value) in [("stretch", class.stretch), ("worth", class.worth)] {
             violations.require(value.is_finite() && value >= 0.0, &key(name), || {
@@ -32,10 +32,10 @@
     let is_unreserved = |c: char| c.is_ascii_alphanumeric() || "-_.~".contains(c);
     let is_path_segment = !class.name.is_empty() && class.name.chars().all(is_unreserved);
     violations.require(is_path_segment, key, || {
-        format!("{:?} is no part of a path; letters, digits and -_.~", class.name)
+        format!("{:?} is not a path segment; use letters, digits and -_.~", class.name)
     });
     violations.require(!RESERVED_NAMES.contains(&class.name.as_str()), key, || {
-        format!("{:?} is taken by the program itself", class.name)
+        format!("{:?} is reserved for the program's own paths", class.name)
     });
 }
 
@@ -45,7 +45,7 @@
         format!("{deadline} is not over 0 and at most a day")
     });
     violations
-        .require(aim <= deadline, &key("aim"), || format!("{aim} is later than the deadline of {deadline}"));
+        .require(aim <= deadline, &key("aim"), || format!("{aim} is longer than the deadline of {deadline}"));
 }
 
 fn check_key_window(class: &Class, key: &str, violations: &mut Violations) {
@@ -55,16 +55,16 @@
         "is missing or 0; a keyed class needs the span for which repeats are dropped".into()
     });
     violations.require(is_keyed || class.key_window.is_none(), key, || {
-        "has no meaning unless repeat is \"keyed\"".into()
+        "has no effect unless repeat is \"keyed\"".into()
     });
 }
 
-/// Only a static list tells beforehand which kinds there are.
+/// Checks that some worker has the kind; only with a static list are the kinds known in advance.
 fn check_worker_kind(class: &Class, source: &EndpointSourceConfig, key: &str, violations: &mut Violations) {
     if source.kind != EndpointSourceKind::Static {
         return;
     }
     let Some(kind) = &class.worker_kind else { return };
     let is_known = source.workers.iter().any(|worker| worker.kind == *kind);
-    violations.require(is_known, key, || format!("no worker is of the kind {kind:?}"));
+    violations.require(is_known, key, || format!("no worker has the kind {kind:?}"));
 }
--- a/crates/config/src/check/context.rs
+++ b/crates/config/src/check/context.rs
@@ -1,15 +1,16 @@
-//! What bounds a configuration from outside.
+//! Inputs of the checks that are not part of the configuration.
 use std::error::Error;
 use std::path::Path;
 
-/// Reads the membership's key from its file; the error says what is wrong with it, without its bytes.
+/// A function that checks the file with the membership key. Its error says what is wrong, without the key's
+/// bytes.
 pub type CheckKeyFile = fn(&Path) -> Result<(), Box<dyn Error>>;
 
-/// What bounds a configuration from outside.
+/// Inputs of the checks that are not part of the configuration.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CheckContext {
-    /// How many descriptors the process may hold open; `None` where it is not known.
+    /// Number of file descriptors that the process may open; `None` if unknown.
     pub descriptor_limit: Option<u64>,
-    /// Checks the file with the membership's key; `None` leaves the file unread.
+    /// Checks the file with the membership key; with `None`, the file is not read.
     pub check_key_file: Option<CheckKeyFile>,
 }
--- a/crates/config/src/check/endpoints.rs
+++ b/crates/config/src/check/endpoints.rs
@@ -1,4 +1,4 @@
-//! Checks of zones and of the source of endpoint lists.
+//! Checks the zones and the source of the endpoint list.
 use std::collections::BTreeSet;
 
 use http::uri::Authority;
@@ -9,7 +9,7 @@
 pub(super) fn check_zones(zones: &ZoneConfig, violations: &mut Violations) {
     violations
         .require(zones.names.contains(&zones.here), "zones.here", || not_among_zones(&zones.here, zones));
-    violations.require(are_distinct(&zones.names), "zones.names", || "a name comes twice".into());
+    violations.require(are_distinct(&zones.names), "zones.names", || "a name occurs twice".into());
     let cost = zones.price_of_crossing;
     violations.require(cost.is_finite() && cost >= 0.0, "zones.price_of_crossing", || {
         format!("{cost} is not 0 or more")
@@ -34,7 +34,7 @@
 
 fn check_static_list(source: &EndpointSourceConfig, zones: &ZoneConfig, violations: &mut Violations) {
     if source.address.is_some() {
-        violations.add("source.address", "has no meaning where source.kind is \"static\"");
+        violations.add("source.address", "has no effect if source.kind is \"static\"");
     } else {
         violations.require(!source.workers.is_empty(), "source.workers", || {
             "is empty; a static list needs a worker".into()
@@ -56,7 +56,7 @@
 ) {
     let key = |name: &str| format!("source.workers[{index}].{name}");
     violations.require(!worker.id.is_empty(), &key("id"), || "is empty".into());
-    violations.require(has_new_id, &key("id"), || format!("{:?} comes twice", worker.id));
+    violations.require(has_new_id, &key("id"), || format!("{:?} occurs twice", worker.id));
     violations.require(is_address(&worker.address), &key("address"), || not_an_address(&worker.address));
     let has_known_zone = worker.zone.is_empty() || zones.names.contains(&worker.zone);
     violations.require(has_known_zone, &key("zone"), || not_among_zones(&worker.zone, zones));
@@ -71,7 +71,7 @@
 }
 
 fn not_an_address(text: &str) -> String {
-    format!("{text:?} is no address; write a host and a port, such as \"127.0.0.1:9001\"")
+    format!("{text:?} is not an address; write a host and a port, such as \"127.0.0.1:9001\"")
 }
 
 fn not_among_zones(zone: &str, zones: &ZoneConfig) -> String {
--- a/crates/config/src/check/membership.rs
+++ b/crates/config/src/check/membership.rs
@@ -1,4 +1,4 @@
-//! Checks of the membership among schedulers.
+//! Checks the settings of the membership among schedulers.
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
@@ -11,7 +11,7 @@
 const MAX_PROBE_INTERVAL: HumanDuration = HumanDuration(60_000_000);
 const INDIRECT_PROBES: RangeInclusive<u32> = 1..=16;
 const MAX_SUSPICION: f64 = 1_000.0;
-/// A longer name does not fit into a packet.
+/// Longest name that fits into a packet.
 const MAX_NAME_BYTES: usize = 64;
 
 pub(super) fn check_membership(config: &Config, context: &CheckContext, violations: &mut Violations) {
@@ -26,7 +26,7 @@
     check_names(config, violations);
 }
 
-/// Without `bind` there is no membership: other keys would suggest that there is.
+/// Rejects keys that have no effect without `bind`, as their presence suggests that membership is on.
 fn check_unused(membership: &MembershipConfig, violations: &mut Violations) {
     let keys = [
         ("cluster.advertise", membership.advertise.is_some()),
@@ -34,14 +34,14 @@
         ("cluster.key_file", membership.key_file.is_some()),
     ];
     for (key, is_set) in keys {
-        violations.require(!is_set, key, || "has no meaning unless cluster.bind is set".into());
+        violations.require(!is_set, key, || "has no effect unless cluster.bind is set".into());
     }
 }
 
 fn check_addresses(membership: &MembershipConfig, bind: SocketAddr, violations: &mut Violations) {
     let is_reachable = !bind.ip().is_unspecified() || membership.advertise.is_some();
     violations.require(is_reachable, "cluster.bind", || {
-        format!("{bind} is no number that peers can reach; set cluster.advertise to one")
+        format!("{bind} is not an address that peers can reach; set cluster.advertise to one")
     });
     if let Some(advertise) = membership.advertise {
         check_peer_address("cluster.advertise", advertise, bind, violations);
@@ -53,16 +53,16 @@
 
 fn check_peer_address(key: &str, address: SocketAddr, bind: SocketAddr, violations: &mut Violations) {
     let is_specified = !address.ip().is_unspecified() && address.port() != 0;
-    violations.require(is_specified, key, || format!("{address} is no number and port to send to"));
+    violations.require(is_specified, key, || format!("{address} is not an address and port to send to"));
     violations.require(address.is_ipv4() == bind.is_ipv4(), key, || {
-        format!("{address} and cluster.bind are IPv4 and IPv6")
+        format!("{address} and cluster.bind must be both IPv4 or both IPv6")
     });
 }
 
 fn check_key_file(membership: &MembershipConfig, context: &CheckContext, violations: &mut Violations) {
     let key = "cluster.key_file";
     let Some(path) = &membership.key_file else {
-        violations.add(key, "is missing; a cluster needs a key, a file of at least 16 bytes");
+        violations.add(key, "is missing; membership needs a key file of at least 16 bytes");
         return;
     };
     if let Some(check) = context.check_key_file
@@ -98,9 +98,8 @@
     ];
     for (key, name) in names {
         violations.require(name.len() <= MAX_NAME_BYTES, key, || {
-            format!("{} bytes are too many for a member of a cluster; at most {MAX_NAME_BYTES}", name.len())
+            format!("{} bytes exceed the {MAX_NAME_BYTES} that membership allows", name.len())
         });
     }
-    violations
-        .require(!config.name.is_empty(), "name", || "is empty; a member of a cluster needs one".into());
+    violations.require(!config.name.is_empty(), "name", || "is empty; membership needs a name".into());
 }
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -1,5 +1,5 @@
-//! Checks each value against the others and against what the process is allowed. Finds everything that
-//! is wrong, not only the first, and says what would be right.
+//! Validates the values of a configuration, against each other and against the limits of the process. Finds
+//! all violations, not only the first.
 mod classes;
 mod context;
 mod endpoints;
@@ -14,7 +14,7 @@
 use crate::types::{AttemptConfig, Config, SlowStartConfig};
 use crate::units::HumanDuration;
 
-/// Everything that is wrong with a configuration.
+/// All violations of a configuration.
 pub(crate) fn check(config: &Config, context: &CheckContext) -> Vec<Violation> {
     let mut violations = Violations::default();
     process::check_limits(&config.limits, context, &mut violations);
@@ -25,9 +25,11 @@
     check_slow_start(&config.cold, &mut violations);
     check_durations(config, &mut violations);
     check_attempts(&config.attempts, &mut violations);
-    violations.require(config.schedulers >= 1, "schedulers", || "0 leaves this one out; at least 1".into());
+    violations.require(config.schedulers >= 1, "schedulers", || {
+        "0 excludes this scheduler; must be at least 1".into()
+    });
     process::check_event_log(&config.records, &mut violations);
-    violations.into_found()
+    violations.into_vec()
 }
 
 fn check_slow_start(slow_start: &SlowStartConfig, violations: &mut Violations) {
@@ -46,13 +48,13 @@
         ("back.http.keep_idle", config.back.http.keep_idle),
     ];
     for (key, duration) in durations {
-        violations.require(duration > HumanDuration(0), key, || {
-            "no time at all; write a span such as \"250ms\"".into()
-        });
+        violations
+            .require(duration > HumanDuration(0), key, || "is 0; write a duration such as \"250ms\"".into());
     }
 }
 
 fn check_attempts(attempts: &AttemptConfig, violations: &mut Violations) {
-    violations
-        .require(attempts.most >= 1, "attempts.most", || "0 attempts serve no request; at least 1".into());
+    violations.require(attempts.most >= 1, "attempts.most", || {
+        "0 attempts serve no request; must be at least 1".into()
+    });
 }
--- a/crates/config/src/check/process.rs
+++ b/crates/config/src/check/process.rs
@@ -1,4 +1,4 @@
-//! Checks of the process's limits and of its event log.
+//! Checks the resource limits and the event log.
 use std::ops::RangeInclusive;
 
 use super::context::CheckContext;
@@ -14,12 +14,12 @@
 pub(super) fn check_limits(limits: &ResourceLimits, context: &CheckContext, violations: &mut Violations) {
     let ResourceLimits { memory, descriptors } = *limits;
     violations.require(memory >= MIN_MEMORY, "limits.memory", || {
-        format!("{memory} is too little; at least {MIN_MEMORY}")
+        format!("{memory} is too small; must be at least {MIN_MEMORY}")
     });
     violations.require(descriptors >= MIN_DESCRIPTORS, "limits.descriptors", || {
-        format!("{descriptors} is too few; at least {MIN_DESCRIPTORS}")
+        format!("{descriptors} is too small; must be at least {MIN_DESCRIPTORS}")
     });
-    // More than the process may open would only show as failed accepts at full load.
+    // Without this check, a limit above the process's own would show only as failed accepts at full load.
     if let Some(limit) = context.descriptor_limit {
         violations.require(u64::from(descriptors) <= limit, "limits.descriptors", || {
             format!(
@@ -33,10 +33,11 @@
 pub(super) fn check_event_log(event_log: &EventLogConfig, violations: &mut Violations) {
     let EventLogConfig { rotate_at, keep, queue, .. } = *event_log;
     violations.require(rotate_at >= MIN_ROTATION_SIZE, "records.rotate_at", || {
-        format!("{rotate_at} is too little; at least {MIN_ROTATION_SIZE}")
+        format!("{rotate_at} is too small; must be at least {MIN_ROTATION_SIZE}")
+    });
+    violations.require(keep >= 1, "records.keep", || {
+        "0 would lose a file at each rotation; must be at least 1".into()
     });
-    violations
-        .require(keep >= 1, "records.keep", || "0 would lose a file at each rotation; at least 1".into());
     violations.require(QUEUE_LENGTHS.contains(&queue), "records.queue", || {
         format!("{queue} is not between {} and {}", QUEUE_LENGTHS.start(), QUEUE_LENGTHS.end())
     });
--- a/crates/config/src/check/violations.rs
+++ b/crates/config/src/check/violations.rs
@@ -1,11 +1,11 @@
-//! What the checks have found wrong.
+//! Collects the violations that the checks find.
 
-/// A value that is wrong.
+/// An invalid value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Violation {
-    /// The key with its tables, such as `classes[1].aim`.
+    /// The full key, such as `classes[1].aim`.
     pub(crate) key: String,
-    /// What is wrong, for people.
+    /// What is wrong, as a message to the user.
     pub(crate) message: String,
 }
 
@@ -29,7 +29,7 @@
     }
 
     /// The violations, in the order in which they were found.
-    pub(super) fn into_found(self) -> Vec<Violation> {
+    pub(super) fn into_vec(self) -> Vec<Violation> {
         self.found
     }
 }
--- a/crates/config/src/describe/default_file.rs
+++ b/crates/config/src/describe/default_file.rs
@@ -1,36 +1,36 @@
-//! The built-in default as a TOML file.
+//! Generates a commented TOML file of the built-in defaults.
 use serde_json::Value;
 use toml_edit::{DocumentMut, Item, Table};
 
 use super::schema::{description, schema};
 use crate::types::Config;
 
-/// Why the built-in default cannot be written as TOML, which would be a fault of this program.
+/// Why the built-in defaults cannot be written as TOML; this would be a bug.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum DescribeError {
-    /// The default cannot be serialized.
+    /// The defaults cannot be serialized.
     #[error(transparent)]
     Serialize(#[from] toml::ser::Error),
-    /// What was serialized cannot be read again.
+    /// The serialized defaults cannot be parsed.
     #[error(transparent)]
     Parse(#[from] toml_edit::TomlError),
 }
 
-/// The built-in default as a file, with a comment before each value.
+/// The built-in defaults as a TOML file, with a comment before each key.
 ///
 /// # Errors
-/// A default that is no TOML, which would be a fault of this program.
+/// [`DescribeError`] if the defaults cannot be written as TOML, which would be a bug.
 pub fn commented_default() -> Result<String, DescribeError> {
     let mut document: DocumentMut = toml::to_string(&Config::default())?.parse()?;
     add_comments(document.as_table_mut(), &schema());
     Ok(format!(
-        "# The built-in default of copperspread. Each key may be left out.\n\n{}",
+        "# The built-in defaults of copperspread. Each key may be omitted.\n\n{}",
         document.to_string().trim_start()
     ))
 }
 
-/// Puts each key's description before it, in a table and those in it.
+/// Adds each key's description as a comment before it, recursively.
 fn add_comments(table: &mut Table, schema: &Value) {
     for (mut key, item) in table.iter_mut() {
         let schema = &schema["properties"][key.get()];
@@ -41,7 +41,7 @@
                 add_comments(inner, schema);
             }
             Item::ArrayOfTables(tables) => {
-                // Only the first: the others have the same keys.
+                // Only the first item has comments, as the others have the same keys.
                 if let Some(first) = tables.iter_mut().next() {
                     first.decor_mut().set_prefix(format!("\n{comment}"));
                     add_comments(first, &schema["items"]);
--- a/crates/config/src/describe/mod.rs
+++ b/crates/config/src/describe/mod.rs
@@ -1,4 +1,4 @@
-//! The schema, the commented default and the reference page, all made from the types.
+//! Generates the JSON Schema, the commented default file and the reference page from the types.
 mod default_file;
 mod reference_page;
 mod schema;
--- a/crates/config/src/describe/reference_page.rs
+++ b/crates/config/src/describe/reference_page.rs
@@ -1,4 +1,4 @@
-//! The page docs/configuration.md.
+//! Generates the reference page, docs/configuration.md.
 use serde_json::{Map, Value};
 
 use super::schema::{description, is_required, is_table, schema, type_name};
@@ -7,20 +7,21 @@
 const PREFACE: &str = "\
 # Configuration
 
-Made from the program's types by `copperspread-scheduler config page`; a test fails when it is stale. How to
-work with it is in [operating.md](operating.md).
+Generated from the program's types by `copperspread-scheduler config page`; a test fails when it is
+out of date. How to use it is described in [operating.md](operating.md).
 
-Each value comes from the last of these that sets it: the built-in default, the file (TOML), the
+Each value comes from the last of these layers that sets it: the built-in defaults, the file (TOML), the
 environment, flags. A variable's name is `COPPERSPREAD_` and the key in capitals with `__` for each
 dot: `COPPERSPREAD_LIMITS__MEMORY=\"64 MB\"`. A flag is `--set limits.memory=\"64 MB\"`. A list is set
 as a whole. Unknown keys are an error.
 
-Spans of time are texts such as `\"250ms\"` or `\"1m 30s\"`, sizes such as `\"192 MB\"` or `\"64 KiB\"`.
+A `span` is a duration, such as `\"250ms\"` or `\"1m 30s\"`; a `size` is a number of bytes, such as
+`\"192 MB\"` or `\"64 KiB\"`.
 ";
 
 const TABLE_HEAD: &str = "| key | type | default | meaning |\n| --- | --- | --- | --- |\n";
 
-/// The reference page: a section for each table of the configuration.
+/// The reference page as Markdown, with a section for each table of the configuration.
 pub fn reference_page() -> String {
     let mut page = String::from(PREFACE);
     let defaults = serde_json::to_value(Config::default()).unwrap_or_default();
@@ -28,7 +29,7 @@
     page
 }
 
-/// Adds one table of the schema: its own keys, then the tables in it.
+/// Adds a section for a table of the schema, then sections for the tables in it.
 fn add_section(path: &str, schema: &Value, defaults: &Value, page: &mut String) {
     let Some(properties) = schema["properties"].as_object() else { return };
     add_keys(path, schema, properties, defaults, page);
@@ -43,7 +44,7 @@
     }
 }
 
-/// Adds the keys of one table that are no tables themselves; nothing where there are none.
+/// Adds a section with the keys of a table that are not tables; none if it has no such keys.
 fn add_keys(
     path: &str,
     schema: &Value,
@@ -74,7 +75,7 @@
     }
 }
 
-/// The defaults of the tables in the list `path`; null for the keys that have none.
+/// The default values of an item of the list `path`; null for required keys.
 fn item_defaults(path: &str, schema: &Value) -> Value {
     let item = match path {
         "classes" => serde_json::to_value(Class::default()),
@@ -98,7 +99,7 @@
     }
 }
 
-/// The names of a choice, each with its meaning; empty for any other value.
+/// The values of a choice with their meanings; empty for any other type.
 fn choices(schema: &Value) -> String {
     let Some(alternatives) = schema["oneOf"].as_array() else { return String::new() };
     let describe = |choice: &Value| {
--- a/crates/config/src/describe/schema.rs
+++ b/crates/config/src/describe/schema.rs
@@ -1,16 +1,16 @@
-//! The JSON Schema, and what the other descriptions read from it.
+//! Generates the JSON Schema, and reads the parts of it that the other generators need.
 use schemars::generate::SchemaSettings;
 use serde_json::Value;
 
 use crate::types::Config;
 
-/// The configuration's JSON Schema.
+/// The JSON Schema of the configuration.
 pub fn schema() -> Value {
     let settings = SchemaSettings::draft2020_12().with(|settings| settings.inline_subschemas = true);
     settings.into_generator().into_root_schema_for::<Config>().to_value()
 }
 
-/// The description of a key, a table or a choice; empty where there is none.
+/// The description of a key, a table or a choice; empty if there is none.
 pub(super) fn description(schema: &Value) -> &str {
     schema["description"].as_str().unwrap_or_default()
 }
@@ -20,12 +20,12 @@
     schema["required"].as_array().is_some_and(|names| names.iter().any(|required| required == name))
 }
 
-/// Whether the value is a table with keys of its own.
+/// Whether the schema is that of a table.
 pub(super) fn is_table(schema: &Value) -> bool {
     schema["properties"].is_object()
 }
 
-/// The name of a value's type, for people.
+/// The name of a value's type on the reference page.
 pub(super) fn type_name(schema: &Value) -> String {
     if schema["oneOf"].is_array() {
         return "choice".into();
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -1,10 +1,10 @@
-//! A configuration in force, with the origin of each value.
+//! The effective configuration, with the origin of each value.
 use figment::Figment;
 
 use crate::layer_names::{DEFAULT_LAYER, layer_label};
 use crate::types::Config;
 
-/// A configuration in force, and where its values came from.
+/// The merged and validated configuration, with the origin of each value.
 #[derive(Clone, Debug)]
 pub struct EffectiveConfig {
     /// The values.
@@ -12,7 +12,7 @@
     figment: Figment,
 }
 
-/// A value of the listing: its key with its tables, and the value as TOML.
+/// A value of the listing: its full key, and the value as TOML.
 struct ListedValue {
     key: String,
     value: String,
@@ -23,9 +23,10 @@
         EffectiveConfig { config, figment }
     }
 
-    /// Where a value came from, by its key: `default`, the file's name, `environment` or `flag --set`.
+    /// The origin of a key's value: `default`, the file's name, `environment` with the variable, or
+    /// `flag --set`.
     pub fn origin(&self, key: &str) -> String {
-        // A list has one origin as a whole.
+        // A list is set as a whole, so that its items have one origin.
         let mut key = key.split('[').next().unwrap_or_default();
         loop {
             if let Some(metadata) = self.figment.find_metadata(key) {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The values in force, a line each: key, value and origin.
+    /// The effective values as text: a line with key, value and origin for each.
     pub fn listing(&self) -> String {
         let mut values = Vec::new();
         if let Ok(config) = toml::Value::try_from(&self.config) {
@@ -56,7 +57,7 @@
     }
 }
 
-/// Adds a value, or those in it, under the key `prefix`.
+/// Appends the value under the key `prefix`, or the values that it contains.
 fn list_values(prefix: &str, value: &toml::Value, values: &mut Vec<ListedValue>) {
     match value {
         toml::Value::Table(table) => {
--- a/crates/config/src/layers.rs
+++ b/crates/config/src/layers.rs
@@ -1,4 +1,4 @@
-//! The layers of a configuration: reads each, merges them and has the result checked.
+//! Reads the layers of the configuration, merges them and validates the result.
 use std::ops::Range;
 use std::path::Path;
 
@@ -13,10 +13,10 @@
 use crate::problem::{InvalidConfig, Problem};
 use crate::types::Config;
 
-/// The variable that names the file, without the prefix. It sets no value.
+/// The environment variable, without its prefix, that names the configuration file and sets no key.
 const FILE_VARIABLE: &str = "config";
 
-/// One layer under a name of ours.
+/// A layer, with the name by which figment reports the origin of its values.
 struct Layer {
     name: String,
     table: toml::Table,
@@ -32,11 +32,11 @@
     }
 }
 
-/// Reads the layers: the defaults, a file if one is named, the environment, and flags of the form
-/// `key=value`.
+/// Reads and validates the configuration from its layers: the built-in defaults, the file if one is given,
+/// the environment, and flags of the form `key=value`.
 ///
 /// # Errors
-/// Everything that is wrong, each with its location. A file that cannot be read is one problem.
+/// [`InvalidConfig`] with all problems and their locations. A file that cannot be read is a single problem.
 pub fn read(
     file: Option<&Path>,
     flags: &[String],
@@ -48,10 +48,10 @@
     read_text(Some((&name, &text)), flags, context)
 }
 
-/// Reads the layers with a file's name and text.
+/// Reads and validates the configuration as [`read`] does, from a file's name and text.
 ///
 /// # Errors
-/// As [`read`].
+/// [`InvalidConfig`] with all problems and their locations.
 pub fn read_text(
     file: Option<(&str, &str)>,
     flags: &[String],
@@ -73,7 +73,7 @@
         .map_err(|error| InvalidConfig::without_key("defaults", error))?;
     let mut figment = Figment::from(Layer { name: DEFAULT_LAYER.to_owned(), table: defaults });
     if let Some((name, text)) = file {
-        // Read alone first: errors after the merge no longer know their line.
+        // The file is validated before the merge, since later errors have no line numbers.
         let table = read_file(name, text)?;
         figment = figment.merge(Layer { name: name.to_owned(), table });
     }
@@ -85,7 +85,7 @@
     Ok(figment)
 }
 
-/// The values of a file, which have the right types and no unknown keys.
+/// Parses a file, and checks the types of its values and that it has no unknown keys.
 fn read_file(name: &str, text: &str) -> Result<toml::Table, InvalidConfig> {
     let invalid = |key: &str, error: &toml::de::Error| {
         let location = location_of_span(name, text, error.span());
@@ -95,9 +95,9 @@
     serde_path_to_error::deserialize::<_, Config>(deserializer)
         .map_err(|error| invalid(&error.path().to_string(), error.inner()))?;
     let table: toml::Table = text.parse().map_err(|error| invalid("", &error))?;
-    // A file that is just being rewritten may be empty for an instant; it must not count as the default.
+    // A file may be empty for a moment while it is rewritten, and must not be taken as the defaults then.
     if table.is_empty() {
-        let message = "sets nothing; leave the file out to serve by the built-in default";
+        let message = "sets no keys; omit the file to use the built-in defaults";
         return Err(InvalidConfig::without_key(name, message));
     }
     Ok(table)
@@ -110,31 +110,31 @@
     }
 }
 
-/// A flag `key=value`: the value as TOML, or else as the text that it is.
+/// Parses a flag `key=value`. A value that is not valid TOML is taken as a string.
 fn read_flag(flag: &str) -> Result<toml::Table, InvalidConfig> {
     let invalid = |message: String| InvalidConfig::without_key(FLAG_LAYER, message);
     let (key, text) = flag.split_once('=').ok_or_else(|| invalid(format!("{flag:?} is not KEY=VALUE")))?;
     let mut value = read_flag_value(text);
     for part in key.trim().rsplit('.') {
         if part.is_empty() {
-            return Err(invalid(format!("{key:?} is no key")));
+            return Err(invalid(format!("{key:?} is not a key")));
         }
         value = toml::Value::Table([(part.to_owned(), value)].into_iter().collect());
     }
     match value {
         toml::Value::Table(table) => Ok(table),
-        _ => Err(invalid(format!("{key:?} is no key"))),
+        _ => Err(invalid(format!("{key:?} is not a key"))),
     }
 }
 
 fn read_flag_value(text: &str) -> toml::Value {
-    // A text with line ends may set further keys; then it is no value.
+    // A text with line breaks may parse as several keys; it is then taken as a string.
     let document = format!("value = {text}").parse::<toml::Table>().ok().filter(|table| table.len() == 1);
     let value = document.and_then(|mut table| table.remove("value"));
     value.unwrap_or_else(|| toml::Value::String(text.to_owned()))
 }
 
-/// What figment found wrong with the types of the merged values.
+/// The problems that figment found when it extracted the merged values.
 fn extraction_problems(errors: figment::Error) -> InvalidConfig {
     let problem = |error: figment::Error| {
         let layer = error.metadata.as_ref().map_or("configuration", |metadata| &metadata.name);
@@ -145,7 +145,7 @@
     InvalidConfig { problems: errors.into_iter().map(problem).collect() }
 }
 
-/// A violation with its location: the origin of the value and, in the file, its line and column.
+/// A problem with its location: the origin of the value and, for the file, its line and column.
 fn locate(violation: Violation, effective: &EffectiveConfig, file: Option<(&str, &str)>) -> Problem {
     let Violation { key, message } = violation;
     let origin = effective.origin(&key);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,17 +1,19 @@
-//! The configuration of installations other than the platform: TOML in layers, checked as a whole.
+//! The scheduler's TOML configuration: merges its layers, validates it, and converts it for the start.
+//!
+//! Installations on the platform have platform settings instead, which another crate reads.
 //!
 //! ```text
 //!   built-in defaults < file (TOML) < environment (COPPERSPREAD_…) < flags (--set)
-//!          └──────────────── layers.rs: merged; effective.rs keeps each value's origin
+//!          └──────────────── layers.rs: merge; effective.rs: origin of each value
 //!                                  │
-//!                            check/: every value against the others, all problems at once
+//!                            check/: validation, which reports all problems at once
 //!                                  │
-//!                            startup.rs: onto the settings that all formats share
+//!                            startup.rs: conversion to the startup configuration
 //! ```
 //!
-//! Nothing here opens a socket, and only [`read`] opens a file; the membership's key is read by the
-//! function that [`CheckContext`] holds. `describe/` makes the schema, the commented default and
-//! docs/configuration.md from the types.
+//! This crate opens no socket, and no file but the configuration in [`read`]; the function in
+//! [`CheckContext`] reads the membership key. `describe/` generates the schema, the commented default file
+//! and docs/configuration.md from the types.
 mod check;
 mod describe;
 mod effective;
--- a/crates/config/src/location.rs
+++ b/crates/config/src/location.rs
@@ -1,10 +1,10 @@
-//! Lines and columns in a TOML file.
+//! Finds lines and columns in a TOML file.
 use std::fmt;
 
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// A place in a text; line and column count from 1, columns in characters.
+/// A position in a text. Line and column count from 1; a column is one character wide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Position {
     line: usize,
@@ -17,7 +17,7 @@
     }
 }
 
-/// The position of a byte.
+/// The position of the byte with this offset.
 pub(crate) fn position_of_byte(text: &str, byte: usize) -> Position {
     let before = &text.as_bytes()[..byte.min(text.len())];
     let line = before.iter().filter(|&&byte| byte == b'\n').count() + 1;
@@ -26,7 +26,8 @@
     Position { line, column }
 }
 
-/// Where a file sets a key such as `classes[1].aim`, or else the closest table around it.
+/// The position of the value of a key such as `classes[1].aim`, or of the innermost table around it that the
+/// file has.
 pub(crate) fn position_of_key(text: &str, key: &str) -> Option<Position> {
     let document = DeTable::parse(text).ok()?;
     let mut parts = key.split(['.', '[', ']']).filter(|part| !part.is_empty());
@@ -40,7 +41,7 @@
     Some(position_of_byte(text, found.span().start))
 }
 
-/// A table's value by its key, or an array's by its index.
+/// The value of a table by its key, or of an array by its index.
 fn member<'a, 'text>(value: &'a DeValue<'text>, part: &str) -> Option<&'a Spanned<DeValue<'text>>> {
     match value {
         DeValue::Table(table) => table.get(part),
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,14 +1,14 @@
-//! What is wrong with a configuration.
+//! The problems of an invalid configuration.
 use std::fmt;
 
-/// One thing that is wrong: where, with which key, and what would be right.
+/// A problem of a configuration, with its location and key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The file with line and column, the environment variable or the flag.
+    /// The origin of the value: a file with line and column, an environment variable, or a flag.
     pub location: String,
-    /// The key with its tables, joined by dots; empty where it is not known.
+    /// The full key, joined by dots; empty if unknown.
     pub key: String,
-    /// What is wrong, for people.
+    /// What is wrong, and often what would be valid.
     pub message: String,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Everything that is wrong with a configuration: at least one problem. The text has a line for each.
+/// The error for an invalid configuration: at least one problem. Its text has a line for each.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidConfig {
     /// The problems, in the order in which they were found.
@@ -30,7 +30,7 @@
 }
 
 impl InvalidConfig {
-    /// A single problem that no key is known of.
+    /// A single problem without a known key.
     pub(crate) fn without_key(location: &str, message: impl fmt::Display) -> InvalidConfig {
         InvalidConfig::with_key(location, "", message)
     }
--- a/crates/config/src/startup.rs
+++ b/crates/config/src/startup.rs
@@ -1,4 +1,4 @@
-//! From a configuration to the startup configuration that all formats share.
+//! Converts a configuration to the startup configuration, which is the same for all configuration formats.
 use copperspread_dispatcher::{self as dispatcher, Idempotency, RequestClass, Settings};
 use copperspread_settings::{
     DiscoveryConfig, EndpointList, EndpointPhase, EndpointRecord, ProxySettings, SchedulerSettings,
@@ -11,18 +11,18 @@
 };
 
 const BYTES_PER_MEGABYTE: f64 = 1e6;
-/// A static list has no versions of its own.
+/// Revision of a static list, which has no versions.
 const STATIC_LIST_REVISION: u64 = 1;
 
-/// Why a configuration cannot be started with. One that was checked never gives these.
+/// Why a configuration cannot be converted; a validated configuration never gives these errors.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartupError {
-    /// Discovery is to be asked, and there is no address for it.
+    /// The endpoint source is discovery, and its address is missing.
     #[error("source.address is missing")]
     MissingDiscoveryAddress,
-    /// An address cannot be read.
-    #[error("{text:?} is no address")]
+    /// An address cannot be parsed.
+    #[error("{text:?} is not an address")]
     InvalidAddress {
         /// The address as given.
         text: String,
@@ -30,10 +30,11 @@
 }
 
 impl Config {
-    /// The startup configuration; `default_seed` is used where the configuration sets no seed.
+    /// The startup configuration; `default_seed` is used if the configuration sets no seed.
     ///
     /// # Errors
-    /// An address that cannot be read, which a checked configuration does not have.
+    /// [`StartupError`] for an address that is missing or cannot be parsed; a validated configuration has
+    /// none.
     pub fn startup_config(&self, default_seed: u64) -> Result<StartupConfig, StartupError> {
         let kinds = self.worker_kinds();
         let classes: Vec<_> = self.classes.iter().map(|class| class.request_class(&kinds)).collect();
@@ -50,12 +51,12 @@
         })
     }
 
-    /// The kinds of worker, numbered in the order in which the workers and then the classes name them.
+    /// The worker kinds, in the order in which the workers and then the classes name them.
     fn worker_kinds(&self) -> Vec<String> {
-        let of_workers = self.source.workers.iter().map(|worker| &worker.kind);
-        let of_classes = self.classes.iter().filter_map(|class| class.worker_kind.as_ref());
+        let kinds_of_workers = self.source.workers.iter().map(|worker| &worker.kind);
+        let kinds_of_classes = self.classes.iter().filter_map(|class| class.worker_kind.as_ref());
         let mut kinds: Vec<String> = Vec::new();
-        for kind in of_workers.chain(of_classes) {
+        for kind in kinds_of_workers.chain(kinds_of_classes) {
             if !kinds.contains(kind) {
                 kinds.push(kind.clone());
             }
--- a/crates/config/src/types/classes.rs
+++ b/crates/config/src/types/classes.rs
@@ -1,4 +1,4 @@
-//! Request classes and what may be repeated of them.
+//! Settings of request classes.
 use copperspread_dispatcher::SECOND;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -9,30 +9,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// The first part of the path of its requests.
+    /// Name of the class: the first segment of the path of its requests.
     pub name: String,
-    /// Full worth is earned by a response within this time plus the stretch.
+    /// Latency objective: a response within this time plus the stretch earns the full `worth`; at most
+    /// `deadline`.
     #[serde(default = "default_aim")]
     pub aim: HumanDuration,
-    /// The aim grows by this many times the request's own running time.
+    /// The latency objective grows by this multiple of the request's own running time; 0 or more.
     #[serde(default)]
     pub stretch: f64,
-    /// The client gives up after this time, over all its attempts.
+    /// Time after which the client gives up, including its own retries; over 0 and at most a day.
     #[serde(default = "default_deadline")]
     pub deadline: HumanDuration,
-    /// What one unit of this class is worth.
+    /// Priority weight of a request, or of one unit of its work; 0 or more.
     #[serde(default = "default_worth")]
     pub worth: f64,
-    /// What may be repeated; absent, nothing.
+    /// Idempotency of the requests: whether one may be sent to workers again.
     #[serde(default)]
     pub repeat: RepeatPolicy,
-    /// For `keyed`: the workers that share the memory of a key.
+    /// For `keyed`: which workers share their idempotency keys.
     #[serde(default)]
     pub key_scope: KeyScope,
-    /// For `keyed`: how long a repeat is dropped there.
+    /// For `keyed`, which requires it: how long workers drop repeats of a key; over 0.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key_window: Option<HumanDuration>,
-    /// The one kind of worker that runs it; absent, any.
+    /// Worker kind that runs the requests; if absent, any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub worker_kind: Option<String>,
 }
@@ -65,28 +66,28 @@
     1.0
 }
 
-/// What may be repeated of a class's requests.
+/// Idempotency of a class's requests: whether one may be sent to workers again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", expecting = "enum Repeat")]
 pub enum RepeatPolicy {
-    /// It must never run twice.
+    /// A request must not run twice (non-idempotent).
     #[default]
     Never,
-    /// It carries a key by which workers drop a repeat.
+    /// A request carries a key by which workers drop a repeat (idempotent with key).
     Keyed,
-    /// It may run any number of times.
+    /// A request may run any number of times (idempotent).
     Safe,
 }
 
-/// Which workers share the memory of a key.
+/// Which workers share their idempotency keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum KeyScope {
-    /// All of them.
+    /// All workers.
     #[default]
     All,
-    /// Those of one zone.
+    /// The workers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The workers of one cell.
     Cell,
 }
--- a/crates/config/src/types/dispatch.rs
+++ b/crates/config/src/types/dispatch.rs
@@ -1,19 +1,19 @@
-//! How often a request is attempted, and how workers are treated that have just started.
+//! Settings of the dispatch policy: attempts and slow start.
 use copperspread_dispatcher::SECOND;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::units::HumanDuration;
 
-/// What may be repeated, and how often.
+/// Limits on retries, hedging and cancellation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Attempts")]
 pub struct AttemptConfig {
-    /// The most attempts that one request may have.
+    /// Maximum number of attempts of one request; at least 1.
     pub most: u32,
-    /// Two attempts of one request may be in flight at once (hedging), where its class may be repeated.
+    /// Whether two attempts of one request may be in flight at once (hedging), if its class allows a repeat.
     pub second_copies: bool,
-    /// An attempt may be cancelled at the worker.
+    /// Whether an attempt may be cancelled at the worker.
     pub may_cancel: bool,
 }
 
@@ -23,17 +23,18 @@
     }
 }
 
-/// How workers that have just started are spared.
+/// Slow start: limits the load of workers that have just started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Cold")]
 pub struct SlowStartConfig {
-    /// A worker starts at this share of its capacity or more; over 0, at most 1.
+    /// Minimum capacity of a worker at its start, as a fraction of its full capacity; over 0 and at most 1.
     pub from: f64,
-    /// It is warm after this long at most.
+    /// Longest time from a worker's start until it has its full capacity.
     pub warm_within: HumanDuration,
-    /// Sent more than this many times its present capacity ...
+    /// A worker in slow start fails if it is sent more than this multiple of its present capacity for
+    /// `fall_window`; over 0.
     pub fall_multiple: f64,
-    /// ... for this long, by all schedulers together, a cold worker falls over.
+    /// Time above `fall_multiple`, by all schedulers together, after which a worker in slow start fails; over 0.
     pub fall_window: HumanDuration,
 }
 
--- a/crates/config/src/types/downstream.rs
+++ b/crates/config/src/types/downstream.rs
@@ -1,4 +1,4 @@
-//! The protocols that clients use.
+//! Settings of the protocols that clients use.
 use std::net::SocketAddr;
 
 use copperspread_dispatcher::SECOND;
@@ -7,23 +7,23 @@
 
 use crate::units::HumanDuration;
 
-/// Clients' protocols.
+/// Protocols that clients use.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Fronts")]
 pub struct DownstreamConfig {
-    /// Jobs over HTTP/1.1.
+    /// Requests of clients over HTTP/1.1.
     pub http: HttpDownstreamConfig,
 }
 
-/// Jobs over HTTP/1.1.
+/// Requests of clients over HTTP/1.1.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct HttpFront")]
 pub struct HttpDownstreamConfig {
-    /// Address and port for clients and for workers' callbacks.
+    /// IP address and port for client connections and for workers' callbacks.
     #[serde(deserialize_with = "deserialize_listen_address")]
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// The longest `Retry-After` that a rejection names.
+    /// Longest `Retry-After` of a rejection.
     pub max_retry_after: HumanDuration,
 }
 
@@ -41,7 +41,9 @@
 ) -> Result<SocketAddr, D::Error> {
     let text = String::deserialize(deserializer)?;
     let describe = |_| {
-        format!("{text:?} is no address to listen on; write a number and a port, such as \"127.0.0.1:8081\"")
+        format!(
+            "{text:?} is not a listen address; write an IP address and a port, such as \"127.0.0.1:8081\""
+        )
     };
     text.parse().map_err(describe).map_err(serde::de::Error::custom)
 }
--- a/crates/config/src/types/endpoints.rs
+++ b/crates/config/src/types/endpoints.rs
@@ -1,14 +1,14 @@
-//! Where endpoint lists come from, and the zones that endpoints are in.
+//! Settings of the endpoint list's source and of zones.
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Where the worker list comes from.
+/// Source of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Source")]
 pub struct EndpointSourceConfig {
-    /// Which form it has.
+    /// Kind of source.
     pub kind: EndpointSourceKind,
-    /// Host and port of the discovery, for kind `targets`.
+    /// Host and port of the discovery service, for kind `targets`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub address: Option<String>,
     /// The workers, for kind `static`; read again on SIGHUP.
@@ -29,58 +29,58 @@
     }
 }
 
-/// A source's form.
+/// Kind of the endpoint list's source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", expecting = "enum SourceKind")]
 pub enum EndpointSourceKind {
-    /// The list in this file.
+    /// The list `workers` of this configuration.
     Static,
-    /// A discovery that answers `GET /api/targets` and holds a watch.
+    /// A discovery service that answers `GET /api/targets` and supports a watch.
     Targets,
 }
 
-/// One worker of a static list.
+/// A worker of a static list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Worker {
-    /// Its name, by which it calls back.
+    /// Unique id of the worker, which its callbacks carry.
     pub id: String,
-    /// Host and port.
+    /// Host and port of the worker.
     pub address: String,
-    /// Its zone.
+    /// Zone of the worker: one of `zones.names`, or empty.
     #[serde(default)]
     pub zone: String,
-    /// Its kind of machine.
+    /// Worker kind, to which a class may be restricted by its `worker_kind`.
     #[serde(default)]
     pub kind: String,
-    /// The group that shares the memory of keys.
+    /// Cell of the worker: the group that shares idempotency keys where a class's `key_scope` is `cell`.
     #[serde(default)]
     pub cell: u32,
-    /// Whether it takes work.
+    /// Whether the worker takes new requests.
     #[serde(default)]
     pub state: WorkerPhase,
 }
 
-/// Whether a worker takes work.
+/// Whether a worker takes new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", expecting = "enum State")]
 pub enum WorkerPhase {
-    /// It takes work.
+    /// It takes new requests.
     #[default]
     Serving,
-    /// It finishes what it has.
+    /// It finishes the requests that it has and takes no new ones.
     Draining,
 }
 
-/// Zones of workers.
+/// Zones of the workers and of this scheduler.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Zones")]
 pub struct ZoneConfig {
-    /// This scheduler's zone, one of `names`.
+    /// Zone of this scheduler, one of `names`.
     pub here: String,
-    /// All zones.
+    /// Names of all zones.
     pub names: Vec<String>,
-    /// What sending a request to another zone costs, as a share of the request's worth.
+    /// Cost of sending a request to another zone, as a fraction of its priority weight; 0 or more.
     pub price_of_crossing: f64,
 }
 
--- a/crates/config/src/types/membership.rs
+++ b/crates/config/src/types/membership.rs
@@ -1,4 +1,4 @@
-//! Membership among schedulers.
+//! Settings of the membership among schedulers.
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -8,36 +8,37 @@
 
 use crate::units::HumanDuration;
 
-/// Membership among schedulers: who is there, who is gone. Off unless `bind` is set. All of it changes only with
-/// a new start.
+/// Membership among schedulers, which tells each scheduler which others are alive. Off unless `bind` is set.
+/// A change takes effect only at a restart.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Cluster")]
 pub struct MembershipConfig {
-    /// Number and port for peers, UDP and TCP; absent, there is no membership.
+    /// IP address and port for the other schedulers, UDP and TCP; if absent, there is no membership.
     #[serde(deserialize_with = "deserialize_optional_address", skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub bind: Option<SocketAddr>,
-    /// Number and port at which peers reach it; absent, `bind`.
+    /// IP address and port at which the other schedulers reach this one; if absent, `bind`.
     #[serde(deserialize_with = "deserialize_optional_address", skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub advertise: Option<SocketAddr>,
-    /// Numbers and ports of some schedulers, perhaps this one, which are asked until one of them answers.
+    /// IP addresses and ports of some schedulers, perhaps this one too, asked to join until one answers.
     #[serde(deserialize_with = "deserialize_addresses")]
     #[schemars(with = "Vec<String>")]
     pub seeds: Vec<SocketAddr>,
-    /// The file with the key that all members share, of at least 16 bytes; a line's end after it does not count.
+    /// File with the key that all members share, of at least 16 bytes; a line break at its end is ignored.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key_file: Option<PathBuf>,
-    /// This scheduler's region, which its peers learn.
+    /// Region of this scheduler, which the other schedulers are told.
     pub region: String,
-    /// Between two probes; each is of one member, all in turn.
+    /// Time between two probes, 10ms to 1m; each is of one member, all members in turn.
     pub probe_interval: HumanDuration,
-    /// A probed member has answered by then, or others are asked to probe it; under `probe_interval`.
+    /// Time in which a probed member must answer before others are asked to probe it; over 0 and under
+    /// `probe_interval`.
     pub probe_timeout: HumanDuration,
-    /// Through how many others a member is probed that did not answer; 1 to 16.
+    /// Number of other members that are asked to probe a member that did not answer; 1 to 16.
     pub indirect: u32,
-    /// A suspected member is dead after so many intervals times the logarithm (base 10) of the members, which
-    /// counts as 1 at least.
+    /// A suspected member is declared dead after this many probe intervals times the base-10 logarithm of the
+    /// number of members, which counts as 1 at least; over 0 and at most 1000.
     pub suspicion: f64,
 }
 
@@ -70,6 +71,6 @@
 }
 
 fn parse_address<E: serde::de::Error>(text: &str) -> Result<SocketAddr, E> {
-    let describe = |_| format!("{text:?} is no number and port, such as \"10.0.0.1:7946\"");
+    let describe = |_| format!("{text:?} is not an IP address and port, such as \"10.0.0.1:7946\"");
     text.parse().map_err(describe).map_err(E::custom)
 }
--- a/crates/config/src/types/mod.rs
+++ b/crates/config/src/types/mod.rs
@@ -1,7 +1,9 @@
-//! The configuration's types. They are the TOML file's form: a field has the name of its key, and the
-//! comments of types and fields are the descriptions that `copperspread-scheduler config schema`,
-//! `config default` and docs/configuration.md show. `expecting` keeps the names that error texts have.
-//! What the values mean to the dispatch policy and the proxy is in `startup.rs`.
+//! The types that the TOML file is deserialized into.
+//!
+//! A field has the name of its key. The doc comments of types and fields are printed as descriptions by
+//! `copperspread-scheduler config schema` and `config default` and in docs/configuration.md. The `expecting`
+//! attributes fix the type names in error texts. `startup.rs` converts the values to the settings of the
+//! dispatcher and the proxy.
 mod classes;
 mod dispatch;
 mod downstream;
@@ -27,34 +29,34 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// The scheduler's name, in log and event log.
+    /// Name of the scheduler in the log and the event log.
     pub name: String,
-    /// Seed of all chance; absent, each start draws one.
+    /// Seed of the random number generator; if absent, each start draws one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub seed: Option<u32>,
-    /// How many schedulers share the workers, this one included.
+    /// Number of schedulers that share the workers, including this one; at least 1.
     pub schedulers: u32,
-    /// Clients' protocols.
+    /// Protocols that clients use.
     pub front: DownstreamConfig,
-    /// Workers' protocols.
+    /// Protocols that workers use.
     pub back: UpstreamConfig,
-    /// Where the worker list comes from.
+    /// Source of the endpoint list.
     pub source: EndpointSourceConfig,
-    /// Zones of workers.
+    /// Zones of the workers and of this scheduler.
     pub zones: ZoneConfig,
-    /// What may be repeated, and how often.
+    /// Limits on retries, hedging and cancellation.
     pub attempts: AttemptConfig,
-    /// How workers that have just started are spared.
+    /// Slow start: limits the load of workers that have just started.
     pub cold: SlowStartConfig,
     /// Membership among schedulers; off unless `bind` is set. See docs/cluster.md.
     pub cluster: MembershipConfig,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: ResourceLimits,
-    /// The log, on standard error.
+    /// The log, which is written to standard error.
     pub log: LogConfig,
-    /// The event log: what happened.
+    /// The event log: what the scheduler did, as JSON lines.
     pub records: EventLogConfig,
-    /// Request classes. A request's class is the first part of its path.
+    /// Request classes. The first segment of a request's path names its class.
     pub classes: Vec<Class>,
 }
 
--- a/crates/config/src/types/process.rs
+++ b/crates/config/src/types/process.rs
@@ -1,4 +1,4 @@
-//! The process's limits, its log and its event log.
+//! Settings of the process: resource limits, log and event log.
 use std::path::PathBuf;
 
 use schemars::JsonSchema;
@@ -6,13 +6,13 @@
 
 use crate::units::HumanSize;
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Limits")]
 pub struct ResourceLimits {
-    /// Memory for connections and bodies is shared out within this much; at least 16 MB.
+    /// Memory from which the limits on client connections and request bodies are derived; at least 16 MB.
     pub memory: HumanSize,
-    /// Descriptors that may be open at once; at least 64, and no more than the process is allowed.
+    /// Maximum number of open file descriptors; at least 64, and not above the process's own limit.
     pub descriptors: u32,
 }
 
@@ -22,14 +22,14 @@
     }
 }
 
-/// The log, on standard error.
+/// The log, which is written to standard error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Log")]
 pub struct LogConfig {
-    /// `off`, `error`, `warn`, `info`, `debug` or `trace`, for all or by part:
-    /// `"info,copperspread_proxy=debug"`. RUST_LOG goes before it. Read again on SIGHUP.
+    /// `off`, `error`, `warn`, `info`, `debug` or `trace`, for all modules or by module:
+    /// `"info,copperspread_proxy=debug"`. The variable RUST_LOG overrides it. Read again on SIGHUP.
     pub level: String,
-    /// Its form.
+    /// Format of the log.
     pub format: LogFormat,
 }
 
@@ -39,30 +39,31 @@
     }
 }
 
-/// The log's form.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
     /// Text on a terminal, JSON lines otherwise.
     Auto,
-    /// Text.
+    /// Human-readable text.
     Text,
-    /// JSON lines.
+    /// One JSON object per line.
     Json,
 }
 
-/// The event log: what happened.
+/// The event log: what the scheduler did, as JSON lines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Records")]
 pub struct EventLogConfig {
-    /// The file that events are appended to; absent, there is no event log.
+    /// File that events are appended to; if absent, there is no event log.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub file: Option<PathBuf>,
-    /// A file of this size is rotated to `FILE.1` and a new one begun; at least 64 KiB.
+    /// Before the file exceeds this size, it is renamed to `FILE.1` and a new one is begun; at least 64 KiB.
     pub rotate_at: HumanSize,
-    /// How many rotated files are kept; at least 1.
+    /// Number of rotated files that are kept; at least 1.
     pub keep: u32,
-    /// How many events may wait to be written. Past that they are dropped, counted and reported as a gap.
+    /// Number of events that may wait to be written, 16 to 1000000. Further ones are dropped, counted and
+    /// reported as a gap.
     pub queue: u32,
 }
 
--- a/crates/config/src/types/upstream.rs
+++ b/crates/config/src/types/upstream.rs
@@ -1,28 +1,28 @@
-//! The protocols that workers use.
+//! Settings of the protocols that workers use.
 use copperspread_dispatcher::SECOND;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::units::HumanDuration;
 
-/// Workers' protocols.
+/// Protocols that workers use.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Backs")]
 pub struct UpstreamConfig {
-    /// Workers that take a request by HTTP and call back.
+    /// Workers that take a request over HTTP and report its completion by a callback.
     pub http: HttpUpstreamConfig,
 }
 
-/// Workers that take a request by HTTP and call back.
+/// Workers that take a request over HTTP and report its completion by a callback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct HttpBack")]
 pub struct HttpUpstreamConfig {
-    /// A connection that is not up by then has failed. A keyed request is repeated only while so much of its
-    /// `key_window`, and 50 ms, are left.
+    /// Timeout for connecting to a worker; over 0. A keyed request is retried only while at least this time
+    /// plus 50 ms is left of its `key_window`.
     pub connect_within: HumanDuration,
-    /// Workers close a connection that has stood idle for this long.
+    /// Time after which workers close an idle connection; over 0.
     pub keep_idle: HumanDuration,
-    /// Workers call back when a request starts to run.
+    /// Whether workers also call back when a request starts to run.
     pub tells_start: bool,
 }
 
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,4 +1,4 @@
-//! Durations and sizes as people write them: `"250ms"`, `"1m 30s"`, `"192 MB"`.
+//! Durations and sizes that are written as text: `"250ms"`, `"1m 30s"`, `"192 MB"`.
 use std::borrow::Cow;
 use std::fmt;
 use std::str::FromStr;
@@ -9,38 +9,38 @@
 use schemars::{JsonSchema, Schema, SchemaGenerator, json_schema};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// Far more than any value here means; a longer one might not fit into the microseconds.
+/// Longest accepted duration, far above any useful value; a longer one might not fit into `Micros`.
 const MAX_DURATION: Duration = Duration::from_secs(366 * 86_400);
 
-/// Why a text is not a duration or a size.
+/// Why a text cannot be parsed as a duration or a size.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum ParseUnitError {
-    /// Not a duration.
-    #[error("{text:?} is no span of time ({source}); write \"250ms\" or \"1m 30s\"")]
+    /// The text is not a duration.
+    #[error("{text:?} is not a duration ({source}); write \"250ms\" or \"1m 30s\"")]
     InvalidDuration {
         /// The text as given.
         text: String,
         /// What is wrong with it.
         source: humantime::DurationError,
     },
-    /// A duration of more than a year.
+    /// The duration is longer than 366 days.
     #[error("{text:?} is longer than a year")]
     DurationTooLong {
         /// The text as given.
         text: String,
     },
-    /// Not a size.
-    #[error("{text:?} is no size ({reason}); write \"192 MB\" or \"64 KiB\"")]
+    /// The text is not a size.
+    #[error("{text:?} is not a size ({reason}); write \"192 MB\" or \"64 KiB\"")]
     InvalidSize {
         /// The text as given.
         text: String,
-        /// What is wrong with it; the parser gives no typed error.
+        /// What is wrong with it, as text, since the parser has no typed error.
         reason: String,
     },
 }
 
-/// A duration in whole microseconds, written as text.
+/// A duration in whole microseconds that is serialized as text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HumanDuration(pub Micros);
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// A size in bytes, written as text.
+/// A size in bytes that is serialized as text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HumanSize(pub u64);
 
@@ -78,7 +78,7 @@
 }
 
 impl fmt::Display for HumanSize {
-    /// In the largest unit of which it is a multiple.
+    /// Writes the size in the largest unit of which it is a multiple.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let units =
             [(bytesize::GB, "GB"), (bytesize::MB, "MB"), (bytesize::KIB, "KiB"), (bytesize::KB, "KB")];
@@ -89,8 +89,8 @@
     }
 }
 
-/// Serializes a type as the text of its `Display`, deserializes it by its `FromStr`, and describes it
-/// so in the schema.
+/// Implements serialization by `Display`, deserialization by `FromStr`, and a JSON Schema of a string with a
+/// format and a description.
 macro_rules! impl_as_text {
     ($type:ty, $format:literal, $expecting:literal) => {
         impl Serialize for $type {
@@ -126,5 +126,5 @@
     };
 }
 
-impl_as_text!(HumanDuration, "span", "a span of time such as \"250ms\"");
+impl_as_text!(HumanDuration, "span", "a duration such as \"250ms\"");
 impl_as_text!(HumanSize, "size", "a size such as \"192 MB\"");
