--- a/crates/event-log/src/config.rs
+++ b/crates/event-log/src/config.rs
@@ -4,7 +4,8 @@
 /// Where and how the event log is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventLogConfig {
-    /// The file that records are appended to; [`crate::writer::STANDARD_ERROR_PATH`] stands for standard error.
+    /// The file that records are appended to; [`crate::writer::STANDARD_ERROR_PATH`] stands for standard
+    /// error.
     pub path: PathBuf,
     /// Size in bytes; the file is rotated before it exceeds it.
     pub max_file_bytes: u64,
