--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -42,7 +42,7 @@
 fn check_times(class: &Class, key: impl Fn(&str) -> String, violations: &mut Violations) {
     let Class { aim, deadline, .. } = *class;
     violations.require(deadline > HumanDuration(0) && deadline <= MAX_DEADLINE, &key("deadline"), || {
-        format!("{deadline} is not over 0 and at most a day")
+        format!("{deadline} is out of range; must be over 0 and at most a day")
     });
     violations
         .require(aim <= deadline, &key("aim"), || format!("{aim} is longer than the deadline of {deadline}"));
--- a/crates/config/src/check/membership.rs
+++ b/crates/config/src/check/membership.rs
@@ -11,7 +11,7 @@
 const MAX_PROBE_INTERVAL: HumanDuration = HumanDuration(60_000_000);
 const INDIRECT_PROBES: RangeInclusive<u32> = 1..=16;
 const MAX_SUSPICION: f64 = 1_000.0;
-/// Longest name that fits into a packet.
+/// Longest name, zone or region that fits into a membership packet.
 const MAX_NAME_BYTES: usize = 64;
 
 pub(super) fn check_membership(config: &Config, context: &CheckContext, violations: &mut Violations) {
@@ -41,7 +41,7 @@
 fn check_addresses(membership: &MembershipConfig, bind: SocketAddr, violations: &mut Violations) {
     let is_reachable = !bind.ip().is_unspecified() || membership.advertise.is_some();
     violations.require(is_reachable, "cluster.bind", || {
-        format!("{bind} is not an address that peers can reach; set cluster.advertise to one")
+        format!("{bind} is not an address that other members can reach; set cluster.advertise to one")
     });
     if let Some(advertise) = membership.advertise {
         check_peer_address("cluster.advertise", advertise, bind, violations);
@@ -80,13 +80,15 @@
     });
     let has_valid_timeout = probe_timeout > HumanDuration(0) && probe_timeout < probe_interval;
     violations.require(has_valid_timeout, "cluster.probe_timeout", || {
-        format!("{probe_timeout} is not over 0 and under the probe_interval of {probe_interval}")
+        format!(
+            "{probe_timeout} is out of range; must be over 0 and under the probe_interval of {probe_interval}"
+        )
     });
     violations.require(INDIRECT_PROBES.contains(&indirect), "cluster.indirect", || {
         format!("{indirect} is not between {} and {}", INDIRECT_PROBES.start(), INDIRECT_PROBES.end())
     });
     violations.require(suspicion > 0.0 && suspicion <= MAX_SUSPICION, "cluster.suspicion", || {
-        format!("{suspicion} is not over 0 and at most {MAX_SUSPICION}")
+        format!("{suspicion} is out of range; must be over 0 and at most {MAX_SUSPICION}")
     });
 }
 
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -1,5 +1,6 @@
 //! Validates the values of a configuration, against each other and against the limits of the process. Finds
-//! all violations, not only the first.
+//! all violations, not only the first. Each message says what is wrong and, where it helps, what would be
+//! valid.
 mod classes;
 mod context;
 mod endpoints;
@@ -34,8 +35,9 @@
 
 fn check_slow_start(slow_start: &SlowStartConfig, violations: &mut Violations) {
     let SlowStartConfig { from, fall_multiple, .. } = *slow_start;
-    violations
-        .require(from > 0.0 && from <= 1.0, "cold.from", || format!("{from} is not over 0 and at most 1"));
+    violations.require(from > 0.0 && from <= 1.0, "cold.from", || {
+        format!("{from} is out of range; must be over 0 and at most 1")
+    });
     violations.require(fall_multiple.is_finite() && fall_multiple > 0.0, "cold.fall_multiple", || {
         format!("{fall_multiple} is not over 0")
     });
--- a/crates/config/src/startup.rs
+++ b/crates/config/src/startup.rs
@@ -11,7 +11,7 @@
 };
 
 const BYTES_PER_MEGABYTE: f64 = 1e6;
-/// Revision of a static list, which has no versions.
+/// Revision given to a static list, which has none of its own.
 const STATIC_LIST_REVISION: u64 = 1;
 
 /// Why a configuration cannot be converted; a validated configuration never gives these errors.
@@ -52,6 +52,7 @@
     }
 
     /// The worker kinds, in the order in which the workers and then the classes name them.
+    /// The dispatcher knows a kind by its index in this list.
     fn worker_kinds(&self) -> Vec<String> {
         let kinds_of_workers = self.source.workers.iter().map(|worker| &worker.kind);
         let kinds_of_classes = self.classes.iter().filter_map(|class| class.worker_kind.as_ref());
--- a/crates/config/src/types/classes.rs
+++ b/crates/config/src/types/classes.rs
@@ -21,16 +21,17 @@
     /// Time after which the client gives up, including its own retries; over 0 and at most a day.
     #[serde(default = "default_deadline")]
     pub deadline: HumanDuration,
-    /// Priority weight of a request, or of one unit of its work; 0 or more.
+    /// Priority weight of a request; 0 or more.
     #[serde(default = "default_worth")]
     pub worth: f64,
-    /// Idempotency of the requests: whether one may be sent to workers again.
+    /// Idempotency of the requests: whether a request may be sent to workers again.
     #[serde(default)]
     pub repeat: RepeatPolicy,
     /// For `keyed`: which workers share their idempotency keys.
     #[serde(default)]
     pub key_scope: KeyScope,
-    /// For `keyed`, which requires it: how long workers drop repeats of a key; over 0.
+    /// How long workers drop repeats of an idempotency key; over 0. Required for `keyed`, and not allowed
+    /// otherwise.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key_window: Option<HumanDuration>,
     /// Worker kind that runs the requests; if absent, any.
@@ -66,7 +67,7 @@
     1.0
 }
 
-/// Idempotency of a class's requests: whether one may be sent to workers again.
+/// Idempotency of a class's requests: whether a request may be sent to workers again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", expecting = "enum Repeat")]
 pub enum RepeatPolicy {
--- a/crates/config/src/types/dispatch.rs
+++ b/crates/config/src/types/dispatch.rs
@@ -31,10 +31,10 @@
     pub from: f64,
     /// Longest time from a worker's start until it has its full capacity.
     pub warm_within: HumanDuration,
-    /// A worker in slow start fails if it is sent more than this multiple of its present capacity for
-    /// `fall_window`; over 0.
+    /// Overload limit in slow start, as a multiple of the worker's present capacity; over 0. A worker is
+    /// overloaded and fails if all schedulers together send it more than this in `fall_window`.
     pub fall_multiple: f64,
-    /// Time above `fall_multiple`, by all schedulers together, after which a worker in slow start fails; over 0.
+    /// Length of the time window of `fall_multiple`; over 0.
     pub fall_window: HumanDuration,
 }
 
--- a/crates/config/src/types/endpoints.rs
+++ b/crates/config/src/types/endpoints.rs
@@ -8,10 +8,10 @@
 pub struct EndpointSourceConfig {
     /// Kind of source.
     pub kind: EndpointSourceKind,
-    /// Host and port of the discovery service, for kind `targets`.
+    /// Host and port of the discovery service; required for kind `targets`, and not allowed for `static`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub address: Option<String>,
-    /// The workers, for kind `static`; read again on SIGHUP.
+    /// The workers, for kind `static`, which needs at least one; read again on SIGHUP.
     pub workers: Vec<Worker>,
 }
 
@@ -50,7 +50,7 @@
     /// Zone of the worker: one of `zones.names`, or empty.
     #[serde(default)]
     pub zone: String,
-    /// Worker kind, to which a class may be restricted by its `worker_kind`.
+    /// Worker kind: the kind of machine. A class may be restricted to one kind by its `worker_kind`.
     #[serde(default)]
     pub kind: String,
     /// Cell of the worker: the group that shares idempotency keys where a class's `key_scope` is `cell`.
@@ -76,11 +76,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Zones")]
 pub struct ZoneConfig {
-    /// Zone of this scheduler, one of `names`.
+    /// Zone of this scheduler, one of `names`; with membership, at most 64 bytes.
     pub here: String,
     /// Names of all zones.
     pub names: Vec<String>,
-    /// Cost of sending a request to another zone, as a fraction of its priority weight; 0 or more.
+    /// Cost of sending a request to another zone, as a fraction of the request's priority weight; 0 or
+    /// more.
     pub price_of_crossing: f64,
 }
 
--- a/crates/config/src/types/membership.rs
+++ b/crates/config/src/types/membership.rs
@@ -9,36 +9,38 @@
 use crate::units::HumanDuration;
 
 /// Membership among schedulers, which tells each scheduler which others are alive. Off unless `bind` is set.
-/// A change takes effect only at a restart.
+/// Changed settings take effect only at a restart.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Cluster")]
 pub struct MembershipConfig {
-    /// IP address and port for the other schedulers, UDP and TCP; if absent, there is no membership.
+    /// IP address and port for the other members, UDP and TCP; if absent, there is no membership.
     #[serde(deserialize_with = "deserialize_optional_address", skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub bind: Option<SocketAddr>,
-    /// IP address and port at which the other schedulers reach this one; if absent, `bind`.
+    /// IP address and port at which the other members reach this one; if absent, `bind`.
     #[serde(deserialize_with = "deserialize_optional_address", skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub advertise: Option<SocketAddr>,
-    /// IP addresses and ports of some schedulers, perhaps this one too, asked to join until one answers.
+    /// IP addresses and ports of some schedulers. This scheduler announces itself to them until one answers;
+    /// its own address may be among them.
     #[serde(deserialize_with = "deserialize_addresses")]
     #[schemars(with = "Vec<String>")]
     pub seeds: Vec<SocketAddr>,
     /// File with the key that all members share, of at least 16 bytes; a line break at its end is ignored.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key_file: Option<PathBuf>,
-    /// Region of this scheduler, which the other schedulers are told.
+    /// Region of this scheduler, which is sent to the other members; at most 64 bytes.
     pub region: String,
-    /// Time between two probes, 10ms to 1m; each is of one member, all members in turn.
+    /// Time between two probes; 10ms to 1m. Each probe is sent to one member, and the members are probed in
+    /// turn.
     pub probe_interval: HumanDuration,
     /// Time in which a probed member must answer before others are asked to probe it; over 0 and under
     /// `probe_interval`.
     pub probe_timeout: HumanDuration,
     /// Number of other members that are asked to probe a member that did not answer; 1 to 16.
     pub indirect: u32,
-    /// A suspected member is declared dead after this many probe intervals times the base-10 logarithm of the
-    /// number of members, which counts as 1 at least; over 0 and at most 1000.
+    /// A suspected member is declared dead after this many probe intervals, times the base-10 logarithm of
+    /// the number of members if that logarithm is above 1; over 0 and at most 1000.
     pub suspicion: f64,
 }
 
--- a/crates/config/src/types/mod.rs
+++ b/crates/config/src/types/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A field has the name of its key. The doc comments of types and fields are printed as descriptions by
 //! `copperspread-scheduler config schema` and `config default` and in docs/configuration.md. The `expecting`
-//! attributes fix the type names in error texts. `startup.rs` converts the values to the settings of the
-//! dispatcher and the proxy.
+//! attributes set the type names that error texts show, so that these do not depend on the Rust names.
+//! `startup.rs` converts the values to the settings of the dispatcher and the proxy.
 mod classes;
 mod dispatch;
 mod downstream;
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// Name of the scheduler in the log and the event log.
+    /// Name of the scheduler in the log, the event log and membership; with membership, 1 to 64 bytes.
     pub name: String,
     /// Seed of the random number generator; if absent, each start draws one.
     #[serde(skip_serializing_if = "Option::is_none")]
--- a/crates/config/src/types/process.rs
+++ b/crates/config/src/types/process.rs
@@ -26,8 +26,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Log")]
 pub struct LogConfig {
-    /// `off`, `error`, `warn`, `info`, `debug` or `trace`, for all modules or by module:
-    /// `"info,copperspread_proxy=debug"`. The variable RUST_LOG overrides it. Read again on SIGHUP.
+    /// Log level: `off`, `error`, `warn`, `info`, `debug` or `trace`, for all modules or by module, such as
+    /// `"info,copperspread_proxy=debug"`. The environment variable RUST_LOG overrides it. Read again on
+    /// SIGHUP.
     pub level: String,
     /// Format of the log.
     pub format: LogFormat,
@@ -55,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Records")]
 pub struct EventLogConfig {
-    /// File that events are appended to; if absent, there is no event log.
+    /// File that events are appended to, or `-` for standard error; if absent, there is no event log.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub file: Option<PathBuf>,
     /// Before the file exceeds this size, it is renamed to `FILE.1` and a new one is begun; at least 64 KiB.
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -25,7 +25,7 @@
         source: humantime::DurationError,
     },
     /// The duration is longer than 366 days.
-    #[error("{text:?} is longer than a year")]
+    #[error("{text:?} is longer than 366 days")]
     DurationTooLong {
         /// The text as given.
         text: String,
@@ -126,5 +126,6 @@
     };
 }
 
+// The formats "span" and "size" are part of the published schema, and so must not change.
 impl_as_text!(HumanDuration, "span", "a duration such as \"250ms\"");
 impl_as_text!(HumanSize, "size", "a size such as \"192 MB\"");
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -96,14 +96,18 @@
         (&format!("{cluster}advertise = '0.0.0.0:1'"), &["f.toml:4:13: cluster.advertise: 0.0.0.0:1"]),
         (
             &format!("{cluster}probe_timeout = '1s'"),
-            &["f.toml:4:17: cluster.probe_timeout: 1s is not over 0 and under the probe_interval of 1s"],
+            &["f.toml:4:17: cluster.probe_timeout: 1s is out of range; must be over 0 and under the \
+                 probe_interval of 1s"],
         ),
         (
             &format!("{cluster}probe_interval = '2m'"),
             &["f.toml:4:18: cluster.probe_interval: 2m is not between 10ms and 1m"],
         ),
         (&format!("{cluster}indirect = 0"), &["f.toml:4:12: cluster.indirect: 0 is not between 1 and 16"]),
-        (&format!("{cluster}suspicion = nan"), &["f.toml:4:13: cluster.suspicion: NaN is not over 0"]),
+        (
+            &format!("{cluster}suspicion = nan"),
+            &["f.toml:4:13: cluster.suspicion: NaN is out of range; must be over 0"],
+        ),
         (&format!("{cluster}region = '{}'", "r".repeat(65)), &["f.toml:4:10: cluster.region: 65 bytes"]),
         (&format!("name = ''\n{cluster}"), &["f.toml:1:8: name: is empty"]),
         ("[records]\nqueue = 1", &["records.queue: 1 is not between 16 and 1000000"]),
@@ -215,9 +219,9 @@
 proptest! {
     #![proptest_config(fixed_seed())]
 
-    // A truncated file is either rejected, or valid with the values that it still has, and never panics.
+    // Reading a truncated file never panics: the file is rejected, or is valid and can be converted.
     #[test]
-    fn a_truncated_file_is_rejected_or_valid_in_what_it_sets(at in any::<prop::sample::Index>()) {
+    fn a_truncated_file_is_rejected_or_valid(at in any::<prop::sample::Index>()) {
         let truncated = &STANDALONE_EXAMPLE[..at.index(STANDALONE_EXAMPLE.len())];
         if let Ok(effective) = read(truncated) {
             prop_assert!(effective.config.startup_config(1).is_ok());
--- a/crates/event-log/src/batch_writer.rs
+++ b/crates/event-log/src/batch_writer.rs
@@ -165,7 +165,8 @@
     let start = lines.len();
     match serde_json::to_writer(&mut *lines, record) {
         Ok(()) => lines.push(b'\n'),
-        // A number in it cannot be written as JSON; the record is then missing.
+        // Serializing a record to memory does not fail. If it did, the record would be missing without a gap
+        // record.
         Err(_) => lines.truncate(start),
     }
 }
--- a/crates/event-log/src/counter_names.rs
+++ b/crates/event-log/src/counter_names.rs
@@ -1,4 +1,4 @@
-//! Converts the names of renamed counters, which older files have, to the current ones.
+//! Converts old counter names, which occur in older files, to the current names.
 use serde::{Deserialize, Deserializer};
 
 /// Pairs of an old name and the current one.
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -6,6 +6,9 @@
 //!                       StreamSummary (one stream), FleetSummary (many) ◄─ Reader ◄───┘
 //! ```
 //!
+//! A stream is the sequence of lines of one scheduler's event log, from one or more files or from collected
+//! output; it may hold several runs. A run lasts from a start of the scheduler to its end.
+//!
 //! 1. The serving path passes an [`EventKind`] to a [`recorder::Recorder`], which adds a sequence number and
 //!    the times of both clocks and puts the record into a bounded queue. The call never waits: if the queue
 //!    is full, the record is dropped.
@@ -16,8 +19,8 @@
 //! 4. A [`reader`] reads the records. Summaries track the sequence numbers of each run, and so report records
 //!    that are missing or out of order.
 //!
-//! The log is not meant for recovery: it is flushed but not synced to disk, and a crash of the machine may
-//! lose its end.
+//! The log is not meant for recovery: batches are written to the operating system but not synced to disk, and
+//! a crash of the machine may lose its end.
 mod batch_writer;
 mod config;
 mod counter_names;
--- a/crates/event-log/src/log_file.rs
+++ b/crates/event-log/src/log_file.rs
@@ -105,9 +105,9 @@
     name.into()
 }
 
-/// Renames the file to its rotated path 1, rotated file 1 to 2 and so on, up to the first path that is free,
-/// as one is after a rotation that failed half-way. If none of the `max_rotated_files` paths is free, the
-/// last file is replaced.
+/// Renames the file to rotated path 1, rotated file 1 to path 2, and so on up to the first free path. A path
+/// may be free because few files exist yet, or because an earlier rotation failed half-way. If none of the
+/// `max_rotated_files` paths is free, the oldest rotated file is replaced.
 pub(crate) fn rotate(files: &dyn FileSystem, file: &Path, max_rotated_files: u32) -> io::Result<()> {
     let is_free = |number: &u32| {
         let metadata = rotated_path(file, *number).symlink_metadata();
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -24,7 +24,7 @@
     pub sequence: u64,
     /// Time of the event by the wall clock, in microseconds of Unix time. Jumps when the clock is set.
     pub unix_us: u64,
-    /// Time of the event by the monotonic clock, in microseconds since the start of the run.
+    /// Time of the event by the monotonic clock, in microseconds since the start of the run. Never jumps.
     pub mono_us: u64,
     /// The event.
     #[serde(rename = "what")]
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", expecting = "internally tagged enum What")]
 pub enum EventKind {
-    /// The run started.
+    /// The scheduler started, which began the run.
     RunStarted {
         /// The scheduler's name.
         name: String,
@@ -43,7 +43,7 @@
         #[serde(rename = "program")]
         version: String,
     },
-    /// The run ended by a shutdown.
+    /// The scheduler shut down, which ended the run.
     RunEnded {
         /// Number of requests without a final response.
         requests_left: u64,
@@ -51,16 +51,17 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         requests: Option<RequestCounts>,
     },
-    /// The endpoint list changed.
+    /// The dispatch policy was notified of an endpoint update.
     #[serde(rename = "roster")]
     EndpointsChanged {
-        /// The form of the update: `full`, `changes`, `remembered` (a cached list) or `failed`.
+        /// The kind of the update: `full`, `changes`, `remembered` (a cached list), or `failed` (the list
+        /// could not be polled or watched).
         form: String,
         /// The endpoints that the dispatch policy was notified of.
         #[serde(rename = "entries")]
         endpoints: Vec<EndpointEntry>,
     },
-    /// A request was accepted from a client.
+    /// A client's request was passed to the dispatch policy, which may still reject it.
     #[serde(rename = "flow_taken")]
     RequestAccepted {
         /// The id of the request, 16 hex digits.
@@ -109,7 +110,8 @@
         /// The worker.
         #[serde(rename = "real_server")]
         worker: String,
-        /// The outcome, by the dispatch policy's name for it.
+        /// The outcome: `served`, `error`, `full` (rejected by the worker), `timed_out`, `connect_failed`,
+        /// `reset`, `cancelled` or `moot` (superseded).
         outcome: String,
         /// Time since the attempt was sent, in microseconds.
         elapsed_us: u64,
@@ -136,7 +138,7 @@
         #[serde(rename = "after_us")]
         elapsed_since_accepted_us: u64,
     },
-    /// A counter of a limit or of a peer's errors reached a power of 2.
+    /// A counter of a limit, of a peer's errors or of a broken invariant reached a power of 2 (1, 2, 4, ...).
     #[serde(rename = "limit")]
     CounterReached {
         /// The current name of the counter; names in older files are converted.
@@ -161,7 +163,7 @@
     pub answered: u64,
     /// Number of requests whose client disconnected before the final response.
     pub disconnected: u64,
-    /// Number of all other requests; 0 unless a request was lost.
+    /// Number of requests that were neither answered nor disconnected at the end of the run; normally 0.
     pub unanswered: u64,
 }
 
@@ -216,7 +218,7 @@
     /// The worker's zone, by its index in the dispatch policy.
     #[serde(default)]
     pub zone: u32,
-    /// The worker's size, as the endpoint list states it.
+    /// The worker's size as the endpoint list states it: a number without a unit, to compare workers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub size: Option<f64>,
 }
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -11,7 +11,7 @@
 pub struct RecordCounts {
     /// Records that were written to the file.
     pub written: u64,
-    /// Records that were dropped because the queue was full.
+    /// Records that were dropped because the queue was full or the writing thread had ended.
     pub dropped: u64,
     /// Records that were lost because the file could not be written.
     pub failed: u64,
@@ -90,7 +90,8 @@
         self.0.is_some()
     }
 
-    /// Queues an event to be written, or drops and counts it if the queue is full.
+    /// Queues an event to be written. If the queue is full, the event is dropped and counted; after
+    /// [`Recorder::close`], it is ignored.
     pub fn record(&self, event: EventKind) {
         let Some(run) = &self.0 else { return };
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/event-log/src/run_summary.rs
+++ b/crates/event-log/src/run_summary.rs
@@ -19,7 +19,8 @@
     pub run_id: String,
     /// The name of the scheduler; `None` if the start of the run is not in the stream.
     pub name: Option<String>,
-    /// Number of records by event kind.
+    /// Number of records by the serialized name of their event kind. ` (unknown)` follows a name that this
+    /// reader does not know.
     pub records_by_kind: BTreeMap<String, u64>,
     /// How often the wall clock was set during the run.
     pub clock_steps: u64,
@@ -43,9 +44,9 @@
 
 /// The summary of the requests of one class.
 pub struct ClassSummary {
-    /// Number of accepted requests.
+    /// Number of requests passed to the dispatch policy, which may still have rejected them.
     pub accepted: u64,
-    /// Number of final responses by kind.
+    /// Number of final responses by kind, and of clients that disconnected first under `gone`.
     pub responses: BTreeMap<String, u64>,
     /// Time from acceptance to the final response of served requests, in microseconds.
     pub served_us: Histogram<u64>,
@@ -67,7 +68,8 @@
         self.sequences.missing()
     }
 
-    /// Number of records that come after one with a higher sequence number.
+    /// Number of records whose sequence number is not higher than that of every earlier record; includes
+    /// duplicates.
     pub fn out_of_order(&self) -> u64 {
         self.sequences.out_of_order()
     }
--- a/crates/event-log/src/run_timeline.rs
+++ b/crates/event-log/src/run_timeline.rs
@@ -18,7 +18,7 @@
 }
 
 impl RunClock {
-    /// The clock of the run that begins with this record.
+    /// The clock of a run whose first record in the stream is `first`.
     pub(crate) fn new(first: &Record) -> RunClock {
         let offset_us = clock_offset_us(first);
         RunClock { first_offset_us: offset_us, last_offset_us: offset_us, steps: 0 }
--- a/crates/event-log/src/sequence_tracker.rs
+++ b/crates/event-log/src/sequence_tracker.rs
@@ -20,18 +20,19 @@
         self.missing
     }
 
-    /// How many numbers arrived after a higher one.
+    /// How many records had a sequence number that is not higher than all earlier ones; includes duplicates.
     pub(crate) fn out_of_order(&self) -> u64 {
         self.out_of_order
     }
 
-    /// How many numbers had arrived before.
+    /// How many records had a sequence number that had already arrived.
     pub(crate) fn duplicates(&self) -> u64 {
         self.duplicates
     }
 
     /// Adds the sequence number of a record. For a gap record, which has the number of the last missing
-    /// record, `gap` is the count of missing records that it states.
+    /// record, `gap` is the count of missing records that it states, at least 1; for any other record it is
+    /// `None`.
     pub(crate) fn add(&mut self, sequence: u64, gap: Option<u64>) {
         if !self.has_started {
             self.has_started = true;
--- a/crates/event-log/src/window_summary.rs
+++ b/crates/event-log/src/window_summary.rs
@@ -1,4 +1,4 @@
-//! Summarizes what all schedulers did in a time window.
+//! Summarizes what all schedulers did in a window of the timeline of all runs.
 use std::fmt::Write;
 
 use hdrhistogram::Histogram;
@@ -8,8 +8,9 @@
 /// Significant digits of the histograms of the fleet summary.
 pub(crate) const ELAPSED_DIGITS: u8 = 2;
 
-/// Sums over all schedulers in a time window.
+/// Sums over all schedulers in a window of the timeline of all runs.
 pub(crate) struct WindowSummary {
+    /// Number of requests passed to the dispatch policies.
     pub(crate) accepted: u64,
     pub(crate) attempts_sent: u64,
     pub(crate) endpoint_updates: u64,
--- a/crates/event-log/src/worker_summary.rs
+++ b/crates/event-log/src/worker_summary.rs
@@ -6,7 +6,8 @@
 use crate::text_format::{Counts, elapsed_histogram, format_counts, increment};
 use crate::window_summary::ELAPSED_DIGITS;
 
-/// A change of the number of attempts in flight. At the same time, ends sort before starts.
+/// A change of the number of attempts in flight. Changes of equal time are ordered ends first, so that an
+/// attempt that ends as another starts is not counted with it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlightChange {
     /// Time of the change in microseconds of Unix time, by the timeline of all runs.
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -35,8 +35,9 @@
 /// full, fails or hangs does not prevent the start: the thread keeps trying to open the file.
 ///
 /// # Errors
-/// [`EventLogError`] if another process has locked the file, if it cannot be opened for another reason than
-/// the disk, or if the thread cannot be started.
+/// [`EventLogError`] if the thread cannot be started, or if within a second the file turns out to be locked
+/// by another process or impossible to open, except because the disk is full or fails. A later error is only
+/// logged.
 pub fn start_writer(config: EventLogConfig) -> Result<(Recorder, Writer), EventLogError> {
     start_writer_on(Box::new(SystemFiles), config)
 }
@@ -77,8 +78,7 @@
     }
 }
 
-/// Reports a file that cannot be used to the thread that starts the log, or in a log line if that no longer
-/// waits.
+/// Sends the error to the caller of [`start_writer`]; if the caller no longer waits, logs it.
 fn report_unusable_file(opened_sender: &SyncSender<Result<(), EventLogError>>, error: EventLogError) {
     if let Err(SendError(Err(error))) = opened_sender.send(Err(error)) {
         tracing::warn!(%error, "event log not open, and no event is written");
--- a/crates/event-log/tests/fleet_summary.rs
+++ b/crates/event-log/tests/fleet_summary.rs
@@ -60,8 +60,8 @@
     assert!(text.contains("at most 1 out at once"), "{text}");
 }
 
-/// Guards against placing records by the wall clock, by which the attempt would end before its start, or in
-/// another window an hour later.
+/// Records must not be placed by the wall clock: if it is set back, the attempt would end before its start;
+/// if it is set forward by an hour, its end would be in another window.
 #[test]
 fn a_wall_clock_that_is_set_during_a_run_moves_no_record_to_another_window() {
     for step_s in [-3_600, -5, 5, 3_600] {
--- a/crates/event-log/tests/reader.rs
+++ b/crates/event-log/tests/reader.rs
@@ -79,8 +79,7 @@
     }
 }
 
-// The reasons are printed by a summary. The type names in them are older than the current ones, and are
-// fixed.
+// A summary prints the reasons. The type names `Head` and `What` in them must not change.
 #[test]
 fn the_reasons_of_invalid_lines_keep_their_texts() {
     let valid = line_of(&record(0, counter_event(1)));
--- a/crates/event-log/tests/unit/batch_writer.rs
+++ b/crates/event-log/tests/unit/batch_writer.rs
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_failed_write_that_cannot_be_truncated_joins_no_lines() {
+fn lines_are_not_joined_if_a_failed_write_cannot_be_truncated() {
     let batch = b"first\nsecond\n";
     for cut in 0..=batch.len() - 1 {
         let mut fixture = Fixture::new("joins", 1 << 20, 1);
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn a_partial_line_on_a_full_disk_prevents_no_start_and_is_ended_later() {
+fn a_partial_line_on_a_full_disk_does_not_prevent_the_start_and_is_ended_later() {
     let mut fixture = Fixture::new("partial-start", 1 << 20, 1);
     fs::write(fixture.path(), b"before\n{\"torn").expect("the log file can be written");
     fixture.files.set(Faults { write_after: Some(0), ..Faults::default() });
