--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -1,89 +1,92 @@
-//! Faults, and plans that put them in order of time.
+//! Faults, and fault plans, which list them in chronological order.
 use std::time::Duration;
 
 use crate::link_conditions::LinkConditions;
 
-/// What happens to a process.
+/// An action on the process of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessAction {
-    /// It is stopped, as by SIGSTOP; what is sent to it waits.
+    /// Stops the process, as SIGSTOP does; packets and connections to it wait.
     Pause,
-    /// It continues.
+    /// Resumes a paused process, as SIGCONT does.
     Resume,
-    /// It ends without notice.
+    /// Ends the process without a graceful shutdown, as SIGKILL does.
     Kill,
-    /// It starts, with the same name and a new generation if it ran before.
+    /// Starts the process. A restarted member keeps its name and has a new generation.
     Start,
 }
 
-/// One fault, or the end of one.
+/// A fault of the network or of a process, or the end of one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing arrives from some members at others; the opposite direction stays as it is.
+    /// Blocks all packets from some members to others. The opposite direction is not affected.
     BlockOneWay {
-        /// The members that are not heard.
+        /// The members whose packets are blocked.
         from: Vec<usize>,
-        /// The members that do not hear them.
+        /// The members that do not receive these packets.
         to: Vec<usize>,
     },
-    /// Nothing passes between two groups, in either direction.
+    /// Blocks all packets between two groups of members, in both directions.
     Partition {
-        /// One group.
+        /// The members of one group.
         one: Vec<usize>,
-        /// The other group.
+        /// The members of the other group.
         other: Vec<usize>,
     },
-    /// All links that are not blocked have these conditions from now on.
+    /// Sets the conditions of all links that are not blocked.
     SetConditions(LinkConditions),
-    /// No link is blocked, and all have the conditions that they started with.
+    /// Removes all blocks and restores the initial conditions of all links.
     Heal,
-    /// Something happens to a member's process.
+    /// Pauses, resumes, kills or starts the process of a member.
     Process {
-        /// The member.
+        /// The number of the member.
         member: usize,
-        /// What happens to its process.
+        /// The action on its process.
         action: ProcessAction,
     },
 }
 
-/// A fault at its time.
+/// One step of a fault plan: a fault and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultStep {
-    /// Time since the plan's start.
+    /// The time since the start of the plan.
     pub at: Duration,
-    /// What happens then.
+    /// The fault to apply at this time.
     pub fault: Fault,
 }
 
-/// Faults in order of time.
+/// A list of faults in chronological order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FaultPlan {
-    /// The steps, none of which lies before the one that precedes it.
+    /// The steps, in chronological order; several steps may have the same time.
     pub steps: Vec<FaultStep>,
 }
 
 impl FaultPlan {
-    /// Appends a fault, so long after the plan's start.
+    /// Appends a fault at a time since the start of the plan.
     ///
     /// # Panics
-    /// The time lies before that of the last step.
+    /// Panics if the time is before that of the last step.
     #[must_use]
     pub fn at(mut self, at: Duration, fault: Fault) -> FaultPlan {
-        assert!(self.steps.last().is_none_or(|last| last.at <= at), "a plan goes forward: {fault:?}");
+        assert!(
+            self.steps.last().is_none_or(|last| last.at <= at),
+            "fault plan is not in chronological order: {fault:?}"
+        );
         self.steps.push(FaultStep { at, fault });
         self
     }
 
-    /// Appends what happens to a process, so long after the plan's start.
+    /// Appends an action on a member's process, at a time since the start of the plan.
     ///
     /// # Panics
-    /// The time lies before that of the last step.
+    /// Panics if the time is before that of the last step.
     #[must_use]
     pub fn process_at(self, at: Duration, member: usize, action: ProcessAction) -> FaultPlan {
         self.at(at, Fault::Process { member, action })
     }
 
-    /// The time of the last step.
+    /// Returns the duration of the plan: the time of the last step, or zero for an empty plan.
     pub fn duration(&self) -> Duration {
         self.steps.last().map_or(Duration::ZERO, |last| last.at)
     }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,15 +1,15 @@
-//! Faults of a fleet's network and processes, as plans: the testbed plays a plan in virtual time, and the test harness
-//! plays the same plan in real time on real processes.
+//! Fault plans for the network and the processes of a fleet. The testbed executes a plan in virtual time, and
+//! the test harness executes the same plan in real time on real processes.
 //!
 //! ```text
-//!   FaultPlan: at 1 s Partition, at 6 s Heal ...  ──►  a player (testbed or test harness)
+//!   FaultPlan: at 1 s Partition, at 6 s Heal ...  ──►  testbed or test harness
 //!                                                         │ network              │ processes
 //!                                              NetworkLinks::apply(fault)   pause, resume, kill, start
-//!                                              NetworkLinks::delivery_delays(from, to) ──► a packet's copies
+//!                                              NetworkLinks::delivery_delays(from, to) ──► delays of a packet
 //! ```
 //!
-//! The crate has no I/O and no clock, and all randomness comes from the generator that a player hands in. Members are
-//! numbered from 0.
+//! The crate does no I/O and reads no clock. All randomness comes from the random number generator that the
+//! caller passes in. Members are numbered from 0.
 #![forbid(unsafe_code)]
 
 mod fault;
--- a/crates/fault-injection/src/link_conditions.rs
+++ b/crates/fault-injection/src/link_conditions.rs
@@ -1,25 +1,30 @@
-//! Loss, duplication and delay on a link.
+//! Packet loss, duplication and delay on network links.
 use std::time::Duration;
 
-/// What happens to packets on links that are not blocked. Rates are shares of all packets, from 0 to 1.
+/// Packet loss, duplication and delay on links that are not blocked.
+///
+/// Rates are fractions from 0 to 1. The duplication rate applies to packets that are not lost, and the rate of
+/// extra delays to each copy that arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkConditions {
-    /// The share that is lost.
+    /// The fraction of packets that are lost.
     pub loss_rate: f64,
-    /// The share that arrives twice.
+    /// The fraction of packets that arrive twice.
     pub duplication_rate: f64,
-    /// The share that is delayed by [`LinkConditions::extra_delay`], so that later packets overtake it.
+    /// The fraction of arriving copies with an [`extra_delay`](LinkConditions::extra_delay), so that
+    /// later packets overtake them.
     pub extra_delay_rate: f64,
-    /// The further delay of these.
+    /// The additional delay, which applies at the [`extra_delay_rate`](LinkConditions::extra_delay_rate).
     pub extra_delay: Duration,
-    /// Shortest delay.
+    /// The minimum delay, inclusive.
     pub min_delay: Duration,
-    /// Longest delay, excluded. Each packet's own lies between the two, so that packets overtake each other.
+    /// The maximum delay, exclusive unless equal to the minimum. Each copy of a packet draws its own delay from
+    /// this range, so that packets can overtake each other.
     pub max_delay: Duration,
 }
 
 impl LinkConditions {
-    /// Every packet arrives, once and without delay.
+    /// Conditions under which every packet arrives exactly once and without delay.
     pub const IDEAL: LinkConditions = LinkConditions {
         loss_rate: 0.0,
         duplication_rate: 0.0,
--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -1,4 +1,4 @@
-//! The links between members: which are blocked, and the fate of each packet on the others.
+//! The network links between members: decides which packets are lost, duplicated or delayed.
 use std::collections::HashSet;
 use std::time::Duration;
 
@@ -7,24 +7,24 @@
 use crate::fault::Fault;
 use crate::link_conditions::LinkConditions;
 
-/// All links of a fleet.
+/// The network links between all members of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkLinks {
-    /// The conditions that a heal restores.
+    /// The conditions that [`Fault::Heal`] restores.
     baseline: LinkConditions,
-    /// The conditions of links that are not blocked.
+    /// The current conditions of all links that are not blocked.
     pub conditions: LinkConditions,
-    /// Pairs of sender and receiver between which nothing passes.
+    /// The blocked directions, as pairs of sender and receiver. No packet passes them.
     pub blocked: HashSet<(usize, usize)>,
 }
 
 impl NetworkLinks {
-    /// Links with these conditions, to which they return when they heal.
+    /// Creates links with these conditions and no blocks. [`Fault::Heal`] restores this state.
     pub fn new(baseline: LinkConditions) -> NetworkLinks {
         NetworkLinks { baseline, conditions: baseline, blocked: HashSet::new() }
     }
 
-    /// Applies a fault of the network. Those of processes are for the player, and change nothing here.
+    /// Applies a network fault. Process faults are ignored; the caller applies them.
     pub fn apply(&mut self, fault: &Fault) {
         match fault {
             Fault::BlockOneWay { from, to } => self.block(from, to),
@@ -43,14 +43,16 @@
             .extend(from.iter().flat_map(|&sender| to.iter().map(move |&receiver| (sender, receiver))));
     }
 
-    /// The delay of each copy of a packet that arrives: none where it is lost, two where it is duplicated.
+    /// Returns the delay of each copy of a packet that arrives: none if the packet is lost, two if it is
+    /// duplicated.
     pub fn delivery_delays(&self, from: usize, to: usize, rng: &mut impl Rng) -> [Option<Duration>; 2] {
         let conditions = &self.conditions;
         if self.blocked.contains(&(from, to)) || rng.random::<f64>() < conditions.loss_rate {
             return [None; 2];
         }
         let first = self.delay(rng);
-        // Nothing is drawn for what cannot happen, so that adding a condition leaves a plan without it unchanged.
+        // Duplication and extra delay draw no random number if their rate is 0, so that plans without them keep the
+        // random sequence that they had before these conditions were added.
         let is_duplicated =
             conditions.duplication_rate > 0.0 && rng.random::<f64>() < conditions.duplication_rate;
         [Some(first), is_duplicated.then(|| self.delay(rng))]
--- a/crates/fault-injection/src/plans.rs
+++ b/crates/fault-injection/src/plans.rs
@@ -1,4 +1,4 @@
-//! Plans for the hard cases of membership, for any number of members.
+//! Ready-made fault plans for tests of membership, for any number of members.
 use std::time::Duration;
 
 use crate::fault::{Fault, FaultPlan, ProcessAction};
@@ -6,12 +6,12 @@
 
 const START: Duration = Duration::ZERO;
 
-/// A member is killed.
+/// Kills a member.
 pub fn kill(member: usize) -> FaultPlan {
     FaultPlan::default().process_at(START, member, ProcessAction::Kill)
 }
 
-/// A member is paused for a time.
+/// Pauses a member for a duration.
 pub fn pause(member: usize, duration: Duration) -> FaultPlan {
     FaultPlan::default().process_at(START, member, ProcessAction::Pause).process_at(
         duration,
@@ -20,7 +20,7 @@
     )
 }
 
-/// All links lose this share of their packets and delay the others, for a time.
+/// Loses a fraction of the packets on all links and delays the others, for a duration.
 pub fn lose_packets(
     loss_rate: f64,
     min_delay: Duration,
@@ -31,25 +31,27 @@
     FaultPlan::default().at(START, Fault::SetConditions(conditions)).at(duration, Fault::Heal)
 }
 
-/// One member does not hear another, for a time; all other links work.
+/// Blocks all packets from one member to another, for a duration. All other links work.
 pub fn block_one_way(from: usize, to: usize, duration: Duration) -> FaultPlan {
     let block = Fault::BlockOneWay { from: vec![from], to: vec![to] };
     FaultPlan::default().at(START, block).at(duration, Fault::Heal)
 }
 
-/// The members are partitioned into two halves, for a time.
+/// Partitions the members into two halves, for a duration.
 pub fn partition_in_halves(members: usize, duration: Duration) -> FaultPlan {
     let half = members / 2;
     let partition = Fault::Partition { one: (0..half).collect(), other: (half..members).collect() };
     FaultPlan::default().at(START, partition).at(duration, Fault::Heal)
 }
 
-/// A member is killed, and starts again after a time.
+/// Kills a member and starts it again after a downtime.
 pub fn restart(member: usize, downtime: Duration) -> FaultPlan {
     kill(member).process_at(downtime, member, ProcessAction::Start)
 }
 
-/// All members but the seeds start; the seeds, which are the first so many, start after a time.
+/// Starts all members except the seeds, and the seeds after a delay.
+///
+/// The seeds are the members with the lowest numbers, from 0 to `seeds - 1`.
 pub fn start_seeds_late(members: usize, seeds: usize, delay: Duration) -> FaultPlan {
     let start = |plan: FaultPlan, at, member| plan.process_at(at, member, ProcessAction::Start);
     let others_started =
--- a/crates/fault-injection/tests/faults.rs
+++ b/crates/fault-injection/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Links follow their conditions and blocks, and plans go forward in time.
+//! Tests of link conditions, of blocked links, and of the chronological order of fault plans.
 use std::time::Duration;
 
 use copperspread_fault_injection::{Fault, FaultPlan, LinkConditions, NetworkLinks};
@@ -10,7 +10,7 @@
 const PACKETS: usize = 100_000;
 
 #[test]
-fn links_lose_duplicate_and_delay_the_shares_that_their_conditions_give() {
+fn links_lose_duplicate_and_delay_packets_at_the_configured_rates() {
     let mut links = NetworkLinks::new(LinkConditions::IDEAL);
     let mut rng = Pcg64Mcg::seed_from_u64(SEED);
     assert_eq!(links.delivery_delays(0, 1, &mut rng), [Some(Duration::ZERO), None]);
@@ -28,8 +28,8 @@
     };
     assert!((share(&|delays| delays[0].is_none()) - 0.3).abs() < 0.01);
     assert!((share(&|delays| delays[1].is_some()) - 0.7 * 0.2).abs() < 0.01);
-    let is_delayed_further = |delays: &[Option<Duration>; 2]| delays[0].is_some_and(|delay| delay >= 55 * MS);
-    assert!((share(&is_delayed_further) - 0.7 * 0.1).abs() < 0.01);
+    let has_extra_delay = |delays: &[Option<Duration>; 2]| delays[0].is_some_and(|delay| delay >= 55 * MS);
+    assert!((share(&has_extra_delay) - 0.7 * 0.1).abs() < 0.01);
     let mut delays = deliveries.iter().flatten().flatten();
     assert!(delays.clone().all(|&delay| delay >= 5 * MS && delay < 70 * MS));
     assert!(delays.any(|&delay| delay > 19 * MS));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_one_way_block_has_one_direction_and_a_partition_has_both() {
+fn a_one_way_block_affects_one_direction_and_a_partition_both() {
     let mut links = NetworkLinks::new(LinkConditions::IDEAL);
     let mut rng = Pcg64Mcg::seed_from_u64(SEED);
     links.apply(&Fault::BlockOneWay { from: vec![0], to: vec![1] });
@@ -51,7 +51,7 @@
 }
 
 #[test]
-#[should_panic(expected = "goes forward")]
-fn a_plan_that_goes_back_in_time_panics() {
+#[should_panic(expected = "not in chronological order")]
+fn appending_a_step_before_the_last_one_panics() {
     let _ = FaultPlan::default().at(MS, Fault::Heal).at(Duration::ZERO, Fault::Heal);
 }
--- a/crates/identifiers/src/lib.rs
+++ b/crates/identifiers/src/lib.rs
@@ -1,4 +1,4 @@
-//! The name type that the crates on fleet rules have in common. It knows no rule of its own.
+//! The validated name type that the fair-share and reservations crates share.
 use std::borrow::Borrow;
 use std::fmt;
 use std::sync::Arc;
@@ -7,31 +7,32 @@
 
 /// The name of a member, tenant, federation, pool, class or zone: 1 to 64 bytes without control characters.
 ///
-/// Clones share the text.
+/// Cloning is cheap: clones share the text. Deserialization checks the text as [`Name::new`] does.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
-/// Why a text is not a [`Name`].
+/// The reason why a text is not a valid [`Name`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum NameError {
-    /// It is empty or longer than [`Name::MAX_BYTES`]; with its length in bytes.
+    /// The text is empty or longer than [`Name::MAX_BYTES`]; the value is its length in bytes.
     #[error("a name has 1 to 64 bytes, not {0}")]
     Length(usize),
-    /// It has a control character, which would corrupt the lines of a log.
+    /// The text contains a control character, which could corrupt log lines.
     #[error("a name has no control characters")]
     ControlCharacter,
 }
 
 impl Name {
-    /// The longest name in bytes.
+    /// The maximum length of a name, in bytes.
     pub const MAX_BYTES: usize = 64;
 
-    /// Checks and takes over a text.
+    /// Creates a name from a text.
     ///
     /// # Errors
-    /// The text is empty, too long, or has a control character.
+    /// Returns [`NameError::Length`] if the text is empty or too long, and [`NameError::ControlCharacter`] if it
+    /// contains a control character.
     pub fn new(text: &str) -> Result<Name, NameError> {
         if text.is_empty() || text.len() > Name::MAX_BYTES {
             return Err(NameError::Length(text.len()));
@@ -42,7 +43,7 @@
         Ok(Name(text.into()))
     }
 
-    /// The name as text.
+    /// Returns the name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/identifiers/tests/unit/name.rs
+++ b/crates/identifiers/tests/unit/name.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `Name`; the crate's `lib` includes this file as its `tests`.
+//! Unit tests of `Name`, included by `src/lib.rs` as its `tests` module.
 use super::*;
 
 #[test]
--- a/crates/simulator-adapter/src/cookie.rs
+++ b/crates/simulator-adapter/src/cookie.rs
@@ -1,4 +1,5 @@
-//! Timers as the simulator carries them: a text that comes back when the timer is due.
+//! Timer cookies: texts that identify timers on the wire. The simulator returns a cookie when its timer
+//! expires.
 use std::fmt;
 
 use copperspread_dispatcher::{RequestId, Timer};
@@ -8,7 +9,7 @@
 const SUBSCRIPTION: &str = "discovery";
 const REQUEST_ID_DIGITS: usize = 16;
 
-/// A timer's text.
+/// Formats a timer as its cookie.
 pub(crate) struct Cookie(pub(crate) Timer);
 
 impl fmt::Display for Cookie {
@@ -22,7 +23,7 @@
     }
 }
 
-/// The timer of a text, if it is one.
+/// Parses a cookie; returns `None` if the text is not a cookie of the adapter.
 pub(crate) fn parse_timer(cookie: &str) -> Option<Timer> {
     match cookie {
         PERIODIC_REFRESH => Some(Timer::PeriodicRefresh),
@@ -32,7 +33,7 @@
     }
 }
 
-/// A request id as the wire has it: 16 hex digits.
+/// Formats a request id as on the wire: 16 hex digits.
 pub(crate) struct HexId(pub(crate) RequestId);
 
 impl fmt::Display for HexId {
@@ -41,7 +42,7 @@
     }
 }
 
-/// The request id of a text, if it is one.
+/// Parses a request id; returns `None` if the text is not 16 hex digits.
 pub(crate) fn parse_request_id(text: &str) -> Option<RequestId> {
     if text.len() != REQUEST_ID_DIGITS {
         return None;
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! From the simulator's messages to the dispatcher's events.
+//! Decodes simulator messages into the dispatcher's events.
 use copperspread_dispatcher::{
     AttemptOutcome, Endpoint, EndpointUpdateKind, Event, IncomingRequest, LoadReport, Outcome, Progress,
     RequestId, WorkerState,
@@ -11,17 +11,17 @@
 use crate::message::{Entry, Line, Load};
 use crate::workers::WorkerTable;
 
-/// An endpoint update, whose endpoints the dispatcher borrows.
+/// An endpoint update that owns its endpoints; the dispatcher's `EndpointUpdate` borrows them.
 pub(crate) struct OwnedEndpointUpdate {
-    /// Whether it is complete, cached, failed or only what changed.
+    /// Whether the update is a full list, a cached list, a list of changes, or a failed poll.
     pub(crate) kind: EndpointUpdateKind,
-    /// The list's version; 0 for a failed poll.
+    /// The version of the endpoint list; 0 for a failed poll.
     pub(crate) version: u64,
-    /// The endpoints.
+    /// The listed endpoints.
     pub(crate) endpoints: Vec<Endpoint>,
 }
 
-/// The event that a `topology` message tells of. Workers that it names for the first time get a number.
+/// Decodes a `topology` message. Workers that it lists for the first time are assigned ids.
 pub(crate) fn endpoint_update(
     message: &Line<'_>,
     workers: &mut WorkerTable,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The event that a message of any other kind tells of.
+/// Decodes a message of any kind but `topology`.
 pub(crate) fn event(message: &Line<'_>, workers: &WorkerTable) -> Result<Event<'static>, HandleError> {
     match &*message.kind {
         "work_item" => Ok(Event::Request(incoming_request(message)?)),
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,4 +1,4 @@
-//! From the dispatcher's actions to the simulator's messages, a line each.
+//! Encodes the dispatcher's actions as simulator messages, one per line.
 use std::io::{self, Write};
 
 use copperspread_dispatcher::{Action, Micros, SECOND};
@@ -6,18 +6,18 @@
 use crate::cookie::{Cookie, HexId};
 use crate::workers::WorkerTable;
 
-/// What the lines of one instance have in common.
+/// Writes the actions of one instance as simulator messages.
 pub(crate) struct ActionEncoder<'a> {
-    /// The instance's name.
+    /// The instance's name, the wire's `node_id`.
     pub(crate) node: &'a str,
-    /// The workers' names.
+    /// The worker names by worker id.
     pub(crate) workers: &'a WorkerTable,
-    /// Whether a rejection carries a Retry-After.
+    /// Whether a rejection carries a Retry-After, in seconds.
     pub(crate) sends_retry_after: bool,
 }
 
 impl ActionEncoder<'_> {
-    /// Writes one action.
+    /// Writes one action as one line.
     pub(crate) fn write(&self, out: &mut impl Write, action: &Action) -> io::Result<()> {
         let node = self.node;
         match *action {
@@ -59,13 +59,13 @@
     }
 }
 
-/// Writes that an instance failed.
+/// Writes the message that reports a failure of an instance.
 pub(crate) fn write_fault(out: &mut impl Write, node: &str, message: &str) -> io::Result<()> {
     let line = serde_json::json!({"kind": "fault", "node_id": node, "message": message});
     writeln!(out, "{line}")
 }
 
-/// Writes the end of a batch.
+/// Writes the message that ends the reply to a batch.
 pub(crate) fn write_batch_end(out: &mut impl Write, turn: u64) -> io::Result<()> {
     writeln!(out, r#"{{"kind":"end","turn":{turn}}}"#)
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,34 +1,34 @@
-//! What ends the adapter, and what it only notes on standard error.
+//! Errors: those that end the adapter, and those that it only reports on standard error.
 use std::fmt;
 use std::io;
 
 use copperspread_settings::ReadError;
 
-/// Why the adapter ends before its input does.
+/// An error that ends the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SessionError {
-    /// The input cannot be read.
-    #[error("reading: {0}")]
+    /// Standard input cannot be read.
+    #[error("cannot read standard input: {0}")]
     Read(#[source] io::Error),
-    /// The output cannot be written.
-    #[error("writing: {0}")]
+    /// Standard output cannot be written.
+    #[error("cannot write standard output: {0}")]
     Write(#[source] io::Error),
-    /// A line is wrong.
+    /// An input line is invalid.
     #[error("{position}: {source}")]
     InvalidLine {
-        /// Where the line stands.
+        /// The position of the line.
         position: BatchPosition,
-        /// What is wrong with it.
+        /// Why the line is invalid.
         source: MessageError,
     },
 }
 
-/// Where a line stands among the batches.
+/// The position of a line relative to the batches.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum BatchPosition {
-    /// Inside the batch of this turn.
+    /// Inside the batch with this turn number.
     Inside(u64),
-    /// Between batches, after the one of this turn; 0 before the first.
+    /// Outside batches, after the batch with this turn number; 0 before the first batch.
     After(u64),
 }
 
@@ -41,25 +41,25 @@
     }
 }
 
-/// Why a message cannot be handled: the peers no longer agree on the protocol.
+/// A violation of the protocol between the simulator and the adapter, or a reply that cannot be written.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum MessageError {
-    /// The line is not a message.
-    #[error("no message: {0}")]
-    NotAMessage(#[source] serde_json::Error),
+    /// The line cannot be parsed as a message.
+    #[error("malformed message: {0}")]
+    Malformed(#[source] serde_json::Error),
     /// The input ended before the batch did.
-    #[error("the input ended inside it")]
+    #[error("unexpected end of input")]
     UnexpectedEnd,
-    /// A batch began before the last one ended.
-    #[error("a batch inside a batch")]
+    /// A batch began before the previous one ended.
+    #[error("a new batch began before this one ended")]
     NestedBatch,
-    /// A message came between batches.
+    /// A message other than the start of a batch arrived outside a batch.
     #[error("{kind} outside a batch")]
     OutsideBatch {
         /// The message's kind.
         kind: String,
     },
-    /// A message lacks a field that its kind needs.
+    /// A message lacks a field that its kind requires.
     #[error("{kind} without {field}")]
     MissingField {
         /// The message's kind.
@@ -70,45 +70,45 @@
     /// An instance's settings cannot be read.
     #[error("provision: params: {0}")]
     InvalidSettings(#[source] ReadError),
-    /// A request id is not one.
+    /// A request id is not 16 hex digits.
     #[error("req {text:?} is not 16 hex digits")]
     InvalidRequestId {
-        /// The id as given.
+        /// The invalid id.
         text: String,
     },
-    /// An outcome's code is not defined.
+    /// The code of an outcome is unknown.
     #[error("state_code {code} is unknown")]
     UnknownOutcome {
-        /// The code.
+        /// The unknown code.
         code: u32,
     },
-    /// An endpoint update's mode is not defined.
+    /// The mode of an endpoint update is unknown.
     #[error("topology of unknown mode {mode:?}")]
     UnknownMode {
-        /// The mode.
+        /// The unknown mode.
         mode: String,
     },
-    /// An endpoint's status is not defined.
+    /// The status of an endpoint is unknown.
     #[error("unknown status {status:?}")]
     UnknownStatus {
-        /// The status.
+        /// The unknown status.
         status: String,
     },
-    /// The answer cannot be written.
-    #[error("writing: {0}")]
+    /// The reply cannot be written.
+    #[error("cannot write standard output: {0}")]
     Write(#[source] io::Error),
 }
 
-/// Why a message is skipped with a note, after which the adapter goes on.
+/// The reason for skipping a message. The adapter reports it on standard error and continues.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SkipReason {
-    /// The kind of message is not known.
+    /// The message's kind is unknown.
     #[error("unknown event {kind:?} skipped")]
     UnknownKind {
-        /// The kind.
+        /// The unknown kind.
         kind: String,
     },
-    /// No instance has this name.
+    /// The addressed instance has not been provisioned.
     #[error("{kind} for unprovisioned {node:?} skipped")]
     NotProvisioned {
         /// The message's kind.
@@ -116,16 +116,16 @@
         /// The instance's name.
         node: String,
     },
-    /// The kind of progress is not known.
+    /// The kind of progress is unknown.
     #[error("progress of kind {kind} skipped")]
     UnknownProgress {
-        /// The kind.
+        /// The unknown kind.
         kind: u32,
     },
-    /// A timer's cookie is none that the adapter gave out.
+    /// The cookie of an expired timer cannot be parsed.
     #[error("bell with an unknown cookie skipped")]
     UnknownTimer,
-    /// A load report comes from a worker that was never listed.
+    /// A load query was answered for a worker that no endpoint update has listed.
     #[error("probe of unknown {worker:?} skipped")]
     UnknownWorker {
         /// The worker's name.
@@ -133,13 +133,13 @@
     },
 }
 
-/// Why a message led to nothing.
+/// The reason why a message was not handled.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HandleError {
-    /// It is skipped with a note.
+    /// The message is skipped, and the adapter continues.
     #[error(transparent)]
     Skipped(#[from] SkipReason),
-    /// It ends the adapter.
+    /// The message is invalid, or the reply cannot be written; the adapter ends.
     #[error(transparent)]
     Invalid(#[from] MessageError),
 }
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! The scheduler instances that the simulator runs, each with a dispatcher of its own.
+//! The scheduler instances of a simulation, each with its own dispatcher.
 use std::io::Write;
 
 use copperspread_dispatcher::{Action, Dispatcher, EndpointUpdate, Event, Micros};
@@ -11,23 +11,23 @@
 use crate::message::Line;
 use crate::workers::WorkerTable;
 
-/// The instances by name. They share nothing.
+/// The instances by name. They share no state.
 #[derive(Default)]
 pub(crate) struct Instances {
     by_name: FxHashMap<Box<str>, Instance>,
 }
 
-/// One dispatcher with its own numbers of workers.
+/// One dispatcher with its own worker ids.
 struct Instance {
     dispatcher: Dispatcher,
     sends_retry_after: bool,
     workers: WorkerTable,
-    /// Kept between messages for its capacity.
+    /// The actions of the last message. The buffer is reused to avoid allocations.
     actions: Vec<Action>,
 }
 
 impl Instances {
-    /// Hands a message to its instance and writes the actions that follow from it.
+    /// Passes a message to the addressed instance and writes the resulting actions.
     pub(crate) fn handle(
         &mut self,
         now: Micros,
@@ -41,7 +41,7 @@
                 self.by_name.remove(node);
                 Ok(())
             }
-            // Instances have no messages for each other.
+            // Ignored: the adapter's instances send no messages to each other.
             "from_peer" => Ok(()),
             "topology" | "work_item" | "answer" | "progress" | "started" | "aborted" | "bell" | "checked" => {
                 let instance = self.by_name.get_mut(node).ok_or_else(|| not_provisioned(node, message))?;
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Starts an instance; one of the same name is replaced. Settings that the dispatcher does not accept
-    /// are reported to the simulator as a fault.
+    /// Starts an instance and replaces an existing one of the same name. Reports settings that the dispatcher
+    /// rejects to the simulator as a `fault` message.
     fn provision(
         &mut self,
         node: &str,
@@ -89,7 +89,7 @@
         Instance { dispatcher, sends_retry_after, workers: WorkerTable::default(), actions: Vec::new() }
     }
 
-    /// Has the dispatcher handle a message; its actions replace those of the message before.
+    /// Passes a message to the dispatcher. The resulting actions replace those of the previous message.
     fn handle(&mut self, now: Micros, message: &Line<'_>) -> Result<(), HandleError> {
         self.actions.clear();
         if message.kind == "topology" {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,15 +1,18 @@
-//! The adapter between the dispatch policy and the simulator's wire. It decides nothing: it reads
-//! events, hands each to its instance's dispatcher and writes the actions back.
+//! Simulator adapter: runs the dispatch policy behind the simulator's protocol, one JSON message per line on
+//! standard input and output.
+//!
+//! The adapter makes no dispatch decisions. It reads messages, passes each as an event to the dispatcher of
+//! the addressed instance, and writes the resulting actions back.
 //!
 //! ```text
 //!   standard input ─ session.rs: lines, batches, panics
-//!                       │ message.rs: one line as a message
-//!                    instances.rs: the dispatcher that a message is for
-//!                       │ decode.rs: the message as an event      encode.rs: actions as lines
+//!                       │ message.rs: parses a line into a message
+//!                    instances.rs: finds the dispatcher of the addressed instance
+//!                       │ decode.rs: message to event             encode.rs: actions to lines
 //!                       └────────────── Dispatcher ──────────────── standard output
 //! ```
 //!
-//! The names of kinds and fields on the wire are the simulator's and stay as they are.
+//! The simulator defines the message kinds and the field names on the wire; the adapter must not change them.
 mod cookie;
 mod decode;
 mod encode;
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -1,5 +1,5 @@
-//! The simulator's messages as they stand on a line. serde names these types in its errors (`expected
-//! struct Load`), so their names are part of the adapter's output.
+//! The simulator's messages as they appear on the wire. serde includes the names of these types in its error
+//! messages (`expected struct Load`), so that the type names are part of the adapter's output.
 use std::borrow::Cow;
 
 use serde::Deserialize;
@@ -7,18 +7,18 @@
 
 use crate::error::MessageError;
 
-/// One line from the simulator: a message of any kind. One flat struct serves all kinds: fields that a
-/// kind lacks stay empty, unknown ones are skipped, and strings are borrowed from the line.
+/// One line from the simulator: a message of any kind. All kinds share one flat struct: fields that a kind
+/// lacks are `None`, unknown fields are ignored, and strings are borrowed from the line where possible.
 #[derive(Deserialize)]
 pub(crate) struct Line<'a> {
-    /// What happened.
+    /// The message's kind.
     #[serde(borrow)]
     pub(crate) kind: Cow<'a, str>,
-    /// A batch's time, in seconds.
+    /// A batch's virtual time, in seconds.
     pub(crate) ts_s: Option<f64>,
     /// A batch's number.
     pub(crate) turn: Option<u64>,
-    /// The instance that the message is for.
+    /// The name of the addressed instance.
     #[serde(borrow)]
     pub(crate) node_id: Option<Cow<'a, str>>,
     /// A request's id, 16 hex digits.
@@ -27,46 +27,46 @@
     /// A worker's name.
     #[serde(borrow)]
     pub(crate) executor: Option<Cow<'a, str>>,
-    /// What a timer was started with.
+    /// The cookie that an expired timer was started with.
     #[serde(borrow)]
     pub(crate) cookie: Option<Cow<'a, str>>,
-    /// The kind of an endpoint update.
+    /// The kind of an endpoint update: `D` (changes), `F` (full), `C` (cached) or `X` (failed).
     #[serde(borrow)]
     pub(crate) mode: Option<Cow<'a, str>>,
-    /// An endpoint update's version.
+    /// The version of the endpoint list.
     pub(crate) serial: Option<u64>,
-    /// The endpoints of an update.
+    /// The endpoints of an endpoint update.
     #[serde(borrow)]
     pub(crate) nodes_list: Option<Vec<Entry<'a>>>,
-    /// The seed of an instance's random numbers.
+    /// The seed of an instance's random number generator.
     pub(crate) prng: Option<u64>,
-    /// An instance's settings, in the platform's JSON.
+    /// An instance's settings, as the platform's JSON.
     #[serde(borrow)]
     pub(crate) params: Option<&'a RawValue>,
-    /// How many slots a request takes.
+    /// The number of slots that a request occupies.
     pub(crate) width: Option<f64>,
-    /// A request's tenant.
+    /// The tenant of a request.
     pub(crate) org: Option<u32>,
-    /// A request's class.
+    /// The request class.
     pub(crate) category: Option<u32>,
     /// The time until a request's deadline, in seconds.
     pub(crate) expires_in_s: Option<f64>,
-    /// The client's estimate of a request's work, in seconds.
+    /// The request's cost hint, in seconds.
     pub(crate) work_s: Option<f64>,
-    /// An attempt's number.
+    /// The number of an attempt.
     #[serde(rename = "try")]
     pub(crate) attempt: Option<u32>,
-    /// The kind of progress of an attempt.
+    /// The kind of an attempt's progress: 1 (started) or 2 (partly done).
     pub(crate) what: Option<u32>,
-    /// The part of an attempt's work that is done.
+    /// The completed share of an attempt's work.
     pub(crate) level: Option<f64>,
-    /// Whether a request has ended with this attempt.
+    /// Whether the request has finished with this attempt.
     pub(crate) over: Option<bool>,
-    /// An outcome's code.
+    /// The code of an outcome; `decode.rs` lists the codes.
     pub(crate) state_code: Option<u32>,
-    /// How long an attempt took, in seconds.
+    /// The duration of an attempt, in seconds.
     pub(crate) elapsed_s: Option<f64>,
-    /// A worker's load.
+    /// A worker's load report.
     pub(crate) load: Option<Load>,
 }
 
@@ -76,38 +76,41 @@
     /// The worker's name.
     #[serde(borrow)]
     pub(crate) executor: Cow<'a, str>,
-    /// Its zone.
+    /// The worker's zone; absent means 0.
     pub(crate) dc: Option<u32>,
-    /// Its kind of machine.
+    /// The worker kind; absent means 0.
     pub(crate) class_of_host: Option<u32>,
-    /// Its cell.
+    /// The worker's cell; absent means 0.
     pub(crate) cluster: Option<u32>,
-    /// Whether it takes work.
+    /// The worker's state: `live`, `quiescing` (draining) or `dead` (removed).
     #[serde(borrow)]
     pub(crate) status: Cow<'a, str>,
-    /// Its last start, in seconds.
+    /// The time of the worker's last start, in seconds.
     pub(crate) online_since_s: Option<f64>,
-    /// Its size.
+    /// The worker's size.
     pub(crate) nominal: Option<f64>,
 }
 
-/// A worker's own figures.
+/// A worker's load report.
 #[derive(Deserialize)]
 pub(crate) struct Load {
-    /// Attempts that run.
+    /// The number of running attempts.
     pub(crate) active: Option<f64>,
-    /// Attempts that wait.
+    /// The number of queued attempts.
     pub(crate) waiting: Option<f64>,
-    /// Utilization.
+    /// The worker's utilization.
     pub(crate) cpu: Option<f64>,
-    /// Requests a second.
+    /// The request rate, per second.
     pub(crate) rps: Option<f64>,
-    /// Free slots.
+    /// The number of free slots.
     pub(crate) x0: Option<f64>,
 }
 
 impl Line<'_> {
-    /// The value of a field that this kind of message needs; `field` is its name on the wire.
+    /// Returns the value of a field that messages of this kind require; `field` is its name on the wire.
+    ///
+    /// # Errors
+    /// Returns [`MessageError::MissingField`] if the message lacks the field.
     pub(crate) fn required<T>(&self, value: Option<T>, field: &'static str) -> Result<T, MessageError> {
         value.ok_or_else(|| MessageError::MissingField { kind: self.kind.to_string(), field })
     }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,5 @@
-//! One run of the adapter: batches of messages in, actions out, until the input ends.
+//! The session with the simulator: reads batches of messages and replies to each with the resulting actions,
+//! until the end of input.
 use std::io::{BufRead, BufWriter, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -12,10 +13,11 @@
 
 const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
 
-/// Reads batches until the input ends.
+/// Handles batches of messages until the end of input.
 ///
 /// # Errors
-/// What was wrong, and in which batch.
+/// Fails if the input cannot be read, the output cannot be written, or a line is invalid; the error of an
+/// invalid line names its batch.
 pub(crate) fn serve(mut input: impl BufRead, output: impl Write) -> Result<(), SessionError> {
     let mut session = Session::new(output);
     let mut line = Vec::new();
@@ -31,7 +33,7 @@
     }
 }
 
-/// The batch that is open.
+/// The batch that is being handled.
 #[derive(Clone, Copy)]
 struct Batch {
     turn: u64,
@@ -42,7 +44,7 @@
     instances: Instances,
     out: BufWriter<W>,
     open_batch: Option<Batch>,
-    /// The number of the batch that ended last; 0 before the first.
+    /// The turn number of the last completed batch; 0 before the first.
     last_turn: u64,
 }
 
@@ -58,7 +60,7 @@
 
     fn handle_line(&mut self, line: &[u8]) -> Result<(), SessionError> {
         let message: Line<'_> =
-            serde_json::from_slice(line).map_err(|error| self.invalid(MessageError::NotAMessage(error)))?;
+            serde_json::from_slice(line).map_err(|error| self.invalid(MessageError::Malformed(error)))?;
         match (&*message.kind, self.open_batch) {
             ("batch", None) => self.begin_batch(&message),
             ("batch", Some(_)) => Err(self.invalid(MessageError::NestedBatch)),
@@ -75,7 +77,7 @@
         Ok(())
     }
 
-    /// Answers a batch: only now is the output flushed.
+    /// Completes the reply to a batch and flushes the output, which is buffered until then.
     fn end_batch(&mut self, batch: Batch) -> Result<(), SessionError> {
         write_batch_end(&mut self.out, batch.turn).map_err(SessionError::Write)?;
         self.out.flush().map_err(SessionError::Write)?;
@@ -84,8 +86,8 @@
         Ok(())
     }
 
-    /// Hands an event to its instance. A panic in the dispatcher is that instance's fault alone: the
-    /// simulator is notified, and the session goes on.
+    /// Passes an event to the addressed instance. A panic in the dispatcher affects only that instance: it is
+    /// reported to the simulator as a `fault` message, and the session continues.
     fn handle_event(&mut self, batch: Batch, message: &Line<'_>) -> Result<(), SessionError> {
         let Session { instances, out, .. } = self;
         let handled = catch_unwind(AssertUnwindSafe(|| instances.handle(batch.now, message, out)));
@@ -103,7 +105,7 @@
         }
     }
 
-    /// The end of the input, which is an error inside a batch.
+    /// Ends the session at the end of input, which is an error inside a batch.
     fn end(&self) -> Result<(), SessionError> {
         match self.open_batch {
             None => Ok(()),
--- a/crates/simulator-adapter/src/workers.rs
+++ b/crates/simulator-adapter/src/workers.rs
@@ -1,8 +1,8 @@
-//! The workers that one instance knows, numbered as its dispatcher wants them.
+//! Maps the worker names on the wire to the worker ids of one instance's dispatcher.
 use copperspread_dispatcher::WorkerId;
 use rustc_hash::FxHashMap;
 
-/// Names and numbers of workers. A number is never given twice, and none is taken back.
+/// The names and ids of one instance's workers. Ids are never reused or released.
 #[derive(Default)]
 pub(crate) struct WorkerTable {
     ids: FxHashMap<Box<str>, WorkerId>,
@@ -10,12 +10,12 @@
 }
 
 impl WorkerTable {
-    /// A worker's number, if it has been listed.
+    /// Returns a worker's id, or `None` if no endpoint update has listed the worker.
     pub(crate) fn id(&self, name: &str) -> Option<WorkerId> {
         self.ids.get(name).copied()
     }
 
-    /// A worker's number, the next free one if it has none yet.
+    /// Returns a worker's id, assigning the next free id to a new worker.
     pub(crate) fn id_or_insert(&mut self, name: &str) -> WorkerId {
         if let Some(id) = self.id(name) {
             return id;
@@ -26,10 +26,10 @@
         id
     }
 
-    /// The name of a worker that has a number.
+    /// Returns the name of the worker with this id.
     ///
     /// # Panics
-    /// A number that this table has not given out.
+    /// Panics if this table has not assigned the id.
     pub(crate) fn name(&self, worker: WorkerId) -> &str {
         &self.names[worker.0 as usize]
     }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter end to end through its pipe, in the wire's own forms, bad input included.
+//! End-to-end tests of the adapter process with messages as on the wire, including invalid input.
 mod common;
 
 use std::process::Output;
@@ -18,15 +18,15 @@
 }
 
 fn stdout(output: &Output) -> &str {
-    std::str::from_utf8(&output.stdout).expect("UTF-8")
+    std::str::from_utf8(&output.stdout).expect("stdout is UTF-8")
 }
 
 fn stderr(output: &Output) -> &str {
-    std::str::from_utf8(&output.stderr).expect("UTF-8")
+    std::str::from_utf8(&output.stderr).expect("stderr is UTF-8")
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean() {
+fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_a_success() {
     let output = run_adapter(&batch(1, 8.41225, &[]));
     assert!(output.status.success());
     assert_eq!(stdout(&output), "{\"kind\":\"end\",\"turn\":1}\n");
@@ -49,16 +49,16 @@
         r#"{"kind":"pass_on","node_id":"node-3","req":"1693fe8a5d3a91c4","executor":"10.18.74.7:11203"}"#;
     assert!(lines.contains(&send), "{text}");
     let busy = r#"{"kind":"busy","node_id":"node-3","req":"1693fe8a5d3a91c4"}"#;
-    assert!(lines.contains(&busy), "no other worker is left to try: {text}");
+    assert!(lines.contains(&busy), "the request must be rejected, as no other worker is listed: {text}");
     assert!(lines.contains(&r#"{"kind":"listen","node_id":"node-3","enable":true}"#), "{text}");
     for line in lines {
-        let value: serde_json::Value = serde_json::from_str(line).expect("JSON");
+        let value: serde_json::Value = serde_json::from_str(line).expect("each output line is JSON");
         assert!(value["kind"].is_string());
     }
 }
 
 #[test]
-fn instances_share_nothing() {
+fn instances_share_no_state() {
     let lines = [PROVISION, TOPOLOGY, WORK].map(|line| line.replace("node-3", "node-5"));
     let other_messages: Vec<_> = lines.iter().map(String::as_str).collect();
     let alone = run_adapter(&batch(1, 1.0, &other_messages));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn unknown_keys_kinds_and_instances_are_skipped_with_a_note() {
+fn unknown_keys_kinds_and_instances_are_skipped_and_reported() {
     let input = batch(
         4,
         1.0,
@@ -94,15 +94,15 @@
     let output = run_adapter(&input);
     assert!(output.status.success());
     assert_eq!(stdout(&output), "{\"kind\":\"end\",\"turn\":4}\n");
-    let notes = stderr(&output);
-    assert!(notes.contains("weather") && notes.contains("node-9") && notes.contains("batch 4"));
+    let reports = stderr(&output);
+    assert!(reports.contains("weather") && reports.contains("node-9") && reports.contains("batch 4"));
 }
 
 #[test]
 fn invalid_input_is_reported_with_its_batch_and_the_exit_code_is_failure() {
     let without = |field: &str| {
-        let mut value: serde_json::Value = serde_json::from_str(WORK).expect("JSON");
-        value.as_object_mut().expect("object").remove(field);
+        let mut value: serde_json::Value = serde_json::from_str(WORK).expect("the message is JSON");
+        value.as_object_mut().expect("the message is a JSON object").remove(field);
         value.to_string()
     };
     let mistyped = WORK.replace(r#""category":0"#, r#""category":"x""#);
@@ -121,16 +121,16 @@
     ];
     for (input, expected) in cases {
         let output = run_adapter(&input);
-        assert!(!output.status.success(), "{expected}: it fails");
+        assert!(!output.status.success(), "{expected}: the adapter must exit with a failure");
         assert!(stderr(&output).contains(expected), "{expected}: {}", stderr(&output));
         for line in stdout(&output).lines() {
-            assert!(line.starts_with("{\"kind\":"), "only the wire on standard output: {line}");
+            assert!(line.starts_with("{\"kind\":"), "standard output must hold messages only: {line}");
         }
     }
 }
 
 #[test]
-fn settings_that_the_dispatcher_rejects_become_a_fault() {
+fn settings_that_the_dispatcher_rejects_are_reported_as_a_fault() {
     let empty_fleet = PROVISION.replace("\"fleet_size\":1", "\"fleet_size\":0");
     let output = run_adapter(&batch(1, 1.0, &[&empty_fleet]));
     assert!(stdout(&output).contains(r#""kind":"fault""#), "{}", stdout(&output));
--- a/crates/simulator-adapter/tests/transcripts.rs
+++ b/crates/simulator-adapter/tests/transcripts.rs
@@ -1,11 +1,11 @@
-//! Approved transcript: a dialogue of the simulator with the adapter, its standard output line by line.
+//! Snapshot test of a session: the adapter's standard output and standard error.
 mod common;
 
 use common::{PROVISION, run_adapter};
 
-/// The code of a successful outcome.
+/// The wire code of a successful outcome.
 const SERVED: u32 = 1;
-/// The code of a connection that was reset.
+/// The wire code of a connection that was reset.
 const RESET: u32 = 5;
 
 fn batch(turn: u64, time: f64, lines: &[String]) -> String {
@@ -43,7 +43,7 @@
     format!(r#"{{"kind":"{kind}","node_id":"node-3"{rest}}}"#)
 }
 
-fn dialogue() -> String {
+fn session_input() -> String {
     const FIRST: &str = "1693fe8a5d3a91c4";
     const SECOND: &str = "11eeb9740e6f2b19";
     const THIRD: &str = "00000000000000a3";
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn the_adapters_output_in_a_dialogue_is_as_approved() {
-    let output = run_adapter(&dialogue());
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
+fn the_output_of_a_session_matches_the_snapshot() {
+    let output = run_adapter(&session_input());
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("the output is UTF-8");
     assert!(output.status.success());
     let (stdout, stderr) = (text(output.stdout), text(output.stderr));
     insta::assert_snapshot!("dialogue", format!("{stdout}--- standard error ---\n{stderr}"));
