--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -5,7 +5,7 @@
 //!   FaultPlan: at 1 s Partition, at 6 s Heal ...  ──►  testbed or test harness
 //!                                                         │ network              │ processes
 //!                                              NetworkLinks::apply(fault)   pause, resume, kill, start
-//!                                              NetworkLinks::delivery_delays(from, to) ──► delays of a packet
+//!                                              NetworkLinks::delivery_delays(from, to) ──► packet delays
 //! ```
 //!
 //! The crate does no I/O and reads no clock. All randomness comes from the random number generator that the
--- a/crates/fault-injection/src/link_conditions.rs
+++ b/crates/fault-injection/src/link_conditions.rs
@@ -3,8 +3,8 @@
 
 /// Packet loss, duplication and delay on links that are not blocked.
 ///
-/// Rates are fractions from 0 to 1. The duplication rate applies to packets that are not lost, and the rate of
-/// extra delays to each copy that arrives.
+/// Rates are fractions from 0 to 1. The duplication rate applies to packets that are not lost, and the rate
+/// of extra delays to each copy that arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkConditions {
     /// The fraction of packets that are lost.
@@ -18,8 +18,8 @@
     pub extra_delay: Duration,
     /// The minimum delay, inclusive.
     pub min_delay: Duration,
-    /// The maximum delay, exclusive unless equal to the minimum. Each copy of a packet draws its own delay from
-    /// this range, so that packets can overtake each other.
+    /// The maximum delay, exclusive unless equal to the minimum. Each copy of a packet draws its own delay
+    /// from this range, so that packets can overtake each other.
     pub max_delay: Duration,
 }
 
--- a/crates/identifiers/src/lib.rs
+++ b/crates/identifiers/src/lib.rs
@@ -31,8 +31,8 @@
     /// Creates a name from a text.
     ///
     /// # Errors
-    /// Returns [`NameError::Length`] if the text is empty or too long, and [`NameError::ControlCharacter`] if it
-    /// contains a control character.
+    /// Returns [`NameError::Length`] if the text is empty or too long, and [`NameError::ControlCharacter`] if
+    /// it contains a control character.
     pub fn new(text: &str) -> Result<Name, NameError> {
         if text.is_empty() || text.len() > Name::MAX_BYTES {
             return Err(NameError::Length(text.len()));
--- a/crates/system-call-faults/src/call.rs
+++ b/crates/system-call-faults/src/call.rs
@@ -1,6 +1,6 @@
-//! The calls that can fail, and what they are made on.
+//! The calls into which faults can be injected, and their targets.
 
-/// A call, by what it does: several functions of the C library may stand for one.
+/// A kind of call. Several functions of the C library may belong to one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Call {
     Accept,
@@ -18,7 +18,7 @@
     Rename,
 }
 
-/// All calls by their names in plans.
+/// The names of all calls in plans.
 const CALL_NAMES: [(&str, Call); 13] = [
     ("accept4", Call::Accept),
     ("socket", Call::Socket),
@@ -44,13 +44,13 @@
         CALL_NAMES.iter().find(|(_, call)| *call == self).map_or("", |(name, _)| name)
     }
 
-    /// Whether it may transfer fewer bytes than it was asked to.
+    /// Whether the call may transfer fewer bytes than requested.
     pub(crate) fn transfers_bytes(self) -> bool {
         matches!(self, Call::Receive | Call::Send | Call::Write)
     }
 }
 
-/// Whose connection a socket is.
+/// The kind of peer that a socket is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SocketKind {
     Client,
@@ -59,7 +59,7 @@
     Membership,
 }
 
-/// All kinds by their names in plans.
+/// The names of all socket kinds in plans.
 const SOCKET_KIND_NAMES: [(&str, SocketKind); 4] = [
     ("client", SocketKind::Client),
     ("worker", SocketKind::Worker),
@@ -77,12 +77,12 @@
     }
 }
 
-/// What a call is made on.
+/// The target of a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Target<'a> {
     Socket(SocketKind),
-    /// A file by its path.
+    /// A file, given by its path.
     File(&'a str),
-    /// Such as a wait for many descriptors, or a socket that is not connected yet.
+    /// No single target: a wait for many descriptors, or the creation of a socket.
     Unspecific,
 }
--- a/crates/system-call-faults/src/clock.rs
+++ b/crates/system-call-faults/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, off by what the plan says.
+//! Shifts the wall clock by the offsets of the plan.
 use libc::{c_int, clockid_t, timespec};
 
 use crate::injector::injector;
@@ -6,17 +6,19 @@
 
 const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
 
+/// Interposes `clock_gettime` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     let original = original!(clock_gettime: fn(clockid_t, *mut timespec) -> c_int);
-    // SAFETY: the arguments are passed on as they came.
+    // SAFETY: the caller's arguments are passed on unchanged.
     let result = unsafe { original(clock, time) };
     let is_wall_clock = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
     if let Some(injector) = injector().filter(|_| is_wall_clock && result == 0) {
         let offset = injector.plan.clock_offset(injector.started.elapsed());
-        // SAFETY: the call succeeded, so that the time is valid and the caller's own.
+        // SAFETY: the call succeeded, so that the pointer is valid, and it belongs to the caller.
         shift(unsafe { &mut *time }, offset);
     }
     result
--- a/crates/system-call-faults/src/descriptors.rs
+++ b/crates/system-call-faults/src/descriptors.rs
@@ -1,4 +1,5 @@
-//! What the process's sockets are, and whether an injected error has ended them.
+//! Tracks the kinds of the process's sockets, the connections that an injected error has ended, and the epoll
+//! registrations.
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -8,18 +9,19 @@
 use crate::call::SocketKind;
 use crate::original::original;
 
-/// Descriptors above this are not told apart; tests run with far fewer.
+/// The number of tracked descriptors. Higher descriptors have no kind; tests use far fewer.
 const MAX_DESCRIPTORS: usize = 1 << 14;
-/// Set beside a kind once the connection has ended.
+/// The flag in a descriptor's state that marks an ended connection.
 const ENDED: u8 = 0x80;
-/// The kinds, by the number that is stored, which counts from 1.
+/// The socket kinds. A descriptor's state holds a kind as its index in this list plus 1.
 const KINDS: [SocketKind; 4] =
     [SocketKind::Client, SocketKind::Worker, SocketKind::Discovery, SocketKind::Membership];
 
-/// By descriptor: 0, or a kind's number. Atomic, as a signal handler may write to a descriptor at any moment.
+/// The state of each descriptor: 0, or a kind with the [`ENDED`] flag. Atomic rather than behind a lock, as a
+/// signal handler may write to a descriptor at any time.
 static STATES: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(0) }; MAX_DESCRIPTORS];
 
-/// How a socket is registered with an `epoll`.
+/// The registration of a socket with an epoll instance.
 #[derive(Clone, Copy)]
 struct Registration {
     epoll: c_int,
@@ -32,7 +34,7 @@
     STATES.get(usize::try_from(descriptor).ok()?)
 }
 
-/// The kind of a socket, if it is known.
+/// Returns the kind of a socket, or `None` if it is unknown.
 pub(crate) fn kind(descriptor: c_int) -> Option<SocketKind> {
     let stored = state(descriptor)?.load(Ordering::Relaxed) & !ENDED;
     KINDS.get(usize::from(stored).checked_sub(1)?).copied()
@@ -50,17 +52,17 @@
     state(descriptor).is_some_and(|state| state.load(Ordering::Relaxed) & ENDED != 0)
 }
 
-/// Ends a connection, for its peer too.
+/// Marks a connection as ended and shuts it down, so that its peer sees the end too.
 pub(crate) fn end_connection(descriptor: c_int) {
     if let Some(state) = state(descriptor) {
         state.fetch_or(ENDED, Ordering::Relaxed);
     }
-    // SAFETY: any descriptor may be passed; one that is not connected fails.
+    // SAFETY: any descriptor may be passed; the call fails for one that is not connected.
     unsafe { libc::shutdown(descriptor, libc::SHUT_RDWR) };
 }
 
-/// Forgets a descriptor that is about to be closed.
-pub(crate) fn forget(descriptor: c_int) {
+/// Removes the state and the registration of a descriptor that is about to be closed.
+pub(crate) fn remove(descriptor: c_int) {
     if let Some(state) = state(descriptor)
         && state.swap(0, Ordering::Relaxed) != 0
     {
@@ -73,17 +75,20 @@
     action(registrations.get_or_insert_default())
 }
 
-/// Remembers how a socket is registered.
-pub(crate) fn register(descriptor: c_int, epoll: c_int, event: epoll_event) {
+/// Records the epoll registration of a socket.
+pub(crate) fn record_registration(descriptor: c_int, epoll: c_int, event: epoll_event) {
     with_registrations(|registrations| registrations.insert(descriptor, Registration { epoll, event }));
 }
 
-/// Has the `epoll` report the socket anew, as it would where the rest of a transfer became possible a little later: a
-/// program may take a short transfer for the last until the next event.
-pub(crate) fn report_again(descriptor: c_int) {
+/// Re-arms the epoll registration of a socket after a short transfer, so that epoll reports the socket again.
+///
+/// A program may wait for the next event after a short transfer. Without re-arming, an edge-triggered epoll
+/// would not report the remaining bytes, which are ready already.
+pub(crate) fn rearm_epoll(descriptor: c_int) {
     let registration = with_registrations(|registrations| registrations.get(&descriptor).copied());
     let Some(Registration { epoll, mut event }) = registration else { return };
     let epoll_ctl = original!(epoll_ctl: fn(c_int, c_int, c_int, *mut epoll_event) -> c_int);
-    // SAFETY: the event is valid for the call; descriptors that were closed meanwhile make it fail.
+    // SAFETY: the event is valid for the call; the call fails if a descriptor has been closed in the
+    // meantime.
     unsafe { epoll_ctl(epoll, libc::EPOLL_CTL_MOD, descriptor, &raw mut event) };
 }
--- a/crates/system-call-faults/src/errno.rs
+++ b/crates/system-call-faults/src/errno.rs
@@ -1,7 +1,7 @@
-//! Error numbers by their names.
+//! Error numbers and their names.
 use libc::c_int;
 
-/// The error numbers that plans may name.
+/// The error numbers that plans may use.
 const ERRNO_NAMES: [(&str, c_int); 30] = [
     ("EACCES", libc::EACCES),
     ("EADDRNOTAVAIL", libc::EADDRNOTAVAIL),
@@ -35,7 +35,7 @@
     ("EXDEV", libc::EXDEV),
 ];
 
-/// An error number that a plan names.
+/// An error number of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Errno(pub(crate) c_int);
 
@@ -48,14 +48,14 @@
         ERRNO_NAMES.iter().find(|(_, number)| *number == self.0).map_or("", |(name, _)| name)
     }
 
-    /// Whether a connection under a read or write that fails so is no more.
+    /// Whether a read or write that fails with this error ends its connection.
     pub(crate) fn ends_connection(self) -> bool {
         !matches!(self.0, libc::EINTR | libc::ENOBUFS | libc::ENOMEM)
     }
 
-    /// Sets the thread's error number, as a call that fails does; returns what such a call returns.
+    /// Sets the thread's `errno` as a failed call does, and returns -1, the result of a failed call.
     pub(crate) fn set(self) -> c_int {
-        // SAFETY: the C library gives each thread a valid address of its error number.
+        // SAFETY: the C library returns a valid pointer to the calling thread's `errno`.
         unsafe { *libc::__errno_location() = self.0 };
         -1
     }
--- a/crates/system-call-faults/src/files.rs
+++ b/crates/system-call-faults/src/files.rs
@@ -1,4 +1,4 @@
-//! Files: opened, made durable, cut and renamed. What is written to them is in [`crate::transfers`].
+//! Interposed file functions: open, sync, truncate and rename. Writes are in [`crate::transfers`].
 use std::ffi::CStr;
 use std::path::PathBuf;
 
@@ -9,7 +9,8 @@
 use crate::original::original;
 use crate::plan::Fault;
 
-/// The fault of a call on an open file. Only where a rule is for the call is the file's path looked up.
+/// Returns the fault to inject into a call on an open file. Looks up the file's path only if the plan has a
+/// rule for the call.
 pub(crate) fn next_fault(descriptor: c_int, call: Call) -> Option<Fault> {
     let injector = injector_for(call)?;
     let path = open_path(descriptor)?;
@@ -20,84 +21,97 @@
     std::fs::read_link(format!("/proc/self/fd/{descriptor}")).ok()
 }
 
-/// Whether the call on an open file failed; the error number is set.
-fn fails(descriptor: c_int, call: Call) -> bool {
+/// Injects a failure into a call on an open file if the plan selects one. Returns whether it did; `errno` is
+/// then set.
+fn inject_failure(descriptor: c_int, call: Call) -> bool {
     let Some(Fault::Fail(errno)) = next_fault(descriptor, call) else { return false };
     errno.set();
     true
 }
 
-/// Whether the call on a path failed; the error number is set.
+/// Injects a failure into a call on a path if the plan selects one. Returns whether it did; `errno` is then
+/// set.
 ///
 /// # Safety
-/// The path is a C string.
-unsafe fn fails_on_path(path: *const c_char, call: Call) -> bool {
+/// The path must be null or a valid C string.
+unsafe fn inject_path_failure(path: *const c_char, call: Call) -> bool {
     let Some(injector) = injector_for(call).filter(|_| !path.is_null()) else { return false };
-    // SAFETY: the caller's path is a C string.
+    // SAFETY: the path is not null, so that the caller passes a valid C string.
     let Ok(path) = unsafe { CStr::from_ptr(path) }.to_str() else { return false };
     let Some(Fault::Fail(errno)) = injector.next_fault(call, Target::File(path)) else { return false };
     errno.set();
     true
 }
 
+/// Interposes `open64` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     // SAFETY: the caller's path is a C string.
-    if unsafe { fails_on_path(path, Call::Open) } {
+    if unsafe { inject_path_failure(path, Call::Open) } {
         return -1;
     }
     let original = original!(open64: fn(*const c_char, c_int, mode_t) -> c_int);
-    // SAFETY: the arguments are passed on as they came; the mode is looked at only where the flags call for it.
+    // SAFETY: the caller's arguments are passed on unchanged; the C library reads the mode only if the flags
+    // require one.
     unsafe { original(path, flags, mode) }
 }
 
+/// Interposes `fsync` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
-    if fails(descriptor, Call::Fsync) {
+    if inject_failure(descriptor, Call::Fsync) {
         return -1;
     }
     let original = original!(fsync: fn(c_int) -> c_int);
-    // SAFETY: the argument is passed on as it came.
+    // SAFETY: the caller's argument is passed on unchanged.
     unsafe { original(descriptor) }
 }
 
+/// Interposes `fdatasync` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn fdatasync(descriptor: c_int) -> c_int {
-    if fails(descriptor, Call::Fdatasync) {
+    if inject_failure(descriptor, Call::Fdatasync) {
         return -1;
     }
     let original = original!(fdatasync: fn(c_int) -> c_int);
-    // SAFETY: the argument is passed on as it came.
+    // SAFETY: the caller's argument is passed on unchanged.
     unsafe { original(descriptor) }
 }
 
+/// Interposes `ftruncate64` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn ftruncate64(descriptor: c_int, length: off64_t) -> c_int {
-    if fails(descriptor, Call::Ftruncate) {
+    if inject_failure(descriptor, Call::Ftruncate) {
         return -1;
     }
     let original = original!(ftruncate64: fn(c_int, off64_t) -> c_int);
-    // SAFETY: the arguments are passed on as they came.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { original(descriptor, length) }
 }
 
+/// Interposes `rename` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     // SAFETY: the caller's paths are C strings.
-    if unsafe { fails_on_path(from, Call::Rename) || fails_on_path(to, Call::Rename) } {
+    if unsafe { inject_path_failure(from, Call::Rename) || inject_path_failure(to, Call::Rename) } {
         return -1;
     }
     let original = original!(rename: fn(*const c_char, *const c_char) -> c_int);
-    // SAFETY: the arguments are passed on as they came.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { original(from, to) }
 }
--- a/crates/system-call-faults/src/injector.rs
+++ b/crates/system-call-faults/src/injector.rs
@@ -1,4 +1,4 @@
-//! The process's one plan, and the record of the faults that were injected.
+//! The process-wide plan, and the log of injected faults.
 use std::fs::{File, OpenOptions};
 use std::os::fd::AsRawFd;
 use std::sync::OnceLock;
@@ -7,20 +7,21 @@
 use crate::call::{Call, Target};
 use crate::plan::{Fault, Plan};
 
-/// The environment variable that names the plan's file.
+/// The environment variable with the path of the plan.
 const PLAN_VARIABLE: &str = "SYSTEM_CALL_FAULT_PLAN";
 
-/// The plan, and since when it holds.
+/// The plan, its start time and the log of injected faults.
 pub(crate) struct Injector {
     pub(crate) plan: Plan,
     pub(crate) started: Instant,
     log: Option<File>,
 }
 
-/// Set once, before the program's `main`; until then every call passes through, those that read the plan too.
+/// Set once before the program's `main`. Until then every call passes through, including those that read the
+/// plan.
 static INJECTOR: OnceLock<Injector> = OnceLock::new();
 
-/// Reads the plan, if there is one.
+/// Loads the plan if the environment variable names one.
 pub(crate) fn load() -> Result<(), String> {
     let Some(path) = std::env::var_os(PLAN_VARIABLE) else { return Ok(()) };
     let text = std::fs::read_to_string(&path).map_err(|error| format!("{}: {error}", path.display()))?;
@@ -31,29 +32,29 @@
     Ok(())
 }
 
-/// The plan in force.
+/// Returns the injector, or `None` without a plan.
 pub(crate) fn injector() -> Option<&'static Injector> {
     INJECTOR.get()
 }
 
-/// The plan in force, if a rule of it is for this call.
+/// Returns the injector if its plan has a rule for this call.
 pub(crate) fn injector_for(call: Call) -> Option<&'static Injector> {
-    injector().filter(|injector| injector.plan.concerns(call))
+    injector().filter(|injector| injector.plan.has_rule_for(call))
 }
 
 impl Injector {
-    /// The fault of a call that is made now. A process that is to be killed does not return.
+    /// Counts a call and returns the fault to inject into it. Does not return if the fault kills the process.
     pub(crate) fn next_fault(&self, call: Call, target: Target<'_>) -> Option<Fault> {
         let fault = self.plan.next_fault(call, target)?;
-        self.record(call, target, fault);
+        self.log_fault(call, target, fault);
         if fault == Fault::Kill {
-            // SAFETY: a signal to this process itself; the call has no other effect.
+            // SAFETY: the call only sends a signal to this process.
             unsafe { libc::kill(libc::getpid(), libc::SIGKILL) };
         }
         Some(fault)
     }
 
-    fn record(&self, call: Call, target: Target<'_>, fault: Fault) {
+    fn log_fault(&self, call: Call, target: Target<'_>, fault: Fault) {
         let Some(log) = &self.log else { return };
         let target = match target {
             Target::Socket(kind) => kind.name(),
@@ -61,8 +62,9 @@
             Target::Unspecific => "any",
         };
         let line = format!("{} {target} {fault}\n", call.name());
-        // Past the C library, whose `write` is the one that may fail.
-        // SAFETY: the descriptor is open as long as the process lives, and the buffer is valid for its length.
+        // A direct system call, as faults may be injected into the C library's `write`.
+        // SAFETY: the descriptor stays open for the lifetime of the process, and the buffer is valid for its
+        // length.
         unsafe { libc::syscall(libc::SYS_write, log.as_raw_fd(), line.as_ptr(), line.len()) };
     }
 }
--- a/crates/system-call-faults/src/lib.rs
+++ b/crates/system-call-faults/src/lib.rs
@@ -1,29 +1,33 @@
-//! A library for `LD_PRELOAD` that makes calls of the C library fail, or do less than was asked, as a plan says.
+//! A library for `LD_PRELOAD` that injects faults into a program's calls of the C library, according to a
+//! plan: calls fail, transfer fewer bytes than requested, or kill the process, and the wall clock is shifted.
 //!
-//! The plan is the text file that the environment variable `SYSTEM_CALL_FAULT_PLAN` names; without it every call
-//! passes through. One statement a line; empty lines and what follows a `#` mean nothing:
+//! The plan is a text file, named by the environment variable `SYSTEM_CALL_FAULT_PLAN`. Without the variable,
+//! the library passes every call through. The file has one statement per line; empty lines and comments that
+//! start with `#` are ignored:
 //!
 //! ```text
-//! log PATH                          # each fault is appended there as one line, as it is injected
-//! address KIND 127.0.0.1:80         # sockets that listen at, are bound to, or connect to it are of this kind
+//! log PATH                          # appends a line to this file for each injected fault
+//! address KIND 127.0.0.1:80         # sockets bound, connected or accepted here are of this kind
 //! fail CALL KIND ERRNO WHEN         # the call returns -1 with this errno
-//! short CALL KIND BYTES WHEN        # it transfers at most so many bytes
-//! kill CALL KIND WHEN               # SIGKILL to the process instead of the call
-//! clock +3600s at 1.5s              # CLOCK_REALTIME is off by so much, from so long after the start on
+//! short CALL KIND BYTES WHEN        # the call transfers at most this many bytes
+//! kill CALL KIND WHEN               # the process gets SIGKILL instead of making the call
+//! clock +3600s at 1.5s              # CLOCK_REALTIME is 3600 s ahead, from 1.5 s after the start on
 //! ```
 //!
-//! - `CALL`: `accept4`, `socket`, `connect`, `connect-completion` (`SO_ERROR` of a connection that came up), `recv` and
-//!   `send` (of any form, on sockets), `epoll_wait`, `open`, `write`, `fsync`, `fdatasync`, `ftruncate`, `rename` (on
-//!   files).
-//! - `KIND`: `client` (accepted), `worker` (connected), `discovery`, `membership` (both by their `address`), `any`, or
-//!   `file:SUFFIX` of a path.
-//! - `WHEN`: `calls 3`, `calls 3..5`, `calls 3..` count the calls that match from 1; `every 3` is each third.
+//! - `CALL`: `accept4`, `socket`, `connect`, `connect-completion` (the `SO_ERROR` query of an established
+//!   connection), `recv` and `send` (all variants, on sockets), `epoll_wait`, and on files `open`, `write`,
+//!   `fsync`, `fdatasync`, `ftruncate` and `rename`.
+//! - `KIND`: `client` (accepted sockets), `worker` (connected sockets), `discovery` and `membership` (both
+//!   assigned by `address`), `any`, or `file:SUFFIX` for files whose path ends with `SUFFIX`.
+//! - `WHEN`: `calls 3`, `calls 3..5` or `calls 3..` selects matching calls by their number, counted from 1;
+//!   `every 3` selects every third call.
 //!
-//! A call that would only have said `EAGAIN` neither counts nor fails, as a kernel reports no error that it has no
-//! event for. A failed `accept4` takes no connection: the one that failed stood in front of it. An error that ends a
-//! connection ends it for later calls too, and for the peer.
+//! A call on a non-blocking socket that would return `EAGAIN` is not counted and gets no fault, as the kernel
+//! reports errors only for pending events. A failed `accept4` leaves the pending connection in the queue, as
+//! though an earlier one had failed. An error that ends a connection also affects later calls and the peer.
 //!
-//! It is built for Linux, and for programs that call the C library as Rust's standard library, tokio and mio do.
+//! The library supports Linux, and programs that call the C library as Rust's standard library, tokio and mio
+//! do.
 
 mod call;
 mod clock;
@@ -36,15 +40,15 @@
 mod sockets;
 mod transfers;
 
-/// Reads the plan before the program's `main`.
+/// Loads the plan before the program's `main`.
 #[used]
-// SAFETY: the dynamic linker calls what stands in this section, once, with the C library initialized.
+// SAFETY: the dynamic linker calls the functions in this section once, after initializing the C library.
 #[unsafe(link_section = ".init_array")]
 static LOAD_PLAN: extern "C" fn() = load_plan;
 
 extern "C" fn load_plan() {
     if let Err(error) = injector::load() {
-        eprintln!("fault plan: {error}");
+        eprintln!("cannot load the fault plan: {error}");
         std::process::abort();
     }
 }
--- a/crates/system-call-faults/src/plan.rs
+++ b/crates/system-call-faults/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which calls fail, and how: the plan, read from its text.
+//! The fault plan: its parser, and the selection of the fault for each call.
 use std::collections::HashMap;
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -10,12 +10,12 @@
 use crate::call::{Call, SocketKind, Target};
 use crate::errno::Errno;
 
-/// What a call does in place of what was asked.
+/// A fault that is injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// It fails.
+    /// The call fails with this error number.
     Fail(Errno),
-    /// It transfers at most so many bytes.
+    /// The call transfers at most this many bytes.
     Short(usize),
     /// The process is killed.
     Kill,
@@ -31,12 +31,12 @@
     }
 }
 
-/// Which targets a rule is for.
+/// The targets that a rule matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TargetPattern {
     Any,
     Socket(SocketKind),
-    /// Files whose path ends so.
+    /// Files whose path ends with this text.
     FileSuffix(String),
 }
 
@@ -51,12 +51,12 @@
     }
 }
 
-/// Which of the calls that match a rule have its fault; counted from 1.
+/// Selects, among the calls that match a rule, those that get its fault. Calls are numbered from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Selection {
-    /// From the first to the last, with both.
+    /// All calls from the first to the last, inclusive.
     Range { first: u64, last: u64 },
-    /// Each whose number this divides.
+    /// All calls whose number is a multiple of this.
     Every(u64),
 }
 
@@ -69,25 +69,25 @@
     }
 }
 
-/// A fault of some calls on some targets.
+/// A statement of the plan that injects a fault into selected calls on matching targets.
 #[derive(Debug)]
 pub(crate) struct Rule {
     pub(crate) call: Call,
     pub(crate) pattern: TargetPattern,
     pub(crate) fault: Fault,
     pub(crate) selection: Selection,
-    /// The calls that matched so far.
+    /// The number of calls that have matched so far.
     matched: AtomicU64,
 }
 
-/// From when on the wall clock is off, and by how much.
+/// An offset of the wall clock, and the time since the start from which it applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClockOffset {
     pub(crate) since_start: Duration,
     pub(crate) nanoseconds: i64,
 }
 
-/// A whole plan.
+/// A parsed plan.
 #[derive(Debug, Default)]
 pub(crate) struct Plan {
     pub(crate) log_path: Option<PathBuf>,
@@ -96,10 +96,10 @@
     clock_offsets: Vec<ClockOffset>,
 }
 
-/// Why a text is no plan.
+/// The reason why a text is not a valid plan.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct PlanError {
-    /// Counted from 1.
+    /// The line number, counted from 1.
     pub(crate) line: usize,
     pub(crate) reason: String,
 }
@@ -131,7 +131,8 @@
             [] => {}
             ["log", path] => self.log_path = Some(path.into()),
             ["address", kind, address] => {
-                let address = address.parse().map_err(|_| format!("no IPv4 address and port: {address}"))?;
+                let address =
+                    address.parse().map_err(|_| format!("invalid IPv4 address and port: {address}"))?;
                 self.addresses.insert(address, parse_socket_kind(kind)?);
             }
             ["fail", call, pattern, errno, ref when @ ..] => {
@@ -143,7 +144,7 @@
                 let fault = Fault::Short(usize::try_from(bytes).unwrap_or(usize::MAX));
                 let rule = parse_rule(call, pattern, fault, when)?;
                 if !rule.call.transfers_bytes() {
-                    return Err(format!("transfers no bytes: {call}"));
+                    return Err(format!("call transfers no bytes: {call}"));
                 }
                 self.rules.push(rule);
             }
@@ -153,26 +154,27 @@
             ["clock", offset, "at", since_start] => {
                 let nanoseconds = parse_seconds(offset)?;
                 let since_start = u64::try_from(parse_seconds(since_start)?)
-                    .map_err(|_| format!("before the start: {since_start}"))?;
+                    .map_err(|_| format!("time before the start: {since_start}"))?;
                 let since_start = Duration::from_nanos(since_start);
                 self.clock_offsets.push(ClockOffset { since_start, nanoseconds });
             }
-            _ => return Err(format!("no statement: {}", words.join(" "))),
+            _ => return Err(format!("unknown statement: {}", words.join(" "))),
         }
         Ok(())
     }
 
-    /// The kind of the sockets at an address, if the plan tells.
+    /// Returns the kind of sockets bound or connected to an address, if the plan assigns one.
     pub(crate) fn kind_at(&self, address: SocketAddrV4) -> Option<SocketKind> {
         self.addresses.get(&address).copied()
     }
 
-    /// Whether a rule is for this call.
-    pub(crate) fn concerns(&self, call: Call) -> bool {
+    /// Whether any rule applies to this call.
+    pub(crate) fn has_rule_for(&self, call: Call) -> bool {
         self.rules.iter().any(|rule| rule.call == call)
     }
 
-    /// Counts a call, and tells its fault: that of the first rule which wants one.
+    /// Counts a call in all matching rules and returns its fault: that of the first rule that selects the
+    /// call.
     pub(crate) fn next_fault(&self, call: Call, target: Target<'_>) -> Option<Fault> {
         let matching = self.rules.iter().filter(|rule| rule.call == call && rule.pattern.matches(target));
         let mut fault = None;
@@ -185,7 +187,7 @@
         fault
     }
 
-    /// By how many nanoseconds the wall clock is off, so long after the start.
+    /// Returns the offset of the wall clock, in nanoseconds, at a time since the start.
     pub(crate) fn clock_offset(&self, since_start: Duration) -> i64 {
         let reached = self.clock_offsets.iter().take_while(|offset| offset.since_start <= since_start);
         reached.last().map_or(0, |offset| offset.nanoseconds)
@@ -211,7 +213,7 @@
             let last = if last.is_empty() { u64::MAX } else { parse_positive(last)? };
             Ok(Selection::Range { first, last })
         }
-        _ => Err(format!("no selection of calls: {}", words.join(" "))),
+        _ => Err(format!("invalid selection of calls: {}", words.join(" "))),
     }
 }
 
@@ -220,14 +222,14 @@
 }
 
 fn parse_positive(text: &str) -> Result<u64, String> {
-    text.parse().ok().filter(|number| *number > 0).ok_or_else(|| format!("no number from 1: {text}"))
+    text.parse().ok().filter(|number| *number > 0).ok_or_else(|| format!("not a positive integer: {text}"))
 }
 
-/// Reads seconds, in decimals and with a sign, as nanoseconds.
+/// Parses a decimal number of seconds with an optional sign and the suffix `s` into nanoseconds.
 fn parse_seconds(text: &str) -> Result<i64, String> {
     let seconds = text.strip_suffix('s').and_then(|seconds| seconds.parse::<f64>().ok());
     let seconds = seconds.filter(|seconds| seconds.is_finite());
-    seconds.map(|seconds| (seconds * 1e9) as i64).ok_or_else(|| format!("no number of seconds: {text}"))
+    seconds.map(|seconds| (seconds * 1e9) as i64).ok_or_else(|| format!("invalid number of seconds: {text}"))
 }
 
 #[cfg(test)]
--- a/crates/system-call-faults/src/sockets.rs
+++ b/crates/system-call-faults/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets: how they come about, end, and are waited for.
+//! Interposed functions that create, connect, accept, close and wait for sockets.
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use libc::{c_int, c_void, epoll_event, sockaddr, sockaddr_in, socklen_t};
@@ -9,23 +9,26 @@
 use crate::original::original;
 use crate::plan::Fault;
 
-/// An address as the kernel takes it, if it is one of IPv4.
+/// Reads a socket address of the C library; returns `None` unless it is an IPv4 address.
 ///
 /// # Safety
-/// It points to `length` valid bytes.
+/// The address must be null or point to `length` valid bytes.
 unsafe fn ipv4_address(address: *const sockaddr, length: socklen_t) -> Option<SocketAddrV4> {
     if address.is_null() || (length as usize) < size_of::<sockaddr_in>() {
         return None;
     }
-    // SAFETY: the bytes are valid, and enough for this type, which any bytes make.
+    // SAFETY: the bytes are valid and at least as many as the type has, and any bit pattern is valid for the
+    // type.
     let address = unsafe { address.cast::<sockaddr_in>().read_unaligned() };
     let ip = Ipv4Addr::from(u32::from_be(address.sin_addr.s_addr));
     (c_int::from(address.sin_family) == libc::AF_INET)
         .then(|| SocketAddrV4::new(ip, u16::from_be(address.sin_port)))
 }
 
+/// Interposes `socket` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let injector = injector_for(Call::Socket).filter(|_| domain == libc::AF_INET);
@@ -35,12 +38,14 @@
         return errno.set();
     }
     let original = original!(socket: fn(c_int, c_int, c_int) -> c_int);
-    // SAFETY: the arguments are passed on as they came.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { original(domain, kind, protocol) }
 }
 
+/// Interposes `bind` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn bind(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     if let Some(injector) = injector()
@@ -51,12 +56,14 @@
         descriptors::set_kind(descriptor, kind);
     }
     let original = original!(bind: fn(c_int, *const sockaddr, socklen_t) -> c_int);
-    // SAFETY: the arguments are passed on as they came.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { original(descriptor, address, length) }
 }
 
+/// Interposes `connect` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     // SAFETY: the caller's address is valid for its length.
@@ -69,12 +76,14 @@
         }
     }
     let original = original!(connect: fn(c_int, *const sockaddr, socklen_t) -> c_int);
-    // SAFETY: the arguments are passed on as they came.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { original(descriptor, address, length) }
 }
 
+/// Interposes `getsockopt` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn getsockopt(
     descriptor: c_int,
@@ -84,27 +93,29 @@
     length: *mut socklen_t,
 ) -> c_int {
     let original = original!(getsockopt: fn(c_int, c_int, c_int, *mut c_void, *mut socklen_t) -> c_int);
-    // SAFETY: the arguments are passed on as they came.
+    // SAFETY: the caller's arguments are passed on unchanged.
     let result = unsafe { original(descriptor, level, option, value, length) };
     if result != 0 || (level, option) != (libc::SOL_SOCKET, libc::SO_ERROR) {
         return result;
     }
     let error = value.cast::<c_int>();
-    // SAFETY: the call succeeded, so that the value is valid, and this option's is an integer.
+    // SAFETY: the call succeeded, so that the value is valid; the value of this option is an integer.
     let is_connected = unsafe { error.read_unaligned() } == 0;
     if let Some(injector) = injector_for(Call::ConnectCompletion).filter(|_| is_connected)
         && let Some(kind) = descriptors::kind(descriptor)
         && let Some(Fault::Fail(errno)) = injector.next_fault(Call::ConnectCompletion, Target::Socket(kind))
     {
         descriptors::end_connection(descriptor);
-        // SAFETY: as above.
+        // SAFETY: the value is valid, as above.
         unsafe { error.write_unaligned(errno.0) };
     }
     result
 }
 
+/// Interposes `accept4` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn accept4(
     listener: c_int,
@@ -119,7 +130,7 @@
     {
         return errno.set();
     }
-    // SAFETY: the arguments are passed on as they came.
+    // SAFETY: the caller's arguments are passed on unchanged.
     let accepted = unsafe { original(listener, address, length, flags) };
     if accepted >= 0 && injector().is_some() {
         descriptors::set_kind(accepted, kind);
@@ -127,28 +138,32 @@
     accepted
 }
 
-/// Whether one of these events is there, or a call on the socket would wait for it.
+/// Whether one of these events is pending, or a call on the socket would block until one is.
 pub(crate) fn is_ready(descriptor: c_int, events: libc::c_short) -> bool {
     // SAFETY: any descriptor may be passed.
     let flags = unsafe { libc::fcntl(descriptor, libc::F_GETFL) };
     let mut poll = libc::pollfd { fd: descriptor, events, revents: 0 };
-    // SAFETY: the array of one is valid for the call, which does not wait.
+    // SAFETY: the array of one element is valid for the call, which does not block.
     flags & libc::O_NONBLOCK == 0 || unsafe { libc::poll(&raw mut poll, 1, 0) } != 0
 }
 
+/// Interposes `close` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn close(descriptor: c_int) -> c_int {
-    // Before, as the number may be another socket's right after.
-    descriptors::forget(descriptor);
+    // Before the close, as another thread may reuse the descriptor immediately afterwards.
+    descriptors::remove(descriptor);
     let original = original!(close: fn(c_int) -> c_int);
-    // SAFETY: the argument is passed on as it came.
+    // SAFETY: the caller's argument is passed on unchanged.
     unsafe { original(descriptor) }
 }
 
+/// Interposes `epoll_ctl` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn epoll_ctl(
     epoll: c_int,
@@ -157,18 +172,20 @@
     event: *mut epoll_event,
 ) -> c_int {
     let original = original!(epoll_ctl: fn(c_int, c_int, c_int, *mut epoll_event) -> c_int);
-    // SAFETY: the arguments are passed on as they came.
+    // SAFETY: the caller's arguments are passed on unchanged.
     let result = unsafe { original(epoll, operation, descriptor, event) };
     let is_registered = result == 0 && operation != libc::EPOLL_CTL_DEL && !event.is_null();
     if is_registered && descriptors::kind(descriptor).is_some() {
         // SAFETY: the caller's event was valid for the call.
-        descriptors::register(descriptor, epoll, unsafe { event.read_unaligned() });
+        descriptors::record_registration(descriptor, epoll, unsafe { event.read_unaligned() });
     }
     result
 }
 
+/// Interposes `epoll_wait` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn epoll_wait(
     epoll: c_int,
@@ -182,6 +199,6 @@
         return errno.set();
     }
     let original = original!(epoll_wait: fn(c_int, *mut epoll_event, c_int, c_int) -> c_int);
-    // SAFETY: the arguments are passed on as they came.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { original(epoll, events, capacity, timeout) }
 }
--- a/crates/system-call-faults/src/transfers.rs
+++ b/crates/system-call-faults/src/transfers.rs
@@ -1,4 +1,4 @@
-//! Bytes that are read and written, on sockets and on files.
+//! Interposed functions that read and write, on sockets and files.
 use libc::{c_int, c_void, iovec, size_t, sockaddr, socklen_t, ssize_t};
 
 use crate::call::{Call, Target};
@@ -10,25 +10,25 @@
 use crate::plan::Fault;
 use crate::sockets::is_ready;
 
-/// What becomes of a transfer.
-enum Transfer {
-    /// It passes through.
-    Whole,
-    /// It transfers at most so many bytes, and more follows.
+/// How to carry out a transfer on a socket.
+enum TransferAction {
+    /// Pass the call through.
+    PassThrough,
+    /// Transfer at most this many bytes, and have epoll report the socket again.
     Short(usize),
-    /// It returns this; the error number is set.
-    Returned(ssize_t),
+    /// Return this result without a transfer; for a failure, `errno` is set already.
+    Return(ssize_t),
 }
 
-/// Decides about a transfer on a socket.
-fn transfer(descriptor: c_int, call: Call) -> Transfer {
+/// Decides how to carry out a transfer on a socket.
+fn transfer_action(descriptor: c_int, call: Call) -> TransferAction {
     let Some(kind) = descriptors::kind(descriptor).filter(|_| injector().is_some()) else {
-        return Transfer::Whole;
+        return TransferAction::PassThrough;
     };
     if descriptors::has_ended(descriptor) {
         return match call {
-            Call::Receive => Transfer::Returned(0),
-            _ => Transfer::Returned(Errno(libc::EPIPE).set() as ssize_t),
+            Call::Receive => TransferAction::Return(0),
+            _ => TransferAction::Return(Errno(libc::EPIPE).set() as ssize_t),
         };
     }
     let events = if call == Call::Receive { libc::POLLIN } else { libc::POLLOUT };
@@ -38,10 +38,10 @@
             if errno.ends_connection() && is_stream(descriptor) {
                 descriptors::end_connection(descriptor);
             }
-            Transfer::Returned(errno.set() as ssize_t)
+            TransferAction::Return(errno.set() as ssize_t)
         }
-        Some(Fault::Short(bytes)) => Transfer::Short(bytes),
-        Some(Fault::Kill) | None => Transfer::Whole,
+        Some(Fault::Short(bytes)) => TransferAction::Short(bytes),
+        Some(Fault::Kill) | None => TransferAction::PassThrough,
     }
 }
 
@@ -55,39 +55,40 @@
     result == 0 && kind == libc::SOCK_STREAM
 }
 
-/// Makes a transfer of so many bytes by a function of how many it may be.
+/// Carries out a transfer with a single buffer. `original` takes the number of bytes that it may transfer.
 fn transfer_bytes(
     descriptor: c_int,
     call: Call,
     length: size_t,
     original: impl Fn(size_t) -> ssize_t,
 ) -> ssize_t {
-    match transfer(descriptor, call) {
-        Transfer::Whole => original(length),
-        Transfer::Returned(result) => result,
-        Transfer::Short(bytes) => {
+    match transfer_action(descriptor, call) {
+        TransferAction::PassThrough => original(length),
+        TransferAction::Return(result) => result,
+        TransferAction::Short(bytes) => {
             let result = original(length.min(bytes));
-            descriptors::report_again(descriptor);
+            descriptors::rearm_epoll(descriptor);
             result
         }
     }
 }
 
-/// The first buffer that holds anything: what a short transfer of several goes to.
+/// Returns the first non-empty buffer, the only one that a short transfer uses.
 ///
 /// # Safety
-/// They are `count` valid ones.
-unsafe fn first_buffer(buffers: *const iovec, count: c_int) -> Option<iovec> {
+/// `buffers` must point to `count` valid buffers.
+unsafe fn first_nonempty_buffer(buffers: *const iovec, count: c_int) -> Option<iovec> {
     let count = usize::try_from(count).ok()?;
     // SAFETY: the caller's buffers are valid.
     let buffers = unsafe { std::slice::from_raw_parts(buffers, count) };
     buffers.iter().find(|buffer| buffer.iov_len > 0).copied()
 }
 
-/// Makes a transfer of several buffers.
+/// Carries out a transfer with several buffers.
 ///
 /// # Safety
-/// They are `count` valid ones, and `original` is a function of the C library that takes them.
+/// `buffers` must point to `count` valid buffers, and `original` must be a C library function that takes
+/// them.
 unsafe fn transfer_buffers(
     descriptor: c_int,
     call: Call,
@@ -95,38 +96,42 @@
     count: c_int,
     original: unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t,
 ) -> ssize_t {
-    match transfer(descriptor, call) {
-        Transfer::Returned(result) => result,
-        Transfer::Short(bytes) => {
+    match transfer_action(descriptor, call) {
+        TransferAction::Return(result) => result,
+        TransferAction::Short(bytes) => {
             // SAFETY: the caller's buffers are valid.
-            let first = unsafe { first_buffer(buffers, count) };
+            let first = unsafe { first_nonempty_buffer(buffers, count) };
             let shortened =
                 first.map(|first| iovec { iov_len: first.iov_len.min(bytes), iov_base: first.iov_base });
-            // SAFETY: one valid buffer, or none.
+            // SAFETY: the slice holds one valid buffer or none, and the count is its length.
             let result = unsafe {
                 original(descriptor, shortened.as_slice().as_ptr(), c_int::from(shortened.is_some()))
             };
-            descriptors::report_again(descriptor);
+            descriptors::rearm_epoll(descriptor);
             result
         }
-        // SAFETY: the arguments are passed on as they came.
-        Transfer::Whole => unsafe { original(descriptor, buffers, count) },
+        // SAFETY: the caller's arguments are passed on unchanged.
+        TransferAction::PassThrough => unsafe { original(descriptor, buffers, count) },
     }
 }
 
+/// Interposes `recv` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn recv(descriptor: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
     let original = original!(recv: fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
-    // SAFETY: the arguments are passed on as they came, but for a smaller length.
+    // SAFETY: the caller's arguments are passed on, with the same or a smaller length.
     transfer_bytes(descriptor, Call::Receive, length, |length| unsafe {
         original(descriptor, buffer, length, flags)
     })
 }
 
+/// Interposes `recvfrom` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn recvfrom(
     descriptor: c_int,
@@ -138,25 +143,29 @@
 ) -> ssize_t {
     let original =
         original!(recvfrom: fn(c_int, *mut c_void, size_t, c_int, *mut sockaddr, *mut socklen_t) -> ssize_t);
-    // SAFETY: the arguments are passed on as they came, but for a smaller length.
+    // SAFETY: the caller's arguments are passed on, with the same or a smaller length.
     transfer_bytes(descriptor, Call::Receive, length, |length| unsafe {
         original(descriptor, buffer, length, flags, from, from_length)
     })
 }
 
+/// Interposes `read` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
     let original = original!(read: fn(c_int, *mut c_void, size_t) -> ssize_t);
-    // SAFETY: the arguments are passed on as they came, but for a smaller length.
+    // SAFETY: the caller's arguments are passed on, with the same or a smaller length.
     transfer_bytes(descriptor, Call::Receive, length, |length| unsafe {
         original(descriptor, buffer, length)
     })
 }
 
+/// Interposes `readv` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn readv(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     let original = original!(readv: fn(c_int, *const iovec, c_int) -> ssize_t);
@@ -164,19 +173,23 @@
     unsafe { transfer_buffers(descriptor, Call::Receive, buffers, count, original) }
 }
 
+/// Interposes `send` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn send(descriptor: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
     let original = original!(send: fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
-    // SAFETY: the arguments are passed on as they came, but for a smaller length.
+    // SAFETY: the caller's arguments are passed on, with the same or a smaller length.
     transfer_bytes(descriptor, Call::Send, length, |length| unsafe {
         original(descriptor, buffer, length, flags)
     })
 }
 
+/// Interposes `sendto` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn sendto(
     descriptor: c_int,
@@ -188,14 +201,16 @@
 ) -> ssize_t {
     let original =
         original!(sendto: fn(c_int, *const c_void, size_t, c_int, *const sockaddr, socklen_t) -> ssize_t);
-    // SAFETY: the arguments are passed on as they came, but for a smaller length.
+    // SAFETY: the caller's arguments are passed on, with the same or a smaller length.
     transfer_bytes(descriptor, Call::Send, length, |length| unsafe {
         original(descriptor, buffer, length, flags, to, to_length)
     })
 }
 
+/// Interposes `write` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
     let original = original!(write: fn(c_int, *const c_void, size_t) -> ssize_t);
@@ -205,12 +220,14 @@
         Some(Fault::Short(bytes)) => length.min(bytes),
         Some(Fault::Kill) | None => length,
     };
-    // SAFETY: the arguments are passed on as they came, but for a smaller length.
+    // SAFETY: the caller's arguments are passed on, with the same or a smaller length.
     transfer_bytes(descriptor, Call::Send, length, |length| unsafe { original(descriptor, buffer, length) })
 }
 
+/// Interposes `writev` of the C library.
+///
 /// # Safety
-/// As for the C library's function.
+/// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     let original = original!(writev: fn(c_int, *const iovec, c_int) -> ssize_t);
--- a/crates/test-harness/src/address_block.rs
+++ b/crates/test-harness/src/address_block.rs
@@ -1,45 +1,46 @@
-//! A block of loopback addresses for each fleet.
+//! Address blocks: each fleet has 256 loopback addresses of its own.
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 
-/// Last octet of the address that holds the claim to a block.
+/// Last octet of the address whose claim port locks the block.
 const CLAIM_HOST: u8 = 251;
-/// The claim's port, below those that the system gives out: the same in all blocks, as it is the lock.
+/// Port of the socket that locks a block, below the system's ephemeral ports. All fleets use the same port,
+/// so that only one can bind it in each block.
 const CLAIM_PORT: u16 = 21_921;
-/// Each member's port for clients.
+/// Port at which each member accepts clients.
 const HTTP_PORT: u16 = 21_922;
-/// Each member's port for its peers.
+/// Port at which each member receives packets and streams from other members.
 const MEMBERSHIP_PORT: u16 = 21_923;
-/// Last octet of the address of all relays. Members have those below.
+/// Last octet of the address that all relays share. Members have lower octets.
 const RELAY_HOST: u8 = 250;
-/// Attempts to get one port for both protocols.
+/// Maximum number of attempts to bind the same port for TCP and UDP.
 const MAX_BIND_ATTEMPTS: u32 = 100;
 
-/// A block of 256 addresses, claimed until it is dropped.
+/// The block of loopback addresses of a fleet, claimed until it is dropped.
 pub(crate) struct AddressBlock {
     third_octet: u8,
     _claim: TcpListener,
 }
 
 impl AddressBlock {
-    /// Claims the first block that no other fleet of this machine has.
+    /// Claims the first block that no other fleet on this machine has claimed.
     ///
     /// # Panics
-    /// All blocks are claimed.
+    /// Panics if all blocks are claimed.
     pub(crate) fn claim() -> AddressBlock {
         let free = (1..=u8::MAX).find_map(|third_octet| {
             let address = Ipv4Addr::new(127, 0, third_octet, CLAIM_HOST);
             let claim = TcpListener::bind((address, CLAIM_PORT)).ok()?;
             Some(AddressBlock { third_octet, _claim: claim })
         });
-        free.expect("a block of loopback addresses that no other fleet has")
+        free.expect("a block of loopback addresses is free")
     }
 
-    /// Where a member, counted from 0, takes requests of clients.
+    /// Returns the address at which a member, counted from 0, accepts clients.
     pub(crate) fn http_address(&self, member: usize) -> SocketAddr {
         (self.member_ip(member), HTTP_PORT).into()
     }
 
-    /// Where a member takes its peers' packets.
+    /// Returns the address at which a member receives packets and streams from other members.
     pub(crate) fn membership_address(&self, member: usize) -> SocketAddr {
         (self.member_ip(member), MEMBERSHIP_PORT).into()
     }
@@ -48,7 +49,7 @@
         Ipv4Addr::new(127, 0, self.third_octet, member as u8 + 1)
     }
 
-    /// Which member sends from an address.
+    /// Returns the number of the member with this address, or `None` if it belongs to no member.
     pub(crate) fn member_at(&self, address: SocketAddr) -> Option<usize> {
         match address {
             SocketAddr::V4(address) if address.ip().octets()[..3] == [127, 0, self.third_octet] => {
@@ -62,15 +63,15 @@
     /// Binds the sockets of one relay.
     ///
     /// # Panics
-    /// The system has no port that is free for both protocols.
+    /// Panics if no port can be bound for both TCP and UDP.
     pub(crate) fn bind_relay(&self) -> RelaySockets {
         let relay_ip = Ipv4Addr::new(127, 0, self.third_octet, RELAY_HOST);
         let bound = (0..MAX_BIND_ATTEMPTS).find_map(|_| RelaySockets::bind(relay_ip));
-        bound.expect("a port for TCP and UDP")
+        bound.expect("a port is free for both TCP and UDP")
     }
 }
 
-/// The sockets of a relay, on one port.
+/// The TCP and UDP sockets of a relay, bound to the same port.
 pub(crate) struct RelaySockets {
     pub(crate) tcp: TcpListener,
     pub(crate) udp: UdpSocket,
--- a/crates/test-harness/src/client.rs
+++ b/crates/test-harness/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that asks members for their view.
+//! The HTTP client that fetches the members' views.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -10,47 +10,47 @@
 
 use crate::view::MembershipView;
 
-/// Longest wait for a response: a paused member gives none.
+/// Maximum time for a response. A paused member does not respond at all.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Largest response, in bytes.
+/// Maximum size of a response body.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Why a member's view is not known.
+/// The reason why a member's view could not be fetched.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ViewError {
-    /// No whole response in time.
-    #[error("no answer in {0:?}")]
+    /// No complete response arrived within the timeout.
+    #[error("no response within {0:?}")]
     Timeout(Duration),
-    /// The request could not be made.
+    /// The request could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The request could not be sent, or got no response.
+    /// The request could not be sent, or received no response.
     #[error(transparent)]
     Response(#[from] hyper_util::client::legacy::Error),
-    /// The response's body was cut short or is too large.
+    /// The response body is incomplete or too large.
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The response has another status than 200.
-    #[error("status {0}")]
+    /// The response has a status other than 200.
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// The response is no view.
-    #[error("no view: {0}")]
+    /// The response body is not a valid view.
+    #[error("invalid view: {0}")]
     Decode(#[source] serde_json::Error),
 }
 
-/// Asks members for their view.
+/// Fetches the views of members.
 pub(crate) struct MembershipClient(Client<HttpConnector, Empty<Bytes>>);
 
 impl MembershipClient {
     pub(crate) fn new() -> MembershipClient {
-        // A connection for each request: one to a process that has since been killed is of no use.
+        // No idle connections are kept: one to a process that has been killed is unusable.
         let mut client = Client::builder(TokioExecutor::new());
         client.pool_timer(TokioTimer::new()).pool_max_idle_per_host(0);
         MembershipClient(client.build_http())
     }
 
-    /// The view of the member that serves at this address.
+    /// Fetches the view of the member that accepts clients at this address.
     pub(crate) async fn fetch_view(&self, address: SocketAddr) -> Result<MembershipView, ViewError> {
         let response = tokio::time::timeout(RESPONSE_TIMEOUT, self.request_view(address)).await;
         response.unwrap_or(Err(ViewError::Timeout(RESPONSE_TIMEOUT)))
--- a/crates/test-harness/src/config.rs
+++ b/crates/test-harness/src/config.rs
@@ -1,31 +1,32 @@
-//! What a fleet is started with, and the configuration files of its members.
+//! The configuration of a fleet, and the configuration files of its members.
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 const ZONES: [&str; 3] = ["arnhem", "zwolle", "eindhoven"];
 
-/// What a fleet is started with.
+/// The configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// The program.
+    /// The path of the scheduler program.
     pub program: PathBuf,
-    /// The number of members, running or not.
+    /// The number of members, including those that are not running.
     pub members: usize,
-    /// The members that all have as seeds.
+    /// The numbers of the members that all members use as seeds.
     pub seeds: Vec<usize>,
-    /// Determines the random choices of the relays.
+    /// The seed of the random number generator for the faults of links.
     pub seed: u64,
-    /// Time between two probes of a member.
+    /// The time between two probes that a member sends.
     pub probe_interval: Duration,
-    /// Time for a direct answer.
+    /// The time within which a direct probe must be answered.
     pub probe_timeout: Duration,
-    /// Suspicion, in probe intervals.
+    /// The duration of a suspicion, in probe intervals.
     pub suspicion_multiplier: f64,
 }
 
 impl FleetConfig {
-    /// Members with the first one as seed, a probe each 200 ms and a suspicion of a second.
+    /// Creates a configuration with the first member as the seed, a probe interval of 200 ms, a probe timeout
+    /// of 80 ms and a suspicion of 5 probe intervals.
     pub fn new(program: impl Into<PathBuf>, members: usize) -> FleetConfig {
         FleetConfig {
             program: program.into(),
@@ -39,7 +40,7 @@
     }
 }
 
-/// What differs between the members' configuration files.
+/// The settings that differ between the members' configuration files.
 pub(crate) struct MemberConfig<'a> {
     pub(crate) number: usize,
     pub(crate) name: String,
@@ -51,7 +52,7 @@
 }
 
 impl MemberConfig<'_> {
-    /// The member's configuration file, in TOML.
+    /// Returns the content of the member's configuration file, as TOML.
     pub(crate) fn to_toml(&self, fleet: &FleetConfig) -> String {
         let seeds: Vec<_> = self.seed_addresses.iter().map(|address| format!("'{address}'")).collect();
         format!(
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet under test: its processes, and the faults that happen to them.
+//! The fleet under test: starts its processes and applies faults to them.
 use std::fs::File;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -22,29 +22,29 @@
 
 pub use waits::ObservedView;
 
-/// Largest fleet: a block has addresses for these, and no machine should run more.
+/// Maximum number of members. It fits into an address block, and more processes would overload a machine.
 const MAX_MEMBERS: usize = 200;
-/// Threads that run the relays and the HTTP client.
+/// Number of threads that run the relays and the HTTP client.
 const WORKER_THREADS: usize = 2;
-/// How long members may take to find each other at the start.
+/// Maximum time until all members of a new fleet see each other.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One member's addresses, and its process if one runs.
+/// A member's addresses, and its process unless it is stopped.
 struct MemberSlot {
     http_address: SocketAddr,
     membership_address: SocketAddr,
-    /// Where peers reach it.
+    /// The address of the member's relay, which it advertises to the other members.
     relay_address: SocketAddr,
     process: Option<SchedulerProcess>,
     is_paused: bool,
 }
 
 impl MemberSlot {
-    /// Binds a member's relay and starts the relay's tasks, which end with the runtime.
+    /// Binds a member's relay and spawns the relay's tasks, which end with the runtime.
     fn new(network: &Arc<FaultyNetwork>, member: usize, runtime: &Runtime) -> MemberSlot {
         let sockets = network.addresses.bind_relay();
-        // The block is this fleet's own, and the system gives out higher ports: nobody else has these when the
-        // process starts, or starts again.
+        // These ports stay free until the process starts or restarts: no other fleet uses this address block,
+        // and the system assigns ephemeral ports from a higher range.
         let http_address = network.addresses.http_address(member);
         let membership_address = network.addresses.membership_address(member);
         runtime.spawn(relay::relay_packets(Arc::clone(network), member, sockets.udp, membership_address));
@@ -53,15 +53,17 @@
         MemberSlot { http_address, membership_address, relay_address, process: None, is_paused: false }
     }
 
-    fn is_awake(&self) -> bool {
+    /// Whether the process runs and is not paused.
+    fn is_active(&self) -> bool {
         self.process.is_some() && !self.is_paused
     }
 }
 
-/// Real processes, and the relays between them. Dropped, all end.
+/// A fleet of scheduler processes with a relay in front of each. Dropping it ends the processes and the
+/// relays.
 pub struct Fleet {
     config: FleetConfig,
-    // Before the directory and the runtime, so that the processes end first.
+    // Declared, and so dropped, before the directory and the runtime, so that the processes end first.
     slots: Vec<MemberSlot>,
     network: Arc<FaultyNetwork>,
     client: MembershipClient,
@@ -69,36 +71,43 @@
     runtime: Runtime,
 }
 
-/// In memory where the machine has such a directory: a busy disk must not delay a start.
+/// Creates the fleet's directory, in memory if the machine has `/dev/shm`, so that a busy disk does not delay
+/// the start of a process.
 fn create_directory() -> TempDir {
     let (mut builder, memory) = (tempfile::Builder::new(), Path::new("/dev/shm"));
     let builder = builder.prefix("copperspread-fleet-");
     let created = if memory.is_dir() { builder.tempdir_in(memory) } else { builder.tempdir() };
-    created.expect("a directory")
+    created.expect("a temporary directory can be created")
 }
 
 impl Fleet {
-    /// Addresses and relays; no process runs yet.
+    /// Creates a fleet with its addresses and relays, but starts no process yet.
     ///
     /// # Panics
-    /// More members than a block has addresses for, or the system refuses sockets.
+    /// Panics if the configuration has more than 200 members, no address block is free, or sockets, threads
+    /// or files cannot be created.
     pub fn new(config: FleetConfig) -> Fleet {
-        assert!(config.members <= MAX_MEMBERS, "{} members", config.members);
+        assert!(
+            config.members <= MAX_MEMBERS,
+            "a fleet has at most {MAX_MEMBERS} members, not {}",
+            config.members
+        );
         let mut builder = tokio::runtime::Builder::new_multi_thread();
-        let runtime = builder.worker_threads(WORKER_THREADS).enable_all().build().expect("a runtime");
+        let runtime =
+            builder.worker_threads(WORKER_THREADS).enable_all().build().expect("the runtime can be built");
         let links = NetworkLinks::new(LinkConditions::IDEAL);
         let network = Arc::new(FaultyNetwork::new(AddressBlock::claim(), links, config.seed));
         let slots = (0..config.members).map(|member| MemberSlot::new(&network, member, &runtime)).collect();
         let directory = create_directory();
         let fleet = Fleet { config, slots, network, client: MembershipClient::new(), directory, runtime };
-        std::fs::write(fleet.key_path(), "a key for the tests alone\n").expect("a key");
+        std::fs::write(fleet.key_path(), "a key for the tests alone\n").expect("the key file can be written");
         fleet
     }
 
-    /// All members run, and each sees all others.
+    /// Creates a fleet, starts all members and waits until each sees all others.
     ///
     /// # Panics
-    /// They do not within 30 s.
+    /// Panics as [`Fleet::new`] and [`Fleet::start`] do, or if the members do not see each other within 30 s.
     pub fn start_joined(config: FleetConfig) -> Fleet {
         let mut fleet = Fleet::new(config);
         (0..fleet.slots.len()).for_each(|member| fleet.start(member));
@@ -106,31 +115,35 @@
         fleet
     }
 
-    /// The name of a member.
+    /// Returns the name of the member with this number.
     pub fn member_name(member: usize) -> String {
         format!("n{member}")
     }
 
-    /// Where a member takes its peers' packets, past its relay.
+    /// Returns the address at which a member receives packets of other members, bypassing its relay.
     pub fn membership_address(&self, member: usize) -> SocketAddr {
         self.slots[member].membership_address
     }
 
-    /// Where a member's peers reach it: its relay.
+    /// Returns the address of a member's relay, which the other members use.
     pub fn relay_address(&self, member: usize) -> SocketAddr {
         self.slots[member].relay_address
     }
 
-    /// Starts a member's process, in place of the one that runs, if any.
+    /// Starts a member's process. If one is running, kills it first.
     ///
     /// # Panics
-    /// It cannot be started.
+    /// Panics if the process cannot be started, or its configuration or log cannot be written.
     pub fn start(&mut self, member: usize) {
         let path = self.directory.path().join(format!("{member}.toml"));
-        std::fs::write(&path, self.config_toml(member)).expect("a configuration");
-        let log = File::options().create(true).append(true).open(self.log_path(member)).expect("a log");
+        std::fs::write(&path, self.config_toml(member)).expect("the configuration file can be written");
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.log_path(member))
+            .expect("the log file can be opened");
         let slot = &mut self.slots[member];
-        // The old process ends before the new one takes its ports.
+        // The old process must end before the new one binds the same ports.
         slot.process = None;
         slot.process = Some(SchedulerProcess::start(&self.config.program, &path, log));
         slot.is_paused = false;
@@ -158,10 +171,11 @@
         self.directory.path().join(format!("{member}.log"))
     }
 
-    /// Applies a fault now.
+    /// Applies a fault immediately.
     ///
     /// # Panics
-    /// A process is to be paused, resumed or killed that does not run.
+    /// Panics if the fault pauses, resumes or kills the process of a member that is not running, or starts a
+    /// process that cannot be started.
     pub fn apply_fault(&mut self, fault: &Fault) {
         self.network.update_links(|links| links.apply(fault));
         if let Fault::Process { member, action } = *fault {
@@ -171,7 +185,10 @@
 
     fn apply_process_action(&mut self, member: usize, action: ProcessAction) {
         let is_running = self.slots[member].process.is_some();
-        assert!(action == ProcessAction::Start || is_running, "{action:?} of {member}, which does not run");
+        assert!(
+            action == ProcessAction::Start || is_running,
+            "cannot apply {action:?}: member {member} is not running"
+        );
         match action {
             ProcessAction::Start => self.start(member),
             ProcessAction::Kill => self.slots[member].process = None,
@@ -185,10 +202,10 @@
         }
     }
 
-    /// Plays a plan from now to its last step.
+    /// Executes a fault plan, and returns after its last step.
     ///
     /// # Panics
-    /// As [`Fleet::apply_fault`].
+    /// Panics as [`Fleet::apply_fault`] does.
     pub fn play(&mut self, plan: &FaultPlan) {
         let start = Instant::now();
         for FaultStep { at, fault } in &plan.steps {
@@ -197,16 +214,16 @@
         }
     }
 
-    /// What a member shows now.
+    /// Fetches the current view of a member.
     ///
     /// # Errors
-    /// It does not respond, or not with a view.
+    /// Returns a [`ViewError`] if the member does not respond, or does not respond with a valid view.
     pub fn view(&self, member: usize) -> Result<MembershipView, ViewError> {
         self.runtime.block_on(self.client.fetch_view(self.slots[member].http_address))
     }
 
-    /// The members whose processes run and are not paused.
+    /// Returns the numbers of the members whose processes run and are not paused.
     pub fn running_members(&self) -> Vec<usize> {
-        (0..self.slots.len()).filter(|&member| self.slots[member].is_awake()).collect()
+        (0..self.slots.len()).filter(|&member| self.slots[member].is_active()).collect()
     }
 }
--- a/crates/test-harness/src/fleet/waits.rs
+++ b/crates/test-harness/src/fleet/waits.rs
@@ -1,4 +1,4 @@
-//! Waits for what the members' views must show, each within a bound.
+//! Waits until the members' views meet a condition, with a timeout.
 use std::time::{Duration, Instant};
 
 use super::{Fleet, MemberSlot};
@@ -6,34 +6,35 @@
 use crate::process::SchedulerProcess;
 use crate::view::MembershipView;
 
-/// Time between two looks at what is awaited.
+/// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Lines of each log that a failure shows.
+/// Number of lines of each log in a failure message.
 const MAX_SHOWN_LOG_LINES: usize = 12;
 
-/// What one member showed when it was asked.
+/// The view of a member at one check.
 #[derive(Clone, Debug)]
 pub struct ObservedView {
     /// The member's number.
     pub member: usize,
-    /// What it showed.
+    /// The member's view.
     pub view: MembershipView,
 }
 
-/// What one member answered when it was asked for its view.
+/// A member's response to a request for its view.
 struct ViewResponse {
     member: usize,
     view: Result<MembershipView, ViewError>,
 }
 
 impl Fleet {
-    /// Waits until a condition holds for the views of all members that run and are not paused. Gives how long it took.
+    /// Waits until a condition holds for the views of all members that run and are not paused. Returns the
+    /// time that this took. `condition` describes the condition in a failure message.
     ///
     /// # Panics
-    /// It does not hold within the bound, or a process exits by itself.
+    /// Panics if the condition does not hold within the timeout, or if a process exits by itself.
     pub fn wait_until(
         &mut self,
-        bound: Duration,
+        timeout: Duration,
         condition: &str,
         is_reached: impl Fn(&[ObservedView]) -> bool,
     ) -> Duration {
@@ -45,23 +46,24 @@
             }
             if let Some(member) = self.exited_member() {
                 let (name, log) = (Fleet::member_name(member), self.log_tail(member));
-                panic!("awaited: {condition}; {name} has ended by itself\n{log}");
+                panic!("{name} exited by itself while waiting for: {condition}\n{log}");
             }
-            if start.elapsed() > bound {
-                panic!("awaited for {bound:?}: {condition}\n{}", self.describe(&responses));
+            if start.elapsed() > timeout {
+                panic!("condition not met within {timeout:?}: {condition}\n{}", self.describe(&responses));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits until each member that runs and is not paused sees exactly the others that do. Gives how long it took.
+    /// Waits until each member that runs and is not paused sees exactly the others that do. Returns the time
+    /// that this took. `when` describes the situation in a failure message.
     ///
     /// # Panics
-    /// They do not within the bound.
-    pub fn wait_for_full_membership(&mut self, bound: Duration, when: &str) -> Duration {
+    /// Panics as [`Fleet::wait_until`] does.
+    pub fn wait_for_full_membership(&mut self, timeout: Duration, when: &str) -> Duration {
         let running: Vec<_> = self.running_members().into_iter().map(Fleet::member_name).collect();
-        let condition = format!("{when}, each of {running:?} sees the others and nobody else");
-        self.wait_until(bound, &condition, |views| {
+        let condition = format!("{when}, each of {running:?} sees exactly the others");
+        self.wait_until(timeout, &condition, |views| {
             views.iter().all(|ObservedView { member, view }| {
                 let own_name = Fleet::member_name(*member);
                 view.members.len() + 1 == running.len()
@@ -81,7 +83,7 @@
         self.slots.iter_mut().position(has_exited)
     }
 
-    /// What all members answered, and the ends of their logs.
+    /// Formats the responses of all members, and the last lines of their logs.
     fn describe(&self, responses: &[ViewResponse]) -> String {
         let describe_one = |response: &ViewResponse| {
             let view = match &response.view {
@@ -102,7 +104,7 @@
     }
 }
 
-/// The views, if all members gave one.
+/// Returns the views if all members responded with one, and `None` otherwise.
 fn all_views(responses: &[ViewResponse]) -> Option<Vec<ObservedView>> {
     let observed = |response: &ViewResponse| {
         let view = response.view.as_ref().ok()?.clone();
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -1,19 +1,21 @@
-//! Test support: a fleet of real `copperspread-scheduler serve` processes on loopback, and the faults between them.
+//! Test support: runs a fleet of real `copperspread-scheduler serve` processes on loopback and injects
+//! network and process faults.
 //!
 //! ```text
-//!   member i, 127.0.B.i ──UDP, TCP──► relay of j, 127.0.B.250, a port each ──► member j, 127.0.B.j
-//!                                          │ knows the sender by its address
+//!   member i, 127.0.B.(i+1) ──UDP, TCP──► relay of j, 127.0.B.250, own port ──► member j, 127.0.B.(j+1)
+//!                                          │ identifies the sender by its address
 //!                                     NetworkLinks: block, lose, duplicate, delay (crates/fault-injection)
-//!   Fleet ── pause, resume, kill, start by id;  GET /-/cluster ──► MembershipView
+//!   Fleet ── pause, resume, kill, start;  GET /-/cluster ──► MembershipView
 //! ```
 //!
-//! 1. Each fleet claims a block of addresses 127.0.B.0/24 until it is dropped (`address_block.rs`), so that fleets run
-//!    side by side and a port still belongs to a member when its process starts again.
-//! 2. Faults are those of `copperspread-fault-injection`: the testbed plays the same plans in virtual time.
-//! 3. Every wait polls up to a bound, and fails with what it awaited and what all members showed last.
+//! 1. Each fleet claims an address block 127.0.B.0/24 until it is dropped (`address_block.rs`). Fleets can
+//!    therefore run side by side, and a member's ports are still free when its process restarts.
+//! 2. The faults are those of `copperspread-fault-injection`; the testbed executes the same plans in
+//!    virtual time.
+//! 3. Every wait polls until a timeout, and a failure reports the condition, the last responses and the logs.
 //!
-//! Nothing of the program is linked in: its path is an argument. As test support, the crate panics where a test must
-//! fail.
+//! The crate does not link the scheduler: it takes the path of the program as an argument. As test support,
+//! it panics to fail a test.
 #![forbid(unsafe_code)]
 
 mod address_block;
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -1,23 +1,25 @@
-//! A scheduler process that the harness started. It signals no other process.
+//! The scheduler process of a member. The harness signals only processes that it has started.
 use std::fs::File;
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// A running or paused process. Dropped, it is killed and waited for.
+/// A running or paused scheduler process. Dropping it kills the process and waits for its exit.
 pub(crate) struct SchedulerProcess(Child);
 
 impl SchedulerProcess {
-    /// Starts the program with a configuration file; its log goes to a file.
+    /// Starts the scheduler with a configuration file and writes its log to a file.
     ///
     /// # Panics
-    /// The program cannot be started.
+    /// Panics if the program cannot be started.
     pub(crate) fn start(program: &Path, config: &Path, log: File) -> SchedulerProcess {
         let mut command = Command::new(program);
         command.args(["serve", "--config"]).arg(config).env_remove("EDGE_CONFIG");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        SchedulerProcess(command.spawn().unwrap_or_else(|error| panic!("{}: {error}", program.display())))
+        SchedulerProcess(
+            command.spawn().unwrap_or_else(|error| panic!("cannot start {}: {error}", program.display())),
+        )
     }
 
     pub(crate) fn pause(&self) {
@@ -29,11 +31,11 @@
     }
 
     fn signal(&self, signal: Signal) {
-        // The child is not waited for yet, so that its id is still its own, even if it has exited.
-        kill_process(Pid::from_child(&self.0), signal).expect("a signal to an own process");
+        // The child has not been waited for, so that its process id cannot be reused, even if it has exited.
+        kill_process(Pid::from_child(&self.0), signal).expect("the child process can be signalled");
     }
 
-    /// Whether it has exited by itself.
+    /// Whether the process has exited without being killed by the harness.
     pub(crate) fn has_exited(&mut self) -> bool {
         self.0.try_wait().is_ok_and(|status| status.is_some())
     }
@@ -41,7 +43,7 @@
 
 impl Drop for SchedulerProcess {
     fn drop(&mut self) {
-        // SIGKILL ends a paused process too. It fails only where the process has exited.
+        // SIGKILL ends a paused process too. The call fails only if the process has exited already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
--- a/crates/test-harness/src/relay.rs
+++ b/crates/test-harness/src/relay.rs
@@ -1,4 +1,5 @@
-//! The relay before each member: packets and streams to the member pass it, and meet the faults of their link.
+//! The relays in front of the members, which forward packets and streams and inject the faults of their
+//! links.
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -12,14 +13,15 @@
 
 use crate::address_block::AddressBlock;
 
-/// After this time a lost piece of a stream is sent again, and a blocked link is tried again.
+/// Time after which a lost chunk of a stream, or one on a blocked link, is retried.
 const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(100);
-/// Largest UDP datagram, in bytes.
+/// Size of the receive buffer, which holds any UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Pieces of a stream that meet the link's faults one by one, in bytes.
-const STREAM_PIECE_BYTES: usize = 1_400;
+/// Maximum size of a stream chunk. The faults of a link apply to each chunk separately.
+const STREAM_CHUNK_BYTES: usize = 1_400;
 
-/// The links between all members of a fleet. The fleet applies faults; the relays' tasks ask for each packet's fate.
+/// The network links between all members of a fleet. The fleet applies faults to them, and the relay tasks
+/// query the delivery of each packet.
 pub(crate) struct FaultyNetwork {
     pub(crate) addresses: AddressBlock,
     state: Mutex<NetworkState>,
@@ -49,7 +51,7 @@
         links.delivery_delays(from, to, rng)
     }
 
-    /// Waits until a piece of a stream is delivered: streams repeat what is lost, and wait on a blocked link.
+    /// Waits until a chunk of a stream is delivered. Lost chunks, and chunks on a blocked link, are retried.
     async fn wait_for_delivery(&self, from: usize, to: usize) {
         loop {
             match self.delivery_delays(from, to)[0] {
@@ -60,32 +62,32 @@
     }
 }
 
-/// Relays packets to a member, until the runtime ends.
+/// Forwards packets to a member until the runtime shuts down.
 pub(crate) async fn relay_packets(
     network: Arc<FaultyNetwork>,
     to: usize,
     socket: UdpSocket,
     member: SocketAddr,
 ) {
-    socket.set_nonblocking(true).expect("an option");
-    let socket = Arc::new(tokio::net::UdpSocket::from_std(socket).expect("a socket"));
+    socket.set_nonblocking(true).expect("the socket can be made non-blocking");
+    let socket = Arc::new(tokio::net::UdpSocket::from_std(socket).expect("the runtime accepts the socket"));
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error is the answer to an earlier packet to a member that is down.
+        // An error reports that an earlier packet could not be delivered to a member that is down.
         let Ok((size, sender)) = socket.recv_from(&mut buffer).await else { continue };
         let Some(from) = network.addresses.member_at(sender) else { continue };
         for delay in network.delivery_delays(from, to).into_iter().flatten() {
             if delay.is_zero() {
                 let _ = socket.send_to(&buffer[..size], member).await;
             } else {
-                // Ends by itself after the delay, or with the runtime.
-                tokio::spawn(send_later(Arc::clone(&socket), buffer[..size].to_vec(), member, delay));
+                // The task ends after the delay, or with the runtime.
+                tokio::spawn(send_delayed(Arc::clone(&socket), buffer[..size].to_vec(), member, delay));
             }
         }
     }
 }
 
-async fn send_later(
+async fn send_delayed(
     socket: Arc<tokio::net::UdpSocket>,
     packet: Vec<u8>,
     member: SocketAddr,
@@ -95,19 +97,19 @@
     let _ = socket.send_to(&packet, member).await;
 }
 
-/// Relays streams to a member, until the runtime ends.
+/// Forwards streams to a member until the runtime shuts down.
 pub(crate) async fn relay_streams(
     network: Arc<FaultyNetwork>,
     to: usize,
     listener: TcpListener,
     member: SocketAddr,
 ) {
-    listener.set_nonblocking(true).expect("an option");
-    let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
+    listener.set_nonblocking(true).expect("the listener can be made non-blocking");
+    let listener = tokio::net::TcpListener::from_std(listener).expect("the runtime accepts the listener");
     loop {
         let Ok((stream, sender)) = listener.accept().await else { continue };
         if let Some(from) = network.addresses.member_at(sender) {
-            // Ends with its stream, or with the runtime.
+            // The task ends with its stream, or with the runtime.
             tokio::spawn(relay_stream(Arc::clone(&network), from, to, stream, member));
         }
     }
@@ -117,16 +119,17 @@
     network: Arc<FaultyNetwork>,
     from: usize,
     to: usize,
-    near: TcpStream,
+    inbound: TcpStream,
     member: SocketAddr,
 ) {
     network.wait_for_delivery(from, to).await;
     let Ok(socket) = TcpSocket::new_v4() else { return };
-    let Ok(far) = socket.connect(member).await else { return };
-    let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
+    let Ok(outbound) = socket.connect(member).await else { return };
+    let ((inbound_reader, inbound_writer), (outbound_reader, outbound_writer)) =
+        (inbound.into_split(), outbound.into_split());
     tokio::join!(
-        copy_with_faults(&network, from, to, near_in, far_out),
-        copy_with_faults(&network, to, from, far_in, near_out)
+        copy_with_faults(&network, from, to, inbound_reader, outbound_writer),
+        copy_with_faults(&network, to, from, outbound_reader, inbound_writer)
     );
 }
 
@@ -137,14 +140,14 @@
     mut input: impl AsyncRead + Unpin,
     mut output: impl AsyncWrite + Unpin,
 ) {
-    let mut buffer = vec![0; STREAM_PIECE_BYTES];
+    let mut buffer = vec![0; STREAM_CHUNK_BYTES];
     while let Ok(size @ 1..) = input.read(&mut buffer).await {
         network.wait_for_delivery(from, to).await;
         if output.write_all(&buffer[..size]).await.is_err() {
             return;
         }
     }
-    // The end of the stream meets the same faults.
+    // The faults apply to the end of the stream too.
     network.wait_for_delivery(from, to).await;
     let _ = output.shutdown().await;
 }
--- a/crates/test-harness/src/view.rs
+++ b/crates/test-harness/src/view.rs
@@ -1,69 +1,71 @@
-//! What a member shows of itself and the others: the response to `GET /-/cluster`. The names in its JSON are those of
-//! the page. `copperspread-membership-transport` has types of these forms too. They stand twice on purpose: the harness
-//! reads the page independently of the code that writes it, so that a name that changes there fails here.
+//! A member's view of the membership: the response to `GET /-/cluster`, as JSON.
+//!
+//! `copperspread-membership-transport` defines equivalent types to write this response. The duplication is
+//! intentional: the harness reads the response independently of the code that writes it, so that a renamed
+//! field fails the tests.
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-/// A member as others know it.
+/// The properties of a member, as it announces them to the others.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct MemberInfo {
-    /// Its name, the same after a restart.
+    /// The member's name, which stays the same after a restart.
     pub name: String,
-    /// Its zone.
+    /// The member's zone.
     pub zone: String,
-    /// Its region.
+    /// The member's region.
     pub region: String,
-    /// Where its peers reach it.
+    /// The address for packets and streams from other members.
     pub address: SocketAddr,
-    /// Grows with every start of its process.
+    /// The generation, which increases with each start of the member's process.
     pub generation: u64,
-    /// How often it rejoined, within this run of its process, after the others had declared it dead.
+    /// How often the member has rejoined after the others had declared it dead, since its process started.
     #[serde(rename = "returned")]
     pub rejoins: u32,
 }
 
-/// Packets that were rejected, by cause.
+/// The number of rejected packets, by cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct RejectionCounts {
-    /// Longer than any of the protocol.
+    /// Packets longer than the protocol allows.
     pub too_large: u64,
-    /// Too short, or with a body that cannot be decoded.
+    /// Packets that are too short, or whose body cannot be decoded.
     pub malformed: u64,
-    /// Not made with the cluster's key.
+    /// Packets that were not authenticated with the cluster's key.
     pub forged: u64,
-    /// Of another version.
+    /// Packets of another protocol version.
     pub other_version: u64,
 }
 
-/// One member's view.
+/// One member's view of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct MembershipView {
-    /// The member itself.
+    /// The member that responded.
     #[serde(rename = "own")]
     pub local_member: MemberInfo,
-    /// The other members that are up.
+    /// The other members that this member considers alive.
     pub members: Vec<MemberInfo>,
-    /// Its local health multiplier.
+    /// The member's local health multiplier.
     #[serde(rename = "doubt")]
     pub local_health_multiplier: u32,
-    /// How many pauses of its own process it has detected.
+    /// The number of pauses of its own process that the member has detected.
     #[serde(rename = "pauses")]
     pub detected_pauses: u64,
-    /// What it has rejected.
+    /// The packets that the member has rejected.
     pub rejected: RejectionCounts,
-    /// Packets received.
+    /// The number of packets received.
     pub packets_in: u64,
-    /// Packets sent.
+    /// The number of packets sent.
     pub packets_out: u64,
-    /// Bytes received.
+    /// The number of bytes received.
     pub bytes_in: u64,
-    /// Bytes sent.
+    /// The number of bytes sent.
     pub bytes_out: u64,
 }
 
 impl MembershipView {
-    /// Whether the member sees another of this name.
+    /// Whether the view lists another member with this name.
     pub fn contains(&self, name: &str) -> bool {
         self.members.iter().any(|member| member.name == name)
     }
