--- a/crates/system-call-faults/src/descriptors.rs
+++ b/crates/system-call-faults/src/descriptors.rs
@@ -62,7 +62,7 @@
 }
 
 /// Removes the state and the registration of a descriptor that is about to be closed.
-pub(crate) fn remove(descriptor: c_int) {
+pub(crate) fn untrack(descriptor: c_int) {
     if let Some(state) = state(descriptor)
         && state.swap(0, Ordering::Relaxed) != 0
     {
--- a/crates/system-call-faults/src/sockets.rs
+++ b/crates/system-call-faults/src/sockets.rs
@@ -154,7 +154,7 @@
 #[unsafe(no_mangle)]
 unsafe extern "C" fn close(descriptor: c_int) -> c_int {
     // Before the close, as another thread may reuse the descriptor immediately afterwards.
-    descriptors::remove(descriptor);
+    descriptors::untrack(descriptor);
     let original = original!(close: fn(c_int) -> c_int);
     // SAFETY: the caller's argument is passed on unchanged.
     unsafe { original(descriptor) }
