--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -6,7 +6,7 @@
 /// An action on the process of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessAction {
-    /// Stops the process, as SIGSTOP does; packets and connections to it wait.
+    /// Stops the process, as SIGSTOP does; packets and connections to it are queued until it resumes.
     Pause,
     /// Resumes a paused process, as SIGCONT does.
     Resume,
@@ -35,7 +35,7 @@
     },
     /// Sets the conditions of all links that are not blocked.
     SetConditions(LinkConditions),
-    /// Removes all blocks and restores the initial conditions of all links.
+    /// Removes all blocks and restores the initial conditions of all links. Does not affect processes.
     Heal,
     /// Pauses, resumes, kills or starts the process of a member.
     Process {
--- a/crates/fault-injection/src/link_conditions.rs
+++ b/crates/fault-injection/src/link_conditions.rs
@@ -9,12 +9,13 @@
 pub struct LinkConditions {
     /// The fraction of packets that are lost.
     pub loss_rate: f64,
-    /// The fraction of packets that arrive twice.
+    /// The fraction of packets, among those not lost, that arrive twice.
     pub duplication_rate: f64,
     /// The fraction of arriving copies with an [`extra_delay`](LinkConditions::extra_delay), so that
-    /// later packets overtake them.
+    /// later packets can overtake them.
     pub extra_delay_rate: f64,
-    /// The additional delay, which applies at the [`extra_delay_rate`](LinkConditions::extra_delay_rate).
+    /// The additional delay of the copies that [`extra_delay_rate`](LinkConditions::extra_delay_rate)
+    /// selects, on top of the delay between the minimum and the maximum.
     pub extra_delay: Duration,
     /// The minimum delay, inclusive.
     pub min_delay: Duration,
--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -11,17 +11,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkLinks {
     /// The conditions that [`Fault::Heal`] restores.
-    baseline: LinkConditions,
+    initial_conditions: LinkConditions,
     /// The current conditions of all links that are not blocked.
     pub conditions: LinkConditions,
-    /// The blocked directions, as pairs of sender and receiver. No packet passes them.
+    /// The pairs of sender and receiver between which all packets are blocked.
     pub blocked: HashSet<(usize, usize)>,
 }
 
 impl NetworkLinks {
     /// Creates links with these conditions and no blocks. [`Fault::Heal`] restores this state.
-    pub fn new(baseline: LinkConditions) -> NetworkLinks {
-        NetworkLinks { baseline, conditions: baseline, blocked: HashSet::new() }
+    pub fn new(initial_conditions: LinkConditions) -> NetworkLinks {
+        NetworkLinks { initial_conditions, conditions: initial_conditions, blocked: HashSet::new() }
     }
 
     /// Applies a network fault. Process faults are ignored; the caller applies them.
@@ -33,7 +33,7 @@
                 self.block(other, one);
             }
             Fault::SetConditions(conditions) => self.conditions = *conditions,
-            Fault::Heal => *self = NetworkLinks::new(self.baseline),
+            Fault::Heal => *self = NetworkLinks::new(self.initial_conditions),
             Fault::Process { .. } => {}
         }
     }
@@ -43,8 +43,8 @@
             .extend(from.iter().flat_map(|&sender| to.iter().map(move |&receiver| (sender, receiver))));
     }
 
-    /// Returns the delay of each copy of a packet that arrives: none if the packet is lost, two if it is
-    /// duplicated.
+    /// Returns the delay of each copy of a packet that arrives: none if the link is blocked or the
+    /// packet is lost, two if it is duplicated.
     pub fn delivery_delays(&self, from: usize, to: usize, rng: &mut impl Rng) -> [Option<Duration>; 2] {
         let conditions = &self.conditions;
         if self.blocked.contains(&(from, to)) || rng.random::<f64>() < conditions.loss_rate {
--- a/crates/fault-injection/src/plans.rs
+++ b/crates/fault-injection/src/plans.rs
@@ -6,12 +6,12 @@
 
 const START: Duration = Duration::ZERO;
 
-/// Kills a member.
+/// Returns a plan that kills a member.
 pub fn kill(member: usize) -> FaultPlan {
     FaultPlan::default().process_at(START, member, ProcessAction::Kill)
 }
 
-/// Pauses a member for a duration.
+/// Returns a plan that pauses a member for a duration.
 pub fn pause(member: usize, duration: Duration) -> FaultPlan {
     FaultPlan::default().process_at(START, member, ProcessAction::Pause).process_at(
         duration,
@@ -20,7 +20,7 @@
     )
 }
 
-/// Loses a fraction of the packets on all links and delays the others, for a duration.
+/// Returns a plan that loses a fraction of the packets on all links and delays the others, for a duration.
 pub fn lose_packets(
     loss_rate: f64,
     min_delay: Duration,
@@ -31,25 +31,25 @@
     FaultPlan::default().at(START, Fault::SetConditions(conditions)).at(duration, Fault::Heal)
 }
 
-/// Blocks all packets from one member to another, for a duration. All other links work.
+/// Returns a plan that blocks all packets from one member to another, for a duration. All other links work.
 pub fn block_one_way(from: usize, to: usize, duration: Duration) -> FaultPlan {
     let block = Fault::BlockOneWay { from: vec![from], to: vec![to] };
     FaultPlan::default().at(START, block).at(duration, Fault::Heal)
 }
 
-/// Partitions the members into two halves, for a duration.
+/// Returns a plan that partitions the members into two halves, for a duration.
 pub fn partition_in_halves(members: usize, duration: Duration) -> FaultPlan {
     let half = members / 2;
     let partition = Fault::Partition { one: (0..half).collect(), other: (half..members).collect() };
     FaultPlan::default().at(START, partition).at(duration, Fault::Heal)
 }
 
-/// Kills a member and starts it again after a downtime.
+/// Returns a plan that kills a member and starts it again after a downtime.
 pub fn restart(member: usize, downtime: Duration) -> FaultPlan {
     kill(member).process_at(downtime, member, ProcessAction::Start)
 }
 
-/// Starts all members except the seeds, and the seeds after a delay.
+/// Returns a plan that starts all members except the seeds, and the seeds after a delay.
 ///
 /// The seeds are the members with the lowest numbers, from 0 to `seeds - 1`.
 pub fn start_seeds_late(members: usize, seeds: usize, delay: Duration) -> FaultPlan {
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -72,12 +72,15 @@
     }
 }
 
-/// Decodes a message of any kind but `topology`.
+/// Decodes a message into the dispatcher's event, except `topology` messages, which [`endpoint_update`]
+/// decodes. Messages of kinds without an event are skipped as [`SkipReason::UnknownKind`].
 pub(crate) fn event(message: &Line<'_>, workers: &WorkerTable) -> Result<Event<'static>, HandleError> {
     match &*message.kind {
         "work_item" => Ok(Event::Request(incoming_request(message)?)),
         "answer" => Ok(Event::AttemptCompleted(attempt_outcome(message)?)),
         "progress" => attempt_progress(message, progress(message)?),
+        // The response has begun to stream to the client. That an attempt has started to run is `progress` of
+        // kind 1.
         "started" => attempt_progress(message, Progress::Streaming),
         "aborted" => Ok(Event::ClientDisconnected(request_id(message)?)),
         "bell" => timer_expired(message),
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -12,7 +12,7 @@
     pub(crate) node: &'a str,
     /// The worker names by worker id.
     pub(crate) workers: &'a WorkerTable,
-    /// Whether a rejection carries a Retry-After, in seconds.
+    /// Whether rejections carry a Retry-After (`retry_after_s` on the wire).
     pub(crate) sends_retry_after: bool,
 }
 
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -13,17 +13,18 @@
     /// Standard output cannot be written.
     #[error("cannot write standard output: {0}")]
     Write(#[source] io::Error),
-    /// An input line is invalid.
+    /// Handling the input failed: a line is invalid, the input ended inside a batch, or the reply cannot be
+    /// written.
     #[error("{position}: {source}")]
-    InvalidLine {
-        /// The position of the line.
+    HandlingFailed {
+        /// The position in the input.
         position: BatchPosition,
-        /// Why the line is invalid.
+        /// The cause.
         source: MessageError,
     },
 }
 
-/// The position of a line relative to the batches.
+/// The position in the input, relative to the batches.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum BatchPosition {
     /// Inside the batch with this turn number.
@@ -89,7 +90,7 @@
         mode: String,
     },
     /// The status of an endpoint is unknown.
-    #[error("unknown status {status:?}")]
+    #[error("topology with unknown status {status:?}")]
     UnknownStatus {
         /// The unknown status.
         status: String,
@@ -108,8 +109,9 @@
         /// The unknown kind.
         kind: String,
     },
-    /// The addressed instance has not been provisioned.
-    #[error("{kind} for unprovisioned {node:?} skipped")]
+    /// No instance with this name exists: it was never provisioned, its settings were rejected, or it was
+    /// stopped by `down`.
+    #[error("{kind} for unprovisioned instance {node:?} skipped")]
     NotProvisioned {
         /// The message's kind.
         kind: String,
@@ -117,7 +119,7 @@
         node: String,
     },
     /// The kind of progress is unknown.
-    #[error("progress of kind {kind} skipped")]
+    #[error("progress of unknown kind {kind} skipped")]
     UnknownProgress {
         /// The unknown kind.
         kind: u32,
@@ -126,7 +128,7 @@
     #[error("bell with an unknown cookie skipped")]
     UnknownTimer,
     /// A load query was answered for a worker that no endpoint update has listed.
-    #[error("probe of unknown {worker:?} skipped")]
+    #[error("checked for unknown worker {worker:?} skipped")]
     UnknownWorker {
         /// The worker's name.
         worker: String,
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Starts an instance and replaces an existing one of the same name. Reports settings that the dispatcher
-    /// rejects to the simulator as a `fault` message.
+    /// Starts an instance, which replaces an existing one of the same name. If the dispatcher rejects the
+    /// settings, reports this to the simulator as a `fault` message and keeps the existing instance.
     fn provision(
         &mut self,
         node: &str,
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -1,5 +1,5 @@
 //! The simulator's messages as they appear on the wire. serde includes the names of these types in its error
-//! messages (`expected struct Load`), so that the type names are part of the adapter's output.
+//! messages (`expected struct Load`), so the type names are part of the adapter's output.
 use std::borrow::Cow;
 
 use serde::Deserialize;
@@ -8,7 +8,8 @@
 use crate::error::MessageError;
 
 /// One line from the simulator: a message of any kind. All kinds share one flat struct: fields that a kind
-/// lacks are `None`, unknown fields are ignored, and strings are borrowed from the line where possible.
+/// lacks are `None`, unknown fields are ignored, and strings are borrowed from the line where possible. The
+/// field names are those on the wire.
 #[derive(Deserialize)]
 pub(crate) struct Line<'a> {
     /// The message's kind.
@@ -53,14 +54,14 @@
     pub(crate) expires_in_s: Option<f64>,
     /// The request's cost hint, in seconds.
     pub(crate) work_s: Option<f64>,
-    /// The number of an attempt.
+    /// The attempt's number, counted from 0 for each request.
     #[serde(rename = "try")]
     pub(crate) attempt: Option<u32>,
     /// The kind of an attempt's progress: 1 (started) or 2 (partly done).
     pub(crate) what: Option<u32>,
-    /// The completed share of an attempt's work.
+    /// The completed fraction of an attempt's work, from 0 to 1.
     pub(crate) level: Option<f64>,
-    /// Whether the request has finished with this attempt.
+    /// Whether the request has its final response, from this outcome or an earlier one.
     pub(crate) over: Option<bool>,
     /// The code of an outcome; `decode.rs` lists the codes.
     pub(crate) state_code: Option<u32>,
@@ -70,7 +71,7 @@
     pub(crate) load: Option<Load>,
 }
 
-/// One endpoint of a `topology` message.
+/// One endpoint of a `topology` message. The field names are those on the wire.
 #[derive(Deserialize)]
 pub(crate) struct Entry<'a> {
     /// The worker's name.
@@ -85,20 +86,20 @@
     /// The worker's state: `live`, `quiescing` (draining) or `dead` (removed).
     #[serde(borrow)]
     pub(crate) status: Cow<'a, str>,
-    /// The time of the worker's last start, in seconds.
+    /// The virtual time of the worker's last start, in seconds; absent or 0 means long ago.
     pub(crate) online_since_s: Option<f64>,
-    /// The worker's size.
+    /// The worker's size, a figure to compare with the sizes of other workers.
     pub(crate) nominal: Option<f64>,
 }
 
-/// A worker's load report.
+/// A worker's load report. The field names are those on the wire.
 #[derive(Deserialize)]
 pub(crate) struct Load {
-    /// The number of running attempts.
+    /// The number of attempts that the worker holds, queued or running.
     pub(crate) active: Option<f64>,
     /// The number of queued attempts.
     pub(crate) waiting: Option<f64>,
-    /// The worker's utilization.
+    /// The fraction of the worker's cores in use.
     pub(crate) cpu: Option<f64>,
     /// The request rate, per second.
     pub(crate) rps: Option<f64>,
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -16,8 +16,8 @@
 /// Handles batches of messages until the end of input.
 ///
 /// # Errors
-/// Fails if the input cannot be read, the output cannot be written, or a line is invalid; the error of an
-/// invalid line names its batch.
+/// Fails if the input cannot be read, the output cannot be written, a line is invalid, or the input ends
+/// inside a batch. Errors in handling the input name the batch.
 pub(crate) fn serve(mut input: impl BufRead, output: impl Write) -> Result<(), SessionError> {
     let mut session = Session::new(output);
     let mut line = Vec::new();
@@ -59,25 +59,25 @@
     }
 
     fn handle_line(&mut self, line: &[u8]) -> Result<(), SessionError> {
-        let message: Line<'_> =
-            serde_json::from_slice(line).map_err(|error| self.invalid(MessageError::Malformed(error)))?;
+        let message: Line<'_> = serde_json::from_slice(line)
+            .map_err(|error| self.handling_failed(MessageError::Malformed(error)))?;
         match (&*message.kind, self.open_batch) {
             ("batch", None) => self.begin_batch(&message),
-            ("batch", Some(_)) => Err(self.invalid(MessageError::NestedBatch)),
-            (kind, None) => Err(self.invalid(MessageError::OutsideBatch { kind: kind.to_owned() })),
+            ("batch", Some(_)) => Err(self.handling_failed(MessageError::NestedBatch)),
+            (kind, None) => Err(self.handling_failed(MessageError::OutsideBatch { kind: kind.to_owned() })),
             ("your_turn", Some(batch)) => self.end_batch(batch),
-            (_, Some(batch)) => self.handle_event(batch, &message),
+            (_, Some(batch)) => self.handle_message(batch, &message),
         }
     }
 
     fn begin_batch(&mut self, message: &Line<'_>) -> Result<(), SessionError> {
-        let turn = message.required(message.turn, "turn").map_err(|error| self.invalid(error))?;
-        let seconds = message.required(message.ts_s, "ts_s").map_err(|error| self.invalid(error))?;
+        let turn = message.required(message.turn, "turn").map_err(|error| self.handling_failed(error))?;
+        let seconds = message.required(message.ts_s, "ts_s").map_err(|error| self.handling_failed(error))?;
         self.open_batch = Some(Batch { turn, now: micros_from_seconds(seconds) });
         Ok(())
     }
 
-    /// Completes the reply to a batch and flushes the output, which is buffered until then.
+    /// Completes the reply to a batch and flushes the output, so that the simulator receives the whole reply.
     fn end_batch(&mut self, batch: Batch) -> Result<(), SessionError> {
         write_batch_end(&mut self.out, batch.turn).map_err(SessionError::Write)?;
         self.out.flush().map_err(SessionError::Write)?;
@@ -86,9 +86,9 @@
         Ok(())
     }
 
-    /// Passes an event to the addressed instance. A panic in the dispatcher affects only that instance: it is
-    /// reported to the simulator as a `fault` message, and the session continues.
-    fn handle_event(&mut self, batch: Batch, message: &Line<'_>) -> Result<(), SessionError> {
+    /// Passes a message to the addressed instance. A panic in the dispatcher affects only that instance: it
+    /// is reported to the simulator as a `fault` message, and the session continues.
+    fn handle_message(&mut self, batch: Batch, message: &Line<'_>) -> Result<(), SessionError> {
         let Session { instances, out, .. } = self;
         let handled = catch_unwind(AssertUnwindSafe(|| instances.handle(batch.now, message, out)));
         match handled {
@@ -97,7 +97,7 @@
                 eprintln!("{}: {reason}", self.position());
                 Ok(())
             }
-            Ok(Err(HandleError::Invalid(error))) => Err(self.invalid(error)),
+            Ok(Err(HandleError::Invalid(error))) => Err(self.handling_failed(error)),
             Err(_) => {
                 let node = message.node_id.as_deref().unwrap_or("");
                 write_fault(&mut self.out, node, "the decision module panicked").map_err(SessionError::Write)
@@ -109,7 +109,7 @@
     fn end(&self) -> Result<(), SessionError> {
         match self.open_batch {
             None => Ok(()),
-            Some(_) => Err(self.invalid(MessageError::UnexpectedEnd)),
+            Some(_) => Err(self.handling_failed(MessageError::UnexpectedEnd)),
         }
     }
 
@@ -120,7 +120,7 @@
         }
     }
 
-    fn invalid(&self, source: MessageError) -> SessionError {
-        SessionError::InvalidLine { position: self.position(), source }
+    fn handling_failed(&self, source: MessageError) -> SessionError {
+        SessionError::HandlingFailed { position: self.position(), source }
     }
 }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn unknown_keys_kinds_and_instances_are_skipped_and_reported() {
+fn unknown_kinds_and_instances_are_reported_and_unknown_keys_are_ignored() {
     let input = batch(
         4,
         1.0,
--- a/crates/system-call-faults/src/descriptors.rs
+++ b/crates/system-call-faults/src/descriptors.rs
@@ -17,8 +17,9 @@
 const KINDS: [SocketKind; 4] =
     [SocketKind::Client, SocketKind::Worker, SocketKind::Discovery, SocketKind::Membership];
 
-/// The state of each descriptor: 0, or a kind with the [`ENDED`] flag. Atomic rather than behind a lock, as a
-/// signal handler may write to a descriptor at any time.
+/// The state of each descriptor: 0 if it has no kind, or the number of its kind, plus the [`ENDED`] flag if
+/// an injected error has ended the connection. Atomic rather than behind a lock, as a signal handler may
+/// write to a descriptor at any time.
 static STATES: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(0) }; MAX_DESCRIPTORS];
 
 /// The registration of a socket with an epoll instance.
@@ -83,7 +84,7 @@
 /// Re-arms the epoll registration of a socket after a short transfer, so that epoll reports the socket again.
 ///
 /// A program may wait for the next event after a short transfer. Without re-arming, an edge-triggered epoll
-/// would not report the remaining bytes, which are ready already.
+/// would not report the socket again, as its readiness does not change.
 pub(crate) fn rearm_epoll(descriptor: c_int) {
     let registration = with_registrations(|registrations| registrations.get(&descriptor).copied());
     let Some(Registration { epoll, mut event }) = registration else { return };
--- a/crates/system-call-faults/src/errno.rs
+++ b/crates/system-call-faults/src/errno.rs
@@ -35,7 +35,7 @@
     ("EXDEV", libc::EXDEV),
 ];
 
-/// An error number of a plan.
+/// An error number of the C library.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Errno(pub(crate) c_int);
 
--- a/crates/system-call-faults/src/files.rs
+++ b/crates/system-call-faults/src/files.rs
@@ -21,22 +21,21 @@
     std::fs::read_link(format!("/proc/self/fd/{descriptor}")).ok()
 }
 
-/// Injects a failure into a call on an open file if the plan selects one. Returns whether it did; `errno` is
-/// then set.
+/// Injects a failure into a call on an open file if the plan selects the call: sets `errno` and returns
+/// `true`.
 fn inject_failure(descriptor: c_int, call: Call) -> bool {
     let Some(Fault::Fail(errno)) = next_fault(descriptor, call) else { return false };
     errno.set();
     true
 }
 
-/// Injects a failure into a call on a path if the plan selects one. Returns whether it did; `errno` is then
-/// set.
+/// Injects a failure into a call on a path if the plan selects the call: sets `errno` and returns `true`.
 ///
 /// # Safety
 /// The path must be null or a valid C string.
 unsafe fn inject_path_failure(path: *const c_char, call: Call) -> bool {
     let Some(injector) = injector_for(call).filter(|_| !path.is_null()) else { return false };
-    // SAFETY: the path is not null, so that the caller passes a valid C string.
+    // SAFETY: the path is not null, so the caller passes a valid C string.
     let Ok(path) = unsafe { CStr::from_ptr(path) }.to_str() else { return false };
     let Some(Fault::Fail(errno)) = injector.next_fault(call, Target::File(path)) else { return false };
     errno.set();
@@ -101,7 +100,8 @@
     unsafe { original(descriptor, length) }
 }
 
-/// Interposes `rename` of the C library.
+/// Interposes `rename` of the C library. Rules see one call for each of the two paths, in order, until one
+/// fails.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
--- a/crates/system-call-faults/src/sockets.rs
+++ b/crates/system-call-faults/src/sockets.rs
@@ -30,7 +30,7 @@
 /// # Safety
 /// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
-unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
+unsafe extern "C" fn socket(domain: c_int, socket_type: c_int, protocol: c_int) -> c_int {
     let injector = injector_for(Call::Socket).filter(|_| domain == libc::AF_INET);
     if let Some(Fault::Fail(errno)) =
         injector.and_then(|injector| injector.next_fault(Call::Socket, Target::Unspecific))
@@ -39,10 +39,10 @@
     }
     let original = original!(socket: fn(c_int, c_int, c_int) -> c_int);
     // SAFETY: the caller's arguments are passed on unchanged.
-    unsafe { original(domain, kind, protocol) }
+    unsafe { original(domain, socket_type, protocol) }
 }
 
-/// Interposes `bind` of the C library.
+/// Interposes `bind` of the C library to assign the socket the kind of its address.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -60,7 +60,7 @@
     unsafe { original(descriptor, address, length) }
 }
 
-/// Interposes `connect` of the C library.
+/// Interposes `connect` of the C library to inject faults and assign the socket the kind of its peer.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -80,7 +80,7 @@
     unsafe { original(descriptor, address, length) }
 }
 
-/// Interposes `getsockopt` of the C library.
+/// Interposes `getsockopt` of the C library to inject faults into [`Call::ConnectCompletion`].
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -99,7 +99,7 @@
         return result;
     }
     let error = value.cast::<c_int>();
-    // SAFETY: the call succeeded, so that the value is valid; the value of this option is an integer.
+    // SAFETY: the call succeeded, so the value is valid; the value of this option is an integer.
     let is_connected = unsafe { error.read_unaligned() } == 0;
     if let Some(injector) = injector_for(Call::ConnectCompletion).filter(|_| is_connected)
         && let Some(kind) = descriptors::kind(descriptor)
@@ -112,7 +112,8 @@
     result
 }
 
-/// Interposes `accept4` of the C library.
+/// Interposes `accept4` of the C library to inject faults and assign the accepted socket the kind of its
+/// listener.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -147,7 +148,7 @@
     flags & libc::O_NONBLOCK == 0 || unsafe { libc::poll(&raw mut poll, 1, 0) } != 0
 }
 
-/// Interposes `close` of the C library.
+/// Interposes `close` of the C library to remove the descriptor's state.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -160,7 +161,7 @@
     unsafe { original(descriptor) }
 }
 
-/// Interposes `epoll_ctl` of the C library.
+/// Interposes `epoll_ctl` of the C library to record registrations for re-arming.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
--- a/crates/system-call-faults/src/transfers.rs
+++ b/crates/system-call-faults/src/transfers.rs
@@ -46,13 +46,13 @@
 }
 
 fn is_stream(descriptor: c_int) -> bool {
-    let mut kind: c_int = 0;
+    let mut socket_type: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
     let getsockopt = original!(getsockopt: fn(c_int, c_int, c_int, *mut c_void, *mut socklen_t) -> c_int);
-    let value = (&raw mut kind).cast();
+    let value = (&raw mut socket_type).cast();
     // SAFETY: the value is valid for its length.
     let result = unsafe { getsockopt(descriptor, libc::SOL_SOCKET, libc::SO_TYPE, value, &raw mut length) };
-    result == 0 && kind == libc::SOCK_STREAM
+    result == 0 && socket_type == libc::SOCK_STREAM
 }
 
 /// Carries out a transfer with a single buffer. `original` takes the number of bytes that it may transfer.
--- a/crates/test-harness/src/address_block.rs
+++ b/crates/test-harness/src/address_block.rs
@@ -1,7 +1,7 @@
 //! Address blocks: each fleet has 256 loopback addresses of its own.
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 
-/// Last octet of the address whose claim port locks the block.
+/// Last octet of the address to which the socket that locks a block is bound.
 const CLAIM_HOST: u8 = 251;
 /// Port of the socket that locks a block, below the system's ephemeral ports. All fleets use the same port,
 /// so that only one can bind it in each block.
--- a/crates/test-harness/src/config.rs
+++ b/crates/test-harness/src/config.rs
@@ -20,13 +20,14 @@
     pub probe_interval: Duration,
     /// The time within which a direct probe must be answered.
     pub probe_timeout: Duration,
-    /// The duration of a suspicion, in probe intervals.
+    /// The duration of a suspicion, in probe intervals. Above 10 members, it is multiplied by the base-10
+    /// logarithm of their number.
     pub suspicion_multiplier: f64,
 }
 
 impl FleetConfig {
     /// Creates a configuration with the first member as the seed, a probe interval of 200 ms, a probe timeout
-    /// of 80 ms and a suspicion of 5 probe intervals.
+    /// of 80 ms and a suspicion multiplier of 5.
     pub fn new(program: impl Into<PathBuf>, members: usize) -> FleetConfig {
         FleetConfig {
             program: program.into(),
@@ -40,7 +41,7 @@
     }
 }
 
-/// The settings that differ between the members' configuration files.
+/// The settings of a member's configuration file that [`FleetConfig`] does not hold.
 pub(crate) struct MemberConfig<'a> {
     pub(crate) number: usize,
     pub(crate) name: String,
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -22,26 +22,27 @@
 
 pub use waits::ObservedView;
 
-/// Maximum number of members. It fits into an address block, and more processes would overload a machine.
+/// Maximum number of members. An address block has addresses for this many, and more processes would overload
+/// a machine.
 const MAX_MEMBERS: usize = 200;
 /// Number of threads that run the relays and the HTTP client.
-const WORKER_THREADS: usize = 2;
+const RUNTIME_THREADS: usize = 2;
 /// Maximum time until all members of a new fleet see each other.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A member's addresses, and its process unless it is stopped.
-struct MemberSlot {
+/// A member's addresses, and its process while it runs or is paused.
+struct FleetMember {
     http_address: SocketAddr,
     membership_address: SocketAddr,
-    /// The address of the member's relay, which it advertises to the other members.
+    /// The address of the member's relay. The member advertises this address to the other members.
     relay_address: SocketAddr,
     process: Option<SchedulerProcess>,
     is_paused: bool,
 }
 
-impl MemberSlot {
+impl FleetMember {
     /// Binds a member's relay and spawns the relay's tasks, which end with the runtime.
-    fn new(network: &Arc<FaultyNetwork>, member: usize, runtime: &Runtime) -> MemberSlot {
+    fn new(network: &Arc<FaultyNetwork>, member: usize, runtime: &Runtime) -> FleetMember {
         let sockets = network.addresses.bind_relay();
         // These ports stay free until the process starts or restarts: no other fleet uses this address block,
         // and the system assigns ephemeral ports from a higher range.
@@ -50,7 +51,7 @@
         runtime.spawn(relay::relay_packets(Arc::clone(network), member, sockets.udp, membership_address));
         runtime.spawn(relay::relay_streams(Arc::clone(network), member, sockets.tcp, membership_address));
         let relay_address = sockets.address;
-        MemberSlot { http_address, membership_address, relay_address, process: None, is_paused: false }
+        FleetMember { http_address, membership_address, relay_address, process: None, is_paused: false }
     }
 
     /// Whether the process runs and is not paused.
@@ -64,7 +65,7 @@
 pub struct Fleet {
     config: FleetConfig,
     // Declared, and so dropped, before the directory and the runtime, so that the processes end first.
-    slots: Vec<MemberSlot>,
+    fleet_members: Vec<FleetMember>,
     network: Arc<FaultyNetwork>,
     client: MembershipClient,
     directory: TempDir,
@@ -94,12 +95,14 @@
         );
         let mut builder = tokio::runtime::Builder::new_multi_thread();
         let runtime =
-            builder.worker_threads(WORKER_THREADS).enable_all().build().expect("the runtime can be built");
+            builder.worker_threads(RUNTIME_THREADS).enable_all().build().expect("the runtime can be built");
         let links = NetworkLinks::new(LinkConditions::IDEAL);
         let network = Arc::new(FaultyNetwork::new(AddressBlock::claim(), links, config.seed));
-        let slots = (0..config.members).map(|member| MemberSlot::new(&network, member, &runtime)).collect();
+        let fleet_members =
+            (0..config.members).map(|member| FleetMember::new(&network, member, &runtime)).collect();
         let directory = create_directory();
-        let fleet = Fleet { config, slots, network, client: MembershipClient::new(), directory, runtime };
+        let fleet =
+            Fleet { config, fleet_members, network, client: MembershipClient::new(), directory, runtime };
         std::fs::write(fleet.key_path(), "a key for the tests alone\n").expect("the key file can be written");
         fleet
     }
@@ -110,7 +113,7 @@
     /// Panics as [`Fleet::new`] and [`Fleet::start`] do, or if the members do not see each other within 30 s.
     pub fn start_joined(config: FleetConfig) -> Fleet {
         let mut fleet = Fleet::new(config);
-        (0..fleet.slots.len()).for_each(|member| fleet.start(member));
+        (0..fleet.fleet_members.len()).for_each(|member| fleet.start(member));
         fleet.wait_for_full_membership(JOIN_TIMEOUT, "at the start");
         fleet
     }
@@ -120,14 +123,15 @@
         format!("n{member}")
     }
 
-    /// Returns the address at which a member receives packets of other members, bypassing its relay.
+    /// Returns a member's own address for packets and streams. What is sent to it directly bypasses the
+    /// relay.
     pub fn membership_address(&self, member: usize) -> SocketAddr {
-        self.slots[member].membership_address
+        self.fleet_members[member].membership_address
     }
 
     /// Returns the address of a member's relay, which the other members use.
     pub fn relay_address(&self, member: usize) -> SocketAddr {
-        self.slots[member].relay_address
+        self.fleet_members[member].relay_address
     }
 
     /// Starts a member's process. If one is running, kills it first.
@@ -142,21 +146,21 @@
             .append(true)
             .open(self.log_path(member))
             .expect("the log file can be opened");
-        let slot = &mut self.slots[member];
+        let fleet_member = &mut self.fleet_members[member];
         // The old process must end before the new one binds the same ports.
-        slot.process = None;
-        slot.process = Some(SchedulerProcess::start(&self.config.program, &path, log));
-        slot.is_paused = false;
+        fleet_member.process = None;
+        fleet_member.process = Some(SchedulerProcess::start(&self.config.program, &path, log));
+        fleet_member.is_paused = false;
     }
 
     fn config_toml(&self, member: usize) -> String {
-        let slot = &self.slots[member];
+        let fleet_member = &self.fleet_members[member];
         let config = MemberConfig {
             number: member,
             name: Fleet::member_name(member),
-            http_address: slot.http_address,
-            membership_address: slot.membership_address,
-            relay_address: slot.relay_address,
+            http_address: fleet_member.http_address,
+            membership_address: fleet_member.membership_address,
+            relay_address: fleet_member.relay_address,
             seed_addresses: self.config.seeds.iter().map(|&seed| self.relay_address(seed)).collect(),
             key_file: &self.key_path(),
         };
@@ -184,19 +188,19 @@
     }
 
     fn apply_process_action(&mut self, member: usize, action: ProcessAction) {
-        let is_running = self.slots[member].process.is_some();
+        let is_running = self.fleet_members[member].process.is_some();
         assert!(
             action == ProcessAction::Start || is_running,
             "cannot apply {action:?}: member {member} is not running"
         );
         match action {
             ProcessAction::Start => self.start(member),
-            ProcessAction::Kill => self.slots[member].process = None,
+            ProcessAction::Kill => self.fleet_members[member].process = None,
             ProcessAction::Pause | ProcessAction::Resume => {
-                let slot = &mut self.slots[member];
-                slot.is_paused = action == ProcessAction::Pause;
-                if let Some(process) = &slot.process {
-                    if slot.is_paused { process.pause() } else { process.resume() }
+                let fleet_member = &mut self.fleet_members[member];
+                fleet_member.is_paused = action == ProcessAction::Pause;
+                if let Some(process) = &fleet_member.process {
+                    if fleet_member.is_paused { process.pause() } else { process.resume() }
                 }
             }
         }
@@ -219,11 +223,11 @@
     /// # Errors
     /// Returns a [`ViewError`] if the member does not respond, or does not respond with a valid view.
     pub fn view(&self, member: usize) -> Result<MembershipView, ViewError> {
-        self.runtime.block_on(self.client.fetch_view(self.slots[member].http_address))
+        self.runtime.block_on(self.client.fetch_view(self.fleet_members[member].http_address))
     }
 
     /// Returns the numbers of the members whose processes run and are not paused.
     pub fn running_members(&self) -> Vec<usize> {
-        (0..self.slots.len()).filter(|&member| self.slots[member].is_active()).collect()
+        (0..self.fleet_members.len()).filter(|&member| self.fleet_members[member].is_active()).collect()
     }
 }
--- a/crates/test-harness/src/fleet/waits.rs
+++ b/crates/test-harness/src/fleet/waits.rs
@@ -1,7 +1,7 @@
 //! Waits until the members' views meet a condition, with a timeout.
 use std::time::{Duration, Instant};
 
-use super::{Fleet, MemberSlot};
+use super::{Fleet, FleetMember};
 use crate::client::ViewError;
 use crate::process::SchedulerProcess;
 use crate::view::MembershipView;
@@ -28,28 +28,28 @@
 
 impl Fleet {
     /// Waits until a condition holds for the views of all members that run and are not paused. Returns the
-    /// time that this took. `condition` describes the condition in a failure message.
+    /// time that this took. `description` describes the condition in a failure message.
     ///
     /// # Panics
     /// Panics if the condition does not hold within the timeout, or if a process exits by itself.
     pub fn wait_until(
         &mut self,
         timeout: Duration,
-        condition: &str,
-        is_reached: impl Fn(&[ObservedView]) -> bool,
+        description: &str,
+        holds: impl Fn(&[ObservedView]) -> bool,
     ) -> Duration {
         let start = Instant::now();
         loop {
             let responses = self.fetch_views();
-            if all_views(&responses).is_some_and(|views| is_reached(&views)) {
+            if all_views(&responses).is_some_and(|views| holds(&views)) {
                 return start.elapsed();
             }
             if let Some(member) = self.exited_member() {
                 let (name, log) = (Fleet::member_name(member), self.log_tail(member));
-                panic!("{name} exited by itself while waiting for: {condition}\n{log}");
+                panic!("{name} exited by itself while waiting for: {description}\n{log}");
             }
             if start.elapsed() > timeout {
-                panic!("condition not met within {timeout:?}: {condition}\n{}", self.describe(&responses));
+                panic!("condition not met within {timeout:?}: {description}\n{}", self.describe(&responses));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
@@ -62,8 +62,8 @@
     /// Panics as [`Fleet::wait_until`] does.
     pub fn wait_for_full_membership(&mut self, timeout: Duration, when: &str) -> Duration {
         let running: Vec<_> = self.running_members().into_iter().map(Fleet::member_name).collect();
-        let condition = format!("{when}, each of {running:?} sees exactly the others");
-        self.wait_until(timeout, &condition, |views| {
+        let description = format!("{when}, each of {running:?} sees exactly the others");
+        self.wait_until(timeout, &description, |views| {
             views.iter().all(|ObservedView { member, view }| {
                 let own_name = Fleet::member_name(*member);
                 view.members.len() + 1 == running.len()
@@ -78,12 +78,13 @@
     }
 
     fn exited_member(&mut self) -> Option<usize> {
-        let has_exited =
-            |slot: &mut MemberSlot| slot.process.as_mut().is_some_and(SchedulerProcess::has_exited);
-        self.slots.iter_mut().position(has_exited)
+        let has_exited = |fleet_member: &mut FleetMember| {
+            fleet_member.process.as_mut().is_some_and(SchedulerProcess::has_exited)
+        };
+        self.fleet_members.iter_mut().position(has_exited)
     }
 
-    /// Formats the responses of all members, and the last lines of their logs.
+    /// Formats the given responses, and the last lines of the logs of these members.
     fn describe(&self, responses: &[ViewResponse]) -> String {
         let describe_one = |response: &ViewResponse| {
             let view = match &response.view {
@@ -104,7 +105,7 @@
     }
 }
 
-/// Returns the views if all members responded with one, and `None` otherwise.
+/// Returns the views if each response holds one, and `None` otherwise.
 fn all_views(responses: &[ViewResponse]) -> Option<Vec<ObservedView>> {
     let observed = |response: &ViewResponse| {
         let view = response.view.as_ref().ok()?.clone();
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -12,7 +12,8 @@
 //!    therefore run side by side, and a member's ports are still free when its process restarts.
 //! 2. The faults are those of `copperspread-fault-injection`; the testbed executes the same plans in
 //!    virtual time.
-//! 3. Every wait polls until a timeout, and a failure reports the condition, the last responses and the logs.
+//! 3. Every wait polls until its condition holds, at most until a timeout. A failure reports the condition,
+//!    the last responses and the logs.
 //!
 //! The crate does not link the scheduler: it takes the path of the program as an argument. As test support,
 //! it panics to fail a test.
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -15,6 +15,7 @@
     /// Panics if the program cannot be started.
     pub(crate) fn start(program: &Path, config: &Path, log: File) -> SchedulerProcess {
         let mut command = Command::new(program);
+        // The variable names the platform's configuration file, which must not take effect in tests.
         command.args(["serve", "--config"]).arg(config).env_remove("EDGE_CONFIG");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         SchedulerProcess(
@@ -31,7 +32,7 @@
     }
 
     fn signal(&self, signal: Signal) {
-        // The child has not been waited for, so that its process id cannot be reused, even if it has exited.
+        // The child has not been waited for, so its process id cannot be reused, even if it has exited.
         kill_process(Pid::from_child(&self.0), signal).expect("the child process can be signalled");
     }
 
--- a/crates/test-harness/src/relay.rs
+++ b/crates/test-harness/src/relay.rs
@@ -15,13 +15,13 @@
 
 /// Time after which a lost chunk of a stream, or one on a blocked link, is retried.
 const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(100);
-/// Size of the receive buffer, which holds any UDP datagram.
+/// Size of the receive buffer, large enough for any UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 /// Maximum size of a stream chunk. The faults of a link apply to each chunk separately.
 const STREAM_CHUNK_BYTES: usize = 1_400;
 
 /// The network links between all members of a fleet. The fleet applies faults to them, and the relay tasks
-/// query the delivery of each packet.
+/// ask it for the delivery delays of each packet.
 pub(crate) struct FaultyNetwork {
     pub(crate) addresses: AddressBlock,
     state: Mutex<NetworkState>,
@@ -51,7 +51,8 @@
         links.delivery_delays(from, to, rng)
     }
 
-    /// Waits until a chunk of a stream is delivered. Lost chunks, and chunks on a blocked link, are retried.
+    /// Waits until the link lets a stream's chunk, opening or end through, and for its delay. If it is lost
+    /// or the link is blocked, tries again after [`RETRANSMIT_INTERVAL`].
     async fn wait_for_delivery(&self, from: usize, to: usize) {
         loop {
             match self.delivery_delays(from, to)[0] {
--- a/crates/test-harness/src/view.rs
+++ b/crates/test-harness/src/view.rs
@@ -1,7 +1,7 @@
 //! A member's view of the membership: the response to `GET /-/cluster`, as JSON.
 //!
 //! `copperspread-membership-transport` defines equivalent types to write this response. The duplication is
-//! intentional: the harness reads the response independently of the code that writes it, so that a renamed
+//! intentional: the harness reads the response independently of the code that writes it, so a renamed
 //! field fails the tests.
 use std::net::SocketAddr;
 
@@ -46,7 +46,7 @@
     pub local_member: MemberInfo,
     /// The other members that this member considers alive.
     pub members: Vec<MemberInfo>,
-    /// The member's local health multiplier.
+    /// Lifeguard's local health multiplier of the member, from 0 (healthy) to 8.
     #[serde(rename = "doubt")]
     pub local_health_multiplier: u32,
     /// The number of pauses of its own process that the member has detected.
