--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -1,4 +1,6 @@
-//! Draws when each job arrives and what it is. An open loop: it does not depend on what the schedulers do.
+//! Arrivals of jobs, drawn from a seed or read from a recorded trace.
+//!
+//! The load is open-loop: arrivals do not depend on the schedulers.
 use copperspread_dispatcher::Micros;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Exp1, LogNormal};
@@ -8,52 +10,52 @@
 use crate::model::worker::OfferedJob;
 use crate::scenario::{Fault, FaultKind, JobClass, Scenario, WorkDistribution, micros_from_seconds};
 
-/// The fraction of a class's jobs that a heavy tail makes longer.
+/// Fraction of a class's jobs that a heavy-tail fault makes longer.
 const HEAVY_TAIL_FRACTION: f64 = 0.01;
-/// How many times longer those jobs are.
+/// Factor by which a heavy-tail fault multiplies the work of those jobs.
 const HEAVY_TAIL_FACTOR: f64 = 20.0;
 
-/// A client's job, over all requests that the client sends for it.
+/// The arrival of a client's job, which comprises the first request and its retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When the first request is sent.
+    /// Time of the first request, in microseconds from the start of the run.
     pub at: Micros,
-    /// The job's class.
+    /// Index of the job's class.
     pub class: u32,
-    /// Its work, in seconds at speed 1.
+    /// Work of the job, in seconds on a core of speed 1.
     pub work: f64,
-    /// Its slots.
+    /// Slots that the job occupies while it runs.
     pub slots: f64,
-    /// The memory that it uses while it runs, in megabytes.
+    /// Memory that the job uses while it runs, in megabytes.
     pub memory: f64,
-    /// The hint of its work, in seconds.
+    /// Cost hint that the client sends, in seconds of work.
     pub cost_hint: Option<f64>,
-    /// The scheduler that the first request goes to.
+    /// Scheduler to which the first request is sent.
     pub scheduler: SchedulerId,
 }
 
 impl Arrival {
-    /// The job as an attempt offers it to a worker.
+    /// Converts the job to the form that an attempt offers to a worker.
     pub fn to_offered_job(&self, attempt: u64, class_spec: &JobClass) -> OfferedJob {
         let Arrival { class, work, slots, memory, .. } = *self;
         OfferedJob { attempt, class, work, slots, memory, weight: class_spec.priority_weight }
     }
 }
 
-/// The stream of arrivals, in order of time.
+/// Iterator over a run's arrivals, in order of time.
 pub struct Arrivals<'a> {
     scenario: &'a Scenario,
     random: RandomStream,
-    /// The time of the last arrival, in seconds.
+    /// Time of the last arrival, in seconds.
     last_at: f64,
-    /// The classes' shares, added up.
+    /// Running sums of the classes' shares.
     cumulative_shares: Vec<f64>,
-    /// The position of the next job of a recorded trace.
+    /// Index of the next job in the recorded trace.
     next_recorded: usize,
 }
 
 impl<'a> Arrivals<'a> {
-    /// A scenario's arrivals under a seed.
+    /// Creates a scenario's arrivals from a seed.
     pub fn new(scenario: &'a Scenario, seed: u64) -> Arrivals<'a> {
         let mut sum = 0.0;
         let cumulative = scenario.classes.iter().map(|class| {
@@ -65,7 +67,7 @@
         Arrivals { scenario, random, last_at: 0.0, cumulative_shares, next_recorded: 0 }
     }
 
-    /// The next job of the recorded trace.
+    /// Returns the next job of the recorded trace, unless it arrives after the scenario's duration.
     fn next_recorded_arrival(&mut self) -> Option<Arrival> {
         let recorded = self.scenario.clients.trace.get(self.next_recorded)?;
         self.next_recorded += 1;
@@ -82,10 +84,10 @@
         (recorded.arrives_at_s < self.scenario.duration_s).then_some(arrival)
     }
 
-    /// Draws the next job. The order of the draws is part of what a seed means.
+    /// Draws the next job. A change in the order of the draws would change the arrivals of every seed.
     fn draw_arrival(&mut self) -> Option<Arrival> {
         let scenario = self.scenario;
-        // The rate at the last arrival serves for the whole gap: changes of rate last for many gaps.
+        // The rate at the last arrival is used for the whole gap, as rate changes last for many gaps.
         let gap: f64 = Exp1.sample(&mut self.random);
         self.last_at += gap / (scenario.clients.rate_per_s * self.rate_factor(self.last_at));
         if self.last_at >= scenario.duration_s {
@@ -101,7 +103,7 @@
         let scheduler = self.draw_scheduler();
         let cost_hint = scenario.clients.hint_error_sigma.map(|_| work * hint_error);
         if is_heavy && self.has_heavy_tail(class_index as u32) {
-            // The hint does not foresee it.
+            // The cost hint, computed above, leaves the factor out.
             work *= HEAVY_TAIL_FACTOR;
         }
         let at = micros_from_seconds(self.last_at);
@@ -118,7 +120,7 @@
             WorkDistribution::Constant => class.mean_work,
             WorkDistribution::Exponential => Exp::new(1.0 / class.mean_work)
                 .map_or(class.mean_work, |distribution| distribution.sample(&mut self.random)),
-            // The location makes the mean the class's.
+            // With this location, the mean of the distribution is that of the class.
             WorkDistribution::LogNormal(sigma) => {
                 self.draw_log_normal(class.mean_work.ln() - sigma * sigma / 2.0, sigma, class.mean_work)
             }
@@ -140,33 +142,32 @@
         if sigma <= 0.0 {
             return memory;
         }
-        // The location keeps the mean the class's.
+        // With this location, the factor has mean 1 and keeps the mean of the class.
         memory * self.draw_log_normal(-sigma * sigma / 2.0, sigma, 1.0)
     }
 
-    /// Draws from a log-normal distribution; `default` for parameters that have none.
+    /// Draws from a log-normal distribution; returns `default` if the parameters are invalid.
     fn draw_log_normal(&mut self, location: f64, sigma: f64, default: f64) -> f64 {
         LogNormal::new(location, sigma).map_or(default, |distribution| distribution.sample(&mut self.random))
     }
 
-    /// Draws the scheduler that a client's first request goes to.
+    /// Draws the scheduler to which a client's first request is sent.
     fn draw_scheduler(&mut self) -> SchedulerId {
         let schedulers = self.scenario.schedulers;
-        let Some(crowded) = self.scenario.clients.skew else {
+        let Some(skew) = self.scenario.clients.skew else {
             return SchedulerId(self.random.random_range(0..schedulers));
         };
-        let crowded_weight = f64::from(crowded.schedulers) * crowded.factor;
-        let draw =
-            self.random.random::<f64>() * (crowded_weight + f64::from(schedulers - crowded.schedulers));
-        let position = if draw < crowded_weight {
-            draw / crowded.factor
+        let skewed_weight = f64::from(skew.schedulers) * skew.factor;
+        let draw = self.random.random::<f64>() * (skewed_weight + f64::from(schedulers - skew.schedulers));
+        let position = if draw < skewed_weight {
+            draw / skew.factor
         } else {
-            draw - crowded_weight + f64::from(crowded.schedulers)
+            draw - skewed_weight + f64::from(skew.schedulers)
         };
         SchedulerId((position as u32).min(schedulers - 1))
     }
 
-    /// How many times the usual rate jobs arrive at a time, in seconds.
+    /// Returns the factor by which active faults change the arrival rate at a time in seconds.
     fn rate_factor(&self, at: f64) -> f64 {
         let factor = |fault: &Fault| match fault.kind {
             FaultKind::Burst(factor) if is_active(fault, at) => factor,
@@ -179,9 +180,9 @@
     }
 
     fn has_heavy_tail(&self, class: u32) -> bool {
-        let makes_tail =
+        let affects_class =
             |fault: &Fault| fault.kind == FaultKind::HeavyTail(class) && is_active(fault, self.last_at);
-        self.scenario.faults.iter().any(makes_tail)
+        self.scenario.faults.iter().any(affects_class)
     }
 }
 
@@ -197,17 +198,17 @@
     }
 }
 
-/// Whether a fault is in force at a time, in seconds.
+/// Returns whether a fault is active at a time in seconds.
 fn is_active(fault: &Fault, at: f64) -> bool {
     (fault.starts_at_s..fault.starts_at_s + fault.duration_s).contains(&at)
 }
 
-/// The slots of a job among `[slots, weight]` pairs, by a number drawn evenly from 0 to 1.
+/// Selects a job's slots from `[slots, weight]` pairs by a `draw` uniform in `0..1`.
 fn slots_at(choices: &[[f64; 2]], draw: f64) -> f64 {
-    let mut left = draw * choices.iter().map(|[_, weight]| weight).sum::<f64>();
+    let mut remaining_weight = draw * choices.iter().map(|[_, weight]| weight).sum::<f64>();
     let position = choices.iter().position(|[_, weight]| {
-        left -= weight;
-        left < 0.0
+        remaining_weight -= weight;
+        remaining_weight < 0.0
     });
     position.or(choices.len().checked_sub(1)).map_or(1.0, |position| choices[position][0])
 }
--- a/crates/testbed/src/model/connection_faults.rs
+++ b/crates/testbed/src/model/connection_faults.rs
@@ -1,40 +1,40 @@
-//! Decides how the faults of a worker's connections end a delivery, apart from the worker itself.
+//! Faults of a worker's connections, which act on deliveries before the worker itself does.
 use copperspread_dispatcher::Micros;
 
 use crate::scenario::{FaultKind, micros_from_seconds};
 
-/// The faults of one worker's connections.
+/// Active faults of one worker's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConnectionFaults {
-    /// The fraction of deliveries whose connection breaks, half of them after the job was taken.
+    /// Fraction of deliveries whose connection breaks, half of them after the worker has accepted the job.
     pub reset_fraction: f64,
-    /// The fraction of deliveries that get a response that is not HTTP; those jobs never run.
+    /// Fraction of deliveries that get a response that is not HTTP; those jobs never run.
     pub invalid_response_fraction: f64,
-    /// The fraction of deliveries that get an immediate error; those jobs never run.
+    /// Fraction of deliveries that get an immediate error; those jobs never run.
     pub error_fraction: f64,
-    /// Callbacks are delayed by this.
+    /// Additional delay of callbacks.
     pub callback_delay: Micros,
-    /// Callbacks come twice.
+    /// Whether callbacks are sent twice.
     pub duplicates_callbacks: bool,
 }
 
-/// What happens to a delivery.
+/// The effect of connection faults on a delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryResult {
-    /// It reaches the worker.
+    /// The delivery reaches the worker.
     Delivered,
-    /// The connection breaks before the job is taken.
+    /// The connection breaks before the worker accepts the job.
     ResetBeforeTaken,
-    /// The connection breaks during the response; the job is taken.
+    /// The connection breaks during the response; the worker has accepted the job.
     ResetAfterTaken,
-    /// The response is not HTTP; the job is not taken.
+    /// The response is not HTTP; the worker does not accept the job.
     InvalidResponse,
-    /// The worker responds with an error at once.
+    /// The worker responds with an error at once; the job does not run.
     ImmediateError,
 }
 
 impl ConnectionFaults {
-    /// Applies the start or the end of a fault; whether it was one of connections.
+    /// Applies the start or the end of a fault, and returns whether it is a connection fault.
     pub fn apply_fault(&mut self, fault: FaultKind, is_start: bool) -> bool {
         let if_active = |value: f64| if is_start { value } else { 0.0 };
         match fault {
@@ -48,7 +48,7 @@
         true
     }
 
-    /// What happens to a delivery, by a number drawn evenly from 0 to 1.
+    /// Returns the effect on a delivery for a `draw` uniform in `0..1`.
     pub fn delivery_result(&self, draw: f64) -> DeliveryResult {
         if draw < self.reset_fraction / 2.0 {
             DeliveryResult::ResetBeforeTaken
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -1,5 +1,6 @@
-//! Generates a scenario's workers and the instants of its faults from a seed, for simulation and emulation
-//! alike, so that one seed means the same fleet and faults.
+//! Generates a scenario's workers and fault times from a seed.
+//!
+//! Simulation and emulation both use it, so that a seed gives the same fleet and faults in both.
 use copperspread_dispatcher::{Micros, WorkerId};
 use rand::RngExt;
 use rand::seq::SliceRandom;
@@ -10,44 +11,44 @@
 use crate::rule_checker::SlowStartBudget;
 use crate::scenario::{Fault, Scenario, SlowStart, WorkerGroup, micros_from_seconds};
 
-/// A fault that starts or ends, for one target or for none.
+/// The start or end of a fault for one target, or of a fault without target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultTransition {
-    /// When.
+    /// Time of the transition, in microseconds from the start of the run.
     pub at: Micros,
-    /// The fault's position in the scenario.
+    /// Index of the fault in the scenario.
     pub fault: usize,
-    /// The worker or scheduler that it meets, for faults of those.
+    /// Worker or scheduler that the fault affects; `None` for faults of arrivals, load reports or discovery.
     pub target: Option<FaultTarget>,
-    /// It starts, or else ends.
+    /// Whether the fault starts; otherwise it ends.
     pub is_start: bool,
 }
 
-/// What a fault meets.
+/// The target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultTarget {
-    /// A worker: its process, machine or connections.
+    /// A worker, which includes its process, machine and connections.
     Worker(WorkerId),
-    /// A scheduler's process.
+    /// A scheduler process.
     Scheduler(SchedulerId),
 }
 
-/// The workers with their zones, and the transitions of the faults in the order in which they were drawn.
+/// The workers of a run and the transitions of its faults.
 pub struct Fleet {
-    /// Workers, each with its zone.
+    /// Workers with their zones.
     pub workers: Vec<(Worker, u32)>,
-    /// Each worker's kind: the position of its group in the scenario.
+    /// Kind of each worker, which is the index of its group in the scenario.
     pub kinds: Vec<u32>,
-    /// Each worker's cell; no two zones share one.
+    /// Cell of each worker; every cell lies in a single zone.
     pub cells: Vec<u32>,
-    /// Workers that the cached endpoint list names and that do not exist.
+    /// Workers that are in the cached endpoint list but do not exist.
     pub missing_workers: Vec<WorkerId>,
-    /// The faults' starts and ends.
+    /// Starts and ends of the faults, in the order in which they were drawn.
     pub fault_transitions: Vec<FaultTransition>,
 }
 
 impl Fleet {
-    /// Generates a scenario's fleet and faults under a seed.
+    /// Generates a scenario's workers and fault transitions from a seed.
     pub fn generate(scenario: &Scenario, seed: u64) -> Fleet {
         let (mut workers, kinds) = draw_workers(scenario, &mut random_stream(seed, StreamPurpose::Fleet));
         let mut random = random_stream(seed, StreamPurpose::Faults);
@@ -61,12 +62,12 @@
     }
 }
 
-/// So many workers, in order.
+/// Returns the IDs of the first `count` workers, in order.
 pub fn worker_ids(count: usize) -> impl Iterator<Item = WorkerId> {
     (0..count as u32).map(WorkerId)
 }
 
-/// A worker's cell: each zone's workers are dealt to the zone's cells in turn.
+/// Returns a worker's cell. The workers of each zone are assigned to the zone's cells in turn.
 fn cell(scenario: &Scenario, worker: WorkerId) -> u32 {
     let (zones, cells) = (scenario.zones, scenario.cells);
     worker.0 % zones + zones * (worker.0 / zones % cells)
@@ -117,8 +118,8 @@
     let mut transitions = Vec::new();
     for (position, fault) in scenario.faults.iter().enumerate() {
         let targets = draw_targets(scenario, fault, workers, random);
-        for (place, &target) in targets.iter().enumerate() {
-            let starts_at = fault.starts_at_s + fault.stagger_s * place as f64 / targets.len() as f64;
+        for (target_index, &target) in targets.iter().enumerate() {
+            let starts_at = fault.starts_at_s + fault.stagger_s * target_index as f64 / targets.len() as f64;
             let transition = |at: f64, is_start| FaultTransition {
                 at: micros_from_seconds(at),
                 fault: position,
@@ -132,7 +133,8 @@
     transitions
 }
 
-/// Draws whom a fault meets, at least one of those that it can meet; one `None` for a fault without targets.
+/// Draws the targets of a fault, at least one if there is a candidate. Returns a single `None` for a fault
+/// without candidates.
 fn draw_targets(
     scenario: &Scenario,
     fault: &Fault,
@@ -141,11 +143,11 @@
 ) -> Vec<Option<FaultTarget>> {
     let is_in_zone = |zone: u32| fault.zone.is_none_or(|faulty_zone| faulty_zone == zone);
     let mut targets: Vec<FaultTarget> = if fault.kind.affects_workers() {
-        let is_met = |worker: &WorkerId| is_in_zone(workers[worker.0 as usize].1);
-        worker_ids(workers.len()).filter(is_met).map(FaultTarget::Worker).collect()
+        let is_candidate = |worker: &WorkerId| is_in_zone(workers[worker.0 as usize].1);
+        worker_ids(workers.len()).filter(is_candidate).map(FaultTarget::Worker).collect()
     } else if fault.kind.affects_schedulers() {
-        let is_met = |scheduler: &SchedulerId| is_in_zone(scheduler.zone(scenario.zones));
-        SchedulerId::first(scenario.schedulers).filter(is_met).map(FaultTarget::Scheduler).collect()
+        let is_candidate = |scheduler: &SchedulerId| is_in_zone(scheduler.zone(scenario.zones));
+        SchedulerId::first(scenario.schedulers).filter(is_candidate).map(FaultTarget::Scheduler).collect()
     } else {
         Vec::new()
     };
@@ -155,7 +157,7 @@
     if targets.is_empty() { vec![None] } else { targets.into_iter().map(Some).collect() }
 }
 
-/// The load that the scenario allows a worker during slow start, if it limits that.
+/// Returns the scenario's slow-start budget; `None` if the scenario sets no limit.
 pub fn slow_start_budget(scenario: &Scenario) -> Option<SlowStartBudget> {
     let slow_start = &scenario.slow_start;
     (slow_start.overload_window_s > 0.0).then(|| SlowStartBudget {
--- a/crates/testbed/src/model/idempotency_keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -1,8 +1,11 @@
-//! Decides which attempts workers drop as duplicates of an idempotency key: by what was taken in their group,
-//! and when.
+//! Deduplication of attempts by idempotency key.
+//!
+//! A worker drops an attempt if a worker of its deduplication group has accepted one with the same key within
+//! the key's window.
 use copperspread_dispatcher::{KeyScope, Micros};
 
-/// The group of workers that share the memory of a key with a worker, by the worker's zone and cell.
+/// Returns the deduplication group of a worker in this zone and cell: the workers that share their memory of
+/// a key.
 pub fn key_group(scope: KeyScope, zone: u32, cell: u32) -> u32 {
     match scope {
         KeyScope::All => 0,
@@ -11,36 +14,37 @@
     }
 }
 
-/// An attempt that a worker took.
+/// An attempt that a worker accepted.
 #[derive(Clone, Copy, Debug)]
-struct TakenAttempt {
+struct AcceptedAttempt {
     attempt: u64,
     group: u32,
     at: Micros,
 }
 
-/// What workers remember of one client request's key.
+/// The workers' memory of one client job's idempotency key.
 #[derive(Clone, Debug, Default)]
 pub struct KeyHistory {
-    taken: Vec<TakenAttempt>,
-    /// Duplicates that were dropped and get the first attempt's result.
+    accepted: Vec<AcceptedAttempt>,
+    /// Dropped duplicates that wait for the first attempt's result.
     waiting_duplicates: Vec<u64>,
-    /// An attempt was served.
+    /// Whether an attempt was served.
     is_served: bool,
 }
 
-/// What becomes of an attempt whose key is known.
+/// The outcome of an attempt whose idempotency key is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DuplicateOutcome {
-    /// The first attempt was served, and so is this one.
+    /// The first attempt was served, and so is the duplicate.
     AlreadyServed,
-    /// It gets the first attempt's result later.
+    /// The duplicate gets the first attempt's result later.
     AwaitsFirst,
 }
 
 impl KeyHistory {
-    /// Checks whether an attempt that reaches a group is a duplicate within the key's window, and keeps one
-    /// that awaits the first attempt's result.
+    /// Checks whether an attempt at a group is a duplicate within the key's window, which starts when the
+    /// group accepted an earlier attempt. A duplicate that awaits the first attempt's result is kept for
+    /// [`Self::record_end`]. Returns `None` if the attempt is no duplicate.
     pub fn check_duplicate(
         &mut self,
         attempt: u64,
@@ -48,7 +52,7 @@
         now: Micros,
         window: Micros,
     ) -> Option<DuplicateOutcome> {
-        if !self.taken.iter().any(|taken| taken.group == group && now <= taken.at + window) {
+        if !self.accepted.iter().any(|accepted| accepted.group == group && now <= accepted.at + window) {
             return None;
         }
         if self.is_served {
@@ -58,17 +62,17 @@
         Some(DuplicateOutcome::AwaitsFirst)
     }
 
-    /// Records that a worker of a group took an attempt.
+    /// Records that a worker of a group accepted an attempt.
     pub fn record_taken(&mut self, attempt: u64, group: u32, now: Micros) {
-        self.taken.push(TakenAttempt { attempt, group, at: now });
+        self.accepted.push(AcceptedAttempt { attempt, group, at: now });
     }
 
-    /// Records that an attempt was returned unstarted: the key is forgotten with it.
+    /// Records that an attempt was returned unstarted or cancelled, so that its group forgets the key.
     pub fn record_returned(&mut self, attempt: u64) {
-        self.taken.retain(|taken| taken.attempt != attempt);
+        self.accepted.retain(|accepted| accepted.attempt != attempt);
     }
 
-    /// Records that an attempt ended, served or not; returns the duplicates that get its result.
+    /// Records the end of an attempt and returns the duplicates that get its result.
     pub fn record_end(&mut self, is_served: bool) -> Vec<u64> {
         self.is_served |= is_served;
         std::mem::take(&mut self.waiting_duplicates)
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,5 +1,6 @@
-//! Models clients, workers and faults for simulation and emulation alike. No I/O and no clock: time and
-//! random streams come in as arguments.
+//! Model of clients, workers and faults, shared by simulation and emulation.
+//!
+//! The model has no I/O and no clock: time and random streams are passed in as arguments.
 pub mod arrivals;
 pub mod connection_faults;
 pub mod fleet;
--- a/crates/testbed/src/model/scheduler_id.rs
+++ b/crates/testbed/src/model/scheduler_id.rs
@@ -1,27 +1,28 @@
-//! Names a scheduler of a run, and says whom its clients reach.
+//! IDs of the schedulers of a run, and which scheduler a client reaches.
 
-/// A scheduler, by its position among the scenario's schedulers.
+/// ID of a scheduler: its index among the scenario's schedulers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SchedulerId(pub u32);
 
 impl SchedulerId {
-    /// So many schedulers, in order.
+    /// Returns the IDs of the first `count` schedulers, in order.
     pub fn first(count: u32) -> impl Iterator<Item = SchedulerId> + Clone {
         (0..count).map(SchedulerId)
     }
 
-    /// Its position in a list of the schedulers.
+    /// Returns the scheduler's index in a list of all schedulers.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 
-    /// Its zone: schedulers are dealt to the zones in turn.
+    /// Returns the scheduler's zone; schedulers are assigned to the zones in turn.
     pub fn zone(self, zones: u32) -> u32 {
         self.0 % zones
     }
 
-    /// The scheduler that its clients reach: this one, or the next of its zone that accepts requests, or the
-    /// next of any zone; this one if none does.
+    /// Returns the scheduler that this scheduler's clients reach: this one if it accepts requests, else the
+    /// next accepting one in its zone, else the next accepting one in any zone. If none accepts requests, it
+    /// is this one.
     pub fn reachable(self, count: u32, zones: u32, accepts: impl Fn(SchedulerId) -> bool) -> SchedulerId {
         let candidates = (0..count).map(|step| SchedulerId((self.0 + step) % count));
         let mut accepting = candidates.filter(|candidate| accepts(*candidate));
--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -1,97 +1,97 @@
-//! The types of the worker model: what a worker is made of, what it is offered, and what happens to it.
+//! Types of the worker model: worker properties, offered jobs, effects and states.
 use copperspread_dispatcher::Micros;
 
 use crate::scenario::QueueOrder;
 
-/// What a worker is made of.
+/// Fixed properties of a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkerSpec {
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Slots for running jobs.
+    /// Number of slots for running jobs.
     pub slots: f64,
-    /// Speed of a core: seconds of work done per second.
+    /// Speed of a core, in seconds of work done per second.
     pub speed: f64,
-    /// The most jobs that wait.
+    /// Maximum number of waiting jobs.
     pub max_waiting: usize,
-    /// The order in which waiting jobs start.
+    /// Order in which waiting jobs start.
     pub order: QueueOrder,
-    /// Memory, in megabytes.
+    /// Memory for running jobs, in megabytes.
     pub memory: f64,
-    /// The fraction of its capacity that it has when it starts.
+    /// Fraction of the full capacity at the start of a process.
     pub slow_start_fraction: f64,
-    /// The time from its start until it has its full capacity.
+    /// Time from the start of a process until its full capacity.
     pub slow_start_duration: Micros,
-    /// During slow start it fails under more load than this multiple of its present capacity ...
+    /// Multiple of the current capacity above which load makes the worker fail during slow start.
     pub overload_multiple: f64,
-    /// ... over this window; `None` if it never fails so.
+    /// Window over which that load is summed; `None` if the worker never fails from load.
     pub overload_window: Option<Micros>,
 }
 
 /// A job as it is offered to a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OfferedJob {
-    /// The attempt's or load query's number, which is never used twice.
+    /// ID of the attempt or load query, unique within a run.
     pub attempt: u64,
-    /// The job's class.
+    /// Index of the job's class.
     pub class: u32,
-    /// Its work: seconds on a core of speed 1.
+    /// Work of the job, in seconds on a core of speed 1.
     pub work: f64,
-    /// Slots while it runs.
+    /// Slots that the job occupies while it runs.
     pub slots: f64,
-    /// Memory while it runs, in megabytes.
+    /// Memory that the job uses while it runs, in megabytes.
     pub memory: f64,
-    /// Its priority weight, for workers that start jobs in that order.
+    /// Priority weight of the job, for workers whose queue is in that order.
     pub weight: f64,
 }
 
 impl OfferedJob {
-    /// A load query that waits like a job of one slot.
+    /// Creates a load query that is queued like a job of one slot.
     pub fn load_query(attempt: u64, work: f64) -> OfferedJob {
-        // Of no class, so that a fault that silences a class does not meet it.
+        // The class matches none of the scenario's, so that a `silent` fault does not affect load queries.
         OfferedJob { attempt, class: u32::MAX, work, slots: 1.0, memory: 0.0, weight: 0.0 }
     }
 }
 
-/// What a worker does with an offered job.
+/// The response of a worker to an offered job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferResult {
-    /// It takes the job; the effects say whether the job has started.
+    /// The worker accepts the job; the effects tell whether it has started.
     Accepted,
-    /// It has no capacity; the job never runs here.
+    /// The queue is full or the worker drains; the job never runs here.
     QueueFull,
     /// No process accepts the connection.
     ConnectionRefused,
-    /// Nothing answers.
+    /// The machine does not respond.
     Unreachable,
 }
 
-/// What happened at a worker.
+/// An effect of an operation on a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerEffect {
-    /// A job has begun to run.
+    /// A job, given by its attempt, has started.
     Started(u64),
-    /// A job is done.
+    /// A job has finished.
     Finished {
-        /// The job's attempt.
+        /// Attempt of the job.
         attempt: u64,
-        /// Whether the worker reports it to the scheduler.
+        /// Whether the worker reports the end to the scheduler.
         is_reported: bool,
     },
-    /// A job was lost with the process.
+    /// A job, given by its attempt, was lost with the process.
     Lost(u64),
-    /// A waiting job is returned unstarted.
+    /// A waiting job, given by its attempt, is returned unstarted.
     ReturnedUnstarted(u64),
-    /// The process failed under too much load during slow start.
+    /// The process failed from overload during slow start.
     Overloaded,
 }
 
-/// Whether there is a process, and what it accepts.
+/// The state of a worker's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It accepts jobs.
+    /// The process accepts jobs.
     Up,
-    /// It finishes the jobs that it has and accepts no others.
+    /// The process finishes its jobs and accepts no new ones.
     Draining,
     /// There is no process.
     Stopped,
@@ -99,18 +99,18 @@
     Unreachable,
 }
 
-/// The true state of a worker, which no real scheduler knows.
+/// The true state of a worker, which a real scheduler cannot know.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrueState {
-    /// Seconds until it would start a job that arrives now.
+    /// Time until a job that arrives now would start, in seconds.
     pub wait: f64,
-    /// Seconds of a job's work that it does per second.
+    /// Rate of a job, in seconds of work done per second.
     pub rate: f64,
-    /// Whether it accepts jobs and makes progress.
+    /// Whether the worker accepts jobs and makes progress.
     pub accepts_jobs: bool,
 }
 
-/// A job that runs, with the work that was left when progress was last accounted.
+/// A running job and the work that remained when its progress was last accounted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RunningJob {
     pub(super) job: OfferedJob,
--- a/crates/testbed/src/model/worker/lifecycle.rs
+++ b/crates/testbed/src/model/worker/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts, drains and ends a worker's process, and applies the faults that it meets.
+//! Start, drain and end of a worker's process, and the faults that change its state.
 use copperspread_dispatcher::Micros;
 
 use super::Worker;
@@ -6,19 +6,19 @@
 use crate::scenario::FaultKind;
 
 impl Worker {
-    /// Whether it accepts new jobs.
+    /// Returns whether the worker accepts new jobs.
     pub fn accepts_jobs(&self) -> bool {
         self.process == ProcessState::Up && !self.is_refusing
     }
 
-    /// Applies a change from outside, such as of its speed.
+    /// Applies a change to the worker, such as to its speed, after accounting the jobs' progress until now.
     pub fn apply_change(&mut self, now: Micros, change: impl FnOnce(&mut Worker)) {
         self.account_progress(now);
         change(self);
-        self.wake_epoch += 1;
+        self.wake_version += 1;
     }
 
-    /// Drains; with `return_waiting`, waiting jobs are returned unstarted.
+    /// Drains the worker. With `return_waiting`, waiting jobs are returned unstarted.
     pub fn drain(&mut self, now: Micros, return_waiting: bool, effects: &mut Vec<WorkerEffect>) {
         self.account_progress(now);
         if self.process == ProcessState::Up {
@@ -28,10 +28,11 @@
                 effects.extend(returned.map(|job| WorkerEffect::ReturnedUnstarted(job.attempt)));
             }
         }
-        self.wake_epoch += 1;
+        self.wake_version += 1;
     }
 
-    /// Ends the process with all its jobs, or makes the machine unreachable, so that nothing is reported.
+    /// Ends the process and all its jobs. Jobs are reported as lost if `state` is `Stopped`, and not at all
+    /// if the machine becomes unreachable.
     pub fn stop(&mut self, now: Micros, state: ProcessState, effects: &mut Vec<WorkerEffect>) {
         self.account_progress(now);
         self.process = state;
@@ -44,10 +45,10 @@
         }
         (self.used_slots, self.used_memory) = (0.0, 0.0);
         self.slow_start_load.clear();
-        self.wake_epoch += 1;
+        self.wake_version += 1;
     }
 
-    /// Starts a new process, in slow start.
+    /// Starts a new process, which begins in slow start.
     pub fn restart(&mut self, now: Micros) {
         self.account_progress(now);
         self.process = ProcessState::Up;
@@ -57,10 +58,10 @@
         self.silent_class = None;
         self.is_refusing = false;
         self.refreshed_reports.clear();
-        self.wake_epoch += 1;
+        self.wake_version += 1;
     }
 
-    /// Applies the start or the end of a fault; whether a new process started.
+    /// Applies the start or the end of a fault, and returns whether a new process started.
     pub fn apply_fault(
         &mut self,
         now: Micros,
@@ -81,7 +82,7 @@
             FaultKind::Vanish if is_start => self.stop(now, ProcessState::Unreachable, effects),
             FaultKind::Drain if is_start => self.drain(now, true, effects),
             FaultKind::Crash | FaultKind::Vanish | FaultKind::Drain => {
-                // What still runs there ends with the old process.
+                // Jobs that still run end with the old process.
                 self.stop(now, ProcessState::Stopped, effects);
                 self.restart(now);
                 return true;
--- a/crates/testbed/src/model/worker/mod.rs
+++ b/crates/testbed/src/model/worker/mod.rs
@@ -1,7 +1,7 @@
-//! Models one worker: slots, cores, a bounded queue, slow start, and the faults that it meets.
+//! Model of one worker: slots, cores, a bounded queue, slow start and faults.
 //!
-//! Running jobs share the cores when they use more slots than there are cores. A job of `k` slots does `k`
-//! cores' work; alone, after slow start, it takes `work / speed`.
+//! Running jobs share the cores when they use more slots than there are cores. A job of `k` slots uses `k`
+//! cores; alone and after slow start, it takes `work / speed` seconds.
 mod job;
 mod lifecycle;
 mod queue;
@@ -15,48 +15,48 @@
 use self::job::RunningJob;
 pub use self::job::{OfferResult, OfferedJob, ProcessState, TrueState, WorkerEffect, WorkerSpec};
 
-/// During slow start the running jobs' rate is computed anew this often.
+/// Interval at which the rate of running jobs is recomputed during slow start.
 const SLOW_START_STEP: Micros = SECOND / 4;
 
-/// A worker's state. Its drive owns it and passes the time in.
+/// The state of a worker. The simulation or emulation that owns it passes the time in.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What it is made of.
+    /// Fixed properties of the worker.
     pub spec: WorkerSpec,
-    /// Whether there is a process, and what it accepts.
+    /// State of the worker's process.
     pub process: ProcessState,
-    /// The start of its process; `None` if that was long ago.
+    /// Start time of the process; `None` if slow start was over before the run began.
     pub started_at: Option<Micros>,
-    /// It runs this many times slower.
+    /// Factor by which jobs run slower than usual.
     pub slowdown: f64,
-    /// Its jobs make no progress.
+    /// Whether running jobs make no progress.
     pub is_stuck: bool,
-    /// It reports nothing of this class.
+    /// Class of the jobs for which the worker sends no callbacks and no results, if any.
     pub silent_class: Option<u32>,
-    /// It is listed and refuses connections.
+    /// Whether the worker refuses connections although it is in the endpoint list.
     pub is_refusing: bool,
     running: Vec<RunningJob>,
     waiting: VecDeque<OfferedJob>,
     used_slots: f64,
     used_memory: f64,
-    /// Up to when the running jobs' progress is accounted.
+    /// Time up to which the progress of running jobs is accounted.
     accounted_until: Micros,
-    /// Load that it got lately during slow start, in core-seconds.
+    /// Times and core-seconds of recent jobs during slow start.
     slow_start_load: VecDeque<(Micros, f64)>,
-    /// Changes with each change of the running jobs or their rate: wakes scheduled before are void.
-    pub wake_epoch: u64,
-    /// Core-seconds done.
+    /// Version of the running jobs and their rate; a change invalidates wakes that are already scheduled.
+    pub wake_version: u64,
+    /// Completed work, in core-seconds at speed 1.
     pub completed_work: f64,
-    /// The report that comes with responses, and when it was made.
+    /// Last load report sent with responses, with its time.
     last_report: (Micros, LoadReport),
-    /// The figures that load queries get, with their times, the newest last.
+    /// Load reports for load queries with their times, newest last.
     refreshed_reports: VecDeque<(Micros, LoadReport)>,
-    /// Jobs offered since the last refresh of those figures.
+    /// Jobs offered since the last of these reports.
     offered_since_refresh: u32,
 }
 
 impl Worker {
-    /// An idle worker whose slow start is long over.
+    /// Creates an idle worker that is past its slow start.
     pub fn new(spec: WorkerSpec) -> Worker {
         let idle_report = LoadReport {
             free_slots: Some(spec.slots),
@@ -78,7 +78,7 @@
             used_memory: 0.0,
             accounted_until: 0,
             slow_start_load: VecDeque::new(),
-            wake_epoch: 0,
+            wake_version: 0,
             completed_work: 0.0,
             last_report: (0, idle_report),
             refreshed_reports: VecDeque::new(),
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -1,17 +1,18 @@
-//! Advances a worker's queue and slots: which jobs start, how far they are, and when they end.
+//! Queue and slots of a worker: the start, progress and end of its jobs.
 use copperspread_dispatcher::{Micros, SECOND};
 
 use super::job::{OfferResult, OfferedJob, ProcessState, RunningJob, WorkerEffect};
 use super::{SLOW_START_STEP, Worker};
 use crate::scenario::QueueOrder;
 
-/// Work that rounding to whole microseconds may leave of a finished job, in seconds at speed 1.
-const ROUNDING_REMAINDER: f64 = 2.0 / SECOND as f64;
-/// No wake is further away, so that the time fits its type.
-const MAX_WAKE_DELAY: f64 = 1e15;
+/// Remaining work, in seconds at speed 1, at which a job counts as finished, as times are rounded to
+/// microseconds.
+const WORK_TOLERANCE_S: f64 = 2.0 / SECOND as f64;
+/// Longest time until a wake, in microseconds, so that the sum fits [`Micros`].
+const MAX_WAKE_DELAY_US: f64 = 1e15;
 
 impl Worker {
-    /// Offers a job.
+    /// Offers a job to the worker, which may start or queue it. Effects are appended to `effects`.
     pub fn offer(&mut self, now: Micros, job: OfferedJob, effects: &mut Vec<WorkerEffect>) -> OfferResult {
         match self.process {
             ProcessState::Unreachable => return OfferResult::Unreachable,
@@ -36,13 +37,13 @@
         OfferResult::Accepted
     }
 
-    /// Advances the jobs to now: those that are done end, and waiting ones start.
+    /// Advances the jobs to `now`: finished jobs end and waiting ones start.
     pub fn advance(&mut self, now: Micros, effects: &mut Vec<WorkerEffect>) {
         self.account_progress(now);
-        let remainder = ROUNDING_REMAINDER * self.spec.speed.max(1.0);
+        let tolerance = WORK_TOLERANCE_S * self.spec.speed.max(1.0);
         let mut position = 0;
         while position < self.running.len() {
-            if self.running[position].remaining_work > remainder || self.is_stuck {
+            if self.running[position].remaining_work > tolerance || self.is_stuck {
                 position += 1;
                 continue;
             }
@@ -54,7 +55,7 @@
         self.start_waiting_jobs(effects);
     }
 
-    /// When it must be advanced again, if at all.
+    /// Returns when the worker must be advanced again; `None` if no running job makes progress.
     pub fn next_wake(&self, now: Micros) -> Option<Micros> {
         let rate = self.rate(now);
         let min_work =
@@ -62,13 +63,13 @@
         if !min_work.is_finite() || rate <= 0.0 {
             return None;
         }
-        let delay = (min_work / rate * SECOND as f64).ceil().min(MAX_WAKE_DELAY);
+        let delay = (min_work / rate * SECOND as f64).ceil().min(MAX_WAKE_DELAY_US);
         let ends_at = now + delay as Micros;
         let is_slow_start = self.capacity_fraction(now) < 1.0;
         Some(if is_slow_start { ends_at.min(now + SLOW_START_STEP) } else { ends_at })
     }
 
-    /// Removes a cancelled attempt, waiting or running; whether it was here.
+    /// Removes a cancelled attempt, waiting or running, and returns whether the worker had it.
     pub fn cancel(&mut self, now: Micros, attempt: u64, effects: &mut Vec<WorkerEffect>) -> bool {
         self.account_progress(now);
         if let Some(position) = self.running.iter().position(|running| running.job.attempt == attempt) {
@@ -83,35 +84,36 @@
         true
     }
 
-    /// The fraction of a running job that is done; `None` if it does not run here.
+    /// Returns the completed fraction of a running attempt; `None` if it does not run on this worker.
     pub fn progress(&self, now: Micros, attempt: u64) -> Option<f64> {
         let running = self.running.iter().find(|running| running.job.attempt == attempt)?;
         let remaining = running.remaining_work - self.work_since_accounted(now);
         Some(1.0 - (remaining / running.job.work.max(1e-12)).clamp(0.0, 1.0))
     }
 
-    /// Core-seconds that its jobs still need, waiting ones included.
+    /// Returns the remaining work of all running and waiting jobs, in core-seconds.
     pub fn backlog(&self) -> f64 {
         let running: f64 =
             self.running.iter().map(|running| running.remaining_work * running.job.slots).sum();
         running + self.waiting.iter().map(|job| job.work * job.slots).sum::<f64>()
     }
 
-    /// The jobs that it has, waiting or running.
+    /// Returns the number of waiting and running jobs.
     pub fn job_count(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Adds work beside the jobs, such as for a response: one core does it, and jobs there are delayed.
+    /// Charges work done beside the jobs, such as for a load report, in seconds on one core of speed 1. It
+    /// delays each running job by that work divided by the number of cores.
     pub fn charge_side_work(&mut self, now: Micros, work: f64) {
         self.account_progress(now);
         for running in &mut self.running {
             running.remaining_work += work / self.spec.cores;
         }
-        self.wake_epoch += 1;
+        self.wake_version += 1;
     }
 
-    /// How fast each running job goes, in seconds of work per second.
+    /// Returns the rate of each running job, in seconds of work per second.
     fn rate(&self, now: Micros) -> f64 {
         if self.is_stuck {
             return 0.0;
@@ -121,13 +123,14 @@
         self.spec.speed * self.capacity_fraction(now) / self.slowdown * core_fraction
     }
 
-    /// The work that each running job has got since progress was last accounted.
+    /// Returns the work done for each running job since its progress was last accounted, in seconds at speed
+    /// 1.
     fn work_since_accounted(&self, now: Micros) -> f64 {
         let elapsed = now.saturating_sub(self.accounted_until) as f64 / SECOND as f64;
         elapsed * self.rate(self.accounted_until)
     }
 
-    /// Accounts the running jobs' progress up to now, at the rate that they had until now.
+    /// Accounts the progress of running jobs up to `now`, at the rate since the last call.
     pub(super) fn account_progress(&mut self, now: Micros) {
         let work = self.work_since_accounted(now);
         self.accounted_until = now;
@@ -138,14 +141,14 @@
         }
     }
 
-    /// Whether a job could start now. One wider than the machine runs alone.
+    /// Returns whether a job can start now. A job larger than the worker starts when no other job runs.
     fn can_start(&self, job: &OfferedJob) -> bool {
         let has_memory = self.used_memory + job.memory <= self.spec.memory;
         let has_slots = self.used_slots + job.slots <= self.spec.slots;
         (has_memory && has_slots) || self.running.is_empty()
     }
 
-    /// Starts as many waiting jobs as the order and the slots allow.
+    /// Starts as many waiting jobs as queue order, slots and memory allow.
     fn start_waiting_jobs(&mut self, effects: &mut Vec<WorkerEffect>) {
         while let Some(job) = self.next_startable().and_then(|position| self.waiting.remove(position)) {
             self.used_slots += job.slots;
@@ -153,18 +156,19 @@
             self.running.push(RunningJob { job, remaining_work: job.work });
             effects.push(WorkerEffect::Started(job.attempt));
         }
-        self.wake_epoch += 1;
+        self.wake_version += 1;
     }
 
-    /// The position of the waiting job that starts next, if one can.
+    /// Returns the queue index of the waiting job that can start next.
     fn next_startable(&self) -> Option<usize> {
         match self.spec.order {
             QueueOrder::Fifo => self.waiting.front().filter(|job| self.can_start(job)).map(|_| 0),
             QueueOrder::Backfill => self.waiting.iter().position(|job| self.can_start(job)),
             QueueOrder::Priority => {
-                // The heaviest, of equal ones the first.
-                let by_weight = |(a, one): &(usize, &OfferedJob), (b, other): &(usize, &OfferedJob)| {
-                    one.weight.total_cmp(&other.weight).then(b.cmp(a))
+                // The highest priority weight first; the earliest of equal weights.
+                let by_weight = |(index_a, job_a): &(usize, &OfferedJob),
+                                 (index_b, job_b): &(usize, &OfferedJob)| {
+                    job_a.weight.total_cmp(&job_b.weight).then(index_b.cmp(index_a))
                 };
                 let heaviest = self.waiting.iter().enumerate().max_by(by_weight);
                 heaviest.filter(|(_, job)| self.can_start(job)).map(|(position, _)| position)
@@ -176,7 +180,7 @@
         self.used_slots -= job.slots;
         self.used_memory -= job.memory;
         if self.running.is_empty() {
-            // Exactly zero, so that rounding errors do not add up.
+            // Reset to exactly zero, so that rounding errors do not accumulate.
             (self.used_slots, self.used_memory) = (0.0, 0.0);
         }
     }
--- a/crates/testbed/src/model/worker/slow_start.rs
+++ b/crates/testbed/src/model/worker/slow_start.rs
@@ -1,10 +1,10 @@
-//! Models slow start: a new process has a fraction of its capacity, and may fail under too much load.
+//! Slow start of workers: a new process has a fraction of its capacity and may fail when overloaded.
 use copperspread_dispatcher::{Micros, SECOND};
 
 use super::Worker;
 
 impl Worker {
-    /// The fraction of its capacity that it has now.
+    /// Returns the fraction of the worker's full capacity that it has now, from 0 to 1.
     pub fn capacity_fraction(&self, now: Micros) -> f64 {
         let Some(start) = self.started_at else { return 1.0 };
         let age = now.saturating_sub(start) as f64 / self.spec.slow_start_duration.max(1) as f64;
@@ -12,12 +12,13 @@
         (initial + (1.0 - initial) * age).min(1.0)
     }
 
-    /// Core-seconds that it can do per second.
+    /// Returns the worker's current capacity, in core-seconds of work per second.
     pub fn capacity(&self, now: Micros) -> f64 {
         self.spec.cores.min(self.spec.slots) * self.spec.speed * self.capacity_fraction(now)
     }
 
-    /// Records load, in core-seconds, that a worker gets during slow start; whether it fails under it.
+    /// Records load that the worker gets during slow start, in core-seconds, and returns whether the worker
+    /// fails under it.
     pub(super) fn becomes_overloaded(&mut self, now: Micros, load: f64) -> bool {
         let Some(window) = self.spec.overload_window else { return false };
         if self.capacity_fraction(now) >= 1.0 {
--- a/crates/testbed/src/outcome/counter.rs
+++ b/crates/testbed/src/outcome/counter.rs
@@ -1,4 +1,4 @@
-//! Counts how jobs end while a run goes on.
+//! Counts the outcomes of jobs during a run.
 use copperspread_dispatcher::{Micros, SECOND};
 use hdrhistogram::Histogram;
 
@@ -6,10 +6,10 @@
 use crate::model::arrivals::Arrival;
 use crate::scenario::JobClass;
 
-/// Latencies are counted up to a day ...
+/// Highest latency that the histograms record; longer ones count as this.
 const MAX_LATENCY: Micros = 86_400 * SECOND;
-/// ... and to this many figures.
-const LATENCY_FIGURES: u8 = 3;
+/// Precision of recorded latencies, in significant decimal digits.
+const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
 
 struct ClassCounter {
     jobs: u64,
@@ -19,11 +19,12 @@
 
 impl ClassCounter {
     fn new() -> ClassCounter {
-        let latencies = Histogram::new_with_max(MAX_LATENCY, LATENCY_FIGURES);
+        let latencies = Histogram::new_with_max(MAX_LATENCY, LATENCY_SIGNIFICANT_DIGITS);
         ClassCounter {
             jobs: 0,
             weight: WeightTotals::default(),
-            latencies: latencies.unwrap_or_else(|_| unreachable!("the bounds are constants that fit")),
+            latencies: latencies
+                .unwrap_or_else(|_| unreachable!("the histogram's bounds are valid constants")),
         }
     }
 
@@ -43,7 +44,7 @@
     }
 }
 
-/// Counts how jobs end: in all, by class, by second of arrival, and by zone and class.
+/// Counts the outcomes of jobs in total, by class, by second of arrival, and by zone and class.
 pub struct OutcomeCounter {
     total: WeightTotals,
     classes: Vec<ClassCounter>,
@@ -52,7 +53,7 @@
 }
 
 impl OutcomeCounter {
-    /// A counter for these numbers of classes and zones.
+    /// Creates a counter for a number of classes and zones.
     pub fn new(classes: usize, zones: u32) -> OutcomeCounter {
         OutcomeCounter {
             total: WeightTotals::default(),
@@ -62,18 +63,18 @@
         }
     }
 
-    /// Counts a job of a client that has ended; `latency` is from its arrival.
-    pub fn record_job(&mut self, job: &Arrival, class: &JobClass, latency: Micros, end: JobOutcome) {
+    /// Counts a client's job that has ended; `latency` is measured from its arrival.
+    pub fn record_job(&mut self, job: &Arrival, class: &JobClass, latency: Micros, outcome: JobOutcome) {
         let weight = class.priority_weight * job.work * job.slots;
         let class_index = job.class as usize;
         let zone = job.scheduler.index() % self.zones.len();
-        self.total.add(weight, end);
-        self.zones[zone][class_index].add(weight, end);
-        self.second_mut(job.at).add(weight, end);
+        self.total.add(weight, outcome);
+        self.zones[zone][class_index].add(weight, outcome);
+        self.second_mut(job.at).add(weight, outcome);
         let counter = &mut self.classes[class_index];
         counter.jobs += 1;
-        counter.weight.add(weight, end);
-        if matches!(end, JobOutcome::InTime | JobOutcome::Late) {
+        counter.weight.add(weight, outcome);
+        if matches!(outcome, JobOutcome::InTime | JobOutcome::Late) {
             counter.latencies.saturating_record(latency);
         }
     }
@@ -86,12 +87,12 @@
         &mut self.seconds[second]
     }
 
-    /// Jobs that have ended.
+    /// Returns the number of jobs that have ended.
     pub fn job_count(&self) -> u64 {
         self.classes.iter().map(|class| class.jobs).sum()
     }
 
-    /// The outcomes of the classes of these names.
+    /// Returns the outcome of each class, with the classes' names in the order of the scenario.
     pub fn class_outcomes<'a>(&self, names: impl Iterator<Item = &'a str>) -> Vec<ClassOutcome> {
         names.zip(&self.classes).map(|(name, class)| class.outcome(name)).collect()
     }
--- a/crates/testbed/src/outcome/mod.rs
+++ b/crates/testbed/src/outcome/mod.rs
@@ -1,4 +1,4 @@
-//! Sums up one run: weight in time, latencies, load of workers and violations.
+//! Outcome of one run: weight served in time, latencies, load of workers and rule violations.
 mod counter;
 
 use std::collections::BTreeMap;
@@ -12,45 +12,46 @@
 use crate::rule_checker::{Rule, RuleViolation, Violations};
 use crate::scenario::Scenario;
 
-/// How a client's job ended.
+/// The end of a client's job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
     /// Served within its latency objective.
     InTime,
     /// Served later than its latency objective.
     Late,
-    /// Rejected, also at its last retry.
+    /// Rejected without another retry.
     Rejected,
-    /// Failed.
+    /// Failed, either by a response or by a broken client connection.
     Failed,
-    /// Its client's deadline passed without a response.
+    /// Left without a response until the client stopped waiting.
     Unanswered,
 }
 
-/// Priority weight of jobs, by how they ended. The parts add up to what was requested.
+/// Weight of jobs by their outcome: priority weight times work in core-seconds. The parts add up to
+/// `requested`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WeightTotals {
-    /// Of all jobs.
+    /// Weight of all jobs.
     #[serde(rename = "asked")]
     pub requested: f64,
-    /// Served in time.
+    /// Weight of jobs served in time.
     pub in_time: f64,
-    /// Served late.
+    /// Weight of jobs served late.
     pub late: f64,
-    /// Rejected.
+    /// Weight of rejected jobs.
     #[serde(rename = "refused")]
     pub rejected: f64,
-    /// Failed.
+    /// Weight of failed jobs.
     pub failed: f64,
-    /// Without a response.
+    /// Weight of jobs without a response.
     #[serde(rename = "lost")]
     pub unanswered: f64,
 }
 
 impl WeightTotals {
-    fn add(&mut self, weight: f64, end: JobOutcome) {
+    fn add(&mut self, weight: f64, outcome: JobOutcome) {
         self.requested += weight;
-        let part = match end {
+        let part = match outcome {
             JobOutcome::InTime => &mut self.in_time,
             JobOutcome::Late => &mut self.late,
             JobOutcome::Rejected => &mut self.rejected,
@@ -60,21 +61,21 @@
         *part += weight;
     }
 
-    /// The share that was served in time; 1 if nothing was requested.
+    /// Returns the share of the weight that was served in time; 1 if nothing was requested.
     pub fn in_time_share(&self) -> f64 {
         if self.requested > 0.0 { self.in_time / self.requested } else { 1.0 }
     }
 }
 
-/// Latencies of served jobs, in milliseconds; in JSON a list of the three.
+/// Latency quantiles of served jobs, in milliseconds; in JSON a list of the three values.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[f64; 3]", into = "[f64; 3]")]
 pub struct LatencyQuantiles {
-    /// The median.
+    /// Median latency, in milliseconds.
     pub median_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile of the latency, in milliseconds.
     pub p99_ms: f64,
-    /// The highest.
+    /// Highest latency, in milliseconds.
     pub max_ms: f64,
 }
 
@@ -90,158 +91,158 @@
     }
 }
 
-/// What a run resulted in for one class.
+/// The outcome of a run for one class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClassOutcome {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Number of jobs.
+    /// Number of jobs of the class.
     pub jobs: u64,
-    /// Their weight.
+    /// Weight of these jobs.
     #[serde(rename = "worth")]
     pub weight: WeightTotals,
     /// Mean latency of served jobs, in milliseconds.
     #[serde(rename = "mean_ms")]
     pub mean_latency_ms: f64,
-    /// Latencies of served jobs.
+    /// Latency quantiles of served jobs.
     #[serde(rename = "served_ms")]
     pub latency: LatencyQuantiles,
 }
 
-/// What a run resulted in for one worker.
+/// The outcome of a run for one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerOutcome {
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: u32,
-    /// The index of its group in the scenario.
+    /// Index of the worker's group in the scenario.
     #[serde(rename = "kind")]
     pub group: u32,
-    /// Core-seconds that it could have done in the scenario's time, if it had been warm and up all along.
+    /// Core-seconds that the worker could do within the scenario's duration at its full capacity.
     #[serde(rename = "capacity")]
     pub capacity_core_s: f64,
-    /// Core-seconds that it did.
+    /// Core-seconds that the worker completed.
     #[serde(rename = "done")]
     pub done_core_s: f64,
 }
 
-/// What a run resulted in. In virtual time, two runs of one seed give the same JSON to the byte.
+/// The outcome of a run. A simulation repeated with the same seed gives the same JSON, byte for byte.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunOutcome {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The policy's name.
+    /// Name of the policy.
     pub policy: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
     /// Number of clients' jobs.
     pub jobs: u64,
-    /// Events of virtual time.
+    /// Number of events that the simulation handled.
     pub events: u64,
-    /// The weight of all jobs.
+    /// Weight of all jobs.
     #[serde(rename = "worth")]
     pub weight: WeightTotals,
-    /// By class.
+    /// Outcome of each class.
     pub classes: Vec<ClassOutcome>,
-    /// Weight by second of arrival.
+    /// Weight of jobs by second of arrival.
     pub seconds: Vec<WeightTotals>,
-    /// Weight by the clients' zone, and in it by class.
+    /// Weight of jobs by the clients' zone, and within a zone by class.
     pub zones: Vec<Vec<WeightTotals>>,
-    /// By worker.
+    /// Outcome of each worker.
     pub workers: Vec<WorkerOutcome>,
-    /// Mean number of attempts.
+    /// Mean number of attempts per job.
     #[serde(rename = "attempts")]
     pub attempts_per_job: f64,
-    /// The share of attempts that went to another zone.
+    /// Share of attempts that went to another zone.
     #[serde(rename = "crossing")]
     pub cross_zone_share: f64,
-    /// Load queries that were sent.
-    #[serde(rename = "probes", default, skip_serializing_if = "is_no_count")]
+    /// Number of load queries sent.
+    #[serde(rename = "probes", default, skip_serializing_if = "is_zero_count")]
     pub load_queries: u64,
-    /// What they cost, as a share of the weight.
-    #[serde(rename = "probe_cost", default, skip_serializing_if = "is_free")]
+    /// Cost of the load queries, as a share of the weight.
+    #[serde(rename = "probe_cost", default, skip_serializing_if = "is_zero_cost")]
     pub load_query_cost: f64,
-    /// Overloads of warming workers.
+    /// Number of worker failures from overload during slow start.
     #[serde(rename = "fell")]
     pub overloads: u64,
-    /// Core-seconds done.
+    /// Core-seconds completed by all workers.
     #[serde(rename = "work_done")]
     pub done_core_s: f64,
-    /// Mean number of jobs in the workers over time.
+    /// Mean number of jobs waiting or running at all workers over time.
     #[serde(rename = "held")]
     pub mean_jobs_in_workers: f64,
-    /// Violations, by rule.
+    /// Number of violations by rule.
     #[serde(rename = "breaches")]
     pub violations: BTreeMap<Rule, u64>,
-    /// The first of them.
+    /// First violations, with their descriptions.
     #[serde(rename = "examples")]
     pub violation_examples: Vec<RuleViolation>,
-    /// In real time: what the run used of the machine.
+    /// Machine usage of an emulation; `None` for a simulation.
     #[serde(rename = "measured", default, skip_serializing_if = "Option::is_none")]
     pub machine_usage: Option<MachineUsage>,
 }
 
-fn is_no_count(count: &u64) -> bool {
+fn is_zero_count(count: &u64) -> bool {
     *count == 0
 }
 
-fn is_free(cost: &f64) -> bool {
+fn is_zero_cost(cost: &f64) -> bool {
     *cost == 0.0
 }
 
 impl RunOutcome {
-    /// The share of the weight that was served in time, less the cost of load queries.
+    /// Returns the share of the weight that was served in time, less the cost of load queries.
     pub fn score(&self) -> f64 {
         self.weight.in_time_share() - self.load_query_cost
     }
 }
 
-/// What a run in real time used of the machine.
+/// The machine usage of an emulation.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineUsage {
-    /// How late the emulator sent jobs, in milliseconds: the 99th percentile and the highest.
+    /// Delay with which the emulation sent jobs, in milliseconds: the 99th percentile and the highest.
     #[serde(rename = "own_lag_ms")]
     pub send_lag_ms: [f64; 2],
-    /// Processor time of the schedulers for each job, in microseconds.
+    /// CPU time of the schedulers per job, in microseconds.
     #[serde(rename = "cpu_us_a_job")]
     pub cpu_us_per_job: f64,
-    /// Cores that all schedulers together used.
+    /// Mean number of cores used by all schedulers together.
     pub cores: f64,
 }
 
-/// What a simulation or emulation has recorded at its end.
+/// The data that a simulation or emulation has recorded at the end of a run.
 pub struct RunRecord<'a> {
-    /// The scenario.
+    /// Scenario of the run.
     pub scenario: &'a Scenario,
-    /// The policy's name.
+    /// Name of the policy.
     pub policy: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Events of virtual time.
+    /// Number of events that the simulation handled.
     pub events: u64,
-    /// How jobs ended.
+    /// Counter of job outcomes.
     pub counter: &'a OutcomeCounter,
-    /// The workers with their zones.
+    /// Workers with their zones.
     pub workers: &'a [(Worker, u32)],
-    /// The index of each worker's group.
+    /// Index of each worker's group in the scenario.
     pub kinds: &'a [u32],
-    /// Attempts that were sent; in real time, those that reached a worker.
+    /// Number of attempts sent; in an emulation, of those that reached a worker.
     pub attempts: u64,
-    /// Those of them that went to another zone.
+    /// Number of these attempts that went to another zone.
     pub cross_zone_attempts: u64,
-    /// Load queries that were sent.
+    /// Number of load queries sent.
     pub load_queries: u64,
-    /// Overloads of warming workers.
+    /// Number of worker failures from overload during slow start.
     pub overloads: u64,
-    /// The number of jobs in the workers, summed over microseconds.
+    /// Integral over time of the number of jobs at the workers, in job-microseconds.
     pub job_microseconds: f64,
-    /// What the rule checker found.
+    /// Violations found by the rule checker.
     pub violations: Violations,
-    /// In real time: what the run used of the machine.
+    /// Machine usage of an emulation; `None` for a simulation.
     pub machine_usage: Option<MachineUsage>,
 }
 
 impl RunRecord<'_> {
-    /// Sums the record up.
+    /// Computes the outcome from the record.
     pub fn into_outcome(self) -> RunOutcome {
         let (scenario, counter) = (self.scenario, self.counter);
         let jobs = counter.job_count();
@@ -277,7 +278,7 @@
         zone: *zone,
         group: *group,
         capacity_core_s: worker.spec.cores.min(worker.spec.slots) * worker.spec.speed * duration_s,
-        // Work counts in seconds at speed 1, capacity in what the worker's own speed gives.
+        // Both are in core-seconds at speed 1: the capacity above includes the worker's own speed.
         done_core_s: worker.completed_work,
     };
     workers.iter().zip(groups).map(outcome).collect()
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -1,4 +1,4 @@
-//! Dispatches by textbook policies: each selects a worker on arrival, and retries elsewhere where an attempt
+//! Textbook dispatch policies: each selects a worker on arrival, and retries on another worker if an attempt
 //! never ran.
 use copperspread_dispatcher::{
     Action, AttemptOutcome, DispatchPolicy, EndpointUpdate, EndpointUpdateKind, Event, IncomingRequest,
@@ -11,44 +11,44 @@
 use crate::model::random::RandomStream;
 use crate::model::worker::TrueState;
 
-/// The most attempts for one request.
+/// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: usize = 3;
-/// The weight of one attempt's speed in a worker's learned speed.
+/// Weight of one attempt's speed in the moving average of a worker's speed.
 const SPEED_LEARNING_RATE: f64 = 0.1;
-/// The slowest and the fastest speed that one attempt may show.
+/// Range to which the speed of one attempt is clamped.
 const LEARNED_SPEED_RANGE: [f64; 2] = [0.05, 5.0];
-/// The work of a request without a hint, in seconds.
+/// Assumed work of a request without a cost hint, in seconds.
 const DEFAULT_COST: f64 = 1.0;
 
-/// How a baseline selects among the ready workers.
+/// The rule by which a baseline selects among the ready workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SelectionRule {
-    /// At random.
+    /// A random worker.
     Random,
-    /// In turn.
+    /// Each worker in turn.
     RoundRobin,
-    /// The fewest outstanding requests.
+    /// The worker with the fewest outstanding requests.
     LeastOutstanding,
-    /// Fewer outstanding requests, of two at random.
+    /// The one of two random workers with fewer outstanding requests.
     TwoChoices,
-    /// The least outstanding work, divided by the learned speed.
+    /// The worker with the least outstanding work, divided by its learned speed.
     LeastCost,
-    /// The earliest true finish time; none where the request would be late.
+    /// The worker with the earliest true finish time; none if the request would miss its deadline.
     EarliestTrueFinish,
-    /// The latest start.
+    /// The worker that started last.
     Newest,
 }
 
-/// What a baseline knows of one worker.
+/// The state that a baseline keeps of one worker.
 #[derive(Clone, Copy)]
 struct KnownWorker {
     state: WorkerState,
     started_at: Option<Micros>,
-    /// Outstanding requests of this scheduler.
+    /// Number of outstanding requests of this scheduler.
     outstanding: u32,
-    /// Their work, in core-seconds by hint.
+    /// Work of these requests by their cost hints, in core-seconds.
     outstanding_work: f64,
-    /// Its speed: hinted work divided by running time, averaged over its requests.
+    /// Moving average of hinted work divided by running time.
     learned_speed: f64,
 }
 
@@ -69,20 +69,20 @@
     job: IncomingRequest,
     deadline: Micros,
     attempted: Vec<WorkerId>,
-    /// When its last attempt was sent or, once that is known, when it started.
+    /// Time at which the last attempt was sent, or at which it started once that is known.
     started_at: Micros,
     is_answered: bool,
 }
 
-/// A textbook policy.
+/// A textbook dispatch policy with one selection rule.
 pub(super) struct Baseline {
     rule: SelectionRule,
     random: RandomStream,
-    /// The endpoint list comes only after a subscription.
+    /// Whether the endpoint list arrives only after a subscription.
     must_subscribe: bool,
     workers: Vec<KnownWorker>,
     ready: Vec<WorkerId>,
-    /// Where a rotation over the ready workers stands.
+    /// Offset at which the last rotation over the ready workers began.
     rotation: usize,
     true_states: Vec<TrueState>,
     open_requests: FxHashMap<RequestId, OpenRequest>,
@@ -103,7 +103,7 @@
     }
 
     fn apply_endpoint_update(&mut self, update: EndpointUpdate<'_>, actions: &mut Vec<Action>) {
-        // A process that has just started, or a call that failed.
+        // A cached list means that the process has just started, a failed update that the call broke.
         let is_unsubscribed = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
         if self.must_subscribe && is_unsubscribed {
             actions.push(Action::Subscribe);
@@ -129,14 +129,14 @@
         self.ready = ready.map(|(index, _)| WorkerId(index as u32)).collect();
     }
 
-    /// Selects among the ready workers that the request has not been sent to.
+    /// Selects among the ready workers to which the request has not been sent.
     fn select_untried(&mut self, job: &IncomingRequest, attempted: &[WorkerId]) -> Option<WorkerId> {
         if !attempted.is_empty() {
             let untried = self.ready.iter().copied().filter(|worker| !attempted.contains(worker));
             let untried: Vec<WorkerId> = untried.collect();
             return self.select(job, &untried);
         }
-        // Taken out for the call, so that a first attempt copies no list.
+        // The list is moved out for the call, so that a first attempt does not copy it.
         let ready = std::mem::take(&mut self.ready);
         let selected = self.select(job, &ready);
         self.ready = ready;
@@ -152,8 +152,8 @@
             SelectionRule::RoundRobin => self.rotate(ready).next(),
             SelectionRule::TwoChoices => {
                 let (first, second) = (self.draw(ready), self.draw(ready));
-                let is_second_idler = self.outstanding(second) < self.outstanding(first);
-                Some(if is_second_idler { second } else { first })
+                let is_second_less_loaded = self.outstanding(second) < self.outstanding(first);
+                Some(if is_second_less_loaded { second } else { first })
             }
             SelectionRule::LeastOutstanding => {
                 self.rotate(ready).min_by_key(|&worker| self.outstanding(worker))
@@ -182,7 +182,8 @@
         ready[self.random.random_range(0..ready.len())]
     }
 
-    /// The ready workers, from one further than last time, so that ties are spread over an idle fleet.
+    /// Returns the ready workers, each time beginning with the next one, so that ties are spread over an idle
+    /// fleet.
     fn rotate<'r>(&mut self, ready: &'r [WorkerId]) -> impl Iterator<Item = WorkerId> + use<'r> {
         self.rotation += 1;
         let first = self.rotation % ready.len();
@@ -216,31 +217,31 @@
         self.open_requests.insert(id, open);
     }
 
-    fn complete_attempt(&mut self, now: Micros, end: AttemptOutcome, actions: &mut Vec<Action>) {
-        let Some(mut open) = self.open_requests.remove(&end.request) else { return };
-        if let Some(worker) = open.attempted.get(end.attempt as usize) {
+    fn complete_attempt(&mut self, now: Micros, completed: AttemptOutcome, actions: &mut Vec<Action>) {
+        let Some(mut open) = self.open_requests.remove(&completed.request) else { return };
+        if let Some(worker) = open.attempted.get(completed.attempt as usize) {
             let running_time = now.saturating_sub(open.started_at) as f64 / SECOND as f64;
             let worker = &mut self.workers[worker.0 as usize];
             worker.release(&open.job);
-            if end.outcome == AttemptResult::Served && running_time > 0.0 {
+            if completed.outcome == AttemptResult::Served && running_time > 0.0 {
                 worker.learn_speed(open.job.cost_hint.unwrap_or(DEFAULT_COST) / running_time);
             }
         }
-        if end.request_finished || open.is_answered {
+        if completed.request_finished || open.is_answered {
             return;
         }
-        if end.outcome.never_ran() && open.attempted.len() < MAX_ATTEMPTS && now < open.deadline {
-            return self.send(now, end.request, open, actions);
+        if completed.outcome.never_ran() && open.attempted.len() < MAX_ATTEMPTS && now < open.deadline {
+            return self.send(now, completed.request, open, actions);
         }
         open.is_answered = true;
-        actions.push(Action::Fail { request: end.request });
+        actions.push(Action::Fail { request: completed.request });
     }
 }
 
 impl KnownWorker {
     fn release(&mut self, job: &IncomingRequest) {
         self.outstanding = self.outstanding.saturating_sub(1);
-        // Without requests exactly none, so that rounding errors do not add up.
+        // Reset to exactly zero without outstanding requests, so that rounding errors do not accumulate.
         self.outstanding_work =
             if self.outstanding == 0 { 0.0 } else { self.outstanding_work - hinted_work(job) };
     }
@@ -252,7 +253,7 @@
     }
 }
 
-/// A request's work by its hint, in core-seconds.
+/// Returns a request's work by its cost hint, in core-seconds.
 fn hinted_work(job: &IncomingRequest) -> f64 {
     job.cost_hint.unwrap_or(DEFAULT_COST) * job.slots.unwrap_or(1.0)
 }
@@ -272,7 +273,7 @@
                     OpenRequest { job, deadline, attempted: Vec::new(), started_at: now, is_answered: false };
                 self.send(now, job.request, open, actions);
             }
-            Event::AttemptCompleted(end) => self.complete_attempt(now, end, actions),
+            Event::AttemptCompleted(completed) => self.complete_attempt(now, completed, actions),
             _ => {}
         }
     }
--- a/crates/testbed/src/policy/broken.rs
+++ b/crates/testbed/src/policy/broken.rs
@@ -1,4 +1,4 @@
-//! Breaks the dispatcher by one deliberate defect at a time, to show that the rule checker finds each.
+//! Broken policies: the dispatcher with one deliberate defect, used to test that the rule checker finds it.
 use copperspread_dispatcher::{
     Action, AttemptOutcome, DispatchPolicy, Dispatcher, Endpoint, EndpointUpdate, Event, Micros,
     Outcome as AttemptResult, RequestId, WorkerId, WorkerState,
@@ -7,31 +7,31 @@
 
 use super::Policy;
 
-/// Every so many served attempts get a second final response.
+/// Interval, in served attempts, at which a request gets a second final response.
 const ANSWERS_TWICE_INTERVAL: u64 = 10;
 
-/// What is wrong with a broken policy.
+/// The defect of a broken policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Defect {
     /// Some requests get two final responses.
     AnswersTwice,
     /// Rejections and failures are not sent.
     NeverAnswers,
-    /// Attempts that may have run are retried, in another zone.
+    /// Attempts that may have run are retried in another zone.
     Resends,
     /// Draining workers count as ready.
     IgnoresDrains,
 }
 
-/// The dispatcher behind a defect.
+/// A dispatcher whose events or actions are changed by a defect.
 pub(super) struct BrokenPolicy {
     dispatcher: Dispatcher,
     defect: Defect,
     endpoints: Vec<Endpoint>,
     served_attempts: u64,
-    /// The workers that each request was sent to.
+    /// Workers that each request was sent to.
     attempted: FxHashMap<RequestId, Vec<WorkerId>>,
-    /// Requests that were resent here, of which the dispatcher knows nothing any more.
+    /// Requests that were retried here after the dispatcher had failed and forgotten them.
     resent: FxHashSet<RequestId>,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A ready worker in a zone without an attempt, if there is one.
+    /// Returns a ready worker in a zone to which the request was not yet sent, if there is one.
     fn untried_zone_worker(&self, attempted: &[WorkerId]) -> Option<WorkerId> {
         let is_attempted = |endpoint: &&Endpoint| attempted.contains(&endpoint.worker);
         let zones: Vec<u32> =
@@ -82,15 +82,15 @@
         untried.map(|endpoint| endpoint.worker)
     }
 
-    /// Retries an attempt that may have run. `first` is where this event's actions begin.
-    fn resend(&mut self, end: AttemptOutcome, first: usize, actions: &mut Vec<Action>) {
-        let id = end.request;
-        let may_have_run = matches!(end.outcome, AttemptResult::Reset | AttemptResult::Error);
-        if end.request_finished || !(may_have_run || self.resent.contains(&id)) {
+    /// Retries an attempt that may have run. `first_action` is the index of this event's first action.
+    fn resend(&mut self, completed: AttemptOutcome, first_action: usize, actions: &mut Vec<Action>) {
+        let id = completed.request;
+        let may_have_run = matches!(completed.outcome, AttemptResult::Reset | AttemptResult::Error);
+        if completed.request_finished || !(may_have_run || self.resent.contains(&id)) {
             return;
         }
         actions.retain(|action| !matches!(action, Action::Fail { request } if *request == id));
-        if actions.len() != first {
+        if actions.len() != first_action {
             return;
         }
         let attempted = self.attempted.get(&id).map_or(&[][..], Vec::as_slice);
@@ -104,11 +104,11 @@
         }
     }
 
-    fn answer_twice(&mut self, end: AttemptOutcome, actions: &mut Vec<Action>) {
-        if end.outcome == AttemptResult::Served {
+    fn answer_twice(&mut self, completed: AttemptOutcome, actions: &mut Vec<Action>) {
+        if completed.outcome == AttemptResult::Served {
             self.served_attempts += 1;
             if self.served_attempts.is_multiple_of(ANSWERS_TWICE_INTERVAL) {
-                actions.push(Action::Fail { request: end.request });
+                actions.push(Action::Fail { request: completed.request });
             }
         }
     }
@@ -116,7 +116,7 @@
 
 impl DispatchPolicy for BrokenPolicy {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
-        let first = actions.len();
+        let first_action = actions.len();
         if let Event::Endpoints(update) = event {
             self.update_endpoints(update);
             if self.defect == Defect::IgnoresDrains {
@@ -124,13 +124,17 @@
             }
         }
         self.dispatcher.handle(now, event, actions);
-        self.record_attempts(&actions[first..]);
+        self.record_attempts(&actions[first_action..]);
         match (self.defect, event) {
             (Defect::NeverAnswers, _) => {
                 actions.retain(|action| !matches!(action, Action::Reject { .. } | Action::Fail { .. }));
             }
-            (Defect::Resends, Event::AttemptCompleted(end)) => self.resend(end, first, actions),
-            (Defect::AnswersTwice, Event::AttemptCompleted(end)) => self.answer_twice(end, actions),
+            (Defect::Resends, Event::AttemptCompleted(completed)) => {
+                self.resend(completed, first_action, actions);
+            }
+            (Defect::AnswersTwice, Event::AttemptCompleted(completed)) => {
+                self.answer_twice(completed, actions);
+            }
             _ => {}
         }
     }
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Builds the dispatch policies that can be compared: the dispatcher, textbook baselines, and broken ones.
+//! Dispatch policies for comparison: the dispatcher, textbook baselines and deliberately broken policies.
 mod baseline;
 mod broken;
 
@@ -10,37 +10,38 @@
 use crate::model::random::RandomStream;
 use crate::model::worker::TrueState;
 
-/// The dispatch policy of one scheduler.
+/// A dispatch policy that runs in one scheduler of a testbed run.
 pub trait Policy: DispatchPolicy {
-    /// Whether it must be shown the workers' true state before each request.
+    /// Returns whether the policy must get the workers' true states before each request.
     fn needs_true_state(&self) -> bool {
         false
     }
 
-    /// Shows it the true state of each worker, which no real scheduler knows.
+    /// Gives the policy the true state of each worker, which a real scheduler cannot know.
     fn observe_true_state(&mut self, _states: &[TrueState]) {}
 }
 
 impl Policy for Dispatcher {}
 
-/// Which policy. Texts and files name it in snake case.
+/// The kind of a dispatch policy, written in snake case in texts and files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename = "Kind", rename_all = "snake_case", expecting = "enum Kind")]
 pub enum PolicyKind {
-    /// The dispatcher.
+    /// The dispatcher that the scheduler uses.
     Copperspread,
-    /// A ready worker at random.
+    /// Selects a ready worker at random.
     Random,
-    /// The ready workers in turn.
+    /// Selects the ready workers in turn.
     RoundRobin,
-    /// The worker with the fewest outstanding requests of this scheduler.
+    /// Selects the worker with the fewest outstanding requests of this scheduler.
     LeastOutstanding,
-    /// The worker with fewer outstanding requests of this scheduler, of two at random.
+    /// Selects the one of two random workers with fewer outstanding requests of this scheduler.
     TwoChoices,
-    /// The worker with the least outstanding work of this scheduler by cost hints, divided by the worker's
-    /// learned speed. Rejects nothing.
+    /// Selects the worker with the least outstanding work of this scheduler by cost hints, divided by the
+    /// worker's learned speed. It rejects a request only if no untried worker is ready.
     LeastCost,
-    /// The worker with the earliest true finish time. Rejects what would be late.
+    /// Selects the worker with the earliest true finish time, and rejects requests that would miss their
+    /// deadline.
     Oracle,
     /// Broken: the dispatcher, but some requests get two final responses.
     AnswersTwice,
@@ -51,11 +52,12 @@
     /// Broken: the dispatcher, but draining workers count as ready.
     IgnoresDrains,
     /// Broken: every request goes to the worker that started last.
-    FloodsTheNew,
+    #[serde(rename = "floods_the_new")]
+    NewestWorker,
 }
 
 impl PolicyKind {
-    /// The policies that a comparison runs.
+    /// Policies that a comparison runs.
     pub const COMPARED: [PolicyKind; 7] = [
         PolicyKind::Copperspread,
         PolicyKind::Random,
@@ -66,16 +68,16 @@
         PolicyKind::Oracle,
     ];
 
-    /// Its name as texts and files write it.
+    /// Returns the policy's name as written in texts and files.
     pub fn name(self) -> String {
         serde_json::to_value(self).ok().and_then(|name| name.as_str().map(str::to_owned)).unwrap_or_default()
     }
 
-    /// Builds the policy for one scheduler. The dispatcher takes its randomness from the seed, baselines take
-    /// it from the stream.
+    /// Builds the policy for one scheduler. The dispatcher draws its random numbers from `seed`, baselines
+    /// from `random`.
     ///
     /// # Errors
-    /// Settings that the dispatcher does not accept.
+    /// Fails if the dispatcher does not accept the settings.
     pub fn build(
         self,
         settings: Settings,
@@ -96,7 +98,7 @@
             PolicyKind::TwoChoices => baseline(SelectionRule::TwoChoices),
             PolicyKind::LeastCost => baseline(SelectionRule::LeastCost),
             PolicyKind::Oracle => baseline(SelectionRule::EarliestTrueFinish),
-            PolicyKind::FloodsTheNew => baseline(SelectionRule::Newest),
+            PolicyKind::NewestWorker => baseline(SelectionRule::Newest),
             PolicyKind::AnswersTwice => broken(Defect::AnswersTwice)?,
             PolicyKind::NeverAnswers => broken(Defect::NeverAnswers)?,
             PolicyKind::Resends => broken(Defect::Resends)?,
--- a/crates/testbed/src/rule_checker/dispatches.rs
+++ b/crates/testbed/src/rule_checker/dispatches.rs
@@ -1,4 +1,4 @@
-//! Checks the rules on dispatches: none to draining workers, and within the budget to those that warm up.
+//! Rules for dispatches: none to draining workers, and no more than the budget to workers in slow start.
 use std::collections::VecDeque;
 
 use copperspread_dispatcher::{Micros, SECOND, WorkerId};
@@ -8,21 +8,22 @@
 use super::{DRAIN_GRACE, TIMING_GRACE};
 use crate::model::scheduler_id::SchedulerId;
 
-/// What all schedulers together may send to a worker that is warming up.
+/// The load that all schedulers together may send to a worker in slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartBudget {
-    /// The share of its capacity that a worker has at its start.
+    /// Fraction of its full capacity that a worker has at its start.
     pub initial_capacity: f64,
-    /// The time until it has its full capacity.
+    /// Time from the start of a worker until its full capacity.
     pub duration: Micros,
-    /// At most this multiple of its present capacity ...
+    /// Multiple of the current capacity up to which load may be sent.
     pub overload_multiple: f64,
-    /// ... within any interval of this length.
+    /// Length of the sliding window over which that load is summed.
     pub overload_window: Micros,
 }
 
 impl SlowStartBudget {
-    /// Core-seconds that may be sent within the window to a worker of this capacity and age.
+    /// Returns the core-seconds that may be sent within the window to a worker with this full capacity and
+    /// age.
     fn core_seconds(&self, capacity: f64, age: Micros) -> f64 {
         let capacity_fraction =
             self.initial_capacity + (1.0 - self.initial_capacity) * age as f64 / self.duration as f64;
@@ -30,7 +31,7 @@
     }
 }
 
-/// The workers of which schedulers were notified that they take no work, and since when.
+/// Drain rule, with the time from which each scheduler knows that a worker is unavailable.
 #[derive(Default)]
 pub(super) struct DrainRule {
     unavailable_since: FxHashMap<SchedulerAndWorker, Micros>,
@@ -77,7 +78,7 @@
     }
 }
 
-struct WarmingWorker {
+struct SlowStartWorker {
     started_at: Micros,
     capacity: f64,
     /// Time and core-seconds of each attempt within the window.
@@ -85,20 +86,20 @@
     is_violated: bool,
 }
 
-/// The workers that are warming up, and what they were sent.
+/// Slow-start rule, with the workers in slow start and the load sent to each.
 pub(super) struct SlowStartRule {
     budget: Option<SlowStartBudget>,
-    warming: FxHashMap<WorkerId, WarmingWorker>,
+    workers: FxHashMap<WorkerId, SlowStartWorker>,
 }
 
 impl SlowStartRule {
     pub(super) fn new(budget: Option<SlowStartBudget>) -> SlowStartRule {
-        SlowStartRule { budget, warming: FxHashMap::default() }
+        SlowStartRule { budget, workers: FxHashMap::default() }
     }
 
     pub(super) fn worker_started(&mut self, now: Micros, worker: WorkerId, capacity: f64) {
-        let warming = WarmingWorker { started_at: now, capacity, sent: VecDeque::new(), is_violated: false };
-        self.warming.insert(worker, warming);
+        let state = SlowStartWorker { started_at: now, capacity, sent: VecDeque::new(), is_violated: false };
+        self.workers.insert(worker, state);
     }
 
     pub(super) fn check(
@@ -109,21 +110,21 @@
         violations: &mut Violations,
     ) {
         let Some(budget) = self.budget else { return };
-        let Some(warming) = self.warming.get_mut(&worker) else { return };
-        let age = now.saturating_sub(warming.started_at);
+        let Some(state) = self.workers.get_mut(&worker) else { return };
+        let age = now.saturating_sub(state.started_at);
         if age >= budget.duration {
-            self.warming.remove(&worker);
+            self.workers.remove(&worker);
             return;
         }
-        warming.sent.push_back((now, core_seconds));
-        while warming.sent.front().is_some_and(|&(at, _)| at + budget.overload_window < now) {
-            warming.sent.pop_front();
+        state.sent.push_back((now, core_seconds));
+        while state.sent.front().is_some_and(|&(at, _)| at + budget.overload_window < now) {
+            state.sent.pop_front();
         }
-        let allowed = budget.core_seconds(warming.capacity, age);
-        let sent: f64 = warming.sent.iter().map(|&(_, core_seconds)| core_seconds).sum();
-        // Recorded once for each start: what follows is the same overload.
-        if sent > allowed && !warming.is_violated {
-            warming.is_violated = true;
+        let allowed = budget.core_seconds(state.capacity, age);
+        let sent: f64 = state.sent.iter().map(|&(_, core_seconds)| core_seconds).sum();
+        // A violation is recorded once per start, as the following attempts belong to the same overload.
+        if sent > allowed && !state.is_violated {
+            state.is_violated = true;
             violations.record(Rule::WithinSlowStartBudget, now, || {
                 format!("worker {}: {sent:.1} of {allowed:.1} core-seconds", worker.0)
             });
--- a/crates/testbed/src/rule_checker/executions.rs
+++ b/crates/testbed/src/rule_checker/executions.rs
@@ -1,29 +1,29 @@
-//! Checks the rules on executions: how often a job may run, over all attempts and retries.
+//! Rules for executions: how often a job may run, over all attempts and retries.
 use copperspread_dispatcher::{Idempotency, KeyScope, Micros};
 use rustc_hash::FxHashMap;
 
 use super::TIMING_GRACE;
 use super::violations::{Rule, Violations};
 
-/// An attempt that a worker accepted, and that may therefore have run.
+/// An attempt that a worker accepted and that may therefore have run.
 #[derive(Clone, Copy)]
 pub(super) struct AcceptedAttempt {
-    /// The attempt's number.
+    /// ID of the attempt.
     pub attempt: u64,
-    /// The worker's deduplication group.
+    /// Deduplication group of the worker.
     pub group: u32,
-    /// When the scheduler sent it.
+    /// Time at which the scheduler sent the attempt.
     pub sent_at: Micros,
 }
 
 #[derive(Default)]
 struct JobExecutions {
-    /// Starts of a non-idempotent job.
+    /// Number of starts of a non-idempotent job.
     starts: u32,
     accepted: Vec<AcceptedAttempt>,
 }
 
-/// The executions of jobs, by the client's job over all its retries.
+/// Execution rules, with the executions of each client's job over all its retries.
 #[derive(Default)]
 pub(super) struct ExecutionRules {
     jobs: FxHashMap<u64, JobExecutions>,
@@ -34,7 +34,7 @@
         self.jobs.remove(&job);
     }
 
-    /// An attempt that was returned unstarted never ran.
+    /// Removes an attempt that was returned unstarted, as it never ran.
     pub(super) fn attempt_returned(&mut self, job: u64, attempt: u64) {
         if let Some(executions) = self.jobs.get_mut(&job) {
             executions.accepted.retain(|accepted| accepted.attempt != attempt);
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Repeats are dropped only in the group of the first attempt, and only within the window after that was
-    /// sent.
+    /// Checks that a repeated attempt goes to the deduplication group of the first attempt, within the key's
+    /// window after the first one was sent. Workers drop duplicates only there and then.
     pub(super) fn check_keyed_within_scope(
         &mut self,
         now: Micros,
--- a/crates/testbed/src/rule_checker/mod.rs
+++ b/crates/testbed/src/rule_checker/mod.rs
@@ -1,6 +1,6 @@
-//! Checks the rules of a run by what clients and workers observed and what discovery notified.
+//! Checks the rules of a run from what clients and workers observe and what discovery announces.
 //!
-//! It must use nothing that a scheduler claims.
+//! A scheduler's own statements must not be used, as a faulty scheduler could hide violations that way.
 mod dispatches;
 mod executions;
 mod responses;
@@ -17,13 +17,13 @@
 use executions::{AcceptedAttempt, ExecutionRules};
 use responses::ResponseRules;
 
-/// Tolerance of time limits, as on sockets.
+/// Tolerance for time limits, which covers the delays of sockets in an emulation.
 pub const TIMING_GRACE: Micros = 50_000;
-/// For this long after the notification of a drain, new work may go to the worker.
+/// Time after the notification of a drain during which new work may still go to the worker.
 pub const DRAIN_GRACE: Micros = SECOND;
 
-/// The rule checker of one run. Each method notifies it of something observed; times are microseconds from
-/// the start of the run.
+/// The rule checker of one run. Each method notifies it of an observation; times are in microseconds from the
+/// start of the run.
 pub struct RuleChecker {
     responses: ResponseRules,
     executions: ExecutionRules,
@@ -33,7 +33,7 @@
 }
 
 impl RuleChecker {
-    /// A checker that holds warming workers to a budget, or to none.
+    /// Creates a rule checker with the slow-start budget of workers, or without one.
     pub fn new(budget: Option<SlowStartBudget>) -> RuleChecker {
         RuleChecker {
             responses: ResponseRules::default(),
@@ -44,48 +44,48 @@
         }
     }
 
-    /// A client sent a request, and waits until its deadline.
+    /// Notifies that a client sent a request and waits until its deadline.
     pub fn request_sent(&mut self, request: RequestId, deadline: Micros) {
         self.responses.request_sent(request, deadline);
     }
 
-    /// A worker made a request's result.
+    /// Notifies that a worker produced the result of a request.
     pub fn result_made(&mut self, request: RequestId) {
         self.responses.result_made(request);
     }
 
-    /// A final response reached the client, or its connection broke.
+    /// Notifies that a final response reached the client, or that its connection broke.
     pub fn response_received(&mut self, now: Micros, request: RequestId, response: ClientResponse) {
         self.responses.response_received(now, request, response, &mut self.violations);
     }
 
-    /// A scheduler sent a client's response.
+    /// Notifies that a scheduler sent the final response of a request.
     pub fn response_sent(&mut self, request: RequestId) {
         self.responses.response_sent(request);
     }
 
-    /// A client's deadline passed, perhaps a little earlier.
+    /// Notifies that the client of a request stopped waiting, at or after its deadline.
     pub fn deadline_passed(&mut self, now: Micros, request: RequestId) {
         self.responses.check_response_before_deadline(now, request, &mut self.violations);
     }
 
-    /// Nothing more can happen to a request: its state is dropped.
+    /// Notifies that nothing more can happen to a request, and removes its state.
     pub fn request_finished(&mut self, request: RequestId) {
         self.responses.request_finished(request);
     }
 
-    /// Nothing more can happen to a client's job: its state is dropped.
+    /// Notifies that nothing more can happen to a client's job, and removes its state.
     pub fn job_finished(&mut self, job: u64) {
         self.executions.job_finished(job);
     }
 
-    /// A worker began to run a client's job.
+    /// Notifies that a worker started a client's job.
     pub fn job_started(&mut self, now: Micros, job: u64, idempotency: Idempotency) {
         self.executions.check_non_idempotent_once(now, job, idempotency, &mut self.violations);
     }
 
-    /// A worker of a group (see `model::idempotency_keys`) accepted an attempt, which may run from now
-    /// on.
+    /// Notifies that a worker of a deduplication group (see `model::idempotency_keys`) accepted an attempt,
+    /// which may run from now on.
     pub fn attempt_accepted(
         &mut self,
         now: Micros,
@@ -99,12 +99,12 @@
         self.executions.check_keyed_within_scope(now, job, accepted, idempotency, &mut self.violations);
     }
 
-    /// A worker returned an attempt unstarted: it never ran.
+    /// Notifies that a worker returned an attempt unstarted, so that it never ran.
     pub fn attempt_returned(&mut self, job: u64, attempt: u64) {
         self.executions.attempt_returned(job, attempt);
     }
 
-    /// A scheduler was notified that a worker drains or was removed, or takes work again.
+    /// Notifies that a scheduler learned that a worker drains or was removed, or is available again.
     pub fn availability_notified(
         &mut self,
         now: Micros,
@@ -115,18 +115,19 @@
         self.drains.availability_notified(now, scheduler, worker, is_available);
     }
 
-    /// A worker's process started, cold; `capacity` is in cores once it is warm.
+    /// Notifies that a worker's process started, in slow start. `capacity` is the full capacity, in
+    /// core-seconds per second.
     pub fn worker_started(&mut self, now: Micros, worker: WorkerId, capacity: f64) {
         self.slow_starts.worker_started(now, worker, capacity);
     }
 
-    /// A scheduler sent an attempt of this many core-seconds to a worker.
+    /// Notifies that a scheduler sent an attempt to a worker, with its work in core-seconds.
     pub fn attempt_sent(&mut self, now: Micros, scheduler: SchedulerId, worker: WorkerId, core_seconds: f64) {
         self.drains.check(now, scheduler, worker, &mut self.violations);
         self.slow_starts.check(now, worker, core_seconds, &mut self.violations);
     }
 
-    /// Ends the check.
+    /// Ends the check and returns the violations found.
     pub fn into_violations(self) -> Violations {
         self.violations
     }
--- a/crates/testbed/src/rule_checker/responses.rs
+++ b/crates/testbed/src/rule_checker/responses.rs
@@ -1,32 +1,32 @@
-//! Checks the rules on final responses: one for each request, genuine, and before the deadline.
+//! Rules for final responses: a single one for each request, with a genuine result, before the deadline.
 use copperspread_dispatcher::{Micros, RequestId};
 use rustc_hash::FxHashMap;
 
 use super::violations::{Rule, Violations};
 
-/// What a client received.
+/// The response that a client observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientResponse {
-    /// A result that a worker may have made.
+    /// A result that a worker may have produced.
     Served,
-    /// What is no result of this request.
+    /// A response that is not a result of this request.
     Forged,
     /// A rejection or a failure.
     Unserved,
-    /// The connection broke: no response, and the end of the wait.
+    /// A broken connection, which ends the wait without a response.
     ConnectionBroken,
 }
 
 struct PendingRequest {
     deadline: Micros,
     responses: u32,
-    /// A scheduler has sent the response.
+    /// Whether a scheduler has sent the final response.
     is_response_sent: bool,
-    /// A worker has made a result for it.
+    /// Whether a worker has produced a result.
     is_result_made: bool,
 }
 
-/// The requests of clients that have not ended.
+/// Response rules, with the state of open requests.
 #[derive(Default)]
 pub(super) struct ResponseRules {
     requests: FxHashMap<RequestId, PendingRequest>,
@@ -68,8 +68,8 @@
         check_genuine_result(pending, now, request, response, violations);
     }
 
-    /// A response that was sent by the deadline and is still on its way, as after a retransmission, is no
-    /// violation.
+    /// Checks that a response was received, or at least sent, by the deadline. A response that is still on
+    /// its way, for example because of a retransmission, is not a violation.
     pub(super) fn check_response_before_deadline(
         &self,
         now: Micros,
--- a/crates/testbed/src/rule_checker/violations.rs
+++ b/crates/testbed/src/rule_checker/violations.rs
@@ -1,13 +1,13 @@
-//! Names the rules and records their violations.
+//! Rules of a run and the record of their violations.
 use std::collections::BTreeMap;
 
 use copperspread_dispatcher::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Violations that are kept with their descriptions; all are counted.
+/// Number of violations that are kept with their descriptions; the others are only counted.
 const MAX_EXAMPLES: usize = 20;
 
-/// What must hold in every run, whatever the policy.
+/// A rule that must hold in every run with every policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
@@ -17,26 +17,26 @@
     /// A client gets a final response before its deadline.
     #[serde(rename = "answer_in_time")]
     ResponseBeforeDeadline,
-    /// A client is served only what a worker made for its request.
+    /// A served response contains only what a worker produced for the request.
     #[serde(rename = "forged")]
     GenuineResult,
     /// A non-idempotent job never runs twice.
     #[serde(rename = "unsafe_twice")]
     NonIdempotentOnce,
-    /// A keyed job that may have run is sent again only where, and while, workers know its key.
+    /// A job with an idempotency key that may have run is sent again only to workers that still know the key.
     #[serde(rename = "keyed_twice")]
     KeyedWithinScope,
-    /// New work goes to no worker for longer than [`super::DRAIN_GRACE`] after the scheduler was notified
-    /// of its drain.
+    /// No new work goes to a worker later than [`super::DRAIN_GRACE`] after the scheduler was notified of the
+    /// worker's drain.
     #[serde(rename = "drained")]
     NoDispatchWhileDraining,
-    /// A worker that is warming up is sent no more than its budget.
+    /// A worker in slow start is sent no more load than its slow-start budget.
     #[serde(rename = "cold_budget")]
     WithinSlowStartBudget,
 }
 
 impl std::fmt::Display for Rule {
-    /// The name as printed in outcomes.
+    /// Writes the rule's name as printed with outcomes.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Rule::SingleResponse => "OneAnswer",
@@ -50,14 +50,14 @@
     }
 }
 
-/// One violation of a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RuleViolation {
-    /// The rule.
+    /// Rule that was violated.
     pub rule: Rule,
-    /// When, in microseconds from the start of the run.
+    /// Time of the violation, in microseconds from the start of the run.
     pub at: Micros,
-    /// Which request, job or worker, and how.
+    /// Description of the request, job or worker involved and of the violation.
     #[serde(rename = "what")]
     pub description: String,
 }
@@ -65,14 +65,14 @@
 /// The violations of one run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Violations {
-    /// How many, by rule.
+    /// Number of violations by rule.
     pub counts: BTreeMap<Rule, u64>,
-    /// The first of them, with their descriptions.
+    /// First violations, with their descriptions.
     pub examples: Vec<RuleViolation>,
 }
 
 impl Violations {
-    /// Counts a violation, and keeps it if it is one of the first.
+    /// Counts a violation, and keeps its description if it is one of the first.
     pub(super) fn record(&mut self, rule: Rule, at: Micros, describe: impl FnOnce() -> String) {
         *self.counts.entry(rule).or_default() += 1;
         if self.examples.len() < MAX_EXAMPLES {
--- a/crates/testbed/src/simulation/attempts.rs
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Sends attempts over connections, and reports their progress and end to their scheduler.
+//! Scheduler side of attempts: sending, connection reuse, progress, results and cancellation.
 use copperspread_dispatcher::{
     AttemptOutcome, Event, LoadReport, Micros, Outcome as AttemptResult, Progress, RequestId, SECOND,
     WorkerId,
@@ -10,7 +10,7 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::micros_from_seconds;
 
-/// An idle connection is closed after this long.
+/// Time after which an idle connection is closed.
 const IDLE_CONNECTION_TIMEOUT: Micros = 5 * SECOND;
 
 impl Simulation<'_> {
@@ -18,11 +18,11 @@
         let id = AttemptId(self.last_id + 1);
         let Some(request) = self.scheduler_requests.get_mut(&request_id) else { return };
         self.last_id = id.0;
-        let (client_request, scheduler) = (request.client_request, request.scheduler);
+        let (client_job, scheduler) = (request.client_job, request.scheduler);
         let is_superseded = request.is_past_deadline || request.is_answered;
         let attempt = Attempt {
             request: request_id,
-            client_request,
+            client_job,
             number: request.attempts.len() as u32,
             worker,
             sent_at: self.now,
@@ -38,9 +38,9 @@
             let result = AttemptResult::Superseded;
             return self.schedule(self.now, SimulationEvent::AttemptCompleted { attempt: id, result });
         }
-        let Some(client_request) = self.client_requests.get_mut(&client_request) else { return };
-        client_request.open_references += 1;
-        let load = client_request.arrival.work * client_request.arrival.slots;
+        let Some(client_job) = self.client_jobs.get_mut(&client_job) else { return };
+        client_job.reference_count += 1;
+        let load = client_job.arrival.work * client_job.arrival.slots;
         self.rule_checker.attempt_sent(self.now, scheduler, worker, load);
         self.attempts_sent += 1;
         let (from_zone, to_zone) = (self.scheduler_zone(scheduler), self.worker_zone(worker));
@@ -49,8 +49,8 @@
         self.schedule(self.now + delay, SimulationEvent::AttemptArrived(id));
     }
 
-    /// How long an attempt or load query waits for its connection: not at all where one is idle. The
-    /// connection is then in use until the worker has responded, estimated as one round trip.
+    /// Returns how long an attempt or load query waits for a connection: 0 if an idle one can be reused. The
+    /// connection then counts as in use for one round trip, an estimate of the time until the response.
     pub(super) fn connection_delay(&mut self, scheduler: SchedulerId, worker: WorkerId) -> Micros {
         let connect_time = micros_from_seconds(self.scenario.network.connect_delay_s);
         if connect_time == 0 {
@@ -71,7 +71,7 @@
         wait
     }
 
-    /// Ends an attempt at its scheduler, unless the scheduler no longer waits for it.
+    /// Ends an attempt at its scheduler. Does nothing if the scheduler no longer waits for it.
     pub(super) fn complete_attempt(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_in_flight) else { return };
         attempt.is_in_flight = false;
@@ -113,7 +113,8 @@
         self.schedule(self.now + delay, SimulationEvent::CancellationArrived(id));
     }
 
-    /// The load report that comes with a response, where workers send them so.
+    /// Returns the load report that comes with a response; `None` if the scenario has load queries instead or
+    /// the result is not from the worker.
     fn load_report_with(&mut self, worker: WorkerId, result: AttemptResult) -> Option<LoadReport> {
         let reports = &self.scenario.load_reports;
         let is_from_worker =
@@ -127,7 +128,7 @@
         Some(worker.load_report(self.now, refresh, || draw_report_noise(random, sigma)))
     }
 
-    /// Gives an attempt's progress to its scheduler, if that still waits for it.
+    /// Notifies the scheduler of an attempt's progress, if it still waits for the attempt.
     pub(super) fn notify_progress(&mut self, id: AttemptId, progress: Progress) {
         let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_in_flight) else { return };
         let (request, attempt) = (attempt.request, attempt.number);
@@ -137,18 +138,18 @@
         self.notify_scheduler(scheduler, Event::AttemptProgress { request, attempt, progress });
     }
 
-    /// Removes an attempt that has left its worker or never reached it.
+    /// Removes an attempt from its worker, also one that never reached it.
     pub(super) fn remove_from_worker(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         attempt.is_at_worker = false;
-        let client_request = attempt.client_request;
+        let client_job = attempt.client_job;
         if !attempt.is_in_flight {
             self.attempts.remove(&id);
         }
-        self.release_client_request(client_request);
+        self.release_client_job(client_job);
     }
 
-    /// Sends an attempt's result back to its scheduler.
+    /// Sends an attempt's result to its scheduler, if that still waits for it.
     pub(super) fn report_result(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_in_flight) else { return };
         let (request, worker) = (attempt.request, attempt.worker);
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Plays discovery: the endpoint list, the updates that schedulers get, and their subscriptions.
+//! Simulated discovery: the endpoint list, endpoint updates and the schedulers' subscriptions.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
@@ -12,14 +12,14 @@
 use crate::model::worker::ProcessState;
 use crate::scenario::micros_from_seconds;
 
-/// A call to a discovery service that is down fails after this long.
+/// Time after which a call to an unavailable discovery service fails.
 const DISCOVERY_ERROR_DELAY: Micros = SECOND;
-/// How long each of two contradicting lists stays published.
+/// Interval at which the two contradicting lists replace each other.
 const LIST_ALTERNATION_INTERVAL: Micros = 3 * SECOND;
 
 impl Simulation<'_> {
-    /// Schedules the lists with which the schedulers start: the cached one, which still names the missing
-    /// workers, and the full one.
+    /// Schedules the initial lists of the schedulers: the cached one, which still has the missing workers,
+    /// and the full one.
     pub(super) fn schedule_initial_lists(&mut self, missing_workers: &[WorkerId]) {
         let full = self.endpoint_list();
         let mut cached = full.clone();
@@ -68,19 +68,20 @@
         }
     }
 
-    /// The full list as it is now.
+    /// Returns the current full endpoint list.
     pub(super) fn endpoint_list(&self) -> Vec<Endpoint> {
         worker_ids(self.workers.len()).map(|worker| self.endpoint(worker)).collect()
     }
 
-    /// The size that the list gives for a worker: its group's capacity, divided by one plus its jobs per core.
+    /// Returns a worker's size in the endpoint list: the capacity of its group divided by one plus the
+    /// worker's jobs per core.
     fn worker_size(&self, worker: WorkerId) -> f64 {
         let group = &self.scenario.workers[self.kinds[worker.0 as usize] as usize];
         let idle_size = group.cores * (group.speed[0] + group.speed[1]) / 2.0;
         idle_size / (1.0 + self.worker(worker).job_count() as f64 / group.cores)
     }
 
-    /// Publishes the ready workers whose size has changed since the last time.
+    /// Publishes the workers that are up and whose size has changed since the last call.
     pub(super) fn publish_sizes(&mut self) {
         let sizes: Vec<f64> = worker_ids(self.workers.len()).map(|worker| self.worker_size(worker)).collect();
         let previous = std::mem::replace(&mut self.published_sizes, sizes);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Publishes a worker whose state changed, now or when discovery is back.
+    /// Publishes a worker's changed state, or queues it while discovery is down.
     pub(super) fn publish_worker(&mut self, worker: WorkerId) {
         let endpoint = self.endpoint(worker);
         if self.discovery_outages > 0 {
@@ -110,7 +111,7 @@
         self.publish_changes(&Arc::new(vec![endpoint]));
     }
 
-    /// Publishes the present state of the workers that changed while discovery was down.
+    /// Publishes the current state of the workers that changed while discovery was down.
     pub(super) fn publish_missed_changes(&mut self) {
         let missed = std::mem::take(&mut self.unpublished);
         let endpoints: Vec<_> = missed.iter().map(|endpoint| self.endpoint(endpoint.worker)).collect();
@@ -119,14 +120,14 @@
 
     fn publish_changes(&mut self, endpoints: &Arc<Vec<Endpoint>>) {
         let at = self.now + micros_from_seconds(self.scenario.discovery.delay_s);
-        // The first full list comes before any change.
+        // The first full list must arrive before any change.
         let at = at.max(micros_from_seconds(self.scenario.discovery.first_list_after_s) + 1);
         for scheduler in SchedulerId::first(self.schedulers.len() as u32) {
             self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Changes, endpoints);
         }
     }
 
-    /// Publishes the full list as it is now.
+    /// Publishes the current full endpoint list.
     pub(super) fn publish_full_list(&mut self) {
         let list = Arc::new(self.endpoint_list());
         self.publish_list(&list);
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Starts or ends the publication of two lists that contradict each other. At the end the true one is
-    /// published last.
+    /// Starts or ends the alternating publication of two contradicting lists. The current list is published
+    /// last.
     pub(super) fn set_list_alternation(&mut self, is_active: bool) {
         self.stale_list = is_active.then(|| Arc::new(self.endpoint_list()));
         if is_active {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Publishes the stale or the true list, and schedules the other one.
+    /// Publishes the stale or the current list and schedules the other one.
     pub(super) fn alternate_lists(&mut self, is_stale: bool) {
         let Some(stale) = self.stale_list.clone() else { return };
         if is_stale {
@@ -162,7 +163,8 @@
         self.schedule(self.now + LIST_ALTERNATION_INTERVAL, next);
     }
 
-    /// A scheduler subscribes: it gets the full list, and from then on the changes.
+    /// Subscribes a scheduler to discovery: it gets the full list now and the changes from then on. The call
+    /// fails while discovery is down.
     pub(super) fn subscribe(&mut self, scheduler: SchedulerId) {
         if !self.scenario.discovery.polled {
             return;
@@ -180,7 +182,7 @@
         self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Full, &list);
     }
 
-    /// Discovery goes down: the calls of subscribed schedulers break.
+    /// Ends all subscriptions, as discovery goes down; each subscribed scheduler gets a failed update.
     pub(super) fn end_subscriptions(&mut self) {
         if !self.scenario.discovery.polled {
             return;
@@ -193,7 +195,8 @@
         }
     }
 
-    /// Gives an update to a scheduler that runs and either is subscribed or needs no subscription for it.
+    /// Delivers an endpoint update to a scheduler that is up. Full lists and changes also need a
+    /// subscription.
     pub(super) fn deliver_endpoints(
         &mut self,
         id: SchedulerId,
--- a/crates/testbed/src/simulation/event_queue.rs
+++ b/crates/testbed/src/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! Orders the events of a simulation by time, then by the order in which they were scheduled.
+//! Events of the simulation and their queue, ordered by time and then by the order of scheduling.
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 use std::sync::Arc;
@@ -7,20 +7,20 @@
     Endpoint, EndpointUpdateKind, LoadReport, Micros, Outcome as AttemptResult, RequestId, Timer, WorkerId,
 };
 
-use super::requests::{AttemptId, ClientRequestId, LoadQueryId};
+use super::requests::{AttemptId, ClientJobId, LoadQueryId};
 use crate::model::arrivals::Arrival;
 use crate::model::fleet::FaultTransition;
 use crate::model::scheduler_id::SchedulerId;
 
-/// What happens at one instant.
+/// An event of the simulation.
 pub(super) enum SimulationEvent {
     /// A client sends the first request for a new job.
     ClientArrived(Arrival),
-    /// A rejected client sends its request again.
-    RetryDue(ClientRequestId),
+    /// A client retries a rejected request.
+    RetryDue(ClientJobId),
     /// A request reaches its scheduler.
     RequestArrived(RequestId),
-    /// A request's deadline at its scheduler passes.
+    /// The scheduler's deadline for a request passes.
     DeadlinePassed(RequestId),
     /// A final response reaches the client.
     ResponseArrived { request: RequestId, response: FinalResponse },
@@ -28,31 +28,31 @@
     ClientTimedOut(RequestId),
     /// An attempt reaches its worker.
     AttemptArrived(AttemptId),
-    /// The scheduler learns that an attempt started.
+    /// The callback that an attempt has started reaches the scheduler.
     AttemptStarted(AttemptId),
-    /// A worker reports how much of a running attempt is done.
+    /// A worker reports the progress of a running attempt.
     ProgressDue(AttemptId),
-    /// The scheduler learns how an attempt ended.
+    /// An attempt's result reaches the scheduler.
     AttemptCompleted { attempt: AttemptId, result: AttemptResult },
     /// A cancellation reaches the attempt's worker.
     CancellationArrived(AttemptId),
-    /// A worker's running jobs must be looked at; void unless its epoch is still this one.
-    WorkerWake { worker: WorkerId, wake_epoch: u64 },
-    /// A timer of one incarnation of a scheduler expires.
-    TimerExpired { scheduler: SchedulerId, incarnation: u32, timer: Timer },
+    /// A worker's running jobs are due to be advanced; ignored if the worker's wake version has changed.
+    WorkerWake { worker: WorkerId, wake_version: u64 },
+    /// A timer of one scheduler process expires; ignored if that process has ended.
+    TimerExpired { scheduler: SchedulerId, process_number: u32, timer: Timer },
     /// An endpoint update reaches a scheduler.
     EndpointsDelivered { scheduler: SchedulerId, kind: EndpointUpdateKind, endpoints: Arc<Vec<Endpoint>> },
     /// A fault starts or ends.
     FaultChanged(FaultTransition),
-    /// The stale or the true list is published while discovery contradicts itself.
+    /// The stale or the current list is due for publication during a `discovery_contradicts` fault.
     AlternateListDue { is_stale: bool },
-    /// The worker sizes in the endpoint list are published again.
+    /// The worker sizes in the endpoint list are due for publication.
     SizesDue,
     /// A load query reaches its worker.
     LoadQueryArrived(LoadQueryId),
-    /// The scheduler learns the result of a load query.
+    /// A load query's result reaches the scheduler.
     LoadQueryCompleted { query: LoadQueryId, result: AttemptResult, report: Option<LoadReport> },
-    /// A worker refreshes the figures with which it answers load queries.
+    /// A worker refreshes the report with which it answers load queries.
     ReportRefreshDue { worker: WorkerId },
 }
 
@@ -67,7 +67,7 @@
     Failed,
 }
 
-/// An event at its time. The sequence number decides between events of equal time.
+/// An event with its time. The sequence number orders events of equal time.
 struct ScheduledEvent {
     at: Micros,
     sequence: u64,
@@ -100,7 +100,7 @@
     }
 }
 
-/// The events still to come.
+/// Queue of pending events, earliest first.
 #[derive(Default)]
 pub(super) struct EventQueue {
     last_sequence: u64,
@@ -108,13 +108,13 @@
 }
 
 impl EventQueue {
-    /// Adds an event; of events at the same time, the one that was added first comes first.
+    /// Adds an event. Events of equal time are taken in the order in which they were added.
     pub(super) fn push(&mut self, at: Micros, event: SimulationEvent) {
         self.last_sequence += 1;
         self.heap.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, event }));
     }
 
-    /// Takes the next event with its time.
+    /// Removes and returns the next event with its time.
     pub(super) fn pop(&mut self) -> Option<(Micros, SimulationEvent)> {
         self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Starts and ends faults: each acts on the part of the simulation that it meets.
+//! Starts and ends faults of arrivals, load reports, discovery, schedulers and workers.
 use super::Simulation;
 use crate::model::fleet::{FaultTarget, FaultTransition};
 use crate::model::scheduler_id::SchedulerId;
@@ -10,7 +10,7 @@
         let fault = self.scenario.faults[transition.fault].kind;
         let is_start = transition.is_start;
         match fault {
-            // These act on the arrivals alone.
+            // These faults change only the arrivals, which apply them by themselves.
             FaultKind::Burst(_) | FaultKind::Ramp(_) | FaultKind::HeavyTail(_) => {}
             FaultKind::ReportsLate(delay) => {
                 self.report_delay = if is_start { micros_from_seconds(delay) } else { 0 }
@@ -29,8 +29,8 @@
         }
     }
 
-    /// A crash ends the process at the fault's start. A restart ends it at the fault's end, before the next
-    /// one starts.
+    /// Applies a crash or a restart of a scheduler. A crash ends the process at the start of the fault; a
+    /// restart shuts it down gracefully during the fault and ends it just before the next process starts.
     fn apply_scheduler_fault(&mut self, scheduler: SchedulerId, fault: FaultKind, is_start: bool) {
         match (fault, is_start) {
             (FaultKind::SchedulerCrash, true) => self.stop_scheduler(scheduler, false),
@@ -74,7 +74,7 @@
         let has_restarted = state.apply_fault(now, fault, is_start, &mut effects);
         let spec = state.spec;
         if fault == FaultKind::Vanish && is_start {
-            // The worker reports nothing, so that no effect counts them down.
+            // A vanished worker emits no effects, which would otherwise decrement the count.
             self.jobs_at_workers -= jobs_before;
         }
         if has_restarted {
--- a/crates/testbed/src/simulation/load_queries.rs
+++ b/crates/testbed/src/simulation/load_queries.rs
@@ -1,10 +1,10 @@
-//! Plays load queries: a scheduler asks a worker for its load report and gets exactly one result.
+//! Simulated load queries, each of which gives its scheduler exactly one result.
 use copperspread_dispatcher::{Event, LoadReport, Micros, Outcome as AttemptResult, WorkerId};
 use rand::RngExt;
 
 use super::event_queue::SimulationEvent;
 use super::requests::{LoadQueryId, PendingLoadQuery};
-use super::{RUN_OUT, Simulation, draw_report_noise};
+use super::{COOLDOWN, Simulation, draw_report_noise};
 use crate::model::connection_faults::DeliveryResult;
 use crate::model::fleet::worker_ids;
 use crate::model::scheduler_id::SchedulerId;
@@ -12,7 +12,7 @@
 use crate::scenario::micros_from_seconds;
 
 impl Simulation<'_> {
-    /// Spreads the workers' first refreshes over one interval.
+    /// Schedules the workers' first report refreshes, spread evenly over one interval.
     pub(super) fn schedule_initial_refreshes(&mut self) {
         let interval = micros_from_seconds(self.scenario.load_reports.refresh_interval_s);
         let count = self.workers.len() as u64;
@@ -24,8 +24,8 @@
 
     pub(super) fn send_load_query(&mut self, scheduler: SchedulerId, worker: WorkerId) {
         let query = LoadQueryId(self.next_id());
-        let incarnation = self.schedulers[scheduler.index()].incarnation;
-        self.load_queries.insert(query, PendingLoadQuery { scheduler, incarnation, worker });
+        let process_number = self.schedulers[scheduler.index()].process_number;
+        self.load_queries.insert(query, PendingLoadQuery { scheduler, process_number, worker });
         let is_known = (worker.0 as usize) < self.workers.len();
         let Some(settings) = self.scenario.load_reports.load_query.filter(|_| is_known) else {
             return self.schedule_load_query_result(self.now, query, AttemptResult::Superseded, None);
@@ -45,7 +45,7 @@
         let delivery = self.connection_faults[worker.0 as usize].delivery_result(draw);
         let state = self.worker(worker);
         let failure = match (state.process, delivery) {
-            // Nothing answers: the scheduler waits until its timeout.
+            // The worker does not respond, so that the scheduler's timeout ends the query.
             (ProcessState::Unreachable, _) => return,
             (ProcessState::Stopped, _) => Some(AttemptResult::ConnectFailed),
             _ if state.is_refusing => Some(AttemptResult::ConnectFailed),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The worker answers at once; the work for it slows its jobs down.
+    /// Answers a load query without queueing it. The work for the answer slows the worker's jobs down.
     fn answer_beside_jobs(&mut self, query: LoadQueryId, worker: WorkerId, work: f64) {
         let now = self.now;
         let state = self.worker_mut(worker);
@@ -76,7 +76,7 @@
         self.apply_worker_effects(worker, Vec::new());
     }
 
-    /// The query waits in the worker's queue like a job.
+    /// Offers a load query to the worker's queue, where it waits like a job.
     fn queue_load_query(&mut self, query: LoadQueryId, worker: WorkerId, work: f64) {
         let now = self.now;
         let job = OfferedJob::load_query(query.0, work);
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Sends a result back, with the load report of a query that was served. Does nothing for a number that
-    /// is no open load query's, as workers do not tell attempts and load queries apart.
+    /// Sends the result of a load query to its scheduler, with a load report if it was served. Does nothing
+    /// if the ID is not that of an open load query, as workers do not distinguish attempts from load queries.
     pub(super) fn answer_load_query(&mut self, query: LoadQueryId, result: AttemptResult, elapsed: Micros) {
         let Some(&PendingLoadQuery { scheduler, worker, .. }) = self.load_queries.get(&query) else { return };
         let Some(settings) = self.scenario.load_reports.load_query else { return };
@@ -116,7 +116,8 @@
         self.schedule(at, SimulationEvent::LoadQueryCompleted { query, result, report });
     }
 
-    /// Gives the first result of a query to the scheduler, if its process is still the one that asked.
+    /// Passes the first result of a load query to the scheduler process that sent it. Later results, and
+    /// results for an ended process, are dropped.
     pub(super) fn complete_load_query(
         &mut self,
         query: LoadQueryId,
@@ -124,7 +125,7 @@
         report: Option<LoadReport>,
     ) {
         let Some(pending) = self.load_queries.remove(&query) else { return };
-        if self.schedulers[pending.scheduler.index()].incarnation == pending.incarnation {
+        if self.schedulers[pending.scheduler.index()].process_number == pending.process_number {
             let worker = pending.worker;
             let event = Event::LoadQueryCompleted { worker, outcome: result, report };
             self.notify_scheduler(pending.scheduler, event);
@@ -137,7 +138,7 @@
         let (random, sigma) = (&mut self.report_random, reports.noise_slots);
         let state = &mut self.workers[worker.0 as usize].0;
         state.refresh_load_report(now, interval, || draw_report_noise(random, sigma));
-        if now <= micros_from_seconds(self.scenario.duration_s) + RUN_OUT {
+        if now <= micros_from_seconds(self.scenario.duration_s) + COOLDOWN {
             self.schedule(now + interval, SimulationEvent::ReportRefreshDue { worker });
         }
     }
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -1,10 +1,12 @@
-//! Runs the model and any number of schedulers in virtual time, with one queue of events.
+//! Discrete-event simulation of clients, schedulers and workers in virtual time.
 //!
-//! A scheduler's proxy behaves as in `crates/proxy`: the deadline has a margin, attempts in flight at the
-//! deadline end as timed out, the first served attempt answers, and the policy gets the end of every attempt.
-//! A run depends on its scenario, policy and seed alone: the same three give the same outcome to the byte.
+//! A simulated scheduler follows the rules of the proxy crate: its deadline is earlier than the client's by a
+//! margin, attempts in flight at the deadline end as timed out, the first served attempt provides the final
+//! response, and the policy is notified of the end of every attempt.
 //!
-//! | module | its part |
+//! A run is deterministic: the same scenario, policy and seed give the same outcome, byte for byte.
+//!
+//! | module | responsibility |
 //! | --- | --- |
 //! | `event_queue` | events and their order |
 //! | `requests` | state of open jobs, requests, attempts and load queries |
@@ -14,7 +16,7 @@
 //! | `workers` | attempts at the workers, idempotency keys |
 //! | `load_queries` | load queries and their reports |
 //! | `endpoint_lists` | discovery |
-//! | `faults` | faults that start and end |
+//! | `faults` | starts and ends of faults |
 mod attempts;
 mod clients;
 mod endpoint_lists;
@@ -36,7 +38,7 @@
 
 use self::event_queue::{EventQueue, SimulationEvent};
 use self::requests::{
-    Attempt, AttemptId, ClientRequest, ClientRequestId, LoadQueryId, PendingLoadQuery, SchedulerRequest,
+    Attempt, AttemptId, ClientJob, ClientJobId, LoadQueryId, PendingLoadQuery, SchedulerRequest,
 };
 use self::schedulers::Scheduler;
 use crate::model::arrivals::Arrivals;
@@ -50,17 +52,17 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{Scenario, micros_from_seconds};
 
-/// What a lost message costs until it is sent again.
+/// Delay that a lost message adds before its retransmission arrives.
 const RETRANSMISSION_DELAY: Micros = 200_000;
-/// Added to the clock that policies see, so that starts of workers before 0 have a time.
+/// Offset of the policies' clock, so that workers started before the run have a start time above 0.
 const CLOCK_OFFSET: Micros = 1_000 * SECOND;
-/// Timers and report refreshes go on for this long after the scenario's last arrival.
-const RUN_OUT: Micros = 60 * SECOND;
+/// Time after the scenario's duration during which timers and report refreshes continue.
+const COOLDOWN: Micros = 60 * SECOND;
 
-/// Simulates a scenario under a policy and a seed.
+/// Simulates one run of a scenario with a dispatch policy and a seed.
 ///
 /// # Errors
-/// Settings that the policy does not accept.
+/// Fails if the policy does not accept the scenario's settings.
 pub fn simulate(
     scenario: &Scenario,
     policy_kind: PolicyKind,
@@ -71,7 +73,7 @@
     Ok(simulation.outcome())
 }
 
-/// The state of one run. Only its own thread uses it.
+/// State of one run, used by a single thread.
 struct Simulation<'a> {
     scenario: &'a Scenario,
     policy_kind: PolicyKind,
@@ -82,46 +84,46 @@
     network_random: RandomStream,
     retry_random: RandomStream,
     report_random: RandomStream,
-    /// Workers, each with its zone.
+    /// Workers with their zones.
     workers: Vec<(Worker, u32)>,
-    /// Each worker's group in the scenario.
+    /// Index of each worker's group in the scenario.
     kinds: Vec<u32>,
-    /// Each worker's cell.
+    /// Cell of each worker.
     cells: Vec<u32>,
     schedulers: Vec<Scheduler>,
-    client_requests: FxHashMap<ClientRequestId, ClientRequest>,
+    client_jobs: FxHashMap<ClientJobId, ClientJob>,
     scheduler_requests: FxHashMap<RequestId, SchedulerRequest>,
     attempts: FxHashMap<AttemptId, Attempt>,
     load_queries: FxHashMap<LoadQueryId, PendingLoadQuery>,
-    /// The last number given to a job, request, attempt or load query; they share one sequence.
+    /// Last ID assigned; jobs, requests, attempts and load queries share one sequence.
     last_id: u64,
-    /// Endpoints that changed while discovery was down.
+    /// Endpoints that changed while discovery was down, to be published when it is back.
     unpublished: Vec<Endpoint>,
-    /// Faults in force that keep discovery down.
+    /// Number of active faults that keep discovery down.
     discovery_outages: u32,
-    /// The sizes that were last published, by worker.
+    /// Worker sizes as last published, by worker index.
     published_sizes: Vec<f64>,
-    /// How much older load reports are than usual, because of a fault.
+    /// Extra age of load reports while a `reports_late` fault is active.
     report_delay: Micros,
-    /// Connection faults, by worker.
+    /// Connection faults, by worker index.
     connection_faults: Vec<ConnectionFaults>,
-    /// From when on each connection is idle, by scheduler and worker.
+    /// Time from which each connection is idle, by scheduler and worker.
     idle_connections: FxHashMap<(SchedulerId, WorkerId), Vec<Micros>>,
-    /// The full list as it was when discovery began to contradict itself.
+    /// Full endpoint list from the start of a `discovery_contradicts` fault, while that is active.
     stale_list: Option<Arc<Vec<Endpoint>>>,
-    /// Kept between events to save allocations.
+    /// Buffer reused between events to avoid allocations.
     action_buffer: Vec<Action>,
     rule_checker: RuleChecker,
-    tally: OutcomeCounter,
+    outcome_counter: OutcomeCounter,
     events_handled: u64,
     attempts_sent: u64,
     cross_zone_attempts: u64,
     load_queries_sent: u64,
     overload_count: u64,
-    /// Jobs that the workers have now.
+    /// Number of jobs currently waiting or running at workers.
     jobs_at_workers: u64,
-    /// The integral of `jobs_at_workers` over time, in job-microseconds.
-    job_time: f64,
+    /// Integral of `jobs_at_workers` over time, in job-microseconds.
+    job_microseconds: f64,
 }
 
 impl<'a> Simulation<'a> {
@@ -149,7 +151,7 @@
             kinds: fleet.kinds,
             cells: fleet.cells,
             schedulers,
-            client_requests: FxHashMap::default(),
+            client_jobs: FxHashMap::default(),
             scheduler_requests: FxHashMap::default(),
             attempts: FxHashMap::default(),
             load_queries: FxHashMap::default(),
@@ -162,14 +164,14 @@
             stale_list: None,
             action_buffer: Vec::new(),
             rule_checker: RuleChecker::new(slow_start_budget(scenario)),
-            tally: OutcomeCounter::new(scenario.classes.len(), scenario.zones),
+            outcome_counter: OutcomeCounter::new(scenario.classes.len(), scenario.zones),
             events_handled: 0,
             attempts_sent: 0,
             cross_zone_attempts: 0,
             load_queries_sent: 0,
             overload_count: 0,
             jobs_at_workers: 0,
-            job_time: 0.0,
+            job_microseconds: 0.0,
         };
         simulation.schedule_initial_lists(&fleet.missing_workers);
         simulation.schedule_initial_events(&fleet.fault_transitions);
@@ -192,7 +194,7 @@
         self.schedule_next_arrival();
     }
 
-    /// Handles the next event; whether there was one.
+    /// Handles the next event. Returns false if there is none left.
     fn handle_next_event(&mut self) -> bool {
         let Some((at, event)) = self.queue.pop() else { return false };
         self.advance_clock(at);
@@ -202,14 +204,14 @@
     }
 
     fn advance_clock(&mut self, at: Micros) {
-        self.job_time += self.jobs_at_workers as f64 * (at - self.now) as f64;
+        self.job_microseconds += self.jobs_at_workers as f64 * (at - self.now) as f64;
         self.now = at;
     }
 
     fn handle_event(&mut self, event: SimulationEvent) {
         match event {
             SimulationEvent::ClientArrived(arrival) => self.accept_arrival(arrival),
-            SimulationEvent::RetryDue(client_request) => self.retry_request(client_request),
+            SimulationEvent::RetryDue(client_job) => self.retry_job(client_job),
             SimulationEvent::RequestArrived(request) => self.receive_request(request),
             SimulationEvent::DeadlinePassed(request) => self.expire_request(request),
             SimulationEvent::ResponseArrived { request, response } => {
@@ -221,9 +223,9 @@
             SimulationEvent::ProgressDue(attempt) => self.report_progress(attempt),
             SimulationEvent::AttemptCompleted { attempt, result } => self.complete_attempt(attempt, result),
             SimulationEvent::CancellationArrived(attempt) => self.cancel_at_worker(attempt),
-            SimulationEvent::WorkerWake { worker, wake_epoch } => self.wake_worker(worker, wake_epoch),
-            SimulationEvent::TimerExpired { scheduler, incarnation, timer } => {
-                if self.schedulers[scheduler.index()].incarnation == incarnation {
+            SimulationEvent::WorkerWake { worker, wake_version } => self.wake_worker(worker, wake_version),
+            SimulationEvent::TimerExpired { scheduler, process_number, timer } => {
+                if self.schedulers[scheduler.index()].process_number == process_number {
                     self.notify_scheduler(scheduler, Event::TimerExpired(timer));
                 }
             }
@@ -241,12 +243,12 @@
         }
     }
 
-    /// Schedules an event, now at the earliest.
+    /// Schedules an event at `at`, or now if that has passed.
     fn schedule(&mut self, at: Micros, event: SimulationEvent) {
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Draws how long a message takes between two zones.
+    /// Draws the delay of a message between two zones, including a possible retransmission.
     fn network_delay(&mut self, from_zone: u32, to_zone: u32) -> Micros {
         let link = self.scenario.network.link_between(from_zone, to_zone);
         let (mean, loss) = (link.delay_s, link.loss);
@@ -282,14 +284,14 @@
             policy: self.policy_kind.name(),
             seed: self.seed,
             events: self.events_handled,
-            counter: &self.tally,
+            counter: &self.outcome_counter,
             workers: &self.workers,
             kinds: &self.kinds,
             attempts: self.attempts_sent,
             cross_zone_attempts: self.cross_zone_attempts,
             load_queries: self.load_queries_sent,
             overloads: self.overload_count,
-            job_microseconds: self.job_time,
+            job_microseconds: self.job_microseconds,
             violations: self.rule_checker.into_violations(),
             machine_usage: None,
         }
@@ -297,7 +299,7 @@
     }
 }
 
-/// Draws the error of one figure of a load report, in slots.
+/// Draws the error of one load report value, in slots; 0 if `sigma` is not a valid standard deviation.
 fn draw_report_noise(random: &mut RandomStream, sigma: f64) -> f64 {
     Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(random))
 }
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -1,40 +1,40 @@
-//! The state of each job, request, attempt and load query while it is open.
+//! State of open jobs, requests, attempts and load queries.
 use copperspread_dispatcher::{Micros, RequestId, WorkerId};
 
 use crate::model::arrivals::Arrival;
 use crate::model::idempotency_keys::KeyHistory;
 use crate::model::scheduler_id::SchedulerId;
 
-/// A client's job, over all requests that the client sends for it.
+/// ID of a client's job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct ClientRequestId(pub(super) u64);
+pub(super) struct ClientJobId(pub(super) u64);
 
-/// An attempt of a scheduler's request at a worker.
+/// ID of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct AttemptId(pub(super) u64);
 
-/// A load query. No attempt has the same number, as workers hold both in one queue.
+/// ID of a load query. It differs from every attempt's ID, as workers hold both in one queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LoadQueryId(pub(super) u64);
 
-/// A client's job, over all requests that the client sends for it.
-pub(super) struct ClientRequest {
+/// A client's job, which comprises the first request and its retries.
+pub(super) struct ClientJob {
     pub(super) arrival: Arrival,
-    /// When the client stops waiting.
-    pub(super) gives_up_at: Micros,
+    /// Time at which the client stops waiting, without the grace period of the scenario.
+    pub(super) client_deadline: Micros,
     pub(super) retries_left: u32,
-    /// The client has its final result.
+    /// Whether the client has its final result.
     pub(super) is_finished: bool,
-    /// Scheduler requests and attempts that still refer to it.
-    pub(super) open_references: u32,
+    /// Number of scheduler requests and attempts that still refer to the job.
+    pub(super) reference_count: u32,
     pub(super) keys: KeyHistory,
 }
 
-/// A client's request as one scheduler has it.
+/// A client's request in the state of one scheduler.
 pub(super) struct SchedulerRequest {
-    pub(super) client_request: ClientRequestId,
+    pub(super) client_job: ClientJobId,
     pub(super) scheduler: SchedulerId,
-    /// The scheduler's own deadline, somewhat before the client's.
+    /// Deadline of the scheduler, earlier than the client's by a margin.
     pub(super) deadline: Micros,
     pub(super) attempts: Vec<AttemptId>,
     pub(super) attempts_in_flight: u32,
@@ -43,29 +43,29 @@
     pub(super) has_client_disconnected: bool,
 }
 
-/// One attempt, from the scheduler's decision until neither scheduler nor worker refers to it.
+/// An attempt, kept until neither its scheduler nor its worker refers to it.
 pub(super) struct Attempt {
     pub(super) request: RequestId,
-    pub(super) client_request: ClientRequestId,
-    /// Its place among the request's attempts.
+    pub(super) client_job: ClientJobId,
+    /// Index among the request's attempts.
     pub(super) number: u32,
     pub(super) worker: WorkerId,
     pub(super) sent_at: Micros,
-    /// The scheduler waits for it.
+    /// Whether the scheduler waits for the attempt's end.
     pub(super) is_in_flight: bool,
-    /// It is at its worker or on the way there.
+    /// Whether the attempt is at its worker or on the way there.
     pub(super) is_at_worker: bool,
-    /// Its connection breaks after the worker took the job.
+    /// Whether the connection breaks after the worker has accepted the job.
     pub(super) loses_response: bool,
-    /// It is to stop as soon as it reaches its worker.
+    /// Whether the attempt is dropped when it reaches its worker, because a cancellation got there first.
     pub(super) is_cancelled: bool,
 }
 
-/// A load query whose result its scheduler waits for.
+/// A load query that has no result yet.
 #[derive(Clone, Copy)]
 pub(super) struct PendingLoadQuery {
     pub(super) scheduler: SchedulerId,
-    /// The scheduler's incarnation that asked; a later one does not get the result.
-    pub(super) incarnation: u32,
+    /// Number of the scheduler process that sent the query; a later process does not get the result.
+    pub(super) process_number: u32,
     pub(super) worker: WorkerId,
 }
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -1,4 +1,4 @@
-//! Runs scheduler processes: their start and end, their policies' events, and the actions that follow.
+//! Simulated scheduler processes: start and stop, events for the dispatch policy, and its actions.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
@@ -7,36 +7,36 @@
 };
 
 use super::event_queue::{FinalResponse, SimulationEvent};
-use super::{CLOCK_OFFSET, RUN_OUT, Simulation};
+use super::{CLOCK_OFFSET, COOLDOWN, Simulation};
 use crate::model::random::{StreamPurpose, random_stream};
 use crate::model::scheduler_id::SchedulerId;
 use crate::model::worker::TrueState;
 use crate::policy::{Policy, PolicyKind};
 use crate::scenario::{Scenario, micros_from_seconds};
 
-/// The distance between the seeds of two schedulers of one run.
+/// Difference between the seeds of consecutive schedulers of one run.
 const SCHEDULER_SEED_STRIDE: u64 = 7919;
 
-/// One scheduler.
+/// A simulated scheduler.
 pub(super) struct Scheduler {
     pub(super) policy: Box<dyn Policy>,
     pub(super) zone: u32,
-    /// The version of its endpoint list.
+    /// Version of the last endpoint update.
     pub(super) list_version: u64,
     pub(super) is_up: bool,
-    /// Clients reach it: its shutdown has not begun.
+    /// Whether clients can reach it: false from the start of its graceful shutdown.
     pub(super) accepts_requests: bool,
-    /// How often its process ended.
-    pub(super) incarnation: u32,
-    /// It gets changes of the endpoint list.
+    /// Number of the current process, incremented when a process ends.
+    pub(super) process_number: u32,
+    /// Whether it receives full endpoint lists and changes.
     pub(super) is_subscribed: bool,
 }
 
 impl Scheduler {
-    /// A scheduler's first process.
+    /// Creates a scheduler with its first process.
     ///
     /// # Errors
-    /// Settings that the policy does not accept.
+    /// Fails if the policy does not accept the scenario's settings.
     pub(super) fn new(
         scenario: &Scenario,
         policy_kind: PolicyKind,
@@ -49,7 +49,7 @@
             list_version: 0,
             is_up: true,
             accepts_requests: true,
-            incarnation: 0,
+            process_number: 0,
             is_subscribed: !scenario.discovery.polled,
         })
     }
@@ -75,20 +75,20 @@
             return;
         };
         let (scheduler, deadline) = (request.scheduler, request.deadline);
-        let client_request = request.client_request;
+        let client_job = request.client_job;
         if !self.schedulers[scheduler.index()].is_up {
-            // No scheduler accepts connections.
+            // The process ended while the request was on its way, or no scheduler accepts requests at all.
             request.is_answered = true;
-            self.break_client_connection(id, client_request);
+            self.break_client_connection(id, client_job);
             return self.close_request(id);
         }
-        let Some(client_request) = self.client_requests.get(&client_request) else { return };
+        let Some(client_job) = self.client_jobs.get(&client_job) else { return };
         let incoming = IncomingRequest {
             request: id,
-            class: client_request.arrival.class,
+            class: client_job.arrival.class,
             tenant: 0,
-            slots: Some(client_request.arrival.slots),
-            cost_hint: client_request.arrival.cost_hint,
+            slots: Some(client_job.arrival.slots),
+            cost_hint: client_job.arrival.cost_hint,
             time_left: deadline.saturating_sub(self.now),
         };
         self.schedule(deadline, SimulationEvent::DeadlinePassed(id));
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Ends what a request has in flight at its deadline.
+    /// Times out a request's attempts in flight, at the scheduler's deadline.
     pub(super) fn expire_request(&mut self, id: RequestId) {
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         request.is_past_deadline = true;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Gives an event to a scheduler's policy and carries out its actions.
+    /// Passes an event to a scheduler's policy and applies the policy's actions.
     pub(super) fn notify_scheduler(&mut self, scheduler: SchedulerId, event: Event<'_>) {
         if !self.schedulers[scheduler.index()].is_up {
             return;
@@ -146,22 +146,23 @@
         let request = self.scheduler_requests.get(&request);
         let attempt = request.and_then(|request| request.attempts.get(number as usize)).copied();
         if let Some(attempt) = attempt {
-            // Not at once: the policy is in the middle of an event.
+            // Scheduled instead of applied at once, as the policy's current event is not yet finished.
             let result = AttemptResult::Cancelled;
             self.schedule(self.now, SimulationEvent::AttemptCompleted { attempt, result });
         }
     }
 
     fn start_timer(&mut self, scheduler: SchedulerId, after: Micros, timer: Timer) {
-        // Timers that go on for ever would keep the run from ending.
-        if self.now + after <= micros_from_seconds(self.scenario.duration_s) + RUN_OUT {
-            let incarnation = self.schedulers[scheduler.index()].incarnation;
-            let event = SimulationEvent::TimerExpired { scheduler, incarnation, timer };
+        // Without this limit, periodic timers would keep the run from ending.
+        if self.now + after <= micros_from_seconds(self.scenario.duration_s) + COOLDOWN {
+            let process_number = self.schedulers[scheduler.index()].process_number;
+            let event = SimulationEvent::TimerExpired { scheduler, process_number, timer };
             self.schedule(self.now + after, event);
         }
     }
 
-    /// Sends a final response to the client, also a second one, which the rule checker counts.
+    /// Sends a final response to the client. A second response is sent too, so that the rule checker finds
+    /// it.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         request.is_answered = true;
@@ -173,28 +174,28 @@
         self.close_request(id);
     }
 
-    /// Ends a scheduler's process with all its requests, whose client connections break. After a graceful
-    /// shutdown every request should have its response; one that has none is left to its client's timeout,
-    /// and the rule checker reports it.
+    /// Ends a scheduler's process and its requests, whose client connections break. At the end of a graceful
+    /// shutdown every request should have its response; one without is left to the client's timeout, so that
+    /// the rule checker reports it.
     pub(super) fn stop_scheduler(&mut self, id: SchedulerId, is_graceful: bool) {
         let scheduler = &mut self.schedulers[id.index()];
         scheduler.is_up = false;
-        scheduler.incarnation += 1;
+        scheduler.process_number += 1;
         scheduler.is_subscribed = !self.scenario.discovery.polled;
         let requests = self.scheduler_requests.iter().filter(|(_, request)| request.scheduler == id);
         let mut ids: Vec<RequestId> = requests.map(|(id, _)| *id).collect();
-        // By arrival, as the map's order differs between runs.
+        // Sorted by arrival to keep the run deterministic, whatever the iteration order of the map.
         ids.sort_unstable_by_key(|id| id.0);
         for request in ids {
             self.abandon_request(request, is_graceful);
         }
     }
 
-    /// Drops a request whose scheduler ended.
+    /// Abandons a request whose scheduler process has ended.
     fn abandon_request(&mut self, id: RequestId, is_graceful: bool) {
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         let was_answered = std::mem::replace(&mut request.is_answered, true);
-        let client_request = request.client_request;
+        let client_job = request.client_job;
         request.attempts_in_flight = 0;
         for attempt_id in request.attempts.clone() {
             let Some(attempt) = self.attempts.get_mut(&attempt_id) else { continue };
@@ -207,16 +208,16 @@
             return;
         }
         if !was_answered {
-            self.break_client_connection(id, client_request);
+            self.break_client_connection(id, client_job);
         }
         self.close_request(id);
     }
 
-    /// Starts a scheduler's next process, which gets the endpoint list anew.
+    /// Starts a scheduler's next process, which gets a new endpoint list.
     pub(super) fn start_scheduler(&mut self, id: SchedulerId) {
         let seed = scheduler_seed(self.seed, id).wrapping_add(1);
         let Ok(policy) = build_policy(self.scenario, self.policy_kind, id, seed) else {
-            unreachable!("the first process accepted the same settings")
+            unreachable!("the policy accepted the same settings for the first process")
         };
         let scheduler = &mut self.schedulers[id.index()];
         scheduler.policy = policy;
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -1,26 +1,26 @@
-//! Delivers attempts to the workers, applies what the workers do with them, and drops duplicates of keys.
+//! Worker side of attempts: delivery, deduplication by idempotency key, execution and results.
 use copperspread_dispatcher::{Idempotency, Micros, Outcome as AttemptResult, Progress, WorkerId};
 use rand::RngExt;
 
 use super::Simulation;
 use super::event_queue::SimulationEvent;
-use super::requests::{Attempt, AttemptId, ClientRequestId, LoadQueryId};
+use super::requests::{Attempt, AttemptId, ClientJobId, LoadQueryId};
 use crate::model::arrivals::Arrival;
 use crate::model::connection_faults::DeliveryResult;
 use crate::model::idempotency_keys::{DuplicateOutcome, key_group};
 use crate::model::worker::{OfferResult, WorkerEffect};
 use crate::scenario::{CONNECT_TIMEOUT, micros_from_seconds};
 
-/// An attempt that reaches its worker.
+/// An attempt that has reached its worker.
 struct Delivery {
     attempt: AttemptId,
-    client_request: ClientRequestId,
+    client_job: ClientJobId,
     worker: WorkerId,
     sent_at: Micros,
     arrival: Arrival,
-    /// What a second run of the job would do.
+    /// Idempotency of the job's class.
     idempotency: Idempotency,
-    /// The workers that share the memory of its idempotency key.
+    /// Deduplication group of the worker; 0 for jobs without an idempotency key.
     key_group: u32,
 }
 
@@ -40,9 +40,10 @@
                 return self.return_result(id, AttemptResult::Reset);
             }
             DeliveryResult::ImmediateError => {
-                // The error does not say whether the job ran: whoever retries must assume that it did.
-                self.record_taken(&delivery);
-                self.rule_checker.job_started(self.now, delivery.client_request.0, delivery.idempotency);
+                // The error does not tell whether the job ran, so the rule checker counts it as run and
+                // reports unsafe retries.
+                self.record_acceptance(&delivery);
+                self.rule_checker.job_started(self.now, delivery.client_job.0, delivery.idempotency);
                 return self.return_result(id, AttemptResult::Error);
             }
             DeliveryResult::ResetAfterTaken => {
@@ -57,8 +58,8 @@
 
     fn delivery(&self, id: AttemptId) -> Option<Delivery> {
         let attempt = self.attempts.get(&id)?;
-        let &Attempt { client_request, worker, sent_at, .. } = attempt;
-        let arrival = self.client_requests.get(&client_request)?.arrival;
+        let &Attempt { client_job, worker, sent_at, .. } = attempt;
+        let arrival = self.client_jobs.get(&client_job)?.arrival;
         let idempotency = self.scenario.classes[arrival.class as usize].idempotency();
         let key_group = match idempotency {
             Idempotency::IdempotentWithKey { scope, .. } => {
@@ -66,22 +67,23 @@
             }
             _ => 0,
         };
-        Some(Delivery { attempt: id, client_request, worker, sent_at, arrival, idempotency, key_group })
+        Some(Delivery { attempt: id, client_job, worker, sent_at, arrival, idempotency, key_group })
     }
 
-    /// Drops an attempt whose idempotency key its worker's group knows; it gets the first one's result.
+    /// Drops an attempt if its worker's deduplication group has already taken its idempotency key, and
+    /// returns whether it did. The duplicate gets the result of the first attempt.
     fn drop_duplicate(&mut self, delivery: &Delivery) -> bool {
         let Idempotency::IdempotentWithKey { window, .. } = delivery.idempotency else { return false };
         let id = delivery.attempt;
         if !self.worker(delivery.worker).accepts_jobs() {
             return false;
         }
-        let Some(client_request) = self.client_requests.get_mut(&delivery.client_request) else {
+        let Some(client_job) = self.client_jobs.get_mut(&delivery.client_job) else {
             return false;
         };
-        let duplicate = client_request.keys.check_duplicate(id.0, delivery.key_group, self.now, window);
+        let duplicate = client_job.keys.check_duplicate(id.0, delivery.key_group, self.now, window);
         let Some(duplicate) = duplicate else { return false };
-        self.record_taken(delivery);
+        self.record_acceptance(delivery);
         if duplicate == DuplicateOutcome::AlreadyServed {
             self.report_result(id, AttemptResult::Served);
             self.remove_from_worker(id);
@@ -89,11 +91,11 @@
         true
     }
 
-    /// Notifies the rule checker that the worker took the attempt.
-    fn record_taken(&mut self, delivery: &Delivery) {
+    /// Notifies the rule checker that the worker accepted the attempt.
+    fn record_acceptance(&mut self, delivery: &Delivery) {
         self.rule_checker.attempt_accepted(
             self.now,
-            delivery.client_request.0,
+            delivery.client_job.0,
             delivery.attempt.0,
             delivery.idempotency,
             delivery.key_group,
@@ -101,7 +103,7 @@
         );
     }
 
-    /// Sends the result of an attempt back that is no longer at its worker.
+    /// Sends an attempt's result to its scheduler and removes the attempt from its worker.
     fn return_result(&mut self, id: AttemptId, result: AttemptResult) {
         self.report_result(id, result);
         self.remove_from_worker(id);
@@ -116,7 +118,7 @@
         match self.worker_mut(worker).offer(now, job, &mut effects) {
             OfferResult::Accepted => {
                 self.jobs_at_workers += 1;
-                self.record_taken(delivery);
+                self.record_acceptance(delivery);
                 self.record_key(delivery);
                 self.apply_worker_effects(worker, effects);
             }
@@ -137,33 +139,34 @@
         if !matches!(delivery.idempotency, Idempotency::IdempotentWithKey { .. }) {
             return;
         }
-        if let Some(client_request) = self.client_requests.get_mut(&delivery.client_request) {
-            client_request.keys.record_taken(delivery.attempt.0, delivery.key_group, self.now);
+        if let Some(client_job) = self.client_jobs.get_mut(&delivery.client_job) {
+            client_job.keys.record_taken(delivery.attempt.0, delivery.key_group, self.now);
         }
     }
 
-    /// Stops a cancelled attempt at its worker, which also forgets its idempotency key.
+    /// Stops a cancelled attempt at its worker, which also forgets the idempotency key. Duplicates that were
+    /// dropped for it get an error.
     pub(super) fn cancel_at_worker(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_at_worker) else { return };
-        let (worker, client_request) = (attempt.worker, attempt.client_request);
+        let (worker, client_job) = (attempt.worker, attempt.client_job);
         let mut effects = Vec::new();
         if !self.workers[worker.0 as usize].0.cancel(self.now, id.0, &mut effects) {
-            // It is still on its way, or a duplicate that was dropped.
+            // The attempt is still on its way, or was dropped as a duplicate.
             attempt.is_cancelled = true;
             return;
         }
         self.jobs_at_workers -= 1;
-        if let Some(client_request) = self.client_requests.get_mut(&client_request) {
-            client_request.keys.record_returned(id.0);
+        if let Some(client_job) = self.client_jobs.get_mut(&client_job) {
+            client_job.keys.record_returned(id.0);
         }
         self.resolve_duplicates(id, AttemptResult::Error);
         self.remove_from_worker(id);
         self.apply_worker_effects(worker, effects);
     }
 
-    /// Advances a worker's jobs to now, unless the wake is from an earlier epoch.
-    pub(super) fn wake_worker(&mut self, worker: WorkerId, wake_epoch: u64) {
-        if self.worker(worker).wake_epoch == wake_epoch {
+    /// Advances a worker's jobs to the current time, unless the wake is outdated.
+    pub(super) fn wake_worker(&mut self, worker: WorkerId, wake_version: u64) {
+        if self.worker(worker).wake_version == wake_version {
             let now = self.now;
             let mut effects = Vec::new();
             self.worker_mut(worker).advance(now, &mut effects);
@@ -171,15 +174,15 @@
         }
     }
 
-    /// Carries out what happened at a worker and schedules its next wake.
+    /// Applies a worker's effects to the simulation and schedules the worker's next wake.
     pub(super) fn apply_worker_effects(&mut self, worker: WorkerId, effects: Vec<WorkerEffect>) {
         for effect in effects {
             self.apply_worker_effect(worker, effect);
         }
         let state = self.worker(worker);
-        let wake_epoch = state.wake_epoch;
+        let wake_version = state.wake_version;
         if let Some(at) = state.next_wake(self.now) {
-            self.schedule(at, SimulationEvent::WorkerWake { worker, wake_epoch });
+            self.schedule(at, SimulationEvent::WorkerWake { worker, wake_version });
         }
     }
 
@@ -208,11 +211,11 @@
     fn start_attempt(&mut self, worker: WorkerId, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let is_awaited = attempt.is_in_flight && !attempt.loses_response;
-        let client_request_id = attempt.client_request;
-        let Some(client_request) = self.client_requests.get(&client_request_id) else { return };
-        let class = client_request.arrival.class;
+        let client_job_id = attempt.client_job;
+        let Some(client_job) = self.client_jobs.get(&client_job_id) else { return };
+        let class = client_job.arrival.class;
         let idempotency = self.scenario.classes[class as usize].idempotency();
-        self.rule_checker.job_started(self.now, client_request_id.0, idempotency);
+        self.rule_checker.job_started(self.now, client_job_id.0, idempotency);
         if is_awaited && self.worker(worker).silent_class != Some(class) {
             self.report_start(worker, id);
         }
@@ -246,21 +249,21 @@
         self.return_result(id, AttemptResult::Reset);
     }
 
-    /// A draining worker returns an attempt that it did not start, and forgets its idempotency key: the
-    /// duplicates that were dropped for it get an error.
+    /// Handles an attempt that a draining worker returns unstarted. The worker forgets its idempotency key,
+    /// so duplicates that were dropped for it get an error.
     fn return_attempt(&mut self, id: AttemptId) {
         self.jobs_at_workers -= 1;
-        if let Some(client_request_id) = self.attempts.get(&id).map(|attempt| attempt.client_request) {
-            self.rule_checker.attempt_returned(client_request_id.0, id.0);
-            if let Some(client_request) = self.client_requests.get_mut(&client_request_id) {
-                client_request.keys.record_returned(id.0);
+        if let Some(client_job_id) = self.attempts.get(&id).map(|attempt| attempt.client_job) {
+            self.rule_checker.attempt_returned(client_job_id.0, id.0);
+            if let Some(client_job) = self.client_jobs.get_mut(&client_job_id) {
+                client_job.keys.record_returned(id.0);
             }
         }
         self.resolve_duplicates(id, AttemptResult::Error);
         self.return_result(id, AttemptResult::Rejected);
     }
 
-    /// Reports how much of a running attempt is done, and schedules the next report.
+    /// Reports the completed fraction of a running attempt and schedules the next report.
     pub(super) fn report_progress(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_in_flight) else { return };
         let (worker, request) = (attempt.worker, attempt.request);
@@ -268,19 +271,19 @@
         if !self.scheduler_requests.contains_key(&request) {
             return;
         }
-        // Without a network delay: the interval between reports is much longer.
+        // The network delay is left out, as it is much shorter than the interval between reports.
         self.notify_progress(id, Progress::Done(done));
         let progress_interval = micros_from_seconds(self.scenario.load_reports.progress_interval_s);
         self.schedule(self.now + progress_interval, SimulationEvent::ProgressDue(id));
     }
 
-    /// Gives an attempt's result to the duplicates that were dropped for it.
+    /// Returns an attempt's result for the duplicates that were dropped for it.
     fn resolve_duplicates(&mut self, id: AttemptId, result: AttemptResult) {
-        let Some(client_request) = self.attempts.get(&id).map(|attempt| attempt.client_request) else {
+        let Some(client_job) = self.attempts.get(&id).map(|attempt| attempt.client_job) else {
             return;
         };
-        let Some(client_request) = self.client_requests.get_mut(&client_request) else { return };
-        for duplicate in client_request.keys.record_end(result == AttemptResult::Served) {
+        let Some(client_job) = self.client_jobs.get_mut(&client_job) else { return };
+        for duplicate in client_job.keys.record_end(result == AttemptResult::Served) {
             self.return_result(AttemptId(duplicate), result);
         }
     }
--- a/crates/testbed/tests/calc.rs
+++ b/crates/testbed/tests/calc.rs
@@ -1,4 +1,4 @@
-//! The `calc` scenario: first-in-first-out workers with slots and memory, which report load to queries only.
+//! Tests of the `calc` scenario: FIFO workers with slots and memory, which report load only to load queries.
 use copperspread_dispatcher::{Idempotency, KeyScope, SECOND};
 use copperspread_testbed::compare::compare_policies;
 use copperspread_testbed::model::arrivals::Arrivals;
@@ -12,8 +12,8 @@
 
 const CALC: &str = include_str!("../scenarios/calc.toml");
 
-fn calc() -> Scenario {
-    Scenario::parse(CALC).expect("a scenario")
+fn calc_scenario() -> Scenario {
+    Scenario::parse(CALC).expect("valid scenario")
 }
 
 fn worker() -> Worker {
@@ -42,19 +42,20 @@
         .collect()
 }
 
-// Two jobs run: 1 until 1 s, 2 until 2 s. Which waiting jobs start at these two times.
+// Job 1 runs until 1 s and job 2 until 2 s. The test checks which waiting jobs start at these two times.
 #[test]
 fn the_first_waiting_job_blocks_all_others_until_slots_and_memory_suffice() {
     type Jobs = &'static [(f64, f64)];
     let cases: &[(Jobs, Jobs, [&[u64]; 2])] = &[
-        // Slots and memory of the running jobs, of the waiting ones, and which start.
+        // Slots and memory of the running jobs and of the waiting ones, and the attempts that start at 1 s
+        // and 2 s.
         (&[(2.0, 1.0), (2.0, 1.0)], &[(2.0, 1.0), (1.0, 1.0)], [&[10], &[11]]),
-        // Four slots wait for both to end, and a job that would fit waits behind.
+        // The job of four slots waits until both have ended, and a job that would fit waits behind it.
         (&[(2.0, 1.0), (2.0, 1.0)], &[(4.0, 1.0), (1.0, 1.0)], [&[], &[10]]),
-        // Slots are free, memory is not.
+        // Slots are free, but not enough memory.
         (&[(1.0, 2.0), (1.0, 2.0)], &[(1.0, 3.0), (1.0, 0.5)], [&[], &[10, 11]]),
         (&[(1.0, 3.0), (1.0, 1.0)], &[(1.0, 3.0), (1.0, 0.5)], [&[10], &[11]]),
-        // One wider than the machine runs alone.
+        // A job larger than the machine runs alone.
         (&[(1.0, 2.0), (1.0, 2.0)], &[(1.0, 9.0), (1.0, 0.5)], [&[], &[10]]),
     ];
     for (number, (running, waiting, starts)) in cases.iter().enumerate() {
@@ -84,12 +85,15 @@
         worker.offer(0, job(attempt, slots, 1.0, 5.0), &mut effects);
     }
     effects.clear();
-    assert!(worker.cancel(SECOND, 2, &mut effects), "waiting");
+    assert!(worker.cancel(SECOND, 2, &mut effects), "a waiting job is cancelled");
     assert_eq!(started(&effects), [] as [u64; 0]);
-    assert!(worker.cancel(2 * SECOND, 1, &mut effects), "running");
+    assert!(worker.cancel(2 * SECOND, 1, &mut effects), "a running job is cancelled");
     assert_eq!((started(&effects), worker.job_count()), (vec![3], 1));
     assert!(!worker.cancel(2 * SECOND, 1, &mut effects));
-    assert!((worker.completed_work - 8.0).abs() < 1e-6, "two of its five seconds on four slots");
+    assert!(
+        (worker.completed_work - 8.0).abs() < 1e-6,
+        "the cancelled job ran for two of its five seconds on four slots"
+    );
 }
 
 #[test]
@@ -101,18 +105,27 @@
     worker.offer(SECOND / 2, job(2, 2.0, 1.0, 9.0), &mut effects);
     worker.refresh_load_report(SECOND, SECOND, || 0.0);
     for (at, min_age, expected) in [(5, 0, [1.0, 2.0, 2.0]), (5, 3, [1.0, 2.0, 2.0])] {
-        let report = worker.clone().answer_load_query(at * SECOND, min_age * SECOND).expect("a report");
+        let report = worker
+            .clone()
+            .answer_load_query(at * SECOND, min_age * SECOND)
+            .expect("a load report of the required age");
         let figures = [report.free_slots, report.in_flight, report.qps].map(Option::unwrap_or_default);
-        assert_eq!(figures, expected, "at {at} s, {min_age} s old");
+        assert_eq!(figures, expected, "at {at} s, at least {min_age} s old");
         assert!(report.queue.is_none() && report.utilization.is_none());
     }
-    let early = worker.answer_load_query(SECOND + SECOND / 4, SECOND / 2).expect("a report");
-    assert_eq!((early.free_slots, early.in_flight), (Some(4.0), Some(0.0)), "the first refresh");
+    let early =
+        worker.answer_load_query(SECOND + SECOND / 4, SECOND / 2).expect("a load report of the required age");
+    assert_eq!(
+        (early.free_slots, early.in_flight),
+        (Some(4.0), Some(0.0)),
+        "the report of the first refresh"
+    );
 }
 
 #[test]
 fn a_key_reused_outside_its_group_or_window_violates_a_rule() {
-    // Zone and cell of the first and the second worker, when the second attempt is sent, and whether that violates.
+    // Zone and cell of the first and of the second worker, the second at which the second attempt is sent,
+    // and whether that is a violation.
     let cases = [
         (KeyScope::All, (0, 0), (1, 3), 20, false),
         (KeyScope::All, (0, 0), (0, 0), 26, true),
@@ -133,24 +146,28 @@
     }
 }
 
-// Retrying attempts that may have run violates the rule of keys, and no other one.
+// Retries of attempts that may have run violate the rule on idempotency keys and no other one.
 #[test]
 fn retrying_in_another_group_violates_a_rule_in_a_whole_run() {
     let faults = "[[faults]]\nat = 2.0\nlasts = 55.0\nshare = 0.9\nwhat = { failing = 0.9 }\n";
-    let scenario = Scenario::parse(&format!("{CALC}{faults}")).expect("a scenario");
+    let scenario = Scenario::parse(&format!("{CALC}{faults}")).expect("valid scenario");
     for (kind, is_violation) in [(PolicyKind::Copperspread, false), (PolicyKind::Resends, true)] {
-        let breaches = simulate(&scenario, kind, 2).expect("valid settings").violations;
-        assert_eq!(breaches.contains_key(&Rule::KeyedWithinScope), is_violation, "{kind:?}: {breaches:?}");
-        assert_eq!(breaches.len(), usize::from(is_violation), "{kind:?}: {breaches:?}");
+        let violations = simulate(&scenario, kind, 2).expect("valid settings").violations;
+        assert_eq!(
+            violations.contains_key(&Rule::KeyedWithinScope),
+            is_violation,
+            "{kind:?}: {violations:?}"
+        );
+        assert_eq!(violations.len(), usize::from(is_violation), "{kind:?}: {violations:?}");
     }
     let cells = Fleet::generate(&scenario, 2).cells;
-    assert!((0..14).all(|at: u32| cells[at as usize] % 2 == at % 2), "no cell spans two zones: {cells:?}");
+    assert!((0..14).all(|at: u32| cells[at as usize] % 2 == at % 2), "a cell spans two zones: {cells:?}");
     assert_eq!(cells.iter().max(), Some(&3));
 }
 
 #[test]
 fn job_slots_and_memory_follow_the_class() {
-    let mut scenario = calc();
+    let mut scenario = calc_scenario();
     (scenario.duration_s, scenario.clients.rate_per_s) = (1_000.0, 30.0);
     let jobs: Vec<_> = Arrivals::new(&scenario, 5).filter(|job| job.class == 1).collect();
     let share = |slots| jobs.iter().filter(|job| job.slots == slots).count() as f64 / jobs.len() as f64;
@@ -162,23 +179,23 @@
 }
 
 #[test]
-fn clients_retry_as_the_scenario_says() {
-    for (again, retry_after, wait) in [
+fn clients_retry_with_the_configured_timing() {
+    for (retry_timing, retry_after, delay) in [
         (RetryTiming::HonorRetryAfter, 5 * SECOND, 2_210_000),
         (RetryTiming::Immediately, 5 * SECOND, 0),
         (RetryTiming::FixedDelay(0.05), 5 * SECOND, 50_000),
     ] {
-        assert_eq!(again.delay(retry_after, 2.0, 0.5), wait, "{again:?}");
+        assert_eq!(retry_timing.delay(retry_after, 2.0, 0.5), delay, "{retry_timing:?}");
     }
 }
 
-// Schedulers that must subscribe get the list again after a crash and after an outage of discovery.
+// Schedulers that must subscribe get the endpoint list again after a crash and after an outage of discovery.
 #[test]
 fn schedulers_subscribe_again_after_a_crash_and_an_outage() {
     let faults = "[[faults]]\nat = 12.0\nlasts = 6.0\nwhat = 'discovery_down'\n\
         [[faults]]\nat = 15.0\nlasts = 6.0\nwhat = 'scheduler_crash'\nshare = 0.3\n\
         [[faults]]\nat = 25.0\nlasts = 20.0\nwhat = 'crash'\nshare = 0.5\n";
-    let scenario = Scenario::parse(&format!("{CALC}{faults}")).expect("a scenario");
+    let scenario = Scenario::parse(&format!("{CALC}{faults}")).expect("valid scenario");
     for kind in [PolicyKind::Copperspread, PolicyKind::LeastCost] {
         let outcome = simulate(&scenario, kind, 3).expect("valid settings");
         assert!(
@@ -186,26 +203,30 @@
             "{kind:?}: {:?}",
             outcome.violation_examples
         );
-        let late: f64 = outcome.seconds[50..].iter().map(|second| second.in_time).sum();
-        assert!(late > 0.0, "{kind:?} serves nothing more");
+        let in_time_after_faults: f64 = outcome.seconds[50..].iter().map(|second| second.in_time).sum();
+        assert!(in_time_after_faults > 0.0, "{kind:?} serves nothing after the faults");
     }
 }
 
-/// The mean shares of six seeds: random 0.595, least cost 0.755, oracle 0.818. The dispatcher violates no rule.
+/// Checks that random, least cost and oracle keep their order, and that the dispatcher violates no rule. The
+/// shares over the six seeds are 0.595, 0.755 and 0.818.
 #[test]
 fn baselines_keep_their_order_on_calc() {
     let kinds = [PolicyKind::Copperspread, PolicyKind::Random, PolicyKind::LeastCost, PolicyKind::Oracle];
-    let rows = compare_policies(&calc(), &kinds, &[1, 2, 3, 4, 5, 6]).expect("valid settings");
-    let [random, least, oracle] = [&rows[1], &rows[2], &rows[3]].map(|row| row.in_time_share);
-    assert!(random + 0.1 < least && least < oracle && oracle < 0.9, "{random}, {least}, {oracle}");
-    assert!((0.4..0.7).contains(&random), "{random}: a scenario that is too easy, or hopeless");
+    let rows = compare_policies(&calc_scenario(), &kinds, &[1, 2, 3, 4, 5, 6]).expect("valid settings");
+    let [random, least_cost, oracle] = [&rows[1], &rows[2], &rows[3]].map(|row| row.in_time_share);
+    assert!(
+        random + 0.1 < least_cost && least_cost < oracle && oracle < 0.9,
+        "random {random}, least cost {least_cost}, oracle {oracle}"
+    );
+    assert!((0.4..0.7).contains(&random), "random {random}: the scenario is too easy or too hard");
     assert_eq!(
         rows[0].violations,
         0,
         "{:?}",
         rows[0].runs.iter().map(|run| &run.violation_examples).collect::<Vec<_>>()
     );
-    assert!(rows[2].runs.iter().all(|run| run.weight.rejected == 0.0), "it rejects nothing");
+    assert!(rows[2].runs.iter().all(|run| run.weight.rejected == 0.0), "the least_cost policy rejected jobs");
 }
 
 #[test]
@@ -227,6 +248,7 @@
         let error = Scenario::parse(&CALC.replacen(from, to, 1)).expect_err(to);
         assert!(error.to_string().contains(text), "{to}: {error}");
     }
-    let again = Scenario::parse(&toml::to_string(&calc()).expect("TOML")).expect("a scenario");
-    assert_eq!(again, calc(), "TOML round trip");
+    let parsed_again = Scenario::parse(&toml::to_string(&calc_scenario()).expect("the scenario serializes"))
+        .expect("valid scenario");
+    assert_eq!(parsed_again, calc_scenario(), "the scenario changes in a TOML round trip");
 }
--- a/crates/testbed/tests/cold_fleet.rs
+++ b/crates/testbed/tests/cold_fleet.rs
@@ -1,11 +1,11 @@
-//! Slow start in fleets of all sizes: while workers restart in turn, seven in ten schedulers are killed, and all
-//! learn late of the starts just before.
+//! Slow start in fleets of all sizes: while workers restart in turn, seven in ten schedulers are killed, and
+//! all schedulers are notified late of the worker starts just before.
 use copperspread_testbed::policy::PolicyKind;
 use copperspread_testbed::scenario::Scenario;
 use copperspread_testbed::simulation::simulate;
 
-/// The release scenario with other numbers of schedulers and of workers of each kind, and clients to match;
-/// discovery is down for 3 s before the kill.
+/// Returns the release scenario with other numbers of schedulers and of workers of each kind, and with an
+/// arrival rate in proportion to the workers. Discovery is down for 3 s before the schedulers are killed.
 fn release(schedulers: u32, workers: [u32; 3]) -> Scenario {
     let text = include_str!("../scenarios/vast-release.toml");
     let mut text = text.replace("schedulers = 100", &format!("schedulers = {schedulers}"));
@@ -15,13 +15,15 @@
     let rate = 290.0 / 60.0 * f64::from(workers.iter().sum::<u32>());
     text = text.replace("rate = 290.0", &format!("rate = {rate:.1}"));
     text += "\n[[faults]]\nat = 10.5\nlasts = 3.0\nwhat = \"discovery_down\"\n";
-    let scenario = Scenario::parse(&text).expect("a scenario");
+    let scenario = Scenario::parse(&text).expect("valid scenario");
     let workers: u32 = workers.iter().sum();
     assert_eq!(scenario.workers.iter().map(|group| group.count).sum::<u32>(), workers);
     scenario
 }
 
-/// The share of the weight served must be over one half with 3, 20, 30 and 300 schedulers.
+/// Checks that more than half of the weight is served in time with 3, 20, 30 and 300 schedulers, without
+/// violation or overload. The `two_choices` policy must overload workers, which shows that the slow-start
+/// budget matters.
 #[test]
 fn fleets_of_all_sizes_restart_during_slow_start_without_violation_or_overload() {
     let mut two_choices_overloads = 0;
@@ -34,7 +36,10 @@
             let outcome = simulate(&scenario, PolicyKind::Copperspread, seed).expect("valid settings");
             let violations = (&outcome.violations, &outcome.violation_examples);
             assert!(outcome.violations.is_empty(), "{schedulers} schedulers, seed {seed}: {violations:?}");
-            assert_eq!(outcome.overloads, 0, "{schedulers} schedulers, seed {seed}: workers were overloaded");
+            assert_eq!(
+                outcome.overloads, 0,
+                "{schedulers} schedulers, seed {seed}: workers failed from overload"
+            );
             sum += outcome.weight.in_time_share() / count as f64;
             if schedulers < 300 {
                 two_choices_overloads +=
@@ -44,5 +49,8 @@
         println!("{schedulers} schedulers: {sum:.3} of the weight");
         assert!(sum > 0.5, "{schedulers} schedulers: {sum}");
     }
-    assert!(two_choices_overloads > 0, "no budget is ever at risk");
+    assert!(
+        two_choices_overloads > 0,
+        "the two_choices policy overloads no worker: no slow-start budget is at risk"
+    );
 }
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -1,4 +1,5 @@
-//! The simulation: against queueing theory, against itself, and against deliberately broken policies.
+//! Tests of the simulation: agreement with queueing theory, reproducibility, and the detection of broken
+//! policies.
 use copperspread_dispatcher::{RequestId, SECOND};
 use copperspread_testbed::compare::{PairedDifference, ScenarioResults, compare_policies, comparison_table};
 use copperspread_testbed::model::arrivals::Arrivals;
@@ -11,7 +12,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// One queue: Poisson arrivals, one worker, no network delay, clients that wait for ever.
+/// Simulates one queue: Poisson arrivals, one worker, no network delay, and clients without a practical
+/// deadline.
 fn simulate_queue(rate: f64, cores: u32, slots: u32, spread: &str) -> RunOutcome {
     let text = format!(
         "name = 'queue'\nabout = 'one queue'\nseconds = 100000.0\nschedulers = 1\n\
@@ -20,10 +22,11 @@
          [[classes]]\nname = 'c'\nshare = 1.0\nwork = 1.0\nspread = {spread}\naim = 50000.0\ndeadline = 50000.0\n\
          worth = 1.0\nrepeat = 'never'\n"
     );
-    simulate(&Scenario::parse(&text).expect("a scenario"), PolicyKind::RoundRobin, 3).expect("valid settings")
+    simulate(&Scenario::parse(&text).expect("valid scenario"), PolicyKind::RoundRobin, 3)
+        .expect("valid settings")
 }
 
-/// The mean wait in M/M/c, in service times, by Erlang's formula.
+/// Returns the mean wait in an M/M/c queue, in mean service times, by the Erlang C formula.
 fn erlang_wait(offered: f64, servers: u32) -> f64 {
     let mut term = 1.0;
     let mut sum = 1.0;
@@ -39,14 +42,14 @@
 #[test]
 fn mean_times_match_queueing_theory() {
     let exponential = "'exponential'";
-    // Load, cores, slots, spread, and the mean time that theory gives.
+    // Load, cores, slots, work distribution, and the mean time in the system by theory.
     let cases = [
         (0.5, 1, 1, exponential, 1.0 / (1.0 - 0.5)),
         (0.7, 1, 1, exponential, 1.0 / (1.0 - 0.7)),
-        // Pollaczek and Khinchin, for work that is always the same.
+        // Pollaczek-Khinchine formula for constant work.
         (0.7, 1, 1, "'constant'", 1.0 + 0.7 / (2.0 * (1.0 - 0.7))),
         (2.8, 4, 4, exponential, 1.0 + erlang_wait(2.8, 4)),
-        // Processor sharing: the mean does not depend on how the work is spread.
+        // Processor sharing: the mean does not depend on the distribution of the work.
         (0.6, 1, 100_000, exponential, 1.0 / (1.0 - 0.6)),
         (0.6, 1, 100_000, "'constant'", 1.0 / (1.0 - 0.6)),
         (0.6, 1, 100_000, "{ lognormal = 0.8 }", 1.0 / (1.0 - 0.6)),
@@ -57,21 +60,21 @@
         let error = (mean / theory - 1.0).abs();
         assert!(
             error < 0.05,
-            "load {load} on {cores} cores, {slots} slots, {spread}: {mean:.3}, not {theory:.3}"
+            "load {load} on {cores} cores, {slots} slots, {spread}: mean {mean:.3} s, expected {theory:.3} s"
         );
-        // Little's law: the mean number of jobs is the rate times the mean time.
+        // Little's law: the mean number of jobs is the arrival rate times the mean time in the system.
         let rate = outcome.jobs as f64 / 100_000.0;
         assert!(
             (outcome.mean_jobs_in_workers / (rate * mean) - 1.0).abs() < 0.02,
-            "held {}, {rate} x {mean}",
+            "mean jobs in workers {}, expected {rate} x {mean}",
             outcome.mean_jobs_in_workers
         );
-        // Work is conserved: all that arrived was done.
+        // Work conservation: all requested work was completed.
         assert!((outcome.done_core_s / outcome.weight.requested - 1.0).abs() < 1e-3);
     }
 }
 
-/// A small fleet with the given faults.
+/// Returns a scenario with a small fleet and the given faults.
 fn faulty_fleet(rate: f64, faults: &str) -> Scenario {
     let class = |name: &str, repeat: &str| {
         format!(
@@ -87,10 +90,10 @@
         class("keyed", "keyed"),
         class("once", "never"),
     );
-    Scenario::parse(&text).expect("a scenario")
+    Scenario::parse(&text).expect("valid scenario")
 }
 
-/// Resets, a crash, drains, a lost zone, a burst, a discovery outage and a silent class.
+/// Faults of one run: resets, a crash, drains, a lost zone, a burst, a discovery outage and a silent class.
 const ALL_FAULTS: &str = "[[faults]]\nat = 5.0\nlasts = 40.0\nshare = 0.4\nwhat = { resetting = 0.2 }\n\
      [[faults]]\nat = 8.0\nlasts = 4.0\nshare = 0.2\nwhat = 'crash'\n\
      [[faults]]\nat = 12.0\nlasts = 6.0\nshare = 0.9\nspread_over = 30.0\nwhat = 'drain'\n\
@@ -108,19 +111,19 @@
         (PolicyKind::NeverAnswers, &[Rule::ResponseBeforeDeadline]),
         (PolicyKind::Resends, &[Rule::NonIdempotentOnce, Rule::KeyedWithinScope]),
         (PolicyKind::IgnoresDrains, &[Rule::NoDispatchWhileDraining]),
-        (PolicyKind::FloodsTheNew, &[Rule::WithinSlowStartBudget]),
+        (PolicyKind::NewestWorker, &[Rule::WithinSlowStartBudget]),
     ];
     for (kind, rules) in cases {
         let outcome = simulate(&scenario, *kind, 1).expect("valid settings");
         for rule in *rules {
             assert!(
                 outcome.violations.contains_key(rule),
-                "{kind:?}: {rule:?} not in {:?}",
+                "{kind:?}: expected a violation of {rule:?}, found {:?}",
                 outcome.violations
             );
         }
-        // No other rule, so that a violation points at its cause; but jobs sent to draining workers meet them
-        // again in slow start.
+        // No other rule is violated, so that a violation identifies its cause. The exception is
+        // `IgnoresDrains`: jobs that it sends to draining workers reach them again in slow start.
         let is_consequence =
             |rule: &Rule| *kind == PolicyKind::IgnoresDrains && *rule == Rule::WithinSlowStartBudget;
         let others =
@@ -133,7 +136,8 @@
 fn one_seed_gives_identical_outcomes_and_another_seed_different_ones() {
     let scenario = faulty_fleet(40.0, ALL_FAULTS);
     let bytes = |kind, seed| {
-        serde_json::to_string(&simulate(&scenario, kind, seed).expect("valid settings")).expect("JSON")
+        serde_json::to_string(&simulate(&scenario, kind, seed).expect("valid settings"))
+            .expect("the outcome serializes to JSON")
     };
     for kind in [PolicyKind::Copperspread, PolicyKind::Random, PolicyKind::Oracle] {
         assert_eq!(bytes(kind, 7), bytes(kind, 7), "{kind:?}");
@@ -141,7 +145,7 @@
     }
 }
 
-// A comparison is fair only if the arrivals do not depend on the policy.
+// Policies can be compared only if the arrivals do not depend on the policy.
 #[test]
 fn all_policies_get_the_same_arrivals() {
     let scenario = faulty_fleet(40.0, ALL_FAULTS);
@@ -164,13 +168,15 @@
     for (faulty, calm) in faulty.iter().zip(&calm) {
         assert!(
             faulty.in_time_share < calm.in_time_share - 0.01,
-            "{}: {} and {}",
+            "{}: share with faults {}, without faults {}",
             faulty.policy,
             faulty.in_time_share,
             calm.in_time_share
         );
     }
-    let share = |name: &str| faulty.iter().find(|row| row.policy == name).expect("a row").in_time_share;
+    let share = |name: &str| {
+        faulty.iter().find(|row| row.policy == name).expect("a row for the policy").in_time_share
+    };
     assert!(share("copperspread") > share("random") + 0.05);
     assert!(
         faulty[0].deficit.is_none()
@@ -188,11 +194,11 @@
         (&[-0.2, -0.1, -0.15, -0.12], true),
         (&[0.1, -0.1, 0.05, -0.06], false),
         (&[0.0; 5], false),
-        // Too few pairs for an interval, however alike.
+        // Two pairs are too few for an interval, even if they are equal.
         (&[0.1, 0.1], false),
     ];
     for (pairs, shown) in cases {
-        let difference = PairedDifference::from_pairs(pairs).expect("pairs");
+        let difference = PairedDifference::from_pairs(pairs).expect("a difference of at least one pair");
         assert_eq!(difference.excludes_zero(), *shown, "{pairs:?}: {difference:?}");
         let [low, high] = difference.interval;
         assert!(low <= difference.mean && difference.mean <= high);
@@ -204,19 +210,19 @@
 fn built_in_scenarios_are_valid_and_invalid_ones_are_explained() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
     let mut names = Vec::new();
-    for file in std::fs::read_dir(folder).expect("a folder").flatten() {
-        let text = std::fs::read_to_string(file.path()).expect("a file");
-        let scenario = Scenario::parse(&text).expect("a scenario");
+    for file in std::fs::read_dir(folder).expect("readable scenarios directory").flatten() {
+        let text = std::fs::read_to_string(file.path()).expect("readable scenario file");
+        let scenario = Scenario::parse(&text).expect("valid scenario");
         assert_eq!(format!("{}.toml", scenario.name), file.file_name().to_string_lossy());
         assert!(
             scenario.clients.rate_per_s < scenario.capacity(),
-            "{}: more than the fleet's capacity",
+            "{}: the arrival rate exceeds the fleet's capacity",
             scenario.name
         );
         names.push(scenario.name);
     }
     assert_eq!(names.len(), 16);
-    let good = std::fs::read_to_string(format!("{folder}/zone-lost.toml")).expect("a file");
+    let good = std::fs::read_to_string(format!("{folder}/zone-lost.toml")).expect("readable scenario file");
     for (from, to, text) in [
         ("seconds = 90.0", "seconds = 0.0", "seconds: 0 is not over 0"),
         ("zones = 3", "zoness = 3", "unknown field `zoness`"),
@@ -246,14 +252,14 @@
     let usual = mean(&base);
     let mut distant = base.clone();
     distant.network.zone_links = vec![ZoneLink { zones: [0, 1], delay_s: 0.2, loss: 0.0 }];
-    // Two of nine pairs of zones, in both directions.
+    // The slow link affects two of the nine ordered pairs of zones, in both directions.
     let slower = mean(&distant) - usual;
     assert!((60.0..130.0).contains(&slower), "{slower} ms");
     let mut connecting = base.clone();
     connecting.network.connect_delay_s = 0.1;
     let slower = mean(&connecting) - usual;
-    // One scheduler sends a worker 0.74 jobs a second, so that for one in 40 the connection has been idle for
-    // over 5 s, and a new one costs 100 ms.
+    // Each scheduler sends 0.74 jobs per second to each worker, so that for one job in 40 the connection has
+    // been idle for over 5 s and a new one is opened, which takes 100 ms.
     assert!((1.5..4.0).contains(&slower), "{slower} ms");
     let mut reporting = base.clone();
     reporting.load_reports.progress_interval_s = 0.1;
@@ -265,17 +271,21 @@
     recorded.clients.trace = vec![job(0.5, 0, 0.2), job(0.6, 2, 0.4), job(900.0, 0, 1.0)];
     let arrivals: Vec<_> =
         Arrivals::new(&recorded, 3).map(|arrival| (arrival.at, arrival.class, arrival.work)).collect();
-    assert_eq!(arrivals, [(500_000, 0, 0.2), (600_000, 2, 0.4)], "no arrival after the end");
+    assert_eq!(
+        arrivals,
+        [(500_000, 0, 0.2), (600_000, 2, 0.4)],
+        "jobs after the scenario's duration are left out"
+    );
     assert_eq!(simulate(&recorded, PolicyKind::Copperspread, 3).expect("valid settings").jobs, 2);
     recorded.clients.trace.reverse();
     assert_eq!(
-        recorded.check().expect_err("wrong order").to_string(),
+        recorded.check().expect_err("an error for an unordered trace").to_string(),
         "clients.trace: not in the order of its instants"
     );
 }
 
-// One of nine workers crashes while the lists contradict each other, and stays down. A scheduler left with
-// the stale list would send it every ninth job to the end.
+// One of nine workers crashes while two lists contradict each other, and stays down. A scheduler that is left
+// with the stale list sends every ninth job to that worker until the end of the run.
 #[test]
 fn a_contradicting_endpoint_list_ends_with_the_true_one() {
     let faults = "[[faults]]\nat = 10.0\nlasts = 8.0\nwhat = 'discovery_contradicts'\n\
@@ -283,7 +293,7 @@
     let outcome = simulate(&faulty_fleet(20.0, faults), PolicyKind::RoundRobin, 3).expect("valid settings");
     assert!(
         outcome.attempts_per_job > 1.0 && outcome.attempts_per_job < 1.04,
-        "{} attempts a job",
+        "{} attempts per job",
         outcome.attempts_per_job
     );
 }
@@ -295,7 +305,8 @@
     for arrival in Arrivals::new(&faulty_fleet(50.0, ramp), 3) {
         thirds[(arrival.at / (20 * SECOND)) as usize] += 1.0;
     }
-    // From once to three times as often: 4/3, 2 and 8/3 in the mean of each third, of 1,000 jobs.
+    // The rate factor rises from 1 to 3, with means of 4/3, 2 and 8/3 in the thirds; the base is 1,000 jobs
+    // each.
     for (arrivals, factor) in thirds.iter().zip([4.0 / 3.0, 2.0, 8.0 / 3.0]) {
         assert!((arrivals / 1_000.0 / factor - 1.0).abs() < 0.1, "{thirds:?}");
     }
@@ -306,31 +317,32 @@
     let scenario = faulty_fleet(40.0, ALL_FAULTS);
     let rows = compare_policies(&scenario, &PolicyKind::COMPARED, &[1, 2, 3]).expect("valid settings");
     let share = format!("<td>{:.3}", rows[0].in_time_share);
-    let page = render_html(&[ScenarioResults { scenario, variants: rows }]).expect("a page");
+    let page = render_html(&[ScenarioResults { scenario, variants: rows }]).expect("rendered report");
     assert!(page.contains(&share) && page.contains("least_outstanding") && page.contains("Resetting(0.2)"));
-    // Differences, shares over time, results by weight, and load against capacity.
+    // Four charts: differences, shares over time, outcomes by weight, and load against capacity.
     assert_eq!(page.matches("<svg").count(), 4);
     assert!(page.contains("clients of<th>safe<th>keyed<th>once") && page.contains("zone 2"));
     assert_eq!(page.matches("could have done").count(), 2, "the legend and the caption");
-    // Nothing is loaded: the only URL is the SVG namespace.
+    // The page loads no external resource: its only URL is the SVG namespace.
     let addresses = page.matches("http").count();
     assert_eq!(addresses, page.matches("http://www.w3.org/2000/svg").count());
     assert!(!page.contains("<script") && !page.contains("NaN"));
-    // A name from a file is escaped.
+    // A name from a scenario file is escaped.
     let mut named = faulty_fleet(5.0, "");
     named.name = "<b>x".into();
     let rows = compare_policies(&named, &[PolicyKind::Random], &[1]).expect("valid settings");
     assert!(
         !render_html(&[ScenarioResults { scenario: named, variants: rows }])
-            .expect("a page")
+            .expect("rendered report")
             .contains("<b>x")
     );
 }
 
-// No policy can violate this in the simulation, as only a proxy could: the rule checker is called directly.
+// The rule checker is called directly, as no policy can forge a response in the simulation: only a proxy
+// could.
 #[test]
 fn a_response_that_no_worker_made_violates_a_rule() {
-    for (made, heard, breaches) in [
+    for (is_result_made, response, violations) in [
         (true, ClientResponse::Served, 0),
         (false, ClientResponse::Served, 1),
         (false, ClientResponse::Unserved, 0),
@@ -338,15 +350,15 @@
     ] {
         let mut rule_checker = RuleChecker::new(None);
         rule_checker.request_sent(RequestId(1), SECOND);
-        if made {
+        if is_result_made {
             rule_checker.result_made(RequestId(1));
         }
-        rule_checker.response_received(5, RequestId(1), heard);
+        rule_checker.response_received(5, RequestId(1), response);
         let counts = rule_checker.into_violations().counts;
         assert_eq!(
             counts.get(&Rule::GenuineResult).copied().unwrap_or_default(),
-            breaches,
-            "{made} {heard:?}"
+            violations,
+            "result made: {is_result_made}, {response:?}"
         );
     }
 }
@@ -374,7 +386,7 @@
         ..ProptestConfig::default()
     })]
 
-    // Under every fault and policy each job has one result, and the dispatcher violates no rule.
+    // With every fault and policy each job has exactly one outcome, and the dispatcher violates no rule.
     #[test]
     fn weights_add_up_and_the_dispatcher_violates_no_rule(
         seed in 0_u64..1_000,
