--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -123,8 +123,8 @@
         self.spec.speed * self.capacity_fraction(now) / self.slowdown * core_fraction
     }
 
-    /// Returns the work done for each running job since its progress was last accounted, in seconds at speed
-    /// 1.
+    /// Returns the work done for each running job since its progress was last accounted, in seconds on a core
+    /// of speed 1.
     fn work_since_accounted(&self, now: Micros) -> f64 {
         let elapsed = now.saturating_sub(self.accounted_until) as f64 / SECOND as f64;
         elapsed * self.rate(self.accounted_until)
--- a/crates/testbed/src/outcome/mod.rs
+++ b/crates/testbed/src/outcome/mod.rs
@@ -15,15 +15,15 @@
 /// The end of a client's job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// Served within its latency objective.
+    /// The job was served within its latency objective.
     InTime,
-    /// Served later than its latency objective.
+    /// The job was served later than its latency objective.
     Late,
-    /// Rejected without another retry.
+    /// The job was rejected and not retried again.
     Rejected,
-    /// Failed, either by a response or by a broken client connection.
+    /// The job failed, either by a response or by a broken client connection.
     Failed,
-    /// Left without a response until the client stopped waiting.
+    /// The job had no response when the client stopped waiting.
     Unanswered,
 }
 
--- a/crates/testbed/src/rule_checker/mod.rs
+++ b/crates/testbed/src/rule_checker/mod.rs
@@ -22,7 +22,7 @@
 /// Time after the notification of a drain during which new work may still go to the worker.
 pub const DRAIN_GRACE: Micros = SECOND;
 
-/// The rule checker of one run. Each method notifies it of an observation; times are in microseconds from the
+/// The rule checker of one run. Each method records an observation; times are in microseconds from the
 /// start of the run.
 pub struct RuleChecker {
     responses: ResponseRules,
@@ -44,47 +44,47 @@
         }
     }
 
-    /// Notifies that a client sent a request and waits until its deadline.
+    /// Records that a client sent a request and waits until its deadline.
     pub fn request_sent(&mut self, request: RequestId, deadline: Micros) {
         self.responses.request_sent(request, deadline);
     }
 
-    /// Notifies that a worker produced the result of a request.
+    /// Records that a worker produced the result of a request.
     pub fn result_made(&mut self, request: RequestId) {
         self.responses.result_made(request);
     }
 
-    /// Notifies that a final response reached the client, or that its connection broke.
+    /// Records that a final response reached the client, or that its connection broke.
     pub fn response_received(&mut self, now: Micros, request: RequestId, response: ClientResponse) {
         self.responses.response_received(now, request, response, &mut self.violations);
     }
 
-    /// Notifies that a scheduler sent the final response of a request.
+    /// Records that a scheduler sent the final response of a request.
     pub fn response_sent(&mut self, request: RequestId) {
         self.responses.response_sent(request);
     }
 
-    /// Notifies that the client of a request stopped waiting, at or after its deadline.
+    /// Records that the client of a request stopped waiting, at or after its deadline.
     pub fn deadline_passed(&mut self, now: Micros, request: RequestId) {
         self.responses.check_response_before_deadline(now, request, &mut self.violations);
     }
 
-    /// Notifies that nothing more can happen to a request, and removes its state.
+    /// Records that nothing more can happen to a request, and removes its state.
     pub fn request_finished(&mut self, request: RequestId) {
         self.responses.request_finished(request);
     }
 
-    /// Notifies that nothing more can happen to a client's job, and removes its state.
+    /// Records that nothing more can happen to a client's job, and removes its state.
     pub fn job_finished(&mut self, job: u64) {
         self.executions.job_finished(job);
     }
 
-    /// Notifies that a worker started a client's job.
+    /// Records that a worker started a client's job.
     pub fn job_started(&mut self, now: Micros, job: u64, idempotency: Idempotency) {
         self.executions.check_non_idempotent_once(now, job, idempotency, &mut self.violations);
     }
 
-    /// Notifies that a worker of a deduplication group (see `model::idempotency_keys`) accepted an attempt,
+    /// Records that a worker of a deduplication group (see `model::idempotency_keys`) accepted an attempt,
     /// which may run from now on.
     pub fn attempt_accepted(
         &mut self,
@@ -99,12 +99,12 @@
         self.executions.check_keyed_within_scope(now, job, accepted, idempotency, &mut self.violations);
     }
 
-    /// Notifies that a worker returned an attempt unstarted, so that it never ran.
+    /// Records that a worker returned an attempt unstarted, so that it never ran.
     pub fn attempt_returned(&mut self, job: u64, attempt: u64) {
         self.executions.attempt_returned(job, attempt);
     }
 
-    /// Notifies that a scheduler learned that a worker drains or was removed, or is available again.
+    /// Records that a scheduler learned that a worker drains or was removed, or is available again.
     pub fn availability_notified(
         &mut self,
         now: Micros,
@@ -115,13 +115,13 @@
         self.drains.availability_notified(now, scheduler, worker, is_available);
     }
 
-    /// Notifies that a worker's process started, in slow start. `capacity` is the full capacity, in
+    /// Records that a worker's process started, in slow start. `capacity` is the full capacity, in
     /// core-seconds per second.
     pub fn worker_started(&mut self, now: Micros, worker: WorkerId, capacity: f64) {
         self.slow_starts.worker_started(now, worker, capacity);
     }
 
-    /// Notifies that a scheduler sent an attempt to a worker, with its work in core-seconds.
+    /// Records that a scheduler sent an attempt to a worker, with its work in core-seconds.
     pub fn attempt_sent(&mut self, now: Micros, scheduler: SchedulerId, worker: WorkerId, core_seconds: f64) {
         self.drains.check(now, scheduler, worker, &mut self.violations);
         self.slow_starts.check(now, worker, core_seconds, &mut self.violations);
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -20,7 +20,7 @@
 /// A client's job, which comprises the first request and its retries.
 pub(super) struct ClientJob {
     pub(super) arrival: Arrival,
-    /// Time at which the client stops waiting, without the grace period of the scenario.
+    /// Deadline of the client, without the scenario's grace period.
     pub(super) client_deadline: Micros,
     pub(super) retries_left: u32,
     /// Whether the client has its final result.
