--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -159,19 +159,27 @@
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            SettingsError::NoClass => "settings: no class of jobs",
+            SettingsError::NoClass => "settings: no request class",
             SettingsError::NoDispatcher => "settings: a fleet of no dispatchers",
-            SettingsError::NoAttempt => "settings: no attempt allowed",
-            SettingsError::InitialCapacityOutOfRange => "settings: the cold share is not above 0 and up to 1",
+            SettingsError::NoAttempt => "settings: the maximum number of attempts is 0",
+            SettingsError::InitialCapacityOutOfRange => {
+                "settings: the initial capacity of slow start is not above 0 and at most 1"
+            }
             SettingsError::OverloadMultipleNotPositive => {
-                "settings: the multiple of the cold budget is not above 0"
+                "settings: the overload multiple is not positive and finite"
             }
             SettingsError::OverQuotaWeightOutOfRange => {
-                "settings: the worth beyond a share is not between 0 and 1"
+                "settings: the weight of requests over quota is not between 0 and 1"
+            }
+            SettingsError::LoadQueryCostNegative => {
+                "settings: the cost of a load query is negative or not finite"
+            }
+            SettingsError::LatencyStretchNegative => {
+                "settings: the latency stretch of a class is negative or not finite"
+            }
+            SettingsError::PriorityWeightNegative => {
+                "settings: the priority weight of a class is negative or not finite"
             }
-            SettingsError::LoadQueryCostNegative => "settings: the price of a probe is negative or no number",
-            SettingsError::LatencyStretchNegative => "settings: a class's stretch is negative or no number",
-            SettingsError::PriorityWeightNegative => "settings: a class's worth is negative or no number",
         })
     }
 }
--- a/crates/dispatcher/tests/admission.rs
+++ b/crates/dispatcher/tests/admission.rs
@@ -172,13 +172,16 @@
 fn invalid_settings_are_named_in_the_error() {
     let valid = settings(Idempotency::Idempotent);
     let cases: [(&str, Settings); 7] = [
-        ("no class", Settings { classes: vec![], ..valid.clone() }),
+        ("no request class", Settings { classes: vec![], ..valid.clone() }),
         ("no dispatchers", Settings { fleet_size: 0, ..valid.clone() }),
-        ("no attempt", Settings { max_attempts: 0, ..valid.clone() }),
-        ("cold share", Settings { slow_start_initial_capacity: 0.0, ..valid.clone() }),
-        ("cold share", Settings { slow_start_initial_capacity: f64::NAN, ..valid.clone() }),
-        ("multiple", Settings { overload_multiple: -1.0, ..valid.clone() }),
-        ("share", Settings { over_quota_weight: f64::NAN, ..valid.clone() }),
+        ("maximum number of attempts", Settings { max_attempts: 0, ..valid.clone() }),
+        ("initial capacity of slow start", Settings { slow_start_initial_capacity: 0.0, ..valid.clone() }),
+        (
+            "initial capacity of slow start",
+            Settings { slow_start_initial_capacity: f64::NAN, ..valid.clone() },
+        ),
+        ("overload multiple", Settings { overload_multiple: -1.0, ..valid.clone() }),
+        ("weight of requests over quota", Settings { over_quota_weight: f64::NAN, ..valid.clone() }),
     ];
     for (expected, settings) in cases {
         let error = Dispatcher::new(settings, 1).expect_err(expected);
--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -32,7 +32,7 @@
 #[non_exhaustive]
 pub enum AssemblyError {
     /// The listening socket could not be opened.
-    #[error("listen on {address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -25,7 +25,7 @@
         /// default
         file: Option<PathBuf>,
     },
-    /// Describe the configuration
+    /// Print the configuration's schema, default or reference page
     #[cfg(feature = "standalone")]
     #[command(subcommand)]
     Config(ConfigDescription),
@@ -51,7 +51,7 @@
 #[cfg(feature = "standalone")]
 #[derive(Debug, Subcommand)]
 pub(crate) enum EventLogCommand {
-    /// Print the events as they are, without lines that are no events; what is missing goes to standard error
+    /// Print the events, one per line; numbers of missing events and of other lines go to standard error
     Cat {
         /// File of the event log
         file: PathBuf,
@@ -62,7 +62,7 @@
         #[arg(long = "all")]
         with_rotated: bool,
     },
-    /// Sum the events of one or many schedulers by time and by worker
+    /// Summarize the events of one or more schedulers by time window and by worker
     Fleet {
         /// Files, one per scheduler, or folders of such files; lines that are not events are skipped
         #[arg(required = true)]
@@ -75,7 +75,7 @@
         #[arg(long = "workers", default_value_t = 20, value_name = "WORKERS")]
         max_workers: usize,
     },
-    /// Sum the events up: runs, gaps, disorder, and what clients got
+    /// Summarize the events: runs, missing events, events out of order, and final responses
     Stat {
         /// File of the event log
         file: PathBuf,
@@ -115,10 +115,10 @@
 #[cfg(feature = "standalone")]
 #[derive(Debug, Subcommand)]
 pub(crate) enum ConfigDescription {
-    /// The JSON Schema
+    /// Print the JSON Schema of the configuration
     Schema,
-    /// The built-in default, as a file with comments
+    /// Print the built-in default as a file with comments
     Default,
-    /// The reference page, docs/configuration.md
+    /// Print the reference page, docs/configuration.md
     Page,
 }
--- a/crates/scheduler/src/commands/error.rs
+++ b/crates/scheduler/src/commands/error.rs
@@ -14,14 +14,14 @@
 #[non_exhaustive]
 pub(crate) enum CommandError {
     /// No command was given, and the environment does not name the platform's configuration.
-    #[error("EDGE_CONFIG names no configuration, and no command was given; try `{program} --help`")]
+    #[error("no command was given, and EDGE_CONFIG names no configuration file; try `{program} --help`")]
     NoCommand {
         /// The program's name.
         program: String,
     },
     /// This build reads only the platform's configuration, and the environment does not name it.
     #[cfg(not(feature = "standalone"))]
-    #[error("EDGE_CONFIG names no configuration")]
+    #[error("EDGE_CONFIG names no configuration file")]
     NoConfiguration,
     /// The scheduler, or a component of it that the command needs, did not start.
     #[error(transparent)]
@@ -31,7 +31,7 @@
     Configuration(#[from] ConfigError),
     /// `--set` was given for the platform's configuration.
     #[cfg(feature = "standalone")]
-    #[error("--set goes with TOML; the platform's JSON has no layers")]
+    #[error("--set requires a TOML configuration; the platform's JSON has no layers")]
     OverridesOfPlatformConfig,
     /// A description of the configuration cannot be generated.
     #[cfg(feature = "standalone")]
--- a/crates/scheduler/src/serve/error.rs
+++ b/crates/scheduler/src/serve/error.rs
@@ -45,7 +45,7 @@
     Proxy(Box<dyn Error + Send + Sync>),
     /// A toy worker is requested, but there is no static list with a worker that it could replace.
     #[cfg(feature = "toy")]
-    #[error("--toy stands for the first worker of a static list")]
+    #[error("--toy replaces the first worker of the static list, but there is no static list or it is empty")]
     NoWorkerForToy,
 }
 
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,15 +1,15 @@
 //! The error type of this crate's readers.
 
-/// The reason why JSON could not be read. Operators and clients are shown the message of each variant
-/// unchanged.
+/// The reason why JSON could not be read. The message of each variant is shown to operators in errors and
+/// logs, and to the simulator in its fault messages.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ReadError {
     /// The bytes are not UTF-8.
-    #[error("no UTF-8")]
+    #[error("not valid UTF-8")]
     InvalidUtf8(#[source] std::str::Utf8Error),
     /// The text is not valid JSON.
-    #[error("no JSON: {0}")]
+    #[error("not valid JSON: {0}")]
     InvalidJson(#[source] tinyjson::JsonParseError),
     /// The JSON value is nested more than 32 levels deep.
     #[error("nested too deeply")]
@@ -21,14 +21,14 @@
         field: &'static str,
     },
     /// A field is not a finite number.
-    #[error("{field} is no number")]
+    #[error("{field} is not a number")]
     NotANumber {
         /// The field's name.
         field: &'static str,
     },
     /// A field is not a non-negative integer of at most 2^53, up to which a float represents every integer
     /// exactly.
-    #[error("{field} is no whole number")]
+    #[error("{field} is not a whole number")]
     NotAnInteger {
         /// The field's name.
         field: &'static str,
@@ -40,7 +40,7 @@
         field: &'static str,
     },
     /// A field is not a string.
-    #[error("{field} is no text")]
+    #[error("{field} is not a string")]
     NotAString {
         /// The field's name.
         field: &'static str,
@@ -52,25 +52,25 @@
         field: &'static str,
     },
     /// A field is not an array.
-    #[error("{field} is no list")]
+    #[error("{field} is not an array")]
     NotAnArray {
         /// The field's name.
         field: &'static str,
     },
     /// A string is not a network address.
-    #[error("{text:?} is no address")]
+    #[error("{text:?} is not an address")]
     InvalidAddress {
         /// The string as given.
         text: String,
     },
     /// An endpoint's address has no port.
-    #[error("{text:?} names no port")]
+    #[error("{text:?} has no port")]
     MissingPort {
         /// The address as given.
         text: String,
     },
     /// A string is not a hexadecimal number.
-    #[error("{text:?} is no hex number")]
+    #[error("{text:?} is not a hexadecimal number")]
     NotHexadecimal {
         /// The string as given.
         text: String,
