--- a/crates/scheduler/tests/documentation_links.rs
+++ b/crates/scheduler/tests/documentation_links.rs
@@ -1,4 +1,4 @@
-//! Each relative link of the README and of the pages in `docs` leads to a file that is there.
+//! Checks that each relative link in the README and in the pages of `docs` leads to an existing file.
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -6,15 +6,17 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The Markdown files in a folder and its subfolders.
+/// Returns the Markdown files in a folder and its subfolders.
 fn markdown_files(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
+    let entries = fs::read_dir(folder)
+        .expect("a readable folder")
+        .map(|entry| entry.expect("a readable folder entry").path());
     let (folders, files): (Vec<_>, Vec<_>) = entries.partition(|path| path.is_dir());
     let files = files.into_iter().filter(|path| path.extension().is_some_and(|extension| extension == "md"));
     files.chain(folders.iter().flat_map(|folder| markdown_files(folder))).collect()
 }
 
-/// The targets of a text's inline links and reference definitions, outside of code blocks.
+/// Returns the targets of a text's inline links and reference definitions, outside of code blocks.
 fn link_targets(text: &str) -> Vec<&str> {
     let prose = text.split("```").step_by(2);
     let inline =
@@ -26,11 +28,11 @@
     inline.chain(definitions).map(|target| target.split_whitespace().next().unwrap_or_default()).collect()
 }
 
-/// The file that a link leads to, if it is a relative one to another file.
+/// Returns the file that a link leads to, if it is a relative link to another file.
 fn linked_file(page: &Path, target: &str) -> Option<PathBuf> {
-    let path = target.split('#').next().expect("a part");
+    let path = target.split('#').next().expect("a split text has a first part");
     let is_relative = !path.is_empty() && !path.contains(':') && !path.starts_with('/');
-    is_relative.then(|| page.parent().expect("a folder").join(path))
+    is_relative.then(|| page.parent().expect("a parent folder").join(path))
 }
 
 #[test]
@@ -38,7 +40,7 @@
     let pages = markdown_files(&root().join("docs")).into_iter().chain([root().join("README.md")]);
     let (mut broken, mut count) = (Vec::new(), 0);
     for page in pages {
-        let text = fs::read_to_string(&page).expect("UTF-8");
+        let text = fs::read_to_string(&page).expect("a readable page in UTF-8");
         for target in link_targets(&text) {
             let Some(file) = linked_file(&page, target) else { continue };
             count += 1;
--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -1,5 +1,5 @@
-//! The program follows the endpoint list through the moments in which discovery fails: whatever went wrong,
-//! a change is known within 6 s of discovery's having it, and requests are served all along.
+//! Tests that the scheduler follows the endpoint list across failures of discovery: a change is applied
+//! within 6 s after discovery has it, and requests are served all the while.
 #[path = "sockets/discovery_fixture.rs"]
 mod discovery_fixture;
 #[path = "sockets/fake_discovery.rs"]
@@ -22,9 +22,10 @@
 use sockets::*;
 
 #[test]
-fn all_waits_for_a_change_added_up_stay_within_the_limit() {
-    // The policy's longest waits where lists are asked for, in a fleet that spreads as far as any.
-    let (mut first, mut wait) = (0, 0);
+fn the_sums_of_all_waits_for_a_change_stay_within_the_limit() {
+    // The policy's longest waits where lists are polled, in a fleet large enough for the widest spread of
+    // polls.
+    let (mut first_call_delay, mut retry_delay) = (0, 0);
     for seed in 0..500 {
         let settings = Settings {
             discovery: copperspread_dispatcher::Discovery::Polled,
@@ -32,7 +33,7 @@
             classes: vec![RequestClass::default()],
             ..Settings::default()
         };
-        let mut policy = Dispatcher::new(settings, seed).expect("settings are good");
+        let mut policy = Dispatcher::new(settings, seed).expect("valid settings");
         let mut timer_delay = |event| {
             let mut actions = Vec::new();
             policy.handle(SECOND, event, &mut actions);
@@ -42,51 +43,54 @@
             })
         };
         let update = |kind| Event::Endpoints(EndpointUpdate { kind, version: 1, endpoints: &[] });
-        first = first.max(timer_delay(update(EndpointUpdateKind::Cached)).expect("a first call"));
-        // Over two minutes of an outage.
+        first_call_delay = first_call_delay
+            .max(timer_delay(update(EndpointUpdateKind::Cached)).expect("a first-call timer"));
+        // An outage of over two minutes.
         for _ in 0..100 {
             assert_eq!(timer_delay(Event::TimerExpired(Timer::Subscription)), None);
-            wait = wait.max(timer_delay(update(EndpointUpdateKind::Failed)).expect("a further call"));
+            retry_delay =
+                retry_delay.max(timer_delay(update(EndpointUpdateKind::Failed)).expect("a next-call timer"));
         }
     }
     let silent_watch = WATCH_HOLD_TIME + WATCH_MARGIN + RETRY_BACKOFF_INITIAL;
     let answered_late = SECOND;
     let refused_late = answered_late + REFUSED_RETRY_BACKOFF;
-    let recalled = PUSHED_HEDGE_INTERVAL.max(RETRY_BACKOFF_MAX);
-    let sums = [
-        ("asked: a watch that is silent, and the next call", silent_watch + POLLED_LIST_TIMEOUT),
+    let pushed_retry = PUSHED_HEDGE_INTERVAL.max(RETRY_BACKOFF_MAX);
+    let wait_sums = [
+        ("polled: a silent watch, and the next call", silent_watch + POLLED_LIST_TIMEOUT),
         (
-            "asked: a call given up, the policy's wait, and the next call",
-            POLLED_LIST_TIMEOUT + wait + POLLED_LIST_TIMEOUT,
+            "polled: a call that timed out, the policy's wait, and the next call",
+            POLLED_LIST_TIMEOUT + retry_delay + POLLED_LIST_TIMEOUT,
         ),
-        ("asked: the first call of a start", first + POLLED_LIST_TIMEOUT),
-        ("pushed: a watch that is silent, and the next call late", silent_watch + answered_late),
-        ("pushed: a call that stays silent, and the next late", recalled + answered_late),
+        ("polled: the first call after the start", first_call_delay + POLLED_LIST_TIMEOUT),
+        ("pushed: a silent watch, and a late response to the next call", silent_watch + answered_late),
+        ("pushed: a silent call, and a late response to the next one", pushed_retry + answered_late),
     ];
-    for (what, sum) in sums {
+    for (what, sum) in wait_sums {
         assert!(sum <= MAX_CHANGE_DELAY - DELAY_MARGIN, "{what}: {sum} us");
     }
-    // One refusal more, by a discovery that is crowded, or bytes that trickle: what is left covers a process that is
-    // held up.
-    let crowded_sums = [
-        ("a watch that is silent", silent_watch + refused_late + answered_late),
-        ("a call given up", POLLED_LIST_TIMEOUT + wait + refused_late + answered_late),
-        ("the first call of a start", first + refused_late + answered_late),
-        ("a watch that trickles without end", silent_watch + BODY_MARGIN + POLLED_LIST_TIMEOUT),
-        ("a call that trickles without end", POLLED_LIST_TIMEOUT + BODY_MARGIN + wait + POLLED_LIST_TIMEOUT),
-        ("a watch that is silent, and bytes that trickle", silent_watch + POLLED_LIST_TIMEOUT + BODY_MARGIN),
-        ("pushed, a watch that is silent", silent_watch + recalled + answered_late),
+    // An overloaded discovery adds one rejected call, or a slow response that arrives in small pieces. What
+    // remains of the limit covers a process that is held up.
+    let overloaded_sums = [
+        ("a silent watch", silent_watch + refused_late + answered_late),
+        ("a call that timed out", POLLED_LIST_TIMEOUT + retry_delay + refused_late + answered_late),
+        ("the first call after the start", first_call_delay + refused_late + answered_late),
+        ("an endless slow response to a watch", silent_watch + BODY_MARGIN + POLLED_LIST_TIMEOUT),
+        ("an endless slow call", POLLED_LIST_TIMEOUT + BODY_MARGIN + retry_delay + POLLED_LIST_TIMEOUT),
+        ("a silent watch, and a slow response", silent_watch + POLLED_LIST_TIMEOUT + BODY_MARGIN),
+        ("pushed, a silent watch", silent_watch + pushed_retry + answered_late),
     ];
-    for (what, sum) in crowded_sums {
-        assert!(sum <= MAX_CHANGE_DELAY - HOLD_UP, "crowded, {what}: {sum} us");
+    for (what, sum) in overloaded_sums {
+        assert!(sum <= MAX_CHANGE_DELAY - HOLD_UP, "overloaded, {what}: {sum} us");
     }
-    // What the agent has at its return counts at once, and half a second later nothing goes to what drains.
-    assert!(recalled + HOLD_UP / 2 < DRAIN_GRACE);
+    // The list that the discovery agent has at its return applies at once, and from 0.5 s later no request is
+    // written to a draining worker.
+    assert!(pushed_retry + HOLD_UP / 2 < DRAIN_GRACE);
 }
 
 #[tokio::test]
 async fn a_drain_is_known_in_time_whatever_fault_a_watch_meets() {
-    let one = |kind: &'static str, fault: &'static str| async move {
+    let run_case = |kind: &'static str, fault: &'static str| async move {
         let discovery = FakeDiscovery::available().await;
         let mut fixture = Fixture::start(kind, &discovery).await;
         let serving = fixture.r0("SERVING");
@@ -95,11 +99,13 @@
         fixture.serve_request().await;
         assert_drain_is_known_in_time(&format!("{kind}, {fault}"), &mut fixture, &discovery, 7).await;
     };
-    join_all(DISCOVERY_KINDS.iter().flat_map(|kind| WATCH_FAULTS.iter().map(move |fault| one(kind, fault))))
-        .await;
+    join_all(
+        DISCOVERY_KINDS.iter().flat_map(|kind| WATCH_FAULTS.iter().map(move |fault| run_case(kind, fault))),
+    )
+    .await;
 }
 
-// Guards against a second held call after one that fell silent: the two would take longer than the terms.
+// Guards against a second watch after a silent one: together they would exceed the limit of 6 s.
 #[tokio::test]
 async fn after_a_silent_watch_the_complete_list_is_requested_until_it_comes() {
     join_all(DISCOVERY_KINDS.map(|kind| async move {
@@ -122,18 +128,18 @@
 
 #[tokio::test]
 async fn a_discovery_that_is_unavailable_at_the_start_is_followed_once_it_is_available() {
-    let one = |kind: &'static str, away: &'static str| async move {
-        let mut discovery = FakeDiscovery::unavailable(away).await;
+    let run_case = |kind: &'static str, outage: &'static str| async move {
+        let mut discovery = FakeDiscovery::unavailable(outage).await;
         let mut fixture = Fixture::start(kind, &discovery).await;
         fixture.serve_request().await;
         fixture.wait_for_failures(1).await;
         discovery.recover().await;
-        assert_drain_is_known_in_time(&format!("{kind}, {away}"), &mut fixture, &discovery, 6).await;
+        assert_drain_is_known_in_time(&format!("{kind}, {outage}"), &mut fixture, &discovery, 6).await;
     };
-    join_all(DISCOVERY_KINDS.into_iter().flat_map(|kind| OUTAGES.map(|away| one(kind, away)))).await;
+    join_all(DISCOVERY_KINDS.into_iter().flat_map(|kind| OUTAGES.map(|outage| run_case(kind, outage)))).await;
 }
 
-// Guards against a wait that grows with the outage beyond what the terms leave for it.
+// Guards against a backoff that grows during an outage until a change is applied later than the limit of 6 s.
 #[tokio::test]
 async fn a_drain_is_known_in_time_after_many_failed_calls() {
     join_all(DISCOVERY_KINDS.map(|kind| async move {
@@ -145,7 +151,7 @@
             drop(call);
             call = discovery.next_call().await;
         }
-        // The last one finds discovery gone silent; it could be reached right after.
+        // Discovery does not respond to the last call, but could be reached right after it.
         let since = Instant::now();
         assert_drain_is_known_in_time(kind, &mut fixture, &discovery, 7).await;
         assert!(
@@ -178,8 +184,8 @@
     .await;
 }
 
-// Guards against a discovery asked without a pause: by one that holds no watch, and by one that answers
-// whole lists and breaks each watch.
+// Guards against calls without a pause, if discovery responds to a watch at once, or if it sends complete
+// lists and closes each watch.
 #[tokio::test]
 async fn a_discovery_that_holds_no_watch_is_not_polled_without_a_pause() {
     join_all(DISCOVERY_KINDS.map(|kind| async move {
@@ -218,15 +224,15 @@
         let (serving, draining) = (fixture.r0("SERVING"), fixture.r0("DRAINING"));
         let watch = old.publish(99, &serving).await;
         fixture.move_discovery(old.address, new.address).await;
-        // The old one answers the call that was out; the new one counts lower.
+        // The old discovery responds to the pending call; the revisions of the new one are lower.
         watch.respond_with_list(&endpoint_list(100, true, &serving)).await;
-        let whole = new.next_call().await;
-        assert_eq!(whole.first_line, FULL_LIST_REQUEST, "{kind}");
-        whole.respond_with_list(&endpoint_list(2, true, &draining)).await;
+        let full_list_call = new.next_call().await;
+        assert_eq!(full_list_call.first_line, FULL_LIST_REQUEST, "{kind}");
+        full_list_call.respond_with_list(&endpoint_list(2, true, &draining)).await;
         let watch = new.next_call().await;
         assert!(watch.first_line.contains("from=2&"), "{kind}: {}", watch.first_line);
         fixture.assert_draining_worker_gets_nothing().await;
-        // Back, with a call out that was not answered once.
+        // Moves back, while a call to the new discovery is pending.
         fixture.move_discovery(new.address, old.address).await;
         drop(watch);
         old.publish(1, &serving).await;
@@ -237,21 +243,22 @@
 
 #[tokio::test]
 async fn a_new_discovery_that_is_unavailable_is_followed_once_it_is_available() {
-    let one = |kind: &'static str, away: &'static str| async move {
+    let run_case = |kind: &'static str, outage: &'static str| async move {
         let old = FakeDiscovery::available().await;
-        let mut new = FakeDiscovery::unavailable(away).await;
+        let mut new = FakeDiscovery::unavailable(outage).await;
         let mut fixture = Fixture::start(kind, &old).await;
         let _watch = old.publish(99, &fixture.r0("SERVING")).await;
         fixture.move_discovery(old.address, new.address).await;
         fixture.wait_for_failures(1).await;
         fixture.serve_request().await;
         new.recover().await;
-        assert_drain_is_known_in_time(&format!("{kind}, {away}"), &mut fixture, &new, 2).await;
+        assert_drain_is_known_in_time(&format!("{kind}, {outage}"), &mut fixture, &new, 2).await;
     };
-    join_all(DISCOVERY_KINDS.into_iter().flat_map(|kind| OUTAGES.map(|away| one(kind, away)))).await;
+    join_all(DISCOVERY_KINDS.into_iter().flat_map(|kind| OUTAGES.map(|outage| run_case(kind, outage)))).await;
 }
 
-// Guards against the wait of the first call, which is spread, for a discovery that has moved meanwhile.
+// Guards against a discovery that moved before the first call and is still called only after that call's
+// spread delay.
 #[tokio::test]
 async fn a_move_before_the_first_call_is_followed_at_once() {
     let (old, new) = (FakeDiscovery::available().await, FakeDiscovery::available().await);
@@ -259,14 +266,14 @@
     let mut fixture = Fixture::start_with("on_request", &old, 1024, large).await;
     let since = Instant::now();
     fixture.move_discovery(old.address, new.address).await;
-    let whole = new.next_call().await;
-    // The policy would ask some 1.8 s after the start, by the seed of the configuration.
+    let full_list_call = new.next_call().await;
+    // With the configuration's seed, the policy would subscribe some 1.8 s after the start.
     assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
-    assert!(old.listener.as_ref().expect("it is up").accept().now_or_never().is_none());
-    whole.respond_with_list(&endpoint_list(2, true, &fixture.r0("DRAINING"))).await;
+    assert!(old.listener.as_ref().expect("the old discovery listens").accept().now_or_never().is_none());
+    full_list_call.respond_with_list(&endpoint_list(2, true, &fixture.r0("DRAINING"))).await;
     let mut watch = new.next_call().await;
     fixture.assert_draining_worker_gets_nothing().await;
-    // The policy's own word, when it comes, is no second call.
+    // The policy's own subscription, when it comes, causes no second call.
     for revision in 3..5 {
         assert!(watch.first_line.contains(&format!("from={}&", revision - 1)), "{}", watch.first_line);
         watch.respond_with_list(&endpoint_list(revision, false, &[])).await;
@@ -274,27 +281,27 @@
     }
 }
 
-// Guards against calls that multiply: each move in the policy's wait after a failure makes a call at once,
-// and the policy asks for one of its own later.
+// Guards against an accumulation of calls: each move during the policy's wait after a failure causes a call
+// at once, and the policy requests another one later.
 #[tokio::test]
 async fn moves_during_an_outage_do_not_multiply_the_calls() {
-    let (one, two) = (FakeDiscovery::available().await, FakeDiscovery::available().await);
-    let mut fixture = Fixture::start("on_request", &one).await;
-    let (mut here, mut there) = (&one, &two);
-    here.next_call().await.write(UNAVAILABLE).await;
+    let (discovery_a, discovery_b) = (FakeDiscovery::available().await, FakeDiscovery::available().await);
+    let mut fixture = Fixture::start("on_request", &discovery_a).await;
+    let (mut current, mut next_discovery) = (&discovery_a, &discovery_b);
+    current.next_call().await.write(UNAVAILABLE).await;
     for _ in 0..6 {
-        fixture.move_discovery(here.address, there.address).await;
-        there.next_call().await.write(UNAVAILABLE).await;
-        (here, there) = (there, here);
+        fixture.move_discovery(current.address, next_discovery.address).await;
+        next_discovery.next_call().await.write(UNAVAILABLE).await;
+        (current, next_discovery) = (next_discovery, current);
     }
-    // What was asked for before the last move may still come.
-    here.next_call().await.write(UNAVAILABLE).await;
-    here.next_call().await.write(UNAVAILABLE).await;
+    // Calls that were requested before the last move may still arrive.
+    current.next_call().await.write(UNAVAILABLE).await;
+    current.next_call().await.write(UNAVAILABLE).await;
     let since = Instant::now();
     for _ in 0..3 {
-        here.next_call().await.write(UNAVAILABLE).await;
+        current.next_call().await.write(UNAVAILABLE).await;
     }
-    // The policy waits for a second at least from its second failure on.
+    // The policy waits for at least a second from its second failure on.
     assert!(since.elapsed() >= Duration::from_secs(2), "{:?}", since.elapsed());
 }
 
@@ -304,19 +311,20 @@
         let discovery = FakeDiscovery::available().await;
         let mut fixture = Fixture::start_with(kind, &discovery, 1024, r#"s/"known":/"earlier":/"#).await;
         let serving = fixture.r0("SERVING");
-        let told = tokio::time::timeout(Duration::from_secs(5), discovery.publish(1, &serving)).await;
-        assert!(told.is_ok(), "{kind}: no call came");
+        let published = tokio::time::timeout(Duration::from_secs(5), discovery.publish(1, &serving)).await;
+        assert!(published.is_ok(), "{kind}: discovery received no call");
         fixture.serve_request().await;
     }))
     .await;
 }
 
-// What readiness waits for: the configuration is read, the policy made and the listener open. Discovery
-// is not waited for.
+// Readiness requires that the configuration is read, the policy created and the listener open. It does not
+// wait for discovery.
 #[tokio::test]
 async fn a_restart_while_discovery_is_unavailable_serves_from_the_cached_list() {
-    let one = |kind: &'static str, signal: &'static str, away: &'static str| async move {
-        let mut discovery = FakeDiscovery::unavailable(if away == "slow" { "silent" } else { away }).await;
+    let run_case = |kind: &'static str, signal: &'static str, outage: &'static str| async move {
+        let mut discovery =
+            FakeDiscovery::unavailable(if outage == "slow" { "silent" } else { outage }).await;
         let mut fixture = Fixture::start(kind, &discovery).await;
         fixture.serve_request().await;
         let since = Instant::now();
@@ -327,7 +335,7 @@
             fixture.serve_request().await;
         };
         let slow = async {
-            if away != "slow" {
+            if outage != "slow" {
                 return std::future::pending().await;
             }
             loop {
@@ -343,40 +351,46 @@
             () = work => {}
             () = slow => {}
         }
-        assert!(since.elapsed() < Duration::from_secs(8), "{kind}, {signal}, {away}: {:?}", since.elapsed());
+        assert!(
+            since.elapsed() < Duration::from_secs(8),
+            "{kind}, {signal}, {outage}: {:?}",
+            since.elapsed()
+        );
         discovery.recover().await;
-        assert_drain_is_known_in_time(&format!("{kind}, {signal}, {away}"), &mut fixture, &discovery, 6)
+        assert_drain_is_known_in_time(&format!("{kind}, {signal}, {outage}"), &mut fixture, &discovery, 6)
             .await;
     };
     let each = |kind| {
-        ["KILL", "TERM"].map(|signal| ["refuses", "silent", "slow"].map(|away| one(kind, signal, away)))
+        ["KILL", "TERM"]
+            .map(|signal| ["refuses", "silent", "slow"].map(|outage| run_case(kind, signal, outage)))
     };
     join_all(DISCOVERY_KINDS.into_iter().flat_map(each).flatten()).await;
 }
 
-// Guards against clients that leave no descriptor for the call that finds discovery back.
+// Guards against idle clients that use all descriptors, so that none is left to call discovery once it is
+// back.
 #[tokio::test]
 async fn idle_clients_that_fill_the_descriptors_do_not_keep_discovery_from_being_followed() {
     join_all(DISCOVERY_KINDS.map(|kind| async move {
         let mut discovery = FakeDiscovery::refusing();
         let mut fixture = Fixture::start_with(kind, &discovery, 64, "").await;
-        let mut crowd = Vec::new();
+        let mut idle_clients = Vec::new();
         for number in 0..120 {
             let mut client = fixture.scheduler.client().await;
             if number % 2 == 0 {
                 client.send(READINESS_REQUEST).await;
             }
-            crowd.push(client);
+            idle_clients.push(client);
         }
         fixture.wait_for_failures(4).await;
-        let open = format!("/proc/{}/fd", fixture.scheduler.child.id().expect("it runs"));
-        let open = std::fs::read_dir(open).expect("its descriptors").count();
+        let open = format!("/proc/{}/fd", fixture.scheduler.child.id().expect("a running process"));
+        let open = std::fs::read_dir(open).expect("the list of open descriptors").count();
         assert!((32..64).contains(&open), "{kind}: {open} descriptors are open");
         fixture.client = fixture.scheduler.client().await;
         fixture.serve_request().await;
         discovery.listen().await;
         assert_drain_is_known_in_time(kind, &mut fixture, &discovery, 6).await;
-        drop(crowd);
+        drop(idle_clients);
     }))
     .await;
 }
--- a/crates/scheduler/tests/membership.rs
+++ b/crates/scheduler/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Two schedulers that are members of one cluster: the status page, leaving, and invalid configurations.
+//! Tests of two schedulers in one cluster: the status page, leaving, invalid configurations and socket
+//! errors.
 #![cfg(feature = "standalone")]
 mod sockets;
 #[path = "sockets/system_call_faults.rs"]
@@ -10,10 +11,10 @@
 use sockets::{Message, Scheduler, reserve_address, within};
 use system_call_faults::FaultPlan;
 
-/// Writes a key file for one test.
+/// Writes a cluster key file for one test; returns its path.
 fn write_key(name: &str, content: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}.key", std::process::id()));
-    std::fs::write(&path, content).expect("a file");
+    std::fs::write(&path, content).expect("the key file is written");
     path
 }
 
@@ -21,51 +22,52 @@
     format!("name = '{name}'\n[front.http]\nlisten = '{listen}'\n{cluster}")
 }
 
-/// The configuration's part on membership, on a port that the system chooses.
+/// Returns the configuration's cluster section, with a port that the system chooses.
 fn cluster_section(key: &std::path::Path, seeds: &[SocketAddr]) -> String {
     let seeds: Vec<String> = seeds.iter().map(SocketAddr::to_string).collect();
     let key = key.display();
     format!("[cluster]\nbind = '127.0.0.1:0'\nkey_file = '{key}'\nregion = 'nl'\nseeds = {seeds:?}\n")
 }
 
-async fn request_page(scheduler: &Scheduler) -> Message {
+async fn request_status_page(scheduler: &Scheduler) -> Message {
     scheduler.client().await.exchange("GET /-/cluster HTTP/1.1\r\nHost: s\r\n\r\n").await
 }
 
-async fn view(scheduler: &Scheduler) -> Value {
-    let answer = request_page(scheduler).await;
-    assert_eq!((answer.status(), &*answer.headers["content-type"]), (200, "application/json"));
-    serde_json::from_str(&answer.body).expect("JSON")
+async fn cluster_view(scheduler: &Scheduler) -> Value {
+    let response = request_status_page(scheduler).await;
+    assert_eq!((response.status(), &*response.headers["content-type"]), (200, "application/json"));
+    serde_json::from_str(&response.body).expect("valid JSON")
 }
 
-/// Waits until a scheduler sees exactly these members.
+/// Waits until a scheduler lists exactly these members.
 async fn wait_until_it_sees(scheduler: &Scheduler, names: &[&str]) {
     let seen = async {
         loop {
-            let view = view(scheduler).await;
-            let members = view["members"].as_array().expect("a list");
+            let view = cluster_view(scheduler).await;
+            let members = view["members"].as_array().expect("a list of members");
             if members.iter().map(|member| member["name"].as_str()).eq(names.iter().copied().map(Some)) {
                 return;
             }
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
     };
-    within("a view", seen).await;
+    within("a view with the members", seen).await;
 }
 
 #[tokio::test]
 async fn two_schedulers_see_each_other_until_one_leaves() {
     let key = write_key("two", "a key for this test alone\n");
     let mut one = Scheduler::standalone(|at| config("one", at, &cluster_section(&key, &[])), &[]).await;
-    let own = view(&one).await["own"].clone();
-    let address: SocketAddr = own["address"].as_str().and_then(|at| at.parse().ok()).expect("an address");
+    let own = cluster_view(&one).await["own"].clone();
+    let address: SocketAddr =
+        own["address"].as_str().and_then(|at| at.parse().ok()).expect("a socket address");
     assert_eq!((&own["name"], &own["zone"], &own["region"]), (&"one".into(), &"a".into(), &"nl".into()));
     assert!(own["generation"].as_u64() > Some(1_700_000_000_000) && own["returned"] == 0, "{own}");
     let mut two =
         Scheduler::standalone(|at| config("two", at, &cluster_section(&key, &[address])), &[]).await;
     wait_until_it_sees(&one, &["two"]).await;
     wait_until_it_sees(&two, &["one"]).await;
-    let seen = view(&two).await;
+    let seen = cluster_view(&two).await;
     assert_eq!(seen["members"][0], own);
     for count in ["packets_in", "packets_out", "bytes_in", "bytes_out"] {
         assert!(seen[count].as_u64() > Some(0), "{count}");
@@ -79,7 +81,7 @@
     }
 
     two.terminate().await;
-    assert!(within("the end", two.child.wait()).await.expect("it ends").success());
+    assert!(within("the exit", two.child.wait()).await.expect("the process exits").success());
     wait_until_it_sees(&one, &[]).await;
     let mut lines = Vec::new();
     while let Some(line) = two.try_next_line().await {
@@ -91,19 +93,20 @@
 }
 
 #[tokio::test]
-async fn with_membership_off_there_is_no_page_and_an_unusable_key_file_is_rejected() {
+async fn without_membership_there_is_no_status_page_and_an_unusable_key_file_is_rejected() {
     let off = Scheduler::standalone(|at| config("off", at, ""), &[]).await;
-    assert_eq!(request_page(&off).await.status(), 404);
+    assert_eq!(request_status_page(&off).await.status(), 404);
 
     let (short, absent) = (write_key("short", "secret\n"), PathBuf::from("/nowhere/cluster.key"));
     for (key, fault) in [(&short, "a cluster key of 6 bytes; 16 at least"), (&absent, "No such file")] {
         let file = short.with_extension("toml");
-        std::fs::write(&file, config("x", off.address, &cluster_section(key, &[]))).expect("a file");
+        std::fs::write(&file, config("x", off.address, &cluster_section(key, &[])))
+            .expect("the configuration is written");
         let run = std::process::Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"))
             .arg("check")
             .arg(&file)
             .output();
-        let (run, name) = (run.expect("it runs"), file.display());
+        let (run, name) = (run.expect("the process runs"), file.display());
         let errors = String::from_utf8_lossy(&run.stderr);
         assert_eq!(run.status.code(), Some(1), "{errors}");
         assert!(
@@ -114,7 +117,7 @@
     }
 }
 
-/// A member whose sockets, and those to its peer, are of the plan's kind `membership`.
+/// Starts a member; its own sockets and those to its peer have the kind `membership` in the fault plan.
 async fn start_member(name: &str, address: SocketAddr, peer: SocketAddr, plan: &FaultPlan) -> Scheduler {
     for address in [address, peer] {
         plan.add(&format!("address membership {address}"));
@@ -124,7 +127,8 @@
     Scheduler::standalone(|at| config(name, at, &cluster), &plan.variables()).await
 }
 
-// Guards against a member that an error on its sockets ends, deafens or keeps busy.
+// Guards against a socket error that ends membership, stops a member from receiving, or puts it into a busy
+// loop.
 #[tokio::test]
 async fn members_see_each_other_after_errors_on_their_sockets() {
     let statement = |call: &str, errno: &str| format!("fail {call} membership {errno} calls 1..3\n");
@@ -148,9 +152,9 @@
     }
 }
 
-// Guards against a loop that an error which stays keeps busy.
+// Guards against a busy loop on a persistent error.
 #[tokio::test]
-async fn a_member_that_can_accept_no_stream_waits_and_hears_packets() {
+async fn a_member_that_can_accept_no_stream_backs_off_and_receives_packets() {
     let plan = FaultPlan::new("fail accept4 membership EMFILE calls 1..");
     let ((_one, one), (_two, two)) = (reserve_address(), reserve_address());
     let first = start_member("one-deaf", one, two, &plan).await;
@@ -161,6 +165,6 @@
     let (since, before) = (std::time::Instant::now(), plan.count(fault));
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     let (elapsed, failed) = (since.elapsed(), plan.count(fault) - before);
-    assert!(failed as f64 <= 100.0 * (elapsed.as_secs_f64() + 1.0), "{failed} in {elapsed:?}");
+    assert!(failed as f64 <= 100.0 * (elapsed.as_secs_f64() + 1.0), "{failed} failed calls in {elapsed:?}");
     wait_until_it_sees(&second, &["one-deaf"]).await;
 }
--- a/crates/scheduler/tests/policy.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -1,4 +1,5 @@
-//! What the policy asks of the proxy beside sending requests, over sockets: a stub stands for the policy.
+//! Tests of the proxy's load queries and subscriptions over sockets, with a stub in place of the dispatch
+//! policy.
 mod sockets;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,8 +19,8 @@
 
 type QueryEnd = (u32, Outcome, Option<LoadReport>);
 
-/// Sends, at any event, the load queries that the test requests, subscribes at once while it may, and reports the
-/// events to the test.
+/// At each event, sends the load queries that the test requested; subscribes at once while `subscribe` is
+/// set; and reports load query ends and endpoint updates to the test.
 struct StubPolicy {
     requested_queries: Arc<Mutex<Vec<u32>>>,
     subscribe: Arc<AtomicBool>,
@@ -33,12 +34,14 @@
             let _ = self.ends.send((worker.0, outcome, report));
         } else if let Event::Endpoints(update) = event {
             let _ = self.updates.send((update.kind, update.endpoints.len()));
-            let may_call = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
-            if may_call && self.subscribe.load(Ordering::Relaxed) {
+            let allows_subscription =
+                matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
+            if allows_subscription && self.subscribe.load(Ordering::Relaxed) {
                 actions.push(Action::Subscribe);
             }
         }
-        let requested_queries = std::mem::take(&mut *self.requested_queries.lock().expect("a lock"));
+        let requested_queries =
+            std::mem::take(&mut *self.requested_queries.lock().expect("a lock that is not poisoned"));
         actions.extend(
             requested_queries.into_iter().map(|worker| Action::QueryLoad { worker: WorkerId(worker) }),
         );
@@ -57,7 +60,7 @@
     async fn open(discovery: &str, members: &[String]) -> Fixture {
         let any = "127.0.0.1:0".parse().expect("an address");
         let text = config(any, any, &endpoint_list(1, true, members)).replace("pushed", discovery);
-        let start = platform::read_startup_config(&text).expect("it is good");
+        let start = platform::read_startup_config(&text).expect("a valid configuration");
         let (requested_queries, subscribe) = (Arc::<Mutex<_>>::default(), Arc::new(AtomicBool::new(true)));
         let ((end_sender, ends), (update_sender, updates)) =
             (mpsc::unbounded_channel(), mpsc::unbounded_channel());
@@ -68,19 +71,19 @@
             ends: end_sender,
             updates: update_sender,
         };
-        let proxy = assemble(&start, Box::new(stub), &Recorder::disabled()).await.expect("a port");
+        let proxy = assemble(&start, Box::new(stub), &Recorder::disabled()).await.expect("a free port");
         Fixture { proxy, requested_queries, subscribe, ends, updates }
     }
     fn request_load_queries(&self, workers: &[u32]) {
-        self.requested_queries.lock().expect("a lock").extend(workers);
+        self.requested_queries.lock().expect("a lock that is not poisoned").extend(workers);
         let nothing = EndpointList { revision: 1, complete: false, endpoints: Vec::new() };
         self.proxy.endpoint_publisher.publish(&nothing, &[]);
     }
     async fn next_end(&mut self) -> QueryEnd {
-        within("a load query's end", self.ends.recv()).await.expect("the policy is there")
+        within("the end of a load query", self.ends.recv()).await.expect("a running policy")
     }
     async fn next_update(&mut self) -> (EndpointUpdateKind, usize) {
-        within("an endpoint update", self.updates.recv()).await.expect("the policy is there")
+        within("an endpoint update", self.updates.recv()).await.expect("a running policy")
     }
 }
 
@@ -108,7 +111,7 @@
         members.push(endpoint(&format!("r{number}"), workers[number].address, "SERVING"));
     }
     let mut fixture = Fixture::open("pushed", &members).await;
-    // The silent one is asked twice, and nobody has the number 90.
+    // The silent worker (1) is queried twice; 90 is no known worker.
     fixture.request_load_queries(&[0, 1, 1, 2, 90, 3, 4, 5, 6, 7, 8, 9]);
     for (worker, (status, header, body, ..)) in workers.iter_mut().zip(&cases) {
         let query = worker.next_request().await;
@@ -123,7 +126,11 @@
         ends.entry(worker).or_default().push((outcome, report));
     }
     assert_eq!(ends[&0], [(Outcome::ConnectFailed, None)]);
-    assert_eq!(ends[&1], [(Outcome::Superseded, None), (Outcome::TimedOut, None)], "one at a time");
+    assert_eq!(
+        ends[&1],
+        [(Outcome::Superseded, None), (Outcome::TimedOut, None)],
+        "one load query per worker at a time"
+    );
     assert_eq!(
         (&ends[&2], &ends[&90]),
         (&vec![(Outcome::Superseded, None)], &vec![(Outcome::Superseded, None)])
@@ -135,15 +142,19 @@
     assert!(drains.is_idle());
     fixture.proxy.begin_shutdown();
     fixture.request_load_queries(&[3]);
-    assert_eq!(fixture.next_end().await, (3, Outcome::Superseded, None), "none during a shutdown");
+    assert_eq!(fixture.next_end().await, (3, Outcome::Superseded, None), "no load query during a shutdown");
 }
 
-/// The worker 1 answers its first load query late; its connection carries the next one.
+/// Worker 1 responds late to its first load query; its connection is reused for the next one.
 async fn late_response_is_dropped_and_its_connection_reused(fixture: &mut Fixture, silent: &mut FakeServer) {
     let late = silent.next_request().await;
     assert!(silent.is_idle());
     fixture.request_load_queries(&[1]);
-    assert_eq!(fixture.next_end().await, (1, Outcome::Superseded, None), "it has one still");
+    assert_eq!(
+        fixture.next_end().await,
+        (1, Outcome::Superseded, None),
+        "the first load query is still pending"
+    );
     let connection = late.peer;
     late.respond("200 OK", "", "TEXT x0=1");
     let next = loop {
@@ -156,7 +167,7 @@
     assert_eq!(next.peer, connection);
 }
 
-// Guards against load queries that pile up at silent workers and take the descriptors of the rest.
+// Guards against load queries that accumulate at silent workers and use the descriptors of other connections.
 #[tokio::test]
 async fn no_more_load_queries_are_in_flight_than_have_a_permit() {
     let silent = FakeServer::start().await;
@@ -170,7 +181,8 @@
     assert_eq!(superseded, 28);
 }
 
-/// Where lists come only when they are asked for: a discovery, its place, and what the policy is notified.
+// Covers a polled discovery: the calls that it receives, a change of its address, and the updates that reach
+// the policy.
 #[tokio::test]
 async fn a_polled_discovery_is_called_again_as_soon_as_a_watch_breaks() {
     let (mut discovery, mut other) = (FakeServer::start().await, FakeServer::start().await);
@@ -182,45 +194,53 @@
     const WATCH_REQUEST: &str = "GET /api/targets?from=1&hold_ms=2000 HTTP/1.1";
     const FULL_LIST_REQUEST: &str = "GET /api/targets HTTP/1.1";
     let nothing = endpoint_list(1, false, &[]);
-    // The policy hears that its subscription has come about, though there is nothing new.
+    // The policy is told that its subscription succeeded, although nothing has changed.
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Cached, 0));
     let first = discovery.next_request().await;
     assert_eq!(first.message.first_line, FULL_LIST_REQUEST);
     first.respond("200 OK", "", &nothing);
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Changes, 0));
-    // After a watch that breaks or falls silent the whole list is asked for, long before what was missed
-    // counts as told: a second watch could fall silent for as long again.
+    // After a watch that breaks or stays silent, the full list is requested, well before the limit for
+    // applying a missed change: a second watch could stay silent for as long again.
     let watch = discovery.next_request().await;
     assert_eq!(watch.message.first_line, WATCH_REQUEST);
     drop(watch);
-    let again = discovery.next_request().await;
-    assert_eq!(again.message.first_line, FULL_LIST_REQUEST);
-    again.respond("200 OK", "", &nothing);
+    let next_poll = discovery.next_request().await;
+    assert_eq!(next_poll.message.first_line, FULL_LIST_REQUEST);
+    next_poll.respond("200 OK", "", &nothing);
     let since = std::time::Instant::now();
     let silent = discovery.next_request().await;
     assert_eq!(silent.message.first_line, WATCH_REQUEST);
-    let again = discovery.next_request().await;
+    let next_poll = discovery.next_request().await;
     assert!(since.elapsed().as_millis() < 4_000, "{:?}", since.elapsed());
-    assert_eq!(again.message.first_line, FULL_LIST_REQUEST);
-    again.respond("200 OK", "", &endpoint_list(1, false, &[endpoint("r0", discovery.address, "DRAINING")]));
-    assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Changes, 1), "no failure before");
-    // One that is rejected is not: the policy waits, and asks.
+    assert_eq!(next_poll.message.first_line, FULL_LIST_REQUEST);
+    next_poll.respond(
+        "200 OK",
+        "",
+        &endpoint_list(1, false, &[endpoint("r0", discovery.address, "DRAINING")]),
+    );
+    assert_eq!(
+        fixture.next_update().await,
+        (EndpointUpdateKind::Changes, 1),
+        "no failure was reported before"
+    );
+    // A rejected watch is not repeated at once: the policy is told, waits and subscribes again.
     discovery.next_request().await.respond("503 Service Unavailable", "", "");
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Failed, 0));
     fixture.subscribe.store(false, Ordering::Relaxed);
     discovery.next_request().await.respond("503 Service Unavailable", "", "");
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Failed, 0));
-    // A discovery that moves is not waited for.
+    // A new discovery address is called at once.
     address_sender.send_replace(other.address.to_string().parse().expect("an address"));
-    let whole = other.next_request().await;
-    assert_eq!(whole.message.first_line, "GET /api/targets HTTP/1.1");
-    whole.respond("200 OK", "", &endpoint_list(1, true, &[]));
+    let full_list_call = other.next_request().await;
+    assert_eq!(full_list_call.message.first_line, "GET /api/targets HTTP/1.1");
+    full_list_call.respond("200 OK", "", &endpoint_list(1, true, &[]));
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Full, 0));
     assert!(discovery.is_idle());
 }
 
-// Guards against a word to ask that came while a call was out, and that would pass for the policy's answer to
-// the next failure: the policy spreads its calls.
+// Guards against a subscription request that arrived during a call and is taken for the policy's reaction to
+// a later failure: the policy spreads its calls over time.
 #[tokio::test]
 async fn an_older_subscription_request_does_not_answer_a_later_failure() {
     let mut discovery = FakeServer::start().await;
@@ -233,31 +253,32 @@
     discovery.next_request().await.respond("200 OK", "", &endpoint_list(1, true, &[]));
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Full, 0));
     let watch = discovery.next_request().await;
-    // The stub asks at this event, with a call out.
+    // The stub subscribes at this event, while a call is pending.
     fixture.proxy.endpoint_publisher.publish_cached(None);
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Cached, 0));
     fixture.subscribe.store(false, Ordering::Relaxed);
     watch.respond("503 Service Unavailable", "", "");
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Failed, 0));
-    let early = tokio::time::timeout(std::time::Duration::from_millis(300), discovery.next_request()).await;
-    assert!(early.is_err(), "the module has not asked yet");
-    // It does now.
+    let early_call =
+        tokio::time::timeout(std::time::Duration::from_millis(300), discovery.next_request()).await;
+    assert!(early_call.is_err(), "the policy has not subscribed yet");
+    // Now it subscribes.
     fixture.subscribe.store(true, Ordering::Relaxed);
     fixture.proxy.endpoint_publisher.publish_cached(None);
     assert_eq!(discovery.next_request().await.message.first_line, "GET /api/targets HTTP/1.1");
 }
 
-// Guards against a subscription waited for a second time, which the policy has no reason to ask for.
+// Guards against waiting for a second subscription, which the policy has no reason to request.
 #[tokio::test]
 async fn a_static_list_that_changes_is_published_also_where_lists_are_polled() {
     let mut fixture = Fixture::open("on_request", &[]).await;
-    let fixed = |revision| EndpointList { revision, complete: true, endpoints: Vec::new() };
-    let (list_sender, list) = watch::channel(fixed(2));
+    let full_list = |revision| EndpointList { revision, complete: true, endpoints: Vec::new() };
+    let (list_sender, list) = watch::channel(full_list(2));
     tokio::spawn(Box::new(StaticEndpoints(list)).follow(fixture.proxy.endpoint_publisher.clone()));
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Cached, 0));
     for revision in 3..5 {
         assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Full, 0));
-        list_sender.send_replace(fixed(revision));
+        list_sender.send_replace(full_list(revision));
     }
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Full, 0));
 }
--- a/crates/scheduler/tests/request_accounting.rs
+++ b/crates/scheduler/tests/request_accounting.rs
@@ -1,23 +1,25 @@
-//! Each request that is read has its final response, or its client left first, whatever happens to workers and to
-//! other clients: by the clients' count, and by the scheduler's own.
+//! Tests that each request that was read gets its final response, unless its client disconnects first,
+//! whatever happens to workers and other clients. Both the clients' counts and the scheduler's own are
+//! checked.
 mod sockets;
 
 use std::time::Duration;
 
 use sockets::*;
 
+/// The fields of a callback that reports a completed request.
 const DONE: &str = r#""state":"done","result":"ok""#;
-/// The deadline of the requests, in milliseconds: hung workers hold them for as long.
+/// The deadline of the requests in milliseconds; workers that hang hold them until then.
 const DEADLINE_MS: u64 = 1_500;
 
-/// The numbers of a log line by their names.
-fn number(line: &str, name: &str) -> u64 {
+/// Returns the number of a named field of a log line.
+fn field_value(line: &str, name: &str) -> u64 {
     let rest = line.split_once(&format!("{name}=")).or_else(|| line.split_once(&format!("\"{name}\":")));
     let digits: String = rest.map_or("", |(_, rest)| rest).chars().take_while(char::is_ascii_digit).collect();
-    digits.parse().unwrap_or_else(|_| panic!("no {name} in {line}"))
+    digits.parse().unwrap_or_else(|_| panic!("no field {name} in {line}"))
 }
 
-/// The scheduler's own count at its end: received, answered and disconnected.
+/// Shuts the scheduler down; returns the requests that it logs as received, answered and disconnected.
 async fn final_counts(scheduler: &mut Scheduler) -> (u64, u64, u64) {
     scheduler.terminate().await;
     let line = loop {
@@ -26,12 +28,13 @@
             break line;
         }
     };
-    assert_eq!(number(&line, "unanswered"), 0, "{line}");
-    (number(&line, "received"), number(&line, "answered"), number(&line, "disconnected"))
+    assert_eq!(field_value(&line, "unanswered"), 0, "{line}");
+    (field_value(&line, "received"), field_value(&line, "answered"), field_value(&line, "disconnected"))
 }
 
-/// Answers whatever comes in one of some ways by turns; the last hangs.
-fn answer_by_turns(mut worker: FakeServer, address: std::net::SocketAddr) {
+/// Simulates a faulty worker, which handles requests in six ways in turn: not processed, failed, connection
+/// closed, no response, accepted without a callback, and served.
+fn run_faulty_worker(mut worker: FakeServer, address: std::net::SocketAddr) {
     tokio::spawn(async move {
         let mut hung = Vec::new();
         for turn in 0_usize.. {
@@ -56,33 +59,34 @@
     });
 }
 
-// Faults of workers, clients that leave, stop, flood and fill permits and memory, all at once.
+// Combines worker faults with clients that disconnect, stall, send excess data, and use up permits and
+// memory.
 #[tokio::test]
-async fn every_request_of_a_day_of_faults_is_accounted_for() {
-    for edit in [("\"sockets\":1024", "\"sockets\":64"), ("\"memory_mb\":192", "\"memory_mb\":2")] {
+async fn every_request_is_accounted_for_under_combined_faults() {
+    for config_edit in [("\"sockets\":1024", "\"sockets\":64"), ("\"memory_mb\":192", "\"memory_mb\":2")] {
         let worker = FakeServer::start().await;
-        let edited = |config: String| config.replace(edit.0, edit.1);
+        let edited = |config: String| config.replace(config_edit.0, config_edit.1);
         let mut scheduler = Scheduler::start_edited("exec \"$PROGRAM\"", &[worker.address], edited).await;
-        answer_by_turns(worker, scheduler.address);
-        let (mut waiting, mut kept) = (Vec::new(), Vec::new());
+        run_faulty_worker(worker, scheduler.address);
+        let (mut waiting, mut kept_clients) = (Vec::new(), Vec::new());
         for turn in 0_u64..160 {
             let class = ["safe", "keyed", "once"][turn as usize % 3];
             let text = request_text(class, 1_000 + turn, DEADLINE_MS);
             let large = text.replace("Content-Length: 2\r\n\r\nhi", "Content-Length: 65536\r\n\r\n");
             let mut client = scheduler.client().await;
             match turn % 8 {
-                // They stay silent, or stop in the middle.
-                0 => kept.push(client),
+                // These clients stay silent, or stop in the middle of a request.
+                0 => kept_clients.push(client),
                 1 => {
                     client.send(&large).await;
-                    kept.push(client);
+                    kept_clients.push(client);
                 }
-                // They leave.
+                // These clients disconnect.
                 2 | 3 => {
                     client.send(&text).await;
-                    kept.extend(client.leave(WAYS_TO_LEAVE[turn as usize / 8 % 3]).await);
+                    kept_clients.extend(client.leave(WAYS_TO_LEAVE[turn as usize / 8 % 3]).await);
                 }
-                // They send much behind their request, or a large body.
+                // These clients send excess data after their request, or a large body.
                 4 => {
                     client.send(&(text + &"x".repeat(100_000))).await;
                     waiting.push(client);
@@ -97,23 +101,26 @@
                 }
             }
         }
-        let mut answered = 0;
+        let mut responses_received = 0;
         for (number, client) in waiting.iter_mut().enumerate() {
-            let answer = client.next_response().await;
-            assert!(answer.is_some(), "{edit:?}: client {number} has no answer");
-            answered += 1;
+            let response = client.next_response().await;
+            assert!(response.is_some(), "{config_edit:?}: client {number} has no final response");
+            responses_received += 1;
         }
-        assert_eq!(answered, 80);
-        drop((waiting, kept));
+        assert_eq!(responses_received, 80);
+        drop((waiting, kept_clients));
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(scheduler.client().await.exchange(READINESS_REQUEST).await.status(), 200);
         let (received, written, disconnected) = final_counts(&mut scheduler).await;
         assert_eq!(received, written + disconnected);
-        assert!(written > answered, "{written} written, {answered} of them to those that waited");
+        assert!(
+            written > responses_received,
+            "{written} written, {responses_received} received by waiting clients"
+        );
     }
 }
 
-// The same while the scheduler ends, with requests that no worker answers.
+// As above during a shutdown, with requests that no worker answers.
 #[tokio::test]
 async fn requests_that_hang_through_a_shutdown_are_accounted_for() {
     let mut worker = FakeServer::start().await;
@@ -126,7 +133,7 @@
     }
     assert_eq!(final_counts(&mut scheduler).await, (20, 20, 0));
     for (client, _) in &mut clients {
-        let status = client.next_response().await.expect("an answer").status();
+        let status = client.next_response().await.expect("a final response").status();
         assert!(matches!(status, 500 | 503), "{status}");
     }
 }
--- a/crates/scheduler/tests/short_deadlines.rs
+++ b/crates/scheduler/tests/short_deadlines.rs
@@ -1,4 +1,5 @@
-//! Shutdowns whose SIGKILL comes early, since the settings' deadlines are short, or whose disk or log hangs.
+//! Tests of shutdowns with an early SIGKILL, because all deadlines are short, and of shutdowns with outputs
+//! that hang.
 mod sockets;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,25 +11,26 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// New connections keep coming for so long after SIGTERM.
+/// How long after SIGTERM new connections are opened.
 const LATE_CONNECTIONS: Duration = Duration::from_millis(400);
-/// Requests that come this long before the SIGKILL, or later, may find their connection closing.
+/// The time before the SIGKILL within which a request may find its connection closing.
 const CLOSING_TIME: Duration = Duration::from_millis(560);
-/// Requests come this far apart.
+/// The time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The soonest SIGKILL after SIGTERM.
+/// Returns the shortest time from SIGTERM to SIGKILL.
 fn kill_time(deadline: Duration) -> Duration {
     deadline.min(Duration::from_secs(3)) + Duration::from_millis(700)
 }
 
-/// The platform's configuration with this deadline for all classes.
+/// Returns the platform's configuration with one deadline for all classes.
 fn with_deadline(config: &str, deadline: Duration) -> String {
     let seconds = deadline.as_secs_f64();
     config.replace("\"aim_s\":9,\"deadline_s\":9", &format!("\"aim_s\":{seconds},\"deadline_s\":{seconds}"))
 }
 
-/// The ids of the requests that a worker got. It answers none, and keeps their connections open.
+/// The ids of the requests that a hanging worker received. The worker answers none and keeps their
+/// connections open.
 #[derive(Clone, Default)]
 struct ReceivedIds(Arc<Mutex<Vec<String>>>);
 
@@ -41,7 +43,7 @@
             loop {
                 let request = worker.next_request().await;
                 let id = request.message.headers["x-request-id"].clone();
-                received.0.lock().expect("a lock").push(id);
+                received.0.lock().expect("a lock that is not poisoned").push(id);
                 unanswered.push(request);
             }
         });
@@ -49,7 +51,7 @@
     }
 
     fn contains(&self, id: u64) -> bool {
-        self.0.lock().expect("a lock").contains(&format!("{id:016x}"))
+        self.0.lock().expect("a lock that is not poisoned").contains(&format!("{id:016x}"))
     }
 
     async fn wait_for(&self, id: u64) {
@@ -59,16 +61,16 @@
     }
 }
 
-/// What a client saw of its only request.
+/// The outcome of the only request of a client connection.
 struct ClientOutcome {
     id: u64,
-    /// After SIGTERM.
+    /// The time from SIGTERM until the request was sent.
     sent_after: Duration,
-    /// Absent if the connection closed without an answer.
+    /// None if the connection closed without a response.
     status: Option<u16>,
 }
 
-/// Sends a request on a connection at an instant and reads until the connection's end.
+/// Sends a request on a connection at an instant; returns its outcome once the connection is closed.
 async fn send_at(at: Instant, sigterm_at: Instant, connection: TcpStream, id: u64) -> ClientOutcome {
     sleep_until(at).await;
     let sent_after = Instant::now().saturating_duration_since(sigterm_at);
@@ -76,21 +78,21 @@
 }
 
 async fn status_of_only_request(mut connection: TcpStream, id: u64) -> Option<u16> {
-    // A connection that was closed before refuses it; what had come until then is read.
+    // The write fails on a closed connection; what was received before is read nevertheless.
     let _ = connection.write_all(request_text("once", id, 9000).as_bytes()).await;
-    let mut answer = Vec::new();
-    let _ = timeout(Duration::from_secs(10), connection.read_to_end(&mut answer)).await;
-    let answer = String::from_utf8(answer).expect("UTF-8");
-    answer.split(' ').nth(1).and_then(|status| status.parse().ok())
+    let mut response = Vec::new();
+    let _ = timeout(Duration::from_secs(10), connection.read_to_end(&mut response)).await;
+    let response = String::from_utf8(response).expect("valid UTF-8");
+    response.split(' ').nth(1).and_then(|status| status.parse().ok())
 }
 
 async fn connect(address: SocketAddr) -> TcpStream {
-    TcpStream::connect(address).await.expect("it listens")
+    TcpStream::connect(address).await.expect("the scheduler accepts connections")
 }
 
-/// The requests at a scheduler whose workers hang: before SIGTERM, on new connections after it, and on connections
-/// that rested until then, up to the last moment.
-async fn outcomes_of_shutdown(deadline: Duration) {
+/// Shuts down a scheduler whose worker hangs, and checks the outcomes of three groups of requests: those sent
+/// before SIGTERM, those on new connections after it, and those on idle connections until the SIGKILL.
+async fn check_shutdown(deadline: Duration) {
     let worker = FakeServer::start().await;
     let mut scheduler =
         Scheduler::start_with(&[worker.address], |config| with_deadline(&config, deadline)).await;
@@ -99,14 +101,14 @@
     let before = (0..3).map(|id| async move { status_of_only_request(connect(address).await, id).await });
     let before = tokio::spawn(join_all(before));
     received.wait_for(0).await;
-    let mut resting = Vec::new();
-    let resting_count = kill_time(deadline).as_millis() / REQUEST_INTERVAL.as_millis();
-    for _ in 0..resting_count {
-        resting.push(connect(address).await);
+    let mut idle = Vec::new();
+    let idle_count = kill_time(deadline).as_millis() / REQUEST_INTERVAL.as_millis();
+    for _ in 0..idle_count {
+        idle.push(connect(address).await);
     }
     let sigterm_at = Instant::now();
     scheduler.terminate().await;
-    let on_resting = resting.into_iter().zip(0..).map(|(connection, number)| {
+    let on_idle = idle.into_iter().zip(0..).map(|(connection, number)| {
         send_at(sigterm_at + REQUEST_INTERVAL * number, sigterm_at, connection, 1_000 + u64::from(number))
     });
     let late_count = (LATE_CONNECTIONS.as_millis() / REQUEST_INTERVAL.as_millis()) as u32;
@@ -115,39 +117,39 @@
         sleep_until(at).await;
         send_at(at, sigterm_at, connect(address).await, 2_000 + u64::from(number)).await
     });
-    let (on_resting, on_new, ()) = tokio::join!(
-        join_all(on_resting),
+    let (on_idle, on_new, ()) = tokio::join!(
+        join_all(on_idle),
         join_all(on_new),
-        expect_end_before_kill(&mut scheduler, sigterm_at, deadline)
+        expect_exit_before_kill(&mut scheduler, sigterm_at, deadline)
     );
-    let statuses = before.await.expect("they end");
+    let statuses = before.await.expect("the client tasks end");
     assert!(statuses.iter().all(Option::is_some), "{deadline:?}: {statuses:?}");
     let mut unanswered_on_new = on_new.iter().filter(|outcome| outcome.status.is_none());
     assert!(unanswered_on_new.next().is_none(), "{deadline:?}");
-    // The last ones come while connections close: they are answered, or were never read.
+    // The last requests are sent while connections close: each is answered, or was never read.
     let answered_until = kill_time(deadline) - CLOSING_TIME;
-    for ClientOutcome { id, sent_after, status } in &on_resting {
+    for ClientOutcome { id, sent_after, status } in &on_idle {
         let may_be_unread = *sent_after >= answered_until && !received.contains(*id);
         assert!(status.is_some() || may_be_unread, "{deadline:?}: {sent_after:?}");
     }
     scheduler.wait_for_log(r#""shut down","requests_left":0"#).await;
 }
 
-async fn expect_end_before_kill(scheduler: &mut Scheduler, sigterm_at: Instant, deadline: Duration) {
-    let exit = within("the end", scheduler.child.wait()).await.expect("it ends");
+async fn expect_exit_before_kill(scheduler: &mut Scheduler, sigterm_at: Instant, deadline: Duration) {
+    let exit = within("the exit", scheduler.child.wait()).await.expect("the process exits");
     let elapsed = sigterm_at.elapsed();
     assert!(exit.success() && elapsed < kill_time(deadline), "{deadline:?}: {elapsed:?}");
 }
 
 #[tokio::test]
 async fn with_short_deadlines_every_request_is_answered_before_the_kill_although_workers_hang() {
-    // One after the other: hundreds of connections at once would delay this test's own clock.
+    // The cases run in sequence: hundreds of connections at once would delay the test's own clients.
     for millis in [300, 400, 800, 1_500] {
-        outcomes_of_shutdown(Duration::from_millis(millis)).await;
+        check_shutdown(Duration::from_millis(millis)).await;
     }
 }
 
-/// Disks and a reader of the log that hang, from before SIGTERM.
+/// Shutdowns during which the event log's disk and the reader of the log hang, from before SIGTERM.
 #[cfg(feature = "standalone")]
 mod hanging_outputs {
     use std::fs::File;
@@ -158,10 +160,10 @@
 
     const O_NONBLOCK: i32 = 0o4000;
 
-    /// A pipe that is full and that nobody reads: each write to it blocks, as on a disk that hangs.
+    /// A full pipe without a reader: each write to it blocks, as on a disk that hangs.
     struct FullPipe {
         path: std::path::PathBuf,
-        /// Keeps it open.
+        /// Keeps the pipe open.
         _writer: File,
     }
 
@@ -170,10 +172,10 @@
             let file_name = format!("copperspread-{}-{name}.pipe", std::process::id());
             let path = std::env::temp_dir().join(file_name);
             let _ = std::fs::remove_file(&path);
-            assert!(std::process::Command::new("mkfifo").arg(&path).status().expect("it runs").success());
+            assert!(std::process::Command::new("mkfifo").arg(&path).status().expect("mkfifo runs").success());
             let mut options = File::options();
             let mut writer =
-                options.read(true).write(true).custom_flags(O_NONBLOCK).open(&path).expect("a pipe");
+                options.read(true).write(true).custom_flags(O_NONBLOCK).open(&path).expect("an open pipe");
             while writer.write(&[b'\n'; 4096]).is_ok() {}
             while writer.write(b"\n").is_ok() {}
             FullPipe { path, _writer: writer }
@@ -186,8 +188,8 @@
         }
     }
 
-    /// One request hangs at its worker while the scheduler ends, whose event log and log hang, too.
-    async fn end_with_hanging_outputs(deadline: Duration) {
+    /// Shuts down a scheduler whose event log and log hang, while one request hangs at its worker.
+    async fn shut_down_with_hanging_outputs(deadline: Duration) {
         let worker = FakeServer::start().await;
         let pipe = FullPipe::new(&deadline.as_millis().to_string());
         let (at, file, millis) = (worker.address, pipe.path.display().to_string(), deadline.as_millis());
@@ -201,7 +203,7 @@
         let mut scheduler = Scheduler::standalone(text, &[("RUST_LOG", "trace")]).await;
         let received = ReceivedIds::of_hanging_worker(worker);
         let address = scheduler.address;
-        // Each is refused, for want of time; the lines of them all fill the pipe that the log is written to.
+        // Each request is rejected, as it has no time left; their log lines fill the pipe of the log.
         for id in 100..500 {
             assert_eq!(scheduler.client().await.exchange(&request_text("once", id, 0)).await.status(), 503);
         }
@@ -209,8 +211,8 @@
         received.wait_for(1).await;
         let sigterm_at = Instant::now();
         scheduler.terminate().await;
-        expect_end_before_kill(&mut scheduler, sigterm_at, deadline).await;
-        assert_eq!(waiting.await.expect("it ends"), Some(500));
+        expect_exit_before_kill(&mut scheduler, sigterm_at, deadline).await;
+        assert_eq!(waiting.await.expect("the client task ends"), Some(500));
         let mut log_bytes = 0;
         while let Some(line) = scheduler.try_next_line().await {
             log_bytes += line.len();
@@ -219,7 +221,8 @@
     }
 
     #[tokio::test]
-    async fn an_event_log_and_a_log_that_hang_delay_the_end_by_less_than_the_kill() {
-        join_all([300, 9_000].map(|millis| end_with_hanging_outputs(Duration::from_millis(millis)))).await;
+    async fn a_scheduler_whose_event_log_and_log_hang_exits_before_the_kill() {
+        join_all([300, 9_000].map(|millis| shut_down_with_hanging_outputs(Duration::from_millis(millis))))
+            .await;
     }
 }
