--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn a_drain_is_known_in_time_whatever_fault_a_watch_meets() {
+async fn a_drain_is_applied_in_time_whatever_fault_a_watch_meets() {
     let run_case = |kind: &'static str, fault: &'static str| async move {
         let discovery = FakeDiscovery::available().await;
         let mut fixture = Fixture::start(kind, &discovery).await;
@@ -141,7 +141,7 @@
 
 // Guards against a backoff that grows during an outage until a change is applied later than the limit of 6 s.
 #[tokio::test]
-async fn a_drain_is_known_in_time_after_many_failed_calls() {
+async fn a_drain_is_applied_in_time_after_many_failed_calls() {
     join_all(DISCOVERY_KINDS.map(|kind| async move {
         let discovery = FakeDiscovery::available().await;
         let mut fixture = Fixture::start(kind, &discovery).await;
--- a/crates/scheduler/tests/membership.rs
+++ b/crates/scheduler/tests/membership.rs
@@ -40,7 +40,7 @@
 }
 
 /// Waits until a scheduler lists exactly these members.
-async fn wait_until_it_sees(scheduler: &Scheduler, names: &[&str]) {
+async fn wait_until_it_lists(scheduler: &Scheduler, names: &[&str]) {
     let seen = async {
         loop {
             let view = cluster_view(scheduler).await;
@@ -65,8 +65,8 @@
     assert!(own["generation"].as_u64() > Some(1_700_000_000_000) && own["returned"] == 0, "{own}");
     let mut two =
         Scheduler::standalone(|at| config("two", at, &cluster_section(&key, &[address])), &[]).await;
-    wait_until_it_sees(&one, &["two"]).await;
-    wait_until_it_sees(&two, &["one"]).await;
+    wait_until_it_lists(&one, &["two"]).await;
+    wait_until_it_lists(&two, &["one"]).await;
     let seen = cluster_view(&two).await;
     assert_eq!(seen["members"][0], own);
     for count in ["packets_in", "packets_out", "bytes_in", "bytes_out"] {
@@ -82,7 +82,7 @@
 
     two.terminate().await;
     assert!(within("the exit", two.child.wait()).await.expect("the process exits").success());
-    wait_until_it_sees(&one, &[]).await;
+    wait_until_it_lists(&one, &[]).await;
     let mut lines = Vec::new();
     while let Some(line) = two.try_next_line().await {
         lines.push(line);
@@ -140,8 +140,8 @@
             start_member("one", one, two, &plan).await,
             start_member("two", two, one, &FaultPlan::new("")).await,
         );
-        wait_until_it_sees(&first, &["two"]).await;
-        wait_until_it_sees(&second, &["one"]).await;
+        wait_until_it_lists(&first, &["two"]).await;
+        wait_until_it_lists(&second, &["one"]).await;
         for call in ["recv", "send"] {
             assert!(
                 plan.count(&format!("{call} membership {errno}")) > 0,
@@ -159,12 +159,12 @@
     let ((_one, one), (_two, two)) = (reserve_address(), reserve_address());
     let first = start_member("one-deaf", one, two, &plan).await;
     let second = start_member("two-heard", two, one, &FaultPlan::new("")).await;
-    wait_until_it_sees(&first, &["two-heard"]).await;
+    wait_until_it_lists(&first, &["two-heard"]).await;
     let fault = "accept4 membership EMFILE";
     plan.wait_for(fault, 1).await;
     let (since, before) = (std::time::Instant::now(), plan.count(fault));
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     let (elapsed, failed) = (since.elapsed(), plan.count(fault) - before);
     assert!(failed as f64 <= 100.0 * (elapsed.as_secs_f64() + 1.0), "{failed} failed calls in {elapsed:?}");
-    wait_until_it_sees(&second, &["one-deaf"]).await;
+    wait_until_it_lists(&second, &["one-deaf"]).await;
 }
--- a/crates/scheduler/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -42,7 +42,7 @@
     #![proptest_config(fixed_seed_config())]
 
     #[test]
-    fn a_truncated_message_is_refused(at in any::<prop::sample::Index>()) {
+    fn a_truncated_message_is_rejected(at in any::<prop::sample::Index>()) {
         let (config, list) = valid_inputs();
         prop_assert!(parse_callback(&CALLBACK.as_bytes()[..at.index(CALLBACK.len())]).is_err());
         prop_assert!(platform::read_startup_config(&config[..at.index(config.len())]).is_err());
@@ -61,7 +61,7 @@
     }
 
     #[test]
-    fn garbage_causes_no_panic(bytes: Vec<u8>, text in "[\\[{\":,0-9a-z}\\]]{0,80}") {
+    fn random_input_causes_no_panic(bytes: Vec<u8>, text in "[\\[{\":,0-9a-z}\\]]{0,80}") {
         parse_with_all(&bytes);
         parse_with_all(text.as_bytes());
     }
--- a/crates/scheduler/tests/policy.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -58,7 +58,7 @@
 
 impl Fixture {
     async fn open(discovery: &str, members: &[String]) -> Fixture {
-        let any = "127.0.0.1:0".parse().expect("an address");
+        let any = "127.0.0.1:0".parse().expect("a socket address");
         let text = config(any, any, &endpoint_list(1, true, members)).replace("pushed", discovery);
         let start = platform::read_startup_config(&text).expect("a valid configuration");
         let (requested_queries, subscribe) = (Arc::<Mutex<_>>::default(), Arc::new(AtomicBool::new(true)));
@@ -79,7 +79,7 @@
         let nothing = EndpointList { revision: 1, complete: false, endpoints: Vec::new() };
         self.proxy.endpoint_publisher.publish(&nothing, &[]);
     }
-    async fn next_end(&mut self) -> QueryEnd {
+    async fn next_query_end(&mut self) -> QueryEnd {
         within("the end of a load query", self.ends.recv()).await.expect("a running policy")
     }
     async fn next_update(&mut self) -> (EndpointUpdateKind, usize) {
@@ -122,7 +122,7 @@
     }
     let mut ends = HashMap::<u32, Vec<_>>::new();
     for _ in 0..12 {
-        let (worker, outcome, report) = fixture.next_end().await;
+        let (worker, outcome, report) = fixture.next_query_end().await;
         ends.entry(worker).or_default().push((outcome, report));
     }
     assert_eq!(ends[&0], [(Outcome::ConnectFailed, None)]);
@@ -142,7 +142,11 @@
     assert!(drains.is_idle());
     fixture.proxy.begin_shutdown();
     fixture.request_load_queries(&[3]);
-    assert_eq!(fixture.next_end().await, (3, Outcome::Superseded, None), "no load query during a shutdown");
+    assert_eq!(
+        fixture.next_query_end().await,
+        (3, Outcome::Superseded, None),
+        "no load query during a shutdown"
+    );
 }
 
 /// Worker 1 responds late to its first load query; its connection is reused for the next one.
@@ -151,7 +155,7 @@
     assert!(silent.is_idle());
     fixture.request_load_queries(&[1]);
     assert_eq!(
-        fixture.next_end().await,
+        fixture.next_query_end().await,
         (1, Outcome::Superseded, None),
         "the first load query is still pending"
     );
@@ -161,7 +165,7 @@
         fixture.request_load_queries(&[1]);
         tokio::select! {
             query = silent.next_request() => break query,
-            end = fixture.next_end() => assert_eq!(end, (1, Outcome::Superseded, None)),
+            end = fixture.next_query_end() => assert_eq!(end, (1, Outcome::Superseded, None)),
         }
     };
     assert_eq!(next.peer, connection);
@@ -176,7 +180,7 @@
     fixture.request_load_queries(&(0..40).collect::<Vec<_>>());
     let mut superseded = 0;
     for _ in 0..40 {
-        superseded += u32::from(fixture.next_end().await.1 == Outcome::Superseded);
+        superseded += u32::from(fixture.next_query_end().await.1 == Outcome::Superseded);
     }
     assert_eq!(superseded, 28);
 }
@@ -187,7 +191,7 @@
 async fn a_polled_discovery_is_called_again_as_soon_as_a_watch_breaks() {
     let (mut discovery, mut other) = (FakeServer::start().await, FakeServer::start().await);
     let (address_sender, address) =
-        watch::channel(discovery.address.to_string().parse().expect("an address"));
+        watch::channel(discovery.address.to_string().parse().expect("a socket address"));
     let mut fixture = Fixture::open("on_request", &[]).await;
     let publisher = fixture.proxy.endpoint_publisher.clone();
     tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(publisher));
@@ -231,7 +235,7 @@
     discovery.next_request().await.respond("503 Service Unavailable", "", "");
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Failed, 0));
     // A new discovery address is called at once.
-    address_sender.send_replace(other.address.to_string().parse().expect("an address"));
+    address_sender.send_replace(other.address.to_string().parse().expect("a socket address"));
     let full_list_call = other.next_request().await;
     assert_eq!(full_list_call.message.first_line, "GET /api/targets HTTP/1.1");
     full_list_call.respond("200 OK", "", &endpoint_list(1, true, &[]));
@@ -245,7 +249,7 @@
 async fn an_older_subscription_request_does_not_answer_a_later_failure() {
     let mut discovery = FakeServer::start().await;
     let (_address_sender, address) =
-        watch::channel(discovery.address.to_string().parse().expect("an address"));
+        watch::channel(discovery.address.to_string().parse().expect("a socket address"));
     let mut fixture = Fixture::open("on_request", &[]).await;
     let publisher = fixture.proxy.endpoint_publisher.clone();
     tokio::spawn(Box::new(PlatformDiscovery { address, cached_revision: Some(1) }).follow(publisher));
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -378,7 +378,7 @@
 // Guards against a reset because of unread data, which discards the error response for a client that reads
 // late.
 #[tokio::test]
-async fn a_body_that_is_too_large_is_refused_with_a_readable_response() {
+async fn a_body_that_is_too_large_is_rejected_with_a_readable_response() {
     let scheduler = Scheduler::start(&[]).await;
     let size = 8 << 20;
     let head = request_text("safe", 120, 9000).replace("Content-Length: 2\r\n\r\nhi", "");
@@ -435,10 +435,10 @@
 }
 
 #[test]
-fn a_bad_configuration_is_one_clear_line_and_a_failing_exit_code() {
+fn an_invalid_configuration_gives_one_error_line_and_a_failing_exit_code() {
     let program = || std::process::Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
     let path = std::env::temp_dir().join(format!("copperspread-bad-{}.json", std::process::id()));
-    let unused_address = "127.0.0.1:1".parse().expect("an address");
+    let unused_address = "127.0.0.1:1".parse().expect("a socket address");
     let good = config(unused_address, unused_address, &endpoint_list(1, true, &[]));
     for (from, to) in [("\"listen\":\"127", "\"listen\":\"x"), ("pure", "perhaps"), ("}", ""), ("9", "-")] {
         std::fs::write(&path, good.replace(from, to)).expect("the configuration is written");
--- a/crates/scheduler/tests/slow_discovery.rs
+++ b/crates/scheduler/tests/slow_discovery.rs
@@ -154,7 +154,7 @@
 
 // Guards against waits, open calls or descriptors that accumulate over a long outage.
 #[tokio::test]
-async fn a_drain_is_known_in_time_after_an_outage_of_over_a_minute() {
+async fn a_drain_is_applied_in_time_after_an_outage_of_over_a_minute() {
     let run_case = |kind: &'static str, outage: &'static str| async move {
         let mut discovery = FakeDiscovery::unavailable(outage).await;
         let mut fixture = Fixture::start(kind, &discovery).await;
--- a/crates/scheduler/tests/standalone.rs
+++ b/crates/scheduler/tests/standalone.rs
@@ -72,7 +72,7 @@
             return;
         }
     }
-    panic!("this machine wrote the file too slowly, five times");
+    panic!("in all five trials, this machine wrote the file too slowly");
 }
 
 /// Returns false if the disk was so slow that the half-written file stayed unchanged for as long as a reload
--- a/crates/scheduler/tests/wire_transcripts.rs
+++ b/crates/scheduler/tests/wire_transcripts.rs
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn a_cancel_sent_to_a_worker() {
+async fn a_cancellation_sent_to_a_worker() {
     let mut worker = RecordingServer::start(worker_response).await;
     let scheduler = Scheduler::start(&[worker.address]).await;
     let mut client = scheduler.client().await;
