--- a/crates/scheduler/tests/dispatch_races.rs
+++ b/crates/scheduler/tests/dispatch_races.rs
@@ -30,6 +30,8 @@
     start_edited_with_sed("s/\"connect_timeout_s\":0.25/\"connect_timeout_s\":20/", 1024, known).await
 }
 
+/// Starts a scheduler whose configuration is edited by a sed expression, with so many descriptors and with
+/// these workers in its cached list.
 async fn start_edited_with_sed(edit: &str, sockets: u32, known: &[SocketAddr]) -> Scheduler {
     let command = format!("sed -i -e '{edit}' \"$EDGE_CONFIG\" && exec \"$PROGRAM\"");
     Scheduler::start_by_command(&command, sockets, known).await
@@ -60,7 +62,7 @@
         let (mut first_client, mut second_client) = (scheduler.client().await, scheduler.client().await);
         first_client.send_request("once", 1, 9000).await;
         let (mut reused, first) = worker.next_request().await;
-        let _full = worker.fill_queue().await;
+        let _queue_filler = worker.fill_queue().await;
         second_client.send(&second).await;
         worker.wait_for_connect().await;
         publish_and_wait(&mut scheduler, 6, &[endpoint("r0", worker.address, "DRAINING")]).await;
@@ -69,15 +71,15 @@
         assert_eq!(
             second_client.next_response().await.expect("a final response").status(),
             503,
-            "the request never ran"
+            "the final response says that the request never ran"
         );
         assert_eq!(scheduler.call_back(&first.headers["x-request-id"], "r0", DONE).await, 204);
         assert_eq!(first_client.next_response().await.expect("a final response").status(), 200);
     }
 }
 
-// As above, with a connection that is established only after its worker began to drain or changed its
-// address.
+// Guards against a request that is written to a connection which was established only after its worker began
+// to drain or changed its address.
 #[tokio::test]
 async fn a_late_connection_is_not_used_for_a_worker_that_drains_or_moved() {
     let moved_worker = FakeServer::start().await;
@@ -86,7 +88,7 @@
     {
         let worker = RawWorker::new();
         let mut scheduler = start_with_long_connect_timeout(&[worker.address]).await;
-        let queued = worker.fill_queue().await;
+        let queue_filler = worker.fill_queue().await;
         let mut client = scheduler.client().await;
         client.send(&text).await;
         worker.wait_for_connect().await;
@@ -95,7 +97,8 @@
             false => endpoint("r0", moved_worker.address, "SERVING"),
         };
         publish_and_wait(&mut scheduler, 6, &[change]).await;
-        drop((queued, worker.accept().await));
+        // Frees the worker's accept queue, so that the kernel establishes the waiting connection.
+        drop((queue_filler, worker.accept().await));
         let mut late = worker.accept().await;
         assert_eq!(read_to_end(&mut late).await, "", "drains: {drains}");
         assert_eq!(client.next_response().await.expect("a final response").status(), 503, "drains: {drains}");
@@ -111,7 +114,7 @@
     let (mut first_client, mut second_client) = (scheduler.client().await, scheduler.client().await);
     first_client.send_request("once", 4, 9000).await;
     let (mut reused, first) = worker.next_request().await;
-    let queued = worker.fill_queue().await;
+    let queue_filler = worker.fill_queue().await;
     second_client.send_request("once", 5, 9000).await;
     worker.wait_for_connect().await;
     // The second request is written to the first one's connection, and both complete.
@@ -122,15 +125,16 @@
         assert_eq!(scheduler.call_back(&message.headers["x-request-id"], "r0", DONE).await, 204);
         assert_eq!(client.next_response().await.expect("a final response").status(), 200);
     }
-    // No request waits for the other connection any more. It is established nevertheless, and closed unused.
-    drop((queued, worker.accept().await));
+    // No request waits any more for the connection that the second request opened. It is established
+    // nevertheless, and closed unused.
+    drop((queue_filler, worker.accept().await));
     let mut late = worker.accept().await;
     assert_eq!(read_to_end(&mut late).await, "");
     assert_eq!(read_to_end(&mut reused).await, "");
 }
 
-// Guards against a response whose head or body never ends: it must not hold a connection permit, nor delay a
-// final response whose outcome is already known.
+// Guards against a response whose head or body never ends: it must not hold a connection permit, nor delay
+// the final response of a request whose outcome is already known.
 #[tokio::test]
 async fn a_response_that_never_ends_holds_no_permit_and_delays_no_final_response() {
     let worker = RawWorker::new();
@@ -154,7 +158,7 @@
         }
         assert_eq!(read_to_end(&mut connection).await, "");
     }
-    // The scheduler cancels a head that does not end; whether the request ran is unknown.
+    // The scheduler ends an attempt whose response head does not end; whether the request ran is unknown.
     client.send_request("once", 30, 9000).await;
     let (mut connection, _) = worker.next_request().await;
     let endless = format!("HTTP/1.1 202 Accepted\r\nX-Long: {}", "x".repeat(60_000));
@@ -163,20 +167,25 @@
     assert_eq!(client.next_response().await.expect("a final response").status(), 500);
     assert!(
         since.elapsed() < Duration::from_secs(3),
-        "the endless head was not cancelled early, but after {:?}",
+        "the attempt with the endless head ended only after {:?}",
         since.elapsed()
     );
     assert_eq!(read_to_end(&mut connection).await, "");
 }
 
 // Guards against a response that is matched to the next request. A connection is not reused after a response
-// other than a plain 202, or after one with further bytes directly behind it.
+// other than a complete 202, or after one with further bytes directly behind it.
 #[tokio::test]
 async fn a_second_response_is_never_matched_to_the_next_request() {
-    let twice = format!("{ACCEPTED}{NOT_PROCESSED}");
-    let garbage = format!("{ACCEPTED}\u{1}\u{2}trailing");
-    let failed = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-    for (first_response, status) in [(NOT_PROCESSED, 503), (failed, 500), (&twice, 200), (&garbage, 200)] {
+    let accepted_then_not_processed = format!("{ACCEPTED}{NOT_PROCESSED}");
+    let accepted_then_garbage = format!("{ACCEPTED}\u{1}\u{2}trailing");
+    let server_error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
+    for (first_response, status) in [
+        (NOT_PROCESSED, 503),
+        (server_error, 500),
+        (&accepted_then_not_processed, 200),
+        (&accepted_then_garbage, 200),
+    ] {
         let worker = RawWorker::new();
         let scheduler = Scheduler::start(&[worker.address]).await;
         let mut client = scheduler.client().await;
@@ -216,7 +225,7 @@
         let (mut first_client, mut second_client) = (scheduler.client().await, scheduler.client().await);
         first_client.send_request("once", 50, 9000).await;
         let (mut reused, _) = worker.next_request().await;
-        let _full = worker.fill_queue().await;
+        let _queue_filler = worker.fill_queue().await;
         second_client.send_request(class, 51, 9000).await;
         worker.wait_for_connect().await;
         let other_endpoint = endpoint("r1", other.address, "SERVING").replace("\"cell\":0", "\"cell\":1");
@@ -254,7 +263,7 @@
         // A retry could be written up to 0.25 s later, when the key may no longer be remembered.
         ("keyed", 0, short, None),
     ];
-    for (class, cell, edit, retries) in cases {
+    for (class, cell, edit, status_after_retry) in cases {
         let (worker, mut other) = (RawWorker::new(), FakeServer::start().await);
         let mut scheduler = start_edited_with_sed(edit, 1024, &[worker.address]).await;
         let mut client = scheduler.client().await;
@@ -264,12 +273,12 @@
             endpoint("r1", other.address, "SERVING").replace("\"cell\":0", &format!("\"cell\":{cell}"));
         publish_and_wait(&mut scheduler, 6, &[other_endpoint]).await;
         reset(connection);
-        if retries.is_some() {
+        if status_after_retry.is_some() {
             let id = other.next_request().await.accept();
             assert_eq!(scheduler.call_back(&id, "r1", DONE).await, 204);
         }
         let response = client.next_response().await.expect("a final response").status();
-        assert_eq!(response, retries.unwrap_or(500), "{class}, cell {cell}, {edit:?}");
+        assert_eq!(response, status_after_retry.unwrap_or(500), "{class}, cell {cell}, {edit:?}");
         assert!(other.is_idle(), "{class}, cell {cell}, {edit:?}");
     }
 }
@@ -290,6 +299,7 @@
         write(&mut connection, response).await;
         reset(connection);
         let id = &message.headers["x-request-id"];
+        // The worker lost the third request, which fails therefore.
         let fields = if status == 200 { DONE } else { r#""state":"lost""# };
         if response == ACCEPTED {
             // The second callback finds no request.
@@ -370,8 +380,9 @@
     connection
 }
 
-// The head gives the time left when the attempt is prepared. If this process is held up between that and the
-// write, the value is too high, and a retry may come after the end of the key's window.
+// The request head sent to a worker gives the time left as of the attempt's preparation. If the scheduler is
+// held up between the preparation and the write, this value is too high, and a retry may come after the end
+// of the key's window.
 #[tokio::test]
 async fn an_attempt_is_written_in_time_or_not_at_all() {
     let mut worker = FakeServer::start().await;
@@ -523,19 +534,20 @@
 // The time left in the head is set before the connection is established, which may take up to the connect
 // timeout.
 #[tokio::test]
-async fn the_time_left_sent_to_a_worker_is_at_most_the_clients_when_the_request_arrives() {
+async fn the_time_left_sent_to_a_worker_is_at_most_what_the_client_has_left_on_arrival() {
     for (millis, connect_millis) in [(9_000, 250), (9_000, 20_000), (600, 250)] {
         let worker = RawWorker::new();
         let edit =
             format!("s/\"connect_timeout_s\":0.25/\"connect_timeout_s\":{}/", connect_millis as f64 / 1e3);
         let scheduler = start_edited_with_sed(&edit, 1024, &[worker.address]).await;
-        let queued = worker.fill_queue().await;
+        let queue_filler = worker.fill_queue().await;
         let mut client = scheduler.client().await;
         let sent_at = Instant::now();
         client.send_request("once", 200, millis).await;
         worker.wait_for_connect().await;
-        drop((queued, worker.accept().await));
-        // The kernel establishes the connection a second later, if it is still open.
+        // Frees the worker's accept queue.
+        drop((queue_filler, worker.accept().await));
+        // The kernel establishes the connection a second later, unless the scheduler has given it up.
         let arrived = timeout(Duration::from_secs(2), worker.next_request()).await;
         let left = Duration::from_millis(millis).saturating_sub(sent_at.elapsed());
         assert_eq!(
--- a/crates/scheduler/tests/endpoint_list_races.rs
+++ b/crates/scheduler/tests/endpoint_list_races.rs
@@ -1,5 +1,6 @@
 //! Tests that the scheduler follows the endpoint list across failures of discovery: a change is applied
-//! within 6 s after discovery has it, and requests are served all the while.
+//! within 6 s after discovery has it, and requests are served all the while. Lists that are pushed come from
+//! a discovery agent near the scheduler, others are polled.
 #[path = "sockets/discovery_fixture.rs"]
 mod discovery_fixture;
 #[path = "sockets/fake_discovery.rs"]
@@ -53,8 +54,8 @@
         }
     }
     let silent_watch = WATCH_HOLD_TIME + WATCH_MARGIN + RETRY_BACKOFF_INITIAL;
-    let answered_late = SECOND;
-    let refused_late = answered_late + REFUSED_RETRY_BACKOFF;
+    let late_response_delay = SECOND;
+    let late_rejection_delay = late_response_delay + REFUSED_RETRY_BACKOFF;
     let pushed_retry = PUSHED_HEDGE_INTERVAL.max(RETRY_BACKOFF_MAX);
     let wait_sums = [
         ("polled: a silent watch, and the next call", silent_watch + POLLED_LIST_TIMEOUT),
@@ -63,28 +64,31 @@
             POLLED_LIST_TIMEOUT + retry_delay + POLLED_LIST_TIMEOUT,
         ),
         ("polled: the first call after the start", first_call_delay + POLLED_LIST_TIMEOUT),
-        ("pushed: a silent watch, and a late response to the next call", silent_watch + answered_late),
-        ("pushed: a silent call, and a late response to the next one", pushed_retry + answered_late),
+        ("pushed: a silent watch, and a late response to the next call", silent_watch + late_response_delay),
+        ("pushed: a silent call, and a late response to the next one", pushed_retry + late_response_delay),
     ];
     for (what, sum) in wait_sums {
         assert!(sum <= MAX_CHANGE_DELAY - DELAY_MARGIN, "{what}: {sum} us");
     }
     // An overloaded discovery adds one rejected call, or a slow response that arrives in small pieces. What
-    // remains of the limit covers a process that is held up.
+    // remains of the limit covers a process that is held up for `HOLD_UP`.
     let overloaded_sums = [
-        ("a silent watch", silent_watch + refused_late + answered_late),
-        ("a call that timed out", POLLED_LIST_TIMEOUT + retry_delay + refused_late + answered_late),
-        ("the first call after the start", first_call_delay + refused_late + answered_late),
+        ("a silent watch", silent_watch + late_rejection_delay + late_response_delay),
+        (
+            "a call that timed out",
+            POLLED_LIST_TIMEOUT + retry_delay + late_rejection_delay + late_response_delay,
+        ),
+        ("the first call after the start", first_call_delay + late_rejection_delay + late_response_delay),
         ("an endless slow response to a watch", silent_watch + BODY_MARGIN + POLLED_LIST_TIMEOUT),
         ("an endless slow call", POLLED_LIST_TIMEOUT + BODY_MARGIN + retry_delay + POLLED_LIST_TIMEOUT),
         ("a silent watch, and a slow response", silent_watch + POLLED_LIST_TIMEOUT + BODY_MARGIN),
-        ("pushed, a silent watch", silent_watch + pushed_retry + answered_late),
+        ("pushed, a silent watch", silent_watch + pushed_retry + late_response_delay),
     ];
     for (what, sum) in overloaded_sums {
         assert!(sum <= MAX_CHANGE_DELAY - HOLD_UP, "overloaded, {what}: {sum} us");
     }
-    // The list that the discovery agent has at its return applies at once, and from 0.5 s later no request is
-    // written to a draining worker.
+    // The list that the discovery agent has at its return counts as notified at that moment, so the next call
+    // must come before the drain grace of 0.5 s has passed.
     assert!(pushed_retry + HOLD_UP / 2 < DRAIN_GRACE);
 }
 
@@ -257,8 +261,7 @@
     join_all(DISCOVERY_KINDS.into_iter().flat_map(|kind| OUTAGES.map(|outage| run_case(kind, outage)))).await;
 }
 
-// Guards against a discovery that moved before the first call and is still called only after that call's
-// spread delay.
+// Guards against waiting out the random delay of the first call after discovery has moved.
 #[tokio::test]
 async fn a_move_before_the_first_call_is_followed_at_once() {
     let (old, new) = (FakeDiscovery::available().await, FakeDiscovery::available().await);
--- a/crates/scheduler/tests/event_log.rs
+++ b/crates/scheduler/tests/event_log.rs
@@ -49,7 +49,7 @@
     let id = worker.next_request().await.accept();
     scheduler.call_back(&id, "r0", DONE).await;
     client.next_response().await.expect("a final response");
-    // Counters are recorded too.
+    // An invalid callback increments a counter, which is recorded too.
     assert_eq!(scheduler.post_callback("no JSON").await, 400);
     // A rejected request: it would complete after its deadline.
     client.send_request("once", 2, 0).await;
@@ -152,7 +152,7 @@
     let _ = std::fs::remove_file(&file);
 }
 
-// The platform's lowest limits are 32 MB and 256 descriptors; the event log and the log count within them.
+// The platform's lowest limits, 32 MB and 256 descriptors, also hold with the event log and the log on.
 #[tokio::test]
 async fn the_lowest_limits_hold_with_the_event_log_on() {
     let mut worker = FakeServer::start().await;
@@ -254,7 +254,7 @@
 }
 
 #[tokio::test]
-async fn the_time_left_is_counted_from_the_last_byte_of_a_slow_body() {
+async fn the_recorded_time_left_is_what_remains_at_the_last_byte_of_a_slow_body() {
     let mut worker = FakeServer::start().await;
     let file = scratch_path("slow-body");
     let mut scheduler = start(&worker, &file).await;
@@ -274,5 +274,6 @@
         out.lines().find(|line| line.contains("flow_taken")).expect("an event of the request's admission");
     let record: serde_json::Value = serde_json::from_str(accepted).expect("valid JSON");
     let time_left_us = record["what"]["time_left_us"].as_u64().expect("a time in microseconds");
+    // Of the 9 s, 1 s passes during the body; network time is subtracted from the rest.
     assert!((7_000_000..=7_960_000).contains(&time_left_us), "{time_left_us}");
 }
--- a/crates/scheduler/tests/membership.rs
+++ b/crates/scheduler/tests/membership.rs
@@ -62,6 +62,7 @@
     let address: SocketAddr =
         own["address"].as_str().and_then(|at| at.parse().ok()).expect("a socket address");
     assert_eq!((&own["name"], &own["zone"], &own["region"]), (&"one".into(), &"a".into(), &"nl".into()));
+    // A generation is a Unix time in milliseconds.
     assert!(own["generation"].as_u64() > Some(1_700_000_000_000) && own["returned"] == 0, "{own}");
     let mut two =
         Scheduler::standalone(|at| config("two", at, &cluster_section(&key, &[address])), &[]).await;
@@ -98,7 +99,9 @@
     assert_eq!(request_status_page(&off).await.status(), 404);
 
     let (short, absent) = (write_key("short", "secret\n"), PathBuf::from("/nowhere/cluster.key"));
-    for (key, fault) in [(&short, "a cluster key of 6 bytes; 16 at least"), (&absent, "No such file")] {
+    for (key, expected_error) in
+        [(&short, "a cluster key of 6 bytes; 16 at least"), (&absent, "No such file")]
+    {
         let file = short.with_extension("toml");
         std::fs::write(&file, config("x", off.address, &cluster_section(key, &[])))
             .expect("the configuration is written");
@@ -110,7 +113,7 @@
         let errors = String::from_utf8_lossy(&run.stderr);
         assert_eq!(run.status.code(), Some(1), "{errors}");
         assert!(
-            errors.contains(&format!("{name}:6:12: cluster.key_file: ")) && errors.contains(fault),
+            errors.contains(&format!("{name}:6:12: cluster.key_file: ")) && errors.contains(expected_error),
             "{errors}"
         );
         assert!(!errors.contains("secret"), "{errors}");
@@ -135,10 +138,10 @@
     for errno in ["EMFILE", "ECONNABORTED", "ENETUNREACH", "ENOBUFS", "ETIMEDOUT", "EHOSTUNREACH"] {
         let calls = ["accept4", "connect", "recv", "send"].map(|call| statement(call, errno)).concat();
         let plan = FaultPlan::new(&(calls + "fail epoll_wait any EINTR every 2"));
-        let ((_one, one), (_two, two)) = (reserve_address(), reserve_address());
+        let ((_one, address_one), (_two, address_two)) = (reserve_address(), reserve_address());
         let (first, second) = (
-            start_member("one", one, two, &plan).await,
-            start_member("two", two, one, &FaultPlan::new("")).await,
+            start_member("one", address_one, address_two, &plan).await,
+            start_member("two", address_two, address_one, &FaultPlan::new("")).await,
         );
         wait_until_it_lists(&first, &["two"]).await;
         wait_until_it_lists(&second, &["one"]).await;
@@ -156,9 +159,9 @@
 #[tokio::test]
 async fn a_member_that_can_accept_no_stream_backs_off_and_receives_packets() {
     let plan = FaultPlan::new("fail accept4 membership EMFILE calls 1..");
-    let ((_one, one), (_two, two)) = (reserve_address(), reserve_address());
-    let first = start_member("one-deaf", one, two, &plan).await;
-    let second = start_member("two-heard", two, one, &FaultPlan::new("")).await;
+    let ((_one, address_one), (_two, address_two)) = (reserve_address(), reserve_address());
+    let first = start_member("one-deaf", address_one, address_two, &plan).await;
+    let second = start_member("two-heard", address_two, address_one, &FaultPlan::new("")).await;
     wait_until_it_lists(&first, &["two-heard"]).await;
     let fault = "accept4 membership EMFILE";
     plan.wait_for(fault, 1).await;
--- a/crates/scheduler/tests/parsers.rs
+++ b/crates/scheduler/tests/parsers.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn the_settings_give_the_instance_index_and_the_meaning_of_sizes() {
+fn the_settings_give_the_instance_index_and_whether_sizes_reflect_load() {
     let read = |config: &str| platform::read_startup_config(config).map(|start| start.settings.dispatch);
     let (config, _) = valid_inputs();
     let default_settings = read(&config).expect("a valid configuration");
@@ -116,5 +116,5 @@
         (Some(7), true, 100)
     );
     let wrong = config.replace("\"fleet_size\":1", "\"fleet_size\":1,\"me\":-1");
-    assert!(read(&wrong).expect_err("an instance index that is no valid number").to_string().contains("me"));
+    assert!(read(&wrong).expect_err("a negative instance index is rejected").to_string().contains("me"));
 }
--- a/crates/scheduler/tests/policy.rs
+++ b/crates/scheduler/tests/policy.rs
@@ -19,8 +19,8 @@
 
 type QueryEnd = (u32, Outcome, Option<LoadReport>);
 
-/// At each event, sends the load queries that the test requested; subscribes at once while `subscribe` is
-/// set; and reports load query ends and endpoint updates to the test.
+/// A dispatch policy that, at each event, sends the load queries that the test requested; subscribes at once
+/// while `subscribe` is set; and reports load query ends and endpoint updates to the test.
 struct StubPolicy {
     requested_queries: Arc<Mutex<Vec<u32>>>,
     subscribe: Arc<AtomicBool>,
@@ -182,6 +182,7 @@
     for _ in 0..40 {
         superseded += u32::from(fixture.next_query_end().await.1 == Outcome::Superseded);
     }
+    // 12 load queries have a permit; the other 28 end at once.
     assert_eq!(superseded, 28);
 }
 
@@ -198,14 +199,14 @@
     const WATCH_REQUEST: &str = "GET /api/targets?from=1&hold_ms=2000 HTTP/1.1";
     const FULL_LIST_REQUEST: &str = "GET /api/targets HTTP/1.1";
     let nothing = endpoint_list(1, false, &[]);
-    // The policy is told that its subscription succeeded, although nothing has changed.
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Cached, 0));
     let first = discovery.next_request().await;
     assert_eq!(first.message.first_line, FULL_LIST_REQUEST);
     first.respond("200 OK", "", &nothing);
+    // The policy is told that its subscription succeeded, although nothing has changed.
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Changes, 0));
-    // After a watch that breaks or stays silent, the full list is requested, well before the limit for
-    // applying a missed change: a second watch could stay silent for as long again.
+    // After a watch that breaks or stays silent, the full list is requested, not a second watch, which could
+    // stay silent for as long again. The request comes well before the limit for applying a missed change.
     let watch = discovery.next_request().await;
     assert_eq!(watch.message.first_line, WATCH_REQUEST);
     drop(watch);
@@ -228,7 +229,8 @@
         (EndpointUpdateKind::Changes, 1),
         "no failure was reported before"
     );
-    // A rejected watch is not repeated at once: the policy is told, waits and subscribes again.
+    // The proxy does not repeat a rejected watch by itself: the policy is told, and its next subscription
+    // causes the next call.
     discovery.next_request().await.respond("503 Service Unavailable", "", "");
     assert_eq!(fixture.next_update().await, (EndpointUpdateKind::Failed, 0));
     fixture.subscribe.store(false, Ordering::Relaxed);
@@ -244,7 +246,8 @@
 }
 
 // Guards against a subscription request that arrived during a call and is taken for the policy's reaction to
-// a later failure: the policy spreads its calls over time.
+// a later failure. The policy spreads its calls over time, so the proxy must not call before it subscribes
+// again.
 #[tokio::test]
 async fn an_older_subscription_request_does_not_answer_a_later_failure() {
     let mut discovery = FakeServer::start().await;
@@ -272,7 +275,8 @@
     assert_eq!(discovery.next_request().await.message.first_line, "GET /api/targets HTTP/1.1");
 }
 
-// Guards against waiting for a second subscription, which the policy has no reason to request.
+// Guards against a static list whose changes wait for a second subscription, which the policy has no reason
+// to request.
 #[tokio::test]
 async fn a_static_list_that_changes_is_published_also_where_lists_are_polled() {
     let mut fixture = Fixture::open("on_request", &[]).await;
--- a/crates/scheduler/tests/random_system_call_faults.rs
+++ b/crates/scheduler/tests/random_system_call_faults.rs
@@ -21,6 +21,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
+/// The number of plans by default.
 const PLANS: u64 = 100;
 /// The number of scheduler processes that run in parallel.
 const PROGRAMS: usize = 4;
@@ -34,8 +35,9 @@
 /// The number of attempts that a worker makes for each callback, as in the protocol.
 const CALLBACK_ATTEMPTS: u32 = 10;
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(10);
-/// The program's first two sockets are its listener and its first call to discovery; faults begin after them.
-const FIRST_SOCKET: u64 = 3;
+/// Faults of `socket` begin after this many calls, so that the listener and the first connection to discovery
+/// get their sockets.
+const FAULT_FREE_SOCKETS: u64 = 3;
 
 /// Returns one random statement of a fault plan.
 fn random_statement(rng: &mut Rng) -> String {
@@ -52,7 +54,7 @@
         2 => format!("fail connect {upstream} {} {calls}", one_of(rng, &CONNECT_ERRORS)),
         3 => format!("fail connect-completion {upstream} {} {calls}", one_of(rng, &CONNECT_ERRORS)),
         4 => {
-            let first = first + FIRST_SOCKET;
+            let first = first + FAULT_FREE_SOCKETS;
             format!("fail socket any {} calls {first}..{}", one_of(rng, &SHORTAGES), first + rng.u64(0..5))
         }
         5 | 6 => format!("fail {transfer} {kind} {} {calls}", one_of(rng, &BROKEN_CONNECTION_ERRORS)),
@@ -149,8 +151,8 @@
     }
 }
 
-/// Checks that each request has one final response, in time, whose status agrees with the runs at the
-/// workers.
+/// Checks that each request whose client connection did not break has a final response in time, and that its
+/// status agrees with its runs at the workers.
 fn check_results(results: &[RequestResult], runs: &HashMap<String, u32>, faults: &FaultPlan) {
     for result in results {
         let id = format!("{:016x}", result.id);
@@ -265,7 +267,7 @@
     }
 }
 
-// Guards against faults that no other test forces: combinations of errors, and errors at other times.
+// Covers faults that no other test injects: combinations of errors, and errors at other times.
 #[test]
 fn each_request_has_one_final_response_under_random_system_call_errors() {
     let seed = number_from_environment("COPPERSPREAD_FAULT_SEED").unwrap_or_else(|| fastrand::u64(..1 << 32));
--- a/crates/scheduler/tests/request_accounting.rs
+++ b/crates/scheduler/tests/request_accounting.rs
@@ -115,12 +115,12 @@
         assert_eq!(received, written + disconnected);
         assert!(
             written > responses_received,
-            "{written} written, {responses_received} received by waiting clients"
+            "{written} responses written, no more than the {responses_received} that waiting clients received"
         );
     }
 }
 
-// As above during a shutdown, with requests that no worker answers.
+// Checks the counts of a shutdown during which no worker responds.
 #[tokio::test]
 async fn requests_that_hang_through_a_shutdown_are_accounted_for() {
     let mut worker = FakeServer::start().await;
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -51,7 +51,8 @@
     drop(other);
 }
 
-// Guards against a handler that is dropped with its client connection, without a cancellation of its attempt.
+// Guards against a handler that is dropped with its client connection, without a cancellation of its attempt:
+// the request's task outlives the handler and cancels the attempt.
 #[tokio::test]
 async fn a_client_that_disconnects_has_its_attempt_cancelled() {
     let mut worker = FakeServer::start().await;
@@ -99,7 +100,7 @@
     assert_eq!(response.status(), 503);
     let after: f64 = response.headers["retry-after"].parse().expect("seconds");
     assert!((0.0..=2.0).contains(&after), "{after}");
-    // The HTTP library does not resend a request whose reused connection breaks either.
+    // Nor does the scheduler's HTTP library resend a request whose reused connection breaks.
     client.send_request("once", 8, 9000).await;
     drop(worker_a.next_request().await);
     assert_eq!(client.next_response().await.expect("a final response").status(), 500);
@@ -116,8 +117,8 @@
     }
 }
 
-// Guards against reused connections that break during the next request: after one has, a request that is
-// non-idempotent, or idempotent only with a key in a cell, is sent on a new connection.
+// Guards against reused connections that break during the next request: after that, a request that is
+// non-idempotent, or whose idempotency key is remembered only within a cell, is sent on a new connection.
 #[tokio::test]
 async fn a_non_idempotent_request_reuses_no_connection_after_one_broke() {
     let mut worker = FakeServer::start().await;
@@ -179,7 +180,8 @@
 async fn the_endpoint_list_is_followed_and_kept_on_an_invalid_or_missing_response() {
     let (mut worker_a, mut worker_b) = (FakeServer::start().await, FakeServer::start().await);
     let mut scheduler = Scheduler::start(&[worker_a.address]).await;
-    // The discovery agent's list applies from the start: it is polled at once, without a watch.
+    // The list of the discovery agent applies from the start, so the first call is a poll of the full list,
+    // at once, and no watch.
     const FULL_LIST_REQUEST: &str = "GET /api/targets HTTP/1.1";
     let first = scheduler.discovery.next_request().await;
     assert_eq!(first.message.first_line, FULL_LIST_REQUEST);
@@ -256,7 +258,7 @@
     worker.next_request().await.accept();
     assert_eq!(last.next_response().await.expect("a final response").status(), 500);
     assert!(scheduler.child.wait().await.expect("the process exits").success());
-    // The SIGKILL comes 0.7 s after the longest deadline, which counts as at most 3 s.
+    // The SIGKILL comes after the longest deadline, at most 3 s, and 0.7 s more, counted from SIGTERM.
     assert!(sigterm_at.elapsed().as_millis() < 3_700, "{:?}", sigterm_at.elapsed());
 }
 
@@ -295,7 +297,8 @@
 }
 
 // Guards against SIGHUP terminating the process, which is its default action. The new discovery is followed
-// at once whatever its revisions, the old watch is closed, and an invalid configuration changes nothing.
+// at once whatever its revisions, the pending call to the old one is closed, and an invalid configuration
+// changes nothing.
 #[tokio::test]
 async fn sighup_follows_the_new_discovery_and_keeps_serving() {
     let (mut worker_a, mut worker_b, mut new_discovery) =
@@ -304,7 +307,7 @@
     let mut client = scheduler.client().await;
     client.send_request("once", 90, 9000).await;
     let earlier_id = worker_a.next_request().await.accept();
-    let old_watch = scheduler.discovery.next_request().await;
+    let old_call = scheduler.discovery.next_request().await;
     let moved = config(scheduler.address, new_discovery.address, &endpoint_list(5, true, &[]));
     for bad in ["", &moved.replace("pure", "perhaps")] {
         let lines = scheduler.reload(bad).await;
@@ -317,7 +320,7 @@
     assert!(lines.len() == 2 && lines[0].contains(r#"only with a restart","parts":"listen""#), "{lines:?}");
     let full_list_request = new_discovery.next_request().await;
     assert_eq!(full_list_request.message.first_line, "GET /api/targets HTTP/1.1");
-    old_watch.wait_until_closed().await;
+    old_call.wait_until_closed().await;
     full_list_request.respond(
         "200 OK",
         "",
@@ -392,7 +395,8 @@
     }
 }
 
-// Guards against request smuggling through ambiguous framing, and against repeated request ids.
+// Guards against request smuggling through ambiguous framing, against two id headers in one
+// request, and against an id that is used again.
 #[tokio::test]
 async fn an_ambiguous_request_is_not_forwarded() {
     let mut worker = FakeServer::start().await;
@@ -460,8 +464,8 @@
     let mut members: Vec<_> =
         (0..5_000).map(|i| endpoint(&format!("gone{i}"), old.address, "DRAINING")).collect();
     members.push(endpoint("r0", new.address, "SERVING"));
-    let watch = scheduler.discovery.next_request().await;
-    watch.respond("200 OK", "", &endpoint_list(6, true, &members));
+    let first_call = scheduler.discovery.next_request().await;
+    first_call.respond("200 OK", "", &endpoint_list(6, true, &members));
     // The list was read completely: the next watch continues from its revision.
     let next = scheduler.discovery.next_request().await;
     assert!(next.message.first_line.contains("from=6"), "{}", next.message.first_line);
--- a/crates/scheduler/tests/short_deadlines.rs
+++ b/crates/scheduler/tests/short_deadlines.rs
@@ -1,5 +1,5 @@
-//! Tests of shutdowns with an early SIGKILL, because all deadlines are short, and of shutdowns with outputs
-//! that hang.
+//! Tests of shutdowns in which all deadlines are short, so that SIGKILL comes early, and of shutdowns with
+//! outputs that hang.
 mod sockets;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -11,9 +11,9 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// How long after SIGTERM new connections are opened.
-const LATE_CONNECTIONS: Duration = Duration::from_millis(400);
-/// The time before the SIGKILL within which a request may find its connection closing.
+/// New connections are opened until this long after SIGTERM.
+const NEW_CONNECTIONS_UNTIL: Duration = Duration::from_millis(400);
+/// In this last span before the SIGKILL, connections close and a request may stay unread.
 const CLOSING_TIME: Duration = Duration::from_millis(560);
 /// The time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
@@ -111,7 +111,7 @@
     let on_idle = idle.into_iter().zip(0..).map(|(connection, number)| {
         send_at(sigterm_at + REQUEST_INTERVAL * number, sigterm_at, connection, 1_000 + u64::from(number))
     });
-    let late_count = (LATE_CONNECTIONS.as_millis() / REQUEST_INTERVAL.as_millis()) as u32;
+    let late_count = (NEW_CONNECTIONS_UNTIL.as_millis() / REQUEST_INTERVAL.as_millis()) as u32;
     let on_new = (0..late_count).map(|number| async move {
         let at = sigterm_at + REQUEST_INTERVAL * number;
         sleep_until(at).await;
@@ -143,7 +143,7 @@
 
 #[tokio::test]
 async fn with_short_deadlines_every_request_is_answered_before_the_kill_although_workers_hang() {
-    // The cases run in sequence: hundreds of connections at once would delay the test's own clients.
+    // The cases run in sequence: hundreds of connections at once would delay this test's own clock.
     for millis in [300, 400, 800, 1_500] {
         check_shutdown(Duration::from_millis(millis)).await;
     }
--- a/crates/scheduler/tests/slow_discovery.rs
+++ b/crates/scheduler/tests/slow_discovery.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 /// The delay of the responses of a slow or overloaded discovery.
-const MAX_LATENESS: Duration = Duration::from_secs(1);
+const LATE_RESPONSE_DELAY: Duration = Duration::from_secs(1);
 const OVERLOADED: &str =
     "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 2\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
@@ -51,7 +51,7 @@
 
 async fn respond(mut call: Call, mode: Mode, is_first: bool, list: String) {
     if matches!(mode, Mode::Late | Mode::RejectingOnceAndLate) {
-        sleep(MAX_LATENESS).await;
+        sleep(LATE_RESPONSE_DELAY).await;
     }
     match mode {
         Mode::RejectingOnce | Mode::RejectingOnceAndLate if is_first => call.write(OVERLOADED).await,
@@ -136,7 +136,8 @@
     .await;
 }
 
-// The list that the discovery agent has at its return applies at once, with a drain grace of 0.5 s.
+// The list that the discovery agent has at its return counts as notified at that moment, so it must be
+// requested before the drain grace of 0.5 s has passed.
 #[tokio::test]
 async fn a_pushed_list_is_requested_within_the_drain_grace_after_its_agent_returns() {
     let discovery = FakeDiscovery::available().await;
@@ -213,7 +214,7 @@
         }
         for round in 0..10 {
             let revision = 7 + 2 * round;
-            let rounds = async {
+            let one_round = async {
                 sleep(Duration::from_millis(100)).await;
                 // The process is stopped just before, during or after the step that reads the list.
                 let stop = async {
@@ -232,12 +233,12 @@
                 sleep(Duration::from_micros(2 * DRAIN_GRACE)).await;
                 published_at
             };
-            tokio::pin!(rounds);
+            tokio::pin!(one_round);
             let mut written_at = Vec::new();
             let published_at = loop {
                 tokio::select! {
                     _ = worker.next_request() => written_at.push(Instant::now()),
-                    published_at = &mut rounds => break published_at,
+                    published_at = &mut one_round => break published_at,
                 }
             };
             assert!(
@@ -262,7 +263,7 @@
 #[tokio::test]
 async fn a_restarted_scheduler_is_ready_in_time_for_many_clients() {
     const MAX_TIME_TO_READY: Duration = Duration::from_secs(6);
-    let first_ready_answer = |address| async move {
+    let time_of_first_ready_response = |address| async move {
         loop {
             if let Ok(stream) = tokio::net::TcpStream::connect(address).await {
                 let mut client = Client::from(stream);
@@ -280,7 +281,7 @@
         let address = fixture.scheduler.address;
         fixture.scheduler.end("KILL").await;
         let ended_at = Instant::now();
-        let clients = join_all((0..200).map(|_| first_ready_answer(address)));
+        let clients = join_all((0..200).map(|_| time_of_first_ready_response(address)));
         let (ready_times, ()) = tokio::join!(clients, fixture.scheduler.start_again());
         let slowest = ready_times.into_iter().max().expect("at least one client") - ended_at;
         assert!(slowest < MAX_TIME_TO_READY, "{kind}, {outage}: {slowest:?}");
--- a/crates/scheduler/tests/standalone.rs
+++ b/crates/scheduler/tests/standalone.rs
@@ -88,8 +88,8 @@
         &[("draining", worker_addresses[0]), ("serving", worker_addresses[1])],
     );
     let half_length = complete_config.find("[[source.workers]]\nid = 'r1'").expect("a second worker");
-    // Changes the content continuously, for several times as long as a reload waits for a stable file; by
-    // renames, so that each content is read completely or not at all.
+    // Changes the content continuously for 300 ms, several times as long as a reload waits for a stable file
+    // (50 ms). Each change is a rename, so that each content is read completely or not at all.
     let (draft, began) = (scheduler.path.with_extension("draft"), std::time::Instant::now());
     let replace_file = |text: &str| {
         std::fs::write(&draft, text).expect("the draft is written");
@@ -105,6 +105,7 @@
         last_change = std::time::Instant::now();
     }
     replace_file(&complete_config);
+    // A pause near the 50 ms for which a reload waits makes this trial void.
     if longest_pause.max(last_change.elapsed().as_millis()) >= 40 {
         return false;
     }
@@ -267,7 +268,7 @@
     assert_eq!((&event["message"], &event["class"]), (&"no worker is eligible".into(), &"once".into()));
 }
 
-// The pipe of the log fills up.
+// Guards against a full pipe of the log that blocks or ends the program.
 #[tokio::test]
 async fn a_log_that_nobody_reads_neither_blocks_nor_ends_the_program() {
     let mut worker_a = FakeServer::start().await;
@@ -292,7 +293,7 @@
     assert!(bytes > 60_000, "the pipe was full: {bytes} bytes in {lines} lines");
 }
 
-// The first command of the README, with other ports.
+// Runs the first command of the README, with other ports.
 #[tokio::test]
 async fn the_toy_worker_serves_a_request() {
     let (_reserved, worker) = reserve_address();
--- a/crates/scheduler/tests/system_call_errors.rs
+++ b/crates/scheduler/tests/system_call_errors.rs
@@ -75,7 +75,7 @@
         let (since, before) = (Instant::now(), faults.count(&fault));
         tokio::time::sleep(Duration::from_secs(1)).await;
         let (elapsed, failed) = (since.elapsed(), faults.count(&fault) - before);
-        // At most eight accepts in a row fail before a wait of 20 ms.
+        // A wait of 20 ms follows the ninth failure in a row.
         assert!(
             failed as f64 <= 9.0 * (elapsed.as_secs_f64() / 0.02 + 1.0),
             "{errno}: {failed} failed calls in {elapsed:?}"
@@ -126,8 +126,8 @@
         let first = if call == "socket" { 3 } else { 1 };
         let statement = format!("fail {call} {kind} {errno} calls {first}..");
         let (mut scheduler, faults) = start_with_faults(&statement, &[worker.address]).await;
-        // Waits for the watch, whose connection has a socket by then.
-        let _watch = scheduler.discovery.next_request().await;
+        // Waits for the first call to discovery, whose connection has its socket by then.
+        let _first_call = scheduler.discovery.next_request().await;
         let mut client = scheduler.client().await;
         client.send_request("once", 1, 2000).await;
         assert_eq!(client.next_response().await.expect("a final response").status(), 503, "{call} {errno}");
@@ -165,7 +165,7 @@
                 () = tokio::time::sleep(Duration::from_millis(5)) => {}
             }
         }
-        // The backoffs are 0.1, 0.2, 0.2 and 0.2 s.
+        // The backoffs are 0.1, 0.2, 0.2 and 0.2 s; the first three, 0.5 s, lie before the fourth fault.
         assert!(since.elapsed() > Duration::from_millis(450), "{call} {errno}: {:?}", since.elapsed());
         scheduler.discovery.next_request().await.respond("200 OK", "", &list);
         let mut client = scheduler.client().await;
@@ -313,7 +313,7 @@
         BROKEN_CONNECTION_ERRORS.iter().flat_map(|errno| ["recv", "send"].map(|call| (call, errno)))
     {
         let mut worker = FakeServer::start().await;
-        // The first call of each kind belongs to the first request.
+        // The first `recv` and the first `send` belong to the first request.
         let statement = format!("fail {call} worker {errno} calls 2");
         let (scheduler, faults) = start_with_faults(&statement, &[worker.address]).await;
         let mut client = scheduler.client().await;
--- a/crates/scheduler/tests/tenants.rs
+++ b/crates/scheduler/tests/tenants.rs
@@ -5,7 +5,8 @@
 
 /// A tenant with a negligible share of the capacity, and one with nearly all of it.
 const TENANTS: &str = r#""tenants":[{"name":"small","allowance_per_s":0.00001},{"name":"big","allowance_per_s":1000}],"over_share_worth":0.01"#;
-/// The callback fields of a worker without free slots and with two waiting requests: slots are scarce.
+/// The callback fields of a worker with four slots, none of them free, and two waiting requests: slots are
+/// scarce.
 const BUSY: &str = r#""state":"done","result":"","load":{"x0":0,"waiting":2}"#;
 /// The callback fields of a worker with four free slots.
 const FREE: &str = r#""state":"done","result":"","load":{"x0":4,"waiting":0}"#;
@@ -16,7 +17,7 @@
     client: &mut Client,
     worker: &mut FakeServer,
     (id, tenant): (u64, &str),
-    done: &str,
+    callback_fields: &str,
 ) -> bool {
     let header = if tenant.is_empty() { String::new() } else { format!("X-Tenant-Id: {tenant}\r\n") };
     let work = format!("{header}X-Cost: 1000000\r\n");
@@ -28,7 +29,7 @@
         }
         received = worker.next_request() => {
             let id = received.accept();
-            assert_eq!(scheduler.call_back(&id, "r0", done).await, 204);
+            assert_eq!(scheduler.call_back(&id, "r0", callback_fields).await, 204);
             assert_eq!(client.next_response().await.expect("a final response").status(), 200);
             false
         }
--- a/crates/scheduler/tests/wire_transcripts.rs
+++ b/crates/scheduler/tests/wire_transcripts.rs
@@ -328,7 +328,8 @@
     assert_snapshot!("records_of_each_kind", first_of_each(written.lines().chain([gap.as_str()])));
 }
 
-/// Returns the first event of each combination of the fields in `key_fields`, ordered by those fields.
+/// Returns the first event of each combination of kind, counter, choice, reason, outcome, response and form,
+/// in this order.
 fn first_of_each<'a>(lines: impl Iterator<Item = &'a str>) -> String {
     let mut first = BTreeMap::new();
     for line in lines {
