--- a/crates/testbed/src/cost/mod.rs
+++ b/crates/testbed/src/cost/mod.rs
@@ -1,6 +1,9 @@
-//! Measures what the whole program costs for a job, against a bare relay, in one run: requests a second on
-//! one thread and processor time a request. Clients and workers run on threads of their own.
-mod stand_ins;
+//! Measures scheduler programs: their throughput on one thread and their processor time per request.
+//!
+//! Several programs, usually the scheduler and a relay that makes no dispatch decision, are measured in turn
+//! within one run, so that their results can be compared. Clients share the measuring thread; workers and
+//! discovery are stubs on a second thread.
+mod stub_fleet;
 mod table;
 
 use std::cell::Cell;
@@ -25,62 +28,62 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::Scenario;
 use crate::startup::single_threaded_runtime;
-use stand_ins::StandIns;
+use stub_fleet::StubFleet;
 pub use table::format_table;
 
-/// How long each program is warmed up in a round before it is measured.
+/// Warm-up time of a program in each round, before its measurement starts.
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// How it is measured.
+/// Settings of a cost measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct CostSettings {
-    /// Rounds, each of every program in turn.
+    /// Number of rounds; each round measures every program once.
     pub rounds: u32,
-    /// Seconds of each program in a round, after one of warming up.
+    /// Length of a program's measurement in each round, in seconds, after a warm-up of one second.
     pub seconds: f64,
-    /// Clients that ask one request after the other.
+    /// Number of concurrent clients; each sends its next request once the previous one has its response.
     pub clients: usize,
-    /// Workers, each of which calls back at once.
+    /// Number of stub workers, which send the callback of a job immediately.
     pub workers: u32,
 }
 
-/// What a program cost in one round.
+/// The measurements of one program in one round.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct CostSample {
-    /// Requests a second that were served.
+    /// Served requests per second.
     pub rate: f64,
-    /// Processor time for each, in microseconds.
+    /// Processor time per served request, in microseconds.
     pub cpu_us: f64,
-    /// Resident memory at the end, in megabytes.
+    /// Resident memory at the end of the measurement, in megabytes (10^6 bytes).
     pub resident_mb: f64,
-    /// Requests that were answered otherwise.
+    /// Requests that were rejected, failed or got no response.
     pub not_served: u64,
 }
 
-/// Programs with what they showed, round by round.
+/// The samples of each program by its name, in the order of the rounds.
 pub type ProgramCosts = Vec<(String, Vec<CostSample>)>;
 
-/// Why no cost can be measured.
+/// Errors of a cost measurement.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CostError {
-    /// The scenario that schedulers are configured by is wrong.
+    /// The scenario from which schedulers are configured is invalid.
     #[error("{0}")]
     Scenario(String),
-    /// A socket or a folder cannot be had.
+    /// A socket or a temporary directory cannot be created.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The workers cannot listen.
-    #[error("the workers' side does not start")]
+    /// The stub workers cannot listen.
+    #[error("the stub workers did not start")]
     NoWorkers,
     /// The runtime cannot be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// The program does not start, or ends by itself.
+    /// The program does not start, or exits during the measurement.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The program has no process.
-    #[error("it does not run")]
+    /// The program has no running process.
+    #[error("the program is not running")]
     NotRunning,
 }
 
@@ -89,17 +92,17 @@
     [[workers]]\nkind = 'w'\ncount = 1\ncores = 64.0\nslots = 64.0\nspeed = [1.0, 1.0]\n\
     [[classes]]\nname = 'job'\nshare = 1.0\nwork = 0.001\naim = 1.0\ndeadline = 5.0\nworth = 1.0\nrepeat = 'safe'\n";
 
-/// Measures programs in turns.
+/// Measures each of `programs`, given by name, once per round.
 ///
 /// # Errors
-/// A program that does not start, or sockets that cannot be had.
+/// Fails if a program does not start or exits early, or if a socket or directory cannot be created.
 pub fn measure_costs(
     programs: &[(String, SchedulerProgram)],
     settings: CostSettings,
 ) -> Result<ProgramCosts, CostError> {
     let mut costs: ProgramCosts = programs.iter().map(|(name, _)| (name.clone(), Vec::new())).collect();
     for round in 0..settings.rounds.max(1) {
-        // In alternating order, so that none is always the first.
+        // The order alternates so that no program is always measured first.
         let mut order: Vec<usize> = (0..programs.len()).collect();
         if round % 2 == 1 {
             order.reverse();
@@ -113,22 +116,22 @@
 
 fn measure_program(program: &SchedulerProgram, settings: CostSettings) -> Result<CostSample, CostError> {
     let scenario = Scenario::parse(COST_SCENARIO).map_err(|error| CostError::Scenario(error.to_string()))?;
-    // Kept until the program has ended.
+    // The reservation is held until the program has ended.
     let (_reserved, listen) = reserve_address()?;
-    let stand_ins = StandIns::start(listen, settings.workers).ok_or(CostError::NoWorkers)?;
+    let stubs = StubFleet::start(listen, settings.workers).ok_or(CostError::NoWorkers)?;
     let runtime = single_threaded_runtime().map_err(CostError::Runtime)?;
     let folder = tempfile::tempdir()?;
-    let process = configure(program, &scenario, listen, &stand_ins, folder.path());
-    // Clients' tasks end with this set.
+    let process = configure(program, &scenario, listen, &stubs, folder.path());
+    // The clients' tasks are cancelled when this task set is dropped.
     LocalSet::new().block_on(&runtime, async { sample_cost(process?, settings).await })
 }
 
-/// The program with its configuration written; it does not run yet.
+/// Writes a program's configuration to `folder`, without starting the program.
 fn configure(
     program: &SchedulerProgram,
     scenario: &Scenario,
     listen: SocketAddr,
-    stand_ins: &StandIns,
+    stubs: &StubFleet,
     folder: &Path,
 ) -> Result<SchedulerProcess, ProcessError> {
     let config = SchedulerConfig {
@@ -136,13 +139,13 @@
         scheduler: SchedulerId(0),
         seed: 1,
         listen,
-        discovery: stand_ins.discovery.address,
-        cached_list: Some(&stand_ins.discovery.list),
+        discovery: stubs.discovery.address,
+        cached_list: Some(&stubs.discovery.list),
     };
     SchedulerProcess::new(program, folder, SchedulerId(0), listen, &config.to_platform_json())
 }
 
-/// Starts a program, sends requests for a while, and kills it.
+/// Starts a program, measures it under load from the clients, and kills it.
 async fn sample_cost(mut process: SchedulerProcess, settings: CostSettings) -> Result<CostSample, CostError> {
     process.start().await?;
     let pid = process.pid().ok_or(CostError::NotRunning)?;
@@ -169,18 +172,18 @@
     Ok(sample)
 }
 
-/// Responses to all clients of a program.
+/// Counts of the responses to all clients of a program.
 #[derive(Default)]
 struct ResponseCounts {
     served: Cell<u64>,
     not_served: Cell<u64>,
 }
 
-/// One client, which sends one request after the other for good.
-async fn run_client(client: HttpClient, target: SocketAddr, number: u64, counts: Rc<ResponseCounts>) {
-    for turn in 0_u64.. {
-        // Never the same id twice.
-        let id = (number + 1) << 40 | turn;
+/// Runs one client, which sends requests one after another until its task is cancelled.
+async fn run_client(client: HttpClient, target: SocketAddr, client_index: u64, counts: Rc<ResponseCounts>) {
+    for sequence in 0_u64.. {
+        // Request ids are unique among all clients.
+        let id = (client_index + 1) << 40 | sequence;
         let request = Request::post(format!("http://{target}/job/{id:x}"))
             .header("x-request-id", format!("{id:016x}"))
             .header("x-timeout", "5000m")
@@ -193,7 +196,7 @@
     }
 }
 
-/// The status of a response that was read to its end.
+/// Sends a request and reads the whole response; returns its status, or `None` on an error.
 async fn send_request(client: &HttpClient, request: Request<Full<Bytes>>) -> Option<StatusCode> {
     let response = client.request(request).await.ok()?;
     let status = response.status();
--- a/crates/testbed/src/cost/stand_ins.rs
+++ b/crates/testbed/src/cost/stub_fleet.rs
@@ -1,4 +1,6 @@
-//! Serves workers that accept a job and call back at once, and an endpoint list of them that never changes.
+//! Stub workers and a stub discovery service for cost measurements.
+//!
+//! The workers accept every job and send its callback immediately; the endpoint list never changes.
 use std::net::SocketAddr;
 use std::sync::mpsc;
 use std::time::Duration;
@@ -20,25 +22,25 @@
 use crate::http_client::{HttpClient, new_http_client, read_body};
 use crate::startup::single_threaded_runtime;
 
-/// How long discovery holds a watch: nothing changes, so the answer to it is always the same list.
+/// How long the stub discovery holds a watch before it responds with the unchanged list.
 const WATCH_HOLD: Duration = Duration::from_secs(1);
 
-/// Where the list is polled, and the list itself.
+/// The stub discovery's address and its endpoint list.
 pub(super) struct Discovery {
     pub(super) address: SocketAddr,
     pub(super) list: Value,
 }
 
-/// The running stand-ins. Their thread ends soon after this is dropped; nothing joins it.
-pub(super) struct StandIns {
+/// Handle of the thread that runs the stubs. Dropping it stops the thread without joining it.
+pub(super) struct StubFleet {
     pub(super) discovery: Discovery,
     _stop: oneshot::Sender<()>,
 }
 
-impl StandIns {
-    /// Starts a thread that serves workers for a scheduler, and waits until they listen; `None` if they
-    /// cannot.
-    pub(super) fn start(scheduler: SocketAddr, workers: u32) -> Option<StandIns> {
+impl StubFleet {
+    /// Starts `workers` stub workers that call back to `scheduler`, and waits until all of them listen.
+    /// Returns `None` if they cannot listen.
+    pub(super) fn start(scheduler: SocketAddr, workers: u32) -> Option<StubFleet> {
         let (ready_sender, ready) = mpsc::channel();
         let (stop_sender, stop) = oneshot::channel::<()>();
         std::thread::spawn(move || {
@@ -50,11 +52,11 @@
                 }
             });
         });
-        Some(StandIns { discovery: ready.recv().ok()?, _stop: stop_sender })
+        Some(StubFleet { discovery: ready.recv().ok()?, _stop: stop_sender })
     }
 }
 
-/// Serves workers and their list for good; returns only if one of them cannot listen.
+/// Serves the workers and the endpoint list indefinitely; returns only if a socket cannot be opened.
 async fn serve(scheduler: SocketAddr, workers: u32, ready: mpsc::Sender<Discovery>) {
     let client = new_http_client();
     let mut members = Vec::new();
@@ -62,7 +64,7 @@
         let Ok(listener) = TcpListener::bind("127.0.0.1:0").await else { return };
         let Ok(address) = listener.local_addr() else { return };
         members.push(ready_endpoint(WorkerId(worker), address).to_json());
-        // Ends with the thread's runtime.
+        // The task ends with the thread's runtime.
         spawn_local(serve_worker(
             listener,
             Worker { client: client.clone(), scheduler, id: WorkerId(worker) },
@@ -76,7 +78,7 @@
     serve_list(listener, body).await;
 }
 
-/// A worker of the first zone and cell that accepts jobs.
+/// The endpoint of a ready worker in zone 0 and cell 0.
 fn ready_endpoint(worker: WorkerId, address: SocketAddr) -> EndpointRecord<'static> {
     let state = WorkerState::Ready;
     EndpointRecord { worker, address, zone: 0, kind: "w", cell: 0, state, started_at_unix_ms: 0 }
@@ -85,7 +87,7 @@
 async fn serve_list(listener: TcpListener, list: Bytes) {
     while let Ok((stream, _)) = listener.accept().await {
         let list = list.clone();
-        // Ends with its connection, or with the thread's runtime.
+        // The task ends with its connection or with the thread's runtime.
         spawn_local(async move {
             serve_connection(stream, |request| answer_poll(request, list.clone())).await;
         });
@@ -100,7 +102,7 @@
     Response::new(Full::new(list))
 }
 
-/// One worker, as its connections share it.
+/// A stub worker; a clone is passed to each of its connections.
 #[derive(Clone)]
 struct Worker {
     client: HttpClient,
@@ -111,7 +113,7 @@
 async fn serve_worker(listener: TcpListener, worker: Worker) {
     while let Ok((stream, _)) = listener.accept().await {
         let worker = worker.clone();
-        // Ends with its connection, or with the thread's runtime.
+        // The task ends with its connection or with the thread's runtime.
         spawn_local(async move {
             serve_connection(stream, |request| worker.clone().accept_job(request)).await;
         });
@@ -119,7 +121,7 @@
 }
 
 impl Worker {
-    /// Accepts a job; its callback is sent by a task of its own, which ends with the callback's response.
+    /// Responds 202 to an attempt; a separate task sends the callback and ends with the callback's response.
     async fn accept_job(self, request: Request<Incoming>) -> HttpResponse {
         let id = request.headers().get("x-request-id").and_then(|id| id.to_str().ok());
         let id = u64::from_str_radix(id.unwrap_or_default(), 16).unwrap_or_default();
--- a/crates/testbed/src/cost/table.rs
+++ b/crates/testbed/src/cost/table.rs
@@ -1,16 +1,17 @@
-//! Formats the measured costs as text.
+//! Formats cost measurements as a text table.
 use super::{CostSample, ProgramCosts};
 
-/// Something that a sample shows.
-type Figure = fn(&CostSample) -> f64;
+/// Selects one metric of a sample.
+type Metric = fn(&CostSample) -> f64;
 
-/// The figures of which each program is compared with the last one.
-const COMPARED: [(&str, Figure); 2] =
+/// The metrics in which each program is compared with the last one, with their printed labels.
+const COMPARED_METRICS: [(&str, Metric); 2] =
     [("requests/s", |sample| sample.rate), ("CPU a request", |sample| sample.cpu_us)];
-/// Keeps a ratio finite where the last program shows nothing.
+/// Lower bound of a ratio's divisor, which keeps the ratio finite if the last program measured 0.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// The programs as a table, and each one against the last as a ratio with its spread over the rounds.
+/// Formats the medians of each program as a table, followed by the ratios of each program to the last one
+/// with their range over the rounds.
 pub fn format_table(programs: &ProgramCosts) -> String {
     let mut text = format!(
         "{:<18} {:>12} {:>14} {:>12} {:>11}\n",
@@ -21,15 +22,15 @@
     }
     let Some(((last, baseline), others)) = programs.split_last() else { return text };
     for (name, samples) in others {
-        for (label, figure) in COMPARED {
-            text += &comparison(name, last, label, &sorted_ratios(samples, baseline, figure));
+        for (label, metric) in COMPARED_METRICS {
+            text += &comparison(name, last, label, &sorted_ratios(samples, baseline, metric));
         }
     }
     text
 }
 
 fn program_row(name: &str, samples: &[CostSample]) -> String {
-    let median_of = |figure: Figure| median(samples.iter().map(figure).collect());
+    let median_of = |metric: Metric| median(samples.iter().map(metric).collect());
     format!(
         "{name:<18} {:>12.0} {:>14.1} {:>12.1} {:>11}\n",
         median_of(|sample| sample.rate),
@@ -39,16 +40,16 @@
     )
 }
 
-/// One program's figure over the other's, round by round, in ascending order.
-fn sorted_ratios(samples: &[CostSample], baseline: &[CostSample], figure: Figure) -> Vec<f64> {
+/// The per-round ratios of one program's metric to the baseline's, in ascending order.
+fn sorted_ratios(samples: &[CostSample], baseline: &[CostSample], metric: Metric) -> Vec<f64> {
     let pairs = samples.iter().zip(baseline);
     let mut ratios: Vec<f64> =
-        pairs.map(|(own, other)| figure(own) / figure(other).max(MIN_DIVISOR)).collect();
+        pairs.map(|(own, other)| metric(own) / metric(other).max(MIN_DIVISOR)).collect();
     ratios.sort_by(f64::total_cmp);
     ratios
 }
 
-/// The line that compares a figure; empty with fewer than two rounds.
+/// The line that compares one metric of two programs; empty with fewer than two rounds.
 fn comparison(name: &str, other: &str, label: &str, ratios: &[f64]) -> String {
     let [lowest, .., highest] = ratios[..] else { return String::new() };
     format!(
--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -1,5 +1,6 @@
-//! Serves the proxy with one of the testbed's policies in place of the scheduler's own, so that in the
-//! emulation two policies differ in nothing else.
+//! Baseline scheduler: the proxy with one of the testbed's policies in place of the dispatch policy.
+//!
+//! As the proxy is the same, two policies in an emulation differ in nothing but their decisions.
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -22,13 +23,13 @@
 use crate::policy::{Policy, PolicyKind};
 use crate::startup::{ServeError, read_config, single_threaded_runtime};
 
-/// When the policy that ignores drains stops to apply endpoint lists: it has its first list by then.
+/// Time after which the `IgnoresDrains` policy stops applying endpoint lists; it has its first list by then.
 const DISCOVERY_CUTOFF: Duration = Duration::from_millis(300);
 
-/// Serves by the configuration that `EDGE_CONFIG` names, until SIGTERM.
+/// Serves requests with a testbed policy until SIGTERM; `EDGE_CONFIG` names the configuration file.
 ///
 /// # Errors
-/// A configuration that cannot be used, or an address that cannot be listened on.
+/// Fails if the configuration is invalid or the address cannot be listened on.
 pub fn serve_policy(kind: PolicyKind) -> Result<(), ServeError> {
     let config = read_config()?;
     let policy = build_policy(kind, &config)?;
@@ -45,7 +46,7 @@
     let mut terminate = signal(SignalKind::terminate()).map_err(ServeError::Signals)?;
     let assembled = assemble(config, policy, &Recorder::disabled()).await?;
     let _address_sender = follow_discovery(kind, config, &assembled)?;
-    // Ends with the runtime, after the connections were drained below.
+    // The task ends with the runtime, after the connections have been drained below.
     tokio::spawn(Arc::clone(&assembled.connections).accept());
     terminate.recv().await;
     let deadlines = assembled.begin_shutdown();
@@ -53,8 +54,8 @@
     Ok(())
 }
 
-/// Starts the task that polls discovery. It ends with the runtime, or when the address's sender, which
-/// this returns, is dropped.
+/// Starts the task that polls discovery. It ends with the runtime, or when the returned sender of
+/// discovery's address is dropped.
 fn follow_discovery(
     kind: PolicyKind,
     config: &StartupConfig,
@@ -68,10 +69,11 @@
         Box::new(PlatformDiscovery { address: address.clone(), cached_revision: assembled.cached_revision });
     let following = tokio::spawn(source.follow(assembled.endpoint_publisher.clone()));
     if kind == PolicyKind::IgnoresDrains {
-        // The proxy checks an endpoint again before it sends, so only one that no longer applies the list
-        // can break this rule: it is still notified, and discards what it is notified of.
+        // The proxy checks an endpoint again before it sends an attempt, so a policy alone cannot dispatch
+        // to a draining worker. This scheduler keeps polling, which counts as being notified, but discards
+        // the endpoint updates.
         let publisher = discarding_publisher(config)?;
-        // Ends with the runtime.
+        // The task ends with the runtime.
         tokio::spawn(async move {
             sleep(DISCOVERY_CUTOFF).await;
             following.abort();
@@ -81,7 +83,7 @@
     Ok(address_sender)
 }
 
-/// A publisher whose endpoint table no request task reads.
+/// An endpoint publisher whose endpoint table no request task reads.
 fn discarding_publisher(config: &StartupConfig) -> Result<EndpointPublisher, ServeError> {
     let proxy = &config.settings.proxy;
     let endpoints = Arc::new(EndpointTable::new(proxy));
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -1,4 +1,4 @@
-//! Plays the clients: one task a job, over all its requests to schedulers.
+//! Clients of the emulation, with one task for each job and all its requests to schedulers.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -24,18 +24,19 @@
 use crate::rule_checker::{ClientResponse, TIMING_GRACE};
 use crate::scenario::{JobClass, micros_from_seconds};
 
-/// How exactly delays in sending are recorded.
+/// Precision of recorded send delays, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Clients that still wait so long after the last deadline are an error.
+/// Time after the last deadline within which all clients must have ended; otherwise the run fails.
 const COMPLETION_GRACE: Duration = Duration::from_secs(5);
 
-/// How late this program was itself in sending.
+/// The emulation's own delay in sending jobs, relative to their scheduled arrivals.
 pub(super) struct SendLag {
-    /// At 99% and at most, in milliseconds.
+    /// The 99% quantile and the maximum, in milliseconds.
     pub(super) quantiles_ms: [f64; 2],
 }
 
-/// Sends all jobs and waits for their ends. The clients' tasks end here, or with this future.
+/// Sends all jobs and waits until each has an outcome. The clients' tasks end before this returns, or are
+/// cancelled when the future is dropped.
 pub(super) async fn send_jobs(environment: &Rc<Environment>, seed: u64) -> Result<SendLag, EmulationError> {
     let scenario = &environment.scenario;
     let client = new_http_client();
@@ -56,28 +57,28 @@
     Ok(SendLag { quantiles_ms: [0.99, 1.0].map(|quantile| lag.value_at_quantile(quantile) as f64 / 1e3) })
 }
 
-/// A client's job.
+/// A client's job, with its number in order of arrival, counted from 1.
 struct Job {
     number: u64,
     arrival: Arrival,
 }
 
-/// What a client gets from a scheduler.
+/// A scheduler's response to one request, or the failure of its connection.
 enum SchedulerResponse {
     Served(Bytes),
-    /// With the wait that the scheduler asks for.
+    /// Rejected, with the response's `Retry-After` in microseconds.
     Rejected(Micros),
     Failed,
     ConnectionBroken,
 }
 
-/// A scheduler's response and when its last byte came.
+/// A scheduler's response with the time at which its last byte arrived.
 struct ReceivedResponse {
     received_at: Micros,
     response: SchedulerResponse,
 }
 
-/// Sends a job until it is served, fails or may not be sent again, and records what became of it.
+/// Sends a job, with retries after rejections, until it has its outcome, and records the outcome.
 async fn run_job(environment: Rc<Environment>, client: HttpClient, job: Job, mut random: RandomStream) {
     let class = &environment.scenario.classes[job.arrival.class as usize];
     let deadline = job.arrival.at + micros_from_seconds(class.deadline_s);
@@ -113,8 +114,8 @@
     if latency <= objective { JobOutcome::InTime } else { JobOutcome::Late }
 }
 
-/// Sends a job to a scheduler once and reports the response to the rule checker; `None` if there was none
-/// in time.
+/// Sends one request for a job to a scheduler and reports the response to the rule checker. Returns `None` if
+/// no response arrives before the deadline and its grace period have passed.
 async fn send_once(
     environment: &Rc<Environment>,
     client: &HttpClient,
@@ -132,9 +133,9 @@
         timeout_ms: u128::from(deadline.saturating_sub(environment.now()) / 1_000),
         arrival: &job.arrival,
     };
-    let patience = micros_from_seconds(scenario.clients.deadline_grace_s);
-    let patience_ends_at = environment.instant_at(deadline + patience);
-    let response = timeout_at(patience_ends_at, send_request(client, request.build())).await;
+    let grace = micros_from_seconds(scenario.clients.deadline_grace_s);
+    let grace_ends_at = environment.instant_at(deadline + grace);
+    let response = timeout_at(grace_ends_at, send_request(client, request.build())).await;
     let received_at = environment.now();
     let Ok(response) = response else {
         environment.apply(|state| state.rule_checker.deadline_passed(received_at, RequestId(id)));
@@ -150,10 +151,10 @@
     preferred.reachable(environment.schedulers.len() as u32, environment.scenario.zones, is_up)
 }
 
-/// A response as the rule checker counts it.
+/// Classifies a response for the rule checker.
 fn checked_response(response: &SchedulerResponse, request_id: u64) -> ClientResponse {
     match response {
-        // A result of another request is as forged as one that no worker made.
+        // The result of another request counts as forged, like one that no worker produced.
         SchedulerResponse::Served(body) if *body == expected_result(request_id).as_bytes() => {
             ClientResponse::Served
         }
@@ -167,7 +168,7 @@
     let Some(request) = request else { return SchedulerResponse::Failed };
     let Ok(response) = client.request(request).await else { return SchedulerResponse::ConnectionBroken };
     let (head, body) = response.into_parts();
-    // The response counts as received with its last byte.
+    // The response counts as received once its last byte has arrived.
     let Ok(body) = read_body(body).await else { return SchedulerResponse::ConnectionBroken };
     match head.status {
         StatusCode::OK => SchedulerResponse::Served(body),
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -1,4 +1,4 @@
-//! Serves discovery, with one server for each scheduler.
+//! Discovery servers of the emulation, one for each scheduler.
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::micros_from_seconds;
 
-/// Longest hold of a watch, as on the platform.
+/// Maximum hold of a watch, in microseconds, as on the platform.
 const MAX_HOLD: Micros = 60_000_000;
-/// How long a list that contradicts itself stays before the other one follows, as in virtual time.
+/// Time between switches of the endpoint list while discovery contradicts itself, as in the simulation.
 pub(crate) const CONTRADICTION_INTERVAL: Duration = Duration::from_secs(3);
 
-/// A list in discovery's form. Only a list of changes names removed workers.
+/// Discovery's response with an endpoint list. Removed workers are included only in a list of changes.
 pub(crate) fn discovery_response_json(
     environment: &Environment,
     kind: EndpointUpdateKind,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Serves one scheduler's discovery on a listener of its own, until the run's tasks end.
+/// Serves discovery to one scheduler on its own listener, until the run's task set is dropped.
 pub(crate) async fn serve_discovery(
     environment: Rc<Environment>,
     scheduler: SchedulerId,
@@ -53,7 +53,7 @@
 ) {
     while let Ok((stream, _)) = listener.accept().await {
         let environment = Rc::clone(&environment);
-        // Ends with its connection, or with the run's tasks.
+        // The task ends with its connection or with the run's task set.
         tokio::task::spawn_local(async move {
             serve_connection(stream, |request| {
                 let environment = Rc::clone(&environment);
@@ -64,7 +64,7 @@
     }
 }
 
-/// A number of the query.
+/// The value of a numeric query parameter; `None` if it is absent or not a number.
 fn query_number(query: &str, name: &str) -> Option<u64> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
@@ -84,8 +84,9 @@
     Response::new(Full::from(body))
 }
 
-/// Waits until the list has something newer than a revision, at most for `hold`. It waits on while
-/// discovery is down, and until the first list is due.
+/// Waits until the list has changes newer than `known_revision`, for at most `hold` microseconds.
+///
+/// Before the first list is due, and while discovery is down, it waits irrespective of `hold`.
 async fn wait_for_changes(
     environment: &Environment,
     known_revision: Option<u64>,
--- a/crates/testbed/src/emulation/endpoint_list.rs
+++ b/crates/testbed/src/emulation/endpoint_list.rs
@@ -1,33 +1,33 @@
-//! Keeps the endpoint list with its versions, as discovery serves it to each scheduler.
+//! The versioned endpoint list that discovery serves to schedulers.
 use copperspread_dispatcher::{Endpoint, EndpointUpdateKind, WorkerId};
 
-/// An endpoint and the revision of its last change.
+/// An endpoint with the revision of its last change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct VersionedEndpoint {
-    /// The revision.
+    /// The list's revision in which the endpoint last changed.
     pub revision: u64,
     /// The endpoint.
     pub endpoint: Endpoint,
 }
 
-/// The endpoint list, with what a scheduler needs that has an earlier revision.
+/// The endpoint list with the revisions from which incremental updates are computed.
 pub(crate) struct VersionedEndpointList {
-    /// Grows with each change.
+    /// Revision of the list, incremented by each change.
     pub revision: u64,
-    /// Each worker's endpoint, by its number.
+    /// The endpoints, indexed by worker number.
     pub endpoints: Vec<VersionedEndpoint>,
-    /// A scheduler with an earlier revision gets the complete list.
+    /// The revision of the last full replacement; schedulers with an earlier one get the full list.
     pub full_list_since: u64,
-    /// Outages of discovery that have begun and not ended: it does not respond.
+    /// Number of outages of discovery that are in progress; discovery does not respond unless it is 0.
     pub outages: u32,
-    /// Workers whose change waits for discovery's recovery.
+    /// Workers that changed during an outage; their endpoints are updated when it ends.
     pub unannounced_workers: Vec<WorkerId>,
-    /// The list as it was when it began to contradict itself.
+    /// Copy of the list from the start of a `DiscoveryContradicts` fault; `None` without the fault.
     pub stale_copy: Option<Vec<Endpoint>>,
 }
 
 impl VersionedEndpointList {
-    /// A first list.
+    /// A list of these endpoints, at revision 1.
     pub(crate) fn new(endpoints: Vec<Endpoint>) -> VersionedEndpointList {
         let first = |endpoint| VersionedEndpoint { revision: 1, endpoint };
         VersionedEndpointList {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Changes some endpoints, in one revision.
+    /// Replaces the given endpoints in one new revision.
     pub(crate) fn update(&mut self, endpoints: Vec<Endpoint>) {
         self.revision += 1;
         for endpoint in endpoints {
@@ -49,13 +49,14 @@
         }
     }
 
-    /// Replaces the list by another one; every scheduler gets it as a complete list.
+    /// Replaces the list; every scheduler then gets the full list instead of the changes.
     pub(crate) fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
         self.update(endpoints);
         self.full_list_since = self.revision;
     }
 
-    /// What a scheduler with a revision, or with none, has not been sent; `None` if that is nothing.
+    /// The update for a scheduler that has the `known` revision: the changes since then, or the full list if
+    /// the revision is absent or out of range. Returns `None` if nothing has changed.
     pub(crate) fn changes_since(&self, known: Option<u64>) -> Option<(EndpointUpdateKind, Vec<Endpoint>)> {
         match known {
             Some(known) if known >= self.full_list_since && known <= self.revision => {
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -1,5 +1,8 @@
-//! Shares the state, the workers' listeners and the endpoint list among the emulation's tasks, and carries
-//! out what follows from each change of the state.
+//! Environment of an emulation run: the state, the workers' listeners and the endpoint list, shared by all
+//! tasks.
+//!
+//! Tasks change the state through [`Environment::apply`], which then updates sockets and the endpoint list
+//! and sends callbacks.
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -26,65 +29,65 @@
 use crate::model::worker::ProcessState;
 use crate::scenario::{Scenario, micros_from_seconds};
 
-/// A response of the emulation's own servers.
+/// The response type of the emulation's HTTP servers.
 pub(crate) type HttpResponse = Response<Full<Bytes>>;
 
-/// What a worker's port does with new connections.
+/// How a worker's port handles new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListenerState {
-    /// A process accepts them; the number tells it from the process before.
+    /// A worker process accepts connections; the number differs for each start of the process.
     Accepting(u32),
-    /// No process listens.
+    /// No process listens, so connections are refused.
     Refusing,
-    /// The machine is out of reach.
+    /// The machine is unreachable, so connections are not established.
     Unreachable,
 }
 
-/// A worker as its tasks and connections see it.
+/// The address and control channels of a worker's listener.
 pub(crate) struct WorkerListener {
-    /// Where it listens while it does.
+    /// Address of the worker's port.
     pub address: SocketAddr,
-    /// What its port does; the environment sets it.
+    /// Current state of the port, set by the environment.
     pub listener_state: watch::Sender<ListenerState>,
     /// Wakes the task that advances the worker's model.
     pub wake: Notify,
 }
 
 impl WorkerListener {
-    /// A worker at an address.
+    /// A listener at an address, in its initial state.
     pub(crate) fn new(address: SocketAddr, state: ListenerState) -> WorkerListener {
         WorkerListener { address, listener_state: watch::Sender::new(state), wake: Notify::new() }
     }
 }
 
-/// A scheduler as clients and workers reach it.
+/// A scheduler as a target of clients and workers.
 pub(crate) struct SchedulerTarget {
-    /// Where it listens.
+    /// Address at which the scheduler listens.
     pub address: SocketAddr,
-    /// Whether its process runs and is not about to end.
+    /// Whether the scheduler's process is running and not shutting down.
     pub is_up: Cell<bool>,
 }
 
-/// What the tasks of one run share. They run on one thread; nothing is borrowed over an await.
+/// State shared by the tasks of one run, which run on one thread. No borrow is held across an await.
 pub(crate) struct Environment {
-    /// The scenario.
+    /// The scenario of the run.
     pub scenario: Scenario,
-    /// The model's state.
+    /// State of the emulation: worker models, requests, attempts and counters.
     pub state: RefCell<EmulationState>,
-    /// The workers.
+    /// Listeners of the workers, indexed by worker number.
     pub listeners: Vec<WorkerListener>,
-    /// The endpoint list that discovery serves.
+    /// Endpoint list that discovery serves.
     pub endpoint_list: RefCell<VersionedEndpointList>,
     list_changed: watch::Sender<u64>,
-    /// The schedulers.
+    /// The schedulers, indexed by scheduler number.
     pub schedulers: Vec<SchedulerTarget>,
-    /// For callbacks.
+    /// HTTP client that sends callbacks.
     pub client: HttpClient,
     started_unix_ms: Cell<u64>,
 }
 
 impl Environment {
-    /// Joins a run's parts; all schedulers count as up.
+    /// Creates the environment of a run, with all schedulers counted as up.
     pub(crate) fn new(
         state: EmulationState,
         listeners: Vec<WorkerListener>,
@@ -104,29 +107,29 @@
         }
     }
 
-    /// Starts the run's clock: from now on it counts from 0.
+    /// Starts, or restarts, the run's clock at 0.
     pub(crate) fn start_clock(&self) {
         self.state.borrow_mut().start_clock();
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.started_unix_ms.set(unix_time.as_millis() as u64);
     }
 
-    /// Microseconds since the run's clock was started.
+    /// The run's time: microseconds since the last start of its clock.
     pub(crate) fn now(&self) -> Micros {
         self.state.borrow().now()
     }
 
-    /// An instant of the run.
+    /// Converts a run time in microseconds to an `Instant`.
     pub(crate) fn instant_at(&self, at: Micros) -> Instant {
         self.state.borrow().instant_at(at)
     }
 
-    /// An instant of the run in Unix time, in milliseconds.
+    /// Converts a run time in microseconds to Unix time in milliseconds.
     pub(crate) fn unix_ms_at(&self, at: Micros) -> u64 {
         self.started_unix_ms.get() + at / 1_000
     }
 
-    /// Where a worker listens.
+    /// The address of a worker's port.
     pub(crate) fn worker_address(&self, worker: WorkerId) -> SocketAddr {
         self.listeners[worker.0 as usize].address
     }
@@ -141,12 +144,12 @@
         self.listeners[worker.0 as usize].wake.notify_one();
     }
 
-    /// Changes with each change of the endpoint list.
+    /// A receiver that is notified of each change of the endpoint list.
     pub(crate) fn subscribe_to_list(&self) -> watch::Receiver<u64> {
         self.list_changed.subscribe()
     }
 
-    /// Records that a scheduler was notified of endpoints.
+    /// Tells the rule checker that a scheduler was notified of these endpoints.
     pub(crate) fn record_notification(&self, scheduler: SchedulerId, endpoints: &[Endpoint]) {
         let mut state = self.state.borrow_mut();
         let now = state.now();
@@ -156,29 +159,29 @@
         }
     }
 
-    /// A worker's endpoint as it is now.
+    /// The current endpoint of a worker.
     pub(crate) fn endpoint(&self, worker: WorkerId) -> Endpoint {
         endpoint_of(&self.state.borrow(), worker)
     }
 
-    /// Every worker's endpoint as it is now.
+    /// The current endpoints of all workers.
     pub(crate) fn endpoints(&self) -> Vec<Endpoint> {
         worker_ids(self.listeners.len()).map(|worker| self.endpoint(worker)).collect()
     }
 
-    /// Changes the endpoint list and wakes the watches on it.
+    /// Updates the endpoint list and wakes the held watches.
     pub(crate) fn update_endpoint_list(&self, update: impl FnOnce(&mut VersionedEndpointList)) {
         update(&mut self.endpoint_list.borrow_mut());
         self.list_changed.send_modify(|changes| *changes += 1);
     }
 
-    /// How long the endpoint list lags behind the workers.
+    /// Delay between a change at a worker and its appearance in the endpoint list.
     pub(crate) fn discovery_delay(&self) -> Duration {
         Duration::from_micros(micros_from_seconds(self.scenario.discovery.delay_s))
     }
 
-    /// Changes the state and carries out what follows: callbacks, each by a task that ends with it, and
-    /// what the change means for sockets and the endpoint list.
+    /// Applies a change to the state, then starts the delivery of the resulting callbacks and propagates
+    /// changed workers to their sockets and to the endpoint list. Each callback has its own task.
     pub(crate) fn apply<R>(self: &Rc<Self>, change: impl FnOnce(&mut EmulationState) -> R) -> R {
         let (result, callbacks, changed_workers) = {
             let mut state = self.state.borrow_mut();
@@ -195,7 +198,8 @@
         result
     }
 
-    /// A worker's process or machine changed: its sockets follow, and in time the endpoint list.
+    /// Updates a worker's sockets after a change of its process or machine, and the endpoint list after the
+    /// discovery delay, or after the outage if discovery is down.
     fn propagate_worker_change(self: &Rc<Self>, worker: WorkerId) {
         let listener_state = self.current_listener_state(worker);
         let listener = &self.listeners[worker.0 as usize];
@@ -207,7 +211,7 @@
         if self.endpoint_list.borrow().outages > 0 {
             return self.endpoint_list.borrow_mut().unannounced_workers.push(worker);
         }
-        // Ends after the list's delay.
+        // The task ends after the discovery delay.
         tokio::task::spawn_local(publish_after_delay(Rc::clone(self), endpoint));
     }
 
@@ -217,7 +221,7 @@
         match model.process {
             ProcessState::Up | ProcessState::Draining if model.is_refusing => ListenerState::Refusing,
             ProcessState::Up | ProcessState::Draining => {
-                // Each start is another process.
+                // The start time identifies the process.
                 ListenerState::Accepting(model.started_at.map_or(0, |at| (at / 1_000) as u32 + 1))
             }
             ProcessState::Stopped => ListenerState::Refusing,
@@ -228,7 +232,7 @@
 
 async fn publish_after_delay(environment: Rc<Environment>, endpoint: Endpoint) {
     sleep(environment.discovery_delay()).await;
-    // An unchanged endpoint, as of a worker that only refuses connections, is no change of the list.
+    // Some worker changes, such as refusing connections, do not change its endpoint or the list.
     let is_unchanged =
         environment.endpoint_list.borrow().endpoints[endpoint.worker.0 as usize].endpoint == endpoint;
     if !is_unchanged {
@@ -236,7 +240,7 @@
     }
 }
 
-/// A worker's endpoint as the state has it.
+/// Builds a worker's endpoint from the state.
 pub(crate) fn endpoint_of(state: &EmulationState, worker: WorkerId) -> Endpoint {
     let (model, zone) = &state.workers[worker.0 as usize];
     let worker_state = match model.process {
@@ -256,7 +260,7 @@
     }
 }
 
-/// Serves a connection of the emulation's own that nothing breaks, until it ends.
+/// Serves HTTP requests on a connection without fault injection, until the connection ends.
 pub(crate) async fn serve_connection<F>(stream: TcpStream, respond: impl Fn(Request<Incoming>) -> F)
 where
     F: Future<Output = HttpResponse>,
--- a/crates/testbed/src/emulation/error.rs
+++ b/crates/testbed/src/emulation/error.rs
@@ -1,65 +1,65 @@
-//! The errors of emulations: why a scenario cannot be emulated, or a run ended early.
+//! Errors of emulations.
 use std::io;
 
 use crate::emulation::scheduler_process::ProcessError;
 use crate::emulation::{MAX_JOBS, MAX_SCHEDULERS, MAX_WORKERS};
 
-/// Why a scenario cannot be emulated.
+/// Reasons why a scenario cannot be emulated or a run is aborted.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum EmulationError {
-    /// More workers or schedulers than one machine can have.
+    /// The scenario has more workers or schedulers than one machine can run.
     #[error(
-        "{scenario}: {workers} workers and {schedulers} schedulers; emulate plays {MAX_WORKERS} and \
-         {MAX_SCHEDULERS} at most"
+        "{scenario}: {workers} workers and {schedulers} schedulers; emulate supports at most {MAX_WORKERS} and \
+         {MAX_SCHEDULERS}"
     )]
     FleetTooLarge {
         /// The scenario's name.
         scenario: String,
-        /// Its workers.
+        /// Number of workers.
         workers: usize,
-        /// Its schedulers.
+        /// Number of schedulers.
         schedulers: u32,
     },
-    /// The scenario, by its name, wants sizes in the endpoint list.
-    #[error("{0}: discovery.sizes: emulate's list renews no sizes; sim plays it")]
+    /// The scenario of this name needs worker sizes in the endpoint list.
+    #[error("{0}: discovery.sizes: emulate does not refresh the listed sizes; use sim")]
     SizesUnsupported(String),
-    /// The scenario, by its name, moves discovery.
-    #[error("{0}: faults: emulate has one discovery, which cannot move; sim plays it")]
+    /// The scenario of this name has a fault that moves discovery.
+    #[error("{0}: faults: emulate does not support moving discovery; use sim")]
     DiscoveryMoveUnsupported(String),
-    /// The scenario, by its name, has too many jobs.
+    /// The scenario of this name has too many jobs.
     #[error("{0}: more than {MAX_JOBS} jobs")]
     TooManyJobs(String),
-    /// No address of a running scheduler is given.
+    /// The list of running schedulers is empty.
     #[error("no scheduler")]
     NoScheduler,
     /// The runtime cannot be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A socket or folder cannot be had.
+    /// A socket or temporary directory cannot be created.
     #[error("{resource}: {source}")]
     Resource {
-        /// What it is for.
+        /// Purpose of the socket or directory.
         resource: &'static str,
-        /// Why.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// A scheduler's process does not run as it must.
+    /// A scheduler process failed to start, exited unexpectedly or did not exit on SIGTERM.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A fault ends a scheduler that was not started here.
-    #[error("a scheduler that was not started here cannot end here")]
+    /// A fault stops a scheduler that the emulation did not start.
+    #[error("a fault stops a scheduler that was not started by the emulation")]
     ExternalScheduler,
-    /// The delays in sending cannot be recorded.
+    /// The histogram of send delays cannot be created.
     #[error(transparent)]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// Clients still wait long after the last deadline.
-    #[error("jobs that do not end: a fault of the emulator")]
+    /// Some clients are still waiting long after the last deadline.
+    #[error("some jobs did not end after their deadlines; this is a bug in the emulator")]
     UnfinishedJobs,
 }
 
 impl EmulationError {
-    /// Adds what a socket or folder was for.
+    /// Returns a function that adds the purpose of a socket or directory to an I/O error.
     pub(super) fn resource(resource: &'static str) -> impl Fn(io::Error) -> EmulationError {
         move |source| EmulationError::Resource { resource, source }
     }
--- a/crates/testbed/src/emulation/faults.rs
+++ b/crates/testbed/src/emulation/faults.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario's faults at their instants.
+//! Injects a scenario's faults at their scheduled times.
 use std::rc::Rc;
 
 use tokio::task::spawn_local;
@@ -12,8 +12,8 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::FaultKind;
 
-/// Plays the faults; returns only when one of them cannot be played.
-pub(super) async fn play_faults(
+/// Injects the faults; returns only if one of them fails.
+pub(super) async fn inject_faults(
     environment: &Rc<Environment>,
     transitions: &[FaultTransition],
     processes: &mut [SchedulerProcess],
@@ -22,14 +22,14 @@
     transitions.sort_by_key(|transition| transition.at);
     for transition in transitions {
         sleep_until(environment.instant_at(transition.at)).await;
-        if let Err(error) = play_transition(environment, transition, processes).await {
+        if let Err(error) = apply_transition(environment, transition, processes).await {
             return error;
         }
     }
     std::future::pending().await
 }
 
-async fn play_transition(
+async fn apply_transition(
     environment: &Rc<Environment>,
     transition: FaultTransition,
     processes: &mut [SchedulerProcess],
@@ -51,14 +51,14 @@
             environment.update_endpoint_list(|list| list.outages += 1);
         }
         (FaultKind::DiscoveryDown, _) => {
-            // Ends after the list's delay.
+            // The task ends after the discovery delay.
             spawn_local(end_discovery_outage(Rc::clone(environment)));
         }
         (FaultKind::DiscoveryContradicts, _) => {
             let stale_copy = transition.is_start.then(|| environment.endpoints());
             environment.update_endpoint_list(|list| list.stale_copy = stale_copy);
             if transition.is_start {
-                // Ends soon after the fault.
+                // The task ends at the next switch of lists after the fault.
                 spawn_local(alternate_lists(Rc::clone(environment)));
             }
         }
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// Clients and workers turn away from a scheduler before its process ends.
+/// Stops a scheduler's process, which is marked as down first so that clients and workers do not use it.
 async fn stop_scheduler(
     environment: &Environment,
     scheduler: SchedulerId,
@@ -94,7 +94,7 @@
 
 async fn end_discovery_outage(environment: Rc<Environment>) {
     sleep(environment.discovery_delay()).await;
-    // Only now: what changed during the delay waits there as well.
+    // The list is taken after the delay, to include workers that changed during it.
     let workers = std::mem::take(&mut environment.endpoint_list.borrow_mut().unannounced_workers);
     let endpoints: Vec<_> = workers.into_iter().map(|worker| environment.endpoint(worker)).collect();
     environment.update_endpoint_list(|list| {
@@ -103,7 +103,7 @@
     });
 }
 
-/// Serves the stale and the current list in turn until the fault is over.
+/// Serves the stale and the current endpoint list alternately until the fault ends.
 async fn alternate_lists(environment: Rc<Environment>) {
     sleep(environment.discovery_delay()).await;
     let mut is_stale_next = true;
--- a/crates/testbed/src/emulation/faulty_socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -1,4 +1,4 @@
-//! Breaks a connection on purpose in the middle of a response.
+//! A socket wrapper that injects connection faults into responses.
 use std::cell::Cell;
 use std::io;
 use std::pin::Pin;
@@ -8,39 +8,39 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What happens to the next response.
+/// Fault to inject into the next response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFault {
-    /// It is written.
+    /// The response is written unchanged.
     None,
-    /// Nothing of it is written, and the connection is reset.
+    /// Nothing is written, and the connection is reset.
     Reset,
-    /// Only so many bytes are written, then the connection is reset.
+    /// Only this many bytes are written before the connection is reset.
     Truncate(usize),
-    /// Bytes that are no HTTP take its place, then the connection ends.
+    /// Bytes that are not HTTP are written in place of the response, and the connection is closed.
     Garbage,
 }
 
-/// Sent in place of a response.
+/// Bytes sent in place of a response; not valid HTTP.
 const GARBAGE: &[u8] = b"\x16\x03\x01 202 ACCEPTED maybe\r\n\r\n";
 
-/// A worker's side of a connection. The fault is shared with the connection's request handler, which sets
-/// it before the response is written.
+/// The server side of a worker's connection, with fault injection. The connection's request handler shares
+/// the fault and sets it before the response is written.
 pub struct FaultySocket {
     stream: TcpStream,
     fault: Rc<Cell<ResponseFault>>,
 }
 
 impl FaultySocket {
-    /// Wraps a connection; the response that is written next meets what `fault` holds then.
+    /// Wraps a connection; each response is subject to the value that `fault` has when it is written.
     pub fn new(stream: TcpStream, fault: Rc<Cell<ResponseFault>>) -> FaultySocket {
         FaultySocket { stream, fault }
     }
 }
 
-/// Makes the connection end by a reset when it is dropped.
+/// Configures a connection to be reset, instead of closed gracefully, when it is dropped.
 pub fn reset_connection(stream: &TcpStream) {
-    // Where that fails, it ends in the usual way.
+    // If this fails, the connection is closed gracefully.
     let _ = stream.set_zero_linger();
 }
 
@@ -82,7 +82,7 @@
             }
             ResponseFault::Garbage => {
                 let written = Pin::new(&mut self.stream).poll_write(context, GARBAGE);
-                // Its reader is to see it, so that the end is not a reset.
+                // The connection is not reset, as the peer must be able to read the bytes.
                 if written.is_ready() { broken() } else { Poll::Pending }
             }
         }
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -1,76 +1,77 @@
-//! The messages of workers to schedulers: responses to attempts and load queries, and callbacks.
+//! Messages from workers to schedulers: responses to attempts and load queries, and callbacks.
 use crate::model::scheduler_id::SchedulerId;
 use copperspread_dispatcher::{LoadReport, Micros, WorkerId};
 use tokio::sync::oneshot;
 
-/// A callback on an attempt, to be delivered.
+/// A callback for an attempt, ready for delivery.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Callback {
-    /// The request.
+    /// Id of the request.
     pub request: u64,
-    /// The worker that calls back.
+    /// Worker that sends the callback.
     pub worker: WorkerId,
-    /// The scheduler that is called.
+    /// Scheduler that receives the callback.
     pub scheduler: SchedulerId,
-    /// What it reports.
+    /// Reported state of the attempt.
     pub state: CallbackState,
-    /// The worker's load, with a callback that ends the attempt.
+    /// Load report of the worker, in callbacks for jobs that are done or returned.
     pub load: Option<LoadReport>,
-    /// How long it takes: the network's delay and a fault's.
+    /// Delay of the delivery, in microseconds: that of the network plus that of a fault.
     pub delay: Micros,
-    /// Whether it is sent twice.
+    /// Whether the callback is sent twice.
     pub is_duplicated: bool,
 }
 
-/// What a callback reports of its attempt.
+/// State of an attempt that a callback reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CallbackState {
-    /// The job began to run.
+    /// The job started to run.
     Started,
-    /// This share of it is done.
+    /// The job is running, and this share of it, from 0 to 1, is done.
     Running(f64),
-    /// It is done.
+    /// The job is done.
     Done,
-    /// It was lost with the process.
+    /// The job was lost when the worker process ended.
     Lost,
-    /// It is returned without having started.
+    /// The worker returned the job without having started it.
     Returned,
-    /// It failed; so does a duplicate whose first attempt came to nothing.
+    /// The attempt failed. A dropped duplicate also fails if the attempt that it duplicates is returned or
+    /// cancelled.
     Failed,
 }
 
 /// A worker's response to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum AttemptResponse {
-    /// 202.
+    /// Response 202.
     Accepted,
-    /// 202, of which half is written before the connection is reset.
+    /// Response 202, with the connection reset in the middle of it.
     AcceptedThenReset,
-    /// 503, with the header that promises that the job never runs here.
+    /// Response 503, with the header that guarantees that the worker does not run the job.
     Rejected(LoadReport),
-    /// 400: no client sent this request.
+    /// Response 400: no client sent a request with this id.
     UnknownRequest,
     /// The connection is reset.
     Reset,
-    /// Bytes that are no HTTP.
+    /// Bytes that are not HTTP.
     Garbage,
 }
 
 /// A worker's response to a load query.
 #[derive(Debug)]
 pub(crate) enum LoadQueryResponse {
-    /// 200 with its load, after so long.
+    /// Response 200 with the load report, after this delay in microseconds.
     AfterDelay(Micros),
-    /// It waits in the queue; the channel ends without a message when it was lost there.
+    /// The load query waits in the worker's queue. The channel closes without a message if the query is lost.
     Queued(oneshot::Receiver<()>),
-    /// 503.
+    /// Response 503.
     Unavailable,
-    /// 404: workers have no load queries here.
+    /// Response 404: the scenario has no load queries.
     NotFound,
-    /// 500.
+    /// Response 500.
     Failed,
     /// The connection is reset.
     Reset,
-    /// Bytes that are no HTTP.
+    /// Bytes that are not HTTP.
     Garbage,
 }
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -1,13 +1,15 @@
-//! Runs a scenario in real time. Schedulers are processes, and everything around them runs here on loopback
-//! by the platform's protocol: the same fleet, faults, clients and rule checker as in virtual time.
+//! Emulation: runs a scenario in real time with scheduler processes and loopback sockets.
+//!
+//! Clients, workers and discovery run in this process and use the platform's protocol. Fleet, faults,
+//! clients and rule checker are the same as in the simulation.
 //!
 //! ```text
-//!   clients.rs ──HTTP──► scheduler processes ──HTTP──► workers/ (faulty_socket.rs breaks connections)
+//!   clients.rs ──HTTP──► scheduler processes ──HTTP──► workers/ (connection faults: faulty_socket.rs)
 //!                          ▲ polls discovery              │ each attempt, each load query
 //!      discovery_server.rs ◄── environment.rs ◄── state/ (model, rule checker, counts; no socket)
 //! ```
 //!
-//! `run.rs` starts and ends all of it; `faults.rs` plays the scenario's faults.
+//! `run.rs` starts and stops all of it; `faults.rs` injects the scenario's faults.
 pub mod baseline;
 mod callbacks;
 mod clients;
@@ -36,27 +38,27 @@
 pub use error::EmulationError;
 use scheduler_process::SchedulerProgram;
 
-/// Most jobs in one run: each is a task and some connections here.
+/// Maximum number of jobs in one run: each job takes a task and several connections in this process.
 pub const MAX_JOBS: usize = 200_000;
-/// Most workers: more would want more descriptors than an ordinary user has.
+/// Maximum number of workers: more would exceed the usual limit of file descriptors per process.
 pub const MAX_WORKERS: usize = 200;
-/// Most schedulers: more are no use on one machine.
+/// Maximum number of schedulers: more processes are not useful on one machine.
 pub const MAX_SCHEDULERS: u32 = 16;
 
-/// What the schedulers of a run are.
+/// The scheduler processes of an emulation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SchedulerInstances {
-    /// Processes of this program, started and ended by the run.
+    /// Processes of this program, which the emulation starts and stops.
     Spawned(SchedulerProgram),
-    /// Schedulers that run already, at these addresses. They do not know the emulation's discovery.
+    /// Schedulers that are already running at these addresses. They do not poll the emulation's discovery.
     External(Vec<SocketAddr>),
 }
 
-/// Emulates a scenario. `policy_name` is what the outcome calls the schedulers' policy.
+/// Emulates a scenario and returns the outcome, in which the schedulers' policy is named `policy_name`.
 ///
 /// # Errors
-/// A scenario that is too large for one machine, sockets that cannot be had, or a scheduler that does not
-/// start, ends by itself or does not end when told.
+/// Fails if the scenario is too large for one machine or needs an unsupported feature, if a socket cannot be
+/// opened, or if a scheduler does not start, exits unexpectedly or does not exit on SIGTERM.
 pub fn emulate(
     scenario: &Scenario,
     schedulers: &SchedulerInstances,
@@ -65,11 +67,11 @@
 ) -> Result<RunOutcome, EmulationError> {
     check_limits(scenario, seed)?;
     let runtime = single_threaded_runtime().map_err(EmulationError::Runtime)?;
-    // All tasks of the run are in this set and end with it.
+    // All tasks of the run belong to this task set and are cancelled when it is dropped.
     LocalSet::new().block_on(&runtime, run::run(scenario, schedulers, policy_name, seed))
 }
 
-/// Whether one machine can emulate it.
+/// Checks that one machine can emulate the scenario.
 fn check_limits(scenario: &Scenario, seed: u64) -> Result<(), EmulationError> {
     let workers: usize = scenario.workers.iter().map(|group| group.count as usize).sum();
     let (name, schedulers) = (scenario.name.clone(), scenario.schedulers);
@@ -77,7 +79,7 @@
         return Err(EmulationError::FleetTooLarge { scenario: name, workers, schedulers });
     }
     if scenario.discovery.size_interval_s > 0.0 {
-        // Without sizes all workers would pass for idle.
+        // The emulation refreshes no sizes, so schedulers would take all workers for idle.
         return Err(EmulationError::SizesUnsupported(name));
     }
     if scenario.faults.iter().any(|fault| fault.kind == FaultKind::DiscoveryMoves) {
--- a/crates/testbed/src/emulation/platform_json.rs
+++ b/crates/testbed/src/emulation/platform_json.rs
@@ -1,5 +1,4 @@
-//! Writes what discovery and workers send to schedulers, in the platform's JSON: endpoint lists, callbacks
-//! and load reports.
+//! Serialization of endpoint lists, callbacks and load reports in the platform's JSON format.
 use std::net::SocketAddr;
 
 use copperspread_dispatcher::{LoadReport, WorkerId, WorkerState};
@@ -8,27 +7,27 @@
 use crate::emulation::messages::CallbackState;
 use crate::emulation::scheduler_config::zone_name;
 
-/// One endpoint of a list.
+/// An endpoint of an endpoint list, with the fields that the platform requires.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointRecord<'a> {
-    /// The worker.
+    /// Number of the worker.
     pub worker: WorkerId,
-    /// Where it listens.
+    /// Address at which the worker listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Index of the worker's zone.
     pub zone: u32,
-    /// Its kind.
+    /// Name of the worker kind.
     pub kind: &'a str,
-    /// Its cell.
+    /// Index of the worker's cell.
     pub cell: u32,
-    /// Whether it accepts jobs.
+    /// State of the worker.
     pub state: WorkerState,
-    /// When its process started, in milliseconds of Unix time; 0 where that is not known.
+    /// Start time of the worker process, in milliseconds of Unix time; 0 if unknown.
     pub started_at_unix_ms: u64,
 }
 
 impl EndpointRecord<'_> {
-    /// The endpoint as a member of a list.
+    /// Serializes the endpoint as a member of an endpoint list.
     pub(crate) fn to_json(self) -> Value {
         let phase = match self.state {
             WorkerState::Ready => "SERVING",
@@ -48,12 +47,12 @@
     }
 }
 
-/// A list of endpoints, or of those that changed where it is not complete.
+/// Serializes an endpoint list: all endpoints if `is_complete`, otherwise those that changed.
 pub(crate) fn endpoint_list_json(revision: u64, is_complete: bool, members: &[Value]) -> Value {
     json!({"revision": revision, "complete": is_complete, "members": members})
 }
 
-/// A callback's body. A load report belongs to a callback that ends the attempt, where the worker sends one.
+/// Serializes the body of a callback, with the worker's load report if there is one.
 pub(crate) fn callback_json(
     request: u64,
     worker: WorkerId,
@@ -73,17 +72,17 @@
     body
 }
 
-/// The result that a worker makes for a request.
+/// The result that a worker produces for a request.
 pub(crate) fn expected_result(request: u64) -> String {
     format!("result of {}", request_name(request))
 }
 
-/// A load report as a JSON object.
+/// Serializes a load report as a JSON object.
 pub(crate) fn load_report_json(report: &LoadReport) -> Value {
     load_report_fields(report).map(|(name, value)| (name.to_owned(), value)).collect()
 }
 
-/// A load report as a header's value.
+/// Serializes a load report as a header value.
 pub(crate) fn load_report_header(report: &LoadReport) -> String {
     let parts = load_report_fields(report).map(|(name, value)| format!("{name}={value:.4}"));
     format!("TEXT {}", parts.collect::<Vec<_>>().join(", "))
@@ -108,7 +107,7 @@
     }
 }
 
-/// A load report's figures that are known, by the platform's names.
+/// The known values of a load report with the platform's field names.
 fn load_report_fields(report: &LoadReport) -> impl Iterator<Item = (&'static str, f64)> {
     let fields = [
         ("x0", report.free_slots),
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -1,4 +1,4 @@
-//! Starts and ends one run: its sockets, tasks and processes, and its outcome.
+//! Execution of one emulation run: sockets, tasks, scheduler processes and the outcome.
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::emulation::discovery_server::{discovery_response_json, serve_discovery};
 use crate::emulation::endpoint_list::VersionedEndpointList;
 use crate::emulation::environment::{Environment, ListenerState, WorkerListener, endpoint_of};
-use crate::emulation::faults::play_faults;
+use crate::emulation::faults::inject_faults;
 use crate::emulation::scheduler_config::SchedulerConfig;
 use crate::emulation::scheduler_process::{SchedulerProcess, SchedulerProgram, cpu_time, reserve_address};
 use crate::emulation::state::EmulationState;
@@ -23,12 +23,12 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::Scenario;
 
-/// Time between the schedulers' readiness and the first client.
+/// Time between the schedulers' readiness and the start of the clients.
 const SETTLE_TIME: Duration = Duration::from_millis(200);
-/// The shortest run that processor time is divided by, in seconds.
+/// Lower bound of the run duration by which processor time is divided, in seconds.
 const MIN_RUN_S: f64 = 1.0 / SECOND as f64;
 
-/// What the schedulers' processes and this program used.
+/// Measurements of the scheduler processes and of the emulation itself.
 struct Measurements {
     send_lag: SendLag,
     scheduler_cpu: Duration,
@@ -52,7 +52,7 @@
     let list = VersionedEndpointList::new(endpoints);
     let environment = Rc::new(Environment::new(state, listeners, list, addresses));
     spawn_workers(&environment, sockets);
-    let folder = tempfile::tempdir().map_err(EmulationError::resource("a folder for configurations"))?;
+    let folder = tempfile::tempdir().map_err(EmulationError::resource("directory for configurations"))?;
     environment.start_clock();
     let mut processes = match schedulers {
         SchedulerInstances::Spawned(program) => {
@@ -64,12 +64,12 @@
         process.start().await?;
     }
     sleep(SETTLE_TIME).await;
-    // The run's time begins here: what schedulers were notified of before counts as known at its start.
+    // Time 0 of the run. Notifications that schedulers got earlier count as received at this time.
     environment.start_clock();
     let started_at = Instant::now();
     let send_lag = tokio::select! {
         send_lag = send_jobs(&environment, seed) => send_lag,
-        error = play_faults(&environment, &transitions, &mut processes) => return Err(error),
+        error = inject_faults(&environment, &transitions, &mut processes) => return Err(error),
     };
     let duration = started_at.elapsed();
     let scheduler_cpu = stop_processes(&mut processes).await?;
@@ -77,11 +77,11 @@
     Ok(outcome(&environment, policy_name, seed, &measurements))
 }
 
-/// Binds each worker's port, which stays bound for the whole run.
+/// Reserves a port for each worker, which stays bound for the whole run.
 fn bind_workers(fleet: &Fleet) -> Result<(Vec<WorkerListener>, Vec<TcpSocket>), EmulationError> {
     let (mut listeners, mut sockets) = (Vec::new(), Vec::new());
     for (worker, _) in &fleet.workers {
-        let (socket, address) = reserve_address().map_err(EmulationError::resource("a worker's port"))?;
+        let (socket, address) = reserve_address().map_err(EmulationError::resource("port of a worker"))?;
         let state = if worker.accepts_jobs() { ListenerState::Accepting(0) } else { ListenerState::Refusing };
         listeners.push(WorkerListener::new(address, state));
         sockets.push(socket);
@@ -89,7 +89,7 @@
     Ok((listeners, sockets))
 }
 
-/// The endpoint list that schedulers remember: it still has workers that are gone.
+/// The cached endpoint list of the schedulers, in which missing workers are still ready.
 fn cached_endpoints(endpoints: &[Endpoint], missing_workers: &[WorkerId]) -> Vec<Endpoint> {
     let mut cached = endpoints.to_vec();
     for &worker in missing_workers {
@@ -98,7 +98,7 @@
     cached
 }
 
-/// The schedulers' addresses, with the sockets that reserve those of schedulers that are still to start.
+/// The addresses of the schedulers, and the sockets that reserve them until spawned schedulers listen.
 fn scheduler_addresses(
     schedulers: &SchedulerInstances,
     count: u32,
@@ -108,7 +108,7 @@
         addresses.push(match schedulers {
             SchedulerInstances::Spawned(_) => {
                 let (socket, address) =
-                    reserve_address().map_err(EmulationError::resource("a scheduler's port"))?;
+                    reserve_address().map_err(EmulationError::resource("port of a scheduler"))?;
                 reserved.push(socket);
                 address
             }
@@ -120,7 +120,7 @@
     Ok((addresses, reserved))
 }
 
-/// Starts the workers' tasks, which end with the run's set of tasks.
+/// Spawns the tasks of the workers, which end with the run's task set.
 fn spawn_workers(environment: &Rc<Environment>, sockets: Vec<TcpSocket>) {
     for (worker, socket) in worker_ids(sockets.len()).zip(sockets) {
         spawn_local(workers::run_listener(Rc::clone(environment), worker, Some(socket)));
@@ -130,7 +130,8 @@
     }
 }
 
-/// Starts each scheduler's discovery, which ends with the run's set of tasks, and writes its configuration.
+/// Starts a discovery server for each scheduler, which ends with the run's task set, and writes the
+/// scheduler's configuration.
 async fn prepare_processes(
     environment: &Rc<Environment>,
     program: &SchedulerProgram,
@@ -143,8 +144,9 @@
     let ids = SchedulerId::first(environment.schedulers.len() as u32);
     for (id, scheduler) in ids.zip(&environment.schedulers) {
         let listener = TcpListener::bind("127.0.0.1:0").await;
-        let listener = listener.map_err(EmulationError::resource("a list's port"))?;
-        let discovery = listener.local_addr().map_err(EmulationError::resource("a list's port"))?;
+        let listener = listener.map_err(EmulationError::resource("port of a discovery server"))?;
+        let discovery =
+            listener.local_addr().map_err(EmulationError::resource("port of a discovery server"))?;
         spawn_local(serve_discovery(Rc::clone(environment), id, listener));
         let cached_list = (scenario.discovery.first_list_after_s > 0.0)
             .then(|| discovery_response_json(environment, EndpointUpdateKind::Cached, 0, cached_endpoints));
@@ -162,7 +164,7 @@
     Ok(processes)
 }
 
-/// Ends the schedulers. Returns the processor time that they used.
+/// Stops the schedulers and returns the processor time that they used.
 async fn stop_processes(processes: &mut [SchedulerProcess]) -> Result<Duration, EmulationError> {
     let mut cpu = Duration::ZERO;
     for process in processes.iter_mut() {
--- a/crates/testbed/src/emulation/scheduler_config.rs
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -1,4 +1,4 @@
-//! Writes a scheduler's configuration in the platform's form, from a scenario.
+//! Generation of a scheduler's configuration, in the platform's format, from a scenario.
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
@@ -6,36 +6,38 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::{CONNECT_TIMEOUT, DeduplicationScope, JobClass, LoadQuery, RepeatPolicy, Scenario};
 
-/// The resources that the platform grants one scheduler.
+/// Number of cores that the platform grants a scheduler.
 const CORES: f64 = 1.0;
+/// Memory that the platform grants a scheduler, in megabytes.
 const MEMORY_MB: u32 = 192;
+/// Number of sockets that the platform grants a scheduler.
 const SOCKETS: u32 = 1024;
-/// How long an idle connection is kept, in seconds.
+/// Idle timeout of connections, in seconds.
 const KEEPALIVE_S: f64 = 5.0;
-/// Sets the schedulers' seeds apart.
+/// Difference between the seeds of consecutive schedulers.
 const SEED_STRIDE: u64 = 7919;
 /// The shortest overload window that the platform accepts, in seconds.
 const MIN_OVERLOAD_WINDOW_S: f64 = 0.001;
 
-/// What the configuration of one scheduler is made from.
+/// Inputs of the configuration of one scheduler.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulerConfig<'a> {
-    /// The scenario.
+    /// Scenario of the run.
     pub scenario: &'a Scenario,
-    /// The scheduler's number.
+    /// Number of the scheduler.
     pub scheduler: SchedulerId,
-    /// The run's seed.
+    /// Seed of the run, from which the scheduler's seed is derived.
     pub seed: u64,
-    /// Where the scheduler listens.
+    /// Address at which the scheduler listens.
     pub listen: SocketAddr,
-    /// Where it polls discovery.
+    /// Address of the discovery server that the scheduler polls.
     pub discovery: SocketAddr,
-    /// The endpoint list that it remembers from before a restart, in discovery's form.
+    /// Cached endpoint list from before a restart, in the format of discovery's responses.
     pub cached_list: Option<&'a Value>,
 }
 
 impl SchedulerConfig<'_> {
-    /// The configuration as the platform writes it.
+    /// Generates the configuration in the platform's JSON format.
     pub fn to_platform_json(&self) -> Value {
         let seed = self.seed.wrapping_add(u64::from(self.scheduler.0) * SEED_STRIDE);
         let mut config = json!({
@@ -140,7 +142,7 @@
     settings
 }
 
-/// A zone's name on the platform.
+/// The platform's name of a zone.
 pub fn zone_name(number: u32) -> String {
     format!("zone-{number}")
 }
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -1,4 +1,4 @@
-//! Starts and ends the schedulers' processes, and measures what they used of the machine.
+//! Scheduler processes: start, shutdown, and measurement of processor time and memory.
 use std::fs::File;
 use std::io;
 use std::net::SocketAddr;
@@ -21,84 +21,84 @@
 use crate::policy::PolicyKind;
 use crate::startup::CONFIG_VARIABLE;
 
-/// How long a program may take until it reports that it is ready.
+/// Time within which a started scheduler must report that it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often it is polled for that.
+/// Interval between readiness polls.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a program may take to end after SIGTERM before it is killed: past the longest deadline.
+/// Time within which a scheduler must exit after SIGTERM before it is killed; beyond the longest deadline.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
-/// The scheduler's own program, beside this one.
+/// File name of the scheduler program, in the same directory as this program.
 const SCHEDULER_PROGRAM: &str = "copperspread-scheduler";
 
-/// Why a scheduler's process cannot run or does not run as it must.
+/// Errors of scheduler processes.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ProcessError {
-    /// This program's own file cannot be found.
-    #[error("this program's own file: {0}")]
+    /// The path of the current executable cannot be determined.
+    #[error("cannot determine the path of this program: {0}")]
     OwnFile(#[source] io::Error),
-    /// The scheduler's program is not beside this one.
+    /// The scheduler program is not in the same directory as this program.
     #[error(
-        "{} is not there: build it with `cargo build --release -p copperspread-scheduler`, or name one with --program",
+        "{} does not exist: build it with `cargo build --release -p copperspread-scheduler`, or name one with --program",
         .0.display()
     )]
     NoSchedulerProgram(PathBuf),
     /// A configuration or log file cannot be written, or the program cannot be started or waited for.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file or program.
         path: PathBuf,
-        /// Why.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// The address makes no valid request.
+    /// No valid HTTP request can be built for the address.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The program ended before it was ready.
-    #[error("{}: ended with {status}; it said: {last_log_line}", program.display())]
+    /// The program exited before it was ready.
+    #[error("{}: ended with {status}; last log line: {last_log_line}", program.display())]
     ExitedAtStart {
         /// The program.
         program: PathBuf,
-        /// How it ended.
+        /// Exit status of the process.
         status: ExitStatus,
-        /// The last line of its log.
+        /// Last line of the program's log.
         last_log_line: String,
     },
-    /// The program was not ready within the time-out.
-    #[error("{}: was not ready in 10 s", .0.display())]
+    /// The program was not ready within the timeout.
+    #[error("{}: not ready within 10 s", .0.display())]
     NotReady(PathBuf),
-    /// The program's state cannot be read.
+    /// The state of the process cannot be read.
     #[error(transparent)]
     Wait(io::Error),
-    /// The program ended without having been told to, or with an error.
-    #[error("a scheduler ended by itself with {status}; it said: {last_log_line}")]
+    /// The process exited without having been told to, or with an error.
+    #[error("a scheduler exited unexpectedly with {status}; last log line: {last_log_line}")]
     ExitedEarly {
-        /// How it ended.
+        /// Exit status of the process.
         status: ExitStatus,
-        /// The last line of its log.
+        /// Last line of the program's log.
         last_log_line: String,
     },
-    /// The program did not end on SIGTERM.
-    #[error("a scheduler did not end on SIGTERM and was killed")]
+    /// The process did not exit on SIGTERM and was killed.
+    #[error("a scheduler did not exit on SIGTERM and was killed")]
     Killed,
 }
 
-/// What is started for each scheduler: a program with its arguments. It finds its configuration by
-/// `EDGE_CONFIG`, as on the platform.
+/// The program that is started for each scheduler, with its arguments. As on the platform, the environment
+/// variable `EDGE_CONFIG` names its configuration file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerProgram {
-    /// The file.
+    /// Path of the program.
     pub file: PathBuf,
-    /// Its arguments.
+    /// Arguments of the program.
     pub arguments: Vec<String>,
 }
 
 impl SchedulerProgram {
-    /// The program that dispatches by a policy: for the scheduler's own policy its own program, which lies
-    /// beside this one; else this program, as a node with the policy.
+    /// The program that schedules with a policy: the scheduler program for its own policy, and this program's
+    /// `node` command for any other.
     ///
     /// # Errors
-    /// A program that is not there.
+    /// Fails if the program does not exist or its path cannot be determined.
     pub fn for_policy(policy: PolicyKind) -> Result<SchedulerProgram, ProcessError> {
         let own_file = std::env::current_exe().map_err(ProcessError::OwnFile)?;
         if policy != PolicyKind::Copperspread {
@@ -113,11 +113,13 @@
     }
 }
 
-/// Reserves a loopback address: bound and not listening, so that the kernel gives it to nobody else,
-/// while a listener that may share addresses, as Rust's do, can still take it.
+/// Reserves a loopback address with a socket that is bound but not listening.
+///
+/// The kernel assigns the address to no other socket, while a listener that sets `SO_REUSEADDR`, as those of
+/// Rust's libraries do, can still bind it.
 ///
 /// # Errors
-/// A socket that cannot be had.
+/// Fails if the socket cannot be created or bound.
 pub fn reserve_address() -> io::Result<(TcpSocket, SocketAddr)> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -126,23 +128,23 @@
     Ok((socket, address))
 }
 
-/// One scheduler's process. The child is killed when this is dropped.
+/// A scheduler's process, which is killed when this is dropped.
 pub struct SchedulerProcess {
-    /// Where it listens.
+    /// Address at which the scheduler listens.
     pub address: SocketAddr,
     program: SchedulerProgram,
     config_path: PathBuf,
     log_path: PathBuf,
     child: Option<Child>,
-    /// It was told to end, and may.
+    /// Whether SIGTERM was sent, so that the process may exit.
     is_terminating: bool,
 }
 
 impl SchedulerProcess {
-    /// Writes its configuration to a folder; it does not run yet.
+    /// Writes the scheduler's configuration to `folder`, without starting the process.
     ///
     /// # Errors
-    /// A file that cannot be written.
+    /// Fails if the file cannot be written.
     pub fn new(
         program: &SchedulerProgram,
         folder: &Path,
@@ -159,10 +161,10 @@
         Ok(SchedulerProcess { address, program, config_path, log_path, child: None, is_terminating: false })
     }
 
-    /// Starts it and waits until it reports that it is ready.
+    /// Starts the process and waits until it reports that it is ready.
     ///
     /// # Errors
-    /// A program that cannot be started, ends, or does not get ready in time.
+    /// Fails if the program cannot be started, exits, or is not ready in time.
     pub async fn start(&mut self) -> Result<(), ProcessError> {
         let mut child = self.spawn()?;
         self.wait_until_ready(&mut child).await?;
@@ -170,7 +172,7 @@
         Ok(())
     }
 
-    /// Starts the program, with its log appended to the same file at each start.
+    /// Starts the program. Each start appends to the same log file.
     fn spawn(&self) -> Result<Child, ProcessError> {
         let log = File::options().create(true).append(true).open(&self.log_path);
         let log = log.map_err(|source| ProcessError::File { path: self.log_path.clone(), source })?;
@@ -210,22 +212,22 @@
         log.lines().last().unwrap_or_default().to_owned()
     }
 
-    /// The process's id while it runs.
+    /// The id of the process; `None` if it is not running.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
-    /// Kills it, as a crash does, and waits for its end.
+    /// Kills the process, to simulate a crash, and waits until it has ended.
     pub async fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill().await;
         }
     }
 
-    /// Checks that it did not end by itself.
+    /// Checks that the process has not exited unexpectedly.
     ///
     /// # Errors
-    /// It did; or its state cannot be read.
+    /// Fails if it has, or if its state cannot be read.
     pub fn check_running(&mut self) -> Result<(), ProcessError> {
         let exit_status = match &mut self.child {
             Some(child) => child.try_wait().map_err(ProcessError::Wait)?,
@@ -239,7 +241,7 @@
         }
     }
 
-    /// Sends it SIGTERM, on which it finishes the requests that it has and ends.
+    /// Sends SIGTERM, on which the scheduler finishes its accepted requests and exits.
     pub fn terminate(&mut self) {
         self.is_terminating = true;
         if let Some(pid) = self.pid().and_then(|id| Pid::from_raw(id as i32)) {
@@ -247,10 +249,10 @@
         }
     }
 
-    /// Ends it by SIGTERM, or where that does not help by a kill, and waits for its end.
+    /// Stops the process with SIGTERM, kills it after a timeout, and waits until it has ended.
     ///
     /// # Errors
-    /// A program that had to be killed.
+    /// Fails if the process had to be killed.
     pub async fn stop(&mut self) -> Result<(), ProcessError> {
         self.terminate();
         let Some(mut child) = self.child.take() else { return Ok(()) };
@@ -262,13 +264,13 @@
     }
 }
 
-/// Processor time that a process has used, user and system.
+/// Processor time (user and system) that a process has used; `None` if it cannot be read.
 pub fn cpu_time(pid: u32) -> Option<Duration> {
     let stat = procfs::process::Process::new(pid as i32).ok()?.stat().ok()?;
     Some(Duration::from_secs_f64((stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64))
 }
 
-/// Memory that a process holds, in bytes.
+/// Resident memory of a process, in bytes; `None` if it cannot be read.
 pub fn resident_memory_bytes(pid: u32) -> Option<u64> {
     let status = procfs::process::Process::new(pid as i32).ok()?.status().ok()?;
     status.vmrss.map(|kibibytes| kibibytes * 1024)
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -1,4 +1,4 @@
-//! Accepts and cancels attempts at workers.
+//! Delivery, acceptance and cancellation of attempts at workers.
 use copperspread_dispatcher::{Idempotency, Micros, WorkerId};
 use rand::RngExt;
 
@@ -10,20 +10,21 @@
 use crate::model::idempotency_keys::{DuplicateOutcome, key_group};
 use crate::model::worker::OfferResult;
 
-/// An attempt that has arrived as a whole.
+/// An attempt that has arrived completely, head and body.
 struct DeliveredAttempt {
     id: u64,
     attempt: Attempt,
     arrival: Arrival,
     idempotency: Idempotency,
-    /// The workers that share the memory of its key.
+    /// Group of workers that deduplicate the attempt's key together.
     key_group: u32,
-    /// When its head arrived.
+    /// Arrival time of the attempt's head.
     head_arrived_at: Micros,
 }
 
 impl EmulationState {
-    /// An attempt's head arrives at a worker. Returns the network's delay until the rest does.
+    /// Records the arrival of an attempt's head at a worker. Returns the network delay until the rest of the
+    /// attempt arrives, in microseconds.
     pub(crate) fn attempt_arrives(&mut self, request: u64, worker: WorkerId) -> Micros {
         let now = self.now();
         let Some(&PendingRequest { job, scheduler }) = self.requests.get(&request) else { return 0 };
@@ -36,7 +37,8 @@
         self.network_delay(from, to)
     }
 
-    /// The same attempt has arrived as a whole, its head at `head_arrived_at`.
+    /// Handles an attempt that has arrived completely, with its head at `head_arrived_at`, and returns the
+    /// worker's response.
     pub(crate) fn accept_attempt(
         &mut self,
         request: u64,
@@ -56,7 +58,7 @@
             DeliveryResult::ResetBeforeTaken => AttemptResponse::Reset,
             DeliveryResult::InvalidResponse => AttemptResponse::Garbage,
             DeliveryResult::ImmediateError => {
-                self.fail_at_once(&delivered, now);
+                self.fail_immediately(&delivered, now);
                 AttemptResponse::Accepted
             }
             DeliveryResult::Delivered => self.offer_to_worker(&delivered, now),
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Gives an attempt its number; `None` if no client sent the request.
+    /// Assigns an id to an attempt; `None` if no client sent the request.
     fn deliver_attempt(
         &mut self,
         request: u64,
@@ -88,7 +90,8 @@
         Some(DeliveredAttempt { id, attempt, arrival, idempotency, key_group, head_arrived_at })
     }
 
-    /// Drops an attempt whose key its worker knows: it is told what becomes of the first. Whether it was one.
+    /// Drops an attempt if its key is known to the worker's key group; its callbacks then follow the first
+    /// attempt with the key. Returns whether the attempt was dropped.
     fn drop_duplicate(&mut self, delivered: &DeliveredAttempt, now: Micros) -> bool {
         let Idempotency::IdempotentWithKey { window, .. } = delivered.idempotency else { return false };
         let Attempt { job, worker, .. } = delivered.attempt;
@@ -105,8 +108,8 @@
         true
     }
 
-    /// Fails an attempt at once. As in virtual time, the rules count it as one that may have run.
-    fn fail_at_once(&mut self, delivered: &DeliveredAttempt, now: Micros) {
+    /// Fails an attempt immediately. As in the simulation, the rule checker counts it as possibly run.
+    fn fail_immediately(&mut self, delivered: &DeliveredAttempt, now: Micros) {
         self.record_accepted(delivered, now);
         self.rule_checker.job_started(now, delivered.attempt.job, delivered.idempotency);
         self.queue_callback(delivered.id, AttemptEvent::Failed);
@@ -127,7 +130,7 @@
                 AttemptResponse::Accepted
             }
             OfferResult::QueueFull => AttemptResponse::Rejected(self.response_load_report(worker)),
-            // Its sockets are about to close.
+            // The worker's sockets are about to close.
             OfferResult::ConnectionRefused | OfferResult::Unreachable => AttemptResponse::Reset,
         }
     }
@@ -146,16 +149,16 @@
         }
     }
 
-    /// Stops a request's attempts at a worker where a scheduler cancelled it there, if the scenario's
-    /// cancellations stop jobs.
+    /// Cancels a request's attempts at a worker, if the scenario's cancellations stop jobs; otherwise does
+    /// nothing.
     pub(crate) fn cancel_request(&mut self, request: u64, worker: WorkerId) {
         if !self.scenario.tuning.cancel_stops_job {
             return;
         }
         self.account_in_flight();
         let now = self.now();
-        let is_meant = |attempt: &Attempt| attempt.request == request && attempt.worker == worker;
-        let attempts = self.attempts.iter().filter(|(_, attempt)| is_meant(attempt));
+        let is_cancelled = |attempt: &Attempt| attempt.request == request && attempt.worker == worker;
+        let attempts = self.attempts.iter().filter(|(_, attempt)| is_cancelled(attempt));
         let ids: Vec<u64> = attempts.map(|(id, _)| *id).collect();
         for id in ids {
             self.cancel_attempt(id, worker, now);
@@ -173,7 +176,7 @@
         self.apply_effects(worker, effects);
     }
 
-    /// The key of an attempt that never ran is forgotten with it.
+    /// Forgets the key of an attempt that will not run, so that a later attempt with the key is not dropped.
     pub(super) fn forget_key(&mut self, id: u64) {
         let job = self.attempts.get(&id).map(|attempt| attempt.job);
         if let Some(job) = job.and_then(|job| self.jobs.get_mut(&job)) {
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -1,24 +1,24 @@
-//! Applies what follows from a change at a worker: counts, rules, duplicates and callbacks.
+//! Effects of changes at workers on counters, the rule checker, dropped duplicates and callbacks.
 use copperspread_dispatcher::{LoadReport, Micros, RequestId, WorkerId};
 
 use crate::emulation::messages::{Callback, CallbackState};
 use crate::emulation::state::{Attempt, EmulationState};
 use crate::model::worker::WorkerEffect;
 
-/// What happened to an attempt at its worker.
+/// An event of an attempt at its worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptEvent {
-    /// It began to run.
+    /// The job started to run.
     Started,
-    /// This share of it is done.
+    /// The job is running, and this share of it, from 0 to 1, is done.
     Running(f64),
-    /// It is done.
+    /// The job is done.
     Done,
-    /// It was lost with the process.
+    /// The job was lost when the worker process ended.
     Lost,
-    /// It was returned without having started.
+    /// The worker returned the job without having started it.
     Returned,
-    /// It failed.
+    /// The attempt failed.
     Failed,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl EmulationState {
-    /// Applies what a change of a worker's model led to.
+    /// Applies the effects that a change of a worker's model produced.
     pub(super) fn apply_effects(&mut self, worker: WorkerId, effects: Vec<WorkerEffect>) {
         let now = self.now();
         for effect in effects {
@@ -68,7 +68,7 @@
     fn attempt_finished(&mut self, id: u64, is_reported: bool) {
         self.in_flight.count -= 1;
         if let Some(response) = self.load_queries.remove(&id) {
-            // Whoever sent the load query may have gone.
+            // The receiver is gone if the connection of the load query has closed.
             let _ = response.send(());
         }
         if is_reported {
@@ -95,7 +95,7 @@
         self.end_attempt(id, AttemptEvent::Failed);
     }
 
-    /// Queues a callback with the progress of each job that runs at a worker.
+    /// Queues a progress callback for each job that is running at a worker.
     pub(crate) fn report_progress(&mut self, worker: WorkerId) {
         let now = self.now();
         let model = &self.workers[worker.0 as usize].0;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Ends an attempt: duplicates that were dropped for it are told the same.
+    /// Removes an ended attempt and reports the same event for the duplicates that were dropped in its favor.
     pub(super) fn end_attempt(&mut self, id: u64, event: AttemptEvent) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let Some(job) = self.jobs.get_mut(&attempt.job) else { return };
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Queues a callback on an attempt, if its worker still has it.
+    /// Queues a callback for an attempt, if the attempt is still known.
     pub(super) fn queue_callback(&mut self, id: u64, event: AttemptEvent) {
         let Some(&Attempt { request, worker, scheduler, .. }) = self.attempts.get(&id) else { return };
         let load = self.callback_load(worker, event);
@@ -139,7 +139,7 @@
         });
     }
 
-    /// The load that a worker sends with a callback.
+    /// The load report that a worker sends with a callback; `None` unless the job is done or returned.
     fn callback_load(&mut self, worker: WorkerId, event: AttemptEvent) -> Option<LoadReport> {
         let is_sent = matches!(event, AttemptEvent::Done | AttemptEvent::Returned);
         is_sent.then(|| self.response_load_report(worker))
--- a/crates/testbed/src/emulation/state/load_queries.rs
+++ b/crates/testbed/src/emulation/state/load_queries.rs
@@ -1,4 +1,4 @@
-//! Answers load queries, and makes the load reports of workers.
+//! Handling of load queries, and generation of the workers' load reports.
 use copperspread_dispatcher::{LoadReport, Micros, WorkerId};
 use rand::RngExt;
 use rand_distr::{Distribution, Normal};
@@ -12,7 +12,7 @@
 use crate::scenario::micros_from_seconds;
 
 impl EmulationState {
-    /// A load query arrives at a worker.
+    /// Handles a load query that arrives at a worker, and returns the worker's response.
     pub(crate) fn accept_load_query(&mut self, worker: WorkerId) -> LoadQueryResponse {
         let Some(query) = self.scenario.load_reports.load_query else { return LoadQueryResponse::NotFound };
         self.account_in_flight();
@@ -37,7 +37,7 @@
         LoadQueryResponse::AfterDelay(micros_from_seconds(query.work / model.spec.speed))
     }
 
-    /// Puts a load query into a worker's queue like a job of one slot.
+    /// Puts a load query into a worker's queue, as a job of one slot.
     fn queue_load_query(&mut self, worker: WorkerId, work: f64, now: Micros) -> LoadQueryResponse {
         let id = self.next_id();
         let mut effects = Vec::new();
@@ -52,7 +52,7 @@
         LoadQueryResponse::Queued(finished)
     }
 
-    /// The load report with which a worker responds to a load query.
+    /// The load report in a worker's response to a load query.
     pub(crate) fn queried_load_report(&mut self, worker: WorkerId) -> LoadReport {
         let now = self.now();
         let query = self.scenario.load_reports.load_query;
@@ -61,7 +61,7 @@
         self.workers[worker.0 as usize].0.answer_load_query(now, delay).unwrap_or_default()
     }
 
-    /// Refreshes the load report that a worker's responses to load queries hold.
+    /// Refreshes the load report that a worker sends in response to load queries.
     pub(crate) fn refresh_load_report(&mut self, worker: WorkerId) {
         let now = self.now();
         let interval = micros_from_seconds(self.scenario.load_reports.refresh_interval_s);
@@ -69,7 +69,8 @@
         self.workers[worker.0 as usize].0.refresh_load_report(now, interval, noise);
     }
 
-    /// The load report that comes with a response or callback; empty where load is learned by load query.
+    /// The load report that a worker sends with a response or callback; empty if the scenario has load
+    /// queries.
     pub(super) fn response_load_report(&mut self, worker: WorkerId) -> LoadReport {
         if self.scenario.load_reports.load_query.is_some() {
             return LoadReport::default();
@@ -82,7 +83,7 @@
     }
 }
 
-/// Draws the noise of one of a report's figures at each call.
+/// Returns a function that draws normally distributed noise for one value of a load report.
 fn noise(random: &mut RandomStream, sigma: f64) -> impl FnMut() -> f64 {
     move || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(&mut *random))
 }
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -1,5 +1,7 @@
-//! Holds what the emulation knows: the model's workers in real time, who requested what, and the rule
-//! checker. No socket and no await: the tasks around it report what arrived and carry out what it returns.
+//! State of an emulation: worker models in real time, requests, attempts, the rule checker and counters.
+//!
+//! The state does no I/O: the surrounding tasks report received messages to it and carry out the actions that
+//! it returns.
 mod attempts;
 mod effects;
 mod load_queries;
@@ -23,7 +25,7 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{FaultKind, Scenario, micros_from_seconds};
 
-/// Network delays below this are left to the machine's own: they are shorter than a timer's step.
+/// Shortest network delay that is emulated, in microseconds. Shorter delays are below the timer's resolution.
 const MIN_NETWORK_DELAY: Micros = 1_000;
 
 /// A request that a client sent.
@@ -42,13 +44,13 @@
     scheduler: SchedulerId,
 }
 
-/// A client's job.
+/// A client's job with the history of its idempotency key.
 struct ClientJob {
     arrival: Arrival,
     keys: KeyHistory,
 }
 
-/// The jobs in all workers, and their sum over time.
+/// Number of jobs at all workers, and its integral over time.
 #[derive(Default)]
 struct InFlightJobs {
     count: u64,
@@ -56,39 +58,39 @@
     accounted_until: Micros,
 }
 
-/// The state of one run. The environment owns it; all its tasks run on one thread.
+/// State of one run, owned by the environment, whose tasks run on one thread.
 pub(crate) struct EmulationState {
-    /// The scenario.
+    /// The scenario of the run.
     pub scenario: Scenario,
-    /// Workers with their zones.
+    /// Worker models with their zones, indexed by worker number.
     pub workers: Vec<(Worker, u32)>,
-    /// Each worker's kind.
+    /// Index of the kind of each worker.
     pub kinds: Vec<u32>,
-    /// Each worker's cell.
+    /// Cell of each worker.
     pub cells: Vec<u32>,
-    /// The faults of the workers' connections.
+    /// Active connection faults of each worker.
     connections: Vec<ConnectionFaults>,
-    /// Checks the rules by what clients and workers see.
+    /// Rule checker, which is fed with the events at clients and workers.
     pub rule_checker: RuleChecker,
-    /// Counts what became of jobs.
+    /// Counter of the jobs' outcomes.
     pub outcomes: OutcomeCounter,
-    /// Attempts that reached a worker.
+    /// Number of attempts that reached a worker.
     pub attempts_sent: u64,
-    /// Those of them that crossed zones.
+    /// Number of those attempts that crossed zones.
     pub cross_zone_attempts: u64,
-    /// Load queries that reached a worker.
+    /// Number of load queries that reached a worker.
     pub load_query_count: u64,
-    /// How often a worker was overloaded while it was warming up.
+    /// Number of times that a worker was overloaded during slow start.
     pub overload_count: u64,
-    /// Callbacks that are to be delivered.
+    /// Callbacks to be delivered by the environment.
     pub callbacks: Vec<Callback>,
-    /// Workers whose process or machine changed, for their sockets.
+    /// Workers whose process or machine changed; the environment updates their sockets and endpoints.
     pub changed_workers: Vec<WorkerId>,
     started_at: Instant,
     requests: FxHashMap<u64, PendingRequest>,
     jobs: FxHashMap<u64, ClientJob>,
     attempts: FxHashMap<u64, Attempt>,
-    /// Load queries that wait in a worker's queue.
+    /// Queued load queries by id, with the channel that signals their completion.
     load_queries: FxHashMap<u64, oneshot::Sender<()>>,
     last_id: u64,
     extra_report_delay: Micros,
@@ -98,7 +100,7 @@
 }
 
 impl EmulationState {
-    /// The state of a scenario and a seed at its start; time counts from now on.
+    /// Creates the initial state of a run, and starts its clock.
     pub(crate) fn new(scenario: &Scenario, fleet: Fleet, seed: u64) -> EmulationState {
         EmulationState {
             connections: vec![ConnectionFaults::default(); fleet.workers.len()],
@@ -118,7 +120,7 @@
             jobs: FxHashMap::default(),
             attempts: FxHashMap::default(),
             load_queries: FxHashMap::default(),
-            // Ids that look like no small number, as the platform's do.
+            // Like the platform's, ids are large numbers that do not start at 0.
             last_id: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 << 63,
             extra_report_delay: 0,
             network_random: random_stream(seed, StreamPurpose::Network),
@@ -128,22 +130,22 @@
         }
     }
 
-    /// Starts the run's clock: from now on it counts from 0.
+    /// Starts, or restarts, the run's clock at 0.
     pub(crate) fn start_clock(&mut self) {
         self.started_at = Instant::now();
     }
 
-    /// Microseconds since the run's clock was started.
+    /// The run's time: microseconds since the last start of its clock.
     pub(crate) fn now(&self) -> Micros {
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// An instant of the run.
+    /// Converts a run time in microseconds to an `Instant`.
     pub(crate) fn instant_at(&self, at: Micros) -> Instant {
         self.started_at + Duration::from_micros(at)
     }
 
-    /// The delay between two zones that is added to the machine's own.
+    /// Emulated one-way delay between two zones, in microseconds, in addition to the machine's own delay.
     fn network_delay(&self, from: u32, to: u32) -> Micros {
         let delay = micros_from_seconds(self.scenario.network.link_between(from, to).delay_s);
         if delay < MIN_NETWORK_DELAY { 0 } else { delay }
@@ -153,18 +155,19 @@
         scheduler.zone(self.scenario.zones)
     }
 
-    /// The next number of a request, attempt or load query; none is used twice.
+    /// Returns a new id for a request, attempt or load query.
     fn next_id(&mut self) -> u64 {
         self.last_id = self.last_id.wrapping_add(1);
         self.last_id
     }
 
-    /// Adds a client's job, by its number.
+    /// Adds a client's job under its number.
     pub(crate) fn add_job(&mut self, number: u64, arrival: Arrival) {
         self.jobs.insert(number, ClientJob { arrival, keys: KeyHistory::default() });
     }
 
-    /// Registers a request that a client is about to send; returns its id.
+    /// Registers a request that a client is about to send, and returns its id. The deadline is a time of the
+    /// run.
     pub(crate) fn register_request(&mut self, job: u64, scheduler: SchedulerId, deadline: Micros) -> u64 {
         let id = self.next_id();
         self.requests.insert(id, PendingRequest { job, scheduler });
@@ -172,7 +175,8 @@
         id
     }
 
-    /// Adds the jobs in flight since the last change to their sum. Called before each change.
+    /// Adds the time since the last call to the integral of the jobs in flight. Must be called before each
+    /// change of their number.
     fn account_in_flight(&mut self) {
         let now = self.now();
         let in_flight = &mut self.in_flight;
@@ -180,12 +184,12 @@
         in_flight.accounted_until = now;
     }
 
-    /// Jobs in the workers, summed over microseconds.
+    /// The integral over time of the number of jobs at workers, in job microseconds.
     pub(crate) fn in_flight_job_micros(&self) -> f64 {
         self.in_flight.job_micros
     }
 
-    /// Ends what a worker has done by now. Returns when it must be advanced again.
+    /// Advances a worker's model to the present. Returns when it must be advanced again, if at all.
     pub(crate) fn advance_worker(&mut self, worker: WorkerId) -> Option<Instant> {
         self.account_in_flight();
         let now = self.now();
@@ -198,7 +202,7 @@
         self.workers[worker.0 as usize].0.next_wake(self.now()).map(|at| self.instant_at(at))
     }
 
-    /// Begins or ends a fault of workers, their connections or their load reports.
+    /// Starts or ends a fault of workers, their connections or their load reports.
     pub(crate) fn apply_fault(&mut self, transition: FaultTransition) {
         self.account_in_flight();
         let fault = self.scenario.faults[transition.fault].kind;
--- a/crates/testbed/src/emulation/workers/listener.rs
+++ b/crates/testbed/src/emulation/workers/listener.rs
@@ -1,4 +1,4 @@
-//! Opens, closes and silences a worker's port and connections, as its process and machine would.
+//! A worker's port and connections, which follow the state of the worker's process and machine.
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,21 +21,21 @@
 use crate::scenario::micros_from_seconds;
 use copperspread_dispatcher::WorkerId;
 
-/// How long an idle connection is kept, as the schedulers' settings say.
+/// Idle timeout of connections, the same as in the schedulers' configuration.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The wait before an address that is not free yet, or a failed accept, is tried again.
+/// Delay before a failed bind or accept is tried again.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often binding an address is tried.
-const MAX_BIND_ATTEMPTS: u32 = 250;
-/// Most connections that wait to be accepted.
+/// Maximum number of times that binding an address is tried.
+const MAX_BIND_TRIES: u32 = 250;
+/// Backlog of a listener: maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
-/// The kernel completes so many connections to a machine that is out of reach before it drops their
-/// first packets; the emulation makes them itself.
+/// Maximum number of connections that fill the backlog of an unreachable worker's listener. The kernel
+/// establishes some connections before it drops further SYN packets, so the emulation opens those itself.
 const BACKLOG_FILLERS: usize = 4;
-/// A connection that is not established by then never is.
+/// Time after which a connection that is not established shows that the backlog is full.
 const FILL_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Binds an address that others may have used just before.
+/// Binds an address with `SO_REUSEADDR`, as it may have been in use shortly before.
 pub(super) fn bind(address: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -44,7 +44,7 @@
 }
 
 async fn bind_with_retry(address: SocketAddr) -> Option<TcpSocket> {
-    for _ in 0..MAX_BIND_ATTEMPTS {
+    for _ in 0..MAX_BIND_TRIES {
         if let Ok(socket) = bind(address) {
             return Some(socket);
         }
@@ -53,8 +53,8 @@
     None
 }
 
-/// Runs a worker's port until the run's tasks end. Between two listeners it stays bound, so that nobody
-/// else gets it.
+/// Runs a worker's port until the run's task set is dropped. While no listener is open, the port stays bound
+/// so that no other program can take it.
 pub(in crate::emulation) async fn run_listener(
     environment: Rc<Environment>,
     worker: WorkerId,
@@ -74,7 +74,7 @@
                 let Ok(listener) = socket.listen(BACKLOG) else { return };
                 accept_connections(&environment, worker, &listener, &mut state).await;
             }
-            // Bound and not listening: the kernel refuses connections.
+            // The port is bound but not listening, so the kernel refuses connections.
             ListenerState::Refusing => {
                 let _ = state.changed().await;
             }
@@ -89,8 +89,8 @@
     }
 }
 
-/// Fills the backlog of a listener that nobody accepts from, so that further connections are never
-/// established.
+/// Fills the backlog of a listener that accepts no connections, so that further connections are never
+/// established. Returns the connections, which must be kept open.
 async fn fill_backlog(address: SocketAddr) -> Vec<TcpStream> {
     let mut fillers = Vec::new();
     for _ in 0..BACKLOG_FILLERS {
@@ -102,8 +102,8 @@
     fillers
 }
 
-/// Accepts connections while the same process listens. Each has a task, which ends with it or with the
-/// run's tasks.
+/// Accepts connections until the listener's state changes. Each connection has a task, which ends with it or
+/// with the run's task set.
 async fn accept_connections(
     environment: &Rc<Environment>,
     worker: WorkerId,
@@ -124,10 +124,10 @@
     }
 }
 
-/// Serves one connection until either side ends it or its process or machine goes.
+/// Serves one connection until either side closes it or the worker's process or machine fails.
 async fn serve_worker_connection(environment: Rc<Environment>, worker: WorkerId, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    // A new connection's delay passes before anything is read from it.
+    // The connect delay passes before anything is read from the connection.
     let connect_delay = micros_from_seconds(environment.scenario.network.connect_delay_s);
     if connect_delay > 0 {
         sleep(Duration::from_micros(connect_delay)).await;
@@ -147,7 +147,7 @@
         _ = state.changed() => {}
         _ = connection.as_mut() => return,
     }
-    // While the machine is out of reach the connection stays open, and nothing of it goes on.
+    // While the machine is unreachable, the connection stays open without being served.
     while *state.borrow_and_update() == ListenerState::Unreachable && state.changed().await.is_ok() {}
     fault.set(ResponseFault::Reset);
 }
--- a/crates/testbed/src/emulation/workers/mod.rs
+++ b/crates/testbed/src/emulation/workers/mod.rs
@@ -1,5 +1,5 @@
-//! Plays the workers on sockets: ports that accept, refuse or do not respond, responses to attempts and load
-//! queries, and the tasks that advance each worker's model.
+//! Emulated workers: their ports, their responses to attempts and load queries, and the tasks that advance
+//! their models.
 mod listener;
 mod requests;
 
@@ -13,7 +13,7 @@
 use copperspread_dispatcher::WorkerId;
 pub(super) use listener::run_listener;
 
-/// Advances a worker's model whenever something of it is due, until the run's tasks end.
+/// Advances a worker's model whenever an event of it is due, until the run's task set is dropped.
 pub(super) async fn drive_worker(environment: Rc<Environment>, worker: WorkerId) {
     let wake = &environment.listeners[worker.0 as usize].wake;
     loop {
@@ -27,7 +27,8 @@
     }
 }
 
-/// Calls back the progress of a worker's jobs, where the scenario's workers do, until the run's tasks end.
+/// Sends progress callbacks for a worker's jobs at the scenario's interval, if it has one, until the run's
+/// task set is dropped.
 pub(super) async fn report_progress(environment: Rc<Environment>, worker: WorkerId) {
     let interval = micros_from_seconds(environment.scenario.load_reports.progress_interval_s);
     if interval == 0 {
@@ -39,8 +40,8 @@
     }
 }
 
-/// Refreshes the load report that a worker sends on a load query, where there are load queries, until the
-/// run's tasks end.
+/// Refreshes the load report that a worker sends in response to load queries, if the scenario has load
+/// queries, until the run's task set is dropped.
 pub(super) async fn refresh_load_reports(environment: Rc<Environment>, worker: WorkerId) {
     let reports = &environment.scenario.load_reports;
     if reports.load_query.is_none() {
--- a/crates/testbed/src/emulation/workers/requests.rs
+++ b/crates/testbed/src/emulation/workers/requests.rs
@@ -1,4 +1,4 @@
-//! Responds to attempts, cancellations and load queries for a worker.
+//! HTTP request handlers of a worker: attempts, cancellations and load queries.
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,11 +17,11 @@
 use crate::emulation::platform_json::{load_report_header, load_report_json};
 use crate::http_client::read_body;
 
-/// How much of an accepting response is written before its connection is reset.
+/// The part of a 202 response that is written before the connection is reset.
 const TRUNCATED_RESPONSE: &[u8] = b"HTTP/1.1 202 Acc";
-/// The path of a load query that wants a load report.
+/// Path of a load query whose response carries a load report.
 const LOAD_PATH: &str = "/-/load";
-/// The path of a load query that wants only to know that the worker is well.
+/// Path of a load query that asks only whether the worker is healthy.
 const HEALTH_PATH: &str = "/-/healthy";
 
 /// A response without a body.
@@ -31,7 +31,7 @@
     response
 }
 
-/// Handles any request to a worker; `fault` is what its response is to meet.
+/// Handles a request to a worker, and sets `fault` to the fault to inject into its response.
 pub(super) async fn handle_request(
     environment: &Rc<Environment>,
     worker: WorkerId,
@@ -52,7 +52,7 @@
     handle_attempt(environment, worker, id, request.into_body(), fault).await
 }
 
-/// A cancellation names the request: DELETE /jobs/ID.
+/// Handles a cancellation: `DELETE /jobs/ID`, with the request's id.
 fn handle_cancellation(environment: &Rc<Environment>, worker: WorkerId, path: &str) -> HttpResponse {
     let id = path.strip_prefix("/jobs/").and_then(|id| u64::from_str_radix(id, 16).ok());
     if let Some(id) = id {
@@ -97,7 +97,7 @@
     }
 }
 
-/// 503, with the promise that the job never runs here.
+/// Response 503, with the header that guarantees that the worker does not run the job.
 fn rejection(report: &LoadReport) -> HttpResponse {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     response.headers_mut().insert("x-not-processed", HeaderValue::from_static("1"));
@@ -112,13 +112,13 @@
     Response::new(Full::new(Bytes::from_static(b"never written")))
 }
 
-/// Whatever this returns, garbage takes its place on the connection.
+/// Returns a placeholder response, in place of which bytes that are not HTTP are written.
 fn garbage(fault: &Cell<ResponseFault>) -> HttpResponse {
     fault.set(ResponseFault::Garbage);
     empty_response(StatusCode::ACCEPTED)
 }
 
-/// 200, with the load report where that is wanted, or an error.
+/// Handles a load query: responds 200, with the load report if `wants_report`, or with an error status.
 async fn handle_load_query(
     environment: &Rc<Environment>,
     worker: WorkerId,
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Sends a scenario's jobs over real sockets, in an open loop.
+//! Open-loop load generator: sends a scenario's jobs over real sockets.
 //!
-//! Each job has the instant at which it is scheduled to be sent, from the same stream of arrivals as in
-//! virtual time, and its latency counts from there. A server that stalls holds no later job back, so that
-//! its stall shows in all the jobs that were scheduled meanwhile, and not in one.
+//! Each job has a scheduled send time, taken from the same arrival stream as in the simulation, and its
+//! latency is measured from that time. A stalled server does not delay later jobs, so a stall shows in the
+//! latency of every job scheduled during it (no coordinated omission).
 mod result;
 
 use std::net::SocketAddr;
@@ -20,30 +20,32 @@
 pub use result::{ClassLoadResult, LoadResult};
 use result::{new_histogram, quantile_ms, summarize};
 
-/// What became of one job.
+/// The outcome of one job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobOutcome {
     Served,
     Rejected,
     Failed,
-    /// The connection broke, or never came up.
+    /// The connection broke or could not be opened.
     ConnectionBroken,
-    /// No response came before the client's deadline.
+    /// No complete response arrived before the client's deadline.
     TimedOut,
-    /// Too many requests were open: it was not sent.
+    /// The job was not sent because too many requests were open.
     NotSent,
 }
 
-/// A job and what became of it.
+/// A job with its outcome.
 struct JobRecord {
     job: Arrival,
     outcome: JobOutcome,
-    /// From when it was scheduled to be sent.
+    /// Time from the scheduled send time to the outcome.
     latency: Duration,
 }
 
-/// Sends a scenario's jobs to an address, each once: a client of this tool does not retry. Ends once the
-/// last job has its response or is past its deadline; so do all its tasks.
+/// Sends each of a scenario's jobs to `target` once, without retries.
+///
+/// At most `max_open_requests` requests are open at a time; further jobs count as not sent. Returns once the
+/// last job has its response or is past its deadline, when all spawned tasks have ended as well.
 pub async fn send_load(
     scenario: &Scenario,
     seed: u64,
@@ -53,9 +55,9 @@
     let client = new_http_client();
     let permits = Arc::new(Semaphore::new(max_open_requests.max(1)));
     let (records, received_records) = mpsc::unbounded_channel();
-    // Joined below, after the last sender is gone.
+    // Joined below, once the last sender is dropped.
     let collector = tokio::spawn(collect(received_records));
-    // Ids that no run before has used: a scheduler answers those that it knows with 400.
+    // Request ids must differ from those of earlier runs: a scheduler answers a repeated id with 400.
     let first_id = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
     let started_at = Instant::now();
     let mut send_lag = new_histogram();
@@ -77,7 +79,7 @@
             id: first_id.wrapping_add(number as u64),
             scheduled_at,
         };
-        // Ends by its deadline; the collector waits for its record.
+        // The task ends at the job's deadline at the latest; the collector waits for its record.
         tokio::spawn(async move {
             let _ = records.send(request.send_until_deadline().await);
             drop(permit);
@@ -97,7 +99,7 @@
     all
 }
 
-/// A job that is about to be sent.
+/// A request that is about to be sent.
 struct PlannedRequest {
     client: HttpClient,
     target: SocketAddr,
@@ -130,7 +132,7 @@
         let Some(request) = request.build() else { return JobOutcome::Failed };
         let Ok(response) = self.client.request(request).await else { return JobOutcome::ConnectionBroken };
         let status = response.status();
-        // The response counts as received with its last byte.
+        // The response counts as received once its last byte has arrived.
         if read_body(response.into_body()).await.is_err() {
             return JobOutcome::ConnectionBroken;
         }
--- a/crates/testbed/src/load/result.rs
+++ b/crates/testbed/src/load/result.rs
@@ -1,4 +1,4 @@
-//! Counts what became of a load's jobs, by class.
+//! Results of a load run: outcome counts and latencies by job class.
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
@@ -7,55 +7,55 @@
 use crate::load::{JobOutcome, JobRecord};
 use crate::scenario::{JobClass, Scenario};
 
-/// Longest latency that is recorded, in microseconds.
+/// Longest latency that is recorded, in microseconds: 1 hour.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
-/// How exactly latencies are recorded.
+/// Precision of recorded latencies, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// The quantiles of served jobs' latencies that are reported.
+/// Reported quantiles of the latencies of served jobs.
 const LATENCY_QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
 
-/// What a class's jobs came to.
+/// The results of one job class.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassLoadResult {
-    /// Its name.
+    /// The class's name.
     pub name: String,
-    /// Jobs that were scheduled to be sent.
+    /// Number of jobs that were scheduled to be sent.
     #[serde(rename = "meant")]
     pub scheduled: u64,
-    /// Answered 200.
+    /// Jobs with response 200.
     pub served: u64,
-    /// Served within the class's latency objective and stretch.
+    /// Jobs served within the latency objective, extended by the class's latency stretch.
     pub in_time: u64,
-    /// Answered 429 or 503.
+    /// Jobs with response 429 or 503.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Answered otherwise.
+    /// Jobs with any other response.
     pub failed: u64,
-    /// The connection broke, or never came up.
+    /// Jobs whose connection broke or could not be opened.
     #[serde(rename = "broken")]
     pub connection_broken: u64,
-    /// No response before the client's deadline.
+    /// Jobs without a complete response before the client's deadline.
     #[serde(rename = "silent")]
     pub timed_out: u64,
-    /// Not sent, as too many requests were open.
+    /// Jobs that were not sent because too many requests were open.
     pub not_sent: u64,
-    /// Latencies of served jobs from when they were scheduled to be sent, in milliseconds: median, 90%, 99%,
-    /// 99.9%, most.
+    /// Latency quantiles of served jobs, measured from the scheduled send time, in milliseconds: 50%, 90%,
+    /// 99%, 99.9%, maximum.
     pub served_ms: [f64; 5],
 }
 
-/// What a load came to.
+/// The results of a load run.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadResult {
-    /// By class.
+    /// Results by class, in the scenario's order.
     pub classes: Vec<ClassLoadResult>,
-    /// How late this tool was itself in sending, in milliseconds, at 99% and at most.
+    /// The load generator's own delay in sending, in milliseconds: 99% quantile and maximum.
     #[serde(rename = "own_lag_ms")]
     pub send_lag_ms: [f64; 2],
 }
 
 impl LoadResult {
-    /// The result as text.
+    /// Formats the results as a text table.
     pub fn to_text(&self) -> String {
         let mut text = format!(
             "{:<14} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7}  served in ms: 50% 90% 99% 99.9% most\n",
@@ -91,15 +91,15 @@
 /// An empty histogram of latencies in microseconds.
 pub(super) fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
-        .unwrap_or_else(|_| unreachable!("good bounds"))
+        .unwrap_or_else(|_| unreachable!("the histogram bounds are constants within the valid range"))
 }
 
-/// A histogram's quantile, in milliseconds.
+/// The value at a quantile (0 to 1) of a histogram in microseconds, converted to milliseconds.
 pub(super) fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1e3
 }
 
-/// The results by class.
+/// Summarizes the records of all jobs by class.
 pub(super) fn summarize(scenario: &Scenario, records: &[JobRecord]) -> Vec<ClassLoadResult> {
     let classes = scenario.classes.iter().enumerate();
     classes.map(|(number, class)| summarize_class(number, class, records)).collect()
--- a/crates/testbed/src/scenario/checks.rs
+++ b/crates/testbed/src/scenario/checks.rs
@@ -1,87 +1,87 @@
-//! Checks the figures of a scenario, one function for each table. The first wrong one is reported.
+//! Validates the values of a scenario, with one function per TOML table. The first invalid value is reported.
 use super::{ClientSkew, Fault, FaultKind, JobClass, RetryTiming, Scenario, WorkerGroup};
 
-/// Why a scenario cannot be used. The texts name the key.
+/// Errors in a scenario. Each message names the key in question.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum ScenarioError {
-    /// The text is no TOML, or not a scenario's: line and key as TOML's reader gives them.
+    /// The text is not valid TOML or does not match the scenario format; the parser gives line and key.
     #[error("{}", .0.to_string().trim_end())]
     InvalidToml(toml::de::Error),
-    /// A figure that must be positive.
+    /// A value that must be positive is not.
     #[error("{key}: {value} is not over 0")]
     NotPositive {
-        /// The key.
+        /// TOML key of the value.
         key: String,
-        /// Its value.
+        /// The invalid value.
         value: f64,
     },
-    /// A figure that must not be negative.
+    /// A value that must not be negative is.
     #[error("{key}: {value} is not 0 or more")]
     Negative {
-        /// The key.
+        /// TOML key of the value.
         key: String,
-        /// Its value.
+        /// The invalid value.
         value: f64,
     },
-    /// An interval of worker sizes outside its range.
+    /// The refresh interval of listed worker sizes, in seconds, is out of range.
     #[error("discovery.sizes: {0} is neither 0 nor between 0.05 and 3600")]
     SizeIntervalOutOfRange(f64),
-    /// Zones without cells.
+    /// The zones have no cells.
     #[error("cells: at least one in each zone")]
     NoCells,
-    /// No zone, scheduler, worker group or class.
+    /// The scenario has no zone, scheduler, worker group or class.
     #[error("zones, schedulers, workers and classes: at least one of each")]
     Empty,
-    /// A client skew that concerns no scheduler, or all of them.
+    /// The client skew applies to no scheduler or to all of them.
     #[error("clients.crowded.schedulers: {0} is not some of them")]
     SkewedSchedulers(u32),
-    /// A lowest speed above the highest.
+    /// The lowest speed of a worker group is above its highest.
     #[error("workers of kind {kind:?}: speed: {speed:?} is no range")]
     InvalidSpeedRange {
-        /// The worker kind.
+        /// Kind of the worker group.
         kind: String,
         /// The lowest and highest speed.
         speed: [f64; 2],
     },
-    /// A class with both `wide` and `slots`.
+    /// A class has both `wide` and `slots`.
     #[error("class {class:?}: wide and slots say the same thing; one of them")]
     SlotsGivenTwice {
-        /// The class's name.
+        /// Name of the class.
         class: String,
     },
-    /// A trace that is not in order of arrival.
+    /// The jobs of the trace are not sorted by arrival time.
     #[error("clients.trace: not in the order of its instants")]
     UnorderedTrace,
-    /// A job of the trace with an unknown class or an invalid figure.
+    /// A job of the trace has an unknown class or an invalid value.
     #[error("clients.trace[{index}]: no such class, or a figure that is none")]
     InvalidTraceJob {
-        /// The job's index.
+        /// Index of the job in the trace.
         index: usize,
     },
-    /// A link with an unknown zone or an invalid figure.
+    /// A link has an unknown zone or an invalid value.
     #[error("network.pairs[{index}]: no such zone, or a figure that is none")]
     InvalidZoneLink {
-        /// The link's index.
+        /// Index of the link in `network.pairs`.
         index: usize,
     },
-    /// A fault of an unknown class or zone.
+    /// A fault refers to an unknown class or zone.
     #[error("faults[{index}]: no such class or zone")]
     UnknownFaultTarget {
-        /// The fault's index.
+        /// Index of the fault in the scenario.
         index: usize,
     },
-    /// A fault's share outside its range.
+    /// A share of a fault is not between 0 and 1.
     #[error("faults[{index}]: a share of {share} is not between 0 and 1")]
     ShareOutOfRange {
-        /// The fault's index.
+        /// Index of the fault in the scenario.
         index: usize,
-        /// The share.
+        /// The invalid share.
         share: f64,
     },
 }
 
-/// Checks all tables, in an order that decides which error is reported first.
+/// Checks all tables of a scenario. The order of the checks decides which error is reported.
 pub(super) fn check(scenario: &Scenario) -> Result<(), ScenarioError> {
     check_positive("seconds", scenario.duration_s)?;
     check_positive("clients.rate", scenario.clients.rate_per_s)?;
@@ -92,7 +92,7 @@
     }
     check_retry_timing(scenario.clients.retry_timing)?;
     check_load_query(scenario)?;
-    check_has_parts(scenario)?;
+    check_not_empty(scenario)?;
     check_client_skew(scenario)?;
     scenario.workers.iter().try_for_each(check_worker_group)?;
     scenario.classes.iter().try_for_each(check_class)?;
@@ -143,12 +143,12 @@
     check_not_negative("reports.probe.price", query.cost)
 }
 
-fn check_has_parts(scenario: &Scenario) -> Result<(), ScenarioError> {
-    let has_parts = scenario.zones > 0
+fn check_not_empty(scenario: &Scenario) -> Result<(), ScenarioError> {
+    let has_all_parts = scenario.zones > 0
         && scenario.schedulers > 0
         && !scenario.classes.is_empty()
         && !scenario.workers.is_empty();
-    if has_parts { Ok(()) } else { Err(ScenarioError::Empty) }
+    if has_all_parts { Ok(()) } else { Err(ScenarioError::Empty) }
 }
 
 fn check_client_skew(scenario: &Scenario) -> Result<(), ScenarioError> {
@@ -194,9 +194,9 @@
     }
     for (index, job) in trace.iter().enumerate() {
         let class_exists = (job.class as usize) < scenario.classes.len();
-        let has_valid_figures =
+        let has_valid_values =
             is_not_negative(job.arrives_at_s) && is_positive(job.work) && is_positive(job.slots);
-        if !(class_exists && has_valid_figures) {
+        if !(class_exists && has_valid_values) {
             return Err(ScenarioError::InvalidTraceJob { index });
         }
     }
@@ -206,8 +206,8 @@
 fn check_zone_links(scenario: &Scenario) -> Result<(), ScenarioError> {
     for (index, link) in scenario.network.zone_links.iter().enumerate() {
         let zones_exist = link.zones.iter().all(|&zone| zone < scenario.zones);
-        let has_valid_figures = is_not_negative(link.delay_s) && (0.0..=1.0).contains(&link.loss);
-        if !(zones_exist && has_valid_figures) {
+        let has_valid_values = is_not_negative(link.delay_s) && (0.0..=1.0).contains(&link.loss);
+        if !(zones_exist && has_valid_values) {
             return Err(ScenarioError::InvalidZoneLink { index });
         }
     }
--- a/crates/testbed/src/scenario/classes.rs
+++ b/crates/testbed/src/scenario/classes.rs
@@ -1,4 +1,4 @@
-//! Types of a scenario's job classes: sizes, time limits, weights and whether a job may be repeated.
+//! Job classes of a scenario: work, time limits, weights and idempotency.
 use copperspread_dispatcher::{Idempotency, KeyScope, RequestClass};
 use serde::{Deserialize, Serialize};
 
@@ -8,24 +8,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Repeat", rename_all = "lowercase")]
 pub enum RepeatPolicy {
-    /// A job must never run twice.
+    /// A job must not run more than once.
     Never,
-    /// A job carries a key by which the workers of a scope drop a repeat.
+    /// A job carries an idempotency key by which the workers of a scope drop duplicates.
     Keyed,
     /// A job may run any number of times.
     Safe,
 }
 
-/// The workers that drop a repeat of a key.
+/// The set of workers among which duplicates of an idempotency key are dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Scope", rename_all = "lowercase")]
 pub enum DeduplicationScope {
     /// All workers.
     All,
-    /// The workers of a zone.
+    /// The workers of one zone.
     #[default]
     Zone,
-    /// The workers of a cell.
+    /// The workers of one cell.
     Cell,
 }
 
@@ -39,12 +39,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Spread", rename_all = "lowercase")]
 pub enum WorkDistribution {
-    /// Log-normal, with this sigma.
+    /// Log-normal, with this sigma (the standard deviation of the logarithm).
     LogNormal(f64),
     /// Exponential.
     #[default]
     Exponential,
-    /// All jobs have the mean work.
+    /// Constant: every job has the mean work.
     Constant,
 }
 
@@ -52,52 +52,52 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Class", deny_unknown_fields)]
 pub struct JobClass {
-    /// Its name.
+    /// The class's name.
     pub name: String,
-    /// Its share of all jobs, relative to the shares of the other classes.
+    /// The class's share of all jobs, relative to the shares of the other classes.
     pub share: f64,
-    /// Mean work, in seconds at speed 1.
+    /// Mean work of a job, in seconds at speed 1.
     #[serde(rename = "work")]
     pub mean_work: f64,
-    /// Distribution of the work.
+    /// Distribution of the work around its mean.
     #[serde(rename = "spread", default)]
     pub work_distribution: WorkDistribution,
-    /// The share of jobs that take two slots.
+    /// The share of jobs that take two slots, from 0 to 1; the others take one.
     #[serde(rename = "wide", default)]
     pub two_slot_share: f64,
-    /// In place of `two_slot_share`: numbers of slots, each with its share of the jobs.
+    /// Alternative to `two_slot_share`: pairs of a number of slots and its relative share of the jobs.
     #[serde(rename = "slots", default, skip_serializing_if = "Vec::is_empty")]
     pub slot_distribution: Vec<[f64; 2]>,
-    /// Mean memory that a running job holds for each of its slots.
+    /// Mean memory that a running job holds per slot, in the unit of the workers' memory.
     #[serde(rename = "memory", default)]
     pub mean_memory: f64,
-    /// Sigma of the log-normal distribution of memory; 0: all jobs have the mean.
+    /// Sigma of the log-normal distribution of memory; 0 gives every job the mean.
     #[serde(rename = "memory_spread", default, skip_serializing_if = "is_zero")]
     pub memory_sigma: f64,
-    /// A response is in time within this many seconds ...
+    /// Latency objective, in seconds, to which `latency_stretch` adds a part that depends on the job's work.
     #[serde(rename = "aim")]
     pub latency_objective_s: f64,
-    /// ... plus this multiple of the job's own work.
+    /// Multiple of the job's own work that is added to the latency objective.
     #[serde(rename = "stretch", default)]
     pub latency_stretch: f64,
-    /// Clients stop waiting after this many seconds, over all attempts of theirs.
+    /// Seconds after a job's arrival at which its client stops waiting, including the client's own retries.
     #[serde(rename = "deadline")]
     pub deadline_s: f64,
-    /// The weight of a unit of work.
+    /// Priority weight of one unit of work.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
     /// Whether a job may run more than once.
     pub repeat: RepeatPolicy,
-    /// For keyed jobs: the workers that drop a repeat.
+    /// The workers that drop a duplicate; applies to keyed jobs only.
     #[serde(rename = "scope", default, skip_serializing_if = "DeduplicationScope::is_zone")]
     pub deduplication_scope: DeduplicationScope,
-    /// For keyed jobs: seconds for which a repeat is dropped.
+    /// Seconds for which workers drop duplicates of a key; applies to keyed jobs only.
     #[serde(rename = "window", default)]
     pub deduplication_window_s: f64,
 }
 
 impl JobClass {
-    /// The mean number of slots that a job takes.
+    /// The mean number of slots of a job.
     pub fn mean_slots(&self) -> f64 {
         if self.slot_distribution.is_empty() {
             return 1.0 + self.two_slot_share;
@@ -106,7 +106,7 @@
         self.slot_distribution.iter().map(|[slots, share]| slots * share / shares).sum()
     }
 
-    /// The dispatch policy's form of `repeat` and its scope and window.
+    /// Converts the repeat policy, key scope and window to the dispatch policy's `Idempotency`.
     pub fn idempotency(&self) -> Idempotency {
         match self.repeat {
             RepeatPolicy::Safe => Idempotency::Idempotent,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The dispatch policy's form of the class.
+    /// Converts the class to the dispatch policy's `RequestClass`.
     pub(super) fn request_class(&self) -> RequestClass {
         RequestClass {
             latency_objective: micros_from_seconds(self.latency_objective_s),
--- a/crates/testbed/src/scenario/clients.rs
+++ b/crates/testbed/src/scenario/clients.rs
@@ -1,37 +1,37 @@
-//! Types of a scenario's clients: when their jobs arrive, and when they retry after a rejection.
+//! Clients of a scenario: the arrival of jobs and the timing of retries after a rejection.
 use copperspread_dispatcher::{Micros, SECOND};
 use serde::{Deserialize, Serialize};
 
 use super::micros_from_seconds;
 
-/// What clients do.
+/// Behavior of the clients.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// New jobs a second, whatever the responses are: an open loop.
+    /// New jobs per second, independent of the responses (open loop).
     #[serde(rename = "rate")]
     pub rate_per_s: f64,
-    /// Retries of a rejected job.
+    /// Maximum number of retries of a rejected job.
     #[serde(rename = "retries", default)]
     pub max_retries: u32,
-    /// Clients follow `Retry-After` up to this many seconds.
+    /// Cap on the `Retry-After` time that clients honor, in seconds.
     #[serde(rename = "heed", default = "default_max_retry_after_s")]
     pub max_retry_after_s: f64,
-    /// When clients retry.
+    /// When clients retry after a rejection.
     #[serde(rename = "again", default, skip_serializing_if = "RetryTiming::is_default")]
     pub retry_timing: RetryTiming,
-    /// A client without a response this many seconds after its deadline is a violation. Machines that
-    /// stall, and tests that must not fail for it, need more than the default.
+    /// Seconds after its deadline by which a request must have its response, or else a rule is violated.
+    /// Machines that stall, and tests that must tolerate stalls, need more than the default.
     #[serde(rename = "grace", default = "default_deadline_grace_s")]
     pub deadline_grace_s: f64,
-    /// A recorded trace in place of drawn arrivals, in order of arrival. `copperspread-testbed trace`
-    /// makes one from a scheduler's event log.
+    /// A recorded trace, sorted by arrival time, that replaces random arrivals. `copperspread-testbed trace`
+    /// generates one from a scheduler's event log.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub trace: Vec<RecordedJob>,
-    /// How much more the first schedulers get than the others; without it, all get the same.
+    /// Uneven distribution of clients over the schedulers; without it, all schedulers get equally many.
     #[serde(rename = "crowded", default, skip_serializing_if = "Option::is_none")]
     pub skew: Option<ClientSkew>,
-    /// Sigma of the log-normal error of cost hints; without it, there are no hints.
+    /// Sigma of the log-normal error of cost hints; without it, jobs carry no cost hints.
     #[serde(rename = "hint_error", default)]
     pub hint_error_sigma: Option<f64>,
 }
@@ -48,14 +48,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Again", rename_all = "snake_case")]
 pub enum RetryTiming {
-    /// At the time that `Retry-After` gives, and a random time later.
+    /// After the time given by `Retry-After`, plus random jitter.
     #[default]
     #[serde(rename = "heed")]
     HonorRetryAfter,
-    /// At once, whatever `Retry-After` says.
+    /// Immediately, ignoring `Retry-After`.
     #[serde(rename = "at_once")]
     Immediately,
-    /// After this many seconds, whatever `Retry-After` says.
+    /// After this many seconds, ignoring `Retry-After`.
     #[serde(rename = "after")]
     FixedDelay(f64),
 }
@@ -65,8 +65,8 @@
         *self == RetryTiming::HonorRetryAfter
     }
 
-    /// The delay of a client that got `retry_after` and follows at most `max_retry_after_s` of it.
-    /// `jitter` is drawn evenly from 0 to 1.
+    /// The delay before a client's retry, given the response's `retry_after`, of which at most
+    /// `max_retry_after_s` seconds are honored. `jitter` is uniformly distributed from 0 to 1.
     pub fn delay(self, retry_after: Micros, max_retry_after_s: f64, jitter: f64) -> Micros {
         match self {
             RetryTiming::HonorRetryAfter => {
@@ -79,13 +79,13 @@
     }
 }
 
-/// Schedulers that get more clients than the others.
+/// Skewed distribution of clients: the first schedulers get more than the others.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Crowded", deny_unknown_fields)]
 pub struct ClientSkew {
-    /// How many schedulers; they are the first ones.
+    /// Number of schedulers, counted from the first, that get more clients.
     pub schedulers: u32,
-    /// The clients of each of them, relative to each of the others.
+    /// Ratio of the number of clients at each of them to that at each other scheduler.
     #[serde(rename = "times")]
     pub factor: f64,
 }
@@ -94,17 +94,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Recorded", deny_unknown_fields)]
 pub struct RecordedJob {
-    /// When it arrived, in seconds.
+    /// Arrival time, in seconds from the start of the run.
     #[serde(rename = "at")]
     pub arrives_at_s: f64,
-    /// The index of its class.
+    /// Index of the job's class in the scenario.
     pub class: u32,
-    /// Its work, in seconds at speed 1.
+    /// Work of the job, in seconds at speed 1.
     pub work: f64,
-    /// Its slots.
+    /// Number of slots that the job takes.
     #[serde(default = "default_slots")]
     pub slots: f64,
-    /// The cost hint, in seconds at speed 1.
+    /// Cost hint sent with the job, in seconds at speed 1.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hint: Option<f64>,
 }
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -1,4 +1,4 @@
-//! Types of what schedulers learn of workers in a scenario: endpoint lists and load reports, and how late.
+//! Endpoint lists and load reports of a scenario: how, and how late, schedulers learn of workers.
 use serde::{Deserialize, Serialize};
 
 use super::is_false;
@@ -7,20 +7,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// Seconds until schedulers are notified of a change.
+    /// Seconds between a change at a worker and its notification to the schedulers.
     #[serde(rename = "delay")]
     pub delay_s: f64,
-    /// Seconds until the first list arrives; before it, schedulers have only the cached list.
+    /// Seconds until the first endpoint list arrives; until then, schedulers have only the cached list.
     #[serde(rename = "first_after")]
     pub first_list_after_s: f64,
-    /// The share of workers in the cached list that no longer exist.
+    /// The share of the workers in the cached list that no longer exist, from 0 to 1.
     #[serde(rename = "stale")]
     pub stale_share: f64,
-    /// The list states each worker's size, divided by 1 plus its jobs for each core, renewed at this
-    /// interval in seconds; 0: never. In virtual time only.
+    /// Seconds between refreshes of the workers' sizes in the endpoint list; 0 disables them. The listed size
+    /// is the worker's size divided by one plus its jobs per core. Only the simulation supports it.
     #[serde(rename = "sizes")]
     pub size_interval_s: f64,
-    /// Schedulers must poll for the list. In real time the agents stay, one for each scheduler.
+    /// Whether schedulers poll for the list instead of being notified. In the emulation, each scheduler polls
+    /// its own discovery server in either case.
     #[serde(rename = "on_request", skip_serializing_if = "is_false")]
     pub polled: bool,
 }
@@ -37,20 +38,21 @@
     }
 }
 
-/// Load reports of workers.
+/// Settings of the workers' load reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Reports", default, deny_unknown_fields)]
 pub struct LoadReports {
-    /// Seconds between refreshes.
+    /// Seconds between refreshes of a load report.
     #[serde(rename = "refresh")]
     pub refresh_interval_s: f64,
-    /// Sigma of the noise, in slots.
+    /// Standard deviation of the noise on reported values, in slots.
     #[serde(rename = "noise")]
     pub noise_slots: f64,
-    /// Seconds between workers' reports of the progress of running jobs; 0: none.
+    /// Seconds between the progress callbacks for running jobs; 0 disables them.
     #[serde(rename = "progress")]
     pub progress_interval_s: f64,
-    /// If given, responses carry no report: workers state their load only when queried.
+    /// Load queries. If given, responses carry no load report, and workers report their load only when
+    /// queried.
     #[serde(rename = "probe", skip_serializing_if = "Option::is_none")]
     pub load_query: Option<LoadQuery>,
 }
@@ -61,22 +63,23 @@
     }
 }
 
-/// What a load query costs, and how old its answer is.
+/// Cost and staleness of load queries.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Probe", deny_unknown_fields)]
 pub struct LoadQuery {
-    /// Work of the worker for one query, in seconds at speed 1.
+    /// Work of one load query at the worker, in seconds at speed 1.
     pub work: f64,
-    /// A query waits in the queue like a job of one slot; otherwise it is answered at once.
+    /// Whether a load query waits in the worker's queue like a job of one slot, rather than bypassing the
+    /// queue.
     #[serde(rename = "deep", default)]
     pub queued: bool,
-    /// Seconds for which a scheduler waits for the answer.
+    /// Seconds for which a scheduler waits for the response.
     #[serde(rename = "timeout")]
     pub timeout_s: f64,
-    /// A report states what held this many seconds before.
+    /// Age of the reported values, in seconds.
     #[serde(rename = "late", default)]
     pub staleness_s: f64,
-    /// The cost of one query for each job, as a share of the weight.
+    /// Cost of one load query per job, as a share of the priority weight.
     #[serde(rename = "price", default)]
     pub cost: f64,
 }
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -1,26 +1,26 @@
-//! Types of a scenario's faults: what goes wrong, when, and for whom.
+//! Faults of a scenario: their kind, time and targets.
 use serde::{Deserialize, Serialize};
 
-/// A fault that lasts for a while.
+/// A fault that is injected for a period of the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins, in seconds.
+    /// Start of the fault, in seconds from the start of the run.
     #[serde(rename = "at")]
     pub starts_at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration of the fault, in seconds.
     #[serde(rename = "lasts")]
     pub duration_s: f64,
-    /// What goes wrong.
+    /// Kind of the fault, with its parameter.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// The share of workers that it affects, at least one of them.
+    /// The share of targets that the fault affects, from 0 to 1; at least one target is affected.
     #[serde(rename = "share", default = "default_worker_share")]
     pub worker_share: f64,
-    /// Only workers of this zone.
+    /// Restricts the fault to targets in this zone.
     #[serde(default)]
     pub zone: Option<u32>,
-    /// The seconds over which the workers are affected one after another; 0: all at once.
+    /// Seconds over which the start of the fault is staggered across its targets; 0 starts all at once.
     #[serde(rename = "spread_over", default)]
     pub stagger_s: f64,
 }
@@ -29,62 +29,62 @@
     0.1
 }
 
-/// What goes wrong.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Trouble", rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Workers run slower by this factor.
+    /// Workers run jobs slower by this factor.
     Slow(f64),
-    /// Jobs of workers make no progress.
+    /// Jobs at workers make no progress.
     Stuck,
-    /// Workers send nothing for jobs of the class of this index.
+    /// Workers send no callbacks for jobs of the class with this index.
     Silent(u32),
-    /// Workers are listed and refuse connections.
+    /// Workers refuse connections but remain in the endpoint list.
     Refusing,
-    /// This share of the attempts sent to workers breaks, half of them after the job was accepted.
+    /// Connections are reset for this share of the attempts, in half of the cases after the job was accepted.
     Resetting(f64),
-    /// Worker processes end, and start cold at the end of the fault.
+    /// Worker processes crash, and restart with slow start at the end of the fault.
     Crash,
-    /// Worker machines are unreachable, and start cold at the end of the fault.
+    /// Worker machines are unreachable, and restart with slow start at the end of the fault.
     Vanish,
-    /// Workers drain, return what has not started, and start cold at the end of the fault.
+    /// Workers drain, return jobs that have not started, and restart with slow start at the end of the fault.
     Drain,
-    /// Clients send more jobs by this factor.
+    /// The rate of new jobs is multiplied by this factor.
     Burst(f64),
-    /// A hundredth of the jobs of the class of this index cost twenty times as much.
+    /// One percent of the jobs of the class with this index take 20 times their work.
     HeavyTail(u32),
-    /// Load reports are refreshed this many seconds later.
+    /// Load reports are refreshed this many seconds later than usual.
     ReportsLate(f64),
-    /// Schedulers are notified of no change of the endpoint list.
+    /// Schedulers are not notified of changes of the endpoint list.
     DiscoveryDown,
-    /// Every answer of discovery but the first is the whole list as it was when the fault began, in
-    /// turns with the true one: discovery contradicts itself.
+    /// Discovery contradicts itself: after its first response it alternates between the full endpoint list as
+    /// of the start of the fault and the current one.
     DiscoveryContradicts,
-    /// Scheduler processes end with all that they accepted, and restart at the end of the fault.
+    /// Scheduler processes crash and lose all accepted requests; they restart at the end of the fault.
     SchedulerCrash,
-    /// Scheduler processes shut down: they get no new clients, answer what they accepted, and restart at
-    /// the end of the fault. What they have not answered by then is lost, and a violation.
+    /// Scheduler processes shut down gracefully: they get no new requests, finish the accepted ones, and
+    /// restart at the end of the fault. Requests without a response by then are lost, and violate a rule.
     SchedulerRestart,
-    /// Schedulers are pointed to another discovery service: no notification until the end of the fault,
-    /// and then its whole list. In virtual time only.
+    /// Schedulers switch to another discovery service: they get no notification until the end of the fault,
+    /// and then the full list of the new service. Only the simulation supports it.
     DiscoveryMoves,
-    /// This share of the attempts sent to workers is answered with what is not HTTP; they never run.
+    /// Workers answer this share of the attempts with bytes that are not HTTP; the jobs never run.
     Garbled(f64),
-    /// Workers fail this share of the attempts at once. Those never run, but the rules count them as
-    /// possibly run, as nobody is notified.
+    /// Workers fail this share of the attempts immediately. Their jobs never run, but the rule checker counts
+    /// them as possibly run, because schedulers cannot know that they did not.
     Failing(f64),
-    /// Callbacks of workers arrive this many seconds late.
+    /// Callbacks of workers are delayed by this many seconds.
     #[serde(rename = "late_news")]
     LateCallbacks(f64),
     /// Workers send every callback twice.
     #[serde(rename = "doubled_news")]
     DuplicateCallbacks,
-    /// Clients send ever more jobs, evenly, up to this factor at the end of the fault.
+    /// The rate of new jobs grows linearly, up to this factor at the end of the fault.
     Ramp(f64),
 }
 
 impl std::fmt::Display for FaultKind {
-    /// The name as printed in reports.
+    /// Writes the name that reports print, with the fault's parameter.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             FaultKind::LateCallbacks(by) => f.debug_tuple("LateNews").field(by).finish(),
@@ -95,7 +95,7 @@
 }
 
 impl FaultKind {
-    /// Whether it affects workers, and not clients, load reports or discovery.
+    /// Whether the fault affects workers, rather than schedulers, clients, load reports or discovery.
     pub fn affects_workers(self) -> bool {
         !self.affects_schedulers()
             && !matches!(
@@ -110,7 +110,7 @@
             )
     }
 
-    /// Whether it affects schedulers.
+    /// Whether the fault affects scheduler processes.
     pub fn affects_schedulers(self) -> bool {
         matches!(self, FaultKind::SchedulerCrash | FaultKind::SchedulerRestart)
     }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,7 +1,7 @@
-//! Reads scenarios: workers, clients, the network between them and the faults, as TOML files.
-//! docs/testbed.md describes the format.
+//! Scenario files: workers, clients, the network between them and faults, in TOML.
 //!
-//! The TOML keys are older than the names of the fields and stay as they are.
+//! docs/testbed.md describes the format. Where a field's name differs from its TOML key, an attribute keeps
+//! the key, so that existing scenario files remain valid.
 mod checks;
 mod classes;
 mod clients;
@@ -22,25 +22,25 @@
 pub use network::{Network, ZoneLink, ZoneLinkQuality};
 pub use workers::{QueueOrder, SlowStart, WorkerGroup};
 
-/// A connection that takes longer to open has failed.
+/// Timeout for opening a connection to a worker, in microseconds.
 pub(crate) const CONNECT_TIMEOUT: Micros = 250_000;
 
-/// A scenario.
+/// A scenario: a fleet with its clients, settings and faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// Its purpose, in a sentence.
+    /// Purpose of the scenario, in one sentence.
     #[serde(rename = "about")]
     pub description: String,
-    /// How long new jobs arrive, in seconds.
+    /// Period in which new jobs arrive, in seconds.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
-    /// Zones; schedulers, workers and clients are assigned to them in turn.
+    /// Number of zones, to which schedulers, workers and clients are assigned round-robin.
     #[serde(default = "one")]
     pub zones: u32,
-    /// Cells in each zone, to which its workers are assigned in turn.
+    /// Number of cells in each zone, to which its workers are assigned round-robin.
     #[serde(default = "one", skip_serializing_if = "is_one")]
     pub cells: u32,
     /// Number of schedulers.
@@ -49,33 +49,33 @@
     pub workers: Vec<WorkerGroup>,
     /// Classes of jobs.
     pub classes: Vec<JobClass>,
-    /// What clients do.
+    /// Behavior of the clients.
     pub clients: Clients,
-    /// Links between clients, schedulers and workers.
+    /// Network links between clients, schedulers and workers.
     #[serde(default)]
     pub network: Network,
     /// How endpoint lists reach the schedulers.
     #[serde(default)]
     pub discovery: Discovery,
-    /// Load reports of workers.
+    /// Settings of the workers' load reports.
     #[serde(rename = "reports", default)]
     pub load_reports: LoadReports,
-    /// How workers warm up.
+    /// Slow start of workers.
     #[serde(rename = "cold", default)]
     pub slow_start: SlowStart,
-    /// What schedulers are configured to do.
+    /// Settings of the schedulers that the scenario changes.
     #[serde(rename = "settings", default)]
     pub tuning: SchedulerTuning,
-    /// What goes wrong, and when.
+    /// Faults that are injected during the run.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// What schedulers are configured to do.
+/// Settings of the schedulers that a scenario can change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Tuning", default, deny_unknown_fields)]
 pub struct SchedulerTuning {
-    /// The highest number of attempts of a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
     /// Whether a hedge may be sent while another attempt is in flight.
     #[serde(rename = "second_copies")]
@@ -83,10 +83,10 @@
     /// Whether attempts may be cancelled.
     #[serde(rename = "may_cancel")]
     pub cancellation_allowed: bool,
-    /// The cost of an attempt in another zone, in the weight of a unit of work.
+    /// Cross-zone cost of an attempt, in the priority weight of one unit of work.
     #[serde(rename = "price_cross_zone")]
     pub cross_zone_cost: f64,
-    /// An attempt that is cancelled or timed out stops at its worker, waiting or running.
+    /// Whether a worker stops the job of an attempt that is cancelled or times out, queued or running.
     #[serde(rename = "cancel_stops", skip_serializing_if = "is_false")]
     pub cancel_stops_job: bool,
 }
@@ -119,31 +119,31 @@
     *value == 0.0
 }
 
-/// Seconds as whole microseconds; negative ones count as 0.
+/// Converts seconds to microseconds, rounded; negative values give 0.
 pub fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds.max(0.0) * SECOND as f64).round() as Micros
 }
 
 impl Scenario {
-    /// Reads a scenario and checks it.
+    /// Parses and validates a scenario in TOML.
     ///
     /// # Errors
-    /// The first thing that is wrong, with its key.
+    /// Returns the first syntax error or invalid value, with its key.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text).map_err(ScenarioError::InvalidToml)?;
         scenario.check()?;
         Ok(scenario)
     }
 
-    /// Checks the figures.
+    /// Validates the values of the scenario.
     ///
     /// # Errors
-    /// The first one that is wrong, with its key.
+    /// Returns the first invalid value, with its key.
     pub fn check(&self) -> Result<(), ScenarioError> {
         checks::check(self)
     }
 
-    /// The dispatch policy's settings in one scheduler.
+    /// The settings of the dispatch policy in one scheduler.
     pub fn settings(&self, scheduler: SchedulerId) -> Settings {
         Settings {
             fleet_size: self.schedulers,
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Jobs a second that the fleet can do, if all of them have their mean work.
+    /// The number of jobs per second that the fleet can run, given the classes' mean work and shares.
     pub fn capacity(&self) -> f64 {
         let group_cores = |group: &WorkerGroup| {
             f64::from(group.count) * group.cores.min(group.slots) * (group.speed[0] + group.speed[1]) / 2.0
--- a/crates/testbed/src/scenario/network.rs
+++ b/crates/testbed/src/scenario/network.rs
@@ -1,36 +1,36 @@
-//! Types of a scenario's network: delays and losses between zones.
+//! Network of a scenario: delays and losses within and between zones.
 use serde::{Deserialize, Serialize};
 
-/// The link between two zones, in both directions, where it differs from all others.
+/// Delay and loss between two zones, in both directions, that override the network's defaults.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Pair", deny_unknown_fields)]
 pub struct ZoneLink {
-    /// The zones.
+    /// Indexes of the two zones.
     pub zones: [u32; 2],
-    /// Seconds in one direction.
+    /// One-way delay, in seconds.
     #[serde(rename = "way")]
     pub delay_s: f64,
-    /// The share of messages that arrive 0.2 s late, as after a retransmission.
+    /// The share of messages, from 0 to 1, that arrive 0.2 s late, as after a retransmission.
     #[serde(default)]
     pub loss: f64,
 }
 
-/// Links between clients, schedulers and workers.
+/// Network links between clients, schedulers and workers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// Seconds in one direction within a zone.
+    /// One-way delay within a zone, in seconds.
     #[serde(rename = "near")]
     pub intra_zone_delay_s: f64,
-    /// Seconds in one direction between zones.
+    /// One-way delay between zones, in seconds.
     #[serde(rename = "far")]
     pub inter_zone_delay_s: f64,
-    /// The share of messages that arrive 0.2 s late, as after a retransmission.
+    /// The share of messages, from 0 to 1, that arrive 0.2 s late, as after a retransmission.
     pub loss: f64,
-    /// Seconds by which opening a connection to a worker delays the attempt that it is opened for.
+    /// Delay of an attempt for which a connection to the worker must be opened, in seconds.
     #[serde(rename = "connect")]
     pub connect_delay_s: f64,
-    /// Links between zones that differ from the others.
+    /// Links between two zones that differ from the defaults.
     #[serde(rename = "pairs", skip_serializing_if = "Vec::is_empty")]
     pub zone_links: Vec<ZoneLink>,
 }
@@ -48,21 +48,21 @@
 }
 
 impl Network {
-    /// The link between two zones, the same in both directions.
+    /// The delay and loss between two zones, which are the same in both directions.
     pub fn link_between(&self, from: u32, to: u32) -> ZoneLinkQuality {
-        let exception =
+        let zone_link =
             self.zone_links.iter().find(|link| link.zones == [from, to] || link.zones == [to, from]);
-        let usual_delay_s = if from == to { self.intra_zone_delay_s } else { self.inter_zone_delay_s };
-        let usual = ZoneLinkQuality { delay_s: usual_delay_s, loss: self.loss };
-        exception.map_or(usual, |link| ZoneLinkQuality { delay_s: link.delay_s, loss: link.loss })
+        let default_delay_s = if from == to { self.intra_zone_delay_s } else { self.inter_zone_delay_s };
+        let default_quality = ZoneLinkQuality { delay_s: default_delay_s, loss: self.loss };
+        zone_link.map_or(default_quality, |link| ZoneLinkQuality { delay_s: link.delay_s, loss: link.loss })
     }
 }
 
 /// Delay and loss of the messages between two zones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneLinkQuality {
-    /// Seconds in one direction.
+    /// One-way delay, in seconds.
     pub delay_s: f64,
-    /// The share of messages that are lost and sent again.
+    /// The share of messages that are lost and retransmitted, from 0 to 1.
     pub loss: f64,
 }
--- a/crates/testbed/src/scenario/workers.rs
+++ b/crates/testbed/src/scenario/workers.rs
@@ -1,41 +1,41 @@
-//! Types of a scenario's workers: their build, their queues and how they warm up.
+//! Workers of a scenario: their resources, queues and slow start.
 use serde::{Deserialize, Serialize};
 
-/// The order in which a worker starts the jobs in its queue.
+/// The order in which a worker starts the queued jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Order", rename_all = "lowercase")]
 pub enum QueueOrder {
-    /// By arrival; the first job waits until it fits.
+    /// In order of arrival; if the first job does not fit, all wait.
     #[default]
     Fifo,
-    /// The first job that fits.
+    /// In order of arrival, skipping jobs that do not fit.
     Backfill,
-    /// The job of the highest priority weight, of equals the first; it waits until it fits.
+    /// By descending priority weight, and by arrival among equals; if the first job does not fit, all wait.
     Priority,
 }
 
-/// Workers of one build.
+/// A group of workers with the same kind and resources.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Group", deny_unknown_fields)]
 pub struct WorkerGroup {
-    /// The name of the worker kind.
+    /// Name of the worker kind.
     pub kind: String,
     /// Number of workers.
     pub count: u32,
-    /// Cores of each worker.
+    /// Number of cores of each worker.
     pub cores: f64,
-    /// Slots of each worker.
+    /// Number of slots of each worker.
     pub slots: f64,
-    /// The lowest and highest speed of a core; each worker draws its own.
+    /// Lowest and highest speed of a core; each worker gets a random speed in this range.
     pub speed: [f64; 2],
-    /// The highest number of waiting jobs.
+    /// Maximum number of queued jobs.
     #[serde(rename = "queue", default = "default_queue_capacity")]
     pub queue_capacity: usize,
-    /// The order in which waiting jobs start.
+    /// The order in which queued jobs start.
     #[serde(rename = "order", default)]
     pub queue_order: QueueOrder,
-    /// Memory of each worker, in the unit of the classes' memory. Without it, memory never fills up.
-    /// Schedulers assume one unit for each slot.
+    /// Memory of each worker, in the unit of the classes' memory; without it, memory is unlimited. Schedulers
+    /// assume one unit per slot.
     #[serde(default)]
     pub memory: Option<f64>,
 }
@@ -44,20 +44,20 @@
     100
 }
 
-/// How workers warm up after a start, and when they are overloaded meanwhile.
+/// Slow start of workers, and the threshold above which they are overloaded during it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Cold", default, deny_unknown_fields)]
 pub struct SlowStart {
-    /// The share of its capacity that a worker has at its start.
+    /// The share of its full capacity that a worker has when it starts, from 0 to 1.
     #[serde(rename = "from")]
     pub initial_capacity: f64,
-    /// Seconds until a worker has its full capacity.
+    /// Seconds from a worker's start until it has its full capacity.
     #[serde(rename = "warm_after")]
     pub duration_s: f64,
-    /// A worker is overloaded that is sent more than this multiple of its present capacity ...
+    /// Multiple of its current capacity above which the offered load overloads a worker.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... for this many seconds; 0: never.
+    /// Seconds for which the load must exceed that multiple to overload a worker; 0 disables overload.
     #[serde(rename = "fall_seconds")]
     pub overload_window_s: f64,
 }
--- a/crates/testbed/tests/emulate.rs
+++ b/crates/testbed/tests/emulate.rs
@@ -1,4 +1,4 @@
-//! Whole runs in real time, scaled down to some seconds: the testbed's own policy node as processes.
+//! Tests of short emulation runs, with the testbed's `node` command as the scheduler processes.
 use std::net::SocketAddr;
 
 use copperspread_settings::platform::read_startup_config;
@@ -14,7 +14,7 @@
 use copperspread_testbed::scenario::Scenario;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// A small fleet, for so many seconds.
+/// A scenario with 3 schedulers, 9 workers, `rate` jobs per second for `seconds`, and the given faults.
 fn small_scenario(seconds: f64, rate: f64, faults: &str) -> Scenario {
     let class = |name: &str, repeat: &str| {
         format!(
@@ -30,14 +30,14 @@
         class("keyed", "keyed"),
         class("once", "never"),
     );
-    Scenario::parse(&text).expect("a scenario")
+    Scenario::parse(&text).expect("the scenario is valid")
 }
 
-fn fault(at: f64, lasts: f64, share: f64, what: &str) -> String {
+fn fault_toml(at: f64, lasts: f64, share: f64, what: &str) -> String {
     format!("[[faults]]\nat = {at:?}\nlasts = {lasts:?}\nshare = {share:?}\nwhat = {what}\n")
 }
 
-/// The testbed's node with a policy.
+/// Schedulers that run the testbed's `node` command with a policy.
 fn policy_node(policy: &str) -> SchedulerInstances {
     let arguments = ["node", "--policy", policy].map(str::to_owned).to_vec();
     SchedulerInstances::Spawned(SchedulerProgram {
@@ -46,7 +46,7 @@
     })
 }
 
-/// Each job has one outcome.
+/// Asserts that each job has exactly one outcome.
 fn assert_all_accounted(outcome: &RunOutcome, jobs: usize) {
     let weight = outcome.weight;
     let parts = weight.in_time + weight.late + weight.rejected + weight.failed + weight.unanswered;
@@ -54,14 +54,15 @@
     assert_eq!(outcome.jobs, jobs as u64);
 }
 
-// What a scheduler reads from its configuration is what the policy is given in virtual time.
+// Guards against differences between simulation and emulation: the settings that a scheduler reads from its
+// configuration file must be those that the simulation passes to the dispatch policy.
 #[test]
 fn simulation_and_emulation_give_schedulers_the_same_settings() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
     let address = SocketAddr::from(([127, 0, 0, 1], 80));
-    for file in std::fs::read_dir(folder).expect("a folder").flatten() {
-        let text = std::fs::read_to_string(file.path()).expect("a file");
-        let scenario = Scenario::parse(&text).expect("a scenario");
+    for file in std::fs::read_dir(folder).expect("the scenario directory can be read").flatten() {
+        let text = std::fs::read_to_string(file.path()).expect("the scenario file can be read");
+        let scenario = Scenario::parse(&text).expect("the scenario is valid");
         for scheduler in SchedulerId::first(scenario.schedulers) {
             let config = SchedulerConfig {
                 scenario: &scenario,
@@ -71,7 +72,8 @@
                 discovery: address,
                 cached_list: None,
             };
-            let start = read_startup_config(&config.to_platform_json().to_string()).expect("a configuration");
+            let start = read_startup_config(&config.to_platform_json().to_string())
+                .expect("the generated configuration is valid");
             assert_eq!(start.settings.dispatch, scenario.settings(scheduler), "{}", scenario.name);
         }
     }
@@ -80,25 +82,30 @@
 #[test]
 fn the_dispatch_policy_keeps_all_rules_under_all_faults_on_sockets() {
     let faults = [
-        fault(0.5, 5.0, 0.3, "{ resetting = 0.3 }"),
-        fault(0.5, 5.0, 0.3, "{ garbled = 0.3 }"),
-        fault(0.5, 5.0, 0.3, "{ late_news = 0.4 }"),
-        fault(0.5, 5.0, 0.5, "'doubled_news'"),
-        fault(1.0, 1.0, 0.2, "'crash'"),
-        fault(1.5, 1.5, 0.2, "'vanish'"),
-        fault(2.0, 2.0, 0.3, "'drain'"),
-        fault(2.5, 1.0, 0.2, "'refusing'"),
-        fault(3.0, 1.0, 0.2, "'scheduler_crash'"),
-        fault(2.0, 3.7, 0.2, "'scheduler_restart'"),
-        fault(1.0, 1.5, 0.2, "'discovery_down'"),
-        fault(3.5, 2.0, 0.2, "'discovery_contradicts'"),
+        fault_toml(0.5, 5.0, 0.3, "{ resetting = 0.3 }"),
+        fault_toml(0.5, 5.0, 0.3, "{ garbled = 0.3 }"),
+        fault_toml(0.5, 5.0, 0.3, "{ late_news = 0.4 }"),
+        fault_toml(0.5, 5.0, 0.5, "'doubled_news'"),
+        fault_toml(1.0, 1.0, 0.2, "'crash'"),
+        fault_toml(1.5, 1.5, 0.2, "'vanish'"),
+        fault_toml(2.0, 2.0, 0.3, "'drain'"),
+        fault_toml(2.5, 1.0, 0.2, "'refusing'"),
+        fault_toml(3.0, 1.0, 0.2, "'scheduler_crash'"),
+        fault_toml(2.0, 3.7, 0.2, "'scheduler_restart'"),
+        fault_toml(1.0, 1.5, 0.2, "'discovery_down'"),
+        fault_toml(3.5, 2.0, 0.2, "'discovery_contradicts'"),
     ];
     let scenario = small_scenario(6.0, 60.0, &faults.concat());
-    let outcome = emulate(&scenario, &policy_node("copperspread"), "copperspread", 3).expect("an outcome");
+    let outcome =
+        emulate(&scenario, &policy_node("copperspread"), "copperspread", 3).expect("the run completes");
     assert_all_accounted(&outcome, Arrivals::new(&scenario, 3).count());
     assert!(outcome.violations.is_empty(), "{:?} {:?}", outcome.violations, outcome.violation_examples);
     assert!(outcome.weight.in_time_share() > 0.5, "{:?}", outcome.weight);
-    assert!(outcome.weight.failed > 0.0, "requests of a crashed scheduler: {:?}", outcome.weight);
+    assert!(
+        outcome.weight.failed > 0.0,
+        "requests of the crashed scheduler should fail: {:?}",
+        outcome.weight
+    );
     assert!(outcome.machine_usage.is_some_and(|usage| usage.cpu_us_per_job > 0.0));
 }
 
@@ -109,10 +116,10 @@
         let runs = [PolicyKind::Random, PolicyKind::TwoChoices].map(|kind| {
             let scenario = &scenario;
             scope.spawn(move || {
-                emulate(scenario, &policy_node(&kind.name()), &kind.name(), 5).expect("an outcome")
+                emulate(scenario, &policy_node(&kind.name()), &kind.name(), 5).expect("the run completes")
             })
         });
-        runs.map(|run| run.join().expect("a run")).into()
+        runs.map(|run| run.join().expect("the run does not panic")).into()
     });
     for outcome in &outcomes {
         assert_all_accounted(outcome, Arrivals::new(&scenario, 5).count());
@@ -122,10 +129,10 @@
 }
 
 #[test]
-fn faulty_policies_are_caught_on_sockets() {
-    let drain_fault = fault(0.5, 9.0, 0.7, "'drain'");
-    // One attempt: the policy itself does not retry, within a zone or not.
-    let reset_fault = fault(0.2, 9.0, 1.0, "{ resetting = 0.6 }") + "[settings]\nmax_attempts = 1\n";
+fn rule_checker_detects_faulty_policies_on_sockets() {
+    let drain_fault = fault_toml(0.5, 9.0, 0.7, "'drain'");
+    // With `max_attempts = 1`, the dispatch policy itself does not retry, in the same zone or in another one.
+    let reset_fault = fault_toml(0.2, 9.0, 1.0, "{ resetting = 0.6 }") + "[settings]\nmax_attempts = 1\n";
     std::thread::scope(|scope| {
         for (policy, faults, rules) in [
             ("ignores_drains", &drain_fault, &[Rule::NoDispatchWhileDraining][..]),
@@ -133,7 +140,7 @@
         ] {
             scope.spawn(move || {
                 let outcome = emulate(&small_scenario(4.0, 60.0, faults), &policy_node(policy), policy, 3)
-                    .expect("an outcome");
+                    .expect("the run completes");
                 let found: Vec<_> = outcome.violations.keys().copied().collect();
                 assert_eq!(found, rules, "{policy}: {:?}", outcome.violation_examples);
             });
@@ -141,7 +148,8 @@
     });
 }
 
-// The same exchange with and without a dispatch decision: both serve, and neither is free.
+// Measures a scheduler and a relay, which makes no dispatch decision: both must serve all requests and use
+// processor time.
 #[test]
 fn the_cost_of_both_programs_is_measured_and_printed() {
     let program = |arguments: &[&str]| SchedulerProgram {
@@ -153,7 +161,7 @@
         ("relay".to_owned(), program(&["relay"])),
     ];
     let costs = measure_costs(&programs, CostSettings { rounds: 2, seconds: 0.5, clients: 8, workers: 3 })
-        .expect("it measures");
+        .expect("the measurement completes");
     for (name, rounds) in &costs {
         assert_eq!(rounds.len(), 2, "{name}");
         for sample in rounds {
@@ -168,14 +176,21 @@
     assert!(text.contains("node against relay: CPU a request") && text.contains("over 2 rounds"), "{text}");
 }
 
-/// A server that sends every client a text, or never responds. Its thread ends with the test.
-fn server(response: Option<&'static str>) -> SocketAddr {
+/// Starts a server that answers every request with `response`, or never responds. Its thread ends with the
+/// test process.
+fn start_server(response: Option<&'static str>) -> SocketAddr {
     let (sender, address) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("the runtime is created");
         runtime.block_on(async {
-            let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            sender.send(listener.local_addr().expect("an address")).expect("the test waits");
+            let listener =
+                tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a loopback port is available");
+            sender
+                .send(listener.local_addr().expect("the listener has an address"))
+                .expect("the test waits for the address");
             while let Ok((mut stream, _)) = listener.accept().await {
                 tokio::spawn(async move {
                     let mut request = [0; 4096];
@@ -188,11 +203,11 @@
             }
         });
     });
-    address.recv().expect("it listens")
+    address.recv().expect("the server listens")
 }
 
 #[test]
-fn forged_results_and_missing_responses_are_caught() {
+fn rule_checker_detects_forged_results_and_missing_responses() {
     let cases = [
         (Some("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfake"), vec![Rule::GenuineResult]),
         (Some("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), vec![]),
@@ -201,8 +216,8 @@
     ];
     for (response, rules) in cases {
         let scenario = small_scenario(0.5, 30.0, "");
-        let running = SchedulerInstances::External(vec![server(response)]);
-        let outcome = emulate(&scenario, &running, "a text", 3).expect("an outcome");
+        let running = SchedulerInstances::External(vec![start_server(response)]);
+        let outcome = emulate(&scenario, &running, "a text", 3).expect("the run completes");
         assert_eq!(outcome.violations.keys().copied().collect::<Vec<_>>(), rules, "{response:?}");
         let count: u64 = outcome.violations.values().sum();
         assert!(rules.is_empty() || count == outcome.jobs, "{count} of {}", outcome.jobs);
@@ -215,15 +230,19 @@
         file: "no/such/program".into(),
         arguments: Vec::new(),
     });
-    let error = emulate(&small_scenario(1.0, 9.0, ""), &missing, "x", 1).expect_err("no program").to_string();
+    let error = emulate(&small_scenario(1.0, 9.0, ""), &missing, "x", 1)
+        .expect_err("the program does not exist")
+        .to_string();
     assert!(error.contains("no/such/program"), "{error}");
     let ends_at_once =
         SchedulerInstances::Spawned(SchedulerProgram { file: "false".into(), arguments: Vec::new() });
-    let error =
-        emulate(&small_scenario(1.0, 9.0, ""), &ends_at_once, "x", 1).expect_err("it ends").to_string();
+    let error = emulate(&small_scenario(1.0, 9.0, ""), &ends_at_once, "x", 1)
+        .expect_err("the program exits at once")
+        .to_string();
     assert!(error.contains("ended with exit status: 1"), "{error}");
     let mut large = small_scenario(1.0, 9.0, "");
     large.workers[0].count = 500;
-    let error = emulate(&large, &policy_node("random"), "x", 1).expect_err("too large").to_string();
-    assert!(error.contains("500 workers and 3 schedulers; emulate plays 200 and 16 at most"), "{error}");
+    let error =
+        emulate(&large, &policy_node("random"), "x", 1).expect_err("the fleet is too large").to_string();
+    assert!(error.contains("500 workers and 3 schedulers; emulate supports at most 200 and 16"), "{error}");
 }
--- a/crates/testbed/tests/load.rs
+++ b/crates/testbed/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool against servers that stall, reject, fail, break connections and do not respond.
+//! Tests of the load generator against servers that stall, reject, fail, break connections or do not respond.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -20,22 +20,22 @@
          [[classes]]\nname = 'c'\nshare = 1.0\nwork = 0.01\naim = 0.2\ndeadline = {deadline:?}\nworth = 1.0\n\
          repeat = 'never'\n"
     );
-    Scenario::parse(&text).expect("a scenario")
+    Scenario::parse(&text).expect("the scenario is valid")
 }
 
 async fn load_against(router: Router, scenario: &Scenario, max_open_requests: usize) -> ClassLoadResult {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port is available");
+    let address = listener.local_addr().expect("the listener has an address");
     let server = tokio::spawn(async move { axum::serve(listener, router).await });
     let report = send_load(scenario, 1, address, max_open_requests).await;
     server.abort();
-    report.classes.into_iter().next().expect("a class")
+    report.classes.into_iter().next().expect("the scenario has a class")
 }
 
-// Coordinated omission: a tool that waits for the stalled response before it sends on would see one slow
-// job where an open loop sees all that were scheduled meanwhile.
+// Guards against coordinated omission: a load generator that waits for the stalled response before it sends
+// the next job would measure one slow job, where an open loop measures all jobs scheduled during the stall.
 #[tokio::test]
-async fn a_stall_of_the_server_delays_all_jobs_that_were_scheduled_meanwhile() {
+async fn a_stall_of_the_server_delays_all_jobs_scheduled_during_it() {
     let (lock, count) = (Arc::new(Mutex::new(())), Arc::new(AtomicU64::new(0)));
     let stalls = Router::new().fallback(move || {
         let (lock, count) = (Arc::clone(&lock), Arc::clone(&count));
@@ -50,7 +50,7 @@
     let class = load_against(stalls, &scenario(100.0, 1.5, 5.0), 1_024).await;
     assert_eq!((class.served, class.scheduled), (class.scheduled, class.scheduled));
     assert!(class.scheduled > 100);
-    // Half a second at a hundred jobs a second was queued; a closed loop would show a single slow job.
+    // The 0.5 s stall queues the jobs of 0.5 s at 100 jobs/s; a closed loop would show a single slow job.
     let slow = class.served - class.in_time;
     assert!((15..=60).contains(&slow), "{slow} of {} over 0.2 s", class.scheduled);
     assert!((450.0..900.0).contains(&class.served_ms[4]), "{:?}", class.served_ms);
@@ -65,7 +65,7 @@
             let headers = request.headers();
             let text =
                 |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default();
-            // What the protocol requires of a client.
+            // The headers and path that the protocol requires of a client.
             let is_valid = text("x-request-id").len() == 16
                 && text("x-timeout").ends_with('m')
                 && text("x-cost").parse::<u64>().is_ok()
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn timeouts_broken_connections_and_unsent_jobs_are_counted_apart() {
+async fn timeouts_broken_connections_and_unsent_jobs_are_counted_separately() {
     let silent = Router::new().fallback(|| async {
         tokio::time::sleep(Duration::from_secs(30)).await;
         "late"
@@ -100,9 +100,9 @@
     let class = load_against(silent, &scenario(100.0, 0.5, 0.3), 8).await;
     assert!(class.timed_out >= 8 && class.not_sent > 0 && class.served == 0, "{class:?}");
     assert_eq!(class.timed_out + class.not_sent, class.scheduled);
-    // No server listens there any more.
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    // The address of a closed listener, where connections are refused.
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
+    let address = listener.local_addr().expect("the listener has an address");
     drop(listener);
     let report = send_load(&scenario(100.0, 0.3, 1.0), 1, address, 64).await;
     assert_eq!(report.classes[0].connection_broken, report.classes[0].scheduled);
--- a/crates/testbed/tests/unit/emulation_workers.rs
+++ b/crates/testbed/tests/unit/emulation_workers.rs
@@ -1,5 +1,4 @@
-//! Tests of `emulation::workers`, which takes this file in as its `tests`: what schedulers see on workers'
-//! sockets.
+//! Unit tests of `emulation::workers`: the behavior of workers' sockets as seen by schedulers.
 use std::cell::RefCell;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -25,34 +24,35 @@
 use crate::scenario::Scenario;
 use crate::startup::single_threaded_runtime;
 
-/// The only worker.
+/// The only worker of the test scenario.
 const WORKER: WorkerId = WorkerId(0);
-/// The only scheduler.
+/// The only scheduler of the test scenario.
 const SCHEDULER: SchedulerId = SchedulerId(0);
 
 /// An address at which no scheduler listens.
-fn no_scheduler() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
 fn runtime() -> Runtime {
-    single_threaded_runtime().expect("a runtime")
+    single_threaded_runtime().expect("the runtime is created")
 }
 
-/// The scenario's fault begins or ends at its worker.
+/// Starts or ends the scenario's fault at its worker.
 fn apply_fault(environment: &Rc<Environment>, is_start: bool) {
     let target = Some(FaultTarget::Worker(WORKER));
     let transition = FaultTransition { at: 0, fault: 0, target, is_start };
     environment.apply(|state| state.apply_fault(transition));
 }
 
-/// One worker with one slot and no queue, and a fault that has not begun. Callbacks are not sent.
+/// An environment like that of [`environment`] in which the scheduler is down, so that no callbacks are sent.
 async fn environment_without_scheduler(fault: &str, seed: u64, settings: &str) -> Rc<Environment> {
-    let environment = environment(fault, seed, settings, no_scheduler()).await;
+    let environment = environment(fault, seed, settings, unused_address()).await;
     environment.schedulers[0].is_up.set(false);
     environment
 }
 
+/// One worker with one slot and no queue, and a fault that has not started.
 async fn environment(fault: &str, seed: u64, settings: &str, scheduler: SocketAddr) -> Rc<Environment> {
     let text = format!(
         "name = 'one'\nabout = 'one worker'\nseconds = 9.0\nschedulers = 1\n[clients]\nrate = 1.0\n\
@@ -61,10 +61,13 @@
          deadline = 9.0\nworth = 1.0\nrepeat = 'safe'\n\
          [[faults]]\nat = 0.0\nlasts = 9.0\nshare = 1.0\nwhat = {fault}\n{settings}"
     );
-    let scenario = Scenario::parse(&text).expect("a scenario");
+    let scenario = Scenario::parse(&text).expect("the scenario is valid");
     let state = EmulationState::new(&scenario, Fleet::generate(&scenario, seed), seed);
-    let socket = bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-    let listener = WorkerListener::new(socket.local_addr().expect("an address"), ListenerState::Accepting(0));
+    let socket = bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a loopback port is available");
+    let listener = WorkerListener::new(
+        socket.local_addr().expect("the socket has an address"),
+        ListenerState::Accepting(0),
+    );
     let list = VersionedEndpointList::new(vec![endpoint_of(&state, WORKER)]);
     let environment = Rc::new(Environment::new(state, vec![listener], list, vec![scheduler]));
     environment.start_clock();
@@ -78,11 +81,13 @@
     environment
 }
 
-/// Sends an attempt of a new job; the response, or why there is none.
+/// Sends an attempt of a new job with 5 s of work; returns the response, or the error if there is none.
 async fn send_attempt(environment: &Rc<Environment>) -> Result<String, ErrorKind> {
     send_attempt_of(environment, 5.0).await
 }
 
+/// Sends an attempt of a new job with `work` in seconds; returns the response, or the error if there is
+/// none.
 async fn send_attempt_of(environment: &Rc<Environment>, work: f64) -> Result<String, ErrorKind> {
     let arrival =
         Arrival { at: 0, class: 0, work, slots: 1.0, memory: 1.5, cost_hint: None, scheduler: SCHEDULER };
@@ -97,7 +102,7 @@
         stream.write_all(request.as_bytes()).await?;
         let mut response = vec![0; 1_024];
         let mut length = stream.read(&mut response).await?;
-        // What follows a part of a response is its end or a reset.
+        // After part of a response comes the rest, the end of the connection or a reset.
         if !response[..length].ends_with(b"\r\n\r\n") {
             match timeout(Duration::from_secs(2), stream.read(&mut response[length..])).await {
                 Ok(more) => length += more.unwrap_or(0),
@@ -113,7 +118,7 @@
     }
 }
 
-// Each fault as a scheduler sees it, and how many jobs the worker has afterwards.
+// For each fault: the response to an attempt, and the number of jobs that the worker has afterwards.
 #[test]
 fn a_fault_of_a_worker_shows_on_its_socket() {
     let cases: &[(&str, Result<&str, ErrorKind>, usize)] = &[
@@ -129,7 +134,7 @@
         LocalSet::new().block_on(&runtime, async {
             let environment = environment_without_scheduler(fault, 1, "").await;
             apply_fault(&environment, true);
-            // The listener follows in a task of its own, before the next connection is accepted.
+            // Wait until the listener's task has applied the fault.
             sleep(Duration::from_millis(150)).await;
             let response = send_attempt(&environment).await;
             let is_as_expected = match (&response, expected) {
@@ -142,7 +147,7 @@
     }
 }
 
-// By chance; both are met.
+// Which of the two happens is random; the loop makes enough attempts for both to occur.
 #[test]
 fn a_reset_comes_before_the_job_is_accepted_or_in_the_middle_of_the_202() {
     let runtime = runtime();
@@ -169,11 +174,12 @@
                 }
             }
         }
-        assert!(before > 0 && during > 0, "{before} before, {during} during");
+        assert!(before > 0 && during > 0, "{before} resets before acceptance, {during} during the 202");
     });
 }
 
-// The status, and the load report where that is wanted. The queue takes none here.
+// Checks the status and the load report. The worker has no queue, so a queued load query is rejected while a
+// job runs.
 #[test]
 fn a_worker_responds_to_load_queries_with_its_load() {
     let load_queries = |is_queued: bool| {
@@ -183,7 +189,7 @@
     };
     let idle = Some([("inflight", 0.0), ("x0", 1.0)]);
     let busy = Some([("inflight", 1.0), ("x0", 0.0)]);
-    // Settings, fault, whether a job runs, path, status and load report.
+    // Settings, fault, whether a job runs, path, expected status, expected load report.
     let cases = [
         (load_queries(true), "{ slow = 1.0 }", false, "/-/load", 200, idle),
         (load_queries(false), "{ slow = 1.0 }", true, "/-/load", 200, busy),
@@ -206,19 +212,21 @@
             }
             apply_fault(&environment, true);
             sleep(Duration::from_millis(250)).await;
-            let mut stream =
-                TcpStream::connect(environment.worker_address(WORKER)).await.expect("a connection");
+            let mut stream = TcpStream::connect(environment.worker_address(WORKER))
+                .await
+                .expect("the worker accepts connections");
             let request = format!("GET {path} HTTP/1.1\r\nHost: w\r\nConnection: close\r\n\r\n");
-            stream.write_all(request.as_bytes()).await.expect("sent");
+            stream.write_all(request.as_bytes()).await.expect("the request is sent");
             let mut response = String::new();
-            stream.read_to_string(&mut response).await.expect("a response");
+            stream.read_to_string(&mut response).await.expect("the worker responds");
             assert!(
                 response.starts_with(&format!("HTTP/1.1 {status}")),
                 "{settings} {fault} {path}: {response}"
             );
             let body = response.split("\r\n\r\n").nth(1).unwrap_or_default();
             let Some(load) = load else { return assert_eq!(body, "", "{settings} {fault} {path}") };
-            let report: serde_json::Value = serde_json::from_str(body).expect("JSON");
+            let report: serde_json::Value =
+                serde_json::from_str(body).expect("the load report is valid JSON");
             for (name, value) in load {
                 assert_eq!(report[name].as_f64(), Some(value), "{settings} {fault} {path}: {report}");
             }
@@ -234,21 +242,23 @@
         LocalSet::new().block_on(&runtime, async {
             let environment = environment_without_scheduler("{ slow = 1.0 }", 1, settings).await;
             let id = environment.apply(|state| state.register_request(0, SCHEDULER, SECOND));
-            send_attempt(&environment).await.expect("a 202");
-            let mut stream =
-                TcpStream::connect(environment.worker_address(WORKER)).await.expect("a connection");
+            send_attempt(&environment).await.expect("the worker responds");
+            let mut stream = TcpStream::connect(environment.worker_address(WORKER))
+                .await
+                .expect("the worker accepts connections");
             let request =
                 format!("DELETE /jobs/{:016x} HTTP/1.1\r\nHost: w\r\nConnection: close\r\n\r\n", id + 1);
-            stream.write_all(request.as_bytes()).await.expect("sent");
-            stream.read_to_string(&mut String::new()).await.expect("a response");
+            stream.write_all(request.as_bytes()).await.expect("the request is sent");
+            stream.read_to_string(&mut String::new()).await.expect("the worker responds");
             assert_eq!(environment.state.borrow().workers[0].0.job_count(), job_count, "{settings:?}");
         });
     }
 }
 
-// The callbacks of a job of 0.3 s: the states in their order, and when the first one comes at the earliest.
+// For each fault: the expected callback states of a job of 0.3 s, in order, and the earliest time of the
+// first callback.
 #[test]
-fn callbacks_come_once_or_twice_late_or_never() {
+fn callbacks_arrive_once_twice_late_or_never() {
     type Callbacks = Vec<(String, f64)>;
     let cases: &[(&str, &str, &[&str], f64)] = &[
         ("{ slow = 1.0 }", "", &["started", "done"], 0.0),
@@ -260,8 +270,8 @@
     let runtime = runtime();
     for (fault, settings, states, earliest_s) in cases {
         let callbacks: Callbacks = LocalSet::new().block_on(&runtime, async {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let scheduler = listener.local_addr().expect("an address");
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port is available");
+            let scheduler = listener.local_addr().expect("the listener has an address");
             let environment = environment(fault, 1, settings, scheduler).await;
             apply_fault(&environment, true);
             let started_at = Instant::now();
@@ -277,9 +287,16 @@
                     spawn_local(serve_connection(stream, move |request| {
                         let received = Rc::clone(&received);
                         async move {
-                            let body = request.into_body().collect().await.expect("a body").to_bytes();
-                            let callback: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
-                            let state = callback["state"].as_str().expect("a state").to_owned();
+                            let body = request
+                                .into_body()
+                                .collect()
+                                .await
+                                .expect("the callback has a complete body")
+                                .to_bytes();
+                            let callback: serde_json::Value =
+                                serde_json::from_slice(&body).expect("the callback is valid JSON");
+                            let state =
+                                callback["state"].as_str().expect("the callback has a state").to_owned();
                             received.borrow_mut().push((state, started_at.elapsed().as_secs_f64()));
                             empty_response(StatusCode::NO_CONTENT)
                         }
@@ -295,7 +312,7 @@
     }
 }
 
-// It resets connections that were open, and runs another process.
+// After the outage the worker runs a new process without the earlier jobs; old connections are reset.
 #[test]
 fn a_machine_that_is_reachable_again_accepts_jobs() {
     let runtime = runtime();
