--- a/crates/testbed/src/cost/mod.rs
+++ b/crates/testbed/src/cost/mod.rs
@@ -87,6 +87,7 @@
     NotRunning,
 }
 
+/// Scenario from which the measured schedulers are configured; its workers and clients are not run.
 const COST_SCENARIO: &str = "name = 'cost'\nabout = 'jobs that cost nothing'\nseconds = 1.0\nschedulers = 1\n\
     [clients]\nrate = 1.0\n[cold]\nfall_seconds = 0.0\n\
     [[workers]]\nkind = 'w'\ncount = 1\ncores = 64.0\nslots = 64.0\nspeed = [1.0, 1.0]\n\
--- a/crates/testbed/src/emulation/callbacks.rs
+++ b/crates/testbed/src/emulation/callbacks.rs
@@ -12,7 +12,8 @@
 use crate::emulation::platform_json::callback_json;
 use crate::http_client::{HttpClient, read_body};
 
-/// Maximum number of times that a worker sends a callback.
+/// Maximum number of times that a worker sends a callback, including the first time and the second copy of a
+/// duplicated callback.
 const MAX_CALLBACK_TRIES: u32 = 10;
 /// Delay after a failed try.
 const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(100);
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -146,6 +146,8 @@
     Some(ReceivedResponse { received_at, response })
 }
 
+/// The preferred scheduler if it is up, otherwise one that is, in the same zone if possible; `preferred` if
+/// none is up.
 fn reachable_scheduler(environment: &Environment, preferred: SchedulerId) -> SchedulerId {
     let is_up = |id: SchedulerId| environment.schedulers[id.index()].is_up.get();
     preferred.reachable(environment.schedulers.len() as u32, environment.scenario.zones, is_up)
--- a/crates/testbed/src/emulation/endpoint_list.rs
+++ b/crates/testbed/src/emulation/endpoint_list.rs
@@ -21,7 +21,7 @@
     /// Number of outages of discovery that are in progress; discovery does not respond unless it is 0.
     pub outages: u32,
     /// Workers that changed during an outage; their endpoints are updated when it ends.
-    pub unannounced_workers: Vec<WorkerId>,
+    pub unpublished_workers: Vec<WorkerId>,
     /// Copy of the list from the start of a `DiscoveryContradicts` fault; `None` without the fault.
     pub stale_copy: Option<Vec<Endpoint>>,
 }
@@ -35,7 +35,7 @@
             endpoints: endpoints.into_iter().map(first).collect(),
             full_list_since: 0,
             outages: 0,
-            unannounced_workers: Vec::new(),
+            unpublished_workers: Vec::new(),
             stale_copy: None,
         }
     }
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -209,7 +209,7 @@
         listener.wake.notify_one();
         let endpoint = self.endpoint(worker);
         if self.endpoint_list.borrow().outages > 0 {
-            return self.endpoint_list.borrow_mut().unannounced_workers.push(worker);
+            return self.endpoint_list.borrow_mut().unpublished_workers.push(worker);
         }
         // The task ends after the discovery delay.
         tokio::task::spawn_local(publish_after_delay(Rc::clone(self), endpoint));
--- a/crates/testbed/src/emulation/faults.rs
+++ b/crates/testbed/src/emulation/faults.rs
@@ -12,7 +12,7 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::FaultKind;
 
-/// Injects the faults; returns only if one of them fails.
+/// Injects the faults at their times. Returns only if a fault cannot be injected, with the error.
 pub(super) async fn inject_faults(
     environment: &Rc<Environment>,
     transitions: &[FaultTransition],
@@ -67,7 +67,8 @@
     Ok(())
 }
 
-/// Stops a scheduler's process, which is marked as down first so that clients and workers do not use it.
+/// Marks a scheduler as down, so that clients and workers do not use it, and kills its process, or for a
+/// restart sends it SIGTERM without waiting for its exit.
 async fn stop_scheduler(
     environment: &Environment,
     scheduler: SchedulerId,
@@ -95,7 +96,7 @@
 async fn end_discovery_outage(environment: Rc<Environment>) {
     sleep(environment.discovery_delay()).await;
     // The list is taken after the delay, to include workers that changed during it.
-    let workers = std::mem::take(&mut environment.endpoint_list.borrow_mut().unannounced_workers);
+    let workers = std::mem::take(&mut environment.endpoint_list.borrow_mut().unpublished_workers);
     let endpoints: Vec<_> = workers.into_iter().map(|worker| environment.endpoint(worker)).collect();
     environment.update_endpoint_list(|list| {
         list.outages -= 1;
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -48,7 +48,7 @@
 /// The scheduler processes of an emulation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SchedulerInstances {
-    /// Processes of this program, which the emulation starts and stops.
+    /// Processes of the given program, which the emulation starts and stops.
     Spawned(SchedulerProgram),
     /// Schedulers that are already running at these addresses. They do not poll the emulation's discovery.
     External(Vec<SocketAddr>),
@@ -57,8 +57,10 @@
 /// Emulates a scenario and returns the outcome, in which the schedulers' policy is named `policy_name`.
 ///
 /// # Errors
-/// Fails if the scenario is too large for one machine or needs an unsupported feature, if a socket cannot be
-/// opened, or if a scheduler does not start, exits unexpectedly or does not exit on SIGTERM.
+/// Fails if the scenario is too large for one machine or needs an unsupported feature, if a socket or
+/// temporary directory cannot be created, or if a scheduler does not start, exits unexpectedly or does not
+/// exit on SIGTERM. Also fails if the list of external schedulers is empty, if a fault stops an external
+/// scheduler, or if a job does not end.
 pub fn emulate(
     scenario: &Scenario,
     schedulers: &SchedulerInstances,
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -64,7 +64,8 @@
         process.start().await?;
     }
     sleep(SETTLE_TIME).await;
-    // Time 0 of the run. Notifications that schedulers got earlier count as received at this time.
+    // Time 0 of the run. Notifications that schedulers got earlier keep the time that they had on the clock
+    // before its restart.
     environment.start_clock();
     let started_at = Instant::now();
     let send_lag = tokio::select! {
@@ -77,7 +78,7 @@
     Ok(outcome(&environment, policy_name, seed, &measurements))
 }
 
-/// Reserves a port for each worker, which stays bound for the whole run.
+/// Binds a port for each worker. The worker's listener task binds it again after each change of its state.
 fn bind_workers(fleet: &Fleet) -> Result<(Vec<WorkerListener>, Vec<TcpSocket>), EmulationError> {
     let (mut listeners, mut sockets) = (Vec::new(), Vec::new());
     for (worker, _) in &fleet.workers {
@@ -98,7 +99,8 @@
     cached
 }
 
-/// The addresses of the schedulers, and the sockets that reserve them until spawned schedulers listen.
+/// The addresses of the schedulers, and the sockets that reserve those of spawned schedulers. The sockets
+/// must be held for the whole run, so that restarted schedulers find their addresses free.
 fn scheduler_addresses(
     schedulers: &SchedulerInstances,
     count: u32,
@@ -164,7 +166,8 @@
     Ok(processes)
 }
 
-/// Stops the schedulers and returns the processor time that they used.
+/// Stops the schedulers and returns the processor time of their current processes. Processes that a fault
+/// ended are not included.
 async fn stop_processes(processes: &mut [SchedulerProcess]) -> Result<Duration, EmulationError> {
     let mut cpu = Duration::ZERO;
     for process in processes.iter_mut() {
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -25,7 +25,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval between readiness polls.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time within which a scheduler must exit after SIGTERM before it is killed; beyond the longest deadline.
+/// Time within which a scheduler must exit after SIGTERM; after it, the process is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 /// File name of the scheduler program, in the same directory as this program.
 const SCHEDULER_PROGRAM: &str = "copperspread-scheduler";
@@ -55,7 +55,7 @@
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
     /// The program exited before it was ready.
-    #[error("{}: ended with {status}; last log line: {last_log_line}", program.display())]
+    #[error("{}: exited before it was ready, with {status}; last log line: {last_log_line}", program.display())]
     ExitedAtStart {
         /// The program.
         program: PathBuf,
@@ -94,8 +94,8 @@
 }
 
 impl SchedulerProgram {
-    /// The program that schedules with a policy: the scheduler program for its own policy, and this program's
-    /// `node` command for any other.
+    /// The program that runs a policy: `copperspread-scheduler` for [`PolicyKind::Copperspread`], and this
+    /// program's `node` command for any other.
     ///
     /// # Errors
     /// Fails if the program does not exist or its path cannot be determined.
@@ -227,7 +227,7 @@
     /// Checks that the process has not exited unexpectedly.
     ///
     /// # Errors
-    /// Fails if it has, or if its state cannot be read.
+    /// Fails if the process has exited unexpectedly, or if its state cannot be read.
     pub fn check_running(&mut self) -> Result<(), ProcessError> {
         let exit_status = match &mut self.child {
             Some(child) => child.try_wait().map_err(ProcessError::Wait)?,
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -4,7 +4,7 @@
 
 use crate::emulation::messages::AttemptResponse;
 use crate::emulation::state::effects::AttemptEvent;
-use crate::emulation::state::{Attempt, EmulationState, PendingRequest};
+use crate::emulation::state::{Attempt, ClientRequest, EmulationState};
 use crate::model::arrivals::Arrival;
 use crate::model::connection_faults::DeliveryResult;
 use crate::model::idempotency_keys::{DuplicateOutcome, key_group};
@@ -27,7 +27,7 @@
     /// attempt arrives, in microseconds.
     pub(crate) fn attempt_arrives(&mut self, request: u64, worker: WorkerId) -> Micros {
         let now = self.now();
-        let Some(&PendingRequest { job, scheduler }) = self.requests.get(&request) else { return 0 };
+        let Some(&ClientRequest { job, scheduler }) = self.requests.get(&request) else { return 0 };
         let Some(job) = self.jobs.get(&job) else { return 0 };
         let (from, to) = (self.scheduler_zone(scheduler), self.workers[worker.0 as usize].1);
         let load = job.arrival.work * job.arrival.slots;
@@ -39,7 +39,7 @@
 
     /// Handles an attempt that has arrived completely, with its head at `head_arrived_at`, and returns the
     /// worker's response.
-    pub(crate) fn accept_attempt(
+    pub(crate) fn receive_attempt(
         &mut self,
         request: u64,
         worker: WorkerId,
@@ -47,7 +47,7 @@
     ) -> AttemptResponse {
         self.account_in_flight();
         let now = self.now();
-        let Some(delivered) = self.deliver_attempt(request, worker, head_arrived_at) else {
+        let Some(delivered) = self.new_delivered_attempt(request, worker, head_arrived_at) else {
             return AttemptResponse::UnknownRequest;
         };
         if self.drop_duplicate(&delivered, now) {
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Assigns an id to an attempt; `None` if no client sent the request.
-    fn deliver_attempt(
+    /// Builds the record of an attempt that has arrived, with a new id; `None` if no client sent the request.
+    fn new_delivered_attempt(
         &mut self,
         request: u64,
         worker: WorkerId,
         head_arrived_at: Micros,
     ) -> Option<DeliveredAttempt> {
-        let PendingRequest { job, scheduler } = *self.requests.get(&request)?;
+        let ClientRequest { job, scheduler } = *self.requests.get(&request)?;
         let arrival = self.jobs.get(&job)?.arrival;
         let idempotency = self.scenario.classes[arrival.class as usize].idempotency();
         let key_group = match idempotency {
@@ -90,8 +90,9 @@
         Some(DeliveredAttempt { id, attempt, arrival, idempotency, key_group, head_arrived_at })
     }
 
-    /// Drops an attempt if its key is known to the worker's key group; its callbacks then follow the first
-    /// attempt with the key. Returns whether the attempt was dropped.
+    /// Drops an attempt if a worker of its key group accepted the key within the deduplication window; its
+    /// callbacks then follow those of the first attempt with the key. Returns whether the attempt was
+    /// dropped.
     fn drop_duplicate(&mut self, delivered: &DeliveredAttempt, now: Micros) -> bool {
         let Idempotency::IdempotentWithKey { window, .. } = delivered.idempotency else { return false };
         let Attempt { job, worker, .. } = delivered.attempt;
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Removes an ended attempt and reports the same event for the duplicates that were dropped in its favor.
+    /// Removes an ended attempt, and queues a callback with `event` for each duplicate that was dropped in
+    /// its favor.
     pub(super) fn end_attempt(&mut self, id: u64, event: AttemptEvent) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let Some(job) = self.jobs.get_mut(&attempt.job) else { return };
--- a/crates/testbed/src/emulation/state/load_queries.rs
+++ b/crates/testbed/src/emulation/state/load_queries.rs
@@ -13,7 +13,7 @@
 
 impl EmulationState {
     /// Handles a load query that arrives at a worker, and returns the worker's response.
-    pub(crate) fn accept_load_query(&mut self, worker: WorkerId) -> LoadQueryResponse {
+    pub(crate) fn receive_load_query(&mut self, worker: WorkerId) -> LoadQueryResponse {
         let Some(query) = self.scenario.load_reports.load_query else { return LoadQueryResponse::NotFound };
         self.account_in_flight();
         let now = self.now();
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -25,12 +25,13 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{FaultKind, Scenario, micros_from_seconds};
 
-/// Shortest network delay that is emulated, in microseconds. Shorter delays are below the timer's resolution.
+/// Shortest network delay that is emulated, in microseconds. Shorter delays are below the timer's resolution;
+/// they are omitted, and only the machine's own delay remains.
 const MIN_NETWORK_DELAY: Micros = 1_000;
 
-/// A request that a client sent.
+/// A request that a client sends, with its job and the scheduler that it is sent to.
 #[derive(Clone, Copy)]
-struct PendingRequest {
+struct ClientRequest {
     job: u64,
     scheduler: SchedulerId,
 }
@@ -87,7 +88,7 @@
     /// Workers whose process or machine changed; the environment updates their sockets and endpoints.
     pub changed_workers: Vec<WorkerId>,
     started_at: Instant,
-    requests: FxHashMap<u64, PendingRequest>,
+    requests: FxHashMap<u64, ClientRequest>,
     jobs: FxHashMap<u64, ClientJob>,
     attempts: FxHashMap<u64, Attempt>,
     /// Queued load queries by id, with the channel that signals their completion.
@@ -170,13 +171,13 @@
     /// run.
     pub(crate) fn register_request(&mut self, job: u64, scheduler: SchedulerId, deadline: Micros) -> u64 {
         let id = self.next_id();
-        self.requests.insert(id, PendingRequest { job, scheduler });
+        self.requests.insert(id, ClientRequest { job, scheduler });
         self.rule_checker.request_sent(RequestId(id), deadline);
         id
     }
 
-    /// Adds the time since the last call to the integral of the jobs in flight. Must be called before each
-    /// change of their number.
+    /// Extends the integral of the jobs in flight to the present. Must be called before each change of their
+    /// number.
     fn account_in_flight(&mut self) {
         let now = self.now();
         let in_flight = &mut self.in_flight;
--- a/crates/testbed/src/emulation/workers/listener.rs
+++ b/crates/testbed/src/emulation/workers/listener.rs
@@ -53,8 +53,8 @@
     None
 }
 
-/// Runs a worker's port until the run's task set is dropped. While no listener is open, the port stays bound
-/// so that no other program can take it.
+/// Runs a worker's port until the run's task set is dropped. While the worker refuses connections, the port
+/// is bound but not listening, so that no other program can take it.
 pub(in crate::emulation) async fn run_listener(
     environment: Rc<Environment>,
     worker: WorkerId,
@@ -124,7 +124,8 @@
     }
 }
 
-/// Serves one connection until either side closes it or the worker's process or machine fails.
+/// Serves one connection until either side closes it, or resets it when the state of the worker's listener
+/// changes. While the machine is unreachable, the connection stays open without being served.
 async fn serve_worker_connection(environment: Rc<Environment>, worker: WorkerId, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     // The connect delay passes before anything is read from the connection.
--- a/crates/testbed/src/emulation/workers/requests.rs
+++ b/crates/testbed/src/emulation/workers/requests.rs
@@ -75,7 +75,7 @@
         return empty_response(StatusCode::BAD_REQUEST);
     }
     wait(network_delay).await;
-    let response = environment.apply(|state| state.accept_attempt(request_id, worker, head_arrived_at));
+    let response = environment.apply(|state| state.receive_attempt(request_id, worker, head_arrived_at));
     environment.wake_worker(worker);
     wait(network_delay).await;
     match response {
@@ -125,7 +125,7 @@
     wants_report: bool,
     fault: &Cell<ResponseFault>,
 ) -> HttpResponse {
-    let response = environment.apply(|state| state.accept_load_query(worker));
+    let response = environment.apply(|state| state.receive_load_query(worker));
     environment.wake_worker(worker);
     match response {
         LoadQueryResponse::AfterDelay(delay) => sleep(Duration::from_micros(delay)).await,
--- a/crates/testbed/src/load/result.rs
+++ b/crates/testbed/src/load/result.rs
@@ -55,7 +55,7 @@
 }
 
 impl LoadResult {
-    /// Formats the results as a text table.
+    /// Formats the results as a text table. Its column names follow the serialized names of the fields.
     pub fn to_text(&self) -> String {
         let mut text = format!(
             "{:<14} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7}  served in ms: 50% 90% 99% 99.9% most\n",
--- a/crates/testbed/src/scenario/checks.rs
+++ b/crates/testbed/src/scenario/checks.rs
@@ -1,4 +1,4 @@
-//! Validates the values of a scenario, with one function per TOML table. The first invalid value is reported.
+//! Validates the values of a scenario and reports the first invalid one.
 use super::{ClientSkew, Fault, FaultKind, JobClass, RetryTiming, Scenario, WorkerGroup};
 
 /// Errors in a scenario. Each message names the key in question.
--- a/crates/testbed/src/scenario/classes.rs
+++ b/crates/testbed/src/scenario/classes.rs
@@ -80,7 +80,7 @@
     /// Multiple of the job's own work that is added to the latency objective.
     #[serde(rename = "stretch", default)]
     pub latency_stretch: f64,
-    /// Seconds after a job's arrival at which its client stops waiting, including the client's own retries.
+    /// Seconds from a job's arrival until its client stops waiting, over all of the client's retries.
     #[serde(rename = "deadline")]
     pub deadline_s: f64,
     /// Priority weight of one unit of work.
--- a/crates/testbed/src/scenario/clients.rs
+++ b/crates/testbed/src/scenario/clients.rs
@@ -20,8 +20,8 @@
     /// When clients retry after a rejection.
     #[serde(rename = "again", default, skip_serializing_if = "RetryTiming::is_default")]
     pub retry_timing: RetryTiming,
-    /// Seconds after its deadline by which a request must have its response, or else a rule is violated.
-    /// Machines that stall, and tests that must tolerate stalls, need more than the default.
+    /// Grace period after a request's deadline, in seconds. A request without a response at its end violates
+    /// a rule. Machines that stall, and tests that must tolerate stalls, need more than the default.
     #[serde(rename = "grace", default = "default_deadline_grace_s")]
     pub deadline_grace_s: f64,
     /// A recorded trace, sorted by arrival time, that replaces random arrivals. `copperspread-testbed trace`
@@ -48,7 +48,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Again", rename_all = "snake_case")]
 pub enum RetryTiming {
-    /// After the time given by `Retry-After`, plus random jitter.
+    /// After the time given by `Retry-After`, at most [`Clients::max_retry_after_s`], plus 10 ms and a random
+    /// jitter of up to 20%.
     #[default]
     #[serde(rename = "heed")]
     HonorRetryAfter,
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -45,7 +45,8 @@
     /// Seconds between refreshes of a load report.
     #[serde(rename = "refresh")]
     pub refresh_interval_s: f64,
-    /// Standard deviation of the noise on reported values, in slots.
+    /// Standard deviation of the noise on the reported number of free slots, in slots. In responses to load
+    /// queries, it also applies to the requests per second and to the jobs in flight.
     #[serde(rename = "noise")]
     pub noise_slots: f64,
     /// Seconds between the progress callbacks for running jobs; 0 disables them.
@@ -63,7 +64,7 @@
     }
 }
 
-/// Cost and staleness of load queries.
+/// Settings of load queries.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Probe", deny_unknown_fields)]
 pub struct LoadQuery {
@@ -79,7 +80,7 @@
     /// Age of the reported values, in seconds.
     #[serde(rename = "late", default)]
     pub staleness_s: f64,
-    /// Cost of one load query per job, as a share of the priority weight.
+    /// Cost of one load query, as a share of the priority weight of one job.
     #[serde(rename = "price", default)]
     pub cost: f64,
 }
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -57,8 +57,8 @@
     ReportsLate(f64),
     /// Schedulers are not notified of changes of the endpoint list.
     DiscoveryDown,
-    /// Discovery contradicts itself: after its first response it alternates between the full endpoint list as
-    /// of the start of the fault and the current one.
+    /// Discovery contradicts itself: it alternates, every 3 s, between the full endpoint list as of the start
+    /// of the fault and the current full list.
     DiscoveryContradicts,
     /// Scheduler processes crash and lose all accepted requests; they restart at the end of the fault.
     SchedulerCrash,
--- a/crates/testbed/src/scenario/network.rs
+++ b/crates/testbed/src/scenario/network.rs
@@ -10,7 +10,8 @@
     /// One-way delay, in seconds.
     #[serde(rename = "way")]
     pub delay_s: f64,
-    /// The share of messages, from 0 to 1, that arrive 0.2 s late, as after a retransmission.
+    /// The share of messages, from 0 to 1, that arrive 0.2 s late, as after a retransmission. Only the
+    /// simulation supports it.
     #[serde(default)]
     pub loss: f64,
 }
@@ -25,7 +26,8 @@
     /// One-way delay between zones, in seconds.
     #[serde(rename = "far")]
     pub inter_zone_delay_s: f64,
-    /// The share of messages, from 0 to 1, that arrive 0.2 s late, as after a retransmission.
+    /// The share of messages, from 0 to 1, that arrive 0.2 s late, as after a retransmission. Only the
+    /// simulation supports it.
     pub loss: f64,
     /// Delay of an attempt for which a connection to the worker must be opened, in seconds.
     #[serde(rename = "connect")]
--- a/crates/testbed/tests/load.rs
+++ b/crates/testbed/tests/load.rs
@@ -50,7 +50,8 @@
     let class = load_against(stalls, &scenario(100.0, 1.5, 5.0), 1_024).await;
     assert_eq!((class.served, class.scheduled), (class.scheduled, class.scheduled));
     assert!(class.scheduled > 100);
-    // The 0.5 s stall queues the jobs of 0.5 s at 100 jobs/s; a closed loop would show a single slow job.
+    // About 50 jobs are scheduled during the 0.5 s stall at 100 jobs/s, of which about 30 wait longer than
+    // the objective of 0.2 s; a closed loop would show a single slow job.
     let slow = class.served - class.in_time;
     assert!((15..=60).contains(&slow), "{slow} of {} over 0.2 s", class.scheduled);
     assert!((450.0..900.0).contains(&class.served_ms[4]), "{:?}", class.served_ms);
--- a/crates/testbed/tests/unit/emulation_workers.rs
+++ b/crates/testbed/tests/unit/emulation_workers.rs
@@ -52,7 +52,8 @@
     environment
 }
 
-/// One worker with one slot and no queue, and a fault that has not started.
+/// Starts the environment of one worker with one slot and no queue, whose fault has not started, and waits
+/// until the worker accepts connections.
 async fn environment(fault: &str, seed: u64, settings: &str, scheduler: SocketAddr) -> Rc<Environment> {
     let text = format!(
         "name = 'one'\nabout = 'one worker'\nseconds = 9.0\nschedulers = 1\n[clients]\nrate = 1.0\n\
@@ -241,6 +242,7 @@
     for (settings, job_count) in [("[settings]\ncancel_stops = true", 0), ("", 1)] {
         LocalSet::new().block_on(&runtime, async {
             let environment = environment_without_scheduler("{ slow = 1.0 }", 1, settings).await;
+            // Ids are consecutive: the attempt below gets `id + 1`.
             let id = environment.apply(|state| state.register_request(0, SCHEDULER, SECOND));
             send_attempt(&environment).await.expect("the worker responds");
             let mut stream = TcpStream::connect(environment.worker_address(WORKER))
@@ -312,7 +314,7 @@
     }
 }
 
-// After the outage the worker runs a new process without the earlier jobs; old connections are reset.
+// After the outage, the worker runs a new process without the earlier jobs.
 #[test]
 fn a_machine_that_is_reachable_again_accepts_jobs() {
     let runtime = runtime();
