--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -1,32 +1,33 @@
-//! Accepts and cancels attempts at workers.
+//! Delivery, acceptance and cancellation of attempts at workers.
 use copperspread_dispatcher::{Idempotency, Micros, WorkerId};
 use rand::RngExt;
 
 use crate::emulation::messages::AttemptResponse;
 use crate::emulation::state::effects::AttemptEvent;
-use crate::emulation::state::{Attempt, EmulationState, PendingRequest};
+use crate::emulation::state::{Attempt, ClientRequest, EmulationState};
 use crate::model::arrivals::Arrival;
 use crate::model::connection_faults::DeliveryResult;
 use crate::model::idempotency_keys::{DuplicateOutcome, key_group};
 use crate::model::worker::OfferResult;
 
-/// An attempt that has arrived as a whole.
+/// An attempt that has arrived completely, head and body.
 struct DeliveredAttempt {
     id: u64,
     attempt: Attempt,
     arrival: Arrival,
     idempotency: Idempotency,
-    /// The workers that share the memory of its key.
+    /// Group of workers that deduplicate the attempt's key together.
     key_group: u32,
-    /// When its head arrived.
+    /// Arrival time of the attempt's head.
     head_arrived_at: Micros,
 }
 
 impl EmulationState {
-    /// An attempt's head arrives at a worker. Returns the network's delay until the rest does.
+    /// Records the arrival of an attempt's head at a worker. Returns the network delay until the rest of the
+    /// attempt arrives, in microseconds.
     pub(crate) fn attempt_arrives(&mut self, request: u64, worker: WorkerId) -> Micros {
         let now = self.now();
-        let Some(&PendingRequest { job, scheduler }) = self.requests.get(&request) else { return 0 };
+        let Some(&ClientRequest { job, scheduler }) = self.requests.get(&request) else { return 0 };
         let Some(job) = self.jobs.get(&job) else { return 0 };
         let (from, to) = (self.scheduler_zone(scheduler), self.workers[worker.0 as usize].1);
         let load = job.arrival.work * job.arrival.slots;
@@ -36,8 +37,9 @@
         self.network_delay(from, to)
     }
 
-    /// The same attempt has arrived as a whole, its head at `head_arrived_at`.
-    pub(crate) fn accept_attempt(
+    /// Handles an attempt that has arrived completely, with its head at `head_arrived_at`, and returns the
+    /// worker's response.
+    pub(crate) fn receive_attempt(
         &mut self,
         request: u64,
         worker: WorkerId,
@@ -45,7 +47,7 @@
     ) -> AttemptResponse {
         self.account_in_flight();
         let now = self.now();
-        let Some(delivered) = self.deliver_attempt(request, worker, head_arrived_at) else {
+        let Some(delivered) = self.new_delivered_attempt(request, worker, head_arrived_at) else {
             return AttemptResponse::UnknownRequest;
         };
         if self.drop_duplicate(&delivered, now) {
@@ -56,7 +58,7 @@
             DeliveryResult::ResetBeforeTaken => AttemptResponse::Reset,
             DeliveryResult::InvalidResponse => AttemptResponse::Garbage,
             DeliveryResult::ImmediateError => {
-                self.fail_at_once(&delivered, now);
+                self.fail_immediately(&delivered, now);
                 AttemptResponse::Accepted
             }
             DeliveryResult::Delivered => self.offer_to_worker(&delivered, now),
@@ -67,14 +69,14 @@
         }
     }
 
-    /// Gives an attempt its number; `None` if no client sent the request.
-    fn deliver_attempt(
+    /// Builds the record of an attempt that has arrived, with a new id; `None` if no client sent the request.
+    fn new_delivered_attempt(
         &mut self,
         request: u64,
         worker: WorkerId,
         head_arrived_at: Micros,
     ) -> Option<DeliveredAttempt> {
-        let PendingRequest { job, scheduler } = *self.requests.get(&request)?;
+        let ClientRequest { job, scheduler } = *self.requests.get(&request)?;
         let arrival = self.jobs.get(&job)?.arrival;
         let idempotency = self.scenario.classes[arrival.class as usize].idempotency();
         let key_group = match idempotency {
@@ -88,7 +90,9 @@
         Some(DeliveredAttempt { id, attempt, arrival, idempotency, key_group, head_arrived_at })
     }
 
-    /// Drops an attempt whose key its worker knows: it is told what becomes of the first. Whether it was one.
+    /// Drops an attempt if a worker of its key group accepted the key within the deduplication window; its
+    /// callbacks then follow those of the first attempt with the key. Returns whether the attempt was
+    /// dropped.
     fn drop_duplicate(&mut self, delivered: &DeliveredAttempt, now: Micros) -> bool {
         let Idempotency::IdempotentWithKey { window, .. } = delivered.idempotency else { return false };
         let Attempt { job, worker, .. } = delivered.attempt;
@@ -105,8 +109,8 @@
         true
     }
 
-    /// Fails an attempt at once. As in virtual time, the rules count it as one that may have run.
-    fn fail_at_once(&mut self, delivered: &DeliveredAttempt, now: Micros) {
+    /// Fails an attempt immediately. As in the simulation, the rule checker counts it as possibly run.
+    fn fail_immediately(&mut self, delivered: &DeliveredAttempt, now: Micros) {
         self.record_accepted(delivered, now);
         self.rule_checker.job_started(now, delivered.attempt.job, delivered.idempotency);
         self.queue_callback(delivered.id, AttemptEvent::Failed);
@@ -127,7 +131,7 @@
                 AttemptResponse::Accepted
             }
             OfferResult::QueueFull => AttemptResponse::Rejected(self.response_load_report(worker)),
-            // Its sockets are about to close.
+            // The worker's sockets are about to close.
             OfferResult::ConnectionRefused | OfferResult::Unreachable => AttemptResponse::Reset,
         }
     }
@@ -146,16 +150,16 @@
         }
     }
 
-    /// Stops a request's attempts at a worker where a scheduler cancelled it there, if the scenario's
-    /// cancellations stop jobs.
+    /// Cancels a request's attempts at a worker, if the scenario's cancellations stop jobs; otherwise does
+    /// nothing.
     pub(crate) fn cancel_request(&mut self, request: u64, worker: WorkerId) {
         if !self.scenario.tuning.cancel_stops_job {
             return;
         }
         self.account_in_flight();
         let now = self.now();
-        let is_meant = |attempt: &Attempt| attempt.request == request && attempt.worker == worker;
-        let attempts = self.attempts.iter().filter(|(_, attempt)| is_meant(attempt));
+        let is_cancelled = |attempt: &Attempt| attempt.request == request && attempt.worker == worker;
+        let attempts = self.attempts.iter().filter(|(_, attempt)| is_cancelled(attempt));
         let ids: Vec<u64> = attempts.map(|(id, _)| *id).collect();
         for id in ids {
             self.cancel_attempt(id, worker, now);
@@ -173,7 +177,7 @@
         self.apply_effects(worker, effects);
     }
 
-    /// The key of an attempt that never ran is forgotten with it.
+    /// Forgets the key of an attempt that will not run, so that a later attempt with the key is not dropped.
     pub(super) fn forget_key(&mut self, id: u64) {
         let job = self.attempts.get(&id).map(|attempt| attempt.job);
         if let Some(job) = job.and_then(|job| self.jobs.get_mut(&job)) {
