--- a/crates/testbed/benches/decisions.rs
+++ b/crates/testbed/benches/decisions.rs
@@ -1,12 +1,14 @@
-//! The cost of a decision: a request with its outcome, a periodic refresh, a change of the endpoint list. Run with
-//! `cargo bench -p copperspread-testbed`.
+//! Benchmarks of the dispatcher: a request with its outcome, a periodic refresh and a change of the endpoint
+//! list.
+//!
+//! Run with `cargo bench -p copperspread-testbed --bench decisions`.
 use copperspread_dispatcher::{
     AttemptOutcome, Dispatcher, Endpoint, EndpointUpdate, EndpointUpdateKind, Event, Idempotency,
     IncomingRequest, Outcome, RequestClass, RequestId, SECOND, Settings, Timer, WorkerId, WorkerState,
 };
 use divan::Bencher;
 
-/// Numbers of workers.
+/// Numbers of workers with which each benchmark runs.
 const FLEET_SIZES: [u32; 5] = [10, 100, 1_000, 10_000, 100_000];
 
 fn main() {
@@ -36,7 +38,7 @@
     };
     let settings =
         Settings { classes: vec![class], max_attempts: 4, cancellation_allowed: true, ..Settings::default() };
-    let mut dispatcher = Dispatcher::new(settings, 7).expect("valid settings");
+    let mut dispatcher = Dispatcher::new(settings, 7).expect("the settings are valid");
     let endpoints: Vec<_> = (0..workers).map(endpoint).collect();
     let update = EndpointUpdate { kind: EndpointUpdateKind::Full, version: 1, endpoints: &endpoints };
     dispatcher.handle(SECOND, Event::Endpoints(update), &mut Vec::new());
@@ -57,9 +59,9 @@
         };
         dispatcher.handle(now, Event::Request(job), &mut actions);
         let (outcome, elapsed) = (Outcome::Served, 100_000);
-        let end =
+        let completion =
             AttemptOutcome { request, attempt: 0, outcome, request_finished: true, elapsed, report: None };
-        dispatcher.handle(now + elapsed, Event::AttemptCompleted(end), &mut actions);
+        dispatcher.handle(now + elapsed, Event::AttemptCompleted(completion), &mut actions);
         actions.clear();
     });
 }
--- a/crates/testbed/benches/membership.rs
+++ b/crates/testbed/benches/membership.rs
@@ -1,5 +1,8 @@
-//! The cost of membership: a second of idle members on one core, the simulated network included. Items are members,
-//! so that the time of one is the median divided by their number. `cargo bench -p copperspread-testbed --bench membership`.
+//! Benchmark of membership: one simulated second of idle members on one core, including the simulated
+//! network.
+//!
+//! The items of the throughput are members, so the time of one member is the median divided by their number.
+//! Run with `cargo bench -p copperspread-testbed --bench membership`.
 use copperspread_membership::SECOND;
 use copperspread_testbed::membership_simulation::SimulatedNetwork;
 use divan::Bencher;
--- a/crates/testbed/benches/shares.rs
+++ b/crates/testbed/benches/shares.rs
@@ -1,5 +1,7 @@
-//! The cost of fair shares: a report through the ledger, a repeated one, a share table. Run with
-//! `cargo bench -p copperspread-testbed --bench shares`.
+//! Benchmarks of fair share: the allocation of a share table, and new and repeated usage reports in the
+//! ledger.
+//!
+//! Run with `cargo bench -p copperspread-testbed --bench shares`.
 use std::collections::{BTreeMap, BTreeSet};
 
 use copperspread_fair_share::{
@@ -8,7 +10,7 @@
 };
 use divan::Bencher;
 
-/// Numbers of tenants and federations.
+/// Numbers of tenants and federations with which the share table is allocated.
 const TABLE_SIZES: [(u32, u32); 3] = [(100, 10), (1_000, 30), (10_000, 100)];
 
 fn main() {
@@ -16,7 +18,7 @@
 }
 
 fn name(kind: &str, number: u32) -> Name {
-    Name::new(&format!("{kind}-{number:05}")).expect("a short name")
+    Name::new(&format!("{kind}-{number:05}")).expect("the name is valid")
 }
 
 fn share_policy(tenants: u32, federations: u32) -> FairSharePolicy {
@@ -32,13 +34,13 @@
         };
         (name("federation", number), Federation { share_config, tenants })
     };
-    FairSharePolicy::new((0..federations).map(federation).collect()).expect("a valid policy")
+    FairSharePolicy::new((0..federations).map(federation).collect()).expect("the policy is valid")
 }
 
 #[divan::bench(args = TABLE_SIZES)]
 fn share_table(bencher: Bencher<'_, '_>, (tenants, federations): (u32, u32)) {
     let policy = share_policy(tenants, federations);
-    // Every third tenant demands little, every fifth has a debt; the sum of demands is twice the capacity.
+    // Every third tenant has a small demand and every fifth a debt. The sum of demands is twice the capacity.
     let demands = (0..tenants).map(|tenant| {
         let demand = if tenant % 3 == 0 { 10 } else { 3 * FULL_SHARE_PPM / tenants };
         (
@@ -54,12 +56,13 @@
     bencher.bench_local(|| allocate_shares(&policy, &demands, &reserved));
 }
 
-/// Reports of 300 reporters on 1,000 tenants: each of 1 s, in windows of 10 s, closed each second.
+/// About a million usage reports of 300 reporters on 1,000 tenants. Each report covers 1 s, accounting
+/// windows are 10 s long, and the ledger advances once per second.
 #[divan::bench(sample_count = 5, sample_size = 1)]
 fn million_reports(bencher: Bencher<'_, '_>) {
     let (reporters, tenants): (Vec<Name>, Vec<Name>) = (
-        (0..300).map(|at| name("reporter", at)).collect(),
-        (0..1_000).map(|at| name("tenant", at)).collect(),
+        (0..300).map(|number| name("reporter", number)).collect(),
+        (0..1_000).map(|number| name("tenant", number)).collect(),
     );
     let enrollment = Enrollment {
         reporters: reporters
@@ -70,26 +73,26 @@
     };
     bencher
         .with_inputs(|| {
-            let mut ledger = UsageLedger::new(LedgerSettings::default(), 0).expect("valid settings");
-            ledger.enroll(enrollment.clone()).expect("a small enrollment");
+            let mut ledger = UsageLedger::new(LedgerSettings::default(), 0).expect("the settings are valid");
+            ledger.enroll(enrollment.clone()).expect("the enrollment is within its limits");
             ledger
         })
         .bench_local_values(|mut ledger| {
             for second in 0..334 {
-                for (position, reporter) in reporters.iter().enumerate() {
+                for (index, reporter) in reporters.iter().enumerate() {
                     for part in 0..10 {
                         let (start, sequence) = (second as i64 * 1_000, second * 10 + part as u64 + 1);
                         let report = UsageReport {
                             reporter: reporter.clone(),
                             incarnation: 1,
                             sequence,
-                            tenant: tenants[(position * 7 + part * 100 + second as usize) % 1_000].clone(),
+                            tenant: tenants[(index * 7 + part * 100 + second as usize) % 1_000].clone(),
                             start_ms: start,
                             end_ms: start + 1_000,
                             work: 5_000,
                             corrects: None,
                         };
-                        ledger.record(start + 1_000, report).expect("a valid report");
+                        ledger.record(start + 1_000, report).expect("the report is valid");
                     }
                 }
                 ledger.advance(second as i64 * 1_000 + 1_000, &BTreeSet::new());
@@ -100,11 +103,11 @@
 
 #[divan::bench]
 fn repeated_report(bencher: Bencher<'_, '_>) {
-    let mut ledger = UsageLedger::new(LedgerSettings::default(), 0).expect("valid settings");
+    let mut ledger = UsageLedger::new(LedgerSettings::default(), 0).expect("the settings are valid");
     let (reporter, tenant) = (name("reporter", 0), name("tenant", 0));
     let reporters = BTreeMap::from([(reporter.clone(), Reporter { slots: 64, federation: None })]);
     let tenants = BTreeMap::from([(tenant.clone(), name("federation", 0))]);
-    ledger.enroll(Enrollment { reporters, tenants }).expect("a small enrollment");
+    ledger.enroll(Enrollment { reporters, tenants }).expect("the enrollment is within its limits");
     let (incarnation, corrects) = (1, None);
     let report = |sequence| UsageReport {
         reporter: reporter.clone(),
@@ -117,7 +120,7 @@
         corrects,
     };
     for sequence in 1..=10_000 {
-        ledger.record(1_000, report(sequence)).expect("a valid report");
+        ledger.record(1_000, report(sequence)).expect("the report is valid");
     }
     bencher.bench_local(|| ledger.record(1_000, report(5_000)));
 }
--- a/crates/testbed/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -1,5 +1,7 @@
-//! Measures membership in virtual time; `docs/cluster.md` explains the figures.
-//! `cargo run --release --locked -p copperspread-testbed --example membership -- death`
+//! Measures membership in virtual time, and prints a Markdown table.
+//!
+//! `docs/cluster.md` explains the results. Run with
+//! `cargo run --release --locked -p copperspread-testbed --example membership -- death`.
 use std::time::Duration;
 
 use clap::{Parser, ValueEnum};
@@ -30,13 +32,13 @@
     #[arg(long, value_delimiter = ',', default_values_t = [10, 30, 100, 300, 1000])]
     members: Vec<usize>,
     /// Plays of each, as many as this over the members, and one at least.
-    #[arg(long, default_value_t = 1000)]
-    plays: usize,
+    #[arg(long = "plays", value_name = "PLAYS", default_value_t = 1000)]
+    member_runs: usize,
 }
 
 fn main() {
-    let Args { measurement, members, plays } = Args::parse();
-    let head = match measurement {
+    let Args { measurement, members, member_runs } = Args::parse();
+    let header = match measurement {
         Measurement::Death => {
             "members | deaths | first suspicion: median | p99 | first down: median | p99 | down everywhere: median | p99"
         }
@@ -49,16 +51,18 @@
         Measurement::Idle => "members | plays | packets a second of a member | bytes a second of a member",
         Measurement::Heal => "members | plays | one view again, s: median | longest",
     };
-    println!("| {head} |\n|{}", " --- |".repeat(head.matches('|').count() + 1));
+    println!("| {header} |\n|{}", " --- |".repeat(header.matches('|').count() + 1));
     for members in members {
-        let seeds = 0..(plays / members).max(1) as u64;
+        let seeds = 0..(member_runs / members).max(1) as u64;
         match measurement {
             Measurement::Death => measure_deaths(members, seeds),
             Measurement::Loss => {
-                [0.0, 0.1, 0.3].into_iter().for_each(|loss| measure_loss(members, loss, seeds.clone()));
+                [0.0, 0.1, 0.3]
+                    .into_iter()
+                    .for_each(|loss_rate| measure_loss(members, loss_rate, seeds.clone()));
             }
             Measurement::Pauses => {
-                [1, 5, 15].into_iter().for_each(|span| measure_pauses(members, span, seeds.clone()));
+                [1, 5, 15].into_iter().for_each(|pause_s| measure_pauses(members, pause_s, seeds.clone()));
             }
             Measurement::Idle => measure_idle_traffic(members, seeds),
             Measurement::Heal => measure_healing(members, seeds),
@@ -66,41 +70,41 @@
     }
 }
 
-/// Runs a function for each seed in parallel.
+/// Runs a function for each seed in parallel, and returns the results in the order of the seeds.
 fn for_each_seed<T: Send>(seeds: std::ops::Range<u64>, run: impl Fn(u64) -> T + Send + Sync) -> Vec<T> {
     seeds.into_par_iter().map(run).collect()
 }
 
-/// The quantile of durations, in seconds.
+/// Returns the quantile at `fraction` of some durations, in seconds. `durations` must not be empty.
 fn quantile(durations: &mut [Micros], fraction: f64) -> f64 {
     durations.sort_unstable();
     let rank = (fraction * durations.len() as f64).ceil() as usize;
     durations[rank.clamp(1, durations.len()) - 1] as f64 / SECOND as f64
 }
 
-/// How long a suspicion lasts in a cluster of this size.
+/// Duration of a suspicion in a cluster with this number of members, in microseconds.
 fn suspicion_duration(members: usize) -> Micros {
     let Settings { probe_interval, suspicion_multiplier, .. } = Settings::default();
     (probe_interval as f64 * suspicion_multiplier * (members as f64).log10().max(1.0)) as Micros
 }
 
-/// How long after a death it was found.
+/// Times between the death of a member and its detection, in microseconds.
 #[derive(Clone)]
 struct DetectionTimes {
-    /// Until the first suspicion.
+    /// Time until the first suspicion.
     suspected: Micros,
-    /// Until the first report that the member is down.
+    /// Time until the first report that the member is down.
     first_report: Micros,
-    /// Until every member had reported it.
+    /// Time until all running members have reported it.
     last_report: Micros,
 }
 
 fn measure_deaths(members: usize, seeds: std::ops::Range<u64>) {
-    // Some of each run's members are killed, one after another, at times unrelated to their probes.
+    // In each run some members are killed in sequence, at times that are unrelated to the probes.
     let deaths = (members / 5).min(10);
-    let found: Vec<_> = for_each_seed(seeds, |seed| {
+    let detections: Vec<_> = for_each_seed(seeds, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
-        let mut found = Vec::new();
+        let mut detections = Vec::new();
         for victim in 1..=deaths {
             network.run(10 * SECOND + (seed * 7 + victim as u64) * 137 * MILLISECOND % SECOND);
             network.effects.clear();
@@ -112,34 +116,36 @@
             assert_eq!(
                 network.reported_failures().len(),
                 members - victim,
-                "reported everywhere, and nobody else"
+                "all running members report the death, and no other"
             );
             let delays =
                 network.reported_failures().iter().map(|failure| failure.at - killed_at).collect::<Vec<_>>();
-            let first_report = *delays.iter().min().expect("reported");
-            let last_report = *delays.iter().max().expect("reported");
+            let first_report = *delays.iter().min().expect("at least one member reports the death");
+            let last_report = *delays.iter().max().expect("at least one member reports the death");
             let suspected = first_report.saturating_sub(suspicion_duration(members + 1 - victim));
-            found.push(DetectionTimes { suspected, first_report, last_report });
+            detections.push(DetectionTimes { suspected, first_report, last_report });
         }
-        found
+        detections
     })
     .concat();
-    let column = |of: fn(&DetectionTimes) -> Micros| {
-        let mut durations: Vec<_> = found.iter().map(of).collect();
+    let column = |duration: fn(&DetectionTimes) -> Micros| {
+        let mut durations: Vec<_> = detections.iter().map(duration).collect();
         format!("{:.2} | {:.2}", quantile(&mut durations, 0.5), quantile(&mut durations, 0.99))
     };
-    let mean =
-        found.iter().map(|times| times.suspected).sum::<Micros>() as f64 / found.len() as f64 / SECOND as f64;
+    let mean = detections.iter().map(|times| times.suspected).sum::<Micros>() as f64
+        / detections.len() as f64
+        / SECOND as f64;
     let columns = [
         column(|times| times.suspected),
         column(|times| times.first_report),
         column(|times| times.last_report),
     ]
     .join(" | ");
-    println!("| {members} | {} | (mean {mean:.2}) {columns} |", found.len());
+    println!("| {members} | {} | (mean {mean:.2}) {columns} |", detections.len());
 }
 
-/// The names of members that were reported down, or refuted it, each once per run.
+/// The distinct names of the members that were reported down or that refuted such a report, in a run without
+/// deaths.
 fn falsely_reported(network: &SimulatedNetwork) -> Vec<String> {
     let name = |effect: &Effect| match effect {
         Effect::MemberDown(member) | Effect::SelfRefuted(member) => Some(member.name.clone()),
@@ -152,7 +158,7 @@
 }
 
 fn measure_loss(members: usize, loss_rate: f64, seeds: std::ops::Range<u64>) {
-    let plays = seeds.end;
+    let runs = seeds.end;
     let false_reports: usize = for_each_seed(seeds, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
         let (min_delay, max_delay) = (network.links.conditions.min_delay, network.links.conditions.max_delay);
@@ -161,26 +167,27 @@
     })
     .into_iter()
     .sum();
-    let hours = plays as f64 * members as f64 / 60.0;
+    let member_hours = runs as f64 * members as f64 / 60.0;
     println!(
-        "| {members} | {:.0} % | {plays} | {hours:.1} | {false_reports} | {:.2} |",
+        "| {members} | {:.0} % | {runs} | {member_hours:.1} | {false_reports} | {:.2} |",
         loss_rate * 100.0,
-        false_reports as f64 / hours
+        false_reports as f64 / member_hours
     );
 }
 
-/// A tenth of the members pause for a span, run for a second, and so on for 120 s.
-fn measure_pauses(members: usize, span: u64, seeds: std::ops::Range<u64>) {
-    let (plays, pausing) = (seeds.end, (members / 10).max(1));
-    let rounds = 120 / (span + 1);
+/// Measures false reports while a tenth of the members repeatedly pause for `pause_s` seconds and run for one
+/// second, for up to 120 s.
+fn measure_pauses(members: usize, pause_s: u64, seeds: std::ops::Range<u64>) {
+    let (runs, pausing) = (seeds.end, (members / 10).max(1));
+    let rounds = 120 / (pause_s + 1);
     let false_reports = for_each_seed(seeds, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
         let all = |action| (1..=pausing).map(move |member| Fault::Process { member, action });
         let plan = (0..rounds).fold(FaultPlan::default(), |plan, round| {
-            let at = Duration::from_secs(round * (span + 1));
+            let at = Duration::from_secs(round * (pause_s + 1));
             let plan = all(ProcessAction::Pause).fold(plan, |plan, fault| plan.at(at, fault));
             all(ProcessAction::Resume)
-                .fold(plan, |plan, fault| plan.at(at + Duration::from_secs(span), fault))
+                .fold(plan, |plan, fault| plan.at(at + Duration::from_secs(pause_s), fault))
         });
         network.run_plan(&plan);
         network.run(10 * SECOND);
@@ -188,21 +195,21 @@
         let paused = (1..=pausing).filter(|member| names.contains(&format!("n{member}"))).count();
         (names.len() - paused, paused)
     });
-    let hours = plays as f64 * members as f64 * (rounds * (span + 1) + 10) as f64 / 3600.0;
+    let member_hours = runs as f64 * members as f64 * (rounds * (pause_s + 1) + 10) as f64 / 3600.0;
     let (healthy, paused) = false_reports
         .iter()
         .fold((0, 0), |(healthy, paused), reports| (healthy + reports.0, paused + reports.1));
     println!(
-        "| {members} | {pausing} | {span} | {plays} | {hours:.1} | {healthy} | {paused} of {} |",
-        plays as usize * pausing
+        "| {members} | {pausing} | {pause_s} | {runs} | {member_hours:.1} | {healthy} | {paused} of {} |",
+        runs as usize * pausing
     );
 }
 
 fn measure_idle_traffic(members: usize, seeds: std::ops::Range<u64>) {
-    let plays = seeds.end.min(5);
-    let sent = for_each_seed(0..plays, |seed| {
+    let runs = seeds.end.min(5);
+    let sent = for_each_seed(0..runs, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
-        // The joining is no longer gossiped by then.
+        // After 120 s, members no longer gossip about the joins.
         network.run(120 * SECOND);
         (network.packets, network.bytes) = (0, 0);
         network.run(60 * SECOND);
@@ -210,26 +217,26 @@
     });
     let (packets, bytes) =
         sent.iter().fold((0, 0), |(packets, bytes), sent| (packets + sent.0, bytes + sent.1));
-    let seconds = 60.0 * plays as f64 * members as f64;
-    println!("| {members} | {plays} | {:.2} | {:.0} |", packets as f64 / seconds, bytes as f64 / seconds);
+    let seconds = 60.0 * runs as f64 * members as f64;
+    println!("| {members} | {runs} | {:.2} | {:.0} |", packets as f64 / seconds, bytes as f64 / seconds);
 }
 
 fn measure_healing(members: usize, seeds: std::ops::Range<u64>) {
-    let plays = seeds.end.min(20);
-    let mut durations = for_each_seed(0..plays, |seed| {
+    let runs = seeds.end.min(20);
+    let mut durations = for_each_seed(0..runs, |seed| {
         let mut network = SimulatedNetwork::joined(members, seed);
         network.run_plan(&plans::partition_in_halves(members, Duration::from_secs(60)));
         let is_down = |effect: &Effect| matches!(effect, Effect::MemberDown(_));
         assert!(
             network.effects.iter().any(|recorded| is_down(&recorded.effect)),
-            "each half reports the other down"
+            "a partitioned member is reported down"
         );
         network
             .run_until(600 * SECOND, 100 * MILLISECOND, |network| network.all_see(members - 1))
-            .expect("one view in 600 s")
+            .expect("all members see each other within 600 s")
     });
     println!(
-        "| {members} | {plays} | {:.1} | {:.1} |",
+        "| {members} | {runs} | {:.1} | {:.1} |",
         quantile(&mut durations, 0.5),
         quantile(&mut durations, 1.0)
     );
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,4 +1,4 @@
-//! Defines the command line. The arguments of each command are in its own file.
+//! Defines the command line. The arguments of each command are defined in the file of that command.
 use clap::{Parser, Subcommand};
 use copperspread_testbed::policy::PolicyKind;
 
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `compare`: policies against one another on the same seeds.
+//! The `compare` command: simulates scenarios with several policies and the same seeds.
 use std::path::PathBuf;
 
 use clap::Args;
@@ -28,7 +28,8 @@
     report: Option<PathBuf>,
 }
 
-/// Plays scenarios under policies, and prints the results of each scenario when it is played.
+/// Simulates each scenario with each policy, and prints the results of a scenario as soon as all its runs
+/// ended.
 pub(super) fn run(arguments: CompareArguments) -> CommandResult {
     let CompareArguments { scenarios, seeds, policies, json, report } = arguments;
     let names = if scenarios.is_empty() { default_scenarios() } else { scenarios };
--- a/crates/testbed/src/commands/cost.rs
+++ b/crates/testbed/src/commands/cost.rs
@@ -1,4 +1,4 @@
-//! `cost`: the program's processor time for a job, against a relay.
+//! The `cost` command: measures the CPU time of the scheduler process per job, compared with a relay.
 use std::path::PathBuf;
 
 use clap::Args;
@@ -31,15 +31,15 @@
     json: bool,
 }
 
-/// Measures the program and the relay in turn, and prints both.
+/// Measures the scheduler program and the relay in alternation, and prints both results.
 pub(super) fn run(arguments: CostArguments) -> CommandResult {
     let CostArguments { program, rounds, seconds, clients, workers, json } = arguments;
     let program = match program {
         Some(file) => SchedulerProgram { file, arguments: vec!["serve".into()] },
         None => SchedulerProgram::for_policy(PolicyKind::Copperspread)?,
     };
-    let own_file = std::env::current_exe().map_err(|error| format!("this program's own file: {error}"))?;
-    let relay = SchedulerProgram { file: own_file, arguments: vec!["relay".into()] };
+    let executable = std::env::current_exe().map_err(|error| format!("this program's own file: {error}"))?;
+    let relay = SchedulerProgram { file: executable, arguments: vec!["relay".into()] };
     let programs = [("copperspread".to_owned(), program), ("bare relay".to_owned(), relay)];
     let measured = cost::measure_costs(&programs, CostSettings { rounds, seconds, clients, workers })?;
     print(&if json { json_line(&measured)? } else { cost::format_table(&measured) })?;
--- a/crates/testbed/src/commands/emulate.rs
+++ b/crates/testbed/src/commands/emulate.rs
@@ -1,4 +1,4 @@
-//! `emulate`: one run in real time.
+//! The `emulate` command: runs a scenario once in real time.
 use std::path::PathBuf;
 
 use clap::Args;
@@ -33,7 +33,7 @@
     json: bool,
 }
 
-/// Plays a scenario once in real time, and prints the outcome.
+/// Emulates a scenario once in real time, and prints the outcome.
 pub(super) fn run(arguments: EmulateArguments) -> CommandResult {
     let EmulateArguments { scenario, policy, program, arguments, seed, json } = arguments;
     let scenario = read_scenario(&scenario)?;
--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `load`: a scenario's jobs over HTTP, to any address.
+//! The `load` command: sends a scenario's jobs over HTTP to any address.
 use std::net::SocketAddr;
 
 use clap::Args;
@@ -8,7 +8,7 @@
 use super::shipped_scenarios::read_scenario;
 use super::{CommandOutcome, CommandResult};
 
-/// The longest load, in seconds: it stops by itself.
+/// Maximum duration of a load, in seconds, after which the command stops by itself.
 const MAX_LOAD_DURATION_S: f64 = 3_600.0;
 
 #[derive(Debug, Args)]
@@ -38,7 +38,7 @@
     json: bool,
 }
 
-/// Sends a scenario's jobs, and prints what became of them.
+/// Sends a scenario's jobs, and prints how they ended.
 pub(super) fn run(arguments: &LoadArguments) -> CommandResult {
     let target = arguments.target;
     if !target.ip().is_loopback() && !arguments.anywhere {
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the commands of the program, one a file.
+//! The commands of the program, each in its own file.
 pub(crate) mod compare;
 pub(crate) mod cost;
 pub(crate) mod emulate;
@@ -18,10 +18,10 @@
 
 use crate::cli::Command;
 
-/// How a command that could be carried out ended.
+/// The outcome of a command that ended without an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandOutcome {
-    /// Done; if runs were played, all rules held.
+    /// Success. If the command executed runs, they violated no rule.
     Done,
     /// A run violated a rule.
     RulesViolated,
@@ -33,10 +33,10 @@
     }
 }
 
-/// The error is only printed.
+/// The result of a command. An error is only printed, so its type does not matter.
 pub(crate) type CommandResult = Result<CommandOutcome, Box<dyn Error>>;
 
-/// Runs a command.
+/// Runs a command of the command line.
 pub(crate) fn run(command: Command) -> CommandResult {
     match command {
         Command::Scenarios => show::list_scenarios(),
--- a/crates/testbed/src/commands/outcome_text.rs
+++ b/crates/testbed/src/commands/outcome_text.rs
@@ -1,7 +1,8 @@
-//! Formats a run's outcome as text.
+//! Formats the outcome of a run as text.
 use copperspread_testbed::outcome::{ClassOutcome, MachineUsage, RunOutcome};
 
-/// The outcome in sentences, a line for each class and violation.
+/// Formats an outcome: a summary, then one line for each request class, violated rule and example of a
+/// violation.
 pub(super) fn outcome_text(outcome: &RunOutcome) -> String {
     let mut text = summary_lines(outcome);
     if outcome.load_queries > 0 {
--- a/crates/testbed/src/commands/output.rs
+++ b/crates/testbed/src/commands/output.rs
@@ -1,4 +1,4 @@
-//! Writes to standard output, and to the files of reports.
+//! Output of the commands: standard output, standard error and report files.
 use std::error::Error;
 use std::io::{ErrorKind, Write};
 use std::path::Path;
@@ -7,7 +7,7 @@
 use copperspread_testbed::report::render_html;
 use serde::Serialize;
 
-/// Prints to standard output. A reader that has gone is no error.
+/// Prints to standard output. A closed pipe is not an error.
 pub(super) fn print(text: &str) -> Result<(), Box<dyn Error>> {
     match std::io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() != ErrorKind::BrokenPipe => {
@@ -17,18 +17,18 @@
     }
 }
 
-/// Prints a note to standard error.
+/// Prints a message to standard error.
 pub(super) fn print_note(text: &str) {
-    // A note that nobody can read is no reason to stop.
+    // A failure to print a message does not stop the command.
     let _ = writeln!(std::io::stderr(), "{text}");
 }
 
-/// A value as a line of JSON.
+/// Serializes a value as one line of JSON.
 pub(super) fn json_line(value: &(impl Serialize + ?Sized)) -> Result<String, Box<dyn Error>> {
     Ok(serde_json::to_string(value)? + "\n")
 }
 
-/// Writes the report, if one is asked for.
+/// Writes the HTML report if a path is given.
 pub(super) fn write_report(path: Option<&Path>, results: &[ScenarioResults]) -> Result<(), Box<dyn Error>> {
     let Some(path) = path else { return Ok(()) };
     let page = render_html(results)?;
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: an experiment's file.
+//! The `run` command: executes the runs of an experiment file.
 use std::path::PathBuf;
 
 use clap::Args;
@@ -25,12 +25,12 @@
     report: Option<PathBuf>,
 }
 
-/// Plays an experiment, and prints its results when all runs are played.
+/// Executes an experiment, and prints its results when all runs have ended.
 pub(super) fn run(arguments: RunArguments) -> CommandResult {
     let RunArguments { experiment, runs, json, report } = arguments;
     let plan = Plan::read_file(&experiment, |name| find_shipped(name).map(str::to_owned))?;
     let runs = runs.unwrap_or_else(|| experiment.with_extension("runs.jsonl"));
-    let results = plan.play(&runs, &TerminalProgress::new())?;
+    let results = plan.execute(&runs, &TerminalProgress::new())?;
     for result in &results {
         print(&if json {
             json_line(&result.variants)?
@@ -47,7 +47,7 @@
     Ok(CommandOutcome::from_violations(variants.any(|variant| variant.violations > 0)))
 }
 
-/// A progress bar on standard error, where that is a terminal.
+/// A progress bar on standard error. It is shown only if standard error is a terminal.
 struct TerminalProgress {
     bar: ProgressBar,
 }
@@ -71,7 +71,7 @@
         }
         self.bar.set_length(total_runs as u64);
         self.bar.set_position(stored_runs as u64);
-        // So that the time left is estimated from what is played now.
+        // The remaining time is estimated from the runs of this process only, not from the stored ones.
         self.bar.reset_eta();
     }
 
--- a/crates/testbed/src/commands/shipped_scenarios.rs
+++ b/crates/testbed/src/commands/shipped_scenarios.rs
@@ -1,14 +1,14 @@
-//! Finds scenarios by name among those that come with the program, or in files.
+//! Looks up scenarios, either by name among those that the program contains or by the path of a file.
 use std::path::Path;
 
 use copperspread_testbed::scenario::Scenario;
 
-/// The name of a scenario and its text.
+/// The name of a scenario in the program, and its TOML text.
 pub(super) type ShippedScenario = (&'static str, &'static str);
 
 macro_rules! shipped {
     ($($name:literal),*) => {
-        /// The scenarios that come with the program.
+        /// The scenarios that the program contains.
         pub(super) const SHIPPED: &[ShippedScenario] =
             &[$(($name, include_str!(concat!("../../scenarios/", $name, ".toml")))),*];
     };
@@ -32,18 +32,18 @@
     "vast-zone"
 );
 
-/// The scenario that is too large to be played where none is named.
+/// The scenario that is too large to be among the default scenarios.
 pub(super) const LARGE: &str = "large";
 
-/// The text of a scenario that comes with the program.
+/// The TOML text of a scenario that the program contains; `None` if the name is unknown.
 pub(super) fn find_shipped(name: &str) -> Option<&'static str> {
     SHIPPED.iter().find(|(known, _)| *known == name).map(|(_, text)| *text)
 }
 
-/// Reads a scenario by its name or its file's path.
+/// Reads a scenario, given its name or the path of its file.
 ///
 /// # Errors
-/// An unknown name, a file that cannot be read, or a scenario that is wrong.
+/// Fails if the name is unknown, the file cannot be read or the scenario is invalid.
 pub(super) fn read_scenario(name: &str) -> Result<Scenario, String> {
     let parse = |text: &str| Scenario::parse(text).map_err(|error| format!("{name}: {error}"));
     if let Some(text) = find_shipped(name) {
--- a/crates/testbed/src/commands/show.rs
+++ b/crates/testbed/src/commands/show.rs
@@ -1,9 +1,9 @@
-//! `scenarios` and `show`: the scenarios that come with the program.
+//! The `scenarios` and `show` commands: print the scenarios that the program contains.
 use super::output::print;
 use super::shipped_scenarios::{SHIPPED, find_shipped, read_scenario};
 use super::{CommandOutcome, CommandResult};
 
-/// Lists the scenarios that come with the program.
+/// Lists the scenarios that the program contains.
 pub(super) fn list_scenarios() -> CommandResult {
     for (name, _) in SHIPPED {
         let scenario = read_scenario(name)?;
@@ -12,7 +12,7 @@
     Ok(CommandOutcome::Done)
 }
 
-/// Prints the text of one of them.
+/// Prints the TOML text of a scenario that the program contains.
 pub(super) fn show_scenario(name: &str) -> CommandResult {
     read_scenario(name)?;
     let text = find_shipped(name).ok_or_else(|| format!("{name} does not come with the program"))?;
--- a/crates/testbed/src/commands/sim.rs
+++ b/crates/testbed/src/commands/sim.rs
@@ -1,4 +1,4 @@
-//! `sim`: one run in virtual time.
+//! The `sim` command: simulates a scenario once in virtual time.
 use std::time::Instant;
 
 use clap::Args;
@@ -26,7 +26,7 @@
     json: bool,
 }
 
-/// Plays a scenario once in virtual time, and prints the outcome and the speed.
+/// Simulates a scenario once, and prints the outcome and the simulated events per second.
 pub(super) fn run(arguments: &SimArguments) -> CommandResult {
     let scenario = read_scenario(&arguments.scenario)?;
     let started = Instant::now();
--- a/crates/testbed/src/commands/trace.rs
+++ b/crates/testbed/src/commands/trace.rs
@@ -1,4 +1,4 @@
-//! `trace`: a scenario with the arrivals of an event log.
+//! The `trace` command: prints a scenario with the arrivals of an event log.
 use std::fmt::Display;
 use std::fs::File;
 use std::io::BufReader;
@@ -19,12 +19,12 @@
     records: PathBuf,
 }
 
-/// Prints a scenario with the jobs of an event log.
+/// Replaces the arrivals of a scenario with those of an event log, and prints the scenario as TOML.
 pub(super) fn run(arguments: &TraceArguments) -> CommandResult {
     let mut scenario = read_scenario(&arguments.scenario)?;
-    let in_file = |error: &dyn Display| format!("{}: {error}", arguments.records.display());
-    let event_log = File::open(&arguments.records).map_err(|error| in_file(&error))?;
-    let skipped = load_trace(&mut scenario, BufReader::new(event_log)).map_err(|error| in_file(&error))?;
+    let with_path = |error: &dyn Display| format!("{}: {error}", arguments.records.display());
+    let event_log = File::open(&arguments.records).map_err(|error| with_path(&error))?;
+    let skipped = load_trace(&mut scenario, BufReader::new(event_log)).map_err(|error| with_path(&error))?;
     print_note(&format!(
         "{} jobs; left out: {} without a hint, {} of unknown classes; {} lines cannot be read",
         scenario.clients.trace.len(),
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,4 +1,6 @@
-//! Compares policies on the same seeds: differences in pairs, with a bootstrap interval.
+//! Compares dispatch policies by runs with the same seeds.
+//!
+//! A comparison is the mean difference between runs of the same seed, with a bootstrap confidence interval.
 use copperspread_dispatcher::SettingsError;
 use rand::RngExt;
 use rayon::prelude::{IntoParallelRefIterator, ParallelIterator};
@@ -10,21 +12,21 @@
 use crate::scenario::Scenario;
 use crate::simulation::simulate;
 
-/// Resampled means of a bootstrap interval.
-const BOOTSTRAP_DRAWS: usize = 2_000;
-/// The interval leaves out this many resampled means at each end: it holds 95%.
-const DRAWS_OUTSIDE_EACH_END: usize = BOOTSTRAP_DRAWS / 40;
-/// With fewer pairs an interval shows nothing.
+/// Number of resamples from which a bootstrap interval is computed.
+const BOOTSTRAP_RESAMPLES: usize = 2_000;
+/// Number of resampled means on each side of the 95% interval.
+const RESAMPLES_PER_TAIL: usize = BOOTSTRAP_RESAMPLES / 40;
+/// Smallest number of pairs for which an interval is reported; fewer give no meaningful interval.
 const MIN_PAIRS_FOR_INTERVAL: usize = 3;
 
-/// A mean difference to the first policy, over pairs of one seed.
+/// The mean difference between two variants over pairs of runs with the same seed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct PairedDifference {
-    /// The mean.
+    /// The mean difference.
     pub mean: f64,
-    /// The interval that holds 95% of the resampled means.
+    /// Lower and upper bound of the 95% bootstrap confidence interval.
     pub interval: [f64; 2],
-    /// Number of pairs.
+    /// Number of pairs of runs.
     pub pairs: usize,
 }
 
@@ -42,7 +44,7 @@
 }
 
 impl PairedDifference {
-    /// From the difference of each pair; `None` without pairs.
+    /// Computes the mean and its interval from the difference of each pair; `None` if there are no pairs.
     pub fn from_pairs(differences: &[f64]) -> Option<PairedDifference> {
         if differences.is_empty() {
             return None;
@@ -51,32 +53,33 @@
         Some(PairedDifference {
             pairs: differences.len(),
             mean: mean(differences),
-            interval: [means[DRAWS_OUTSIDE_EACH_END], means[BOOTSTRAP_DRAWS - 1 - DRAWS_OUTSIDE_EACH_END]],
+            interval: [means[RESAMPLES_PER_TAIL], means[BOOTSTRAP_RESAMPLES - 1 - RESAMPLES_PER_TAIL]],
         })
     }
 
-    /// Whether there are enough pairs for the interval to show anything.
+    /// Returns whether there are enough pairs for an interval.
     pub fn has_interval(&self) -> bool {
         self.pairs >= MIN_PAIRS_FOR_INTERVAL
     }
 
-    /// Whether there are enough pairs, and their interval leaves zero out.
+    /// Returns whether there are enough pairs for an interval and the interval excludes zero.
     pub fn excludes_zero(&self) -> bool {
         self.has_interval() && (self.interval[0] > 0.0 || self.interval[1] < 0.0)
     }
 }
 
-/// Sorted means of samples that are drawn with replacement.
+/// Means of resamples that are drawn with replacement, in ascending order. The seed is fixed, so that the
+/// same differences always give the same interval.
 fn resampled_means(differences: &[f64]) -> Vec<f64> {
     let mut random = random_stream(1, StreamPurpose::Faults);
     let mut sample = vec![0.0; differences.len()];
-    let mut draw_mean = || {
+    let mut resampled_mean = || {
         for value in &mut sample {
             *value = differences[random.random_range(0..differences.len())];
         }
         mean(&sample)
     };
-    let mut means: Vec<f64> = (0..BOOTSTRAP_DRAWS).map(|_| draw_mean()).collect();
+    let mut means: Vec<f64> = (0..BOOTSTRAP_RESAMPLES).map(|_| resampled_mean()).collect();
     means.sort_by(f64::total_cmp);
     means
 }
@@ -85,17 +88,18 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// Shares of the weight that were not served in time; in JSON a list of the four.
+/// Shares of the requested priority weight that were not served in time. In JSON they are a list of four
+/// numbers, in the order of the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 4]")]
 pub struct UnservedShares {
-    /// Rejected.
+    /// Share that was rejected.
     pub rejected: f64,
-    /// Served late.
+    /// Share that was served later than its latency objective.
     pub late: f64,
-    /// Failed.
+    /// Share that failed.
     pub failed: f64,
-    /// Without a response.
+    /// Share that had no response before its deadline.
     pub unanswered: f64,
 }
 
@@ -106,7 +110,7 @@
 }
 
 impl UnservedShares {
-    /// Mean shares over runs.
+    /// The mean shares of several runs.
     fn mean_of(runs: &[RunOutcome]) -> UnservedShares {
         let mean_share = |weight: fn(&RunOutcome) -> f64| {
             runs.iter().map(|run| weight(run) / run.weight.requested.max(1e-12)).sum::<f64>()
@@ -121,49 +125,49 @@
     }
 }
 
-/// One variant's runs of a scenario, summed up.
+/// The combined results of one variant's runs of a scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct VariantResult {
-    /// The variant: a policy, or the name that an experiment gives it.
+    /// The name of the variant: that of its policy, or the one given by the experiment.
     pub policy: String,
-    /// The share of weight served in time, less the cost of load queries: the mean over seeds.
+    /// The share of priority weight served in time, less the cost of load queries; the mean over seeds.
     #[serde(rename = "share")]
     pub in_time_share: f64,
-    /// The shares that were not served in time.
+    /// The shares of priority weight that were not served in time.
     #[serde(rename = "went")]
     pub unserved_shares: UnservedShares,
-    /// The first variant's share less this one's, in pairs; `None` for the first.
+    /// The first variant's share minus this variant's, paired by seed; `None` for the first variant.
     #[serde(rename = "behind")]
     pub deficit: Option<PairedDifference>,
-    /// Violations of rules in all runs.
+    /// Number of rule violations in all runs.
     #[serde(rename = "breaches")]
     pub violations: u64,
-    /// The runs.
+    /// The outcome of each run.
     pub runs: Vec<RunOutcome>,
 }
 
-/// A scenario with the results of its variants.
+/// The results of all variants of one scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioResults {
-    /// The scenario; of an experiment, as the first variant plays it.
+    /// The scenario. In an experiment, it includes the changes of the first variant.
     pub scenario: Scenario,
-    /// The variants' results.
+    /// The result of each variant.
     pub variants: Vec<VariantResult>,
 }
 
-/// A comparison that could not be made.
+/// An error that prevents a comparison.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CompareError {
-    /// A policy does not accept its settings.
+    /// A policy rejects its settings.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
 }
 
-/// Plays a scenario under policies and seeds, on all cores.
+/// Simulates a scenario with each policy and each seed, in parallel on all cores.
 ///
 /// # Errors
-/// A policy that cannot be made.
+/// Fails if a policy rejects its settings.
 pub fn compare_policies(
     scenario: &Scenario,
     policies: &[PolicyKind],
@@ -180,8 +184,8 @@
     Ok(variant_results(names.zip(runs_by_policy).collect()))
 }
 
-/// Sums up variants with their runs, which are of the same seeds in the same order. The first variant is
-/// compared with each other one.
+/// Combines the runs of each variant, and compares the first variant with each other one. The runs of all
+/// variants must have the same seeds in the same order.
 pub fn variant_results(variants: Vec<(String, Vec<RunOutcome>)>) -> Vec<VariantResult> {
     let scores = |runs: &[RunOutcome]| runs.iter().map(RunOutcome::score).collect::<Vec<f64>>();
     let first_scores = variants.first().map_or_else(Vec::new, |(_, runs)| scores(runs));
@@ -206,7 +210,7 @@
     }
 }
 
-/// The results as a table of text.
+/// Formats the results of one scenario as a text table.
 pub fn comparison_table(scenario: &Scenario, variants: &[VariantResult]) -> String {
     let mut text = format!(
         "{}: {}\n{:<26} {:>7} {:>8} {:>6} {:>7} {:>6} {:>9}  first less this one\n",
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -1,76 +1,77 @@
-//! The errors of experiments: why one cannot be read or played.
+//! The errors of reading and executing an experiment.
 use std::path::PathBuf;
 
 use crate::scenario::ScenarioError;
 
-/// Why an experiment cannot be read or played. The texts name the file and the key.
+/// An error that prevents reading or executing an experiment. The message names the file and, if possible,
+/// the key.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ExperimentError {
-    /// The experiment's file, the file of runs or a program's file cannot be read or written.
+    /// The experiment file, the file of stored runs or the executable of a program cannot be read or written.
     #[error("{}: {source}", file.display())]
     Io {
-        /// The file.
+        /// The path of the file that cannot be read or written.
         file: PathBuf,
         /// The cause.
         source: std::io::Error,
     },
-    /// The file is no TOML, or not an experiment's.
+    /// The file is not valid TOML, or is not an experiment.
     #[error("{}: {}", file.display(), source.to_string().trim_end())]
     InvalidToml {
-        /// The experiment's file.
+        /// The path of the experiment file.
         file: PathBuf,
         /// The cause.
         source: Box<toml::de::Error>,
     },
-    /// Without scenarios, variants or seeds there is no run.
+    /// The experiment has no runs, because it has no scenarios, no variants or no seeds.
     #[error("{}: scenarios, variants and seeds: at least one of each", file.display())]
     NoRuns {
-        /// The experiment's file.
+        /// The path of the experiment file.
         file: PathBuf,
     },
-    /// Two variants have one name.
+    /// Two variants have the same name.
     #[error("{}: variants[{index}].name: {name:?} comes twice", file.display())]
     DuplicateVariant {
-        /// The experiment's file.
+        /// The path of the experiment file.
         file: PathBuf,
-        /// The index of the later variant.
+        /// The index of the second variant with this name.
         index: usize,
-        /// The name.
+        /// The name of both variants.
         name: String,
     },
-    /// A variant in virtual time names a program.
+    /// A variant that is simulated in virtual time names a program.
     #[error("{}: variants[{index}].program: only in real time, drive = \"emulate\"", file.display())]
     ProgramInVirtualTime {
-        /// The experiment's file.
+        /// The path of the experiment file.
         file: PathBuf,
         /// The variant's index.
         index: usize,
     },
-    /// A scenario's file cannot be read.
+    /// A scenario file cannot be read.
     #[error("{}: {}: {source}", file.display(), scenario_file.display())]
     UnreadableScenario {
-        /// The experiment's file.
+        /// The path of the experiment file.
         file: PathBuf,
-        /// The scenario's file.
+        /// The path of the scenario file.
         scenario_file: PathBuf,
         /// The cause.
         source: std::io::Error,
     },
-    /// A scenario's file is no TOML.
+    /// A scenario is not valid TOML.
     #[error("{}: {scenario}: {}", file.display(), source.to_string().trim_end())]
     InvalidScenarioToml {
-        /// The experiment's file.
+        /// The path of the experiment file.
         file: PathBuf,
         /// The scenario.
         scenario: String,
         /// The cause.
         source: Box<toml::de::Error>,
     },
-    /// A scenario with a variant's changes is wrong.
+    /// A scenario is invalid after the changes of a variant.
     #[error("{}: {scenario} as variant {variant:?} has it: {source}", file.display())]
     InvalidScenario {
-        /// The experiment's file.
+        /// The path of the experiment file.
         file: PathBuf,
         /// The scenario.
         scenario: String,
@@ -79,31 +80,31 @@
         /// The cause.
         source: Box<ScenarioError>,
     },
-    /// A scenario cannot be written as TOML.
+    /// A scenario cannot be serialized as TOML.
     #[error(transparent)]
-    TomlNotWritten(#[from] toml::ser::Error),
-    /// A run cannot be written as JSON.
+    SerializeToml(#[from] toml::ser::Error),
+    /// A run cannot be serialized as JSON.
     #[error(transparent)]
-    JsonNotWritten(#[from] serde_json::Error),
-    /// The program of a policy cannot be found.
+    SerializeJson(#[from] serde_json::Error),
+    /// The scheduler program of a policy cannot be found.
     #[error("{0}")]
     UnknownProgram(String),
-    /// This program's own file cannot be found.
+    /// The path of the running executable cannot be determined.
     #[error(transparent)]
-    OwnProgramUnknown(std::io::Error),
-    /// Another process writes the file of runs.
+    CurrentExecutable(std::io::Error),
+    /// Another process has locked the file of stored runs.
     #[error("{}: another process writes it", file.display())]
     RunStoreLocked {
-        /// The file of runs.
+        /// The path of the file of stored runs.
         file: PathBuf,
     },
-    /// Another run panicked while it was stored.
+    /// A thread panicked while it appended to the file of stored runs.
     #[error("a run that panicked")]
     RunPanicked,
-    /// The threads cannot be started.
+    /// The thread pool that executes the runs cannot be created.
     #[error(transparent)]
     ThreadPool(#[from] rayon::ThreadPoolBuildError),
-    /// One run failed.
+    /// A single run failed.
     #[error("{scenario}, {variant}, seed {seed}: {reason}")]
     RunFailed {
         /// The scenario's name.
@@ -115,12 +116,12 @@
         /// The cause.
         reason: String,
     },
-    /// Some runs failed.
+    /// One or more runs failed. The successful runs are stored.
     #[error("{count} runs failed, the others are kept:\n{}", reasons.join("\n"))]
     RunsFailed {
-        /// How many runs failed.
+        /// Number of failed runs.
         count: usize,
-        /// The causes, each once.
+        /// The distinct error messages, in alphabetical order.
         reasons: Vec<String>,
     },
 }
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -1,7 +1,7 @@
-//! Plays experiments: scenarios, variants and seeds in a TOML file, in parallel. docs/testbed.md describes
-//! the format.
+//! Executes experiments, which run each scenario with each variant and each seed.
 //!
-//! Each run is stored when it ends, so that an interrupted experiment resumes where it stopped.
+//! An experiment is a TOML file, whose format docs/testbed.md describes. Runs are executed in parallel, and
+//! each run is stored when it ends, so that an interrupted experiment resumes where it stopped.
 mod error;
 mod mode_comparison;
 mod plan;
@@ -18,61 +18,62 @@
 
 use crate::policy::PolicyKind;
 
-/// An experiment.
+/// The contents of an experiment file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// The name of the experiment.
     pub name: String,
-    /// What it is to show, in a sentence.
+    /// One sentence that says what the experiment shows.
     #[serde(rename = "about")]
     pub description: String,
-    /// Scenarios, by the name of one that comes with the program or by a file's path from the experiment's
-    /// file.
+    /// The scenarios. Each is the name of a scenario in the program, or a file path relative to the directory
+    /// of the experiment file.
     pub scenarios: Vec<String>,
-    /// The first seed, and the number of seeds.
+    /// The first seed and the number of consecutive seeds.
     pub seeds: [u64; 2],
-    /// Changes to all scenarios.
+    /// Changes to all scenarios, in the format of a scenario file.
     #[serde(rename = "set", default)]
     pub scenario_overrides: toml::Table,
-    /// What is compared: the first variant with each other one.
+    /// The variants. The first is compared with each other one.
     pub variants: Vec<Variant>,
-    /// Parallel runs. Without it, as many as there are cores in virtual time, and four for each core in real
-    /// time, where runs mostly wait.
+    /// Maximum number of parallel runs. The default is one for each core, or four for each core if all
+    /// variants run in real time, where runs mostly wait.
     #[serde(rename = "at_once", default)]
     pub max_parallel_runs: Option<usize>,
 }
 
-/// How a variant is played.
+/// How the runs of a variant are executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename = "Drive", rename_all = "snake_case")]
 pub enum ExecutionMode {
-    /// In virtual time.
+    /// By the simulation, in virtual time.
     #[default]
     Sim,
-    /// In real time, with processes.
+    /// By the emulation, in real time and with scheduler processes.
     Emulate,
 }
 
-/// What is compared.
+/// One of the alternatives that an experiment compares.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Its name.
+    /// The name of the variant, which is unique in the experiment.
     pub name: String,
-    /// How it is played.
+    /// How the runs of the variant are executed.
     #[serde(rename = "drive", default)]
     pub mode: ExecutionMode,
     /// The dispatch policy.
     #[serde(default = "default_policy")]
     pub policy: PolicyKind,
-    /// In real time: the program in place of the policy's own one, by its path from the experiment's file.
+    /// The program to start in place of that of the policy, as a path relative to the directory of the
+    /// experiment file. Only valid in real time.
     #[serde(default)]
     pub program: Option<PathBuf>,
-    /// The program's arguments.
+    /// The arguments of `program`.
     #[serde(default)]
     pub arguments: Vec<String>,
-    /// Changes to the scenario, applied after the experiment's own.
+    /// Changes to the scenarios, applied after those of the experiment.
     #[serde(rename = "set", default)]
     pub scenario_overrides: toml::Table,
 }
@@ -81,22 +82,22 @@
     PolicyKind::Copperspread
 }
 
-/// How far an experiment is at its start.
+/// The progress of an experiment when its execution starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExperimentProgress {
-    /// Runs that were stored before.
+    /// Number of runs that are already stored.
     pub stored_runs: usize,
-    /// All runs.
+    /// Number of runs in the experiment.
     pub total_runs: usize,
-    /// Lines of the file of runs that cannot be read.
+    /// Number of lines in the file of stored runs that cannot be parsed.
     pub unreadable_lines: usize,
 }
 
-/// Is notified while an experiment goes on.
+/// An observer of the progress of an experiment. The methods may be called from several threads.
 pub trait ProgressObserver: Sync {
-    /// The file of runs was read.
+    /// Called once, after the file of stored runs was read.
     fn experiment_started(&self, _progress: ExperimentProgress) {}
-    /// A run has ended and is stored.
+    /// Called after each run, when it is stored.
     fn run_finished(&self) {}
 }
 
--- a/crates/testbed/src/experiment/mode_comparison.rs
+++ b/crates/testbed/src/experiment/mode_comparison.rs
@@ -1,19 +1,19 @@
-//! Compares what virtual and real time show of the same policies.
+//! Compares the results of the same policies in virtual and in real time.
 use crate::compare::ScenarioResults;
 
-/// Shares that are closer than this rank alike: in either mode, nothing says which is better.
-const RANKED_ALIKE_WITHIN: f64 = 0.01;
+/// Shares that differ by at most this much count as equal when policies are ranked.
+const MAX_TIED_DIFFERENCE: f64 = 0.01;
 
-/// Indexes of two variants that differ only in their execution mode.
+/// The indexes of two variants that differ only in their execution mode.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VariantPair {
-    /// The variant in virtual time.
+    /// The index of the variant in virtual time.
     pub simulated: usize,
-    /// The variant in real time.
+    /// The index of the variant in real time.
     pub emulated: usize,
 }
 
-/// A policy's shares of weight in time, in each mode.
+/// The shares of priority weight that a policy serves in time, in each mode.
 #[derive(Clone, Copy)]
 struct ModeShares {
     simulated: f64,
@@ -25,15 +25,18 @@
         self.emulated - self.simulated
     }
 
-    /// Whether both modes tell the two policies apart, and rank them differently.
+    /// Returns whether the shares of two policies differ in both modes, and the modes rank them differently.
     fn is_ranked_differently(self, other: ModeShares) -> bool {
-        let is_apart = |own: f64, other: f64| (own - other).abs() > RANKED_ALIKE_WITHIN;
+        let is_distinguishable = |own: f64, other: f64| (own - other).abs() > MAX_TIED_DIFFERENCE;
         let differs = (self.simulated > other.simulated) != (self.emulated > other.emulated);
-        differs && is_apart(self.simulated, other.simulated) && is_apart(self.emulated, other.emulated)
+        differs
+            && is_distinguishable(self.simulated, other.simulated)
+            && is_distinguishable(self.emulated, other.emulated)
     }
 }
 
-/// A table of the shares in both modes, their difference and ranks, for each scenario and pair.
+/// Formats a text table with the shares in both modes, their difference and ranks, for each scenario and
+/// pair.
 pub fn mode_comparison_table(pairs: &[VariantPair], results: &[ScenarioResults]) -> String {
     let mut text = format!(
         "{:<16} {:<18} {:>7} {:>9} {:>11} {:>14}\n",
@@ -56,7 +59,7 @@
     }
     text + &format!(
         "largest difference {largest_difference:.3}; of {compared} pairs of policies {ranked_differently} are ranked \
-         otherwise where both drives show more than {RANKED_ALIKE_WITHIN} between them\n"
+         otherwise where both drives show more than {MAX_TIED_DIFFERENCE} between them\n"
     )
 }
 
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -1,4 +1,4 @@
-//! Reads an experiment's file, plans its runs and plays those that are not stored yet.
+//! Reads an experiment file and executes the runs that are not stored yet.
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 
@@ -16,25 +16,26 @@
 use crate::scenario::Scenario;
 use crate::simulation::simulate;
 
-/// Parallel runs for each core in real time, where runs mostly wait.
+/// Number of parallel runs for each core in real time, where runs mostly wait.
 const EMULATED_RUNS_PER_CORE: usize = 4;
 
-/// An experiment that was read, with its scenarios as each variant plays them.
+/// An experiment with all its runs, ready to be executed.
 pub struct Plan {
-    /// The experiment.
+    /// The contents of the experiment file.
     pub experiment: Experiment,
-    /// By scenario and variant.
+    /// The scenarios with the changes of each variant, by index of the scenario and of the variant.
     scenarios: Vec<Vec<Scenario>>,
-    /// By variant; `None` in virtual time.
+    /// The scheduler program of each variant; `None` in virtual time.
     programs: Vec<Option<SchedulerProgram>>,
     runs: Vec<PlannedRun>,
 }
 
 impl Plan {
-    /// Reads an experiment. `find_shipped` gives the text of a scenario that comes with the program.
+    /// Reads an experiment file. `find_shipped` returns the TOML text of a scenario that the program
+    /// contains.
     ///
     /// # Errors
-    /// A file that cannot be read, or what in it is wrong, by file and key.
+    /// Fails if a file cannot be read or is invalid. The error names the file and, if possible, the key.
     pub fn read_file(
         file: &Path,
         find_shipped: impl Fn(&str) -> Option<String>,
@@ -50,28 +51,31 @@
             .iter()
             .map(|name| read_scenario(file, name, &experiment, &find_shipped))
             .collect::<Result<Vec<_>, _>>()?;
-        let folder = folder_of(file);
+        let directory = parent_directory(file);
         let programs = experiment
             .variants
             .iter()
-            .map(|variant| variant_program(folder, variant))
+            .map(|variant| variant_program(directory, variant))
             .collect::<Result<Vec<_>, _>>()?;
         let runs = plan_runs(&experiment, &scenarios, &programs)?;
         Ok(Plan { experiment, scenarios, programs, runs })
     }
 
-    /// Number of runs.
+    /// The number of runs, including those that are already stored.
     pub fn run_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Plays the runs that a file does not hold yet, and adds them there; returns the results of each
-    /// scenario. A run counts as held only if scenario, variant, seed and programs are the same.
+    /// Executes the runs that are not yet stored in a file, and appends each to the file when it ends.
+    /// Returns the results of each scenario.
+    ///
+    /// A stored run is used only if its scenario, variant, seed and programs are the same as those of the
+    /// plan.
     ///
     /// # Errors
-    /// A file that cannot be written or that another process writes, or runs that failed: all others are
-    /// stored, and the next call plays only what is missing.
-    pub fn play(
+    /// Fails if the file cannot be written or is locked by another process, or if a run fails. Successful
+    /// runs are stored, and the next call executes only the missing ones.
+    pub fn execute(
         &self,
         file: &Path,
         observer: &impl ProgressObserver,
@@ -84,12 +88,13 @@
             total_runs: self.runs.len(),
             unreadable_lines: stored.unreadable_lines,
         });
-        // The pool's threads end when it is dropped, at the end of this function.
+        // The threads of the pool end when the pool is dropped, at the end of this function.
         let pool = rayon::ThreadPoolBuilder::new().num_threads(self.parallel_runs()).build()?;
-        let played: Vec<Result<StoredRun, ExperimentError>> = pool
-            .install(|| missing.par_iter().map(|run| self.play_and_store(run, &store, observer)).collect());
+        let executed: Vec<Result<StoredRun, ExperimentError>> = pool.install(|| {
+            missing.par_iter().map(|run| self.execute_and_store(run, &store, observer)).collect()
+        });
         let mut failures = Vec::new();
-        for result in played {
+        for result in executed {
             match result {
                 Ok(run) => {
                     stored.by_key.insert(run.key, run.outcome);
@@ -103,13 +108,13 @@
         Ok(self.results(&stored.by_key))
     }
 
-    fn play_and_store(
+    fn execute_and_store(
         &self,
         run: &PlannedRun,
         store: &RunStore,
         observer: &impl ProgressObserver,
     ) -> Result<StoredRun, ExperimentError> {
-        let outcome = self.play_run(run)?;
+        let outcome = self.execute_run(run)?;
         let stored = StoredRun {
             key: run.key.clone(),
             scenario: outcome.scenario.clone(),
@@ -122,7 +127,7 @@
         Ok(stored)
     }
 
-    fn play_run(&self, run: &PlannedRun) -> Result<RunOutcome, ExperimentError> {
+    fn execute_run(&self, run: &PlannedRun) -> Result<RunOutcome, ExperimentError> {
         let scenario = &self.scenarios[run.scenario][run.variant];
         let variant = &self.experiment.variants[run.variant];
         let outcome = match &self.programs[run.variant] {
@@ -159,7 +164,7 @@
         self.scenarios.iter().enumerate().map(scenario_results).collect()
     }
 
-    /// The outcomes of one scenario and variant, in order of the seeds.
+    /// The outcomes of one scenario and variant, in the order of the seeds.
     fn outcomes_of(
         &self,
         scenario: usize,
@@ -170,7 +175,7 @@
         runs.filter_map(|run| outcomes.get(&run.key).cloned()).collect()
     }
 
-    /// Pairs of variants that differ only in their execution mode.
+    /// The pairs of variants that differ only in their execution mode.
     pub fn mode_pairs(&self) -> Vec<VariantPair> {
         let variants = &self.experiment.variants;
         let pair = |(simulated, variant): (usize, &Variant)| {
@@ -196,7 +201,7 @@
     ExperimentError::RunsFailed { count, reasons }
 }
 
-fn folder_of(file: &Path) -> &Path {
+fn parent_directory(file: &Path) -> &Path {
     file.parent().unwrap_or(Path::new("."))
 }
 
@@ -218,7 +223,7 @@
     Ok(())
 }
 
-/// Reads a scenario and applies the changes of each variant.
+/// Reads a scenario, and returns it with the changes of each variant.
 fn read_scenario(
     file: &Path,
     name: &str,
@@ -227,7 +232,7 @@
 ) -> Result<Vec<Scenario>, ExperimentError> {
     let text = match find_shipped(name) {
         Some(text) => text,
-        None => read_scenario_file(file, folder_of(file).join(name))?,
+        None => read_scenario_file(file, parent_directory(file).join(name))?,
     };
     let base: toml::Table = toml::from_str(&text).map_err(|source| ExperimentError::InvalidScenarioToml {
         file: file.to_owned(),
@@ -257,7 +262,7 @@
     })
 }
 
-/// Changes one table by another: tables within tables key by key, all else as a whole.
+/// Merges `overrides` into `base`. Nested tables are merged recursively; all other values are replaced.
 fn apply_overrides(base: &mut toml::Table, overrides: &toml::Table) {
     for (key, value) in overrides {
         match (base.get_mut(key), value) {
@@ -271,15 +276,15 @@
     }
 }
 
-/// The program that plays a variant; `None` in virtual time.
-fn variant_program(folder: &Path, variant: &Variant) -> Result<Option<SchedulerProgram>, ExperimentError> {
+/// The scheduler program of a variant; `None` in virtual time.
+fn variant_program(directory: &Path, variant: &Variant) -> Result<Option<SchedulerProgram>, ExperimentError> {
     match (variant.mode, &variant.program) {
         (ExecutionMode::Sim, _) => Ok(None),
         (ExecutionMode::Emulate, None) => SchedulerProgram::for_policy(variant.policy)
             .map(Some)
             .map_err(|error| ExperimentError::UnknownProgram(error.to_string())),
         (ExecutionMode::Emulate, Some(path)) => {
-            Ok(Some(SchedulerProgram { file: folder.join(path), arguments: variant.arguments.clone() }))
+            Ok(Some(SchedulerProgram { file: directory.join(path), arguments: variant.arguments.clone() }))
         }
     }
 }
--- a/crates/testbed/src/experiment/run_store.rs
+++ b/crates/testbed/src/experiment/run_store.rs
@@ -1,6 +1,6 @@
-//! Reads and appends to the file of runs: one JSON line for each run that has ended.
+//! The file of stored runs, which has one JSON line for each run that has ended.
 //!
-//! One process at a time writes it; each run is appended when it ends.
+//! Each run is appended when it ends. A lock on the file ensures that only one process at a time writes it.
 use std::collections::HashMap;
 use std::fs::File;
 use std::io::Write;
@@ -12,24 +12,26 @@
 use super::ExperimentError;
 use crate::outcome::RunOutcome;
 
-/// A run that has ended: a line of the file.
+/// A run that has ended, stored as one line of the file.
 #[derive(Serialize, Deserialize)]
 pub(super) struct StoredRun {
-    /// Identifies scenario, variant, seed and programs.
+    /// The key of the run: a hash of its scenario, variant, seed and programs.
     pub key: String,
-    /// The scenario's name.
+    /// The name of the scenario.
     pub scenario: String,
-    /// The variant's name.
+    /// The name of the variant.
     pub variant: String,
-    /// The seed.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// What the run resulted in.
+    /// The outcome of the run.
     pub outcome: RunOutcome,
 }
 
-/// The outcomes that a file holds, by key.
+/// The contents of a file of stored runs.
 pub(super) struct StoredOutcomes {
+    /// The outcomes of the runs, by the key of the run.
     pub by_key: HashMap<String, RunOutcome>,
+    /// Number of lines that cannot be parsed.
     pub unreadable_lines: usize,
 }
 
@@ -48,23 +50,24 @@
     }
 }
 
-/// A file of runs that is locked for this process until the store is dropped.
+/// A file of stored runs, which stays locked by this process until the store is dropped.
 pub(super) struct RunStore {
     path: PathBuf,
     file: Mutex<File>,
 }
 
 impl RunStore {
-    /// Opens or creates the file, and reads what it holds.
+    /// Opens or creates the file, locks it and reads its runs.
     ///
     /// # Errors
-    /// A file that cannot be read or written, or that another process has locked.
+    /// Fails if the file cannot be read or written, or if another process has locked it.
     pub(super) fn open(path: &Path) -> Result<(RunStore, StoredOutcomes), ExperimentError> {
         let io_error = |source| ExperimentError::Io { file: path.to_owned(), source };
         let mut file = File::options().create(true).append(true).open(path).map_err(io_error)?;
         file.try_lock().map_err(|_| ExperimentError::RunStoreLocked { file: path.to_owned() })?;
         let text = std::fs::read_to_string(path).map_err(io_error)?;
-        // A line that was cut off stays alone: the next one begins on its own.
+        // A write that was interrupted leaves an incomplete last line. The line break keeps it apart from the
+        // next run.
         if !text.is_empty() && !text.ends_with('\n') {
             file.write_all(b"\n").map_err(io_error)?;
         }
@@ -72,10 +75,10 @@
         Ok((store, StoredOutcomes::parse(&text)))
     }
 
-    /// Appends a run.
+    /// Appends a run to the file.
     ///
     /// # Errors
-    /// A file that cannot be written, or another run that panicked while it was written.
+    /// Fails if the file cannot be written, or if another thread panicked while it appended a run.
     pub(super) fn append(&self, run: &StoredRun) -> Result<(), ExperimentError> {
         let line = serde_json::to_string(run)? + "\n";
         let mut file = self.file.lock().map_err(|_| ExperimentError::RunPanicked)?;
--- a/crates/testbed/src/job_request.rs
+++ b/crates/testbed/src/job_request.rs
@@ -1,4 +1,4 @@
-//! Builds a client's request by the platform's protocol.
+//! Builds the HTTP request that a client sends for a job, by the platform's protocol.
 use std::net::SocketAddr;
 
 use bytes::Bytes;
@@ -7,24 +7,24 @@
 
 use crate::model::arrivals::Arrival;
 
-/// What a client's request is made from.
+/// The parameters of a client's request.
 pub(crate) struct JobRequest<'a> {
-    /// The scheduler.
+    /// The address of the scheduler.
     pub target: SocketAddr,
-    /// The job's class.
+    /// The name of the job's request class.
     pub class: &'a str,
-    /// The request's id.
+    /// The id of this request.
     pub request_id: u64,
-    /// The job's id, the same in all requests for it.
+    /// The id of the job, which is the same in all requests for the job. It is the idempotency key.
     pub job_id: u64,
-    /// How long the client will wait, in milliseconds.
+    /// The time that the client waits for the response, in milliseconds.
     pub timeout_ms: u128,
-    /// The job.
+    /// The arrival of the job, with its slots, memory and cost hint.
     pub arrival: &'a Arrival,
 }
 
 impl JobRequest<'_> {
-    /// The request; `None` if a class's name makes no valid path.
+    /// Builds the request; `None` if the name of the class is not valid in a path.
     pub(crate) fn build(&self) -> Option<Request<Full<Bytes>>> {
         let url = format!("http://{}/{}/{:x}", self.target, self.class, self.job_id);
         let mut request = Request::post(url)
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,6 @@
-//! The testbed: a model of workers, clients and faults, a simulation and an emulation of it, and a rule checker.
+//! The testbed runs scenarios of workers, clients and faults against dispatch policies and schedulers.
+//!
+//! It consists of a model, a simulation and an emulation of the model, and a rule checker.
 //!
 //! ```text
 //!   scenario (TOML) ──► model ──► fleet, faults, arrivals, idempotency keys, workers, connection faults
@@ -8,20 +10,21 @@
 //!   virtual time, policies        real time on loopback, the program's
 //!   called directly               own processes (or the proxy with a policy)
 //!           └─────────────┬──────────────┘
-//!              what clients and workers saw ──► rule_checker
+//!        observations of clients and workers ──► rule_checker
 //!                         │
 //!              outcome ──► compare (paired by seed) ──► report
 //!                         ▲
-//!                    experiment (TOML: scenarios, variants, seeds; results kept run by run)
+//!                    experiment (TOML: scenarios, variants, seeds; each run is stored when it ends)
 //! ```
 //!
-//! `load` sends the same arrivals to any address over HTTP; `cost` measures the whole program against `relay`,
-//! which forwards without a decision.
+//! `load` sends the same arrivals to any address over HTTP. `cost` compares the CPU time of the scheduler
+//! process with that of `relay`, which forwards requests without a dispatch policy.
 //!
-//! `membership_simulation` runs the schedulers' membership protocol on a faulty network, apart from the above.
+//! `membership_simulation` simulates the schedulers' membership protocol on a faulty network, independently
+//! of the other modules.
 //!
-//! The model does no I/O and reads no clock. All randomness comes from one seed, with a stream for each purpose,
-//! so that two variants of one experiment get the same arrivals.
+//! The model does no I/O and reads no clock. All random numbers come from one seed, with a separate stream
+//! for each purpose, so that two variants of one experiment get the same arrivals.
 pub mod compare;
 pub mod cost;
 pub mod emulation;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,6 +1,7 @@
-//! Parses the command line, runs a command and exits with its code.
+//! The command-line program of the testbed.
 //!
-//! Exit codes: 0 done, 1 a rule was violated or the command failed, 2 the command line is wrong.
+//! Exit codes: 0 for success, 1 if a rule was violated or the command failed, 2 if the command line is
+//! invalid.
 mod cli;
 mod commands;
 mod policy_argument;
@@ -18,7 +19,7 @@
         Ok(CommandOutcome::Done) => ExitCode::SUCCESS,
         Ok(CommandOutcome::RulesViolated) => ExitCode::FAILURE,
         Err(error) => {
-            // Without standard error there is nowhere left to report to.
+            // A failed write to standard error cannot be reported anywhere else.
             let _ = writeln!(std::io::stderr(), "copperspread-testbed: {error}");
             ExitCode::FAILURE
         }
--- a/crates/testbed/src/membership_simulation/identities.rs
+++ b/crates/testbed/src/membership_simulation/identities.rs
@@ -1,11 +1,11 @@
-//! Addresses, names and the key of simulated members.
+//! The addresses, identities and shared key of simulated members.
 use std::net::SocketAddr;
 
 use copperspread_membership::{Key, Member};
 
-/// The port on which every simulated member listens.
+/// The port of every simulated member.
 const PORT: u16 = 7000;
-/// The members' zones, in turn.
+/// The zones, to which members are assigned in round-robin order of their indexes.
 const ZONES: [&str; 3] = ["arnhem", "zwolle", "eindhoven"];
 
 /// The address of the member with this index.
@@ -13,7 +13,7 @@
     SocketAddr::from(([10, 0, (index >> 8) as u8, index as u8], PORT))
 }
 
-/// The index of the member with this address.
+/// The index of the member with this address; `None` for IPv6, which no simulated member uses.
 pub(super) fn member_index(address: SocketAddr) -> Option<usize> {
     match address {
         SocketAddr::V4(v4) => {
@@ -24,15 +24,15 @@
     }
 }
 
-/// The key of all simulated members.
+/// The key that all simulated members share.
 ///
 /// # Panics
-/// Never: the key is long enough.
-pub fn key() -> Key {
-    Key::new(b"a key for the tests alone").expect("a key")
+/// Never, because the key has a valid length.
+pub fn shared_key() -> Key {
+    Key::new(b"a key for the tests alone").expect("the key has a valid length")
 }
 
-/// The member with this index, in one generation of its process.
+/// The identity of the member with this index, for a process of this generation.
 pub fn member_info(index: usize, generation: u64) -> Member {
     Member {
         name: format!("n{index}"),
--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -1,5 +1,7 @@
-//! Runs membership in virtual time: members on a network that loses, delays and blocks packets, and processes
-//! that pause, end and start again. The same seed gives the same run.
+//! Simulates the membership protocol in virtual time, with faults of the network and of processes.
+//!
+//! The network can lose, delay and block packets; processes can pause, end and restart. The same seed gives
+//! the same run.
 mod identities;
 mod observations;
 
@@ -17,16 +19,17 @@
 use rand_pcg::Pcg64Mcg;
 
 use self::identities::member_index;
-pub use self::identities::{address, key, member_info};
+pub use self::identities::{address, member_info, shared_key};
 pub use self::observations::{RecordedEffect, ReportedFailure};
 
-/// A millisecond.
+/// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = SECOND / 1_000;
-/// Members that have not found each other by then never will.
+/// Maximum time in which all members must have found each other, in microseconds. Members that have not found
+/// each other by then never will.
 const JOIN_TIMEOUT: Micros = 120 * SECOND;
 
-/// The network without faults: nothing is lost, each packet takes between 0.5 and 20.5 ms.
-const USUAL_LINK: LinkConditions = LinkConditions {
+/// Conditions of all links without faults: no packet is lost, and each takes between 0.5 and 20.5 ms.
+const FAULT_FREE_LINK: LinkConditions = LinkConditions {
     min_delay: Duration::from_micros(500),
     max_delay: Duration::from_micros(20_500),
     ..LinkConditions::IDEAL
@@ -36,60 +39,65 @@
     duration.as_micros() as Micros
 }
 
-/// A member's process.
+/// The process of a member.
 struct Process {
     membership: Membership,
-    /// It does nothing until then; packets wait for it.
+    /// Time until which the process is paused: it handles neither packets nor timers.
     paused_until: Micros,
-    /// Its next wake, or its last one; any other that is still scheduled is void.
-    wake_at: Micros,
+    /// Time of the next scheduled timer, or of the last one if it has expired. A scheduled timer that expires
+    /// earlier is outdated and ignored.
+    timer_due_at: Micros,
+    /// Packets that arrived during a pause.
     waiting_packets: Vec<Vec<u8>>,
 }
 
-/// What happens to one member.
+/// A scheduled event for one member.
 enum NetworkEvent {
+    /// A packet arrives.
     PacketArrived(Vec<u8>),
-    WakeDue,
+    /// The timer of the membership protocol expires.
+    TimerExpired,
 }
 
-/// The network and all processes on it.
+/// A simulated network with the processes of all members.
 pub struct SimulatedNetwork {
-    /// The time, from 0.
+    /// The simulated time since the start, in microseconds.
     pub now: Micros,
-    /// When, in which order and to which member events happen; `events` has them by the order.
+    /// Time, sequence number and member of each scheduled event. `events` has the events by sequence number.
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
     events: HashMap<u64, NetworkEvent>,
     last_sequence: u64,
     processes: Vec<Option<Process>>,
     random: Pcg64Mcg,
-    /// What happens to packets.
+    /// The links between members, with their conditions and blocks.
     pub links: NetworkLinks,
-    /// The settings of members that are started, apart from their seeds.
+    /// The settings of members that are started. Their list of seeds is replaced when a member starts.
     pub settings: Settings,
-    /// The generation of each member's last process.
+    /// The generation of the last process of each member.
     generations: Vec<u64>,
-    /// What the members reported.
+    /// All effects that members emitted, other than sent packets.
     pub effects: Vec<RecordedEffect>,
-    /// Packets sent.
+    /// Number of packets that members sent.
     pub packets: u64,
-    /// Their bytes.
+    /// Total size of the sent packets, in bytes.
     pub bytes: u64,
 }
 
 impl SimulatedNetwork {
-    /// Members that all have the first one as their seed and have found each other.
+    /// Creates a network whose members have all found each other. The first member is the membership seed of
+    /// all, and `seed` determines all random numbers.
     ///
     /// # Panics
-    /// They have not within 120 s.
+    /// Panics if the members have not found each other within 120 s.
     pub fn joined(members: usize, seed: u64) -> SimulatedNetwork {
-        SimulatedNetwork::joined_with(members, seed, Settings::default())
+        SimulatedNetwork::joined_with_settings(members, seed, Settings::default())
     }
 
-    /// The same with settings, whose seeds are replaced.
+    /// Like [`SimulatedNetwork::joined`], with other settings. Their list of seeds is replaced.
     ///
     /// # Panics
-    /// They have not found each other within 120 s.
-    pub fn joined_with(members: usize, seed: u64, settings: Settings) -> SimulatedNetwork {
+    /// Panics if the members have not found each other within 120 s, or if the settings are invalid.
+    pub fn joined_with_settings(members: usize, seed: u64, settings: Settings) -> SimulatedNetwork {
         let mut network = SimulatedNetwork { settings, ..SimulatedNetwork::new(members, seed) };
         (0..members).for_each(|member| network.start(member, 1, &[0]));
         while network.now < JOIN_TIMEOUT && !network.all_see(members - 1) {
@@ -101,7 +109,8 @@
         network
     }
 
-    /// Members whose processes have not been started.
+    /// Creates a network with this number of members, none of which runs. `seed` determines all random
+    /// numbers.
     pub fn new(members: usize, seed: u64) -> SimulatedNetwork {
         SimulatedNetwork {
             now: 0,
@@ -110,7 +119,7 @@
             last_sequence: 0,
             processes: (0..members).map(|_| None).collect(),
             random: Pcg64Mcg::seed_from_u64(seed),
-            links: NetworkLinks::new(USUAL_LINK),
+            links: NetworkLinks::new(FAULT_FREE_LINK),
             settings: Settings::default(),
             generations: vec![0; members],
             effects: Vec::new(),
@@ -119,40 +128,40 @@
         }
     }
 
-    /// Starts a member's process without memory of an earlier one.
+    /// Starts a new process of a member, which has no state of an earlier one.
     ///
     /// # Panics
-    /// Settings that membership does not accept.
+    /// Panics if the settings are invalid.
     pub fn start(&mut self, member: usize, generation: u64, seeds: &[usize]) {
-        self.start_as(member, member_info(member, generation), seeds);
+        self.start_with_identity(member, member_info(member, generation), seeds);
     }
 
-    /// The same with an identity that may be wrong.
+    /// Like [`SimulatedNetwork::start`], with an identity that may contradict the index of the member.
     ///
     /// # Panics
-    /// Settings that membership does not accept.
-    pub fn start_as(&mut self, member: usize, info: Member, seeds: &[usize]) {
+    /// Panics if the settings are invalid.
+    pub fn start_with_identity(&mut self, member: usize, info: Member, seeds: &[usize]) {
         let seeds = seeds.iter().map(|&seed| address(seed)).collect();
         let settings = Settings { seeds, ..self.settings.clone() };
         self.generations[member] = info.generation;
         let seed = self.random.random();
-        let membership = Membership::new(info, settings, key(), seed).expect("settings");
-        let process = Process { membership, paused_until: 0, wake_at: 0, waiting_packets: Vec::new() };
+        let membership = Membership::new(info, settings, shared_key(), seed).expect("the settings are valid");
+        let process = Process { membership, paused_until: 0, timer_due_at: 0, waiting_packets: Vec::new() };
         self.processes[member] = Some(process);
-        self.schedule_wake(member, self.now + 1);
+        self.schedule_timer(member, self.now + 1);
     }
 
-    /// The number of members, those without a process included.
+    /// The number of members, including those that do not run.
     pub fn member_count(&self) -> usize {
         self.processes.len()
     }
 
-    /// Ends a process, which sends nothing.
+    /// Ends the process of a member, which cannot send anything more.
     pub fn kill(&mut self, member: usize) {
         self.processes[member] = None;
     }
 
-    /// Ends a process, which says that it leaves.
+    /// Ends the process of a member, after it announced that it leaves.
     pub fn leave(&mut self, member: usize) {
         let mut effects = Vec::new();
         if let Some(process) = &mut self.processes[member] {
@@ -162,10 +171,10 @@
         self.kill(member);
     }
 
-    /// Pauses a process: packets wait for it, and time passes.
+    /// Pauses the process of a member. Packets that arrive during the pause are handled after it.
     pub fn pause(&mut self, member: usize, duration: Micros) {
         self.pause_until(member, self.now + duration);
-        self.schedule_wake(member, self.now + duration);
+        self.schedule_timer(member, self.now + duration);
     }
 
     fn pause_until(&mut self, member: usize, until: Micros) {
@@ -174,7 +183,7 @@
         }
     }
 
-    /// Applies a fault now. A process that starts has the first member as its seed.
+    /// Applies a fault at the current time. The seed of a process that the fault starts is the first member.
     pub fn apply_fault(&mut self, fault: &Fault) {
         self.links.apply(fault);
         let Fault::Process { member, action } = *fault else { return };
@@ -182,14 +191,14 @@
             ProcessAction::Pause => self.pause_until(member, Micros::MAX),
             ProcessAction::Resume => {
                 self.pause_until(member, self.now);
-                self.schedule_wake(member, self.now);
+                self.schedule_timer(member, self.now);
             }
             ProcessAction::Kill => self.kill(member),
             ProcessAction::Start => self.start(member, self.generations[member] + 1, &[0]),
         }
     }
 
-    /// Runs a plan from now to its last step.
+    /// Runs the steps of a fault plan, whose times count from the current time.
     pub fn run_plan(&mut self, plan: &FaultPlan) {
         let start = self.now;
         for FaultStep { at, fault } in &plan.steps {
@@ -198,7 +207,8 @@
         }
     }
 
-    /// Runs in steps until a condition holds; how long that took, or `None` if longer than the timeout.
+    /// Runs in steps of `step` until a condition holds. Returns the elapsed time, or `None` if the condition
+    /// does not hold within the timeout.
     pub fn run_until(
         &mut self,
         timeout: Micros,
@@ -208,7 +218,7 @@
         self.run_until_with(timeout, step, |_| {}, condition)
     }
 
-    /// The same with something that is done after each step.
+    /// Like [`SimulatedNetwork::run_until`], but calls `after_step` after each step.
     pub fn run_until_with(
         &mut self,
         timeout: Micros,
@@ -233,15 +243,16 @@
         self.queue.push(Reverse((at, self.last_sequence, member)));
     }
 
-    /// Schedules a process's only wake.
-    fn schedule_wake(&mut self, member: usize, at: Micros) {
+    /// Schedules the only timer of a process. One that is scheduled for an earlier time is ignored from then
+    /// on.
+    fn schedule_timer(&mut self, member: usize, at: Micros) {
         if let Some(process) = &mut self.processes[member] {
-            process.wake_at = at;
-            self.schedule(at, member, NetworkEvent::WakeDue);
+            process.timer_due_at = at;
+            self.schedule(at, member, NetworkEvent::TimerExpired);
         }
     }
 
-    /// Runs for a duration.
+    /// Runs the simulation for a duration in microseconds.
     pub fn run(&mut self, duration: Micros) {
         let until = self.now + duration;
         while let Some(&Reverse((at, sequence, member))) = self.queue.peek() {
@@ -252,14 +263,14 @@
             self.now = at;
             match self.events.remove(&sequence) {
                 Some(NetworkEvent::PacketArrived(packet)) => self.deliver(member, packet),
-                Some(NetworkEvent::WakeDue) => self.wake(member),
+                Some(NetworkEvent::TimerExpired) => self.expire_timer(member),
                 None => {}
             }
         }
         self.now = until;
     }
 
-    /// Delivers a packet to a member, from anybody.
+    /// Delivers a packet to a member, whoever sent it.
     pub fn deliver(&mut self, member: usize, packet: Vec<u8>) {
         let Some(process) = &mut self.processes[member] else { return };
         if process.paused_until > self.now {
@@ -269,9 +280,9 @@
         self.handle_input(member, Input::Packet(&packet));
     }
 
-    fn wake(&mut self, member: usize) {
+    fn expire_timer(&mut self, member: usize) {
         let Some(process) = &mut self.processes[member] else { return };
-        if process.paused_until > self.now || process.wake_at > self.now {
+        if process.paused_until > self.now || process.timer_due_at > self.now {
             return;
         }
         for packet in std::mem::take(&mut process.waiting_packets) {
@@ -280,15 +291,15 @@
         self.handle_input(member, Input::TimerDue);
     }
 
-    /// Gives an input to a member; why it was rejected, if it was.
+    /// Passes an input to a member. Returns the reason if the member rejects it.
     pub fn handle_input(&mut self, member: usize, input: Input<'_>) -> Option<PacketError> {
         let now = self.now;
         let Some(process) = &mut self.processes[member] else { return None };
         let mut effects = Vec::new();
         let result = process.membership.handle(now, input, &mut effects);
         let due = process.membership.next_due().map(|due| due.max(now + 1));
-        if let Some(due) = due.filter(|&due| process.wake_at <= now || due < process.wake_at) {
-            self.schedule_wake(member, due);
+        if let Some(due) = due.filter(|&due| process.timer_due_at <= now || due < process.timer_due_at) {
+            self.schedule_timer(member, due);
         }
         self.apply_effects(member, effects);
         result.err()
@@ -303,7 +314,7 @@
         }
     }
 
-    /// Sends a packet, of which the links deliver none, one or two.
+    /// Sends a packet. The links may lose it, or deliver it once or twice.
     fn send(&mut self, from: usize, to: Option<usize>, packet: Vec<u8>) {
         assert!(packet.len() <= MAX_PACKET_BYTES, "{} bytes", packet.len());
         self.packets += 1;
--- a/crates/testbed/src/policy_argument.rs
+++ b/crates/testbed/src/policy_argument.rs
@@ -1,7 +1,7 @@
-//! Parses a policy's name on the command line.
+//! Parses the name of a dispatch policy in a command-line argument.
 use copperspread_testbed::policy::PolicyKind;
 
-/// Parses the name of a policy.
+/// Parses the name of a dispatch policy. The error names the policies that can be compared.
 pub(crate) fn parse_policy(text: &str) -> Result<PolicyKind, String> {
     serde_json::from_value(text.into()).map_err(|_| {
         let names: Vec<_> = PolicyKind::COMPARED.iter().map(|kind| kind.name()).collect();
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,6 +1,10 @@
-//! Serves a bare relay: the same exchange as a scheduler's, with the same hyper and axum, and no decision. It
-//! sends each job to the next worker in turn and responds with the result that the worker calls back.
-//! What a scheduler costs beyond this is the cost of its decisions, deadlines and rules.
+//! A relay that forwards requests to workers in round-robin order, as the baseline for the CPU cost of a
+//! scheduler.
+//!
+//! It exchanges the same messages as a scheduler, with the same HTTP libraries (hyper and axum), but has no
+//! dispatch policy: each request goes to the next worker, and the response is the result in the worker's
+//! callback. CPU time that a scheduler uses beyond the relay's is spent on dispatch decisions, deadlines and
+//! retry rules.
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,16 +26,16 @@
 use crate::http_client::{HttpClient, MAX_BODY_BYTES, new_http_client, read_body};
 use crate::startup::{ServeError, read_config, single_threaded_runtime};
 
-/// What the relay's handlers share; the router owns it.
+/// The state that the relay's request handlers share.
 struct Relay {
     workers: Vec<Authority>,
     next_worker: AtomicUsize,
     client: HttpClient,
-    /// Requests that await their callback, by the id in `x-request-id`.
+    /// Requests that wait for the callback of their worker, by the id in `x-request-id`.
     pending: Mutex<HashMap<String, oneshot::Sender<Bytes>>>,
 }
 
-/// A worker's callback.
+/// The JSON body of a worker's callback.
 #[derive(serde::Deserialize)]
 struct Callback {
     id: String,
@@ -54,13 +58,14 @@
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The worker whose turn it is.
+    /// The next worker in round-robin order.
     fn select_worker(&self) -> Authority {
         let turn = self.next_worker.fetch_add(1, Ordering::Relaxed);
         self.workers[turn % self.workers.len()].clone()
     }
 
-    /// Sends a request to a worker and waits for the result; `None` if either fails.
+    /// Sends a request to a worker and waits for its callback; `None` if the request is invalid, cannot be
+    /// sent or is not accepted.
     async fn forward(&self, request: Request) -> Option<Bytes> {
         let (head, body) = request.into_parts();
         let body = Limited::new(body, MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
@@ -91,7 +96,7 @@
     if callback.state == "done"
         && let Some(result_sender) = relay.lock_pending().remove(&callback.id)
     {
-        // The client may have disconnected.
+        // Sending fails if the client has disconnected, in which case nobody needs the result.
         let _ = result_sender.send(callback.result.into());
     }
     StatusCode::NO_CONTENT
@@ -105,7 +110,7 @@
         .with_state(Arc::new(relay))
 }
 
-/// The workers of the cached endpoint list.
+/// The addresses of the workers in the cached endpoint list.
 fn cached_workers(config: &mut StartupConfig) -> Result<Vec<Authority>, ServeError> {
     let list = config.cached_endpoints.take().ok_or(ServeError::NoEndpointList)?;
     let workers: Vec<Authority> = list.endpoints.into_iter().map(|endpoint| endpoint.address).collect();
@@ -115,11 +120,11 @@
     Ok(workers)
 }
 
-/// Serves by the configuration that `EDGE_CONFIG` names, with the workers of its cached endpoint list,
-/// until SIGTERM.
+/// Serves the relay until SIGTERM. The environment variable `EDGE_CONFIG` names its configuration file, whose
+/// cached endpoint list has the workers.
 ///
 /// # Errors
-/// A configuration that cannot be used, or an address that cannot be listened on.
+/// Fails if the configuration cannot be read or has no workers, or if the address cannot be listened on.
 pub fn serve_relay() -> Result<(), ServeError> {
     let mut config = read_config()?;
     let router = router(Relay::new(cached_workers(&mut config)?));
--- a/crates/testbed/src/report/capacity.rs
+++ b/crates/testbed/src/report/capacity.rs
@@ -1,4 +1,4 @@
-//! Draws the chart of what each worker did against its capacity.
+//! The chart of the work that each worker did, compared with its capacity.
 use std::ops::Range;
 
 use plotters::chart::ChartBuilder;
@@ -13,18 +13,18 @@
 
 const CAPACITY_COLOUR: RGBColor = RGBColor(205, 205, 205);
 const DONE_COLOUR: RGBColor = COLOURS[2];
-/// With more workers, their bars have no gap.
+/// Maximum number of bars that are drawn with gaps between them.
 const MAX_BARS_WITH_GAP: usize = 150;
 
-/// A worker's bar: core-seconds, the mean over runs.
+/// The bar of one worker. Its values are means over runs, in core-seconds.
 struct Bar {
     zone: u32,
     capacity: f64,
     done: f64,
 }
 
-/// What each worker did against what it could have done, the mean over runs: by zone, and in it by group.
-/// Nothing without workers.
+/// Draws the work and the capacity of each worker as SVG, ordered by zone and group. Both are means over
+/// runs. The result is empty if the outcome has no workers.
 pub(super) fn capacity_chart(variant: &VariantResult) -> Result<String, ReportError> {
     let Some(run) = variant.runs.first().filter(|run| !run.workers.is_empty()) else {
         return Ok(String::new());
@@ -51,8 +51,8 @@
     let workers = &first_run.workers;
     let mut order: Vec<usize> = (0..workers.len()).collect();
     order.sort_by_key(|&index| (workers[index].zone, workers[index].group, index));
-    let mean = |index: usize, figure: fn(&WorkerOutcome) -> f64| {
-        runs.iter().filter_map(|run| run.workers.get(index)).map(figure).sum::<f64>() / runs.len() as f64
+    let mean = |index: usize, value: fn(&WorkerOutcome) -> f64| {
+        runs.iter().filter_map(|run| run.workers.get(index)).map(value).sum::<f64>() / runs.len() as f64
     };
     let bar = |index: usize| Bar {
         zone: workers[index].zone,
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-/// The bars of each zone, by index.
+/// The ranges of the indexes of the bars of each zone. `bars` must be sorted by zone.
 fn zone_ranges(bars: &[Bar]) -> Vec<Range<usize>> {
     let mut ranges = Vec::new();
     let mut start = 0;
@@ -84,7 +84,7 @@
     ranges
 }
 
-/// Draws a line where a zone ends, and its name under its bars.
+/// Draws the name of a zone below its bars, and a line between the zone and the next one.
 fn draw_zone(
     area: &Area<'_>,
     chart: &mut Chart<'_, '_>,
--- a/crates/testbed/src/report/chart.rs
+++ b/crates/testbed/src/report/chart.rs
@@ -1,4 +1,4 @@
-//! Draws what all charts have in common: size, colours, legend and the SVG around them.
+//! Common parts of all charts: size, colours, legend, time axis and the SVG document.
 use plotters::chart::{ChartBuilder, ChartContext};
 use plotters::coord::Shift;
 use plotters::coord::cartesian::Cartesian2d;
@@ -11,7 +11,8 @@
 use super::ReportError;
 use crate::scenario::Scenario;
 
-/// The colours of Okabe and Ito, which most eyes can tell apart; in grey print lines differ by dashes.
+/// The palette of Okabe and Ito, which readers with a colour vision deficiency can tell apart. Lines also
+/// differ by their dashes, for print without colours.
 pub(super) const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 0, 0),
     RGBColor(213, 94, 0),
@@ -25,41 +26,44 @@
 pub(super) const SIZE: (u32, u32) = (940, 300);
 /// Width of a chart's legend, in pixels.
 pub(super) const LEGEND_WIDTH: u32 = 168;
-/// The font of all texts: family and size.
+/// Font of all text: family, and size in pixels.
 pub(super) const FONT: (&str, i32) = ("sans-serif", 13);
 
-/// Points of a line: x and y.
+/// The points of a line, as pairs of x and y.
 pub(super) type Points = Vec<(f64, f64)>;
 
-/// A drawing area of an SVG.
+/// The drawing area of an SVG document.
 pub(super) type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
 /// A chart with two linear axes.
 pub(super) type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// Dashes of a line, in pixels.
+/// The dash pattern of a line, in pixels.
 #[derive(Clone, Copy)]
 pub(super) struct Dashes {
+    /// Length of a dash.
     pub length: u32,
+    /// Length of the gap between two dashes.
     pub gap: u32,
 }
 
-/// An entry of a legend.
+/// An entry of the legend.
 pub(super) struct LegendEntry {
     pub name: String,
     pub style: ShapeStyle,
-    /// The dashes of a line; `None` for an area.
+    /// The dash pattern of a line; `None` for an area.
     pub dashes: Option<Dashes>,
 }
 
 impl LegendEntry {
-    /// The entry of an area.
+    /// Creates the entry of an area.
     pub(super) fn area(name: &str, colour: RGBColor) -> LegendEntry {
         LegendEntry { name: name.to_owned(), style: colour.filled(), dashes: None }
     }
 }
 
-/// An SVG of this size with what `draw` draws on white.
+/// Renders an SVG document of the given width and height in pixels, with what `draw` draws on a white
+/// background.
 pub(super) fn render_svg(
     size: (u32, u32),
     draw: impl FnOnce(&Area<'_>) -> Result<(), ReportError>,
@@ -74,8 +78,8 @@
     Ok(svg)
 }
 
-/// Draws the legend in the margin on the right. The library keeps its own inside the chart, where it would
-/// cover lines.
+/// Draws the legend in the right margin. The legend of the plotters library is not used, because it is inside
+/// the chart, where it would cover lines.
 pub(super) fn draw_legend(
     area: &Area<'_>,
     entries: impl IntoIterator<Item = LegendEntry>,
@@ -93,7 +97,8 @@
     Ok(())
 }
 
-/// A chart over the scenario's seconds with its faults as bands, and what `draw` draws over them.
+/// Renders a chart over the duration of a scenario. The faults are grey bands, and `draw` draws over them.
+/// `low` and `high` are the bounds of the y axis.
 pub(super) fn chart_over_time(
     scenario: &Scenario,
     low: f64,
@@ -101,7 +106,7 @@
     draw: impl FnOnce(&mut Chart<'_, '_>) -> Result<Vec<LegendEntry>, ReportError>,
 ) -> Result<String, ReportError> {
     render_svg(SIZE, |area| {
-        // The legend has the margin on the right to itself, so that it covers no line.
+        // The legend is in the right margin, so that it covers no line.
         let mut builder = ChartBuilder::on(area);
         builder.margin(8).margin_right(LEGEND_WIDTH).x_label_area_size(34).y_label_area_size(48);
         let mut chart = builder.build_cartesian_2d(0.0..scenario.duration_s, low..high)?;
--- a/crates/testbed/src/report/differences.rs
+++ b/crates/testbed/src/report/differences.rs
@@ -1,4 +1,4 @@
-//! Draws the chart of differences between the first variant and each other one.
+//! The chart of the differences between the first variant and each other one.
 use plotters::chart::ChartBuilder;
 use plotters::element::{Circle, Text};
 use plotters::series::LineSeries;
@@ -8,14 +8,15 @@
 use super::chart::{Area, COLOURS, Chart, FONT, SIZE, render_svg};
 use crate::compare::{PairedDifference, VariantResult};
 
-/// Height of a variant's line, in pixels.
-const LINE_HEIGHT: u32 = 26;
-/// Height of what surrounds the lines, in pixels.
-const SURROUNDING_HEIGHT: u32 = 52;
-/// Width of the variants' names, in pixels.
-const NAMES_WIDTH: u32 = 200;
+/// Height of the row of a variant, in pixels.
+const ROW_HEIGHT: u32 = 26;
+/// Height of the axis and the margins, in pixels.
+const AXIS_AND_MARGINS_HEIGHT: u32 = 52;
+/// Width of the column with the names of the variants, in pixels.
+const NAME_COLUMN_WIDTH: u32 = 200;
 
-/// The first variant less each other one, with its interval. Nothing where there are too few pairs.
+/// Draws the share of the first variant minus that of each other one as SVG, with its 95% interval. The
+/// result is empty if no variant has enough pairs for an interval.
 pub(super) fn differences_chart(variants: &[VariantResult]) -> Result<String, ReportError> {
     let differences: Vec<(&str, PairedDifference)> = variants
         .iter()
@@ -27,22 +28,22 @@
     if differences.is_empty() {
         return Ok(String::new());
     }
-    let ends = differences.iter().flat_map(|(_, difference)| difference.interval);
-    let (low, high) = ends.fold((0.0_f64, 0.0_f64), |(low, high), end| (low.min(end), high.max(end)));
+    let bounds = differences.iter().flat_map(|(_, difference)| difference.interval);
+    let (low, high) = bounds.fold((0.0_f64, 0.0_f64), |(low, high), bound| (low.min(bound), high.max(bound)));
     let margin = ((high - low) * 0.06).max(0.002);
-    let size = (SIZE.0, LINE_HEIGHT * differences.len() as u32 + SURROUNDING_HEIGHT);
+    let size = (SIZE.0, ROW_HEIGHT * differences.len() as u32 + AXIS_AND_MARGINS_HEIGHT);
     render_svg(size, |area| {
         let mut builder = ChartBuilder::on(area);
-        builder.margin(8).margin_right(30).x_label_area_size(34).y_label_area_size(NAMES_WIDTH);
-        let lines = differences.len() as f64;
-        let mut chart = builder.build_cartesian_2d(low - margin..high + margin, 0.0..lines)?;
+        builder.margin(8).margin_right(30).x_label_area_size(34).y_label_area_size(NAME_COLUMN_WIDTH);
+        let rows = differences.len() as f64;
+        let mut chart = builder.build_cartesian_2d(low - margin..high + margin, 0.0..rows)?;
         let mut mesh = chart.configure_mesh();
         mesh.disable_y_mesh().disable_y_axis().label_style(FONT);
         mesh.x_desc("first less this one").light_line_style(WHITE.mix(0.0)).draw()?;
-        let zero = [(0.0, 0.0), (0.0, lines)];
+        let zero = [(0.0, 0.0), (0.0, rows)];
         chart.draw_series(LineSeries::new(zero, BLACK.stroke_width(1)))?;
         for (index, (name, difference)) in differences.iter().enumerate() {
-            let y = lines - index as f64 - 0.5;
+            let y = rows - index as f64 - 0.5;
             draw_difference(&mut chart, difference, y)?;
             draw_name(area, &chart, name, (low, y))?;
         }
@@ -58,7 +59,7 @@
     let colour = COLOURS[2];
     let [low, high] = difference.interval;
     chart.draw_series(LineSeries::new([(low, y), (high, y)], colour.stroke_width(3)))?;
-    // Hollow where no difference is shown, for print without colours.
+    // The circle is hollow if the interval includes zero, which also shows in print without colours.
     let fill = if difference.excludes_zero() { colour.filled() } else { WHITE.filled() };
     chart.draw_series([Circle::new((difference.mean, y), 5, fill)])?;
     chart.draw_series([Circle::new((difference.mean, y), 5, colour.stroke_width(2))])?;
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Writes a comparison as one HTML file that needs nothing else: tables, and charts as SVG.
+//! Renders the results of a comparison as a self-contained HTML page, with tables and SVG charts.
 mod capacity;
 mod chart;
 mod differences;
@@ -13,42 +13,42 @@
 
 const TEMPLATE_NAME: &str = "report.html";
 
-/// A report that could not be made, which would be a bug of this program.
+/// An error while a report is rendered. It indicates a bug in this program, not invalid input.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ReportError {
     /// A chart could not be drawn.
     #[error(transparent)]
     Chart(#[from] DrawingAreaErrorKind<std::io::Error>),
-    /// The template could not be filled in.
+    /// The template could not be rendered.
     #[error(transparent)]
     Template(#[from] minijinja::Error),
 }
 
-/// The page for scenarios with their results. The first variant of each is shown in detail.
+/// Renders an HTML page with the results of scenarios. The first variant of each scenario is shown in detail.
 ///
 /// # Errors
-/// A chart or template that fails.
+/// Fails if a chart or the template cannot be rendered.
 pub fn render_html(results: &[ScenarioResults]) -> Result<String, ReportError> {
-    let mut parts = Vec::new();
+    let mut sections = Vec::new();
     for ScenarioResults { scenario, variants } in results {
         if let Some(first) = variants.first() {
-            parts.push(scenario_part(scenario, first, variants)?);
+            sections.push(scenario_section(scenario, first, variants)?);
         }
     }
     let mut environment = Environment::new();
     environment.add_template(TEMPLATE_NAME, include_str!("report.html"))?;
-    Ok(environment.get_template(TEMPLATE_NAME)?.render(context! { parts })?)
+    Ok(environment.get_template(TEMPLATE_NAME)?.render(context! { sections })?)
 }
 
-fn scenario_part(
+fn scenario_section(
     scenario: &Scenario,
     first: &VariantResult,
     variants: &[VariantResult],
 ) -> Result<Value, ReportError> {
     let mean_jobs = first.runs.iter().map(|run| run.jobs).sum::<u64>() / first.runs.len().max(1) as u64;
     let rows: Vec<Value> = variants.iter().map(variant_row).collect();
-    // Classes of the first seed: quantiles of several runs do not add up.
+    // The classes of the first seed only, because the quantiles of several runs cannot be combined.
     let classes: Vec<Value> =
         first.runs.first().map_or_else(Vec::new, |run| run.classes.iter().map(class_row).collect());
     let faults: Vec<String> = scenario.faults.iter().map(describe_fault).collect();
@@ -60,7 +60,7 @@
         jobs => mean_jobs,
         rows,
         in_time_chart => over_time::in_time_chart(scenario, variants)?,
-        endings_chart => over_time::endings_chart(scenario, first)?,
+        outcomes_chart => over_time::outcomes_chart(scenario, first)?,
         classes,
         zones => zone_rows(scenario, first),
         capacity_chart => capacity::capacity_chart(first)?,
@@ -92,7 +92,8 @@
     }
 }
 
-/// The variant's shares in time by the clients' zone and class.
+/// The shares of priority weight that a variant serves in time, by the zone of the clients and the request
+/// class.
 fn zone_rows(scenario: &Scenario, variant: &VariantResult) -> Vec<Value> {
     let row = |zone: usize| {
         let shares: Vec<String> = (0..scenario.classes.len())
@@ -103,7 +104,8 @@
     (0..scenario.zones as usize).map(row).collect()
 }
 
-/// The share in time over all runs; `None` if nothing was requested.
+/// The share of priority weight served in time, for one zone and class over all runs; `None` if nothing was
+/// requested.
 fn zone_share(variant: &VariantResult, zone: usize, class: usize) -> Option<f64> {
     let weights = variant.runs.iter().filter_map(|run| run.zones.get(zone)?.get(class));
     let (requested, in_time) = weights.fold((0.0, 0.0), |(requested, in_time), weight| {
--- a/crates/testbed/src/report/over_time.rs
+++ b/crates/testbed/src/report/over_time.rs
@@ -1,4 +1,4 @@
-//! Draws the charts over the seconds of a scenario: shares in time, and how jobs ended.
+//! The charts over the duration of a scenario: the share served in time, and the outcomes of jobs.
 use plotters::series::{AreaSeries, DashedLineSeries};
 use plotters::style::{Color, RGBColor};
 
@@ -8,9 +8,9 @@
 use crate::outcome::WeightTotals;
 use crate::scenario::Scenario;
 
-/// Seconds over which figures are averaged.
+/// Length of the window over which values are averaged, in seconds.
 const SMOOTHING_WINDOW_S: usize = 3;
-/// The dashes of the lines, in order of the variants.
+/// The dash patterns of the lines, in the order of the variants.
 const LINE_DASHES: [Dashes; 6] = [
     Dashes { length: 1_000, gap: 0 },
     Dashes { length: 8, gap: 3 },
@@ -20,7 +20,7 @@
     Dashes { length: 2, gap: 5 },
 ];
 
-/// The share of weight in time of each variant.
+/// Draws the share of priority weight that each variant serves in time as SVG.
 pub(super) fn in_time_chart(scenario: &Scenario, variants: &[VariantResult]) -> Result<String, ReportError> {
     let lines: Vec<(&str, Points)> = variants
         .iter()
@@ -30,7 +30,7 @@
         })
         .collect();
     let lowest = lines.iter().flat_map(|(_, points)| points).map(|point| point.1).fold(1.0, f64::min);
-    // Down to the next tenth below the lowest, so that small differences can be seen.
+    // The axis starts at the next tenth below the lowest share, so that small differences are visible.
     let floor = ((lowest * 10.0).floor() / 10.0).clamp(0.0, 0.9);
     chart_over_time(scenario, floor, 1.0, |chart| {
         let mut entries = Vec::new();
@@ -46,14 +46,14 @@
     })
 }
 
-/// A band of a stacked chart, which reaches from zero to the sum of its weights.
+/// A band of a stacked chart. It is drawn from zero to `top`, and the bands after it are drawn over it.
 struct Band {
     name: &'static str,
     top: fn(&WeightTotals) -> f64,
     colour: RGBColor,
 }
 
-/// From the highest down, in order of drawing: each band covers a part of the one before.
+/// The bands in drawing order, from the highest to the lowest: each covers a part of the one before.
 const BANDS: [Band; 5] = [
     Band {
         name: "lost",
@@ -74,8 +74,8 @@
     Band { name: "in time", top: |weight| weight.in_time, colour: RGBColor(150, 200, 235) },
 ];
 
-/// The weight of a variant's jobs by how they ended.
-pub(super) fn endings_chart(scenario: &Scenario, variant: &VariantResult) -> Result<String, ReportError> {
+/// Draws the priority weight of a variant's jobs as SVG, by outcome of the jobs.
+pub(super) fn outcomes_chart(scenario: &Scenario, variant: &VariantResult) -> Result<String, ReportError> {
     let seconds = mean_seconds(variant, scenario);
     let requested = smoothed(&seconds, |weight| weight.requested);
     let highest = requested.iter().map(|point| point.1).fold(1e-9, f64::max);
@@ -89,7 +89,7 @@
     })
 }
 
-/// Weight by second, the mean over all runs of a variant.
+/// The priority weight of each second of the scenario, as the mean over all runs of a variant.
 fn mean_seconds(variant: &VariantResult, scenario: &Scenario) -> Vec<WeightTotals> {
     let runs = variant.runs.len().max(1) as f64;
     let mut sums = vec![WeightTotals::default(); scenario.duration_s.ceil() as usize];
@@ -106,11 +106,13 @@
     sums
 }
 
-/// A figure of each second, from the mean weights of the seconds around it.
-fn smoothed(seconds: &[WeightTotals], figure: impl Fn(&WeightTotals) -> f64) -> Points {
-    let reach = SMOOTHING_WINDOW_S / 2;
-    let window = |at: usize| &seconds[at.saturating_sub(reach)..(at + reach + 1).min(seconds.len())];
-    (0..seconds.len()).map(|at| (at as f64 + 0.5, figure(&mean_weight(window(at))))).collect()
+/// A value for each second, computed from the mean weights of the seconds around it.
+fn smoothed(seconds: &[WeightTotals], value: impl Fn(&WeightTotals) -> f64) -> Points {
+    let half_window = SMOOTHING_WINDOW_S / 2;
+    let window = |second: usize| {
+        &seconds[second.saturating_sub(half_window)..(second + half_window + 1).min(seconds.len())]
+    };
+    (0..seconds.len()).map(|second| (second as f64 + 0.5, value(&mean_weight(window(second))))).collect()
 }
 
 fn mean_weight(window: &[WeightTotals]) -> WeightTotals {
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -1,74 +1,73 @@
-//! Starts the processes that the testbed serves itself, the policy node and the relay, from their
-//! configuration.
+//! Startup of the servers that the testbed implements itself: the policy node and the relay.
 use std::io;
 
 use copperspread_dispatcher::SettingsError;
 use copperspread_settings::{ReadError, StartupConfig, platform};
 
-/// The environment variable that names the configuration file, as on the platform.
+/// The environment variable with the path of the configuration file, the same as for a scheduler.
 pub const CONFIG_VARIABLE: &str = "EDGE_CONFIG";
 
-/// Why such a process cannot serve.
+/// An error that prevents a policy node or a relay from serving.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ServeError {
-    /// The environment names no configuration file.
+    /// The environment variable [`CONFIG_VARIABLE`] is not set.
     #[error("EDGE_CONFIG names no file")]
     NoConfigFile,
     /// The configuration file cannot be read.
     #[error("{path}: {source}")]
     ConfigFile {
-        /// The file.
+        /// The path of the configuration file.
         path: String,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The file is no valid configuration.
+    /// The configuration file is invalid.
     #[error("{path}: {source}")]
     Config {
-        /// The file.
+        /// The path of the configuration file.
         path: String,
-        /// Why.
+        /// The cause.
         source: ReadError,
     },
-    /// The policy does not accept its settings.
+    /// The policy rejects its settings.
     #[error(transparent)]
     Policy(#[from] SettingsError),
-    /// The node cannot be assembled.
+    /// The components of the policy node cannot be assembled.
     #[error(transparent)]
     Assembly(#[from] copperspread_proxy::assembly::AssemblyError),
-    /// A policy node has a static endpoint list.
+    /// The configuration of a policy node has a static endpoint list, but the node supports only discovery.
     #[error("a baseline follows discovery only")]
     StaticEndpoints,
-    /// A relay has no cached endpoint list.
+    /// The configuration of a relay has no cached endpoint list.
     #[error("known: a relay needs its workers at the start")]
     NoEndpointList,
-    /// A relay's cached endpoint list is empty.
+    /// The cached endpoint list of a relay is empty.
     #[error("known: no workers")]
     NoWorkers,
-    /// The runtime cannot be created.
+    /// The async runtime cannot be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// No handler for SIGTERM can be installed.
+    /// The handler for SIGTERM cannot be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
     /// The address cannot be listened on.
     #[error("{address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: std::net::SocketAddr,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The listener fails while it serves.
+    /// The server fails while it handles connections.
     #[error(transparent)]
     Serve(io::Error),
 }
 
-/// Reads the configuration file that the environment names.
+/// Reads the configuration file that [`CONFIG_VARIABLE`] names.
 ///
 /// # Errors
-/// No such variable, no such file, or an invalid configuration.
+/// Fails if the variable is not set, the file cannot be read or the configuration is invalid.
 pub fn read_config() -> Result<StartupConfig, ServeError> {
     let path = std::env::var(CONFIG_VARIABLE).map_err(|_| ServeError::NoConfigFile)?;
     let content = match std::fs::read_to_string(&path) {
@@ -78,10 +77,10 @@
     platform::read_startup_config(&content).map_err(|source| ServeError::Config { path, source })
 }
 
-/// Creates a runtime of one thread, the caller's.
+/// Creates an async runtime that runs all tasks on the thread that blocks on it.
 ///
 /// # Errors
-/// The descriptors that it needs cannot be had.
+/// Fails if the operating system denies the file descriptors that the runtime needs.
 pub fn single_threaded_runtime() -> io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread().enable_all().build()
 }
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -1,5 +1,6 @@
-//! Makes a scenario's trace from a scheduler's event log: which job arrived when, of what class, with what
-//! hint.
+//! Reads the trace of a scenario from a scheduler's event log.
+//!
+//! For each accepted request the trace has the arrival time, the request class and the cost hint.
 use std::io::BufRead;
 
 use copperspread_dispatcher::{Micros, SECOND};
@@ -9,49 +10,50 @@
 
 use crate::scenario::{RecordedJob, Scenario, ScenarioError};
 
-/// The lowest rate of a trace, as a scenario's must be positive.
+/// Minimum arrival rate of a trace, in jobs per second. A scenario must have a positive rate.
 const MIN_RATE_PER_S: f64 = 1e-6;
 
-/// Records that were skipped, and why.
+/// Numbers of skipped records, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SkippedRecords {
     /// Requests of a class that the scenario does not have.
     pub unknown_class: u64,
-    /// Requests without a hint, whose work is unknown.
+    /// Requests without a cost hint, whose work is therefore unknown.
     pub no_hint: u64,
-    /// Lines that cannot be read.
+    /// Lines that cannot be parsed.
     pub unreadable: u64,
 }
 
-/// Why an event log gives no trace.
+/// An error that prevents reading a trace from an event log.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum TraceError {
     /// The event log cannot be read.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The first line is no record: the file is no event log.
+    /// The first line is not a record, so the file is not an event log.
     #[error("line 1 is no record")]
     NotAnEventLog,
-    /// No request can be used.
+    /// No request has both a class of the scenario and a cost hint.
     #[error("no job of the scenario's classes with a hint")]
     NoJobs,
-    /// The scenario with the trace is wrong.
+    /// The scenario is invalid with the trace.
     #[error(transparent)]
     InvalidScenario(#[from] ScenarioError),
 }
 
-/// A job with the time at which a scheduler accepted it, by the timeline of all runs.
+/// A job with the time at which a scheduler accepted it, on the common timeline of all runs in the event log.
 struct AcceptedJob {
     time_us: Micros,
     job: RecordedJob,
 }
 
-/// Replaces a scenario's arrivals by the requests that a scheduler accepted, from the first of them on. The
-/// hint stands for the work, which no scheduler knows.
+/// Replaces a scenario's arrivals with the requests that a scheduler accepted. Time 0 is the first of them.
+///
+/// The cost hint of a request is used as its work, because the event log does not contain the actual work.
 ///
 /// # Errors
-/// An event log that cannot be read, or in which no request can be used.
+/// Fails if the event log cannot be read, none of its requests can be used or the scenario becomes invalid.
 pub fn load_trace(scenario: &mut Scenario, event_log: impl BufRead) -> Result<SkippedRecords, TraceError> {
     let mut skipped = SkippedRecords::default();
     let mut jobs = read_jobs(scenario, event_log, &mut skipped)?;
@@ -75,7 +77,7 @@
     skipped: &mut SkippedRecords,
 ) -> Result<Vec<AcceptedJob>, TraceError> {
     let mut jobs = Vec::new();
-    // Several runs may follow one another, and the machine's clock may be set during one.
+    // The log may contain several runs in sequence, and the wall clock may be set during a run.
     let mut timeline = RunTimeline::default();
     for numbered_line in Reader::new(event_log) {
         let (number, line) = numbered_line?;
--- a/crates/testbed/tests/membership_plans.rs
+++ b/crates/testbed/tests/membership_plans.rs
@@ -1,5 +1,6 @@
-//! Fault plans with 300 members in virtual time; `crates/scheduler/tests/cluster_faults.rs` runs
-//! the same ones on real processes.
+//! Tests of membership under fault plans, with 300 members in virtual time.
+//!
+//! `crates/scheduler/tests/cluster_faults.rs` runs the same fault plans on real processes.
 use std::time::Duration;
 
 use copperspread_fault_injection::{FaultPlan, plans};
@@ -12,19 +13,20 @@
     Duration::from_secs(seconds)
 }
 
-/// Runs a plan; each member must see this number of others within a bound after its end.
+/// Runs a fault plan. Each running member must see `others` other members within `bound` after the end of the
+/// plan.
 fn run_plan(seed: u64, plan: &FaultPlan, others: usize, bound: Micros) -> SimulatedNetwork {
     let mut network = SimulatedNetwork::joined(MEMBERS, seed);
     network.run_plan(plan);
     assert!(
         network.run_until(bound, SECOND, |network| network.all_see(others)).is_some(),
-        "not within {bound} us"
+        "each member must see {others} others within {bound} us"
     );
     network
 }
 
 #[test]
-fn one_killed_of_300_is_down_everywhere_and_nobody_else_is() {
+fn one_killed_of_300_is_reported_down_by_all_others_and_no_other_is() {
     let network = run_plan(1, &plans::kill(7), MEMBERS - 2, 30 * SECOND);
     assert_eq!(network.reported_failures().len(), MEMBERS - 1);
     assert!(network.reported_failures().iter().all(|failure| failure.name == "n7"));
@@ -36,13 +38,13 @@
     network.run(30 * SECOND);
     assert!(
         network.all_see(MEMBERS - 1) && network.reported_failures().is_empty(),
-        "5 s are less than the 12 s of suspicion among 300: {:?}",
+        "a pause of 5 s is shorter than the suspicion among 300 members, 12 s: {:?}",
         network.reported_failures()
     );
     assert_eq!(network.membership(7).detected_pauses(), 1);
 }
 
-/// Longer than the suspicion: all remove it, and it rejoins.
+/// The pause is longer than the suspicion, so all others remove the member. It must rejoin.
 #[test]
 fn one_of_300_paused_for_40_s_is_removed_and_rejoins() {
     let network = run_plan(3, &plans::pause(7, seconds(40)), MEMBERS - 1, 60 * SECOND);
@@ -54,13 +56,13 @@
 }
 
 #[test]
-fn at_30_percent_loss_nobody_of_300_is_reported_down_in_20_s() {
-    let usual = Duration::from_micros(500)..Duration::from_micros(20_500);
-    let network = run_plan(4, &plans::lose_packets(0.3, usual.start, usual.end, seconds(20)), MEMBERS - 1, 0);
+fn at_30_percent_packet_loss_none_of_300_is_reported_down_in_20_s() {
+    let delay = Duration::from_micros(500)..Duration::from_micros(20_500);
+    let network = run_plan(4, &plans::lose_packets(0.3, delay.start, delay.end, seconds(20)), MEMBERS - 1, 0);
     assert!(network.reported_failures().is_empty(), "{:?}", network.reported_failures());
     assert!(
-        (0..MEMBERS).all(|at| network.membership(at).local_member().rejoins == 0),
-        "no false report to refute"
+        (0..MEMBERS).all(|member| network.membership(member).local_member().rejoins == 0),
+        "no member had to refute a false report"
     );
 }
 
@@ -78,23 +80,28 @@
     network.run_plan(&until_healed);
     network.run(60 * SECOND);
     assert!(
-        (0..MEMBERS).all(|at| network.visible_members(at).len() == MEMBERS / 2 - 1),
+        (0..MEMBERS).all(|member| network.visible_members(member).len() == MEMBERS / 2 - 1),
         "each half has removed the other"
     );
     network.apply_fault(heal);
     assert!(
         network.run_until(120 * SECOND, SECOND, |network| network.all_see(MEMBERS - 1)).is_some(),
-        "120 s after the partition"
+        "one view 120 s after the partition ended"
     );
 }
 
 #[test]
 fn one_of_300_that_restarts_returns_with_a_new_generation() {
     let network = run_plan(7, &plans::restart(7, seconds(1)), MEMBERS - 1, 30 * SECOND);
-    let of_7 = |by| {
-        network.visible_members(by).into_iter().find(|member| member.name == "n7").expect("seen").generation
+    let generation_seen_by = |observer| {
+        network
+            .visible_members(observer)
+            .into_iter()
+            .find(|member| member.name == "n7")
+            .expect("the restarted member is visible")
+            .generation
     };
-    assert!((0..MEMBERS).filter(|&by| by != 7).all(|by| of_7(by) == 2));
+    assert!((0..MEMBERS).filter(|&observer| observer != 7).all(|observer| generation_seen_by(observer) == 2));
 }
 
 #[test]
@@ -104,6 +111,6 @@
     assert!(network.all_see(0), "no member sees another");
     assert!(
         network.run_until(60 * SECOND, SECOND, |network| network.all_see(MEMBERS - 1)).is_some(),
-        "60 s after the seed"
+        "all members see each other 60 s after the start of the seed"
     );
 }
--- a/crates/testbed/tests/trace.rs
+++ b/crates/testbed/tests/trace.rs
@@ -1,4 +1,4 @@
-//! A scheduler's event log as the trace of a scenario.
+//! Tests of reading the trace of a scenario from a scheduler's event log.
 use copperspread_testbed::model::arrivals::Arrivals;
 use copperspread_testbed::policy::PolicyKind;
 use copperspread_testbed::scenario::Scenario;
@@ -6,7 +6,7 @@
 use copperspread_testbed::trace::{SkippedRecords, load_trace};
 
 fn calm() -> Scenario {
-    Scenario::parse(include_str!("../scenarios/calm.toml")).expect("a scenario")
+    Scenario::parse(include_str!("../scenarios/calm.toml")).expect("the scenario is valid")
 }
 
 fn log_line(seq: u64, unix_us: u64, what: &str) -> String {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn accepted_requests_are_played_again() {
+fn accepted_requests_become_the_arrivals_of_the_scenario() {
     let text = [
         log_line(1, 5_000_000, r#"{"kind":"run_started","name":"n","program":"0"}"#),
         log_line(2, 7_500_000, &request_accepted("status", r#","cost_hint_s":0.25"#)),
@@ -34,24 +34,25 @@
     ]
     .concat();
     let mut scenario = calm();
-    let skipped = load_trace(&mut scenario, text.as_bytes()).expect("a trace");
+    let skipped = load_trace(&mut scenario, text.as_bytes()).expect("the event log has a trace");
     assert_eq!(skipped, SkippedRecords { unknown_class: 1, no_hint: 1, unreadable: 2 });
     let arrivals: Vec<_> =
         Arrivals::new(&scenario, 1).map(|job| (job.at, job.class, job.work, job.slots)).collect();
     assert_eq!(arrivals, [(0, 3, 0.5, 2.0), (500_000, 0, 0.25, 1.0), (3_000_000, 0, 0.125, 1.0)]);
-    // Written to a file and read again, it is the same.
-    let again = Scenario::parse(&toml::to_string(&scenario).expect("TOML")).expect("a scenario");
+    // The scenario is the same after it is serialized and parsed again.
+    let again = Scenario::parse(&toml::to_string(&scenario).expect("the scenario serializes to TOML"))
+        .expect("the scenario is valid");
     assert_eq!(again, scenario);
-    let outcome = simulate(&again, PolicyKind::Copperspread, 1).expect("it plays");
+    let outcome = simulate(&again, PolicyKind::Copperspread, 1).expect("the simulation accepts the settings");
     assert_eq!((outcome.jobs, outcome.weight.in_time_share()), (3, 1.0));
 }
 
 #[test]
 fn an_event_log_without_a_usable_request_is_an_error() {
-    let only = log_line(1, 5, r#"{"kind":"run_started","name":"n","program":"0"}"#);
+    let without_requests = log_line(1, 5, r#"{"kind":"run_started","name":"n","program":"0"}"#);
     for (text, expected) in [
         ("", "no job of the scenario's classes"),
-        (&only, "no job of the scenario's"),
+        (&without_requests, "no job of the scenario's"),
         ("x\n", "line 1 is no record"),
     ] {
         let error = load_trace(&mut calm(), text.as_bytes()).expect_err(text).to_string();
@@ -60,11 +61,11 @@
 }
 
 #[test]
-fn a_wall_clock_that_is_set_while_requests_arrive_changes_no_arrival() {
+fn a_step_of_the_wall_clock_between_requests_changes_no_arrival_time() {
     let arrivals_with_step = |step_s: i64| -> Vec<u64> {
         let line = |sequence: u64, at_us: u64| {
-            let set_by_us = if at_us < 6_000_000 { 0 } else { step_s * 1_000_000 };
-            let unix_us = 1_700_000_000_000_000_u64.saturating_add_signed(set_by_us) + at_us;
+            let clock_step_us = if at_us < 6_000_000 { 0 } else { step_s * 1_000_000 };
+            let unix_us = 1_700_000_000_000_000_u64.saturating_add_signed(clock_step_us) + at_us;
             let accepted = request_accepted("status", r#","cost_hint_s":0.25"#);
             format!(
                 r#"{{"v":1,"run":"r","seq":{sequence},"unix_us":{unix_us},"mono_us":{at_us},"what":{accepted}}}"#
@@ -74,10 +75,10 @@
             .map(|(sequence, at_us)| line(sequence, at_us))
             .concat();
         let mut scenario = calm();
-        load_trace(&mut scenario, text.as_bytes()).expect("a trace");
+        load_trace(&mut scenario, text.as_bytes()).expect("the event log has a trace");
         Arrivals::new(&scenario, 1).map(|job| job.at).collect()
     };
     for step_s in [-3_600, -1, 0, 5, 3_600] {
-        assert_eq!(arrivals_with_step(step_s), [0, 500_000, 1_500_000, 3_000_000], "set by {step_s} s");
+        assert_eq!(arrivals_with_step(step_s), [0, 500_000, 1_500_000, 3_000_000], "clock set by {step_s} s");
     }
 }
