--- a/crates/testbed/benches/membership.rs
+++ b/crates/testbed/benches/membership.rs
@@ -1,8 +1,8 @@
 //! Benchmark of membership: one simulated second of idle members on one core, including the simulated
 //! network.
 //!
-//! The items of the throughput are members, so the time of one member is the median divided by their number.
-//! Run with `cargo bench -p copperspread-testbed --bench membership`.
+//! The items of the throughput are members, so the time per member is the median time divided by the number
+//! of members. Run with `cargo bench -p copperspread-testbed --bench membership`.
 use copperspread_membership::SECOND;
 use copperspread_testbed::membership_simulation::SimulatedNetwork;
 use divan::Bencher;
--- a/crates/testbed/benches/shares.rs
+++ b/crates/testbed/benches/shares.rs
@@ -56,8 +56,9 @@
     bencher.bench_local(|| allocate_shares(&policy, &demands, &reserved));
 }
 
-/// About a million usage reports of 300 reporters on 1,000 tenants. Each report covers 1 s, accounting
-/// windows are 10 s long, and the ledger advances once per second.
+/// About a million usage reports: 300 reporters each send 10 reports per second for 334 s, in turn for 1,000
+/// tenants. Each report covers 1 s of one tenant, accounting windows are 10 s long, and the ledger advances
+/// once per second.
 #[divan::bench(sample_count = 5, sample_size = 1)]
 fn million_reports(bencher: Bencher<'_, '_>) {
     let (reporters, tenants): (Vec<Name>, Vec<Name>) = (
--- a/crates/testbed/examples/membership.rs
+++ b/crates/testbed/examples/membership.rs
@@ -91,7 +91,7 @@
 /// Times between the death of a member and its detection, in microseconds.
 #[derive(Clone)]
 struct DetectionTimes {
-    /// Time until the first suspicion.
+    /// Time until the first suspicion, computed from the first report and the duration of a suspicion.
     suspected: Micros,
     /// Time until the first report that the member is down.
     first_report: Micros,
@@ -116,7 +116,7 @@
             assert_eq!(
                 network.reported_failures().len(),
                 members - victim,
-                "all running members report the death, and no other"
+                "there are as many reports as running members"
             );
             let delays =
                 network.reported_failures().iter().map(|failure| failure.at - killed_at).collect::<Vec<_>>();
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -7,7 +7,7 @@
 
 use super::output::{json_line, print, write_report};
 use super::shipped_scenarios::{LARGE, SHIPPED, read_scenario};
-use super::{CommandOutcome, CommandResult};
+use super::{CommandResult, CommandStatus};
 use crate::policy_argument::parse_policy;
 
 #[derive(Debug, Args)]
@@ -43,7 +43,7 @@
         results.push(ScenarioResults { scenario, variants });
     }
     write_report(report.as_deref(), &results)?;
-    Ok(CommandOutcome::Done)
+    Ok(CommandStatus::Done)
 }
 
 fn default_scenarios() -> Vec<String> {
--- a/crates/testbed/src/commands/cost.rs
+++ b/crates/testbed/src/commands/cost.rs
@@ -7,7 +7,7 @@
 use copperspread_testbed::policy::PolicyKind;
 
 use super::output::{json_line, print};
-use super::{CommandOutcome, CommandResult};
+use super::{CommandResult, CommandStatus};
 
 #[derive(Debug, Args)]
 pub(crate) struct CostArguments {
@@ -43,5 +43,5 @@
     let programs = [("copperspread".to_owned(), program), ("bare relay".to_owned(), relay)];
     let measured = cost::measure_costs(&programs, CostSettings { rounds, seconds, clients, workers })?;
     print(&if json { json_line(&measured)? } else { cost::format_table(&measured) })?;
-    Ok(CommandOutcome::Done)
+    Ok(CommandStatus::Done)
 }
--- a/crates/testbed/src/commands/emulate.rs
+++ b/crates/testbed/src/commands/emulate.rs
@@ -9,7 +9,7 @@
 use super::outcome_text::outcome_text;
 use super::output::{json_line, print};
 use super::shipped_scenarios::read_scenario;
-use super::{CommandOutcome, CommandResult};
+use super::{CommandResult, CommandStatus};
 use crate::policy_argument::parse_policy;
 
 #[derive(Debug, Args)]
@@ -44,5 +44,5 @@
     };
     let outcome = emulate(&scenario, &SchedulerInstances::Spawned(program), &variant, seed)?;
     print(&if json { json_line(&outcome)? } else { outcome_text(&outcome) })?;
-    Ok(CommandOutcome::from_violations(!outcome.violations.is_empty()))
+    Ok(CommandStatus::from_violations(!outcome.violations.is_empty()))
 }
--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -6,7 +6,7 @@
 
 use super::output::{json_line, print};
 use super::shipped_scenarios::read_scenario;
-use super::{CommandOutcome, CommandResult};
+use super::{CommandResult, CommandStatus};
 
 /// Maximum duration of a load, in seconds, after which the command stops by itself.
 const MAX_LOAD_DURATION_S: f64 = 3_600.0;
@@ -52,5 +52,5 @@
     let runtime = runtime.map_err(|error| format!("runtime: {error}"))?;
     let report = runtime.block_on(send_load(&scenario, arguments.seed, target, arguments.max_open_requests));
     print(&if arguments.json { json_line(&report)? } else { report.to_text() })?;
-    Ok(CommandOutcome::Done)
+    Ok(CommandStatus::Done)
 }
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -18,23 +18,24 @@
 
 use crate::cli::Command;
 
-/// The outcome of a command that ended without an error.
+/// How a command that returned no error ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CommandOutcome {
-    /// Success. If the command executed runs, they violated no rule.
+pub(crate) enum CommandStatus {
+    /// Success. Runs of `sim`, `emulate` and `run` violated no rule; `compare` reports violations only in its
+    /// results.
     Done,
     /// A run violated a rule.
     RulesViolated,
 }
 
-impl CommandOutcome {
-    fn from_violations(are_rules_violated: bool) -> CommandOutcome {
-        if are_rules_violated { CommandOutcome::RulesViolated } else { CommandOutcome::Done }
+impl CommandStatus {
+    fn from_violations(are_rules_violated: bool) -> CommandStatus {
+        if are_rules_violated { CommandStatus::RulesViolated } else { CommandStatus::Done }
     }
 }
 
 /// The result of a command. An error is only printed, so its type does not matter.
-pub(crate) type CommandResult = Result<CommandOutcome, Box<dyn Error>>;
+pub(crate) type CommandResult = Result<CommandStatus, Box<dyn Error>>;
 
 /// Runs a command of the command line.
 pub(crate) fn run(command: Command) -> CommandResult {
@@ -47,11 +48,11 @@
         Command::Cost(arguments) => cost::run(arguments),
         Command::Node { policy } => {
             baseline::serve_policy(policy)?;
-            Ok(CommandOutcome::Done)
+            Ok(CommandStatus::Done)
         }
         Command::Relay => {
             relay::serve_relay()?;
-            Ok(CommandOutcome::Done)
+            Ok(CommandStatus::Done)
         }
         Command::Load(arguments) => load::run(&arguments),
         Command::Run(arguments) => run::run(arguments),
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -8,7 +8,7 @@
 
 use super::output::{json_line, print, print_note, write_report};
 use super::shipped_scenarios::find_shipped;
-use super::{CommandOutcome, CommandResult};
+use super::{CommandResult, CommandStatus};
 
 #[derive(Debug, Args)]
 pub(crate) struct RunArguments {
@@ -44,7 +44,7 @@
     }
     write_report(report.as_deref(), &results)?;
     let mut variants = results.iter().flat_map(|result| &result.variants);
-    Ok(CommandOutcome::from_violations(variants.any(|variant| variant.violations > 0)))
+    Ok(CommandStatus::from_violations(variants.any(|variant| variant.violations > 0)))
 }
 
 /// A progress bar on standard error. It is shown only if standard error is a terminal.
--- a/crates/testbed/src/commands/show.rs
+++ b/crates/testbed/src/commands/show.rs
@@ -1,7 +1,7 @@
 //! The `scenarios` and `show` commands: print the scenarios that the program contains.
 use super::output::print;
 use super::shipped_scenarios::{SHIPPED, find_shipped, read_scenario};
-use super::{CommandOutcome, CommandResult};
+use super::{CommandResult, CommandStatus};
 
 /// Lists the scenarios that the program contains.
 pub(super) fn list_scenarios() -> CommandResult {
@@ -9,7 +9,7 @@
         let scenario = read_scenario(name)?;
         print(&format!("{name:<16} {}\n", scenario.description))?;
     }
-    Ok(CommandOutcome::Done)
+    Ok(CommandStatus::Done)
 }
 
 /// Prints the TOML text of a scenario that the program contains.
@@ -17,5 +17,5 @@
     read_scenario(name)?;
     let text = find_shipped(name).ok_or_else(|| format!("{name} does not come with the program"))?;
     print(text)?;
-    Ok(CommandOutcome::Done)
+    Ok(CommandStatus::Done)
 }
--- a/crates/testbed/src/commands/sim.rs
+++ b/crates/testbed/src/commands/sim.rs
@@ -8,7 +8,7 @@
 use super::outcome_text::outcome_text;
 use super::output::{json_line, print};
 use super::shipped_scenarios::read_scenario;
-use super::{CommandOutcome, CommandResult};
+use super::{CommandResult, CommandStatus};
 use crate::policy_argument::parse_policy;
 
 #[derive(Debug, Args)]
@@ -42,5 +42,5 @@
             outcome.jobs, outcome.events
         ))?;
     }
-    Ok(CommandOutcome::from_violations(!outcome.violations.is_empty()))
+    Ok(CommandStatus::from_violations(!outcome.violations.is_empty()))
 }
--- a/crates/testbed/src/commands/trace.rs
+++ b/crates/testbed/src/commands/trace.rs
@@ -9,7 +9,7 @@
 
 use super::output::{print, print_note};
 use super::shipped_scenarios::read_scenario;
-use super::{CommandOutcome, CommandResult};
+use super::{CommandResult, CommandStatus};
 
 #[derive(Debug, Args)]
 pub(crate) struct TraceArguments {
@@ -33,5 +33,5 @@
         skipped.unreadable
     ));
     print(&toml::to_string(&scenario)?)?;
-    Ok(CommandOutcome::Done)
+    Ok(CommandStatus::Done)
 }
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -88,7 +88,7 @@
     SerializeJson(#[from] serde_json::Error),
     /// The scheduler program of a policy cannot be found.
     #[error("{0}")]
-    UnknownProgram(String),
+    ProgramNotFound(String),
     /// The path of the running executable cannot be determined.
     #[error(transparent)]
     CurrentExecutable(std::io::Error),
@@ -100,7 +100,7 @@
     },
     /// A thread panicked while it appended to the file of stored runs.
     #[error("a run that panicked")]
-    RunPanicked,
+    RunStorePoisoned,
     /// The thread pool that executes the runs cannot be created.
     #[error(transparent)]
     ThreadPool(#[from] rayon::ThreadPoolBuildError),
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -97,7 +97,7 @@
 pub trait ProgressObserver: Sync {
     /// Called once, after the file of stored runs was read.
     fn experiment_started(&self, _progress: ExperimentProgress) {}
-    /// Called after each run, when it is stored.
+    /// Called after each successful run, when it is stored.
     fn run_finished(&self) {}
 }
 
--- a/crates/testbed/src/experiment/mode_comparison.rs
+++ b/crates/testbed/src/experiment/mode_comparison.rs
@@ -1,7 +1,8 @@
 //! Compares the results of the same policies in virtual and in real time.
 use crate::compare::ScenarioResults;
 
-/// Shares that differ by at most this much count as equal when policies are ranked.
+/// Shares that differ by at most this much count as equal when the ranks in both modes are compared, because
+/// so small a difference does not show which policy is better.
 const MAX_TIED_DIFFERENCE: f64 = 0.01;
 
 /// The indexes of two variants that differ only in their execution mode.
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -35,7 +35,8 @@
     /// contains.
     ///
     /// # Errors
-    /// Fails if a file cannot be read or is invalid. The error names the file and, if possible, the key.
+    /// Fails if a file cannot be read or is invalid, or if the scheduler program of a policy is not found.
+    /// The error names the file and, if possible, the key.
     pub fn read_file(
         file: &Path,
         find_shipped: impl Fn(&str) -> Option<String>,
@@ -73,8 +74,9 @@
     /// plan.
     ///
     /// # Errors
-    /// Fails if the file cannot be written or is locked by another process, or if a run fails. Successful
-    /// runs are stored, and the next call executes only the missing ones.
+    /// Fails if the file cannot be written or is locked by another process, if a run fails or cannot be
+    /// serialized, or if the thread pool cannot be created. Successful runs are stored, and the next call
+    /// executes only the missing ones.
     pub fn execute(
         &self,
         file: &Path,
@@ -282,7 +284,7 @@
         (ExecutionMode::Sim, _) => Ok(None),
         (ExecutionMode::Emulate, None) => SchedulerProgram::for_policy(variant.policy)
             .map(Some)
-            .map_err(|error| ExperimentError::UnknownProgram(error.to_string())),
+            .map_err(|error| ExperimentError::ProgramNotFound(error.to_string())),
         (ExecutionMode::Emulate, Some(path)) => {
             Ok(Some(SchedulerProgram { file: directory.join(path), arguments: variant.arguments.clone() }))
         }
--- a/crates/testbed/src/experiment/planned_run.rs
+++ b/crates/testbed/src/experiment/planned_run.rs
@@ -26,7 +26,7 @@
 /// Returns all runs of an experiment, ordered by scenario, variant and seed.
 ///
 /// # Errors
-/// Fails if the executable of a program cannot be read.
+/// Fails if an executable cannot be found or read, or if a scenario cannot be serialized.
 pub(super) fn plan_runs(
     experiment: &Experiment,
     scenarios: &[Vec<Scenario>],
--- a/crates/testbed/src/experiment/run_store.rs
+++ b/crates/testbed/src/experiment/run_store.rs
@@ -81,7 +81,7 @@
     /// Fails if the file cannot be written, or if another thread panicked while it appended a run.
     pub(super) fn append(&self, run: &StoredRun) -> Result<(), ExperimentError> {
         let line = serde_json::to_string(run)? + "\n";
-        let mut file = self.file.lock().map_err(|_| ExperimentError::RunPanicked)?;
+        let mut file = self.file.lock().map_err(|_| ExperimentError::RunStorePoisoned)?;
         let written = file.write_all(line.as_bytes());
         written.map_err(|source| ExperimentError::Io { file: self.path.clone(), source })
     }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -7,8 +7,8 @@
 //!                         │ events and effects, time as an argument
 //!           ┌─────────────┴──────────────┐
 //!      simulation                    emulation
-//!   virtual time, policies        real time on loopback, the program's
-//!   called directly               own processes (or the proxy with a policy)
+//!   virtual time, policies        real time on loopback, with processes
+//!   called directly               of schedulers or policy nodes
 //!           └─────────────┬──────────────┘
 //!        observations of clients and workers ──► rule_checker
 //!                         │
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,7 +1,7 @@
 //! The command-line program of the testbed.
 //!
-//! Exit codes: 0 for success, 1 if a rule was violated or the command failed, 2 if the command line is
-//! invalid.
+//! Exit codes: 0 for success, 1 if a run of `sim`, `emulate` or `run` violated a rule or the command failed,
+//! 2 if the command line is invalid.
 mod cli;
 mod commands;
 mod policy_argument;
@@ -12,12 +12,12 @@
 use clap::Parser;
 
 use cli::CommandLine;
-use commands::CommandOutcome;
+use commands::CommandStatus;
 
 fn main() -> ExitCode {
     match commands::run(CommandLine::parse().command) {
-        Ok(CommandOutcome::Done) => ExitCode::SUCCESS,
-        Ok(CommandOutcome::RulesViolated) => ExitCode::FAILURE,
+        Ok(CommandStatus::Done) => ExitCode::SUCCESS,
+        Ok(CommandStatus::RulesViolated) => ExitCode::FAILURE,
         Err(error) => {
             // A failed write to standard error cannot be reported anywhere else.
             let _ = writeln!(std::io::stderr(), "copperspread-testbed: {error}");
--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -24,7 +24,7 @@
 
 /// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = SECOND / 1_000;
-/// Maximum time in which all members must have found each other, in microseconds. Members that have not found
+/// Time within which all members must have found each other, in microseconds. Members that have not found
 /// each other by then never will.
 const JOIN_TIMEOUT: Micros = 120 * SECOND;
 
@@ -44,8 +44,8 @@
     membership: Membership,
     /// Time until which the process is paused: it handles neither packets nor timers.
     paused_until: Micros,
-    /// Time of the next scheduled timer, or of the last one if it has expired. A scheduled timer that expires
-    /// earlier is outdated and ignored.
+    /// Due time of the timer that was scheduled last. Timers of the process that expire before it are
+    /// ignored.
     timer_due_at: Micros,
     /// Packets that arrived during a pause.
     waiting_packets: Vec<Vec<u8>>,
@@ -84,8 +84,8 @@
 }
 
 impl SimulatedNetwork {
-    /// Creates a network whose members have all found each other. The first member is the membership seed of
-    /// all, and `seed` determines all random numbers.
+    /// Creates a network whose members have all found each other. All members contact the first one to join.
+    /// `seed` determines all random numbers.
     ///
     /// # Panics
     /// Panics if the members have not found each other within 120 s.
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Starts a new process of a member, which has no state of an earlier one.
+    /// Starts a new process of a member, which has no state of an earlier one. It contacts the members with
+    /// the indexes `seeds` to join.
     ///
     /// # Panics
     /// Panics if the settings are invalid.
@@ -171,7 +172,8 @@
         self.kill(member);
     }
 
-    /// Pauses the process of a member. Packets that arrive during the pause are handled after it.
+    /// Pauses the process of a member for a duration. Packets that arrive during the pause are handled at its
+    /// end.
     pub fn pause(&mut self, member: usize, duration: Micros) {
         self.pause_until(member, self.now + duration);
         self.schedule_timer(member, self.now + duration);
@@ -207,8 +209,8 @@
         }
     }
 
-    /// Runs in steps of `step` until a condition holds. Returns the elapsed time, or `None` if the condition
-    /// does not hold within the timeout.
+    /// Runs in steps of `step` until a condition holds. The condition is checked before each step. Returns
+    /// the elapsed time, or `None` if the condition does not hold when the timeout has passed.
     pub fn run_until(
         &mut self,
         timeout: Micros,
@@ -243,8 +245,7 @@
         self.queue.push(Reverse((at, self.last_sequence, member)));
     }
 
-    /// Schedules the only timer of a process. One that is scheduled for an earlier time is ignored from then
-    /// on.
+    /// Schedules a timer of a process. Timers of the process that expire before this one are ignored.
     fn schedule_timer(&mut self, member: usize, at: Micros) {
         if let Some(process) = &mut self.processes[member] {
             process.timer_due_at = at;
@@ -270,7 +271,8 @@
         self.now = until;
     }
 
-    /// Delivers a packet to a member, whoever sent it.
+    /// Delivers a packet to a member, whoever sent it. A paused member handles it after the pause; a member
+    /// that does not run drops it.
     pub fn deliver(&mut self, member: usize, packet: Vec<u8>) {
         let Some(process) = &mut self.processes[member] else { return };
         if process.paused_until > self.now {
@@ -291,7 +293,8 @@
         self.handle_input(member, Input::TimerDue);
     }
 
-    /// Passes an input to a member. Returns the reason if the member rejects it.
+    /// Passes an input to a member. Returns the reason if the member rejects it; `None` if it accepts the
+    /// input or does not run.
     pub fn handle_input(&mut self, member: usize, input: Input<'_>) -> Option<PacketError> {
         let now = self.now;
         let Some(process) = &mut self.processes[member] else { return None };
@@ -314,9 +317,14 @@
         }
     }
 
-    /// Sends a packet. The links may lose it, or deliver it once or twice.
+    /// Sends a packet. The links may lose it, or deliver it once or twice. A packet to an unknown address is
+    /// counted and dropped.
     fn send(&mut self, from: usize, to: Option<usize>, packet: Vec<u8>) {
-        assert!(packet.len() <= MAX_PACKET_BYTES, "{} bytes", packet.len());
+        assert!(
+            packet.len() <= MAX_PACKET_BYTES,
+            "a packet of {} bytes exceeds the maximum size",
+            packet.len()
+        );
         self.packets += 1;
         self.bytes += packet.len() as u64;
         let Some(to) = to.filter(|&to| to < self.processes.len()) else { return };
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -3,8 +3,8 @@
 //!
 //! It exchanges the same messages as a scheduler, with the same HTTP libraries (hyper and axum), but has no
 //! dispatch policy: each request goes to the next worker, and the response is the result in the worker's
-//! callback. CPU time that a scheduler uses beyond the relay's is spent on dispatch decisions, deadlines and
-//! retry rules.
+//! callback, or status 500 if the worker does not accept the request. CPU time that a scheduler uses beyond
+//! the relay's is spent on dispatch decisions, deadlines and retry rules.
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -65,7 +65,7 @@
     }
 
     /// Sends a request to a worker and waits for its callback; `None` if the request is invalid, cannot be
-    /// sent or is not accepted.
+    /// sent or is not accepted by the worker. Callbacks with a state other than `done` are ignored.
     async fn forward(&self, request: Request) -> Option<Bytes> {
         let (head, body) = request.into_parts();
         let body = Limited::new(body, MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
--- a/crates/testbed/src/report/capacity.rs
+++ b/crates/testbed/src/report/capacity.rs
@@ -24,7 +24,8 @@
 }
 
 /// Draws the work and the capacity of each worker as SVG, ordered by zone and group. Both are means over
-/// runs. The result is empty if the outcome has no workers.
+/// runs. The capacity is that of a worker that is up and fully warm during the whole run. The result is empty
+/// if the outcome has no workers.
 pub(super) fn capacity_chart(variant: &VariantResult) -> Result<String, ReportError> {
     let Some(run) = variant.runs.first().filter(|run| !run.workers.is_empty()) else {
         return Ok(String::new());
--- a/crates/testbed/src/report/over_time.rs
+++ b/crates/testbed/src/report/over_time.rs
@@ -106,7 +106,8 @@
     sums
 }
 
-/// A value for each second, computed from the mean weights of the seconds around it.
+/// A value for each second, computed from the mean weights of a window of [`SMOOTHING_WINDOW_S`] around it.
+/// The window is cut off at both ends of the scenario.
 fn smoothed(seconds: &[WeightTotals], value: impl Fn(&WeightTotals) -> f64) -> Points {
     let half_window = SMOOTHING_WINDOW_S / 2;
     let window = |second: usize| {
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -1,4 +1,5 @@
-//! Startup of the servers that the testbed implements itself: the policy node and the relay.
+//! Startup of the servers that the testbed implements itself. These are the policy node, which serves as a
+//! scheduler with a baseline dispatch policy, and the relay.
 use std::io;
 
 use copperspread_dispatcher::SettingsError;
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -13,12 +13,13 @@
 /// Minimum arrival rate of a trace, in jobs per second. A scenario must have a positive rate.
 const MIN_RATE_PER_S: f64 = 1e-6;
 
-/// Numbers of skipped records, by reason.
+/// Numbers of skipped records and lines, by reason. Records of an unknown kind are skipped too, but not
+/// counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SkippedRecords {
     /// Requests of a class that the scenario does not have.
     pub unknown_class: u64,
-    /// Requests without a cost hint, whose work is therefore unknown.
+    /// Requests without a positive and finite cost hint, whose work is therefore unknown.
     pub no_hint: u64,
     /// Lines that cannot be parsed.
     pub unreadable: u64,
@@ -49,6 +50,7 @@
 }
 
 /// Replaces a scenario's arrivals with the requests that a scheduler accepted. Time 0 is the first of them.
+/// The duration and the arrival rate of the scenario are set to those of the trace.
 ///
 /// The cost hint of a request is used as its work, because the event log does not contain the actual work.
 ///
@@ -77,7 +79,8 @@
     skipped: &mut SkippedRecords,
 ) -> Result<Vec<AcceptedJob>, TraceError> {
     let mut jobs = Vec::new();
-    // The log may contain several runs in sequence, and the wall clock may be set during a run.
+    // The log may contain several runs in sequence, and the wall clock may be set during a run, so times are
+    // taken from a common timeline.
     let mut timeline = RunTimeline::default();
     for numbered_line in Reader::new(event_log) {
         let (number, line) = numbered_line?;
--- a/crates/testbed/tests/cli_transcripts.rs
+++ b/crates/testbed/tests/cli_transcripts.rs
@@ -1,7 +1,8 @@
 //! Snapshot tests of the output of the testbed's program.
 //!
-//! They cover the help, the errors for invalid scenarios, experiments and command lines, and the results of a
-//! short simulation. `bad_input/` has the invalid input, one case a line, with `\n` for a line break.
+//! They cover the help, the errors for invalid scenarios, experiments and command lines, and the exact
+//! results of a short simulation. `bad_input/` has the invalid scenarios and experiments, one case a line; in
+//! the experiments `\n` stands for a line break.
 use std::fmt::Write;
 use std::process::{Command, Stdio};
 
@@ -11,7 +12,8 @@
 /// The name of the program, which is masked in the snapshots.
 const PROGRAM: &str = "copperspread-testbed";
 const MASKED_PROGRAM: &str = "LAB";
-/// The name of the scheduler's dispatch policy, which is masked in the snapshots too.
+/// The name of the scheduler's dispatch policy, which is the name of the scheduler too. It is masked in the
+/// snapshots.
 const POLICY: &str = "copperspread";
 const MASKED_POLICY: &str = "MODULE";
 /// Terminal width for the help, in columns. clap wraps the help if another crate of the same build enables
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -133,7 +133,7 @@
             Plan::read_file(&path, find_shipped).err().map(|error| error.to_string()).unwrap_or_default();
         assert!(error.contains("e.toml") && error.contains(expected), "{to}: {error}");
     }
-    // Two processes that write the same file would each miss the runs of the other.
+    // Two processes that write the same file would each execute the runs of the other again.
     let plan = Plan::read_file(&write_experiment(directory.path(), EXPERIMENT), find_shipped)
         .expect("the experiment is valid");
     let runs = directory.path().join("runs.jsonl");
--- a/crates/testbed/tests/membership.rs
+++ b/crates/testbed/tests/membership.rs
@@ -114,7 +114,7 @@
     );
     network.links.blocked.clear();
     network.run(30 * SECOND);
-    assert!(network.all_see(8), "one view 30 s after the partition ended");
+    assert!(network.all_see(8), "all members see each other 30 s after the partition ended");
 }
 
 #[test]
@@ -202,9 +202,10 @@
 }
 
 #[test]
-fn invalid_settings_and_keys_are_named() {
-    let error_for =
-        |settings| Membership::new(member_info(0, 1), settings, shared_key(), 1).err().map(|e| e.to_string());
+fn errors_of_invalid_settings_and_keys_say_what_is_invalid() {
+    let error_for = |settings| {
+        Membership::new(member_info(0, 1), settings, shared_key(), 1).err().map(|error| error.to_string())
+    };
     let defaults = Settings::default;
     for (settings, expected) in [
         (Settings { probe_timeout: 0, ..defaults() }, "time-out"),
@@ -218,7 +219,8 @@
     assert_eq!(format!("{:?}", shared_key()), "Key", "the debug output hides the key");
 }
 
-/// A tenth of the members is killed at once. All others must report these members down, and no other.
+/// A tenth of the members is killed at once. All others must remove these members, and no other member may be
+/// reported down.
 #[test]
 fn three_hundred_members_detect_thirty_failures_and_no_other() {
     let mut network = SimulatedNetwork::joined(300, 9);
@@ -289,7 +291,7 @@
                 assert_eq!(
                     local.generation,
                     GENERATION + 1,
-                    "{context}: one above that of the earlier process"
+                    "{context}: the generation is one above that of the earlier process"
                 );
                 network.run(30 * SECOND);
                 assert!(
--- a/crates/testbed/tests/membership_plans.rs
+++ b/crates/testbed/tests/membership_plans.rs
@@ -86,7 +86,7 @@
     network.apply_fault(heal);
     assert!(
         network.run_until(120 * SECOND, SECOND, |network| network.all_see(MEMBERS - 1)).is_some(),
-        "one view 120 s after the partition ended"
+        "all members see each other 120 s after the partition ended"
     );
 }
 
