--- a/crates/testbed/src/commands/emulate.rs
+++ b/crates/testbed/src/commands/emulate.rs
@@ -1,4 +1,4 @@
-//! `emulate`: one run in real time.
+//! The `emulate` command: runs a scenario once in real time.
 use std::path::PathBuf;
 
 use clap::Args;
@@ -9,7 +9,7 @@
 use super::outcome_text::outcome_text;
 use super::output::{json_line, print};
 use super::shipped_scenarios::read_scenario;
-use super::{CommandOutcome, CommandResult};
+use super::{CommandResult, CommandStatus};
 use crate::policy_argument::parse_policy;
 
 #[derive(Debug, Args)]
@@ -33,7 +33,7 @@
     json: bool,
 }
 
-/// Plays a scenario once in real time, and prints the outcome.
+/// Emulates a scenario once in real time, and prints the outcome.
 pub(super) fn run(arguments: EmulateArguments) -> CommandResult {
     let EmulateArguments { scenario, policy, program, arguments, seed, json } = arguments;
     let scenario = read_scenario(&scenario)?;
@@ -44,5 +44,5 @@
     };
     let outcome = emulate(&scenario, &SchedulerInstances::Spawned(program), &variant, seed)?;
     print(&if json { json_line(&outcome)? } else { outcome_text(&outcome) })?;
-    Ok(CommandOutcome::from_violations(!outcome.violations.is_empty()))
+    Ok(CommandStatus::from_violations(!outcome.violations.is_empty()))
 }
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the commands of the program, one a file.
+//! The commands of the program, each in its own file.
 pub(crate) mod compare;
 pub(crate) mod cost;
 pub(crate) mod emulate;
@@ -18,25 +18,26 @@
 
 use crate::cli::Command;
 
-/// How a command that could be carried out ended.
+/// How a command that returned no error ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CommandOutcome {
-    /// Done; if runs were played, all rules held.
+pub(crate) enum CommandStatus {
+    /// Success. Runs of `sim`, `emulate` and `run` violated no rule; `compare` reports violations only in its
+    /// results.
     Done,
     /// A run violated a rule.
     RulesViolated,
 }
 
-impl CommandOutcome {
-    fn from_violations(are_rules_violated: bool) -> CommandOutcome {
-        if are_rules_violated { CommandOutcome::RulesViolated } else { CommandOutcome::Done }
+impl CommandStatus {
+    fn from_violations(are_rules_violated: bool) -> CommandStatus {
+        if are_rules_violated { CommandStatus::RulesViolated } else { CommandStatus::Done }
     }
 }
 
-/// The error is only printed.
-pub(crate) type CommandResult = Result<CommandOutcome, Box<dyn Error>>;
+/// The result of a command. An error is only printed, so its type does not matter.
+pub(crate) type CommandResult = Result<CommandStatus, Box<dyn Error>>;
 
-/// Runs a command.
+/// Runs a command of the command line.
 pub(crate) fn run(command: Command) -> CommandResult {
     match command {
         Command::Scenarios => show::list_scenarios(),
@@ -47,11 +48,11 @@
         Command::Cost(arguments) => cost::run(arguments),
         Command::Node { policy } => {
             baseline::serve_policy(policy)?;
-            Ok(CommandOutcome::Done)
+            Ok(CommandStatus::Done)
         }
         Command::Relay => {
             relay::serve_relay()?;
-            Ok(CommandOutcome::Done)
+            Ok(CommandStatus::Done)
         }
         Command::Load(arguments) => load::run(&arguments),
         Command::Run(arguments) => run::run(arguments),
--- a/crates/testbed/src/commands/sim.rs
+++ b/crates/testbed/src/commands/sim.rs
@@ -1,4 +1,4 @@
-//! `sim`: one run in virtual time.
+//! The `sim` command: simulates a scenario once in virtual time.
 use std::time::Instant;
 
 use clap::Args;
@@ -8,7 +8,7 @@
 use super::outcome_text::outcome_text;
 use super::output::{json_line, print};
 use super::shipped_scenarios::read_scenario;
-use super::{CommandOutcome, CommandResult};
+use super::{CommandResult, CommandStatus};
 use crate::policy_argument::parse_policy;
 
 #[derive(Debug, Args)]
@@ -26,7 +26,7 @@
     json: bool,
 }
 
-/// Plays a scenario once in virtual time, and prints the outcome and the speed.
+/// Simulates a scenario once, and prints the outcome and the simulated events per second.
 pub(super) fn run(arguments: &SimArguments) -> CommandResult {
     let scenario = read_scenario(&arguments.scenario)?;
     let started = Instant::now();
@@ -42,5 +42,5 @@
             outcome.jobs, outcome.events
         ))?;
     }
-    Ok(CommandOutcome::from_violations(!outcome.violations.is_empty()))
+    Ok(CommandStatus::from_violations(!outcome.violations.is_empty()))
 }
