--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -13,7 +13,7 @@
 use crate::context::ProxyContext;
 use crate::discovery::EndpointPublisher;
 use crate::downstream::Downstream;
-use crate::downstream::client_connections::ClientConnections;
+use crate::downstream::client_connections::ClientListener;
 use crate::downstream::http::{CallbackRoute, StatusPage, listen};
 use crate::endpoints::EndpointTable;
 use crate::event_recorder::EventRecorder;
@@ -46,7 +46,7 @@
     /// The state that the components share.
     pub context: Arc<ProxyContext>,
     /// The client connections.
-    pub connections: Arc<ClientConnections>,
+    pub connections: Arc<ClientListener>,
     /// The publisher through which an endpoint source updates the endpoint table.
     pub endpoint_publisher: EndpointPublisher,
     /// The revision of the cached endpoint list, if there is one.
@@ -63,7 +63,7 @@
     policy: Box<dyn DispatchPolicy>,
     recorder: &Recorder,
 ) -> Result<AssembledProxy, AssemblyError> {
-    assemble_with(config, policy, recorder, &[]).await
+    assemble_with_status_pages(config, policy, recorder, &[]).await
 }
 
 /// Assembles a scheduler as [`assemble`] does, with additional status pages. The task that sends load queries
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 /// [`AssemblyError::Listen`] if the socket for clients cannot be opened.
-pub async fn assemble_with(
+pub async fn assemble_with_status_pages(
     config: &StartupConfig,
     policy: Box<dyn DispatchPolicy>,
     recorder: &Recorder,
@@ -133,12 +133,14 @@
         self.wait_until_idle(deadlines.late_connections_until, deadlines.drain_deadline).await;
         self.context.shutdown.close();
         self.wait_until_idle(from_now(FINAL_WRITE_TIME), deadlines.drain_deadline).await;
-        self.connections.busy()
+        self.connections.active_requests()
     }
 
     /// Waits until `earliest`, then until no request is being read or answered, at most until `deadline`.
     async fn wait_until_idle(&self, earliest: Instant, deadline: Instant) {
-        while Instant::now() < earliest || (self.connections.busy() > 0 && Instant::now() < deadline) {
+        while Instant::now() < earliest
+            || (self.connections.active_requests() > 0 && Instant::now() < deadline)
+        {
             sleep_until(from_now(DRAIN_POLL_INTERVAL)).await;
         }
     }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -86,6 +86,6 @@
 
     /// Waits until the policy requests a list.
     pub async fn list_requested(&self) {
-        self.policy.subscription_requested().await;
+        self.policy.list_requested().await;
     }
 }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -17,7 +17,7 @@
 use crate::clock::from_now;
 use crate::discovery::platform::fetch::{CallDeadlines, DiscoveryClient, FetchError};
 use crate::discovery::{EndpointPublisher, EndpointSource};
-use crate::invariant::{Subject, note_of};
+use crate::invariant::{EventSubject, count_event_for};
 
 mod fetch;
 
@@ -252,10 +252,10 @@
 
     /// Counts a failed call, and waits until the next call is due.
     async fn handle_failure(&mut self, error: &FetchError) {
-        let subject = Subject { peer: Some(self.address.as_str()), ..Subject::default() };
+        let subject = EventSubject { peer: Some(self.address.as_str()), ..EventSubject::default() };
         // Counts failed calls to discovery, including refusals and invalid lists; the table keeps its
         // endpoints.
-        note_of("no answer of discovery, the list stays", &error.to_string(), subject);
+        count_event_for("no answer of discovery, the list stays", &error.to_string(), subject);
         self.failed_since_list = true;
         if let Some(backoff) = self.retry_backoff(error) {
             // An address change ends the wait.
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -22,7 +22,7 @@
 use crate::downstream::read_ahead::{ReadAhead, Unread};
 use crate::downstream::request_handler::RequestHandler;
 use crate::downstream::served_connection::{RequestService, ServedConnection, ServerEvent};
-use crate::invariant::note;
+use crate::invariant::count_event;
 use crate::shutdown::{ShutdownPhase, ShutdownWatch};
 
 /// Time without a further request after which a connection is closed.
@@ -168,7 +168,7 @@
                 self.shared.process_server_poll(polled, head_deadline)
             }) => match event {
                 ServerEvent::Finished => {
-                    if self.shared.stream.presence().is_gone() {
+                    if self.shared.stream.presence().has_disconnected() {
                         self.shared.count_disconnected();
                     }
                     ConnectionEvent::Ended(ConnectionEnd::Responded)
@@ -230,11 +230,11 @@
         match (unread, reason) {
             (Unread::Nothing, CloseReason::Evicted) => {
                 // Counts client connections that were evicted.
-                note("an edge connection gave its place up", "closed");
+                count_event("an edge connection gave its place up", "closed");
                 Some(ConnectionEnd::Abandoned)
             }
             (Unread::Nothing, CloseReason::TimedOut) if awaits_first_request => {
-                note("no first request in time", "closed");
+                count_event("no first request in time", "closed");
                 Some(ConnectionEnd::Abandoned)
             }
             (Unread::Nothing, CloseReason::TimedOut) => self.end_if_idle(),
@@ -242,7 +242,7 @@
             (Unread::NewBytes, CloseReason::Evicted) => None,
             (Unread::Bytes | Unread::NewBytes, _) => {
                 // Counts requests that were received only in part.
-                note("a request did not come to its end", "refused");
+                count_event("a request did not come to its end", "refused");
                 write_refusal(shared.stream.clone(), reason.partial_request_status()).await;
                 Some(ConnectionEnd::Responded)
             }
--- a/crates/proxy/src/downstream/client_connections.rs
+++ b/crates/proxy/src/downstream/client_connections.rs
@@ -15,7 +15,7 @@
 use crate::downstream::connection_limits::{ConnectionLimits, max_connections};
 use crate::downstream::request_handler::RequestHandler;
 use crate::downstream::request_totals::RequestTotals;
-use crate::invariant::note;
+use crate::invariant::count_event;
 use crate::shutdown::{Shutdown, ShutdownPhase};
 
 /// Delay before the next `accept` after one that failed for lack of descriptors or memory.
@@ -27,14 +27,14 @@
 const MAX_FAILED_CONNECTIONS: u32 = 8;
 
 /// Listener for client connections, with the limits and the request handler that all of them share.
-pub struct ClientConnections {
+pub struct ClientListener {
     handler: Arc<RequestHandler>,
     /// Taken by the task that accepts connections; closed when that task ends.
     listener: Mutex<Option<TcpListener>>,
     limits: Arc<ConnectionLimits>,
 }
 
-impl ClientConnections {
+impl ClientListener {
     /// Creates a server that accepts client connections on `listener` and answers their requests through
     /// `router`.
     ///
@@ -47,10 +47,10 @@
         listener: TcpListener,
         descriptor_limit: usize,
         memory_limit_mb: f64,
-    ) -> Arc<ClientConnections> {
+    ) -> Arc<ClientListener> {
         let max_connections = max_connections(descriptor_limit, memory_limit_mb);
         let handler = RequestHandler::new(router, callback_path, shutdown, max_connections, memory_limit_mb);
-        Arc::new(ClientConnections {
+        Arc::new(ClientListener {
             handler: Arc::new(handler),
             listener: Mutex::new(Some(listener)),
             limits: ConnectionLimits::new(max_connections),
@@ -93,7 +93,7 @@
                 Err(error) => {
                     consecutive_failures = 0;
                     // Counts failed calls of `accept`.
-                    note("no connection taken", &error.to_string());
+                    count_event("no connection taken", &error.to_string());
                     if is_resource_exhaustion(&error) {
                         self.limits.evict_on_exhaustion();
                     }
@@ -104,12 +104,12 @@
     }
 }
 
-impl Downstream for ClientConnections {
+impl Downstream for ClientListener {
     fn accept(self: Arc<Self>) -> BoxFuture<'static, ()> {
         Box::pin(self.accept_connections())
     }
 
-    fn busy(&self) -> usize {
+    fn active_requests(&self) -> usize {
         self.handler.active_requests()
     }
 }
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -19,10 +19,10 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::context::ProxyContext;
-use crate::downstream::client_connections::ClientConnections;
+use crate::downstream::client_connections::ClientListener;
 use crate::downstream::http::request_head::{RequestHead, end_to_end_headers, parse_head};
 use crate::downstream::request_limits::{MAX_BODY_BYTES, RequestLimits};
-use crate::invariant::{Subject, note, note_of};
+use crate::invariant::{EventSubject, count_event, count_event_for};
 use crate::messages::{AdmissionRequest, BodyPermit, FinalResponse, UpstreamRequest};
 use crate::request_task;
 use crate::shutdown::effective_deadline;
@@ -47,7 +47,7 @@
     /// Path of the page, for `GET`.
     pub path: &'static str,
     /// Renders the page as JSON; called for each request, and must not block.
-    pub json: Arc<dyn Fn() -> String + Send + Sync>,
+    pub render_json: Arc<dyn Fn() -> String + Send + Sync>,
 }
 
 /// Creates a server that accepts client connections on a listener and answers their requests.
@@ -61,11 +61,11 @@
     listener: TcpListener,
     descriptor_limit: usize,
     memory_limit_mb: f64,
-) -> Arc<ClientConnections> {
+) -> Arc<ClientListener> {
     let shutdown = context.shutdown.clone();
     let callback_path = callbacks.path;
     let router = routes(context, callbacks, pages);
-    ClientConnections::new(router, callback_path, shutdown, listener, descriptor_limit, memory_limit_mb)
+    ClientListener::new(router, callback_path, shutdown, listener, descriptor_limit, memory_limit_mb)
 }
 
 /// Builds the router of the client listener.
@@ -75,9 +75,9 @@
         .route("/-/ready", get(readiness))
         .fallback(handle_request)
         .with_state(context);
-    pages.iter().fold(router, |router, StatusPage { path, json }| {
-        let json = Arc::clone(json);
-        let render = move || async move { ([(header::CONTENT_TYPE, "application/json")], json()) };
+    pages.iter().fold(router, |router, StatusPage { path, render_json }| {
+        let render_json = Arc::clone(render_json);
+        let render = move || async move { ([(header::CONTENT_TYPE, "application/json")], render_json()) };
         router.route(path, get(render))
     })
 }
@@ -130,7 +130,7 @@
     match (callbacks.handle)(&body.bytes) {
         Ok(()) => StatusCode::NO_CONTENT,
         Err(error) => {
-            note("bad call-back", &error.to_string());
+            count_event("bad call-back", &error.to_string());
             StatusCode::BAD_REQUEST
         }
     }
@@ -216,8 +216,8 @@
         return Err(RefusedRequest::MethodNotAllowed);
     }
     parse_head(&parts.headers, class as u32, &context.settings).map_err(|error| {
-        let subject = Subject { class: Some(class_name), ..Subject::default() };
-        note_of("bad request", &error.to_string(), subject);
+        let subject = EventSubject { class: Some(class_name), ..EventSubject::default() };
+        count_event_for("bad request", &error.to_string(), subject);
         RefusedRequest::InvalidHead
     })
 }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -24,5 +24,5 @@
     fn accept(self: Arc<Self>) -> BoxFuture<'static, ()>;
 
     /// Returns the number of requests that are being read or answered.
-    fn busy(&self) -> usize;
+    fn active_requests(&self) -> usize;
 }
--- a/crates/proxy/src/downstream/read_ahead.rs
+++ b/crates/proxy/src/downstream/read_ahead.rs
@@ -130,7 +130,7 @@
     /// Call it only while a completely received request is being answered, like
     /// [`ReadAhead::poll_disconnected`]. Unlike that method, it doesn't depend on the runtime having polled
     /// for I/O events, which a delayed process may do only after other work.
-    pub fn is_gone(&self) -> bool {
+    pub fn has_disconnected(&self) -> bool {
         let Some(inner) = self.0.upgrade() else { return true };
         let mut inner = inner.lock().unwrap_or_else(PoisonError::into_inner);
         inner.has_ended()
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -13,7 +13,7 @@
 use crate::downstream::raw_head::has_conflicting_framing;
 use crate::downstream::request_limits::{RequestLimits, body_memory};
 use crate::downstream::request_totals::RequestCounters;
-use crate::invariant::note;
+use crate::invariant::count_event;
 use crate::shutdown::Shutdown;
 
 /// Request handler that all client connections share; it counts the requests in progress.
@@ -73,7 +73,7 @@
         let _client_request = is_client_request.then(|| CountGuard::new(&self.active_client_requests));
         let mut is_refused_unread = false;
         let mut response = if has_conflicting_framing(raw_head, request.headers()) {
-            note("bad request", "a body framed in two ways");
+            count_event("bad request", "a body framed in two ways");
             StatusCode::BAD_REQUEST.into_response()
         } else if is_client_request && self.exceeds_client_request_limit() {
             // If clients used all connections, the callbacks that their responses depend on could not
--- a/crates/proxy/src/downstream/request_limits.rs
+++ b/crates/proxy/src/downstream/request_limits.rs
@@ -51,7 +51,7 @@
     /// It is valid from when the request is received completely until its response.
     pub fn client_presence(&self) -> ClientPresence {
         let peer = self.peer.clone();
-        ClientPresence::new(move || peer.is_gone())
+        ClientPresence::new(move || peer.has_disconnected())
     }
 
     /// Waits for a body permit for at most `max_bytes` bytes.
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, OnceLock, PoisonError};
 
-/// The count of each counter; only [`note_of`] writes to it.
+/// The count of each counter; only [`count_event_for`] writes to it.
 static COUNTS: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
 
 /// Called with a counter's name and its count whenever the count reaches a power of two.
@@ -20,13 +20,13 @@
 }
 
 /// Counts a violation of an invariant.
-pub fn broken(invariant: &'static str) {
-    note(invariant, "it does not hold");
+pub fn count_violation(invariant: &'static str) {
+    count_event(invariant, "it does not hold");
 }
 
 /// The worker, request class and peer that a counted event concerns, as far as they are known.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Subject<'a> {
+pub struct EventSubject<'a> {
     /// The worker's name.
     pub worker: Option<&'a str>,
     /// The request class.
@@ -35,19 +35,19 @@
     pub peer: Option<&'a str>,
 }
 
-/// Counts an event without a subject; see [`note_of`].
-pub fn note(counter: &'static str, reason: &str) {
-    note_of(counter, reason, Subject::default());
+/// Counts an event without a subject; see [`count_event_for`].
+pub fn count_event(counter: &'static str, reason: &str) {
+    count_event_for(counter, reason, EventSubject::default());
 }
 
 /// Counts an event, and logs it with its subject when the count reaches a power of two. The log is limited in
 /// this way so that a peer that repeats an error cannot flood it or overload the thread that writes it.
-pub fn note_of(counter: &'static str, reason: &str, subject: Subject<'_>) {
+pub fn count_event_for(counter: &'static str, reason: &str, subject: EventSubject<'_>) {
     let mut counts = COUNTS.lock().unwrap_or_else(PoisonError::into_inner);
     let count = counts.entry(counter).or_default();
     *count += 1;
     if count.is_power_of_two() {
-        let Subject { worker, class, peer } = subject;
+        let EventSubject { worker, class, peer } = subject;
         tracing::warn!(count, reason, worker, class, peer, "{counter}");
         if let Some(observer) = OBSERVER.get() {
             observer(counter, *count);
@@ -68,7 +68,7 @@
         let holds: bool = $holds;
         debug_assert!(holds, $invariant);
         if !holds {
-            $crate::invariant::broken($invariant);
+            $crate::invariant::count_violation($invariant);
         }
     };
 }
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -64,14 +64,14 @@
 
 impl ClientPresence {
     /// Creates a check from a function that returns whether the client has disconnected.
-    pub fn new(is_gone: impl Fn() -> bool + Send + Sync + 'static) -> ClientPresence {
-        ClientPresence(Some(Arc::new(is_gone)))
+    pub fn new(has_disconnected: impl Fn() -> bool + Send + Sync + 'static) -> ClientPresence {
+        ClientPresence(Some(Arc::new(has_disconnected)))
     }
 
     /// Whether the client has disconnected. It does not block. An upstream calls it in the same step in which
     /// it writes, after [`DispatchControl::permits_write`], and only if that returned true.
-    pub fn is_gone(&self) -> bool {
-        self.0.as_ref().is_some_and(|is_gone| is_gone())
+    pub fn has_disconnected(&self) -> bool {
+        self.0.as_ref().is_some_and(|has_disconnected| has_disconnected())
     }
 }
 
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -68,7 +68,7 @@
     polls_endpoints: bool,
     inner: Mutex<Inner>,
     recorder: Arc<EventRecorder>,
-    subscription_requested: Notify,
+    list_requested: Notify,
     load_query_requested: Notify,
 }
 
@@ -94,7 +94,7 @@
             polls_endpoints,
             inner: Mutex::new(inner),
             recorder,
-            subscription_requested: Notify::new(),
+            list_requested: Notify::new(),
             load_query_requested: Notify::new(),
         })
     }
@@ -128,7 +128,7 @@
             Action::Fail { request } => inner.deliver(request, RequestEvent::Fail),
             Action::Cancel { request, attempt } => inner.deliver(request, RequestEvent::Cancel { attempt }),
             Action::StartTimer { after, timer } => self.start_timer(after, timer),
-            Action::Subscribe => self.subscription_requested.notify_one(),
+            Action::Subscribe => self.list_requested.notify_one(),
             Action::QueryLoad { worker } => {
                 inner.pending_load_queries.push_back(worker);
                 self.load_query_requested.notify_one();
@@ -205,8 +205,8 @@
     }
 
     /// Waits until the policy requests a subscription to the endpoint list.
-    pub async fn subscription_requested(&self) {
-        self.subscription_requested.notified().await;
+    pub async fn list_requested(&self) {
+        self.list_requested.notified().await;
     }
 
     /// Waits until the policy requests a load query, and returns the worker to query. Only one task may call
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -18,7 +18,7 @@
 use crate::context::ProxyContext;
 use crate::event_recorder::rejection_name;
 use crate::invariant;
-use crate::invariant::{Subject, note_of};
+use crate::invariant::{EventSubject, count_event_for};
 use crate::messages::{
     AdmissionRequest, AttemptCompletion, AttemptTarget, CancellationOutcome, DispatchControl, DispatchResult,
     FinalResponse, RequestEvent, UpstreamRequest, WorkerEvent,
@@ -206,9 +206,11 @@
     fn reject(&mut self, retry_after: Micros, reason: &Rejection) {
         debug!(reason = rejection_name(reason), "request rejected");
         if *reason == Rejection::NoEligibleWorker {
-            let subject =
-                Subject { class: Some(class_name(&self.context, &self.request)), ..Subject::default() };
-            note_of("no worker is eligible", "the request was rejected", subject);
+            let subject = EventSubject {
+                class: Some(class_name(&self.context, &self.request)),
+                ..EventSubject::default()
+            };
+            count_event_for("no worker is eligible", "the request was rejected", subject);
         }
         self.respond(FinalResponse::Rejected { retry_after });
     }
@@ -354,7 +356,11 @@
         let worker_name = self.context.upstream.worker_name(worker);
         debug!(attempt = number, worker = &*worker_name, ?outcome, elapsed_us = elapsed, "attempt ended");
         if let Some(counter) = failure_counter(outcome) {
-            note_of(counter, &format!("after {} ms", elapsed / 1_000), self.counter_subject(&worker_name));
+            count_event_for(
+                counter,
+                &format!("after {} ms", elapsed / 1_000),
+                self.counter_subject(&worker_name),
+            );
         }
         if outcome == Outcome::Served {
             self.respond(FinalResponse::Served(result.unwrap_or_default()));
@@ -420,12 +426,16 @@
         } else {
             let worker_name = self.context.upstream.worker_name(attempt.target.worker);
             let subject = self.counter_subject(&worker_name);
-            note_of("a cancellation was not acknowledged", "the worker may still run the attempt", subject);
+            count_event_for(
+                "a cancellation was not acknowledged",
+                "the worker may still run the attempt",
+                subject,
+            );
         }
     }
 
-    fn counter_subject<'a>(&'a self, worker_name: &'a str) -> Subject<'a> {
-        Subject {
+    fn counter_subject<'a>(&'a self, worker_name: &'a str) -> EventSubject<'a> {
+        EventSubject {
             worker: Some(worker_name),
             class: Some(class_name(&self.context, &self.request)),
             peer: None,
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use tokio::time::Instant;
 
-use crate::invariant::{Subject, note_of};
+use crate::invariant::{EventSubject, count_event_for};
 use crate::upstream::http::guarded_body::GuardedBody;
 use crate::upstream::http::limits::{idle_timeout, max_idle_per_worker};
 use crate::upstream::http::request::is_retryable_at_any_worker;
@@ -122,8 +122,8 @@
             ConnectionUse::Broken if previous_use.is_some() => {
                 reuse.suspended_until = Some(now + Duration::from_micros(REUSE_SUSPENSION));
                 let worker_address = remote_address(connection).map(|address| address.to_string());
-                let subject = Subject { peer: worker_address.as_deref(), ..Subject::default() };
-                note_of(
+                let subject = EventSubject { peer: worker_address.as_deref(), ..EventSubject::default() };
+                count_event_for(
                     "a reused connection broke under its request",
                     "requests that cannot be retried at every worker are sent on new connections",
                     subject,
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -37,7 +37,7 @@
         self.control.permits_write()
             && Instant::now() < self.write_deadline
             && self.endpoints.serving_address(self.worker).is_some_and(|address| address == self.address)
-            && !self.client.is_gone()
+            && !self.client.has_disconnected()
     }
 
     /// Checks, in the step that writes the attempt, whether it may be written, and records the result.
--- a/crates/proxy/tests/interfaces.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -113,7 +113,7 @@
             }
         })
     }
-    fn busy(&self) -> usize {
+    fn active_requests(&self) -> usize {
         self.busy.load(Ordering::Relaxed)
     }
 }
@@ -327,13 +327,13 @@
         responses.push(response);
     }
     settle().await;
-    assert_eq!(downstream.busy(), 2);
+    assert_eq!(downstream.active_requests(), 2);
     proxy.call_back(1, WorkerId(0), served());
     proxy.call_back(2, WorkerId(0), WorkerEvent::Completed(Outcome::Rejected.into()));
     settle().await;
     // `refused` is the name of a rejection in logs and in the event log.
     assert_eq!((responses.remove(0).await, responses.remove(0).await), (Ok("served"), Ok("refused")));
-    assert_eq!(downstream.busy(), 0);
+    assert_eq!(downstream.active_requests(), 0);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/proxy/tests/unit/invariant.rs
+++ b/crates/proxy/tests/unit/invariant.rs
@@ -1,9 +1,9 @@
 //! Unit tests of `invariant`.
 #[test]
-fn a_broken_invariant_panics_in_debug_builds_and_is_counted_in_release_builds() {
-    let broken = std::panic::catch_unwind(|| {
+fn a_violated_invariant_panics_in_debug_builds_and_is_counted_in_release_builds() {
+    let result = std::panic::catch_unwind(|| {
         invariant!(1 + 1 == 3, "sums hold");
     });
     let counted = super::counts().contains(&("sums hold", 1));
-    assert!(broken.is_err() == cfg!(debug_assertions) && counted != cfg!(debug_assertions));
+    assert!(result.is_err() == cfg!(debug_assertions) && counted != cfg!(debug_assertions));
 }
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -139,8 +139,8 @@
 pub(crate) fn status_page(member: &MembershipTransport) -> StatusPage {
     let view = member.view_reader();
     // The view consists of names and numbers, which always serialize.
-    let json = move || serde_json::to_string(&view()).unwrap_or_default();
-    StatusPage { path: STATUS_PATH, json: Arc::new(json) }
+    let render_json = move || serde_json::to_string(&view()).unwrap_or_default();
+    StatusPage { path: STATUS_PATH, render_json: Arc::new(render_json) }
 }
 
 /// Waits until the threads of a leaving member have ended, and logs its counts of packets and errors.
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -6,7 +6,7 @@
 use copperspread_event_log::{EventKind, RequestCounts};
 #[cfg(feature = "standalone")]
 use copperspread_membership_transport::MembershipTransport;
-use copperspread_proxy::assembly::{AssembledProxy, assemble_with};
+use copperspread_proxy::assembly::{AssembledProxy, assemble_with_status_pages};
 use copperspread_proxy::downstream::Downstream;
 use copperspread_proxy::downstream::request_totals::RequestTotals;
 use copperspread_proxy::invariant;
@@ -45,7 +45,7 @@
         let status_pages: Vec<_> = member.iter().map(crate::membership::status_page).collect();
         #[cfg(not(feature = "standalone"))]
         let status_pages = [];
-        let proxy = assemble_with(startup, Box::new(policy), recorder, &status_pages)
+        let proxy = assemble_with_status_pages(startup, Box::new(policy), recorder, &status_pages)
             .await
             .map_err(|error| StartError::Proxy(error.into()))?;
         record_start(&proxy, startup, recorder);
--- a/crates/scheduler/tests/outer_names/macros.rs
+++ b/crates/scheduler/tests/outer_names/macros.rs
@@ -4,7 +4,7 @@
 
 const LOG_MACROS: [&str; 7] = ["trace", "debug", "info", "warn", "error", "debug_span", "info_span"];
 /// What counts an event under a name that stands in the call.
-const COUNTERS: [&str; 4] = ["note", "note_of", "broken", "invariant"];
+const COUNTERS: [&str; 4] = ["count_event", "count_event_for", "count_violation", "invariant"];
 
 /// The message and the fields of each log line; the message is absent where it is not constant.
 pub(crate) fn log_lines(tokens: &[Token]) -> Vec<(Option<String>, Vec<String>)> {
