--- a/crates/config/src/startup.rs
+++ b/crates/config/src/startup.rs
@@ -71,7 +71,7 @@
             idempotency: classes.iter().map(|class| class.idempotency).collect(),
             tenants: Vec::new(),
             zones: self.zones.names.clone(),
-            kinds,
+            worker_kinds: kinds,
             connect_timeout: self.back.http.connect_within.0,
             keep_alive_timeout: self.back.http.keep_idle.0,
             sends_retry_after: true,
--- a/crates/event-log/src/batch_writer.rs
+++ b/crates/event-log/src/batch_writer.rs
@@ -89,7 +89,7 @@
 
     /// Counts the lost records of a failed batch. Only the 1st, 2nd, 4th, 8th, ... failure is logged.
     fn count_failure(&mut self, count: u64, error: &EventLogError) {
-        self.counts.add_failed(count);
+        self.counts.add_lost(count);
         self.failures += 1;
         if self.failures.is_power_of_two() {
             let file = self.config.path.display();
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -14,7 +14,7 @@
     /// Records that were dropped because the queue was full or the writing thread had ended.
     pub dropped: u64,
     /// Records that were lost because the file could not be written.
-    pub failed: u64,
+    pub lost: u64,
 }
 
 /// The shared counters behind [`RecordCounts`]. The recorder counts dropped records, the batch writer the
@@ -23,7 +23,7 @@
 pub(crate) struct SharedCounts {
     written: AtomicU64,
     dropped: AtomicU64,
-    failed: AtomicU64,
+    lost: AtomicU64,
 }
 
 impl SharedCounts {
@@ -31,8 +31,8 @@
         self.written.fetch_add(count, Ordering::Relaxed);
     }
 
-    pub(crate) fn add_failed(&self, count: u64) {
-        self.failed.fetch_add(count, Ordering::Relaxed);
+    pub(crate) fn add_lost(&self, count: u64) {
+        self.lost.fetch_add(count, Ordering::Relaxed);
     }
 
     fn add_dropped(&self) {
@@ -43,7 +43,7 @@
         RecordCounts {
             written: self.written.load(Ordering::Relaxed),
             dropped: self.dropped.load(Ordering::Relaxed),
-            failed: self.failed.load(Ordering::Relaxed),
+            lost: self.lost.load(Ordering::Relaxed),
         }
     }
 }
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -18,12 +18,12 @@
 
 /// Handle to the thread that writes the log file. The thread ends once the recorder is closed, or dropped
 /// with all its clones.
-pub struct Writer {
+pub struct WriterHandle {
     /// A channel without messages that is disconnected when the thread ends.
     ended: Receiver<()>,
 }
 
-impl Writer {
+impl WriterHandle {
     /// Waits until all queued records are processed, but at most `max_wait`, as a disk may hang. Returns
     /// whether they were. Call it after [`Recorder::close`].
     pub fn finish(self, max_wait: Duration) -> bool {
@@ -31,21 +31,21 @@
     }
 }
 
-/// Starts the thread that opens the log file and writes to it; [`Writer`] tells when it ends. A disk that is
-/// full, fails or hangs does not prevent the start: the thread keeps trying to open the file.
+/// Starts the thread that opens the log file and writes to it; [`WriterHandle`] tells when it ends. A disk that
+/// is full, fails or hangs does not prevent the start: the thread keeps trying to open the file.
 ///
 /// # Errors
 /// [`EventLogError`] if the thread cannot be started, or if within a second the file turns out to be locked
 /// by another process or impossible to open, except because the disk is full or fails. A later error is only
 /// logged.
-pub fn start_writer(config: EventLogConfig) -> Result<(Recorder, Writer), EventLogError> {
+pub fn start_writer(config: EventLogConfig) -> Result<(Recorder, WriterHandle), EventLogError> {
     start_writer_on(Box::new(SystemFiles), config)
 }
 
 pub(crate) fn start_writer_on(
     files: Box<dyn FileSystem>,
     config: EventLogConfig,
-) -> Result<(Recorder, Writer), EventLogError> {
+) -> Result<(Recorder, WriterHandle), EventLogError> {
     let counts = Arc::new(SharedCounts::default());
     let (recorder, queue) = Recorder::new(config.queue_capacity, Arc::clone(&counts));
     let (end_sender, ended) = sync_channel::<()>(0);
@@ -64,7 +64,7 @@
         Ok(result) => result?,
         Err(_) => tracing::warn!("the event log's disk does not answer yet"),
     }
-    Ok((recorder, Writer { ended }))
+    Ok((recorder, WriterHandle { ended }))
 }
 
 /// The open file, or `None` if the disk is full or fails.
--- a/crates/event-log/tests/unit/batch_writer.rs
+++ b/crates/event-log/tests/unit/batch_writer.rs
@@ -263,7 +263,7 @@
             thread::sleep(BATCH_DELAY);
         }
     };
-    record_until(&|| recorder.counts().failed > 0);
+    record_until(&|| recorder.counts().lost > 0);
     files.clear();
     record_until(&|| recorder.counts().written > 0);
     recorder.close();
@@ -273,7 +273,7 @@
         let (number, line) = line.expect("reading from memory succeeds");
         summary.add(number, &line);
     }
-    assert_eq!(summary.runs[0].missing(), recorder.counts().failed);
+    assert_eq!(summary.runs[0].missing(), recorder.counts().lost);
 }
 
 #[test]
--- a/crates/event-log/tests/writer.rs
+++ b/crates/event-log/tests/writer.rs
@@ -10,7 +10,7 @@
 use copperspread_event_log::reader::Line;
 use copperspread_event_log::stream_summary::StreamSummary;
 use copperspread_event_log::writer::{
-    EventLogConfig, RecordCounts, Recorder, Writer, rotated_path, start_writer,
+    EventLogConfig, RecordCounts, Recorder, WriterHandle, rotated_path, start_writer,
 };
 use copperspread_event_log::{EventKind, Record};
 use support::{counter_event, lines};
@@ -48,7 +48,7 @@
 /// Longest wait for queued records to be written.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-fn finish(recorder: &Recorder, writer: Writer) -> RecordCounts {
+fn finish(recorder: &Recorder, writer: WriterHandle) -> RecordCounts {
     recorder.close();
     assert!(writer.finish(MAX_WAIT), "not all queued records were written within the time limit");
     recorder.counts()
@@ -74,7 +74,7 @@
             recorder.record(counter_event(count));
         }
         recorder.record(EventKind::RunEnded { requests_left: 0, requests: None });
-        assert_eq!(finish(&recorder, writer), RecordCounts { written: 502, dropped: 0, failed: 0 });
+        assert_eq!(finish(&recorder, writer), RecordCounts { written: 502, dropped: 0, lost: 0 });
         recorder.record(counter_event(0));
     }
     let summary = summarize(&directory.config(0, 0).path);
@@ -121,7 +121,7 @@
     }
     recorder.record(counter_event(77_777));
     let bytes = reading.join().expect("the reading thread ends without a panic");
-    assert!(finish(&recorder, writer).failed == 0);
+    assert!(finish(&recorder, writer).lost == 0);
     let mut summary = StreamSummary::default();
     let lines = lines(&bytes);
     lines.iter().enumerate().for_each(|(number, line)| summary.add(number as u64 + 1, line));
@@ -158,7 +158,7 @@
     let (recorder, writer) = start_writer(config.clone()).expect("the writer starts on /dev/full");
     (0..100).for_each(|count| recorder.record(counter_event(count)));
     let start = Instant::now();
-    while recorder.counts().failed < 100 {
+    while recorder.counts().lost < 100 {
         assert!(start.elapsed() < Duration::from_secs(10), "{:?}", recorder.counts());
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -167,7 +167,7 @@
     record_until_written(&recorder);
     let counts = finish(&recorder, writer);
     let summary = summarize(&config.path);
-    assert_eq!(summary.runs[0].missing(), counts.failed);
+    assert_eq!(summary.runs[0].missing(), counts.lost);
     assert_eq!(summary.runs[0].records_by_kind["limit"], counts.written);
     assert!(summary.runs[0].records_by_kind["gap"] >= 1 && summary.invalid_line_count == 0);
 }
@@ -180,7 +180,7 @@
     record_until_written(&recorder);
     fs::remove_dir_all(&directory.0).expect("the directory can be removed");
     let start = Instant::now();
-    while recorder.counts().failed == 0 {
+    while recorder.counts().lost == 0 {
         assert!(start.elapsed() < Duration::from_secs(10), "the removed file was not noticed");
         recorder.record(counter_event(1));
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use copperspread_dispatcher::{Endpoint, Micros, WorkerId, WorkerState};
-use copperspread_settings::{EndpointList, EndpointPhase, EndpointRecord, ProxySettings, name_key};
+use copperspread_settings::{EndpointList, EndpointPhase, EndpointRecord, ProxySettings, name_hash};
 use http::uri::Authority;
 
 use crate::clock::ClockReading;
@@ -105,7 +105,7 @@
             },
             started_at: start.map(|start| start.estimated),
             size: record.size,
-            hash_key: name_key(&record.id),
+            hash_key: name_hash(&record.id),
         }
     }
 
@@ -135,7 +135,7 @@
             revision: 0,
             ids: NameIndex::default(),
             zones: NameIndex::from_names(&settings.zones),
-            kinds: NameIndex::from_names(&settings.kinds),
+            kinds: NameIndex::from_names(&settings.worker_kinds),
             entries: Vec::new(),
             starts: WorkerStarts::default(),
         };
--- a/crates/proxy/tests/interfaces.rs
+++ b/crates/proxy/tests/interfaces.rs
@@ -163,7 +163,7 @@
             idempotency: CLASSES.to_vec(),
             tenants: Vec::new(),
             zones: Vec::new(),
-            kinds: Vec::new(),
+            worker_kinds: Vec::new(),
             connect_timeout: SECOND,
             keep_alive_timeout: SECOND,
             sends_retry_after: false,
--- a/crates/proxy/tests/worker_starts.rs
+++ b/crates/proxy/tests/worker_starts.rs
@@ -19,7 +19,7 @@
         idempotency: Vec::new(),
         tenants: Vec::new(),
         zones: Vec::new(),
-        kinds: Vec::new(),
+        worker_kinds: Vec::new(),
         connect_timeout: SECOND,
         keep_alive_timeout: SECOND,
         sends_retry_after: false,
--- a/crates/scheduler/src/serve/event_log.rs
+++ b/crates/scheduler/src/serve/event_log.rs
@@ -2,7 +2,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use copperspread_event_log::writer::{self, EventLogConfig, RecordCounts, Recorder, Writer};
+use copperspread_event_log::writer::{self, EventLogConfig, RecordCounts, Recorder, WriterHandle};
 use tracing::info;
 
 use super::error::StartError;
@@ -16,7 +16,7 @@
 /// The event log of a run; it records nothing if none is configured.
 pub(super) struct EventLog {
     recorder: Recorder,
-    writer: Option<Writer>,
+    writer: Option<WriterHandle>,
 }
 
 /// Returns the settings of an event log whose file is named on the command line.
@@ -55,8 +55,8 @@
         let Some(writer) = self.writer else { return };
         self.recorder.close();
         let is_complete = writer.finish(timeout);
-        // `lost` is the name of a log field and must not change.
-        let RecordCounts { written, dropped, failed: lost } = self.recorder.counts();
+        // The counts are logged under the names of these fields, which must not change.
+        let RecordCounts { written, dropped, lost } = self.recorder.counts();
         info!(written, dropped, lost, is_complete, "event log closed");
     }
 }
--- a/crates/settings/src/endpoints.rs
+++ b/crates/settings/src/endpoints.rs
@@ -49,7 +49,7 @@
 }
 
 /// Computes the FNV-1a hash of a worker's name, which is the same on every machine.
-pub fn name_key(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(name.as_bytes());
     hasher.finish()
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,6 +8,6 @@
 pub mod platform;
 mod startup;
 
-pub use endpoints::{EndpointList, EndpointPhase, EndpointRecord, name_key};
+pub use endpoints::{EndpointList, EndpointPhase, EndpointRecord, name_hash};
 pub use error::ReadError;
 pub use startup::{DiscoveryConfig, ProxySettings, SchedulerSettings, StartupConfig};
--- a/crates/settings/src/platform/settings.rs
+++ b/crates/settings/src/platform/settings.rs
@@ -133,7 +133,7 @@
         idempotency: dispatch.classes.iter().map(|class| class.idempotency).collect(),
         tenants: read_names(settings, "tenants")?,
         zones: read_names(settings, "zones")?,
-        kinds: read_names(settings, "kinds")?,
+        worker_kinds: read_names(settings, "kinds")?,
         connect_timeout: dispatch.connect_timeout,
         keep_alive_timeout: seconds_as_micros(permissions, "keepalive_s")?
             .unwrap_or(micros_from_seconds(DEFAULT_KEEP_ALIVE_TIMEOUT_SECONDS)),
--- a/crates/settings/src/startup.rs
+++ b/crates/settings/src/startup.rs
@@ -76,7 +76,7 @@
     /// The zones' names, by index.
     pub zones: Vec<String>,
     /// The names of the worker kinds, by index.
-    pub kinds: Vec<String>,
+    pub worker_kinds: Vec<String>,
     /// The time after which a connection that is not established counts as failed.
     pub connect_timeout: Micros,
     /// The idle time after which workers close a connection.
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -4,7 +4,7 @@
     RequestId, WorkerState,
 };
 use copperspread_settings::json::micros_from_seconds;
-use copperspread_settings::name_key;
+use copperspread_settings::name_hash;
 
 use crate::cookie::{parse_request_id, parse_timer};
 use crate::error::{HandleError, MessageError, SkipReason};
@@ -59,7 +59,7 @@
         state: worker_state(&listed.status)?,
         started_at: listed.online_since_s.map(micros_from_seconds).filter(|&at| at > 0),
         size: listed.nominal,
-        hash_key: name_key(&listed.executor),
+        hash_key: name_hash(&listed.executor),
     })
 }
 
