--- a/crates/dispatcher/src/policy/figures.rs
+++ b/crates/dispatcher/src/policy/constants.rs
@@ -19,5 +19,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/figures.rs"]
+#[path = "../../tests/unit/constants.rs"]
 mod tests;
--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -2,13 +2,13 @@
 use super::admission::AdmissionController;
 use super::admission::FleetLoad;
 use super::affinity::AffinityRules;
+use super::constants::MAX_VALID_VALUE;
+use super::constants::REFRESH_INTERVAL;
+use super::constants::validated;
 use super::endpoint_subscription::EndpointSubscription;
 use super::estimates::EstimatedWorker;
 use super::estimates::TimeLimits;
 use super::estimates::WorkerEstimates;
-use super::figures::MAX_VALID_VALUE;
-use super::figures::REFRESH_INTERVAL;
-use super::figures::validated;
 use super::hedging::HedgeBudget;
 use super::hedging::hedge_delay;
 use super::late_retries::LateRetries;
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -1,8 +1,8 @@
 //! Listed load: the load that all dispatchers put on a worker, derived from its listed size where that size
 //! decreases with load.
 use super::average::move_average;
-use super::figures::MAX_VALID_VALUE;
-use super::figures::validated;
+use super::constants::MAX_VALID_VALUE;
+use super::constants::validated;
 use super::remote_slots::RemoteSlots;
 use crate::Micros;
 use crate::time::to_seconds;
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -1,8 +1,8 @@
 //! Load reports: the fleet utilization and the load of other dispatchers, as the workers report them.
 use super::average::AverageRatio;
 use super::average::move_average;
-use super::figures::MAX_VALID_VALUE;
-use super::figures::SLOW_GAIN;
+use super::constants::MAX_VALID_VALUE;
+use super::constants::SLOW_GAIN;
 use super::remote_slots::RemoteSlots;
 use crate::LoadReport;
 use crate::Micros;
--- a/crates/dispatcher/src/policy/mod.rs
+++ b/crates/dispatcher/src/policy/mod.rs
@@ -10,10 +10,10 @@
 mod admission;
 mod affinity;
 mod average;
+mod constants;
 mod dispatcher;
 mod endpoint_subscription;
 mod estimates;
-mod figures;
 mod hedging;
 mod late_retries;
 mod listed_load;
--- a/crates/dispatcher/src/policy/offered_load.rs
+++ b/crates/dispatcher/src/policy/offered_load.rs
@@ -1,7 +1,7 @@
 //! Offered load: the mean load and the mean slots of the requests that arrive at this dispatcher.
 use super::average::move_average;
-use super::figures::GROUP_GAIN;
-use super::figures::SLOW_GAIN;
+use super::constants::GROUP_GAIN;
+use super::constants::SLOW_GAIN;
 
 /// Moving averages of the load and the slots of the offered requests.
 #[derive(Clone, Debug)]
--- a/crates/dispatcher/src/policy/outlier_detection.rs
+++ b/crates/dispatcher/src/policy/outlier_detection.rs
@@ -1,6 +1,6 @@
 //! Outlier detection: workers whose attempts fail get a worse rank, but are never ejected.
 use super::average::move_average;
-use super::figures::SLOW_GAIN;
+use super::constants::SLOW_GAIN;
 use super::request::Attempt;
 use crate::Micros;
 use crate::Outcome;
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -4,10 +4,10 @@
 //! attempt of the request. Its rank follows from the service-time estimate, the cross-zone cost, the affinity
 //! and the failure rates; a worker that is warming up must also have slow-start budget left.
 use super::affinity::AffinityRules;
+use super::constants::REFRESH_INTERVAL;
 use super::estimates::EstimatedWorker;
 use super::estimates::TimeLimits;
 use super::estimates::WorkerEstimates;
-use super::figures::REFRESH_INTERVAL;
 use super::outlier_detection::OutlierDetector;
 use super::request::Request;
 use super::slow_start::SlowStartBudgets;
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -2,8 +2,8 @@
 use super::average::LogAverage;
 use super::average::move_average;
 use super::average::weighted_mean;
-use super::figures::GROUP_GAIN;
-use super::figures::SLOW_GAIN;
+use super::constants::GROUP_GAIN;
+use super::constants::SLOW_GAIN;
 use super::remote_slots::RemoteSlots;
 use crate::Micros;
 use crate::RequestClass;
--- a/crates/dispatcher/tests/module_dependencies.rs
+++ b/crates/dispatcher/tests/module_dependencies.rs
@@ -135,6 +135,6 @@
 
 #[test]
 fn modules_used_in_imports_and_in_code_are_found() {
-    let source = "use super::figures::GROUP_GAIN;\nlet x = crate::policy::worker::X + super::affinity::Y;";
-    assert_eq!(used_modules(source).into_iter().collect::<Vec<_>>(), ["affinity", "figures", "worker"]);
+    let source = "use super::constants::GROUP_GAIN;\nlet x = crate::policy::worker::X + super::affinity::Y;";
+    assert_eq!(used_modules(source).into_iter().collect::<Vec<_>>(), ["affinity", "constants", "worker"]);
 }
