--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -7,7 +7,7 @@
 /// Longest time, in microseconds, from the decision to send an attempt until its request is written, in
 /// addition to [`Settings::connect_timeout`](crate::Settings::connect_timeout). Half of it may pass before
 /// the caller starts to dispatch, the other half between the established connection and the write.
-pub const DISPATCH_SLACK: Micros = 50_000;
+pub const MAX_DISPATCH_DELAY: Micros = 50_000;
 
 /// The reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// No worker is eligible for the request.
     NoEligibleWorker,
     /// The service-time estimate at the lowest ranked worker exceeds the time left by this much.
-    TooLate(Micros),
+    WouldBeLate(Micros),
     /// The request has used all its attempts, or its class allows no further one.
     AttemptsExhausted,
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -53,7 +53,7 @@
 mod settings;
 mod time;
 
-pub use actions::{Action, DISPATCH_SLACK, Rejection};
+pub use actions::{Action, MAX_DISPATCH_DELAY, Rejection};
 pub use endpoints::{Endpoint, EndpointUpdate, EndpointUpdateKind, WorkerId, WorkerState};
 pub use events::{AttemptOutcome, Event, Progress, Timer};
 pub use outcomes::{LoadReport, Outcome};
--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -37,7 +37,7 @@
             return None;
         }
         self.is_polling = true;
-        let max = MAX_FIRST_POLL_DELAY.min(settings.poll_within / 2);
+        let max = MAX_FIRST_POLL_DELAY.min(settings.max_poll_interval / 2);
         let spread = (FIRST_POLL_SPREAD * Micros::from(settings.fleet_size)).min(max);
         Some(rng.u64(0..=spread))
     }
@@ -57,7 +57,7 @@
             return None;
         }
         let doubled = POLL_BACKOFF_INITIAL << self.failed_polls.min(MAX_POLL_BACKOFF_DOUBLINGS);
-        let max = doubled.min(POLL_BACKOFF_MAX).min(settings.poll_within);
+        let max = doubled.min(POLL_BACKOFF_MAX).min(settings.max_poll_interval);
         self.failed_polls += 1;
         self.is_polling = true;
         Some(max / 2 + rng.u64(0..=max / 2))
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -3,9 +3,9 @@
 use super::request::Attempt;
 use super::request::MAX_TRACKED_ATTEMPTS;
 use super::request::Request;
-use crate::DISPATCH_SLACK;
 use crate::Idempotency;
 use crate::KeyScope;
+use crate::MAX_DISPATCH_DELAY;
 use crate::Micros;
 use crate::Settings;
 
@@ -37,7 +37,7 @@
         }
         // After the window, workers have discarded the idempotency key and would run the request again. The
         // window starts at the first attempt that may have run, and the retry must be written before it ends.
-        let written_by = now.saturating_add(self.settings.connect_timeout).saturating_add(DISPATCH_SLACK);
+        let written_by = now.saturating_add(self.settings.connect_timeout).saturating_add(MAX_DISPATCH_DELAY);
         self.is_repeatable(request, |_, window, first| written_by < first.sent_at.saturating_add(window))
     }
 
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -109,7 +109,11 @@
             return Ok(index);
         }
         let retry_after = from_seconds(excess_seconds);
-        Err(NotAdmitted { retry_after, reason: Rejection::TooLate(retry_after), late_worker: Some(index) })
+        Err(NotAdmitted {
+            retry_after,
+            reason: Rejection::WouldBeLate(retry_after),
+            late_worker: Some(index),
+        })
     }
 
     fn lowest_ranked(&mut self, now: Micros, request: &Request) -> Option<Candidate> {
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -32,7 +32,7 @@
     pub discovery: Discovery,
     /// Longest time without a subscription or a poll: once it is over, the dispatcher counts as notified of
     /// the endpoints listed at that moment.
-    pub poll_within: Micros,
+    pub max_poll_interval: Micros,
     /// Least fraction of its capacity that a worker has at its start, above 0 and up to 1.
     pub slow_start_initial_capacity: f64,
     /// Longest time from a worker's start to its full capacity.
@@ -75,7 +75,7 @@
             over_quota_weight: 1.0,
             weight_by_work: false,
             discovery: Discovery::Pushed,
-            poll_within: 10 * SECOND,
+            max_poll_interval: 10 * SECOND,
             slow_start_initial_capacity: 0.1,
             slow_start_duration: 10 * SECOND,
             overload_multiple: 1.0,
@@ -100,13 +100,13 @@
     /// The first problem found.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
-            return Err(SettingsError::NoClass);
+            return Err(SettingsError::NoRequestClass);
         }
         if self.fleet_size == 0 {
-            return Err(SettingsError::NoDispatcher);
+            return Err(SettingsError::FleetSizeZero);
         }
         if self.max_attempts == 0 {
-            return Err(SettingsError::NoAttempt);
+            return Err(SettingsError::MaxAttemptsZero);
         }
         if !(self.slow_start_initial_capacity > 0.0 && self.slow_start_initial_capacity <= 1.0) {
             return Err(SettingsError::InitialCapacityOutOfRange);
@@ -137,11 +137,11 @@
 #[non_exhaustive]
 pub enum SettingsError {
     /// [`Settings::classes`] is empty.
-    NoClass,
+    NoRequestClass,
     /// [`Settings::fleet_size`] is 0.
-    NoDispatcher,
+    FleetSizeZero,
     /// [`Settings::max_attempts`] is 0.
-    NoAttempt,
+    MaxAttemptsZero,
     /// [`Settings::slow_start_initial_capacity`] is not in the range above 0 up to 1.
     InitialCapacityOutOfRange,
     /// [`Settings::overload_multiple`] is not positive or not finite.
@@ -159,9 +159,9 @@
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            SettingsError::NoClass => "settings: no request class",
-            SettingsError::NoDispatcher => "settings: a fleet of no dispatchers",
-            SettingsError::NoAttempt => "settings: the maximum number of attempts is 0",
+            SettingsError::NoRequestClass => "settings: no request class",
+            SettingsError::FleetSizeZero => "settings: a fleet of no dispatchers",
+            SettingsError::MaxAttemptsZero => "settings: the maximum number of attempts is 0",
             SettingsError::InitialCapacityOutOfRange => {
                 "settings: the initial capacity of slow start is not above 0 and at most 1"
             }
--- a/crates/dispatcher/tests/endpoint_updates.rs
+++ b/crates/dispatcher/tests/endpoint_updates.rs
@@ -40,15 +40,15 @@
         assert!((25..=80).contains(&count), "{count} in quarter {quarter}");
     }
     assert!(poll_delay(&polling_dispatcher(2, 1)).expect("the poll timer is started") < SECOND);
-    // The limit is half of `poll_within` if that is less than 3 s.
+    // The limit is half of `max_poll_interval` if that is less than 3 s.
     for seed in 0..200 {
-        let poll_within = 2 * SECOND;
+        let max_poll_interval = 2 * SECOND;
         let discovery = Discovery::Polled;
         let settings =
-            Settings { discovery, poll_within, fleet_size: 200, ..settings(Idempotency::Idempotent) };
+            Settings { discovery, max_poll_interval, fleet_size: 200, ..settings(Idempotency::Idempotent) };
         assert!(
             poll_delay(&Harness::seeded(settings, &[endpoint(0)], seed)).expect("the poll timer is started")
-                <= poll_within / 2
+                <= max_poll_interval / 2
         );
     }
 }
--- a/crates/dispatcher/tests/retry_invariants.rs
+++ b/crates/dispatcher/tests/retry_invariants.rs
@@ -2,7 +2,7 @@
 mod common;
 use common::{Harness, MS, endpoint, settings};
 use copperspread_dispatcher::{
-    Action, AttemptOutcome, DISPATCH_SLACK, Endpoint, EndpointUpdateKind, Event, Idempotency, KeyScope,
+    Action, AttemptOutcome, Endpoint, EndpointUpdateKind, Event, Idempotency, KeyScope, MAX_DISPATCH_DELAY,
     Micros, Outcome, RequestId, SECOND, Settings, Timer, WorkerState,
 };
 use std::collections::HashMap;
@@ -238,7 +238,7 @@
         match (self.idempotency, first) {
             (Idempotency::NonIdempotent, first) => assert!(first.is_none(), "seed {seed}: may run twice"),
             (Idempotency::IdempotentWithKey { scope, window }, Some(first)) => {
-                let written_by = now + CONNECT_TIMEOUT + DISPATCH_SLACK;
+                let written_by = now + CONNECT_TIMEOUT + MAX_DISPATCH_DELAY;
                 assert!(written_by <= first.sent_at + window, "seed {seed}: written after the key window");
                 let (first_endpoint, next_endpoint) =
                     (self.endpoints[first.worker as usize], self.endpoints[worker as usize]);
--- a/crates/dispatcher/tests/unit/endpoint_subscription.rs
+++ b/crates/dispatcher/tests/unit/endpoint_subscription.rs
@@ -25,7 +25,7 @@
         };
         assert!(first(&polled(1), &mut rng) <= 150_000);
         assert!(first(&polled(1_000), &mut rng) <= 3 * SECOND);
-        let short = Settings { poll_within: SECOND, ..polled(1_000) };
+        let short = Settings { max_poll_interval: SECOND, ..polled(1_000) };
         assert!(first(&short, &mut rng) <= SECOND / 2);
     }
 }
--- a/crates/dispatcher/tests/unit/retries.rs
+++ b/crates/dispatcher/tests/unit/retries.rs
@@ -1,6 +1,6 @@
 use super::RetryRules;
 use crate::policy::request::{Attempt, MAX_TRACKED_ATTEMPTS, Request};
-use crate::{DISPATCH_SLACK, Idempotency, KeyScope, Micros, RequestClass, SECOND, Settings};
+use crate::{Idempotency, KeyScope, MAX_DISPATCH_DELAY, Micros, RequestClass, SECOND, Settings};
 
 const WINDOW: Micros = 2 * SECOND;
 
@@ -48,7 +48,7 @@
 fn a_retry_with_an_idempotency_key_must_be_written_before_the_window_ends() {
     let mut settings = keyed(KeyScope::Cell);
     settings.connect_timeout = 100_000;
-    let last = SECOND + WINDOW - settings.connect_timeout - DISPATCH_SLACK;
+    let last = SECOND + WINDOW - settings.connect_timeout - MAX_DISPATCH_DELAY;
     assert!(rules(&settings).may_retry(last - 1, &request(&[COMPLETED])));
     assert!(!rules(&settings).may_retry(last, &request(&[COMPLETED])));
     assert!(
--- a/crates/proxy/src/event_recorder.rs
+++ b/crates/proxy/src/event_recorder.rs
@@ -33,7 +33,7 @@
         Rejection::Invalid => "invalid",
         Rejection::Overloaded => "scarce",
         Rejection::NoEligibleWorker => "no_worker",
-        Rejection::TooLate(_) => "late",
+        Rejection::WouldBeLate(_) => "late",
         Rejection::AttemptsExhausted => "spent",
     }
 }
@@ -116,7 +116,7 @@
             }
             Action::Reject { request, retry_after, reason } => {
                 let late_by_us = match reason {
-                    Rejection::TooLate(excess) => Some(*excess),
+                    Rejection::WouldBeLate(excess) => Some(*excess),
                     _ => None,
                 };
                 let reason = rejection_name(reason).into();
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use copperspread_dispatcher::{DISPATCH_SLACK, Idempotency, Micros, Outcome, SECOND};
+use copperspread_dispatcher::{Idempotency, MAX_DISPATCH_DELAY, Micros, Outcome, SECOND};
 use copperspread_settings::ProxySettings;
 use hyper::body::{Body, Incoming};
 use hyper::header::CONTENT_LENGTH;
@@ -36,7 +36,7 @@
 const CONNECT_RESERVE_DIVISOR: u32 = 4;
 /// How long after the time reserved for its connection has passed an attempt may still be written, in
 /// microseconds.
-const WRITE_SLACK: Micros = DISPATCH_SLACK;
+const WRITE_SLACK: Micros = MAX_DISPATCH_DELAY;
 /// How long to wait for the socket of an aborted attempt to be closed. The client library closes it in a
 /// separate task.
 const CLOSE_TIMEOUT: Micros = SECOND;
@@ -113,7 +113,7 @@
             endpoints,
             permits: Arc::new(Semaphore::new(max_dispatches(descriptor_limit))),
             connect_timeout: Duration::from_micros(settings.connect_timeout),
-            key_write_window: Duration::from_micros(settings.connect_timeout + DISPATCH_SLACK / 2),
+            key_write_window: Duration::from_micros(settings.connect_timeout + MAX_DISPATCH_DELAY / 2),
         }
     }
 
--- a/crates/settings/src/platform/settings.rs
+++ b/crates/settings/src/platform/settings.rs
@@ -98,7 +98,7 @@
         over_quota_weight: number(settings, "over_share_worth")?.unwrap_or(1.0),
         weight_by_work: text(settings, "worth_by")? == Some("work"),
         discovery: read_discovery(settings)?,
-        poll_within: seconds_as_micros(safety, "ask_within_s")?
+        max_poll_interval: seconds_as_micros(safety, "ask_within_s")?
             .unwrap_or(micros_from_seconds(DEFAULT_POLL_WITHIN_SECONDS)),
         slow_start_initial_capacity: required(safety, "cold_from", number)?,
         slow_start_duration: required(safety, "cold_s", seconds_as_micros)?,
