--- a/crates/settings/src/platform/settings.rs
+++ b/crates/settings/src/platform/settings.rs
@@ -98,7 +98,7 @@
         over_quota_weight: number(settings, "over_share_worth")?.unwrap_or(1.0),
         weight_by_work: text(settings, "worth_by")? == Some("work"),
         discovery: read_discovery(settings)?,
-        poll_within: seconds_as_micros(safety, "ask_within_s")?
+        max_poll_interval: seconds_as_micros(safety, "ask_within_s")?
             .unwrap_or(micros_from_seconds(DEFAULT_POLL_WITHIN_SECONDS)),
         slow_start_initial_capacity: required(safety, "cold_from", number)?,
         slow_start_duration: required(safety, "cold_s", seconds_as_micros)?,
@@ -133,7 +133,7 @@
         idempotency: dispatch.classes.iter().map(|class| class.idempotency).collect(),
         tenants: read_names(settings, "tenants")?,
         zones: read_names(settings, "zones")?,
-        kinds: read_names(settings, "kinds")?,
+        worker_kinds: read_names(settings, "kinds")?,
         connect_timeout: dispatch.connect_timeout,
         keep_alive_timeout: seconds_as_micros(permissions, "keepalive_s")?
             .unwrap_or(micros_from_seconds(DEFAULT_KEEP_ALIVE_TIMEOUT_SECONDS)),
