--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -5,8 +5,9 @@
 use crate::settings::Settings;
 use crate::time::{Micros, SECOND};
 
-/// The minimum time between `oldest` and `next_oldest`, and from `next_oldest` until it replaces `oldest`, so
-/// that a change of a clock's rate is detected and a clock that is back within the bound can be cleared.
+/// The minimum time from the sample `oldest` to the sample `next_oldest`, and from `next_oldest` to the
+/// sample at which `next_oldest` replaces `oldest`. Samples are replaced so that a change of a clock's rate
+/// is detected and a clock that is back within the bound can be cleared.
 const SAMPLE_WINDOW: Micros = 30 * SECOND;
 /// The duration that samples without a proven drift must cover before a clock counts as within the bound.
 const CLEARING_SPAN: Micros = SAMPLE_WINDOW / 6;
@@ -42,7 +43,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClockComparison {
     oldest: Option<ClockSample>,
-    /// The sample that replaces `oldest` once it is one window old.
+    /// The sample that replaces `oldest` once this sample is [`SAMPLE_WINDOW`] old.
     next_oldest: Option<ClockSample>,
     drift: Option<ClockDrift>,
 }
@@ -77,8 +78,8 @@
         match self.next_oldest {
             None if sample.sent_at - oldest.sent_at >= SAMPLE_WINDOW => self.next_oldest = Some(sample),
             Some(next) if sample.sent_at.saturating_sub(next.sent_at) >= SAMPLE_WINDOW => {
-                // Only the last window counts from here on: a drift that was proven earlier is cleared if
-                // this window proves none.
+                // A drift that was proven earlier is cleared if the samples since `next` prove none, because
+                // only these count from here on.
                 self.drift = prove_drift(settings, next, sample);
                 (self.oldest, self.next_oldest) = (Some(next), None);
             }
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -13,8 +13,8 @@
         /// The serialized message.
         bytes: Vec<u8>,
     },
-    /// Write to storage in the order of the tokens, and confirm with [`crate::Input::Persisted`] once it is
-    /// durable.
+    /// Write to storage in the order of the tokens, and confirm with [`crate::Input::Persisted`] once the
+    /// write is durable.
     Persist {
         /// The token of this write, which increases with each write.
         token: WriteToken,
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -14,7 +14,8 @@
 /// The number of appended proposals that are remembered at once; further proposals are not appended.
 const MAX_APPENDED_PROPOSALS: usize = 1_024;
 /// The number of other members that must have been heard from recently before their reports on the leader's
-/// clock count. A member of the membership list counts as heard from when it is added.
+/// clock count. A member that the leader knows only from the membership list counts as heard from at the time
+/// when the leader adds it.
 const MIN_CLOCK_REPORTERS: usize = 2;
 
 /// An activation that was appended to the log.
@@ -70,8 +71,8 @@
         self.quorum_reads.confirm(read_id, index);
     }
 
-    /// Grants a lease to every member whose request is confirmed by a quorum read, and records the grants
-    /// with `newest` as the newest version.
+    /// Grants a lease to every member whose request is confirmed by a quorum read, and records for each grant
+    /// that `newest` was the newest version at that time.
     pub(crate) fn grant_leases(
         &mut self,
         now: Micros,
@@ -120,8 +121,8 @@
         state: &ReplicatedState,
         settings: &Settings,
     ) -> Option<Version> {
-        // Before this wait has passed, a member may hold a lease of an earlier leader, which this leader does
-        // not know of.
+        // Waits for the lease expiry wait after the election, because until then a member may hold a lease of
+        // an earlier leader, of which this leader does not know.
         if now.saturating_sub(self.elected_at) < settings.lease_expiry_wait() {
             return None;
         }
@@ -142,8 +143,8 @@
     }
 
     /// Returns the members that are due an update, each with the newest version that it has reported, and
-    /// records the sending. First adds `known_members`, and removes members that have not been heard from
-    /// recently and cannot hold a lease.
+    /// records the time of sending. First adds `known_members`, and removes members that have not been heard
+    /// from recently and cannot hold a lease.
     pub(crate) fn take_members_to_update(
         &mut self,
         now: Micros,
@@ -192,7 +193,8 @@
     }
 }
 
-/// Whether an action last taken at `last` is due again, after the lease expiry wait.
+/// Whether an action is due: it was never taken (`last` is `None`), or more than the lease expiry wait has
+/// passed since it was taken at `last`.
 fn is_due(last: Option<Micros>, now: Micros, settings: &Settings) -> bool {
     last.is_none_or(|last| now.saturating_sub(last) > settings.lease_expiry_wait())
 }
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -38,10 +38,11 @@
     /// The restricted rules that apply without a lease.
     without_lease: Arc<R>,
     lease_expires_at: Micros,
-    /// Whether the clock is proven to drift beyond the clock bound, so that the expiry time is not reliable.
+    /// Whether the member's clock is proven to drift beyond the clock bound, so that the expiry time of the
+    /// lease is not reliable.
     is_clock_suspect: bool,
-    /// False only in tests that show that their search for conflicting decisions detects the missing lease
-    /// check.
+    /// False only in tests that disable the lease check, to show that their search finds the conflicting
+    /// decisions that result.
     checks_lease: bool,
 }
 
@@ -74,8 +75,8 @@
         }
     }
 
-    /// The basis of [`LeasedRules::effective_rules`] at the time `now`, for event logs and for tests that
-    /// search for conflicts.
+    /// The versions on which the rules returned by [`LeasedRules::effective_rules`] at the time `now` are
+    /// based, for event logs and for tests that search for conflicts.
     pub fn basis(&self, now: Micros) -> DecisionBasis {
         let has_lease = self.has_lease(now) || !self.checks_lease;
         if has_lease && self.versions.len() == 1 {
@@ -101,8 +102,9 @@
 
     /// Applies the leader's versions, from the one in force to the newest, and the documents of some of them.
     ///
-    /// Returns whether all of the versions that are not older than the version in force here are known now.
-    /// If a document is missing or damaged, nothing changes, and no lease may be based on this update.
+    /// Returns whether this member now knows all of these versions, apart from those older than the version
+    /// that it already knew to be in force. If a document is missing or damaged, nothing changes, and no
+    /// lease may be based on this update.
     pub(crate) fn apply_update(&mut self, versions: &[Version], documents: &[VersionedDocument]) -> bool {
         let (Some(&first), Some(&last)) = (versions.first(), versions.last()) else { return false };
         if self.is_outdated(first, last) {
@@ -151,8 +153,8 @@
         self.is_clock_suspect = is_suspect;
     }
 
-    /// Disables the lease check, so that a test can show that its search for conflicting decisions detects
-    /// the missing lease check.
+    /// Disables the lease check, so that a test can show that its search finds the conflicting decisions that
+    /// result.
     pub(crate) fn disable_lease_check(&mut self) {
         self.checks_lease = false;
     }
--- a/crates/consensus/src/member_progress.rs
+++ b/crates/consensus/src/member_progress.rs
@@ -8,7 +8,8 @@
 use crate::versioned_document::Version;
 
 /// Only members that were heard from within this window are sent updates and counted in clock comparisons. A
-/// member of the membership list counts as heard from when it is added.
+/// member that the leader knows only from the membership list counts as heard from at the time when the
+/// leader adds it.
 const RECENT_WINDOW: Micros = 5 * SECOND;
 
 /// One member's progress during one leader's term.
@@ -36,8 +37,9 @@
             self.in_force = self.in_force.max(request.in_force);
             self.newest = self.newest.max(request.newest);
         } else {
-            // The member has restarted and lost the versions and leases that it had. Keeping the earlier
-            // grants is safe; it only delays an activation.
+            // A new session means that the member has restarted and lost the versions and leases that it had.
+            // The records of earlier grants are kept, which is safe because they can only delay an
+            // activation.
             self.session = request.session;
             (self.in_force, self.newest) = (request.in_force, request.newest);
         }
@@ -93,13 +95,14 @@
         self.newest
     }
 
-    /// The drift of its clock against the leader's that the member has proven, if any.
+    /// The drift between the member's clock and the leader's that the member has proven, if any.
     pub(crate) fn drift(&self) -> Option<ClockDrift> {
         self.drift
     }
 }
 
-/// Whether a lease granted at `granted_at` may still hold by some clock within the clock bound.
+/// Whether a lease granted at `granted_at` may still hold by the clock of a member, if that clock is within
+/// the clock bound.
 fn may_be_leased(now: Micros, granted_at: Micros, settings: &Settings) -> bool {
     now.saturating_sub(granted_at) < settings.lease_expiry_wait()
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -65,8 +65,9 @@
     /// Creates a member without a lease, which follows the rules of its own configuration, restricted, until
     /// the first grant.
     ///
-    /// `seed` determines all its random numbers, and must differ for each start of each process: it also
-    /// determines the session number, by which responses to an earlier process are recognized.
+    /// `seed` determines all random numbers of the member. The seed must differ for each start of each
+    /// process, because it also determines the session number, by which responses to an earlier process are
+    /// recognized.
     ///
     /// # Errors
     /// Returns an error if the settings, the name, the initial rules or the stored state are invalid.
@@ -114,8 +115,8 @@
         })
     }
 
-    /// Disables the lease check in decisions, so that a test can show that its search for conflicting
-    /// decisions detects the missing lease check.
+    /// Disables the lease check in decisions, so that a test can show that its search finds the conflicting
+    /// decisions that result.
     #[doc(hidden)]
     pub fn without_lease_check(mut self) -> Node<R> {
         self.leased_rules.disable_lease_check();
--- a/crates/consensus/src/node/leader_duties.rs
+++ b/crates/consensus/src/node/leader_duties.rs
@@ -13,8 +13,8 @@
 impl<R: Rules> Node<R> {
     pub(super) fn run_leader_duties(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let (Some(leader), Role::Voting(voter)) = (&mut self.leader, &mut self.role) else { return };
-        // Before a leader has applied the entries of earlier terms, its state may look empty, and it would
-        // start an epoch.
+        // The leader waits until it has applied the entries of earlier terms, because before that its state
+        // may look empty, and it would start an epoch.
         if !voter.has_applied_own_term() {
             return;
         }
@@ -47,8 +47,8 @@
     }
 
     /// The command that starts the epoch after one that a member reports, if the reported epoch is later than
-    /// the leader's. The reported epoch is from before all voters lost their storage; its number came from a
-    /// generation that was read from a clock that was ahead.
+    /// the leader's. This happens if the reported epoch was started before all voters lost their storage, and
+    /// its number was taken from a voter's generation that was read from a clock that was ahead.
     fn epoch_command_after_lost_storage(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/node/lease_client.rs
+++ b/crates/consensus/src/node/lease_client.rs
@@ -77,8 +77,8 @@
 
     /// Requests a lease from the leader, or from a voter that may know the leader.
     fn request_lease(&mut self, now: Micros, effects: &mut Vec<Effect>) {
-        // Prefers the leader that this member's own Raft state knows. Without one, it tries the next voter
-        // after several unanswered requests.
+        // Prefers the leader that this member's own Raft state knows. If that state knows no leader, the
+        // member tries the next voter after several unanswered requests.
         if let Some(leader_id) = self.role.leader_id() {
             self.lease.target_voter = leader_id;
         } else if self.lease.unanswered_requests > MAX_UNANSWERED_REQUESTS {
@@ -126,8 +126,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let LeaseGrant { session, sent_at, term, leader_time, update } = grant;
-        // Ignores grants to an earlier process of this member, late ones, and those of a leader that was
-        // replaced.
+        // Ignores grants to an earlier process of this member, grants that arrive later than the maximum
+        // round trip after the request, and grants of a leader that was replaced.
         let is_late = sent_at > now || now - sent_at > self.settings.max_round_trip;
         let is_replaced = self.lease.granted_by.is_some_and(|leader| term < leader.term);
         if session != self.session || is_late || is_replaced {
@@ -206,8 +206,8 @@
         }
     }
 
-    /// Applies the leader's versions and reports changes; returns whether all of the versions that are not
-    /// older than the version in force here are known now.
+    /// Applies the leader's versions and reports changes. Returns whether this member now knows all of these
+    /// versions, apart from those older than the version that it already knew to be in force.
     fn apply_update(&mut self, update: &VersionUpdate, effects: &mut Vec<Effect>) -> bool {
         let (in_force, newest) = (self.leased_rules.in_force(), self.leased_rules.newest());
         let is_known = self.leased_rules.apply_update(&update.versions, &update.documents);
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -108,8 +108,9 @@
             .map_or_else(|| Ok(ReplicatedState::default()), |snapshot| postcard::from_bytes(&snapshot.state));
         let seed = self.rng.u64(..);
         let voter = RaftVoter::new(voter_id, &self.settings, stored, seed, self.last_token);
-        // The snapshot was checked before it was stored, so neither is expected to fail. If one does, the
-        // member keeps the role that the caller has set.
+        // The snapshot was checked before it was stored, so neither the deserialization of the state nor the
+        // creation of the voter is expected to fail. If one does, the member keeps the role that the caller
+        // has set.
         if let (Ok(state), Ok(voter)) = (state, voter) {
             self.state = state;
             self.role = Role::Voting(Box::new(voter));
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -110,8 +110,8 @@
         let Some(leader) = &self.leader else { return };
         match origin {
             Some(CommandOrigin::Proposal(id)) => self.send_proposal_result(id, effects),
-            // Responds only if the entry is of the leader's own term: a quorum that excludes the rejoining
-            // voter has then accepted the entry from this leader.
+            // Responds only if the entry is of the leader's own term, because a quorum that excludes the
+            // rejoining voter has then accepted the entry from this leader.
             Some(CommandOrigin::RejoiningVoter { voter_id, nonce }) if leader.term() == entry.term => {
                 self.send_rejoin_snapshot(voter_id, nonce, entry, effects);
             }
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -42,7 +42,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseGrant {
     pub(crate) session: u64,
-    /// The time of sending, copied from the request; the lease begins at this time.
+    /// The time at which the request was sent, by the member's clock, copied from the request. The lease
+    /// begins at this time.
     pub(crate) sent_at: Micros,
     pub(crate) term: u64,
     /// The time of the grant by the leader's clock.
--- a/crates/consensus/src/quorum_reads.rs
+++ b/crates/consensus/src/quorum_reads.rs
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Takes the lease requests whose reads are confirmed and whose index is applied.
+    /// Removes and returns the lease requests whose quorum read is confirmed, if the log is applied up to the
+    /// index of that read.
     pub(crate) fn take_grantable(&mut self, applied_index: u64) -> Vec<(String, PendingLease)> {
         let mut grantable = Vec::new();
         self.awaiting_apply.retain_mut(|read| {
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -98,8 +98,8 @@
         (self.raft.raft.state == StateRole::Leader).then_some(self.raft.raft.term)
     }
 
-    /// Whether an entry of the current term is applied here, and therefore everything that earlier leaders
-    /// committed.
+    /// Whether an entry of the current term is applied here, which implies that everything that earlier
+    /// leaders committed is applied too.
     pub(crate) fn has_applied_own_term(&self) -> bool {
         self.raft.raft.apply_to_current_term()
     }
@@ -184,7 +184,8 @@
 fn raft_config(voter_id: VoterId, applied_index: u64) -> Config {
     Config {
         id: voter_id.get(),
-        // The time after a heartbeat for which a voter refuses its vote; shorter than the earliest election.
+        // The number of ticks after a heartbeat for which a voter refuses to vote for another; less than the
+        // earliest election timeout.
         election_tick: ELECTION_TICKS - HEARTBEAT_TICKS,
         heartbeat_tick: HEARTBEAT_TICKS,
         applied: applied_index,
@@ -192,7 +193,7 @@
         max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
         check_quorum: true,
         pre_vote: true,
-        // A range of one value; `RaftVoter::tick` randomizes the timeout.
+        // A range of one value, because `RaftVoter::tick` randomizes the election timeout instead.
         min_election_tick: ELECTION_TICKS,
         max_election_tick: ELECTION_TICKS + 1,
         max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -11,7 +11,7 @@
 /// rejected.
 const MAX_REMEMBERED_OUTCOMES: usize = 256;
 
-/// The ID of a proposal, by which a duplicate is recognized and applied only once.
+/// The ID of a proposal, by which duplicates of the proposal are recognized, so that it is applied only once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposalId {
     /// The name of the member that made the proposal.
@@ -39,7 +39,8 @@
     StartEpoch { epoch: u64, bytes: Vec<u8> },
     /// Proposes rules that were derived from a base version.
     Propose { id: ProposalId, base_version: Version, bytes: Vec<u8> },
-    /// Puts a version in force, because every member knows it or can no longer hold a lease without it.
+    /// Puts a version in force, because every member knows the version or can no longer hold a lease that was
+    /// granted without it.
     Activate(Version),
     /// Marks that a voter without stored state has started; this entry and later ones are committed after its
     /// start.
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -6,15 +6,15 @@
 use crate::window::ClosedWindow;
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Number of fractional bits of a sum, below a slot-millisecond: a contribution is exact for this many
-/// half-lives.
+/// Number of bits of a sum that hold fractions of a slot-millisecond. A contribution is exact for this many
+/// half-lives, because each halving needs one more of these bits.
 const FRACTION_BITS: u32 = 32;
 /// Maximum half-life, in windows.
 const MAX_HALF_LIFE_WINDOWS: u32 = 4_096;
 /// Maximum contribution of a window, in slot-milliseconds: with this bound no sum exceeds 128 bits.
 const MAX_CONTRIBUTION: i128 = 1 << 60;
-/// Maximum number of halvings at once. The magnitude of a sum has fewer bits than this, so that it is 0 after
-/// them.
+/// Maximum number of halvings at once. The magnitude of a sum has fewer bits than this, so the sum is 0 after
+/// this many halvings.
 const MAX_HALVINGS: i64 = 126;
 
 /// Debts of tenants: their usage above their entitlement, which decays by half in each half-life.
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -98,8 +98,8 @@
 
     /// Checks whether an entry may be inserted, and returns its relation to the existing one.
     ///
-    /// `corrects` is that of the report. It is passed separately because an entry cannot represent the value
-    /// 0, which is rejected.
+    /// `corrects` is the field [`crate::UsageReport::corrects`] of the report. It is passed separately
+    /// because an entry cannot represent the value 0, which is rejected.
     pub(crate) fn classify(
         &self,
         sequence: u64,
--- a/crates/fair-share/src/policy.rs
+++ b/crates/fair-share/src/policy.rs
@@ -18,7 +18,8 @@
     /// Share that is allocated whenever it is demanded, unless reservations leave too little for all
     /// guarantees (see [`crate::ShareTable::has_reduced_guarantees`]).
     pub guarantee: u32,
-    /// Maximum share, unless the own reservation is larger; from the guarantee to 1 000 000.
+    /// Maximum share, unless the own reservation of the tenant or federation is larger; from the guarantee to
+    /// 1 000 000.
     pub ceiling: u32,
 }
 
--- a/crates/fair-share/src/reporter_account.rs
+++ b/crates/fair-share/src/reporter_account.rs
@@ -150,7 +150,8 @@
     }
 
     /// Moves the watermark of each incarnation up to its first gap, and that of the account to the latest of
-    /// them; then removes the oldest incarnations above `max_incarnations`. Their work stays in the windows.
+    /// them; then removes the oldest incarnations until at most `max_incarnations` are left. The work of the
+    /// removed ones stays in the windows.
     pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
         self.incarnations.values_mut().for_each(|log| log.advance_watermark(settings));
         let latest_ms = self.incarnations.values().filter_map(IncarnationLog::watermark_ms).max();
--- a/crates/fair-share/src/reservation.rs
+++ b/crates/fair-share/src/reservation.rs
@@ -11,10 +11,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ReservedShares {
-    /// Reservations by tenant. That of a tenant that the policy does not list is subtracted, but gives it no
-    /// share.
+    /// Reservations by tenant. The reservation of a tenant that the policy does not list is subtracted from
+    /// the fleet, but gives the tenant no share.
     pub tenants: BTreeMap<Name, u32>,
-    /// Reservations by federation. That of a federation is for those of its tenants that demand it.
+    /// Reservations by federation. The reservation of a federation is for those of its tenants that demand
+    /// it.
     pub federations: BTreeMap<Name, u32>,
 }
 
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -1,9 +1,9 @@
 //! Settings of a usage ledger.
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a window and of the interval of one report.
+/// Maximum length of a window and of the interval of one report, in milliseconds.
 const MAX_WINDOW_OR_INTERVAL_MS: u32 = 600_000;
-/// Maximum horizon, close delay and clock skew: one day.
+/// Maximum horizon, close delay and clock skew, in milliseconds: one day.
 const ONE_DAY_MS: u32 = 86_400_000;
 /// Maximum number of sequence numbers that may be tracked per incarnation.
 const MAX_TRACKED_SEQUENCES: u32 = 1 << 20;
--- a/crates/fair-share/src/window_usage.rs
+++ b/crates/fair-share/src/window_usage.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Adds the change since the window was last settled to `delta`, and marks it as settled. Returns whether
-    /// the window had changed since.
+    /// Adds the change since the window was last settled to `delta`, and marks the window as settled. Returns
+    /// whether the window had changed since then.
     pub(crate) fn settle(&mut self, delta: &mut UsageDelta) -> bool {
         let Some(settled) = self.last_settled.take() else { return false };
         let counted = self.counted_work();
--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -86,8 +86,8 @@
         loop {
             let timeout = if more_waiting { Duration::ZERO } else { self.poll_timeout() };
             self.wait_for_events(&mut events, timeout);
-            // All sources are read, whichever of them woke the thread: this costs little, and misses no
-            // input.
+            // All sources are read, whichever of them woke the thread, because this costs little and misses
+            // no input.
             let packets = self.read_packets();
             self.apply_received_states();
             let streams = self.accept_streams();
@@ -114,7 +114,8 @@
             && error.kind() != io::ErrorKind::Interrupted
         {
             warn!(%error, "membership poll failed");
-            // Prevents a busy loop if the error persists. No such error is known.
+            // The sleep prevents a busy loop if `poll` fails again and again. No error that persists is
+            // known.
             std::thread::sleep(MAX_POLL_TIMEOUT);
         }
     }
@@ -143,7 +144,7 @@
             self.handle(Input::State(&state));
             if let Some(reply) = reply {
                 // The queue has room for one reply, and only one is sent. Sending fails if the stream thread
-                // no longer waits for it.
+                // no longer waits for the reply.
                 let _ = reply.try_send(self.membership.state());
             }
         }
@@ -161,7 +162,8 @@
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return ReadProgress::Drained,
                 Err(_) => {
-                    // For example, the stream was reset, or no file descriptor is available.
+                    // Accepting failed, for example because the stream was reset or no file descriptor is
+                    // available.
                     self.shared.counters.streams_failed.increment();
                     return ReadProgress::Drained;
                 }
@@ -218,7 +220,7 @@
     fn send_packet(&self, to: SocketAddr, packet: &[u8]) {
         match self.sockets.udp.send_to(packet, to) {
             Ok(_) => self.shared.counters.packets.record_sent(packet.len()),
-            // For the protocol, this is the same as a packet that is lost in the network.
+            // For the protocol, a packet that cannot be sent is the same as one that is lost in the network.
             Err(_) => self.shared.counters.packets_unsent.increment(),
         }
     }
--- a/crates/membership-transport/src/shared.rs
+++ b/crates/membership-transport/src/shared.rs
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Ends the member by leaving or stopping; `how` is one of these. Only the first call has an effect.
+    /// Ends the member. `how` is [`RunState::Leaving`] or [`RunState::Stopping`]. Only the first call has an
+    /// effect.
     pub(crate) fn end_member(&self, how: RunState) {
         let (running, how) = (RunState::Running as u8, how as u8);
         if self.run_state.compare_exchange(running, how, Ordering::Relaxed, Ordering::Relaxed).is_ok() {
--- a/crates/membership-transport/src/state_exchange.rs
+++ b/crates/membership-transport/src/state_exchange.rs
@@ -84,8 +84,9 @@
         Ok(())
     }
 
-    /// Connects to a peer, from the IP address that this member is bound to, by which peers usually know it.
-    /// If that is the unspecified address, the system chooses the IP address.
+    /// Connects to a peer. The connection comes from the IP address that this member is bound to, because
+    /// peers usually know the member by that address. If the member is bound to the unspecified address, the
+    /// system chooses the IP address.
     fn connect(&self, peer: SocketAddr) -> io::Result<TcpStream> {
         let socket = Socket::new(Domain::for_address(peer), Type::STREAM, None)?;
         if !self.bind_ip.is_unspecified() {
--- a/crates/membership-transport/src/transport.rs
+++ b/crates/membership-transport/src/transport.rs
@@ -53,8 +53,8 @@
         let (sockets, waker) = sockets.register()?;
         let shared = Arc::new(Shared::new(membership.local_member().clone(), waker));
         // If a thread cannot be started, dropping the transport ends those already running. The transport is
-        // declared before the queues, so that their ends are dropped first and the stream threads can be
-        // joined.
+        // declared before the queues, so that it is dropped after them: the stream threads can be joined only
+        // once the ends of the queues are dropped.
         let mut transport = MembershipTransport { shared: Arc::clone(&shared), address, threads: Vec::new() };
         let (driver_queues, stream_queues) = create_queues();
         transport.spawn_stream_threads(key, address.ip(), stream_queues)?;
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -58,8 +58,8 @@
             }
             Notification::Rejoin(identity) => {
                 *self.has_joined = false;
-                // The other members declared this member dead although it is running: it is slow or hard to
-                // reach.
+                // Counts as a failure, because this member is slow or hard to reach if the other members
+                // declared it dead although it is running.
                 self.local_health.record_failure();
                 self.effects.push(Effect::SelfRefuted(identity.clone()));
             }
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -41,8 +41,8 @@
         /// The new identity.
         after: Member,
     },
-    /// Other members knew an earlier process of this member by an identity that takes precedence. This member
-    /// continues under this identity, whose generation is later.
+    /// Other members knew an earlier process of this member by an identity that takes precedence over the
+    /// current one. This member continues under this new identity, whose generation is later.
     GenerationRaised(Member),
     /// The other members had declared this member dead. It has rejoined under this identity.
     SelfRefuted(Member),
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -105,8 +105,8 @@
         };
         if self.has_joined && !had_joined {
             // A member that joins needs the list of all members, and a packet holds only about twenty. The
-            // exchange is with the sender, which is certainly up: after an outage, the members that its
-            // packet names may be down.
+            // exchange is with the sender of the packet, because the sender is certainly up, but the members
+            // that its packet names may be down after an outage.
             effects.extend(self.sender.map(Effect::ExchangeState));
         }
         self.has_ever_joined |= self.has_joined;
@@ -120,7 +120,7 @@
         }
         if self.protocol.num_members() != member_count {
             // The transmission limit and the suspicion timeout depend on the number of members. The result is
-            // ignored: `foca` accepts a change of these parameters.
+            // ignored, because `foca` accepts a change of these parameters.
             let _ = self.protocol.set_config(self.settings.foca_config(self.protocol.num_members() + 1));
         }
         result
@@ -257,7 +257,8 @@
     }
 
     /// Requests a state exchange with a random member if the state exceeds half a packet. A smaller state
-    /// needs none: the packets that answer the protocol's periodic announcements hold all members.
+    /// needs no exchange, because the packets that answer the protocol's periodic announcements hold all
+    /// members.
     fn request_large_state_exchange(&mut self, effects: &mut Vec<Effect>) {
         if self.state().encoded_bytes() > MAX_PACKET_BODY_BYTES / 2 {
             let partner = self.protocol.iter_members().choose(&mut self.rng);
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -19,7 +19,7 @@
         let (up, down): (Vec<_>, Vec<_>) =
             known.cloned().partition(|member| member.state() != MemberStatus::Down);
         // The entry has the initial incarnation, which refutes no suspicion. The packets of the local member
-        // carry the current one.
+        // carry its current incarnation.
         let local = foca::Member::alive(local.clone());
         // The members that are up come first, because the end of a large state is left out when it is sealed.
         MembershipState(std::iter::once(local).chain(up).chain(down).collect())
@@ -80,11 +80,12 @@
         let is_update = |member: &&KnownMember| {
             let identity = member.id();
             if identity.address == local.address {
-                // An entry of an earlier identity at this address says nothing about the current one.
+                // An entry of an earlier identity at this address says nothing about the current identity.
                 return identity == local;
             }
-            // An entry of a dead member is applied only if this member knows it. Otherwise, two members that
-            // forget the dead member at different times would pass its entry back and forth forever.
+            // An entry of a dead member is applied only if this member knows the dead member. Otherwise, two
+            // members that forget the dead member at different times would pass its entry back and forth
+            // forever.
             member.state() != MemberStatus::Down
                 || known.get(&identity.address).is_some_and(|known| known.id() == identity)
         };
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar.rs
@@ -92,7 +92,8 @@
         if let Err(rejection) = result {
             events.push(Change::Rejected(rejection));
         }
-        // A claim that was confirmed after its start is due at once.
+        // Transitions are applied a second time, because a claim that this command confirmed after its start
+        // is due at once.
         self.apply_due_transitions(&mut events);
         events.events
     }
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -55,7 +55,8 @@
     #[serde(rename = "wanted")]
     pub(crate) request: ClaimRequest,
     /// The requested amount in slots; 0 for a blackout. Parts per million are converted when the claim is
-    /// proposed, and again whenever the pool is set while the claim has allocations from then on.
+    /// proposed, and again whenever a command sets the size of the pool while the claim has allocations from
+    /// then on.
     #[serde(rename = "slots")]
     pub(crate) requested_slots: u32,
     pub(crate) occurrences: Vec<Occurrence>,
--- a/crates/reservations/src/displacement_search.rs
+++ b/crates/reservations/src/displacement_search.rs
@@ -8,10 +8,11 @@
 
 /// The maximum work of a search, in segments examined.
 const MAX_SEARCH_WORK: usize = 20_000_000;
-/// The number of candidates above which only the greedy cover is used. It bounds the depth of the recursion.
+/// The number of candidates above which only the greedy cover is used. This limit bounds the depth of the
+/// recursion.
 const MAX_SEARCHED_CANDIDATES: usize = 256;
 
-/// An occurrence that may be displaced. A slice of candidates has the last in rank first.
+/// An occurrence that may be displaced. In every slice of candidates, the last in rank comes first.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     /// The slot-milliseconds that the occurrence would lose.
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -16,7 +16,7 @@
     /// The calendar's time when the log entry was applied. A change that is due by time may have been due
     /// earlier.
     pub at: UnixMillis,
-    /// The command that caused the change; `None` if it was due by time.
+    /// The command that caused the change; `None` if the change was due by time.
     pub command: Option<CommandId>,
     /// The change itself.
     pub change: Change,
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[non_exhaustive]
 pub enum Change {
-    /// The command was rejected for a field, its id or the claim's state; see [`Rejection`].
+    /// The command was rejected because of one of its fields, its id or the claim's state; see [`Rejection`].
     Rejected(Rejection),
     /// A claim was proposed or changed its state, or stays proposed because it fits only by displacement.
     #[serde(rename = "Moved")]
@@ -102,7 +102,7 @@
     /// The claim fits as requested.
     #[error("fits as requested")]
     Fits,
-    /// The claim fits only partially, and accepts that.
+    /// The claim fits only partially, which its request accepts.
     #[error("fits partially, as the request accepts")]
     #[serde(rename = "LessFits")]
     FitsPartially,
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -94,7 +94,8 @@
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
     let mut flexibility = reservation.flexibility;
-    // An occurrence that has started keeps the parts of its interval that still fit.
+    // An occurrence that has started keeps the parts of its interval that still fit, even if its request does
+    // not accept a split.
     flexibility.allows_split |= occurrence.interval.start <= store.now();
     let slots = max_slots.min(claim.requested_slots);
     allocate_rest(store, key, slots, flexibility, &[]);
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -97,8 +97,8 @@
     }
 }
 
-/// The bound of an interval that a local time stands for. It selects one of the two instants that a time in a
-/// repeated hour has.
+/// The bound of an interval that a local time stands for. The bound decides which of its two instants a local
+/// time in a repeated hour stands for.
 #[derive(Clone, Copy)]
 enum IntervalBound {
     Start,
@@ -129,7 +129,8 @@
                 break;
             }
             let is_included = self.days.contains(date) && start >= self.not_before && end <= self.until;
-            // In a repeated hour, an occurrence's end (second pass) may be after the next start (first pass).
+            // Begins no earlier than the end of the last occurrence, because in a repeated hour that end
+            // (second pass) may be after this start (first pass).
             let start = start.max(last_end).max(now);
             if is_included && start < end {
                 occurrences.push(Interval { start, end });
--- a/crates/reservations/src/rejection.rs
+++ b/crates/reservations/src/rejection.rs
@@ -8,8 +8,8 @@
 
 /// The error of a rejected command, with the field that caused it.
 ///
-/// The command changed nothing, except that its id counts as applied from now on. That does not hold if the
-/// error is in `at` or in the id: then the id is not recorded.
+/// The command changed nothing, except that its id counts as applied from now on. If the error is in `at` or
+/// in the id, the id is not recorded as applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{field}: {error}")]
 #[serde(rename = "Refusal", expecting = "struct Refusal")]
