--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -18,7 +18,8 @@
     Overloaded,
     /// No worker is eligible for the request.
     NoEligibleWorker,
-    /// The service-time estimate at the lowest ranked worker exceeds the time left by this much.
+    /// The service-time estimate at the lowest ranked worker exceeds the request's time left by this many
+    /// microseconds.
     TooLate(Micros),
     /// The request has used all its attempts, or its class allows no further one.
     AttemptsExhausted,
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -9,8 +9,8 @@
 use crate::SECOND;
 use crate::Settings;
 
-/// Load shedding starts when the fleet utilization exceeds this plus one slot of each worker (1 / mean
-/// slots): workers with few slots have queues at a lower utilization too.
+/// Load shedding starts when the fleet utilization exceeds this constant plus 1 / (mean number of slots of a
+/// worker), because workers with few slots have queues at a lower utilization too.
 const OVERLOAD_THRESHOLD: f64 = 0.9;
 /// Excess of the fleet utilization over the threshold that would shed all offered work, if
 /// [`MAX_SHED_FRACTION`] did not limit it. The shed fraction rises linearly from 0 at the threshold.
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct RejectionStreak {
     count: u32,
-    /// Arrival time of the first of them.
+    /// Arrival time of the first request of the rejection streak.
     started_at: Micros,
 }
 
@@ -82,7 +82,7 @@
         streak.count = streak.count.saturating_add(1);
     }
 
-    /// Ends the rejection streak, since the outcome of an attempt will be observed.
+    /// Ends the rejection streak because an attempt is sent, whose outcome will be observed.
     pub(super) fn record_attempt(&mut self) {
         self.rejection_streak = RejectionStreak::default();
     }
--- a/crates/dispatcher/src/policy/average.rs
+++ b/crates/dispatcher/src/policy/average.rs
@@ -80,8 +80,8 @@
     }
 }
 
-/// A sum over a sliding window. Amounts are grouped into time steps, so its cost does not grow with their
-/// number.
+/// A sum over a sliding window. Amounts are grouped into time steps, so the cost of the sum does not grow
+/// with their number.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlidingWindowSum {
     steps: VecDeque<WindowStep>,
--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -196,7 +196,8 @@
         }
         let worker = &mut self.workers[index];
         if worker.slow_start.set_started_at(endpoint.started_at) {
-            // The worker process is new: what was learned about an earlier one no longer applies.
+            // The worker process is new, so what was learned about an earlier process of this worker no
+            // longer applies.
             worker.rate.reset();
             worker.reported.reset();
             self.listed_loads.reset(index);
@@ -256,8 +257,8 @@
         self.actions.push(Action::StartTimer { after: turn.next_delay, timer: Timer::LoadQuery });
     }
 
-    /// A load query that timed out has waited behind requests, so it counts as a rejection by a full worker
-    /// and not as a failure.
+    /// A load query that timed out has waited behind requests at the worker, so the timeout counts as a
+    /// rejection by a full worker and not as a failure.
     fn on_load_query_completed(
         &mut self,
         now: Micros,
@@ -307,7 +308,8 @@
     fn admit(&mut self, now: Micros, request: &Request, tenant: usize) -> Result<usize, NotAdmitted> {
         let must_attempt = self.admission.must_attempt(now);
         if self.should_shed(now, request, tenant) && !must_attempt {
-            // After about a mean response time, some of the slots are free.
+            // The client should wait for about a mean response time, because some of the slots are free by
+            // then.
             let retry_after = from_seconds(self.service_times.mean_response_seconds());
             return Err(NotAdmitted { retry_after, reason: Rejection::Overloaded, late_worker: None });
         }
@@ -388,7 +390,8 @@
             Progress::Started => {
                 attempt.progress = Some(ProgressMark { at: now, fraction_done: 0.0 });
                 if self.settings.cancellation_allowed {
-                    // One attempt is running: those that have not started are cancelled.
+                    // One attempt of the request is running, so its other attempts that have not started are
+                    // cancelled.
                     self.actions.extend(request.cancellations(|attempt| attempt.progress.is_none()));
                 }
             }
--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -5,11 +5,11 @@
 use crate::SECOND;
 use crate::Settings;
 
-/// Longest delay of the first poll. It is random, so that dispatchers that restart together do not overload
-/// discovery.
+/// Longest delay of the first poll. The delay is random, so that dispatchers that restart together do not
+/// overload discovery.
 const MAX_FIRST_POLL_DELAY: Micros = 3 * SECOND;
-/// The range of the first poll's random delay is this times the fleet size, up to [`MAX_FIRST_POLL_DELAY`]:
-/// small fleets need little spread.
+/// The range of the first poll's random delay is this times the fleet size, up to [`MAX_FIRST_POLL_DELAY`],
+/// because small fleets need little spread.
 const FIRST_POLL_SPREAD: Micros = 150_000;
 /// Longest backoff after the first failed poll; the delay is drawn between half of it and all of it.
 const POLL_BACKOFF_INITIAL: Micros = SECOND;
--- a/crates/dispatcher/src/policy/figures.rs
+++ b/crates/dispatcher/src/policy/figures.rs
@@ -2,7 +2,7 @@
 use crate::Micros;
 use crate::SECOND;
 
-/// Interval of the periodic refresh of all workers; service rates change over several seconds.
+/// Interval of the periodic refresh of all workers, chosen because service rates change over several seconds.
 pub(super) const REFRESH_INTERVAL: Micros = SECOND;
 /// Weight of one sample in a moving average over all requests or many workers: about the last 100 samples
 /// contribute.
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListedLoads {
     workers: Vec<ListedLoad>,
-    /// Largest plausible size listed for each worker kind: the size of an idle worker.
+    /// Largest plausible size listed for each worker kind, which is taken for the size of an idle worker.
     max_sizes: Vec<f64>,
 }
 
@@ -75,9 +75,9 @@
         }
     }
 
-    /// Records the load that a ready worker's listed size shows, at most [`MAX_LISTED_LOAD`]. It includes the
-    /// requests of all dispatchers, which nothing else shows as early. `slots` is the number of slots of the
-    /// worker, `mean_request_slots` the mean number that a request occupies.
+    /// Records the load that a ready worker's listed size shows, at most [`MAX_LISTED_LOAD`]. The listed load
+    /// includes the requests of all dispatchers, which no other source shows as early. `slots` is the number
+    /// of slots of the worker, `mean_request_slots` the mean number that a request occupies.
     pub(super) fn record(
         &mut self,
         now: Micros,
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -6,7 +6,7 @@
 const LOAD_QUERY_ROUND: Micros = SECOND;
 /// The first query has a random delay of at most [`LOAD_QUERY_ROUND`] divided by this.
 const FIRST_LOAD_QUERY_DIVISOR: Micros = 10;
-/// Fraction of a request's weight that load queries may cost for each offered request.
+/// Cost of load queries that is allowed for each offered request, as a fraction of a request's weight.
 const LOAD_QUERY_COST_FRACTION: f64 = 0.01;
 /// Largest number of unspent load queries; also the initial budget.
 const MAX_LOAD_QUERY_BUDGET: f64 = 20.0;
@@ -40,8 +40,8 @@
         rng.u64(0..=LOAD_QUERY_ROUND / FIRST_LOAD_QUERY_DIVISOR)
     }
 
-    /// Adds what one offered request earns. `cost` is the cost of one query as a fraction of a request's
-    /// weight; a cost of 0 fills the budget.
+    /// Adds to the budget the load queries, possibly a fraction of one, that one offered request earns.
+    /// `cost` is the cost of one query as a fraction of a request's weight; a cost of 0 fills the budget.
     pub(super) fn earn(&mut self, cost: f64) {
         self.budget = (self.budget + LOAD_QUERY_COST_FRACTION / cost).min(MAX_LOAD_QUERY_BUDGET);
     }
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -63,8 +63,8 @@
             let in_use = in_flight * mean_request_slots;
             return in_use.max(taken) + waiting;
         }
-        // A default is used if nothing is reported: otherwise only rejections would change the fleet
-        // utilization, and it would never fall.
+        // If the worker reports no load, a default utilization is used, because otherwise only rejections
+        // would change the fleet utilization, which would then never fall.
         let utilization = self.utilization.unwrap_or(INITIAL_UTILIZATION);
         utilization * slots + waiting
     }
@@ -150,11 +150,13 @@
     ) {
         let mut total = values.slots_in_use(load.slots, mean_request_slots);
         if is_full {
-            // The worker's reports may still show free capacity: they can be older than the surge, or cannot
-            // express more than all cores in use.
+            // The load is raised to a minimum because the load reports of a full worker may still show free
+            // capacity: they can be older than the surge of requests, or cannot express more than all cores
+            // in use.
             total = total.max(MIN_REJECTING_LOAD * load.slots);
         }
-        // A few faulty workers with long queues must not look like an overloaded fleet.
+        // The utilization is limited because a few faulty workers with long queues must not make the whole
+        // fleet look overloaded.
         let utilization = (total / load.slots).min(MAX_REPORTED_UTILIZATION);
         move_average(&mut self.fleet_utilization, utilization, UTILIZATION_GAIN);
         // The fleet utilization adapts fast, the ratios of kinds and zones slowly. A zone is compared with
@@ -163,9 +165,9 @@
         kind.add(utilization, self.fleet_utilization, SLOW_GAIN);
         let expected = self.fleet_utilization * kind.ratio(MAX_LOAD_RATIO);
         self.zone_load_ratios[load.zone as usize].add(utilization, expected, SLOW_GAIN);
-        // The local slots are those at the time of the report: it lacks attempts sent since, and includes
-        // some that have completed since. If the current local slots were subtracted, dispatchers would
-        // mistake the requests of others for their own and select the same worker.
+        // The local slots are those at the time of the report, because the report lacks attempts sent since
+        // then and includes some that have completed since then. If the current local slots were subtracted,
+        // dispatchers would mistake the requests of others for their own and select the same worker.
         worker.remote_slots = (total - load.local_slots).max(0.0);
         worker.reported_at = Some(now);
     }
@@ -183,8 +185,8 @@
         let zone_ratio = self.zone_load_ratios[load.zone as usize].ratio(MAX_LOAD_RATIO);
         let mean = self.fleet_utilization * (kind_ratio * zone_ratio) * load.slots;
         // This dispatcher's own requests are a sample of all requests: the more it has at a worker, the more
-        // its peers, which use the same policy, are likely to have. This needs no report, which may be late
-        // or missing.
+        // its peers, which use the same policy, are likely to have. This inference needs no load report,
+        // which may be late or missing.
         let expected_total = (load.local_slots + MEAN_PRIOR_WEIGHT)
             / (self.local_share + MEAN_PRIOR_WEIGHT / mean.max(MIN_MEAN_SLOTS));
         let expected_remote = expected_total * (1.0 - self.local_share);
--- a/crates/dispatcher/src/policy/local_load.rs
+++ b/crates/dispatcher/src/policy/local_load.rs
@@ -56,7 +56,8 @@
                 self.completed.pop_front();
             }
         }
-        // Recomputed rather than decremented, so that rounding errors do not accumulate.
+        // The number of slots is recomputed rather than decremented, so that rounding errors do not
+        // accumulate.
         self.local_slots_in_use = self.in_flight.iter().map(|attempt| attempt.slots).sum();
     }
 
--- a/crates/dispatcher/src/policy/request.rs
+++ b/crates/dispatcher/src/policy/request.rs
@@ -19,8 +19,8 @@
 pub(super) struct Attempt {
     pub(super) worker: u32,
     pub(super) sent_at: Micros,
-    /// Whether this dispatcher's attempts at the worker fitted into its slots when this one was sent, so that
-    /// the response time reflects the worker's service rate.
+    /// Whether this dispatcher's attempts at the worker fitted into the worker's slots when this attempt was
+    /// sent, so that the response time reflects the worker's service rate.
     pub(super) local_load_fitted: bool,
     pub(super) progress: Option<ProgressMark>,
     pub(super) is_in_flight: bool,
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -24,8 +24,8 @@
     /// Returns the maximum number of attempts that a request may have at the current rejection rate.
     fn max_attempts(&self) -> usize {
         let max = (self.settings.max_attempts as usize).min(MAX_TRACKED_ATTEMPTS);
-        // Retries at a full fleet would only add load. If nothing is rejected, the quotient is infinite and
-        // the cast saturates.
+        // The maximum falls as the rejection rate rises, because retries at a full fleet would only add load.
+        // If nothing is rejected, the quotient is infinite and the cast saturates.
         max.min((MAX_ATTEMPTS_WHILE_REJECTED / self.rejection_rate).ceil() as usize)
     }
 
@@ -35,8 +35,9 @@
         if request.attempts.len() >= self.max_attempts() || now >= request.deadline || must_wait {
             return false;
         }
-        // After the window, workers have discarded the idempotency key and would run the request again. The
-        // window starts at the first attempt that may have run, and the retry must be written before it ends.
+        // No retry is sent after the window, because workers have then discarded the idempotency key and
+        // would run the request again. The window starts at the first attempt that may have run, and the
+        // retry must be written before it ends.
         let written_by = now.saturating_add(self.settings.connect_timeout).saturating_add(DISPATCH_SLACK);
         self.is_repeatable(request, |_, window, first| written_by < first.sent_at.saturating_add(window))
     }
@@ -58,7 +59,8 @@
     }
 
     /// Returns whether a request may run again. If the request has an idempotency key and an attempt of it
-    /// may have run, `is_safe` decides: it gets the scope, the window and the first such attempt.
+    /// may have run, `is_safe` decides; that function gets the scope and the window of the key and the first
+    /// such attempt.
     fn is_repeatable(&self, request: &Request, is_safe: impl Fn(KeyScope, Micros, &Attempt) -> bool) -> bool {
         match (self.settings.classes[request.class].idempotency, request.first_possibly_run_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -24,8 +24,8 @@
 use crate::time::from_seconds;
 
 /// Number of eligible workers compared for one request, unless none of them may be selected. If there are
-/// more workers, the first one compared is random. Comparing more costs more time than the better choice
-/// saves.
+/// more workers, the first one compared is random. Comparing more workers costs more time than the better
+/// choice saves.
 const MAX_WORKERS_COMPARED: usize = 200;
 /// Converts the cross-zone cost into seconds: the loss of a request's full weight counts as a delay of this
 /// many latency objectives.
@@ -43,12 +43,14 @@
 #[derive(Clone, Copy)]
 struct Candidate {
     index: usize,
-    /// The candidate with the lowest rank is selected. The first part is true if the request would be late
-    /// there and the fleet is large, where the affinity alone could otherwise put such a worker first. The
-    /// second part is the estimate for ranking plus the cross-zone cost, in seconds, multiplied by the
-    /// affinity and divided by the expected success rate.
+    /// The candidate with the lowest rank is selected. The first element is true, which ranks the candidate
+    /// behind those that would be on time, if the request would be late at this worker and the fleet is
+    /// large, where the affinity alone could otherwise put such a worker first. The second element is the
+    /// estimate for ranking plus the cross-zone cost, in seconds, multiplied by the affinity and divided by
+    /// the expected success rate.
     rank: (bool, f64),
-    /// Seconds by which the estimate exceeds the time left; negative if the request would be on time.
+    /// Seconds by which the service-time estimate exceeds the request's time left; negative if the request
+    /// would be on time.
     excess_seconds: f64,
     is_warming_up: bool,
 }
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -25,7 +25,8 @@
 const INITIAL_SLOTS: f64 = 2.0;
 /// Slots assumed for the slow-start budget of a kind without load reports: the fewest that a worker can have.
 const MIN_SLOTS: f64 = 1.0;
-/// Weight of a load report that shows more slots than known for its kind; reports have a noise of up to 20 %.
+/// Weight of a load report that shows more slots than known for its kind; the weight is below 1 because
+/// reports have a noise of up to 20 %.
 const SLOTS_RISE_GAIN: f64 = 0.6;
 /// Weight of a load report that shows fewer slots than known for its kind: above 0, so that one report that
 /// was too high does not last forever.
@@ -232,7 +233,8 @@
 
     /// Learns the slots of a worker kind from the load report of one worker.
     pub(super) fn learn_slots(&mut self, kind: u32, reported: f64) {
-        // Starts at one slot or more, so that a first report without free slots causes no division by zero.
+        // The estimate starts at one slot or more, so that a first report without free slots causes no
+        // division by zero.
         let slots = self.kinds[kind as usize].slots.get_or_insert(reported.max(MIN_SLOTS));
         *slots += (reported - *slots) * if reported > *slots { SLOTS_RISE_GAIN } else { SLOTS_FALL_GAIN };
     }
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -68,7 +68,7 @@
 struct SlowStartShares {
     /// Number of dispatchers that share the budget: those with the lowest positions.
     sharers: f64,
-    /// Work that each of them may send in a window.
+    /// Work that each of these dispatchers may send in an overload window.
     share: f64,
 }
 
@@ -106,7 +106,7 @@
         SlowStartBudgets { rules, ..SlowStartBudgets::default() }
     }
 
-    /// Records when this dispatcher started. Work sent by an earlier process of it is not known.
+    /// Records when this dispatcher started. Work sent by an earlier process of this dispatcher is not known.
     pub(super) fn start(&mut self, now: Micros) {
         self.dispatcher_started_at = Some(now);
     }
@@ -145,8 +145,8 @@
         // Work sent to an earlier process of the worker does not count.
         let from = now.max(worker.started_at.map_or(0, |at| at.saturating_add(rules.window)));
         let sent = worker.sent.sum_at(from);
-        // A dispatcher that has started since the worker's start does not know what an earlier process of it
-        // sent, possibly its whole share.
+        // A dispatcher that has started since the worker's start does not know what its own earlier process
+        // sent, which may have been the dispatcher's whole share.
         if let Some(dispatcher_started_at) = self.dispatcher_started_at
             && worker.started_at < self.dispatcher_started_at
             && now < dispatcher_started_at + rules.window
@@ -194,7 +194,7 @@
         self.overload_multiple * capacity * to_seconds(self.window)
     }
 
-    /// Determines how many dispatchers share a budget and what each of them may send in a window.
+    /// Determines how many dispatchers share a budget and what each of them may send in an overload window.
     fn shares(&self, budget: f64, mean_request_load: f64) -> SlowStartShares {
         let allowed = budget + random_excess_allowance(budget, mean_request_load);
         // The notified dispatchers must not have sent more than two thirds of an overload's work; the others
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// The result of applying an endpoint.
+/// The result of updating the table of workers from one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AppliedEndpoint {
     /// Index of the worker.
--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -34,7 +34,7 @@
     /// The listening socket could not be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address that could not be listened on.
         address: SocketAddr,
         /// The error of the operating system.
         source: io::Error,
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -23,8 +23,8 @@
 
 /// Maximum time for which discovery holds a watch, that is, delays its answer until the list changes.
 ///
-/// It is short because the wait for a watch that gets no answer delays the next endpoint update, and empty
-/// answers cost little. This constant and those that add to the delay are public for the test
+/// The hold time is short because the wait for a watch that gets no answer delays the next endpoint update,
+/// and empty answers cost little. This constant and those that add to the delay are public for the test
 /// `endpoint_list_races`, which sums them, as does `docs/endpoint-list-delays.md`.
 pub const WATCH_HOLD_TIME: Micros = 2 * SECOND;
 /// Time after a watch's hold time at which a watch without an answer is dropped.
@@ -49,7 +49,7 @@
 pub const POLLED_LIST_TIMEOUT: Micros = 1_500_000;
 /// Additional time for the body of a watch or a polled list after the time-out of its head.
 ///
-/// The body may arrive slowly.
+/// The additional time is needed because the body may arrive slowly.
 pub const BODY_MARGIN: Micros = 700_000;
 /// Initial backoff before a failed call is retried.
 ///
@@ -173,7 +173,8 @@
             return;
         }
         self.address = address;
-        // The old client would keep its connection to the old address open until the peer closes it.
+        // The HTTP client is replaced, because the old one would keep its connection to the old address open
+        // until the peer closes it.
         self.client = DiscoveryClient::new();
         // Revisions of the new discovery are unrelated to the old ones: its lists could be taken for older
         // ones.
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -161,8 +161,9 @@
         let head_deadline = self.shared.head_deadline();
         tokio::select! {
             biased;
-            // Polled first, so that received data is read and pending data is written before the connection
-            // closes. The socket is not shut down here: what the peer still sends is read first.
+            // The server is polled first, so that received data is read and pending data is written before
+            // the connection closes. The socket is not shut down here: what the peer still sends is read
+            // first.
             event = poll_fn(|cx| {
                 let polled = server.poll_without_shutdown(cx);
                 self.shared.process_server_poll(polled, head_deadline)
@@ -175,9 +176,9 @@
                 }
                 ServerEvent::DeadlineChanged => ConnectionEvent::DeadlineChanged,
             },
-            // Checked right after a request was read, and so before its task dispatches anything: a client
-            // may disconnect right after sending, or while it waits. The caller then drops `server`, which
-            // notifies the request's task.
+            // Whether the client has disconnected is checked right after a request was read, and so before
+            // the request's task dispatches anything, because a client may disconnect right after sending, or
+            // while it waits. The caller then drops `server`, which notifies the request's task.
             () = poll_fn(|cx| self.poll_client_disconnected(cx)) => {
                 self.shared.count_disconnected();
                 ConnectionEvent::Ended(ConnectionEnd::Abandoned)
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -15,9 +15,10 @@
 const MAX_CONNECTION_BYTES: usize = 2 * MAX_HEAD_BYTES;
 /// Minimum time that a connection has been in its current state before it is evicted.
 ///
-/// Its next request may be in transit. In the middle of a head, [`HEAD_EVICTION_GRACE`] applies instead.
+/// The connection is kept for this time because the client's next request may be in transit. For a connection
+/// in the middle of a request head, [`HEAD_EVICTION_GRACE`] applies instead.
 const EVICTION_GRACE: Micros = 20_000;
-/// Minimum time in the middle of a request head before a connection is evicted, since clients may write
+/// Minimum time in the middle of a request head before a connection is evicted, because clients may write
 /// slowly.
 const HEAD_EVICTION_GRACE: Micros = 250_000;
 /// Time for which a connection that is being evicted may still begin a request.
@@ -89,7 +90,7 @@
 #[derive(Default)]
 struct Inner {
     last_id: u64,
-    /// Keyed by connection id, in the order of acceptance.
+    /// Client connections, keyed by connection id; ids increase in the order of acceptance.
     connections: BTreeMap<u64, ConnectionEntry>,
 }
 
--- a/crates/proxy/src/downstream/served_connection.rs
+++ b/crates/proxy/src/downstream/served_connection.rs
@@ -24,8 +24,8 @@
 
 /// Time after accepting a connection within which its first request must be received completely.
 ///
-/// A connection that exceeds it is closed. It can be much shorter than the idle time-out between requests
-/// without affecting ordinary clients, which send as soon as they connect.
+/// A connection that exceeds this time is closed. The time can be much shorter than the idle time-out between
+/// requests without affecting ordinary clients, which send as soon as they connect.
 const FIRST_REQUEST_TIMEOUT: Micros = 2 * SECOND;
 /// Time from the first byte of a later request until its head must be received completely.
 const HEAD_TIMEOUT: Micros = 2 * SECOND;
@@ -116,7 +116,7 @@
         self.raw_head.start();
         self.permit.set_state(ConnectionState::Idle);
         // The library may already have buffered the start of the next head, which is not visible here. This
-        // deadline makes the event loop check for it.
+        // deadline makes the event loop check whether the next head has begun.
         self.set_head_deadline(Some(from_now(HEAD_TIMEOUT)));
         *self.idle_since.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
         if self.is_used_by_client.load(Ordering::Relaxed) {
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -51,7 +51,7 @@
     ids: NameIndex,
     zones: NameIndex,
     kinds: NameIndex,
-    /// Indexed by worker id.
+    /// Workers' entries, indexed by worker id.
     entries: Vec<Entry>,
     starts: WorkerStarts,
 }
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Estimates a start; an unchanged listed start keeps its previous estimate.
+    /// Estimates when a worker started. If the listed start time has not changed, its previous estimate is
+    /// kept.
     fn worker_start(
         &self,
         former: Option<WorkerStart>,
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -35,13 +35,14 @@
     pub peer: Option<&'a str>,
 }
 
-/// Counts an event without a subject; see [`note_of`].
+/// Counts an event whose worker, request class and peer are not given; see [`note_of`].
 pub fn note(counter: &'static str, reason: &str) {
     note_of(counter, reason, Subject::default());
 }
 
-/// Counts an event, and logs it with its subject when the count reaches a power of two. The log is limited in
-/// this way so that a peer that repeats an error cannot flood it or overload the thread that writes it.
+/// Counts an event, and logs it with the worker, request class and peer in `subject` when the count reaches a
+/// power of two. The log is limited in this way so that a peer that repeats an error cannot flood it or
+/// overload the thread that writes it.
 pub fn note_of(counter: &'static str, reason: &str, subject: Subject<'_>) {
     let mut counts = COUNTS.lock().unwrap_or_else(PoisonError::into_inner);
     let count = counts.entry(counter).or_default();
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -15,8 +15,8 @@
 use tokio_util::sync::CancellationToken;
 
 /// The cancellation tokens that end the dispatch of an attempt early. An upstream checks `is_cancelled`,
-/// which does not block, in the same step in which it writes. Otherwise an attempt whose connection is
-/// established late could start after the client has disconnected or has received its response.
+/// which does not block, in the same step in which it writes the attempt. Otherwise an attempt whose
+/// connection is established late could start after the client has disconnected or has received its response.
 #[derive(Clone, Debug, Default)]
 pub struct DispatchControl {
     /// When this token is cancelled, an attempt that has not been written is withheld; one that has been
@@ -68,8 +68,9 @@
         ClientPresence(Some(Arc::new(is_gone)))
     }
 
-    /// Whether the client has disconnected. It does not block. An upstream calls it in the same step in which
-    /// it writes, after [`DispatchControl::permits_write`], and only if that returned true.
+    /// Whether the client has disconnected. This method does not block. An upstream calls this method in the
+    /// same step in which the upstream writes an attempt, after [`DispatchControl::permits_write`], and only
+    /// if `permits_write` returned true.
     pub fn is_gone(&self) -> bool {
         self.0.as_ref().is_some_and(|is_gone| is_gone())
     }
@@ -96,7 +97,7 @@
     pub body: Bytes,
     /// The memory reserved for the body.
     pub body_permit: BodyPermit,
-    /// The check whether the client has disconnected. If it has, no attempt is written.
+    /// The check whether the client has disconnected. If the client has disconnected, no attempt is written.
     pub client: ClientPresence,
 }
 
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -128,10 +128,10 @@
     deadline: Instant,
     upstream_request: Arc<UpstreamRequest>,
     response_sender: Option<oneshot::Sender<FinalResponse>>,
-    /// Cancelled when the final response is sent or the client disconnects. Attempts that have not been
-    /// written by then are withheld.
+    /// This token is cancelled when the final response is sent or the client disconnects. Attempts that have
+    /// not been written by then are withheld.
     withhold_attempts: CancellationToken,
-    /// Indexed by the attempt's number.
+    /// The request's attempts, indexed by their number.
     attempts: Vec<Attempt>,
     /// Dispatches in progress.
     dispatches: FuturesUnordered<BoxFuture<'static, DispatchCompletion>>,
@@ -158,8 +158,9 @@
         tokio::pin!(expiry);
         while self.is_active(&events) {
             tokio::select! {
-                // Events come first: otherwise the policy could respond to an attempt's outcome with another
-                // attempt while the event that the client has disconnected is still queued.
+                // Queued events are handled first, because otherwise the policy could respond to an attempt's
+                // outcome with another attempt while the event that the client has disconnected is still
+                // queued.
                 biased;
                 Some(event) = events.recv() => self.handle_event(event),
                 Some(completion) = self.dispatches.next() => self.handle_dispatch_completion(completion),
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -49,9 +49,10 @@
 /// The HTTP connections to all workers.
 pub(super) struct WorkerConnections {
     pooled_client: Client<TrackedConnector, GuardedBody>,
-    /// Opens a new connection for each request.
+    /// A client that opens a new connection for each request.
     unpooled_client: Client<TrackedConnector, GuardedBody>,
-    /// Written only by [`WorkerConnections::record_use`].
+    /// The state that decides whether connections may be reused. It is changed only by
+    /// [`WorkerConnections::record_use`].
     reuse: Mutex<ConnectionReuse>,
     keep_alive_timeout: Duration,
 }
@@ -141,8 +142,8 @@
     connector.set_connect_timeout(Some(Duration::from_micros(settings.connect_timeout)));
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        // Shorter than the workers' timeout, so that no request is written to a connection that its worker
-        // is closing.
+        // The idle timeout is shorter than the workers' keep-alive time, so that no request is written to a
+        // connection that its worker is closing.
         .pool_idle_timeout(Duration::from_micros(idle_timeout(settings.keep_alive_timeout)))
         .pool_max_idle_per_host(max_idle)
         // The library must not retry: that would be an attempt that the policy has not decided on.
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -16,9 +16,9 @@
 
 /// The conditions under which an attempt may be written.
 pub(super) struct WriteGuard {
-    /// Must permit the write.
+    /// The cancellation tokens of the dispatch, which must permit the write.
     pub(super) control: DispatchControl,
-    /// Must report the client as connected in the step that writes.
+    /// The check that must report the client as connected in the step that writes the attempt.
     pub(super) client: ClientPresence,
     /// The table that must list `worker` as serving at `address`.
     pub(super) endpoints: Arc<EndpointTable>,
@@ -61,7 +61,7 @@
 /// request whose body is incomplete never runs.
 pub(super) struct GuardedBody {
     body: Full<Bytes>,
-    /// `None` after it has been checked.
+    /// The write guard; `None` after it has been checked, and for a body without a guard.
     guard: Option<WriteGuard>,
 }
 
--- a/crates/proxy/src/upstream/http/limits.rs
+++ b/crates/proxy/src/upstream/http/limits.rs
@@ -4,8 +4,8 @@
 
 /// The fraction of the workers' keep-alive time for which idle connections are kept.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.9;
-/// The minimum difference between the workers' keep-alive time and the timeout of idle connections. A request
-/// may be in transit when a worker closes its connection.
+/// The minimum difference between the workers' keep-alive time and the timeout of idle connections, needed
+/// because a request may be in transit when a worker closes its connection.
 const MIN_IDLE_TIMEOUT_MARGIN: Micros = 300_000;
 
 /// How long an idle connection is kept, given the workers' keep-alive time; both in microseconds.
--- a/crates/proxy/src/upstream/http/load_query.rs
+++ b/crates/proxy/src/upstream/http/load_query.rs
@@ -37,7 +37,7 @@
     max_load_queries: usize,
 }
 
-/// A permit for one load query at a worker, which is released when it is dropped.
+/// A permit for one load query at a worker, which is released when the permit is dropped.
 struct LoadQueryPermit {
     queried_workers: Arc<Mutex<HashSet<WorkerId>>>,
     worker: WorkerId,
@@ -90,7 +90,7 @@
     }
 
     /// Acquires a permit, unless the limit is reached or the worker has a load query in flight. Load queries
-    /// must not accumulate at a worker that answers none.
+    /// must not accumulate at a worker that does not answer them.
     fn try_acquire(&self, worker: WorkerId) -> Option<LoadQueryPermit> {
         let mut queried_workers = self.queried_workers.lock().unwrap_or_else(PoisonError::into_inner);
         let is_permitted = queried_workers.len() < self.max_load_queries && queried_workers.insert(worker);
--- a/crates/proxy/src/worker_starts.rs
+++ b/crates/proxy/src/worker_starts.rs
@@ -28,7 +28,7 @@
     /// The largest amount by which the wall clock was behind the scheduler's clock.
     largest_step_back: Micros,
     /// When discovery last answered. A start that this answer did not contain is at most [`MAX_LIST_DELAY`]
-    /// earlier than it.
+    /// earlier than that answer.
     last_answered_at: Option<Micros>,
 }
 
@@ -53,8 +53,8 @@
     }
 
     /// Estimates, on the scheduler's clock, a start that the last answer did not contain. A start that
-    /// contradicts the earlier lists is taken for the time of the reading. One that is in the future of the
-    /// first list is taken for a time before the start of this program.
+    /// contradicts the earlier lists is taken for the time at which the clocks were read. A start that lies
+    /// in the future when the first list is received is taken for a time before the start of this program.
     pub(crate) fn estimate(&self, listed: Micros, reading: ClockReading) -> Micros {
         // It is not known whether the worker started before or after the wall clock was set back.
         let latest = listed.saturating_add(self.largest_step_back);
--- a/crates/scheduler/src/commands/check.rs
+++ b/crates/scheduler/src/commands/check.rs
@@ -33,7 +33,7 @@
 
 fn check_layers(file: Option<&Path>, overrides: &[String]) -> Result<(), CommandError> {
     let effective = layers::read_effective(file, overrides)?;
-    // The result does not depend on the seed.
+    // Any seed will do, because the result of the check does not depend on the seed.
     layers::startup_config(&effective, 0)?;
     print(&effective.listing())
 }
--- a/crates/scheduler/src/commands/mod.rs
+++ b/crates/scheduler/src/commands/mod.rs
@@ -43,7 +43,7 @@
 /// Serves with the platform's configuration, the only one that needs no command.
 fn serve_on_platform() -> Result<(), CommandError> {
     if ConfigSource::from_environment().is_none() {
-        // A one-line error rather than the whole help.
+        // The error is printed on one line, without the whole help text.
         return Err(CommandError::NoCommand { program: CommandLine::command().get_name().to_owned() });
     }
     serve(ServeArguments::default())
@@ -60,7 +60,8 @@
 }
 
 /// Returns the platform's file as the source if EDGE_CONFIG names it and neither a TOML file nor `--set` is
-/// given, else the layers.
+/// given. Otherwise the source is the layers of a standalone installation: the TOML file, the environment and
+/// the command line over the built-in default.
 #[cfg(feature = "standalone")]
 fn config_source(arguments: &ServeArguments) -> Result<ConfigSource, CommandError> {
     let has_layers = arguments.config_file.is_some() || !arguments.layers.overrides.is_empty();
--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -17,7 +17,7 @@
 
 /// Capacity of the log writer's queue, in lines: about a megabyte at 250 bytes a line.
 const MAX_QUEUED_LINES: usize = 4_096;
-/// Environment variable whose levels take precedence over the configuration's.
+/// Environment variable whose log levels take precedence over those of the configuration.
 const LEVELS_ENV_VAR: &str = "RUST_LOG";
 
 /// Log settings.
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -37,8 +37,8 @@
     match commands::execute(CommandLine::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // Not printed through the log, which may be off or not started, nor with `eprintln!`, which
-            // panics if standard error is closed.
+            // The error is not printed through the log, which may be off or not started, nor with
+            // `eprintln!`, which panics if standard error is closed.
             let _ = writeln!(std::io::stderr(), "copperspread-scheduler: {error}");
             ExitCode::FAILURE
         }
--- a/crates/scheduler/src/serve/mod.rs
+++ b/crates/scheduler/src/serve/mod.rs
@@ -73,7 +73,8 @@
     log: &Log,
     recorder: &Recorder,
 ) -> Result<ExitBudget, StartError> {
-    // Installed before the start, so that a SIGHUP from here on never kills the process.
+    // The signal streams are installed before the scheduler starts, so that a SIGHUP from here on never kills
+    // the process.
     let mut signals = Signals::install()?;
     let scheduler = Scheduler::start(config, recorder).await?;
     #[cfg(feature = "toy")]
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -52,7 +52,7 @@
 struct Recheck {
     /// Content when the configuration was last read.
     read_content: Vec<u8>,
-    /// Whether that content was a valid configuration.
+    /// Whether `read_content` was a valid configuration.
     was_valid: bool,
     /// When rechecking ends.
     ends_at: Instant,
@@ -118,7 +118,8 @@
 
     /// Reloads, and schedules a recheck if the file may have been incomplete.
     fn reload_and_recheck(&mut self, last: Option<Recheck>) {
-        // Read before the reload, so that anything written in between counts as a change.
+        // The content is read before the reload, so that anything written between the two reads counts as a
+        // change.
         let content = self.source.content();
         let was_valid = self.reload();
         if was_valid && !self.source.may_be_valid_when_truncated() {
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -68,8 +68,8 @@
     /// closes the connections and ends the components. Returns the time left for ending the event log and the
     /// log.
     pub(super) async fn shut_down(self, log: &Log, recorder: &Recorder) -> ExitBudget {
-        // Before the wait for requests, so that the other members learn of the shutdown while this one still
-        // serves.
+        // The member leaves before the wait for requests, so that the other members learn of the shutdown
+        // while this one still serves.
         #[cfg(feature = "standalone")]
         self.member.iter().for_each(MembershipTransport::leave);
         let deadlines = self.proxy.begin_shutdown();
