--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -5,8 +5,9 @@
 use crate::time::Micros;
 
 /// Longest time, in microseconds, from the decision to send an attempt until its request is written, in
-/// addition to [`Settings::connect_timeout`](crate::Settings::connect_timeout). Half of it may pass before
-/// the caller starts to dispatch, the other half between the established connection and the write.
+/// addition to [`Settings::connect_timeout`](crate::Settings::connect_timeout). Half of this time may pass
+/// before the caller starts to dispatch the attempt, the other half between the established connection and
+/// the write.
 pub const DISPATCH_SLACK: Micros = 50_000;
 
 /// The reason why a request is rejected.
--- a/crates/dispatcher/src/events.rs
+++ b/crates/dispatcher/src/events.rs
@@ -37,7 +37,7 @@
 pub enum Timer {
     /// Periodic refresh of the state of all workers.
     PeriodicRefresh,
-    /// Poll of discovery, unless subscribed by then.
+    /// Poll of discovery, unless the dispatcher is subscribed to the endpoint list by then.
     Subscription,
     /// Check whether a request needs a hedge.
     HedgeCheck(RequestId),
@@ -50,7 +50,7 @@
 pub enum Event<'a> {
     /// Discovery sent an endpoint update, or a poll failed.
     Endpoints(EndpointUpdate<'a>),
-    /// A client's request arrived; it must get exactly one final response.
+    /// A client's request arrived; the request must get exactly one final response.
     Request(IncomingRequest),
     /// An attempt completed.
     AttemptCompleted(AttemptOutcome),
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -94,8 +94,8 @@
     }
 
     /// Returns whether a request is shed because its weight per slot-second is below the shed price while the
-    /// fleet is overloaded. The shed price adapts so that the fraction of the offered work below it matches
-    /// the fraction to be shed.
+    /// fleet is overloaded. The shed price adapts so that the fraction of the offered work whose weight is
+    /// below the price matches the fraction to be shed.
     pub(super) fn should_shed(
         &mut self,
         now: Micros,
--- a/crates/dispatcher/src/policy/affinity.rs
+++ b/crates/dispatcher/src/policy/affinity.rs
@@ -17,7 +17,7 @@
 
 impl Default for Affinity {
     /// The neutral affinity of 1. It leaves the worker's rank unchanged in a small fleet; in a large fleet,
-    /// it is multiplied by the scale like any other.
+    /// this affinity is multiplied by the scale, as every affinity is.
     fn default() -> Self {
         Affinity(1.0)
     }
@@ -27,7 +27,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct AffinityRules {
     is_large_fleet: bool,
-    /// Factor by which affinities are multiplied so that the lowest among the ready workers is about 1.
+    /// Factor by which affinities are multiplied so that the lowest affinity among the ready workers is about
+    /// 1.
     scale: f64,
 }
 
--- a/crates/dispatcher/src/policy/estimates.rs
+++ b/crates/dispatcher/src/policy/estimates.rs
@@ -44,10 +44,10 @@
         self.service_times.estimate(&target.worker.rate, request.work, request.slots, occupancy)
     }
 
-    /// Slots of the other dispatchers: from the listed load, if known, while a worker is warming up,
-    /// otherwise from load reports. Judged by load reports, a worker that is warming up would seem as loaded
-    /// as the others and stay idle. The listed load is not used for other workers, because all dispatchers
-    /// that read the same list would select the workers that it shows as idle.
+    /// Returns the slots that other dispatchers occupy at a worker: from the listed load, if known, while the
+    /// worker is warming up, otherwise from load reports. Judged by load reports, a worker that is warming up
+    /// would seem as loaded as the others and stay idle. The listed load is not used for other workers,
+    /// because all dispatchers that read the same list would select the workers that the list shows as idle.
     fn remote_slots(
         &self,
         now: Micros,
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -27,9 +27,9 @@
     }
 
     /// Returns the time that a client spent on earlier tries of a request, given that the client gives up
-    /// after `time_left`. It is 0 if `time_left` is about the longest one seen in the class, since clients
-    /// may use a shorter deadline for all their requests, or if the request seems late and implausibly many
-    /// do.
+    /// after `time_left`. The returned time is 0 if `time_left` is about the longest one seen in the class,
+    /// because clients may use a shorter deadline for all their requests. It is also 0 if the request seems
+    /// to have spent its whole latency objective and the same holds for implausibly many requests.
     pub(super) fn time_spent_before(
         &mut self,
         class_index: usize,
@@ -41,8 +41,9 @@
         *longest = (*longest).max(time_left);
         let is_first = time_left >= *longest - *longest / FIRST_REQUEST_TOLERANCE_DIVISOR;
         let spent = if is_first { 0 } else { class.deadline.saturating_sub(time_left) };
-        // Many clients may use shorter deadlines than their class allows. If the difference were treated as
-        // time spent, nothing would be left of the objective and all their requests would be rejected.
+        // Many clients may use shorter deadlines than their class allows. If the difference between the
+        // class's deadline and `time_left` were treated as time spent on earlier tries, nothing would be left
+        // of the latency objective and all requests of these clients would be rejected.
         let is_late_retry = to_seconds(spent) >= objective_seconds;
         move_average(&mut self.late_fraction, f64::from(is_late_retry), LATE_RETRY_GAIN);
         if is_late_retry && self.late_fraction > MAX_LATE_RETRY_FRACTION { 0 } else { spent }
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -2,7 +2,8 @@
 use crate::Micros;
 use crate::SECOND;
 
-/// Time in which all ready workers are queried once; workers update their load reports about as often.
+/// Time in which all ready workers are queried once, chosen because workers update their load reports about
+/// as often.
 const LOAD_QUERY_ROUND: Micros = SECOND;
 /// The first query has a random delay of at most [`LOAD_QUERY_ROUND`] divided by this.
 const FIRST_LOAD_QUERY_DIVISOR: Micros = 10;
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -10,7 +10,8 @@
 
 /// Utilization assumed before the first load report.
 const INITIAL_UTILIZATION: f64 = 0.5;
-/// Age of a load report on arrival: workers update it about once a second, and it takes time in transit.
+/// Assumed age of a load report on arrival, because workers update their reports about once a second and a
+/// report takes time in transit.
 pub(super) const REPORT_AGE: Micros = 800_000;
 /// Weight of one load report in the fleet utilization: about the last 10 reports contribute, which come
 /// within a few seconds.
@@ -27,7 +28,7 @@
 /// Lower bound of the mean used as a divisor, in slots.
 const MIN_MEAN_SLOTS: f64 = 1e-3;
 
-/// The valid values of a load report; the others count as absent.
+/// The valid values of a load report; invalid values count as absent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportedValues {
     queue: Option<f64>,
--- a/crates/dispatcher/src/policy/offered_load.rs
+++ b/crates/dispatcher/src/policy/offered_load.rs
@@ -20,8 +20,8 @@
 
 impl OfferedLoad {
     /// Adds a request to the averages. The mean load is the arithmetic mean of the first 100 requests and a
-    /// moving average from then on. A moving average over about 20 requests that starts at 1 would make the
-    /// number of dispatchers that share a slow-start budget rise and fall within one window (see
+    /// moving average from then on, because a moving average over about 20 requests that starts at 1 would
+    /// make the number of dispatchers that share a slow-start budget rise and fall within one window (see
     /// `docs/slow-start.md`).
     pub(super) fn record(&mut self, work: f64, slots: f64) {
         self.samples = (self.samples + 1.0).min(1.0 / GROUP_GAIN);
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -150,7 +150,8 @@
 
     fn context<'r>(&self, now: Micros, request: &'r Request) -> SelectionContext<'r> {
         let class = &self.settings.classes[request.class];
-        // The cross-zone cost is a fraction of the weight, which is lost over several latency objectives.
+        // The cross-zone cost is a fraction of the request's weight, which is lost over several latency
+        // objectives. The cost is therefore converted into a multiple of the objective.
         let objective = self.estimates.service_times.objective_seconds(class, request.work);
         SelectionContext {
             now,
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -197,8 +197,8 @@
     /// Determines how many dispatchers share a budget and what each of them may send in an overload window.
     fn shares(&self, budget: f64, mean_request_load: f64) -> SlowStartShares {
         let allowed = budget + random_excess_allowance(budget, mean_request_load);
-        // The notified dispatchers must not have sent more than two thirds of an overload's work; the others
-        // may have sent a third.
+        // An overload is attributed to the notified dispatchers if they sent more than two thirds of its
+        // work, so they must stay within that; the other dispatchers may have sent a third.
         let target = (SLOW_START_BUDGET_FRACTION * budget).min(allowed / SLOW_START_NOTIFIED_DIVISOR);
         let fleet_size = f64::from(self.fleet_size);
         let min_share = SLOW_START_SHARE_REQUESTS * mean_request_load;
@@ -207,7 +207,8 @@
         if self.instance_index.is_some() || sharers >= fleet_size {
             return SlowStartShares { sharers, share };
         }
-        // The lowest random positions may be held by more dispatchers than there are positions.
+        // The lowest positions may be held by more dispatchers than there are positions, because each
+        // dispatcher draws its position at random.
         let holders = (sharers + SLOW_START_HOLDER_STD_DEVIATIONS * sharers.sqrt() + 2.0).min(fleet_size);
         let share = (share * SLOW_START_RANDOM_POSITION_FRACTION).min(allowed / holders);
         SlowStartShares { sharers, share }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -116,8 +116,8 @@
 struct CompletedCall {
     /// Revision that was watched; `None` if the call was for the complete list.
     watched_revision: Option<u64>,
-    /// Half the hold time after the call's start. If a watch is answered earlier and without a change,
-    /// discovery did not hold it.
+    /// The instant that is half the hold time after the call's start. If a watch is answered earlier than
+    /// this and without a change, discovery did not hold the watch.
     earliest_held_answer: Instant,
     outcome: CallOutcome,
 }
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -7,7 +7,8 @@
 use axum::http::HeaderMap;
 use axum::http::header;
 
-/// Number of bytes of a head, equal to the library's buffer size, after which no further read is kept.
+/// Number of bytes of a head after which the bytes of further reads are not kept; equal to the buffer size of
+/// the server library (hyper).
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 #[derive(Default)]
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -22,8 +22,8 @@
 /// The minimum number of ids of completed requests that are retained; up to twice as many are kept.
 const MIN_COMPLETED_REQUESTS_RETAINED: usize = 8_192;
 
-/// The ids of the most recently completed requests. There are two sets: when the recent one is full, it
-/// replaces the previous one.
+/// The ids of the most recently completed requests. There are two sets: when the recent set is full, it
+/// replaces the previous set, and a new recent set is begun.
 #[derive(Default)]
 struct CompletedRequests {
     recent: HashSet<RequestId>,
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -14,9 +14,10 @@
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::time::Instant;
 
-/// The supervisor adds at most this much of the longest deadline to the time before SIGKILL.
+/// The longest deadline, limited to this much, is part of the time from SIGTERM to SIGKILL.
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
-/// The supervisor sends SIGKILL no earlier than this long after the counted deadline.
+/// The supervisor sends SIGKILL no earlier than this long after SIGTERM plus the longest deadline, which is
+/// limited to [`MAX_COUNTED_DEADLINE`].
 const KILL_DELAY: Micros = 700_000;
 /// How long before SIGKILL every request has its final response: 0.1 s to write the last responses, and the
 /// rest for a process that is scheduled late or throttled.
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -49,8 +49,9 @@
     permits: Arc<Semaphore>,
     /// How long establishing a connection may take.
     connect_timeout: Duration,
-    /// How long after its start an attempt of a request with an idempotency key may be written. The request
-    /// may have run before, and after the key's window the workers would run it again.
+    /// How long after its start an attempt of a request with an idempotency key may be written. The time is
+    /// limited because the request may have run before, and after the key's window the workers would run it
+    /// again.
     key_write_window: Duration,
 }
 
@@ -61,7 +62,7 @@
     /// From this instant on the attempt must not be written.
     write_deadline: Instant,
     is_written: Arc<AtomicBool>,
-    /// Held until the response's body has been read.
+    /// The permit for this dispatch, held until the response's body has been read.
     permit: OwnedSemaphorePermit,
 }
 
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -18,7 +18,8 @@
     fn target(&self, worker: WorkerId) -> AttemptTarget;
 
     /// Dispatches an attempt, which is written only if `control` permits it. An aborted attempt ends as
-    /// superseded if it was not written. Otherwise it ends as cancelled after its connection has been closed.
+    /// superseded if it was not written. An aborted attempt that was written ends as cancelled after its
+    /// connection has been closed.
     fn dispatch<'a>(
         &'a self,
         target: &'a AttemptTarget,
--- a/crates/proxy/src/worker_starts.rs
+++ b/crates/proxy/src/worker_starts.rs
@@ -9,11 +9,11 @@
 
 use crate::clock::ClockReading;
 
-/// How much earlier than discovery's last answer a start may be that this answer did not contain: a restarted
-/// worker registers late, and the list may reach the scheduler seconds later. An outage of discovery is not
-/// included, since there are no answers during it. If a listed start is older, the wall clock is assumed to
-/// have been set. The value exceeds every slow start that the platform specifies, so that a wrong assumption
-/// has little effect.
+/// How much earlier than discovery's last answer a worker may have started without being listed in that
+/// answer, because a restarted worker registers late and the list may reach the scheduler seconds later. An
+/// outage of discovery is not included, because there are no answers during an outage. If a listed start is
+/// older, the wall clock is assumed to have been set. The value is longer than every slow start that the
+/// platform specifies, so that a wrong assumption has little effect.
 const MAX_LIST_DELAY: Micros = 30 * SECOND;
 /// The smallest difference of the clocks that counts as a step of the wall clock. Smaller differences can
 /// arise when the process is delayed between reading the two clocks.
--- a/crates/scheduler/src/configuration/layers.rs
+++ b/crates/scheduler/src/configuration/layers.rs
@@ -57,8 +57,8 @@
     effective.config.startup_config(default_seed).map_err(|error| ConfigError::Unusable(error.into()))
 }
 
-/// Returns what the configuration is checked against outside itself: the descriptor limit of this process and
-/// the content of the key file.
+/// Returns the facts about the process and its files that the configuration is checked against: the
+/// descriptor limit of this process and the content of the key file.
 fn check_context() -> CheckContext {
     CheckContext {
         descriptor_limit: getrlimit(Resource::Nofile).current,
--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -25,7 +25,7 @@
 pub(crate) struct LogConfig {
     /// Level for all targets or by target. RUST_LOG takes precedence.
     pub(crate) level: String,
-    /// Whether lines are JSON. If `None`, they are unless standard error is a terminal.
+    /// Whether lines are JSON. If `None`, lines are JSON unless standard error is a terminal.
     pub(crate) json: Option<bool>,
 }
 
@@ -95,7 +95,7 @@
         .map_err(|source| LevelError::InvalidTarget { levels: levels.to_owned(), source })
 }
 
-/// Returns the levels from RUST_LOG if it is set and not empty, else those of the configuration.
+/// Returns the levels from RUST_LOG if it is set and not empty, otherwise the levels of the configuration.
 fn effective_levels(config: &LogConfig) -> Result<Targets, LogError> {
     match std::env::var(LEVELS_ENV_VAR) {
         Ok(levels) if !levels.is_empty() => parse_levels(&levels).map_err(LogError::Environment),
--- a/crates/scheduler/src/serve/event_log.rs
+++ b/crates/scheduler/src/serve/event_log.rs
@@ -13,7 +13,7 @@
 const DEFAULT_MAX_ROTATED_FILES: u32 = 4;
 const DEFAULT_QUEUE_CAPACITY: usize = 4_096;
 
-/// The event log of a run; it records nothing if none is configured.
+/// The event log of a run; nothing is recorded if no event log is configured.
 pub(super) struct EventLog {
     recorder: Recorder,
     writer: Option<Writer>,
--- a/crates/scheduler/src/serve/exit_budget.rs
+++ b/crates/scheduler/src/serve/exit_budget.rs
@@ -6,7 +6,7 @@
 /// Time reserved before the exit deadline for writing the last log lines.
 const LOG_RESERVE: Duration = Duration::from_millis(50);
 /// Time reserved before `LOG_RESERVE` for writing the last events. Membership ends before the event log, so
-/// the wait for it keeps both reserves free.
+/// the wait for membership keeps both reserves free.
 #[cfg(feature = "standalone")]
 const EVENT_LOG_RESERVE: Duration = Duration::from_millis(100);
 /// Longest wait for the event log, even if the exit deadline is later.
@@ -15,7 +15,8 @@
 const FAILED_START_EXIT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The time left until the process must exit, for the components that end one after another after the last
-/// requests. Each may take what is left, less the time reserved for those that end later.
+/// requests. Each component may take the time that is left, less the time reserved for the components that
+/// end later.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ExitBudget {
     exit_deadline: Instant,
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -44,7 +44,7 @@
     /// Content found by the last check.
     last_content: Vec<u8>,
     check_at: Instant,
-    /// `None` until the file has settled and been read.
+    /// State of the rechecks; `None` until the file has settled and been read.
     recheck: Option<Recheck>,
 }
 
