--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -68,7 +68,7 @@
 struct SlowStartShares {
     /// Number of dispatchers that share the budget: those with the lowest positions.
     sharers: f64,
-    /// Work that each of them may send in a window.
+    /// Work that each of these dispatchers may send in an overload window.
     share: f64,
 }
 
@@ -106,7 +106,7 @@
         SlowStartBudgets { rules, ..SlowStartBudgets::default() }
     }
 
-    /// Records when this dispatcher started. Work sent by an earlier process of it is not known.
+    /// Records when this dispatcher started. Work sent by an earlier process of this dispatcher is not known.
     pub(super) fn start(&mut self, now: Micros) {
         self.dispatcher_started_at = Some(now);
     }
@@ -145,8 +145,8 @@
         // Work sent to an earlier process of the worker does not count.
         let from = now.max(worker.started_at.map_or(0, |at| at.saturating_add(rules.window)));
         let sent = worker.sent.sum_at(from);
-        // A dispatcher that has started since the worker's start does not know what an earlier process of it
-        // sent, possibly its whole share.
+        // A dispatcher that has started since the worker's start does not know what its own earlier process
+        // sent, which may have been the dispatcher's whole share.
         if let Some(dispatcher_started_at) = self.dispatcher_started_at
             && worker.started_at < self.dispatcher_started_at
             && now < dispatcher_started_at + rules.window
@@ -194,11 +194,11 @@
         self.overload_multiple * capacity * to_seconds(self.window)
     }
 
-    /// Determines how many dispatchers share a budget and what each of them may send in a window.
+    /// Determines how many dispatchers share a budget and what each of them may send in an overload window.
     fn shares(&self, budget: f64, mean_request_load: f64) -> SlowStartShares {
         let allowed = budget + random_excess_allowance(budget, mean_request_load);
-        // The notified dispatchers must not have sent more than two thirds of an overload's work; the others
-        // may have sent a third.
+        // An overload is attributed to the notified dispatchers if they sent more than two thirds of its
+        // work, so they must stay within that; the other dispatchers may have sent a third.
         let target = (SLOW_START_BUDGET_FRACTION * budget).min(allowed / SLOW_START_NOTIFIED_DIVISOR);
         let fleet_size = f64::from(self.fleet_size);
         let min_share = SLOW_START_SHARE_REQUESTS * mean_request_load;
@@ -207,7 +207,8 @@
         if self.instance_index.is_some() || sharers >= fleet_size {
             return SlowStartShares { sharers, share };
         }
-        // The lowest random positions may be held by more dispatchers than there are positions.
+        // The lowest positions may be held by more dispatchers than there are positions, because each
+        // dispatcher draws its position at random.
         let holders = (sharers + SLOW_START_HOLDER_STD_DEVIATIONS * sharers.sqrt() + 2.0).min(fleet_size);
         let share = (share * SLOW_START_RANDOM_POSITION_FRACTION).min(allowed / holders);
         SlowStartShares { sharers, share }
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -35,13 +35,14 @@
     pub peer: Option<&'a str>,
 }
 
-/// Counts an event without a subject; see [`count_event_for`].
+/// Counts an event whose worker, request class and peer are not given; see [`count_event_for`].
 pub fn count_event(counter: &'static str, reason: &str) {
     count_event_for(counter, reason, EventSubject::default());
 }
 
-/// Counts an event, and logs it with its subject when the count reaches a power of two. The log is limited in
-/// this way so that a peer that repeats an error cannot flood it or overload the thread that writes it.
+/// Counts an event, and logs it with the worker, request class and peer in `subject` when the count reaches a
+/// power of two. The log is limited in this way so that a peer that repeats an error cannot flood it or
+/// overload the thread that writes it.
 pub fn count_event_for(counter: &'static str, reason: &str, subject: EventSubject<'_>) {
     let mut counts = COUNTS.lock().unwrap_or_else(PoisonError::into_inner);
     let count = counts.entry(counter).or_default();
