--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -59,7 +59,8 @@
     });
 }
 
-/// Checks that some worker has the kind; only with a static list are the kinds known in advance.
+/// Checks that a worker of the static list has the worker kind that the class requires. With discovery,
+/// nothing is checked, because the worker kinds are not known in advance.
 fn check_worker_kind(class: &Class, source: &EndpointSourceConfig, key: &str, violations: &mut Violations) {
     if source.kind != EndpointSourceKind::Static {
         return;
--- a/crates/config/src/check/membership.rs
+++ b/crates/config/src/check/membership.rs
@@ -26,7 +26,8 @@
     check_names(config, violations);
 }
 
-/// Rejects keys that have no effect without `bind`, as their presence suggests that membership is on.
+/// Rejects keys that have no effect without `bind`, because someone who sets them expects membership to be
+/// on.
 fn check_unused(membership: &MembershipConfig, violations: &mut Violations) {
     let keys = [
         ("cluster.advertise", membership.advertise.is_some()),
--- a/crates/config/src/check/violations.rs
+++ b/crates/config/src/check/violations.rs
@@ -16,7 +16,7 @@
 }
 
 impl Violations {
-    /// Adds a violation of `key` unless `holds`.
+    /// Adds a violation of `key` if the condition `holds` is false.
     pub(super) fn require(&mut self, holds: bool, key: &str, message: impl FnOnce() -> String) {
         if !holds {
             self.add(key, message());
--- a/crates/config/src/describe/default_file.rs
+++ b/crates/config/src/describe/default_file.rs
@@ -5,7 +5,7 @@
 use super::schema::{description, schema};
 use crate::types::Config;
 
-/// Why the built-in defaults cannot be written as TOML; this would be a bug.
+/// The reason why the built-in defaults cannot be written as TOML; such an error would be a bug.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum DescribeError {
@@ -41,7 +41,7 @@
                 add_comments(inner, schema);
             }
             Item::ArrayOfTables(tables) => {
-                // Only the first item has comments, as the others have the same keys.
+                // Only the first item of a list has comments, because the other items have the same keys.
                 if let Some(first) = tables.iter_mut().next() {
                     first.decor_mut().set_prefix(format!("\n{comment}"));
                     add_comments(first, &schema["items"]);
--- a/crates/config/src/describe/reference_page.rs
+++ b/crates/config/src/describe/reference_page.rs
@@ -44,7 +44,8 @@
     }
 }
 
-/// Adds a section with the keys of a table that are not tables; none if it has no such keys.
+/// Adds a section with those keys of a table whose values are not tables. Adds no section if there are no
+/// such keys.
 fn add_keys(
     path: &str,
     schema: &Value,
@@ -99,7 +100,8 @@
     }
 }
 
-/// The values of a choice with their meanings; empty for any other type.
+/// Lists the values of a type that is a choice between fixed values, with their descriptions; empty for any
+/// other type.
 fn choices(schema: &Value) -> String {
     let Some(alternatives) = schema["oneOf"].as_array() else { return String::new() };
     let describe = |choice: &Value| {
--- a/crates/config/src/describe/schema.rs
+++ b/crates/config/src/describe/schema.rs
@@ -37,7 +37,8 @@
         (_, Value::Array(names)) => {
             names.iter().filter_map(Value::as_str).find(|&name| name != "null").unwrap_or("any").to_owned()
         }
-        // An optional value: the first alternative that is not null.
+        // The schema of an optional value has two alternatives, the value's type and null; the type is the
+        // first.
         _ => {
             let alternatives = schema["anyOf"].as_array();
             alternatives.and_then(|schemas| schemas.first()).map_or("any".into(), type_name)
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -26,7 +26,7 @@
     /// The origin of a key's value: `default`, the file's name, `environment` with the variable, or
     /// `flag --set`.
     pub fn origin(&self, key: &str) -> String {
-        // A list is set as a whole, so that its items have one origin.
+        // All items of a list have the origin of the list, because a layer can set a list only as a whole.
         let mut key = key.split('[').next().unwrap_or_default();
         loop {
             if let Some(metadata) = self.figment.find_metadata(key) {
--- a/crates/config/src/layer_names.rs
+++ b/crates/config/src/layer_names.rs
@@ -4,13 +4,13 @@
 pub(crate) const DEFAULT_LAYER: &str = "default";
 /// The name of the layers that come from flags.
 pub(crate) const FLAG_LAYER: &str = "flag --set";
-/// The prefix of the environment variables.
+/// The prefix of the names of all environment variables that configure the scheduler.
 pub(crate) const ENVIRONMENT_PREFIX: &str = "COPPERSPREAD_";
-/// The separator of tables and keys in a variable's name, in place of the dot.
+/// The separator of tables and keys in the name of an environment variable, used in place of the dot.
 pub(crate) const ENVIRONMENT_SEPARATOR: &str = "__";
 
-/// The label of a layer that sets `key`, for messages. figment's own name of the environment's layer lacks
-/// the variable, which is added here.
+/// The label, in messages, of a layer that sets `key`. For the environment, the label includes the name of
+/// the variable, because figment's own name of that layer lacks it.
 pub(crate) fn layer_label(layer: &str, key: &str) -> String {
     if !layer.contains(ENVIRONMENT_PREFIX) {
         return layer.to_owned();
--- a/crates/config/src/layers.rs
+++ b/crates/config/src/layers.rs
@@ -73,7 +73,7 @@
         .map_err(|error| InvalidConfig::without_key("defaults", error))?;
     let mut figment = Figment::from(Layer { name: DEFAULT_LAYER.to_owned(), table: defaults });
     if let Some((name, text)) = file {
-        // The file is validated before the merge, since later errors have no line numbers.
+        // The file is validated before the merge, because errors found after the merge have no line numbers.
         let table = read_file(name, text)?;
         figment = figment.merge(Layer { name: name.to_owned(), table });
     }
@@ -95,7 +95,8 @@
     serde_path_to_error::deserialize::<_, Config>(deserializer)
         .map_err(|error| invalid(&error.path().to_string(), error.inner()))?;
     let table: toml::Table = text.parse().map_err(|error| invalid("", &error))?;
-    // A file may be empty for a moment while it is rewritten, and must not be taken as the defaults then.
+    // An empty file is an error, because a file may be empty for a moment while it is rewritten, and the
+    // scheduler must not take the defaults then.
     if table.is_empty() {
         let message = "sets no keys; omit the file to use the built-in defaults";
         return Err(InvalidConfig::without_key(name, message));
@@ -128,7 +129,7 @@
 }
 
 fn read_flag_value(text: &str) -> toml::Value {
-    // A text with line breaks may parse as several keys; it is then taken as a string.
+    // A value with line breaks may parse as several keys; such a value is taken as a string.
     let document = format!("value = {text}").parse::<toml::Table>().ok().filter(|table| table.len() == 1);
     let value = document.and_then(|mut table| table.remove("value"));
     value.unwrap_or_else(|| toml::Value::String(text.to_owned()))
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -15,7 +15,7 @@
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.key.as_str() {
-            // serde_path_to_error writes "." for the document itself.
+            // serde_path_to_error uses "." as the key of the whole document.
             "" | "." => write!(f, "{}: {}", self.location, self.message),
             key => write!(f, "{}: {key}: {}", self.location, self.message),
         }
--- a/crates/config/src/startup.rs
+++ b/crates/config/src/startup.rs
@@ -11,10 +11,11 @@
 };
 
 const BYTES_PER_MEGABYTE: f64 = 1e6;
-/// Revision given to a static list, which has none of its own.
+/// Revision of every static endpoint list, because a static list states no revision.
 const STATIC_LIST_REVISION: u64 = 1;
 
-/// Why a configuration cannot be converted; a validated configuration never gives these errors.
+/// The reason why a configuration cannot be converted. The conversion of a validated configuration never
+/// fails.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartupError {
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -12,7 +12,7 @@
 /// Longest accepted duration, far above any useful value; a longer one might not fit into `Micros`.
 const MAX_DURATION: Duration = Duration::from_secs(366 * 86_400);
 
-/// Why a text cannot be parsed as a duration or a size.
+/// The reason why a text cannot be parsed as a duration or a size.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum ParseUnitError {
@@ -21,7 +21,7 @@
     InvalidDuration {
         /// The text as given.
         text: String,
-        /// What is wrong with it.
+        /// The parser's error.
         source: humantime::DurationError,
     },
     /// The duration is longer than 366 days.
@@ -35,7 +35,7 @@
     InvalidSize {
         /// The text as given.
         text: String,
-        /// What is wrong with it, as text, since the parser has no typed error.
+        /// The parser's error, as text because the parser has no error type.
         reason: String,
     },
 }
--- a/crates/event-log/src/batch_writer.rs
+++ b/crates/event-log/src/batch_writer.rs
@@ -61,7 +61,7 @@
 
     /// Writes records until the queue is closed and empty.
     pub(crate) fn run(mut self, queue: &Receiver<Record>) {
-        // No batch may fill a file by itself.
+        // A batch has at most half the maximum size of a file, so that no batch fills a file by itself.
         let max_batch_bytes = MAX_BATCH_BYTES.min(self.config.max_file_bytes as usize / 2);
         let mut lines = Vec::with_capacity(max_batch_bytes + BATCH_HEADROOM_BYTES);
         while let Ok(first) = queue.recv() {
@@ -131,7 +131,8 @@
     }
 
     /// Once per [`CHECK_INTERVAL`], opens the file if it is not open. A file that is no longer at its path is
-    /// closed first: it or its disk was moved or removed, and nobody would find what is written to it.
+    /// closed first, because the file or its disk was moved or removed, and nobody would find records that
+    /// are written to such a file.
     fn reopen_if_due(&mut self) -> Result<(), EventLogError> {
         if self.last_check.elapsed() < CHECK_INTERVAL {
             return Ok(());
--- a/crates/event-log/src/config.rs
+++ b/crates/event-log/src/config.rs
@@ -7,7 +7,7 @@
     /// The file that records are appended to; [`crate::writer::STANDARD_ERROR_PATH`] stands for standard
     /// error.
     pub path: PathBuf,
-    /// Size in bytes; the file is rotated before it exceeds it.
+    /// Maximum size of the file in bytes; the file is rotated before it would exceed this size.
     pub max_file_bytes: u64,
     /// Number of rotated files that are kept.
     pub max_rotated_files: u32,
--- a/crates/event-log/src/error.rs
+++ b/crates/event-log/src/error.rs
@@ -1,7 +1,7 @@
 //! The errors of the log file.
 use std::io;
 
-/// Why the event log cannot be opened or written.
+/// The reason why the event log cannot be opened or written.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum EventLogError {
@@ -20,8 +20,8 @@
 const EIO: i32 = 5;
 
 impl EventLogError {
-    /// Whether the disk is full or fails. Such an error may pass, unlike that of a path that cannot be
-    /// written to.
+    /// Whether the error means that the disk is full or fails. Such an error may pass by itself, unlike an
+    /// error because of a path that cannot be written to.
     pub(crate) fn is_storage_failure(&self) -> bool {
         let EventLogError::Io(error) = self else { return false };
         matches!(error.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded)
--- a/crates/event-log/src/fleet_summary.rs
+++ b/crates/event-log/src/fleet_summary.rs
@@ -21,7 +21,7 @@
     runs: HashMap<String, RunState>,
     scheduler_names: BTreeSet<String>,
     timeline: RunTimeline,
-    /// The sums by second of the timeline.
+    /// The sums for each second of the timeline, keyed by Unix time in seconds.
     seconds: BTreeMap<u64, WindowSummary>,
     workers: BTreeMap<String, WorkerSummary>,
     /// Number of lines that are not records, such as log lines and truncated records.
@@ -103,7 +103,8 @@
                 increment(&mut second.attempt_outcomes, outcome);
                 let worker = self.workers.entry(worker.clone()).or_default();
                 worker.add_outcome(outcome);
-                // An attempt whose start is not in the stream was not counted as in flight.
+                // An attempt whose start is not in the stream is skipped, because it was not counted as in
+                // flight.
                 let Some(estimate_us) = run.end_attempt(request_id, *attempt) else { return };
                 worker.end_attempt(time_us);
                 if let Some(estimate_us) = estimate_us.filter(|_| outcome == "served") {
--- a/crates/event-log/src/log_file.rs
+++ b/crates/event-log/src/log_file.rs
@@ -7,7 +7,8 @@
 use crate::error::EventLogError;
 use crate::file_system::{FileSystem, OpenFile};
 
-/// The path that stands for standard error, for machines without a disk whose output is collected.
+/// The path that stands for standard error. It is meant for machines without a disk, whose standard error is
+/// collected by another program.
 pub const STANDARD_ERROR_PATH: &str = "-";
 
 /// The open log file, or standard error, which is neither locked, rotated nor truncated.
@@ -33,20 +34,20 @@
         let is_empty = length == 0;
         let mut log_file =
             LogFile { file, length, is_standard_error: false, may_end_in_partial_line: !is_empty };
-        // On a full disk this fails, and the next write tries again.
+        // The error is ignored: ending the line fails on a full disk, and the next append tries again.
         let _ = log_file.end_partial_line();
         Ok(log_file)
     }
 
-    /// Appends complete lines. After an error, what was written of them is removed if the file can be
-    /// truncated.
+    /// Appends complete lines. After an error, the part of the lines that was written is removed if the file
+    /// can be truncated.
     pub(crate) fn append(&mut self, lines: &[u8]) -> io::Result<()> {
         self.end_partial_line()?;
         match self.file.write_all(lines) {
             Ok(()) if self.is_standard_error => {}
             Ok(()) => self.length += lines.len() as u64,
             Err(error) => {
-                // The disk may have become full in the middle of a line: what was written is removed.
+                // The written part is removed, because the disk may have become full in the middle of a line.
                 let is_removed = !self.is_standard_error && self.file.set_len(self.length).is_ok();
                 self.may_end_in_partial_line = !is_removed;
                 return Err(error);
@@ -75,7 +76,8 @@
         if !self.may_end_in_partial_line {
             return Ok(());
         }
-        // Standard error cannot be read back: an empty line does less harm than two joined lines.
+        // On standard error, a line break is always written, because standard error cannot be read back and
+        // an empty line does less harm than two joined lines.
         if self.is_standard_error || !self.ends_with_complete_line()? {
             self.file.write_all(b"\n")?;
         }
--- a/crates/event-log/src/reader.rs
+++ b/crates/event-log/src/reader.rs
@@ -6,12 +6,13 @@
 
 use crate::record::{EventKind, FORMAT, Record};
 
-/// Longest line that is held in memory, as the file may not be an event log.
+/// Length in bytes of the longest line that is held in memory. Longer lines are skipped, because the file may
+/// not be an event log.
 const MAX_LINE_BYTES: u64 = 1 << 20;
-/// Longest timestamp that is skipped before a record.
+/// Length in bytes of the longest timestamp that is skipped before a record.
 const MAX_PREFIX_BYTES: usize = 64;
 
-/// A line of the file, by what it holds.
+/// A line of the stream, classified by its content.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
     /// A record.
@@ -20,21 +21,21 @@
     UnknownKind {
         /// The event kind.
         kind: String,
-        /// The id of its run.
+        /// The id of the record's run.
         run_id: String,
-        /// Its sequence number in the run.
+        /// The sequence number of the record in its run.
         sequence: u64,
     },
     /// A line that is not a record.
     Invalid {
-        /// Why it is not a record.
+        /// The reason why the line is not a record.
         reason: InvalidLineReason,
     },
     /// The last line, without a line break: it is still being written, or a crash truncated it.
     Truncated,
 }
 
-/// Why a line is not a record. The `message` fields are texts of the JSON parser.
+/// The reason why a line is not a record. The `message` fields hold messages of the JSON parser.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum InvalidLineReason {
@@ -53,7 +54,7 @@
         /// The record's format version.
         version: u32,
     },
-    /// The event does not have the fields of its kind.
+    /// The event's fields are not those that its event kind requires.
     #[error("{kind}: {message}")]
     MalformedEvent {
         /// The event kind.
@@ -63,8 +64,8 @@
     },
 }
 
-/// A record whose event is not parsed yet. serde writes the name of this type into the texts of
-/// [`InvalidLineReason::Malformed`], so that it must not change.
+/// A record whose event is not parsed yet. The name of this type must not change, because serde writes it
+/// into the messages of [`InvalidLineReason::Malformed`].
 #[derive(Deserialize)]
 struct Head {
     #[serde(rename = "v")]
@@ -133,8 +134,8 @@
     }
 }
 
-/// A line without the timestamp that a collector of standard error put before it. A truncated record that is
-/// joined with the next one is not taken for a timestamp.
+/// Returns the line without the timestamp that a collector of standard error put before the record. A
+/// truncated record that is joined with the next record is not taken for a timestamp.
 fn without_prefix(line: &[u8]) -> &[u8] {
     match line.iter().take(MAX_PREFIX_BYTES).position(|&byte| byte == b'{' || byte == b'"') {
         Some(start) if line[start..].starts_with(b"{\"v\":") => &line[start..],
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -184,7 +184,8 @@
     Reject {
         /// How long the client should wait before it retries, in microseconds.
         retry_after_us: u64,
-        /// Why: `invalid`, `scarce` (overloaded), `no_worker`, `late` or `spent` (attempts exhausted).
+        /// The reason of the rejection: `invalid`, `scarce` (overloaded), `no_worker`, `late` or `spent`
+        /// (attempts exhausted).
         #[serde(rename = "why")]
         reason: String,
         /// For `late`: by how much the lowest estimated finish time exceeds the time left, in microseconds.
@@ -224,7 +225,7 @@
 }
 
 impl EventKind {
-    /// The serialized name of the kind.
+    /// The serialized name of the event kind.
     pub fn kind(&self) -> &'static str {
         match self {
             EventKind::RunStarted { .. } => "run_started",
--- a/crates/event-log/src/run_summary.rs
+++ b/crates/event-log/src/run_summary.rs
@@ -26,7 +26,7 @@
     pub clock_steps: u64,
     /// Whether the stream has the end of the run; if not, the run continues or was killed.
     pub has_ended: bool,
-    /// The counts of the run's requests, if the record of its end has them.
+    /// The counts of the run's requests, if the record of the run's end has these counts.
     pub requests: Option<RequestCounts>,
     /// Number of attempts by outcome.
     pub attempt_outcomes: BTreeMap<String, u64>,
--- a/crates/event-log/src/run_timeline.rs
+++ b/crates/event-log/src/run_timeline.rs
@@ -10,9 +10,9 @@
 /// The offset of the wall clock from the monotonic clock in one run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunClock {
-    /// Wall clock minus monotonic clock at the first record.
+    /// Wall clock minus monotonic clock at the first record, in microseconds.
     first_offset_us: i128,
-    /// Wall clock minus monotonic clock at the last record.
+    /// Wall clock minus monotonic clock at the last record, in microseconds.
     last_offset_us: i128,
     steps: u64,
 }
@@ -41,7 +41,7 @@
     /// The time of a record in microseconds of Unix time, by the offset at the first record.
     fn time_us(&self, record: &Record) -> u64 {
         let time_us = (i128::from(record.mono_us) + self.first_offset_us).clamp(0, i128::from(u64::MAX));
-        // Cannot fail, as the time was clamped to the range of u64.
+        // The conversion cannot fail, because the time was clamped to the range of u64.
         u64::try_from(time_us).unwrap_or(u64::MAX)
     }
 }
--- a/crates/event-log/src/sequence_tracker.rs
+++ b/crates/event-log/src/sequence_tracker.rs
@@ -7,7 +7,8 @@
 pub(crate) struct SequenceTracker {
     has_started: bool,
     next_sequence: u64,
-    /// Ranges of missing numbers below `next_sequence`: the first number, and the one after the last.
+    /// Ranges of missing numbers below `next_sequence`. The key is the first number of a range, the value the
+    /// number after its last one.
     missing_ranges: BTreeMap<u64, u64>,
     missing: u64,
     out_of_order: u64,
@@ -36,7 +37,8 @@
     pub(crate) fn add(&mut self, sequence: u64, gap: Option<u64>) {
         if !self.has_started {
             self.has_started = true;
-            // A stream whose first file was removed starts at a later number, which is not a gap.
+            // A first number above 0 is not a gap, because the first file of the stream may have been
+            // removed.
             self.next_sequence = sequence;
             self.missing += gap.unwrap_or(1) - 1;
         }
--- a/crates/event-log/src/stream_summary.rs
+++ b/crates/event-log/src/stream_summary.rs
@@ -4,7 +4,7 @@
 use crate::reader::{InvalidLineReason, Line};
 pub use crate::run_summary::{ClassSummary, RunSummary};
 
-/// Number of invalid lines that are kept with their reasons.
+/// Maximum number of invalid lines that are kept with their reasons.
 const MAX_INVALID_LINES: usize = 5;
 
 /// A line that is not a record.
@@ -12,7 +12,7 @@
 pub struct InvalidLine {
     /// The line's number, from 1.
     pub number: u64,
-    /// Why the line is not a record.
+    /// The reason why the line is not a record.
     pub reason: InvalidLineReason,
 }
 
--- a/crates/event-log/src/text_format.rs
+++ b/crates/event-log/src/text_format.rs
@@ -1,8 +1,8 @@
 //! Formats counts and times for the texts of the summaries.
 //!
-//! The wording of the summaries is an output format that other programs may parse, so that it does not follow
-//! the names in the code: `taken` counts accepted requests, `schedulings` attempts, `refused` rejections and
-//! `lists` endpoint updates.
+//! The wording of the summaries does not follow the names in the code, because other programs may parse the
+//! summaries: `taken` counts accepted requests, `schedulings` attempts, `refused` rejections and `lists`
+//! endpoint updates.
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
--- a/crates/event-log/src/window_summary.rs
+++ b/crates/event-log/src/window_summary.rs
@@ -44,7 +44,7 @@
         merge_counts(&mut self.responses, &other.responses);
         merge_counts(&mut self.rejection_reasons, &other.rejection_reasons);
         merge_counts(&mut self.attempt_outcomes, &other.attempt_outcomes);
-        // Cannot fail, as both have the same bounds.
+        // The addition cannot fail, because both histograms have the same bounds.
         let _ = self.served_us.add(&other.served_us);
     }
 
--- a/crates/event-log/src/worker_summary.rs
+++ b/crates/event-log/src/worker_summary.rs
@@ -6,8 +6,9 @@
 use crate::text_format::{Counts, elapsed_histogram, format_counts, increment};
 use crate::window_summary::ELAPSED_DIGITS;
 
-/// A change of the number of attempts in flight. Changes of equal time are ordered ends first, so that an
-/// attempt that ends as another starts is not counted with it.
+/// A change of the number of attempts in flight. Among changes at the same time, ends are ordered before
+/// starts, so that an attempt that ends at the time at which another starts does not count as in flight
+/// together with it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlightChange {
     /// Time of the change in microseconds of Unix time, by the timeline of all runs.
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -13,7 +13,7 @@
 use crate::recorder::SharedCounts;
 pub use crate::recorder::{RecordCounts, Recorder};
 
-/// Longest wait at the start for the file to be opened, as a disk may hang.
+/// Longest time to wait at the start until the file is opened. The wait is limited because a disk may hang.
 const MAX_OPEN_WAIT: Duration = Duration::from_secs(1);
 
 /// Handle to the thread that writes the log file. The thread ends once the recorder is closed, or dropped
@@ -24,8 +24,8 @@
 }
 
 impl Writer {
-    /// Waits until all queued records are processed, but at most `max_wait`, as a disk may hang. Returns
-    /// whether they were. Call it after [`Recorder::close`].
+    /// Waits until all queued records are processed, but at most `max_wait`, because a disk may hang. Returns
+    /// whether all were processed. Must be called after [`Recorder::close`].
     pub fn finish(self, max_wait: Duration) -> bool {
         matches!(self.ended.recv_timeout(max_wait), Err(RecvTimeoutError::Disconnected))
     }
--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -51,8 +51,8 @@
             return [None; 2];
         }
         let first = self.delay(rng);
-        // Duplication and extra delay draw a random number only if their rate is above 0, so that they do not
-        // change the random sequence of plans without them.
+        // Duplication and extra delay draw a random number only if their rate is above 0, so that plans
+        // without them keep their sequence of random numbers.
         let is_duplicated =
             conditions.duplication_rate > 0.0 && rng.random::<f64>() < conditions.duplication_rate;
         [Some(first), is_duplicated.then(|| self.delay(rng))]
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -79,8 +79,8 @@
         "work_item" => Ok(Event::Request(incoming_request(message)?)),
         "answer" => Ok(Event::AttemptCompleted(attempt_outcome(message)?)),
         "progress" => attempt_progress(message, progress(message)?),
-        // The response has begun to stream to the client. That an attempt has started to run is `progress` of
-        // kind 1.
+        // `started` means that the response has begun to stream to the client, whereas `progress` of kind 1
+        // means that the attempt has started to run.
         "started" => attempt_progress(message, Progress::Streaming),
         "aborted" => Ok(Event::ClientDisconnected(request_id(message)?)),
         "bell" => timer_expired(message),
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -8,7 +8,7 @@
 
 /// Writes the actions of one instance as simulator messages.
 pub(crate) struct ActionEncoder<'a> {
-    /// The instance's name, the wire's `node_id`.
+    /// The instance's name (`node_id` on the wire).
     pub(crate) node: &'a str,
     /// The worker names by worker id.
     pub(crate) workers: &'a WorkerTable,
--- a/crates/system-call-faults/src/injector.rs
+++ b/crates/system-call-faults/src/injector.rs
@@ -62,9 +62,9 @@
             Target::Unspecific => "any",
         };
         let line = format!("{} {target} {fault}\n", call.name());
-        // A direct system call, as faults may be injected into the C library's `write`.
-        // SAFETY: the descriptor stays open for the lifetime of the process, and the buffer is valid for its
-        // length.
+        // The log is written by a direct system call, because faults may be injected into the C library's
+        // `write`. SAFETY: the descriptor stays open for the lifetime of the process, and the buffer is valid
+        // for its length.
         unsafe { libc::syscall(libc::SYS_write, log.as_raw_fd(), line.as_ptr(), line.len()) };
     }
 }
--- a/crates/system-call-faults/src/original.rs
+++ b/crates/system-call-faults/src/original.rs
@@ -23,7 +23,7 @@
         // SAFETY: the name is a valid C string with a static lifetime.
         let found = unsafe { libc::dlsym(libc::RTLD_NEXT, self.name.as_ptr()) };
         if found.is_null() {
-            // The interposed function cannot work without the original.
+            // Aborts because the interposed function cannot work without the original.
             std::process::abort();
         }
         self.address.store(found as usize, Ordering::Relaxed);
--- a/crates/system-call-faults/src/sockets.rs
+++ b/crates/system-call-faults/src/sockets.rs
@@ -154,7 +154,8 @@
 /// The caller must meet the requirements of the original function.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn close(descriptor: c_int) -> c_int {
-    // Before the close, as another thread may reuse the descriptor immediately afterwards.
+    // The state is removed before the close, because another thread may get the same descriptor immediately
+    // after the close.
     descriptors::untrack(descriptor);
     let original = original!(close: fn(c_int) -> c_int);
     // SAFETY: the caller's argument is passed on unchanged.
--- a/crates/test-harness/src/client.rs
+++ b/crates/test-harness/src/client.rs
@@ -44,7 +44,7 @@
 
 impl MembershipClient {
     pub(crate) fn new() -> MembershipClient {
-        // No idle connections are kept: one to a process that has been killed is unusable.
+        // No idle connections are kept, because a connection to a process that has been killed is unusable.
         let mut client = Client::builder(TokioExecutor::new());
         client.pool_timer(TokioTimer::new()).pool_max_idle_per_host(0);
         MembershipClient(client.build_http())
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -44,8 +44,8 @@
     /// Binds a member's relay and spawns the relay's tasks, which end with the runtime.
     fn new(network: &Arc<FaultyNetwork>, member: usize, runtime: &Runtime) -> FleetMember {
         let sockets = network.addresses.bind_relay();
-        // These ports stay free until the process starts or restarts: no other fleet uses this address block,
-        // and the system assigns ephemeral ports from a higher range.
+        // These ports stay free until the process starts or restarts, because no other fleet uses this
+        // address block, and the system assigns ephemeral ports from a higher range.
         let http_address = network.addresses.http_address(member);
         let membership_address = network.addresses.membership_address(member);
         runtime.spawn(relay::relay_packets(Arc::clone(network), member, sockets.udp, membership_address));
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -32,7 +32,8 @@
     }
 
     fn signal(&self, signal: Signal) {
-        // The child has not been waited for, so its process id cannot be reused, even if it has exited.
+        // The signal cannot reach another process: the system does not reuse the child's process id before
+        // the child has been waited for, even if the child has exited.
         kill_process(Pid::from_child(&self.0), signal).expect("the child process can be signalled");
     }
 
@@ -44,7 +45,8 @@
 
 impl Drop for SchedulerProcess {
     fn drop(&mut self) {
-        // SIGKILL ends a paused process too. The call fails only if the process has exited already.
+        // SIGKILL ends a paused process too. The error is ignored, because the call fails only if the process
+        // has exited already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
--- a/crates/test-harness/src/relay.rs
+++ b/crates/test-harness/src/relay.rs
@@ -20,8 +20,8 @@
 /// Maximum size of a stream chunk. The faults of a link apply to each chunk separately.
 const STREAM_CHUNK_BYTES: usize = 1_400;
 
-/// The network links between all members of a fleet. The fleet applies faults to them, and the relay tasks
-/// ask it for the delivery delays of each packet.
+/// The network links between all members of a fleet. The fleet applies faults to the links, and the relay
+/// tasks ask for the delivery delays of each packet.
 pub(crate) struct FaultyNetwork {
     pub(crate) addresses: AddressBlock,
     state: Mutex<NetworkState>,
@@ -51,8 +51,8 @@
         links.delivery_delays(from, to, rng)
     }
 
-    /// Waits until the link lets a stream's chunk, opening or end through, and for its delay. If it is lost
-    /// or the link is blocked, tries again after [`RETRANSMIT_INTERVAL`].
+    /// Waits until a part of a stream (its opening, a chunk or its end) arrives over the link, including its
+    /// delay. If the part is lost or the link is blocked, tries again after [`RETRANSMIT_INTERVAL`].
     async fn wait_for_delivery(&self, from: usize, to: usize) {
         loop {
             match self.delivery_delays(from, to)[0] {
@@ -74,7 +74,8 @@
     let socket = Arc::new(tokio::net::UdpSocket::from_std(socket).expect("the runtime accepts the socket"));
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error reports that an earlier packet could not be delivered to a member that is down.
+        // An error is ignored, because it only reports that an earlier packet could not be delivered to a
+        // member that is down.
         let Ok((size, sender)) = socket.recv_from(&mut buffer).await else { continue };
         let Some(from) = network.addresses.member_at(sender) else { continue };
         for delay in network.delivery_delays(from, to).into_iter().flatten() {
