--- a/crates/system-call-faults/src/injector.rs
+++ b/crates/system-call-faults/src/injector.rs
@@ -63,8 +63,9 @@
         };
         let line = format!("{} {target} {fault}\n", call.name());
         // The log is written by a direct system call, because faults may be injected into the C library's
-        // `write`. SAFETY: the descriptor stays open for the lifetime of the process, and the buffer is valid
-        // for its length.
+        // `write`.
+        // SAFETY: the descriptor stays open for the lifetime of the process, and the buffer is valid for its
+        // length.
         unsafe { libc::syscall(libc::SYS_write, log.as_raw_fd(), line.as_ptr(), line.len()) };
     }
 }
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// The result of a command. An error is only printed, so its type does not matter.
+/// The result of a command. The type of the error does not matter, because the error is only printed.
 pub(crate) type CommandResult = Result<CommandStatus, Box<dyn Error>>;
 
 /// Runs a command of the command line.
--- a/crates/testbed/src/cost/mod.rs
+++ b/crates/testbed/src/cost/mod.rs
@@ -123,7 +123,7 @@
     let runtime = single_threaded_runtime().map_err(CostError::Runtime)?;
     let folder = tempfile::tempdir()?;
     let process = configure(program, &scenario, listen, &stubs, folder.path());
-    // The clients' tasks are cancelled when this task set is dropped.
+    // The tasks of the clients are cancelled when this task set is dropped.
     LocalSet::new().block_on(&runtime, async { sample_cost(process?, settings).await })
 }
 
--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -1,6 +1,7 @@
 //! Baseline scheduler: the proxy with one of the testbed's policies in place of the dispatch policy.
 //!
-//! As the proxy is the same, two policies in an emulation differ in nothing but their decisions.
+//! Two emulated schedulers with different policies differ only in their dispatch decisions, because both run
+//! the same proxy.
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -23,7 +24,8 @@
 use crate::policy::{Policy, PolicyKind};
 use crate::startup::{ServeError, read_config, single_threaded_runtime};
 
-/// Time after which the `IgnoresDrains` policy stops applying endpoint lists; it has its first list by then.
+/// Time since the start after which a scheduler with the `IgnoresDrains` policy stops applying endpoint
+/// lists. The scheduler has its first list by then.
 const DISCOVERY_CUTOFF: Duration = Duration::from_millis(300);
 
 /// Serves requests with a testbed policy until SIGTERM; `EDGE_CONFIG` names the configuration file.
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -14,7 +14,7 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::micros_from_seconds;
 
-/// Maximum hold of a watch, in microseconds, as on the platform.
+/// Maximum time for which a watch is held before its response, in microseconds; the same as on the platform.
 const MAX_HOLD: Micros = 60_000_000;
 /// Time between switches of the endpoint list while discovery contradicts itself, as in the simulation.
 pub(crate) const CONTRADICTION_INTERVAL: Duration = Duration::from_secs(3);
@@ -86,7 +86,7 @@
 
 /// Waits until the list has changes newer than `known_revision`, for at most `hold` microseconds.
 ///
-/// Before the first list is due, and while discovery is down, it waits irrespective of `hold`.
+/// Before the first list is due, and while discovery is down, the function waits irrespective of `hold`.
 async fn wait_for_changes(
     environment: &Environment,
     known_revision: Option<u64>,
--- a/crates/testbed/src/emulation/endpoint_list.rs
+++ b/crates/testbed/src/emulation/endpoint_list.rs
@@ -18,9 +18,9 @@
     pub endpoints: Vec<VersionedEndpoint>,
     /// The revision of the last full replacement; schedulers with an earlier one get the full list.
     pub full_list_since: u64,
-    /// Number of outages of discovery that are in progress; discovery does not respond unless it is 0.
+    /// Number of outages of discovery that are in progress; discovery responds only while this number is 0.
     pub outages: u32,
-    /// Workers that changed during an outage; their endpoints are updated when it ends.
+    /// Workers that changed during an outage of discovery; their endpoints are updated when the outage ends.
     pub unpublished_workers: Vec<WorkerId>,
     /// Copy of the list from the start of a `DiscoveryContradicts` fault; `None` without the fault.
     pub stale_copy: Option<Vec<Endpoint>>,
--- a/crates/testbed/src/emulation/faulty_socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -32,7 +32,8 @@
 }
 
 impl FaultySocket {
-    /// Wraps a connection; each response is subject to the value that `fault` has when it is written.
+    /// Wraps a connection; each response is subject to the value that `fault` has when the response is
+    /// written.
     pub fn new(stream: TcpStream, fault: Rc<Cell<ResponseFault>>) -> FaultySocket {
         FaultySocket { stream, fault }
     }
@@ -40,7 +41,7 @@
 
 /// Configures a connection to be reset, instead of closed gracefully, when it is dropped.
 pub fn reset_connection(stream: &TcpStream) {
-    // If this fails, the connection is closed gracefully.
+    // The error is ignored: if the option cannot be set, the connection is closed gracefully.
     let _ = stream.set_zero_linger();
 }
 
@@ -82,7 +83,7 @@
             }
             ResponseFault::Garbage => {
                 let written = Pin::new(&mut self.stream).poll_write(context, GARBAGE);
-                // The connection is not reset, as the peer must be able to read the bytes.
+                // The connection is not reset, because the peer must be able to read the bytes.
                 if written.is_ready() { broken() } else { Poll::Pending }
             }
         }
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -81,7 +81,8 @@
         return Err(EmulationError::FleetTooLarge { scenario: name, workers, schedulers });
     }
     if scenario.discovery.size_interval_s > 0.0 {
-        // The emulation refreshes no sizes, so schedulers would take all workers for idle.
+        // Rejected because the emulation does not refresh the listed worker sizes, so that schedulers would
+        // take all workers for idle.
         return Err(EmulationError::SizesUnsupported(name));
     }
     if scenario.faults.iter().any(|fault| fault.kind == FaultKind::DiscoveryMoves) {
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -64,8 +64,8 @@
         process.start().await?;
     }
     sleep(SETTLE_TIME).await;
-    // Time 0 of the run. Notifications that schedulers got earlier keep the time that they had on the clock
-    // before its restart.
+    // The clock is restarted here, which is time 0 of the run. Notifications that schedulers got earlier keep
+    // their times on the clock before the restart.
     environment.start_clock();
     let started_at = Instant::now();
     let send_lag = tokio::select! {
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -25,7 +25,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval between readiness polls.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time within which a scheduler must exit after SIGTERM; after it, the process is killed.
+/// Time within which a scheduler must exit after SIGTERM; a process that still runs then is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 /// File name of the scheduler program, in the same directory as this program.
 const SCHEDULER_PROGRAM: &str = "copperspread-scheduler";
@@ -128,7 +128,7 @@
     Ok((socket, address))
 }
 
-/// A scheduler's process, which is killed when this is dropped.
+/// A scheduler's process, which is killed when this value is dropped.
 pub struct SchedulerProcess {
     /// Address at which the scheduler listens.
     pub address: SocketAddr,
@@ -136,7 +136,7 @@
     config_path: PathBuf,
     log_path: PathBuf,
     child: Option<Child>,
-    /// Whether SIGTERM was sent, so that the process may exit.
+    /// Whether SIGTERM was sent, after which the exit of the process is expected.
     is_terminating: bool,
 }
 
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -25,8 +25,8 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{FaultKind, Scenario, micros_from_seconds};
 
-/// Shortest network delay that is emulated, in microseconds. Shorter delays are below the timer's resolution;
-/// they are omitted, and only the machine's own delay remains.
+/// Shortest network delay that is emulated, in microseconds. Shorter delays are omitted, because they are
+/// below the timer's resolution; only the machine's own delay remains.
 const MIN_NETWORK_DELAY: Micros = 1_000;
 
 /// A request that a client sends, with its job and the scheduler that it is sent to.
@@ -101,7 +101,7 @@
 }
 
 impl EmulationState {
-    /// Creates the initial state of a run, and starts its clock.
+    /// Creates the initial state of a run, and starts the run's clock.
     pub(crate) fn new(scenario: &Scenario, fleet: Fleet, seed: u64) -> EmulationState {
         EmulationState {
             connections: vec![ConnectionFaults::default(); fleet.workers.len()],
@@ -121,7 +121,7 @@
             jobs: FxHashMap::default(),
             attempts: FxHashMap::default(),
             load_queries: FxHashMap::default(),
-            // Like the platform's, ids are large numbers that do not start at 0.
+            // Ids are large numbers that do not start at 0, like those of the platform.
             last_id: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 << 63,
             extra_report_delay: 0,
             network_random: random_stream(seed, StreamPurpose::Network),
@@ -176,8 +176,8 @@
         id
     }
 
-    /// Extends the integral of the jobs in flight to the present. Must be called before each change of their
-    /// number.
+    /// Extends the integral of the jobs in flight to the present. Must be called before each change of the
+    /// number of jobs in flight.
     fn account_in_flight(&mut self) {
         let now = self.now();
         let in_flight = &mut self.in_flight;
@@ -190,7 +190,8 @@
         self.in_flight.job_micros
     }
 
-    /// Advances a worker's model to the present. Returns when it must be advanced again, if at all.
+    /// Advances a worker's model to the present. Returns the time at which the model must be advanced again,
+    /// if there is one.
     pub(crate) fn advance_worker(&mut self, worker: WorkerId) -> Option<Instant> {
         self.account_in_flight();
         let now = self.now();
--- a/crates/testbed/src/emulation/workers/listener.rs
+++ b/crates/testbed/src/emulation/workers/listener.rs
@@ -30,12 +30,13 @@
 /// Backlog of a listener: maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 /// Maximum number of connections that fill the backlog of an unreachable worker's listener. The kernel
-/// establishes some connections before it drops further SYN packets, so the emulation opens those itself.
+/// establishes a few connections before it drops further SYN packets, and the emulation opens these
+/// connections itself so that later ones are not established.
 const BACKLOG_FILLERS: usize = 4;
-/// Time after which a connection that is not established shows that the backlog is full.
+/// Time after which a connection that is still not established is taken as the sign that the backlog is full.
 const FILL_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Binds an address with `SO_REUSEADDR`, as it may have been in use shortly before.
+/// Binds an address with `SO_REUSEADDR`, because the address may have been in use shortly before.
 pub(super) fn bind(address: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -102,8 +103,8 @@
     fillers
 }
 
-/// Accepts connections until the listener's state changes. Each connection has a task, which ends with it or
-/// with the run's task set.
+/// Accepts connections until the listener's state changes. Each connection has a task, which ends with the
+/// connection or with the run's task set.
 async fn accept_connections(
     environment: &Rc<Environment>,
     worker: WorkerId,
--- a/crates/testbed/src/emulation/workers/mod.rs
+++ b/crates/testbed/src/emulation/workers/mod.rs
@@ -13,7 +13,7 @@
 use copperspread_dispatcher::WorkerId;
 pub(super) use listener::run_listener;
 
-/// Advances a worker's model whenever an event of it is due, until the run's task set is dropped.
+/// Advances a worker's model whenever an event of the model is due, until the run's task set is dropped.
 pub(super) async fn drive_worker(environment: Rc<Environment>, worker: WorkerId) {
     let wake = &environment.listeners[worker.0 as usize].wake;
     loop {
@@ -27,8 +27,8 @@
     }
 }
 
-/// Sends progress callbacks for a worker's jobs at the scenario's interval, if it has one, until the run's
-/// task set is dropped.
+/// Sends progress callbacks for a worker's jobs at the scenario's interval, if the scenario sets one, until
+/// the run's task set is dropped.
 pub(super) async fn report_progress(environment: Rc<Environment>, worker: WorkerId) {
     let interval = micros_from_seconds(environment.scenario.load_reports.progress_interval_s);
     if interval == 0 {
--- a/crates/testbed/src/emulation/workers/requests.rs
+++ b/crates/testbed/src/emulation/workers/requests.rs
@@ -112,7 +112,7 @@
     Response::new(Full::new(Bytes::from_static(b"never written")))
 }
 
-/// Returns a placeholder response, in place of which bytes that are not HTTP are written.
+/// Returns a placeholder response; bytes that are not HTTP are written in its place.
 fn garbage(fault: &Cell<ResponseFault>) -> HttpResponse {
     fault.set(ResponseFault::Garbage);
     empty_response(StatusCode::ACCEPTED)
--- a/crates/testbed/src/experiment/planned_run.rs
+++ b/crates/testbed/src/experiment/planned_run.rs
@@ -63,8 +63,8 @@
     blake3::hash(parts.join("\n").as_bytes()).to_hex()[..KEY_DIGITS].to_owned()
 }
 
-/// The hash of the running executable, which contains the simulated dispatch policies. It is a part of each
-/// key, because another build can give another outcome.
+/// The hash of the running executable, which contains the simulated dispatch policies. The hash is a part of
+/// each run's key, because another build can give another outcome.
 fn current_executable_hash() -> Result<&'static str, ExperimentError> {
     static EXECUTABLE_HASH: OnceLock<String> = OnceLock::new();
     if let Some(hash) = EXECUTABLE_HASH.get() {
--- a/crates/testbed/src/experiment/run_store.rs
+++ b/crates/testbed/src/experiment/run_store.rs
@@ -66,8 +66,8 @@
         let mut file = File::options().create(true).append(true).open(path).map_err(io_error)?;
         file.try_lock().map_err(|_| ExperimentError::RunStoreLocked { file: path.to_owned() })?;
         let text = std::fs::read_to_string(path).map_err(io_error)?;
-        // A write that was interrupted leaves an incomplete last line. The line break keeps it apart from the
-        // next run.
+        // A write that was interrupted leaves an incomplete last line. The line break separates that line
+        // from the next run.
         if !text.is_empty() && !text.ends_with('\n') {
             file.write_all(b"\n").map_err(io_error)?;
         }
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -55,9 +55,9 @@
     let client = new_http_client();
     let permits = Arc::new(Semaphore::new(max_open_requests.max(1)));
     let (records, received_records) = mpsc::unbounded_channel();
-    // Joined below, once the last sender is dropped.
+    // The task is joined below, after the last sender is dropped.
     let collector = tokio::spawn(collect(received_records));
-    // Request ids must differ from those of earlier runs: a scheduler answers a repeated id with 400.
+    // Request ids must differ from those of earlier runs, because a scheduler answers a repeated id with 400.
     let first_id = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
     let started_at = Instant::now();
     let mut send_lag = new_histogram();
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -19,7 +19,8 @@
         Ok(CommandStatus::Done) => ExitCode::SUCCESS,
         Ok(CommandStatus::RulesViolated) => ExitCode::FAILURE,
         Err(error) => {
-            // A failed write to standard error cannot be reported anywhere else.
+            // The error is ignored, because a failed write to standard error cannot be reported anywhere
+            // else.
             let _ = writeln!(std::io::stderr(), "copperspread-testbed: {error}");
             ExitCode::FAILURE
         }
--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -24,8 +24,8 @@
 
 /// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = SECOND / 1_000;
-/// Time within which all members must have found each other, in microseconds. Members that have not found
-/// each other by then never will.
+/// Time within which all members must have found each other, in microseconds. The time is so long that
+/// members which have not found each other by then never will.
 const JOIN_TIMEOUT: Micros = 120 * SECOND;
 
 /// Conditions of all links without faults: no packet is lost, and each takes between 0.5 and 20.5 ms.
@@ -44,7 +44,7 @@
     membership: Membership,
     /// Time until which the process is paused: it handles neither packets nor timers.
     paused_until: Micros,
-    /// Due time of the timer that was scheduled last. Timers of the process that expire before it are
+    /// Due time of the timer that was scheduled last. Timers of the process that expire before this time are
     /// ignored.
     timer_due_at: Micros,
     /// Packets that arrived during a pause.
@@ -157,7 +157,7 @@
         self.processes.len()
     }
 
-    /// Ends the process of a member, which cannot send anything more.
+    /// Ends the process of a member immediately, without a last packet from the member.
     pub fn kill(&mut self, member: usize) {
         self.processes[member] = None;
     }
@@ -271,8 +271,8 @@
         self.now = until;
     }
 
-    /// Delivers a packet to a member, whoever sent it. A paused member handles it after the pause; a member
-    /// that does not run drops it.
+    /// Delivers a packet to a member, whoever sent the packet. A paused member handles the packet after the
+    /// pause; a packet to a member that does not run is dropped.
     pub fn deliver(&mut self, member: usize, packet: Vec<u8>) {
         let Some(process) = &mut self.processes[member] else { return };
         if process.paused_until > self.now {
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -87,7 +87,8 @@
     /// Draws the next job. A change in the order of the draws would change the arrivals of every seed.
     fn draw_arrival(&mut self) -> Option<Arrival> {
         let scenario = self.scenario;
-        // The rate at the last arrival is used for the whole gap, as rate changes last for many gaps.
+        // The rate at the last arrival is used for the whole time until the next one, because a change of the
+        // rate lasts for many arrivals.
         let gap: f64 = Exp1.sample(&mut self.random);
         self.last_at += gap / (scenario.clients.rate_per_s * self.rate_factor(self.last_at));
         if self.last_at >= scenario.duration_s {
@@ -103,7 +104,7 @@
         let scheduler = self.draw_scheduler();
         let cost_hint = scenario.clients.hint_error_sigma.map(|_| work * hint_error);
         if is_heavy && self.has_heavy_tail(class_index as u32) {
-            // The cost hint, computed above, leaves the factor out.
+            // The cost hint, computed above, does not include this factor.
             work *= HEAVY_TAIL_FACTOR;
         }
         let at = micros_from_seconds(self.last_at);
@@ -120,7 +121,8 @@
             WorkDistribution::Constant => class.mean_work,
             WorkDistribution::Exponential => Exp::new(1.0 / class.mean_work)
                 .map_or(class.mean_work, |distribution| distribution.sample(&mut self.random)),
-            // With this location, the mean of the distribution is that of the class.
+            // With this location parameter, the mean of the log-normal distribution is the mean work of the
+            // class.
             WorkDistribution::LogNormal(sigma) => {
                 self.draw_log_normal(class.mean_work.ln() - sigma * sigma / 2.0, sigma, class.mean_work)
             }
@@ -142,7 +144,7 @@
         if sigma <= 0.0 {
             return memory;
         }
-        // With this location, the factor has mean 1 and keeps the mean of the class.
+        // With this location parameter, the log-normal factor has mean 1 and keeps the mean of the class.
         memory * self.draw_log_normal(-sigma * sigma / 2.0, sigma, 1.0)
     }
 
--- a/crates/testbed/src/model/idempotency_keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -35,7 +35,7 @@
 /// The outcome of an attempt whose idempotency key is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DuplicateOutcome {
-    /// The first attempt was served, and so is the duplicate.
+    /// The first attempt was served already, so the duplicate is served immediately.
     AlreadyServed,
     /// The duplicate gets the first attempt's result later.
     AwaitsFirst,
--- a/crates/testbed/src/model/random.rs
+++ b/crates/testbed/src/model/random.rs
@@ -24,6 +24,6 @@
 
 /// Creates the random stream for a purpose from a run's seed.
 pub fn random_stream(seed: u64, purpose: StreamPurpose) -> RandomStream {
-    // The multiplication spreads neighbouring seeds far apart; `seed_from_u64` mixes the bits.
+    // The multiplication spreads neighbouring seeds far apart; `seed_from_u64` then mixes their bits.
     Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((purpose as u64) << 56))
 }
--- a/crates/testbed/src/model/worker/mod.rs
+++ b/crates/testbed/src/model/worker/mod.rs
@@ -18,7 +18,8 @@
 /// Interval at which the rate of running jobs is recomputed during slow start.
 const SLOW_START_STEP: Micros = SECOND / 4;
 
-/// The state of a worker. The simulation or emulation that owns it passes the time in.
+/// The state of a worker. The simulation or emulation that owns the worker passes the current time to its
+/// methods.
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// Fixed properties of the worker.
@@ -41,7 +42,7 @@
     used_memory: f64,
     /// Time up to which the progress of running jobs is accounted.
     accounted_until: Micros,
-    /// Times and core-seconds of recent jobs during slow start.
+    /// Times and core-seconds of the load that the worker got recently during slow start.
     slow_start_load: VecDeque<(Micros, f64)>,
     /// Version of the running jobs and their rate; a change invalidates wakes that are already scheduled.
     pub wake_version: u64,
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -5,10 +5,11 @@
 use super::{SLOW_START_STEP, Worker};
 use crate::scenario::QueueOrder;
 
-/// Remaining work up to which a job counts as finished, in seconds at speed 1. The rounding of times to
-/// microseconds may leave this much.
+/// Remaining work up to which a job counts as finished, in seconds at speed 1. The limit is above 0 because
+/// the rounding of times to microseconds may leave this much work.
 const WORK_TOLERANCE_S: f64 = 2.0 / SECOND as f64;
-/// Longest time until a wake, in microseconds; added to the current time, it fits [`Micros`].
+/// Longest time until a wake, in microseconds. The limit ensures that the current time plus this time fits
+/// into [`Micros`].
 const MAX_WAKE_DELAY_US: f64 = 1e15;
 
 impl Worker {
@@ -103,8 +104,8 @@
         self.running.len() + self.waiting.len()
     }
 
-    /// Charges work done beside the jobs, such as for a load report, in seconds on one core of speed 1. It
-    /// delays each running job by that work divided by the number of cores.
+    /// Charges work done beside the jobs, such as for a load report, in seconds on one core of speed 1. The
+    /// charge delays each running job by that work divided by the number of cores.
     pub fn charge_side_work(&mut self, now: Micros, work: f64) {
         self.account_progress(now);
         for running in &mut self.running {
@@ -165,7 +166,7 @@
             QueueOrder::Fifo => self.waiting.front().filter(|job| self.can_start(job)).map(|_| 0),
             QueueOrder::Backfill => self.waiting.iter().position(|job| self.can_start(job)),
             QueueOrder::Priority => {
-                // The highest priority weight first; the earliest of equal weights.
+                // The job with the highest priority weight is next; among equal weights, the earliest.
                 let by_weight = |(index_a, job_a): &(usize, &OfferedJob),
                                  (index_b, job_b): &(usize, &OfferedJob)| {
                     job_a.weight.total_cmp(&job_b.weight).then(index_b.cmp(index_a))
@@ -180,7 +181,7 @@
         self.used_slots -= job.slots;
         self.used_memory -= job.memory;
         if self.running.is_empty() {
-            // Reset to exactly zero, so that rounding errors do not accumulate.
+            // The sum is reset to exactly zero, so that rounding errors do not accumulate.
             (self.used_slots, self.used_memory) = (0.0, 0.0);
         }
     }
--- a/crates/testbed/src/outcome/counter.rs
+++ b/crates/testbed/src/outcome/counter.rs
@@ -6,7 +6,7 @@
 use crate::model::arrivals::Arrival;
 use crate::scenario::JobClass;
 
-/// Highest latency that the histograms record; longer ones count as this.
+/// Highest latency that the histograms record; longer latencies count as this one.
 const MAX_LATENCY: Micros = 86_400 * SECOND;
 /// Precision of recorded latencies, in significant decimal digits.
 const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -15,7 +15,7 @@
 const MAX_ATTEMPTS: usize = 3;
 /// Weight of one attempt's speed in the moving average of a worker's speed.
 const SPEED_LEARNING_RATE: f64 = 0.1;
-/// Range to which the speed of one attempt is clamped.
+/// Range to which the measured speed of one attempt is clamped.
 const LEARNED_SPEED_RANGE: [f64; 2] = [0.05, 5.0];
 /// Assumed work of a request without a cost hint, in seconds.
 const DEFAULT_COST: f64 = 1.0;
@@ -137,7 +137,8 @@
             let untried: Vec<WorkerId> = untried.collect();
             return self.select(job, &untried);
         }
-        // The list is moved out for the call, so that a first attempt does not copy it.
+        // The list is moved out for the duration of the call, so that the list is not copied for a first
+        // attempt.
         let ready = std::mem::take(&mut self.ready);
         let selected = self.select(job, &ready);
         self.ready = ready;
@@ -242,7 +243,8 @@
 impl KnownWorker {
     fn release(&mut self, job: &IncomingRequest) {
         self.outstanding = self.outstanding.saturating_sub(1);
-        // Reset to exactly zero without outstanding requests, so that rounding errors do not accumulate.
+        // The work is reset to exactly zero when no request is outstanding, so that rounding errors do not
+        // accumulate.
         self.outstanding_work =
             if self.outstanding == 0 { 0.0 } else { self.outstanding_work - hinted_work(job) };
     }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -96,7 +96,8 @@
     if callback.state == "done"
         && let Some(result_sender) = relay.lock_pending().remove(&callback.id)
     {
-        // Sending fails if the client has disconnected, in which case nobody needs the result.
+        // The error is ignored: sending fails if the client has disconnected, and then nobody needs the
+        // result.
         let _ = result_sender.send(callback.result.into());
     }
     StatusCode::NO_CONTENT
--- a/crates/testbed/src/report/over_time.rs
+++ b/crates/testbed/src/report/over_time.rs
@@ -53,7 +53,8 @@
     colour: RGBColor,
 }
 
-/// The bands in drawing order, from the highest to the lowest: each covers a part of the one before.
+/// The bands in drawing order, from the highest to the lowest, because each band covers a part of the one
+/// drawn before it.
 const BANDS: [Band; 5] = [
     Band {
         name: "lost",
--- a/crates/testbed/src/rule_checker/dispatches.rs
+++ b/crates/testbed/src/rule_checker/dispatches.rs
@@ -122,7 +122,8 @@
         }
         let allowed = budget.core_seconds(state.capacity, age);
         let sent: f64 = state.sent.iter().map(|&(_, core_seconds)| core_seconds).sum();
-        // A violation is recorded once per start, as the following attempts belong to the same overload.
+        // A violation is recorded only once per start of a worker, because the attempts after it belong to
+        // the same overload.
         if sent > allowed && !state.is_violated {
             state.is_violated = true;
             violations.record(Rule::WithinSlowStartBudget, now, || {
--- a/crates/testbed/src/rule_checker/executions.rs
+++ b/crates/testbed/src/rule_checker/executions.rs
@@ -34,7 +34,7 @@
         self.jobs.remove(&job);
     }
 
-    /// Removes an attempt that was returned unstarted, as it never ran.
+    /// Removes an attempt that was returned unstarted, because the attempt never ran.
     pub(super) fn attempt_returned(&mut self, job: u64, attempt: u64) {
         if let Some(executions) = self.jobs.get_mut(&job) {
             executions.accepted.retain(|accepted| accepted.attempt != attempt);
--- a/crates/testbed/src/rule_checker/mod.rs
+++ b/crates/testbed/src/rule_checker/mod.rs
@@ -1,6 +1,6 @@
 //! Checks the rules of a run from what clients and workers observe and what discovery announces.
 //!
-//! A scheduler's own statements must not be used, as a faulty scheduler could hide violations that way.
+//! A scheduler's own statements must not be used, because a faulty scheduler could hide violations by them.
 mod dispatches;
 mod executions;
 mod responses;
--- a/crates/testbed/src/scenario/clients.rs
+++ b/crates/testbed/src/scenario/clients.rs
@@ -20,8 +20,9 @@
     /// When clients retry after a rejection.
     #[serde(rename = "again", default, skip_serializing_if = "RetryTiming::is_default")]
     pub retry_timing: RetryTiming,
-    /// Grace period after a request's deadline, in seconds. A request without a response at its end violates
-    /// a rule. Machines that stall, and tests that must tolerate stalls, need more than the default.
+    /// Grace period after a request's deadline, in seconds. A request that has no response at the end of the
+    /// grace period violates a rule. Machines that stall, and tests that must tolerate stalls, need more than
+    /// the default.
     #[serde(rename = "grace", default = "default_deadline_grace_s")]
     pub deadline_grace_s: f64,
     /// A recorded trace, sorted by arrival time, that replaces random arrivals. `copperspread-testbed trace`
@@ -86,7 +87,7 @@
 pub struct ClientSkew {
     /// Number of schedulers, counted from the first, that get more clients.
     pub schedulers: u32,
-    /// Ratio of the number of clients at each of them to that at each other scheduler.
+    /// Ratio of the number of clients at each of these schedulers to the number at each other scheduler.
     #[serde(rename = "times")]
     pub factor: f64,
 }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -155,7 +155,7 @@
             slow_start_initial_capacity: self.slow_start.initial_capacity,
             slow_start_duration: micros_from_seconds(self.slow_start.duration_s),
             overload_multiple: self.slow_start.overload_multiple,
-            // 0 disables overload in a scenario, while schedulers need a positive window.
+            // A window of 0 disables overload in a scenario, but schedulers need a positive window.
             overload_window: micros_from_seconds(self.slow_start.overload_window_s.max(0.001)),
             connect_timeout: CONNECT_TIMEOUT,
             max_attempts: self.tuning.max_attempts,
--- a/crates/testbed/src/scenario/workers.rs
+++ b/crates/testbed/src/scenario/workers.rs
@@ -54,10 +54,11 @@
     /// Seconds from a worker's start until it has its full capacity.
     #[serde(rename = "warm_after")]
     pub duration_s: f64,
-    /// Multiple of its current capacity above which the offered load overloads a worker.
+    /// Multiple of a worker's current capacity above which the offered load overloads the worker.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// Seconds for which the load must exceed that multiple to overload a worker; 0 disables overload.
+    /// Length in seconds of the window whose load must exceed that multiple to overload a worker; 0 disables
+    /// overload.
     #[serde(rename = "fall_seconds")]
     pub overload_window_s: f64,
 }
--- a/crates/testbed/src/simulation/attempts.rs
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -152,7 +152,7 @@
         self.release_client_job(client_job);
     }
 
-    /// Sends an attempt's result to its scheduler, if that still waits for it.
+    /// Sends an attempt's result to its scheduler, if the scheduler still waits for the attempt.
     pub(super) fn report_result(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_in_flight) else { return };
         let (request, worker) = (attempt.request, attempt.worker);
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -19,7 +19,8 @@
 
 impl Simulation<'_> {
     /// Schedules the initial lists of the schedulers: the cached list, in which missing workers are ready, if
-    /// the full list arrives later or needs a subscription; and the full list, unless it needs one.
+    /// the full list arrives later or needs a subscription; and the full list, unless that needs a
+    /// subscription.
     pub(super) fn schedule_initial_lists(&mut self, missing_workers: &[WorkerId]) {
         let full = self.endpoint_list();
         let mut cached = full.clone();
@@ -184,7 +185,7 @@
         self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Full, &list);
     }
 
-    /// Ends all subscriptions, as discovery goes down; each subscribed scheduler gets a failed update.
+    /// Ends all subscriptions because discovery goes down; each subscribed scheduler gets a failed update.
     pub(super) fn end_subscriptions(&mut self) {
         if !self.scenario.discovery.polled {
             return;
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -10,7 +10,8 @@
         let fault = self.scenario.faults[transition.fault].kind;
         let is_start = transition.is_start;
         match fault {
-            // These faults change only the arrivals: `Arrivals` applies them.
+            // These faults need no action here, because they change only the arrivals and `Arrivals` applies
+            // them.
             FaultKind::Burst(_) | FaultKind::Ramp(_) | FaultKind::HeavyTail(_) => {}
             FaultKind::ReportsLate(delay) => {
                 self.report_delay = if is_start { micros_from_seconds(delay) } else { 0 }
@@ -74,7 +75,8 @@
         let has_restarted = state.apply_fault(now, fault, is_start, &mut effects);
         let spec = state.spec;
         if fault == FaultKind::Vanish && is_start {
-            // The effects of lost jobs would decrement the count, but a vanished worker has no effects.
+            // The jobs are subtracted here, because a machine that becomes unreachable reports no lost jobs,
+            // whose effects would otherwise decrement the count.
             self.jobs_at_workers -= jobs_before;
         }
         if has_restarted {
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -54,7 +54,8 @@
 
 /// Delay that a lost message adds before its retransmission arrives.
 const RETRANSMISSION_DELAY: Micros = 200_000;
-/// Offset of the policies' clock from the simulation's, so that it can express times before the run.
+/// Offset of the policies' clock from the simulation's clock, so that the policies' clock can express times
+/// before the run.
 const CLOCK_OFFSET: Micros = 1_000 * SECOND;
 /// Time after the scenario's duration during which timers and report refreshes continue.
 const COOLDOWN: Micros = 60 * SECOND;
@@ -109,7 +110,7 @@
     connection_faults: Vec<ConnectionFaults>,
     /// Time from which each connection is idle, by scheduler and worker.
     idle_connections: FxHashMap<(SchedulerId, WorkerId), Vec<Micros>>,
-    /// Full endpoint list from the start of a `discovery_contradicts` fault, while that is active.
+    /// Full endpoint list from the start of a `discovery_contradicts` fault, while the fault is active.
     stale_list: Option<Arc<Vec<Endpoint>>>,
     /// Buffer reused between events to avoid allocations.
     action_buffer: Vec<Action>,
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Schedules an event at `at`, or now if that has passed.
+    /// Schedules an event at the time `at`, or now if that time has passed.
     fn schedule(&mut self, at: Micros, event: SimulationEvent) {
         self.queue.push(at.max(self.now), event);
     }
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -13,7 +13,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct AttemptId(pub(super) u64);
 
-/// ID of a load query. It differs from every attempt's ID, as workers hold both in one queue.
+/// ID of a load query. It differs from every attempt's ID, because workers hold attempts and load queries in
+/// one queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LoadQueryId(pub(super) u64);
 
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -147,14 +147,15 @@
         let request = self.scheduler_requests.get(&request);
         let attempt = request.and_then(|request| request.attempts.get(number as usize)).copied();
         if let Some(attempt) = attempt {
-            // Scheduled instead of applied at once, as the policy's current event is not yet finished.
+            // The event is scheduled instead of applied at once, because the policy's current event is not
+            // yet finished.
             let result = AttemptResult::Cancelled;
             self.schedule(self.now, SimulationEvent::AttemptCompleted { attempt, result });
         }
     }
 
     fn start_timer(&mut self, scheduler: SchedulerId, after: Micros, timer: Timer) {
-        // Without this limit, periodic timers would keep the run from ending.
+        // Later timers are not scheduled, because periodic timers would otherwise keep the run from ending.
         if self.now + after <= micros_from_seconds(self.scenario.duration_s) + COOLDOWN {
             let process_number = self.schedulers[scheduler.index()].process_number;
             let event = SimulationEvent::TimerExpired { scheduler, process_number, timer };
@@ -185,7 +186,8 @@
         scheduler.is_subscribed = !self.scenario.discovery.polled;
         let requests = self.scheduler_requests.iter().filter(|(_, request)| request.scheduler == id);
         let mut ids: Vec<RequestId> = requests.map(|(id, _)| *id).collect();
-        // Sorted by ID to keep the run deterministic, whatever the iteration order of the map.
+        // The requests are sorted by ID to keep the run deterministic, because the iteration order of the map
+        // is not.
         ids.sort_unstable_by_key(|id| id.0);
         for request in ids {
             self.abandon_request(request, is_graceful);
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -40,8 +40,8 @@
                 return self.return_result(id, AttemptResult::Reset);
             }
             DeliveryResult::ImmediateError => {
-                // The job does not run, but the error does not tell so, and a scheduler that retries must
-                // assume that it ran. The rule checker therefore counts it as run.
+                // The job does not run. The rule checker nevertheless counts the job as run, because the
+                // error does not tell whether it ran, and a scheduler that retries must assume that it did.
                 self.record_acceptance(&delivery);
                 self.rule_checker.job_started(self.now, delivery.client_job.0, delivery.idempotency);
                 return self.return_result(id, AttemptResult::Error);
@@ -273,7 +273,7 @@
         if !self.scheduler_requests.contains_key(&request) {
             return;
         }
-        // The network delay is left out, as it is much shorter than the interval between reports.
+        // The network delay is left out, because it is much shorter than the interval between reports.
         self.notify_progress(id, Progress::Done(done));
         let progress_interval = micros_from_seconds(self.scenario.load_reports.progress_interval_s);
         self.schedule(self.now + progress_interval, SimulationEvent::ProgressDue(id));
