--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -232,7 +232,7 @@
 
 async fn publish_after_delay(environment: Rc<Environment>, endpoint: Endpoint) {
     sleep(environment.discovery_delay()).await;
-    // Some worker changes, such as refusing connections, do not change its endpoint or the list.
+    // Some changes of a worker, such as the refusal of connections, change neither its endpoint nor the list.
     let is_unchanged =
         environment.endpoint_list.borrow().endpoints[endpoint.worker.0 as usize].endpoint == endpoint;
     if !is_unchanged {
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -132,7 +132,7 @@
                 AttemptResponse::Accepted
             }
             OfferResult::QueueFull => AttemptResponse::Rejected(self.response_load_report(worker)),
-            // The worker's sockets are about to close.
+            // The process or machine of the worker has just gone down, and its sockets are about to close.
             OfferResult::ConnectionRefused | OfferResult::Unreachable => AttemptResponse::Reset,
         }
     }
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -68,7 +68,7 @@
     fn attempt_finished(&mut self, id: u64, is_reported: bool) {
         self.in_flight.count -= 1;
         if let Some(response) = self.load_queries.remove(&id) {
-            // The receiver is gone if the connection of the load query has closed.
+            // The error is ignored: the receiver is gone if the connection of the load query has closed.
             let _ = response.send(());
         }
         if is_reported {
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -16,7 +16,7 @@
 use crate::scenario::Scenario;
 use crate::simulation::simulate;
 
-/// Number of parallel runs for each core in real time, where runs mostly wait.
+/// Number of parallel runs for each core in real time; more than 1, because runs in real time mostly wait.
 const EMULATED_RUNS_PER_CORE: usize = 4;
 
 /// An experiment with all its runs, ready to be executed.
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -181,7 +181,7 @@
         self.used_slots -= job.slots;
         self.used_memory -= job.memory;
         if self.running.is_empty() {
-            // The sum is reset to exactly zero, so that rounding errors do not accumulate.
+            // Both sums are reset to exactly zero, so that rounding errors do not accumulate.
             (self.used_slots, self.used_memory) = (0.0, 0.0);
         }
     }
--- a/crates/testbed/src/outcome/mod.rs
+++ b/crates/testbed/src/outcome/mod.rs
@@ -281,8 +281,8 @@
         zone: *zone,
         group: *kind,
         capacity_core_s: worker.spec.cores.min(worker.spec.slots) * worker.spec.speed * duration_s,
-        // Completed work is in core-seconds at speed 1, as is the capacity, which includes the worker's
-        // speed.
+        // Completed work is in core-seconds at speed 1. The capacity above has the same unit, because it
+        // includes the worker's speed.
         done_core_s: worker.completed_work,
     };
     workers.iter().zip(kinds).map(outcome).collect()
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -103,8 +103,8 @@
     }
 
     fn apply_endpoint_update(&mut self, update: EndpointUpdate<'_>, actions: &mut Vec<Action>) {
-        // A cached list arrives when the process has just started, and a failed update when a subscription
-        // failed or ended.
+        // These updates mean that there is no subscription: a cached list arrives when the process has just
+        // started, and a failed update when a subscription failed or ended.
         let is_unsubscribed = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
         if self.must_subscribe && is_unsubscribed {
             actions.push(Action::Subscribe);
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -122,7 +122,8 @@
 
     fn publish_changes(&mut self, endpoints: &Arc<Vec<Endpoint>>) {
         let at = self.now + micros_from_seconds(self.scenario.discovery.delay_s);
-        // The first full list must arrive before any change.
+        // The changes are delayed until after the first full list, because that list must arrive before any
+        // change.
         let at = at.max(micros_from_seconds(self.scenario.discovery.first_list_after_s) + 1);
         for scheduler in SchedulerId::first(self.schedulers.len() as u32) {
             self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Changes, endpoints);
--- a/crates/testbed/src/simulation/load_queries.rs
+++ b/crates/testbed/src/simulation/load_queries.rs
@@ -45,7 +45,7 @@
         let delivery = self.connection_faults[worker.0 as usize].delivery_result(draw);
         let state = self.worker(worker);
         let failure = match (state.process, delivery) {
-            // The worker does not respond; the scheduler's timeout ends the query.
+            // The machine of the worker does not respond; the scheduler's timeout ends the load query.
             (ProcessState::Unreachable, _) => return,
             (ProcessState::Stopped, _) => Some(AttemptResult::ConnectFailed),
             _ if state.is_refusing => Some(AttemptResult::ConnectFailed),
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -216,10 +216,11 @@
         self.close_request(id);
     }
 
-    /// Starts a scheduler's next process, which gets the current endpoint list: as a cached one if it must
-    /// subscribe, else as a full one.
+    /// Starts a scheduler's next process, which gets the current endpoint list: as a cached list if the
+    /// scheduler must subscribe, else as a full list.
     pub(super) fn start_scheduler(&mut self, id: SchedulerId) {
-        // All processes after the first share a seed, which differs from that of the first.
+        // All processes of a scheduler after its first one use the same seed, which differs from the seed of
+        // the first.
         let seed = scheduler_seed(self.seed, id).wrapping_add(1);
         let Ok(policy) = build_policy(self.scenario, self.policy_kind, id, seed) else {
             unreachable!("the policy accepted the same settings for the first process")
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -49,8 +49,9 @@
     job: RecordedJob,
 }
 
-/// Replaces a scenario's arrivals with the requests that a scheduler accepted. Time 0 is the first of them.
-/// The duration and the arrival rate of the scenario are set to those of the trace.
+/// Replaces a scenario's arrivals with the requests that a scheduler accepted. Time 0 of the trace is the
+/// time of the first of these requests. The duration and the arrival rate of the scenario are set to those of
+/// the trace.
 ///
 /// The cost hint of a request is used as its work, because the event log does not contain the actual work.
 ///
@@ -79,8 +80,8 @@
     skipped: &mut SkippedRecords,
 ) -> Result<Vec<AcceptedJob>, TraceError> {
     let mut jobs = Vec::new();
-    // The log may contain several runs in sequence, and the wall clock may be set during a run, so times are
-    // taken from a common timeline.
+    // Times are taken from a common timeline, because the log may contain several runs in sequence and the
+    // wall clock may be set during a run.
     let mut timeline = RunTimeline::default();
     for numbered_line in Reader::new(event_log) {
         let (number, line) = numbered_line?;
