--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -19,7 +19,8 @@
 
 impl Simulation<'_> {
     /// Schedules the initial lists of the schedulers: the cached list, in which missing workers are ready, if
-    /// the full list arrives later or needs a subscription; and the full list, unless it needs one.
+    /// the full list arrives later or needs a subscription; and the full list, unless that needs a
+    /// subscription.
     pub(super) fn schedule_initial_lists(&mut self, missing_workers: &[WorkerId]) {
         let full = self.endpoint_list();
         let mut cached = full.clone();
@@ -121,7 +122,8 @@
 
     fn publish_changes(&mut self, endpoints: &Arc<Vec<Endpoint>>) {
         let at = self.now + micros_from_seconds(self.scenario.discovery.delay_s);
-        // The first full list must arrive before any change.
+        // The changes are delayed until after the first full list, because that list must arrive before any
+        // change.
         let at = at.max(micros_from_seconds(self.scenario.discovery.first_list_after_s) + 1);
         for scheduler in SchedulerId::first(self.schedulers.len() as u32) {
             self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Changes, endpoints);
@@ -184,7 +186,7 @@
         self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Full, &list);
     }
 
-    /// Ends all subscriptions, as discovery goes down; each subscribed scheduler gets a failed update.
+    /// Ends all subscriptions because discovery goes down; each subscribed scheduler gets a failed update.
     pub(super) fn end_subscriptions(&mut self) {
         if !self.scenario.discovery.polled {
             return;
--- a/crates/testbed/src/simulation/load_queries.rs
+++ b/crates/testbed/src/simulation/load_queries.rs
@@ -45,7 +45,7 @@
         let delivery = self.connection_faults[worker.0 as usize].delivery_result(draw);
         let state = self.worker(worker);
         let failure = match (state.process, delivery) {
-            // The worker does not respond; the scheduler's timeout ends the query.
+            // The machine of the worker does not respond; the scheduler's timeout ends the load query.
             (ProcessState::Unreachable, _) => return,
             (ProcessState::Stopped, _) => Some(AttemptResult::ConnectFailed),
             _ if state.is_refusing => Some(AttemptResult::ConnectFailed),
@@ -94,7 +94,8 @@
     }
 
     /// Sends the result of a load query to its scheduler, with a load report if it was served. Does nothing
-    /// if the ID is not that of an open load query, as workers do not distinguish attempts from load queries.
+    /// if the ID is not that of an open load query; callers may pass the ID of an attempt, because workers do
+    /// not distinguish attempts from load queries.
     pub(super) fn answer_load_query(&mut self, query: LoadQueryId, result: AttemptResult, elapsed: Micros) {
         let Some(&PendingLoadQuery { scheduler, worker, .. }) = self.load_queries.get(&query) else { return };
         let Some(settings) = self.scenario.load_reports.load_query else { return };
