--- a/crates/scheduler/tests/outer_names/macros.rs
+++ b/crates/scheduler/tests/outer_names/macros.rs
@@ -1,18 +1,18 @@
-//! The names in a source file's log macros and counters.
-use crate::serde_types::closing;
+//! Collects the names in the log macros and counter calls of a source file.
+use crate::serde_types::closing_bracket;
 use crate::tokens::Token;
 
 const LOG_MACROS: [&str; 7] = ["trace", "debug", "info", "warn", "error", "debug_span", "info_span"];
-/// What counts an event under a name that stands in the call.
+/// The functions and macros that count an event under the name given in the call.
 const COUNTERS: [&str; 4] = ["count_event", "count_event_for", "count_violation", "invariant"];
 
-/// The message and the fields of each log line; the message is absent where it is not constant.
+/// Returns the message and the field names of each log line. The message is `None` if it is not constant.
 pub(crate) fn log_lines(tokens: &[Token]) -> Vec<(Option<String>, Vec<String>)> {
     let calls = calls(tokens, &LOG_MACROS, true);
     calls.into_iter().map(|arguments| (message(arguments), fields(arguments))).collect()
 }
 
-/// The names of counters and invariants.
+/// Returns the names of counters and invariants.
 pub(crate) fn counters(tokens: &[Token]) -> Vec<String> {
     let calls = calls(tokens, &COUNTERS, false).into_iter();
     calls.filter_map(|arguments| arguments.iter().find_map(text)).collect()
@@ -25,7 +25,7 @@
     }
 }
 
-/// The arguments of each call of one of these functions or macros.
+/// Returns the argument tokens of each call of the named functions or macros.
 fn calls<'a>(tokens: &'a [Token], names: &[&str], only_macros: bool) -> Vec<&'a [Token]> {
     let mut calls = Vec::new();
     for (position, token) in tokens.iter().enumerate() {
@@ -35,19 +35,19 @@
         let is_macro = tokens.get(position + 1).is_some_and(|next| next.is('!'));
         let open = position + 1 + usize::from(is_macro);
         if (is_macro || !only_macros) && tokens.get(open).is_some_and(|next| next.is('(')) {
-            calls.push(&tokens[open + 1..closing(tokens, open)]);
+            calls.push(&tokens[open + 1..closing_bracket(tokens, open)]);
         }
     }
     calls
 }
 
-/// A log line's last argument, if it is a text without placeholders.
+/// Returns the last argument of a log line if it is a string literal without placeholders.
 fn message(arguments: &[Token]) -> Option<String> {
     let last = arguments.iter().rev().find(|token| !token.is(','))?;
     text(last).filter(|text| !text.contains('{'))
 }
 
-/// The names before `=`, and those of variables that are logged under their own name.
+/// Returns the field names of a log line: those before `=`, and variables logged under their own name.
 fn fields(arguments: &[Token]) -> Vec<String> {
     let arguments = arguments.split(|token| token.is(','));
     arguments.filter_map(field).collect()
--- a/crates/scheduler/tests/outer_names/program.rs
+++ b/crates/scheduler/tests/outer_names/program.rs
@@ -1,4 +1,5 @@
-//! Names that the program prints about itself: the configuration's keys, and its commands, flags and variables.
+//! Collects outer names from the output of the program: configuration keys and values, commands, flags and
+//! environment variables.
 use std::collections::BTreeSet;
 
 use assert_cmd::Command;
@@ -6,23 +7,23 @@
 
 use crate::OuterName;
 
-const PLACE: &str = "scheduler";
-/// So wide that no line of the help is broken.
+const CRATE_NAME: &str = "scheduler";
+/// Terminal width at which no line of the help text is wrapped.
 const TERMINAL_COLUMNS: &str = "10000";
 
-fn printed(arguments: &[&str]) -> String {
+fn program_output(arguments: &[&str]) -> String {
     let mut program = Command::new(env!("CARGO_BIN_EXE_copperspread-scheduler"));
     program.env_clear().env("COLUMNS", TERMINAL_COLUMNS).args(arguments);
     let output = program.output().expect("the program runs");
     String::from_utf8(output.stdout).expect("the output is UTF-8")
 }
 
-/// The configuration's keys and fixed values, as its schema has them.
+/// Returns the keys and the enumerated or constant values in the JSON schema of the configuration.
 pub(crate) fn from_schema() -> BTreeSet<OuterName> {
-    let schema = serde_json::from_str(&printed(&["config", "schema"])).expect("the schema is JSON");
+    let schema = serde_json::from_str(&program_output(&["config", "schema"])).expect("the schema is JSON");
     let mut names = BTreeSet::new();
     add_schema_names(&schema, "", &mut names);
-    assert!(!names.is_empty(), "the schema has no key");
+    assert!(!names.is_empty(), "no configuration key found in the schema");
     names
 }
 
@@ -44,7 +45,7 @@
                 }
             }
         }
-        Value::Array(parts) => parts.iter().for_each(|part| add_schema_names(part, path, names)),
+        Value::Array(items) => items.iter().for_each(|item| add_schema_names(item, path, names)),
         _ => {}
     }
 }
@@ -53,31 +54,34 @@
     for (name, schema) in properties {
         let key = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
         add_schema_names(schema, &key, names);
-        names.insert(OuterName::new("configuration key", key, PLACE));
+        names.insert(OuterName::new("configuration key", key, CRATE_NAME));
     }
 }
 
 fn add_values(values: &[Value], path: &str, names: &mut BTreeSet<OuterName>) {
     let texts = values.iter().filter_map(Value::as_str);
-    names
-        .extend(texts.map(|value| OuterName::new("configuration value", format!("{path} = {value}"), PLACE)));
+    names.extend(
+        texts.map(|value| OuterName::new("configuration value", format!("{path} = {value}"), CRATE_NAME)),
+    );
 }
 
-/// The commands, flags and environment variables in the help of the program and of each command.
+/// Returns the commands, flags and environment variables in the help of the program and of each command.
 pub(crate) fn from_help() -> BTreeSet<OuterName> {
     let mut names = BTreeSet::new();
-    let mut open: Vec<Vec<String>> = vec![Vec::new()];
-    while let Some(command) = open.pop() {
+    let mut pending_commands: Vec<Vec<String>> = vec![Vec::new()];
+    while let Some(command) = pending_commands.pop() {
         let arguments: Vec<&str> = command.iter().map(String::as_str).chain(["--help"]).collect();
-        let help = printed(&arguments);
+        let help = program_output(&arguments);
         for subcommand in subcommands(&help) {
             let path = [command.clone(), vec![subcommand]].concat();
-            names.insert(OuterName::new("command", path.join(" "), PLACE));
-            open.push(path);
+            names.insert(OuterName::new("command", path.join(" "), CRATE_NAME));
+            pending_commands.push(path);
         }
         let prefix = command.join(" ");
-        names.extend(flags(&help).map(|flag| OuterName::new("flag", format!("{prefix} {flag}"), PLACE)));
-        names.extend(variables(&help).map(|name| OuterName::new("environment variable", name, PLACE)));
+        names.extend(flags(&help).map(|flag| OuterName::new("flag", format!("{prefix} {flag}"), CRATE_NAME)));
+        names.extend(
+            environment_variables(&help).map(|name| OuterName::new("environment variable", name, CRATE_NAME)),
+        );
     }
     names
 }
@@ -88,7 +92,7 @@
     names.filter(|name| *name != "help").map(str::to_owned).collect()
 }
 
-/// The words that begin with dashes where an option's line begins.
+/// Returns the flags at the start of the option lines of a help text.
 fn flags(help: &str) -> impl Iterator<Item = &str> {
     let lines = help.lines().map(str::trim_start).filter(|line| line.starts_with('-'));
     lines
@@ -96,6 +100,6 @@
         .filter(|word| word.starts_with('-'))
 }
 
-fn variables(help: &str) -> impl Iterator<Item = &str> {
+fn environment_variables(help: &str) -> impl Iterator<Item = &str> {
     help.split("[env: ").skip(1).filter_map(|rest| rest.split(['=', ']']).next())
 }
--- a/crates/scheduler/tests/outer_names/serde_types.rs
+++ b/crates/scheduler/tests/outer_names/serde_types.rs
@@ -1,12 +1,12 @@
-//! The names under which serde writes and reads the fields and variants of a source file's types.
+//! Collects the names under which serde writes and reads the fields and variants of the types in a file.
 use crate::tokens::Token;
 
 const SERDE_DERIVES: [&str; 3] = ["Serialize", "Deserialize", "JsonSchema"];
 
-/// The tokens of one attribute, between its brackets.
+/// The tokens between the brackets of an attribute.
 type Attribute<'a> = &'a [Token];
 
-/// The names in one source file, each with its kind: `serde field` or `serde variant`.
+/// Returns the serde names in one source file, each with its kind: `serde field` or `serde variant`.
 pub(crate) fn names(tokens: &[Token]) -> Vec<(&'static str, String)> {
     let mut names = Vec::new();
     let mut attributes = Vec::new();
@@ -45,15 +45,15 @@
         .any(|token| SERDE_DERIVES.iter().any(|name| token.is_word(name)))
 }
 
-/// The attribute that begins at a position, and the position after it.
+/// Returns the attribute that begins at a position, and the position after it.
 fn attribute_at(tokens: &[Token], position: usize) -> Option<(Attribute<'_>, usize)> {
     let is_start = tokens[position].is('#') && tokens.get(position + 1).is_some_and(|next| next.is('['));
-    let end = is_start.then(|| closing(tokens, position + 1))?;
+    let end = is_start.then(|| closing_bracket(tokens, position + 1))?;
     Some((&tokens[position + 2..end], end + 1))
 }
 
-/// The position of the bracket that closes the one at a position.
-pub(crate) fn closing(tokens: &[Token], open: usize) -> usize {
+/// Returns the position of the bracket that closes the one at `open`, or the last position if none does.
+pub(crate) fn closing_bracket(tokens: &[Token], open: usize) -> usize {
     let mut depth = 0_usize;
     for (position, token) in tokens.iter().enumerate().skip(open) {
         if token.is('(') || token.is('[') || token.is('{') {
@@ -68,10 +68,10 @@
     tokens.len() - 1
 }
 
-/// What stands between a type's braces; none for a tuple or unit struct.
+/// Returns the tokens between the braces of a type, or `None` for a tuple or unit struct.
 fn braced_body(after_keyword: &[Token]) -> Option<&[Token]> {
     let open = after_keyword.iter().position(|token| token.is('{') || token.is('(') || token.is(';'))?;
-    after_keyword[open].is('{').then(|| &after_keyword[open + 1..closing(after_keyword, open)])
+    after_keyword[open].is('{').then(|| &after_keyword[open + 1..closing_bracket(after_keyword, open)])
 }
 
 fn add_members(
@@ -100,7 +100,7 @@
     }
 }
 
-/// The comma-separated members of a body, each with its attributes.
+/// Returns the comma-separated members of a body, each with its attributes.
 fn members(body: &[Token]) -> Vec<(Vec<Attribute<'_>>, &[Token])> {
     let mut members = Vec::new();
     let (mut attributes, mut start, mut position) = (Vec::new(), 0, 0);
@@ -113,7 +113,7 @@
         }
         let token = &body[position];
         if token.is('(') || token.is('[') || token.is('{') {
-            position = closing(body, position);
+            position = closing_bracket(body, position);
         }
         if token.is('<') {
             angle_depth += 1;
@@ -129,7 +129,7 @@
     members
 }
 
-/// The text that serde's attributes give to a key, as in `rename = "text"`.
+/// Returns the value that a serde attribute gives to a key, as in `rename = "value"`.
 fn value_of<'a>(attributes: &[Attribute<'a>], key: &str) -> Option<&'a str> {
     let serde = attributes.iter().filter(|attribute| attribute.iter().any(|token| token.is_word("serde")));
     serde.flat_map(|attribute| attribute.windows(3)).find_map(|window| match window {
@@ -141,15 +141,15 @@
 fn apply_case(identifier: &str, rename_all: Option<&str>) -> String {
     match rename_all {
         Some("lowercase") => identifier.to_lowercase(),
-        Some("snake_case") => separated(identifier, '_'),
-        Some("kebab-case") => separated(identifier, '-'),
-        Some(other) => panic!("the case {other} is not known to this test"),
+        Some("snake_case") => separate_words(identifier, '_'),
+        Some("kebab-case") => separate_words(identifier, '-'),
+        Some(other) => panic!("this test does not support `rename_all = \"{other}\"`"),
         None => identifier.to_owned(),
     }
 }
 
-/// Words that begin with a capital, as lower-case words with a separator.
-fn separated(identifier: &str, separator: char) -> String {
+/// Returns an identifier in lower case, with a separator before each inner capital and for each underscore.
+fn separate_words(identifier: &str, separator: char) -> String {
     let mut name = String::new();
     for (index, character) in identifier.char_indices() {
         if character == '_' {
--- a/crates/scheduler/tests/outer_names/tokens.rs
+++ b/crates/scheduler/tests/outer_names/tokens.rs
@@ -1,31 +1,31 @@
-//! Splits Rust source into the tokens that names are collected from. Comments are dropped.
+//! Splits Rust source into the tokens from which names are collected. Comments are dropped.
 
-/// One token.
+/// A token of Rust source.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Token {
     /// A name or keyword.
     Identifier(String),
-    /// A string literal's value; of a byte string, its bytes as characters.
+    /// The value of a string literal; for a byte string, its bytes as characters.
     Text(String),
     /// One character of punctuation.
     Punctuation(char),
-    /// A number, character literal or lifetime, whose value does not matter here.
+    /// A number, character literal or lifetime. Its value is dropped, since it contains no name.
     Other,
 }
 
 impl Token {
-    /// Whether it is this character of punctuation.
+    /// Returns whether the token is this punctuation character.
     pub(crate) fn is(&self, character: char) -> bool {
         *self == Token::Punctuation(character)
     }
 
-    /// Whether it is this name or keyword.
+    /// Returns whether the token is this name or keyword.
     pub(crate) fn is_word(&self, word: &str) -> bool {
         matches!(self, Token::Identifier(name) if name == word)
     }
 }
 
-/// The tokens of one source file.
+/// Returns the tokens of one source file.
 pub(crate) fn tokens(source: &str) -> Vec<Token> {
     let characters: Vec<char> = source.chars().collect();
     let mut scanner = Scanner { characters: &characters, position: 0 };
@@ -51,11 +51,11 @@
         match (character, self.peek(1)) {
             ('/', Some('/')) => self.skip_line(),
             ('/', Some('*')) => self.skip_block_comment(),
-            ('"', _) => return Some(self.quoted()),
+            ('"', _) => return Some(self.string_literal()),
             ('\'', _) => return Some(self.character_or_lifetime()),
             _ if character.is_whitespace() => self.position += 1,
             _ if character.is_ascii_digit() => return Some(self.number()),
-            _ if character.is_alphanumeric() || character == '_' => return Some(self.word()),
+            _ if character.is_alphanumeric() || character == '_' => return Some(self.word_or_string()),
             _ => {
                 self.position += 1;
                 return Some(Token::Punctuation(character));
@@ -78,16 +78,16 @@
         self.position += 2;
     }
 
-    /// A name, or a string with a prefix such as `r#"` or `b"`.
-    fn word(&mut self) -> Token {
+    /// Scans a name, or a string literal with a prefix such as `r#"` or `b"`.
+    fn word_or_string(&mut self) -> Token {
         let start = self.position;
         while self.peek(0).is_some_and(|character| character.is_alphanumeric() || character == '_') {
             self.position += 1;
         }
         let word: String = self.characters[start..self.position].iter().collect();
         match (word.as_str(), self.peek(0)) {
-            ("b" | "c", Some('"')) => self.quoted(),
-            ("r" | "br" | "cr", Some('"' | '#')) => self.raw(),
+            ("b" | "c", Some('"')) => self.string_literal(),
+            ("r" | "br" | "cr", Some('"' | '#')) => self.raw_string_literal(),
             _ => Token::Identifier(word),
         }
     }
@@ -100,14 +100,14 @@
         Token::Other
     }
 
-    fn raw(&mut self) -> Token {
+    fn raw_string_literal(&mut self) -> Token {
         let mut hashes = 0;
         while self.peek(0) == Some('#') {
             hashes += 1;
             self.position += 1;
         }
         if self.peek(0) != Some('"') {
-            return self.word();
+            return self.word_or_string();
         }
         self.position += 1;
         let end: Vec<char> = std::iter::once('"').chain(std::iter::repeat_n('#', hashes)).collect();
@@ -120,7 +120,7 @@
         Token::Text(value)
     }
 
-    fn quoted(&mut self) -> Token {
+    fn string_literal(&mut self) -> Token {
         self.position += 1;
         let mut value = String::new();
         while let Some(character) = self.peek(0) {
