--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -42,7 +42,8 @@
     Reject {
         /// The request to reject.
         request: RequestId,
-        /// How long the client should wait before a retry; an earlier one would probably be rejected too.
+        /// How long the client should wait before it sends the request again. An earlier retry would probably
+        /// be rejected too.
         retry_after: Micros,
         /// Why the request is rejected.
         reason: Rejection,
--- a/crates/dispatcher/src/endpoints.rs
+++ b/crates/dispatcher/src/endpoints.rs
@@ -30,7 +30,7 @@
     pub cell: u32,
     /// Whether the worker accepts new requests.
     pub state: WorkerState,
-    /// When the worker last started; `None` means long ago.
+    /// Time of the worker's last start, on the caller's clock; `None` means long ago.
     pub started_at: Option<Micros>,
     /// A number that is the same for this worker at every dispatcher and differs between workers, such as a
     /// hash of the worker's name.
@@ -41,14 +41,14 @@
     pub size: Option<f64>,
 }
 
-/// What the endpoints of an endpoint update stand for.
+/// Which endpoints an endpoint update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// The endpoints that have changed.
+    /// Only the endpoints that have changed.
     Changes,
-    /// All endpoints.
+    /// All endpoints of the list.
     Full,
-    /// All endpoints as known before a restart, possibly outdated.
+    /// All endpoints as known before a restart of the dispatcher, possibly outdated.
     Cached,
     /// No endpoints: a poll failed or the subscription was lost.
     Failed,
@@ -57,7 +57,7 @@
 /// An update from discovery, or the notice that a poll failed.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointUpdate<'a> {
-    /// What `endpoints` stands for.
+    /// Which endpoints `endpoints` contains.
     pub kind: EndpointUpdateKind,
     /// Version of the endpoint list; an update with an older version than the known one is ignored.
     pub version: u64,
--- a/crates/dispatcher/src/events.rs
+++ b/crates/dispatcher/src/events.rs
@@ -35,13 +35,13 @@
 /// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// Periodic refresh of the state of all workers.
+    /// Refresh the state of all workers, which happens periodically.
     PeriodicRefresh,
-    /// Poll of discovery, unless the dispatcher is subscribed to the endpoint list by then.
+    /// Poll discovery, unless the dispatcher is subscribed to the endpoint list when the timer expires.
     Subscription,
     /// Check whether a request needs a hedge.
     HedgeCheck(RequestId),
-    /// Next load query.
+    /// The next load query is due.
     LoadQuery,
 }
 
@@ -60,7 +60,7 @@
         request: RequestId,
         /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// The progress made.
+        /// How far the attempt has got.
         progress: Progress,
     },
     /// The client of a request disconnected, or the final response is overdue.
--- a/crates/dispatcher/src/outcomes.rs
+++ b/crates/dispatcher/src/outcomes.rs
@@ -31,14 +31,14 @@
 /// A load report of a worker; values that it did not report are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Number of waiting requests.
+    /// Number of requests that wait at the worker.
     pub queue: Option<f64>,
     /// Number of requests at the worker, waiting or running.
     pub in_flight: Option<f64>,
     /// Fraction of the worker's cores that is in use, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Requests served per second.
+    /// Number of requests that the worker serves per second.
     pub qps: Option<f64>,
-    /// Number of free slots.
+    /// Number of the worker's slots that are free.
     pub free_slots: Option<f64>,
 }
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -12,25 +12,27 @@
 /// Load shedding starts when the fleet utilization exceeds this constant plus 1 / (mean number of slots of a
 /// worker), because workers with few slots have queues at a lower utilization too.
 const OVERLOAD_THRESHOLD: f64 = 0.9;
-/// Excess of the fleet utilization over the threshold that would shed all offered work, if
-/// [`MAX_SHED_FRACTION`] did not limit it. The shed fraction rises linearly from 0 at the threshold.
+/// Excess of the fleet utilization over the overload threshold at which all offered work would be shed, if
+/// [`MAX_SHED_FRACTION`] did not limit the shed fraction. The shed fraction rises linearly from 0 at the
+/// threshold.
 const OVERLOAD_SPAN: f64 = 1.0;
 /// Largest fraction of the offered work that is shed.
 const MAX_SHED_FRACTION: f64 = 0.7;
-/// Gain of the shed price: a request of mean load changes the logarithm of the price by this times the
-/// difference between the fraction to be shed and 1 (for a request below the price) or 0 (for any other).
+/// Gain with which the shed price is adjusted. A request of mean load changes the logarithm of the price by
+/// this gain times the difference between the fraction of work to be shed and 1 (for a request whose weight
+/// is below the price) or 0 (for any other request).
 const SHED_PRICE_GAIN: f64 = 0.1;
 /// Largest load of one request that counts in an adjustment of the shed price, as a multiple of the mean
 /// request load.
 const MAX_SHED_PRICE_SAMPLE_LOAD: f64 = 3.0;
 /// Time constant of a tenant's request rate, in seconds; bursts last several seconds.
 const TENANT_WINDOW_SECONDS: f64 = 3.0;
-/// Multiple of its share of the quota that a tenant may use at one dispatcher, since clients are not
-/// distributed evenly.
+/// Multiple of a dispatcher's share of a tenant's quota that the tenant may use at this dispatcher, since
+/// clients are not distributed evenly over the dispatchers.
 const TENANT_QUOTA_TOLERANCE: f64 = 1.2;
-/// Number of consecutive rejections on arrival that a streak must reach before the next request is attempted
-/// although it would be shed or late. The estimates that lead to rejections are learned from attempts:
-/// without any attempt, they would never change.
+/// Number of consecutive rejections on arrival that a rejection streak must reach before the next request is
+/// attempted although that request would be shed or late. The estimates that lead to rejections are learned
+/// from attempts: without any attempt, they would never change.
 const MIN_REJECTION_STREAK_LENGTH: u32 = 7;
 /// Time that a rejection streak must also last before the next request is attempted.
 const MIN_REJECTION_STREAK_DURATION: Micros = 2 * SECOND;
@@ -46,7 +48,7 @@
     pub(super) mean_request_load: f64,
 }
 
-/// Decides on load shedding and tracks the rejection streak.
+/// Decides which requests are shed under overload, and tracks the rejection streak.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AdmissionController {
     /// Shed price: the priority weight per slot-second below which requests are shed while the fleet is
@@ -56,7 +58,8 @@
     rejection_streak: RejectionStreak,
 }
 
-/// Consecutive requests rejected on arrival since the last attempt; invalid requests do not count.
+/// Rejection streak: the consecutive requests that were rejected on arrival since the last attempt. Invalid
+/// requests do not count.
 #[derive(Clone, Copy, Debug, Default)]
 struct RejectionStreak {
     count: u32,
@@ -124,9 +127,9 @@
         shed_fraction > 0.0 && is_below_price
     }
 
-    /// Records a request of a tenant and returns the fraction of the tenant's requests that exceeds this
-    /// dispatcher's share of the tenant's quota, including [`TENANT_QUOTA_TOLERANCE`]; 0 for an unknown
-    /// tenant or one without a quota.
+    /// Records a request of a tenant. Returns the fraction of the tenant's requests that exceeds this
+    /// dispatcher's share of the tenant's quota, where the share includes [`TENANT_QUOTA_TOLERANCE`]. The
+    /// fraction is 0 for an unknown tenant and for a tenant without a quota.
     fn over_quota_fraction(&mut self, now: Micros, tenant: usize, settings: &Settings) -> f64 {
         let Some(rate) = self.tenant_rates.get_mut(tenant) else { return 0.0 };
         let quota_per_second = settings.tenants[tenant].quota_per_second;
--- a/crates/dispatcher/src/policy/average.rs
+++ b/crates/dispatcher/src/policy/average.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Lower bound of the expected average used as a divisor.
+/// Lower bound of the average of expected values when an observed average is divided by it.
 const MIN_EXPECTED: f64 = 1e-3;
 
 /// The ratio of two moving averages: of observed and of expected values.
@@ -71,7 +71,8 @@
 }
 
 impl EventRate {
-    /// Adds an event and returns the rate at `now`. Earlier events decay with the window as time constant.
+    /// Adds an event and returns the rate of events at `now`. The contribution of earlier events decays, with
+    /// the window as time constant.
     pub(super) fn add_event(&mut self, now: Micros, window_seconds: f64) -> f64 {
         let elapsed = to_seconds(now.saturating_sub(self.measured_at));
         self.per_second = self.per_second * (-elapsed / window_seconds).exp() + 1.0 / window_seconds;
@@ -80,8 +81,8 @@
     }
 }
 
-/// A sum over a sliding window. Amounts are grouped into time steps, so the cost of the sum does not grow
-/// with their number.
+/// A sum of amounts over a sliding window. Amounts are grouped into time steps, so the cost of the sum does
+/// not grow with the number of amounts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlidingWindowSum {
     steps: VecDeque<WindowStep>,
@@ -90,7 +91,7 @@
 /// The sum of the amounts added in one time step.
 #[derive(Clone, Copy, Debug)]
 struct WindowStep {
-    /// When the amounts leave the window.
+    /// When the amounts leave the sliding window and no longer count in its sum.
     expires_at: Micros,
     amount: f64,
 }
--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -8,10 +8,11 @@
 /// Longest delay of the first poll. The delay is random, so that dispatchers that restart together do not
 /// overload discovery.
 const MAX_FIRST_POLL_DELAY: Micros = 3 * SECOND;
-/// The range of the first poll's random delay is this times the fleet size, up to [`MAX_FIRST_POLL_DELAY`],
-/// because small fleets need little spread.
+/// Time by which each dispatcher of the fleet widens the range of the first poll's random delay, up to
+/// [`MAX_FIRST_POLL_DELAY`]. Small fleets need little spread.
 const FIRST_POLL_SPREAD: Micros = 150_000;
-/// Longest backoff after the first failed poll; the delay is drawn between half of it and all of it.
+/// Longest backoff after the first failed poll. The delay before the next poll is drawn between half of the
+/// backoff and the whole backoff.
 const POLL_BACKOFF_INITIAL: Micros = SECOND;
 /// Longest backoff after any failed poll. A dispatcher counts as notified of a change 6 s after discovery
 /// became reachable, regardless of failures: a poll that times out just then, this backoff and the next poll
--- a/crates/dispatcher/src/policy/estimates.rs
+++ b/crates/dispatcher/src/policy/estimates.rs
@@ -21,7 +21,7 @@
     pub(super) listed_loads: &'a ListedLoads,
 }
 
-/// The worker for which an estimate is computed.
+/// The worker for which a service-time estimate is computed.
 #[derive(Clone, Copy)]
 pub(super) struct EstimatedWorker<'a> {
     pub(super) index: usize,
--- a/crates/dispatcher/src/policy/hedging.rs
+++ b/crates/dispatcher/src/policy/hedging.rs
@@ -3,14 +3,16 @@
 use crate::Micros;
 use crate::time::from_seconds;
 
-/// Fraction of a request's slack after which it is hedged if it has not started.
+/// Fraction of a request's slack after which the request is hedged if it has not started. The slack is the
+/// time that the request can wait and still meet its latency objective.
 const HEDGE_DELAY_FRACTION: f64 = 0.6;
 /// Shortest delay before a hedge, so that a start notification in transit arrives first.
 const MIN_HEDGE_DELAY: Micros = 20_000;
-/// Hedges earned by each offered request. This limits the extra load on workers that are already late: a
-/// cancelled attempt may still run or stay queued, so each hedge can cost a whole request.
+/// Fraction of a hedge that each offered request adds to the hedge budget. The budget limits the extra load
+/// on workers that are already late: a cancelled attempt may still run or stay queued, so each hedge can cost
+/// a whole request.
 const HEDGE_BUDGET_PER_REQUEST: f64 = 0.03;
-/// Largest number of unspent hedges.
+/// Largest hedge budget, in hedges that are not spent yet.
 const MAX_HEDGE_BUDGET: f64 = 3.0;
 /// Hedges that a dispatcher may send before its requests have earned any.
 const INITIAL_HEDGE_BUDGET: f64 = 1.0;
@@ -44,7 +46,7 @@
         self.hedges >= 1.0
     }
 
-    /// Deducts one hedge.
+    /// Deducts one hedge from the budget.
     pub(super) fn spend(&mut self) {
         self.hedges -= 1.0;
     }
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -6,14 +6,15 @@
 
 /// Weight of one request in the fraction of late retries: about the last 20 requests contribute.
 const LATE_RETRY_GAIN: f64 = 0.05;
-/// Largest plausible fraction of late retries. Above it, clients are assumed to use shorter deadlines than
-/// their class allows.
+/// Largest plausible fraction of requests that are late retries. Above this fraction, clients are assumed to
+/// use shorter deadlines than their class allows.
 const MAX_LATE_RETRY_FRACTION: f64 = 0.08;
-/// Divisor of the tolerance for first requests: a request counts as its client's first try if its time left
-/// falls short of the longest one seen in its class by at most that time divided by this.
+/// Divisor of the tolerance for first requests. A request counts as its client's first try if its time left
+/// falls short of the longest time left seen in its class by at most that longest time divided by this
+/// constant.
 const FIRST_REQUEST_TOLERANCE_DIVISOR: Micros = 1_000;
 
-/// Distinguishes clients' retries from first requests by their time left.
+/// Distinguishes clients' retries from first requests by the time that their clients still wait.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LateRetries {
     longest_time_left_by_class: Vec<Micros>,
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -16,10 +16,11 @@
 const LISTED_LOAD_GAIN: f64 = 0.35;
 /// Age of the listed sizes when an endpoint list arrives, in seconds.
 const LIST_AGE_SECONDS: f64 = 0.9;
-/// Time constant of the decay from the last listed load to the worker's mean, in seconds.
+/// Time constant, in seconds, with which the load expected of a worker decays from the last listed load to
+/// the worker's mean listed load.
 const LIST_DECAY_SECONDS: f64 = 1.0;
 
-/// Loads of all workers by their listed sizes.
+/// Listed loads of all workers, derived from their listed sizes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListedLoads {
     workers: Vec<ListedLoad>,
@@ -27,14 +28,14 @@
     max_sizes: Vec<f64>,
 }
 
-/// Load of one worker by its listed size.
+/// Listed load of one worker, derived from its listed size.
 #[derive(Clone, Copy, Debug, Default)]
 struct ListedLoad {
-    /// Size in the last endpoint list.
+    /// The worker's size in the last endpoint list.
     size: Option<f64>,
-    /// Slots in use by all dispatchers, according to that size.
+    /// Slots of the worker that all dispatchers use, according to `size`.
     slots: f64,
-    /// Moving average of `slots` over the lists.
+    /// Moving average of `slots` over the endpoint lists.
     mean_slots: f64,
     listed_at: Option<Micros>,
 }
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -8,7 +8,7 @@
 const FIRST_LOAD_QUERY_DIVISOR: Micros = 10;
 /// Cost of load queries that is allowed for each offered request, as a fraction of a request's weight.
 const LOAD_QUERY_COST_FRACTION: f64 = 0.01;
-/// Largest number of unspent load queries; also the initial budget.
+/// Largest load-query budget, in load queries that are not spent yet; also the initial budget.
 const MAX_LOAD_QUERY_BUDGET: f64 = 20.0;
 
 /// The worker to query now, if any, and when the next query is due.
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -22,10 +22,11 @@
 const MAX_LOAD_RATIO: f64 = 5.0;
 /// Least load assumed of a worker that rejected an attempt, as a multiple of its slots.
 const MIN_REJECTING_LOAD: f64 = 1.5;
-/// Weight of the load expected of a worker's kind and zone against the load that this dispatcher's own slots
-/// there suggest, as a number of local slots. `docs/large-fleet.md` compares values.
+/// Weight of the load expected of a worker from its kind and zone against the load that this dispatcher's own
+/// slots at the worker suggest. The weight is given as a number of local slots. `docs/large-fleet.md`
+/// compares values.
 const MEAN_PRIOR_WEIGHT: f64 = 1.0;
-/// Lower bound of the mean used as a divisor, in slots.
+/// Lower bound of the mean number of slots when that mean is used as a divisor.
 const MIN_MEAN_SLOTS: f64 = 1e-3;
 
 /// The valid values of a load report; invalid values count as absent.
@@ -194,7 +195,7 @@
         let Some(reported_at) = worker.reported_at else {
             return RemoteSlots { mean: expected_remote, variance: expected_remote };
         };
-        // Approximates an exponential decay at lower cost.
+        // This formula approximates an exponential decay at lower cost.
         let age = to_seconds(now.saturating_sub(reported_at) + REPORT_AGE);
         let aged = 1.0 + age / mean_response_seconds;
         let freshness = 1.0 / (aged * aged);
--- a/crates/dispatcher/src/policy/local_load.rs
+++ b/crates/dispatcher/src/policy/local_load.rs
@@ -12,7 +12,7 @@
     pub(super) sent_at: Micros,
 }
 
-/// An attempt that has completed recently.
+/// An attempt that has completed recently, kept to compute the slots that were in use at an earlier instant.
 #[derive(Clone, Copy, Debug)]
 struct CompletedAttempt {
     completed_at: Micros,
@@ -46,7 +46,8 @@
         self.in_flight.push(attempt);
     }
 
-    /// Moves an attempt to the completed attempts and discards those that completed more than `keep_for` ago.
+    /// Moves an attempt from the attempts in flight to the completed attempts. Discards the completed
+    /// attempts that completed more than `keep_for` ago.
     pub(super) fn complete(&mut self, request: RequestId, attempt: u32, now: Micros, keep_for: Micros) {
         let is_same_attempt = |other: &InFlightAttempt| (other.request, other.attempt) == (request, attempt);
         if let Some(at) = self.in_flight.iter().position(is_same_attempt) {
--- a/crates/dispatcher/src/policy/outlier_detection.rs
+++ b/crates/dispatcher/src/policy/outlier_detection.rs
@@ -8,17 +8,18 @@
 
 /// Weight of one outcome in a worker's failure rate.
 const FAILURE_GAIN: f64 = 0.2;
-/// Weight of one outcome in a worker's failure rate for one request class. It is higher because few failures
-/// of a class must suffice: each can cost a whole request.
+/// Weight of one outcome in a worker's failure rate for one request class. This weight is higher than
+/// `FAILURE_GAIN` because few failures of a class must suffice: each failure can cost a whole request.
 const CLASS_FAILURE_GAIN: f64 = 0.3;
-/// Multiple of its estimate after which an attempt in flight is overdue, which counts as a failure.
+/// Multiple of an attempt's service-time estimate after which the attempt in flight is overdue, which counts
+/// as a failure.
 const OVERDUE_ESTIMATE_MULTIPLE: f64 = 4.0;
 /// Shortest time after which an attempt in flight is overdue, in seconds.
 const MIN_OVERDUE_SECONDS: f64 = 0.5;
-/// Half-life of a worker's failure rates, in seconds. They decay so that the worker is tried again.
+/// Half-life of a worker's failure rates, in seconds. The rates decay so that the worker is tried again.
 const FAILURE_HALF_LIFE_SECONDS: f64 = 5.0;
-/// Highest failure or rejection rate used in the ranking: keeps ranks finite, so that the worker stays
-/// available for retries.
+/// Highest failure or rejection rate used in the ranking. This limit keeps ranks finite, so that the worker
+/// stays available for retries.
 const MAX_FAILURE_RATE: f64 = 0.9;
 
 /// Failure rates of the attempts at one worker.
@@ -74,7 +75,7 @@
         &mut self.by_class[class]
     }
 
-    /// Failure rate to be expected for a request of this class.
+    /// Failure rate to be expected at this worker for a request of this class.
     fn expected(&self, class: usize) -> f64 {
         self.by_class.get(class).map_or(self.all, |&rate| rate.max(self.all))
     }
--- a/crates/dispatcher/src/policy/request.rs
+++ b/crates/dispatcher/src/policy/request.rs
@@ -25,7 +25,7 @@
     pub(super) progress: Option<ProgressMark>,
     pub(super) is_in_flight: bool,
     pub(super) never_ran: bool,
-    /// Estimated service time in seconds.
+    /// Service-time estimate of the attempt, in seconds.
     pub(super) estimate: f64,
     /// Whether the attempt has been counted as overdue.
     pub(super) is_overdue: bool,
@@ -37,7 +37,8 @@
     pub(super) id: RequestId,
     pub(super) class: usize,
     pub(super) slots: f64,
-    /// Work in seconds on a standard core: the cost hint, or the typical service time of its class, or 1.
+    /// Work of the request, in seconds on a standard core: the cost hint, or the typical service time of the
+    /// request's class, or 1.
     pub(super) work: f64,
     pub(super) has_hint: bool,
     /// The latency objective as an instant, without the latency stretch and less the time that the client
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -55,7 +55,7 @@
     is_warming_up: bool,
 }
 
-/// Restricts a request to workers of a kind, zone or cell; `None` allows any.
+/// Constraint that restricts a request to workers of a kind, zone or cell; `None` allows any.
 #[derive(Clone, Copy)]
 struct PlacementConstraint {
     kind: Option<u32>,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Values of a request that are the same for all workers compared.
+/// Values that depend on the request alone and are the same for all workers compared.
 struct SelectionContext<'a> {
     now: Micros,
     request: &'a Request,
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -46,22 +46,22 @@
 /// The estimated service time of a request at a worker.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceTimeEstimate {
-    /// Time that the request takes with its slots to itself.
+    /// Time, in seconds, that the request takes if it has its slots to itself.
     pub(super) seconds_alone: f64,
-    /// Time that the request takes beside the other requests at the worker.
+    /// Time, in seconds, that the request takes beside the other requests at the worker.
     pub(super) seconds: f64,
-    /// Time used to rank workers, which includes the delay of the requests behind this one.
+    /// Time, in seconds, by which workers are ranked; it includes the delay of the requests behind this one.
     pub(super) seconds_for_ranking: f64,
 }
 
 /// Number of slots of a worker, and how many of them are in use.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkerOccupancy {
-    /// Slots that the worker has.
+    /// Number of slots that the worker has.
     pub(super) slots: f64,
-    /// Slots of this dispatcher's attempts in flight.
+    /// Number of the worker's slots that this dispatcher's attempts in flight occupy.
     pub(super) local_slots: f64,
-    /// Slots of the other dispatchers' attempts.
+    /// Number of the worker's slots that the other dispatchers' attempts are expected to occupy.
     pub(super) remote_slots: RemoteSlots,
 }
 
@@ -71,16 +71,16 @@
     kinds: Vec<GroupCapacity>,
     fleet: GroupCapacity,
     mean_response_seconds: f64,
-    /// Service times of requests without a cost hint.
+    /// Average service times, by request class, of requests without a cost hint.
     service_time_by_class: Vec<LogAverage>,
 }
 
 /// The learned service rate of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WorkerRate {
-    /// Average of the worker's own samples.
+    /// Average of the worker's own service-rate samples.
     own_rate: LogAverage,
-    /// Work per second on one slot, as used in estimates.
+    /// Service rate that estimates use: work per second on one slot.
     service_rate: f64,
 }
 
@@ -98,7 +98,7 @@
         self.own_rate = LogAverage::default();
     }
 
-    /// Work per second on one slot, as used in estimates.
+    /// Service rate that estimates use: work per second on one slot.
     pub(super) fn service_rate(&self) -> f64 {
         self.service_rate
     }
@@ -155,8 +155,8 @@
 
     /// Estimates the service time of a request at a worker: equation (1) of the paper named in
     /// [`policy`](crate::policy). The paper assumes that all requests at a worker are known. A dispatcher
-    /// knows its own and only the distribution of the others', so the excess over the slots is an expected
-    /// value.
+    /// knows its own requests, but only the distribution of the other dispatchers' requests, so the excess
+    /// over the slots is an expected value.
     pub(super) fn estimate(
         &self,
         worker: &WorkerRate,
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -20,8 +20,8 @@
 /// one dispatcher gets all of it; dispatchers with random positions get less. `docs/large-fleet.md` compares
 /// values.
 const SLOW_START_SHARE_REQUESTS: f64 = 4.0;
-/// Margin, in standard deviations, for dispatchers that by chance hold the same random positions. Together
-/// with 2 further dispatchers, this margin is exceeded in about one of a million worker starts.
+/// Margin, in standard deviations, for dispatchers that by chance hold the same random positions. The sum of
+/// this margin and 2 further dispatchers is exceeded in about one of a million worker starts.
 const SLOW_START_HOLDER_STD_DEVIATIONS: f64 = 5.0;
 /// Fraction of its share that a dispatcher with a random position uses if not all dispatchers share the
 /// budget, because others may hold the same position.
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkerCapacity {
     pub(super) slots: f64,
-    /// Work per second on one slot.
+    /// Service rate: work per second on one slot.
     pub(super) service_rate: f64,
 }
 
@@ -43,7 +43,7 @@
     dispatcher_started_at: Option<Micros>,
 }
 
-/// The settings that apply to slow start.
+/// The settings of the dispatcher that apply to slow start.
 #[derive(Clone, Copy, Debug, Default)]
 struct SlowStartRules {
     initial_capacity: f64,
@@ -142,7 +142,8 @@
         let rules = self.rules;
         let hash_key = worker.hash_key;
         let position = *worker.position.get_or_insert_with(|| rules.position(hash_key, rng));
-        // Work sent to an earlier process of the worker does not count.
+        // Work sent before the worker's last start does not count, because an earlier process of the worker
+        // received it.
         let from = now.max(worker.started_at.map_or(0, |at| at.saturating_add(rules.window)));
         let sent = worker.sent.sum_at(from);
         // A dispatcher that has started since the worker's start does not know what its own earlier process
@@ -171,7 +172,8 @@
                 let local_hash = hash(local);
                 (0..fleet_size).filter(|&other| hash(other) < local_hash).count() as u32
             }
-            // The index is beyond the configured fleet, whose dispatchers hold all positions.
+            // This dispatcher's index is beyond the configured fleet size, and the dispatchers within the
+            // fleet size hold all positions.
             Some(_) => fleet_size,
             // Without an index, the position is random: some positions are held twice, others by nobody.
             None => rng.u32(0..fleet_size),
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -111,7 +111,7 @@
 /// The result of updating the table of workers from one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AppliedEndpoint {
-    /// Index of the worker.
+    /// Index in the table of the worker that was updated.
     pub(super) index: usize,
     /// Whether the number of workers, worker kinds or zones has grown.
     pub(super) has_grown: bool,
--- a/crates/dispatcher/src/requests.rs
+++ b/crates/dispatcher/src/requests.rs
@@ -15,7 +15,7 @@
     IdempotentWithKey {
         /// The group of workers that drops duplicates.
         scope: KeyScope,
-        /// How long duplicates are dropped.
+        /// Time after the first attempt was sent during which the workers drop duplicates.
         window: Micros,
     },
     /// The request must not be run twice.
@@ -74,11 +74,11 @@
 /// A client's request as it arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IncomingRequest {
-    /// Id of the request.
+    /// Id by which later events and actions refer to the request.
     pub request: RequestId,
-    /// Index of the request class.
+    /// Index of the request's class among the classes of the settings.
     pub class: u32,
-    /// Index of the tenant.
+    /// Index of the request's tenant among the tenants of the settings.
     pub tenant: u32,
     /// Number of slots that the request occupies while it runs; 1 if absent. A value that is not finite, not
     /// above 0, or above 10,000 counts as absent.
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -37,8 +37,8 @@
     pub slow_start_initial_capacity: f64,
     /// Longest time from a worker's start to its full capacity.
     pub slow_start_duration: Micros,
-    /// Multiple of its current capacity above which the work sent to a worker that is warming up overloads
-    /// it.
+    /// Multiple of a worker's current capacity above which the work sent to the worker overloads it while it
+    /// is warming up.
     pub overload_multiple: f64,
     /// Time window over which the work sent to a worker that is warming up is compared with its capacity.
     pub overload_window: Micros,
--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -34,9 +34,9 @@
     /// The listening socket could not be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address that could not be listened on.
+        /// The address on which the scheduler could not listen.
         address: SocketAddr,
-        /// The error of the operating system.
+        /// The operating system's reason why the socket could not be opened.
         source: io::Error,
     },
 }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -22,9 +22,9 @@
 pub struct ClockReading {
     /// The time at which the scheduler's clock was started, in microseconds on this clock.
     pub started_at: Micros,
-    /// The time of the scheduler's clock.
+    /// The reading of the scheduler's clock, in microseconds.
     pub now: Micros,
-    /// The time of the wall clock, in microseconds since the Unix epoch.
+    /// The reading of the wall clock, in microseconds since the Unix epoch.
     pub unix: Micros,
 }
 
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -15,11 +15,11 @@
     pub clock: Clock,
     /// The dispatch policy, which also delivers its actions to the requests' tasks.
     pub policy: Arc<PolicyHandle>,
-    /// The worker protocol.
+    /// The implementation of the protocol by which attempts are sent to workers.
     pub upstream: Arc<dyn Upstream>,
     /// The proxy's settings.
     pub settings: ProxySettings,
-    /// Writes the event log.
+    /// Writes the scheduler's events to the event log.
     pub recorder: Arc<EventRecorder>,
     /// The phase of the graceful shutdown.
     pub shutdown: Shutdown,
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -64,7 +64,8 @@
         self.policy.update_endpoints(kind, endpoints);
     }
 
-    /// Resets what the table knows of the last discovery: its revision and the time of its last answer.
+    /// Resets what the table knows of the discovery service used so far: the revision of its list and the
+    /// time of its last answer.
     ///
     /// The next list comes from another discovery, with its own revisions.
     pub fn reset_revision(&self) {
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -91,12 +91,12 @@
     publisher: EndpointPublisher,
     /// Configured address, which may change.
     configured_address: watch::Receiver<Authority>,
-    /// Address that is called now.
+    /// Discovery address that calls are sent to now.
     address: Authority,
     client: DiscoveryClient,
     /// Revision of the last list received from this address, or of the cached list.
     revision: Option<u64>,
-    /// Backoff before the next retry.
+    /// Time to wait before the next retry of a failed call.
     backoff: Micros,
     is_polled: bool,
     /// Whether the policy must be notified of the next list even if the list is empty, as an answer to its
@@ -112,7 +112,7 @@
     failed_since_list: bool,
 }
 
-/// Call to discovery that has ended.
+/// Call to discovery that has ended, with the facts needed to handle its result.
 struct CompletedCall {
     /// Revision that was watched; `None` if the call was for the complete list.
     watched_revision: Option<u64>,
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Resets the state if the configured address has changed.
+    /// Resets the state that belongs to the old address if the configured address of discovery has changed.
     fn apply_address_change(&mut self) {
         let address = self.configured_address.borrow_and_update().clone();
         if address == self.address {
@@ -176,8 +176,8 @@
         // The HTTP client is replaced, because the old one would keep its connection to the old address open
         // until the peer closes it.
         self.client = DiscoveryClient::new();
-        // Revisions of the new discovery are unrelated to the old ones: its lists could be taken for older
-        // ones.
+        // Revisions of the new discovery are unrelated to those of the old one. Without the reset, the lists
+        // of the new discovery could be taken for outdated ones.
         self.publisher.reset_revision();
         self.revision = None;
         self.backoff = RETRY_BACKOFF_INITIAL;
@@ -242,7 +242,7 @@
             self.awaits_list_request = false;
         }
         // After a list that is older than the last one, or an answer to a watch that was not held, the next
-        // call would return the same at once: the delay avoids a busy loop.
+        // call would return the same list at once. The delay avoids a busy loop.
         let is_older = self.revision.is_some_and(|revision| list.revision < revision);
         let was_not_held = watched_revision == Some(list.revision) && Instant::now() < earliest_held_answer;
         self.revision = Some(list.revision);
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Counts a failed call, and waits until the next call is due.
+    /// Counts a failed call to discovery, and waits until the next call is due.
     async fn handle_failure(&mut self, error: &FetchError) {
         let subject = EventSubject { peer: Some(self.address.as_str()), ..EventSubject::default() };
         // Counts failed calls to discovery, including refusals and invalid lists; the table keeps its
@@ -259,7 +259,7 @@
         count_event_for("no answer of discovery, the list stays", &error.to_string(), subject);
         self.failed_since_list = true;
         if let Some(backoff) = self.retry_backoff(error) {
-            // An address change ends the wait.
+            // A change of discovery's address ends the wait.
             let _ = timeout_at(from_now(backoff), self.configured_address.changed()).await;
             return;
         }
--- a/crates/proxy/src/discovery/platform/fetch.rs
+++ b/crates/proxy/src/discovery/platform/fetch.rs
@@ -31,19 +31,19 @@
     /// The address and the path don't form a valid HTTP request.
     #[error(transparent)]
     InvalidRequest(#[from] hyper::http::Error),
-    /// The connection failed.
+    /// The connection to discovery failed.
     #[error(transparent)]
     Connection(#[from] hyper_util::client::legacy::Error),
-    /// The body ended early or is too long.
+    /// The body of discovery's response ended early or is too long.
     #[error("{0}")]
     Body(Box<dyn Error + Send + Sync>),
-    /// The body is not a valid endpoint list.
+    /// The body of discovery's response is not a valid endpoint list.
     #[error("{reason}")]
     InvalidList {
-        /// Parser's description of the fault.
+        /// The parser's description of the fault in the list.
         reason: String,
     },
-    /// The response was not received in time.
+    /// Discovery's response was not received in time.
     #[error("fell silent")]
     TimedOut,
 }
--- a/crates/proxy/src/discovery/static_list.rs
+++ b/crates/proxy/src/discovery/static_list.rs
@@ -13,7 +13,7 @@
 impl EndpointSource for StaticEndpoints {
     fn follow(mut self: Box<Self>, publisher: EndpointPublisher) -> BoxFuture<'static, ()> {
         Box::pin(async move {
-            // One request of the policy is enough, as this source cannot fail afterwards.
+            // Only the policy's first request for a list is awaited, as this source cannot fail afterwards.
             if publisher.is_polled() {
                 publisher.list_requested().await;
             }
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -56,21 +56,21 @@
 /// request.
 struct PendingClose {
     reason: CloseReason,
-    /// What the server had left unread when it was stopped.
+    /// Bytes of the client that the server library had left unread when it was stopped.
     unread: Unread,
 }
 
-/// Action of a connection when the shutdown phase changes.
+/// What a client connection does when the shutdown phase changes.
 enum ShutdownAction {
-    /// Stay open for now.
+    /// Keep the connection open for now.
     StayOpen,
-    /// Close once the last response has been written.
+    /// Close the connection once the last response has been written.
     FinishWriting,
-    /// Close unless part of a request has been received.
+    /// Close the connection unless part of a request has been received on it.
     CloseIfIdle,
 }
 
-/// Next event of a connection.
+/// Next event that the event loop of a client connection handles.
 enum ConnectionEvent {
     /// The connection has ended: the server has finished, or the client has disconnected.
     Ended(ConnectionEnd),
@@ -296,7 +296,7 @@
         if self.shared.permit.is_in_state(ConnectionState::Serving) || !(closes_all || is_used_by_client) {
             ShutdownAction::StayOpen
         } else if self.shared.stream.is_write_blocked() {
-            // Closing now would lose a response that the client has not read yet.
+            // If the connection closed now, a response that the client has not read yet would be lost.
             ShutdownAction::FinishWriting
         } else {
             ShutdownAction::CloseIfIdle
--- a/crates/proxy/src/downstream/client_connections.rs
+++ b/crates/proxy/src/downstream/client_connections.rs
@@ -29,7 +29,8 @@
 /// Listener for client connections, with the limits and the request handler that all of them share.
 pub struct ClientListener {
     handler: Arc<RequestHandler>,
-    /// Taken by the task that accepts connections; closed when that task ends.
+    /// Listening socket, which the task that accepts connections takes. The socket is closed when that task
+    /// ends.
     listener: Mutex<Option<TcpListener>>,
     limits: Arc<ConnectionLimits>,
 }
@@ -89,7 +90,7 @@
                 {
                     consecutive_failures += 1;
                 }
-                // When descriptors run out, the loop must neither end nor spin.
+                // When descriptors run out, the loop that accepts connections must neither end nor spin.
                 Err(error) => {
                     consecutive_failures = 0;
                     // Counts failed calls of `accept`.
--- a/crates/proxy/src/downstream/connection_close.rs
+++ b/crates/proxy/src/downstream/connection_close.rs
@@ -22,11 +22,11 @@
 /// How a connection ended, which decides how it is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
-    /// With a response that the client may not have read yet.
+    /// The connection ended with a response that the client may not have read yet.
     Responded,
-    /// While idle: no response is due.
+    /// The connection ended while idle: no response is due.
     Idle,
-    /// The client has disconnected, or is no longer waited for.
+    /// The client has disconnected, or the scheduler no longer waits for the client.
     Abandoned,
 }
 
@@ -35,7 +35,7 @@
 pub(super) enum CloseReason {
     /// The next request's head was not received in time.
     TimedOut,
-    /// Another connection needs its permit.
+    /// Another connection needs the permit of this connection.
     Evicted,
 }
 
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -94,7 +94,7 @@
     connections: BTreeMap<u64, ConnectionEntry>,
 }
 
-/// Permits of all client connections.
+/// Permits of all client connections, by which the number of connections is limited.
 pub(super) struct ConnectionLimits {
     max_connections: usize,
     inner: Mutex<Inner>,
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -227,7 +227,7 @@
     match response {
         FinalResponse::Served(result) => result.into_response(),
         FinalResponse::Rejected { retry_after } => {
-            // During a shutdown, clients should try another scheduler at once: it may have capacity now.
+            // During a shutdown, clients should retry at once, since another scheduler may have capacity now.
             let retry_after = if context.shutdown.is_started() { 0 } else { retry_after };
             let seconds = retry_after.min(context.settings.max_retry_after) as f64 / SECOND as f64;
             (StatusCode::SERVICE_UNAVAILABLE, [(header::RETRY_AFTER, seconds.to_string())]).into_response()
--- a/crates/proxy/src/downstream/http/request_head.rs
+++ b/crates/proxy/src/downstream/http/request_head.rs
@@ -41,7 +41,7 @@
     /// A header that must be unique is repeated; another server might use the other value.
     #[error("header {name} is repeated")]
     RepeatedHeader {
-        /// Name of the header.
+        /// Name of the repeated header.
         name: &'static str,
     },
     /// The request id is missing.
@@ -50,7 +50,7 @@
     /// The request id is malformed.
     #[error("invalid X-Request-ID header: {value:?}")]
     InvalidRequestId {
-        /// The header's value.
+        /// The malformed request id that was received.
         value: String,
     },
     /// The time-out is missing.
@@ -59,7 +59,7 @@
     /// The time-out is malformed.
     #[error("invalid X-Timeout header: {value:?}")]
     InvalidTimeout {
-        /// The header's value.
+        /// The malformed time-out that was received.
         value: String,
     },
     /// The idempotency key is missing, which the class requires so that workers can recognize a retry.
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -60,7 +60,7 @@
     }
     let mut lines = head.split(|&byte| byte == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line));
     let mut field_count = 0;
-    // Empty lines may precede the request line.
+    // Empty lines may precede the request line; they are skipped, and so is the request line.
     lines.by_ref().find(|line| !line.is_empty());
     for line in lines.take_while(|line| !line.is_empty()) {
         let name = line.split(|&byte| byte == b':').next().unwrap_or_default();
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -13,7 +13,7 @@
 /// Where an endpoint list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListOrigin {
-    /// The cached list, which was stored before the program's start and may be out of date.
+    /// The cached list, which was stored before the scheduler process started and may be out of date.
     Cache,
     /// A response of discovery.
     Discovery,
@@ -68,14 +68,14 @@
 /// The time of a worker's last start, as listed and as estimated.
 #[derive(Clone, Copy, Debug)]
 struct WorkerStart {
-    /// The start time in the endpoint list, in microseconds since the Unix epoch.
+    /// The worker's start time as given in the endpoint list, in microseconds since the Unix epoch.
     listed: Micros,
-    /// The estimated start time, in microseconds on the scheduler's clock.
+    /// The worker's estimated start time, in microseconds on the scheduler's clock.
     estimated: Micros,
 }
 
 impl Table {
-    /// Applies one record and converts it for the dispatch policy.
+    /// Applies one record of an endpoint list to the table, and converts the record for the dispatch policy.
     fn apply_record(&mut self, record: &EndpointRecord, reading: ClockReading) -> Endpoint {
         let number = self.ids.get_or_insert(&record.id);
         let former_start = self.entries.get(number as usize).and_then(|entry| entry.start);
@@ -197,7 +197,7 @@
         table.entries.get(worker.0 as usize).map(|entry| Arc::clone(&entry.name)).unwrap_or_default()
     }
 
-    /// The id of the worker of this name.
+    /// The id of the worker of this name, or `None` if the table has no such worker.
     pub fn worker_by_name(&self, name: &str) -> Option<WorkerId> {
         self.lock().ids.numbers.get(name).copied().map(WorkerId)
     }
--- a/crates/proxy/src/event_recorder.rs
+++ b/crates/proxy/src/event_recorder.rs
@@ -27,7 +27,7 @@
     format!("{:016x}", request.0)
 }
 
-/// The name of a rejection's reason in the event log and in log messages.
+/// The name under which a rejection's reason appears in the event log and in log messages.
 pub(crate) fn rejection_name(reason: &Rejection) -> &'static str {
     match reason {
         Rejection::Invalid => "invalid",
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, OnceLock, PoisonError};
 
-/// The count of each counter; only [`count_event_for`] writes to it.
+/// The number of events counted so far by each counter. Only [`count_event_for`] writes to this map.
 static COUNTS: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
 
 /// Called with a counter's name and its count whenever the count reaches a power of two.
@@ -27,11 +27,11 @@
 /// The worker, request class and peer that a counted event concerns, as far as they are known.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventSubject<'a> {
-    /// The worker's name.
+    /// Name of the worker that the event concerns, if known.
     pub worker: Option<&'a str>,
-    /// The request class.
+    /// Name of the request class that the event concerns, if known.
     pub class: Option<&'a str>,
-    /// The peer's address.
+    /// Network address of the peer that the event concerns, if known.
     pub peer: Option<&'a str>,
 }
 
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -37,7 +37,7 @@
 /// The target of an attempt: a worker, and its listed address at the time the attempt began.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptTarget {
-    /// The worker.
+    /// The worker that the attempt is sent to.
     pub worker: WorkerId,
     /// The worker's address, or `None` if the worker accepts no new attempts.
     pub address: Option<Authority>,
@@ -87,15 +87,15 @@
 pub struct UpstreamRequest {
     /// The request id, as the client sent it.
     pub id: String,
-    /// The path and query.
+    /// The path and query of the request, which are forwarded to workers unchanged.
     pub path: PathAndQuery,
-    /// The headers to forward.
+    /// The request's headers that are forwarded to workers.
     pub headers: HeaderMap,
     /// Whether, and at which workers, the request may run more than once.
     pub idempotency: Idempotency,
-    /// The body.
+    /// The request's body, which is forwarded to workers.
     pub body: Bytes,
-    /// The memory reserved for the body.
+    /// The permit for the memory that the body occupies; `None` for a small body.
     pub body_permit: BodyPermit,
     /// The check whether the client has disconnected. If the client has disconnected, no attempt is written.
     pub client: ClientPresence,
@@ -115,7 +115,7 @@
 /// The final response to a client: each request has exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// A worker's result.
+    /// The request was served, with this result of a worker.
     Served(Bytes),
     /// Rejected by the policy: the request never ran and can be retried safely.
     Rejected {
@@ -147,7 +147,7 @@
 /// The end of an attempt that its worker did not accept.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchFailure {
-    /// The outcome, which determines whether the request may be retried.
+    /// How the attempt ended, which determines whether the request may be retried.
     pub outcome: Outcome,
     /// The load report in the worker's response, or `None` if there is no valid one.
     pub load_report: Option<LoadReport>,
@@ -174,10 +174,10 @@
     }
 }
 
-/// The end of an attempt.
+/// The outcome of an attempt that has ended, with the result and the load report of its worker, if any.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptCompletion {
-    /// The outcome.
+    /// How the attempt ended, which the dispatch policy is notified of.
     pub outcome: Outcome,
     /// The worker's result, if the outcome is [`Outcome::Served`].
     pub result: Option<Bytes>,
@@ -211,28 +211,28 @@
 pub enum RequestEvent {
     /// The policy has decided to send the next attempt to this worker.
     Dispatch {
-        /// The worker.
+        /// The worker to send the attempt to.
         worker: WorkerId,
     },
     /// The policy has rejected the request.
     Reject {
         /// How long the client should wait before it retries.
         retry_after: Micros,
-        /// The reason.
+        /// Why the policy has rejected the request.
         reason: Rejection,
     },
-    /// The policy has failed the request.
+    /// The policy has decided that the request's final response is "failed".
     Fail,
     /// The policy has cancelled an attempt.
     Cancel {
-        /// The attempt's number, starting at 0.
+        /// Number of the attempt to cancel within its request, starting at 0.
         attempt: u32,
     },
     /// A worker has reported on an attempt.
     Worker {
-        /// The worker.
+        /// The worker that has sent the report.
         worker: WorkerId,
-        /// The report.
+        /// The worker's report: progress or completion of the attempt.
         event: WorkerEvent,
     },
     /// The client has disconnected.
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -19,7 +19,8 @@
 /// The sender of events to a request's task.
 pub type RequestEventSender = mpsc::UnboundedSender<RequestEvent>;
 
-/// The minimum number of ids of completed requests that are retained; up to twice as many are kept.
+/// The minimum number of ids of completed requests that are retained to detect duplicates; up to twice as
+/// many are kept.
 const MIN_COMPLETED_REQUESTS_RETAINED: usize = 8_192;
 
 /// The ids of the most recently completed requests. There are two sets: when the recent set is full, it
@@ -50,7 +51,8 @@
     actions: Vec<Action>,
     /// The number of endpoint updates passed to the policy, which is the version of the last one.
     endpoint_version: u64,
-    /// Load queries that [`PolicyHandle::next_load_query`] has not returned yet.
+    /// Workers that the policy has decided to query and that [`PolicyHandle::next_load_query`] has not
+    /// returned yet.
     pending_load_queries: VecDeque<WorkerId>,
 }
 
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -95,7 +95,7 @@
     started_at: Micros,
     /// Whether the attempt's outcome is still unknown.
     is_in_flight: bool,
-    /// Whether the attempt's dispatch is in progress.
+    /// Whether the attempt is still being dispatched to its worker.
     is_dispatching: bool,
     /// Aborts the dispatch as long as the worker has not accepted the attempt.
     abort: CancellationToken,
@@ -106,13 +106,13 @@
     is_cancelling: bool,
 }
 
-/// The result of one attempt's dispatch.
+/// The result of one attempt's dispatch, which the request's task handles once the dispatch has ended.
 struct DispatchCompletion {
     attempt: u32,
     result: DispatchResult,
 }
 
-/// The outcome of one attempt's cancellation.
+/// The outcome of one attempt's cancellation, which decides whether the attempt has ended.
 struct CancellationCompletion {
     attempt: u32,
     /// Whether the connection was closed before an acceptance was received. Unless a callback is received,
@@ -133,7 +133,7 @@
     withhold_attempts: CancellationToken,
     /// The request's attempts, indexed by their number.
     attempts: Vec<Attempt>,
-    /// Dispatches in progress.
+    /// The dispatches of this request's attempts that are in progress.
     dispatches: FuturesUnordered<BoxFuture<'static, DispatchCompletion>>,
     /// Cancellations in progress whose outcome decides whether their attempt has ended.
     cancellations: FuturesUnordered<BoxFuture<'static, CancellationCompletion>>,
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -14,7 +14,7 @@
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::time::Instant;
 
-/// The longest deadline, limited to this much, is part of the time from SIGTERM to SIGKILL.
+/// Upper limit of the longest deadline where that deadline is part of the time from SIGTERM to SIGKILL.
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
 /// The supervisor sends SIGKILL no earlier than this long after SIGTERM plus the longest deadline, which is
 /// limited to [`MAX_COUNTED_DEADLINE`].
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -31,10 +31,10 @@
 /// tolerance on time limits.
 const STRAY_RESPONSE_WINDOW: Micros = 50_000;
 
-/// The time reserved for an attempt's connection is the connect timeout, but at most the remaining time
-/// divided by this.
+/// The time reserved for establishing an attempt's connection is the connect timeout, but at most the
+/// request's remaining time divided by this constant.
 const CONNECT_RESERVE_DIVISOR: u32 = 4;
-/// How long after the time reserved for its connection has passed an attempt may still be written, in
+/// How long an attempt may still be written after the time reserved for its connection has passed, in
 /// microseconds.
 const WRITE_SLACK: Micros = MAX_DISPATCH_DELAY;
 /// How long to wait for the socket of an aborted attempt to be closed. The client library closes it in a
@@ -85,7 +85,7 @@
 struct AttemptTiming {
     /// From this instant on the attempt must not be written.
     write_deadline: Instant,
-    /// The limit announced to the worker, in milliseconds.
+    /// The time limit that is announced to the worker, in milliseconds.
     announced_limit_ms: u128,
 }
 
@@ -209,7 +209,7 @@
         Ok(PreparedAttempt { request, started_at, write_deadline, is_written, permit })
     }
 
-    /// The failure of an attempt whose response does not accept it.
+    /// The failure of an attempt whose response shows that the worker has not accepted the attempt.
     fn dispatch_failure(
         &self,
         connection: &CaptureConnection,
@@ -270,7 +270,7 @@
     Some(request)
 }
 
-/// The outcome that a response to an attempt means, or `None` if the worker has accepted it.
+/// The outcome of an attempt according to its response, or `None` if the worker has accepted the attempt.
 fn response_outcome(status: StatusCode, headers: &HeaderMap) -> Option<Outcome> {
     let never_ran = headers.get("x-not-processed").is_some_and(|value| value == "1");
     match status {
--- a/crates/proxy/src/upstream/http/callback.rs
+++ b/crates/proxy/src/upstream/http/callback.rs
@@ -18,11 +18,11 @@
 /// A worker's report on an attempt that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Callback {
-    /// The attempt's request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The worker's name.
+    /// Name of the worker that sent the report.
     pub worker_name: String,
-    /// The reported event.
+    /// What the worker reports: the attempt's progress or completion.
     pub event: WorkerEvent,
 }
 
@@ -36,13 +36,13 @@
     /// The reported state is unknown.
     #[error("unknown state {state:?}")]
     UnknownState {
-        /// The state.
+        /// The unknown state that was received.
         state: String,
     },
     /// The request id is malformed.
     #[error("id {id:?} is not 16 hex digits")]
     InvalidRequestId {
-        /// The id.
+        /// The malformed request id that was received.
         id: String,
     },
 }
--- a/crates/proxy/src/upstream/http/cancellation.rs
+++ b/crates/proxy/src/upstream/http/cancellation.rs
@@ -17,7 +17,8 @@
 use crate::upstream::http::limits::{max_cancellations, max_idle_per_worker};
 use crate::upstream::http::request::{build_request, read_body};
 
-/// How long the body of a response, which is ignored, is read. Then the connection is closed.
+/// How long the body of a response is read, whose content is ignored. After this time the connection is
+/// closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
 /// The delay before a cancellation that was not acknowledged is sent again.
 const RETRY_DELAY: Micros = 20_000;
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The semaphore of one worker's address.
+    /// The semaphore that limits the cancellations in flight to one worker's address.
     fn permits_for(&self, address: &Authority) -> Arc<Semaphore> {
         let mut permits_by_address = self.permits_by_address.lock().unwrap_or_else(PoisonError::into_inner);
         permits_by_address.retain(|_, permits| permits.strong_count() > 0);
@@ -90,7 +91,7 @@
 
 impl Cancellation {
     /// Sends the cancellation until the worker acknowledges it. The first try may use a pooled connection,
-    /// which may have broken unnoticed; later ones use new connections.
+    /// which may have broken unnoticed; later tries use new connections.
     async fn send_until_acknowledged(&self) {
         if self.send(WorkerConnections::send).await {
             return;
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -35,7 +35,7 @@
     Reusable,
     /// The response was not as expected; the connection must not be reused.
     NotReusable,
-    /// The connection broke.
+    /// The connection broke while it was used for the request.
     Broken,
 }
 
--- a/crates/proxy/src/upstream/http/limits.rs
+++ b/crates/proxy/src/upstream/http/limits.rs
@@ -26,8 +26,8 @@
 }
 
 /// The maximum number of cancellations in flight, at least 4. A cancellation uses an idle connection to its
-/// worker, or a new one if there is none. Its file descriptor is therefore one of those reserved for idle
-/// connections.
+/// worker, or a new connection if none is idle. The file descriptor of a cancellation is therefore one of
+/// those reserved for idle connections.
 pub fn max_cancellations(descriptor_limit: usize) -> usize {
     (descriptor_limit / 16).max(4)
 }
--- a/crates/proxy/src/upstream/http/load_report.rs
+++ b/crates/proxy/src/upstream/http/load_report.rs
@@ -51,7 +51,7 @@
     from_object.or(from_text).or_else(|| header_load_report(headers))
 }
 
-/// Sets the field of this name; unknown names are ignored.
+/// Sets the field of a load report to which the protocol gives this name; unknown names are ignored.
 fn set_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "queue" | "waiting" => report.queue = Some(value),
--- a/crates/proxy/src/worker_starts.rs
+++ b/crates/proxy/src/worker_starts.rs
@@ -18,7 +18,7 @@
 /// The smallest difference of the clocks that counts as a step of the wall clock. Smaller differences can
 /// arise when the process is delayed between reading the two clocks.
 const MIN_CLOCK_STEP: Micros = SECOND / 2;
-/// The time after the program's start within which the first list arrives if discovery is reachable.
+/// The time after the program's start within which the first endpoint list arrives if discovery is reachable.
 const FIRST_LIST_DELAY: Micros = 3 * SECOND;
 
 /// Estimates workers' start times from the observed steps of the wall clock and the times of discovery's
--- a/crates/scheduler/src/commands/error.rs
+++ b/crates/scheduler/src/commands/error.rs
@@ -16,7 +16,7 @@
     /// No command was given, and the environment does not name the platform's configuration.
     #[error("no command was given, and EDGE_CONFIG names no configuration file; try `{program} --help`")]
     NoCommand {
-        /// The program's name.
+        /// The program's name, for the usage hint in the message.
         program: String,
     },
     /// This build reads only the platform's configuration, and the environment does not name it.
@@ -45,9 +45,9 @@
     #[cfg(feature = "standalone")]
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// Path of the file or folder.
+        /// Path of the file or folder that cannot be read.
         path: PathBuf,
-        /// The I/O error.
+        /// The operating system's reason why the file or folder cannot be read.
         source: io::Error,
     },
     /// Standard output cannot be written to.
--- a/crates/scheduler/src/configuration/error.rs
+++ b/crates/scheduler/src/configuration/error.rs
@@ -9,17 +9,17 @@
     /// The platform's file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// Path of the file.
+        /// Path of the platform's file.
         path: PathBuf,
-        /// The I/O error.
+        /// The operating system's reason why the file cannot be read.
         source: std::io::Error,
     },
     /// The platform's file does not contain a valid configuration.
     #[error("{}: {source}", path.display())]
     InvalidPlatformConfig {
-        /// Path of the file.
+        /// Path of the platform's file.
         path: PathBuf,
-        /// The first fault found in the file.
+        /// The first fault that the reader found in the file.
         source: Box<dyn Error + Send + Sync>,
     },
     /// The TOML file cannot be read, or the layers contain faults. Several faults are listed one per line.
@@ -30,7 +30,7 @@
     #[cfg(feature = "standalone")]
     #[error("{origin}: log.level: {source}")]
     InvalidLogLevel {
-        /// The layer that sets the level.
+        /// The configuration layer that sets `log.level`.
         origin: String,
         /// Why the level is not valid.
         source: crate::logging::LevelError,
--- a/crates/scheduler/src/configuration/loaded.rs
+++ b/crates/scheduler/src/configuration/loaded.rs
@@ -7,9 +7,9 @@
 /// A complete configuration from one read of the platform's JSON file or of the layers.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadedConfig {
-    /// Settings of the scheduler.
+    /// Settings that the scheduler is started with.
     pub(crate) startup: StartupConfig,
-    /// Settings of the log.
+    /// Settings of the process's log, such as its level.
     pub(crate) log: LogConfig,
     /// Settings of the event log, if one is written. `None` on the platform, which has no persistent disk.
     pub(crate) event_log: Option<writer::EventLogConfig>,
--- a/crates/scheduler/src/configuration/source.rs
+++ b/crates/scheduler/src/configuration/source.rs
@@ -11,14 +11,14 @@
 pub(crate) enum ConfigSource {
     /// The platform's JSON file.
     Platform(PathBuf),
-    /// Layers over the built-in default.
+    /// The layers of a standalone installation, over the built-in default.
     #[cfg(feature = "standalone")]
     Layers {
-        /// TOML file, if there is one.
+        /// Path of the TOML file, if there is one.
         file: Option<PathBuf>,
         /// `key=value` pairs from the command line, which override all other layers.
         overrides: Vec<String>,
-        /// Random seed if no layer sets one.
+        /// Random seed of the dispatch policy, used if no layer sets one.
         default_seed: u64,
     },
 }
--- a/crates/scheduler/src/log_targets.rs
+++ b/crates/scheduler/src/log_targets.rs
@@ -12,8 +12,9 @@
     ("copperspread_node::decisions", "copperspread_proxy::policy_handle"),
     ("copperspread_node", "copperspread_proxy"),
     ("copperspread_decisions", "copperspread_dispatcher"),
-    // The colons are needed because `copperspread_membership` alone would also apply to the transport, which
-    // the former name did not. Nothing is logged in the root module of the crate, so no target is missed.
+    // The replacement ends in colons because `copperspread_membership` alone would also apply to the
+    // transport, which the former name did not. Nothing is logged in the root module of the crate, so no
+    // target is missed.
     ("copperspread_cluster", "copperspread_membership::"),
     ("copperspread_peers", "copperspread_membership_transport"),
     ("copperspread_records", "copperspread_event_log"),
@@ -37,8 +38,8 @@
     directive.to_owned()
 }
 
-/// Returns whether `name`, which is followed by `rest`, is a whole name rather than the prefix of a longer
-/// one.
+/// Returns whether `name` is a whole target name rather than the prefix of a longer one, given the text
+/// `rest` that follows `name`.
 fn is_whole_name(name: &str, rest: &str) -> bool {
     name.ends_with(':') || rest.starts_with(['=', ':', '[']) || rest.trim_start().is_empty()
 }
--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -20,7 +20,7 @@
 /// Environment variable whose log levels take precedence over those of the configuration.
 const LEVELS_ENV_VAR: &str = "RUST_LOG";
 
-/// Log settings.
+/// Settings of the log output.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LogConfig {
     /// Level for all targets or by target. RUST_LOG takes precedence.
@@ -42,12 +42,12 @@
     /// There is no level of this name.
     #[error("{0:?} is no level; one of off, error, warn, info, debug, trace")]
     UnknownLevel(String),
-    /// A target cannot be parsed.
+    /// A target in the list of levels cannot be parsed.
     #[error("{levels:?}: {source}")]
     InvalidTarget {
-        /// The list of levels.
+        /// The list of levels that contains the target.
         levels: String,
-        /// The parse error.
+        /// The parser's reason why the list is not valid.
         source: ParseError,
     },
 }
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -27,7 +27,7 @@
     Unreadable {
         /// Path of the key file.
         path: PathBuf,
-        /// The I/O error.
+        /// The operating system's reason why the key file cannot be read.
         source: std::io::Error,
     },
     /// The file's content is not a valid key.
--- a/crates/scheduler/src/serve/error.rs
+++ b/crates/scheduler/src/serve/error.rs
@@ -22,7 +22,7 @@
     /// The event log's file cannot be opened.
     #[error("records.file: {}: {source}", path.display())]
     EventLog {
-        /// Path of the file.
+        /// Path of the event log's file.
         path: PathBuf,
         /// Why the file cannot be opened.
         source: EventLogError,
--- a/crates/scheduler/src/serve/event_log.rs
+++ b/crates/scheduler/src/serve/event_log.rs
@@ -50,7 +50,8 @@
         &self.recorder
     }
 
-    /// Closes the recorder, waits up to `timeout` until the queued events are written, and logs the counts.
+    /// Closes the recorder and waits up to `timeout` until the queued events are written. Then logs the
+    /// numbers of written, dropped and lost records.
     pub(super) fn close(self, timeout: Duration) {
         let Some(writer) = self.writer else { return };
         self.recorder.close();
--- a/crates/scheduler/src/serve/exit_budget.rs
+++ b/crates/scheduler/src/serve/exit_budget.rs
@@ -14,9 +14,9 @@
 /// Time for ending the components of a scheduler that failed to start.
 const FAILED_START_EXIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The time left until the process must exit, for the components that end one after another after the last
-/// requests. Each component may take the time that is left, less the time reserved for the components that
-/// end later.
+/// The time left until the process must exit, for the components that end one after another once the last
+/// requests have ended. Each component may take the time that is left, less the time reserved for the
+/// components that end later.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ExitBudget {
     exit_deadline: Instant,
--- a/crates/scheduler/src/serve/mod.rs
+++ b/crates/scheduler/src/serve/mod.rs
@@ -99,8 +99,8 @@
     }
 }
 
-/// Reloads on SIGHUP until SIGTERM. At SIGTERM, a reload whose file has not settled yet is dropped, and so
-/// are rechecks.
+/// Reloads on SIGHUP until SIGTERM. At SIGTERM, a reload that still waits for its file's content to stop
+/// changing is dropped, and so are rechecks of the file.
 async fn serve_until_terminated(signals: &mut Signals, reloader: &mut Reloader<'_>) {
     loop {
         let next_check = reloader.next_check();
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -18,7 +18,7 @@
 use crate::configuration::{ConfigSource, LoadedConfig};
 use crate::logging::Log;
 
-/// A file counts as settled after not changing for this long.
+/// Time without a change after which a file counts as settled.
 const FILE_SETTLE_TIME: Duration = Duration::from_millis(50);
 /// How long after its last change a file that may have been incomplete is rechecked.
 const RECHECK_DURATION: Duration = Duration::from_secs(2);
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -17,78 +17,78 @@
     /// A required field is absent or null.
     #[error("{field} is missing")]
     Missing {
-        /// The field's name.
+        /// Name of the required JSON field.
         field: &'static str,
     },
     /// A field is not a finite number.
     #[error("{field} is not a number")]
     NotANumber {
-        /// The field's name.
+        /// Name of the JSON field that should hold a number.
         field: &'static str,
     },
     /// A field is not a non-negative integer of at most 2^53, up to which a float represents every integer
     /// exactly.
     #[error("{field} is not a whole number")]
     NotAnInteger {
-        /// The field's name.
+        /// Name of the JSON field that should hold an integer.
         field: &'static str,
     },
     /// An integer exceeds the range of the field's type.
     #[error("{field} is out of range")]
     OutOfRange {
-        /// The field's name.
+        /// Name of the JSON field that holds the integer.
         field: &'static str,
     },
     /// A field is not a string.
     #[error("{field} is not a string")]
     NotAString {
-        /// The field's name.
+        /// Name of the JSON field that should hold a string.
         field: &'static str,
     },
     /// A field is not a boolean.
     #[error("{field} is neither true nor false")]
     NotABoolean {
-        /// The field's name.
+        /// Name of the JSON field that should hold a boolean.
         field: &'static str,
     },
     /// A field is not an array.
     #[error("{field} is not an array")]
     NotAnArray {
-        /// The field's name.
+        /// Name of the JSON field that should hold an array.
         field: &'static str,
     },
     /// A string is not a network address.
     #[error("{text:?} is not an address")]
     InvalidAddress {
-        /// The string as given.
+        /// The string that was read instead of an address.
         text: String,
     },
     /// An endpoint's address has no port.
     #[error("{text:?} has no port")]
     MissingPort {
-        /// The address as given.
+        /// The address that was read, without a port.
         text: String,
     },
     /// A string is not a hexadecimal number.
     #[error("{text:?} is not a hexadecimal number")]
     NotHexadecimal {
-        /// The string as given.
+        /// The string that was read instead of a hexadecimal number.
         text: String,
     },
     /// A field has a value that is not defined for it.
     #[error("unknown {field} {value:?}")]
     UnknownValue {
-        /// The field's name.
+        /// Name of the JSON field whose value is not defined.
         field: &'static str,
-        /// The value as given.
+        /// The undefined value that was read.
         value: String,
     },
     /// An error within the value of a field, such as an object or an address, with the field's name.
     #[error("{section}: {source}")]
     InSection {
-        /// The name of the field.
+        /// Name of the field whose value could not be read.
         section: &'static str,
-        /// The error in the field's value.
+        /// The error found in the value of that field.
         source: Box<ReadError>,
     },
 }
--- a/crates/settings/src/startup.rs
+++ b/crates/settings/src/startup.rs
@@ -7,14 +7,14 @@
 
 use crate::endpoints::EndpointList;
 
-/// The configuration that a scheduler starts with.
+/// The configuration that a scheduler process starts with.
 #[derive(Clone, Debug)]
 pub struct StartupConfig {
     /// The scheduler's name, the same after a restart.
     pub name: String,
     /// The address on which the scheduler accepts client connections and callbacks of workers.
     pub listen: SocketAddr,
-    /// The source of endpoint lists.
+    /// Where the scheduler gets its endpoint lists from.
     pub discovery: DiscoveryConfig,
     /// The seed of the dispatch policy's random number generator.
     pub seed: u64,
@@ -46,12 +46,12 @@
     }
 }
 
-/// The source of endpoint lists.
+/// Where a scheduler gets its endpoint lists from.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryConfig {
     /// The platform's discovery service at this address.
     Platform(Authority),
-    /// A fixed list, until the configuration is reloaded.
+    /// A fixed list from the configuration, which is replaced only when the configuration is reloaded.
     Static(EndpointList),
 }
 
@@ -64,7 +64,7 @@
     pub proxy: ProxySettings,
 }
 
-/// The settings of the proxy.
+/// The settings of the proxy, which forwards requests between clients and workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxySettings {
     /// The request classes' names, by index.
