--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -8,8 +8,8 @@
 /// Longest delay of the first poll. The delay is random, so that dispatchers that restart together do not
 /// overload discovery.
 const MAX_FIRST_POLL_DELAY: Micros = 3 * SECOND;
-/// Time by which each dispatcher of the fleet widens the range of the first poll's random delay, up to
-/// [`MAX_FIRST_POLL_DELAY`]. Small fleets need little spread.
+/// The range of the first poll's random delay is this constant times the number of dispatchers in the fleet,
+/// up to [`MAX_FIRST_POLL_DELAY`], because small fleets need little spread.
 const FIRST_POLL_SPREAD: Micros = 150_000;
 /// Longest backoff after the first failed poll. The delay before the next poll is drawn between half of the
 /// backoff and the whole backoff.
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// Values that depend on the request alone and are the same for all workers compared.
+/// Values used to select the worker of one request; they are the same for all workers compared.
 struct SelectionContext<'a> {
     now: Micros,
     request: &'a Request,
