--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -33,9 +33,9 @@
     Send {
         /// The request to send.
         request: RequestId,
-        /// The worker that it is sent to.
+        /// The worker that the attempt is sent to.
         worker: WorkerId,
-        /// Estimated time from now until the attempt completes.
+        /// Estimated time from the decision to send the attempt until the attempt completes.
         estimate: Micros,
     },
     /// Give the final response "rejected", after which a retry by the client is safe.
@@ -55,7 +55,7 @@
     },
     /// Cancel an attempt in flight.
     Cancel {
-        /// The request of the attempt.
+        /// The request that the attempt belongs to.
         request: RequestId,
         /// Number of the attempt within its request, from 0.
         attempt: u32,
@@ -64,7 +64,7 @@
     StartTimer {
         /// Time from now until the timer expires.
         after: Micros,
-        /// The purpose of the timer.
+        /// The purpose of the timer, which the caller passes back when the timer expires.
         timer: Timer,
     },
     /// Poll discovery for the endpoint list and subscribe to its changes. The caller must answer the poll
--- a/crates/dispatcher/src/events.rs
+++ b/crates/dispatcher/src/events.rs
@@ -7,7 +7,7 @@
 /// The outcome of one completed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptOutcome {
-    /// The request of the attempt.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Number of the attempt within its request, from 0 in the order of sending.
     pub attempt: u32,
@@ -15,7 +15,7 @@
     pub outcome: Outcome,
     /// Whether the request has had its final response, with this outcome or earlier.
     pub request_finished: bool,
-    /// Time since the attempt was sent.
+    /// Time from the sending of the attempt to its completion.
     pub elapsed: Micros,
     /// The load report that the worker sent with the outcome, if any.
     pub report: Option<LoadReport>,
@@ -32,14 +32,15 @@
     Streaming,
 }
 
-/// The purpose of a timer.
+/// The purpose of a timer, which tells the dispatcher what to do when the timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
     /// Refresh the state of all workers, which happens periodically.
     PeriodicRefresh,
     /// Poll discovery, unless the dispatcher is subscribed to the endpoint list when the timer expires.
     Subscription,
-    /// Check whether a request needs a hedge.
+    /// Check whether a request has started in time, and otherwise hedge the request or move it to another
+    /// worker if allowed.
     HedgeCheck(RequestId),
     /// The next load query is due.
     LoadQuery,
@@ -56,7 +57,7 @@
     AttemptCompleted(AttemptOutcome),
     /// An attempt in flight made progress.
     AttemptProgress {
-        /// The request of the attempt.
+        /// The request that the attempt belongs to.
         request: RequestId,
         /// Number of the attempt within its request, from 0.
         attempt: u32,
@@ -71,7 +72,7 @@
     LoadQueryCompleted {
         /// The worker that was queried.
         worker: WorkerId,
-        /// How the query completed.
+        /// How the load query completed.
         outcome: Outcome,
         /// The load report in the answer, if any.
         report: Option<LoadReport>,
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -42,7 +42,7 @@
 pub(super) struct FleetLoad {
     /// Mean fraction of slots in use by all dispatchers, including waiting requests; may exceed 1.
     pub(super) utilization: f64,
-    /// Mean number of slots of a worker.
+    /// Mean number of slots of a worker of the fleet.
     pub(super) slots: f64,
     /// Mean load of an offered request: its work times its slots, in slot-seconds on a standard core.
     pub(super) mean_request_load: f64,
--- a/crates/dispatcher/src/policy/average.rs
+++ b/crates/dispatcher/src/policy/average.rs
@@ -20,7 +20,7 @@
     pub(super) log_mean: f64,
     /// Number of samples in the average, at most the inverse of the smallest sample weight.
     pub(super) samples: f64,
-    /// When the last sample was added.
+    /// When the last sample was added to the average.
     pub(super) updated_at: Micros,
 }
 
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -16,7 +16,7 @@
 pub(super) struct LoadQueryTurn {
     /// Index of the worker to query; `None` if no worker is ready or the budget is spent.
     pub(super) worker: Option<usize>,
-    /// Time until the next query is due.
+    /// Time until the next load query is due.
     pub(super) next_delay: Micros,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl LoadQueries {
-    /// Returns the random delay of the first query.
+    /// Returns the random delay before the first load query.
     pub(super) fn first_delay(rng: &mut fastrand::Rng) -> Micros {
         rng.u64(0..=LOAD_QUERY_ROUND / FIRST_LOAD_QUERY_DIVISOR)
     }
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -8,7 +8,7 @@
 use crate::Micros;
 use crate::time::to_seconds;
 
-/// Utilization assumed before the first load report.
+/// Utilization assumed before the first load report, and for a worker whose load report contains no load.
 const INITIAL_UTILIZATION: f64 = 0.5;
 /// Assumed age of a load report on arrival, because workers update their reports about once a second and a
 /// report takes time in transit.
@@ -90,7 +90,7 @@
     local_share: f64,
     /// Mean fraction of slots in use by all dispatchers, including waiting requests; may exceed 1.
     fleet_utilization: f64,
-    /// Utilization of each worker kind relative to the fleet.
+    /// Utilization of each worker kind relative to the utilization of the fleet.
     kind_load_ratios: Vec<AverageRatio>,
     /// Utilization of each zone relative to the utilization expected of its worker kinds.
     zone_load_ratios: Vec<AverageRatio>,
@@ -99,9 +99,9 @@
 /// The last load report of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReportedLoad {
-    /// Slots of other dispatchers' attempts according to the last report.
+    /// Slots that other dispatchers' attempts occupied according to the worker's last load report.
     remote_slots: f64,
-    /// When the last report arrived.
+    /// When the worker's last load report arrived.
     reported_at: Option<Micros>,
 }
 
--- a/crates/dispatcher/src/policy/local_load.rs
+++ b/crates/dispatcher/src/policy/local_load.rs
@@ -3,7 +3,7 @@
 use crate::RequestId;
 use std::collections::VecDeque;
 
-/// One attempt in flight.
+/// One of this dispatcher's attempts in flight at a worker.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InFlightAttempt {
     pub(super) request: RequestId,
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlowStartBudgets {
     rules: SlowStartRules,
-    /// Start time of this dispatcher.
+    /// Start time of this dispatcher; work that an earlier process of this dispatcher sent is not known.
     dispatcher_started_at: Option<Micros>,
 }
 
@@ -54,7 +54,7 @@
     instance_index: Option<u32>,
 }
 
-/// Slow-start state of one worker.
+/// Slow-start state of one worker, as this dispatcher keeps it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WorkerSlowStart {
     started_at: Option<Micros>,
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -22,7 +22,7 @@
     pub(super) client: ClientPresence,
     /// The table that must list `worker` as serving at `address`.
     pub(super) endpoints: Arc<EndpointTable>,
-    /// The worker of the attempt.
+    /// The worker that the attempt is sent to.
     pub(super) worker: WorkerId,
     /// The address to which the attempt is sent.
     pub(super) address: Authority,
--- a/crates/scheduler/src/configuration/error.rs
+++ b/crates/scheduler/src/configuration/error.rs
@@ -32,7 +32,7 @@
     InvalidLogLevel {
         /// The configuration layer that sets `log.level`.
         origin: String,
-        /// Why the level is not valid.
+        /// Why the log level is not valid.
         source: crate::logging::LevelError,
     },
     /// The values are each valid, but no scheduler can be started with their combination.
--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum LevelError {
-    /// There is no level of this name.
+    /// The list contains a word that is not the name of a level.
     #[error("{0:?} is no level; one of off, error, warn, info, debug, trace")]
     UnknownLevel(String),
     /// A target in the list of levels cannot be parsed.
@@ -56,10 +56,10 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum LogError {
-    /// RUST_LOG is not valid.
+    /// The environment variable RUST_LOG does not contain a valid list of levels.
     #[error("RUST_LOG: {0}")]
     Environment(#[source] LevelError),
-    /// The configuration's level is not valid.
+    /// The configuration's `log.level` is not a valid list of levels.
     #[error("log.level: {0}")]
     Configuration(#[source] LevelError),
     /// The log is already started.
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum KeyFileError {
-    /// The file cannot be read.
+    /// The key file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
         /// Path of the key file.
@@ -30,12 +30,12 @@
         /// The operating system's reason why the key file cannot be read.
         source: std::io::Error,
     },
-    /// The file's content is not a valid key.
+    /// The key file's content is not a valid key.
     #[error("{}: {source}", path.display())]
     Invalid {
         /// Path of the key file.
         path: PathBuf,
-        /// Why the key is rejected.
+        /// Why the content of the key file is not a valid key.
         source: KeyError,
     },
 }
@@ -47,7 +47,7 @@
     /// No key file is configured.
     #[error("cluster.key_file is missing")]
     NoKeyFile,
-    /// No address to bind is configured.
+    /// No address is configured that the member binds to receive the other members' messages.
     #[error("cluster.bind is missing")]
     NoBindAddress,
     /// The key file cannot be used.
--- a/crates/scheduler/src/serve/error.rs
+++ b/crates/scheduler/src/serve/error.rs
@@ -24,7 +24,7 @@
     EventLog {
         /// Path of the event log's file.
         path: PathBuf,
-        /// Why the file cannot be opened.
+        /// Why the event log's file cannot be opened.
         source: EventLogError,
     },
     /// The asynchronous runtime cannot be created.
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -41,7 +41,7 @@
 
 /// A file whose content may still change.
 struct FileWatch {
-    /// Content found by the last check.
+    /// Content of the file at the last check.
     last_content: Vec<u8>,
     check_at: Instant,
     /// State of the rechecks; `None` until the file has settled and been read.
@@ -50,7 +50,7 @@
 
 /// Rechecking of a file that may have been incomplete when it was last read.
 struct Recheck {
-    /// Content when the configuration was last read.
+    /// Content of the file when the configuration was last read.
     read_content: Vec<u8>,
     /// Whether `read_content` was a valid configuration.
     was_valid: bool,
--- a/crates/settings/src/endpoints.rs
+++ b/crates/settings/src/endpoints.rs
@@ -20,11 +20,11 @@
 pub struct EndpointRecord {
     /// The worker's name, the same at every scheduler.
     pub id: String,
-    /// The worker's host and port, as this scheduler reaches them.
+    /// The host and port at which this scheduler reaches the worker.
     pub address: Authority,
     /// The name of the worker's zone.
     pub zone: String,
-    /// The name of the worker kind.
+    /// The name of the worker's kind, such as a machine type.
     pub kind: String,
     /// The cell that the worker belongs to.
     pub cell: u32,
@@ -40,11 +40,11 @@
 /// An endpoint list with its version, as discovery publishes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// The version of the list.
+    /// The version of the list, by which outdated lists are recognized.
     pub revision: u64,
     /// Whether the list holds all endpoints, or only those that changed.
     pub complete: bool,
-    /// The listed endpoints.
+    /// The entries of the list: all endpoints, or those that changed.
     pub endpoints: Vec<EndpointRecord>,
 }
 
--- a/crates/settings/src/startup.rs
+++ b/crates/settings/src/startup.rs
@@ -77,12 +77,12 @@
     pub zones: Vec<String>,
     /// The names of the worker kinds, by index.
     pub worker_kinds: Vec<String>,
-    /// The time after which a connection that is not established counts as failed.
+    /// The time after which a connection to a worker that is not established counts as failed.
     pub connect_timeout: Micros,
-    /// The idle time after which workers close a connection.
+    /// The idle time after which workers close a connection from the scheduler.
     pub keep_alive_timeout: Micros,
     /// Whether rejections carry a Retry-After header.
     pub sends_retry_after: bool,
-    /// The longest Retry-After that clients respect.
+    /// The longest Retry-After that clients respect. Clients are not asked to wait longer.
     pub max_retry_after: Micros,
 }
