--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -33,16 +33,17 @@
     Send {
         /// The request to send.
         request: RequestId,
-        /// The worker that it is sent to.
+        /// The worker that the attempt is sent to.
         worker: WorkerId,
-        /// Estimated time from now until the attempt completes.
+        /// Estimated time from the decision to send the attempt until the attempt completes.
         estimate: Micros,
     },
     /// Give the final response "rejected", after which a retry by the client is safe.
     Reject {
         /// The request to reject.
         request: RequestId,
-        /// How long the client should wait before a retry; an earlier one would probably be rejected too.
+        /// How long the client should wait before it sends the request again. An earlier retry would probably
+        /// be rejected too.
         retry_after: Micros,
         /// Why the request is rejected.
         reason: Rejection,
@@ -54,7 +55,7 @@
     },
     /// Cancel an attempt in flight.
     Cancel {
-        /// The request of the attempt.
+        /// The request that the attempt belongs to.
         request: RequestId,
         /// Number of the attempt within its request, from 0.
         attempt: u32,
@@ -63,7 +64,7 @@
     StartTimer {
         /// Time from now until the timer expires.
         after: Micros,
-        /// The purpose of the timer.
+        /// The purpose of the timer, which the caller passes back when the timer expires.
         timer: Timer,
     },
     /// Poll discovery for the endpoint list and subscribe to its changes. The caller must answer the poll
--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -8,7 +8,7 @@
 const FIRST_LOAD_QUERY_DIVISOR: Micros = 10;
 /// Cost of load queries that is allowed for each offered request, as a fraction of a request's weight.
 const LOAD_QUERY_COST_FRACTION: f64 = 0.01;
-/// Largest number of unspent load queries; also the initial budget.
+/// Largest load-query budget, in load queries that are not spent yet; also the initial budget.
 const MAX_LOAD_QUERY_BUDGET: f64 = 20.0;
 
 /// The worker to query now, if any, and when the next query is due.
@@ -16,7 +16,7 @@
 pub(super) struct LoadQueryTurn {
     /// Index of the worker to query; `None` if no worker is ready or the budget is spent.
     pub(super) worker: Option<usize>,
-    /// Time until the next query is due.
+    /// Time until the next load query is due.
     pub(super) next_delay: Micros,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl LoadQueries {
-    /// Returns the random delay of the first query.
+    /// Returns the random delay before the first load query.
     pub(super) fn first_delay(rng: &mut fastrand::Rng) -> Micros {
         rng.u64(0..=LOAD_QUERY_ROUND / FIRST_LOAD_QUERY_DIVISOR)
     }
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -8,7 +8,7 @@
 use crate::Micros;
 use crate::time::to_seconds;
 
-/// Utilization assumed before the first load report.
+/// Utilization assumed before the first load report, and for a worker whose load report contains no load.
 const INITIAL_UTILIZATION: f64 = 0.5;
 /// Assumed age of a load report on arrival, because workers update their reports about once a second and a
 /// report takes time in transit.
@@ -22,10 +22,11 @@
 const MAX_LOAD_RATIO: f64 = 5.0;
 /// Least load assumed of a worker that rejected an attempt, as a multiple of its slots.
 const MIN_REJECTING_LOAD: f64 = 1.5;
-/// Weight of the load expected of a worker's kind and zone against the load that this dispatcher's own slots
-/// there suggest, as a number of local slots. `docs/large-fleet.md` compares values.
+/// Weight of the load expected of a worker from its kind and zone against the load that this dispatcher's own
+/// slots at the worker suggest. The weight is given as a number of local slots. `docs/large-fleet.md`
+/// compares values.
 const MEAN_PRIOR_WEIGHT: f64 = 1.0;
-/// Lower bound of the mean used as a divisor, in slots.
+/// Lower bound of the mean number of slots when that mean is used as a divisor.
 const MIN_MEAN_SLOTS: f64 = 1e-3;
 
 /// The valid values of a load report; invalid values count as absent.
@@ -89,7 +90,7 @@
     local_share: f64,
     /// Mean fraction of slots in use by all dispatchers, including waiting requests; may exceed 1.
     fleet_utilization: f64,
-    /// Utilization of each worker kind relative to the fleet.
+    /// Utilization of each worker kind relative to the utilization of the fleet.
     kind_load_ratios: Vec<AverageRatio>,
     /// Utilization of each zone relative to the utilization expected of its worker kinds.
     zone_load_ratios: Vec<AverageRatio>,
@@ -98,9 +99,9 @@
 /// The last load report of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReportedLoad {
-    /// Slots of other dispatchers' attempts according to the last report.
+    /// Slots that other dispatchers' attempts occupied according to the worker's last load report.
     remote_slots: f64,
-    /// When the last report arrived.
+    /// When the worker's last load report arrived.
     reported_at: Option<Micros>,
 }
 
@@ -194,7 +195,7 @@
         let Some(reported_at) = worker.reported_at else {
             return RemoteSlots { mean: expected_remote, variance: expected_remote };
         };
-        // Approximates an exponential decay at lower cost.
+        // This formula approximates an exponential decay at lower cost.
         let age = to_seconds(now.saturating_sub(reported_at) + REPORT_AGE);
         let aged = 1.0 + age / mean_response_seconds;
         let freshness = 1.0 / (aged * aged);
--- a/crates/settings/src/startup.rs
+++ b/crates/settings/src/startup.rs
@@ -7,14 +7,14 @@
 
 use crate::endpoints::EndpointList;
 
-/// The configuration that a scheduler starts with.
+/// The configuration that a scheduler process starts with.
 #[derive(Clone, Debug)]
 pub struct StartupConfig {
     /// The scheduler's name, the same after a restart.
     pub name: String,
     /// The address on which the scheduler accepts client connections and callbacks of workers.
     pub listen: SocketAddr,
-    /// The source of endpoint lists.
+    /// Where the scheduler gets its endpoint lists from.
     pub discovery: DiscoveryConfig,
     /// The seed of the dispatch policy's random number generator.
     pub seed: u64,
@@ -46,12 +46,12 @@
     }
 }
 
-/// The source of endpoint lists.
+/// Where a scheduler gets its endpoint lists from.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryConfig {
     /// The platform's discovery service at this address.
     Platform(Authority),
-    /// A fixed list, until the configuration is reloaded.
+    /// A fixed list from the configuration, which is replaced only when the configuration is reloaded.
     Static(EndpointList),
 }
 
@@ -64,7 +64,7 @@
     pub proxy: ProxySettings,
 }
 
-/// The settings of the proxy.
+/// The settings of the proxy, which forwards requests between clients and workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxySettings {
     /// The request classes' names, by index.
@@ -77,12 +77,12 @@
     pub zones: Vec<String>,
     /// The names of the worker kinds, by index.
     pub worker_kinds: Vec<String>,
-    /// The time after which a connection that is not established counts as failed.
+    /// The time after which a connection to a worker that is not established counts as failed.
     pub connect_timeout: Micros,
-    /// The idle time after which workers close a connection.
+    /// The idle time after which workers close a connection from the scheduler.
     pub keep_alive_timeout: Micros,
     /// Whether rejections carry a Retry-After header.
     pub sends_retry_after: bool,
-    /// The longest Retry-After that clients respect.
+    /// The longest Retry-After that clients respect. Clients are not asked to wait longer.
     pub max_retry_after: Micros,
 }
