--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -5,9 +5,9 @@
 use crate::settings::Settings;
 use crate::time::{Micros, SECOND};
 
-/// The minimum time from the sample `oldest` to the sample `next_oldest`, and from `next_oldest` to the
-/// sample at which `next_oldest` replaces `oldest`. Samples are replaced so that a change of a clock's rate
-/// is detected and a clock that is back within the bound can be cleared.
+/// The minimum time between the samples `oldest` and `next_oldest`, and also between `next_oldest` and the
+/// sample at which `next_oldest` becomes `oldest`. Samples are replaced so that a change of a clock's rate is
+/// detected and a clock that is back within the bound can be cleared.
 const SAMPLE_WINDOW: Micros = 30 * SECOND;
 /// The duration that samples without a proven drift must cover before a clock counts as within the bound.
 const CLEARING_SPAN: Micros = SAMPLE_WINDOW / 6;
@@ -25,12 +25,12 @@
     pub min_ppm: u64,
 }
 
-/// The times of one request and its response.
+/// The times of a request and its response, which give one sample of the remote clock.
 #[derive(Clone, Copy, Debug)]
 struct ClockSample {
     sent_at: Micros,
     received_at: Micros,
-    /// The time at which the response was made, by the remote clock.
+    /// The time at which the response was made, read from the remote clock.
     remote_time: Micros,
 }
 
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Whether the clocks were compared for long enough and no drift is proven.
+    /// Whether the clocks count as within the clock bound: they were compared for long enough, and no drift
+    /// is proven.
     pub fn is_cleared(&self, now: Micros) -> bool {
         let compared_since = self.oldest.map(|oldest| oldest.sent_at);
         let is_long = compared_since.is_some_and(|since| now.saturating_sub(since) >= CLEARING_SPAN);
--- a/crates/consensus/src/decision_conflict.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -4,7 +4,7 @@
 /// The rules on which a decision is based.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DecisionBasis {
-    /// The version in force, while the lease held.
+    /// The version in force. The member held a lease when it decided.
     InForce(Version),
     /// The restricted rules: what all versions from the one in force to the newest allow. Without a lease
     /// they are narrowed to what no later version may forbid ([`crate::Rules::without_lease`]).
@@ -13,7 +13,8 @@
         in_force: Version,
         /// The newest committed version known.
         newest: Version,
-        /// Whether the lease held; if so, no version later than `newest` was in force.
+        /// Whether the member held a lease when it decided; if so, no version later than `newest` was in
+        /// force.
         has_lease: bool,
     },
 }
@@ -23,7 +24,7 @@
 pub struct Decision<Q> {
     /// The rules on which the decision is based.
     pub basis: DecisionBasis,
-    /// The request that was decided on.
+    /// The request that the decision allowed or forbade.
     pub request: Q,
     /// Whether the request was allowed.
     pub is_allowed: bool,
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -27,7 +27,7 @@
         base_version: Version,
         /// The version in force.
         in_force: Version,
-        /// The reason for the rejection.
+        /// Why the proposal was rejected, such as a stale base version.
         reason: RejectionReason,
     },
     /// Reports that a proposal of this member was committed; it takes effect later.
--- a/crates/consensus/src/input.rs
+++ b/crates/consensus/src/input.rs
@@ -18,7 +18,7 @@
     Propose {
         /// The version that the new rules are derived from.
         base_version: Version,
-        /// The new rules.
+        /// The new rules that the member proposes.
         rules: R,
     },
     /// Confirmation that all writes up to and including this token of [`crate::Effect::Persist`] are durable.
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -18,7 +18,7 @@
 /// when the leader adds it.
 const MIN_CLOCK_REPORTERS: usize = 2;
 
-/// An activation that was appended to the log.
+/// An activation command that the leader appended to the log, which puts a version in force.
 struct Activation {
     version: Version,
     appended_at: Micros,
@@ -62,7 +62,7 @@
         self.quorum_reads.add(from, PendingLease { session, sent_at, newest });
     }
 
-    /// Starts the next quorum read if one is due; returns its ID.
+    /// Starts the next quorum read if one is due, and returns the ID of the read.
     pub(crate) fn start_quorum_read(&mut self, now: Micros, settings: &Settings) -> Option<u64> {
         self.quorum_reads.start_read(now, settings)
     }
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -17,7 +17,7 @@
 }
 
 impl<R> EffectiveRules<'_, R> {
-    /// The rules of either variant.
+    /// The rules to follow, whether they are those in force or the restricted ones.
     pub fn rules(&self) -> &R {
         match self {
             EffectiveRules::InForce(rules) | EffectiveRules::Restricted(rules) => rules,
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -41,10 +41,10 @@
     /// The serialized rules of this member's configuration, which become the first document if this member
     /// starts the first epoch.
     initial_rules: Vec<u8>,
-    /// `None` for a non-voter.
+    /// This member's ID as a voter; `None` for a non-voter.
     voter_id: Option<VoterId>,
     role: Role,
-    /// The token of the last write.
+    /// The token of the last write; the next write takes the token after this one.
     last_token: WriteToken,
     state: ReplicatedState,
     /// The largest generation known of any voter, which becomes the epoch if this member starts the first
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -15,8 +15,8 @@
 use crate::voter_id::VoterId;
 
 impl<R: Rules> Node<R> {
-    /// Requests the state from the other voters. Once all of them report that they have none and all earlier
-    /// leases have expired, starts with an empty state.
+    /// Requests the current state from the other voters. Starts with an empty state instead once all of them
+    /// report that they have no state and all earlier leases have expired.
     pub(super) fn request_rejoin(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let voter_count = self.settings.voter_count();
         let Role::Rejoining(rejoin) = &mut self.role else { return };
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -9,7 +9,8 @@
 use crate::storage::{LogEntry, Snapshot, WriteToken};
 use crate::voter_id::VoterId;
 
-/// The origin of a command, which receives a response once the command is applied.
+/// The proposal or rejoining voter that caused a command, and that is sent a response once the command is
+/// applied.
 enum CommandOrigin {
     Proposal(ProposalId),
     RejoiningVoter { voter_id: VoterId, nonce: u64 },
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -36,7 +36,7 @@
     pub(super) started_at: Option<Micros>,
     /// The time at which the last request was sent.
     pub(super) requested_at: Option<Micros>,
-    /// The generations of the voters that have no stored state either, by voter.
+    /// The voters that have reported that they have no stored state either, each with its generation.
     pub(super) empty_voters: BTreeMap<VoterId, u64>,
 }
 
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -59,7 +59,7 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// One message between members.
+/// One message between members, as it is sent on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Packet {
     /// A Raft message between voters.
--- a/crates/consensus/src/quorum_reads.rs
+++ b/crates/consensus/src/quorum_reads.rs
@@ -6,7 +6,7 @@
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// The number of reads that may be pending at once.
+/// The maximum number of quorum reads that may be pending at once.
 const MAX_PENDING_READS: usize = 16;
 
 /// The parts of a member's lease request that its grant needs.
@@ -17,7 +17,7 @@
     pub(crate) newest: Version,
 }
 
-/// Lease requests by the name of the member.
+/// Pending lease requests by the name of the requesting member.
 type PendingLeases = BTreeMap<String, PendingLease>;
 
 struct PendingRead {
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -34,7 +34,7 @@
     voter_count: u64,
     rng: fastrand::Rng,
     delayed_messages: VecDeque<DelayedMessages>,
-    /// The token of the last write.
+    /// The token of the last write; the next write takes the token after this one.
     last_token: WriteToken,
     vote: TermVote,
     applied_index: u64,
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -47,7 +47,7 @@
     VoterRejoined { voter_id: VoterId, nonce: u64 },
 }
 
-/// The limits for proposals, from [`crate::Settings`]; they must be equal on every voter.
+/// The limits that apply to proposals, taken from [`crate::Settings`]. They must be equal on every voter.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StateLimits {
     pub(crate) max_pending_versions: usize,
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -29,7 +29,7 @@
     pub index: u64,
     /// The term of the last entry that the snapshot includes.
     pub term: u64,
-    /// The serialized state.
+    /// The replicated state, serialized with postcard.
     pub state: Vec<u8>,
     /// Whether the snapshot replaces the whole log, because another voter sent it; if not, later entries are
     /// kept.
@@ -63,11 +63,11 @@
 /// The complete state that a voter has stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredState {
-    /// The last snapshot.
+    /// The newest snapshot; `None` before the first one.
     pub snapshot: Option<Snapshot>,
     /// The log entries after the snapshot, without a gap.
     pub entries: Vec<LogEntry>,
-    /// The last term and vote.
+    /// The newest term that the voter has stored, and its vote in that term.
     pub vote: TermVote,
 }
 
--- a/crates/consensus/src/time.rs
+++ b/crates/consensus/src/time.rs
@@ -4,8 +4,8 @@
 /// process. The clock must keep running while the machine is suspended.
 pub type Micros = u64;
 
-/// One millisecond.
+/// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = 1_000;
 
-/// One second.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -8,7 +8,8 @@
 use crate::water_filling::{Claimant, water_fill};
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Demand for the whole fleet, without debt.
+/// Demand of a tenant for the whole fleet, without a debt. Entitlements are computed with this demand for all
+/// tenants.
 const FULL_DEMAND: TenantDemand = TenantDemand { demand: FULL_SHARE_PPM, debt: 0 };
 
 /// Result of one division over federations and tenants; tenants' shares exclude their own reservations.
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -9,7 +9,7 @@
 /// Number of bits of a sum that hold fractions of a slot-millisecond. A contribution is exact for this many
 /// half-lives, because each halving needs one more of these bits.
 const FRACTION_BITS: u32 = 32;
-/// Maximum half-life, in windows.
+/// Maximum half-life of debts, as a number of accounting windows.
 const MAX_HALF_LIFE_WINDOWS: u32 = 4_096;
 /// Maximum contribution of a window, in slot-milliseconds: with this bound no sum exceeds 128 bits.
 const MAX_CONTRIBUTION: i128 = 1 << 60;
@@ -31,7 +31,7 @@
 /// towards 0, by less than 2^-32 slot-milliseconds, until the sum is 0.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debts {
-    /// Half-life, in windows.
+    /// Half-life of debts, as a number of accounting windows.
     #[serde(rename = "half_life")]
     half_life_windows: u32,
     /// Index of the window that was added last.
@@ -72,8 +72,8 @@
         self.last_window = Some(closed.index);
     }
 
-    /// Halves each sum once for each window at its position, from the window after the last added one through
-    /// the given one.
+    /// Halves each sum once for each window at the sum's position in the half-life, from the window after the
+    /// last added one through the given one.
     fn decay(&mut self, window: i64) {
         let last_window = self.last_window.unwrap_or(window - 1);
         let half_life = i64::from(self.half_life_windows);
--- a/crates/fair-share/src/demand.rs
+++ b/crates/fair-share/src/demand.rs
@@ -22,7 +22,7 @@
 pub struct TenantDemands(pub BTreeMap<Name, TenantDemand>);
 
 impl TenantDemands {
-    /// Demand and debt of a tenant; zero if it is not listed.
+    /// Demand and debt of a tenant; both are 0 if the tenant is not listed.
     pub(crate) fn for_tenant(&self, tenant: &Name) -> TenantDemand {
         self.0.get(tenant).copied().unwrap_or_default()
     }
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -21,18 +21,19 @@
     pub abandoned: u64,
 }
 
-/// Relation of a new entry to the entry that the log has for the same sequence number.
+/// Relation of a new entry to the log's existing entry for the same sequence number, if there is one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EntryStatus {
     /// The sequence number was neither received nor discarded.
     New,
     /// The log has the same entry, or has discarded the sequence number.
     Duplicate,
-    /// The log has another entry, which compares greater and is replaced.
+    /// The log has another entry, which compares greater than the new entry and is replaced by it.
     Replacement,
 }
 
-/// Effect of an insertion: the affected entries that counted before it, and those that count after it.
+/// Effect of an insertion on the effective entries, which are those left after corrections are applied: the
+/// affected entries that were effective before, and those that are effective now.
 pub(crate) struct EntryChange {
     pub(crate) before: Vec<UsageEntry>,
     pub(crate) after: Vec<UsageEntry>,
@@ -44,13 +45,15 @@
     /// Sequence numbers that were received or are no longer expected, including all up to
     /// `discarded_through`.
     received: RangeInclusiveSet<u64>,
-    /// Entries up to this sequence number were discarded.
+    /// Sequence number up to which entries were discarded, so that the log has no entry for this or a lower
+    /// number.
     discarded_through: u64,
-    /// Highest sequence number that is accepted until the next advance.
+    /// Highest sequence number that is accepted before the next advance of the ledger.
     max_accepted: u64,
-    /// Highest sequence number up to which all had been received at the last advance.
+    /// Sequence number up to which the log had no gap at the last advance of the ledger.
     contiguous_through: u64,
-    /// Latest start of an interval among the entries up to `contiguous_through`.
+    /// Watermark in milliseconds of Unix time: the latest start of an interval among the entries up to
+    /// `contiguous_through`.
     watermark_ms: Option<i64>,
     /// Number of sequence numbers that were never received and are no longer expected, without those whose
     /// correction was discarded.
@@ -161,9 +164,9 @@
         }
     }
 
-    /// Returns the entry that counts for a sequence number: that of its last correction, otherwise its own. A
-    /// correction counts only for the sequence number that it corrects, and a correction of a correction has
-    /// no effect; so the order of arrival does not matter.
+    /// Returns the effective entry of a sequence number: the entry of its last correction, otherwise its own
+    /// entry. A correction applies only to the sequence number that it corrects, and a correction of a
+    /// correction has no effect; so the order of arrival does not matter.
     fn effective_entry(&self, sequence: u64) -> Option<&UsageEntry> {
         let own = self.entries.get(&sequence);
         if own.is_some_and(UsageEntry::is_correction) {
@@ -177,7 +180,7 @@
         sequences.iter().filter_map(|&sequence| self.effective_entry(sequence).cloned()).collect()
     }
 
-    /// Iterates over all entries that count.
+    /// Iterates over the effective entries of all sequence numbers that have one.
     pub(crate) fn effective_entries(&self) -> impl Iterator<Item = &UsageEntry> {
         let corrected_without_entry =
             self.corrections.keys().filter(|sequence| !self.entries.contains_key(sequence));
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -15,7 +15,7 @@
 /// Counts of the reports of one reporter that changed nothing. They are not serialized with the ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DiscardCounts {
-    /// Number of rejected reports, by reason.
+    /// Number of rejected reports, by the reason for the rejection.
     pub rejected: BTreeMap<ReportRejection, u64>,
     /// Number of reports that had been recorded before.
     pub duplicates: u64,
@@ -30,7 +30,8 @@
     }
 }
 
-/// Instants are clamped to this absolute value, so that no sum of them exceeds 64 bits.
+/// Limit of the absolute value of an instant, in milliseconds of Unix time. Instants are clamped to this
+/// limit, so that no sum of them exceeds 64 bits.
 const MAX_INSTANT_MS: i64 = 1 << 60;
 /// Number of steps in which the horizon moves by its own length. Each step discards old entries, which scans
 /// all entries that are kept; therefore the horizon does not move with each window.
--- a/crates/fair-share/src/policy.rs
+++ b/crates/fair-share/src/policy.rs
@@ -5,7 +5,7 @@
 
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Maximum number of tenants in a policy, and of federations.
+/// Maximum number of tenants in a policy, and also the maximum number of federations.
 const MAX_PARTIES: usize = 65_536;
 
 /// Configured share of a tenant or a federation; guarantee and ceiling are in parts per million of the fleet.
@@ -23,7 +23,7 @@
     pub ceiling: u32,
 }
 
-/// Group of tenants with a common share.
+/// Federation: a group of tenants with a common share of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Federation {
@@ -39,7 +39,7 @@
 #[serde(try_from = "BTreeMap<Name, Federation>", into = "BTreeMap<Name, Federation>")]
 pub struct FairSharePolicy(BTreeMap<Name, Federation>);
 
-/// Kind of error in a fair-share policy.
+/// Rule that an invalid fair-share policy violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum PolicyErrorKind {
@@ -67,7 +67,7 @@
 pub struct PolicyError {
     /// Tenant or federation that has the error; `None` if the error concerns the policy as a whole.
     pub party: Option<Name>,
-    /// Kind of error.
+    /// Rule that the policy violates.
     pub kind: PolicyErrorKind,
 }
 
--- a/crates/fair-share/src/reporter_account.rs
+++ b/crates/fair-share/src/reporter_account.rs
@@ -10,15 +10,15 @@
 use crate::usage_report::{ReportOutcome, ReportRejection, UsageReport};
 use crate::window_usage::{UsageDelta, WindowUsage};
 
-/// Values of the ledger and of the enrolled reporter that an account needs.
+/// Values from the ledger and from the reporter's enrollment that an account needs for a change.
 #[derive(Clone, Copy)]
 pub(crate) struct AccountContext<'a> {
     pub(crate) settings: &'a LedgerSettings,
     /// Number of slots of the reporter's pool.
     pub(crate) slots: u32,
-    /// Index of the first open window.
+    /// Index of the first accounting window that is still open.
     pub(crate) first_open_window: i64,
-    /// Index of the first window that is retained.
+    /// Index of the first accounting window that the ledger still retains.
     pub(crate) first_retained_window: i64,
 }
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ReporterAccount {
     incarnations: BTreeMap<u64, IncarnationLog>,
-    /// Incarnations before this one are rejected.
+    /// Oldest incarnation that is accepted; reports of earlier incarnations are rejected.
     oldest_incarnation: u64,
     watermark_ms: Option<i64>,
     windows: BTreeMap<i64, WindowUsage>,
@@ -167,7 +167,8 @@
         self.watermark_ms
     }
 
-    /// Settles the closed windows and returns what changed in them since they were last settled.
+    /// Settles the closed windows: returns what changed in them since they were last settled, to be added as
+    /// adjustments to a window that closes now.
     pub(crate) fn settle_changes(&mut self, first_open_window: i64) -> UsageDelta {
         let mut delta = UsageDelta::default();
         let mut emptied = Vec::new();
@@ -183,7 +184,7 @@
         delta
     }
 
-    /// Usage that counts in a window; `None` if there is none.
+    /// Counted usage of one window; `None` if the account has no record of that window.
     pub(crate) fn window_usage(&self, index: i64) -> Option<UsageDelta> {
         let usage = self.windows.get(&index)?;
         let mut delta = UsageDelta::default();
@@ -203,7 +204,8 @@
         self.incarnations.values_mut().for_each(|log| log.discard_before(instant_ms, settings));
     }
 
-    /// Whether the account has neither windows nor entries, so that a report has nothing left to change.
+    /// Whether the account has neither windows nor entries. The ledger removes an empty account unless its
+    /// reporter is enrolled.
     pub(crate) fn is_empty(&self) -> bool {
         self.windows.is_empty() && !self.incarnations.values().any(IncarnationLog::has_entries)
     }
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -19,9 +19,10 @@
     /// Maximum time after its end that a window waits for the reports of live reporters; at most one day.
     #[serde(rename = "lateness")]
     pub max_close_delay_ms: u32,
-    /// How far before the first open window reports are still accepted, as adjustments, and may be corrected;
-    /// from one window to one day. Older entries are discarded in steps of a sixteenth of the horizon, so
-    /// that reports may be accepted up to one step further back.
+    /// How far before the first open window the start of a report's interval may lie; the work in closed
+    /// windows becomes adjustments, and corrections are accepted too. From one window to one day. Older
+    /// entries are discarded in steps of a sixteenth of the horizon, so that reports may be accepted up to
+    /// one step further back.
     #[serde(rename = "horizon")]
     pub horizon_ms: u32,
     /// Maximum clock skew: a report whose interval ends further in the future is rejected. At most one day.
@@ -34,11 +35,12 @@
     /// [`crate::UsageLedger::advance`]; greater than 0.
     #[serde(rename = "ahead")]
     pub max_sequences_ahead: u32,
-    /// Maximum number of sequence numbers tracked per incarnation; from `max_sequences_ahead` to 2^20.
+    /// Maximum number of sequence numbers that the log of one incarnation tracks; from `max_sequences_ahead`
+    /// to 2^20.
     #[serde(rename = "kept")]
     pub max_tracked_sequences: u32,
-    /// Maximum number of incarnations that an advance keeps per reporter. Until the next advance the same
-    /// number of new ones may be added. From 1 to 8.
+    /// Maximum number of incarnations per reporter that remain after an advance of the ledger. Until the next
+    /// advance the same number of new incarnations may be added. From 1 to 8.
     #[serde(rename = "starts")]
     pub max_incarnations: u8,
 }
@@ -84,7 +86,7 @@
     /// The maximum interval of a report is out of range.
     #[error("span: must be from 1 to 600000 ms")]
     IntervalLength,
-    /// The number of sequence numbers ahead is 0, so that no report could be accepted.
+    /// `max_sequences_ahead` is 0, so that no report could be accepted.
     #[error("ahead: must be greater than 0")]
     NoSequencesAhead,
     /// `max_tracked_sequences` is less than `max_sequences_ahead`.
@@ -93,7 +95,7 @@
     /// `max_tracked_sequences` exceeds 2^20.
     #[error("kept: must be at most 1048576")]
     TooManyTrackedSequences,
-    /// The number of incarnations is out of range.
+    /// The maximum number of incarnations per reporter is out of range.
     #[error("starts: must be from 1 to 8")]
     IncarnationCount,
 }
--- a/crates/fair-share/src/share_table.rs
+++ b/crates/fair-share/src/share_table.rs
@@ -21,7 +21,8 @@
     /// Part of the tenant's guarantee that it does not demand and that is lent to others until it does; 0 if
     /// the guarantees are reduced.
     pub lent: u32,
-    /// Part of the share above the tenant's entitlement and reservation, which it has until others demand it.
+    /// Part of the share that exceeds the tenant's entitlement and reservation. The tenant has this part
+    /// until others demand it.
     pub borrowed: u32,
 }
 
--- a/crates/fair-share/src/usage_entry.rs
+++ b/crates/fair-share/src/usage_entry.rs
@@ -7,13 +7,13 @@
 use crate::usage_report::UsageReport;
 
 /// Usage report as it is kept in the log of an incarnation, without its reporter, incarnation and sequence
-/// number. Of two entries with the same sequence number the lesser one counts, compared field by field in the
-/// order of declaration.
+/// number. Of two entries with the same sequence number, the log keeps the lesser one; entries are compared
+/// field by field in the order of declaration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct UsageEntry {
     work: u64,
     start_ms: i64,
-    /// Length of the interval, greater than 0.
+    /// Length of the reported interval in milliseconds, greater than 0.
     length_ms: u32,
     tenant: Name,
     corrects: Option<NonZeroU64>,
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -7,14 +7,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UsageReport {
-    /// Name of the reporter.
+    /// Name of the reporter that sends the report, as enrolled.
     pub reporter: Name,
     /// Incarnation of the reporter, which increases each time that it starts.
     #[serde(rename = "generation")]
     pub incarnation: u64,
     /// Sequence number of the report in its incarnation, counted from 1 without gaps, corrections included.
     pub sequence: u64,
-    /// Name of the tenant.
+    /// Name of the tenant that used the slots.
     pub tenant: Name,
     /// Start of the interval, inclusive, in milliseconds of Unix time. The reporter must not decrease it from
     /// one sequence number of an incarnation to the next, except in corrections; the ledger relies on this
@@ -77,7 +77,7 @@
     #[error("end: in the future")]
     #[serde(rename = "Future")]
     InFuture,
-    /// The start is before the horizon: its window was discarded.
+    /// The interval starts before the horizon, in an accounting window that the ledger has discarded.
     #[error("start: before the horizon")]
     #[serde(rename = "TooOld")]
     BeforeHorizon,
--- a/crates/fair-share/src/water_filling.rs
+++ b/crates/fair-share/src/water_filling.rs
@@ -1,15 +1,16 @@
 //! Weighted max-min division by water-filling, with a minimum and a maximum for each claimant.
 use crate::apportionment::apportion;
 
-/// Participant in a division: a federation or a tenant.
+/// Participant in a division of shares: a federation in the division of the fleet, or a tenant in that of its
+/// federation's share.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Claimant {
-    /// Weight, from 1 to 10^18.
+    /// Weight of the claimant relative to the other claimants, from 1 to 10^18.
     pub(crate) weight: u64,
-    /// Minimum part, at most `maximum`. It is reduced only if the minimums of all claimants exceed the
-    /// capacity.
+    /// Minimum part of the claimant, at most `maximum`. The minimum is reduced only if the minimums of all
+    /// claimants exceed the capacity.
     pub(crate) minimum: u32,
-    /// Maximum part that is allocated.
+    /// Maximum part that is allocated to the claimant, even if capacity remains.
     pub(crate) maximum: u32,
 }
 
--- a/crates/fair-share/src/window.rs
+++ b/crates/fair-share/src/window.rs
@@ -6,8 +6,8 @@
 use crate::Name;
 use crate::window_usage::UsageDelta;
 
-/// Closed accounting window. It never changes: usage reported after it closed is an adjustment of a later
-/// window.
+/// Closed accounting window. A closed window never changes: usage that is reported for it later becomes an
+/// adjustment of a later window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClosedWindow {
@@ -21,8 +21,8 @@
     /// what changed in it since it was closed or last settled, as an adjustment of a later window.
     pub adjustments: BTreeMap<Name, i64>,
     /// Excess by reporter, in slot-milliseconds: the work reported for this window above the capacity of the
-    /// reporter's pool, which does not count, plus the change of the excess of earlier windows. It may
-    /// therefore be negative.
+    /// reporter's pool, which is not counted as usage, plus the change of the excess of earlier windows. This
+    /// change may make the sum negative.
     #[serde(rename = "cut")]
     pub excess: BTreeMap<Name, i64>,
     /// Reporters, dead ones included, that had not reported all usage of this window when it closed.
@@ -47,14 +47,14 @@
         *self.excess.entry(reporter.clone()).or_default() += delta.excess;
     }
 
-    /// Removes adjustments and excesses that add up to 0.
+    /// Removes the tenants whose adjustment is 0 and the reporters whose excess is 0.
     pub(crate) fn remove_zeros(&mut self) {
         self.excess.retain(|_, excess| *excess != 0);
         self.adjustments.retain(|_, work| *work != 0);
     }
 }
 
-/// Usage of a window that has been reported so far.
+/// Usage that has been reported so far for one accounting window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProvisionalUsage {
--- a/crates/fair-share/src/window_usage.rs
+++ b/crates/fair-share/src/window_usage.rs
@@ -6,8 +6,8 @@
 use crate::Name;
 use crate::apportionment::apportion;
 
-/// Reported work of a window, divided into the work that counts and the excess, which does not; in
-/// slot-milliseconds.
+/// Reported work of one window in slot-milliseconds, divided into two parts: the work up to the capacity of
+/// the reporter's pool, which is counted as usage, and the excess above that capacity, which is not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CountedWork {
     by_tenant: BTreeMap<Name, u64>,
@@ -18,12 +18,13 @@
 /// reporter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct WindowUsage {
-    /// Capacity of the reporter's pool in a window, the maximum work that counts.
+    /// Capacity of the reporter's pool in one window, in slot-milliseconds. Reported work above the capacity
+    /// is excess and is not counted as usage.
     capacity: u64,
     /// Reported work by tenant, without entries of 0.
     reported: BTreeMap<Name, u64>,
-    /// Work that counted when the window was last settled; `None` if the window is open or has not changed
-    /// since.
+    /// Counted work of the window when it was last settled, that is, when its change was last returned as an
+    /// adjustment; `None` if the window is open or has not changed since.
     last_settled: Option<CountedWork>,
 }
 
@@ -32,7 +33,7 @@
         WindowUsage { capacity, reported: BTreeMap::new(), last_settled: None }
     }
 
-    /// Returns the work that counts: the reported work, reduced in proportion if it exceeds the capacity.
+    /// Returns the counted work: the reported work, reduced in proportion if it exceeds the capacity.
     pub(crate) fn counted_work(&self) -> CountedWork {
         let total = sum(&self.reported);
         if total <= self.capacity {
@@ -46,14 +47,16 @@
         CountedWork { by_tenant, excess }
     }
 
-    /// Saves the work that counts now, before the first change to a closed window since it was last settled.
+    /// Saves the current counted work as the settled work, unless it is saved already. Called before a closed
+    /// window changes, so that the next settlement can compute the change.
     pub(crate) fn save_settled_work(&mut self) {
         if self.last_settled.is_none() {
             self.last_settled = Some(self.counted_work());
         }
     }
 
-    /// Sets the work of a tenant to `update(previous work, work)`.
+    /// Replaces the reported work of a tenant by `update(previous work, work)`; a result of 0 removes the
+    /// tenant.
     pub(crate) fn update_work(&mut self, tenant: &Name, work: u64, update: fn(u64, u64) -> u64) {
         let total = self.reported.entry(tenant.clone()).or_default();
         *total = update(*total, work);
@@ -62,15 +65,16 @@
         }
     }
 
-    /// Clears the work that was last settled if the work that counts now is equal to it.
+    /// Forgets the saved settled work if it equals the current counted work. The window then has no change
+    /// that an adjustment would have to report.
     pub(crate) fn clear_settled_work_if_unchanged(&mut self) {
         if self.last_settled.as_ref().is_some_and(|settled| *settled == self.counted_work()) {
             self.last_settled = None;
         }
     }
 
-    /// Adds the change since the window was last settled to `delta`, and marks the window as settled. Returns
-    /// whether the window had changed since then.
+    /// Adds to `delta` the change of the counted work since the window was last settled, and marks the window
+    /// as settled. Returns whether settled work had been saved, as it is before a closed window changes.
     pub(crate) fn settle(&mut self, delta: &mut UsageDelta) -> bool {
         let Some(settled) = self.last_settled.take() else { return false };
         let counted = self.counted_work();
@@ -79,7 +83,7 @@
         true
     }
 
-    /// Whether there is neither reported work nor a change to settle.
+    /// Whether the window has neither reported work nor a change that is still to be settled.
     pub(crate) fn is_empty(&self) -> bool {
         self.reported.is_empty() && self.last_settled.is_none()
     }
@@ -89,8 +93,8 @@
     work.values().fold(0, |sum, &work| sum.saturating_add(work))
 }
 
-/// Change of the work that counts and of the excess, in slot-milliseconds. It also represents the whole usage
-/// of a window, as the change from no usage; then nothing is negative.
+/// Change of the counted work and of the excess, in slot-milliseconds. A window's whole usage is represented
+/// as the change from no usage; in this case no value is negative.
 #[derive(Debug, Default)]
 pub(crate) struct UsageDelta {
     pub(crate) work_by_tenant: BTreeMap<Name, i64>,
--- a/crates/membership-transport/src/config.rs
+++ b/crates/membership-transport/src/config.rs
@@ -22,7 +22,7 @@
     pub region: String,
     /// The settings of the failure detector.
     pub membership_settings: Settings,
-    /// The cluster's key.
+    /// The cluster's key, which authenticates packets and states.
     pub key: Key,
     /// The seed of all random choices of the protocol.
     pub seed: u64,
@@ -40,7 +40,7 @@
     Bind {
         /// The address as configured.
         address: SocketAddr,
-        /// The error of the operating system.
+        /// The error that the operating system returned for the attempt to bind.
         source: io::Error,
     },
     /// Another call to the operating system failed: creating a `mio::Poll`, setting a socket option or
--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -25,7 +25,7 @@
 const MAX_PACKETS_PER_TURN: usize = 4_096;
 /// Maximum time to wait for an event, also if the protocol has no timer.
 const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum number of events that one call of `mio::Poll::poll` reports. It exceeds the number of event
+/// Maximum number of events that one call of `mio::Poll::poll` reports. The limit exceeds the number of event
 /// sources.
 const EVENT_CAPACITY: usize = 8;
 
--- a/crates/membership-transport/src/shared.rs
+++ b/crates/membership-transport/src/shared.rs
@@ -14,7 +14,7 @@
 #[repr(u8)]
 pub(crate) enum RunState {
     Running,
-    /// The member notifies the other members, then ends.
+    /// The member ends after it has notified the other members that it leaves.
     Leaving,
     /// The member ends without notifying the other members, as if killed.
     Stopping,
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -32,7 +32,7 @@
     pub(crate) timers: &'a mut TimerQueue<TimerEvent>,
     pub(crate) local_health: &'a mut LocalHealth,
     pub(crate) effects: &'a mut Vec<Effect>,
-    /// When the last authentic packet or state arrived.
+    /// The instant at which the last authentic packet or state arrived.
     pub(crate) last_received: Micros,
     /// Time without an authentic packet or state after which this member counts as isolated.
     pub(crate) isolation_timeout: Micros,
@@ -58,8 +58,8 @@
             }
             Notification::Rejoin(identity) => {
                 *self.has_joined = false;
-                // Counts as a failure, because this member is slow or hard to reach if the other members
-                // declared it dead although it is running.
+                // Counted as a local failure: if the other members declared this running member dead, it is
+                // slow or hard to reach.
                 self.local_health.record_failure();
                 self.effects.push(Effect::SelfRefuted(identity.clone()));
             }
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -30,7 +30,7 @@
     /// Exchange states with the member at this address over a stream: send it
     /// [`Membership::state`](crate::Membership::state), and pass in its reply as [`Input::State`].
     ExchangeState(SocketAddr),
-    /// Another member is up: it has joined, or this member has learned of it.
+    /// Another member is up, because it has just joined or because this member has just learned about it.
     MemberUp(Member),
     /// A member was declared dead, or has left.
     MemberDown(Member),
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -31,7 +31,7 @@
     local_health: LocalHealth,
     /// The instant of the last input.
     last_handled: Micros,
-    /// When the last authentic packet or state arrived.
+    /// The instant at which the last authentic packet or state arrived.
     last_received: Micros,
     /// The address of the sender of the packet that is being handled.
     sender: Option<SocketAddr>,
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -54,7 +54,7 @@
     /// The key has fewer than 16 bytes.
     #[error("a cluster key of {bytes} bytes; {MIN_KEY_BYTES} at least")]
     TooShort {
-        /// The number of bytes given.
+        /// The number of bytes in the rejected key.
         bytes: usize,
     },
     /// The HMAC implementation rejects a key of this length.
@@ -105,7 +105,7 @@
         }
         let tag_start = sealed.len().checked_sub(TAG_BYTES).filter(|&start| start >= VERSION_BYTES);
         let (content, tag) = sealed.split_at(tag_start.ok_or(PacketError::Malformed)?);
-        // `verify_slice` compares in constant time.
+        // `verify_slice` compares in constant time, so that its duration reveals nothing about the valid tag.
         self.0.clone().chain_update(content).verify_slice(tag).map_err(|_| PacketError::Forged)?;
         match content.split_first() {
             Some((version, body)) if *version == format.version => Ok(body),
--- a/crates/membership/src/time.rs
+++ b/crates/membership/src/time.rs
@@ -1,4 +1,4 @@
-//! The representation of time.
+//! Instants and durations of the membership protocol.
 
 /// An instant or a duration, in microseconds. Instants count from an arbitrary origin that is the same for
 /// all calls.
--- a/crates/membership/src/timer_queue.rs
+++ b/crates/membership/src/timer_queue.rs
@@ -55,7 +55,7 @@
         self.heap.push(Reverse(PendingTimer { due, sequence: self.added, event }));
     }
 
-    /// The due time of the first timer.
+    /// The due time of the timer that is due first; `None` if the queue is empty.
     pub(crate) fn next_due(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse(timer)| timer.due)
     }
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -49,7 +49,7 @@
 /// The changes at an edge between two segments.
 #[derive(Clone, Copy, Debug, Default)]
 struct EdgeChange {
-    /// The released slots that become free here, less those whose allocation ends here.
+    /// The released slots whose allocations start at this edge, less those whose allocations end here.
     released_slots: i64,
     /// The number of blackouts that start here, less the number that end here.
     blackouts: i64,
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -11,7 +11,7 @@
 use crate::limits::CLAIM_RETENTION;
 use crate::time::UnixMillis;
 
-/// The size and zone of a pool, as set by the last command for it.
+/// The size and zone of a pool, as set by the last capacity command for this pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Pool {
     pub(crate) zone: Name,
@@ -46,8 +46,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Claim {
     pub(crate) state: ClaimState,
-    /// The instant at which the claim was held, or confirmed if it never was held; until then that of its
-    /// proposal. Earlier instants rank first.
+    /// The instant that ranks claims of equal precedence, earlier first. It is the instant at which the claim
+    /// was proposed, replaced by the instant at which the claim became held, or by the instant of its
+    /// confirmation if the claim was never held.
     #[serde(rename = "since")]
     pub(crate) ranked_at: UnixMillis,
     #[serde(rename = "moved")]
@@ -73,7 +74,7 @@
 }
 
 impl Claim {
-    /// The instant at which the claim's next transition by time, or its removal, is due; `None` for a
+    /// The instant at which the claim is next due for a transition by time or for its removal; `None` for a
     /// confirmed or active claim without effective intervals.
     pub(crate) fn next_due(&self) -> Option<UnixMillis> {
         match self.state {
--- a/crates/reservations/src/claim_state.rs
+++ b/crates/reservations/src/claim_state.rs
@@ -65,7 +65,7 @@
 #[error("a claim in state {from} does not allow the transition {transition}")]
 #[serde(rename = "Illegal", expecting = "struct Illegal")]
 pub struct InvalidTransition {
-    /// The state of the claim.
+    /// The state of the claim when the transition was requested.
     pub from: ClaimState,
     /// The transition that was requested.
     #[serde(rename = "step")]
--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -14,11 +14,11 @@
 pub struct Command {
     /// The id of the command, which identifies duplicates.
     pub id: CommandId,
-    /// The action to take.
+    /// The action that the command requests.
     pub body: CommandBody,
 }
 
-/// The action of a command.
+/// The action that a command requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Body", expecting = "struct variant Body::Capacity")]
 pub enum CommandBody {
@@ -30,7 +30,7 @@
     Confirm(ClaimId),
     /// Withdraws a claim whose state is not terminal.
     Withdraw(ClaimId),
-    /// Sets a pool's slots and zone, from now on.
+    /// Sets the number of slots and the zone of a pool, from now on. A pool that does not exist is created.
     #[serde(rename = "Capacity")]
     SetCapacity {
         /// The name of the pool.
@@ -125,7 +125,7 @@
 pub struct BlackoutRequest {
     /// The work that the blackout applies to.
     pub target: BlackoutTarget,
-    /// What the blackout forbids.
+    /// What the blackout forbids the targeted work: to start, or to run at all.
     pub effect: BlackoutEffect,
     /// The intervals of the blackout.
     #[serde(rename = "when")]
--- a/crates/reservations/src/deduplication.rs
+++ b/crates/reservations/src/deduplication.rs
@@ -9,7 +9,8 @@
 
 /// The maximum number of members whose windows are kept.
 pub(crate) const MAX_MEMBERS: usize = 1_024;
-/// The number of a member's latest sequence numbers for which a late command can be told from a duplicate.
+/// The size of a member's deduplication window, in sequence numbers. Older commands are rejected, because
+/// they cannot be told from duplicates.
 const WINDOW_LENGTH: u64 = 128;
 /// The time without commands after which a member's window may be evicted for another member's.
 const MEMBER_RETENTION: SpanMillis = DAY.times(7);
@@ -21,9 +22,11 @@
     New,
     /// The command was applied before.
     Duplicate,
-    /// The command precedes the window, or is from an earlier incarnation of its member.
+    /// The sequence number precedes the deduplication window of the member, or the command is from an earlier
+    /// incarnation of the member.
     TooOld,
-    /// The member is new, there are windows of [`MAX_MEMBERS`] others already, and none may be evicted.
+    /// The member has no deduplication window yet, [`MAX_MEMBERS`] other members have one, and none of these
+    /// windows may be evicted.
     MemberLimitReached,
 }
 
@@ -43,7 +46,7 @@
 }
 
 impl MemberWindow {
-    /// The window after the first command of an incarnation.
+    /// The deduplication window after the first command of an incarnation.
     fn starting_with(id: &CommandId, now: UnixMillis) -> MemberWindow {
         MemberWindow {
             incarnation: id.incarnation,
@@ -100,8 +103,9 @@
         window.record(id.sequence)
     }
 
-    /// Makes space for another window and returns whether there is any. If there are [`MAX_MEMBERS`] windows,
-    /// it evicts that of the longest inactive member, unless that one was active within [`MEMBER_RETENTION`].
+    /// Makes space for another member's window and returns whether there is any. If there are [`MAX_MEMBERS`]
+    /// windows, the window of the longest inactive member is evicted, unless that member was active within
+    /// [`MEMBER_RETENTION`].
     fn make_space(&mut self, now: UnixMillis) -> bool {
         if self.0.len() < MAX_MEMBERS {
             return true;
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -16,13 +16,14 @@
     /// The calendar's time when the log entry was applied. A change that is due by time may have been due
     /// earlier.
     pub at: UnixMillis,
-    /// The command that caused the change; `None` if the change was due by time.
+    /// The command that caused the change; `None` if the change became due by time.
     pub command: Option<CommandId>,
-    /// The change itself.
+    /// The content of the event: what happened to a claim, its allocations or a pool, or why a command was
+    /// rejected.
     pub change: Change,
 }
 
-/// The kinds of changes.
+/// The kinds of events that the calendar reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[non_exhaustive]
 pub enum Change {
@@ -49,11 +50,11 @@
 pub struct StateChange {
     /// The id of the claim.
     pub claim: ClaimId,
-    /// The state before; `None` for a new claim.
+    /// The state of the claim before the change; `None` for a new claim.
     pub from: Option<ClaimState>,
-    /// The state now.
+    /// The state of the claim after the change.
     pub to: ClaimState,
-    /// The reason for the change.
+    /// The reason why the state changed, or why the claim stays proposed.
     #[serde(rename = "why")]
     pub reason: Reason,
 }
@@ -69,7 +70,7 @@
     /// The allocations that the occurrence has now, in order of time.
     #[serde(rename = "pieces")]
     pub allocations: Vec<Allocation>,
-    /// The reason for the change.
+    /// The reason why the allocations are partial or have changed.
     #[serde(rename = "why")]
     pub reason: Reason,
     /// The nearest interval of the same length that fits and starts at most 30 days from the requested start,
@@ -91,7 +92,7 @@
     pub slots: u32,
 }
 
-/// The reason for a change.
+/// The reason for a change of a claim's state or allocations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[non_exhaustive]
 pub enum Reason {
@@ -128,7 +129,7 @@
     #[error("not confirmed before its hold ended")]
     #[serde(rename = "HoldEnded")]
     HoldExpired,
-    /// The first start or last end of the claim was reached.
+    /// The claim began, because its first interval started, or ended with its last interval.
     #[error("start or end reached")]
     #[serde(rename = "TimeCame")]
     TimeReached,
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -19,7 +19,8 @@
     pub(crate) is_blacked_out: bool,
 }
 
-/// The granted allocations, and the candidates (by ascending index) to displace for them.
+/// The plan for one request: the granted allocations, and the candidates (by ascending index) that must be
+/// displaced for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AllocationPlan {
     pub(crate) allocations: Vec<Allocation>,
@@ -28,7 +29,7 @@
     pub(crate) is_complete: bool,
 }
 
-/// The slots granted in each segment.
+/// The slots granted to a request, for each segment of its interval.
 struct Grant {
     slots: Vec<i64>,
     is_complete: bool,
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -51,8 +51,9 @@
     released
 }
 
-/// Allocates free slots to released occurrences in the order of their rank, and reports those whose
-/// allocations differ from before. A claim that has no allocations left from now on is displaced.
+/// Allocates free slots to released occurrences in the order of their rank, and reports the occurrences whose
+/// allocations differ from those before the release. A claim that has no allocations left from now on is
+/// displaced.
 pub(crate) fn reallocate(
     store: &mut ClaimStore,
     released: Vec<ReleasedOccurrence>,
@@ -63,7 +64,8 @@
     for occurrence in &ranked {
         allocate_free_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
-    // Growth comes last, so that it takes no slots from occurrences that had them before.
+    // Growth comes last, so that growing occurrences take no slots from occurrences that had them before the
+    // release.
     for occurrence in &ranked {
         grow_to_requested_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
@@ -141,7 +143,9 @@
     });
 }
 
-/// Reports an occurrence if its allocations differ from before, with an alternative if it has none left.
+/// Reports an occurrence whose allocations differ from `allocations_before`, which it had before their
+/// release. If the occurrence has no allocations left from now on, the report includes an alternative, if one
+/// is found: the nearest interval in which the reservation fits.
 fn report_change(
     store: &ClaimStore,
     key: &OccurrenceKey,
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -97,8 +97,8 @@
     }
 }
 
-/// The bound of an interval that a local time stands for. The bound decides which of its two instants a local
-/// time in a repeated hour stands for.
+/// Whether a local time is the start or the end of an interval. In a repeated hour, a local time stands for
+/// two instants, and the bound decides which of them is meant.
 #[derive(Clone, Copy)]
 enum IntervalBound {
     Start,
--- a/crates/reservations/src/rejection.rs
+++ b/crates/reservations/src/rejection.rs
@@ -18,7 +18,7 @@
     /// entry; `confirm` or `withdraw` for the claim that such a command names; `claim` for the new claim
     /// itself.
     pub field: Cow<'static, str>,
-    /// The error in the field.
+    /// What is wrong with the field's value.
     #[serde(rename = "fault")]
     pub error: FieldError,
 }
@@ -29,7 +29,7 @@
     }
 }
 
-/// The error in a field of a command.
+/// What can be wrong with a field of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename = "Fault", expecting = "struct variant Fault::Range")]
 #[non_exhaustive]
@@ -38,10 +38,10 @@
     #[error("not in the range {min} to {max}")]
     #[serde(rename = "range")]
     OutOfRange {
-        /// The minimum valid value.
+        /// The minimum valid value of the field.
         #[serde(rename = "least")]
         min: i64,
-        /// The maximum valid value.
+        /// The maximum valid value of the field.
         #[serde(rename = "most")]
         max: i64,
     },
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -18,7 +18,8 @@
 use crate::settings::Settings;
 use crate::time::{MILLISECOND, UnixMillis};
 
-/// The content of a snapshot. The maps are ordered, so that the same log gives the same bytes.
+/// The serialized state of the calendar, from which a snapshot is made. The maps are ordered, so that the
+/// same log gives the same bytes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Inner", expecting = "struct Inner")]
 struct CalendarState {
@@ -121,7 +122,7 @@
         Some((claim, claim.occurrences.get(key.position)?))
     }
 
-    /// Advances the time to an instant; an instant in the past has no effect.
+    /// Advances the calendar's time to an instant; an instant in the past has no effect.
     pub(crate) fn advance_to(&mut self, at: UnixMillis) {
         self.state.now = self.state.now.max(at);
     }
--- a/crates/reservations/src/time.rs
+++ b/crates/reservations/src/time.rs
@@ -16,11 +16,11 @@
 
 /// A millisecond, the smallest positive span.
 pub const MILLISECOND: SpanMillis = SpanMillis(1);
-/// A minute.
+/// One minute, in milliseconds.
 pub const MINUTE: SpanMillis = MILLISECOND.times(60_000);
-/// An hour.
+/// One hour, in milliseconds.
 pub const HOUR: SpanMillis = MINUTE.times(60);
-/// A day of 24 hours.
+/// One day of 24 hours, in milliseconds.
 pub const DAY: SpanMillis = HOUR.times(24);
 
 impl UnixMillis {
