--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -79,7 +79,7 @@
             None if sample.sent_at - oldest.sent_at >= SAMPLE_WINDOW => self.next_oldest = Some(sample),
             Some(next) if sample.sent_at.saturating_sub(next.sent_at) >= SAMPLE_WINDOW => {
                 // A drift that was proven earlier is cleared if the samples since `next` prove none, because
-                // only these count from here on.
+                // the comparison uses only these samples from here on.
                 self.drift = prove_drift(settings, next, sample);
                 (self.oldest, self.next_oldest) = (Some(next), None);
             }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -11,7 +11,8 @@
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// The number of appended proposals that are remembered at once; further proposals are not appended.
+/// The maximum number of appended proposals that are remembered, so that a resent one is not appended again
+/// at once. Further proposals are not appended.
 const MAX_APPENDED_PROPOSALS: usize = 1_024;
 /// The number of other members that must have been heard from recently before their reports on the leader's
 /// clock count. A member that the leader knows only from the membership list counts as heard from at the time
--- a/crates/consensus/src/node/lease_client.rs
+++ b/crates/consensus/src/node/lease_client.rs
@@ -24,7 +24,7 @@
     target_voter: VoterId,
     unanswered_requests: u32,
     next_request_at: Micros,
-    /// The comparison with the clock of the leader that sent the last grant.
+    /// The comparison of this member's clock with the clock of the leader that sent the last grant.
     clock: ClockComparison,
     granted_by: Option<LeaderTerm>,
     is_clock_suspect: bool,
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -242,9 +242,9 @@
         }
     }
 
-    /// Abandons the missing sequence numbers before the first entry that is kept. Starts do not decrease with
-    /// the sequence number, so these reports are older than the horizon. Those missing after that entry may
-    /// still arrive.
+    /// Abandons the missing sequence numbers before the first entry that is kept. The starts of the reported
+    /// intervals do not decrease with the sequence number, so the missing reports are older than the horizon.
+    /// Reports that are missing after that entry may still arrive.
     fn raise_discarded_through(&mut self) {
         let discarded_through = self.last_received_before_retained();
         if discarded_through <= self.discarded_through {
--- a/crates/fair-share/src/measured_demand.rs
+++ b/crates/fair-share/src/measured_demand.rs
@@ -9,7 +9,8 @@
 /// Factor from measured usage to demand. It lets a tenant that lent its share regain it within two windows,
 /// starting from the minimum demand of a quarter of its entitlement.
 const DEMAND_FACTOR: u128 = 2;
-/// A demand is at least the entitlement divided by this, so that a new tenant has a share to start with.
+/// A tenant's demand is at least its entitlement divided by this number, so that a new tenant has a share to
+/// start with.
 const MIN_DEMAND_DIVISOR: u32 = 4;
 
 impl TenantDemands {
--- a/crates/fair-share/src/reporter_account.rs
+++ b/crates/fair-share/src/reporter_account.rs
@@ -79,9 +79,9 @@
         Ok(outcome)
     }
 
-    /// Returns the incarnation to discard in favor of that of a report, if any. Of the incarnations that are
-    /// new since the last advance the `max_incarnations` latest are kept, regardless of the order in which
-    /// their reports arrive.
+    /// Returns the incarnation to discard, if any, so that the incarnation of a new report can be added. Of
+    /// the incarnations that are new since the last advance the `max_incarnations` latest are kept,
+    /// regardless of the order in which their reports arrive.
     ///
     /// # Errors
     /// [`ReportRejection::OldIncarnation`] if the incarnation of the report is too old to be kept.
@@ -149,9 +149,9 @@
         }
     }
 
-    /// Moves the watermark of each incarnation up to its first gap, and that of the account to the latest of
-    /// them; then removes the oldest incarnations until at most `max_incarnations` are left. The work of the
-    /// removed ones stays in the windows.
+    /// Moves the watermark of each incarnation up to its first gap, and the watermark of the account to the
+    /// latest of these watermarks. Then removes the oldest incarnations until at most `max_incarnations` are
+    /// left. The work of the removed incarnations stays in the windows.
     pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
         self.incarnations.values_mut().for_each(|log| log.advance_watermark(settings));
         let latest_ms = self.incarnations.values().filter_map(IncarnationLog::watermark_ms).max();
--- a/crates/fair-share/src/water_filling.rs
+++ b/crates/fair-share/src/water_filling.rs
@@ -1,8 +1,8 @@
 //! Weighted max-min division by water-filling, with a minimum and a maximum for each claimant.
 use crate::apportionment::apportion;
 
-/// Participant in a division of shares: a federation in the division of the fleet, or a tenant in that of its
-/// federation's share.
+/// Participant in a division of shares: a federation in the division of the fleet, or a tenant in the
+/// division of its federation's share.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Claimant {
     /// Weight of the claimant relative to the other claimants, from 1 to 10^18.
--- a/crates/fair-share/src/window.rs
+++ b/crates/fair-share/src/window.rs
@@ -61,7 +61,8 @@
     /// Work by tenant that was reported so far, in slot-milliseconds.
     pub work: BTreeMap<Name, u64>,
     /// Maximum work that may still be reported without a correction, in slot-milliseconds: the capacity of
-    /// the pools whose reporters have not reported all usage of the window, minus what these have reported.
+    /// the pools whose reporters have not reported all usage of the window, minus the work that these
+    /// reporters have reported.
     #[serde(rename = "unknown")]
     pub max_outstanding: u64,
 }
--- a/crates/fair-share/src/window_usage.rs
+++ b/crates/fair-share/src/window_usage.rs
@@ -23,8 +23,8 @@
     capacity: u64,
     /// Reported work by tenant, without entries of 0.
     reported: BTreeMap<Name, u64>,
-    /// Counted work of the window when it was last settled, that is, when its change was last returned as an
-    /// adjustment; `None` if the window is open or has not changed since.
+    /// Counted work of the closed window before those changes that are not settled yet, that is, not yet
+    /// returned as an adjustment of a later window. `None` if the window is open or has no such change.
     last_settled: Option<CountedWork>,
 }
 
--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -23,7 +23,7 @@
 /// socket's buffer holds, so that after a pause all waiting packets are read first; the bound lets timers run
 /// during a flood.
 const MAX_PACKETS_PER_TURN: usize = 4_096;
-/// Maximum time to wait for an event, also if the protocol has no timer.
+/// Maximum time for which the driver waits for an event, even if the protocol has no timer.
 const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of events that one call of `mio::Poll::poll` reports. The limit exceeds the number of event
 /// sources.
@@ -42,7 +42,7 @@
     sockets: PolledSockets,
     queues: DriverQueues,
     shared: Arc<Shared>,
-    /// The origin of the protocol's instants.
+    /// The instant from which the protocol's instants are counted.
     started: Instant,
     /// Buffer for the effects of an input; empty between inputs, and kept to reuse its allocation.
     effects: Vec<Effect>,
--- a/crates/membership-transport/src/shared.rs
+++ b/crates/membership-transport/src/shared.rs
@@ -20,7 +20,8 @@
     Stopping,
 }
 
-/// The part of the view that the driver publishes. It changes less often than the counters.
+/// The part of the member's view that the driver publishes. The counters are kept apart, because they change
+/// more often.
 pub(crate) struct Snapshot {
     pub(crate) local_member: Member,
     pub(crate) members: Arc<[Member]>,
--- a/crates/membership/src/timer_queue.rs
+++ b/crates/membership/src/timer_queue.rs
@@ -41,7 +41,7 @@
 /// A queue of timers. Timers with the same due time fire in the order in which they were added.
 pub(crate) struct TimerQueue<T> {
     heap: BinaryHeap<Reverse<PendingTimer<T>>>,
-    /// The number of timers added so far.
+    /// The number of timers added so far, by which timers with the same due time are ordered.
     added: u64,
 }
 
--- a/crates/reservations/src/allowance_query.rs
+++ b/crates/reservations/src/allowance_query.rs
@@ -83,9 +83,9 @@
     }
 }
 
-/// The first blackout with [`BlackoutEffect::NoWork`] that starts after `at` and ends after `from`, which is
-/// the end of the blackout with this effect at `at`, or `at` if there is none; `None` if it starts more than
-/// [`BLACKOUT_LOOKAHEAD`] after `at`.
+/// The first blackout with [`BlackoutEffect::NoWork`] that starts after `at` and ends after `from`. `from` is
+/// the end of the blackout with this effect that applies at `at`, or `at` itself if there is none. `None` if
+/// the first blackout found starts more than [`BLACKOUT_LOOKAHEAD`] after `at`.
 fn upcoming_blackout(
     store: &ClaimStore,
     target: &BlackoutTarget,
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -93,8 +93,8 @@
 }
 
 impl BlackoutStatus {
-    /// The instant until which work that takes at most `max_duration` must not start; `None` if it may start
-    /// now. Work may end exactly at the start of a blackout.
+    /// The instant until which work that takes at most `max_duration` must not start; `None` if such work may
+    /// start now. Work may end exactly at the start of a blackout.
     pub fn wait_until(&self, now: UnixMillis, max_duration: SpanMillis) -> Option<UnixMillis> {
         let latest_end = now.saturating_add(max_duration.max(SpanMillis::ZERO));
         let conflict = self.upcoming.filter(|upcoming| latest_end > upcoming.start);
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -10,7 +10,8 @@
 use crate::time::UnixMillis;
 
 /// The segments of the reservation's pool over an interval. The allocations of the `released` occurrences
-/// count as free. Those of the `candidates` do not, but a segment ends wherever one of them starts or ends.
+/// count as free. The allocations of the `candidates` do not count as free, but a segment ends wherever one
+/// of these allocations starts or ends.
 pub(crate) fn segments(
     store: &ClaimStore,
     reservation: &ReservationRequest,
--- a/crates/reservations/src/claim_state.rs
+++ b/crates/reservations/src/claim_state.rs
@@ -14,8 +14,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "State")]
 pub enum ClaimState {
-    /// Recorded without allocations: the claim fits only if others are displaced, which happens when it is
-    /// confirmed.
+    /// The claim is recorded without allocations, because it fits only if other claims are displaced. These
+    /// are displaced when this claim is confirmed.
     Proposed,
     /// The claim's allocations are kept for it until its hold ends.
     Held,
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -14,7 +14,8 @@
 /// The allocations of one pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolIndex {
-    /// The number of allocated slots from each key on, up to the next key.
+    /// The number of allocated slots, by the instant from which the number holds; it holds until the next
+    /// instant in the map.
     levels: BTreeMap<UnixMillis, i64>,
     /// The allocations of the claims that occupy capacity.
     pub(crate) allocations: IntervalMap<UnixMillis, OccurrenceKey>,
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -129,8 +129,8 @@
                 break;
             }
             let is_included = self.days.contains(date) && start >= self.not_before && end <= self.until;
-            // Begins no earlier than the end of the last occurrence, because in a repeated hour that end
-            // (second pass) may be after this start (first pass).
+            // The occurrence begins no earlier than the end of the last one, because in a repeated hour that
+            // end (second pass of the hour) may be after this start (first pass).
             let start = start.max(last_end).max(now);
             if is_included && start < end {
                 occurrences.push(Interval { start, end });
