--- a/crates/consensus/src/decision_conflict.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -9,9 +9,9 @@
     /// The restricted rules: what all versions from the one in force to the newest allow. Without a lease
     /// they are narrowed to what no later version may forbid ([`crate::Rules::without_lease`]).
     Restricted {
-        /// The version last known to be in force.
+        /// The version that the member last knew to be in force.
         in_force: Version,
-        /// The newest committed version known.
+        /// The newest committed version that the member knew.
         newest: Version,
         /// Whether the member held a lease when it decided; if so, no version later than `newest` was in
         /// force.
@@ -26,7 +26,7 @@
     pub basis: DecisionBasis,
     /// The request that the decision allowed or forbade.
     pub request: Q,
-    /// Whether the request was allowed.
+    /// Whether the decision allowed the request; otherwise the decision forbade it.
     pub is_allowed: bool,
 }
 
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -8,9 +8,9 @@
 pub enum Effect {
     /// Send a message. The network may lose, duplicate, delay or reorder it.
     Send {
-        /// The recipient's name.
+        /// The name of the member that must receive the message.
         to: String,
-        /// The serialized message.
+        /// The serialized message, to be passed in at the recipient as an input of the kind `Message`.
         bytes: Vec<u8>,
     },
     /// Write to storage in the order of the tokens, and confirm with [`crate::Input::Persisted`] once the
@@ -18,14 +18,14 @@
     Persist {
         /// The token of this write, which increases with each write.
         token: WriteToken,
-        /// The data to write.
+        /// The changes to the stored state.
         write: StorageWrite,
     },
     /// Reports that a proposal of this member was rejected and changed nothing.
     ProposalRejected {
         /// The version that the proposal was derived from.
         base_version: Version,
-        /// The version in force.
+        /// The version that was in force when the proposal was rejected, as far as the rejecting member knew.
         in_force: Version,
         /// Why the proposal was rejected, such as a stale base version.
         reason: RejectionReason,
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -90,12 +90,12 @@
         now < self.lease_expires_at && !self.is_clock_suspect
     }
 
-    /// The version last known to be in force.
+    /// The version that this member last knew to be in force.
     pub fn in_force(&self) -> Version {
         self.versions.first_key_value().map_or(Version::default(), |(version, _)| *version)
     }
 
-    /// The newest committed version known.
+    /// The newest committed version that this member knows.
     pub fn newest(&self) -> Version {
         self.versions.last_key_value().map_or(Version::default(), |(version, _)| *version)
     }
--- a/crates/consensus/src/node/messages.rs
+++ b/crates/consensus/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! Dispatches received packets to their handlers.
+//! Passes each received packet to the handler for its kind.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
--- a/crates/consensus/src/node/proposals.rs
+++ b/crates/consensus/src/node/proposals.rs
@@ -21,7 +21,7 @@
 /// This member's proposals that have no result yet. Owned by its [`Node`].
 #[derive(Default)]
 pub(super) struct ProposalClient {
-    /// The pending proposals by their number.
+    /// The proposals without a result, by the proposal's number within this session.
     pending: BTreeMap<u64, PendingProposal>,
     last_number: u64,
 }
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Transfers the leadership to another voter.
+    /// Asks Raft to transfer the leadership from this voter to another one.
     pub(crate) fn transfer_leadership(&mut self, to: VoterId) {
         self.raft.transfer_leader(to.get());
     }
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -22,7 +22,7 @@
     pub number: u64,
 }
 
-/// The result of a proposal.
+/// The result of a proposal, which the leader reports to the proposing member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
     /// The proposal was committed as this version.
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -4,9 +4,9 @@
 
 const MILLION: u64 = 1_000_000;
 const MAX_LEASE_DURATION: Micros = 3_600_000 * MILLISECOND;
-/// Raft ticks between two heartbeats.
+/// The number of Raft ticks between two heartbeats of the leader.
 pub(crate) const HEARTBEAT_TICKS: usize = 4;
-/// Raft ticks without a heartbeat before the earliest election.
+/// The number of Raft ticks without a heartbeat after which a voter starts an election at the earliest.
 pub(crate) const ELECTION_TICKS: usize = 20;
 
 const MAX_NAME_BYTES: usize = 64;
@@ -170,7 +170,7 @@
         self.max_round_trip
     }
 
-    /// The number of voters.
+    /// The number of voters, which is also the highest voter ID.
     pub(crate) fn voter_count(&self) -> u64 {
         self.voters.len() as u64
     }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -42,7 +42,7 @@
 pub struct WriteToken(u64);
 
 impl WriteToken {
-    /// The token of the next write.
+    /// The token of the write that follows the one with this token.
     pub(crate) fn next(self) -> WriteToken {
         WriteToken(self.0 + 1)
     }
--- a/crates/consensus/src/versioned_document.rs
+++ b/crates/consensus/src/versioned_document.rs
@@ -37,7 +37,7 @@
 /// One version of the rules, in the form in which it is replicated, stored and sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedDocument {
-    /// The version of the document.
+    /// The version under which these rules were committed.
     pub version: Version,
     /// The digest of the version and the bytes.
     pub digest: Digest,
--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -102,9 +102,9 @@
     tenants: Vec<&'a Name>,
     tenant_claimants: Vec<Claimant>,
     claimant: Claimant,
-    /// Share reserved for the federation itself.
+    /// Share reserved for the federation itself, in parts per million of the fleet.
     own_reservation: u32,
-    /// Sum of the shares reserved for its tenants.
+    /// Sum of the shares reserved for the federation's tenants, in parts per million of the fleet.
     tenant_reservations: u32,
 }
 
--- a/crates/fair-share/src/demand.rs
+++ b/crates/fair-share/src/demand.rs
@@ -5,7 +5,7 @@
 
 use crate::Name;
 
-/// Demand and debt of a tenant.
+/// Demand and debt of a tenant, from which its share is allocated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantDemand {
--- a/crates/fair-share/src/enrollment.rs
+++ b/crates/fair-share/src/enrollment.rs
@@ -21,7 +21,7 @@
     pub federation: Option<Name>,
 }
 
-/// Enrolled reporters and tenants.
+/// Enrolled reporters and tenants; reports from or about others are rejected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Enrollment {
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -12,7 +12,7 @@
 /// Missing sequence numbers of one incarnation of a reporter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SequenceGaps {
-    /// Number of the incarnation.
+    /// Number of the incarnation, as in the reporter's usage reports.
     pub incarnation: u64,
     /// Sequence numbers that are still expected because a higher one was received.
     pub missing: Vec<RangeInclusive<u64>>,
--- a/crates/fair-share/src/measured_demand.rs
+++ b/crates/fair-share/src/measured_demand.rs
@@ -1,4 +1,4 @@
-//! Demands estimated from measured usage.
+//! Demands of tenants, estimated from the usage in an accounting window.
 use std::collections::BTreeMap;
 
 use crate::allocation::entitlements;
--- a/crates/fair-share/src/policy.rs
+++ b/crates/fair-share/src/policy.rs
@@ -30,7 +30,7 @@
     /// Configured share of all its tenants together.
     #[serde(rename = "terms")]
     pub share_config: ShareConfig,
-    /// Configured share of each tenant.
+    /// Configured share of each tenant in the federation, by name.
     pub tenants: BTreeMap<Name, ShareConfig>,
 }
 
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a usage ledger.
+//! Settings of a usage ledger, and their valid ranges.
 use serde::{Deserialize, Serialize};
 
 /// Maximum length of a window and of the interval of one report, in milliseconds.
--- a/crates/fair-share/src/share_table.rs
+++ b/crates/fair-share/src/share_table.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShareTable {
-    /// Shares by tenant.
+    /// Shares of all tenants of the policy, by tenant.
     pub tenants: BTreeMap<Name, TenantShare>,
     /// Shares by federation: the sum of its tenants' shares and the part of its own reservation that none of
     /// them demands.
--- a/crates/membership-transport/src/config.rs
+++ b/crates/membership-transport/src/config.rs
@@ -16,9 +16,9 @@
     pub advertised_address: Option<SocketAddr>,
     /// The member's name, which is the same after a restart.
     pub name: String,
-    /// The member's zone.
+    /// The name of the zone in which the member runs.
     pub zone: String,
-    /// The member's region.
+    /// The name of the region in which the member runs.
     pub region: String,
     /// The settings of the failure detector.
     pub membership_settings: Settings,
@@ -38,7 +38,7 @@
     /// The address cannot be bound.
     #[error("cannot bind {address}: {source}")]
     Bind {
-        /// The address as configured.
+        /// The configured address that could not be bound.
         address: SocketAddr,
         /// The error that the operating system returned for the attempt to bind.
         source: io::Error,
--- a/crates/membership-transport/src/messages.rs
+++ b/crates/membership-transport/src/messages.rs
@@ -15,6 +15,6 @@
 /// A request to exchange states with a peer, sent from the driver to a stream thread.
 pub(crate) struct ExchangeRequest {
     pub(crate) peer: SocketAddr,
-    /// The state of this member.
+    /// The state of this member, to be sent to the peer.
     pub(crate) state: MembershipState,
 }
--- a/crates/membership-transport/src/view.rs
+++ b/crates/membership-transport/src/view.rs
@@ -24,7 +24,7 @@
     pub rejected: RejectionCounts,
     /// Number of packets received, including rejected ones.
     pub packets_in: u64,
-    /// Number of packets sent.
+    /// Number of packets sent to other members.
     pub packets_out: u64,
     /// Bytes of the packets received, without UDP and IP headers.
     pub bytes_in: u64,
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -15,7 +15,7 @@
 /// The action that a queued timer triggers.
 #[derive(Clone)]
 pub(crate) enum TimerEvent {
-    /// A timer of `foca`.
+    /// A timer that `foca` requested, for example for the end of a suspicion.
     Protocol(Timer<Member>),
     /// Announce this member to the seeds and some known members, unless another member has answered.
     AnnounceToSeeds,
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -20,7 +20,7 @@
 /// An action that the driver has to carry out, or a change in the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a packet.
+    /// Send a packet to another member over the network, where the packet may be lost.
     SendPacket {
         /// The address of the receiver.
         to: SocketAddr,
@@ -38,7 +38,7 @@
     MemberReplaced {
         /// The previous identity, which is no longer valid.
         before: Member,
-        /// The new identity.
+        /// The identity that replaces the previous one.
         after: Member,
     },
     /// Other members knew an earlier process of this member by an identity that takes precedence over the
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -14,9 +14,9 @@
 pub struct Member {
     /// The member's name, which is the same after a restart.
     pub name: String,
-    /// The member's zone.
+    /// The name of the zone in which the member runs.
     pub zone: String,
-    /// The member's region.
+    /// The name of the region in which the member runs.
     pub region: String,
     /// The address at which peers reach the member.
     pub address: SocketAddr,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -29,7 +29,7 @@
     /// Chooses partners for state exchanges; separate from the protocol's own generator.
     rng: Pcg64Mcg,
     local_health: LocalHealth,
-    /// The instant of the last input.
+    /// The instant of the last input. The detection of pauses does not count time before this instant.
     last_handled: Micros,
     /// The instant at which the last authentic packet or state arrived.
     last_received: Micros,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Applies the state of a peer.
+    /// Adds what the state of a peer says about members to the view of this member.
     fn apply_state(&mut self, now: Micros, state: &MembershipState, effects: &mut Vec<Effect>) {
         self.last_received = now;
         if let Some(known) = state.member_at(self.protocol.identity().address) {
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -32,7 +32,7 @@
 /// The reserved and unreserved slots of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolAllowance {
-    /// The zone of the pool.
+    /// The name of the zone that the pool belongs to.
     pub zone: Name,
     /// The total number of slots in the pool.
     pub slots: u32,
@@ -50,7 +50,7 @@
 pub struct ActiveReservation {
     /// The id of the reservation's claim.
     pub claim: ClaimId,
-    /// The owner of the reservation.
+    /// The tenant or federation that the slots are reserved for.
     pub owner: Owner,
     /// The number of reserved slots.
     pub slots: u32,
--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -33,9 +33,9 @@
     /// Sets the number of slots and the zone of a pool, from now on. A pool that does not exist is created.
     #[serde(rename = "Capacity")]
     SetCapacity {
-        /// The name of the pool.
+        /// The name of the pool whose slots and zone are set.
         pool: Name,
-        /// The zone of the pool.
+        /// The name of the zone that the pool belongs to from now on.
         zone: Name,
         /// The number of slots in the pool, 0 to 10 million.
         slots: u32,
@@ -49,13 +49,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Reserve", expecting = "struct Reserve")]
 pub struct ReservationRequest {
-    /// The owner of the reservation.
+    /// The tenant or federation that the slots are reserved for.
     pub owner: Owner,
-    /// The pool to reserve from.
+    /// The name of the pool in which slots are reserved.
     pub pool: Name,
-    /// The amount to reserve.
+    /// The number of slots to reserve, or the fraction of the pool.
     pub amount: Amount,
-    /// The intervals to reserve.
+    /// The intervals over which the slots are reserved.
     #[serde(rename = "when")]
     pub schedule: Schedule,
     /// The precedence: a claim of higher precedence may displace one of lower precedence.
@@ -71,7 +71,7 @@
     pub hold_end: UnixMillis,
 }
 
-/// The owner of a reservation.
+/// The owner of a reservation, for which the slots are reserved.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Owner {
     /// A single tenant.
@@ -80,7 +80,7 @@
     Federation(Name),
 }
 
-/// An amount of slots.
+/// The amount that a reservation requests, as a number of slots or as a fraction of the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Amount {
     /// A fixed number of slots, at least 1.
@@ -127,7 +127,7 @@
     pub target: BlackoutTarget,
     /// What the blackout forbids the targeted work: to start, or to run at all.
     pub effect: BlackoutEffect,
-    /// The intervals of the blackout.
+    /// The intervals in which the blackout applies.
     #[serde(rename = "when")]
     pub schedule: Schedule,
     /// The instant at which the claim lapses unless it is confirmed, at most 7 days after the proposal.
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -65,7 +65,7 @@
 pub struct AllocationChange {
     /// The id of the claim.
     pub claim: ClaimId,
-    /// The interval of the occurrence.
+    /// The whole interval of the occurrence, which identifies the occurrence within its claim.
     pub occurrence: Interval,
     /// The allocations that the occurrence has now, in order of time.
     #[serde(rename = "pieces")]
@@ -84,11 +84,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct variant Change::Capacity")]
 pub struct CapacityChange {
-    /// The name of the pool.
+    /// The name of the pool whose slots and zone were set.
     pub pool: Name,
-    /// The zone of the pool.
+    /// The name of the zone that the pool belongs to from now on.
     pub zone: Name,
-    /// The number of slots in the pool.
+    /// The number of slots in the pool from now on.
     pub slots: u32,
 }
 
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -96,7 +96,7 @@
 }
 
 impl Index {
-    /// Adds a claim's entries.
+    /// Adds the entries of a claim to the lookup structures.
     pub(crate) fn insert_claim(&mut self, id: &ClaimId, claim: &Claim) {
         self.occurrence_count += claim.occurrences.len();
         self.insert_due(id, claim);
--- a/crates/reservations/src/limits.rs
+++ b/crates/reservations/src/limits.rs
@@ -16,7 +16,7 @@
 pub const MAX_CLAIMS: usize = 200_000;
 /// The maximum number of occurrences of all claims together.
 pub const MAX_TOTAL_OCCURRENCES: usize = 1_000_000;
-/// The maximum number of pools.
+/// The maximum number of pools in the calendar.
 pub const MAX_POOLS: usize = 1_024;
 /// The maximum number of slots in a pool.
 pub(crate) const MAX_POOL_SLOTS: u32 = 10_000_000;
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -25,7 +25,7 @@
 pub(crate) struct AllocationPlan {
     pub(crate) allocations: Vec<Allocation>,
     pub(crate) displaced: Vec<usize>,
-    /// Whether the whole request is granted.
+    /// Whether the plan grants the whole request, and not only a part that its flexibility accepts.
     pub(crate) is_complete: bool,
 }
 
--- a/crates/reservations/src/schedule.rs
+++ b/crates/reservations/src/schedule.rs
@@ -7,7 +7,7 @@
 use crate::rejection::{FieldError, Rejection, check_instant, check_range};
 use crate::time::{MILLISECOND, UnixMillis};
 
-/// The intervals of a claim.
+/// The intervals that a claim is requested for: a single one, or a recurring one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "When")]
 pub enum Schedule {
--- a/crates/reservations/src/settings.rs
+++ b/crates/reservations/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the calendar.
+//! The calendar's settings, and their valid ranges.
 use serde::{Deserialize, Serialize};
 
 use crate::limits::MAX_DISPLACEMENT_NOTICE;
--- a/crates/reservations/src/time.rs
+++ b/crates/reservations/src/time.rs
@@ -54,7 +54,7 @@
 }
 
 impl SpanMillis {
-    /// A span of length zero.
+    /// A span of zero milliseconds.
     pub const ZERO: SpanMillis = SpanMillis(0);
     /// The longest span that can be represented.
     pub const MAX: SpanMillis = SpanMillis(i64::MAX);
