--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockDrift {
     /// Whether the local clock runs faster than the remote one; otherwise it runs slower. In the leader's
-    /// report on its own clock, the remote clocks are those of the members. The comparison cannot tell which
+    /// report on its own clock, the remote clocks are the members' clocks. The comparison cannot tell which
     /// of the two clocks is wrong.
     pub is_fast: bool,
     /// The smallest difference that explains the samples, in parts per million.
--- a/crates/consensus/src/raft_conversion.rs
+++ b/crates/consensus/src/raft_conversion.rs
@@ -1,4 +1,4 @@
-//! Conversions between this crate's stored types and those of the crate `raft`.
+//! Conversions between this crate's stored types and the types of the crate `raft`.
 use raft::eraftpb;
 
 use crate::storage::{LogEntry, Snapshot};
--- a/crates/consensus/src/raft_message.rs
+++ b/crates/consensus/src/raft_message.rs
@@ -34,7 +34,8 @@
     (RaftMessageKind::RequestPreVoteResponse, MessageType::MsgRequestPreVoteResponse),
 ];
 
-/// A Raft message between voters, without sender and recipient. The order of the fields is that on the wire.
+/// A Raft message between voters, without sender and recipient. The fields are sent in the order of
+/// their declaration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RaftMessage {
     pub(crate) kind: RaftMessageKind,
--- a/crates/consensus/src/rules.rs
+++ b/crates/consensus/src/rules.rs
@@ -13,6 +13,6 @@
     /// limits, and no retries.
     ///
     /// They must not allow more than `self`, nor anything that a later version may forbid; otherwise
-    /// decisions under them can conflict with those of members that hold a lease.
+    /// decisions under these rules can conflict with decisions of members that hold a lease.
     fn without_lease(&self) -> Self;
 }
--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -22,9 +22,9 @@
 /// Allocates the shares of all tenants and federations; a pure function.
 ///
 /// 1. Reservations are subtracted. A reservation counts towards its owner's demand, guarantee and ceiling.
-/// 2. The rest is divided over the federations by weighted max-min: each gets at least the part of its
-///    guarantee that it demands, and at most its ceiling or what its tenants demand, whichever is less. The
-///    demanded guarantees of its tenants take precedence over its ceiling.
+/// 2. The rest is divided over the federations by weighted max-min. Each federation gets at least the part
+///    of its guarantee that it demands, and at most its ceiling or what its tenants demand, whichever is
+///    less. The demanded guarantees of its tenants take precedence over its ceiling.
 /// 3. The share of each federation, including its own reservation, is divided over its tenants in the same
 ///    way. The weight of a tenant with a debt is `weight / (1 + debt)`, with the debt as a fraction of at
 ///    most 1; it is therefore at least half of the configured weight.
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -101,8 +101,8 @@
     }
 
     /// Debt of each tenant in parts per million of its entitlement over one half-life, clamped to the range
-    /// from 0 to 1 000 000, as in [`crate::TenantDemand::debt`]. `entitlements` are those of one window, in
-    /// slot-milliseconds.
+    /// from 0 to 1 000 000, as in [`crate::TenantDemand::debt`]. `entitlements` are the entitlements in one
+    /// window, in slot-milliseconds.
     pub fn relative_debts(&self, entitlements: &BTreeMap<Name, u64>) -> BTreeMap<Name, u32> {
         let debts = entitlements.iter().map(|(tenant, &entitlement)| {
             let debt = self.balance(tenant.as_str()).max(0) as u128;
--- a/crates/fair-share/src/enrollment.rs
+++ b/crates/fair-share/src/enrollment.rs
@@ -5,7 +5,8 @@
 
 use crate::Name;
 
-/// Maximum slots of a reporter's pool; with it and the limits of the settings no sum exceeds 64 bits.
+/// Maximum number of slots in a reporter's pool. With this limit and the limits of the settings, no sum
+/// exceeds 64 bits.
 const MAX_SLOTS: u32 = 1_000_000;
 const MAX_REPORTERS: usize = 4_096;
 const MAX_TENANTS: usize = 65_536;
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -108,16 +108,17 @@
         result
     }
 
-    /// Advances the time to `now_ms`, in milliseconds of Unix time, and returns the windows that this closes,
-    /// in their order.
+    /// Advances the time to `now_ms`, in milliseconds of Unix time, and returns the windows that close at
+    /// this call, in the order of their indexes.
     ///
     /// A window closes after its end, as soon as the watermarks of all enrolled reporters that are not in
     /// `dead_reporters` have reached its end, but at the latest after the maximum close delay. If there is no
-    /// such reporter, it closes after that delay. Windows without usage, adjustments and excess are omitted.
+    /// such reporter, the window closes after that delay. Windows without usage, adjustments and excess are
+    /// omitted.
     ///
     /// The watermark of an incarnation is the latest start among its reports before the first gap in their
-    /// sequence numbers. That of a reporter is the latest of its incarnations, so that a new incarnation
-    /// passes the gaps of earlier ones.
+    /// sequence numbers. The watermark of a reporter is the latest among the watermarks of its incarnations,
+    /// so that a new incarnation passes the gaps of earlier ones.
     pub fn advance(&mut self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> Vec<ClosedWindow> {
         self.accounts.values_mut().for_each(|account| account.advance_watermark(&self.settings));
         let first_open = self.next_open_window(clamp_instant(now_ms), dead_reporters);
--- a/crates/fair-share/src/reservation.rs
+++ b/crates/fair-share/src/reservation.rs
@@ -14,8 +14,8 @@
     /// Reservations by tenant. The reservation of a tenant that the policy does not list is subtracted from
     /// the fleet, but gives the tenant no share.
     pub tenants: BTreeMap<Name, u32>,
-    /// Reservations by federation. The reservation of a federation is for those of its tenants that demand
-    /// it.
+    /// Reservations by federation. The reservation of a federation is divided among the federation's tenants
+    /// that demand a share.
     pub federations: BTreeMap<Name, u32>,
 }
 
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -28,8 +28,8 @@
     /// moves the watermark of the reporter, so that windows can close.
     pub work: u64,
     /// Sequence number of the earlier report of the same incarnation that this report replaces, if any. The
-    /// replaced report must not be a correction itself. Of two corrections of the same report the one with
-    /// the higher sequence number counts.
+    /// replaced report must not be a correction itself. Of two corrections of the same report, the one with
+    /// the higher sequence number applies.
     pub corrects: Option<u64>,
 }
 
--- a/crates/membership-transport/src/counters.rs
+++ b/crates/membership-transport/src/counters.rs
@@ -51,7 +51,8 @@
     }
 }
 
-/// The counters of a member.
+/// The counters of a member: rejected packets and states, other dropped traffic by cause, and packets
+/// received and sent.
 pub(crate) struct Counters {
     too_large: LoggedCounter,
     malformed: LoggedCounter,
--- a/crates/membership-transport/src/lib.rs
+++ b/crates/membership-transport/src/lib.rs
@@ -17,7 +17,7 @@
 //!    limits: a slow or hostile peer can occupy these threads for a limited time, but never the driver.
 //! 3. Every queue is bounded, and the driver never waits for a queue. What does not fit is dropped and
 //!    counted ([`DropCounts`]); the next periodic announcement or state exchange, within 30 s, makes up for
-//!    it.
+//!    the loss.
 //! 4. [`MembershipTransport`] owns and joins all threads. At a shutdown, the driver thread ends and drops its
 //!    ends of the queues, which ends the stream threads.
 //!
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -107,7 +107,8 @@
     #[error("fits partially, as the request accepts")]
     #[serde(rename = "LessFits")]
     FitsPartially,
-    /// The claim fits only if these claims are displaced, which happens when it is confirmed.
+    /// The claim fits only if the claims listed here are displaced. They are displaced when the claim is
+    /// confirmed.
     #[error("fits only by displacement (claims to displace: {})", .0.len())]
     #[serde(rename = "NeedsRoom")]
     RequiresDisplacement(Vec<ClaimId>),
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -22,8 +22,8 @@
 //!    instants when it is proposed (`recurrence`).
 //! 2. Conflicts are resolved in this order: a blackout overrides every reservation that it applies to; a
 //!    reservation never displaces an occurrence that has started or starts within the displacement notice;
-//!    the higher precedence wins; the claim that was held earlier wins (confirmed earlier, if it never was
-//!    held); the lower claim id wins.
+//!    the higher precedence wins; the claim that became held earlier wins (confirmed earlier, if a claim
+//!    never was held); the lower claim id wins.
 //! 3. The stored state uses ordered maps only, so that its serialized form is deterministic.
 //!
 //! Some serialized names differ from the Rust names. They are part of the stored form and must not change;
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -1,5 +1,5 @@
 //! Stored state of the calendar, with an index over it. Every change of a claim goes through [`ClaimStore`],
-//! which updates the index with it.
+//! which updates the index together with the claim.
 use std::collections::BTreeMap;
 
 use copperspread_identifiers::Name;
