--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -5,9 +5,9 @@
 use crate::settings::Settings;
 use crate::time::{Micros, SECOND};
 
-/// The minimum time from the sample `oldest` to the sample `next_oldest`, and from `next_oldest` to the
-/// sample at which `next_oldest` replaces `oldest`. Samples are replaced so that a change of a clock's rate
-/// is detected and a clock that is back within the bound can be cleared.
+/// The minimum time between the samples `oldest` and `next_oldest`, and also between `next_oldest` and the
+/// sample at which `next_oldest` becomes `oldest`. Samples are replaced so that a change of a clock's rate is
+/// detected and a clock that is back within the bound can be cleared.
 const SAMPLE_WINDOW: Micros = 30 * SECOND;
 /// The duration that samples without a proven drift must cover before a clock counts as within the bound.
 const CLEARING_SPAN: Micros = SAMPLE_WINDOW / 6;
@@ -18,19 +18,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockDrift {
     /// Whether the local clock runs faster than the remote one; otherwise it runs slower. In the leader's
-    /// report on its own clock, the remote clocks are those of the members. The comparison cannot tell which
+    /// report on its own clock, the remote clocks are the members' clocks. The comparison cannot tell which
     /// of the two clocks is wrong.
     pub is_fast: bool,
     /// The smallest difference that explains the samples, in parts per million.
     pub min_ppm: u64,
 }
 
-/// The times of one request and its response.
+/// The times of a request and its response, which give one sample of the remote clock.
 #[derive(Clone, Copy, Debug)]
 struct ClockSample {
     sent_at: Micros,
     received_at: Micros,
-    /// The time at which the response was made, by the remote clock.
+    /// The time at which the response was made, read from the remote clock.
     remote_time: Micros,
 }
 
@@ -79,7 +79,7 @@
             None if sample.sent_at - oldest.sent_at >= SAMPLE_WINDOW => self.next_oldest = Some(sample),
             Some(next) if sample.sent_at.saturating_sub(next.sent_at) >= SAMPLE_WINDOW => {
                 // A drift that was proven earlier is cleared if the samples since `next` prove none, because
-                // only these count from here on.
+                // the comparison uses only these samples from here on.
                 self.drift = prove_drift(settings, next, sample);
                 (self.oldest, self.next_oldest) = (Some(next), None);
             }
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Whether the clocks were compared for long enough and no drift is proven.
+    /// Whether the clocks count as within the clock bound: they were compared for long enough, and no drift
+    /// is proven.
     pub fn is_cleared(&self, now: Micros) -> bool {
         let compared_since = self.oldest.map(|oldest| oldest.sent_at);
         let is_long = compared_since.is_some_and(|since| now.saturating_sub(since) >= CLEARING_SPAN);
--- a/crates/consensus/src/decision_conflict.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -4,16 +4,17 @@
 /// The rules on which a decision is based.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DecisionBasis {
-    /// The version in force, while the lease held.
+    /// The version in force. The member held a lease when it decided.
     InForce(Version),
     /// The restricted rules: what all versions from the one in force to the newest allow. Without a lease
     /// they are narrowed to what no later version may forbid ([`crate::Rules::without_lease`]).
     Restricted {
-        /// The version last known to be in force.
+        /// The version that the member last knew to be in force.
         in_force: Version,
-        /// The newest committed version known.
+        /// The newest committed version that the member knew.
         newest: Version,
-        /// Whether the lease held; if so, no version later than `newest` was in force.
+        /// Whether the member held a lease when it decided; if so, no version later than `newest` was in
+        /// force.
         has_lease: bool,
     },
 }
@@ -23,9 +24,9 @@
 pub struct Decision<Q> {
     /// The rules on which the decision is based.
     pub basis: DecisionBasis,
-    /// The request that was decided on.
+    /// The request that the decision allowed or forbade.
     pub request: Q,
-    /// Whether the request was allowed.
+    /// Whether the decision allowed the request; otherwise the decision forbade it.
     pub is_allowed: bool,
 }
 
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -11,14 +11,15 @@
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// The number of appended proposals that are remembered at once; further proposals are not appended.
+/// The maximum number of appended proposals that are remembered, so that a resent one is not appended again
+/// at once. Further proposals are not appended.
 const MAX_APPENDED_PROPOSALS: usize = 1_024;
 /// The number of other members that must have been heard from recently before their reports on the leader's
 /// clock count. A member that the leader knows only from the membership list counts as heard from at the time
 /// when the leader adds it.
 const MIN_CLOCK_REPORTERS: usize = 2;
 
-/// An activation that was appended to the log.
+/// An activation command that the leader appended to the log, which puts a version in force.
 struct Activation {
     version: Version,
     appended_at: Micros,
@@ -62,7 +63,7 @@
         self.quorum_reads.add(from, PendingLease { session, sent_at, newest });
     }
 
-    /// Starts the next quorum read if one is due; returns its ID.
+    /// Starts the next quorum read if one is due, and returns the ID of the read.
     pub(crate) fn start_quorum_read(&mut self, now: Micros, settings: &Settings) -> Option<u64> {
         self.quorum_reads.start_read(now, settings)
     }
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -22,7 +22,7 @@
     pub number: u64,
 }
 
-/// The result of a proposal.
+/// The result of a proposal, which the leader reports to the proposing member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
     /// The proposal was committed as this version.
@@ -47,7 +47,7 @@
     VoterRejoined { voter_id: VoterId, nonce: u64 },
 }
 
-/// The limits for proposals, from [`crate::Settings`]; they must be equal on every voter.
+/// The limits that apply to proposals, taken from [`crate::Settings`]. They must be equal on every voter.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StateLimits {
     pub(crate) max_pending_versions: usize,
--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -8,7 +8,8 @@
 use crate::water_filling::{Claimant, water_fill};
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Demand for the whole fleet, without debt.
+/// Demand of a tenant for the whole fleet, without a debt. Entitlements are computed with this demand for all
+/// tenants.
 const FULL_DEMAND: TenantDemand = TenantDemand { demand: FULL_SHARE_PPM, debt: 0 };
 
 /// Result of one division over federations and tenants; tenants' shares exclude their own reservations.
@@ -21,9 +22,9 @@
 /// Allocates the shares of all tenants and federations; a pure function.
 ///
 /// 1. Reservations are subtracted. A reservation counts towards its owner's demand, guarantee and ceiling.
-/// 2. The rest is divided over the federations by weighted max-min: each gets at least the part of its
-///    guarantee that it demands, and at most its ceiling or what its tenants demand, whichever is less. The
-///    demanded guarantees of its tenants take precedence over its ceiling.
+/// 2. The rest is divided over the federations by weighted max-min. Each federation gets at least the part
+///    of its guarantee that it demands, and at most its ceiling or what its tenants demand, whichever is
+///    less. The demanded guarantees of its tenants take precedence over its ceiling.
 /// 3. The share of each federation, including its own reservation, is divided over its tenants in the same
 ///    way. The weight of a tenant with a debt is `weight / (1 + debt)`, with the debt as a fraction of at
 ///    most 1; it is therefore at least half of the configured weight.
@@ -101,9 +102,9 @@
     tenants: Vec<&'a Name>,
     tenant_claimants: Vec<Claimant>,
     claimant: Claimant,
-    /// Share reserved for the federation itself.
+    /// Share reserved for the federation itself, in parts per million of the fleet.
     own_reservation: u32,
-    /// Sum of the shares reserved for its tenants.
+    /// Sum of the shares reserved for the federation's tenants, in parts per million of the fleet.
     tenant_reservations: u32,
 }
 
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -15,7 +15,7 @@
 /// Counts of the reports of one reporter that changed nothing. They are not serialized with the ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DiscardCounts {
-    /// Number of rejected reports, by reason.
+    /// Number of rejected reports, by the reason for the rejection.
     pub rejected: BTreeMap<ReportRejection, u64>,
     /// Number of reports that had been recorded before.
     pub duplicates: u64,
@@ -30,7 +30,8 @@
     }
 }
 
-/// Instants are clamped to this absolute value, so that no sum of them exceeds 64 bits.
+/// Limit of the absolute value of an instant, in milliseconds of Unix time. Instants are clamped to this
+/// limit, so that no sum of them exceeds 64 bits.
 const MAX_INSTANT_MS: i64 = 1 << 60;
 /// Number of steps in which the horizon moves by its own length. Each step discards old entries, which scans
 /// all entries that are kept; therefore the horizon does not move with each window.
@@ -107,16 +108,17 @@
         result
     }
 
-    /// Advances the time to `now_ms`, in milliseconds of Unix time, and returns the windows that this closes,
-    /// in their order.
+    /// Advances the time to `now_ms`, in milliseconds of Unix time, and returns the windows that close at
+    /// this call, in the order of their indexes.
     ///
     /// A window closes after its end, as soon as the watermarks of all enrolled reporters that are not in
     /// `dead_reporters` have reached its end, but at the latest after the maximum close delay. If there is no
-    /// such reporter, it closes after that delay. Windows without usage, adjustments and excess are omitted.
+    /// such reporter, the window closes after that delay. Windows without usage, adjustments and excess are
+    /// omitted.
     ///
     /// The watermark of an incarnation is the latest start among its reports before the first gap in their
-    /// sequence numbers. That of a reporter is the latest of its incarnations, so that a new incarnation
-    /// passes the gaps of earlier ones.
+    /// sequence numbers. The watermark of a reporter is the latest among the watermarks of its incarnations,
+    /// so that a new incarnation passes the gaps of earlier ones.
     pub fn advance(&mut self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> Vec<ClosedWindow> {
         self.accounts.values_mut().for_each(|account| account.advance_watermark(&self.settings));
         let first_open = self.next_open_window(clamp_instant(now_ms), dead_reporters);
--- a/crates/membership-transport/src/shared.rs
+++ b/crates/membership-transport/src/shared.rs
@@ -14,13 +14,14 @@
 #[repr(u8)]
 pub(crate) enum RunState {
     Running,
-    /// The member notifies the other members, then ends.
+    /// The member ends after it has notified the other members that it leaves.
     Leaving,
     /// The member ends without notifying the other members, as if killed.
     Stopping,
 }
 
-/// The part of the view that the driver publishes. It changes less often than the counters.
+/// The part of the member's view that the driver publishes. The counters are kept apart, because they change
+/// more often.
 pub(crate) struct Snapshot {
     pub(crate) local_member: Member,
     pub(crate) members: Arc<[Member]>,
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -20,7 +20,7 @@
 /// An action that the driver has to carry out, or a change in the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a packet.
+    /// Send a packet to another member over the network, where the packet may be lost.
     SendPacket {
         /// The address of the receiver.
         to: SocketAddr,
@@ -30,7 +30,7 @@
     /// Exchange states with the member at this address over a stream: send it
     /// [`Membership::state`](crate::Membership::state), and pass in its reply as [`Input::State`].
     ExchangeState(SocketAddr),
-    /// Another member is up: it has joined, or this member has learned of it.
+    /// Another member is up, because it has just joined or because this member has just learned about it.
     MemberUp(Member),
     /// A member was declared dead, or has left.
     MemberDown(Member),
@@ -38,7 +38,7 @@
     MemberReplaced {
         /// The previous identity, which is no longer valid.
         before: Member,
-        /// The new identity.
+        /// The identity that replaces the previous one.
         after: Member,
     },
     /// Other members knew an earlier process of this member by an identity that takes precedence over the
--- a/crates/membership/src/timer_queue.rs
+++ b/crates/membership/src/timer_queue.rs
@@ -41,7 +41,7 @@
 /// A queue of timers. Timers with the same due time fire in the order in which they were added.
 pub(crate) struct TimerQueue<T> {
     heap: BinaryHeap<Reverse<PendingTimer<T>>>,
-    /// The number of timers added so far.
+    /// The number of timers added so far, by which timers with the same due time are ordered.
     added: u64,
 }
 
@@ -55,7 +55,7 @@
         self.heap.push(Reverse(PendingTimer { due, sequence: self.added, event }));
     }
 
-    /// The due time of the first timer.
+    /// The due time of the timer that is due first; `None` if the queue is empty.
     pub(crate) fn next_due(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse(timer)| timer.due)
     }
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -32,7 +32,7 @@
 /// The reserved and unreserved slots of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolAllowance {
-    /// The zone of the pool.
+    /// The name of the zone that the pool belongs to.
     pub zone: Name,
     /// The total number of slots in the pool.
     pub slots: u32,
@@ -50,7 +50,7 @@
 pub struct ActiveReservation {
     /// The id of the reservation's claim.
     pub claim: ClaimId,
-    /// The owner of the reservation.
+    /// The tenant or federation that the slots are reserved for.
     pub owner: Owner,
     /// The number of reserved slots.
     pub slots: u32,
@@ -93,8 +93,8 @@
 }
 
 impl BlackoutStatus {
-    /// The instant until which work that takes at most `max_duration` must not start; `None` if it may start
-    /// now. Work may end exactly at the start of a blackout.
+    /// The instant until which work that takes at most `max_duration` must not start; `None` if such work may
+    /// start now. Work may end exactly at the start of a blackout.
     pub fn wait_until(&self, now: UnixMillis, max_duration: SpanMillis) -> Option<UnixMillis> {
         let latest_end = now.saturating_add(max_duration.max(SpanMillis::ZERO));
         let conflict = self.upcoming.filter(|upcoming| latest_end > upcoming.start);
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -10,7 +10,8 @@
 use crate::time::UnixMillis;
 
 /// The segments of the reservation's pool over an interval. The allocations of the `released` occurrences
-/// count as free. Those of the `candidates` do not, but a segment ends wherever one of them starts or ends.
+/// count as free. The allocations of the `candidates` do not count as free, but a segment ends wherever one
+/// of these allocations starts or ends.
 pub(crate) fn segments(
     store: &ClaimStore,
     reservation: &ReservationRequest,
@@ -49,7 +50,7 @@
 /// The changes at an edge between two segments.
 #[derive(Clone, Copy, Debug, Default)]
 struct EdgeChange {
-    /// The released slots that become free here, less those whose allocation ends here.
+    /// The released slots whose allocations start at this edge, less those whose allocations end here.
     released_slots: i64,
     /// The number of blackouts that start here, less the number that end here.
     blackouts: i64,
--- a/crates/reservations/src/claim_state.rs
+++ b/crates/reservations/src/claim_state.rs
@@ -14,8 +14,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "State")]
 pub enum ClaimState {
-    /// Recorded without allocations: the claim fits only if others are displaced, which happens when it is
-    /// confirmed.
+    /// The claim is recorded without allocations, because it fits only if other claims are displaced. These
+    /// are displaced when this claim is confirmed.
     Proposed,
     /// The claim's allocations are kept for it until its hold ends.
     Held,
@@ -65,7 +65,7 @@
 #[error("a claim in state {from} does not allow the transition {transition}")]
 #[serde(rename = "Illegal", expecting = "struct Illegal")]
 pub struct InvalidTransition {
-    /// The state of the claim.
+    /// The state of the claim when the transition was requested.
     pub from: ClaimState,
     /// The transition that was requested.
     #[serde(rename = "step")]
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -19,16 +19,17 @@
     pub(crate) is_blacked_out: bool,
 }
 
-/// The granted allocations, and the candidates (by ascending index) to displace for them.
+/// The plan for one request: the granted allocations, and the candidates (by ascending index) that must be
+/// displaced for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AllocationPlan {
     pub(crate) allocations: Vec<Allocation>,
     pub(crate) displaced: Vec<usize>,
-    /// Whether the whole request is granted.
+    /// Whether the plan grants the whole request, and not only a part that its flexibility accepts.
     pub(crate) is_complete: bool,
 }
 
-/// The slots granted in each segment.
+/// The slots granted to a request, for each segment of its interval.
 struct Grant {
     slots: Vec<i64>,
     is_complete: bool,
