--- a/crates/config/src/check/context.rs
+++ b/crates/config/src/check/context.rs
@@ -6,7 +6,7 @@
 /// bytes.
 pub type CheckKeyFile = fn(&Path) -> Result<(), Box<dyn Error>>;
 
-/// Inputs of the checks that are not part of the configuration.
+/// Inputs that the caller passes to the checks in addition to the configuration.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CheckContext {
     /// Number of file descriptors that the process may open; `None` if unknown.
--- a/crates/config/src/check/process.rs
+++ b/crates/config/src/check/process.rs
@@ -19,8 +19,8 @@
     violations.require(descriptors >= MIN_DESCRIPTORS, "limits.descriptors", || {
         format!("{descriptors} is too small; must be at least {MIN_DESCRIPTORS}")
     });
-    // Checked because a configured limit above the process's own would otherwise show only at full load, when
-    // connections cannot be accepted.
+    // The configured number of descriptors is checked against the process's own limit. A configured number
+    // above that limit would otherwise show only at full load, when connections cannot be accepted.
     if let Some(limit) = context.descriptor_limit {
         violations.require(u64::from(descriptors) <= limit, "limits.descriptors", || {
             format!(
--- a/crates/config/src/check/violations.rs
+++ b/crates/config/src/check/violations.rs
@@ -1,6 +1,6 @@
 //! Collects the violations that the checks find.
 
-/// An invalid value.
+/// An invalid value of the configuration, with its key and a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Violation {
     /// The full key, such as `classes[1].aim`.
@@ -9,7 +9,7 @@
     pub(crate) message: String,
 }
 
-/// The violations found so far.
+/// The invalid values that the checks have found so far.
 #[derive(Default)]
 pub(super) struct Violations {
     found: Vec<Violation>,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Adds a violation of `key`.
+    /// Adds a violation: the value of `key` is invalid for the reason in `message`.
     pub(super) fn add(&mut self, key: &str, message: impl Into<String>) {
         self.found.push(Violation { key: key.to_owned(), message: message.into() });
     }
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -7,7 +7,7 @@
 /// The merged and validated configuration, with the origin of each value.
 #[derive(Clone, Debug)]
 pub struct EffectiveConfig {
-    /// The values.
+    /// The merged values of all layers.
     pub config: Config,
     figment: Figment,
 }
--- a/crates/config/src/layers.rs
+++ b/crates/config/src/layers.rs
@@ -16,7 +16,7 @@
 /// The environment variable, without its prefix, that names the configuration file and sets no key.
 const FILE_VARIABLE: &str = "config";
 
-/// A layer, with the name by which figment reports the origin of its values.
+/// One layer of the configuration, with the name by which figment reports the origin of the layer's values.
 struct Layer {
     name: String,
     table: toml::Table,
--- a/crates/config/src/location.rs
+++ b/crates/config/src/location.rs
@@ -26,8 +26,8 @@
     Position { line, column }
 }
 
-/// The position of the value of a key such as `classes[1].aim`, or of the innermost table around it that the
-/// file has.
+/// The position of the value of a key such as `classes[1].aim`. If the file does not set the key, the
+/// position of the innermost table around the key that the file has; `None` if it has none.
 pub(crate) fn position_of_key(text: &str, key: &str) -> Option<Position> {
     let document = DeTable::parse(text).ok()?;
     let mut parts = key.split(['.', '[', ']']).filter(|part| !part.is_empty());
--- a/crates/config/src/startup.rs
+++ b/crates/config/src/startup.rs
@@ -1,4 +1,5 @@
-//! Converts a configuration to the startup configuration, which is the same for all configuration formats.
+//! Converts the TOML configuration to the startup configuration, from which the scheduler starts. The startup
+//! configuration is the same for all configuration formats.
 use copperspread_dispatcher::{self as dispatcher, Idempotency, RequestClass, Settings};
 use copperspread_settings::{
     DiscoveryConfig, EndpointList, EndpointPhase, EndpointRecord, ProxySettings, SchedulerSettings,
@@ -25,7 +26,7 @@
     /// An address cannot be parsed.
     #[error("{text:?} is not an address")]
     InvalidAddress {
-        /// The address as given.
+        /// The text in the configuration that is not an address.
         text: String,
     },
 }
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -19,23 +19,23 @@
     /// The text is not a duration.
     #[error("{text:?} is not a duration ({source}); write \"250ms\" or \"1m 30s\"")]
     InvalidDuration {
-        /// The text as given.
+        /// The text in the configuration that is not a duration.
         text: String,
-        /// The parser's error.
+        /// The error of the duration parser, which says what is wrong with the text.
         source: humantime::DurationError,
     },
     /// The duration is longer than 366 days.
     #[error("{text:?} is longer than 366 days")]
     DurationTooLong {
-        /// The text as given.
+        /// The text in the configuration, a valid duration that is too long.
         text: String,
     },
     /// The text is not a size.
     #[error("{text:?} is not a size ({reason}); write \"192 MB\" or \"64 KiB\"")]
     InvalidSize {
-        /// The text as given.
+        /// The text in the configuration that is not a size.
         text: String,
-        /// The parser's error, as text because the parser has no error type.
+        /// The error of the size parser, as text because that parser has no error type.
         reason: String,
     },
 }
--- a/crates/event-log/src/batch_writer.rs
+++ b/crates/event-log/src/batch_writer.rs
@@ -11,9 +11,9 @@
 use crate::record::{EventKind, Record};
 use crate::recorder::SharedCounts;
 
-/// Size of a batch at which it is written even if the queue is not empty.
+/// Size in bytes from which a batch is written, even if more records are queued.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Extra capacity of the batch buffer, for the record that makes the batch exceed its size.
+/// Extra capacity of the batch buffer in bytes, for the record with which the batch exceeds its maximum size.
 const BATCH_HEADROOM_BYTES: usize = 4096;
 /// How long the thread sleeps after a batch's first record, to collect more: waking the thread for each
 /// record would cost more than the record.
@@ -34,13 +34,13 @@
     failures: u64,
     /// Number of failed rotations.
     rotation_failures: u64,
-    /// The sequence number of the next record, if none is missing.
+    /// The sequence number that the next record has, unless records before that record are missing.
     next_sequence: u64,
     counts: Arc<SharedCounts>,
 }
 
 impl BatchWriter {
-    /// A writer to `file`; with `None`, the file is opened at the next check.
+    /// Creates a writer that appends to `file`. With `None`, the writer opens the file at its next check.
     pub(crate) fn new(
         config: EventLogConfig,
         files: Box<dyn FileSystem>,
--- a/crates/event-log/src/error.rs
+++ b/crates/event-log/src/error.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum EventLogError {
-    /// Another process holds the lock of the file.
+    /// Another process holds the lock of the log file, so that two schedulers cannot write to one file.
     #[error("another process writes it")]
     LockedByOtherProcess,
     /// The file could not be opened at the last attempt, and the next attempt is not due yet.
--- a/crates/event-log/src/fleet_summary.rs
+++ b/crates/event-log/src/fleet_summary.rs
@@ -24,7 +24,8 @@
     /// The sums for each second of the timeline, keyed by Unix time in seconds.
     seconds: BTreeMap<u64, WindowSummary>,
     workers: BTreeMap<String, WorkerSummary>,
-    /// Number of lines that are not records, such as log lines and truncated records.
+    /// Number of lines that are not records, such as truncated records, or messages of the scheduler that
+    /// were collected together with the records.
     other_lines: u64,
 }
 
@@ -40,9 +41,11 @@
 struct RunState {
     next_sequence: u64,
     missing: u64,
-    /// The estimate of the last decision on each request, in microseconds, until its attempt is sent.
+    /// The estimated finish time in the last decision on each request, in microseconds from the decision. An
+    /// entry stays until the attempt of the decision is sent.
     pending_estimates_us: HashMap<String, u64>,
-    /// The attempts in flight, with their estimates in microseconds if known.
+    /// The attempts in flight. The value is the estimated finish time of the attempt, in microseconds from
+    /// the decision to send it, if known.
     in_flight: HashMap<AttemptKey, Option<u64>>,
 }
 
@@ -57,7 +60,8 @@
         self.in_flight.insert(AttemptKey { request_id: request_id.to_owned(), attempt }, estimate_us);
     }
 
-    /// Removes an attempt. Returns `None` if it was not in flight, and otherwise its estimate if known.
+    /// Removes an attempt from those in flight. Returns `None` if the attempt was not in flight, and
+    /// otherwise its estimated finish time if known.
     fn end_attempt(&mut self, request_id: &str, attempt: u32) -> Option<Option<u64>> {
         self.in_flight.remove(&AttemptKey { request_id: request_id.to_owned(), attempt })
     }
--- a/crates/event-log/src/reader.rs
+++ b/crates/event-log/src/reader.rs
@@ -15,11 +15,11 @@
 /// A line of the stream, classified by its content.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
-    /// A record.
+    /// A line with a record that this reader can parse.
     Record(Record),
     /// A record with an event kind that this reader does not know.
     UnknownKind {
-        /// The event kind.
+        /// The serialized name of the event kind.
         kind: String,
         /// The id of the record's run.
         run_id: String,
@@ -45,21 +45,21 @@
     /// The line is not JSON, or its fields are not those of a record.
     #[error("{message}")]
     Malformed {
-        /// The message of the JSON parser.
+        /// The message of the JSON parser, which says what is wrong with the line.
         message: String,
     },
     /// The record has a later format version than [`FORMAT`].
     #[error("is of version {version}; this program reads up to {FORMAT}")]
     UnsupportedVersion {
-        /// The record's format version.
+        /// The format version that the record states.
         version: u32,
     },
     /// The event's fields are not those that its event kind requires.
     #[error("{kind}: {message}")]
     MalformedEvent {
-        /// The event kind.
+        /// The serialized name of the event kind.
         kind: String,
-        /// The message of the JSON parser.
+        /// The message of the JSON parser, which says which field is wrong.
         message: String,
     },
 }
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -26,7 +26,7 @@
     pub unix_us: u64,
     /// Time of the event by the monotonic clock, in microseconds since the start of the run. Never jumps.
     pub mono_us: u64,
-    /// The event.
+    /// The event, with its kind and the fields of that kind.
     #[serde(rename = "what")]
     pub event: EventKind,
 }
@@ -45,7 +45,7 @@
     },
     /// The scheduler shut down, which ended the run.
     RunEnded {
-        /// Number of requests without a final response.
+        /// Number of requests that had no final response at the shutdown.
         requests_left: u64,
         /// The counts of the run's requests; absent in older files.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -67,7 +67,7 @@
         /// The id of the request, 16 hex digits.
         #[serde(rename = "flow")]
         request_id: String,
-        /// The request class.
+        /// The name of the request's class.
         class: String,
         /// The client's cost hint for the request, in seconds of service time.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -80,34 +80,34 @@
     },
     /// The dispatch policy decided on a request.
     Decided {
-        /// The id of the request.
+        /// The id of the request that the decision is about, 16 hex digits.
         #[serde(rename = "flow")]
         request_id: String,
-        /// The decision.
+        /// The decision, whose fields are serialized among those of the event.
         #[serde(flatten)]
         decision: Decision,
     },
     /// An attempt was sent to its worker.
     #[serde(rename = "scheduling_sent")]
     AttemptSent {
-        /// The id of the request.
+        /// The id of the request that the attempt belongs to, 16 hex digits.
         #[serde(rename = "flow")]
         request_id: String,
         /// The number of the attempt, from 0.
         attempt: u32,
-        /// The worker.
+        /// The id of the worker that the attempt was sent to.
         #[serde(rename = "real_server")]
         worker: String,
     },
     /// An attempt ended.
     #[serde(rename = "scheduling_ended")]
     AttemptEnded {
-        /// The id of the request.
+        /// The id of the request that the attempt belongs to, 16 hex digits.
         #[serde(rename = "flow")]
         request_id: String,
         /// The number of the attempt, from 0.
         attempt: u32,
-        /// The worker.
+        /// The id of the worker that the attempt was sent to.
         #[serde(rename = "real_server")]
         worker: String,
         /// The outcome: `served`, `error`, `full` (rejected by the worker), `timed_out`, `connect_failed`,
@@ -125,10 +125,10 @@
     /// The client got its final response, or disconnected first.
     #[serde(rename = "answered")]
     RequestFinished {
-        /// The id of the request.
+        /// The id of the request, 16 hex digits.
         #[serde(rename = "flow")]
         request_id: String,
-        /// The request class.
+        /// The name of the request's class.
         class: String,
         /// The final response: `served`, `refused` (rejected), `failed`, `repeated` (duplicate), or `gone` if
         /// the client disconnected first.
@@ -144,7 +144,7 @@
         /// The current name of the counter; names in older files are converted.
         #[serde(rename = "what", deserialize_with = "counter_names::deserialize")]
         counter: String,
-        /// The value of the counter.
+        /// The value of the counter when this event was recorded, a power of 2.
         count: u64,
     },
     /// Records are missing; this record has the sequence number of the last of them.
@@ -173,7 +173,7 @@
 pub enum Decision {
     /// An attempt is to be sent to a worker.
     Send {
-        /// The worker.
+        /// The id of the worker that gets the attempt.
         #[serde(rename = "real_server")]
         worker: String,
         /// Estimated finish time of the attempt, in microseconds from now.
@@ -204,7 +204,7 @@
 /// One worker of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// The worker.
+    /// The id of the worker.
     #[serde(rename = "real_server")]
     pub worker: String,
     /// The state of the worker: `ready`, `draining` or `gone`.
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -50,7 +50,7 @@
 
 struct Queue {
     next_sequence: u64,
-    /// `None` once the recorder is closed.
+    /// The sender of the queue to the batch writer; `None` once the recorder is closed.
     sender: Option<SyncSender<Record>>,
 }
 
@@ -58,7 +58,8 @@
 struct Run {
     id: String,
     started: Instant,
-    /// Sequence number and queue under one lock, so that records are queued in the order of their numbers.
+    /// The next sequence number and the queue are under one lock, so that records are queued in the order of
+    /// their sequence numbers.
     queue: Mutex<Queue>,
     counts: Arc<SharedCounts>,
 }
--- a/crates/event-log/src/run_summary.rs
+++ b/crates/event-log/src/run_summary.rs
@@ -9,7 +9,7 @@
 use crate::sequence_tracker::SequenceTracker;
 use crate::text_format::{Counts, elapsed_histogram, format_counts, increment, quantile_ms};
 
-/// Significant digits of the histogram of response times.
+/// Number of significant decimal digits that the histogram of response times keeps.
 const ELAPSED_DIGITS: u8 = 3;
 
 /// The summary of one run of the scheduler.
@@ -32,7 +32,7 @@
     pub attempt_outcomes: BTreeMap<String, u64>,
     /// Number of rejections by reason.
     pub rejection_reasons: BTreeMap<String, u64>,
-    /// The requests by class.
+    /// The summary of the requests of each class, by the class's name.
     pub classes: BTreeMap<String, ClassSummary>,
     sequences: SequenceTracker,
     clock: Option<RunClock>,
--- a/crates/event-log/src/text_format.rs
+++ b/crates/event-log/src/text_format.rs
@@ -10,7 +10,7 @@
 /// Upper bound of the histograms of elapsed times, in microseconds: a day. Longer times count as a day.
 const MAX_ELAPSED_US: u64 = 86_400_000_000;
 
-/// Counts by name.
+/// Numbers of occurrences, such as of outcomes or rejection reasons, by name.
 pub(crate) type Counts = BTreeMap<String, u64>;
 
 /// Adds one to the count of a name.
--- a/crates/event-log/src/window_summary.rs
+++ b/crates/event-log/src/window_summary.rs
@@ -1,14 +1,15 @@
-//! Summarizes what all schedulers did in a window of the timeline of all runs.
+//! Summarizes what all schedulers did in one time window of the fleet summary. The timeline of all runs
+//! places the records in windows.
 use std::fmt::Write;
 
 use hdrhistogram::Histogram;
 
 use crate::text_format::{Counts, elapsed_histogram, format_counts, quantile_ms};
 
-/// Significant digits of the histograms of the fleet summary.
+/// Significant digits of the histograms of elapsed times in the fleet summary.
 pub(crate) const ELAPSED_DIGITS: u8 = 2;
 
-/// Sums over all schedulers in a window of the timeline of all runs.
+/// Sums over all schedulers for one time window of the fleet summary.
 pub(crate) struct WindowSummary {
     /// Number of requests passed to the dispatch policies.
     pub(crate) accepted: u64,
@@ -36,7 +37,7 @@
 }
 
 impl WindowSummary {
-    /// Adds another window's sums.
+    /// Adds the sums of another window to this window's sums.
     pub(crate) fn merge(&mut self, other: &WindowSummary) {
         self.accepted += other.accepted;
         self.attempts_sent += other.attempts_sent;
@@ -48,7 +49,8 @@
         let _ = self.served_us.add(&other.served_us);
     }
 
-    /// Writes the window's line; `start_s` is its start in seconds after that of the first window.
+    /// Writes the line of this window into the summary's text. `start_s` is the start of this window, in
+    /// seconds after the start of the first window.
     pub(crate) fn write_text(&self, start_s: u64, text: &mut String) {
         let _ = writeln!(
             text,
--- a/crates/event-log/src/worker_summary.rs
+++ b/crates/event-log/src/worker_summary.rs
@@ -6,24 +6,26 @@
 use crate::text_format::{Counts, elapsed_histogram, format_counts, increment};
 use crate::window_summary::ELAPSED_DIGITS;
 
-/// A change of the number of attempts in flight. Among changes at the same time, ends are ordered before
-/// starts, so that an attempt that ends at the time at which another starts does not count as in flight
-/// together with it.
+/// A change of the number of attempts in flight at the worker. Among changes at the same time, ends are
+/// ordered before starts, so that an attempt that ends at the time at which another starts does not count as
+/// in flight together with the other.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlightChange {
-    /// Time of the change in microseconds of Unix time, by the timeline of all runs.
+    /// Time of the change in microseconds of Unix time, as the timeline of all runs computes it from the
+    /// record's monotonic clock.
     time_us: u64,
     /// 1 for a start, -1 for an end.
     change: i32,
 }
 
-/// Sums over all schedulers at one worker.
+/// Sums over the attempts that all schedulers sent to one worker.
 #[derive(Default)]
 pub(crate) struct WorkerSummary {
     attempts_sent: u64,
     in_flight_changes: Vec<InFlightChange>,
     attempt_outcomes: Counts,
-    /// Elapsed time of served attempts, in percent of their estimates.
+    /// Elapsed times of served attempts, each in percent of the estimated finish time at the decision to send
+    /// the attempt.
     percent_of_estimate: Option<Histogram<u64>>,
 }
 
@@ -45,7 +47,7 @@
         increment(&mut self.attempt_outcomes, outcome);
     }
 
-    /// Adds the elapsed time of a served attempt, in relation to its estimate.
+    /// Adds a served attempt's elapsed time, in percent of the attempt's estimated finish time.
     pub(crate) fn add_served(&mut self, elapsed_us: u64, estimate_us: u64) {
         let histogram = self.percent_of_estimate.get_or_insert_with(|| elapsed_histogram(ELAPSED_DIGITS));
         histogram.saturating_record(elapsed_us.saturating_mul(100) / estimate_us.max(1));
@@ -63,7 +65,8 @@
         max_in_flight
     }
 
-    /// Writes the worker's line; `total_sent` is the number of attempts sent to all workers.
+    /// Writes the line of this worker into the summary's text. `total_sent` is the number of attempts that
+    /// all schedulers sent to all workers.
     pub(crate) fn write_text(&self, name: &str, max_in_flight: i32, total_sent: u64, text: &mut String) {
         let percent = 100.0 * self.attempts_sent as f64 / total_sent.max(1) as f64;
         let _ = writeln!(
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -16,7 +16,7 @@
     Start,
 }
 
-/// A fault of the network or of a process, or the end of one.
+/// A fault of the network or of a process, or an action that ends such a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Blocks all packets from some members to others. The opposite direction is not affected.
@@ -41,7 +41,7 @@
     Process {
         /// The number of the member.
         member: usize,
-        /// The action on its process.
+        /// The action on the member's process.
         action: ProcessAction,
     },
 }
--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -14,7 +14,7 @@
     initial_conditions: LinkConditions,
     /// The current conditions of all links that are not blocked.
     pub conditions: LinkConditions,
-    /// The pairs of sender and receiver between which all packets are blocked.
+    /// The links on which all packets are blocked, as pairs of the sender's and the receiver's member number.
     pub blocked: HashSet<(usize, usize)>,
 }
 
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -17,9 +17,9 @@
     /// written.
     #[error("{position}: {source}")]
     HandlingFailed {
-        /// The position in the input.
+        /// The batch that the adapter was handling, or the last one before the error.
         position: BatchPosition,
-        /// The cause.
+        /// The violation of the protocol, or the failure to write the reply.
         source: MessageError,
     },
 }
@@ -57,15 +57,15 @@
     /// A message other than the start of a batch arrived outside a batch.
     #[error("{kind} outside a batch")]
     OutsideBatch {
-        /// The message's kind.
+        /// The kind of the message, as the simulator wrote it.
         kind: String,
     },
     /// A message lacks a field that its kind requires.
     #[error("{kind} without {field}")]
     MissingField {
-        /// The message's kind.
+        /// The kind of the message, as the simulator wrote it.
         kind: String,
-        /// The field's name.
+        /// The name of the missing field on the wire.
         field: &'static str,
     },
     /// An instance's settings cannot be read.
@@ -74,25 +74,25 @@
     /// A request id is not 16 hex digits.
     #[error("req {text:?} is not 16 hex digits")]
     InvalidRequestId {
-        /// The invalid id.
+        /// The text that the simulator sent as the request id.
         text: String,
     },
     /// The code of an outcome is unknown.
     #[error("state_code {code} is unknown")]
     UnknownOutcome {
-        /// The unknown code.
+        /// The code that the simulator sent as `state_code`.
         code: u32,
     },
     /// The mode of an endpoint update is unknown.
     #[error("topology of unknown mode {mode:?}")]
     UnknownMode {
-        /// The unknown mode.
+        /// The mode that the simulator sent in the `topology` message.
         mode: String,
     },
     /// The status of an endpoint is unknown.
     #[error("topology with unknown status {status:?}")]
     UnknownStatus {
-        /// The unknown status.
+        /// The status that the simulator sent for the endpoint.
         status: String,
     },
     /// The reply cannot be written.
@@ -106,22 +106,22 @@
     /// The message's kind is unknown.
     #[error("unknown event {kind:?} skipped")]
     UnknownKind {
-        /// The unknown kind.
+        /// The kind of the skipped message, as the simulator wrote it.
         kind: String,
     },
     /// No instance with this name exists: it was never provisioned, its settings were rejected, or it was
     /// stopped by `down`.
     #[error("{kind} for unprovisioned instance {node:?} skipped")]
     NotProvisioned {
-        /// The message's kind.
+        /// The kind of the skipped message.
         kind: String,
-        /// The instance's name.
+        /// The name of the instance that the message was addressed to.
         node: String,
     },
     /// The kind of progress is unknown.
     #[error("progress of unknown kind {kind} skipped")]
     UnknownProgress {
-        /// The unknown kind.
+        /// The code that the simulator sent as the kind of progress.
         kind: u32,
     },
     /// The cookie of an expired timer cannot be parsed.
@@ -130,7 +130,7 @@
     /// A load query was answered for a worker that no endpoint update has listed.
     #[error("checked for unknown worker {worker:?} skipped")]
     UnknownWorker {
-        /// The worker's name.
+        /// The name of the worker on the wire.
         worker: String,
     },
 }
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -12,12 +12,12 @@
 /// field names are those on the wire.
 #[derive(Deserialize)]
 pub(crate) struct Line<'a> {
-    /// The message's kind.
+    /// The kind of the message, which decides which other fields it needs.
     #[serde(borrow)]
     pub(crate) kind: Cow<'a, str>,
-    /// A batch's virtual time, in seconds.
+    /// The virtual time of a batch, in seconds.
     pub(crate) ts_s: Option<f64>,
-    /// A batch's number.
+    /// The turn number of a batch, which the end of the reply repeats.
     pub(crate) turn: Option<u64>,
     /// The name of the addressed instance.
     #[serde(borrow)]
@@ -95,13 +95,13 @@
 /// A worker's load report. The field names are those on the wire.
 #[derive(Deserialize)]
 pub(crate) struct Load {
-    /// The number of attempts that the worker holds, queued or running.
+    /// The number of attempts at the worker, queued or running.
     pub(crate) active: Option<f64>,
     /// The number of queued attempts.
     pub(crate) waiting: Option<f64>,
     /// The fraction of the worker's cores in use.
     pub(crate) cpu: Option<f64>,
-    /// The request rate, per second.
+    /// The number of requests that the worker serves per second.
     pub(crate) rps: Option<f64>,
     /// The number of free slots.
     pub(crate) x0: Option<f64>,
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// The batch that is being handled.
+/// The batch whose messages the session is handling.
 #[derive(Clone, Copy)]
 struct Batch {
     turn: u64,
--- a/crates/system-call-faults/src/call.rs
+++ b/crates/system-call-faults/src/call.rs
@@ -18,7 +18,7 @@
     Rename,
 }
 
-/// The names of all calls in plans.
+/// The names by which the statements of a plan refer to the kinds of calls.
 const CALL_NAMES: [(&str, Call); 13] = [
     ("accept4", Call::Accept),
     ("socket", Call::Socket),
@@ -59,7 +59,7 @@
     Membership,
 }
 
-/// The names of all socket kinds in plans.
+/// The names by which the statements of a plan refer to the kinds of sockets.
 const SOCKET_KIND_NAMES: [(&str, SocketKind); 4] = [
     ("client", SocketKind::Client),
     ("worker", SocketKind::Worker),
@@ -77,7 +77,7 @@
     }
 }
 
-/// The target of a call.
+/// What a call acts on, which the rules of a plan are matched with.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Target<'a> {
     Socket(SocketKind),
--- a/crates/system-call-faults/src/injector.rs
+++ b/crates/system-call-faults/src/injector.rs
@@ -17,8 +17,8 @@
     log: Option<File>,
 }
 
-/// Set once before the program's `main`. Until then every call passes through, including those that read the
-/// plan.
+/// The injector, set once before the program's `main`. Until then every call passes through, including the
+/// calls that read the plan.
 static INJECTOR: OnceLock<Injector> = OnceLock::new();
 
 /// Loads the plan if the environment variable names one.
--- a/crates/system-call-faults/src/plan.rs
+++ b/crates/system-call-faults/src/plan.rs
@@ -17,7 +17,7 @@
     Fail(Errno),
     /// The call transfers at most this many bytes.
     Short(usize),
-    /// The process is killed.
+    /// The process is killed by SIGKILL before the call is carried out.
     Kill,
 }
 
@@ -56,7 +56,7 @@
 pub(crate) enum Selection {
     /// All calls from the first to the last, inclusive.
     Range { first: u64, last: u64 },
-    /// All calls whose number is a multiple of this.
+    /// All calls whose number is a multiple of this number.
     Every(u64),
 }
 
@@ -76,7 +76,7 @@
     pub(crate) pattern: TargetPattern,
     pub(crate) fault: Fault,
     pub(crate) selection: Selection,
-    /// The number of calls that have matched so far.
+    /// The number of calls that have matched this rule so far, by which the rule selects calls.
     matched: AtomicU64,
 }
 
@@ -87,7 +87,7 @@
     pub(crate) nanoseconds: i64,
 }
 
-/// A parsed plan.
+/// A fault plan as parsed from its text file.
 #[derive(Debug, Default)]
 pub(crate) struct Plan {
     pub(crate) log_path: Option<PathBuf>,
@@ -96,10 +96,10 @@
     clock_offsets: Vec<ClockOffset>,
 }
 
-/// The reason why a text is not a valid plan.
+/// The reason why a text is not a valid fault plan.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct PlanError {
-    /// The line number, counted from 1.
+    /// The number of the invalid line in the plan, counted from 1.
     pub(crate) line: usize,
     pub(crate) reason: String,
 }
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -64,7 +64,8 @@
 /// relays.
 pub struct Fleet {
     config: FleetConfig,
-    // Declared, and so dropped, before the directory and the runtime, so that the processes end first.
+    // The members are declared, and so dropped, before the directory and the runtime, so that the processes
+    // end before both.
     fleet_members: Vec<FleetMember>,
     network: Arc<FaultyNetwork>,
     client: MembershipClient,
@@ -123,8 +124,8 @@
         format!("n{member}")
     }
 
-    /// Returns a member's own address for packets and streams. What is sent to it directly bypasses the
-    /// relay.
+    /// Returns a member's own address for packets and streams. Packets and streams that are sent to this
+    /// address bypass the member's relay.
     pub fn membership_address(&self, member: usize) -> SocketAddr {
         self.fleet_members[member].membership_address
     }
--- a/crates/test-harness/src/fleet/waits.rs
+++ b/crates/test-harness/src/fleet/waits.rs
@@ -8,15 +8,15 @@
 
 /// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Number of lines of each log in a failure message.
+/// Maximum number of lines of each member's log that a failure message shows.
 const MAX_SHOWN_LOG_LINES: usize = 12;
 
 /// The view of a member at one check.
 #[derive(Clone, Debug)]
 pub struct ObservedView {
-    /// The member's number.
+    /// The number of the member that responded.
     pub member: usize,
-    /// The member's view.
+    /// The view with which the member responded.
     pub view: MembershipView,
 }
 
@@ -84,7 +84,7 @@
         self.fleet_members.iter_mut().position(has_exited)
     }
 
-    /// Formats the given responses, and the last lines of the logs of these members.
+    /// Formats the given responses, and the last lines of the log of each member that they come from.
     fn describe(&self, responses: &[ViewResponse]) -> String {
         let describe_one = |response: &ViewResponse| {
             let view = match &response.view {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Returns the views if each response holds one, and `None` otherwise.
+/// Returns the views if every member responded with a view, and `None` otherwise.
 fn all_views(responses: &[ViewResponse]) -> Option<Vec<ObservedView>> {
     let observed = |response: &ViewResponse| {
         let view = response.view.as_ref().ok()?.clone();
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -32,8 +32,8 @@
     }
 
     fn signal(&self, signal: Signal) {
-        // The signal cannot reach another process: the system does not reuse the child's process id before
-        // the child has been waited for, even if the child has exited.
+        // The signal cannot reach another process than the child. The system does not reuse the child's
+        // process id before the harness has waited for the child, even if the child has exited.
         kill_process(Pid::from_child(&self.0), signal).expect("the child process can be signalled");
     }
 
--- a/crates/test-harness/src/relay.rs
+++ b/crates/test-harness/src/relay.rs
@@ -74,8 +74,8 @@
     let socket = Arc::new(tokio::net::UdpSocket::from_std(socket).expect("the runtime accepts the socket"));
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error is ignored, because it only reports that an earlier packet could not be delivered to a
-        // member that is down.
+        // A receive error is ignored, because it only reports that an earlier packet could not be delivered
+        // to a member that is down.
         let Ok((size, sender)) = socket.recv_from(&mut buffer).await else { continue };
         let Some(from) = network.addresses.member_at(sender) else { continue };
         for delay in network.delivery_delays(from, to).into_iter().flatten() {
@@ -149,7 +149,7 @@
             return;
         }
     }
-    // The faults apply to the end of the stream too.
+    // The faults of the link apply to the end of the stream too.
     network.wait_for_delivery(from, to).await;
     let _ = output.shutdown().await;
 }
--- a/crates/test-harness/src/view.rs
+++ b/crates/test-harness/src/view.rs
@@ -41,7 +41,7 @@
 /// One member's view of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct MembershipView {
-    /// The member that responded.
+    /// The properties of the member that responded with this view.
     #[serde(rename = "own")]
     pub local_member: MemberInfo,
     /// The other members that this member considers alive.
@@ -52,15 +52,15 @@
     /// The number of pauses of its own process that the member has detected.
     #[serde(rename = "pauses")]
     pub detected_pauses: u64,
-    /// The packets that the member has rejected.
+    /// The number of received packets that the member has rejected, by cause.
     pub rejected: RejectionCounts,
-    /// The number of packets received.
+    /// The number of packets that the member has received.
     pub packets_in: u64,
-    /// The number of packets sent.
+    /// The number of packets that the member has sent.
     pub packets_out: u64,
-    /// The number of bytes received.
+    /// The number of bytes that the member has received.
     pub bytes_in: u64,
-    /// The number of bytes sent.
+    /// The number of bytes that the member has sent.
     pub bytes_out: u64,
 }
 
