--- a/crates/config/src/describe/default_file.rs
+++ b/crates/config/src/describe/default_file.rs
@@ -9,10 +9,10 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum DescribeError {
-    /// The defaults cannot be serialized.
+    /// The built-in defaults cannot be serialized as TOML.
     #[error(transparent)]
     Serialize(#[from] toml::ser::Error),
-    /// The serialized defaults cannot be parsed.
+    /// The serialized defaults cannot be parsed as TOML again, which is necessary to add the comments.
     #[error(transparent)]
     Parse(#[from] toml_edit::TomlError),
 }
--- a/crates/config/src/describe/schema.rs
+++ b/crates/config/src/describe/schema.rs
@@ -20,7 +20,7 @@
     schema["required"].as_array().is_some_and(|names| names.iter().any(|required| required == name))
 }
 
-/// Whether the schema is that of a table.
+/// Whether a schema describes a table of the configuration.
 pub(super) fn is_table(schema: &Value) -> bool {
     schema["properties"].is_object()
 }
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -57,7 +57,8 @@
     }
 }
 
-/// Appends the value under the key `prefix`, or the values that it contains.
+/// Appends a value to the listing under the key `prefix`. For a table or a list of tables, appends each value
+/// in it under its own full key instead.
 fn list_values(prefix: &str, value: &toml::Value, values: &mut Vec<ListedValue>) {
     match value {
         toml::Value::Table(table) => {
--- a/crates/config/src/layer_names.rs
+++ b/crates/config/src/layer_names.rs
@@ -10,7 +10,7 @@
 pub(crate) const ENVIRONMENT_SEPARATOR: &str = "__";
 
 /// The label, in messages, of a layer that sets `key`. For the environment, the label includes the name of
-/// the variable, because figment's own name of that layer lacks it.
+/// the variable, because figment's own name of that layer lacks the variable.
 pub(crate) fn layer_label(layer: &str, key: &str) -> String {
     if !layer.contains(ENVIRONMENT_PREFIX) {
         return layer.to_owned();
--- a/crates/config/src/location.rs
+++ b/crates/config/src/location.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// The position of the byte with this offset.
+/// The line and column of the byte at this offset in the text.
 pub(crate) fn position_of_byte(text: &str, byte: usize) -> Position {
     let before = &text.as_bytes()[..byte.min(text.len())];
     let line = before.iter().filter(|&&byte| byte == b'\n').count() + 1;
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -30,12 +30,12 @@
 }
 
 impl InvalidConfig {
-    /// A single problem without a known key.
+    /// Creates an error with a single problem whose key is unknown.
     pub(crate) fn without_key(location: &str, message: impl fmt::Display) -> InvalidConfig {
         InvalidConfig::with_key(location, "", message)
     }
 
-    /// A single problem with a key.
+    /// Creates an error with a single problem whose key is known.
     pub(crate) fn with_key(location: &str, key: &str, message: impl fmt::Display) -> InvalidConfig {
         let problem =
             Problem { location: location.to_owned(), key: key.to_owned(), message: message.to_string() };
--- a/crates/event-log/src/batch_writer.rs
+++ b/crates/event-log/src/batch_writer.rs
@@ -106,8 +106,8 @@
         Ok(self.open_file()?.append(lines)?)
     }
 
-    /// Rotates the file. If this fails, records are still appended to it up to [`MAX_OVERSIZE_FACTOR`] times
-    /// its size limit, and the next batch tries again.
+    /// Rotates the file. If the rotation fails, records are still appended to the file up to
+    /// [`MAX_OVERSIZE_FACTOR`] times the file's size limit, and the next batch tries the rotation again.
     fn rotate(&mut self, added_bytes: usize) -> Result<(), EventLogError> {
         if let Err(error) = rotate(&*self.files, &self.config.path, self.config.max_rotated_files) {
             let max_file_bytes = self.config.max_file_bytes.saturating_mul(MAX_OVERSIZE_FACTOR);
--- a/crates/event-log/src/fleet_summary.rs
+++ b/crates/event-log/src/fleet_summary.rs
@@ -148,7 +148,7 @@
         text
     }
 
-    /// The sums of each window, keyed by its start in seconds after the first second.
+    /// The sums of each window, keyed by the start of the window in seconds after the first second.
     fn windows(&self, window_s: u64) -> BTreeMap<u64, WindowSummary> {
         let mut windows: BTreeMap<u64, WindowSummary> = BTreeMap::new();
         let first = self.seconds.keys().next().copied().unwrap_or(0);
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -95,7 +95,7 @@
         request_id: String,
         /// The number of the attempt, from 0.
         attempt: u32,
-        /// The id of the worker that the attempt was sent to.
+        /// The name of the worker that the attempt was sent to.
         #[serde(rename = "real_server")]
         worker: String,
     },
@@ -107,7 +107,7 @@
         request_id: String,
         /// The number of the attempt, from 0.
         attempt: u32,
-        /// The id of the worker that the attempt was sent to.
+        /// The name of the worker that the attempt was sent to.
         #[serde(rename = "real_server")]
         worker: String,
         /// The outcome: `served`, `error`, `full` (rejected by the worker), `timed_out`, `connect_failed`,
@@ -173,7 +173,7 @@
 pub enum Decision {
     /// An attempt is to be sent to a worker.
     Send {
-        /// The id of the worker that gets the attempt.
+        /// The name of the worker that gets the attempt.
         #[serde(rename = "real_server")]
         worker: String,
         /// Estimated finish time of the attempt, in microseconds from now.
@@ -204,7 +204,7 @@
 /// One worker of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// The id of the worker.
+    /// The name of the worker, as the endpoint list states it.
     #[serde(rename = "real_server")]
     pub worker: String,
     /// The state of the worker: `ready`, `draining` or `gone`.
--- a/crates/event-log/src/run_timeline.rs
+++ b/crates/event-log/src/run_timeline.rs
@@ -18,7 +18,7 @@
 }
 
 impl RunClock {
-    /// The clock of a run whose first record in the stream is `first`.
+    /// Creates the clock of a run whose first record in the stream is `first`.
     pub(crate) fn new(first: &Record) -> RunClock {
         let offset_us = clock_offset_us(first);
         RunClock { first_offset_us: offset_us, last_offset_us: offset_us, steps: 0 }
@@ -39,7 +39,8 @@
         self.steps
     }
 
-    /// The time of a record in microseconds of Unix time, by the offset at the first record.
+    /// The time of a record in microseconds of Unix time: the record's monotonic time plus the clock offset
+    /// at the first record of the run.
     fn time_us(&self, record: &Record) -> u64 {
         let time_us = (i128::from(record.mono_us) + self.first_offset_us).clamp(0, i128::from(u64::MAX));
         // The conversion cannot fail, because the time was clamped to the range of u64.
--- a/crates/event-log/src/stream_summary.rs
+++ b/crates/event-log/src/stream_summary.rs
@@ -21,11 +21,11 @@
 pub struct StreamSummary {
     /// The runs, in the order of their first records.
     pub runs: Vec<RunSummary>,
-    /// The first few lines that are not records.
+    /// The first lines that are not records, as examples with their reasons.
     pub invalid_lines: Vec<InvalidLine>,
-    /// Number of lines that are not records.
+    /// Number of lines that are not records, without a truncated last line.
     pub invalid_line_count: u64,
-    /// Whether the last line has no line break.
+    /// Whether the last line has no line break, because it is still being written or a crash truncated it.
     pub is_truncated: bool,
 }
 
--- a/crates/event-log/src/text_format.rs
+++ b/crates/event-log/src/text_format.rs
@@ -29,7 +29,7 @@
         .unwrap_or_else(|_| unreachable!("the histogram's bounds are valid"))
 }
 
-/// A quantile of the elapsed times, in milliseconds.
+/// A quantile of the elapsed times in a histogram, in milliseconds; `quantile` is from 0 to 1.
 pub(crate) fn quantile_ms(elapsed_us: &Histogram<u64>, quantile: f64) -> f64 {
     elapsed_us.value_at_quantile(quantile) as f64 / 1e3
 }
--- a/crates/event-log/src/worker_summary.rs
+++ b/crates/event-log/src/worker_summary.rs
@@ -53,7 +53,7 @@
         histogram.saturating_record(elapsed_us.saturating_mul(100) / estimate_us.max(1));
     }
 
-    /// Maximum number of attempts, of all schedulers together, that were in flight at once.
+    /// Maximum number of attempts, of all schedulers together, that were in flight at the worker at once.
     pub(crate) fn max_in_flight(&self) -> i32 {
         let mut changes = self.in_flight_changes.clone();
         changes.sort_unstable();
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -21,16 +21,16 @@
 pub enum Fault {
     /// Blocks all packets from some members to others. The opposite direction is not affected.
     BlockOneWay {
-        /// The members whose packets are blocked.
+        /// The numbers of the members whose packets are blocked.
         from: Vec<usize>,
-        /// The members that do not receive these packets.
+        /// The numbers of the members that do not receive these packets.
         to: Vec<usize>,
     },
     /// Blocks all packets between two groups of members, in both directions.
     Partition {
-        /// The members of one group.
+        /// The numbers of the members of one group.
         one: Vec<usize>,
-        /// The members of the other group.
+        /// The numbers of the members of the other group.
         other: Vec<usize>,
     },
     /// Sets the conditions of all links that are not blocked.
--- a/crates/fault-injection/src/link_conditions.rs
+++ b/crates/fault-injection/src/link_conditions.rs
@@ -17,7 +17,7 @@
     /// The additional delay of the copies that [`extra_delay_rate`](LinkConditions::extra_delay_rate)
     /// selects, on top of the delay between the minimum and the maximum.
     pub extra_delay: Duration,
-    /// The minimum delay, inclusive.
+    /// The minimum delay of a copy of a packet, inclusive.
     pub min_delay: Duration,
     /// The maximum delay, exclusive unless equal to the minimum. Each copy of a packet draws its own delay
     /// from this range, so that packets can overtake each other.
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -17,11 +17,11 @@
     pub(crate) kind: EndpointUpdateKind,
     /// The version of the endpoint list; 0 for a failed poll.
     pub(crate) version: u64,
-    /// The listed endpoints.
+    /// The endpoints that the update lists. A failed poll may list none.
     pub(crate) endpoints: Vec<Endpoint>,
 }
 
-/// Decodes a `topology` message. Workers that it lists for the first time are assigned ids.
+/// Decodes a `topology` message. Assigns ids to the workers that no earlier message has listed.
 pub(crate) fn endpoint_update(
     message: &Line<'_>,
     workers: &mut WorkerTable,
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -22,7 +22,8 @@
     dispatcher: Dispatcher,
     sends_retry_after: bool,
     workers: WorkerTable,
-    /// The actions of the last message. The buffer is reused to avoid allocations.
+    /// The actions that resulted from the last message to the dispatcher. The buffer is reused to avoid
+    /// allocations.
     actions: Vec<Action>,
 }
 
@@ -41,7 +42,8 @@
                 self.by_name.remove(node);
                 Ok(())
             }
-            // Ignored: the adapter's instances send no messages to each other.
+            // Messages from other instances are ignored, because the adapter's instances send no messages to
+            // each other.
             "from_peer" => Ok(()),
             "topology" | "work_item" | "answer" | "progress" | "started" | "aborted" | "bell" | "checked" => {
                 let instance = self.by_name.get_mut(node).ok_or_else(|| not_provisioned(node, message))?;
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -46,9 +46,9 @@
     pub(crate) params: Option<&'a RawValue>,
     /// The number of slots that a request occupies.
     pub(crate) width: Option<f64>,
-    /// The tenant of a request.
+    /// The tenant of a request, as a number.
     pub(crate) org: Option<u32>,
-    /// The request class.
+    /// The request class, as a number.
     pub(crate) category: Option<u32>,
     /// The time until a request's deadline, in seconds.
     pub(crate) expires_in_s: Option<f64>,
@@ -77,11 +77,11 @@
     /// The worker's name.
     #[serde(borrow)]
     pub(crate) executor: Cow<'a, str>,
-    /// The worker's zone; absent means 0.
+    /// The worker's zone, as a number; absent means 0.
     pub(crate) dc: Option<u32>,
-    /// The worker kind; absent means 0.
+    /// The worker kind, as a number; absent means 0.
     pub(crate) class_of_host: Option<u32>,
-    /// The worker's cell; absent means 0.
+    /// The worker's cell, as a number; absent means 0.
     pub(crate) cluster: Option<u32>,
     /// The worker's state: `live`, `quiescing` (draining) or `dead` (removed).
     #[serde(borrow)]
@@ -97,13 +97,13 @@
 pub(crate) struct Load {
     /// The number of attempts at the worker, queued or running.
     pub(crate) active: Option<f64>,
-    /// The number of queued attempts.
+    /// The number of attempts that are queued at the worker.
     pub(crate) waiting: Option<f64>,
     /// The fraction of the worker's cores in use.
     pub(crate) cpu: Option<f64>,
     /// The number of requests that the worker serves per second.
     pub(crate) rps: Option<f64>,
-    /// The number of free slots.
+    /// The number of the worker's free slots.
     pub(crate) x0: Option<f64>,
 }
 
--- a/crates/system-call-faults/src/call.rs
+++ b/crates/system-call-faults/src/call.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// The kind of peer that a socket is for.
+/// The kind of peer that a socket communicates with, by which a plan selects sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SocketKind {
     Client,
--- a/crates/system-call-faults/src/plan.rs
+++ b/crates/system-call-faults/src/plan.rs
@@ -173,8 +173,8 @@
         self.rules.iter().any(|rule| rule.call == call)
     }
 
-    /// Counts a call in all matching rules and returns its fault: that of the first rule that selects the
-    /// call.
+    /// Counts a call in all rules that match the call, and returns the fault of the first rule that selects
+    /// the call.
     pub(crate) fn next_fault(&self, call: Call, target: Target<'_>) -> Option<Fault> {
         let matching = self.rules.iter().filter(|rule| rule.call == call && rule.pattern.matches(target));
         let mut fault = None;
--- a/crates/system-call-faults/src/sockets.rs
+++ b/crates/system-call-faults/src/sockets.rs
@@ -139,7 +139,8 @@
     accepted
 }
 
-/// Whether one of these events is pending, or a call on the socket would block until one is.
+/// Whether one of these events is pending on a socket, or a call on the socket would block until one of them
+/// is pending.
 pub(crate) fn is_ready(descriptor: c_int, events: libc::c_short) -> bool {
     // SAFETY: any descriptor may be passed.
     let flags = unsafe { libc::fcntl(descriptor, libc::F_GETFL) };
--- a/crates/test-harness/src/client.rs
+++ b/crates/test-harness/src/client.rs
@@ -39,7 +39,7 @@
     Decode(#[source] serde_json::Error),
 }
 
-/// Fetches the views of members.
+/// The HTTP client that fetches each member's view of the membership.
 pub(crate) struct MembershipClient(Client<HttpConnector, Empty<Bytes>>);
 
 impl MembershipClient {
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -130,12 +130,12 @@
         self.fleet_members[member].membership_address
     }
 
-    /// Returns the address of a member's relay, which the other members use.
+    /// Returns the address of a member's relay, to which the other members send packets and streams.
     pub fn relay_address(&self, member: usize) -> SocketAddr {
         self.fleet_members[member].relay_address
     }
 
-    /// Starts a member's process. If one is running, kills it first.
+    /// Starts a member's process. If a process of the member is running, kills that process first.
     ///
     /// # Panics
     /// Panics if the process cannot be started, or its configuration or log cannot be written.
