--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -7,7 +7,7 @@
 /// The merged and validated configuration, with the origin of each value.
 #[derive(Clone, Debug)]
 pub struct EffectiveConfig {
-    /// The values.
+    /// The merged values of all layers.
     pub config: Config,
     figment: Figment,
 }
@@ -57,7 +57,8 @@
     }
 }
 
-/// Appends the value under the key `prefix`, or the values that it contains.
+/// Appends a value to the listing under the key `prefix`. For a table or a list of tables, appends each value
+/// in it under its own full key instead.
 fn list_values(prefix: &str, value: &toml::Value, values: &mut Vec<ListedValue>) {
     match value {
         toml::Value::Table(table) => {
--- a/crates/config/src/location.rs
+++ b/crates/config/src/location.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// The position of the byte with this offset.
+/// The line and column of the byte at this offset in the text.
 pub(crate) fn position_of_byte(text: &str, byte: usize) -> Position {
     let before = &text.as_bytes()[..byte.min(text.len())];
     let line = before.iter().filter(|&&byte| byte == b'\n').count() + 1;
@@ -26,8 +26,8 @@
     Position { line, column }
 }
 
-/// The position of the value of a key such as `classes[1].aim`, or of the innermost table around it that the
-/// file has.
+/// The position of the value of a key such as `classes[1].aim`. If the file does not set the key, the
+/// position of the innermost table around the key that the file has; `None` if it has none.
 pub(crate) fn position_of_key(text: &str, key: &str) -> Option<Position> {
     let document = DeTable::parse(text).ok()?;
     let mut parts = key.split(['.', '[', ']']).filter(|part| !part.is_empty());
--- a/crates/event-log/src/run_timeline.rs
+++ b/crates/event-log/src/run_timeline.rs
@@ -3,8 +3,8 @@
 
 use crate::record::Record;
 
-/// If the difference of the wall clock and the monotonic clock changes by more than this from one record to
-/// the next, the wall clock was set.
+/// Largest change of the difference between wall clock and monotonic clock, from one record to the next, that
+/// does not count as a setting of the wall clock. In microseconds.
 const MIN_CLOCK_STEP_US: i128 = 1_000_000;
 
 /// The offset of the wall clock from the monotonic clock in one run.
@@ -18,13 +18,14 @@
 }
 
 impl RunClock {
-    /// The clock of a run whose first record in the stream is `first`.
+    /// Creates the clock of a run whose first record in the stream is `first`.
     pub(crate) fn new(first: &Record) -> RunClock {
         let offset_us = clock_offset_us(first);
         RunClock { first_offset_us: offset_us, last_offset_us: offset_us, steps: 0 }
     }
 
-    /// Adds the next record of the run.
+    /// Updates the clock offset by the next record of the run, and counts whether the wall clock was set
+    /// since the previous record.
     pub(crate) fn add(&mut self, record: &Record) {
         let offset_us = clock_offset_us(record);
         if (self.last_offset_us - offset_us).abs() > MIN_CLOCK_STEP_US {
@@ -38,7 +39,8 @@
         self.steps
     }
 
-    /// The time of a record in microseconds of Unix time, by the offset at the first record.
+    /// The time of a record in microseconds of Unix time: the record's monotonic time plus the clock offset
+    /// at the first record of the run.
     fn time_us(&self, record: &Record) -> u64 {
         let time_us = (i128::from(record.mono_us) + self.first_offset_us).clamp(0, i128::from(u64::MAX));
         // The conversion cannot fail, because the time was clamped to the range of u64.
--- a/crates/event-log/src/text_format.rs
+++ b/crates/event-log/src/text_format.rs
@@ -10,7 +10,7 @@
 /// Upper bound of the histograms of elapsed times, in microseconds: a day. Longer times count as a day.
 const MAX_ELAPSED_US: u64 = 86_400_000_000;
 
-/// Counts by name.
+/// Numbers of occurrences, such as of outcomes or rejection reasons, by name.
 pub(crate) type Counts = BTreeMap<String, u64>;
 
 /// Adds one to the count of a name.
@@ -29,7 +29,7 @@
         .unwrap_or_else(|_| unreachable!("the histogram's bounds are valid"))
 }
 
-/// A quantile of the elapsed times, in milliseconds.
+/// A quantile of the elapsed times in a histogram, in milliseconds; `quantile` is from 0 to 1.
 pub(crate) fn quantile_ms(elapsed_us: &Histogram<u64>, quantile: f64) -> f64 {
     elapsed_us.value_at_quantile(quantile) as f64 / 1e3
 }
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -64,7 +64,8 @@
 /// relays.
 pub struct Fleet {
     config: FleetConfig,
-    // Declared, and so dropped, before the directory and the runtime, so that the processes end first.
+    // The members are declared, and so dropped, before the directory and the runtime, so that the processes
+    // end before both.
     fleet_members: Vec<FleetMember>,
     network: Arc<FaultyNetwork>,
     client: MembershipClient,
@@ -123,18 +124,18 @@
         format!("n{member}")
     }
 
-    /// Returns a member's own address for packets and streams. What is sent to it directly bypasses the
-    /// relay.
+    /// Returns a member's own address for packets and streams. Packets and streams that are sent to this
+    /// address bypass the member's relay.
     pub fn membership_address(&self, member: usize) -> SocketAddr {
         self.fleet_members[member].membership_address
     }
 
-    /// Returns the address of a member's relay, which the other members use.
+    /// Returns the address of a member's relay, to which the other members send packets and streams.
     pub fn relay_address(&self, member: usize) -> SocketAddr {
         self.fleet_members[member].relay_address
     }
 
-    /// Starts a member's process. If one is running, kills it first.
+    /// Starts a member's process. If a process of the member is running, kills that process first.
     ///
     /// # Panics
     /// Panics if the process cannot be started, or its configuration or log cannot be written.
