--- a/crates/testbed/src/commands/shipped_scenarios.rs
+++ b/crates/testbed/src/commands/shipped_scenarios.rs
@@ -32,7 +32,7 @@
     "vast-zone"
 );
 
-/// The scenario that is too large to be among the default scenarios.
+/// The name of the scenario that `compare` omits unless it is asked for, because the scenario is too large.
 pub(super) const LARGE: &str = "large";
 
 /// The TOML text of a scenario that the program contains; `None` if the name is unknown.
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -22,11 +22,11 @@
 /// The mean difference between two variants over pairs of runs with the same seed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct PairedDifference {
-    /// The mean difference.
+    /// Mean of the pairs' differences, in the unit of the compared value.
     pub mean: f64,
-    /// Lower and upper bound of the 95% bootstrap confidence interval.
+    /// Lower and upper bound of the 95% bootstrap confidence interval of the mean difference.
     pub interval: [f64; 2],
-    /// Number of pairs of runs.
+    /// Number of pairs of runs with the same seed from which the mean is computed.
     pub pairs: usize,
 }
 
@@ -142,7 +142,7 @@
     /// Number of rule violations in all runs.
     #[serde(rename = "breaches")]
     pub violations: u64,
-    /// The outcome of each run.
+    /// The outcome of each run of the variant, in the order of the seeds.
     pub runs: Vec<RunOutcome>,
 }
 
--- a/crates/testbed/src/cost/mod.rs
+++ b/crates/testbed/src/cost/mod.rs
@@ -117,7 +117,8 @@
 
 fn measure_program(program: &SchedulerProgram, settings: CostSettings) -> Result<CostSample, CostError> {
     let scenario = Scenario::parse(COST_SCENARIO).map_err(|error| CostError::Scenario(error.to_string()))?;
-    // The reservation is held until the program has ended.
+    // The socket that reserves the address is held until the program has ended, so that the kernel assigns
+    // the address to no other socket.
     let (_reserved, listen) = reserve_address()?;
     let stubs = StubFleet::start(listen, settings.workers).ok_or(CostError::NoWorkers)?;
     let runtime = single_threaded_runtime().map_err(CostError::Runtime)?;
--- a/crates/testbed/src/cost/table.rs
+++ b/crates/testbed/src/cost/table.rs
@@ -4,7 +4,7 @@
 /// Selects one metric of a sample.
 type Metric = fn(&CostSample) -> f64;
 
-/// The metrics in which each program is compared with the last one, with their printed labels.
+/// The metrics by which each program is compared with the last program, with their printed labels.
 const COMPARED_METRICS: [(&str, Metric); 2] =
     [("requests/s", |sample| sample.rate), ("CPU a request", |sample| sample.cpu_us)];
 /// Lower bound of a ratio's divisor, which keeps the ratio finite if the last program measured 0.
--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -85,7 +85,8 @@
     Ok(address_sender)
 }
 
-/// An endpoint publisher whose endpoint table no request task reads.
+/// Creates an endpoint publisher whose endpoint table no request task reads, so that its updates have no
+/// effect on dispatch.
 fn discarding_publisher(config: &StartupConfig) -> Result<EndpointPublisher, ServeError> {
     let proxy = &config.settings.proxy;
     let endpoints = Arc::new(EndpointTable::new(proxy));
--- a/crates/testbed/src/emulation/callbacks.rs
+++ b/crates/testbed/src/emulation/callbacks.rs
@@ -15,7 +15,7 @@
 /// Maximum number of times that a worker sends a callback, including the first time and the second copy of a
 /// duplicated callback.
 const MAX_CALLBACK_TRIES: u32 = 10;
-/// Delay after a failed try.
+/// Delay between a failed try to send a callback and the next try.
 const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time to wait for the response to a callback before it is sent again.
 const CALLBACK_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -31,7 +31,7 @@
 
 /// The emulation's own delay in sending jobs, relative to their scheduled arrivals.
 pub(super) struct SendLag {
-    /// The 99% quantile and the maximum, in milliseconds.
+    /// The 99% quantile and the maximum of the delays, in milliseconds.
     pub(super) quantiles_ms: [f64; 2],
 }
 
@@ -146,8 +146,8 @@
     Some(ReceivedResponse { received_at, response })
 }
 
-/// The preferred scheduler if it is up, otherwise one that is, in the same zone if possible; `preferred` if
-/// none is up.
+/// Returns `preferred` if that scheduler is up. Otherwise returns another scheduler that is up, in the same
+/// zone if possible, or `preferred` if no scheduler is up.
 fn reachable_scheduler(environment: &Environment, preferred: SchedulerId) -> SchedulerId {
     let is_up = |id: SchedulerId| environment.schedulers[id.index()].is_up.get();
     preferred.reachable(environment.schedulers.len() as u32, environment.scenario.zones, is_up)
@@ -156,7 +156,7 @@
 /// Classifies a response for the rule checker.
 fn checked_response(response: &SchedulerResponse, request_id: u64) -> ClientResponse {
     match response {
-        // The result of another request counts as forged, like one that no worker produced.
+        // A result that belongs to another request counts as forged, like a result that no worker produced.
         SchedulerResponse::Served(body) if *body == expected_result(request_id).as_bytes() => {
             ClientResponse::Served
         }
--- a/crates/testbed/src/emulation/endpoint_list.rs
+++ b/crates/testbed/src/emulation/endpoint_list.rs
@@ -6,7 +6,7 @@
 pub(crate) struct VersionedEndpoint {
     /// The list's revision in which the endpoint last changed.
     pub revision: u64,
-    /// The endpoint.
+    /// The worker's endpoint as of that revision.
     pub endpoint: Endpoint,
 }
 
@@ -16,7 +16,8 @@
     pub revision: u64,
     /// The endpoints, indexed by worker number.
     pub endpoints: Vec<VersionedEndpoint>,
-    /// The revision of the last full replacement; schedulers with an earlier one get the full list.
+    /// The list's revision at its last full replacement; schedulers whose known revision is earlier get the
+    /// full list.
     pub full_list_since: u64,
     /// Number of outages of discovery that are in progress; discovery responds only while this number is 0.
     pub outages: u32,
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -35,7 +35,8 @@
 /// How a worker's port handles new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListenerState {
-    /// A worker process accepts connections; the number differs for each start of the process.
+    /// A worker process accepts connections. The number differs for each start of the process, so that a
+    /// restart changes this state and the connections of the earlier process are reset.
     Accepting(u32),
     /// No process listens, so connections are refused.
     Refusing,
@@ -60,7 +61,7 @@
     }
 }
 
-/// A scheduler as a target of clients and workers.
+/// A scheduler as the target of clients' requests and workers' callbacks.
 pub(crate) struct SchedulerTarget {
     /// Address at which the scheduler listens.
     pub address: SocketAddr,
@@ -169,7 +170,7 @@
         worker_ids(self.listeners.len()).map(|worker| self.endpoint(worker)).collect()
     }
 
-    /// Updates the endpoint list and wakes the held watches.
+    /// Updates the endpoint list and wakes the watches that discovery holds until the list changes.
     pub(crate) fn update_endpoint_list(&self, update: impl FnOnce(&mut VersionedEndpointList)) {
         update(&mut self.endpoint_list.borrow_mut());
         self.list_changed.send_modify(|changes| *changes += 1);
@@ -198,8 +199,8 @@
         result
     }
 
-    /// Updates a worker's sockets after a change of its process or machine, and the endpoint list after the
-    /// discovery delay, or after the outage if discovery is down.
+    /// Updates a worker's sockets after its process or machine has changed. The endpoint list is updated
+    /// after the discovery delay, or at the end of the outage if discovery is down.
     fn propagate_worker_change(self: &Rc<Self>, worker: WorkerId) {
         let listener_state = self.current_listener_state(worker);
         let listener = &self.listeners[worker.0 as usize];
--- a/crates/testbed/src/emulation/error.rs
+++ b/crates/testbed/src/emulation/error.rs
@@ -14,23 +14,24 @@
          {MAX_SCHEDULERS}"
     )]
     FleetTooLarge {
-        /// The scenario's name.
+        /// Name of the scenario that is too large.
         scenario: String,
-        /// Number of workers.
+        /// Number of workers in the scenario's fleet.
         workers: usize,
-        /// Number of schedulers.
+        /// Number of schedulers in the scenario.
         schedulers: u32,
     },
-    /// The scenario of this name needs worker sizes in the endpoint list.
+    /// The scenario of this name needs worker sizes in the endpoint list, which the emulation does not
+    /// refresh.
     #[error("{0}: discovery.sizes: emulate does not refresh the listed sizes; use sim")]
     SizesUnsupported(String),
-    /// The scenario of this name has a fault that moves discovery.
+    /// The scenario of this name has a `DiscoveryMoves` fault, which only the simulation supports.
     #[error("{0}: faults: emulate does not support moving discovery; use sim")]
     DiscoveryMoveUnsupported(String),
     /// The scenario of this name has too many jobs.
     #[error("{0}: more than {MAX_JOBS} jobs")]
     TooManyJobs(String),
-    /// The list of running schedulers is empty.
+    /// The given list of schedulers that are already running is empty.
     #[error("no scheduler")]
     NoScheduler,
     /// The runtime cannot be created.
@@ -39,9 +40,9 @@
     /// A socket or temporary directory cannot be created.
     #[error("{resource}: {source}")]
     Resource {
-        /// Purpose of the socket or directory.
+        /// What the socket or directory was for, as shown in the message.
         resource: &'static str,
-        /// Cause of the failure.
+        /// The I/O error with which the creation failed.
         source: io::Error,
     },
     /// A scheduler process failed to start, exited unexpectedly or did not exit on SIGTERM.
--- a/crates/testbed/src/emulation/faults.rs
+++ b/crates/testbed/src/emulation/faults.rs
@@ -95,7 +95,8 @@
 
 async fn end_discovery_outage(environment: Rc<Environment>) {
     sleep(environment.discovery_delay()).await;
-    // The list is taken after the delay, to include workers that changed during it.
+    // The list of unpublished workers is taken after the discovery delay, so that the list includes workers
+    // that changed during the delay.
     let workers = std::mem::take(&mut environment.endpoint_list.borrow_mut().unpublished_workers);
     let endpoints: Vec<_> = workers.into_iter().map(|worker| environment.endpoint(worker)).collect();
     environment.update_endpoint_list(|list| {
--- a/crates/testbed/src/emulation/faulty_socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -11,7 +11,7 @@
 /// Fault to inject into the next response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFault {
-    /// The response is written unchanged.
+    /// No fault: the response is written unchanged.
     None,
     /// Nothing is written, and the connection is reset.
     Reset,
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -6,7 +6,7 @@
 /// A callback for an attempt, ready for delivery.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Callback {
-    /// Id of the request.
+    /// Id of the request to whose attempt the callback belongs.
     pub request: u64,
     /// Worker that sends the callback.
     pub worker: WorkerId,
@@ -16,7 +16,7 @@
     pub state: CallbackState,
     /// Load report of the worker, in callbacks for jobs that are done or returned.
     pub load: Option<LoadReport>,
-    /// Delay of the delivery, in microseconds: that of the network plus that of a fault.
+    /// Delay of the delivery, in microseconds: the sum of the network's delay and a fault's delay.
     pub delay: Micros,
     /// Whether the callback is sent twice.
     pub is_duplicated: bool,
@@ -43,7 +43,7 @@
 /// A worker's response to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum AttemptResponse {
-    /// Response 202.
+    /// Response 202: the worker accepted the job.
     Accepted,
     /// Response 202, with the connection reset in the middle of it.
     AcceptedThenReset,
@@ -51,9 +51,9 @@
     Rejected(LoadReport),
     /// Response 400: no client sent a request with this id.
     UnknownRequest,
-    /// The connection is reset.
+    /// No response: the connection is reset.
     Reset,
-    /// Bytes that are not HTTP.
+    /// Bytes that are not HTTP, in place of a response.
     Garbage,
 }
 
@@ -70,8 +70,8 @@
     NotFound,
     /// Response 500.
     Failed,
-    /// The connection is reset.
+    /// No response: the connection is reset.
     Reset,
-    /// Bytes that are not HTTP.
+    /// Bytes that are not HTTP, in place of a response.
     Garbage,
 }
--- a/crates/testbed/src/emulation/platform_json.rs
+++ b/crates/testbed/src/emulation/platform_json.rs
@@ -72,7 +72,8 @@
     body
 }
 
-/// The result that a worker produces for a request.
+/// The result that a worker produces for a request. Clients compare it with the response to find forged
+/// results.
 pub(crate) fn expected_result(request: u64) -> String {
     format!("result of {}", request_name(request))
 }
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -25,7 +25,8 @@
 
 /// Time between the schedulers' readiness and the start of the clients.
 const SETTLE_TIME: Duration = Duration::from_millis(200);
-/// Lower bound of the run duration by which processor time is divided, in seconds.
+/// Lower bound of the run duration by which processor time is divided, in seconds, so that the divisor is
+/// never zero.
 const MIN_RUN_S: f64 = 1.0 / SECOND as f64;
 
 /// Measurements of the scheduler processes and of the emulation itself.
@@ -64,8 +65,8 @@
         process.start().await?;
     }
     sleep(SETTLE_TIME).await;
-    // The clock is restarted here, which is time 0 of the run. Notifications that schedulers got earlier keep
-    // their times on the clock before the restart.
+    // The run's clock is restarted here, so that time 0 is the start of the clients. Notifications that
+    // schedulers got earlier keep their times on the clock before the restart.
     environment.start_clock();
     let started_at = Instant::now();
     let send_lag = tokio::select! {
@@ -90,7 +91,8 @@
     Ok((listeners, sockets))
 }
 
-/// The cached endpoint list of the schedulers, in which missing workers are still ready.
+/// The endpoint list that schedulers have cached from before the run. The list is out of date: the workers in
+/// `missing_workers` no longer exist, but are still listed as ready.
 fn cached_endpoints(endpoints: &[Endpoint], missing_workers: &[WorkerId]) -> Vec<Endpoint> {
     let mut cached = endpoints.to_vec();
     for &worker in missing_workers {
@@ -99,8 +101,8 @@
     cached
 }
 
-/// The addresses of the schedulers, and the sockets that reserve those of spawned schedulers. The sockets
-/// must be held for the whole run, so that restarted schedulers find their addresses free.
+/// The addresses of the schedulers, and the sockets that reserve the addresses of spawned schedulers. The
+/// sockets must be held for the whole run, so that restarted schedulers find their addresses free.
 fn scheduler_addresses(
     schedulers: &SchedulerInstances,
     count: u32,
--- a/crates/testbed/src/emulation/scheduler_config.rs
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -14,7 +14,8 @@
 const SOCKETS: u32 = 1024;
 /// Idle timeout of connections, in seconds.
 const KEEPALIVE_S: f64 = 5.0;
-/// Difference between the seeds of consecutive schedulers.
+/// Difference between the seeds of consecutive schedulers of one run, so that no two schedulers have the same
+/// seed.
 const SEED_STRIDE: u64 = 7919;
 /// The shortest overload window that the platform accepts, in seconds.
 const MIN_OVERLOAD_WINDOW_S: f64 = 0.001;
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -48,7 +48,7 @@
     File {
         /// Path of the file or program.
         path: PathBuf,
-        /// Cause of the failure.
+        /// The I/O error of the failed operation on the file or program.
         source: io::Error,
     },
     /// No valid HTTP request can be built for the address.
@@ -57,7 +57,7 @@
     /// The program exited before it was ready.
     #[error("{}: exited before it was ready, with {status}; last log line: {last_log_line}", program.display())]
     ExitedAtStart {
-        /// The program.
+        /// Path of the scheduler program that exited.
         program: PathBuf,
         /// Exit status of the process.
         status: ExitStatus,
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -109,8 +109,8 @@
         true
     }
 
-    /// Fails an attempt immediately. As in the simulation, the rule checker counts the attempt as possibly
-    /// run.
+    /// Fails an attempt immediately, without running the job. As in the simulation, the rule checker counts
+    /// the attempt as possibly run.
     fn fail_immediately(&mut self, delivered: &DeliveredAttempt, now: Micros) {
         self.record_accepted(delivered, now);
         self.rule_checker.job_started(now, delivered.attempt.job, delivered.idempotency);
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -51,7 +51,7 @@
     keys: KeyHistory,
 }
 
-/// Number of jobs at all workers, and its integral over time.
+/// Number of jobs at all workers, and the integral of this number over time, in job-microseconds.
 #[derive(Default)]
 struct InFlightJobs {
     count: u64,
@@ -65,11 +65,11 @@
     pub scenario: Scenario,
     /// Worker models with their zones, indexed by worker number.
     pub workers: Vec<(Worker, u32)>,
-    /// Index of the kind of each worker.
+    /// Kind of each worker, which is the index of its group in the scenario; indexed by worker number.
     pub kinds: Vec<u32>,
-    /// Cell of each worker.
+    /// Cell of each worker, indexed by worker number.
     pub cells: Vec<u32>,
-    /// Active connection faults of each worker.
+    /// Active connection faults of each worker, indexed by worker number.
     connections: Vec<ConnectionFaults>,
     /// Rule checker, which is fed with the events at clients and workers.
     pub rule_checker: RuleChecker,
@@ -77,7 +77,7 @@
     pub outcomes: OutcomeCounter,
     /// Number of attempts that reached a worker.
     pub attempts_sent: u64,
-    /// Number of those attempts that crossed zones.
+    /// Number of attempts that reached a worker in another zone than that of their scheduler.
     pub cross_zone_attempts: u64,
     /// Number of load queries that reached a worker.
     pub load_query_count: u64,
@@ -121,7 +121,7 @@
             jobs: FxHashMap::default(),
             attempts: FxHashMap::default(),
             load_queries: FxHashMap::default(),
-            // Ids are large numbers that do not start at 0, like those of the platform.
+            // Ids are large numbers that do not start at 0, like the platform's ids.
             last_id: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1 << 63,
             extra_report_delay: 0,
             network_random: random_stream(seed, StreamPurpose::Network),
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -13,7 +13,7 @@
     Io {
         /// The path of the file that cannot be read or written.
         file: PathBuf,
-        /// The cause.
+        /// The I/O error of the failed read or write.
         source: std::io::Error,
     },
     /// The file is not valid TOML, or is not an experiment.
@@ -21,7 +21,7 @@
     InvalidToml {
         /// The path of the experiment file.
         file: PathBuf,
-        /// The cause.
+        /// The parser's error, which gives the line and the reason.
         source: Box<toml::de::Error>,
     },
     /// The experiment has no runs, because it has no scenarios, no variants or no seeds.
@@ -45,7 +45,7 @@
     ProgramInVirtualTime {
         /// The path of the experiment file.
         file: PathBuf,
-        /// The variant's index.
+        /// The index of the variant in the experiment file's list of variants.
         index: usize,
     },
     /// A scenario file cannot be read.
@@ -55,7 +55,7 @@
         file: PathBuf,
         /// The path of the scenario file.
         scenario_file: PathBuf,
-        /// The cause.
+        /// The I/O error of the failed read.
         source: std::io::Error,
     },
     /// A scenario is not valid TOML.
@@ -63,9 +63,9 @@
     InvalidScenarioToml {
         /// The path of the experiment file.
         file: PathBuf,
-        /// The scenario.
+        /// The scenario as the experiment file gives it: a name or a file path.
         scenario: String,
-        /// The cause.
+        /// The parser's error, which gives the line and the reason.
         source: Box<toml::de::Error>,
     },
     /// A scenario is invalid after the changes of a variant.
@@ -75,9 +75,9 @@
         file: PathBuf,
         /// The scenario.
         scenario: String,
-        /// The variant's name.
+        /// The name of the variant whose changes were applied.
         variant: String,
-        /// The cause.
+        /// The error of the scenario's validation, which names the invalid key.
         source: Box<ScenarioError>,
     },
     /// A scenario cannot be serialized as TOML.
@@ -107,13 +107,13 @@
     /// A single run failed.
     #[error("{scenario}, {variant}, seed {seed}: {reason}")]
     RunFailed {
-        /// The scenario's name.
+        /// The name of the scenario that the failed run played.
         scenario: String,
-        /// The variant's name.
+        /// The name of the variant that the failed run played.
         variant: String,
-        /// The seed.
+        /// The seed of the failed run.
         seed: u64,
-        /// The cause.
+        /// The message of the error with which the run failed.
         reason: String,
     },
     /// One or more runs failed. The successful runs are stored.
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -66,14 +66,14 @@
     /// The dispatch policy.
     #[serde(default = "default_policy")]
     pub policy: PolicyKind,
-    /// The program to start in place of that of the policy, as a path relative to the directory of the
-    /// experiment file. Only valid in real time.
+    /// The program to start as the scheduler instead of the policy's own program, as a path relative to the
+    /// directory of the experiment file. Only valid in real time.
     #[serde(default)]
     pub program: Option<PathBuf>,
-    /// The arguments of `program`.
+    /// The command-line arguments with which `program` is started.
     #[serde(default)]
     pub arguments: Vec<String>,
-    /// Changes to the scenarios, applied after those of the experiment.
+    /// Changes to the scenarios in the variant's runs, applied after the experiment's own changes.
     #[serde(rename = "set", default)]
     pub scenario_overrides: toml::Table,
 }
--- a/crates/testbed/src/experiment/mode_comparison.rs
+++ b/crates/testbed/src/experiment/mode_comparison.rs
@@ -26,7 +26,8 @@
         self.emulated - self.simulated
     }
 
-    /// Returns whether the shares of two policies differ in both modes, and the modes rank them differently.
+    /// Returns whether virtual and real time rank two policies in opposite order. A difference of at most
+    /// `MAX_TIED_DIFFERENCE` between the policies' shares, in either mode, does not count.
     fn is_ranked_differently(self, other: ModeShares) -> bool {
         let is_distinguishable = |own: f64, other: f64| (own - other).abs() > MAX_TIED_DIFFERENCE;
         let differs = (self.simulated > other.simulated) != (self.emulated > other.emulated);
@@ -36,8 +37,8 @@
     }
 }
 
-/// Formats a text table with the shares in both modes, their difference and ranks, for each scenario and
-/// pair.
+/// Formats a text table with a row for each scenario and pair of variants: the policy's shares in both modes,
+/// the difference between these shares, and the policy's rank in each mode.
 pub fn mode_comparison_table(pairs: &[VariantPair], results: &[ScenarioResults]) -> String {
     let mut text = format!(
         "{:<16} {:<18} {:>7} {:>9} {:>11} {:>14}\n",
--- a/crates/testbed/src/experiment/planned_run.rs
+++ b/crates/testbed/src/experiment/planned_run.rs
@@ -15,11 +15,11 @@
 pub(super) struct PlannedRun {
     /// The key of the run: a hash of its scenario, variant, seed and programs.
     pub key: String,
-    /// The index of the scenario.
+    /// The index of the run's scenario in the experiment.
     pub scenario: usize,
-    /// The index of the variant.
+    /// The index of the run's variant in the experiment.
     pub variant: usize,
-    /// The seed of the random numbers.
+    /// The seed from which all random numbers of the run are derived.
     pub seed: u64,
 }
 
--- a/crates/testbed/src/experiment/run_store.rs
+++ b/crates/testbed/src/experiment/run_store.rs
@@ -17,13 +17,13 @@
 pub(super) struct StoredRun {
     /// The key of the run: a hash of its scenario, variant, seed and programs.
     pub key: String,
-    /// The name of the scenario.
+    /// The name of the scenario that the run played.
     pub scenario: String,
-    /// The name of the variant.
+    /// The name of the variant with which the run was executed.
     pub variant: String,
-    /// The seed of the random numbers.
+    /// The seed from which all random numbers of the run were derived.
     pub seed: u64,
-    /// The outcome of the run.
+    /// The outcome of the run, from which comparisons and reports are made.
     pub outcome: RunOutcome,
 }
 
--- a/crates/testbed/src/job_request.rs
+++ b/crates/testbed/src/job_request.rs
@@ -13,11 +13,11 @@
     pub target: SocketAddr,
     /// The name of the job's request class.
     pub class: &'a str,
-    /// The id of this request.
+    /// The id of this request, sent in the header `x-request-id`.
     pub request_id: u64,
     /// The id of the job, which is the same in all requests for the job. It is the idempotency key.
     pub job_id: u64,
-    /// The time that the client waits for the response, in milliseconds.
+    /// The time that the client waits for the response, in milliseconds, sent in the header `x-timeout`.
     pub timeout_ms: u128,
     /// The arrival of the job, with its slots, memory and cost hint.
     pub arrival: &'a Arrival,
--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -39,7 +39,7 @@
     duration.as_micros() as Micros
 }
 
-/// The process of a member.
+/// The process of a member, with its pause, timer and waiting packets.
 struct Process {
     membership: Membership,
     /// Time until which the process is paused: it handles neither packets nor timers.
@@ -71,7 +71,8 @@
     random: Pcg64Mcg,
     /// The links between members, with their conditions and blocks.
     pub links: NetworkLinks,
-    /// The settings of members that are started. Their list of seeds is replaced when a member starts.
+    /// The membership settings of members that are started. The list of seeds in the settings (the members to
+    /// contact to join) is replaced when a member starts.
     pub settings: Settings,
     /// The generation of the last process of each member.
     generations: Vec<u64>,
@@ -93,7 +94,7 @@
         SimulatedNetwork::joined_with_settings(members, seed, Settings::default())
     }
 
-    /// Like [`SimulatedNetwork::joined`], with other settings. Their list of seeds is replaced.
+    /// Like [`SimulatedNetwork::joined`], with other settings. The list of seeds in the settings is replaced.
     ///
     /// # Panics
     /// Panics if the members have not found each other within 120 s, or if the settings are invalid.
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Starts a new process of a member, which has no state of an earlier one. It contacts the members with
-    /// the indexes `seeds` to join.
+    /// Starts a new process of a member, without state from an earlier process. To join, the new process
+    /// contacts the members with the indexes `seeds`.
     ///
     /// # Panics
     /// Panics if the settings are invalid.
@@ -185,7 +186,8 @@
         }
     }
 
-    /// Applies a fault at the current time. The seed of a process that the fault starts is the first member.
+    /// Applies a fault at the current time. A process that the fault starts contacts the first member to
+    /// join.
     pub fn apply_fault(&mut self, fault: &Fault) {
         self.links.apply(fault);
         let Fault::Process { member, action } = *fault else { return };
@@ -293,8 +295,8 @@
         self.handle_input(member, Input::TimerDue);
     }
 
-    /// Passes an input to a member. Returns the reason if the member rejects it; `None` if it accepts the
-    /// input or does not run.
+    /// Passes an input to a member. Returns the reason if the member rejects the input; `None` if the member
+    /// accepts the input or does not run.
     pub fn handle_input(&mut self, member: usize, input: Input<'_>) -> Option<PacketError> {
         let now = self.now;
         let Some(process) = &mut self.processes[member] else { return None };
--- a/crates/testbed/src/membership_simulation/observations.rs
+++ b/crates/testbed/src/membership_simulation/observations.rs
@@ -6,7 +6,7 @@
 
 /// An effect that a member emitted, other than a sent packet.
 pub struct RecordedEffect {
-    /// The simulated time, in microseconds.
+    /// The simulated time at which the effect was emitted, in microseconds.
     pub at: Micros,
     /// The index of the member that emitted the effect.
     pub member: usize,
@@ -17,7 +17,7 @@
 /// A report by one member that another is down.
 #[derive(Debug)]
 pub struct ReportedFailure<'a> {
-    /// The simulated time, in microseconds.
+    /// The simulated time of the report, in microseconds.
     pub at: Micros,
     /// The index of the member that reports the failure.
     pub reporter: usize,
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -26,7 +26,7 @@
     pub work: f64,
     /// Slots that the job occupies while it runs.
     pub slots: f64,
-    /// Memory that the job uses while it runs, in megabytes.
+    /// Memory that the job uses while it runs, in the scenario's unit of memory.
     pub memory: f64,
     /// Cost hint that the client sends, in seconds of work.
     pub cost_hint: Option<f64>,
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -36,7 +36,7 @@
 
 /// The workers of a run and the transitions of its faults.
 pub struct Fleet {
-    /// Workers with their zones.
+    /// Workers with their zones, indexed by worker number.
     pub workers: Vec<(Worker, u32)>,
     /// Kind of each worker, which is the index of its group in the scenario.
     pub kinds: Vec<u32>,
--- a/crates/testbed/src/model/idempotency_keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -28,7 +28,7 @@
     accepted: Vec<AcceptedAttempt>,
     /// Dropped duplicates that wait for the first attempt's result.
     waiting_duplicates: Vec<u64>,
-    /// Whether an attempt was served.
+    /// Whether an attempt with the key was served.
     is_served: bool,
 }
 
--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -16,13 +16,13 @@
     pub max_waiting: usize,
     /// Order in which waiting jobs start.
     pub order: QueueOrder,
-    /// Memory for running jobs, in megabytes.
+    /// Memory for running jobs, in the scenario's unit of memory.
     pub memory: f64,
-    /// Fraction of the full capacity at the start of a process.
+    /// Fraction of its full capacity that the worker has when a process starts.
     pub slow_start_fraction: f64,
-    /// Time from the start of a process until its full capacity.
+    /// Time from the start of a process until the worker has its full capacity.
     pub slow_start_duration: Micros,
-    /// Multiple of the current capacity above which load makes the worker fail during slow start.
+    /// Multiple of the current capacity above which the offered load makes the worker fail during slow start.
     pub overload_multiple: f64,
     /// Window over which load is summed for `overload_multiple`; `None` if the worker never fails from
     /// overload.
@@ -40,7 +40,7 @@
     pub work: f64,
     /// Slots that the job occupies while it runs.
     pub slots: f64,
-    /// Memory that the job uses while it runs, in megabytes.
+    /// Memory that the job uses while it runs, in the scenario's unit of memory.
     pub memory: f64,
     /// Priority weight of the job, used by workers with [`QueueOrder::Priority`].
     pub weight: f64,
@@ -105,7 +105,7 @@
 pub struct TrueState {
     /// Time until a job that arrives now would start, in seconds.
     pub wait: f64,
-    /// Rate of a job, in seconds of work done per second.
+    /// Rate at which a running job progresses, in seconds of work done per second.
     pub rate: f64,
     /// Whether the worker accepts jobs and makes progress.
     pub accepts_jobs: bool,
--- a/crates/testbed/src/model/worker/mod.rs
+++ b/crates/testbed/src/model/worker/mod.rs
@@ -42,9 +42,11 @@
     used_memory: f64,
     /// Time up to which the progress of running jobs is accounted.
     accounted_until: Micros,
-    /// Times and core-seconds of the load that the worker got recently during slow start.
+    /// Load that the worker got during slow start within the overload window: the time and core-seconds of
+    /// each job.
     slow_start_load: VecDeque<(Micros, f64)>,
-    /// Version of the running jobs and their rate; a change invalidates wakes that are already scheduled.
+    /// Version of the set of running jobs and their rate. A change of the version invalidates wakes that are
+    /// already scheduled.
     pub wake_version: u64,
     /// Completed work, in core-seconds at speed 1.
     pub completed_work: f64,
--- a/crates/testbed/src/model/worker/slow_start.rs
+++ b/crates/testbed/src/model/worker/slow_start.rs
@@ -17,8 +17,9 @@
         self.spec.cores.min(self.spec.slots) * self.spec.speed * self.capacity_fraction(now)
     }
 
-    /// Records load that the worker gets during slow start, in core-seconds, and returns whether the worker
-    /// fails under it.
+    /// Records the load of a job that the worker gets during slow start, in core-seconds. Returns whether the
+    /// load within the overload window exceeds the allowed multiple of the capacity, so that the worker
+    /// fails.
     pub(super) fn becomes_overloaded(&mut self, now: Micros, load: f64) -> bool {
         let Some(window) = self.spec.overload_window else { return false };
         if self.capacity_fraction(now) >= 1.0 {
--- a/crates/testbed/src/outcome/counter.rs
+++ b/crates/testbed/src/outcome/counter.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Counts a client's job that has ended; `latency` is measured from its arrival.
+    /// Counts a client's job that has ended; `latency` is measured from the job's arrival.
     pub fn record_job(&mut self, job: &Arrival, class: &JobClass, latency: Micros, outcome: JobOutcome) {
         let weight = class.priority_weight * job.work * job.slots;
         let class_index = job.class as usize;
--- a/crates/testbed/src/outcome/mod.rs
+++ b/crates/testbed/src/outcome/mod.rs
@@ -98,7 +98,7 @@
     pub name: String,
     /// Number of jobs of the class.
     pub jobs: u64,
-    /// Weight of these jobs.
+    /// Weight of the class's jobs by their outcome.
     #[serde(rename = "worth")]
     pub weight: WeightTotals,
     /// Mean latency of served jobs, in milliseconds.
@@ -139,7 +139,7 @@
     pub jobs: u64,
     /// Number of events that the simulation handled; 0 for an emulation.
     pub events: u64,
-    /// Weight of all jobs.
+    /// Weight of all jobs by their outcome.
     #[serde(rename = "worth")]
     pub weight: WeightTotals,
     /// Outcome of each class.
@@ -230,7 +230,7 @@
     pub kinds: &'a [u32],
     /// Number of attempts sent; in an emulation, of those that reached a worker.
     pub attempts: u64,
-    /// Number of these attempts that went to another zone.
+    /// Number of the sent attempts that went to another zone.
     pub cross_zone_attempts: u64,
     /// Number of load queries sent.
     pub load_queries: u64,
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -44,11 +44,11 @@
 struct KnownWorker {
     state: WorkerState,
     started_at: Option<Micros>,
-    /// Number of outstanding requests of this scheduler.
+    /// Number of requests that this scheduler has outstanding at the worker.
     outstanding: u32,
-    /// Work of these requests by their cost hints, in core-seconds.
+    /// Work of these outstanding requests by their cost hints, in core-seconds.
     outstanding_work: f64,
-    /// Moving average of hinted work divided by running time.
+    /// Moving average of hinted work divided by running time, as an estimate of the worker's speed.
     learned_speed: f64,
 }
 
@@ -137,8 +137,8 @@
             let untried: Vec<WorkerId> = untried.collect();
             return self.select(job, &untried);
         }
-        // The list is moved out for the duration of the call, so that the list is not copied for a first
-        // attempt.
+        // The list of ready workers is moved out for the duration of the call, so that the list is not copied
+        // for a first attempt.
         let ready = std::mem::take(&mut self.ready);
         let selected = self.select(job, &ready);
         self.ready = ready;
--- a/crates/testbed/src/report/chart.rs
+++ b/crates/testbed/src/report/chart.rs
@@ -56,7 +56,7 @@
 }
 
 impl LegendEntry {
-    /// Creates the entry of an area.
+    /// Creates the legend entry of a filled area.
     pub(super) fn area(name: &str, colour: RGBColor) -> LegendEntry {
         LegendEntry { name: name.to_owned(), style: colour.filled(), dashes: None }
     }
--- a/crates/testbed/src/rule_checker/executions.rs
+++ b/crates/testbed/src/rule_checker/executions.rs
@@ -10,7 +10,7 @@
 pub(super) struct AcceptedAttempt {
     /// ID of the attempt.
     pub attempt: u64,
-    /// Deduplication group of the worker.
+    /// Deduplication group of the worker (see `model::idempotency_keys`).
     pub group: u32,
     /// Time at which the scheduler sent the attempt.
     pub sent_at: Micros,
--- a/crates/testbed/src/scenario/checks.rs
+++ b/crates/testbed/src/scenario/checks.rs
@@ -44,7 +44,7 @@
         /// The lowest and highest speed.
         speed: [f64; 2],
     },
-    /// A class has both `wide` and `slots`.
+    /// A class has both `wide` and `slots`, two ways to set the slots of its jobs.
     #[error("class {class:?}: wide and slots say the same thing; one of them")]
     SlotsGivenTwice {
         /// Name of the class.
--- a/crates/testbed/src/scenario/classes.rs
+++ b/crates/testbed/src/scenario/classes.rs
@@ -20,12 +20,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Scope", rename_all = "lowercase")]
 pub enum DeduplicationScope {
-    /// All workers.
+    /// Duplicates are dropped among all workers.
     All,
-    /// The workers of one zone.
+    /// Duplicates are dropped among the workers of one zone.
     #[default]
     Zone,
-    /// The workers of one cell.
+    /// Duplicates are dropped among the workers of one cell.
     Cell,
 }
 
@@ -41,7 +41,7 @@
 pub enum WorkDistribution {
     /// Log-normal, with this sigma (the standard deviation of the logarithm).
     LogNormal(f64),
-    /// Exponential.
+    /// Exponential distribution.
     #[default]
     Exponential,
     /// Constant: every job has the mean work.
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -52,8 +52,8 @@
     /// Seconds between the progress callbacks for running jobs; 0 disables them.
     #[serde(rename = "progress")]
     pub progress_interval_s: f64,
-    /// Load queries. If given, responses carry no load report, and workers report their load only when
-    /// queried.
+    /// Settings of load queries; `None` if the scenario has no load queries. With load queries, responses
+    /// carry no load report, and workers report their load only when queried.
     #[serde(rename = "probe", skip_serializing_if = "Option::is_none")]
     pub load_query: Option<LoadQuery>,
 }
@@ -74,10 +74,10 @@
     /// queue.
     #[serde(rename = "deep", default)]
     pub queued: bool,
-    /// Seconds for which a scheduler waits for the response.
+    /// Seconds for which a scheduler waits for the response to a load query.
     #[serde(rename = "timeout")]
     pub timeout_s: f64,
-    /// Age of the reported values, in seconds.
+    /// Minimum age of the values in the response to a load query, in seconds.
     #[serde(rename = "late", default)]
     pub staleness_s: f64,
     /// Cost of one load query, as a share of the priority weight of one job.
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -60,7 +60,7 @@
     /// Settings of the workers' load reports.
     #[serde(rename = "reports", default)]
     pub load_reports: LoadReports,
-    /// Slow start of workers.
+    /// Slow start of workers: reduced capacity after a start, and overload during that time.
     #[serde(rename = "cold", default)]
     pub slow_start: SlowStart,
     /// Settings of the schedulers that the scenario changes.
--- a/crates/testbed/src/scenario/workers.rs
+++ b/crates/testbed/src/scenario/workers.rs
@@ -5,7 +5,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Order", rename_all = "lowercase")]
 pub enum QueueOrder {
-    /// In order of arrival; if the first job does not fit, all wait.
+    /// In order of arrival; if the first job does not fit into the free slots and memory, all wait.
     #[default]
     Fifo,
     /// In order of arrival, skipping jobs that do not fit.
@@ -44,7 +44,8 @@
     100
 }
 
-/// Slow start of workers, and the threshold above which they are overloaded during it.
+/// Slow start of workers: the reduced capacity after a worker's start, and the offered load above which the
+/// worker fails from overload while its capacity is reduced.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Cold", default, deny_unknown_fields)]
 pub struct SlowStart {
@@ -54,7 +55,8 @@
     /// Seconds from a worker's start until it has its full capacity.
     #[serde(rename = "warm_after")]
     pub duration_s: f64,
-    /// Multiple of a worker's current capacity above which the offered load overloads the worker.
+    /// Multiple of a worker's current capacity above which the offered load overloads the worker during slow
+    /// start.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// Length in seconds of the window whose load must exceed that multiple to overload a worker; 0 disables
--- a/crates/testbed/src/simulation/attempts.rs
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -73,7 +73,7 @@
         wait
     }
 
-    /// Ends an attempt at its scheduler. Does nothing if the scheduler no longer waits for it.
+    /// Ends an attempt at its scheduler. Does nothing if the scheduler no longer waits for the attempt.
     pub(super) fn complete_attempt(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_in_flight) else { return };
         attempt.is_in_flight = false;
@@ -130,7 +130,7 @@
         Some(worker.load_report(self.now, refresh, || draw_report_noise(random, sigma)))
     }
 
-    /// Notifies the scheduler of an attempt's progress, if it still waits for the attempt.
+    /// Notifies the scheduler of an attempt's progress, if the scheduler still waits for the attempt.
     pub(super) fn notify_progress(&mut self, id: AttemptId, progress: Progress) {
         let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_in_flight) else { return };
         let (request, attempt) = (attempt.request, attempt.number);
@@ -140,8 +140,8 @@
         self.notify_scheduler(scheduler, Event::AttemptProgress { request, attempt, progress });
     }
 
-    /// Records that an attempt has left its worker or never reached it. Removes the attempt if its scheduler
-    /// no longer waits for it either.
+    /// Records that an attempt has left its worker or never reached one. Removes the attempt if its scheduler
+    /// no longer waits for the attempt either.
     pub(super) fn record_left_worker(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         attempt.is_at_worker = false;
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -17,7 +17,7 @@
 /// Difference between the seeds of consecutive schedulers of one run.
 const SCHEDULER_SEED_STRIDE: u64 = 7919;
 
-/// A simulated scheduler.
+/// A simulated scheduler. Each of its incarnations, from a start to a crash or shutdown, is called a process.
 pub(super) struct Scheduler {
     pub(super) policy: Box<dyn Policy>,
     pub(super) zone: u32,
@@ -27,14 +27,14 @@
     /// False from the start of a graceful shutdown until the next process starts. Clients reach the scheduler
     /// only if it is also up.
     pub(super) accepts_requests: bool,
-    /// Number of the current process, incremented when a process ends.
+    /// Number of the scheduler's current process (incarnation), incremented when a process ends.
     pub(super) process_number: u32,
-    /// Whether the scheduler receives full endpoint lists and changes.
+    /// Whether the scheduler receives full endpoint lists and changes from discovery.
     pub(super) is_subscribed: bool,
 }
 
 impl Scheduler {
-    /// Creates a scheduler with its first process.
+    /// Creates a simulated scheduler that is up, in its first process (incarnation).
     ///
     /// # Errors
     /// Fails if the policy does not accept the scenario's settings.
@@ -216,8 +216,8 @@
         self.close_request(id);
     }
 
-    /// Starts a scheduler's next process, which gets the current endpoint list: as a cached list if the
-    /// scheduler must subscribe, else as a full list.
+    /// Starts the next process of a simulated scheduler. The process gets the current endpoint list: as a
+    /// cached list if the scheduler must subscribe, else as a full list.
     pub(super) fn start_scheduler(&mut self, id: SchedulerId) {
         // All processes of a scheduler after its first one use the same seed, which differs from the seed of
         // the first.
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -18,9 +18,9 @@
     /// The configuration file cannot be read.
     #[error("{path}: {source}")]
     ConfigFile {
-        /// The path of the configuration file.
+        /// The path of the configuration file, as the environment variable gives it.
         path: String,
-        /// The cause.
+        /// The I/O error of the failed read.
         source: io::Error,
     },
     /// The configuration file is invalid.
@@ -28,7 +28,7 @@
     Config {
         /// The path of the configuration file.
         path: String,
-        /// The cause.
+        /// The error of the configuration's parser or validation.
         source: ReadError,
     },
     /// The policy rejects its settings.
@@ -55,9 +55,9 @@
     /// The address cannot be listened on.
     #[error("{address}: {source}")]
     Listen {
-        /// The configured address.
+        /// The address that the configuration names for listening.
         address: std::net::SocketAddr,
-        /// The cause.
+        /// The I/O error with which listening failed.
         source: io::Error,
     },
     /// The server fails while it handles connections.
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -43,7 +43,8 @@
     InvalidScenario(#[from] ScenarioError),
 }
 
-/// A job with the time at which a scheduler accepted it, on the common timeline of all runs in the event log.
+/// A job with the time at which a scheduler accepted it, on the timeline that all runs in the event log
+/// share.
 struct AcceptedJob {
     time_us: Micros,
     job: RecordedJob,
@@ -80,8 +81,9 @@
     skipped: &mut SkippedRecords,
 ) -> Result<Vec<AcceptedJob>, TraceError> {
     let mut jobs = Vec::new();
-    // Times are taken from a common timeline, because the log may contain several runs in sequence and the
-    // wall clock may be set during a run.
+    // Records of all runs are mapped to one timeline: the wall clock at the first record of a run places the
+    // run, and its monotonic clock places its records. The raw times would not do, because the log may
+    // contain several runs in sequence and the wall clock may be set during a run.
     let mut timeline = RunTimeline::default();
     for numbered_line in Reader::new(event_log) {
         let (number, line) = numbered_line?;
