--- a/crates/testbed/src/emulation/callbacks.rs
+++ b/crates/testbed/src/emulation/callbacks.rs
@@ -12,12 +12,12 @@
 use crate::emulation::platform_json::callback_json;
 use crate::http_client::{HttpClient, read_body};
 
-/// Maximum number of times that a worker sends a callback, including the first time and the second copy of a
-/// duplicated callback.
+/// Maximum number of times that a worker sends one callback. The first try counts, and so does the second
+/// copy of a duplicated callback.
 const MAX_CALLBACK_TRIES: u32 = 10;
 /// Delay between a failed try to send a callback and the next try.
 const CALLBACK_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time to wait for the response to a callback before it is sent again.
+/// Time for which a worker waits for the response to a callback before it sends the callback again.
 const CALLBACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Environment {
--- a/crates/testbed/src/emulation/clients.rs
+++ b/crates/testbed/src/emulation/clients.rs
@@ -153,7 +153,7 @@
     preferred.reachable(environment.schedulers.len() as u32, environment.scenario.zones, is_up)
 }
 
-/// Classifies a response for the rule checker.
+/// Classifies a response for the rule checker, which distinguishes genuine from forged results.
 fn checked_response(response: &SchedulerResponse, request_id: u64) -> ClientResponse {
     match response {
         // A result that belongs to another request counts as forged, like a result that no worker produced.
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -176,7 +176,7 @@
         self.list_changed.send_modify(|changes| *changes += 1);
     }
 
-    /// Delay between a change at a worker and its appearance in the endpoint list.
+    /// Delay between a change at a worker and its appearance in the endpoint list, as the scenario sets it.
     pub(crate) fn discovery_delay(&self) -> Duration {
         Duration::from_micros(micros_from_seconds(self.scenario.discovery.delay_s))
     }
@@ -222,7 +222,7 @@
         match model.process {
             ProcessState::Up | ProcessState::Draining if model.is_refusing => ListenerState::Refusing,
             ProcessState::Up | ProcessState::Draining => {
-                // The start time identifies the process.
+                // The start time identifies the process, so that connections of an earlier process are reset.
                 ListenerState::Accepting(model.started_at.map_or(0, |at| (at / 1_000) as u32 + 1))
             }
             ProcessState::Stopped => ListenerState::Refusing,
@@ -233,7 +233,8 @@
 
 async fn publish_after_delay(environment: Rc<Environment>, endpoint: Endpoint) {
     sleep(environment.discovery_delay()).await;
-    // Some changes of a worker, such as the refusal of connections, change neither its endpoint nor the list.
+    // The list is left as it is if the endpoint has not changed: some changes of a worker, such as the
+    // refusal of connections, do not show in its endpoint.
     let is_unchanged =
         environment.endpoint_list.borrow().endpoints[endpoint.worker.0 as usize].endpoint == endpoint;
     if !is_unchanged {
--- a/crates/testbed/src/emulation/faulty_socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -83,7 +83,8 @@
             }
             ResponseFault::Garbage => {
                 let written = Pin::new(&mut self.stream).poll_write(context, GARBAGE);
-                // The connection is not reset, because the peer must be able to read the bytes.
+                // The write fails, but the connection is not reset, because the peer must be able to read the
+                // bytes.
                 if written.is_ready() { broken() } else { Poll::Pending }
             }
         }
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -10,7 +10,7 @@
     pub request: u64,
     /// Worker that sends the callback.
     pub worker: WorkerId,
-    /// Scheduler that receives the callback.
+    /// Scheduler that sent the attempt and receives the callback.
     pub scheduler: SchedulerId,
     /// Reported state of the attempt.
     pub state: CallbackState,
@@ -43,9 +43,10 @@
 /// A worker's response to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum AttemptResponse {
-    /// Response 202: the worker accepted the job.
+    /// Response 202: the worker accepted the attempt. The response is also sent for a dropped duplicate and
+    /// for an attempt that a fault makes fail at once.
     Accepted,
-    /// Response 202, with the connection reset in the middle of it.
+    /// Response 202, in the middle of which a fault resets the connection; the worker accepted the attempt.
     AcceptedThenReset,
     /// Response 503, with the header that guarantees that the worker does not run the job.
     Rejected(LoadReport),
@@ -64,11 +65,11 @@
     AfterDelay(Micros),
     /// The load query waits in the worker's queue. The channel closes without a message if the query is lost.
     Queued(oneshot::Receiver<()>),
-    /// Response 503.
+    /// Response 503: the worker's process is not up.
     Unavailable,
     /// Response 404: the scenario has no load queries.
     NotFound,
-    /// Response 500.
+    /// Response 500: a fault makes the load query fail at once.
     Failed,
     /// No response: the connection is reset.
     Reset,
--- a/crates/testbed/src/emulation/scheduler_config.rs
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -12,7 +12,7 @@
 const MEMORY_MB: u32 = 192;
 /// Number of sockets that the platform grants a scheduler.
 const SOCKETS: u32 = 1024;
-/// Idle timeout of connections, in seconds.
+/// Idle timeout of the scheduler's connections, in seconds.
 const KEEPALIVE_S: f64 = 5.0;
 /// Difference between the seeds of consecutive schedulers of one run, so that no two schedulers have the same
 /// seed.
@@ -20,7 +20,7 @@
 /// The shortest overload window that the platform accepts, in seconds.
 const MIN_OVERLOAD_WINDOW_S: f64 = 0.001;
 
-/// Inputs of the configuration of one scheduler.
+/// Inputs from which the configuration of one scheduler is generated.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulerConfig<'a> {
     /// Scenario of the run.
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -23,7 +23,7 @@
 
 /// Time within which a started scheduler must report that it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Interval between readiness polls.
+/// Interval between two polls of whether a started scheduler is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Time within which a scheduler must exit after SIGTERM; a process that still runs then is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
@@ -59,9 +59,9 @@
     ExitedAtStart {
         /// Path of the scheduler program that exited.
         program: PathBuf,
-        /// Exit status of the process.
+        /// Exit status with which the scheduler process ended.
         status: ExitStatus,
-        /// Last line of the program's log.
+        /// Last line of the program's log, for the error message.
         last_log_line: String,
     },
     /// The program was not ready within the timeout.
@@ -73,9 +73,9 @@
     /// The process exited without having been told to, or with an error.
     #[error("a scheduler exited unexpectedly with {status}; last log line: {last_log_line}")]
     ExitedEarly {
-        /// Exit status of the process.
+        /// Exit status with which the scheduler process ended.
         status: ExitStatus,
-        /// Last line of the program's log.
+        /// Last line of the program's log, for the error message.
         last_log_line: String,
     },
     /// The process did not exit on SIGTERM and was killed.
@@ -87,9 +87,9 @@
 /// variable `EDGE_CONFIG` names its configuration file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerProgram {
-    /// Path of the program.
+    /// Path of the scheduler program's executable file.
     pub file: PathBuf,
-    /// Arguments of the program.
+    /// Command-line arguments with which the program is started.
     pub arguments: Vec<String>,
 }
 
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -16,7 +16,8 @@
     attempt: Attempt,
     arrival: Arrival,
     idempotency: Idempotency,
-    /// Group of workers that deduplicate the attempt's key together.
+    /// Deduplication group of the worker: the workers that together drop duplicates of the attempt's
+    /// idempotency key.
     key_group: u32,
     /// Arrival time of the attempt's head.
     head_arrived_at: Micros,
@@ -178,7 +179,8 @@
         self.apply_effects(worker, effects);
     }
 
-    /// Forgets the key of an attempt that will not run, so that a later attempt with the key is not dropped.
+    /// Forgets the idempotency key of an attempt that will not run, so that a later attempt with the key is
+    /// not dropped as a duplicate.
     pub(super) fn forget_key(&mut self, id: u64) {
         let job = self.attempts.get(&id).map(|attempt| attempt.job);
         if let Some(job) = job.and_then(|job| self.jobs.get_mut(&job)) {
--- a/crates/testbed/src/emulation/state/load_queries.rs
+++ b/crates/testbed/src/emulation/state/load_queries.rs
@@ -83,7 +83,8 @@
     }
 }
 
-/// Returns a function that draws normally distributed noise for one value of a load report.
+/// Returns a function that draws normally distributed noise for one value of a load report. `sigma` is the
+/// standard deviation.
 fn noise(random: &mut RandomStream, sigma: f64) -> impl FnMut() -> f64 {
     move || Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(&mut *random))
 }
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -25,8 +25,8 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{FaultKind, Scenario, micros_from_seconds};
 
-/// Shortest network delay that is emulated, in microseconds. Shorter delays are omitted, because they are
-/// below the timer's resolution; only the machine's own delay remains.
+/// Shortest network delay that is emulated, in microseconds. Shorter delays are left out, because they are
+/// below the timer's resolution; such messages have only the machine's own delay.
 const MIN_NETWORK_DELAY: Micros = 1_000;
 
 /// A request that a client sends, with its job and the scheduler that it is sent to.
@@ -167,8 +167,8 @@
         self.jobs.insert(number, ClientJob { arrival, keys: KeyHistory::default() });
     }
 
-    /// Registers a request that a client is about to send, and returns its id. The deadline is a time of the
-    /// run.
+    /// Registers a request that a client is about to send, and returns the request's id. The deadline is in
+    /// microseconds on the run's clock.
     pub(crate) fn register_request(&mut self, job: u64, scheduler: SchedulerId, deadline: Micros) -> u64 {
         let id = self.next_id();
         self.requests.insert(id, ClientRequest { job, scheduler });
--- a/crates/testbed/src/emulation/workers/listener.rs
+++ b/crates/testbed/src/emulation/workers/listener.rs
@@ -21,7 +21,7 @@
 use crate::scenario::micros_from_seconds;
 use copperspread_dispatcher::WorkerId;
 
-/// Idle timeout of connections, the same as in the schedulers' configuration.
+/// Idle timeout of a worker's connections, the same as in the schedulers' configuration.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Delay before a failed bind or accept is tried again.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
--- a/crates/testbed/src/emulation/workers/requests.rs
+++ b/crates/testbed/src/emulation/workers/requests.rs
@@ -112,7 +112,8 @@
     Response::new(Full::new(Bytes::from_static(b"never written")))
 }
 
-/// Returns a placeholder response; bytes that are not HTTP are written in its place.
+/// Returns a placeholder response and sets the fault by which bytes that are not HTTP are written in place of
+/// the response.
 fn garbage(fault: &Cell<ResponseFault>) -> HttpResponse {
     fault.set(ResponseFault::Garbage);
     empty_response(StatusCode::ACCEPTED)
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -35,9 +35,9 @@
     DuplicateVariant {
         /// The path of the experiment file.
         file: PathBuf,
-        /// The index of the second variant with this name.
+        /// The index of the second variant with this name in the experiment file's list of variants.
         index: usize,
-        /// The name of both variants.
+        /// The name that both variants have.
         name: String,
     },
     /// A variant that is simulated in virtual time names a program.
@@ -121,7 +121,7 @@
     RunsFailed {
         /// Number of failed runs.
         count: usize,
-        /// The distinct error messages, in alphabetical order.
+        /// The distinct error messages of the failed runs, in alphabetical order.
         reasons: Vec<String>,
     },
 }
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -30,7 +30,7 @@
     /// The scenarios. Each is the name of a scenario in the program, or a file path relative to the directory
     /// of the experiment file.
     pub scenarios: Vec<String>,
-    /// The first seed and the number of consecutive seeds.
+    /// The first seed and the number of consecutive seeds with which each scenario and variant is run.
     pub seeds: [u64; 2],
     /// Changes to all scenarios, in the format of a scenario file.
     #[serde(rename = "set", default)]
@@ -60,10 +60,10 @@
 pub struct Variant {
     /// The name of the variant, which is unique in the experiment.
     pub name: String,
-    /// How the runs of the variant are executed.
+    /// Whether the variant's runs are simulated or emulated.
     #[serde(rename = "drive", default)]
     pub mode: ExecutionMode,
-    /// The dispatch policy.
+    /// The dispatch policy that decides in the variant's schedulers.
     #[serde(default = "default_policy")]
     pub policy: PolicyKind,
     /// The program to start as the scheduler instead of the policy's own program, as a path relative to the
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -166,7 +166,7 @@
         self.scenarios.iter().enumerate().map(scenario_results).collect()
     }
 
-    /// The outcomes of one scenario and variant, in the order of the seeds.
+    /// The outcomes of the runs of one scenario and variant, in the order of the seeds.
     fn outcomes_of(
         &self,
         scenario: usize,
--- a/crates/testbed/src/experiment/planned_run.rs
+++ b/crates/testbed/src/experiment/planned_run.rs
@@ -13,7 +13,7 @@
 /// A run of an experiment: one scenario, variant and seed.
 #[derive(Clone, Debug)]
 pub(super) struct PlannedRun {
-    /// The key of the run: a hash of its scenario, variant, seed and programs.
+    /// The key under which the run is stored: a hash of its scenario, variant, seed and programs.
     pub key: String,
     /// The index of the run's scenario in the experiment.
     pub scenario: usize,
--- a/crates/testbed/src/experiment/run_store.rs
+++ b/crates/testbed/src/experiment/run_store.rs
@@ -15,7 +15,7 @@
 /// A run that has ended, stored as one line of the file.
 #[derive(Serialize, Deserialize)]
 pub(super) struct StoredRun {
-    /// The key of the run: a hash of its scenario, variant, seed and programs.
+    /// The key under which the run is stored: a hash of its scenario, variant, seed and programs.
     pub key: String,
     /// The name of the scenario that the run played.
     pub scenario: String,
--- a/crates/testbed/src/job_request.rs
+++ b/crates/testbed/src/job_request.rs
@@ -9,9 +9,9 @@
 
 /// The parameters of a client's request.
 pub(crate) struct JobRequest<'a> {
-    /// The address of the scheduler.
+    /// The address of the scheduler to which the request is sent.
     pub target: SocketAddr,
-    /// The name of the job's request class.
+    /// The name of the job's request class, a part of the request's path.
     pub class: &'a str,
     /// The id of this request, sent in the header `x-request-id`.
     pub request_id: u64,
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -20,7 +20,7 @@
 pub use result::{ClassLoadResult, LoadResult};
 use result::{new_histogram, quantile_ms, summarize};
 
-/// The outcome of one job.
+/// How one job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobOutcome {
     Served,
@@ -38,7 +38,7 @@
 struct JobRecord {
     job: Arrival,
     outcome: JobOutcome,
-    /// Time from the scheduled send time to the outcome.
+    /// Time from the scheduled send time to the job's end: its response, failure or deadline.
     latency: Duration,
 }
 
--- a/crates/testbed/src/membership_simulation/identities.rs
+++ b/crates/testbed/src/membership_simulation/identities.rs
@@ -3,7 +3,7 @@
 
 use copperspread_membership::{Key, Member};
 
-/// The port of every simulated member.
+/// The port in the address of every simulated member.
 const PORT: u16 = 7000;
 /// The zones, to which members are assigned in round-robin order of their indexes.
 const ZONES: [&str; 3] = ["arnhem", "zwolle", "eindhoven"];
@@ -32,7 +32,8 @@
     Key::new(b"a key for the tests alone").expect("the key has a valid length")
 }
 
-/// The identity of the member with this index, for a process of this generation.
+/// The identity of the member with this index, for a process of this generation, a number that grows with
+/// every start of the member's process.
 pub fn member_info(index: usize, generation: u64) -> Member {
     Member {
         name: format!("n{index}"),
--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -47,7 +47,7 @@
     /// Due time of the timer that was scheduled last. Timers of the process that expire before this time are
     /// ignored.
     timer_due_at: Micros,
-    /// Packets that arrived during a pause.
+    /// Packets that arrived while the process was paused, handled when the pause ends.
     waiting_packets: Vec<Vec<u8>>,
 }
 
@@ -74,9 +74,9 @@
     /// The membership settings of members that are started. The list of seeds in the settings (the members to
     /// contact to join) is replaced when a member starts.
     pub settings: Settings,
-    /// The generation of the last process of each member.
+    /// The generation of the last process of each member, by the member's index.
     generations: Vec<u64>,
-    /// All effects that members emitted, other than sent packets.
+    /// All effects that members emitted, in order, other than sent packets.
     pub effects: Vec<RecordedEffect>,
     /// Number of packets that members sent.
     pub packets: u64,
--- a/crates/testbed/src/membership_simulation/observations.rs
+++ b/crates/testbed/src/membership_simulation/observations.rs
@@ -10,7 +10,7 @@
     pub at: Micros,
     /// The index of the member that emitted the effect.
     pub member: usize,
-    /// The effect.
+    /// The emitted effect, such as the report that a member is down.
     pub effect: Effect,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl SimulatedNetwork {
-    /// The members that a member sees; empty if the member does not run.
+    /// The other members that a member's protocol state lists; empty if the member does not run.
     pub fn visible_members(&self, member: usize) -> Vec<&Member> {
         let process = self.processes[member].as_ref();
         process.map(|process| process.membership.members().collect()).unwrap_or_default()
@@ -40,12 +40,12 @@
         &self.processes[member].as_ref().expect("the member runs").membership
     }
 
-    /// Returns whether one member sees another.
+    /// Returns whether the protocol state of one member lists another member.
     pub fn can_see(&self, member: usize, other: usize) -> bool {
         self.visible_members(member).iter().any(|visible| visible.address == address(other))
     }
 
-    /// Returns whether each running member sees exactly this number of other members.
+    /// Returns whether the protocol state of each running member lists exactly this number of other members.
     pub fn all_see(&self, others: usize) -> bool {
         let mut running = (0..self.processes.len()).filter(|&member| self.processes[member].is_some());
         running.all(|member| self.visible_members(member).len() == others)
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -12,7 +12,7 @@
 
 /// Fraction of a class's jobs that a heavy-tail fault makes longer.
 const HEAVY_TAIL_FRACTION: f64 = 0.01;
-/// Factor by which a heavy-tail fault multiplies the work of those jobs.
+/// Factor by which a heavy-tail fault multiplies the work of the jobs that it affects.
 const HEAVY_TAIL_FACTOR: f64 = 20.0;
 
 /// The arrival of a client's job. A job comprises the client's first request and the retries of it.
@@ -20,7 +20,7 @@
 pub struct Arrival {
     /// Time of the first request, in microseconds from the start of the run.
     pub at: Micros,
-    /// Index of the job's class.
+    /// Index of the job's class in the scenario.
     pub class: u32,
     /// Work of the job, in seconds on a core of speed 1.
     pub work: f64,
@@ -46,9 +46,9 @@
 pub struct Arrivals<'a> {
     scenario: &'a Scenario,
     random: RandomStream,
-    /// Time of the last arrival, in seconds.
+    /// Time of the last arrival that was drawn, in seconds from the start of the run.
     last_at: f64,
-    /// Running sums of the classes' shares.
+    /// Running sums of the classes' shares, from which a job's class is drawn.
     cumulative_shares: Vec<f64>,
     /// Index of the next job in the recorded trace.
     next_recorded: usize,
--- a/crates/testbed/src/model/connection_faults.rs
+++ b/crates/testbed/src/model/connection_faults.rs
@@ -9,13 +9,14 @@
 pub struct ConnectionFaults {
     /// Fraction of deliveries whose connection breaks, half of them after the worker has accepted the job.
     pub reset_fraction: f64,
-    /// Fraction of deliveries that get a response that is not HTTP; those jobs never run.
+    /// Fraction of deliveries that get a response that is not HTTP. The job of such a delivery never runs.
     pub invalid_response_fraction: f64,
-    /// Fraction of deliveries that get an immediate error; those jobs never run.
+    /// Fraction of deliveries that get an immediate error. The job of such a delivery never runs.
     pub error_fraction: f64,
-    /// Additional delay of callbacks; in the simulation, of start callbacks and results.
+    /// Additional delay of callbacks, in microseconds. In the simulation, the delay applies to start
+    /// callbacks and results.
     pub callback_delay: Micros,
-    /// Whether callbacks are sent twice; in the simulation, only start callbacks.
+    /// Whether callbacks are sent twice. In the simulation, only start callbacks are.
     pub duplicates_callbacks: bool,
 }
 
--- a/crates/testbed/src/model/idempotency_keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -22,7 +22,7 @@
     at: Micros,
 }
 
-/// The workers' memory of one client job's idempotency key.
+/// What the workers remember of the idempotency key of one client's job.
 #[derive(Clone, Debug, Default)]
 pub struct KeyHistory {
     accepted: Vec<AcceptedAttempt>,
@@ -32,7 +32,7 @@
     is_served: bool,
 }
 
-/// The outcome of an attempt whose idempotency key is known.
+/// What happens to an attempt that is a duplicate by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DuplicateOutcome {
     /// The first attempt was served already, so the duplicate is served immediately.
@@ -72,7 +72,7 @@
         self.accepted.retain(|accepted| accepted.attempt != attempt);
     }
 
-    /// Records the end of an attempt and returns the duplicates that get its result.
+    /// Records the end of an attempt and returns the duplicates that get the result of that attempt.
     pub fn record_end(&mut self, is_served: bool) -> Vec<u64> {
         self.is_served |= is_served;
         std::mem::take(&mut self.waiting_duplicates)
--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -8,7 +8,7 @@
 pub struct WorkerSpec {
     /// Number of cores.
     pub cores: f64,
-    /// Number of slots for running jobs.
+    /// Number of slots, which running jobs occupy.
     pub slots: f64,
     /// Speed of a core, in seconds of work done per second.
     pub speed: f64,
@@ -34,7 +34,7 @@
 pub struct OfferedJob {
     /// ID of the attempt or load query, unique within a run.
     pub attempt: u64,
-    /// Index of the job's class.
+    /// Index of the job's class in the scenario.
     pub class: u32,
     /// Work of the job, in seconds on a core of speed 1.
     pub work: f64,
@@ -67,7 +67,7 @@
     Unreachable,
 }
 
-/// An effect of an operation on a worker.
+/// An effect of an operation on a worker, which the simulation or emulation carries out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerEffect {
     /// A job or queued load query, given by its ID, has started.
@@ -76,7 +76,8 @@
     Finished {
         /// ID of the attempt or load query.
         attempt: u64,
-        /// Whether the worker reports the end to the scheduler.
+        /// Whether the worker reports the end to the scheduler; false for a job of the class that a `Silent`
+        /// fault affects.
         is_reported: bool,
     },
     /// A job or queued load query, given by its ID, was lost with the process.
--- a/crates/testbed/src/model/worker/lifecycle.rs
+++ b/crates/testbed/src/model/worker/lifecycle.rs
@@ -31,8 +31,8 @@
         self.wake_version += 1;
     }
 
-    /// Ends the process and all its jobs. Jobs are reported as lost if `state` is `Stopped`, and not at all
-    /// if the machine becomes unreachable.
+    /// Ends the process and all its jobs. The jobs are reported as lost if `state` is `Stopped`; if the
+    /// machine becomes unreachable, nothing is reported.
     pub fn stop(&mut self, now: Micros, state: ProcessState, effects: &mut Vec<WorkerEffect>) {
         self.account_progress(now);
         self.process = state;
--- a/crates/testbed/src/model/worker/mod.rs
+++ b/crates/testbed/src/model/worker/mod.rs
@@ -28,9 +28,9 @@
     pub process: ProcessState,
     /// Start time of the process; `None` if slow start was over before the run began.
     pub started_at: Option<Micros>,
-    /// Factor by which jobs run slower than usual.
+    /// Factor by which jobs run slower than usual, because of a `Slow` fault.
     pub slowdown: f64,
-    /// Whether running jobs make no progress.
+    /// Whether running jobs make no progress, because of a `Stuck` fault.
     pub is_stuck: bool,
     /// Class of the jobs for which the worker sends no callbacks and no results, if any.
     pub silent_class: Option<u32>,
@@ -40,19 +40,19 @@
     waiting: VecDeque<OfferedJob>,
     used_slots: f64,
     used_memory: f64,
-    /// Time up to which the progress of running jobs is accounted.
+    /// Time up to which the work done by running jobs is subtracted from their remaining work.
     accounted_until: Micros,
     /// Load that the worker got during slow start within the overload window: the time and core-seconds of
     /// each job.
     slow_start_load: VecDeque<(Micros, f64)>,
-    /// Version of the set of running jobs and their rate. A change of the version invalidates wakes that are
-    /// already scheduled.
+    /// Version of the set of running jobs and their rate, incremented by each change. A wake (the event that
+    /// advances the worker's jobs) is ignored if the version has changed since the wake was scheduled.
     pub wake_version: u64,
     /// Completed work, in core-seconds at speed 1.
     pub completed_work: f64,
-    /// Last load report sent with responses, with its time.
+    /// Last load report sent with responses, with the time at which the report was made.
     last_report: (Micros, LoadReport),
-    /// Load reports for load queries with their times, newest last.
+    /// Load reports for answers to load queries, with the times at which the reports were made, newest last.
     refreshed_reports: VecDeque<(Micros, LoadReport)>,
     /// Number of jobs and queued load queries offered since the last refresh of the reports for load queries.
     offered_since_refresh: u32,
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -8,8 +8,8 @@
 /// Remaining work up to which a job counts as finished, in seconds at speed 1. The limit is above 0 because
 /// the rounding of times to microseconds may leave this much work.
 const WORK_TOLERANCE_S: f64 = 2.0 / SECOND as f64;
-/// Longest time until a wake, in microseconds. The limit ensures that the current time plus this time fits
-/// into [`Micros`].
+/// Longest time until a wake (the event that advances the worker's jobs), in microseconds. The limit ensures
+/// that the current time plus this time fits into [`Micros`].
 const MAX_WAKE_DELAY_US: f64 = 1e15;
 
 impl Worker {
@@ -181,7 +181,8 @@
         self.used_slots -= job.slots;
         self.used_memory -= job.memory;
         if self.running.is_empty() {
-            // Both sums are reset to exactly zero, so that rounding errors do not accumulate.
+            // Both sums are reset to exactly zero when no job runs, so that rounding errors do not
+            // accumulate.
             (self.used_slots, self.used_memory) = (0.0, 0.0);
         }
     }
--- a/crates/testbed/src/outcome/mod.rs
+++ b/crates/testbed/src/outcome/mod.rs
@@ -96,7 +96,7 @@
 pub struct ClassOutcome {
     /// Name of the class.
     pub name: String,
-    /// Number of jobs of the class.
+    /// Number of jobs of the class that clients sent.
     pub jobs: u64,
     /// Weight of the class's jobs by their outcome.
     #[serde(rename = "worth")]
@@ -173,10 +173,10 @@
     /// scenario's duration.
     #[serde(rename = "held")]
     pub mean_jobs_in_workers: f64,
-    /// Number of violations by rule.
+    /// Number of violations of each rule.
     #[serde(rename = "breaches")]
     pub violations: BTreeMap<Rule, u64>,
-    /// First violations, with their descriptions.
+    /// First violations of the run, with their descriptions.
     #[serde(rename = "examples")]
     pub violation_examples: Vec<RuleViolation>,
     /// Machine usage of an emulation; `None` for a simulation.
@@ -222,11 +222,11 @@
     pub seed: u64,
     /// Number of events that the simulation handled; 0 for an emulation.
     pub events: u64,
-    /// Counter of job outcomes.
+    /// Counter with the outcomes of the clients' jobs.
     pub counter: &'a OutcomeCounter,
-    /// Workers with their zones.
+    /// Workers with their zones, indexed by worker number.
     pub workers: &'a [(Worker, u32)],
-    /// Index of each worker's group in the scenario.
+    /// Index of each worker's group in the scenario, indexed by worker number.
     pub kinds: &'a [u32],
     /// Number of attempts sent; in an emulation, of those that reached a worker.
     pub attempts: u64,
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -78,7 +78,7 @@
 pub(super) struct Baseline {
     rule: SelectionRule,
     random: RandomStream,
-    /// Whether the endpoint list arrives only after a subscription.
+    /// Whether discovery sends the full endpoint list only to schedulers that have subscribed.
     must_subscribe: bool,
     workers: Vec<KnownWorker>,
     ready: Vec<WorkerId>,
@@ -243,8 +243,8 @@
 impl KnownWorker {
     fn release(&mut self, job: &IncomingRequest) {
         self.outstanding = self.outstanding.saturating_sub(1);
-        // The work is reset to exactly zero when no request is outstanding, so that rounding errors do not
-        // accumulate.
+        // The outstanding work is reset to exactly zero when no request is outstanding, so that rounding
+        // errors do not accumulate.
         self.outstanding_work =
             if self.outstanding == 0 { 0.0 } else { self.outstanding_work - hinted_work(job) };
     }
--- a/crates/testbed/src/policy/broken.rs
+++ b/crates/testbed/src/policy/broken.rs
@@ -29,7 +29,7 @@
     defect: Defect,
     endpoints: Vec<Endpoint>,
     served_attempts: u64,
-    /// Workers that each request was sent to.
+    /// Workers to which each request was sent.
     attempted: FxHashMap<RequestId, Vec<WorkerId>>,
     /// Requests that this policy retried although the dispatcher had ended them as failed and forgotten them.
     resent: FxHashSet<RequestId>,
@@ -82,7 +82,8 @@
         untried.map(|endpoint| endpoint.worker)
     }
 
-    /// Retries an attempt that may have run. `first_action` is the index of this event's first action.
+    /// Retries an attempt that may have run. `first_action` is the index of the first action in `actions`
+    /// that belongs to the current event.
     fn resend(&mut self, completed: AttemptOutcome, first_action: usize, actions: &mut Vec<Action>) {
         let id = completed.request;
         let may_have_run = matches!(completed.outcome, AttemptResult::Reset | AttemptResult::Error);
--- a/crates/testbed/src/rule_checker/violations.rs
+++ b/crates/testbed/src/rule_checker/violations.rs
@@ -54,7 +54,7 @@
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RuleViolation {
-    /// Rule that was violated.
+    /// Rule that the run violated.
     pub rule: Rule,
     /// Time of the violation, in microseconds from the start of the run.
     pub at: Micros,
@@ -66,7 +66,7 @@
 /// The violations of one run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Violations {
-    /// Number of violations by rule.
+    /// Number of violations of each rule.
     pub counts: BTreeMap<Rule, u64>,
     /// First violations, with their descriptions.
     pub examples: Vec<RuleViolation>,
--- a/crates/testbed/src/scenario/checks.rs
+++ b/crates/testbed/src/scenario/checks.rs
@@ -27,7 +27,7 @@
     /// The refresh interval of listed worker sizes, in seconds, is out of range.
     #[error("discovery.sizes: {0} is neither 0 nor between 0.05 and 3600")]
     SizeIntervalOutOfRange(f64),
-    /// The zones have no cells.
+    /// The number of cells in each zone is 0.
     #[error("cells: at least one in each zone")]
     NoCells,
     /// The scenario has no zone, scheduler, worker group or class.
@@ -41,7 +41,7 @@
     InvalidSpeedRange {
         /// Kind of the worker group.
         kind: String,
-        /// The lowest and highest speed.
+        /// The lowest and highest speed, as given.
         speed: [f64; 2],
     },
     /// A class has both `wide` and `slots`, two ways to set the slots of its jobs.
--- a/crates/testbed/src/scenario/classes.rs
+++ b/crates/testbed/src/scenario/classes.rs
@@ -80,7 +80,8 @@
     /// Multiple of the job's own work that is added to the latency objective.
     #[serde(rename = "stretch", default)]
     pub latency_stretch: f64,
-    /// Seconds from a job's arrival until its client stops waiting, over all of the client's retries.
+    /// Seconds from a job's arrival until its client stops waiting. All of the client's retries fall into
+    /// this time.
     #[serde(rename = "deadline")]
     pub deadline_s: f64,
     /// Priority weight of one unit of work.
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -16,8 +16,9 @@
     /// The share of the workers in the cached list that no longer exist, from 0 to 1.
     #[serde(rename = "stale")]
     pub stale_share: f64,
-    /// Seconds between refreshes of the workers' sizes in the endpoint list; 0 disables them. The listed size
-    /// is the worker's size divided by one plus its jobs per core. Only the simulation supports it.
+    /// Seconds between refreshes of the workers' sizes in the endpoint list; 0 disables the sizes. The listed
+    /// size is the worker's size divided by one plus its jobs per core. Only the simulation supports listed
+    /// sizes.
     #[serde(rename = "sizes")]
     pub size_interval_s: f64,
     /// Whether schedulers poll for the list instead of being notified. In the emulation, each scheduler polls
@@ -46,7 +47,7 @@
     #[serde(rename = "refresh")]
     pub refresh_interval_s: f64,
     /// Standard deviation of the noise on the reported number of free slots, in slots. In responses to load
-    /// queries, it also applies to the requests per second and to the jobs in flight.
+    /// queries, the noise also applies to the requests per second and to the jobs in flight.
     #[serde(rename = "noise")]
     pub noise_slots: f64,
     /// Seconds between the progress callbacks for running jobs; 0 disables them.
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -84,7 +84,7 @@
 }
 
 impl std::fmt::Display for FaultKind {
-    /// Writes the name that reports print, with the fault's parameter.
+    /// Writes the name of the fault that reports print, with the fault's parameter.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             FaultKind::LateCallbacks(by) => f.debug_tuple("LateNews").field(by).finish(),
--- a/crates/testbed/src/scenario/workers.rs
+++ b/crates/testbed/src/scenario/workers.rs
@@ -59,8 +59,8 @@
     /// start.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// Length in seconds of the window whose load must exceed that multiple to overload a worker; 0 disables
-    /// overload.
+    /// Length in seconds of the window whose load must exceed `overload_multiple` times the capacity to
+    /// overload a worker; 0 disables overload.
     #[serde(rename = "fall_seconds")]
     pub overload_window_s: f64,
 }
--- a/crates/testbed/src/simulation/clients.rs
+++ b/crates/testbed/src/simulation/clients.rs
@@ -12,8 +12,9 @@
 use crate::rule_checker::ClientResponse;
 use crate::scenario::micros_from_seconds;
 
-/// Margin between a scheduler's deadline and the client's, or a quarter of the time left if that is shorter.
-/// A client does not retry if no more time than this would be left.
+/// Margin between a scheduler's deadline and the client's deadline, in microseconds; a quarter of the time
+/// left is used if that is shorter. A client does not retry if the time left would be no longer than the
+/// margin.
 const DEADLINE_MARGIN: Micros = 50_000;
 
 impl Simulation<'_> {
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -14,13 +14,14 @@
 
 /// Time after which a call to an unavailable discovery service fails.
 const DISCOVERY_ERROR_DELAY: Micros = SECOND;
-/// Interval at which the two contradicting lists replace each other.
+/// Interval at which the stale and the current endpoint list replace each other during a
+/// `discovery_contradicts` fault.
 const LIST_ALTERNATION_INTERVAL: Micros = 3 * SECOND;
 
 impl Simulation<'_> {
-    /// Schedules the initial lists of the schedulers: the cached list, in which missing workers are ready, if
-    /// the full list arrives later or needs a subscription; and the full list, unless that needs a
-    /// subscription.
+    /// Schedules the initial endpoint lists of the schedulers. The cached list, in which missing workers
+    /// (which no longer exist) are listed as ready, is sent if the full list arrives later or needs a
+    /// subscription. The full list is sent unless it needs a subscription.
     pub(super) fn schedule_initial_lists(&mut self, missing_workers: &[WorkerId]) {
         let full = self.endpoint_list();
         let mut cached = full.clone();
--- a/crates/testbed/src/simulation/event_queue.rs
+++ b/crates/testbed/src/simulation/event_queue.rs
@@ -36,9 +36,10 @@
     AttemptCompleted { attempt: AttemptId, result: AttemptResult },
     /// A cancellation reaches the attempt's worker.
     CancellationArrived(AttemptId),
-    /// A worker's running jobs are due to be advanced; ignored if the worker's wake version has changed.
+    /// A worker's running jobs are due to be advanced. The event is ignored if the worker's wake version has
+    /// changed since the event was scheduled.
     WorkerWake { worker: WorkerId, wake_version: u64 },
-    /// A timer of one scheduler process expires; ignored if that process has ended.
+    /// A timer of one scheduler process (incarnation) expires; ignored if that process has ended.
     TimerExpired { scheduler: SchedulerId, process_number: u32, timer: Timer },
     /// An endpoint update reaches a scheduler.
     EndpointsDelivered { scheduler: SchedulerId, kind: EndpointUpdateKind, endpoints: Arc<Vec<Endpoint>> },
--- a/crates/testbed/src/simulation/load_queries.rs
+++ b/crates/testbed/src/simulation/load_queries.rs
@@ -93,9 +93,9 @@
         }
     }
 
-    /// Sends the result of a load query to its scheduler, with a load report if it was served. Does nothing
-    /// if the ID is not that of an open load query; callers may pass the ID of an attempt, because workers do
-    /// not distinguish attempts from load queries.
+    /// Sends the result of a load query to its scheduler, with a load report if the query was served. Does
+    /// nothing if the ID is not that of an open load query; callers may pass the ID of an attempt, because
+    /// workers do not distinguish attempts from load queries.
     pub(super) fn answer_load_query(&mut self, query: LoadQueryId, result: AttemptResult, elapsed: Micros) {
         let Some(&PendingLoadQuery { scheduler, worker, .. }) = self.load_queries.get(&query) else { return };
         let Some(settings) = self.scenario.load_reports.load_query else { return };
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -52,7 +52,7 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{Scenario, micros_from_seconds};
 
-/// Delay that a lost message adds before its retransmission arrives.
+/// Delay that a lost message adds before its retransmission arrives, in microseconds.
 const RETRANSMISSION_DELAY: Micros = 200_000;
 /// Offset of the policies' clock from the simulation's clock, so that the policies' clock can express times
 /// before the run.
@@ -85,11 +85,11 @@
     network_random: RandomStream,
     retry_random: RandomStream,
     report_random: RandomStream,
-    /// Workers with their zones.
+    /// Workers with their zones, by worker index.
     workers: Vec<(Worker, u32)>,
-    /// Index of each worker's group in the scenario.
+    /// Index of each worker's group in the scenario, by worker index.
     kinds: Vec<u32>,
-    /// Cell of each worker.
+    /// Cell of each worker, by worker index.
     cells: Vec<u32>,
     schedulers: Vec<Scheduler>,
     client_jobs: FxHashMap<ClientJobId, ClientJob>,
@@ -98,7 +98,7 @@
     load_queries: FxHashMap<LoadQueryId, PendingLoadQuery>,
     /// Last ID assigned; jobs, requests, attempts and load queries share one sequence.
     last_id: u64,
-    /// Endpoints that changed while discovery was down, to be published when it is back.
+    /// Endpoints that changed while discovery was down, to be published when discovery is back.
     unpublished: Vec<Endpoint>,
     /// Number of active faults that keep discovery down.
     discovery_outages: u32,
@@ -108,11 +108,11 @@
     report_delay: Micros,
     /// Connection faults, by worker index.
     connection_faults: Vec<ConnectionFaults>,
-    /// Time from which each connection is idle, by scheduler and worker.
+    /// Time from which each open connection is idle, by scheduler and worker.
     idle_connections: FxHashMap<(SchedulerId, WorkerId), Vec<Micros>>,
     /// Full endpoint list from the start of a `discovery_contradicts` fault, while the fault is active.
     stale_list: Option<Arc<Vec<Endpoint>>>,
-    /// Buffer reused between events to avoid allocations.
+    /// Buffer for a policy's actions, reused between events to avoid allocations.
     action_buffer: Vec<Action>,
     rule_checker: RuleChecker,
     outcome_counter: OutcomeCounter,
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -49,7 +49,7 @@
 pub(super) struct Attempt {
     pub(super) request: RequestId,
     pub(super) client_job: ClientJobId,
-    /// Index among the request's attempts.
+    /// Number of the attempt among the request's attempts.
     pub(super) number: u32,
     pub(super) worker: WorkerId,
     pub(super) sent_at: Micros,
@@ -68,7 +68,8 @@
 #[derive(Clone, Copy)]
 pub(super) struct PendingLoadQuery {
     pub(super) scheduler: SchedulerId,
-    /// Number of the scheduler process that sent the query; a later process does not get the result.
+    /// Number of the scheduler's process (incarnation) that sent the query; a later process does not get the
+    /// result.
     pub(super) process_number: u32,
     pub(super) worker: WorkerId,
 }
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -21,7 +21,7 @@
 pub(super) struct Scheduler {
     pub(super) policy: Box<dyn Policy>,
     pub(super) zone: u32,
-    /// Version of the last endpoint update.
+    /// Version of the last endpoint update that the scheduler's current process got; 0 before the first.
     pub(super) list_version: u64,
     pub(super) is_up: bool,
     /// False from the start of a graceful shutdown until the next process starts. Clients reach the scheduler
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -166,7 +166,8 @@
         self.apply_worker_effects(worker, effects);
     }
 
-    /// Advances a worker's jobs to the current time, unless the wake is outdated.
+    /// Advances a worker's jobs to the current time. Does nothing if the wake is outdated, because the
+    /// running jobs or their rate changed after the wake was scheduled.
     pub(super) fn wake_worker(&mut self, worker: WorkerId, wake_version: u64) {
         if self.worker(worker).wake_version == wake_version {
             let now = self.now;
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Applies a worker's effects to the simulation and schedules the worker's next wake.
+    /// Applies the effects that a worker emitted to the simulation, and schedules the worker's next wake.
     pub(super) fn apply_worker_effects(&mut self, worker: WorkerId, effects: Vec<WorkerEffect>) {
         for effect in effects {
             self.apply_worker_effect(worker, effect);
