--- a/crates/testbed/src/cost/table.rs
+++ b/crates/testbed/src/cost/table.rs
@@ -40,7 +40,7 @@
     )
 }
 
-/// The per-round ratios of one program's metric to the baseline's, in ascending order.
+/// The per-round ratios of one program's metric to the baseline program's, in ascending order.
 fn sorted_ratios(samples: &[CostSample], baseline: &[CostSample], metric: Metric) -> Vec<f64> {
     let pairs = samples.iter().zip(baseline);
     let mut ratios: Vec<f64> =
--- a/crates/testbed/src/emulation/state/attempts.rs
+++ b/crates/testbed/src/emulation/state/attempts.rs
@@ -10,7 +10,7 @@
 use crate::model::idempotency_keys::{DuplicateOutcome, key_group};
 use crate::model::worker::OfferResult;
 
-/// An attempt that has arrived completely, head and body.
+/// An attempt whose HTTP request has arrived completely, with head and body.
 struct DeliveredAttempt {
     id: u64,
     attempt: Attempt,
@@ -19,13 +19,13 @@
     /// Deduplication group of the worker: the workers that together drop duplicates of the attempt's
     /// idempotency key.
     key_group: u32,
-    /// Arrival time of the attempt's head.
+    /// Time at which the head of the attempt's HTTP request arrived, in microseconds on the run's clock.
     head_arrived_at: Micros,
 }
 
 impl EmulationState {
-    /// Records the arrival of an attempt's head at a worker. Returns the network delay until the rest of the
-    /// attempt arrives, in microseconds.
+    /// Records that the head of an attempt's HTTP request has arrived at a worker. Returns the network delay
+    /// until the rest of the request arrives, in microseconds.
     pub(crate) fn attempt_arrives(&mut self, request: u64, worker: WorkerId) -> Micros {
         let now = self.now();
         let Some(&ClientRequest { job, scheduler }) = self.requests.get(&request) else { return 0 };
@@ -38,8 +38,8 @@
         self.network_delay(from, to)
     }
 
-    /// Handles an attempt that has arrived completely, with its head at `head_arrived_at`, and returns the
-    /// worker's response.
+    /// Handles an attempt whose HTTP request has arrived completely, and returns the worker's response. The
+    /// head of the request arrived at `head_arrived_at`.
     pub(crate) fn receive_attempt(
         &mut self,
         request: u64,
@@ -91,9 +91,9 @@
         Some(DeliveredAttempt { id, attempt, arrival, idempotency, key_group, head_arrived_at })
     }
 
-    /// Drops an attempt if a worker of its key group accepted the key within the deduplication window; its
-    /// callbacks then follow those of the first attempt with the key. Returns whether the attempt was
-    /// dropped.
+    /// Drops an attempt if a worker of its deduplication group accepted an attempt with the same idempotency
+    /// key within the deduplication window. The dropped attempt's callbacks then follow those of the first
+    /// attempt with the key. Returns whether the attempt was dropped.
     fn drop_duplicate(&mut self, delivered: &DeliveredAttempt, now: Micros) -> bool {
         let Idempotency::IdempotentWithKey { window, .. } = delivered.idempotency else { return false };
         let Attempt { job, worker, .. } = delivered.attempt;
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Removes an ended attempt, and queues a callback with `event` for each duplicate that was dropped in
-    /// its favor.
+    /// Removes an ended attempt, and queues a callback with `event` for each dropped duplicate that waits for
+    /// the attempt's result.
     pub(super) fn end_attempt(&mut self, id: u64, event: AttemptEvent) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         let Some(job) = self.jobs.get_mut(&attempt.job) else { return };
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Queues a callback for an attempt, if the attempt is still known.
+    /// Queues a callback for an attempt, unless the attempt has been removed already.
     pub(super) fn queue_callback(&mut self, id: u64, event: AttemptEvent) {
         let Some(&Attempt { request, worker, scheduler, .. }) = self.attempts.get(&id) else { return };
         let load = self.callback_load(worker, event);
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -29,7 +29,7 @@
     RoundRobin,
     /// The worker with the fewest outstanding requests.
     LeastOutstanding,
-    /// The one of two random workers with fewer outstanding requests.
+    /// Of two random workers, the one with fewer outstanding requests.
     TwoChoices,
     /// The worker with the least outstanding work, divided by its learned speed.
     LeastCost,
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -36,7 +36,7 @@
     RoundRobin,
     /// Selects the worker with the fewest outstanding requests of this scheduler.
     LeastOutstanding,
-    /// Selects the one of two random workers with fewer outstanding requests of this scheduler.
+    /// Selects two workers at random, and of these the one with fewer outstanding requests of this scheduler.
     TwoChoices,
     /// Selects the worker with the least outstanding work of this scheduler by cost hints, divided by the
     /// worker's learned speed. It rejects a request only if no untried worker is ready.
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -24,7 +24,7 @@
     /// Deadline of the client, without the scenario's grace period.
     pub(super) client_deadline: Micros,
     pub(super) retries_left: u32,
-    /// Whether the client has its final result.
+    /// Whether the job has its outcome, after which the client sends no further request for the job.
     pub(super) is_finished: bool,
     /// Number of scheduler requests and attempts that still refer to the job.
     pub(super) reference_count: u32,
@@ -45,7 +45,7 @@
     pub(super) has_client_wait_ended: bool,
 }
 
-/// An attempt, kept until neither its scheduler nor its worker refers to it.
+/// An attempt, kept until neither its scheduler nor its worker needs the attempt any more.
 pub(super) struct Attempt {
     pub(super) request: RequestId,
     pub(super) client_job: ClientJobId,
