--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -35,7 +35,8 @@
 /// How a worker's port handles new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListenerState {
-    /// A worker process accepts connections; the number differs for each start of the process.
+    /// A worker process accepts connections. The number differs for each start of the process, so that a
+    /// restart changes this state and the connections of the earlier process are reset.
     Accepting(u32),
     /// No process listens, so connections are refused.
     Refusing,
@@ -60,7 +61,7 @@
     }
 }
 
-/// A scheduler as a target of clients and workers.
+/// A scheduler as the target of clients' requests and workers' callbacks.
 pub(crate) struct SchedulerTarget {
     /// Address at which the scheduler listens.
     pub address: SocketAddr,
@@ -169,13 +170,13 @@
         worker_ids(self.listeners.len()).map(|worker| self.endpoint(worker)).collect()
     }
 
-    /// Updates the endpoint list and wakes the held watches.
+    /// Updates the endpoint list and wakes the watches that discovery holds until the list changes.
     pub(crate) fn update_endpoint_list(&self, update: impl FnOnce(&mut VersionedEndpointList)) {
         update(&mut self.endpoint_list.borrow_mut());
         self.list_changed.send_modify(|changes| *changes += 1);
     }
 
-    /// Delay between a change at a worker and its appearance in the endpoint list.
+    /// Delay between a change at a worker and its appearance in the endpoint list, as the scenario sets it.
     pub(crate) fn discovery_delay(&self) -> Duration {
         Duration::from_micros(micros_from_seconds(self.scenario.discovery.delay_s))
     }
@@ -198,8 +199,8 @@
         result
     }
 
-    /// Updates a worker's sockets after a change of its process or machine, and the endpoint list after the
-    /// discovery delay, or after the outage if discovery is down.
+    /// Updates a worker's sockets after its process or machine has changed. The endpoint list is updated
+    /// after the discovery delay, or at the end of the outage if discovery is down.
     fn propagate_worker_change(self: &Rc<Self>, worker: WorkerId) {
         let listener_state = self.current_listener_state(worker);
         let listener = &self.listeners[worker.0 as usize];
@@ -221,7 +222,7 @@
         match model.process {
             ProcessState::Up | ProcessState::Draining if model.is_refusing => ListenerState::Refusing,
             ProcessState::Up | ProcessState::Draining => {
-                // The start time identifies the process.
+                // The start time identifies the process, so that connections of an earlier process are reset.
                 ListenerState::Accepting(model.started_at.map_or(0, |at| (at / 1_000) as u32 + 1))
             }
             ProcessState::Stopped => ListenerState::Refusing,
@@ -232,7 +233,8 @@
 
 async fn publish_after_delay(environment: Rc<Environment>, endpoint: Endpoint) {
     sleep(environment.discovery_delay()).await;
-    // Some changes of a worker, such as the refusal of connections, change neither its endpoint nor the list.
+    // The list is left as it is if the endpoint has not changed: some changes of a worker, such as the
+    // refusal of connections, do not show in its endpoint.
     let is_unchanged =
         environment.endpoint_list.borrow().endpoints[endpoint.worker.0 as usize].endpoint == endpoint;
     if !is_unchanged {
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -6,17 +6,17 @@
 /// A callback for an attempt, ready for delivery.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Callback {
-    /// Id of the request.
+    /// Id of the request to whose attempt the callback belongs.
     pub request: u64,
     /// Worker that sends the callback.
     pub worker: WorkerId,
-    /// Scheduler that receives the callback.
+    /// Scheduler that sent the attempt and receives the callback.
     pub scheduler: SchedulerId,
     /// Reported state of the attempt.
     pub state: CallbackState,
     /// Load report of the worker, in callbacks for jobs that are done or returned.
     pub load: Option<LoadReport>,
-    /// Delay of the delivery, in microseconds: that of the network plus that of a fault.
+    /// Delay of the delivery, in microseconds: the sum of the network's delay and a fault's delay.
     pub delay: Micros,
     /// Whether the callback is sent twice.
     pub is_duplicated: bool,
@@ -43,17 +43,18 @@
 /// A worker's response to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum AttemptResponse {
-    /// Response 202.
+    /// Response 202: the worker accepted the attempt. The response is also sent for a dropped duplicate and
+    /// for an attempt that a fault makes fail at once.
     Accepted,
-    /// Response 202, with the connection reset in the middle of it.
+    /// Response 202, in the middle of which a fault resets the connection; the worker accepted the attempt.
     AcceptedThenReset,
     /// Response 503, with the header that guarantees that the worker does not run the job.
     Rejected(LoadReport),
     /// Response 400: no client sent a request with this id.
     UnknownRequest,
-    /// The connection is reset.
+    /// No response: the connection is reset.
     Reset,
-    /// Bytes that are not HTTP.
+    /// Bytes that are not HTTP, in place of a response.
     Garbage,
 }
 
@@ -64,14 +65,14 @@
     AfterDelay(Micros),
     /// The load query waits in the worker's queue. The channel closes without a message if the query is lost.
     Queued(oneshot::Receiver<()>),
-    /// Response 503.
+    /// Response 503: the worker's process is not up.
     Unavailable,
     /// Response 404: the scenario has no load queries.
     NotFound,
-    /// Response 500.
+    /// Response 500: a fault makes the load query fail at once.
     Failed,
-    /// The connection is reset.
+    /// No response: the connection is reset.
     Reset,
-    /// Bytes that are not HTTP.
+    /// Bytes that are not HTTP, in place of a response.
     Garbage,
 }
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -29,7 +29,7 @@
     RoundRobin,
     /// The worker with the fewest outstanding requests.
     LeastOutstanding,
-    /// The one of two random workers with fewer outstanding requests.
+    /// Of two random workers, the one with fewer outstanding requests.
     TwoChoices,
     /// The worker with the least outstanding work, divided by its learned speed.
     LeastCost,
@@ -44,11 +44,11 @@
 struct KnownWorker {
     state: WorkerState,
     started_at: Option<Micros>,
-    /// Number of outstanding requests of this scheduler.
+    /// Number of requests that this scheduler has outstanding at the worker.
     outstanding: u32,
-    /// Work of these requests by their cost hints, in core-seconds.
+    /// Work of these outstanding requests by their cost hints, in core-seconds.
     outstanding_work: f64,
-    /// Moving average of hinted work divided by running time.
+    /// Moving average of hinted work divided by running time, as an estimate of the worker's speed.
     learned_speed: f64,
 }
 
@@ -78,7 +78,7 @@
 pub(super) struct Baseline {
     rule: SelectionRule,
     random: RandomStream,
-    /// Whether the endpoint list arrives only after a subscription.
+    /// Whether discovery sends the full endpoint list only to schedulers that have subscribed.
     must_subscribe: bool,
     workers: Vec<KnownWorker>,
     ready: Vec<WorkerId>,
@@ -137,8 +137,8 @@
             let untried: Vec<WorkerId> = untried.collect();
             return self.select(job, &untried);
         }
-        // The list is moved out for the duration of the call, so that the list is not copied for a first
-        // attempt.
+        // The list of ready workers is moved out for the duration of the call, so that the list is not copied
+        // for a first attempt.
         let ready = std::mem::take(&mut self.ready);
         let selected = self.select(job, &ready);
         self.ready = ready;
@@ -243,8 +243,8 @@
 impl KnownWorker {
     fn release(&mut self, job: &IncomingRequest) {
         self.outstanding = self.outstanding.saturating_sub(1);
-        // The work is reset to exactly zero when no request is outstanding, so that rounding errors do not
-        // accumulate.
+        // The outstanding work is reset to exactly zero when no request is outstanding, so that rounding
+        // errors do not accumulate.
         self.outstanding_work =
             if self.outstanding == 0 { 0.0 } else { self.outstanding_work - hinted_work(job) };
     }
--- a/crates/testbed/src/scenario/classes.rs
+++ b/crates/testbed/src/scenario/classes.rs
@@ -20,12 +20,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Scope", rename_all = "lowercase")]
 pub enum DeduplicationScope {
-    /// All workers.
+    /// Duplicates are dropped among all workers.
     All,
-    /// The workers of one zone.
+    /// Duplicates are dropped among the workers of one zone.
     #[default]
     Zone,
-    /// The workers of one cell.
+    /// Duplicates are dropped among the workers of one cell.
     Cell,
 }
 
@@ -41,7 +41,7 @@
 pub enum WorkDistribution {
     /// Log-normal, with this sigma (the standard deviation of the logarithm).
     LogNormal(f64),
-    /// Exponential.
+    /// Exponential distribution.
     #[default]
     Exponential,
     /// Constant: every job has the mean work.
@@ -80,7 +80,8 @@
     /// Multiple of the job's own work that is added to the latency objective.
     #[serde(rename = "stretch", default)]
     pub latency_stretch: f64,
-    /// Seconds from a job's arrival until its client stops waiting, over all of the client's retries.
+    /// Seconds from a job's arrival until its client stops waiting. All of the client's retries fall into
+    /// this time.
     #[serde(rename = "deadline")]
     pub deadline_s: f64,
     /// Priority weight of one unit of work.
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -24,7 +24,7 @@
     /// Deadline of the client, without the scenario's grace period.
     pub(super) client_deadline: Micros,
     pub(super) retries_left: u32,
-    /// Whether the client has its final result.
+    /// Whether the job has its outcome, after which the client sends no further request for the job.
     pub(super) is_finished: bool,
     /// Number of scheduler requests and attempts that still refer to the job.
     pub(super) reference_count: u32,
@@ -45,11 +45,11 @@
     pub(super) has_client_wait_ended: bool,
 }
 
-/// An attempt, kept until neither its scheduler nor its worker refers to it.
+/// An attempt, kept until neither its scheduler nor its worker needs the attempt any more.
 pub(super) struct Attempt {
     pub(super) request: RequestId,
     pub(super) client_job: ClientJobId,
-    /// Index among the request's attempts.
+    /// Number of the attempt among the request's attempts.
     pub(super) number: u32,
     pub(super) worker: WorkerId,
     pub(super) sent_at: Micros,
@@ -68,7 +68,8 @@
 #[derive(Clone, Copy)]
 pub(super) struct PendingLoadQuery {
     pub(super) scheduler: SchedulerId,
-    /// Number of the scheduler process that sent the query; a later process does not get the result.
+    /// Number of the scheduler's process (incarnation) that sent the query; a later process does not get the
+    /// result.
     pub(super) process_number: u32,
     pub(super) worker: WorkerId,
 }
