--- a/crates/scheduler/tests/dispatch_races.rs
+++ b/crates/scheduler/tests/dispatch_races.rs
@@ -287,7 +287,10 @@
     connection.into_inner().set_zero_linger().expect("the linger option is set");
 }
 
-// Guards against a response that is lost because a reset arrives together with it.
+// Guards against a response that is lost because a reset arrives together with it. The scheduler is stopped until
+// its kernel has both, so that it finds them at once. Without the wait the reset may come later than the next
+// request: while another test starts a process, the child holds a copy of the worker's socket until it executes
+// its program, and the scheduler would reuse the connection.
 #[tokio::test]
 async fn a_response_counts_even_if_a_reset_comes_with_it() {
     let worker = RawWorker::new();
@@ -296,8 +299,11 @@
     for (number, response, status) in [(70, ACCEPTED, 200), (71, NOT_PROCESSED, 503), (72, ACCEPTED, 500)] {
         client.send_request("once", number, 9000).await;
         let (mut connection, message) = worker.next_request().await;
+        scheduler.signal("STOP").await;
         write(&mut connection, response).await;
         reset(connection);
+        worker.wait_for_reset().await;
+        scheduler.signal("CONT").await;
         let id = &message.headers["x-request-id"];
         // The worker lost the third request, which fails therefore.
         let fields = if status == 200 { DONE } else { r#""state":"lost""# };
--- a/crates/scheduler/tests/sockets/raw_worker.rs
+++ b/crates/scheduler/tests/sockets/raw_worker.rs
@@ -9,6 +9,13 @@
 
 use crate::sockets::{Message, next_message, within};
 
+/// The code of the state ESTABLISHED in `/proc/net/tcp`.
+const TCP_ESTABLISHED: &str = "01";
+/// The code of the state SYN_SENT in `/proc/net/tcp`.
+const TCP_SYN_SENT: &str = "02";
+/// The time between two readings of the kernel's table of connections.
+const STATE_POLL_INTERVAL: Duration = Duration::from_millis(2);
+
 /// A fake worker that a test reads and writes byte by byte, and that can keep new connections from being
 /// established.
 pub(crate) struct RawWorker {
@@ -45,18 +52,28 @@
     pub(crate) fn refuse_connections(&self) {
         SockRef::from(&self.listener).shutdown(Shutdown::Both).expect("a listening socket");
     }
-    /// Waits until the scheduler is connecting to this worker, which the kernel shows as SYN_SENT.
+    /// Waits until the scheduler is connecting to this worker.
     pub(crate) async fn wait_for_connect(&self) {
-        let port = format!(":{:04X} 02 ", self.address.port());
-        let seen = async {
-            while !std::fs::read_to_string("/proc/net/tcp")
-                .expect("/proc/net/tcp is readable")
-                .contains(&port)
-            {
-                tokio::time::sleep(Duration::from_millis(2)).await;
+        let connecting = async {
+            while !self.has_peer_in_state(TCP_SYN_SENT) {
+                tokio::time::sleep(STATE_POLL_INTERVAL).await;
             }
         };
-        within("a connection in SYN_SENT", seen).await;
+        within("a connection in SYN_SENT", connecting).await;
+    }
+    /// Waits until the scheduler's kernel has received the reset of its only connection to this worker.
+    pub(crate) async fn wait_for_reset(&self) {
+        let reset = async {
+            while self.has_peer_in_state(TCP_ESTABLISHED) {
+                tokio::time::sleep(STATE_POLL_INTERVAL).await;
+            }
+        };
+        within("the reset of a connection", reset).await;
+    }
+    /// Whether the kernel shows a connection to this worker, at the peer's end, in a state.
+    fn has_peer_in_state(&self, state: &str) -> bool {
+        let peer = format!(":{:04X} {state} ", self.address.port());
+        std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable").contains(&peer)
     }
 }
 
