--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -1,48 +1,54 @@
 //! Admission: decides which requests are rejected on arrival while the fleet is overloaded.
 //!
-//! Load shedding rejects the requests with the least weight per slot-second, since otherwise all would be
-//! late. After a streak of rejections, one request is attempted regardless, so that new outcomes are
-//! observed.
+//! Requests with the lowest priority weight per slot-second are rejected first, because all requests would be
+//! late if none were rejected. After several consecutive rejections, one request is attempted although it
+//! would be rejected: the estimates that lead to rejections are learned only from the outcomes of attempts.
 use super::average::EventRate;
 use super::request::Request;
 use crate::Micros;
 use crate::SECOND;
 use crate::Settings;
 
-/// Load shedding starts when the fleet utilization exceeds this constant plus 1 / (mean number of slots of a
-/// worker), because workers with few slots have queues at a lower utilization too.
+/// Constant part of the fleet utilization above which load shedding starts. The whole threshold is this
+/// constant plus 1 / (mean number of slots of a worker). The second term makes the threshold higher where
+/// workers have few slots, because requests queue there at a lower utilization too.
 const OVERLOAD_THRESHOLD: f64 = 0.9;
-/// Excess of the fleet utilization over the overload threshold at which all offered work would be shed, if
-/// [`MAX_SHED_FRACTION`] did not limit the shed fraction. The shed fraction rises linearly from 0 at the
-/// threshold.
+/// Width of the range of fleet utilization, starting at the overload threshold, over which the shed fraction
+/// rises linearly from 0 to 1. The shed fraction stops rising at [`MAX_SHED_FRACTION`], before the end of the
+/// range.
 const OVERLOAD_SPAN: f64 = 1.0;
 /// Largest fraction of the offered work that is shed.
 const MAX_SHED_FRACTION: f64 = 0.7;
-/// Gain with which the shed price is adjusted. A request of mean load changes the logarithm of the price by
-/// this gain times the difference between the fraction of work to be shed and 1 (for a request whose weight
-/// is below the price) or 0 (for any other request).
+/// Gain of the adjustment of the shed price. Each request adds a step to the logarithm of the price: this
+/// gain, times `s - b`, times the request's load relative to the mean request load. Here `s` is the fraction
+/// of work to be shed, and `b` is 1 if the request's weight per slot-second is below the price and 0
+/// otherwise.
 const SHED_PRICE_GAIN: f64 = 0.1;
-/// Largest load of one request that counts in an adjustment of the shed price, as a multiple of the mean
-/// request load.
+/// Limit on the relative load (a multiple of the mean request load) with which one request adjusts the shed
+/// price. A larger relative load is reduced to this limit.
 const MAX_SHED_PRICE_SAMPLE_LOAD: f64 = 3.0;
-/// Time constant of a tenant's request rate, in seconds; bursts last several seconds.
+/// Time constant of the average of a tenant's request rate, in seconds. The time constant is about as long as
+/// a burst of requests, which lasts several seconds.
 const TENANT_WINDOW_SECONDS: f64 = 3.0;
-/// Multiple of a dispatcher's share of a tenant's quota that the tenant may use at this dispatcher, since
-/// clients are not distributed evenly over the dispatchers.
+/// Factor that raises the quota of a tenant at this dispatcher above the tenant's quota divided by the number
+/// of dispatchers, because clients are not distributed evenly over the dispatchers.
 const TENANT_QUOTA_TOLERANCE: f64 = 1.2;
-/// Number of consecutive rejections on arrival that a rejection streak must reach before the next request is
-/// attempted although that request would be shed or late. The estimates that lead to rejections are learned
-/// from attempts: without any attempt, they would never change.
+/// Number of consecutive rejections on arrival that is needed before a request is attempted even if it would
+/// be shed or late. Without any attempt, the estimates that lead to rejections would never change, because
+/// they are learned from attempts.
 const MIN_REJECTION_STREAK_LENGTH: u32 = 7;
-/// Time that a rejection streak must also last before the next request is attempted.
+/// Shortest duration of a series of consecutive rejections on arrival before a request is attempted even if
+/// it would be shed or late. The series must also reach [`MIN_REJECTION_STREAK_LENGTH`].
 const MIN_REJECTION_STREAK_DURATION: Micros = 2 * SECOND;
 
 /// The load of the fleet as known to this dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FleetLoad {
-    /// Mean fraction of slots in use by all dispatchers, including waiting requests; may exceed 1.
+    /// Mean utilization of a worker: the slots that requests of all dispatchers together use or wait for,
+    /// divided by the worker's slots. May exceed 1, because waiting requests count.
     pub(super) utilization: f64,
-    /// Mean number of slots of a worker of the fleet.
+    /// Mean number of slots of a worker, learned from load reports; an assumed number before the first
+    /// report.
     pub(super) slots: f64,
     /// Mean load of an offered request: its work times its slots, in slot-seconds on a standard core.
     pub(super) mean_request_load: f64,
@@ -90,15 +96,15 @@
         self.rejection_streak = RejectionStreak::default();
     }
 
-    /// Returns whether the next request is to be attempted although it would be shed or late.
+    /// Returns whether the next request is to be attempted even if it would be shed or late.
     pub(super) fn must_attempt(&self, now: Micros) -> bool {
         self.rejection_streak.count >= MIN_REJECTION_STREAK_LENGTH
             && now.saturating_sub(self.rejection_streak.started_at) >= MIN_REJECTION_STREAK_DURATION
     }
 
     /// Returns whether a request is shed because its weight per slot-second is below the shed price while the
-    /// fleet is overloaded. The shed price adapts so that the fraction of the offered work whose weight is
-    /// below the price matches the fraction to be shed.
+    /// fleet is overloaded. Each call also adjusts the shed price, so that the requests below the price make
+    /// up the fraction of the offered work that is to be shed.
     pub(super) fn should_shed(
         &mut self,
         now: Micros,
@@ -127,9 +133,10 @@
         shed_fraction > 0.0 && is_below_price
     }
 
-    /// Records a request of a tenant. Returns the fraction of the tenant's requests that exceeds this
-    /// dispatcher's share of the tenant's quota, where the share includes [`TENANT_QUOTA_TOLERANCE`]. The
-    /// fraction is 0 for an unknown tenant and for a tenant without a quota.
+    /// Records a request of a tenant and returns the fraction of the tenant's current request rate that is
+    /// above the tenant's quota at this dispatcher. That quota is the tenant's quota divided by the number of
+    /// dispatchers, multiplied by [`TENANT_QUOTA_TOLERANCE`]. The returned fraction is 0 for an unknown
+    /// tenant and for a tenant without a quota.
     fn over_quota_fraction(&mut self, now: Micros, tenant: usize, settings: &Settings) -> f64 {
         let Some(rate) = self.tenant_rates.get_mut(tenant) else { return 0.0 };
         let quota_per_second = settings.tenants[tenant].quota_per_second;
--- a/crates/dispatcher/src/policy/affinity.rs
+++ b/crates/dispatcher/src/policy/affinity.rs
@@ -1,23 +1,27 @@
-//! Affinity: a random preference for certain workers that each dispatcher of a large fleet draws for itself.
+//! Affinity: a random preference of a dispatcher for certain workers, used if there are many dispatchers.
 //!
-//! Dispatchers with the same information would all select the same worker, and each would notice the pile-up
-//! only when its own responses are late. Multiplying the rank of a worker by the dispatcher's own random
-//! affinity spreads their requests.
+//! Dispatchers with the same information would all select the same worker, and each would notice the overload
+//! of that worker only when its own responses are late. Each dispatcher therefore draws a random affinity for
+//! every worker, independently of the other dispatchers, and multiplies the worker's rank by this affinity.
+//! As a result, the dispatchers select different workers.
 
-/// Smallest fleet, in dispatchers, in which workers are ranked by affinity: from this size on, a dispatcher's
-/// own requests reveal little about the load that the others put on a worker.
+/// Number of dispatchers from which on workers are ranked by affinity. With 16 or more dispatchers, a
+/// dispatcher's own requests reveal little about the load that the others put on a worker, so that many
+/// dispatchers would select the same worker without affinity.
 const LARGE_FLEET_SIZE: u32 = 16;
-/// Exponent of the random affinity. A worker whose rank is 1.1 times that of another is selected
-/// 1.1^(1 / exponent) times less often. At 0.1 too many dispatchers still select the same worker.
+/// Exponent of the random affinity: a worker whose rank is 1.1 times that of another is selected less often
+/// by the factor 1.1^(1/exponent). At an exponent of 0.1, too many dispatchers would select the same worker.
 const AFFINITY_EXPONENT: f64 = 0.2;
 
-/// This dispatcher's affinity for one worker: a factor of the worker's rank; lower means preferred.
+/// This dispatcher's affinity for one worker: a number by which the worker's rank is multiplied. The worker
+/// with the lowest rank is selected, so a low affinity means a preferred worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Affinity(f64);
 
 impl Default for Affinity {
-    /// The neutral affinity of 1. It leaves the worker's rank unchanged in a small fleet; in a large fleet,
-    /// this affinity is multiplied by the scale, as every affinity is.
+    /// Returns the neutral affinity of 1, which leaves a worker's rank unchanged in a small fleet. In a large
+    /// fleet, every affinity, including this one, is multiplied by a factor that makes the lowest affinity
+    /// among the ready workers about 1.
     fn default() -> Self {
         Affinity(1.0)
     }
@@ -48,26 +52,27 @@
         self.is_large_fleet
     }
 
-    /// Draws the affinity for a worker with a new hash key; the neutral one in a small fleet.
+    /// Draws the affinity for a worker whose hash key is new. In a small fleet, the result is always the
+    /// neutral affinity of 1.
     pub(super) fn draw(&self, rng: &mut fastrand::Rng) -> Affinity {
         if !self.is_large_fleet {
             return Affinity::default();
         }
-        // Multiplying the ranks by exponentially distributed values raised to the power `AFFINITY_EXPONENT`
-        // makes a worker the lowest ranked with a probability that is proportional to its rank to the power
-        // `-1 / AFFINITY_EXPONENT`.
+        // The affinity is an exponentially distributed value raised to the power `AFFINITY_EXPONENT`. Each
+        // rank is multiplied by such a value, and a worker then has the lowest product with a probability
+        // that is proportional to `rank.powf(-1.0 / AFFINITY_EXPONENT)`.
         Affinity((-(1.0 - rng.f64()).ln()).powf(AFFINITY_EXPONENT))
     }
 
-    /// Updates the scale for the number of ready workers. Removed workers are not counted: otherwise the
-    /// scale would keep growing while workers are replaced over days.
+    /// Updates the factor that makes the lowest affinity among the ready workers about 1. Removed workers are
+    /// not counted: otherwise the factor would keep growing while workers are replaced over days.
     pub(super) fn set_ready_workers(&mut self, ready: usize) {
         if self.is_large_fleet {
             self.scale = (ready.max(1) as f64).powf(AFFINITY_EXPONENT);
         }
     }
 
-    /// Returns the factor by which a worker's rank is multiplied.
+    /// Returns the factor by which a worker's rank is multiplied, given the affinity for the worker.
     pub(super) fn rank_factor(&self, affinity: Affinity) -> f64 {
         affinity.0 * self.scale
     }
--- a/crates/dispatcher/src/policy/average.rs
+++ b/crates/dispatcher/src/policy/average.rs
@@ -1,14 +1,15 @@
-//! Moving averages and sliding sums; the caller passes the weights and windows.
+//! Moving averages and sums over sliding windows. Callers pass the sample weights and the window lengths.
 use crate::Micros;
 use crate::time::to_seconds;
 use std::collections::VecDeque;
 
-/// Adds a sample with this weight, from 0 to 1, to an exponential moving average.
+/// Adds a sample to an exponential moving average: the new average is the mean of the old average, weighted
+/// by `1 - weight`, and the sample, weighted by `weight`. The weight lies between 0 and 1.
 pub(super) fn move_average(average: &mut f64, sample: f64, weight: f64) {
     *average += (sample - *average) * weight;
 }
 
-/// The weighted mean of two values.
+/// Returns the mean of `first` and `second`, weighted by `first_weight` and `second_weight`.
 pub(super) fn weighted_mean(first: f64, first_weight: f64, second: f64, second_weight: f64) -> f64 {
     (first_weight * first + second_weight * second) / (first_weight + second_weight)
 }
@@ -18,7 +19,8 @@
 pub(super) struct LogAverage {
     /// The average of the samples' logarithms.
     pub(super) log_mean: f64,
-    /// Number of samples in the average, at most the inverse of the smallest sample weight.
+    /// Number of samples in the average, at most the inverse of the `min_weight` passed to
+    /// [`LogAverage::add`].
     pub(super) samples: f64,
     /// When the last sample was added to the average.
     pub(super) updated_at: Micros,
@@ -35,10 +37,12 @@
     }
 }
 
-/// Lower bound of the average of expected values when an observed average is divided by it.
+/// Lower bound of the divisor of an [`AverageRatio`], the average of expected values, so that the divisor is
+/// never 0.
 const MIN_EXPECTED: f64 = 1e-3;
 
-/// The ratio of two moving averages: of observed and of expected values.
+/// Ratio of a quantity to its expectation: the moving average of the quantity's observed values divided by
+/// the moving average of its expected values.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AverageRatio {
     observed: f64,
@@ -51,13 +55,13 @@
         AverageRatio { observed: value, expected: value }
     }
 
-    /// Adds one sample to each average.
+    /// Adds an observed and an expected value, each to its moving average, with the same weight.
     pub(super) fn add(&mut self, observed: f64, expected: f64, weight: f64) {
         move_average(&mut self.observed, observed, weight);
         move_average(&mut self.expected, expected, weight);
     }
 
-    /// Returns the ratio, bounded by `max` and its inverse.
+    /// Returns the ratio of the two averages, limited to the range from `1 / max` to `max`.
     pub(super) fn ratio(&self, max: f64) -> f64 {
         (self.observed / self.expected.max(MIN_EXPECTED)).clamp(1.0 / max, max)
     }
@@ -71,8 +75,8 @@
 }
 
 impl EventRate {
-    /// Adds an event and returns the rate of events at `now`. The contribution of earlier events decays, with
-    /// the window as time constant.
+    /// Adds an event and returns the rate of events at `now`. The contribution of earlier events decays
+    /// exponentially with the time constant `window_seconds`.
     pub(super) fn add_event(&mut self, now: Micros, window_seconds: f64) -> f64 {
         let elapsed = to_seconds(now.saturating_sub(self.measured_at));
         self.per_second = self.per_second * (-elapsed / window_seconds).exp() + 1.0 / window_seconds;
@@ -91,14 +95,14 @@
 /// The sum of the amounts added in one time step.
 #[derive(Clone, Copy, Debug)]
 struct WindowStep {
-    /// When the amounts leave the sliding window and no longer count in its sum.
+    /// When the amounts of this time step leave the sliding window and no longer count in its sum.
     expires_at: Micros,
     amount: f64,
 }
 
 impl SlidingWindowSum {
-    /// Adds an amount that counts until one window after the end of the current step. The window is divided
-    /// into `steps` steps.
+    /// Adds an amount that counts until one window after the end of the current time step. The window has the
+    /// length `window` and is divided into `steps` time steps.
     pub(super) fn add(&mut self, now: Micros, window: Micros, steps: Micros, amount: f64) {
         let step = (window / steps).max(1);
         let expires_at = (now / step + 1) * step + window;
--- a/crates/dispatcher/src/policy/constants.rs
+++ b/crates/dispatcher/src/policy/constants.rs
@@ -2,15 +2,17 @@
 use crate::Micros;
 use crate::SECOND;
 
-/// Interval of the periodic refresh of all workers; service rates change over several seconds.
+/// Interval of the periodic refresh, which updates the failure rates and service rates of all workers. One
+/// second is short enough because service rates change over several seconds.
 pub(super) const REFRESH_INTERVAL: Micros = SECOND;
 /// Weight of one sample in a moving average over all requests or many workers: about the last 100 samples
 /// contribute.
 pub(super) const GROUP_GAIN: f64 = 0.01;
-/// Weight of one sample in a slowly moving average: about the last 20 samples contribute.
+/// Weight of one sample in the moving averages of load ratios, rejection rates and slot counts: about the
+/// last 20 samples contribute.
 pub(super) const SLOW_GAIN: f64 = 0.05;
-/// Largest valid value of a cost hint (in seconds), a listed size, a slot count or another number of a load
-/// report; a larger value is treated as absent.
+/// Largest valid value of an externally supplied number: a cost hint (in seconds), a listed size, a request's
+/// slot count or a value in a load report. A larger number counts as absent.
 pub(super) const MAX_VALID_VALUE: f64 = 1e4;
 
 /// Returns an externally supplied value if it is finite, above 0 and at most `max`.
--- a/crates/dispatcher/src/policy/dispatcher.rs
+++ b/crates/dispatcher/src/policy/dispatcher.rs
@@ -257,8 +257,8 @@
         self.actions.push(Action::StartTimer { after: turn.next_delay, timer: Timer::LoadQuery });
     }
 
-    /// A load query that timed out has waited behind requests at the worker, so the timeout counts as a
-    /// rejection by a full worker and not as a failure.
+    /// Handles the completion of a load query. If the query timed out, it has waited behind requests at the
+    /// worker, so the timeout is recorded as a rejection by a full worker and not as a failure.
     fn on_load_query_completed(
         &mut self,
         now: Micros,
@@ -303,13 +303,14 @@
         }
     }
 
-    /// Selects the worker for a request that has arrived, unless the request is shed or would be late at
-    /// every worker.
+    /// Selects the worker for a request that has arrived. The result is an error if the request is to be
+    /// rejected: because it is shed, because it would be late, or because no eligible worker can take it.
+    /// After a rejection streak, a request is sent even if it would be shed or late.
     fn admit(&mut self, now: Micros, request: &Request, tenant: usize) -> Result<usize, NotAdmitted> {
         let must_attempt = self.admission.must_attempt(now);
         if self.should_shed(now, request, tenant) && !must_attempt {
-            // The client should wait for about a mean response time, because some of the slots are free by
-            // then.
+            // The client should retry after about a mean response time, because some of the requests that now
+            // occupy slots will have completed by then.
             let retry_after = from_seconds(self.service_times.mean_response_seconds());
             return Err(NotAdmitted { retry_after, reason: Rejection::Overloaded, late_worker: None });
         }
@@ -348,7 +349,8 @@
         }
     }
 
-    /// Adds a request to the offered load and to the budgets for load queries and hedges.
+    /// Records a request in the averages of the offered load, and increases the budgets for load queries and
+    /// hedges, which grow with each offered request.
     fn record_offered_request(&mut self, request: &Request) {
         self.load_queries.earn(self.settings.load_query_cost);
         self.hedge_budget.earn();
@@ -404,7 +406,7 @@
                 }
             }
             Progress::Done(_) => {}
-            // The response is streaming to the client: the scheduler owes no other final response.
+            // The response is streaming to the client, so the scheduler must send no other final response.
             Progress::Streaming => request.is_finished = true,
         }
     }
@@ -505,9 +507,10 @@
         self.actions.push(Action::StartTimer { after, timer: Timer::HedgeCheck(request.id) });
     }
 
-    /// Hedges a request that should have started by now, if the hedge budget covers it and a worker can still
-    /// serve it in time. If hedging is not allowed, the attempt in flight is cancelled instead, which also
-    /// spends a hedge, and the request is retried once that attempt has completed.
+    /// Sends a second attempt (a hedge) of a request that should have started by now, if the hedge budget
+    /// covers a hedge and a worker can still serve the request in time. If hedging is not allowed, the
+    /// attempt in flight is cancelled instead, and the request is retried once that attempt has completed. In
+    /// both cases, one hedge is deducted from the budget.
     fn on_hedge_check(&mut self, now: Micros, id: RequestId) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         if !request.is_finished
--- a/crates/dispatcher/src/policy/endpoint_subscription.rs
+++ b/crates/dispatcher/src/policy/endpoint_subscription.rs
@@ -8,17 +8,19 @@
 /// Longest delay of the first poll. The delay is random, so that dispatchers that restart together do not
 /// overload discovery.
 const MAX_FIRST_POLL_DELAY: Micros = 3 * SECOND;
-/// The range of the first poll's random delay is this constant times the number of dispatchers in the fleet,
-/// up to [`MAX_FIRST_POLL_DELAY`], because small fleets need little spread.
+/// Amount, in microseconds, that each dispatcher in the fleet adds to the range of the first poll's random
+/// delay. The delay is drawn between 0 and this constant times the number of dispatchers, but not above
+/// [`MAX_FIRST_POLL_DELAY`]: the polls of few dispatchers need little spread.
 const FIRST_POLL_SPREAD: Micros = 150_000;
 /// Longest backoff after the first failed poll. The delay before the next poll is drawn between half of the
 /// backoff and the whole backoff.
 const POLL_BACKOFF_INITIAL: Micros = SECOND;
-/// Longest backoff after any failed poll. A dispatcher counts as notified of a change 6 s after discovery
-/// became reachable, regardless of failures: a poll that times out just then, this backoff and the next poll
-/// fit into that time.
+/// Longest backoff after any failed poll. A dispatcher is treated as notified of all endpoint changes 6 s
+/// after discovery became reachable again, even if its polls failed. These 6 s leave time for one poll to
+/// time out, for this backoff and for the next poll.
 const POLL_BACKOFF_MAX: Micros = 2 * SECOND;
-/// Maximum number of backoff doublings, so that the shift cannot overflow.
+/// Maximum number of doublings of the poll backoff, so that the bit shift that computes the backoff cannot
+/// overflow.
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// The known version of the endpoint list and the state of the subscription to its changes.
--- a/crates/dispatcher/src/policy/estimates.rs
+++ b/crates/dispatcher/src/policy/estimates.rs
@@ -1,5 +1,5 @@
-//! Service-time estimates of a request at a worker, from the data of all policy modules, and the time limits
-//! to which they are compared.
+//! Service-time estimates of a request at a worker, computed from the data of several policy modules, and the
+//! time limits with which the estimates are compared.
 use super::listed_load::ListedLoads;
 use super::load_reports::LoadReports;
 use super::load_reports::WorkerLoad;
@@ -44,9 +44,12 @@
         self.service_times.estimate(&target.worker.rate, request.work, request.slots, occupancy)
     }
 
-    /// Returns the slots that other dispatchers occupy at a worker: from the listed load, if known, while the
-    /// worker is warming up, otherwise from load reports. Judged by load reports, a worker that is warming up
-    /// would seem as loaded as the others and stay idle. The listed load is not used for other workers,
+    /// Returns the slots that other dispatchers are expected to occupy at a worker. The number comes from
+    /// load reports or, for a worker that is warming up, from the load that the endpoint list shows, if
+    /// known.
+    ///
+    /// An estimate from load reports would make a worker that is warming up seem as loaded as the others, so
+    /// that the worker would stay idle. The load from the endpoint list is not used for other workers,
     /// because all dispatchers that read the same list would select the workers that the list shows as idle.
     fn remote_slots(
         &self,
@@ -72,7 +75,8 @@
     }
 }
 
-/// The latency objective and the deadline of a request, in seconds on the caller's clock.
+/// The values that determine the latency objective and the deadline of a request. Instants are in seconds on
+/// the caller's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TimeLimits {
     now: f64,
@@ -91,9 +95,9 @@
         }
     }
 
-    /// Seconds left until the latency objective, or until the deadline if that comes first; negative once it
-    /// has passed. The objective grows with `seconds_alone`, the time that the request takes with a slot to
-    /// itself.
+    /// Returns the seconds left until the request's latency objective or its deadline, whichever comes first;
+    /// negative after that instant. The latency objective is extended by a multiple of `seconds_alone`, the
+    /// time that the request takes if it has its slots to itself.
     pub(super) fn seconds_left(&self, seconds_alone: f64) -> f64 {
         let objective = self.objective_at + self.latency_stretch * seconds_alone;
         objective.min(self.deadline) - self.now
--- a/crates/dispatcher/src/policy/hedging.rs
+++ b/crates/dispatcher/src/policy/hedging.rs
@@ -1,20 +1,22 @@
-//! Hedged requests: a second attempt is sent if the first has not started in time, because the worker's queue
-//! is longer than its reports showed, or because the worker hangs or has slowed down.
+//! Hedged requests: a request whose first attempt has not started in time gets a second attempt at another
+//! worker. The queue of the first worker may be longer than its load reports showed, or that worker may hang
+//! or have slowed down.
 use crate::Micros;
 use crate::time::from_seconds;
 
 /// Fraction of a request's slack after which the request is hedged if it has not started. The slack is the
 /// time that the request can wait and still meet its latency objective.
 const HEDGE_DELAY_FRACTION: f64 = 0.6;
-/// Shortest delay before a hedge, so that a start notification in transit arrives first.
+/// Shortest delay between sending a request and its hedge check. Without this minimum, a request could be
+/// hedged although it has started, because the start notification is still in transit.
 const MIN_HEDGE_DELAY: Micros = 20_000;
-/// Fraction of a hedge that each offered request adds to the hedge budget. The budget limits the extra load
-/// on workers that are already late: a cancelled attempt may still run or stay queued, so each hedge can cost
-/// a whole request.
+/// Fraction of a hedge by which each offered request increases the hedge budget. The budget limits the extra
+/// load that hedges put on workers that already respond late: a cancelled attempt may still run or stay
+/// queued, so each hedge can add the work of a whole request.
 const HEDGE_BUDGET_PER_REQUEST: f64 = 0.03;
-/// Largest hedge budget, in hedges that are not spent yet.
+/// Upper limit of the hedge budget, in hedges; unused budget does not accumulate beyond this limit.
 const MAX_HEDGE_BUDGET: f64 = 3.0;
-/// Hedges that a dispatcher may send before its requests have earned any.
+/// Hedge budget, in hedges, of a dispatcher that has just started.
 const INITIAL_HEDGE_BUDGET: f64 = 1.0;
 
 /// Returns the time from sending a request to its hedge check. `slack_seconds` is how long the request can
@@ -23,7 +25,8 @@
     from_seconds(slack_seconds * HEDGE_DELAY_FRACTION).max(MIN_HEDGE_DELAY)
 }
 
-/// The number of hedges that may be sent, earned by earlier requests.
+/// Hedge budget: the number of hedges that may be sent now. Each offered request increases the budget by a
+/// fraction of a hedge, and each hedge reduces the budget by 1.
 #[derive(Clone, Debug)]
 pub(super) struct HedgeBudget {
     hedges: f64,
@@ -36,7 +39,7 @@
 }
 
 impl HedgeBudget {
-    /// Adds the fraction of a hedge that one offered request earns.
+    /// Adds [`HEDGE_BUDGET_PER_REQUEST`] to the budget for one offered request, up to [`MAX_HEDGE_BUDGET`].
     pub(super) fn earn(&mut self) {
         self.hedges = (self.hedges + HEDGE_BUDGET_PER_REQUEST).min(MAX_HEDGE_BUDGET);
     }
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -1,24 +1,28 @@
-//! Late retries: estimates how much of a request's deadline the client spent on earlier tries.
+//! Late retries: requests that a client repeats after it has spent the whole latency objective on earlier
+//! tries. This module estimates how much time the client spent on earlier tries of a request.
 use super::average::move_average;
 use crate::Micros;
 use crate::RequestClass;
 use crate::time::to_seconds;
 
-/// Weight of one request in the fraction of late retries: about the last 20 requests contribute.
+/// Weight of one request in the fraction of requests that are late retries: about the last 20 requests
+/// contribute. A late retry is a request whose client has spent the whole latency objective on earlier tries.
 const LATE_RETRY_GAIN: f64 = 0.05;
-/// Largest plausible fraction of requests that are late retries. Above this fraction, clients are assumed to
-/// use shorter deadlines than their class allows.
+/// Largest plausible fraction of requests that are late retries, whose clients have spent the whole latency
+/// objective on earlier tries. Above this fraction, clients are assumed to use shorter deadlines than their
+/// class allows, and requests that look like late retries are treated as first tries.
 const MAX_LATE_RETRY_FRACTION: f64 = 0.08;
-/// Divisor of the tolerance for first requests. A request counts as its client's first try if its time left
-/// falls short of the longest time left seen in its class by at most that longest time divided by this
-/// constant.
+/// Divisor that sets the tolerance for recognizing a client's first try. A request counts as a first try if
+/// its time left until the client gives up is shorter than the longest such time in its class by at most that
+/// longest time divided by this constant.
 const FIRST_REQUEST_TOLERANCE_DIVISOR: Micros = 1_000;
 
-/// Distinguishes clients' retries from first requests by the time that their clients still wait.
+/// Distinguishes clients' retries from first tries by the time left until the client gives up, which is
+/// shorter for a retry.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LateRetries {
     longest_time_left_by_class: Vec<Micros>,
-    /// Fraction of requests that seem to have spent their whole latency objective before arrival.
+    /// Fraction of requests whose clients seem to have spent the whole latency objective on earlier tries.
     late_fraction: f64,
 }
 
@@ -27,10 +31,13 @@
         LateRetries { longest_time_left_by_class: vec![0; class_count], late_fraction: 0.0 }
     }
 
-    /// Returns the time that a client spent on earlier tries of a request, given that the client gives up
-    /// after `time_left`. The returned time is 0 if `time_left` is about the longest one seen in the class,
-    /// because clients may use a shorter deadline for all their requests. It is also 0 if the request seems
-    /// to have spent its whole latency objective and the same holds for implausibly many requests.
+    /// Returns the time that a client is assumed to have spent on earlier tries of a request. The result is
+    /// the deadline of the request's class minus `time_left`, the time until the client gives up, or 0.
+    ///
+    /// The returned time is 0 if `time_left` is about the longest such time seen in the class, because
+    /// clients may use a shorter deadline than that of the class for all their requests. The returned time is
+    /// also 0 if the client seems to have spent the whole latency objective, but implausibly many requests
+    /// look like this.
     pub(super) fn time_spent_before(
         &mut self,
         class_index: usize,
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -1,5 +1,6 @@
-//! Listed load: the load that all dispatchers put on a worker, derived from its listed size where that size
-//! decreases with load.
+//! Listed load: the load that all dispatchers together put on a worker, derived from the worker's size in the
+//! endpoint list. Listed load is known only if the endpoint list shows a smaller size the more loaded a
+//! worker is.
 use super::average::move_average;
 use super::constants::MAX_VALID_VALUE;
 use super::constants::validated;
@@ -7,24 +8,26 @@
 use crate::Micros;
 use crate::time::to_seconds;
 
-/// Largest listed load, as a multiple of the worker's slots.
+/// Upper limit of a listed load, as a multiple of the worker's slots. A higher load derived from a listed
+/// size is reduced to this limit.
 const MAX_LISTED_LOAD: f64 = 8.0;
-/// Largest plausible ratio of a listed size to the median of its kind. An idle worker among workers at
-/// [`MAX_LISTED_LOAD`] stays below it.
+/// Largest plausible ratio of a worker's listed size to the median size of its worker kind. The ratio stays
+/// below this limit even if the worker is idle and all others of its kind are at [`MAX_LISTED_LOAD`].
 const MAX_SIZE_TO_MEDIAN_RATIO: f64 = 2.0 * (1.0 + MAX_LISTED_LOAD);
 /// Weight of one endpoint list in a worker's mean listed load: about the last 3 lists contribute.
 const LISTED_LOAD_GAIN: f64 = 0.35;
-/// Age of the listed sizes when an endpoint list arrives, in seconds.
+/// Age, in seconds, that listed sizes are assumed to have when their endpoint list arrives.
 const LIST_AGE_SECONDS: f64 = 0.9;
-/// Time constant, in seconds, with which the load expected of a worker decays from the last listed load to
-/// the worker's mean listed load.
+/// Time constant, in seconds, of an exponential decay: as the last endpoint list grows older, the expected
+/// load of a worker moves from the load in that list to the worker's mean listed load.
 const LIST_DECAY_SECONDS: f64 = 1.0;
 
 /// Listed loads of all workers, derived from their listed sizes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListedLoads {
     workers: Vec<ListedLoad>,
-    /// Largest plausible size listed for each worker kind, which is taken for the size of an idle worker.
+    /// Assumed size of an idle worker, for each worker kind: the largest size listed so far that is
+    /// plausible.
     max_sizes: Vec<f64>,
 }
 
@@ -59,9 +62,10 @@
         }
     }
 
-    /// Learns the size of an idle worker of each kind: the largest size of the kind. Implausibly large sizes
-    /// are left out, since all other workers would look loaded beside them. `kinds` yields the kind of every
-    /// worker, in the order of their indices.
+    /// Learns, for each worker kind, the listed size of an idle worker. Listed sizes decrease with load, so
+    /// the largest size of the kind is used. Implausibly large sizes are left out, since all other workers
+    /// would look loaded in comparison with such a size. `kinds` yields the kind of every worker, in the
+    /// order of worker indices.
     pub(super) fn learn_max_sizes(&mut self, kinds: impl Iterator<Item = u32>) {
         let kinds_and_sizes = kinds.zip(&self.workers);
         let mut sizes: Vec<_> =
@@ -77,8 +81,9 @@
     }
 
     /// Records the load that a ready worker's listed size shows, at most [`MAX_LISTED_LOAD`]. The listed load
-    /// includes the requests of all dispatchers, which no other source shows as early. `slots` is the number
-    /// of slots of the worker, `mean_request_slots` the mean number that a request occupies.
+    /// includes the requests of all dispatchers; no other source shows the requests of other dispatchers as
+    /// early. `slots` is the number of slots of the worker, `mean_request_slots` the mean number of slots
+    /// that a request occupies.
     pub(super) fn record(
         &mut self,
         now: Micros,
@@ -96,9 +101,10 @@
         worker.listed_at = Some(now);
     }
 
-    /// Slots that other dispatchers are expected to occupy at a worker: the value of the last list, which
-    /// decays to the worker's mean as it ages. `None` if no load is known for this worker. `local_share`, the
-    /// fraction of all requests that this dispatcher handles, is subtracted.
+    /// Returns the slots that other dispatchers are expected to occupy at a worker, or `None` if no load is
+    /// listed for the worker. As the last endpoint list grows older, the number moves from the load in that
+    /// list to the worker's mean listed load. The listed load includes this dispatcher's requests, so it is
+    /// reduced by the fraction `local_share`, this dispatcher's share of all requests.
     pub(super) fn remote_slots(&self, now: Micros, worker: usize, local_share: f64) -> Option<RemoteSlots> {
         let worker = &self.workers[worker];
         let listed_at = worker.listed_at?;
