--- a/crates/dispatcher/src/policy/load_queries.rs
+++ b/crates/dispatcher/src/policy/load_queries.rs
@@ -1,14 +1,17 @@
-//! Load queries: asks workers for their load, if they report it only on request and each query has a cost.
+//! Load queries, which ask workers for their load in fleets whose workers report their load only on request.
+//! Each query has a cost, so a budget limits the number of queries.
 use crate::Micros;
 use crate::SECOND;
 
-/// Time in which all ready workers are queried once; workers update their load reports about as often.
+/// Time in which each ready worker is queried once: about the interval at which workers update their load
+/// reports.
 const LOAD_QUERY_ROUND: Micros = SECOND;
-/// The first query has a random delay of at most [`LOAD_QUERY_ROUND`] divided by this.
+/// Divisor of [`LOAD_QUERY_ROUND`] that gives the longest random delay of the first load query.
 const FIRST_LOAD_QUERY_DIVISOR: Micros = 10;
-/// Cost of load queries that is allowed for each offered request, as a fraction of a request's weight.
+/// Limit of the cost of load queries relative to the offered requests: each offered request allows load
+/// queries that cost this fraction of a request's priority weight.
 const LOAD_QUERY_COST_FRACTION: f64 = 0.01;
-/// Largest load-query budget, in load queries that are not spent yet; also the initial budget.
+/// Upper limit of the load-query budget, in load queries, and the budget at the start of a dispatcher.
 const MAX_LOAD_QUERY_BUDGET: f64 = 20.0;
 
 /// The worker to query now, if any, and when the next query is due.
@@ -20,8 +23,9 @@
     pub(super) next_delay: Micros,
 }
 
-/// Queries the ready workers in turn within a budget that requests earn. Without the budget, the number of
-/// queries would grow with the fleet regardless of their cost.
+/// Queries the ready workers in turn, within a budget that grows with each offered request. Without the
+/// budget, the number of queries would grow with the number of workers, regardless of the cost of the
+/// queries.
 #[derive(Clone, Debug)]
 pub(super) struct LoadQueries {
     last_queried: usize,
@@ -40,13 +44,15 @@
         rng.u64(0..=LOAD_QUERY_ROUND / FIRST_LOAD_QUERY_DIVISOR)
     }
 
-    /// Adds to the budget the load queries, possibly a fraction of one, that one offered request earns.
-    /// `cost` is the cost of one query as a fraction of a request's weight; a cost of 0 fills the budget.
+    /// Increases the budget, in load queries, by [`LOAD_QUERY_COST_FRACTION`] divided by `cost` for one
+    /// offered request. `cost` is the cost of one query as a fraction of a request's weight; a cost of 0
+    /// fills the budget.
     pub(super) fn earn(&mut self, cost: f64) {
         self.budget = (self.budget + LOAD_QUERY_COST_FRACTION / cost).min(MAX_LOAD_QUERY_BUDGET);
     }
 
-    /// Chooses the next worker to query, round robin over the ready workers, and spends one query on it.
+    /// Chooses the next worker to query, round robin over the ready workers, and deducts one query from the
+    /// budget. No worker is chosen if the budget does not cover a query.
     pub(super) fn take_turn(
         &mut self,
         worker_count: usize,
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -1,4 +1,5 @@
-//! Load reports: the fleet utilization and the load of other dispatchers, as the workers report them.
+//! Load reports: what workers report about their load. The utilization of the fleet and the slots that other
+//! dispatchers occupy at a worker are estimated from these reports.
 use super::average::AverageRatio;
 use super::average::move_average;
 use super::constants::MAX_VALID_VALUE;
@@ -18,15 +19,17 @@
 const UTILIZATION_GAIN: f64 = 0.1;
 /// Largest utilization that one load report contributes to the fleet utilization.
 const MAX_REPORTED_UTILIZATION: f64 = 2.0;
-/// Largest ratio between the observed and the expected load of a worker kind or zone, in either direction.
+/// Limit on the ratio of the observed to the expected load of a worker kind or zone: the ratio is kept
+/// between the inverse of this limit and this limit.
 const MAX_LOAD_RATIO: f64 = 5.0;
-/// Least load assumed of a worker that rejected an attempt, as a multiple of its slots.
+/// Lower limit of the load recorded for a worker that rejected an attempt or let a load query time out, as a
+/// multiple of the worker's slots.
 const MIN_REJECTING_LOAD: f64 = 1.5;
-/// Weight of the load expected of a worker from its kind and zone against the load that this dispatcher's own
-/// slots at the worker suggest. The weight is given as a number of local slots. `docs/large-fleet.md`
-/// compares values.
+/// Weight of the mean load, as a number of slots, in the expected load of a worker. The expected load
+/// combines the mean load of workers of the same kind and zone with the slots that this dispatcher's own
+/// requests use at the worker. The higher this weight, the less those own requests count.
 const MEAN_PRIOR_WEIGHT: f64 = 1.0;
-/// Lower bound of the mean number of slots when that mean is used as a divisor.
+/// Lower bound of the mean number of slots in use at a worker, which serves as a divisor and must not be 0.
 const MIN_MEAN_SLOTS: f64 = 1e-3;
 
 /// The valid values of a load report; invalid values count as absent.
@@ -49,7 +52,9 @@
         }
     }
 
-    /// Number of slots of the worker, if the report shows them: the free slots and those that run a request.
+    /// Returns the worker's number of slots: the sum of the free slots and of the running requests in the
+    /// load report. Running requests are those in flight without those in the queue. `None` if the report
+    /// does not contain the free slots.
     pub(super) fn slots(&self) -> Option<f64> {
         let running = self.in_flight.zip(self.queue).map_or(0.0, |(all, queue)| (all - queue).max(0.0));
         self.free_slots.map(|free| free + running)
@@ -78,8 +83,8 @@
     pub(super) kind: u32,
     pub(super) zone: u32,
     pub(super) slots: f64,
-    /// Slots of this dispatcher's attempts: those at the time of the report if a report is recorded, the
-    /// current ones if remote slots are estimated.
+    /// Slots of this dispatcher's attempts at the worker. To record a load report, these are the slots in use
+    /// when the report was made; to estimate remote slots, those in use now.
     pub(super) local_slots: f64,
 }
 
@@ -88,11 +93,13 @@
 pub(super) struct LoadReports {
     /// Fraction of all requests that this dispatcher handles.
     local_share: f64,
-    /// Mean fraction of slots in use by all dispatchers, including waiting requests; may exceed 1.
+    /// Mean utilization of a worker: the slots that requests of all dispatchers together use or wait for,
+    /// divided by the worker's slots. May exceed 1, because waiting requests count.
     fleet_utilization: f64,
     /// Utilization of each worker kind relative to the utilization of the fleet.
     kind_load_ratios: Vec<AverageRatio>,
-    /// Utilization of each zone relative to the utilization expected of its worker kinds.
+    /// Utilization of each zone's workers relative to the utilization expected of workers of the same kinds
+    /// anywhere in the fleet.
     zone_load_ratios: Vec<AverageRatio>,
 }
 
@@ -133,14 +140,15 @@
         self.local_share
     }
 
-    /// Mean fraction of slots in use by all dispatchers, including waiting requests; may exceed 1.
+    /// Returns the mean utilization of a worker: the slots that requests of all dispatchers together use or
+    /// wait for, divided by the worker's slots. May exceed 1, because waiting requests count.
     pub(super) fn fleet_utilization(&self) -> f64 {
         self.fleet_utilization
     }
 
     /// Records a worker's load report. `is_full` means that the worker rejected an attempt or that a load
-    /// query to it timed out, which both count as a lack of capacity. `load.local_slots` must be those in use
-    /// when the report was made, [`REPORT_AGE`] ago.
+    /// query to the worker timed out, both of which show a lack of capacity. `load.local_slots` is the number
+    /// of slots that this dispatcher's attempts used when the report was made, [`REPORT_AGE`] ago.
     pub(super) fn record(
         &mut self,
         now: Micros,
@@ -152,30 +160,33 @@
     ) {
         let mut total = values.slots_in_use(load.slots, mean_request_slots);
         if is_full {
-            // The load is raised to a minimum because the load reports of a full worker may still show free
-            // capacity: they can be older than the surge of requests, or cannot express more than all cores
-            // in use.
+            // The load of a full worker is raised to a minimum, because its load report may still show free
+            // capacity: the report can be older than the surge of requests, or contain only the fraction of
+            // cores in use, which cannot exceed 1.
             total = total.max(MIN_REJECTING_LOAD * load.slots);
         }
         // The utilization is limited because a few faulty workers with long queues must not make the whole
         // fleet look overloaded.
         let utilization = (total / load.slots).min(MAX_REPORTED_UTILIZATION);
         move_average(&mut self.fleet_utilization, utilization, UTILIZATION_GAIN);
-        // The fleet utilization adapts fast, the ratios of kinds and zones slowly. A zone is compared with
-        // the load expected of its worker kinds, so that both ratios are learned independently.
+        // The fleet utilization adapts fast, while the load ratios of kinds and zones adapt slowly. A zone is
+        // compared with the load expected of its worker kinds rather than of the fleet, so that a zone does
+        // not seem loaded only because it has many workers of a loaded kind.
         let kind = &mut self.kind_load_ratios[load.kind as usize];
         kind.add(utilization, self.fleet_utilization, SLOW_GAIN);
         let expected = self.fleet_utilization * kind.ratio(MAX_LOAD_RATIO);
         self.zone_load_ratios[load.zone as usize].add(utilization, expected, SLOW_GAIN);
-        // The local slots are those at the time of the report, because the report lacks attempts sent since
-        // then and includes some that have completed since then. If the current local slots were subtracted,
-        // dispatchers would mistake the requests of others for their own and select the same worker.
+        // The local slots are those in use when the report was made, because the report includes attempts
+        // that have completed since then and lacks attempts sent since then. If the current local slots were
+        // subtracted, dispatchers would take requests of other dispatchers for their own and select the same
+        // worker.
         worker.remote_slots = (total - load.local_slots).max(0.0);
         worker.reported_at = Some(now);
     }
 
-    /// Slots that other dispatchers are expected to occupy at a worker: the value of its last load report,
-    /// which decays to the expectation for its kind and zone within about a mean response time.
+    /// Returns the slots that other dispatchers are expected to occupy at a worker. Within about a mean
+    /// response time after the last load report, the number moves from the value in that report to the value
+    /// expected from the load of the worker's kind and zone and from this dispatcher's own requests.
     pub(super) fn remote_slots(
         &self,
         now: Micros,
@@ -186,16 +197,17 @@
         let kind_ratio = self.kind_load_ratios[load.kind as usize].ratio(MAX_LOAD_RATIO);
         let zone_ratio = self.zone_load_ratios[load.zone as usize].ratio(MAX_LOAD_RATIO);
         let mean = self.fleet_utilization * (kind_ratio * zone_ratio) * load.slots;
-        // This dispatcher's own requests are a sample of all requests: the more it has at a worker, the more
-        // its peers, which use the same policy, are likely to have. This inference needs no load report,
-        // which may be late or missing.
+        // This dispatcher's own requests are a sample of all requests: the more of them are at a worker, the
+        // more requests its peers, which use the same policy, are likely to have there. The expected number
+        // of slots therefore needs no load report, which may be late or missing.
         let expected_total = (load.local_slots + MEAN_PRIOR_WEIGHT)
             / (self.local_share + MEAN_PRIOR_WEIGHT / mean.max(MIN_MEAN_SLOTS));
         let expected_remote = expected_total * (1.0 - self.local_share);
         let Some(reported_at) = worker.reported_at else {
             return RemoteSlots { mean: expected_remote, variance: expected_remote };
         };
-        // This formula approximates an exponential decay at lower cost.
+        // The weight `freshness` of the load report approximates an exponential decay with the age of the
+        // report, but costs less time to compute.
         let age = to_seconds(now.saturating_sub(reported_at) + REPORT_AGE);
         let aged = 1.0 + age / mean_response_seconds;
         let freshness = 1.0 / (aged * aged);
--- a/crates/dispatcher/src/policy/local_load.rs
+++ b/crates/dispatcher/src/policy/local_load.rs
@@ -46,8 +46,8 @@
         self.in_flight.push(attempt);
     }
 
-    /// Moves an attempt from the attempts in flight to the completed attempts. Discards the completed
-    /// attempts that completed more than `keep_for` ago.
+    /// Moves an attempt from the attempts in flight to the completed attempts. Also discards the attempts at
+    /// this worker that completed more than `keep_for` ago.
     pub(super) fn complete(&mut self, request: RequestId, attempt: u32, now: Micros, keep_for: Micros) {
         let is_same_attempt = |other: &InFlightAttempt| (other.request, other.attempt) == (request, attempt);
         if let Some(at) = self.in_flight.iter().position(is_same_attempt) {
@@ -62,8 +62,8 @@
         self.local_slots_in_use = self.in_flight.iter().map(|attempt| attempt.slots).sum();
     }
 
-    /// Number of slots that the attempts in flight at an earlier instant occupied. The instant must not be
-    /// further back than the `keep_for` of [`LocalLoad::complete`].
+    /// Returns the number of slots that the attempts in flight at an earlier instant occupied. The instant
+    /// must not be further back than the `keep_for` that is passed to [`LocalLoad::complete`].
     pub(super) fn slots_at(&self, instant: Micros) -> f64 {
         let completed = self.completed.iter().filter(|entry| entry.completed_at >= instant);
         let attempts = self.in_flight.iter().chain(completed.map(|entry| &entry.attempt));
--- a/crates/dispatcher/src/policy/offered_load.rs
+++ b/crates/dispatcher/src/policy/offered_load.rs
@@ -1,4 +1,5 @@
-//! Offered load: the mean load and the mean slots of the requests that arrive at this dispatcher.
+//! Offered load: the mean load of a request that arrives at this dispatcher, and the mean number of slots
+//! that such a request occupies.
 use super::average::move_average;
 use super::constants::GROUP_GAIN;
 use super::constants::SLOW_GAIN;
@@ -20,9 +21,10 @@
 
 impl OfferedLoad {
     /// Adds a request to the averages. The mean load is the arithmetic mean of the first 100 requests and a
-    /// moving average from then on, because a moving average over about 20 requests that starts at 1 would
-    /// make the number of dispatchers that share a slow-start budget rise and fall within one window (see
-    /// `docs/slow-start.md`).
+    /// moving average from then on. The number of dispatchers that may send to a worker that is warming up
+    /// depends on the mean load. With a moving average over about 20 requests that starts at 1, this number
+    /// would rise and fall within one overload window, the time over which the work sent to such a worker is
+    /// limited.
     pub(super) fn record(&mut self, work: f64, slots: f64) {
         self.samples = (self.samples + 1.0).min(1.0 / GROUP_GAIN);
         self.mean_request_load += (work * slots - self.mean_request_load) / self.samples;
--- a/crates/dispatcher/src/policy/outlier_detection.rs
+++ b/crates/dispatcher/src/policy/outlier_detection.rs
@@ -6,17 +6,20 @@
 use crate::Outcome;
 use crate::time::to_seconds;
 
-/// Weight of one outcome in a worker's failure rate.
+/// Weight of one outcome in a worker's failure rate over all request classes: about the last 5 outcomes
+/// contribute.
 const FAILURE_GAIN: f64 = 0.2;
 /// Weight of one outcome in a worker's failure rate for one request class. This weight is higher than
-/// `FAILURE_GAIN` because few failures of a class must suffice: each failure can cost a whole request.
+/// `FAILURE_GAIN` so that few failures of a class suffice to make the worker's rank worse: each failure can
+/// mean that a whole request fails.
 const CLASS_FAILURE_GAIN: f64 = 0.3;
-/// Multiple of an attempt's service-time estimate after which the attempt in flight is overdue, which counts
-/// as a failure.
+/// Multiple of an attempt's service-time estimate after which an attempt in flight is overdue. An overdue
+/// attempt counts as a failure of its worker.
 const OVERDUE_ESTIMATE_MULTIPLE: f64 = 4.0;
 /// Shortest time after which an attempt in flight is overdue, in seconds.
 const MIN_OVERDUE_SECONDS: f64 = 0.5;
-/// Half-life of a worker's failure rates, in seconds. The rates decay so that the worker is tried again.
+/// Half-life of a worker's failure rates, in seconds. The decay improves the rank of a worker that gets no
+/// attempts because of earlier failures, so that the worker is tried again.
 const FAILURE_HALF_LIFE_SECONDS: f64 = 5.0;
 /// Highest failure or rejection rate used in the ranking. This limit keeps ranks finite, so that the worker
 /// stays available for retries.
@@ -25,9 +28,10 @@
 /// Failure rates of the attempts at one worker.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FailureRates {
-    /// Failure rate over all classes, including load queries.
+    /// Failure rate of attempts of all classes and of load queries.
     all: f64,
-    /// Failure rate of each class; may be shorter than the list of classes.
+    /// Failure rate of each class, by class index. Classes beyond the end of this list have no recorded
+    /// outcome yet.
     by_class: Vec<f64>,
 }
 
@@ -38,8 +42,8 @@
         self.by_class.fill(0.0);
     }
 
-    /// Records the outcome of an attempt, or of a load query if `class` is `None`. Failures are also counted
-    /// for each class, since a worker may fail for one class only.
+    /// Records the outcome of an attempt, or of a load query if `class` is `None`. The outcome of an attempt
+    /// also counts in the failure rate of the attempt's class, since a worker may fail for one class only.
     pub(super) fn record_outcome(&mut self, class: Option<usize>, outcome: Outcome) {
         let failed = match outcome {
             Outcome::Served => 0.0,
@@ -52,9 +56,10 @@
         }
     }
 
-    /// Counts an attempt as a failure, once, if it has become overdue: otherwise a worker that accepts
-    /// requests but does not respond would be noticed only at their deadlines. Only the failure rate of the
-    /// class changes, since the attempt has not failed yet and the fault may affect this class alone.
+    /// Records an attempt in flight as a failure, once, if the attempt has become overdue. Otherwise a worker
+    /// that accepts requests but does not respond would be noticed only at the deadlines of those requests.
+    /// Only the failure rate of the attempt's class changes, since the attempt has not failed yet and the
+    /// fault may affect only this class.
     pub(super) fn record_if_overdue(&mut self, now: Micros, class: usize, attempt: &mut Attempt) {
         if becomes_overdue(now, attempt) {
             attempt.is_overdue = true;
@@ -62,7 +67,8 @@
         }
     }
 
-    /// Multiplies all failure rates by `decay`, as [`failure_decay`] returns it.
+    /// Multiplies all failure rates by `decay`, the fraction of a failure rate that [`failure_decay`]
+    /// computes for the time since the last call.
     pub(super) fn decay(&mut self, decay: f64) {
         self.all *= decay;
         self.by_class.iter_mut().for_each(|rate| *rate *= decay);
@@ -94,9 +100,9 @@
         self.kind_rejection_rates.resize(kind_count, 0.0);
     }
 
-    /// Expected fraction of attempts at a worker that succeed, by which its rank is divided. Otherwise fast
-    /// error responses would look like a fast worker, and a worker kind that is full would use up a request's
-    /// attempts.
+    /// Returns the expected fraction of attempts at a worker that succeed. The worker's rank is divided by
+    /// this fraction: without the division, a worker that returns errors fast would look like a fast worker,
+    /// and requests would use up their attempts at a worker kind whose workers are full.
     pub(super) fn expected_success_rate(&self, worker: &FailureRates, kind: u32, class: usize) -> f64 {
         let rejection_rate = self.kind_rejection_rates[kind as usize];
         let failure_rate = worker.expected(class);
@@ -116,12 +122,13 @@
     }
 }
 
-/// Returns the fraction of a failure rate that remains after `duration`, apart from new outcomes.
+/// Returns the fraction of a failure rate that remains after `duration` if no outcome is recorded in that
+/// time.
 pub(super) fn failure_decay(duration: Micros) -> f64 {
     0.5_f64.powf(to_seconds(duration) / FAILURE_HALF_LIFE_SECONDS)
 }
 
-/// Returns whether an attempt in flight is overdue and has not been counted as such.
+/// Returns whether an attempt in flight is overdue and has not been recorded as overdue yet.
 fn becomes_overdue(now: Micros, attempt: &Attempt) -> bool {
     if !attempt.is_in_flight || attempt.is_overdue {
         return false;
--- a/crates/dispatcher/src/policy/request.rs
+++ b/crates/dispatcher/src/policy/request.rs
@@ -4,7 +4,7 @@
 use crate::RequestId;
 use arrayvec::ArrayVec;
 
-/// Maximum number of attempts of one request; a higher configured maximum is reduced to this.
+/// Maximum number of attempts of one request; a higher configured maximum is reduced to this number.
 pub(super) const MAX_TRACKED_ATTEMPTS: usize = 8;
 
 /// The last known progress of an attempt, and when it was reported.
@@ -19,8 +19,9 @@
 pub(super) struct Attempt {
     pub(super) worker: u32,
     pub(super) sent_at: Micros,
-    /// Whether this dispatcher's attempts at the worker fitted into the worker's slots when this attempt was
-    /// sent, so that the response time reflects the worker's service rate.
+    /// Whether all of this dispatcher's attempts at the worker fitted into the worker's slots when this
+    /// attempt was sent. If so, the response time can serve as a sample of the worker's service rate;
+    /// otherwise the attempts slowed each other down.
     pub(super) local_load_fitted: bool,
     pub(super) progress: Option<ProgressMark>,
     pub(super) is_in_flight: bool,
@@ -41,8 +42,9 @@
     /// request's class, or 1.
     pub(super) work: f64,
     pub(super) has_hint: bool,
-    /// The latency objective as an instant, without the latency stretch and less the time that the client
-    /// spent on earlier tries.
+    /// Instant of the latency objective: the arrival time plus the class's objective, minus the time that the
+    /// client spent on earlier tries. The latency stretch, a multiple of the request's running time that
+    /// extends the objective, is not included.
     pub(super) objective_at: Micros,
     pub(super) deadline: Micros,
     pub(super) is_finished: bool,
@@ -50,7 +52,8 @@
 }
 
 impl Request {
-    /// Returns the first attempt that is in flight or may have run.
+    /// Returns the first attempt that may have run: either the attempt is in flight, or its outcome does not
+    /// prove that the attempt never ran.
     pub(super) fn first_possibly_run_attempt(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.is_in_flight || !attempt.never_ran)
     }
--- a/crates/dispatcher/src/policy/retries.rs
+++ b/crates/dispatcher/src/policy/retries.rs
@@ -9,8 +9,8 @@
 use crate::Micros;
 use crate::Settings;
 
-/// Maximum number of attempts of a request, before rounding up, while workers reject all attempts; the
-/// maximum is inversely proportional to the rejection rate.
+/// Maximum number of attempts of a request, before rounding up, if workers reject all attempts. If workers
+/// reject only a fraction of the attempts, the maximum is this number divided by that fraction.
 const MAX_ATTEMPTS_WHILE_REJECTED: f64 = 1.5;
 
 /// The conditions for further attempts of a request.
@@ -21,11 +21,12 @@
 }
 
 impl RetryRules<'_> {
-    /// Returns the maximum number of attempts that a request may have at the current rejection rate.
+    /// Returns the maximum number of attempts of a request, which falls as workers reject a larger fraction
+    /// of all attempts.
     fn max_attempts(&self) -> usize {
         let max = (self.settings.max_attempts as usize).min(MAX_TRACKED_ATTEMPTS);
-        // The maximum falls as the rejection rate rises, because retries at a full fleet would only add load.
-        // If nothing is rejected, the quotient is infinite and the cast saturates.
+        // The maximum falls as the rejection rate rises, because retries in a full fleet would only add load.
+        // If the rejection rate is 0, the division gives infinity, which is converted to the largest `usize`.
         max.min((MAX_ATTEMPTS_WHILE_REJECTED / self.rejection_rate).ceil() as usize)
     }
 
@@ -35,15 +36,15 @@
         if request.attempts.len() >= self.max_attempts() || now >= request.deadline || must_wait {
             return false;
         }
-        // No retry is sent after the window, because workers have then discarded the idempotency key and
-        // would run the request again. The window starts at the first attempt that may have run, and the
-        // retry must be written before it ends.
+        // Workers discard an idempotency key at the end of the key's window and would then run the request
+        // again. A retry must therefore be written to the worker before that end. The window starts when the
+        // first attempt that may have run is sent.
         let written_by = now.saturating_add(self.settings.connect_timeout).saturating_add(MAX_DISPATCH_DELAY);
         self.is_repeatable(request, |_, window, first| written_by < first.sent_at.saturating_add(window))
     }
 
-    /// Returns whether a request whose first attempt has not started may be hedged, or else be cancelled at
-    /// its worker and sent to another.
+    /// Returns whether a request whose first attempt has not started may be sent to another worker, either by
+    /// hedging or, if hedging is not allowed, by cancelling the first attempt and then retrying.
     pub(super) fn may_hedge_or_move(&self, now: Micros, request: &Request) -> bool {
         if self.settings.hedging_allowed {
             return self.may_retry(now, request);
@@ -58,9 +59,9 @@
         self.is_repeatable(request, |scope, _, _| scope == KeyScope::All)
     }
 
-    /// Returns whether a request may run again. If the request has an idempotency key and an attempt of it
-    /// may have run, `is_safe` decides; that function gets the scope and the window of the key and the first
-    /// such attempt.
+    /// Returns whether a request may run again. If the request has an idempotency key and one of its attempts
+    /// may have run, `is_safe` decides from the scope of the key, the window of the key and the first attempt
+    /// that may have run.
     fn is_repeatable(&self, request: &Request, is_safe: impl Fn(KeyScope, Micros, &Attempt) -> bool) -> bool {
         match (self.settings.classes[request.class].idempotency, request.first_possibly_run_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
