--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -1,8 +1,12 @@
 //! Worker selection: finds the eligible worker with the lowest rank for a request.
 //!
-//! A worker is eligible if it is ready, matches the request's worker kind and key scope and has had no
-//! attempt of the request. Its rank follows from the service-time estimate, the cross-zone cost, the affinity
-//! and the failure rates; a worker that is warming up must also have slow-start budget left.
+//! A worker is eligible for a request if it is ready, has had no attempt of the request, and meets the
+//! request's placement constraint. The constraint is the worker kind that the request's class requires and,
+//! for a retry with an idempotency key, the zone or cell whose workers drop duplicates. A worker that is
+//! warming up must also have enough slow-start budget left for the request.
+//!
+//! The rank of a worker is its service-time estimate plus a cost for workers in another zone, multiplied by
+//! this dispatcher's random affinity for the worker and divided by the worker's expected success rate.
 use super::affinity::AffinityRules;
 use super::constants::REFRESH_INTERVAL;
 use super::estimates::EstimatedWorker;
@@ -23,19 +27,20 @@
 use crate::WorkerState;
 use crate::time::from_seconds;
 
-/// Number of eligible workers compared for one request, unless none of them may be selected. If there are
-/// more workers, the first one compared is random. Comparing more workers costs more time than the better
-/// choice saves.
+/// Number of eligible workers after which the comparison for one request ends, if a worker that can be
+/// selected has been found by then. If the fleet has more workers, the comparison starts at a random worker.
+/// Comparing more workers costs more time than the better choice saves.
 const MAX_WORKERS_COMPARED: usize = 200;
-/// Converts the cross-zone cost into seconds: the loss of a request's full weight counts as a delay of this
-/// many latency objectives.
+/// Number of latency objectives that equal a request's full weight when the cross-zone cost, a fraction of
+/// that weight, is converted into a delay in seconds.
 const OBJECTIVES_PER_WEIGHT: f64 = 3.0;
 
 /// The reason why a request is not sent, and when the client may retry.
 pub(super) struct NotAdmitted {
     pub(super) retry_after: Micros,
     pub(super) reason: Rejection,
-    /// The lowest ranked eligible worker, if the request is rejected because it would be late there.
+    /// The lowest-ranked eligible worker, if the request is rejected because it would be late even at that
+    /// worker.
     pub(super) late_worker: Option<usize>,
 }
 
@@ -43,11 +48,13 @@
 #[derive(Clone, Copy)]
 struct Candidate {
     index: usize,
-    /// The candidate with the lowest rank is selected. The first element is true, which ranks the candidate
-    /// behind those that would be on time, if the request would be late at this worker and the fleet is
-    /// large, where the affinity alone could otherwise put such a worker first. The second element is the
-    /// estimate for ranking plus the cross-zone cost, in seconds, multiplied by the affinity and divided by
-    /// the expected success rate.
+    /// Rank of the candidate, compared by the first element and then by the second; the lowest rank is
+    /// selected.
+    ///
+    /// The first element is true if the request would be late at this worker and the fleet is large. Such a
+    /// candidate comes after all candidates that would be on time; otherwise the affinity alone could put it
+    /// first. The second element, in seconds, is the estimate for ranking plus the cross-zone cost,
+    /// multiplied by the affinity and divided by the expected success rate.
     rank: (bool, f64),
     /// Seconds by which the service-time estimate exceeds the request's time left; negative if the request
     /// would be on time.
@@ -97,9 +104,10 @@
     /// Selects the eligible worker with the lowest rank; ties are broken at random.
     ///
     /// # Errors
-    /// The request would be late at that worker, or no worker is eligible or has slow-start budget left for
-    /// it. A late request may be retried after the time by which the estimate exceeds the time left, since
-    /// the queue must shrink by that much first.
+    /// The request would be late at that worker, or no worker can be selected: none is eligible, or all that
+    /// are eligible are warming up and have no slow-start budget left for the request. A late request may be
+    /// retried after the time by which the estimate exceeds the time left, since the worker's queue must
+    /// first become shorter by that time.
     pub(super) fn select(mut self, now: Micros, request: &Request) -> Result<usize, NotAdmitted> {
         let no_worker = NotAdmitted {
             retry_after: REFRESH_INTERVAL,
@@ -154,8 +162,9 @@
 
     fn context<'r>(&self, now: Micros, request: &'r Request) -> SelectionContext<'r> {
         let class = &self.settings.classes[request.class];
-        // The cross-zone cost is a fraction of the request's weight, which is lost over several latency
-        // objectives. The cost is therefore converted into a multiple of the objective.
+        // The cross-zone cost is a fraction of the request's weight. A late request loses its weight
+        // gradually, over a time of several latency objectives, so the cost is converted into a multiple of
+        // the objective.
         let objective = self.estimates.service_times.objective_seconds(class, request.work);
         SelectionContext {
             now,
@@ -166,8 +175,9 @@
         }
     }
 
-    /// Returns the constraint on the workers of a request: the worker kind of its class and, for a retry with
-    /// an idempotency key, the zone or cell whose workers drop duplicates. `None` for most requests.
+    /// Returns the constraint on the workers that may get a request: the worker kind that the request's class
+    /// requires and, for a retry with an idempotency key, the zone or cell whose workers drop duplicates.
+    /// Most requests have no constraint, which is `None`.
     fn constraint(&self, request: &Request, class: &RequestClass) -> Option<PlacementConstraint> {
         let first =
             request.first_possibly_run_attempt().map(|attempt| &self.workers[attempt.worker as usize]);
@@ -193,8 +203,8 @@
         let estimate = self.estimates.estimate(now, target, request);
         let excess_seconds = estimate.seconds - limits.seconds_left(estimate.seconds_alone);
         let cross_zone = if worker.zone == self.settings.zone { 0.0 } else { cross_zone_seconds };
-        // Slow start limits the dispatchers that send to a worker that is warming up, so affinity is not
-        // needed to spread them.
+        // Affinity spreads the dispatchers over the workers. A worker that is warming up does not need
+        // affinity, because slow start already limits how many dispatchers send requests to that worker.
         let affinity = if is_warming_up { 1.0 } else { self.affinities.rank_factor(worker.affinity) };
         let seconds = (estimate.seconds_for_ranking + cross_zone) * affinity
             / self.outlier_detector.expected_success_rate(&worker.failure_rates, worker.kind, request.class);
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -1,4 +1,5 @@
-//! Service-time estimates by processor sharing, and the learned service rates and slots that they use.
+//! Service-time estimates by processor sharing. The estimates are computed from the service rates and slot
+//! counts of workers, which are learned from responses and load reports.
 use super::average::LogAverage;
 use super::average::move_average;
 use super::average::weighted_mean;
@@ -11,32 +12,39 @@
 
 /// Weight of one sample in a worker's service rate: about the last 10 samples contribute.
 const WORKER_RATE_GAIN: f64 = 0.1;
-/// Number of samples after which a worker's own service rate weighs as much as the rate of its kind, and the
-/// rate of the kind as much as that of the fleet. A few are needed because cost hints are noisy.
+/// Number of samples at which two averages have equal weight in a service-rate estimate: the average of a
+/// worker and that of its kind, or the average of a kind and that of the fleet. Several samples are needed
+/// because the cost hints, from which the samples are computed, are noisy.
 const GROUP_PRIOR_WEIGHT: f64 = 3.0;
-/// Half-life of the weight of an idle worker's own service rate against the rate of its kind, in mean
-/// response times.
+/// Half-life of the weight of an idle worker's own service-rate average, as a multiple of the mean response
+/// time. As this weight falls, the service rate that estimates use moves to the rate of the worker's kind.
 const RATE_HALF_LIFE_RESPONSE_TIMES: f64 = 5.0;
-/// Lowest valid service-rate sample, in work per second; a lower one comes from a wrong cost hint or clock.
+/// Lowest valid service-rate sample, as a multiple of the rate of a standard core; a lower sample comes from
+/// a wrong cost hint or clock.
 const MIN_RATE: f64 = 1e-3;
-/// Highest valid service-rate sample, in work per second; a higher one comes from a wrong cost hint or clock.
+/// Highest valid service-rate sample, as a multiple of the rate of a standard core; a higher sample comes
+/// from a wrong cost hint or clock.
 const MAX_RATE: f64 = 1e3;
-/// Slots assumed of a worker before the first load report: low, so that requests do not queue up there.
+/// Number of slots assumed of a worker before the first load report. The number is low, so that requests do
+/// not queue up at the worker.
 const INITIAL_SLOTS: f64 = 2.0;
-/// Slots assumed for the slow-start budget of a kind without load reports: the fewest that a worker can have.
+/// Number of slots assumed when the slow-start budget is computed for a worker whose kind has no load report:
+/// the fewest slots that a worker can have.
 const MIN_SLOTS: f64 = 1.0;
-/// Weight of a load report that shows more slots than known for its kind; the weight is below 1 because
-/// reports have a noise of up to 20 %.
+/// Weight of a load report in the moving average of a worker kind's slots, if the report shows more slots
+/// than the average. The weight is below 1 because reports have a noise of up to 20 %.
 const SLOTS_RISE_GAIN: f64 = 0.6;
-/// Weight of a load report that shows fewer slots than known for its kind: above 0, so that one report that
-/// was too high does not last forever.
+/// Weight of a load report in the moving average of a worker kind's slots, if the report shows fewer slots
+/// than the average. The weight is above 0, so that the average recovers after a report with too many slots.
 const SLOTS_FALL_GAIN: f64 = 0.002;
-/// Weight of the excess over a worker's slots in the ranking: the delay of the request itself and, about
-/// twice as much, the delay that it causes for requests behind it. At 1 requests crowd onto the fastest
-/// worker kind, at 5 they are spread over too many workers. `docs/large-fleet.md` compares values.
+/// Factor by which the queueing delay at a worker is multiplied in the worker's rank: the delay of the
+/// request itself counts once, and the delay that the request causes for the requests behind it about twice.
+/// At a factor of 1, requests crowd onto the fastest worker kind; at 5, they are spread over too many
+/// workers.
 const QUEUEING_RANK_FACTOR: f64 = 3.0;
-/// Weight of the variance in the hyperbola that approximates the mean positive part of a normally distributed
-/// value. Both agree at a mean of 0, where they are 0.4 standard deviations, and far from it.
+/// Weight of the variance in the hyperbola that approximates the mean of `max(x, 0)` for a normally
+/// distributed `x`. The approximation is accurate if the mean of `x` is 0, where the result is 0.4 standard
+/// deviations, and if that mean is far from 0.
 const EXCESS_VARIANCE_WEIGHT: f64 = 0.64;
 /// Lower bound of a response-time sample, so that the mean, which is used as a divisor, stays above 0.
 const MIN_RESPONSE_TIME: Micros = 1_000;
@@ -48,9 +56,11 @@
 pub(super) struct ServiceTimeEstimate {
     /// Time, in seconds, that the request takes if it has its slots to itself.
     pub(super) seconds_alone: f64,
-    /// Time, in seconds, that the request takes beside the other requests at the worker.
+    /// Time, in seconds, that the request takes if it shares the worker's slots with the other requests
+    /// there.
     pub(super) seconds: f64,
-    /// Time, in seconds, by which workers are ranked; it includes the delay of the requests behind this one.
+    /// Time, in seconds, that determines the worker's rank. In addition to the time that the request takes,
+    /// it includes the delay that the request causes for the requests behind it.
     pub(super) seconds_for_ranking: f64,
 }
 
@@ -65,7 +75,8 @@
     pub(super) remote_slots: RemoteSlots,
 }
 
-/// Estimates service times from the learned service rates, slots and response times.
+/// Learns service rates, slot counts and response times from responses and load reports, and estimates
+/// service times from these values.
 #[derive(Clone, Debug)]
 pub(super) struct ServiceTimeEstimator {
     kinds: Vec<GroupCapacity>,
@@ -80,11 +91,12 @@
 pub(super) struct WorkerRate {
     /// Average of the worker's own service-rate samples.
     own_rate: LogAverage,
-    /// Service rate that estimates use: work per second on one slot.
+    /// Service rate of one slot, as used in estimates: a multiple of the rate of a standard core. The rate
+    /// combines the worker's own average with the averages of the worker's kind and the fleet.
     service_rate: f64,
 }
 
-/// The learned capacity of the workers of one kind or of the whole fleet.
+/// The learned service rate and number of slots of the workers of one kind or of the whole fleet.
 #[derive(Clone, Copy, Debug, Default)]
 struct GroupCapacity {
     rate: LogAverage,
@@ -98,7 +110,8 @@
         self.own_rate = LogAverage::default();
     }
 
-    /// Service rate that estimates use: work per second on one slot.
+    /// Returns the service rate of one slot of the worker, as used in estimates: a multiple of the rate of a
+    /// standard core.
     pub(super) fn service_rate(&self) -> f64 {
         self.service_rate
     }
@@ -136,27 +149,31 @@
         self.service_time_by_class[class].log_mean.exp()
     }
 
-    /// Number of slots of a worker of this kind, or the fleet's mean if the kind has no load report, or
-    /// [`INITIAL_SLOTS`] if there is no report at all.
+    /// Returns the number of slots of a worker of this kind. If no worker of this kind has sent a load
+    /// report, the fleet's mean is returned; before the first load report of any worker, [`INITIAL_SLOTS`].
     pub(super) fn slots_of(&self, kind: u32) -> f64 {
         self.kinds[kind as usize].slots.or(self.fleet.slots).unwrap_or(INITIAL_SLOTS)
     }
 
-    /// Number of slots of a worker of this kind, or [`MIN_SLOTS`] if the kind has no load report; for the
-    /// slow-start budget.
+    /// Returns the number of slots from which the slow-start budget of a worker of this kind is computed: the
+    /// learned number, or [`MIN_SLOTS`] if no worker of this kind has sent a load report.
     pub(super) fn min_slots_of(&self, kind: u32) -> f64 {
         self.kinds[kind as usize].slots.unwrap_or(MIN_SLOTS)
     }
 
-    /// Mean number of slots of the fleet's workers.
+    /// Returns the mean number of slots of the fleet's workers, or [`INITIAL_SLOTS`] before the first load
+    /// report.
     pub(super) fn fleet_slots(&self) -> f64 {
         self.fleet.slots.unwrap_or(INITIAL_SLOTS)
     }
 
-    /// Estimates the service time of a request at a worker: equation (1) of the paper named in
-    /// [`policy`](crate::policy). The paper assumes that all requests at a worker are known. A dispatcher
-    /// knows its own requests, but only the distribution of the other dispatchers' requests, so the excess
-    /// over the slots is an expected value.
+    /// Estimates the service time of a request at a worker: the time that the request takes alone, extended
+    /// in proportion to the number of slots that all requests at the worker need beyond the worker's slots.
+    /// This is equation (1) of the paper named in [`policy`](crate::policy).
+    ///
+    /// The paper assumes that all requests at a worker are known. A dispatcher knows its own requests, but
+    /// only the distribution of the other dispatchers' requests, so the number of slots needed beyond the
+    /// worker's slots is an expected value.
     pub(super) fn estimate(
         &self,
         worker: &WorkerRate,
@@ -175,15 +192,16 @@
         ServiceTimeEstimate { seconds_alone, seconds, seconds_for_ranking }
     }
 
-    /// Latency objective, in seconds, of a request of this class with this much work, which is taken to run
-    /// at the fleet's mean service rate.
+    /// Returns the latency objective, in seconds, of a request of this class with this amount of work. The
+    /// latency stretch is computed as if the request ran at the fleet's mean service rate.
     pub(super) fn objective_seconds(&self, class: &RequestClass, work: f64) -> f64 {
         let stretch_seconds = class.latency_stretch * work / self.fleet.rate.log_mean.exp();
         to_seconds(class.latency_objective) + stretch_seconds
     }
 
-    /// Updates the service rate in use: the average of the worker's own samples shrunk toward the rate of its
-    /// kind, which is itself shrunk toward the rate of the fleet.
+    /// Updates the service rate that estimates use: a weighted mean of the worker's own average and the rate
+    /// of its kind. The rate of the kind is in turn a weighted mean of the kind's average and the fleet's
+    /// average.
     pub(super) fn refresh(&self, now: Micros, worker: &mut WorkerRate, kind: u32, is_idle: bool) {
         let fleet = self.fleet.rate;
         let kind = self.kinds[kind as usize].rate;
@@ -225,16 +243,17 @@
         move_average(&mut self.mean_response_seconds, response_time, GROUP_GAIN);
     }
 
-    /// Learns the service time of a request without a cost hint. If the work were 1 for all classes, a
-    /// worker's service rate would reflect its mix of classes.
+    /// Learns the service time of a request without a cost hint, which becomes the expected work of such
+    /// requests of the class. If the expected work were 1 for all classes, a worker that gets more requests
+    /// of a slow class would seem to be a slow worker.
     pub(super) fn learn_class_time(&mut self, now: Micros, class: usize, seconds: f64) {
         self.service_time_by_class[class].add(seconds.ln(), GROUP_GAIN, now);
     }
 
     /// Learns the slots of a worker kind from the load report of one worker.
     pub(super) fn learn_slots(&mut self, kind: u32, reported: f64) {
-        // The estimate starts at one slot or more, so that a first report without free slots causes no
-        // division by zero.
+        // The learned number of slots starts at 1 or more: if it started at 0 after a first report without
+        // free slots, estimates would divide by zero.
         let slots = self.kinds[kind as usize].slots.get_or_insert(reported.max(MIN_SLOTS));
         *slots += (reported - *slots) * if reported > *slots { SLOTS_RISE_GAIN } else { SLOTS_FALL_GAIN };
     }
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -7,31 +7,34 @@
 use crate::time::to_seconds;
 
 /// Fraction of a slow-start budget that all dispatchers together may use. The rest is a margin for
-/// dispatchers that estimate the worker's capacity differently. Sent work counts for a whole window, so a
-/// dispatcher exceeds its share in no window.
+/// dispatchers that estimate the worker's capacity differently. A dispatcher exceeds its share in no overload
+/// window, because sent work counts for a whole window after it was sent.
 const SLOW_START_BUDGET_FRACTION: f64 = 0.9;
-/// An overload is attributed to the dispatchers that were notified of the worker's start if they sent more
-/// than the work of all dispatchers divided by this.
+/// Divisor that limits what the dispatchers that were notified of a worker's start may send together. An
+/// overload is attributed to these dispatchers if they sent more than the work of all dispatchers divided by
+/// this constant.
 const SLOW_START_NOTIFIED_DIVISOR: f64 = 1.5;
-/// Number of steps into which the overload window is divided for summing sent work. Work counts for up to one
-/// step longer than the window.
+/// Number of steps into which the overload window is divided for summing sent work. The overload window is
+/// the time over which the work sent to a worker that is warming up is compared with its capacity. Work
+/// counts for up to one step longer than that window.
 const SLOW_START_WINDOW_STEPS: Micros = 32;
-/// Least size of a dispatcher's share of a budget, in requests of mean load. If the usable budget is smaller,
-/// one dispatcher gets all of it; dispatchers with random positions get less. `docs/large-fleet.md` compares
-/// values.
+/// Least size of a dispatcher's share of a slow-start budget, in requests of mean load. If the usable budget
+/// is smaller, one dispatcher gets all of it. Dispatchers that draw their shares at random, because they have
+/// no index in the fleet, get less.
 const SLOW_START_SHARE_REQUESTS: f64 = 4.0;
-/// Margin, in standard deviations, for dispatchers that by chance hold the same random positions. The sum of
-/// this margin and 2 further dispatchers is exceeded in about one of a million worker starts.
+/// Margin, in standard deviations, that is added to the expected number of dispatchers with a share of a
+/// slow-start budget if dispatchers draw their shares at random. The number of dispatchers exceeds the
+/// expected number plus this margin plus 2 in about one of a million worker starts.
 const SLOW_START_HOLDER_STD_DEVIATIONS: f64 = 5.0;
-/// Fraction of its share that a dispatcher with a random position uses if not all dispatchers share the
-/// budget, because others may hold the same position.
+/// Fraction of its share of a slow-start budget that a dispatcher uses if it drew the share at random and not
+/// all dispatchers share the budget: another dispatcher may have drawn the same share.
 const SLOW_START_RANDOM_POSITION_FRACTION: f64 = 0.5;
 
-/// The known capacity of a worker after its slow start.
+/// Estimated capacity that a worker has once its slow start is over.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkerCapacity {
     pub(super) slots: f64,
-    /// Service rate: work per second on one slot.
+    /// Service rate of one slot, as a multiple of the rate of a standard core.
     pub(super) service_rate: f64,
 }
 
@@ -39,7 +42,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlowStartBudgets {
     rules: SlowStartRules,
-    /// Start time of this dispatcher; work that an earlier process of this dispatcher sent is not known.
+    /// Start time of this dispatcher's process. The work that an earlier process of this dispatcher sent to
+    /// workers is not known, but may still count toward the dispatcher's shares.
     dispatcher_started_at: Option<Micros>,
 }
 
@@ -60,21 +64,24 @@
     started_at: Option<Micros>,
     sent: SlidingWindowSum,
     hash_key: u64,
-    /// This dispatcher's position among all dispatchers for this worker, from 0; computed on first use.
+    /// Position of this dispatcher, from 0, in the order in which the dispatchers get shares of the worker's
+    /// slow-start budget; computed on first use.
     position: Option<u32>,
 }
 
 /// The division of a slow-start budget among dispatchers.
 struct SlowStartShares {
-    /// Number of dispatchers that share the budget: those with the lowest positions.
+    /// Number of dispatchers that share the budget: those whose positions (numbered from 0) are below this
+    /// number.
     sharers: f64,
-    /// Work that each of these dispatchers may send in an overload window.
+    /// Work, in slot-seconds on a standard core, that each dispatcher with a share may send to the worker in
+    /// an overload window (see [`Settings::overload_window`]).
     share: f64,
 }
 
 impl WorkerSlowStart {
-    /// Sets the worker's start time as listed, where 0 means long ago, and returns whether a new process has
-    /// started.
+    /// Sets the worker's start time from the endpoint list and returns whether a new process of the worker
+    /// has started. A listed time of 0 means that the worker started long ago.
     pub(super) fn set_started_at(&mut self, listed: Option<Micros>) -> bool {
         let started_at = listed.filter(|&at| at > 0);
         let is_new_process = started_at.is_some() && started_at != self.started_at;
@@ -106,7 +113,8 @@
         SlowStartBudgets { rules, ..SlowStartBudgets::default() }
     }
 
-    /// Records when this dispatcher started. Work sent by an earlier process of this dispatcher is not known.
+    /// Records the start time of this dispatcher's process, because the work that an earlier process of this
+    /// dispatcher sent to workers is not known.
     pub(super) fn start(&mut self, now: Micros) {
         self.dispatcher_started_at = Some(now);
     }
@@ -116,8 +124,8 @@
         worker.started_at.is_some_and(|at| now < at.saturating_add(self.rules.duration))
     }
 
-    /// Records load sent to a worker, in slot-seconds on a standard core. This is done for every worker,
-    /// since any of them may turn out to have restarted.
+    /// Records load sent to a worker, in slot-seconds on a standard core. The load is recorded for every
+    /// worker, since a later endpoint list may show that the worker had restarted before the load was sent.
     pub(super) fn record_sent(&self, now: Micros, worker: &mut WorkerSlowStart, load: f64) {
         worker.sent.add(now, self.rules.window, SLOW_START_WINDOW_STEPS, load);
     }
@@ -125,11 +133,12 @@
     /// Returns whether a request with this load, in slot-seconds on a standard core, may be sent to a worker
     /// that is warming up.
     ///
-    /// All dispatchers together must stay within the worker's budget, and none knows what the others send.
-    /// The budget is therefore divided among the dispatchers with the lowest positions, as many of them as
-    /// leave each share a few requests, and none exceeds its share. In a large fleet, equal shares for all
-    /// dispatchers would be smaller than any request, and random sending of small requests by many
-    /// dispatchers would exceed any budget by chance.
+    /// All dispatchers together must stay within the worker's slow-start budget, and none knows what the
+    /// others send. The budget is therefore divided into shares of a few requests each, and each dispatcher
+    /// stays within its share. For each worker, the dispatchers are put in a different order, and the first
+    /// ones in this order get the shares. In a large fleet, equal shares for all dispatchers would be smaller
+    /// than any request, and if many dispatchers sent small requests at random, their sum would by chance
+    /// exceed any budget.
     pub(super) fn admits(
         &self,
         now: Micros,
@@ -142,12 +151,13 @@
         let rules = self.rules;
         let hash_key = worker.hash_key;
         let position = *worker.position.get_or_insert_with(|| rules.position(hash_key, rng));
-        // Work sent before the worker's last start does not count, because an earlier process of the worker
-        // received it.
+        // Work sent before the worker's last start does not count toward this dispatcher's share, because an
+        // earlier process of the worker received that work.
         let from = now.max(worker.started_at.map_or(0, |at| at.saturating_add(rules.window)));
         let sent = worker.sent.sum_at(from);
-        // A dispatcher that has started since the worker's start does not know what its own earlier process
-        // sent, which may have been the dispatcher's whole share.
+        // A dispatcher that has started after the worker does not know what an earlier process of the
+        // dispatcher sent to the worker. That process may have used the whole share, so the new process sends
+        // nothing to the worker until one overload window has passed.
         if let Some(dispatcher_started_at) = self.dispatcher_started_at
             && worker.started_at < self.dispatcher_started_at
             && now < dispatcher_started_at + rules.window
@@ -161,9 +171,9 @@
 }
 
 impl SlowStartRules {
-    /// Computes this dispatcher's position for a worker, from 0, by rendezvous hashing: every dispatcher can
-    /// compute the hash of each pair of dispatcher and worker, and the dispatcher with the lowest hash has
-    /// position 0.
+    /// Computes this dispatcher's position for a worker, from 0, by rendezvous hashing; the lowest positions
+    /// get shares of the worker's slow-start budget. Every dispatcher can compute the hash of each pair of
+    /// dispatcher and worker, and the dispatcher with the lowest hash has position 0.
     fn position(&self, hash_key: u64, rng: &mut fastrand::Rng) -> u32 {
         let fleet_size = self.fleet_size;
         let hash = |number: u32| fastrand::Rng::with_seed(hash_key ^ (u64::from(number) << 32)).u64(..);
@@ -172,15 +182,17 @@
                 let local_hash = hash(local);
                 (0..fleet_size).filter(|&other| hash(other) < local_hash).count() as u32
             }
-            // This dispatcher's index is beyond the configured fleet size, and the dispatchers within the
-            // fleet size hold all positions.
+            // This dispatcher's index is beyond the configured fleet size. The dispatchers within the fleet
+            // size hold all positions, so this dispatcher gets a position that has no share.
             Some(_) => fleet_size,
-            // Without an index, the position is random: some positions are held twice, others by nobody.
+            // Without an index, the position in the order of dispatchers is random: some positions are held
+            // twice, others by nobody.
             None => rng.u32(0..fleet_size),
         }
     }
 
-    /// The least fraction of its capacity that a worker has at `now`; 1 after slow start.
+    /// Returns the lowest fraction of its full capacity that a worker may have at `now`. The fraction grows
+    /// during slow start and is 1 afterwards.
     fn capacity_fraction(&self, now: Micros, started_at: Option<Micros>) -> f64 {
         let Some(started_at) = started_at else { return 1.0 };
         let elapsed_seconds = to_seconds(now.saturating_sub(started_at));
@@ -188,19 +200,22 @@
         self.initial_capacity + (1.0 - self.initial_capacity) * elapsed
     }
 
-    /// The work up to which a worker is not overloaded in the window that ends at `now`, by its capacity in
-    /// the middle of that window.
+    /// Returns the slow-start budget: the work, in slot-seconds on a standard core, that may be sent to a
+    /// worker in the window that ends at `now` without overloading the worker. The budget is computed from
+    /// the worker's capacity in the middle of that window.
     fn budget(&self, now: Micros, started_at: Option<Micros>, worker: WorkerCapacity) -> f64 {
         let fraction = self.capacity_fraction(now.saturating_sub(self.window / 2), started_at);
         let capacity = fraction * worker.slots * worker.service_rate;
         self.overload_multiple * capacity * to_seconds(self.window)
     }
 
-    /// Determines how many dispatchers share a budget and what each of them may send in an overload window.
+    /// Determines how many dispatchers share a slow-start budget and what each of them may send in an
+    /// overload window (see [`Settings::overload_window`]).
     fn shares(&self, budget: f64, mean_request_load: f64) -> SlowStartShares {
         let allowed = budget + random_excess_allowance(budget, mean_request_load);
-        // An overload is attributed to the notified dispatchers if they sent more than two thirds of its
-        // work, so they must stay within that; the other dispatchers may have sent a third.
+        // An overload is attributed to the dispatchers that were notified of the worker's start if they sent
+        // more than two thirds of the work of all dispatchers. These dispatchers must therefore stay within
+        // two thirds of the allowed work, since the others may have sent a third.
         let target = (SLOW_START_BUDGET_FRACTION * budget).min(allowed / SLOW_START_NOTIFIED_DIVISOR);
         let fleet_size = f64::from(self.fleet_size);
         let min_share = SLOW_START_SHARE_REQUESTS * mean_request_load;
@@ -209,17 +224,18 @@
         if self.instance_index.is_some() || sharers >= fleet_size {
             return SlowStartShares { sharers, share };
         }
-        // The lowest positions may be held by more dispatchers than there are positions, because each
-        // dispatcher draws its position at random.
+        // Each dispatcher draws its position at random, so more dispatchers than there are shares may hold
+        // the lowest positions. The share is reduced so that these dispatchers stay within the allowed work.
         let holders = (sharers + SLOW_START_HOLDER_STD_DEVIATIONS * sharers.sqrt() + 2.0).min(fleet_size);
         let share = (share * SLOW_START_RANDOM_POSITION_FRACTION).min(allowed / holders);
         SlowStartShares { sharers, share }
     }
 }
 
-/// Work beyond a budget that is accepted as random variation: 2 * sqrt(N) + 2 requests of mean load, for a
-/// budget of N such requests. For N below 30, the platform allows 3 * sqrt(N) + 3; the difference is a margin
-/// for dispatchers that estimate the worker's capacity differently.
+/// Returns the work beyond a budget that is accepted as random variation: 2 * sqrt(N) + 2 requests of mean
+/// load, for a budget of N such requests. For N below 30, up to 3 * sqrt(N) + 3 requests beyond the budget
+/// would not count as an overload; this function accepts fewer, as a margin for dispatchers that estimate the
+/// worker's capacity differently.
 fn random_excess_allowance(budget: f64, mean_request_load: f64) -> f64 {
     2.0 * (budget * mean_request_load).sqrt() + 2.0 * mean_request_load
 }
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -11,14 +11,14 @@
 /// Largest accepted gap between a new worker id and the end of the table. Ids are assigned densely; a larger
 /// gap would only waste memory.
 const MAX_WORKER_ID_GAP: usize = 100_000;
-/// Largest accepted number of a worker kind or zone. Both are numbered densely; a larger number would only
-/// waste memory.
+/// Largest accepted index of a worker kind or zone. Both have consecutive indices, so an implausibly large
+/// index would only waste memory.
 const MAX_KIND_OR_ZONE: usize = 10_000;
 
-/// The data of one worker. Learned state belongs to the policy module that learns it, which alone reads its
-/// fields. It is stored here rather than in a vector of each module so that comparing workers reads one place
-/// in memory for each worker: separate vectors took 7 % more instructions per decision among 10 workers, and
-/// 13 to 18 % more among 1,000.
+/// The data of one worker. Learned state belongs to the policy module that learns the state, and only that
+/// module reads the fields of the state. All state of a worker is stored together so that comparing workers
+/// reads one place in memory for each worker: separate vectors in the modules take 7 % more instructions per
+/// decision among 10 workers, and 13 to 18 % more among 1,000.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Worker {
     pub(super) state: WorkerState,
@@ -33,7 +33,7 @@
     pub(super) affinity: Affinity,
 }
 
-/// Numbers of workers, worker kinds and zones that the tables hold: for each, the highest number seen plus 1.
+/// Lengths of the tables of workers, worker kinds and zones. Each length is the highest index seen plus 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct TableSize {
     pub(super) workers: usize,
