--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -1,4 +1,4 @@
-//! Checks the request classes.
+//! Checks that the request classes of the configuration have valid and consistent values.
 use std::collections::BTreeSet;
 
 use super::violations::Violations;
@@ -6,7 +6,8 @@
 use crate::units::HumanDuration;
 
 const MAX_DEADLINE: HumanDuration = HumanDuration(86_400_000_000);
-/// First path segments of the program's own paths.
+/// First segments of the HTTP paths that the scheduler itself uses, such as `/-/ready`. No class may have
+/// such a name, because the first path segment of a request names the request's class.
 const RESERVED_NAMES: [&str; 2] = ["-", "_jobs"];
 
 pub(super) fn check_classes(config: &Config, violations: &mut Violations) {
@@ -59,8 +60,8 @@
     });
 }
 
-/// Checks that a worker of the static list has the worker kind that the class requires. With discovery,
-/// nothing is checked, because the worker kinds are not known in advance.
+/// Checks that at least one worker of the static list has the worker kind that the class requires. With
+/// discovery, nothing is checked, because the worker kinds are not known in advance.
 fn check_worker_kind(class: &Class, source: &EndpointSourceConfig, key: &str, violations: &mut Violations) {
     if source.kind != EndpointSourceKind::Static {
         return;
--- a/crates/config/src/check/context.rs
+++ b/crates/config/src/check/context.rs
@@ -1,16 +1,16 @@
-//! Inputs of the checks that are not part of the configuration.
+//! Inputs of the configuration checks that are not part of the configuration itself.
 use std::error::Error;
 use std::path::Path;
 
-/// A function that checks the file with the membership key. Its error says what is wrong, without the key's
-/// bytes.
+/// A function that checks the file that contains the membership key. The function's error says what is wrong
+/// with the file, without showing the bytes of the key.
 pub type CheckKeyFile = fn(&Path) -> Result<(), Box<dyn Error>>;
 
-/// Inputs that the caller passes to the checks in addition to the configuration.
+/// Inputs that the caller passes to the configuration checks in addition to the configuration.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CheckContext {
-    /// Number of file descriptors that the process may open; `None` if unknown.
+    /// Maximum number of file descriptors that the process may open; `None` if unknown.
     pub descriptor_limit: Option<u64>,
-    /// Checks the file with the membership key; with `None`, the file is not read.
+    /// The function that checks the file that contains the membership key; if `None`, the file is not read.
     pub check_key_file: Option<CheckKeyFile>,
 }
--- a/crates/config/src/check/endpoints.rs
+++ b/crates/config/src/check/endpoints.rs
@@ -1,4 +1,4 @@
-//! Checks the zones and the source of the endpoint list.
+//! Checks the settings of the zones and of the endpoint list's source.
 use std::collections::BTreeSet;
 
 use http::uri::Authority;
--- a/crates/config/src/check/membership.rs
+++ b/crates/config/src/check/membership.rs
@@ -11,7 +11,7 @@
 const MAX_PROBE_INTERVAL: HumanDuration = HumanDuration(60_000_000);
 const INDIRECT_PROBES: RangeInclusive<u32> = 1..=16;
 const MAX_SUSPICION: f64 = 1_000.0;
-/// Maximum length in bytes of the name, the zone and the region of a member, so that they fit into a
+/// Maximum length, in bytes, of each of a member's name, zone and region, so that all three fit into a
 /// membership packet.
 const MAX_NAME_BYTES: usize = 64;
 
@@ -27,8 +27,8 @@
     check_names(config, violations);
 }
 
-/// Rejects keys that have no effect without `bind`, because someone who sets them expects membership to be
-/// on.
+/// Rejects keys that have no effect because `cluster.bind` is not set. Without `cluster.bind`, membership is
+/// off, but someone who sets these keys expects it to be on.
 fn check_unused(membership: &MembershipConfig, violations: &mut Violations) {
     let keys = [
         ("cluster.advertise", membership.advertise.is_some()),
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -1,6 +1,6 @@
-//! Validates the values of a configuration, against each other and against the limits of the process. Finds
-//! all violations, not only the first. Each message says what is wrong and, where it helps, what would be
-//! valid.
+//! Validates the values of a configuration, against each other and against the limits of the process. The
+//! checks find all invalid values, not only the first. Each message says what is wrong and, where it helps,
+//! what would be valid.
 mod classes;
 mod context;
 mod endpoints;
@@ -15,7 +15,7 @@
 use crate::types::{AttemptConfig, Config, SlowStartConfig};
 use crate::units::HumanDuration;
 
-/// All violations of a configuration.
+/// Checks a configuration and returns all invalid values, each with its key and a message.
 pub(crate) fn check(config: &Config, context: &CheckContext) -> Vec<Violation> {
     let mut violations = Violations::default();
     process::check_limits(&config.limits, context, &mut violations);
--- a/crates/config/src/check/process.rs
+++ b/crates/config/src/check/process.rs
@@ -1,4 +1,4 @@
-//! Checks the resource limits and the event log.
+//! Checks the settings of the resource limits and of the event log.
 use std::ops::RangeInclusive;
 
 use super::context::CheckContext;
--- a/crates/config/src/check/violations.rs
+++ b/crates/config/src/check/violations.rs
@@ -1,4 +1,4 @@
-//! Collects the violations that the checks find.
+//! Collects the invalid values that the configuration checks find.
 
 /// An invalid value of the configuration, with its key and a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -9,7 +9,7 @@
     pub(crate) message: String,
 }
 
-/// The invalid values that the checks have found so far.
+/// The invalid values that the configuration checks have found so far.
 #[derive(Default)]
 pub(super) struct Violations {
     found: Vec<Violation>,
--- a/crates/config/src/describe/default_file.rs
+++ b/crates/config/src/describe/default_file.rs
@@ -17,7 +17,7 @@
     Parse(#[from] toml_edit::TomlError),
 }
 
-/// The built-in defaults as a TOML file, with a comment before each key.
+/// Returns the built-in defaults as the text of a TOML file, with a comment above each key.
 ///
 /// # Errors
 /// [`DescribeError`] if the defaults cannot be written as TOML, which would be a bug.
@@ -30,7 +30,8 @@
     ))
 }
 
-/// Adds each key's description as a comment before it, recursively.
+/// Writes each key's description in the schema as a comment above the key, in a table and in the tables
+/// within that table.
 fn add_comments(table: &mut Table, schema: &Value) {
     for (mut key, item) in table.iter_mut() {
         let schema = &schema["properties"][key.get()];
--- a/crates/config/src/describe/reference_page.rs
+++ b/crates/config/src/describe/reference_page.rs
@@ -21,7 +21,7 @@
 
 const TABLE_HEAD: &str = "| key | type | default | meaning |\n| --- | --- | --- | --- |\n";
 
-/// The reference page as Markdown, with a section for each table of the configuration.
+/// Returns the reference page as Markdown, with a section for each table of the configuration.
 pub fn reference_page() -> String {
     let mut page = String::from(PREFACE);
     let defaults = serde_json::to_value(Config::default()).unwrap_or_default();
@@ -29,7 +29,7 @@
     page
 }
 
-/// Adds a section for a table of the schema, then sections for the tables in it.
+/// Adds a section for a table of the schema to the page, then sections for the tables in that table.
 fn add_section(path: &str, schema: &Value, defaults: &Value, page: &mut String) {
     let Some(properties) = schema["properties"].as_object() else { return };
     add_keys(path, schema, properties, defaults, page);
@@ -44,8 +44,8 @@
     }
 }
 
-/// Adds a section with those keys of a table whose values are not tables. Adds no section if there are no
-/// such keys.
+/// Adds a section to the page with those keys of a table whose values are not tables. Adds no section if
+/// there are no such keys.
 fn add_keys(
     path: &str,
     schema: &Value,
@@ -76,7 +76,8 @@
     }
 }
 
-/// The default values of an item of the list `path`; null for required keys.
+/// Returns the default values of an item in the list of tables whose key is `path`, such as `classes`. Each
+/// required key of the item is null, because it has no default.
 fn item_defaults(path: &str, schema: &Value) -> Value {
     let item = match path {
         "classes" => serde_json::to_value(Class::default()),
@@ -100,8 +101,8 @@
     }
 }
 
-/// Lists the values of a type that is a choice between fixed values, with their descriptions; empty for any
-/// other type.
+/// Returns the text that lists the fixed values of a choice with their descriptions. For a type that is not a
+/// choice, the text is empty.
 fn choices(schema: &Value) -> String {
     let Some(alternatives) = schema["oneOf"].as_array() else { return String::new() };
     let describe = |choice: &Value| {
--- a/crates/config/src/describe/schema.rs
+++ b/crates/config/src/describe/schema.rs
@@ -4,28 +4,30 @@
 
 use crate::types::Config;
 
-/// The JSON Schema of the configuration.
+/// Returns the JSON Schema of the configuration.
 pub fn schema() -> Value {
     let settings = SchemaSettings::draft2020_12().with(|settings| settings.inline_subschemas = true);
     settings.into_generator().into_root_schema_for::<Config>().to_value()
 }
 
-/// The description of a key, a table or a choice; empty if there is none.
+/// Returns the description in the schema of a key, of a table or of one value of a choice; empty if there is
+/// none.
 pub(super) fn description(schema: &Value) -> &str {
     schema["description"].as_str().unwrap_or_default()
 }
 
-/// Whether a table's schema requires the key `name`.
+/// Returns whether the schema of a table lists a key, given by its name, as required.
 pub(super) fn is_required(schema: &Value, name: &str) -> bool {
     schema["required"].as_array().is_some_and(|names| names.iter().any(|required| required == name))
 }
 
-/// Whether a schema describes a table of the configuration.
+/// Returns whether a schema describes a table of the configuration.
 pub(super) fn is_table(schema: &Value) -> bool {
     schema["properties"].is_object()
 }
 
-/// The name of a value's type on the reference page.
+/// Returns the name that the reference page shows for the type of a value, such as `span` or `list of
+/// tables`.
 pub(super) fn type_name(schema: &Value) -> String {
     if schema["oneOf"].is_array() {
         return "choice".into();
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -12,7 +12,7 @@
     figment: Figment,
 }
 
-/// A value of the listing: its full key, and the value as TOML.
+/// A value in the text that [`EffectiveConfig::listing`] returns: the full key, and the value as TOML.
 struct ListedValue {
     key: String,
     value: String,
@@ -23,8 +23,8 @@
         EffectiveConfig { config, figment }
     }
 
-    /// The origin of a key's value: `default`, the file's name, `environment` with the variable, or
-    /// `flag --set`.
+    /// Returns the origin of a key's value: `default`, the name of the configuration file, `environment` with
+    /// the name of the variable, or `flag --set`.
     pub fn origin(&self, key: &str) -> String {
         // All items of a list have the origin of the list, because a layer can set a list only as a whole.
         let mut key = key.split('[').next().unwrap_or_default();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The effective values as text: a line with key, value and origin for each.
+    /// Returns the effective values as text: one line for each value, with its key and its origin.
     pub fn listing(&self) -> String {
         let mut values = Vec::new();
         if let Ok(config) = toml::Value::try_from(&self.config) {
@@ -57,8 +57,8 @@
     }
 }
 
-/// Appends a value to the listing under the key `prefix`. For a table or a list of tables, appends each value
-/// in it under its own full key instead.
+/// Appends a configuration value to `values`, with `prefix` as the full key. For a table or a list of tables,
+/// appends each value that the table or list contains instead, under that value's own full key.
 fn list_values(prefix: &str, value: &toml::Value, values: &mut Vec<ListedValue>) {
     match value {
         toml::Value::Table(table) => {
--- a/crates/config/src/layer_names.rs
+++ b/crates/config/src/layer_names.rs
@@ -1,16 +1,16 @@
-//! The names of the layers, and their labels in messages.
+//! The names of the configuration layers, and the labels that messages show for the layers.
 
-/// The name of the layer with the built-in defaults.
+/// The name of the configuration layer that holds the built-in defaults.
 pub(crate) const DEFAULT_LAYER: &str = "default";
-/// The name of the layers that come from flags.
+/// The name of the configuration layers that come from `--set` flags.
 pub(crate) const FLAG_LAYER: &str = "flag --set";
 /// The prefix of the names of all environment variables that configure the scheduler.
 pub(crate) const ENVIRONMENT_PREFIX: &str = "COPPERSPREAD_";
-/// The separator of tables and keys in the name of an environment variable, used in place of the dot.
+/// The separator between the parts of a key in the name of an environment variable, in place of the dot.
 pub(crate) const ENVIRONMENT_SEPARATOR: &str = "__";
 
-/// The label, in messages, of a layer that sets `key`. For the environment, the label includes the name of
-/// the variable, because figment's own name of that layer lacks the variable.
+/// Returns the label that messages show for the configuration layer that sets `key`. For the environment, the
+/// label includes the name of the variable, because figment's own name of that layer lacks the variable.
 pub(crate) fn layer_label(layer: &str, key: &str) -> String {
     if !layer.contains(ENVIRONMENT_PREFIX) {
         return layer.to_owned();
--- a/crates/config/src/layers.rs
+++ b/crates/config/src/layers.rs
@@ -13,7 +13,8 @@
 use crate::problem::{InvalidConfig, Problem};
 use crate::types::Config;
 
-/// The environment variable, without its prefix, that names the configuration file and sets no key.
+/// The name, without the prefix, of the environment variable that holds the path of the configuration file.
+/// This variable sets no key of the configuration.
 const FILE_VARIABLE: &str = "config";
 
 /// One layer of the configuration, with the name by which figment reports the origin of the layer's values.
@@ -36,7 +37,8 @@
 /// the environment, and flags of the form `key=value`.
 ///
 /// # Errors
-/// [`InvalidConfig`] with all problems and their locations. A file that cannot be read is a single problem.
+/// [`InvalidConfig`] with all problems and their locations. If the file cannot be read, that is the only
+/// problem reported.
 pub fn read(
     file: Option<&Path>,
     flags: &[String],
@@ -48,7 +50,8 @@
     read_text(Some((&name, &text)), flags, context)
 }
 
-/// Reads and validates the configuration as [`read`] does, from a file's name and text.
+/// Reads and validates the configuration as [`read`] does, but takes the name and the text of the file
+/// instead of opening the file.
 ///
 /// # Errors
 /// [`InvalidConfig`] with all problems and their locations.
@@ -85,7 +88,8 @@
     Ok(figment)
 }
 
-/// Parses a file, and checks the types of its values and that it has no unknown keys.
+/// Parses the text of the configuration file, and checks that the file has no unknown keys and that all its
+/// values have the right types.
 fn read_file(name: &str, text: &str) -> Result<toml::Table, InvalidConfig> {
     let invalid = |key: &str, error: &toml::de::Error| {
         let location = location_of_span(name, text, error.span());
@@ -111,7 +115,7 @@
     }
 }
 
-/// Parses a flag `key=value`. A value that is not valid TOML is taken as a string.
+/// Parses a command-line flag of the form `key=value`. A value that is not valid TOML is taken as a string.
 fn read_flag(flag: &str) -> Result<toml::Table, InvalidConfig> {
     let invalid = |message: String| InvalidConfig::without_key(FLAG_LAYER, message);
     let (key, text) = flag.split_once('=').ok_or_else(|| invalid(format!("{flag:?} is not KEY=VALUE")))?;
@@ -135,7 +139,7 @@
     value.unwrap_or_else(|| toml::Value::String(text.to_owned()))
 }
 
-/// The problems that figment found when it extracted the merged values.
+/// Converts the errors that figment reports for the merged values to an [`InvalidConfig`].
 fn extraction_problems(errors: figment::Error) -> InvalidConfig {
     let problem = |error: figment::Error| {
         let layer = error.metadata.as_ref().map_or("configuration", |metadata| &metadata.name);
@@ -146,7 +150,8 @@
     InvalidConfig { problems: errors.into_iter().map(problem).collect() }
 }
 
-/// A problem with its location: the origin of the value and, for the file, its line and column.
+/// Adds the location to an invalid value: the origin of the value and, if the origin is the file, line and
+/// column.
 fn locate(violation: Violation, effective: &EffectiveConfig, file: Option<(&str, &str)>) -> Problem {
     let Violation { key, message } = violation;
     let origin = effective.origin(&key);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,8 @@
-//! The scheduler's TOML configuration: merges its layers, validates it, and converts it for the start.
+//! The scheduler's TOML configuration: merges the layers of the configuration, validates the result, and
+//! converts it to the startup configuration, from which the scheduler process starts.
 //!
-//! Installations on the platform have platform settings instead, which another crate reads.
+//! A scheduler that runs on the hosting platform has no TOML configuration: it starts from a JSON file that
+//! the platform writes and that the crate `copperspread-settings` reads.
 //!
 //! ```text
 //!   built-in defaults < file (TOML) < environment (COPPERSPREAD_…) < flags (--set)
@@ -11,9 +13,9 @@
 //!                            startup.rs: conversion to the startup configuration
 //! ```
 //!
-//! This crate opens no socket, and no file but the configuration in [`read`]; the function in
-//! [`CheckContext`] reads the membership key. `describe/` generates the schema, the commented default file
-//! and docs/configuration.md from the types.
+//! This crate opens no socket and only one file: [`read`] opens the configuration file. The file that
+//! contains the membership key is read by a function that the caller passes in [`CheckContext`]. `describe/`
+//! generates the schema, the commented default file and docs/configuration.md from the configuration types.
 mod check;
 mod describe;
 mod effective;
--- a/crates/config/src/location.rs
+++ b/crates/config/src/location.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// The line and column of the byte at this offset in the text.
+/// Returns the line and column of the byte at the given offset in a text.
 pub(crate) fn position_of_byte(text: &str, byte: usize) -> Position {
     let before = &text.as_bytes()[..byte.min(text.len())];
     let line = before.iter().filter(|&&byte| byte == b'\n').count() + 1;
@@ -26,8 +26,9 @@
     Position { line, column }
 }
 
-/// The position of the value of a key such as `classes[1].aim`. If the file does not set the key, the
-/// position of the innermost table around the key that the file has; `None` if it has none.
+/// Returns the position, in a TOML text, of the value of a key such as `classes[1].aim`. If the text does not
+/// set the key, returns the position of the innermost table or list around the key that the text contains, or
+/// `None` if the text contains none of them.
 pub(crate) fn position_of_key(text: &str, key: &str) -> Option<Position> {
     let document = DeTable::parse(text).ok()?;
     let mut parts = key.split(['.', '[', ']']).filter(|part| !part.is_empty());
@@ -41,7 +42,8 @@
     Some(position_of_byte(text, found.span().start))
 }
 
-/// The value of a table by its key, or of an array by its index.
+/// Returns the value that a table contains under a key, or that an array contains at an index. `part` is the
+/// key or the index, as text.
 fn member<'a, 'text>(value: &'a DeValue<'text>, part: &str) -> Option<&'a Spanned<DeValue<'text>>> {
     match value {
         DeValue::Table(table) => table.get(part),
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,14 +1,14 @@
 //! The problems of an invalid configuration.
 use std::fmt;
 
-/// A problem of a configuration, with its location and key.
+/// A problem of a configuration, such as an invalid value, with the location and the key of the value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// The origin of the value: a file with line and column, an environment variable, or a flag.
     pub location: String,
-    /// The full key, joined by dots; empty if unknown.
+    /// The full key of the value, such as `back.http.keep_idle`; empty if the key is unknown.
     pub key: String,
-    /// What is wrong, and often what would be valid.
+    /// What is wrong with the value, and often what would be valid.
     pub message: String,
 }
 
@@ -22,7 +22,8 @@
     }
 }
 
-/// The error for an invalid configuration: at least one problem. Its text has a line for each.
+/// The error for an invalid configuration, which holds at least one problem. The text of the error has a line
+/// for each problem.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidConfig {
     /// The problems, in the order in which they were found.
--- a/crates/config/src/startup.rs
+++ b/crates/config/src/startup.rs
@@ -32,11 +32,12 @@
 }
 
 impl Config {
-    /// The startup configuration; `default_seed` is used if the configuration sets no seed.
+    /// Converts this configuration to the startup configuration. `default_seed` is used if this configuration
+    /// sets no seed.
     ///
     /// # Errors
-    /// [`StartupError`] for an address that is missing or cannot be parsed; a validated configuration has
-    /// none.
+    /// [`StartupError`] if an address is missing or cannot be parsed. In a validated configuration, all
+    /// addresses are present and can be parsed.
     pub fn startup_config(&self, default_seed: u64) -> Result<StartupConfig, StartupError> {
         let kinds = self.worker_kinds();
         let classes: Vec<_> = self.classes.iter().map(|class| class.request_class(&kinds)).collect();
@@ -53,8 +54,8 @@
         })
     }
 
-    /// The worker kinds, in the order in which the workers and then the classes name them.
-    /// The dispatcher knows a kind by its index in this list.
+    /// Returns the worker kinds without duplicates, those of the workers before those that only classes name.
+    /// The dispatcher knows a worker kind by its index in this list.
     fn worker_kinds(&self) -> Vec<String> {
         let kinds_of_workers = self.source.workers.iter().map(|worker| &worker.kind);
         let kinds_of_classes = self.classes.iter().filter_map(|class| class.worker_kind.as_ref());
--- a/crates/config/src/types/downstream.rs
+++ b/crates/config/src/types/downstream.rs
@@ -7,7 +7,7 @@
 
 use crate::units::HumanDuration;
 
-/// Protocols that clients use.
+/// Settings of the protocols by which clients send requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Fronts")]
 pub struct DownstreamConfig {
@@ -15,7 +15,7 @@
     pub http: HttpDownstreamConfig,
 }
 
-/// Requests of clients over HTTP/1.1.
+/// Settings for the requests that clients send over HTTP/1.1.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct HttpFront")]
 pub struct HttpDownstreamConfig {
--- a/crates/config/src/types/endpoints.rs
+++ b/crates/config/src/types/endpoints.rs
@@ -2,7 +2,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Source of the endpoint list.
+/// Settings of the source from which the scheduler gets its endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Source")]
 pub struct EndpointSourceConfig {
--- a/crates/config/src/types/mod.rs
+++ b/crates/config/src/types/mod.rs
@@ -1,9 +1,9 @@
-//! The types that the TOML file is deserialized into.
+//! The types that the TOML configuration file is deserialized into.
 //!
 //! A field has the name of its key. The doc comments of types and fields are printed as descriptions by
 //! `copperspread-scheduler config schema` and `config default` and in docs/configuration.md. The `expecting`
-//! attributes set the type names that error texts show, so that these do not depend on the Rust names.
-//! `startup.rs` converts the values to the settings of the dispatcher and the proxy.
+//! attributes set the type names that error texts show, so that renaming a Rust type does not change the
+//! error texts. `startup.rs` converts the values to the settings of the dispatcher and the proxy.
 mod classes;
 mod dispatch;
 mod downstream;
--- a/crates/config/src/types/process.rs
+++ b/crates/config/src/types/process.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Format of the log.
+/// Whether log entries are written as text or as JSON lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
--- a/crates/config/src/types/upstream.rs
+++ b/crates/config/src/types/upstream.rs
@@ -5,7 +5,7 @@
 
 use crate::units::HumanDuration;
 
-/// Protocols that workers use.
+/// Settings of the protocols by which workers receive requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Backs")]
 pub struct UpstreamConfig {
@@ -13,7 +13,7 @@
     pub http: HttpUpstreamConfig,
 }
 
-/// Workers that take a request over HTTP and report its completion by a callback.
+/// Settings for workers that take a request over HTTP and report its completion by a callback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct HttpBack")]
 pub struct HttpUpstreamConfig {
