--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -4,29 +4,34 @@
 use crate::requests::RequestId;
 use crate::time::Micros;
 
-/// Longest time, in microseconds, from the decision to send an attempt until its request is written, in
-/// addition to [`Settings::connect_timeout`](crate::Settings::connect_timeout). Half of this time may pass
-/// before the caller starts to dispatch the attempt, the other half between the established connection and
-/// the write.
+/// Longest time, in microseconds, from the decision to send an attempt until the attempt's request is
+/// written, without the time for connecting, which
+/// [`Settings::connect_timeout`](crate::Settings::connect_timeout) limits. Half of `MAX_DISPATCH_DELAY` may
+/// pass until the caller starts to dispatch the attempt. The other half may pass from the end of connecting
+/// until the request is written.
 pub const MAX_DISPATCH_DELAY: Micros = 50_000;
 
 /// The reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The class of the request is unknown, or the request has no time left.
+    /// The request cannot be handled, because its class is unknown or because it arrived with no time left
+    /// until its deadline.
     Invalid,
-    /// The fleet is overloaded, and the request's weight is too low.
+    /// The fleet is overloaded, and the request's priority weight is too low for the request to be admitted.
     Overloaded,
     /// No worker is eligible for the request.
     NoEligibleWorker,
-    /// The service-time estimate at the lowest ranked worker exceeds the request's time left by this many
-    /// microseconds.
+    /// Even the best-ranked worker would probably complete the request too late. The value is the time, in
+    /// microseconds, by which the estimate exceeds the time left until the latency objective or the deadline,
+    /// whichever comes first.
     WouldBeLate(Micros),
-    /// The request has used all its attempts, or its class allows no further one.
+    /// The request has used all its attempts, or no further attempt is allowed, for example because the
+    /// request may already have run and must not be run twice.
     AttemptsExhausted,
 }
 
-/// An action that the caller must carry out; actions are to be carried out in order.
+/// An action that the caller must carry out. The actions that a dispatcher returns are to be carried out in
+/// the order in which they are returned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a worker, without a timeout other than the request's deadline.
--- a/crates/dispatcher/src/endpoints.rs
+++ b/crates/dispatcher/src/endpoints.rs
@@ -35,9 +35,10 @@
     /// A number that is the same for this worker at every dispatcher and differs between workers, such as a
     /// hash of the worker's name.
     pub hash_key: u64,
-    /// Listed size of the worker, comparable between workers (see
-    /// [`Settings::sizes_reflect_load`](crate::Settings::sizes_reflect_load)). A value that is not finite,
-    /// not above 0, or above 10,000 counts as absent.
+    /// Size of the worker in the endpoint list: a measure of its capacity, comparable between workers, which
+    /// decreases with the worker's load if
+    /// [`Settings::sizes_reflect_load`](crate::Settings::sizes_reflect_load) is set. A value that is not
+    /// finite, not above 0, or above 10,000 counts as absent.
     pub size: Option<f64>,
 }
 
--- a/crates/dispatcher/src/events.rs
+++ b/crates/dispatcher/src/events.rs
@@ -11,7 +11,7 @@
     pub request: RequestId,
     /// Number of the attempt within its request, from 0 in the order of sending.
     pub attempt: u32,
-    /// How the attempt completed.
+    /// Whether the worker served the attempt, and if not, why not.
     pub outcome: Outcome,
     /// Whether the request has had its final response, with this outcome or earlier.
     pub request_finished: bool,
@@ -53,7 +53,7 @@
     Endpoints(EndpointUpdate<'a>),
     /// A client's request arrived; the request must get exactly one final response.
     Request(IncomingRequest),
-    /// An attempt completed.
+    /// An attempt ended: the worker responded, or the attempt failed, was cancelled or was given up.
     AttemptCompleted(AttemptOutcome),
     /// An attempt in flight made progress.
     AttemptProgress {
@@ -61,18 +61,20 @@
         request: RequestId,
         /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// How far the attempt has got.
+        /// Whether the attempt started to run, completed a part of its work, or began to stream its response.
         progress: Progress,
     },
     /// The client of a request disconnected, or the final response is overdue.
     ClientDisconnected(RequestId),
-    /// A timer expired.
+    /// A timer that the dispatcher had requested by [`Action::StartTimer`](crate::Action::StartTimer)
+    /// expired.
     TimerExpired(Timer),
-    /// A load query completed.
+    /// A load query that the dispatcher had requested by [`Action::QueryLoad`](crate::Action::QueryLoad) was
+    /// answered, failed, or was not sent.
     LoadQueryCompleted {
         /// The worker that was queried.
         worker: WorkerId,
-        /// How the load query completed.
+        /// Whether the worker answered the load query, and if not, why not.
         outcome: Outcome,
         /// The load report in the answer, if any.
         report: Option<LoadReport>,
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,13 +1,15 @@
 //! The dispatch policy of a request scheduler, which forwards clients' requests to workers.
 //!
-//! For each request, the policy estimates the finish time at the workers by a processor-sharing formula. It
-//! sends the request to the worker with the lowest rank, which follows mainly from the estimate, or rejects
-//! it on arrival if it would be late there, if no worker is eligible, or if it is shed because the fleet is
-//! overloaded.
+//! For each request, the policy estimates at each worker when the request would finish, by a
+//! processor-sharing formula, and ranks the workers mainly by this estimate. The policy sends the request to
+//! the worker with the lowest rank. A request is rejected on arrival instead if it would finish too late even
+//! at that worker, if no worker is eligible, or if the fleet is overloaded and the request's priority weight
+//! is too low.
 //!
 //! [`Dispatcher`] does no I/O, reads no clock and starts no thread: the caller passes events with their time
-//! and carries out the actions that are returned. The callers are the scheduler process (`crates/proxy`), the
-//! simulator adapter and the testbed.
+//! and carries out the actions that are returned. The callers are the proxy of the scheduler process
+//! (`crates/proxy`), the adapter for an external simulator (`crates/simulator-adapter`), and the testbed
+//! (`crates/testbed`), which simulates a fleet of schedulers and workers.
 //!
 //! ```
 //! use copperspread_dispatcher::{
@@ -62,10 +64,11 @@
 pub use settings::{Discovery, Settings, SettingsError};
 pub use time::{Micros, SECOND};
 
-/// A policy that turns events into actions: the [`Dispatcher`], or another one for comparison.
+/// A dispatch policy, which turns events into actions. [`Dispatcher`] is the policy of the scheduler. The
+/// testbed implements further policies, with which it compares [`Dispatcher`].
 pub trait DispatchPolicy: Send {
-    /// Handles one event and appends the resulting actions to `actions`, in order. `now` must not decrease
-    /// from call to call.
+    /// Handles one event and appends the resulting actions to `actions`, in the order in which the caller
+    /// must carry them out. `now` is the time of the event and must not decrease from call to call.
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>);
 }
 
--- a/crates/dispatcher/src/outcomes.rs
+++ b/crates/dispatcher/src/outcomes.rs
@@ -15,7 +15,7 @@
     ConnectFailed,
     /// The connection was lost; the attempt may have run.
     Reset,
-    /// The attempt was cancelled and may have run.
+    /// The attempt was cancelled after it had been sent to the worker, so it may have run.
     Cancelled,
     /// The attempt or load query was given up before it was sent.
     Superseded,
--- a/crates/dispatcher/src/requests.rs
+++ b/crates/dispatcher/src/requests.rs
@@ -36,14 +36,17 @@
 /// A request class: the service level and the constraints of its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Response time up to which a request earns its full weight, without the latency stretch.
+    /// Latency objective: the response time up to which a request counts with its full priority weight. For
+    /// each request, the objective is extended according to `latency_stretch`.
     pub latency_objective: Micros,
     /// Multiple of a request's own running time by which its latency objective is extended.
     pub latency_stretch: f64,
     /// Time after which the client gives up, including all its own retries.
     pub deadline: Micros,
-    /// Weight of one request, or of one unit of its work if
-    /// [`Settings::weight_by_work`](crate::Settings::weight_by_work) is set.
+    /// Weight of one request relative to requests of other classes, by which the policy decides which
+    /// requests to reject while the fleet is overloaded. If
+    /// [`Settings::weight_by_work`](crate::Settings::weight_by_work) is set, the weight is that of one second
+    /// of the request's running time on a standard core.
     pub priority_weight: f64,
     /// Whether a request of this class may be run more than once.
     pub idempotency: Idempotency,
@@ -67,7 +70,9 @@
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Tenant {
-    /// Number of requests per second, over all dispatchers, that have their full weight; 0 means no quota.
+    /// Quota of the tenant: the number of requests per second, over all dispatchers, that count with the full
+    /// priority weight of their class. Requests above the quota have the reduced weight that
+    /// [`Settings::over_quota_weight`](crate::Settings::over_quota_weight) gives. 0 means no quota.
     pub quota_per_second: f64,
 }
 
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -7,7 +7,8 @@
 pub enum Discovery {
     /// Discovery sends updates without a subscription.
     Pushed,
-    /// Discovery sends updates only in answer to a poll and while the subscription that it starts lasts.
+    /// Discovery sends updates only to dispatchers that ask for them: one update in answer to each poll, and
+    /// further updates while the subscription that the poll started lasts.
     Polled,
 }
 
@@ -16,7 +17,8 @@
 pub struct Settings {
     /// Number of dispatchers that share the workers, including this one.
     pub fleet_size: u32,
-    /// Index of this dispatcher within the fleet of dispatchers, from 0, if it has one.
+    /// Index of this dispatcher within the fleet of dispatchers, from 0; `None` if this dispatcher does not
+    /// know its index.
     pub instance_index: Option<u32>,
     /// Zone of this dispatcher.
     pub zone: u32,
@@ -26,41 +28,47 @@
     pub tenants: Vec<Tenant>,
     /// Weight of a request over its tenant's quota, as a fraction (0 to 1) of its class's priority weight.
     pub over_quota_weight: f64,
-    /// Whether the priority weight applies to each unit of work instead of each request.
+    /// Whether the priority weight applies to each second of a request's running time on a standard core
+    /// instead of to the request as a whole.
     pub weight_by_work: bool,
     /// How endpoint updates reach this dispatcher.
     pub discovery: Discovery,
-    /// Longest time without a subscription or a poll: once it is over, the dispatcher counts as notified of
-    /// the endpoints listed at that moment.
+    /// Longest time that a dispatcher without a subscription may let pass before it polls discovery. When
+    /// this time is over, the dispatcher is held to know the endpoints that are listed at that moment, even
+    /// if it has not polled.
     pub max_poll_interval: Micros,
-    /// Least fraction of its capacity that a worker has at its start, above 0 and up to 1.
+    /// Smallest capacity that a worker has at its start, as a fraction of its full capacity; above 0 and up
+    /// to 1.
     pub slow_start_initial_capacity: f64,
     /// Longest time from a worker's start to its full capacity.
     pub slow_start_duration: Micros,
-    /// Multiple of a worker's current capacity above which the work sent to the worker overloads it while it
-    /// is warming up.
+    /// Overload limit of a worker that is warming up, as a multiple of the worker's current capacity. The
+    /// worker is overloaded if more work than this limit is sent to it within [`Settings::overload_window`].
     pub overload_multiple: f64,
-    /// Time window over which the work sent to a worker that is warming up is compared with its capacity.
+    /// Length of the time window over which the work that is sent to a warming-up worker is summed, to
+    /// compare the sum with the limit that [`Settings::overload_multiple`] sets.
     pub overload_window: Micros,
-    /// Time limit for establishing a connection; the request of an attempt may be written this much later
-    /// than it was dispatched.
+    /// Time limit for establishing a connection to a worker. Because connecting may take this long, the
+    /// request of an attempt may be written this much later than the attempt was dispatched.
     pub connect_timeout: Micros,
     /// Maximum number of attempts of one request; at least 1.
     pub max_attempts: u32,
     /// Whether two attempts of one request may be in flight at the same time.
     pub hedging_allowed: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether the dispatcher may request the cancellation of an attempt in flight at a worker.
     pub cancellation_allowed: bool,
     /// Whether workers report when a request starts to run.
     pub reports_job_start: bool,
-    /// Whether workers report their load only in answer to load queries, which are then sent.
+    /// Whether workers report their load only in answer to load queries. If so, the dispatcher sends load
+    /// queries repeatedly.
     pub load_by_query: bool,
     /// Cost of a load query, as a fraction of a request's weight.
     pub load_query_cost: f64,
     /// Cost of sending an attempt to another zone, as a fraction of a request's weight.
     pub cross_zone_cost: f64,
-    /// Whether listed sizes reflect the load: each listed size is then the worker's own size divided by (1 +
-    /// the number of requests per core that it held shortly before).
+    /// Whether the size of a worker in the endpoint list decreases with the worker's load. If so, the listed
+    /// size is the size of the idle worker divided by (1 + n), where n is the number of requests per core
+    /// that the worker held shortly before the list was published.
     pub sizes_reflect_load: bool,
 }
 
--- a/crates/dispatcher/src/time.rs
+++ b/crates/dispatcher/src/time.rs
@@ -4,7 +4,7 @@
 /// A number of microseconds: an instant on the caller's clock, or a duration.
 pub type Micros = u64;
 
-/// One second, in microseconds.
+/// The number of microseconds in a second, for writing durations in seconds: `10 * SECOND`.
 pub const SECOND: Micros = 1_000_000;
 
 /// Converts microseconds to seconds.
