--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -23,7 +23,7 @@
     BlockOneWay {
         /// The numbers of the members whose packets are blocked.
         from: Vec<usize>,
-        /// The numbers of the members that do not receive these packets.
+        /// The numbers of the members that do not receive the packets of the members in `from`.
         to: Vec<usize>,
     },
     /// Blocks all packets between two groups of members, in both directions.
@@ -33,15 +33,15 @@
         /// The numbers of the members of the other group.
         other: Vec<usize>,
     },
-    /// Sets the conditions of all links that are not blocked.
+    /// Sets packet loss, duplication and delay for all links that are not blocked.
     SetConditions(LinkConditions),
     /// Removes all blocks and restores the initial conditions of all links. Does not affect processes.
     Heal,
     /// Pauses, resumes, kills or starts the process of a member.
     Process {
-        /// The number of the member.
+        /// The number of the member whose process is affected, from 0.
         member: usize,
-        /// The action on the member's process.
+        /// Whether the member's process is paused, resumed, killed or started.
         action: ProcessAction,
     },
 }
@@ -49,9 +49,9 @@
 /// One step of a fault plan: a fault and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultStep {
-    /// The time since the start of the plan.
+    /// The time at which the fault is applied, counted from the start of the plan.
     pub at: Duration,
-    /// The fault to apply at this time.
+    /// The fault that is applied at the time `at`.
     pub fault: Fault,
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl FaultPlan {
-    /// Appends a fault at a time since the start of the plan.
+    /// Appends a fault that is applied at the time `at`, counted from the start of the plan.
     ///
     /// # Panics
     /// Panics if the time is before that of the last step.
@@ -77,7 +77,8 @@
         self
     }
 
-    /// Appends an action on a member's process, at a time since the start of the plan.
+    /// Appends an action on a member's process that is applied at the time `at`, counted from the start of
+    /// the plan.
     ///
     /// # Panics
     /// Panics if the time is before that of the last step.
--- a/crates/fault-injection/src/link_conditions.rs
+++ b/crates/fault-injection/src/link_conditions.rs
@@ -14,13 +14,15 @@
     /// The fraction of arriving copies with an [`extra_delay`](LinkConditions::extra_delay), so that
     /// later packets can overtake them.
     pub extra_delay_rate: f64,
-    /// The additional delay of the copies that [`extra_delay_rate`](LinkConditions::extra_delay_rate)
-    /// selects, on top of the delay between the minimum and the maximum.
+    /// The delay that is added to the copies that [`extra_delay_rate`](LinkConditions::extra_delay_rate)
+    /// selects. Each of these copies also has the usual delay, which is drawn between `min_delay` and
+    /// `max_delay`.
     pub extra_delay: Duration,
-    /// The minimum delay of a copy of a packet, inclusive.
+    /// The smallest delay that a copy of a packet may draw.
     pub min_delay: Duration,
-    /// The maximum delay, exclusive unless equal to the minimum. Each copy of a packet draws its own delay
-    /// from this range, so that packets can overtake each other.
+    /// The upper bound of the delay of a copy of a packet. Each copy draws its own delay, at least
+    /// `min_delay` and less than `max_delay`, so that packets can overtake each other. If the two bounds are
+    /// equal, every copy has that delay.
     pub max_delay: Duration,
 }
 
--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -1,4 +1,4 @@
-//! The network links between members: decides which packets are lost, duplicated or delayed.
+//! The network links between members, which determine the packets that are lost, duplicated or delayed.
 use std::collections::HashSet;
 use std::time::Duration;
 
@@ -19,7 +19,8 @@
 }
 
 impl NetworkLinks {
-    /// Creates links with these conditions and no blocks. [`Fault::Heal`] restores this state.
+    /// Creates links with the given conditions, none of them blocked. [`Fault::Heal`] restores this initial
+    /// state.
     pub fn new(initial_conditions: LinkConditions) -> NetworkLinks {
         NetworkLinks { initial_conditions, conditions: initial_conditions, blocked: HashSet::new() }
     }
@@ -43,16 +44,16 @@
             .extend(from.iter().flat_map(|&sender| to.iter().map(move |&receiver| (sender, receiver))));
     }
 
-    /// Returns the delay of each copy of a packet that arrives: none if the link is blocked or the
-    /// packet is lost, two if it is duplicated.
+    /// Returns one delay for each copy of a packet that arrives at the receiver. There is no copy if the link
+    /// is blocked or the packet is lost, and there are two copies if the packet is duplicated.
     pub fn delivery_delays(&self, from: usize, to: usize, rng: &mut impl Rng) -> [Option<Duration>; 2] {
         let conditions = &self.conditions;
         if self.blocked.contains(&(from, to)) || rng.random::<f64>() < conditions.loss_rate {
             return [None; 2];
         }
         let first = self.delay(rng);
-        // Duplication and extra delay draw a random number only if their rate is above 0, so that plans
-        // without them keep their sequence of random numbers.
+        // Duplication and extra delay draw a random number only if their rate is above 0. A plan with neither
+        // thus has the same sequence of random numbers as if duplication and extra delay did not exist.
         let is_duplicated =
             conditions.duplication_rate > 0.0 && rng.random::<f64>() < conditions.duplication_rate;
         [Some(first), is_duplicated.then(|| self.delay(rng))]
--- a/crates/fault-injection/src/plans.rs
+++ b/crates/fault-injection/src/plans.rs
@@ -6,12 +6,12 @@
 
 const START: Duration = Duration::ZERO;
 
-/// Returns a plan that kills a member.
+/// Returns a plan that kills a member at the start of the plan.
 pub fn kill(member: usize) -> FaultPlan {
     FaultPlan::default().process_at(START, member, ProcessAction::Kill)
 }
 
-/// Returns a plan that pauses a member for a duration.
+/// Returns a plan that pauses a member at the start of the plan and resumes the member after `duration`.
 pub fn pause(member: usize, duration: Duration) -> FaultPlan {
     FaultPlan::default().process_at(START, member, ProcessAction::Pause).process_at(
         duration,
@@ -20,7 +20,9 @@
     )
 }
 
-/// Returns a plan that loses a fraction of the packets on all links and delays the others, for a duration.
+/// Returns a plan that makes all links lossy and slow for `duration`. During this time, each link loses the
+/// fraction `loss_rate` of its packets and delays the remaining packets by a random time between `min_delay`
+/// and `max_delay`.
 pub fn lose_packets(
     loss_rate: f64,
     min_delay: Duration,
@@ -49,7 +51,8 @@
     kill(member).process_at(downtime, member, ProcessAction::Start)
 }
 
-/// Returns a plan that starts all members except the seeds, and the seeds after a delay.
+/// Returns a plan that starts the seeds later than the other members. The other members are started at the
+/// start of the plan, and the seeds after `delay`.
 ///
 /// The seeds are the members with the lowest numbers, from 0 to `seeds - 1`.
 pub fn start_seeds_late(members: usize, seeds: usize, delay: Duration) -> FaultPlan {
--- a/crates/identifiers/src/lib.rs
+++ b/crates/identifiers/src/lib.rs
@@ -16,7 +16,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum NameError {
-    /// The text is empty or longer than [`Name::MAX_BYTES`]; the value is its length in bytes.
+    /// The text is empty or longer than [`Name::MAX_BYTES`]. This variant holds the length of the text in
+    /// bytes.
     #[error("a name has 1 to 64 bytes, not {0}")]
     Length(usize),
     /// The text contains a control character, which could corrupt log lines.
--- a/crates/settings/src/endpoints.rs
+++ b/crates/settings/src/endpoints.rs
@@ -26,21 +26,22 @@
     pub zone: String,
     /// The name of the worker's kind, such as a machine type.
     pub kind: String,
-    /// The cell that the worker belongs to.
+    /// The number of the worker's cell: the group of workers that shares a store of idempotency keys.
     pub cell: u32,
     /// Whether the worker accepts new requests, finishes those that it has, or was removed.
     pub phase: EndpointPhase,
     /// The time of the worker's last start, in microseconds since the Unix epoch; `None` if it is unknown,
     /// which counts as long ago.
     pub started_at: Option<Micros>,
-    /// The worker's listed size, relative to those of other workers; `None` if the list has none.
+    /// The size of the worker in the endpoint list: a measure of its capacity, comparable between workers;
+    /// `None` if the list states no size for the worker.
     pub size: Option<f64>,
 }
 
 /// An endpoint list with its version, as discovery publishes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// The version of the list, by which outdated lists are recognized.
+    /// The version of the list, by which a scheduler recognizes a list that is older than the one it has.
     pub revision: u64,
     /// Whether the list holds all endpoints, or only those that changed.
     pub complete: bool,
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,7 +1,7 @@
-//! The error type of this crate's readers.
+//! The error type of the functions that read settings and endpoint lists from JSON.
 
 /// The reason why JSON could not be read. The message of each variant is shown to operators in errors and
-/// logs, and to the simulator in its fault messages.
+/// logs, and is sent to the simulator in the `fault` messages of the simulator adapter.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ReadError {
@@ -26,8 +26,8 @@
         /// Name of the JSON field that should hold a number.
         field: &'static str,
     },
-    /// A field is not a non-negative integer of at most 2^53, up to which a float represents every integer
-    /// exactly.
+    /// A field is not an integer from 0 to 2^53. Larger integers are not accepted, because JSON numbers are
+    /// read as floats, which represent every integer exactly only up to 2^53.
     #[error("{field} is not a whole number")]
     NotAnInteger {
         /// Name of the JSON field that should hold an integer.
@@ -83,7 +83,8 @@
         /// The undefined value that was read.
         value: String,
     },
-    /// An error within the value of a field, such as an object or an address, with the field's name.
+    /// The value of a field, such as an object or an address, contains an error. This variant adds the name
+    /// of the field to that error.
     #[error("{section}: {source}")]
     InSection {
         /// Name of the field whose value could not be read.
@@ -94,7 +95,7 @@
 }
 
 impl ReadError {
-    /// Wraps this error with the name of the field whose value was read.
+    /// Wraps this error with the name of the field whose value contains the error.
     #[must_use]
     pub fn in_section(self, section: &'static str) -> ReadError {
         ReadError::InSection { section, source: Box::new(self) }
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -4,8 +4,8 @@
 
 use crate::error::ReadError;
 
-/// Deepest nesting that is parsed. tinyjson recurses for each level without a limit, so a body of brackets
-/// alone would overflow the stack and abort the process.
+/// Deepest nesting of JSON arrays and objects that is parsed. tinyjson recurses for each level without a
+/// limit, so a text of many opening brackets would overflow the stack and abort the process.
 const MAX_NESTING_DEPTH: usize = 32;
 
 /// 2^53: up to it, every integer has an exact representation as a float.
@@ -24,12 +24,13 @@
 /// Parses one JSON value from bytes.
 ///
 /// # Errors
-/// [`ReadError::InvalidUtf8`] for bytes that are not UTF-8; otherwise as [`parse`].
+/// [`ReadError::InvalidUtf8`] for bytes that are not UTF-8, and the errors of [`parse`] for bytes that are.
 pub fn parse_bytes(bytes: &[u8]) -> Result<JsonValue, ReadError> {
     parse(std::str::from_utf8(bytes).map_err(ReadError::InvalidUtf8)?)
 }
 
-/// Checks the depth of brackets outside strings, before parsing and without allocation.
+/// Checks that the brackets outside strings are nested at most [`MAX_NESTING_DEPTH`] deep. The check scans
+/// the text before it is parsed, since the parser has no depth limit, and allocates no memory.
 fn check_nesting(text: &str) -> Result<(), ReadError> {
     let mut depth = 0_usize;
     let mut is_in_string = false;
@@ -52,13 +53,15 @@
     Ok(())
 }
 
-/// The value of an object's field, or `None` where it is absent or null or `value` is not an object.
+/// Returns the value of an object's field, or `None` if the field is absent or null, or if `value` is not an
+/// object.
 pub fn field<'a>(value: &'a JsonValue, name: &str) -> Option<&'a JsonValue> {
     let object: &std::collections::HashMap<String, JsonValue> = value.get()?;
     object.get(name).filter(|field| !field.is_null())
 }
 
-/// The value of a field that holds an object, or null, which has no fields, where it is absent.
+/// Returns the value of a field that should hold an object, or null if the field is absent. Since null has no
+/// fields, every field that is then read from the returned value counts as absent.
 pub(crate) fn object_or_null<'a>(value: &'a JsonValue, name: &str) -> &'a JsonValue {
     field(value, name).unwrap_or(&JsonValue::Null)
 }
@@ -66,7 +69,8 @@
 /// Reads a required field with one of the readers of this module: `required(&config, "listen", text)`.
 ///
 /// # Errors
-/// [`ReadError::Missing`] if the field is absent or null; otherwise as `read`.
+/// [`ReadError::Missing`] if the field is absent or null, and the errors that the function `read` returns for
+/// the field's value.
 pub fn required<'a, T>(
     value: &'a JsonValue,
     name: &'static str,
@@ -90,8 +94,9 @@
 /// Reads an optional field that holds a non-negative integer within the range of `T`.
 ///
 /// # Errors
-/// [`ReadError::NotAnInteger`] for a number that is negative, fractional or above 2^53,
-/// [`ReadError::OutOfRange`] for an integer that exceeds the range of `T`; otherwise as [`number`].
+/// [`ReadError::NotANumber`] if the field does not hold a finite number, [`ReadError::NotAnInteger`] if the
+/// number is negative, fractional or above 2^53, and [`ReadError::OutOfRange`] if the integer exceeds the
+/// range of `T`.
 pub fn integer<T: TryFrom<u64>>(value: &JsonValue, name: &'static str) -> Result<Option<T>, ReadError> {
     match number(value, name)? {
         None => Ok(None),
@@ -102,10 +107,11 @@
     }
 }
 
-/// Reads an optional field of seconds as microseconds; negative values become 0.
+/// Reads an optional field that holds a number of seconds, and converts the number to microseconds. A
+/// negative number becomes 0.
 ///
 /// # Errors
-/// As [`number`].
+/// [`ReadError::NotANumber`] if the field does not hold a finite number.
 pub fn seconds_as_micros(value: &JsonValue, name: &'static str) -> Result<Option<Micros>, ReadError> {
     Ok(number(value, name)?.map(micros_from_seconds))
 }
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,7 +1,9 @@
-//! The reader of the platform's JSON.
+//! Reads the JSON of the hosting platform, which writes a configuration for each start of a scheduler and
+//! runs the discovery service.
 //!
-//! It covers the configuration that the platform writes for each start of a scheduler, the settings object in
-//! it, which the simulator sends as well, and the endpoint lists of discovery. Unknown keys are ignored.
+//! The functions of this module read three kinds of JSON: the startup configuration, the settings object
+//! within the startup configuration, which the simulator sends as well, and the endpoint lists of the
+//! discovery service. Unknown keys are ignored.
 mod endpoints;
 mod parse;
 mod settings;
@@ -15,16 +17,18 @@
 pub use endpoints::read_endpoint_list;
 pub use settings::read_settings;
 
-/// File descriptors that the process may hold open if the configuration has no limit.
+/// Maximum number of file descriptors that the process may hold open if the startup configuration sets no
+/// maximum.
 const DEFAULT_DESCRIPTOR_LIMIT: usize = 1024;
-/// Memory that the process may use if the configuration has no limit, in megabytes.
+/// Maximum memory, in megabytes, that the process may use if the startup configuration sets no maximum.
 const DEFAULT_MEMORY_LIMIT_MB: f64 = 192.0;
 
-/// Reads the startup configuration that the platform writes.
+/// Reads the startup configuration that the hosting platform writes for a scheduler.
 ///
 /// # Errors
-/// As [`json::parse`]; [`ReadError::Missing`] for a required field that is absent or null; for a field with
-/// an invalid value, the variant that says what is wrong with it, wrapped in [`ReadError::InSection`].
+/// The errors of [`json::parse`] if the content cannot be parsed as JSON, and [`ReadError::Missing`] if a
+/// required field is absent or null. If a field has an invalid value, the error says what is wrong with the
+/// value, and [`ReadError::InSection`] adds the name of the field.
 pub fn read_startup_config(content: &str) -> Result<StartupConfig, ReadError> {
     let config = json::parse(content)?;
     let listen = required(&config, "listen", text)?;
--- a/crates/settings/src/platform/endpoints.rs
+++ b/crates/settings/src/platform/endpoints.rs
@@ -1,4 +1,4 @@
-//! The reader of endpoint lists in the platform's JSON.
+//! Reads endpoint lists in the JSON format of the hosting platform.
 use copperspread_dispatcher::Micros;
 use http::uri::Authority;
 use tinyjson::JsonValue;
@@ -10,11 +10,12 @@
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// Reads an endpoint list, from a response of discovery or from the cached list in the configuration.
+/// Reads an endpoint list from JSON. The list comes from a response of the discovery service, or from the
+/// startup configuration, which may contain the list that the scheduler had before a restart.
 ///
 /// # Errors
-/// [`ReadError::Missing`] for a required field that is absent or null; for a field with an invalid value, the
-/// variant that says what is wrong with it. One invalid endpoint makes the whole list invalid.
+/// [`ReadError::Missing`] if a required field is absent or null, and another variant of [`ReadError`] if a
+/// field has an invalid value. One invalid endpoint makes the whole list invalid.
 pub fn read_endpoint_list(value: &JsonValue) -> Result<EndpointList, ReadError> {
     let members = required(value, "members", array)?;
     Ok(EndpointList {
@@ -57,7 +58,8 @@
     }
 }
 
-/// The time of the last start, or `None` if it is unknown, which the JSON writes as 0 or leaves out.
+/// Reads the time of the worker's last start, in microseconds since the Unix epoch. Returns `None` if the
+/// JSON field is absent or 0, which means that the time is unknown.
 fn read_start_time(value: &JsonValue) -> Result<Option<Micros>, ReadError> {
     let milliseconds = integer::<u64>(value, "up_since_ms")?;
     Ok(milliseconds.filter(|&at| at > 0).map(|at| at * MICROS_PER_MILLISECOND))
--- a/crates/settings/src/platform/parse.rs
+++ b/crates/settings/src/platform/parse.rs
@@ -1,4 +1,4 @@
-//! Parsers of values that the platform's JSON holds as strings.
+//! Parses addresses and hexadecimal numbers, which the JSON of the hosting platform holds as strings.
 use std::str::FromStr;
 
 use crate::error::ReadError;
--- a/crates/settings/src/platform/settings.rs
+++ b/crates/settings/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The reader of the settings object in the platform's JSON.
+//! Reads the settings object in the JSON of the hosting platform.
 use copperspread_dispatcher::{Discovery, Idempotency, KeyScope, RequestClass, Settings, Tenant};
 use tinyjson::JsonValue;
 
@@ -13,12 +13,14 @@
 const DEFAULT_KEEP_ALIVE_TIMEOUT_SECONDS: f64 = 5.0;
 const DEFAULT_MAX_RETRY_AFTER_SECONDS: f64 = 1.0;
 
-/// Reads the settings object.
+/// Reads the settings of a scheduler from the settings object of the startup configuration or of the
+/// simulator.
 ///
 /// # Errors
-/// [`ReadError::Missing`] for a required field that is absent or null; for a field with an invalid value, the
-/// variant that says what is wrong with it. Invalid items of `class_stretch` and `class_kind` count as
-/// absent, invalid names as empty.
+/// [`ReadError::Missing`] if a required field is absent or null, and another variant of [`ReadError`] if a
+/// field has an invalid value. There is no error for an invalid item of `class_stretch` or `class_kind`,
+/// which counts as absent, nor for an invalid name of a class, tenant, zone or worker kind, which counts as
+/// an empty name.
 pub fn read_settings(settings: &JsonValue) -> Result<SchedulerSettings, ReadError> {
     let classes = read_classes(settings)?;
     let tenants = read_tenants(settings)?;
@@ -36,7 +38,8 @@
     classes.iter().enumerate().map(read).collect()
 }
 
-/// Reads a request class. Its own `aim_stretch` takes precedence over the stretch in `family_info`.
+/// Reads a request class. The latency stretch is the `aim_stretch` of the class or, if that is absent,
+/// `family_stretch`, which is the class's item in the list `family_info.class_stretch`.
 fn read_class(
     class: &JsonValue,
     family_stretch: Option<&JsonValue>,
@@ -143,8 +146,8 @@
     })
 }
 
-/// Reads the names in an array field, whose items are strings or objects with a `name`; other items count as
-/// an empty name.
+/// Reads the names in an array field. Each item of the array is a string or an object with a field `name`;
+/// any other item counts as an empty name.
 fn read_names(settings: &JsonValue, name: &'static str) -> Result<Vec<String>, ReadError> {
     let items = array(settings, name)?.unwrap_or_default();
     Ok(items.iter().map(name_of).collect())
--- a/crates/settings/src/startup.rs
+++ b/crates/settings/src/startup.rs
@@ -12,15 +12,15 @@
 pub struct StartupConfig {
     /// The scheduler's name, the same after a restart.
     pub name: String,
-    /// The address on which the scheduler accepts client connections and callbacks of workers.
+    /// The IP address and port on which the scheduler accepts client connections and callbacks of workers.
     pub listen: SocketAddr,
     /// Where the scheduler gets its endpoint lists from.
     pub discovery: DiscoveryConfig,
     /// The seed of the dispatch policy's random number generator.
     pub seed: u64,
-    /// The number of file descriptors that the process may hold open.
+    /// The maximum number of file descriptors that the process may hold open.
     pub descriptor_limit: usize,
-    /// The memory that the process may use, in megabytes.
+    /// The maximum memory that the process may use, in megabytes.
     pub memory_limit_mb: f64,
     /// The endpoint list that this scheduler held last before it was restarted, possibly stale.
     pub cached_endpoints: Option<EndpointList>,
@@ -29,9 +29,9 @@
 }
 
 impl StartupConfig {
-    /// The names of the parts that differ in `other` and take effect only after a restart. The seed does not
-    /// count, since each configuration file has a new one, nor do the cached endpoints, since discovery
-    /// replaces them.
+    /// Returns the names of those parts of the configuration that differ between `self` and `other` and whose
+    /// changes take effect only after a restart. The seed is not compared, since each configuration file has
+    /// a new seed, nor are the cached endpoints, since discovery replaces them.
     pub fn restart_only_changes(&self, other: &StartupConfig) -> Vec<&'static str> {
         let has_same_limits =
             self.descriptor_limit == other.descriptor_limit && self.memory_limit_mb == other.memory_limit_mb;
@@ -49,7 +49,7 @@
 /// Where a scheduler gets its endpoint lists from.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryConfig {
-    /// The platform's discovery service at this address.
+    /// The hosting platform's discovery service, with its address.
     Platform(Authority),
     /// A fixed list from the configuration, which is replaced only when the configuration is reloaded.
     Static(EndpointList),
@@ -58,7 +58,7 @@
 /// The settings of a scheduler, divided into those of the dispatch policy and those of the proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerSettings {
-    /// The settings of the dispatch policy.
+    /// The settings of the dispatch policy, which selects workers and decides on rejections and retries.
     pub dispatch: Settings,
     /// The settings of the proxy, which carries out the policy's decisions.
     pub proxy: ProxySettings,
@@ -67,22 +67,28 @@
 /// The settings of the proxy, which forwards requests between clients and workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxySettings {
-    /// The request classes' names, by index.
+    /// The names of the request classes. The position of a name is the index by which the dispatch policy
+    /// knows the class.
     pub classes: Vec<String>,
-    /// The request classes' idempotency, by index.
+    /// Whether the requests of each class may be run more than once, in the order of `classes`.
     pub idempotency: Vec<Idempotency>,
-    /// The tenants' names, by index.
+    /// The names of the tenants. The position of a name is the index by which the dispatch policy knows the
+    /// tenant.
     pub tenants: Vec<String>,
-    /// The zones' names, by index.
+    /// The names of the zones. The position of a name is the index by which the dispatch policy knows the
+    /// zone.
     pub zones: Vec<String>,
-    /// The names of the worker kinds, by index.
+    /// The names of the worker kinds. The position of a name is the index by which the dispatch policy knows
+    /// the worker kind.
     pub worker_kinds: Vec<String>,
-    /// The time after which a connection to a worker that is not established counts as failed.
+    /// The time limit for establishing a connection to a worker. An attempt to connect that takes longer
+    /// counts as failed.
     pub connect_timeout: Micros,
     /// The idle time after which workers close a connection from the scheduler.
     pub keep_alive_timeout: Micros,
     /// Whether rejections carry a Retry-After header.
     pub sends_retry_after: bool,
-    /// The longest Retry-After that clients respect. Clients are not asked to wait longer.
+    /// The longest time that a Retry-After header asks clients to wait. A longer time is reduced to this one,
+    /// because clients are assumed not to wait longer.
     pub max_retry_after: Micros,
 }
