--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -45,7 +45,7 @@
 pub struct AssembledProxy {
     /// The state that the components share.
     pub context: Arc<ProxyContext>,
-    /// The client connections.
+    /// The listener that accepts and serves client connections.
     pub connections: Arc<ClientListener>,
     /// The publisher through which an endpoint source updates the endpoint table.
     pub endpoint_publisher: EndpointPublisher,
@@ -66,8 +66,8 @@
     assemble_with_status_pages(config, policy, recorder, &[]).await
 }
 
-/// Assembles a scheduler as [`assemble`] does, with additional status pages. The task that sends load queries
-/// runs until the runtime shuts down.
+/// Assembles a scheduler as [`assemble`] does, with additional status pages. The spawned task that sends load
+/// queries runs until the runtime shuts down.
 ///
 /// # Errors
 /// [`AssemblyError::Listen`] if the socket for clients cannot be opened.
@@ -124,11 +124,14 @@
         deadlines
     }
 
-    /// Waits until the time for late connections is over and no request is being read or answered, at most
-    /// until the drain deadline. Then closes the client connections, waits for the last responses to be
-    /// written, and returns how many requests are left. Connections and callbacks are accepted until the
-    /// client connections are closed. The connections are closed because clients keep using open ones, and a
-    /// request that arrives after the last check would be accepted and lost.
+    /// Waits until the accepted requests are answered, closes the client connections, and returns the number
+    /// of requests that are still being read or answered.
+    ///
+    /// The wait lasts until the window for late connections has ended and no request is being read or
+    /// answered, but at most until the drain deadline. New connections and callbacks are accepted until the
+    /// client connections are closed. They are closed because clients reuse open connections: a request that
+    /// arrived after the last check would be accepted and lost. After the close, the method waits for at
+    /// least `FINAL_WRITE_TIME`, so that the last responses are written.
     pub async fn wait_until_drained(&self, deadlines: ShutdownDeadlines) -> usize {
         self.wait_until_idle(deadlines.late_connections_until, deadlines.drain_deadline).await;
         self.context.shutdown.close();
@@ -136,7 +139,8 @@
         self.connections.active_requests()
     }
 
-    /// Waits until `earliest`, then until no request is being read or answered, at most until `deadline`.
+    /// Waits until no request is being read or answered. The wait lasts at least until `earliest`, and after
+    /// that at most until `deadline`.
     async fn wait_until_idle(&self, earliest: Instant, deadline: Instant) {
         while Instant::now() < earliest
             || (self.connections.active_requests() > 0 && Instant::now() < deadline)
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -7,22 +7,24 @@
 /// The longest span that [`from_now`] accepts, in microseconds; longer ones are shortened to it.
 const MAX_SPAN: Micros = 86_400 * SECOND;
 
-/// The clock of the dispatch policy, in microseconds since the Unix epoch. It is set from the wall clock
-/// once, since discovery reports workers' start times in Unix time, and then advances with the monotonic
-/// clock, so that a step of the wall clock does not move deadlines. Such a step is taken into account for
-/// workers' start times when an endpoint list is applied.
+/// The clock of the dispatch policy, in microseconds since the Unix epoch.
+///
+/// The clock is set from the wall clock once, because discovery reports workers' start times in Unix time.
+/// From then on it advances with the monotonic clock, so that a step of the wall clock does not move
+/// deadlines. When an endpoint list is applied, the two clocks are compared, and a step of the wall clock is
+/// included in the estimates of workers' start times.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
     unix_start: Micros,
 }
 
-/// One reading of the scheduler's clock and the wall clock.
+/// Readings of the scheduler's clock and of the wall clock, taken one right after the other.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// The time at which the scheduler's clock was started, in microseconds on this clock.
+    /// The reading of the scheduler's clock when it was started, in microseconds since the Unix epoch.
     pub started_at: Micros,
-    /// The reading of the scheduler's clock, in microseconds.
+    /// The reading of the scheduler's clock, in microseconds since the Unix epoch.
     pub now: Micros,
     /// The reading of the wall clock, in microseconds since the Unix epoch.
     pub unix: Micros,
@@ -34,8 +36,11 @@
         Clock { unix_start: unix_now(), start: Instant::now() }
     }
 
-    /// Reads this clock, then the wall clock. A pause of the process between the two readings makes the wall
-    /// clock appear ahead, which is not mistaken for a step back.
+    /// Reads the scheduler's clock, then the wall clock.
+    ///
+    /// With this order, a pause of the process between the two readings makes the wall clock appear ahead of
+    /// the scheduler's clock. With the opposite order the wall clock would appear behind, which would be
+    /// mistaken for a step back of the wall clock.
     pub fn read(&self) -> ClockReading {
         let now = self.now();
         ClockReading { started_at: self.unix_start, now, unix: unix_now() }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -17,9 +17,10 @@
 /// An implementation converts its own format into an [`EndpointList`] and applies each list as a whole. A
 /// list that cannot be parsed completely changes nothing.
 pub trait EndpointSource: Send + 'static {
-    /// Publishes lists until the returned future is dropped; it never completes.
+    /// Publishes endpoint lists through `publisher` until the returned future is dropped. The future never
+    /// completes.
     ///
-    /// The caller spawns it, and it ends with the runtime.
+    /// The caller spawns the future as a task, which ends when the runtime shuts down.
     fn follow(self: Box<Self>, publisher: EndpointPublisher) -> BoxFuture<'static, ()>;
 }
 
@@ -37,14 +38,16 @@
         EndpointPublisher { endpoints, policy }
     }
 
-    /// Publishes the list that was cached before the process started, and returns its revision.
+    /// Publishes the endpoint list that was cached before the process started, and returns the list's
+    /// revision.
     ///
-    /// Without a cached list it returns `None`, and sends an empty update to a policy that polls.
+    /// Returns `None` if there is no cached list. A policy that requests each list is then notified of an
+    /// empty endpoint update.
     pub fn publish_cached(&self, cached: Option<&EndpointList>) -> Option<u64> {
         let apply = |list| self.endpoints.apply(list, ListOrigin::Cache, self.policy.read_clocks());
         let endpoints = cached.and_then(apply).unwrap_or_default();
-        // A polling policy doesn't request a list before its first endpoint update, so it is sent an update
-        // even without a cached list.
+        // A policy that requests lists waits for its first endpoint update before it makes a request. Such a
+        // policy is therefore notified of an empty update if there is no cached list.
         if cached.is_some() || self.is_polled() {
             self.policy.update_endpoints(EndpointUpdateKind::Cached, &endpoints);
         }
@@ -64,23 +67,24 @@
         self.policy.update_endpoints(kind, endpoints);
     }
 
-    /// Resets what the table knows of the discovery service used so far: the revision of its list and the
-    /// time of its last answer.
+    /// Resets what the endpoint table knows of the previous discovery service: the revision of that service's
+    /// list and the time of its last answer.
     ///
-    /// The next list comes from another discovery, with its own revisions.
+    /// Called when the address of discovery changes, because the new discovery service has its own revisions.
     pub fn reset_revision(&self) {
         self.endpoints.reset_revision();
     }
 
     /// Notifies the policy that a poll or a watch failed.
     pub fn poll_failed(&self) {
-        // Discards a request that the policy made while the failed poll was in flight: it would be mistaken
-        // for the policy's reaction to this failure.
+        // A list request that the policy made while the failed poll was in flight is discarded. Otherwise it
+        // would be mistaken for the policy's reaction to this failure, and the next poll would be sent at
+        // once.
         let _ = self.list_requested().now_or_never();
         self.policy.update_endpoints(EndpointUpdateKind::Failed, &[]);
     }
 
-    /// Returns whether lists are fetched only when the policy requests one.
+    /// Returns whether an endpoint list is fetched only when the policy requests a list.
     pub fn is_polled(&self) -> bool {
         self.policy.polls_endpoints()
     }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -1,11 +1,11 @@
 //! Endpoint source that fetches lists from the platform's discovery over HTTP and watches them for changes.
 //!
-//! Lists are parsed in `copperspread_settings::platform`; only this module knows how they are fetched.
+//! The module `copperspread_settings::platform` parses the lists; this module fetches them.
 //!
-//! Discovery is used in one of two modes (see [`EndpointPublisher::is_polled`]). Where lists are
-//! pushed, they are pushed to a discovery agent near the scheduler; this module calls the agent, and retries
-//! failed calls by itself. Where lists are polled, the dispatch policy requests the first list and, after
-//! most failures, the next one.
+//! Discovery is used in one of two modes (see [`EndpointPublisher::is_polled`]). Where lists are pushed, the
+//! platform pushes them to a discovery agent near the scheduler; this module calls the agent and retries
+//! failed calls. Where lists are polled, the dispatch policy requests the first list, and requests another
+//! list after most failures; this module retries only a first refusal and a watch that broke.
 use copperspread_dispatcher::{Micros, SECOND};
 use copperspread_settings::EndpointList;
 use futures_util::future::BoxFuture;
@@ -23,45 +23,52 @@
 
 /// Maximum time for which discovery holds a watch, that is, delays its answer until the list changes.
 ///
-/// The hold time is short because the wait for a watch that gets no answer delays the next endpoint update,
-/// and empty answers cost little. This constant and those that add to the delay are public for the test
-/// `endpoint_list_races`, which sums them, as does `docs/endpoint-list-delays.md`.
+/// The hold time is short because a watch whose answer is lost delays the next endpoint update until the
+/// watch times out, while frequent empty answers cost little. The constants that add up to the delay of an
+/// endpoint update are public because the test `endpoint_list_races` sums them, as does
+/// `docs/endpoint-list-delays.md`.
 pub const WATCH_HOLD_TIME: Micros = 2 * SECOND;
-/// Time after a watch's hold time at which a watch without an answer is dropped.
+/// Time between the end of a watch's hold time and the time-out of an unanswered watch.
 ///
-/// A slow or overloaded discovery answers up to 1 s late; the rest covers the network.
+/// This time covers up to 1 s by which a slow or overloaded discovery answers late, and 0.2 s for the
+/// network.
 pub const WATCH_MARGIN: Micros = 1_200_000;
-/// Time-out of calls for the complete list where lists are pushed.
+/// Time-out of a request for the complete list where lists are pushed, including its hedged calls.
 ///
-/// The discovery agent, which is nearby, usually answers at once. If it is slow, the call is hedged until
-/// this time-out.
+/// The discovery agent is near the scheduler and usually answers at once. If the agent is slow, further
+/// hedged calls are made until this time-out.
 pub const PUSHED_LIST_TIMEOUT: Micros = 2_200_000;
-/// Interval between hedged calls for the complete list where lists are pushed.
+/// Interval between hedged calls for the complete list where lists are pushed. Each hedged call uses a
+/// further connection.
 ///
-/// Each hedge uses a further connection. The interval is short because a change counts as delivered once the
-/// discovery agent has it. The agent may have been unresponsive until then, and may never answer the calls
-/// that were made meanwhile.
+/// The scheduler counts as notified of a change as soon as the discovery agent has the change and is
+/// reachable. The agent may have been unresponsive until then, and may never answer the calls that were made
+/// meanwhile. The interval is short so that a new call soon reaches a recovered agent.
 pub const PUSHED_HEDGE_INTERVAL: Micros = 400_000;
 /// Time-out of a call for the complete list where lists are polled.
 ///
-/// A call may be queued for up to 1 s before it fails; the rest covers the network. The time-out counts twice
-/// in the delay of an endpoint update: for the call that is given up and for the next one.
+/// The time-out covers up to 1 s for which discovery may queue a call before the call fails, and 0.5 s for
+/// the network. It counts twice in the delay of an endpoint update: once for the call that times out, and
+/// once for the next call.
 pub const POLLED_LIST_TIMEOUT: Micros = 1_500_000;
-/// Additional time for the body of a watch or a polled list after the time-out of its head.
+/// Additional time for the body of a response after the time-out of the response's head, for watches and for
+/// polled lists.
 ///
 /// The additional time is needed because the body may arrive slowly.
 pub const BODY_MARGIN: Micros = 700_000;
-/// Initial backoff before a failed call is retried.
+/// Initial backoff before a failed call to discovery is retried.
 ///
-/// Where lists are pushed, it applies to every failed call; where they are polled, only to a watch that
-/// broke.
+/// Where lists are pushed, the backoff applies to every failed call. Where lists are polled, it applies only
+/// to a watch that ended with a failure other than a refusal.
 pub const RETRY_BACKOFF_INITIAL: Micros = 100_000;
-/// Maximum backoff before a failed call is retried; at most [`PUSHED_HEDGE_INTERVAL`].
+/// Maximum backoff before a failed call to discovery is retried. The value does not exceed
+/// [`PUSHED_HEDGE_INTERVAL`], so that the retry adds no more delay than a hedged call.
 pub const RETRY_BACKOFF_MAX: Micros = 200_000;
-/// Backoff before the retry of a refused call for the complete list where lists are polled.
+/// Backoff before a refused call for the complete list is retried, where lists are polled.
 ///
-/// It applies to the first refusal since the last list: an overloaded discovery is reachable, and the
-/// policy's own backoff would add too much delay.
+/// Only the first refusal since the last list is retried after this backoff: a discovery that refuses calls
+/// is reachable but overloaded, and waiting for the policy's own backoff would delay the next list too much.
+/// After any further refusal, the policy requests the next call.
 pub const REFUSED_RETRY_BACKOFF: Micros = 300_000;
 
 /// Endpoint source for the platform's discovery, whose address may change.
@@ -80,13 +87,14 @@
 
 /// Watches discovery without end, one call after the other.
 ///
-/// The first call, and each call after a failed one, fetches the complete list, as a watch gives no answer
-/// while it is held. Where lists are polled, a watch that broke is followed by one call before the policy is
-/// notified, and a call for the complete list is retried after the first refusal; after any other failure,
-/// the policy requests the next call.
+/// The first call, and each call after a failed call, requests the complete list, because discovery answers
+/// such a call at once and may hold a watch without an answer. Where lists are polled, the policy is notified
+/// of a failure and requests the next call, with two exceptions. After a watch that ended with a failure
+/// other than a refusal, one call for the complete list is made first. A call for the complete list is
+/// retried once after the first refusal since the last list.
 ///
-/// When the address changes, the call in flight is dropped and the complete list is fetched from the new
-/// address.
+/// When the address of discovery changes, the call in flight is dropped and the complete list is fetched from
+/// the new address.
 struct PlatformWatcher {
     publisher: EndpointPublisher,
     /// Configured address, which may change.
@@ -99,16 +107,17 @@
     /// Time to wait before the next retry of a failed call.
     backoff: Micros,
     is_polled: bool,
-    /// Whether the policy must be notified of the next list even if the list is empty, as an answer to its
-    /// request.
+    /// Whether the policy must be notified of the next list even if that list is empty, because the policy
+    /// waits for the answer to a list request.
     must_notify_policy: bool,
-    /// Whether the policy is still to request a list: at the start, or after it was notified of a failure.
+    /// Whether the policy has not yet made the list request that it makes at the start and after each
+    /// notification of a failure.
     awaits_list_request: bool,
     /// Whether the last call returned a list, so that the next call can be a watch.
     last_call_succeeded: bool,
-    /// Whether a call was refused since the last list.
+    /// Whether a call was refused since the last list was received.
     refused_since_list: bool,
-    /// Whether a call has failed since the last list.
+    /// Whether a call has failed since the last list was received.
     failed_since_list: bool,
 }
 
@@ -116,8 +125,8 @@
 struct CompletedCall {
     /// Revision that was watched; `None` if the call was for the complete list.
     watched_revision: Option<u64>,
-    /// The instant that is half the hold time after the call's start. If a watch is answered earlier than
-    /// this and without a change, discovery did not hold the watch.
+    /// The instant at which half of the hold time has passed since the start of the call. If a watch is
+    /// answered before this instant and without a change, discovery did not hold the watch.
     earliest_held_answer: Instant,
     outcome: CallOutcome,
 }
@@ -185,14 +194,15 @@
         self.refused_since_list = false;
     }
 
-    /// Makes the next call: a watch on the known revision if the last call succeeded, or else for the
-    /// complete list.
+    /// Makes the next call. The call is a watch on the revision of the last list if the last call succeeded,
+    /// and a request for the complete list otherwise.
     async fn call(&mut self) -> CompletedCall {
         let watched_revision = self.revision.filter(|_| self.last_call_succeeded);
         let earliest_held_answer = from_now(WATCH_HOLD_TIME / 2);
         let mut configured_address = self.configured_address.clone();
         let outcome = tokio::select! {
-            // An answer from the old address must not be used after the address has changed.
+            // A change of the address takes precedence, because an answer from the old address must not be
+            // used after the change.
             biased;
             Ok(()) = configured_address.changed() => CallOutcome::AddressChanged,
             fetched = self.fetch(watched_revision) => match fetched {
@@ -218,7 +228,8 @@
         self.client.fetch(&self.address, &path, deadlines_after(WATCH_HOLD_TIME + WATCH_MARGIN)).await
     }
 
-    /// Applies a list, and publishes it if it is complete, has changes or answers a request of the policy.
+    /// Applies a list to the endpoint table, and notifies the policy of the list if it is complete (rather
+    /// than a list of changes), if anything has changed, or if the policy has requested a list.
     ///
     /// Then waits for a short time if the next call would return the same list at once.
     async fn handle_list(
@@ -241,8 +252,8 @@
             self.must_notify_policy = false;
             self.awaits_list_request = false;
         }
-        // After a list that is older than the last one, or an answer to a watch that was not held, the next
-        // call would return the same list at once. The delay avoids a busy loop.
+        // The next call would return the same list at once in two cases: the list is older than the previous
+        // list, or discovery answered a watch without holding it. The delay avoids a busy loop.
         let is_older = self.revision.is_some_and(|revision| list.revision < revision);
         let was_not_held = watched_revision == Some(list.revision) && Instant::now() < earliest_held_answer;
         self.revision = Some(list.revision);
@@ -259,13 +270,14 @@
         count_event_for("no answer of discovery, the list stays", &error.to_string(), subject);
         self.failed_since_list = true;
         if let Some(backoff) = self.retry_backoff(error) {
-            // A change of discovery's address ends the wait.
+            // A change of discovery's address ends the backoff early.
             let _ = timeout_at(from_now(backoff), self.configured_address.changed()).await;
             return;
         }
-        // The policy is notified once, and not again before it has requested a list. If an address change
-        // ended the wait for that request, a second notification would make the policy request a second list,
-        // and later failures would lead to two calls each, then three.
+        // After a notification, the policy is notified of another failure only once it has requested a list.
+        // An address change may end the wait for that request. A second notification would then make the
+        // policy request a second list, so that each later failure would lead to two calls, then to three,
+        // and so on.
         if !std::mem::replace(&mut self.awaits_list_request, true) {
             self.publisher.poll_failed();
         }
@@ -278,9 +290,9 @@
         let was_watch = std::mem::take(&mut self.last_call_succeeded);
         let is_broken_watch = was_watch && !error.is_refusal();
         if !self.is_polled || is_broken_watch {
-            // The backoff is short because changes count as delivered even if the watch that should have
-            // returned them got no answer. It is not zero because a discovery may answer calls for the
-            // complete list but break every watch.
+            // The backoff is short because the scheduler counts as notified of a change even if the watch
+            // that should have returned the change got no answer. The backoff is not zero because a discovery
+            // may answer calls for the complete list but break every watch.
             let doubled = (self.backoff * 2).min(RETRY_BACKOFF_MAX);
             return Some(std::mem::replace(&mut self.backoff, doubled));
         }
@@ -291,7 +303,7 @@
 
     /// Waits until the policy requests a list or discovery's address changes.
     ///
-    /// If the address changes first, the policy's request is not lost: the next wait gets it.
+    /// If the address changes first, the next call of this method receives the policy's request.
     async fn await_list_request(&mut self) {
         let is_requested = tokio::select! {
             biased;
--- a/crates/proxy/src/discovery/platform/fetch.rs
+++ b/crates/proxy/src/discovery/platform/fetch.rs
@@ -17,8 +17,9 @@
 
 /// Maximum length of an endpoint list, in bytes.
 ///
-/// It holds about 10,000 endpoints, more than any expected fleet has, and takes a sixteenth of the smallest
-/// memory limit. The limit of 64 KiB on the protocol's other bodies would hold only about 400 endpoints.
+/// A list of this length has about 10,000 endpoints, more than any expected fleet, and takes a sixteenth of
+/// the smallest memory limit of a scheduler process. The 64 KiB limit on the bodies of other messages would
+/// allow only about 400 endpoints.
 const MAX_LIST_BYTES: usize = 2 << 20;
 
 /// Error of a call to discovery that returned no list.
@@ -96,11 +97,11 @@
         list.unwrap_or(Err(FetchError::TimedOut))
     }
 
-    /// Fetches a list with hedged calls.
+    /// Fetches a list with hedged calls, and returns the first list that is received.
     ///
-    /// After each `interval` without a list, the call is made again on a further connection, and the first
-    /// list is returned. All calls are dropped at the deadline. If all calls so far have failed, the last
-    /// error is returned.
+    /// Whenever a further `interval` has passed without a list, another call is made on another connection.
+    /// Each call is dropped at `deadline`. If all calls made so far have failed, no further call is made, and
+    /// the error of the last failure is returned.
     pub(super) async fn fetch_hedged(
         &self,
         address: &Authority,
--- a/crates/proxy/src/discovery/static_list.rs
+++ b/crates/proxy/src/discovery/static_list.rs
@@ -13,7 +13,8 @@
 impl EndpointSource for StaticEndpoints {
     fn follow(mut self: Box<Self>, publisher: EndpointPublisher) -> BoxFuture<'static, ()> {
         Box::pin(async move {
-            // Only the policy's first request for a list is awaited, as this source cannot fail afterwards.
+            // Only the policy's first list request is awaited. The policy requests a further list only after
+            // a failure, and this source cannot fail.
             if publisher.is_polled() {
                 publisher.list_requested().await;
             }
@@ -22,7 +23,7 @@
                 if let Some(endpoints) = publisher.apply(&list) {
                     publisher.publish(&list, &endpoints);
                 }
-                // The sender is dropped only when the process ends; the list stays until then.
+                // The sender is dropped only when the process ends. The last list stays published until then.
                 if self.0.changed().await.is_err() {
                     return std::future::pending().await;
                 }
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -1,7 +1,8 @@
 //! Serves one client connection from its first request until it closes.
 //!
-//! Clients that send nothing, stop in the middle of a request, send too much or frame a body in two ways must
-//! not use up the connections or the memory that other clients need, nor affect their responses.
+//! Some clients send nothing, stop in the middle of a request, send too much data or frame a body in two
+//! ways. Such a client must neither use up the connections or the memory that other clients need, nor affect
+//! the responses to other clients.
 use std::future::{poll_fn, ready};
 use std::pin::Pin;
 use std::sync::Arc;
@@ -52,11 +53,12 @@
 /// Server library (hyper) that serves one connection.
 type Server<Observer> = http1::Connection<ObservedStream<Observer>, RequestService>;
 
-/// Close that was decided on but not carried out yet; it is dropped if the connection can still serve a
-/// request.
+/// A decision to close the connection that has not been carried out yet. The decision is dropped if the
+/// connection can still serve a request.
 struct PendingClose {
     reason: CloseReason,
-    /// Bytes of the client that the server library had left unread when it was stopped.
+    /// What the client had sent and the server library had not read when the server was stopped. It shows
+    /// whether a request has begun.
     unread: Unread,
 }
 
@@ -76,15 +78,16 @@
     Ended(ConnectionEnd),
     /// The deadline for the next request's head has changed.
     DeadlineChanged,
-    /// The server was polled after a close was decided on, so that the close can be carried out or dropped.
+    /// The server was polled once more after the decision to close the connection, so that the pending close
+    /// can now be carried out or dropped.
     PendingClosePolled,
     /// The shutdown phase has changed.
     ShutdownPhaseChanged,
     /// The next request's head was not received by its deadline.
     HeadTimedOut,
-    /// Another connection needs this one's permit.
+    /// Another connection needs the permit of this connection.
     EvictionNotified,
-    /// The notice period of an eviction has ended.
+    /// The notice period has ended in which a connection that is being evicted may still begin a request.
     EvictionDue,
 }
 
@@ -92,7 +95,8 @@
 struct ClientConnection {
     shared: Arc<ServedConnection>,
     pending_close: Option<PendingClose>,
-    /// When the notice period of an eviction ends; `None` if no notice is running.
+    /// When the notice period of an eviction ends, in which a request may still begin; `None` if no notice
+    /// period is running.
     eviction_deadline: Option<Instant>,
 }
 
@@ -162,8 +166,8 @@
         tokio::select! {
             biased;
             // The server is polled first, so that received data is read and pending data is written before
-            // the connection closes. The socket is not shut down here: what the peer still sends is read
-            // first.
+            // the connection closes. `poll_without_shutdown` leaves the socket open, so that what the client
+            // still sends can be read before the socket is closed.
             event = poll_fn(|cx| {
                 let polled = server.poll_without_shutdown(cx);
                 self.shared.process_server_poll(polled, head_deadline)
@@ -176,16 +180,18 @@
                 }
                 ServerEvent::DeadlineChanged => ConnectionEvent::DeadlineChanged,
             },
-            // Whether the client has disconnected is checked right after a request was read, and so before
-            // the request's task dispatches anything, because a client may disconnect right after sending, or
-            // while it waits. The caller then drops `server`, which notifies the request's task.
+            // This branch follows the server's, so that a disconnect is detected right after a request was
+            // read and before the request's task dispatches anything. A client may disconnect right after it
+            // has sent a request, or while it waits for the response. The caller then drops `server`, which
+            // notifies the request's task.
             () = poll_fn(|cx| self.poll_client_disconnected(cx)) => {
                 self.shared.count_disconnected();
                 ConnectionEvent::Ended(ConnectionEnd::Abandoned)
             }
             () = ready(()), if self.pending_close.is_some() => ConnectionEvent::PendingClosePolled,
             _ = shutdown.changed() => ConnectionEvent::ShutdownPhaseChanged,
-            // The client has sent nothing, or has not completed the head that it began.
+            // The deadline passes if the client has sent nothing, or has not completed the request head that
+            // it began.
             () = sleep_until(head_deadline.unwrap_or_else(Instant::now)), if head_deadline.is_some() => {
                 ConnectionEvent::HeadTimedOut
             }
@@ -199,9 +205,10 @@
 
     /// Returns whether a close is postponed because the client has not read the last response yet.
     ///
-    /// A close is postponed until [`IDLE_TIMEOUT`], or for an eviction [`LINGER_TIMEOUT`], has passed since
-    /// the last response. The function also sets the next check: a new head deadline, or a return to the idle
-    /// state, from which the connection can be evicted again.
+    /// After a time-out, the close is postponed until [`IDLE_TIMEOUT`] after the last response; an eviction
+    /// is postponed until [`LINGER_TIMEOUT`] after the last response. The function also determines when the
+    /// close is decided on again: after a time-out it sets a new head deadline, and after an eviction it
+    /// returns the connection to the idle state, from which the connection can be evicted again.
     fn postpones_close(&self, reason: CloseReason) -> bool {
         let postponed_until = match reason {
             CloseReason::TimedOut => self.shared.idle_deadline(IDLE_TIMEOUT),
@@ -219,8 +226,8 @@
 
     /// Carries out the pending close, and returns how the connection ended.
     ///
-    /// Returns `None` if the connection stays open, because a request has been received since the decision or
-    /// there is still time for one.
+    /// Returns `None` if the connection stays open, because a request has been received since the close was
+    /// decided on or because the client still has time to send a request.
     async fn finish_pending_close(&mut self) -> Option<ConnectionEnd> {
         let PendingClose { reason, unread } = self.pending_close.take()?;
         let shared = &self.shared;
@@ -251,9 +258,9 @@
         }
     }
 
-    /// Returns the end of a connection that has been idle for [`IDLE_TIMEOUT`].
+    /// Returns [`ConnectionEnd::Idle`] if the connection has been idle for [`IDLE_TIMEOUT`].
     ///
-    /// Otherwise it sets the deadline for the next check and returns `None`.
+    /// Otherwise sets the head deadline to the end of that time and returns `None`.
     fn end_if_idle(&self) -> Option<ConnectionEnd> {
         let idle_until = self.shared.idle_deadline(IDLE_TIMEOUT);
         if Instant::now() >= idle_until {
@@ -273,10 +280,11 @@
         builder.serve_connection(TokioIo::new(reader), RequestService(Arc::clone(&self.shared)))
     }
 
-    /// Returns `Poll::Ready` once the client has disconnected during a request.
+    /// Returns `Poll::Ready` once the client has disconnected while a completely received request is being
+    /// answered.
     ///
-    /// It is `Poll::Pending` unless a completely received request is being answered. Whether the request is
-    /// complete is checked at each poll, as the server may have read its last byte just before.
+    /// At any other time, `Poll::Pending` is returned. Each poll checks again whether the request is
+    /// complete, because the server may have read the request's last byte since the previous poll.
     fn poll_client_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         if !self.shared.is_request_complete.load(Ordering::Relaxed) {
             return Poll::Pending;
@@ -286,17 +294,18 @@
 
     /// Returns what the connection does in the current shutdown phase.
     ///
-    /// A connection used by a client closes once it is idle, so that the client's next request goes to
-    /// another scheduler. A connection on which nothing has been received stays open until the `Closing`
-    /// phase, as its first request may be in transit; so does a worker's connection, for its callbacks. A
-    /// request that is partly received is answered, and its connection closes after the response.
+    /// A connection whose last request came from a client closes once it is idle, so that the client's next
+    /// request goes to another scheduler. Two kinds of connections stay open until the `Closing` phase: those
+    /// on which nothing has been received, as the first request may be in transit, and those on which workers
+    /// send callbacks. A partly received request is answered, and its connection closes after the response.
     fn shutdown_action(&self) -> ShutdownAction {
         let closes_all = matches!(self.shared.handler.shutdown.phase(), ShutdownPhase::Closing(_));
         let is_used_by_client = self.shared.is_used_by_client.load(Ordering::Relaxed);
         if self.shared.permit.is_in_state(ConnectionState::Serving) || !(closes_all || is_used_by_client) {
             ShutdownAction::StayOpen
         } else if self.shared.stream.is_write_blocked() {
-            // If the connection closed now, a response that the client has not read yet would be lost.
+            // The connection stays open until the last response is written. A response that the client has
+            // not read yet would be lost if the connection closed now.
             ShutdownAction::FinishWriting
         } else {
             ShutdownAction::CloseIfIdle
--- a/crates/proxy/src/downstream/client_connections.rs
+++ b/crates/proxy/src/downstream/client_connections.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, within their limits, until the shutdown phase is `Closing`.
+//! Accepts client connections until the shutdown phase is `Closing`, and limits their number.
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -20,13 +20,14 @@
 
 /// Delay before the next `accept` after one that failed for lack of descriptors or memory.
 const ACCEPT_RETRY_DELAY: Micros = 20_000;
-/// Number of consecutive `accept` errors of single connections that are retried at once.
+/// Number of consecutive `accept` errors that are retried at once, where each error concerns only the
+/// connection that would have been accepted.
 ///
-/// After the next one the loop waits for [`ACCEPT_RETRY_DELAY`], so that a persistent error doesn't cause a
-/// busy loop.
+/// After one more such error, the loop waits for [`ACCEPT_RETRY_DELAY`], so that a persistent error doesn't
+/// cause a busy loop.
 const MAX_FAILED_CONNECTIONS: u32 = 8;
 
-/// Listener for client connections, with the limits and the request handler that all of them share.
+/// Listener for client connections, with the limit on their number and the request handler that they share.
 pub struct ClientListener {
     handler: Arc<RequestHandler>,
     /// Listening socket, which the task that accepts connections takes. The socket is closed when that task
@@ -39,8 +40,8 @@
     /// Creates a server that accepts client connections on `listener` and answers their requests through
     /// `router`.
     ///
-    /// The limits of the process, on descriptors and on memory in MB (10^6 bytes), bound the number of
-    /// connections.
+    /// The number of connections is limited according to the process's limits on file descriptors and on
+    /// memory, the latter in MB (10^6 bytes).
     pub fn new(
         router: Router,
         callback_path: &'static str,
--- a/crates/proxy/src/downstream/connection_close.rs
+++ b/crates/proxy/src/downstream/connection_close.rs
@@ -11,12 +11,12 @@
 use crate::clock::from_now;
 use crate::downstream::read_ahead::ReadAhead;
 
-/// Maximum time for which data is read and dropped after the last response on a connection.
+/// Maximum time for which a client's data is read and dropped after the last response on a connection.
 ///
 /// Closing a socket with unread data sends a TCP reset, which may destroy the response before the client
-/// reads it. The time also limits other waits for a client whose connection is closed.
+/// reads it. The same time limits every other wait for a client whose connection is being closed.
 pub(super) const LINGER_TIMEOUT: Micros = 2 * SECOND;
-/// Maximum number of bytes read and dropped after the last response on a connection.
+/// Maximum number of bytes from a client that are read and dropped after the last response on a connection.
 const MAX_LINGER_BYTES: u64 = 64 << 20;
 
 /// How a connection ended, which decides how it is closed.
@@ -26,7 +26,7 @@
     Responded,
     /// The connection ended while idle: no response is due.
     Idle,
-    /// The client has disconnected, or the scheduler no longer waits for the client.
+    /// The client has disconnected, or the scheduler closes the connection without waiting for the client.
     Abandoned,
 }
 
@@ -42,8 +42,8 @@
 impl CloseReason {
     /// Returns the status of the response to a partly received request.
     ///
-    /// Such a request gets a response because its client may write the last byte at any time, and must get
-    /// one from then on.
+    /// Such a request gets a response because its client may complete the request at any time, and a complete
+    /// request must be answered.
     pub(super) fn partial_request_status(self) -> StatusCode {
         match self {
             CloseReason::TimedOut => StatusCode::REQUEST_TIMEOUT,
@@ -54,8 +54,8 @@
 
 /// Closes a connection whose requests have ended.
 ///
-/// Unless the client is gone, waits until it has closed the connection too, for at most [`LINGER_TIMEOUT`] or
-/// [`MAX_LINGER_BYTES`].
+/// Unless the client is gone, the function waits up to [`LINGER_TIMEOUT`] for the client to close the
+/// connection too. After a response, the wait also ends once [`MAX_LINGER_BYTES`] have been read and dropped.
 pub(super) async fn close(stream: TcpStream, end: ConnectionEnd) {
     match end {
         ConnectionEnd::Responded => linger(stream).await,
@@ -82,7 +82,8 @@
 
 /// Closes a connection whose last response may still be in transit.
 ///
-/// What the client still sends is read and dropped, up to [`LINGER_TIMEOUT`] and [`MAX_LINGER_BYTES`].
+/// What the client still sends is read and dropped until [`LINGER_TIMEOUT`] has passed, [`MAX_LINGER_BYTES`]
+/// have been read, or the client has closed the connection.
 async fn linger(mut stream: TcpStream) {
     if stream.shutdown().await.is_ok() {
         let mut rest = stream.take(MAX_LINGER_BYTES);
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -13,22 +13,23 @@
 
 /// Maximum memory of one client connection: its buffers, its task and a small body.
 const MAX_CONNECTION_BYTES: usize = 2 * MAX_HEAD_BYTES;
-/// Minimum time that a connection has been in its current state before it is evicted.
+/// Minimum time for which a connection stays in its current state before it can be evicted.
 ///
 /// The connection is kept for this time because the client's next request may be in transit. For a connection
 /// in the middle of a request head, [`HEAD_EVICTION_GRACE`] applies instead.
 const EVICTION_GRACE: Micros = 20_000;
-/// Minimum time in the middle of a request head before a connection is evicted, because clients may write
-/// slowly.
+/// Minimum time for which a connection may be in the middle of a request head before it can be evicted.
+/// Clients may write slowly.
 const HEAD_EVICTION_GRACE: Micros = 250_000;
 /// Time for which a connection that is being evicted may still begin a request.
 pub(super) const EVICTION_NOTICE: Micros = 5_000;
 
 /// Returns the maximum number of client connections for a process.
 ///
-/// It follows from the limit on descriptors and the limit on memory, in MB (10^6 bytes). A quarter of the
-/// descriptors, and 16 more, are reserved for workers, discovery and files; half of the memory is reserved
-/// for larger bodies and everything else. At least 8 connections are allowed in any case.
+/// The number is limited by the process's file descriptors and by its memory limit, in MB (10^6 bytes). A
+/// quarter of the descriptors and 16 further descriptors are reserved for workers, discovery and files. Half
+/// of the memory is reserved for larger bodies and all other uses. At least 8 connections are allowed in any
+/// case.
 pub fn max_connections(descriptor_limit: usize, memory_limit_mb: f64) -> usize {
     let by_descriptors = (descriptor_limit - descriptor_limit / 4).saturating_sub(16);
     let by_memory = (memory_limit_mb * 1e6 / 2.0) as usize / MAX_CONNECTION_BYTES;
@@ -63,16 +64,19 @@
 }
 
 impl ConnectionEntry {
-    /// Asks the connection to close.
+    /// Asks the connection's task to close the connection. A request that begins within [`EVICTION_NOTICE`]
+    /// revokes the eviction.
     fn evict(&mut self) {
         self.state = ConnectionState::Evicting;
         self.eviction.notify_one();
     }
 
-    /// Returns the connection's eviction rank: the lowest rank is evicted first, and `None` is never evicted.
+    /// Returns the connection's rank for eviction, or `None` if the connection must not be evicted.
+    /// Connections with the lowest rank are evicted first.
     fn eviction_rank(&self) -> Option<u8> {
         match self.state {
-            // The client has sent nothing, or the connection is being closed.
+            // These connections are evicted first: their clients have sent nothing, or they are already being
+            // closed.
             ConnectionState::New | ConnectionState::Closing => Some(0),
             ConnectionState::Idle => Some(1),
             ConnectionState::Receiving => Some(2),
@@ -112,9 +116,9 @@
 
     /// Waits for a permit.
     ///
-    /// When few permits are left, connections that serve no request are evicted, in the order of
-    /// [`Inner::evict_one`]. Clients that open hundreds of connections and send nothing then compete with
-    /// each other and don't delay other clients.
+    /// When few permits are left, connections that serve no request are evicted in the order of
+    /// [`Inner::evict_one`]. Clients that open hundreds of connections and send nothing therefore only take
+    /// permits from each other and don't delay other clients.
     pub(super) async fn acquire(self: &Arc<Self>) -> ConnectionPermit {
         loop {
             if let Some(permit) = self.try_acquire() {
@@ -124,12 +128,12 @@
         }
     }
 
-    /// Evicts the connection that has been idle for longest, after `accept` ran out of descriptors or memory
-    /// although permits are left.
+    /// Evicts the connection that has been idle for longest. Called when `accept` has run out of descriptors
+    /// or memory although permits are left.
     ///
-    /// The process may have fewer descriptors than its configuration says, or may need more than usual for
-    /// workers. Connections in use stay open, as the shortage may pass. Nothing is evicted while an earlier
-    /// eviction is in progress.
+    /// This happens if the process has fewer descriptors than its configuration says, or if its connections
+    /// to workers need more descriptors or memory than usual. Connections in use stay open, as the shortage
+    /// may pass. No connection is evicted while another is being evicted.
     pub(super) fn evict_on_exhaustion(&self) {
         let inner = &mut *self.lock();
         if inner.connections.values().any(|entry| entry.state == ConnectionState::Evicting) {
@@ -162,11 +166,11 @@
 }
 
 impl Inner {
-    /// Evicts connections until an eighth of the permits is free, besides the permit of the connection being
-    /// accepted.
+    /// Evicts connections until an eighth of the permits is free, not counting the permit for the connection
+    /// that is being accepted.
     ///
-    /// Permits of connections that are being evicted count as free. Fewer become free if no more connections
-    /// can be evicted.
+    /// The permit of a connection that is being evicted counts as free. Less than an eighth becomes free if
+    /// no further connection can be evicted.
     fn evict_surplus(&mut self, max_connections: usize) {
         let is_evicting = |entry: &&ConnectionEntry| entry.state == ConnectionState::Evicting;
         let evicting = self.connections.values().filter(is_evicting).count();
@@ -179,11 +183,12 @@
         }
     }
 
-    /// Evicts one connection and returns whether there was one to evict.
+    /// Evicts one connection, and returns whether a connection was evicted.
     ///
-    /// New and closing connections come first, then idle ones, then those in the middle of a head. Only the
-    /// first group that is not empty is considered: of its connections that are past their grace time, the
-    /// one that has been in its state for longest is evicted.
+    /// New and closing connections are evicted first, then idle connections, then connections in the middle
+    /// of a request head. Only the first of these three groups that is not empty is considered. Of its
+    /// connections whose grace time has passed ([`EVICTION_GRACE`] or [`HEAD_EVICTION_GRACE`]), the
+    /// connection that has been in its state for longest is evicted.
     fn evict_one(&mut self) -> bool {
         let Some(rank) = self.connections.values().filter_map(ConnectionEntry::eviction_rank).min() else {
             return false;
@@ -203,7 +208,7 @@
 pub(super) struct ConnectionPermit {
     limits: Arc<ConnectionLimits>,
     id: u64,
-    /// Notified when the connection should close.
+    /// Notified when the scheduler wants the connection to close.
     pub(super) eviction: Arc<Notify>,
 }
 
