--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -29,7 +29,8 @@
 
 pub mod request_head;
 
-/// Route for workers' callbacks on the client listener, the only address that workers can call.
+/// Route for workers' callbacks. Callbacks arrive at the listener for clients, because workers can call no
+/// other address of the scheduler.
 #[derive(Clone)]
 pub struct CallbackRoute {
     /// Path to which callbacks are sent with `POST`.
@@ -52,8 +53,8 @@
 
 /// Creates a server that accepts client connections on a listener and answers their requests.
 ///
-/// The limits of the process, on descriptors and on memory in MB (10^6 bytes), bound the number of
-/// connections.
+/// The number of connections is limited according to the process's limits on file descriptors and on memory,
+/// the latter in MB (10^6 bytes).
 pub fn listen(
     context: Arc<ProxyContext>,
     callbacks: CallbackRoute,
@@ -92,12 +93,13 @@
     permit: BodyPermit,
 }
 
-/// Reads a body within the limits on its length, its time and the memory for bodies.
+/// Reads a body within the limits on its length, the time until it is received, and the memory for all
+/// bodies.
 ///
 /// # Errors
 ///
 /// Returns the status of the response: 413 for a body that is too long, 400 for one that cannot be read, and
-/// 408 at the body's deadline.
+/// 408 for one that is not received by its deadline.
 async fn read_body(body: Body, limits: &RequestLimits) -> Result<ReceivedBody, StatusCode> {
     let size = hyper::body::Body::size_hint(&body);
     // A body whose announced length is too large is refused without reading it.
@@ -117,7 +119,8 @@
     }
 }
 
-/// Handles a callback. A callback for a completed request gets the same response as any other.
+/// Handles a worker's callback. A callback gets the same response whether or not its request has already
+/// completed.
 async fn handle_callback(
     State(callbacks): State<CallbackRoute>,
     Extension(limits): Extension<RequestLimits>,
@@ -151,9 +154,9 @@
     }
 }
 
-/// Why a client's request was refused before admission.
+/// Why a client's request was refused before it was passed to the policy.
 ///
-/// This is not a rejection: only the policy rejects requests.
+/// A refused request is not counted as rejected: only the policy rejects requests.
 enum RefusedRequest {
     UnknownClass,
     MethodNotAllowed,
@@ -174,7 +177,7 @@
     }
 }
 
-/// Reads a client's request with its body, and sets its deadline.
+/// Reads a client's request with its body, and sets the request's deadline.
 async fn receive(
     context: &ProxyContext,
     mut limits: RequestLimits,
@@ -188,8 +191,9 @@
     limits.body_deadline = limits.body_deadline.min(effective_deadline(client_deadline, &shutdown));
     let body = read_body(body, &limits).await.map_err(RefusedRequest::Body)?;
     limits.mark_request_complete();
-    // A request that cannot be answered before this scheduler stops would fail then. So the policy gets the
-    // time that is left once the body has been received, and can reject the request, so that the client tries
+    // A request that cannot be answered before this scheduler stops would fail at that time. The time that
+    // the policy gets is therefore computed anew after the body has been received, and ends no later than the
+    // shutdown's drain deadline. The policy can then reject the request, so that the client retries
     // elsewhere.
     let deadline = effective_deadline(client_deadline, &shutdown);
     request.time_left = deadline.saturating_duration_since(Instant::now()).as_micros() as Micros;
@@ -227,7 +231,8 @@
     match response {
         FinalResponse::Served(result) => result.into_response(),
         FinalResponse::Rejected { retry_after } => {
-            // During a shutdown, clients should retry at once, since another scheduler may have capacity now.
+            // During a shutdown, `Retry-After` is 0, so that clients retry at once: another scheduler may
+            // have capacity now.
             let retry_after = if context.shutdown.is_started() { 0 } else { retry_after };
             let seconds = retry_after.min(context.settings.max_retry_after) as f64 / SECOND as f64;
             (StatusCode::SERVICE_UNAVAILABLE, [(header::RETRY_AFTER, seconds.to_string())]).into_response()
--- a/crates/proxy/src/downstream/http/request_head.rs
+++ b/crates/proxy/src/downstream/http/request_head.rs
@@ -5,10 +5,10 @@
 
 use crate::messages::parse_request_id;
 
-/// Margin by which a response is due before the client's time-out.
+/// How much earlier than the client's time-out a response is due.
 ///
-/// It covers the transit of the request and the response, and the time that this process waits for CPU. At
-/// most a quarter of the time-out is taken as margin.
+/// The margin covers the transit of the request and the response, and delays of this process while it waits
+/// for a CPU. For a short time-out, the margin is limited to a quarter of the time-out.
 const RESPONSE_MARGIN: Micros = 50_000;
 /// Maximum client time-out; longer ones are reduced to it.
 const MAX_CLIENT_TIMEOUT: Micros = 86_400 * SECOND;
@@ -30,7 +30,7 @@
     pub(super) request: IncomingRequest,
     /// Request id as the client wrote it.
     pub(super) id: String,
-    /// Idempotency of the request's class, which says whether it may run more than once.
+    /// Idempotency of the request's class, which determines whether the request may run more than once.
     pub(super) idempotency: Idempotency,
 }
 
@@ -38,13 +38,14 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(super) enum RequestHeadError {
-    /// A header that must be unique is repeated; another server might use the other value.
+    /// A header that must be unique is repeated. Such a request is refused because another server might use a
+    /// different one of the values.
     #[error("header {name} is repeated")]
     RepeatedHeader {
         /// Name of the repeated header.
         name: &'static str,
     },
-    /// The request id is missing.
+    /// The request has no request id.
     #[error("missing X-Request-ID header")]
     MissingRequestId,
     /// The request id is malformed.
@@ -53,7 +54,7 @@
         /// The malformed request id that was received.
         value: String,
     },
-    /// The time-out is missing.
+    /// The request has no time-out.
     #[error("missing X-Timeout header")]
     MissingTimeout,
     /// The time-out is malformed.
@@ -62,7 +63,8 @@
         /// The malformed time-out that was received.
         value: String,
     },
-    /// The idempotency key is missing, which the class requires so that workers can recognize a retry.
+    /// The request has no idempotency key, although its class requires a key so that workers can recognize a
+    /// retry.
     #[error("missing Idempotency-Key header")]
     MissingIdempotencyKey,
 }
@@ -132,9 +134,9 @@
     Some(((timeout * micros_per_unit) as Micros).min(MAX_CLIENT_TIMEOUT))
 }
 
-/// Returns the numeric value of the first attribute whose name is in `names`.
+/// Returns the numeric value of the first attribute in a list whose name is one of `names`.
 ///
-/// `attributes` is a list `name=value,name=value`. A malformed value counts as absent.
+/// `attributes` is a list of the form `name=value,name=value`. A malformed value counts as absent.
 pub fn parse_attribute(attributes: &str, names: &[&str]) -> Option<f64> {
     let pairs = attributes.split(',').filter_map(|pair| pair.split_once('='));
     let mut named = pairs.filter(|(name, _)| names.contains(&name.trim()));
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -7,8 +7,8 @@
 use axum::http::HeaderMap;
 use axum::http::header;
 
-/// Number of bytes of a head after which the bytes of further reads are not kept; equal to the buffer size of
-/// the server library (hyper).
+/// Once more bytes of a head than this have been kept, the bytes of further reads are dropped. The value
+/// equals the buffer size of the server library (hyper).
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 #[derive(Default)]
@@ -36,14 +36,15 @@
         !inner.is_complete
     }
 
-    /// Takes the bytes received since the last response; further bytes count as a body.
+    /// Takes the bytes received since the last response. Bytes received from now on count as part of a body,
+    /// until [`RawHead::start`] is called.
     pub(super) fn take(&self) -> Vec<u8> {
         let mut inner = self.lock();
         inner.is_complete = true;
         std::mem::take(&mut inner.bytes)
     }
 
-    /// Starts the next head: further bytes count as part of it.
+    /// Starts the next head: bytes received from now on count as part of a request's head.
     pub(super) fn start(&self) {
         self.lock().is_complete = false;
     }
@@ -52,8 +53,8 @@
 /// Returns whether a request's body may be framed by both `Content-Length` and `Transfer-Encoding`.
 ///
 /// With two framings, the body may hide another request (request smuggling). `head` is the raw head and
-/// `headers` the parsed one. A raw head lacks lines if part of it was received before the last response; it
-/// then counts as conflicting, since a missing line may be the `Content-Length`.
+/// `headers` is the parsed head. If part of a request was received before the previous response, the raw head
+/// lacks lines. Such a request counts as conflicting, since a missing line may be the `Content-Length`.
 pub(super) fn has_conflicting_framing(head: &[u8], headers: &HeaderMap) -> bool {
     if !headers.contains_key(header::TRANSFER_ENCODING) {
         return false;
--- a/crates/proxy/src/downstream/read_ahead.rs
+++ b/crates/proxy/src/downstream/read_ahead.rs
@@ -13,15 +13,16 @@
 
 /// Maximum number of bytes buffered ahead of the library.
 const MAX_BUFFERED_BYTES: usize = 8 * 1024;
-/// Maximum number of bytes that one check for the stream's end reads, as many as a socket's receive buffer
-/// holds.
+/// Maximum number of bytes that one check for the stream's end reads. A socket's receive buffer holds no more
+/// bytes.
 const MAX_CHECKED_BYTES: usize = 8 << 20;
 
 struct Inner {
     stream: TcpStream,
     /// Received bytes that the library has not read.
     buffered: Vec<u8>,
-    /// Whether bytes beyond the buffer's limit were dropped, so that no request can be read after `buffered`.
+    /// Whether bytes beyond the buffer's limit were dropped. No further request can then be read from the
+    /// connection.
     is_overrun: bool,
     /// Whether the library's last write is blocked because the client does not read.
     is_write_blocked: bool,
@@ -32,9 +33,10 @@
 pub enum Unread {
     /// No unread byte has been received so far.
     Nothing,
-    /// Bytes that were already read from the socket, which the library reads next.
+    /// Bytes that had been read from the socket before the library stopped. The next reader gets them first.
     Bytes,
-    /// Bytes that were read from the socket just now, which the library reads next.
+    /// Bytes that were read from the socket only after the library had stopped. The next reader gets them
+    /// first.
     NewBytes,
     /// The stream has ended or was reset.
     End,
@@ -57,11 +59,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns `Poll::Ready` once the peer has closed or reset the connection, however much it sent before.
+    /// Returns `Poll::Ready` once the peer has closed or reset the connection, even if the peer sent much
+    /// data before.
     ///
-    /// Call it only while a completely received request is being answered, as bytes beyond the buffer's limit
-    /// are dropped. The library alone doesn't detect the disconnect of a client that has sent more than the
-    /// library buffers.
+    /// Call this method only while a completely received request is being answered, because it drops bytes
+    /// beyond the buffer's limit. The library alone would not detect the disconnect of a client that has sent
+    /// more data than the library buffers.
     pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let inner = &mut *self.lock();
         loop {
@@ -85,9 +88,10 @@
         self.lock().is_write_blocked
     }
 
-    /// Puts back the bytes that the library had read but not used, and returns what is unread.
+    /// Puts back the bytes that the library had read but not used, and returns which content of the stream is
+    /// unread.
     ///
-    /// If nothing is buffered, it also reads what the socket has received.
+    /// If no byte is buffered, the method also reads what the socket has received.
     pub fn put_back(&self, unused: &[u8]) -> Unread {
         let inner = &mut *self.lock();
         inner.buffered.splice(0..0, unused.iter().copied());
@@ -113,7 +117,8 @@
         PeerPresence(Arc::downgrade(&self.0))
     }
 
-    /// Returns the stream, or `None` if another clone exists.
+    /// Returns the stream, or `None` if another clone of this handle exists. In both cases this handle is
+    /// consumed.
     pub fn into_stream(self) -> Option<TcpStream> {
         let inner = Arc::into_inner(self.0)?;
         Some(inner.into_inner().unwrap_or_else(PoisonError::into_inner).stream)
@@ -127,9 +132,9 @@
 impl PeerPresence {
     /// Returns whether the peer has closed or reset the connection, or the stream is no longer served.
     ///
-    /// Call it only while a completely received request is being answered, like
-    /// [`ReadAhead::poll_disconnected`]. Unlike that method, it doesn't depend on the runtime having polled
-    /// for I/O events, which a delayed process may do only after other work.
+    /// Like [`ReadAhead::poll_disconnected`], call this method only while a completely received request is
+    /// being answered. Unlike that method, it asks the operating system directly and does not wait until the
+    /// runtime has polled for I/O events, which a delayed process may do late.
     pub fn has_disconnected(&self) -> bool {
         let Some(inner) = self.0.upgrade() else { return true };
         let mut inner = inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -138,14 +143,16 @@
 }
 
 impl Inner {
-    /// Reads from the socket directly, without regard to the readiness that the runtime has recorded.
+    /// Reads from the socket directly, whether or not the runtime has recorded the socket as readable. The
+    /// runtime's record may be out of date.
     fn read_nonblocking(&self, bytes: &mut [u8]) -> io::Result<usize> {
         (&*SockRef::from(&self.stream)).read(bytes)
     }
 
-    /// Buffers the received bytes and returns whether the stream has ended after them.
+    /// Reads what the socket has received, buffers these bytes and returns whether the stream has ended.
     ///
-    /// It reads about [`MAX_CHECKED_BYTES`] at most, and drops what exceeds the buffer's limit.
+    /// The method reads little more than [`MAX_CHECKED_BYTES`] at most, and drops bytes beyond the buffer's
+    /// limit.
     fn has_ended(&mut self) -> bool {
         let mut bytes = [0; 16 * 1024];
         let mut total = 0;
@@ -170,7 +177,7 @@
         }
     }
 
-    /// Records whether a write is blocked.
+    /// Records whether the write with this result is blocked, and returns the result unchanged.
     fn record_write(&mut self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         self.is_write_blocked = written.is_pending();
         written
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -22,7 +22,8 @@
     /// Path of workers' callbacks, which don't count as client requests.
     callback_path: &'static str,
     pub(super) shutdown: Shutdown,
-    /// Limit on concurrent client requests; the remaining connections are reserved for callbacks.
+    /// Limit on concurrent client requests. It is an eighth lower than the limit on client connections, so
+    /// that workers can connect to send callbacks.
     max_client_requests: usize,
     pub(super) body_memory: Arc<Semaphore>,
     /// Totals of the client requests of all connections.
@@ -76,15 +77,17 @@
             count_event("bad request", "a body framed in two ways");
             StatusCode::BAD_REQUEST.into_response()
         } else if is_client_request && self.exceeds_client_request_limit() {
-            // If clients used all connections, the callbacks that their responses depend on could not
-            // connect. This is an error and not a rejection: only the policy rejects requests.
+            // If clients used all connections, workers could not connect to send the callbacks that the
+            // responses depend on. The request gets an error and not a rejection: only the policy rejects
+            // requests.
             is_refused_unread = true;
             StatusCode::INTERNAL_SERVER_ERROR.into_response()
         } else {
             self.route(request, limits).await
         };
-        // A client whose request cannot be served must not keep its connection open. After an unread body,
-        // the connection cannot carry a further request.
+        // The connection is closed after a request that was refused because of the limit, during a shutdown,
+        // and after a client error. A client whose request cannot be served must not keep a connection open,
+        // and after an unread body the connection cannot carry a further request.
         if is_refused_unread || self.shutdown.is_started() || response.status().is_client_error() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
--- a/crates/proxy/src/downstream/request_totals.rs
+++ b/crates/proxy/src/downstream/request_totals.rs
@@ -15,7 +15,7 @@
 }
 
 impl RequestTotals {
-    /// Returns the number of requests without a response whose client is still connected.
+    /// Returns the number of requests that have no written response and whose client is still connected.
     pub fn unanswered(&self) -> u64 {
         self.received.saturating_sub(self.answered + self.disconnected)
     }
--- a/crates/proxy/src/downstream/served_connection.rs
+++ b/crates/proxy/src/downstream/served_connection.rs
@@ -27,9 +27,11 @@
 /// A connection that exceeds this time is closed. The time can be much shorter than the idle time-out between
 /// requests without affecting ordinary clients, which send as soon as they connect.
 const FIRST_REQUEST_TIMEOUT: Micros = 2 * SECOND;
-/// Time from the first byte of a later request until its head must be received completely.
+/// Time from the first byte of a request's head until the head must be received completely. Applies to every
+/// request of a connection except the first.
 const HEAD_TIMEOUT: Micros = 2 * SECOND;
-/// Time from the head of a later request until its body must be received completely.
+/// Time from the receipt of a request's head until its body must be received completely. Applies to every
+/// request of a connection except the first.
 const BODY_TIMEOUT: Micros = 2 * SECOND;
 
 /// State that a connection's event loop and its requests share. It is used from one task only.
@@ -39,18 +41,20 @@
     pub(super) stream: ReadAhead,
     pub(super) raw_head: RawHead,
     pub(super) first_request_deadline: Instant,
-    /// Deadline of the next request's head, or time of the next check whether one has begun; `None` while a
-    /// request is served.
+    /// The deadline for the next request's head, or the time at which the event loop next checks whether that
+    /// head has begun. `None` while a request is served.
     pub(super) head_deadline: Mutex<Option<Instant>>,
     /// Whether the first request's head has been received.
     pub(super) has_received_request: AtomicBool,
-    /// When the last response was returned, or the connection was accepted.
+    /// When the last response was returned to the server library. Before the first response, the time at
+    /// which the connection was accepted.
     pub(super) idle_since: Mutex<Instant>,
-    /// Client requests whose response has not been written.
+    /// Number of client requests whose response has not been written yet.
     pub(super) unanswered_requests: AtomicUsize,
-    /// Unanswered client requests whose response was returned to the server library but is not written yet.
+    /// Number of client requests whose response was returned to the server library and is not written yet.
+    /// They also count as unanswered.
     pub(super) unwritten_responses: AtomicUsize,
-    /// Whether the last request came from a client, and not from a worker as a callback.
+    /// Whether the last request came from a client. Otherwise it was a worker's callback.
     pub(super) is_used_by_client: AtomicBool,
     /// Whether a completely received request is being answered.
     pub(super) is_request_complete: Arc<AtomicBool>,
@@ -109,14 +113,16 @@
         let raw_head = self.raw_head.take();
         let mut response = self.handler.respond(request.map(Body::new), &raw_head, limits).await;
         self.is_request_complete.store(false, Ordering::Relaxed);
-        // Some of the received bytes were dropped, so that what follows cannot be parsed as a request.
+        // Some of the received bytes were dropped. The connection is closed after this response, since what
+        // follows cannot be parsed as a request.
         if self.stream.is_overrun() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         self.raw_head.start();
         self.permit.set_state(ConnectionState::Idle);
-        // The library may already have buffered the start of the next head, which is not visible here. This
-        // deadline makes the event loop check whether the next head has begun.
+        // The library may already have buffered the start of the next head, which the scheduler cannot detect
+        // at this point. The deadline that is set here makes the event loop check after [`HEAD_TIMEOUT`]
+        // whether that head has begun.
         self.set_head_deadline(Some(from_now(HEAD_TIMEOUT)));
         *self.idle_since.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
         if self.is_used_by_client.load(Ordering::Relaxed) {
@@ -125,7 +131,8 @@
         response
     }
 
-    /// Updates the state when a request's head has been received.
+    /// Records that a request's head has been received: the connection now serves a request, and the deadline
+    /// for the head no longer applies.
     fn begin_request(&self, request: &hyper::Request<Incoming>) {
         let is_client_request = self.handler.is_client_request(request);
         self.permit.set_state(ConnectionState::Serving);
@@ -137,7 +144,8 @@
         }
     }
 
-    /// Updates the state when the library has read `bytes` from the stream.
+    /// Records that the library has read `bytes` from the stream. If they begin the head of a request other
+    /// than the connection's first, the deadline for this head is set.
     pub(super) fn observe_read(&self, bytes: &[u8]) {
         if !self.raw_head.add(bytes) || bytes.is_empty() {
             return;
@@ -149,7 +157,8 @@
         self.permit.set_receiving();
     }
 
-    /// Counts the responses written during a poll of the server, and returns the event that resulted.
+    /// Handles the result of one poll of the server: counts the responses that the poll has written, and
+    /// returns the event for the event loop, if any.
     pub(super) fn process_server_poll(
         &self,
         polled: Poll<hyper::Result<()>>,
@@ -169,12 +178,13 @@
         }
     }
 
-    /// Counts all unanswered requests as disconnected, once the client has disconnected.
+    /// Counts all unanswered requests as disconnected. Called once the client has disconnected.
     pub(super) fn count_disconnected(&self) {
         self.handler.totals.add_disconnected(self.unanswered_requests.swap(0, Ordering::Relaxed));
     }
 
-    /// Returns the instant that is `timeout` after the last response, or after the connection was accepted.
+    /// Returns the instant that is `timeout` after the last response, or after the connection was accepted if
+    /// there was no response yet.
     pub(super) fn idle_deadline(&self, timeout: Micros) -> Instant {
         let idle_since = *self.idle_since.lock().unwrap_or_else(PoisonError::into_inner);
         idle_since + Duration::from_micros(timeout)
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoint table, which assigns each worker the dense id that the dispatch policy uses. It is
-//! independent of the formats of endpoint sources.
+//! The endpoint table, which assigns each worker the id that the dispatch policy uses. The ids are counted
+//! from 0 without gaps. The table does not depend on the formats in which endpoint sources deliver lists.
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -19,7 +19,7 @@
     Discovery,
 }
 
-/// Assigns dense numbers to names. A number is never reused for another name.
+/// Assigns numbers to names, counted from 0 without gaps. A number is never reused for another name.
 #[derive(Debug, Default)]
 struct NameIndex {
     numbers: HashMap<String, u32>,
@@ -65,7 +65,8 @@
     start: Option<WorkerStart>,
 }
 
-/// The time of a worker's last start, as listed and as estimated.
+/// The time of a worker's last start: as given in the endpoint list in Unix time, and as estimated on the
+/// scheduler's clock.
 #[derive(Clone, Copy, Debug)]
 struct WorkerStart {
     /// The worker's start time as given in the endpoint list, in microseconds since the Unix epoch.
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Estimates when a worker started. If the listed start time has not changed, its previous estimate is
-    /// kept.
+    /// Returns a worker's start time. If the listed start time has not changed, the previous estimate is
+    /// kept; otherwise the start is estimated anew.
     fn worker_start(
         &self,
         former: Option<WorkerStart>,
@@ -147,8 +148,8 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Resets the revision and forgets when discovery last answered, since the next list comes from another
-    /// discovery service, whose revisions are unrelated.
+    /// Resets the revision and the time of discovery's last answer. Called when the next list comes from
+    /// another discovery service, whose revisions are unrelated to those of the previous service.
     pub fn reset_revision(&self) {
         let mut table = self.lock();
         table.revision = 0;
--- a/crates/proxy/src/event_recorder.rs
+++ b/crates/proxy/src/event_recorder.rs
@@ -1,8 +1,8 @@
 //! Writes the scheduler's events to the event log, with the names of workers and request classes instead of
 //! their numbers. Events are not built if the event log is disabled.
 //!
-//! The names of reasons, states and outcomes are part of the event log's format, and stay when the types are
-//! renamed.
+//! The names of reasons, states and outcomes in this module are part of the event log's format. They must not
+//! change when the corresponding Rust types are renamed.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
@@ -63,7 +63,8 @@
         self.classes.get(class as usize).cloned().unwrap_or_default()
     }
 
-    /// Records that the dispatch policy is notified of an endpoint update.
+    /// Records an endpoint update, with its kind and its endpoints, when the dispatch policy is notified of
+    /// the update.
     pub fn endpoints_changed(&self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
         let form = match kind {
             EndpointUpdateKind::Changes => "changes",
@@ -71,7 +72,8 @@
             EndpointUpdateKind::Cached => "remembered",
             EndpointUpdateKind::Failed => "failed",
         };
-        // A watch that ends without changes is not recorded.
+        // An update of the kind `Changes` without endpoints is not recorded, because it reports that the list
+        // has not changed.
         if kind == EndpointUpdateKind::Changes && endpoints.is_empty() {
             return;
         }
@@ -94,7 +96,7 @@
         });
     }
 
-    /// Records that a request is passed to the dispatch policy, which may still reject it.
+    /// Records that a request is passed to the dispatch policy, which may still reject the request.
     pub fn request_accepted(&self, request: &IncomingRequest) {
         self.record(|| EventKind::RequestAccepted {
             request_id: request_id(request.request),
@@ -129,7 +131,7 @@
         self.recorder.record(EventKind::Decided { request_id: request_id(*request), decision });
     }
 
-    /// Records that an attempt is dispatched.
+    /// Records that an attempt is dispatched, with its number and its worker.
     pub fn attempt_sent(&self, request: RequestId, attempt: u32, worker: WorkerId) {
         self.record(|| EventKind::AttemptSent {
             request_id: request_id(request),
@@ -138,7 +140,7 @@
         });
     }
 
-    /// Records that an attempt ended.
+    /// Records that an attempt ended, with its outcome, its duration and the worker's load report.
     pub fn attempt_ended(&self, attempt: &AttemptOutcome, worker: WorkerId) {
         let outcome = match attempt.outcome {
             Outcome::Served => "served",
@@ -171,7 +173,8 @@
         });
     }
 
-    /// Records that a counter reached a power of two.
+    /// Records that the count of a counter of the module `invariant` reached a power of two. Only these
+    /// counts are reported, so that a frequent event does not flood the event log.
     pub fn counter_reached(&self, counter: &'static str, count: u64) {
         self.record(|| EventKind::CounterReached { counter: counter.into(), count });
     }
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -1,15 +1,17 @@
-//! Counters of violated invariants and of errors of clients, workers and discovery. A violated invariant also
-//! fails an assertion in debug builds.
+//! Counts violated invariants, and errors that clients, workers and discovery cause. A violated invariant
+//! also fails an assertion in debug builds.
 //!
-//! A counter's name is also its log message and its key in the event log, so avoid changing it. If a
-//! counter is renamed, add its old name to the module `counter_names` of the event log's crate.
+//! The name of a counter is also its log message and its key in the event log, and should therefore not
+//! change. If a counter is renamed nevertheless, add its old name to the module `counter_names` of the event
+//! log's crate.
 use std::collections::BTreeMap;
 use std::sync::{Mutex, OnceLock, PoisonError};
 
 /// The number of events counted so far by each counter. Only [`count_event_for`] writes to this map.
 static COUNTS: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
 
-/// Called with a counter's name and its count whenever the count reaches a power of two.
+/// The type of an observer function, which gets a counter's name and count whenever the count reaches a power
+/// of two.
 pub type CounterObserver = Box<dyn Fn(&'static str, u64) + Send + Sync>;
 
 static OBSERVER: OnceLock<CounterObserver> = OnceLock::new();
@@ -19,7 +21,7 @@
     let _ = OBSERVER.set(observer);
 }
 
-/// Counts a violation of an invariant.
+/// Counts a violation that the macro `invariant!` has detected, under the name of the violated invariant.
 pub fn count_violation(invariant: &'static str) {
     count_event(invariant, "it does not hold");
 }
@@ -35,7 +37,7 @@
     pub peer: Option<&'a str>,
 }
 
-/// Counts an event whose worker, request class and peer are not given; see [`count_event_for`].
+/// Counts an event that concerns no particular worker, request class or peer; see [`count_event_for`].
 pub fn count_event(counter: &'static str, reason: &str) {
     count_event_for(counter, reason, EventSubject::default());
 }
--- a/crates/proxy/src/load_queries.rs
+++ b/crates/proxy/src/load_queries.rs
@@ -8,17 +8,19 @@
 use crate::context::ProxyContext;
 
 /// How long to wait for the answer to a load query. A worker may queue a load query like a request, so a
-/// timeout indicates that the worker has a queue. A later answer would be stale and is discarded.
+/// timeout indicates that the worker has a queue. An answer after the timeout would be out of date and is
+/// discarded.
 const LOAD_QUERY_TIMEOUT: Micros = SECOND;
 
 /// Sends load queries until the runtime shuts down. The dispatch policy is notified exactly once of the
-/// result of each load query; one that was not sent is reported as superseded.
+/// result of each load query. A load query that was not sent, for example during a shutdown, is reported as
+/// [`Outcome::Superseded`].
 pub async fn run(context: Arc<ProxyContext>) {
     let mut in_flight = FuturesUnordered::new();
     loop {
         tokio::select! {
             worker = context.policy.next_load_query() => {
-                // During a shutdown the answer would not be used.
+                // During a shutdown no load query is sent, because its answer would not be used.
                 if context.shutdown.is_started() {
                     context.policy.load_query_ended(worker, Outcome::Superseded.into());
                     continue;
