--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -17,7 +17,7 @@
     pub policy: Arc<PolicyHandle>,
     /// The implementation of the protocol by which attempts are sent to workers.
     pub upstream: Arc<dyn Upstream>,
-    /// The proxy's settings.
+    /// The settings of the proxy, such as the request classes and the connect timeout.
     pub settings: ProxySettings,
     /// Writes the scheduler's events to the event log.
     pub recorder: Arc<EventRecorder>,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,14 +1,20 @@
 //! The proxy between clients and workers: it accepts clients' requests, forwards them to workers and runs the
-//! dispatch policy's timers. The dispatch policy decides which worker gets a request and what is retried or
-//! rejected, whatever the protocol; the proxy only carries out these decisions.
+//! dispatch policy's timers. The dispatch policy decides which worker gets a request and which requests are
+//! retried or rejected. These decisions do not depend on the protocols of clients and workers; the proxy only
+//! carries them out.
 //!
 //! ```text
-//!   downstream::http ─┐                                               ┌─ upstream::http
-//!   (a Downstream)    ├─► request_task ─► policy ─► request_task ─► Upstream
-//!   other protocols ──┘   admission        ▲  decision                └─ other protocols
-//!                         FinalResponse    │
-//!                                          │ EndpointPublisher
-//!                      discovery::platform, discovery::static_list (each an EndpointSource)
+//!   client protocols                                                 worker protocols
+//!                     AdmissionRequest                   attempts
+//!   downstream::http ──────────────────►              ────────────► upstream::http
+//!                    ◄──────────────────  request_task ◄────────────
+//!                       FinalResponse      │      ▲      results
+//!                                   events │      │ decisions
+//!                                          ▼      │
+//!                                        dispatch policy
+//!                                               ▲
+//!                                               │ endpoint updates (EndpointPublisher)
+//!                            discovery::platform, discovery::static_list
 //! ```
 //!
 //! * A [`downstream::Downstream`] implements a client protocol: it parses a request into a
@@ -18,7 +24,7 @@
 //! * A [`discovery::EndpointSource`] converts endpoint lists from the format of its source into updates
 //!   of the endpoint table, through [`discovery::EndpointPublisher`].
 //!
-//! The modules have no circular dependencies; `tests/module_dependencies.rs` checks this.
+//! The modules have no circular dependencies, which the test `module_dependencies` checks.
 pub mod assembly;
 pub mod clock;
 pub mod context;
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,6 +1,8 @@
 //! The messages that client connections, request tasks and upstreams exchange: the client's request, workers'
-//! reports on its attempts, and the final response. Path and headers are those of HTTP, because the
-//! platform requires that they are forwarded to workers unchanged; a protocol without them leaves them empty.
+//! reports on its attempts, and the final response.
+//!
+//! A request's path and headers have the form of HTTP, because the platform requires that they are forwarded
+//! to workers unchanged. A client protocol that has no path or no headers leaves the field empty.
 use std::fmt;
 use std::sync::Arc;
 
@@ -14,16 +16,19 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// The cancellation tokens that end the dispatch of an attempt early. An upstream checks `is_cancelled`,
-/// which does not block, in the same step in which it writes the attempt. Otherwise an attempt whose
-/// connection is established late could start after the client has disconnected or has received its response.
+/// The cancellation tokens that end the dispatch of an attempt early.
+///
+/// An upstream checks `is_cancelled` of both tokens, which does not block, immediately before it writes the
+/// attempt. If it waited for anything between the check and the write, such as a new connection, the attempt
+/// could start after the client has disconnected or has received its response.
 #[derive(Clone, Debug, Default)]
 pub struct DispatchControl {
-    /// When this token is cancelled, an attempt that has not been written is withheld; one that has been
-    /// written continues. All attempts of a request share this token.
+    /// When this token is cancelled, attempts of the request that have not been written yet are never
+    /// written; attempts that have been written continue. All attempts of a request share this token.
     pub withhold: CancellationToken,
-    /// When this token is cancelled, the attempt is aborted: it is withheld if it has not been written, and
-    /// its connection is closed if the worker has not accepted the attempt. The dispatch ends after that.
+    /// When this token is cancelled, the dispatch of the attempt ends. An attempt that has not been written
+    /// yet is never written. The connection of a written attempt is closed unless the worker has accepted the
+    /// attempt.
     pub abort: CancellationToken,
 }
 
@@ -53,12 +58,12 @@
     Unconfirmed,
 }
 
-/// A body's share of the memory reserved for request bodies, which is released when the last clone is
-/// dropped. A small body has no permit.
+/// The permit for the memory that a request's body occupies, out of the memory reserved for request bodies.
+/// The memory is released when the last clone is dropped. A small body has no permit (`None`).
 pub type BodyPermit = Option<Arc<OwnedSemaphorePermit>>;
 
 /// A check whether a request's client is still connected, according to the operating system at the time of
-/// the call. The default is a client that never disconnects.
+/// the check. The default check reports the client as connected.
 #[derive(Clone, Default)]
 pub struct ClientPresence(Option<Arc<dyn Fn() -> bool + Send + Sync>>);
 
@@ -68,9 +73,10 @@
         ClientPresence(Some(Arc::new(has_disconnected)))
     }
 
-    /// Whether the client has disconnected. This method does not block. An upstream calls this method in the
-    /// same step in which the upstream writes an attempt, after [`DispatchControl::permits_write`], and only
-    /// if `permits_write` returned true.
+    /// Whether the client has disconnected. This method does not block.
+    ///
+    /// An upstream calls this method immediately before it writes an attempt, and only if
+    /// [`DispatchControl::permits_write`] has returned true.
     pub fn has_disconnected(&self) -> bool {
         self.0.as_ref().is_some_and(|has_disconnected| has_disconnected())
     }
@@ -91,7 +97,8 @@
     pub path: PathAndQuery,
     /// The request's headers that are forwarded to workers.
     pub headers: HeaderMap,
-    /// Whether, and at which workers, the request may run more than once.
+    /// The idempotency of the request's class. It determines whether, and at which workers, the request may
+    /// run more than once.
     pub idempotency: Idempotency,
     /// The request's body, which is forwarded to workers.
     pub body: Bytes,
@@ -115,14 +122,14 @@
 /// The final response to a client: each request has exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// The request was served, with this result of a worker.
+    /// The request was served. The field holds the worker's result.
     Served(Bytes),
-    /// Rejected by the policy: the request never ran and can be retried safely.
+    /// The policy rejected the request, which never ran and can be retried safely.
     Rejected {
         /// How long the client should wait before it retries.
         retry_after: Micros,
     },
-    /// Failed: the request may or may not have run.
+    /// The request failed. It may or may not have run.
     Failed,
     /// Another request has, or recently had, the same id.
     Duplicate,
@@ -209,7 +216,7 @@
 /// An event for a request's task.
 #[derive(Debug)]
 pub enum RequestEvent {
-    /// The policy has decided to send the next attempt to this worker.
+    /// The policy has decided to send the request's next attempt to a worker.
     Dispatch {
         /// The worker to send the attempt to.
         worker: WorkerId,
@@ -225,7 +232,7 @@
     Fail,
     /// The policy has cancelled an attempt.
     Cancel {
-        /// Number of the attempt to cancel within its request, starting at 0.
+        /// The attempt to cancel, as its number among the attempts of the request, counted from 0.
         attempt: u32,
     },
     /// A worker has reported on an attempt.
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -19,12 +19,14 @@
 /// The sender of events to a request's task.
 pub type RequestEventSender = mpsc::UnboundedSender<RequestEvent>;
 
-/// The minimum number of ids of completed requests that are retained to detect duplicates; up to twice as
-/// many are kept.
+/// The minimum number of ids of completed requests that are retained to detect duplicates. The number of
+/// retained ids varies between this minimum and twice as many, because old ids are dropped together (see
+/// [`CompletedRequests`]).
 const MIN_COMPLETED_REQUESTS_RETAINED: usize = 8_192;
 
-/// The ids of the most recently completed requests. There are two sets: when the recent set is full, it
-/// replaces the previous set, and a new recent set is begun.
+/// The ids of the most recently completed requests. They are held in two sets, so that the oldest ids can be
+/// dropped together: when the recent set is full, the previous set is dropped, the recent set takes its
+/// place, and a new recent set is begun.
 #[derive(Default)]
 struct CompletedRequests {
     recent: HashSet<RequestId>,
@@ -49,7 +51,8 @@
     requests: HashMap<RequestId, RequestEventSender>,
     completed: CompletedRequests,
     actions: Vec<Action>,
-    /// The number of endpoint updates passed to the policy, which is the version of the last one.
+    /// The number of endpoint updates passed to the policy so far, which is also the version of the last
+    /// endpoint update.
     endpoint_version: u64,
     /// Workers that the policy has decided to query and that [`PolicyHandle::next_load_query`] has not
     /// returned yet.
@@ -75,8 +78,8 @@
 }
 
 impl PolicyHandle {
-    /// Takes ownership of a policy. `polls_endpoints` means that the endpoint list is fetched only when the
-    /// policy requests it.
+    /// Creates a handle that owns `policy`. `polls_endpoints` says whether an endpoint list is
+    /// fetched only when the policy requests a list.
     pub fn new(
         policy: Box<dyn DispatchPolicy>,
         polls_endpoints: bool,
@@ -105,7 +108,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Passes an event to the policy. The resulting actions have been delivered, in order, when this returns.
+    /// Passes an event to the policy, and delivers the resulting actions in order before the method returns.
     fn handle(self: &Arc<Self>, event: Event<'_>) {
         self.with_policy(|inner, now, actions| inner.policy.handle(now, event, actions));
     }
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Spawns a task that notifies the policy when the timer expires.
+    /// Spawns a task that notifies the policy of the expiry of `timer`, `after` microseconds from now.
     fn start_timer(self: &Arc<Self>, after: Micros, timer: Timer) {
         let handle = Arc::clone(self);
         let expiry = from_now(after);
@@ -148,14 +151,15 @@
         });
     }
 
-    /// Passes a request to the policy for admission. Returns false, and does not pass it, if another request
-    /// has or recently had the same id.
+    /// Passes a request to the policy for admission, and returns whether the request was passed. A request is
+    /// not passed if another request with the same id is active or has recently completed.
     pub fn admit(self: &Arc<Self>, request: IncomingRequest, events: RequestEventSender) -> bool {
         let mut is_admitted = false;
         self.with_policy(|inner, now, actions| {
-            // A request id is passed to the policy only once. The policy would not answer a second request
-            // while the first is active. After the first has completed, the same request would run again, and
-            // a client that retries immediately after a rejection would be answered as fast as it can send.
+            // A request id is passed to the policy only once. While the first request with this id is active,
+            // the policy would not answer a second request. After the first request has completed, the second
+            // request would run the same work again, and a client that retries immediately after each
+            // rejection could make the policy decide as often as the client can send.
             if inner.completed.contains(request.request) {
                 return;
             }
@@ -184,9 +188,9 @@
         self.handle(Event::ClientDisconnected(request));
     }
 
-    /// Notifies the policy of an endpoint update. The endpoint table has already dropped outdated lists. The
-    /// policy gets a version that increases with every update, because revisions may restart when the
-    /// discovery service changes.
+    /// Notifies the policy of an endpoint update, whose version increases with every update. Lists that are
+    /// older than the previous list were already dropped by the endpoint table. The revisions of lists are
+    /// not used as versions, because revisions may restart when the discovery service changes.
     pub fn update_endpoints(self: &Arc<Self>, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
         self.with_policy(|inner, now, actions| {
             inner.endpoint_version += 1;
@@ -196,23 +200,23 @@
         });
     }
 
-    /// Reads the policy's clock and the wall clock.
+    /// Reads the scheduler's clock, from which the policy gets the time, and the wall clock.
     pub fn read_clocks(&self) -> ClockReading {
         self.clock.read()
     }
 
-    /// Whether the endpoint list is fetched only when the policy requests it.
+    /// Whether an endpoint list is fetched only when the policy requests a list.
     pub fn polls_endpoints(&self) -> bool {
         self.polls_endpoints
     }
 
-    /// Waits until the policy requests a subscription to the endpoint list.
+    /// Waits until the policy requests an endpoint list, with [`Action::Subscribe`].
     pub async fn list_requested(&self) {
         self.list_requested.notified().await;
     }
 
     /// Waits until the policy requests a load query, and returns the worker to query. Only one task may call
-    /// this.
+    /// this method.
     pub async fn next_load_query(&self) -> WorkerId {
         loop {
             let pending = self.lock().pending_load_queries.pop_front();
@@ -229,14 +233,15 @@
         self.handle(Event::LoadQueryCompleted { worker, outcome, report });
     }
 
-    /// Delivers a worker's event to its request's task. Returns false if the request has completed.
+    /// Delivers a worker's event to the task of the request that the event concerns. Returns false if the
+    /// request has completed.
     pub fn deliver_worker_event(&self, request: RequestId, worker: WorkerId, event: WorkerEvent) -> bool {
         let inner = self.lock();
         let task = inner.requests.get(&request);
         task.is_some_and(|events| events.send(RequestEvent::Worker { worker, event }).is_ok())
     }
 
-    /// Removes a request that has completed with all its attempts.
+    /// Removes a completed request, whose attempts have all ended, and retains its id to detect duplicates.
     pub fn request_completed(&self, request: RequestId) {
         let mut inner = self.lock();
         inner.requests.remove(&request);
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -29,12 +29,14 @@
 /// How long to wait for the acknowledgement of a cancellation by a worker that has accepted the attempt.
 const CANCELLATION_TIMEOUT: Micros = 2 * SECOND;
 /// How long to wait for the acknowledgement of a cancellation if the connection was closed before the worker
-/// had accepted the attempt. The close alone cancels such an attempt; the cancellation covers the case that
-/// the worker sent its acceptance at the same time.
+/// had accepted the attempt.
+///
+/// Closing the connection cancels such an attempt. A cancellation is sent nevertheless, because the worker
+/// may have sent its acceptance at the same time.
 const CLOSED_ATTEMPT_CANCELLATION_TIMEOUT: Micros = 300_000;
 
-/// A client connection's handle to a request, from which it receives the final response. Dropping it notifies
-/// the request's task that the client has disconnected.
+/// The handle through which a client connection receives the final response to a request. Dropping the handle
+/// notifies the request's task that the client has disconnected.
 pub struct ResponseHandle {
     response: oneshot::Receiver<FinalResponse>,
     events: RequestEventSender,
@@ -49,16 +51,18 @@
 }
 
 impl Drop for ResponseHandle {
-    // axum drops the handler when the client disconnects. Without this notification the request would
-    // continue although no client waits for it.
+    // When the client disconnects, axum drops the handler's future and with it this handle. If the request's
+    // task were not notified, the request would continue although no client waits for it.
     fn drop(&mut self) {
         let _ = self.events.send(RequestEvent::ClientDisconnected);
     }
 }
 
-/// Spawns the task of a request. The task outlives the client connection, because the dispatch policy must be
-/// notified of every attempt's outcome. At the request's deadline all attempts end; the task ends when the
-/// dispatches that are aborted then have ended.
+/// Spawns the task of a request.
+///
+/// The task outlives the client connection, because the dispatch policy must be notified of every attempt's
+/// outcome. At the request's deadline, all attempts end and their dispatches are aborted. The task ends once
+/// these dispatches have ended too.
 pub fn spawn(context: &Arc<ProxyContext>, admission: AdmissionRequest) -> ResponseHandle {
     let (event_sender, events) = mpsc::unbounded_channel();
     let (response_sender, response) = oneshot::channel();
@@ -95,12 +99,13 @@
     started_at: Micros,
     /// Whether the attempt's outcome is still unknown.
     is_in_flight: bool,
-    /// Whether the attempt is still being dispatched to its worker.
+    /// Whether the dispatch is in progress, that is, neither the worker's acceptance nor a failure has been
+    /// received.
     is_dispatching: bool,
-    /// Aborts the dispatch as long as the worker has not accepted the attempt.
+    /// The token that aborts the dispatch. It has no effect once the worker has accepted the attempt.
     abort: CancellationToken,
-    /// Whether a callback was received. The worker then has the attempt, even if its 202 has not been
-    /// received.
+    /// Whether a callback for the attempt was received. The worker has then accepted the attempt, even if its
+    /// response with status 202 (Accepted) has not been received.
     has_received_callback: bool,
     /// Whether the policy has cancelled the attempt and the outcome of the cancellation is not known yet.
     is_cancelling: bool,
@@ -115,8 +120,9 @@
 /// The outcome of one attempt's cancellation, which decides whether the attempt has ended.
 struct CancellationCompletion {
     attempt: u32,
-    /// Whether the connection was closed before an acceptance was received. Unless a callback is received,
-    /// the attempt has then ended even if the worker does not acknowledge the cancellation.
+    /// Whether the connection was closed before the worker's acceptance was received. Such an attempt ends
+    /// even if the worker does not acknowledge the cancellation, unless a callback for the attempt was
+    /// received.
     closed_before_acceptance: bool,
     outcome: CancellationOutcome,
 }
@@ -128,8 +134,8 @@
     deadline: Instant,
     upstream_request: Arc<UpstreamRequest>,
     response_sender: Option<oneshot::Sender<FinalResponse>>,
-    /// This token is cancelled when the final response is sent or the client disconnects. Attempts that have
-    /// not been written by then are withheld.
+    /// The token that keeps attempts from being written once the final response is sent or the client
+    /// disconnects. Attempts that have been written by then continue.
     withhold_attempts: CancellationToken,
     /// The request's attempts, indexed by their number.
     attempts: Vec<Attempt>,
@@ -158,16 +164,17 @@
         tokio::pin!(expiry);
         while self.is_active(&events) {
             tokio::select! {
-                // Queued events are handled first, because otherwise the policy could respond to an attempt's
-                // outcome with another attempt while the event that the client has disconnected is still
-                // queued.
+                // Queued events are handled first, because one of them may be that the client has
+                // disconnected. Otherwise the policy could react to the outcome of an attempt by sending
+                // another attempt for this client.
                 biased;
                 Some(event) = events.recv() => self.handle_event(event),
                 Some(completion) = self.dispatches.next() => self.handle_dispatch_completion(completion),
                 Some(completion) = self.cancellations.next() => {
                     self.handle_cancellation_completion(&completion);
                 }
-                // The drain deadline of a shutdown may be earlier than the request's own deadline.
+                // When a shutdown begins, its drain deadline replaces the request's own deadline if the drain
+                // deadline is earlier.
                 Ok(()) = shutdown.changed() => {
                     expiry.as_mut().reset(effective_deadline(self.deadline, &shutdown));
                 }
@@ -178,8 +185,8 @@
         self.context.policy.request_completed(self.request_id());
     }
 
-    /// Whether the final response is outstanding, an attempt is in flight, an event is queued or a dispatch
-    /// is in progress.
+    /// Whether the task must continue, because the final response is outstanding, an attempt is in flight, an
+    /// event is queued or a dispatch is in progress.
     fn is_active(&self, events: &mpsc::UnboundedReceiver<RequestEvent>) -> bool {
         self.response_sender.is_some()
             || self.attempts.iter().any(|attempt| attempt.is_in_flight)
@@ -202,8 +209,8 @@
         }
     }
 
-    /// Responds with a rejection. If no worker is eligible, the endpoint list or the configuration is wrong,
-    /// which is counted and logged.
+    /// Responds with a rejection. A rejection for lack of an eligible worker is also counted and logged,
+    /// because it shows that the endpoint list or the configuration is wrong.
     fn reject(&mut self, retry_after: Micros, reason: &Rejection) {
         debug!(reason = rejection_name(reason), "request rejected");
         if *reason == Rejection::NoEligibleWorker {
@@ -216,7 +223,8 @@
         self.respond(FinalResponse::Rejected { retry_after });
     }
 
-    /// Starts the next attempt, or ends it as superseded if it must not be sent.
+    /// Starts the next attempt at a worker. An attempt that must not be sent, for example after the deadline,
+    /// ends at once as [`Outcome::Superseded`].
     fn start_attempt(&mut self, worker: WorkerId) {
         let number = self.attempts.len() as u32;
         let is_repeated = self.attempts.iter().any(|attempt| attempt.target.worker == worker);
@@ -245,8 +253,10 @@
         self.dispatches.push(completion.boxed());
     }
 
-    /// Whether an attempt is in flight at the address of a target. A worker may be listed under two names,
-    /// for example after its process was replaced, but must get only one attempt of a request at a time.
+    /// Whether an attempt of this request is in flight at the address of `target`.
+    ///
+    /// A worker must get only one attempt of a request at a time, but may be listed under two names, for
+    /// example after its process was replaced.
     fn has_attempt_at(&self, target: &AttemptTarget) -> bool {
         let mut in_flight = self.attempts.iter().filter(|attempt| attempt.is_in_flight);
         target.address.is_some() && in_flight.any(|attempt| attempt.target.address == target.address)
@@ -276,10 +286,12 @@
         let attempt = &mut self.attempts[number as usize];
         attempt.is_dispatching = false;
         match completion.result {
-            // It is not known whether the worker had accepted the attempt when the connection was closed.
+            // The connection was closed on an abort. A cancellation is sent as well, because the worker may
+            // have accepted the attempt before the connection was closed.
             Err(failure) if failure.outcome == Outcome::Cancelled => self.send_cancellation(number, true),
             Err(failure) => self.finish_attempt(number, failure.into()),
-            // The worker accepted the attempt while it was being cancelled.
+            // The worker accepted the attempt while its dispatch was being aborted. The attempt is cancelled
+            // by a separate message.
             Ok(()) if attempt.is_cancelling => self.send_cancellation(number, false),
             Ok(()) => {}
         }
@@ -298,7 +310,8 @@
         for number in 0..self.attempts.len() as u32 {
             self.abandon_attempt(number, Outcome::TimedOut);
         }
-        // This also ends the dispatch of attempts that ended by a callback but whose 202 was never received.
+        // Also aborts the dispatches of attempts that have ended by a callback although the worker's response
+        // with status 202 (Accepted) was never received.
         for attempt in &self.attempts {
             attempt.abort.cancel();
         }
@@ -312,8 +325,8 @@
         }
     }
 
-    /// Takes the sender of the final response; `None` if it was taken before. Attempts that have not been
-    /// written are withheld from now on.
+    /// Takes the sender of the final response; returns `None` if the sender was taken before. From now on,
+    /// attempts that have not been written are never written.
     fn take_response_sender(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.withhold_attempts.cancel();
         self.response_sender.take()
@@ -332,8 +345,9 @@
         self.context.recorder.request_ended(&self.request, response, elapsed);
     }
 
-    /// Handles a callback. A callback for an attempt that has ended, such as a repeated one, is ignored. One
-    /// that is received before the 202 is handled like any other.
+    /// Handles a worker's callback. A callback for an attempt that has ended, such as a repeated callback, is
+    /// ignored. A callback that arrives before the worker's response with status 202 (Accepted) is handled
+    /// like any other.
     fn handle_worker_event(&mut self, worker: WorkerId, event: WorkerEvent) {
         let is_recipient = |attempt: &Attempt| attempt.target.worker == worker && attempt.is_in_flight;
         let Some(index) = self.attempts.iter().position(is_recipient) else { return };
@@ -347,7 +361,8 @@
         }
     }
 
-    /// Ends an attempt that is in flight: sends the final response if it was served, and notifies the policy.
+    /// Ends an attempt that is in flight: sends the final response if the worker has served the request, and
+    /// notifies the policy of the attempt's outcome.
     fn finish_attempt(&mut self, number: u32, completion: AttemptCompletion) {
         let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
         attempt.is_in_flight = false;
@@ -378,9 +393,12 @@
         self.context.policy.attempt_ended(attempt_outcome);
     }
 
-    /// Cancels an attempt on the policy's request. While the final response is outstanding, another attempt
-    /// may follow, and the two must not run at the same time. The attempt therefore ends only when it
-    /// certainly does not run any more; until then it remains in flight and may still be served.
+    /// Cancels an attempt on the policy's request.
+    ///
+    /// While the final response is outstanding, the policy may send another attempt, and the two attempts
+    /// must not run at the same time. The cancelled attempt therefore stays in flight, and may still be
+    /// served, until it is certain that the worker no longer runs it. After the final response, the cancelled
+    /// attempt ends at once.
     fn cancel_attempt(&mut self, number: u32) {
         if self.response_sender.is_none() {
             self.abandon_attempt(number, Outcome::Cancelled);
@@ -397,9 +415,11 @@
         }
     }
 
-    /// Sends the cancellation of an attempt that is in flight to its worker. The outcome of the cancellation
-    /// decides whether the attempt ends. `closed_before_acceptance` means that the connection was closed
-    /// before an acceptance was received.
+    /// Sends a cancellation to the worker of an attempt in flight. The outcome of the cancellation decides
+    /// whether the attempt ends.
+    ///
+    /// `closed_before_acceptance` says whether the attempt's connection was closed before the worker's
+    /// acceptance was received.
     fn send_cancellation(&mut self, number: u32, closed_before_acceptance: bool) {
         let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
         let closed_before_acceptance = closed_before_acceptance && !attempt.has_received_callback;
@@ -415,8 +435,8 @@
         self.cancellations.push(completion.boxed());
     }
 
-    /// Ends a cancelled attempt, unless its worker may not have received the cancellation: then it stays in
-    /// flight.
+    /// Ends a cancelled attempt if it is certain that the worker no longer runs it. Otherwise the attempt
+    /// stays in flight: the worker may not have received the cancellation.
     fn handle_cancellation_completion(&mut self, completion: &CancellationCompletion) {
         let number = completion.attempt;
         let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
@@ -443,13 +463,13 @@
         }
     }
 
-    /// Ends an attempt that no other attempt follows, without waiting for its worker, and sends a
-    /// cancellation if the worker has accepted it.
+    /// Ends an attempt without waiting for its worker, if no other attempt of the request can follow. If the
+    /// worker has accepted the attempt, a cancellation is sent.
     fn abandon_attempt(&mut self, number: u32, outcome: Outcome) {
         let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
-        // Before the 202, closing the connection cancels the attempt. A worker that has already sent a
-        // callback may send its 202 at the same time and would continue to run the attempt, so it gets a
-        // cancellation.
+        // Closing the connection cancels an attempt that the worker has not accepted. A worker that has
+        // already sent a callback may be sending its response with status 202 (Accepted) at the same time,
+        // and would then continue to run the attempt. Such a worker gets a cancellation.
         attempt.abort.cancel();
         if !attempt.is_dispatching || attempt.has_received_callback {
             let deadline = from_now(CANCELLATION_TIMEOUT);
@@ -459,7 +479,7 @@
     }
 }
 
-/// The counter for a worker's failures of this kind, or `None` if the outcome is not a failure of the worker.
+/// The counter for attempts that end with `outcome`, or `None` if `outcome` is not a failure of the worker.
 fn failure_counter(outcome: Outcome) -> Option<&'static str> {
     match outcome {
         Outcome::TimedOut => Some("an attempt timed out"),
@@ -470,7 +490,7 @@
     }
 }
 
-/// The attempt with this number, if it is in flight.
+/// The attempt with the number `number`, if that attempt is in flight.
 fn in_flight_attempt(attempts: &mut [Attempt], number: u32) -> Option<&mut Attempt> {
     attempts.get_mut(number as usize).filter(|attempt| attempt.is_in_flight)
 }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -2,16 +2,17 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The phase of a graceful shutdown.
+/// The phase of a graceful shutdown. The phases follow each other in the order listed here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ShutdownPhase {
     /// The scheduler accepts requests; no shutdown has begun.
     #[default]
     Running,
-    /// The shutdown has begun: accepted and newly arriving requests get their final response by this instant.
+    /// The shutdown has begun. Requests are still accepted, and every request gets its final response by the
+    /// instant that this variant holds.
     Draining(Instant),
     /// Client connections are being closed and no new ones are accepted. The final responses that are still
-    /// outstanding are written by this instant.
+    /// outstanding are written by the instant that this variant holds.
     Closing(Instant),
 }
 
@@ -31,8 +32,8 @@
         self.phase.send_replace(ShutdownPhase::Draining(deadline));
     }
 
-    /// Enters the last phase, in which client connections are closed. Has no effect unless the phase is
-    /// draining.
+    /// Enters the phase [`ShutdownPhase::Closing`], in which client connections are closed. Has no effect
+    /// unless the current phase is [`ShutdownPhase::Draining`].
     pub fn close(&self) {
         self.phase.send_modify(|phase| {
             if let ShutdownPhase::Draining(deadline) = *phase {
@@ -41,7 +42,7 @@
         });
     }
 
-    /// The current phase.
+    /// The phase that the shutdown has reached; [`ShutdownPhase::Running`] if no shutdown has begun.
     pub fn phase(&self) -> ShutdownPhase {
         *self.phase.borrow()
     }
@@ -51,7 +52,7 @@
         self.phase() != ShutdownPhase::Running
     }
 
-    /// Subscribes to changes of the phase.
+    /// Returns a receiver that is notified of every change of the shutdown phase.
     pub fn watch(&self) -> ShutdownWatch {
         self.phase.subscribe()
     }
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -1,33 +1,36 @@
 //! The schedule of a graceful shutdown, which is derived from the longest deadline of the settings in force.
 //!
-//! The supervisor sends SIGKILL no earlier than `K = min(longest deadline, 3 s) + 0.7 s` after SIGTERM. The
-//! schedule is computed backwards from `K`, so that a shutdown takes less time if the deadlines are short:
+//! The supervisor sends SIGKILL no earlier than `K = min(longest deadline, 3 s) + 0.7 s` after SIGTERM. All
+//! times are derived backwards from `K`, so that a shutdown takes less time if the deadlines are short. With
+//! `D = max(K - 0.5 s, 0.5 s)`:
 //!
-//! | time after SIGTERM | what happens |
+//! | time after SIGTERM | what has happened by then |
 //! | --- | --- |
-//! | `min(1 s, K - 0.5 s)` | new connections are refused from then on, if no request is outstanding |
-//! | `K - 0.5 s`, at least 0.5 s | every request has its final response |
-//! | 0.1 s later | connections are closed |
+//! | `min(1 s, D)` | new connections are refused from this time on if no request is outstanding |
+//! | `D` | every request has its final response |
+//! | `D + 0.1 s` | the last responses are written and the connections are closed |
 //! | `K - 0.2 s` | the process has exited, even if a disk or another scheduler process delays it |
 use std::time::Duration;
 
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::time::Instant;
 
-/// Upper limit of the longest deadline where that deadline is part of the time from SIGTERM to SIGKILL.
+/// The maximum length with which the longest deadline enters into the time from SIGTERM to SIGKILL.
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
-/// The supervisor sends SIGKILL no earlier than this long after SIGTERM plus the longest deadline, which is
-/// limited to [`MAX_COUNTED_DEADLINE`].
+/// The time that is added to the longest deadline in the time from SIGTERM to SIGKILL. The supervisor sends
+/// SIGKILL no earlier than the longest deadline, limited to [`MAX_COUNTED_DEADLINE`], plus this delay after
+/// SIGTERM.
 const KILL_DELAY: Micros = 700_000;
-/// How long before SIGKILL every request has its final response: 0.1 s to write the last responses, and the
-/// rest for a process that is scheduled late or throttled.
+/// How long before SIGKILL every request has its final response. Of this time, 0.1 s is for writing the last
+/// responses, and 0.4 s is for delays of a process that is scheduled late or throttled.
 const DRAIN_MARGIN: Micros = 500_000;
 /// The time allowed for writing the last responses.
 pub(crate) const FINAL_WRITE_TIME: Micros = 100_000;
-/// The shortest time for draining: new connections arrive for up to 0.4 s after SIGTERM, and the last of
-/// their requests are answered within another 0.1 s.
+/// The minimum time from SIGTERM until every request has its final response. New connections arrive until up
+/// to 0.4 s after SIGTERM, and their requests are answered within another 0.1 s.
 const MIN_DRAIN_TIME: Micros = 500_000;
-/// How long at most to wait for new connections when no request is outstanding.
+/// The maximum time after SIGTERM for which the scheduler waits for new connections although no request is
+/// outstanding.
 const MAX_LATE_CONNECTION_WINDOW: Micros = SECOND;
 /// How long before SIGKILL the process exits.
 const EXIT_MARGIN: Micros = 200_000;
@@ -37,7 +40,7 @@
 pub struct ShutdownSchedule {
     /// The time by which every request has its final response.
     pub drain_time: Micros,
-    /// How long new connections are accepted even if no request is outstanding.
+    /// How long after SIGTERM new connections are accepted even if no request is outstanding.
     pub late_connection_window: Micros,
     /// The time by which the process has exited.
     pub exit_time: Micros,
@@ -71,7 +74,7 @@
 pub struct ShutdownDeadlines {
     pub(crate) drain_deadline: Instant,
     pub(crate) late_connections_until: Instant,
-    /// When the process exits without waiting for tasks that are still running.
+    /// The instant at which the process exits without waiting for tasks that are still running.
     pub exit_deadline: Instant,
 }
 
