--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -24,34 +24,37 @@
 use crate::upstream::http::load_report::header_load_report;
 use crate::upstream::http::request::{build_request, failure_outcome, is_retryable_at_any_worker, read_body};
 
-/// How long the body of a response is read after its head has decided the outcome. Then the connection is
-/// closed.
+/// How long the rest of a response's body is read after the head has decided the attempt's outcome. If the
+/// body has not ended by then, the connection is closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
-/// How long after the first response to a request a second one may arrive: as long as the protocol's
-/// tolerance on time limits.
+/// How long after a connection's previous response a second, unexpected response to the previous request may
+/// still arrive. The value equals the tolerance that the protocol allows on time limits.
 const STRAY_RESPONSE_WINDOW: Micros = 50_000;
 
-/// The time reserved for establishing an attempt's connection is the connect timeout, but at most the
-/// request's remaining time divided by this constant.
+/// The request's remaining time divided by this constant is the maximum time that is reserved for
+/// establishing an attempt's connection. If the connect timeout is shorter, the connect timeout is reserved
+/// instead.
 const CONNECT_RESERVE_DIVISOR: u32 = 4;
 /// How long an attempt may still be written after the time reserved for its connection has passed, in
-/// microseconds.
+/// microseconds. The delay is allowed because the client waits for as long beyond the request's deadline.
 const WRITE_SLACK: Micros = MAX_DISPATCH_DELAY;
-/// How long to wait for the socket of an aborted attempt to be closed. The client library closes it in a
-/// separate task.
+/// How long to wait until the socket of an aborted attempt is closed. The client library closes the socket in
+/// a separate task.
 const CLOSE_TIMEOUT: Micros = SECOND;
 
 /// Sends attempts and interprets their responses.
 pub(super) struct AttemptSender {
     connections: Arc<WorkerConnections>,
     endpoints: Arc<EndpointTable>,
-    /// Limits the dispatches in progress to an eighth of the file descriptors.
+    /// Limits the dispatches in progress to an eighth of the process's file descriptors, so that workers that
+    /// stop responding cannot hold the file descriptors that callbacks need.
     permits: Arc<Semaphore>,
     /// How long establishing a connection may take.
     connect_timeout: Duration,
-    /// How long after its start an attempt of a request with an idempotency key may be written. The time is
-    /// limited because the request may have run before, and after the key's window the workers would run it
-    /// again.
+    /// How long after its start an attempt of a request with an idempotency key may be written.
+    ///
+    /// An earlier attempt of the request may have run. If the attempt were written after the workers have
+    /// dropped the idempotency key, they would run the request again.
     key_write_window: Duration,
 }
 
@@ -59,10 +62,11 @@
 struct PreparedAttempt {
     request: Request<GuardedBody>,
     started_at: Instant,
-    /// From this instant on the attempt must not be written.
+    /// The instant from which on the attempt must not be written.
     write_deadline: Instant,
     is_written: Arc<AtomicBool>,
-    /// The permit for this dispatch, held until the response's body has been read.
+    /// The permit that counts this dispatch against the limit on dispatches in progress. The permit is held
+    /// until the response's body has been read.
     permit: OwnedSemaphorePermit,
 }
 
@@ -75,17 +79,18 @@
     Aborted,
 }
 
-/// The time limits of an attempt: when it must be written and the limit that is announced to the worker.
+/// The time limits of an attempt: when it must be written, and the limit that is announced to the worker.
 ///
-/// The announced limit is fixed before the connection is established. The protocol allows it to exceed the
-/// client's remaining time by at most 0.15 s when the attempt arrives at the worker. Time for the connection
-/// is therefore subtracted from it, and an attempt that has waited longer for its connection is not written.
-/// Writing up to [`WRITE_SLACK`] later does not use up any of the 0.15 s, since the client waits for as long
-/// beyond the request's deadline. The whole 0.15 s remain for delays of the process while it writes.
+/// The announced limit is fixed before the connection is established. When the attempt arrives at the worker,
+/// the protocol allows the announced limit to exceed the client's remaining time by at most 0.15 s. The time
+/// reserved for the connection is therefore subtracted from the announced limit, and an attempt whose
+/// connection takes longer is not written. An attempt may be written up to [`WRITE_SLACK`] late without using
+/// up any of the 0.15 s, since the client waits for as long beyond the request's deadline. The whole 0.15 s
+/// remain for delays of the process while it writes the attempt.
 struct AttemptTiming {
-    /// From this instant on the attempt must not be written.
+    /// The instant from which on the attempt must not be written.
     write_deadline: Instant,
-    /// The time limit that is announced to the worker, in milliseconds.
+    /// The time limit for the request that is announced to the worker, in milliseconds.
     announced_limit_ms: u128,
 }
 
@@ -102,7 +107,8 @@
 }
 
 impl AttemptSender {
-    /// Creates a sender whose limits fit a process with `descriptor_limit` file descriptors.
+    /// Creates a sender whose limit on dispatches in progress is derived from `descriptor_limit`, the number
+    /// of file descriptors that the process may open.
     pub(super) fn new(
         connections: Arc<WorkerConnections>,
         endpoints: Arc<EndpointTable>,
@@ -150,7 +156,8 @@
         }
     }
 
-    /// Interprets the response to an attempt.
+    /// Determines from the response whether the worker has accepted the attempt, and returns the failure if
+    /// not.
     fn read_response(
         &self,
         response: Response<Incoming>,
@@ -159,7 +166,8 @@
         started_at: Instant,
         permit: OwnedSemaphorePermit,
     ) -> DispatchResult {
-        // The head decides the outcome, so that a body that never ends does not delay the request.
+        // Only the head decides the outcome, because otherwise a body that never ends would delay the
+        // request.
         let (head, body) = response.into_parts();
         match response_outcome(head.status, &head.headers) {
             None => {
@@ -171,7 +179,8 @@
         }
     }
 
-    /// Acquires a permit and builds the HTTP request. Its body performs the last checks when it is written.
+    /// Acquires a permit and builds the attempt's HTTP request. The conditions for the write are checked
+    /// again by the request's [`GuardedBody`], immediately before the attempt is written.
     fn prepare(
         &self,
         target: &AttemptTarget,
@@ -179,17 +188,20 @@
         deadline: Instant,
         control: &DispatchControl,
     ) -> Result<PreparedAttempt, DispatchFailure> {
-        // The worker may have been listed as draining or removed since the policy's decision; then it gets no
-        // new attempts. The body checks this again when it is written.
+        // The worker may have been listed as draining or removed since the policy's decision, and then has no
+        // address and gets no new attempts. The [`GuardedBody`] checks the address again before the attempt
+        // is written.
         let address = target.address.clone().ok_or(Outcome::Superseded)?;
-        // If dozens of workers stop responding, they must not hold the file descriptors that callbacks need.
-        // The outcome is the same as without a free file descriptor: no connection can be established.
+        // Without this limit, dozens of workers that stop responding could hold the file descriptors that
+        // callbacks need. The outcome is the same as if the process had no free file descriptor: the
+        // connection failed.
         let permit = Arc::clone(&self.permits).try_acquire_owned().map_err(|_| Outcome::ConnectFailed)?;
         let started_at = Instant::now();
         let AttemptTiming { write_deadline, announced_limit_ms } =
             AttemptTiming::new(started_at, deadline, self.connect_timeout);
-        // A retry must not be written after the workers have dropped its idempotency key. The policy decides
-        // on a retry only if more than `key_write_window` of the key's window is left.
+        // An attempt with an idempotency key must not be written after the workers have dropped the key,
+        // since an earlier attempt may have run. The policy decides on a retry only if the workers will keep
+        // the key for longer than `key_write_window`.
         let write_deadline = match upstream_request.idempotency {
             Idempotency::IdempotentWithKey { .. } => write_deadline.min(started_at + self.key_write_window),
             _ => write_deadline,
@@ -209,7 +221,7 @@
         Ok(PreparedAttempt { request, started_at, write_deadline, is_written, permit })
     }
 
-    /// The failure of an attempt whose response shows that the worker has not accepted the attempt.
+    /// Returns the failure of an attempt whose response shows that the worker has not accepted the attempt.
     fn dispatch_failure(
         &self,
         connection: &CaptureConnection,
@@ -219,8 +231,8 @@
         started_at: Instant,
     ) -> DispatchFailure {
         let previous_use = self.connections.record_use(connection, ConnectionUse::NotReusable);
-        // The response may be a second one to the previous request on this connection. Then it does not prove
-        // that this attempt never ran.
+        // The response may be a second response to the previous request on this connection. In that case it
+        // does not prove that this attempt never ran.
         let stray_window = Duration::from_micros(STRAY_RESPONSE_WINDOW);
         let is_stray = previous_use.is_some_and(|previous| started_at < previous + stray_window);
         let is_unproven = is_stray && outcome.never_ran() && !is_retryable_at_any_worker(idempotency);
@@ -239,7 +251,7 @@
     let mut is_past_write_deadline = false;
     loop {
         tokio::select! {
-            // A response that was received takes precedence over an abort and the deadline.
+            // A response that was received takes precedence over an abort and over the write deadline.
             biased;
             result = &mut response => return result.map_or_else(WaitResult::Failed, WaitResult::Response),
             () = control.abort.cancelled() => return WaitResult::Aborted,
@@ -262,7 +274,7 @@
     let body = GuardedBody::new(upstream_request.body.clone(), guard);
     let mut request = build_request(Method::POST, address, upstream_request.path.clone(), body)?;
     *request.headers_mut() = upstream_request.headers.clone();
-    // The HTTP library sets the length of the body.
+    // The client's `Content-Length` is removed, because the HTTP library sets the header for the body.
     request.headers_mut().remove(CONTENT_LENGTH);
     if let Ok(value) = format!("{announced_limit_ms}m").parse() {
         request.headers_mut().insert("x-timeout", value);
@@ -276,13 +288,13 @@
     match status {
         StatusCode::ACCEPTED => None,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Some(Outcome::Rejected),
-        // Any other response does not state whether the request ran.
+        // Any other response leaves unknown whether the request ran, and counts as an error.
         _ => Some(Outcome::Error),
     }
 }
 
-/// Spawns a task that reads a body to its end, so that the connection can be reused. The task is limited by a
-/// timeout and holds the permit until it ends.
+/// Spawns a task that reads the rest of a response's body, so that the connection can be reused. The task
+/// ends after [`BODY_DRAIN_TIMEOUT`] at the latest, and holds the dispatch's permit until then.
 fn drain_body(body: Incoming, permit: OwnedSemaphorePermit) {
     if body.is_end_stream() {
         return;
--- a/crates/proxy/src/upstream/http/callback.rs
+++ b/crates/proxy/src/upstream/http/callback.rs
@@ -84,8 +84,9 @@
     })
 }
 
-/// Creates the handler of workers' callbacks, for use by any server that receives them. A callback for a
-/// completed request or from an unknown worker is accepted and ignored.
+/// Creates the handler of workers' callbacks, which takes a callback's body and does not depend on the server
+/// that receives the callback. A callback for a completed request or from an unknown worker is accepted and
+/// ignored.
 pub fn callback_handler(
     endpoints: Arc<EndpointTable>,
     policy: Arc<PolicyHandle>,
--- a/crates/proxy/src/upstream/http/cancellation.rs
+++ b/crates/proxy/src/upstream/http/cancellation.rs
@@ -17,25 +17,27 @@
 use crate::upstream::http::limits::{max_cancellations, max_idle_per_worker};
 use crate::upstream::http::request::{build_request, read_body};
 
-/// How long the body of a response is read, whose content is ignored. After this time the connection is
-/// closed.
+/// How long the body of a response to a cancellation is read. The content of the body is ignored. If the body
+/// has not ended by then, the connection is closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
 /// The delay before a cancellation that was not acknowledged is sent again.
 const RETRY_DELAY: Micros = 20_000;
 
-/// Sends cancellations, with a limit on those in flight in total and for each worker.
+/// Sends cancellations to workers, and limits the cancellations in flight in total and for each worker.
 pub(super) struct CancellationSender {
     connections: Arc<WorkerConnections>,
-    /// Limits the cancellations in flight to all workers.
+    /// Limits the total number of cancellations in flight.
     permits: Arc<Semaphore>,
-    /// Limits the cancellations in flight to each worker's address, so that a worker that answers none does
-    /// not delay the others. Addresses without a cancellation in flight are removed.
+    /// Limits the number of cancellations in flight to each worker's address, so that a worker that does not
+    /// respond does not delay cancellations to other workers. An address without a cancellation in flight is
+    /// removed from the map.
     permits_by_address: Mutex<HashMap<Authority, Weak<Semaphore>>>,
     max_per_worker: usize,
 }
 
 impl CancellationSender {
-    /// Creates a sender whose limits fit a process with `descriptor_limit` file descriptors.
+    /// Creates a sender whose limits on cancellations in flight are derived from `descriptor_limit`, the
+    /// number of file descriptors that the process may open.
     pub(super) fn new(connections: Arc<WorkerConnections>, descriptor_limit: usize) -> CancellationSender {
         CancellationSender {
             connections,
@@ -57,8 +59,9 @@
         permits
     }
 
-    /// Spawns a task that sends the cancellation of an attempt until the deadline, and waits for its outcome.
-    /// Nothing is sent to a target without an address, and the outcome is then unconfirmed.
+    /// Spawns a task that sends the cancellation of an attempt until the worker acknowledges it or the
+    /// deadline passes. The returned future waits for the outcome. If the target has no address, nothing is
+    /// sent and the outcome is [`CancellationOutcome::Unconfirmed`].
     pub(super) fn send(
         &self,
         target: &AttemptTarget,
@@ -90,8 +93,8 @@
 }
 
 impl Cancellation {
-    /// Sends the cancellation until the worker acknowledges it. The first try may use a pooled connection,
-    /// which may have broken unnoticed; later tries use new connections.
+    /// Sends the cancellation repeatedly until the worker acknowledges it. The first try may use a pooled
+    /// connection. Because a pooled connection may have broken unnoticed, later tries use new connections.
     async fn send_until_acknowledged(&self) {
         if self.send(WorkerConnections::send).await {
             return;
@@ -105,8 +108,8 @@
     }
 
     /// Sends the cancellation once, and returns whether the worker has acknowledged it. Every response except
-    /// a server error counts as an acknowledgement. This includes a response that the attempt is unknown, since
-    /// the worker then does not run it.
+    /// a server error counts as an acknowledgement. This includes the response that the worker does not know
+    /// the attempt, because the worker then does not run the attempt.
     async fn send(&self, send: fn(&WorkerConnections, Request<GuardedBody>) -> ResponseFuture) -> bool {
         let (address, path) = (self.address.clone(), self.path.clone());
         let Some(request) = build_request(Method::DELETE, address, path, GuardedBody::empty()) else {
@@ -114,7 +117,8 @@
         };
         let Ok(response) = send(&self.connections, request).await else { return false };
         let is_acknowledged = !response.status().is_server_error();
-        // The connection can be reused only after the body has been read.
+        // The body is read to its end, although its content is ignored, because the connection can be reused
+        // only afterwards.
         let _ = timeout_at(from_now(BODY_DRAIN_TIMEOUT), read_body(response.into_body())).await;
         is_acknowledged
     }
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -19,21 +19,22 @@
 use crate::upstream::http::request::is_retryable_at_any_worker;
 use crate::upstream::http::tracked_connector::{ClosedSignal, TrackedConnector};
 
-/// The maximum size of the head of a worker's response, which limits the memory that an endless head can use.
+/// The maximum size of the head of a worker's response. Without a maximum, an endless head could use up the
+/// memory.
 const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
 /// How long the reuse of connections is suspended after a reused connection has broken during a request.
-/// Requests that can be retried at any worker continue to reuse connections, and show within this time
-/// whether reused connections still break.
+/// Requests that can be retried at any worker continue to reuse connections during the suspension. If a
+/// reused connection breaks again, the suspension starts anew.
 const REUSE_SUSPENSION: Micros = 10 * SECOND;
-/// When the last uses of this many connections are tracked, the entries older than the keep-alive time are
-/// removed.
+/// The number of tracked connections from which on outdated entries are removed: the entries of connections
+/// whose last use is longer ago than the keep-alive time.
 const TRACKED_CONNECTIONS_PRUNE_THRESHOLD: usize = 256;
 
 /// The result of using a connection for a request.
 pub(super) enum ConnectionUse {
-    /// The response was as expected; the connection may be reused.
+    /// The worker accepted the attempt or answered the load query. The connection may be reused.
     Reusable,
-    /// The response was not as expected; the connection must not be reused.
+    /// The worker's response was not a success. The connection must not be reused.
     NotReusable,
     /// The connection broke while it was used for the request.
     Broken,
@@ -41,7 +42,7 @@
 
 /// The state that decides whether connections may be reused.
 struct ConnectionReuse {
-    /// The time of the last use of each connection, which its local address identifies.
+    /// The time of the last successful use of each connection, keyed by the connection's local address.
     last_uses: HashMap<SocketAddr, Instant>,
     suspended_until: Option<Instant>,
 }
@@ -58,7 +59,8 @@
 }
 
 impl WorkerConnections {
-    /// Creates a pool whose limits fit a process with `descriptor_limit` file descriptors.
+    /// Creates the connections to all workers. The number of idle connections kept for each worker is derived
+    /// from `descriptor_limit`, the number of file descriptors that the process may open.
     pub(super) fn new(settings: &ProxySettings, descriptor_limit: usize) -> WorkerConnections {
         WorkerConnections {
             pooled_client: build_client(settings, max_idle_per_worker(descriptor_limit)),
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Sends a request on a pooled connection, or on a new one if none is idle.
+    /// Sends a request on a pooled connection, or on a new connection if no pooled connection is idle.
     pub(super) fn send(&self, request: Request<GuardedBody>) -> ResponseFuture {
         self.pooled_client.request(request)
     }
@@ -78,10 +80,12 @@
         self.unpooled_client.request(request)
     }
 
-    /// Sends an attempt on a pooled connection or on a new one. A pooled connection may have failed unnoticed
-    /// and break during the next request. After that, a non-idempotent request must not be retried, and one
-    /// whose idempotency key only some workers know can be retried only at those. If this has happened
-    /// recently, such a request is sent on a new connection that is not reused.
+    /// Sends an attempt on a pooled connection or on a new connection.
+    ///
+    /// A pooled connection may have failed unnoticed and break during the next request. A non-idempotent
+    /// request must not be retried after such a failure, and a request whose idempotency key only some
+    /// workers know can be retried only at those workers. If a reused connection has broken recently, such
+    /// requests are therefore sent on new connections that are not reused.
     pub(super) fn send_attempt(
         &self,
         request: Request<GuardedBody>,
@@ -98,7 +102,8 @@
         }
     }
 
-    /// Records the result of a connection's use, and returns the time of its previous use if that is tracked.
+    /// Records the result of a connection's use. Returns the time of the connection's previous use, or `None`
+    /// if that use is not tracked.
     pub(super) fn record_use(
         &self,
         connection: &CaptureConnection,
@@ -115,8 +120,9 @@
                 }
                 reuse.last_uses.insert(address, now);
             }
-            // If a second response followed the first, it would be taken for the response to the next
-            // request, and all later responses would be assigned to the wrong requests.
+            // The connection is not reused. The worker might send a second response, which would be taken for
+            // the response to the next request, and all later responses would be assigned to the wrong
+            // requests.
             ConnectionUse::NotReusable => {
                 connection.connection_metadata().iter().for_each(Connected::poison);
             }
@@ -152,7 +158,7 @@
         .build(TrackedConnector(connector))
 }
 
-/// Waits until the socket of a request's connection has been closed. Returns at once if there is no
+/// Waits until the socket on which a request was sent has been closed. Returns at once if the request has no
 /// connection.
 pub(super) async fn wait_until_closed(connection: &CaptureConnection) {
     let closed = connection_extras(connection).and_then(|mut extras| extras.remove::<ClosedSignal>());
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -1,4 +1,5 @@
-//! A request body that is withheld if the attempt must no longer be written.
+//! A request body that checks, immediately before an attempt is written, whether the attempt may still be
+//! written. If not, the body fails and the attempt is withheld.
 use std::pin::Pin;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,17 +19,18 @@
 pub(super) struct WriteGuard {
     /// The cancellation tokens of the dispatch, which must permit the write.
     pub(super) control: DispatchControl,
-    /// The check that must report the client as connected in the step that writes the attempt.
+    /// The check that must report the client as connected immediately before the attempt is written.
     pub(super) client: ClientPresence,
-    /// The table that must list `worker` as serving at `address`.
+    /// The endpoint table, which must list the worker as serving at the address to which the attempt is sent.
     pub(super) endpoints: Arc<EndpointTable>,
     /// The worker that the attempt is sent to.
     pub(super) worker: WorkerId,
     /// The address to which the attempt is sent.
     pub(super) address: Authority,
-    /// From this instant on the attempt must not be written.
+    /// The instant from which on the attempt must not be written.
     pub(super) write_deadline: Instant,
-    /// Whether the attempt was written; set in the step that writes or withholds it.
+    /// Whether the attempt was written. Set at the check that decides whether the attempt is written or
+    /// withheld.
     pub(super) is_written: Arc<AtomicBool>,
 }
 
@@ -40,7 +42,8 @@
             && !self.client.has_disconnected()
     }
 
-    /// Checks, in the step that writes the attempt, whether it may be written, and records the result.
+    /// Checks whether the attempt may be written, and records the result in `is_written`. Called immediately
+    /// before the attempt is written.
     fn check_and_record(&self) -> bool {
         let is_permitted = self.permits_write();
         self.is_written.store(is_permitted, Ordering::Relaxed);
@@ -55,13 +58,14 @@
 
 /// A request body that checks the write guard when it is polled.
 ///
-/// The connection's task polls the body in the step in which it writes the head, before any of it is flushed.
-/// This is the last opportunity for a check: while the dispatch waited for a new or reused connection, the
-/// worker may have been listed as draining or at another address, or the write deadline may have passed. A
-/// request whose body is incomplete never runs.
+/// The connection's task polls the body in the same step in which it writes the request's head to its buffer,
+/// before any byte is sent. This is the last opportunity for a check: while the dispatch waited for a new or
+/// reused connection, the worker may have been listed as draining or at another address, or the write
+/// deadline may have passed. If the check fails, the request's body stays incomplete, and a worker never runs
+/// a request with an incomplete body.
 pub(super) struct GuardedBody {
     body: Full<Bytes>,
-    /// The write guard; `None` after it has been checked, and for a body without a guard.
+    /// The write guard; `None` after it has been checked, and for a body that needs no check.
     guard: Option<WriteGuard>,
 }
 
@@ -95,8 +99,9 @@
         self.body.is_end_stream() && self.guard.is_none()
     }
 
-    // For an empty body, hyper only asks for the length. If the guard forbids the write, the length is
-    // reported as unknown, so that the body is polled and returns the error.
+    // For an empty body, hyper asks only for the length and does not poll the body. If the guard forbids the
+    // write, the length is therefore reported as unknown, so that hyper polls the body and gets the error
+    // [`BodyWithheld`].
     fn size_hint(&self) -> SizeHint {
         let is_empty = self.body.is_end_stream();
         let is_withheld = is_empty && self.guard.as_ref().is_some_and(|guard| !guard.check_and_record());
--- a/crates/proxy/src/upstream/http/load_query.rs
+++ b/crates/proxy/src/upstream/http/load_query.rs
@@ -24,8 +24,8 @@
 /// The path at which workers answer load queries.
 const LOAD_QUERY_PATH: &str = "/-/load";
 /// How long after its deadline the response to a load query is still read, so that its connection can be
-/// reused. Otherwise each load query that waits long in a worker's queue would cost its connection, and the
-/// next request would need a new one.
+/// reused. Otherwise the connection of each load query that waits long in a worker's queue would be closed,
+/// and the next request to this worker would need a new connection.
 const LATE_RESPONSE_WINDOW: Micros = 4 * SECOND;
 
 /// Sends load queries, at most one at a time to each worker.
@@ -37,7 +37,8 @@
     max_load_queries: usize,
 }
 
-/// A permit for one load query at a worker, which is released when the permit is dropped.
+/// A permit for one load query to a worker. When the permit is dropped, another load query may be sent to
+/// this worker.
 struct LoadQueryPermit {
     queried_workers: Arc<Mutex<HashSet<WorkerId>>>,
     worker: WorkerId,
@@ -50,7 +51,8 @@
 }
 
 impl LoadQuerySender {
-    /// Creates a sender whose limits fit a process with `descriptor_limit` file descriptors.
+    /// Creates a sender that derives its limit on load queries in flight from `descriptor_limit`, the number
+    /// of file descriptors that the process may open.
     pub(super) fn new(
         connections: Arc<WorkerConnections>,
         endpoints: Arc<EndpointTable>,
@@ -64,8 +66,9 @@
         }
     }
 
-    /// Sends a load query and waits for the answer until the deadline. Without a permit or an address nothing
-    /// is sent, and the outcome is [`Outcome::Superseded`].
+    /// Sends a load query to a worker, and waits for the answer until the deadline. If the limits permit no
+    /// load query now or the worker has no serving address, nothing is sent and the outcome is
+    /// [`Outcome::Superseded`].
     pub(super) async fn send(&self, worker: WorkerId, deadline: Instant) -> LoadQueryResult {
         let Some(permit) = self.try_acquire(worker) else { return Outcome::Superseded.into() };
         let Some(mut request) = self.build_query(worker) else { return Outcome::Superseded.into() };
@@ -103,8 +106,8 @@
         build_request(Method::GET, address, path, GuardedBody::empty())
     }
 
-    /// Spawns a task that sends a load query and reads the response, until [`LATE_RESPONSE_WINDOW`] after the
-    /// deadline.
+    /// Spawns a task that sends a load query and reads the response. The task is dropped
+    /// [`LATE_RESPONSE_WINDOW`] after the deadline.
     fn spawn_query(
         &self,
         request: Request<GuardedBody>,
--- a/crates/proxy/src/upstream/http/load_report.rs
+++ b/crates/proxy/src/upstream/http/load_report.rs
@@ -23,7 +23,7 @@
     Some(report)
 }
 
-/// Parses a load report in the form of a header value, `TEXT name=value, name=value`.
+/// Parses a load report in the form of a header value: the word `TEXT`, then a list `name=value, name=value`.
 pub fn parse_load_header(value: &str) -> Option<LoadReport> {
     let pairs = value.trim().strip_prefix("TEXT")?;
     let mut report = LoadReport::default();
@@ -41,8 +41,9 @@
     value.and_then(parse_load_header)
 }
 
-/// Parses the load report in the response to a load query. The body may contain it as a JSON object or in the
-/// form of the header value; if it contains none, the header is used.
+/// Parses the load report in the response to a load query. The body may contain the load report as a JSON
+/// object, or as text in the form of the load report header. If the body contains no load report, the header
+/// is used.
 pub fn parse_load_response(headers: &HeaderMap, body: &[u8]) -> Option<LoadReport> {
     let object = json::parse_bytes(body).ok();
     let from_object =
@@ -51,7 +52,7 @@
     from_object.or(from_text).or_else(|| header_load_report(headers))
 }
 
-/// Sets the field of a load report to which the protocol gives this name; unknown names are ignored.
+/// Sets the field of a load report that the protocol calls `name`. An unknown name is ignored.
 fn set_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "queue" | "waiting" => report.queue = Some(value),
--- a/crates/proxy/src/upstream/http/mod.rs
+++ b/crates/proxy/src/upstream/http/mod.rs
@@ -37,7 +37,9 @@
 }
 
 impl HttpUpstream {
-    /// Creates a client whose limits fit a process with `descriptor_limit` file descriptors.
+    /// Creates a client for all workers. Its limits on dispatches, cancellations, load queries and idle
+    /// connections are derived from `descriptor_limit`, the number of file descriptors that the process may
+    /// open.
     pub fn new(
         settings: &ProxySettings,
         endpoints: Arc<EndpointTable>,
--- a/crates/proxy/src/upstream/http/request.rs
+++ b/crates/proxy/src/upstream/http/request.rs
@@ -26,14 +26,14 @@
     Request::builder().method(method).uri(uri).body(body).ok()
 }
 
-/// Reads the body of a response; fails if it exceeds the maximum size.
+/// Reads the body of a response. Fails if the body is longer than [`MAX_RESPONSE_BODY_BYTES`].
 pub(super) fn read_body(body: Incoming) -> Collect<Limited<Incoming>> {
     Limited::new(body, MAX_RESPONSE_BODY_BYTES).collect()
 }
 
-/// The outcome of a failed request. It states that the request never ran only if that is certain: no
-/// connection was established, the body was withheld, or the client library did not write the request. In all
-/// other cases the outcome is a reset.
+/// The outcome of a failed request. An outcome that says that the request never ran is returned only if that
+/// is certain: no connection was established, the body was withheld, or the client library did not write the
+/// request. In all other cases the outcome is [`Outcome::Reset`].
 pub(super) fn failure_outcome(error: &Error) -> Outcome {
     let cause = error.source().and_then(|source| source.downcast_ref::<hyper::Error>());
     let is_withheld =
@@ -46,7 +46,8 @@
     }
 }
 
-/// Whether a request that may have run can be retried at any worker.
+/// Whether a request with the given idempotency can be retried at any worker although an earlier attempt may
+/// have run.
 pub(super) fn is_retryable_at_any_worker(idempotency: Idempotency) -> bool {
     matches!(
         idempotency,
@@ -54,7 +55,7 @@
     )
 }
 
-/// Reads the body of a response; empty if it cannot be read.
+/// Reads the body of a response. Returns an empty body if the response's body cannot be read.
 pub(super) async fn read_body_or_empty(body: Incoming) -> Bytes {
     read_body(body).await.map_or_else(|_| Bytes::new(), |body| body.to_bytes())
 }
--- a/crates/proxy/src/upstream/http/tracked_connector.rs
+++ b/crates/proxy/src/upstream/http/tracked_connector.rs
@@ -1,6 +1,8 @@
-//! A connector whose connections signal when their socket has been closed. The client library closes a
-//! connection in a separate task, some time after its last request was dropped. A worker treats an attempt as
-//! cancelled only after the socket has been closed.
+//! A connector whose connections signal when their socket has been closed.
+//!
+//! A worker treats an attempt as cancelled only after the attempt's socket has been closed. When a request is
+//! dropped, the client library closes the socket some time later, in a separate task, so that the signal is
+//! needed to wait for the close.
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -15,8 +17,8 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tower_service::Service;
 
-/// A token that is cancelled when the socket of its connection has been closed. It is stored in the extras of
-/// the connection's [`Connected`].
+/// A token that is cancelled when the socket of its connection has been closed. The token is attached to the
+/// connection's metadata, as an extra value of [`Connected`].
 #[derive(Clone)]
 pub(super) struct ClosedSignal(pub(super) CancellationToken);
 
@@ -38,8 +40,8 @@
     }
 }
 
-/// The stream of a tracked connection. Its fields are dropped in declaration order, so that the socket is
-/// closed before the signal is sent.
+/// The stream of a tracked connection. Its fields are dropped in declaration order: the socket is closed
+/// first, and the drop of the guard `closed` then sends the [`ClosedSignal`].
 pub(super) struct TrackedStream {
     stream: TokioIo<TcpStream>,
     closed: DropGuard,
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,4 +1,5 @@
-//! The interface of worker protocols.
+//! The interface through which request tasks use a worker protocol: sending attempts, cancellations and load
+//! queries.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{Outcome, WorkerId};
@@ -11,15 +12,17 @@
 
 pub mod http;
 
-/// A worker protocol. An implementation never retries a request by itself, and reports that an attempt never
-/// ran only if the protocol proves it.
+/// A protocol for communication with workers. An implementation never retries a request by itself. It reports
+/// that an attempt never ran only if the protocol makes this certain, for example because no connection was
+/// established.
 pub trait Upstream: Send + Sync + 'static {
-    /// The target of an attempt that begins now at this worker.
+    /// The target of an attempt: the worker with the id `worker` and the address at which it is listed at the
+    /// time of the call.
     fn target(&self, worker: WorkerId) -> AttemptTarget;
 
-    /// Dispatches an attempt, which is written only if `control` permits it. An aborted attempt ends as
-    /// superseded if it was not written. An aborted attempt that was written ends as cancelled after its
-    /// connection has been closed.
+    /// Dispatches an attempt, which is written only if `control` permits the write. If the attempt is aborted
+    /// before it is written, the dispatch returns [`Outcome::Superseded`]. If it is aborted after it was
+    /// written, its connection is closed, and the dispatch then returns [`Outcome::Cancelled`].
     fn dispatch<'a>(
         &'a self,
         target: &'a AttemptTarget,
@@ -28,8 +31,8 @@
         control: &'a DispatchControl,
     ) -> BoxFuture<'a, DispatchResult>;
 
-    /// Sends the cancellation of an attempt to its worker, and returns whether the worker has acknowledged it
-    /// by the deadline. The cancellation continues if the future is dropped.
+    /// Sends the cancellation of an attempt to its worker, and returns whether the worker has acknowledged
+    /// the cancellation by the deadline. Dropping the returned future does not end the cancellation.
     fn cancel(
         &self,
         target: &AttemptTarget,
@@ -37,8 +40,9 @@
         deadline: Instant,
     ) -> BoxFuture<'static, CancellationOutcome>;
 
-    /// Sends a load query to a worker and waits for the answer until the deadline. The default
-    /// implementation, for protocols without load queries, sends nothing and returns [`Outcome::Superseded`].
+    /// Sends a load query to a worker, and waits for the answer until the deadline. The default
+    /// implementation is for protocols without load queries: it sends nothing and returns
+    /// [`Outcome::Superseded`].
     fn query_load<'a>(&'a self, worker: WorkerId, deadline: Instant) -> BoxFuture<'a, LoadQueryResult> {
         let _ = (worker, deadline);
         Box::pin(std::future::ready(Outcome::Superseded.into()))
