--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -71,7 +71,8 @@
 struct WorkerStart {
     /// The worker's start time as given in the endpoint list, in microseconds since the Unix epoch.
     listed: Micros,
-    /// The worker's estimated start time, in microseconds on the scheduler's clock.
+    /// The worker's estimated start time, in microseconds on the scheduler's clock. The estimate can differ
+    /// from the listed time, for example after a step of the wall clock.
     estimated: Micros,
 }
 
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -136,7 +136,8 @@
 }
 
 impl FinalResponse {
-    /// The response's name in log messages and in the event log, of whose format it is a part.
+    /// The response's name in log messages and in the event log. The names are part of the event log's
+    /// format.
     pub fn name(&self) -> &'static str {
         match self {
             FinalResponse::Served(_) => "served",
@@ -154,7 +155,7 @@
 /// The end of an attempt that its worker did not accept.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchFailure {
-    /// How the attempt ended, which determines whether the request may be retried.
+    /// How the attempt ended. The outcome determines whether the request may be retried.
     pub outcome: Outcome,
     /// The load report in the worker's response, or `None` if there is no valid one.
     pub load_report: Option<LoadReport>,
@@ -181,10 +182,10 @@
     }
 }
 
-/// The outcome of an attempt that has ended, with the result and the load report of its worker, if any.
+/// The end of an attempt: its outcome and, if the worker sent them, the worker's result and load report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptCompletion {
-    /// How the attempt ended, which the dispatch policy is notified of.
+    /// How the attempt ended. The dispatch policy is notified of this outcome.
     pub outcome: Outcome,
     /// The worker's result, if the outcome is [`Outcome::Served`].
     pub result: Option<Bytes>,
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -27,8 +27,8 @@
 /// How long the rest of a response's body is read after the head has decided the attempt's outcome. If the
 /// body has not ended by then, the connection is closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
-/// How long after a connection's previous response a second, unexpected response to the previous request may
-/// still arrive. The value equals the tolerance that the protocol allows on time limits.
+/// How long after the first response to a request a second, unexpected response to the same request may
+/// arrive. The value equals the protocol's tolerance on time limits.
 const STRAY_RESPONSE_WINDOW: Micros = 50_000;
 
 /// The request's remaining time divided by this constant is the maximum time that is reserved for
