--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -5,9 +5,10 @@
 use crate::settings::Settings;
 use crate::time::{Micros, SECOND};
 
-/// The minimum time between the samples `oldest` and `next_oldest`, and also between `next_oldest` and the
-/// sample at which `next_oldest` becomes `oldest`. Samples are replaced so that a change of a clock's rate is
-/// detected and a clock that is back within the bound can be cleared.
+/// The shortest time between two successive reference samples (`oldest`, then `next_oldest`), and the age
+/// that `next_oldest` must reach before it replaces `oldest`. Without the replacement, samples would be
+/// compared over an ever longer time: a change of a clock's rate would be detected late, and a proven drift
+/// would never be cleared.
 const SAMPLE_WINDOW: Micros = 30 * SECOND;
 /// The duration that samples without a proven drift must cover before a clock counts as within the bound.
 const CLEARING_SPAN: Micros = SAMPLE_WINDOW / 6;
@@ -17,11 +18,12 @@
 /// A proven difference between the rates of two clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockDrift {
-    /// Whether the local clock runs faster than the remote one; otherwise it runs slower. In the leader's
-    /// report on its own clock, the remote clocks are the members' clocks. The comparison cannot tell which
-    /// of the two clocks is wrong.
+    /// Whether the local clock runs faster than the remote clock; otherwise the local clock runs slower. If a
+    /// leader reports the drift of its own clock, the remote clocks are those of the other members. The
+    /// comparison cannot tell which of the clocks is wrong.
     pub is_fast: bool,
-    /// The smallest difference that explains the samples, in parts per million.
+    /// The smallest difference between the rates of the two clocks that explains the samples, in parts per
+    /// million.
     pub min_ppm: u64,
 }
 
@@ -78,8 +80,8 @@
         match self.next_oldest {
             None if sample.sent_at - oldest.sent_at >= SAMPLE_WINDOW => self.next_oldest = Some(sample),
             Some(next) if sample.sent_at.saturating_sub(next.sent_at) >= SAMPLE_WINDOW => {
-                // A drift that was proven earlier is cleared if the samples since `next` prove none, because
-                // the comparison uses only these samples from here on.
+                // A drift that was proven against an older sample is cleared unless `next` and `sample` also
+                // prove a drift, because `next` becomes the oldest sample of the comparison.
                 self.drift = prove_drift(settings, next, sample);
                 (self.oldest, self.next_oldest) = (Some(next), None);
             }
--- a/crates/consensus/src/decision_conflict.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -6,8 +6,9 @@
 pub enum DecisionBasis {
     /// The version in force. The member held a lease when it decided.
     InForce(Version),
-    /// The restricted rules: what all versions from the one in force to the newest allow. Without a lease
-    /// they are narrowed to what no later version may forbid ([`crate::Rules::without_lease`]).
+    /// The restricted rules, which allow only what every version from `in_force` to `newest` allows. If the
+    /// member had no lease, the restricted rules also forbid whatever a later version may forbid
+    /// ([`crate::Rules::without_lease`]).
     Restricted {
         /// The version that the member last knew to be in force.
         in_force: Version,
@@ -30,11 +31,12 @@
     pub is_allowed: bool,
 }
 
-/// Whether two decisions conflict: they are based on different versions, and one allowed what the other
-/// forbade.
+/// Whether two decisions on the same request conflict, where one allowed the request and the other forbade
+/// it.
 ///
-/// Restricted rules are not a version. It is no conflict if they forbid what a version allows; it is a
-/// conflict if they allow what a version in force forbids, whether or not the member knew that version.
+/// Two decisions under versions in force conflict if the versions differ. A decision under restricted rules
+/// may forbid what a version in force allows, but conflicts if it allows what a version in force forbids,
+/// whether or not the member knew that version.
 pub fn decisions_conflict<Q: PartialEq>(first: &Decision<Q>, second: &Decision<Q>) -> bool {
     if first.request != second.request || first.is_allowed == second.is_allowed {
         return false;
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -44,15 +44,15 @@
     /// Reports that this version took effect.
     VersionInForce(Version),
     /// Reports that this member no longer has a lease, because no new grant from a leader with a quorum
-    /// arrived in time or because its clock was proven to drift. Until [`Effect::LeaseRestored`] it follows
-    /// the restricted rules, and it may not learn of version changes.
+    /// arrived in time or because its clock was proven to drift. Until [`Effect::LeaseRestored`], this member
+    /// follows the restricted rules, and version changes may fail to reach it.
     LeaseExpired,
     /// Reports that a lease holds again after [`Effect::LeaseExpired`].
     LeaseRestored,
-    /// Reports that the drift between this member's clock and the leader's exceeds the clock bound. A member
-    /// that proves such a drift follows the restricted rules until [`Effect::ClockDriftCleared`]. The leader
-    /// also reports its own clock when most of the other members report a drift, and then transfers the
-    /// leadership.
+    /// Reports a drift between this member's clock and other clocks that exceeds the clock bound. A member
+    /// that proves a drift between its own clock and the leader's follows the restricted rules until
+    /// [`Effect::ClockDriftCleared`]. The leader reports a drift of its own clock if most of the other
+    /// members have proven a drift from the leader's clock, and then transfers the leadership.
     ClockDriftDetected(ClockDrift),
     /// Reports that the member's clock is within the clock bound again.
     ClockDriftCleared,
@@ -62,7 +62,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum RejectionReason {
-    /// The proposal's base is not the newest version. Also reported if too many versions are pending.
+    /// The proposal's base is not the newest version. The same reason is given for a proposal that arrives
+    /// while [`crate::Settings::max_pending_versions`] versions are pending, because the leader's response
+    /// does not distinguish the two cases.
     StaleBase,
     /// The document exceeds [`crate::Settings::max_document_bytes`], or cannot be serialized.
     TooLarge,
--- a/crates/consensus/src/input.rs
+++ b/crates/consensus/src/input.rs
@@ -23,8 +23,8 @@
     },
     /// Confirmation that all writes up to and including this token of [`crate::Effect::Persist`] are durable.
     Persisted(WriteToken),
-    /// The names of all other members that the membership lists. The leader sends updates to these members,
-    /// and counts them in the comparison of clocks, even before they have sent a request; safety does not
-    /// depend on them.
+    /// The names of all other members on the membership list. The leader sends updates to these members, and
+    /// counts them in the comparison of clocks, even before they have sent a request. An incomplete or
+    /// outdated list does not affect safety.
     Members(&'a [String]),
 }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -11,15 +11,16 @@
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// The maximum number of appended proposals that are remembered, so that a resent one is not appended again
-/// at once. Further proposals are not appended.
+/// The maximum number of appended proposals that the leader remembers, so that a resent proposal is not
+/// appended again at once. While the leader remembers this many proposals, no other proposal is appended.
 const MAX_APPENDED_PROPOSALS: usize = 1_024;
 /// The number of other members that must have been heard from recently before their reports on the leader's
 /// clock count. A member that the leader knows only from the membership list counts as heard from at the time
 /// when the leader adds it.
 const MIN_CLOCK_REPORTERS: usize = 2;
 
-/// An activation command that the leader appended to the log, which puts a version in force.
+/// The version that an activation command puts in force, and the time at which the leader appended that
+/// command to the log.
 struct Activation {
     version: Version,
     appended_at: Micros,
@@ -99,9 +100,9 @@
         is_due
     }
 
-    /// Returns whether a proposal must be appended now, and if so records the time: further calls for it
-    /// return false until the lease expiry wait has passed. Also false while [`MAX_APPENDED_PROPOSALS`]
-    /// proposals are remembered.
+    /// Returns whether a proposal must be appended now, and if so records the time: further calls for the
+    /// same proposal return false until the lease expiry wait has passed. Also returns false while
+    /// [`MAX_APPENDED_PROPOSALS`] proposals are remembered.
     pub(crate) fn take_due_proposal(&mut self, now: Micros, id: &ProposalId, settings: &Settings) -> bool {
         let wait = settings.lease_expiry_wait();
         self.appended_proposals.retain(|_, appended_at| now.saturating_sub(*appended_at) < wait);
@@ -143,9 +144,9 @@
         Some(version)
     }
 
-    /// Returns the members that are due an update, each with the newest version that it has reported, and
-    /// records the time of sending. First adds `known_members`, and removes members that have not been heard
-    /// from recently and cannot hold a lease.
+    /// Returns the members that are due an update, each with the newest version that the member has reported,
+    /// and records the time of sending. Before that, starts to track the members in `known_members`, and
+    /// stops tracking members that have not been heard from recently and cannot hold a lease.
     pub(crate) fn take_members_to_update(
         &mut self,
         now: Micros,
@@ -173,9 +174,9 @@
         outdated
     }
 
-    /// The drift of the leader's own clock if most of the other members that were heard from recently report
-    /// one. At least [`MIN_CLOCK_REPORTERS`] must have been heard from; returned at most once per lease
-    /// expiry wait.
+    /// The drift of the leader's own clock, if most of the other members that were heard from recently report
+    /// a drift. `None` if fewer than [`MIN_CLOCK_REPORTERS`] other members were heard from recently, or if a
+    /// drift was returned within the last lease expiry wait.
     pub(crate) fn take_own_drift(&mut self, now: Micros, settings: &Settings) -> Option<ClockDrift> {
         let recent = self.members.values().filter(|member| member.is_recent(now));
         let reports: Vec<Option<ClockDrift>> = recent.map(MemberProgress::drift).collect();
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -28,7 +28,8 @@
 /// A member's lease, and the versions that may be in force as far as the member knows.
 ///
 /// While the lease holds, the version in force is one of the known versions. Only the member's
-/// [`crate::Node`] modifies it. A clone serves as a snapshot for another thread, and is cheap.
+/// [`crate::Node`] changes the lease and the versions. Cloning is cheap, and a clone serves as a snapshot for
+/// another thread.
 #[derive(Clone, Debug)]
 pub struct LeasedRules<R> {
     /// All versions from the one last known to be in force to the newest; never empty.
@@ -41,8 +42,8 @@
     /// Whether the member's clock is proven to drift beyond the clock bound, so that the expiry time of the
     /// lease is not reliable.
     is_clock_suspect: bool,
-    /// False only in tests that disable the lease check, to show that their search finds the conflicting
-    /// decisions that result.
+    /// Whether decisions check the lease. False only in tests that verify that they detect the conflicting
+    /// decisions which a missing lease check causes.
     checks_lease: bool,
 }
 
@@ -100,11 +101,12 @@
         self.versions.last_key_value().map_or(Version::default(), |(version, _)| *version)
     }
 
-    /// Applies the leader's versions, from the one in force to the newest, and the documents of some of them.
+    /// Applies an update from the leader, which lists all versions from the one in force to the newest, and
+    /// has the documents of some of them.
     ///
-    /// Returns whether this member now knows all of these versions, apart from those older than the version
-    /// that it already knew to be in force. If a document is missing or damaged, nothing changes, and no
-    /// lease may be based on this update.
+    /// Returns whether this member then knows every listed version; a version older than the member's version
+    /// in force need not be known. If a document is missing or damaged, nothing changes, and no lease may be
+    /// based on the update.
     pub(crate) fn apply_update(&mut self, versions: &[Version], documents: &[VersionedDocument]) -> bool {
         let (Some(&first), Some(&last)) = (versions.first(), versions.last()) else { return false };
         if self.is_outdated(first, last) {
@@ -153,8 +155,8 @@
         self.is_clock_suspect = is_suspect;
     }
 
-    /// Disables the lease check, so that a test can show that its search finds the conflicting decisions that
-    /// result.
+    /// Disables the lease check, for tests that verify that they detect the conflicting decisions which a
+    /// missing lease check causes.
     pub(crate) fn disable_lease_check(&mut self) {
         self.checks_lease = false;
     }
--- a/crates/consensus/src/member_progress.rs
+++ b/crates/consensus/src/member_progress.rs
@@ -27,7 +27,8 @@
 }
 
 impl MemberProgress {
-    /// A member known only from the membership, which counts as heard from at `now`.
+    /// Creates the progress of a member that the leader knows only from the membership list. The member
+    /// counts as heard from at `now`.
     pub(crate) fn from_membership(now: Micros) -> MemberProgress {
         MemberProgress { last_heard: now, ..MemberProgress::default() }
     }
@@ -55,8 +56,8 @@
         self.granted_at.retain(|_, granted_at| may_be_leased(now, *granted_at, settings));
     }
 
-    /// Whether the member knows the version, or every lease that was granted to it while an older version was
-    /// the newest has expired.
+    /// Whether this member permits the activation of the version: the member knows the version, or can no
+    /// longer hold a lease that was granted while an older version was the newest.
     pub(crate) fn allows_activation(&self, version: Version, now: Micros, settings: &Settings) -> bool {
         let mut earlier = self.granted_at.iter().filter(|(newest, _)| **newest < version);
         self.newest >= version || !earlier.any(|(_, granted_at)| may_be_leased(now, *granted_at, settings))
@@ -73,7 +74,9 @@
         is_heard_from || !self.granted_at.is_empty()
     }
 
-    /// Whether to send the member an update to these versions now, at most twice per maximum round trip.
+    /// Whether to send the member an update now: the member has not reported the versions `in_force` and
+    /// `newest` yet, was heard from recently, and was sent no update within the last half of a maximum round
+    /// trip.
     pub(crate) fn needs_update(
         &self,
         now: Micros,
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -47,10 +47,10 @@
     /// The token of the last write; the next write takes the token after this one.
     last_token: WriteToken,
     state: ReplicatedState,
-    /// The largest generation known of any voter, which becomes the epoch if this member starts the first
-    /// one.
+    /// The largest known generation of any voter, which becomes the number of the first epoch if this member
+    /// starts that epoch.
     max_generation: u64,
-    /// `Some` while this member leads the voters.
+    /// The state that this member keeps while it leads the voters; `None` while it does not lead.
     leader: Option<LeaderState>,
     next_tick_at: Micros,
     lease: LeaseClient,
@@ -62,12 +62,12 @@
 }
 
 impl<R: Rules> Node<R> {
-    /// Creates a member without a lease, which follows the rules of its own configuration, restricted, until
-    /// the first grant.
+    /// Creates a member without a lease. Until the first lease grant, the member follows the restricted form
+    /// of the rules of its own configuration.
     ///
     /// `seed` determines all random numbers of the member. The seed must differ for each start of each
-    /// process, because it also determines the session number, by which responses to an earlier process are
-    /// recognized.
+    /// process, because the seed also determines the session number, by which a member recognizes responses
+    /// to an earlier process.
     ///
     /// # Errors
     /// Returns an error if the settings, the name, the initial rules or the stored state are invalid.
@@ -115,8 +115,8 @@
         })
     }
 
-    /// Disables the lease check in decisions, so that a test can show that its search finds the conflicting
-    /// decisions that result.
+    /// Disables the lease check in decisions, for tests that verify that they detect the conflicting
+    /// decisions which a missing lease check causes.
     #[doc(hidden)]
     pub fn without_lease_check(mut self) -> Node<R> {
         self.leased_rules.disable_lease_check();
@@ -192,8 +192,8 @@
             let has_output = voter.drain(&mut output);
             let leader_term = voter.leader_term();
             if self.leader.as_ref().map(LeaderState::term) != leader_term {
-                // `now` becomes the start of the wait in `LeaderState::next_activation`: leases of earlier
-                // leaders were requested before now, so they expire within one lease expiry wait.
+                // `now` starts the lease expiry wait in `LeaderState::next_activation`. The leases of earlier
+                // leaders were requested before `now`, so they have expired at the end of that wait.
                 self.leader = leader_term.map(|term| LeaderState::new(term, now));
             }
             self.apply_output(output, effects);
--- a/crates/consensus/src/node/leader_duties.rs
+++ b/crates/consensus/src/node/leader_duties.rs
@@ -46,9 +46,12 @@
         })
     }
 
-    /// The command that starts the epoch after one that a member reports, if the reported epoch is later than
-    /// the leader's. This happens if the reported epoch was started before all voters lost their storage, and
-    /// its number was taken from a voter's generation that was read from a clock that was ahead.
+    /// The command that starts a new epoch if a member reports an epoch later than the leader's. The number
+    /// of the new epoch is one above the reported number.
+    ///
+    /// A member can report such an epoch after all voters have lost their storage. The number of the first
+    /// epoch is a voter's generation, which is read from a clock: if that clock was ahead, the epoch before
+    /// the loss has a higher number than the first epoch after the loss.
     fn epoch_command_after_lost_storage(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/node/lease_client.rs
+++ b/crates/consensus/src/node/lease_client.rs
@@ -206,8 +206,9 @@
         }
     }
 
-    /// Applies the leader's versions and reports changes. Returns whether this member now knows all of these
-    /// versions, apart from those older than the version that it already knew to be in force.
+    /// Applies an update from the leader, and reports a new committed version and a new version in force.
+    /// Returns whether this member then knows every listed version; a version older than the member's version
+    /// in force need not be known.
     fn apply_update(&mut self, update: &VersionUpdate, effects: &mut Vec<Effect>) -> bool {
         let (in_force, newest) = (self.leased_rules.in_force(), self.leased_rules.newest());
         let is_known = self.leased_rules.apply_update(&update.versions, &update.documents);
--- a/crates/consensus/src/node/proposals.rs
+++ b/crates/consensus/src/node/proposals.rs
@@ -1,4 +1,5 @@
-//! Proposals, which the proposing member resends until it has the result, and the leader appends to the log.
+//! Proposals: the proposing member resends a proposal until it receives the result, and the leader appends
+//! the proposal to the log.
 use std::collections::BTreeMap;
 
 use super::Node;
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -1,8 +1,9 @@
-//! The rejoining of a voter without stored state.
+//! The rejoining of a voter that has no stored state.
 //!
-//! Such a voter may have voted in the current term without remembering it. It therefore votes only after it
-//! has stored a state that a leader committed after its request, or, if no voter has any stored state, after
-//! all earlier leases have expired.
+//! Such a voter may have voted in the current term and lost the record of that vote. To avoid a second vote
+//! in the same term, the voter takes part in votes only after it has stored a state that a leader committed
+//! after receiving the voter's rejoin request. If no voter has any stored state, the voter instead waits
+//! until all earlier leases have expired.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -22,7 +23,7 @@
         let Role::Rejoining(rejoin) = &mut self.role else { return };
         let started_at = *rejoin.started_at.get_or_insert(now);
         let are_all_empty = rejoin.empty_voters.len() as u64 == voter_count - 1;
-        // After this wait, the leases that were granted before the storage was lost have expired.
+        // After the lease expiry wait, every lease that was granted before the storage was lost has expired.
         if are_all_empty && now.saturating_sub(started_at) >= self.settings.lease_expiry_wait() {
             let generations = rejoin.empty_voters.values().copied();
             self.max_generation = generations.fold(self.max_generation, u64::max);
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -9,8 +9,8 @@
 use crate::storage::{LogEntry, Snapshot, WriteToken};
 use crate::voter_id::VoterId;
 
-/// The proposal or rejoining voter that caused a command, and that is sent a response once the command is
-/// applied.
+/// The cause of a command: a proposal, or the rejoin request of a voter. Once the command is applied, the
+/// leader responds to the proposing member or the rejoining voter.
 enum CommandOrigin {
     Proposal(ProposalId),
     RejoiningVoter { voter_id: VoterId, nonce: u64 },
@@ -111,8 +111,9 @@
         let Some(leader) = &self.leader else { return };
         match origin {
             Some(CommandOrigin::Proposal(id)) => self.send_proposal_result(id, effects),
-            // Responds only if the entry is of the leader's own term, because a quorum that excludes the
-            // rejoining voter has then accepted the entry from this leader.
+            // Responds only to an entry of the leader's own term, because the rejoining voter records a vote
+            // for this leader in the term of the entry. Such an entry is committed only once a quorum without
+            // the rejoining voter has accepted the entry from this leader.
             Some(CommandOrigin::RejoiningVoter { voter_id, nonce }) if leader.term() == entry.term => {
                 self.send_rejoin_snapshot(voter_id, nonce, entry, effects);
             }
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -6,7 +6,7 @@
 use crate::time::Micros;
 use crate::voter_id::VoterId;
 
-/// A member's role in Raft.
+/// A member's role in Raft, which determines whether the member takes part in votes.
 pub(super) enum Role {
     /// A non-voter, which only holds leased copies of the document.
     NonVoter,
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -68,8 +68,8 @@
     LeaseGrant(LeaseGrant),
     /// An update of the committed versions that grants no lease.
     VersionUpdate(VersionUpdate),
-    /// The response to a lease request by a voter that is not the leader: the leader, as far as that voter
-    /// knows.
+    /// The response of a voter that is not the leader to a lease request. Names the leader, as far as that
+    /// voter knows.
     LeaderHint {
         session: u64,
         leader_id: VoterId,
--- a/crates/consensus/src/quorum_reads.rs
+++ b/crates/consensus/src/quorum_reads.rs
@@ -9,7 +9,7 @@
 /// The maximum number of quorum reads that may be pending at once.
 const MAX_PENDING_READS: usize = 16;
 
-/// The parts of a member's lease request that its grant needs.
+/// The parts of a member's lease request that the leader needs to grant the lease.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingLease {
     pub(crate) session: u64,
@@ -57,7 +57,9 @@
             .or_insert(lease);
     }
 
-    /// Starts the next read if any request waits for one and the limits allow it; returns the ID of the read.
+    /// Starts the next quorum read and returns its ID. Returns `None` if no lease request waits for a read,
+    /// if [`MAX_PENDING_READS`] reads are pending, or if the last pending read was started less than a
+    /// quarter of a tick interval ago.
     pub(crate) fn start_read(&mut self, now: Micros, settings: &Settings) -> Option<u64> {
         let age = |read: &PendingRead| now.saturating_sub(read.started_at);
         while self.pending.front().is_some_and(|read| age(read) > settings.max_round_trip) {
--- a/crates/consensus/src/raft_message.rs
+++ b/crates/consensus/src/raft_message.rs
@@ -54,7 +54,8 @@
 }
 
 impl RaftMessage {
-    /// Converts a message of the crate `raft`; `None` for a kind that voters do not send each other.
+    /// Converts a message of the crate `raft` to the type that is sent on the wire. Returns `None` for a kind
+    /// of message that voters do not send each other.
     pub(crate) fn from_raft(message: &eraftpb::Message) -> Option<RaftMessage> {
         let message_type = message.get_msg_type();
         let kind = MESSAGE_KINDS.iter().find(|(_, raft_type)| *raft_type == message_type)?.0;
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -72,11 +72,11 @@
 
     /// Passes a tick to Raft, or skips it to randomize the election timeout.
     ///
-    /// The random election timeout of the crate `raft` cannot be seeded, so it is configured to the single
-    /// value [`ELECTION_TICKS`]. Instead, the last tick before an election is skipped 0 to [`ELECTION_TICKS`]
-    /// times, drawn from this voter's seeded generator. This delays only the voter's own election:
-    /// `election_tick` ticks after the last heartbeat (see [`raft_config`]), it already grants its vote to
-    /// others.
+    /// The random election timeout of the crate `raft` cannot be seeded, so that timeout is fixed at
+    /// [`ELECTION_TICKS`]. To randomize the start of an election, this voter skips the last tick before the
+    /// election 0 to [`ELECTION_TICKS`] times; the number is drawn from the voter's seeded generator. Skipped
+    /// ticks delay only the elections that this voter starts, not its votes for others: a voter grants these
+    /// once `election_tick` ticks (see [`raft_config`]) have passed since the last heartbeat.
     pub(crate) fn tick(&mut self) {
         let raft = &self.raft.raft;
         let is_before_election =
@@ -98,8 +98,8 @@
         (self.raft.raft.state == StateRole::Leader).then_some(self.raft.raft.term)
     }
 
-    /// Whether an entry of the current term is applied here, which implies that everything that earlier
-    /// leaders committed is applied too.
+    /// Whether this voter has applied an entry of the current term, which implies that it has applied
+    /// everything that earlier leaders committed.
     pub(crate) fn has_applied_own_term(&self) -> bool {
         self.raft.raft.apply_to_current_term()
     }
--- a/crates/consensus/src/raft_voter/message_check.rs
+++ b/crates/consensus/src/raft_voter/message_check.rs
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Whether the entries are consecutive, have valid terms, and agree with the entries committed here.
+    /// Whether the entries are consecutive, have valid terms, and agree with the entries that this voter
+    /// knows to be committed.
     fn has_acceptable_entries(&self, message: &RaftMessage) -> bool {
         let log = &self.raft.raft.raft_log;
         let mut expected_index = message.index;
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -44,8 +44,9 @@
 impl Default for Settings {
     /// Settings without voters, which the caller must add.
     ///
-    /// The staleness bound is 1.998 s: a lease of 1.8 s, clocks within 1 %, and a round trip of at most 0.18
-    /// s. Ticks are 20 ms apart, and documents are limited to 256 KiB.
+    /// The lease duration is 1.8 s, the clock bound 1 % and the maximum round trip 0.18 s, which give a
+    /// [`Settings::staleness_bound`] of 1.8 s * 1.01 + 0.18 s = 1.998 s. The tick interval is 20 ms, and the
+    /// size limit of documents is 256 KiB.
     fn default() -> Settings {
         Settings {
             voters: Vec::new(),
@@ -134,9 +135,10 @@
         if distinct.len() == self.voters.len() { Ok(()) } else { Err(SettingsError::DuplicateVoter) }
     }
 
-    /// The staleness bound in microseconds: no member acts on an older version later than this after a newer
-    /// one took effect, even if the leader's clock exceeds the clock bound. It is
-    /// `lease_duration * (1 + drift) + max_round_trip`, where `drift` is `max_drift_ppm` / 1,000,000.
+    /// The staleness bound in microseconds: the longest time for which any member may still act on an older
+    /// version after a newer version took effect. The bound holds even if the leader's clock exceeds the
+    /// clock bound. It is `lease_duration * (1 + drift) + max_round_trip`, where `drift` is `max_drift_ppm` /
+    /// 1,000,000.
     pub fn staleness_bound(&self) -> Micros {
         self.stretch_by_drift(self.lease_duration).saturating_add(self.max_round_trip)
     }
--- a/crates/membership-transport/src/config.rs
+++ b/crates/membership-transport/src/config.rs
@@ -4,7 +4,7 @@
 
 use copperspread_membership::{Key, Settings, SettingsError};
 
-/// The configuration of one member.
+/// The configuration of one member: its addresses and identity, and the settings of the membership protocol.
 #[derive(Clone, Debug)]
 pub struct TransportConfig {
     /// The address that packets are received on and sent from, and that streams are received on. Streams to
--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -122,7 +122,8 @@
 
     /// Passes the waiting packets to the protocol, up to [`MAX_PACKETS_PER_TURN`].
     fn read_packets(&mut self) -> ReadProgress {
-        // The additional byte reveals a packet that is too large.
+        // The buffer is one byte longer than the largest valid packet, so that a packet that is too large is
+        // not cut to a valid size.
         let mut buffer = [0; MAX_PACKET_BYTES + 1];
         for _ in 0..MAX_PACKETS_PER_TURN {
             match self.sockets.udp.recv_from(&mut buffer) {
@@ -131,8 +132,9 @@
                     self.handle(Input::Packet(&buffer[..size]));
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // No packet is waiting, or the read returned a network error. Packets that still wait are
-                // then read in the next turn of the loop, at the latest after `MAX_POLL_TIMEOUT`.
+                // Either the socket has no more packets, or the read failed with a network error. Packets
+                // that are still waiting after an error are read in the next turn of the loop, at most
+                // `MAX_POLL_TIMEOUT` later.
                 Err(_) => return ReadProgress::Drained,
             }
         }
--- a/crates/membership-transport/src/shared.rs
+++ b/crates/membership-transport/src/shared.rs
@@ -1,4 +1,5 @@
-//! The state that the threads of a member share with its owner.
+//! The state that the threads of a member share with the [`MembershipTransport`](crate::MembershipTransport),
+//! which started these threads.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
 
--- a/crates/membership-transport/src/transport.rs
+++ b/crates/membership-transport/src/transport.rs
@@ -52,9 +52,9 @@
         let membership = new_membership(config, address, generation)?;
         let (sockets, waker) = sockets.register()?;
         let shared = Arc::new(Shared::new(membership.local_member().clone(), waker));
-        // If a thread cannot be started, dropping the transport ends those already running. The transport is
-        // declared before the queues, so that it is dropped after them: the stream threads can be joined only
-        // once the ends of the queues are dropped.
+        // If a thread cannot be started, `transport` is dropped, which ends and joins the threads that are
+        // already running. The stream threads end only once the ends of the queues are dropped. `transport`
+        // is therefore declared before these ends, so that it is dropped after them.
         let mut transport = MembershipTransport { shared: Arc::clone(&shared), address, threads: Vec::new() };
         let (driver_queues, stream_queues) = create_queues();
         transport.spawn_stream_threads(key, address.ip(), stream_queues)?;
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -1,5 +1,5 @@
-//! The runtime of `foca`: converts its notifications and packets into effects, and its timers into queued
-//! timers.
+//! Implements the runtime interface of `foca`, the library that runs the membership protocol: turns the
+//! notifications and packets of `foca` into effects, and queues the timers that `foca` requests.
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -19,7 +19,8 @@
     Protocol(Timer<Member>),
     /// Announce this member to the seeds and some known members, unless another member has answered.
     AnnounceToSeeds,
-    /// Exchange states with a random member if the state exceeds half a packet.
+    /// Request a state exchange with a random member if the encoded state of this member exceeds half a
+    /// packet. A smaller state fits into the packets of the protocol.
     ExchangeState,
 }
 
@@ -58,8 +59,8 @@
             }
             Notification::Rejoin(identity) => {
                 *self.has_joined = false;
-                // Counted as a local failure: if the other members declared this running member dead, it is
-                // slow or hard to reach.
+                // The other members declared this running member dead, so this member is slow or hard to
+                // reach. That counts as a failure in the local health of this member.
                 self.local_health.record_failure();
                 self.effects.push(Effect::SelfRefuted(identity.clone()));
             }
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -9,9 +9,9 @@
 
 /// The receivers of one round of announcements: all seeds, and some of the known members.
 ///
-/// Known members are included for the case that a member has taken a new identity and its first packets were
-/// lost: the other members keep sending to the old identity, and `foca` does nothing until a packet to the
-/// new one arrives.
+/// Announcements go to known members because the first packets under a new identity of this member may be
+/// lost. Other members then keep sending to the old identity, and `foca` does nothing until a packet to the
+/// new identity arrives.
 pub(crate) fn announce_targets<'a>(
     local: &Member,
     seeds: &[SocketAddr],
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,5 @@
-//! The identity of a member.
+//! The identity by which the members of the cluster know a scheduler, and the precedence of two identities
+//! with the same address.
 use std::net::SocketAddr;
 
 use foca::Identity;
@@ -26,7 +27,8 @@
     pub generation: u64,
     /// How often this process of the member has rejoined, under this generation, after the other members had
     /// declared it dead.
-    // The name in the JSON of the status page `GET /-/cluster`, which is fixed.
+    // The JSON of the status page `GET /-/cluster` names this field `returned`, and this JSON name must not
+    // change.
     #[serde(rename = "returned")]
     pub rejoins: u32,
 }
@@ -37,9 +39,9 @@
         [&self.name, &self.zone, &self.region].iter().all(|text| text.len() <= MAX_NAME_BYTES)
     }
 
-    /// This identity with a generation above that of `known`, an identity by which other members still know
-    /// an earlier process of this member. `None` if `known` does not take precedence over this identity, or
-    /// is another member at this address.
+    /// Returns this identity with a generation above that of `known`, the identity by which other members
+    /// still know an earlier process of this member. Returns `None` if `known` does not take precedence over
+    /// this identity, or if `known` belongs to a different member at the same address.
     pub(crate) fn with_generation_above(&self, known: &Member) -> Option<Member> {
         let known_takes_precedence =
             known.address == self.address && known.name == self.name && known.win_addr_conflict(self);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -26,10 +26,12 @@
     settings: Settings,
     key: Key,
     timers: TimerQueue<TimerEvent>,
-    /// Chooses partners for state exchanges; separate from the protocol's own generator.
+    /// The random number generator that chooses partners for state exchanges. The protocol has a separate
+    /// generator.
     rng: Pcg64Mcg,
     local_health: LocalHealth,
-    /// The instant of the last input. The detection of pauses does not count time before this instant.
+    /// The instant of the last input. The detection of pauses counts a timer as overdue only from this
+    /// instant on, because the process was still running then.
     last_handled: Micros,
     /// The instant at which the last authentic packet or state arrived.
     last_received: Micros,
@@ -113,14 +115,14 @@
         let has_rejoined =
             effects[first_new_effect..].iter().any(|effect| matches!(effect, Effect::SelfRefuted(_)));
         if has_rejoined && !self.has_ever_joined {
-            // This process is new and was taken for dead: the peer remembers an earlier process of this
-            // member, possibly with a later generation. From the state of the peer, this member learns the
-            // generation that it has to exceed.
+            // This process has never joined, but a peer declared it dead: the peer remembers an earlier
+            // process of this member, possibly with a later generation. From the state of the peer, this
+            // member learns the generation that it has to exceed.
             effects.extend(self.sender.map(Effect::ExchangeState));
         }
         if self.protocol.num_members() != member_count {
-            // The transmission limit and the suspicion timeout depend on the number of members. The result is
-            // ignored, because `foca` accepts a change of these parameters.
+            // The transmission limit and the suspicion timeout depend on the number of members. The result of
+            // `set_config` is ignored, because `foca` never rejects a change of these two parameters.
             let _ = self.protocol.set_config(self.settings.foca_config(self.protocol.num_members() + 1));
         }
         result
@@ -141,8 +143,8 @@
         match protocol.handle_data(body, collector) {
             Err(foca::Error::Decode(_) | foca::Error::MalformedPacket) => Err(PacketError::Malformed),
             Err(foca::Error::DataTooBig) => Err(PacketError::TooLarge),
-            // Any other error means that `foca` has ignored the packet, for example one that this member
-            // itself has sent.
+            // Any error other than a malformed or too large packet means that `foca` has ignored the packet,
+            // for example because this member itself has sent it.
             _ => Ok(()),
         }
     }
@@ -154,7 +156,8 @@
     fn raise_generation_above(&mut self, now: Micros, known: &Member, effects: &mut Vec<Effect>) {
         let Some(identity) = self.protocol.identity().with_generation_above(known) else { return };
         let (protocol, collector) = self.protocol_and_collector(now, effects);
-        // Only encoding can fail, and encoding to memory does not.
+        // `change_identity` does not fail here: its only possible error is that a packet cannot be encoded,
+        // and encoding to memory always succeeds.
         if protocol.change_identity(identity.clone(), collector).is_ok() {
             self.has_joined = false;
             effects.push(Effect::GenerationRaised(identity));
@@ -169,14 +172,15 @@
         }
         let updates = state.updates_for(self.protocol.identity(), self.protocol.iter_membership_state());
         let (protocol, collector) = self.protocol_and_collector(now, effects);
-        // Only encoding can fail, and encoding to memory does not.
+        // The result of `apply_many` is ignored: its only possible error is that a packet cannot be encoded,
+        // and encoding to memory always succeeds.
         let _ = protocol.apply_many(updates.into_iter(), true, collector);
     }
 
     /// Detects a pause of this process, which is assumed if a timer is overdue by more than the probe
-    /// timeout. Delays all timers by that time, and raises the local health multiplier. After a pause, timers
-    /// are overdue while the answers of other members still wait to be read; without the delay, these members
-    /// would be suspected.
+    /// timeout. After a pause, delays all timers by the time that this timer is overdue, and raises the local
+    /// health multiplier. When a process resumes, its timers are overdue while the answers of other members
+    /// still wait to be read; without the delay, these members would be suspected.
     fn detect_pause(&mut self, now: Micros) {
         let overdue = self.timers.next_due().map_or(0, |due| now.saturating_sub(due.max(self.last_handled)));
         if overdue > self.settings.probe_timeout {
@@ -251,7 +255,8 @@
         let local = self.protocol.identity();
         for target in announce_targets(local, &self.settings.seeds, self.members(), now) {
             let (protocol, collector) = self.protocol_and_collector(now, effects);
-            // Only encoding can fail, and encoding to memory does not.
+            // The result of `announce` is ignored: its only possible error is that a packet cannot be
+            // encoded, and encoding to memory always succeeds.
             let _ = protocol.announce(target, collector);
         }
     }
@@ -274,7 +279,8 @@
     /// Leaves the cluster. Notifies the other members, so that they do not have to detect the absence.
     pub fn leave(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let (protocol, collector) = self.protocol_and_collector(now, effects);
-        // Only encoding can fail, and encoding to memory does not.
+        // The result of `leave_cluster` is ignored: its only possible error is that a packet cannot be
+        // encoded, and encoding to memory always succeeds.
         let _ = protocol.leave_cluster(collector);
     }
 
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -8,11 +8,11 @@
 use crate::seal::MAX_PACKET_BODY_BYTES;
 use crate::time::{Micros, SECOND};
 
-/// The maximum number of times that each member sends an update is this factor times `log10(members + 1)`,
-/// rounded up and limited to [`TRANSMISSION_BOUNDS`]. With smaller factors, some of the members that wait for
-/// a refutation are never reached under heavy packet loss, and a running member is declared dead: at 30 %
-/// loss, 9 members need more than Serf's 4, and more than 8 even with a suspicion multiplier of 8; 14 is
-/// enough.
+/// The factor that determines how often each member sends an update: at most this factor times `log10(members
+/// + 1)` times, rounded up and limited to [`TRANSMISSION_BOUNDS`]. If the factor is too small and many
+/// packets are lost, some of the members that wait for a refutation never receive it, and a running member is
+/// declared dead. With 9 members and a packet loss of 30 %, a factor of 14 is enough; 4, as in Serf, is too
+/// small, and so is 8 even with a suspicion multiplier of 8.
 const TRANSMISSION_MULTIPLIER: f64 = 14.0;
 /// Minimum and maximum of the number of times that each member sends an update. `foca` stores the number in
 /// one byte. The maximum of 60 is reached only with about 16,000 members.
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -18,8 +18,9 @@
     pub(crate) fn new<'a>(local: &Member, known: impl Iterator<Item = &'a KnownMember>) -> MembershipState {
         let (up, down): (Vec<_>, Vec<_>) =
             known.cloned().partition(|member| member.state() != MemberStatus::Down);
-        // The entry has the initial incarnation, which refutes no suspicion. The packets of the local member
-        // carry its current incarnation.
+        // The entry of the local member has the initial incarnation, so a state exchange refutes no suspicion
+        // of the local member. Such a suspicion is refuted by the packets of the local member, which carry
+        // its current incarnation.
         let local = foca::Member::alive(local.clone());
         // The members that are up come first, because the end of a large state is left out when it is sealed.
         MembershipState(std::iter::once(local).chain(up).chain(down).collect())
@@ -45,7 +46,7 @@
     pub fn seal(&self, key: &Key) -> Vec<u8> {
         let mut included = &self.0[..];
         loop {
-            // Encoding to memory does not fail.
+            // An error needs no handling, because encoding the members to memory always succeeds.
             let body = postcard::to_allocvec(included).unwrap_or_default();
             if body.len() <= MAX_STATE_BODY_BYTES {
                 return key.seal(STATE_FORMAT, &body);
