--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -156,7 +156,7 @@
     fn raise_generation_above(&mut self, now: Micros, known: &Member, effects: &mut Vec<Effect>) {
         let Some(identity) = self.protocol.identity().with_generation_above(known) else { return };
         let (protocol, collector) = self.protocol_and_collector(now, effects);
-        // `change_identity` does not fail here: its only possible error is that a packet cannot be encoded,
+        // `change_identity` does not fail here: the only possible error is that a packet cannot be encoded,
         // and encoding to memory always succeeds.
         if protocol.change_identity(identity.clone(), collector).is_ok() {
             self.has_joined = false;
--- a/crates/reservations/src/allowance_query.rs
+++ b/crates/reservations/src/allowance_query.rs
@@ -1,4 +1,5 @@
-//! Queries over the stored claims: the allowances at an instant, and when they change next.
+//! Queries over the stored claims: the allowances at an instant, which are the reservations and blackouts in
+//! effect, and the next instant at which the allowances may change.
 use copperspread_identifiers::Name;
 
 use crate::allowances::{ActiveReservation, Allowances, BlackoutStatus, PoolAllowance, UpcomingBlackout};
@@ -31,7 +32,8 @@
     allowances
 }
 
-/// The first instant later than `after` at which the allowances may change.
+/// The first instant later than `after` at which [`allowances`] may return a different result; `None` if no
+/// such instant is known.
 pub(crate) fn next_change_after(store: &ClaimStore, after: UnixMillis) -> Option<UnixMillis> {
     let changes = &store.index().allowance_changes;
     changes.range(after.checked_add(MILLISECOND)?..).next().map(|(at, _)| *at)
@@ -55,7 +57,8 @@
     }
 }
 
-/// The reservation that an allocation belongs to; `None` unless its claim is confirmed or active.
+/// The reservation that an allocation belongs to; `None` unless the claim of the reservation is confirmed or
+/// active.
 fn active_reservation(
     store: &ClaimStore,
     key: &OccurrenceKey,
@@ -83,9 +86,9 @@
     }
 }
 
-/// The first blackout with [`BlackoutEffect::NoWork`] that starts after `at` and ends after `from`. `from` is
-/// the end of the blackout with this effect that applies at `at`, or `at` itself if there is none. `None` if
-/// the first blackout found starts more than [`BLACKOUT_LOOKAHEAD`] after `at`.
+/// The next blackout with [`BlackoutEffect::NoWork`] that starts after `at`, apart from those that overlap or
+/// adjoin a blackout in effect at `at`. `from` is the end of the blackout in effect at `at`, or `at` itself
+/// if there is none. Returns `None` if the next blackout starts more than [`BLACKOUT_LOOKAHEAD`] after `at`.
 fn upcoming_blackout(
     store: &ClaimStore,
     target: &BlackoutTarget,
@@ -104,8 +107,8 @@
     Some(UpcomingBlackout { start, end })
 }
 
-/// The end of the blackout of at least `min_effect` at an instant, extended by the blackouts that overlap or
-/// adjoin it; `None` if there is no such blackout.
+/// The end of the blackout that is in effect at `at` and whose effect is `min_effect` or stronger. Blackouts
+/// that overlap or adjoin each other count as one. Returns `None` if no such blackout is in effect at `at`.
 fn blackout_end(
     store: &ClaimStore,
     target: &BlackoutTarget,
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -9,10 +9,10 @@
 use crate::limits::PARTS_PER_MILLION;
 use crate::time::{SpanMillis, UnixMillis};
 
-/// The reservations and blackouts at an instant.
+/// The reservations and blackouts that are in effect at an instant, and the blackouts that follow soon.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allowances {
-    /// Allowances of every pool in the calendar.
+    /// The reserved and unreserved slots of every pool in the calendar, by the name of the pool.
     pub pools: BTreeMap<Name, PoolAllowance>,
     /// Classes with a current or upcoming blackout.
     #[serde(rename = "classes")]
@@ -39,12 +39,12 @@
     /// The number of slots without a confirmed or active reservation.
     #[serde(rename = "open")]
     pub unreserved_slots: u32,
-    /// The reservations of the other slots, ordered by claim.
+    /// The confirmed and active reservations of slots in the pool, ordered by claim id.
     #[serde(rename = "reserved")]
     pub reservations: Vec<ActiveReservation>,
 }
 
-/// A reservation whose claim is confirmed or active, over the interval of one allocation.
+/// One allocation of a confirmed or active reservation: a constant number of slots over an interval.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Reserved", expecting = "struct Reserved")]
 pub struct ActiveReservation {
@@ -54,10 +54,10 @@
     pub owner: Owner,
     /// The number of reserved slots.
     pub slots: u32,
-    /// The first instant at which the reservation has this number of slots.
+    /// The first instant at which the number of slots in `slots` is reserved.
     #[serde(rename = "since")]
     pub start: UnixMillis,
-    /// The instant from which on the reservation no longer has this number of slots.
+    /// The first instant at which the number of slots in `slots` is no longer reserved.
     #[serde(rename = "until")]
     pub end: UnixMillis,
     /// The rate at which unused slots are lent, in parts per million of the reservation per second; see
--- a/crates/reservations/src/alternative.rs
+++ b/crates/reservations/src/alternative.rs
@@ -9,7 +9,8 @@
 
 /// The maximum distance between the requested start and the start of an alternative.
 const MAX_DISTANCE: SpanMillis = DAY.times(30);
-/// The maximum number of blocked segments that the search skips in each direction.
+/// The maximum number of segments that the search skips in each direction because they are blacked out or
+/// have too few free slots.
 const MAX_BLOCKED_SEGMENTS: usize = 256;
 
 /// The nearest interval of the requested length in which `slots` slots are free without displacement. Of two
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -9,9 +9,10 @@
 use crate::store::ClaimStore;
 use crate::time::UnixMillis;
 
-/// The segments of the reservation's pool over an interval. The allocations of the `released` occurrences
-/// count as free. The allocations of the `candidates` do not count as free, but a segment ends wherever one
-/// of these allocations starts or ends.
+/// Divides an interval into segments in which the free slots and the blackouts of the reservation's pool do
+/// not change. The allocations of the `released` occurrences count as free. The allocations of the
+/// `candidates`, which may be displaced, do not count as free, but a segment ends wherever one of these
+/// allocations starts or ends.
 pub(crate) fn segments(
     store: &ClaimStore,
     reservation: &ReservationRequest,
@@ -50,9 +51,10 @@
 /// The changes at an edge between two segments.
 #[derive(Clone, Copy, Debug, Default)]
 struct EdgeChange {
-    /// The released slots whose allocations start at this edge, less those whose allocations end here.
+    /// The change of the number of released slots at this edge. Each allocation of a released occurrence adds
+    /// its slots at its start and subtracts them at its end.
     released_slots: i64,
-    /// The number of blackouts that start here, less the number that end here.
+    /// The number of blackouts that start at this edge, less the number of blackouts that end at this edge.
     blackouts: i64,
 }
 
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar.rs
@@ -48,20 +48,22 @@
         self.store.claim(claim).map(|claim| claim.state)
     }
 
-    /// The allocations of a reservation, in order of time; empty unless it occupies capacity.
+    /// The allocations of a reservation, in order of time. Empty if the claim is not held, confirmed or
+    /// active, or is unknown.
     pub fn allocations_of(&self, claim: &ClaimId) -> Vec<Allocation> {
         let claim = self.store.claim(claim).filter(|claim| claim.state.occupies_capacity());
         let occurrences = claim.into_iter().flat_map(|claim| &claim.occurrences);
         occurrences.flat_map(|occurrence| occurrence.allocations.clone()).collect()
     }
 
-    /// The reservations and blackouts at an instant, according to the log entries applied so far.
+    /// The reservations and blackouts that are in effect at an instant, according to the log entries applied
+    /// so far.
     pub fn allowances(&self, at: UnixMillis) -> Allowances {
         allowance_query::allowances(&self.store, at)
     }
 
-    /// The first instant later than `after` at which the allowances may change, according to the log entries
-    /// applied so far; `None` if no change is known.
+    /// The first instant later than `after` at which [`Calendar::allowances`] may return a different result,
+    /// according to the log entries applied so far; `None` if no such instant is known.
     pub fn next_change_after(&self, after: UnixMillis) -> Option<UnixMillis> {
         allowance_query::next_change_after(&self.store, after)
     }
@@ -92,8 +94,8 @@
         if let Err(rejection) = result {
             events.push(Change::Rejected(rejection));
         }
-        // Transitions are applied a second time, because a claim that this command confirmed after its start
-        // is due at once.
+        // Due transitions are applied a second time: if this command confirmed a claim after the first
+        // interval of the claim had started, the claim must become active at once.
         self.apply_due_transitions(&mut events);
         events.events
     }
@@ -127,7 +129,8 @@
                     continue;
                 }
             };
-            // This cannot fail: the match above pairs each state with a transition that the state allows.
+            // The transition cannot fail: the match above pairs each state with a transition that the state
+            // allows.
             let _ = self.store.transition(&id, transition, reason, events);
         }
     }
--- a/crates/reservations/src/capacity.rs
+++ b/crates/reservations/src/capacity.rs
@@ -19,8 +19,8 @@
 /// size.
 ///
 /// # Errors
-/// `slots` exceeds [`MAX_POOL_SLOTS`], or there are [`MAX_POOLS`] other pools already. Nothing has changed
-/// then.
+/// `slots` exceeds [`MAX_POOL_SLOTS`], or there are [`MAX_POOLS`] other pools already. After an error,
+/// nothing has changed.
 pub(crate) fn set_capacity(
     store: &mut ClaimStore,
     name: &Name,
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -63,8 +63,8 @@
     pub(crate) occurrences: Vec<Occurrence>,
 }
 
-/// The order in which occurrences get slots: started ones first, then by higher precedence, by earlier
-/// `ranked_at`, and by key.
+/// The order in which occurrences get slots: occurrences that have started come first, then those of higher
+/// precedence, then those with an earlier `ranked_at`, and then those with the lower [`OccurrenceKey`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     is_not_started: bool,
@@ -74,8 +74,8 @@
 }
 
 impl Claim {
-    /// The instant at which the claim is next due for a transition by time or for its removal; `None` for a
-    /// confirmed or active claim without effective intervals.
+    /// The instant at which the claim is next due for a transition by time or for its removal. `None` for a
+    /// confirmed or active claim without any allocations or blackout intervals.
     pub(crate) fn next_due(&self) -> Option<UnixMillis> {
         match self.state {
             ClaimState::Proposed | ClaimState::Held => Some(self.hold_end()),
--- a/crates/reservations/src/claim_planning.rs
+++ b/crates/reservations/src/claim_planning.rs
@@ -15,8 +15,8 @@
 use crate::store::ClaimStore;
 use crate::time::UnixMillis;
 
-/// The maximum number of candidates for displacement by one occurrence. If there are more, only the last in
-/// rank are candidates.
+/// The maximum number of occurrences that are considered for displacement by one occurrence. If more may be
+/// displaced, only those that come last in rank are considered.
 const MAX_CANDIDATES: usize = 1_024;
 
 /// A plan for all occurrences of a claim.
@@ -25,7 +25,7 @@
     allocations: Vec<Vec<Allocation>>,
     /// The occurrences of other claims that are displaced.
     pub(crate) displaced: Vec<OccurrenceKey>,
-    /// Whether everything that was requested is granted.
+    /// Whether the plan grants everything that was requested.
     pub(crate) is_complete: bool,
 }
 
@@ -77,8 +77,8 @@
     Ok(claim_plan)
 }
 
-/// Plans one occurrence. `displaced` are the occurrences that the claim's earlier occurrences displace; their
-/// slots count as free.
+/// Plans one occurrence. `displaced` lists the occurrences that the claim's earlier occurrences displace; the
+/// slots of the listed occurrences count as free.
 ///
 /// # Errors
 /// The first segment in which the occurrence does not fit.
@@ -105,7 +105,9 @@
     })
 }
 
-/// The displaceable occurrences of lower precedence with allocations in an interval, the last in rank first.
+/// The occurrences that a reservation may displace within an interval, the last in rank first. Each of them
+/// has allocations in the interval and a lower precedence than the reservation, and starts late enough to be
+/// displaced.
 fn displaceable_occurrences<'a>(
     store: &'a ClaimStore,
     reservation: &ReservationRequest,
@@ -136,8 +138,9 @@
     ranked.into_iter().map(|(rank, occurrence)| (rank.key, occurrence)).collect()
 }
 
-/// The occurrences as candidates, with their allocations as ranges of segments. Each allocation must start
-/// and end at segment edges or outside the segments.
+/// Converts displaceable occurrences to candidates for the displacement search, which have their allocations
+/// as ranges of segment indices. Each allocation must start and end at an edge of a segment or outside the
+/// segments.
 fn candidates(occurrences: &[(OccurrenceKey, &Occurrence)], segments: &[Segment]) -> Vec<Candidate> {
     let segment_at = |at: UnixMillis| segments.partition_point(|segment| segment.interval.start < at);
     let usage = |allocation: &Allocation| Usage {
--- a/crates/reservations/src/claim_state.rs
+++ b/crates/reservations/src/claim_state.rs
@@ -10,12 +10,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The state of a claim.
+/// The state of a claim between its proposal and its removal, such as held, confirmed or displaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "State")]
 pub enum ClaimState {
-    /// The claim is recorded without allocations, because it fits only if other claims are displaced. These
-    /// are displaced when this claim is confirmed.
+    /// The claim is recorded without allocations, because it fits only if other claims are displaced. The
+    /// other claims are displaced when this claim is confirmed.
     Proposed,
     /// The claim's allocations are kept for it until its hold ends.
     Held,
@@ -28,8 +28,8 @@
     /// The claim did not fit, or its last interval had ended when it was confirmed.
     #[serde(rename = "Refused")]
     Rejected,
-    /// The claim lost all allocations that remained from then on, to a reservation of higher precedence, a
-    /// blackout, or a change of its pool.
+    /// The claim lost all allocations that it still had from the instant of displacement on. They went to a
+    /// reservation of higher precedence, or were ended by a blackout or a change of the claim's pool.
     Displaced,
     /// The claim was withdrawn by a command.
     Withdrawn,
@@ -43,20 +43,20 @@
 pub enum Transition {
     /// The claim fits, and its allocations are held.
     Hold,
-    /// The claim is confirmed.
+    /// A command confirms the proposed or held claim.
     Confirm,
     /// The first interval of the claim begins.
     Begin,
     /// The last interval of the claim ends.
     End,
-    /// The claim cannot be granted.
+    /// The claim is rejected, because it does not fit or its last interval has ended.
     #[serde(rename = "Refuse")]
     Reject,
     /// The claim loses all its remaining allocations.
     Displace,
-    /// The claim is withdrawn.
+    /// A command withdraws the claim, whose state must not be terminal.
     Withdraw,
-    /// The hold of the claim ends.
+    /// The hold of the claim ends before the claim is confirmed.
     Lapse,
 }
 
@@ -117,7 +117,7 @@
 }
 
 impl fmt::Display for ClaimState {
-    /// Writes the name that the serialized form uses.
+    /// Writes the name of the state as in the serialized form.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ClaimState::Rejected => f.write_str("Refused"),
@@ -127,7 +127,7 @@
 }
 
 impl fmt::Display for Transition {
-    /// Writes the name that the serialized form uses.
+    /// Writes the name of the transition as in the serialized form.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Transition::Reject => f.write_str("Refuse"),
--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -92,7 +92,7 @@
 }
 
 impl Amount {
-    /// The amount in slots, for a pool of `pool_slots` slots.
+    /// Returns the amount in slots, for a pool of `pool_slots` slots.
     pub(crate) fn in_slots(self, pool_slots: u32) -> u32 {
         match self {
             Amount::Slots(slots) => slots,
@@ -104,8 +104,9 @@
     }
 }
 
-/// What a reservation accepts if it does not fit as requested. If it accepts both fewer slots and a split,
-/// the number of slots may vary over the interval, and is 0 where fewer than the minimum are available.
+/// What a reservation accepts if it does not fit as requested. If the reservation accepts both fewer slots
+/// and a split, the number of slots may vary over the interval, and is 0 where fewer than the minimum are
+/// available.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Accepts", expecting = "struct Accepts")]
 pub struct Flexibility {
@@ -138,10 +139,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "Target")]
 pub enum BlackoutTarget {
-    /// All work of a class. It displaces no reservation, because a reservation has no class.
+    /// All work of a class. The blackout displaces no reservation, because a reservation has no class.
     Class(Name),
-    /// All work of a tenant. It displaces the reservations that the tenant itself owns, not those of a
-    /// federation.
+    /// All work of a tenant. The blackout displaces the reservations that the tenant itself owns, not those
+    /// of a federation.
     Tenant(Name),
     /// All work in a pool.
     Pool(Name),
--- a/crates/reservations/src/confirmation.rs
+++ b/crates/reservations/src/confirmation.rs
@@ -13,11 +13,11 @@
 use crate::rejection::{FieldError, Rejection};
 use crate::store::ClaimStore;
 
-/// Confirms a claim that is held, or one that is proposed and still fits by displacing others. A proposed
-/// claim that no longer fits is rejected.
+/// Confirms a claim that is held, or a proposed claim that still fits by displacing others. A proposed claim
+/// that no longer fits is rejected.
 ///
 /// # Errors
-/// The claim is unknown, or its state does not allow confirmation. Nothing has changed then.
+/// The claim is unknown, or its state does not allow confirmation. After an error, nothing has changed.
 pub(crate) fn confirm(
     store: &mut ClaimStore,
     id: &ClaimId,
@@ -86,7 +86,8 @@
     reallocate(store, released, &Reason::DisplacedByBlackout(id.clone()), events);
 }
 
-/// The occurrences of reservations that a blackout over an interval applies to from now on.
+/// The occurrences of reservations that a blackout of `target` displaces: those with allocations in the part
+/// of `interval`, the interval of the blackout, that is not over yet.
 fn reservations_under<'a>(
     store: &'a ClaimStore,
     target: &'a BlackoutTarget,
--- a/crates/reservations/src/deduplication.rs
+++ b/crates/reservations/src/deduplication.rs
@@ -1,4 +1,4 @@
-//! Deduplication of commands: remembers which ones were applied, so that none is applied twice.
+//! Deduplication of commands: remembers which commands were applied, so that none is applied twice.
 use std::collections::BTreeMap;
 
 use copperspread_identifiers::Name;
@@ -83,7 +83,7 @@
 pub(crate) struct DeduplicationWindows(BTreeMap<Name, MemberWindow>);
 
 impl DeduplicationWindows {
-    /// Checks a command's id, and records it as applied.
+    /// Checks whether a command's id is a duplicate, and records a new id as applied.
     pub(crate) fn record(&mut self, now: UnixMillis, id: &CommandId) -> DuplicateCheck {
         let Some(window) = self.0.get_mut(&id.member) else {
             if !self.make_space(now) {
@@ -103,9 +103,9 @@
         window.record(id.sequence)
     }
 
-    /// Makes space for another member's window and returns whether there is any. If there are [`MAX_MEMBERS`]
-    /// windows, the window of the longest inactive member is evicted, unless that member was active within
-    /// [`MEMBER_RETENTION`].
+    /// Makes space for another member's window, and returns whether there is space. If there are
+    /// [`MAX_MEMBERS`] windows, the window of the longest inactive member is evicted, unless that member was
+    /// active within [`MEMBER_RETENTION`].
     fn make_space(&mut self, now: UnixMillis) -> bool {
         if self.0.len() < MAX_MEMBERS {
             return true;
--- a/crates/reservations/src/displacement_search.rs
+++ b/crates/reservations/src/displacement_search.rs
@@ -1,18 +1,21 @@
-//! Search for the candidates whose displacement frees enough slots at the least cost: the fewest
-//! slot-milliseconds, then the fewest occurrences, then those that come last in rank.
+//! Search for the candidates whose displacement frees enough slots at the least cost.
+//!
+//! The cost of a displacement is the sum of the displaced slots times their durations, in slot-milliseconds.
+//! At the same cost, displacing fewer occurrences is better, then displacing those that come last in rank.
 //!
 //! The result is optimal for up to [`MAX_SEARCHED_CANDIDATES`] candidates if the search examines fewer than
-//! [`MAX_SEARCH_WORK`] segments. Beyond these bounds it is the best cover found so far, at worst the greedy
-//! one.
+//! [`MAX_SEARCH_WORK`] segments. Beyond these bounds, the result is the best set of candidates found so far,
+//! at worst the result of a greedy search.
 use std::ops::Range;
 
 /// The maximum work of a search, in segments examined.
 const MAX_SEARCH_WORK: usize = 20_000_000;
-/// The number of candidates above which only the greedy cover is used. This limit bounds the depth of the
+/// The number of candidates above which only the greedy search is used. This limit bounds the depth of the
 /// recursion.
 const MAX_SEARCHED_CANDIDATES: usize = 256;
 
-/// An occurrence that may be displaced. In every slice of candidates, the last in rank comes first.
+/// An occurrence that may be displaced. Every slice of candidates is in reverse order of rank: the
+/// occurrences that are the last to get slots come first.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     /// The slot-milliseconds that the occurrence would lose.
@@ -69,8 +72,9 @@
     }
 }
 
-/// Takes, in the given order, each candidate that frees a missing slot, and then drops those that are not
-/// needed, the last taken first. Returns their indices in ascending order.
+/// Finds candidates greedily whose displacement frees the missing slots, and returns their indices in
+/// ascending order. First takes, in the given order, each candidate that frees a missing slot. Then goes
+/// through the taken candidates in reverse order, and drops each candidate that is not needed.
 fn greedy_cover(shortage: &[i64], candidates: &[Candidate]) -> Vec<usize> {
     let mut shortage = shortage.to_vec();
     let mut chosen = Vec::new();
@@ -98,7 +102,7 @@
     candidates: &'a [Candidate],
     /// The slots that are still missing in each segment once the chosen candidates are displaced.
     shortage: &'a mut [i64],
-    /// Whether the current branch has already chosen or excluded each candidate.
+    /// For each candidate, whether the current branch has already chosen or excluded the candidate.
     is_decided: Vec<bool>,
     chosen: Vec<usize>,
     best: Cover,
@@ -136,9 +140,9 @@
         }
     }
 
-    /// Whether a branch with one more candidate, at a total cost of `next_cost`, may lead to a better cover.
-    /// It is false once [`MAX_SEARCH_WORK`] is reached, which ends the search with a cover that may not be
-    /// optimal.
+    /// Whether a branch with one more candidate, at a total cost of `next_cost`, may lead to a better set of
+    /// candidates. Returns false once [`MAX_SEARCH_WORK`] is reached, which ends the search with a result
+    /// that may not be optimal.
     fn may_improve(&self, next_cost: u64) -> bool {
         let best = (self.best.cost, self.best.candidates.len());
         (next_cost, self.chosen.len() + 1) <= best && self.work < MAX_SEARCH_WORK
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -13,8 +13,8 @@
 /// A change of the calendar, with its instant and cause. Every member of the fleet gets the same events.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// The calendar's time when the log entry was applied. A change that is due by time may have been due
-    /// earlier.
+    /// The calendar's time when the log entry was applied. A change that time alone causes may have been due
+    /// earlier, because the calendar's time advances only with log entries.
     pub at: UnixMillis,
     /// The command that caused the change; `None` if the change became due by time.
     pub command: Option<CommandId>,
@@ -74,8 +74,8 @@
     #[serde(rename = "why")]
     pub reason: Reason,
     /// The nearest interval of the same length that fits and starts at most 30 days from the requested start,
-    /// if one was found. It is searched only if a displacement leaves the occurrence without allocations from
-    /// now on; `None` in a partial grant.
+    /// if one was found. The search takes place only if a displacement leaves the occurrence without
+    /// allocations from now on; `None` in a partial grant.
     #[serde(rename = "offer")]
     pub alternative: Option<Interval>,
 }
@@ -103,11 +103,11 @@
     /// The claim fits as requested.
     #[error("fits as requested")]
     Fits,
-    /// The claim fits only partially, which its request accepts.
+    /// The claim fits only partially, and its request accepts a partial grant.
     #[error("fits partially, as the request accepts")]
     #[serde(rename = "LessFits")]
     FitsPartially,
-    /// The claim fits only if the claims listed here are displaced. They are displaced when the claim is
+    /// The claim fits only if the claims listed here are displaced, which happens when the claim is
     /// confirmed.
     #[error("fits only by displacement (claims to displace: {})", .0.len())]
     #[serde(rename = "NeedsRoom")]
@@ -130,7 +130,7 @@
     #[error("not confirmed before its hold ended")]
     #[serde(rename = "HoldEnded")]
     HoldExpired,
-    /// The claim began, because its first interval started, or ended with its last interval.
+    /// The first interval of the claim started, or the last interval of the claim ended.
     #[error("start or end reached")]
     #[serde(rename = "TimeCame")]
     TimeReached,
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -17,7 +17,7 @@
     /// The number of allocated slots, by the instant from which the number holds; it holds until the next
     /// instant in the map.
     levels: BTreeMap<UnixMillis, i64>,
-    /// The allocations of the claims that occupy capacity.
+    /// The allocations of the held, confirmed and active claims.
     pub(crate) allocations: IntervalMap<UnixMillis, OccurrenceKey>,
 }
 
@@ -27,8 +27,9 @@
     pub(crate) pools: BTreeMap<Name, PoolIndex>,
     /// The intervals of the confirmed and active blackouts.
     pub(crate) blackouts: BTreeMap<BlackoutTarget, IntervalMap<UnixMillis, ClaimId>>,
-    /// The instants at which allowances change, each with the number of interval starts, interval ends and
-    /// lookahead starts that fall on it.
+    /// The instants at which the reservations and blackouts in effect change, each with the number of
+    /// changes: starts and ends of intervals, and instants from which on a coming [`BlackoutEffect::NoWork`]
+    /// blackout is at most [`BLACKOUT_LOOKAHEAD`] away.
     pub(crate) allowance_changes: BTreeMap<UnixMillis, u32>,
     /// The instants at which claims are due for a transition or removal. Outdated entries stay in the set and
     /// are skipped when they are due.
@@ -104,7 +105,7 @@
         self.update_allowance_changes(id, claim, Update::Add);
     }
 
-    /// Removes a claim's entries. The claim must be unchanged since they were added.
+    /// Removes a claim's entries. The claim must not have changed since its entries were added.
     pub(crate) fn remove_claim(&mut self, id: &ClaimId, claim: &Claim) {
         self.occurrence_count -= claim.occurrences.len();
         self.update_allocations(id, claim, Update::Remove);
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -2,8 +2,8 @@
 //! which pools, and when. A claim is a request for a reservation or a blackout.
 //!
 //! The crate does no I/O and reads no clock. Commands come from the replicated log, each with the instant at
-//! which it applies; applying one returns events. Every member that applies the same log gets the same events
-//! and the same serialized state.
+//! which the command applies; applying a command returns events. Every member that applies the same log gets
+//! the same events and the same serialized state.
 //!
 //! ```text
 //!  command ──► Calendar::apply ──► deduplication ──► proposal, confirmation, capacity ──► events
@@ -26,11 +26,11 @@
 //!    never was held); the lower claim id wins.
 //! 3. The stored state uses ordered maps only, so that its serialized form is deterministic.
 //!
-//! Some serialized names differ from the Rust names. They are part of the stored form and must not change;
-//! the `expecting` attributes put them into the errors for malformed data.
+//! Some serialized names differ from the Rust names. The serialized names are part of the stored form and
+//! must not change. The `expecting` attributes make the errors for malformed data use the serialized names.
 //!
-//! The crate does not check who may propose what: that is up to whoever appends commands to the log.
-//! `docs/design/0004-fleet.md` has the complete rules.
+//! The crate does not check who may propose which claims: the program that appends commands to the log must
+//! do so. The complete rules of the calendar are in `docs/design/0004-fleet.md`.
 #![forbid(unsafe_code)]
 
 mod allowance_query;
--- a/crates/reservations/src/limits.rs
+++ b/crates/reservations/src/limits.rs
@@ -27,5 +27,6 @@
 /// The maximum of [`Settings::displacement_notice`](crate::Settings::displacement_notice).
 pub(crate) const MAX_DISPLACEMENT_NOTICE: SpanMillis = DAY.times(30);
 /// How long before the start of a [`NoWork`](crate::BlackoutEffect::NoWork) blackout
-/// [`Allowances`](crate::Allowances) report it as upcoming. No work is expected to run longer than this.
+/// [`Allowances`](crate::Allowances) report the blackout as upcoming. No work is expected to run longer than
+/// this time.
 pub const BLACKOUT_LOOKAHEAD: SpanMillis = DAY;
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -61,7 +61,7 @@
 fn max_available_slots(segments: &[Segment], candidates: &[Candidate]) -> Vec<i64> {
     let mut available: Vec<i64> = segments
         .iter()
-        // The lower bound prevents an overflow when the candidates' slots are added.
+        // The lower limit of the free slots prevents an overflow when the candidates' slots are added.
         .map(|segment| if segment.is_blacked_out { 0 } else { segment.free_slots.max(i64::MIN / 4) })
         .collect();
     for usage in candidates.iter().flat_map(|candidate| &candidate.usages) {
@@ -100,15 +100,15 @@
     }
 }
 
-/// Grants in every segment the slots that are available in all of them, up to the request; nothing if that is
-/// below the minimum.
+/// Grants the same number of slots in every segment: as many as are available in all segments, but no more
+/// than requested. Grants nothing if that number is below the minimum.
 fn constant_grant(requested: i64, min_slots: i64, max_available: &[i64]) -> Vec<i64> {
     let level = max_available.iter().copied().min().unwrap_or(0).min(requested);
     if level >= min_slots { vec![level; max_available.len()] } else { Vec::new() }
 }
 
-/// Grants in each segment the slots that are available there, up to the request; none in a segment where that
-/// is below the minimum.
+/// Grants as many slots in each segment as are available in that segment, but no more than requested. A
+/// segment with fewer available slots than the minimum gets none.
 fn split_grant(requested: i64, min_slots: i64, max_available: &[i64]) -> Vec<i64> {
     let grant = |&available: &i64| if available >= min_slots { available.min(requested) } else { 0 };
     max_available.iter().map(grant).collect()
--- a/crates/reservations/src/proposal.rs
+++ b/crates/reservations/src/proposal.rs
@@ -13,7 +13,7 @@
 /// Adds a blackout to the calendar, and holds it at once.
 ///
 /// # Errors
-/// The first invalid field, or the limit that is reached. Nothing has changed then.
+/// The first invalid field, or the limit that is reached. After an error, nothing has changed.
 pub(crate) fn propose_blackout(
     store: &mut ClaimStore,
     id: &ClaimId,
@@ -31,7 +31,7 @@
 /// and is rejected otherwise.
 ///
 /// # Errors
-/// The first invalid field, or the limit that is reached. Nothing has changed then.
+/// The first invalid field, or the limit that is reached. After an error, nothing has changed.
 pub(crate) fn propose_reservation(
     store: &mut ClaimStore,
     id: &ClaimId,
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -64,8 +64,8 @@
     for occurrence in &ranked {
         allocate_free_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
-    // Growth comes last, so that growing occurrences take no slots from occurrences that had them before the
-    // release.
+    // Occurrences get more slots than before only after all others have got theirs back, so that they take no
+    // slots from occurrences that had these slots before the release.
     for occurrence in &ranked {
         grow_to_requested_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
@@ -90,8 +90,9 @@
     ranked
 }
 
-/// Allocates `max_slots` free slots, but no more than requested, to an occurrence; fewer if its flexibility
-/// accepts that, and otherwise none.
+/// Allocates free slots to an occurrence: `max_slots` or the requested number, whichever is lower. If that
+/// many slots are not free, allocates fewer if the flexibility of the request accepts fewer, and otherwise
+/// none.
 fn allocate_free_slots(store: &mut ClaimStore, key: &OccurrenceKey, max_slots: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
@@ -103,8 +104,9 @@
     allocate_rest(store, key, slots, flexibility, &[]);
 }
 
-/// Allocates all requested slots to an occurrence that had fewer and whose amount is a fraction of the pool,
-/// if that many are free over the rest of its interval. This happens mainly after the pool has grown.
+/// Allocates all requested slots to an occurrence if it had fewer slots before, its amount is a fraction of
+/// the pool, and that many slots are free over the rest of its interval. This happens mainly after the pool
+/// has grown.
 fn grow_to_requested_slots(store: &mut ClaimStore, key: &OccurrenceKey, slots_before: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
@@ -115,8 +117,8 @@
     }
 }
 
-/// Plans an occurrence from now on, and replaces its allocations there if the plan succeeds. The allocations
-/// of the `released` occurrences count as free.
+/// Plans the allocations of an occurrence from now on. If the plan succeeds, it replaces the allocations that
+/// the occurrence had from now on. The allocations of the `released` occurrences count as free.
 fn allocate_rest(
     store: &mut ClaimStore,
     key: &OccurrenceKey,
@@ -180,8 +182,8 @@
     let claim = store.claim(id);
     let last_end = claim.and_then(|claim| claim.effective_intervals().map(|interval| interval.end).max());
     if last_end.is_none_or(|end| end <= store.now()) {
-        // This cannot fail: a claim with released allocations occupies capacity, and every state that
-        // occupies capacity allows displacement.
+        // The transition cannot fail: a claim with released allocations occupies capacity, and every state
+        // that occupies capacity allows displacement.
         let _ = store.transition(id, Transition::Displace, reason.clone(), events);
     }
 }
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -47,8 +47,8 @@
     /// Days of the week, from 1 for Monday to 7 for Sunday.
     #[serde(rename = "Week")]
     Weekdays(BTreeSet<u8>),
-    /// Days of the month: 1 to 31 counted from its start, or -1 (the last day) to -31 counted from its end. A
-    /// day that a month does not have is skipped.
+    /// Days of the month: 1 to 31 counted from the start of the month, or -1 (the last day) to -31 counted
+    /// from the end of the month. A day that a month does not have is skipped.
     #[serde(rename = "Month")]
     MonthDays(BTreeSet<i8>),
 }
@@ -129,8 +129,9 @@
                 break;
             }
             let is_included = self.days.contains(date) && start >= self.not_before && end <= self.until;
-            // The occurrence begins no earlier than the end of the last one, because in a repeated hour that
-            // end (second pass of the hour) may be after this start (first pass).
+            // An occurrence begins no earlier than the end of the previous occurrence. Without this rule, the
+            // two could overlap in an hour that is repeated because clocks are set back: an end in that hour
+            // is taken from the second pass, and a start from the first pass.
             let start = start.max(last_end).max(now);
             if is_included && start < end {
                 occurrences.push(Interval { start, end });
@@ -151,7 +152,8 @@
     }
 }
 
-/// The local time at a minute of a date; at [`MINUTES_PER_DAY`] the midnight at the end of the date.
+/// The local time on a date that is `minute_of_day` minutes after midnight by the clock. A value of
+/// [`MINUTES_PER_DAY`] stands for the midnight at the end of the date.
 fn local_time(date: Date, minute_of_day: u16) -> Option<DateTime> {
     let (date, minute_of_day) =
         if minute_of_day >= MINUTES_PER_DAY { (date.tomorrow().ok()?, 0) } else { (date, minute_of_day) };
@@ -164,8 +166,9 @@
     let ambiguous = zone.to_ambiguous_timestamp(local);
     let timestamp = match (ambiguous.offset(), bound) {
         (AmbiguousOffset::Gap { .. }, _) => {
-            // `later()` is at the change or less than a day after it, so the change is the last transition up
-            // to that instant.
+            // This local time is skipped by a clock change, and the instant of the change is used instead.
+            // `ambiguous.later()` is at the change or less than a day after the change, so the change is the
+            // last clock change up to `ambiguous.later()`.
             let after_change = ambiguous.later().ok()?.checked_add(SignedDuration::from_millis(1)).ok()?;
             zone.preceding(after_change).next()?.timestamp()
         }
--- a/crates/reservations/src/rejection.rs
+++ b/crates/reservations/src/rejection.rs
@@ -8,8 +8,9 @@
 
 /// The error of a rejected command, with the field that caused it.
 ///
-/// The command changed nothing, except that its id counts as applied from now on. If the error is in `at` or
-/// in the id, the id is not recorded as applied.
+/// A rejected command changes nothing, but its id is recorded like that of an applied command, so that a
+/// repeated command counts as a duplicate. The id is not recorded if the rejected field is the instant `at`
+/// or a part of the id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{field}: {error}")]
 #[serde(rename = "Refusal", expecting = "struct Refusal")]
--- a/crates/reservations/src/schedule.rs
+++ b/crates/reservations/src/schedule.rs
@@ -23,7 +23,8 @@
     /// begins at `now`.
     ///
     /// # Errors
-    /// The first invalid field, or the field that leaves no interval or too many.
+    /// A rejection that names the first invalid field, or the field that causes the schedule to have no
+    /// interval or too many intervals.
     pub fn intervals(&self, now: UnixMillis) -> Result<Vec<Interval>, Rejection> {
         let horizon = now.saturating_add(PLANNING_HORIZON).min(MAX_INSTANT);
         match self {
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -1,5 +1,5 @@
-//! Stored state of the calendar, with an index over it. Every change of a claim goes through [`ClaimStore`],
-//! which updates the index together with the claim.
+//! Stored state of the calendar, with an index over the claims. Every change of a claim goes through
+//! [`ClaimStore`], which updates the index together with the claim.
 use std::collections::BTreeMap;
 
 use copperspread_identifiers::Name;
@@ -127,7 +127,7 @@
         self.state.now = self.state.now.max(at);
     }
 
-    /// Checks a command's id for a duplicate, and records it as applied.
+    /// Checks whether a command's id is a duplicate, and records a new id as applied.
     pub(crate) fn record_command(&mut self, id: &CommandId) -> DuplicateCheck {
         self.state.deduplication.record(self.state.now, id)
     }
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Removes the next claim whose transition or removal is due by now from the queue, and returns it.
+    /// Removes the next claim from the queue of due transitions and removals, and returns the id of the
+    /// claim. Returns `None` if no claim is due by now.
     pub(crate) fn pop_due_claim(&mut self) -> Option<ClaimId> {
         while self.index.due_claims.first()?.0 <= self.state.now {
             let (due, id) = self.index.due_claims.pop_first()?;
@@ -198,10 +199,10 @@
         }
     }
 
-    /// Changes a claim's state and adds the event for it.
+    /// Changes a claim's state and adds the event for the change.
     ///
     /// # Errors
-    /// The claim is unknown, or its state does not allow the transition. Nothing has changed then.
+    /// The claim is unknown, or its state does not allow the transition. After an error, nothing has changed.
     pub(crate) fn transition(
         &mut self,
         id: &ClaimId,
