--- a/crates/event-log/src/batch_writer.rs
+++ b/crates/event-log/src/batch_writer.rs
@@ -13,15 +13,16 @@
 
 /// Size in bytes from which a batch is written, even if more records are queued.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Extra capacity of the batch buffer in bytes, for the record with which the batch exceeds its maximum size.
+/// Extra capacity of the batch buffer in bytes. The size of a batch is checked only after a record is added,
+/// so the last record may go beyond [`MAX_BATCH_BYTES`].
 const BATCH_HEADROOM_BYTES: usize = 4096;
-/// How long the thread sleeps after a batch's first record, to collect more: waking the thread for each
-/// record would cost more than the record.
+/// How long the writing thread sleeps after the first record of a batch, so that more records join the batch:
+/// waking the thread for each record would cost more than writing the record.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
-/// Interval between attempts to open a file that is not open, and between checks that an open file is still
-/// at its path.
+/// Interval between attempts to open a log file that is not open, and between checks that the open log file
+/// is still at its path.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A file that cannot be rotated grows up to this multiple of its size limit; further records are lost.
+/// A log file that cannot be rotated grows up to this multiple of its size limit; further records are lost.
 const MAX_OVERSIZE_FACTOR: u64 = 2;
 
 /// Writes the queued records of a run; runs on its own thread and is the only owner of the log file.
@@ -32,9 +33,11 @@
     last_check: Instant,
     /// Number of batches that could not be written.
     failures: u64,
-    /// Number of failed rotations.
+    /// Number of rotations of the log file that failed while the file could still grow. Of these failures
+    /// only the 1st, 2nd, 4th, 8th, ... is logged.
     rotation_failures: u64,
-    /// The sequence number that the next record has, unless records before that record are missing.
+    /// The sequence number that follows the last written record, or 0 at the start of the run. If the next
+    /// record has a higher number, the records between the two are missing.
     next_sequence: u64,
     counts: Arc<SharedCounts>,
 }
--- a/crates/event-log/src/counter_names.rs
+++ b/crates/event-log/src/counter_names.rs
@@ -1,7 +1,7 @@
-//! Converts old counter names, which occur in older files, to the current names.
+//! Converts old names of counters, as written by earlier versions of the scheduler, to the current names.
 use serde::{Deserialize, Deserializer};
 
-/// Pairs of an old name and the current one.
+/// Pairs of an old counter name and the current name of the same counter.
 const RENAMED_COUNTERS: [(&str, &str); 3] = [
     ("an action finds its flow", "an action finds its request"),
     ("a flow has one scheduling at a real server", "a request has one attempt at a worker"),
--- a/crates/event-log/src/error.rs
+++ b/crates/event-log/src/error.rs
@@ -5,13 +5,16 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum EventLogError {
-    /// Another process holds the lock of the log file, so that two schedulers cannot write to one file.
+    /// Another process holds the lock of the log file; the lock prevents two schedulers from writing to one
+    /// file.
     #[error("another process writes it")]
     LockedByOtherProcess,
-    /// The file could not be opened at the last attempt, and the next attempt is not due yet.
+    /// The log file is not open: the writer's last attempt to open the file failed, and the next attempt is
+    /// not due yet.
     #[error("the file is not open")]
     NotOpen,
-    /// The file cannot be opened, written or rotated, or the thread cannot be started.
+    /// The log file cannot be opened, written or rotated, or the thread that writes the file cannot be
+    /// started.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -20,8 +23,8 @@
 const EIO: i32 = 5;
 
 impl EventLogError {
-    /// Whether the error means that the disk is full or fails. Such an error may pass by itself, unlike an
-    /// error because of a path that cannot be written to.
+    /// Whether the error means that the disk is full or failing. Such a condition may end without any change
+    /// to the configuration, whereas a path that cannot be written to has to be corrected.
     pub(crate) fn is_storage_failure(&self) -> bool {
         let EventLogError::Io(error) = self else { return false };
         matches!(error.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded)
--- a/crates/event-log/src/fleet_summary.rs
+++ b/crates/event-log/src/fleet_summary.rs
@@ -1,9 +1,10 @@
-//! Summarizes the streams of many schedulers by time and by worker. It shows what no single stream does, such
-//! as how many attempts of all schedulers together were in flight at one worker.
+//! Summarizes the streams of many schedulers by time and by worker. The summary shows what the stream of a
+//! single scheduler cannot show, such as how many attempts of all schedulers together were in flight at one
+//! worker.
 //!
-//! Runs are aligned by the wall clocks of their first records, so that they must come from one machine or
-//! from machines with synchronized clocks. Within a run the monotonic clock is used, as the wall clock may be
-//! set.
+//! Runs are aligned by the wall clock at their first record, so the streams must come from one machine or
+//! from machines with synchronized clocks. Within a run, times are taken from the monotonic clock, because
+//! the wall clock may be set during the run.
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt::Write;
@@ -21,7 +22,7 @@
     runs: HashMap<String, RunState>,
     scheduler_names: BTreeSet<String>,
     timeline: RunTimeline,
-    /// The sums for each second of the timeline, keyed by Unix time in seconds.
+    /// The events of all schedulers summed up for each second, keyed by Unix time in seconds.
     seconds: BTreeMap<u64, WindowSummary>,
     workers: BTreeMap<String, WorkerSummary>,
     /// Number of lines that are not records, such as truncated records, or messages of the scheduler that
@@ -41,11 +42,11 @@
 struct RunState {
     next_sequence: u64,
     missing: u64,
-    /// The estimated finish time in the last decision on each request, in microseconds from the decision. An
-    /// entry stays until the attempt of the decision is sent.
+    /// The estimated finish time in the last decision to send an attempt, by request id, in microseconds from
+    /// the decision. An entry is removed once the attempt is sent.
     pending_estimates_us: HashMap<String, u64>,
-    /// The attempts in flight. The value is the estimated finish time of the attempt, in microseconds from
-    /// the decision to send it, if known.
+    /// The attempts in flight, each with the finish time that was estimated when the dispatch policy decided
+    /// to send the attempt, if known, in microseconds from that decision.
     in_flight: HashMap<AttemptKey, Option<u64>>,
 }
 
@@ -125,9 +126,9 @@
         }
     }
 
-    /// The summary as text: a line for each window of `window_s` seconds (0 is taken as 1), then a line for
-    /// each of at most `max_workers` workers, by their maximum number of attempts in flight at once in
-    /// descending order.
+    /// Returns the summary as text. After the totals, the text has one line for each window of `window_s`
+    /// seconds (0 is taken as 1), then one line for each of the `max_workers` workers that had the most
+    /// attempts in flight at once, the highest number first.
     pub fn to_text(&self, window_s: u64, max_workers: usize) -> String {
         let mut text = String::new();
         let missing: u64 = self.runs.values().map(|run| run.missing).sum();
@@ -148,7 +149,8 @@
         text
     }
 
-    /// The sums of each window, keyed by the start of the window in seconds after the first second.
+    /// Returns the sums of each window of `window_s` seconds, keyed by the start of the window in seconds
+    /// after the first second that has a record.
     fn windows(&self, window_s: u64) -> BTreeMap<u64, WindowSummary> {
         let mut windows: BTreeMap<u64, WindowSummary> = BTreeMap::new();
         let first = self.seconds.keys().next().copied().unwrap_or(0);
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -1,4 +1,5 @@
-//! The event log of a scheduler: writes typed records of its events as JSON lines, reads and summarizes them.
+//! The event log of a scheduler: writes the scheduler's events as typed records, each a line of JSON, and
+//! reads and summarizes the records.
 //!
 //! ```text
 //!  serving path ─► Recorder::record ─► bounded queue ─► batch writer (a thread) ─► log file, rotated
@@ -19,8 +20,8 @@
 //! 4. A [`reader`] reads the records. Summaries track the sequence numbers of each run, and so report records
 //!    that are missing or out of order.
 //!
-//! The log is not meant for recovery: batches are written to the operating system but not synced to disk, and
-//! a crash of the machine may lose its end.
+//! The log is not meant for recovery: batches are written to the operating system but not synced to disk, so
+//! the last records may be lost if the machine crashes.
 mod batch_writer;
 mod config;
 mod counter_names;
--- a/crates/event-log/src/reader.rs
+++ b/crates/event-log/src/reader.rs
@@ -9,7 +9,8 @@
 /// Length in bytes of the longest line that is held in memory. Longer lines are skipped, because the file may
 /// not be an event log.
 const MAX_LINE_BYTES: u64 = 1 << 20;
-/// Length in bytes of the longest timestamp that is skipped before a record.
+/// Length in bytes of the longest timestamp that is skipped before a record. If the log is written to
+/// standard error, a program that collects standard error may put a timestamp before each line.
 const MAX_PREFIX_BYTES: usize = 64;
 
 /// A line of the stream, classified by its content.
@@ -80,7 +81,7 @@
     event: Value,
 }
 
-/// An iterator over the lines of a stream, with their numbers from 1.
+/// An iterator over the lines of a stream, each with its line number, counted from 1.
 pub struct Reader<R> {
     input: R,
     line_number: u64,
@@ -88,7 +89,7 @@
 }
 
 impl<R: BufRead> Reader<R> {
-    /// A reader of the lines of `input`.
+    /// Creates a reader that reads `input` line by line and classifies each line.
     pub fn new(input: R) -> Reader<R> {
         Reader { input, line_number: 0, line: Vec::new() }
     }
@@ -109,7 +110,8 @@
         Ok(Some(Line::Invalid { reason: InvalidLineReason::TooLong }))
     }
 
-    /// Reads up to the end of the line, but at most [`MAX_LINE_BYTES`]; returns the length in bytes.
+    /// Reads a line into the buffer, or the next [`MAX_LINE_BYTES`] of a longer line. Returns the number of
+    /// bytes read, which is 0 at the end of the input.
     fn read_part(&mut self) -> io::Result<usize> {
         self.line.clear();
         (&mut self.input).take(MAX_LINE_BYTES).read_until(b'\n', &mut self.line)
@@ -134,8 +136,9 @@
     }
 }
 
-/// Returns the line without the timestamp that a collector of standard error put before the record. A
-/// truncated record that is joined with the next record is not taken for a timestamp.
+/// Returns the line without the timestamp that a collector of standard error may have put before the record.
+/// A prefix that contains `{` or `"` is not removed, because such a prefix may be a truncated record, which
+/// makes the line invalid.
 fn without_prefix(line: &[u8]) -> &[u8] {
     match line.iter().take(MAX_PREFIX_BYTES).position(|&byte| byte == b'{' || byte == b'"') {
         Some(start) if line[start..].starts_with(b"{\"v\":") => &line[start..],
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -37,9 +37,9 @@
 pub enum EventKind {
     /// The scheduler started, which began the run.
     RunStarted {
-        /// The scheduler's name.
+        /// The name of the scheduler whose run began.
         name: String,
-        /// The program's version.
+        /// The version of the scheduler program that records the run.
         #[serde(rename = "program")]
         version: String,
     },
@@ -138,7 +138,8 @@
         #[serde(rename = "after_us")]
         elapsed_since_accepted_us: u64,
     },
-    /// A counter of a limit, of a peer's errors or of a broken invariant reached a power of 2 (1, 2, 4, ...).
+    /// A counter reached a power of 2 (1, 2, 4, ...). Such counters count how often a limit was reached, a
+    /// peer made an error or an invariant was broken.
     #[serde(rename = "limit")]
     CounterReached {
         /// The current name of the counter; names in older files are converted.
@@ -176,7 +177,7 @@
         /// The name of the worker that gets the attempt.
         #[serde(rename = "real_server")]
         worker: String,
-        /// Estimated finish time of the attempt, in microseconds from now.
+        /// Estimated finish time of the attempt, in microseconds from the decision.
         estimate_us: u64,
     },
     /// The request is to be rejected.
@@ -209,14 +210,15 @@
     pub worker: String,
     /// The state of the worker: `ready`, `draining` or `gone`.
     pub state: String,
-    /// The worker's last start, in microseconds of Unix time by the scheduler's own clock; absent if long
-    /// ago.
+    /// The time of the worker's last start, in microseconds of Unix time on the scheduler's clock, which is
+    /// set from the wall clock only when the scheduler starts. Absent if the endpoint list does not state the
+    /// start; such a worker is not in slow start.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_us: Option<u64>,
-    /// The worker kind, by its index in the dispatch policy.
+    /// The worker's kind, such as a machine type, as a number; the scheduler numbers all worker kinds from 0.
     #[serde(default)]
     pub kind: u32,
-    /// The worker's zone, by its index in the dispatch policy.
+    /// The worker's zone as a number; the scheduler numbers all zones from 0.
     #[serde(default)]
     pub zone: u32,
     /// The worker's size as the endpoint list states it: a number without a unit, to compare workers.
--- a/crates/event-log/src/run_summary.rs
+++ b/crates/event-log/src/run_summary.rs
@@ -15,7 +15,7 @@
 /// The summary of one run of the scheduler.
 #[derive(Default)]
 pub struct RunSummary {
-    /// The id of the run.
+    /// The id of the run, which is random for each start of the scheduler.
     pub run_id: String,
     /// The name of the scheduler; `None` if the start of the run is not in the stream.
     pub name: Option<String>,
@@ -46,7 +46,8 @@
 pub struct ClassSummary {
     /// Number of requests passed to the dispatch policy, which may still have rejected them.
     pub accepted: u64,
-    /// Number of final responses by kind, and of clients that disconnected first under `gone`.
+    /// Number of final responses by kind. The kind `gone` counts the requests whose client disconnected
+    /// before a final response.
     pub responses: BTreeMap<String, u64>,
     /// Time from acceptance to the final response of served requests, in microseconds.
     pub served_us: Histogram<u64>,
@@ -68,7 +69,7 @@
         self.sequences.missing()
     }
 
-    /// Number of records whose sequence number is not higher than that of every earlier record; includes
+    /// Number of records that came after a record with the same or a higher sequence number; includes
     /// duplicates.
     pub fn out_of_order(&self) -> u64 {
         self.sequences.out_of_order()
--- a/crates/event-log/src/run_timeline.rs
+++ b/crates/event-log/src/run_timeline.rs
@@ -3,8 +3,8 @@
 
 use crate::record::Record;
 
-/// Largest change of the difference between wall clock and monotonic clock, from one record to the next, that
-/// does not count as a setting of the wall clock. In microseconds.
+/// The wall clock counts as set if, from one record to the next, the difference between wall clock and
+/// monotonic clock changes by more than this number of microseconds.
 const MIN_CLOCK_STEP_US: i128 = 1_000_000;
 
 /// The offset of the wall clock from the monotonic clock in one run.
@@ -24,8 +24,8 @@
         RunClock { first_offset_us: offset_us, last_offset_us: offset_us, steps: 0 }
     }
 
-    /// Updates the clock offset by the next record of the run, and counts whether the wall clock was set
-    /// since the previous record.
+    /// Updates the clock offset with the next record of the run. If the offset changes by more than
+    /// [`MIN_CLOCK_STEP_US`], counts a setting of the wall clock.
     pub(crate) fn add(&mut self, record: &Record) {
         let offset_us = clock_offset_us(record);
         if (self.last_offset_us - offset_us).abs() > MIN_CLOCK_STEP_US {
--- a/crates/event-log/src/sequence_tracker.rs
+++ b/crates/event-log/src/sequence_tracker.rs
@@ -2,13 +2,13 @@
 use std::collections::BTreeMap;
 
 /// Tracks the sequence numbers of a run. Missing numbers are counted whether or not a gap record states them;
-/// one that arrives late is no longer counted as missing.
+/// a number that arrives late is no longer counted as missing.
 #[derive(Default)]
 pub(crate) struct SequenceTracker {
     has_started: bool,
     next_sequence: u64,
-    /// Ranges of missing numbers below `next_sequence`. The key is the first number of a range, the value the
-    /// number after its last one.
+    /// Ranges of missing sequence numbers below `next_sequence`. The key is the first number of a range, the
+    /// value the end of the range, exclusive.
     missing_ranges: BTreeMap<u64, u64>,
     missing: u64,
     out_of_order: u64,
@@ -21,7 +21,7 @@
         self.missing
     }
 
-    /// How many records had a sequence number that is not higher than all earlier ones; includes duplicates.
+    /// How many records came after a record with the same or a higher sequence number; includes duplicates.
     pub(crate) fn out_of_order(&self) -> u64 {
         self.out_of_order
     }
@@ -31,9 +31,9 @@
         self.duplicates
     }
 
-    /// Adds the sequence number of a record. For a gap record, which has the number of the last missing
-    /// record, `gap` is the count of missing records that it states, at least 1; for any other record it is
-    /// `None`.
+    /// Adds the sequence number of a record. A gap record stands for missing records and has the sequence
+    /// number of the last of them; `gap` is then the number of missing records, at least 1. For any other
+    /// record `gap` is `None`.
     pub(crate) fn add(&mut self, sequence: u64, gap: Option<u64>) {
         if !self.has_started {
             self.has_started = true;
--- a/crates/event-log/src/worker_summary.rs
+++ b/crates/event-log/src/worker_summary.rs
@@ -6,15 +6,15 @@
 use crate::text_format::{Counts, elapsed_histogram, format_counts, increment};
 use crate::window_summary::ELAPSED_DIGITS;
 
-/// A change of the number of attempts in flight at the worker. Among changes at the same time, ends are
-/// ordered before starts, so that an attempt that ends at the time at which another starts does not count as
-/// in flight together with the other.
+/// A change of the number of attempts in flight at the worker. Among changes at the same time, ends sort
+/// before starts, so that an attempt that ends and an attempt that starts at that time do not count as in
+/// flight together.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlightChange {
     /// Time of the change in microseconds of Unix time, as the timeline of all runs computes it from the
     /// record's monotonic clock.
     time_us: u64,
-    /// 1 for a start, -1 for an end.
+    /// 1 if an attempt starts at this time, -1 if an attempt ends.
     change: i32,
 }
 
@@ -24,8 +24,8 @@
     attempts_sent: u64,
     in_flight_changes: Vec<InFlightChange>,
     attempt_outcomes: Counts,
-    /// Elapsed times of served attempts, each in percent of the estimated finish time at the decision to send
-    /// the attempt.
+    /// Elapsed times of served attempts, each in percent of the attempt's estimate: the time to the finish of
+    /// the attempt that the dispatch policy expected when it decided to send the attempt.
     percent_of_estimate: Option<Histogram<u64>>,
 }
 
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -13,7 +13,8 @@
 use crate::recorder::SharedCounts;
 pub use crate::recorder::{RecordCounts, Recorder};
 
-/// Longest time to wait at the start until the file is opened. The wait is limited because a disk may hang.
+/// Longest time that [`start_writer`] waits for the log file to be opened. The wait is limited because
+/// opening a file on a hanging disk may take forever.
 const MAX_OPEN_WAIT: Duration = Duration::from_secs(1);
 
 /// Handle to the thread that writes the log file. The thread ends once the recorder is closed, or dropped
@@ -31,13 +32,14 @@
     }
 }
 
-/// Starts the thread that opens the log file and writes to it; [`WriterHandle`] tells when it ends. A disk that
-/// is full, fails or hangs does not prevent the start: the thread keeps trying to open the file.
+/// Starts the thread that opens the log file and writes to the file; [`WriterHandle`] tells when the thread
+/// ends. A disk that is full, fails or hangs does not prevent the start: the thread keeps trying to open the
+/// file.
 ///
 /// # Errors
-/// [`EventLogError`] if the thread cannot be started, or if within a second the file turns out to be locked
-/// by another process or impossible to open, except because the disk is full or fails. A later error is only
-/// logged.
+/// [`EventLogError`] if the thread cannot be started, or if the thread finds within a second that another
+/// process has locked the log file or that the file cannot be opened. A full or failing disk is not such an
+/// error, and an error that is found later is only logged.
 pub fn start_writer(config: EventLogConfig) -> Result<(Recorder, WriterHandle), EventLogError> {
     start_writer_on(Box::new(SystemFiles), config)
 }
