--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -8,11 +8,13 @@
 use crate::water_filling::{Claimant, water_fill};
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Demand of a tenant for the whole fleet, without a debt. Entitlements are computed with this demand for all
-/// tenants.
+/// Demand of a tenant that would use the whole fleet and has no debt. A tenant's entitlement is the share
+/// that the tenant gets if all tenants have this demand.
 const FULL_DEMAND: TenantDemand = TenantDemand { demand: FULL_SHARE_PPM, debt: 0 };
 
-/// Result of one division over federations and tenants; tenants' shares exclude their own reservations.
+/// Result of one division of the fleet over federations and tenants. The share of a federation includes its
+/// reservation and those of its tenants; the share of a tenant excludes the tenant's own reservation, which
+/// the caller adds.
 struct Allocation<'a> {
     tenants: BTreeMap<&'a Name, u32>,
     federations: BTreeMap<&'a Name, u32>,
@@ -21,16 +23,17 @@
 
 /// Allocates the shares of all tenants and federations; a pure function.
 ///
-/// 1. Reservations are subtracted. A reservation counts towards its owner's demand, guarantee and ceiling.
-/// 2. The rest is divided over the federations by weighted max-min. Each federation gets at least the part
-///    of its guarantee that it demands, and at most its ceiling or what its tenants demand, whichever is
-///    less. The demanded guarantees of its tenants take precedence over its ceiling.
-/// 3. The share of each federation, including its own reservation, is divided over its tenants in the same
-///    way. The weight of a tenant with a debt is `weight / (1 + debt)`, with the debt as a fraction of at
-///    most 1; it is therefore at least half of the configured weight.
+/// 1. Reservations are subtracted from the fleet. A reservation counts towards its owner's demand, guarantee
+///    and ceiling.
+/// 2. The fleet without the reservations is divided over the federations by weighted max-min. Each federation
+///    gets at least the part of its guarantee that it demands, and at most its ceiling or what its tenants
+///    demand, whichever is less. The demanded guarantees of its tenants take precedence over its ceiling.
+/// 3. The share of each federation, including the federation's own reservation, is divided over its tenants
+///    in the same way. The weight of a tenant with a debt is `weight / (1 + debt)`, with the debt as a
+///    fraction of at most 1, and therefore at least half of the configured weight.
 ///
-/// Shares are whole parts per million; the units left by rounding go to the largest remainders, ties in the
-/// order of names.
+/// Shares are whole parts per million. The units that rounding down leaves over go to the shares with the
+/// largest remainders, and at equal remainders to the first in the order of names.
 pub fn allocate_shares(
     policy: &FairSharePolicy,
     demands: &TenantDemands,
@@ -65,7 +68,7 @@
     entitled.tenants.into_iter().map(|(name, share)| (name.clone(), share)).collect()
 }
 
-/// Sum of the reservations whose owners are not listed.
+/// Sum of those reservations whose owners are not keys of `listed`.
 fn sum_of_unlisted<T>(reservations: &BTreeMap<Name, u32>, listed: &BTreeMap<Name, T>) -> u32 {
     reservations.iter().filter(|(name, _)| !listed.contains_key(*name)).map(|(_, part)| part).sum()
 }
@@ -134,7 +137,8 @@
     }
 }
 
-/// Returns the claimant of a federation, excluding its own and its tenants' reservations.
+/// Returns the weight, the minimum and the maximum with which a federation takes part in the division of the
+/// fleet. Minimum and maximum exclude the reservations of the federation and of its tenants.
 fn federation_claimant(
     config: &ShareConfig,
     tenants: &[Claimant],
@@ -155,7 +159,8 @@
     Claimant { weight: config.weight.into(), minimum, maximum }
 }
 
-/// Returns the claimant of a tenant, excluding its own reservation.
+/// Returns the weight, the minimum and the maximum with which a tenant takes part in the division of its
+/// federation's share. Minimum and maximum exclude the tenant's own reservation.
 fn tenant_claimant(config: &ShareConfig, demand: TenantDemand, reservation: u32) -> Claimant {
     let less_reservation = |part: u32| part.saturating_sub(reservation);
     let demanded = less_reservation(demand.demand.min(FULL_SHARE_PPM));
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -6,28 +6,32 @@
 use crate::window::ClosedWindow;
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Number of bits of a sum that hold fractions of a slot-millisecond. A contribution is exact for this many
-/// half-lives, because each halving needs one more of these bits.
+/// Number of fractional bits of the sums in [`Debts`], which are fixed-point numbers in slot-milliseconds. A
+/// contribution to a sum stays exact for this many half-lives, because each halving of the sum needs one more
+/// fractional bit.
 const FRACTION_BITS: u32 = 32;
 /// Maximum half-life of debts, as a number of accounting windows.
 const MAX_HALF_LIFE_WINDOWS: u32 = 4_096;
-/// Maximum contribution of a window, in slot-milliseconds: with this bound no sum exceeds 128 bits.
+/// Maximum contribution of one window to a tenant's debt, in slot-milliseconds. With this bound, no sum in
+/// [`Debts`] exceeds 128 bits.
 const MAX_CONTRIBUTION: i128 = 1 << 60;
-/// Maximum number of halvings at once. The magnitude of a sum has fewer bits than this, so the sum is 0 after
-/// this many halvings.
+/// Maximum number of halvings that are applied to a sum in one step. The magnitude of a sum in [`Debts`] has
+/// fewer bits than this number, so that many halvings make any sum 0.
 const MAX_HALVINGS: i64 = 126;
 
 /// Debts of tenants: their usage above their entitlement, which decays by half in each half-life.
 ///
-/// The contribution of a window is the work plus the adjustments minus the entitlement, in slot-milliseconds,
-/// and may be negative. It decays linearly to one half over the first half-life, to a quarter over the
-/// second, and so on: at most 6.2 % above the exponential curve, and equal to it at each multiple of the
-/// half-life.
+/// The contribution of a window to a tenant's debt is the tenant's work in that window, plus the tenant's
+/// adjustments (changes of the work in earlier windows), minus the tenant's entitlement, in
+/// slot-milliseconds. A contribution may be negative. It decays linearly to one half over the first
+/// half-life, to a quarter over the second, and so on: at most 6.2 % above the exponential curve, and equal
+/// to that curve at each multiple of the half-life.
 ///
-/// Each tenant has one sum per position of a window in the half-life, which is the window's index modulo the
-/// half-life. A sum is halved each time a window with its position is reached, and the balance is computed
-/// from the sums on each call. Therefore rounding errors do not accumulate, and the order of contributions
-/// does not matter. A contribution is exact for 32 half-lives. After that each halving of its sum is rounded
+/// The half-life is a number of windows, and each tenant has that many sums. The contribution of a window is
+/// added to the sum whose index is the window's index modulo the half-life. A sum is halved each time a
+/// window with such an index is reached, and [`Debts::balance`] computes the linear decay between the
+/// halvings on each call. Therefore rounding errors do not accumulate, and the order of contributions does
+/// not matter. A contribution is exact for 32 half-lives. After that each halving of its sum is rounded
 /// towards 0, by less than 2^-32 slot-milliseconds, until the sum is 0.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debts {
@@ -37,7 +41,8 @@
     /// Index of the window that was added last.
     #[serde(rename = "last")]
     last_window: Option<i64>,
-    /// Sums by tenant, one for each position in the half-life, with [`FRACTION_BITS`] fractional bits.
+    /// Sums of the contributions by tenant, each at the index of its windows modulo the half-life, as
+    /// fixed-point numbers with [`FRACTION_BITS`] fractional bits.
     sums: BTreeMap<Name, Vec<i128>>,
 }
 
@@ -49,10 +54,10 @@
     }
 
     /// Adds the usage of a closed window to the debts. `entitlements` is the entitlement of each tenant in
-    /// that window, in slot-milliseconds; the debts of tenants that are not in it are removed.
+    /// that window, in slot-milliseconds; the debts of tenants without an entitlement are removed.
     ///
-    /// Windows that the ledger omits because they have no usage only let debts decay. A window that is not
-    /// later than the last one changes nothing.
+    /// The ledger omits windows without usage. An omitted window contributes nothing to a debt, but the debts
+    /// decay for that window too. A window that is not later than the last added window is ignored.
     pub fn add_window(&mut self, closed: &ClosedWindow, entitlements: &BTreeMap<Name, u64>) {
         if self.last_window.is_some_and(|last| closed.index <= last) {
             return;
@@ -72,8 +77,8 @@
         self.last_window = Some(closed.index);
     }
 
-    /// Halves each sum once for each window at the sum's position in the half-life, from the window after the
-    /// last added one through the given one.
+    /// Lets the sums decay up to a window: for each window after the last added one, up to and including the
+    /// given one, halves the sum whose index is the window's index modulo the half-life.
     fn decay(&mut self, window: i64) {
         let last_window = self.last_window.unwrap_or(window - 1);
         let half_life = i64::from(self.half_life_windows);
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -16,8 +16,8 @@
     pub incarnation: u64,
     /// Sequence numbers that are still expected because a higher one was received.
     pub missing: Vec<RangeInclusive<u64>>,
-    /// Number of sequence numbers that were never received and are no longer expected, without those whose
-    /// correction was discarded.
+    /// Number of sequence numbers that were never received and are no longer expected. A number whose
+    /// correction was received and later discarded is not counted.
     pub abandoned: u64,
 }
 
@@ -32,8 +32,9 @@
     Replacement,
 }
 
-/// Effect of an insertion on the effective entries, which are those left after corrections are applied: the
-/// affected entries that were effective before, and those that are effective now.
+/// Effect of an insertion on the effective entries, which are those left after corrections are applied.
+/// `before` and `after` are the effective entries of the affected sequence numbers before and after the
+/// insertion.
 pub(crate) struct EntryChange {
     pub(crate) before: Vec<UsageEntry>,
     pub(crate) after: Vec<UsageEntry>,
@@ -55,8 +56,8 @@
     /// Watermark in milliseconds of Unix time: the latest start of an interval among the entries up to
     /// `contiguous_through`.
     watermark_ms: Option<i64>,
-    /// Number of sequence numbers that were never received and are no longer expected, without those whose
-    /// correction was discarded.
+    /// Number of sequence numbers that were never received and are no longer expected. A number whose
+    /// correction was received and later discarded is not counted.
     abandoned: u64,
     /// Whether the ledger has not advanced since the first entry.
     is_new: bool,
@@ -99,10 +100,12 @@
         SequenceGaps { incarnation, missing, abandoned: self.abandoned }
     }
 
-    /// Checks whether an entry may be inserted, and returns its relation to the existing one.
+    /// Checks whether an entry may be inserted, and returns its relation to the entry that the log already
+    /// has for the sequence number.
     ///
-    /// `corrects` is the field [`crate::UsageReport::corrects`] of the report. It is passed separately
-    /// because an entry cannot represent the value 0, which is rejected.
+    /// `corrects` is the field [`crate::UsageReport::corrects`] of the report. The field is passed in
+    /// addition to the entry, because its value 0 is invalid and must be rejected, but an entry represents 0
+    /// as no correction.
     pub(crate) fn classify(
         &self,
         sequence: u64,
@@ -164,9 +167,9 @@
         }
     }
 
-    /// Returns the effective entry of a sequence number: the entry of its last correction, otherwise its own
-    /// entry. A correction applies only to the sequence number that it corrects, and a correction of a
-    /// correction has no effect; so the order of arrival does not matter.
+    /// Returns the effective entry of a sequence number: the entry of the last correction of that number,
+    /// otherwise the entry of the number itself. A correction applies only to the sequence number that it
+    /// corrects, and a correction of a correction has no effect; so the order of arrival does not matter.
     fn effective_entry(&self, sequence: u64) -> Option<&UsageEntry> {
         let own = self.entries.get(&sequence);
         if own.is_some_and(UsageEntry::is_correction) {
@@ -190,7 +193,8 @@
             .filter_map(|&sequence| self.effective_entry(sequence))
     }
 
-    /// Moves the watermark up to the first gap, and raises the highest sequence number that is accepted.
+    /// Moves the watermark up to the first gap in the sequence numbers, and raises the highest sequence
+    /// number that is accepted.
     pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
         let next = self.contiguous_through + 1;
         let contiguous_through =
@@ -242,9 +246,10 @@
         }
     }
 
-    /// Abandons the missing sequence numbers before the first entry that is kept. The starts of the reported
-    /// intervals do not decrease with the sequence number, so the missing reports are older than the horizon.
-    /// Reports that are missing after that entry may still arrive.
+    /// Raises `discarded_through` to the last received sequence number before the first kept entry, and
+    /// abandons the missing numbers below that number. The starts of the reported intervals do not decrease
+    /// with the sequence number, so a report that is missing before a discarded entry is older than the
+    /// horizon too. Reports that are missing after the last discarded entry may still arrive.
     fn raise_discarded_through(&mut self) {
         let discarded_through = self.last_received_before_retained();
         if discarded_through <= self.discarded_through {
@@ -259,8 +264,9 @@
         self.discarded_through = discarded_through;
     }
 
-    /// Returns the highest received sequence number below the first one that is kept, or 0. A sequence number
-    /// is kept if it has an entry or a correction. If none is kept, returns the highest one received.
+    /// Returns the highest received sequence number that is lower than all kept sequence numbers, or 0 if
+    /// there is none. A sequence number is kept if the log has an entry or a correction for that number. If
+    /// no number is kept, returns the highest received sequence number.
     fn last_received_before_retained(&self) -> u64 {
         let first_entry = self.entries.keys().next();
         let first_corrected = self.corrections.keys().next();
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -33,15 +33,16 @@
 /// Limit of the absolute value of an instant, in milliseconds of Unix time. Instants are clamped to this
 /// limit, so that no sum of them exceeds 64 bits.
 const MAX_INSTANT_MS: i64 = 1 << 60;
-/// Number of steps in which the horizon moves by its own length. Each step discards old entries, which scans
-/// all entries that are kept; therefore the horizon does not move with each window.
+/// Number of steps that divide the horizon: the start of the horizon moves by a whole step at a time. Each
+/// move discards old entries, which scans all entries that are kept; therefore the horizon does not move with
+/// each window.
 const STEPS_PER_HORIZON: i64 = 16;
 
 /// Usage ledger: the accounts of all reporters, with their usage in the open windows and in the closed
 /// windows since the start of the horizon.
 ///
-/// Its serialized form does not depend on the order and repetition of the reports between two calls of
-/// [`UsageLedger::advance`] or [`UsageLedger::enroll`]. [`DiscardCounts`] are not serialized.
+/// The serialized form of the ledger does not depend on the order and repetition of the reports between two
+/// calls of [`UsageLedger::advance`] or [`UsageLedger::enroll`]. [`DiscardCounts`] are not serialized.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct UsageLedger {
     settings: LedgerSettings,
@@ -71,8 +72,8 @@
         })
     }
 
-    /// Replaces the enrollment. Windows no longer wait for a reporter that is not in it, but its recorded
-    /// usage stays.
+    /// Replaces the enrollment. Windows no longer wait for reporters that are not in the new enrollment, but
+    /// the recorded usage of such reporters stays.
     ///
     /// # Errors
     /// An [`EnrollmentError`] if the enrollment exceeds a limit; the previous enrollment then stays in place.
@@ -111,14 +112,16 @@
     /// Advances the time to `now_ms`, in milliseconds of Unix time, and returns the windows that close at
     /// this call, in the order of their indexes.
     ///
-    /// A window closes after its end, as soon as the watermarks of all enrolled reporters that are not in
-    /// `dead_reporters` have reached its end, but at the latest after the maximum close delay. If there is no
-    /// such reporter, the window closes after that delay. Windows without usage, adjustments and excess are
-    /// omitted.
+    /// A window closes when its end has passed and the watermarks of all live reporters, which are the
+    /// enrolled reporters that are not in `dead_reporters`, have reached that end. When the maximum close
+    /// delay after its end has passed, a window closes even without these watermarks; if there is no live
+    /// reporter, the window closes only then. Windows without usage, adjustments and excess are omitted from
+    /// the result.
     ///
-    /// The watermark of an incarnation is the latest start among its reports before the first gap in their
-    /// sequence numbers. The watermark of a reporter is the latest among the watermarks of its incarnations,
-    /// so that a new incarnation passes the gaps of earlier ones.
+    /// The watermark of an incarnation is the instant up to which its reports are complete: the latest
+    /// interval start among the reports before the first gap in their sequence numbers. The watermark of a
+    /// reporter is the latest watermark of its incarnations, so that gaps in the reports of an earlier
+    /// incarnation do not hold back the reporter's watermark after a restart.
     pub fn advance(&mut self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> Vec<ClosedWindow> {
         self.accounts.values_mut().for_each(|account| account.advance_watermark(&self.settings));
         let first_open = self.next_open_window(clamp_instant(now_ms), dead_reporters);
@@ -137,8 +140,9 @@
         closed.into_values().collect()
     }
 
-    /// Index of the first window that stays open when the time is advanced to `now_ms`, by the watermarks and
-    /// the close delay.
+    /// Index of the first window that stays open when the time is advanced to `now_ms`. A window closes when
+    /// its end has passed and all live reporters' watermarks have reached that end, at the latest when the
+    /// maximum close delay after that end has passed. If there is no live reporter, only that delay counts.
     fn next_open_window(&self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> i64 {
         let forced_close_ms = now_ms.saturating_sub(self.settings.max_close_delay_ms.into());
         let live_reporters = self.enrollment.reporters.keys().filter(|name| !dead_reporters.contains(*name));
@@ -148,8 +152,8 @@
         min_watermark_ms.min(now_ms).max(forced_close_ms).div_euclid(self.settings.window_ms.into())
     }
 
-    /// Returns the windows from `first_closed` up to the first open one by index, with their usage. The first
-    /// one also has the adjustments of all earlier windows.
+    /// Returns the windows from `first_closed` up to the first open window, exclusive, by index, with their
+    /// usage. The window `first_closed` also has the adjustments of all earlier windows.
     fn collect_closed(&mut self, first_closed: i64) -> BTreeMap<i64, ClosedWindow> {
         let mut closed: BTreeMap<i64, ClosedWindow> = BTreeMap::new();
         for (name, account) in &mut self.accounts {
@@ -180,7 +184,8 @@
         self.accounts.retain(|name, account| enrolled.contains_key(name) || !account.is_empty());
     }
 
-    /// Usage known so far of the window that contains an instant, in milliseconds of Unix time.
+    /// Usage reported so far in the window that contains `instant_ms`, an instant in milliseconds of Unix
+    /// time.
     pub fn provisional_usage(&self, instant_ms: i64) -> ProvisionalUsage {
         let index = instant_ms.div_euclid(self.settings.window_ms.into());
         let mut provisional = ProvisionalUsage::default();
@@ -235,7 +240,8 @@
         self.enrollment.reporters.keys().filter(move |name| self.watermark_or_min(name) < end_ms)
     }
 
-    /// Index of the first window that is retained: the start of the horizon, rounded down to a step.
+    /// Index of the first window that the ledger retains: the start of the horizon, rounded down to a
+    /// multiple of the step length, which is the horizon divided by [`STEPS_PER_HORIZON`].
     fn first_retained_window(&self) -> i64 {
         let windows = i64::from(self.settings.horizon_ms / self.settings.window_ms);
         let step = (windows / STEPS_PER_HORIZON).max(1);
@@ -259,7 +265,8 @@
     }
     let mut account = ReporterAccount::default();
     let outcome = account.record(context, report)?;
-    // This name shares its memory with the name in the enrollment.
+    // The account is inserted under the enrollment's name instead of the equal name in the report, because
+    // clones of a name share memory: the ledger then holds the text of the name only once.
     accounts.insert(reporter.clone(), account);
     Ok(outcome)
 }
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -11,13 +11,13 @@
 //!                               FairSharePolicy, ReservedShares ─► allocate_shares ─► ShareTable
 //! ```
 //!
-//! 1. The order and repetition of the reports between two calls of [`UsageLedger::advance`] or
-//!    [`UsageLedger::enroll`] do not change a byte of the serialized form of the ledger. The limits on
-//!    sequence numbers, incarnations and the horizon change only in `advance`; the limit on intervals in the
-//!    future depends on the `now_ms` of each [`UsageLedger::record`].
+//! 1. The serialized form of the ledger does not depend on the order and repetition of the reports between
+//!    two calls of [`UsageLedger::advance`] or [`UsageLedger::enroll`]. For this reason the limits on
+//!    sequence numbers, incarnations and the horizon change only in `advance`. Only the limit on intervals in
+//!    the future depends on the `now_ms` of each [`UsageLedger::record`].
 //! 2. Usage is conserved: the work in windows, the adjustments and the excess add up to the work of the
-//!    accepted reports, except for those that were corrected, replaced or discarded with one of too many new
-//!    incarnations.
+//!    accepted reports. Not counted are reports that were corrected or replaced, and the reports of an
+//!    incarnation that was discarded because its reporter had too many new incarnations.
 //! 3. [`allocate_shares`] divides the fleet by weighted max-min, first over federations and then over the
 //!    tenants of each, in parts per million.
 //!
--- a/crates/fair-share/src/measured_demand.rs
+++ b/crates/fair-share/src/measured_demand.rs
@@ -6,8 +6,9 @@
 use crate::policy::FairSharePolicy;
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Factor from measured usage to demand. It lets a tenant that lent its share regain it within two windows,
-/// starting from the minimum demand of a quarter of its entitlement.
+/// Factor from measured usage to demand. A tenant that lent its share starts from the minimum demand, a
+/// quarter of its entitlement. Using all of its share doubles the tenant's demand in each window, so that the
+/// tenant regains its entitlement within two windows.
 const DEMAND_FACTOR: u128 = 2;
 /// A tenant's demand is at least its entitlement divided by this number, so that a new tenant has a share to
 /// start with.
--- a/crates/fair-share/src/policy.rs
+++ b/crates/fair-share/src/policy.rs
@@ -18,8 +18,8 @@
     /// Share that is allocated whenever it is demanded, unless reservations leave too little for all
     /// guarantees (see [`crate::ShareTable::has_reduced_guarantees`]).
     pub guarantee: u32,
-    /// Maximum share, unless the own reservation of the tenant or federation is larger; from the guarantee to
-    /// 1 000 000.
+    /// Maximum share, from `guarantee` to 1 000 000. A larger reservation of the tenant or federation takes
+    /// precedence over the ceiling, and so do the demanded guarantees of a federation's tenants.
     pub ceiling: u32,
 }
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Federation {
-    /// Configured share of all its tenants together.
+    /// Configured share of all tenants of the federation together.
     #[serde(rename = "terms")]
     pub share_config: ShareConfig,
     /// Configured share of each tenant in the federation, by name.
@@ -49,8 +49,8 @@
     /// A guarantee exceeds its ceiling, or a ceiling exceeds 1 000 000.
     #[error("ceiling: must be from the guarantee to 1000000")]
     InvalidCeiling,
-    /// The guarantees of a federation's tenants add up to more than its own, or those of all federations to
-    /// more than 1 000 000.
+    /// The guarantees of a federation's tenants add up to more than the guarantee of the federation, or the
+    /// guarantees of all federations add up to more than 1 000 000.
     #[error("guarantee: tenants' exceed their federation's, or all federations' exceed 1000000")]
     GuaranteesExceedParent,
     /// A tenant is in two federations.
--- a/crates/fair-share/src/reporter_account.rs
+++ b/crates/fair-share/src/reporter_account.rs
@@ -79,9 +79,10 @@
         Ok(outcome)
     }
 
-    /// Returns the incarnation to discard, if any, so that the incarnation of a new report can be added. Of
-    /// the incarnations that are new since the last advance the `max_incarnations` latest are kept,
-    /// regardless of the order in which their reports arrive.
+    /// Returns the incarnation to discard, if any, so that the incarnation of a new report can be added. At
+    /// most `max_incarnations` incarnations may be new since the last advance of the ledger. Beyond this
+    /// limit the lowest of them is discarded, so that the highest ones are kept whatever the order in which
+    /// their reports arrive.
     ///
     /// # Errors
     /// [`ReportRejection::OldIncarnation`] if the incarnation of the report is too old to be kept.
@@ -149,9 +150,9 @@
         }
     }
 
-    /// Moves the watermark of each incarnation up to its first gap, and the watermark of the account to the
-    /// latest of these watermarks. Then removes the oldest incarnations until at most `max_incarnations` are
-    /// left. The work of the removed incarnations stays in the windows.
+    /// Moves the watermark of each incarnation up to the first gap in its sequence numbers, and the watermark
+    /// of the account to the latest of these watermarks. Then removes the oldest incarnations until at most
+    /// `max_incarnations` are left. The work of the removed incarnations stays in the windows.
     pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
         self.incarnations.values_mut().for_each(|log| log.advance_watermark(settings));
         let latest_ms = self.incarnations.values().filter_map(IncarnationLog::watermark_ms).max();
@@ -184,7 +185,8 @@
         delta
     }
 
-    /// Counted usage of one window; `None` if the account has no record of that window.
+    /// Usage of one window: the reported work up to the capacity of the reporter's pool, and the excess above
+    /// that capacity. `None` if the account has no record of the window.
     pub(crate) fn window_usage(&self, index: i64) -> Option<UsageDelta> {
         let usage = self.windows.get(&index)?;
         let mut delta = UsageDelta::default();
@@ -192,7 +194,7 @@
         Some(delta)
     }
 
-    /// Indexes of the windows in a range for which usage was reported.
+    /// Indexes of those windows in `range` for which the reporter has reported usage.
     pub(crate) fn windows_in(&self, range: Range<i64>) -> impl Iterator<Item = i64> {
         self.windows.range(range).map(|(&index, _)| index)
     }
--- a/crates/fair-share/src/reservation.rs
+++ b/crates/fair-share/src/reservation.rs
@@ -6,8 +6,9 @@
 use crate::apportionment::apportion;
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Reserved shares that are not lent, in parts per million of the fleet. They are allocated before everything
-/// else; if they add up to more than 1 000 000, all are reduced in proportion.
+/// Reserved shares, in parts per million of the fleet. They are allocated before all other shares, and their
+/// unused parts are not lent to others. If the reservations add up to more than 1 000 000, all are reduced in
+/// proportion.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ReservedShares {
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -44,8 +44,10 @@
     Late,
     /// The same report was recorded before; nothing changed.
     Duplicate,
-    /// The report replaces another one with the same sequence number, because it has less work; at equal work
-    /// the earlier start, then the shorter interval, the lesser tenant name and the lesser `corrects` decide.
+    /// The report replaces an earlier one with the same sequence number. Of two such reports, the one with
+    /// less work is kept; at equal work, the one with the earlier start, then the one with the shorter
+    /// interval, the lesser tenant name or the lesser `corrects`. This rule makes the result independent of
+    /// the order of arrival.
     Replaced,
 }
 
@@ -65,23 +67,24 @@
     #[error("tenant: of a federation that the reporter does not speak for")]
     #[serde(rename = "NotItsTenant")]
     ForeignTenant,
-    /// The end is not after the start.
+    /// The end of the report's interval is not after the start of the interval.
     #[error("end: not after the start")]
     #[serde(rename = "Backwards")]
     EmptyInterval,
-    /// The interval is longer than the settings allow.
+    /// The report's interval is longer than the settings allow.
     #[error("end: too far from the start")]
     #[serde(rename = "TooLong")]
     IntervalTooLong,
-    /// The end is in the future by more than the maximum clock skew.
+    /// The end of the report's interval is in the future by more than the maximum clock skew.
     #[error("end: in the future")]
     #[serde(rename = "Future")]
     InFuture,
-    /// The interval starts before the horizon, in an accounting window that the ledger has discarded.
+    /// The report's interval starts before the horizon, in an accounting window that the ledger has
+    /// discarded.
     #[error("start: before the horizon")]
     #[serde(rename = "TooOld")]
     BeforeHorizon,
-    /// The work exceeds the capacity of the reporter's pool in the interval.
+    /// The reported work exceeds the capacity of the reporter's pool in the report's interval.
     #[error("work: more than the pool can do in the interval")]
     #[serde(rename = "Absurd")]
     ExceedsCapacity,
@@ -93,7 +96,8 @@
     #[error("sequence: before those that are kept")]
     #[serde(rename = "FarBack")]
     SequenceTooOld,
-    /// The sequence number is further ahead than is allowed between two advances, or than can be tracked.
+    /// The sequence number is too high: further above the highest number received before the last advance of
+    /// the ledger than the settings allow, or too high for the ledger to track.
     #[error("sequence: too far ahead of what had come")]
     #[serde(rename = "FarAhead")]
     SequenceTooFarAhead,
--- a/crates/fair-share/src/water_filling.rs
+++ b/crates/fair-share/src/water_filling.rs
@@ -7,16 +7,16 @@
 pub(crate) struct Claimant {
     /// Weight of the claimant relative to the other claimants, from 1 to 10^18.
     pub(crate) weight: u64,
-    /// Minimum part of the claimant, at most `maximum`. The minimum is reduced only if the minimums of all
-    /// claimants exceed the capacity.
+    /// Minimum part of the capacity that the claimant gets, at most `maximum`. The minimum is reduced only if
+    /// the minimums of all claimants together exceed the capacity.
     pub(crate) minimum: u32,
-    /// Maximum part that is allocated to the claimant, even if capacity remains.
+    /// Maximum part of the capacity that the claimant gets, even if capacity remains.
     pub(crate) maximum: u32,
 }
 
 /// Level at which the part of a claimant starts or stops growing. The level is `part / weight`.
 struct Breakpoint {
-    /// Part of the claimant at this level: its minimum or its maximum.
+    /// Part of the capacity that the claimant has at this level, which is its minimum or its maximum.
     part: u32,
     weight: u64,
     is_maximum: bool,
@@ -41,9 +41,9 @@
     raise_level(capacity, minimum_sum, claimants)
 }
 
-/// Raises the level from breakpoint to breakpoint until the capacity is used up. Then it divides the capacity
-/// that no minimum or maximum takes up, in proportion to weight, over the claimants whose parts grow at that
-/// level.
+/// Raises the level from breakpoint to breakpoint, as long as the capacity is not used up. At the last level,
+/// some claimants have their minimum or maximum. The capacity without these parts is divided, in proportion
+/// to weight, over the claimants whose parts still grow.
 fn raise_level(capacity: u64, minimum_sum: u64, claimants: &[Claimant]) -> Vec<u32> {
     let mut fixed_sum = minimum_sum;
     let mut growing_weight = 0_u128;
--- a/crates/fair-share/src/window.rs
+++ b/crates/fair-share/src/window.rs
@@ -16,13 +16,13 @@
     pub index: i64,
     /// Work by tenant in this window, in slot-milliseconds.
     pub work: BTreeMap<Name, u64>,
-    /// Changes of the work in earlier windows that are settled with this window, by tenant, in
-    /// slot-milliseconds; negative if corrections reduced the work. To settle an earlier window is to return
-    /// what changed in it since it was closed or last settled, as an adjustment of a later window.
+    /// Adjustments by tenant, in slot-milliseconds: changes of the work in windows that were already closed,
+    /// for example by late reports or corrections, that no earlier adjustment contains. Negative if the work
+    /// was reduced.
     pub adjustments: BTreeMap<Name, i64>,
     /// Excess by reporter, in slot-milliseconds: the work reported for this window above the capacity of the
-    /// reporter's pool, which is not counted as usage, plus the change of the excess of earlier windows. This
-    /// change may make the sum negative.
+    /// reporter's pool, which is not counted as usage. Later changes of the excess of earlier windows are
+    /// added, so that the value may be negative.
     #[serde(rename = "cut")]
     pub excess: BTreeMap<Name, i64>,
     /// Reporters, dead ones included, that had not reported all usage of this window when it closed.
--- a/crates/fair-share/src/window_usage.rs
+++ b/crates/fair-share/src/window_usage.rs
@@ -23,8 +23,9 @@
     capacity: u64,
     /// Reported work by tenant, without entries of 0.
     reported: BTreeMap<Name, u64>,
-    /// Counted work of the closed window before those changes that are not settled yet, that is, not yet
-    /// returned as an adjustment of a later window. `None` if the window is open or has no such change.
+    /// Counted work of a closed window at its last settlement, that is, when the window closed or when a
+    /// change of its work was last returned as an adjustment of a later window. `None` if the window is open
+    /// or has not changed since then.
     last_settled: Option<CountedWork>,
 }
 
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Replaces the reported work of a tenant by `update(previous work, work)`; a result of 0 removes the
-    /// tenant.
+    /// Replaces the work reported for a tenant so far by `update(reported, work)`, where `reported` is the
+    /// work reported so far. A result of 0 removes the tenant.
     pub(crate) fn update_work(&mut self, tenant: &Name, work: u64, update: fn(u64, u64) -> u64) {
         let total = self.reported.entry(tenant.clone()).or_default();
         *total = update(*total, work);
@@ -74,7 +75,8 @@
     }
 
     /// Adds to `delta` the change of the counted work since the window was last settled, and marks the window
-    /// as settled. Returns whether settled work had been saved, as it is before a closed window changes.
+    /// as settled. Returns `false` if there was nothing to settle, because the window had not changed since
+    /// then.
     pub(crate) fn settle(&mut self, delta: &mut UsageDelta) -> bool {
         let Some(settled) = self.last_settled.take() else { return false };
         let counted = self.counted_work();
