--- a/crates/event-log/src/run_summary.rs
+++ b/crates/event-log/src/run_summary.rs
@@ -17,7 +17,7 @@
 pub struct RunSummary {
     /// The id of the run, which is random for each start of the scheduler.
     pub run_id: String,
-    /// The name of the scheduler; `None` if the start of the run is not in the stream.
+    /// The name of the scheduler of the run; `None` if the start of the run is not in the stream.
     pub name: Option<String>,
     /// Number of records by the serialized name of their event kind. ` (unknown)` follows a name that this
     /// reader does not know.
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -6,9 +6,9 @@
 use crate::cookie::{Cookie, HexId};
 use crate::workers::WorkerTable;
 
-/// Writes the actions of one instance as simulator messages.
+/// Writes the actions of one scheduler instance as simulator messages.
 pub(crate) struct ActionEncoder<'a> {
-    /// The instance's name (`node_id` on the wire).
+    /// The name of the scheduler instance (`node_id` on the wire).
     pub(crate) node: &'a str,
     /// The worker names by worker id.
     pub(crate) workers: &'a WorkerTable,
@@ -59,13 +59,14 @@
     }
 }
 
-/// Writes the message that reports a failure of an instance.
+/// Writes the message that tells the simulator of a failure of a scheduler instance, such as a panic or
+/// rejected settings.
 pub(crate) fn write_fault(out: &mut impl Write, node: &str, message: &str) -> io::Result<()> {
     let line = serde_json::json!({"kind": "fault", "node_id": node, "message": message});
     writeln!(out, "{line}")
 }
 
-/// Writes the message that ends the reply to a batch.
+/// Writes the message that marks the end of the reply to a batch of messages.
 pub(crate) fn write_batch_end(out: &mut impl Write, turn: u64) -> io::Result<()> {
     writeln!(out, r#"{{"kind":"end","turn":{turn}}}"#)
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -24,7 +24,7 @@
     },
 }
 
-/// The position in the input, relative to the batches.
+/// The position of an error in the input, relative to the batches of messages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum BatchPosition {
     /// Inside the batch with this turn number.
@@ -77,7 +77,7 @@
         /// The text that the simulator sent as the request id.
         text: String,
     },
-    /// The code of an outcome is unknown.
+    /// The simulator sent an unknown code as the outcome of an attempt or of a load query.
     #[error("state_code {code} is unknown")]
     UnknownOutcome {
         /// The code that the simulator sent as `state_code`.
@@ -118,10 +118,10 @@
         /// The name of the instance that the message was addressed to.
         node: String,
     },
-    /// The kind of progress is unknown.
+    /// A `progress` message states an unknown kind of progress of an attempt.
     #[error("progress of unknown kind {kind} skipped")]
     UnknownProgress {
-        /// The code that the simulator sent as the kind of progress.
+        /// The code that the simulator sent as the attempt's kind of progress.
         kind: u32,
     },
     /// The cookie of an expired timer cannot be parsed.
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -25,7 +25,7 @@
     /// A request's id, 16 hex digits.
     #[serde(borrow)]
     pub(crate) req: Option<Cow<'a, str>>,
-    /// A worker's name.
+    /// The name of the worker that the message is about, such as the worker that answered a load query.
     #[serde(borrow)]
     pub(crate) executor: Option<Cow<'a, str>>,
     /// The cookie that an expired timer was started with.
@@ -34,17 +34,17 @@
     /// The kind of an endpoint update: `D` (changes), `F` (full), `C` (cached) or `X` (failed).
     #[serde(borrow)]
     pub(crate) mode: Option<Cow<'a, str>>,
-    /// The version of the endpoint list.
+    /// The version of the endpoint list in an endpoint update.
     pub(crate) serial: Option<u64>,
-    /// The endpoints of an endpoint update.
+    /// The list of workers in an endpoint update, each with its state and properties.
     #[serde(borrow)]
     pub(crate) nodes_list: Option<Vec<Entry<'a>>>,
     /// The seed of an instance's random number generator.
     pub(crate) prng: Option<u64>,
-    /// An instance's settings, as the platform's JSON.
+    /// An instance's settings, in the JSON format in which the hosting platform configures a scheduler.
     #[serde(borrow)]
     pub(crate) params: Option<&'a RawValue>,
-    /// The number of slots that a request occupies.
+    /// The number of worker slots that a request occupies.
     pub(crate) width: Option<f64>,
     /// The tenant of a request, as a number.
     pub(crate) org: Option<u32>,
@@ -52,7 +52,7 @@
     pub(crate) category: Option<u32>,
     /// The time until a request's deadline, in seconds.
     pub(crate) expires_in_s: Option<f64>,
-    /// The request's cost hint, in seconds.
+    /// The client's hint of a request's cost, in seconds of service time.
     pub(crate) work_s: Option<f64>,
     /// The attempt's number, counted from 0 for each request.
     #[serde(rename = "try")]
@@ -61,32 +61,35 @@
     pub(crate) what: Option<u32>,
     /// The completed fraction of an attempt's work, from 0 to 1.
     pub(crate) level: Option<f64>,
-    /// Whether the request has its final response, from this outcome or an earlier one.
+    /// Whether the request has its final response, from the attempt that the message reports or from an
+    /// earlier attempt.
     pub(crate) over: Option<bool>,
-    /// The code of an outcome; `decode.rs` lists the codes.
+    /// The code of the outcome of an attempt or of a load query; `decode.rs` lists the codes.
     pub(crate) state_code: Option<u32>,
     /// The duration of an attempt, in seconds.
     pub(crate) elapsed_s: Option<f64>,
-    /// A worker's load report.
+    /// The load report that a worker returned with the outcome of an attempt or a load query.
     pub(crate) load: Option<Load>,
 }
 
 /// One endpoint of a `topology` message. The field names are those on the wire.
 #[derive(Deserialize)]
 pub(crate) struct Entry<'a> {
-    /// The worker's name.
+    /// The worker's name, by which other messages refer to the worker.
     #[serde(borrow)]
     pub(crate) executor: Cow<'a, str>,
     /// The worker's zone, as a number; absent means 0.
     pub(crate) dc: Option<u32>,
-    /// The worker kind, as a number; absent means 0.
+    /// The worker's kind, such as a machine type, as a number; absent means 0.
     pub(crate) class_of_host: Option<u32>,
-    /// The worker's cell, as a number; absent means 0.
+    /// The worker's cell, a group of workers that share a store of idempotency keys, as a number; absent
+    /// means 0.
     pub(crate) cluster: Option<u32>,
     /// The worker's state: `live`, `quiescing` (draining) or `dead` (removed).
     #[serde(borrow)]
     pub(crate) status: Cow<'a, str>,
-    /// The virtual time of the worker's last start, in seconds; absent or 0 means long ago.
+    /// The virtual time of the worker's last start, in seconds; absent or 0 for a worker that is not in slow
+    /// start.
     pub(crate) online_since_s: Option<f64>,
     /// The worker's size, a figure to compare with the sizes of other workers.
     pub(crate) nominal: Option<f64>,
