--- a/crates/system-call-faults/src/call.rs
+++ b/crates/system-call-faults/src/call.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// What a call acts on, which the rules of a plan are matched with.
+/// The target of a call: a socket, a file or neither. The rules of a plan select calls by their target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Target<'a> {
     Socket(SocketKind),
--- a/crates/system-call-faults/src/clock.rs
+++ b/crates/system-call-faults/src/clock.rs
@@ -18,7 +18,7 @@
     let is_wall_clock = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
     if let Some(injector) = injector().filter(|_| is_wall_clock && result == 0) {
         let offset = injector.plan.clock_offset(injector.started.elapsed());
-        // SAFETY: the call succeeded, so the pointer is valid, and it belongs to the caller.
+        // SAFETY: the call succeeded, so the pointer is valid; the caller owns the memory that it points to.
         shift(unsafe { &mut *time }, offset);
     }
     result
--- a/crates/system-call-faults/src/descriptors.rs
+++ b/crates/system-call-faults/src/descriptors.rs
@@ -17,9 +17,10 @@
 const KINDS: [SocketKind; 4] =
     [SocketKind::Client, SocketKind::Worker, SocketKind::Discovery, SocketKind::Membership];
 
-/// The state of each descriptor: 0 if it has no kind, or the number of its kind, plus the [`ENDED`] flag if
-/// an injected error has ended the connection. The states are atomic instead of behind a lock, because a
-/// signal handler may write to a descriptor at any time.
+/// The state of each descriptor: 0 if the descriptor has no kind, otherwise the number of its kind, plus the
+/// [`ENDED`] flag if an injected error has ended the connection. The states are atomic instead of behind a
+/// lock, because a signal handler may call an interposed function, such as `write`, at any time, and could
+/// wait forever for a lock that the interrupted thread holds.
 static STATES: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(0) }; MAX_DESCRIPTORS];
 
 /// The registration of a socket with an epoll instance.
--- a/crates/system-call-faults/src/lib.rs
+++ b/crates/system-call-faults/src/lib.rs
@@ -14,26 +14,29 @@
 //! clock +3600s at 1.5s              # CLOCK_REALTIME is 3600 s ahead, from 1.5 s after loading the plan
 //! ```
 //!
-//! - `CALL`: `accept4`, `socket` (IPv4 only), `connect`, `connect-completion` (the `SO_ERROR` query of an
-//!   established connection; a failure sets the queried value), `recv` (also `recvfrom`, `read` and `readv`)
-//!   and `send` (also `sendto`, `write` and `writev`) on sockets, `epoll_wait`, and on files `open`
-//!   (`open64`), `write` (not `writev`), `fsync`, `fdatasync`, `ftruncate` (`ftruncate64`) and `rename`.
+//! - `CALL` names a kind of call, which may stand for several functions of the C library:
+//!   - on sockets: `accept4`, `socket` (IPv4 only), `connect`, `connect-completion` (the `SO_ERROR` query of
+//!     an established connection; a failure sets the queried value), `recv` (also `recvfrom`, `read` and
+//!     `readv`) and `send` (also `sendto`, `write` and `writev`);
+//!   - on files: `open` (`open64`), `write` (not `writev`), `fsync`, `fdatasync`, `ftruncate` (`ftruncate64`)
+//!     and `rename`;
+//!   - on neither: `epoll_wait`.
 //! - `KIND`: `client` (accepted sockets), `worker` (connected sockets), `discovery` and `membership` (both
 //!   assigned by `address`), `any`, or `file:SUFFIX` for files whose path ends with `SUFFIX`. Calls of
 //!   `socket` and `epoll_wait` match only `any`.
 //! - `WHEN`: `calls 3`, `calls 3..5` (inclusive) or `calls 3..` (without end) selects matching calls by their
 //!   number, counted from 1; `every 3` selects every third call.
 //!
-//! The first rule that selects a call provides its fault, and all matching rules count the call. The last
-//! clock offset whose time has come replaces the earlier ones.
+//! The first rule that selects a call provides its fault, and all matching rules count the call. Of the
+//! `clock` statements whose time has come, only the one with the latest time applies.
 //!
 //! A call on a non-blocking socket that would return `EAGAIN` is not counted and gets no fault, as the kernel
 //! reports errors only for pending events. A failed `accept4` leaves the pending connection in the queue, as
 //! though a connection ahead of it had failed.
 //!
-//! All errors of `recv` and `send` except `EINTR`, `ENOBUFS` and `ENOMEM` end a stream connection: it is shut
-//! down, later receives return 0, and later sends fail with `EPIPE`. A failed `connect-completion` ends it
-//! too.
+//! All errors of `recv` and `send` except `EINTR`, `ENOBUFS` and `ENOMEM` end a stream connection: the
+//! connection is shut down, later receives return 0, and later sends fail with `EPIPE`. A failed
+//! `connect-completion` ends the connection in the same way.
 //!
 //! The library supports Linux, and programs that call the C library as Rust's standard library, tokio and mio
 //! do.
--- a/crates/system-call-faults/src/plan.rs
+++ b/crates/system-call-faults/src/plan.rs
@@ -80,7 +80,8 @@
     matched: AtomicU64,
 }
 
-/// An offset of the wall clock, and the time since the plan was loaded from which it applies.
+/// An offset of the wall clock, with the delay after which the offset applies, counted from the time at which
+/// the plan was loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClockOffset {
     pub(crate) since_start: Duration,
@@ -187,7 +188,8 @@
         fault
     }
 
-    /// Returns the offset of the wall clock, in nanoseconds, at a time since the plan was loaded.
+    /// Returns the offset of the wall clock, in nanoseconds, that applies once `since_start` has elapsed
+    /// since the plan was loaded.
     pub(crate) fn clock_offset(&self, since_start: Duration) -> i64 {
         let reached = self.clock_offsets.iter().take_while(|offset| offset.since_start <= since_start);
         reached.last().map_or(0, |offset| offset.nanoseconds)
--- a/crates/system-call-faults/src/sockets.rs
+++ b/crates/system-call-faults/src/sockets.rs
@@ -25,7 +25,7 @@
         .then(|| SocketAddrV4::new(ip, u16::from_be(address.sin_port)))
 }
 
-/// Interposes `socket` of the C library.
+/// Interposes `socket` of the C library to inject failures into creating IPv4 sockets.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -42,7 +42,7 @@
     unsafe { original(domain, socket_type, protocol) }
 }
 
-/// Interposes `bind` of the C library to assign the socket the kind of its address.
+/// Interposes `bind` of the C library to give the socket the kind that the plan assigns to the bound address.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -60,7 +60,8 @@
     unsafe { original(descriptor, address, length) }
 }
 
-/// Interposes `connect` of the C library to inject faults and assign the socket the kind of its peer.
+/// Interposes `connect` of the C library to inject failures, and to give the socket the kind that the plan
+/// assigns to the peer's address, or [`SocketKind::Worker`] if the plan assigns none.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -106,14 +107,14 @@
         && let Some(Fault::Fail(errno)) = injector.next_fault(Call::ConnectCompletion, Target::Socket(kind))
     {
         descriptors::end_connection(descriptor);
-        // SAFETY: the value is valid, as above.
+        // SAFETY: the call succeeded, so the value is valid; the value of this option is an integer.
         unsafe { error.write_unaligned(errno.0) };
     }
     result
 }
 
-/// Interposes `accept4` of the C library to inject faults and assign the accepted socket the kind of its
-/// listener.
+/// Interposes `accept4` of the C library to inject failures, and to give the accepted socket the kind of its
+/// listener, or [`SocketKind::Client`] if the listener has no kind.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -139,8 +140,8 @@
     accepted
 }
 
-/// Whether one of these events is pending on a socket, or a call on the socket would block until one of them
-/// is pending.
+/// Whether a call on the socket would find one of `events` pending: an event is pending now, or the socket is
+/// blocking, so that the call waits for an event.
 pub(crate) fn is_ready(descriptor: c_int, events: libc::c_short) -> bool {
     // SAFETY: any descriptor may be passed.
     let flags = unsafe { libc::fcntl(descriptor, libc::F_GETFL) };
@@ -149,7 +150,7 @@
     flags & libc::O_NONBLOCK == 0 || unsafe { libc::poll(&raw mut poll, 1, 0) } != 0
 }
 
-/// Interposes `close` of the C library to remove the descriptor's state.
+/// Interposes `close` of the C library to remove the state that is tracked for the descriptor.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -163,7 +164,8 @@
     unsafe { original(descriptor) }
 }
 
-/// Interposes `epoll_ctl` of the C library to record registrations for re-arming.
+/// Interposes `epoll_ctl` of the C library to record the epoll registrations of sockets, which
+/// [`descriptors::rearm_epoll`] needs after a short transfer.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -185,7 +187,7 @@
     result
 }
 
-/// Interposes `epoll_wait` of the C library.
+/// Interposes `epoll_wait` of the C library to inject failures into waiting for events.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
--- a/crates/system-call-faults/src/transfers.rs
+++ b/crates/system-call-faults/src/transfers.rs
@@ -50,7 +50,7 @@
     let mut length = size_of::<c_int>() as socklen_t;
     let getsockopt = original!(getsockopt: fn(c_int, c_int, c_int, *mut c_void, *mut socklen_t) -> c_int);
     let value = (&raw mut socket_type).cast();
-    // SAFETY: the value is valid for its length.
+    // SAFETY: `value` points to an integer, and `length` is the size of that integer.
     let result = unsafe { getsockopt(descriptor, libc::SOL_SOCKET, libc::SO_TYPE, value, &raw mut length) };
     result == 0 && socket_type == libc::SOCK_STREAM
 }
@@ -115,7 +115,7 @@
     }
 }
 
-/// Interposes `recv` of the C library.
+/// Interposes `recv` of the C library to inject failures and short transfers into receiving from a socket.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -128,7 +128,8 @@
     })
 }
 
-/// Interposes `recvfrom` of the C library.
+/// Interposes `recvfrom` of the C library to inject failures and short transfers into receiving from a
+/// socket.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -149,7 +150,8 @@
     })
 }
 
-/// Interposes `read` of the C library.
+/// Interposes `read` of the C library to inject failures and short transfers into reading from a socket.
+/// Reads from files are passed through.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -162,7 +164,8 @@
     })
 }
 
-/// Interposes `readv` of the C library.
+/// Interposes `readv` of the C library to inject failures and short transfers into reading from a socket.
+/// Reads from files are passed through.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -173,7 +176,7 @@
     unsafe { transfer_buffers(descriptor, Call::Receive, buffers, count, original) }
 }
 
-/// Interposes `send` of the C library.
+/// Interposes `send` of the C library to inject failures and short transfers into sending to a socket.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -186,7 +189,7 @@
     })
 }
 
-/// Interposes `sendto` of the C library.
+/// Interposes `sendto` of the C library to inject failures and short transfers into sending to a socket.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -207,7 +210,8 @@
     })
 }
 
-/// Interposes `write` of the C library.
+/// Interposes `write` of the C library to inject failures and short transfers into writing to a socket or a
+/// file.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -224,7 +228,8 @@
     transfer_bytes(descriptor, Call::Send, length, |length| unsafe { original(descriptor, buffer, length) })
 }
 
-/// Interposes `writev` of the C library.
+/// Interposes `writev` of the C library to inject failures and short transfers into writing to a socket.
+/// Writes to files are passed through.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
--- a/crates/test-harness/src/address_block.rs
+++ b/crates/test-harness/src/address_block.rs
@@ -12,7 +12,8 @@
 const MEMBERSHIP_PORT: u16 = 21_923;
 /// Last octet of the address that all relays share. Members have lower octets.
 const RELAY_HOST: u8 = 250;
-/// Maximum number of attempts to bind the same port for TCP and UDP.
+/// Maximum number of attempts to find a port that is free for both TCP and UDP. Each attempt binds a TCP port
+/// that the system assigns, and then the UDP port with the same number.
 const MAX_BIND_ATTEMPTS: u32 = 100;
 
 /// The block of loopback addresses of a fleet, claimed until it is dropped.
--- a/crates/test-harness/src/client.rs
+++ b/crates/test-harness/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that fetches the members' views.
+//! The HTTP client that fetches the members' views of the membership.
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -22,8 +22,8 @@
 
 pub use waits::ObservedView;
 
-/// Maximum number of members. An address block has addresses for this many, and more processes would overload
-/// a machine.
+/// Maximum number of members of a fleet. An address block has addresses for this many members, and more
+/// processes would overload a machine.
 const MAX_MEMBERS: usize = 200;
 /// Number of threads that run the relays and the HTTP client.
 const RUNTIME_THREADS: usize = 2;
@@ -44,8 +44,8 @@
     /// Binds a member's relay and spawns the relay's tasks, which end with the runtime.
     fn new(network: &Arc<FaultyNetwork>, member: usize, runtime: &Runtime) -> FleetMember {
         let sockets = network.addresses.bind_relay();
-        // These ports stay free until the process starts or restarts, because no other fleet uses this
-        // address block, and the system assigns ephemeral ports from a higher range.
+        // The member's HTTP port and membership port stay free until the process starts or restarts, because
+        // no other fleet uses this address block, and the system assigns ephemeral ports from a higher range.
         let http_address = network.addresses.http_address(member);
         let membership_address = network.addresses.membership_address(member);
         runtime.spawn(relay::relay_packets(Arc::clone(network), member, sockets.udp, membership_address));
--- a/crates/test-harness/src/fleet/waits.rs
+++ b/crates/test-harness/src/fleet/waits.rs
@@ -1,4 +1,4 @@
-//! Waits until the members' views meet a condition, with a timeout.
+//! Waits until the members' views of the membership meet a condition, with a timeout.
 use std::time::{Duration, Instant};
 
 use super::{Fleet, FleetMember};
@@ -28,7 +28,7 @@
 
 impl Fleet {
     /// Waits until a condition holds for the views of all members that run and are not paused. Returns the
-    /// time that this took. `description` describes the condition in a failure message.
+    /// duration of the wait. `description` describes the condition in a failure message.
     ///
     /// # Panics
     /// Panics if the condition does not hold within the timeout, or if a process exits by itself.
@@ -55,8 +55,9 @@
         }
     }
 
-    /// Waits until each member that runs and is not paused sees exactly the others that do. Returns the time
-    /// that this took. `when` describes the situation in a failure message.
+    /// Waits until each active member, which is a member that runs and is not paused, sees all other active
+    /// members and no other member. Returns the duration of the wait. `when` describes the situation in a
+    /// failure message.
     ///
     /// # Panics
     /// Panics as [`Fleet::wait_until`] does.
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -15,7 +15,8 @@
     /// Panics if the program cannot be started.
     pub(crate) fn start(program: &Path, config: &Path, log: File) -> SchedulerProcess {
         let mut command = Command::new(program);
-        // The variable names the platform's configuration file, which must not take effect in tests.
+        // `EDGE_CONFIG` names the configuration file of the hosting platform, which must not take effect in
+        // tests.
         command.args(["serve", "--config"]).arg(config).env_remove("EDGE_CONFIG");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         SchedulerProcess(
--- a/crates/test-harness/src/relay.rs
+++ b/crates/test-harness/src/relay.rs
@@ -51,8 +51,9 @@
         links.delivery_delays(from, to, rng)
     }
 
-    /// Waits until a part of a stream (its opening, a chunk or its end) arrives over the link, including its
-    /// delay. If the part is lost or the link is blocked, tries again after [`RETRANSMIT_INTERVAL`].
+    /// Waits until a part of a stream (its opening, a chunk or its end) has passed the link, which takes as
+    /// long as the link's delay. If the part is lost or the link is blocked, tries again after
+    /// [`RETRANSMIT_INTERVAL`].
     async fn wait_for_delivery(&self, from: usize, to: usize) {
         loop {
             match self.delivery_delays(from, to)[0] {
--- a/crates/test-harness/src/view.rs
+++ b/crates/test-harness/src/view.rs
@@ -12,9 +12,9 @@
 pub struct MemberInfo {
     /// The member's name, which stays the same after a restart.
     pub name: String,
-    /// The member's zone.
+    /// The name of the zone in which the member runs.
     pub zone: String,
-    /// The member's region.
+    /// The name of the region in which the member runs.
     pub region: String,
     /// The address for packets and streams from other members.
     pub address: SocketAddr,
