--- a/crates/testbed/src/emulation/baseline.rs
+++ b/crates/testbed/src/emulation/baseline.rs
@@ -56,8 +56,9 @@
     Ok(())
 }
 
-/// Starts the task that polls discovery. It ends with the runtime, or when the returned sender of
-/// discovery's address is dropped.
+/// Starts polling the discovery server. The polling continues until the runtime ends. The returned sender
+/// holds the server's address and must be kept: once the sender is dropped, failed polls are retried without
+/// backoff.
 fn follow_discovery(
     kind: PolicyKind,
     config: &StartupConfig,
@@ -71,9 +72,9 @@
         Box::new(PlatformDiscovery { address: address.clone(), cached_revision: assembled.cached_revision });
     let following = tokio::spawn(source.follow(assembled.endpoint_publisher.clone()));
     if kind == PolicyKind::IgnoresDrains {
-        // The proxy checks an endpoint again before it sends an attempt, so a policy alone cannot dispatch
-        // to a draining worker. This scheduler keeps polling, which counts as being notified, but discards
-        // the endpoint updates.
+        // The proxy checks an endpoint again before it sends an attempt, so a policy alone cannot dispatch to
+        // a draining worker. Therefore this scheduler discards all further endpoint updates. The polling
+        // continues, so that the emulation's rule checker still regards the scheduler as notified of drains.
         let publisher = discarding_publisher(config)?;
         // The task ends with the runtime.
         tokio::spawn(async move {
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -14,9 +14,11 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::micros_from_seconds;
 
-/// Maximum time for which a watch is held before its response, in microseconds; the same as on the platform.
+/// Maximum time for which the discovery server holds a poll while the endpoint list does not change, in
+/// microseconds. The discovery service of the hosting platform has the same limit.
 const MAX_HOLD: Micros = 60_000_000;
-/// Time between switches of the endpoint list while discovery contradicts itself, as in the simulation.
+/// Interval at which the stale and the current endpoint list replace each other during a
+/// `DiscoveryContradicts` fault. The simulation uses the same interval.
 pub(crate) const CONTRADICTION_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Discovery's response with an endpoint list. Removed workers are included only in a list of changes.
@@ -64,7 +66,7 @@
     }
 }
 
-/// The value of a numeric query parameter; `None` if it is absent or not a number.
+/// The value of a numeric query parameter; `None` if the parameter is absent or not a number.
 fn query_number(query: &str, name: &str) -> Option<u64> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
@@ -84,7 +86,7 @@
     Response::new(Full::from(body))
 }
 
-/// Waits until the list has changes newer than `known_revision`, for at most `hold` microseconds.
+/// Waits until the endpoint list has changes newer than `known_revision`, for at most `hold` microseconds.
 ///
 /// Before the first list is due, and while discovery is down, the function waits irrespective of `hold`.
 async fn wait_for_changes(
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -46,16 +46,16 @@
 
 /// The address and control channels of a worker's listener.
 pub(crate) struct WorkerListener {
-    /// Address of the worker's port.
+    /// Loopback address at which the worker listens.
     pub address: SocketAddr,
-    /// Current state of the port, set by the environment.
+    /// How the worker's port handles new connections at present; set by the environment.
     pub listener_state: watch::Sender<ListenerState>,
     /// Wakes the task that advances the worker's model.
     pub wake: Notify,
 }
 
 impl WorkerListener {
-    /// A listener at an address, in its initial state.
+    /// Creates the listener of a worker, whose port first handles connections as `state` says.
     pub(crate) fn new(address: SocketAddr, state: ListenerState) -> WorkerListener {
         WorkerListener { address, listener_state: watch::Sender::new(state), wake: Notify::new() }
     }
@@ -130,12 +130,12 @@
         self.started_unix_ms.get() + at / 1_000
     }
 
-    /// The address of a worker's port.
+    /// The loopback address at which a worker listens.
     pub(crate) fn worker_address(&self, worker: WorkerId) -> SocketAddr {
         self.listeners[worker.0 as usize].address
     }
 
-    /// The name of a worker's kind.
+    /// The name of a worker's kind, as in the scenario and in the endpoint list.
     pub(crate) fn worker_kind(&self, worker: WorkerId) -> &str {
         &self.scenario.workers[self.state.borrow().kinds[worker.0 as usize] as usize].kind
     }
@@ -181,8 +181,8 @@
         Duration::from_micros(micros_from_seconds(self.scenario.discovery.delay_s))
     }
 
-    /// Applies a change to the state, then starts the delivery of the resulting callbacks and propagates
-    /// changed workers to their sockets and to the endpoint list. Each callback has its own task.
+    /// Applies a change to the emulation's state. Then starts a task for each resulting callback, which
+    /// delivers the callback, and updates the sockets and the listed endpoints of all workers that changed.
     pub(crate) fn apply<R>(self: &Rc<Self>, change: impl FnOnce(&mut EmulationState) -> R) -> R {
         let (result, callbacks, changed_workers) = {
             let mut state = self.state.borrow_mut();
@@ -233,8 +233,8 @@
 
 async fn publish_after_delay(environment: Rc<Environment>, endpoint: Endpoint) {
     sleep(environment.discovery_delay()).await;
-    // The list is left as it is if the endpoint has not changed: some changes of a worker, such as the
-    // refusal of connections, do not show in its endpoint.
+    // The endpoint list is left as it is if the worker's endpoint has not changed: some changes of a worker,
+    // such as the refusal of connections, do not show in the endpoint.
     let is_unchanged =
         environment.endpoint_list.borrow().endpoints[endpoint.worker.0 as usize].endpoint == endpoint;
     if !is_unchanged {
@@ -242,7 +242,7 @@
     }
 }
 
-/// Builds a worker's endpoint from the state.
+/// Builds a worker's endpoint from the state of the emulation.
 pub(crate) fn endpoint_of(state: &EmulationState, worker: WorkerId) -> Endpoint {
     let (model, zone) = &state.workers[worker.0 as usize];
     let worker_state = match model.process {
--- a/crates/testbed/src/emulation/error.rs
+++ b/crates/testbed/src/emulation/error.rs
@@ -21,20 +21,20 @@
         /// Number of schedulers in the scenario.
         schedulers: u32,
     },
-    /// The scenario of this name needs worker sizes in the endpoint list, which the emulation does not
-    /// refresh.
+    /// The scenario of this name sets `discovery.sizes`, so that the worker sizes in the endpoint list must
+    /// be refreshed regularly, but the emulation does not refresh these sizes.
     #[error("{0}: discovery.sizes: emulate does not refresh the listed sizes; use sim")]
     SizesUnsupported(String),
     /// The scenario of this name has a `DiscoveryMoves` fault, which only the simulation supports.
     #[error("{0}: faults: emulate does not support moving discovery; use sim")]
     DiscoveryMoveUnsupported(String),
-    /// The scenario of this name has too many jobs.
+    /// The scenario of this name has more jobs than one emulation supports.
     #[error("{0}: more than {MAX_JOBS} jobs")]
     TooManyJobs(String),
-    /// The given list of schedulers that are already running is empty.
+    /// The emulation is to use schedulers that are already running, but the list of their addresses is empty.
     #[error("no scheduler")]
     NoScheduler,
-    /// The runtime cannot be created.
+    /// The async runtime of the emulation cannot be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
     /// A socket or temporary directory cannot be created.
@@ -51,7 +51,7 @@
     /// A fault stops a scheduler that the emulation did not start.
     #[error("a fault stops a scheduler that was not started by the emulation")]
     ExternalScheduler,
-    /// The histogram of send delays cannot be created.
+    /// The histogram of the delays with which jobs are sent cannot be created.
     #[error(transparent)]
     Histogram(#[from] hdrhistogram::CreationError),
     /// Some clients are still waiting long after the last deadline.
--- a/crates/testbed/src/emulation/faults.rs
+++ b/crates/testbed/src/emulation/faults.rs
@@ -12,7 +12,8 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::FaultKind;
 
-/// Injects the faults at their times. Returns only if a fault cannot be injected, with the error.
+/// Starts and ends each fault at its scheduled time. Returns only if a fault cannot be injected, with the
+/// error.
 pub(super) async fn inject_faults(
     environment: &Rc<Environment>,
     transitions: &[FaultTransition],
@@ -58,7 +59,8 @@
             let stale_copy = transition.is_start.then(|| environment.endpoints());
             environment.update_endpoint_list(|list| list.stale_copy = stale_copy);
             if transition.is_start {
-                // The task ends at the next switch of lists after the fault.
+                // The task switches the served endpoint list periodically, and ends at its first switch after
+                // the end of the fault.
                 spawn_local(alternate_lists(Rc::clone(environment)));
             }
         }
@@ -67,8 +69,8 @@
     Ok(())
 }
 
-/// Marks a scheduler as down, so that clients and workers do not use it, and kills its process, or for a
-/// restart sends it SIGTERM without waiting for its exit.
+/// Marks a scheduler as down, so that clients and workers do not use it, and ends the scheduler's process. A
+/// crash fault kills the process; a restart fault sends SIGTERM and does not wait for the exit.
 async fn stop_scheduler(
     environment: &Environment,
     scheduler: SchedulerId,
@@ -95,8 +97,8 @@
 
 async fn end_discovery_outage(environment: Rc<Environment>) {
     sleep(environment.discovery_delay()).await;
-    // The list of unpublished workers is taken after the discovery delay, so that the list includes workers
-    // that changed during the delay.
+    // The workers whose changes the endpoint list does not show yet are collected after the discovery delay,
+    // so that workers that changed during the delay are included.
     let workers = std::mem::take(&mut environment.endpoint_list.borrow_mut().unpublished_workers);
     let endpoints: Vec<_> = workers.into_iter().map(|worker| environment.endpoint(worker)).collect();
     environment.update_endpoint_list(|list| {
--- a/crates/testbed/src/emulation/faulty_socket.rs
+++ b/crates/testbed/src/emulation/faulty_socket.rs
@@ -15,13 +15,14 @@
     None,
     /// Nothing is written, and the connection is reset.
     Reset,
-    /// Only this many bytes are written before the connection is reset.
+    /// Only the first part of the response is written, then the connection is reset. The value is the length
+    /// of the written part, in bytes.
     Truncate(usize),
     /// Bytes that are not HTTP are written in place of the response, and the connection is closed.
     Garbage,
 }
 
-/// Bytes sent in place of a response; not valid HTTP.
+/// Bytes that are sent in place of a response, and are not valid HTTP.
 const GARBAGE: &[u8] = b"\x16\x03\x01 202 ACCEPTED maybe\r\n\r\n";
 
 /// The server side of a worker's connection, with fault injection. The connection's request handler shares
@@ -39,7 +40,8 @@
     }
 }
 
-/// Configures a connection to be reset, instead of closed gracefully, when it is dropped.
+/// Configures a connection so that dropping the stream resets the connection instead of closing it
+/// gracefully.
 pub fn reset_connection(stream: &TcpStream) {
     // The error is ignored: if the option cannot be set, the connection is closed gracefully.
     let _ = stream.set_zero_linger();
@@ -83,8 +85,8 @@
             }
             ResponseFault::Garbage => {
                 let written = Pin::new(&mut self.stream).poll_write(context, GARBAGE);
-                // The write fails, but the connection is not reset, because the peer must be able to read the
-                // bytes.
+                // The error makes the HTTP server close the connection. The connection is closed gracefully,
+                // because a reset could prevent the peer from reading the garbage bytes.
                 if written.is_ready() { broken() } else { Poll::Pending }
             }
         }
--- a/crates/testbed/src/emulation/messages.rs
+++ b/crates/testbed/src/emulation/messages.rs
@@ -14,7 +14,7 @@
     pub scheduler: SchedulerId,
     /// Reported state of the attempt.
     pub state: CallbackState,
-    /// Load report of the worker, in callbacks for jobs that are done or returned.
+    /// Load report of the worker; `None` unless the callback reports that the job is done or returned.
     pub load: Option<LoadReport>,
     /// Delay of the delivery, in microseconds: the sum of the network's delay and a fault's delay.
     pub delay: Micros,
@@ -27,7 +27,7 @@
 pub(crate) enum CallbackState {
     /// The job started to run.
     Started,
-    /// The job is running, and this share of it, from 0 to 1, is done.
+    /// The job is running. The value is the fraction of the job's work that is done, from 0 to 1.
     Running(f64),
     /// The job is done.
     Done,
@@ -48,7 +48,8 @@
     Accepted,
     /// Response 202, in the middle of which a fault resets the connection; the worker accepted the attempt.
     AcceptedThenReset,
-    /// Response 503, with the header that guarantees that the worker does not run the job.
+    /// Response 503 with the header `x-not-processed`, which guarantees that the worker does not run the job.
+    /// The value is the worker's load report, which the response also carries.
     Rejected(LoadReport),
     /// Response 400: no client sent a request with this id.
     UnknownRequest,
@@ -61,9 +62,11 @@
 /// A worker's response to a load query.
 #[derive(Debug)]
 pub(crate) enum LoadQueryResponse {
-    /// Response 200 with the load report, after this delay in microseconds.
+    /// Response 200, with the worker's load report if the query asks for one, after a delay. The value is the
+    /// delay, in microseconds.
     AfterDelay(Micros),
-    /// The load query waits in the worker's queue. The channel closes without a message if the query is lost.
+    /// The load query waits in the worker's queue like a job. The value is a channel that gets a message when
+    /// the worker has finished the query, and that closes without a message if the query is lost.
     Queued(oneshot::Receiver<()>),
     /// Response 503: the worker's process is not up.
     Unavailable,
--- a/crates/testbed/src/emulation/mod.rs
+++ b/crates/testbed/src/emulation/mod.rs
@@ -45,12 +45,12 @@
 /// Maximum number of schedulers: more processes are not useful on one machine.
 pub const MAX_SCHEDULERS: u32 = 16;
 
-/// The scheduler processes of an emulation.
+/// The scheduler processes of an emulation: started by the emulation itself, or already running.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SchedulerInstances {
-    /// Processes of the given program, which the emulation starts and stops.
+    /// The emulation starts and stops the schedulers, which are processes of the given program.
     Spawned(SchedulerProgram),
-    /// Schedulers that are already running at these addresses. They do not poll the emulation's discovery.
+    /// The schedulers are already running at these addresses, and do not poll the emulation's discovery.
     External(Vec<SocketAddr>),
 }
 
@@ -81,8 +81,9 @@
         return Err(EmulationError::FleetTooLarge { scenario: name, workers, schedulers });
     }
     if scenario.discovery.size_interval_s > 0.0 {
-        // Rejected because the emulation does not refresh the listed worker sizes, so that schedulers would
-        // take all workers for idle.
+        // The scenario is rejected because its schedulers expect the worker sizes in the endpoint list to
+        // fall as load rises. The emulation does not refresh these sizes, so schedulers would take all
+        // workers for idle.
         return Err(EmulationError::SizesUnsupported(name));
     }
     if scenario.faults.iter().any(|fault| fault.kind == FaultKind::DiscoveryMoves) {
--- a/crates/testbed/src/emulation/platform_json.rs
+++ b/crates/testbed/src/emulation/platform_json.rs
@@ -10,17 +10,17 @@
 /// An endpoint of an endpoint list, with the fields that the platform requires.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointRecord<'a> {
-    /// Number of the worker.
+    /// Index of the worker in the fleet, from which the endpoint's id, `w-` and the index, is made.
     pub worker: WorkerId,
     /// Address at which the worker listens.
     pub address: SocketAddr,
     /// Index of the worker's zone.
     pub zone: u32,
-    /// Name of the worker kind.
+    /// The `kind` of the worker's group in the scenario.
     pub kind: &'a str,
     /// Index of the worker's cell.
     pub cell: u32,
-    /// State of the worker.
+    /// Whether the worker is ready, draining or removed.
     pub state: WorkerState,
     /// Start time of the worker process, in milliseconds of Unix time; 0 if unknown.
     pub started_at_unix_ms: u64,
@@ -108,7 +108,7 @@
     }
 }
 
-/// The known values of a load report with the platform's field names.
+/// The values that a load report has, each with its field name in the platform's format.
 fn load_report_fields(report: &LoadReport) -> impl Iterator<Item = (&'static str, f64)> {
     let fields = [
         ("x0", report.free_slots),
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -36,7 +36,7 @@
     duration: Duration,
 }
 
-/// Runs a scenario to its end.
+/// Emulates a scenario until all clients' jobs have ended, and returns the outcome.
 pub(super) async fn run(
     scenario: &Scenario,
     schedulers: &SchedulerInstances,
@@ -79,7 +79,8 @@
     Ok(outcome(&environment, policy_name, seed, &measurements))
 }
 
-/// Binds a port for each worker. The worker's listener task binds it again after each change of its state.
+/// Binds a loopback port for each worker. The worker's listener task uses the bound socket first, and binds
+/// the same port again each time the worker starts or stops accepting connections.
 fn bind_workers(fleet: &Fleet) -> Result<(Vec<WorkerListener>, Vec<TcpSocket>), EmulationError> {
     let (mut listeners, mut sockets) = (Vec::new(), Vec::new());
     for (worker, _) in &fleet.workers {
@@ -124,7 +125,7 @@
     Ok((addresses, reserved))
 }
 
-/// Spawns the tasks of the workers, which end with the run's task set.
+/// Spawns the tasks of the workers. All these tasks end when the run's task set is dropped.
 fn spawn_workers(environment: &Rc<Environment>, sockets: Vec<TcpSocket>) {
     for (worker, socket) in worker_ids(sockets.len()).zip(sockets) {
         spawn_local(workers::run_listener(Rc::clone(environment), worker, Some(socket)));
@@ -134,8 +135,8 @@
     }
 }
 
-/// Starts a discovery server for each scheduler, which ends with the run's task set, and writes the
-/// scheduler's configuration.
+/// Starts a discovery server and writes the configuration file for each scheduler, without starting the
+/// schedulers. The discovery servers end when the run's task set is dropped.
 async fn prepare_processes(
     environment: &Rc<Environment>,
     program: &SchedulerProgram,
--- a/crates/testbed/src/emulation/scheduler_config.rs
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -17,7 +17,9 @@
 /// Difference between the seeds of consecutive schedulers of one run, so that no two schedulers have the same
 /// seed.
 const SEED_STRIDE: u64 = 7919;
-/// The shortest overload window that the platform accepts, in seconds.
+/// Shortest window, in seconds, that the platform accepts for the setting `fall_s`: the window over which a
+/// worker's load is summed to detect overload during slow start. A scenario's window of 0, which disables
+/// overload, is replaced by this minimum.
 const MIN_OVERLOAD_WINDOW_S: f64 = 0.001;
 
 /// Inputs from which the configuration of one scheduler is generated.
@@ -25,7 +27,7 @@
 pub struct SchedulerConfig<'a> {
     /// Scenario of the run.
     pub scenario: &'a Scenario,
-    /// Number of the scheduler.
+    /// Index of the scheduler among the schedulers of the run, from 0.
     pub scheduler: SchedulerId,
     /// Seed of the run, from which the scheduler's seed is derived.
     pub seed: u64,
@@ -143,7 +145,7 @@
     settings
 }
 
-/// The platform's name of a zone.
+/// The name of a zone in the platform's JSON format: `zone-` and the zone's index.
 pub fn zone_name(number: u32) -> String {
     format!("zone-{number}")
 }
--- a/crates/testbed/src/emulation/scheduler_process.rs
+++ b/crates/testbed/src/emulation/scheduler_process.rs
@@ -46,15 +46,16 @@
     /// A configuration or log file cannot be written, or the program cannot be started or waited for.
     #[error("{}: {source}", path.display())]
     File {
-        /// Path of the file or program.
+        /// Path of the configuration file, log file or scheduler program with which the operation failed.
         path: PathBuf,
-        /// The I/O error of the failed operation on the file or program.
+        /// The I/O error of the operation that failed.
         source: io::Error,
     },
-    /// No valid HTTP request can be built for the address.
+    /// The HTTP request that asks a scheduler whether it is ready cannot be built from the scheduler's
+    /// address.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The program exited before it was ready.
+    /// The scheduler program exited before it reported that it was ready.
     #[error("{}: exited before it was ready, with {status}; last log line: {last_log_line}", program.display())]
     ExitedAtStart {
         /// Path of the scheduler program that exited.
@@ -64,13 +65,13 @@
         /// Last line of the program's log, for the error message.
         last_log_line: String,
     },
-    /// The program was not ready within the timeout.
+    /// The started scheduler program, whose path is the value, did not report within 10 s that it was ready.
     #[error("{}: not ready within 10 s", .0.display())]
     NotReady(PathBuf),
-    /// The state of the process cannot be read.
+    /// The exit status of a scheduler process cannot be read from the operating system.
     #[error(transparent)]
     Wait(io::Error),
-    /// The process exited without having been told to, or with an error.
+    /// The scheduler process exited without having been sent SIGTERM, or with an error status.
     #[error("a scheduler exited unexpectedly with {status}; last log line: {last_log_line}")]
     ExitedEarly {
         /// Exit status with which the scheduler process ended.
@@ -78,13 +79,13 @@
         /// Last line of the program's log, for the error message.
         last_log_line: String,
     },
-    /// The process did not exit on SIGTERM and was killed.
+    /// The scheduler process did not exit within 5 s of SIGTERM and was killed.
     #[error("a scheduler did not exit on SIGTERM and was killed")]
     Killed,
 }
 
-/// The program that is started for each scheduler, with its arguments. As on the platform, the environment
-/// variable `EDGE_CONFIG` names its configuration file.
+/// The program that is started for each scheduler, with its arguments. The started process finds the path of
+/// its configuration file in the environment variable `EDGE_CONFIG`, as on the hosting platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerProgram {
     /// Path of the scheduler program's executable file.
@@ -144,7 +145,7 @@
     /// Writes the scheduler's configuration to `folder`, without starting the process.
     ///
     /// # Errors
-    /// Fails if the file cannot be written.
+    /// Fails if the configuration file cannot be written.
     pub fn new(
         program: &SchedulerProgram,
         folder: &Path,
@@ -172,7 +173,7 @@
         Ok(())
     }
 
-    /// Starts the program. Each start appends to the same log file.
+    /// Starts the scheduler program as a process whose standard error is appended to the log file.
     fn spawn(&self) -> Result<Child, ProcessError> {
         let log = File::options().create(true).append(true).open(&self.log_path);
         let log = log.map_err(|source| ProcessError::File { path: self.log_path.clone(), source })?;
--- a/crates/testbed/src/emulation/state/effects.rs
+++ b/crates/testbed/src/emulation/state/effects.rs
@@ -5,12 +5,12 @@
 use crate::emulation::state::{Attempt, EmulationState};
 use crate::model::worker::WorkerEffect;
 
-/// An event of an attempt at its worker.
+/// What happened to an attempt at the worker that accepted it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptEvent {
     /// The job started to run.
     Started,
-    /// The job is running, and this share of it, from 0 to 1, is done.
+    /// The job is running. The value is the fraction of the job's work that is done, from 0 to 1.
     Running(f64),
     /// The job is done.
     Done,
--- a/crates/testbed/src/emulation/state/load_queries.rs
+++ b/crates/testbed/src/emulation/state/load_queries.rs
@@ -69,7 +69,8 @@
         self.workers[worker.0 as usize].0.refresh_load_report(now, interval, noise);
     }
 
-    /// The load report that a worker sends with a response or callback; empty if the scenario has load
+    /// The load report that a worker attaches to its responses and callbacks. If the scenario has load
+    /// queries, the attached report is empty, because workers then report their load only in response to load
     /// queries.
     pub(super) fn response_load_report(&mut self, worker: WorkerId) -> LoadReport {
         if self.scenario.load_reports.load_query.is_some() {
--- a/crates/testbed/src/emulation/state/mod.rs
+++ b/crates/testbed/src/emulation/state/mod.rs
@@ -45,7 +45,7 @@
     scheduler: SchedulerId,
 }
 
-/// A client's job with the history of its idempotency key.
+/// A client's job, with what the workers remember of the job's idempotency key.
 struct ClientJob {
     arrival: Arrival,
     keys: KeyHistory,
@@ -162,7 +162,8 @@
         self.last_id
     }
 
-    /// Adds a client's job under its number.
+    /// Adds a client's job, to be found by the job's number when requests for the job are registered or
+    /// arrive.
     pub(crate) fn add_job(&mut self, number: u64, arrival: Arrival) {
         self.jobs.insert(number, ClientJob { arrival, keys: KeyHistory::default() });
     }
@@ -185,7 +186,7 @@
         in_flight.accounted_until = now;
     }
 
-    /// The integral over time of the number of jobs at workers, in job microseconds.
+    /// The integral over time of the number of jobs at all workers, in job-microseconds.
     pub(crate) fn in_flight_job_micros(&self) -> f64 {
         self.in_flight.job_micros
     }
--- a/crates/testbed/src/emulation/workers/requests.rs
+++ b/crates/testbed/src/emulation/workers/requests.rs
@@ -17,7 +17,7 @@
 use crate::emulation::platform_json::{load_report_header, load_report_json};
 use crate::http_client::read_body;
 
-/// The part of a 202 response that is written before the connection is reset.
+/// Bytes of a 202 response that are written before a fault resets the connection; only their number is used.
 const TRUNCATED_RESPONSE: &[u8] = b"HTTP/1.1 202 Acc";
 /// Path of a load query whose response carries a load report.
 const LOAD_PATH: &str = "/-/load";
@@ -97,7 +97,8 @@
     }
 }
 
-/// Response 503, with the header that guarantees that the worker does not run the job.
+/// Builds response 503 with the worker's load report and the header `x-not-processed`, which guarantees that
+/// the worker does not run the job.
 fn rejection(report: &LoadReport) -> HttpResponse {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     response.headers_mut().insert("x-not-processed", HeaderValue::from_static("1"));
