--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -28,8 +28,8 @@
     report: Option<PathBuf>,
 }
 
-/// Simulates each scenario with each policy, and prints the results of a scenario as soon as all its runs
-/// ended.
+/// Simulates each scenario with each policy. The results of a scenario are printed as soon as all runs of
+/// that scenario have ended.
 pub(super) fn run(arguments: CompareArguments) -> CommandResult {
     let CompareArguments { scenarios, seeds, policies, json, report } = arguments;
     let names = if scenarios.is_empty() { default_scenarios() } else { scenarios };
--- a/crates/testbed/src/commands/cost.rs
+++ b/crates/testbed/src/commands/cost.rs
@@ -31,7 +31,7 @@
     json: bool,
 }
 
-/// Measures the scheduler program and the relay in alternation, and prints both results.
+/// Measures the scheduler program and the relay in alternating order, and prints the results of both.
 pub(super) fn run(arguments: CostArguments) -> CommandResult {
     let CostArguments { program, rounds, seconds, clients, workers, json } = arguments;
     let program = match program {
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -21,10 +21,10 @@
 /// How a command that returned no error ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandStatus {
-    /// Success. Runs of `sim`, `emulate` and `run` violated no rule; `compare` reports violations only in its
-    /// results.
+    /// The command succeeded. With `sim`, `emulate` and `run`, no run violated a rule of the rule checker.
+    /// The `compare` command also returns this status after violations, and reports them only in its results.
     Done,
-    /// A run violated a rule.
+    /// A run of the command violated a rule of the rule checker.
     RulesViolated,
 }
 
@@ -37,7 +37,8 @@
 /// The result of a command. The type of the error does not matter, because the error is only printed.
 pub(crate) type CommandResult = Result<CommandStatus, Box<dyn Error>>;
 
-/// Runs a command of the command line.
+/// Executes a parsed command. With `sim`, `emulate` and `run`, the returned status says whether a run
+/// violated a rule of the rule checker.
 pub(crate) fn run(command: Command) -> CommandResult {
     match command {
         Command::Scenarios => show::list_scenarios(),
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -47,7 +47,7 @@
     Ok(CommandStatus::from_violations(variants.any(|variant| variant.violations > 0)))
 }
 
-/// A progress bar on standard error. It is shown only if standard error is a terminal.
+/// A progress bar on standard error, which is shown only if standard error is a terminal.
 struct TerminalProgress {
     bar: ProgressBar,
 }
@@ -71,7 +71,8 @@
         }
         self.bar.set_length(total_runs as u64);
         self.bar.set_position(stored_runs as u64);
-        // The remaining time is estimated from the runs of this process only, not from the stored ones.
+        // The remaining time is estimated only from the runs of this process, not from runs that were stored
+        // earlier.
         self.bar.reset_eta();
     }
 
--- a/crates/testbed/src/commands/trace.rs
+++ b/crates/testbed/src/commands/trace.rs
@@ -1,4 +1,4 @@
-//! The `trace` command: prints a scenario with the arrivals of an event log.
+//! The `trace` command: prints a scenario whose job arrivals are read from a scheduler's event log.
 use std::fmt::Display;
 use std::fs::File;
 use std::io::BufReader;
@@ -19,7 +19,8 @@
     records: PathBuf,
 }
 
-/// Replaces the arrivals of a scenario with those of an event log, and prints the scenario as TOML.
+/// Replaces a scenario's job arrivals with those that a scheduler recorded in its event log, and prints the
+/// scenario as TOML.
 pub(super) fn run(arguments: &TraceArguments) -> CommandResult {
     let mut scenario = read_scenario(&arguments.scenario)?;
     let with_path = |error: &dyn Display| format!("{}: {error}", arguments.records.display());
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,6 +1,7 @@
-//! Compares dispatch policies by runs with the same seeds.
+//! Compares dispatch policies by simulating the same scenario and seeds with each of them.
 //!
-//! A comparison is the mean difference between runs of the same seed, with a bootstrap confidence interval.
+//! The result for two policies is the mean difference between their runs with the same seed, with a bootstrap
+//! confidence interval.
 use copperspread_dispatcher::SettingsError;
 use rand::RngExt;
 use rayon::prelude::{IntoParallelRefIterator, ParallelIterator};
@@ -14,9 +15,10 @@
 
 /// Number of resamples from which a bootstrap interval is computed.
 const BOOTSTRAP_RESAMPLES: usize = 2_000;
-/// Number of resampled means on each side of the 95% interval.
+/// Number of resampled means that lie below the 95% interval; the same number lies above the interval.
 const RESAMPLES_PER_TAIL: usize = BOOTSTRAP_RESAMPLES / 40;
-/// Smallest number of pairs for which an interval is reported; fewer give no meaningful interval.
+/// Smallest number of pairs of runs for which a confidence interval is reported. Fewer pairs give no
+/// meaningful interval.
 const MIN_PAIRS_FOR_INTERVAL: usize = 3;
 
 /// The mean difference between two variants over pairs of runs with the same seed.
@@ -44,7 +46,8 @@
 }
 
 impl PairedDifference {
-    /// Computes the mean and its interval from the difference of each pair; `None` if there are no pairs.
+    /// Computes the mean and the confidence interval from the difference of each pair of runs; `None` if
+    /// there are no pairs.
     pub fn from_pairs(differences: &[f64]) -> Option<PairedDifference> {
         if differences.is_empty() {
             return None;
@@ -57,19 +60,20 @@
         })
     }
 
-    /// Returns whether there are enough pairs for an interval.
+    /// Returns whether there are enough pairs of runs for a confidence interval.
     pub fn has_interval(&self) -> bool {
         self.pairs >= MIN_PAIRS_FOR_INTERVAL
     }
 
-    /// Returns whether there are enough pairs for an interval and the interval excludes zero.
+    /// Returns whether there are enough pairs of runs for a confidence interval, and the interval excludes
+    /// zero.
     pub fn excludes_zero(&self) -> bool {
         self.has_interval() && (self.interval[0] > 0.0 || self.interval[1] < 0.0)
     }
 }
 
-/// Means of resamples that are drawn with replacement, in ascending order. The seed is fixed, so that the
-/// same differences always give the same interval.
+/// The means of bootstrap resamples of the differences, in ascending order. The random seed is fixed, so that
+/// the same differences always give the same interval.
 fn resampled_means(differences: &[f64]) -> Vec<f64> {
     let mut random = random_stream(1, StreamPurpose::Faults);
     let mut sample = vec![0.0; differences.len()];
@@ -88,18 +92,20 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// Shares of the requested priority weight that were not served in time. In JSON they are a list of four
-/// numbers, in the order of the fields.
+/// How much of the weight of all jobs was not served in time, as one share from 0 to 1 for each reason. The
+/// weight of a job is its priority weight times its work. In JSON, the shares are a list of four numbers, in
+/// the order of the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 4]")]
 pub struct UnservedShares {
-    /// Share that was rejected.
+    /// Share of the weight of all jobs that belongs to rejected jobs.
     pub rejected: f64,
-    /// Share that was served later than its latency objective.
+    /// Share of the weight of all jobs that belongs to jobs served later than their latency objective.
     pub late: f64,
-    /// Share that failed.
+    /// Share of the weight of all jobs that belongs to jobs that ended with an error response or a broken
+    /// client connection.
     pub failed: f64,
-    /// Share that had no response before its deadline.
+    /// Share of the weight of all jobs that belongs to jobs without a response before their deadline.
     pub unanswered: f64,
 }
 
@@ -110,7 +116,7 @@
 }
 
 impl UnservedShares {
-    /// The mean shares of several runs.
+    /// Computes the mean of each share over several runs.
     fn mean_of(runs: &[RunOutcome]) -> UnservedShares {
         let mean_share = |weight: fn(&RunOutcome) -> f64| {
             runs.iter().map(|run| weight(run) / run.weight.requested.max(1e-12)).sum::<f64>()
@@ -130,13 +136,15 @@
 pub struct VariantResult {
     /// The name of the variant: that of its policy, or the one given by the experiment.
     pub policy: String,
-    /// The share of priority weight served in time, less the cost of load queries; the mean over seeds.
+    /// The share of the jobs' weight (priority weight times work) that was served in time, minus the cost of
+    /// the load queries, which is a share of the same weight; the mean over all seeds.
     #[serde(rename = "share")]
     pub in_time_share: f64,
-    /// The shares of priority weight that were not served in time.
+    /// How much of the jobs' weight was not served in time, by reason; the mean over all seeds.
     #[serde(rename = "went")]
     pub unserved_shares: UnservedShares,
-    /// The first variant's share minus this variant's, paired by seed; `None` for the first variant.
+    /// How far this variant is behind the first one: the difference between the `in_time_share` of the first
+    /// variant and of this variant, paired by seed. `None` for the first variant.
     #[serde(rename = "behind")]
     pub deficit: Option<PairedDifference>,
     /// Number of rule violations in all runs.
@@ -149,9 +157,10 @@
 /// The results of all variants of one scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioResults {
-    /// The scenario. In an experiment, it includes the changes of the first variant.
+    /// The scenario that was run. In an experiment, each variant can change the scenario; this field then has
+    /// the scenario as changed for the first variant.
     pub scenario: Scenario,
-    /// The result of each variant.
+    /// The combined results of each variant. The first variant is the one that all others are compared with.
     pub variants: Vec<VariantResult>,
 }
 
@@ -159,7 +168,7 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CompareError {
-    /// A policy rejects its settings.
+    /// A dispatch policy rejects the settings that the scenario gives it.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
 }
@@ -167,7 +176,7 @@
 /// Simulates a scenario with each policy and each seed, in parallel on all cores.
 ///
 /// # Errors
-/// Fails if a policy rejects its settings.
+/// Fails if a policy rejects the settings that the scenario gives it.
 pub fn compare_policies(
     scenario: &Scenario,
     policies: &[PolicyKind],
@@ -184,7 +193,7 @@
     Ok(variant_results(names.zip(runs_by_policy).collect()))
 }
 
-/// Combines the runs of each variant, and compares the first variant with each other one. The runs of all
+/// Combines the runs of each variant, and compares the first variant with each of the others. The runs of all
 /// variants must have the same seeds in the same order.
 pub fn variant_results(variants: Vec<(String, Vec<RunOutcome>)>) -> Vec<VariantResult> {
     let scores = |runs: &[RunOutcome]| runs.iter().map(RunOutcome::score).collect::<Vec<f64>>();
--- a/crates/testbed/src/cost/mod.rs
+++ b/crates/testbed/src/cost/mod.rs
@@ -43,7 +43,7 @@
     pub seconds: f64,
     /// Number of concurrent clients; each sends its next request once the previous one has its response.
     pub clients: usize,
-    /// Number of stub workers, which send the callback of a job immediately.
+    /// Number of stub workers, each of which accepts every job and sends the job's callback immediately.
     pub workers: u32,
 }
 
@@ -76,13 +76,13 @@
     /// The stub workers cannot listen.
     #[error("the stub workers did not start")]
     NoWorkers,
-    /// The runtime cannot be created.
+    /// The async runtime for the clients cannot be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
     /// The program does not start, or exits during the measurement.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The program has no running process.
+    /// The program's process has no id when the measurement begins, because the process has already ended.
     #[error("the program is not running")]
     NotRunning,
 }
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -16,7 +16,7 @@
         /// The I/O error of the failed read or write.
         source: std::io::Error,
     },
-    /// The file is not valid TOML, or is not an experiment.
+    /// The experiment file is not valid TOML, or its fields are not those of an experiment.
     #[error("{}: {}", file.display(), source.to_string().trim_end())]
     InvalidToml {
         /// The path of the experiment file.
@@ -73,7 +73,7 @@
     InvalidScenario {
         /// The path of the experiment file.
         file: PathBuf,
-        /// The scenario.
+        /// The scenario as the experiment file gives it: a name or a file path.
         scenario: String,
         /// The name of the variant whose changes were applied.
         variant: String,
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// The name of the experiment.
+    /// The name of the experiment, which serves only the readers of the experiment file.
     pub name: String,
     /// One sentence that says what the experiment shows.
     #[serde(rename = "about")]
@@ -35,7 +35,7 @@
     /// Changes to all scenarios, in the format of a scenario file.
     #[serde(rename = "set", default)]
     pub scenario_overrides: toml::Table,
-    /// The variants. The first is compared with each other one.
+    /// The variants to run. The first variant is compared with each of the others.
     pub variants: Vec<Variant>,
     /// Maximum number of parallel runs. The default is one for each core, or four for each core if all
     /// variants run in real time, where runs mostly wait.
@@ -47,10 +47,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename = "Drive", rename_all = "snake_case")]
 pub enum ExecutionMode {
-    /// By the simulation, in virtual time.
+    /// The runs are simulated, in virtual time.
     #[default]
     Sim,
-    /// By the emulation, in real time and with scheduler processes.
+    /// The runs are emulated, in real time and with scheduler processes.
     Emulate,
 }
 
--- a/crates/testbed/src/experiment/mode_comparison.rs
+++ b/crates/testbed/src/experiment/mode_comparison.rs
@@ -1,8 +1,8 @@
-//! Compares the results of the same policies in virtual and in real time.
+//! Compares the results of the same policies in virtual time (simulation) and in real time (emulation).
 use crate::compare::ScenarioResults;
 
-/// Shares that differ by at most this much count as equal when the ranks in both modes are compared, because
-/// so small a difference does not show which policy is better.
+/// Two policies count as equally good if their shares of weight served in time differ by at most this value,
+/// because so small a difference does not show which policy is better.
 const MAX_TIED_DIFFERENCE: f64 = 0.01;
 
 /// The indexes of two variants that differ only in their execution mode.
@@ -14,7 +14,8 @@
     pub emulated: usize,
 }
 
-/// The shares of priority weight that a policy serves in time, in each mode.
+/// The share of the jobs' weight (priority weight times work) that a policy served within the latency
+/// objective, minus the cost of load queries, in the simulation and in the emulation.
 #[derive(Clone, Copy)]
 struct ModeShares {
     simulated: f64,
@@ -26,8 +27,8 @@
         self.emulated - self.simulated
     }
 
-    /// Returns whether virtual and real time rank two policies in opposite order. A difference of at most
-    /// `MAX_TIED_DIFFERENCE` between the policies' shares, in either mode, does not count.
+    /// Returns whether simulation and emulation rank two policies in opposite order. The result is `false` if
+    /// the shares of the two policies differ by at most `MAX_TIED_DIFFERENCE` in either mode.
     fn is_ranked_differently(self, other: ModeShares) -> bool {
         let is_distinguishable = |own: f64, other: f64| (own - other).abs() > MAX_TIED_DIFFERENCE;
         let differs = (self.simulated > other.simulated) != (self.emulated > other.emulated);
@@ -37,8 +38,9 @@
     }
 }
 
-/// Formats a text table with a row for each scenario and pair of variants: the policy's shares in both modes,
-/// the difference between these shares, and the policy's rank in each mode.
+/// Formats a text table that compares the simulation with the emulation, with a row for each scenario and
+/// pair of variants. A row has the share of weight that the policy served in time in each mode, the
+/// difference between the two shares, and the policy's rank in each mode.
 pub fn mode_comparison_table(pairs: &[VariantPair], results: &[ScenarioResults]) -> String {
     let mut text = format!(
         "{:<16} {:<18} {:>7} {:>9} {:>11} {:>14}\n",
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -20,7 +20,7 @@
 pub use result::{ClassLoadResult, LoadResult};
 use result::{new_histogram, quantile_ms, summarize};
 
-/// How one job ended.
+/// How a job ended, as the load generator sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobOutcome {
     Served,
@@ -79,7 +79,8 @@
             id: first_id.wrapping_add(number as u64),
             scheduled_at,
         };
-        // The task ends at the job's deadline at the latest; the collector waits for its record.
+        // The task ends at the job's deadline at the latest, and then sends the record of the job's outcome
+        // to the collector task, which waits for the records of all jobs.
         tokio::spawn(async move {
             let _ = records.send(request.send_until_deadline().await);
             drop(permit);
--- a/crates/testbed/src/load/result.rs
+++ b/crates/testbed/src/load/result.rs
@@ -17,19 +17,20 @@
 /// The results of one job class.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassLoadResult {
-    /// The class's name.
+    /// The name of the job class, as the scenario gives it.
     pub name: String,
     /// Number of jobs that were scheduled to be sent.
     #[serde(rename = "meant")]
     pub scheduled: u64,
-    /// Jobs with response 200.
+    /// Jobs with response status 200.
     pub served: u64,
-    /// Jobs served within the latency objective, extended by the class's latency stretch.
+    /// Jobs served in time: within the latency objective of the class plus the job's work, in seconds, times
+    /// the latency stretch of the class.
     pub in_time: u64,
-    /// Jobs with response 429 or 503.
+    /// Jobs with response status 429 or 503.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Jobs with any other response.
+    /// Jobs with any other response status.
     pub failed: u64,
     /// Jobs whose connection broke or could not be opened.
     #[serde(rename = "broken")]
--- a/crates/testbed/src/membership_simulation/identities.rs
+++ b/crates/testbed/src/membership_simulation/identities.rs
@@ -32,8 +32,8 @@
     Key::new(b"a key for the tests alone").expect("the key has a valid length")
 }
 
-/// The identity of the member with this index, for a process of this generation, a number that grows with
-/// every start of the member's process.
+/// The identity of the member with this index. The generation identifies one process of the member, and grows
+/// with every start of a new process.
 pub fn member_info(index: usize, generation: u64) -> Member {
     Member {
         name: format!("n{index}"),
--- a/crates/testbed/src/membership_simulation/mod.rs
+++ b/crates/testbed/src/membership_simulation/mod.rs
@@ -28,7 +28,8 @@
 /// members which have not found each other by then never will.
 const JOIN_TIMEOUT: Micros = 120 * SECOND;
 
-/// Conditions of all links without faults: no packet is lost, and each takes between 0.5 and 20.5 ms.
+/// Conditions of all links without faults: no packet is lost, and each packet is delivered after 0.5 to 20.5
+/// ms.
 const FAULT_FREE_LINK: LinkConditions = LinkConditions {
     min_delay: Duration::from_micros(500),
     max_delay: Duration::from_micros(20_500),
@@ -69,7 +70,8 @@
     last_sequence: u64,
     processes: Vec<Option<Process>>,
     random: Pcg64Mcg,
-    /// The links between members, with their conditions and blocks.
+    /// The links between members: the conditions (loss, duplication and delay) under which packets are
+    /// delivered, and the links on which all packets are blocked.
     pub links: NetworkLinks,
     /// The membership settings of members that are started. The list of seeds in the settings (the members to
     /// contact to join) is replaced when a member starts.
@@ -173,8 +175,8 @@
         self.kill(member);
     }
 
-    /// Pauses the process of a member for a duration. Packets that arrive during the pause are handled at its
-    /// end.
+    /// Pauses the process of a member for a duration. Packets that arrive during the pause are handled at the
+    /// end of the pause.
     pub fn pause(&mut self, member: usize, duration: Micros) {
         self.pause_until(member, self.now + duration);
         self.schedule_timer(member, self.now + duration);
@@ -247,7 +249,7 @@
         self.queue.push(Reverse((at, self.last_sequence, member)));
     }
 
-    /// Schedules a timer of a process. Timers of the process that expire before this one are ignored.
+    /// Schedules a timer of a process. Timers of the process that expire before the new timer are ignored.
     fn schedule_timer(&mut self, member: usize, at: Micros) {
         if let Some(process) = &mut self.processes[member] {
             process.timer_due_at = at;
@@ -273,8 +275,8 @@
         self.now = until;
     }
 
-    /// Delivers a packet to a member, whoever sent the packet. A paused member handles the packet after the
-    /// pause; a packet to a member that does not run is dropped.
+    /// Delivers a packet from any sender to a member immediately, without the loss and delay of the links. A
+    /// paused member handles the packet after the pause; a packet to a member that does not run is dropped.
     pub fn deliver(&mut self, member: usize, packet: Vec<u8>) {
         let Some(process) = &mut self.processes[member] else { return };
         if process.paused_until > self.now {
@@ -319,8 +321,8 @@
         }
     }
 
-    /// Sends a packet. The links may lose it, or deliver it once or twice. A packet to an unknown address is
-    /// counted and dropped.
+    /// Sends a packet, which the links may lose, or deliver once or twice. A packet to an unknown address is
+    /// counted as sent and dropped.
     fn send(&mut self, from: usize, to: Option<usize>, packet: Vec<u8>) {
         assert!(
             packet.len() <= MAX_PACKET_BYTES,
--- a/crates/testbed/src/model/arrivals.rs
+++ b/crates/testbed/src/model/arrivals.rs
@@ -15,7 +15,7 @@
 /// Factor by which a heavy-tail fault multiplies the work of the jobs that it affects.
 const HEAVY_TAIL_FACTOR: f64 = 20.0;
 
-/// The arrival of a client's job. A job comprises the client's first request and the retries of it.
+/// The arrival of a client's job. A job comprises the client's first request and all retries of that request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
     /// Time of the first request, in microseconds from the start of the run.
@@ -35,7 +35,8 @@
 }
 
 impl Arrival {
-    /// Converts the job to the form that an attempt offers to a worker.
+    /// Creates the job that the given attempt offers to a worker, with the priority weight of the job's
+    /// class.
     pub fn to_offered_job(&self, attempt: u64, class_spec: &JobClass) -> OfferedJob {
         let Arrival { class, work, slots, memory, .. } = *self;
         OfferedJob { attempt, class, work, slots, memory, weight: class_spec.priority_weight }
@@ -104,7 +105,7 @@
         let scheduler = self.draw_scheduler();
         let cost_hint = scenario.clients.hint_error_sigma.map(|_| work * hint_error);
         if is_heavy && self.has_heavy_tail(class_index as u32) {
-            // The cost hint, computed above, does not include this factor.
+            // The cost hint, computed above, does not include the factor of the heavy-tail fault.
             work *= HEAVY_TAIL_FACTOR;
         }
         let at = micros_from_seconds(self.last_at);
