--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -18,17 +18,17 @@
     pub at: Micros,
     /// Index of the fault in the scenario.
     pub fault: usize,
-    /// Worker or scheduler that the fault affects; `None` for faults of arrivals, load reports or discovery,
-    /// and for faults without candidates.
+    /// Worker or scheduler that the fault affects; `None` if the fault affects arrivals, load reports or
+    /// discovery, or if its zone has no worker or scheduler to affect.
     pub target: Option<FaultTarget>,
-    /// Whether the fault starts; otherwise it ends.
+    /// Whether the transition is the start of the fault (`true`) or its end (`false`).
     pub is_start: bool,
 }
 
-/// The target of a fault.
+/// A worker or scheduler that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultTarget {
-    /// A worker, which includes its process, machine and connections.
+    /// A worker. Depending on the kind of fault, its process, its machine or its connections are affected.
     Worker(WorkerId),
     /// A scheduler process.
     Scheduler(SchedulerId),
@@ -38,13 +38,14 @@
 pub struct Fleet {
     /// Workers with their zones, indexed by worker number.
     pub workers: Vec<(Worker, u32)>,
-    /// Kind of each worker, which is the index of its group in the scenario.
+    /// Index of each worker's group in the scenario, indexed by worker number.
     pub kinds: Vec<u32>,
-    /// Cell of each worker; every cell lies in a single zone.
+    /// Cell of each worker, indexed by worker number; every cell lies in a single zone.
     pub cells: Vec<u32>,
     /// Workers that are in the cached endpoint list but do not exist.
     pub missing_workers: Vec<WorkerId>,
-    /// Starts and ends of the faults, in the order in which they were drawn.
+    /// Start and end of each fault for each of its targets, in the order of the scenario's faults and not of
+    /// time.
     pub fault_transitions: Vec<FaultTransition>,
 }
 
@@ -134,8 +135,8 @@
     transitions
 }
 
-/// Draws the targets of a fault, at least one if there is a candidate. Returns a single `None` for a fault
-/// without candidates.
+/// Draws the targets of a fault, at least one, among the workers or schedulers in the fault's zone. Returns a
+/// single `None` if there are none to draw from, as for a fault of arrivals or discovery.
 fn draw_targets(
     scenario: &Scenario,
     fault: &Fault,
@@ -158,7 +159,8 @@
     if targets.is_empty() { vec![None] } else { targets.into_iter().map(Some).collect() }
 }
 
-/// Returns the scenario's slow-start budget; `None` if the scenario sets no limit.
+/// Returns the scenario's limit on the load that may be sent to a worker in slow start; `None` if the
+/// scenario disables overload.
 pub fn slow_start_budget(scenario: &Scenario) -> Option<SlowStartBudget> {
     let slow_start = &scenario.slow_start;
     (slow_start.overload_window_s > 0.0).then(|| SlowStartBudget {
--- a/crates/testbed/src/model/idempotency_keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -1,11 +1,11 @@
 //! Deduplication of attempts by idempotency key.
 //!
-//! A worker drops an attempt if a worker of its deduplication group has accepted one with the same key within
-//! the key's window.
+//! A worker does not run an attempt if a worker of its deduplication group (all workers, or those of its zone
+//! or cell) has accepted another attempt with the same key within the key's window.
 use copperspread_dispatcher::{KeyScope, Micros};
 
-/// Returns the deduplication group of a worker in this zone and cell: the workers that share their memory of
-/// a key.
+/// Returns the number of the deduplication group to which a worker in this zone and cell belongs. The workers
+/// of a group share the record of accepted idempotency keys.
 pub fn key_group(scope: KeyScope, zone: u32, cell: u32) -> u32 {
     match scope {
         KeyScope::All => 0,
@@ -22,11 +22,11 @@
     at: Micros,
 }
 
-/// What the workers remember of the idempotency key of one client's job.
+/// The workers' record of the idempotency key of one client's job.
 #[derive(Clone, Debug, Default)]
 pub struct KeyHistory {
     accepted: Vec<AcceptedAttempt>,
-    /// Dropped duplicates that wait for the first attempt's result.
+    /// IDs of duplicate attempts, which do not run and wait for the result of an accepted attempt.
     waiting_duplicates: Vec<u64>,
     /// Whether an attempt with the key was served.
     is_served: bool,
@@ -35,15 +35,15 @@
 /// What happens to an attempt that is a duplicate by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DuplicateOutcome {
-    /// The first attempt was served already, so the duplicate is served immediately.
+    /// An attempt with the key was served already, so the duplicate is served immediately.
     AlreadyServed,
-    /// The duplicate gets the first attempt's result later.
+    /// No attempt with the key was served yet, so the duplicate waits for the result of an accepted attempt.
     AwaitsFirst,
 }
 
 impl KeyHistory {
-    /// Checks whether an attempt at a group is a duplicate within the key's window, which starts when the
-    /// group accepted an earlier attempt. A duplicate that awaits the first attempt's result is kept for
+    /// Checks whether an attempt that reaches a worker of `group` is a duplicate: the group has accepted an
+    /// attempt with the same key at most `window` ago. A duplicate that waits for a result is kept for
     /// [`Self::record_end`]. Returns `None` if the attempt is no duplicate.
     pub fn check_duplicate(
         &mut self,
@@ -67,12 +67,14 @@
         self.accepted.push(AcceptedAttempt { attempt, group, at: now });
     }
 
-    /// Records that an attempt was returned unstarted or cancelled, so that its group forgets the key.
+    /// Forgets an accepted attempt that its worker returned unstarted or that was cancelled, so that later
+    /// attempts do not count as its duplicates.
     pub fn record_returned(&mut self, attempt: u64) {
         self.accepted.retain(|accepted| accepted.attempt != attempt);
     }
 
-    /// Records the end of an attempt and returns the duplicates that get the result of that attempt.
+    /// Records whether an attempt that has ended was served, and returns the IDs of the waiting duplicates,
+    /// which get the result of that attempt.
     pub fn record_end(&mut self, is_served: bool) -> Vec<u64> {
         self.is_served |= is_served;
         std::mem::take(&mut self.waiting_duplicates)
--- a/crates/testbed/src/model/random.rs
+++ b/crates/testbed/src/model/random.rs
@@ -2,7 +2,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// A reproducible stream of random numbers.
+/// A random number generator that gives the same numbers for the same seed.
 pub type RandomStream = Pcg64Mcg;
 
 /// The purpose of a random stream. Draws for one purpose do not change those for another.
@@ -12,9 +12,10 @@
     Arrivals = 1,
     /// True speeds of the workers.
     Fleet,
-    /// Missing workers and the targets of faults.
+    /// Choice of the workers that are in the cached endpoint list but do not exist, and of the targets of
+    /// faults.
     Faults,
-    /// Network delays, losses and resets, and the draws of baseline policies.
+    /// Network delays, losses and resets, and the random choices of baseline policies.
     Network,
     /// Delays of clients before a retry.
     Retries,
--- a/crates/testbed/src/model/scheduler_id.rs
+++ b/crates/testbed/src/model/scheduler_id.rs
@@ -20,9 +20,9 @@
         self.0 % zones
     }
 
-    /// Returns the scheduler that this scheduler's clients reach: this one if it accepts requests, else the
-    /// next accepting one in its zone, else the next accepting one in any zone. If none accepts requests, it
-    /// is this one.
+    /// Returns the scheduler to which the clients of `self` send requests: `self` if it accepts requests,
+    /// otherwise the scheduler with the next ID that accepts requests, preferably in the zone of `self`.
+    /// Returns `self` if no scheduler accepts requests.
     pub fn reachable(self, count: u32, zones: u32, accepts: impl Fn(SchedulerId) -> bool) -> SchedulerId {
         let candidates = (0..count).map(|step| SchedulerId((self.0 + step) % count));
         let mut accepting = candidates.filter(|candidate| accepts(*candidate));
--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -3,16 +3,16 @@
 
 use crate::scenario::QueueOrder;
 
-/// Fixed properties of a worker.
+/// Properties of a worker that do not change during a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkerSpec {
-    /// Number of cores.
+    /// Number of cores of the worker, which running jobs share when they use more slots than there are cores.
     pub cores: f64,
-    /// Number of slots, which running jobs occupy.
+    /// Number of slots of the worker, which running jobs occupy.
     pub slots: f64,
     /// Speed of a core, in seconds of work done per second.
     pub speed: f64,
-    /// Maximum number of waiting jobs.
+    /// Maximum number of jobs that wait in the worker's queue.
     pub max_waiting: usize,
     /// Order in which waiting jobs start.
     pub order: QueueOrder,
@@ -57,13 +57,13 @@
 /// The response of a worker to an offered job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferResult {
-    /// The worker accepts the job; the effects tell whether it has started.
+    /// The worker accepts the job; the effects tell whether the job has started.
     Accepted,
-    /// The queue is full or the worker drains; the job never runs here.
+    /// The queue is full or the worker drains, so the worker does not accept the job.
     QueueFull,
-    /// No process accepts the connection.
+    /// The connection to the worker is refused, because its process is stopped or a fault makes it refuse.
     ConnectionRefused,
-    /// The machine does not respond.
+    /// The worker's machine does not respond.
     Unreachable,
 }
 
@@ -93,9 +93,9 @@
 pub enum ProcessState {
     /// The process accepts jobs.
     Up,
-    /// The process finishes its jobs and accepts no new ones.
+    /// The process finishes its jobs and accepts no new jobs.
     Draining,
-    /// There is no process.
+    /// The worker has no process, and its machine refuses connections.
     Stopped,
     /// The machine does not respond: its jobs are lost without a report, and connections time out.
     Unreachable,
--- a/crates/testbed/src/model/worker/mod.rs
+++ b/crates/testbed/src/model/worker/mod.rs
@@ -22,9 +22,9 @@
 /// methods.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Fixed properties of the worker.
+    /// Properties of the worker that do not change during a run.
     pub spec: WorkerSpec,
-    /// State of the worker's process.
+    /// Whether the worker's process is up, draining or stopped, or its machine unreachable.
     pub process: ProcessState,
     /// Start time of the process; `None` if slow start was over before the run began.
     pub started_at: Option<Micros>,
@@ -32,7 +32,8 @@
     pub slowdown: f64,
     /// Whether running jobs make no progress, because of a `Stuck` fault.
     pub is_stuck: bool,
-    /// Class of the jobs for which the worker sends no callbacks and no results, if any.
+    /// Index of the class for whose jobs the worker sends no callbacks and no results, because of a `Silent`
+    /// fault.
     pub silent_class: Option<u32>,
     /// Whether the worker refuses connections although it is in the endpoint list.
     pub is_refusing: bool,
@@ -40,10 +41,10 @@
     waiting: VecDeque<OfferedJob>,
     used_slots: f64,
     used_memory: f64,
-    /// Time up to which the work done by running jobs is subtracted from their remaining work.
+    /// Time up to which the progress of the running jobs is subtracted from their remaining work.
     accounted_until: Micros,
-    /// Load that the worker got during slow start within the overload window: the time and core-seconds of
-    /// each job.
+    /// Jobs that arrived at the worker during slow start within the overload window: the arrival time and the
+    /// load, in core-seconds, of each.
     slow_start_load: VecDeque<(Micros, f64)>,
     /// Version of the set of running jobs and their rate, incremented by each change. A wake (the event that
     /// advances the worker's jobs) is ignored if the version has changed since the wake was scheduled.
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -56,7 +56,8 @@
         self.start_waiting_jobs(effects);
     }
 
-    /// Returns when the worker must be advanced again; `None` if no running job makes progress.
+    /// Returns the time at which [`Self::advance`] must be called again; `None` if no running job makes
+    /// progress.
     pub fn next_wake(&self, now: Micros) -> Option<Micros> {
         let rate = self.rate(now);
         let min_work =
@@ -85,7 +86,8 @@
         true
     }
 
-    /// Returns the completed fraction of a running attempt; `None` if it does not run on this worker.
+    /// Returns the completed fraction of a running attempt; `None` if the attempt does not run on this
+    /// worker.
     pub fn progress(&self, now: Micros, attempt: u64) -> Option<f64> {
         let running = self.running.iter().find(|running| running.job.attempt == attempt)?;
         let remaining = running.remaining_work - self.work_since_accounted(now);
@@ -114,7 +116,7 @@
         self.wake_version += 1;
     }
 
-    /// Returns the rate of each running job, in seconds of work per second.
+    /// Returns the rate at which each running job progresses, in seconds of work done per second.
     fn rate(&self, now: Micros) -> f64 {
         if self.is_stuck {
             return 0.0;
@@ -142,7 +144,8 @@
         }
     }
 
-    /// Returns whether a job can start now. A job larger than the worker starts when no other job runs.
+    /// Returns whether a job can start now. A job that needs more slots or memory than the worker has can
+    /// start when no other job runs.
     fn can_start(&self, job: &OfferedJob) -> bool {
         let has_memory = self.used_memory + job.memory <= self.spec.memory;
         let has_slots = self.used_slots + job.slots <= self.spec.slots;
@@ -181,8 +184,8 @@
         self.used_slots -= job.slots;
         self.used_memory -= job.memory;
         if self.running.is_empty() {
-            // Both sums are reset to exactly zero when no job runs, so that rounding errors do not
-            // accumulate.
+            // The sums of used slots and used memory are reset to exactly zero when no job runs, so that
+            // rounding errors do not accumulate.
             (self.used_slots, self.used_memory) = (0.0, 0.0);
         }
     }
--- a/crates/testbed/src/outcome/counter.rs
+++ b/crates/testbed/src/outcome/counter.rs
@@ -6,7 +6,7 @@
 use crate::model::arrivals::Arrival;
 use crate::scenario::JobClass;
 
-/// Highest latency that the histograms record; longer latencies count as this one.
+/// Highest latency that the histograms record, in microseconds; longer latencies are recorded as this value.
 const MAX_LATENCY: Micros = 86_400 * SECOND;
 /// Precision of recorded latencies, in significant decimal digits.
 const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
@@ -53,7 +53,7 @@
 }
 
 impl OutcomeCounter {
-    /// Creates a counter for a number of classes and zones.
+    /// Creates a counter without any jobs for a scenario with `classes` classes and `zones` zones.
     pub fn new(classes: usize, zones: u32) -> OutcomeCounter {
         OutcomeCounter {
             total: WeightTotals::default(),
--- a/crates/testbed/src/outcome/mod.rs
+++ b/crates/testbed/src/outcome/mod.rs
@@ -1,4 +1,5 @@
-//! Outcome of one run: weight served in time, latencies, load of workers and rule violations.
+//! Outcome of one run: priority-weighted work that was served in time, latencies, load of workers and rule
+//! violations.
 mod counter;
 
 use std::collections::BTreeMap;
@@ -12,14 +13,14 @@
 use crate::rule_checker::{Rule, RuleViolation, Violations};
 use crate::scenario::Scenario;
 
-/// The end of a client's job.
+/// How a client's job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
     /// The job was served within its latency objective.
     InTime,
     /// The job was served later than its latency objective.
     Late,
-    /// The job was rejected and not retried again.
+    /// The job's last request was rejected, and the client sent no further retry.
     Rejected,
     /// The job failed, either by a response or by a broken client connection.
     Failed,
@@ -91,12 +92,12 @@
     }
 }
 
-/// The outcome of a run for one class.
+/// The outcome of a run for the jobs of one class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClassOutcome {
-    /// Name of the class.
+    /// Name of the class in the scenario.
     pub name: String,
-    /// Number of jobs of the class that clients sent.
+    /// Number of the class's jobs that ended, with any outcome.
     pub jobs: u64,
     /// Weight of the class's jobs by their outcome.
     #[serde(rename = "worth")]
@@ -112,7 +113,7 @@
 /// The outcome of a run for one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerOutcome {
-    /// Zone of the worker.
+    /// Index of the zone that the worker is in.
     pub zone: u32,
     /// Index of the worker's group in the scenario.
     #[serde(rename = "kind")]
@@ -129,38 +130,38 @@
 /// The outcome of a run. A simulation repeated with the same seed gives the same JSON, byte for byte.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunOutcome {
-    /// Name of the scenario.
+    /// Name of the scenario that was run.
     pub scenario: String,
-    /// Name of the policy.
+    /// Name of the dispatch policy that the schedulers used.
     pub policy: String,
-    /// Seed of the run.
+    /// Seed from which the random numbers of the run are derived.
     pub seed: u64,
-    /// Number of clients' jobs.
+    /// Number of clients' jobs that ended, with any outcome.
     pub jobs: u64,
     /// Number of events that the simulation handled; 0 for an emulation.
     pub events: u64,
     /// Weight of all jobs by their outcome.
     #[serde(rename = "worth")]
     pub weight: WeightTotals,
-    /// Outcome of each class.
+    /// Outcomes of the jobs of each class, in the order of the scenario's classes.
     pub classes: Vec<ClassOutcome>,
     /// Weight of jobs by second of arrival.
     pub seconds: Vec<WeightTotals>,
     /// Weight of jobs by the clients' zone, and within a zone by class.
     pub zones: Vec<Vec<WeightTotals>>,
-    /// Outcome of each worker.
+    /// Work and capacity of each worker, indexed by worker number.
     pub workers: Vec<WorkerOutcome>,
-    /// Mean number of attempts per job.
+    /// Mean number of attempts that schedulers sent for a client's job.
     #[serde(rename = "attempts")]
     pub attempts_per_job: f64,
-    /// Share of attempts that went to another zone.
+    /// Share of attempts that went to a zone other than that of the sending scheduler.
     #[serde(rename = "crossing")]
     pub cross_zone_share: f64,
-    /// Number of load queries sent.
+    /// Number of load queries that schedulers sent to workers.
     #[serde(rename = "probes", default, skip_serializing_if = "is_zero_count")]
     pub load_queries: u64,
-    /// Cost of the load queries, as a share of the weight: the scenario's cost of one query per job, times
-    /// the mean number of load queries per job.
+    /// Cost of all load queries, as a share of the weight of all jobs. It is the number of load queries per
+    /// job, times the scenario's cost of one query.
     #[serde(rename = "probe_cost", default, skip_serializing_if = "is_zero_cost")]
     pub load_query_cost: f64,
     /// Number of worker failures from overload during slow start.
@@ -169,17 +170,17 @@
     /// Core-seconds completed by all workers.
     #[serde(rename = "work_done")]
     pub done_core_s: f64,
-    /// Mean number of jobs waiting or running at all workers: the integral over the whole run, divided by the
-    /// scenario's duration.
+    /// Mean number of jobs that wait or run at all workers together: the integral of this number over the
+    /// whole run, divided by the scenario's duration.
     #[serde(rename = "held")]
     pub mean_jobs_in_workers: f64,
     /// Number of violations of each rule.
     #[serde(rename = "breaches")]
     pub violations: BTreeMap<Rule, u64>,
-    /// First violations of the run, with their descriptions.
+    /// The first violations of the run, at most 20, with their descriptions.
     #[serde(rename = "examples")]
     pub violation_examples: Vec<RuleViolation>,
-    /// Machine usage of an emulation; `None` for a simulation.
+    /// Sending delays and CPU usage that were measured during an emulation; `None` for a simulation.
     #[serde(rename = "measured", default, skip_serializing_if = "Option::is_none")]
     pub machine_usage: Option<MachineUsage>,
 }
@@ -199,26 +200,27 @@
     }
 }
 
-/// The machine usage of an emulation.
+/// Sending delays and CPU usage that are measured during an emulation.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineUsage {
-    /// Delay with which the emulation sent jobs, in milliseconds: the 99th percentile and the highest.
+    /// Delay between the scheduled arrival of a job and the time at which the emulation sent the job, in
+    /// milliseconds: the 99th percentile and the highest.
     #[serde(rename = "own_lag_ms")]
     pub send_lag_ms: [f64; 2],
     /// CPU time of the schedulers per job, in microseconds.
     #[serde(rename = "cpu_us_a_job")]
     pub cpu_us_per_job: f64,
-    /// Mean number of cores used by all schedulers together.
+    /// Mean number of CPU cores that all schedulers together used.
     pub cores: f64,
 }
 
 /// The data that a simulation or emulation has recorded at the end of a run.
 pub struct RunRecord<'a> {
-    /// Scenario of the run.
+    /// Scenario that was run.
     pub scenario: &'a Scenario,
-    /// Name of the policy.
+    /// Name of the dispatch policy that the schedulers used.
     pub policy: String,
-    /// Seed of the run.
+    /// Seed from which the random numbers of the run are derived.
     pub seed: u64,
     /// Number of events that the simulation handled; 0 for an emulation.
     pub events: u64,
@@ -228,11 +230,11 @@
     pub workers: &'a [(Worker, u32)],
     /// Index of each worker's group in the scenario, indexed by worker number.
     pub kinds: &'a [u32],
-    /// Number of attempts sent; in an emulation, of those that reached a worker.
+    /// Number of attempts that schedulers sent; an emulation counts only those that reached a worker.
     pub attempts: u64,
-    /// Number of the sent attempts that went to another zone.
+    /// Number of counted attempts that went to a zone other than that of the sending scheduler.
     pub cross_zone_attempts: u64,
-    /// Number of load queries sent.
+    /// Number of load queries that schedulers sent to workers.
     pub load_queries: u64,
     /// Number of worker failures from overload during slow start.
     pub overloads: u64,
@@ -240,12 +242,12 @@
     pub job_microseconds: f64,
     /// Violations found by the rule checker.
     pub violations: Violations,
-    /// Machine usage of an emulation; `None` for a simulation.
+    /// Sending delays and CPU usage that were measured during an emulation; `None` for a simulation.
     pub machine_usage: Option<MachineUsage>,
 }
 
 impl RunRecord<'_> {
-    /// Computes the outcome from the record.
+    /// Computes the outcome of the run from the recorded data.
     pub fn into_outcome(self) -> RunOutcome {
         let (scenario, counter) = (self.scenario, self.counter);
         let jobs = counter.job_count();
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -1,5 +1,5 @@
-//! Textbook dispatch policies: each selects a worker on arrival, and retries on another worker if an attempt
-//! never ran.
+//! Textbook dispatch policies: each selects a worker when a request arrives, and retries on another worker if
+//! an attempt never ran.
 use copperspread_dispatcher::{
     Action, AttemptOutcome, DispatchPolicy, EndpointUpdate, EndpointUpdateKind, Event, IncomingRequest,
     Micros, Outcome as AttemptResult, Progress, Rejection, RequestId, SECOND, WorkerId, WorkerState,
@@ -31,9 +31,10 @@
     LeastOutstanding,
     /// Of two random workers, the one with fewer outstanding requests.
     TwoChoices,
-    /// The worker with the least outstanding work, divided by its learned speed.
+    /// The worker with the lowest ratio of outstanding work, including that of the new request, to learned
+    /// speed.
     LeastCost,
-    /// The worker with the earliest true finish time; none if the request would miss its deadline.
+    /// The worker with the earliest true finish time; no worker if the request would miss its deadline.
     EarliestTrueFinish,
     /// The worker that started last.
     Newest,
@@ -46,7 +47,8 @@
     started_at: Option<Micros>,
     /// Number of requests that this scheduler has outstanding at the worker.
     outstanding: u32,
-    /// Work of these outstanding requests by their cost hints, in core-seconds.
+    /// Work of the requests that this scheduler has outstanding at the worker, by their cost hints, in
+    /// core-seconds.
     outstanding_work: f64,
     /// Moving average of hinted work divided by running time, as an estimate of the worker's speed.
     learned_speed: f64,
@@ -69,7 +71,8 @@
     job: IncomingRequest,
     deadline: Micros,
     attempted: Vec<WorkerId>,
-    /// Time at which the last attempt was sent, or at which it started once that is known.
+    /// Time at which the last attempt started; until its start is reported, the time at which the attempt was
+    /// sent.
     started_at: Micros,
     is_answered: bool,
 }
@@ -82,7 +85,7 @@
     must_subscribe: bool,
     workers: Vec<KnownWorker>,
     ready: Vec<WorkerId>,
-    /// Number of rotations over the ready workers so far; each begins one worker further than the last.
+    /// Number of calls of `rotate` so far; each call begins its list one worker later than the previous call.
     rotation: usize,
     true_states: Vec<TrueState>,
     open_requests: FxHashMap<RequestId, OpenRequest>,
@@ -103,8 +106,9 @@
     }
 
     fn apply_endpoint_update(&mut self, update: EndpointUpdate<'_>, actions: &mut Vec<Action>) {
-        // These updates mean that there is no subscription: a cached list arrives when the process has just
-        // started, and a failed update when a subscription failed or ended.
+        // A cached list or a failed update means that the scheduler has no subscription: a cached list
+        // arrives when the process has just started, and a failed update arrives when a subscription failed
+        // or ended.
         let is_unsubscribed = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
         if self.must_subscribe && is_unsubscribed {
             actions.push(Action::Subscribe);
@@ -130,15 +134,15 @@
         self.ready = ready.map(|(index, _)| WorkerId(index as u32)).collect();
     }
 
-    /// Selects among the ready workers to which the request has not been sent.
+    /// Selects, by the policy's rule, one of the ready workers to which the request has not been sent.
     fn select_untried(&mut self, job: &IncomingRequest, attempted: &[WorkerId]) -> Option<WorkerId> {
         if !attempted.is_empty() {
             let untried = self.ready.iter().copied().filter(|worker| !attempted.contains(worker));
             let untried: Vec<WorkerId> = untried.collect();
             return self.select(job, &untried);
         }
-        // The list of ready workers is moved out for the duration of the call, so that the list is not copied
-        // for a first attempt.
+        // The list of ready workers is moved out of `self` while `select` runs, because `select` borrows
+        // `self` mutably and copying the list for each first attempt would be wasteful.
         let ready = std::mem::take(&mut self.ready);
         let selected = self.select(job, &ready);
         self.ready = ready;
@@ -184,8 +188,9 @@
         ready[self.random.random_range(0..ready.len())]
     }
 
-    /// Returns the ready workers, each time beginning with the next one, so that ties are spread over an idle
-    /// fleet.
+    /// Returns the workers in `ready` in rotated order: each call begins one worker later than the previous
+    /// call. On an idle fleet, all workers are equal, and a rule that takes the first of equal workers thus
+    /// selects them in turn.
     fn rotate<'r>(&mut self, ready: &'r [WorkerId]) -> impl Iterator<Item = WorkerId> + use<'r> {
         self.rotation += 1;
         let first = self.rotation % ready.len();
--- a/crates/testbed/src/policy/broken.rs
+++ b/crates/testbed/src/policy/broken.rs
@@ -7,7 +7,7 @@
 
 use super::Policy;
 
-/// Interval, in served attempts, at which a request gets a second final response.
+/// Number of served attempts after which one request gets a second final response.
 const ANSWERS_TWICE_INTERVAL: u64 = 10;
 
 /// The defect of a broken policy.
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Returns a ready worker in a zone to which the request was not yet sent, if there is one.
+    /// Returns a ready worker in a zone that contains no worker in `attempted`; `None` if there is no such
+    /// worker.
     fn untried_zone_worker(&self, attempted: &[WorkerId]) -> Option<WorkerId> {
         let is_attempted = |endpoint: &&Endpoint| attempted.contains(&endpoint.worker);
         let zones: Vec<u32> =
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -23,7 +23,8 @@
 
 impl Policy for Dispatcher {}
 
-/// The kind of a dispatch policy, written in snake case in texts and files.
+/// The kind of a dispatch policy, whose name is in snake case on the command line, in experiment files and in
+/// results.
 // The serde attribute keeps the type's earlier name in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename = "Kind", rename_all = "snake_case", expecting = "enum Kind")]
@@ -58,7 +59,7 @@
 }
 
 impl PolicyKind {
-    /// Policies that a comparison runs.
+    /// The policies that a comparison runs by default.
     pub const COMPARED: [PolicyKind; 7] = [
         PolicyKind::Copperspread,
         PolicyKind::Random,
@@ -69,7 +70,7 @@
         PolicyKind::Oracle,
     ];
 
-    /// Returns the policy's name as written in texts and files.
+    /// Returns the policy's name as written on the command line, in experiment files and in results.
     pub fn name(self) -> String {
         serde_json::to_value(self).ok().and_then(|name| name.as_str().map(str::to_owned)).unwrap_or_default()
     }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -58,7 +58,7 @@
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The next worker in round-robin order.
+    /// Returns the address of the next worker in round-robin order.
     fn select_worker(&self) -> Authority {
         let turn = self.next_worker.fetch_add(1, Ordering::Relaxed);
         self.workers[turn % self.workers.len()].clone()
@@ -111,7 +111,7 @@
         .with_state(Arc::new(relay))
 }
 
-/// The addresses of the workers in the cached endpoint list.
+/// Returns the addresses of the workers in the configuration's cached endpoint list.
 fn cached_workers(config: &mut StartupConfig) -> Result<Vec<Authority>, ServeError> {
     let list = config.cached_endpoints.take().ok_or(ServeError::NoEndpointList)?;
     let workers: Vec<Authority> = list.endpoints.into_iter().map(|endpoint| endpoint.address).collect();
--- a/crates/testbed/src/report/capacity.rs
+++ b/crates/testbed/src/report/capacity.rs
@@ -13,7 +13,7 @@
 
 const CAPACITY_COLOUR: RGBColor = RGBColor(205, 205, 205);
 const DONE_COLOUR: RGBColor = COLOURS[2];
-/// Maximum number of bars that are drawn with gaps between them.
+/// Largest number of bars in a chart that has gaps between its bars.
 const MAX_BARS_WITH_GAP: usize = 150;
 
 /// The bar of one worker. Its values are means over runs, in core-seconds.
@@ -23,9 +23,9 @@
     done: f64,
 }
 
-/// Draws the work and the capacity of each worker as SVG, ordered by zone and group. Both are means over
-/// runs. The capacity is that of a worker that is up and fully warm during the whole run. The result is empty
-/// if the outcome has no workers.
+/// Draws the completed work and the capacity of each worker as SVG, ordered by zone and group. Both values
+/// are means over the variant's runs. The capacity is the work that the worker could complete if it were up
+/// and past its slow start during the whole run. The result is empty if the first run has no workers.
 pub(super) fn capacity_chart(variant: &VariantResult) -> Result<String, ReportError> {
     let Some(run) = variant.runs.first().filter(|run| !run.workers.is_empty()) else {
         return Ok(String::new());
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// The ranges of the indexes of the bars of each zone. `bars` must be sorted by zone.
+/// Returns one range per zone: the indexes of the zone's bars. `bars` must be sorted by zone.
 fn zone_ranges(bars: &[Bar]) -> Vec<Range<usize>> {
     let mut ranges = Vec::new();
     let mut start = 0;
@@ -85,7 +85,7 @@
     ranges
 }
 
-/// Draws the name of a zone below its bars, and a line between the zone and the next one.
+/// Draws the name of a zone below its bars, and a line between this zone and the next zone.
 fn draw_zone(
     area: &Area<'_>,
     chart: &mut Chart<'_, '_>,
--- a/crates/testbed/src/report/chart.rs
+++ b/crates/testbed/src/report/chart.rs
@@ -41,9 +41,9 @@
 /// The dash pattern of a line, in pixels.
 #[derive(Clone, Copy)]
 pub(super) struct Dashes {
-    /// Length of a dash.
+    /// Length of a dash, in pixels.
     pub length: u32,
-    /// Length of the gap between two dashes.
+    /// Length of the gap between two dashes, in pixels.
     pub gap: u32,
 }
 
@@ -78,8 +78,8 @@
     Ok(svg)
 }
 
-/// Draws the legend in the right margin. The legend of the plotters library is not used, because it is inside
-/// the chart, where it would cover lines.
+/// Draws the legend in the right margin. The legend of the plotters library is not used, because it is drawn
+/// inside the chart and would cover lines.
 pub(super) fn draw_legend(
     area: &Area<'_>,
     entries: impl IntoIterator<Item = LegendEntry>,
@@ -106,7 +106,7 @@
     draw: impl FnOnce(&mut Chart<'_, '_>) -> Result<Vec<LegendEntry>, ReportError>,
 ) -> Result<String, ReportError> {
     render_svg(SIZE, |area| {
-        // The legend is in the right margin, so that it covers no line.
+        // The legend is in the right margin, where it covers no line of the chart.
         let mut builder = ChartBuilder::on(area);
         builder.margin(8).margin_right(LEGEND_WIDTH).x_label_area_size(34).y_label_area_size(48);
         let mut chart = builder.build_cartesian_2d(0.0..scenario.duration_s, low..high)?;
--- a/crates/testbed/src/report/differences.rs
+++ b/crates/testbed/src/report/differences.rs
@@ -1,4 +1,5 @@
-//! The chart of the differences between the first variant and each other one.
+//! The chart of the differences in score between the first variant and each other variant. The score of a run
+//! is the share of priority weight served in time, less the cost of load queries.
 use plotters::chart::ChartBuilder;
 use plotters::element::{Circle, Text};
 use plotters::series::LineSeries;
@@ -15,8 +16,9 @@
 /// Width of the column with the names of the variants, in pixels.
 const NAME_COLUMN_WIDTH: u32 = 200;
 
-/// Draws the share of the first variant minus that of each other one as SVG, with its 95% interval. The
-/// result is empty if no variant has enough pairs for an interval.
+/// Draws the mean score of the first variant minus that of each other variant as SVG, with the 95% interval
+/// of the difference. The result is empty if no variant has enough pairs of runs with the same seed for an
+/// interval.
 pub(super) fn differences_chart(variants: &[VariantResult]) -> Result<String, ReportError> {
     let differences: Vec<(&str, PairedDifference)> = variants
         .iter()
--- a/crates/testbed/src/report/over_time.rs
+++ b/crates/testbed/src/report/over_time.rs
@@ -1,4 +1,5 @@
-//! The charts over the duration of a scenario: the share served in time, and the outcomes of jobs.
+//! The charts over the duration of a scenario: the share of priority weight served in time, and the priority
+//! weight by outcome of the jobs.
 use plotters::series::{AreaSeries, DashedLineSeries};
 use plotters::style::{Color, RGBColor};
 
@@ -46,15 +47,15 @@
     })
 }
 
-/// A band of a stacked chart. It is drawn from zero to `top`, and the bands after it are drawn over it.
+/// A band of a stacked chart, drawn from zero to `top`. The bands after it are drawn over its lower part.
 struct Band {
     name: &'static str,
     top: fn(&WeightTotals) -> f64,
     colour: RGBColor,
 }
 
-/// The bands in drawing order, from the highest to the lowest, because each band covers a part of the one
-/// drawn before it.
+/// The bands in drawing order, from the highest to the lowest, because each band covers the lower part of the
+/// band drawn before.
 const BANDS: [Band; 5] = [
     Band {
         name: "lost",
@@ -107,8 +108,8 @@
     sums
 }
 
-/// A value for each second, computed from the mean weights of a window of [`SMOOTHING_WINDOW_S`] around it.
-/// The window is cut off at both ends of the scenario.
+/// Returns a value for each second, computed from the mean weights of a window of [`SMOOTHING_WINDOW_S`]
+/// around that second. The window is cut off at both ends of the scenario.
 fn smoothed(seconds: &[WeightTotals], value: impl Fn(&WeightTotals) -> f64) -> Points {
     let half_window = SMOOTHING_WINDOW_S / 2;
     let window = |second: usize| {
