--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -61,7 +61,7 @@
     Accepted,
     /// The queue is full or the worker drains, so the worker does not accept the job.
     QueueFull,
-    /// The connection to the worker is refused, because its process is stopped or a fault makes it refuse.
+    /// The worker's process is stopped, or a fault makes the worker refuse connections.
     ConnectionRefused,
     /// The worker's machine does not respond.
     Unreachable,
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -141,8 +141,8 @@
             let untried: Vec<WorkerId> = untried.collect();
             return self.select(job, &untried);
         }
-        // The list of ready workers is moved out of `self` while `select` runs, because `select` borrows
-        // `self` mutably and copying the list for each first attempt would be wasteful.
+        // The list of ready workers is moved out of `self` while `select` borrows `self` mutably, so that the
+        // list need not be copied for a first attempt.
         let ready = std::mem::take(&mut self.ready);
         let selected = self.select(job, &ready);
         self.ready = ready;
--- a/crates/testbed/src/policy/broken.rs
+++ b/crates/testbed/src/policy/broken.rs
@@ -10,7 +10,7 @@
 /// Number of served attempts after which one request gets a second final response.
 const ANSWERS_TWICE_INTERVAL: u64 = 10;
 
-/// The defect of a broken policy.
+/// The defect that a broken policy adds to the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Defect {
     /// Some requests get two final responses.
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -125,7 +125,7 @@
 /// cached endpoint list has the workers.
 ///
 /// # Errors
-/// Fails if the configuration cannot be read or has no workers, or if the address cannot be listened on.
+/// Fails if the configuration cannot be read or has no workers, or if the relay cannot listen on its address.
 pub fn serve_relay() -> Result<(), ServeError> {
     let mut config = read_config()?;
     let router = router(Relay::new(cached_workers(&mut config)?));
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -25,7 +25,8 @@
     Template(#[from] minijinja::Error),
 }
 
-/// Renders an HTML page with the results of scenarios. The first variant of each scenario is shown in detail.
+/// Renders an HTML page with the results of scenarios. For each scenario, the first of the compared variants
+/// (policies, or the alternatives of an experiment) is shown in detail.
 ///
 /// # Errors
 /// Fails if a chart or the template cannot be rendered.
@@ -48,8 +49,8 @@
 ) -> Result<Value, ReportError> {
     let mean_jobs = first.runs.iter().map(|run| run.jobs).sum::<u64>() / first.runs.len().max(1) as u64;
     let rows: Vec<Value> = variants.iter().map(variant_row).collect();
-    // Only the classes of the run with the first seed are shown, because the quantiles of several runs cannot
-    // be combined.
+    // The table of classes shows only the run with the first seed, because the latency quantiles of several
+    // runs cannot be combined.
     let classes: Vec<Value> =
         first.runs.first().map_or_else(Vec::new, |run| run.classes.iter().map(class_row).collect());
     let faults: Vec<String> = scenario.faults.iter().map(describe_fault).collect();
@@ -93,8 +94,8 @@
     }
 }
 
-/// The shares of priority weight that a variant serves in time, by the zone of the clients and the request
-/// class.
+/// Returns the shares of priority weight that a variant serves in time, by the zone of the clients and the
+/// request class.
 fn zone_rows(scenario: &Scenario, variant: &VariantResult) -> Vec<Value> {
     let row = |zone: usize| {
         let shares: Vec<String> = (0..scenario.classes.len())
@@ -105,8 +106,8 @@
     (0..scenario.zones as usize).map(row).collect()
 }
 
-/// The share of priority weight served in time, for one zone and class over all runs; `None` if nothing was
-/// requested.
+/// Returns the share of priority weight served in time, for one zone and class over all runs; `None` if the
+/// zone had no jobs of the class.
 fn zone_share(variant: &VariantResult, zone: usize, class: usize) -> Option<f64> {
     let weights = variant.runs.iter().filter_map(|run| run.zones.get(zone)?.get(class));
     let (requested, in_time) = weights.fold((0.0, 0.0), |(requested, in_time), weight| {
--- a/crates/testbed/src/rule_checker/dispatches.rs
+++ b/crates/testbed/src/rule_checker/dispatches.rs
@@ -1,4 +1,5 @@
-//! Rules for dispatches: none to draining workers, and no more than the budget to workers in slow start.
+//! Rules for dispatches: schedulers send no attempts to draining workers, and to a worker in slow start no
+//! more load than its slow-start budget allows.
 use std::collections::VecDeque;
 
 use copperspread_dispatcher::{Micros, SECOND, WorkerId};
@@ -13,17 +14,17 @@
 pub struct SlowStartBudget {
     /// Fraction of its full capacity that a worker has at its start.
     pub initial_capacity: f64,
-    /// Time from the start of a worker until its full capacity.
+    /// Time from the start of a worker until the worker has its full capacity.
     pub duration: Micros,
-    /// Multiple of the current capacity up to which load may be sent.
+    /// Multiple of a worker's current capacity up to which load may be sent to the worker.
     pub overload_multiple: f64,
     /// Length of the sliding window over which the load sent to a worker is summed.
     pub overload_window: Micros,
 }
 
 impl SlowStartBudget {
-    /// Returns the core-seconds that may be sent within the window to a worker with this full capacity and
-    /// age.
+    /// Returns the core-seconds of work that may be sent within the overload window to a worker of this full
+    /// capacity and age. The age is the time since the worker's start.
     fn core_seconds(&self, capacity: f64, age: Micros) -> f64 {
         let capacity_fraction =
             self.initial_capacity + (1.0 - self.initial_capacity) * age as f64 / self.duration as f64;
@@ -31,7 +32,8 @@
     }
 }
 
-/// Drain rule, with the time from which each scheduler knows that a worker is unavailable.
+/// Checks that no scheduler sends attempts to a worker after it learned that the worker drains or was
+/// removed. For each scheduler and worker, the time of this notification is stored.
 #[derive(Default)]
 pub(super) struct DrainRule {
     unavailable_since: FxHashMap<SchedulerAndWorker, Micros>,
@@ -81,12 +83,13 @@
 struct SlowStartWorker {
     started_at: Micros,
     capacity: f64,
-    /// Time and core-seconds of each attempt within the window.
+    /// Send time and core-seconds of each attempt that was sent to the worker within the overload window.
     sent: VecDeque<(Micros, f64)>,
     is_violated: bool,
 }
 
-/// Slow-start rule, with the workers in slow start and the load sent to each.
+/// Checks that schedulers send no more load to a worker in slow start than its slow-start budget allows. The
+/// workers in slow start and the load sent to each are stored.
 pub(super) struct SlowStartRule {
     budget: Option<SlowStartBudget>,
     workers: FxHashMap<WorkerId, SlowStartWorker>,
--- a/crates/testbed/src/rule_checker/executions.rs
+++ b/crates/testbed/src/rule_checker/executions.rs
@@ -8,7 +8,7 @@
 /// An attempt that a worker accepted and that may therefore have run.
 #[derive(Clone, Copy)]
 pub(super) struct AcceptedAttempt {
-    /// ID of the attempt.
+    /// ID by which the attempt is removed if its worker returns it unstarted.
     pub attempt: u64,
     /// Deduplication group of the worker (see `model::idempotency_keys`).
     pub group: u32,
@@ -23,7 +23,8 @@
     accepted: Vec<AcceptedAttempt>,
 }
 
-/// Execution rules, with the executions of each client's job over all its retries.
+/// Checks that a non-idempotent job runs at most once, and that a job with an idempotency key is repeated
+/// only where workers drop duplicates. The executions of each client's job over all its retries are stored.
 #[derive(Default)]
 pub(super) struct ExecutionRules {
     jobs: FxHashMap<u64, JobExecutions>,
@@ -58,8 +59,9 @@
         }
     }
 
-    /// Checks that a repeated attempt goes to the deduplication group of the first attempt, within the key's
-    /// window after the first one was sent. Workers drop duplicates only in that group and window.
+    /// Checks that a repeated attempt goes to the deduplication group of the first attempt, and is sent
+    /// within the key's window after the first attempt was sent. Workers drop duplicates only in that group
+    /// and window.
     pub(super) fn check_keyed_within_scope(
         &mut self,
         now: Micros,
--- a/crates/testbed/src/rule_checker/mod.rs
+++ b/crates/testbed/src/rule_checker/mod.rs
@@ -1,6 +1,7 @@
 //! Checks the rules of a run from what clients and workers observe and what discovery announces.
 //!
-//! A scheduler's own statements must not be used, because a faulty scheduler could hide violations by them.
+//! What a scheduler reports about itself must not be used, because a faulty scheduler could hide its
+//! violations by false reports.
 mod dispatches;
 mod executions;
 mod responses;
@@ -17,9 +18,11 @@
 use executions::{AcceptedAttempt, ExecutionRules};
 use responses::ResponseRules;
 
-/// Tolerance for time limits, which covers the delays of sockets in an emulation.
+/// Tolerance by which time limits may be exceeded, in microseconds. The tolerance covers the delays of
+/// sockets in an emulation.
 pub const TIMING_GRACE: Micros = 50_000;
-/// Time after the notification of a drain during which new work may still go to the worker.
+/// Time after a scheduler was notified of a worker's drain during which the scheduler may still send attempts
+/// to the worker.
 pub const DRAIN_GRACE: Micros = SECOND;
 
 /// The rule checker of one run. Each method records an observation; times are in microseconds from the
@@ -33,7 +36,8 @@
 }
 
 impl RuleChecker {
-    /// Creates a rule checker with the slow-start budget of workers, or without one.
+    /// Creates a rule checker. `budget` limits the load that may be sent to workers in slow start; with
+    /// `None`, the load is not checked.
     pub fn new(budget: Option<SlowStartBudget>) -> RuleChecker {
         RuleChecker {
             responses: ResponseRules::default(),
@@ -44,7 +48,7 @@
         }
     }
 
-    /// Records that a client sent a request and waits until its deadline.
+    /// Records that a client sent a request and waits for the response until `deadline`.
     pub fn request_sent(&mut self, request: RequestId, deadline: Micros) {
         self.responses.request_sent(request, deadline);
     }
@@ -54,7 +58,7 @@
         self.responses.result_made(request);
     }
 
-    /// Records that a final response reached the client, or that its connection broke.
+    /// Records that a final response reached the client, or that the client's connection broke.
     pub fn response_received(&mut self, now: Micros, request: RequestId, response: ClientResponse) {
         self.responses.response_received(now, request, response, &mut self.violations);
     }
@@ -99,7 +103,7 @@
         self.executions.check_keyed_within_scope(now, job, accepted, idempotency, &mut self.violations);
     }
 
-    /// Records that a worker returned an attempt unstarted, so that it never ran.
+    /// Records that a worker returned an attempt unstarted, so that the attempt never ran.
     pub fn attempt_returned(&mut self, job: u64, attempt: u64) {
         self.executions.attempt_returned(job, attempt);
     }
@@ -115,13 +119,13 @@
         self.drains.availability_notified(now, scheduler, worker, is_available);
     }
 
-    /// Records that a worker's process started, in slow start. `capacity` is the full capacity, in
-    /// core-seconds per second.
+    /// Records that a worker's process started and is in slow start. `capacity` is the worker's full
+    /// capacity, in core-seconds per second.
     pub fn worker_started(&mut self, now: Micros, worker: WorkerId, capacity: f64) {
         self.slow_starts.worker_started(now, worker, capacity);
     }
 
-    /// Records that a scheduler sent an attempt to a worker, with its work in core-seconds.
+    /// Records that a scheduler sent an attempt to a worker. `core_seconds` is the work of the attempt.
     pub fn attempt_sent(&mut self, now: Micros, scheduler: SchedulerId, worker: WorkerId, core_seconds: f64) {
         self.drains.check(now, scheduler, worker, &mut self.violations);
         self.slow_starts.check(now, worker, core_seconds, &mut self.violations);
--- a/crates/testbed/src/rule_checker/responses.rs
+++ b/crates/testbed/src/rule_checker/responses.rs
@@ -1,4 +1,5 @@
-//! Rules for final responses: a single one for each request, with a genuine result, before the deadline.
+//! Rules for final responses: each request gets a single response, with a genuine result, before the
+//! deadline.
 use copperspread_dispatcher::{Micros, RequestId};
 use rustc_hash::FxHashMap;
 
@@ -17,7 +18,7 @@
     ConnectionBroken,
 }
 
-/// Responses and results of a request until the request is finished.
+/// What was observed of the responses and results of a request that is not finished.
 struct RequestState {
     deadline: Micros,
     responses: u32,
@@ -27,7 +28,8 @@
     is_result_made: bool,
 }
 
-/// Response rules, with the state of open requests.
+/// Checks that each request gets a single final response before its deadline, and that a served response has
+/// a result that a worker produced. The state of each unfinished request is stored.
 #[derive(Default)]
 pub(super) struct ResponseRules {
     requests: FxHashMap<RequestId, RequestState>,
--- a/crates/testbed/src/rule_checker/violations.rs
+++ b/crates/testbed/src/rule_checker/violations.rs
@@ -14,7 +14,8 @@
     /// A client gets at most one final response.
     #[serde(rename = "one_answer")]
     SingleResponse,
-    /// A client gets a final response before its deadline, or within the scenario's grace period after it.
+    /// A client gets a final response before its deadline, or within the scenario's grace period after the
+    /// deadline.
     #[serde(rename = "answer_in_time")]
     ResponseBeforeDeadline,
     /// A served response contains only what a worker produced for the request.
@@ -30,14 +31,14 @@
     /// worker's drain.
     #[serde(rename = "drained")]
     NoDispatchWhileDraining,
-    /// A worker in slow start is sent no more load than its slow-start budget.
+    /// Schedulers send no more load to a worker in slow start than its slow-start budget allows.
     #[serde(rename = "cold_budget")]
     WithinSlowStartBudget,
 }
 
 impl std::fmt::Display for Rule {
-    /// Writes the rule's name as printed with outcomes. Printed and stored names stay the same when a variant
-    /// is renamed.
+    /// Writes the rule's name as printed with outcomes. The printed name, and the serialized name in JSON
+    /// outcomes, stay the same when the enum variant of a rule is renamed.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Rule::SingleResponse => "OneAnswer",
@@ -51,7 +52,7 @@
     }
 }
 
-/// A violation of a rule.
+/// A single violation of a rule during a run, with its time and description.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RuleViolation {
     /// Rule that the run violated.
@@ -63,17 +64,18 @@
     pub description: String,
 }
 
-/// The violations of one run.
+/// The violations of one run: their number by rule, and descriptions of the first violations.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Violations {
     /// Number of violations of each rule.
     pub counts: BTreeMap<Rule, u64>,
-    /// First violations, with their descriptions.
+    /// The first violations of the run, at most 20, with their descriptions.
     pub examples: Vec<RuleViolation>,
 }
 
 impl Violations {
-    /// Counts a violation, and keeps its description if it is one of the first.
+    /// Counts a violation, and keeps its description if fewer than `MAX_EXAMPLES` descriptions are kept so
+    /// far.
     pub(super) fn record(&mut self, rule: Rule, at: Micros, describe: impl FnOnce() -> String) {
         *self.counts.entry(rule).or_default() += 1;
         if self.examples.len() < MAX_EXAMPLES {
--- a/crates/testbed/src/scenario/checks.rs
+++ b/crates/testbed/src/scenario/checks.rs
@@ -1,30 +1,31 @@
 //! Validates the values of a scenario and reports the first invalid one.
 use super::{ClientSkew, Fault, FaultKind, JobClass, RetryTiming, Scenario, WorkerGroup};
 
-/// Errors in a scenario. Each message names the key in question.
+/// Errors in a scenario. Each message names the key whose value is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum ScenarioError {
     /// The text is not valid TOML or does not match the scenario format; the parser gives line and key.
     #[error("{}", .0.to_string().trim_end())]
     InvalidToml(toml::de::Error),
-    /// A value that must be positive is not.
+    /// A value that must be positive is zero, negative or not finite.
     #[error("{key}: {value} is not over 0")]
     NotPositive {
-        /// TOML key of the value.
+        /// TOML key of the invalid value.
         key: String,
-        /// The invalid value.
+        /// The invalid value, as given in the scenario.
         value: f64,
     },
-    /// A value that must not be negative is.
+    /// A value that must be zero or more is negative or not finite.
     #[error("{key}: {value} is not 0 or more")]
     Negative {
-        /// TOML key of the value.
+        /// TOML key of the invalid value.
         key: String,
-        /// The invalid value.
+        /// The invalid value, as given in the scenario.
         value: f64,
     },
-    /// The refresh interval of listed worker sizes, in seconds, is out of range.
+    /// The interval at which the worker sizes in the endpoint list are refreshed, in seconds, is neither 0
+    /// nor between 0.05 and 3600.
     #[error("discovery.sizes: {0} is neither 0 nor between 0.05 and 3600")]
     SizeIntervalOutOfRange(f64),
     /// The number of cells in each zone is 0.
@@ -33,7 +34,8 @@
     /// The scenario has no zone, scheduler, worker group or class.
     #[error("zones, schedulers, workers and classes: at least one of each")]
     Empty,
-    /// The client skew applies to no scheduler or to all of them.
+    /// The number of schedulers that get more clients than the others (`clients.crowded.schedulers`) is 0, or
+    /// not below the number of all schedulers.
     #[error("clients.crowded.schedulers: {0} is not some of them")]
     SkewedSchedulers(u32),
     /// The lowest speed of a worker group is above its highest.
@@ -47,7 +49,7 @@
     /// A class has both `wide` and `slots`, two ways to set the slots of its jobs.
     #[error("class {class:?}: wide and slots say the same thing; one of them")]
     SlotsGivenTwice {
-        /// Name of the class.
+        /// Name of the class that has both keys.
         class: String,
     },
     /// The jobs of the trace are not sorted by arrival time.
@@ -59,7 +61,7 @@
         /// Index of the job in the trace.
         index: usize,
     },
-    /// A link has an unknown zone or an invalid value.
+    /// A link between two zones has an unknown zone, or an invalid delay or loss.
     #[error("network.pairs[{index}]: no such zone, or a figure that is none")]
     InvalidZoneLink {
         /// Index of the link in `network.pairs`.
@@ -71,12 +73,12 @@
         /// Index of the fault in the scenario.
         index: usize,
     },
-    /// A share of a fault is not between 0 and 1.
+    /// A fault's share of affected targets or of affected attempts is not between 0 and 1.
     #[error("faults[{index}]: a share of {share} is not between 0 and 1")]
     ShareOutOfRange {
         /// Index of the fault in the scenario.
         index: usize,
-        /// The invalid share.
+        /// The invalid share, as given in the scenario.
         share: f64,
     },
 }
--- a/crates/testbed/src/scenario/classes.rs
+++ b/crates/testbed/src/scenario/classes.rs
@@ -41,18 +41,18 @@
 pub enum WorkDistribution {
     /// Log-normal, with this sigma (the standard deviation of the logarithm).
     LogNormal(f64),
-    /// Exponential distribution.
+    /// Exponential, with the mean work of the class as its mean.
     #[default]
     Exponential,
     /// Constant: every job has the mean work.
     Constant,
 }
 
-/// A class of jobs.
+/// A class of jobs, which have the same time limits, priority weight and distribution of work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Class", deny_unknown_fields)]
 pub struct JobClass {
-    /// The class's name.
+    /// Name of the class, by which results and event logs refer to the class.
     pub name: String,
     /// The class's share of all jobs, relative to the shares of the other classes.
     pub share: f64,
@@ -65,7 +65,8 @@
     /// The share of jobs that take two slots, from 0 to 1; the others take one.
     #[serde(rename = "wide", default)]
     pub two_slot_share: f64,
-    /// Alternative to `two_slot_share`: pairs of a number of slots and its relative share of the jobs.
+    /// Alternative to `two_slot_share`: pairs of a number of slots and the relative share of the jobs that
+    /// take that number.
     #[serde(rename = "slots", default, skip_serializing_if = "Vec::is_empty")]
     pub slot_distribution: Vec<[f64; 2]>,
     /// Mean memory that a running job holds per slot, in the unit of the workers' memory.
@@ -84,21 +85,23 @@
     /// this time.
     #[serde(rename = "deadline")]
     pub deadline_s: f64,
-    /// Priority weight of one unit of work.
+    /// Priority weight of each core-second of a job's work.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
     /// Whether a job may run more than once.
     pub repeat: RepeatPolicy,
-    /// The workers that drop a duplicate; applies to keyed jobs only.
+    /// The set of workers among which a duplicate of a job is dropped. Applies only to jobs with an
+    /// idempotency key.
     #[serde(rename = "scope", default, skip_serializing_if = "DeduplicationScope::is_zone")]
     pub deduplication_scope: DeduplicationScope,
-    /// Seconds for which workers drop duplicates of a key; applies to keyed jobs only.
+    /// Seconds from the acceptance of an attempt during which workers drop further attempts with the same
+    /// key. Applies only to jobs with an idempotency key.
     #[serde(rename = "window", default)]
     pub deduplication_window_s: f64,
 }
 
 impl JobClass {
-    /// The mean number of slots of a job.
+    /// Returns the mean number of slots that a job of the class takes.
     pub fn mean_slots(&self) -> f64 {
         if self.slot_distribution.is_empty() {
             return 1.0 + self.two_slot_share;
--- a/crates/testbed/src/scenario/clients.rs
+++ b/crates/testbed/src/scenario/clients.rs
@@ -4,14 +4,14 @@
 
 use super::micros_from_seconds;
 
-/// Behavior of the clients.
+/// How clients send jobs to the schedulers, and how they retry after a rejection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
     /// New jobs per second, independent of the responses (open loop).
     #[serde(rename = "rate")]
     pub rate_per_s: f64,
-    /// Maximum number of retries of a rejected job.
+    /// Maximum number of times that a client retries a rejected job.
     #[serde(rename = "retries", default)]
     pub max_retries: u32,
     /// Cap on the `Retry-After` time that clients honor, in seconds.
@@ -29,10 +29,10 @@
     /// generates one from a scheduler's event log.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub trace: Vec<RecordedJob>,
-    /// Uneven distribution of clients over the schedulers; without it, all schedulers get equally many.
+    /// Uneven distribution of clients over the schedulers; if absent, clients are distributed evenly.
     #[serde(rename = "crowded", default, skip_serializing_if = "Option::is_none")]
     pub skew: Option<ClientSkew>,
-    /// Sigma of the log-normal error of cost hints; without it, jobs carry no cost hints.
+    /// Sigma of the log-normal error of cost hints; if absent, jobs carry no cost hints.
     #[serde(rename = "hint_error", default)]
     pub hint_error_sigma: Option<f64>,
 }
@@ -67,8 +67,8 @@
         *self == RetryTiming::HonorRetryAfter
     }
 
-    /// The delay before a client's retry, given the response's `retry_after`, of which at most
-    /// `max_retry_after_s` seconds are honored. `jitter` is uniformly distributed from 0 to 1.
+    /// Returns the delay before a client's retry. The client honors at most `max_retry_after_s` seconds of
+    /// `retry_after`, the time that the response gives. `jitter` is uniformly distributed from 0 to 1.
     pub fn delay(self, retry_after: Micros, max_retry_after_s: f64, jitter: f64) -> Micros {
         match self {
             RetryTiming::HonorRetryAfter => {
@@ -87,12 +87,13 @@
 pub struct ClientSkew {
     /// Number of schedulers, counted from the first, that get more clients.
     pub schedulers: u32,
-    /// Ratio of the number of clients at each of these schedulers to the number at each other scheduler.
+    /// Ratio of the number of clients at each of the first `schedulers` schedulers to the number at each
+    /// other scheduler.
     #[serde(rename = "times")]
     pub factor: f64,
 }
 
-/// A job of a recorded trace.
+/// A job of a recorded trace, which arrives at a fixed time instead of a random one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Recorded", deny_unknown_fields)]
 pub struct RecordedJob {
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -16,9 +16,9 @@
     /// The share of the workers in the cached list that no longer exist, from 0 to 1.
     #[serde(rename = "stale")]
     pub stale_share: f64,
-    /// Seconds between refreshes of the workers' sizes in the endpoint list; 0 disables the sizes. The listed
-    /// size is the worker's size divided by one plus its jobs per core. Only the simulation supports listed
-    /// sizes.
+    /// Seconds between refreshes of the workers' sizes in the endpoint list; 0 disables the sizes. The size
+    /// of a worker is its cores times the mean speed of its group, divided by one plus its jobs per core.
+    /// Only the simulation supports sizes.
     #[serde(rename = "sizes")]
     pub size_interval_s: f64,
     /// Whether schedulers poll for the list instead of being notified. In the emulation, each scheduler polls
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Reports", default, deny_unknown_fields)]
 pub struct LoadReports {
-    /// Seconds between refreshes of a load report.
+    /// Seconds between refreshes of each worker's load report.
     #[serde(rename = "refresh")]
     pub refresh_interval_s: f64,
     /// Standard deviation of the noise on the reported number of free slots, in slots. In responses to load
@@ -65,7 +65,7 @@
     }
 }
 
-/// Settings of load queries.
+/// How workers handle load queries, and what each load query costs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Probe", deny_unknown_fields)]
 pub struct LoadQuery {
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -17,7 +17,7 @@
     /// The share of targets that the fault affects, from 0 to 1; at least one target is affected.
     #[serde(rename = "share", default = "default_worker_share")]
     pub worker_share: f64,
-    /// Restricts the fault to targets in this zone.
+    /// Restricts the fault to targets in this zone; if absent, targets may be in any zone.
     #[serde(default)]
     pub zone: Option<u32>,
     /// Seconds over which the start of the fault is staggered across its targets; 0 starts all at once.
@@ -29,7 +29,8 @@
     0.1
 }
 
-/// Kinds of faults.
+/// The effect of a fault while the fault is active. Some kinds have a parameter, such as a factor, a share or
+/// a delay.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Trouble", rename_all = "snake_case")]
 pub enum FaultKind {
@@ -62,16 +63,17 @@
     DiscoveryContradicts,
     /// Scheduler processes crash and lose all accepted requests; they restart at the end of the fault.
     SchedulerCrash,
-    /// Scheduler processes shut down gracefully: they get no new requests, finish the accepted ones, and
-    /// restart at the end of the fault. Requests without a response by then are lost, and violate a rule.
+    /// Scheduler processes shut down gracefully: they get no new requests, finish the accepted requests, and
+    /// restart at the end of the fault. Requests that have no response at the restart are lost, and violate a
+    /// rule.
     SchedulerRestart,
     /// Schedulers switch to another discovery service: they get no notification until the end of the fault,
-    /// and then the full list of the new service. Only the simulation supports it.
+    /// and then the full list of the new service. Only the simulation supports this fault.
     DiscoveryMoves,
     /// Workers answer this share of the attempts with bytes that are not HTTP; the jobs never run.
     Garbled(f64),
-    /// Workers fail this share of the attempts immediately. Their jobs never run, but the rule checker counts
-    /// them as possibly run, because schedulers cannot know that they did not.
+    /// Workers fail this share of the attempts immediately. The jobs of these attempts never run, but the
+    /// rule checker counts the jobs as possibly run, because schedulers cannot know that they did not run.
     Failing(f64),
     /// Callbacks of workers are delayed by this many seconds.
     #[serde(rename = "late_news")]
@@ -84,7 +86,7 @@
 }
 
 impl std::fmt::Display for FaultKind {
-    /// Writes the name of the fault that reports print, with the fault's parameter.
+    /// Writes the fault's name and parameter as printed in reports.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             FaultKind::LateCallbacks(by) => f.debug_tuple("LateNews").field(by).finish(),
@@ -95,7 +97,7 @@
 }
 
 impl FaultKind {
-    /// Whether the fault affects workers, rather than schedulers, clients, load reports or discovery.
+    /// Returns whether the fault affects workers, rather than schedulers, clients, load reports or discovery.
     pub fn affects_workers(self) -> bool {
         !self.affects_schedulers()
             && !matches!(
@@ -110,7 +112,7 @@
             )
     }
 
-    /// Whether the fault affects scheduler processes.
+    /// Returns whether the fault affects scheduler processes.
     pub fn affects_schedulers(self) -> bool {
         matches!(self, FaultKind::SchedulerCrash | FaultKind::SchedulerRestart)
     }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Name of the scenario.
+    /// Name of the scenario, as shown in results and reports.
     pub name: String,
     /// Purpose of the scenario, in one sentence.
     #[serde(rename = "about")]
@@ -40,16 +40,16 @@
     /// Number of zones, to which schedulers, workers and clients are assigned round-robin.
     #[serde(default = "one")]
     pub zones: u32,
-    /// Number of cells in each zone, to which its workers are assigned round-robin.
+    /// Number of cells in each zone; the zone's workers are assigned to the cells round-robin.
     #[serde(default = "one", skip_serializing_if = "is_one")]
     pub cells: u32,
-    /// Number of schedulers.
+    /// Number of schedulers, over which the clients are distributed.
     pub schedulers: u32,
-    /// Groups of workers.
+    /// Groups of workers, which together form the fleet.
     pub workers: Vec<WorkerGroup>,
-    /// Classes of jobs.
+    /// Classes of the jobs that clients send.
     pub classes: Vec<JobClass>,
-    /// Behavior of the clients.
+    /// How clients send jobs to the schedulers, and how they retry after a rejection.
     pub clients: Clients,
     /// Network links between clients, schedulers and workers.
     #[serde(default)]
@@ -63,7 +63,7 @@
     /// Slow start of workers: reduced capacity after a start, and overload during that time.
     #[serde(rename = "cold", default)]
     pub slow_start: SlowStart,
-    /// Settings of the schedulers that the scenario changes.
+    /// Scheduler settings that the scenario controls, such as the maximum number of attempts.
     #[serde(rename = "settings", default)]
     pub tuning: SchedulerTuning,
     /// Faults that are injected during the run.
@@ -71,22 +71,22 @@
     pub faults: Vec<Fault>,
 }
 
-/// Settings of the schedulers that a scenario can change.
+/// Scheduler settings that a scenario controls; a setting that the scenario omits has a default.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Tuning", default, deny_unknown_fields)]
 pub struct SchedulerTuning {
-    /// Maximum number of attempts of a request.
+    /// Maximum number of attempts that a scheduler sends for a request.
     pub max_attempts: u32,
     /// Whether a hedge may be sent while another attempt is in flight.
     #[serde(rename = "second_copies")]
     pub hedging_allowed: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether schedulers may cancel attempts.
     #[serde(rename = "may_cancel")]
     pub cancellation_allowed: bool,
-    /// Cross-zone cost of an attempt, in the priority weight of one unit of work.
+    /// Cost of sending an attempt to another zone, as a fraction of the request's weight.
     #[serde(rename = "price_cross_zone")]
     pub cross_zone_cost: f64,
-    /// Whether a worker stops the job of an attempt that is cancelled or times out, queued or running.
+    /// Whether a worker stops a queued or running job when its attempt is cancelled or times out.
     #[serde(rename = "cancel_stops", skip_serializing_if = "is_false")]
     pub cancel_stops_job: bool,
 }
@@ -143,7 +143,7 @@
         checks::check(self)
     }
 
-    /// The settings of the dispatch policy in one scheduler.
+    /// Returns the settings of the dispatch policy in one scheduler.
     pub fn settings(&self, scheduler: SchedulerId) -> Settings {
         Settings {
             fleet_size: self.schedulers,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// The number of jobs per second that the fleet can run, given the classes' mean work and shares.
+    /// Returns the number of jobs per second that the fleet can run, given the classes' mean work and shares.
     pub fn capacity(&self) -> f64 {
         let group_capacity = |group: &WorkerGroup| {
             f64::from(group.count) * group.cores.min(group.slots) * (group.speed[0] + group.speed[1]) / 2.0
--- a/crates/testbed/src/scenario/network.rs
+++ b/crates/testbed/src/scenario/network.rs
@@ -7,11 +7,11 @@
 pub struct ZoneLink {
     /// Indexes of the two zones.
     pub zones: [u32; 2],
-    /// One-way delay, in seconds.
+    /// One-way delay of messages between the two zones, in seconds.
     #[serde(rename = "way")]
     pub delay_s: f64,
     /// The share of messages, from 0 to 1, that arrive 0.2 s late, as after a retransmission. Only the
-    /// simulation supports it.
+    /// simulation supports message loss.
     #[serde(default)]
     pub loss: f64,
 }
@@ -27,9 +27,9 @@
     #[serde(rename = "far")]
     pub inter_zone_delay_s: f64,
     /// The share of messages, from 0 to 1, that arrive 0.2 s late, as after a retransmission. Only the
-    /// simulation supports it.
+    /// simulation supports message loss.
     pub loss: f64,
-    /// Delay of an attempt for which a connection to the worker must be opened, in seconds.
+    /// Seconds by which an attempt or load query is delayed if a new connection to the worker must be opened.
     #[serde(rename = "connect")]
     pub connect_delay_s: f64,
     /// Links between two zones that differ from the defaults.
@@ -50,7 +50,7 @@
 }
 
 impl Network {
-    /// The delay and loss between two zones, which are the same in both directions.
+    /// Returns the delay and loss between two zones, which are the same in both directions.
     pub fn link_between(&self, from: u32, to: u32) -> ZoneLinkQuality {
         let zone_link =
             self.zone_links.iter().find(|link| link.zones == [from, to] || link.zones == [to, from]);
@@ -63,7 +63,7 @@
 /// Delay and loss of the messages between two zones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneLinkQuality {
-    /// One-way delay, in seconds.
+    /// One-way delay of messages between the two zones, in seconds.
     pub delay_s: f64,
     /// The share of messages that are lost and retransmitted, from 0 to 1.
     pub loss: f64,
--- a/crates/testbed/src/scenario/workers.rs
+++ b/crates/testbed/src/scenario/workers.rs
@@ -5,12 +5,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Order", rename_all = "lowercase")]
 pub enum QueueOrder {
-    /// In order of arrival; if the first job does not fit into the free slots and memory, all wait.
+    /// In order of arrival; if the first job does not fit into the free slots and memory, all queued jobs
+    /// wait.
     #[default]
     Fifo,
-    /// In order of arrival, skipping jobs that do not fit.
+    /// In order of arrival, skipping jobs that do not fit into the free slots and memory.
     Backfill,
-    /// By descending priority weight, and by arrival among equals; if the first job does not fit, all wait.
+    /// By descending priority weight, and by arrival among jobs of equal weight; if the first job does not
+    /// fit into the free slots and memory, all queued jobs wait.
     Priority,
 }
 
@@ -18,9 +20,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Group", deny_unknown_fields)]
 pub struct WorkerGroup {
-    /// Name of the worker kind.
+    /// Name of the kind that the group's workers have.
     pub kind: String,
-    /// Number of workers.
+    /// Number of workers in the group.
     pub count: u32,
     /// Number of cores of each worker.
     pub cores: f64,
@@ -28,13 +30,13 @@
     pub slots: f64,
     /// Lowest and highest speed of a core; each worker gets a random speed in this range.
     pub speed: [f64; 2],
-    /// Maximum number of queued jobs.
+    /// Maximum number of jobs in the queue of each worker.
     #[serde(rename = "queue", default = "default_queue_capacity")]
     pub queue_capacity: usize,
     /// The order in which queued jobs start.
     #[serde(rename = "order", default)]
     pub queue_order: QueueOrder,
-    /// Memory of each worker, in the unit of the classes' memory; without it, memory is unlimited. Schedulers
+    /// Memory of each worker, in the unit of the classes' memory; if absent, memory is unlimited. Schedulers
     /// assume one unit per slot.
     #[serde(default)]
     pub memory: Option<f64>,
@@ -59,8 +61,8 @@
     /// start.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// Length in seconds of the window whose load must exceed `overload_multiple` times the capacity to
-    /// overload a worker; 0 disables overload.
+    /// Length of the window, in seconds, over which the load offered to a worker is compared with
+    /// `overload_multiple` times its capacity; 0 disables overload.
     #[serde(rename = "fall_seconds")]
     pub overload_window_s: f64,
 }
--- a/crates/testbed/src/simulation/attempts.rs
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -50,9 +50,9 @@
         self.schedule(self.now + delay, SimulationEvent::AttemptArrived(id));
     }
 
-    /// Returns how long an attempt or load query waits for a connection: 0 if an idle one can be reused or
-    /// the scenario has no connect delay. The reused or new connection then counts as in use for one round
-    /// trip, an estimate of the time until the response.
+    /// Returns how long an attempt or load query waits for a connection: 0 if an idle connection can be
+    /// reused or the scenario has no connect delay. The reused or new connection then counts as in use for
+    /// one round trip, an estimate of the time until the response.
     pub(super) fn connection_delay(&mut self, scheduler: SchedulerId, worker: WorkerId) -> Micros {
         let connect_time = micros_from_seconds(self.scenario.network.connect_delay_s);
         if connect_time == 0 {
@@ -140,8 +140,8 @@
         self.notify_scheduler(scheduler, Event::AttemptProgress { request, attempt, progress });
     }
 
-    /// Records that an attempt has left its worker or never reached one. Removes the attempt if its scheduler
-    /// no longer waits for the attempt either.
+    /// Records that an attempt has left its worker or never reached a worker. Removes the attempt if its
+    /// scheduler no longer waits for the attempt either.
     pub(super) fn record_left_worker(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         attempt.is_at_worker = false;
--- a/crates/testbed/src/simulation/clients.rs
+++ b/crates/testbed/src/simulation/clients.rs
@@ -12,9 +12,10 @@
 use crate::rule_checker::ClientResponse;
 use crate::scenario::micros_from_seconds;
 
-/// Margin between a scheduler's deadline and the client's deadline, in microseconds; a quarter of the time
-/// left is used if that is shorter. A client does not retry if the time left would be no longer than the
-/// margin.
+/// Margin by which a scheduler's deadline is earlier than the client's deadline, in microseconds. If a
+/// quarter of the time from the request to the client's deadline is shorter, that quarter is the margin. A
+/// client does not retry if, at the retry, no more than this constant would be left until the client's
+/// deadline.
 const DEADLINE_MARGIN: Micros = 50_000;
 
 impl Simulation<'_> {
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Schedules the retry of a rejected job, or ends the job as rejected if it has no retry or too little
-    /// time left.
+    /// Schedules the retry of a rejected job, or ends the job as rejected if no retry is allowed any more or
+    /// too little time is left.
     fn retry_later(&mut self, id: ClientJobId, retry_after: Micros) {
         let clients = &self.scenario.clients;
         let wait =
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -19,9 +19,10 @@
 const LIST_ALTERNATION_INTERVAL: Micros = 3 * SECOND;
 
 impl Simulation<'_> {
-    /// Schedules the initial endpoint lists of the schedulers. The cached list, in which missing workers
-    /// (which no longer exist) are listed as ready, is sent if the full list arrives later or needs a
-    /// subscription. The full list is sent unless it needs a subscription.
+    /// Schedules the endpoint lists that each scheduler gets at the start of the run. If schedulers need no
+    /// subscription, they get the full list, at once or after the scenario's delay. If the full list is
+    /// delayed or needs a subscription, they get the cached list at once, which lists missing workers
+    /// (workers that no longer exist) as ready.
     pub(super) fn schedule_initial_lists(&mut self, missing_workers: &[WorkerId]) {
         let full = self.endpoint_list();
         let mut cached = full.clone();
@@ -167,9 +168,9 @@
         self.schedule(self.now + LIST_ALTERNATION_INTERVAL, next);
     }
 
-    /// Subscribes a scheduler to discovery, if the scenario requires that. The scheduler gets the full list
-    /// after a round trip, and changes from now on. While discovery is down, the call fails after
-    /// `DISCOVERY_ERROR_DELAY`.
+    /// Subscribes a scheduler to discovery, if the scenario requires subscriptions. The scheduler gets the
+    /// full list after a round trip, and changes from now on. While discovery is down, the subscription fails
+    /// after `DISCOVERY_ERROR_DELAY`.
     pub(super) fn subscribe(&mut self, scheduler: SchedulerId) {
         if !self.scenario.discovery.polled {
             return;
--- a/crates/testbed/src/simulation/event_queue.rs
+++ b/crates/testbed/src/simulation/event_queue.rs
@@ -12,7 +12,8 @@
 use crate::model::fleet::FaultTransition;
 use crate::model::scheduler_id::SchedulerId;
 
-/// An event of the simulation.
+/// An event of the simulation: the arrival of a message, the end of a wait, or a change at a worker,
+/// scheduler or discovery.
 pub(super) enum SimulationEvent {
     /// A client sends the first request for a new job.
     ClientArrived(Arrival),
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -75,8 +75,9 @@
         let has_restarted = state.apply_fault(now, fault, is_start, &mut effects);
         let spec = state.spec;
         if fault == FaultKind::Vanish && is_start {
-            // The jobs are subtracted here, because a machine that becomes unreachable reports no lost jobs,
-            // whose effects would otherwise decrement the count.
+            // The worker's jobs are subtracted from the count of jobs at workers here. After other faults,
+            // each lost job is reported as a worker effect, which decrements the count; an unreachable
+            // machine reports none.
             self.jobs_at_workers -= jobs_before;
         }
         if has_restarted {
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -102,7 +102,7 @@
     unpublished: Vec<Endpoint>,
     /// Number of active faults that keep discovery down.
     discovery_outages: u32,
-    /// Worker sizes at the last call of `publish_sizes`, by worker index; empty before the first.
+    /// Worker sizes at the last call of `publish_sizes`, by worker index; empty before the first call.
     published_sizes: Vec<f64>,
     /// Extra age of load reports while a `reports_late` fault is active.
     report_delay: Micros,
@@ -195,7 +195,7 @@
         self.schedule_next_arrival();
     }
 
-    /// Handles the next event. Returns false if there is none left.
+    /// Handles the next event. Returns false if no event is left.
     fn handle_next_event(&mut self) -> bool {
         let Some((at, event)) = self.queue.pop() else { return false };
         self.advance_clock(at);
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -5,11 +5,11 @@
 use crate::model::idempotency_keys::KeyHistory;
 use crate::model::scheduler_id::SchedulerId;
 
-/// ID of a client's job.
+/// ID of a client's job, unique within a run among all jobs, requests, attempts and load queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ClientJobId(pub(super) u64);
 
-/// ID of an attempt.
+/// ID of an attempt, unique within a run among all jobs, requests, attempts and load queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct AttemptId(pub(super) u64);
 
@@ -41,7 +41,7 @@
     pub(super) attempts_in_flight: u32,
     pub(super) is_answered: bool,
     pub(super) is_past_deadline: bool,
-    /// Whether the client's deadline and grace period have passed, after which it has disconnected.
+    /// Whether the client's deadline and grace period have passed, so that the client has disconnected.
     pub(super) has_client_wait_ended: bool,
 }
 
@@ -49,7 +49,7 @@
 pub(super) struct Attempt {
     pub(super) request: RequestId,
     pub(super) client_job: ClientJobId,
-    /// Number of the attempt among the request's attempts.
+    /// Index of the attempt among the request's attempts, in the order of sending.
     pub(super) number: u32,
     pub(super) worker: WorkerId,
     pub(super) sent_at: Micros,
@@ -60,7 +60,7 @@
     /// Whether the connection breaks after the worker has accepted the job.
     pub(super) loses_response: bool,
     /// Whether a cancellation reached the worker while the attempt was not there; an attempt that is still on
-    /// its way is then dropped on arrival.
+    /// the way to the worker is then dropped on arrival.
     pub(super) is_cancelled: bool,
 }
 
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -24,8 +24,8 @@
     /// Version of the last endpoint update that the scheduler's current process got; 0 before the first.
     pub(super) list_version: u64,
     pub(super) is_up: bool,
-    /// False from the start of a graceful shutdown until the next process starts. Clients reach the scheduler
-    /// only if it is also up.
+    /// Whether the scheduler accepts new requests; false from the start of a graceful shutdown until the next
+    /// process starts. Clients reach a scheduler only if it accepts requests and is up.
     pub(super) accepts_requests: bool,
     /// Number of the scheduler's current process (incarnation), incremented when a process ends.
     pub(super) process_number: u32,
@@ -155,7 +155,8 @@
     }
 
     fn start_timer(&mut self, scheduler: SchedulerId, after: Micros, timer: Timer) {
-        // Later timers are not scheduled, because periodic timers would otherwise keep the run from ending.
+        // Timers that would expire later than `COOLDOWN` after the scenario's duration are not scheduled,
+        // because periodic timers would otherwise keep the run from ending.
         if self.now + after <= micros_from_seconds(self.scenario.duration_s) + COOLDOWN {
             let process_number = self.schedulers[scheduler.index()].process_number;
             let event = SimulationEvent::TimerExpired { scheduler, process_number, timer };
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Sends a final response to the client. A second response is sent too, so that the rule checker finds
-    /// it.
+    /// Sends a final response to the client. A second response to the same request is sent too, so that the
+    /// rule checker detects the violation.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         request.is_answered = true;
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -70,9 +70,9 @@
         Some(Delivery { attempt: id, client_job, worker, sent_at, arrival, idempotency, key_group })
     }
 
-    /// Drops an attempt if the deduplication group of its worker has accepted one with the same idempotency
-    /// key within the key's window, and returns whether it did. The duplicate gets the first attempt's
-    /// result.
+    /// Drops an attempt that is a duplicate, and returns whether the attempt was dropped. An attempt is a
+    /// duplicate if the deduplication group of its worker has accepted another attempt with the same
+    /// idempotency key within the key's window. The duplicate gets the result of such an accepted attempt.
     fn drop_duplicate(&mut self, delivery: &Delivery) -> bool {
         let Idempotency::IdempotentWithKey { window, .. } = delivery.idempotency else { return false };
         let id = delivery.attempt;
@@ -145,9 +145,9 @@
         }
     }
 
-    /// Stops a cancelled attempt at its worker, which also forgets the idempotency key. Duplicates that wait
-    /// for the attempt's result get an error. An attempt that has not reached its worker is marked to be
-    /// dropped on arrival.
+    /// Stops a cancelled attempt at its worker, which then forgets the attempt's idempotency key. Duplicates
+    /// that wait for the attempt's result get an error. An attempt that has not reached its worker is marked
+    /// to be dropped on arrival.
     pub(super) fn cancel_at_worker(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_at_worker) else { return };
         let (worker, client_job) = (attempt.worker, attempt.client_job);
@@ -166,8 +166,8 @@
         self.apply_worker_effects(worker, effects);
     }
 
-    /// Advances a worker's jobs to the current time. Does nothing if the wake is outdated, because the
-    /// running jobs or their rate changed after the wake was scheduled.
+    /// Advances a worker's jobs to the current time. Does nothing if the running jobs or their rate have
+    /// changed since this wake (the event that advances the jobs) was scheduled.
     pub(super) fn wake_worker(&mut self, worker: WorkerId, wake_version: u64) {
         if self.worker(worker).wake_version == wake_version {
             let now = self.now;
@@ -177,7 +177,8 @@
         }
     }
 
-    /// Applies the effects that a worker emitted to the simulation, and schedules the worker's next wake.
+    /// Carries out the effects of an operation on a worker, such as a started or lost job, and schedules the
+    /// worker's next wake (the event that advances the worker's jobs).
     pub(super) fn apply_worker_effects(&mut self, worker: WorkerId, effects: Vec<WorkerEffect>) {
         for effect in effects {
             self.apply_worker_effect(worker, effect);
@@ -252,8 +253,8 @@
         self.return_result(id, AttemptResult::Reset);
     }
 
-    /// Handles an attempt that a draining worker returns unstarted. The worker forgets its idempotency key,
-    /// so duplicates that wait for the attempt's result get an error.
+    /// Handles an attempt that a draining worker returns unstarted. The worker forgets the attempt's
+    /// idempotency key, so duplicates that wait for the attempt's result get an error.
     fn return_attempt(&mut self, id: AttemptId) {
         self.jobs_at_workers -= 1;
         if let Some(client_job_id) = self.attempts.get(&id).map(|attempt| attempt.client_job) {
@@ -280,7 +281,7 @@
         self.schedule(self.now + progress_interval, SimulationEvent::ProgressDue(id));
     }
 
-    /// Sends an attempt's result to the schedulers of the duplicates that wait for it.
+    /// Sends an attempt's result to the schedulers whose duplicates wait for this result.
     fn resolve_duplicates(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(client_job) = self.attempts.get(&id).map(|attempt| attempt.client_job) else {
             return;
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -34,7 +34,7 @@
     /// The policy rejects its settings.
     #[error(transparent)]
     Policy(#[from] SettingsError),
-    /// The components of the policy node cannot be assembled.
+    /// The policy node cannot be set up, because its listening socket cannot be opened.
     #[error(transparent)]
     Assembly(#[from] copperspread_proxy::assembly::AssemblyError),
     /// The configuration of a policy node has a static endpoint list, but the node supports only discovery.
@@ -52,10 +52,10 @@
     /// The handler for SIGTERM cannot be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
-    /// The address cannot be listened on.
+    /// The relay cannot listen on its configured address.
     #[error("{address}: {source}")]
     Listen {
-        /// The address that the configuration names for listening.
+        /// The configured listening address.
         address: std::net::SocketAddr,
         /// The I/O error with which listening failed.
         source: io::Error,
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -10,7 +10,8 @@
 
 use crate::scenario::{RecordedJob, Scenario, ScenarioError};
 
-/// Minimum arrival rate of a trace, in jobs per second. A scenario must have a positive rate.
+/// Minimum arrival rate of a trace, in jobs per second. The minimum is above 0 because a scenario must have a
+/// positive rate.
 const MIN_RATE_PER_S: f64 = 1e-6;
 
 /// Numbers of skipped records and lines, by reason. Records of an unknown kind are skipped too, but not
@@ -38,7 +39,7 @@
     /// No request has both a class of the scenario and a cost hint.
     #[error("no job of the scenario's classes with a hint")]
     NoJobs,
-    /// The scenario is invalid with the trace.
+    /// The scenario is invalid after its arrivals were replaced with the trace.
     #[error(transparent)]
     InvalidScenario(#[from] ScenarioError),
 }
@@ -81,9 +82,10 @@
     skipped: &mut SkippedRecords,
 ) -> Result<Vec<AcceptedJob>, TraceError> {
     let mut jobs = Vec::new();
-    // Records of all runs are mapped to one timeline: the wall clock at the first record of a run places the
-    // run, and its monotonic clock places its records. The raw times would not do, because the log may
-    // contain several runs in sequence and the wall clock may be set during a run.
+    // Records of all runs are mapped to one timeline: the wall clock at the first record of a run gives the
+    // time of the run, and the monotonic clock gives the times of the records within the run. The recorded
+    // times cannot be used unchanged, because the log may contain several runs in sequence and the wall clock
+    // may be set during a run.
     let mut timeline = RunTimeline::default();
     for numbered_line in Reader::new(event_log) {
         let (number, line) = numbered_line?;
