--- a/crates/config/src/describe/schema.rs
+++ b/crates/config/src/describe/schema.rs
@@ -10,8 +10,8 @@
     settings.into_generator().into_root_schema_for::<Config>().to_value()
 }
 
-/// Returns the description in the schema of a key, of a table or of one value of a choice; empty if there is
-/// none.
+/// Returns the description that the schema of a key, a table or one value of a choice contains; empty if
+/// there is none.
 pub(super) fn description(schema: &Value) -> &str {
     schema["description"].as_str().unwrap_or_default()
 }
--- a/crates/dispatcher/src/actions.rs
+++ b/crates/dispatcher/src/actions.rs
@@ -21,12 +21,12 @@
     Overloaded,
     /// No worker is eligible for the request.
     NoEligibleWorker,
-    /// Even the best-ranked worker would probably complete the request too late. The value is the time, in
+    /// The best-ranked worker would probably complete the request too late. The value is the time, in
     /// microseconds, by which the estimate exceeds the time left until the latency objective or the deadline,
     /// whichever comes first.
     WouldBeLate(Micros),
-    /// The request has used all its attempts, or no further attempt is allowed, for example because the
-    /// request may already have run and must not be run twice.
+    /// The request has used all its attempts, or no further attempt is allowed because the window of the
+    /// request's idempotency key ends too soon.
     AttemptsExhausted,
 }
 
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! For each request, the policy estimates at each worker when the request would finish, by a
 //! processor-sharing formula, and ranks the workers mainly by this estimate. The policy sends the request to
-//! the worker with the lowest rank. A request is rejected on arrival instead if it would finish too late even
-//! at that worker, if no worker is eligible, or if the fleet is overloaded and the request's priority weight
-//! is too low.
+//! the worker with the lowest rank. A request is rejected on arrival instead if it would finish too late at
+//! that worker, if no worker is eligible, or if the fleet is overloaded and the request's priority weight is
+//! too low.
 //!
 //! [`Dispatcher`] does no I/O, reads no clock and starts no thread: the caller passes events with their time
 //! and carries out the actions that are returned. The callers are the proxy of the scheduler process
--- a/crates/dispatcher/src/policy/admission.rs
+++ b/crates/dispatcher/src/policy/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: decides which requests are rejected on arrival while the fleet is overloaded.
 //!
-//! Requests with the lowest priority weight per slot-second are rejected first, because all requests would be
-//! late if none were rejected. After several consecutive rejections, one request is attempted although it
-//! would be rejected: the estimates that lead to rejections are learned only from the outcomes of attempts.
+//! All requests would be late if none were rejected, so those with the lowest priority weight per slot-second
+//! are rejected. After several consecutive rejections, one request is attempted although it would be
+//! rejected: the estimates that lead to rejections are learned from the outcomes of attempts.
 use super::average::EventRate;
 use super::request::Request;
 use crate::Micros;
@@ -14,8 +14,7 @@
 /// workers have few slots, because requests queue there at a lower utilization too.
 const OVERLOAD_THRESHOLD: f64 = 0.9;
 /// Width of the range of fleet utilization, starting at the overload threshold, over which the shed fraction
-/// rises linearly from 0 to 1. The shed fraction stops rising at [`MAX_SHED_FRACTION`], before the end of the
-/// range.
+/// would rise linearly from 0 to 1 if [`MAX_SHED_FRACTION`] did not limit it.
 const OVERLOAD_SPAN: f64 = 1.0;
 /// Largest fraction of the offered work that is shed.
 const MAX_SHED_FRACTION: f64 = 0.7;
@@ -27,8 +26,8 @@
 /// Limit on the relative load (a multiple of the mean request load) with which one request adjusts the shed
 /// price. A larger relative load is reduced to this limit.
 const MAX_SHED_PRICE_SAMPLE_LOAD: f64 = 3.0;
-/// Time constant of the average of a tenant's request rate, in seconds. The time constant is about as long as
-/// a burst of requests, which lasts several seconds.
+/// Time constant of the average of a tenant's request rate, in seconds. Bursts of requests last several
+/// seconds, which is long enough for the average to follow them.
 const TENANT_WINDOW_SECONDS: f64 = 3.0;
 /// Factor that raises the quota of a tenant at this dispatcher above the tenant's quota divided by the number
 /// of dispatchers, because clients are not distributed evenly over the dispatchers.
--- a/crates/dispatcher/src/policy/late_retries.rs
+++ b/crates/dispatcher/src/policy/late_retries.rs
@@ -32,7 +32,7 @@
     }
 
     /// Returns the time that a client is assumed to have spent on earlier tries of a request. The result is
-    /// the deadline of the request's class minus `time_left`, the time until the client gives up, or 0.
+    /// either 0 or the deadline of the request's class minus `time_left`, the time until the client gives up.
     ///
     /// The returned time is 0 if `time_left` is about the longest such time seen in the class, because
     /// clients may use a shorter deadline than that of the class for all their requests. The returned time is
--- a/crates/dispatcher/src/policy/listed_load.rs
+++ b/crates/dispatcher/src/policy/listed_load.rs
@@ -1,6 +1,6 @@
 //! Listed load: the load that all dispatchers together put on a worker, derived from the worker's size in the
-//! endpoint list. Listed load is known only if the endpoint list shows a smaller size the more loaded a
-//! worker is.
+//! endpoint list. Listed load is known only if the sizes in the endpoint list decrease with the load of the
+//! workers.
 use super::average::move_average;
 use super::constants::MAX_VALID_VALUE;
 use super::constants::validated;
--- a/crates/dispatcher/src/policy/load_reports.rs
+++ b/crates/dispatcher/src/policy/load_reports.rs
@@ -25,9 +25,9 @@
 /// Lower limit of the load recorded for a worker that rejected an attempt or let a load query time out, as a
 /// multiple of the worker's slots.
 const MIN_REJECTING_LOAD: f64 = 1.5;
-/// Weight of the mean load, as a number of slots, in the expected load of a worker. The expected load
-/// combines the mean load of workers of the same kind and zone with the slots that this dispatcher's own
-/// requests use at the worker. The higher this weight, the less those own requests count.
+/// Weight of the mean load of workers of the same kind and zone in the expected load of a worker. The
+/// expected load combines this mean load with the slots that this dispatcher's own requests use at the
+/// worker. The weight is given as a number of such slots; the higher the weight, the less they count.
 const MEAN_PRIOR_WEIGHT: f64 = 1.0;
 /// Lower bound of the mean number of slots in use at a worker, which serves as a divisor and must not be 0.
 const MIN_MEAN_SLOTS: f64 = 1e-3;
--- a/crates/dispatcher/src/policy/selection.rs
+++ b/crates/dispatcher/src/policy/selection.rs
@@ -5,8 +5,10 @@
 //! for a retry with an idempotency key, the zone or cell whose workers drop duplicates. A worker that is
 //! warming up must also have enough slow-start budget left for the request.
 //!
-//! The rank of a worker is its service-time estimate plus a cost for workers in another zone, multiplied by
-//! this dispatcher's random affinity for the worker and divided by the worker's expected success rate.
+//! The rank of a worker is its service-time estimate, with a higher weight for queueing, plus a cost for
+//! workers in another zone, multiplied by this dispatcher's random affinity for the worker and divided by the
+//! worker's expected success rate. If there are many dispatchers, workers at which the request would be late
+//! rank behind all others.
 use super::affinity::AffinityRules;
 use super::constants::REFRESH_INTERVAL;
 use super::estimates::EstimatedWorker;
@@ -39,8 +41,7 @@
 pub(super) struct NotAdmitted {
     pub(super) retry_after: Micros,
     pub(super) reason: Rejection,
-    /// The lowest-ranked eligible worker, if the request is rejected because it would be late even at that
-    /// worker.
+    /// The eligible worker with the lowest rank, if the request is rejected because it would be late there.
     pub(super) late_worker: Option<usize>,
 }
 
--- a/crates/dispatcher/src/policy/service_time.rs
+++ b/crates/dispatcher/src/policy/service_time.rs
@@ -28,8 +28,8 @@
 /// Number of slots assumed of a worker before the first load report. The number is low, so that requests do
 /// not queue up at the worker.
 const INITIAL_SLOTS: f64 = 2.0;
-/// Number of slots assumed when the slow-start budget is computed for a worker whose kind has no load report:
-/// the fewest slots that a worker can have.
+/// Number of slots assumed when the slow-start budget is computed for a worker and no worker of its kind has
+/// reported its free slots: the fewest slots that a worker can have.
 const MIN_SLOTS: f64 = 1.0;
 /// Weight of a load report in the moving average of a worker kind's slots, if the report shows more slots
 /// than the average. The weight is below 1 because reports have a noise of up to 20 %.
@@ -149,14 +149,14 @@
         self.service_time_by_class[class].log_mean.exp()
     }
 
-    /// Returns the number of slots of a worker of this kind. If no worker of this kind has sent a load
-    /// report, the fleet's mean is returned; before the first load report of any worker, [`INITIAL_SLOTS`].
+    /// Returns the number of slots of a worker of this kind. If no worker of this kind has reported its free
+    /// slots, the fleet's mean is returned; before the first load report of any worker, [`INITIAL_SLOTS`].
     pub(super) fn slots_of(&self, kind: u32) -> f64 {
         self.kinds[kind as usize].slots.or(self.fleet.slots).unwrap_or(INITIAL_SLOTS)
     }
 
     /// Returns the number of slots from which the slow-start budget of a worker of this kind is computed: the
-    /// learned number, or [`MIN_SLOTS`] if no worker of this kind has sent a load report.
+    /// learned number, or [`MIN_SLOTS`] if no worker of this kind has reported its free slots.
     pub(super) fn min_slots_of(&self, kind: u32) -> f64 {
         self.kinds[kind as usize].slots.unwrap_or(MIN_SLOTS)
     }
@@ -252,8 +252,8 @@
 
     /// Learns the slots of a worker kind from the load report of one worker.
     pub(super) fn learn_slots(&mut self, kind: u32, reported: f64) {
-        // The learned number of slots starts at 1 or more: if it started at 0 after a first report without
-        // free slots, estimates would divide by zero.
+        // The learned number of slots starts at 1 or more: if it started at 0 after a first report of 0 free
+        // slots, estimates would divide by zero.
         let slots = self.kinds[kind as usize].slots.get_or_insert(reported.max(MIN_SLOTS));
         *slots += (reported - *slots) * if reported > *slots { SLOTS_RISE_GAIN } else { SLOTS_FALL_GAIN };
     }
--- a/crates/dispatcher/src/policy/slow_start.rs
+++ b/crates/dispatcher/src/policy/slow_start.rs
@@ -8,7 +8,7 @@
 
 /// Fraction of a slow-start budget that all dispatchers together may use. The rest is a margin for
 /// dispatchers that estimate the worker's capacity differently. A dispatcher exceeds its share in no overload
-/// window, because sent work counts for a whole window after it was sent.
+/// window (see [`Settings::overload_window`]), because sent work counts for a whole window after it was sent.
 const SLOW_START_BUDGET_FRACTION: f64 = 0.9;
 /// Divisor that limits what the dispatchers that were notified of a worker's start may send together. An
 /// overload is attributed to these dispatchers if they sent more than the work of all dispatchers divided by
@@ -19,15 +19,16 @@
 /// counts for up to one step longer than that window.
 const SLOW_START_WINDOW_STEPS: Micros = 32;
 /// Least size of a dispatcher's share of a slow-start budget, in requests of mean load. If the usable budget
-/// is smaller, one dispatcher gets all of it. Dispatchers that draw their shares at random, because they have
-/// no index in the fleet, get less.
+/// is smaller, one dispatcher gets all of it. Dispatchers that have no index in the fleet get less, because
+/// random draws decide which of them get shares.
 const SLOW_START_SHARE_REQUESTS: f64 = 4.0;
 /// Margin, in standard deviations, that is added to the expected number of dispatchers with a share of a
-/// slow-start budget if dispatchers draw their shares at random. The number of dispatchers exceeds the
+/// slow-start budget if random draws decide which dispatchers get shares. The actual number exceeds the
 /// expected number plus this margin plus 2 in about one of a million worker starts.
 const SLOW_START_HOLDER_STD_DEVIATIONS: f64 = 5.0;
-/// Fraction of its share of a slow-start budget that a dispatcher uses if it drew the share at random and not
-/// all dispatchers share the budget: another dispatcher may have drawn the same share.
+/// Fraction of its share of a slow-start budget that a dispatcher uses if random draws decide which
+/// dispatchers get shares and not all dispatchers share the budget: another dispatcher may have drawn the
+/// same share.
 const SLOW_START_RANDOM_POSITION_FRACTION: f64 = 0.5;
 
 /// Estimated capacity that a worker has once its slow start is over.
@@ -157,7 +158,7 @@
         let sent = worker.sent.sum_at(from);
         // A dispatcher that has started after the worker does not know what an earlier process of the
         // dispatcher sent to the worker. That process may have used the whole share, so the new process sends
-        // nothing to the worker until one overload window has passed.
+        // nothing to the worker in the first overload window after the dispatcher's start.
         if let Some(dispatcher_started_at) = self.dispatcher_started_at
             && worker.started_at < self.dispatcher_started_at
             && now < dispatcher_started_at + rules.window
--- a/crates/dispatcher/src/policy/worker.rs
+++ b/crates/dispatcher/src/policy/worker.rs
@@ -16,9 +16,9 @@
 const MAX_KIND_OR_ZONE: usize = 10_000;
 
 /// The data of one worker. Learned state belongs to the policy module that learns the state, and only that
-/// module reads the fields of the state. All state of a worker is stored together so that comparing workers
-/// reads one place in memory for each worker: separate vectors in the modules take 7 % more instructions per
-/// decision among 10 workers, and 13 to 18 % more among 1,000.
+/// module reads the fields of the state. Apart from listed loads, the learned state of a worker is stored
+/// together so that comparing workers reads one place in memory for each worker: separate vectors in the
+/// modules take 7 % more instructions per decision among 10 workers, and 13 to 18 % more among 1,000.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Worker {
     pub(super) state: WorkerState,
--- a/crates/fault-injection/src/links.rs
+++ b/crates/fault-injection/src/links.rs
@@ -1,4 +1,4 @@
-//! The network links between members, which determine the packets that are lost, duplicated or delayed.
+//! The network links between members. The links decide which packets are lost, duplicated or delayed.
 use std::collections::HashSet;
 use std::time::Duration;
 
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -28,7 +28,8 @@
 /// # Errors
 /// The errors of [`json::parse`] if the content cannot be parsed as JSON, and [`ReadError::Missing`] if a
 /// required field is absent or null. If a field has an invalid value, the error says what is wrong with the
-/// value, and [`ReadError::InSection`] adds the name of the field.
+/// value. To an error within a value, such as an address or the settings object, [`ReadError::InSection`]
+/// adds the name of the field.
 pub fn read_startup_config(content: &str) -> Result<StartupConfig, ReadError> {
     let config = json::parse(content)?;
     let listen = required(&config, "listen", text)?;
