--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -11,8 +11,8 @@
 ///
 /// The clock is set from the wall clock once, because discovery reports workers' start times in Unix time.
 /// From then on it advances with the monotonic clock, so that a step of the wall clock does not move
-/// deadlines. When an endpoint list is applied, the two clocks are compared, and a step of the wall clock is
-/// included in the estimates of workers' start times.
+/// deadlines. When an endpoint list is applied, the two clocks are compared, and the estimates of workers'
+/// start times allow for the largest amount by which the wall clock was set back.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -41,13 +41,13 @@
     /// Publishes the endpoint list that was cached before the process started, and returns the list's
     /// revision.
     ///
-    /// Returns `None` if there is no cached list. A policy that requests each list is then notified of an
-    /// empty endpoint update.
+    /// Returns `None` if there is no cached list. If lists are polled (see [`EndpointPublisher::is_polled`]),
+    /// the policy is then notified of an empty endpoint update.
     pub fn publish_cached(&self, cached: Option<&EndpointList>) -> Option<u64> {
         let apply = |list| self.endpoints.apply(list, ListOrigin::Cache, self.policy.read_clocks());
         let endpoints = cached.and_then(apply).unwrap_or_default();
-        // A policy that requests lists waits for its first endpoint update before it makes a request. Such a
-        // policy is therefore notified of an empty update if there is no cached list.
+        // Where lists are polled, the policy makes its first list request only after its first endpoint
+        // update. Without a cached list, the policy is therefore notified of an empty update.
         if cached.is_some() || self.is_polled() {
             self.policy.update_endpoints(EndpointUpdateKind::Cached, &endpoints);
         }
@@ -77,14 +77,15 @@
 
     /// Notifies the policy that a poll or a watch failed.
     pub fn poll_failed(&self) {
-        // A list request that the policy made while the failed poll was in flight is discarded. Otherwise it
-        // would be mistaken for the policy's reaction to this failure, and the next poll would be sent at
-        // once.
+        // A list request that the policy made while the failed poll was in flight is discarded. Otherwise
+        // that request would be mistaken for the policy's reaction to this failure, and the next poll would
+        // be sent at once.
         let _ = self.list_requested().now_or_never();
         self.policy.update_endpoints(EndpointUpdateKind::Failed, &[]);
     }
 
-    /// Returns whether an endpoint list is fetched only when the policy requests a list.
+    /// Returns whether endpoint lists are polled, that is, whether the policy requests the first list and,
+    /// after most failures, the next list.
     pub fn is_polled(&self) -> bool {
         self.policy.polls_endpoints()
     }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -110,8 +110,8 @@
     /// Whether the policy must be notified of the next list even if that list is empty, because the policy
     /// waits for the answer to a list request.
     must_notify_policy: bool,
-    /// Whether the policy has not yet made the list request that it makes at the start and after each
-    /// notification of a failure.
+    /// Whether a list request of the policy is still outstanding. The policy makes a request at the start and
+    /// after each notification of a failure.
     awaits_list_request: bool,
     /// Whether the last call returned a list, so that the next call can be a watch.
     last_call_succeeded: bool,
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -57,8 +57,8 @@
 /// connection can still serve a request.
 struct PendingClose {
     reason: CloseReason,
-    /// What the client had sent and the server library had not read when the server was stopped. It shows
-    /// whether a request has begun.
+    /// Whether bytes of the client were left unread when the server was stopped, which shows whether a
+    /// request has begun.
     unread: Unread,
 }
 
@@ -87,7 +87,7 @@
     HeadTimedOut,
     /// Another connection needs the permit of this connection.
     EvictionNotified,
-    /// The notice period has ended in which a connection that is being evicted may still begin a request.
+    /// The notice period of an eviction, during which a request could still begin, has ended.
     EvictionDue,
 }
 
@@ -95,7 +95,7 @@
 struct ClientConnection {
     shared: Arc<ServedConnection>,
     pending_close: Option<PendingClose>,
-    /// When the notice period of an eviction ends, in which a request may still begin; `None` if no notice
+    /// The end of an eviction's notice period, during which a request may still begin; `None` if no notice
     /// period is running.
     eviction_deadline: Option<Instant>,
 }
--- a/crates/proxy/src/downstream/connection_close.rs
+++ b/crates/proxy/src/downstream/connection_close.rs
@@ -14,7 +14,7 @@
 /// Maximum time for which a client's data is read and dropped after the last response on a connection.
 ///
 /// Closing a socket with unread data sends a TCP reset, which may destroy the response before the client
-/// reads it. The same time limits every other wait for a client whose connection is being closed.
+/// reads it. The same time also limits other waits for a client whose connection is being closed.
 pub(super) const LINGER_TIMEOUT: Micros = 2 * SECOND;
 /// Maximum number of bytes from a client that are read and dropped after the last response on a connection.
 const MAX_LINGER_BYTES: u64 = 64 << 20;
@@ -54,8 +54,9 @@
 
 /// Closes a connection whose requests have ended.
 ///
-/// Unless the client is gone, the function waits up to [`LINGER_TIMEOUT`] for the client to close the
-/// connection too. After a response, the wait also ends once [`MAX_LINGER_BYTES`] have been read and dropped.
+/// Unless the connection is [`ConnectionEnd::Abandoned`], the function waits up to [`LINGER_TIMEOUT`] for the
+/// client to close the connection too. After a response, the wait also ends once [`MAX_LINGER_BYTES`] have
+/// been read and dropped.
 pub(super) async fn close(stream: TcpStream, end: ConnectionEnd) {
     match end {
         ConnectionEnd::Responded => linger(stream).await,
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -18,8 +18,8 @@
 /// The connection is kept for this time because the client's next request may be in transit. For a connection
 /// in the middle of a request head, [`HEAD_EVICTION_GRACE`] applies instead.
 const EVICTION_GRACE: Micros = 20_000;
-/// Minimum time for which a connection may be in the middle of a request head before it can be evicted.
-/// Clients may write slowly.
+/// Minimum time for which a connection stays in the middle of a request head before it can be evicted. The
+/// time is longer than [`EVICTION_GRACE`] because clients may write slowly.
 const HEAD_EVICTION_GRACE: Micros = 250_000;
 /// Time for which a connection that is being evicted may still begin a request.
 pub(super) const EVICTION_NOTICE: Micros = 5_000;
@@ -131,9 +131,9 @@
     /// Evicts the connection that has been idle for longest. Called when `accept` has run out of descriptors
     /// or memory although permits are left.
     ///
-    /// This happens if the process has fewer descriptors than its configuration says, or if its connections
-    /// to workers need more descriptors or memory than usual. Connections in use stay open, as the shortage
-    /// may pass. No connection is evicted while another is being evicted.
+    /// The process may have fewer descriptors than its configuration says, or may need more descriptors than
+    /// usual for workers. Connections in use stay open, as the shortage may pass. No connection is evicted
+    /// while another is being evicted.
     pub(super) fn evict_on_exhaustion(&self) {
         let inner = &mut *self.lock();
         if inner.connections.values().any(|entry| entry.state == ConnectionState::Evicting) {
--- a/crates/proxy/src/downstream/http/request_head.rs
+++ b/crates/proxy/src/downstream/http/request_head.rs
@@ -134,7 +134,7 @@
     Some(((timeout * micros_per_unit) as Micros).min(MAX_CLIENT_TIMEOUT))
 }
 
-/// Returns the numeric value of the first attribute in a list whose name is one of `names`.
+/// Returns the numeric value of the first attribute whose name is one of `names`.
 ///
 /// `attributes` is a list of the form `name=value,name=value`. A malformed value counts as absent.
 pub fn parse_attribute(attributes: &str, names: &[&str]) -> Option<f64> {
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -7,7 +7,7 @@
 use axum::http::HeaderMap;
 use axum::http::header;
 
-/// Once more bytes of a head than this have been kept, the bytes of further reads are dropped. The value
+/// Number of kept bytes of a request's head above which the bytes of further reads are dropped. The value
 /// equals the buffer size of the server library (hyper).
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -85,9 +85,9 @@
         } else {
             self.route(request, limits).await
         };
-        // The connection is closed after a request that was refused because of the limit, during a shutdown,
-        // and after a client error. A client whose request cannot be served must not keep a connection open,
-        // and after an unread body the connection cannot carry a further request.
+        // The connection is closed if the request was refused because of the limit, if a shutdown has begun,
+        // or if the response has a 4xx status. A client whose request cannot be served must not keep a
+        // connection open, and after an unread body the connection cannot carry a further request.
         if is_refused_unread || self.shutdown.is_started() || response.status().is_client_error() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
--- a/crates/proxy/src/downstream/served_connection.rs
+++ b/crates/proxy/src/downstream/served_connection.rs
@@ -144,8 +144,9 @@
         }
     }
 
-    /// Records that the library has read `bytes` from the stream. If they begin the head of a request other
-    /// than the connection's first, the deadline for this head is set.
+    /// Records that the library has read `bytes` from the stream. If they belong to a head, the connection's
+    /// state becomes [`ConnectionState::Receiving`]. If they begin the head of a request other than the
+    /// connection's first, the deadline for this head is set.
     pub(super) fn observe_read(&self, bytes: &[u8]) {
         if !self.raw_head.add(bytes) || bytes.is_empty() {
             return;
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -37,7 +37,7 @@
     pub peer: Option<&'a str>,
 }
 
-/// Counts an event that concerns no particular worker, request class or peer; see [`count_event_for`].
+/// Counts an event without naming a worker, request class or peer that it concerns; see [`count_event_for`].
 pub fn count_event(counter: &'static str, reason: &str) {
     count_event_for(counter, reason, EventSubject::default());
 }
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -2,7 +2,7 @@
 //! reports on its attempts, and the final response.
 //!
 //! A request's path and headers have the form of HTTP, because the platform requires that they are forwarded
-//! to workers unchanged. A client protocol that has no path or no headers leaves the field empty.
+//! to workers unchanged. A client protocol without a path or headers leaves the corresponding fields empty.
 use std::fmt;
 use std::sync::Arc;
 
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -78,8 +78,8 @@
 }
 
 impl PolicyHandle {
-    /// Creates a handle that owns `policy`. `polls_endpoints` says whether an endpoint list is
-    /// fetched only when the policy requests a list.
+    /// Creates a handle that owns `policy`. `polls_endpoints` says whether the policy requests the first
+    /// endpoint list and, after most failures, the next list.
     pub fn new(
         policy: Box<dyn DispatchPolicy>,
         polls_endpoints: bool,
@@ -205,7 +205,8 @@
         self.clock.read()
     }
 
-    /// Whether an endpoint list is fetched only when the policy requests a list.
+    /// Whether endpoint lists are polled, that is, whether the policy requests the first list and, after most
+    /// failures, the next list.
     pub fn polls_endpoints(&self) -> bool {
         self.polls_endpoints
     }
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -463,8 +463,8 @@
         }
     }
 
-    /// Ends an attempt without waiting for its worker, if no other attempt of the request can follow. If the
-    /// worker has accepted the attempt, a cancellation is sent.
+    /// Ends an attempt without waiting for its worker. Called only when no other attempt of the request can
+    /// follow. If the worker has accepted the attempt, a cancellation is sent.
     fn abandon_attempt(&mut self, number: u32, outcome: Outcome) {
         let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
         // Closing the connection cancels an attempt that the worker has not accepted. A worker that has
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -15,11 +15,10 @@
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::time::Instant;
 
-/// The maximum length with which the longest deadline enters into the time from SIGTERM to SIGKILL.
+/// The maximum part of the longest deadline that counts towards the time from SIGTERM to SIGKILL.
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
-/// The time that is added to the longest deadline in the time from SIGTERM to SIGKILL. The supervisor sends
-/// SIGKILL no earlier than the longest deadline, limited to [`MAX_COUNTED_DEADLINE`], plus this delay after
-/// SIGTERM.
+/// The time from SIGTERM to SIGKILL in addition to the longest deadline, which is limited to
+/// [`MAX_COUNTED_DEADLINE`]. The supervisor sends SIGKILL no earlier than after the sum of the two.
 const KILL_DELAY: Micros = 700_000;
 /// How long before SIGKILL every request has its final response. Of this time, 0.1 s is for writing the last
 /// responses, and 0.4 s is for delays of a process that is scheduled late or throttled.
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -294,7 +294,7 @@
 }
 
 /// Spawns a task that reads the rest of a response's body, so that the connection can be reused. The task
-/// ends after [`BODY_DRAIN_TIMEOUT`] at the latest, and holds the dispatch's permit until then.
+/// ends after [`BODY_DRAIN_TIMEOUT`] at the latest, and holds the dispatch's permit until it ends.
 fn drain_body(body: Incoming, permit: OwnedSemaphorePermit) {
     if body.is_end_stream() {
         return;
--- a/crates/proxy/src/upstream/http/limits.rs
+++ b/crates/proxy/src/upstream/http/limits.rs
@@ -28,9 +28,8 @@
 }
 
 /// The maximum number of cancellations in flight: a sixteenth of the process's file descriptors, but at least
-/// 4. No file descriptors are reserved for cancellations. A cancellation uses an idle connection to its
-/// worker or, if none is idle, a new connection, whose file descriptor is one of those reserved for idle
-/// connections.
+/// 4. A cancellation uses an idle connection to its worker, or a new connection if none is idle. In both
+/// cases its file descriptor is one of those reserved for idle connections.
 pub fn max_cancellations(descriptor_limit: usize) -> usize {
     (descriptor_limit / 16).max(4)
 }
--- a/crates/proxy/src/upstream/http/load_query.rs
+++ b/crates/proxy/src/upstream/http/load_query.rs
@@ -106,7 +106,7 @@
         build_request(Method::GET, address, path, GuardedBody::empty())
     }
 
-    /// Spawns a task that sends a load query and reads the response. The task is dropped
+    /// Spawns a task that sends a load query and reads the response. The task ends at the latest
     /// [`LATE_RESPONSE_WINDOW`] after the deadline.
     fn spawn_query(
         &self,
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The interface through which request tasks use a worker protocol: sending attempts, cancellations and load
+//! The interface through which the proxy uses a worker protocol to send attempts, cancellations and load
 //! queries.
 use std::sync::Arc;
 
--- a/crates/proxy/src/worker_starts.rs
+++ b/crates/proxy/src/worker_starts.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct WorkerStarts {
     /// The largest amount by which the wall clock was observed to be behind the scheduler's clock since the
-    /// program started. A listed start may be too early by this amount.
+    /// program started. A listed start may be too early by up to this amount.
     largest_step_back: Micros,
     /// When discovery last answered. A start that is listed for the first time after that answer is assumed
     /// to be at most [`MAX_LIST_DELAY`] earlier than the answer.
