--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -93,8 +93,8 @@
 }
 
 /// How much of the weight of all jobs was not served in time, as one share from 0 to 1 for each reason. The
-/// weight of a job is its priority weight times its work. In JSON, the shares are a list of four numbers, in
-/// the order of the fields.
+/// weight of a job is its priority weight times its work in core-seconds. In JSON, the shares are a list of
+/// four numbers, in the order of the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 4]")]
 pub struct UnservedShares {
@@ -143,8 +143,8 @@
     /// How much of the jobs' weight was not served in time, by reason; the mean over all seeds.
     #[serde(rename = "went")]
     pub unserved_shares: UnservedShares,
-    /// How far this variant is behind the first one: the difference between the `in_time_share` of the first
-    /// variant and of this variant, paired by seed. `None` for the first variant.
+    /// How far this variant is behind the first variant: the `in_time_share` of the first variant minus that
+    /// of this variant, paired by seed. `None` for the first variant.
     #[serde(rename = "behind")]
     pub deficit: Option<PairedDifference>,
     /// Number of rule violations in all runs.
--- a/crates/testbed/src/emulation/discovery_server.rs
+++ b/crates/testbed/src/emulation/discovery_server.rs
@@ -15,7 +15,7 @@
 use crate::scenario::micros_from_seconds;
 
 /// Maximum time for which the discovery server holds a poll while the endpoint list does not change, in
-/// microseconds. The discovery service of the hosting platform has the same limit.
+/// microseconds. The maximum is the same as on the hosting platform.
 const MAX_HOLD: Micros = 60_000_000;
 /// Interval at which the stale and the current endpoint list replace each other during a
 /// `DiscoveryContradicts` fault. The simulation uses the same interval.
--- a/crates/testbed/src/emulation/environment.rs
+++ b/crates/testbed/src/emulation/environment.rs
@@ -55,7 +55,7 @@
 }
 
 impl WorkerListener {
-    /// Creates the listener of a worker, whose port first handles connections as `state` says.
+    /// Creates the listener of a worker, with `state` as the initial state of its port.
     pub(crate) fn new(address: SocketAddr, state: ListenerState) -> WorkerListener {
         WorkerListener { address, listener_state: watch::Sender::new(state), wake: Notify::new() }
     }
@@ -181,8 +181,8 @@
         Duration::from_micros(micros_from_seconds(self.scenario.discovery.delay_s))
     }
 
-    /// Applies a change to the emulation's state. Then starts a task for each resulting callback, which
-    /// delivers the callback, and updates the sockets and the listed endpoints of all workers that changed.
+    /// Applies a change to the emulation's state. Then starts the delivery of the resulting callbacks, each
+    /// in its own task, and propagates the changes of workers to their sockets and to the endpoint list.
     pub(crate) fn apply<R>(self: &Rc<Self>, change: impl FnOnce(&mut EmulationState) -> R) -> R {
         let (result, callbacks, changed_workers) = {
             let mut state = self.state.borrow_mut();
--- a/crates/testbed/src/emulation/run.rs
+++ b/crates/testbed/src/emulation/run.rs
@@ -80,7 +80,7 @@
 }
 
 /// Binds a loopback port for each worker. The worker's listener task uses the bound socket first, and binds
-/// the same port again each time the worker starts or stops accepting connections.
+/// the same port again after each change of the port's [`ListenerState`].
 fn bind_workers(fleet: &Fleet) -> Result<(Vec<WorkerListener>, Vec<TcpSocket>), EmulationError> {
     let (mut listeners, mut sockets) = (Vec::new(), Vec::new());
     for (worker, _) in &fleet.workers {
--- a/crates/testbed/src/emulation/scheduler_config.rs
+++ b/crates/testbed/src/emulation/scheduler_config.rs
@@ -17,9 +17,8 @@
 /// Difference between the seeds of consecutive schedulers of one run, so that no two schedulers have the same
 /// seed.
 const SEED_STRIDE: u64 = 7919;
-/// Shortest window, in seconds, that the platform accepts for the setting `fall_s`: the window over which a
-/// worker's load is summed to detect overload during slow start. A scenario's window of 0, which disables
-/// overload, is replaced by this minimum.
+/// Shortest window for the detection of overload that the hosting platform accepts, in seconds. A shorter
+/// window in a scenario, such as 0, which disables overload, is replaced by this minimum.
 const MIN_OVERLOAD_WINDOW_S: f64 = 0.001;
 
 /// Inputs from which the configuration of one scheduler is generated.
--- a/crates/testbed/src/load/result.rs
+++ b/crates/testbed/src/load/result.rs
@@ -24,8 +24,8 @@
     pub scheduled: u64,
     /// Jobs with response status 200.
     pub served: u64,
-    /// Jobs served in time: within the latency objective of the class plus the job's work, in seconds, times
-    /// the latency stretch of the class.
+    /// Jobs served in time. The limit of a job's latency is the latency objective of the class plus an
+    /// extension: the latency stretch of the class times the job's work in seconds.
     pub in_time: u64,
     /// Jobs with response status 429 or 503.
     #[serde(rename = "refused")]
--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -135,8 +135,9 @@
     transitions
 }
 
-/// Draws the targets of a fault, at least one, among the workers or schedulers in the fault's zone. Returns a
-/// single `None` if there are none to draw from, as for a fault of arrivals or discovery.
+/// Draws at least one target of a fault among the workers or schedulers that the fault can affect; a fault
+/// with a zone affects only those in that zone. Returns a single `None` if the fault can affect no worker or
+/// scheduler, such as a fault of arrivals, load reports or discovery.
 fn draw_targets(
     scenario: &Scenario,
     fault: &Fault,
--- a/crates/testbed/src/model/scheduler_id.rs
+++ b/crates/testbed/src/model/scheduler_id.rs
@@ -21,8 +21,8 @@
     }
 
     /// Returns the scheduler to which the clients of `self` send requests: `self` if it accepts requests,
-    /// otherwise the scheduler with the next ID that accepts requests, preferably in the zone of `self`.
-    /// Returns `self` if no scheduler accepts requests.
+    /// otherwise the next accepting scheduler in the zone of `self`, otherwise the next accepting scheduler
+    /// in any zone. The order is by ID, and wraps around. Returns `self` if no scheduler accepts requests.
     pub fn reachable(self, count: u32, zones: u32, accepts: impl Fn(SchedulerId) -> bool) -> SchedulerId {
         let candidates = (0..count).map(|step| SchedulerId((self.0 + step) % count));
         let mut accepting = candidates.filter(|candidate| accepts(*candidate));
--- a/crates/testbed/src/model/worker/reports.rs
+++ b/crates/testbed/src/model/worker/reports.rs
@@ -5,8 +5,8 @@
 use super::job::TrueState;
 
 impl Worker {
-    /// Returns the worker's current true state for the `oracle` policy, which selects the earliest true
-    /// finish.
+    /// Returns the worker's current true state for the `oracle` policy, which selects the worker with the
+    /// earliest true finish time.
     pub fn true_state(&self, now: Micros) -> TrueState {
         let rate = self.spec.speed * self.capacity_fraction(now) / self.slowdown;
         let usable = self.spec.cores.min(self.spec.slots);
--- a/crates/testbed/src/outcome/mod.rs
+++ b/crates/testbed/src/outcome/mod.rs
@@ -132,7 +132,8 @@
 pub struct RunOutcome {
     /// Name of the scenario that was run.
     pub scenario: String,
-    /// Name of the dispatch policy that the schedulers used.
+    /// Name of the schedulers' dispatch policy. An emulation records the name that its caller gave, such as
+    /// the name of an experiment's variant.
     pub policy: String,
     /// Seed from which the random numbers of the run are derived.
     pub seed: u64,
@@ -160,7 +161,7 @@
     /// Number of load queries that schedulers sent to workers.
     #[serde(rename = "probes", default, skip_serializing_if = "is_zero_count")]
     pub load_queries: u64,
-    /// Cost of all load queries, as a share of the weight of all jobs. It is the number of load queries per
+    /// Cost of all load queries, as a share of the weight of all jobs: the mean number of load queries per
     /// job, times the scenario's cost of one query.
     #[serde(rename = "probe_cost", default, skip_serializing_if = "is_zero_cost")]
     pub load_query_cost: f64,
@@ -177,7 +178,8 @@
     /// Number of violations of each rule.
     #[serde(rename = "breaches")]
     pub violations: BTreeMap<Rule, u64>,
-    /// The first violations of the run, at most 20, with their descriptions.
+    /// The first violations of the run, with their descriptions. Later violations are only counted, in
+    /// `violations`.
     #[serde(rename = "examples")]
     pub violation_examples: Vec<RuleViolation>,
     /// Sending delays and CPU usage that were measured during an emulation; `None` for a simulation.
@@ -218,7 +220,8 @@
 pub struct RunRecord<'a> {
     /// Scenario that was run.
     pub scenario: &'a Scenario,
-    /// Name of the dispatch policy that the schedulers used.
+    /// Name of the schedulers' dispatch policy. An emulation records the name that its caller gave, such as
+    /// the name of an experiment's variant.
     pub policy: String,
     /// Seed from which the random numbers of the run are derived.
     pub seed: u64,
@@ -234,7 +237,7 @@
     pub attempts: u64,
     /// Number of counted attempts that went to a zone other than that of the sending scheduler.
     pub cross_zone_attempts: u64,
-    /// Number of load queries that schedulers sent to workers.
+    /// Number of load queries that schedulers sent; an emulation counts only those that reached a worker.
     pub load_queries: u64,
     /// Number of worker failures from overload during slow start.
     pub overloads: u64,
--- a/crates/testbed/src/policy/broken.rs
+++ b/crates/testbed/src/policy/broken.rs
@@ -7,7 +7,7 @@
 
 use super::Policy;
 
-/// Number of served attempts after which one request gets a second final response.
+/// Number of served attempts between two requests that get a second final response.
 const ANSWERS_TWICE_INTERVAL: u64 = 10;
 
 /// The defect that a broken policy adds to the dispatcher.
--- a/crates/testbed/src/rule_checker/dispatches.rs
+++ b/crates/testbed/src/rule_checker/dispatches.rs
@@ -32,8 +32,9 @@
     }
 }
 
-/// Checks that no scheduler sends attempts to a worker after it learned that the worker drains or was
-/// removed. For each scheduler and worker, the time of this notification is stored.
+/// Checks that no scheduler sends attempts to a worker later than [`DRAIN_GRACE`] after the scheduler learned
+/// that the worker drains or was removed. The time of this notification is stored for each scheduler and
+/// worker.
 #[derive(Default)]
 pub(super) struct DrainRule {
     unavailable_since: FxHashMap<SchedulerAndWorker, Micros>,
--- a/crates/testbed/src/rule_checker/violations.rs
+++ b/crates/testbed/src/rule_checker/violations.rs
@@ -69,7 +69,7 @@
 pub struct Violations {
     /// Number of violations of each rule.
     pub counts: BTreeMap<Rule, u64>,
-    /// The first violations of the run, at most 20, with their descriptions.
+    /// The first violations of the run, at most `MAX_EXAMPLES`, with their descriptions.
     pub examples: Vec<RuleViolation>,
 }
 
