--- a/crates/scheduler/src/commands/check.rs
+++ b/crates/scheduler/src/commands/check.rs
@@ -1,16 +1,16 @@
-//! The `check` command, which checks a configuration and prints its effective values or a summary.
+//! The `check` command, which checks a configuration and prints its effective values or a one-line summary.
 use std::path::Path;
 
 use super::error::CommandError;
 use super::output::print;
 use crate::configuration::{layers, platform};
 
-/// Checks a configuration and prints each effective value with its origin or, for the platform's JSON, a
-/// one-line summary.
+/// Checks a configuration and prints the result to standard output. For a TOML configuration, each effective
+/// value is printed with its origin; for the hosting platform's JSON file, only a one-line summary.
 ///
 /// # Errors
-/// Fails if the configuration is not valid or the output cannot be written. Several invalid values of layers
-/// are listed one per line; of a platform file only the first fault is named.
+/// Fails if the configuration is not valid or the output cannot be written. The message lists several invalid
+/// values of a TOML configuration one per line, but names only the first fault of a JSON file.
 pub(super) fn check(file: Option<&Path>, overrides: &[String]) -> Result<(), CommandError> {
     match file.filter(|path| path.extension().is_some_and(|extension| extension == "json")) {
         Some(path) if overrides.is_empty() => check_platform_config(path),
@@ -33,7 +33,7 @@
 
 fn check_layers(file: Option<&Path>, overrides: &[String]) -> Result<(), CommandError> {
     let effective = layers::read_effective(file, overrides)?;
-    // Any seed will do, because the result of the check does not depend on the seed.
+    // The seed of the dispatch policy's random numbers does not affect the result of the check, so 0 is used.
     layers::startup_config(&effective, 0)?;
     print(&effective.listing())
 }
--- a/crates/scheduler/src/commands/describe.rs
+++ b/crates/scheduler/src/commands/describe.rs
@@ -1,12 +1,13 @@
-//! The `config` command, which prints descriptions of the configuration.
+//! The `config` command, which prints the configuration's JSON Schema, default file or reference page.
 use super::error::CommandError;
 use super::output::print;
 use crate::cli::ConfigDescription;
 
-/// Prints a description of the configuration.
+/// Prints the configuration's JSON Schema, its default file with comments or its reference page, as `what`
+/// selects.
 ///
 /// # Errors
-/// Fails if the description cannot be generated or the output cannot be written.
+/// Fails if the selected text cannot be generated or the output cannot be written.
 pub(super) fn print_description(what: &ConfigDescription) -> Result<(), CommandError> {
     match what {
         ConfigDescription::Schema => print(&schema()?),
--- a/crates/scheduler/src/commands/error.rs
+++ b/crates/scheduler/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the commands. Their messages are printed to standard error.
+//! Errors of the commands. The messages of these errors are printed to standard error.
 #[cfg(feature = "standalone")]
 use std::error::Error;
 #[cfg(any(feature = "standalone", feature = "toy"))]
@@ -9,35 +9,39 @@
 use crate::configuration::ConfigError;
 use crate::serve::StartError;
 
-/// Error of a command.
+/// Error that ends a command. The program prints the message to standard error and exits with code 1.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum CommandError {
-    /// No command was given, and the environment does not name the platform's configuration.
+    /// No command was given, and the environment variable EDGE_CONFIG is not set. Without a command, the
+    /// scheduler serves with the hosting platform's JSON file, whose path EDGE_CONFIG must contain.
     #[error("no command was given, and EDGE_CONFIG names no configuration file; try `{program} --help`")]
     NoCommand {
         /// The program's name, for the usage hint in the message.
         program: String,
     },
-    /// This build reads only the platform's configuration, and the environment does not name it.
+    /// The command `serve` was given, but the environment variable EDGE_CONFIG is not set. A build without
+    /// the feature `standalone` reads only the hosting platform's JSON file, whose path EDGE_CONFIG must
+    /// contain.
     #[cfg(not(feature = "standalone"))]
     #[error("EDGE_CONFIG names no configuration file")]
     NoConfiguration,
     /// The scheduler, or a component of it that the command needs, did not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The configuration cannot be used.
+    /// The configuration cannot be read or is not valid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// `--set` was given for the platform's configuration.
+    /// `--set` was given with the hosting platform's JSON file. `--set` overrides single values of a TOML
+    /// configuration; the JSON file does not support overrides.
     #[cfg(feature = "standalone")]
     #[error("--set requires a TOML configuration; the platform's JSON has no layers")]
     OverridesOfPlatformConfig,
-    /// A description of the configuration cannot be generated.
+    /// The configuration's default file cannot be generated.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     Description(Box<dyn Error + Send + Sync>),
-    /// A value cannot be serialized as JSON.
+    /// An event of an event log, or the configuration's JSON Schema, cannot be serialized as JSON.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     Json(#[from] serde_json::Error),
--- a/crates/scheduler/src/commands/event_log.rs
+++ b/crates/scheduler/src/commands/event_log.rs
@@ -15,8 +15,9 @@
 /// Executes a `records` command.
 ///
 /// # Errors
-/// Fails if a file cannot be read or, for `stat` and `fleet`, if the output cannot be written. `cat` returns
-/// no error if its output cannot be written.
+/// Fails if a file cannot be read. The commands `stat` and `fleet` also fail if the output cannot be written,
+/// unless the reader of a pipe has closed the pipe. The command `cat` ignores all errors of writing its
+/// output.
 pub(super) fn execute(command: EventLogCommand) -> Result<(), CommandError> {
     match command {
         EventLogCommand::Cat { file, request_id, with_rotated } => {
@@ -29,14 +30,15 @@
     }
 }
 
-/// Prints all events or those of one request, one per line. Events of unknown kinds are left out. The numbers
-/// of missing events, of events out of order and of lines that are not events go to standard error, unless
-/// the output could not be written.
+/// Prints all events or those of one request, one per line. Events of unknown kinds are left out.
+///
+/// If events are missing or out of order, or lines are not events, a summary on standard error tells how
+/// many. The summary is left out if the events could not be written to standard output.
 fn print_events(file: &Path, request_id: Option<&str>, with_rotated: bool) -> Result<(), CommandError> {
     let mut output = BufWriter::new(std::io::stdout().lock());
     let mut has_write_failed = false;
-    // Quotes within JSON strings are escaped and ids need no escaping, so this text occurs only as the id's
-    // field.
+    // An event belongs to the request if the event's JSON text contains the field `"flow":"<id>"`. No string
+    // value can contain that text, because quotes within strings are escaped. The id needs no escaping.
     let id_field = request_id.map(|id| format!("\"flow\":\"{id}\""));
     let summary = read_files(files_oldest_first(file, with_rotated), |line| {
         let Line::Record(event) = line else { return Ok(()) };
@@ -84,8 +86,11 @@
     print(&fleet.to_text(window_seconds, max_workers))
 }
 
-/// Returns the file of an event log, preceded by its rotated files if requested. An interrupted rotation can
-/// leave a gap in the numbers of the rotated files, or no file without a number; both are allowed.
+/// Returns the path of an event log's current file. If `with_rotated` is set, the paths of the rotated files
+/// come before that path, oldest file first.
+///
+/// An interrupted rotation can leave a gap in the numbers of the rotated files, or rotated files without a
+/// current file. If there is no current file, only the rotated files are returned.
 fn files_oldest_first(file: &Path, with_rotated: bool) -> Vec<PathBuf> {
     let rotated = if with_rotated { rotated_numbers(file) } else { Vec::new() };
     let mut files: Vec<_> =
@@ -96,7 +101,8 @@
     files
 }
 
-/// Returns the numbers of the existing rotated files, that of the newest file first.
+/// Returns the numbers of the existing rotated files of an event log in ascending order. The newest rotated
+/// file has the lowest number.
 fn rotated_numbers(file: &Path) -> Vec<u32> {
     let folder = file.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let name = file.file_name().unwrap_or_default();
@@ -110,7 +116,7 @@
     numbers
 }
 
-/// Replaces each folder by the files directly in it and returns all files, sorted by path.
+/// Replaces each folder by the files directly in that folder and returns the paths of all files, sorted.
 fn expand_folders(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CommandError> {
     let mut files = Vec::new();
     for path in paths {
@@ -127,7 +133,7 @@
     Ok(files)
 }
 
-/// Reads files in order, passes each line to `on_line` and returns one summary of all of them.
+/// Reads event log files in order, passes each line to `on_line` and returns one summary of all files.
 fn read_files(
     files: Vec<PathBuf>,
     mut on_line: impl FnMut(&Line) -> Result<(), CommandError>,
--- a/crates/scheduler/src/commands/mod.rs
+++ b/crates/scheduler/src/commands/mod.rs
@@ -16,7 +16,8 @@
 use crate::serve::{self, ServeOptions};
 use error::CommandError;
 
-/// Executes the command that the command line names, or serves on the platform if it names none.
+/// Executes the command that the command line names. Without a command, the scheduler serves with the JSON
+/// file of the hosting platform.
 ///
 /// # Errors
 /// Returns the error of the command. Its message is meant to be printed to standard error.
@@ -40,10 +41,12 @@
     }
 }
 
-/// Serves with the platform's configuration, the only one that needs no command.
+/// Serves with the hosting platform's JSON file, whose path is in the environment variable EDGE_CONFIG. Any
+/// other configuration requires the command `serve`.
 fn serve_on_platform() -> Result<(), CommandError> {
     if ConfigSource::from_environment().is_none() {
-        // The error is printed on one line, without the whole help text.
+        // This error is printed on one line, whereas clap's error for a missing command contains the whole
+        // help text of the program.
         return Err(CommandError::NoCommand { program: CommandLine::command().get_name().to_owned() });
     }
     serve(ServeArguments::default())
@@ -59,9 +62,12 @@
     Ok(serve::run(&options)?)
 }
 
-/// Returns the platform's file as the source if EDGE_CONFIG names it and neither a TOML file nor `--set` is
-/// given. Otherwise the source is the layers of a standalone installation: the TOML file, the environment and
-/// the command line over the built-in default.
+/// Returns the source that the `serve` command reads its configuration from.
+///
+/// The source is the hosting platform's JSON file if the environment variable EDGE_CONFIG contains its path
+/// and neither a TOML file nor `--set` is given. Otherwise the source is the layers of a standalone
+/// installation: the built-in default, overridden by the TOML file, the environment and the command line, in
+/// this order.
 #[cfg(feature = "standalone")]
 fn config_source(arguments: &ServeArguments) -> Result<ConfigSource, CommandError> {
     let has_layers = arguments.config_file.is_some() || !arguments.layers.overrides.is_empty();
--- a/crates/scheduler/src/configuration/error.rs
+++ b/crates/scheduler/src/configuration/error.rs
@@ -2,40 +2,41 @@
 use std::error::Error;
 use std::path::PathBuf;
 
-/// Error in a configuration. The message names the place of each fault and may have several lines.
+/// Error when reading a configuration. The message names the place of each fault and may have several lines.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum ConfigError {
-    /// The platform's file cannot be read.
+    /// The hosting platform's JSON file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// Path of the platform's file.
+        /// Path of the JSON file that cannot be read.
         path: PathBuf,
-        /// The operating system's reason why the file cannot be read.
+        /// The operating system's reason why the JSON file cannot be read.
         source: std::io::Error,
     },
-    /// The platform's file does not contain a valid configuration.
+    /// The hosting platform's JSON file does not contain a valid configuration.
     #[error("{}: {source}", path.display())]
     InvalidPlatformConfig {
-        /// Path of the platform's file.
+        /// Path of the JSON file that is not valid.
         path: PathBuf,
-        /// The first fault that the reader found in the file.
+        /// The first fault that was found in the JSON file.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// The TOML file cannot be read, or the layers contain faults. Several faults are listed one per line.
+    /// The TOML file cannot be read, or the TOML file, the environment or the command line sets an invalid
+    /// value. Several faults are listed one per line.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     InvalidLayers(#[from] copperspread_config::InvalidConfig),
-    /// `log.level` is not valid.
+    /// The configuration's `log.level` is not a valid list of log levels.
     #[cfg(feature = "standalone")]
     #[error("{origin}: log.level: {source}")]
     InvalidLogLevel {
-        /// The configuration layer that sets `log.level`.
+        /// Where `log.level` is set: the name of the TOML file, an environment variable or `flag --set`.
         origin: String,
         /// Why the log level is not valid.
         source: crate::logging::LevelError,
     },
-    /// The values are each valid, but no scheduler can be started with their combination.
+    /// Each value of the configuration is valid, but no scheduler can be started with their combination.
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     Unusable(Box<dyn Error + Send + Sync>),
--- a/crates/scheduler/src/configuration/layers.rs
+++ b/crates/scheduler/src/configuration/layers.rs
@@ -1,6 +1,7 @@
 //! Layered configuration of standalone installations.
 //!
-//! The layers are a TOML file, environment variables and the command line, over the built-in default.
+//! The layers, from the lowest to the highest, are the built-in default, a TOML file, environment variables
+//! and the command line. A value in a higher layer overrides the same value in all lower layers.
 use std::path::Path;
 
 use copperspread_config::{CheckContext, EffectiveConfig, LogFormat};
@@ -12,11 +13,13 @@
 use crate::logging::{self, LogConfig};
 use crate::membership::{self, MemberConfig};
 
-/// Reads and checks the layers.
+/// Reads and checks the configuration of a standalone installation, in which environment variables override
+/// the TOML file `file`, and the `key=value` pairs `overrides` override both.
 ///
 /// # Errors
-/// Fails if the file cannot be read or a layer contains faults. Several invalid values are listed one per
-/// line; a syntax error in the file and an invalid log level are reported alone.
+/// Fails if the file cannot be read, a value is not valid or no scheduler can be started with the combination
+/// of values. The message lists several invalid values one per line. If the file has a syntax error, the
+/// message names no other fault; an invalid log level is found only if all other values are valid.
 pub(super) fn load(
     file: Option<&Path>,
     overrides: &[String],
@@ -31,11 +34,13 @@
     })
 }
 
-/// Merges and checks the layers, and keeps each value's origin.
+/// Merges and checks all layers of the configuration: the built-in default, the TOML file `file`, environment
+/// variables and the `key=value` pairs `overrides`. The result holds the origin of each value.
 ///
 /// # Errors
-/// Fails if the file cannot be read or a layer contains faults. Several invalid values are listed one per
-/// line; a syntax error in the file and an invalid log level are reported alone.
+/// Fails if the file cannot be read or a value is not valid. The message lists several invalid values one per
+/// line. If the file has a syntax error, the message names no other fault; an invalid log level is found only
+/// if all other values are valid.
 pub(crate) fn read_effective(
     file: Option<&Path>,
     overrides: &[String],
@@ -46,10 +51,11 @@
     Ok(effective)
 }
 
-/// Extracts the settings that the scheduler is started with. `default_seed` applies if no layer sets a seed.
+/// Extracts the settings that the scheduler is started with. If the configuration sets no random seed for the
+/// dispatch policy, the seed is `default_seed`.
 ///
 /// # Errors
-/// Fails if the values are each valid, but no scheduler can be started with their combination.
+/// Fails if each value is valid, but no scheduler can be started with their combination.
 pub(crate) fn startup_config(
     effective: &EffectiveConfig,
     default_seed: u64,
@@ -57,8 +63,8 @@
     effective.config.startup_config(default_seed).map_err(|error| ConfigError::Unusable(error.into()))
 }
 
-/// Returns the facts about the process and its files that the configuration is checked against: the
-/// descriptor limit of this process and the content of the key file.
+/// Returns the input of the configuration check that is not part of the configuration: this process's limit
+/// of open file descriptors, and a function that checks the file with the cluster's shared key.
 fn check_context() -> CheckContext {
     CheckContext {
         descriptor_limit: getrlimit(Resource::Nofile).current,
--- a/crates/scheduler/src/configuration/mod.rs
+++ b/crates/scheduler/src/configuration/mod.rs
@@ -1,8 +1,8 @@
 //! Reading of the configuration.
 //!
-//! A [`ConfigSource`] is read at the start and again on SIGHUP. `platform` reads the platform's JSON file and
-//! `layers` the layers of a standalone installation, each into a [`LoadedConfig`]. This module only reads; it
-//! starts nothing.
+//! A [`ConfigSource`] is read into a [`LoadedConfig`] at the start and again on SIGHUP. The module `platform`
+//! reads the hosting platform's JSON file. The module `layers` reads the configuration of a standalone
+//! installation from TOML, the environment and the command line. No module here starts a component.
 mod error;
 #[cfg(feature = "standalone")]
 pub(crate) mod layers;
--- a/crates/scheduler/src/configuration/platform.rs
+++ b/crates/scheduler/src/configuration/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration, a single JSON file.
+//! The hosting platform's configuration, a single JSON file.
 use std::path::Path;
 
 use copperspread_settings::{StartupConfig, platform};
@@ -6,7 +6,8 @@
 use super::{ConfigError, LoadedConfig};
 use crate::logging::LogConfig;
 
-/// Reads the platform's file, which configures neither the log, the event log nor membership.
+/// Reads the hosting platform's JSON file. The log gets its default settings, and the event log and
+/// membership are off, because the file does not configure them.
 ///
 /// # Errors
 /// Fails if the file cannot be read or is not valid. The message names the first fault.
@@ -20,7 +21,7 @@
     })
 }
 
-/// Reads from the platform's file the settings that the scheduler is started with.
+/// Reads the settings that the scheduler is started with from the hosting platform's JSON file.
 ///
 /// # Errors
 /// Fails if the file cannot be read or is not valid. The message names the first fault.
--- a/crates/scheduler/src/log_targets.rs
+++ b/crates/scheduler/src/log_targets.rs
@@ -1,9 +1,14 @@
-//! Replacement of former log target names, so that level settings written for them still apply.
+//! Replacement of former log target names by the current ones.
+//!
+//! Log targets are module paths and change when a crate or a module is renamed. The replacement keeps log
+//! level settings in force that still use a former name.
 
-/// Former targets with their replacements. A target comes before any shorter one that is its prefix.
+/// Pairs of a former target and its replacement. The first match is used, so a target is listed before any
+/// other target that is a prefix of it.
 ///
-/// A target applies to all targets that begin with it. `copperspread` alone therefore applies to every crate
-/// and needs no entry. `copperspread_settings` and `copperspread_config` have kept their names.
+/// A level that is set for a target applies to all targets that begin with that name. The target
+/// `copperspread` has no entry here, because it applies to every crate. The targets `copperspread_settings`
+/// and `copperspread_config` have no entry, because these crates were not renamed.
 const RENAMED_TARGETS: &[(&str, &str)] = &[
     ("copperspread_node::front", "copperspread_proxy::downstream"),
     ("copperspread_node::back", "copperspread_proxy::upstream"),
@@ -12,16 +17,16 @@
     ("copperspread_node::decisions", "copperspread_proxy::policy_handle"),
     ("copperspread_node", "copperspread_proxy"),
     ("copperspread_decisions", "copperspread_dispatcher"),
-    // The replacement ends in colons because `copperspread_membership` alone would also apply to the
-    // transport, which the former name did not. Nothing is logged in the root module of the crate, so no
-    // target is missed.
+    // The replacement ends in colons because `copperspread_membership` without colons would also apply to the
+    // crate `copperspread_membership_transport`; the former name `copperspread_cluster` did not apply to the
+    // transport. The colons exclude only the root module of the membership crate, which logs nothing.
     ("copperspread_cluster", "copperspread_membership::"),
     ("copperspread_peers", "copperspread_membership_transport"),
     ("copperspread_records", "copperspread_event_log"),
     ("copperspread::", "copperspread_scheduler::"),
 ];
 
-/// Replaces former targets in a list of levels such as `info,copperspread_node=debug`.
+/// Replaces former targets in a list of log levels such as `info,copperspread_node=debug`.
 pub(crate) fn with_current_targets(levels: &str) -> String {
     levels.split(',').map(with_current_target).collect::<Vec<_>>().join(",")
 }
@@ -38,13 +43,14 @@
     directive.to_owned()
 }
 
-/// Returns whether `name` is a whole target name rather than the prefix of a longer one, given the text
-/// `rest` that follows `name`.
+/// Returns whether `name`, which is followed by the text `rest`, ends where a segment of the target's path
+/// ends. If not, `name` is only part of a longer name, such as `node` in `nodes`, and must not be replaced.
 fn is_whole_name(name: &str, rest: &str) -> bool {
     name.ends_with(':') || rest.starts_with(['=', ':', '[']) || rest.trim_start().is_empty()
 }
 
-/// Joins a target and the text that follows it without repeating the `::` between them.
+/// Appends `rest`, the text that followed a replaced target, to the new target. If `target` ends with `::`
+/// and `rest` begins with `::`, the result contains only one of the two.
 fn join_target(target: &str, rest: &str) -> String {
     let rest = if target.ends_with("::") { rest.strip_prefix("::").unwrap_or(rest) } else { rest };
     format!("{target}{rest}")
--- a/crates/scheduler/src/logging.rs
+++ b/crates/scheduler/src/logging.rs
@@ -1,7 +1,9 @@
-//! Log output on standard error: text if that is a terminal, JSON lines otherwise.
+//! Log output on standard error. Unless the configuration sets a format, the lines are text if standard error
+//! is a terminal, and JSON otherwise.
 //!
 //! A separate thread writes the lines from a bounded queue. Lines that do not fit into the queue are dropped
-//! and counted, so that a reader that is slow or gone neither blocks nor ends the scheduler.
+//! and counted. A process that reads the scheduler's standard error slowly, or has closed it, therefore
+//! neither blocks nor ends the scheduler.
 use std::io::{IsTerminal, stderr};
 
 use tracing::Subscriber;
@@ -20,12 +22,13 @@
 /// Environment variable whose log levels take precedence over those of the configuration.
 const LEVELS_ENV_VAR: &str = "RUST_LOG";
 
-/// Settings of the log output.
+/// Settings of the log output: the log levels and the line format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LogConfig {
-    /// Level for all targets or by target. RUST_LOG takes precedence.
+    /// List of log levels, such as `info` for all targets or `info,copperspread_proxy=debug` for all targets
+    /// and one exception. The environment variable RUST_LOG takes precedence.
     pub(crate) level: String,
-    /// Whether lines are JSON. If `None`, lines are JSON unless standard error is a terminal.
+    /// Whether log lines are JSON. If `None`, log lines are JSON unless standard error is a terminal.
     pub(crate) json: Option<bool>,
 }
 
@@ -83,7 +86,8 @@
 /// # Errors
 /// Fails if a level does not exist or a target cannot be parsed.
 pub(crate) fn parse_levels(levels: &str) -> Result<Targets, LevelError> {
-    // `Targets` would take a misspelt level for the name of a target.
+    // The levels are checked here because the parser of `Targets` would take a misspelt level for the name of
+    // a target and report no error.
     for directive in levels.split(',').map(str::trim) {
         let level = directive.rsplit('=').next().unwrap_or_default();
         if level.is_empty() || level.parse::<LevelFilter>().is_err() {
@@ -103,7 +107,7 @@
     }
 }
 
-/// Starts the log.
+/// Starts the process's log and the thread that writes the log lines to standard error.
 ///
 /// # Errors
 /// Fails if a level is not valid or the log is already started.
@@ -117,7 +121,7 @@
     Ok(Log { levels, dropped, _writer: writer })
 }
 
-/// Creates the layer that formats lines as JSON or as text.
+/// Creates the `tracing` layer that formats log lines as JSON if `json` is set and as text otherwise.
 fn format_layer<S: Subscriber + for<'a> LookupSpan<'a>>(
     output: NonBlocking,
     json: bool,
@@ -127,7 +131,7 @@
 }
 
 impl Log {
-    /// Applies the levels of a new configuration. The line format does not change.
+    /// Applies the log levels of a new configuration. The format of the log lines does not change.
     ///
     /// # Errors
     /// Fails if a level is not valid; the old levels then stay in force.
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -1,15 +1,16 @@
-//! The scheduler program. It reads the configuration, starts the components and serves until SIGTERM; other
-//! commands check configurations and read event logs.
+//! The scheduler program. Its command `serve` reads the configuration, starts the components and serves
+//! clients until SIGTERM; other commands check configurations and read event logs.
 //!
 //! | module | contents |
 //! | --- | --- |
 //! | `cli` | command-line arguments |
-//! | `commands` | implementation of the commands other than `serve` |
-//! | `configuration` | reading of the configuration from the platform's JSON or from TOML layers |
-//! | `logging`, `log_targets` | log output, levels and former target names |
+//! | `commands` | execution of the commands; `serve` is implemented in its own module |
+//! | `configuration` | reading of the configuration from the platform's JSON file or from TOML |
+//! | `logging` | log output to standard error and parsing of log levels |
+//! | `log_targets` | replacement of former names of log targets in log level settings |
 //! | `membership` | start, status page and key file of scheduler membership |
 //! | `serve` | one scheduler from start to shutdown, and configuration reloads |
-//! | `toy_worker` | toy worker and toy discovery for trying out the scheduler |
+//! | `toy_worker` | a minimal worker and a minimal discovery service for trying out the scheduler |
 //!
 //! The dispatch policy and the protocols are in other crates. "The platform" is the hosting environment that
 //! names a JSON configuration file in `EDGE_CONFIG`; any other installation is "standalone" and uses TOML.
@@ -37,8 +38,8 @@
     match commands::execute(CommandLine::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // The error is not printed through the log, which may be off or not started, nor with
-            // `eprintln!`, which panics if standard error is closed.
+            // The error is written directly to standard error. The log may be off or not started, and
+            // `eprintln!` panics if standard error is closed.
             let _ = writeln!(std::io::stderr(), "copperspread-scheduler: {error}");
             ExitCode::FAILURE
         }
