--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -17,8 +17,8 @@
 /// HTTP path of the membership status page.
 const STATUS_PATH: &str = "/-/cluster";
 
-/// Error in the file with the key that all members of the cluster share. The message never contains any part
-/// of the key.
+/// Error when reading the key file, which contains the key that all members of the cluster share. The message
+/// never contains any part of the key.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum KeyFileError {
@@ -44,13 +44,13 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum MembershipError {
-    /// No key file is configured.
+    /// Membership is on, but the configuration names no file with the cluster's shared key.
     #[error("cluster.key_file is missing")]
     NoKeyFile,
-    /// No address is configured that the member binds to receive the other members' messages.
+    /// The configuration does not set the address on which the member receives messages of other members.
     #[error("cluster.bind is missing")]
     NoBindAddress,
-    /// The key file cannot be used.
+    /// The file with the cluster's shared key cannot be read or does not contain a valid key.
     #[error("cluster.key_file: {0}")]
     KeyFile(#[from] KeyFileError),
     /// The membership transport did not start.
@@ -58,20 +58,21 @@
     Transport(#[from] StartError),
 }
 
-/// Reads the cluster's key from a file. One line break at the end is not part of the key.
+/// Reads the cluster's shared key from a file. One line break at the end of the file is not part of the key.
 ///
 /// # Errors
 /// Fails if the file cannot be read or its content is not a valid key.
 fn read_key(path: &Path) -> Result<Key, KeyFileError> {
     let bytes =
         std::fs::read(path).map_err(|source| KeyFileError::Unreadable { path: path.to_owned(), source })?;
-    // Editors and `echo` append a line break. Files with and without it contain the same key.
+    // One line break at the end is removed, because editors and `echo` append a line break that is not part
+    // of the key.
     let line = bytes.strip_suffix(b"\n").unwrap_or(&bytes);
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     Key::new(line).map_err(|source| KeyFileError::Invalid { path: path.to_owned(), source })
 }
 
-/// Checks that a file contains a valid key of the cluster.
+/// Checks that a file contains a valid key for the cluster.
 ///
 /// # Errors
 /// Fails if the file cannot be read or its content is not a valid key. The message contains no part of the
@@ -99,10 +100,12 @@
         })
     }
 
-    /// Starts the member with `seed` as its random seed. Its threads end when the returned handle is dropped.
+    /// Starts the member with `seed` as its random seed. The member's threads end when the returned handle is
+    /// dropped.
     ///
     /// # Errors
-    /// Fails if the key cannot be read or the address cannot be bound.
+    /// Fails if the key file or the address to bind is not configured, the key cannot be read, or the
+    /// membership transport does not start, for example because the address is in use.
     pub(crate) fn start(&self, seed: u64) -> Result<MembershipTransport, MembershipError> {
         let member = MembershipTransport::start(self.transport_config(seed)?)?;
         info!(scheduler = self.name, address = %member.local_address(), "membership started");
@@ -135,21 +138,26 @@
     }
 }
 
-/// Creates the status page with a member's view of the cluster.
+/// Creates the HTTP status page that shows a member's current view of the cluster as JSON.
 pub(crate) fn status_page(member: &MembershipTransport) -> StatusPage {
     let view = member.view_reader();
-    // The view consists of names and numbers, which always serialize.
+    // A serialization error would give an empty page. No error can occur, because the view consists of names
+    // and numbers.
     let render_json = move || serde_json::to_string(&view()).unwrap_or_default();
     StatusPage { path: STATUS_PATH, render_json: Arc::new(render_json) }
 }
 
-/// Waits until the threads of a leaving member have ended, and logs its counts of packets and errors.
-/// Packets, streams and states that it drops during the wait are not counted.
+/// Waits until the threads of a leaving member have ended, then logs the member's counts of packets and
+/// errors.
+///
+/// The counts of dropped packets, streams and states are read before the wait and therefore do not include
+/// what the member drops during the wait.
 pub(crate) fn wait_until_stopped(member: MembershipTransport) {
     let dropped = member.drop_counts();
     let view = member.shutdown();
     let RejectionCounts { too_large, malformed, forged, other_version } = view.rejected;
-    // `unsent` and `streams_refused` are the names of log fields and must not change.
+    // Two counts are renamed to `unsent` and `streams_refused`, because log fields take the names of the
+    // variables. Log field names are an external interface and must not change.
     let DropCounts {
         packets_unsent: unsent,
         streams_rejected: streams_refused,
--- a/crates/scheduler/src/serve/discovery_handle.rs
+++ b/crates/scheduler/src/serve/discovery_handle.rs
@@ -1,4 +1,4 @@
-//! Handle through which a reload changes the running endpoint source.
+//! Handle through which a configuration reload changes the running endpoint source.
 use copperspread_proxy::discovery::EndpointSource;
 use copperspread_proxy::discovery::platform::PlatformDiscovery;
 use copperspread_proxy::discovery::static_list::StaticEndpoints;
@@ -6,18 +6,19 @@
 use http::uri::Authority;
 use tokio::sync::watch;
 
-/// Sends a changed discovery address or static list to the running endpoint source. The source holds the
-/// receiving end of the channel and runs until the runtime ends.
+/// Handle that sends a changed discovery address or static endpoint list to the running endpoint source. The
+/// source holds the receiving end of the channel and runs until the runtime ends.
 pub(super) enum DiscoveryHandle {
-    /// Sender of the address of the platform's discovery.
+    /// The source fetches the endpoint list from the hosting platform's discovery service. The channel
+    /// carries the address of that service.
     Platform(watch::Sender<Authority>),
-    /// Sender of the static list.
+    /// The source publishes the static endpoint list of the configuration. The channel carries that list.
     Static(watch::Sender<EndpointList>),
 }
 
 impl DiscoveryHandle {
-    /// Creates an endpoint source and its handle. `cached_revision` is the revision of the cached list, if
-    /// there is one.
+    /// Creates an endpoint source and the handle that changes the source. `cached_revision` is the revision
+    /// of the cached endpoint list, or `None` if no list is cached.
     pub(super) fn create(
         config: &DiscoveryConfig,
         cached_revision: Option<u64>,
@@ -35,9 +36,11 @@
         }
     }
 
-    /// Applies the discovery settings of a new configuration and returns whether they differ from the current
-    /// ones. Returns false and ignores settings for another kind of source, because changing the kind
-    /// requires a restart.
+    /// Sends the discovery settings of a new configuration to the endpoint source. Returns whether the
+    /// address or the endpoints have changed.
+    ///
+    /// Settings that replace the platform's discovery by a static list, or the reverse, are ignored and
+    /// return `false`, because such a change requires a restart.
     pub(super) fn update(&self, config: DiscoveryConfig) -> bool {
         match (self, config) {
             (DiscoveryHandle::Platform(sender), DiscoveryConfig::Platform(new)) => {
@@ -59,8 +62,8 @@
 
 fn replace_list(current: &mut EndpointList, new: EndpointList) -> bool {
     let is_changed = current.endpoints != new.endpoints;
-    // The revision grows with each reload, because the endpoint table ignores a list whose revision is older
-    // than its own.
+    // Each reload increments the list's revision, because the endpoint table ignores a list whose revision is
+    // older than the revision of the list that the table already has.
     *current = EndpointList { revision: current.revision + 1, ..new };
     is_changed
 }
--- a/crates/scheduler/src/serve/error.rs
+++ b/crates/scheduler/src/serve/error.rs
@@ -13,18 +13,18 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(crate) enum StartError {
-    /// The configuration cannot be used.
+    /// The configuration cannot be read or is not valid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
     /// The log cannot be started.
     #[error(transparent)]
     Log(#[from] LogError),
-    /// The event log's file cannot be opened.
+    /// The event log cannot be started, for example because its file cannot be opened.
     #[error("records.file: {}: {source}", path.display())]
     EventLog {
         /// Path of the event log's file.
         path: PathBuf,
-        /// Why the event log's file cannot be opened.
+        /// Why the event log cannot be started.
         source: EventLogError,
     },
     /// The asynchronous runtime cannot be created.
@@ -40,10 +40,11 @@
     #[cfg(feature = "standalone")]
     #[error(transparent)]
     Membership(#[from] crate::membership::MembershipError),
-    /// The proxy cannot be assembled, for example because an address cannot be listened on.
+    /// The proxy cannot be started, for example because an address cannot be listened on.
     #[error(transparent)]
     Proxy(Box<dyn Error + Send + Sync>),
-    /// A toy worker is requested, but there is no static list with a worker that it could replace.
+    /// A toy worker is requested, but the configuration has no static endpoint list, or the list contains no
+    /// worker that the toy worker could replace.
     #[cfg(feature = "toy")]
     #[error("--toy replaces the first worker of the static list, but there is no static list or it is empty")]
     NoWorkerForToy,
@@ -53,10 +54,10 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(super) enum ReloadError {
-    /// The configuration cannot be used.
+    /// The new configuration cannot be read or is not valid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The log levels cannot be used.
+    /// The log levels are not valid or cannot be changed in the running log.
     #[error(transparent)]
     Log(#[from] LogError),
 }
--- a/crates/scheduler/src/serve/event_log.rs
+++ b/crates/scheduler/src/serve/event_log.rs
@@ -1,4 +1,4 @@
-//! Start and end of the event log of one run.
+//! Start and end of the event log of one run of the scheduler.
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -7,19 +7,20 @@
 
 use super::error::StartError;
 
-// Limits of an event log whose file is named on the command line. They equal the defaults of the
-// configuration crate, which the platform's build does not contain.
+// Limits of an event log whose file is named on the command line. The values are copies of the defaults in
+// the configuration crate, because the build for the hosting platform does not contain that crate.
 const DEFAULT_MAX_FILE_BYTES: u64 = 64_000_000;
 const DEFAULT_MAX_ROTATED_FILES: u32 = 4;
 const DEFAULT_QUEUE_CAPACITY: usize = 4_096;
 
-/// The event log of a run; nothing is recorded if no event log is configured.
+/// The event log of one run of the scheduler. If no event log is configured, events are discarded.
 pub(super) struct EventLog {
     recorder: Recorder,
     writer: Option<WriterHandle>,
 }
 
-/// Returns the settings of an event log whose file is named on the command line.
+/// Returns the settings of an event log whose file is named on the command line: the path `file`, and default
+/// limits for the file size, the number of rotated files and the queue.
 pub(super) fn config_for_file(file: &Path) -> EventLogConfig {
     EventLogConfig {
         path: file.to_owned(),
@@ -30,11 +31,13 @@
 }
 
 impl EventLog {
-    /// Opens the file and starts the writer thread. Without a configuration, nothing is recorded.
+    /// Starts the thread that opens and writes the event log's file. If `config` is `None`, no thread is
+    /// started and events are discarded.
     ///
     /// # Errors
-    /// Fails if the file cannot be opened or is being written by another process. A disk that is full, fails
-    /// or hangs is not an error here: the writer thread keeps trying.
+    /// Fails if the thread cannot be started, or the file cannot be opened or is locked by another process.
+    /// If the disk is full, fails or hangs, no error is returned, and the thread keeps trying to open the
+    /// file.
     pub(super) fn open(config: Option<EventLogConfig>) -> Result<EventLog, StartError> {
         let Some(config) = config else {
             return Ok(EventLog { recorder: Recorder::disabled(), writer: None });
@@ -50,13 +53,16 @@
         &self.recorder
     }
 
-    /// Closes the recorder and waits up to `timeout` until the queued events are written. Then logs the
-    /// numbers of written, dropped and lost records.
+    /// Stops recording and waits up to `timeout` until the queued events are written.
+    ///
+    /// Then logs how many events were written, how many were dropped because the queue was full or the writer
+    /// thread had ended, and how many were lost because the file could not be written.
     pub(super) fn close(self, timeout: Duration) {
         let Some(writer) = self.writer else { return };
         self.recorder.close();
         let is_complete = writer.finish(timeout);
-        // The counts are logged under the names of these fields, which must not change.
+        // The log fields take the names of these variables. Log field names are an external interface and
+        // must not change.
         let RecordCounts { written, dropped, lost } = self.recorder.counts();
         info!(written, dropped, lost, is_complete, "event log closed");
     }
--- a/crates/scheduler/src/serve/exit_budget.rs
+++ b/crates/scheduler/src/serve/exit_budget.rs
@@ -1,70 +1,75 @@
-//! Time limits for ending components that may hang, for example on a disk, before the process must exit.
+//! Time limits for ending the components of a scheduler, so that the process exits in time even if a
+//! component hangs, for example on a disk.
 use std::sync::mpsc::{RecvTimeoutError, sync_channel};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time reserved before the exit deadline for writing the last log lines.
+/// Length of the period directly before the exit deadline that is reserved for writing the last log lines.
 const LOG_RESERVE: Duration = Duration::from_millis(50);
-/// Time reserved before `LOG_RESERVE` for writing the last events. Membership ends before the event log, so
-/// the wait for membership keeps both reserves free.
+/// Length of the period that is reserved for writing the last events to the event log. The components end in
+/// the order membership, event log, log; so membership must end early enough to leave this period and
+/// `LOG_RESERVE` before the exit deadline.
 #[cfg(feature = "standalone")]
 const EVENT_LOG_RESERVE: Duration = Duration::from_millis(100);
-/// Longest wait for the event log, even if the exit deadline is later.
+/// Longest wait for the event log to write its last events. This limit also applies if more time is left, so
+/// that a hanging disk does not delay the exit until the exit deadline.
 const MAX_EVENT_LOG_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for ending the components of a scheduler that failed to start.
+/// Longest time for ending the event log and the log after a scheduler has failed to start.
 const FAILED_START_EXIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The time left until the process must exit, for the components that end one after another once the last
-/// requests have ended. Each component may take the time that is left, less the time reserved for the
-/// components that end later.
+/// Limits how long the process waits for its components to end before it must exit.
+///
+/// The components end one after another: first membership, then the event log, then the log. Each component
+/// may take the time left until the exit deadline, minus the time reserved for later components.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ExitBudget {
     exit_deadline: Instant,
 }
 
 impl ExitBudget {
-    /// Creates the budget of a process that must exit by this instant.
+    /// Creates the budget of a process that must exit by `exit_deadline`.
     pub(super) fn until(exit_deadline: Instant) -> ExitBudget {
         ExitBudget { exit_deadline }
     }
 
-    /// Creates the budget after a failed start, where no supervisor is waiting to send a SIGKILL.
+    /// Creates the budget of a process whose scheduler failed to start. No supervisor then waits to send a
+    /// SIGKILL, so the exit deadline is a fixed time from now, `FAILED_START_EXIT_TIMEOUT`.
     pub(super) fn for_failed_start() -> ExitBudget {
         ExitBudget { exit_deadline: Instant::now() + FAILED_START_EXIT_TIMEOUT }
     }
 
-    /// Returns how long to wait for membership to end.
+    /// Returns the longest time to wait from now until the membership threads have ended.
     #[cfg(feature = "standalone")]
     pub(super) fn membership_timeout(&self) -> Duration {
         self.time_left_before(LOG_RESERVE + EVENT_LOG_RESERVE)
     }
 
-    /// Returns how long to wait for the event log to end.
+    /// Returns the longest time to wait from now until the event log has written its last events.
     pub(super) fn event_log_timeout(&self) -> Duration {
         self.time_left_before(LOG_RESERVE).min(MAX_EVENT_LOG_TIMEOUT)
     }
 
-    /// Returns how long to wait for the log to end.
+    /// Returns the longest time to wait from now until the log has written its last lines.
     pub(super) fn log_timeout(&self) -> Duration {
         self.time_left_before(Duration::ZERO)
     }
 
-    /// Returns the time left until `reserved` before the exit deadline.
+    /// Returns the time from now until the exit deadline minus `reserved`, or zero if no time is left.
     fn time_left_before(&self, reserved: Duration) -> Duration {
         self.exit_deadline.saturating_duration_since(Instant::now()).saturating_sub(reserved)
     }
 }
 
-/// Runs `work`, which may hang, in a separate thread and waits for it up to `timeout`. Returns whether it
-/// ended; if not, the thread goes on until the process exits.
+/// Runs `work`, which may hang, in a separate thread and waits up to `timeout` until `work` has ended.
+/// Returns whether `work` has ended in that time. Otherwise the thread continues until the process exits.
 pub(super) fn run_with_timeout(timeout: Duration, work: impl FnOnce() + Send + 'static) -> bool {
     let (end_sender, ended) = sync_channel::<()>(0);
     let run = move || {
         work();
         drop(end_sender);
     };
-    // If the thread cannot be started, the work and everything that it owns are dropped in this thread,
-    // without the time limit.
+    // If the thread cannot be started, `work` and the values that `work` owns are dropped in the calling
+    // thread. `timeout` does not limit how long these drops take.
     let is_started = thread::Builder::new().name("end".into()).spawn(run).is_ok();
     is_started && matches!(ended.recv_timeout(timeout), Err(RecvTimeoutError::Disconnected))
 }
--- a/crates/scheduler/src/serve/mod.rs
+++ b/crates/scheduler/src/serve/mod.rs
@@ -1,6 +1,6 @@
-//! The run of one scheduler from start to shutdown.
+//! The run of one scheduler process from start to shutdown.
 //!
-//! 1. [`run`] reads the configuration, then starts the log, the event log and the runtime.
+//! 1. [`run`] reads the configuration, then starts the log, the event log and the asynchronous runtime.
 //! 2. `Scheduler::start` starts the components and the tasks that serve clients.
 //! 3. `serve_until_terminated` reloads the configuration on SIGHUP and returns on SIGTERM.
 //! 4. `Scheduler::shut_down` waits until the accepted requests are answered and ends the components.
@@ -29,20 +29,20 @@
 
 /// Options of the `serve` command, from the command line and the environment.
 pub(crate) struct ServeOptions {
-    /// Source of the configuration.
+    /// Source that the configuration is read from at the start and again on SIGHUP.
     pub(crate) source: ConfigSource,
-    /// Whether a toy worker runs in place of the first worker of the static list.
+    /// Whether a toy worker runs in this process in place of the first worker of the static endpoint list.
     #[cfg(feature = "toy")]
     pub(crate) with_toy_worker: bool,
-    /// File of the event log, or `-` for standard error. It takes precedence over the configuration's event
-    /// log.
+    /// Path of the file to write the event log to, or `-` for standard error. A path given here replaces the
+    /// event log settings of the configuration.
     pub(crate) event_log_file: Option<PathBuf>,
 }
 
-/// Serves until SIGTERM.
+/// Runs one scheduler: reads the configuration, serves clients until SIGTERM and shuts down.
 ///
 /// # Errors
-/// Fails if the configuration cannot be used or a component does not start.
+/// Fails if the configuration cannot be read or is not valid, or if a component does not start.
 pub(crate) fn run(options: &ServeOptions) -> Result<(), StartError> {
     let config = options.source.load()?;
     let log = logging::start(&config.log)?;
@@ -52,13 +52,15 @@
     let served = runtime.block_on(serve(options, &config, &log, event_log.recorder()));
     let exit_budget = *served.as_ref().unwrap_or(&ExitBudget::for_failed_start());
     event_log.close(exit_budget.event_log_timeout());
-    // Blocking work on the runtime's other threads, such as a name lookup, is not waited for.
+    // The runtime runs blocking work, such as a name lookup, on separate threads. The process exits without
+    // waiting for these threads, because such work may last longer than the time left.
     runtime.shutdown_background();
     run_with_timeout(exit_budget.log_timeout(), move || drop(log));
     served.map(|_| ())
 }
 
-/// Creates a runtime that runs all tasks on one thread, for machines with one core.
+/// Creates an asynchronous runtime that runs all tasks on one thread, because the scheduler is designed for
+/// machines with one core.
 ///
 /// # Errors
 /// Fails if the operating system refuses a resource that the runtime needs.
@@ -66,15 +68,16 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)
 }
 
-/// Serves until SIGTERM and shuts down. Returns the time left for ending the event log and the log.
+/// Starts the scheduler, serves clients until SIGTERM and shuts the scheduler down. Returns the budget that
+/// limits how long the caller may wait for the event log and the log to end.
 async fn serve(
     options: &ServeOptions,
     config: &LoadedConfig,
     log: &Log,
     recorder: &Recorder,
 ) -> Result<ExitBudget, StartError> {
-    // The signal streams are installed before the scheduler starts, so that a SIGHUP from here on never kills
-    // the process.
+    // The signal handlers are installed before the scheduler starts, so that a SIGHUP does not kill the
+    // process while the scheduler is starting.
     let mut signals = Signals::install()?;
     let scheduler = Scheduler::start(config, recorder).await?;
     #[cfg(feature = "toy")]
@@ -86,7 +89,7 @@
     Ok(scheduler.shut_down(log, recorder).await)
 }
 
-/// Streams of the signals that the scheduler handles.
+/// Streams that yield the received signals: SIGTERM ends the scheduler and SIGHUP reloads the configuration.
 struct Signals {
     terminate: Signal,
     hangup: Signal,
@@ -99,8 +102,10 @@
     }
 }
 
-/// Reloads on SIGHUP until SIGTERM. At SIGTERM, a reload that still waits for its file's content to stop
-/// changing is dropped, and so are rechecks of the file.
+/// Reloads the configuration on each SIGHUP and returns on SIGTERM.
+///
+/// After a SIGHUP, the reloader may check the configuration file again later, because the file may still be
+/// incomplete. Checks and reloads that are still pending at SIGTERM are dropped.
 async fn serve_until_terminated(signals: &mut Signals, reloader: &mut Reloader<'_>) {
     loop {
         let next_check = reloader.next_check();
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -1,13 +1,17 @@
 //! Reloading of the configuration on SIGHUP.
 //!
-//! A reload changes the address of the platform's discovery or the static list, and the log levels. Other
-//! changes need a restart and are logged as a warning. A configuration that is not valid changes nothing.
+//! A reload changes the log levels and either the address of the hosting platform's discovery service or the
+//! static endpoint list. Changes to other settings need a restart and are logged as a warning. A
+//! configuration that is not valid changes nothing.
 //!
-//! The file may still be incomplete at SIGHUP, because it is being written. A file that may be valid even
-//! when truncated is therefore read only once it has settled, that is, once its content has stopped changing.
-//! The program that writes the file may pause for longer than the settle time. A file that may have been
-//! incomplete when it was read is therefore rechecked for some seconds, and a change is applied without
-//! another SIGHUP.
+//! At SIGHUP, another program may still be writing the configuration file. A partly written TOML file can be
+//! a valid configuration, so a successful read does not prove that the file is complete. A TOML file is
+//! therefore read only after the file has settled, that is, after its content has not changed for
+//! `FILE_SETTLE_TIME`. A JSON file is read at once, because a partly written JSON file is never valid.
+//!
+//! The program that writes the file may pause for longer than `FILE_SETTLE_TIME`. After a TOML file has
+//! been read, the file is therefore rechecked for `RECHECK_DURATION`, and so is a JSON file that was not
+//! valid. If the content has changed, the configuration is reloaded without another SIGHUP.
 use std::time::Duration;
 
 use tokio::time::Instant;
@@ -18,43 +22,48 @@
 use crate::configuration::{ConfigSource, LoadedConfig};
 use crate::logging::Log;
 
-/// Time without a change after which a file counts as settled.
+/// Time after which a file counts as settled if its content has not changed in that time.
 const FILE_SETTLE_TIME: Duration = Duration::from_millis(50);
-/// How long after its last change a file that may have been incomplete is rechecked.
+/// How long a file that may be incomplete is rechecked after it was read. When the content has changed, the
+/// file is read again and the duration starts anew.
 const RECHECK_DURATION: Duration = Duration::from_secs(2);
-/// Interval between rechecks of a file. The configuration is reloaded once two checks in a row find the same
-/// content and that content is new or was not valid.
+/// Interval between rechecks of a file.
+///
+/// A recheck reloads the configuration if the file has not changed since the previous check. The
+/// configuration is not reloaded if the reloader has already read the same content and found that content
+/// valid.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Reloads the configuration, and watches a file that has not settled or may have been incomplete when it was
-/// read.
+/// Reloads the configuration on request. A reload may wait until the configuration file has settled, and the
+/// file may be rechecked for a limited time after the reload.
 pub(super) struct Reloader<'a> {
     source: &'a ConfigSource,
     initial: &'a LoadedConfig,
     discovery: &'a DiscoveryHandle,
     log: &'a Log,
     pending: Option<FileWatch>,
-    /// Error of the last reload since the last SIGHUP, if it failed. A recheck does not log the same error
-    /// again.
+    /// Error message of the last reload; `None` if the last reload succeeded or if no reload has taken place
+    /// since the last SIGHUP. A reload that fails again with the same message is not logged.
     last_error: Option<String>,
 }
 
-/// A file whose content may still change.
+/// Repeated check of a configuration file whose content may still change.
 struct FileWatch {
     /// Content of the file at the last check.
     last_content: Vec<u8>,
     check_at: Instant,
-    /// State of the rechecks; `None` until the file has settled and been read.
+    /// State of the rechecks that follow the first read of the file; `None` while the reloader still waits
+    /// for the file to settle.
     recheck: Option<Recheck>,
 }
 
-/// Rechecking of a file that may have been incomplete when it was last read.
+/// State of the rechecks of a file that may have been incomplete when the configuration was last read.
 struct Recheck {
     /// Content of the file when the configuration was last read.
     read_content: Vec<u8>,
     /// Whether `read_content` was a valid configuration.
     was_valid: bool,
-    /// When rechecking ends.
+    /// Instant after which an unchanged file is not rechecked any more.
     ends_at: Instant,
 }
 
@@ -80,8 +89,8 @@
         Reloader { source, initial, discovery, log, pending: None, last_error: None }
     }
 
-    /// Reloads at once or, if a truncated file may be valid, once the file has settled. A pending reload is
-    /// replaced.
+    /// Handles a SIGHUP: reloads a JSON file at once, and a TOML file once the file has settled. A reload or
+    /// recheck that is pending from an earlier SIGHUP is dropped.
     pub(super) fn request_reload(&mut self) {
         (self.pending, self.last_error) = (None, None);
         if self.source.may_be_valid_when_truncated() {
@@ -91,14 +100,21 @@
         }
     }
 
-    /// Returns when [`Reloader::check_pending`] is due; `None` if no file is being watched.
+    /// Returns the instant at which [`Reloader::check_pending`] must be called to check the configuration
+    /// file again; `None` if no check is pending.
     pub(super) fn next_check(&self) -> Option<Instant> {
         self.pending.as_ref().map(|pending| pending.check_at)
     }
 
-    /// Reloads if the file has settled and has not been read yet, has changed since or was not valid.
-    /// Otherwise schedules the next check, unless the time for rechecks is over. An unchanged file that was
-    /// not valid is read again because a file that it names, such as the key file, may have been incomplete.
+    /// Performs the pending check of the configuration file.
+    ///
+    /// If the content has not changed since the previous check, the configuration is reloaded in three cases:
+    /// the file has not been read since the SIGHUP, its content differs from the content last read, or that
+    /// content was not valid. Content that was not valid is read again even if unchanged, because another
+    /// file that the configuration names, such as the key file, may have been incomplete.
+    ///
+    /// Otherwise, the next check is scheduled, unless the content has not changed and the time for rechecks
+    /// is over.
     pub(super) fn check_pending(&mut self) {
         let Some(FileWatch { last_content, recheck, .. }) = self.pending.take() else { return };
         let content = self.source.content();
@@ -116,10 +132,12 @@
         }
     }
 
-    /// Reloads, and schedules a recheck if the file may have been incomplete.
+    /// Reloads the configuration, and schedules a recheck if the configuration file may have been incomplete.
+    ///
+    /// `last` is the state of the rechecks before this reload, or `None` at the first reload after a SIGHUP.
     fn reload_and_recheck(&mut self, last: Option<Recheck>) {
-        // The content is read before the reload, so that anything written between the two reads counts as a
-        // change.
+        // The file is read twice: here, for comparison at the next recheck, and then by the reload. In this
+        // order, the next recheck detects a change that is written between the two reads.
         let content = self.source.content();
         let was_valid = self.reload();
         if was_valid && !self.source.may_be_valid_when_truncated() {
@@ -134,7 +152,7 @@
         }
     }
 
-    /// Reads and applies the configuration; returns whether it was valid.
+    /// Reads and applies the configuration; returns whether the configuration was valid.
     fn reload(&mut self) -> bool {
         let config = match self.load_and_apply_log_levels() {
             Ok(config) => config,
--- a/crates/scheduler/src/serve/scheduler.rs
+++ b/crates/scheduler/src/serve/scheduler.rs
@@ -21,18 +21,19 @@
 use crate::configuration::LoadedConfig;
 use crate::logging::Log;
 
-/// A running scheduler and its components. The tasks that it spawned run until the runtime ends.
+/// A running scheduler: the proxy, the handle of the endpoint source and the cluster member. Dropping the
+/// scheduler does not end the tasks that serve clients; these tasks run until the runtime ends.
 pub(super) struct Scheduler {
     proxy: AssembledProxy,
     discovery: DiscoveryHandle,
-    // If the scheduler is dropped without `shut_down`, the member ends without notice, and the other members
-    // must detect that by probing.
+    // If the scheduler is dropped without a call of `shut_down`, this member ends without notifying the other
+    // members. They then detect by probing that this member has ended.
     #[cfg(feature = "standalone")]
     member: Option<MembershipTransport>,
 }
 
 impl Scheduler {
-    /// Starts the components and the tasks that serve clients.
+    /// Starts the components of the scheduler and the tasks that serve clients.
     ///
     /// # Errors
     /// Fails if a component does not start.
@@ -59,17 +60,18 @@
         })
     }
 
-    /// Returns the handle through which a reload changes the endpoint source.
+    /// Returns the handle through which a configuration reload changes the endpoint source.
     pub(super) fn discovery(&self) -> &DiscoveryHandle {
         &self.discovery
     }
 
-    /// Shuts down: waits until the accepted requests are answered, at the latest until the drain deadline,
-    /// closes the connections and ends the components. Returns the time left for ending the event log and the
-    /// log.
+    /// Waits until the accepted requests are answered, closes the client connections and ends the components.
+    /// The wait for requests ends at the drain deadline at the latest.
+    ///
+    /// Returns the budget that limits how long the caller may wait for the event log and the log to end.
     pub(super) async fn shut_down(self, log: &Log, recorder: &Recorder) -> ExitBudget {
-        // The member leaves before the wait for requests, so that the other members learn of the shutdown
-        // while this one still serves.
+        // The member leaves the cluster before the wait for requests, so that the other members learn of the
+        // shutdown while this scheduler still answers its last requests.
         #[cfg(feature = "standalone")]
         self.member.iter().for_each(MembershipTransport::leave);
         let deadlines = self.proxy.begin_shutdown();
@@ -94,13 +96,17 @@
     }
 }
 
-/// Converts the request totals of a run to the form of the event log.
+/// Converts the totals of client requests to the form that the event log records at the end of a run.
 fn request_counts(totals: RequestTotals) -> RequestCounts {
     let RequestTotals { received, answered, disconnected } = totals;
     RequestCounts { received, answered, disconnected, unanswered: totals.unanswered() }
 }
 
-/// Records the start of the run and, from then on, each time that a counter of faults reaches a power of two.
+/// Records the start of the run in the event log, and from then on the counters of faults, such as violated
+/// invariants and invalid requests.
+///
+/// A counter is recorded whenever its count reaches a power of two, so that a frequent fault does not flood
+/// the event log.
 fn record_start(proxy: &AssembledProxy, startup: &StartupConfig, recorder: &Recorder) {
     let event_recorder = Arc::clone(&proxy.context.recorder);
     invariant::observe_counters(Box::new(move |what, count| event_recorder.counter_reached(what, count)));
@@ -108,7 +114,10 @@
     recorder.record(EventKind::RunStarted { name, version: program_version });
 }
 
-/// Spawns the tasks that follow the endpoint source and accept clients. They run until the runtime ends.
+/// Spawns a task that publishes the endpoint source's updates and a task that accepts client connections.
+/// Both tasks run until the runtime ends.
+///
+/// Returns the handle through which a reload changes the endpoint source.
 fn spawn_tasks(proxy: &AssembledProxy, startup: &StartupConfig) -> DiscoveryHandle {
     let (discovery, source) = DiscoveryHandle::create(&startup.discovery, proxy.cached_revision);
     tokio::spawn(source.follow(proxy.endpoint_publisher.clone()));
@@ -116,11 +125,11 @@
     discovery
 }
 
-/// Runs a toy worker in place of the first worker of the static list, in a task that runs until the runtime
-/// ends.
+/// Spawns a task that runs a toy worker with the name and the address of the first worker of the static
+/// endpoint list. The task runs until the runtime ends.
 ///
 /// # Errors
-/// Fails if there is no static list or it is empty.
+/// Fails if the configuration has no static endpoint list or the list is empty.
 #[cfg(feature = "toy")]
 pub(super) fn spawn_toy_worker(startup: &StartupConfig) -> Result<(), StartError> {
     use copperspread_settings::DiscoveryConfig;
--- a/crates/scheduler/src/toy_worker.rs
+++ b/crates/scheduler/src/toy_worker.rs
@@ -1,9 +1,11 @@
-//! A toy worker and a discovery that lists it, for trying out the scheduler as README.md describes.
+//! A toy worker for trying out the scheduler, and a toy discovery service whose endpoint list contains only
+//! that worker. Both listen on loopback addresses only and are not meant for real traffic.
 //!
-//! The worker accepts every request that has an id, sends a callback, sleeps for the cost hint (the `X-Cost`
-//! header, in microseconds) and sends the final callback. It processes one request at a time in each of its
-//! two slots, and its load reports name the free slots. It is not meant for real traffic and listens on
-//! loopback addresses only.
+//! The toy worker accepts every request that has an id. The worker has two slots, each for one request at a
+//! time; further requests wait for a free slot. For each request, the worker reports the start to the
+//! scheduler in a callback, sleeps for the request's cost hint (the header `X-Cost`, in microseconds) and
+//! sends the result in a final callback. The final callback contains a load report with the number of free
+//! slots.
 use std::future::IntoFuture;
 use std::io;
 use std::net::SocketAddr;
@@ -23,13 +25,13 @@
 use tokio::time::sleep;
 use tracing::{debug, info, warn};
 
-/// Address that the toy discovery listens on.
+/// Address that the toy discovery service listens on.
 const DISCOVERY_ADDRESS: &str = "127.0.0.1:8500";
 /// Name of the toy worker in the built-in default configuration and in the toy discovery's endpoint list.
 const DEFAULT_WORKER_NAME: &str = "toy-1";
 /// Address of the toy worker in the built-in default configuration and in the toy discovery's endpoint list.
 const DEFAULT_WORKER_ADDRESS: &str = "127.0.0.1:9001";
-/// Number of requests that the toy worker processes at once.
+/// Maximum number of requests that the toy worker processes at the same time.
 const SLOTS: usize = 2;
 /// Service time, in microseconds, of a request without a valid cost hint.
 const DEFAULT_COST_MICROS: u64 = 100_000;
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Accepts a request, or returns 404 if it has no id. A spawned task processes it.
+    /// Accepts a request and spawns a task that processes the request. A request without an id is answered
+    /// with status 404 instead.
     fn accept(self, headers: &HeaderMap, request: &Request) -> StatusCode {
         let header = |name| headers.get(name).and_then(|value| value.to_str().ok());
         let Some(id) = header("x-request-id") else { return StatusCode::NOT_FOUND };
@@ -66,7 +69,8 @@
         StatusCode::ACCEPTED
     }
 
-    /// Waits for a slot, then sleeps for `cost` and sends a callback before and after.
+    /// Waits for a free slot, reports the start of the request in a callback, sleeps for `cost` and sends the
+    /// result in a final callback.
     async fn process_request(self, id: String, cost: Duration) {
         let Ok(slot) = self.slots.acquire().await else { return };
         let name = &self.name;
@@ -94,8 +98,11 @@
     }
 }
 
-/// Returns the complete endpoint list, whose revision is always 1. A watch (a request with `from=1`) is first
-/// held open for its parameter `hold_ms`, in milliseconds.
+/// Answers a request to the toy discovery service with the complete endpoint list, which never changes and
+/// always has revision 1.
+///
+/// A request with the parameter `from=1` is a watch, that is, a request for the changes after revision 1. A
+/// watch is answered after the number of milliseconds in its parameter `hold_ms`.
 async fn answer_with_list(request: Request) -> String {
     let query = request.uri().query().unwrap_or_default();
     let numeric_parameter =
@@ -109,7 +116,8 @@
     format!(r#"{{"revision":1,"complete":true,"members":[{endpoint}]}}"#)
 }
 
-/// Runs a toy worker with this name and address until the task is dropped.
+/// Runs a toy worker called `name` that listens on `address` and sends callbacks to `scheduler`. The worker
+/// runs until the returned future is dropped.
 ///
 /// # Errors
 /// Fails if the address cannot be listened on or is not a loopback address.
@@ -118,15 +126,17 @@
     let accept = move |headers: HeaderMap, request: Request| async move { worker.accept(&headers, &request) };
     let listener = listen(address).await?;
     info!(worker = name, address, "toy worker is listening");
-    // Cancellations arrive at `/jobs/{id}`; they are answered and ignored.
+    // The scheduler sends cancellations to `/jobs/{id}`. The toy worker answers them with status 204 but does
+    // not cancel the request.
     let router = Router::new().route("/jobs/{id}", any(async || StatusCode::NO_CONTENT)).fallback(accept);
     axum::serve(listener, router).await
 }
 
-/// Runs the default toy worker and the discovery that lists it.
+/// Runs a toy worker on 127.0.0.1:9001 and, on 127.0.0.1:8500, a toy discovery service whose endpoint list
+/// contains that worker. The worker sends its callbacks to `scheduler`.
 ///
 /// # Errors
-/// Fails if one of their addresses cannot be listened on.
+/// Fails if the address of the worker or of the discovery service cannot be listened on.
 pub(crate) async fn serve_with_discovery(scheduler: SocketAddr) -> io::Result<()> {
     let listener = listen(DISCOVERY_ADDRESS).await?;
     let router = Router::new().route("/api/targets", get(answer_with_list));
