--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -11,7 +11,7 @@
 use crate::commands::trace::TraceArguments;
 use crate::policy_argument::parse_policy;
 
-/// Plays scenarios of workers, clients and failures against the scheduler's decisions.
+/// Tests and compares dispatch policies in scenarios of workers, clients and failures.
 #[derive(Debug, Parser)]
 #[command(name = "copperspread-testbed", version)]
 pub(crate) struct CommandLine {
@@ -21,35 +21,35 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// List the scenarios that come with the program
+    /// List the built-in scenarios with their descriptions
     Scenarios,
-    /// Print one of them, as a file to start from
+    /// Print the TOML text of a built-in scenario, which can serve as a template
     Show {
-        /// Its name
+        /// Name of the built-in scenario
         name: String,
     },
-    /// Play a scenario once in virtual time
+    /// Simulate a scenario once in virtual time
     Sim(SimArguments),
-    /// Play a scenario once in real time: the program's own processes, all else on loopback
+    /// Run a scenario once in real time, with scheduler processes and loopback sockets
     Emulate(EmulateArguments),
-    /// Print a scenario with the jobs that a scheduler's records hold in place of drawn ones
+    /// Print a scenario as TOML, with its jobs replaced by the requests in a scheduler's event log
     Trace(TraceArguments),
-    /// Measure what the whole program costs for a job, against a bare relay in the same run
+    /// Measure the scheduler's throughput and CPU time per request, compared with a round-robin relay
     Cost(CostArguments),
-    /// Serve as one of the emulator's schedulers, by EDGE_CONFIG
+    /// Serve as a scheduler of the `emulate` command; EDGE_CONFIG names the configuration file
     #[command(hide = true)]
     Node {
-        /// What decides
+        /// Dispatch policy of the scheduler
         #[arg(long, value_parser = parse_policy)]
         policy: PolicyKind,
     },
-    /// Serve as a bare relay, by EDGE_CONFIG
+    /// Serve as the relay of the `cost` command; EDGE_CONFIG names the configuration file
     #[command(hide = true)]
     Relay,
-    /// Send a scenario's jobs over HTTP, in an open loop: a slow answer holds no later job back
+    /// Send a scenario's jobs over HTTP in an open loop: a slow response does not delay later jobs
     Load(LoadArguments),
-    /// Play an experiment's file: scenarios, variants and seeds; a cut-off one goes on where it stood
+    /// Execute the runs of an experiment; runs stored by an earlier, interrupted execution are skipped
     Run(RunArguments),
-    /// Play scenarios under the module and the baselines, in pairs of one seed
+    /// Simulate scenarios with several dispatch policies and the same seeds, and compare the results
     Compare(CompareArguments),
 }
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -12,18 +12,18 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct CompareArguments {
-    /// Scenarios' names or files; none is all that come with the program but the large one
+    /// Names of built-in scenarios, or paths of scenario files; if omitted, all built-in ones except `large`
     scenarios: Vec<String>,
-    /// How many seeds, from 1
+    /// Number of simulations per scenario and policy, with seeds 1, 2, 3 and so on
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// Only these, the first against the others
+    /// Dispatch policies, separated by commas; the first is compared with each of the others
     #[arg(long, value_delimiter = ',', value_parser = parse_policy)]
     policies: Vec<PolicyKind>,
     /// Print all outcomes as JSON
     #[arg(long)]
     json: bool,
-    /// Write a report too: one HTML file that needs nothing else
+    /// Also write a self-contained HTML report to this file
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
 }
--- a/crates/testbed/src/commands/cost.rs
+++ b/crates/testbed/src/commands/cost.rs
@@ -11,22 +11,22 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct CostArguments {
-    /// The program, in place of the one beside this one
+    /// Scheduler program to measure, instead of copperspread-scheduler in this program's folder
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Rounds, each of both in turn
+    /// Number of rounds; each round measures the scheduler and the relay once
     #[arg(long, default_value_t = 5)]
     rounds: u32,
-    /// Seconds of each in a round
+    /// Length of each program's measurement in a round, in seconds
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
-    /// Clients that ask one request after the other
+    /// Number of concurrent clients; each waits for a response before its next request
     #[arg(long, default_value_t = 64)]
     clients: usize,
-    /// Workers
+    /// Number of stub workers, which complete each request immediately
     #[arg(long, default_value_t = 8)]
     workers: u32,
-    /// Print all rounds as JSON
+    /// Print the measurements of all rounds as JSON
     #[arg(long)]
     json: bool,
 }
--- a/crates/testbed/src/commands/emulate.rs
+++ b/crates/testbed/src/commands/emulate.rs
@@ -14,18 +14,18 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct EmulateArguments {
-    /// A scenario's name, or a file
+    /// Name of a built-in scenario, or path of a scenario file
     scenario: String,
-    /// What decides in the schedulers' node, where no program is named
+    /// Dispatch policy of the schedulers; unused with --program
     #[arg(long, default_value = "copperspread", value_parser = parse_policy)]
     policy: PolicyKind,
-    /// The program to start for each scheduler, in place of the one beside this one
+    /// Program to start for each scheduler, instead of the one that --policy selects
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Its arguments
+    /// Argument for the program of --program; may be repeated
     #[arg(long = "argument", default_value = "serve", requires = "program")]
     arguments: Vec<String>,
-    /// The seed of all chance
+    /// Seed of the random numbers of the run
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Print the whole outcome as JSON
--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -13,24 +13,24 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct LoadArguments {
-    /// A scenario's name, or a file: its classes, rate and bursts
+    /// Scenario with the job classes, rate and bursts: a built-in scenario's name, or a file's path
     scenario: String,
-    /// Where to send them
+    /// IP address and port to send the jobs to
     #[arg(long, default_value = "127.0.0.1:8081")]
     target: SocketAddr,
-    /// Jobs a second, in place of the scenario's
+    /// Number of jobs per second, instead of the scenario's rate
     #[arg(long)]
     rate: Option<f64>,
-    /// Seconds, in place of the scenario's; an hour at most
+    /// Duration of the load in seconds, instead of the scenario's duration; an hour at most
     #[arg(long)]
     seconds: Option<f64>,
-    /// Most requests that are open at once; past that, jobs are not sent, and counted
+    /// Maximum number of open requests; a job that would exceed it is counted as not sent
     #[arg(long = "most-open", value_name = "MOST_OPEN", default_value_t = 1_024)]
     max_open_requests: usize,
-    /// The seed of the arrivals
+    /// Seed of the random numbers that generate the jobs
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Also to an address that is not this machine's own
+    /// Allow a --target that is not a loopback address
     #[arg(long)]
     anywhere: bool,
     /// Print the outcome as JSON
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -37,8 +37,8 @@
 /// The result of a command. The type of the error does not matter, because the error is only printed.
 pub(crate) type CommandResult = Result<CommandStatus, Box<dyn Error>>;
 
-/// Executes a parsed command. With `sim`, `emulate` and `run`, the returned status says whether a run
-/// violated a rule of the rule checker.
+/// Executes the command that the command line names. For `sim`, `emulate` and `run`, the returned status says
+/// whether a run violated a rule of the rule checker.
 pub(crate) fn run(command: Command) -> CommandResult {
     match command {
         Command::Scenarios => show::list_scenarios(),
--- a/crates/testbed/src/commands/run.rs
+++ b/crates/testbed/src/commands/run.rs
@@ -12,15 +12,15 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct RunArguments {
-    /// The experiment, a TOML file
+    /// TOML file that defines the experiment
     experiment: PathBuf,
-    /// The file that keeps the runs; the experiment's with `.runs.jsonl` if it is not named
+    /// File that stores the runs; if omitted, the experiment file's path with the extension `.runs.jsonl`
     #[arg(long, value_name = "FILE")]
     runs: Option<PathBuf>,
     /// Print all outcomes as JSON
     #[arg(long)]
     json: bool,
-    /// Write a report too: one HTML file that needs nothing else
+    /// Also write a self-contained HTML report to this file
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
 }
--- a/crates/testbed/src/commands/sim.rs
+++ b/crates/testbed/src/commands/sim.rs
@@ -13,12 +13,12 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct SimArguments {
-    /// A scenario's name, or a file
+    /// Name of a built-in scenario, or path of a scenario file
     scenario: String,
-    /// What decides
+    /// Dispatch policy of the schedulers
     #[arg(long, default_value = "copperspread", value_parser = parse_policy)]
     policy: PolicyKind,
-    /// The seed of all chance
+    /// Seed of the random numbers of the run
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Print the whole outcome as JSON
--- a/crates/testbed/src/commands/trace.rs
+++ b/crates/testbed/src/commands/trace.rs
@@ -1,4 +1,4 @@
-//! The `trace` command: prints a scenario whose job arrivals are read from a scheduler's event log.
+//! The `trace` command: replaces a scenario's jobs by the requests in a scheduler's event log.
 use std::fmt::Display;
 use std::fs::File;
 use std::io::BufReader;
@@ -13,9 +13,9 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct TraceArguments {
-    /// A scenario's name, or a file: fleet, classes and faults
+    /// Scenario with the fleet, classes and faults: a built-in scenario's name, or a file's path
     scenario: String,
-    /// The file of records
+    /// Event log file of a scheduler, from which the jobs are read
     records: PathBuf,
 }
 
