--- a/crates/config/src/types/classes.rs
+++ b/crates/config/src/types/classes.rs
@@ -5,17 +5,17 @@
 
 use crate::units::HumanDuration;
 
-/// A request class.
+/// A request class: latency objective, deadline, priority weight and retry rules of its requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Name of the class: the first segment of the path of its requests.
     pub name: String,
-    /// Latency objective: a response within this time plus the stretch earns the full `worth`; at most
-    /// `deadline`.
+    /// Latency objective: a response within this time, extended by `stretch`, counts with the full `worth`;
+    /// at most `deadline`.
     #[serde(default = "default_aim")]
     pub aim: HumanDuration,
-    /// The latency objective grows by this multiple of the request's own running time; 0 or more.
+    /// Multiple of a request's own running time by which the latency objective `aim` is extended; 0 or more.
     #[serde(default)]
     pub stretch: f64,
     /// Time after which the client gives up, including its own retries; over 0 and at most a day.
@@ -27,7 +27,7 @@
     /// Idempotency of the requests: whether a request may be sent to workers again.
     #[serde(default)]
     pub repeat: RepeatPolicy,
-    /// For `keyed`: which workers share their idempotency keys.
+    /// Which workers share a store of idempotency keys; used only if `repeat` is `keyed`.
     #[serde(default)]
     pub key_scope: KeyScope,
     /// How long workers drop repeats of an idempotency key; over 0. Required for `keyed`, and not allowed
@@ -80,15 +80,15 @@
     Safe,
 }
 
-/// Which workers share their idempotency keys.
+/// Which workers share a store of idempotency keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum KeyScope {
-    /// All workers.
+    /// All workers share one store.
     #[default]
     All,
-    /// The workers of one zone.
+    /// The workers of each zone share one store.
     Zone,
-    /// The workers of one cell.
+    /// The workers with the same `cell` share one store.
     Cell,
 }
--- a/crates/config/src/types/dispatch.rs
+++ b/crates/config/src/types/dispatch.rs
@@ -31,10 +31,11 @@
     pub from: f64,
     /// Longest time from a worker's start until it has its full capacity.
     pub warm_within: HumanDuration,
-    /// Overload limit in slow start, as a multiple of the worker's present capacity; over 0. A worker is
-    /// overloaded and fails if all schedulers together send it more than this in `fall_window`.
+    /// Overload limit in slow start, as a multiple of the worker's present capacity; over 0. A worker
+    /// in slow start is overloaded and fails if all schedulers together send it more work than this limit
+    /// within `fall_window`.
     pub fall_multiple: f64,
-    /// Length of the time window of `fall_multiple`; over 0.
+    /// Time window over which the work sent to a worker is summed for the limit `fall_multiple`; over 0.
     pub fall_window: HumanDuration,
 }
 
--- a/crates/config/src/types/downstream.rs
+++ b/crates/config/src/types/downstream.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Fronts")]
 pub struct DownstreamConfig {
-    /// Requests of clients over HTTP/1.1.
+    /// Settings for the requests that clients send over HTTP/1.1.
     pub http: HttpDownstreamConfig,
 }
 
@@ -23,7 +23,7 @@
     #[serde(deserialize_with = "deserialize_listen_address")]
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// Longest `Retry-After` of a rejection.
+    /// Maximum delay that the `Retry-After` header of a rejection asks for.
     pub max_retry_after: HumanDuration,
 }
 
--- a/crates/config/src/types/endpoints.rs
+++ b/crates/config/src/types/endpoints.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Source")]
 pub struct EndpointSourceConfig {
-    /// Kind of source.
+    /// Kind of source that provides the endpoint list.
     pub kind: EndpointSourceKind,
     /// Host and port of the discovery service; required for kind `targets`, and not allowed for `static`.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -29,7 +29,7 @@
     }
 }
 
-/// Kind of the endpoint list's source.
+/// Kind of source that provides the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", expecting = "enum SourceKind")]
 pub enum EndpointSourceKind {
@@ -65,10 +65,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", expecting = "enum State")]
 pub enum WorkerPhase {
-    /// It takes new requests.
+    /// The worker takes new requests.
     #[default]
     Serving,
-    /// It finishes the requests that it has and takes no new ones.
+    /// The worker finishes its present requests and takes no new requests.
     Draining,
 }
 
--- a/crates/config/src/types/membership.rs
+++ b/crates/config/src/types/membership.rs
@@ -13,7 +13,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Cluster")]
 pub struct MembershipConfig {
-    /// IP address and port for the other members, UDP and TCP; if absent, there is no membership.
+    /// IP address and port on which this scheduler listens for the other members, over UDP and TCP; if
+    /// absent, there is no membership.
     #[serde(deserialize_with = "deserialize_optional_address", skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     pub bind: Option<SocketAddr>,
@@ -39,8 +40,9 @@
     pub probe_timeout: HumanDuration,
     /// Number of other members that are asked to probe a member that did not answer; 1 to 16.
     pub indirect: u32,
-    /// A suspected member is declared dead after this many probe intervals, times the base-10 logarithm of
-    /// the number of members if that logarithm is above 1; over 0 and at most 1000.
+    /// Number of probe intervals after which a suspected member is declared dead; over 0 and at most 1000.
+    /// `suspicion` is multiplied by the base-10 logarithm of the number of members if that logarithm is
+    /// above 1.
     pub suspicion: f64,
 }
 
--- a/crates/config/src/types/process.rs
+++ b/crates/config/src/types/process.rs
@@ -30,7 +30,7 @@
     /// `"info,copperspread_proxy=debug"`. The environment variable RUST_LOG overrides it. Read again on
     /// SIGHUP.
     pub level: String,
-    /// Format of the log.
+    /// Whether log entries are written as text or as JSON lines.
     pub format: LogFormat,
 }
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// Text on a terminal, JSON lines otherwise.
+    /// Text if standard error is a terminal, JSON lines otherwise.
     Auto,
     /// Human-readable text.
     Text,
@@ -59,9 +59,10 @@
     /// File that events are appended to, or `-` for standard error; if absent, there is no event log.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub file: Option<PathBuf>,
-    /// Before the file exceeds this size, it is renamed to `FILE.1` and a new one is begun; at least 64 KiB.
+    /// Size limit of the event log file; at least 64 KiB. Before an event would exceed the limit, the file is
+    /// renamed to `FILE.1` and a new file is begun.
     pub rotate_at: HumanSize,
-    /// Number of rotated files that are kept; at least 1.
+    /// Number of rotated event log files that are kept; at least 1.
     pub keep: u32,
     /// Number of events that may wait to be written, 16 to 1000000. Further ones are dropped, counted and
     /// reported as a gap.
--- a/crates/config/src/types/upstream.rs
+++ b/crates/config/src/types/upstream.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct Backs")]
 pub struct UpstreamConfig {
-    /// Workers that take a request over HTTP and report its completion by a callback.
+    /// Settings for workers that take a request over HTTP and report its completion by a callback.
     pub http: HttpUpstreamConfig,
 }
 
@@ -17,8 +17,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields, expecting = "struct HttpBack")]
 pub struct HttpUpstreamConfig {
-    /// Timeout for connecting to a worker; over 0. A keyed request is retried only while at least this time
-    /// plus 50 ms is left of its `key_window`.
+    /// Timeout for connecting to a worker; over 0. A keyed request is retried only while its `key_window`
+    /// has more than this time plus 50 ms left, so that the retry is sent within the window.
     pub connect_within: HumanDuration,
     /// Time after which workers close an idle connection; over 0.
     pub keep_idle: HumanDuration,
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -16,20 +16,20 @@
 pub(crate) enum Command {
     /// Serve until SIGTERM; SIGHUP reloads the configuration
     Serve(ServeArguments),
-    /// Check a configuration and print its values with their origins, or a summary of the platform's JSON
+    /// Check a configuration and print its values with their origins; for a .json file, print a summary
     #[cfg(feature = "standalone")]
     Check {
         #[command(flatten)]
         layers: LayerArguments,
-        /// Configuration file: TOML, or the platform's JSON if it ends in .json; if omitted, the built-in
-        /// default
+        /// Configuration file in TOML or, if its name ends in .json, in the hosting platform's JSON format;
+        /// if omitted, the built-in default
         file: Option<PathBuf>,
     },
     /// Print the configuration's schema, default or reference page
     #[cfg(feature = "standalone")]
     #[command(subcommand)]
     Config(ConfigDescription),
-    /// Read event logs
+    /// Print or summarize the event logs that schedulers write
     #[cfg(feature = "standalone")]
     #[command(subcommand)]
     Records(EventLogCommand),
@@ -39,10 +39,10 @@
         /// Shell to print the script for
         shell: clap_complete::Shell,
     },
-    /// Run a toy worker on 127.0.0.1:9001 and, on 127.0.0.1:8500, the discovery that lists it
+    /// Run a toy worker on 127.0.0.1:9001 and a discovery service, which lists the worker, on 127.0.0.1:8500
     #[cfg(feature = "toy")]
     Toy {
-        /// Address of the scheduler that receives the callbacks
+        /// Address of the scheduler that receives the toy worker's callbacks
         #[arg(long, default_value = "127.0.0.1:8081")]
         scheduler: std::net::SocketAddr,
     },
@@ -51,9 +51,9 @@
 #[cfg(feature = "standalone")]
 #[derive(Debug, Subcommand)]
 pub(crate) enum EventLogCommand {
-    /// Print the events, one per line; numbers of missing events and of other lines go to standard error
+    /// Print the events, one per line; counts of missing events and invalid lines go to standard error
     Cat {
-        /// File of the event log
+        /// Event log file of one scheduler
         file: PathBuf,
         /// Print only the events of the request with this id
         #[arg(long = "flow", value_name = "FLOW")]
@@ -64,20 +64,21 @@
     },
     /// Summarize the events of one or more schedulers by time window and by worker
     Fleet {
-        /// Files, one per scheduler, or folders of such files; lines that are not events are skipped
+        /// Event log files, one per scheduler, or folders of such files; lines that are not events are
+        /// skipped
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Length of the time window summed in one line, in seconds
+        /// Length of the time window that each output line summarizes, in seconds
         #[arg(long = "window", default_value_t = 5, value_name = "WINDOW")]
         #[arg(value_parser = clap::value_parser!(u64).range(1..))]
         window_seconds: u64,
-        /// Maximum number of workers to list, those with the most attempts in flight first
+        /// Maximum number of workers to list; those with the most attempts in flight are listed first
         #[arg(long = "workers", default_value_t = 20, value_name = "WORKERS")]
         max_workers: usize,
     },
-    /// Summarize the events: runs, missing events, events out of order, and final responses
+    /// Summarize an event log: runs of the scheduler, missing events, events out of order, final responses
     Stat {
-        /// File of the event log
+        /// Event log file of one scheduler
         file: PathBuf,
         /// Also read the rotated files, oldest first
         #[arg(long = "all")]
@@ -90,8 +91,8 @@
     #[cfg(feature = "standalone")]
     #[command(flatten)]
     pub(crate) layers: LayerArguments,
-    /// Configuration file in TOML; if omitted, the platform's JSON that EDGE_CONFIG names, unless --set is
-    /// given, or else the built-in default
+    /// Configuration file in TOML; if omitted, the hosting platform's JSON file that EDGE_CONFIG names or, if
+    /// EDGE_CONFIG is unset or --set is given, the built-in default
     #[cfg(feature = "standalone")]
     #[arg(long = "config", env = "COPPERSPREAD_CONFIG", value_name = "FILE")]
     pub(crate) config_file: Option<PathBuf>,
@@ -107,7 +108,8 @@
 #[cfg(feature = "standalone")]
 #[derive(Debug, Default, clap::Args)]
 pub(crate) struct LayerArguments {
-    /// Set a value, overriding all other layers: --set limits.memory="64 MB"; may be repeated
+    /// Set a configuration value, overriding file and environment: --set limits.memory="64 MB"; may be
+    /// repeated
     #[arg(long = "set", value_name = "KEY=VALUE")]
     pub(crate) overrides: Vec<String>,
 }
@@ -119,6 +121,6 @@
     Schema,
     /// Print the built-in default as a file with comments
     Default,
-    /// Print the reference page, docs/configuration.md
+    /// Print the reference page of all configuration keys in Markdown, as in docs/configuration.md
     Page,
 }
