--- a/crates/scheduler/src/commands/event_log.rs
+++ b/crates/scheduler/src/commands/event_log.rs
@@ -90,7 +90,7 @@
 /// come before that path, oldest file first.
 ///
 /// An interrupted rotation can leave a gap in the numbers of the rotated files, or rotated files without a
-/// current file. If there is no current file, only the rotated files are returned.
+/// current file. In the latter case, only the rotated files are returned.
 fn files_oldest_first(file: &Path, with_rotated: bool) -> Vec<PathBuf> {
     let rotated = if with_rotated { rotated_numbers(file) } else { Vec::new() };
     let mut files: Vec<_> =
--- a/crates/scheduler/src/configuration/layers.rs
+++ b/crates/scheduler/src/configuration/layers.rs
@@ -18,8 +18,9 @@
 ///
 /// # Errors
 /// Fails if the file cannot be read, a value is not valid or no scheduler can be started with the combination
-/// of values. The message lists several invalid values one per line. If the file has a syntax error, the
-/// message names no other fault; an invalid log level is found only if all other values are valid.
+/// of values. The message lists several invalid values one per line. A syntax error, an unknown key or a
+/// value of the wrong type in the file is reported alone. An invalid log level is reported only if all other
+/// values are valid.
 pub(super) fn load(
     file: Option<&Path>,
     overrides: &[String],
@@ -39,8 +40,8 @@
 ///
 /// # Errors
 /// Fails if the file cannot be read or a value is not valid. The message lists several invalid values one per
-/// line. If the file has a syntax error, the message names no other fault; an invalid log level is found only
-/// if all other values are valid.
+/// line. A syntax error, an unknown key or a value of the wrong type in the file is reported alone. An
+/// invalid log level is reported only if all other values are valid.
 pub(crate) fn read_effective(
     file: Option<&Path>,
     overrides: &[String],
--- a/crates/scheduler/src/serve/exit_budget.rs
+++ b/crates/scheduler/src/serve/exit_budget.rs
@@ -7,12 +7,11 @@
 /// Length of the period directly before the exit deadline that is reserved for writing the last log lines.
 const LOG_RESERVE: Duration = Duration::from_millis(50);
 /// Length of the period that is reserved for writing the last events to the event log. The components end in
-/// the order membership, event log, log; so membership must end early enough to leave this period and
+/// the order membership, event log, log. The wait for membership therefore leaves both this period and
 /// `LOG_RESERVE` before the exit deadline.
 #[cfg(feature = "standalone")]
 const EVENT_LOG_RESERVE: Duration = Duration::from_millis(100);
-/// Longest wait for the event log to write its last events. This limit also applies if more time is left, so
-/// that a hanging disk does not delay the exit until the exit deadline.
+/// Longest wait for the event log to write its last events, even if the exit deadline is later.
 const MAX_EVENT_LOG_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest time for ending the event log and the log after a scheduler has failed to start.
 const FAILED_START_EXIT_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/scheduler/src/serve/reload.rs
+++ b/crates/scheduler/src/serve/reload.rs
@@ -29,9 +29,8 @@
 const RECHECK_DURATION: Duration = Duration::from_secs(2);
 /// Interval between rechecks of a file.
 ///
-/// A recheck reloads the configuration if the file has not changed since the previous check. The
-/// configuration is not reloaded if the reloader has already read the same content and found that content
-/// valid.
+/// A recheck reloads the configuration if the file has not changed since the previous check, unless the same
+/// content was already read and was valid.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Reloads the configuration on request. A reload may wait until the configuration file has settled, and the
@@ -89,8 +88,8 @@
         Reloader { source, initial, discovery, log, pending: None, last_error: None }
     }
 
-    /// Handles a SIGHUP: reloads a JSON file at once, and a TOML file once the file has settled. A reload or
-    /// recheck that is pending from an earlier SIGHUP is dropped.
+    /// Handles a SIGHUP: if the source has a TOML file, reloads the configuration once the file has settled,
+    /// otherwise at once. A reload or recheck that is pending from an earlier SIGHUP is dropped.
     pub(super) fn request_reload(&mut self) {
         (self.pending, self.last_error) = (None, None);
         if self.source.may_be_valid_when_truncated() {
