--- a/crates/consensus/src/decision_conflict.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -31,11 +31,11 @@
     pub is_allowed: bool,
 }
 
-/// Whether two decisions on the same request conflict, where one allowed the request and the other forbade
-/// it.
+/// Whether two decisions conflict. Only decisions on the same request can conflict, and only if one allowed
+/// the request and the other forbade it.
 ///
-/// Two decisions under versions in force conflict if the versions differ. A decision under restricted rules
-/// may forbid what a version in force allows, but conflicts if it allows what a version in force forbids,
+/// Two such decisions under versions in force conflict if the versions differ. A decision under restricted
+/// rules may forbid what any other rules allow, but conflicts if it allows what a version in force forbids,
 /// whether or not the member knew that version.
 pub fn decisions_conflict<Q: PartialEq>(first: &Decision<Q>, second: &Decision<Q>) -> bool {
     if first.request != second.request || first.is_allowed == second.is_allowed {
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -49,8 +49,8 @@
     LeaseExpired,
     /// Reports that a lease holds again after [`Effect::LeaseExpired`].
     LeaseRestored,
-    /// Reports a drift between this member's clock and other clocks that exceeds the clock bound. A member
-    /// that proves a drift between its own clock and the leader's follows the restricted rules until
+    /// Reports that this member's clock drifts from other clocks by more than the clock bound. A member that
+    /// proves a drift between its own clock and the leader's follows the restricted rules until
     /// [`Effect::ClockDriftCleared`]. The leader reports a drift of its own clock if most of the other
     /// members have proven a drift from the leader's clock, and then transfers the leadership.
     ClockDriftDetected(ClockDrift),
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -10,9 +10,9 @@
 
 /// The factor that determines how often each member sends an update: at most `log10(members + 1)` times this
 /// factor, rounded up and limited to [`TRANSMISSION_BOUNDS`]. If the factor is too small and many packets are
-/// lost, some of the members that wait for a refutation never receive the update, and a running member is
-/// declared dead. With 9 members and a packet loss of 30 %, a factor of 14 is enough; 4, as in Serf, is too
-/// small, and so is 8 even with a suspicion multiplier of 8.
+/// lost, some of the members that wait for a refutation never receive it, and a running member is declared
+/// dead. With 9 members and a packet loss of 30 %, a factor of 14 is enough; 4, as in Serf, is too small, and
+/// so is 8 even with a suspicion multiplier of 8.
 const TRANSMISSION_MULTIPLIER: f64 = 14.0;
 /// Minimum and maximum of the number of times that each member sends an update. `foca` stores the number in
 /// one byte. The maximum of 60 is reached only with about 16,000 members.
--- a/crates/reservations/src/allowance_query.rs
+++ b/crates/reservations/src/allowance_query.rs
@@ -1,5 +1,5 @@
-//! Queries over the stored claims: the allowances at an instant, which are the reservations and blackouts in
-//! effect, and the next instant at which the allowances may change.
+//! Queries over the stored claims: the allowances at an instant (the reservations and blackouts in effect,
+//! and the blackouts that follow soon), and the next instant at which the allowances may change.
 use copperspread_identifiers::Name;
 
 use crate::allowances::{ActiveReservation, Allowances, BlackoutStatus, PoolAllowance, UpcomingBlackout};
@@ -86,9 +86,10 @@
     }
 }
 
-/// The next blackout with [`BlackoutEffect::NoWork`] that starts after `at`, apart from those that overlap or
-/// adjoin a blackout in effect at `at`. `from` is the end of the blackout in effect at `at`, or `at` itself
-/// if there is none. Returns `None` if the next blackout starts more than [`BLACKOUT_LOOKAHEAD`] after `at`.
+/// The next blackout with [`BlackoutEffect::NoWork`] that starts after `at` and ends after `from`. `from` is
+/// the end of the blackout with this effect that applies at `at`, as returned by [`blackout_end`], or `at`
+/// itself if there is none. Returns `None` if the next blackout starts more than [`BLACKOUT_LOOKAHEAD`] after
+/// `at`.
 fn upcoming_blackout(
     store: &ClaimStore,
     target: &BlackoutTarget,
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar.rs
@@ -56,8 +56,8 @@
         occurrences.flat_map(|occurrence| occurrence.allocations.clone()).collect()
     }
 
-    /// The reservations and blackouts that are in effect at an instant, according to the log entries applied
-    /// so far.
+    /// The reservations and blackouts that are in effect at an instant, and the blackouts that follow soon,
+    /// according to the log entries applied so far.
     pub fn allowances(&self, at: UnixMillis) -> Allowances {
         allowance_query::allowances(&self.store, at)
     }
--- a/crates/reservations/src/claim_planning.rs
+++ b/crates/reservations/src/claim_planning.rs
@@ -106,8 +106,8 @@
 }
 
 /// The occurrences that a reservation may displace within an interval, the last in rank first. Each of them
-/// has allocations in the interval and a lower precedence than the reservation, and starts late enough to be
-/// displaced.
+/// has allocations in the interval and a lower precedence than the reservation, and does not start before
+/// [`ClaimStore::displaceable_from`]. The `excluded` occurrences are left out.
 fn displaceable_occurrences<'a>(
     store: &'a ClaimStore,
     reservation: &ReservationRequest,
@@ -138,8 +138,8 @@
     ranked.into_iter().map(|(rank, occurrence)| (rank.key, occurrence)).collect()
 }
 
-/// Converts displaceable occurrences to candidates for the displacement search, which have their allocations
-/// as ranges of segment indices. Each allocation must start and end at an edge of a segment or outside the
+/// Converts displaceable occurrences to candidates for the displacement search, and their allocations to
+/// ranges of segment indices. Each allocation must start and end at an edge of a segment or outside the
 /// segments.
 fn candidates(occurrences: &[(OccurrenceKey, &Occurrence)], segments: &[Segment]) -> Vec<Candidate> {
     let segment_at = |at: UnixMillis| segments.partition_point(|segment| segment.interval.start < at);
--- a/crates/reservations/src/confirmation.rs
+++ b/crates/reservations/src/confirmation.rs
@@ -86,8 +86,8 @@
     reallocate(store, released, &Reason::DisplacedByBlackout(id.clone()), events);
 }
 
-/// The occurrences of reservations that a blackout of `target` displaces: those with allocations in the part
-/// of `interval`, the interval of the blackout, that is not over yet.
+/// The occurrences of reservations that a blackout of `target` over `interval` displaces: those with
+/// allocations in the part of `interval` that is not over yet.
 fn reservations_under<'a>(
     store: &'a ClaimStore,
     target: &'a BlackoutTarget,
--- a/crates/reservations/src/displacement_search.rs
+++ b/crates/reservations/src/displacement_search.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// Finds candidates greedily whose displacement frees the missing slots, and returns their indices in
+/// Greedily chooses candidates whose displacement frees the missing slots, and returns their indices in
 /// ascending order. First takes, in the given order, each candidate that frees a missing slot. Then goes
 /// through the taken candidates in reverse order, and drops each candidate that is not needed.
 fn greedy_cover(shortage: &[i64], candidates: &[Candidate]) -> Vec<usize> {
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -27,9 +27,9 @@
     pub(crate) pools: BTreeMap<Name, PoolIndex>,
     /// The intervals of the confirmed and active blackouts.
     pub(crate) blackouts: BTreeMap<BlackoutTarget, IntervalMap<UnixMillis, ClaimId>>,
-    /// The instants at which the reservations and blackouts in effect change, each with the number of
-    /// changes: starts and ends of intervals, and instants from which on a coming [`BlackoutEffect::NoWork`]
-    /// blackout is at most [`BLACKOUT_LOOKAHEAD`] away.
+    /// The instants at which the [`Allowances`](crate::Allowances) change, each with the number of changes at
+    /// that instant. A change is the start or the end of an interval of a confirmed or active claim, or the
+    /// instant [`BLACKOUT_LOOKAHEAD`] before a [`BlackoutEffect::NoWork`] blackout starts.
     pub(crate) allowance_changes: BTreeMap<UnixMillis, u32>,
     /// The instants at which claims are due for a transition or removal. Outdated entries stay in the set and
     /// are skipped when they are due.
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -91,8 +91,8 @@
 }
 
 /// Allocates free slots to an occurrence: `max_slots` or the requested number, whichever is lower. If that
-/// many slots are not free, allocates fewer if the flexibility of the request accepts fewer, and otherwise
-/// none.
+/// many slots are not free over the rest of its interval, allocates what the flexibility of the request
+/// accepts, which may be fewer slots or only parts of the interval, and otherwise none.
 fn allocate_free_slots(store: &mut ClaimStore, key: &OccurrenceKey, max_slots: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
