--- a/crates/event-log/src/batch_writer.rs
+++ b/crates/event-log/src/batch_writer.rs
@@ -37,7 +37,7 @@
     /// only the 1st, 2nd, 4th, 8th, ... is logged.
     rotation_failures: u64,
     /// The sequence number that follows the last written record, or 0 at the start of the run. If the next
-    /// record has a higher number, the records between the two are missing.
+    /// record has a higher number, the records in between are missing.
     next_sequence: u64,
     counts: Arc<SharedCounts>,
 }
--- a/crates/event-log/src/error.rs
+++ b/crates/event-log/src/error.rs
@@ -23,8 +23,8 @@
 const EIO: i32 = 5;
 
 impl EventLogError {
-    /// Whether the error means that the disk is full or failing. Such a condition may end without any change
-    /// to the configuration, whereas a path that cannot be written to has to be corrected.
+    /// Whether the error means that the disk is full or failing. Such an error may end by itself, unlike an
+    /// error because of a path that cannot be written to.
     pub(crate) fn is_storage_failure(&self) -> bool {
         let EventLogError::Io(error) = self else { return false };
         matches!(error.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded)
--- a/crates/event-log/src/fleet_summary.rs
+++ b/crates/event-log/src/fleet_summary.rs
@@ -127,8 +127,8 @@
     }
 
     /// Returns the summary as text. After the totals, the text has one line for each window of `window_s`
-    /// seconds (0 is taken as 1), then one line for each of the `max_workers` workers that had the most
-    /// attempts in flight at once, the highest number first.
+    /// seconds (0 is taken as 1) that has a record, then one line for each of at most `max_workers` workers,
+    /// sorted by the highest number of attempts in flight at once, in descending order.
     pub fn to_text(&self, window_s: u64, max_workers: usize) -> String {
         let mut text = String::new();
         let missing: u64 = self.runs.values().map(|run| run.missing).sum();
--- a/crates/event-log/src/record.rs
+++ b/crates/event-log/src/record.rs
@@ -212,7 +212,7 @@
     pub state: String,
     /// The time of the worker's last start, in microseconds of Unix time on the scheduler's clock, which is
     /// set from the wall clock only when the scheduler starts. Absent if the endpoint list does not state the
-    /// start; such a worker is not in slow start.
+    /// start; the worker then counts as started long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_us: Option<u64>,
     /// The worker's kind, such as a machine type, as a number; the scheduler numbers all worker kinds from 0.
--- a/crates/event-log/src/worker_summary.rs
+++ b/crates/event-log/src/worker_summary.rs
@@ -24,8 +24,8 @@
     attempts_sent: u64,
     in_flight_changes: Vec<InFlightChange>,
     attempt_outcomes: Counts,
-    /// Elapsed times of served attempts, each in percent of the attempt's estimate: the time to the finish of
-    /// the attempt that the dispatch policy expected when it decided to send the attempt.
+    /// Elapsed times of served attempts, each in percent of the time that was estimated for the attempt when
+    /// the dispatch policy decided to send the attempt.
     percent_of_estimate: Option<Histogram<u64>>,
 }
 
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -16,23 +16,23 @@
 /// [`Debts`] exceeds 128 bits.
 const MAX_CONTRIBUTION: i128 = 1 << 60;
 /// Maximum number of halvings that are applied to a sum in one step. The magnitude of a sum in [`Debts`] has
-/// fewer bits than this number, so that many halvings make any sum 0.
+/// fewer bits than this number, so any sum is 0 after this number of halvings.
 const MAX_HALVINGS: i64 = 126;
 
 /// Debts of tenants: their usage above their entitlement, which decays by half in each half-life.
 ///
 /// The contribution of a window to a tenant's debt is the tenant's work in that window, plus the tenant's
 /// adjustments (changes of the work in earlier windows), minus the tenant's entitlement, in
-/// slot-milliseconds. A contribution may be negative. It decays linearly to one half over the first
-/// half-life, to a quarter over the second, and so on: at most 6.2 % above the exponential curve, and equal
-/// to that curve at each multiple of the half-life.
+/// slot-milliseconds. A contribution may be negative. Each contribution decays linearly to one half over the
+/// first half-life, to a quarter over the second, and so on: at most 6.2 % above the exponential curve, and
+/// equal to that curve at each multiple of the half-life.
 ///
-/// The half-life is a number of windows, and each tenant has that many sums. The contribution of a window is
-/// added to the sum whose index is the window's index modulo the half-life. A sum is halved each time a
-/// window with such an index is reached, and [`Debts::balance`] computes the linear decay between the
-/// halvings on each call. Therefore rounding errors do not accumulate, and the order of contributions does
-/// not matter. A contribution is exact for 32 half-lives. After that each halving of its sum is rounded
-/// towards 0, by less than 2^-32 slot-milliseconds, until the sum is 0.
+/// The half-life is a number of windows, and each tenant has that many sums. Sum `i` takes the contributions
+/// of the windows whose index modulo the half-life is `i`, and is halved each time such a window is reached.
+/// [`Debts::balance`] computes the linear decay between the halvings on each call. Therefore rounding errors
+/// do not accumulate, and the order of contributions does not matter. A contribution is exact for 32
+/// half-lives. After that each halving of its sum is rounded towards 0, by less than 2^-32 slot-milliseconds,
+/// until the sum is 0.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debts {
     /// Half-life of debts, as a number of accounting windows.
@@ -41,8 +41,8 @@
     /// Index of the window that was added last.
     #[serde(rename = "last")]
     last_window: Option<i64>,
-    /// Sums of the contributions by tenant, each at the index of its windows modulo the half-life, as
-    /// fixed-point numbers with [`FRACTION_BITS`] fractional bits.
+    /// Sums of the contributions by tenant, as fixed-point numbers with [`FRACTION_BITS`] fractional bits.
+    /// Sum `i` is that of the windows whose index modulo the half-life is `i`.
     sums: BTreeMap<Name, Vec<i128>>,
 }
 
@@ -54,7 +54,7 @@
     }
 
     /// Adds the usage of a closed window to the debts. `entitlements` is the entitlement of each tenant in
-    /// that window, in slot-milliseconds; the debts of tenants without an entitlement are removed.
+    /// that window, in slot-milliseconds; the debts of tenants that are not listed there are removed.
     ///
     /// The ledger omits windows without usage. An omitted window contributes nothing to a debt, but the debts
     /// decay for that window too. A window that is not later than the last added window is ignored.
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -246,10 +246,10 @@
         }
     }
 
-    /// Raises `discarded_through` to the last received sequence number before the first kept entry, and
-    /// abandons the missing numbers below that number. The starts of the reported intervals do not decrease
-    /// with the sequence number, so a report that is missing before a discarded entry is older than the
-    /// horizon too. Reports that are missing after the last discarded entry may still arrive.
+    /// Raises `discarded_through` to the last received sequence number before the first kept one, and
+    /// abandons the missing numbers below `discarded_through`. The starts of the reported intervals do not
+    /// decrease with the sequence number, so a report that is missing before a discarded entry is older than
+    /// the horizon too. Missing reports with a number above `discarded_through` may still arrive.
     fn raise_discarded_through(&mut self) {
         let discarded_through = self.last_received_before_retained();
         if discarded_through <= self.discarded_through {
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -33,7 +33,7 @@
 /// Limit of the absolute value of an instant, in milliseconds of Unix time. Instants are clamped to this
 /// limit, so that no sum of them exceeds 64 bits.
 const MAX_INSTANT_MS: i64 = 1 << 60;
-/// Number of steps that divide the horizon: the start of the horizon moves by a whole step at a time. Each
+/// Number of steps into which the horizon is divided. The start of the horizon moves by whole steps. Each
 /// move discards old entries, which scans all entries that are kept; therefore the horizon does not move with
 /// each window.
 const STEPS_PER_HORIZON: i64 = 16;
@@ -241,7 +241,8 @@
     }
 
     /// Index of the first window that the ledger retains: the start of the horizon, rounded down to a
-    /// multiple of the step length, which is the horizon divided by [`STEPS_PER_HORIZON`].
+    /// multiple of the step length. A step is the horizon divided by [`STEPS_PER_HORIZON`], but at least one
+    /// window.
     fn first_retained_window(&self) -> i64 {
         let windows = i64::from(self.settings.horizon_ms / self.settings.window_ms);
         let step = (windows / STEPS_PER_HORIZON).max(1);
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -19,7 +19,7 @@
     /// Maximum time after its end that a window waits for the reports of live reporters; at most one day.
     #[serde(rename = "lateness")]
     pub max_close_delay_ms: u32,
-    /// How far before the first open window the interval of an accepted report may start, from one window to
+    /// How far before the first open window the interval of an accepted report may start; from one window to
     /// one day. The work of such a report in closed windows becomes adjustments, and corrections are accepted
     /// too. Entries older than the horizon are discarded in steps of a sixteenth of the horizon, so that a
     /// report may be accepted even if its interval starts up to one step before the horizon.
--- a/crates/fair-share/src/share_table.rs
+++ b/crates/fair-share/src/share_table.rs
@@ -39,8 +39,8 @@
     #[serde(rename = "elsewhere")]
     pub reserved_elsewhere: u32,
     /// Share of the fleet that is allocated to no one, because all demands are met up to the ceilings of
-    /// tenants and federations. The sum of `federations`, `reserved_elsewhere` and `unallocated` is 1 000
-    /// 000.
+    /// tenants and federations. Together with `federations` and `reserved_elsewhere`, this share adds up to
+    /// 1 000 000.
     #[serde(rename = "spare")]
     pub unallocated: u32,
     /// Whether the reservations leave too little of the fleet for the demanded parts of all guarantees. The
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -44,10 +44,9 @@
     Late,
     /// The same report was recorded before; nothing changed.
     Duplicate,
-    /// The report replaces an earlier one with the same sequence number. Of two such reports, the one with
-    /// less work is kept; at equal work, the one with the earlier start, then the one with the shorter
-    /// interval, the lesser tenant name or the lesser `corrects`. This rule makes the result independent of
-    /// the order of arrival.
+    /// The report replaces another one with the same sequence number, which arrived before. Whatever the
+    /// order of arrival, the report with less work is kept; at equal work the one with the earlier start,
+    /// then with the shorter interval, then with the lesser tenant name, then with the lesser `corrects`.
     Replaced,
 }
 
--- a/crates/fair-share/src/water_filling.rs
+++ b/crates/fair-share/src/water_filling.rs
@@ -41,9 +41,9 @@
     raise_level(capacity, minimum_sum, claimants)
 }
 
-/// Raises the level from breakpoint to breakpoint, as long as the capacity is not used up. At the last level,
-/// some claimants have their minimum or maximum. The capacity without these parts is divided, in proportion
-/// to weight, over the claimants whose parts still grow.
+/// Raises the level from breakpoint to breakpoint, as long as the capacity is not used up. Claimants whose
+/// parts do not grow at the last level get their minimum or maximum. The capacity that remains is divided, in
+/// proportion to weight, over the claimants whose parts still grow.
 fn raise_level(capacity: u64, minimum_sum: u64, claimants: &[Claimant]) -> Vec<u32> {
     let mut fixed_sum = minimum_sum;
     let mut growing_weight = 0_u128;
--- a/crates/fair-share/src/window.rs
+++ b/crates/fair-share/src/window.rs
@@ -16,9 +16,9 @@
     pub index: i64,
     /// Work by tenant in this window, in slot-milliseconds.
     pub work: BTreeMap<Name, u64>,
-    /// Adjustments by tenant, in slot-milliseconds: changes of the work in windows that were already closed,
-    /// for example by late reports or corrections, that no earlier adjustment contains. Negative if the work
-    /// was reduced.
+    /// Adjustments by tenant, in slot-milliseconds: changes of the work in earlier windows, such as by late
+    /// reports or corrections, since these windows were closed or last adjusted. Negative if the work was
+    /// reduced.
     pub adjustments: BTreeMap<Name, i64>,
     /// Excess by reporter, in slot-milliseconds: the work reported for this window above the capacity of the
     /// reporter's pool, which is not counted as usage. Later changes of the excess of earlier windows are
--- a/crates/fair-share/src/window_usage.rs
+++ b/crates/fair-share/src/window_usage.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Replaces the work reported for a tenant so far by `update(reported, work)`, where `reported` is the
-    /// work reported so far. A result of 0 removes the tenant.
+    /// Replaces the reported work of a tenant by `update(reported, work)`, where `reported` is the work that
+    /// was reported before. A result of 0 removes the tenant.
     pub(crate) fn update_work(&mut self, tenant: &Name, work: u64, update: fn(u64, u64) -> u64) {
         let total = self.reported.entry(tenant.clone()).or_default();
         *total = update(*total, work);
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -88,8 +88,8 @@
     /// The worker's state: `live`, `quiescing` (draining) or `dead` (removed).
     #[serde(borrow)]
     pub(crate) status: Cow<'a, str>,
-    /// The virtual time of the worker's last start, in seconds; absent or 0 for a worker that is not in slow
-    /// start.
+    /// The virtual time of the worker's last start, in seconds; absent or 0 means long ago, so that the
+    /// worker is not in slow start.
     pub(crate) online_since_s: Option<f64>,
     /// The worker's size, a figure to compare with the sizes of other workers.
     pub(crate) nominal: Option<f64>,
--- a/crates/system-call-faults/src/files.rs
+++ b/crates/system-call-faults/src/files.rs
@@ -42,7 +42,7 @@
     true
 }
 
-/// Interposes `open64` of the C library to inject failures into opening a file.
+/// Interposes `open64` of the C library to inject faults into opening a file.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -58,7 +58,7 @@
     unsafe { original(path, flags, mode) }
 }
 
-/// Interposes `fsync` of the C library to inject failures into syncing a file's data and metadata to disk.
+/// Interposes `fsync` of the C library to inject faults into syncing a file's data and metadata to disk.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -72,7 +72,7 @@
     unsafe { original(descriptor) }
 }
 
-/// Interposes `fdatasync` of the C library to inject failures into syncing a file's data to disk.
+/// Interposes `fdatasync` of the C library to inject faults into syncing a file's data to disk.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -86,7 +86,7 @@
     unsafe { original(descriptor) }
 }
 
-/// Interposes `ftruncate64` of the C library to inject failures into changing a file's length.
+/// Interposes `ftruncate64` of the C library to inject faults into changing a file's length.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -100,7 +100,7 @@
     unsafe { original(descriptor, length) }
 }
 
-/// Interposes `rename` of the C library to inject failures into renaming a file. The rules of the plan count
+/// Interposes `rename` of the C library to inject faults into renaming a file. The rules of the plan count
 /// two calls, the first with the old path and the second with the new path; the second is not counted if a
 /// rule fails the first.
 ///
--- a/crates/system-call-faults/src/sockets.rs
+++ b/crates/system-call-faults/src/sockets.rs
@@ -25,7 +25,7 @@
         .then(|| SocketAddrV4::new(ip, u16::from_be(address.sin_port)))
 }
 
-/// Interposes `socket` of the C library to inject failures into creating IPv4 sockets.
+/// Interposes `socket` of the C library to inject faults into creating IPv4 sockets.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -60,8 +60,8 @@
     unsafe { original(descriptor, address, length) }
 }
 
-/// Interposes `connect` of the C library to inject failures, and to give the socket the kind that the plan
-/// assigns to the peer's address, or [`SocketKind::Worker`] if the plan assigns none.
+/// Interposes `connect` of the C library to inject faults, and to give the socket the kind that the plan
+/// assigns to the peer's IPv4 address, or [`SocketKind::Worker`] if the plan assigns none.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -113,7 +113,7 @@
     result
 }
 
-/// Interposes `accept4` of the C library to inject failures, and to give the accepted socket the kind of its
+/// Interposes `accept4` of the C library to inject faults, and to give the accepted socket the kind of its
 /// listener, or [`SocketKind::Client`] if the listener has no kind.
 ///
 /// # Safety
@@ -187,7 +187,7 @@
     result
 }
 
-/// Interposes `epoll_wait` of the C library to inject failures into waiting for events.
+/// Interposes `epoll_wait` of the C library to inject faults into waiting for events.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
--- a/crates/system-call-faults/src/transfers.rs
+++ b/crates/system-call-faults/src/transfers.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// Interposes `recv` of the C library to inject failures and short transfers into receiving from a socket.
+/// Interposes `recv` of the C library to inject faults into receiving from a socket.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -128,8 +128,7 @@
     })
 }
 
-/// Interposes `recvfrom` of the C library to inject failures and short transfers into receiving from a
-/// socket.
+/// Interposes `recvfrom` of the C library to inject faults into receiving from a socket.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -150,8 +149,8 @@
     })
 }
 
-/// Interposes `read` of the C library to inject failures and short transfers into reading from a socket.
-/// Reads from files are passed through.
+/// Interposes `read` of the C library to inject faults into reading from a socket. Reads from files
+/// are passed through.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -164,8 +163,8 @@
     })
 }
 
-/// Interposes `readv` of the C library to inject failures and short transfers into reading from a socket.
-/// Reads from files are passed through.
+/// Interposes `readv` of the C library to inject faults into reading from a socket. Reads from files
+/// are passed through.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -176,7 +175,7 @@
     unsafe { transfer_buffers(descriptor, Call::Receive, buffers, count, original) }
 }
 
-/// Interposes `send` of the C library to inject failures and short transfers into sending to a socket.
+/// Interposes `send` of the C library to inject faults into sending to a socket.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -189,7 +188,7 @@
     })
 }
 
-/// Interposes `sendto` of the C library to inject failures and short transfers into sending to a socket.
+/// Interposes `sendto` of the C library to inject faults into sending to a socket.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -210,8 +209,7 @@
     })
 }
 
-/// Interposes `write` of the C library to inject failures and short transfers into writing to a socket or a
-/// file.
+/// Interposes `write` of the C library to inject faults into writing to a socket or a file.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
@@ -228,8 +226,8 @@
     transfer_bytes(descriptor, Call::Send, length, |length| unsafe { original(descriptor, buffer, length) })
 }
 
-/// Interposes `writev` of the C library to inject failures and short transfers into writing to a socket.
-/// Writes to files are passed through.
+/// Interposes `writev` of the C library to inject faults into writing to a socket. Writes to files
+/// are passed through.
 ///
 /// # Safety
 /// The caller must meet the requirements of the original function.
