--- a/crates/proxy/src/assembly.rs
+++ b/crates/proxy/src/assembly.rs
@@ -24,7 +24,8 @@
 use crate::upstream::http::HttpUpstream;
 use crate::upstream::http::callback::{CALLBACK_PATH, callback_handler};
 
-/// How often a shutdown checks whether all requests have a final response.
+/// The interval, in microseconds, at which a graceful shutdown checks whether any request is still being read
+/// or answered.
 const DRAIN_POLL_INTERVAL: Micros = 20_000;
 
 /// Why a scheduler could not be assembled.
@@ -41,20 +42,22 @@
     },
 }
 
-/// An assembled scheduler, whose socket is bound but which does not accept connections yet.
+/// An assembled scheduler. The socket for clients is bound, but the scheduler does not accept connections
+/// yet.
 pub struct AssembledProxy {
-    /// The state that the components share.
+    /// The state that the components of the scheduler share, such as the clock and the dispatch policy.
     pub context: Arc<ProxyContext>,
     /// The listener that accepts and serves client connections.
     pub connections: Arc<ClientListener>,
-    /// The publisher through which an endpoint source updates the endpoint table.
+    /// The publisher through which an endpoint source updates the list of workers (the endpoint table).
     pub endpoint_publisher: EndpointPublisher,
-    /// The revision of the cached endpoint list, if there is one.
+    /// The revision of the endpoint list that was cached before the process started; `None` without a cached
+    /// list.
     pub cached_revision: Option<u64>,
     shutdown_schedule: ShutdownSchedule,
 }
 
-/// Assembles a scheduler around a dispatch policy.
+/// Assembles a scheduler that uses the given dispatch policy.
 ///
 /// # Errors
 /// [`AssemblyError::Listen`] if the socket for clients cannot be opened.
@@ -66,8 +69,9 @@
     assemble_with_status_pages(config, policy, recorder, &[]).await
 }
 
-/// Assembles a scheduler as [`assemble`] does, with additional status pages. The spawned task that sends load
-/// queries runs until the runtime shuts down.
+/// Assembles a scheduler as [`assemble`] does, and serves additional status pages.
+///
+/// Also spawns the task that sends load queries to workers. This task runs until the runtime shuts down.
 ///
 /// # Errors
 /// [`AssemblyError::Listen`] if the socket for clients cannot be opened.
@@ -117,21 +121,21 @@
 }
 
 impl AssembledProxy {
-    /// Begins the graceful shutdown.
+    /// Begins the graceful shutdown, and returns the shutdown's deadlines counted from now.
     pub fn begin_shutdown(&self) -> ShutdownDeadlines {
         let deadlines = self.shutdown_schedule.deadlines_from(Instant::now());
         self.context.shutdown.begin(deadlines.drain_deadline);
         deadlines
     }
 
-    /// Waits until the accepted requests are answered, closes the client connections, and returns the number
-    /// of requests that are still being read or answered.
+    /// Waits until all accepted requests are answered, then closes the client connections. Returns the number
+    /// of requests that are still being read or answered after that.
     ///
-    /// The wait lasts until the window for late connections has ended and no request is being read or
-    /// answered, but at most until the drain deadline. New connections and callbacks are accepted until the
-    /// client connections are closed. They are closed because clients reuse open connections: a request that
-    /// arrived after the last check would be accepted and lost. After the close, the method waits for at
-    /// least `FINAL_WRITE_TIME`, so that the last responses are written.
+    /// New connections and callbacks are accepted for at least the time given by `late_connections_until`.
+    /// After that, the connections are closed as soon as no request is being read or answered, at the latest
+    /// at the drain deadline. Clients reuse open connections, so a request on a connection left open would be
+    /// accepted after the last check and lost. After the close, the method waits for at least
+    /// `FINAL_WRITE_TIME`, so that the last responses are written.
     pub async fn wait_until_drained(&self, deadlines: ShutdownDeadlines) -> usize {
         self.wait_until_idle(deadlines.late_connections_until, deadlines.drain_deadline).await;
         self.context.shutdown.close();
@@ -139,8 +143,8 @@
         self.connections.active_requests()
     }
 
-    /// Waits until no request is being read or answered. The wait lasts at least until `earliest`, and after
-    /// that at most until `deadline`.
+    /// Waits until no request is being read or answered. The wait ends no earlier than `earliest`. If
+    /// requests are still in progress then, the wait ends at the latest at `deadline`.
     async fn wait_until_idle(&self, earliest: Instant, deadline: Instant) {
         while Instant::now() < earliest
             || (self.connections.active_requests() > 0 && Instant::now() < deadline)
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,64 +1,66 @@
-//! The scheduler's clock: a monotonic clock in microseconds whose origin is the Unix epoch.
+//! The clock of one scheduler: a monotonic clock that counts microseconds since the Unix epoch.
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::time::Instant;
 
-/// The longest span that [`from_now`] accepts, in microseconds; longer ones are shortened to it.
+/// The longest time span that [`from_now`] accepts, in microseconds. Longer spans are shortened to this
+/// value.
 const MAX_SPAN: Micros = 86_400 * SECOND;
 
-/// The clock of the dispatch policy, in microseconds since the Unix epoch.
+/// The clock from which the dispatch policy gets the time, in microseconds since the Unix epoch.
 ///
-/// The clock is set from the wall clock once, because discovery reports workers' start times in Unix time.
-/// From then on it advances with the monotonic clock, so that a step of the wall clock does not move
-/// deadlines. When an endpoint list is applied, the two clocks are compared, and the estimates of workers'
-/// start times allow for the largest amount by which the wall clock was set back.
+/// The clock is set from the wall clock once, when it is started, because discovery reports workers' start
+/// times in Unix time. From then on, the clock advances with the monotonic clock. A later change of the wall
+/// clock therefore does not move any deadline.
+///
+/// Each time an endpoint list is applied, this clock is compared with the wall clock. The estimates of
+/// workers' start times allow for the largest amount by which the wall clock was found to be behind.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
     unix_start: Micros,
 }
 
-/// Readings of the scheduler's clock and of the wall clock, taken one right after the other.
+/// The times shown by the scheduler's clock and by the wall clock, read one right after the other.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// The reading of the scheduler's clock when it was started, in microseconds since the Unix epoch.
+    /// The time at which the scheduler's clock was started, in microseconds since the Unix epoch.
     pub started_at: Micros,
-    /// The reading of the scheduler's clock, in microseconds since the Unix epoch.
+    /// The time shown by the scheduler's clock, in microseconds since the Unix epoch.
     pub now: Micros,
-    /// The reading of the wall clock, in microseconds since the Unix epoch.
+    /// The time shown by the wall clock, in microseconds since the Unix epoch.
     pub unix: Micros,
 }
 
 impl Clock {
-    /// Starts a clock, set from the wall clock.
+    /// Starts a scheduler's clock at the current time of the wall clock.
     pub fn start() -> Clock {
         Clock { unix_start: unix_now(), start: Instant::now() }
     }
 
-    /// Reads the scheduler's clock, then the wall clock.
+    /// Reads the scheduler's clock first and the wall clock second.
     ///
-    /// With this order, a pause of the process between the two readings makes the wall clock appear ahead of
-    /// the scheduler's clock. With the opposite order the wall clock would appear behind, which would be
-    /// mistaken for a step back of the wall clock.
+    /// If the process pauses between the two, the wall clock appears to be ahead, which does no harm. In the
+    /// opposite order, the wall clock would appear to be behind, as if it had been set back.
     pub fn read(&self) -> ClockReading {
         let now = self.now();
         ClockReading { started_at: self.unix_start, now, unix: unix_now() }
     }
 
-    /// The current time, in microseconds since the Unix epoch.
+    /// The current time of the scheduler's clock, in microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
         self.unix_start + self.start.elapsed().as_micros() as Micros
     }
 }
 
-/// The wall clock's time, in microseconds since the Unix epoch.
+/// The current time of the wall clock, in microseconds since the Unix epoch.
 fn unix_now() -> Micros {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since_epoch.as_micros() as Micros
 }
 
-/// The instant `span` microseconds from now, at most one day ahead.
+/// The instant that is `span` microseconds from now. Spans of more than one day count as one day.
 pub fn from_now(span: Micros) -> Instant {
     Instant::now() + Duration::from_micros(span.min(MAX_SPAN))
 }
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -11,15 +11,16 @@
 
 /// The clock, dispatch policy, upstream, settings, event recorder and shutdown phase of one scheduler.
 pub struct ProxyContext {
-    /// The clock that timestamps all events.
+    /// The scheduler's clock, from which the times of requests and attempts are taken.
     pub clock: Clock,
-    /// The dispatch policy, which also delivers its actions to the requests' tasks.
+    /// The handle to the dispatch policy. The handle passes events to the policy and the policy's decisions
+    /// to the tasks of the requests.
     pub policy: Arc<PolicyHandle>,
     /// The implementation of the protocol by which attempts are sent to workers.
     pub upstream: Arc<dyn Upstream>,
     /// The settings of the proxy, such as the request classes and the connect timeout.
     pub settings: ProxySettings,
-    /// Writes the scheduler's events to the event log.
+    /// The event recorder, which writes the scheduler's events to the event log.
     pub recorder: Arc<EventRecorder>,
     /// The phase of the graceful shutdown.
     pub shutdown: Shutdown,
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! Discovery of workers: the [`EndpointSource`] trait, its implementations, and the publisher of their lists.
+//! Discovery of workers: the trait [`EndpointSource`], two implementations of the trait, and the publisher
+//! that applies their endpoint lists.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{Endpoint, EndpointUpdateKind};
@@ -12,20 +13,19 @@
 pub mod platform;
 pub mod static_list;
 
-/// Source of endpoint lists.
+/// A source of endpoint lists, which name the workers and their addresses.
 ///
-/// An implementation converts its own format into an [`EndpointList`] and applies each list as a whole. A
-/// list that cannot be parsed completely changes nothing.
+/// An implementation converts the lists from their own format into [`EndpointList`]s. Each list is applied as
+/// a whole or not at all: a list with a part that cannot be parsed changes nothing.
 pub trait EndpointSource: Send + 'static {
-    /// Publishes endpoint lists through `publisher` until the returned future is dropped. The future never
-    /// completes.
+    /// Returns a future that publishes endpoint lists through `publisher`. The future never completes.
     ///
     /// The caller spawns the future as a task, which ends when the runtime shuts down.
     fn follow(self: Box<Self>, publisher: EndpointPublisher) -> BoxFuture<'static, ()>;
 }
 
-/// Endpoint publisher: applies endpoint lists to the endpoint table, and notifies the dispatch policy of
-/// them.
+/// A publisher of endpoint lists. The publisher applies each list to the endpoint table, and notifies the
+/// dispatch policy of the endpoints in the list.
 #[derive(Clone)]
 pub struct EndpointPublisher {
     endpoints: Arc<EndpointTable>,
@@ -33,64 +33,65 @@
 }
 
 impl EndpointPublisher {
-    /// Creates a publisher for an endpoint table and a dispatch policy.
+    /// Creates a publisher that updates `endpoints` and notifies `policy`.
     pub fn new(endpoints: Arc<EndpointTable>, policy: Arc<PolicyHandle>) -> EndpointPublisher {
         EndpointPublisher { endpoints, policy }
     }
 
-    /// Publishes the endpoint list that was cached before the process started, and returns the list's
-    /// revision.
+    /// Publishes the endpoint list that was cached before the process started, and returns the revision of
+    /// that list.
     ///
-    /// Returns `None` if there is no cached list. If lists are polled (see [`EndpointPublisher::is_polled`]),
-    /// the policy is then notified of an empty endpoint update.
+    /// Returns `None` if there is no cached list. In this case the policy is still notified, of an update
+    /// without endpoints, if lists are polled (see [`EndpointPublisher::is_polled`]).
     pub fn publish_cached(&self, cached: Option<&EndpointList>) -> Option<u64> {
         let apply = |list| self.endpoints.apply(list, ListOrigin::Cache, self.policy.read_clocks());
         let endpoints = cached.and_then(apply).unwrap_or_default();
-        // Where lists are polled, the policy makes its first list request only after its first endpoint
-        // update. Without a cached list, the policy is therefore notified of an empty update.
+        // Where lists are polled, the policy requests its first list only after its first endpoint update. If
+        // there is no cached list, the policy is therefore notified of an update without endpoints.
         if cached.is_some() || self.is_polled() {
             self.policy.update_endpoints(EndpointUpdateKind::Cached, &endpoints);
         }
         cached.map(|list| list.revision)
     }
 
-    /// Applies a list from discovery to the table and returns its endpoints, without notifying the policy.
+    /// Applies a list from discovery to the endpoint table, and returns the list's endpoints. The policy is
+    /// not notified.
     ///
-    /// Returns `None` if the table already has a newer revision.
+    /// Returns `None`, and applies nothing, if the table already has a newer revision.
     pub fn apply(&self, list: &EndpointList) -> Option<Vec<Endpoint>> {
         self.endpoints.apply(list, ListOrigin::Discovery, self.policy.read_clocks())
     }
 
-    /// Notifies the policy of the endpoints that [`EndpointPublisher::apply`] has returned for a list.
+    /// Notifies the policy of `endpoints`, which [`EndpointPublisher::apply`] has returned for `list`.
     pub fn publish(&self, list: &EndpointList, endpoints: &[Endpoint]) {
         let kind = if list.complete { EndpointUpdateKind::Full } else { EndpointUpdateKind::Changes };
         self.policy.update_endpoints(kind, endpoints);
     }
 
-    /// Resets what the endpoint table knows of the previous discovery service: the revision of that service's
-    /// list and the time of its last answer.
+    /// Makes the endpoint table forget the revision of the last list and the time of discovery's last answer.
     ///
-    /// Called when the address of discovery changes, because the new discovery service has its own revisions.
+    /// Called when the address of discovery changes. The service at the new address has its own revisions,
+    /// which cannot be compared with those of the previous service.
     pub fn reset_revision(&self) {
         self.endpoints.reset_revision();
     }
 
-    /// Notifies the policy that a poll or a watch failed.
+    /// Notifies the policy that discovery gave no endpoint list, because a call to discovery failed.
     pub fn poll_failed(&self) {
-        // A list request that the policy made while the failed poll was in flight is discarded. Otherwise
-        // that request would be mistaken for the policy's reaction to this failure, and the next poll would
-        // be sent at once.
+        // The policy may already have requested a list while the failed call was in flight. This request is
+        // discarded: it would be mistaken for the policy's reaction to the failure, and the next call would
+        // be made at once.
         let _ = self.list_requested().now_or_never();
         self.policy.update_endpoints(EndpointUpdateKind::Failed, &[]);
     }
 
-    /// Returns whether endpoint lists are polled, that is, whether the policy requests the first list and,
-    /// after most failures, the next list.
+    /// Returns whether endpoint lists are polled. If so, the policy requests the first list and, after most
+    /// failures, the next list.
     pub fn is_polled(&self) -> bool {
         self.policy.polls_endpoints()
     }
 
-    /// Waits until the policy requests a list.
+    /// Waits until the policy requests an endpoint list.
     pub async fn list_requested(&self) {
         self.policy.list_requested().await;
     }
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -1,11 +1,14 @@
-//! Endpoint source that fetches lists from the platform's discovery over HTTP and watches them for changes.
+//! Endpoint source that fetches endpoint lists from the platform's discovery service over HTTP and watches
+//! the service for changes.
 //!
-//! The module `copperspread_settings::platform` parses the lists; this module fetches them.
+//! This module fetches the lists. The module `copperspread_settings::platform` parses them.
 //!
-//! Discovery is used in one of two modes (see [`EndpointPublisher::is_polled`]). Where lists are pushed, the
-//! platform pushes them to a discovery agent near the scheduler; this module calls the agent and retries
-//! failed calls. Where lists are polled, the dispatch policy requests the first list, and requests another
-//! list after most failures; this module retries only a first refusal and a watch that broke.
+//! Lists are pushed or polled (see [`EndpointPublisher::is_polled`]):
+//!
+//! * Pushed: the platform pushes lists to a discovery agent near the scheduler. This module calls the agent and
+//!   retries every failed call.
+//! * Polled: the dispatch policy requests the first list, and the next list after most failures. This module
+//!   itself retries only a first refusal and a watch that broke.
 use copperspread_dispatcher::{Micros, SECOND};
 use copperspread_settings::EndpointList;
 use futures_util::future::BoxFuture;
@@ -21,61 +24,63 @@
 
 mod fetch;
 
-/// Maximum time for which discovery holds a watch, that is, delays its answer until the list changes.
+/// Maximum time, in microseconds, for which discovery may hold back the answer to a watch until the list
+/// changes.
+///
+/// The time is short because the answer to a watch may be lost. The next endpoint update is then delayed
+/// until the watch times out. Frequent empty answers cost little.
 ///
-/// The hold time is short because a watch whose answer is lost delays the next endpoint update until the
-/// watch times out, while frequent empty answers cost little. The constants that add up to the delay of an
-/// endpoint update are public because the test `endpoint_list_races` sums them, as does
-/// `docs/endpoint-list-delays.md`.
+/// This constant and those below add up to the delay of an endpoint update. They are public because the test
+/// `endpoint_list_races` adds them, as does `docs/endpoint-list-delays.md`.
 pub const WATCH_HOLD_TIME: Micros = 2 * SECOND;
-/// Time between the end of a watch's hold time and the time-out of an unanswered watch.
+/// Time from the end of [`WATCH_HOLD_TIME`] until an unanswered watch times out, in microseconds.
 ///
-/// This time covers up to 1 s by which a slow or overloaded discovery answers late, and 0.2 s for the
-/// network.
+/// A slow or overloaded discovery may answer up to 1 s late. The other 0.2 s are for the network.
 pub const WATCH_MARGIN: Micros = 1_200_000;
-/// Time-out of a request for the complete list where lists are pushed, including its hedged calls.
+/// Time-out for fetching the complete list where lists are pushed, in microseconds. It covers all parallel
+/// calls that are made to fetch the list.
 ///
-/// The discovery agent is near the scheduler and usually answers at once. If the agent is slow, further
-/// hedged calls are made until this time-out.
+/// The discovery agent is near the scheduler and usually answers at once. If the agent is slow, further calls
+/// are made until this time-out.
 pub const PUSHED_LIST_TIMEOUT: Micros = 2_200_000;
-/// Interval between hedged calls for the complete list where lists are pushed. Each hedged call uses a
-/// further connection.
+/// Time after which another parallel call for the complete list is made, in microseconds, where lists are
+/// pushed. Each call uses a further connection.
 ///
-/// The scheduler counts as notified of a change as soon as the discovery agent has the change and is
-/// reachable. The agent may have been unresponsive until then, and may never answer the calls that were made
-/// meanwhile. The interval is short so that a new call soon reaches a recovered agent.
+/// The agent may be unresponsive for a time, and may never answer the calls made during that time. From the
+/// moment that the agent has a change and is reachable, the scheduler counts as notified of the change. A new
+/// call must therefore reach a recovered agent soon, so the interval is short.
 pub const PUSHED_HEDGE_INTERVAL: Micros = 400_000;
-/// Time-out of a call for the complete list where lists are polled.
+/// Time-out of a call for the complete list where lists are polled, in microseconds.
 ///
-/// The time-out covers up to 1 s for which discovery may queue a call before the call fails, and 0.5 s for
-/// the network. It counts twice in the delay of an endpoint update: once for the call that times out, and
-/// once for the next call.
+/// Discovery may queue a call for up to 1 s before the call fails. The other 0.5 s are for the network. The
+/// time-out counts twice in the delay of an endpoint update: for a call that times out, and for the call
+/// after it.
 pub const POLLED_LIST_TIMEOUT: Micros = 1_500_000;
-/// Additional time for the body of a response after the time-out of the response's head, for watches and for
-/// polled lists.
+/// Time from the deadline for a response's head to the deadline for its body, in microseconds. It applies to
+/// watches and to polled lists.
 ///
-/// The additional time is needed because the body may arrive slowly.
+/// The body may arrive slowly, so it gets more time than the head.
 pub const BODY_MARGIN: Micros = 700_000;
-/// Initial backoff before a failed call to discovery is retried.
+/// First delay before a failed call to discovery is retried, in microseconds.
 ///
-/// Where lists are pushed, the backoff applies to every failed call. Where lists are polled, it applies only
-/// to a watch that ended with a failure other than a refusal.
+/// Where lists are pushed, the delay applies to every failed call. Where lists are polled, it applies only to
+/// a watch that failed without being refused.
 pub const RETRY_BACKOFF_INITIAL: Micros = 100_000;
-/// Maximum backoff before a failed call to discovery is retried. The value does not exceed
-/// [`PUSHED_HEDGE_INTERVAL`], so that the retry adds no more delay than a hedged call.
+/// Maximum delay before a failed call to discovery is retried, in microseconds. It is not longer than
+/// [`PUSHED_HEDGE_INTERVAL`], so that a retry is made no later than another parallel call would be.
 pub const RETRY_BACKOFF_MAX: Micros = 200_000;
-/// Backoff before a refused call for the complete list is retried, where lists are polled.
+/// Delay before a refused call for the complete list is retried, in microseconds, where lists are polled.
 ///
-/// Only the first refusal since the last list is retried after this backoff: a discovery that refuses calls
-/// is reachable but overloaded, and waiting for the policy's own backoff would delay the next list too much.
-/// After any further refusal, the policy requests the next call.
+/// Only the first refusal since the last received list is retried after this delay. A discovery that refuses
+/// calls is reachable but overloaded, and the policy's own backoff would delay the next list too much. After
+/// a further refusal, the next call is made when the policy requests it.
 pub const REFUSED_RETRY_BACKOFF: Micros = 300_000;
 
-/// Endpoint source for the platform's discovery, whose address may change.
+/// Endpoint source that uses the platform's discovery service. The address of the service may change.
 pub struct PlatformDiscovery {
-    /// Configured address of discovery.
+    /// The address of discovery in the current configuration.
     pub address: watch::Receiver<Authority>,
-    /// Revision of the cached list, if there is one.
+    /// The revision of the cached endpoint list; `None` without a cached list.
     pub cached_revision: Option<u64>,
 }
 
@@ -85,48 +90,51 @@
     }
 }
 
-/// Watches discovery without end, one call after the other.
+/// Calls discovery without end, one call after the other, and publishes the lists that it returns.
+///
+/// A call either fetches the complete list or is a watch, which discovery answers when the list changes. The
+/// first call and each call after a failed call fetch the complete list, because discovery answers such a
+/// call at once. A watch could be left without an answer.
 ///
-/// The first call, and each call after a failed call, requests the complete list, because discovery answers
-/// such a call at once and may hold a watch without an answer. Where lists are polled, the policy is notified
-/// of a failure and requests the next call, with two exceptions. After a watch that ended with a failure
-/// other than a refusal, one call for the complete list is made first. A call for the complete list is
-/// retried once after the first refusal since the last list.
+/// Where lists are polled, the policy is notified of a failed call and requests the next call. There are two
+/// exceptions. After a watch that failed without being refused, a call for the complete list is made first.
+/// After a refused call for the complete list, the call is retried once first, unless another call has been
+/// refused since the last received list.
 ///
-/// When the address of discovery changes, the call in flight is dropped and the complete list is fetched from
-/// the new address.
+/// When the address of discovery changes, the call in flight is dropped. The complete list is then fetched
+/// from the new address.
 struct PlatformWatcher {
     publisher: EndpointPublisher,
-    /// Configured address, which may change.
+    /// The address of discovery in the current configuration, which may change.
     configured_address: watch::Receiver<Authority>,
-    /// Discovery address that calls are sent to now.
+    /// The address of discovery to which calls are sent now.
     address: Authority,
     client: DiscoveryClient,
-    /// Revision of the last list received from this address, or of the cached list.
+    /// The revision of the last list received from `address`, or of the cached list.
     revision: Option<u64>,
-    /// Time to wait before the next retry of a failed call.
+    /// The delay before the next retry of a failed call, in microseconds.
     backoff: Micros,
     is_polled: bool,
-    /// Whether the policy must be notified of the next list even if that list is empty, because the policy
-    /// waits for the answer to a list request.
+    /// Whether the policy must be notified of the next list even if the list has no changes. This is so while
+    /// the policy waits for a list that it has requested.
     must_notify_policy: bool,
-    /// Whether a list request of the policy is still outstanding. The policy makes a request at the start and
-    /// after each notification of a failure.
+    /// Whether the policy has yet to request a list. The policy does so at the start and each time it is
+    /// notified of a failed call.
     awaits_list_request: bool,
-    /// Whether the last call returned a list, so that the next call can be a watch.
+    /// Whether the last call returned a list. If so, the next call is a watch.
     last_call_succeeded: bool,
-    /// Whether a call was refused since the last list was received.
+    /// Whether discovery has refused a call since the last list was received. Used only if lists are polled.
     refused_since_list: bool,
-    /// Whether a call has failed since the last list was received.
+    /// Whether a call to discovery has failed since the last list was received.
     failed_since_list: bool,
 }
 
-/// Call to discovery that has ended, with the facts needed to handle its result.
+/// A call to discovery that has ended.
 struct CompletedCall {
-    /// Revision that was watched; `None` if the call was for the complete list.
+    /// The revision that the call watched for a newer list; `None` if the call was for the complete list.
     watched_revision: Option<u64>,
-    /// The instant at which half of the hold time has passed since the start of the call. If a watch is
-    /// answered before this instant and without a change, discovery did not hold the watch.
+    /// The instant at which half of [`WATCH_HOLD_TIME`] has passed since the call was made. If a watch is
+    /// answered earlier and without a change, discovery did not wait for a change.
     earliest_held_answer: Instant,
     outcome: CallOutcome,
 }
@@ -134,7 +142,7 @@
 enum CallOutcome {
     Answered(EndpointList),
     Failed(FetchError),
-    /// Discovery's address changed, and the call was dropped.
+    /// The configured address of discovery changed, and the call was dropped.
     AddressChanged,
 }
 
@@ -175,18 +183,18 @@
         }
     }
 
-    /// Resets the state that belongs to the old address if the configured address of discovery has changed.
+    /// Takes over a changed address of discovery, and resets the state that belongs to the old address.
     fn apply_address_change(&mut self) {
         let address = self.configured_address.borrow_and_update().clone();
         if address == self.address {
             return;
         }
         self.address = address;
-        // The HTTP client is replaced, because the old one would keep its connection to the old address open
-        // until the peer closes it.
+        // The HTTP client is replaced. The old client would keep its connection to the old address open until
+        // the old discovery closes it.
         self.client = DiscoveryClient::new();
-        // Revisions of the new discovery are unrelated to those of the old one. Without the reset, the lists
-        // of the new discovery could be taken for outdated ones.
+        // The revisions of the new discovery cannot be compared with those of the old discovery. Without the
+        // reset, a list of the new discovery could be taken for an outdated list and ignored.
         self.publisher.reset_revision();
         self.revision = None;
         self.backoff = RETRY_BACKOFF_INITIAL;
@@ -194,15 +202,15 @@
         self.refused_since_list = false;
     }
 
-    /// Makes the next call. The call is a watch on the revision of the last list if the last call succeeded,
-    /// and a request for the complete list otherwise.
+    /// Makes the next call to discovery. If the last call returned a list, the call watches for a newer list.
+    /// Otherwise it fetches the complete list.
     async fn call(&mut self) -> CompletedCall {
         let watched_revision = self.revision.filter(|_| self.last_call_succeeded);
         let earliest_held_answer = from_now(WATCH_HOLD_TIME / 2);
         let mut configured_address = self.configured_address.clone();
         let outcome = tokio::select! {
-            // A change of the address takes precedence, because an answer from the old address must not be
-            // used after the change.
+            // A change of the address is checked first, so that an answer from the old address is not used
+            // after the change.
             biased;
             Ok(()) = configured_address.changed() => CallOutcome::AddressChanged,
             fetched = self.fetch(watched_revision) => match fetched {
@@ -213,7 +221,8 @@
         CompletedCall { watched_revision, earliest_held_answer, outcome }
     }
 
-    /// Makes one call with a time-out, since a failed discovery may keep connections open without answering.
+    /// Makes one call to discovery with a time-out. A failed discovery may keep connections open without
+    /// answering.
     async fn fetch(&self, watched_revision: Option<u64>) -> Result<EndpointList, FetchError> {
         const LIST_PATH: &str = "/api/targets";
         let Some(revision) = watched_revision else {
@@ -228,10 +237,11 @@
         self.client.fetch(&self.address, &path, deadlines_after(WATCH_HOLD_TIME + WATCH_MARGIN)).await
     }
 
-    /// Applies a list to the endpoint table, and notifies the policy of the list if it is complete (rather
-    /// than a list of changes), if anything has changed, or if the policy has requested a list.
+    /// Applies a received list to the endpoint table, and notifies the policy of the list where needed.
     ///
-    /// Then waits for a short time if the next call would return the same list at once.
+    /// The policy is notified if the list is complete (not a list of changes), if the list contains a change,
+    /// or if the policy waits for a list. At the end, the method waits for a short time if the next call
+    /// would return the same list at once.
     async fn handle_list(
         &mut self,
         list: &EndpointList,
@@ -252,8 +262,9 @@
             self.must_notify_policy = false;
             self.awaits_list_request = false;
         }
-        // The next call would return the same list at once in two cases: the list is older than the previous
-        // list, or discovery answered a watch without holding it. The delay avoids a busy loop.
+        // In two cases, the next call would return the same list at once, and the calls would become a busy
+        // loop without this delay. Either this list is older than the previous list, or discovery answered a
+        // watch early and without a change.
         let is_older = self.revision.is_some_and(|revision| list.revision < revision);
         let was_not_held = watched_revision == Some(list.revision) && Instant::now() < earliest_held_answer;
         self.revision = Some(list.revision);
@@ -262,22 +273,22 @@
         }
     }
 
-    /// Counts a failed call to discovery, and waits until the next call is due.
+    /// Counts a failed call to discovery, and waits until the next call may be made.
     async fn handle_failure(&mut self, error: &FetchError) {
         let subject = EventSubject { peer: Some(self.address.as_str()), ..EventSubject::default() };
-        // Counts failed calls to discovery, including refusals and invalid lists; the table keeps its
-        // endpoints.
+        // This counter counts all failed calls to discovery, including refusals and invalid lists. The
+        // endpoint table stays unchanged.
         count_event_for("no answer of discovery, the list stays", &error.to_string(), subject);
         self.failed_since_list = true;
         if let Some(backoff) = self.retry_backoff(error) {
-            // A change of discovery's address ends the backoff early.
+            // The wait ends early if the configured address of discovery changes.
             let _ = timeout_at(from_now(backoff), self.configured_address.changed()).await;
             return;
         }
-        // After a notification, the policy is notified of another failure only once it has requested a list.
-        // An address change may end the wait for that request. A second notification would then make the
-        // policy request a second list, so that each later failure would lead to two calls, then to three,
-        // and so on.
+        // The policy is not notified of a further failure while it has yet to request a list. This can happen
+        // because a change of discovery's address ends the wait for that request. A second notification would
+        // make the policy request a second list. Each later failure would then lead to two calls, then to
+        // three, and so on.
         if !std::mem::replace(&mut self.awaits_list_request, true) {
             self.publisher.poll_failed();
         }
@@ -285,14 +296,15 @@
         self.await_list_request().await;
     }
 
-    /// Returns the backoff before the failed call is retried; `None` if the policy requests the next call.
+    /// Returns the delay before the failed call is retried; `None` if the next call waits for the policy's
+    /// request.
     fn retry_backoff(&mut self, error: &FetchError) -> Option<Micros> {
         let was_watch = std::mem::take(&mut self.last_call_succeeded);
         let is_broken_watch = was_watch && !error.is_refusal();
         if !self.is_polled || is_broken_watch {
-            // The backoff is short because the scheduler counts as notified of a change even if the watch
-            // that should have returned the change got no answer. The backoff is not zero because a discovery
-            // may answer calls for the complete list but break every watch.
+            // The delay is short because a watch without an answer may hide a change, of which the scheduler
+            // already counts as notified. The delay is not zero because a discovery may answer calls for the
+            // complete list but break every watch.
             let doubled = (self.backoff * 2).min(RETRY_BACKOFF_MAX);
             return Some(std::mem::replace(&mut self.backoff, doubled));
         }
@@ -301,9 +313,9 @@
         (is_first_refusal && !was_watch).then_some(REFUSED_RETRY_BACKOFF)
     }
 
-    /// Waits until the policy requests a list or discovery's address changes.
+    /// Waits until the policy requests a list or the configured address of discovery changes.
     ///
-    /// If the address changes first, the next call of this method receives the policy's request.
+    /// If the address changes first, the policy's request is received by the next call of this method.
     async fn await_list_request(&mut self) {
         let is_requested = tokio::select! {
             biased;
@@ -314,7 +326,8 @@
     }
 }
 
-/// Returns the deadlines of a call whose response head must be received within `head_timeout`.
+/// Returns the deadlines of a call to discovery. The response's head must be received within `head_timeout`
+/// microseconds.
 fn deadlines_after(head_timeout: Micros) -> CallDeadlines {
     CallDeadlines { head: from_now(head_timeout), body: from_now(head_timeout + BODY_MARGIN) }
 }
--- a/crates/proxy/src/discovery/platform/fetch.rs
+++ b/crates/proxy/src/discovery/platform/fetch.rs
@@ -17,22 +17,23 @@
 
 /// Maximum length of an endpoint list, in bytes.
 ///
-/// A list of this length has about 10,000 endpoints, more than any expected fleet, and takes a sixteenth of
-/// the smallest memory limit of a scheduler process. The 64 KiB limit on the bodies of other messages would
-/// allow only about 400 endpoints.
+/// A list of this length has about 10,000 endpoints, which is more than any expected fleet has. It takes a
+/// sixteenth of the smallest memory limit that a scheduler process has. Other messages have bodies of at most
+/// 64 KiB, which would be enough for only about 400 endpoints.
 const MAX_LIST_BYTES: usize = 2 << 20;
 
-/// Error of a call to discovery that returned no list.
+/// The reason why a call to discovery returned no endpoint list.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(super) enum FetchError {
-    /// Discovery refused the call with this status.
+    /// Discovery refused the call: it answered with this status instead of 200.
     #[error("answered {0}")]
     Refused(StatusCode),
-    /// The address and the path don't form a valid HTTP request.
+    /// No valid HTTP request can be built from discovery's address and the path.
     #[error(transparent)]
     InvalidRequest(#[from] hyper::http::Error),
-    /// The connection to discovery failed.
+    /// The HTTP client could not connect to discovery, or the connection failed before the response's head
+    /// arrived.
     #[error(transparent)]
     Connection(#[from] hyper_util::client::legacy::Error),
     /// The body of discovery's response ended early or is too long.
@@ -41,16 +42,16 @@
     /// The body of discovery's response is not a valid endpoint list.
     #[error("{reason}")]
     InvalidList {
-        /// The parser's description of the fault in the list.
+        /// The parser's description of what is wrong with the list.
         reason: String,
     },
-    /// Discovery's response was not received in time.
+    /// Discovery's response was not received by the deadline.
     #[error("fell silent")]
     TimedOut,
 }
 
 impl FetchError {
-    /// Returns whether discovery responded and refused the call.
+    /// Returns whether the call failed because discovery answered with a status other than 200.
     pub(super) fn is_refusal(&self) -> bool {
         matches!(self, FetchError::Refused(_))
     }
@@ -60,16 +61,16 @@
     FetchError::InvalidList { reason: error.to_string() }
 }
 
-/// Deadlines at which a call is dropped.
+/// The deadlines at which a call to discovery is given up.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallDeadlines {
-    /// Deadline for the head of the response.
+    /// The instant by which the head of discovery's response must be received.
     pub(super) head: Instant,
-    /// Deadline for the whole response.
+    /// The instant by which discovery's whole response must be received.
     pub(super) body: Instant,
 }
 
-/// HTTP client for one discovery address.
+/// HTTP client that calls discovery. It is replaced when discovery's address changes.
 pub(super) struct DiscoveryClient(Client<HttpConnector, Empty<Bytes>>);
 
 impl DiscoveryClient {
@@ -84,7 +85,7 @@
         DiscoveryClient(client)
     }
 
-    /// Fetches a list with one call, which is dropped at its deadlines.
+    /// Fetches an endpoint list with one call, which is given up at its deadlines.
     pub(super) async fn fetch(
         &self,
         address: &Authority,
@@ -97,11 +98,11 @@
         list.unwrap_or(Err(FetchError::TimedOut))
     }
 
-    /// Fetches a list with hedged calls, and returns the first list that is received.
+    /// Fetches an endpoint list with several parallel calls, and returns the first list that is received.
     ///
-    /// Whenever a further `interval` has passed without a list, another call is made on another connection.
-    /// Each call is dropped at `deadline`. If all calls made so far have failed, no further call is made, and
-    /// the error of the last failure is returned.
+    /// The first call is made at once. Each time `interval` microseconds pass without a list, another call is
+    /// made on another connection. All calls are given up at `deadline`. Once every call made so far has
+    /// failed, no further call is made, and the error of the call that failed last is returned.
     pub(super) async fn fetch_hedged(
         &self,
         address: &Authority,
@@ -121,7 +122,8 @@
         }
     }
 
-    /// Makes a call, and returns the response once its head is received with status 200.
+    /// Makes one call to discovery, and returns the response as soon as its head has been received with
+    /// status 200.
     async fn request(&self, address: &Authority, path: &str) -> Result<Response<Incoming>, FetchError> {
         let uri = Uri::builder().scheme("http").authority(address.clone()).path_and_query(path).build()?;
         let request = Request::get(uri).body(Empty::new())?;
--- a/crates/proxy/src/discovery/static_list.rs
+++ b/crates/proxy/src/discovery/static_list.rs
@@ -1,20 +1,21 @@
-//! Endpoint source whose list is part of the configuration.
+//! Endpoint source that publishes the endpoint list in the scheduler's own configuration.
 use copperspread_settings::EndpointList;
 use futures_util::future::BoxFuture;
 use tokio::sync::watch;
 
 use crate::discovery::{EndpointPublisher, EndpointSource};
 
-/// Endpoint source for the last configured list.
+/// Endpoint source that publishes the endpoint list of the last loaded configuration.
 ///
-/// The sender replaces the list when the configuration is reloaded, and increments its revision each time.
+/// The sender of this channel replaces the list each time the configuration is reloaded, and increments the
+/// list's revision.
 pub struct StaticEndpoints(pub watch::Receiver<EndpointList>);
 
 impl EndpointSource for StaticEndpoints {
     fn follow(mut self: Box<Self>, publisher: EndpointPublisher) -> BoxFuture<'static, ()> {
         Box::pin(async move {
-            // Only the policy's first list request is awaited. The policy requests a further list only after
-            // a failure, and this source cannot fail.
+            // Only the policy's first list request is waited for. The policy would request another list only
+            // after a failure, and this source cannot fail.
             if publisher.is_polled() {
                 publisher.list_requested().await;
             }
@@ -23,7 +24,8 @@
                 if let Some(endpoints) = publisher.apply(&list) {
                     publisher.publish(&list, &endpoints);
                 }
-                // The sender is dropped only when the process ends. The last list stays published until then.
+                // The sender is dropped only when the process ends. Until then, the last list stays
+                // published.
                 if self.0.changed().await.is_err() {
                     return std::future::pending().await;
                 }
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -1,8 +1,8 @@
-//! Serves one client connection from its first request until it closes.
+//! Serves one client connection from its first request until the connection closes.
 //!
-//! Some clients send nothing, stop in the middle of a request, send too much data or frame a body in two
-//! ways. Such a client must neither use up the connections or the memory that other clients need, nor affect
-//! the responses to other clients.
+//! Some clients send nothing, stop in the middle of a request, send too much data, or give two different ends
+//! of a body. Such a client must not use up the connections or the memory that other clients need. It must
+//! not affect the responses to other clients either.
 use std::future::{poll_fn, ready};
 use std::pin::Pin;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 use crate::invariant::count_event;
 use crate::shutdown::{ShutdownPhase, ShutdownWatch};
 
-/// Time without a further request after which a connection is closed.
+/// The time, in microseconds, after which a connection is closed on which no further request arrives.
 const IDLE_TIMEOUT: Micros = 75 * SECOND;
 
 /// Serves one client connection until either side closes it.
@@ -47,18 +47,19 @@
     }
 }
 
-/// Stream of a connection; `Observer` sees all bytes that the server library (hyper) reads from it.
+/// The byte stream of one client connection. `Observer` is called with all bytes that the server library
+/// (hyper) reads.
 type ObservedStream<Observer> = TokioIo<InspectReader<ReadAhead, Observer>>;
 
-/// Server library (hyper) that serves one connection.
+/// The part of the server library (hyper) that serves one client connection.
 type Server<Observer> = http1::Connection<ObservedStream<Observer>, RequestService>;
 
-/// A decision to close the connection that has not been carried out yet. The decision is dropped if the
-/// connection can still serve a request.
+/// A decision to close a connection, before it is carried out. The decision is dropped if a request arrives
+/// meanwhile or the client still has time to send a request.
 struct PendingClose {
     reason: CloseReason,
-    /// Whether bytes of the client were left unread when the server was stopped, which shows whether a
-    /// request has begun.
+    /// What the client had sent, but the server had not used, when the server was stopped. This shows whether
+    /// the client has begun a request.
     unread: Unread,
 }
 
@@ -66,37 +67,38 @@
 enum ShutdownAction {
     /// Keep the connection open for now.
     StayOpen,
-    /// Close the connection once the last response has been written.
+    /// Close the connection once the server has written the last response.
     FinishWriting,
-    /// Close the connection unless part of a request has been received on it.
+    /// Close the connection, unless part of a request has been received on the connection.
     CloseIfIdle,
 }
 
-/// Next event that the event loop of a client connection handles.
+/// An event that the event loop of a client connection handles.
 enum ConnectionEvent {
-    /// The connection has ended: the server has finished, or the client has disconnected.
+    /// The client connection has ended: the server has finished, or the client has disconnected.
     Ended(ConnectionEnd),
-    /// The deadline for the next request's head has changed.
+    /// The deadline by which the head of the connection's next request must be received has changed.
     DeadlineChanged,
-    /// The server was polled once more after the decision to close the connection, so that the pending close
-    /// can now be carried out or dropped.
+    /// The server has been polled once more since the event loop decided to close the connection. The pending
+    /// close can now be carried out or dropped.
     PendingClosePolled,
-    /// The shutdown phase has changed.
+    /// The phase of the scheduler's shutdown has changed.
     ShutdownPhaseChanged,
-    /// The next request's head was not received by its deadline.
+    /// The head of the connection's next request was not received by its deadline.
     HeadTimedOut,
-    /// Another connection needs the permit of this connection.
+    /// This connection was asked to close, because another connection needs its permit.
     EvictionNotified,
-    /// The notice period of an eviction, during which a request could still begin, has ended.
+    /// The time has ended in which a request could still begin on a connection that was asked to close
+    /// ([`EVICTION_NOTICE`]).
     EvictionDue,
 }
 
-/// One client connection, with the state that only its event loop uses.
+/// One client connection, with the state that only the connection's event loop uses.
 struct ClientConnection {
     shared: Arc<ServedConnection>,
     pending_close: Option<PendingClose>,
-    /// The end of an eviction's notice period, during which a request may still begin; `None` if no notice
-    /// period is running.
+    /// The end of the time in which a request may still begin, if the connection was asked to close to free
+    /// its permit. Otherwise `None`.
     eviction_deadline: Option<Instant>,
 }
 
@@ -110,7 +112,7 @@
         ClientConnection { shared, pending_close: None, eviction_deadline: None }
     }
 
-    /// Serves the connection's requests one after the other; returns how the connection ended.
+    /// Serves the connection's requests one after the other. Returns how the connection ended.
     async fn serve_requests(mut self) -> ConnectionEnd {
         let mut server = self.start_server();
         let mut shutdown = self.shared.handler.shutdown.watch();
@@ -155,8 +157,8 @@
         }
     }
 
-    /// Waits for the next event. If several are ready, the first in the order of the `select!` branches is
-    /// returned.
+    /// Waits for the next event of the connection. If several events are ready, the first in the order of the
+    /// `select!` branches is returned.
     async fn next_event(
         &self,
         server: &mut Server<impl FnMut(&[u8]) + Unpin>,
@@ -166,8 +168,8 @@
         tokio::select! {
             biased;
             // The server is polled first, so that received data is read and pending data is written before
-            // the connection closes. `poll_without_shutdown` leaves the socket open, so that what the client
-            // still sends can be read before the socket is closed.
+            // the connection closes. `poll_without_shutdown` leaves the socket open. Data that the client
+            // still sends can therefore be read before the socket is closed.
             event = poll_fn(|cx| {
                 let polled = server.poll_without_shutdown(cx);
                 self.shared.process_server_poll(polled, head_deadline)
@@ -180,18 +182,17 @@
                 }
                 ServerEvent::DeadlineChanged => ConnectionEvent::DeadlineChanged,
             },
-            // This branch follows the server's, so that a disconnect is detected right after a request was
-            // read and before the request's task dispatches anything. A client may disconnect right after it
-            // has sent a request, or while it waits for the response. The caller then drops `server`, which
-            // notifies the request's task.
+            // A client may disconnect right after it has sent a request, or while it waits for the response.
+            // This branch follows the server's branch, so that a disconnect is detected after the request was
+            // read but before its task dispatches anything. The caller then drops `server`, which notifies
+            // the request's task.
             () = poll_fn(|cx| self.poll_client_disconnected(cx)) => {
                 self.shared.count_disconnected();
                 ConnectionEvent::Ended(ConnectionEnd::Abandoned)
             }
             () = ready(()), if self.pending_close.is_some() => ConnectionEvent::PendingClosePolled,
             _ = shutdown.changed() => ConnectionEvent::ShutdownPhaseChanged,
-            // The deadline passes if the client has sent nothing, or has not completed the request head that
-            // it began.
+            // The deadline passes if the client has sent nothing, or has sent only part of a request head.
             () = sleep_until(head_deadline.unwrap_or_else(Instant::now)), if head_deadline.is_some() => {
                 ConnectionEvent::HeadTimedOut
             }
@@ -203,12 +204,15 @@
         }
     }
 
-    /// Returns whether a close is postponed because the client has not read the last response yet.
+    /// Returns whether the connection must stay open for now, because the client has not read the last
+    /// response yet.
     ///
-    /// After a time-out, the close is postponed until [`IDLE_TIMEOUT`] after the last response; an eviction
-    /// is postponed until [`LINGER_TIMEOUT`] after the last response. The function also determines when the
-    /// close is decided on again: after a time-out it sets a new head deadline, and after an eviction it
-    /// returns the connection to the idle state, from which the connection can be evicted again.
+    /// After a time-out, the connection stays open until [`IDLE_TIMEOUT`] after the last response. The method
+    /// sets this time as the new head deadline, so that the close is decided on again then.
+    ///
+    /// A connection that is to be closed to free its permit stays open until [`LINGER_TIMEOUT`] after the
+    /// last response. The method sets the connection's state to idle, so that the connection can be chosen
+    /// again.
     fn postpones_close(&self, reason: CloseReason) -> bool {
         let postponed_until = match reason {
             CloseReason::TimedOut => self.shared.idle_deadline(IDLE_TIMEOUT),
@@ -226,8 +230,8 @@
 
     /// Carries out the pending close, and returns how the connection ended.
     ///
-    /// Returns `None` if the connection stays open, because a request has been received since the close was
-    /// decided on or because the client still has time to send a request.
+    /// Returns `None` if the connection stays open. This is so if a request has been received since the close
+    /// was decided on, or if the client still has time to send a request.
     async fn finish_pending_close(&mut self) -> Option<ConnectionEnd> {
         let PendingClose { reason, unread } = self.pending_close.take()?;
         let shared = &self.shared;
@@ -237,7 +241,7 @@
         let awaits_first_request = !shared.has_received_request.load(Ordering::Relaxed);
         match (unread, reason) {
             (Unread::Nothing, CloseReason::Evicted) => {
-                // Counts client connections that were evicted.
+                // This counter counts client connections that were closed to free their permits.
                 count_event("an edge connection gave its place up", "closed");
                 Some(ConnectionEnd::Abandoned)
             }
@@ -249,7 +253,7 @@
             (Unread::NewBytes, CloseReason::TimedOut) if !awaits_first_request => None,
             (Unread::NewBytes, CloseReason::Evicted) => None,
             (Unread::Bytes | Unread::NewBytes, _) => {
-                // Counts requests that were received only in part.
+                // This counter counts requests that were received only in part.
                 count_event("a request did not come to its end", "refused");
                 write_refusal(shared.stream.clone(), reason.partial_request_status()).await;
                 Some(ConnectionEnd::Responded)
@@ -258,9 +262,9 @@
         }
     }
 
-    /// Returns [`ConnectionEnd::Idle`] if the connection has been idle for [`IDLE_TIMEOUT`].
+    /// Returns [`ConnectionEnd::Idle`] if no request has arrived on the connection for [`IDLE_TIMEOUT`].
     ///
-    /// Otherwise sets the head deadline to the end of that time and returns `None`.
+    /// Otherwise sets the head deadline to the end of that time, and returns `None`.
     fn end_if_idle(&self) -> Option<ConnectionEnd> {
         let idle_until = self.shared.idle_deadline(IDLE_TIMEOUT);
         if Instant::now() >= idle_until {
@@ -270,7 +274,8 @@
         None
     }
 
-    /// Starts the server library on this connection, from the next unread byte.
+    /// Starts the server library (hyper) on this connection. The library reads from the first byte that is
+    /// still unread.
     fn start_server(&self) -> Server<impl FnMut(&[u8]) + Unpin + use<>> {
         let shared = Arc::clone(&self.shared);
         let reader =
@@ -280,11 +285,11 @@
         builder.serve_connection(TokioIo::new(reader), RequestService(Arc::clone(&self.shared)))
     }
 
-    /// Returns `Poll::Ready` once the client has disconnected while a completely received request is being
+    /// Returns `Poll::Ready` if the client has disconnected while a completely received request is being
     /// answered.
     ///
-    /// At any other time, `Poll::Pending` is returned. Each poll checks again whether the request is
-    /// complete, because the server may have read the request's last byte since the previous poll.
+    /// At all other times, returns `Poll::Pending`. Each poll checks anew whether the request is complete,
+    /// because the server may have read the request's last byte since the previous poll.
     fn poll_client_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         if !self.shared.is_request_complete.load(Ordering::Relaxed) {
             return Poll::Pending;
@@ -294,25 +299,26 @@
 
     /// Returns what the connection does in the current shutdown phase.
     ///
-    /// A connection whose last request came from a client closes once it is idle, so that the client's next
-    /// request goes to another scheduler. Two kinds of connections stay open until the `Closing` phase: those
-    /// on which nothing has been received, as the first request may be in transit, and those on which workers
-    /// send callbacks. A partly received request is answered, and its connection closes after the response.
+    /// If the last request came from a client, the connection closes as soon as it is idle, so that the
+    /// client sends its next request to another scheduler. Two kinds of connections stay open until the phase
+    /// `Closing`. On the first kind nothing has been received yet, and the first request may be in transit.
+    /// On the second kind, workers send callbacks. A request that has been received in part is answered, and
+    /// the connection closes after the response.
     fn shutdown_action(&self) -> ShutdownAction {
         let closes_all = matches!(self.shared.handler.shutdown.phase(), ShutdownPhase::Closing(_));
         let is_used_by_client = self.shared.is_used_by_client.load(Ordering::Relaxed);
         if self.shared.permit.is_in_state(ConnectionState::Serving) || !(closes_all || is_used_by_client) {
             ShutdownAction::StayOpen
         } else if self.shared.stream.is_write_blocked() {
-            // The connection stays open until the last response is written. A response that the client has
-            // not read yet would be lost if the connection closed now.
+            // The connection stays open until the last response is written. If it closed now, the part of the
+            // response that the client has not read yet would be lost.
             ShutdownAction::FinishWriting
         } else {
             ShutdownAction::CloseIfIdle
         }
     }
 
-    /// Stops a server and returns what it left unread.
+    /// Stops a server, and returns what is unread on the connection.
     ///
     /// Bytes that the server had read but not used are put back, so that the next server reads them.
     fn stop_server(&self, server: Server<impl FnMut(&[u8]) + Unpin>) -> Unread {
--- a/crates/proxy/src/downstream/client_connections.rs
+++ b/crates/proxy/src/downstream/client_connections.rs
@@ -18,30 +18,30 @@
 use crate::invariant::count_event;
 use crate::shutdown::{Shutdown, ShutdownPhase};
 
-/// Delay before the next `accept` after one that failed for lack of descriptors or memory.
+/// The delay before `accept` is called again after it failed for lack of file descriptors or memory, in
+/// microseconds.
 const ACCEPT_RETRY_DELAY: Micros = 20_000;
-/// Number of consecutive `accept` errors that are retried at once, where each error concerns only the
-/// connection that would have been accepted.
+/// How many errors of `accept` in a row are retried at once, if each of them concerns only the connection
+/// that would have been accepted.
 ///
-/// After one more such error, the loop waits for [`ACCEPT_RETRY_DELAY`], so that a persistent error doesn't
+/// After the next such error, the loop waits for [`ACCEPT_RETRY_DELAY`]. A persistent error therefore doesn't
 /// cause a busy loop.
 const MAX_FAILED_CONNECTIONS: u32 = 8;
 
-/// Listener for client connections, with the limit on their number and the request handler that they share.
+/// The listener for client connections. It limits the number of connections, which share one request handler.
 pub struct ClientListener {
     handler: Arc<RequestHandler>,
-    /// Listening socket, which the task that accepts connections takes. The socket is closed when that task
-    /// ends.
+    /// The listening socket. The task that accepts connections takes it, and closes it when the task ends.
     listener: Mutex<Option<TcpListener>>,
     limits: Arc<ConnectionLimits>,
 }
 
 impl ClientListener {
-    /// Creates a server that accepts client connections on `listener` and answers their requests through
+    /// Creates a listener that accepts client connections on `listener` and answers their requests through
     /// `router`.
     ///
-    /// The number of connections is limited according to the process's limits on file descriptors and on
-    /// memory, the latter in MB (10^6 bytes).
+    /// The maximum number of connections is derived from `descriptor_limit`, the number of file descriptors
+    /// that the process may open, and from `memory_limit_mb`, the process's memory limit in MB (10^6 bytes).
     pub fn new(
         router: Router,
         callback_path: &'static str,
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Returns the totals of client requests so far.
+    /// Returns how many client requests have been received and how they ended, since the process started.
     pub fn request_totals(&self) -> RequestTotals {
         self.handler.totals.totals()
     }
@@ -80,7 +80,7 @@
                 Ok((stream, peer)) => {
                     consecutive_failures = 0;
                     let permit = Arc::new(self.limits.acquire().await);
-                    // Adds the peer's address to the log events of this connection.
+                    // The span adds the client's address to the log messages of this connection.
                     let span = warn_span!("connection", %peer);
                     tokio::spawn(
                         serve_connection(Arc::clone(&self.handler), stream, permit).instrument(span),
@@ -91,10 +91,11 @@
                 {
                     consecutive_failures += 1;
                 }
-                // When descriptors run out, the loop that accepts connections must neither end nor spin.
+                // If file descriptors or memory run out, this loop must go on, or no further connection would
+                // be accepted. It must also wait, or it would be a busy loop.
                 Err(error) => {
                     consecutive_failures = 0;
-                    // Counts failed calls of `accept`.
+                    // This counter counts failed calls of `accept` after which the loop waits.
                     count_event("no connection taken", &error.to_string());
                     if is_resource_exhaustion(&error) {
                         self.limits.evict_on_exhaustion();
@@ -116,10 +117,11 @@
     }
 }
 
-/// Returns whether `accept` failed because the process or the machine is out of descriptors or memory.
+/// Returns whether `accept` failed because the process or the machine is out of file descriptors or memory.
 ///
-/// The next call would then fail too. Any other error concerns only the connection that would have been
-/// accepted: on Linux, `accept` returns network errors that are already pending on the new socket.
+/// In this case, the next call of `accept` would fail too. Any other error concerns only the connection that
+/// would have been accepted: on Linux, `accept` returns network errors that are already pending on the new
+/// socket.
 fn is_resource_exhaustion(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM))
 }
--- a/crates/proxy/src/downstream/connection_close.rs
+++ b/crates/proxy/src/downstream/connection_close.rs
@@ -1,6 +1,6 @@
 //! Closes client connections so that a response in transit still reaches its client.
 //!
-//! On a connection with no response due, a request that arrives during the close is left unread, and its
+//! If no response is due on the connection, a request that arrives during the close is left unread. Its
 //! client sends it again on another connection.
 use axum::http::StatusCode;
 use copperspread_dispatcher::{Micros, SECOND};
@@ -11,39 +11,41 @@
 use crate::clock::from_now;
 use crate::downstream::read_ahead::ReadAhead;
 
-/// Maximum time for which a client's data is read and dropped after the last response on a connection.
+/// How long data from a client is read and dropped after the last response on a connection, in microseconds.
 ///
-/// Closing a socket with unread data sends a TCP reset, which may destroy the response before the client
-/// reads it. The same time also limits other waits for a client whose connection is being closed.
+/// If a socket with unread data were closed, a TCP reset would be sent, which may destroy the response before
+/// the client reads it. Other waits for a client whose connection is being closed are limited to the same
+/// time.
 pub(super) const LINGER_TIMEOUT: Micros = 2 * SECOND;
-/// Maximum number of bytes from a client that are read and dropped after the last response on a connection.
+/// The maximum number of bytes from a client that are read and dropped after the last response on a
+/// connection.
 const MAX_LINGER_BYTES: u64 = 64 << 20;
 
-/// How a connection ended, which decides how it is closed.
+/// How the use of a client connection ended. This decides how the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
-    /// The connection ended with a response that the client may not have read yet.
+    /// The connection's last response may not have reached the client yet.
     Responded,
-    /// The connection ended while idle: no response is due.
+    /// The connection was idle: no response is due on it.
     Idle,
     /// The client has disconnected, or the scheduler closes the connection without waiting for the client.
     Abandoned,
 }
 
-/// Why the scheduler closes a connection that serves no request.
+/// Why the scheduler closes a client connection on which no request is being answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// The next request's head was not received in time.
+    /// The head of the connection's next request was not received in time.
     TimedOut,
-    /// Another connection needs the permit of this connection.
+    /// The connection was asked to close, because another connection needs its permit.
     Evicted,
 }
 
 impl CloseReason {
-    /// Returns the status of the response to a partly received request.
+    /// Returns the status of the response to a request that was received only in part.
     ///
-    /// Such a request gets a response because its client may complete the request at any time, and a complete
-    /// request must be answered.
+    /// Such a request gets a response because its client may send the rest at any time. The request would
+    /// then be complete, and every complete request must be answered.
     pub(super) fn partial_request_status(self) -> StatusCode {
         match self {
             CloseReason::TimedOut => StatusCode::REQUEST_TIMEOUT,
@@ -52,11 +54,11 @@
     }
 }
 
-/// Closes a connection whose requests have ended.
+/// Closes a connection on which no further request is served.
 ///
-/// Unless the connection is [`ConnectionEnd::Abandoned`], the function waits up to [`LINGER_TIMEOUT`] for the
-/// client to close the connection too. After a response, the wait also ends once [`MAX_LINGER_BYTES`] have
-/// been read and dropped.
+/// The function waits up to [`LINGER_TIMEOUT`] for the client to close the connection too, except after
+/// [`ConnectionEnd::Abandoned`]. After a response, the wait also ends once [`MAX_LINGER_BYTES`] have been
+/// read and dropped.
 pub(super) async fn close(stream: TcpStream, end: ConnectionEnd) {
     match end {
         ConnectionEnd::Responded => linger(stream).await,
@@ -67,7 +69,7 @@
 
 /// Closes a connection on which no response is due.
 ///
-/// A request that arrives during the close stays unread; its client sends it again on another connection.
+/// A request that arrives during the close stays unread. Its client sends it again on another connection.
 async fn close_between_requests(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
@@ -83,8 +85,8 @@
 
 /// Closes a connection whose last response may still be in transit.
 ///
-/// What the client still sends is read and dropped until [`LINGER_TIMEOUT`] has passed, [`MAX_LINGER_BYTES`]
-/// have been read, or the client has closed the connection.
+/// Data that the client still sends is read and dropped. This ends when [`LINGER_TIMEOUT`] has passed, when
+/// [`MAX_LINGER_BYTES`] have been read, or when the client has closed the connection.
 async fn linger(mut stream: TcpStream) {
     if stream.shutdown().await.is_ok() {
         let mut rest = stream.take(MAX_LINGER_BYTES);
@@ -93,7 +95,7 @@
     }
 }
 
-/// Writes an empty response to a request that was received only in part.
+/// Writes a response without a body to a request that was received only in part.
 pub(super) async fn write_refusal(mut stream: ReadAhead, status: StatusCode) {
     let head = format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
     let _ = timeout_at(from_now(LINGER_TIMEOUT), stream.write_all(head.as_bytes())).await;
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -1,5 +1,5 @@
-//! Limits the number of client connections, and evicts connections that serve no request when few permits are
-//! left.
+//! Limits the number of client connections. To keep some permits free for new connections, connections that
+//! serve no request are asked to close (evicted).
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -11,47 +11,49 @@
 use crate::clock::from_now;
 use crate::downstream::raw_head::MAX_HEAD_BYTES;
 
-/// Maximum memory of one client connection: its buffers, its task and a small body.
+/// The memory that is reserved for each client connection, in bytes: for the buffers, the task and a small
+/// body.
 const MAX_CONNECTION_BYTES: usize = 2 * MAX_HEAD_BYTES;
-/// Minimum time for which a connection stays in its current state before it can be evicted.
+/// The minimum time that a connection has been in its current state before it can be asked to close, in
+/// microseconds.
 ///
-/// The connection is kept for this time because the client's next request may be in transit. For a connection
-/// in the middle of a request head, [`HEAD_EVICTION_GRACE`] applies instead.
+/// Within this time, the client's next request may be in transit. If part of a request head has been
+/// received, [`HEAD_EVICTION_GRACE`] applies instead.
 const EVICTION_GRACE: Micros = 20_000;
-/// Minimum time for which a connection stays in the middle of a request head before it can be evicted. The
-/// time is longer than [`EVICTION_GRACE`] because clients may write slowly.
+/// The minimum time that a connection has been in the middle of a request head before it can be asked to
+/// close, in microseconds. The time is longer than [`EVICTION_GRACE`] because clients may write slowly.
 const HEAD_EVICTION_GRACE: Micros = 250_000;
-/// Time for which a connection that is being evicted may still begin a request.
+/// The time in which a request may still begin on a connection that was asked to close, in microseconds.
 pub(super) const EVICTION_NOTICE: Micros = 5_000;
 
-/// Returns the maximum number of client connections for a process.
+/// Returns the maximum number of client connections of a process.
 ///
-/// The number is limited by the process's file descriptors and by its memory limit, in MB (10^6 bytes). A
-/// quarter of the descriptors and 16 further descriptors are reserved for workers, discovery and files. Half
-/// of the memory is reserved for larger bodies and all other uses. At least 8 connections are allowed in any
-/// case.
+/// The number is limited by `descriptor_limit`, the number of file descriptors that the process may open, and
+/// by `memory_limit_mb`, the process's memory limit in MB (10^6 bytes). A quarter of the descriptors and 16
+/// more are reserved for workers, discovery and files. Half of the memory is reserved for larger bodies and
+/// all other uses. At least 8 connections are always allowed.
 pub fn max_connections(descriptor_limit: usize, memory_limit_mb: f64) -> usize {
     let by_descriptors = (descriptor_limit - descriptor_limit / 4).saturating_sub(16);
     let by_memory = (memory_limit_mb * 1e6 / 2.0) as usize / MAX_CONNECTION_BYTES;
     by_descriptors.min(by_memory).max(8)
 }
 
-/// Minimum idle time before a connection is evicted because the process or the machine is out of descriptors
-/// or memory.
+/// The minimum time that a connection has been idle before it is asked to close because the process or the
+/// machine is out of file descriptors or memory, in microseconds.
 const MIN_IDLE_TIME_ON_EXHAUSTION: Micros = 2 * SECOND;
 
-/// State of a client connection.
+/// The state of a client connection, which decides whether the connection can be asked to close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// No byte of the first request has been received.
+    /// No byte has been received on the connection.
     New,
-    /// Part of a request's head has been received.
+    /// Part of a request's head has been received on the connection.
     Receiving,
-    /// A request is being read or answered.
+    /// A request of the connection is being read or answered.
     Serving,
-    /// The connection is between two requests.
+    /// The connection has served a request, and the next request has not begun.
     Idle,
-    /// The connection was asked to close, and no request has begun since.
+    /// The connection was asked to close to free its permit, and no request has begun since.
     Evicting,
     /// The connection serves no further request and is being closed.
     Closing,
@@ -64,19 +66,19 @@
 }
 
 impl ConnectionEntry {
-    /// Asks the connection's task to close the connection. A request that begins within [`EVICTION_NOTICE`]
-    /// revokes the eviction.
+    /// Asks the connection's task to close the connection. The connection stays open if a request begins
+    /// within [`EVICTION_NOTICE`].
     fn evict(&mut self) {
         self.state = ConnectionState::Evicting;
         self.eviction.notify_one();
     }
 
-    /// Returns the connection's rank for eviction, or `None` if the connection must not be evicted.
-    /// Connections with the lowest rank are evicted first.
+    /// Returns the group of the connection in the order in which connections are asked to close. The group
+    /// with the lowest number comes first. `None` means that the connection must not be asked to close.
     fn eviction_rank(&self) -> Option<u8> {
         match self.state {
-            // These connections are evicted first: their clients have sent nothing, or they are already being
-            // closed.
+            // These connections come first: their clients have sent nothing, or the connections are already
+            // being closed.
             ConnectionState::New | ConnectionState::Closing => Some(0),
             ConnectionState::Idle => Some(1),
             ConnectionState::Receiving => Some(2),
@@ -94,11 +96,11 @@
 #[derive(Default)]
 struct Inner {
     last_id: u64,
-    /// Client connections, keyed by connection id; ids increase in the order of acceptance.
+    /// The client connections, keyed by connection id. Connections that are accepted later have higher ids.
     connections: BTreeMap<u64, ConnectionEntry>,
 }
 
-/// Permits of all client connections, by which the number of connections is limited.
+/// Gives out the permits of the client connections, of which there is a limited number.
 pub(super) struct ConnectionLimits {
     max_connections: usize,
     inner: Mutex<Inner>,
@@ -114,11 +116,11 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a permit.
+    /// Waits for a permit for a new client connection.
     ///
-    /// When few permits are left, connections that serve no request are evicted in the order of
-    /// [`Inner::evict_one`]. Clients that open hundreds of connections and send nothing therefore only take
-    /// permits from each other and don't delay other clients.
+    /// When few permits are left, connections that serve no request are asked to close, in the order of
+    /// [`Inner::evict_one`]. A client that opens hundreds of connections and sends nothing therefore doesn't
+    /// delay other clients: such connections only take permits from each other.
     pub(super) async fn acquire(self: &Arc<Self>) -> ConnectionPermit {
         loop {
             if let Some(permit) = self.try_acquire() {
@@ -128,12 +130,12 @@
         }
     }
 
-    /// Evicts the connection that has been idle for longest. Called when `accept` has run out of descriptors
-    /// or memory although permits are left.
+    /// Asks the connection that has been idle for longest to close. Called when `accept` has run out of file
+    /// descriptors or memory although permits are left.
     ///
-    /// The process may have fewer descriptors than its configuration says, or may need more descriptors than
-    /// usual for workers. Connections in use stay open, as the shortage may pass. No connection is evicted
-    /// while another is being evicted.
+    /// This can happen if the process has fewer descriptors than its configuration says, or needs more
+    /// descriptors than usual for workers. Connections that are not idle stay open, because the shortage may
+    /// pass. Nothing is done while any connection is still in the state [`ConnectionState::Evicting`].
     pub(super) fn evict_on_exhaustion(&self) {
         let inner = &mut *self.lock();
         if inner.connections.values().any(|entry| entry.state == ConnectionState::Evicting) {
@@ -166,11 +168,11 @@
 }
 
 impl Inner {
-    /// Evicts connections until an eighth of the permits is free, not counting the permit for the connection
-    /// that is being accepted.
+    /// Asks connections to close until an eighth of the permits is free, besides the permit for the
+    /// connection that is being accepted.
     ///
-    /// The permit of a connection that is being evicted counts as free. Less than an eighth becomes free if
-    /// no further connection can be evicted.
+    /// The permit of a connection that has been asked to close counts as free. If no further connection can
+    /// be asked, fewer permits become free.
     fn evict_surplus(&mut self, max_connections: usize) {
         let is_evicting = |entry: &&ConnectionEntry| entry.state == ConnectionState::Evicting;
         let evicting = self.connections.values().filter(is_evicting).count();
@@ -183,12 +185,13 @@
         }
     }
 
-    /// Evicts one connection, and returns whether a connection was evicted.
+    /// Asks one connection to close, and returns whether there was a connection to ask.
     ///
-    /// New and closing connections are evicted first, then idle connections, then connections in the middle
-    /// of a request head. Only the first of these three groups that is not empty is considered. Of its
-    /// connections whose grace time has passed ([`EVICTION_GRACE`] or [`HEAD_EVICTION_GRACE`]), the
-    /// connection that has been in its state for longest is evicted.
+    /// There are three groups of connections: first the new and closing connections, then the idle
+    /// connections, then those in the middle of a request head. Only the first group that is not empty is
+    /// considered. In this group, only connections whose minimum time in their state has passed can be asked
+    /// ([`EVICTION_GRACE`] or [`HEAD_EVICTION_GRACE`]). Of these, the connection that has been in its state
+    /// for longest is asked.
     fn evict_one(&mut self) -> bool {
         let Some(rank) = self.connections.values().filter_map(ConnectionEntry::eviction_rank).min() else {
             return false;
@@ -204,11 +207,11 @@
     }
 }
 
-/// Permit of one open client connection, released when dropped.
+/// The permit of one open client connection. The permit is free again when this value is dropped.
 pub(super) struct ConnectionPermit {
     limits: Arc<ConnectionLimits>,
     id: u64,
-    /// Notified when the scheduler wants the connection to close.
+    /// Notified when the connection is asked to close.
     pub(super) eviction: Arc<Notify>,
 }
 
@@ -219,7 +222,8 @@
         }
     }
 
-    /// Marks the connection as having begun a request, which also revokes an eviction in progress.
+    /// Records that a request has begun on the connection. If the connection had been asked to close, it
+    /// stays open.
     pub(super) fn set_receiving(&self) {
         if !self.is_in_state(ConnectionState::Receiving) {
             self.set_state(ConnectionState::Receiving);
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 protocol of the clients: routes, parsing of requests, and encoding of final responses.
+//! The HTTP/1.1 protocol of the clients: the routes, the parsing of requests, and the encoding of final
+//! responses.
 //!
 //! No other module depends on the details of this protocol.
 use std::error::Error;
@@ -29,32 +30,33 @@
 
 pub mod request_head;
 
-/// Route for workers' callbacks. Callbacks arrive at the listener for clients, because workers can call no
-/// other address of the scheduler.
+/// The route to which workers send callbacks. The route is on the listener for clients, because workers can
+/// call no other address of the scheduler.
 #[derive(Clone)]
 pub struct CallbackRoute {
-    /// Path to which callbacks are sent with `POST`.
+    /// The path to which workers send callbacks, with `POST`.
     pub path: &'static str,
-    /// Handler of the callbacks' bodies.
+    /// The function that is called with the body of each callback.
     pub handle: Arc<CallbackHandler>,
 }
 
-/// Handles the body of one callback; returns an error if it is not a valid callback.
+/// The type of a function that handles the body of one callback. It returns an error if the body is not a
+/// valid callback.
 pub type CallbackHandler = dyn Fn(&[u8]) -> Result<(), Box<dyn Error + Send + Sync>> + Send + Sync;
 
-/// Status page of the process on the client listener, beside `/-/ready`.
+/// An additional page with information about the process, served on the listener for clients like `/-/ready`.
 #[derive(Clone)]
 pub struct StatusPage {
-    /// Path of the page, for `GET`.
+    /// The path at which the page is read, with `GET`.
     pub path: &'static str,
-    /// Renders the page as JSON; called for each request, and must not block.
+    /// Returns the page as JSON text. Called for each request of the page, and must not block.
     pub render_json: Arc<dyn Fn() -> String + Send + Sync>,
 }
 
-/// Creates a server that accepts client connections on a listener and answers their requests.
+/// Creates a listener that accepts client connections on `listener` and answers their requests.
 ///
-/// The number of connections is limited according to the process's limits on file descriptors and on memory,
-/// the latter in MB (10^6 bytes).
+/// The maximum number of connections is derived from `descriptor_limit`, the number of file descriptors that
+/// the process may open, and from `memory_limit_mb`, the process's memory limit in MB (10^6 bytes).
 pub fn listen(
     context: Arc<ProxyContext>,
     callbacks: CallbackRoute,
@@ -69,7 +71,7 @@
     ClientListener::new(router, callback_path, shutdown, listener, descriptor_limit, memory_limit_mb)
 }
 
-/// Builds the router of the client listener.
+/// Builds the router for client requests, workers' callbacks and status pages.
 pub fn routes(context: Arc<ProxyContext>, callbacks: CallbackRoute, pages: &[StatusPage]) -> Router {
     let router = Router::new()
         .route(callbacks.path, post(handle_callback).with_state(callbacks))
@@ -87,22 +89,22 @@
     if context.shutdown.is_started() { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK }
 }
 
-/// Received body, with the permit for its memory.
+/// The received body of a request, with the permit for the body's memory.
 struct ReceivedBody {
     bytes: Bytes,
     permit: BodyPermit,
 }
 
-/// Reads a body within the limits on its length, the time until it is received, and the memory for all
-/// bodies.
+/// Reads the body of a request. The body's length, the time until it is received, and the memory for all
+/// bodies are limited.
 ///
 /// # Errors
 ///
-/// Returns the status of the response: 413 for a body that is too long, 400 for one that cannot be read, and
-/// 408 for one that is not received by its deadline.
+/// Returns the status of the response: 413 for a body that is too long, 400 for a body that cannot be read,
+/// and 408 for a body that is not received by its deadline.
 async fn read_body(body: Body, limits: &RequestLimits) -> Result<ReceivedBody, StatusCode> {
     let size = hyper::body::Body::size_hint(&body);
-    // A body whose announced length is too large is refused without reading it.
+    // A body whose announced length is too large is refused before it is read.
     if size.lower() > MAX_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
@@ -119,7 +121,7 @@
     }
 }
 
-/// Handles a worker's callback. A callback gets the same response whether or not its request has already
+/// Handles a worker's callback. A valid callback gets the same response even if its request has already
 /// completed.
 async fn handle_callback(
     State(callbacks): State<CallbackRoute>,
@@ -154,9 +156,9 @@
     }
 }
 
-/// Why a client's request was refused before it was passed to the policy.
+/// Why a client's request was refused before it was passed to the dispatch policy.
 ///
-/// A refused request is not counted as rejected: only the policy rejects requests.
+/// A refused request does not count as rejected: only the policy rejects requests.
 enum RefusedRequest {
     UnknownClass,
     MethodNotAllowed,
@@ -177,7 +179,7 @@
     }
 }
 
-/// Reads a client's request with its body, and sets the request's deadline.
+/// Reads a client's request with its body, and computes the request's deadline.
 async fn receive(
     context: &ProxyContext,
     mut limits: RequestLimits,
@@ -191,10 +193,10 @@
     limits.body_deadline = limits.body_deadline.min(effective_deadline(client_deadline, &shutdown));
     let body = read_body(body, &limits).await.map_err(RefusedRequest::Body)?;
     limits.mark_request_complete();
-    // A request that cannot be answered before this scheduler stops would fail at that time. The time that
-    // the policy gets is therefore computed anew after the body has been received, and ends no later than the
-    // shutdown's drain deadline. The policy can then reject the request, so that the client retries
-    // elsewhere.
+    // A request that is not answered before this scheduler stops would fail. The request's remaining time is
+    // therefore computed after the body has been received, and ends at the latest at the shutdown's drain
+    // deadline. If this time is too short, the policy can reject the request, so that the client retries at
+    // another scheduler.
     let deadline = effective_deadline(client_deadline, &shutdown);
     request.time_left = deadline.saturating_duration_since(Instant::now()).as_micros() as Micros;
     let path = parts.uri.path_and_query().cloned().ok_or(RefusedRequest::InvalidHead)?;
@@ -210,7 +212,7 @@
     Ok(AdmissionRequest { request, deadline, upstream_request })
 }
 
-/// Parses a request's head: the class from its path, and its headers.
+/// Parses the head of a client's request: the request class from the path, and the headers.
 fn parse_client_head(context: &ProxyContext, parts: &Parts) -> Result<RequestHead, RefusedRequest> {
     let class_name = parts.uri.path().split('/').nth(1).unwrap_or_default();
     let mut classes = context.settings.classes.iter();
@@ -226,13 +228,14 @@
     })
 }
 
-/// Encodes a final response. Status 503 is sent only if the policy rejected the request.
+/// Encodes the final response to a client's request. Status 503 is sent only if the policy rejected the
+/// request.
 fn render(context: &ProxyContext, response: FinalResponse) -> Response {
     match response {
         FinalResponse::Served(result) => result.into_response(),
         FinalResponse::Rejected { retry_after } => {
-            // During a shutdown, `Retry-After` is 0, so that clients retry at once: another scheduler may
-            // have capacity now.
+            // During a shutdown, `Retry-After` is 0, so that the client retries at once. Another scheduler
+            // may have capacity now.
             let retry_after = if context.shutdown.is_started() { 0 } else { retry_after };
             let seconds = retry_after.min(context.settings.max_retry_after) as f64 / SECOND as f64;
             (StatusCode::SERVICE_UNAVAILABLE, [(header::RETRY_AFTER, seconds.to_string())]).into_response()
--- a/crates/proxy/src/downstream/http/request_head.rs
+++ b/crates/proxy/src/downstream/http/request_head.rs
@@ -5,14 +5,14 @@
 
 use crate::messages::parse_request_id;
 
-/// How much earlier than the client's time-out a response is due.
+/// How much earlier than the client's time-out the response must be ready, in microseconds.
 ///
-/// The margin covers the transit of the request and the response, and delays of this process while it waits
-/// for a CPU. For a short time-out, the margin is limited to a quarter of the time-out.
+/// This time covers the transit of the request and the response, and delays of this process while it waits
+/// for a CPU. It is at most a quarter of the client's time-out.
 const RESPONSE_MARGIN: Micros = 50_000;
-/// Maximum client time-out; longer ones are reduced to it.
+/// The maximum time-out of a client, in microseconds. Longer time-outs are reduced to this value.
 const MAX_CLIENT_TIMEOUT: Micros = 86_400 * SECOND;
-/// Headers that apply to a single connection (hop-by-hop headers) and are not forwarded.
+/// The headers that apply to a single connection (hop-by-hop headers). They are not forwarded to workers.
 const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -26,55 +26,55 @@
 
 /// Parsed head of a client's request.
 pub(super) struct RequestHead {
-    /// Request as passed to the dispatch policy.
+    /// The request in the form that the dispatch policy takes.
     pub(super) request: IncomingRequest,
-    /// Request id as the client wrote it.
+    /// The request id as the client wrote it.
     pub(super) id: String,
-    /// Idempotency of the request's class, which determines whether the request may run more than once.
+    /// The idempotency of the request's class. It determines whether the request may run more than once.
     pub(super) idempotency: Idempotency,
 }
 
-/// Error of a request head that is not valid.
+/// Why the head of a client's request is not valid.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(super) enum RequestHeadError {
-    /// A header that must be unique is repeated. Such a request is refused because another server might use a
-    /// different one of the values.
+    /// A header of the request that must be unique is repeated. Another server might use a different value of
+    /// the two, so the request is refused.
     #[error("header {name} is repeated")]
     RepeatedHeader {
-        /// Name of the repeated header.
+        /// The name of the repeated header.
         name: &'static str,
     },
-    /// The request has no request id.
+    /// The request has no request id (`X-Request-ID`).
     #[error("missing X-Request-ID header")]
     MissingRequestId,
-    /// The request id is malformed.
+    /// The request id (`X-Request-ID`) is malformed.
     #[error("invalid X-Request-ID header: {value:?}")]
     InvalidRequestId {
         /// The malformed request id that was received.
         value: String,
     },
-    /// The request has no time-out.
+    /// The request has no client time-out (`X-Timeout`).
     #[error("missing X-Timeout header")]
     MissingTimeout,
-    /// The time-out is malformed.
+    /// The client time-out (`X-Timeout`) is malformed.
     #[error("invalid X-Timeout header: {value:?}")]
     InvalidTimeout {
         /// The malformed time-out that was received.
         value: String,
     },
-    /// The request has no idempotency key, although its class requires a key so that workers can recognize a
-    /// retry.
+    /// The request has no idempotency key, although its class requires a key. Without a key, workers could
+    /// not recognize a retry.
     #[error("missing Idempotency-Key header")]
     MissingIdempotencyKey,
 }
 
-/// Parses the headers of a request of the class with index `class`.
+/// Parses the headers of a client's request. `class` is the index of the request's class in the settings.
 ///
 /// # Errors
 ///
 /// Returns an error if the request id or the time-out is missing, malformed or repeated, or if a required
-/// idempotency key is missing. Other headers that are malformed count as absent.
+/// idempotency key is missing. Any other header that is malformed counts as absent.
 pub(super) fn parse_head(
     headers: &HeaderMap,
     class: u32,
@@ -111,7 +111,7 @@
     Ok(RequestHead { request, id: id.to_owned(), idempotency })
 }
 
-/// Returns the index of the tenant that a header gives by name or by index.
+/// Returns the index of the tenant that a request's header gives by name or by index.
 ///
 /// An unknown tenant counts as no tenant, whose index is `tenants.len()`.
 fn tenant_index(tenant: &str, tenants: &[String]) -> usize {
@@ -119,9 +119,10 @@
     by_name.or_else(|| tenant.parse().ok()).unwrap_or(tenants.len()).min(tenants.len())
 }
 
-/// Parses a time-out: a decimal number and a unit, `m` for milliseconds or `u` for microseconds.
+/// Parses a client's time-out: a decimal number and a unit, `m` for milliseconds or `u` for microseconds.
 ///
-/// A time-out of more than a day counts as a day. Returns `None` if the text is malformed.
+/// Returns the time-out in microseconds, or `None` if the text is malformed. A time-out of more than a day
+/// counts as a day.
 pub fn parse_timeout(text: &str) -> Option<Micros> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let micros_per_unit = match unit {
@@ -134,7 +135,7 @@
     Some(((timeout * micros_per_unit) as Micros).min(MAX_CLIENT_TIMEOUT))
 }
 
-/// Returns the numeric value of the first attribute whose name is one of `names`.
+/// Returns the number that `attributes` gives for the first attribute whose name is in `names`.
 ///
 /// `attributes` is a list of the form `name=value,name=value`. A malformed value counts as absent.
 pub fn parse_attribute(attributes: &str, names: &[&str]) -> Option<f64> {
@@ -143,7 +144,8 @@
     named.next().and_then(|(_, value)| value.trim().parse().ok())
 }
 
-/// Returns the headers that are forwarded to a worker: all except hop-by-hop headers.
+/// Returns the headers of a request that are forwarded to a worker: all headers except the hop-by-hop
+/// headers.
 pub(super) fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! Client side of the proxy: the [`Downstream`] trait and its HTTP/1.1 implementation.
+//! The client side of the proxy: the trait [`Downstream`] and its implementation for HTTP/1.1.
 use std::sync::Arc;
 
 use futures_util::future::BoxFuture;
@@ -15,10 +15,10 @@
 pub mod request_totals;
 mod served_connection;
 
-/// Server for one client protocol.
+/// A server for one client protocol.
 ///
-/// An implementation starts a request task for each request that it accepts, and encodes the final response.
-/// It doesn't reject requests: only the dispatch policy does.
+/// An implementation starts a task for each request that it accepts, and encodes the request's final
+/// response. It rejects no request: only the dispatch policy does.
 pub trait Downstream: Send + Sync + 'static {
     /// Accepts client connections until the shutdown phase is `Closing`.
     fn accept(self: Arc<Self>) -> BoxFuture<'static, ()>;
--- a/crates/proxy/src/downstream/read_ahead.rs
+++ b/crates/proxy/src/downstream/read_ahead.rs
@@ -1,7 +1,8 @@
-//! Client connection stream that can be read ahead of the server library (hyper).
+//! The stream of a client connection, from which bytes can be read before the server library (hyper) asks for
+//! them.
 //!
-//! Received bytes are buffered for the library in order. The end of the stream, which shows that the client
-//! has disconnected, is detected even while the library does not read.
+//! These bytes are buffered for the library in order. The scheduler can therefore detect that the client has
+//! disconnected even while the library does not read.
 use std::io::{self, Read};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -11,45 +12,47 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Maximum number of bytes buffered ahead of the library.
+/// The maximum number of bytes that are buffered before the library reads them.
 const MAX_BUFFERED_BYTES: usize = 8 * 1024;
-/// Maximum number of bytes that one check for the stream's end reads. A socket's receive buffer holds no more
-/// bytes.
+/// The number of bytes after which a check for the end of the stream stops reading. A socket's receive buffer
+/// holds no more bytes.
 const MAX_CHECKED_BYTES: usize = 8 << 20;
 
 struct Inner {
     stream: TcpStream,
-    /// Received bytes that the library has not read.
+    /// Bytes that have been received but not yet read by the library.
     buffered: Vec<u8>,
-    /// Whether bytes beyond the buffer's limit were dropped. No further request can then be read from the
+    /// Whether bytes were dropped because the buffer was full. If so, no further request can be read from the
     /// connection.
     is_overrun: bool,
     /// Whether the library's last write is blocked because the client does not read.
     is_write_blocked: bool,
 }
 
-/// Unread content of a stream after the library has stopped reading it.
+/// What is unread on a stream after the library has stopped reading from the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
     /// No unread byte has been received so far.
     Nothing,
-    /// Bytes that had been read from the socket before the library stopped. The next reader gets them first.
+    /// The stream has unread bytes that were read from the socket before the library stopped. The next reader
+    /// gets them first.
     Bytes,
-    /// Bytes that were read from the socket only after the library had stopped. The next reader gets them
-    /// first.
+    /// The stream has unread bytes that were read from the socket only after the library had stopped. The
+    /// next reader gets them first.
     NewBytes,
-    /// The stream has ended or was reset.
+    /// The stream has nothing unread: the client has closed or reset the connection.
     End,
 }
 
-/// Shared handle to a stream that is read ahead.
+/// A handle to the stream of a client connection. The event loop, the library and others share the stream
+/// through clones of the handle.
 ///
-/// All clones must be used from one task, as the stream keeps only one waker for reads and one for writes.
+/// All clones must be used in one task. The stream keeps only one waker for reads and one for writes.
 #[derive(Clone)]
 pub struct ReadAhead(Arc<Mutex<Inner>>);
 
 impl ReadAhead {
-    /// Wraps a stream from which nothing has been read.
+    /// Creates a handle to a stream from which nothing has been read.
     pub fn new(stream: TcpStream) -> ReadAhead {
         let inner = Inner { stream, buffered: Vec::new(), is_overrun: false, is_write_blocked: false };
         ReadAhead(Arc::new(Mutex::new(inner)))
@@ -59,11 +62,11 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns `Poll::Ready` once the peer has closed or reset the connection, even if the peer sent much
+    /// Returns `Poll::Ready` once the client has closed or reset the connection, even if the client sent much
     /// data before.
     ///
     /// Call this method only while a completely received request is being answered, because it drops bytes
-    /// beyond the buffer's limit. The library alone would not detect the disconnect of a client that has sent
+    /// that the buffer cannot hold. The library alone would not detect the disconnect if the client has sent
     /// more data than the library buffers.
     pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let inner = &mut *self.lock();
@@ -78,20 +81,20 @@
         }
     }
 
-    /// Returns whether received bytes were dropped, so that the connection can carry no further request.
+    /// Returns whether received bytes were dropped. If so, no further request can be read from the
+    /// connection.
     pub fn is_overrun(&self) -> bool {
         self.lock().is_overrun
     }
 
-    /// Returns whether the last write is blocked because the client does not read.
+    /// Returns whether the library's last write is blocked because the client does not read.
     pub fn is_write_blocked(&self) -> bool {
         self.lock().is_write_blocked
     }
 
-    /// Puts back the bytes that the library had read but not used, and returns which content of the stream is
-    /// unread.
+    /// Puts back the bytes that the library had read but not used, and returns what is unread on the stream.
     ///
-    /// If no byte is buffered, the method also reads what the socket has received.
+    /// If no byte is buffered after that, the method also reads what the socket has received.
     pub fn put_back(&self, unused: &[u8]) -> Unread {
         let inner = &mut *self.lock();
         inner.buffered.splice(0..0, unused.iter().copied());
@@ -110,31 +113,31 @@
         }
     }
 
-    /// Returns a handle that tells whether the peer is still connected.
-    ///
-    /// The handle does not keep the stream open.
+    /// Returns a handle that tells whether the client is still connected. The handle does not keep the stream
+    /// open.
     pub fn presence(&self) -> PeerPresence {
         PeerPresence(Arc::downgrade(&self.0))
     }
 
-    /// Returns the stream, or `None` if another clone of this handle exists. In both cases this handle is
-    /// consumed.
+    /// Returns the stream itself. Returns `None` if another clone of this handle exists; this handle is
+    /// dropped in that case too.
     pub fn into_stream(self) -> Option<TcpStream> {
         let inner = Arc::into_inner(self.0)?;
         Some(inner.into_inner().unwrap_or_else(PoisonError::into_inner).stream)
     }
 }
 
-/// Handle that tells whether the peer of a stream is still connected.
+/// A handle that tells whether the client at the other end of a stream is still connected.
 #[derive(Clone)]
 pub struct PeerPresence(Weak<Mutex<Inner>>);
 
 impl PeerPresence {
-    /// Returns whether the peer has closed or reset the connection, or the stream is no longer served.
+    /// Returns whether the client has closed or reset the connection. Also returns true if the connection is
+    /// no longer served.
     ///
     /// Like [`ReadAhead::poll_disconnected`], call this method only while a completely received request is
-    /// being answered. Unlike that method, it asks the operating system directly and does not wait until the
-    /// runtime has polled for I/O events, which a delayed process may do late.
+    /// being answered. This method asks the operating system directly. `poll_disconnected` depends on the
+    /// runtime's poll for I/O events, which happens late if the process is delayed.
     pub fn has_disconnected(&self) -> bool {
         let Some(inner) = self.0.upgrade() else { return true };
         let mut inner = inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -143,16 +146,16 @@
 }
 
 impl Inner {
-    /// Reads from the socket directly, whether or not the runtime has recorded the socket as readable. The
+    /// Reads from the socket directly, even if the runtime has not recorded the socket as readable. The
     /// runtime's record may be out of date.
     fn read_nonblocking(&self, bytes: &mut [u8]) -> io::Result<usize> {
         (&*SockRef::from(&self.stream)).read(bytes)
     }
 
-    /// Reads what the socket has received, buffers these bytes and returns whether the stream has ended.
+    /// Reads and buffers what the socket has received, and returns whether the stream has ended.
     ///
-    /// The method reads little more than [`MAX_CHECKED_BYTES`] at most, and drops bytes beyond the buffer's
-    /// limit.
+    /// Bytes that the buffer cannot hold are dropped. The method stops reading soon after
+    /// [`MAX_CHECKED_BYTES`] bytes.
     fn has_ended(&mut self) -> bool {
         let mut bytes = [0; 16 * 1024];
         let mut total = 0;
@@ -177,7 +180,8 @@
         }
     }
 
-    /// Records whether the write with this result is blocked, and returns the result unchanged.
+    /// Records whether a write is blocked, given the result `written` of that write. Returns `written`
+    /// unchanged.
     fn record_write(&mut self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         self.is_write_blocked = written.is_pending();
         written
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of all client connections through one router.
+//! Answers the requests on all client connections, through one router.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -16,21 +16,21 @@
 use crate::invariant::count_event;
 use crate::shutdown::Shutdown;
 
-/// Request handler that all client connections share; it counts the requests in progress.
+/// Answers the requests on all client connections, and counts the requests in progress.
 pub(super) struct RequestHandler {
     router: Router,
-    /// Path of workers' callbacks, which don't count as client requests.
+    /// The path to which workers send callbacks. Requests to this path don't count as client requests.
     callback_path: &'static str,
     pub(super) shutdown: Shutdown,
-    /// Limit on concurrent client requests. It is an eighth lower than the limit on client connections, so
-    /// that workers can connect to send callbacks.
+    /// The maximum number of client requests in progress. It is an eighth lower than the maximum number of
+    /// connections, so that workers can still connect to send callbacks.
     max_client_requests: usize,
     pub(super) body_memory: Arc<Semaphore>,
-    /// Totals of the client requests of all connections.
+    /// How many client requests were received on all connections, and how they ended.
     pub(super) totals: RequestCounters,
-    /// Requests that are being read or answered, including callbacks.
+    /// The number of requests that are being read or answered, including callbacks.
     active_requests: AtomicUsize,
-    /// Client requests that are being read or answered.
+    /// The number of client requests that are being read or answered.
     active_client_requests: AtomicUsize,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns whether a request comes from a client; if not, it is a callback.
+    /// Returns whether a request is a client's request. Otherwise the request is a worker's callback.
     pub(super) fn is_client_request<B>(&self, request: &hyper::Request<B>) -> bool {
         request.uri().path() != self.callback_path
     }
@@ -66,8 +66,8 @@
 
     /// Returns the response to one request.
     ///
-    /// `raw_head` is the request's head as received. The response has `Connection: close` if the connection
-    /// must not carry a further request.
+    /// `raw_head` is the request's head as received. The response has the header `Connection: close` if no
+    /// further request must follow on the connection.
     pub(super) async fn respond(&self, request: Request, raw_head: &[u8], limits: RequestLimits) -> Response {
         let _request = CountGuard::new(&self.active_requests);
         let is_client_request = self.is_client_request(&request);
@@ -77,17 +77,18 @@
             count_event("bad request", "a body framed in two ways");
             StatusCode::BAD_REQUEST.into_response()
         } else if is_client_request && self.exceeds_client_request_limit() {
-            // If clients used all connections, workers could not connect to send the callbacks that the
-            // responses depend on. The request gets an error and not a rejection: only the policy rejects
-            // requests.
+            // If clients used all connections, workers could not connect to send their callbacks, and no
+            // request could be answered. The request gets an error status and not a rejection, because only
+            // the policy rejects requests.
             is_refused_unread = true;
             StatusCode::INTERNAL_SERVER_ERROR.into_response()
         } else {
             self.route(request, limits).await
         };
-        // The connection is closed if the request was refused because of the limit, if a shutdown has begun,
-        // or if the response has a 4xx status. A client whose request cannot be served must not keep a
-        // connection open, and after an unread body the connection cannot carry a further request.
+        // The connection is closed in three cases: the limit on client requests was exceeded, a shutdown has
+        // begun, or the response has a 4xx status. A client whose request cannot be served must not keep a
+        // connection open. If the request's body was not read, no further request can be read from the
+        // connection.
         if is_refused_unread || self.shutdown.is_started() || response.status().is_client_error() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
@@ -107,7 +108,7 @@
     }
 }
 
-/// Guard that increments a count, and decrements it when dropped.
+/// A guard that increments a counter when it is created, and decrements the counter when it is dropped.
 struct CountGuard<'a>(&'a AtomicUsize);
 
 impl CountGuard<'_> {
--- a/crates/proxy/src/downstream/request_totals.rs
+++ b/crates/proxy/src/downstream/request_totals.rs
@@ -1,27 +1,27 @@
-//! Counts client requests by how they end.
-//!
-//! Each received request either gets its response or ends early because its client disconnects.
+//! Counts the received client requests, the written responses, and the requests whose client disconnected
+//! before the response was written.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Totals of client requests since the process started.
+/// The numbers of client requests since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestTotals {
-    /// Requests whose head was received.
+    /// The number of client requests whose head was received.
     pub received: u64,
-    /// Requests whose final response was written.
+    /// The number of client requests whose response was written.
     pub answered: u64,
-    /// Requests whose client disconnected before the response was written.
+    /// The number of client requests whose client disconnected before the response was written.
     pub disconnected: u64,
 }
 
 impl RequestTotals {
-    /// Returns the number of requests that have no written response and whose client is still connected.
+    /// Returns the number of client requests whose response has not been written and whose client is still
+    /// connected.
     pub fn unanswered(&self) -> u64 {
         self.received.saturating_sub(self.answered + self.disconnected)
     }
 }
 
-/// Atomic counters from which [`RequestTotals`] is read.
+/// The counters from which [`RequestTotals`] is filled.
 #[derive(Default)]
 pub(super) struct RequestCounters {
     received: AtomicU64,
--- a/crates/proxy/src/downstream/served_connection.rs
+++ b/crates/proxy/src/downstream/served_connection.rs
@@ -1,5 +1,5 @@
-//! State that a client connection's event loop shares with its requests: deadlines for reading the next
-//! request, and how many requests have no written response yet.
+//! The state that the event loop of a client connection shares with the connection's requests. It includes
+//! the deadline for reading the next request, and the number of requests without a written response.
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -22,45 +22,48 @@
 use crate::downstream::request_handler::RequestHandler;
 use crate::downstream::request_limits::RequestLimits;
 
-/// Time after accepting a connection within which its first request must be received completely.
+/// The time from accepting a connection until the connection's first request must be received completely, in
+/// microseconds.
 ///
-/// A connection that exceeds this time is closed. The time can be much shorter than the idle time-out between
-/// requests without affecting ordinary clients, which send as soon as they connect.
+/// A connection that exceeds this time is closed. Ordinary clients send as soon as they connect, so this time
+/// can be much shorter than the idle time-out between requests.
 const FIRST_REQUEST_TIMEOUT: Micros = 2 * SECOND;
-/// Time from the first byte of a request's head until the head must be received completely. Applies to every
-/// request of a connection except the first.
+/// The time from the first byte of a request's head until the head must be received completely, in
+/// microseconds. Does not apply to the first request of a connection.
 const HEAD_TIMEOUT: Micros = 2 * SECOND;
-/// Time from the receipt of a request's head until its body must be received completely. Applies to every
-/// request of a connection except the first.
+/// The time from the receipt of a request's head until the body must be received completely, in microseconds.
+/// Does not apply to the first request of a connection.
 const BODY_TIMEOUT: Micros = 2 * SECOND;
 
-/// State that a connection's event loop and its requests share. It is used from one task only.
+/// The state that the event loop of a client connection shares with the connection's requests. It is used in
+/// one task only.
 pub(super) struct ServedConnection {
     pub(super) handler: Arc<RequestHandler>,
     pub(super) permit: Arc<ConnectionPermit>,
     pub(super) stream: ReadAhead,
     pub(super) raw_head: RawHead,
     pub(super) first_request_deadline: Instant,
-    /// The deadline for the next request's head, or the time at which the event loop next checks whether that
-    /// head has begun. `None` while a request is served.
+    /// The deadline for the head of the next request, or the time at which the event loop next checks whether
+    /// that head has begun. `None` while a request is being read or answered.
     pub(super) head_deadline: Mutex<Option<Instant>>,
-    /// Whether the first request's head has been received.
+    /// Whether the head of the connection's first request has been received.
     pub(super) has_received_request: AtomicBool,
-    /// When the last response was returned to the server library. Before the first response, the time at
-    /// which the connection was accepted.
+    /// The time at which the last response was passed to the server library (hyper). Before the first
+    /// response, the time at which the connection was accepted.
     pub(super) idle_since: Mutex<Instant>,
-    /// Number of client requests whose response has not been written yet.
+    /// The number of client requests whose response has not been written yet.
     pub(super) unanswered_requests: AtomicUsize,
-    /// Number of client requests whose response was returned to the server library and is not written yet.
-    /// They also count as unanswered.
+    /// The number of client requests whose response has been passed to the server library (hyper) but not
+    /// been written yet. These requests are included in `unanswered_requests`.
     pub(super) unwritten_responses: AtomicUsize,
-    /// Whether the last request came from a client. Otherwise it was a worker's callback.
+    /// Whether the connection's last request came from a client. Otherwise the request was a worker's
+    /// callback.
     pub(super) is_used_by_client: AtomicBool,
-    /// Whether a completely received request is being answered.
+    /// Whether a request that was received completely is being answered.
     pub(super) is_request_complete: Arc<AtomicBool>,
 }
 
-/// hyper service that answers the requests of one connection.
+/// The hyper service that answers the requests of one client connection.
 pub(super) struct RequestService(pub(super) Arc<ServedConnection>);
 
 impl Service<hyper::Request<Incoming>> for RequestService {
@@ -113,16 +116,15 @@
         let raw_head = self.raw_head.take();
         let mut response = self.handler.respond(request.map(Body::new), &raw_head, limits).await;
         self.is_request_complete.store(false, Ordering::Relaxed);
-        // Some of the received bytes were dropped. The connection is closed after this response, since what
-        // follows cannot be parsed as a request.
+        // If received bytes were dropped, the connection closes after this response, because the bytes that
+        // follow cannot be parsed as a request.
         if self.stream.is_overrun() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         self.raw_head.start();
         self.permit.set_state(ConnectionState::Idle);
-        // The library may already have buffered the start of the next head, which the scheduler cannot detect
-        // at this point. The deadline that is set here makes the event loop check after [`HEAD_TIMEOUT`]
-        // whether that head has begun.
+        // The library may already have read the start of the next head, which the scheduler cannot detect
+        // here. This deadline makes the event loop check after [`HEAD_TIMEOUT`] whether that head has begun.
         self.set_head_deadline(Some(from_now(HEAD_TIMEOUT)));
         *self.idle_since.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
         if self.is_used_by_client.load(Ordering::Relaxed) {
@@ -131,8 +133,8 @@
         response
     }
 
-    /// Records that a request's head has been received: the connection now serves a request, and the deadline
-    /// for the head no longer applies.
+    /// Records that a request's head has been received. The connection's state becomes
+    /// [`ConnectionState::Serving`], and the deadline for the head is removed.
     fn begin_request(&self, request: &hyper::Request<Incoming>) {
         let is_client_request = self.handler.is_client_request(request);
         self.permit.set_state(ConnectionState::Serving);
@@ -144,9 +146,11 @@
         }
     }
 
-    /// Records that the library has read `bytes` from the stream. If they belong to a head, the connection's
-    /// state becomes [`ConnectionState::Receiving`]. If they begin the head of a request other than the
-    /// connection's first, the deadline for this head is set.
+    /// Records that the library has read `bytes` from the stream.
+    ///
+    /// If the bytes belong to a request's head, the connection's state becomes
+    /// [`ConnectionState::Receiving`]. If they are the first bytes of that head, the deadline for the head is
+    /// set, except for the connection's first request.
     pub(super) fn observe_read(&self, bytes: &[u8]) {
         if !self.raw_head.add(bytes) || bytes.is_empty() {
             return;
@@ -158,8 +162,8 @@
         self.permit.set_receiving();
     }
 
-    /// Handles the result of one poll of the server: counts the responses that the poll has written, and
-    /// returns the event for the event loop, if any.
+    /// Handles the result `polled` of one poll of the server. Counts the responses that have been written,
+    /// and returns the event for the connection's event loop, if there is one.
     pub(super) fn process_server_poll(
         &self,
         polled: Poll<hyper::Result<()>>,
@@ -179,13 +183,14 @@
         }
     }
 
-    /// Counts all unanswered requests as disconnected. Called once the client has disconnected.
+    /// Counts all requests without a written response as disconnected. Called once the client has
+    /// disconnected.
     pub(super) fn count_disconnected(&self) {
         self.handler.totals.add_disconnected(self.unanswered_requests.swap(0, Ordering::Relaxed));
     }
 
-    /// Returns the instant that is `timeout` after the last response, or after the connection was accepted if
-    /// there was no response yet.
+    /// Returns the instant `timeout` microseconds after the last response. Before the first response, the
+    /// time counts from the accepting of the connection.
     pub(super) fn idle_deadline(&self, timeout: Micros) -> Instant {
         let idle_since = *self.idle_since.lock().unwrap_or_else(PoisonError::into_inner);
         idle_since + Duration::from_micros(timeout)
@@ -200,10 +205,10 @@
     }
 }
 
-/// Event produced by polling the server.
+/// What a poll of the server has found.
 pub(super) enum ServerEvent {
-    /// The connection has ended.
+    /// The server has finished: the connection serves no further request.
     Finished,
-    /// The deadline for the next request's head has changed.
+    /// The deadline for the head of the connection's next request has changed.
     DeadlineChanged,
 }
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -1,5 +1,7 @@
-//! The endpoint table, which assigns each worker the id that the dispatch policy uses. The ids are counted
-//! from 0 without gaps. The table does not depend on the formats in which endpoint sources deliver lists.
+//! The endpoint table: the known workers with their addresses and states.
+//!
+//! The table assigns each worker the id that the dispatch policy uses. The ids are counted from 0 without
+//! gaps. The table does not depend on the formats in which endpoint sources deliver lists.
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -13,13 +15,14 @@
 /// Where an endpoint list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListOrigin {
-    /// The cached list, which was stored before the scheduler process started and may be out of date.
+    /// The endpoint list comes from the cache: it was stored before the scheduler process started and may be
+    /// out of date.
     Cache,
-    /// A response of discovery.
+    /// The endpoint list is an answer of discovery.
     Discovery,
 }
 
-/// Assigns numbers to names, counted from 0 without gaps. A number is never reused for another name.
+/// Assigns numbers to names, counted from 0 without gaps. A name keeps its number for ever.
 #[derive(Debug, Default)]
 struct NameIndex {
     numbers: HashMap<String, u32>,
@@ -34,7 +37,7 @@
         index
     }
 
-    /// Returns the number of a name, and assigns the next one to a name that has none.
+    /// Returns the number of a name. A name that has no number gets the next free number.
     fn get_or_insert(&mut self, name: &str) -> u32 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -51,7 +54,7 @@
     ids: NameIndex,
     zones: NameIndex,
     kinds: NameIndex,
-    /// Workers' entries, indexed by worker id.
+    /// The workers' entries. The position of an entry is the worker's id.
     entries: Vec<Entry>,
     starts: WorkerStarts,
 }
@@ -59,25 +62,26 @@
 #[derive(Debug)]
 struct Entry {
     name: Arc<str>,
-    /// The address at which the worker was last listed.
+    /// The worker's address in the last list that contained the worker.
     address: Authority,
     phase: EndpointPhase,
     start: Option<WorkerStart>,
 }
 
-/// The time of a worker's last start: as given in the endpoint list in Unix time, and as estimated on the
+/// The time at which a worker last started, on two clocks: the listed Unix time, and an estimate on the
 /// scheduler's clock.
 #[derive(Clone, Copy, Debug)]
 struct WorkerStart {
     /// The worker's start time as given in the endpoint list, in microseconds since the Unix epoch.
     listed: Micros,
     /// The worker's estimated start time, in microseconds on the scheduler's clock. The estimate can differ
-    /// from the listed time, for example after a step of the wall clock.
+    /// from the listed time, for example if the wall clock was changed.
     estimated: Micros,
 }
 
 impl Table {
-    /// Applies one record of an endpoint list to the table, and converts the record for the dispatch policy.
+    /// Applies one record of an endpoint list to the table, and returns the record in the form that the
+    /// dispatch policy takes.
     fn apply_record(&mut self, record: &EndpointRecord, reading: ClockReading) -> Endpoint {
         let number = self.ids.get_or_insert(&record.id);
         let former_start = self.entries.get(number as usize).and_then(|entry| entry.start);
@@ -111,8 +115,8 @@
         }
     }
 
-    /// Returns a worker's start time. If the listed start time has not changed, the previous estimate is
-    /// kept; otherwise the start is estimated anew.
+    /// Returns a worker's listed and estimated start time. If the listed start time has not changed, the
+    /// previous estimate is kept. Otherwise the start time is estimated anew.
     fn worker_start(
         &self,
         former: Option<WorkerStart>,
@@ -124,15 +128,15 @@
     }
 }
 
-/// The endpoint table, which only the endpoint publisher updates. An endpoint keeps its worker id when its
-/// address changes.
+/// The endpoint table: the known workers with their addresses and states. Only the endpoint publisher updates
+/// the table. A worker keeps its id when its address changes.
 #[derive(Debug)]
 pub struct EndpointTable {
     table: Mutex<Table>,
 }
 
 impl EndpointTable {
-    /// Creates an empty table that numbers zones and worker kinds in the order of the settings.
+    /// Creates a table without workers. Zones and worker kinds are numbered in the order of the settings.
     pub fn new(settings: &ProxySettings) -> EndpointTable {
         let table = Table {
             revision: 0,
@@ -149,16 +153,21 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Resets the revision and the time of discovery's last answer. Called when the next list comes from
-    /// another discovery service, whose revisions are unrelated to those of the previous service.
+    /// Resets the revision of the last list and the time of discovery's last answer.
+    ///
+    /// Called when the next list comes from another discovery service. The revisions of that service cannot
+    /// be compared with those of the previous service.
     pub fn reset_revision(&self) {
         let mut table = self.lock();
         table.revision = 0;
         table.starts.forget_last_answer();
     }
 
-    /// Applies a list and returns its endpoints for the dispatch policy, or `None` if the table already has a
-    /// newer revision. `reading` is the clocks' reading when the list was received.
+    /// Applies a list to the table, and returns the list's endpoints in the form that the dispatch policy
+    /// takes.
+    ///
+    /// Returns `None`, and applies nothing, if the table already has a newer revision. `reading` holds the
+    /// times of both clocks when the list was received.
     pub fn apply(
         &self,
         list: &EndpointList,
@@ -188,7 +197,8 @@
         (entry.phase == EndpointPhase::Serving).then(|| entry.address.clone())
     }
 
-    /// The last known address of a worker, also of one that is draining or removed.
+    /// The last known address of a worker, even if the worker is draining or removed. `None` if the worker is
+    /// unknown.
     pub fn last_known_address(&self, worker: WorkerId) -> Option<Authority> {
         self.lock().entries.get(worker.0 as usize).map(|entry| entry.address.clone())
     }
@@ -199,7 +209,7 @@
         table.entries.get(worker.0 as usize).map(|entry| Arc::clone(&entry.name)).unwrap_or_default()
     }
 
-    /// The id of the worker of this name, or `None` if the table has no such worker.
+    /// The id of the worker with the given name, or `None` if the table has no such worker.
     pub fn worker_by_name(&self, name: &str) -> Option<WorkerId> {
         self.lock().ids.numbers.get(name).copied().map(WorkerId)
     }
--- a/crates/proxy/src/event_recorder.rs
+++ b/crates/proxy/src/event_recorder.rs
@@ -1,8 +1,8 @@
-//! Writes the scheduler's events to the event log, with the names of workers and request classes instead of
-//! their numbers. Events are not built if the event log is disabled.
+//! Writes the scheduler's events to the event log. The log contains the names of workers and request classes,
+//! not their numbers. If the event log is disabled, no event is built.
 //!
-//! The names of reasons, states and outcomes in this module are part of the event log's format. They must not
-//! change when the corresponding Rust types are renamed.
+//! The names of reasons, states and outcomes in this module are part of the event log's format. They must
+//! stay the same when the corresponding Rust types are renamed.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
@@ -15,7 +15,7 @@
 
 use crate::endpoints::EndpointTable;
 
-/// Converts the events of one scheduler into records of its event log.
+/// The event recorder: converts the events of one scheduler into records of the event log.
 pub struct EventRecorder {
     recorder: Recorder,
     endpoints: Arc<EndpointTable>,
@@ -27,7 +27,7 @@
     format!("{:016x}", request.0)
 }
 
-/// The name under which a rejection's reason appears in the event log and in log messages.
+/// The name of a rejection's reason in the event log and in log messages.
 pub(crate) fn rejection_name(reason: &Rejection) -> &'static str {
     match reason {
         Rejection::Invalid => "invalid",
@@ -63,8 +63,8 @@
         self.classes.get(class as usize).cloned().unwrap_or_default()
     }
 
-    /// Records an endpoint update, with its kind and its endpoints, when the dispatch policy is notified of
-    /// the update.
+    /// Records an endpoint update, with its kind and its endpoints. Called when the dispatch policy is
+    /// notified of the update.
     pub fn endpoints_changed(&self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
         let form = match kind {
             EndpointUpdateKind::Changes => "changes",
@@ -72,8 +72,8 @@
             EndpointUpdateKind::Cached => "remembered",
             EndpointUpdateKind::Failed => "failed",
         };
-        // An update of the kind `Changes` without endpoints is not recorded, because it reports that the list
-        // has not changed.
+        // An update of the kind `Changes` without endpoints is not recorded: it only says that the list has
+        // not changed.
         if kind == EndpointUpdateKind::Changes && endpoints.is_empty() {
             return;
         }
@@ -107,7 +107,7 @@
         });
     }
 
-    /// Records an action of the dispatch policy that concerns a request.
+    /// Records a decision of the dispatch policy about a request: to send, reject, fail or cancel.
     pub fn action_decided(&self, action: &Action) {
         if !self.recorder.is_enabled() {
             return;
@@ -131,7 +131,7 @@
         self.recorder.record(EventKind::Decided { request_id: request_id(*request), decision });
     }
 
-    /// Records that an attempt is dispatched, with its number and its worker.
+    /// Records that an attempt is sent, with the attempt's number and the worker's name.
     pub fn attempt_sent(&self, request: RequestId, attempt: u32, worker: WorkerId) {
         self.record(|| EventKind::AttemptSent {
             request_id: request_id(request),
@@ -163,7 +163,7 @@
         });
     }
 
-    /// Records that a request got its final response, or that its client disconnected before that.
+    /// Records that a request has ended: the client got its final response, or disconnected before that.
     pub fn request_ended(&self, request: &IncomingRequest, response: &'static str, elapsed: Micros) {
         self.record(|| EventKind::RequestFinished {
             request_id: request_id(request.request),
@@ -173,8 +173,8 @@
         });
     }
 
-    /// Records that the count of a counter of the module `invariant` reached a power of two. Only these
-    /// counts are reported, so that a frequent event does not flood the event log.
+    /// Records that a counter of the module `invariant` has reached a power of two. Other counts are not
+    /// recorded, so that a frequent event does not flood the event log.
     pub fn counter_reached(&self, counter: &'static str, count: u64) {
         self.record(|| EventKind::CounterReached { counter: counter.into(), count });
     }
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -1,27 +1,29 @@
-//! Counts violated invariants, and errors that clients, workers and discovery cause. A violated invariant
-//! also fails an assertion in debug builds.
+//! Counts violated invariants, and errors that clients, workers and discovery cause. In debug builds, a
+//! violated invariant also fails an assertion.
 //!
-//! The name of a counter is also its log message and its key in the event log, and should therefore not
-//! change. If a counter is renamed nevertheless, add its old name to the module `counter_names` of the event
-//! log's crate.
+//! The name of a counter should not change, because it is also the counter's log message and its key in the
+//! event log. If a counter is renamed nevertheless, its old name must be added to the module `counter_names`
+//! of the event log's crate.
 use std::collections::BTreeMap;
 use std::sync::{Mutex, OnceLock, PoisonError};
 
-/// The number of events counted so far by each counter. Only [`count_event_for`] writes to this map.
+/// The number of events that each counter has counted, keyed by the counter's name. Only [`count_event_for`]
+/// changes this map.
 static COUNTS: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
 
-/// The type of an observer function, which gets a counter's name and count whenever the count reaches a power
-/// of two.
+/// A function that is called with a counter's name and count each time the count reaches a power of two.
 pub type CounterObserver = Box<dyn Fn(&'static str, u64) + Send + Sync>;
 
 static OBSERVER: OnceLock<CounterObserver> = OnceLock::new();
 
-/// Sets the process-wide observer of counters. Only the first call has an effect.
+/// Sets the function that is called when any counter of the process reaches a power of two. Only the first
+/// call of `observe_counters` has an effect.
 pub fn observe_counters(observer: CounterObserver) {
     let _ = OBSERVER.set(observer);
 }
 
-/// Counts a violation that the macro `invariant!` has detected, under the name of the violated invariant.
+/// Counts a violated invariant that the macro `invariant!` has detected. The counter has the name of the
+/// invariant.
 pub fn count_violation(invariant: &'static str) {
     count_event(invariant, "it does not hold");
 }
@@ -37,14 +39,16 @@
     pub peer: Option<&'a str>,
 }
 
-/// Counts an event without naming a worker, request class or peer that it concerns; see [`count_event_for`].
+/// Counts an event that is not tied to a worker, request class or peer. See [`count_event_for`].
 pub fn count_event(counter: &'static str, reason: &str) {
     count_event_for(counter, reason, EventSubject::default());
 }
 
-/// Counts an event, and logs it with the worker, request class and peer in `subject` when the count reaches a
-/// power of two. The log is limited in this way so that a peer that repeats an error cannot flood it or
-/// overload the thread that writes it.
+/// Counts an event. When the count reaches a power of two, the event is logged with the worker, request class
+/// and peer in `subject`.
+///
+/// Other counts are not logged. A peer that repeats an error can therefore neither flood the log nor overload
+/// the thread that writes it.
 pub fn count_event_for(counter: &'static str, reason: &str, subject: EventSubject<'_>) {
     let mut counts = COUNTS.lock().unwrap_or_else(PoisonError::into_inner);
     let count = counts.entry(counter).or_default();
@@ -58,13 +62,13 @@
     }
 }
 
-/// All counters with their counts so far, which are logged at shutdown.
+/// The names of all counters with their counts so far. They are logged at shutdown.
 pub fn counts() -> Vec<(&'static str, u64)> {
     let counts = COUNTS.lock().unwrap_or_else(PoisonError::into_inner);
     counts.iter().map(|(&counter, &count)| (counter, count)).collect()
 }
 
-/// Checks an invariant: a violation fails an assertion in debug builds and is counted in release builds.
+/// Checks an invariant. A violation fails an assertion in debug builds, and is counted in release builds.
 #[macro_export]
 macro_rules! invariant {
     ($holds:expr, $invariant:literal) => {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,7 @@
-//! The proxy between clients and workers: it accepts clients' requests, forwards them to workers and runs the
-//! dispatch policy's timers. The dispatch policy decides which worker gets a request and which requests are
-//! retried or rejected. These decisions do not depend on the protocols of clients and workers; the proxy only
-//! carries them out.
+//! The proxy between clients and workers. It accepts clients' requests, forwards them to workers, and runs
+//! the timers that the dispatch policy starts. The dispatch policy decides which worker gets a request and
+//! which requests are retried or rejected. The proxy only carries out these decisions. The policy does not
+//! depend on the protocols of clients and workers.
 //!
 //! ```text
 //!   client protocols                                                 worker protocols
