--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -5,8 +5,8 @@
 //!
 //! Lists are pushed or polled (see [`EndpointPublisher::is_polled`]):
 //!
-//! * Pushed: the platform pushes lists to a discovery agent near the scheduler. This module calls the agent and
-//!   retries every failed call.
+//! * Pushed: the platform pushes lists to a discovery agent near the scheduler. This module calls the agent
+//!   and retries every failed call.
 //! * Polled: the dispatch policy requests the first list, and the next list after most failures. This module
 //!   itself retries only a first refusal and a watch that broke.
 use copperspread_dispatcher::{Micros, SECOND};
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -36,8 +36,8 @@
         !inner.is_complete
     }
 
-    /// Returns the bytes of the request's head, and removes them from this value. Bytes that are added from
-    /// now on count as part of a body, until [`RawHead::start`] is called.
+    /// Returns the kept bytes, which begin with the request's head, and removes them from this value. Bytes
+    /// that are added from now on count as part of a body, until [`RawHead::start`] is called.
     pub(super) fn take(&self) -> Vec<u8> {
         let mut inner = self.lock();
         inner.is_complete = true;
--- a/crates/proxy/src/downstream/read_ahead.rs
+++ b/crates/proxy/src/downstream/read_ahead.rs
@@ -44,8 +44,8 @@
     End,
 }
 
-/// A handle to the stream of a client connection. The event loop, the library and others share the stream
-/// through clones of the handle.
+/// A handle to the stream of a client connection. The connection's event loop and the library share the
+/// stream through clones of the handle.
 ///
 /// All clones must be used in one task. The stream keeps only one waker for reads and one for writes.
 #[derive(Clone)]
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,8 +1,8 @@
-//! The messages that client connections, request tasks and upstreams exchange: the client's request, workers'
-//! reports on its attempts, and the final response.
+//! The messages that client connections, request tasks and worker protocols exchange: the client's request,
+//! the workers' reports on the attempts, and the final response.
 //!
-//! A request's path and headers have the form of HTTP, because the platform requires that they are forwarded
-//! to workers unchanged. A client protocol without a path or headers leaves the corresponding fields empty.
+//! A request's path and headers have the form of HTTP, because the platform requires that they reach the
+//! worker unchanged. A client protocol that has no path or headers leaves these fields empty.
 use std::fmt;
 use std::sync::Arc;
 
@@ -16,64 +16,67 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// The cancellation tokens that end the dispatch of an attempt early.
+/// The cancellation tokens with which a request's task ends the dispatch of one attempt early.
 ///
-/// An upstream checks `is_cancelled` of both tokens, which does not block, immediately before it writes the
-/// attempt. If it waited for anything between the check and the write, such as a new connection, the attempt
-/// could start after the client has disconnected or has received its response.
+/// An upstream checks both tokens immediately before it writes the attempt, by
+/// [`DispatchControl::permits_write`], which does not block. It must not wait for anything between the check
+/// and the write, such as a new connection. Otherwise the attempt could start after the client has
+/// disconnected or has received its response.
 #[derive(Clone, Debug, Default)]
 pub struct DispatchControl {
     /// When this token is cancelled, attempts of the request that have not been written yet are never
-    /// written; attempts that have been written continue. All attempts of a request share this token.
+    /// written. Attempts that have been written continue. All attempts of a request share this token.
     pub withhold: CancellationToken,
-    /// When this token is cancelled, the dispatch of the attempt ends. An attempt that has not been written
-    /// yet is never written. The connection of a written attempt is closed unless the worker has accepted the
-    /// attempt.
+    /// When this token is cancelled, the dispatch of this attempt ends. If the attempt has not been written
+    /// yet, it is never written. If it has been written but the worker has not accepted it, its connection is
+    /// closed.
     pub abort: CancellationToken,
 }
 
 impl DispatchControl {
-    /// Whether the attempt may still be written.
+    /// Whether the attempt may still be written, according to both cancellation tokens.
     pub fn permits_write(&self) -> bool {
         !self.withhold.is_cancelled() && !self.abort.is_cancelled()
     }
 }
 
-/// The target of an attempt: a worker, and its listed address at the time the attempt began.
+/// The worker to which an attempt is sent, with the address at which the worker was listed when the attempt
+/// began.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptTarget {
-    /// The worker that the attempt is sent to.
+    /// The worker to which the attempt is sent.
     pub worker: WorkerId,
-    /// The worker's address, or `None` if the worker accepts no new attempts.
+    /// The worker's address, or `None` if the worker gets no new attempts.
     pub address: Option<Authority>,
 }
 
-/// The outcome of a cancellation.
+/// Whether a worker has acknowledged the cancellation of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancellationOutcome {
-    /// The worker has acknowledged the cancellation: the attempt no longer runs, or never ran.
+    /// The worker has acknowledged the cancellation of an attempt: the attempt no longer runs, or never ran.
     Acknowledged,
-    /// No acknowledgement was received by the deadline, or the cancellation could not be sent: the worker may
-    /// not have received it.
+    /// The worker did not acknowledge the cancellation of an attempt by the deadline, or the cancellation
+    /// could not be sent. The worker may not have received the cancellation.
     Unconfirmed,
 }
 
-/// The permit for the memory that a request's body occupies, out of the memory reserved for request bodies.
-/// The memory is released when the last clone is dropped. A small body has no permit (`None`).
+/// The permit for the memory that a request's body occupies, from the memory reserved for all request bodies.
+/// The memory counts as free again when the last clone is dropped. `None` for a small body, which needs no
+/// permit.
 pub type BodyPermit = Option<Arc<OwnedSemaphorePermit>>;
 
-/// A check whether a request's client is still connected, according to the operating system at the time of
-/// the check. The default check reports the client as connected.
+/// A function that checks whether a request's client has disconnected. Each call finds out the state at that
+/// time. The default reports that the client is connected.
 #[derive(Clone, Default)]
 pub struct ClientPresence(Option<Arc<dyn Fn() -> bool + Send + Sync>>);
 
 impl ClientPresence {
-    /// Creates a check from a function that returns whether the client has disconnected.
+    /// Creates a check that calls the function `has_disconnected`.
     pub fn new(has_disconnected: impl Fn() -> bool + Send + Sync + 'static) -> ClientPresence {
         ClientPresence(Some(Arc::new(has_disconnected)))
     }
 
-    /// Whether the client has disconnected. This method does not block.
+    /// Returns whether the request's client has disconnected. This method does not block.
     ///
     /// An upstream calls this method immediately before it writes an attempt, and only if
     /// [`DispatchControl::permits_write`] has returned true.
@@ -88,56 +91,57 @@
     }
 }
 
-/// The parts of a client's request that an upstream needs for its attempts.
+/// The parts of a client's request that an upstream needs to send attempts to workers.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
     /// The request id, as the client sent it.
     pub id: String,
-    /// The path and query of the request, which are forwarded to workers unchanged.
+    /// The request's path and query, which are forwarded to workers unchanged.
     pub path: PathAndQuery,
-    /// The request's headers that are forwarded to workers.
+    /// The headers of the request that are forwarded to workers.
     pub headers: HeaderMap,
-    /// The idempotency of the request's class. It determines whether, and at which workers, the request may
-    /// run more than once.
+    /// The idempotency of the request's class. It determines whether the request may run more than once, and
+    /// at which workers.
     pub idempotency: Idempotency,
     /// The request's body, which is forwarded to workers.
     pub body: Bytes,
-    /// The permit for the memory that the body occupies; `None` for a small body.
+    /// The permit for the memory that the request's body occupies. `None` for a small body.
     pub body_permit: BodyPermit,
-    /// The check whether the client has disconnected. If the client has disconnected, no attempt is written.
+    /// Checks whether the request's client has disconnected. After that, no attempt is written.
     pub client: ClientPresence,
 }
 
-/// A client's request as it is passed to its task.
+/// A client's request in the form in which it is passed to its task.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// The request as the dispatch policy sees it.
+    /// The request in the form that the dispatch policy takes.
     pub request: IncomingRequest,
-    /// When the client must have received its final response.
+    /// The instant by which the request must get its final response.
     pub deadline: Instant,
-    /// The request as it is forwarded to workers.
+    /// The request in the form that is forwarded to workers.
     pub upstream_request: UpstreamRequest,
 }
 
-/// The final response to a client: each request has exactly one.
+/// The final response to a client's request. Each request has exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// The request was served. The field holds the worker's result.
+    /// The final response to a request that a worker has served. The field holds the worker's result.
     Served(Bytes),
-    /// The policy rejected the request, which never ran and can be retried safely.
+    /// The final response to a request that the dispatch policy rejected. The request never ran and can be
+    /// retried safely.
     Rejected {
-        /// How long the client should wait before it retries.
+        /// How long the client should wait before it retries the request, in microseconds.
         retry_after: Micros,
     },
-    /// The request failed. It may or may not have run.
+    /// The final response to a request that failed. The request may or may not have run.
     Failed,
-    /// Another request has, or recently had, the same id.
+    /// The final response to a request whose id another request has, or recently had.
     Duplicate,
 }
 
 impl FinalResponse {
-    /// The response's name in log messages and in the event log. The names are part of the event log's
-    /// format.
+    /// Returns the name of the final response in log messages and in the event log. The names are part of the
+    /// event log's format.
     pub fn name(&self) -> &'static str {
         match self {
             FinalResponse::Served(_) => "served",
@@ -148,16 +152,16 @@
     }
 }
 
-/// The result of a dispatch: either the worker has accepted the attempt and will send callbacks, or the
-/// attempt has ended.
+/// The result of sending an attempt to a worker. `Ok` means that the worker has accepted the attempt and will
+/// send callbacks. `Err` means that the attempt has ended.
 pub type DispatchResult = Result<(), DispatchFailure>;
 
-/// The end of an attempt that its worker did not accept.
+/// How an attempt ended that its worker did not accept.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchFailure {
-    /// How the attempt ended. The outcome determines whether the request may be retried.
+    /// The outcome of the attempt, which determines whether the request may be retried.
     pub outcome: Outcome,
-    /// The load report in the worker's response, or `None` if there is no valid one.
+    /// The load report in the worker's response; `None` without a valid load report.
     pub load_report: Option<LoadReport>,
 }
 
@@ -167,12 +171,13 @@
     }
 }
 
-/// The result of a load query.
+/// The result of a load query to a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadQueryResult {
-    /// [`Outcome::Served`] if the worker answered the load query, or else the kind of failure.
+    /// [`Outcome::Served`] if the worker answered the load query. Otherwise the reason why there is no
+    /// answer.
     pub outcome: Outcome,
-    /// The worker's load report, or `None` if there is no valid one.
+    /// The load report in the worker's answer; `None` without a valid load report.
     pub load_report: Option<LoadReport>,
 }
 
@@ -182,14 +187,14 @@
     }
 }
 
-/// The end of an attempt: its outcome and, if the worker sent them, the worker's result and load report.
+/// The end of an attempt, with the worker's result and load report if the worker sent them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptCompletion {
-    /// How the attempt ended. The dispatch policy is notified of this outcome.
+    /// The outcome of the attempt, of which the dispatch policy is notified.
     pub outcome: Outcome,
-    /// The worker's result, if the outcome is [`Outcome::Served`].
+    /// The worker's result, which is sent to the client if the outcome is [`Outcome::Served`].
     pub result: Option<Bytes>,
-    /// The worker's load report, or `None` if there is no valid one.
+    /// The load report that the worker sent at the end of the attempt; `None` without a valid load report.
     pub load_report: Option<LoadReport>,
 }
 
@@ -208,46 +213,47 @@
 /// A worker's report on an attempt that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerEvent {
-    /// The attempt has started or made progress.
+    /// The worker reports that the attempt has started or made progress.
     Progress(Progress),
-    /// The attempt has ended.
+    /// The worker reports that the attempt has ended.
     Completed(AttemptCompletion),
 }
 
-/// An event for a request's task.
+/// An event that the task of a request handles.
 #[derive(Debug)]
 pub enum RequestEvent {
-    /// The policy has decided to send the request's next attempt to a worker.
+    /// The dispatch policy has decided to send the request's next attempt to a worker.
     Dispatch {
-        /// The worker to send the attempt to.
+        /// The worker to which the attempt is to be sent.
         worker: WorkerId,
     },
-    /// The policy has rejected the request.
+    /// The dispatch policy has rejected the request.
     Reject {
-        /// How long the client should wait before it retries.
+        /// How long the client should wait before it retries the request, in microseconds.
         retry_after: Micros,
-        /// Why the policy has rejected the request.
+        /// Why the dispatch policy has rejected the request.
         reason: Rejection,
     },
-    /// The policy has decided that the request's final response is "failed".
+    /// The dispatch policy has decided that the request fails. The final response is
+    /// [`FinalResponse::Failed`].
     Fail,
-    /// The policy has cancelled an attempt.
+    /// The dispatch policy has cancelled an attempt of the request.
     Cancel {
-        /// The attempt to cancel, as its number among the attempts of the request, counted from 0.
+        /// The number of the attempt to cancel. The attempts of a request are numbered from 0.
         attempt: u32,
     },
-    /// A worker has reported on an attempt.
+    /// A worker has reported on an attempt of the request.
     Worker {
         /// The worker that has sent the report.
         worker: WorkerId,
-        /// The worker's report: progress or completion of the attempt.
+        /// The worker's report: the attempt has made progress or has ended.
         event: WorkerEvent,
     },
-    /// The client has disconnected.
+    /// The request's client has disconnected.
     ClientDisconnected,
 }
 
-/// Parses a request id, which consists of 16 hexadecimal digits.
+/// Parses a request id, which must have exactly 16 hexadecimal digits. Returns `None` for any other text.
 pub fn parse_request_id(text: &str) -> Option<RequestId> {
     let is_hex = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     u64::from_str_radix(text, 16).ok().filter(|_| is_hex).map(RequestId)
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -1,5 +1,5 @@
-//! The owner of the dispatch policy, which passes events to it, runs its timers and delivers its actions to
-//! the requests' tasks.
+//! The owner of the dispatch policy. It passes events to the policy, runs the policy's timers, and passes the
+//! policy's decisions to the tasks of the requests.
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,17 +16,17 @@
 use crate::invariant;
 use crate::messages::{LoadQueryResult, RequestEvent, WorkerEvent};
 
-/// The sender of events to a request's task.
+/// The channel through which events are sent to a request's task.
 pub type RequestEventSender = mpsc::UnboundedSender<RequestEvent>;
 
-/// The minimum number of ids of completed requests that are retained to detect duplicates. The number of
-/// retained ids varies between this minimum and twice as many, because old ids are dropped together (see
-/// [`CompletedRequests`]).
+/// How many ids of completed requests are kept at least, to recognize a request that repeats an id. Old ids
+/// are dropped many at a time, so that up to twice as many ids are kept (see [`CompletedRequests`]).
 const MIN_COMPLETED_REQUESTS_RETAINED: usize = 8_192;
 
-/// The ids of the most recently completed requests. They are held in two sets, so that the oldest ids can be
-/// dropped together: when the recent set is full, the previous set is dropped, the recent set takes its
-/// place, and a new recent set is begun.
+/// The ids of the requests that completed last.
+///
+/// The ids are kept in two sets, so that many old ids can be dropped at once. When the recent set is full, it
+/// replaces the previous set, whose ids are dropped, and an empty recent set is begun.
 #[derive(Default)]
 struct CompletedRequests {
     recent: HashSet<RequestId>,
@@ -51,11 +51,11 @@
     requests: HashMap<RequestId, RequestEventSender>,
     completed: CompletedRequests,
     actions: Vec<Action>,
-    /// The number of endpoint updates passed to the policy so far, which is also the version of the last
+    /// The number of endpoint updates that have been passed to the policy. It is also the version of the last
     /// endpoint update.
     endpoint_version: u64,
-    /// Workers that the policy has decided to query and that [`PolicyHandle::next_load_query`] has not
-    /// returned yet.
+    /// The workers to which the policy has requested a load query that [`PolicyHandle::next_load_query`] has
+    /// not returned yet.
     pending_load_queries: VecDeque<WorkerId>,
 }
 
@@ -66,8 +66,8 @@
     }
 }
 
-/// A shared handle to the dispatch policy, which delivers the policy's actions to the requests' tasks. Its
-/// lock is never held across an await point.
+/// A shared handle to the dispatch policy, which passes the policy's decisions to the tasks of the requests.
+/// The lock in this handle is never held across an await point.
 pub struct PolicyHandle {
     clock: Clock,
     polls_endpoints: bool,
@@ -78,8 +78,8 @@
 }
 
 impl PolicyHandle {
-    /// Creates a handle that owns `policy`. `polls_endpoints` says whether the policy requests the first
-    /// endpoint list and, after most failures, the next list.
+    /// Creates a handle that owns `policy`. `polls_endpoints` says whether endpoint lists are polled: the
+    /// policy then requests the first list and, after most failures, the next list.
     pub fn new(
         policy: Box<dyn DispatchPolicy>,
         polls_endpoints: bool,
@@ -108,7 +108,8 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Passes an event to the policy, and delivers the resulting actions in order before the method returns.
+    /// Passes an event to the policy. All actions with which the policy reacts are carried out in order
+    /// before the method returns.
     fn handle(self: &Arc<Self>, event: Event<'_>) {
         self.with_policy(|inner, now, actions| inner.policy.handle(now, event, actions));
     }
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Spawns a task that notifies the policy of the expiry of `timer`, `after` microseconds from now.
+    /// Spawns a task that notifies the policy, `after` microseconds from now, that `timer` has expired.
     fn start_timer(self: &Arc<Self>, after: Micros, timer: Timer) {
         let handle = Arc::clone(self);
         let expiry = from_now(after);
@@ -151,15 +152,17 @@
         });
     }
 
-    /// Passes a request to the policy for admission, and returns whether the request was passed. A request is
-    /// not passed if another request with the same id is active or has recently completed.
+    /// Passes a request to the policy, which then sends an attempt or rejects the request. Returns whether
+    /// the request was passed.
+    ///
+    /// A request is not passed if another request with the same id is active or has recently completed.
     pub fn admit(self: &Arc<Self>, request: IncomingRequest, events: RequestEventSender) -> bool {
         let mut is_admitted = false;
         self.with_policy(|inner, now, actions| {
-            // A request id is passed to the policy only once. While the first request with this id is active,
-            // the policy would not answer a second request. After the first request has completed, the second
-            // request would run the same work again, and a client that retries immediately after each
-            // rejection could make the policy decide as often as the client can send.
+            // A request id is passed to the policy only once. While the first request with an id is active,
+            // the policy would not answer a second request with this id. After the first request, the second
+            // would run the same work again. A client that retries at once after each rejection could also
+            // make the policy decide as often as the client can send.
             if inner.completed.contains(request.request) {
                 return;
             }
@@ -173,12 +176,12 @@
         is_admitted
     }
 
-    /// Notifies the policy that an attempt ended.
+    /// Notifies the policy that an attempt of a request ended.
     pub fn attempt_ended(self: &Arc<Self>, outcome: AttemptOutcome) {
         self.handle(Event::AttemptCompleted(outcome));
     }
 
-    /// Notifies the policy of the progress of an attempt in flight.
+    /// Notifies the policy of a worker's report that an attempt has made progress.
     pub fn attempt_progress(self: &Arc<Self>, request: RequestId, attempt: u32, progress: Progress) {
         self.handle(Event::AttemptProgress { request, attempt, progress });
     }
@@ -188,9 +191,10 @@
         self.handle(Event::ClientDisconnected(request));
     }
 
-    /// Notifies the policy of an endpoint update, whose version increases with every update. Lists that are
-    /// older than the previous list were already dropped by the endpoint table. The revisions of lists are
-    /// not used as versions, because revisions may restart when the discovery service changes.
+    /// Notifies the policy of an endpoint update. Each update gets the next higher version.
+    ///
+    /// The endpoint table has already dropped lists that are older than the previous list. The revisions of
+    /// lists are not used as versions, because they may start anew when the discovery service changes.
     pub fn update_endpoints(self: &Arc<Self>, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
         self.with_policy(|inner, now, actions| {
             inner.endpoint_version += 1;
@@ -200,24 +204,24 @@
         });
     }
 
-    /// Reads the scheduler's clock, from which the policy gets the time, and the wall clock.
+    /// Reads the scheduler's clock, from which the policy gets the time, and then the wall clock.
     pub fn read_clocks(&self) -> ClockReading {
         self.clock.read()
     }
 
-    /// Whether endpoint lists are polled, that is, whether the policy requests the first list and, after most
+    /// Returns whether endpoint lists are polled. If so, the policy requests the first list and, after most
     /// failures, the next list.
     pub fn polls_endpoints(&self) -> bool {
         self.polls_endpoints
     }
 
-    /// Waits until the policy requests an endpoint list, with [`Action::Subscribe`].
+    /// Waits until the policy requests an endpoint list, by [`Action::Subscribe`].
     pub async fn list_requested(&self) {
         self.list_requested.notified().await;
     }
 
-    /// Waits until the policy requests a load query, and returns the worker to query. Only one task may call
-    /// this method.
+    /// Waits until the policy requests a load query, and returns the worker to which it is to be sent. Only
+    /// one task may call this method.
     pub async fn next_load_query(&self) -> WorkerId {
         loop {
             let pending = self.lock().pending_load_queries.pop_front();
@@ -228,28 +232,29 @@
         }
     }
 
-    /// Notifies the policy of the result of a load query.
+    /// Notifies the policy of the result of a load query to a worker.
     pub fn load_query_ended(self: &Arc<Self>, worker: WorkerId, result: LoadQueryResult) {
         let LoadQueryResult { outcome, load_report: report } = result;
         self.handle(Event::LoadQueryCompleted { worker, outcome, report });
     }
 
-    /// Delivers a worker's event to the task of the request that the event concerns. Returns false if the
-    /// request has completed.
+    /// Passes a worker's report on an attempt to the task of the request. Returns false if the request has
+    /// completed.
     pub fn deliver_worker_event(&self, request: RequestId, worker: WorkerId, event: WorkerEvent) -> bool {
         let inner = self.lock();
         let task = inner.requests.get(&request);
         task.is_some_and(|events| events.send(RequestEvent::Worker { worker, event }).is_ok())
     }
 
-    /// Removes a completed request, whose attempts have all ended, and retains its id to detect duplicates.
+    /// Removes a completed request, whose attempts have all ended. The id of the request is kept to recognize
+    /// a request that repeats the id.
     pub fn request_completed(&self, request: RequestId) {
         let mut inner = self.lock();
         inner.requests.remove(&request);
         inner.completed.insert(request);
     }
 
-    /// The number of requests that have not completed.
+    /// Returns the number of requests that have not completed.
     pub fn active_requests(&self) -> usize {
         self.lock().requests.len()
     }
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -1,6 +1,8 @@
-//! The task that handles one request, from its admission to the end of its last attempt. It executes the
-//! actions of the dispatch policy and reports the outcome of every attempt to it; it makes no decisions
-//! itself.
+//! The task that handles one request, from the time the request is passed to the dispatch policy until its
+//! last attempt has ended.
+//!
+//! The task carries out the policy's decisions on the request, and notifies the policy of the outcome of
+//! every attempt. The task makes no decisions itself.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
@@ -26,49 +28,52 @@
 use crate::policy_handle::RequestEventSender;
 use crate::shutdown::effective_deadline;
 
-/// How long to wait for the acknowledgement of a cancellation by a worker that has accepted the attempt.
+/// How long to wait for the acknowledgement when an attempt is cancelled that its worker has accepted, in
+/// microseconds.
 const CANCELLATION_TIMEOUT: Micros = 2 * SECOND;
-/// How long to wait for the acknowledgement of a cancellation if the connection was closed before the worker
-/// had accepted the attempt.
+/// How long to wait for the acknowledgement when an attempt is cancelled whose connection was closed before
+/// the worker's acceptance arrived, in microseconds.
 ///
-/// Closing the connection cancels such an attempt. A cancellation is sent nevertheless, because the worker
-/// may have sent its acceptance at the same time.
+/// Closing the connection already cancels such an attempt. A cancellation is sent nevertheless, because the
+/// worker may have accepted the attempt at the same time.
 const CLOSED_ATTEMPT_CANCELLATION_TIMEOUT: Micros = 300_000;
 
-/// The handle through which a client connection receives the final response to a request. Dropping the handle
-/// notifies the request's task that the client has disconnected.
+/// The handle through which a client connection receives the final response to a request. When the handle is
+/// dropped, the request's task is notified that the client has disconnected.
 pub struct ResponseHandle {
     response: oneshot::Receiver<FinalResponse>,
     events: RequestEventSender,
 }
 
 impl ResponseHandle {
-    /// Waits for the final response. The response is [`FinalResponse::Failed`] if the request's task ended
-    /// without one.
+    /// Waits for the final response. Returns [`FinalResponse::Failed`] if the request's task ended without a
+    /// final response.
     pub async fn final_response(&mut self) -> FinalResponse {
         (&mut self.response).await.unwrap_or(FinalResponse::Failed)
     }
 }
 
 impl Drop for ResponseHandle {
-    // When the client disconnects, axum drops the handler's future and with it this handle. If the request's
-    // task were not notified, the request would continue although no client waits for it.
+    // When the client disconnects, axum drops the future that handles the request, and so drops this handle.
+    // If the request's task were not notified, the request would continue although no client waits for the
+    // response.
     fn drop(&mut self) {
         let _ = self.events.send(RequestEvent::ClientDisconnected);
     }
 }
 
-/// Spawns the task of a request.
+/// Spawns the task that handles a request.
 ///
-/// The task outlives the client connection, because the dispatch policy must be notified of every attempt's
-/// outcome. At the request's deadline, all attempts end and their dispatches are aborted. The task ends once
-/// these dispatches have ended too.
+/// The task continues after the client connection has closed, because the dispatch policy must be notified of
+/// every attempt's outcome. At the request's deadline, the task ends all attempts and aborts their
+/// dispatches. The task itself ends once these dispatches have ended too.
 pub fn spawn(context: &Arc<ProxyContext>, admission: AdmissionRequest) -> ResponseHandle {
     let (event_sender, events) = mpsc::unbounded_channel();
     let (response_sender, response) = oneshot::channel();
     let AdmissionRequest { request, deadline, upstream_request } = admission;
     let class = class_name(context, &request);
-    // The span has no parent, because the request outlives the span of its client connection.
+    // The tracing span has no parent: the request may continue after the span of its client connection has
+    // ended.
     let span = info_span!(parent: None, "request", request_id = upstream_request.id, class);
     let task = RequestTask {
         context: Arc::clone(context),
@@ -87,42 +92,45 @@
     ResponseHandle { response, events: event_sender }
 }
 
-/// The name of a request's class, or an empty string if the class is unknown.
+/// Returns the name of a request's class, or an empty string if the class is unknown.
 fn class_name<'a>(context: &'a ProxyContext, request: &IncomingRequest) -> &'a str {
     context.settings.classes.get(request.class as usize).map_or("", String::as_str)
 }
 
-/// One attempt of a request at a worker.
+/// One attempt of a request: the request is sent to one worker.
 struct Attempt {
     target: AttemptTarget,
-    /// When the attempt started, on the scheduler's clock.
+    /// The time at which the attempt began, in microseconds on the scheduler's clock.
     started_at: Micros,
-    /// Whether the attempt's outcome is still unknown.
+    /// Whether the attempt has not ended yet.
     is_in_flight: bool,
-    /// Whether the dispatch is in progress, that is, neither the worker's acceptance nor a failure has been
+    /// Whether the attempt is still being sent. This ends when the worker's acceptance or a failure is
     /// received.
     is_dispatching: bool,
-    /// The token that aborts the dispatch. It has no effect once the worker has accepted the attempt.
+    /// The token that aborts the sending of the attempt. It has no effect once the worker's acceptance has
+    /// been received.
     abort: CancellationToken,
-    /// Whether a callback for the attempt was received. The worker has then accepted the attempt, even if its
-    /// response with status 202 (Accepted) has not been received.
+    /// Whether a callback for the attempt has been received. If so, the worker has accepted the attempt, even
+    /// if its response with status 202 (Accepted) has not been received.
     has_received_callback: bool,
-    /// Whether the policy has cancelled the attempt and the outcome of the cancellation is not known yet.
+    /// Whether the policy has cancelled the attempt and it is not known yet whether the worker acknowledges
+    /// this.
     is_cancelling: bool,
 }
 
-/// The result of one attempt's dispatch, which the request's task handles once the dispatch has ended.
+/// The result of sending one attempt. The request's task handles the result.
 struct DispatchCompletion {
     attempt: u32,
     result: DispatchResult,
 }
 
-/// The outcome of one attempt's cancellation, which decides whether the attempt has ended.
+/// Whether a worker has acknowledged the cancellation of one attempt. This decides whether the attempt has
+/// ended.
 struct CancellationCompletion {
     attempt: u32,
-    /// Whether the connection was closed before the worker's acceptance was received. Such an attempt ends
-    /// even if the worker does not acknowledge the cancellation, unless a callback for the attempt was
-    /// received.
+    /// Whether the attempt's connection was closed before the worker's acceptance was received. If so, the
+    /// attempt ends even if the worker does not acknowledge the cancellation, unless a callback for the
+    /// attempt has been received.
     closed_before_acceptance: bool,
     outcome: CancellationOutcome,
 }
@@ -130,18 +138,20 @@
 struct RequestTask {
     context: Arc<ProxyContext>,
     request: IncomingRequest,
-    /// When the client must have received its final response.
+    /// The instant by which the request must get its final response, if no shutdown has an earlier drain
+    /// deadline.
     deadline: Instant,
     upstream_request: Arc<UpstreamRequest>,
     response_sender: Option<oneshot::Sender<FinalResponse>>,
-    /// The token that keeps attempts from being written once the final response is sent or the client
-    /// disconnects. Attempts that have been written by then continue.
+    /// The token that is cancelled when the final response is sent or the client disconnects. After that, no
+    /// attempt of the request is written. Attempts that have been written before continue.
     withhold_attempts: CancellationToken,
-    /// The request's attempts, indexed by their number.
+    /// The request's attempts. The position of an attempt is its number.
     attempts: Vec<Attempt>,
-    /// The dispatches of this request's attempts that are in progress.
+    /// The futures that send attempts of this request and have not ended yet.
     dispatches: FuturesUnordered<BoxFuture<'static, DispatchCompletion>>,
-    /// Cancellations in progress whose outcome decides whether their attempt has ended.
+    /// The futures that wait for acknowledgements of cancellations. Each decides whether the cancelled
+    /// attempt has ended.
     cancellations: FuturesUnordered<BoxFuture<'static, CancellationCompletion>>,
     is_past_deadline: bool,
     accepted_at: Micros,
@@ -153,8 +163,8 @@
         event_sender: RequestEventSender,
         mut events: mpsc::UnboundedReceiver<RequestEvent>,
     ) {
-        // The policy answers with the first attempt or with a rejection, unless the request id is a
-        // duplicate.
+        // The policy answers with the first attempt or with a rejection. A request whose id repeats that of
+        // another request is not passed to the policy.
         if !self.context.policy.admit(self.request, event_sender) {
             self.respond(FinalResponse::Duplicate);
             return;
@@ -164,16 +174,16 @@
         tokio::pin!(expiry);
         while self.is_active(&events) {
             tokio::select! {
-                // Queued events are handled first, because one of them may be that the client has
-                // disconnected. Otherwise the policy could react to the outcome of an attempt by sending
-                // another attempt for this client.
+                // Queued events are handled first, because the client may have disconnected. If the outcome
+                // of an attempt were handled before that event, the policy could react to the outcome by
+                // sending another attempt for this client.
                 biased;
                 Some(event) = events.recv() => self.handle_event(event),
                 Some(completion) = self.dispatches.next() => self.handle_dispatch_completion(completion),
                 Some(completion) = self.cancellations.next() => {
                     self.handle_cancellation_completion(&completion);
                 }
-                // When a shutdown begins, its drain deadline replaces the request's own deadline if the drain
+                // When a shutdown begins, its drain deadline replaces the request's deadline if the drain
                 // deadline is earlier.
                 Ok(()) = shutdown.changed() => {
                     expiry.as_mut().reset(effective_deadline(self.deadline, &shutdown));
@@ -185,8 +195,8 @@
         self.context.policy.request_completed(self.request_id());
     }
 
-    /// Whether the task must continue, because the final response is outstanding, an attempt is in flight, an
-    /// event is queued or a dispatch is in progress.
+    /// Returns whether the task must continue. It continues until the final response is sent or the client
+    /// has disconnected, all attempts and dispatches have ended, and no event is queued.
     fn is_active(&self, events: &mpsc::UnboundedReceiver<RequestEvent>) -> bool {
         self.response_sender.is_some()
             || self.attempts.iter().any(|attempt| attempt.is_in_flight)
@@ -209,8 +219,10 @@
         }
     }
 
-    /// Responds with a rejection. A rejection for lack of an eligible worker is also counted and logged,
-    /// because it shows that the endpoint list or the configuration is wrong.
+    /// Rejects the request as the policy has decided.
+    ///
+    /// If no worker may get the request, the rejection is also counted and logged, because the endpoint list
+    /// or the configuration is then wrong.
     fn reject(&mut self, retry_after: Micros, reason: &Rejection) {
         debug!(reason = rejection_name(reason), "request rejected");
         if *reason == Rejection::NoEligibleWorker {
@@ -223,8 +235,8 @@
         self.respond(FinalResponse::Rejected { retry_after });
     }
 
-    /// Starts the next attempt at a worker. An attempt that must not be sent, for example after the deadline,
-    /// ends at once as [`Outcome::Superseded`].
+    /// Starts the request's next attempt at a worker. If the attempt must not be sent, for example because
+    /// the deadline has passed, it ends at once with [`Outcome::Superseded`].
     fn start_attempt(&mut self, worker: WorkerId) {
         let number = self.attempts.len() as u32;
         let is_repeated = self.attempts.iter().any(|attempt| attempt.target.worker == worker);
@@ -253,16 +265,16 @@
         self.dispatches.push(completion.boxed());
     }
 
-    /// Whether an attempt of this request is in flight at the address of `target`.
+    /// Returns whether another attempt of this request is in flight at the address of `target`.
     ///
-    /// A worker must get only one attempt of a request at a time, but may be listed under two names, for
-    /// example after its process was replaced.
+    /// A worker may be listed under two names, for example after its process was replaced. Without this
+    /// check, such a worker could get two attempts of one request at the same time, which is not allowed.
     fn has_attempt_at(&self, target: &AttemptTarget) -> bool {
         let mut in_flight = self.attempts.iter().filter(|attempt| attempt.is_in_flight);
         target.address.is_some() && in_flight.any(|attempt| attempt.target.address == target.address)
     }
 
-    /// Creates the future that dispatches an attempt.
+    /// Creates the future that sends an attempt to a worker.
     fn dispatch(
         &self,
         number: u32,
@@ -286,12 +298,12 @@
         let attempt = &mut self.attempts[number as usize];
         attempt.is_dispatching = false;
         match completion.result {
-            // The connection was closed on an abort. A cancellation is sent as well, because the worker may
-            // have accepted the attempt before the connection was closed.
+            // The attempt was aborted and its connection was closed. A cancellation is sent too, because the
+            // worker may have accepted the attempt before the connection was closed.
             Err(failure) if failure.outcome == Outcome::Cancelled => self.send_cancellation(number, true),
             Err(failure) => self.finish_attempt(number, failure.into()),
-            // The worker accepted the attempt while its dispatch was being aborted. The attempt is cancelled
-            // by a separate message.
+            // The worker accepted the attempt while the attempt was being aborted. The attempt is therefore
+            // cancelled by a cancellation message.
             Ok(()) if attempt.is_cancelling => self.send_cancellation(number, false),
             Ok(()) => {}
         }
@@ -304,20 +316,22 @@
         }
     }
 
-    /// Ends all attempts as timed out. The policy is notified and decides on the final response.
+    /// Ends all attempts as timed out, because the request's deadline has passed. The policy is notified and
+    /// decides on the final response.
     fn handle_deadline(&mut self) {
         self.is_past_deadline = true;
         for number in 0..self.attempts.len() as u32 {
             self.abandon_attempt(number, Outcome::TimedOut);
         }
-        // Also aborts the dispatches of attempts that have ended by a callback although the worker's response
-        // with status 202 (Accepted) was never received.
+        // An attempt may have ended by a callback although the worker's response with status 202 (Accepted)
+        // was never received. The dispatch of such an attempt is still in progress and is aborted here too.
         for attempt in &self.attempts {
             attempt.abort.cancel();
         }
     }
 
-    /// Fails a request for which the policy has not decided on a final response by its deadline.
+    /// Sends [`FinalResponse::Failed`] if the request's deadline has passed and the policy has not decided on
+    /// a final response.
     fn fail_if_overdue(&mut self, events: &mpsc::UnboundedReceiver<RequestEvent>) {
         if self.is_past_deadline && events.is_empty() && self.response_sender.is_some() {
             invariant!(false, "the module answers what is overdue");
@@ -325,8 +339,8 @@
         }
     }
 
-    /// Takes the sender of the final response; returns `None` if the sender was taken before. From now on,
-    /// attempts that have not been written are never written.
+    /// Returns the sender of the final response, or `None` if the sender has been taken before. From now on,
+    /// no further attempt is written.
     fn take_response_sender(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.withhold_attempts.cancel();
         self.response_sender.take()
@@ -345,9 +359,11 @@
         self.context.recorder.request_ended(&self.request, response, elapsed);
     }
 
-    /// Handles a worker's callback. A callback for an attempt that has ended, such as a repeated callback, is
-    /// ignored. A callback that arrives before the worker's response with status 202 (Accepted) is handled
-    /// like any other.
+    /// Handles a worker's callback for an attempt of this request.
+    ///
+    /// If the attempt has ended, the callback is ignored, for example because it is a repeated callback. A
+    /// callback may arrive before the worker's response with status 202 (Accepted), and is then handled like
+    /// any other.
     fn handle_worker_event(&mut self, worker: WorkerId, event: WorkerEvent) {
         let is_recipient = |attempt: &Attempt| attempt.target.worker == worker && attempt.is_in_flight;
         let Some(index) = self.attempts.iter().position(is_recipient) else { return };
@@ -361,8 +377,8 @@
         }
     }
 
-    /// Ends an attempt that is in flight: sends the final response if the worker has served the request, and
-    /// notifies the policy of the attempt's outcome.
+    /// Ends an attempt that is in flight. If the worker has served the request, the final response is sent.
+    /// The policy is notified of the attempt's outcome.
     fn finish_attempt(&mut self, number: u32, completion: AttemptCompletion) {
         let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
         attempt.is_in_flight = false;
@@ -393,11 +409,11 @@
         self.context.policy.attempt_ended(attempt_outcome);
     }
 
-    /// Cancels an attempt on the policy's request.
+    /// Cancels an attempt because the policy has decided so.
     ///
-    /// While the final response is outstanding, the policy may send another attempt, and the two attempts
-    /// must not run at the same time. The cancelled attempt therefore stays in flight, and may still be
-    /// served, until it is certain that the worker no longer runs it. After the final response, the cancelled
+    /// Before the final response, the policy may send another attempt, and the two attempts must not run at
+    /// the same time. The cancelled attempt therefore stays in flight until it is certain that the worker no
+    /// longer runs it. Until then, the attempt may still be served. After the final response, the cancelled
     /// attempt ends at once.
     fn cancel_attempt(&mut self, number: u32) {
         if self.response_sender.is_none() {
@@ -415,7 +431,7 @@
         }
     }
 
-    /// Sends a cancellation to the worker of an attempt in flight. The outcome of the cancellation decides
+    /// Sends a cancellation of an attempt to the attempt's worker. Whether the worker acknowledges it decides
     /// whether the attempt ends.
     ///
     /// `closed_before_acceptance` says whether the attempt's connection was closed before the worker's
@@ -435,8 +451,8 @@
         self.cancellations.push(completion.boxed());
     }
 
-    /// Ends a cancelled attempt if it is certain that the worker no longer runs it. Otherwise the attempt
-    /// stays in flight: the worker may not have received the cancellation.
+    /// Ends a cancelled attempt if it is certain that the worker no longer runs the attempt. Otherwise the
+    /// attempt stays in flight, because the worker may not have received the cancellation.
     fn handle_cancellation_completion(&mut self, completion: &CancellationCompletion) {
         let number = completion.attempt;
         let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
@@ -463,13 +479,13 @@
         }
     }
 
-    /// Ends an attempt without waiting for its worker. Called only when no other attempt of the request can
-    /// follow. If the worker has accepted the attempt, a cancellation is sent.
+    /// Ends an attempt without waiting for its worker. A cancellation is sent if the worker has accepted the
+    /// attempt. Called only when the request can have no further attempt.
     fn abandon_attempt(&mut self, number: u32, outcome: Outcome) {
         let Some(attempt) = in_flight_attempt(&mut self.attempts, number) else { return };
-        // Closing the connection cancels an attempt that the worker has not accepted. A worker that has
-        // already sent a callback may be sending its response with status 202 (Accepted) at the same time,
-        // and would then continue to run the attempt. Such a worker gets a cancellation.
+        // If the worker has not accepted the attempt, closing the connection cancels the attempt. But a
+        // worker that has sent a callback may be sending its response with status 202 (Accepted) just now,
+        // and would then continue to run the attempt. Such a worker gets a cancellation too.
         attempt.abort.cancel();
         if !attempt.is_dispatching || attempt.has_received_callback {
             let deadline = from_now(CANCELLATION_TIMEOUT);
@@ -479,7 +495,8 @@
     }
 }
 
-/// The counter for attempts that end with `outcome`, or `None` if `outcome` is not a failure of the worker.
+/// Returns the name of the counter for attempts that end with `outcome`. Returns `None` if `outcome` is not a
+/// failure of the worker.
 fn failure_counter(outcome: Outcome) -> Option<&'static str> {
     match outcome {
         Outcome::TimedOut => Some("an attempt timed out"),
@@ -490,7 +507,7 @@
     }
 }
 
-/// The attempt with the number `number`, if that attempt is in flight.
+/// Returns the attempt with the given number, or `None` if that attempt is not in flight.
 fn in_flight_attempt(attempts: &mut [Attempt], number: u32) -> Option<&mut Attempt> {
     attempts.get_mut(number as usize).filter(|attempt| attempt.is_in_flight)
 }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,39 +1,39 @@
-//! The phases of a graceful shutdown, which request tasks and client connections watch.
+//! The phases of a scheduler's graceful shutdown. The tasks of requests and client connections watch the
+//! current phase.
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The phase of a graceful shutdown. The phases follow each other in the order listed here.
+/// The phase of a scheduler's graceful shutdown. The phases follow each other in the order listed here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ShutdownPhase {
-    /// The scheduler accepts requests; no shutdown has begun.
+    /// No shutdown has begun: the scheduler accepts requests.
     #[default]
     Running,
     /// The shutdown has begun. Requests are still accepted, and every request gets its final response by the
-    /// instant that this variant holds.
+    /// instant in this variant.
     Draining(Instant),
-    /// Client connections are being closed and no new ones are accepted. The final responses that are still
-    /// outstanding are written by the instant that this variant holds.
+    /// The scheduler closes the client connections and accepts no new connections. The final responses that
+    /// are still missing are written by the instant in this variant.
     Closing(Instant),
 }
 
-/// The state of one scheduler's graceful shutdown. The phases follow in the order of [`ShutdownPhase`];
-/// `begin` is called once.
+/// The current phase of one scheduler's graceful shutdown, shared by all clones. `begin` is called only once.
 #[derive(Clone, Default)]
 pub struct Shutdown {
     phase: watch::Sender<ShutdownPhase>,
 }
 
-/// A receiver that follows the phase of a shutdown.
+/// A receiver through which a task watches the phase of the shutdown.
 pub type ShutdownWatch = watch::Receiver<ShutdownPhase>;
 
 impl Shutdown {
-    /// Begins the shutdown: all requests get their final response by the deadline.
+    /// Begins the shutdown. All requests get their final response by `deadline`.
     pub fn begin(&self, deadline: Instant) {
         self.phase.send_replace(ShutdownPhase::Draining(deadline));
     }
 
-    /// Enters the phase [`ShutdownPhase::Closing`], in which client connections are closed. Has no effect
-    /// unless the current phase is [`ShutdownPhase::Draining`].
+    /// Enters the phase [`ShutdownPhase::Closing`], in which client connections are closed. This has no
+    /// effect unless the current phase is [`ShutdownPhase::Draining`].
     pub fn close(&self) {
         self.phase.send_modify(|phase| {
             if let ShutdownPhase::Draining(deadline) = *phase {
@@ -42,12 +42,12 @@
         });
     }
 
-    /// The phase that the shutdown has reached; [`ShutdownPhase::Running`] if no shutdown has begun.
+    /// Returns the current phase of the shutdown; [`ShutdownPhase::Running`] if no shutdown has begun.
     pub fn phase(&self) -> ShutdownPhase {
         *self.phase.borrow()
     }
 
-    /// Whether the shutdown has begun.
+    /// Returns whether the shutdown has begun.
     pub fn is_started(&self) -> bool {
         self.phase() != ShutdownPhase::Running
     }
@@ -58,7 +58,7 @@
     }
 }
 
-/// A request's deadline, or the drain deadline if a shutdown has begun and its drain deadline is earlier.
+/// Returns the earlier of two instants: a request's deadline, and the drain deadline if a shutdown has begun.
 pub fn effective_deadline(deadline: Instant, shutdown: &ShutdownWatch) -> Instant {
     match *shutdown.borrow() {
         ShutdownPhase::Running => deadline,
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -1,8 +1,9 @@
-//! The schedule of a graceful shutdown, which is derived from the longest deadline of the settings in force.
+//! The times of a graceful shutdown, which follow from the longest deadline of the configured request
+//! classes.
 //!
-//! The supervisor sends SIGKILL no earlier than `K = min(longest deadline, 3 s) + 0.7 s` after SIGTERM. All
-//! times are derived backwards from `K`, so that a shutdown takes less time if the deadlines are short. With
-//! `D = max(K - 0.5 s, 0.5 s)`:
+//! The supervisor kills the process (SIGKILL) no earlier than `K = min(longest deadline, 3 s) + 0.7 s` after
+//! it has asked the process to stop (SIGTERM). All other times are counted back from `K`, so that a shutdown
+//! takes less time if the deadlines are short. With `D = max(K - 0.5 s, 0.5 s)`:
 //!
 //! | time after SIGTERM | what has happened by then |
 //! | --- | --- |
@@ -15,38 +16,41 @@
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::time::Instant;
 
-/// The maximum part of the longest deadline that counts towards the time from SIGTERM to SIGKILL.
+/// The longest deadline counts up to this value, in microseconds, when the time from SIGTERM to SIGKILL is
+/// computed.
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
-/// The time from SIGTERM to SIGKILL in addition to the longest deadline, which is limited to
-/// [`MAX_COUNTED_DEADLINE`]. The supervisor sends SIGKILL no earlier than after the sum of the two.
+/// The time from SIGTERM to SIGKILL beyond the longest deadline, in microseconds. The supervisor sends
+/// SIGKILL no earlier than after this time plus the longest deadline (at most [`MAX_COUNTED_DEADLINE`]).
 const KILL_DELAY: Micros = 700_000;
-/// How long before SIGKILL every request has its final response. Of this time, 0.1 s is for writing the last
-/// responses, and 0.4 s is for delays of a process that is scheduled late or throttled.
+/// The time from the last final response to SIGKILL, in microseconds. Of this time, 0.1 s is for writing the
+/// last responses. The other 0.4 s are for a process that is scheduled late or throttled.
 const DRAIN_MARGIN: Micros = 500_000;
-/// The time allowed for writing the last responses.
+/// The time for writing the last responses, in microseconds.
 pub(crate) const FINAL_WRITE_TIME: Micros = 100_000;
-/// The minimum time from SIGTERM until every request has its final response. New connections arrive until up
-/// to 0.4 s after SIGTERM, and their requests are answered within another 0.1 s.
+/// The minimum time from SIGTERM until every request must have its final response, in microseconds. New
+/// connections may arrive until 0.4 s after SIGTERM, and their requests are answered within another 0.1 s.
 const MIN_DRAIN_TIME: Micros = 500_000;
-/// The maximum time after SIGTERM for which the scheduler waits for new connections although no request is
-/// outstanding.
+/// The maximum time after SIGTERM, in microseconds, for which the scheduler keeps accepting new connections
+/// while no request is being read or answered.
 const MAX_LATE_CONNECTION_WINDOW: Micros = SECOND;
-/// How long before SIGKILL the process exits.
+/// The time from the exit of the process to SIGKILL, in microseconds.
 const EXIT_MARGIN: Micros = 200_000;
 
 /// The times of a graceful shutdown, in microseconds after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// The time by which every request has its final response.
+    /// The time after SIGTERM by which every request must have its final response, in microseconds.
     pub drain_time: Micros,
-    /// How long after SIGTERM new connections are accepted even if no request is outstanding.
+    /// The time after SIGTERM for which new connections are accepted even if no request is being read or
+    /// answered, in microseconds.
     pub late_connection_window: Micros,
-    /// The time by which the process has exited.
+    /// The time after SIGTERM by which the process must have exited, in microseconds.
     pub exit_time: Micros,
 }
 
 impl ShutdownSchedule {
-    /// Computes the schedule for the longest deadline of all request classes, in microseconds.
+    /// Computes the times of a shutdown. `longest_deadline` is the longest deadline of all request classes,
+    /// in microseconds.
     pub fn for_longest_deadline(longest_deadline: Micros) -> ShutdownSchedule {
         let kill_time = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
         let drain_time = (kill_time - DRAIN_MARGIN).max(MIN_DRAIN_TIME);
@@ -57,7 +61,7 @@
         }
     }
 
-    /// The deadlines of a shutdown whose SIGTERM was received at `sigterm_at`.
+    /// Returns the deadlines of a shutdown, given the instant at which SIGTERM was received.
     pub(crate) fn deadlines_from(&self, sigterm_at: Instant) -> ShutdownDeadlines {
         let after = |span| sigterm_at + Duration::from_micros(span);
         ShutdownDeadlines {
@@ -68,12 +72,12 @@
     }
 }
 
-/// The deadlines of a shutdown that has begun, as instants.
+/// The deadlines of a shutdown that has begun.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownDeadlines {
     pub(crate) drain_deadline: Instant,
     pub(crate) late_connections_until: Instant,
-    /// The instant at which the process exits without waiting for tasks that are still running.
+    /// The instant at which the process exits even if some of its tasks are still running.
     pub exit_deadline: Instant,
 }
 
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -1,4 +1,4 @@
-//! The dispatch of attempts to workers over HTTP.
+//! Sends attempts to workers over HTTP.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -24,37 +24,37 @@
 use crate::upstream::http::load_report::header_load_report;
 use crate::upstream::http::request::{build_request, failure_outcome, is_retryable_at_any_worker, read_body};
 
-/// How long the rest of a response's body is read after the head has decided the attempt's outcome. If the
-/// body has not ended by then, the connection is closed.
+/// How long the body of a worker's response to an attempt is read, in microseconds. The head alone decides
+/// the attempt's outcome. If the body has not ended by then, the connection is closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
 /// How long after the first response to a request a second, unexpected response to the same request may
-/// arrive. The value equals the protocol's tolerance on time limits.
+/// arrive, in microseconds. The value equals the protocol's tolerance on time limits.
 const STRAY_RESPONSE_WINDOW: Micros = 50_000;
 
-/// The request's remaining time divided by this constant is the maximum time that is reserved for
-/// establishing an attempt's connection. If the connect timeout is shorter, the connect timeout is reserved
-/// instead.
+/// The time reserved for connecting to a worker is at most the request's remaining time divided by this
+/// number, and at most the connect time-out.
 const CONNECT_RESERVE_DIVISOR: u32 = 4;
-/// How long an attempt may still be written after the time reserved for its connection has passed, in
-/// microseconds. The delay is allowed because the client waits for as long beyond the request's deadline.
+/// How much later than planned an attempt may still be written, in microseconds. The planned time covers
+/// connecting to the worker. The delay is allowed because the client waits for as long beyond the request's
+/// deadline.
 const WRITE_SLACK: Micros = MAX_DISPATCH_DELAY;
-/// How long to wait until the socket of an aborted attempt is closed. The client library closes the socket in
-/// a separate task.
+/// How long to wait until the socket of an aborted attempt is closed, in microseconds. The client library
+/// (hyper) closes the socket in a separate task.
 const CLOSE_TIMEOUT: Micros = SECOND;
 
-/// Sends attempts and interprets their responses.
+/// Sends attempts to workers, and determines from the responses whether the workers have accepted them.
 pub(super) struct AttemptSender {
     connections: Arc<WorkerConnections>,
     endpoints: Arc<EndpointTable>,
-    /// Limits the dispatches in progress to an eighth of the process's file descriptors, so that workers that
-    /// stop responding cannot hold the file descriptors that callbacks need.
+    /// The permits for sending attempts. Their number is an eighth of the process's file descriptors, but at
+    /// least 4. Workers that stop responding therefore cannot take the file descriptors that callbacks need.
     permits: Arc<Semaphore>,
-    /// How long establishing a connection may take.
+    /// How long connecting to a worker may take.
     connect_timeout: Duration,
-    /// How long after its start an attempt of a request with an idempotency key may be written.
+    /// How long after an attempt is prepared it may still be written, if the request has an idempotency key.
     ///
-    /// An earlier attempt of the request may have run. If the attempt were written after the workers have
-    /// dropped the idempotency key, they would run the request again.
+    /// An earlier attempt of the request may have run. Workers drop the idempotency key after some time. If
+    /// the attempt were written after that, they would run the request again.
     key_write_window: Duration,
 }
 
@@ -62,40 +62,43 @@
 struct PreparedAttempt {
     request: Request<GuardedBody>,
     started_at: Instant,
-    /// The instant from which on the attempt must not be written.
+    /// The instant from which on the attempt must no longer be written.
     write_deadline: Instant,
     is_written: Arc<AtomicBool>,
-    /// The permit that counts this dispatch against the limit on dispatches in progress. The permit is held
-    /// until the response's body has been read.
+    /// The permit for sending the attempt. It is held until the body of the worker's response has been read.
     permit: OwnedSemaphorePermit,
 }
 
-/// The result of waiting for the response to an attempt.
+/// How waiting for the worker's response to an attempt ended.
 enum WaitResult {
     Response(Response<Incoming>),
     Failed(Error),
-    /// The attempt was not written by its write deadline.
+    /// The attempt was not written by its write deadline, so there will be no response.
     NotWritten,
     Aborted,
 }
 
-/// The time limits of an attempt: when it must be written, and the limit that is announced to the worker.
+/// The time limits of an attempt: the instant by which it must be written, and the time limit that is
+/// announced to the worker.
 ///
-/// The announced limit is fixed before the connection is established. When the attempt arrives at the worker,
-/// the protocol allows the announced limit to exceed the client's remaining time by at most 0.15 s. The time
-/// reserved for the connection is therefore subtracted from the announced limit, and an attempt whose
-/// connection takes longer is not written. An attempt may be written up to [`WRITE_SLACK`] late without using
-/// up any of the 0.15 s, since the client waits for as long beyond the request's deadline. The whole 0.15 s
-/// remain for delays of the process while it writes the attempt.
+/// The announced time limit is fixed before the scheduler connects to the worker. When the attempt arrives
+/// there, the protocol allows the announced limit to exceed the client's remaining time by at most 0.15 s.
+/// The time for connecting is therefore subtracted from the announced limit in advance. If connecting takes
+/// longer, the attempt is not written.
+///
+/// An attempt may be written up to [`WRITE_SLACK`] late. This uses up none of the 0.15 s, because the client
+/// waits for as long beyond the request's deadline. The whole 0.15 s remain for delays of the process while
+/// it writes the attempt.
 struct AttemptTiming {
-    /// The instant from which on the attempt must not be written.
+    /// The instant from which on the attempt must no longer be written.
     write_deadline: Instant,
-    /// The time limit for the request that is announced to the worker, in milliseconds.
+    /// The time limit that is announced to the worker, in milliseconds.
     announced_limit_ms: u128,
 }
 
 impl AttemptTiming {
-    /// Computes the time limits of an attempt that is prepared at `now`.
+    /// Computes the time limits of an attempt that is prepared at `now`. `deadline` is the request's
+    /// deadline.
     fn new(now: Instant, deadline: Instant, connect_timeout: Duration) -> AttemptTiming {
         let time_left = deadline.saturating_duration_since(now);
         let connect_reserve = connect_timeout.min(time_left / CONNECT_RESERVE_DIVISOR);
@@ -107,8 +110,8 @@
 }
 
 impl AttemptSender {
-    /// Creates a sender whose limit on dispatches in progress is derived from `descriptor_limit`, the number
-    /// of file descriptors that the process may open.
+    /// Creates a sender of attempts. The maximum number of dispatches in progress is derived from
+    /// `descriptor_limit`, the number of file descriptors that the process may open.
     pub(super) fn new(
         connections: Arc<WorkerConnections>,
         endpoints: Arc<EndpointTable>,
@@ -124,7 +127,8 @@
         }
     }
 
-    /// Sends an attempt, and returns when the worker has accepted the attempt or the attempt has ended.
+    /// Sends an attempt to a worker. Returns when the worker has accepted the attempt or the attempt has
+    /// ended.
     pub(super) async fn send(
         &self,
         target: &AttemptTarget,
@@ -156,8 +160,8 @@
         }
     }
 
-    /// Determines from the response whether the worker has accepted the attempt, and returns the failure if
-    /// not.
+    /// Returns `Ok` if the response shows that the worker has accepted the attempt, and the failure
+    /// otherwise.
     fn read_response(
         &self,
         response: Response<Incoming>,
@@ -166,8 +170,8 @@
         started_at: Instant,
         permit: OwnedSemaphorePermit,
     ) -> DispatchResult {
-        // Only the head decides the outcome, because otherwise a body that never ends would delay the
-        // request.
+        // Only the response's head decides the outcome. If the body decided too, a body that never ends would
+        // delay the request.
         let (head, body) = response.into_parts();
         match response_outcome(head.status, &head.headers) {
             None => {
@@ -179,8 +183,10 @@
         }
     }
 
-    /// Acquires a permit and builds the attempt's HTTP request. The conditions for the write are checked
-    /// again by the request's [`GuardedBody`], immediately before the attempt is written.
+    /// Acquires a permit for sending an attempt, and builds the attempt's HTTP request.
+    ///
+    /// Whether the attempt may be written is checked again by the request's [`GuardedBody`], immediately
+    /// before the write.
     fn prepare(
         &self,
         target: &AttemptTarget,
@@ -188,20 +194,20 @@
         deadline: Instant,
         control: &DispatchControl,
     ) -> Result<PreparedAttempt, DispatchFailure> {
-        // The worker may have been listed as draining or removed since the policy's decision, and then has no
-        // address and gets no new attempts. The [`GuardedBody`] checks the address again before the attempt
-        // is written.
+        // The worker may have been listed as draining or removed since the policy chose it. In that case the
+        // target has no address, and the attempt is not sent. The [`GuardedBody`] checks the address again
+        // before the write.
         let address = target.address.clone().ok_or(Outcome::Superseded)?;
-        // Without this limit, dozens of workers that stop responding could hold the file descriptors that
-        // callbacks need. The outcome is the same as if the process had no free file descriptor: the
-        // connection failed.
+        // Without this limit, dozens of workers that stop responding could take the file descriptors that
+        // callbacks need. An attempt that gets no permit has the same outcome as if the process had no free
+        // file descriptor: connecting failed.
         let permit = Arc::clone(&self.permits).try_acquire_owned().map_err(|_| Outcome::ConnectFailed)?;
         let started_at = Instant::now();
         let AttemptTiming { write_deadline, announced_limit_ms } =
             AttemptTiming::new(started_at, deadline, self.connect_timeout);
-        // An attempt with an idempotency key must not be written after the workers have dropped the key,
-        // since an earlier attempt may have run. The policy decides on a retry only if the workers will keep
-        // the key for longer than `key_write_window`.
+        // If an earlier attempt has run and the workers have dropped the idempotency key, this attempt would
+        // run the request again. The policy retries a request only if the workers will keep the key for
+        // longer than `key_write_window`, so the attempt must be written within that time.
         let write_deadline = match upstream_request.idempotency {
             Idempotency::IdempotentWithKey { .. } => write_deadline.min(started_at + self.key_write_window),
             _ => write_deadline,
@@ -221,7 +227,7 @@
         Ok(PreparedAttempt { request, started_at, write_deadline, is_written, permit })
     }
 
-    /// Returns the failure of an attempt whose response shows that the worker has not accepted the attempt.
+    /// Returns the failure of an attempt that its worker has not accepted, as the response shows.
     fn dispatch_failure(
         &self,
         connection: &CaptureConnection,
@@ -231,8 +237,8 @@
         started_at: Instant,
     ) -> DispatchFailure {
         let previous_use = self.connections.record_use(connection, ConnectionUse::NotReusable);
-        // The response may be a second response to the previous request on this connection. In that case it
-        // does not prove that this attempt never ran.
+        // The response may be a second response to the previous request on this connection. If so, it does
+        // not prove that this attempt never ran.
         let stray_window = Duration::from_micros(STRAY_RESPONSE_WINDOW);
         let is_stray = previous_use.is_some_and(|previous| started_at < previous + stray_window);
         let is_unproven = is_stray && outcome.never_ran() && !is_retryable_at_any_worker(idempotency);
@@ -241,7 +247,8 @@
     }
 }
 
-/// Waits for the response to an attempt until the attempt is aborted or has missed its write deadline.
+/// Waits for the worker's response to an attempt. The wait also ends when the attempt is aborted, or when its
+/// write deadline passes before it is written.
 async fn wait_for_response(
     mut response: ResponseFuture,
     control: &DispatchControl,
@@ -251,7 +258,8 @@
     let mut is_past_write_deadline = false;
     loop {
         tokio::select! {
-            // A response that was received takes precedence over an abort and over the write deadline.
+            // The response is checked first: once received, it counts even if the attempt is aborted at the
+            // same time.
             biased;
             result = &mut response => return result.map_or_else(WaitResult::Failed, WaitResult::Response),
             () = control.abort.cancelled() => return WaitResult::Aborted,
@@ -274,7 +282,7 @@
     let body = GuardedBody::new(upstream_request.body.clone(), guard);
     let mut request = build_request(Method::POST, address, upstream_request.path.clone(), body)?;
     *request.headers_mut() = upstream_request.headers.clone();
-    // The client's `Content-Length` is removed, because the HTTP library sets the header for the body.
+    // The client's `Content-Length` is removed, because the HTTP library sets this header from the body.
     request.headers_mut().remove(CONTENT_LENGTH);
     if let Ok(value) = format!("{announced_limit_ms}m").parse() {
         request.headers_mut().insert("x-timeout", value);
@@ -282,19 +290,20 @@
     Some(request)
 }
 
-/// The outcome of an attempt according to its response, or `None` if the worker has accepted the attempt.
+/// Returns the outcome of an attempt that follows from the worker's response, or `None` if the worker has
+/// accepted the attempt.
 fn response_outcome(status: StatusCode, headers: &HeaderMap) -> Option<Outcome> {
     let never_ran = headers.get("x-not-processed").is_some_and(|value| value == "1");
     match status {
         StatusCode::ACCEPTED => None,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Some(Outcome::Rejected),
-        // Any other response leaves unknown whether the request ran, and counts as an error.
+        // After any other response, it is unknown whether the request ran. The outcome is therefore an error.
         _ => Some(Outcome::Error),
     }
 }
 
 /// Spawns a task that reads the rest of a response's body, so that the connection can be reused. The task
-/// ends after [`BODY_DRAIN_TIMEOUT`] at the latest, and holds the dispatch's permit until it ends.
+/// holds `permit` until it ends, at the latest after [`BODY_DRAIN_TIMEOUT`].
 fn drain_body(body: Incoming, permit: OwnedSemaphorePermit) {
     if body.is_end_stream() {
         return;
--- a/crates/proxy/src/upstream/http/callback.rs
+++ b/crates/proxy/src/upstream/http/callback.rs
@@ -1,4 +1,4 @@
-//! Parses workers' callbacks and delivers them to the tasks of their requests.
+//! Parses workers' callbacks, and passes them to the tasks of the requests.
 use std::sync::Arc;
 
 use bytes::Bytes;
@@ -18,39 +18,39 @@
 /// A worker's report on an attempt that it has accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Callback {
-    /// The request that the attempt belongs to.
+    /// The id of the request to which the attempt belongs.
     pub request: RequestId,
-    /// Name of the worker that sent the report.
+    /// The name of the worker that sent the report.
     pub worker_name: String,
-    /// What the worker reports: the attempt's progress or completion.
+    /// The worker's report: the attempt has made progress or has ended.
     pub event: WorkerEvent,
 }
 
-/// Why a message is not a valid callback.
+/// Why the body of a message is not a valid callback.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CallbackError {
-    /// The message is not JSON, or a field is missing or has the wrong type.
+    /// The callback is not JSON, or a field of the callback is missing or has the wrong type.
     #[error(transparent)]
     Malformed(#[from] ReadError),
-    /// The reported state is unknown.
+    /// The callback reports a state of the attempt that is not known.
     #[error("unknown state {state:?}")]
     UnknownState {
-        /// The unknown state that was received.
+        /// The state that is not known, as received.
         state: String,
     },
-    /// The request id is malformed.
+    /// The callback's request id is malformed.
     #[error("id {id:?} is not 16 hex digits")]
     InvalidRequestId {
-        /// The malformed request id that was received.
+        /// The malformed request id, as received.
         id: String,
     },
 }
 
-/// Parses a callback.
+/// Parses the body of a callback.
 ///
 /// # Errors
-/// Returns an error if the message is not a valid callback.
+/// Returns an error if the body is not a valid callback.
 pub fn parse_callback(body: &[u8]) -> Result<Callback, CallbackError> {
     let message = json::parse_bytes(body)?;
     let id = required(&message, "id", text)?;
@@ -84,9 +84,10 @@
     })
 }
 
-/// Creates the handler of workers' callbacks, which takes a callback's body and does not depend on the server
-/// that receives the callback. A callback for a completed request or from an unknown worker is accepted and
-/// ignored.
+/// Returns the function that handles workers' callbacks. It takes a callback's body, and does not depend on
+/// the server that receives the callback.
+///
+/// A callback is accepted but ignored if its request has completed or its worker is unknown.
 pub fn callback_handler(
     endpoints: Arc<EndpointTable>,
     policy: Arc<PolicyHandle>,
--- a/crates/proxy/src/upstream/http/cancellation.rs
+++ b/crates/proxy/src/upstream/http/cancellation.rs
@@ -1,4 +1,4 @@
-//! Sends cancellations of attempts to workers.
+//! Tells workers over HTTP to cancel attempts.
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError, Weak};
 
@@ -17,27 +17,28 @@
 use crate::upstream::http::limits::{max_cancellations, max_idle_per_worker};
 use crate::upstream::http::request::{build_request, read_body};
 
-/// How long the body of a response to a cancellation is read. The content of the body is ignored. If the body
-/// has not ended by then, the connection is closed.
+/// How long the body of the response to a cancellation is read, in microseconds. The content is ignored. If
+/// the body has not ended by then, the connection is closed.
 const BODY_DRAIN_TIMEOUT: Micros = 100_000;
-/// The delay before a cancellation that was not acknowledged is sent again.
+/// The delay before a cancellation is sent again because the worker has not acknowledged it, in microseconds.
 const RETRY_DELAY: Micros = 20_000;
 
-/// Sends cancellations to workers, and limits the cancellations in flight in total and for each worker.
+/// Sends cancellations of attempts to workers. The number of cancellations in flight is limited in total and
+/// for each worker.
 pub(super) struct CancellationSender {
     connections: Arc<WorkerConnections>,
-    /// Limits the total number of cancellations in flight.
+    /// The permits that limit the total number of cancellations in flight.
     permits: Arc<Semaphore>,
-    /// Limits the number of cancellations in flight to each worker's address, so that a worker that does not
-    /// respond does not delay cancellations to other workers. An address without a cancellation in flight is
-    /// removed from the map.
+    /// The permits that limit the number of cancellations in flight to each worker, keyed by the worker's
+    /// address. Without them, a worker that does not respond could delay the cancellations to other workers.
+    /// The permits of an address are removed when no cancellation uses them.
     permits_by_address: Mutex<HashMap<Authority, Weak<Semaphore>>>,
     max_per_worker: usize,
 }
 
 impl CancellationSender {
-    /// Creates a sender whose limits on cancellations in flight are derived from `descriptor_limit`, the
-    /// number of file descriptors that the process may open.
+    /// Creates a sender of cancellations. The limits on the cancellations in flight are derived from
+    /// `descriptor_limit`, the number of file descriptors that the process may open.
     pub(super) fn new(connections: Arc<WorkerConnections>, descriptor_limit: usize) -> CancellationSender {
         CancellationSender {
             connections,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The semaphore that limits the cancellations in flight to one worker's address.
+    /// Returns the permits that limit the cancellations in flight to the worker at `address`.
     fn permits_for(&self, address: &Authority) -> Arc<Semaphore> {
         let mut permits_by_address = self.permits_by_address.lock().unwrap_or_else(PoisonError::into_inner);
         permits_by_address.retain(|_, permits| permits.strong_count() > 0);
@@ -59,9 +60,11 @@
         permits
     }
 
-    /// Spawns a task that sends the cancellation of an attempt until the worker acknowledges it or the
-    /// deadline passes. The returned future waits for the outcome. If the target has no address, nothing is
-    /// sent and the outcome is [`CancellationOutcome::Unconfirmed`].
+    /// Sends the cancellation of an attempt to its worker, repeatedly until the worker acknowledges it or the
+    /// deadline passes.
+    ///
+    /// A spawned task does this, and the returned future waits for the outcome. If `target` has no address,
+    /// nothing is sent and the outcome is [`CancellationOutcome::Unconfirmed`].
     pub(super) fn send(
         &self,
         target: &AttemptTarget,
@@ -85,7 +88,7 @@
     }
 }
 
-/// A cancellation that is being sent to a worker.
+/// The cancellation of one attempt, while it is sent to the worker.
 struct Cancellation {
     connections: Arc<WorkerConnections>,
     address: Authority,
@@ -93,8 +96,10 @@
 }
 
 impl Cancellation {
-    /// Sends the cancellation repeatedly until the worker acknowledges it. The first try may use a pooled
-    /// connection. Because a pooled connection may have broken unnoticed, later tries use new connections.
+    /// Sends the cancellation repeatedly until the worker acknowledges it.
+    ///
+    /// The first try may use a pooled connection, which may have broken unnoticed. Later tries therefore use
+    /// new connections.
     async fn send_until_acknowledged(&self) {
         if self.send(WorkerConnections::send).await {
             return;
@@ -107,9 +112,10 @@
         }
     }
 
-    /// Sends the cancellation once, and returns whether the worker has acknowledged it. Every response except
-    /// a server error counts as an acknowledgement. This includes the response that the worker does not know
-    /// the attempt, because the worker then does not run the attempt.
+    /// Sends the cancellation once, and returns whether the worker has acknowledged it.
+    ///
+    /// Every response except a server error counts as an acknowledgement. This includes the response that the
+    /// worker does not know the attempt, because the worker then does not run the attempt.
     async fn send(&self, send: fn(&WorkerConnections, Request<GuardedBody>) -> ResponseFuture) -> bool {
         let (address, path) = (self.address.clone(), self.path.clone());
         let Some(request) = build_request(Method::DELETE, address, path, GuardedBody::empty()) else {
@@ -117,8 +123,8 @@
         };
         let Ok(response) = send(&self.connections, request).await else { return false };
         let is_acknowledged = !response.status().is_server_error();
-        // The body is read to its end, although its content is ignored, because the connection can be reused
-        // only afterwards.
+        // The body is read to its end although its content is ignored. Only then can the connection be
+        // reused.
         let _ = timeout_at(from_now(BODY_DRAIN_TIMEOUT), read_body(response.into_body())).await;
         is_acknowledged
     }
--- a/crates/proxy/src/upstream/http/connections.rs
+++ b/crates/proxy/src/upstream/http/connections.rs
@@ -1,4 +1,4 @@
-//! The connection pool for workers, and the rule that decides which requests may reuse a connection.
+//! The pool of connections to workers, and the rule that decides which requests may reuse a connection.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -19,30 +19,32 @@
 use crate::upstream::http::request::is_retryable_at_any_worker;
 use crate::upstream::http::tracked_connector::{ClosedSignal, TrackedConnector};
 
-/// The maximum size of the head of a worker's response. Without a maximum, an endless head could use up the
-/// memory.
+/// The maximum length of the head of a worker's response, in bytes. Without a maximum, an endless head could
+/// use up the memory.
 const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
-/// How long the reuse of connections is suspended after a reused connection has broken during a request.
-/// Requests that can be retried at any worker continue to reuse connections during the suspension. If a
-/// reused connection breaks again, the suspension starts anew.
+/// How long the reuse of connections is suspended after a reused connection broke during a request, in
+/// microseconds. Requests that can be retried at any worker reuse connections even then. If a reused
+/// connection breaks again, the time starts anew.
 const REUSE_SUSPENSION: Micros = 10 * SECOND;
-/// The number of tracked connections from which on outdated entries are removed: the entries of connections
-/// whose last use is longer ago than the keep-alive time.
+/// The number of entries in `last_uses` from which on old entries are removed: those of connections whose
+/// last use was longer ago than the workers' keep-alive time.
 const TRACKED_CONNECTIONS_PRUNE_THRESHOLD: usize = 256;
 
-/// The result of using a connection for a request.
+/// How the use of a connection for a request to a worker ended.
 pub(super) enum ConnectionUse {
     /// The worker accepted the attempt or answered the load query. The connection may be reused.
     Reusable,
-    /// The worker's response was not a success. The connection must not be reused.
+    /// The worker did not accept the attempt or did not answer the load query. The connection must not be
+    /// reused.
     NotReusable,
     /// The connection broke while it was used for the request.
     Broken,
 }
 
-/// The state that decides whether connections may be reused.
+/// The state that decides whether connections to workers may be reused.
 struct ConnectionReuse {
-    /// The time of the last successful use of each connection, keyed by the connection's local address.
+    /// The time at which each connection was last used with success. The key is the connection's local
+    /// address.
     last_uses: HashMap<SocketAddr, Instant>,
     suspended_until: Option<Instant>,
 }
@@ -50,17 +52,17 @@
 /// The HTTP connections to all workers.
 pub(super) struct WorkerConnections {
     pooled_client: Client<TrackedConnector, GuardedBody>,
-    /// A client that opens a new connection for each request.
+    /// A client that opens a new connection to the worker for each request.
     unpooled_client: Client<TrackedConnector, GuardedBody>,
-    /// The state that decides whether connections may be reused. It is changed only by
-    /// [`WorkerConnections::record_use`].
+    /// The state that decides whether connections may be reused. Only [`WorkerConnections::record_use`]
+    /// changes it.
     reuse: Mutex<ConnectionReuse>,
     keep_alive_timeout: Duration,
 }
 
 impl WorkerConnections {
-    /// Creates the connections to all workers. The number of idle connections kept for each worker is derived
-    /// from `descriptor_limit`, the number of file descriptors that the process may open.
+    /// Creates the pool of connections to all workers. The maximum number of idle connections to each worker
+    /// is derived from `descriptor_limit`, the number of file descriptors that the process may open.
     pub(super) fn new(settings: &ProxySettings, descriptor_limit: usize) -> WorkerConnections {
         WorkerConnections {
             pooled_client: build_client(settings, max_idle_per_worker(descriptor_limit)),
@@ -70,22 +72,24 @@
         }
     }
 
-    /// Sends a request on a pooled connection, or on a new connection if no pooled connection is idle.
+    /// Sends a request to a worker on an idle connection, or on a new connection if none is idle.
     pub(super) fn send(&self, request: Request<GuardedBody>) -> ResponseFuture {
         self.pooled_client.request(request)
     }
 
-    /// Sends a request on a new connection, which is not reused.
+    /// Sends a request to a worker on a new connection, which is not reused.
     pub(super) fn send_on_new_connection(&self, request: Request<GuardedBody>) -> ResponseFuture {
         self.unpooled_client.request(request)
     }
 
-    /// Sends an attempt on a pooled connection or on a new connection.
+    /// Sends an attempt to a worker, on a new connection if the reuse of connections is suspended for this
+    /// request.
     ///
-    /// A pooled connection may have failed unnoticed and break during the next request. A non-idempotent
-    /// request must not be retried after such a failure, and a request whose idempotency key only some
-    /// workers know can be retried only at those workers. If a reused connection has broken recently, such
-    /// requests are therefore sent on new connections that are not reused.
+    /// An idle connection may have failed unnoticed, and then breaks during the next request. Not every
+    /// request can be retried at any worker after that: a non-idempotent request can't be retried at all, and
+    /// some idempotency keys are known only at some workers. Such requests are sent on new connections, which
+    /// are not reused, if a reused connection has broken recently. All other requests may use an idle
+    /// connection.
     pub(super) fn send_attempt(
         &self,
         request: Request<GuardedBody>,
@@ -102,8 +106,8 @@
         }
     }
 
-    /// Records the result of a connection's use. Returns the time of the connection's previous use, or `None`
-    /// if that use is not tracked.
+    /// Records how the use of a connection ended. Returns the time of the connection's last successful use
+    /// before that, or `None` if no such use is recorded.
     pub(super) fn record_use(
         &self,
         connection: &CaptureConnection,
@@ -120,9 +124,9 @@
                 }
                 reuse.last_uses.insert(address, now);
             }
-            // The connection is not reused. The worker might send a second response, which would be taken for
-            // the response to the next request, and all later responses would be assigned to the wrong
-            // requests.
+            // The connection is not reused, because the worker might send a second response. That response
+            // would be taken for the response to the next request, and all later responses would be assigned
+            // to the wrong requests.
             ConnectionUse::NotReusable => {
                 connection.connection_metadata().iter().for_each(Connected::poison);
             }
@@ -148,17 +152,18 @@
     connector.set_connect_timeout(Some(Duration::from_micros(settings.connect_timeout)));
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        // The idle timeout is shorter than the workers' keep-alive time, so that no request is written to a
-        // connection that its worker is closing.
+        // The idle time-out is shorter than the workers' keep-alive time. Otherwise a request could be
+        // written to a connection that its worker is closing.
         .pool_idle_timeout(Duration::from_micros(idle_timeout(settings.keep_alive_timeout)))
         .pool_max_idle_per_host(max_idle)
-        // The library must not retry: that would be an attempt that the policy has not decided on.
+        // The library must not retry a request, because a retry would be an attempt that the policy has not
+        // decided on.
         .retry_canceled_requests(false)
         .http1_max_buf_size(MAX_RESPONSE_HEAD_BYTES)
         .build(TrackedConnector(connector))
 }
 
-/// Waits until the socket on which a request was sent has been closed. Returns at once if the request has no
+/// Waits until the socket on which a request was sent has been closed. Returns at once if the request got no
 /// connection.
 pub(super) async fn wait_until_closed(connection: &CaptureConnection) {
     let closed = connection_extras(connection).and_then(|mut extras| extras.remove::<ClosedSignal>());
@@ -167,17 +172,18 @@
     }
 }
 
-/// The remote address of a request's connection, which is the worker's.
+/// Returns the worker's address on the connection of a request.
 fn remote_address(connection: &CaptureConnection) -> Option<SocketAddr> {
     connection_extras(connection)?.get().map(HttpInfo::remote_addr)
 }
 
-/// The local address of a request's connection, which identifies the connection.
+/// Returns the local address of a request's connection. It identifies the connection.
 fn local_address(connection: &CaptureConnection) -> Option<SocketAddr> {
     connection_extras(connection)?.get().map(HttpInfo::local_addr)
 }
 
-/// The metadata of a request's connection, or `None` if the request has no connection yet.
+/// Returns the data that the connector has attached to a request's connection, or `None` if the request has
+/// no connection yet.
 fn connection_extras(connection: &CaptureConnection) -> Option<Extensions> {
     let mut extras = Extensions::new();
     connection.connection_metadata().as_ref()?.get_extras(&mut extras);
--- a/crates/proxy/src/upstream/http/guarded_body.rs
+++ b/crates/proxy/src/upstream/http/guarded_body.rs
@@ -1,5 +1,5 @@
-//! A request body that checks, immediately before an attempt is written, whether the attempt may still be
-//! written. If not, the body fails and the attempt is withheld.
+//! The body of a request to a worker, which checks immediately before the request is written whether it may
+//! still be written. If not, the body fails, and the attempt is not sent.
 use std::pin::Pin;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,22 +15,22 @@
 use crate::endpoints::EndpointTable;
 use crate::messages::{ClientPresence, DispatchControl};
 
-/// The conditions under which an attempt may be written.
+/// The conditions under which an attempt may be written to a worker's connection.
 pub(super) struct WriteGuard {
-    /// The cancellation tokens of the dispatch, which must permit the write.
+    /// The cancellation tokens of the attempt. Neither may be cancelled when the attempt is written.
     pub(super) control: DispatchControl,
-    /// The check that must report the client as connected immediately before the attempt is written.
+    /// Checks whether the request's client has disconnected. The client must be connected when the attempt is
+    /// written.
     pub(super) client: ClientPresence,
-    /// The endpoint table, which must list the worker as serving at the address to which the attempt is sent.
+    /// The endpoint table. It must list the worker as serving at `address` when the attempt is written.
     pub(super) endpoints: Arc<EndpointTable>,
-    /// The worker that the attempt is sent to.
+    /// The worker to which the attempt is sent.
     pub(super) worker: WorkerId,
     /// The address to which the attempt is sent.
     pub(super) address: Authority,
-    /// The instant from which on the attempt must not be written.
+    /// The instant from which on the attempt must no longer be written.
     pub(super) write_deadline: Instant,
-    /// Whether the attempt was written. Set at the check that decides whether the attempt is written or
-    /// withheld.
+    /// Whether the attempt is written. The check of the conditions sets this flag.
     pub(super) is_written: Arc<AtomicBool>,
 }
 
@@ -42,8 +42,8 @@
             && !self.client.has_disconnected()
     }
 
-    /// Checks whether the attempt may be written, and records the result in `is_written`. Called immediately
-    /// before the attempt is written.
+    /// Checks whether the attempt may be written, and stores the result in `is_written`. Called immediately
+    /// before the write.
     fn check_and_record(&self) -> bool {
         let is_permitted = self.permits_write();
         self.is_written.store(is_permitted, Ordering::Relaxed);
@@ -51,31 +51,32 @@
     }
 }
 
-/// The error of a body that was withheld.
+/// The error of a request body whose request must not be written any more.
 #[derive(Debug, thiserror::Error)]
 #[error("aborted, too late, already answered, client disconnected, or worker not serving at this address")]
 pub(super) struct BodyWithheld;
 
-/// A request body that checks the write guard when it is polled.
+/// The body of a request to a worker. When it is polled, it checks whether the request may still be written.
 ///
-/// The connection's task polls the body in the same step in which it writes the request's head to its buffer,
-/// before any byte is sent. This is the last opportunity for a check: while the dispatch waited for a new or
-/// reused connection, the worker may have been listed as draining or at another address, or the write
-/// deadline may have passed. If the check fails, the request's body stays incomplete, and a worker never runs
-/// a request with an incomplete body.
+/// The task of the connection polls the body in the step in which it puts the request's head into its write
+/// buffer. No byte has been sent at that time, so this is the last opportunity for a check. While the
+/// dispatch waited for a connection, the worker may have been listed as draining or at another address, or
+/// the write deadline may have passed. If the check fails, the request's body stays incomplete. A worker
+/// never runs a request with an incomplete body.
 pub(super) struct GuardedBody {
     body: Full<Bytes>,
-    /// The write guard; `None` after it has been checked, and for a body that needs no check.
+    /// The conditions that are still to be checked. `None` after the check, and for a body that needs no
+    /// check.
     guard: Option<WriteGuard>,
 }
 
 impl GuardedBody {
-    /// Creates a body that is withheld unless the guard permits writing it.
+    /// Creates a body that fails unless `guard` permits the write.
     pub(super) fn new(body: Bytes, guard: WriteGuard) -> GuardedBody {
         GuardedBody { body: Full::new(body), guard: Some(guard) }
     }
 
-    /// Creates an empty body without a guard.
+    /// Creates an empty body that needs no check.
     pub(super) fn empty() -> GuardedBody {
         GuardedBody { body: Full::default(), guard: None }
     }
@@ -100,7 +101,7 @@
     }
 
     // For an empty body, hyper asks only for the length and does not poll the body. If the guard forbids the
-    // write, the length is therefore reported as unknown, so that hyper polls the body and gets the error
+    // write, this method therefore reports an unknown length. Then hyper polls the body and gets the error
     // [`BodyWithheld`].
     fn size_hint(&self) -> SizeHint {
         let is_empty = self.body.is_end_stream();
--- a/crates/proxy/src/upstream/http/load_query.rs
+++ b/crates/proxy/src/upstream/http/load_query.rs
@@ -21,24 +21,25 @@
 use crate::upstream::http::load_report::parse_load_response;
 use crate::upstream::http::request::{build_request, failure_outcome, read_body_or_empty};
 
-/// The path at which workers answer load queries.
+/// The path to which load queries are sent at a worker.
 const LOAD_QUERY_PATH: &str = "/-/load";
-/// How long after its deadline the response to a load query is still read, so that its connection can be
-/// reused. Otherwise the connection of each load query that waits long in a worker's queue would be closed,
-/// and the next request to this worker would need a new connection.
+/// How long after the deadline of a load query its response is still read, in microseconds.
+///
+/// If the response were not read, the connection would be closed. This would happen to each load query that
+/// waits long in a worker's queue, and the next request to this worker would need a new connection.
 const LATE_RESPONSE_WINDOW: Micros = 4 * SECOND;
 
 /// Sends load queries, at most one at a time to each worker.
 pub(super) struct LoadQuerySender {
     connections: Arc<WorkerConnections>,
     endpoints: Arc<EndpointTable>,
-    /// The workers with a load query in flight.
+    /// The workers that have a load query in flight.
     queried_workers: Arc<Mutex<HashSet<WorkerId>>>,
     max_load_queries: usize,
 }
 
-/// A permit for one load query to a worker. When the permit is dropped, another load query may be sent to
-/// this worker.
+/// A permit for one load query to a worker. The next load query to this worker may be sent when the permit is
+/// dropped.
 struct LoadQueryPermit {
     queried_workers: Arc<Mutex<HashSet<WorkerId>>>,
     worker: WorkerId,
@@ -51,8 +52,8 @@
 }
 
 impl LoadQuerySender {
-    /// Creates a sender that derives its limit on load queries in flight from `descriptor_limit`, the number
-    /// of file descriptors that the process may open.
+    /// Creates a sender of load queries. The maximum number of load queries in flight is derived from
+    /// `descriptor_limit`, the number of file descriptors that the process may open.
     pub(super) fn new(
         connections: Arc<WorkerConnections>,
         endpoints: Arc<EndpointTable>,
@@ -66,9 +67,10 @@
         }
     }
 
-    /// Sends a load query to a worker, and waits for the answer until the deadline. If the limits permit no
-    /// load query now or the worker has no serving address, nothing is sent and the outcome is
-    /// [`Outcome::Superseded`].
+    /// Sends a load query to a worker, and waits for the answer until `deadline`.
+    ///
+    /// Nothing is sent if the worker is not listed as serving, if the worker already has a load query in
+    /// flight, or if too many load queries are in flight. The outcome is then [`Outcome::Superseded`].
     pub(super) async fn send(&self, worker: WorkerId, deadline: Instant) -> LoadQueryResult {
         let Some(permit) = self.try_acquire(worker) else { return Outcome::Superseded.into() };
         let Some(mut request) = self.build_query(worker) else { return Outcome::Superseded.into() };
@@ -92,8 +94,9 @@
         }
     }
 
-    /// Acquires a permit, unless the limit is reached or the worker has a load query in flight. Load queries
-    /// must not accumulate at a worker that does not answer them.
+    /// Returns a permit for a load query to a worker. Returns `None` if too many load queries are in flight,
+    /// or if the worker already has one in flight. Otherwise load queries could pile up at a worker that does
+    /// not answer.
     fn try_acquire(&self, worker: WorkerId) -> Option<LoadQueryPermit> {
         let mut queried_workers = self.queried_workers.lock().unwrap_or_else(PoisonError::into_inner);
         let is_permitted = queried_workers.len() < self.max_load_queries && queried_workers.insert(worker);
@@ -107,7 +110,7 @@
     }
 
     /// Spawns a task that sends a load query and reads the response. The task ends at the latest
-    /// [`LATE_RESPONSE_WINDOW`] after the deadline.
+    /// [`LATE_RESPONSE_WINDOW`] after `deadline`.
     fn spawn_query(
         &self,
         request: Request<GuardedBody>,
--- a/crates/proxy/src/upstream/http/load_report.rs
+++ b/crates/proxy/src/upstream/http/load_report.rs
@@ -1,4 +1,4 @@
-//! Parses workers' load reports. A malformed report is ignored.
+//! Parses the load reports that workers send. A malformed load report is ignored.
 use std::collections::HashMap;
 
 use copperspread_dispatcher::LoadReport;
@@ -6,10 +6,11 @@
 use hyper::HeaderMap;
 use tinyjson::JsonValue;
 
-/// The response header that contains a load report.
+/// The name of the response header that contains a load report.
 const LOAD_HEADER: &str = "x-server-load";
 
-/// Parses a load report in the form of a JSON object.
+/// Parses a load report that is a JSON object. Returns `None` if `object` is not an object or a value is not
+/// a finite number.
 pub(super) fn parse_load_object(object: &JsonValue) -> Option<LoadReport> {
     let fields: &HashMap<String, JsonValue> = object.get()?;
     let mut report = LoadReport::default();
@@ -23,7 +24,8 @@
     Some(report)
 }
 
-/// Parses a load report in the form of a header value: the word `TEXT`, then a list `name=value, name=value`.
+/// Parses a load report that is the value of a header: the word `TEXT`, then a list `name=value, name=value`.
+/// Returns `None` if the value is malformed.
 pub fn parse_load_header(value: &str) -> Option<LoadReport> {
     let pairs = value.trim().strip_prefix("TEXT")?;
     let mut report = LoadReport::default();
@@ -35,15 +37,16 @@
     Some(report)
 }
 
-/// Parses the load report in a response's headers, if there is one.
+/// Returns the load report in the headers of a worker's response, or `None` without a valid load report.
 pub(super) fn header_load_report(headers: &HeaderMap) -> Option<LoadReport> {
     let value = headers.get(LOAD_HEADER).and_then(|value| value.to_str().ok());
     value.and_then(parse_load_header)
 }
 
-/// Parses the load report in the response to a load query. The body may contain the load report as a JSON
-/// object, or as text in the form of the load report header. If the body contains no load report, the header
-/// is used.
+/// Returns the load report in a worker's response to a load query, or `None` without a valid load report.
+///
+/// The body may contain the load report as a JSON object, or as text in the form of the load report header.
+/// If the body contains no load report, the header is used.
 pub fn parse_load_response(headers: &HeaderMap, body: &[u8]) -> Option<LoadReport> {
     let object = json::parse_bytes(body).ok();
     let from_object =
@@ -52,7 +55,7 @@
     from_object.or(from_text).or_else(|| header_load_report(headers))
 }
 
-/// Sets the field of a load report that the protocol calls `name`. An unknown name is ignored.
+/// Sets the field of a load report that has the name `name` in the protocol. An unknown name is ignored.
 fn set_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "queue" | "waiting" => report.queue = Some(value),
--- a/crates/proxy/src/upstream/http/mod.rs
+++ b/crates/proxy/src/upstream/http/mod.rs
@@ -1,5 +1,6 @@
-//! The HTTP/1.1 protocol of workers: `POST` for an attempt, `DELETE` for its cancellation, `GET` for a load
-//! query. Workers send callbacks to the address at which the scheduler listens for clients.
+//! The HTTP/1.1 protocol of the workers. The scheduler sends an attempt with `POST`, a cancellation with
+//! `DELETE` and a load query with `GET`. Workers send callbacks to the address at which the scheduler listens
+//! for clients.
 use std::sync::Arc;
 
 use copperspread_dispatcher::WorkerId;
@@ -28,7 +29,7 @@
 mod request;
 mod tracked_connector;
 
-/// The HTTP client for all workers.
+/// The implementation of [`Upstream`] for HTTP, which communicates with all workers.
 pub struct HttpUpstream {
     endpoints: Arc<EndpointTable>,
     attempts: AttemptSender,
@@ -37,9 +38,9 @@
 }
 
 impl HttpUpstream {
-    /// Creates a client for all workers. Its limits on dispatches, cancellations, load queries and idle
-    /// connections are derived from `descriptor_limit`, the number of file descriptors that the process may
-    /// open.
+    /// Creates the implementation for all workers. The limits on dispatches, cancellations, load queries and
+    /// idle connections are derived from `descriptor_limit`, the number of file descriptors that the process
+    /// may open.
     pub fn new(
         settings: &ProxySettings,
         endpoints: Arc<EndpointTable>,
--- a/crates/proxy/src/upstream/http/request.rs
+++ b/crates/proxy/src/upstream/http/request.rs
@@ -1,4 +1,5 @@
-//! Builds requests to workers, reads their responses' bodies and interprets their failures.
+//! Builds requests to workers, reads the bodies of the responses, and determines the outcomes of failed
+//! requests.
 use std::error::Error as _;
 
 use bytes::Bytes;
@@ -12,10 +13,11 @@
 
 use crate::upstream::http::guarded_body::{BodyWithheld, GuardedBody};
 
-/// The maximum size of the body of a worker's response.
+/// The maximum length of the body of a worker's response, in bytes.
 const MAX_RESPONSE_BODY_BYTES: usize = 64 * 1024;
 
-/// Builds a request without headers; `None` if its address and path do not form a valid URI.
+/// Builds a request to a worker, without headers. Returns `None` if the address and path don't form a valid
+/// URI.
 pub(super) fn build_request(
     method: Method,
     address: Authority,
@@ -26,14 +28,16 @@
     Request::builder().method(method).uri(uri).body(body).ok()
 }
 
-/// Reads the body of a response. Fails if the body is longer than [`MAX_RESPONSE_BODY_BYTES`].
+/// Reads the body of a worker's response. Fails if the body is longer than [`MAX_RESPONSE_BODY_BYTES`].
 pub(super) fn read_body(body: Incoming) -> Collect<Limited<Incoming>> {
     Limited::new(body, MAX_RESPONSE_BODY_BYTES).collect()
 }
 
-/// The outcome of a failed request. An outcome that says that the request never ran is returned only if that
-/// is certain: no connection was established, the body was withheld, or the client library did not write the
-/// request. In all other cases the outcome is [`Outcome::Reset`].
+/// Returns the outcome of a request to a worker that failed without a response.
+///
+/// An outcome by which the request never ran is returned only if this is certain. It is certain if no
+/// connection was established, if the body was withheld, or if the client library did not write the request.
+/// In all other cases the outcome is [`Outcome::Reset`].
 pub(super) fn failure_outcome(error: &Error) -> Outcome {
     let cause = error.source().and_then(|source| source.downcast_ref::<hyper::Error>());
     let is_withheld =
@@ -46,8 +50,8 @@
     }
 }
 
-/// Whether a request with the given idempotency can be retried at any worker although an earlier attempt may
-/// have run.
+/// Returns whether a request with the given idempotency can be retried at any worker, even if an earlier
+/// attempt may have run.
 pub(super) fn is_retryable_at_any_worker(idempotency: Idempotency) -> bool {
     matches!(
         idempotency,
@@ -55,7 +59,7 @@
     )
 }
 
-/// Reads the body of a response. Returns an empty body if the response's body cannot be read.
+/// Reads the body of a worker's response. Returns an empty body if the body cannot be read.
 pub(super) async fn read_body_or_empty(body: Incoming) -> Bytes {
     read_body(body).await.map_or_else(|_| Bytes::new(), |body| body.to_bytes())
 }
--- a/crates/proxy/src/upstream/http/tracked_connector.rs
+++ b/crates/proxy/src/upstream/http/tracked_connector.rs
@@ -1,8 +1,8 @@
-//! A connector whose connections signal when their socket has been closed.
+//! Opens connections to workers, and signals when the socket of a connection has been closed.
 //!
 //! A worker treats an attempt as cancelled only after the attempt's socket has been closed. When a request is
-//! dropped, the client library closes the socket some time later, in a separate task, so that the signal is
-//! needed to wait for the close.
+//! dropped, the client library (hyper) closes the socket some time later, in a separate task. The signal
+//! makes it possible to wait for that.
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -17,12 +17,12 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tower_service::Service;
 
-/// A token that is cancelled when the socket of its connection has been closed. The token is attached to the
-/// connection's metadata, as an extra value of [`Connected`].
+/// A token that is cancelled when the socket of a connection has been closed. The token is attached to the
+/// connection as an extra value of [`Connected`].
 #[derive(Clone)]
 pub(super) struct ClosedSignal(pub(super) CancellationToken);
 
-/// A connector that opens connections with a [`ClosedSignal`].
+/// Opens connections that each have a [`ClosedSignal`].
 #[derive(Clone)]
 pub(super) struct TrackedConnector(pub(super) HttpConnector);
 
@@ -40,8 +40,9 @@
     }
 }
 
-/// The stream of a tracked connection. Its fields are dropped in declaration order: the socket is closed
-/// first, and the drop of the guard `closed` then sends the [`ClosedSignal`].
+/// The stream of a connection that has a [`ClosedSignal`]. The fields are dropped in the order in which they
+/// are declared: the socket is closed first, and then `closed` is dropped, which cancels the token of the
+/// signal.
 pub(super) struct TrackedStream {
     stream: TokioIo<TcpStream>,
     closed: DropGuard,
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The interface through which the proxy uses a worker protocol to send attempts, cancellations and load
-//! queries.
+//! The worker side of the proxy: the trait [`Upstream`], through which attempts, cancellations and load
+//! queries are sent, and its implementation for HTTP/1.1.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{Outcome, WorkerId};
@@ -12,17 +12,19 @@
 
 pub mod http;
 
-/// A protocol for communication with workers. An implementation never retries a request by itself. It reports
-/// that an attempt never ran only if the protocol makes this certain, for example because no connection was
-/// established.
+/// A protocol for communication with workers.
+///
+/// An implementation never retries a request by itself. It reports that an attempt never ran only if this is
+/// certain, for example because no connection was established.
 pub trait Upstream: Send + Sync + 'static {
-    /// The target of an attempt: the worker with the id `worker` and the address at which it is listed at the
-    /// time of the call.
+    /// Returns the target of an attempt at a worker: the worker's id, and the address at which the worker is
+    /// listed now.
     fn target(&self, worker: WorkerId) -> AttemptTarget;
 
-    /// Dispatches an attempt, which is written only if `control` permits the write. If the attempt is aborted
-    /// before it is written, the dispatch returns [`Outcome::Superseded`]. If it is aborted after it was
-    /// written, its connection is closed, and the dispatch then returns [`Outcome::Cancelled`].
+    /// Sends an attempt to a worker, if `control` permits this at the time of the write.
+    ///
+    /// If the attempt is aborted before it is written, the outcome is [`Outcome::Superseded`]. If the attempt
+    /// is aborted after it was written, its connection is closed and the outcome is [`Outcome::Cancelled`].
     fn dispatch<'a>(
         &'a self,
         target: &'a AttemptTarget,
@@ -31,8 +33,8 @@
         control: &'a DispatchControl,
     ) -> BoxFuture<'a, DispatchResult>;
 
-    /// Sends the cancellation of an attempt to its worker, and returns whether the worker has acknowledged
-    /// the cancellation by the deadline. Dropping the returned future does not end the cancellation.
+    /// Sends the cancellation of an attempt to its worker. Returns whether the worker has acknowledged the
+    /// cancellation by the deadline. The cancellation continues if the returned future is dropped.
     fn cancel(
         &self,
         target: &AttemptTarget,
@@ -40,14 +42,15 @@
         deadline: Instant,
     ) -> BoxFuture<'static, CancellationOutcome>;
 
-    /// Sends a load query to a worker, and waits for the answer until the deadline. The default
-    /// implementation is for protocols without load queries: it sends nothing and returns
+    /// Sends a load query to a worker, and waits for the answer until `deadline`.
+    ///
+    /// The default implementation is for protocols without load queries. It sends nothing and returns
     /// [`Outcome::Superseded`].
     fn query_load<'a>(&'a self, worker: WorkerId, deadline: Instant) -> BoxFuture<'a, LoadQueryResult> {
         let _ = (worker, deadline);
         Box::pin(std::future::ready(Outcome::Superseded.into()))
     }
 
-    /// The name of a worker for log messages and the event log, or an empty string if the id is unknown.
+    /// Returns the name of a worker for log messages, or an empty string if the worker's id is unknown.
     fn worker_name(&self, worker: WorkerId) -> Arc<str>;
 }
--- a/crates/proxy/src/worker_starts.rs
+++ b/crates/proxy/src/worker_starts.rs
@@ -1,44 +1,49 @@
-//! Estimates of workers' start times on the scheduler's clock.
+//! Estimates when workers started, on the scheduler's clock.
 //!
-//! Discovery reports a worker's start in Unix time, and the wall clock may be set before this program starts
-//! or while it runs. A worker whose start is estimated too early gets more requests than it can handle during
-//! its slow start. The estimate is therefore the latest time that the listed start can mean, given the
-//! observed steps of the wall clock, but no later than the time at which the list was received. Two cases are
-//! estimated differently: a start that contradicts earlier lists, and a start in the future in the first list
-//! (see [`WorkerStarts::estimate`]).
+//! Discovery reports the time of a worker's start as Unix time, but the wall clock may be changed before this
+//! program starts or while it runs. If the start is estimated too early, the worker gets more requests than
+//! it can handle during its slow start. The estimate is therefore the latest time that the listed time can
+//! mean, given how far the wall clock was observed to be behind. It is never later than the receipt of the
+//! list.
+//!
+//! Two cases are estimated differently: a listed start that contradicts earlier lists, and a listed start in
+//! the future in the first list (see [`WorkerStarts::estimate`]).
 use copperspread_dispatcher::{Micros, SECOND};
 
 use crate::clock::ClockReading;
 
-/// How much earlier than discovery's last answer a worker may have started although that answer did not list
-/// the start. A restarted worker registers late, and the list may reach the scheduler seconds later.
+/// How long before discovery's last answer a worker may have started although that answer did not list the
+/// start, in microseconds. A restarted worker registers late, and the list may reach the scheduler seconds
+/// later.
 ///
 /// Outages of discovery are not included, because there are no answers during an outage. If a new start is
-/// listed with an older time, the wall clock is assumed to have been set. The value is longer than every slow
-/// start that the platform specifies, so that a wrong assumption has little effect.
+/// listed with an older time than that, the wall clock must have been changed. This conclusion may be wrong.
+/// The value is longer than every slow start that the platform specifies, so a wrong conclusion has little
+/// effect.
 const MAX_LIST_DELAY: Micros = 30 * SECOND;
-/// The smallest difference between the scheduler's clock and the wall clock that counts as a step of the wall
-/// clock. Smaller differences can arise when the process is delayed between reading the two clocks.
+/// The smallest difference between the scheduler's clock and the wall clock that counts as a change of the
+/// wall clock, in microseconds. A smaller difference may only show that the process was delayed between
+/// reading the two clocks.
 const MIN_CLOCK_STEP: Micros = SECOND / 2;
-/// The time after the program's start within which a list counts as the first endpoint list. If discovery is
-/// reachable, the first list arrives within this time.
+/// The time after the start of this program in which an endpoint list counts as the first list, in
+/// microseconds. If discovery is reachable, the first list arrives within this time.
 const FIRST_LIST_DELAY: Micros = 3 * SECOND;
 
-/// Estimates workers' start times from the observed steps of the wall clock and the times of discovery's
-/// answers.
+/// Estimates workers' start times. The estimates use how far the wall clock was observed to be behind, and
+/// when discovery last answered.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerStarts {
-    /// The largest amount by which the wall clock was observed to be behind the scheduler's clock since the
-    /// program started. A listed start may be too early by up to this amount.
+    /// The largest amount by which the wall clock was found to be behind the scheduler's clock since this
+    /// program started, in microseconds. A listed start time may be too early by up to this amount.
     largest_step_back: Micros,
-    /// When discovery last answered. A start that is listed for the first time after that answer is assumed
-    /// to be at most [`MAX_LIST_DELAY`] earlier than the answer.
+    /// The time of discovery's last answer, in microseconds on the scheduler's clock. If a later answer lists
+    /// a new start, the worker started at most [`MAX_LIST_DELAY`] before this time.
     last_answered_at: Option<Micros>,
 }
 
 impl WorkerStarts {
-    /// Compares the two clocks when a list is received, and records how far the wall clock is behind. Must be
-    /// called before the start times in the list are estimated.
+    /// Compares the two clocks, and records how far the wall clock is behind. Must be called for each
+    /// received list before the start times in the list are estimated.
     pub(crate) fn observe_clocks(&mut self, reading: ClockReading) {
         let step_back = reading.now.saturating_sub(reading.unix);
         if step_back >= MIN_CLOCK_STEP {
@@ -47,25 +52,26 @@
     }
 
     /// Records the time of an answer of discovery. Must be called after all start times in the answer have
-    /// been estimated, since these estimates refer to the previous answer.
+    /// been estimated, because the estimates use the time of the previous answer.
     pub(crate) fn record_answer(&mut self, reading: ClockReading) {
         self.last_answered_at = Some(reading.now);
     }
 
-    /// Forgets the time of the last answer, because the next list comes from another discovery service, which
-    /// may know other workers.
+    /// Forgets the time of discovery's last answer. Called when the next list comes from another discovery
+    /// service, which may know other workers.
     pub(crate) fn forget_last_answer(&mut self) {
         self.last_answered_at = None;
     }
 
-    /// Estimates, on the scheduler's clock, a start that the last answer did not contain.
+    /// Estimates the time of a worker's start that discovery's last answer did not list. Both `listed` and
+    /// the result are in microseconds since the Unix epoch; the result is on the scheduler's clock.
     ///
-    /// If the listed time is so old that earlier lists should have contained the start, the time at which the
-    /// clocks were read is returned. If the listed time lies in the future when the first list is received, a
-    /// time just before the start of this program is returned.
+    /// If `listed` is so old that earlier lists should have contained the start, the time in `reading` is
+    /// returned. If `listed` is in the future and the list is the first list, a time just before the start of
+    /// this program is returned.
     pub(crate) fn estimate(&self, listed: Micros, reading: ClockReading) -> Micros {
-        // The worker may have started before the wall clock was set back or after, so the later possible time
-        // is used.
+        // The worker may have started before or after the wall clock was set back. The later of the two
+        // possible times is used.
         let latest = listed.saturating_add(self.largest_step_back);
         let contradicts_lists =
             self.last_answered_at.is_some_and(|at| latest.saturating_add(MAX_LIST_DELAY) < at);
@@ -73,10 +79,10 @@
             return reading.now;
         }
         if latest > reading.now && self.is_first_list(reading) {
-            // The listed time is in the future, so the wall clock was set back before this program started,
-            // after the worker had started. A previous process of this scheduler may have sent requests to
-            // the worker. The estimate is therefore before the start of this program, and the slow start
-            // takes those requests into account.
+            // The listed time is in the future. The worker must have started before the wall clock was set
+            // back, and that was before this program started. A previous process of this scheduler may have
+            // sent requests to the worker. The estimate is therefore before the start of this program, so
+            // that the slow start takes those requests into account.
             return reading.started_at.saturating_sub(1);
         }
         latest.min(reading.now)
