--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -41,8 +41,8 @@
 
     /// Reads the scheduler's clock first and the wall clock second.
     ///
-    /// If the process pauses between the two, the wall clock appears to be ahead, which does no harm. In the
-    /// opposite order, the wall clock would appear to be behind, as if it had been set back.
+    /// If the process pauses between the two readings, the wall clock appears to be ahead, which does no
+    /// harm. In the opposite order, the wall clock would appear to be behind, as if it had been set back.
     pub fn read(&self) -> ClockReading {
         let now = self.now();
         ClockReading { started_at: self.unix_start, now, unix: unix_now() }
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -13,8 +13,8 @@
 pub struct ProxyContext {
     /// The scheduler's clock, from which the times of requests and attempts are taken.
     pub clock: Clock,
-    /// The handle to the dispatch policy. The handle passes events to the policy and the policy's decisions
-    /// to the tasks of the requests.
+    /// The handle to the dispatch policy. The handle passes events to the policy, and passes the policy's
+    /// decisions to the tasks of the requests.
     pub policy: Arc<PolicyHandle>,
     /// The implementation of the protocol by which attempts are sent to workers.
     pub upstream: Arc<dyn Upstream>,
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -41,8 +41,8 @@
     /// Publishes the endpoint list that was cached before the process started, and returns the revision of
     /// that list.
     ///
-    /// Returns `None` if there is no cached list. In this case the policy is still notified, of an update
-    /// without endpoints, if lists are polled (see [`EndpointPublisher::is_polled`]).
+    /// Returns `None` if there is no cached list. If lists are polled (see [`EndpointPublisher::is_polled`]),
+    /// the policy is notified even then, of an update without endpoints.
     pub fn publish_cached(&self, cached: Option<&EndpointList>) -> Option<u64> {
         let apply = |list| self.endpoints.apply(list, ListOrigin::Cache, self.policy.read_clocks());
         let endpoints = cached.and_then(apply).unwrap_or_default();
--- a/crates/proxy/src/discovery/platform.rs
+++ b/crates/proxy/src/discovery/platform.rs
@@ -24,8 +24,8 @@
 
 mod fetch;
 
-/// Maximum time, in microseconds, for which discovery may hold back the answer to a watch until the list
-/// changes.
+/// Maximum time, in microseconds, for which discovery may hold back the answer to a watch. A watch is a call
+/// that discovery answers when the endpoint list changes.
 ///
 /// The time is short because the answer to a watch may be lost. The next endpoint update is then delayed
 /// until the watch times out. Frequent empty answers cost little.
@@ -131,7 +131,8 @@
 
 /// A call to discovery that has ended.
 struct CompletedCall {
-    /// The revision that the call watched for a newer list; `None` if the call was for the complete list.
+    /// The revision of the last known list, if the call waited for a newer list. `None` if the call was for
+    /// the complete list.
     watched_revision: Option<u64>,
     /// The instant at which half of [`WATCH_HOLD_TIME`] has passed since the call was made. If a watch is
     /// answered earlier and without a change, discovery did not wait for a change.
@@ -183,7 +184,8 @@
         }
     }
 
-    /// Takes over a changed address of discovery, and resets the state that belongs to the old address.
+    /// If the configured address of discovery has changed, uses the new address from now on and resets the
+    /// state that belongs to the old address.
     fn apply_address_change(&mut self) {
         let address = self.configured_address.borrow_and_update().clone();
         if address == self.address {
@@ -285,10 +287,10 @@
             let _ = timeout_at(from_now(backoff), self.configured_address.changed()).await;
             return;
         }
-        // The policy is not notified of a further failure while it has yet to request a list. This can happen
-        // because a change of discovery's address ends the wait for that request. A second notification would
-        // make the policy request a second list. Each later failure would then lead to two calls, then to
-        // three, and so on.
+        // The policy requests a list each time it is notified of a failure. Until that request has arrived,
+        // the policy is not notified of another failure. The wait for the request may have been ended by a
+        // change of discovery's address. A second notification would then make the policy request a second
+        // list. Each later failure would lead to two calls, then to three, and so on.
         if !std::mem::replace(&mut self.awaits_list_request, true) {
             self.publisher.poll_failed();
         }
@@ -302,9 +304,9 @@
         let was_watch = std::mem::take(&mut self.last_call_succeeded);
         let is_broken_watch = was_watch && !error.is_refusal();
         if !self.is_polled || is_broken_watch {
-            // The delay is short because a watch without an answer may hide a change, of which the scheduler
-            // already counts as notified. The delay is not zero because a discovery may answer calls for the
-            // complete list but break every watch.
+            // The failed watch may have been about to return a change, and the scheduler already counts as
+            // notified of this change. The delay is therefore short. The delay is not zero because a
+            // discovery may answer calls for the complete list but break every watch.
             let doubled = (self.backoff * 2).min(RETRY_BACKOFF_MAX);
             return Some(std::mem::replace(&mut self.backoff, doubled));
         }
--- a/crates/proxy/src/discovery/static_list.rs
+++ b/crates/proxy/src/discovery/static_list.rs
@@ -7,8 +7,8 @@
 
 /// Endpoint source that publishes the endpoint list of the last loaded configuration.
 ///
-/// The sender of this channel replaces the list each time the configuration is reloaded, and increments the
-/// list's revision.
+/// The sender at the other end of the channel replaces the list each time the configuration is reloaded, and
+/// increments the list's revision.
 pub struct StaticEndpoints(pub watch::Receiver<EndpointList>);
 
 impl EndpointSource for StaticEndpoints {
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -1,8 +1,8 @@
 //! Serves one client connection from its first request until the connection closes.
 //!
-//! Some clients send nothing, stop in the middle of a request, send too much data, or give two different ends
-//! of a body. Such a client must not use up the connections or the memory that other clients need. It must
-//! not affect the responses to other clients either.
+//! Some clients send nothing, stop in the middle of a request, send too much data, or give the length of a
+//! body in two ways. Such a client must not use up the connections or the memory that other clients need. It
+//! must not affect the responses to other clients either.
 use std::future::{poll_fn, ready};
 use std::pin::Pin;
 use std::sync::Arc;
@@ -54,8 +54,8 @@
 /// The part of the server library (hyper) that serves one client connection.
 type Server<Observer> = http1::Connection<ObservedStream<Observer>, RequestService>;
 
-/// A decision to close a connection, before it is carried out. The decision is dropped if a request arrives
-/// meanwhile or the client still has time to send a request.
+/// A decision to close a connection that has not been carried out yet. The decision is dropped if a request
+/// arrives meanwhile or the client still has time to send a request.
 struct PendingClose {
     reason: CloseReason,
     /// What the client had sent, but the server had not used, when the server was stopped. This shows whether
@@ -65,11 +65,11 @@
 
 /// What a client connection does when the shutdown phase changes.
 enum ShutdownAction {
-    /// Keep the connection open for now.
+    /// Keep the client connection open for now.
     StayOpen,
-    /// Close the connection once the server has written the last response.
+    /// Close the client connection once the server has written the last response.
     FinishWriting,
-    /// Close the connection, unless part of a request has been received on the connection.
+    /// Close the client connection, unless part of a request has been received on the connection.
     CloseIfIdle,
 }
 
--- a/crates/proxy/src/downstream/connection_limits.rs
+++ b/crates/proxy/src/downstream/connection_limits.rs
@@ -14,14 +14,14 @@
 /// The memory that is reserved for each client connection, in bytes: for the buffers, the task and a small
 /// body.
 const MAX_CONNECTION_BYTES: usize = 2 * MAX_HEAD_BYTES;
-/// The minimum time that a connection has been in its current state before it can be asked to close, in
+/// The minimum time that a connection must have been in its current state before it can be asked to close, in
 /// microseconds.
 ///
 /// Within this time, the client's next request may be in transit. If part of a request head has been
 /// received, [`HEAD_EVICTION_GRACE`] applies instead.
 const EVICTION_GRACE: Micros = 20_000;
-/// The minimum time that a connection has been in the middle of a request head before it can be asked to
-/// close, in microseconds. The time is longer than [`EVICTION_GRACE`] because clients may write slowly.
+/// The minimum time that a connection must have been in the middle of a request head before it can be asked
+/// to close, in microseconds. The time is longer than [`EVICTION_GRACE`] because clients may write slowly.
 const HEAD_EVICTION_GRACE: Micros = 250_000;
 /// The time in which a request may still begin on a connection that was asked to close, in microseconds.
 pub(super) const EVICTION_NOTICE: Micros = 5_000;
@@ -38,8 +38,8 @@
     by_descriptors.min(by_memory).max(8)
 }
 
-/// The minimum time that a connection has been idle before it is asked to close because the process or the
-/// machine is out of file descriptors or memory, in microseconds.
+/// The minimum time that a connection must have been idle before it is asked to close because the process or
+/// the machine is out of file descriptors or memory, in microseconds.
 const MIN_IDLE_TIME_ON_EXHAUSTION: Micros = 2 * SECOND;
 
 /// The state of a client connection, which decides whether the connection can be asked to close.
--- a/crates/proxy/src/downstream/http/mod.rs
+++ b/crates/proxy/src/downstream/http/mod.rs
@@ -44,7 +44,8 @@
 /// valid callback.
 pub type CallbackHandler = dyn Fn(&[u8]) -> Result<(), Box<dyn Error + Send + Sync>> + Send + Sync;
 
-/// An additional page with information about the process, served on the listener for clients like `/-/ready`.
+/// An additional page with information about the process. It is served on the listener for clients, as
+/// `/-/ready` is.
 #[derive(Clone)]
 pub struct StatusPage {
     /// The path at which the page is read, with `GET`.
--- a/crates/proxy/src/downstream/http/request_head.rs
+++ b/crates/proxy/src/downstream/http/request_head.rs
@@ -38,8 +38,8 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub(super) enum RequestHeadError {
-    /// A header of the request that must be unique is repeated. Another server might use a different value of
-    /// the two, so the request is refused.
+    /// A header of the request that must be unique is repeated. Another server might use the other value, so
+    /// the request is refused.
     #[error("header {name} is repeated")]
     RepeatedHeader {
         /// The name of the repeated header.
--- a/crates/proxy/src/downstream/raw_head.rs
+++ b/crates/proxy/src/downstream/raw_head.rs
@@ -7,8 +7,8 @@
 use axum::http::HeaderMap;
 use axum::http::header;
 
-/// The number of kept bytes of a request's head above which further bytes of the head are not kept. It equals
-/// the buffer size of the server library (hyper).
+/// Once more than this number of bytes of a request's head have been kept, further bytes are dropped. The
+/// number equals the buffer size of the server library (hyper).
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 #[derive(Default)]
--- a/crates/proxy/src/downstream/read_ahead.rs
+++ b/crates/proxy/src/downstream/read_ahead.rs
@@ -32,7 +32,7 @@
 /// What is unread on a stream after the library has stopped reading from the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
-    /// No unread byte has been received so far.
+    /// The stream has no unread byte so far.
     Nothing,
     /// The stream has unread bytes that were read from the socket before the library stopped. The next reader
     /// gets them first.
--- a/crates/proxy/src/downstream/request_limits.rs
+++ b/crates/proxy/src/downstream/request_limits.rs
@@ -1,4 +1,4 @@
-//! Limits on the time for receiving a request's body, and on the memory for it.
+//! Limits on the time for receiving a request's body, and on the memory that the body takes.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
--- a/crates/proxy/src/downstream/served_connection.rs
+++ b/crates/proxy/src/downstream/served_connection.rs
@@ -190,7 +190,7 @@
     }
 
     /// Returns the instant `timeout` microseconds after the last response. Before the first response, the
-    /// time counts from the accepting of the connection.
+    /// time counts from when the connection was accepted.
     pub(super) fn idle_deadline(&self, timeout: Micros) -> Instant {
         let idle_since = *self.idle_since.lock().unwrap_or_else(PoisonError::into_inner);
         idle_since + Duration::from_micros(timeout)
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -22,7 +22,7 @@
     Discovery,
 }
 
-/// Assigns numbers to names, counted from 0 without gaps. A name keeps its number for ever.
+/// Assigns numbers to names, counted from 0 without gaps. A name keeps its number, which no other name gets.
 #[derive(Debug, Default)]
 struct NameIndex {
     numbers: HashMap<String, u32>,
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -19,8 +19,8 @@
 /// The cancellation tokens with which a request's task ends the dispatch of one attempt early.
 ///
 /// An upstream checks both tokens immediately before it writes the attempt, by
-/// [`DispatchControl::permits_write`], which does not block. It must not wait for anything between the check
-/// and the write, such as a new connection. Otherwise the attempt could start after the client has
+/// [`DispatchControl::permits_write`], which does not block. The upstream must not wait for anything between
+/// the check and the write, such as a new connection. Otherwise the attempt could start after the client has
 /// disconnected or has received its response.
 #[derive(Clone, Debug, Default)]
 pub struct DispatchControl {
@@ -65,8 +65,8 @@
 /// permit.
 pub type BodyPermit = Option<Arc<OwnedSemaphorePermit>>;
 
-/// A function that checks whether a request's client has disconnected. Each call finds out the state at that
-/// time. The default reports that the client is connected.
+/// A function that checks whether a request's client has disconnected. Each call reports what the operating
+/// system knows at the time of the call. The default reports that the client is connected.
 #[derive(Clone, Default)]
 pub struct ClientPresence(Option<Arc<dyn Fn() -> bool + Send + Sync>>);
 
@@ -107,7 +107,8 @@
     pub body: Bytes,
     /// The permit for the memory that the request's body occupies. `None` for a small body.
     pub body_permit: BodyPermit,
-    /// Checks whether the request's client has disconnected. After that, no attempt is written.
+    /// Checks whether the request's client has disconnected. If the client has disconnected, no attempt is
+    /// written.
     pub client: ClientPresence,
 }
 
--- a/crates/proxy/src/policy_handle.rs
+++ b/crates/proxy/src/policy_handle.rs
@@ -54,8 +54,8 @@
     /// The number of endpoint updates that have been passed to the policy. It is also the version of the last
     /// endpoint update.
     endpoint_version: u64,
-    /// The workers to which the policy has requested a load query that [`PolicyHandle::next_load_query`] has
-    /// not returned yet.
+    /// The workers to which the policy wants to send a load query and that [`PolicyHandle::next_load_query`]
+    /// has not returned yet.
     pending_load_queries: VecDeque<WorkerId>,
 }
 
@@ -220,8 +220,8 @@
         self.list_requested.notified().await;
     }
 
-    /// Waits until the policy requests a load query, and returns the worker to which it is to be sent. Only
-    /// one task may call this method.
+    /// Waits until the policy requests a load query, and returns the worker to which the load query is to be
+    /// sent. Only one task may call this method.
     pub async fn next_load_query(&self) -> WorkerId {
         loop {
             let pending = self.lock().pending_load_queries.pop_front();
--- a/crates/proxy/src/request_task.rs
+++ b/crates/proxy/src/request_task.rs
@@ -28,11 +28,11 @@
 use crate::policy_handle::RequestEventSender;
 use crate::shutdown::effective_deadline;
 
-/// How long to wait for the acknowledgement when an attempt is cancelled that its worker has accepted, in
-/// microseconds.
+/// How long to wait for a worker to acknowledge the cancellation of an attempt that the worker has accepted,
+/// in microseconds.
 const CANCELLATION_TIMEOUT: Micros = 2 * SECOND;
-/// How long to wait for the acknowledgement when an attempt is cancelled whose connection was closed before
-/// the worker's acceptance arrived, in microseconds.
+/// How long to wait for a worker to acknowledge the cancellation of an attempt whose connection was closed
+/// before the worker's acceptance arrived, in microseconds.
 ///
 /// Closing the connection already cancels such an attempt. A cancellation is sent nevertheless, because the
 /// worker may have accepted the attempt at the same time.
@@ -114,7 +114,7 @@
     /// if its response with status 202 (Accepted) has not been received.
     has_received_callback: bool,
     /// Whether the policy has cancelled the attempt and it is not known yet whether the worker acknowledges
-    /// this.
+    /// the cancellation.
     is_cancelling: bool,
 }
 
--- a/crates/proxy/src/shutdown_schedule.rs
+++ b/crates/proxy/src/shutdown_schedule.rs
@@ -16,8 +16,8 @@
 use copperspread_dispatcher::{Micros, SECOND};
 use tokio::time::Instant;
 
-/// The longest deadline counts up to this value, in microseconds, when the time from SIGTERM to SIGKILL is
-/// computed.
+/// The maximum value, in microseconds, that counts for the longest deadline when the time from SIGTERM to
+/// SIGKILL is computed. A longer deadline counts as this value.
 const MAX_COUNTED_DEADLINE: Micros = 3 * SECOND;
 /// The time from SIGTERM to SIGKILL beyond the longest deadline, in microseconds. The supervisor sends
 /// SIGKILL no earlier than after this time plus the longest deadline (at most [`MAX_COUNTED_DEADLINE`]).
--- a/crates/proxy/src/upstream/http/attempt.rs
+++ b/crates/proxy/src/upstream/http/attempt.rs
@@ -81,10 +81,10 @@
 /// The time limits of an attempt: the instant by which it must be written, and the time limit that is
 /// announced to the worker.
 ///
-/// The announced time limit is fixed before the scheduler connects to the worker. When the attempt arrives
-/// there, the protocol allows the announced limit to exceed the client's remaining time by at most 0.15 s.
-/// The time for connecting is therefore subtracted from the announced limit in advance. If connecting takes
-/// longer, the attempt is not written.
+/// The announced time limit is fixed before the scheduler connects to the worker. When the attempt arrives at
+/// the worker, the protocol allows the announced limit to exceed the client's remaining time by at most 0.15
+/// s. The time for connecting is therefore subtracted from the announced limit in advance. If connecting
+/// takes longer, the attempt is not written.
 ///
 /// An attempt may be written up to [`WRITE_SLACK`] late. This uses up none of the 0.15 s, because the client
 /// waits for as long beyond the request's deadline. The whole 0.15 s remain for delays of the process while
@@ -194,9 +194,9 @@
         deadline: Instant,
         control: &DispatchControl,
     ) -> Result<PreparedAttempt, DispatchFailure> {
-        // The worker may have been listed as draining or removed since the policy chose it. In that case the
-        // target has no address, and the attempt is not sent. The [`GuardedBody`] checks the address again
-        // before the write.
+        // The worker may have been listed as draining or removed since the policy chose the worker. In that
+        // case the target has no address, and the attempt is not sent. The [`GuardedBody`] checks the address
+        // again before the write.
         let address = target.address.clone().ok_or(Outcome::Superseded)?;
         // Without this limit, dozens of workers that stop responding could take the file descriptors that
         // callbacks need. An attempt that gets no permit has the same outcome as if the process had no free
@@ -227,7 +227,7 @@
         Ok(PreparedAttempt { request, started_at, write_deadline, is_written, permit })
     }
 
-    /// Returns the failure of an attempt that its worker has not accepted, as the response shows.
+    /// Returns the failure of an attempt whose response shows that the worker has not accepted the attempt.
     fn dispatch_failure(
         &self,
         connection: &CaptureConnection,
--- a/crates/proxy/src/upstream/http/limits.rs
+++ b/crates/proxy/src/upstream/http/limits.rs
@@ -1,5 +1,5 @@
-//! Limits on requests and connections to workers, which are derived from the number of file descriptors that
-//! the process may open, and the idle time-out of connections.
+//! Limits on requests and connections to workers, and the idle time-out of connections. The limits are
+//! derived from the number of file descriptors that the process may open.
 use copperspread_dispatcher::Micros;
 
 /// The maximum time that a connection to a worker stays idle, as a fraction of the worker's keep-alive time.
--- a/crates/proxy/src/upstream/http/load_query.rs
+++ b/crates/proxy/src/upstream/http/load_query.rs
@@ -21,7 +21,7 @@
 use crate::upstream::http::load_report::parse_load_response;
 use crate::upstream::http::request::{build_request, failure_outcome, read_body_or_empty};
 
-/// The path to which load queries are sent at a worker.
+/// The path at each worker to which load queries are sent.
 const LOAD_QUERY_PATH: &str = "/-/load";
 /// How long after the deadline of a load query its response is still read, in microseconds.
 ///
@@ -95,8 +95,8 @@
     }
 
     /// Returns a permit for a load query to a worker. Returns `None` if too many load queries are in flight,
-    /// or if the worker already has one in flight. Otherwise load queries could pile up at a worker that does
-    /// not answer.
+    /// or if the worker already has one in flight. Without this rule, load queries could pile up at a worker
+    /// that does not answer.
     fn try_acquire(&self, worker: WorkerId) -> Option<LoadQueryPermit> {
         let mut queried_workers = self.queried_workers.lock().unwrap_or_else(PoisonError::into_inner);
         let is_permitted = queried_workers.len() < self.max_load_queries && queried_workers.insert(worker);
--- a/crates/proxy/src/worker_starts.rs
+++ b/crates/proxy/src/worker_starts.rs
@@ -17,9 +17,8 @@
 /// later.
 ///
 /// Outages of discovery are not included, because there are no answers during an outage. If a new start is
-/// listed with an older time than that, the wall clock must have been changed. This conclusion may be wrong.
-/// The value is longer than every slow start that the platform specifies, so a wrong conclusion has little
-/// effect.
+/// listed with an older time than that, the wall clock is assumed to have been changed. A wrong assumption
+/// has little effect, because the value is longer than every slow start that the platform specifies.
 const MAX_LIST_DELAY: Micros = 30 * SECOND;
 /// The smallest difference between the scheduler's clock and the wall clock that counts as a change of the
 /// wall clock, in microseconds. A smaller difference may only show that the process was delayed between
@@ -37,7 +36,7 @@
     /// program started, in microseconds. A listed start time may be too early by up to this amount.
     largest_step_back: Micros,
     /// The time of discovery's last answer, in microseconds on the scheduler's clock. If a later answer lists
-    /// a new start, the worker started at most [`MAX_LIST_DELAY`] before this time.
+    /// a new start, the worker is assumed to have started at most [`MAX_LIST_DELAY`] before this time.
     last_answered_at: Option<Micros>,
 }
 
