--- a/crates/testbed/src/model/fleet.rs
+++ b/crates/testbed/src/model/fleet.rs
@@ -1,6 +1,7 @@
 //! Generates a scenario's workers and fault times from a seed.
 //!
-//! Simulation and emulation both use this module, so that a seed gives the same fleet and faults in both.
+//! The simulation and the emulation both use this module, so that the same seed gives both the same workers
+//! and faults.
 use copperspread_dispatcher::{Micros, WorkerId};
 use rand::RngExt;
 use rand::seq::SliceRandom;
@@ -11,46 +12,51 @@
 use crate::rule_checker::SlowStartBudget;
 use crate::scenario::{Fault, Scenario, SlowStart, WorkerGroup, micros_from_seconds};
 
-/// The start or end of a fault for one target, or of a fault without a target.
+/// The start or the end of a fault. A fault with several targets has a start and an end for each target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultTransition {
-    /// Time of the transition, in microseconds from the start of the run.
+    /// Time at which the fault starts or ends, in microseconds from the start of the run.
     pub at: Micros,
-    /// Index of the fault in the scenario.
+    /// Index of the fault in the scenario's list of faults.
     pub fault: usize,
-    /// Worker or scheduler that the fault affects; `None` if the fault affects arrivals, load reports or
-    /// discovery, or if its zone has no worker or scheduler to affect.
+    /// Worker or scheduler that the fault affects. `None` if the fault affects arrivals, load reports or
+    /// discovery. Also `None` if the zone of the fault contains no worker or scheduler that the fault can
+    /// affect.
     pub target: Option<FaultTarget>,
     /// Whether the transition is the start of the fault (`true`) or its end (`false`).
     pub is_start: bool,
 }
 
-/// A worker or scheduler that a fault affects.
+/// A worker or a scheduler that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultTarget {
-    /// A worker. Depending on the kind of fault, its process, its machine or its connections are affected.
+    /// The fault affects the worker with this ID. Depending on the kind of fault, the worker's process,
+    /// machine or connections are affected.
     Worker(WorkerId),
-    /// A scheduler process.
+    /// The fault affects the process of the scheduler with this ID.
     Scheduler(SchedulerId),
 }
 
-/// The workers of a run and the transitions of its faults.
+/// The workers of a run, and the starts and ends of the run's faults.
 pub struct Fleet {
-    /// Workers with their zones, indexed by worker number.
+    /// The workers, each with the index of its zone. The position in the list is the worker's number.
     pub workers: Vec<(Worker, u32)>,
-    /// Index of each worker's group in the scenario, indexed by worker number.
+    /// For each worker, the index of its group in the scenario's list of worker groups. The position in the
+    /// list is the worker's number.
     pub kinds: Vec<u32>,
-    /// Cell of each worker, indexed by worker number; every cell lies in a single zone.
+    /// For each worker, the number of its cell. The position in the list is the worker's number. Every cell
+    /// lies in a single zone.
     pub cells: Vec<u32>,
-    /// Workers that are in the cached endpoint list but do not exist.
+    /// Workers that the cached endpoint list contains although they do not exist.
     pub missing_workers: Vec<WorkerId>,
-    /// Start and end of each fault for each of its targets, in the order of the scenario's faults and not of
-    /// time.
+    /// The start and the end of each fault, for each of its targets. The list is in the order of the
+    /// scenario's faults and not sorted by time.
     pub fault_transitions: Vec<FaultTransition>,
 }
 
 impl Fleet {
-    /// Generates a scenario's workers and fault transitions from a seed.
+    /// Generates the workers and the starts and ends of the faults for a scenario. The same seed gives the
+    /// same result.
     pub fn generate(scenario: &Scenario, seed: u64) -> Fleet {
         let (mut workers, kinds) = draw_workers(scenario, &mut random_stream(seed, StreamPurpose::Fleet));
         let mut random = random_stream(seed, StreamPurpose::Faults);
@@ -64,12 +70,12 @@
     }
 }
 
-/// Returns the IDs of the first `count` workers, in order.
+/// Returns the worker IDs from 0 to `count - 1`.
 pub fn worker_ids(count: usize) -> impl Iterator<Item = WorkerId> {
     (0..count as u32).map(WorkerId)
 }
 
-/// Returns a worker's cell. The workers of each zone are assigned to the zone's cells in turn.
+/// Returns the number of a worker's cell. The workers of each zone are assigned to the zone's cells in turn.
 fn cell(scenario: &Scenario, worker: WorkerId) -> u32 {
     let (zones, cells) = (scenario.zones, scenario.cells);
     worker.0 % zones + zones * (worker.0 / zones % cells)
@@ -135,9 +141,11 @@
     transitions
 }
 
-/// Draws at least one target of a fault among the workers or schedulers that the fault can affect; a fault
-/// with a zone affects only those in that zone. Returns a single `None` if the fault can affect no worker or
-/// scheduler, such as a fault of arrivals, load reports or discovery.
+/// Draws the targets of a fault at random from the workers or schedulers that the fault can affect. A fault
+/// with a zone affects only workers or schedulers of that zone. At least one target is drawn.
+///
+/// If the fault can affect no worker and no scheduler, the result is a single `None`. This is so for faults
+/// of arrivals, load reports or discovery.
 fn draw_targets(
     scenario: &Scenario,
     fault: &Fault,
@@ -160,8 +168,8 @@
     if targets.is_empty() { vec![None] } else { targets.into_iter().map(Some).collect() }
 }
 
-/// Returns the scenario's limit on the load that may be sent to a worker in slow start; `None` if the
-/// scenario disables overload.
+/// Returns the limit on the load that schedulers may send to a worker in slow start. Returns `None` if the
+/// workers of the scenario never fail from overload.
 pub fn slow_start_budget(scenario: &Scenario) -> Option<SlowStartBudget> {
     let slow_start = &scenario.slow_start;
     (slow_start.overload_window_s > 0.0).then(|| SlowStartBudget {
--- a/crates/testbed/src/model/idempotency_keys.rs
+++ b/crates/testbed/src/model/idempotency_keys.rs
@@ -1,11 +1,12 @@
 //! Deduplication of attempts by idempotency key.
 //!
-//! A worker does not run an attempt if a worker of its deduplication group (all workers, or those of its zone
-//! or cell) has accepted another attempt with the same key within the key's window.
+//! The workers of a deduplication group share a record of the idempotency keys that they accepted. Such a
+//! group is all workers, the workers of a zone or those of a cell. An attempt does not run if its group has
+//! accepted another attempt with the same key within the key's deduplication window.
 use copperspread_dispatcher::{KeyScope, Micros};
 
-/// Returns the number of the deduplication group to which a worker in this zone and cell belongs. The workers
-/// of a group share the record of accepted idempotency keys.
+/// Returns the number of the deduplication group of a worker in the zone `zone` and the cell `cell`. The
+/// workers of a group share a record of accepted idempotency keys.
 pub fn key_group(scope: KeyScope, zone: u32, cell: u32) -> u32 {
     match scope {
         KeyScope::All => 0,
@@ -14,7 +15,7 @@
     }
 }
 
-/// An attempt that a worker accepted.
+/// An attempt with an idempotency key that a worker accepted.
 #[derive(Clone, Copy, Debug)]
 struct AcceptedAttempt {
     attempt: u64,
@@ -22,29 +23,34 @@
     at: Micros,
 }
 
-/// The workers' record of the idempotency key of one client's job.
+/// The attempts of one client's job at all workers. The attempts of a job all carry the same idempotency key.
 #[derive(Clone, Debug, Default)]
 pub struct KeyHistory {
     accepted: Vec<AcceptedAttempt>,
-    /// IDs of duplicate attempts, which do not run and wait for the result of an accepted attempt.
+    /// IDs of the duplicate attempts that wait for the result of an accepted attempt. A duplicate attempt
+    /// does not run.
     waiting_duplicates: Vec<u64>,
-    /// Whether an attempt with the key was served.
+    /// Whether any attempt with the key has been served.
     is_served: bool,
 }
 
-/// What happens to an attempt that is a duplicate by its idempotency key.
+/// What happens to a duplicate attempt, whose idempotency key the worker's deduplication group has already
+/// accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DuplicateOutcome {
-    /// An attempt with the key was served already, so the duplicate is served immediately.
+    /// An attempt with the same key has already been served, so the duplicate is served immediately.
     AlreadyServed,
-    /// No attempt with the key was served yet, so the duplicate waits for the result of an accepted attempt.
+    /// No attempt with the same key has been served yet, so the duplicate waits for the result of an accepted
+    /// attempt.
     AwaitsFirst,
 }
 
 impl KeyHistory {
-    /// Checks whether an attempt that reaches a worker of `group` is a duplicate: the group has accepted an
-    /// attempt with the same key at most `window` ago. A duplicate that waits for a result is kept for
-    /// [`Self::record_end`]. Returns `None` if the attempt is no duplicate.
+    /// Checks whether an attempt is a duplicate when it reaches a worker of the deduplication group `group`.
+    /// It is a duplicate if the group has accepted an attempt with the same key at most `window` ago.
+    ///
+    /// Returns what happens to the duplicate, or `None` if the attempt is no duplicate. A duplicate that must
+    /// wait for a result is kept until [`Self::record_end`] returns it.
     pub fn check_duplicate(
         &mut self,
         attempt: u64,
@@ -62,19 +68,19 @@
         Some(DuplicateOutcome::AwaitsFirst)
     }
 
-    /// Records that a worker of a group accepted an attempt.
+    /// Records that a worker of the deduplication group `group` accepted an attempt.
     pub fn record_taken(&mut self, attempt: u64, group: u32, now: Micros) {
         self.accepted.push(AcceptedAttempt { attempt, group, at: now });
     }
 
-    /// Forgets an accepted attempt that its worker returned unstarted or that was cancelled, so that later
-    /// attempts do not count as its duplicates.
+    /// Forgets an accepted attempt that was cancelled, or that its worker returned without starting it. Later
+    /// attempts then do not count as its duplicates.
     pub fn record_returned(&mut self, attempt: u64) {
         self.accepted.retain(|accepted| accepted.attempt != attempt);
     }
 
-    /// Records whether an attempt that has ended was served, and returns the IDs of the waiting duplicates,
-    /// which get the result of that attempt.
+    /// Records that an attempt ended, and whether it was served. Returns the IDs of the duplicates that
+    /// waited. The caller gives them the result of the ended attempt.
     pub fn record_end(&mut self, is_served: bool) -> Vec<u64> {
         self.is_served |= is_served;
         std::mem::take(&mut self.waiting_duplicates)
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,6 +1,7 @@
-//! Model of clients, workers and faults, shared by simulation and emulation.
+//! The model of clients, workers and faults, which the simulation and the emulation share.
 //!
-//! The model has no I/O and no clock: time and random streams are passed in as arguments.
+//! The model does no I/O and reads no clock. Callers pass in the current time and the source of random
+//! numbers.
 pub mod arrivals;
 pub mod connection_faults;
 pub mod fleet;
--- a/crates/testbed/src/model/random.rs
+++ b/crates/testbed/src/model/random.rs
@@ -1,29 +1,32 @@
-//! Random streams of a run, one for each purpose, all derived from one seed.
+//! Random number generators of a run. Each purpose, such as the arrivals of jobs, has its own generator. All
+//! are derived from the seed of the run.
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// A random number generator that gives the same numbers for the same seed.
+/// A random number generator that gives the same sequence of numbers for the same seed.
 pub type RandomStream = Pcg64Mcg;
 
-/// The purpose of a random stream. Draws for one purpose do not change those for another.
+/// What a random stream is used for. Each purpose has its own stream, so that draws for one purpose do not
+/// change the numbers that are drawn for another purpose.
 #[derive(Clone, Copy, Debug)]
 pub enum StreamPurpose {
-    /// Arrival times and properties of jobs.
+    /// The stream for the arrival times and the properties of jobs.
     Arrivals = 1,
-    /// True speeds of the workers.
+    /// The stream for the true speeds of the workers.
     Fleet,
-    /// Choice of the workers that are in the cached endpoint list but do not exist, and of the targets of
-    /// faults.
+    /// The stream for the choice of the targets of faults, and of the workers that the cached endpoint list
+    /// contains although they do not exist.
     Faults,
-    /// Network delays, losses and resets, and the random choices of baseline policies.
+    /// The stream for network delays, message losses and connection resets, and for the random choices of the
+    /// baseline policies.
     Network,
-    /// Delays of clients before a retry.
+    /// The stream for the delays of clients before a retry.
     Retries,
-    /// Noise in load reports.
+    /// The stream for the random errors of load reports.
     Reports,
 }
 
-/// Creates the random stream for a purpose from a run's seed.
+/// Creates the random stream for `purpose` in the run with the seed `seed`.
 pub fn random_stream(seed: u64, purpose: StreamPurpose) -> RandomStream {
     // The multiplication spreads neighbouring seeds far apart; `seed_from_u64` then mixes their bits.
     Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((purpose as u64) << 56))
--- a/crates/testbed/src/model/scheduler_id.rs
+++ b/crates/testbed/src/model/scheduler_id.rs
@@ -1,28 +1,31 @@
-//! IDs of the schedulers of a run, and which scheduler a client reaches.
+//! The ID of a scheduler, and the rule that decides to which scheduler a client sends its requests.
 
-/// ID of a scheduler: its index among the scenario's schedulers.
+/// ID of a scheduler. The schedulers of a run are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SchedulerId(pub u32);
 
 impl SchedulerId {
-    /// Returns the IDs of the first `count` schedulers, in order.
+    /// Returns the scheduler IDs from 0 to `count - 1`.
     pub fn first(count: u32) -> impl Iterator<Item = SchedulerId> + Clone {
         (0..count).map(SchedulerId)
     }
 
-    /// Returns the scheduler's index in a list of all schedulers.
+    /// Returns the scheduler's position in a list of all schedulers.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 
-    /// Returns the scheduler's zone; schedulers are assigned to the zones in turn.
+    /// Returns the index of the scheduler's zone in a scenario with `zones` zones. Schedulers are assigned to
+    /// the zones in turn.
     pub fn zone(self, zones: u32) -> u32 {
         self.0 % zones
     }
 
-    /// Returns the scheduler to which the clients of `self` send requests: `self` if it accepts requests,
-    /// otherwise the next accepting scheduler in the zone of `self`, otherwise the next accepting scheduler
-    /// in any zone. The order is by ID, and wraps around. Returns `self` if no scheduler accepts requests.
+    /// Returns the scheduler to which the clients of scheduler `self` send their requests.
+    ///
+    /// This is `self` if `self` accepts requests. Otherwise it is the next scheduler by ID that accepts
+    /// requests, preferably one in the zone of `self`. After the last ID, the search continues with ID 0.
+    /// Returns `self` if no scheduler accepts requests.
     pub fn reachable(self, count: u32, zones: u32, accepts: impl Fn(SchedulerId) -> bool) -> SchedulerId {
         let candidates = (0..count).map(|step| SchedulerId((self.0 + step) % count));
         let mut accepting = candidates.filter(|candidate| accepts(*candidate));
--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -1,4 +1,5 @@
-//! Types of the worker model: worker properties, offered jobs, effects and states.
+//! Types of the worker model: a worker's properties and states, the jobs that are offered to a worker, and
+//! the effects of operations on a worker.
 use copperspread_dispatcher::Micros;
 
 use crate::scenario::QueueOrder;
@@ -6,113 +7,119 @@
 /// Properties of a worker that do not change during a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkerSpec {
-    /// Number of cores of the worker, which running jobs share when they use more slots than there are cores.
+    /// Number of cores of the worker. Running jobs share the cores if they use more slots than there are
+    /// cores.
     pub cores: f64,
-    /// Number of slots of the worker, which running jobs occupy.
+    /// Number of slots of the worker. Each running job occupies the slots that it needs.
     pub slots: f64,
-    /// Speed of a core, in seconds of work done per second.
+    /// Speed of each core of the worker, in seconds of work done per second.
     pub speed: f64,
     /// Maximum number of jobs that wait in the worker's queue.
     pub max_waiting: usize,
-    /// Order in which waiting jobs start.
+    /// Order in which the worker starts the jobs in its queue.
     pub order: QueueOrder,
-    /// Memory for running jobs, in the scenario's unit of memory.
+    /// Memory that the worker has for running jobs, in the unit that the scenario uses for memory.
     pub memory: f64,
-    /// Fraction of its full capacity that the worker has when a process starts.
+    /// Share of its full capacity that the worker has when its process starts, from 0 to 1.
     pub slow_start_fraction: f64,
-    /// Time from the start of a process until the worker has its full capacity.
+    /// Time from the start of the worker's process until the worker has its full capacity, in microseconds.
     pub slow_start_duration: Micros,
-    /// Multiple of the current capacity above which the offered load makes the worker fail during slow start.
+    /// Multiple of the worker's current capacity. During slow start, the worker fails if it gets more load
+    /// than this.
     pub overload_multiple: f64,
-    /// Window over which load is summed for `overload_multiple`; `None` if the worker never fails from
-    /// overload.
+    /// Length of the window over which the worker's load is summed for the comparison with
+    /// `overload_multiple`, in microseconds. `None` if the worker never fails from overload.
     pub overload_window: Option<Micros>,
 }
 
-/// A job as it is offered to a worker.
+/// A job or load query that is offered to a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OfferedJob {
-    /// ID of the attempt or load query, unique within a run.
+    /// ID of the attempt or load query that is offered, unique within a run.
     pub attempt: u64,
-    /// Index of the job's class in the scenario.
+    /// Index of the job's class in the scenario's list of classes.
     pub class: u32,
     /// Work of the job, in seconds on a core of speed 1.
     pub work: f64,
-    /// Slots that the job occupies while it runs.
+    /// Number of slots that the job occupies while it runs.
     pub slots: f64,
-    /// Memory that the job uses while it runs, in the scenario's unit of memory.
+    /// Memory that the job uses while it runs, in the unit that the scenario uses for memory.
     pub memory: f64,
-    /// Priority weight of the job, used by workers with [`QueueOrder::Priority`].
+    /// Priority weight of the job. A worker with the queue order [`QueueOrder::Priority`] starts the job with
+    /// the highest weight first.
     pub weight: f64,
 }
 
 impl OfferedJob {
-    /// Creates a load query that is queued like a job of one slot.
+    /// Creates a load query that waits and runs at a worker like a job of one slot.
     pub fn load_query(attempt: u64, work: f64) -> OfferedJob {
-        // The class matches none of the scenario's, so that a `silent` fault does not affect load queries.
+        // No class of the scenario has this index, so a `silent` fault does not affect load queries.
         OfferedJob { attempt, class: u32::MAX, work, slots: 1.0, memory: 0.0, weight: 0.0 }
     }
 }
 
-/// The response of a worker to an offered job.
+/// How a worker answers when a job is offered to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferResult {
-    /// The worker accepts the job; the effects tell whether the job has started.
+    /// The worker accepts the job. The effects of the offer tell whether the job has started.
     Accepted,
-    /// The queue is full or the worker drains, so the worker does not accept the job.
+    /// The worker does not accept the job, because its queue is full or because it drains.
     QueueFull,
-    /// The worker's process is stopped, or a fault makes the worker refuse connections.
+    /// The worker refuses the connection, because its process is stopped or because of a fault.
     ConnectionRefused,
-    /// The worker's machine does not respond.
+    /// The worker's machine does not respond, so the job does not reach the worker.
     Unreachable,
 }
 
-/// An effect of an operation on a worker, which the simulation or emulation carries out.
+/// Something that an operation on a worker causes, such as the start of a job. The simulation or emulation
+/// carries out what follows from it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerEffect {
-    /// A job or queued load query, given by its ID, has started.
+    /// The job or queued load query with this ID has started.
     Started(u64),
     /// A job or queued load query has finished.
     Finished {
-        /// ID of the attempt or load query.
+        /// ID of the attempt or load query that has finished.
         attempt: u64,
-        /// Whether the worker reports the end to the scheduler; false for a job of the class that a `Silent`
-        /// fault affects.
+        /// Whether the worker reports the end of the job to the scheduler. The worker does not if a `Silent`
+        /// fault affects the job's class.
         is_reported: bool,
     },
-    /// A job or queued load query, given by its ID, was lost with the process.
+    /// The job or queued load query with this ID was lost when the worker's process ended.
     Lost(u64),
-    /// A waiting job or load query, given by its ID, is returned unstarted.
+    /// The worker returned the waiting job or load query with this ID without starting it.
     ReturnedUnstarted(u64),
-    /// The process failed from overload during slow start.
+    /// The worker's process failed from overload during slow start.
     Overloaded,
 }
 
-/// The state of a worker's process.
+/// Whether a worker's process runs, and whether it accepts jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// The process accepts jobs.
+    /// The worker's process accepts jobs.
     Up,
-    /// The process finishes its jobs and accepts no new jobs.
+    /// The worker's process finishes the jobs that it has, and accepts no new jobs.
     Draining,
-    /// The worker has no process, and its machine refuses connections.
+    /// The worker has no process. Its machine refuses connections.
     Stopped,
-    /// The machine does not respond: its jobs are lost without a report, and connections time out.
+    /// The worker's machine does not respond. The worker's jobs are lost without a report, and connections to
+    /// it time out.
     Unreachable,
 }
 
 /// The true state of a worker, which a real scheduler cannot know.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrueState {
-    /// Time until a job that arrives now would start, in seconds.
+    /// Seconds until a job that arrives at the worker now would start.
     pub wait: f64,
-    /// Rate at which a running job progresses, in seconds of work done per second.
+    /// Speed at which a running job progresses at the worker, in seconds of work done per second.
     pub rate: f64,
-    /// Whether the worker accepts jobs and makes progress.
+    /// Whether the worker accepts jobs and its running jobs make progress.
     pub accepts_jobs: bool,
 }
 
-/// A running job and the work that remained when its progress was last accounted.
+/// A running job and its remaining work. The remaining work is as of the time when the worker last accounted
+/// the progress of its jobs.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RunningJob {
     pub(super) job: OfferedJob,
--- a/crates/testbed/src/model/worker/lifecycle.rs
+++ b/crates/testbed/src/model/worker/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, drain and end of a worker's process, and the faults that change its state.
+//! How a worker's process starts, drains and ends, and how faults change the worker.
 use copperspread_dispatcher::Micros;
 
 use super::Worker;
@@ -11,14 +11,16 @@
         self.process == ProcessState::Up && !self.is_refusing
     }
 
-    /// Applies a change to the worker, such as to its speed, after accounting the jobs' progress until now.
+    /// Changes a property of the worker, such as its speed. The progress that running jobs have made until
+    /// `now` is accounted first, because that progress depends on the old property.
     pub fn apply_change(&mut self, now: Micros, change: impl FnOnce(&mut Worker)) {
         self.account_progress(now);
         change(self);
         self.wake_version += 1;
     }
 
-    /// Drains the worker. With `return_waiting`, waiting jobs are returned unstarted.
+    /// Drains the worker: it accepts no new jobs. If `return_waiting` is set, the jobs in its queue are
+    /// returned without being started.
     pub fn drain(&mut self, now: Micros, return_waiting: bool, effects: &mut Vec<WorkerEffect>) {
         self.account_progress(now);
         if self.process == ProcessState::Up {
@@ -31,8 +33,8 @@
         self.wake_version += 1;
     }
 
-    /// Ends the process and all its jobs. The jobs are reported as lost if `state` is `Stopped`; if the
-    /// machine becomes unreachable, nothing is reported.
+    /// Ends the worker's process and all its jobs, and sets the state of the process to `state`. If `state`
+    /// is `Stopped`, the jobs are reported as lost. If the machine becomes unreachable, nothing is reported.
     pub fn stop(&mut self, now: Micros, state: ProcessState, effects: &mut Vec<WorkerEffect>) {
         self.account_progress(now);
         self.process = state;
@@ -48,7 +50,8 @@
         self.wake_version += 1;
     }
 
-    /// Starts a new process, which begins in slow start and without the faults of the old one.
+    /// Starts a new process of the worker, which begins in slow start. The faults of the old process do not
+    /// affect the new one.
     pub fn restart(&mut self, now: Micros) {
         self.account_progress(now);
         self.process = ProcessState::Up;
@@ -61,7 +64,8 @@
         self.wake_version += 1;
     }
 
-    /// Applies the start or the end of a fault, and returns whether a new process started.
+    /// Applies the start of a fault to the worker if `is_start` is set, otherwise the end of the fault.
+    /// Returns whether the worker started a new process.
     pub fn apply_fault(
         &mut self,
         now: Micros,
@@ -82,7 +86,7 @@
             FaultKind::Vanish if is_start => self.stop(now, ProcessState::Unreachable, effects),
             FaultKind::Drain if is_start => self.drain(now, true, effects),
             FaultKind::Crash | FaultKind::Vanish | FaultKind::Drain => {
-                // Jobs that still run end with the old process.
+                // Jobs that still run at the end of the fault are lost with the old process.
                 self.stop(now, ProcessState::Stopped, effects);
                 self.restart(now);
                 return true;
--- a/crates/testbed/src/model/worker/mod.rs
+++ b/crates/testbed/src/model/worker/mod.rs
@@ -1,7 +1,7 @@
 //! Model of one worker: slots, cores, a bounded queue, slow start and faults.
 //!
-//! Running jobs share the cores when they use more slots than there are cores. A job of `k` slots uses `k`
-//! cores; alone and after slow start, it takes `work / speed` seconds.
+//! Running jobs share the cores if they use more slots than there are cores. A job of `k` slots uses `k`
+//! cores. If the job runs alone and the worker is past its slow start, the job takes `work / speed` seconds.
 mod job;
 mod lifecycle;
 mod queue;
@@ -15,47 +15,52 @@
 use self::job::RunningJob;
 pub use self::job::{OfferResult, OfferedJob, ProcessState, TrueState, WorkerEffect, WorkerSpec};
 
-/// Interval at which the rate of running jobs is recomputed during slow start.
+/// Interval at which the speed of running jobs is recomputed during slow start, in microseconds.
 const SLOW_START_STEP: Micros = SECOND / 4;
 
-/// The state of a worker. The simulation or emulation that owns the worker passes the current time to its
-/// methods.
+/// A worker of a run, with its jobs and load reports. The simulation or emulation that owns the worker passes
+/// the current time to its methods.
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// Properties of the worker that do not change during a run.
     pub spec: WorkerSpec,
-    /// Whether the worker's process is up, draining or stopped, or its machine unreachable.
+    /// Whether the worker's process is up, draining or stopped, or the worker's machine is unreachable.
     pub process: ProcessState,
-    /// Start time of the process; `None` if slow start was over before the run began.
+    /// Time at which the worker's process started. `None` if the worker was past its slow start when the run
+    /// began.
     pub started_at: Option<Micros>,
-    /// Factor by which jobs run slower than usual, because of a `Slow` fault.
+    /// Factor by which a `Slow` fault slows the worker's jobs down; 1 without such a fault.
     pub slowdown: f64,
-    /// Whether running jobs make no progress, because of a `Stuck` fault.
+    /// Whether a `Stuck` fault keeps the worker's running jobs from making progress.
     pub is_stuck: bool,
-    /// Index of the class for whose jobs the worker sends no callbacks and no results, because of a `Silent`
-    /// fault.
+    /// Index of the job class that a `Silent` fault affects. The worker sends no callbacks and no results for
+    /// jobs of this class. `None` without such a fault.
     pub silent_class: Option<u32>,
-    /// Whether the worker refuses connections although it is in the endpoint list.
+    /// Whether a `Refusing` fault makes the worker refuse connections. The worker remains in the endpoint
+    /// list.
     pub is_refusing: bool,
     running: Vec<RunningJob>,
     waiting: VecDeque<OfferedJob>,
     used_slots: f64,
     used_memory: f64,
-    /// Time up to which the progress of the running jobs is subtracted from their remaining work.
+    /// Time until which the progress of the running jobs has been subtracted from their remaining work.
     accounted_until: Micros,
-    /// Jobs that arrived at the worker during slow start within the overload window: the arrival time and the
-    /// load, in core-seconds, of each.
+    /// Arrival time and load, in core-seconds, of each job that arrived at the worker during slow start and
+    /// within the overload window.
     slow_start_load: VecDeque<(Micros, f64)>,
-    /// Version of the set of running jobs and their rate, incremented by each change. A wake (the event that
-    /// advances the worker's jobs) is ignored if the version has changed since the wake was scheduled.
+    /// Number that is incremented when the set of running jobs or their speed changes. A wake is the event
+    /// that advances the worker's jobs. A wake is ignored if this number has changed since the wake was
+    /// scheduled.
     pub wake_version: u64,
-    /// Completed work, in core-seconds at speed 1.
+    /// Work that the worker has completed, in core-seconds at speed 1.
     pub completed_work: f64,
-    /// Last load report sent with responses, with the time at which the report was made.
+    /// The load report that the worker last sent with a response, and the time at which it was made.
     last_report: (Micros, LoadReport),
-    /// Load reports for answers to load queries, with the times at which the reports were made, newest last.
+    /// The load reports with which the worker answers load queries, each with the time at which it was made.
+    /// The newest report is last.
     refreshed_reports: VecDeque<(Micros, LoadReport)>,
-    /// Number of jobs and queued load queries offered since the last refresh of the reports for load queries.
+    /// Number of jobs and queued load queries that were offered to the worker since it last refreshed its
+    /// report for load queries.
     offered_since_refresh: u32,
 }
 
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -1,19 +1,20 @@
-//! Queue and slots of a worker: the start, progress and end of its jobs.
+//! Queue and slots of a worker: how its jobs start, progress and end.
 use copperspread_dispatcher::{Micros, SECOND};
 
 use super::job::{OfferResult, OfferedJob, ProcessState, RunningJob, WorkerEffect};
 use super::{SLOW_START_STEP, Worker};
 use crate::scenario::QueueOrder;
 
-/// Remaining work up to which a job counts as finished, in seconds at speed 1. The limit is above 0 because
-/// the rounding of times to microseconds may leave this much work.
+/// A job counts as finished if at most this much of its work remains, in seconds at speed 1. The limit is
+/// above 0 because the rounding of times to microseconds may leave this much work.
 const WORK_TOLERANCE_S: f64 = 2.0 / SECOND as f64;
-/// Longest time until a wake (the event that advances the worker's jobs), in microseconds. The limit ensures
-/// that the current time plus this time fits into [`Micros`].
+/// Longest time until the next wake (the event that advances the worker's jobs), in microseconds. Without
+/// this limit, the current time plus the time until the wake might not fit into [`Micros`].
 const MAX_WAKE_DELAY_US: f64 = 1e15;
 
 impl Worker {
-    /// Offers a job to the worker, which may start or queue it. Effects are appended to `effects`.
+    /// Offers a job to the worker, which may start, queue or refuse the job. The effects of the offer are
+    /// appended to `effects`.
     pub fn offer(&mut self, now: Micros, job: OfferedJob, effects: &mut Vec<WorkerEffect>) -> OfferResult {
         match self.process {
             ProcessState::Unreachable => return OfferResult::Unreachable,
@@ -38,7 +39,7 @@
         OfferResult::Accepted
     }
 
-    /// Advances the jobs to `now`: finished jobs end and waiting ones start.
+    /// Advances the worker's jobs to the time `now`: finished jobs end, and waiting jobs start.
     pub fn advance(&mut self, now: Micros, effects: &mut Vec<WorkerEffect>) {
         self.account_progress(now);
         let tolerance = WORK_TOLERANCE_S * self.spec.speed.max(1.0);
@@ -56,8 +57,8 @@
         self.start_waiting_jobs(effects);
     }
 
-    /// Returns the time at which [`Self::advance`] must be called again; `None` if no running job makes
-    /// progress.
+    /// Returns the time at which [`Self::advance`] must be called next. Returns `None` if no running job
+    /// makes progress.
     pub fn next_wake(&self, now: Micros) -> Option<Micros> {
         let rate = self.rate(now);
         let min_work =
@@ -71,7 +72,8 @@
         Some(if is_slow_start { ends_at.min(now + SLOW_START_STEP) } else { ends_at })
     }
 
-    /// Removes a cancelled attempt, waiting or running, and returns whether the worker had it.
+    /// Removes a cancelled attempt from the worker, whether the attempt waits or runs. Returns whether the
+    /// worker had the attempt.
     pub fn cancel(&mut self, now: Micros, attempt: u64, effects: &mut Vec<WorkerEffect>) -> bool {
         self.account_progress(now);
         if let Some(position) = self.running.iter().position(|running| running.job.attempt == attempt) {
@@ -86,28 +88,29 @@
         true
     }
 
-    /// Returns the completed fraction of a running attempt; `None` if the attempt does not run on this
-    /// worker.
+    /// Returns the share of its work that a running attempt has completed, from 0 to 1. Returns `None` if the
+    /// attempt does not run on this worker.
     pub fn progress(&self, now: Micros, attempt: u64) -> Option<f64> {
         let running = self.running.iter().find(|running| running.job.attempt == attempt)?;
         let remaining = running.remaining_work - self.work_since_accounted(now);
         Some(1.0 - (remaining / running.job.work.max(1e-12)).clamp(0.0, 1.0))
     }
 
-    /// Returns the remaining work of all running and waiting jobs, in core-seconds.
+    /// Returns the remaining work of all jobs that run or wait at the worker, in core-seconds.
     pub fn backlog(&self) -> f64 {
         let running: f64 =
             self.running.iter().map(|running| running.remaining_work * running.job.slots).sum();
         running + self.waiting.iter().map(|job| job.work * job.slots).sum::<f64>()
     }
 
-    /// Returns the number of waiting and running jobs.
+    /// Returns the number of jobs that run or wait at the worker.
     pub fn job_count(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Charges work done beside the jobs, such as for a load report, in seconds on one core of speed 1. The
-    /// charge delays each running job by that work divided by the number of cores.
+    /// Delays the running jobs because the worker does other work beside them, such as answering a load
+    /// query. `work` is given in seconds on one core of speed 1. Each running job is delayed by `work`
+    /// divided by the number of cores.
     pub fn charge_side_work(&mut self, now: Micros, work: f64) {
         self.account_progress(now);
         for running in &mut self.running {
@@ -116,7 +119,7 @@
         self.wake_version += 1;
     }
 
-    /// Returns the rate at which each running job progresses, in seconds of work done per second.
+    /// Returns the speed at which each running job progresses, in seconds of work done per second.
     fn rate(&self, now: Micros) -> f64 {
         if self.is_stuck {
             return 0.0;
@@ -126,14 +129,15 @@
         self.spec.speed * self.capacity_fraction(now) / self.slowdown * core_fraction
     }
 
-    /// Returns the work done for each running job since its progress was last accounted, in seconds on a core
-    /// of speed 1.
+    /// Returns the work that each running job has done since progress was last accounted, in seconds on a
+    /// core of speed 1.
     fn work_since_accounted(&self, now: Micros) -> f64 {
         let elapsed = now.saturating_sub(self.accounted_until) as f64 / SECOND as f64;
         elapsed * self.rate(self.accounted_until)
     }
 
-    /// Accounts the progress of running jobs up to `now`, at the rate since the last call.
+    /// Subtracts the work that the running jobs did until `now` from their remaining work. Since the last
+    /// call, the jobs progressed at the speed that they had at that call.
     pub(super) fn account_progress(&mut self, now: Micros) {
         let work = self.work_since_accounted(now);
         self.accounted_until = now;
@@ -144,15 +148,15 @@
         }
     }
 
-    /// Returns whether a job can start now. A job that needs more slots or memory than the worker has can
-    /// start when no other job runs.
+    /// Returns whether the worker can start a job now. A job that needs more slots or memory than the worker
+    /// has can start if no other job runs.
     fn can_start(&self, job: &OfferedJob) -> bool {
         let has_memory = self.used_memory + job.memory <= self.spec.memory;
         let has_slots = self.used_slots + job.slots <= self.spec.slots;
         (has_memory && has_slots) || self.running.is_empty()
     }
 
-    /// Starts as many waiting jobs as queue order, slots and memory allow.
+    /// Starts waiting jobs as long as the queue's order, the free slots and the free memory allow it.
     fn start_waiting_jobs(&mut self, effects: &mut Vec<WorkerEffect>) {
         while let Some(job) = self.next_startable().and_then(|position| self.waiting.remove(position)) {
             self.used_slots += job.slots;
@@ -163,13 +167,15 @@
         self.wake_version += 1;
     }
 
-    /// Returns the queue index of the waiting job that can start next.
+    /// Returns the position in the queue of the job that starts next. Returns `None` if no waiting job can
+    /// start now.
     fn next_startable(&self) -> Option<usize> {
         match self.spec.order {
             QueueOrder::Fifo => self.waiting.front().filter(|job| self.can_start(job)).map(|_| 0),
             QueueOrder::Backfill => self.waiting.iter().position(|job| self.can_start(job)),
             QueueOrder::Priority => {
-                // The job with the highest priority weight is next; among equal weights, the earliest.
+                // The waiting job with the highest priority weight starts next. Among jobs of equal weight,
+                // it is the one that arrived first.
                 let by_weight = |(index_a, job_a): &(usize, &OfferedJob),
                                  (index_b, job_b): &(usize, &OfferedJob)| {
                     job_a.weight.total_cmp(&job_b.weight).then(index_b.cmp(index_a))
@@ -184,8 +190,8 @@
         self.used_slots -= job.slots;
         self.used_memory -= job.memory;
         if self.running.is_empty() {
-            // The sums of used slots and used memory are reset to exactly zero when no job runs, so that
-            // rounding errors do not accumulate.
+            // When no job runs, the used slots and the used memory are set to exactly zero. Otherwise
+            // rounding errors would accumulate in these sums.
             (self.used_slots, self.used_memory) = (0.0, 0.0);
         }
     }
--- a/crates/testbed/src/model/worker/slow_start.rs
+++ b/crates/testbed/src/model/worker/slow_start.rs
@@ -1,10 +1,10 @@
-//! Slow start of workers: a new process has a fraction of its capacity and may fail when overloaded.
+//! Slow start of workers: a new process has only a share of its capacity, and may fail from overload.
 use copperspread_dispatcher::{Micros, SECOND};
 
 use super::Worker;
 
 impl Worker {
-    /// Returns the fraction of the worker's full capacity that it has now, from 0 to 1.
+    /// Returns the share of its full capacity that the worker has now, from 0 to 1.
     pub fn capacity_fraction(&self, now: Micros) -> f64 {
         let Some(start) = self.started_at else { return 1.0 };
         let age = now.saturating_sub(start) as f64 / self.spec.slow_start_duration.max(1) as f64;
@@ -17,9 +17,9 @@
         self.spec.cores.min(self.spec.slots) * self.spec.speed * self.capacity_fraction(now)
     }
 
-    /// Records the load of a job that the worker gets during slow start, in core-seconds. Returns whether the
-    /// load within the overload window exceeds the allowed multiple of the capacity, so that the worker
-    /// fails.
+    /// Records that the worker gets a job during slow start. `load` is the load of the job, in core-seconds.
+    /// Returns whether the worker fails from overload. It fails if the load within the overload window
+    /// exceeds the allowed multiple of its capacity.
     pub(super) fn becomes_overloaded(&mut self, now: Micros, load: f64) -> bool {
         let Some(window) = self.spec.overload_window else { return false };
         if self.capacity_fraction(now) >= 1.0 {
--- a/crates/testbed/src/outcome/counter.rs
+++ b/crates/testbed/src/outcome/counter.rs
@@ -6,9 +6,10 @@
 use crate::model::arrivals::Arrival;
 use crate::scenario::JobClass;
 
-/// Highest latency that the histograms record, in microseconds; longer latencies are recorded as this value.
+/// Highest latency that the latency histograms can record, in microseconds. A longer latency is recorded as
+/// this value.
 const MAX_LATENCY: Micros = 86_400 * SECOND;
-/// Precision of recorded latencies, in significant decimal digits.
+/// Precision of the recorded latencies, in significant decimal digits.
 const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
 
 struct ClassCounter {
@@ -44,7 +45,8 @@
     }
 }
 
-/// Counts the outcomes of jobs in total, by class, by second of arrival, and by zone and class.
+/// Counts the outcomes of clients' jobs: in total, for each class, for each second of arrival, and for each
+/// zone and class.
 pub struct OutcomeCounter {
     total: WeightTotals,
     classes: Vec<ClassCounter>,
@@ -63,7 +65,8 @@
         }
     }
 
-    /// Counts a client's job that has ended; `latency` is measured from the job's arrival.
+    /// Counts a client's job that ended with `outcome`. `latency` is the time from the job's arrival until
+    /// its end.
     pub fn record_job(&mut self, job: &Arrival, class: &JobClass, latency: Micros, outcome: JobOutcome) {
         let weight = class.priority_weight * job.work * job.slots;
         let class_index = job.class as usize;
@@ -87,12 +90,13 @@
         &mut self.seconds[second]
     }
 
-    /// Returns the number of jobs that have ended.
+    /// Returns the number of clients' jobs that have ended.
     pub fn job_count(&self) -> u64 {
         self.classes.iter().map(|class| class.jobs).sum()
     }
 
-    /// Returns the outcome of each class, with the classes' names in the order of the scenario.
+    /// Returns the outcome of each class's jobs. `names` gives the names of the classes, in the order of the
+    /// scenario.
     pub fn class_outcomes<'a>(&self, names: impl Iterator<Item = &'a str>) -> Vec<ClassOutcome> {
         names.zip(&self.classes).map(|(name, class)| class.outcome(name)).collect()
     }
--- a/crates/testbed/src/outcome/mod.rs
+++ b/crates/testbed/src/outcome/mod.rs
@@ -1,5 +1,5 @@
-//! Outcome of one run: priority-weighted work that was served in time, latencies, load of workers and rule
-//! violations.
+//! The outcome of one run: how much work was served in time (weighted by priority), latencies, the work of
+//! each worker, and rule violations.
 mod counter;
 
 use std::collections::BTreeMap;
@@ -20,31 +20,31 @@
     InTime,
     /// The job was served later than its latency objective.
     Late,
-    /// The job's last request was rejected, and the client sent no further retry.
+    /// The job's last request was rejected, and the client did not retry any more.
     Rejected,
-    /// The job failed, either by a response or by a broken client connection.
+    /// The job failed: its client got a failure as response, or the client's connection broke.
     Failed,
-    /// The job had no response when the client stopped waiting.
+    /// The client had no response for the job when it stopped waiting.
     Unanswered,
 }
 
-/// Weight of jobs by their outcome: priority weight times work in core-seconds. The parts add up to
-/// `requested`.
+/// The summed weights of jobs, in total and for each outcome. The weight of a job is the priority weight of
+/// its class times its work in core-seconds. The sums for the outcomes add up to `requested`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WeightTotals {
-    /// Weight of all jobs.
+    /// Sum of the weights of all jobs.
     #[serde(rename = "asked")]
     pub requested: f64,
-    /// Weight of jobs served in time.
+    /// Sum of the weights of the jobs that were served within their latency objective.
     pub in_time: f64,
-    /// Weight of jobs served late.
+    /// Sum of the weights of the jobs that were served later than their latency objective.
     pub late: f64,
-    /// Weight of rejected jobs.
+    /// Sum of the weights of the jobs that were rejected.
     #[serde(rename = "refused")]
     pub rejected: f64,
-    /// Weight of failed jobs.
+    /// Sum of the weights of the jobs that failed.
     pub failed: f64,
-    /// Weight of jobs without a response.
+    /// Sum of the weights of the jobs that got no response.
     #[serde(rename = "lost")]
     pub unanswered: f64,
 }
@@ -62,21 +62,22 @@
         *part += weight;
     }
 
-    /// Returns the share of the weight that was served in time; 1 if nothing was requested.
+    /// Returns the share of the total weight that belongs to jobs served in time, from 0 to 1. Returns 1 if
+    /// the total weight is 0.
     pub fn in_time_share(&self) -> f64 {
         if self.requested > 0.0 { self.in_time / self.requested } else { 1.0 }
     }
 }
 
-/// Latency quantiles of served jobs, in milliseconds; in JSON a list of the three values.
+/// Quantiles of the latency of served jobs, in milliseconds. JSON has them as a list of the three values.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[f64; 3]", into = "[f64; 3]")]
 pub struct LatencyQuantiles {
-    /// Median latency, in milliseconds.
+    /// Median latency of the served jobs, in milliseconds.
     pub median_ms: f64,
-    /// 99th percentile of the latency, in milliseconds.
+    /// 99th percentile of the latency of the served jobs, in milliseconds.
     pub p99_ms: f64,
-    /// Highest latency, in milliseconds.
+    /// Highest latency of the served jobs, in milliseconds.
     pub max_ms: f64,
 }
 
@@ -95,94 +96,94 @@
 /// The outcome of a run for the jobs of one class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClassOutcome {
-    /// Name of the class in the scenario.
+    /// Name of the class, as in the scenario.
     pub name: String,
-    /// Number of the class's jobs that ended, with any outcome.
+    /// Number of jobs of the class that ended, with any outcome.
     pub jobs: u64,
-    /// Weight of the class's jobs by their outcome.
+    /// The summed weights of the class's jobs, in total and for each outcome.
     #[serde(rename = "worth")]
     pub weight: WeightTotals,
-    /// Mean latency of served jobs, in milliseconds.
+    /// Mean latency of the served jobs of the class, in milliseconds.
     #[serde(rename = "mean_ms")]
     pub mean_latency_ms: f64,
-    /// Latency quantiles of served jobs.
+    /// Latency quantiles of the served jobs of the class.
     #[serde(rename = "served_ms")]
     pub latency: LatencyQuantiles,
 }
 
-/// The outcome of a run for one worker.
+/// The completed work and the capacity of one worker in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerOutcome {
-    /// Index of the zone that the worker is in.
+    /// Index of the worker's zone.
     pub zone: u32,
-    /// Index of the worker's group in the scenario.
+    /// Index of the worker's group in the scenario's list of worker groups.
     #[serde(rename = "kind")]
     pub group: u32,
-    /// Core-seconds that the worker could complete within the scenario's duration if it were up and at full
-    /// capacity throughout.
+    /// Work that the worker could complete within the scenario's duration, in core-seconds, if it were always
+    /// up and at full capacity.
     #[serde(rename = "capacity")]
     pub capacity_core_s: f64,
-    /// Core-seconds that the worker completed.
+    /// Work that the worker completed, in core-seconds.
     #[serde(rename = "done")]
     pub done_core_s: f64,
 }
 
-/// The outcome of a run. A simulation repeated with the same seed gives the same JSON, byte for byte.
+/// The outcome of a run. A simulation that is repeated with the same seed gives the same JSON, byte for byte.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunOutcome {
     /// Name of the scenario that was run.
     pub scenario: String,
-    /// Name of the schedulers' dispatch policy. An emulation records the name that its caller gave, such as
-    /// the name of an experiment's variant.
+    /// Name of the dispatch policy that the schedulers used. For an emulation, this is the name that its
+    /// caller gave, such as the name of one of the alternatives that an experiment compares.
     pub policy: String,
-    /// Seed from which the random numbers of the run are derived.
+    /// Seed of the run, from which all its random numbers are derived.
     pub seed: u64,
-    /// Number of clients' jobs that ended, with any outcome.
+    /// Number of clients' jobs that ended during the run, with any outcome.
     pub jobs: u64,
-    /// Number of events that the simulation handled; 0 for an emulation.
+    /// Number of events that the simulation handled; 0 if the run was an emulation.
     pub events: u64,
-    /// Weight of all jobs by their outcome.
+    /// The summed weights of all jobs of the run, in total and for each outcome.
     #[serde(rename = "worth")]
     pub weight: WeightTotals,
-    /// Outcomes of the jobs of each class, in the order of the scenario's classes.
+    /// The outcome of the jobs of each class, in the order of the scenario's classes.
     pub classes: Vec<ClassOutcome>,
-    /// Weight of jobs by second of arrival.
+    /// For each second of the run, the summed weights of the jobs that arrived in that second.
     pub seconds: Vec<WeightTotals>,
-    /// Weight of jobs by the clients' zone, and within a zone by class.
+    /// For each zone of the clients, and in it for each class: the summed weights of the jobs.
     pub zones: Vec<Vec<WeightTotals>>,
-    /// Work and capacity of each worker, indexed by worker number.
+    /// The completed work and the capacity of each worker. The position in the list is the worker's number.
     pub workers: Vec<WorkerOutcome>,
-    /// Mean number of attempts that schedulers sent for a client's job.
+    /// Mean number of attempts that schedulers sent for each client's job.
     #[serde(rename = "attempts")]
     pub attempts_per_job: f64,
-    /// Share of attempts that went to a zone other than that of the sending scheduler.
+    /// Share of the attempts that a scheduler sent to a worker in another zone.
     #[serde(rename = "crossing")]
     pub cross_zone_share: f64,
     /// Number of load queries that schedulers sent to workers.
     #[serde(rename = "probes", default, skip_serializing_if = "is_zero_count")]
     pub load_queries: u64,
-    /// Cost of all load queries, as a share of the weight of all jobs: the mean number of load queries per
-    /// job, times the scenario's cost of one query.
+    /// Cost of all load queries, as a share of the weight of all jobs. It is the mean number of load queries
+    /// per job times the cost that the scenario sets for one load query.
     #[serde(rename = "probe_cost", default, skip_serializing_if = "is_zero_cost")]
     pub load_query_cost: f64,
-    /// Number of worker failures from overload during slow start.
+    /// Number of times that a worker failed from overload during slow start.
     #[serde(rename = "fell")]
     pub overloads: u64,
-    /// Core-seconds completed by all workers.
+    /// Work that all workers together completed, in core-seconds.
     #[serde(rename = "work_done")]
     pub done_core_s: f64,
-    /// Mean number of jobs that wait or run at all workers together: the integral of this number over the
-    /// whole run, divided by the scenario's duration.
+    /// Mean number of jobs that wait or run at all workers together. It is the integral of this number over
+    /// the whole run, divided by the scenario's duration.
     #[serde(rename = "held")]
     pub mean_jobs_in_workers: f64,
-    /// Number of violations of each rule.
+    /// For each rule that the run violated, the number of its violations.
     #[serde(rename = "breaches")]
     pub violations: BTreeMap<Rule, u64>,
-    /// The first violations of the run, with their descriptions. Later violations are only counted, in
+    /// The first violations of the run, with their descriptions. Later violations are only counted in
     /// `violations`.
     #[serde(rename = "examples")]
     pub violation_examples: Vec<RuleViolation>,
-    /// Sending delays and CPU usage that were measured during an emulation; `None` for a simulation.
+    /// Sending delays and CPU usage that were measured during the run; `None` if the run was a simulation.
     #[serde(rename = "measured", default, skip_serializing_if = "Option::is_none")]
     pub machine_usage: Option<MachineUsage>,
 }
@@ -196,56 +197,59 @@
 }
 
 impl RunOutcome {
-    /// Returns the share of the weight that was served in time, less the cost of load queries.
+    /// Returns the score of the run. It is the share of the jobs' weight that was served in time, minus the
+    /// cost of load queries.
     pub fn score(&self) -> f64 {
         self.weight.in_time_share() - self.load_query_cost
     }
 }
 
-/// Sending delays and CPU usage that are measured during an emulation.
+/// How late an emulation sent its jobs, and how much CPU time its schedulers used.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineUsage {
     /// Delay between the scheduled arrival of a job and the time at which the emulation sent the job, in
-    /// milliseconds: the 99th percentile and the highest.
+    /// milliseconds. The first value is the 99th percentile and the second the highest delay.
     #[serde(rename = "own_lag_ms")]
     pub send_lag_ms: [f64; 2],
-    /// CPU time of the schedulers per job, in microseconds.
+    /// CPU time of all schedulers together divided by the number of jobs, in microseconds.
     #[serde(rename = "cpu_us_a_job")]
     pub cpu_us_per_job: f64,
     /// Mean number of CPU cores that all schedulers together used.
     pub cores: f64,
 }
 
-/// The data that a simulation or emulation has recorded at the end of a run.
+/// The data from which a finished simulation or emulation computes its [`RunOutcome`].
 pub struct RunRecord<'a> {
     /// Scenario that was run.
     pub scenario: &'a Scenario,
-    /// Name of the schedulers' dispatch policy. An emulation records the name that its caller gave, such as
-    /// the name of an experiment's variant.
+    /// Name of the dispatch policy that the schedulers used. For an emulation, this is the name that its
+    /// caller gave, such as the name of one of the alternatives that an experiment compares.
     pub policy: String,
-    /// Seed from which the random numbers of the run are derived.
+    /// Seed of the run, from which all its random numbers are derived.
     pub seed: u64,
-    /// Number of events that the simulation handled; 0 for an emulation.
+    /// Number of events that the simulation handled; 0 if the run was an emulation.
     pub events: u64,
-    /// Counter with the outcomes of the clients' jobs.
+    /// The counter with the outcomes of the clients' jobs.
     pub counter: &'a OutcomeCounter,
-    /// Workers with their zones, indexed by worker number.
+    /// The workers, each with the index of its zone. The position in the list is the worker's number.
     pub workers: &'a [(Worker, u32)],
-    /// Index of each worker's group in the scenario, indexed by worker number.
+    /// For each worker, the index of its group in the scenario's list of worker groups. The position in the
+    /// list is the worker's number.
     pub kinds: &'a [u32],
-    /// Number of attempts that schedulers sent; an emulation counts only those that reached a worker.
+    /// Number of attempts that schedulers sent. An emulation counts only attempts that reached a worker.
     pub attempts: u64,
-    /// Number of counted attempts that went to a zone other than that of the sending scheduler.
+    /// Number of the attempts counted in `attempts` that a scheduler sent to a worker in another zone.
     pub cross_zone_attempts: u64,
-    /// Number of load queries that schedulers sent; an emulation counts only those that reached a worker.
+    /// Number of load queries that schedulers sent. An emulation counts only load queries that reached a
+    /// worker.
     pub load_queries: u64,
-    /// Number of worker failures from overload during slow start.
+    /// Number of times that a worker failed from overload during slow start.
     pub overloads: u64,
-    /// Integral over time of the number of jobs at the workers, in job-microseconds.
+    /// Number of jobs at all workers together, integrated over the time of the run, in job-microseconds.
     pub job_microseconds: f64,
-    /// Violations found by the rule checker.
+    /// Violations that the rule checker found in the run.
     pub violations: Violations,
-    /// Sending delays and CPU usage that were measured during an emulation; `None` for a simulation.
+    /// Sending delays and CPU usage that were measured during the run; `None` if the run was a simulation.
     pub machine_usage: Option<MachineUsage>,
 }
 
@@ -286,8 +290,8 @@
         zone: *zone,
         group: *kind,
         capacity_core_s: worker.spec.cores.min(worker.spec.slots) * worker.spec.speed * duration_s,
-        // Completed work is in core-seconds at speed 1. The capacity above has the same unit, because it
-        // includes the worker's speed.
+        // The completed work is in core-seconds at speed 1. The capacity above is in the same unit, because
+        // it includes the worker's speed.
         done_core_s: worker.completed_work,
     };
     workers.iter().zip(kinds).map(outcome).collect()
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -1,5 +1,5 @@
-//! Textbook dispatch policies: each selects a worker when a request arrives, and retries on another worker if
-//! an attempt never ran.
+//! Textbook dispatch policies, with which the dispatcher is compared. Each policy selects a worker as soon as
+//! a request arrives. If an attempt certainly never ran, the policy retries the request on another worker.
 use copperspread_dispatcher::{
     Action, AttemptOutcome, DispatchPolicy, EndpointUpdate, EndpointUpdateKind, Event, IncomingRequest,
     Micros, Outcome as AttemptResult, Progress, Rejection, RequestId, SECOND, WorkerId, WorkerState,
@@ -11,46 +11,49 @@
 use crate::model::random::RandomStream;
 use crate::model::worker::TrueState;
 
-/// Maximum number of attempts for one request.
+/// Maximum number of attempts that a baseline policy sends for one request.
 const MAX_ATTEMPTS: usize = 3;
-/// Weight of one attempt's speed in the moving average of a worker's speed.
+/// Weight of the newest measurement in the moving average of a worker's speed, from 0 to 1. Each served
+/// attempt gives one measurement.
 const SPEED_LEARNING_RATE: f64 = 0.1;
-/// Range to which the measured speed of one attempt is clamped.
+/// Lowest and highest speed that is measured from one attempt. A value outside this range is clamped to it.
 const LEARNED_SPEED_RANGE: [f64; 2] = [0.05, 5.0];
-/// Assumed work of a request without a cost hint, in seconds.
+/// Work that is assumed for a request without a cost hint, in seconds.
 const DEFAULT_COST: f64 = 1.0;
 
-/// The rule by which a baseline selects among the ready workers.
+/// The rule by which a baseline policy selects a worker. It selects among the ready workers to which the
+/// request was not yet sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SelectionRule {
-    /// A random worker.
+    /// Selects a worker at random.
     Random,
-    /// Each worker in turn.
+    /// Selects the workers in turn.
     RoundRobin,
-    /// The worker with the fewest outstanding requests.
+    /// Selects the worker at which the fewest requests of this scheduler are outstanding.
     LeastOutstanding,
-    /// Of two random workers, the one with fewer outstanding requests.
+    /// Draws two workers at random, and selects the one with fewer outstanding requests of this scheduler.
     TwoChoices,
-    /// The worker with the lowest ratio of outstanding work, including that of the new request, to learned
-    /// speed.
+    /// Selects the worker for which outstanding work divided by learned speed is lowest. The outstanding work
+    /// includes the new request.
     LeastCost,
-    /// The worker with the earliest true finish time; no worker if the request would miss its deadline.
+    /// Selects the worker with the earliest true finish time for the request. Selects no worker if the
+    /// request would miss its deadline.
     EarliestTrueFinish,
-    /// The worker that started last.
+    /// Selects the worker that started last.
     Newest,
 }
 
-/// The state that a baseline keeps of one worker.
+/// What a baseline policy knows of one worker.
 #[derive(Clone, Copy)]
 struct KnownWorker {
     state: WorkerState,
     started_at: Option<Micros>,
-    /// Number of requests that this scheduler has outstanding at the worker.
+    /// Number of this scheduler's requests that are outstanding at the worker.
     outstanding: u32,
-    /// Work of the requests that this scheduler has outstanding at the worker, by their cost hints, in
-    /// core-seconds.
+    /// Work of this scheduler's outstanding requests at the worker, in core-seconds. The work of each request
+    /// is taken from its cost hint.
     outstanding_work: f64,
-    /// Moving average of hinted work divided by running time, as an estimate of the worker's speed.
+    /// Estimate of the worker's speed: the moving average of hinted work divided by running time.
     learned_speed: f64,
 }
 
@@ -71,21 +74,22 @@
     job: IncomingRequest,
     deadline: Micros,
     attempted: Vec<WorkerId>,
-    /// Time at which the last attempt started; until its start is reported, the time at which the attempt was
-    /// sent.
+    /// Time at which the request's last attempt started. Until its start is reported, this is the time at
+    /// which it was sent.
     started_at: Micros,
     is_answered: bool,
 }
 
-/// A textbook dispatch policy with one selection rule.
+/// A textbook dispatch policy, which selects workers by a single rule.
 pub(super) struct Baseline {
     rule: SelectionRule,
     random: RandomStream,
-    /// Whether discovery sends the full endpoint list only to schedulers that have subscribed.
+    /// Whether a scheduler must subscribe to discovery to get the full endpoint list.
     must_subscribe: bool,
     workers: Vec<KnownWorker>,
     ready: Vec<WorkerId>,
-    /// Number of calls of `rotate` so far; each call begins its list one worker later than the previous call.
+    /// Number of calls of `rotate` so far. Each call begins its list of workers one worker later than the
+    /// previous call.
     rotation: usize,
     true_states: Vec<TrueState>,
     open_requests: FxHashMap<RequestId, OpenRequest>,
@@ -106,8 +110,8 @@
     }
 
     fn apply_endpoint_update(&mut self, update: EndpointUpdate<'_>, actions: &mut Vec<Action>) {
-        // A cached list or a failed update means that the scheduler has no subscription: a cached list
-        // arrives when the process has just started, and a failed update arrives when a subscription failed
+        // After a cached list or a failed update, the scheduler has no subscription. A cached list arrives
+        // when the scheduler's process has just started. A failed update arrives when a subscription failed
         // or ended.
         let is_unsubscribed = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
         if self.must_subscribe && is_unsubscribed {
@@ -134,15 +138,15 @@
         self.ready = ready.map(|(index, _)| WorkerId(index as u32)).collect();
     }
 
-    /// Selects, by the policy's rule, one of the ready workers to which the request has not been sent.
+    /// Selects, by the policy's rule, a ready worker to which the request was not yet sent.
     fn select_untried(&mut self, job: &IncomingRequest, attempted: &[WorkerId]) -> Option<WorkerId> {
         if !attempted.is_empty() {
             let untried = self.ready.iter().copied().filter(|worker| !attempted.contains(worker));
             let untried: Vec<WorkerId> = untried.collect();
             return self.select(job, &untried);
         }
-        // The list of ready workers is moved out of `self` while `select` borrows `self` mutably, so that the
-        // list need not be copied for a first attempt.
+        // `select` borrows `self` mutably, so the list of ready workers is moved out of `self` during the
+        // call. The list then need not be copied for the first attempt of a request.
         let ready = std::mem::take(&mut self.ready);
         let selected = self.select(job, &ready);
         self.ready = ready;
@@ -189,8 +193,8 @@
     }
 
     /// Returns the workers in `ready` in rotated order: each call begins one worker later than the previous
-    /// call. On an idle fleet, all workers are equal, and a rule that takes the first of equal workers thus
-    /// selects them in turn.
+    /// call. On an idle fleet, all workers are equal. A rule that takes the first of several equal workers
+    /// then selects them in turn.
     fn rotate<'r>(&mut self, ready: &'r [WorkerId]) -> impl Iterator<Item = WorkerId> + use<'r> {
         self.rotation += 1;
         let first = self.rotation % ready.len();
@@ -248,8 +252,8 @@
 impl KnownWorker {
     fn release(&mut self, job: &IncomingRequest) {
         self.outstanding = self.outstanding.saturating_sub(1);
-        // The outstanding work is reset to exactly zero when no request is outstanding, so that rounding
-        // errors do not accumulate.
+        // The outstanding work is set to exactly zero when no request is outstanding. Otherwise rounding
+        // errors would accumulate in it.
         self.outstanding_work =
             if self.outstanding == 0 { 0.0 } else { self.outstanding_work - hinted_work(job) };
     }
@@ -261,7 +265,7 @@
     }
 }
 
-/// Returns a request's work by its cost hint, in core-seconds.
+/// Returns the work of a request in core-seconds, computed from its cost hint and its number of slots.
 fn hinted_work(job: &IncomingRequest) -> f64 {
     job.cost_hint.unwrap_or(DEFAULT_COST) * job.slots.unwrap_or(1.0)
 }
--- a/crates/testbed/src/policy/broken.rs
+++ b/crates/testbed/src/policy/broken.rs
@@ -1,4 +1,5 @@
-//! Broken policies: the dispatcher with one deliberate defect, used to test that the rule checker finds it.
+//! Deliberately faulty dispatch policies, with which tests show that the rule checker finds violations. Each
+//! one is the dispatcher with one defect.
 use copperspread_dispatcher::{
     Action, AttemptOutcome, DispatchPolicy, Dispatcher, Endpoint, EndpointUpdate, Event, Micros,
     Outcome as AttemptResult, RequestId, WorkerId, WorkerState,
@@ -7,31 +8,33 @@
 
 use super::Policy;
 
-/// Number of served attempts between two requests that get a second final response.
+/// Number of served attempts from one second final response to the next, for the defect `AnswersTwice`.
 const ANSWERS_TWICE_INTERVAL: u64 = 10;
 
-/// The defect that a broken policy adds to the dispatcher.
+/// The deliberate defect of a faulty dispatch policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Defect {
-    /// Some requests get two final responses.
+    /// The defect that some requests get two final responses.
     AnswersTwice,
-    /// Rejections and failures are not sent.
+    /// The defect that rejections and failures are not sent to the client.
     NeverAnswers,
-    /// Attempts that may have run are retried in another zone.
+    /// The defect that attempts that may have run are retried in another zone.
     Resends,
-    /// Draining and removed workers count as ready.
+    /// The defect that draining and removed workers count as ready.
     IgnoresDrains,
 }
 
-/// A dispatcher whose events or actions are changed by a defect.
+/// The dispatcher with a deliberate defect. The defect changes the events that the dispatcher gets or the
+/// actions that it returns.
 pub(super) struct BrokenPolicy {
     dispatcher: Dispatcher,
     defect: Defect,
     endpoints: Vec<Endpoint>,
     served_attempts: u64,
-    /// Workers to which each request was sent.
+    /// For each request, the workers to which it was sent.
     attempted: FxHashMap<RequestId, Vec<WorkerId>>,
-    /// Requests that this policy retried although the dispatcher had ended them as failed and forgotten them.
+    /// Requests that this policy sent again after the dispatcher had ended them as failed. The dispatcher no
+    /// longer knows these requests.
     resent: FxHashSet<RequestId>,
 }
 
@@ -69,8 +72,8 @@
         }
     }
 
-    /// Returns a ready worker in a zone that contains no worker in `attempted`; `None` if there is no such
-    /// worker.
+    /// Returns a ready worker in a zone that contains no worker in `attempted`. Returns `None` if there is no
+    /// such worker.
     fn untried_zone_worker(&self, attempted: &[WorkerId]) -> Option<WorkerId> {
         let is_attempted = |endpoint: &&Endpoint| attempted.contains(&endpoint.worker);
         let zones: Vec<u32> =
@@ -83,8 +86,9 @@
         untried.map(|endpoint| endpoint.worker)
     }
 
-    /// Retries an attempt that may have run. `first_action` is the index of the first action in `actions`
-    /// that belongs to the current event.
+    /// Sends a request again, to a worker in another zone, after an attempt that may have run. If there is no
+    /// such worker, the request fails. `first_action` is the position in `actions` of the current event's
+    /// first action.
     fn resend(&mut self, completed: AttemptOutcome, first_action: usize, actions: &mut Vec<Action>) {
         let id = completed.request;
         let may_have_run = matches!(completed.outcome, AttemptResult::Reset | AttemptResult::Error);
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -1,4 +1,5 @@
-//! Dispatch policies for comparison: the dispatcher, textbook baselines and deliberately broken policies.
+//! The dispatch policies that the testbed can run: the scheduler's dispatcher, textbook policies for
+//! comparison, and deliberately faulty policies that test the rule checker.
 mod baseline;
 mod broken;
 
@@ -10,50 +11,57 @@
 use crate::model::random::RandomStream;
 use crate::model::worker::TrueState;
 
-/// A dispatch policy that runs in one scheduler of a testbed run.
+/// A dispatch policy that runs in one scheduler of the testbed.
 pub trait Policy: DispatchPolicy {
-    /// Returns whether the policy must get the workers' true states before each request.
+    /// Returns whether the policy must be given the true states of the workers before each request.
     fn needs_true_state(&self) -> bool {
         false
     }
 
-    /// Gives the policy the true state of each worker, which a real scheduler cannot know.
+    /// Gives the policy the true state of each worker. A real scheduler cannot know these states.
     fn observe_true_state(&mut self, _states: &[TrueState]) {}
 }
 
 impl Policy for Dispatcher {}
 
-/// The kind of a dispatch policy, whose name is in snake case on the command line, in experiment files and in
-/// results.
-// The serde attribute keeps the type's earlier name in error messages.
+/// The kinds of dispatch policies. The name of a kind is written in snake case on the command line, in
+/// experiment files and in results.
+// The serde attribute keeps `Kind`, the type's earlier name, in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename = "Kind", rename_all = "snake_case", expecting = "enum Kind")]
 pub enum PolicyKind {
-    /// The dispatcher that the scheduler uses.
+    /// The dispatcher that a real scheduler uses.
     Copperspread,
-    /// Selects a ready worker at random.
+    /// A policy that selects a ready worker at random.
     Random,
-    /// Selects the ready workers in turn.
+    /// A policy that selects the ready workers in turn.
     RoundRobin,
-    /// Selects the worker with the fewest outstanding requests of this scheduler.
+    /// A policy that selects the worker at which the fewest requests of this scheduler are outstanding.
     LeastOutstanding,
-    /// Selects two workers at random, and of these the one with fewer outstanding requests of this scheduler.
+    /// A policy that draws two workers at random, and selects the one with fewer outstanding requests of this
+    /// scheduler.
     TwoChoices,
-    /// Selects the worker with the least outstanding work of this scheduler by cost hints, divided by the
-    /// worker's learned speed. It rejects a request only if no untried worker is ready.
+    /// A policy that divides the work of this scheduler's outstanding requests at a worker by the worker's
+    /// learned speed, and selects the worker with the lowest result. The work of a request is taken from its
+    /// cost hint. The policy rejects a request only if it has been sent to all ready workers.
     LeastCost,
-    /// Selects the worker with the earliest true finish time, and rejects requests that would miss their
-    /// deadline.
+    /// A policy that knows the true states of the workers, and selects the worker that would finish a request
+    /// first. It rejects a request that would miss its deadline.
     Oracle,
-    /// Broken: the dispatcher, but some requests get two final responses.
+    /// A deliberately faulty policy that tests the rule checker: the dispatcher, but some requests get two
+    /// final responses.
     AnswersTwice,
-    /// Broken: the dispatcher, but some requests get no final response.
+    /// A deliberately faulty policy that tests the rule checker: the dispatcher, but some requests get no
+    /// final response.
     NeverAnswers,
-    /// Broken: the dispatcher, but attempts that may have run are retried in another zone.
+    /// A deliberately faulty policy that tests the rule checker: the dispatcher, but attempts that may have
+    /// run are retried in another zone.
     Resends,
-    /// Broken: the dispatcher, but draining and removed workers count as ready.
+    /// A deliberately faulty policy that tests the rule checker: the dispatcher, but draining and removed
+    /// workers count as ready.
     IgnoresDrains,
-    /// Broken: every request goes to the worker that started last.
+    /// A deliberately faulty policy that tests the rule checker: every request goes to the worker that
+    /// started last.
     #[serde(rename = "floods_the_new")]
     NewestWorker,
 }
@@ -70,16 +78,16 @@
         PolicyKind::Oracle,
     ];
 
-    /// Returns the policy's name as written on the command line, in experiment files and in results.
+    /// Returns the policy's name as it is written on the command line, in experiment files and in results.
     pub fn name(self) -> String {
         serde_json::to_value(self).ok().and_then(|name| name.as_str().map(str::to_owned)).unwrap_or_default()
     }
 
-    /// Builds the policy for one scheduler. The dispatcher draws its random numbers from `seed`, baselines
-    /// from `random`.
+    /// Builds the policy for one scheduler. The dispatcher draws its random numbers from a generator with the
+    /// seed `seed`. Baseline policies draw theirs from `random`.
     ///
     /// # Errors
-    /// Fails if the dispatcher does not accept the settings.
+    /// Fails if the dispatcher does not accept `settings`.
     pub fn build(
         self,
         settings: Settings,
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,10 +1,10 @@
-//! A relay that forwards requests to workers in round-robin order, as the baseline for the CPU cost of a
-//! scheduler.
+//! A relay, with which the CPU cost of a scheduler is compared. It forwards requests to workers in
+//! round-robin order.
 //!
-//! It exchanges the same messages as a scheduler, with the same HTTP libraries (hyper and axum), but has no
-//! dispatch policy: each request goes to the next worker, and the response is the result in the worker's
-//! callback, or status 500 if the worker does not accept the request. CPU time that a scheduler uses beyond
-//! the relay's is spent on dispatch decisions, deadlines and retry rules.
+//! The relay exchanges the same messages as a scheduler and uses the same HTTP libraries (hyper and axum),
+//! but it has no dispatch policy. Each request goes to the next worker. The response is the result in the
+//! worker's callback, or status 500 if the worker does not accept the request. The CPU time that a scheduler
+//! uses beyond the relay's is spent on dispatch decisions, deadlines and retry rules.
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -31,7 +31,8 @@
     workers: Vec<Authority>,
     next_worker: AtomicUsize,
     client: HttpClient,
-    /// Requests that wait for the callback of their worker, by the id in `x-request-id`.
+    /// The requests that wait for the callback of their worker. The key is the request's id in the header
+    /// `x-request-id`.
     pending: Mutex<HashMap<String, oneshot::Sender<Bytes>>>,
 }
 
@@ -64,8 +65,9 @@
         self.workers[turn % self.workers.len()].clone()
     }
 
-    /// Sends a request to a worker and waits for its callback; `None` if the request is invalid, cannot be
-    /// sent or is not accepted by the worker. Callbacks with a state other than `done` are ignored.
+    /// Sends a request to a worker, waits for the worker's callback and returns the result. Returns `None` if
+    /// the request is invalid, cannot be sent or is not accepted by the worker. Callbacks with a state other
+    /// than `done` are ignored.
     async fn forward(&self, request: Request) -> Option<Bytes> {
         let (head, body) = request.into_parts();
         let body = Limited::new(body, MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
@@ -96,8 +98,8 @@
     if callback.state == "done"
         && let Some(result_sender) = relay.lock_pending().remove(&callback.id)
     {
-        // The error is ignored: sending fails if the client has disconnected, and then nobody needs the
-        // result.
+        // Sending fails if the client has disconnected. The error is ignored, because nobody needs the result
+        // then.
         let _ = result_sender.send(callback.result.into());
     }
     StatusCode::NO_CONTENT
@@ -111,7 +113,7 @@
         .with_state(Arc::new(relay))
 }
 
-/// Returns the addresses of the workers in the configuration's cached endpoint list.
+/// Returns the addresses of the workers in the cached endpoint list of the relay's configuration.
 fn cached_workers(config: &mut StartupConfig) -> Result<Vec<Authority>, ServeError> {
     let list = config.cached_endpoints.take().ok_or(ServeError::NoEndpointList)?;
     let workers: Vec<Authority> = list.endpoints.into_iter().map(|endpoint| endpoint.address).collect();
@@ -121,8 +123,8 @@
     Ok(workers)
 }
 
-/// Serves the relay until SIGTERM. The environment variable `EDGE_CONFIG` names its configuration file, whose
-/// cached endpoint list has the workers.
+/// Runs the relay until SIGTERM. The environment variable `EDGE_CONFIG` contains the path of the relay's
+/// configuration file. The relay uses the workers of the cached endpoint list in this file.
 ///
 /// # Errors
 /// Fails if the configuration cannot be read or has no workers, or if the relay cannot listen on its address.
--- a/crates/testbed/src/report/capacity.rs
+++ b/crates/testbed/src/report/capacity.rs
@@ -1,4 +1,4 @@
-//! The chart of the work that each worker did, compared with its capacity.
+//! The chart that compares the work of each worker with the worker's capacity.
 use std::ops::Range;
 
 use plotters::chart::ChartBuilder;
@@ -13,19 +13,19 @@
 
 const CAPACITY_COLOUR: RGBColor = RGBColor(205, 205, 205);
 const DONE_COLOUR: RGBColor = COLOURS[2];
-/// Largest number of bars in a chart that has gaps between its bars.
+/// Largest number of bars that a chart shows with gaps between them. With more bars, the chart has no gaps.
 const MAX_BARS_WITH_GAP: usize = 150;
 
-/// The bar of one worker. Its values are means over runs, in core-seconds.
+/// The bar of one worker in the chart. `capacity` and `done` are means over the runs, in core-seconds.
 struct Bar {
     zone: u32,
     capacity: f64,
     done: f64,
 }
 
-/// Draws the completed work and the capacity of each worker as SVG, ordered by zone and group. Both values
-/// are means over the variant's runs. The capacity is the work that the worker could complete if it were up
-/// and past its slow start during the whole run. The result is empty if the first run has no workers.
+/// Draws an SVG chart of the completed work and the capacity of each worker, ordered by zone and group. Both
+/// values are means over the runs of `variant`. The capacity is the work that the worker could complete if it
+/// were up and past its slow start during the whole run. The result is empty if the first run has no workers.
 pub(super) fn capacity_chart(variant: &VariantResult) -> Result<String, ReportError> {
     let Some(run) = variant.runs.first().filter(|run| !run.workers.is_empty()) else {
         return Ok(String::new());
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// Returns one range per zone: the indexes of the zone's bars. `bars` must be sorted by zone.
+/// Returns a range for each zone, with the indexes of the zone's bars. `bars` must be sorted by zone.
 fn zone_ranges(bars: &[Bar]) -> Vec<Range<usize>> {
     let mut ranges = Vec::new();
     let mut start = 0;
@@ -85,7 +85,7 @@
     ranges
 }
 
-/// Draws the name of a zone below its bars, and a line between this zone and the next zone.
+/// Writes the name of a zone below the zone's bars, and draws a line between this zone and the next zone.
 fn draw_zone(
     area: &Area<'_>,
     chart: &mut Chart<'_, '_>,
--- a/crates/testbed/src/report/chart.rs
+++ b/crates/testbed/src/report/chart.rs
@@ -1,4 +1,4 @@
-//! Common parts of all charts: size, colours, legend, time axis and the SVG document.
+//! Parts that all charts share: size, colours, legend, time axis and the SVG document.
 use plotters::chart::{ChartBuilder, ChartContext};
 use plotters::coord::Shift;
 use plotters::coord::cartesian::Cartesian2d;
@@ -11,8 +11,8 @@
 use super::ReportError;
 use crate::scenario::Scenario;
 
-/// The palette of Okabe and Ito, which readers with a colour vision deficiency can tell apart. Lines also
-/// differ by their dashes, for print without colours.
+/// The colours of the charts, which are the palette of Okabe and Ito. Readers with a colour vision deficiency
+/// can tell these colours apart. Lines also differ by their dashes, for print without colours.
 pub(super) const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 0, 0),
     RGBColor(213, 94, 0),
@@ -26,19 +26,19 @@
 pub(super) const SIZE: (u32, u32) = (940, 300);
 /// Width of a chart's legend, in pixels.
 pub(super) const LEGEND_WIDTH: u32 = 168;
-/// Font of all text: family, and size in pixels.
+/// Font of all text in charts: the font family, and the size in pixels.
 pub(super) const FONT: (&str, i32) = ("sans-serif", 13);
 
-/// The points of a line, as pairs of x and y.
+/// The points of a line in a chart, as pairs of x and y.
 pub(super) type Points = Vec<(f64, f64)>;
 
-/// The drawing area of an SVG document.
+/// The drawing area of an SVG document of the plotters library.
 pub(super) type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
 /// A chart with two linear axes.
 pub(super) type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// The dash pattern of a line, in pixels.
+/// The dash pattern of a line.
 #[derive(Clone, Copy)]
 pub(super) struct Dashes {
     /// Length of a dash, in pixels.
@@ -47,11 +47,11 @@
     pub gap: u32,
 }
 
-/// An entry of the legend.
+/// An entry in the legend of a chart.
 pub(super) struct LegendEntry {
     pub name: String,
     pub style: ShapeStyle,
-    /// The dash pattern of a line; `None` for an area.
+    /// The dash pattern of the line that the entry explains. `None` if the entry explains a filled area.
     pub dashes: Option<Dashes>,
 }
 
@@ -62,8 +62,8 @@
     }
 }
 
-/// Renders an SVG document of the given width and height in pixels, with what `draw` draws on a white
-/// background.
+/// Renders an SVG document with a white background, on which `draw` draws. `size` is the width and height of
+/// the document, in pixels.
 pub(super) fn render_svg(
     size: (u32, u32),
     draw: impl FnOnce(&Area<'_>) -> Result<(), ReportError>,
@@ -78,8 +78,8 @@
     Ok(svg)
 }
 
-/// Draws the legend in the right margin. The legend of the plotters library is not used, because it is drawn
-/// inside the chart and would cover lines.
+/// Draws a chart's legend in the right margin of the chart. The legend of the plotters library is not used,
+/// because it lies inside the chart and would cover lines.
 pub(super) fn draw_legend(
     area: &Area<'_>,
     entries: impl IntoIterator<Item = LegendEntry>,
@@ -97,8 +97,8 @@
     Ok(())
 }
 
-/// Renders a chart over the duration of a scenario. The faults are grey bands, and `draw` draws over them.
-/// `low` and `high` are the bounds of the y axis.
+/// Renders a chart whose x axis is the time of a scenario. Each fault of the scenario is a grey band, and
+/// `draw` draws over these bands. `low` and `high` are the bounds of the y axis.
 pub(super) fn chart_over_time(
     scenario: &Scenario,
     low: f64,
@@ -106,7 +106,7 @@
     draw: impl FnOnce(&mut Chart<'_, '_>) -> Result<Vec<LegendEntry>, ReportError>,
 ) -> Result<String, ReportError> {
     render_svg(SIZE, |area| {
-        // The legend is in the right margin, where it covers no line of the chart.
+        // The right margin is kept free for the legend. Inside the chart, the legend would cover lines.
         let mut builder = ChartBuilder::on(area);
         builder.margin(8).margin_right(LEGEND_WIDTH).x_label_area_size(34).y_label_area_size(48);
         let mut chart = builder.build_cartesian_2d(0.0..scenario.duration_s, low..high)?;
--- a/crates/testbed/src/report/differences.rs
+++ b/crates/testbed/src/report/differences.rs
@@ -1,5 +1,6 @@
-//! The chart of the differences in score between the first variant and each other variant. The score of a run
-//! is the share of priority weight served in time, less the cost of load queries.
+//! The chart of the differences in score between the first variant and each other variant. A variant is a
+//! policy, or an alternative of an experiment. The score of a run is the share of the jobs' priority weight
+//! that was served in time, minus the cost of load queries.
 use plotters::chart::ChartBuilder;
 use plotters::element::{Circle, Text};
 use plotters::series::LineSeries;
@@ -9,16 +10,16 @@
 use super::chart::{Area, COLOURS, Chart, FONT, SIZE, render_svg};
 use crate::compare::{PairedDifference, VariantResult};
 
-/// Height of the row of a variant, in pixels.
+/// Height of the chart's row for one variant, in pixels.
 const ROW_HEIGHT: u32 = 26;
-/// Height of the axis and the margins, in pixels.
+/// Height that the axis and the margins of the chart take together, in pixels.
 const AXIS_AND_MARGINS_HEIGHT: u32 = 52;
-/// Width of the column with the names of the variants, in pixels.
+/// Width of the chart's column with the names of the variants, in pixels.
 const NAME_COLUMN_WIDTH: u32 = 200;
 
-/// Draws the mean score of the first variant minus that of each other variant as SVG, with the 95% interval
-/// of the difference. The result is empty if no variant has enough pairs of runs with the same seed for an
-/// interval.
+/// Draws an SVG chart of the mean score of the first variant minus that of each other variant. The chart also
+/// shows the 95% confidence interval of each difference. The result is empty if no variant has enough pairs
+/// of runs with the same seed for an interval.
 pub(super) fn differences_chart(variants: &[VariantResult]) -> Result<String, ReportError> {
     let differences: Vec<(&str, PairedDifference)> = variants
         .iter()
@@ -61,7 +62,8 @@
     let colour = COLOURS[2];
     let [low, high] = difference.interval;
     chart.draw_series(LineSeries::new([(low, y), (high, y)], colour.stroke_width(3)))?;
-    // The circle is hollow if the interval includes zero, which also shows in print without colours.
+    // The circle is hollow if the interval includes zero. Hollow and filled circles also differ in print
+    // without colours.
     let fill = if difference.excludes_zero() { colour.filled() } else { WHITE.filled() };
     chart.draw_series([Circle::new((difference.mean, y), 5, fill)])?;
     chart.draw_series([Circle::new((difference.mean, y), 5, colour.stroke_width(2))])?;
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -13,20 +13,21 @@
 
 const TEMPLATE_NAME: &str = "report.html";
 
-/// An error while a report is rendered. It indicates a bug in this program, not invalid input.
+/// An error that occurs while a report is rendered. It indicates a bug in this program, not invalid input.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ReportError {
-    /// A chart could not be drawn.
+    /// A chart of the report could not be drawn.
     #[error(transparent)]
     Chart(#[from] DrawingAreaErrorKind<std::io::Error>),
-    /// The template could not be rendered.
+    /// The template of the report could not be rendered.
     #[error(transparent)]
     Template(#[from] minijinja::Error),
 }
 
-/// Renders an HTML page with the results of scenarios. For each scenario, the first of the compared variants
-/// (policies, or the alternatives of an experiment) is shown in detail.
+/// Renders an HTML page with the results of a comparison. The page has a section for each scenario. The
+/// section shows the first of the compared variants in detail. A variant is a policy, or an alternative of an
+/// experiment.
 ///
 /// # Errors
 /// Fails if a chart or the template cannot be rendered.
@@ -49,8 +50,8 @@
 ) -> Result<Value, ReportError> {
     let mean_jobs = first.runs.iter().map(|run| run.jobs).sum::<u64>() / first.runs.len().max(1) as u64;
     let rows: Vec<Value> = variants.iter().map(variant_row).collect();
-    // The table of classes shows only the run with the first seed, because the latency quantiles of several
-    // runs cannot be combined.
+    // The table of classes shows only the run with the first seed. The latency quantiles of several runs
+    // cannot be combined.
     let classes: Vec<Value> =
         first.runs.first().map_or_else(Vec::new, |run| run.classes.iter().map(class_row).collect());
     let faults: Vec<String> = scenario.faults.iter().map(describe_fault).collect();
@@ -94,8 +95,8 @@
     }
 }
 
-/// Returns the shares of priority weight that a variant serves in time, by the zone of the clients and the
-/// request class.
+/// Returns a table row for each zone of the clients. The row contains, for each class, the share of the jobs'
+/// priority weight that the variant served in time.
 fn zone_rows(scenario: &Scenario, variant: &VariantResult) -> Vec<Value> {
     let row = |zone: usize| {
         let shares: Vec<String> = (0..scenario.classes.len())
@@ -106,8 +107,8 @@
     (0..scenario.zones as usize).map(row).collect()
 }
 
-/// Returns the share of priority weight served in time, for one zone and class over all runs; `None` if the
-/// zone had no jobs of the class.
+/// Returns the share of the jobs' priority weight that was served in time, for one zone and one class. The
+/// share covers all runs of the variant. Returns `None` if the zone had no jobs of the class.
 fn zone_share(variant: &VariantResult, zone: usize, class: usize) -> Option<f64> {
     let weights = variant.runs.iter().filter_map(|run| run.zones.get(zone)?.get(class));
     let (requested, in_time) = weights.fold((0.0, 0.0), |(requested, in_time), weight| {
--- a/crates/testbed/src/report/over_time.rs
+++ b/crates/testbed/src/report/over_time.rs
@@ -1,5 +1,5 @@
-//! The charts over the duration of a scenario: the share of priority weight served in time, and the priority
-//! weight by outcome of the jobs.
+//! The charts that have time as x axis. One shows the share of the jobs' priority weight that was served in
+//! time, the other the priority weight of the jobs by outcome.
 use plotters::series::{AreaSeries, DashedLineSeries};
 use plotters::style::{Color, RGBColor};
 
@@ -9,9 +9,9 @@
 use crate::outcome::WeightTotals;
 use crate::scenario::Scenario;
 
-/// Length of the window over which values are averaged, in seconds.
+/// Length of the window over which the values of the charts are averaged, in seconds.
 const SMOOTHING_WINDOW_S: usize = 3;
-/// The dash patterns of the lines, in the order of the variants.
+/// The dash patterns of the lines. The line of the first variant has the first pattern, and so on.
 const LINE_DASHES: [Dashes; 6] = [
     Dashes { length: 1_000, gap: 0 },
     Dashes { length: 8, gap: 3 },
@@ -21,7 +21,8 @@
     Dashes { length: 2, gap: 5 },
 ];
 
-/// Draws the share of priority weight that each variant serves in time as SVG.
+/// Draws an SVG chart with a line for each variant: the share of the jobs' priority weight that the variant
+/// served in time.
 pub(super) fn in_time_chart(scenario: &Scenario, variants: &[VariantResult]) -> Result<String, ReportError> {
     let lines: Vec<(&str, Points)> = variants
         .iter()
@@ -31,7 +32,7 @@
         })
         .collect();
     let lowest = lines.iter().flat_map(|(_, points)| points).map(|point| point.1).fold(1.0, f64::min);
-    // The axis starts at the next tenth below the lowest share, so that small differences are visible.
+    // The y axis starts at the lowest share, rounded down to a tenth, so that small differences are visible.
     let floor = ((lowest * 10.0).floor() / 10.0).clamp(0.0, 0.9);
     chart_over_time(scenario, floor, 1.0, |chart| {
         let mut entries = Vec::new();
@@ -47,15 +48,16 @@
     })
 }
 
-/// A band of a stacked chart, drawn from zero to `top`. The bands after it are drawn over its lower part.
+/// A coloured band of a stacked chart. The band is drawn from zero to `top`, and the bands drawn after it
+/// cover its lower part.
 struct Band {
     name: &'static str,
     top: fn(&WeightTotals) -> f64,
     colour: RGBColor,
 }
 
-/// The bands in drawing order, from the highest to the lowest, because each band covers the lower part of the
-/// band drawn before.
+/// The bands of the chart by outcome, in the order in which they are drawn. The highest band is drawn first,
+/// because each band covers the lower part of the bands drawn before it.
 const BANDS: [Band; 5] = [
     Band {
         name: "lost",
@@ -76,7 +78,7 @@
     Band { name: "in time", top: |weight| weight.in_time, colour: RGBColor(150, 200, 235) },
 ];
 
-/// Draws the priority weight of a variant's jobs as SVG, by outcome of the jobs.
+/// Draws an SVG chart of the priority weight of a variant's jobs, with a band for each outcome of the jobs.
 pub(super) fn outcomes_chart(scenario: &Scenario, variant: &VariantResult) -> Result<String, ReportError> {
     let seconds = mean_seconds(variant, scenario);
     let requested = smoothed(&seconds, |weight| weight.requested);
@@ -91,7 +93,8 @@
     })
 }
 
-/// The priority weight of each second of the scenario, as the mean over all runs of a variant.
+/// Returns the priority weight of the jobs that arrived in each second of the scenario, by outcome. Each
+/// value is the mean over all runs of the variant.
 fn mean_seconds(variant: &VariantResult, scenario: &Scenario) -> Vec<WeightTotals> {
     let runs = variant.runs.len().max(1) as f64;
     let mut sums = vec![WeightTotals::default(); scenario.duration_s.ceil() as usize];
@@ -108,8 +111,9 @@
     sums
 }
 
-/// Returns a value for each second, computed from the mean weights of a window of [`SMOOTHING_WINDOW_S`]
-/// around that second. The window is cut off at both ends of the scenario.
+/// Returns a point for each second of the scenario. `value` computes the point's y value from the weights,
+/// averaged over a window of [`SMOOTHING_WINDOW_S`] seconds around that second. At the start and the end of
+/// the scenario, the window is shorter.
 fn smoothed(seconds: &[WeightTotals], value: impl Fn(&WeightTotals) -> f64) -> Points {
     let half_window = SMOOTHING_WINDOW_S / 2;
     let window = |second: usize| {
--- a/crates/testbed/src/rule_checker/dispatches.rs
+++ b/crates/testbed/src/rule_checker/dispatches.rs
@@ -1,5 +1,5 @@
-//! Rules for dispatches: schedulers send no attempts to draining workers, and to a worker in slow start no
-//! more load than its slow-start budget allows.
+//! Two rules for dispatches. Schedulers send no attempts to draining workers. To a worker in slow start, they
+//! send no more load than its slow-start budget allows.
 use std::collections::VecDeque;
 
 use copperspread_dispatcher::{Micros, SECOND, WorkerId};
@@ -9,22 +9,22 @@
 use super::{DRAIN_GRACE, TIMING_GRACE};
 use crate::model::scheduler_id::SchedulerId;
 
-/// The load that all schedulers together may send to a worker in slow start.
+/// The slow-start budget: how much load all schedulers together may send to a worker in slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartBudget {
-    /// Fraction of its full capacity that a worker has at its start.
+    /// Share of its full capacity that a worker has at its start, from 0 to 1.
     pub initial_capacity: f64,
-    /// Time from the start of a worker until the worker has its full capacity.
+    /// Time from the start of a worker until it has its full capacity, in microseconds.
     pub duration: Micros,
-    /// Multiple of a worker's current capacity up to which load may be sent to the worker.
+    /// Schedulers may send a worker load up to this multiple of its current capacity.
     pub overload_multiple: f64,
-    /// Length of the sliding window over which the load sent to a worker is summed.
+    /// Length of the sliding window over which the load sent to a worker is summed, in microseconds.
     pub overload_window: Micros,
 }
 
 impl SlowStartBudget {
-    /// Returns the core-seconds of work that may be sent within the overload window to a worker of this full
-    /// capacity and age. The age is the time since the worker's start.
+    /// Returns the work, in core-seconds, that schedulers may send to a worker within one overload window.
+    /// `capacity` is the worker's full capacity, and `age` is the time since the worker's start.
     fn core_seconds(&self, capacity: f64, age: Micros) -> f64 {
         let capacity_fraction =
             self.initial_capacity + (1.0 - self.initial_capacity) * age as f64 / self.duration as f64;
@@ -32,9 +32,9 @@
     }
 }
 
-/// Checks that no scheduler sends attempts to a worker later than [`DRAIN_GRACE`] after the scheduler learned
-/// that the worker drains or was removed. The time of this notification is stored for each scheduler and
-/// worker.
+/// Checks that no scheduler sends attempts to a worker that drains or was removed. A scheduler may still send
+/// attempts for [`DRAIN_GRACE`] after it is notified of the drain or removal. The time of this notification
+/// is stored for each scheduler and worker.
 #[derive(Default)]
 pub(super) struct DrainRule {
     unavailable_since: FxHashMap<SchedulerAndWorker, Micros>,
@@ -84,13 +84,14 @@
 struct SlowStartWorker {
     started_at: Micros,
     capacity: f64,
-    /// Send time and core-seconds of each attempt that was sent to the worker within the overload window.
+    /// For each attempt that was sent to the worker within the overload window: the time of sending, and the
+    /// work of the attempt in core-seconds.
     sent: VecDeque<(Micros, f64)>,
     is_violated: bool,
 }
 
-/// Checks that schedulers send no more load to a worker in slow start than its slow-start budget allows. The
-/// workers in slow start and the load sent to each are stored.
+/// Checks that schedulers send no more load to a worker in slow start than its slow-start budget allows.
+/// Stores the workers in slow start, and the load that was sent to each.
 pub(super) struct SlowStartRule {
     budget: Option<SlowStartBudget>,
     workers: FxHashMap<WorkerId, SlowStartWorker>,
@@ -126,8 +127,8 @@
         }
         let allowed = budget.core_seconds(state.capacity, age);
         let sent: f64 = state.sent.iter().map(|&(_, core_seconds)| core_seconds).sum();
-        // A violation is recorded only once per start of a worker, because the attempts after it belong to
-        // the same overload.
+        // At most one violation is recorded for each start of a worker. The attempts that follow a violation
+        // belong to the same overload.
         if sent > allowed && !state.is_violated {
             state.is_violated = true;
             violations.record(Rule::WithinSlowStartBudget, now, || {
--- a/crates/testbed/src/rule_checker/executions.rs
+++ b/crates/testbed/src/rule_checker/executions.rs
@@ -1,4 +1,4 @@
-//! Rules for executions: how often a job may run, over all attempts and retries.
+//! Rules for executions: how often workers may run a job, over all its attempts and retries.
 use copperspread_dispatcher::{Idempotency, KeyScope, Micros};
 use rustc_hash::FxHashMap;
 
@@ -8,23 +8,24 @@
 /// An attempt that a worker accepted and that may therefore have run.
 #[derive(Clone, Copy)]
 pub(super) struct AcceptedAttempt {
-    /// ID by which the attempt is removed if its worker returns it unstarted.
+    /// ID of the attempt, by which it is removed if its worker returns it without starting it.
     pub attempt: u64,
-    /// Deduplication group of the worker (see `model::idempotency_keys`).
+    /// Number of the deduplication group of the attempt's worker (see `model::idempotency_keys`).
     pub group: u32,
-    /// Time at which the scheduler sent the attempt.
+    /// Time at which a scheduler sent the attempt, in microseconds.
     pub sent_at: Micros,
 }
 
 #[derive(Default)]
 struct JobExecutions {
-    /// Number of starts of a non-idempotent job.
+    /// Number of times that workers started the job. Counted only for a non-idempotent job.
     starts: u32,
     accepted: Vec<AcceptedAttempt>,
 }
 
-/// Checks that a non-idempotent job runs at most once, and that a job with an idempotency key is repeated
-/// only where workers drop duplicates. The executions of each client's job over all its retries are stored.
+/// Checks that a non-idempotent job runs at most once. Also checks that a job with an idempotency key is
+/// repeated only where workers drop duplicates. The executions of each client's job are stored, over all its
+/// retries.
 #[derive(Default)]
 pub(super) struct ExecutionRules {
     jobs: FxHashMap<u64, JobExecutions>,
@@ -35,7 +36,7 @@
         self.jobs.remove(&job);
     }
 
-    /// Removes an attempt that was returned unstarted, because the attempt never ran.
+    /// Removes an accepted attempt that its worker returned without starting it. Such an attempt never ran.
     pub(super) fn attempt_returned(&mut self, job: u64, attempt: u64) {
         if let Some(executions) = self.jobs.get_mut(&job) {
             executions.accepted.retain(|accepted| accepted.attempt != attempt);
@@ -59,9 +60,9 @@
         }
     }
 
-    /// Checks that a repeated attempt goes to the deduplication group of the first attempt, and is sent
-    /// within the key's window after the first attempt was sent. Workers drop duplicates only in that group
-    /// and window.
+    /// Checks the repeated attempts of a job with an idempotency key. A repeated attempt must go to the
+    /// deduplication group of the first attempt. It must be sent within the key's window after the first
+    /// attempt was sent. Workers drop duplicates only in that group and window.
     pub(super) fn check_keyed_within_scope(
         &mut self,
         now: Micros,
--- a/crates/testbed/src/rule_checker/responses.rs
+++ b/crates/testbed/src/rule_checker/responses.rs
@@ -1,35 +1,35 @@
-//! Rules for final responses: each request gets a single response, with a genuine result, before the
-//! deadline.
+//! Rules for final responses. Each request gets a single final response before its deadline. A served
+//! response contains a result that a worker produced.
 use copperspread_dispatcher::{Micros, RequestId};
 use rustc_hash::FxHashMap;
 
 use super::violations::{Rule, Violations};
 
-/// The response that a client observed.
+/// What a client observed as the response to its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientResponse {
-    /// A result that a worker may have produced.
+    /// The client received a result that a worker may have produced.
     Served,
-    /// A response that is not a result of this request.
+    /// The client received something that is not a result of its request.
     Forged,
-    /// A rejection or a failure.
+    /// The client received a rejection or a failure.
     Unserved,
-    /// A broken connection, which ends the wait without a response.
+    /// The client's connection broke. The client then waits no longer and has no response.
     ConnectionBroken,
 }
 
-/// What was observed of the responses and results of a request that is not finished.
+/// What was observed of a request that is not finished: its deadline, its responses and its result.
 struct RequestState {
     deadline: Micros,
     responses: u32,
-    /// Whether a scheduler has sent the final response.
+    /// Whether a scheduler has sent the final response to the request.
     is_response_sent: bool,
-    /// Whether a worker has produced a result.
+    /// Whether a worker has produced a result of the request.
     is_result_made: bool,
 }
 
-/// Checks that each request gets a single final response before its deadline, and that a served response has
-/// a result that a worker produced. The state of each unfinished request is stored.
+/// Checks that each request gets a single final response before its deadline. Also checks that a served
+/// response has a result that a worker produced. The state of each unfinished request is stored.
 #[derive(Default)]
 pub(super) struct ResponseRules {
     requests: FxHashMap<RequestId, RequestState>,
@@ -70,9 +70,9 @@
         check_genuine_result(state, now, request, response, violations);
     }
 
-    /// Checks, when the client stops waiting after its deadline, that a response was received or at least
-    /// sent. A response that is still on its way, for example because of a retransmission, is not a
-    /// violation.
+    /// Checks that the response to a request was received, or at least sent, when the client stops waiting
+    /// after its deadline. A response that was sent and is still on its way is not a violation. A
+    /// retransmission, for example, can delay it.
     pub(super) fn check_response_before_deadline(
         &self,
         now: Micros,
