--- a/crates/testbed/src/scenario/checks.rs
+++ b/crates/testbed/src/scenario/checks.rs
@@ -1,14 +1,15 @@
-//! Validates the values of a scenario and reports the first invalid one.
+//! Checks the values of a scenario, and reports the first invalid value.
 use super::{ClientSkew, Fault, FaultKind, JobClass, RetryTiming, Scenario, WorkerGroup};
 
 /// Errors in a scenario. Each message names the key whose value is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum ScenarioError {
-    /// The text is not valid TOML or does not match the scenario format; the parser gives line and key.
+    /// The text is not valid TOML or does not match the scenario format. The parser's message gives the line
+    /// and the key.
     #[error("{}", .0.to_string().trim_end())]
     InvalidToml(toml::de::Error),
-    /// A value that must be positive is zero, negative or not finite.
+    /// A value that must be above 0 is zero, negative or not finite.
     #[error("{key}: {value} is not over 0")]
     NotPositive {
         /// TOML key of the invalid value.
@@ -16,7 +17,7 @@
         /// The invalid value, as given in the scenario.
         value: f64,
     },
-    /// A value that must be zero or more is negative or not finite.
+    /// A value that must not be below 0 is negative or not finite.
     #[error("{key}: {value} is not 0 or more")]
     Negative {
         /// TOML key of the invalid value.
@@ -24,66 +25,68 @@
         /// The invalid value, as given in the scenario.
         value: f64,
     },
-    /// The interval at which the worker sizes in the endpoint list are refreshed, in seconds, is neither 0
-    /// nor between 0.05 and 3600.
+    /// The interval `discovery.sizes` is neither 0 nor between 0.05 and 3600 seconds. At this interval, the
+    /// sizes of workers in the endpoint list are refreshed.
     #[error("discovery.sizes: {0} is neither 0 nor between 0.05 and 3600")]
     SizeIntervalOutOfRange(f64),
     /// The number of cells in each zone is 0.
     #[error("cells: at least one in each zone")]
     NoCells,
-    /// The scenario has no zone, scheduler, worker group or class.
+    /// The scenario has no zone, no scheduler, no worker group or no class.
     #[error("zones, schedulers, workers and classes: at least one of each")]
     Empty,
-    /// The number of schedulers that get more clients than the others (`clients.crowded.schedulers`) is 0, or
-    /// not below the number of all schedulers.
+    /// The value of `clients.crowded.schedulers` is 0, or not below the number of all schedulers. It is the
+    /// number of schedulers that get more clients than the others.
     #[error("clients.crowded.schedulers: {0} is not some of them")]
     SkewedSchedulers(u32),
-    /// The lowest speed of a worker group is above its highest.
+    /// The lowest speed of a worker group is above the group's highest speed.
     #[error("workers of kind {kind:?}: speed: {speed:?} is no range")]
     InvalidSpeedRange {
-        /// Kind of the worker group.
+        /// Kind of the worker group with the invalid speeds.
         kind: String,
-        /// The lowest and highest speed, as given.
+        /// Lowest and highest speed of the worker group, as given in the scenario.
         speed: [f64; 2],
     },
-    /// A class has both `wide` and `slots`, two ways to set the slots of its jobs.
+    /// A class has both `wide` and `slots`. Both keys set the number of slots of the class's jobs, so only
+    /// one of them may be used.
     #[error("class {class:?}: wide and slots say the same thing; one of them")]
     SlotsGivenTwice {
         /// Name of the class that has both keys.
         class: String,
     },
-    /// The jobs of the trace are not sorted by arrival time.
+    /// The jobs of the recorded trace `clients.trace` are not sorted by arrival time.
     #[error("clients.trace: not in the order of its instants")]
     UnorderedTrace,
-    /// A job of the trace has an unknown class or an invalid value.
+    /// A job of the recorded trace `clients.trace` has an unknown class or an invalid value.
     #[error("clients.trace[{index}]: no such class, or a figure that is none")]
     InvalidTraceJob {
-        /// Index of the job in the trace.
+        /// Index of the invalid job in `clients.trace`.
         index: usize,
     },
-    /// A link between two zones has an unknown zone, or an invalid delay or loss.
+    /// A link between two zones names an unknown zone, or has an invalid delay or loss.
     #[error("network.pairs[{index}]: no such zone, or a figure that is none")]
     InvalidZoneLink {
-        /// Index of the link in `network.pairs`.
+        /// Index of the invalid link in `network.pairs`.
         index: usize,
     },
-    /// A fault refers to an unknown class or zone.
+    /// A fault names a class or a zone that the scenario does not have.
     #[error("faults[{index}]: no such class or zone")]
     UnknownFaultTarget {
-        /// Index of the fault in the scenario.
+        /// Index of the fault in the scenario's list of faults.
         index: usize,
     },
-    /// A fault's share of affected targets or of affected attempts is not between 0 and 1.
+    /// The share of targets that a fault affects, or of attempts that it affects, is not between 0 and 1.
     #[error("faults[{index}]: a share of {share} is not between 0 and 1")]
     ShareOutOfRange {
-        /// Index of the fault in the scenario.
+        /// Index of the fault in the scenario's list of faults.
         index: usize,
         /// The invalid share, as given in the scenario.
         share: f64,
     },
 }
 
-/// Checks all tables of a scenario. The order of the checks decides which error is reported.
+/// Checks all tables of a scenario and returns the first error. The order of the checks decides which error
+/// that is.
 pub(super) fn check(scenario: &Scenario) -> Result<(), ScenarioError> {
     check_positive("seconds", scenario.duration_s)?;
     check_positive("clients.rate", scenario.clients.rate_per_s)?;
--- a/crates/testbed/src/scenario/classes.rs
+++ b/crates/testbed/src/scenario/classes.rs
@@ -1,4 +1,4 @@
-//! Job classes of a scenario: work, time limits, weights and idempotency.
+//! Job classes of a scenario: work, time limits, priority weights and idempotency.
 use copperspread_dispatcher::{Idempotency, KeyScope, RequestClass};
 use serde::{Deserialize, Serialize};
 
@@ -8,24 +8,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Repeat", rename_all = "lowercase")]
 pub enum RepeatPolicy {
-    /// A job must not run more than once.
+    /// A job of the class must not run more than once.
     Never,
-    /// A job carries an idempotency key by which the workers of a scope drop duplicates.
+    /// A job of the class carries an idempotency key. Workers use the key to drop duplicates of the job
+    /// within the deduplication scope.
     Keyed,
-    /// A job may run any number of times.
+    /// A job of the class may run any number of times.
     Safe,
 }
 
-/// The set of workers among which duplicates of an idempotency key are dropped.
+/// The set of workers among which duplicates of a job are dropped. Duplicates have the same idempotency key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Scope", rename_all = "lowercase")]
 pub enum DeduplicationScope {
-    /// Duplicates are dropped among all workers.
+    /// Duplicates of a job are dropped among all workers.
     All,
-    /// Duplicates are dropped among the workers of one zone.
+    /// Duplicates of a job are dropped among the workers of one zone.
     #[default]
     Zone,
-    /// Duplicates are dropped among the workers of one cell.
+    /// Duplicates of a job are dropped among the workers of one cell.
     Cell,
 }
 
@@ -35,67 +36,71 @@
     }
 }
 
-/// The distribution of the work of a class's jobs around its mean.
+/// How the work of a class's jobs is distributed around its mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Spread", rename_all = "lowercase")]
 pub enum WorkDistribution {
-    /// Log-normal, with this sigma (the standard deviation of the logarithm).
+    /// The work is log-normally distributed. The value is sigma, the standard deviation of the logarithm of
+    /// the work.
     LogNormal(f64),
-    /// Exponential, with the mean work of the class as its mean.
+    /// The work is exponentially distributed, with the mean work of the class as its mean.
     #[default]
     Exponential,
-    /// Constant: every job has the mean work.
+    /// The work is constant: every job has the mean work of the class.
     Constant,
 }
 
-/// A class of jobs, which have the same time limits, priority weight and distribution of work.
+/// A class of jobs. The jobs of a class have the same time limits, priority weight and distribution of work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Class", deny_unknown_fields)]
 pub struct JobClass {
-    /// Name of the class, by which results and event logs refer to the class.
+    /// Name of the class. Results and event logs refer to the class by this name.
     pub name: String,
     /// The class's share of all jobs, relative to the shares of the other classes.
     pub share: f64,
-    /// Mean work of a job, in seconds at speed 1.
+    /// Mean work of the class's jobs, in seconds at speed 1.
     #[serde(rename = "work")]
     pub mean_work: f64,
-    /// Distribution of the work around its mean.
+    /// Distribution of the work of the class's jobs around its mean.
     #[serde(rename = "spread", default)]
     pub work_distribution: WorkDistribution,
-    /// The share of jobs that take two slots, from 0 to 1; the others take one.
+    /// Share of the class's jobs that take two slots, from 0 to 1. The other jobs take one slot.
     #[serde(rename = "wide", default)]
     pub two_slot_share: f64,
-    /// Alternative to `two_slot_share`: pairs of a number of slots and the relative share of the jobs that
-    /// take that number.
+    /// Numbers of slots that the class's jobs take, as an alternative to `two_slot_share`. Each pair has a
+    /// number of slots, and the relative share of the jobs that take this number.
     #[serde(rename = "slots", default, skip_serializing_if = "Vec::is_empty")]
     pub slot_distribution: Vec<[f64; 2]>,
-    /// Mean memory that a running job holds per slot, in the unit of the workers' memory.
+    /// Mean memory that a running job of the class holds for each of its slots, in the unit of the workers'
+    /// memory.
     #[serde(rename = "memory", default)]
     pub mean_memory: f64,
-    /// Sigma of the log-normal distribution of memory; 0 gives every job the mean.
+    /// Sigma of the log-normal distribution of the memory of the class's jobs. With 0, every job takes the
+    /// mean memory.
     #[serde(rename = "memory_spread", default, skip_serializing_if = "is_zero")]
     pub memory_sigma: f64,
-    /// Latency objective, in seconds, to which `latency_stretch` adds a part that depends on the job's work.
+    /// Latency objective of the class's jobs, in seconds. `latency_stretch` adds a part that depends on the
+    /// job's work.
     #[serde(rename = "aim")]
     pub latency_objective_s: f64,
-    /// Multiple of the job's own work that is added to the latency objective.
+    /// Multiple of a job's work that is added to the job's latency objective.
     #[serde(rename = "stretch", default)]
     pub latency_stretch: f64,
-    /// Seconds from a job's arrival until its client stops waiting. All of the client's retries fall into
+    /// Seconds from the arrival of a job until its client stops waiting. All retries of the client fall into
     /// this time.
     #[serde(rename = "deadline")]
     pub deadline_s: f64,
-    /// Priority weight of each core-second of a job's work.
+    /// Priority weight of the class's jobs, for each core-second of work.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Whether a job may run more than once.
+    /// Whether a job of the class may run more than once.
     pub repeat: RepeatPolicy,
-    /// The set of workers among which a duplicate of a job is dropped. Applies only to jobs with an
-    /// idempotency key.
+    /// The workers among which duplicates of a job are dropped. Applies only to jobs with an idempotency key.
     #[serde(rename = "scope", default, skip_serializing_if = "DeduplicationScope::is_zone")]
     pub deduplication_scope: DeduplicationScope,
-    /// Seconds from the acceptance of an attempt during which workers drop further attempts with the same
-    /// key. Applies only to jobs with an idempotency key.
+    /// Length of the deduplication window, in seconds. The window begins when a worker accepts an attempt.
+    /// During the window, workers drop further attempts with the same key. Applies only to jobs with an
+    /// idempotency key.
     #[serde(rename = "window", default)]
     pub deduplication_window_s: f64,
 }
@@ -110,7 +115,8 @@
         self.slot_distribution.iter().map(|[slots, share]| slots * share / shares).sum()
     }
 
-    /// Converts the repeat policy, key scope and window to the dispatch policy's `Idempotency`.
+    /// Returns the class's `Idempotency` for the dispatch policy. It combines the repeat policy with the
+    /// deduplication scope and window.
     pub fn idempotency(&self) -> Idempotency {
         match self.repeat {
             RepeatPolicy::Safe => Idempotency::Idempotent,
@@ -130,7 +136,7 @@
         }
     }
 
-    /// Converts the class to the dispatch policy's `RequestClass`.
+    /// Returns the class's `RequestClass` for the dispatch policy.
     pub(super) fn request_class(&self) -> RequestClass {
         RequestClass {
             latency_objective: micros_from_seconds(self.latency_objective_s),
--- a/crates/testbed/src/scenario/clients.rs
+++ b/crates/testbed/src/scenario/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a scenario: the arrival of jobs and the timing of retries after a rejection.
+//! Clients of a scenario: when their jobs arrive, and when they retry after a rejection.
 use copperspread_dispatcher::{Micros, SECOND};
 use serde::{Deserialize, Serialize};
 
@@ -8,31 +8,32 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// New jobs per second, independent of the responses (open loop).
+    /// Number of new jobs per second. The rate does not depend on the responses (open loop).
     #[serde(rename = "rate")]
     pub rate_per_s: f64,
     /// Maximum number of times that a client retries a rejected job.
     #[serde(rename = "retries", default)]
     pub max_retries: u32,
-    /// Cap on the `Retry-After` time that clients honor, in seconds.
+    /// Longest time for which clients follow a `Retry-After`, in seconds. A longer `Retry-After` is cut to
+    /// this time.
     #[serde(rename = "heed", default = "default_max_retry_after_s")]
     pub max_retry_after_s: f64,
-    /// When clients retry after a rejection.
+    /// How long clients wait before they retry after a rejection.
     #[serde(rename = "again", default, skip_serializing_if = "RetryTiming::is_default")]
     pub retry_timing: RetryTiming,
-    /// Grace period after a request's deadline, in seconds. A request that has no response at the end of the
-    /// grace period violates a rule. Machines that stall, and tests that must tolerate stalls, need more than
-    /// the default.
+    /// Grace period after a request's deadline, in seconds. A request without a response at the end of the
+    /// grace period violates a rule. The default is too short for machines that stall and for tests that must
+    /// tolerate stalls.
     #[serde(rename = "grace", default = "default_deadline_grace_s")]
     pub deadline_grace_s: f64,
-    /// A recorded trace, sorted by arrival time, that replaces random arrivals. `copperspread-testbed trace`
-    /// generates one from a scheduler's event log.
+    /// Recorded jobs, sorted by arrival time, that replace random arrivals. `copperspread-testbed trace`
+    /// generates them from a scheduler's event log.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub trace: Vec<RecordedJob>,
-    /// Uneven distribution of clients over the schedulers; if absent, clients are distributed evenly.
+    /// Uneven distribution of the clients over the schedulers. If absent, the clients are distributed evenly.
     #[serde(rename = "crowded", default, skip_serializing_if = "Option::is_none")]
     pub skew: Option<ClientSkew>,
-    /// Sigma of the log-normal error of cost hints; if absent, jobs carry no cost hints.
+    /// Sigma of the log-normal distribution of the error of cost hints. If absent, jobs carry no cost hints.
     #[serde(rename = "hint_error", default)]
     pub hint_error_sigma: Option<f64>,
 }
@@ -45,19 +46,19 @@
     0.05
 }
 
-/// When clients retry after a rejection.
+/// How long a client waits before it retries after a rejection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Again", rename_all = "snake_case")]
 pub enum RetryTiming {
-    /// After the time given by `Retry-After`, at most [`Clients::max_retry_after_s`], plus 10 ms and a random
-    /// jitter of up to 20%.
+    /// The client waits for the time given by `Retry-After`, but at most for [`Clients::max_retry_after_s`].
+    /// To this time, the client adds 10 ms and a random jitter of up to 20%.
     #[default]
     #[serde(rename = "heed")]
     HonorRetryAfter,
-    /// Immediately, ignoring `Retry-After`.
+    /// The client retries immediately and ignores `Retry-After`.
     #[serde(rename = "at_once")]
     Immediately,
-    /// After this many seconds, ignoring `Retry-After`.
+    /// The client retries after this many seconds and ignores `Retry-After`.
     #[serde(rename = "after")]
     FixedDelay(f64),
 }
@@ -67,8 +68,9 @@
         *self == RetryTiming::HonorRetryAfter
     }
 
-    /// Returns the delay before a client's retry. The client honors at most `max_retry_after_s` seconds of
-    /// `retry_after`, the time that the response gives. `jitter` is uniformly distributed from 0 to 1.
+    /// Returns how long a client waits before a retry. `retry_after` is the time that the response gives. The
+    /// client honors at most `max_retry_after_s` seconds of it. `jitter` is a random number that is uniformly
+    /// distributed from 0 to 1.
     pub fn delay(self, retry_after: Micros, max_retry_after_s: f64, jitter: f64) -> Micros {
         match self {
             RetryTiming::HonorRetryAfter => {
@@ -81,11 +83,11 @@
     }
 }
 
-/// Skewed distribution of clients: the first schedulers get more than the others.
+/// Uneven distribution of the clients: the first schedulers get more clients than the others.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Crowded", deny_unknown_fields)]
 pub struct ClientSkew {
-    /// Number of schedulers, counted from the first, that get more clients.
+    /// Number of schedulers that get more clients. These schedulers are counted from the first.
     pub schedulers: u32,
     /// Ratio of the number of clients at each of the first `schedulers` schedulers to the number at each
     /// other scheduler.
@@ -93,21 +95,21 @@
     pub factor: f64,
 }
 
-/// A job of a recorded trace, which arrives at a fixed time instead of a random one.
+/// A job of a recorded trace. Its arrival time is fixed and not random.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Recorded", deny_unknown_fields)]
 pub struct RecordedJob {
-    /// Arrival time, in seconds from the start of the run.
+    /// Arrival time of the job, in seconds from the start of the run.
     #[serde(rename = "at")]
     pub arrives_at_s: f64,
-    /// Index of the job's class in the scenario.
+    /// Index of the job's class in the scenario's list of classes.
     pub class: u32,
     /// Work of the job, in seconds at speed 1.
     pub work: f64,
     /// Number of slots that the job takes.
     #[serde(default = "default_slots")]
     pub slots: f64,
-    /// Cost hint sent with the job, in seconds at speed 1.
+    /// Cost hint that the client sends with the job, in seconds at speed 1.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hint: Option<f64>,
 }
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -1,28 +1,30 @@
-//! Endpoint lists and load reports of a scenario: how, and how late, schedulers learn of workers.
+//! Endpoint lists and load reports of a scenario: how, and with which delay, schedulers learn of the workers
+//! and their load.
 use serde::{Deserialize, Serialize};
 
 use super::is_false;
 
-/// How endpoint lists reach the schedulers.
+/// How the schedulers get endpoint lists, and with which delay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// Seconds between a change at a worker and its notification to the schedulers.
+    /// Seconds from a change at a worker until the schedulers are notified of the change.
     #[serde(rename = "delay")]
     pub delay_s: f64,
-    /// Seconds until the first endpoint list arrives; until then, schedulers have only the cached list.
+    /// Seconds from the start of the run until the schedulers get the first full endpoint list. Until then,
+    /// they have only the cached list.
     #[serde(rename = "first_after")]
     pub first_list_after_s: f64,
-    /// The share of the workers in the cached list that no longer exist, from 0 to 1.
+    /// Share of the workers in the cached endpoint list that no longer exist, from 0 to 1.
     #[serde(rename = "stale")]
     pub stale_share: f64,
-    /// Seconds between refreshes of the workers' sizes in the endpoint list; 0 disables the sizes. The size
-    /// of a worker is its cores times the mean speed of its group, divided by one plus its jobs per core.
-    /// Only the simulation supports sizes.
+    /// Seconds between two refreshes of the workers' sizes in the endpoint list; 0 disables the sizes. The
+    /// size of a worker is its number of cores times the mean speed of its group, divided by one plus its
+    /// number of jobs per core. Only the simulation supports sizes.
     #[serde(rename = "sizes")]
     pub size_interval_s: f64,
-    /// Whether schedulers poll for the list instead of being notified. In the emulation, each scheduler polls
-    /// its own discovery server in either case.
+    /// Whether the schedulers poll for the endpoint list. Otherwise, they are notified of changes. In the
+    /// emulation, each scheduler polls its own discovery server in either case.
     #[serde(rename = "on_request", skip_serializing_if = "is_false")]
     pub polled: bool,
 }
@@ -39,22 +41,22 @@
     }
 }
 
-/// Settings of the workers' load reports.
+/// How workers report their load to the schedulers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Reports", default, deny_unknown_fields)]
 pub struct LoadReports {
-    /// Seconds between refreshes of each worker's load report.
+    /// Seconds between two refreshes of each worker's load report.
     #[serde(rename = "refresh")]
     pub refresh_interval_s: f64,
-    /// Standard deviation of the noise on the reported number of free slots, in slots. In responses to load
-    /// queries, the noise also applies to the requests per second and to the jobs in flight.
+    /// Standard deviation of the random error of the reported number of free slots, in slots. In responses to
+    /// load queries, the requests per second and the jobs in flight also have such an error.
     #[serde(rename = "noise")]
     pub noise_slots: f64,
-    /// Seconds between the progress callbacks for running jobs; 0 disables them.
+    /// Seconds between two callbacks that report the progress of a running job; 0 disables these callbacks.
     #[serde(rename = "progress")]
     pub progress_interval_s: f64,
-    /// Settings of load queries; `None` if the scenario has no load queries. With load queries, responses
-    /// carry no load report, and workers report their load only when queried.
+    /// Settings of load queries; `None` if the scenario has no load queries. With load queries, workers
+    /// report their load only when they are queried. Other responses then carry no load report.
     #[serde(rename = "probe", skip_serializing_if = "Option::is_none")]
     pub load_query: Option<LoadQuery>,
 }
@@ -69,9 +71,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Probe", deny_unknown_fields)]
 pub struct LoadQuery {
-    /// Work of one load query at the worker, in seconds at speed 1.
+    /// Work that one load query causes at the worker, in seconds at speed 1.
     pub work: f64,
-    /// Whether a load query waits in the worker's queue like a job of one slot, rather than bypassing the
+    /// Whether a load query waits in the worker's queue like a job of one slot. Otherwise, it bypasses the
     /// queue.
     #[serde(rename = "deep", default)]
     pub queued: bool,
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -1,7 +1,7 @@
 //! Faults of a scenario: their kind, time and targets.
 use serde::{Deserialize, Serialize};
 
-/// A fault that is injected for a period of the run.
+/// A fault that is injected during a part of the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -11,16 +11,17 @@
     /// Duration of the fault, in seconds.
     #[serde(rename = "lasts")]
     pub duration_s: f64,
-    /// Kind of the fault, with its parameter.
+    /// Kind of the fault, with the parameter of this kind.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// The share of targets that the fault affects, from 0 to 1; at least one target is affected.
+    /// Share of the possible targets that the fault affects, from 0 to 1. At least one target is affected.
     #[serde(rename = "share", default = "default_worker_share")]
     pub worker_share: f64,
-    /// Restricts the fault to targets in this zone; if absent, targets may be in any zone.
+    /// Zone of the workers or schedulers that the fault can affect. If absent, they can be in any zone.
     #[serde(default)]
     pub zone: Option<u32>,
-    /// Seconds over which the start of the fault is staggered across its targets; 0 starts all at once.
+    /// Seconds over which the start of the fault is spread across its targets. With 0, the fault starts at
+    /// all targets at once.
     #[serde(rename = "spread_over", default)]
     pub stagger_s: f64,
 }
@@ -29,64 +30,70 @@
     0.1
 }
 
-/// The effect of a fault while the fault is active. Some kinds have a parameter, such as a factor, a share or
-/// a delay.
+/// What a fault does while it is active. Some kinds have a parameter, such as a factor, a share or a delay.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Trouble", rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Workers run jobs slower by this factor.
+    /// The affected workers run jobs slower by this factor.
     Slow(f64),
-    /// Jobs at workers make no progress.
+    /// Jobs at the affected workers make no progress.
     Stuck,
-    /// Workers send no callbacks for jobs of the class with this index.
+    /// The affected workers send no callbacks for jobs of the class with this index.
     Silent(u32),
-    /// Workers refuse connections but remain in the endpoint list.
+    /// The affected workers refuse connections, but remain in the endpoint list.
     Refusing,
-    /// Connections are reset for this share of the attempts, in half of the cases after the job was accepted.
+    /// The affected workers' connections are reset for this share of the attempts. In half of these cases,
+    /// the worker has accepted the job before.
     Resetting(f64),
-    /// Worker processes crash, and restart with slow start at the end of the fault.
+    /// The processes of the affected workers crash. They restart in slow start at the end of the fault.
     Crash,
-    /// Worker machines are unreachable, and restart with slow start at the end of the fault.
+    /// The machines of the affected workers are unreachable. The workers restart in slow start at the end of
+    /// the fault.
     Vanish,
-    /// Workers drain, return jobs that have not started, and restart with slow start at the end of the fault.
+    /// The affected workers drain, and return the jobs that have not started. They restart in slow start at
+    /// the end of the fault.
     Drain,
-    /// The rate of new jobs is multiplied by this factor.
+    /// The arrival rate of new jobs is multiplied by this factor.
     Burst(f64),
-    /// One percent of the jobs of the class with this index take 20 times their work.
+    /// One percent of the jobs of the class with this index have 20 times their usual work.
     HeavyTail(u32),
-    /// Load reports are refreshed this many seconds later than usual.
+    /// The load reports of workers are refreshed this many seconds later than usual.
     ReportsLate(f64),
-    /// Schedulers are not notified of changes of the endpoint list.
+    /// Discovery is down: schedulers are not notified of changes of the endpoint list.
     DiscoveryDown,
-    /// Discovery contradicts itself: it alternates, every 3 s, between the full endpoint list as of the start
-    /// of the fault and the current full list.
+    /// Discovery contradicts itself: it switches every 3 s between two endpoint lists. One is the full list
+    /// as of the start of the fault, the other is the current full list.
     DiscoveryContradicts,
-    /// Scheduler processes crash and lose all accepted requests; they restart at the end of the fault.
+    /// The affected scheduler processes crash and lose all requests that they have accepted. They restart at
+    /// the end of the fault.
     SchedulerCrash,
-    /// Scheduler processes shut down gracefully: they get no new requests, finish the accepted requests, and
-    /// restart at the end of the fault. Requests that have no response at the restart are lost, and violate a
-    /// rule.
+    /// The affected scheduler processes shut down gracefully. They get no new requests, and finish the
+    /// requests that they have accepted. They restart at the end of the fault. Requests that have no response
+    /// by then are lost, and violate a rule.
     SchedulerRestart,
-    /// Schedulers switch to another discovery service: they get no notification until the end of the fault,
-    /// and then the full list of the new service. Only the simulation supports this fault.
+    /// Schedulers switch to another discovery service. They get no notification until the end of the fault.
+    /// Then they get the full endpoint list of the new service. Only the simulation supports this fault.
     DiscoveryMoves,
-    /// Workers answer this share of the attempts with bytes that are not HTTP; the jobs never run.
+    /// The affected workers answer this share of the attempts with bytes that are not HTTP. The jobs of these
+    /// attempts never run.
     Garbled(f64),
-    /// Workers fail this share of the attempts immediately. The jobs of these attempts never run, but the
-    /// rule checker counts the jobs as possibly run, because schedulers cannot know that they did not run.
+    /// The affected workers fail this share of the attempts immediately. The jobs of these attempts never
+    /// run. The rule checker nevertheless counts the jobs as possibly run, because schedulers cannot know
+    /// that they did not run.
     Failing(f64),
-    /// Callbacks of workers are delayed by this many seconds.
+    /// The callbacks of the affected workers are delayed by this many seconds.
     #[serde(rename = "late_news")]
     LateCallbacks(f64),
-    /// Workers send every callback twice.
+    /// The affected workers send every callback twice.
     #[serde(rename = "doubled_news")]
     DuplicateCallbacks,
-    /// The rate of new jobs grows linearly, up to this factor at the end of the fault.
+    /// The arrival rate of new jobs grows linearly during the fault. At its end, the rate is multiplied by
+    /// this factor.
     Ramp(f64),
 }
 
 impl std::fmt::Display for FaultKind {
-    /// Writes the fault's name and parameter as printed in reports.
+    /// Writes the name and the parameter of the fault, as they are printed in reports.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             FaultKind::LateCallbacks(by) => f.debug_tuple("LateNews").field(by).finish(),
@@ -97,7 +104,8 @@
 }
 
 impl FaultKind {
-    /// Returns whether the fault affects workers, rather than schedulers, clients, load reports or discovery.
+    /// Returns whether the fault affects workers. Other faults affect schedulers, clients, load reports or
+    /// discovery.
     pub fn affects_workers(self) -> bool {
         !self.affects_schedulers()
             && !matches!(
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,7 +1,7 @@
-//! Scenario files: workers, clients, the network between them and faults, in TOML.
+//! Scenario files in TOML. A scenario describes workers, clients, the network between them and faults.
 //!
-//! docs/testbed.md describes the format. Where a field's name differs from its TOML key, an attribute keeps
-//! the key, so that existing scenario files remain valid.
+//! docs/testbed.md describes the format. Where the name of a field differs from its TOML key, an attribute
+//! keeps the key, so that existing scenario files remain valid.
 mod checks;
 mod classes;
 mod clients;
@@ -22,10 +22,10 @@
 pub use network::{Network, ZoneLink, ZoneLinkQuality};
 pub use workers::{QueueOrder, SlowStart, WorkerGroup};
 
-/// Timeout for opening a connection to a worker, in microseconds.
+/// Time after which the opening of a connection to a worker fails, in microseconds.
 pub(crate) const CONNECT_TIMEOUT: Micros = 250_000;
 
-/// A scenario: a fleet with its clients, settings and faults.
+/// A scenario: a fleet of workers, with its schedulers, clients and faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -34,16 +34,16 @@
     /// Purpose of the scenario, in one sentence.
     #[serde(rename = "about")]
     pub description: String,
-    /// Period in which new jobs arrive, in seconds.
+    /// Time during which new jobs arrive, in seconds from the start of the run.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
-    /// Number of zones, to which schedulers, workers and clients are assigned round-robin.
+    /// Number of zones. Schedulers, workers and clients are assigned to the zones in turn.
     #[serde(default = "one")]
     pub zones: u32,
-    /// Number of cells in each zone; the zone's workers are assigned to the cells round-robin.
+    /// Number of cells in each zone. The workers of a zone are assigned to its cells in turn.
     #[serde(default = "one", skip_serializing_if = "is_one")]
     pub cells: u32,
-    /// Number of schedulers, over which the clients are distributed.
+    /// Number of schedulers. The clients are distributed over them.
     pub schedulers: u32,
     /// Groups of workers, which together form the fleet.
     pub workers: Vec<WorkerGroup>,
@@ -51,16 +51,17 @@
     pub classes: Vec<JobClass>,
     /// How clients send jobs to the schedulers, and how they retry after a rejection.
     pub clients: Clients,
-    /// Network links between clients, schedulers and workers.
+    /// Delays and losses of the network between clients, schedulers and workers.
     #[serde(default)]
     pub network: Network,
-    /// How endpoint lists reach the schedulers.
+    /// How the schedulers get endpoint lists, and with which delay.
     #[serde(default)]
     pub discovery: Discovery,
-    /// Settings of the workers' load reports.
+    /// How workers report their load to the schedulers.
     #[serde(rename = "reports", default)]
     pub load_reports: LoadReports,
-    /// Slow start of workers: reduced capacity after a start, and overload during that time.
+    /// Slow start of workers: the reduced capacity after a worker's start, and the worker's failure from
+    /// overload during that time.
     #[serde(rename = "cold", default)]
     pub slow_start: SlowStart,
     /// Scheduler settings that the scenario controls, such as the maximum number of attempts.
@@ -71,22 +72,23 @@
     pub faults: Vec<Fault>,
 }
 
-/// Scheduler settings that a scenario controls; a setting that the scenario omits has a default.
+/// Settings of the schedulers that a scenario can set. A setting that the scenario omits has a default.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Tuning", default, deny_unknown_fields)]
 pub struct SchedulerTuning {
     /// Maximum number of attempts that a scheduler sends for a request.
     pub max_attempts: u32,
-    /// Whether a hedge may be sent while another attempt is in flight.
+    /// Whether a scheduler may send a hedge, which is a further attempt while another attempt of the request
+    /// is in flight.
     #[serde(rename = "second_copies")]
     pub hedging_allowed: bool,
     /// Whether schedulers may cancel attempts.
     #[serde(rename = "may_cancel")]
     pub cancellation_allowed: bool,
-    /// Cost of sending an attempt to another zone, as a fraction of the request's weight.
+    /// Cost of sending an attempt to another zone, as a share of the request's weight.
     #[serde(rename = "price_cross_zone")]
     pub cross_zone_cost: f64,
-    /// Whether a worker stops a queued or running job when its attempt is cancelled or times out.
+    /// Whether a worker stops a queued or running job when the job's attempt is cancelled or times out.
     #[serde(rename = "cancel_stops", skip_serializing_if = "is_false")]
     pub cancel_stops_job: bool,
 }
@@ -119,13 +121,13 @@
     *value == 0.0
 }
 
-/// Converts seconds to microseconds, rounded; negative values give 0.
+/// Converts seconds to microseconds. The result is rounded; for negative values it is 0.
 pub fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds.max(0.0) * SECOND as f64).round() as Micros
 }
 
 impl Scenario {
-    /// Parses and validates a scenario in TOML.
+    /// Parses a scenario in TOML, and checks its values.
     ///
     /// # Errors
     /// Returns the first syntax error or invalid value, with its key.
@@ -135,7 +137,7 @@
         Ok(scenario)
     }
 
-    /// Validates the values of the scenario.
+    /// Checks the values of the scenario.
     ///
     /// # Errors
     /// Returns the first invalid value, with its key.
@@ -143,7 +145,7 @@
         checks::check(self)
     }
 
-    /// Returns the settings of the dispatch policy in one scheduler.
+    /// Returns the settings with which the dispatch policy of a scheduler is built.
     pub fn settings(&self, scheduler: SchedulerId) -> Settings {
         Settings {
             fleet_size: self.schedulers,
@@ -155,7 +157,7 @@
             slow_start_initial_capacity: self.slow_start.initial_capacity,
             slow_start_duration: micros_from_seconds(self.slow_start.duration_s),
             overload_multiple: self.slow_start.overload_multiple,
-            // A window of 0 disables overload in a scenario, but schedulers need a positive window.
+            // A window of 0 disables overload in a scenario. Schedulers need a window above 0.
             overload_window: micros_from_seconds(self.slow_start.overload_window_s.max(0.001)),
             connect_timeout: CONNECT_TIMEOUT,
             max_attempts: self.tuning.max_attempts,
@@ -174,7 +176,8 @@
         }
     }
 
-    /// Returns the number of jobs per second that the fleet can run, given the classes' mean work and shares.
+    /// Returns the number of jobs per second that all workers together can run. It follows from the mean work
+    /// and the shares of the classes.
     pub fn capacity(&self) -> f64 {
         let group_capacity = |group: &WorkerGroup| {
             f64::from(group.count) * group.cores.min(group.slots) * (group.speed[0] + group.speed[1]) / 2.0
--- a/crates/testbed/src/scenario/network.rs
+++ b/crates/testbed/src/scenario/network.rs
@@ -1,7 +1,8 @@
-//! Network of a scenario: delays and losses within and between zones.
+//! The network of a scenario: delays and message losses within and between zones.
 use serde::{Deserialize, Serialize};
 
-/// Delay and loss between two zones, in both directions, that override the network's defaults.
+/// Delay and loss of messages between two zones, in both directions. They replace the default values of the
+/// network.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Pair", deny_unknown_fields)]
 pub struct ZoneLink {
@@ -10,29 +11,29 @@
     /// One-way delay of messages between the two zones, in seconds.
     #[serde(rename = "way")]
     pub delay_s: f64,
-    /// The share of messages, from 0 to 1, that arrive 0.2 s late, as after a retransmission. Only the
-    /// simulation supports message loss.
+    /// Share of the messages between the two zones that are lost, from 0 to 1. A lost message arrives 0.2 s
+    /// late, as after a retransmission. Only the simulation supports message loss.
     #[serde(default)]
     pub loss: f64,
 }
 
-/// Network links between clients, schedulers and workers.
+/// Delays and losses of the network between clients, schedulers and workers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// One-way delay within a zone, in seconds.
+    /// One-way delay of messages within a zone, in seconds.
     #[serde(rename = "near")]
     pub intra_zone_delay_s: f64,
-    /// One-way delay between zones, in seconds.
+    /// One-way delay of messages between two zones, in seconds.
     #[serde(rename = "far")]
     pub inter_zone_delay_s: f64,
-    /// The share of messages, from 0 to 1, that arrive 0.2 s late, as after a retransmission. Only the
-    /// simulation supports message loss.
+    /// Share of all messages that are lost, from 0 to 1. A lost message arrives 0.2 s late, as after a
+    /// retransmission. Only the simulation supports message loss.
     pub loss: f64,
-    /// Seconds by which an attempt or load query is delayed if a new connection to the worker must be opened.
+    /// Seconds by which an attempt or load query is delayed if a new connection to its worker must be opened.
     #[serde(rename = "connect")]
     pub connect_delay_s: f64,
-    /// Links between two zones that differ from the defaults.
+    /// Pairs of zones whose delay and loss differ from the default values of the network.
     #[serde(rename = "pairs", skip_serializing_if = "Vec::is_empty")]
     pub zone_links: Vec<ZoneLink>,
 }
@@ -50,7 +51,7 @@
 }
 
 impl Network {
-    /// Returns the delay and loss between two zones, which are the same in both directions.
+    /// Returns the delay and the loss of messages between two zones. They are the same in both directions.
     pub fn link_between(&self, from: u32, to: u32) -> ZoneLinkQuality {
         let zone_link =
             self.zone_links.iter().find(|link| link.zones == [from, to] || link.zones == [to, from]);
@@ -65,6 +66,6 @@
 pub struct ZoneLinkQuality {
     /// One-way delay of messages between the two zones, in seconds.
     pub delay_s: f64,
-    /// The share of messages that are lost and retransmitted, from 0 to 1.
+    /// Share of the messages between the two zones that are lost and retransmitted, from 0 to 1.
     pub loss: f64,
 }
--- a/crates/testbed/src/simulation/attempts.rs
+++ b/crates/testbed/src/simulation/attempts.rs
@@ -1,4 +1,5 @@
-//! Scheduler side of attempts: sending, connection reuse, progress, results and cancellation.
+//! The schedulers' side of attempts: how schedulers send and cancel attempts, reuse connections, and get
+//! progress and results.
 use copperspread_dispatcher::{
     AttemptOutcome, Event, LoadReport, Micros, Outcome as AttemptResult, Progress, RequestId, SECOND,
     WorkerId,
@@ -10,7 +11,7 @@
 use crate::model::scheduler_id::SchedulerId;
 use crate::scenario::micros_from_seconds;
 
-/// Time after which an idle connection is closed.
+/// Time after which an idle connection is closed, in microseconds.
 const IDLE_CONNECTION_TIMEOUT: Micros = 5 * SECOND;
 
 impl Simulation<'_> {
@@ -19,7 +20,8 @@
         let Some(request) = self.scheduler_requests.get_mut(&request_id) else { return };
         self.last_id = id.0;
         let (client_job, scheduler) = (request.client_job, request.scheduler);
-        // An attempt that the policy sends after the deadline or the final response never reaches a worker.
+        // The policy may send an attempt after the request's deadline or final response. Such an attempt
+        // never reaches a worker.
         let is_superseded = request.is_past_deadline || request.is_answered;
         let attempt = Attempt {
             request: request_id,
@@ -50,9 +52,9 @@
         self.schedule(self.now + delay, SimulationEvent::AttemptArrived(id));
     }
 
-    /// Returns how long an attempt or load query waits for a connection: 0 if an idle connection can be
-    /// reused or the scenario has no connect delay. The reused or new connection then counts as in use for
-    /// one round trip, an estimate of the time until the response.
+    /// Returns how long an attempt or load query waits for a connection to its worker. This is 0 if an idle
+    /// connection can be reused, or if the scenario has no connect delay. The connection then counts as in
+    /// use for one round trip, which is an estimate of the time until the response.
     pub(super) fn connection_delay(&mut self, scheduler: SchedulerId, worker: WorkerId) -> Micros {
         let connect_time = micros_from_seconds(self.scenario.network.connect_delay_s);
         if connect_time == 0 {
@@ -73,7 +75,8 @@
         wait
     }
 
-    /// Ends an attempt at its scheduler. Does nothing if the scheduler no longer waits for the attempt.
+    /// Ends an attempt at its scheduler, with the result `result`. Does nothing if the scheduler no longer
+    /// waits for the attempt.
     pub(super) fn complete_attempt(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_in_flight) else { return };
         attempt.is_in_flight = false;
@@ -115,8 +118,8 @@
         self.schedule(self.now + delay, SimulationEvent::CancellationArrived(id));
     }
 
-    /// Returns the load report that comes with a response; `None` if the scenario has load queries instead or
-    /// the result is not from the worker.
+    /// Returns the load report that a worker sends with its response to an attempt. Returns `None` if the
+    /// scenario has load queries instead, or if the result does not come from the worker.
     fn response_load_report(&mut self, worker: WorkerId, result: AttemptResult) -> Option<LoadReport> {
         let reports = &self.scenario.load_reports;
         let is_from_worker =
@@ -130,7 +133,7 @@
         Some(worker.load_report(self.now, refresh, || draw_report_noise(random, sigma)))
     }
 
-    /// Notifies the scheduler of an attempt's progress, if the scheduler still waits for the attempt.
+    /// Notifies a scheduler of the progress of an attempt, if the scheduler still waits for the attempt.
     pub(super) fn notify_progress(&mut self, id: AttemptId, progress: Progress) {
         let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_in_flight) else { return };
         let (request, attempt) = (attempt.request, attempt.number);
@@ -140,8 +143,8 @@
         self.notify_scheduler(scheduler, Event::AttemptProgress { request, attempt, progress });
     }
 
-    /// Records that an attempt has left its worker or never reached a worker. Removes the attempt if its
-    /// scheduler no longer waits for the attempt either.
+    /// Records that an attempt has left its worker, or that it never reached the worker. The attempt is
+    /// removed if its scheduler does not wait for it either.
     pub(super) fn record_left_worker(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         attempt.is_at_worker = false;
--- a/crates/testbed/src/simulation/clients.rs
+++ b/crates/testbed/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Client side of the simulation: job arrivals, requests and retries, final responses and timeouts.
+//! The clients' side of the simulation: job arrivals, requests and retries, final responses and timeouts.
 use copperspread_dispatcher::{Event, Micros, RequestId};
 use rand::RngExt;
 
@@ -12,10 +12,12 @@
 use crate::rule_checker::ClientResponse;
 use crate::scenario::micros_from_seconds;
 
-/// Margin by which a scheduler's deadline is earlier than the client's deadline, in microseconds. If a
-/// quarter of the time from the request to the client's deadline is shorter, that quarter is the margin. A
-/// client does not retry if, at the retry, no more than this constant would be left until the client's
-/// deadline.
+/// Time by which a scheduler's deadline is earlier than the client's deadline, in microseconds. When the
+/// request is sent, a quarter of the time until the client's deadline may be shorter than this constant. The
+/// scheduler's deadline is then earlier by that quarter.
+///
+/// The constant also limits retries. A client does not retry if, at the retry, no more than this time would
+/// be left until its deadline.
 const DEADLINE_MARGIN: Micros = 50_000;
 
 impl Simulation<'_> {
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Returns whether the client still waits for the job's result.
+    /// Returns whether the client still waits for the result of a job.
     pub(super) fn is_unfinished(&self, client_job: ClientJobId) -> bool {
         self.client_jobs.get(&client_job).is_some_and(|job| !job.is_finished)
     }
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Schedules the retry of a rejected job, or ends the job as rejected if no retry is allowed any more or
-    /// too little time is left.
+    /// Schedules the retry of a rejected job. The job ends as rejected if no retry is allowed any more, or if
+    /// too little time is left until the client's deadline.
     fn retry_later(&mut self, id: ClientJobId, retry_after: Micros) {
         let clients = &self.scenario.clients;
         let wait =
@@ -140,7 +142,7 @@
         self.close_request(id);
     }
 
-    /// Fails a job whose client connection broke before a response.
+    /// Ends a job as failed, because the client's connection broke before a response.
     pub(super) fn break_client_connection(&mut self, request: RequestId, client_job: ClientJobId) {
         self.rule_checker.response_received(self.now, request, ClientResponse::ConnectionBroken);
         if self.is_unfinished(client_job) {
@@ -156,8 +158,8 @@
         self.outcome_counter.record_job(arrival, class, self.now - arrival.at, outcome);
     }
 
-    /// Removes a scheduler's request once the client's deadline and grace period have passed, the response
-    /// was sent and no attempt is in flight.
+    /// Removes a request that nothing more can happen to. The client's deadline and grace period must have
+    /// passed, the request must be marked as answered, and no attempt may be in flight.
     pub(super) fn close_request(&mut self, id: RequestId) {
         let Some(request) = self.scheduler_requests.get(&id) else { return };
         if request.has_client_wait_ended && request.is_answered && request.attempts_in_flight == 0 {
@@ -168,7 +170,8 @@
         }
     }
 
-    /// Releases one reference to a client's job, and removes a finished job with the last reference.
+    /// Removes one reference to a client's job, which a request or an attempt held. A finished job is removed
+    /// with its last reference.
     pub(super) fn release_client_job(&mut self, id: ClientJobId) {
         let Some(client_job) = self.client_jobs.get_mut(&id) else { return };
         client_job.reference_count -= 1;
--- a/crates/testbed/src/simulation/endpoint_lists.rs
+++ b/crates/testbed/src/simulation/endpoint_lists.rs
@@ -12,17 +12,18 @@
 use crate::model::worker::ProcessState;
 use crate::scenario::micros_from_seconds;
 
-/// Time after which a call to an unavailable discovery service fails.
+/// Time after which a call to discovery fails while discovery is down, in microseconds.
 const DISCOVERY_ERROR_DELAY: Micros = SECOND;
-/// Interval at which the stale and the current endpoint list replace each other during a
-/// `discovery_contradicts` fault.
+/// Interval at which discovery switches between the stale and the current endpoint list during a
+/// `discovery_contradicts` fault, in microseconds.
 const LIST_ALTERNATION_INTERVAL: Micros = 3 * SECOND;
 
 impl Simulation<'_> {
     /// Schedules the endpoint lists that each scheduler gets at the start of the run. If schedulers need no
-    /// subscription, they get the full list, at once or after the scenario's delay. If the full list is
-    /// delayed or needs a subscription, they get the cached list at once, which lists missing workers
-    /// (workers that no longer exist) as ready.
+    /// subscription, they get the full list at once, or after the delay that the scenario sets.
+    ///
+    /// If the full list is delayed or needs a subscription, schedulers get the cached list at once. The
+    /// cached list contains `missing_workers`, the workers that no longer exist, as ready.
     pub(super) fn schedule_initial_lists(&mut self, missing_workers: &[WorkerId]) {
         let full = self.endpoint_list();
         let mut cached = full.clone();
@@ -76,16 +77,16 @@
         worker_ids(self.workers.len()).map(|worker| self.endpoint(worker)).collect()
     }
 
-    /// Returns a worker's size in the endpoint list: the capacity of its group divided by one plus the
-    /// worker's jobs per core.
+    /// Returns the size of a worker in the endpoint list. It is the worker's number of cores times the mean
+    /// speed of its group, divided by one plus its number of jobs per core.
     fn worker_size(&self, worker: WorkerId) -> f64 {
         let group = &self.scenario.workers[self.kinds[worker.0 as usize] as usize];
         let idle_size = group.cores * (group.speed[0] + group.speed[1]) / 2.0;
         idle_size / (1.0 + self.worker(worker).job_count() as f64 / group.cores)
     }
 
-    /// Publishes the workers that are up and whose size has changed since the last call, and schedules the
-    /// next call. Publishes nothing while discovery is down or contradicts itself.
+    /// Publishes the workers that are up and whose size has changed since the last call. Publishes nothing
+    /// while discovery is down or contradicts itself. Schedules the next call.
     pub(super) fn publish_sizes(&mut self) {
         let sizes: Vec<f64> = worker_ids(self.workers.len()).map(|worker| self.worker_size(worker)).collect();
         let previous = std::mem::replace(&mut self.published_sizes, sizes);
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Publishes a worker's changed state, or queues it while discovery is down.
+    /// Publishes the changed state of a worker. While discovery is down, the change is kept for later.
     pub(super) fn publish_worker(&mut self, worker: WorkerId) {
         let endpoint = self.endpoint(worker);
         if self.discovery_outages > 0 {
@@ -115,7 +116,7 @@
         self.publish_changes(&Arc::new(vec![endpoint]));
     }
 
-    /// Publishes the current state of the workers that changed while discovery was down.
+    /// Publishes the workers that changed while discovery was down, each with its current state.
     pub(super) fn publish_missed_changes(&mut self) {
         let missed = std::mem::take(&mut self.unpublished);
         let endpoints: Vec<_> = missed.iter().map(|endpoint| self.endpoint(endpoint.worker)).collect();
@@ -124,15 +125,15 @@
 
     fn publish_changes(&mut self, endpoints: &Arc<Vec<Endpoint>>) {
         let at = self.now + micros_from_seconds(self.scenario.discovery.delay_s);
-        // The changes are delayed until after the first full list, because that list must arrive before any
-        // change.
+        // The first full list must arrive before any change. The changes are therefore delayed until after
+        // that list.
         let at = at.max(micros_from_seconds(self.scenario.discovery.first_list_after_s) + 1);
         for scheduler in SchedulerId::first(self.schedulers.len() as u32) {
             self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Changes, endpoints);
         }
     }
 
-    /// Publishes the current full endpoint list.
+    /// Publishes the current full endpoint list to all schedulers.
     pub(super) fn publish_full_list(&mut self) {
         let list = Arc::new(self.endpoint_list());
         self.publish_list(&list);
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Starts or ends the alternating publication of two contradicting lists. The current list is published
-    /// last.
+    /// Starts or ends the time in which discovery alternates between the stale and the current endpoint list.
+    /// At the end, the current list is published.
     pub(super) fn set_list_alternation(&mut self, is_active: bool) {
         self.stale_list = is_active.then(|| Arc::new(self.endpoint_list()));
         if is_active {
@@ -156,7 +157,8 @@
         }
     }
 
-    /// Publishes the stale or the current list and schedules the other one.
+    /// Publishes the stale endpoint list if `is_stale` is set, otherwise the current list. Schedules the
+    /// publication of the other list.
     pub(super) fn alternate_lists(&mut self, is_stale: bool) {
         let Some(stale) = self.stale_list.clone() else { return };
         if is_stale {
@@ -169,8 +171,8 @@
     }
 
     /// Subscribes a scheduler to discovery, if the scenario requires subscriptions. The scheduler gets the
-    /// full list after a round trip, and changes from now on. While discovery is down, the subscription fails
-    /// after `DISCOVERY_ERROR_DELAY`.
+    /// full endpoint list after a round trip, and all changes from now on. While discovery is down, the
+    /// subscription fails after `DISCOVERY_ERROR_DELAY`.
     pub(super) fn subscribe(&mut self, scheduler: SchedulerId) {
         if !self.scenario.discovery.polled {
             return;
@@ -188,7 +190,8 @@
         self.schedule_endpoints(at, scheduler, EndpointUpdateKind::Full, &list);
     }
 
-    /// Ends all subscriptions because discovery goes down; each subscribed scheduler gets a failed update.
+    /// Ends all subscriptions, because discovery goes down. Each scheduler that was subscribed gets a failed
+    /// update.
     pub(super) fn end_subscriptions(&mut self) {
         if !self.scenario.discovery.polled {
             return;
@@ -201,8 +204,8 @@
         }
     }
 
-    /// Delivers an endpoint update to a scheduler that is up. Full lists and changes also need a
-    /// subscription.
+    /// Delivers an endpoint update to a scheduler, if the scheduler is up. Full lists and changes are
+    /// delivered only if the scheduler is also subscribed.
     pub(super) fn deliver_endpoints(
         &mut self,
         id: SchedulerId,
--- a/crates/testbed/src/simulation/event_queue.rs
+++ b/crates/testbed/src/simulation/event_queue.rs
@@ -1,4 +1,5 @@
-//! Events of the simulation and their queue, ordered by time and then by the order of scheduling.
+//! The events of the simulation, and the queue in which they wait. The queue is ordered by time. Events of
+//! equal time are in the order in which they were scheduled.
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 use std::sync::Arc;
@@ -12,64 +13,65 @@
 use crate::model::fleet::FaultTransition;
 use crate::model::scheduler_id::SchedulerId;
 
-/// An event of the simulation: the arrival of a message, the end of a wait, or a change at a worker,
-/// scheduler or discovery.
+/// An event of the simulation. Examples are the arrival of a message, the end of a wait, and a change at a
+/// worker, a scheduler or discovery.
 pub(super) enum SimulationEvent {
     /// A client sends the first request for a new job.
     ClientArrived(Arrival),
     /// A client retries a rejected request.
     RetryDue(ClientJobId),
-    /// A request reaches its scheduler.
+    /// A client's request reaches its scheduler.
     RequestArrived(RequestId),
     /// The scheduler's deadline for a request passes.
     DeadlinePassed(RequestId),
-    /// A final response reaches the client.
+    /// The final response to a request reaches the client.
     ResponseArrived { request: RequestId, response: FinalResponse },
-    /// A client's deadline and grace period for a request have passed, with or without a response.
+    /// The client's deadline and grace period for a request have passed, with or without a response.
     ClientWaitEnded(RequestId),
     /// An attempt reaches its worker.
     AttemptArrived(AttemptId),
-    /// The callback that an attempt has started reaches the scheduler.
+    /// The callback that an attempt has started at its worker reaches the scheduler.
     AttemptStarted(AttemptId),
-    /// A worker reports the progress of a running attempt.
+    /// A worker reports the progress of a running attempt to the scheduler.
     ProgressDue(AttemptId),
-    /// An attempt's result reaches the scheduler.
+    /// The result of an attempt reaches the scheduler.
     AttemptCompleted { attempt: AttemptId, result: AttemptResult },
-    /// A cancellation reaches the attempt's worker.
+    /// The cancellation of an attempt reaches the worker.
     CancellationArrived(AttemptId),
-    /// A worker's running jobs are due to be advanced. The event is ignored if the worker's wake version has
-    /// changed since the event was scheduled.
+    /// A worker's running jobs must be advanced to the current time. The event is ignored if the worker's
+    /// wake version has changed since the event was scheduled.
     WorkerWake { worker: WorkerId, wake_version: u64 },
-    /// A timer of one scheduler process (incarnation) expires; ignored if that process has ended.
+    /// A timer of a scheduler process expires. The event is ignored if that process has ended.
     TimerExpired { scheduler: SchedulerId, process_number: u32, timer: Timer },
     /// An endpoint update reaches a scheduler.
     EndpointsDelivered { scheduler: SchedulerId, kind: EndpointUpdateKind, endpoints: Arc<Vec<Endpoint>> },
     /// A fault starts or ends.
     FaultChanged(FaultTransition),
-    /// The stale or the current list is due for publication during a `discovery_contradicts` fault.
+    /// Discovery publishes the stale or the current endpoint list. Both alternate during a
+    /// `discovery_contradicts` fault.
     AlternateListDue { is_stale: bool },
-    /// The worker sizes in the endpoint list are due for publication.
+    /// Discovery publishes the workers' sizes in the endpoint list.
     SizesDue,
-    /// A load query reaches its worker.
+    /// A load query reaches the worker that it queries.
     LoadQueryArrived(LoadQueryId),
-    /// A load query's result reaches the scheduler.
+    /// The result of a load query reaches the scheduler that sent the query.
     LoadQueryCompleted { query: LoadQueryId, result: AttemptResult, report: Option<LoadReport> },
-    /// A worker refreshes the report with which it answers load queries.
+    /// A worker refreshes the load report with which it answers load queries.
     ReportRefreshDue { worker: WorkerId },
 }
 
-/// A final response on its way to the client.
+/// The final response to a request, while the response is on its way to the client.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum FinalResponse {
-    /// An attempt was served.
+    /// The response has the result of an attempt that was served.
     Served,
-    /// The scheduler rejected the request.
+    /// The response is a rejection by the scheduler.
     Rejected { retry_after: Micros },
-    /// The scheduler failed the request: an attempt failed and is not retried.
+    /// The response is a failure: an attempt of the request failed and is not retried.
     Failed,
 }
 
-/// An event with its time. The sequence number orders events of equal time.
+/// An event in the queue, with its time. The sequence number orders events of equal time.
 struct ScheduledEvent {
     at: Micros,
     sequence: u64,
@@ -102,7 +104,7 @@
     }
 }
 
-/// Queue of pending events, earliest first.
+/// The queue of the events that are still to come. The earliest event is first.
 #[derive(Default)]
 pub(super) struct EventQueue {
     last_sequence: u64,
@@ -110,13 +112,13 @@
 }
 
 impl EventQueue {
-    /// Adds an event. Events of equal time are taken in the order in which they were added.
+    /// Adds an event to the queue. Events of equal time are taken in the order in which they were added.
     pub(super) fn push(&mut self, at: Micros, event: SimulationEvent) {
         self.last_sequence += 1;
         self.heap.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, event }));
     }
 
-    /// Removes and returns the next event with its time.
+    /// Removes the earliest event from the queue, and returns it with its time.
     pub(super) fn pop(&mut self) -> Option<(Micros, SimulationEvent)> {
         self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Starts and ends faults of arrivals, load reports, discovery, schedulers and workers.
+//! Applies the starts and ends of faults to the simulation.
 use super::Simulation;
 use crate::model::fleet::{FaultTarget, FaultTransition};
 use crate::model::scheduler_id::SchedulerId;
@@ -10,7 +10,7 @@
         let fault = self.scenario.faults[transition.fault].kind;
         let is_start = transition.is_start;
         match fault {
-            // These faults need no action here, because they change only the arrivals and `Arrivals` applies
+            // These faults need no action here. They change only the arrivals of jobs, and `Arrivals` applies
             // them.
             FaultKind::Burst(_) | FaultKind::Ramp(_) | FaultKind::HeavyTail(_) => {}
             FaultKind::ReportsLate(delay) => {
@@ -30,8 +30,9 @@
         }
     }
 
-    /// Applies a crash or a restart of a scheduler. A crash ends the process at the start of the fault; a
-    /// restart shuts it down gracefully during the fault and ends it just before the next process starts.
+    /// Applies the start or the end of a fault that crashes or restarts a scheduler. A crash ends the
+    /// scheduler's process at the start of the fault. A restart lets the process shut down gracefully during
+    /// the fault, and ends it just before the next process starts.
     fn apply_scheduler_fault(&mut self, scheduler: SchedulerId, fault: FaultKind, is_start: bool) {
         match (fault, is_start) {
             (FaultKind::SchedulerCrash, true) => self.stop_scheduler(scheduler, false),
@@ -75,9 +76,9 @@
         let has_restarted = state.apply_fault(now, fault, is_start, &mut effects);
         let spec = state.spec;
         if fault == FaultKind::Vanish && is_start {
-            // The worker's jobs are subtracted from the count of jobs at workers here. After other faults,
-            // each lost job is reported as a worker effect, which decrements the count; an unreachable
-            // machine reports none.
+            // The worker's lost jobs are subtracted from the count of jobs at workers here, because an
+            // unreachable machine does not report them. After other faults, each lost job is reported as a
+            // worker effect, which decrements the count.
             self.jobs_at_workers -= jobs_before;
         }
         if has_restarted {
--- a/crates/testbed/src/simulation/load_queries.rs
+++ b/crates/testbed/src/simulation/load_queries.rs
@@ -1,4 +1,4 @@
-//! Simulated load queries, each of which gives its scheduler exactly one result.
+//! Load queries in the simulation. Each load query gives the scheduler that sent it exactly one result.
 use copperspread_dispatcher::{Event, LoadReport, Micros, Outcome as AttemptResult, WorkerId};
 use rand::RngExt;
 
@@ -12,7 +12,8 @@
 use crate::scenario::micros_from_seconds;
 
 impl Simulation<'_> {
-    /// Schedules the workers' first report refreshes, spread evenly over one interval.
+    /// Schedules the first refresh of each worker's load report. The first refreshes of all workers are
+    /// spread evenly over one refresh interval.
     pub(super) fn schedule_initial_refreshes(&mut self) {
         let interval = micros_from_seconds(self.scenario.load_reports.refresh_interval_s);
         let count = self.workers.len() as u64;
@@ -45,7 +46,8 @@
         let delivery = self.connection_faults[worker.0 as usize].delivery_result(draw);
         let state = self.worker(worker);
         let failure = match (state.process, delivery) {
-            // The machine of the worker does not respond; the scheduler's timeout ends the load query.
+            // The worker's machine does not respond. The load query ends when the scheduler's timeout
+            // expires.
             (ProcessState::Unreachable, _) => return,
             (ProcessState::Stopped, _) => Some(AttemptResult::ConnectFailed),
             _ if state.is_refusing => Some(AttemptResult::ConnectFailed),
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Answers a load query without queueing it. The work for the answer slows the worker's jobs down.
+    /// Answers a load query without putting it into the worker's queue. The work for the answer delays the
+    /// worker's running jobs.
     fn answer_beside_jobs(&mut self, query: LoadQueryId, worker: WorkerId, work: f64) {
         let now = self.now;
         let state = self.worker_mut(worker);
@@ -76,7 +79,7 @@
         self.apply_worker_effects(worker, Vec::new());
     }
 
-    /// Offers a load query to the worker's queue, where it waits like a job.
+    /// Offers a load query to the worker's queue, in which the load query waits like a job.
     fn queue_load_query(&mut self, query: LoadQueryId, worker: WorkerId, work: f64) {
         let now = self.now;
         let job = OfferedJob::load_query(query.0, work);
@@ -93,9 +96,11 @@
         }
     }
 
-    /// Sends the result of a load query to its scheduler, with a load report if the query was served. Does
-    /// nothing if the ID is not that of an open load query; callers may pass the ID of an attempt, because
-    /// workers do not distinguish attempts from load queries.
+    /// Sends the result of a load query to its scheduler. If the load query was served, the result has a load
+    /// report.
+    ///
+    /// Does nothing if `query` is not the ID of an open load query. Callers may pass the ID of an attempt,
+    /// because workers do not distinguish attempts from load queries.
     pub(super) fn answer_load_query(&mut self, query: LoadQueryId, result: AttemptResult, elapsed: Micros) {
         let Some(&PendingLoadQuery { scheduler, worker, .. }) = self.load_queries.get(&query) else { return };
         let Some(settings) = self.scenario.load_reports.load_query else { return };
@@ -117,8 +122,8 @@
         self.schedule(at, SimulationEvent::LoadQueryCompleted { query, result, report });
     }
 
-    /// Passes the first result of a load query to the scheduler process that sent it. Later results, and
-    /// results for an ended process, are dropped.
+    /// Passes the result of a load query to the scheduler process that sent the query. Only the first result
+    /// is passed on; later results are dropped. The result is also dropped if that process has ended.
     pub(super) fn complete_load_query(
         &mut self,
         query: LoadQueryId,
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -1,8 +1,12 @@
-//! Discrete-event simulation of clients, schedulers and workers in virtual time.
+//! Simulation of clients, schedulers and workers in virtual time. It advances from event to event
+//! (discrete-event simulation).
 //!
-//! A simulated scheduler follows the rules of the proxy crate: its deadline is earlier than the client's by a
-//! margin, attempts in flight at the deadline end as timed out, the first served attempt provides the final
-//! response, and the policy is notified of the end of every attempt.
+//! A simulated scheduler follows the rules of the proxy crate:
+//!
+//! - Its deadline is earlier than the client's deadline by a margin.
+//! - Attempts that are in flight at the deadline end as timed out.
+//! - The first served attempt provides the final response.
+//! - The policy is notified of the end of every attempt.
 //!
 //! A run is deterministic: the same scenario, policy and seed give the same outcome, byte for byte.
 //!
@@ -10,11 +14,11 @@
 //! | --- | --- |
 //! | `event_queue` | events and their order |
 //! | `requests` | state of open jobs, requests, attempts and load queries |
-//! | `clients` | arrivals, retries, final responses |
+//! | `clients` | arrivals of jobs, retries, final responses |
 //! | `schedulers` | scheduler processes, the policy's events and actions |
-//! | `attempts` | attempts as the scheduler sees them, connections |
-//! | `workers` | attempts at the workers, idempotency keys |
-//! | `load_queries` | load queries and their reports |
+//! | `attempts` | the schedulers' side of attempts, connections |
+//! | `workers` | the workers' side of attempts, idempotency keys |
+//! | `load_queries` | load queries and their load reports |
 //! | `endpoint_lists` | discovery |
 //! | `faults` | starts and ends of faults |
 mod attempts;
@@ -52,15 +56,16 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{Scenario, micros_from_seconds};
 
-/// Delay that a lost message adds before its retransmission arrives, in microseconds.
+/// Time by which a lost message arrives later, because it is retransmitted, in microseconds.
 const RETRANSMISSION_DELAY: Micros = 200_000;
-/// Offset of the policies' clock from the simulation's clock, so that the policies' clock can express times
-/// before the run.
+/// Difference between the clock of the policies and the clock of the simulation, in microseconds. Without it,
+/// the policies' clock could not express times before the run.
 const CLOCK_OFFSET: Micros = 1_000 * SECOND;
-/// Time after the scenario's duration during which timers and report refreshes continue.
+/// Time after the scenario's duration for which timers and refreshes of load reports continue, in
+/// microseconds.
 const COOLDOWN: Micros = 60 * SECOND;
 
-/// Simulates one run of a scenario with a dispatch policy and a seed.
+/// Simulates one run of a scenario with a dispatch policy and a seed, and returns the outcome of the run.
 ///
 /// # Errors
 /// Fails if the policy does not accept the scenario's settings.
@@ -74,7 +79,7 @@
     Ok(simulation.outcome())
 }
 
-/// State of one run, used by a single thread.
+/// The state of one simulated run. A single thread uses it.
 struct Simulation<'a> {
     scenario: &'a Scenario,
     policy_kind: PolicyKind,
@@ -85,34 +90,41 @@
     network_random: RandomStream,
     retry_random: RandomStream,
     report_random: RandomStream,
-    /// Workers with their zones, by worker index.
+    /// The workers, each with the index of its zone. The position in the list is the worker's number.
     workers: Vec<(Worker, u32)>,
-    /// Index of each worker's group in the scenario, by worker index.
+    /// For each worker, the index of its group in the scenario's list of worker groups. The position in the
+    /// list is the worker's number.
     kinds: Vec<u32>,
-    /// Cell of each worker, by worker index.
+    /// For each worker, the number of its cell. The position in the list is the worker's number.
     cells: Vec<u32>,
     schedulers: Vec<Scheduler>,
     client_jobs: FxHashMap<ClientJobId, ClientJob>,
     scheduler_requests: FxHashMap<RequestId, SchedulerRequest>,
     attempts: FxHashMap<AttemptId, Attempt>,
     load_queries: FxHashMap<LoadQueryId, PendingLoadQuery>,
-    /// Last ID assigned; jobs, requests, attempts and load queries share one sequence.
+    /// The ID that was assigned last. Jobs, requests, attempts and load queries get their IDs from one
+    /// sequence.
     last_id: u64,
-    /// Endpoints that changed while discovery was down, to be published when discovery is back.
+    /// Endpoints that changed while discovery was down. They are published when discovery is back.
     unpublished: Vec<Endpoint>,
     /// Number of active faults that keep discovery down.
     discovery_outages: u32,
-    /// Worker sizes at the last call of `publish_sizes`, by worker index; empty before the first call.
+    /// Size of each worker at the last call of `publish_sizes`. The position in the list is the worker's
+    /// number. The list is empty before the first call.
     published_sizes: Vec<f64>,
-    /// Extra age of load reports while a `reports_late` fault is active.
+    /// Time by which load reports are older than usual while a `reports_late` fault is active, in
+    /// microseconds.
     report_delay: Micros,
-    /// Connection faults, by worker index.
+    /// For each worker, the active faults of its connections. The position in the list is the worker's
+    /// number.
     connection_faults: Vec<ConnectionFaults>,
-    /// Time from which each open connection is idle, by scheduler and worker.
+    /// For each scheduler and worker, the open connections between them. Each connection is given by the time
+    /// from which it is idle.
     idle_connections: FxHashMap<(SchedulerId, WorkerId), Vec<Micros>>,
-    /// Full endpoint list from the start of a `discovery_contradicts` fault, while the fault is active.
+    /// The full endpoint list as of the start of a `discovery_contradicts` fault; `None` if no such fault is
+    /// active.
     stale_list: Option<Arc<Vec<Endpoint>>>,
-    /// Buffer for a policy's actions, reused between events to avoid allocations.
+    /// Buffer for the actions of a policy. It is reused between events to avoid allocations.
     action_buffer: Vec<Action>,
     rule_checker: RuleChecker,
     outcome_counter: OutcomeCounter,
@@ -121,7 +133,7 @@
     cross_zone_attempts: u64,
     load_queries_sent: u64,
     overload_count: u64,
-    /// Number of jobs currently waiting or running at workers.
+    /// Number of jobs that currently wait or run at workers.
     jobs_at_workers: u64,
     /// Integral of `jobs_at_workers` over time, in job-microseconds.
     job_microseconds: f64,
@@ -195,7 +207,7 @@
         self.schedule_next_arrival();
     }
 
-    /// Handles the next event. Returns false if no event is left.
+    /// Handles the next event. Returns `false` if no event is left.
     fn handle_next_event(&mut self) -> bool {
         let Some((at, event)) = self.queue.pop() else { return false };
         self.advance_clock(at);
@@ -244,12 +256,13 @@
         }
     }
 
-    /// Schedules an event at the time `at`, or now if that time has passed.
+    /// Schedules an event for the time `at`, or for now if that time has passed.
     fn schedule(&mut self, at: Micros, event: SimulationEvent) {
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Draws the delay of a message between two zones, including a possible retransmission.
+    /// Draws the random delay of a message between two zones. If the message is lost, the delay includes its
+    /// retransmission.
     fn network_delay(&mut self, from_zone: u32, to_zone: u32) -> Micros {
         let link = self.scenario.network.link_between(from_zone, to_zone);
         let (mean, loss) = (link.delay_s, link.loss);
@@ -300,8 +313,8 @@
     }
 }
 
-/// Draws the error of one load report value, in its unit, from a normal distribution with the standard
-/// deviation `sigma`; 0 if `sigma` is invalid.
+/// Draws the random error of one value in a load report, in the unit of that value. The error is normally
+/// distributed with the standard deviation `sigma`. It is 0 if `sigma` is invalid.
 fn draw_report_noise(random: &mut RandomStream, sigma: f64) -> f64 {
     Normal::new(0.0, sigma).map_or(0.0, |normal| normal.sample(random))
 }
--- a/crates/testbed/src/simulation/schedulers.rs
+++ b/crates/testbed/src/simulation/schedulers.rs
@@ -1,4 +1,5 @@
-//! Simulated scheduler processes: start and stop, events for the dispatch policy, and its actions.
+//! The simulated schedulers: start and stop of their processes, events for their dispatch policies, and the
+//! actions of the policies.
 use std::sync::Arc;
 
 use copperspread_dispatcher::{
@@ -14,27 +15,28 @@
 use crate::policy::{Policy, PolicyKind};
 use crate::scenario::{Scenario, micros_from_seconds};
 
-/// Difference between the seeds of consecutive schedulers of one run.
+/// Difference between the seeds of two schedulers with consecutive IDs in one run.
 const SCHEDULER_SEED_STRIDE: u64 = 7919;
 
-/// A simulated scheduler. Each of its incarnations, from a start to a crash or shutdown, is called a process.
+/// A simulated scheduler. It runs one process after the other. Each process ends with a crash or a shutdown.
 pub(super) struct Scheduler {
     pub(super) policy: Box<dyn Policy>,
     pub(super) zone: u32,
-    /// Version of the last endpoint update that the scheduler's current process got; 0 before the first.
+    /// Version of the last endpoint update that the scheduler's current process got; 0 before the first
+    /// update.
     pub(super) list_version: u64,
     pub(super) is_up: bool,
-    /// Whether the scheduler accepts new requests; false from the start of a graceful shutdown until the next
-    /// process starts. Clients reach a scheduler only if it accepts requests and is up.
+    /// Whether the scheduler accepts new requests. It does not from the start of a graceful shutdown until
+    /// the next process starts. Clients reach a scheduler only if it accepts requests and is up.
     pub(super) accepts_requests: bool,
-    /// Number of the scheduler's current process (incarnation), incremented when a process ends.
+    /// Number of the scheduler's current process, counted from 0. It is incremented when a process ends.
     pub(super) process_number: u32,
     /// Whether the scheduler receives full endpoint lists and changes from discovery.
     pub(super) is_subscribed: bool,
 }
 
 impl Scheduler {
-    /// Creates a simulated scheduler that is up, in its first process (incarnation).
+    /// Creates a simulated scheduler that is up and runs its first process.
     ///
     /// # Errors
     /// Fails if the policy does not accept the scenario's settings.
@@ -78,7 +80,8 @@
         let (scheduler, deadline) = (request.scheduler, request.deadline);
         let client_job = request.client_job;
         if !self.schedulers[scheduler.index()].is_up {
-            // The process ended while the request was on its way, or no scheduler accepts requests at all.
+            // The scheduler's process ended while the request was on its way, or no scheduler accepts
+            // requests at all.
             request.is_answered = true;
             self.break_client_connection(id, client_job);
             return self.close_request(id);
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Times out a request's attempts in flight, at the scheduler's deadline.
+    /// Handles the scheduler's deadline for a request: the attempts in flight end as timed out.
     pub(super) fn expire_request(&mut self, id: RequestId) {
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         request.is_past_deadline = true;
@@ -147,16 +150,16 @@
         let request = self.scheduler_requests.get(&request);
         let attempt = request.and_then(|request| request.attempts.get(number as usize)).copied();
         if let Some(attempt) = attempt {
-            // The event is scheduled instead of applied at once, because the policy's current event is not
-            // yet finished.
+            // The policy has not yet finished the current event. The end of the attempt is therefore
+            // scheduled as an event of its own, and not applied at once.
             let result = AttemptResult::Cancelled;
             self.schedule(self.now, SimulationEvent::AttemptCompleted { attempt, result });
         }
     }
 
     fn start_timer(&mut self, scheduler: SchedulerId, after: Micros, timer: Timer) {
-        // Timers that would expire later than `COOLDOWN` after the scenario's duration are not scheduled,
-        // because periodic timers would otherwise keep the run from ending.
+        // Timers that would expire later than `COOLDOWN` after the scenario's duration are not scheduled.
+        // Otherwise periodic timers would keep the run from ending.
         if self.now + after <= micros_from_seconds(self.scenario.duration_s) + COOLDOWN {
             let process_number = self.schedulers[scheduler.index()].process_number;
             let event = SimulationEvent::TimerExpired { scheduler, process_number, timer };
@@ -164,8 +167,8 @@
         }
     }
 
-    /// Sends a final response to the client. A second response to the same request is sent too, so that the
-    /// rule checker detects the violation.
+    /// Sends a final response to the client of a request. If the policy gives a second response to the same
+    /// request, that response is sent too, so that the rule checker detects the violation.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         request.is_answered = true;
@@ -178,8 +181,8 @@
     }
 
     /// Ends a scheduler's process and its requests. After a crash, the client connections of requests without
-    /// a response break. After a graceful shutdown no such request should be left; one that is left waits
-    /// until the client's timeout, so that the rule checker reports it.
+    /// a response break. A graceful shutdown should leave no such request. If one is left, its client waits
+    /// until the timeout, so that the rule checker reports the request.
     pub(super) fn stop_scheduler(&mut self, id: SchedulerId, is_graceful: bool) {
         let scheduler = &mut self.schedulers[id.index()];
         scheduler.is_up = false;
@@ -187,15 +190,15 @@
         scheduler.is_subscribed = !self.scenario.discovery.polled;
         let requests = self.scheduler_requests.iter().filter(|(_, request)| request.scheduler == id);
         let mut ids: Vec<RequestId> = requests.map(|(id, _)| *id).collect();
-        // The requests are sorted by ID to keep the run deterministic, because the iteration order of the map
-        // is not.
+        // The iteration order of the map is not deterministic. The requests are sorted by ID to keep the run
+        // deterministic.
         ids.sort_unstable_by_key(|id| id.0);
         for request in ids {
             self.abandon_request(request, is_graceful);
         }
     }
 
-    /// Abandons a request whose scheduler process has ended.
+    /// Ends a request because its scheduler process has ended.
     fn abandon_request(&mut self, id: RequestId, is_graceful: bool) {
         let Some(request) = self.scheduler_requests.get_mut(&id) else { return };
         let was_answered = std::mem::replace(&mut request.is_answered, true);
@@ -217,11 +220,11 @@
         self.close_request(id);
     }
 
-    /// Starts the next process of a simulated scheduler. The process gets the current endpoint list: as a
-    /// cached list if the scheduler must subscribe, else as a full list.
+    /// Starts the next process of a simulated scheduler. The process gets the current endpoint list. It gets
+    /// the list as a cached list if the scheduler must subscribe to discovery, otherwise as a full list.
     pub(super) fn start_scheduler(&mut self, id: SchedulerId) {
-        // All processes of a scheduler after its first one use the same seed, which differs from the seed of
-        // the first.
+        // All processes of a scheduler after the first use the same seed. It differs from the seed of the
+        // first process.
         let seed = scheduler_seed(self.seed, id).wrapping_add(1);
         let Ok(policy) = build_policy(self.scenario, self.policy_kind, id, seed) else {
             unreachable!("the policy accepted the same settings for the first process")
--- a/crates/testbed/src/simulation/workers.rs
+++ b/crates/testbed/src/simulation/workers.rs
@@ -1,4 +1,5 @@
-//! Worker side of attempts: delivery, deduplication by idempotency key, execution and results.
+//! The workers' side of attempts: their arrival, the deduplication by idempotency key, the execution of jobs,
+//! and results.
 use copperspread_dispatcher::{Idempotency, Micros, Outcome as AttemptResult, Progress, WorkerId};
 use rand::RngExt;
 
@@ -18,9 +19,9 @@
     worker: WorkerId,
     sent_at: Micros,
     arrival: Arrival,
-    /// Idempotency of the job's class.
+    /// Whether the attempt's job may run more than once, as its class sets.
     idempotency: Idempotency,
-    /// Deduplication group of the worker; 0 for jobs without an idempotency key.
+    /// Number of the worker's deduplication group; 0 if the job has no idempotency key.
     key_group: u32,
 }
 
@@ -40,8 +41,9 @@
                 return self.return_result(id, AttemptResult::Reset);
             }
             DeliveryResult::ImmediateError => {
-                // The job does not run. The rule checker nevertheless counts the job as run, because the
-                // error does not tell whether it ran, and a scheduler that retries must assume that it did.
+                // The job does not run. The rule checker nevertheless counts the job as run. The error does
+                // not tell a scheduler whether the job ran, so a scheduler that retries must assume that it
+                // did.
                 self.record_acceptance(&delivery);
                 self.rule_checker.job_started(self.now, delivery.client_job.0, delivery.idempotency);
                 return self.return_result(id, AttemptResult::Error);
@@ -70,9 +72,9 @@
         Some(Delivery { attempt: id, client_job, worker, sent_at, arrival, idempotency, key_group })
     }
 
-    /// Drops an attempt that is a duplicate, and returns whether the attempt was dropped. An attempt is a
-    /// duplicate if the deduplication group of its worker has accepted another attempt with the same
-    /// idempotency key within the key's window. The duplicate gets the result of such an accepted attempt.
+    /// Drops an attempt if it is a duplicate, and returns whether it was dropped. An attempt is a duplicate
+    /// if the deduplication group of its worker has accepted another attempt with the same idempotency key
+    /// within the key's window. The duplicate gets the result of such an accepted attempt.
     fn drop_duplicate(&mut self, delivery: &Delivery) -> bool {
         let Idempotency::IdempotentWithKey { window, .. } = delivery.idempotency else { return false };
         let id = delivery.attempt;
@@ -145,15 +147,15 @@
         }
     }
 
-    /// Stops a cancelled attempt at its worker, which then forgets the attempt's idempotency key. Duplicates
-    /// that wait for the attempt's result get an error. An attempt that has not reached its worker is marked
-    /// to be dropped on arrival.
+    /// Removes a cancelled attempt from its worker. The worker then forgets the attempt's idempotency key.
+    /// Duplicates that wait for the attempt's result get an error. If the attempt has not reached its worker,
+    /// it is marked to be dropped on arrival.
     pub(super) fn cancel_at_worker(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.is_at_worker) else { return };
         let (worker, client_job) = (attempt.worker, attempt.client_job);
         let mut effects = Vec::new();
         if !self.workers[worker.0 as usize].0.cancel(self.now, id.0, &mut effects) {
-            // The attempt is still on its way, or was dropped as a duplicate.
+            // The worker does not have the attempt. It is still on its way, or it was dropped as a duplicate.
             attempt.is_cancelled = true;
             return;
         }
@@ -166,8 +168,8 @@
         self.apply_worker_effects(worker, effects);
     }
 
-    /// Advances a worker's jobs to the current time. Does nothing if the running jobs or their rate have
-    /// changed since this wake (the event that advances the jobs) was scheduled.
+    /// Advances a worker's jobs to the current time. Does nothing if the running jobs or their speed have
+    /// changed since this wake was scheduled. A wake is the event that advances the worker's jobs.
     pub(super) fn wake_worker(&mut self, worker: WorkerId, wake_version: u64) {
         if self.worker(worker).wake_version == wake_version {
             let now = self.now;
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Carries out the effects of an operation on a worker, such as a started or lost job, and schedules the
-    /// worker's next wake (the event that advances the worker's jobs).
+    /// Carries out the effects of an operation on a worker, such as the start or the loss of a job. Then
+    /// schedules the worker's next wake, which is the event that advances the worker's jobs.
     pub(super) fn apply_worker_effects(&mut self, worker: WorkerId, effects: Vec<WorkerEffect>) {
         for effect in effects {
             self.apply_worker_effect(worker, effect);
@@ -253,8 +255,8 @@
         self.return_result(id, AttemptResult::Reset);
     }
 
-    /// Handles an attempt that a draining worker returns unstarted. The worker forgets the attempt's
-    /// idempotency key, so duplicates that wait for the attempt's result get an error.
+    /// Handles an attempt that a draining worker returned without starting it. The worker forgets the
+    /// attempt's idempotency key. Duplicates that wait for the attempt's result therefore get an error.
     fn return_attempt(&mut self, id: AttemptId) {
         self.jobs_at_workers -= 1;
         if let Some(client_job_id) = self.attempts.get(&id).map(|attempt| attempt.client_job) {
@@ -267,7 +269,7 @@
         self.return_result(id, AttemptResult::Rejected);
     }
 
-    /// Reports the completed fraction of a running attempt and schedules the next report.
+    /// Reports to the scheduler which share of a running attempt is completed. Schedules the next report.
     pub(super) fn report_progress(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.is_in_flight) else { return };
         let (worker, request) = (attempt.worker, attempt.request);
@@ -275,7 +277,8 @@
         if !self.scheduler_requests.contains_key(&request) {
             return;
         }
-        // The network delay is left out, because it is much shorter than the interval between reports.
+        // The report reaches the scheduler without a network delay. The delay is much shorter than the
+        // interval between reports.
         self.notify_progress(id, Progress::Done(done));
         let progress_interval = micros_from_seconds(self.scenario.load_reports.progress_interval_s);
         self.schedule(self.now + progress_interval, SimulationEvent::ProgressDue(id));
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -1,11 +1,12 @@
-//! Startup of the servers that the testbed implements itself. These are the policy node, which serves as a
-//! scheduler with a baseline dispatch policy, and the relay.
+//! Startup of the servers that the testbed implements itself: the policy node and the relay. A policy node
+//! serves as a scheduler with a baseline dispatch policy.
 use std::io;
 
 use copperspread_dispatcher::SettingsError;
 use copperspread_settings::{ReadError, StartupConfig, platform};
 
-/// The environment variable with the path of the configuration file, the same as for a scheduler.
+/// Name of the environment variable that contains the path of the configuration file. Schedulers use the same
+/// variable.
 pub const CONFIG_VARIABLE: &str = "EDGE_CONFIG";
 
 /// An error that prevents a policy node or a relay from serving.
@@ -15,29 +16,29 @@
     /// The environment variable [`CONFIG_VARIABLE`] is not set.
     #[error("EDGE_CONFIG names no file")]
     NoConfigFile,
-    /// The configuration file cannot be read.
+    /// The configuration file of the policy node or relay cannot be read.
     #[error("{path}: {source}")]
     ConfigFile {
-        /// The path of the configuration file, as the environment variable gives it.
+        /// Path of the configuration file, as the environment variable gives it.
         path: String,
-        /// The I/O error of the failed read.
+        /// The I/O error with which the read failed.
         source: io::Error,
     },
-    /// The configuration file is invalid.
+    /// The configuration of the policy node or relay is invalid.
     #[error("{path}: {source}")]
     Config {
-        /// The path of the configuration file.
+        /// Path of the invalid configuration file.
         path: String,
         /// The error of the configuration's parser or validation.
         source: ReadError,
     },
-    /// The policy rejects its settings.
+    /// The dispatch policy of a policy node does not accept its settings.
     #[error(transparent)]
     Policy(#[from] SettingsError),
     /// The policy node cannot be set up, because its listening socket cannot be opened.
     #[error(transparent)]
     Assembly(#[from] copperspread_proxy::assembly::AssemblyError),
-    /// The configuration of a policy node has a static endpoint list, but the node supports only discovery.
+    /// The configuration of a policy node has a static endpoint list. A policy node supports only discovery.
     #[error("a baseline follows discovery only")]
     StaticEndpoints,
     /// The configuration of a relay has no cached endpoint list.
@@ -46,7 +47,7 @@
     /// The cached endpoint list of a relay is empty.
     #[error("known: no workers")]
     NoWorkers,
-    /// The async runtime cannot be created.
+    /// The async runtime of the policy node or relay cannot be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
     /// The handler for SIGTERM cannot be installed.
@@ -55,12 +56,12 @@
     /// The relay cannot listen on its configured address.
     #[error("{address}: {source}")]
     Listen {
-        /// The configured listening address.
+        /// The configured address on which the relay should listen.
         address: std::net::SocketAddr,
         /// The I/O error with which listening failed.
         source: io::Error,
     },
-    /// The server fails while it handles connections.
+    /// The server failed while it handled connections.
     #[error(transparent)]
     Serve(io::Error),
 }
@@ -78,7 +79,7 @@
     platform::read_startup_config(&content).map_err(|source| ServeError::Config { path, source })
 }
 
-/// Creates an async runtime that runs all tasks on the thread that blocks on it.
+/// Creates an async runtime that runs all tasks on the thread that calls `block_on`.
 ///
 /// # Errors
 /// Fails if the operating system denies the file descriptors that the runtime needs.
--- a/crates/testbed/src/trace.rs
+++ b/crates/testbed/src/trace.rs
@@ -1,6 +1,7 @@
-//! Reads the trace of a scenario from a scheduler's event log.
+//! Makes a scenario's trace from a scheduler's event log. The trace is a list of recorded jobs that replaces
+//! random arrivals.
 //!
-//! For each accepted request the trace has the arrival time, the request class and the cost hint.
+//! For each accepted request, the trace has the arrival time, the request class and the cost hint.
 use std::io::BufRead;
 
 use copperspread_dispatcher::{Micros, SECOND};
@@ -10,19 +11,19 @@
 
 use crate::scenario::{RecordedJob, Scenario, ScenarioError};
 
-/// Minimum arrival rate of a trace, in jobs per second. The minimum is above 0 because a scenario must have a
-/// positive rate.
+/// Lowest arrival rate that a scenario gets with a trace, in jobs per second. It is above 0 because a
+/// scenario must have a positive rate.
 const MIN_RATE_PER_S: f64 = 1e-6;
 
-/// Numbers of skipped records and lines, by reason. Records of an unknown kind are skipped too, but not
-/// counted.
+/// Numbers of the records and lines of an event log that were skipped, for each reason. Records of an unknown
+/// kind are skipped too, but not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SkippedRecords {
-    /// Requests of a class that the scenario does not have.
+    /// Number of requests with a class that the scenario does not have.
     pub unknown_class: u64,
-    /// Requests without a positive and finite cost hint, whose work is therefore unknown.
+    /// Number of requests without a positive and finite cost hint. Without the hint, their work is unknown.
     pub no_hint: u64,
-    /// Lines that cannot be parsed.
+    /// Number of lines that cannot be parsed.
     pub unreadable: u64,
 }
 
@@ -33,29 +34,29 @@
     /// The event log cannot be read.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The first line is not a record, so the file is not an event log.
+    /// The first line of the file is not a record, so the file is not an event log.
     #[error("line 1 is no record")]
     NotAnEventLog,
-    /// No request has both a class of the scenario and a cost hint.
+    /// No request in the event log has both a class of the scenario and a cost hint.
     #[error("no job of the scenario's classes with a hint")]
     NoJobs,
-    /// The scenario is invalid after its arrivals were replaced with the trace.
+    /// The scenario is invalid after its arrivals were replaced by the trace.
     #[error(transparent)]
     InvalidScenario(#[from] ScenarioError),
 }
 
-/// A job with the time at which a scheduler accepted it, on the timeline that all runs in the event log
-/// share.
+/// A job, and the time at which a scheduler accepted it. The times of all runs in the event log are on one
+/// timeline.
 struct AcceptedJob {
     time_us: Micros,
     job: RecordedJob,
 }
 
-/// Replaces a scenario's arrivals with the requests that a scheduler accepted. Time 0 of the trace is the
-/// time of the first of these requests. The duration and the arrival rate of the scenario are set to those of
-/// the trace.
+/// Replaces a scenario's arrivals with the requests that a scheduler accepted according to its event log.
 ///
-/// The cost hint of a request is used as its work, because the event log does not contain the actual work.
+/// Time 0 of the trace is the time of the first of these requests. The scenario gets the duration and the
+/// arrival rate of the trace. The cost hint of a request is used as its work, because the event log does not
+/// contain the actual work.
 ///
 /// # Errors
 /// Fails if the event log cannot be read, none of its requests can be used or the scenario becomes invalid.
@@ -82,10 +83,10 @@
     skipped: &mut SkippedRecords,
 ) -> Result<Vec<AcceptedJob>, TraceError> {
     let mut jobs = Vec::new();
-    // Records of all runs are mapped to one timeline: the wall clock at the first record of a run gives the
-    // time of the run, and the monotonic clock gives the times of the records within the run. The recorded
-    // times cannot be used unchanged, because the log may contain several runs in sequence and the wall clock
-    // may be set during a run.
+    // The records of all runs are mapped to one timeline. The wall clock at the first record of a run gives
+    // the time of the run. The monotonic clock gives the times of the records within the run. The recorded
+    // times cannot be used unchanged. The log may contain several runs in sequence, and the wall clock may be
+    // set during a run.
     let mut timeline = RunTimeline::default();
     for numbered_line in Reader::new(event_log) {
         let (number, line) = numbered_line?;
