--- a/crates/testbed/src/model/worker/job.rs
+++ b/crates/testbed/src/model/worker/job.rs
@@ -118,8 +118,8 @@
     pub accepts_jobs: bool,
 }
 
-/// A running job and its remaining work. The remaining work is as of the time when the worker last accounted
-/// the progress of its jobs.
+/// A running job and its remaining work. The remaining work is updated only when the worker calls
+/// `account_progress`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RunningJob {
     pub(super) job: OfferedJob,
--- a/crates/testbed/src/model/worker/lifecycle.rs
+++ b/crates/testbed/src/model/worker/lifecycle.rs
@@ -11,8 +11,8 @@
         self.process == ProcessState::Up && !self.is_refusing
     }
 
-    /// Changes a property of the worker, such as its speed. The progress that running jobs have made until
-    /// `now` is accounted first, because that progress depends on the old property.
+    /// Changes a property of the worker, such as its speed. The work that running jobs have done until `now`
+    /// is subtracted from their remaining work first, because that work depends on the old speed.
     pub fn apply_change(&mut self, now: Micros, change: impl FnOnce(&mut Worker)) {
         self.account_progress(now);
         change(self);
--- a/crates/testbed/src/model/worker/queue.rs
+++ b/crates/testbed/src/model/worker/queue.rs
@@ -109,8 +109,8 @@
     }
 
     /// Delays the running jobs because the worker does other work beside them, such as answering a load
-    /// query. `work` is given in seconds on one core of speed 1. Each running job is delayed by `work`
-    /// divided by the number of cores.
+    /// query. `work` is the other work, in seconds on one core of speed 1. The remaining work of each running
+    /// job grows by `work` divided by the number of cores.
     pub fn charge_side_work(&mut self, now: Micros, work: f64) {
         self.account_progress(now);
         for running in &mut self.running {
@@ -129,8 +129,8 @@
         self.spec.speed * self.capacity_fraction(now) / self.slowdown * core_fraction
     }
 
-    /// Returns the work that each running job has done since progress was last accounted, in seconds on a
-    /// core of speed 1.
+    /// Returns the work that each running job has done since the last call of `account_progress`, in seconds
+    /// on a core of speed 1.
     fn work_since_accounted(&self, now: Micros) -> f64 {
         let elapsed = now.saturating_sub(self.accounted_until) as f64 / SECOND as f64;
         elapsed * self.rate(self.accounted_until)
--- a/crates/testbed/src/outcome/mod.rs
+++ b/crates/testbed/src/outcome/mod.rs
@@ -1,5 +1,5 @@
-//! The outcome of one run: how much work was served in time (weighted by priority), latencies, the work of
-//! each worker, and rule violations.
+//! The outcome of one run: the priority-weighted work that was served in time, latencies, the work of each
+//! worker, and rule violations.
 mod counter;
 
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     Rejected,
     /// The job failed: its client got a failure as response, or the client's connection broke.
     Failed,
-    /// The client had no response for the job when it stopped waiting.
+    /// The client stopped waiting before it got any response for the job.
     Unanswered,
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// Quantiles of the latency of served jobs, in milliseconds. JSON has them as a list of the three values.
+/// Quantiles of the latency of served jobs, in milliseconds. In JSON, they are a list of the three values.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[f64; 3]", into = "[f64; 3]")]
 pub struct LatencyQuantiles {
--- a/crates/testbed/src/policy/baseline.rs
+++ b/crates/testbed/src/policy/baseline.rs
@@ -110,9 +110,9 @@
     }
 
     fn apply_endpoint_update(&mut self, update: EndpointUpdate<'_>, actions: &mut Vec<Action>) {
-        // After a cached list or a failed update, the scheduler has no subscription. A cached list arrives
-        // when the scheduler's process has just started. A failed update arrives when a subscription failed
-        // or ended.
+        // The scheduler has no subscription if it gets a cached list or a failed update. A cached list
+        // arrives when the scheduler's process has just started. A failed update arrives when a subscription
+        // failed or ended.
         let is_unsubscribed = matches!(update.kind, EndpointUpdateKind::Cached | EndpointUpdateKind::Failed);
         if self.must_subscribe && is_unsubscribed {
             actions.push(Action::Subscribe);
--- a/crates/testbed/src/policy/broken.rs
+++ b/crates/testbed/src/policy/broken.rs
@@ -8,7 +8,8 @@
 
 use super::Policy;
 
-/// Number of served attempts from one second final response to the next, for the defect `AnswersTwice`.
+/// With the defect `AnswersTwice`, a request gets an additional final response each time this many attempts
+/// have been served.
 const ANSWERS_TWICE_INTERVAL: u64 = 10;
 
 /// The deliberate defect of a faulty dispatch policy.
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -41,26 +41,26 @@
     /// A policy that draws two workers at random, and selects the one with fewer outstanding requests of this
     /// scheduler.
     TwoChoices,
-    /// A policy that divides the work of this scheduler's outstanding requests at a worker by the worker's
-    /// learned speed, and selects the worker with the lowest result. The work of a request is taken from its
-    /// cost hint. The policy rejects a request only if it has been sent to all ready workers.
+    /// A policy that selects the worker with the lowest ratio of outstanding work to learned speed. The
+    /// outstanding work is that of this scheduler's requests at the worker, taken from their cost hints. The
+    /// policy rejects a request only if the request has been sent to all ready workers.
     LeastCost,
     /// A policy that knows the true states of the workers, and selects the worker that would finish a request
     /// first. It rejects a request that would miss its deadline.
     Oracle,
-    /// A deliberately faulty policy that tests the rule checker: the dispatcher, but some requests get two
-    /// final responses.
+    /// A deliberately faulty policy that tests the rule checker. It acts like the dispatcher, except that
+    /// some requests get two final responses.
     AnswersTwice,
-    /// A deliberately faulty policy that tests the rule checker: the dispatcher, but some requests get no
-    /// final response.
+    /// A deliberately faulty policy that tests the rule checker. It acts like the dispatcher, except that
+    /// some requests get no final response.
     NeverAnswers,
-    /// A deliberately faulty policy that tests the rule checker: the dispatcher, but attempts that may have
-    /// run are retried in another zone.
+    /// A deliberately faulty policy that tests the rule checker. It acts like the dispatcher, except that it
+    /// retries attempts that may have run in another zone.
     Resends,
-    /// A deliberately faulty policy that tests the rule checker: the dispatcher, but draining and removed
-    /// workers count as ready.
+    /// A deliberately faulty policy that tests the rule checker. It acts like the dispatcher, except that
+    /// draining and removed workers count as ready.
     IgnoresDrains,
-    /// A deliberately faulty policy that tests the rule checker: every request goes to the worker that
+    /// A deliberately faulty policy that tests the rule checker. It sends every request to the worker that
     /// started last.
     #[serde(rename = "floods_the_new")]
     NewestWorker,
--- a/crates/testbed/src/rule_checker/responses.rs
+++ b/crates/testbed/src/rule_checker/responses.rs
@@ -71,8 +71,8 @@
     }
 
     /// Checks that the response to a request was received, or at least sent, when the client stops waiting
-    /// after its deadline. A response that was sent and is still on its way is not a violation. A
-    /// retransmission, for example, can delay it.
+    /// after its deadline. A response that was sent and has not arrived is not a violation. For example, a
+    /// retransmission can delay the response.
     pub(super) fn check_response_before_deadline(
         &self,
         now: Micros,
--- a/crates/testbed/src/scenario/classes.rs
+++ b/crates/testbed/src/scenario/classes.rs
@@ -86,8 +86,8 @@
     /// Multiple of a job's work that is added to the job's latency objective.
     #[serde(rename = "stretch", default)]
     pub latency_stretch: f64,
-    /// Seconds from the arrival of a job until its client stops waiting. All retries of the client fall into
-    /// this time.
+    /// Deadline of the client for a job, in seconds from the arrival of the job. All retries of the client
+    /// fall into this time.
     #[serde(rename = "deadline")]
     pub deadline_s: f64,
     /// Priority weight of the class's jobs, for each core-second of work.
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -49,7 +49,7 @@
     #[serde(rename = "refresh")]
     pub refresh_interval_s: f64,
     /// Standard deviation of the random error of the reported number of free slots, in slots. In responses to
-    /// load queries, the requests per second and the jobs in flight also have such an error.
+    /// load queries, the reported requests per second and jobs in flight have such an error too.
     #[serde(rename = "noise")]
     pub noise_slots: f64,
     /// Seconds between two callbacks that report the progress of a running job; 0 disables these callbacks.
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -43,7 +43,7 @@
     /// The affected workers refuse connections, but remain in the endpoint list.
     Refusing,
     /// The affected workers' connections are reset for this share of the attempts. In half of these cases,
-    /// the worker has accepted the job before.
+    /// the worker has accepted the job before the reset.
     Resetting(f64),
     /// The processes of the affected workers crash. They restart in slow start at the end of the fault.
     Crash,
--- a/crates/testbed/src/scenario/workers.rs
+++ b/crates/testbed/src/scenario/workers.rs
@@ -47,8 +47,8 @@
     100
 }
 
-/// Slow start of workers. After its start, a worker has a reduced capacity. During this time, it fails if it
-/// gets too much load.
+/// Slow start of workers. After a worker's start, its capacity is reduced for a time. During this time, the
+/// worker fails if it gets too much load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename = "Cold", default, deny_unknown_fields)]
 pub struct SlowStart {
--- a/crates/testbed/src/simulation/clients.rs
+++ b/crates/testbed/src/simulation/clients.rs
@@ -12,9 +12,9 @@
 use crate::rule_checker::ClientResponse;
 use crate::scenario::micros_from_seconds;
 
-/// Time by which a scheduler's deadline is earlier than the client's deadline, in microseconds. When the
-/// request is sent, a quarter of the time until the client's deadline may be shorter than this constant. The
-/// scheduler's deadline is then earlier by that quarter.
+/// Time by which a scheduler's deadline for a request is earlier than the client's deadline, in microseconds.
+/// If little time is left when the client sends the request, a quarter of the time left is used instead, so
+/// that the difference is never longer than this quarter.
 ///
 /// The constant also limits retries. A client does not retry if, at the retry, no more than this time would
 /// be left until its deadline.
--- a/crates/testbed/src/simulation/load_queries.rs
+++ b/crates/testbed/src/simulation/load_queries.rs
@@ -123,7 +123,8 @@
     }
 
     /// Passes the result of a load query to the scheduler process that sent the query. Only the first result
-    /// is passed on; later results are dropped. The result is also dropped if that process has ended.
+    /// is passed on, and later results are dropped. If that process has ended, the first result is dropped
+    /// too.
     pub(super) fn complete_load_query(
         &mut self,
         query: LoadQueryId,
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -56,7 +56,7 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{Scenario, micros_from_seconds};
 
-/// Time by which a lost message arrives later, because it is retransmitted, in microseconds.
+/// Time by which a lost message arrives late, because it is retransmitted, in microseconds.
 const RETRANSMISSION_DELAY: Micros = 200_000;
 /// Difference between the clock of the policies and the clock of the simulation, in microseconds. Without it,
 /// the policies' clock could not express times before the run.
--- a/crates/testbed/src/startup.rs
+++ b/crates/testbed/src/startup.rs
@@ -50,7 +50,7 @@
     /// The async runtime of the policy node or relay cannot be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// The handler for SIGTERM cannot be installed.
+    /// The handler for SIGTERM of the policy node or relay cannot be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
     /// The relay cannot listen on its configured address.
