--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -1,60 +1,66 @@
-//! Detects that the local clock and a remote one, such as the leader's, drift apart beyond the clock bound.
-//! Reports only a drift that the samples prove; rates are never estimated.
+//! Detects that a member's clock and a remote clock, such as the leader's, run at rates that differ by more
+//! than the clock bound permits. A drift is reported only if the compared times prove the drift. The rates
+//! themselves are never estimated.
 use serde::{Deserialize, Serialize};
 
 use crate::settings::Settings;
 use crate::time::{Micros, SECOND};
 
-/// The shortest time between two successive reference samples (`oldest`, then `next_oldest`), and the age
-/// that `next_oldest` must reach before it replaces `oldest`. Without the replacement, samples would be
-/// compared over an ever longer time: a change of a clock's rate would be detected late, and a proven drift
-/// would never be cleared.
+/// The minimum time between the two reference samples of a clock comparison (`oldest` and `next_oldest`), and
+/// the age at which `next_oldest` replaces `oldest`. Without the replacement, later samples would be compared
+/// over an ever longer time. A change of a clock's rate would then be detected late, and a proven drift would
+/// never be cleared.
 const SAMPLE_WINDOW: Micros = 30 * SECOND;
-/// The duration that samples without a proven drift must cover before a clock counts as within the bound.
+/// The minimum time for which two clocks must have been compared, with no drift proven now, before they count
+/// as within the clock bound.
 const CLEARING_SPAN: Micros = SAMPLE_WINDOW / 6;
 
 const MILLION: u128 = 1_000_000;
 
-/// A proven difference between the rates of two clocks.
+/// A proven difference between the rates of the local clock and a remote clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockDrift {
-    /// Whether the local clock runs faster than the remote clock; otherwise the local clock runs slower. If a
-    /// leader reports the drift of its own clock, the remote clocks are those of the other members. The
+    /// Whether the local clock runs faster than the remote clock; if false, the local clock runs slower. In
+    /// the leader's report on its own clock, the remote clocks are the clocks of the other members. The
     /// comparison cannot tell which of the clocks is wrong.
     pub is_fast: bool,
-    /// The smallest difference between the rates of the two clocks that explains the samples, in parts per
-    /// million.
+    /// The smallest difference between the rates of the two clocks that can explain the compared times, in
+    /// parts per million.
     pub min_ppm: u64,
 }
 
-/// The times of a request and its response, which give one sample of the remote clock.
+/// One reading of the remote clock: the time that a response carries, and the local times at which the
+/// request was sent and the response was received.
 #[derive(Clone, Copy, Debug)]
 struct ClockSample {
     sent_at: Micros,
     received_at: Micros,
-    /// The time at which the response was made, read from the remote clock.
+    /// The time of the remote clock when the response was made.
     remote_time: Micros,
 }
 
-/// A comparison of a remote clock, such as the leader's, with the local clock.
+/// A comparison of the local clock with a remote clock, such as the leader's.
 ///
-/// Between two responses, the remote clock advances by a known duration. By the local clock, that duration is
-/// at least the time from receiving the first response to sending the second request, and at most the time
-/// from sending the first request to receiving the second response. Delays and pauses only widen this range;
-/// a remote duration outside it, by more than the clock bound permits, proves that one of the clocks drifts.
+/// Each response carries the time of the remote clock. Between two responses, the remote clock therefore
+/// advances by a known duration. By the local clock, that duration is at least the time from the receipt of
+/// the first response to the sending of the second request. It is at most the time from the sending of the
+/// first request to the receipt of the second response. Delays and pauses only move these two limits apart.
+/// If the remote duration is outside the limits by more than the clock bound permits, one of the clocks
+/// drifts.
 #[derive(Clone, Debug, Default)]
 pub struct ClockComparison {
     oldest: Option<ClockSample>,
-    /// The sample that replaces `oldest` once this sample is [`SAMPLE_WINDOW`] old.
+    /// The newer reference sample, which replaces `oldest` once this sample is [`SAMPLE_WINDOW`] old.
     next_oldest: Option<ClockSample>,
     drift: Option<ClockDrift>,
 }
 
 impl ClockComparison {
-    /// Records a response, and returns the drift that is proven so far.
+    /// Records the remote time of a response, and returns the drift that is proven so far.
     ///
-    /// `sent_at` and `received_at` are the times of the request and of the response by the local clock,
-    /// `remote_time` is the time at which the response was made by the remote clock; all are in microseconds.
+    /// `sent_at` and `received_at` are the local times at which the request was sent and the response was
+    /// received. `remote_time` is the time of the remote clock when the response was made. All three are in
+    /// microseconds.
     pub fn record_sample(
         &mut self,
         settings: &Settings,
@@ -80,8 +86,8 @@
         match self.next_oldest {
             None if sample.sent_at - oldest.sent_at >= SAMPLE_WINDOW => self.next_oldest = Some(sample),
             Some(next) if sample.sent_at.saturating_sub(next.sent_at) >= SAMPLE_WINDOW => {
-                // A drift that was proven against an older sample is cleared unless `next` and `sample` also
-                // prove a drift, because `next` becomes the oldest sample of the comparison.
+                // From now on, `next` is the oldest sample of the comparison. A drift that was proven against
+                // an older sample is therefore cleared, unless `next` and `sample` also prove a drift.
                 self.drift = prove_drift(settings, next, sample);
                 (self.oldest, self.next_oldest) = (Some(next), None);
             }
@@ -89,15 +95,15 @@
         }
     }
 
-    /// Whether the clocks count as within the clock bound: they were compared for long enough, and no drift
-    /// is proven.
+    /// Whether the two clocks count as within the clock bound at `now`: they have been compared for long
+    /// enough, and no drift is proven.
     pub fn is_cleared(&self, now: Micros) -> bool {
         let compared_since = self.oldest.map(|oldest| oldest.sent_at);
         let is_long = compared_since.is_some_and(|since| now.saturating_sub(since) >= CLEARING_SPAN);
         is_long && self.drift.is_none()
     }
 
-    /// The drift that is proven so far, if any.
+    /// The drift between the two clocks that is proven so far, if any.
     pub fn drift(&self) -> Option<ClockDrift> {
         self.drift
     }
--- a/crates/consensus/src/decision_conflict.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -1,42 +1,43 @@
-//! The definition of a conflict between two decisions, which tests check after every run.
+//! Defines when the decisions of two members conflict. Tests search for such conflicts after every run.
 use crate::versioned_document::Version;
 
-/// The rules on which a decision is based.
+/// The rules on which a member based a decision: the rules of one version, or the restricted rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DecisionBasis {
-    /// The version in force. The member held a lease when it decided.
+    /// The decision is based on the rules of this version, which was in force. The member held a lease when
+    /// it decided.
     InForce(Version),
-    /// The restricted rules, which allow only what every version from `in_force` to `newest` allows. If the
-    /// member had no lease, the restricted rules also forbid whatever a later version may forbid
-    /// ([`crate::Rules::without_lease`]).
+    /// The decision is based on the restricted rules, which allow only what every version from `in_force` to
+    /// `newest` allows. If the member had no lease, the restricted rules also forbid whatever a later version
+    /// may forbid ([`crate::Rules::without_lease`]).
     Restricted {
-        /// The version that the member last knew to be in force.
+        /// The version that the deciding member last knew to be in force.
         in_force: Version,
-        /// The newest committed version that the member knew.
+        /// The newest committed version that the deciding member knew.
         newest: Version,
-        /// Whether the member held a lease when it decided; if so, no version later than `newest` was in
+        /// Whether the member held a lease when it decided. If it did, no version later than `newest` was in
         /// force.
         has_lease: bool,
     },
 }
 
-/// The parts of a decision that determine whether it conflicts with another.
+/// A member's decision, reduced to the parts that determine whether it conflicts with another decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision<Q> {
-    /// The rules on which the decision is based.
+    /// The rules on which the member based the decision.
     pub basis: DecisionBasis,
     /// The request that the decision allowed or forbade.
     pub request: Q,
-    /// Whether the decision allowed the request; otherwise the decision forbade it.
+    /// Whether the decision allowed the request; if false, the decision forbade the request.
     pub is_allowed: bool,
 }
 
 /// Whether two decisions conflict. Only decisions on the same request can conflict, and only if one allowed
 /// the request and the other forbade it.
 ///
-/// Two such decisions under versions in force conflict if the versions differ. A decision under restricted
-/// rules may forbid what any other rules allow, but conflicts if it allows what a version in force forbids,
-/// whether or not the member knew that version.
+/// Two such decisions that followed versions in force conflict if the versions differ. A decision that
+/// followed restricted rules may forbid what other rules allow. Such a decision conflicts if it allows what a
+/// version in force forbids, whether or not the member knew that version.
 pub fn decisions_conflict<Q: PartialEq>(first: &Decision<Q>, second: &Decision<Q>) -> bool {
     if first.request != second.request || first.is_allowed == second.is_allowed {
         return false;
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -1,73 +1,78 @@
-//! The effects of a member: reports, and the messages and writes that the caller must carry out.
+//! The effects that a member returns to its caller: messages to send, writes to store, and reports.
 use crate::clock_comparison::ClockDrift;
 use crate::storage::{StorageWrite, WriteToken};
 use crate::versioned_document::Version;
 
-/// An effect of [`crate::Node::handle`]: an action for the caller to carry out, or a report.
+/// An effect that [`crate::Node::handle`] returns: an action for the caller to carry out, or a report to the
+/// caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a message. The network may lose, duplicate, delay or reorder it.
+    /// Tells the caller to send a message to another member. The network may lose, duplicate, delay or
+    /// reorder the message.
     Send {
-        /// The name of the member that must receive the message.
+        /// The name of the member to which the message is sent.
         to: String,
-        /// The serialized message, to be passed in at the recipient as an input of the kind `Message`.
+        /// The serialized message. At the receiving member, the caller passes these bytes in as an input of
+        /// the kind `Message`.
         bytes: Vec<u8>,
     },
-    /// Write to storage in the order of the tokens, and confirm with [`crate::Input::Persisted`] once the
-    /// write is durable.
+    /// Tells the caller to write to storage. The caller carries out the writes in the order of their tokens,
+    /// and confirms with [`crate::Input::Persisted`] once a write is durable.
     Persist {
-        /// The token of this write, which increases with each write.
+        /// The token that identifies this write. Each later write has a larger token.
         token: WriteToken,
-        /// The changes to the stored state.
+        /// The changes to the voter's stored state.
         write: StorageWrite,
     },
-    /// Reports that a proposal of this member was rejected and changed nothing.
+    /// Reports that a proposal of this member was rejected. The proposal changed nothing.
     ProposalRejected {
-        /// The version that the proposal was derived from.
+        /// The version from which the rejected proposal was derived.
         base_version: Version,
-        /// The version that was in force when the proposal was rejected, as far as the rejecting member knew.
+        /// The version in force at the time of the rejection, as far as the member that rejected the proposal
+        /// knew.
         in_force: Version,
-        /// Why the proposal was rejected, such as a stale base version.
+        /// Why the proposal was rejected, for example because it was not derived from the newest version.
         reason: RejectionReason,
     },
-    /// Reports that a proposal of this member was committed; it takes effect later.
+    /// Reports that a proposal of this member was committed as a new version. The version takes effect later.
     ProposalAccepted {
-        /// The version that the proposal was derived from.
+        /// The version from which the committed proposal was derived.
         base_version: Version,
-        /// The version that the proposal was committed as.
+        /// The new version that the proposal became when it was committed.
         version: Version,
     },
-    /// Reports the newest committed version that this member now knows. From now on this member forbids what
-    /// the version forbids; [`Effect::VersionInForce`] follows when the version takes effect, possibly at
-    /// once.
+    /// Reports that this member has learned of a new committed version, which is now the newest that the
+    /// member knows. From now on the member forbids what this version forbids. [`Effect::VersionInForce`]
+    /// follows when the version takes effect, possibly at once.
     VersionCommitted(Version),
-    /// Reports that this version took effect.
+    /// Reports that this member has learned that this version took effect.
     VersionInForce(Version),
-    /// Reports that this member no longer has a lease, because no new grant from a leader with a quorum
-    /// arrived in time or because its clock was proven to drift. Until [`Effect::LeaseRestored`], this member
-    /// follows the restricted rules, and version changes may fail to reach it.
+    /// Reports that this member no longer holds a lease. Either no new grant from a leader with a quorum
+    /// arrived in time, or the member's clock was proven to drift. Until [`Effect::LeaseRestored`], the
+    /// member follows the restricted rules, and changes of the version may fail to reach it.
     LeaseExpired,
-    /// Reports that a lease holds again after [`Effect::LeaseExpired`].
+    /// Reports that this member holds a lease again after [`Effect::LeaseExpired`].
     LeaseRestored,
-    /// Reports that this member's clock drifts from other clocks by more than the clock bound. A member that
-    /// proves a drift between its own clock and the leader's follows the restricted rules until
+    /// Reports that this member's clock drifts from other clocks by more than the clock bound permits. If a
+    /// member proves a drift between its own clock and the leader's, it follows the restricted rules until
     /// [`Effect::ClockDriftCleared`]. The leader reports a drift of its own clock if most of the other
-    /// members have proven a drift from the leader's clock, and then transfers the leadership.
+    /// members have proven a drift from the leader's clock. The leader then also transfers the leadership.
     ClockDriftDetected(ClockDrift),
-    /// Reports that the member's clock is within the clock bound again.
+    /// Reports that this member's clock is within the clock bound again, after
+    /// [`Effect::ClockDriftDetected`].
     ClockDriftCleared,
 }
 
-/// The reason for which a proposal was rejected.
+/// The reason why a member's proposal of new rules was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum RejectionReason {
-    /// The proposal's base is not the newest version. The same reason is given for a proposal that arrives
-    /// while [`crate::Settings::max_pending_versions`] versions are pending, because the leader's response
-    /// does not distinguish the two cases.
+    /// The proposal was not derived from the newest version. A proposal that arrives while
+    /// [`crate::Settings::max_pending_versions`] versions are pending gets the same reason, because the
+    /// leader's response does not distinguish the two cases.
     StaleBase,
-    /// The document exceeds [`crate::Settings::max_document_bytes`], or cannot be serialized.
+    /// The proposed document exceeds [`crate::Settings::max_document_bytes`], or cannot be serialized.
     TooLarge,
-    /// Eight proposals of this member are pending already, which is the limit.
+    /// This member already has eight proposals without a result, which is the limit.
     PendingLimitReached,
 }
--- a/crates/consensus/src/input.rs
+++ b/crates/consensus/src/input.rs
@@ -1,30 +1,32 @@
-//! The inputs of a member: time, messages, proposals and storage confirmations.
+//! The inputs of a member: ticks, messages, proposals, storage confirmations and the membership list.
 use crate::storage::WriteToken;
 use crate::versioned_document::Version;
 
-/// An input event for [`crate::Node::handle`].
+/// An input that the caller passes to [`crate::Node::handle`].
 #[derive(Clone, Debug)]
 pub enum Input<'a, R> {
-    /// The periodic timer fired; expected every [`crate::Settings::tick_interval`].
+    /// A tick: the caller's periodic timer has fired. A tick is expected every
+    /// [`crate::Settings::tick_interval`].
     Tick,
-    /// A message from another member.
+    /// A message that another member has sent to this member.
     Message {
-        /// The sender's name, authenticated by the transport.
+        /// The name of the member that sent the message, authenticated by the transport.
         from: &'a str,
-        /// The bytes of the sender's [`crate::Effect::Send`].
+        /// The bytes of the message, as the sender's [`crate::Effect::Send`] contained them.
         bytes: &'a [u8],
     },
-    /// A proposal of new rules by this member.
+    /// New rules that this member proposes to the other members.
     Propose {
-        /// The version that the new rules are derived from.
+        /// The version from which the proposed rules are derived.
         base_version: Version,
-        /// The new rules that the member proposes.
+        /// The proposed rules.
         rules: R,
     },
-    /// Confirmation that all writes up to and including this token of [`crate::Effect::Persist`] are durable.
+    /// Confirms that all writes up to and including the one with this token are durable. The token comes from
+    /// [`crate::Effect::Persist`].
     Persisted(WriteToken),
-    /// The names of all other members on the membership list. The leader sends updates to these members, and
-    /// counts them in the comparison of clocks, even before they have sent a request. An incomplete or
-    /// outdated list does not affect safety.
+    /// The names of all other members on the membership list. The leader sends version updates to these
+    /// members, and counts them in the check of its own clock, even before they have sent a request. An
+    /// incomplete or outdated list does not affect safety.
     Members(&'a [String]),
 }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,5 +1,5 @@
-//! The state that a leader keeps for its term, and its decisions on leases, activations and appended
-//! commands.
+//! The state that a leader keeps during one term, and its decisions on leases, on versions that take effect,
+//! and on commands to append to the log.
 use std::collections::BTreeMap;
 
 use crate::clock_comparison::ClockDrift;
@@ -11,22 +11,23 @@
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// The maximum number of appended proposals that the leader remembers, so that a resent proposal is not
-/// appended again at once. While the leader remembers this many proposals, no other proposal is appended.
+/// The maximum number of appended proposals that the leader remembers, so that a proposal that a member
+/// resends is not appended to the log again at once. While the leader remembers this many proposals, it
+/// appends no other proposal.
 const MAX_APPENDED_PROPOSALS: usize = 1_024;
-/// The number of other members that must have been heard from recently before their reports on the leader's
-/// clock count. A member that the leader knows only from the membership list counts as heard from at the time
-/// when the leader adds it.
+/// The minimum number of other members that the leader must have heard from recently before it acts on their
+/// reports about its clock. A member that the leader knows only from the membership list counts as heard from
+/// at the time when the leader adds it.
 const MIN_CLOCK_REPORTERS: usize = 2;
 
-/// The version that an activation command puts in force, and the time at which the leader appended that
-/// command to the log.
+/// The leader's last command that puts a version in force: the version, and the time at which the leader
+/// appended the command to the log.
 struct Activation {
     version: Version,
     appended_at: Micros,
 }
 
-/// A leader's state for one term. Owned by its [`crate::Node`].
+/// The state that a leader keeps during one term. Owned by the leader's [`crate::Node`].
 pub(crate) struct LeaderState {
     term: u64,
     elected_at: Micros,
@@ -34,7 +35,7 @@
     quorum_reads: QuorumReads,
     epoch_appended_at: Option<Micros>,
     last_activation: Option<Activation>,
-    /// The time at which each proposal was appended to the log.
+    /// The time at which the leader appended each remembered proposal to the log.
     appended_proposals: BTreeMap<ProposalId, Micros>,
     drift_reported_at: Option<Micros>,
 }
@@ -64,7 +65,8 @@
         self.quorum_reads.add(from, PendingLease { session, sent_at, newest });
     }
 
-    /// Starts the next quorum read if one is due, and returns the ID of the read.
+    /// Starts a quorum read if one is due, and returns the ID of the read. A quorum read asks the voters to
+    /// confirm that this member still leads.
     pub(crate) fn start_quorum_read(&mut self, now: Micros, settings: &Settings) -> Option<u64> {
         self.quorum_reads.start_read(now, settings)
     }
@@ -73,8 +75,8 @@
         self.quorum_reads.confirm(read_id, index);
     }
 
-    /// Grants a lease to every member whose request is confirmed by a quorum read, and records for each grant
-    /// that `newest` was the newest version at that time.
+    /// Grants a lease for every request that a confirmed quorum read covers, and returns these requests by
+    /// member. Records for each grant the time, and that `newest` was the newest version at that time.
     pub(crate) fn grant_leases(
         &mut self,
         now: Micros,
@@ -90,8 +92,8 @@
         grants
     }
 
-    /// Returns whether the start of an epoch must be appended now, and if so records the time: further calls
-    /// return false until the lease expiry wait has passed.
+    /// Returns whether the leader must now append the command that starts an epoch to the log. If so, records
+    /// the time, and further calls return false until the lease expiry wait has passed.
     pub(crate) fn take_due_epoch_start(&mut self, now: Micros, settings: &Settings) -> bool {
         let is_due = is_due(self.epoch_appended_at, now, settings);
         if is_due {
@@ -100,9 +102,9 @@
         is_due
     }
 
-    /// Returns whether a proposal must be appended now, and if so records the time: further calls for the
-    /// same proposal return false until the lease expiry wait has passed. Also returns false while
-    /// [`MAX_APPENDED_PROPOSALS`] proposals are remembered.
+    /// Returns whether the leader must now append this proposal to the log. If so, records the time, and
+    /// further calls for the same proposal return false until the lease expiry wait has passed. Also returns
+    /// false while [`MAX_APPENDED_PROPOSALS`] proposals are remembered.
     pub(crate) fn take_due_proposal(&mut self, now: Micros, id: &ProposalId, settings: &Settings) -> bool {
         let wait = settings.lease_expiry_wait();
         self.appended_proposals.retain(|_, appended_at| now.saturating_sub(*appended_at) < wait);
@@ -114,17 +116,18 @@
         is_new
     }
 
-    /// The newest pending version that can be activated: each member either knows it, or can no longer hold a
-    /// lease that was granted without it. A returned version is not returned again until the lease expiry
-    /// wait has passed.
+    /// Returns the newest pending version that may take effect now. Each member must either know the version,
+    /// or be unable to still hold a lease that was granted while an older version was the newest. The same
+    /// version is not returned again until the lease expiry wait has passed.
     pub(crate) fn next_activation(
         &mut self,
         now: Micros,
         state: &ReplicatedState,
         settings: &Settings,
     ) -> Option<Version> {
-        // Waits for the lease expiry wait after the election, because until then a member may hold a lease of
-        // an earlier leader, of which this leader does not know.
+        // For the duration of the lease expiry wait after the election, a member may still hold a lease from
+        // an earlier leader. This leader does not know of such leases, so it puts no version in force during
+        // that time.
         if now.saturating_sub(self.elected_at) < settings.lease_expiry_wait() {
             return None;
         }
@@ -144,9 +147,10 @@
         Some(version)
     }
 
-    /// Returns the members that are due an update, each with the newest version that the member has reported,
-    /// and records the time of sending. Before that, starts to track the members in `known_members`, and
-    /// stops tracking members that have not been heard from recently and cannot hold a lease.
+    /// Returns the members to which the leader must send a version update now, each with the newest version
+    /// that the member has reported. Records the time of sending. Before that, starts to track the members in
+    /// `known_members`, and stops tracking members that have not been heard from recently and cannot hold a
+    /// lease.
     pub(crate) fn take_members_to_update(
         &mut self,
         now: Micros,
@@ -174,14 +178,14 @@
         outdated
     }
 
-    /// The drift of the leader's own clock, if most of the other members that were heard from recently report
-    /// a drift. `None` if fewer than [`MIN_CLOCK_REPORTERS`] other members were heard from recently, or if a
-    /// drift was returned within the last lease expiry wait.
+    /// Returns the drift of the leader's own clock, if most of the other members that were heard from
+    /// recently report a drift from the leader's clock. Returns `None` if fewer than [`MIN_CLOCK_REPORTERS`]
+    /// other members were heard from recently, or if a drift was returned within the last lease expiry wait.
     pub(crate) fn take_own_drift(&mut self, now: Micros, settings: &Settings) -> Option<ClockDrift> {
         let recent = self.members.values().filter(|member| member.is_recent(now));
         let reports: Vec<Option<ClockDrift>> = recent.map(MemberProgress::drift).collect();
         let drifts: Vec<ClockDrift> = reports.iter().copied().flatten().collect();
-        // The reports include the leader's own, which never has a drift.
+        // `reports` includes the leader's report about itself, which never has a drift.
         let reporters = reports.len().saturating_sub(1);
         let is_majority = reporters >= MIN_CLOCK_REPORTERS && 2 * drifts.len() > reporters;
         if !is_majority || !is_due(self.drift_reported_at, now, settings) {
@@ -195,8 +199,8 @@
     }
 }
 
-/// Whether an action is due: it was never taken (`last` is `None`), or more than the lease expiry wait has
-/// passed since it was taken at `last`.
+/// Whether the leader may take an action that it last took at `last`: it never took the action (`last` is
+/// `None`), or more than the lease expiry wait has passed since.
 fn is_due(last: Option<Micros>, now: Micros, settings: &Settings) -> bool {
     last.is_none_or(|last| now.saturating_sub(last) > settings.lease_expiry_wait())
 }
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -1,4 +1,4 @@
-//! The versions that one member knows, its lease, and the rules that apply to its decisions.
+//! The versions that a member knows, its lease, and the rules that its decisions must follow.
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -7,12 +7,13 @@
 use crate::time::Micros;
 use crate::versioned_document::{Version, VersionedDocument};
 
-/// The rules that a decision must follow.
+/// The rules that a decision of a member must follow.
 #[derive(Debug)]
 pub enum EffectiveRules<'a, R> {
-    /// The rules of the version in force.
+    /// The decision must follow these rules of the version in force.
     InForce(&'a R),
-    /// The restricted rules, which allow only what all versions that may be in force allow.
+    /// The decision must follow these restricted rules, which allow only what all versions that may be in
+    /// force allow.
     Restricted(&'a R),
 }
 
@@ -28,27 +29,29 @@
 /// A member's lease, and the versions that may be in force as far as the member knows.
 ///
 /// While the lease holds, the version in force is one of the known versions. Only the member's
-/// [`crate::Node`] changes the lease and the versions. Cloning is cheap, and a clone serves as a snapshot for
+/// [`crate::Node`] changes the lease and the versions. A clone costs little, and serves as a snapshot for
 /// another thread.
 #[derive(Clone, Debug)]
 pub struct LeasedRules<R> {
-    /// All versions from the one last known to be in force to the newest; never empty.
+    /// The rules of all versions from the one that the member last knew to be in force to the newest that it
+    /// knows. Never empty.
     versions: BTreeMap<Version, Arc<R>>,
-    /// The intersection of all known versions, computed when they change so that a decision only reads it.
+    /// The rules that allow only what all known versions allow. They are computed when the known versions
+    /// change, so that a decision only reads them.
     intersection: Arc<R>,
-    /// The restricted rules that apply without a lease.
+    /// The restricted rules that the member follows without a lease.
     without_lease: Arc<R>,
     lease_expires_at: Micros,
-    /// Whether the member's clock is proven to drift beyond the clock bound, so that the expiry time of the
-    /// lease is not reliable.
+    /// Whether the member's clock is proven to drift beyond the clock bound. If so, the expiry time of the
+    /// lease is not reliable, and the lease does not count.
     is_clock_suspect: bool,
-    /// Whether decisions check the lease. False only in tests that verify that they detect the conflicting
-    /// decisions which a missing lease check causes.
+    /// Whether decisions check the lease. False only in tests. These tests verify that they detect the
+    /// conflicting decisions that a missing lease check causes.
     checks_lease: bool,
 }
 
 impl<R: Rules> LeasedRules<R> {
-    /// Creates the state of a member that knows only the rules of its own configuration and has no lease.
+    /// Creates the state of a member that has no lease and knows only the rules of its own configuration.
     pub(crate) fn new(initial: R) -> LeasedRules<R> {
         let without_lease = Arc::new(initial.without_lease());
         let initial = Arc::new(initial);
@@ -62,10 +65,10 @@
         }
     }
 
-    /// The rules for a decision at the time `now`.
+    /// Returns the rules that a decision at the time `now` must follow.
     ///
-    /// Checks the lease at each call instead of relying on a timer, because a process that resumes from a
-    /// pause may make decisions before any of its timers has run.
+    /// Each call checks the lease. A timer would not be enough: a process that resumes from a pause may make
+    /// decisions before any of its timers has run.
     pub fn effective_rules(&self, now: Micros) -> EffectiveRules<'_, R> {
         if self.checks_lease && !self.has_lease(now) {
             EffectiveRules::Restricted(&self.without_lease)
@@ -76,8 +79,9 @@
         }
     }
 
-    /// The versions on which the rules returned by [`LeasedRules::effective_rules`] at the time `now` are
-    /// based, for event logs and for tests that search for conflicts.
+    /// Returns the versions on which a decision at the time `now` is based, if it follows
+    /// [`LeasedRules::effective_rules`]. Event logs record this basis, and tests use it to search for
+    /// conflicts.
     pub fn basis(&self, now: Micros) -> DecisionBasis {
         let has_lease = self.has_lease(now) || !self.checks_lease;
         if has_lease && self.versions.len() == 1 {
@@ -86,7 +90,7 @@
         DecisionBasis::Restricted { in_force: self.in_force(), newest: self.newest(), has_lease }
     }
 
-    /// Whether the lease holds at the time `now`.
+    /// Whether the member's lease holds at the time `now`.
     pub fn has_lease(&self, now: Micros) -> bool {
         now < self.lease_expires_at && !self.is_clock_suspect
     }
@@ -101,12 +105,12 @@
         self.versions.last_key_value().map_or(Version::default(), |(version, _)| *version)
     }
 
-    /// Applies an update from the leader, which lists all versions from the one in force to the newest, and
-    /// has the documents of some of them.
+    /// Applies a version update from the leader. The update lists all versions from the one in force to the
+    /// newest, and has the documents of some of them.
     ///
-    /// Returns whether this member then knows every listed version; a version older than the member's version
-    /// in force need not be known. If a document is missing or damaged, nothing changes, and no lease may be
-    /// based on the update.
+    /// Returns whether this member then knows every listed version. A listed version that is older than the
+    /// member's version in force need not be known. If a document is missing or damaged, nothing changes, and
+    /// no lease may be based on the update.
     pub(crate) fn apply_update(&mut self, versions: &[Version], documents: &[VersionedDocument]) -> bool {
         let (Some(&first), Some(&last)) = (versions.first(), versions.last()) else { return false };
         if self.is_outdated(first, last) {
@@ -130,7 +134,8 @@
         true
     }
 
-    /// Whether an update with the versions `first` to `last` contains nothing new.
+    /// Whether an update with the versions `first` to `last` brings this member neither a later version in
+    /// force nor a later newest version.
     fn is_outdated(&self, first: Version, last: Version) -> bool {
         last < self.in_force() || (first <= self.in_force() && last <= self.newest())
     }
@@ -145,18 +150,18 @@
         self.without_lease = Arc::new(self.intersection.without_lease());
     }
 
-    /// Extends the lease to `expires_at`; never shortens it.
+    /// Extends the member's lease to the time `expires_at`. The lease is never shortened.
     pub(crate) fn extend_lease(&mut self, expires_at: Micros) {
         self.lease_expires_at = self.lease_expires_at.max(expires_at);
     }
 
-    /// Records whether the clock is proven to drift beyond the clock bound.
+    /// Records whether the member's clock is proven to drift beyond the clock bound.
     pub(crate) fn set_clock_suspect(&mut self, is_suspect: bool) {
         self.is_clock_suspect = is_suspect;
     }
 
-    /// Disables the lease check, for tests that verify that they detect the conflicting decisions which a
-    /// missing lease check causes.
+    /// Disables the lease check, for tests. These tests verify that they detect the conflicting decisions
+    /// that a missing lease check causes.
     pub(crate) fn disable_lease_check(&mut self) {
         self.checks_lease = false;
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -13,13 +13,14 @@
 //!
 //! 1. Three, five or seven voters agree on the order of the document's versions ([`ReplicatedState`]). All
 //!    members, voters included, hold copies of the document under leases that the leader grants.
-//! 2. A committed version takes effect once each member either has reported that it knows the version, or can
-//!    no longer hold a lease that was granted without it ([`Settings::lease_expiry_wait`]).
+//! 2. A committed version does not take effect at once. Each member must have reported that it knows the
+//!    version, or be unable to still hold a lease that was granted while an older version was the newest
+//!    ([`Settings::lease_expiry_wait`]).
 //! 3. Each decision calls [`LeasedRules::effective_rules`] with the current time. While the lease holds and
-//!    only one version is known, the call returns the rules of that version, which is in force; otherwise it
+//!    only one version is known, that version is in force, and the call returns its rules. Otherwise the call
 //!    returns the restricted rules, which allow only what all versions that may be in force allow.
 //!
-//! The crate does not interpret the rules; it only combines documents through the [`Rules`] trait.
+//! The crate does not interpret the rules. It only combines documents through the [`Rules`] trait.
 #![forbid(unsafe_code)]
 
 mod clock_comparison;
--- a/crates/consensus/src/member_progress.rs
+++ b/crates/consensus/src/member_progress.rs
@@ -7,12 +7,12 @@
 use crate::time::{Micros, SECOND};
 use crate::versioned_document::Version;
 
-/// Only members that were heard from within this window are sent updates and counted in clock comparisons. A
-/// member that the leader knows only from the membership list counts as heard from at the time when the
-/// leader adds it.
+/// How long a member counts as recently heard from. The leader sends version updates only to such members,
+/// and counts only them in the check of its own clock. A member that the leader knows only from the
+/// membership list counts as heard from at the time when the leader adds it.
 const RECENT_WINDOW: Micros = 5 * SECOND;
 
-/// One member's progress during one leader's term.
+/// What the leader has recorded about one member during its term.
 #[derive(Default)]
 pub(crate) struct MemberProgress {
     session: u64,
@@ -20,15 +20,16 @@
     in_force: Version,
     newest: Version,
     drift: Option<ClockDrift>,
-    /// For each version, the time of the last lease grant at which that version was the newest.
+    /// For each version, the time of the last lease that was granted to the member while that version was the
+    /// newest.
     granted_at: BTreeMap<Version, Micros>,
-    /// The time at which the member was last sent an update.
+    /// The time at which the leader last sent the member a version update.
     last_update: Option<Micros>,
 }
 
 impl MemberProgress {
-    /// Creates the progress of a member that the leader knows only from the membership list. The member
-    /// counts as heard from at `now`.
+    /// Creates the record of a member that the leader knows only from the membership list. The member counts
+    /// as heard from at `now`.
     pub(crate) fn from_membership(now: Micros) -> MemberProgress {
         MemberProgress { last_heard: now, ..MemberProgress::default() }
     }
@@ -38,9 +39,9 @@
             self.in_force = self.in_force.max(request.in_force);
             self.newest = self.newest.max(request.newest);
         } else {
-            // A new session means that the member has restarted and lost the versions and leases that it had.
-            // The records of earlier grants are kept, which is safe because they can only delay an
-            // activation.
+            // A new session means that the member has restarted, and has lost its versions and leases. The
+            // records of earlier grants are kept. That is safe, because they can only delay the time at which
+            // a version takes effect.
             self.session = request.session;
             (self.in_force, self.newest) = (request.in_force, request.newest);
         }
@@ -56,7 +57,7 @@
         self.granted_at.retain(|_, granted_at| may_be_leased(now, *granted_at, settings));
     }
 
-    /// Whether this member permits the activation of the version: the member knows the version, or can no
+    /// Whether this member permits that the version takes effect. It does if it knows the version, or can no
     /// longer hold a lease that was granted while an older version was the newest.
     pub(crate) fn allows_activation(&self, version: Version, now: Micros, settings: &Settings) -> bool {
         let mut earlier = self.granted_at.iter().filter(|(newest, _)| **newest < version);
@@ -67,16 +68,17 @@
         now.saturating_sub(self.last_heard) < RECENT_WINDOW
     }
 
-    /// Whether the leader must still track the member: it was heard from recently, or may hold a lease.
+    /// Whether the leader must still track this member: the member was heard from recently, or may hold a
+    /// lease.
     pub(crate) fn must_be_tracked(&self, now: Micros, settings: &Settings) -> bool {
         let is_heard_from =
             now.saturating_sub(self.last_heard) < RECENT_WINDOW.max(settings.lease_expiry_wait());
         is_heard_from || !self.granted_at.is_empty()
     }
 
-    /// Whether to send the member an update now: the member has not reported the versions `in_force` and
-    /// `newest` yet, was heard from recently, and was sent no update within the last half of a maximum round
-    /// trip.
+    /// Whether the leader must send this member a version update now. The member must have been heard from
+    /// recently, and must not have reported the versions `in_force` and `newest` yet. An earlier update must
+    /// have been sent at least half a maximum round trip ago.
     pub(crate) fn needs_update(
         &self,
         now: Micros,
@@ -98,14 +100,14 @@
         self.newest
     }
 
-    /// The drift between the member's clock and the leader's that the member has proven, if any.
+    /// The drift that this member has proven between its own clock and the leader's, if any.
     pub(crate) fn drift(&self) -> Option<ClockDrift> {
         self.drift
     }
 }
 
-/// Whether a lease granted at `granted_at` may still hold by the clock of a member, if that clock is within
-/// the clock bound.
+/// Whether a member whose clock is within the clock bound may still hold a lease that was granted at
+/// `granted_at`.
 fn may_be_leased(now: Micros, granted_at: Micros, settings: &Settings) -> bool {
     now.saturating_sub(granted_at) < settings.lease_expiry_wait()
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,7 +1,8 @@
 //! The state machine of one member, which turns inputs into effects.
 //!
-//! [`Node`] owns all state of a member. Each submodule adds the methods of one concern: `messages` dispatches
-//! the received packets, and `process_until_idle` runs Raft and the leader's duties after each input.
+//! [`Node`] owns all state of a member. Each submodule adds the methods for one task. `messages` passes each
+//! received packet to the method that handles it. After each input, `process_until_idle` runs Raft and the
+//! leader's duties.
 mod leader_duties;
 mod lease_client;
 mod messages;
@@ -35,39 +36,39 @@
     identity: MemberIdentity,
     settings: Settings,
     rng: fastrand::Rng,
-    /// A random number that distinguishes this process from earlier processes of the same name.
+    /// A random number that distinguishes this process of the member from earlier processes of the same name.
     session: u64,
     leased_rules: LeasedRules<R>,
-    /// The serialized rules of this member's configuration, which become the first document if this member
+    /// The serialized rules of this member's configuration. They become the first document if this member
     /// starts the first epoch.
     initial_rules: Vec<u8>,
-    /// This member's ID as a voter; `None` for a non-voter.
+    /// This member's ID as a voter; `None` if the member is a non-voter.
     voter_id: Option<VoterId>,
     role: Role,
-    /// The token of the last write; the next write takes the token after this one.
+    /// The token of this member's last storage write. The next write takes the token after this one.
     last_token: WriteToken,
     state: ReplicatedState,
-    /// The largest known generation of any voter, which becomes the number of the first epoch if this member
-    /// starts that epoch.
+    /// The largest generation of any voter that this member knows. It becomes the number of the first epoch
+    /// if this member starts that epoch.
     max_generation: u64,
     /// The state that this member keeps while it leads the voters; `None` while it does not lead.
     leader: Option<LeaderState>,
     next_tick_at: Micros,
     lease: LeaseClient,
     proposals: ProposalClient,
-    /// The names of the other members that the membership lists.
+    /// The names of the other members on the membership list.
     members: Vec<String>,
-    /// Packets from this member to itself that are not yet handled.
+    /// Packets that this member has sent to itself and has not handled yet.
     local_packets: VecDeque<Packet>,
 }
 
 impl<R: Rules> Node<R> {
-    /// Creates a member without a lease. Until the first lease grant, the member follows the restricted form
-    /// of the rules of its own configuration.
+    /// Creates a member without a lease. Until the first lease grant, the member follows a restricted form of
+    /// the rules in its own configuration.
     ///
     /// `seed` determines all random numbers of the member. The seed must differ for each start of each
-    /// process, because the seed also determines the session number, by which a member recognizes responses
-    /// to an earlier process.
+    /// process, because it also determines the session number. By the session number, a member recognizes
+    /// responses to requests of an earlier process.
     ///
     /// # Errors
     /// Returns an error if the settings, the name, the initial rules or the stored state are invalid.
@@ -115,20 +116,21 @@
         })
     }
 
-    /// Disables the lease check in decisions, for tests that verify that they detect the conflicting
-    /// decisions which a missing lease check causes.
+    /// Disables the lease check in decisions, for tests. These tests verify that they detect the conflicting
+    /// decisions that a missing lease check causes.
     #[doc(hidden)]
     pub fn without_lease_check(mut self) -> Node<R> {
         self.leased_rules.disable_lease_check();
         self
     }
 
-    /// The rules for a decision at the time `now`; see [`LeasedRules::effective_rules`].
+    /// Returns the rules that a decision at the time `now` must follow; see [`LeasedRules::effective_rules`].
     pub fn effective_rules(&self, now: Micros) -> EffectiveRules<'_, R> {
         self.leased_rules.effective_rules(now)
     }
 
-    /// The versions that this member knows, with its lease. Cheap to clone as a snapshot for other threads.
+    /// The versions that this member knows, and its lease. The value can be cloned at little cost, as a
+    /// snapshot for other threads.
     pub fn leased_rules(&self) -> &LeasedRules<R> {
         &self.leased_rules
     }
@@ -138,14 +140,14 @@
         self.leader.is_some()
     }
 
-    /// Whether this member is a voter that takes part in votes. False for a voter without stored state that
-    /// has not caught up yet.
+    /// Whether this member is a voter that takes part in votes. False for a non-voter, and for a voter that
+    /// started without stored state and has not caught up yet.
     pub fn is_voting(&self) -> bool {
         matches!(self.role, Role::Voting(_))
     }
 
-    /// Handles an input at the time `now`, which must never decrease, and appends the resulting effects in
-    /// order.
+    /// Handles an input at the time `now`, and appends the resulting effects to `effects` in order. `now`
+    /// must never decrease from call to call.
     pub fn handle(&mut self, now: Micros, input: Input<'_, R>, effects: &mut Vec<Effect>) {
         match input {
             Input::Tick => self.tick(now, effects),
@@ -164,8 +166,8 @@
     fn tick(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.report_lease_expiry(now, effects);
         if now >= self.next_tick_at {
-            // A late timer counts as a single tick, so that the duration of a pause cannot start an election
-            // before the waiting messages have been handled.
+            // A late timer counts as a single tick. Otherwise the ticks that were missed during a pause could
+            // start an election before the waiting messages have been handled.
             self.next_tick_at = now.saturating_add(self.settings.tick_interval);
             match &mut self.role {
                 Role::Voting(voter) => voter.tick(),
@@ -177,7 +179,8 @@
         self.resend_proposals(now, effects);
     }
 
-    /// Runs Raft, packets to this member itself and the leader's duties until they produce nothing more.
+    /// Runs Raft, the leader's duties and the packets from this member to itself, until they produce nothing
+    /// more.
     fn process_until_idle(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         loop {
             while let Some(packet) = self.local_packets.pop_front() {
@@ -192,8 +195,8 @@
             let has_output = voter.drain(&mut output);
             let leader_term = voter.leader_term();
             if self.leader.as_ref().map(LeaderState::term) != leader_term {
-                // `now` starts the lease expiry wait in `LeaderState::next_activation`. The leases of earlier
-                // leaders were requested before `now`, so they have expired at the end of that wait.
+                // The lease expiry wait in `LeaderState::next_activation` starts at `now`. All leases of
+                // earlier leaders were requested before `now`, so they have expired at the end of that wait.
                 self.leader = leader_term.map(|term| LeaderState::new(term, now));
             }
             self.apply_output(output, effects);
--- a/crates/consensus/src/node/leader_duties.rs
+++ b/crates/consensus/src/node/leader_duties.rs
@@ -1,5 +1,5 @@
-//! The leader's duties besides replication: it confirms its leadership, grants leases, activates versions,
-//! sends updates, and checks its own clock.
+//! The leader's duties besides replication: to confirm that it still leads, grant leases, put versions in
+//! force, send version updates, and check its own clock.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -13,8 +13,8 @@
 impl<R: Rules> Node<R> {
     pub(super) fn run_leader_duties(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let (Some(leader), Role::Voting(voter)) = (&mut self.leader, &mut self.role) else { return };
-        // The leader waits until it has applied the entries of earlier terms, because before that its state
-        // may look empty, and it would start an epoch.
+        // The leader waits until it has applied the log entries of earlier terms. Before that, its state may
+        // look empty, and it would start an epoch although there is one.
         if !voter.has_applied_own_term() {
             return;
         }
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The command that starts the first epoch with this member's own rules, if it is due.
+    /// Returns the command that starts the first epoch with this member's own rules, if the command is due.
     fn first_epoch_command(&mut self, now: Micros) -> Option<Command> {
         let leader = self.leader.as_mut()?;
         leader.take_due_epoch_start(now, &self.settings).then(|| Command::StartEpoch {
@@ -46,12 +46,12 @@
         })
     }
 
-    /// The command that starts a new epoch if a member reports an epoch later than the leader's. The number
-    /// of the new epoch is one above the reported number.
+    /// Returns the command that starts a new epoch, if a member reports an epoch later than the leader's. The
+    /// number of the new epoch is one above the reported number.
     ///
-    /// A member can report such an epoch after all voters have lost their storage. The number of the first
-    /// epoch is a voter's generation, which is read from a clock: if that clock was ahead, the epoch before
-    /// the loss has a higher number than the first epoch after the loss.
+    /// A member can report such an epoch after all voters have lost their storage. The first epoch takes its
+    /// number from a voter's generation, which is read from a clock. If that clock was ahead, the epoch
+    /// before the loss has a higher number than the first epoch after the loss.
     fn epoch_command_after_lost_storage(
         &mut self,
         now: Micros,
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Transfers the leadership if most members report that the leader's clock drifts from theirs.
+    /// Reports a drift of the leader's own clock and transfers the leadership, if most members report that
+    /// the leader's clock drifts from theirs.
     fn check_own_clock(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let (Some(leader), Role::Voting(voter)) = (&mut self.leader, &mut self.role) else { return };
         if let Some(own_id) = self.voter_id
@@ -114,7 +115,7 @@
     }
 }
 
-/// An update for a member that knows the versions up to `known`.
+/// Creates a version update for a member that already knows the versions up to `known`.
 fn version_update(state: &ReplicatedState, known: Version) -> VersionUpdate {
     VersionUpdate {
         versions: state.documents().map(|document| document.version).collect(),
--- a/crates/consensus/src/node/lease_client.rs
+++ b/crates/consensus/src/node/lease_client.rs
@@ -1,4 +1,4 @@
-//! The member's side of its lease: it requests leases, and handles grants and version updates.
+//! How a member gets its lease: it sends requests, and handles lease grants and version updates.
 use super::Node;
 use crate::clock_comparison::ClockComparison;
 use crate::effect::Effect;
@@ -8,19 +8,20 @@
 use crate::versioned_document::Version;
 use crate::voter_id::VoterId;
 
-/// The number of unanswered requests after which the next voter is asked.
+/// The number of lease requests that a voter may leave unanswered before the member asks the next voter.
 const MAX_UNANSWERED_REQUESTS: u32 = 2;
 
-/// A leader and the term in which it leads.
+/// A leader, and the term in which it leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct LeaderTerm {
     leader_id: VoterId,
     term: u64,
 }
 
-/// A member's side of its lease. Owned by its [`Node`].
+/// The part of a member that requests and renews its lease. Owned by the member's [`Node`].
 pub(super) struct LeaseClient {
-    /// The voter to which requests and proposals are sent: the leader, as far as it is known.
+    /// The voter to which this member sends lease requests and proposals: the leader, as far as this member
+    /// knows.
     target_voter: VoterId,
     unanswered_requests: u32,
     next_request_at: Micros,
@@ -28,7 +29,8 @@
     clock: ClockComparison,
     granted_by: Option<LeaderTerm>,
     is_clock_suspect: bool,
-    /// Whether [`Effect::LeaseExpired`] was reported, and [`Effect::LeaseRestored`] not yet.
+    /// Whether [`Effect::LeaseExpired`] was reported, and [`Effect::LeaseRestored`] has not been reported
+    /// since.
     is_expiry_reported: bool,
 }
 
@@ -49,7 +51,8 @@
         self.target_voter
     }
 
-    /// Sets the voter to which requests and proposals are sent, and resets the count of unanswered requests.
+    /// Sets the voter to which this member sends lease requests and proposals, and resets the count of
+    /// unanswered lease requests.
     fn set_target(&mut self, voter_id: VoterId) {
         self.target_voter = voter_id;
         self.unanswered_requests = 0;
@@ -57,7 +60,7 @@
 }
 
 impl<R: Rules> Node<R> {
-    /// Reports that the lease has expired or holds again, once for each change.
+    /// Reports that this member's lease has expired or holds again, once for each change.
     pub(super) fn report_lease_expiry(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let is_reported = self.lease.is_expiry_reported;
         let had_lease = self.leased_rules.newest() > Version::default() || is_reported;
@@ -77,7 +80,7 @@
 
     /// Requests a lease from the leader, or from a voter that may know the leader.
     fn request_lease(&mut self, now: Micros, effects: &mut Vec<Effect>) {
-        // Prefers the leader that this member's own Raft state knows. If that state knows no leader, the
+        // Prefers the leader that this member's own Raft state names. If that state names no leader, the
         // member tries the next voter after several unanswered requests.
         if let Some(leader_id) = self.role.leader_id() {
             self.lease.target_voter = leader_id;
@@ -96,8 +99,8 @@
         self.send_to_voter(self.lease.target_voter, Packet::LeaseRequest(request), effects);
     }
 
-    /// Handles a lease request. The leader adds it to the next quorum read; another voter responds with the
-    /// ID of the leader, if it knows one.
+    /// Handles a member's lease request. The leader adds the request to the next quorum read. Any other voter
+    /// responds with the ID of the leader, if it knows the leader.
     pub(super) fn on_lease_request(
         &mut self,
         now: Micros,
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Handles a lease grant. An accepted lease begins at the time when it was requested.
+    /// Handles a lease grant. An accepted lease begins at the time at which this member sent the request.
     pub(super) fn on_lease_grant(
         &mut self,
         now: Micros,
@@ -126,8 +129,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let LeaseGrant { session, sent_at, term, leader_time, update } = grant;
-        // Ignores grants to an earlier process of this member, grants that arrive later than the maximum
-        // round trip after the request, and grants of a leader that was replaced.
+        // Ignores three kinds of grants: those to an earlier process of this member, those that arrive later
+        // than the maximum round trip after the request, and those of a leader that was replaced.
         let is_late = sent_at > now || now - sent_at > self.settings.max_round_trip;
         let is_replaced = self.lease.granted_by.is_some_and(|leader| term < leader.term);
         if session != self.session || is_late || is_replaced {
@@ -146,8 +149,8 @@
         }
     }
 
-    /// Compares this member's clock with the leader's, and reports when a drift is first proven and when it
-    /// is cleared.
+    /// Compares this member's clock with the leader's. Reports when a drift is first proven, and when the
+    /// drift is cleared.
     fn compare_clocks(
         &mut self,
         now: Micros,
@@ -173,8 +176,8 @@
         self.leased_rules.set_clock_suspect(lease.is_clock_suspect);
     }
 
-    /// Applies an update that grants no lease. If it changed anything, a new lease request reports the known
-    /// versions to the leader.
+    /// Applies a version update that grants no lease. If the update changed anything, the member sends a new
+    /// lease request, because the request tells the leader which versions the member knows.
     pub(super) fn on_version_update(
         &mut self,
         now: Micros,
@@ -191,7 +194,7 @@
         }
     }
 
-    /// Sends the lease request to the voter that another voter named as the leader.
+    /// Sends a lease request to the voter that another voter has named as the leader.
     pub(super) fn on_leader_hint(
         &mut self,
         now: Micros,
@@ -206,9 +209,9 @@
         }
     }
 
-    /// Applies an update from the leader, and reports a new committed version and a new version in force.
-    /// Returns whether this member then knows every listed version; a version older than the member's version
-    /// in force need not be known.
+    /// Applies a version update from the leader, and reports a new committed version and a new version in
+    /// force. Returns whether this member then knows every listed version. A listed version that is older
+    /// than the member's version in force need not be known.
     fn apply_update(&mut self, update: &VersionUpdate, effects: &mut Vec<Effect>) -> bool {
         let (in_force, newest) = (self.leased_rules.in_force(), self.leased_rules.newest());
         let is_known = self.leased_rules.apply_update(&update.versions, &update.documents);
--- a/crates/consensus/src/node/messages.rs
+++ b/crates/consensus/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! Passes each received packet to the handler for its kind.
+//! Passes each packet that a member receives to the method that handles its kind.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -8,7 +8,7 @@
 use crate::voter_id::VoterId;
 
 impl<R: Rules> Node<R> {
-    /// Handles a packet from the member named `from`.
+    /// Handles a packet from the member with the name `from`.
     pub(super) fn on_packet(&mut self, now: Micros, from: &str, packet: Packet, effects: &mut Vec<Effect>) {
         match packet {
             Packet::LeaseRequest(request) => self.on_lease_request(now, from, &request, effects),
--- a/crates/consensus/src/node/proposals.rs
+++ b/crates/consensus/src/node/proposals.rs
@@ -1,5 +1,5 @@
-//! Proposals: the proposing member resends a proposal until it receives the result, and the leader appends
-//! the proposal to the log.
+//! Proposals of new rules. The proposing member resends a proposal until it receives the result. The leader
+//! appends the proposal to the log.
 use std::collections::BTreeMap;
 
 use super::Node;
@@ -10,7 +10,7 @@
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// The number of proposals of this member that may be pending at once.
+/// The maximum number of this member's proposals that may wait for a result at once.
 const MAX_PENDING_PROPOSALS: usize = 8;
 
 struct PendingProposal {
@@ -19,10 +19,10 @@
     sent_at: Micros,
 }
 
-/// This member's proposals that have no result yet. Owned by its [`Node`].
+/// This member's proposals that have no result yet. Owned by the member's [`Node`].
 #[derive(Default)]
 pub(super) struct ProposalClient {
-    /// The proposals without a result, by the proposal's number within this session.
+    /// The proposals that have no result yet, by their number, which counts this process's proposals from 1.
     pending: BTreeMap<u64, PendingProposal>,
     last_number: u64,
 }
@@ -34,7 +34,8 @@
         self.last_number
     }
 
-    /// The numbers of the proposals that were last sent at least `retry_interval` ago.
+    /// Returns the numbers of the proposals that have no result and were last sent at least `retry_interval`
+    /// ago.
     fn unanswered(&self, now: Micros, retry_interval: Micros) -> Vec<u64> {
         let is_due = |proposal: &PendingProposal| now.saturating_sub(proposal.sent_at) >= retry_interval;
         let due = self.pending.iter().filter(|(_, proposal)| is_due(proposal));
@@ -62,9 +63,9 @@
         }
     }
 
-    /// Validates and serializes a proposal. A base older than the newest version that this member knows is
-    /// rejected here; a base that is older than the newest committed version is rejected when the log entry
-    /// is applied.
+    /// Checks and serializes a proposal of this member. A proposal is rejected here if its base is older than
+    /// the newest version that this member knows. If its base is older than the newest committed version, the
+    /// proposal is rejected when the log entry is applied.
     fn validate_proposal(&self, base_version: Version, rules: &R) -> Result<Vec<u8>, RejectionReason> {
         if base_version < self.leased_rules.newest() {
             return Err(RejectionReason::StaleBase);
@@ -92,8 +93,8 @@
         self.send_to_voter(self.lease.target_voter(), Packet::Proposal(proposal), effects);
     }
 
-    /// Handles a proposal at the leader: sends the result if the outcome is known already, otherwise appends
-    /// the proposal to the log.
+    /// Handles a member's proposal, if this member leads. If the outcome is already known, sends the result.
+    /// Otherwise appends the proposal to the log.
     pub(super) fn on_proposal(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/node/rejoin.rs
+++ b/crates/consensus/src/node/rejoin.rs
@@ -1,9 +1,9 @@
-//! The rejoining of a voter that has no stored state.
+//! The rejoining of a voter that starts without stored state.
 //!
-//! Such a voter may have voted in the current term and lost the record of that vote. To avoid a second vote
-//! in the same term, the voter takes part in votes only after it has stored a state that a leader committed
-//! after receiving the voter's rejoin request. If no voter has any stored state, the voter instead waits
-//! until all earlier leases have expired.
+//! Such a voter may have voted in the current term and lost the record of that vote. The voter must not vote
+//! a second time in the same term. It therefore takes part in votes only after it has stored a state that a
+//! leader committed after receiving the voter's rejoin request. If no voter has any stored state, the voter
+//! instead waits until all earlier leases have expired.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -16,8 +16,8 @@
 use crate::voter_id::VoterId;
 
 impl<R: Rules> Node<R> {
-    /// Requests the current state from the other voters. Starts with an empty state instead once all of them
-    /// report that they have no state and all earlier leases have expired.
+    /// Asks the other voters for the current state. If all of them have reported that they have no state
+    /// either, and all earlier leases have expired, the voter starts with an empty state instead.
     pub(super) fn request_rejoin(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let voter_count = self.settings.voter_count();
         let Role::Rejoining(rejoin) = &mut self.role else { return };
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Handles a rejoin request. The leader appends an entry, which is thereby later than the request, and
-    /// responds with a snapshot once it has applied that entry. A voter that is also rejoining responds that
-    /// it has no state.
+    /// Handles another voter's rejoin request. The leader appends a log entry for the request, and responds
+    /// with a snapshot once it has applied that entry. The snapshot is therefore later than the request. A
+    /// voter that is also rejoining responds that it has no state.
     pub(super) fn on_rejoin_request(
         &mut self,
         voter_id: VoterId,
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Stores the state that this voter starts from; it takes part in votes once the write is durable.
+    /// Stores the state from which this voter starts. The voter takes part in votes once the write is
+    /// durable.
     fn install(&mut self, stored: StoredState, effects: &mut Vec<Effect>) {
         self.last_token = self.last_token.next();
         let token = self.last_token;
@@ -101,7 +102,7 @@
         effects.push(Effect::Persist { token, write });
     }
 
-    /// Starts voting from a state that is durable now.
+    /// Makes this voter take part in votes, from a stored state that is now durable.
     pub(super) fn finish_install(&mut self, stored: &StoredState) {
         let Some(voter_id) = self.voter_id else { return };
         let snapshot = stored.snapshot.as_ref();
@@ -109,9 +110,9 @@
             .map_or_else(|| Ok(ReplicatedState::default()), |snapshot| postcard::from_bytes(&snapshot.state));
         let seed = self.rng.u64(..);
         let voter = RaftVoter::new(voter_id, &self.settings, stored, seed, self.last_token);
-        // The snapshot was checked before it was stored, so neither the deserialization of the state nor the
-        // creation of the voter is expected to fail. If one does, the member keeps the role that the caller
-        // has set.
+        // Neither the deserialization of the state nor the creation of the voter is expected to fail, because
+        // the snapshot was checked before it was stored. If one of them fails, the member keeps the role that
+        // the caller of this function has set.
         if let (Ok(state), Ok(voter)) = (state, voter) {
             self.state = state;
             self.role = Role::Voting(Box::new(voter));
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -1,4 +1,4 @@
-//! Connects the Raft library with storage, the other voters and the replicated state.
+//! Connects the Raft library of a voter with its storage, the other voters and the replicated state.
 use super::Node;
 use super::role::Role;
 use crate::effect::Effect;
@@ -9,8 +9,8 @@
 use crate::storage::{LogEntry, Snapshot, WriteToken};
 use crate::voter_id::VoterId;
 
-/// The cause of a command: a proposal, or the rejoin request of a voter. Once the command is applied, the
-/// leader responds to the proposing member or the rejoining voter.
+/// What caused a log command: a proposal, or the rejoin request of a voter. Once the command is applied, the
+/// leader responds to the member that sent the proposal or the request.
 enum CommandOrigin {
     Proposal(ProposalId),
     RejoiningVoter { voter_id: VoterId, nonce: u64 },
@@ -29,14 +29,15 @@
 }
 
 impl<R: Rules> Node<R> {
-    /// Appends a command to the log if this member leads.
+    /// Appends a command to the replicated log, if this member leads.
     pub(super) fn append_command(&mut self, command: &Command) {
         if let (Role::Voting(voter), Ok(bytes)) = (&mut self.role, postcard::to_allocvec(command)) {
             voter.propose(bytes);
         }
     }
 
-    /// Handles the confirmation that all writes up to and including this token are durable.
+    /// Handles the caller's confirmation that all writes up to and including the one with this token are
+    /// durable.
     pub(super) fn on_persisted(&mut self, token: WriteToken, effects: &mut Vec<Effect>) {
         match &mut self.role {
             Role::Voting(voter) => {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Carries out the writes, messages and state changes that Raft produced.
+    /// Carries out what Raft has produced: writes to storage, messages and changes of the replicated state.
     pub(super) fn apply_output(&mut self, output: VoterOutput, effects: &mut Vec<Effect>) {
         for write in output.writes {
             self.persist(write, effects);
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Applies a committed entry; the leader then responds to the origin of the command.
+    /// Applies a committed log entry to the replicated state. If this member leads, it then responds to the
+    /// member that caused the command of the entry.
     fn apply_entry(&mut self, entry: &LogEntry, effects: &mut Vec<Effect>) {
         // Skips the empty entry with which a leader begins its term.
         let Ok(command) = postcard::from_bytes::<Command>(&entry.data) else { return };
--- a/crates/consensus/src/node/role.rs
+++ b/crates/consensus/src/node/role.rs
@@ -6,20 +6,21 @@
 use crate::time::Micros;
 use crate::voter_id::VoterId;
 
-/// A member's role in Raft, which determines whether the member takes part in votes.
+/// A member's role in Raft. Only a member with the role `Voting` takes part in votes.
 pub(super) enum Role {
-    /// A non-voter, which only holds leased copies of the document.
+    /// The member is a non-voter, which only holds leased copies of the document.
     NonVoter,
-    /// A voter without stored state that requests the state from the other voters.
+    /// The member is a voter without stored state, and requests the state from the other voters.
     Rejoining(Rejoin),
-    /// A voter that waits until the state that it starts from is durable.
+    /// The member is a voter that waits until the state from which it starts is durable.
     Installing { token: WriteToken, stored: StoredState },
-    /// A voter that takes part in votes.
+    /// The member is a voter that takes part in votes.
     Voting(Box<RaftVoter>),
 }
 
 impl Role {
-    /// The leader that this member's Raft state knows; `None` for a member that is not voting.
+    /// The leader that this member's Raft state names, if any. Always `None` for a member that takes no part
+    /// in votes.
     pub(super) fn leader_id(&self) -> Option<VoterId> {
         match self {
             Role::Voting(voter) => voter.leader_id(),
@@ -28,15 +29,15 @@
     }
 }
 
-/// The progress of a voter's rejoining.
+/// The progress of a voter that rejoins because it started without stored state.
 pub(super) struct Rejoin {
-    /// A random number that identifies the responses to this voter's requests.
+    /// A random number in the voter's rejoin requests, by which the voter recognizes the responses.
     pub(super) nonce: u64,
-    /// The time at which the first request was sent.
+    /// The time at which the voter sent its first rejoin request.
     pub(super) started_at: Option<Micros>,
-    /// The time at which the last request was sent.
+    /// The time at which the voter sent its last rejoin request.
     pub(super) requested_at: Option<Micros>,
-    /// The voters that have reported that they have no stored state either, each with its generation.
+    /// The other voters that have reported that they have no stored state either, each with its generation.
     pub(super) empty_voters: BTreeMap<VoterId, u64>,
 }
 
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -1,5 +1,5 @@
-//! The messages between members and their wire format: one byte for the format version, followed by postcard.
-//! The bytes depend on the order of variants and fields.
+//! The messages between members, and their wire format: one byte for the format version, followed by the
+//! message in postcard encoding. The bytes depend on the order of variants and fields.
 use serde::{Deserialize, Serialize};
 
 use crate::clock_comparison::ClockDrift;
@@ -11,47 +11,47 @@
 use crate::voter_id::VoterId;
 
 const PACKET_FORMAT_VERSION: u8 = 1;
-/// The size limit of a message in bytes, which leaves room for a snapshot of nine documents of 1 MiB: the one
-/// in force and eight pending ones.
+/// The maximum size of a message, in bytes. It leaves room for a snapshot of nine documents of 1 MiB: the
+/// document in force and eight pending ones.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// The versions that are committed and applied at the leader.
+/// A version update: the versions that are committed and that the leader has applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VersionUpdate {
     /// All versions from the one in force to the newest.
     pub(crate) versions: Vec<Version>,
-    /// The documents that the recipient may lack.
+    /// The documents that the receiving member may lack.
     pub(crate) documents: Vec<VersionedDocument>,
 }
 
-/// A member's request for a lease, with a report of the versions that it knows.
+/// A member's request for a lease, which also reports the versions that the member knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseRequest {
     /// A random number that identifies this start of the member's process.
     pub(crate) session: u64,
-    /// The time of sending by the member's clock.
+    /// The time at which the member sent the request, by the member's clock.
     pub(crate) sent_at: Micros,
     pub(crate) in_force: Version,
     pub(crate) newest: Version,
-    /// The proven drift of the member's clock against the leader's, if any.
+    /// The drift that the member has proven between its own clock and the leader's, if any.
     pub(crate) drift: Option<ClockDrift>,
 }
 
-/// The grant of a lease by the leader, sent once a quorum has confirmed, after the request arrived, that the
-/// leader still leads.
+/// The leader's grant of a lease to a member. The leader sends the grant only once a quorum has confirmed,
+/// after the request arrived, that the leader still leads.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseGrant {
     pub(crate) session: u64,
-    /// The time at which the request was sent, by the member's clock, copied from the request. The lease
-    /// begins at this time.
+    /// The time at which the member sent the request, by the member's clock, copied from the request. The
+    /// lease begins at this time.
     pub(crate) sent_at: Micros,
     pub(crate) term: u64,
-    /// The time of the grant by the leader's clock.
+    /// The time at which the leader granted the lease, by the leader's clock.
     pub(crate) leader_time: Micros,
     pub(crate) update: VersionUpdate,
 }
 
-/// A proposal that a member sends to the leader.
+/// A proposal of new rules that a member sends to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Proposal {
     pub(crate) id: ProposalId,
@@ -59,17 +59,17 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// One message between members, as it is sent on the wire.
+/// A message between members, as it is sent on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Packet {
     /// A Raft message between voters.
     Raft(RaftMessage),
     LeaseRequest(LeaseRequest),
     LeaseGrant(LeaseGrant),
-    /// An update of the committed versions that grants no lease.
+    /// A version update that the leader sends to a member without granting a lease.
     VersionUpdate(VersionUpdate),
-    /// The response of a voter that is not the leader to a lease request. Names the leader, as far as that
-    /// voter knows.
+    /// The response to a lease request from a voter that does not lead. The response names the leader that
+    /// the voter knows.
     LeaderHint {
         session: u64,
         leader_id: VoterId,
@@ -79,7 +79,7 @@
         id: ProposalId,
         outcome: ProposalOutcome,
     },
-    /// A rejoin request: a voter without stored state asks the other voters for the current state.
+    /// A rejoin request, with which a voter without stored state asks the other voters for the current state.
     RejoinRequest {
         nonce: u64,
         generation: u64,
@@ -103,7 +103,8 @@
         postcard::to_extend(self, vec![PACKET_FORMAT_VERSION]).unwrap_or_default()
     }
 
-    /// Deserializes a packet; `None` if the bytes are not a valid packet of this format version.
+    /// Deserializes a packet. Returns `None` if the bytes are too long or are not a valid packet of this
+    /// format version.
     pub(crate) fn parse(bytes: &[u8]) -> Option<Packet> {
         let (&format_version, body) = bytes.split_first()?;
         if format_version != PACKET_FORMAT_VERSION || bytes.len() > MAX_MESSAGE_BYTES {
--- a/crates/consensus/src/quorum_reads.rs
+++ b/crates/consensus/src/quorum_reads.rs
@@ -1,12 +1,12 @@
-//! The quorum reads of a leader: before the leader grants leases, a quorum confirms that it is still the
-//! leader.
+//! The quorum reads of a leader. Before the leader grants leases, a quorum of the voters must confirm in a
+//! quorum read that it still leads.
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::settings::Settings;
 use crate::time::Micros;
 use crate::versioned_document::Version;
 
-/// The maximum number of quorum reads that may be pending at once.
+/// The maximum number of quorum reads that may wait for their confirmation at once.
 const MAX_PENDING_READS: usize = 16;
 
 /// The parts of a member's lease request that the leader needs to grant the lease.
@@ -17,7 +17,7 @@
     pub(crate) newest: Version,
 }
 
-/// Pending lease requests by the name of the requesting member.
+/// Lease requests that the leader has not granted yet, by the name of the requesting member.
 type PendingLeases = BTreeMap<String, PendingLease>;
 
 struct PendingRead {
@@ -27,15 +27,15 @@
 }
 
 struct ReadAwaitingApply {
-    /// The index up to which the log must be applied before the leases are granted.
+    /// The log index that the leader must have applied before it grants the leases.
     index: u64,
     leases: PendingLeases,
 }
 
-/// The quorum reads of one term. Owned by its [`crate::leader::LeaderState`].
+/// The quorum reads of a leader during one term. Owned by its [`crate::leader::LeaderState`].
 #[derive(Default)]
 pub(crate) struct QuorumReads {
-    /// The leases that were requested since the last read was started.
+    /// The lease requests that have arrived since the last quorum read was started.
     new_leases: PendingLeases,
     pending: VecDeque<PendingRead>,
     awaiting_apply: Vec<ReadAwaitingApply>,
@@ -43,12 +43,13 @@
 }
 
 impl QuorumReads {
-    /// Adds a lease request to the next read.
+    /// Adds a member's lease request to the next quorum read.
     pub(crate) fn add(&mut self, member: &str, lease: PendingLease) {
         let entry = self.new_leases.entry(member.to_owned());
         entry
             .and_modify(|known| {
-                // Keeps the latest request: an older one that arrives late would only give a shorter lease.
+                // Keeps the latest request. An older request that arrives late would only give a shorter
+                // lease.
                 if known.session != lease.session || known.sent_at < lease.sent_at {
                     (known.session, known.sent_at) = (lease.session, lease.sent_at);
                 }
@@ -57,8 +58,8 @@
             .or_insert(lease);
     }
 
-    /// Starts the next quorum read and returns its ID. Returns `None` if no lease request waits for a read,
-    /// if [`MAX_PENDING_READS`] reads are pending, or if the last pending read was started less than a
+    /// Starts the next quorum read and returns its ID. Returns `None` in three cases: no lease request waits
+    /// for a read, [`MAX_PENDING_READS`] reads are pending, or the last pending read was started less than a
     /// quarter of a tick interval ago.
     pub(crate) fn start_read(&mut self, now: Micros, settings: &Settings) -> Option<u64> {
         let age = |read: &PendingRead| now.saturating_sub(read.started_at);
@@ -78,7 +79,7 @@
         Some(self.last_read_id)
     }
 
-    /// Records that a quorum confirmed a read, which also confirms all earlier reads.
+    /// Records that a quorum has confirmed the read with this ID. All earlier reads are then confirmed too.
     pub(crate) fn confirm(&mut self, read_id: u64, index: u64) {
         while self.pending.front().is_some_and(|read| read.read_id <= read_id) {
             if let Some(PendingRead { leases, .. }) = self.pending.pop_front() {
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Removes and returns the lease requests whose quorum read is confirmed, if the log is applied up to the
-    /// index of that read.
+    /// Removes and returns the lease requests that can be granted. A quorum must have confirmed their quorum
+    /// read, and the log must be applied up to the index of that read.
     pub(crate) fn take_grantable(&mut self, applied_index: u64) -> Vec<(String, PendingLease)> {
         let mut grantable = Vec::new();
         self.awaiting_apply.retain_mut(|read| {
--- a/crates/consensus/src/raft_conversion.rs
+++ b/crates/consensus/src/raft_conversion.rs
@@ -16,7 +16,7 @@
     LogEntry { term: entry.term, index: entry.index, data: entry.data.to_vec() }
 }
 
-/// Converts a stored snapshot to the snapshot type of the crate `raft`. The converted snapshot lists the
+/// Converts a stored snapshot to the snapshot type of the crate `raft`. The converted snapshot names the
 /// voters 1 to `voter_count` as the Raft configuration.
 pub(crate) fn snapshot_to_raft(snapshot: &Snapshot, voter_count: u64) -> eraftpb::Snapshot {
     let data = snapshot.state.clone().into();
@@ -28,8 +28,8 @@
     converted
 }
 
-/// Converts a snapshot of the crate `raft` to the stored type. The snapshot was sent by another voter, and
-/// therefore replaces the whole log.
+/// Converts a snapshot of the crate `raft` to the stored type. Voters send such snapshots to each other, and
+/// a received snapshot replaces the whole log of the voter.
 pub(crate) fn snapshot_from_raft(snapshot: &eraftpb::Snapshot) -> Snapshot {
     let metadata = snapshot.get_metadata();
     Snapshot { index: metadata.index, term: metadata.term, state: snapshot.data.to_vec(), replaces_log: true }
--- a/crates/consensus/src/raft_message.rs
+++ b/crates/consensus/src/raft_message.rs
@@ -5,8 +5,8 @@
 use crate::raft_conversion::{entry_from_raft, entry_to_raft, snapshot_from_raft, snapshot_to_raft};
 use crate::storage::{LogEntry, Snapshot};
 
-/// The kinds of Raft messages that voters send each other; the other kinds of the crate `raft` stay within a
-/// process. The order of the variants determines their numbers on the wire.
+/// The kinds of Raft messages that voters send to each other. Messages of the other kinds of the crate `raft`
+/// stay within a process. The order of the variants determines their numbers on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum RaftMessageKind {
     Append,
--- a/crates/consensus/src/raft_storage.rs
+++ b/crates/consensus/src/raft_storage.rs
@@ -1,4 +1,4 @@
-//! The in-memory copy of a voter's storage, from which the crate `raft` reads.
+//! A voter's copy of its storage in memory, from which the crate `raft` reads.
 use raft::eraftpb::{self, HardState};
 use raft::storage::{MemStorage, Storage};
 use raft::{GetEntriesContext, RaftState, StorageError};
@@ -6,8 +6,8 @@
 use crate::raft_conversion::{conf_state, entry_to_raft, snapshot_to_raft};
 use crate::storage::{StoredState, TermVote};
 
-/// The state after all writes of this voter, including those that are not yet durable. Owned by its
-/// [`crate::raft_voter::RaftVoter`].
+/// The voter's log, snapshot and vote after all its writes, including writes that are not yet durable. Owned
+/// by the voter's [`crate::raft_voter::RaftVoter`].
 pub(crate) struct RaftStorage {
     memory: MemStorage,
     snapshot: Option<eraftpb::Snapshot>,
@@ -28,7 +28,7 @@
         Ok(storage)
     }
 
-    /// Replaces the whole log with a snapshot.
+    /// Replaces the voter's whole log with a snapshot.
     pub(crate) fn install(&mut self, snapshot: eraftpb::Snapshot) -> raft::Result<()> {
         self.memory.wl().apply_snapshot(snapshot.clone())?;
         self.snapshot = Some(snapshot);
@@ -43,7 +43,7 @@
         self.memory.wl().set_hardstate(hard_state);
     }
 
-    /// Replaces the entries before the snapshot's index with the snapshot.
+    /// Replaces the log entries before the snapshot's index with the snapshot.
     pub(crate) fn compact(&mut self, snapshot: eraftpb::Snapshot) -> raft::Result<()> {
         self.memory.wl().compact(snapshot.get_metadata().index)?;
         self.snapshot = Some(snapshot);
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -1,5 +1,5 @@
-//! A voter's Raft instance: wraps the crate `raft` with seeded election timeouts and asynchronous storage
-//! writes.
+//! A voter's Raft instance. It wraps the crate `raft`, with election timeouts that a seed determines and with
+//! asynchronous writes to storage.
 mod message_check;
 mod output;
 
@@ -21,30 +21,31 @@
 const MAX_INFLIGHT_MESSAGES: usize = 16;
 const MAX_UNCOMMITTED_BYTES: u64 = 16 << 20;
 
-/// Messages that may be sent only once the writes up to and including a token are durable.
+/// Raft messages that may be sent only once the writes up to and including the one with `token` are durable.
 struct DelayedMessages {
     token: WriteToken,
     ready_number: u64,
     messages: Vec<eraftpb::Message>,
 }
 
-/// A voter with its Raft state. Owned by its [`crate::Node`].
+/// The Raft state of a voter. Owned by the voter's [`crate::Node`].
 pub(crate) struct RaftVoter {
     raft: RawNode<RaftStorage>,
     voter_count: u64,
     rng: fastrand::Rng,
     delayed_messages: VecDeque<DelayedMessages>,
-    /// The token of the last write; the next write takes the token after this one.
+    /// The token of this voter's last storage write. The next write takes the token after this one.
     last_token: WriteToken,
     vote: TermVote,
     applied_index: u64,
     snapshot_index: u64,
-    /// The number of ticks still to skip before the tick that starts an election.
+    /// The number of ticks that this voter still skips before the tick that starts an election.
     election_delay_ticks: Option<usize>,
 }
 
 impl RaftVoter {
-    /// Creates a voter from its stored state. `last_token` is the last token that this process has used.
+    /// Creates a voter from its stored state. `last_token` is the last write token that this process has
+    /// used.
     pub(crate) fn new(
         voter_id: VoterId,
         settings: &Settings,
@@ -73,10 +74,11 @@
     /// Passes a tick to Raft, or skips it to randomize the election timeout.
     ///
     /// The random election timeout of the crate `raft` cannot be seeded, so that timeout is fixed at
-    /// [`ELECTION_TICKS`]. To randomize the start of an election, this voter skips the last tick before the
-    /// election 0 to [`ELECTION_TICKS`] times; the number is drawn from the voter's seeded generator. Skipped
-    /// ticks delay only the elections that this voter starts, not its votes for others: a voter grants these
-    /// once `election_tick` ticks (see [`raft_config`]) have passed since the last heartbeat.
+    /// [`ELECTION_TICKS`]. Instead, this voter skips the last tick before an election 0 to [`ELECTION_TICKS`]
+    /// times. The number is drawn from the voter's seeded generator.
+    ///
+    /// Skipped ticks delay only the elections that this voter starts, not its votes for others. It may vote
+    /// for others once `election_tick` ticks (see [`raft_config`]) have passed since the last heartbeat.
     pub(crate) fn tick(&mut self) {
         let raft = &self.raft.raft;
         let is_before_election =
@@ -93,13 +95,13 @@
         self.raft.tick();
     }
 
-    /// The current term if this voter leads; otherwise `None`.
+    /// The current term if this voter leads; `None` if it does not lead.
     pub(crate) fn leader_term(&self) -> Option<u64> {
         (self.raft.raft.state == StateRole::Leader).then_some(self.raft.raft.term)
     }
 
-    /// Whether this voter has applied an entry of the current term, which implies that it has applied
-    /// everything that earlier leaders committed.
+    /// Whether this voter has applied a log entry of the current term. If so, it has also applied everything
+    /// that earlier leaders committed.
     pub(crate) fn has_applied_own_term(&self) -> bool {
         self.raft.raft.apply_to_current_term()
     }
@@ -109,7 +111,7 @@
         VoterId::from_raft(self.raft.raft.leader_id)
     }
 
-    /// The number of entries applied since the last snapshot.
+    /// The number of log entries that this voter has applied since its last snapshot.
     pub(crate) fn entries_since_snapshot(&self) -> u64 {
         self.applied_index - self.snapshot_index
     }
@@ -118,22 +120,22 @@
         self.applied_index
     }
 
-    /// Handles another voter's message; ignores one that no correct voter can have sent.
+    /// Handles a Raft message from another voter. Ignores messages that no correct voter can have sent.
     pub(crate) fn step(&mut self, from: VoterId, message: RaftMessage) {
         if !self.is_acceptable(&message) {
             return;
         }
         let message = message.into_raft(from.get(), self.raft.raft.id, self.voter_count);
-        // An error means that the message does not fit the current state, which is normal on a network that
-        // delays and duplicates messages.
+        // An error means that the message does not fit the voter's current state. This is normal on a network
+        // that delays and duplicates messages.
         let _ = self.raft.step(message);
     }
 
-    /// Appends a command to the log if this voter leads.
+    /// Appends a command to the replicated log, if this voter leads.
     pub(crate) fn propose(&mut self, data: Vec<u8>) {
         if self.leader_term().is_some() {
-            // An error means that the command was dropped, because the limit on uncommitted bytes is reached
-            // or a leadership transfer is in progress. The member that issued the command tries again later.
+            // An error means that the command was dropped: the limit on uncommitted bytes is reached, or a
+            // leadership transfer is in progress. The member that issued the command tries again later.
             let _ = self.raft.propose(Vec::new(), data);
         }
     }
@@ -150,8 +152,8 @@
         self.raft.transfer_leader(to.get());
     }
 
-    /// Handles the confirmation that all writes up to and including this token are durable, and outputs the
-    /// messages that were delayed until then.
+    /// Handles the confirmation that all writes up to and including the one with this token are durable. Adds
+    /// the messages that were delayed until then to `output`.
     pub(crate) fn on_persisted(&mut self, token: WriteToken, output: &mut VoterOutput) {
         while self.delayed_messages.front().is_some_and(|front| front.token <= token) {
             if let Some(DelayedMessages { ready_number, messages, .. }) = self.delayed_messages.pop_front() {
@@ -161,8 +163,8 @@
         }
     }
 
-    /// Compacts the log up to the applied index into a snapshot of this state. Returns the write that stores
-    /// it, or `None` while the entries up to that index are not durable.
+    /// Replaces the log up to the applied index with a snapshot that contains `state`. Returns the write that
+    /// stores the snapshot, or `None` while the entries up to that index are not durable.
     pub(crate) fn compact(&mut self, state: Vec<u8>) -> Option<PendingWrite> {
         let index = self.applied_index;
         let term = self.raft.raft.raft_log.term(index).ok()?;
@@ -184,8 +186,8 @@
 fn raft_config(voter_id: VoterId, applied_index: u64) -> Config {
     Config {
         id: voter_id.get(),
-        // The number of ticks after a heartbeat for which a voter refuses to vote for another; less than the
-        // earliest election timeout.
+        // The number of ticks after a heartbeat for which a voter refuses to vote for another voter. It is
+        // less than the earliest election timeout.
         election_tick: ELECTION_TICKS - HEARTBEAT_TICKS,
         heartbeat_tick: HEARTBEAT_TICKS,
         applied: applied_index,
@@ -193,7 +195,7 @@
         max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
         check_quorum: true,
         pre_vote: true,
-        // A range of one value, because `RaftVoter::tick` randomizes the election timeout instead.
+        // This range contains one value, because `RaftVoter::tick` randomizes the election timeout instead.
         min_election_tick: ELECTION_TICKS,
         max_election_tick: ELECTION_TICKS + 1,
         max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
--- a/crates/consensus/src/raft_voter/message_check.rs
+++ b/crates/consensus/src/raft_voter/message_check.rs
@@ -1,10 +1,10 @@
-//! Rejects messages that would make the crate `raft` panic.
+//! Rejects received Raft messages that would make the crate `raft` panic.
 use super::RaftVoter;
 use crate::raft_message::{RaftMessage, RaftMessageKind};
 
 impl RaftVoter {
     /// Whether a correct voter can have sent the message. The crate `raft` panics on messages that overwrite
-    /// committed entries, or that commit entries which this voter does not have.
+    /// committed entries, or that commit entries that this voter does not have.
     pub(super) fn is_acceptable(&self, message: &RaftMessage) -> bool {
         let last_index = self.raft.raft.raft_log.last_index();
         if message.term == 0 || !self.has_acceptable_entries(message) {
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Whether the entries are consecutive, have valid terms, and agree with the entries that this voter
-    /// knows to be committed.
+    /// Whether the message's entries are consecutive, have valid terms, and agree with the entries that this
+    /// voter knows to be committed.
     fn has_acceptable_entries(&self, message: &RaftMessage) -> bool {
         let log = &self.raft.raft.raft_log;
         let mut expected_index = message.index;
--- a/crates/consensus/src/raft_voter/output.rs
+++ b/crates/consensus/src/raft_voter/output.rs
@@ -1,4 +1,4 @@
-//! Collects the messages, writes and committed entries that Raft produces.
+//! Collects what Raft produces: messages, storage writes and committed entries.
 use raft::{Ready, eraftpb};
 
 use super::{DelayedMessages, RaftVoter};
@@ -7,31 +7,32 @@
 use crate::storage::{LogEntry, Snapshot, StorageWrite, TermVote, WriteToken};
 use crate::voter_id::VoterId;
 
-/// A message for another voter.
+/// A Raft message that this voter sends to another voter.
 pub(crate) struct OutgoingMessage {
     pub(crate) to: VoterId,
     pub(crate) message: RaftMessage,
 }
 
-/// A write whose durability the caller must confirm by its token.
+/// A write to storage. The caller must confirm by the token that the write is durable.
 pub(crate) struct PendingWrite {
     pub(crate) token: WriteToken,
     pub(crate) write: StorageWrite,
 }
 
-/// A quorum's confirmation that this voter led when it started the read. Once the log is applied up to
+/// A quorum's confirmation that this voter led when it started the quorum read. Once the log is applied up to
 /// `index`, the state includes everything that was committed when the read started.
 pub(crate) struct ConfirmedRead {
     pub(crate) read_id: u64,
     pub(crate) index: u64,
 }
 
-/// The output of a voter. The caller must process it in the order of the fields.
+/// What a voter's Raft instance has produced. The caller must process the fields in the order of their
+/// declaration.
 #[derive(Default)]
 pub(crate) struct VoterOutput {
     pub(crate) writes: Vec<PendingWrite>,
     pub(crate) messages: Vec<OutgoingMessage>,
-    /// A snapshot that replaces the state before the committed entries are applied.
+    /// A snapshot that the caller must load as the replicated state before it applies the committed entries.
     pub(crate) installed_snapshot: Option<Snapshot>,
     pub(crate) committed_entries: Vec<LogEntry>,
     pub(crate) confirmed_reads: Vec<ConfirmedRead>,
@@ -57,7 +58,7 @@
 }
 
 impl RaftVoter {
-    /// Collects Raft's output until there is no more; returns whether there was any.
+    /// Collects everything that Raft has produced in `output`, and returns whether there is anything.
     pub(crate) fn drain(&mut self, output: &mut VoterOutput) -> bool {
         while self.raft.has_ready() {
             let mut ready = self.raft.ready();
@@ -70,7 +71,7 @@
             take_confirmed_reads(&mut ready, output);
             self.advance(ready, write, output);
         }
-        // The crate `raft` accepts an installed snapshot as applied only once it is durable.
+        // The crate `raft` accepts an installed snapshot as applied only once the snapshot is durable.
         if self.applied_index <= self.raft.raft.raft_log.persisted {
             self.raft.advance_apply_to(self.applied_index);
         }
@@ -89,7 +90,7 @@
         Some(snapshot)
     }
 
-    /// Moves the committed entries to the output, and returns the new entries for storage.
+    /// Moves the committed entries of a `Ready` to the output, and returns its new log entries for storage.
     fn take_entries(&mut self, ready: &mut Ready, output: &mut VoterOutput) -> Vec<LogEntry> {
         for entry in ready.take_committed_entries() {
             self.applied_index = entry.index;
@@ -100,8 +101,8 @@
         entries.iter().map(entry_from_raft).collect()
     }
 
-    /// Returns the term and vote if they changed. The commit index need not be stored, because a restarted
-    /// voter learns it again from the leader.
+    /// Returns the voter's term and vote if they changed. The commit index need not be stored, because a
+    /// restarted voter learns it again from the leader.
     fn update_vote(&mut self, ready: &Ready) -> Option<TermVote> {
         let hard_state = ready.hs().cloned()?;
         let vote = TermVote { term: hard_state.term, voted_for: hard_state.vote };
@@ -111,8 +112,8 @@
         is_changed.then_some(vote)
     }
 
-    /// Finishes a `Ready` of the crate `raft`. The messages that must wait for its write are delayed until
-    /// that write and all earlier ones are durable.
+    /// Finishes a `Ready`, which is one batch of output of the crate `raft`. Messages that must wait for the
+    /// write of the batch are delayed until that write and all earlier writes are durable.
     fn advance(&mut self, mut ready: Ready, write: StorageWrite, output: &mut VoterOutput) {
         let messages = ready.take_persisted_messages();
         let ready_number = ready.number();
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine, to which every voter applies the commands of the log.
+//! The replicated state machine. Every voter applies the commands of the log to its own copy of the state.
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
@@ -6,69 +6,72 @@
 use crate::versioned_document::{Version, VersionedDocument};
 use crate::voter_id::VoterId;
 
-/// The number of proposals whose outcome is remembered. A proposal whose outcome is forgotten cannot be
-/// accepted a second time, because its base is no longer the newest version; a duplicate of it is reported as
-/// rejected.
+/// The number of proposals whose outcome the state remembers. A duplicate of a proposal whose outcome is
+/// forgotten is reported as rejected. The proposal cannot be accepted a second time, because its base is no
+/// longer the newest version.
 const MAX_REMEMBERED_OUTCOMES: usize = 256;
 
-/// The ID of a proposal, by which duplicates of the proposal are recognized, so that it is applied only once.
+/// The ID of a proposal. A duplicate of the proposal is recognized by its ID, so that the proposal is applied
+/// only once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposalId {
     /// The name of the member that made the proposal.
     pub member: String,
-    /// A random number that identifies the start of the member's process.
+    /// A random number that identifies the start of the proposing member's process.
     pub session: u64,
-    /// The proposal's number, counted from 1 in each session.
+    /// The number of the proposal, counted from 1 in each session, which is one run of the member's process.
     pub number: u64,
 }
 
-/// The result of a proposal, which the leader reports to the proposing member.
+/// The outcome of a proposal, which the leader reports to the member that made the proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
     /// The proposal was committed as this version.
     Accepted(Version),
-    /// The proposal was rejected, because its base is not the newest version, too many versions are pending,
-    /// or the document is too large. Holds the version in force.
+    /// The proposal was rejected. Its base is not the newest version, too many versions are pending, or the
+    /// document is too large. The value is the version in force at the time of the rejection.
     Rejected(Version),
 }
 
-/// The command in a log entry. The order of the variants determines their numbers in the log.
+/// The command that a log entry contains. The order of the variants determines their numbers in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Command {
-    /// Starts an epoch with the newest rules, or with the given ones if there are none yet.
+    /// Starts an epoch with the rules of the newest version, or with the rules in `bytes` if there is no
+    /// version yet.
     StartEpoch { epoch: u64, bytes: Vec<u8> },
-    /// Proposes rules that were derived from a base version.
+    /// Proposes the rules in `bytes`, which were derived from the version `base_version`.
     Propose { id: ProposalId, base_version: Version, bytes: Vec<u8> },
-    /// Puts a version in force, because every member knows the version or can no longer hold a lease that was
-    /// granted without it.
+    /// Puts a version in force. Every member knows the version, or can no longer hold a lease that was
+    /// granted while an older version was the newest.
     Activate(Version),
-    /// Marks that a voter without stored state has started; this entry and later ones are committed after its
-    /// start.
+    /// Records that a voter without stored state has started. This entry and all later ones are committed
+    /// after that start.
     VoterRejoined { voter_id: VoterId, nonce: u64 },
 }
 
-/// The limits that apply to proposals, taken from [`crate::Settings`]. They must be equal on every voter.
+/// The limits on proposals, taken from [`crate::Settings`]. They must be equal on every voter; otherwise the
+/// states of the voters would differ.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StateLimits {
     pub(crate) max_pending_versions: usize,
     pub(crate) max_document_bytes: usize,
 }
 
-/// The replicated state: the versions that may be in force, and the outcomes of recent proposals.
+/// The replicated state: the document in force, the pending documents, and the outcomes of recent proposals.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The document in force, followed by the pending ones in order. Empty before the first epoch.
+    /// The document in force, followed by the pending documents in order. Empty before the first epoch.
     documents: VecDeque<VersionedDocument>,
     outcomes: VecDeque<(ProposalId, ProposalOutcome)>,
 }
 
 impl ReplicatedState {
-    /// The version in force.
+    /// The version in force; the default version before the first epoch.
     pub fn in_force(&self) -> Version {
         self.documents.front().map_or(Version::default(), |document| document.version)
     }
 
-    /// The newest committed version.
+    /// The newest committed version; the default version before the first epoch.
     pub fn newest(&self) -> Version {
         self.documents.back().map_or(Version::default(), |document| document.version)
     }
@@ -82,8 +85,7 @@
         self.outcomes.iter().find(|(proposal, _)| proposal == id).map(|(_, outcome)| *outcome)
     }
 
-    /// Applies a command. Deterministic: the same commands in the same order give the same state on every
-    /// voter.
+    /// Applies a command of the log. The same commands in the same order give the same state on every voter.
     pub(crate) fn apply(&mut self, command: Command, limits: StateLimits) {
         match command {
             Command::StartEpoch { epoch, bytes } => self.start_epoch(epoch, bytes, limits),
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -4,9 +4,9 @@
 
 const MILLION: u64 = 1_000_000;
 const MAX_LEASE_DURATION: Micros = 3_600_000 * MILLISECOND;
-/// The number of Raft ticks between two heartbeats of the leader.
+/// The number of Raft ticks between two heartbeats that a leader sends.
 pub(crate) const HEARTBEAT_TICKS: usize = 4;
-/// The number of Raft ticks without a heartbeat after which a voter starts an election at the earliest.
+/// The minimum number of Raft ticks without a heartbeat after which a voter starts an election.
 pub(crate) const ELECTION_TICKS: usize = 20;
 
 const MAX_NAME_BYTES: usize = 64;
@@ -15,38 +15,40 @@
 const MAX_PENDING_VERSIONS: usize = 8;
 const MIN_LOG_ENTRIES: u64 = 8;
 
-/// The settings of consensus, which must be equal on all members. All durations are in microseconds.
+/// The settings of consensus. They must be equal on all members. All durations are in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The names of the 3, 5 or 7 voters, in the same order on all members. Each is 1 to 64 bytes long.
+    /// The names of the 3, 5 or 7 voters, in the same order on all members. Each name is 1 to 64 bytes long.
     pub voters: Vec<String>,
-    /// The duration of a lease, counted from when the member sent the request. At least 4 times
-    /// [`Settings::max_round_trip`], and at most an hour.
+    /// The duration of a lease, counted from the time at which the member sent the lease request. At least 4
+    /// times [`Settings::max_round_trip`], and at most an hour.
     pub lease_duration: Micros,
-    /// The clock bound in parts per million, at most 100,000. A duration by a member's clock, divided by the
-    /// true duration, is between 1 / (1 + d) and 1 + d, where d is this setting / 1,000,000.
+    /// The clock bound: the maximum drift of a member's clock, in parts per million, at most 100,000. A
+    /// duration by a member's clock, divided by the true duration, is between 1 / (1 + d) and 1 + d, where d
+    /// is this setting / 1,000,000.
     pub max_drift_ppm: u32,
-    /// The longest accepted time from sending a lease request to receiving its grant, by the member's clock;
-    /// a later grant is ignored. An unanswered message is sent again after this time. At least twice
-    /// [`Settings::tick_interval`].
+    /// The maximum time from sending a lease request to receiving its grant, by the member's clock. The
+    /// member ignores a later grant. A message without a response is sent again after this time. At least
+    /// twice [`Settings::tick_interval`].
     pub max_round_trip: Micros,
-    /// The interval between two Raft ticks, at which [`crate::Input::Tick`] is expected. Greater than 0.
+    /// The interval between two Raft ticks, at which the caller passes in [`crate::Input::Tick`]. Greater
+    /// than 0.
     pub tick_interval: Micros,
-    /// The size limit of a serialized document, from 1 byte to 1 MiB.
+    /// The maximum size of a serialized document, from 1 byte to 1 MiB.
     pub max_document_bytes: usize,
-    /// The limit on versions that are committed and not yet in force, from 1 to 8.
+    /// The maximum number of versions that are committed and not yet in force, from 1 to 8.
     pub max_pending_versions: usize,
-    /// The number of entries applied since the last snapshot at which the log is compacted into a new one. At
-    /// least 8.
+    /// The number of log entries that a voter applies after a snapshot before it compacts the log into a new
+    /// snapshot. At least 8.
     pub max_log_entries: u64,
 }
 
 impl Default for Settings {
-    /// Settings without voters, which the caller must add.
+    /// Returns settings without voters. The caller must add the voters.
     ///
-    /// The lease duration is 1.8 s, the clock bound 1 % and the maximum round trip 0.18 s, which give a
+    /// The lease duration is 1.8 s, the clock bound 1 % and the maximum round trip 0.18 s. They give a
     /// [`Settings::staleness_bound`] of 1.8 s * 1.01 + 0.18 s = 1.998 s. The tick interval is 20 ms, and the
-    /// size limit of documents is 256 KiB.
+    /// maximum size of a document is 256 KiB.
     fn default() -> Settings {
         Settings {
             voters: Vec::new(),
@@ -61,50 +63,51 @@
     }
 }
 
-/// A setting that is outside its range. Each message begins with the name of the field.
+/// The error for a setting that is outside its range. Each error message begins with the name of the field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// The number of voters is not 3, 5 or 7.
+    /// The configured number of voters is not 3, 5 or 7.
     #[error("voters: must list 3, 5 or 7 names")]
     VoterCount,
-    /// A voter's name is empty or longer than 64 bytes.
+    /// The configured name of a voter is empty or longer than 64 bytes.
     #[error("voters: each name must be 1 to 64 bytes long")]
     VoterName,
-    /// Two voters have the same name.
+    /// Two of the configured voters have the same name.
     #[error("voters: a name is listed twice")]
     DuplicateVoter,
-    /// The tick interval is 0.
+    /// The configured interval between two Raft ticks is 0.
     #[error("tick_interval: must be greater than 0")]
     TickInterval,
-    /// The maximum round trip is shorter than 2 tick intervals.
+    /// The configured maximum round trip is shorter than 2 tick intervals.
     #[error("max_round_trip: must be at least twice tick_interval")]
     RoundTripTooShort,
-    /// The lease duration is shorter than 4 maximum round trips.
+    /// The configured lease duration is shorter than 4 maximum round trips.
     #[error("lease_duration: must be at least 4 times max_round_trip")]
     LeaseTooShort,
-    /// The lease duration is longer than an hour.
+    /// The configured lease duration is longer than an hour.
     #[error("lease_duration: must be at most one hour")]
     LeaseTooLong,
-    /// The clock bound exceeds 100,000 parts per million.
+    /// The configured clock bound exceeds 100,000 parts per million.
     #[error("max_drift_ppm: must be at most 100,000")]
     DriftTooLarge,
-    /// The size limit of documents is not between 1 byte and 1 MiB.
+    /// The configured maximum size of a document is not between 1 byte and 1 MiB.
     #[error("max_document_bytes: must be 1 byte to 1 MiB")]
     DocumentLimit,
-    /// The limit on pending versions is not between 1 and 8.
+    /// The configured maximum number of pending versions is not between 1 and 8.
     #[error("max_pending_versions: must be 1 to 8")]
     PendingVersionsLimit,
-    /// The limit on log entries is below 8, so that the log would be compacted too often.
+    /// The configured number of log entries between two snapshots is below 8, so that the log would be
+    /// compacted too often.
     #[error("max_log_entries: must be at least 8")]
     LogLimit,
 }
 
 impl Settings {
-    /// Checks that all fields are within their ranges.
+    /// Checks that all settings are within their ranges.
     ///
     /// # Errors
-    /// The error of the first field that is out of its range.
+    /// Returns the error of the first setting that is out of its range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.validate_voters()?;
         let has_valid_document_limit = (1..=MAX_DOCUMENT_BYTES).contains(&self.max_document_bytes);
@@ -135,23 +138,26 @@
         if distinct.len() == self.voters.len() { Ok(()) } else { Err(SettingsError::DuplicateVoter) }
     }
 
-    /// The staleness bound in microseconds: the longest time for which any member may still act on an older
-    /// version after a newer version took effect. The bound holds even if the leader's clock exceeds the
-    /// clock bound. It is `lease_duration * (1 + drift) + max_round_trip`, where `drift` is `max_drift_ppm` /
-    /// 1,000,000.
+    /// The staleness bound, in microseconds. After a newer version took effect, a member may still act on an
+    /// older version for at most this time. The bound holds even if the leader's clock exceeds the clock
+    /// bound.
+    ///
+    /// The staleness bound is `lease_duration * (1 + drift) + max_round_trip`, where `drift` is
+    /// `max_drift_ppm` / 1,000,000.
     pub fn staleness_bound(&self) -> Micros {
         self.stretch_by_drift(self.lease_duration).saturating_add(self.max_round_trip)
     }
 
-    /// The time in microseconds from the grant of a lease, by the leader's clock, after which the lease has
-    /// expired by every clock within the clock bound. It is `lease_duration * (1 + drift)^2`, where `drift`
-    /// is `max_drift_ppm` / 1,000,000.
+    /// The lease expiry wait, in microseconds. When this time has passed on the leader's clock since the
+    /// grant of a lease, the lease has expired by every clock within the clock bound.
+    ///
+    /// The wait is `lease_duration * (1 + drift)^2`, where `drift` is `max_drift_ppm` / 1,000,000.
     pub fn lease_expiry_wait(&self) -> Micros {
         self.stretch_by_drift(self.stretch_by_drift(self.lease_duration))
     }
 
-    /// The largest relative difference, in parts per million, between the durations that two clocks within
-    /// the clock bound measure for the same interval.
+    /// The largest relative difference, in parts per million, between the durations that two clocks measure
+    /// for the same interval, if both clocks are within the clock bound.
     pub(crate) fn max_relative_drift_ppm(&self) -> u64 {
         let drift = u64::from(self.max_drift_ppm);
         2 * drift + (drift * drift).div_ceil(MILLION)
@@ -162,12 +168,12 @@
         span.saturating_add(extra as u64)
     }
 
-    /// The interval at which a member renews its lease.
+    /// The interval at which a member renews its lease, in microseconds.
     pub(crate) fn renewal_interval(&self) -> Micros {
         self.lease_duration / 4
     }
 
-    /// The delay after which an unanswered message is sent again.
+    /// The time after which a member sends a message without a response again, in microseconds.
     pub(crate) fn retry_interval(&self) -> Micros {
         self.max_round_trip
     }
@@ -177,13 +183,13 @@
         self.voters.len() as u64
     }
 
-    /// The ID of the voter with this name; `None` for a non-voter.
+    /// The ID of the voter with this name; `None` if no voter has the name.
     pub(crate) fn voter_id(&self, name: &str) -> Option<VoterId> {
         let position = self.voters.iter().position(|voter| voter == name)?;
         Some(VoterId::new(position as u64 + 1))
     }
 
-    /// The name of the voter with this ID; `None` if no voter has it.
+    /// The name of the voter with this ID; `None` if no voter has the ID.
     pub(crate) fn voter_name(&self, voter_id: VoterId) -> Option<&str> {
         let position = (voter_id.get() as usize).checked_sub(1)?;
         self.voters.get(position).map(String::as_str)
@@ -194,7 +200,7 @@
         (1..=self.voter_count()).map(VoterId::new)
     }
 
-    /// The voter after this one in the list; the first voter follows the last.
+    /// The voter after this one in the list of voters. The first voter follows the last.
     pub(crate) fn next_voter(&self, voter_id: VoterId) -> VoterId {
         VoterId::new(voter_id.get() % self.voter_count() + 1)
     }
--- a/crates/consensus/src/versioned_document.rs
+++ b/crates/consensus/src/versioned_document.rs
@@ -4,10 +4,10 @@
 /// The version of a document, ordered by epoch and then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The epoch, which increases when all voters have lost their storage and start again; 0 before the first
-    /// document.
+    /// The epoch of the version; 0 before the first document. The epoch increases when all voters have lost
+    /// their storage and start again.
     pub epoch: u64,
-    /// The number of the version, counted from 1 in each epoch.
+    /// The number of the version within its epoch, counted from 1.
     pub number: u64,
 }
 
@@ -39,20 +39,20 @@
 pub struct VersionedDocument {
     /// The version under which these rules were committed.
     pub version: Version,
-    /// The digest of the version and the bytes.
+    /// The BLAKE3 digest of the version and the serialized rules.
     pub digest: Digest,
     /// The rules, serialized with postcard.
     pub bytes: Vec<u8>,
 }
 
 impl VersionedDocument {
-    /// Creates a document and computes its digest.
+    /// Creates a document from a version and serialized rules, and computes the digest.
     pub fn new(version: Version, bytes: Vec<u8>) -> VersionedDocument {
         let digest = document_digest(version, &bytes);
         VersionedDocument { version, digest, bytes }
     }
 
-    /// Whether the digest matches the version and the bytes.
+    /// Whether the document's digest matches its version and its bytes.
     pub fn has_valid_digest(&self) -> bool {
         self.digest == document_digest(self.version, &self.bytes)
     }
--- a/crates/consensus/src/voter_id.rs
+++ b/crates/consensus/src/voter_id.rs
@@ -1,8 +1,8 @@
 //! The numeric ID by which voters refer to each other.
 use serde::{Deserialize, Serialize};
 
-/// A voter's ID: its position in [`crate::Settings::voters`], from 1. A received ID may not belong to any
-/// voter.
+/// The ID of a voter: its position in [`crate::Settings::voters`], counted from 1. An ID that was received in
+/// a message may not belong to any voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct VoterId(u64);
@@ -12,12 +12,12 @@
         VoterId(number)
     }
 
-    /// Converts an ID of the crate `raft`, in which 0 means no voter; `None` for 0.
+    /// Converts a voter ID of the crate `raft`. Returns `None` for 0, which means no voter in that crate.
     pub(crate) fn from_raft(number: u64) -> Option<VoterId> {
         (number != 0).then_some(VoterId(number))
     }
 
-    /// The ID as a number, for the crate `raft` and for storage.
+    /// The voter ID as a number, as the crate `raft` and the storage use it.
     pub(crate) fn get(self) -> u64 {
         self.0
     }
--- a/crates/membership-transport/src/counters.rs
+++ b/crates/membership-transport/src/counters.rs
@@ -1,4 +1,4 @@
-//! The counters of a member, which all its threads update.
+//! The counters of a member. All threads of the member update them.
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use copperspread_membership::PacketError;
@@ -6,8 +6,8 @@
 
 use crate::view::{DropCounts, RejectionCounts};
 
-/// A counter whose value is logged at the 1st, 2nd, 4th, 8th ... event, so that a flood of packets does not
-/// produce a log line for each of them.
+/// A counter that logs its value at the 1st, 2nd, 4th, 8th ... event. A flood of packets therefore does not
+/// produce a log line for each packet.
 pub(crate) struct LoggedCounter {
     cause: &'static str,
     count: AtomicU64,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Counters of packets and their bytes, without UDP and IP headers.
+/// Counters of received and sent packets and of their bytes, without UDP and IP headers.
 #[derive(Default)]
 pub(crate) struct PacketCounters {
     pub(crate) received: AtomicU64,
@@ -51,8 +51,8 @@
     }
 }
 
-/// The counters of a member: rejected packets and states, other dropped traffic by cause, and packets
-/// received and sent.
+/// All counters of a member: rejected packets and states, other dropped traffic by cause, and received and
+/// sent packets.
 pub(crate) struct Counters {
     too_large: LoggedCounter,
     malformed: LoggedCounter,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Counts a packet or state that was rejected.
+    /// Counts a received packet or state that was rejected, by the cause of the rejection.
     pub(crate) fn record_rejection(&self, cause: PacketError) {
         match cause {
             PacketError::TooLarge => &self.too_large,
--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -1,5 +1,5 @@
-//! The driver thread, which runs the protocol: it reads the sockets and the clock, and carries out the
-//! protocol's effects.
+//! The driver thread of a member, which runs the membership protocol. It reads the sockets and the clock, and
+//! carries out the effects that the protocol returns.
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -14,43 +14,48 @@
 use crate::shared::{RunState, Shared, Snapshot};
 use crate::sockets::PolledSockets;
 
-/// Capacity of the queue of streams that were accepted and are not yet served. While the queue is full,
-/// further streams are closed ([`DropCounts::streams_rejected`](crate::DropCounts::streams_rejected)).
+/// Maximum number of accepted streams that wait for a stream thread. While this many wait, further streams
+/// are closed ([`DropCounts::streams_rejected`](crate::DropCounts::streams_rejected)).
 pub(crate) const MAX_ACCEPTED_STREAMS: usize = 4;
-/// Maximum number of streams accepted in one turn of the loop, before the other inputs are read again.
+/// Maximum number of streams that the driver accepts in one turn of its loop, before it reads its other
+/// inputs again.
 const MAX_ACCEPTS_PER_TURN: usize = 4 * MAX_ACCEPTED_STREAMS;
-/// Maximum number of packets read in one turn of the loop, before due timers run. It exceeds what the
-/// socket's buffer holds, so that after a pause all waiting packets are read first; the bound lets timers run
-/// during a flood.
+/// Maximum number of packets that the driver reads in one turn of its loop, before it runs the due timers. It
+/// exceeds what the socket's buffer holds, so that after a pause all waiting packets are read first. The
+/// limit lets timers run during a flood of packets.
 const MAX_PACKETS_PER_TURN: usize = 4_096;
-/// Maximum time for which the driver waits for an event, even if the protocol has no timer.
+/// Maximum time for which the driver waits for an event, even if the protocol has no timer pending.
 const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum number of events that one call of `mio::Poll::poll` reports. The limit exceeds the number of event
-/// sources.
+/// Maximum number of events that one call of `mio::Poll::poll` reports. There are fewer sources of events
+/// than this.
 const EVENT_CAPACITY: usize = 8;
 
-/// The driver's ends of the queues to and from the stream threads. Dropping them ends these threads.
+/// The driver's ends of the queues between the driver and the stream threads. When these ends are dropped,
+/// the stream threads end.
 pub(crate) struct DriverQueues {
     pub(crate) accepted_streams: Sender<TcpStream>,
     pub(crate) received_states: Receiver<ReceivedState>,
     pub(crate) exchange_requests: Sender<ExchangeRequest>,
 }
 
-/// The driver of a member. It owns the protocol and the sockets, and runs until the transport ends it.
+/// The driver of a member, which owns the protocol and the sockets. It runs until the transport ends the
+/// member.
 pub(crate) struct Driver {
     membership: Membership,
     sockets: PolledSockets,
     queues: DriverQueues,
     shared: Arc<Shared>,
-    /// The instant from which the protocol's instants are counted.
+    /// The instant from which the instants of the membership protocol are counted.
     started: Instant,
-    /// Buffer for the effects of an input; empty between inputs, and kept to reuse its allocation.
+    /// The buffer for the effects of one input. It is empty between inputs, and kept so that its memory is
+    /// reused.
     effects: Vec<Effect>,
-    /// Whether the local member or the list of members has changed since the last snapshot.
+    /// Whether this member's identity or its list of other members has changed since the last published
+    /// snapshot.
     members_changed: bool,
 }
 
-/// Whether an input source was read completely, or may have more.
+/// Whether the driver has read everything that waited at a socket, or more may be waiting.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadProgress {
     Drained,
@@ -79,15 +84,15 @@
         u64::try_from(self.started.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    /// Runs the loop of the driver until the transport ends it.
+    /// Runs the loop of the driver until the transport ends the member.
     pub(crate) fn run(mut self) {
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         let mut more_waiting = false;
         loop {
             let timeout = if more_waiting { Duration::ZERO } else { self.poll_timeout() };
             self.wait_for_events(&mut events, timeout);
-            // All sources are read, whichever of them woke the thread, because this costs little and misses
-            // no input.
+            // All sources are read, whichever of them woke the thread. This costs little, and no input is
+            // missed.
             let packets = self.read_packets();
             self.apply_received_states();
             let streams = self.accept_streams();
@@ -114,16 +119,17 @@
             && error.kind() != io::ErrorKind::Interrupted
         {
             warn!(%error, "membership poll failed");
-            // The sleep prevents a busy loop if `poll` fails again and again. No error that persists is
+            // The sleep prevents a busy loop if `poll` fails again and again. No lasting error of `poll` is
             // known.
             std::thread::sleep(MAX_POLL_TIMEOUT);
         }
     }
 
-    /// Passes the waiting packets to the protocol, up to [`MAX_PACKETS_PER_TURN`].
+    /// Reads the packets that wait at the socket, at most [`MAX_PACKETS_PER_TURN`], and passes them to the
+    /// protocol.
     fn read_packets(&mut self) -> ReadProgress {
-        // The buffer is one byte longer than the largest valid packet, so that a packet that is too large is
-        // not cut to a valid size.
+        // The buffer is one byte longer than the largest valid packet. Otherwise a packet that is too large
+        // would be cut to a valid size.
         let mut buffer = [0; MAX_PACKET_BYTES + 1];
         for _ in 0..MAX_PACKETS_PER_TURN {
             match self.sockets.udp.recv_from(&mut buffer) {
@@ -145,19 +151,19 @@
         while let Ok(ReceivedState { state, reply }) = self.queues.received_states.try_recv() {
             self.handle(Input::State(&state));
             if let Some(reply) = reply {
-                // The queue has room for one reply, and only one is sent. Sending fails if the stream thread
-                // no longer waits for the reply.
+                // The queue has room for one reply, and only one reply is sent. Sending fails only if the
+                // stream thread no longer waits for the reply.
                 let _ = reply.try_send(self.membership.state());
             }
         }
     }
 
-    /// Accepts the waiting streams, up to [`MAX_ACCEPTS_PER_TURN`].
+    /// Accepts the waiting streams, at most [`MAX_ACCEPTS_PER_TURN`], and queues them for the stream threads.
     fn accept_streams(&mut self) -> ReadProgress {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             match self.sockets.tcp.accept() {
                 Ok((stream, _)) => {
-                    // A stream that does not fit into the queue is dropped, which closes it.
+                    // If the queue is full, the stream is dropped, which closes it.
                     if self.queues.accepted_streams.try_send(stream.into()).is_err() {
                         self.shared.counters.streams_rejected.increment();
                     }
@@ -234,7 +240,7 @@
         }
     }
 
-    /// Publishes a new snapshot if it differs from the last one.
+    /// Publishes a new snapshot of this member's view, if the view has changed since the last snapshot.
     fn publish_snapshot(&mut self) {
         let last = self.shared.snapshot();
         let local_health_multiplier = self.membership.local_health_multiplier();
--- a/crates/membership-transport/src/lib.rs
+++ b/crates/membership-transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! The transport for `copperspread-membership`: sockets, clock and threads. That crate implements the
-//! membership protocol without them; this one runs it, and contains no rule of the protocol.
+//! The sockets, the clock and the threads for `copperspread-membership`. That crate implements the membership
+//! protocol and does no I/O. This crate runs the protocol, and contains no rule of the protocol.
 //!
 //! ```text
 //!                 ┌─────────── thread "membership" (driver.rs) ────────────┐
@@ -13,13 +13,13 @@
 //!
 //! 1. One thread, the driver, runs the protocol. It blocks only while it waits for the sockets and the next
 //!    timer.
-//! 2. States are exchanged over TCP streams. The stream threads read, write and verify them within time
-//!    limits: a slow or hostile peer can occupy these threads for a limited time, but never the driver.
-//! 3. Every queue is bounded, and the driver never waits for a queue. What does not fit is dropped and
-//!    counted ([`DropCounts`]); the next periodic announcement or state exchange, within 30 s, makes up for
-//!    the loss.
+//! 2. States are exchanged over TCP streams. The stream threads read, write and verify the states within time
+//!    limits. A slow or hostile peer can occupy these threads for a limited time, but never the driver.
+//! 3. Every queue is bounded, and the driver never waits for a queue. What does not fit into a queue is
+//!    dropped and counted ([`DropCounts`]). The next periodic announcement or state exchange, within 30 s,
+//!    makes up for the loss.
 //! 4. [`MembershipTransport`] owns and joins all threads. At a shutdown, the driver thread ends and drops its
-//!    ends of the queues, which ends the stream threads.
+//!    ends of the queues. The stream threads then end too.
 //!
 //! No input from the network ends a thread.
 #![forbid(unsafe_code)]
--- a/crates/membership-transport/src/messages.rs
+++ b/crates/membership-transport/src/messages.rs
@@ -4,17 +4,17 @@
 use copperspread_membership::MembershipState;
 use crossbeam_channel::Sender;
 
-/// The state of a peer, sent from a stream thread to the driver.
+/// The state of another member, which a stream thread has received and sends to the driver.
 pub(crate) struct ReceivedState {
     pub(crate) state: MembershipState,
-    /// The queue to which the driver sends the state of this member after it has applied the peer's; `None`
-    /// if the peer does not wait for a reply.
+    /// The queue to which the driver sends this member's state as a reply, after it has applied the received
+    /// state. `None` if the other member does not wait for a reply.
     pub(crate) reply: Option<Sender<MembershipState>>,
 }
 
-/// A request to exchange states with a peer, sent from the driver to a stream thread.
+/// A request of the driver to a stream thread, to exchange states with another member.
 pub(crate) struct ExchangeRequest {
     pub(crate) peer: SocketAddr,
-    /// The state of this member, to be sent to the peer.
+    /// The state of this member, which is sent to the other member.
     pub(crate) state: MembershipState,
 }
--- a/crates/membership-transport/src/shared.rs
+++ b/crates/membership-transport/src/shared.rs
@@ -1,4 +1,4 @@
-//! The state that the threads of a member share with the [`MembershipTransport`](crate::MembershipTransport),
+//! The state that a member's threads share with the [`MembershipTransport`](crate::MembershipTransport),
 //! which started these threads.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -10,19 +10,19 @@
 use crate::counters::Counters;
 use crate::view::MembershipView;
 
-/// Whether the member is running, or in which way it ends.
+/// Whether the member is running or ends, and in which way it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum RunState {
     Running,
-    /// The member ends after it has notified the other members that it leaves.
+    /// The member leaves: it notifies the other members before it ends.
     Leaving,
-    /// The member ends without notifying the other members, as if killed.
+    /// The member stops: it ends without notifying the other members, as if killed.
     Stopping,
 }
 
-/// The part of the member's view that the driver publishes. The counters are kept apart, because they change
-/// more often.
+/// The part of a member's view of the cluster that the driver publishes. The counters are kept apart, because
+/// they change more often.
 pub(crate) struct Snapshot {
     pub(crate) local_member: Member,
     pub(crate) members: Arc<[Member]>,
@@ -30,7 +30,7 @@
     pub(crate) detected_pauses: u64,
 }
 
-/// The shared state of a member. Only the driver thread publishes snapshots, only the
+/// The state that a member's threads share. Only the driver thread publishes snapshots, only the
 /// [`MembershipTransport`](crate::MembershipTransport) ends the member, and all threads update the counters.
 pub(crate) struct Shared {
     snapshot: ArcSwap<Snapshot>,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Ends the member. `how` is [`RunState::Leaving`] or [`RunState::Stopping`]. Only the first call has an
-    /// effect.
+    /// Ends the member in the way `how`, which is [`RunState::Leaving`] or [`RunState::Stopping`]. Only the
+    /// first call has an effect.
     pub(crate) fn end_member(&self, how: RunState) {
         let (running, how) = (RunState::Running as u8, how as u8);
         if self.run_state.compare_exchange(running, how, Ordering::Relaxed, Ordering::Relaxed).is_ok() {
--- a/crates/membership-transport/src/sockets.rs
+++ b/crates/membership-transport/src/sockets.rs
@@ -6,24 +6,25 @@
 
 use crate::config::StartError;
 
-/// Requested size of the UDP receive buffer, in bytes. The buffer holds the packets that arrive during a
-/// pause of the process. The system may grant less.
+/// Requested size of the UDP receive buffer, in bytes. The buffer holds the packets that arrive while the
+/// process is paused. The operating system may grant less.
 const RECEIVE_BUFFER_BYTES: usize = 1 << 20;
-/// Maximum number of attempts to bind both protocols to the same port, if the system chooses the port.
+/// Maximum number of attempts to bind UDP and TCP to the same port, if the operating system chooses the port.
 const MAX_BIND_ATTEMPTS: usize = 16;
 
 const UDP_TOKEN: Token = Token(0);
 const TCP_TOKEN: Token = Token(1);
 const WAKER_TOKEN: Token = Token(2);
 
-/// The bound sockets, not yet registered with a `mio::Poll`.
+/// The bound sockets of a member, which are not yet registered with a `mio::Poll`.
 pub(crate) struct BoundSockets {
     udp: UdpSocket,
     tcp: TcpListener,
     pub(crate) address: SocketAddr,
 }
 
-/// The sockets and the `mio::Poll` that waits for them. The driver thread owns and closes them.
+/// The sockets of a member, and the `mio::Poll` that waits for their events. The driver thread owns and
+/// closes them.
 pub(crate) struct PolledSockets {
     pub(crate) poll: Poll,
     pub(crate) udp: mio::net::UdpSocket,
@@ -31,7 +32,7 @@
 }
 
 impl BoundSockets {
-    /// Binds both sockets to the same address and port.
+    /// Binds the UDP socket and the TCP socket to the same address and port.
     pub(crate) fn bind(wanted: SocketAddr) -> Result<BoundSockets, StartError> {
         let bind_error = |source| StartError::Bind { address: wanted, source };
         let mut attempts_left = if wanted.port() == 0 { MAX_BIND_ATTEMPTS } else { 1 };
@@ -46,10 +47,11 @@
         }
     }
 
-    /// Registers the sockets with a new `mio::Poll`. Returns both, and a waker for the `mio::Poll`.
+    /// Registers the sockets with a new `mio::Poll`. Returns the sockets together with the `mio::Poll`, and a
+    /// waker that interrupts its wait.
     pub(crate) fn register(self) -> io::Result<(PolledSockets, Waker)> {
-        // An error is ignored: a smaller buffer only means that more packets are lost during a pause of the
-        // process.
+        // An error is ignored. With a smaller buffer, more packets are lost during a pause of the process,
+        // and nothing else changes.
         let _ = socket2::SockRef::from(&self.udp).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
         self.udp.set_nonblocking(true)?;
         self.tcp.set_nonblocking(true)?;
--- a/crates/membership-transport/src/state_exchange.rs
+++ b/crates/membership-transport/src/state_exchange.rs
@@ -1,9 +1,9 @@
-//! The exchange of states over TCP: the peer that connects sends its state, and the other one replies with
-//! its own. Each sends one state per stream.
+//! The exchange of states between two members over TCP. The member that connects sends its state, and the
+//! other member replies with its own state. Each sends one state per stream.
 //!
-//! On the wire, a state is its length as four bytes in network order, followed by the sealed state. The
-//! length is bounded, memory is allocated for the bytes that have arrived and not for the length that the
-//! peer has sent, and each stream has one time limit as a whole.
+//! On the wire, a state is four bytes for its length in network order, followed by the sealed state. The
+//! length is bounded. Memory is allocated for the bytes that have arrived, not for the length that the peer
+//! has sent. Each stream has one time limit for all its reads and writes.
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -17,25 +17,25 @@
 use crate::shared::Shared;
 use crate::timed_stream::TimedStream;
 
-/// Number of threads that serve accepted streams, which is the maximum number of streams served at once.
+/// Number of threads that serve accepted streams. No more streams than this are served at the same time.
 pub(crate) const SERVER_THREADS: usize = 4;
-/// Time limit for connecting to a peer.
+/// Time limit for connecting to another member.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Size of the length that precedes a state, in bytes.
+/// Size of the length field before a state, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// The context of a stream thread. Each of these threads has its own clone.
+/// What a stream thread needs to exchange states. Each stream thread has its own clone.
 #[derive(Clone)]
 pub(crate) struct StateExchange {
     pub(crate) shared: Arc<Shared>,
     pub(crate) key: Key,
     pub(crate) received_states: Sender<ReceivedState>,
-    /// The IP address that the member is bound to.
+    /// The IP address to which this member is bound.
     pub(crate) bind_ip: IpAddr,
 }
 
 impl StateExchange {
-    /// Serves accepted streams until the driver has ended.
+    /// Serves accepted streams, one after the other, until the driver has ended.
     pub(crate) fn serve_streams(&self, streams: &Receiver<TcpStream>) {
         for stream in streams {
             let result = self.serve(stream);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Reads the state of a peer, and replies with the state of this member.
+    /// Serves an accepted stream: reads the state of the peer, and replies with the state of this member.
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
         // An accepted stream is non-blocking, like its listener, but `TimedStream` needs a blocking stream.
         stream.set_nonblocking(false)?;
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// Sends the state of this member to a peer, and reads the peer's state.
+    /// Connects to a peer, sends the state of this member, and reads the peer's state.
     fn exchange(&self, request: &ExchangeRequest) -> io::Result<()> {
         let stream = self.connect(request.peer)?;
         let mut stream = TimedStream::new(stream, &self.shared);
@@ -84,9 +84,9 @@
         Ok(())
     }
 
-    /// Connects to a peer. The connection comes from the IP address that this member is bound to, because
-    /// peers usually know the member by that address. If the member is bound to the unspecified address, the
-    /// system chooses the IP address.
+    /// Connects to a peer from the IP address to which this member is bound, because peers usually know the
+    /// member by that address. If the member is bound to the unspecified address, the operating system
+    /// chooses the IP address.
     fn connect(&self, peer: SocketAddr) -> io::Result<TcpStream> {
         let socket = Socket::new(Domain::for_address(peer), Type::STREAM, None)?;
         if !self.bind_ip.is_unspecified() {
@@ -96,8 +96,9 @@
         Ok(socket.into())
     }
 
-    /// Reads and opens a sealed state. A state that is rejected is counted, and `None` is returned. The tag
-    /// is verified in this thread, because forged states must not take up the time of the driver thread.
+    /// Reads, verifies and decodes the state of a peer. If the state is rejected, counts the rejection and
+    /// returns `None`. This thread verifies the tag, so that forged states do not take up the time of the
+    /// driver thread.
     fn read_state(&self, stream: &mut TimedStream<'_>) -> io::Result<Option<MembershipState>> {
         let mut length = [0; LENGTH_BYTES];
         stream.read_exact(&mut length)?;
@@ -122,7 +123,7 @@
         stream.write_all(&[&length[..], &frame].concat())
     }
 
-    /// Queues a state for the driver. Returns whether the queue had room before the deadline.
+    /// Queues a received state for the driver. Returns whether the queue had room before the deadline.
     fn send_to_driver(&self, received: ReceivedState, deadline: Instant) -> bool {
         let is_queued = self.received_states.send_deadline(received, deadline).is_ok();
         if is_queued {
--- a/crates/membership-transport/src/timed_stream.rs
+++ b/crates/membership-transport/src/timed_stream.rs
@@ -5,14 +5,15 @@
 
 use crate::shared::Shared;
 
-/// Time limit for all reads and writes of a stream. It starts when the stream is connected or, for an
-/// accepted stream, when a thread begins to serve it.
+/// Time limit for all reads and writes of a stream together. It starts when the stream is connected or, for
+/// an accepted stream, when a thread begins to serve it.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a read or write blocks before it checks whether the member ends.
+/// How long a read or write blocks before the stream thread checks whether the member is ending.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A TCP stream whose reads and writes fail once its deadline has passed or the member ends. With a time
-/// limit for each read instead, a peer that sends a byte now and then would occupy the thread forever.
+/// A TCP stream whose reads and writes fail once its deadline has passed or the member is ending. A time
+/// limit for each single read would not be enough: a peer that sends a byte now and then could occupy the
+/// thread forever.
 pub(crate) struct TimedStream<'a> {
     stream: TcpStream,
     deadline: Instant,
@@ -28,7 +29,7 @@
         self.deadline
     }
 
-    /// Repeats an operation until it completes, the deadline has passed or the member ends.
+    /// Repeats a read or write until it completes, the deadline has passed or the member is ending.
     fn retry_until_deadline(
         &mut self,
         mut operation: impl FnMut(&mut TcpStream) -> io::Result<usize>,
--- a/crates/membership-transport/src/transport.rs
+++ b/crates/membership-transport/src/transport.rs
@@ -15,23 +15,22 @@
 use crate::state_exchange::{SERVER_THREADS, StateExchange};
 use crate::view::{DropCounts, MembershipView};
 
-/// Capacity of the queue of received states that the driver has not yet applied. While the queue is full, the
-/// stream threads wait within the time limits of their streams, then drop the state
-/// ([`DropCounts::states_dropped`]).
+/// Maximum number of received states that wait for the driver. While this many wait, the stream threads wait
+/// within the time limits of their streams, and then drop their states ([`DropCounts::states_dropped`]).
 const MAX_RECEIVED_STATES: usize = 8;
-/// Capacity of the queue of exchange requests that are not yet started. While the queue is full, further
+/// Maximum number of requested state exchanges that wait for a stream thread. While this many wait, further
 /// exchanges are skipped ([`DropCounts::exchanges_skipped`]).
 const MAX_EXCHANGE_REQUESTS: usize = 2;
 
-/// A running member, which owns its threads. Dropping it ends the member without notifying the other members,
-/// as if killed; [`MembershipTransport::leave`] notifies them.
+/// A running member of the cluster, which owns its threads. If this handle is dropped, the member ends
+/// without notifying the other members, as if killed. [`MembershipTransport::leave`] notifies them.
 pub struct MembershipTransport {
     shared: Arc<Shared>,
     address: SocketAddr,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// The ends of the queues that the stream threads use.
+/// The stream threads' ends of the queues between the driver and these threads.
 struct StreamQueues {
     accepted_streams: Receiver<std::net::TcpStream>,
     received_states: Sender<ReceivedState>,
@@ -39,11 +38,12 @@
 }
 
 impl MembershipTransport {
-    /// Binds the sockets and starts the threads. The member's generation is the Unix time in milliseconds.
+    /// Binds the member's sockets and starts its threads. The member's generation is the Unix time in
+    /// milliseconds.
     ///
     /// # Errors
-    /// [`StartError`] if the settings or the identity are rejected, the address cannot be bound, or another
-    /// call to the operating system fails.
+    /// Returns [`StartError`] if the settings or the identity are rejected, the address cannot be bound, or
+    /// another call to the operating system fails.
     pub fn start(config: TransportConfig) -> Result<MembershipTransport, StartError> {
         let generation = unix_milliseconds();
         let sockets = BoundSockets::bind(config.bind_address)?;
@@ -54,7 +54,8 @@
         let shared = Arc::new(Shared::new(membership.local_member().clone(), waker));
         // If a thread cannot be started, `transport` is dropped, which ends and joins the threads that are
         // already running. The stream threads end only once the ends of the queues are dropped. `transport`
-        // is therefore declared before these ends, so that it is dropped after them.
+        // is therefore declared before these ends, so that it is dropped after them. Otherwise the join would
+        // wait forever.
         let mut transport = MembershipTransport { shared: Arc::clone(&shared), address, threads: Vec::new() };
         let (driver_queues, stream_queues) = create_queues();
         transport.spawn_stream_threads(key, address.ip(), stream_queues)?;
@@ -63,8 +64,8 @@
         Ok(transport)
     }
 
-    /// Starts the stream threads, which exchange states. They end when the driver has ended and dropped its
-    /// ends of the queues.
+    /// Starts the stream threads, which exchange states with other members. These threads end when the driver
+    /// has ended and dropped its ends of the queues.
     fn spawn_stream_threads(
         &mut self,
         key: Key,
@@ -87,7 +88,7 @@
         Ok(())
     }
 
-    /// The address that the member is bound to.
+    /// The address to which the member's sockets are bound.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
@@ -97,26 +98,28 @@
         self.shared.view()
     }
 
-    /// A function that returns the current view while the member is running, and the last view after that.
+    /// Returns a function that reads the member's view of the cluster. After the member has ended, the
+    /// function returns the last view.
     pub fn view_reader(&self) -> impl Fn() -> MembershipView + Send + Sync + use<> {
         let shared = Arc::clone(&self.shared);
         move || shared.view()
     }
 
-    /// The number of dropped packets, streams, exchanges and states so far, by cause.
+    /// The number of packets, streams, state exchanges and states that the member has dropped so far, by
+    /// cause.
     pub fn drop_counts(&self) -> DropCounts {
         self.shared.counters.drops()
     }
 
-    /// Ends the member after notifying the other members, so that they do not have to detect its absence.
-    /// Returns without waiting for the end.
+    /// Ends the member after it has notified the other members, so that they do not have to detect that it is
+    /// gone. Returns without waiting for the end.
     pub fn leave(&self) {
         self.shared.end_member(RunState::Leaving);
     }
 
-    /// Waits until the member has ended, and returns the last view. Unless [`MembershipTransport::leave`] was
-    /// called before, the member ends without notifying the other members. Each state exchange that is
-    /// connecting or queued, at most three, can delay the end by up to 0.8 s.
+    /// Ends the member, waits until it has ended, and returns its last view of the cluster. Unless
+    /// [`MembershipTransport::leave`] was called before, the member does not notify the other members. Each
+    /// state exchange that is connecting or queued, at most three, can delay the end by up to 0.8 s.
     pub fn shutdown(mut self) -> MembershipView {
         self.stop_and_join();
         self.shared.view()
--- a/crates/membership-transport/src/view.rs
+++ b/crates/membership-transport/src/view.rs
@@ -1,34 +1,34 @@
-//! The view of a member that the status page `GET /-/cluster` returns as JSON. The JSON names are part of the
-//! interface of this page, and must not change.
+//! The view of a member, which the status page `GET /-/cluster` returns as JSON. The JSON names of the fields
+//! are part of the interface of this page, and must not change.
 use std::sync::Arc;
 
 use copperspread_membership::Member;
 use serde::{Serialize, Serializer};
 
-/// What a member knows about the cluster, and its counters since its start.
+/// What a member knows about the cluster, and what it has counted since its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct MembershipView {
     /// The current identity of this member.
     #[serde(rename = "own")]
     pub local_member: Member,
-    /// The other members that are up, including suspected ones, sorted by name.
+    /// The other members that are up as far as this member knows, including suspected ones, sorted by name.
     #[serde(serialize_with = "serialize_members")]
     pub members: Arc<[Member]>,
-    /// Lifeguard's local health multiplier, from 0 (healthy) to 8.
+    /// The member's local health multiplier, as Lifeguard defines it, from 0 (healthy) to 8.
     #[serde(rename = "doubt")]
     pub local_health_multiplier: u32,
     /// The number of pauses of its own process that this member has detected.
     #[serde(rename = "pauses")]
     pub detected_pauses: u64,
-    /// Number of rejected packets and states, by cause.
+    /// The numbers of packets and states that this member rejected, by cause.
     pub rejected: RejectionCounts,
-    /// Number of packets received, including rejected ones.
+    /// Number of packets that this member received, including rejected ones.
     pub packets_in: u64,
-    /// Number of packets sent to other members.
+    /// Number of packets that this member sent to other members.
     pub packets_out: u64,
-    /// Bytes of the packets received, without UDP and IP headers.
+    /// Number of bytes in the received packets, without UDP and IP headers.
     pub bytes_in: u64,
-    /// Bytes of the packets sent, without UDP and IP headers.
+    /// Number of bytes in the sent packets, without UDP and IP headers.
     pub bytes_out: u64,
 }
 
@@ -36,31 +36,35 @@
     (**members).serialize(serializer)
 }
 
-/// The number of rejected packets and states, by cause.
+/// The numbers of packets and states that a member rejected, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RejectionCounts {
-    /// Packets and states that are larger than the maximum size.
+    /// Number of rejected packets and states that are larger than the maximum size.
     pub too_large: u64,
-    /// Packets and states that are too short, or whose body cannot be decoded.
+    /// Number of rejected packets and states that are too short, or whose body cannot be decoded.
     pub malformed: u64,
-    /// Packets and states whose tag was not made with the cluster's key.
+    /// Number of rejected packets and states whose authentication tag was not made with the cluster's key.
     pub forged: u64,
-    /// Packets and states with a valid tag whose version is not the expected one.
+    /// Number of rejected packets and states with a valid tag, but with a version that is not the expected
+    /// one.
     pub other_version: u64,
 }
 
-/// The number of packets, streams, exchanges and states that this member dropped or that failed, by cause.
+/// The numbers of packets, streams, state exchanges and states that this member dropped or that failed, by
+/// cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounts {
-    /// Packets that could not be sent because the socket returned an error.
+    /// Number of packets that could not be sent, because the socket returned an error.
     pub packets_unsent: u64,
-    /// Streams that were closed because the queue of accepted streams was full.
+    /// Number of accepted streams that were closed, because the queue of accepted streams was full.
     pub streams_rejected: u64,
-    /// Streams that failed or exceeded their time limit, whether accepted or opened by this member, and
-    /// failed accepts. Streams that fail during a shutdown are not counted.
+    /// Number of streams that failed or exceeded their time limit, and of failed accepts. Both accepted
+    /// streams and streams opened by this member are counted. Streams that fail during a shutdown are not
+    /// counted.
     pub streams_failed: u64,
-    /// State exchanges that were skipped because the queue of exchange requests was full.
+    /// Number of state exchanges that were skipped, because the queue of exchange requests was full.
     pub exchanges_skipped: u64,
-    /// States that were dropped because the driver's queue had no room within the time limit of the stream.
+    /// Number of received states that were dropped, because the driver's queue had no room within the time
+    /// limit of the stream.
     pub states_dropped: u64,
 }
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -1,4 +1,4 @@
-//! Implements the runtime interface of `foca`, the library that runs the membership protocol: turns the
+//! Implements the runtime interface of `foca`, the library that runs the membership protocol. Turns the
 //! notifications and packets of `foca` into effects, and queues the timers that `foca` requests.
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,20 +12,21 @@
 use crate::time::Micros;
 use crate::timer_queue::TimerQueue;
 
-/// The action that a queued timer triggers.
+/// The action that a queued timer triggers when the timer fires.
 #[derive(Clone)]
 pub(crate) enum TimerEvent {
-    /// A timer that `foca` requested, for example for the end of a suspicion.
+    /// Run a timer that `foca` requested, for example for the end of a suspicion.
     Protocol(Timer<Member>),
-    /// Announce this member to the seeds and some known members, unless another member has answered.
+    /// Announce this member to the seeds and some known members, unless another member has already answered
+    /// it.
     AnnounceToSeeds,
-    /// Request a state exchange with a random member if the encoded state of this member exceeds half a
+    /// Request a state exchange with a random member, if the encoded state of this member exceeds half a
     /// packet. A smaller state fits into the packets of the protocol.
     ExchangeState,
 }
 
-/// Collects the effects and timers of one call of the protocol, and lengthens the probe interval, the probe
-/// timeout and the suspicion timeout according to the local health multiplier. Borrows the fields of
+/// Collects the effects and timers of one call of `foca`. Multiplies the probe interval, the probe timeout
+/// and the suspicion timeout according to the local health multiplier. Borrows the fields of
 /// [`Membership`](crate::Membership) for the duration of the call.
 pub(crate) struct EffectCollector<'a> {
     pub(crate) now: Micros,
@@ -33,11 +34,12 @@
     pub(crate) timers: &'a mut TimerQueue<TimerEvent>,
     pub(crate) local_health: &'a mut LocalHealth,
     pub(crate) effects: &'a mut Vec<Effect>,
-    /// The instant at which the last authentic packet or state arrived.
+    /// The instant at which this member last received an authentic packet or state.
     pub(crate) last_received: Micros,
-    /// Time without an authentic packet or state after which this member counts as isolated.
+    /// How long this member may receive no authentic packet or state before it counts as isolated, in
+    /// microseconds.
     pub(crate) isolation_timeout: Micros,
-    /// The address of the sender of the packet that is being handled.
+    /// The address of the member that sent the packet that is being handled.
     pub(crate) sender: &'a mut Option<SocketAddr>,
     pub(crate) has_joined: &'a mut bool,
 }
@@ -64,9 +66,10 @@
                 self.local_health.record_failure();
                 self.effects.push(Effect::SelfRefuted(identity.clone()));
             }
-            // A failed probe indicates a fault of this member only if it receives nothing from any other
-            // member. In a partitioned cluster, the members of each half still receive packets from each
-            // other, and must not take longer to declare the other half dead.
+            // A failed probe indicates a fault of this member only if this member receives nothing from any
+            // other member. In a partitioned cluster, the members of each half still receive packets from
+            // each other. If their failed probes counted, they would take longer to declare the other half
+            // dead.
             Notification::ProbeFailed(..) if self.is_isolated() => self.local_health.record_failure(),
             Notification::ProbeFailed(..) => {}
             Notification::DataReceived(header) => {
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -1,49 +1,50 @@
-//! The inputs and effects of the membership protocol.
+//! The inputs of the membership protocol, which its driver passes in, and the effects that it returns.
 use std::net::SocketAddr;
 
 use crate::member::Member;
 use crate::state::MembershipState;
 
-/// An input of [`Membership::handle`](crate::Membership::handle).
+/// An input that the driver passes to [`Membership::handle`](crate::Membership::handle).
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
-    /// A packet from any sender, not yet verified.
+    /// A received packet, which has not been verified and may come from any sender.
     Packet(&'a [u8]),
-    /// The state of a peer, received over a stream.
+    /// The state of another member, received over a stream.
     State(&'a MembershipState),
-    /// The time has reached [`Membership::next_due`](crate::Membership::next_due). Before this input, the
-    /// driver must pass in all packets that have arrived, so that answers are seen before the timers that
-    /// wait for them expire.
+    /// A timer is due: the time has reached [`Membership::next_due`](crate::Membership::next_due). Before
+    /// this input, the driver must pass in all packets that have arrived. Otherwise a timer could expire
+    /// although the answer for which it waits has arrived.
     TimerDue,
 }
 
-/// An action that the driver has to carry out, or a change in the cluster.
+/// An action that the driver has to carry out, or a change in the cluster of which the driver is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a packet to another member over the network, where the packet may be lost.
+    /// Send a packet to another member over the network, which may lose the packet.
     SendPacket {
-        /// The address of the receiver.
+        /// The address to which the packet is sent.
         to: SocketAddr,
-        /// The sealed packet.
+        /// The packet, sealed with the cluster's key.
         packet: Vec<u8>,
     },
-    /// Exchange states with the member at this address over a stream: send it
-    /// [`Membership::state`](crate::Membership::state), and pass in its reply as [`Input::State`].
+    /// Exchange states with the member at this address over a stream: send
+    /// [`Membership::state`](crate::Membership::state) to that member, and pass in its reply as
+    /// [`Input::State`].
     ExchangeState(SocketAddr),
-    /// Another member is up, because it has just joined or because this member has just learned about it.
+    /// Another member is up. It has just joined, or this member has just learned about it.
     MemberUp(Member),
-    /// A member was declared dead, or has left.
+    /// Another member was declared dead, or has left the cluster.
     MemberDown(Member),
-    /// A member restarted or rejoined under a new identity.
+    /// Another member has restarted or rejoined, and has a new identity.
     MemberReplaced {
-        /// The previous identity, which is no longer valid.
+        /// The previous identity of the other member, which is no longer valid.
         before: Member,
-        /// The identity that replaces the previous one.
+        /// The new identity of the other member, which replaces the previous one.
         after: Member,
     },
-    /// Other members knew an earlier process of this member by an identity that takes precedence over the
-    /// current one. This member continues under this new identity, whose generation is later.
+    /// This member continues under this new identity, whose generation is later than before. Other members
+    /// knew an earlier process of this member by an identity that takes precedence over the previous one.
     GenerationRaised(Member),
-    /// The other members had declared this member dead. It has rejoined under this identity.
+    /// The other members had declared this running member dead. It has rejoined under this identity.
     SelfRefuted(Member),
 }
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -1,17 +1,17 @@
-//! Selection of the members that a member announces itself to until one of them has answered.
+//! Selects the members to which a member announces itself until one of them has answered.
 use std::net::SocketAddr;
 
 use crate::member::Member;
 use crate::time::Micros;
 
-/// Maximum number of known members that one round of announcements goes to, in addition to the seeds.
+/// Maximum number of known members to which a member announces itself in one round, in addition to the seeds.
 const MAX_KNOWN_TARGETS: usize = 4;
 
-/// The receivers of one round of announcements: all seeds, and some of the known members.
+/// Returns the members to which this member announces itself in one round: all seeds, and some known members.
 ///
-/// Announcements go to known members because the first packets under a new identity of this member may be
-/// lost. Other members then keep sending to the old identity, and `foca` does nothing until a packet to the
-/// new identity arrives.
+/// The first packets under a new identity of this member may be lost. Other members then keep sending to the
+/// old identity, and `foca` does nothing until a packet to the new identity arrives. For this reason,
+/// announcements also go to known members.
 pub(crate) fn announce_targets<'a>(
     local: &Member,
     seeds: &[SocketAddr],
@@ -19,8 +19,7 @@
     now: Micros,
 ) -> Vec<Member> {
     let known: Vec<&Member> = known.collect();
-    // The first known member to announce to depends on the time, so that the rounds usually reach different
-    // members.
+    // Which known members are chosen depends on the time, so that the rounds usually reach different members.
     let start = now as usize % known.len().max(1);
     let rotated = known.iter().cycle().skip(start).take(known.len().min(MAX_KNOWN_TARGETS));
     let seeds = seeds.iter().map(|&seed| Member::placeholder(seed));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,6 +1,6 @@
-//! Cluster membership for schedulers by the SWIM protocol, without I/O and without a clock. Packets, states
-//! of peers and the time are passed in as [`Input`]s; packets to send and changes in the cluster are returned
-//! as [`Effect`]s.
+//! Cluster membership for schedulers by the SWIM protocol, without I/O and without a clock. The caller passes
+//! in packets, the states of other members and the time as [`Input`]s. Packets to send and changes in the
+//! cluster are returned as [`Effect`]s.
 //!
 //! ```text
 //!  packet      ──► Membership::handle: Key::open ──► foca (SWIM) ──► Key::seal ──► Effect::SendPacket
@@ -11,9 +11,9 @@
 //!    suspicion before a member is declared dead, incarnation numbers for refutation, and gossip with a
 //!    bounded number of transmissions.
 //! 2. This crate owns the timers (`timer_queue.rs`). It multiplies the probe interval, the probe timeout and
-//!    the suspicion timeout by 1 + Lifeguard's local health multiplier (`local_health.rs`): a member that may
-//!    itself be slow or isolated lengthens its own timeouts. After a pause of its process, a member delays
-//!    its timers, so that it reads the packets that have arrived before it suspects others.
+//!    the suspicion timeout by 1 + Lifeguard's local health multiplier (`local_health.rs`). A member that may
+//!    itself be slow or isolated thus lengthens its own timeouts. After a pause of its process, a member
+//!    delays its timers, so that it reads the packets that have arrived before it suspects others.
 //! 3. The list of all members may be too large for a packet. It is exchanged as a [`MembershipState`] over a
 //!    stream (`state.rs`).
 //! 4. Every packet and state carries a version and an authentication tag under the cluster's key (`seal.rs`).
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -2,7 +2,7 @@
 //! to reach lengthens its own timeouts.
 use std::time::Duration;
 
-/// Maximum of the multiplier, as in Lifeguard.
+/// Maximum of the local health multiplier, as in Lifeguard.
 const MAX_MULTIPLIER: u32 = 8;
 
 /// The local health multiplier, from 0 (healthy) to 8. The member's probe interval, probe timeout and
@@ -17,12 +17,13 @@
         self.multiplier
     }
 
-    /// Records a sign that this member, and not another one, is slow or hard to reach.
+    /// Records a sign that this member itself, and not another member, is slow or hard to reach. Raises the
+    /// multiplier.
     pub(crate) fn record_failure(&mut self) {
         self.multiplier = (self.multiplier + 1).min(MAX_MULTIPLIER);
     }
 
-    /// Records that a probe sent by this member was answered.
+    /// Records that another member answered a probe of this member. Lowers the multiplier.
     pub(crate) fn record_success(&mut self) {
         self.multiplier = self.multiplier.saturating_sub(1);
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The membership protocol at one member: drives `foca` with packets, states and timers.
+//! The membership protocol at one member. Passes packets, states and timers to the library `foca`.
 use std::net::SocketAddr;
 
 use foca::{Codec, Foca, NoCustomBroadcast, PostcardCodec, Timer};
@@ -19,38 +19,39 @@
 
 type Protocol = Foca<Member, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>;
 
-/// The membership protocol at one member, with the member's view of the cluster. It is called by one driver,
+/// The membership protocol at one member, with that member's view of the cluster. A single driver calls it,
 /// with instants that never decrease.
 pub struct Membership {
     protocol: Protocol,
     settings: Settings,
     key: Key,
     timers: TimerQueue<TimerEvent>,
-    /// The random number generator that chooses partners for state exchanges. The protocol has a separate
+    /// The random number generator that chooses the members for state exchanges. `foca` has a separate
     /// generator.
     rng: Pcg64Mcg,
     local_health: LocalHealth,
-    /// The instant of the last input. The detection of pauses counts a timer as overdue only from this
-    /// instant on, because the process was still running then.
+    /// The instant of the last input, at which the process was still running. The detection of pauses
+    /// therefore counts a timer as overdue only from this instant on.
     last_handled: Micros,
-    /// The instant at which the last authentic packet or state arrived.
+    /// The instant at which this member last received an authentic packet or state.
     last_received: Micros,
-    /// The address of the sender of the packet that is being handled.
+    /// The address of the member that sent the packet that is being handled.
     sender: Option<SocketAddr>,
-    /// Whether another member has answered this member under its current identity. Reset when no other member
-    /// is up.
+    /// Whether another member has answered this member under its current identity. Becomes false again when
+    /// no other member is up.
     has_joined: bool,
-    /// Whether another member has answered this process under any identity.
+    /// Whether another member has ever answered this process, under any of its identities.
     has_ever_joined: bool,
     detected_pauses: u64,
 }
 
 impl Membership {
-    /// Creates a member that knows no other member. `seed` determines all its random choices. The member
-    /// announces itself to its seeds at the first [`Input::TimerDue`].
+    /// Creates a member that knows no other member. `seed` determines all random choices of the member. The
+    /// member announces itself to its seeds at the first [`Input::TimerDue`].
     ///
     /// # Errors
-    /// [`SettingsError`] if a setting is out of its range, or the name, zone or region is too long.
+    /// Returns [`SettingsError`] if a setting is out of its range, or if the member's name, zone or region is
+    /// too long.
     pub fn new(local: Member, settings: Settings, key: Key, seed: u64) -> Result<Membership, SettingsError> {
         settings.validate()?;
         if !local.fits_in_packet() {
@@ -76,13 +77,13 @@
         })
     }
 
-    /// Handles an input at the instant `now`, which must not be earlier than in previous calls. The resulting
-    /// effects are appended to `effects`, in the order in which they have to be carried out.
+    /// Handles an input at the instant `now`, which must not be earlier than in previous calls. Appends the
+    /// resulting effects to `effects`, in the order in which the driver has to carry them out.
     ///
     /// # Errors
-    /// [`PacketError`] if the input is a packet that is rejected. A packet that is too large, forged, of
-    /// another version, or shorter than its version and tag has no effect on the membership. A packet with a
-    /// valid tag but a malformed body counts as received from the cluster, and can raise this member's
+    /// Returns [`PacketError`] if the input is a packet that is rejected. A packet that is too large, forged,
+    /// of another version, or shorter than its version and tag has no effect on the membership. A packet with
+    /// a valid tag but a malformed body counts as received from the cluster, and can raise this member's
     /// generation.
     pub fn handle(
         &mut self,
@@ -106,18 +107,18 @@
             }
         };
         if self.has_joined && !had_joined {
-            // A member that joins needs the list of all members, and a packet holds only about twenty. The
-            // exchange is with the sender of the packet, because the sender is certainly up, but the members
-            // that its packet names may be down after an outage.
+            // A member that joins needs the list of all members, but a packet holds only about twenty. The
+            // member exchanges states with the sender of the packet, because the sender is certainly up. The
+            // members that the packet names may be down after an outage.
             effects.extend(self.sender.map(Effect::ExchangeState));
         }
         self.has_ever_joined |= self.has_joined;
         let has_rejoined =
             effects[first_new_effect..].iter().any(|effect| matches!(effect, Effect::SelfRefuted(_)));
         if has_rejoined && !self.has_ever_joined {
-            // This process has never joined, but a peer declared it dead: the peer remembers an earlier
-            // process of this member, possibly with a later generation. From the state of the peer, this
-            // member learns the generation that it has to exceed.
+            // This process has never joined, but a peer declared it dead. The peer therefore remembers an
+            // earlier process of this member, possibly with a later generation. The state of the peer tells
+            // this member which generation it has to exceed.
             effects.extend(self.sender.map(Effect::ExchangeState));
         }
         if self.protocol.num_members() != member_count {
@@ -143,16 +144,17 @@
         match protocol.handle_data(body, collector) {
             Err(foca::Error::Decode(_) | foca::Error::MalformedPacket) => Err(PacketError::Malformed),
             Err(foca::Error::DataTooBig) => Err(PacketError::TooLarge),
-            // Any error other than a malformed or too large packet means that `foca` has ignored the packet,
-            // for example because this member itself has sent it.
+            // After any other error, `foca` has ignored the packet, for example because this member itself
+            // has sent it.
             _ => Ok(()),
         }
     }
 
     /// Raises the generation of this member if `known`, the identity by which a peer knows it, takes
-    /// precedence over the current identity. This happens if an earlier process had a later generation, for
-    /// example because the machine's clock was set back between the two processes. The other members would
-    /// otherwise take this process for the earlier one for as long as they remember it.
+    /// precedence over the current identity. This happens if an earlier process of this member had a later
+    /// generation, for example because the machine's clock was set back between the two starts. Without a
+    /// later generation, the other members would take this process for the earlier one for as long as they
+    /// remember it.
     fn raise_generation_above(&mut self, now: Micros, known: &Member, effects: &mut Vec<Effect>) {
         let Some(identity) = self.protocol.identity().with_generation_above(known) else { return };
         let (protocol, collector) = self.protocol_and_collector(now, effects);
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Adds what the state of a peer says about members to the view of this member.
+    /// Adds what the state of a peer says about members to this member's view of the cluster.
     fn apply_state(&mut self, now: Micros, state: &MembershipState, effects: &mut Vec<Effect>) {
         self.last_received = now;
         if let Some(known) = state.member_at(self.protocol.identity().address) {
@@ -177,10 +179,12 @@
         let _ = protocol.apply_many(updates.into_iter(), true, collector);
     }
 
-    /// Detects a pause of this process, which is assumed if a timer is overdue by more than the probe
+    /// Detects a pause of this process. A pause is assumed if a timer is overdue by more than the probe
     /// timeout. After a pause, delays all timers by the time that this timer is overdue, and raises the local
-    /// health multiplier. When a process resumes, its timers are overdue while the answers of other members
-    /// still wait to be read; without the delay, these members would be suspected.
+    /// health multiplier.
+    ///
+    /// When a process resumes, its timers are overdue, but the answers of other members still wait to be
+    /// read. Without the delay, this member would suspect those members.
     fn detect_pause(&mut self, now: Micros) {
         let overdue = self.timers.next_due().map_or(0, |due| now.saturating_sub(due.max(self.last_handled)));
         if overdue > self.settings.probe_timeout {
@@ -191,7 +195,7 @@
         self.last_handled = now;
     }
 
-    /// Borrows the protocol together with the collector that it is called with.
+    /// Borrows `foca` together with the collector of its effects and timers, with which it must be called.
     fn protocol_and_collector<'a>(
         &'a mut self,
         now: Micros,
@@ -233,14 +237,16 @@
             return;
         }
         let (protocol, collector) = self.protocol_and_collector(now, effects);
-        // An error here means that the timer belongs to a probe that has ended.
+        // An error means that the timer belongs to a probe that has already ended.
         let _ = protocol.handle_timer(timer, collector);
     }
 
-    /// Whether a timer belongs to a suspicion that is over, because the member has refuted it or is no longer
-    /// listed as up under this identity. `foca` 2.0 must not receive such a timer: instead of declaring the
-    /// member dead, `foca` would notify the member that it was declared dead. The member would then rejoin
-    /// under a new identity, which all other members would have to apply.
+    /// Whether a timer belongs to a suspicion that is over. The suspected member has then refuted the
+    /// suspicion, or is no longer listed as up under the same identity.
+    ///
+    /// `foca` 2.0 must not receive such a timer. Instead of declaring the member dead, `foca` would notify
+    /// the member that it was declared dead. The member would then rejoin under a new identity, which all
+    /// other members would have to apply.
     fn belongs_to_ended_suspicion(&self, timer: &Timer<Member>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
         let is_unchanged =
@@ -261,8 +267,8 @@
         }
     }
 
-    /// Requests a state exchange with a random member if the state exceeds half a packet. A smaller state
-    /// needs no exchange, because the packets that answer the protocol's periodic announcements hold all
+    /// Requests a state exchange with a random member, if this member's state exceeds half a packet. A
+    /// smaller state needs no exchange, because the packets that answer the periodic announcements hold all
     /// members.
     fn request_large_state_exchange(&mut self, effects: &mut Vec<Effect>) {
         if self.state().encoded_bytes() > MAX_PACKET_BODY_BYTES / 2 {
@@ -271,12 +277,13 @@
         }
     }
 
-    /// The state of this member, for a state exchange.
+    /// The state of this member, which is the list of all members that it knows, for a state exchange.
     pub fn state(&self) -> MembershipState {
         MembershipState::new(self.protocol.identity(), self.protocol.iter_membership_state())
     }
 
-    /// Leaves the cluster. Notifies the other members, so that they do not have to detect the absence.
+    /// Leaves the cluster. Notifies the other members, so that they do not have to detect that this member is
+    /// gone.
     pub fn leave(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let (protocol, collector) = self.protocol_and_collector(now, effects);
         // The result of `leave_cluster` is ignored: its only possible error is that a packet cannot be
@@ -284,7 +291,8 @@
         let _ = protocol.leave_cluster(collector);
     }
 
-    /// The instant at which [`Input::TimerDue`] has to be passed in next; `None` if no timer is pending.
+    /// The instant at which the driver has to pass in the next [`Input::TimerDue`]; `None` if no timer is
+    /// pending.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.next_due()
     }
@@ -294,7 +302,7 @@
         self.protocol.identity()
     }
 
-    /// The other members that are up, including suspected ones.
+    /// The other members that are up as far as this member knows, including suspected ones.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.protocol.iter_members().map(foca::Member::id)
     }
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -1,5 +1,5 @@
-//! The sealed form of packets and states: a version, the body, and an authentication tag over both, which is
-//! an HMAC-SHA-256 (RFC 2104) under the cluster's key. The body is not encrypted.
+//! The sealed form of packets and states: a version, the body, and an authentication tag over both. The tag
+//! is an HMAC-SHA-256 (RFC 2104) under the cluster's key. The body is not encrypted.
 use hmac::digest::InvalidLength;
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
@@ -10,15 +10,16 @@
 /// usual MTU of 1,500 bytes, as RFC 8085 advises.
 pub const MAX_PACKET_BYTES: usize = 1_400;
 pub(crate) const MAX_PACKET_BODY_BYTES: usize = MAX_PACKET_BYTES - VERSION_BYTES - TAG_BYTES;
-/// Maximum size of a sealed state, in bytes. It holds about 15,000 members of 70 bytes each.
+/// Maximum size of a sealed state, in bytes. A state of this size holds about 15,000 members of 70 bytes
+/// each.
 pub const MAX_STATE_BYTES: usize = 1 << 20;
 pub(crate) const MAX_STATE_BODY_BYTES: usize = MAX_STATE_BYTES - VERSION_BYTES - TAG_BYTES;
-/// Minimum length of a key, in bytes: half the length of the hash. A shorter key would be the weakest part of
-/// the seal.
+/// Minimum length of a cluster key, in bytes: half the length of the hash. A shorter key would be the weakest
+/// part of the seal.
 const MIN_KEY_BYTES: usize = 16;
 
-/// The version and the maximum size of sealed packets or states. The versions differ, so that a packet is not
-/// accepted as a state, or a state as a packet.
+/// The version and the maximum size of sealed packets, or of sealed states. The two versions differ, so that
+/// a packet is not accepted as a state, or a state as a packet.
 #[derive(Clone, Copy)]
 pub(crate) struct SealFormat {
     version: u8,
@@ -28,21 +29,22 @@
 pub(crate) const PACKET_FORMAT: SealFormat = SealFormat { version: 1, max_bytes: MAX_PACKET_BYTES };
 pub(crate) const STATE_FORMAT: SealFormat = SealFormat { version: 0x81, max_bytes: MAX_STATE_BYTES };
 
-/// The reason why a packet or state was rejected. The enum is exhaustive because the transport counts each
-/// reason. The effects of a rejected packet are described at
-/// [`Membership::handle`](crate::Membership::handle).
+/// The reason why a received packet or state was rejected. The enum is exhaustive, because the transport
+/// counts each reason separately. [`Membership::handle`](crate::Membership::handle) describes the effects of
+/// a rejected packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum PacketError {
-    /// The packet or state exceeds [`MAX_PACKET_BYTES`] or [`MAX_STATE_BYTES`].
+    /// The received packet is larger than [`MAX_PACKET_BYTES`], or the state is larger than
+    /// [`MAX_STATE_BYTES`].
     #[error("too large")]
     TooLarge,
-    /// The packet or state is too short, or its body cannot be decoded.
+    /// The received packet or state is too short, or its body cannot be decoded.
     #[error("malformed")]
     Malformed,
-    /// The tag was not made with the cluster's key.
+    /// The authentication tag of the received packet or state was not made with the cluster's key.
     #[error("not made with the cluster's key")]
     Forged,
-    /// The tag is valid, but the version is not the expected one.
+    /// The received packet or state has a valid tag, but its version is not the expected one.
     #[error("of another version")]
     OtherVersion,
 }
@@ -51,13 +53,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum KeyError {
-    /// The key has fewer than 16 bytes.
+    /// The cluster key has fewer than 16 bytes.
     #[error("a cluster key of {bytes} bytes; {MIN_KEY_BYTES} at least")]
     TooShort {
-        /// The number of bytes in the rejected key.
+        /// The number of bytes in the rejected cluster key.
         bytes: usize,
     },
-    /// The HMAC implementation rejects a key of this length.
+    /// The HMAC implementation rejects a cluster key of this length.
     #[error(transparent)]
     InvalidLength(#[from] InvalidLength),
 }
@@ -67,17 +69,17 @@
 pub struct Key(Hmac<Sha256>);
 
 impl std::fmt::Debug for Key {
-    /// Prints none of the key's bytes, so that none appears in a log.
+    /// Prints none of the key's bytes, so that none of them appears in a log.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Key")
     }
 }
 
 impl Key {
-    /// Creates a key from its bytes.
+    /// Creates a cluster key from its bytes.
     ///
     /// # Errors
-    /// [`KeyError::TooShort`] if there are fewer than 16 bytes.
+    /// Returns [`KeyError::TooShort`] if there are fewer than 16 bytes.
     pub fn new(bytes: &[u8]) -> Result<Key, KeyError> {
         if bytes.len() < MIN_KEY_BYTES {
             return Err(KeyError::TooShort { bytes: bytes.len() });
@@ -85,7 +87,7 @@
         Ok(Key(Hmac::new_from_slice(bytes)?))
     }
 
-    /// Seals a body: adds the version before it and the tag after it.
+    /// Seals the body of a packet or state: adds the version before it and the authentication tag after it.
     pub(crate) fn seal(&self, format: SealFormat, body: &[u8]) -> Vec<u8> {
         let mut sealed = Vec::with_capacity(VERSION_BYTES + body.len() + TAG_BYTES);
         sealed.push(format.version);
@@ -98,7 +100,8 @@
     /// Verifies a sealed packet or state, and returns its body.
     ///
     /// # Errors
-    /// The packet or state is too large, too short, not sealed with this key, or of another version.
+    /// Returns an error if the packet or state is too large, too short, not sealed with this key, or of
+    /// another version.
     pub(crate) fn open<'a>(&self, format: SealFormat, sealed: &'a [u8]) -> Result<&'a [u8], PacketError> {
         if sealed.len() > format.max_bytes {
             return Err(PacketError::TooLarge);
