--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -8,55 +8,58 @@
 use crate::seal::MAX_PACKET_BODY_BYTES;
 use crate::time::{Micros, SECOND};
 
-/// The factor that determines how often each member sends an update: at most `log10(members + 1)` times this
-/// factor, rounded up and limited to [`TRANSMISSION_BOUNDS`]. If the factor is too small and many packets are
-/// lost, some of the members that wait for a refutation never receive it, and a running member is declared
-/// dead. With 9 members and a packet loss of 30 %, a factor of 14 is enough; 4, as in Serf, is too small, and
-/// so is 8 even with a suspicion multiplier of 8.
+/// The factor that determines how often a member sends each update about the membership. An update is sent at
+/// most `log10(members + 1)` times this factor, rounded up and limited to [`TRANSMISSION_BOUNDS`].
+///
+/// The factor can be too small if many packets are lost. Some of the members that wait for the refutation of
+/// a suspicion then never receive it, and a running member is declared dead. With 9 members and a packet loss
+/// of 30 %, a factor of 14 is enough. A factor of 4, as in Serf, is too small. A factor of 8 is too small
+/// even with a suspicion multiplier of 8.
 const TRANSMISSION_MULTIPLIER: f64 = 14.0;
-/// Minimum and maximum of the number of times that each member sends an update. `foca` stores the number in
-/// one byte. The maximum of 60 is reached only with about 16,000 members.
+/// Minimum and maximum number of times that a member sends each update about the membership. `foca` stores
+/// the number in one byte. The maximum of 60 is reached only with about 16,000 members.
 const TRANSMISSION_BOUNDS: (f64, f64) = (2.0, 60.0);
-/// Rounds of gossip in each probe interval, as in Serf. Probes carry updates in addition.
+/// Number of rounds of gossip in each probe interval, as in Serf. Probes carry updates in addition.
 const GOSSIPS_PER_PROBE_INTERVAL: u64 = 5;
-/// Number of members that each round of gossip goes to, as in Serf.
+/// Number of members to which a member sends each round of gossip, as in Serf.
 const GOSSIP_FANOUT: usize = 3;
-/// Number of members that each periodic announcement goes to.
+/// Number of members to which a member sends each periodic announcement.
 const ANNOUNCE_FANOUT: usize = 1;
-/// Interval of the announcements to members that are down, by which the halves of a healed partition find
-/// each other.
+/// Interval of the announcements to members that are down, in microseconds. These announcements let the
+/// halves of a healed partition find each other.
 const DOWN_ANNOUNCE_INTERVAL: Micros = 5 * SECOND;
-/// Interval at which this member sends an announcement to a random member, which answers with the members
-/// that it knows. If a packet might not hold them all, this member also requests a state exchange with a
-/// random member.
+/// Interval at which this member sends an announcement to a random member, in microseconds. The other member
+/// answers with the members that it knows. If a packet might not hold them all, this member also requests a
+/// state exchange with a random member.
 pub(crate) const STATE_EXCHANGE_INTERVAL: Micros = 30 * SECOND;
-/// How long a member that is down is remembered, so that old gossip does not list it as up again.
+/// How long a member that is down is remembered, so that old gossip does not list that member as up again.
 const DOWN_MEMBER_RETENTION: Duration = Duration::from_secs(24 * 3600);
-/// Maximum of [`Settings::suspicion_multiplier`].
+/// Maximum value of [`Settings::suspicion_multiplier`].
 const MAX_SUSPICION_MULTIPLIER: f64 = 1_000.0;
 
-/// The settings of the failure detector of a member.
+/// The settings of a member's failure detector, which probes the other members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Time between two probes, in microseconds. The members are probed one after the other. Greater than 0.
+    /// Time between two probes that the member sends, in microseconds. The other members are probed one after
+    /// the other. Greater than 0.
     pub probe_interval: Micros,
-    /// How long a direct probe waits for its answer, in microseconds; after that, indirect probes are sent.
-    /// Greater than 0 and less than the probe interval.
+    /// How long the member waits for the answer to a direct probe, in microseconds. After that, it sends
+    /// indirect probes. Greater than 0 and less than the probe interval.
     pub probe_timeout: Micros,
-    /// Number of other members through which an unresponsive member is probed. Greater than 0.
+    /// Number of other members that are asked to probe a member that does not answer. Greater than 0.
     pub indirect_probes: usize,
-    /// A suspected member that does not refute the suspicion is declared dead after this factor times the
-    /// probe interval times the larger of 1 and `log10(members)`, where `members` is the number of members
-    /// including this one. Greater than 0 and at most 1,000.
+    /// The factor that determines when a suspected member that does not refute the suspicion is declared
+    /// dead. The time is this factor times the probe interval times the larger of 1 and `log10(members)`,
+    /// where `members` is the number of members including this one. Greater than 0 and at most 1,000.
     pub suspicion_multiplier: f64,
-    /// Addresses that the member announces itself to, once per probe interval, while no other member has
+    /// Addresses to which the member announces itself, once per probe interval, while no other member has
     /// answered it: after its start, after a change of its identity, and when no other member is up.
     pub seeds: Vec<SocketAddr>,
 }
 
 impl Default for Settings {
-    /// Usual values of SWIM: one probe per second, a probe timeout of 0.3 s, 3 indirect probes, and a
-    /// suspicion multiplier of 5.
+    /// Returns the usual values of SWIM: one probe per second, a probe timeout of 0.3 s, 3 indirect probes,
+    /// and a suspicion multiplier of 5.
     fn default() -> Settings {
         Settings {
             probe_interval: SECOND,
@@ -81,13 +84,13 @@
     /// [`Settings::suspicion_multiplier`] is out of its range, or not a number.
     #[error("the suspicion multiplier must be greater than 0 and at most 1000")]
     SuspicionOutOfRange,
-    /// The name, zone or region of the member is longer than 64 bytes, and so too long for a packet.
+    /// The member's name, zone or region is longer than 64 bytes, which is too long for a packet.
     #[error("the name, zone or region is longer than 64 bytes")]
     IdentityTooLong,
 }
 
 impl Settings {
-    /// Checks that each field is within its documented range.
+    /// Checks that each setting is within its documented range.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         if self.probe_timeout == 0 || self.probe_timeout >= self.probe_interval {
             return Err(SettingsError::ProbeTimeoutOutOfRange);
@@ -101,7 +104,7 @@
         Ok(())
     }
 
-    /// The configuration of `foca` for a cluster of `members` members, including this one.
+    /// Returns the configuration of `foca` for a cluster of `members` members, including this one.
     pub(crate) fn foca_config(&self, members: usize) -> foca::Config {
         let probe_period = Duration::from_micros(self.probe_interval);
         let suspicion_scale = (members.max(1) as f64).log10().max(1.0);
@@ -121,7 +124,7 @@
     }
 }
 
-/// The maximum number of times that each member sends an update.
+/// Returns how often a member may send each update about the membership in a cluster of `members` members.
 fn transmission_limit(members: usize) -> NonZeroU8 {
     let (min, max) = TRANSMISSION_BOUNDS;
     let transmissions = (TRANSMISSION_MULTIPLIER * ((members + 1) as f64).log10()).ceil().clamp(min, max);
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of a member: the list of all members that it knows, for the exchange over a stream.
+//! The state of a member: the list of all members that it knows. Members exchange their states over streams.
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -9,8 +9,8 @@
 
 type KnownMember = foca::Member<Member>;
 
-/// The members that a member knows, in this order: itself, the members that are up, the members that are
-/// down.
+/// The list of the members that one member knows, in this order: that member itself, the members that are up,
+/// and the members that are down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipState(Vec<KnownMember>);
 
@@ -19,34 +19,34 @@
         let (up, down): (Vec<_>, Vec<_>) =
             known.cloned().partition(|member| member.state() != MemberStatus::Down);
         // The entry of the local member has the initial incarnation, so a state exchange refutes no suspicion
-        // of the local member. Such a suspicion is refuted by the packets of the local member, which carry
+        // of the local member. The packets of the local member refute such a suspicion, because they carry
         // its current incarnation.
         let local = foca::Member::alive(local.clone());
-        // The members that are up come first, because the end of a large state is left out when it is sealed.
+        // The members that are up come first. If a state is too large, its end is left out when it is sealed.
         MembershipState(std::iter::once(local).chain(up).chain(down).collect())
     }
 
-    /// Size of the encoded state without the seal, in bytes.
+    /// Size of the encoded state in bytes, without the seal.
     pub(crate) fn encoded_bytes(&self) -> usize {
         postcard::to_allocvec(&self.0).map_or(0, |body| body.len())
     }
 
-    /// The number of members in the state, including the member that it was taken from.
+    /// The number of members in the state, including the member to which the state belongs.
     pub fn member_count(&self) -> usize {
         self.0.len()
     }
 
-    /// The identity of the member at an address, whether it is up or down.
+    /// The identity that the state lists for an address, whether that member is up or down.
     pub(crate) fn member_at(&self, address: SocketAddr) -> Option<&Member> {
         self.0.iter().map(foca::Member::id).find(|member| member.address == address)
     }
 
-    /// Seals the state for a stream, in at most [`MAX_STATE_BYTES`](crate::MAX_STATE_BYTES) bytes. Of a
-    /// larger state, the last half of the members is left out, repeatedly until the rest fits.
+    /// Seals the state for a stream, in at most [`MAX_STATE_BYTES`](crate::MAX_STATE_BYTES) bytes. If the
+    /// state is too large, the last half of its members is left out, repeatedly until the rest fits.
     pub fn seal(&self, key: &Key) -> Vec<u8> {
         let mut included = &self.0[..];
         loop {
-            // An error needs no handling, because encoding the members to memory always succeeds.
+            // An error is not expected, because encoding the members to memory always succeeds.
             let body = postcard::to_allocvec(included).unwrap_or_default();
             if body.len() <= MAX_STATE_BODY_BYTES {
                 return key.seal(STATE_FORMAT, &body);
@@ -58,8 +58,9 @@
     /// Verifies and decodes a state that was sealed with `key`.
     ///
     /// # Errors
-    /// [`PacketError`] if the frame is too large, not sealed with the key, of another version, cannot be
-    /// decoded, or contains a member whose name, zone or region is longer than 64 bytes.
+    /// Returns [`PacketError`] if the sealed state is too large, not sealed with the key, of another version,
+    /// or cannot be decoded. A state with a member whose name, zone or region is longer than 64 bytes is
+    /// rejected too.
     pub fn open(key: &Key, frame: &[u8]) -> Result<MembershipState, PacketError> {
         let body = key.open(STATE_FORMAT, frame)?;
         let members: Vec<KnownMember> = postcard::from_bytes(body).map_err(|_| PacketError::Malformed)?;
@@ -70,7 +71,8 @@
         }
     }
 
-    /// The entries of this state that the member `local`, which already knows `known`, has to apply.
+    /// Returns the entries of this state that the member `local` has to apply. `known` is what `local`
+    /// already knows.
     pub(crate) fn updates_for<'a>(
         &self,
         local: &Member,
@@ -81,12 +83,13 @@
         let is_update = |member: &&KnownMember| {
             let identity = member.id();
             if identity.address == local.address {
-                // An entry of an earlier identity at this address says nothing about the current identity.
+                // An entry with an earlier identity at the local address says nothing about the current
+                // identity.
                 return identity == local;
             }
-            // An entry of a dead member is applied only if this member knows the dead member. Otherwise, two
-            // members that forget the dead member at different times would pass its entry back and forth
-            // forever.
+            // An entry of a dead member is applied only if this member still knows the dead member. Members
+            // forget a dead member at different times. Without this rule, two members could pass its entry
+            // back and forth forever.
             member.state() != MemberStatus::Down
                 || known.get(&identity.address).is_some_and(|known| known.id() == identity)
         };
--- a/crates/membership/src/timer_queue.rs
+++ b/crates/membership/src/timer_queue.rs
@@ -1,11 +1,12 @@
-//! A queue of timers in the order of their due times, which can all be delayed together after a pause of the
+//! A queue of timers in the order of their due times. All timers can be delayed together after a pause of the
 //! process.
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use crate::time::Micros;
 
-/// A timer that has not fired. Ordered by due time, then by the order of addition.
+/// A timer that has not fired yet. Timers are ordered by due time, then by the order in which they were
+/// added.
 struct PendingTimer<T> {
     due: Micros,
     sequence: u64,
@@ -41,7 +42,8 @@
 /// A queue of timers. Timers with the same due time fire in the order in which they were added.
 pub(crate) struct TimerQueue<T> {
     heap: BinaryHeap<Reverse<PendingTimer<T>>>,
-    /// The number of timers added so far, by which timers with the same due time are ordered.
+    /// The number of timers added to the queue so far. Each timer keeps its number, which orders the timers
+    /// that have the same due time.
     added: u64,
 }
 
@@ -55,12 +57,12 @@
         self.heap.push(Reverse(PendingTimer { due, sequence: self.added, event }));
     }
 
-    /// The due time of the timer that is due first; `None` if the queue is empty.
+    /// The due time of the timer that fires next; `None` if the queue is empty.
     pub(crate) fn next_due(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse(timer)| timer.due)
     }
 
-    /// Removes the first timer if it is due, and returns its event.
+    /// Removes the first timer if it is due at `now`, and returns its event.
     pub(crate) fn pop_due(&mut self, now: Micros) -> Option<T> {
         if self.next_due().is_none_or(|due| due > now) {
             return None;
@@ -68,7 +70,7 @@
         self.heap.pop().map(|Reverse(timer)| timer.event)
     }
 
-    /// Delays all timers by a duration.
+    /// Delays all timers in the queue by the same duration.
     pub(crate) fn delay_all(&mut self, delay: Micros) {
         let timers = std::mem::take(&mut self.heap);
         self.heap = timers
