--- a/crates/consensus/src/clock_comparison.rs
+++ b/crates/consensus/src/clock_comparison.rs
@@ -6,13 +6,13 @@
 use crate::settings::Settings;
 use crate::time::{Micros, SECOND};
 
-/// The minimum time between the two reference samples of a clock comparison (`oldest` and `next_oldest`), and
-/// the age at which `next_oldest` replaces `oldest`. Without the replacement, later samples would be compared
-/// over an ever longer time. A change of a clock's rate would then be detected late, and a proven drift would
-/// never be cleared.
+/// The minimum time between the oldest sample of a clock comparison and the sample that will replace it, and
+/// the age at which the second sample replaces the oldest one. If the oldest sample were never replaced,
+/// later samples would be compared over an ever longer time. A change of a clock's rate would then be
+/// detected late, and a proven drift would never be cleared.
 const SAMPLE_WINDOW: Micros = 30 * SECOND;
-/// The minimum time for which two clocks must have been compared, with no drift proven now, before they count
-/// as within the clock bound.
+/// The minimum time for which two clocks must have been compared without a proven drift before they count as
+/// within the clock bound.
 const CLEARING_SPAN: Micros = SAMPLE_WINDOW / 6;
 
 const MILLION: u128 = 1_000_000;
@@ -24,8 +24,8 @@
     /// the leader's report on its own clock, the remote clocks are the clocks of the other members. The
     /// comparison cannot tell which of the clocks is wrong.
     pub is_fast: bool,
-    /// The smallest difference between the rates of the two clocks that can explain the compared times, in
-    /// parts per million.
+    /// The smallest difference between the rates of the two clocks that is consistent with the recorded
+    /// times, in parts per million.
     pub min_ppm: u64,
 }
 
@@ -43,14 +43,14 @@
 ///
 /// Each response carries the time of the remote clock. Between two responses, the remote clock therefore
 /// advances by a known duration. By the local clock, that duration is at least the time from the receipt of
-/// the first response to the sending of the second request. It is at most the time from the sending of the
-/// first request to the receipt of the second response. Delays and pauses only move these two limits apart.
-/// If the remote duration is outside the limits by more than the clock bound permits, one of the clocks
-/// drifts.
+/// the first response to the sending of the second request. The duration is at most the time from the sending
+/// of the first request to the receipt of the second response. Delays and pauses only move these two limits
+/// apart. If the remote duration is outside the limits by more than the clock bound permits, one of the
+/// clocks drifts.
 #[derive(Clone, Debug, Default)]
 pub struct ClockComparison {
     oldest: Option<ClockSample>,
-    /// The newer reference sample, which replaces `oldest` once this sample is [`SAMPLE_WINDOW`] old.
+    /// The sample that becomes the oldest one once it is [`SAMPLE_WINDOW`] old.
     next_oldest: Option<ClockSample>,
     drift: Option<ClockDrift>,
 }
--- a/crates/consensus/src/decision_conflict.rs
+++ b/crates/consensus/src/decision_conflict.rs
@@ -1,4 +1,4 @@
-//! Defines when the decisions of two members conflict. Tests search for such conflicts after every run.
+//! Defines when two decisions of members conflict, so that tests can search for such conflicts.
 use crate::versioned_document::Version;
 
 /// The rules on which a member based a decision: the rules of one version, or the restricted rules.
--- a/crates/consensus/src/effect.rs
+++ b/crates/consensus/src/effect.rs
@@ -28,8 +28,8 @@
     ProposalRejected {
         /// The version from which the rejected proposal was derived.
         base_version: Version,
-        /// The version in force at the time of the rejection, as far as the member that rejected the proposal
-        /// knew.
+        /// The version in force at the time of the rejection, as known to the member that rejected the
+        /// proposal.
         in_force: Version,
         /// Why the proposal was rejected, for example because it was not derived from the newest version.
         reason: RejectionReason,
@@ -45,11 +45,11 @@
     /// member knows. From now on the member forbids what this version forbids. [`Effect::VersionInForce`]
     /// follows when the version takes effect, possibly at once.
     VersionCommitted(Version),
-    /// Reports that this member has learned that this version took effect.
+    /// Reports that a version took effect, as soon as this member learns of it.
     VersionInForce(Version),
     /// Reports that this member no longer holds a lease. Either no new grant from a leader with a quorum
     /// arrived in time, or the member's clock was proven to drift. Until [`Effect::LeaseRestored`], the
-    /// member follows the restricted rules, and changes of the version may fail to reach it.
+    /// member follows the restricted rules, and new versions may fail to reach the member.
     LeaseExpired,
     /// Reports that this member holds a lease again after [`Effect::LeaseExpired`].
     LeaseRestored,
--- a/crates/consensus/src/input.rs
+++ b/crates/consensus/src/input.rs
@@ -26,7 +26,7 @@
     /// [`crate::Effect::Persist`].
     Persisted(WriteToken),
     /// The names of all other members on the membership list. The leader sends version updates to these
-    /// members, and counts them in the check of its own clock, even before they have sent a request. An
-    /// incomplete or outdated list does not affect safety.
+    /// members, even before they have sent a request. It also counts them when it checks whether most members
+    /// report a drift of its own clock. An incomplete or outdated list does not affect safety.
     Members(&'a [String]),
 }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -75,8 +75,9 @@
         self.quorum_reads.confirm(read_id, index);
     }
 
-    /// Grants a lease for every request that a confirmed quorum read covers, and returns these requests by
-    /// member. Records for each grant the time, and that `newest` was the newest version at that time.
+    /// Grants a lease for every request that a confirmed quorum read covers, and returns these requests with
+    /// the names of the members. Records for each grant the time, and that `newest` was the newest version at
+    /// that time.
     pub(crate) fn grant_leases(
         &mut self,
         now: Micros,
@@ -116,9 +117,10 @@
         is_new
     }
 
-    /// Returns the newest pending version that may take effect now. Each member must either know the version,
-    /// or be unable to still hold a lease that was granted while an older version was the newest. The same
-    /// version is not returned again until the lease expiry wait has passed.
+    /// Returns the newest pending version that may take effect now. For each member, one of two conditions
+    /// must hold: the member knows the version, or it can no longer hold a lease that was granted while an
+    /// older version was the newest. The same version is not returned again until the lease expiry wait has
+    /// passed.
     pub(crate) fn next_activation(
         &mut self,
         now: Micros,
--- a/crates/consensus/src/leased_rules.rs
+++ b/crates/consensus/src/leased_rules.rs
@@ -10,15 +10,15 @@
 /// The rules that a decision of a member must follow.
 #[derive(Debug)]
 pub enum EffectiveRules<'a, R> {
-    /// The decision must follow these rules of the version in force.
+    /// The decision must follow these rules, which are those of the version in force.
     InForce(&'a R),
-    /// The decision must follow these restricted rules, which allow only what all versions that may be in
+    /// The decision must follow these restricted rules. They allow only what all versions that may be in
     /// force allow.
     Restricted(&'a R),
 }
 
 impl<R> EffectiveRules<'_, R> {
-    /// The rules to follow, whether they are those in force or the restricted ones.
+    /// The rules that the decision must follow, whether they are those in force or the restricted ones.
     pub fn rules(&self) -> &R {
         match self {
             EffectiveRules::InForce(rules) | EffectiveRules::Restricted(rules) => rules,
@@ -68,7 +68,7 @@
     /// Returns the rules that a decision at the time `now` must follow.
     ///
     /// Each call checks the lease. A timer would not be enough: a process that resumes from a pause may make
-    /// decisions before any of its timers has run.
+    /// decisions before any of its timers has run, and would rely on a lease that has expired.
     pub fn effective_rules(&self, now: Micros) -> EffectiveRules<'_, R> {
         if self.checks_lease && !self.has_lease(now) {
             EffectiveRules::Restricted(&self.without_lease)
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -13,9 +13,9 @@
 //!
 //! 1. Three, five or seven voters agree on the order of the document's versions ([`ReplicatedState`]). All
 //!    members, voters included, hold copies of the document under leases that the leader grants.
-//! 2. A committed version does not take effect at once. Each member must have reported that it knows the
-//!    version, or be unable to still hold a lease that was granted while an older version was the newest
-//!    ([`Settings::lease_expiry_wait`]).
+//! 2. A committed version does not take effect at once. First, each member must either have reported that it
+//!    knows the version, or be no longer able to hold a lease that was granted while an older version was the
+//!    newest ([`Settings::lease_expiry_wait`]).
 //! 3. Each decision calls [`LeasedRules::effective_rules`] with the current time. While the lease holds and
 //!    only one version is known, that version is in force, and the call returns its rules. Otherwise the call
 //!    returns the restricted rules, which allow only what all versions that may be in force allow.
--- a/crates/consensus/src/member_progress.rs
+++ b/crates/consensus/src/member_progress.rs
@@ -7,9 +7,9 @@
 use crate::time::{Micros, SECOND};
 use crate::versioned_document::Version;
 
-/// How long a member counts as recently heard from. The leader sends version updates only to such members,
-/// and counts only them in the check of its own clock. A member that the leader knows only from the
-/// membership list counts as heard from at the time when the leader adds it.
+/// How long after its last request a member counts as recently heard from. The leader sends version updates
+/// only to such members, and counts only them in the check of its own clock. A member that the leader knows
+/// only from the membership list counts as heard from at the time when the leader adds it.
 const RECENT_WINDOW: Micros = 5 * SECOND;
 
 /// What the leader has recorded about one member during its term.
@@ -57,8 +57,8 @@
         self.granted_at.retain(|_, granted_at| may_be_leased(now, *granted_at, settings));
     }
 
-    /// Whether this member permits that the version takes effect. It does if it knows the version, or can no
-    /// longer hold a lease that was granted while an older version was the newest.
+    /// Whether this member permits that the version takes effect. The member must know the version, or be no
+    /// longer able to hold a lease that was granted while an older version was the newest.
     pub(crate) fn allows_activation(&self, version: Version, now: Micros, settings: &Settings) -> bool {
         let mut earlier = self.granted_at.iter().filter(|(newest, _)| **newest < version);
         self.newest >= version || !earlier.any(|(_, granted_at)| may_be_leased(now, *granted_at, settings))
@@ -77,8 +77,8 @@
     }
 
     /// Whether the leader must send this member a version update now. The member must have been heard from
-    /// recently, and must not have reported the versions `in_force` and `newest` yet. An earlier update must
-    /// have been sent at least half a maximum round trip ago.
+    /// recently, and must not have reported both versions, `in_force` and `newest`, yet. The last update to
+    /// the member, if any, must have been sent at least half a maximum round trip ago.
     pub(crate) fn needs_update(
         &self,
         now: Micros,
--- a/crates/consensus/src/node/proposals.rs
+++ b/crates/consensus/src/node/proposals.rs
@@ -22,7 +22,8 @@
 /// This member's proposals that have no result yet. Owned by the member's [`Node`].
 #[derive(Default)]
 pub(super) struct ProposalClient {
-    /// The proposals that have no result yet, by their number, which counts this process's proposals from 1.
+    /// The proposals that have no result yet. The key is the number of the proposal; each process numbers its
+    /// proposals from 1.
     pending: BTreeMap<u64, PendingProposal>,
     last_number: u64,
 }
@@ -65,7 +66,7 @@
 
     /// Checks and serializes a proposal of this member. A proposal is rejected here if its base is older than
     /// the newest version that this member knows. If its base is older than the newest committed version, the
-    /// proposal is rejected when the log entry is applied.
+    /// proposal is rejected when the voters apply the log entry.
     fn validate_proposal(&self, base_version: Version, rules: &R) -> Result<Vec<u8>, RejectionReason> {
         if base_version < self.leased_rules.newest() {
             return Err(RejectionReason::StaleBase);
--- a/crates/consensus/src/packet.rs
+++ b/crates/consensus/src/packet.rs
@@ -15,7 +15,7 @@
 /// document in force and eight pending ones.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// A version update: the versions that are committed and that the leader has applied.
+/// A version update, which tells a member the versions that are committed and that the leader has applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VersionUpdate {
     /// All versions from the one in force to the newest.
@@ -68,8 +68,8 @@
     LeaseGrant(LeaseGrant),
     /// A version update that the leader sends to a member without granting a lease.
     VersionUpdate(VersionUpdate),
-    /// The response to a lease request from a voter that does not lead. The response names the leader that
-    /// the voter knows.
+    /// A response to a lease request, sent by a voter that is not the leader. The response names the leader
+    /// that the voter knows.
     LeaderHint {
         session: u64,
         leader_id: VoterId,
@@ -89,7 +89,8 @@
         nonce: u64,
         generation: u64,
     },
-    /// The leader's response to a rejoin request: the state after a commit that is later than the request.
+    /// The leader's response to a rejoin request: a snapshot of the state, taken after a log entry that is
+    /// later than the request was committed.
     RejoinSnapshot {
         nonce: u64,
         leader_id: VoterId,
--- a/crates/consensus/src/quorum_reads.rs
+++ b/crates/consensus/src/quorum_reads.rs
@@ -69,7 +69,7 @@
         if self.new_leases.is_empty() || self.pending.len() >= MAX_PENDING_READS {
             return None;
         }
-        // While another read is pending, starts at most four reads per tick interval.
+        // While another read is pending, at most four reads are started per tick interval.
         if self.pending.back().is_some_and(|read| age(read) < settings.tick_interval / 4) {
             return None;
         }
--- a/crates/consensus/src/raft_voter.rs
+++ b/crates/consensus/src/raft_voter.rs
@@ -77,8 +77,8 @@
     /// [`ELECTION_TICKS`]. Instead, this voter skips the last tick before an election 0 to [`ELECTION_TICKS`]
     /// times. The number is drawn from the voter's seeded generator.
     ///
-    /// Skipped ticks delay only the elections that this voter starts, not its votes for others. It may vote
-    /// for others once `election_tick` ticks (see [`raft_config`]) have passed since the last heartbeat.
+    /// Skipped ticks delay only the elections that this voter starts, not its votes for others. The voter may
+    /// vote for others once `election_tick` ticks (see [`raft_config`]) have passed since the last heartbeat.
     pub(crate) fn tick(&mut self) {
         let raft = &self.raft.raft;
         let is_before_election =
--- a/crates/consensus/src/raft_voter/output.rs
+++ b/crates/consensus/src/raft_voter/output.rs
@@ -58,7 +58,7 @@
 }
 
 impl RaftVoter {
-    /// Collects everything that Raft has produced in `output`, and returns whether there is anything.
+    /// Moves everything that Raft has produced to `output`. Returns whether `output` then contains anything.
     pub(crate) fn drain(&mut self, output: &mut VoterOutput) -> bool {
         while self.raft.has_ready() {
             let mut ready = self.raft.ready();
@@ -90,7 +90,8 @@
         Some(snapshot)
     }
 
-    /// Moves the committed entries of a `Ready` to the output, and returns its new log entries for storage.
+    /// Moves the committed entries of a `Ready`, which is one batch of output of the crate `raft`, to
+    /// `output`. Returns the new log entries of the batch, which must be stored.
     fn take_entries(&mut self, ready: &mut Ready, output: &mut VoterOutput) -> Vec<LogEntry> {
         for entry in ready.take_committed_entries() {
             self.applied_index = entry.index;
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -17,9 +17,9 @@
 pub struct ProposalId {
     /// The name of the member that made the proposal.
     pub member: String,
-    /// A random number that identifies the start of the proposing member's process.
+    /// A random number that identifies one start of the proposing member's process.
     pub session: u64,
-    /// The number of the proposal, counted from 1 in each session, which is one run of the member's process.
+    /// The number of the proposal, counted from 1 since that start of the process.
     pub number: u64,
 }
 
@@ -41,8 +41,8 @@
     StartEpoch { epoch: u64, bytes: Vec<u8> },
     /// Proposes the rules in `bytes`, which were derived from the version `base_version`.
     Propose { id: ProposalId, base_version: Version, bytes: Vec<u8> },
-    /// Puts a version in force. Every member knows the version, or can no longer hold a lease that was
-    /// granted while an older version was the newest.
+    /// Puts a version in force. The leader issues this command once every member knows the version, or can no
+    /// longer hold a lease that was granted while an older version was the newest.
     Activate(Version),
     /// Records that a voter without stored state has started. This entry and all later ones are committed
     /// after that start.
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -6,7 +6,7 @@
 const MAX_LEASE_DURATION: Micros = 3_600_000 * MILLISECOND;
 /// The number of Raft ticks between two heartbeats that a leader sends.
 pub(crate) const HEARTBEAT_TICKS: usize = 4;
-/// The minimum number of Raft ticks without a heartbeat after which a voter starts an election.
+/// The minimum number of Raft ticks without a heartbeat before a voter starts an election.
 pub(crate) const ELECTION_TICKS: usize = 20;
 
 const MAX_NAME_BYTES: usize = 64;
@@ -94,7 +94,8 @@
     /// The configured maximum size of a document is not between 1 byte and 1 MiB.
     #[error("max_document_bytes: must be 1 byte to 1 MiB")]
     DocumentLimit,
-    /// The configured maximum number of pending versions is not between 1 and 8.
+    /// The configured maximum number of versions that are committed and not yet in force is not between 1 and
+    /// 8.
     #[error("max_pending_versions: must be 1 to 8")]
     PendingVersionsLimit,
     /// The configured number of log entries between two snapshots is below 8, so that the log would be
@@ -173,7 +174,7 @@
         self.lease_duration / 4
     }
 
-    /// The time after which a member sends a message without a response again, in microseconds.
+    /// The time for which a member waits for a response before it sends a message again, in microseconds.
     pub(crate) fn retry_interval(&self) -> Micros {
         self.max_round_trip
     }
--- a/crates/consensus/src/start.rs
+++ b/crates/consensus/src/start.rs
@@ -2,7 +2,7 @@
 use crate::settings::SettingsError;
 use crate::storage::StoredState;
 
-/// The identity with which a member's process starts.
+/// The identity of a member's process: the member's name, and a number that increases with every start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberIdentity {
     /// The member's name, 1 to 64 bytes long. The member is a voter if [`crate::Settings::voters`] lists the
@@ -33,7 +33,7 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
-    /// The settings of consensus are invalid.
+    /// The settings of the consensus crate are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The name of the member to start is empty or longer than 64 bytes.
--- a/crates/membership-transport/src/driver.rs
+++ b/crates/membership-transport/src/driver.rs
@@ -91,8 +91,8 @@
         loop {
             let timeout = if more_waiting { Duration::ZERO } else { self.poll_timeout() };
             self.wait_for_events(&mut events, timeout);
-            // All sources are read, whichever of them woke the thread. This costs little, and no input is
-            // missed.
+            // All sources of input are read, whichever of them woke the thread. This costs little, and no
+            // input is missed.
             let packets = self.read_packets();
             self.apply_received_states();
             let streams = self.accept_streams();
@@ -151,8 +151,8 @@
         while let Ok(ReceivedState { state, reply }) = self.queues.received_states.try_recv() {
             self.handle(Input::State(&state));
             if let Some(reply) = reply {
-                // The queue has room for one reply, and only one reply is sent. Sending fails only if the
-                // stream thread no longer waits for the reply.
+                // The queue for the reply has room for one state, and only one is sent. Sending fails only if
+                // the stream thread no longer waits for the reply.
                 let _ = reply.try_send(self.membership.state());
             }
         }
--- a/crates/membership-transport/src/shared.rs
+++ b/crates/membership-transport/src/shared.rs
@@ -10,7 +10,7 @@
 use crate::counters::Counters;
 use crate::view::MembershipView;
 
-/// Whether the member is running or ends, and in which way it ends.
+/// Whether a member is running, leaving the cluster or stopping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum RunState {
@@ -40,7 +40,7 @@
 }
 
 impl Shared {
-    /// Creates the shared state of a member that knows no other member. `waker` wakes the driver.
+    /// Creates the shared state of a member that knows no other member. `waker` wakes the driver thread.
     pub(crate) fn new(local_member: Member, waker: Waker) -> Shared {
         let snapshot = Snapshot {
             local_member,
--- a/crates/membership-transport/src/sockets.rs
+++ b/crates/membership-transport/src/sockets.rs
@@ -48,10 +48,10 @@
     }
 
     /// Registers the sockets with a new `mio::Poll`. Returns the sockets together with the `mio::Poll`, and a
-    /// waker that interrupts its wait.
+    /// waker for the thread that waits on it.
     pub(crate) fn register(self) -> io::Result<(PolledSockets, Waker)> {
-        // An error is ignored. With a smaller buffer, more packets are lost during a pause of the process,
-        // and nothing else changes.
+        // An error when the buffer size is set is ignored. With a smaller buffer, more packets are lost
+        // during a pause of the process, and nothing else changes.
         let _ = socket2::SockRef::from(&self.udp).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
         self.udp.set_nonblocking(true)?;
         self.tcp.set_nonblocking(true)?;
--- a/crates/membership-transport/src/state_exchange.rs
+++ b/crates/membership-transport/src/state_exchange.rs
@@ -1,9 +1,9 @@
 //! The exchange of states between two members over TCP. The member that connects sends its state, and the
 //! other member replies with its own state. Each sends one state per stream.
 //!
-//! On the wire, a state is four bytes for its length in network order, followed by the sealed state. The
-//! length is bounded. Memory is allocated for the bytes that have arrived, not for the length that the peer
-//! has sent. Each stream has one time limit for all its reads and writes.
+//! On the wire, the length of a state comes first, as four bytes in network order. The sealed state follows.
+//! The length is bounded. Memory is allocated for the bytes that have arrived, not for the length that the
+//! peer has sent. Each stream has one time limit for all its reads and writes.
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::sync::Arc;
--- a/crates/membership-transport/src/transport.rs
+++ b/crates/membership-transport/src/transport.rs
@@ -82,7 +82,7 @@
         self.spawn("membership-out", move || exchange.run_requests(&exchange_requests))
     }
 
-    /// Starts a thread, which is joined by [`MembershipTransport::stop_and_join`].
+    /// Starts a thread of the member. [`MembershipTransport::stop_and_join`] waits for its end.
     fn spawn(&mut self, name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), StartError> {
         self.threads.push(Builder::new().name(name.into()).spawn(run)?);
         Ok(())
--- a/crates/membership/src/effect_collector.rs
+++ b/crates/membership/src/effect_collector.rs
@@ -15,7 +15,7 @@
 /// The action that a queued timer triggers when the timer fires.
 #[derive(Clone)]
 pub(crate) enum TimerEvent {
-    /// Run a timer that `foca` requested, for example for the end of a suspicion.
+    /// Pass a timer back to `foca`, which requested it, for example for the end of a suspicion.
     Protocol(Timer<Member>),
     /// Announce this member to the seeds and some known members, unless another member has already answered
     /// it.
@@ -25,8 +25,8 @@
     ExchangeState,
 }
 
-/// Collects the effects and timers of one call of `foca`. Multiplies the probe interval, the probe timeout
-/// and the suspicion timeout according to the local health multiplier. Borrows the fields of
+/// Collects the effects and timers of one call of `foca`. Lengthens the probe interval, the probe timeout and
+/// the suspicion timeout according to the local health multiplier. Borrows the fields of
 /// [`Membership`](crate::Membership) for the duration of the call.
 pub(crate) struct EffectCollector<'a> {
     pub(crate) now: Micros,
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -43,7 +43,8 @@
         after: Member,
     },
     /// This member continues under this new identity, whose generation is later than before. Other members
-    /// knew an earlier process of this member by an identity that takes precedence over the previous one.
+    /// knew an earlier process of this member by an identity that takes precedence over this member's
+    /// previous one.
     GenerationRaised(Member),
     /// The other members had declared this running member dead. It has rejoined under this identity.
     SelfRefuted(Member),
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -144,8 +144,8 @@
         match protocol.handle_data(body, collector) {
             Err(foca::Error::Decode(_) | foca::Error::MalformedPacket) => Err(PacketError::Malformed),
             Err(foca::Error::DataTooBig) => Err(PacketError::TooLarge),
-            // After any other error, `foca` has ignored the packet, for example because this member itself
-            // has sent it.
+            // Any error other than a malformed or too large packet means that `foca` has ignored the packet,
+            // for example because this member itself has sent it.
             _ => Ok(()),
         }
     }
@@ -268,8 +268,8 @@
     }
 
     /// Requests a state exchange with a random member, if this member's state exceeds half a packet. A
-    /// smaller state needs no exchange, because the packets that answer the periodic announcements hold all
-    /// members.
+    /// smaller state needs no exchange, because the packets that answer the periodic announcements can hold
+    /// the whole state.
     fn request_large_state_exchange(&mut self, effects: &mut Vec<Effect>) {
         if self.state().encoded_bytes() > MAX_PACKET_BODY_BYTES / 2 {
             let partner = self.protocol.iter_members().choose(&mut self.rng);
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -18,8 +18,8 @@
 /// part of the seal.
 const MIN_KEY_BYTES: usize = 16;
 
-/// The version and the maximum size of sealed packets, or of sealed states. The two versions differ, so that
-/// a packet is not accepted as a state, or a state as a packet.
+/// The version and the maximum size of one kind of sealed data: packets or states. Packets and states have
+/// different versions, so that neither is accepted as the other.
 #[derive(Clone, Copy)]
 pub(crate) struct SealFormat {
     version: u8,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -8,13 +8,14 @@
 use crate::seal::MAX_PACKET_BODY_BYTES;
 use crate::time::{Micros, SECOND};
 
-/// The factor that determines how often a member sends each update about the membership. An update is sent at
-/// most `log10(members + 1)` times this factor, rounded up and limited to [`TRANSMISSION_BOUNDS`].
+/// The factor that determines how often a member sends each update about the membership. The number of times
+/// is at most this factor multiplied by `log10(members + 1)`, rounded up and limited to
+/// [`TRANSMISSION_BOUNDS`].
 ///
-/// The factor can be too small if many packets are lost. Some of the members that wait for the refutation of
-/// a suspicion then never receive it, and a running member is declared dead. With 9 members and a packet loss
-/// of 30 %, a factor of 14 is enough. A factor of 4, as in Serf, is too small. A factor of 8 is too small
-/// even with a suspicion multiplier of 8.
+/// If the factor is too small and many packets are lost, some of the members that wait for the refutation of
+/// a suspicion never receive the refutation. A running member is then declared dead. With 9 members and a
+/// packet loss of 30 %, a factor of 14 is enough. A factor of 4, as in Serf, is too small. A factor of 8 is
+/// too small even with a suspicion multiplier of 8.
 const TRANSMISSION_MULTIPLIER: f64 = 14.0;
 /// Minimum and maximum number of times that a member sends each update about the membership. `foca` stores
 /// the number in one byte. The maximum of 60 is reached only with about 16,000 members.
@@ -25,8 +26,8 @@
 const GOSSIP_FANOUT: usize = 3;
 /// Number of members to which a member sends each periodic announcement.
 const ANNOUNCE_FANOUT: usize = 1;
-/// Interval of the announcements to members that are down, in microseconds. These announcements let the
-/// halves of a healed partition find each other.
+/// Interval at which this member sends announcements to members that are down, in microseconds. These
+/// announcements let the halves of a healed partition find each other.
 const DOWN_ANNOUNCE_INTERVAL: Micros = 5 * SECOND;
 /// Interval at which this member sends an announcement to a random member, in microseconds. The other member
 /// answers with the members that it knows. If a packet might not hold them all, this member also requests a
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -22,7 +22,8 @@
         // of the local member. The packets of the local member refute such a suspicion, because they carry
         // its current incarnation.
         let local = foca::Member::alive(local.clone());
-        // The members that are up come first. If a state is too large, its end is left out when it is sealed.
+        // The members that are up come first, because sealing leaves out the end of a state that is too
+        // large.
         MembershipState(std::iter::once(local).chain(up).chain(down).collect())
     }
 
@@ -83,8 +84,8 @@
         let is_update = |member: &&KnownMember| {
             let identity = member.id();
             if identity.address == local.address {
-                // An entry with an earlier identity at the local address says nothing about the current
-                // identity.
+                // An entry with an earlier identity at the local address is not applied, because it says
+                // nothing about the current identity of this member.
                 return identity == local;
             }
             // An entry of a dead member is applied only if this member still knows the dead member. Members
