--- a/crates/reservations/src/allowance_query.rs
+++ b/crates/reservations/src/allowance_query.rs
@@ -1,5 +1,6 @@
-//! Queries over the stored claims: the allowances at an instant (the reservations and blackouts in effect,
-//! and the blackouts that follow soon), and the next instant at which the allowances may change.
+//! Queries over the stored claims. One query returns the allowances at an instant: the reservations and
+//! blackouts that are in effect, and the blackouts that start soon. The other query returns the next instant
+//! at which the allowances may change.
 use copperspread_identifiers::Name;
 
 use crate::allowances::{ActiveReservation, Allowances, BlackoutStatus, PoolAllowance, UpcomingBlackout};
@@ -11,7 +12,8 @@
 use crate::store::ClaimStore;
 use crate::time::{MILLISECOND, UnixMillis};
 
-/// The reservations and blackouts at an instant.
+/// The reservations and blackouts that are in effect at the instant `at`, and the blackouts that start soon
+/// after it.
 pub(crate) fn allowances(store: &ClaimStore, at: UnixMillis) -> Allowances {
     let mut allowances = Allowances::default();
     for (name, pool) in store.pools() {
@@ -32,7 +34,7 @@
     allowances
 }
 
-/// The first instant later than `after` at which [`allowances`] may return a different result; `None` if no
+/// The first instant later than `after` at which [`allowances`] may return a different result. `None` if no
 /// such instant is known.
 pub(crate) fn next_change_after(store: &ClaimStore, after: UnixMillis) -> Option<UnixMillis> {
     let changes = &store.index().allowance_changes;
@@ -57,8 +59,8 @@
     }
 }
 
-/// The reservation that an allocation belongs to; `None` unless the claim of the reservation is confirmed or
-/// active.
+/// The reservation to which an allocation belongs, with the slots and the interval of that allocation. `None`
+/// unless the claim of the reservation is confirmed or active.
 fn active_reservation(
     store: &ClaimStore,
     key: &OccurrenceKey,
@@ -86,10 +88,12 @@
     }
 }
 
-/// The next blackout with [`BlackoutEffect::NoWork`] that starts after `at` and ends after `from`. `from` is
-/// the end of the blackout with this effect that applies at `at`, as returned by [`blackout_end`], or `at`
-/// itself if there is none. Returns `None` if the next blackout starts more than [`BLACKOUT_LOOKAHEAD`] after
-/// `at`.
+/// The next blackout of `target` with [`BlackoutEffect::NoWork`] that starts after `at` and ends after
+/// `from`.
+///
+/// If a blackout with this effect applies at `at`, `from` is its end as returned by [`blackout_end`];
+/// otherwise `from` is `at`. Returns `None` if the next blackout starts more than [`BLACKOUT_LOOKAHEAD`]
+/// after `at`.
 fn upcoming_blackout(
     store: &ClaimStore,
     target: &BlackoutTarget,
@@ -108,8 +112,9 @@
     Some(UpcomingBlackout { start, end })
 }
 
-/// The end of the blackout that is in effect at `at` and whose effect is `min_effect` or stronger. Blackouts
-/// that overlap or adjoin each other count as one. Returns `None` if no such blackout is in effect at `at`.
+/// The end of the blackout of `target` that is in effect at `at` and whose effect is `min_effect` or
+/// stronger. Blackouts that overlap or adjoin each other count as one. Returns `None` if no such blackout is
+/// in effect at `at`.
 fn blackout_end(
     store: &ClaimStore,
     target: &BlackoutTarget,
--- a/crates/reservations/src/allowances.rs
+++ b/crates/reservations/src/allowances.rs
@@ -1,4 +1,5 @@
-//! Allowances: the reservations and blackouts at an instant, as the calendar reports them to the fleet.
+//! Allowances: the reservations and blackouts that are in effect at an instant, as the calendar reports them
+//! to the fleet.
 use std::collections::BTreeMap;
 
 use copperspread_identifiers::Name;
@@ -9,75 +10,77 @@
 use crate::limits::PARTS_PER_MILLION;
 use crate::time::{SpanMillis, UnixMillis};
 
-/// The reservations and blackouts that are in effect at an instant, and the blackouts that follow soon.
+/// The reservations and blackouts that are in effect at an instant, and the blackouts that start soon after
+/// it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allowances {
     /// The reserved and unreserved slots of every pool in the calendar, by the name of the pool.
     pub pools: BTreeMap<Name, PoolAllowance>,
-    /// Classes with a current or upcoming blackout.
+    /// The blackout status of each request class for which a blackout is in effect or starts soon.
     #[serde(rename = "classes")]
     pub class_blackouts: BTreeMap<Name, BlackoutStatus>,
-    /// Tenants with a current or upcoming blackout.
+    /// The blackout status of each tenant for which a blackout is in effect or starts soon.
     #[serde(rename = "tenants")]
     pub tenant_blackouts: BTreeMap<Name, BlackoutStatus>,
-    /// Pools with a current or upcoming blackout of their own. Blackouts of a pool's zone are in
-    /// `zone_blackouts` only.
+    /// The blackout status of each pool for which a blackout is in effect or starts soon. Blackouts of the
+    /// pool's zone are not included; they are in `zone_blackouts` only.
     #[serde(rename = "blacked_pools")]
     pub pool_blackouts: BTreeMap<Name, BlackoutStatus>,
-    /// Zones with a current or upcoming blackout.
+    /// The blackout status of each zone for which a blackout is in effect or starts soon.
     #[serde(rename = "zones")]
     pub zone_blackouts: BTreeMap<Name, BlackoutStatus>,
 }
 
-/// The reserved and unreserved slots of a pool.
+/// The reserved and unreserved slots of one pool at an instant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolAllowance {
     /// The name of the zone that the pool belongs to.
     pub zone: Name,
     /// The total number of slots in the pool.
     pub slots: u32,
-    /// The number of slots without a confirmed or active reservation.
+    /// The number of the pool's slots that are not reserved at this instant by a confirmed or active
+    /// reservation.
     #[serde(rename = "open")]
     pub unreserved_slots: u32,
-    /// The confirmed and active reservations of slots in the pool, ordered by claim id.
+    /// The confirmed and active reservations of the pool's slots at this instant, ordered by claim id.
     #[serde(rename = "reserved")]
     pub reservations: Vec<ActiveReservation>,
 }
 
-/// One allocation of a confirmed or active reservation: a constant number of slots over an interval.
+/// One allocation of a confirmed or active reservation: a constant number of reserved slots over an interval.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Reserved", expecting = "struct Reserved")]
 pub struct ActiveReservation {
     /// The id of the reservation's claim.
     pub claim: ClaimId,
-    /// The tenant or federation that the slots are reserved for.
+    /// The tenant or federation for which the slots are reserved.
     pub owner: Owner,
     /// The number of reserved slots.
     pub slots: u32,
-    /// The first instant at which the number of slots in `slots` is reserved.
+    /// The first instant of the interval over which the slots are reserved.
     #[serde(rename = "since")]
     pub start: UnixMillis,
-    /// The first instant at which the number of slots in `slots` is no longer reserved.
+    /// The first instant after the interval over which the slots are reserved.
     #[serde(rename = "until")]
     pub end: UnixMillis,
-    /// The rate at which unused slots are lent, in parts per million of the reservation per second; see
-    /// [`lendable_slots`].
+    /// The rate at which the reservation's unused slots are lent to others, in parts per million of the
+    /// reserved slots per second; see [`lendable_slots`].
     #[serde(rename = "give_back")]
     pub lending_rate_ppm: u32,
 }
 
-/// The current and upcoming blackouts of one target.
+/// The blackout that is in effect for one class, tenant, pool or zone, and the next blackout for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "BlackedOut", expecting = "struct BlackedOut")]
 pub struct BlackoutStatus {
-    /// The instant until which no work may start, with overlapping and adjoining blackouts counted as one;
-    /// `None` if work may start now.
+    /// The instant until which no work of the class, tenant, pool or zone may start. `None` if work may start
+    /// now. Blackouts that overlap or adjoin each other count as one.
     pub no_new_work_until: Option<UnixMillis>,
-    /// The instant until which no work may run, with overlapping and adjoining blackouts counted as one;
-    /// `None` if work may run now.
+    /// The instant until which no work of the class, tenant, pool or zone may run. `None` if work may run
+    /// now. Blackouts that overlap or adjoin each other count as one.
     pub no_work_until: Option<UnixMillis>,
-    /// The next [`NoWork`](crate::BlackoutEffect::NoWork) blackout; `None` if there is none that starts
-    /// within [`BLACKOUT_LOOKAHEAD`](crate::BLACKOUT_LOOKAHEAD).
+    /// The next blackout in which no work may run ([`NoWork`](crate::BlackoutEffect::NoWork)). `None` if no
+    /// such blackout starts within [`BLACKOUT_LOOKAHEAD`](crate::BLACKOUT_LOOKAHEAD).
     #[serde(rename = "ahead")]
     pub upcoming: Option<UpcomingBlackout>,
 }
@@ -88,12 +91,12 @@
 pub struct UpcomingBlackout {
     /// The first instant of the blackout.
     pub start: UnixMillis,
-    /// The first instant after the blackout, with overlapping and adjoining blackouts counted as one.
+    /// The first instant after the blackout. Blackouts that overlap or adjoin each other count as one.
     pub end: UnixMillis,
 }
 
 impl BlackoutStatus {
-    /// The instant until which work that takes at most `max_duration` must not start; `None` if such work may
+    /// The instant until which work that takes at most `max_duration` must not start. `None` if such work may
     /// start now. Work may end exactly at the start of a blackout.
     pub fn wait_until(&self, now: UnixMillis, max_duration: SpanMillis) -> Option<UnixMillis> {
         let latest_end = now.saturating_add(max_duration.max(SpanMillis::ZERO));
@@ -102,11 +105,12 @@
     }
 }
 
-/// The number of a reservation's slots that others than its owner may use now.
+/// The number of a reservation's slots that may be used now by others than the reservation's owner.
 ///
-/// While slots are unused, the lendable number grows by `lending_rate_ppm` parts per million of the
-/// reservation per second, up to the number of unused slots. `unused_for` is the time for which the owner has
-/// used no more than `used_by_owner` slots. A slot that the owner uses again stops being lendable at once.
+/// While slots are unused, the number that may be lent grows with time, up to the number of unused slots. It
+/// grows by `lending_rate_ppm` parts per million of the reserved slots per second. `unused_for` is the time
+/// for which the owner has used no more than `used_by_owner` slots. A slot that the owner uses again can no
+/// longer be lent from that moment on.
 pub fn lendable_slots(
     reserved: u32,
     used_by_owner: u32,
--- a/crates/reservations/src/alternative.rs
+++ b/crates/reservations/src/alternative.rs
@@ -1,4 +1,5 @@
-//! Search for the nearest interval in which a reservation request fits.
+//! Search for an alternative to the interval that a reservation requests: the nearest interval in which the
+//! request fits.
 use crate::availability::segments;
 use crate::command::ReservationRequest;
 use crate::interval::Interval;
@@ -7,14 +8,15 @@
 use crate::store::ClaimStore;
 use crate::time::{DAY, SpanMillis, UnixMillis};
 
-/// The maximum distance between the requested start and the start of an alternative.
+/// The maximum time between the start that a reservation requests and the start of the alternative interval.
 const MAX_DISTANCE: SpanMillis = DAY.times(30);
-/// The maximum number of segments that the search skips in each direction because they are blacked out or
-/// have too few free slots.
+/// The maximum number of blocked segments that the search skips in each direction. A segment is a part of an
+/// interval; it is blocked if a blackout applies or too few slots are free.
 const MAX_BLOCKED_SEGMENTS: usize = 256;
 
-/// The nearest interval of the requested length in which `slots` slots are free without displacement. Of two
-/// intervals at the same distance it is the earlier one; `None` if the search finds none within its bounds.
+/// The interval nearest to `requested`, and of the same length, in which `slots` slots are free without
+/// displacing other reservations. Of two intervals at the same distance, the earlier is returned. `None` if
+/// the search finds none within its bounds.
 pub(crate) fn nearest_interval(
     store: &ClaimStore,
     reservation: &ReservationRequest,
@@ -40,14 +42,15 @@
         Interval { start, end: start.saturating_add(self.requested.length()) }
     }
 
-    /// The segments in which the request does not fit if its interval begins at `start`.
+    /// The segments in which the request does not fit if its interval begins at `start`. A segment is a part
+    /// of the interval within which neither the free slots nor the blackouts change.
     fn blocked_segments(&self, start: UnixMillis) -> Vec<Segment> {
         let mut segments = segments(self.store, self.reservation, self.interval_at(start), &[], &[]);
         segments.retain(|segment| segment.is_blacked_out || segment.free_slots < self.slots.into());
         segments
     }
 
-    /// The first start at or after the requested one at which the request fits.
+    /// The first start at which the request fits, at or after the requested start.
     fn first_later_start(&self) -> Option<UnixMillis> {
         let now = self.store.now();
         let max_start = self.requested.start.saturating_add(MAX_DISTANCE);
@@ -63,8 +66,8 @@
         None
     }
 
-    /// The last start at or before the requested one, and at most `max_distance` from it, at which the
-    /// request fits.
+    /// The last start at which the request fits, at or before the requested start. It is at most
+    /// `max_distance` before the requested start.
     fn last_earlier_start(&self, max_distance: Option<SpanMillis>) -> Option<UnixMillis> {
         let min_start = self.store.now().max(self.requested.start.saturating_sub(MAX_DISTANCE));
         let mut start = self.requested.start;
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -1,4 +1,5 @@
-//! Free slots and blackouts of a pool over an interval, as segments within which neither changes.
+//! Free slots and blackouts of a pool over an interval. The interval is divided into segments, within which
+//! neither the number of free slots nor the blackouts change.
 use std::collections::BTreeMap;
 
 use crate::claim::{Occurrence, OccurrenceKey};
@@ -9,10 +10,12 @@
 use crate::store::ClaimStore;
 use crate::time::UnixMillis;
 
-/// Divides an interval into segments in which the free slots and the blackouts of the reservation's pool do
-/// not change. The allocations of the `released` occurrences count as free. The allocations of the
-/// `candidates`, which may be displaced, do not count as free, but a segment ends wherever one of these
-/// allocations starts or ends.
+/// Divides an interval into segments within which neither the free slots nor the blackouts of the
+/// reservation's pool change.
+///
+/// The allocations of the `released` occurrences count as free. The `candidates` are occurrences that may be
+/// displaced. Their allocations do not count as free, but a segment ends wherever one of these allocations
+/// starts or ends.
 pub(crate) fn segments(
     store: &ClaimStore,
     reservation: &ReservationRequest,
@@ -36,7 +39,8 @@
     edges.into_segments(pool_slots, &levels)
 }
 
-/// The blackouts of a reservation's pool, zone and tenant that overlap an interval.
+/// The blackouts that overlap an interval and apply to a reservation's pool, to the zone of that pool, or to
+/// the tenant that owns the reservation.
 fn blackouts(store: &ClaimStore, reservation: &ReservationRequest, interval: Interval) -> Vec<Interval> {
     let mut targets = vec![BlackoutTarget::Pool(reservation.pool.clone())];
     let pool = store.pools().get(&reservation.pool);
@@ -48,17 +52,17 @@
     blackouts.flat_map(|map| overlapping(map, interval)).map(|(blackout, _)| blackout).collect()
 }
 
-/// The changes at an edge between two segments.
+/// The changes at an edge, which is the instant at which one segment ends and the next one starts.
 #[derive(Clone, Copy, Debug, Default)]
 struct EdgeChange {
-    /// The change of the number of released slots at this edge. Each allocation of a released occurrence adds
+    /// The change of the number of released slots at this edge. An allocation of a released occurrence adds
     /// its slots at its start and subtracts them at its end.
     released_slots: i64,
-    /// The number of blackouts that start at this edge, less the number of blackouts that end at this edge.
+    /// The number of blackouts that start at this edge, minus the number of blackouts that end at this edge.
     blackouts: i64,
 }
 
-/// Collects the edges between the segments of an interval.
+/// Collects the edges at which an interval is divided into segments.
 struct Edges {
     interval: Interval,
     changes: BTreeMap<UnixMillis, EdgeChange>,
@@ -71,7 +75,8 @@
         edges
     }
 
-    /// The edge at an instant, or at the nearest bound of the interval if the instant is outside it.
+    /// The changes at the edge at `instant`. If the instant is outside the interval, the nearer bound of the
+    /// interval is the edge.
     fn at(&mut self, instant: UnixMillis) -> &mut EdgeChange {
         self.changes.entry(instant.clamp(self.interval.start, self.interval.end)).or_default()
     }
@@ -90,8 +95,8 @@
         self.at(blackout.end).blackouts -= 1;
     }
 
-    /// The segments between the edges. `levels` are the allocated slots over the same interval, in order of
-    /// time.
+    /// Returns the segments between the collected edges. `levels` lists the number of allocated slots in each
+    /// part of the same interval, in order of time.
     fn into_segments(self, pool_slots: i64, levels: &[(Interval, i64)]) -> Vec<Segment> {
         let mut segments: Vec<Segment> = Vec::with_capacity(self.changes.len());
         let mut levels = levels.iter().peekable();
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar.rs
@@ -1,4 +1,5 @@
-//! State machine over the replicated log: applies commands, returns events, and answers queries.
+//! The calendar, a state machine over the replicated log. It applies commands, returns events and answers
+//! queries.
 use serde::{Deserialize, Serialize};
 
 use crate::allowance_query;
@@ -19,7 +20,7 @@
 use crate::store::ClaimStore;
 use crate::time::UnixMillis;
 
-/// The reservations and blackouts that result from the log entries applied so far.
+/// A calendar of reservations and blackouts, as they result from the log entries applied so far.
 ///
 /// The serialized form is a snapshot: a calendar deserialized from it behaves as the original does.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -43,35 +44,38 @@
         self.store.now()
     }
 
-    /// The state of a claim; `None` if the claim is unknown or no longer retained.
+    /// The state of a claim. `None` if the claim is unknown, also because it has already been removed after
+    /// its retention.
     pub fn state_of(&self, claim: &ClaimId) -> Option<ClaimState> {
         self.store.claim(claim).map(|claim| claim.state)
     }
 
-    /// The allocations of a reservation, in order of time. Empty if the claim is not held, confirmed or
-    /// active, or is unknown.
+    /// The allocations of a reservation, in order of time. The list is empty if the claim is unknown, or is
+    /// not held, confirmed or active.
     pub fn allocations_of(&self, claim: &ClaimId) -> Vec<Allocation> {
         let claim = self.store.claim(claim).filter(|claim| claim.state.occupies_capacity());
         let occurrences = claim.into_iter().flat_map(|claim| &claim.occurrences);
         occurrences.flat_map(|occurrence| occurrence.allocations.clone()).collect()
     }
 
-    /// The reservations and blackouts that are in effect at an instant, and the blackouts that follow soon,
-    /// according to the log entries applied so far.
+    /// The reservations and blackouts that are in effect at an instant, and the blackouts that start soon
+    /// after it. The result reflects the log entries applied so far.
     pub fn allowances(&self, at: UnixMillis) -> Allowances {
         allowance_query::allowances(&self.store, at)
     }
 
-    /// The first instant later than `after` at which [`Calendar::allowances`] may return a different result,
-    /// according to the log entries applied so far; `None` if no such instant is known.
+    /// The first instant later than `after` at which [`Calendar::allowances`] may return a different result.
+    /// `None` if no such instant is known. The result reflects the log entries applied so far.
     pub fn next_change_after(&self, after: UnixMillis) -> Option<UnixMillis> {
         allowance_query::next_change_after(&self.store, after)
     }
 
-    /// Applies a log entry at its instant and returns the events that it caused. Time never goes back: an
-    /// entry whose instant is before [`now`](Calendar::now) is applied at `now`. An entry whose instant is
-    /// before the Unix epoch or after [`MAX_INSTANT`] is rejected, and changes nothing. A duplicate command
-    /// only advances the time, as [`CommandBody::AdvanceTime`] does.
+    /// Applies a log entry at its instant and returns the events that the entry caused.
+    ///
+    /// The calendar's time never goes back: an entry whose instant is before [`now`](Calendar::now) is
+    /// applied at `now`. An entry whose instant is before the Unix epoch or after [`MAX_INSTANT`] is
+    /// rejected, and changes nothing. A duplicate command only advances the time, as
+    /// [`CommandBody::AdvanceTime`] does.
     pub fn apply(&mut self, at: UnixMillis, command: &Command) -> Vec<Event> {
         let mut events = EventBuffer { at: self.store.now(), command: Some(&command.id), events: Vec::new() };
         if let Err(rejection) = check_instant("at", at, UnixMillis::EPOCH, MAX_INSTANT) {
@@ -94,8 +98,8 @@
         if let Err(rejection) = result {
             events.push(Change::Rejected(rejection));
         }
-        // Due transitions are applied a second time: if this command confirmed a claim after the first
-        // interval of the claim had started, the claim must become active at once.
+        // Due transitions are applied a second time. This command may have confirmed a claim whose first
+        // interval had already started, and such a claim must become active at once.
         self.apply_due_transitions(&mut events);
         events.events
     }
@@ -116,7 +120,8 @@
         }
     }
 
-    /// Makes the transitions that are due by now, and removes the claims whose retention has ended.
+    /// Applies the state transitions of claims that are due by now. Also removes the terminal claims whose
+    /// retention time has ended.
     fn apply_due_transitions(&mut self, events: &mut EventBuffer<'_>) {
         while let Some(id) = self.store.pop_due_claim() {
             let Some(state) = self.state_of(&id) else { continue };
@@ -129,8 +134,8 @@
                     continue;
                 }
             };
-            // The transition cannot fail: the match above pairs each state with a transition that the state
-            // allows.
+            // The transition cannot fail, because the match above pairs each state with a transition that the
+            // state allows.
             let _ = self.store.transition(&id, transition, reason, events);
         }
     }
--- a/crates/reservations/src/capacity.rs
+++ b/crates/reservations/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Implementation of the command that sets a pool's slots and zone, with the displacement that it causes.
+//! The command that sets a pool's slots and zone. It may displace reservations that no longer fit.
 use std::collections::{BTreeMap, BTreeSet};
 
 use copperspread_identifiers::Name;
@@ -14,13 +14,13 @@
 use crate::rejection::{FieldError, Rejection, check_range};
 use crate::store::ClaimStore;
 
-/// Sets a pool's slots and zone. Reservations that no longer fit are displaced, the last in rank first. For
-/// claims with allocations from now on, amounts in parts per million are converted to slots by the pool's new
-/// size.
+/// Sets a pool's slots and zone. Reservations that no longer fit are displaced, the lowest in rank first.
+/// Reservations of a fraction of the pool are converted to slots again by the pool's new number of slots, if
+/// they have allocations from now on.
 ///
 /// # Errors
-/// `slots` exceeds [`MAX_POOL_SLOTS`], or there are [`MAX_POOLS`] other pools already. After an error,
-/// nothing has changed.
+/// `slots` exceeds [`MAX_POOL_SLOTS`], or the pool is new and there are already [`MAX_POOLS`] pools. After an
+/// error, nothing has changed.
 pub(crate) fn set_capacity(
     store: &mut ClaimStore,
     name: &Name,
@@ -48,8 +48,8 @@
     Ok(())
 }
 
-/// The occurrences with allocations in a segment that is overbooked at the new size or blacked out in the new
-/// zone.
+/// The occurrences with allocations in a part of the future in which they may no longer fit. Either more
+/// slots are allocated there than the pool now has, or a blackout of the pool's new zone applies.
 fn occurrences_without_capacity(
     store: &ClaimStore,
     index: &PoolIndex,
@@ -66,7 +66,8 @@
     overlapping.map(|(_, key)| key.clone()).collect()
 }
 
-/// The occurrences with allocations from now on whose amount is given in parts per million of the pool.
+/// The occurrences with allocations from now on whose reservation requests a fraction of the pool, each with
+/// the requested amount.
 fn occurrences_sized_by_pool(store: &ClaimStore, index: &PoolIndex) -> Vec<(OccurrenceKey, Amount)> {
     let sized_by_pool = |key: &OccurrenceKey| match store.reservation(&key.claim)?.amount {
         amount @ Amount::PartsPerMillion(_) => Some((key.clone(), amount)),
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -1,4 +1,4 @@
-//! Stored pools and claims, and the rank of a claim's occurrences.
+//! Pools and claims as the calendar stores them, and the rank by which a claim's occurrences get slots.
 use std::cmp::Reverse;
 
 use copperspread_identifiers::Name;
@@ -11,14 +11,14 @@
 use crate::limits::CLAIM_RETENTION;
 use crate::time::UnixMillis;
 
-/// The size and zone of a pool, as set by the last capacity command for this pool.
+/// The number of slots and the zone of a pool, as set by the last capacity command for this pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Pool {
     pub(crate) zone: Name,
     pub(crate) slots: u32,
 }
 
-/// The request that a claim was proposed with.
+/// The request of a claim, as it was proposed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Wanted")]
 pub(crate) enum ClaimRequest {
@@ -27,7 +27,8 @@
     Blackout(BlackoutRequest),
 }
 
-/// One interval of a claim, with the slots allocated over it. A blackout has no allocations.
+/// An occurrence, which is one interval of a claim, with the slots allocated over it. An occurrence of a
+/// blackout has no allocations.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Occurrence {
     pub(crate) interval: Interval,
@@ -35,7 +36,8 @@
     pub(crate) allocations: Vec<Allocation>,
 }
 
-/// Identifies an occurrence by its claim and its position among the claim's occurrences.
+/// Identifies an occurrence, which is one interval of a claim, by the claim's id and the index of the
+/// interval in that claim.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct OccurrenceKey {
     pub(crate) claim: ClaimId,
@@ -46,25 +48,26 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Claim {
     pub(crate) state: ClaimState,
-    /// The instant that ranks claims of equal precedence, earlier first. It is the instant at which the claim
-    /// was proposed, replaced by the instant at which the claim became held, or by the instant of its
-    /// confirmation if the claim was never held.
+    /// The instant that decides between claims of equal precedence: the claim with the earlier instant ranks
+    /// higher. At first it is the instant at which the claim was proposed. It is replaced once, by the
+    /// instant at which the claim was held, or was confirmed without being held before.
     #[serde(rename = "since")]
     pub(crate) ranked_at: UnixMillis,
     #[serde(rename = "moved")]
     pub(crate) last_transition_at: UnixMillis,
     #[serde(rename = "wanted")]
     pub(crate) request: ClaimRequest,
-    /// The requested amount in slots; 0 for a blackout. Parts per million are converted when the claim is
-    /// proposed, and again whenever a command sets the size of the pool while the claim has allocations from
-    /// then on.
+    /// The requested number of slots; 0 for a blackout. A fraction of the pool is converted to slots when the
+    /// claim is proposed. It is converted again by each command that sets the pool's number of slots while
+    /// the claim has allocations from then on.
     #[serde(rename = "slots")]
     pub(crate) requested_slots: u32,
     pub(crate) occurrences: Vec<Occurrence>,
 }
 
-/// The order in which occurrences get slots: occurrences that have started come first, then those of higher
-/// precedence, then those with an earlier `ranked_at`, and then those with the lower [`OccurrenceKey`].
+/// The rank of an occurrence, which is one interval of a claim. Slots go to the occurrence with the lesser
+/// value first: occurrences that have started come first, then those of higher precedence, then those with an
+/// earlier `ranked_at`, and then those with the lesser [`OccurrenceKey`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     is_not_started: bool,
@@ -74,8 +77,8 @@
 }
 
 impl Claim {
-    /// The instant at which the claim is next due for a transition by time or for its removal. `None` for a
-    /// confirmed or active claim without any allocations or blackout intervals.
+    /// The instant at which the passing of time next changes the claim's state, or at which the claim is
+    /// removed. `None` for a confirmed or active claim that has neither allocations nor blackout intervals.
     pub(crate) fn next_due(&self) -> Option<UnixMillis> {
         match self.state {
             ClaimState::Proposed | ClaimState::Held => Some(self.hold_end()),
@@ -85,8 +88,8 @@
         }
     }
 
-    /// The intervals in which the claim has an effect: the allocations of a reservation, or the occurrences
-    /// of a blackout.
+    /// The intervals in which the claim has an effect. They are the intervals of a reservation's allocations,
+    /// or the requested intervals of a blackout.
     pub(crate) fn effective_intervals(&self) -> impl DoubleEndedIterator<Item = Interval> {
         let is_blackout = matches!(self.request, ClaimRequest::Blackout(_));
         let blackouts =
@@ -95,7 +98,7 @@
         blackouts.chain(allocations.map(|allocation| allocation.interval))
     }
 
-    /// The reservation request; `None` for a blackout.
+    /// The request of a reservation; `None` if the claim is a blackout.
     pub(crate) fn reservation(&self) -> Option<&ReservationRequest> {
         match &self.request {
             ClaimRequest::Reservation(reservation) => Some(reservation),
@@ -103,7 +106,7 @@
         }
     }
 
-    /// The rank of one of the claim's occurrences at an instant.
+    /// The rank at `now` of one of the claim's occurrences.
     pub(crate) fn rank(&self, key: &OccurrenceKey, occurrence: &Occurrence, now: UnixMillis) -> Rank {
         let precedence = self.reservation().map_or(0, |reservation| reservation.precedence);
         Rank {
--- a/crates/reservations/src/claim_planning.rs
+++ b/crates/reservations/src/claim_planning.rs
@@ -1,5 +1,5 @@
-//! Planning of a proposed reservation: which part of each occurrence fits, and which occurrences of other
-//! claims it would displace.
+//! Planning of a proposed reservation: which part of each of its intervals fits, and which intervals of other
+//! claims the reservation would displace.
 use std::collections::BTreeSet;
 
 use crate::alternative::nearest_interval;
@@ -15,28 +15,28 @@
 use crate::store::ClaimStore;
 use crate::time::UnixMillis;
 
-/// The maximum number of occurrences that are considered for displacement by one occurrence. If more may be
-/// displaced, only those that come last in rank are considered.
+/// The maximum number of occurrences of other claims that the displacement by one occurrence may choose from.
+/// If more may be displaced, only the lowest in rank are considered.
 const MAX_CANDIDATES: usize = 1_024;
 
-/// A plan for all occurrences of a claim.
+/// The plan for a whole reservation, with all its occurrences.
 pub(crate) struct ClaimPlan {
-    /// The allocations of each occurrence, in the order of the claim's occurrences.
+    /// The allocations that the reservation would get, for each of its occurrences in their order.
     allocations: Vec<Vec<Allocation>>,
-    /// The occurrences of other claims that are displaced.
+    /// The occurrences of other claims that must be displaced to make the plan possible.
     pub(crate) displaced: Vec<OccurrenceKey>,
-    /// Whether the plan grants everything that was requested.
+    /// Whether the reservation would get everything that it requested.
     pub(crate) is_complete: bool,
 }
 
-/// A plan for one occurrence.
+/// The plan for one occurrence of a reservation.
 struct OccurrencePlan {
     allocations: Vec<Allocation>,
     displaced: Vec<OccurrenceKey>,
     is_complete: bool,
 }
 
-/// Plans a reservation's occurrences in order of time.
+/// Plans the allocations of a reservation, one occurrence after the other in order of time.
 ///
 /// # Errors
 /// [`Reason::Infeasible`] if the reservation does not fit.
@@ -77,8 +77,8 @@
     Ok(claim_plan)
 }
 
-/// Plans one occurrence. `displaced` lists the occurrences that the claim's earlier occurrences displace; the
-/// slots of the listed occurrences count as free.
+/// Plans the allocations of one occurrence. `displaced` lists the occurrences of other claims that the plan
+/// displaces already for earlier occurrences of the same claim. Their slots count as free.
 ///
 /// # Errors
 /// The first segment in which the occurrence does not fit.
@@ -89,7 +89,7 @@
     interval: Interval,
     displaced: &[OccurrenceKey],
 ) -> Result<OccurrencePlan, Interval> {
-    // If everything requested is free, no candidates for displacement are needed.
+    // If everything requested is free, nothing needs to be displaced.
     let free = segments(store, reservation, interval, &[], displaced);
     if let Ok(AllocationPlan { allocations, .. }) = plan(slots, Flexibility::default(), &free, &[]) {
         return Ok(OccurrencePlan { allocations, displaced: Vec::new(), is_complete: true });
@@ -105,8 +105,8 @@
     })
 }
 
-/// The occurrences that a reservation may displace within an interval, the last in rank first. Each of them
-/// has allocations in the interval and a lower precedence than the reservation, and does not start before
+/// The occurrences that a reservation may displace within an interval, the lowest in rank first. Each has
+/// allocations in the interval, has a lower precedence than the reservation, and does not start before
 /// [`ClaimStore::displaceable_from`]. The `excluded` occurrences are left out.
 fn displaceable_occurrences<'a>(
     store: &'a ClaimStore,
@@ -138,9 +138,9 @@
     ranked.into_iter().map(|(rank, occurrence)| (rank.key, occurrence)).collect()
 }
 
-/// Converts displaceable occurrences to candidates for the displacement search, and their allocations to
-/// ranges of segment indices. Each allocation must start and end at an edge of a segment or outside the
-/// segments.
+/// Converts displaceable occurrences to candidates for the displacement search. The interval of each
+/// allocation becomes a range of segment indices. Therefore each allocation must start and end at an edge of
+/// a segment, or outside the segments.
 fn candidates(occurrences: &[(OccurrenceKey, &Occurrence)], segments: &[Segment]) -> Vec<Candidate> {
     let segment_at = |at: UnixMillis| segments.partition_point(|segment| segment.interval.start < at);
     let usage = |allocation: &Allocation| Usage {
@@ -157,7 +157,8 @@
     occurrences.iter().map(candidate).collect()
 }
 
-/// Stores a plan's allocations in the claim, and reports the claim's occurrences if the plan is not complete.
+/// Stores the planned allocations in the claim. If the plan does not grant everything requested, adds an
+/// event for each of the claim's occurrences.
 pub(crate) fn grant(store: &mut ClaimStore, id: &ClaimId, plan: &ClaimPlan, events: &mut EventBuffer<'_>) {
     store.update_claim(id, |claim| {
         for (occurrence, allocations) in claim.occurrences.iter_mut().zip(&plan.allocations) {
--- a/crates/reservations/src/claim_state.rs
+++ b/crates/reservations/src/claim_state.rs
@@ -14,47 +14,48 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "State")]
 pub enum ClaimState {
-    /// The claim is recorded without allocations, because it fits only if other claims are displaced. The
-    /// other claims are displaced when this claim is confirmed.
+    /// The claim has no allocations yet, because it fits only if other claims are displaced. The other claims
+    /// are displaced when this claim is confirmed.
     Proposed,
-    /// The claim's allocations are kept for it until its hold ends.
+    /// The claim fits, and its allocations are kept for it until it is confirmed or its hold ends.
     Held,
-    /// The claim is confirmed, and its first interval has not started.
+    /// The claim was confirmed by a command, and its first interval has not started.
     Confirmed,
-    /// The claim has started. A recurring claim is active from its first start to its last end.
+    /// The first interval of the claim has started. A recurring claim stays active between its intervals,
+    /// until the last one ends.
     Active,
-    /// The last interval of the claim has ended.
+    /// The last interval of the active claim has ended.
     Done,
-    /// The claim did not fit, or its last interval had ended when it was confirmed.
+    /// The claim did not fit, or its last interval had already ended when a command confirmed it.
     #[serde(rename = "Refused")]
     Rejected,
-    /// The claim lost all allocations that it still had from the instant of displacement on. They went to a
-    /// reservation of higher precedence, or were ended by a blackout or a change of the claim's pool.
+    /// The claim lost all the allocations that it had left. They went to a reservation of higher precedence,
+    /// or were ended by a blackout or by a change of the claim's pool.
     Displaced,
     /// The claim was withdrawn by a command.
     Withdrawn,
-    /// The claim was not confirmed before its hold ended.
+    /// The claim was not confirmed by a command before its hold ended.
     Lapsed,
 }
 
-/// A change of a claim's state.
+/// A transition, which changes a claim's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "Step")]
 pub enum Transition {
-    /// The claim fits, and its allocations are held.
+    /// The proposed claim fits, and its allocations are kept for it until it is confirmed.
     Hold,
-    /// A command confirms the proposed or held claim.
+    /// A command confirms the claim, whose state is proposed or held.
     Confirm,
-    /// The first interval of the claim begins.
+    /// The first interval of the confirmed claim begins.
     Begin,
-    /// The last interval of the claim ends.
+    /// The last interval of the active claim ends.
     End,
-    /// The claim is rejected, because it does not fit or its last interval has ended.
+    /// The proposed claim is rejected, because it does not fit or its last interval has ended.
     #[serde(rename = "Refuse")]
     Reject,
     /// The claim loses all its remaining allocations.
     Displace,
-    /// A command withdraws the claim, whose state must not be terminal.
+    /// A command withdraws the claim. The state of the claim must not be terminal.
     Withdraw,
     /// The hold of the claim ends before the claim is confirmed.
     Lapse,
@@ -65,15 +66,15 @@
 #[error("a claim in state {from} does not allow the transition {transition}")]
 #[serde(rename = "Illegal", expecting = "struct Illegal")]
 pub struct InvalidTransition {
-    /// The state of the claim when the transition was requested.
+    /// The state that the claim had when the transition was requested.
     pub from: ClaimState,
-    /// The transition that was requested.
+    /// The transition that the claim's state does not allow.
     #[serde(rename = "step")]
     pub transition: Transition,
 }
 
 impl ClaimState {
-    /// The state after a transition.
+    /// The state of a claim after a transition from this state.
     ///
     /// # Errors
     /// This state does not allow the transition.
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Whether no transition leads out of this state.
+    /// Whether this state is terminal: a claim in this state never changes its state again.
     pub fn is_terminal(self) -> bool {
         matches!(
             self,
@@ -105,19 +106,21 @@
         )
     }
 
-    /// Whether the slots allocated to a claim in this state are unavailable to other claims.
+    /// Whether a claim in this state keeps its allocated slots from other claims. This is so for held,
+    /// confirmed and active claims.
     pub fn occupies_capacity(self) -> bool {
         matches!(self, ClaimState::Held | ClaimState::Confirmed | ClaimState::Active)
     }
 
-    /// Whether the intervals of a claim in this state appear in [`Allowances`](crate::Allowances).
+    /// Whether the intervals of a claim in this state appear in [`Allowances`](crate::Allowances). This is so
+    /// for confirmed and active claims.
     pub fn is_in_effect(self) -> bool {
         matches!(self, ClaimState::Confirmed | ClaimState::Active)
     }
 }
 
 impl fmt::Display for ClaimState {
-    /// Writes the name of the state as in the serialized form.
+    /// Writes the name that the state has in the serialized form.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ClaimState::Rejected => f.write_str("Refused"),
@@ -127,7 +130,7 @@
 }
 
 impl fmt::Display for Transition {
-    /// Writes the name of the transition as in the serialized form.
+    /// Writes the name that the transition has in the serialized form.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Transition::Reject => f.write_str("Refuse"),
--- a/crates/reservations/src/command.rs
+++ b/crates/reservations/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log, and the validation of their fields.
+//! Commands of the replicated log that change the calendar, and the checks of their fields.
 use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
@@ -9,28 +9,29 @@
 use crate::schedule::Schedule;
 use crate::time::{MILLISECOND, UnixMillis};
 
-/// The command of one log entry.
+/// The command that one entry of the replicated log contains.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// The id of the command, which identifies duplicates.
+    /// The id of the command, by which a repeated command is recognized.
     pub id: CommandId,
-    /// The action that the command requests.
+    /// What the command does.
     pub body: CommandBody,
 }
 
-/// The action that a command requests.
+/// The kinds of commands, with their parameters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Body", expecting = "struct variant Body::Capacity")]
 pub enum CommandBody {
-    /// Proposes a reservation; the claim takes the command's id.
+    /// Proposes a reservation. The new claim gets the id of the command.
     Reserve(ReservationRequest),
-    /// Proposes a blackout; the claim takes the command's id.
+    /// Proposes a blackout. The new claim gets the id of the command.
     Blackout(BlackoutRequest),
-    /// Confirms a claim that is proposed or held.
+    /// Confirms the claim with this id, whose state must be proposed or held.
     Confirm(ClaimId),
-    /// Withdraws a claim whose state is not terminal.
+    /// Withdraws the claim with this id, whose state must not be terminal.
     Withdraw(ClaimId),
-    /// Sets the number of slots and the zone of a pool, from now on. A pool that does not exist is created.
+    /// Sets the number of slots and the zone of a pool, from now on. If the pool does not exist, it is
+    /// created.
     #[serde(rename = "Capacity")]
     SetCapacity {
         /// The name of the pool whose slots and zone are set.
@@ -49,50 +50,52 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Reserve", expecting = "struct Reserve")]
 pub struct ReservationRequest {
-    /// The tenant or federation that the slots are reserved for.
+    /// The tenant or federation for which the slots are reserved.
     pub owner: Owner,
     /// The name of the pool in which slots are reserved.
     pub pool: Name,
-    /// The number of slots to reserve, or the fraction of the pool.
+    /// How much of the pool to reserve: a number of slots, or a fraction of the pool's slots.
     pub amount: Amount,
     /// The intervals over which the slots are reserved.
     #[serde(rename = "when")]
     pub schedule: Schedule,
-    /// The precedence: a claim of higher precedence may displace one of lower precedence.
+    /// The precedence of the claim. A claim of higher precedence may displace a claim of lower precedence.
     pub precedence: u32,
-    /// What the owner accepts if the request does not fit as it is.
+    /// What the owner accepts if the request does not fit as requested.
     #[serde(rename = "accepts")]
     pub flexibility: Flexibility,
-    /// The rate at which unused slots are lent, in parts per million of the reservation per second: 0 (never)
-    /// to 1,000,000.
+    /// The rate at which the reservation's unused slots are lent to others, in parts per million of the
+    /// reserved slots per second. From 0 (never lent) to 1,000,000.
     #[serde(rename = "give_back")]
     pub lending_rate_ppm: u32,
-    /// The instant at which the claim lapses unless it is confirmed, at most 7 days after the proposal.
+    /// The instant at which the reservation lapses unless a command has confirmed it. At most 7 days after
+    /// the proposal.
     pub hold_end: UnixMillis,
 }
 
-/// The owner of a reservation, for which the slots are reserved.
+/// The owner of a reservation, which is the party for which the slots are reserved.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Owner {
-    /// A single tenant.
+    /// The reservation is owned by the single tenant with this name.
     Tenant(Name),
-    /// A federation of tenants, which share the reservation as they agree among themselves.
+    /// The reservation is owned by the federation with this name, whose tenants share it as they agree among
+    /// themselves.
     Federation(Name),
 }
 
-/// The amount that a reservation requests, as a number of slots or as a fraction of the pool.
+/// The amount that a reservation requests: a number of slots, or a fraction of the pool's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Amount {
     /// A fixed number of slots, at least 1.
     Slots(u32),
-    /// A fraction of the pool's slots in parts per million, 1 to 1,000,000, rounded down to whole slots. A
-    /// request for less than one slot is rejected.
+    /// A fraction of the pool's slots in parts per million, 1 to 1,000,000. It is rounded down to whole
+    /// slots. A reservation of less than one slot is rejected.
     #[serde(rename = "Parts")]
     PartsPerMillion(u32),
 }
 
 impl Amount {
-    /// Returns the amount in slots, for a pool of `pool_slots` slots.
+    /// Returns the requested number of slots, for a pool of `pool_slots` slots.
     pub(crate) fn in_slots(self, pool_slots: u32) -> u32 {
         match self {
             Amount::Slots(slots) => slots,
@@ -104,64 +107,71 @@
     }
 }
 
-/// What a reservation accepts if it does not fit as requested. If the reservation accepts both fewer slots
-/// and a split, the number of slots may vary over the interval, and is 0 where fewer than the minimum are
-/// available.
+/// What a reservation accepts if it does not fit as requested: fewer slots, only parts of the interval, or
+/// both.
+///
+/// If the reservation accepts both, the number of granted slots may vary over the interval. It is 0 where
+/// fewer than `min_slots` slots are available.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Accepts", expecting = "struct Accepts")]
 pub struct Flexibility {
-    /// The minimum number of slots that is accepted, at least 1; `None` if fewer than requested are not
-    /// accepted. Without `allows_split` the granted number is constant over the interval.
+    /// The minimum number of slots that the reservation accepts, at least 1. `None` if it does not accept
+    /// fewer slots than requested. Without `allows_split`, the granted number is the same over the whole
+    /// interval.
     #[serde(rename = "partial")]
     pub min_slots: Option<u32>,
-    /// Whether the parts of an interval in which the request does not fit may be left out. For a recurrence
-    /// this includes whole occurrences.
+    /// Whether the reservation accepts that the parts of an interval in which it does not fit are left out.
+    /// Of a recurring reservation, whole intervals may then be left out.
     #[serde(rename = "split")]
     pub allows_split: bool,
 }
 
-/// A request for intervals in which certain work must not start or run.
+/// A request for a blackout: intervals in which certain work must not start or must not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Blackout", expecting = "struct Blackout")]
 pub struct BlackoutRequest {
-    /// The work that the blackout applies to.
+    /// The work to which the blackout applies.
     pub target: BlackoutTarget,
-    /// What the blackout forbids the targeted work: to start, or to run at all.
+    /// Whether the blackout forbids the work only to start, or to run at all.
     pub effect: BlackoutEffect,
     /// The intervals in which the blackout applies.
     #[serde(rename = "when")]
     pub schedule: Schedule,
-    /// The instant at which the claim lapses unless it is confirmed, at most 7 days after the proposal.
+    /// The instant at which the blackout lapses unless a command has confirmed it. At most 7 days after the
+    /// proposal.
     pub hold_end: UnixMillis,
 }
 
-/// The work that a blackout applies to.
+/// The work to which a blackout applies.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "Target")]
 pub enum BlackoutTarget {
-    /// All work of a class. The blackout displaces no reservation, because a reservation has no class.
+    /// All work of the request class with this name. Such a blackout displaces no reservation, because a
+    /// reservation has no class.
     Class(Name),
-    /// All work of a tenant. The blackout displaces the reservations that the tenant itself owns, not those
-    /// of a federation.
+    /// All work of the tenant with this name. Such a blackout displaces the reservations that the tenant
+    /// itself owns, but not those of a federation.
     Tenant(Name),
-    /// All work in a pool.
+    /// All work in the pool with this name.
     Pool(Name),
-    /// All work in a zone's pools.
+    /// All work in the pools of the zone with this name.
     Zone(Name),
 }
 
-/// What a blackout forbids, from the weakest to the strongest.
+/// What a blackout forbids. The effects are ordered from the weaker to the stronger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "Effect")]
 pub enum BlackoutEffect {
-    /// No work may start; running work continues.
+    /// No work may start during the blackout; running work continues.
     NoNewWork,
-    /// No work may run: work that would still be running at the blackout's start must not be started.
+    /// No work may run during the blackout. Work that would still run when the blackout starts must not be
+    /// started.
     NoWork,
 }
 
 impl ReservationRequest {
-    /// Validates the fields and returns the intervals from `now` on, in order of time and disjoint.
+    /// Checks the fields of the request. Returns the requested intervals from `now` on, in order of time and
+    /// without overlap.
     ///
     /// # Errors
     /// The first invalid field.
@@ -182,7 +192,8 @@
 }
 
 impl BlackoutRequest {
-    /// Validates the fields and returns the intervals from `now` on, in order of time and disjoint.
+    /// Checks the fields of the request. Returns the requested intervals from `now` on, in order of time and
+    /// without overlap.
     ///
     /// # Errors
     /// The first invalid field.
--- a/crates/reservations/src/command_id.rs
+++ b/crates/reservations/src/command_id.rs
@@ -4,16 +4,17 @@
 use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
-/// The id of a command: the member that proposed it, and the command's number at that member. A member
-/// numbers its commands upwards from 1 in each incarnation, and each restart has a higher incarnation.
+/// The id of a command. It consists of the member that proposed the command, that member's incarnation, and a
+/// sequence number. A member has a higher incarnation after each restart, and numbers the commands of an
+/// incarnation upwards from 1.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CommandId {
-    /// The name of the member that proposed the command.
+    /// The name of the fleet member that proposed the command.
     pub member: Name,
-    /// The incarnation of the member, which grows with every start of its process.
+    /// The incarnation of that member, which grows with every start of the member's process.
     #[serde(rename = "generation")]
     pub incarnation: u64,
-    /// The sequence number of the command within the incarnation.
+    /// The sequence number of the command among the commands of the same incarnation.
     pub sequence: u64,
 }
 
