--- a/crates/reservations/src/confirmation.rs
+++ b/crates/reservations/src/confirmation.rs
@@ -1,4 +1,4 @@
-//! Implementation of the command that confirms a claim, with the displacement that it causes.
+//! The command that confirms a claim. It may displace other claims.
 use std::collections::BTreeSet;
 
 use crate::claim::{ClaimRequest, OccurrenceKey};
@@ -13,7 +13,7 @@
 use crate::rejection::{FieldError, Rejection};
 use crate::store::ClaimStore;
 
-/// Confirms a claim that is held, or a proposed claim that still fits by displacing others. A proposed claim
+/// Confirms a held claim, or a proposed claim that still fits if other claims are displaced. A proposed claim
 /// that no longer fits is rejected.
 ///
 /// # Errors
@@ -41,8 +41,8 @@
     Ok(())
 }
 
-/// Confirms a proposed claim and displaces the occurrences that are in its way, or rejects it if it no longer
-/// fits.
+/// Confirms a proposed claim, and displaces the occurrences of other claims that are in its way. Rejects the
+/// proposed claim if it no longer fits.
 fn confirm_with_displacement(
     store: &mut ClaimStore,
     id: &ClaimId,
@@ -74,7 +74,8 @@
     });
 }
 
-/// If the claim is a blackout, displaces the reservations that it applies to; otherwise does nothing.
+/// Displaces the reservations to which a confirmed blackout applies. Does nothing if the claim is not a
+/// blackout.
 fn displace_under_blackout(store: &mut ClaimStore, id: &ClaimId, events: &mut EventBuffer<'_>) {
     let Some(claim) = store.claim(id) else { return };
     let ClaimRequest::Blackout(blackout) = &claim.request else { return };
@@ -86,8 +87,8 @@
     reallocate(store, released, &Reason::DisplacedByBlackout(id.clone()), events);
 }
 
-/// The occurrences of reservations that a blackout of `target` over `interval` displaces: those with
-/// allocations in the part of `interval` that is not over yet.
+/// The occurrences of reservations that a blackout of `target` over `interval` displaces. These are the
+/// occurrences with allocations in the part of `interval` that has not passed yet.
 fn reservations_under<'a>(
     store: &'a ClaimStore,
     target: &'a BlackoutTarget,
--- a/crates/reservations/src/deduplication.rs
+++ b/crates/reservations/src/deduplication.rs
@@ -1,4 +1,5 @@
-//! Deduplication of commands: remembers which commands were applied, so that none is applied twice.
+//! Deduplication of commands. For each member of the fleet, the calendar remembers which of the latest
+//! commands were applied, so that no command is applied twice.
 use std::collections::BTreeMap;
 
 use copperspread_identifiers::Name;
@@ -7,30 +8,32 @@
 use crate::command_id::CommandId;
 use crate::time::{DAY, SpanMillis, UnixMillis};
 
-/// The maximum number of members whose windows are kept.
+/// The maximum number of members for which the calendar remembers the applied commands.
 pub(crate) const MAX_MEMBERS: usize = 1_024;
-/// The size of a member's deduplication window, in sequence numbers. Older commands are rejected, because
-/// they cannot be told from duplicates.
+/// The number of sequence numbers, up to a member's highest, for which the calendar remembers whether the
+/// command was applied. A command with a lower number is rejected, because it could be a duplicate.
 const WINDOW_LENGTH: u64 = 128;
-/// The time without commands after which a member's window may be evicted for another member's.
+/// How long a member must have sent no command before its deduplication window may be removed to make space
+/// for another member.
 const MEMBER_RETENTION: SpanMillis = DAY.times(7);
 
 /// The result of checking a command's id against the commands applied so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DuplicateCheck {
-    /// The command was not applied yet, and counts as applied from now on.
+    /// The command was not applied before. It now counts as applied.
     New,
-    /// The command was applied before.
+    /// The command was applied before, and must not be applied again.
     Duplicate,
-    /// The sequence number precedes the deduplication window of the member, or the command is from an earlier
-    /// incarnation of the member.
+    /// It is unknown whether the command was applied before. Its sequence number is below the member's
+    /// deduplication window, or it is from an earlier incarnation of the member.
     TooOld,
-    /// The member has no deduplication window yet, [`MAX_MEMBERS`] other members have one, and none of these
-    /// windows may be evicted.
+    /// The command is the first one of its member, and there is no space to remember the member's commands.
+    /// [`MAX_MEMBERS`] other members have a deduplication window, and none of these windows may be removed.
     MemberLimitReached,
 }
 
-/// The deduplication window of one member.
+/// The deduplication window of one member: which of the commands with the latest sequence numbers were
+/// applied.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Heard", expecting = "struct Heard")]
 struct MemberWindow {
@@ -38,7 +41,8 @@
     incarnation: u64,
     #[serde(rename = "highest")]
     highest_sequence: u64,
-    /// Bit `n` is set if the sequence number `highest_sequence - n` was applied.
+    /// Which commands were applied. Bit `n` is set if the command with the sequence number
+    /// `highest_sequence - n` was applied.
     #[serde(rename = "window")]
     applied_bits: u128,
     #[serde(rename = "last")]
@@ -46,7 +50,7 @@
 }
 
 impl MemberWindow {
-    /// The deduplication window after the first command of an incarnation.
+    /// Creates the deduplication window of a member from the first command of an incarnation.
     fn starting_with(id: &CommandId, now: UnixMillis) -> MemberWindow {
         MemberWindow {
             incarnation: id.incarnation,
@@ -56,7 +60,8 @@
         }
     }
 
-    /// Checks a sequence number of the current incarnation, and records it as applied.
+    /// Checks whether the command with a sequence number of the current incarnation was applied, and records
+    /// the command as applied.
     fn record(&mut self, sequence: u64) -> DuplicateCheck {
         if sequence > self.highest_sequence {
             let shift = sequence - self.highest_sequence;
@@ -77,13 +82,14 @@
     }
 }
 
-/// For each member the highest sequence number, and which of the last 128 numbers up to it were applied.
+/// The deduplication window of each member: the highest sequence number of the member's commands, and which
+/// of the last 128 numbers up to the highest were applied.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(rename = "Seen", expecting = "tuple struct Seen")]
 pub(crate) struct DeduplicationWindows(BTreeMap<Name, MemberWindow>);
 
 impl DeduplicationWindows {
-    /// Checks whether a command's id is a duplicate, and records a new id as applied.
+    /// Checks whether a command was applied before, and records a new command as applied.
     pub(crate) fn record(&mut self, now: UnixMillis, id: &CommandId) -> DuplicateCheck {
         let Some(window) = self.0.get_mut(&id.member) else {
             if !self.make_space(now) {
@@ -103,9 +109,9 @@
         window.record(id.sequence)
     }
 
-    /// Makes space for another member's window, and returns whether there is space. If there are
-    /// [`MAX_MEMBERS`] windows, the window of the longest inactive member is evicted, unless that member was
-    /// active within [`MEMBER_RETENTION`].
+    /// Makes space for the deduplication window of another member, and returns whether there is space. If
+    /// there are [`MAX_MEMBERS`] windows, the window of the member that was inactive for the longest time is
+    /// removed. A window is not removed if its member was active within [`MEMBER_RETENTION`].
     fn make_space(&mut self, now: UnixMillis) -> bool {
         if self.0.len() < MAX_MEMBERS {
             return true;
--- a/crates/reservations/src/displacement_search.rs
+++ b/crates/reservations/src/displacement_search.rs
@@ -1,44 +1,49 @@
-//! Search for the candidates whose displacement frees enough slots at the least cost.
+//! Search for the occurrences to displace, so that enough slots become free at the least cost. An occurrence
+//! is one interval of a reservation; a candidate is an occurrence that may be displaced.
 //!
-//! The cost of a displacement is the sum of the displaced slots times their durations, in slot-milliseconds.
-//! At the same cost, displacing fewer occurrences is better, then displacing those that come last in rank.
+//! The cost of a displacement is the sum over all displaced allocations of slots times duration, in
+//! slot-milliseconds. Among displacements of equal cost, the one with fewer occurrences is better, and then
+//! the one that displaces the occurrences lowest in rank.
 //!
 //! The result is optimal for up to [`MAX_SEARCHED_CANDIDATES`] candidates if the search examines fewer than
-//! [`MAX_SEARCH_WORK`] segments. Beyond these bounds, the result is the best set of candidates found so far,
-//! at worst the result of a greedy search.
+//! [`MAX_SEARCH_WORK`] segments. Beyond these bounds, the result is the best set of candidates found so far.
+//! It is never worse than the result of a greedy search.
 use std::ops::Range;
 
-/// The maximum work of a search, in segments examined.
+/// The maximum number of segments that one displacement search examines. If a segment is examined several
+/// times, each time counts.
 const MAX_SEARCH_WORK: usize = 20_000_000;
-/// The number of candidates above which only the greedy search is used. This limit bounds the depth of the
-/// recursion.
+/// The maximum number of candidates for a complete search, which bounds the depth of its recursion. For more
+/// candidates, only the greedy search is used.
 const MAX_SEARCHED_CANDIDATES: usize = 256;
 
-/// An occurrence that may be displaced. Every slice of candidates is in reverse order of rank: the
-/// occurrences that are the last to get slots come first.
+/// A candidate for displacement, which is an occurrence of a reservation. A slice of candidates is always
+/// ordered by rank, lowest first.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
-    /// The slot-milliseconds that the occurrence would lose.
+    /// The cost of displacing the occurrence: the slot-milliseconds that it would lose.
     pub(crate) cost: u64,
     pub(crate) usages: Vec<Usage>,
 }
 
-/// The slots that a candidate occupies in a range of segments.
+/// The slots that one allocation of a candidate occupies, and the range of segments over which it occupies
+/// them.
 #[derive(Clone, Debug)]
 pub(crate) struct Usage {
     pub(crate) segments: Range<usize>,
     pub(crate) slots: i64,
 }
 
-/// A set of candidates, by ascending index, whose displacement frees the missing slots.
+/// A set of candidates whose displacement frees all missing slots. The candidates are given by index, in
+/// ascending order.
 #[derive(Clone, Debug)]
 struct Cover {
     cost: u64,
     candidates: Vec<usize>,
 }
 
-/// The indices of the candidates to displace, in ascending order. `shortage` is the number of missing slots
-/// in each segment; it is 0 or less where enough are free.
+/// Returns the indices of the candidates to displace, in ascending order. `shortage` is the number of missing
+/// slots in each segment; it is 0 or less where enough slots are free.
 pub(crate) fn find_displacement(mut shortage: Vec<i64>, candidates: &[Candidate]) -> Vec<usize> {
     if shortage.iter().all(|&slots| slots <= 0) {
         return Vec::new();
@@ -73,8 +78,9 @@
 }
 
 /// Greedily chooses candidates whose displacement frees the missing slots, and returns their indices in
-/// ascending order. First takes, in the given order, each candidate that frees a missing slot. Then goes
-/// through the taken candidates in reverse order, and drops each candidate that is not needed.
+/// ascending order. First, goes through the candidates in the given order and takes each one that frees a
+/// missing slot. Then goes through the taken candidates in reverse order and drops each one that is not
+/// needed.
 fn greedy_cover(shortage: &[i64], candidates: &[Candidate]) -> Vec<usize> {
     let mut shortage = shortage.to_vec();
     let mut chosen = Vec::new();
@@ -97,12 +103,13 @@
     chosen
 }
 
-/// The state of a depth-first branch-and-bound search.
+/// The state of the complete search, which is a depth-first branch-and-bound search.
 struct DisplacementSearch<'a> {
     candidates: &'a [Candidate],
-    /// The slots that are still missing in each segment once the chosen candidates are displaced.
+    /// The number of slots in each segment that are still missing if the chosen candidates are displaced.
     shortage: &'a mut [i64],
-    /// For each candidate, whether the current branch has already chosen or excluded the candidate.
+    /// For each candidate, whether the current branch of the search skips it, because it is already chosen or
+    /// was already tried.
     is_decided: Vec<bool>,
     chosen: Vec<usize>,
     best: Cover,
@@ -110,7 +117,8 @@
 }
 
 impl DisplacementSearch<'_> {
-    /// Tries each candidate that frees slots in the first segment with a shortage, and continues recursively.
+    /// Takes the first segment with missing slots, and tries each candidate that occupies slots there. For
+    /// each of them, the search continues recursively.
     fn search_covers(&mut self, cost: u64) {
         self.work += self.shortage.len();
         let Some(segment) = self.shortage.iter().position(|&slots| slots > 0) else {
@@ -140,15 +148,15 @@
         }
     }
 
-    /// Whether a branch with one more candidate, at a total cost of `next_cost`, may lead to a better set of
-    /// candidates. Returns false once [`MAX_SEARCH_WORK`] is reached, which ends the search with a result
-    /// that may not be optimal.
+    /// Whether it can be useful to add one more candidate, which makes the total cost `next_cost`. Returns
+    /// false if the result could not be better than the best set found so far. Also returns false once
+    /// [`MAX_SEARCH_WORK`] is reached; the search then ends, and its result may not be optimal.
     fn may_improve(&self, next_cost: u64) -> bool {
         let best = (self.best.cost, self.best.candidates.len());
         (next_cost, self.chosen.len() + 1) <= best && self.work < MAX_SEARCH_WORK
     }
 
-    /// Replaces the best cover by the chosen candidates if they are better.
+    /// Stores the chosen candidates as the best set found so far, if they are better than that set.
     fn consider_chosen(&mut self, cost: u64) {
         let mut candidates = self.chosen.clone();
         candidates.sort_unstable();
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -1,6 +1,6 @@
-//! Events, which report the changes of claims, allocations and pools, and the rejection of commands.
+//! Events, which report changes of claims, allocations and pools, and rejected commands.
 //!
-//! The removal of a claim after its retention is not reported.
+//! The removal of a claim after its retention time is not reported.
 use copperspread_identifiers::Name;
 use serde::{Deserialize, Serialize};
 
@@ -10,33 +10,37 @@
 use crate::rejection::Rejection;
 use crate::time::UnixMillis;
 
-/// A change of the calendar, with its instant and cause. Every member of the fleet gets the same events.
+/// An event: a change of the calendar or a rejected command, with its instant and cause. Every member of the
+/// fleet gets the same events.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// The calendar's time when the log entry was applied. A change that time alone causes may have been due
-    /// earlier, because the calendar's time advances only with log entries.
+    /// The calendar's time when the event was created. This time advances only with log entries. Therefore a
+    /// change that is caused by the passing of time alone may have been due earlier.
     pub at: UnixMillis,
-    /// The command that caused the change; `None` if the change became due by time.
+    /// The id of the command that caused the event. `None` if the change was caused by the passing of time
+    /// alone.
     pub command: Option<CommandId>,
-    /// The content of the event: what happened to a claim, its allocations or a pool, or why a command was
+    /// What the event reports: what happened to a claim, its allocations or a pool, or why a command was
     /// rejected.
     pub change: Change,
 }
 
-/// The kinds of events that the calendar reports.
+/// What an event reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[non_exhaustive]
 pub enum Change {
-    /// The command was rejected because of one of its fields, its id or the claim's state; see [`Rejection`].
+    /// The command was rejected because of one of its fields, its id, or the state of the claim that it
+    /// names; see [`Rejection`].
     Rejected(Rejection),
-    /// A claim was proposed or changed its state, or stays proposed because it fits only by displacement.
+    /// A claim was proposed, or its state changed. Also reported if a new claim stays proposed because it
+    /// fits only if other claims are displaced.
     #[serde(rename = "Moved")]
     StateChanged(StateChange),
-    /// The allocations of one occurrence of a reservation were granted partially, or changed afterwards. A
+    /// One interval of a reservation was granted only partially, or its allocations changed afterwards. A
     /// reservation that is granted completely has no such event.
     #[serde(rename = "Granted")]
     AllocationsChanged(AllocationChange),
-    /// A pool's slots and zone were set.
+    /// A command set the slots and zone of a pool.
     #[serde(rename = "Capacity")]
     CapacityChanged(CapacityChange),
 }
@@ -48,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct variant Change::Moved")]
 pub struct StateChange {
-    /// The id of the claim.
+    /// The id of the claim that is new or whose state changed.
     pub claim: ClaimId,
     /// The state of the claim before the change; `None` for a new claim.
     pub from: Option<ClaimState>,
@@ -59,28 +63,30 @@
     pub reason: Reason,
 }
 
-/// The allocations of one occurrence of a reservation.
+/// The allocations of one interval of a reservation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct variant Change::Granted")]
 pub struct AllocationChange {
-    /// The id of the claim.
+    /// The id of the reservation's claim.
     pub claim: ClaimId,
-    /// The whole interval of the occurrence, which identifies the occurrence within its claim.
+    /// The whole requested interval for which the allocations are. It identifies the interval within its
+    /// claim.
     pub occurrence: Interval,
-    /// The allocations that the occurrence has now, in order of time.
+    /// All allocations that the reservation now has in this interval, in order of time.
     #[serde(rename = "pieces")]
     pub allocations: Vec<Allocation>,
     /// The reason why the allocations are partial or have changed.
     #[serde(rename = "why")]
     pub reason: Reason,
-    /// The nearest interval of the same length that fits and starts at most 30 days from the requested start,
-    /// if one was found. The search takes place only if a displacement leaves the occurrence without
-    /// allocations from now on; `None` in a partial grant.
+    /// The nearest interval in which the reservation would fit. It has the same length, and starts at most 30
+    /// days before or after the requested start. The calendar searches for it only if a displacement leaves
+    /// this interval without allocations from now on. `None` if the calendar did not search or found no such
+    /// interval.
     #[serde(rename = "offer")]
     pub alternative: Option<Interval>,
 }
 
-/// The new size and zone of a pool.
+/// The new number of slots and the new zone of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct variant Change::Capacity")]
 pub struct CapacityChange {
@@ -92,62 +98,64 @@
     pub slots: u32,
 }
 
-/// The reason for a change of a claim's state or allocations.
+/// The reason why a claim's state or allocations changed, or why a claim stays proposed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[non_exhaustive]
 pub enum Reason {
-    /// The change was requested by a command.
+    /// A command requested the change of the claim.
     #[error("asked for")]
     #[serde(rename = "Asked")]
     Requested,
-    /// The claim fits as requested.
+    /// The claim is held because it fits as requested.
     #[error("fits as requested")]
     Fits,
-    /// The claim fits only partially, and its request accepts a partial grant.
+    /// Only a part of the requested reservation fits, and the request accepts a partial grant.
     #[error("fits partially, as the request accepts")]
     #[serde(rename = "LessFits")]
     FitsPartially,
-    /// The claim fits only if the claims listed here are displaced, which happens when the claim is
-    /// confirmed.
+    /// The claim stays proposed because it fits only if other claims are displaced. The list contains the ids
+    /// of these claims; they are displaced when this claim is confirmed.
     #[error("fits only by displacement (claims to displace: {})", .0.len())]
     #[serde(rename = "NeedsRoom")]
     RequiresDisplacement(Vec<ClaimId>),
-    /// The claim does not fit, even if all occurrences that it may displace are displaced.
+    /// The claim is rejected because it does not fit, even if everything that it may displace were displaced.
     #[error("infeasible: blocked from {} to {}", .blocked.start, .blocked.end)]
     Infeasible {
-        /// The first segment in which the claim does not fit.
+        /// The first part of the requested intervals in which the claim does not fit.
         blocked: Interval,
-        /// The nearest interval of the same length that fits and starts at most 30 days from the requested
-        /// start, if one was found.
+        /// The nearest interval in which the claim would fit. It has the same length, and starts at most 30
+        /// days before or after the requested start. `None` if no such interval was found.
         #[serde(rename = "offer")]
         alternative: Option<Interval>,
     },
-    /// The last interval of the claim ended before the claim was confirmed.
+    /// The claim is rejected because its last interval had ended before a command confirmed it.
     #[error("in the past")]
     #[serde(rename = "Past")]
     InThePast,
-    /// The hold of the claim ended before the claim was confirmed.
+    /// The claim lapsed because no command confirmed it before its hold ended.
     #[error("not confirmed before its hold ended")]
     #[serde(rename = "HoldEnded")]
     HoldExpired,
-    /// The first interval of the claim started, or the last interval of the claim ended.
+    /// The claim became active because its first interval started, or became done because its last interval
+    /// ended.
     #[error("start or end reached")]
     #[serde(rename = "TimeCame")]
     TimeReached,
-    /// Allocations of the claim were displaced by a reservation of higher precedence.
+    /// Allocations of the claim were displaced by a reservation of higher precedence, whose claim id is given
+    /// here.
     #[error("displaced by claim {0}")]
     #[serde(rename = "RoomFor")]
     DisplacedBy(ClaimId),
-    /// Allocations of the claim were displaced by a blackout.
+    /// Allocations of the claim were displaced by a blackout, whose claim id is given here.
     #[error("displaced by blackout {0}")]
     #[serde(rename = "Blackout")]
     DisplacedByBlackout(ClaimId),
-    /// The slots or zone of the claim's pool changed.
+    /// Allocations of the claim changed because a command set the slots and zone of its pool.
     #[error("the pool's slots or zone changed")]
     PoolChanged,
 }
 
-/// Collects the events of one log entry, and adds the instant and the command to each.
+/// Collects the events of one log entry. Each event gets the instant `at` and the id `command`.
 pub(crate) struct EventBuffer<'a> {
     pub(crate) at: UnixMillis,
     pub(crate) command: Option<&'a CommandId>,
@@ -155,12 +163,12 @@
 }
 
 impl EventBuffer<'_> {
-    /// Adds an event for a change.
+    /// Adds an event that reports a change.
     pub(crate) fn push(&mut self, change: Change) {
         self.events.push(Event { at: self.at, command: self.command.cloned(), change });
     }
 
-    /// Adds an event for a claim that is new (`from` is `None`) or changes its state.
+    /// Adds the event for a new claim (`from` is `None`), or for a claim whose state changes.
     pub(crate) fn push_state_change(
         &mut self,
         claim: &ClaimId,
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -1,4 +1,4 @@
-//! Lookup structures that are derived from the claims. They are not part of the stored state.
+//! Lookup structures over the claims. They are derived from the claims and are not part of the stored state.
 use std::collections::{BTreeMap, BTreeSet};
 
 use copperspread_identifiers::Name;
@@ -11,13 +11,14 @@
 use crate::limits::BLACKOUT_LOOKAHEAD;
 use crate::time::{MILLISECOND, SpanMillis, UnixMillis};
 
-/// The allocations of one pool.
+/// Lookup structures over the allocations in one pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolIndex {
-    /// The number of allocated slots, by the instant from which the number holds; it holds until the next
+    /// The number of allocated slots over time. Each number holds from its instant in the map until the next
     /// instant in the map.
     levels: BTreeMap<UnixMillis, i64>,
-    /// The allocations of the held, confirmed and active claims.
+    /// The intervals of the allocations of all held, confirmed and active claims, each with the key of its
+    /// occurrence.
     pub(crate) allocations: IntervalMap<UnixMillis, OccurrenceKey>,
 }
 
@@ -25,26 +26,28 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Index {
     pub(crate) pools: BTreeMap<Name, PoolIndex>,
-    /// The intervals of the confirmed and active blackouts.
+    /// The intervals of the confirmed and active blackouts, by the work to which they apply.
     pub(crate) blackouts: BTreeMap<BlackoutTarget, IntervalMap<UnixMillis, ClaimId>>,
     /// The instants at which the [`Allowances`](crate::Allowances) change, each with the number of changes at
-    /// that instant. A change is the start or the end of an interval of a confirmed or active claim, or the
-    /// instant [`BLACKOUT_LOOKAHEAD`] before a [`BlackoutEffect::NoWork`] blackout starts.
+    /// that instant. Each interval of a confirmed or active claim counts as a change at its start and at its
+    /// end. The interval of a [`BlackoutEffect::NoWork`] blackout also counts as a change
+    /// [`BLACKOUT_LOOKAHEAD`] before its start.
     pub(crate) allowance_changes: BTreeMap<UnixMillis, u32>,
-    /// The instants at which claims are due for a transition or removal. Outdated entries stay in the set and
-    /// are skipped when they are due.
+    /// The instants at which claims are due for a state transition or for their removal. An entry becomes
+    /// outdated when the claim changes. Outdated entries stay in the set, and are skipped when they are due.
     pub(crate) due_claims: BTreeSet<(UnixMillis, ClaimId)>,
     pub(crate) occurrence_count: usize,
 }
 
-/// Whether an update adds a claim's entries or removes them.
+/// Whether the entries of a claim are added to the lookup structures or removed from them.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Update {
     Add,
     Remove,
 }
 
-/// The entries that overlap an interval. An empty interval, on which the map would panic, has none.
+/// The entries of the map that overlap an interval. No entry overlaps an empty interval; the map is not asked
+/// for one, because it would panic.
 pub(crate) fn overlapping<V>(
     map: &IntervalMap<UnixMillis, V>,
     interval: Interval,
@@ -73,8 +76,8 @@
         }
     }
 
-    /// The segments of an interval within which the number of allocated slots is constant, each with that
-    /// number.
+    /// Divides an interval into segments within which the number of allocated slots is constant. Returns each
+    /// segment with that number.
     pub(crate) fn segments(&self, interval: Interval) -> Vec<(Interval, i64)> {
         let mut segments = Vec::new();
         let (mut start, mut level) = (interval.start, self.level_at(interval.start));
@@ -88,7 +91,7 @@
         segments
     }
 
-    /// The segments from an instant on in which more than `slots` slots are allocated.
+    /// The segments from the instant `from` on in which more than `slots` slots are allocated.
     pub(crate) fn segments_above(&self, from: UnixMillis, slots: i64) -> Vec<Interval> {
         let end = self.levels.last_key_value().map_or(from, |(edge, _)| *edge);
         let segments = self.segments(Interval { start: from, end });
@@ -97,7 +100,7 @@
 }
 
 impl Index {
-    /// Adds the entries of a claim to the lookup structures.
+    /// Adds a claim's entries to the lookup structures.
     pub(crate) fn insert_claim(&mut self, id: &ClaimId, claim: &Claim) {
         self.occurrence_count += claim.occurrences.len();
         self.insert_due(id, claim);
@@ -105,15 +108,16 @@
         self.update_allowance_changes(id, claim, Update::Add);
     }
 
-    /// Removes a claim's entries. The claim must not have changed since its entries were added.
+    /// Removes a claim's entries from the lookup structures. The claim must not have changed since its
+    /// entries were added.
     pub(crate) fn remove_claim(&mut self, id: &ClaimId, claim: &Claim) {
         self.occurrence_count -= claim.occurrences.len();
         self.update_allocations(id, claim, Update::Remove);
         self.update_allowance_changes(id, claim, Update::Remove);
     }
 
-    /// Changes a claim's state and updates its entries. The old and the new state must either both occupy
-    /// capacity or both not.
+    /// Changes a claim's state and updates its entries in the lookup structures. The allocations are not
+    /// updated. Therefore the old and the new state must either both occupy capacity or both not.
     pub(crate) fn update_state(&mut self, id: &ClaimId, claim: &mut Claim, change: impl FnOnce(&mut Claim)) {
         self.update_allowance_changes(id, claim, Update::Remove);
         change(claim);
--- a/crates/reservations/src/interval.rs
+++ b/crates/reservations/src/interval.rs
@@ -13,36 +13,37 @@
 }
 
 impl Interval {
-    /// The length of the interval; zero if it ends at or before its start.
+    /// The length of the interval; zero if the end is not after the start.
     pub fn length(self) -> SpanMillis {
         self.end.saturating_since(self.start).max(SpanMillis::ZERO)
     }
 
-    /// Whether two non-empty intervals have an instant in common.
+    /// Whether this interval has an instant in common with another interval. Both must be non-empty.
     pub fn overlaps(self, other: Interval) -> bool {
         self.start < other.end && other.start < self.end
     }
 }
 
-/// A constant number of slots over an interval.
+/// An allocation: a constant number of slots over an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename = "Piece", expecting = "struct Piece")]
 pub struct Allocation {
     /// The interval over which the slots are allocated.
     pub interval: Interval,
-    /// The number of allocated slots.
+    /// The number of slots that are allocated over the whole interval.
     pub slots: u32,
 }
 
 impl Allocation {
-    /// The product of slots and milliseconds, or `u64::MAX` if it is larger.
+    /// The number of slots times the length of the interval, in slot-milliseconds. `u64::MAX` if the product
+    /// is larger.
     pub fn slot_millis(self) -> u64 {
         self.interval.length().0.unsigned_abs().saturating_mul(self.slots.into())
     }
 }
 
-/// Merges consecutive allocations that adjoin and have the same number of slots, so that lists of equal
-/// effect compare equal.
+/// Merges consecutive allocations that adjoin and have the same number of slots. Therefore lists that
+/// allocate the same slots at the same times compare equal.
 pub(crate) fn merge_adjacent(allocations: impl IntoIterator<Item = Allocation>) -> Vec<Allocation> {
     let mut merged: Vec<Allocation> = Vec::new();
     for allocation in allocations {
@@ -58,7 +59,7 @@
     merged
 }
 
-/// Removes the parts of the allocations that lie at `now` or later.
+/// Removes the part of each allocation that lies at `now` or later.
 pub(crate) fn truncate_at(allocations: &mut Vec<Allocation>, now: UnixMillis) {
     allocations.retain(|allocation| allocation.interval.start < now);
     for allocation in allocations {
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -1,9 +1,9 @@
-//! Replicated calendar of a fleet's reservations and blackouts: it decides which claims get which slots of
+//! Replicated calendar of a fleet's reservations and blackouts. It decides which claims get which slots of
 //! which pools, and when. A claim is a request for a reservation or a blackout.
 //!
 //! The crate does no I/O and reads no clock. Commands come from the replicated log, each with the instant at
-//! which the command applies; applying a command returns events. Every member that applies the same log gets
-//! the same events and the same serialized state.
+//! which it applies. Applying a command returns events. Every member that applies the same log gets the same
+//! events and the same serialized state.
 //!
 //! ```text
 //!  command ──► Calendar::apply ──► deduplication ──► proposal, confirmation, capacity ──► events
@@ -16,20 +16,20 @@
 //!  store ──► allowance_query ──► allowances(at), next_change_after(at)
 //! ```
 //!
-//! 1. A proposed claim is held, or rejected, or stays proposed if it fits only by displacing others. Such a
-//!    claim displaces the others when it is confirmed. A held claim becomes confirmed, active and done,
-//!    unless it is displaced, withdrawn, or lapses (`claim_state`). A recurrence by local time is expanded to
-//!    instants when it is proposed (`recurrence`).
-//! 2. Conflicts are resolved in this order: a blackout overrides every reservation that it applies to; a
-//!    reservation never displaces an occurrence that has started or starts within the displacement notice;
-//!    the higher precedence wins; the claim that became held earlier wins (confirmed earlier, if a claim
-//!    never was held); the lower claim id wins.
+//! 1. A proposed claim is held if it fits, stays proposed if it fits only by displacing other claims, and
+//!    is rejected otherwise. A claim that stays proposed displaces the others when it is confirmed. A held
+//!    claim becomes confirmed, then active, then done, unless it is displaced, withdrawn, or lapses
+//!    (`claim_state`). A recurrence by local time is expanded to instants when it is proposed (`recurrence`).
+//! 2. Conflicts are resolved by these rules, in this order. A blackout overrides every reservation to
+//!    which it applies. A reservation never displaces an interval of another one that has started or starts
+//!    within the displacement notice. The higher precedence wins. The claim that was held earlier wins; for a
+//!    claim that was never held, the instant of its confirmation counts. The lower claim id wins.
 //! 3. The stored state uses ordered maps only, so that its serialized form is deterministic.
 //!
 //! Some serialized names differ from the Rust names. The serialized names are part of the stored form and
 //! must not change. The `expecting` attributes make the errors for malformed data use the serialized names.
 //!
-//! The crate does not check who may propose which claims: the program that appends commands to the log must
+//! The crate does not check who may propose which claims. The program that appends commands to the log must
 //! do so. The complete rules of the calendar are in `docs/design/0004-fleet.md`.
 #![forbid(unsafe_code)]
 
--- a/crates/reservations/src/planner.rs
+++ b/crates/reservations/src/planner.rs
@@ -1,42 +1,47 @@
-//! Planning of one request over segments: how much of it is granted, and which candidates are displaced for
-//! it. The result depends only on the given segments and candidates, not on the store.
+//! Planning of one request over the segments of its interval: how many slots are granted, and which
+//! candidates are displaced for them. Neither free slots nor blackouts change within a segment. A candidate
+//! is an occurrence of a reservation that may be displaced. The result depends only on the given segments and
+//! candidates, not on the store.
 //!
-//! 1. The grant is the most that would fit if every candidate were displaced: the whole request, or else as
-//!    much as its flexibility accepts.
+//! 1. The grant is the most that would fit if every candidate were displaced: the whole request, or else
+//!    as much as its flexibility accepts.
 //! 2. Of all ways to make the grant fit, the one with the least displacement is used (see
 //!    `displacement_search`).
 use crate::command::Flexibility;
 use crate::displacement_search::{Candidate, find_displacement};
 use crate::interval::{Allocation, Interval, merge_adjacent};
 
-/// An interval within which neither free slots nor blackouts change.
+/// A segment, which is a part of an interval within which neither the free slots nor the blackouts of a pool
+/// change.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Segment {
     pub(crate) interval: Interval,
-    /// The number of unallocated slots; negative if the pool has shrunk below what is allocated.
+    /// The number of the pool's slots that are not allocated in this segment. It is negative if the pool now
+    /// has fewer slots than are allocated.
     pub(crate) free_slots: i64,
-    /// Whether a blackout applies, so that nothing is granted.
+    /// Whether a blackout applies in this segment, so that no slots are granted.
     pub(crate) is_blacked_out: bool,
 }
 
-/// The plan for one request: the granted allocations, and the candidates (by ascending index) that must be
-/// displaced for them.
+/// The plan for one request: the granted allocations, and the candidates that must be displaced for them. The
+/// candidates are given by index, in ascending order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AllocationPlan {
     pub(crate) allocations: Vec<Allocation>,
     pub(crate) displaced: Vec<usize>,
-    /// Whether the plan grants the whole request, and not only a part that its flexibility accepts.
+    /// Whether the plan grants the whole request. If not, it grants a part that the request's flexibility
+    /// accepts.
     pub(crate) is_complete: bool,
 }
 
-/// The slots granted to a request, for each segment of its interval.
+/// The number of slots that a request is granted in each segment of its interval.
 struct Grant {
     slots: Vec<i64>,
     is_complete: bool,
 }
 
-/// Plans a request for `slots` slots over the segments. The candidates are in the order in which they are to
-/// be displaced.
+/// Plans the grant of `slots` slots over the segments of a request's interval. The candidates must be in the
+/// order in which they are preferably displaced.
 ///
 /// # Errors
 /// The first segment in which the request does not fit.
@@ -57,7 +62,7 @@
     Ok(AllocationPlan { allocations: allocations(segments, &granted), displaced, is_complete })
 }
 
-/// The slots that would be free in each segment if every candidate were displaced.
+/// The number of slots in each segment that would be free if every candidate were displaced.
 fn max_available_slots(segments: &[Segment], candidates: &[Candidate]) -> Vec<i64> {
     let mut available: Vec<i64> = segments
         .iter()
@@ -72,10 +77,10 @@
     available
 }
 
-/// The largest grant of the available slots that the request accepts.
+/// Returns the largest grant that the request accepts and that fits into the available slots.
 ///
 /// # Errors
-/// The first segment in which the request does not fit, if it accepts no grant.
+/// The first segment in which the whole request does not fit, if no accepted part of the request fits either.
 fn choose_grant(
     slots: u32,
     flexibility: Flexibility,
@@ -101,14 +106,14 @@
 }
 
 /// Grants the same number of slots in every segment: as many as are available in all segments, but no more
-/// than requested. Grants nothing if that number is below the minimum.
+/// than requested. If that number is below the minimum, grants nothing.
 fn constant_grant(requested: i64, min_slots: i64, max_available: &[i64]) -> Vec<i64> {
     let level = max_available.iter().copied().min().unwrap_or(0).min(requested);
     if level >= min_slots { vec![level; max_available.len()] } else { Vec::new() }
 }
 
 /// Grants as many slots in each segment as are available in that segment, but no more than requested. A
-/// segment with fewer available slots than the minimum gets none.
+/// segment gets no slots if fewer than the minimum are available.
 fn split_grant(requested: i64, min_slots: i64, max_available: &[i64]) -> Vec<i64> {
     let grant = |&available: &i64| if available >= min_slots { available.min(requested) } else { 0 };
     max_available.iter().map(grant).collect()
--- a/crates/reservations/src/proposal.rs
+++ b/crates/reservations/src/proposal.rs
@@ -1,4 +1,4 @@
-//! Implementation of the commands that propose claims.
+//! The commands that propose reservations and blackouts.
 use std::collections::BTreeSet;
 
 use crate::claim::ClaimRequest;
@@ -10,7 +10,7 @@
 use crate::rejection::{FieldError, Rejection};
 use crate::store::ClaimStore;
 
-/// Adds a blackout to the calendar, and holds it at once.
+/// Adds a blackout to the calendar, in the state held. A blackout always fits.
 ///
 /// # Errors
 /// The first invalid field, or the limit that is reached. After an error, nothing has changed.
@@ -27,8 +27,8 @@
     transition_proposed(store, id, Transition::Hold, Reason::Fits, events)
 }
 
-/// Adds a reservation to the calendar. It is held if it fits, stays proposed if it fits only by displacement,
-/// and is rejected otherwise.
+/// Adds a reservation to the calendar. It is held if it fits, and stays proposed if it fits only by
+/// displacing others. Otherwise it is rejected.
 ///
 /// # Errors
 /// The first invalid field, or the limit that is reached. After an error, nothing has changed.
@@ -68,11 +68,11 @@
     store.transition(id, transition, reason, events).map_err(|error| Rejection::new("claim", error))
 }
 
-/// The requested amount in slots of the pool.
+/// The number of slots that a reservation requests; a fraction of the pool is converted to slots.
 ///
 /// # Errors
-/// The pool is unknown, the amount is less than one slot, or it exceeds the pool and the request does not
-/// accept fewer slots.
+/// The pool is unknown. The amount is less than one slot. The amount exceeds the pool's slots, and the
+/// request does not accept fewer slots.
 fn requested_slots(store: &ClaimStore, reservation: &ReservationRequest) -> Result<u32, Rejection> {
     let pool = store.pools().get(&reservation.pool);
     let pool = pool.ok_or(Rejection::new("pool", FieldError::Unknown))?;
--- a/crates/reservations/src/reallocation.rs
+++ b/crates/reservations/src/reallocation.rs
@@ -1,5 +1,6 @@
-//! Displacement: releases the remaining allocations of some occurrences, and allocates the free slots to them
-//! again in the order of their rank.
+//! Displacement of reservations. It releases the remaining allocations of some occurrences, and then
+//! allocates the free slots to these occurrences again, in the order of their rank. An occurrence is one
+//! interval of a reservation.
 use std::collections::BTreeSet;
 
 use crate::alternative::nearest_interval;
@@ -14,13 +15,13 @@
 use crate::store::ClaimStore;
 use crate::time::SpanMillis;
 
-/// An occurrence whose remaining allocations were released.
+/// An occurrence whose remaining allocations were released, with the allocations that it had before.
 pub(crate) struct ReleasedOccurrence {
     key: OccurrenceKey,
     allocations_before: Vec<Allocation>,
 }
 
-/// A released occurrence with its rank.
+/// A released occurrence with its rank, and with the allocations that it had before the release.
 struct RankedOccurrence {
     rank: Rank,
     allocations_before: Vec<Allocation>,
@@ -32,7 +33,7 @@
     }
 }
 
-/// Releases the allocations that occurrences have from now on.
+/// Releases the allocations that the given occurrences have from now on.
 pub(crate) fn release<'a>(
     store: &mut ClaimStore,
     keys: impl IntoIterator<Item = &'a OccurrenceKey>,
@@ -51,9 +52,9 @@
     released
 }
 
-/// Allocates free slots to released occurrences in the order of their rank, and reports the occurrences whose
-/// allocations differ from those before the release. A claim that has no allocations left from now on is
-/// displaced.
+/// Allocates free slots to released occurrences again, in the order of their rank. Adds an event for each
+/// occurrence whose allocations are not the same as before the release. A claim that has no allocations left
+/// from now on becomes displaced.
 pub(crate) fn reallocate(
     store: &mut ClaimStore,
     released: Vec<ReleasedOccurrence>,
@@ -64,8 +65,8 @@
     for occurrence in &ranked {
         allocate_free_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
-    // Occurrences get more slots than before only after all others have got theirs back, so that they take no
-    // slots from occurrences that had these slots before the release.
+    // An occurrence gets more slots than before only after all others have got theirs back. Otherwise it
+    // could take the slots that another occurrence had before the release.
     for occurrence in &ranked {
         grow_to_requested_slots(store, &occurrence.rank.key, occurrence.max_slots_before());
     }
@@ -90,23 +91,24 @@
     ranked
 }
 
-/// Allocates free slots to an occurrence: `max_slots` or the requested number, whichever is lower. If that
-/// many slots are not free over the rest of its interval, allocates what the flexibility of the request
-/// accepts, which may be fewer slots or only parts of the interval, and otherwise none.
+/// Allocates free slots to an occurrence: `max_slots` or the requested number, whichever is lower.
+///
+/// If that many slots are not free over the rest of the occurrence's interval, allocates what the request's
+/// flexibility accepts. This may be fewer slots, only parts of the interval, or nothing.
 fn allocate_free_slots(store: &mut ClaimStore, key: &OccurrenceKey, max_slots: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
     let mut flexibility = reservation.flexibility;
-    // An occurrence that has started keeps the parts of its interval that still fit, even if its request does
-    // not accept a split.
+    // An occurrence that has started keeps the parts of its interval that still fit. This holds even if its
+    // request does not accept that parts are left out.
     flexibility.allows_split |= occurrence.interval.start <= store.now();
     let slots = max_slots.min(claim.requested_slots);
     allocate_rest(store, key, slots, flexibility, &[]);
 }
 
-/// Allocates all requested slots to an occurrence if it had fewer slots before, its amount is a fraction of
-/// the pool, and that many slots are free over the rest of its interval. This happens mainly after the pool
-/// has grown.
+/// Allocates all requested slots to an occurrence that had fewer slots before. This is done only if the
+/// request is for a fraction of the pool and that many slots are free over the rest of the interval. It
+/// happens mainly after the pool has grown.
 fn grow_to_requested_slots(store: &mut ClaimStore, key: &OccurrenceKey, slots_before: u32) {
     let Some((claim, occurrence)) = store.occurrence(key) else { return };
     let Some(reservation) = claim.reservation() else { return };
@@ -117,8 +119,8 @@
     }
 }
 
-/// Plans the allocations of an occurrence from now on. If the plan succeeds, it replaces the allocations that
-/// the occurrence had from now on. The allocations of the `released` occurrences count as free.
+/// Plans the allocations of an occurrence from now on. If the request fits, the planned allocations replace
+/// those that the occurrence had from now on. The allocations of the `released` occurrences count as free.
 fn allocate_rest(
     store: &mut ClaimStore,
     key: &OccurrenceKey,
@@ -145,9 +147,9 @@
     });
 }
 
-/// Reports an occurrence whose allocations differ from `allocations_before`, which it had before their
-/// release. If the occurrence has no allocations left from now on, the report includes an alternative, if one
-/// is found: the nearest interval in which the reservation fits.
+/// Adds an event for an occurrence if its allocations differ from `allocations_before`, which it had before
+/// the release. If the occurrence has no allocations left from now on, the event contains the nearest
+/// interval in which the reservation would fit, if one is found.
 fn report_change(
     store: &ClaimStore,
     key: &OccurrenceKey,
@@ -182,7 +184,7 @@
     let claim = store.claim(id);
     let last_end = claim.and_then(|claim| claim.effective_intervals().map(|interval| interval.end).max());
     if last_end.is_none_or(|end| end <= store.now()) {
-        // The transition cannot fail: a claim with released allocations occupies capacity, and every state
+        // The transition cannot fail. A claim with released allocations occupies capacity, and every state
         // that occupies capacity allows displacement.
         let _ = store.transition(id, Transition::Displace, reason.clone(), events);
     }
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -1,4 +1,4 @@
-//! Recurrences by local time, with rules for the hours that a clock change skips or repeats.
+//! Claims that recur by local time, with rules for the hours that a clock change skips or repeats.
 use std::collections::BTreeSet;
 
 use copperspread_identifiers::Name;
@@ -11,51 +11,51 @@
 use crate::rejection::{FieldError, Rejection};
 use crate::time::{DAY, UnixMillis};
 
-/// The minutes of a local day without a clock change.
+/// The number of minutes in a local day on which the clocks are not changed.
 pub(crate) const MINUTES_PER_DAY: u16 = 1_440;
 
-/// A recurring interval of the local day, on certain days, between two instants.
+/// An interval of the local day that recurs on certain days, between the instants `not_before` and `until`.
 ///
-/// A start or end within an hour that a clock change skips is moved to the instant of the change. Within an
-/// hour that is repeated, a start is in the first pass and an end in the second, so that the interval
-/// contains every instant whose local time lies between the two.
+/// If a clock change skips the local time of a start or an end, the instant of the clock change is used
+/// instead. If a clock change repeats an hour, a start in that hour is taken the first time, and an end the
+/// second time. The interval then contains every instant whose local time lies between the two.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Repeat", expecting = "struct Repeat")]
 pub struct Recurrence {
     /// The name of the time zone in the IANA database, such as `Africa/Cairo`.
     pub zone: Name,
-    /// The local days on which an occurrence starts.
+    /// The local days on which the recurring interval starts.
     pub days: RecurrenceDays,
-    /// The start in minutes since local midnight, 0 to 1,439.
+    /// The start of the recurring interval in minutes since local midnight, 0 to 1,439.
     #[serde(rename = "from")]
     pub start_minute: u16,
-    /// The end in minutes since local midnight, 0 to 1,440. An end at or before `start_minute` is on the next
-    /// day.
+    /// The end of the recurring interval in minutes since local midnight, 0 to 1,440. An end at or before
+    /// `start_minute` is on the next day.
     #[serde(rename = "to")]
     pub end_minute: u16,
-    /// The instant before which no occurrence starts.
+    /// The instant before which no interval starts.
     #[serde(rename = "first")]
     pub not_before: UnixMillis,
-    /// The instant after which no occurrence ends.
+    /// The instant after which no interval ends.
     pub until: UnixMillis,
 }
 
-/// The local days on which a recurrence has an occurrence.
+/// The local days on which a recurring interval starts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "Days")]
 pub enum RecurrenceDays {
-    /// Days of the week, from 1 for Monday to 7 for Sunday.
+    /// Days of the week on which the interval starts, from 1 for Monday to 7 for Sunday.
     #[serde(rename = "Week")]
     Weekdays(BTreeSet<u8>),
-    /// Days of the month: 1 to 31 counted from the start of the month, or -1 (the last day) to -31 counted
-    /// from the end of the month. A day that a month does not have is skipped.
+    /// Days of the month on which the interval starts. 1 to 31 count from the start of the month; -1 (the
+    /// last day) to -31 count from the end. A day that a month does not have is skipped.
     #[serde(rename = "Month")]
     MonthDays(BTreeSet<i8>),
 }
 
 impl RecurrenceDays {
-    /// Checks that there is at least one day, and that all days are in range. Day 0 of the month, which does
-    /// not exist, is reported as out of the range -31 to 31.
+    /// Checks that there is at least one day, and that all days are in range. Day 0 of the month does not
+    /// exist; the error for it gives the range as -31 to 31.
     pub(crate) fn validate(&self) -> Result<(), Rejection> {
         match self {
             RecurrenceDays::Weekdays(days) => {
@@ -97,8 +97,8 @@
     }
 }
 
-/// Whether a local time is the start or the end of an interval. In a repeated hour, a local time stands for
-/// two instants, and the bound decides which of them is meant.
+/// Whether a local time is the start or the end of an interval. If a clock change repeats an hour, a local
+/// time in that hour stands for two instants. The earlier is used for a start, and the later for an end.
 #[derive(Clone, Copy)]
 enum IntervalBound {
     Start,
@@ -106,19 +106,19 @@
 }
 
 impl Recurrence {
-    /// At most the first `max_count` occurrences that end after `now`, in order of time and disjoint. An
-    /// occurrence that has started begins at `now`.
+    /// Returns the first intervals of the recurrence that end after `now`, at most `max_count`. They are in
+    /// order of time and do not overlap. An interval that has already started begins at `now`.
     ///
     /// # Errors
     /// The time zone is unknown.
     pub(crate) fn occurrences(&self, now: UnixMillis, max_count: usize) -> Result<Vec<Interval>, Rejection> {
-        // The bundled time zone database is used, because the databases of the members' operating systems may
-        // differ.
+        // The time zone database that is compiled into the program is used. The databases of the members'
+        // operating systems may differ, and then the members would compute different intervals.
         let zone = TimeZoneDatabase::bundled()
             .get(self.zone.as_str())
             .map_err(|_| Rejection::new("when.zone", FieldError::Unknown))?;
         let mut occurrences: Vec<Interval> = Vec::new();
-        // The search starts two days early, because an occurrence may already have started.
+        // The search starts two days early, to find an interval that has already started.
         let search_start = self.not_before.max(now).saturating_sub(2 * DAY);
         let Ok(search_start) = Timestamp::from_millisecond(search_start.0) else { return Ok(occurrences) };
         let mut date = zone.to_datetime(search_start).date();
@@ -129,9 +129,9 @@
                 break;
             }
             let is_included = self.days.contains(date) && start >= self.not_before && end <= self.until;
-            // An occurrence begins no earlier than the end of the previous occurrence. Without this rule, the
-            // two could overlap in an hour that is repeated because clocks are set back: an end in that hour
-            // is taken from the second pass, and a start from the first pass.
+            // An interval begins no earlier than the end of the previous one. Without this rule, the two
+            // could overlap when clocks are set back and an hour is repeated: an end in that hour is taken
+            // the second time, and a start the first time.
             let start = start.max(last_end).max(now);
             if is_included && start < end {
                 occurrences.push(Interval { start, end });
@@ -152,7 +152,7 @@
     }
 }
 
-/// The local time on a date that is `minute_of_day` minutes after midnight by the clock. A value of
+/// The local time that the clock shows `minute_of_day` minutes after midnight on a date. A value of
 /// [`MINUTES_PER_DAY`] stands for the midnight at the end of the date.
 fn local_time(date: Date, minute_of_day: u16) -> Option<DateTime> {
     let (date, minute_of_day) =
@@ -166,9 +166,9 @@
     let ambiguous = zone.to_ambiguous_timestamp(local);
     let timestamp = match (ambiguous.offset(), bound) {
         (AmbiguousOffset::Gap { .. }, _) => {
-            // This local time is skipped by a clock change, and the instant of the change is used instead.
-            // `ambiguous.later()` is at the change or less than a day after the change, so the change is the
-            // last clock change up to `ambiguous.later()`.
+            // A clock change skips this local time, so the instant of the clock change is used instead.
+            // `ambiguous.later()` is at that instant or less than a day after it. Therefore the last clock
+            // change up to `ambiguous.later()` is the right one.
             let after_change = ambiguous.later().ok()?.checked_add(SignedDuration::from_millis(1)).ok()?;
             zone.preceding(after_change).next()?.timestamp()
         }
--- a/crates/reservations/src/rejection.rs
+++ b/crates/reservations/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Errors for which a command is rejected.
+//! Errors with which a command is rejected.
 use std::borrow::Cow;
 
 use serde::{Deserialize, Serialize};
@@ -6,18 +6,18 @@
 use crate::claim_state::InvalidTransition;
 use crate::time::UnixMillis;
 
-/// The error of a rejected command, with the field that caused it.
+/// The error with which a command is rejected, and the field of the command that caused it.
 ///
-/// A rejected command changes nothing, but its id is recorded like that of an applied command, so that a
-/// repeated command counts as a duplicate. The id is not recorded if the rejected field is the instant `at`
-/// or a part of the id.
+/// A rejected command changes nothing in the calendar, but its id is recorded like that of an applied
+/// command. Therefore the same command counts as a duplicate if it is repeated. The id is not recorded if the
+/// field is the instant `at` or a part of the id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{field}: {error}")]
 #[serde(rename = "Refusal", expecting = "struct Refusal")]
 pub struct Rejection {
-    /// The field, named as in the serialized command, such as `when.end`; `at` for the instant of the log
-    /// entry; `confirm` or `withdraw` for the claim that such a command names; `claim` for the new claim
-    /// itself.
+    /// The name of the field as in the serialized command, such as `when.end`. Some names are no field of a
+    /// command: `at` is the instant of the log entry, `confirm` or `withdraw` is the claim that such a
+    /// command names, and `claim` is the new claim itself.
     pub field: Cow<'static, str>,
     /// What is wrong with the field's value.
     #[serde(rename = "fault")]
@@ -30,12 +30,12 @@
     }
 }
 
-/// What can be wrong with a field of a command.
+/// What is wrong with a field of a rejected command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename = "Fault", expecting = "struct variant Fault::Range")]
 #[non_exhaustive]
 pub enum FieldError {
-    /// The value is below its minimum or above its maximum.
+    /// The value of the field is below its minimum or above its maximum.
     #[error("not in the range {min} to {max}")]
     #[serde(rename = "range")]
     OutOfRange {
@@ -46,41 +46,44 @@
         #[serde(rename = "most")]
         max: i64,
     },
-    /// The interval ends at or before its start, a set has no elements, or a recurrence has no occurrence.
+    /// The interval ends at or before its start, a recurrence names no days, or a recurrence has no interval.
     #[error("empty")]
     #[serde(rename = "empty")]
     Empty,
-    /// The interval ended before the command was applied.
+    /// The requested interval ended before the command was applied.
     #[error("in the past")]
     #[serde(rename = "past")]
     InThePast,
-    /// The number of claims, occurrences, pools or members would exceed the limit.
+    /// The command would make the number of claims, occurrences, pools or members exceed the limit that is
+    /// given here.
     #[error("exceeds the limit of {0}")]
     #[serde(rename = "too_many")]
     LimitExceeded(u64),
-    /// There is no claim, pool or time zone of this id or name.
+    /// There is no claim with this id, or no pool or time zone with this name.
     #[error("unknown")]
     #[serde(rename = "unknown")]
     Unknown,
-    /// The amount is less than one slot at the current size of the pool.
+    /// The requested amount is less than one slot, because the pool has too few slots for the requested
+    /// fraction.
     #[error("less than one slot")]
     #[serde(rename = "less_than_a_slot")]
     BelowOneSlot,
-    /// The amount exceeds the current size of the pool, which is given in slots.
+    /// The requested amount exceeds the number of slots in the pool, which is given here.
     #[error("more than the pool's {0} slots")]
     #[serde(rename = "more_than_the_pool")]
     ExceedsPool(u32),
-    /// The state of the claim does not allow the transition.
+    /// The state of the named claim does not allow what the command requests.
     #[error(transparent)]
     #[serde(rename = "life")]
     InvalidTransition(#[from] InvalidTransition),
-    /// The command is older than the deduplication window of its member, or from an earlier incarnation.
+    /// It is unknown whether the command was applied before. It is older than the commands that the calendar
+    /// remembers for its member, or it is from an earlier incarnation of the member.
     #[error("too old for duplicate detection")]
     #[serde(rename = "too_old")]
     TooOld,
 }
 
-/// Checks that a value lies in the range `min` to `max`, both included.
+/// Checks that the value of a field lies in the range `min` to `max`, both included.
 pub(crate) fn check_range(field: &'static str, value: i64, min: i64, max: i64) -> Result<(), Rejection> {
     if (min..=max).contains(&value) {
         Ok(())
@@ -89,7 +92,7 @@
     }
 }
 
-/// Checks that an instant lies in the range `min` to `max`, both included.
+/// Checks that the instant in a field lies in the range `min` to `max`, both included.
 pub(crate) fn check_instant(
     field: &'static str,
     instant: UnixMillis,
--- a/crates/reservations/src/schedule.rs
+++ b/crates/reservations/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules of claims: one interval, or a recurrence.
+//! Schedules of claims: a single interval, or a recurring one.
 use serde::{Deserialize, Serialize};
 
 use crate::interval::Interval;
@@ -7,24 +7,24 @@
 use crate::rejection::{FieldError, Rejection, check_instant, check_range};
 use crate::time::{MILLISECOND, UnixMillis};
 
-/// The intervals that a claim is requested for: a single one, or a recurring one.
+/// The schedule of a claim: a single interval, or an interval that recurs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "When")]
 pub enum Schedule {
-    /// A single interval. The part that has passed when the claim is proposed is left out.
+    /// The claim has a single interval. The part that has passed when the claim is proposed is left out.
     Once(Interval),
-    /// An interval that recurs by local time.
+    /// The claim has an interval that recurs by local time.
     #[serde(rename = "Repeat")]
     Recurring(Recurrence),
 }
 
 impl Schedule {
-    /// The intervals from `now` on: at least one, in order of time and disjoint. An interval that has started
-    /// begins at `now`.
+    /// Returns the intervals of the schedule from `now` on: at least one, in order of time and without
+    /// overlap. An interval that has already started begins at `now`.
     ///
     /// # Errors
-    /// A rejection that names the first invalid field, or the field that causes the schedule to have no
-    /// interval or too many intervals.
+    /// A rejection that names the first invalid field. If the schedule has no interval or too many intervals,
+    /// the rejection names the field that causes this.
     pub fn intervals(&self, now: UnixMillis) -> Result<Vec<Interval>, Rejection> {
         let horizon = now.saturating_add(PLANNING_HORIZON).min(MAX_INSTANT);
         match self {
--- a/crates/reservations/src/settings.rs
+++ b/crates/reservations/src/settings.rs
@@ -1,4 +1,4 @@
-//! The calendar's settings, and their valid ranges.
+//! The calendar's settings and their valid ranges.
 use serde::{Deserialize, Serialize};
 
 use crate::limits::MAX_DISPLACEMENT_NOTICE;
@@ -7,8 +7,8 @@
 /// Settings of the calendar. They must be the same for every member of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settings {
-    /// The displacement notice: a reservation does not displace an occurrence that starts within this time
-    /// from now. From 0 to 30 days.
+    /// The displacement notice: a reservation does not displace an interval of another reservation that
+    /// starts less than this time from now. From 0 to 30 days.
     #[serde(rename = "notice")]
     pub displacement_notice: SpanMillis,
 }
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// [`Settings::displacement_notice`] is negative or longer than 30 days.
+    /// The displacement notice ([`Settings::displacement_notice`]) is negative or longer than 30 days.
     #[error("notice: not in the range 0 to 30 days")]
     NoticeOutOfRange,
 }
--- a/crates/reservations/src/store.rs
+++ b/crates/reservations/src/store.rs
@@ -1,5 +1,5 @@
-//! Stored state of the calendar, with an index over the claims. Every change of a claim goes through
-//! [`ClaimStore`], which updates the index together with the claim.
+//! Stored state of the calendar, with lookup structures over the claims. Every change of a claim goes through
+//! [`ClaimStore`], which updates the lookup structures together with the claim.
 use std::collections::BTreeMap;
 
 use copperspread_identifiers::Name;
@@ -18,8 +18,8 @@
 use crate::settings::Settings;
 use crate::time::{MILLISECOND, UnixMillis};
 
-/// The serialized state of the calendar, from which a snapshot is made. The maps are ordered, so that the
-/// same log gives the same bytes.
+/// The state of the calendar that is serialized into a snapshot. The maps are ordered, so that members that
+/// apply the same log get the same bytes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename = "Inner", expecting = "struct Inner")]
 struct CalendarState {
@@ -32,7 +32,8 @@
     deduplication: DeduplicationWindows,
 }
 
-/// Serialization of a map as a sequence of pairs, for formats whose map keys must be strings.
+/// Serializes a map as a sequence of pairs of key and value. In some formats the keys of a map must be
+/// strings, and claim ids are not.
 mod map_as_pairs {
     use std::collections::BTreeMap;
 
@@ -52,8 +53,8 @@
     }
 }
 
-/// The pools and claims of a [`Calendar`](crate::Calendar), with an index. Only the state is serialized; the
-/// index is rebuilt on deserialization.
+/// The stored state of a [`Calendar`](crate::Calendar), with lookup structures over its claims. Only the
+/// state is serialized; the lookup structures are rebuilt on deserialization.
 #[derive(Clone, Debug)]
 pub(crate) struct ClaimStore {
     state: CalendarState,
@@ -78,7 +79,7 @@
 }
 
 impl ClaimStore {
-    /// Creates a store without pools and claims, with the time at the Unix epoch.
+    /// Creates a store without pools and claims. Its time is the Unix epoch.
     pub(crate) fn new(settings: Settings) -> ClaimStore {
         let state = CalendarState {
             settings,
@@ -94,7 +95,8 @@
         self.state.now
     }
 
-    /// The earliest start of an occurrence that a reservation may displace.
+    /// The earliest start that an occurrence of another reservation may have, so that a new reservation may
+    /// displace it.
     pub(crate) fn displaceable_from(&self) -> UnixMillis {
         let now = self.state.now;
         now.saturating_add(self.state.settings.displacement_notice).max(now + MILLISECOND)
@@ -112,7 +114,7 @@
         self.state.claims.get(id)
     }
 
-    /// The reservation request of a claim; `None` if the claim is unknown or a blackout.
+    /// The reservation request of a claim. `None` if the claim is unknown or is a blackout.
     pub(crate) fn reservation(&self, id: &ClaimId) -> Option<&ReservationRequest> {
         self.claim(id)?.reservation()
     }
@@ -122,12 +124,12 @@
         Some((claim, claim.occurrences.get(key.position)?))
     }
 
-    /// Advances the calendar's time to an instant; an instant in the past has no effect.
+    /// Advances the calendar's time to an instant. An instant before the calendar's time has no effect.
     pub(crate) fn advance_to(&mut self, at: UnixMillis) {
         self.state.now = self.state.now.max(at);
     }
 
-    /// Checks whether a command's id is a duplicate, and records a new id as applied.
+    /// Checks whether a command was applied before, and records a new command as applied.
     pub(crate) fn record_command(&mut self, id: &CommandId) -> DuplicateCheck {
         self.state.deduplication.record(self.state.now, id)
     }
@@ -136,7 +138,7 @@
         self.state.pools.insert(name.clone(), pool);
     }
 
-    /// Checks that one more claim, with `new_occurrences` occurrences, is within the limits.
+    /// Checks that the limits allow one more claim, with `new_occurrences` intervals.
     ///
     /// # Errors
     /// The limit that would be exceeded.
@@ -151,7 +153,7 @@
         Ok(())
     }
 
-    /// Inserts a new claim in the state `Proposed`.
+    /// Inserts a new claim, in the state `Proposed` and without allocations.
     pub(crate) fn insert_proposed(
         &mut self,
         id: &ClaimId,
@@ -178,8 +180,8 @@
         }
     }
 
-    /// Removes the next claim from the queue of due transitions and removals, and returns the id of the
-    /// claim. Returns `None` if no claim is due by now.
+    /// Removes the first claim that is due for a transition or for its removal from the queue of such claims,
+    /// and returns the claim's id. Returns `None` if no claim is due by now.
     pub(crate) fn pop_due_claim(&mut self) -> Option<ClaimId> {
         while self.index.due_claims.first()?.0 <= self.state.now {
             let (due, id) = self.index.due_claims.pop_first()?;
@@ -190,7 +192,7 @@
         None
     }
 
-    /// Changes a claim and updates its entries in the index. An unknown claim is ignored.
+    /// Changes a claim and updates its entries in the lookup structures. An unknown claim is ignored.
     pub(crate) fn update_claim(&mut self, id: &ClaimId, change: impl FnOnce(&mut Claim)) {
         if let Some(claim) = self.state.claims.get_mut(id) {
             self.index.remove_claim(id, claim);
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Changes a claim's state and adds the event for the change.
+    /// Changes a claim's state and adds the event that reports the change.
     ///
     /// # Errors
     /// The claim is unknown, or its state does not allow the transition. After an error, nothing has changed.
@@ -213,7 +215,7 @@
         let from = self.claim(id).ok_or(FieldError::Unknown)?.state;
         let to = from.apply(transition)?;
         let now = self.state.now;
-        // A claim that was held before keeps its rank when it is confirmed.
+        // A claim that was already held keeps its rank when it is confirmed.
         let sets_rank = matches!(transition, Transition::Hold | Transition::Confirm);
         let change = |claim: &mut Claim| {
             if sets_rank && from == ClaimState::Proposed {
--- a/crates/reservations/src/time.rs
+++ b/crates/reservations/src/time.rs
@@ -1,4 +1,4 @@
-//! Instants and spans of time in milliseconds, as distinct types. Both are serialized as plain integers.
+//! Instants and spans of time in milliseconds, as two distinct types. Both are serialized as plain integers.
 use std::fmt::{self, Display, Formatter};
 use std::ops::{Add, AddAssign, Div, Mul, Rem, Sub};
 
@@ -14,7 +14,7 @@
 #[serde(transparent)]
 pub struct SpanMillis(pub i64);
 
-/// A millisecond, the smallest positive span.
+/// One millisecond, the smallest positive span.
 pub const MILLISECOND: SpanMillis = SpanMillis(1);
 /// One minute, in milliseconds.
 pub const MINUTE: SpanMillis = MILLISECOND.times(60_000);
@@ -31,23 +31,23 @@
     /// The latest instant that can be represented.
     pub const MAX: UnixMillis = UnixMillis(i64::MAX);
 
-    /// The instant that lies `span` after this one, or the nearest instant that can be represented.
+    /// The instant that lies `span` after this instant, or the nearest instant that can be represented.
     pub const fn saturating_add(self, span: SpanMillis) -> UnixMillis {
         UnixMillis(self.0.saturating_add(span.0))
     }
 
-    /// The instant that lies `span` after this one; `None` if it cannot be represented.
+    /// The instant that lies `span` after this instant; `None` if it cannot be represented.
     pub fn checked_add(self, span: SpanMillis) -> Option<UnixMillis> {
         self.0.checked_add(span.0).map(UnixMillis)
     }
 
-    /// The instant that lies `span` before this one, or the nearest instant that can be represented.
+    /// The instant that lies `span` before this instant, or the nearest instant that can be represented.
     pub const fn saturating_sub(self, span: SpanMillis) -> UnixMillis {
         UnixMillis(self.0.saturating_sub(span.0))
     }
 
-    /// The span since `earlier`, or the nearest span that can be represented; negative if `earlier` is later
-    /// than this instant.
+    /// The span from `earlier` to this instant, or the nearest span that can be represented. The span is
+    /// negative if `earlier` is later than this instant.
     pub const fn saturating_since(self, earlier: UnixMillis) -> SpanMillis {
         SpanMillis(self.0.saturating_sub(earlier.0))
     }
@@ -59,7 +59,7 @@
     /// The longest span that can be represented.
     pub const MAX: SpanMillis = SpanMillis(i64::MAX);
 
-    /// This span multiplied by a factor. The product must fit in an `i64`, as with `*`.
+    /// This span multiplied by a factor. The product must fit into an `i64`, as with the operator `*`.
     pub const fn times(self, factor: i64) -> SpanMillis {
         SpanMillis(self.0 * factor)
     }
