--- a/crates/fair-share/src/allocation.rs
+++ b/crates/fair-share/src/allocation.rs
@@ -1,4 +1,5 @@
-//! Allocation of shares: weighted max-min over federations and then over their tenants.
+//! Allocation of shares of the fleet by weighted max-min, first to federations and then to the tenants of
+//! each.
 use std::collections::BTreeMap;
 
 use crate::demand::{TenantDemand, TenantDemands};
@@ -8,32 +9,33 @@
 use crate::water_filling::{Claimant, water_fill};
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Demand of a tenant that would use the whole fleet and has no debt. A tenant's entitlement is the share
-/// that the tenant gets if all tenants have this demand.
+/// The demand of a tenant that would use the whole fleet and has no debt. The entitlement of a tenant is the
+/// share that it gets if all tenants have this demand.
 const FULL_DEMAND: TenantDemand = TenantDemand { demand: FULL_SHARE_PPM, debt: 0 };
 
-/// Result of one division of the fleet over federations and tenants. The share of a federation includes its
-/// reservation and those of its tenants; the share of a tenant excludes the tenant's own reservation, which
-/// the caller adds.
+/// The result of one division of the fleet among federations and tenants. The share of a federation includes
+/// the reservations of the federation and of its tenants. The share of a tenant excludes the tenant's own
+/// reservation, which the caller adds.
 struct Allocation<'a> {
     tenants: BTreeMap<&'a Name, u32>,
     federations: BTreeMap<&'a Name, u32>,
     has_reduced_guarantees: bool,
 }
 
-/// Allocates the shares of all tenants and federations; a pure function.
+/// Allocates the shares of all tenants and federations. The result depends only on the arguments.
 ///
-/// 1. Reservations are subtracted from the fleet. A reservation counts towards its owner's demand, guarantee
-///    and ceiling.
-/// 2. The fleet without the reservations is divided over the federations by weighted max-min. Each federation
-///    gets at least the part of its guarantee that it demands, and at most its ceiling or what its tenants
-///    demand, whichever is less. The demanded guarantees of its tenants take precedence over its ceiling.
-/// 3. The share of each federation, including the federation's own reservation, is divided over its tenants
-///    in the same way. The weight of a tenant with a debt is `weight / (1 + debt)`, with the debt as a
-///    fraction of at most 1, and therefore at least half of the configured weight.
+/// 1. Reservations are subtracted from the fleet. A reservation counts towards the demand, the guarantee
+///    and the ceiling of its owner.
+/// 2. The fleet without the reservations is divided among the federations by weighted max-min. Each
+///    federation gets at least the part of its guarantee that it demands. It gets at most its ceiling, and no
+///    more than its tenants demand. However, the demanded guarantees of its tenants take precedence over its
+///    ceiling.
+/// 3. The share of each federation, including the federation's own reservation, is divided among its
+///    tenants in the same way. A tenant with a debt takes part with the weight `weight / (1 + debt)`. The
+///    debt is a fraction of at most 1, so that at least half of the configured weight remains.
 ///
-/// Shares are whole parts per million. The units that rounding down leaves over go to the shares with the
-/// largest remainders, and at equal remainders to the first in the order of names.
+/// Shares are whole parts per million, rounded down. The remaining parts per million go one each to the
+/// shares with the largest remainders, and at equal remainders to the first in the order of names.
 pub fn allocate_shares(
     policy: &FairSharePolicy,
     demands: &TenantDemands,
@@ -61,14 +63,14 @@
     ShareTable { tenants, federations, reserved_elsewhere, unallocated, has_reduced_guarantees }
 }
 
-/// Entitlement of each tenant: its share, in parts per million, if all tenants demanded everything, none had
-/// a debt and nothing was reserved.
+/// The entitlement of each tenant. It is the share, in parts per million of the fleet, that the tenant would
+/// get if all tenants demanded everything, none had a debt and nothing was reserved.
 pub fn entitlements(policy: &FairSharePolicy) -> BTreeMap<Name, u32> {
     let entitled = allocate(policy, &ReservedShares::default(), &|_| FULL_DEMAND);
     entitled.tenants.into_iter().map(|(name, share)| (name.clone(), share)).collect()
 }
 
-/// Sum of those reservations whose owners are not keys of `listed`.
+/// The sum of the reservations whose owners are not keys of `listed`.
 fn sum_of_unlisted<T>(reservations: &BTreeMap<Name, u32>, listed: &BTreeMap<Name, T>) -> u32 {
     reservations.iter().filter(|(name, _)| !listed.contains_key(*name)).map(|(_, part)| part).sum()
 }
@@ -91,7 +93,7 @@
         Allocation { tenants: BTreeMap::new(), federations: BTreeMap::new(), has_reduced_guarantees };
     for (claim, divided) in claims.iter().zip(water_fill(capacity, &claimants)) {
         let available = divided + claim.own_reservation;
-        // The reservation of a federation may exceed its tenants' demands; the federation keeps the rest.
+        // The federation's reservation may exceed what its tenants demand. The federation keeps the rest.
         let parts = water_fill(available, &claim.tenant_claimants);
         allocation.federations.insert(claim.name, available + claim.tenant_reservations);
         allocation.tenants.extend(claim.tenants.iter().copied().zip(parts));
@@ -99,15 +101,17 @@
     allocation
 }
 
-/// Claim of a federation in the division of the fleet, with the claims of its tenants to its share.
+/// A federation as it takes part in the division of the fleet, and its tenants as they take part in the
+/// division of its share.
 struct FederationClaim<'a> {
     name: &'a Name,
     tenants: Vec<&'a Name>,
     tenant_claimants: Vec<Claimant>,
     claimant: Claimant,
-    /// Share reserved for the federation itself, in parts per million of the fleet.
+    /// The share that is reserved for the federation itself, in parts per million of the fleet.
     own_reservation: u32,
-    /// Sum of the shares reserved for the federation's tenants, in parts per million of the fleet.
+    /// The sum of the shares that are reserved for the federation's tenants, in parts per million of the
+    /// fleet.
     tenant_reservations: u32,
 }
 
@@ -138,7 +142,7 @@
 }
 
 /// Returns the weight, the minimum and the maximum with which a federation takes part in the division of the
-/// fleet. Minimum and maximum exclude the reservations of the federation and of its tenants.
+/// fleet. The minimum and the maximum exclude the reservations of the federation and of its tenants.
 fn federation_claimant(
     config: &ShareConfig,
     tenants: &[Claimant],
@@ -150,8 +154,8 @@
         sum.min(FULL_SHARE_PPM.into()) as u32
     };
     let reserved = own_reservation.saturating_add(tenant_reservations);
-    // The tenants' guarantees take precedence over the federation's ceiling: otherwise the reservation of one
-    // tenant could use up the guarantees of the others.
+    // The tenants' guarantees take precedence over the federation's ceiling. Otherwise the reservation of one
+    // tenant could use up the guarantees of the other tenants.
     let tenants_minimum = sum(&|tenant| tenant.minimum).saturating_sub(own_reservation);
     let tenants_maximum = sum(&|tenant| tenant.maximum).saturating_sub(own_reservation);
     let maximum = tenants_maximum.min(config.ceiling.saturating_sub(reserved)).max(tenants_minimum);
@@ -160,7 +164,7 @@
 }
 
 /// Returns the weight, the minimum and the maximum with which a tenant takes part in the division of its
-/// federation's share. Minimum and maximum exclude the tenant's own reservation.
+/// federation's share. The minimum and the maximum exclude the tenant's own reservation.
 fn tenant_claimant(config: &ShareConfig, demand: TenantDemand, reservation: u32) -> Claimant {
     let less_reservation = |part: u32| part.saturating_sub(reservation);
     let demanded = less_reservation(demand.demand.min(FULL_SHARE_PPM));
--- a/crates/fair-share/src/apportionment.rs
+++ b/crates/fair-share/src/apportionment.rs
@@ -1,9 +1,9 @@
-//! Apportionment of an integer by the largest remainder method.
+//! Division of an integer in proportion to weights, by the largest remainder method.
 use std::cmp::Reverse;
 
-/// Divides a total in proportion to weights into parts that add up to it. Each part is its quotient rounded
-/// down; the remaining units go one each to the largest remainders, ties to the lowest index. If all weights
-/// are 0, all parts are 0.
+/// Divides `total` into whole parts in proportion to weights. The parts add up to `total`. Each part is first
+/// rounded down. The units that remain go one each to the parts with the largest remainders, and at equal
+/// remainders to the part with the lowest index. If all weights are 0, all parts are 0.
 ///
 /// The total times the largest weight, and the sum of the weights, must fit into 128 bits.
 pub fn apportion(total: u64, weights: &[u128]) -> Vec<u64> {
--- a/crates/fair-share/src/debt.rs
+++ b/crates/fair-share/src/debt.rs
@@ -1,4 +1,4 @@
-//! Decaying debts of tenants that used more than their entitlement.
+//! Debts of tenants that used more than their entitlement. The debts decay with time.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
@@ -6,55 +6,57 @@
 use crate::window::ClosedWindow;
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Number of fractional bits of the sums in [`Debts`], which are fixed-point numbers in slot-milliseconds. A
-/// contribution to a sum stays exact for this many half-lives, because each halving of the sum needs one more
-/// fractional bit.
+/// The number of fractional bits of the sums in [`Debts`], which are fixed-point numbers in
+/// slot-milliseconds. A contribution to a sum stays exact for this many half-lives, because each halving of
+/// the sum needs one more fractional bit.
 const FRACTION_BITS: u32 = 32;
-/// Maximum half-life of debts, as a number of accounting windows.
+/// The maximum half-life of debts, as a number of accounting windows.
 const MAX_HALF_LIFE_WINDOWS: u32 = 4_096;
-/// Maximum contribution of one window to a tenant's debt, in slot-milliseconds. With this bound, no sum in
-/// [`Debts`] exceeds 128 bits.
+/// The maximum contribution of one accounting window to a tenant's debt, in slot-milliseconds. Without this
+/// bound, a sum in [`Debts`] could exceed 128 bits.
 const MAX_CONTRIBUTION: i128 = 1 << 60;
-/// Maximum number of halvings that are applied to a sum in one step. The magnitude of a sum in [`Debts`] has
-/// fewer bits than this number, so any sum is 0 after this number of halvings.
+/// The maximum number of times that a sum is halved in one step. The magnitude of a sum in [`Debts`] has
+/// fewer bits than this number, so that more halvings would give 0 as well.
 const MAX_HALVINGS: i64 = 126;
 
-/// Debts of tenants: their usage above their entitlement, which decays by half in each half-life.
+/// The debts of tenants. A debt is the usage above the tenant's entitlement, and decays by half in each
+/// half-life.
 ///
-/// The contribution of a window to a tenant's debt is the tenant's work in that window, plus the tenant's
-/// adjustments (changes of the work in earlier windows), minus the tenant's entitlement, in
-/// slot-milliseconds. A contribution may be negative. Each contribution decays linearly to one half over the
-/// first half-life, to a quarter over the second, and so on: at most 6.2 % above the exponential curve, and
-/// equal to that curve at each multiple of the half-life.
+/// Each accounting window contributes to a tenant's debt, in slot-milliseconds. The contribution is the
+/// tenant's work in that window, plus the tenant's adjustments (changes of the work in earlier windows),
+/// minus the tenant's entitlement. It may be negative. A contribution decays linearly to one half over the
+/// first half-life, to a quarter over the second, and so on. It is at most 6.2 % above the exponential curve,
+/// and equal to that curve at each multiple of the half-life.
 ///
 /// The half-life is a number of windows, and each tenant has that many sums. Sum `i` takes the contributions
-/// of the windows whose index modulo the half-life is `i`, and is halved each time such a window is reached.
-/// [`Debts::balance`] computes the linear decay between the halvings on each call. Therefore rounding errors
-/// do not accumulate, and the order of contributions does not matter. A contribution is exact for 32
-/// half-lives. After that each halving of its sum is rounded towards 0, by less than 2^-32 slot-milliseconds,
-/// until the sum is 0.
+/// of the windows whose index modulo the half-life is `i`. The sum is halved each time such a window is
+/// reached. [`Debts::balance`] computes the linear decay between the halvings on each call. Therefore
+/// rounding errors do not accumulate, and the order of contributions does not matter. A contribution is exact
+/// for 32 half-lives. After that, each halving of its sum is rounded towards 0, by less than 2^-32
+/// slot-milliseconds, until the sum is 0.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debts {
-    /// Half-life of debts, as a number of accounting windows.
+    /// The half-life of debts, as a number of accounting windows.
     #[serde(rename = "half_life")]
     half_life_windows: u32,
-    /// Index of the window that was added last.
+    /// The index of the last accounting window that was added. `None` if no window was added yet.
     #[serde(rename = "last")]
     last_window: Option<i64>,
-    /// Sums of the contributions by tenant, as fixed-point numbers with [`FRACTION_BITS`] fractional bits.
-    /// Sum `i` is that of the windows whose index modulo the half-life is `i`.
+    /// The sums of each tenant's contributions, as fixed-point numbers with [`FRACTION_BITS`] fractional
+    /// bits. Sum `i` is that of the windows whose index modulo the half-life is `i`.
     sums: BTreeMap<Name, Vec<i128>>,
 }
 
 impl Debts {
-    /// Creates an empty set of debts. The half-life is in windows and is clamped to the range 1 to 4 096.
+    /// Creates an empty set of debts. The half-life is a number of accounting windows, and is clamped to the
+    /// range 1 to 4 096.
     pub fn new(half_life_windows: u32) -> Debts {
         let half_life_windows = half_life_windows.clamp(1, MAX_HALF_LIFE_WINDOWS);
         Debts { half_life_windows, last_window: None, sums: BTreeMap::new() }
     }
 
-    /// Adds the usage of a closed window to the debts. `entitlements` is the entitlement of each tenant in
-    /// that window, in slot-milliseconds; the debts of tenants that are not listed there are removed.
+    /// Adds the usage of a closed accounting window to the debts. `entitlements` gives the entitlement of
+    /// each tenant in that window, in slot-milliseconds. The debts of all other tenants are removed.
     ///
     /// The ledger omits windows without usage. An omitted window contributes nothing to a debt, but the debts
     /// decay for that window too. A window that is not later than the last added window is ignored.
@@ -77,8 +79,8 @@
         self.last_window = Some(closed.index);
     }
 
-    /// Lets the sums decay up to a window: for each window after the last added one, up to and including the
-    /// given one, halves the sum whose index is the window's index modulo the half-life.
+    /// Lets the sums decay up to the accounting window with index `window`. For each window after the last
+    /// added window, up to and including this one, the sum that belongs to that window is halved.
     fn decay(&mut self, window: i64) {
         let last_window = self.last_window.unwrap_or(window - 1);
         let half_life = i64::from(self.half_life_windows);
@@ -93,8 +95,8 @@
         }
     }
 
-    /// Debt of a tenant, in slot-milliseconds; negative if it used less than its entitlement, 0 if no
-    /// debt of the tenant is kept.
+    /// The debt of a tenant, in slot-milliseconds. It is negative if the tenant used less than its
+    /// entitlement, and 0 if no debt of the tenant is stored.
     pub fn balance(&self, tenant: &str) -> i128 {
         let (Some(sums), Some(last_window)) = (self.sums.get(tenant), self.last_window) else { return 0 };
         let half_life = i64::from(self.half_life_windows);
@@ -105,9 +107,9 @@
         decayed.sum::<i128>() / i128::from(2 * half_life) / (1 << FRACTION_BITS)
     }
 
-    /// Debt of each tenant in parts per million of its entitlement over one half-life, clamped to the range
-    /// from 0 to 1 000 000, as in [`crate::TenantDemand::debt`]. `entitlements` are the entitlements in one
-    /// window, in slot-milliseconds.
+    /// The debt of each tenant relative to the tenant's entitlement over one half-life, in parts per million,
+    /// as in [`crate::TenantDemand::debt`]. The values are clamped to the range 0 to 1 000 000.
+    /// `entitlements` gives the entitlement of each tenant in one accounting window, in slot-milliseconds.
     pub fn relative_debts(&self, entitlements: &BTreeMap<Name, u64>) -> BTreeMap<Name, u32> {
         let debts = entitlements.iter().map(|(tenant, &entitlement)| {
             let debt = self.balance(tenant.as_str()).max(0) as u128;
--- a/crates/fair-share/src/enrollment.rs
+++ b/crates/fair-share/src/enrollment.rs
@@ -1,48 +1,50 @@
-//! Enrollment: the reporters that may report usage, and the tenants that they may report on.
+//! Enrollment: the reporters that may report usage, and the tenants on whose usage they may report.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// Maximum number of slots in a reporter's pool. With this limit and the limits of the settings, no sum
-/// exceeds 64 bits.
+/// The maximum number of slots in a reporter's pool. With this limit and the limits of the settings, no sum
+/// of the ledger exceeds 64 bits.
 const MAX_SLOTS: u32 = 1_000_000;
 const MAX_REPORTERS: usize = 4_096;
 const MAX_TENANTS: usize = 65_536;
 
-/// Reporter of usage: a scheduler, or a partner that reports only on the tenants of one federation.
+/// A reporter of usage. It is a scheduler, or a partner that reports only on the tenants of one federation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Reporter {
-    /// Slots of the pool that the reporter reports on, from 0 to 1 000 000; they limit the work that the pool
-    /// can do.
+    /// The number of slots in the reporter's pool, from 0 to 1 000 000. It limits the work that the reporter
+    /// may report.
     pub slots: u32,
-    /// The only federation on whose tenants the reporter may report; `None` allows all federations.
+    /// The only federation on whose tenants the reporter may report. `None` if it may report on the tenants
+    /// of all federations.
     pub federation: Option<Name>,
 }
 
-/// Enrolled reporters and tenants; reports from or about others are rejected.
+/// The enrolled reporters and tenants. A usage report from another reporter or about another tenant is
+/// rejected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Enrollment {
-    /// Reporters by name, at most 4 096.
+    /// The reporters that may report usage, by name; at most 4 096.
     pub reporters: BTreeMap<Name, Reporter>,
-    /// Federation of each tenant, at most 65 536 tenants.
+    /// The name of each tenant's federation, by the tenant's name; at most 65 536 tenants.
     pub tenants: BTreeMap<Name, Name>,
 }
 
-/// Error for an enrollment that exceeds a limit.
+/// The error for an enrollment that exceeds a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum EnrollmentError {
-    /// There are more than 4 096 reporters.
+    /// The enrollment has more than 4 096 reporters.
     #[error("reporters: more than 4096")]
     TooManyReporters,
-    /// There are more than 65 536 tenants.
+    /// The enrollment has more than 65 536 tenants.
     #[error("tenants: more than 65536")]
     TooManyTenants,
-    /// A reporter has more than 1 000 000 slots.
+    /// The pool of an enrolled reporter has more than 1 000 000 slots.
     #[error("slots: more than 1000000")]
     TooManySlots,
 }
--- a/crates/fair-share/src/fairness_index.rs
+++ b/crates/fair-share/src/fairness_index.rs
@@ -1,14 +1,16 @@
 //! Jain's fairness index.
 use crate::FULL_SHARE_PPM;
 
-/// Number of fractional bits of a rate, which is an amount per unit of weight.
+/// The number of fractional bits of a rate, which is an amount per unit of weight.
 const RATE_FRACTION_BITS: u32 = 31;
-/// Rates are scaled to this many bits, so that the sum of the squares of a billion rates fits into 128 bits.
+/// The number of bits to which rates are scaled, so that the sum of the squares of a billion rates fits into
+/// 128 bits.
 const SCALED_RATE_BITS: u32 = 24;
 
-/// Jain's fairness index over pairs of an amount and a weight, in parts per million: 1 000 000 if all amounts
-/// are equal per unit of weight, 1 000 000 / n if one of n has everything. Pairs with weight 0 are ignored;
-/// without any pair, or if all amounts are 0, the index is 1 000 000.
+/// Jain's fairness index over pairs of an amount and a weight, in parts per million. The index is 1 000 000
+/// if all amounts are equal per unit of weight. It is 1 000 000 / n if only one of n pairs has an amount
+/// above 0. Pairs with weight 0 are ignored. Without any pair, or if all amounts are 0, the index is 1 000
+/// 000.
 pub fn jain_fairness_index(amounts: &[(u64, u32)]) -> u32 {
     let weighted = amounts.iter().filter(|(_, weight)| *weight > 0);
     let rates: Vec<u128> = weighted
--- a/crates/fair-share/src/incarnation_log.rs
+++ b/crates/fair-share/src/incarnation_log.rs
@@ -1,4 +1,4 @@
-//! Log of the reports of one incarnation of a reporter, by sequence number.
+//! The log of the usage reports of one incarnation of a reporter, by sequence number.
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 
@@ -9,60 +9,63 @@
 use crate::usage_entry::UsageEntry;
 use crate::usage_report::ReportRejection;
 
-/// Missing sequence numbers of one incarnation of a reporter.
+/// The missing sequence numbers of one incarnation of a reporter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SequenceGaps {
-    /// Number of the incarnation, as in the reporter's usage reports.
+    /// The number of the incarnation, as in the reporter's usage reports.
     pub incarnation: u64,
-    /// Sequence numbers that are still expected because a higher one was received.
+    /// The ranges of sequence numbers that were not received although a higher number was. Their reports are
+    /// still expected.
     pub missing: Vec<RangeInclusive<u64>>,
-    /// Number of sequence numbers that were never received and are no longer expected. A number whose
-    /// correction was received and later discarded is not counted.
+    /// The number of sequence numbers that were never received and are no longer expected. A number is not
+    /// counted if a correction of its report was received and later discarded.
     pub abandoned: u64,
 }
 
-/// Relation of a new entry to the log's existing entry for the same sequence number, if there is one.
+/// Whether the log already has an entry for the sequence number of a new entry, and how the two compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EntryStatus {
-    /// The sequence number was neither received nor discarded.
+    /// No entry with the sequence number was received or discarded before.
     New,
-    /// The log has the same entry, or has discarded the sequence number.
+    /// The log has the same entry, or has already discarded the entry with the sequence number.
     Duplicate,
-    /// The log has another entry, which compares greater than the new entry and is replaced by it.
+    /// The log has another entry with the sequence number. The new entry compares lower and replaces that
+    /// entry.
     Replacement,
 }
 
-/// Effect of an insertion on the effective entries, which are those left after corrections are applied.
-/// `before` and `after` are the effective entries of the affected sequence numbers before and after the
-/// insertion.
+/// The change that the insertion of an entry makes to the effective entries, which are those left after
+/// corrections are applied. `before` and `after` are the effective entries of the affected sequence numbers
+/// before and after the insertion.
 pub(crate) struct EntryChange {
     pub(crate) before: Vec<UsageEntry>,
     pub(crate) after: Vec<UsageEntry>,
 }
 
-/// Log of the entries of one incarnation; it belongs to the account of the reporter.
+/// The log of one incarnation of a reporter, with an entry for each usage report. It belongs to the account
+/// of the reporter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct IncarnationLog {
-    /// Sequence numbers that were received or are no longer expected, including all up to
+    /// The sequence numbers that were received or are no longer expected. They include all numbers up to
     /// `discarded_through`.
     received: RangeInclusiveSet<u64>,
-    /// Sequence number up to which entries were discarded, so that the log has no entry for this or a lower
-    /// number.
+    /// The sequence number up to which the log has discarded all entries. The log has no entry for this or a
+    /// lower number.
     discarded_through: u64,
-    /// Highest sequence number that is accepted before the next advance of the ledger.
+    /// The highest sequence number that is accepted until the ledger advances the next time.
     max_accepted: u64,
-    /// Sequence number up to which the log had no gap at the last advance of the ledger.
+    /// The sequence number up to which no number was missing when the ledger last advanced.
     contiguous_through: u64,
-    /// Watermark in milliseconds of Unix time: the latest start of an interval among the entries up to
-    /// `contiguous_through`.
+    /// The watermark of the incarnation, in milliseconds of Unix time. It is the latest interval start among
+    /// the entries up to `contiguous_through`.
     watermark_ms: Option<i64>,
-    /// Number of sequence numbers that were never received and are no longer expected. A number whose
-    /// correction was received and later discarded is not counted.
+    /// The number of sequence numbers that were never received and are no longer expected. A number is not
+    /// counted if a correction of its report was received and later discarded.
     abandoned: u64,
-    /// Whether the ledger has not advanced since the first entry.
+    /// Whether the ledger has not advanced since it received the first entry of this log.
     is_new: bool,
     entries: BTreeMap<u64, UsageEntry>,
-    /// Sequence numbers of the corrections, by the sequence number that they correct.
+    /// The sequence numbers of corrections, by the sequence number of the report that they correct.
     corrections: BTreeMap<u64, BTreeSet<u64>>,
 }
 
@@ -93,19 +96,20 @@
         self.watermark_ms
     }
 
-    /// Missing sequence numbers of this log, labeled with its `incarnation`.
+    /// The missing sequence numbers of this log. `incarnation` is the number of the log's incarnation, and is
+    /// copied into the result.
     pub(crate) fn sequence_gaps(&self, incarnation: u64) -> SequenceGaps {
         let all = 1..=self.highest_received();
         let missing = if all.is_empty() { Vec::new() } else { self.received.gaps(&all).collect() };
         SequenceGaps { incarnation, missing, abandoned: self.abandoned }
     }
 
-    /// Checks whether an entry may be inserted, and returns its relation to the entry that the log already
-    /// has for the sequence number.
+    /// Checks whether an entry may be inserted. Returns whether the log already has an entry for the sequence
+    /// number, and how the two compare.
     ///
-    /// `corrects` is the field [`crate::UsageReport::corrects`] of the report. The field is passed in
-    /// addition to the entry, because its value 0 is invalid and must be rejected, but an entry represents 0
-    /// as no correction.
+    /// `corrects` is the field [`crate::UsageReport::corrects`] of the report. The value 0 of this field is
+    /// invalid and must be rejected. The entry alone does not show it, because an entry stores 0 as no
+    /// correction.
     pub(crate) fn classify(
         &self,
         sequence: u64,
@@ -136,12 +140,12 @@
         corrected < sequence && corrected > self.discarded_through && !is_discarded
     }
 
-    /// Inserts an entry that [`IncarnationLog::classify`] allows.
+    /// Inserts an entry that [`IncarnationLog::classify`] has accepted.
     pub(crate) fn insert(&mut self, sequence: u64, entry: UsageEntry) -> EntryChange {
         self.received.insert(sequence..=sequence);
         let existing = self.entries.get(&sequence);
         if existing.is_none() && !entry.is_correction() && !self.corrections.contains_key(&sequence) {
-            // The usual case: no other entry is affected.
+            // In the usual case, the entry affects no other entry.
             self.entries.insert(sequence, entry.clone());
             return EntryChange { before: Vec::new(), after: vec![entry] };
         }
@@ -167,9 +171,9 @@
         }
     }
 
-    /// Returns the effective entry of a sequence number: the entry of the last correction of that number,
-    /// otherwise the entry of the number itself. A correction applies only to the sequence number that it
-    /// corrects, and a correction of a correction has no effect; so the order of arrival does not matter.
+    /// Returns the effective entry of a sequence number. It is the correction of that number with the highest
+    /// sequence number, or the entry of the number itself if there is no correction. A correction of a
+    /// correction has no effect. Therefore the order in which reports arrive does not matter.
     fn effective_entry(&self, sequence: u64) -> Option<&UsageEntry> {
         let own = self.entries.get(&sequence);
         if own.is_some_and(UsageEntry::is_correction) {
@@ -183,7 +187,7 @@
         sequences.iter().filter_map(|&sequence| self.effective_entry(sequence).cloned()).collect()
     }
 
-    /// Iterates over the effective entries of all sequence numbers that have one.
+    /// Returns the effective entries of all sequence numbers that have one.
     pub(crate) fn effective_entries(&self) -> impl Iterator<Item = &UsageEntry> {
         let corrected_without_entry =
             self.corrections.keys().filter(|sequence| !self.entries.contains_key(sequence));
@@ -193,8 +197,8 @@
             .filter_map(|&sequence| self.effective_entry(sequence))
     }
 
-    /// Moves the watermark up to the first gap in the sequence numbers, and raises the highest sequence
-    /// number that is accepted.
+    /// Moves the watermark up to the first missing sequence number, and raises the highest sequence number
+    /// that is accepted.
     pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
         let next = self.contiguous_through + 1;
         let contiguous_through =
@@ -217,8 +221,9 @@
         self.max_accepted = max_ahead.min(max_tracked);
     }
 
-    /// Discards the entries that start before an instant, each with the entry that it corrects and its
-    /// corrections, so that no remaining entry can change a discarded one.
+    /// Discards the entries whose interval starts before an instant. With each of them, the entry that it
+    /// corrects and its corrections are discarded too. Otherwise a remaining entry could change the effect of
+    /// a discarded one.
     pub(crate) fn discard_before(&mut self, instant_ms: i64, settings: &LedgerSettings) {
         let old_entries = self.entries.iter().filter(|(_, entry)| entry.start_ms() < instant_ms);
         let old_sequences: BTreeSet<u64> =
@@ -231,7 +236,8 @@
     }
 
     fn discard_with_corrections(&mut self, sequence: u64) {
-        // Marks the sequence number as received even if it was not, so that it is no longer accepted.
+        // The sequence number counts as received even if it was not, so that a report with this number is no
+        // longer accepted.
         self.received.insert(sequence..=sequence);
         if self.entries.get(&sequence).is_some_and(|entry| !entry.is_correction()) {
             self.entries.remove(&sequence);
@@ -246,10 +252,12 @@
         }
     }
 
-    /// Raises `discarded_through` to the last received sequence number before the first kept one, and
-    /// abandons the missing numbers below `discarded_through`. The starts of the reported intervals do not
-    /// decrease with the sequence number, so a report that is missing before a discarded entry is older than
-    /// the horizon too. Missing reports with a number above `discarded_through` may still arrive.
+    /// Raises `discarded_through` to the last received sequence number before the first entry that the log
+    /// still has. The missing numbers up to `discarded_through` are no longer expected.
+    ///
+    /// The starts of the reported intervals do not decrease with the sequence number. Therefore a report that
+    /// is missing before a discarded entry is older than the horizon too. Missing reports with a number above
+    /// `discarded_through` may still arrive.
     fn raise_discarded_through(&mut self) {
         let discarded_through = self.last_received_before_retained();
         if discarded_through <= self.discarded_through {
@@ -264,9 +272,9 @@
         self.discarded_through = discarded_through;
     }
 
-    /// Returns the highest received sequence number that is lower than all kept sequence numbers, or 0 if
-    /// there is none. A sequence number is kept if the log has an entry or a correction for that number. If
-    /// no number is kept, returns the highest received sequence number.
+    /// Returns the highest received sequence number that is lower than all sequence numbers for which the log
+    /// still has an entry or a correction. Returns 0 if there is none. If the log has no entries and no
+    /// corrections, returns the highest received sequence number.
     fn last_received_before_retained(&self) -> u64 {
         let first_entry = self.entries.keys().next();
         let first_corrected = self.corrections.keys().next();
--- a/crates/fair-share/src/ledger.rs
+++ b/crates/fair-share/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Usage ledger, which turns the usage reports of all reporters into closed accounting windows.
+//! The usage ledger, which turns the usage reports of all reporters into closed accounting windows.
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
@@ -12,12 +12,13 @@
 use crate::validation::validate_report;
 use crate::window::{ClosedWindow, ProvisionalUsage};
 
-/// Counts of the reports of one reporter that changed nothing. They are not serialized with the ledger.
+/// The numbers of usage reports of one reporter that changed nothing. They are not serialized with the
+/// ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DiscardCounts {
-    /// Number of rejected reports, by the reason for the rejection.
+    /// The number of the reporter's rejected reports, by the reason for the rejection.
     pub rejected: BTreeMap<ReportRejection, u64>,
-    /// Number of reports that had been recorded before.
+    /// The number of the reporter's reports that had already been recorded.
     pub duplicates: u64,
 }
 
@@ -30,18 +31,18 @@
     }
 }
 
-/// Limit of the absolute value of an instant, in milliseconds of Unix time. Instants are clamped to this
-/// limit, so that no sum of them exceeds 64 bits.
+/// The limit of the absolute value of an instant, in milliseconds of Unix time. Instants are clamped to this
+/// limit. Otherwise sums with an instant could exceed 64 bits.
 const MAX_INSTANT_MS: i64 = 1 << 60;
-/// Number of steps into which the horizon is divided. The start of the horizon moves by whole steps. Each
-/// move discards old entries, which scans all entries that are kept; therefore the horizon does not move with
-/// each window.
+/// The number of steps by which the start of the horizon moves over the length of the horizon. Each move
+/// discards old entries and therefore scans all entries. If the horizon moved with each window, the entries
+/// would be scanned too often.
 const STEPS_PER_HORIZON: i64 = 16;
 
-/// Usage ledger: the accounts of all reporters, with their usage in the open windows and in the closed
-/// windows since the start of the horizon.
+/// The usage ledger. It contains the accounts of all reporters, with their usage in the open windows and in
+/// the closed windows since the start of the horizon.
 ///
-/// The serialized form of the ledger does not depend on the order and repetition of the reports between two
+/// The serialized form of the ledger does not depend on the order or repetition of the reports between two
 /// calls of [`UsageLedger::advance`] or [`UsageLedger::enroll`]. [`DiscardCounts`] are not serialized.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct UsageLedger {
@@ -56,7 +57,8 @@
 }
 
 impl UsageLedger {
-    /// Creates an empty ledger, whose first open window contains `begin_ms`, in milliseconds of Unix time.
+    /// Creates an empty ledger. Its first open window is the one that contains the instant `begin_ms`, in
+    /// milliseconds of Unix time.
     ///
     /// # Errors
     /// A [`SettingsError`] if a setting is out of range.
@@ -72,11 +74,11 @@
         })
     }
 
-    /// Replaces the enrollment. Windows no longer wait for reporters that are not in the new enrollment, but
-    /// the recorded usage of such reporters stays.
+    /// Replaces the enrollment. Windows no longer wait for reporters that the new enrollment does not list.
+    /// The usage that such reporters have reported stays recorded.
     ///
     /// # Errors
-    /// An [`EnrollmentError`] if the enrollment exceeds a limit; the previous enrollment then stays in place.
+    /// An [`EnrollmentError`] if the enrollment exceeds a limit. The previous enrollment then stays in place.
     pub fn enroll(&mut self, enrollment: Enrollment) -> Result<(), EnrollmentError> {
         enrollment.validate()?;
         self.enrollment = enrollment;
@@ -84,8 +86,8 @@
         Ok(())
     }
 
-    /// Records a report. `now_ms`, in milliseconds of Unix time, is used only to reject intervals in the
-    /// future.
+    /// Records a usage report. The current time `now_ms`, in milliseconds of Unix time, is used only to
+    /// reject intervals in the future.
     ///
     /// # Errors
     /// The reason why the report was rejected. The rejection is counted; nothing else changes.
@@ -109,19 +111,19 @@
         result
     }
 
-    /// Advances the time to `now_ms`, in milliseconds of Unix time, and returns the windows that close at
-    /// this call, in the order of their indexes.
+    /// Advances the ledger to the current time `now_ms`, in milliseconds of Unix time. Returns the windows
+    /// that close at this call, in the order of their indexes. Windows without usage, adjustments and excess
+    /// are left out.
     ///
-    /// A window closes when its end has passed and the watermarks of all live reporters, which are the
-    /// enrolled reporters that are not in `dead_reporters`, have reached that end. When the maximum close
-    /// delay after its end has passed, a window closes even without these watermarks; if there is no live
-    /// reporter, the window closes only then. Windows without usage, adjustments and excess are omitted from
-    /// the result.
+    /// A window closes when its end has passed and all live reporters have reported their usage up to that
+    /// end. Live reporters are the enrolled reporters that are not in `dead_reporters`. However, when the
+    /// maximum close delay after its end has passed, a window closes without further reports. If there is no
+    /// live reporter, a window closes only after that delay.
     ///
-    /// The watermark of an incarnation is the instant up to which its reports are complete: the latest
-    /// interval start among the reports before the first gap in their sequence numbers. The watermark of a
-    /// reporter is the latest watermark of its incarnations, so that gaps in the reports of an earlier
-    /// incarnation do not hold back the reporter's watermark after a restart.
+    /// How far a reporter has reported its usage is shown by the reporter's watermark. The watermark of an
+    /// incarnation is the latest interval start among the reports before the first missing sequence number.
+    /// The watermark of a reporter is the latest watermark of its incarnations. Therefore missing reports of
+    /// an earlier incarnation do not delay the windows after the reporter has restarted.
     pub fn advance(&mut self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> Vec<ClosedWindow> {
         self.accounts.values_mut().for_each(|account| account.advance_watermark(&self.settings));
         let first_open = self.next_open_window(clamp_instant(now_ms), dead_reporters);
@@ -140,20 +142,22 @@
         closed.into_values().collect()
     }
 
-    /// Index of the first window that stays open when the time is advanced to `now_ms`. A window closes when
-    /// its end has passed and all live reporters' watermarks have reached that end, at the latest when the
-    /// maximum close delay after that end has passed. If there is no live reporter, only that delay counts.
+    /// Returns the index of the first window that stays open when the ledger advances to `now_ms`. A window
+    /// closes when its end has passed and the watermarks of all live reporters have reached that end. It
+    /// closes at the latest when the maximum close delay after its end has passed. If there is no live
+    /// reporter, only that delay counts.
     fn next_open_window(&self, now_ms: i64, dead_reporters: &BTreeSet<Name>) -> i64 {
         let forced_close_ms = now_ms.saturating_sub(self.settings.max_close_delay_ms.into());
         let live_reporters = self.enrollment.reporters.keys().filter(|name| !dead_reporters.contains(*name));
         let min_watermark_ms =
             live_reporters.map(|name| self.watermark_or_min(name)).min().unwrap_or(forced_close_ms);
-        // Watermarks do not close a window before its end by the clock.
+        // The watermarks may be ahead of the clock, but do not close a window before its end by the clock.
         min_watermark_ms.min(now_ms).max(forced_close_ms).div_euclid(self.settings.window_ms.into())
     }
 
-    /// Returns the windows from `first_closed` up to the first open window, exclusive, by index, with their
-    /// usage. The window `first_closed` also has the adjustments of all earlier windows.
+    /// Returns the windows that have closed, by index and with their usage. These are the windows from
+    /// `first_closed` up to the first open window, exclusive. The window `first_closed` also gets the
+    /// adjustments of all earlier windows.
     fn collect_closed(&mut self, first_closed: i64) -> BTreeMap<i64, ClosedWindow> {
         let mut closed: BTreeMap<i64, ClosedWindow> = BTreeMap::new();
         for (name, account) in &mut self.accounts {
@@ -171,8 +175,8 @@
         closed
     }
 
-    /// Discards the windows and entries before the horizon, and the empty accounts of reporters that are not
-    /// enrolled.
+    /// Discards the windows and entries before the horizon. Also removes the empty accounts of reporters that
+    /// are not enrolled.
     fn discard_before_horizon(&mut self, former_first_retained: i64) {
         let first_retained = self.first_retained_window();
         if first_retained > former_first_retained {
@@ -184,8 +188,8 @@
         self.accounts.retain(|name, account| enrolled.contains_key(name) || !account.is_empty());
     }
 
-    /// Usage reported so far in the window that contains `instant_ms`, an instant in milliseconds of Unix
-    /// time.
+    /// The usage reported so far in the accounting window that contains `instant_ms`, an instant in
+    /// milliseconds of Unix time.
     pub fn provisional_usage(&self, instant_ms: i64) -> ProvisionalUsage {
         let index = instant_ms.div_euclid(self.settings.window_ms.into());
         let mut provisional = ProvisionalUsage::default();
@@ -204,28 +208,29 @@
         provisional
     }
 
-    /// Watermark of a reporter as of the last advance, in milliseconds of Unix time: the reporter has
-    /// reported all its usage before this instant. `None` if it has no watermark yet.
+    /// The watermark of a reporter, in milliseconds of Unix time: the reporter has reported all its usage
+    /// before this instant. The watermark is as of the last call of [`UsageLedger::advance`]. `None` if the
+    /// reporter has no watermark yet.
     pub fn watermark(&self, reporter: &str) -> Option<i64> {
         self.accounts.get(reporter).and_then(ReporterAccount::watermark_ms)
     }
 
-    /// Start of the first open window, in milliseconds of Unix time.
+    /// The start of the first open window, in milliseconds of Unix time.
     pub fn open_window_start_ms(&self) -> i64 {
         self.first_open_window * i64::from(self.settings.window_ms)
     }
 
-    /// Missing sequence numbers of each incarnation of a reporter.
+    /// The missing sequence numbers of a reporter, for each of its incarnations that the ledger still knows.
     pub fn sequence_gaps(&self, reporter: &str) -> Vec<SequenceGaps> {
         self.accounts.get(reporter).into_iter().flat_map(ReporterAccount::sequence_gaps).collect()
     }
 
-    /// Counts of the rejected and duplicate reports of a reporter; all 0 if it is not enrolled.
+    /// The numbers of a reporter's rejected and duplicate reports. All are 0 if the reporter is not enrolled.
     pub fn discard_counts(&self, reporter: &str) -> DiscardCounts {
         self.discard_counts_by_reporter.get(reporter).cloned().unwrap_or_default()
     }
 
-    /// Number of rejected reports from reporters that are not enrolled.
+    /// The number of reports that were rejected because their reporter is not enrolled.
     pub fn unknown_reporter_count(&self) -> u64 {
         self.unknown_reporter_count
     }
@@ -234,15 +239,15 @@
         self.watermark(reporter.as_str()).unwrap_or(i64::MIN)
     }
 
-    /// Enrolled reporters that have not reported all usage of a window.
+    /// The enrolled reporters that have not yet reported all their usage in the window with this index.
     fn incomplete_reporters(&self, index: i64) -> impl Iterator<Item = &Name> {
         let end_ms = index.saturating_add(1).saturating_mul(self.settings.window_ms.into());
         self.enrollment.reporters.keys().filter(move |name| self.watermark_or_min(name) < end_ms)
     }
 
-    /// Index of the first window that the ledger retains: the start of the horizon, rounded down to a
-    /// multiple of the step length. A step is the horizon divided by [`STEPS_PER_HORIZON`], but at least one
-    /// window.
+    /// The index of the first window that the ledger retains. It is the start of the horizon, rounded down to
+    /// a multiple of the step by which the horizon moves. A step is the horizon divided by
+    /// [`STEPS_PER_HORIZON`], but at least one window.
     fn first_retained_window(&self) -> i64 {
         let windows = i64::from(self.settings.horizon_ms / self.settings.window_ms);
         let step = (windows / STEPS_PER_HORIZON).max(1);
@@ -254,7 +259,8 @@
     instant_ms.clamp(-MAX_INSTANT_MS, MAX_INSTANT_MS)
 }
 
-/// Records a valid report in the account of its reporter, which is created only if the report is accepted.
+/// Records a valid report in the account of its reporter. If the reporter has no account, one is created, but
+/// only if the report is accepted.
 fn record_in_account(
     accounts: &mut BTreeMap<Name, ReporterAccount>,
     reporter: &Name,
@@ -266,8 +272,8 @@
     }
     let mut account = ReporterAccount::default();
     let outcome = account.record(context, report)?;
-    // The account is inserted under the enrollment's name instead of the equal name in the report, because
-    // clones of a name share memory: the ledger then holds the text of the name only once.
+    // The account is inserted under the name from the enrollment, not under the equal name from the report.
+    // Clones of a name share memory, so that the ledger holds the text of the name only once.
     accounts.insert(reporter.clone(), account);
     Ok(outcome)
 }
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -11,15 +11,16 @@
 //!                               FairSharePolicy, ReservedShares ─► allocate_shares ─► ShareTable
 //! ```
 //!
-//! 1. The serialized form of the ledger does not depend on the order and repetition of the reports between
-//!    two calls of [`UsageLedger::advance`] or [`UsageLedger::enroll`]. For this reason the limits on
-//!    sequence numbers, incarnations and the horizon change only in `advance`. Only the limit on intervals in
-//!    the future depends on the `now_ms` of each [`UsageLedger::record`].
-//! 2. Usage is conserved: the work in windows, the adjustments and the excess add up to the work of the
-//!    accepted reports. Not counted are reports that were corrected or replaced, and the reports of an
-//!    incarnation that was discarded because its reporter had too many new incarnations.
-//! 3. [`allocate_shares`] divides the fleet by weighted max-min, first over federations and then over the
-//!    tenants of each, in parts per million.
+//! 1. The serialized form of the ledger does not depend on the order or repetition of the reports between two
+//!    calls of [`UsageLedger::advance`] or [`UsageLedger::enroll`]. For this reason the limits on sequence
+//!    numbers and incarnations and the start of the horizon change only in `advance`. Only the check that an
+//!    interval is not in the future depends on the `now_ms` of each [`UsageLedger::record`].
+//! 2. No usage is lost or counted twice: the work in windows, the adjustments and the excess add up to the
+//!    work of the accepted reports. Not counted are reports that were corrected or replaced. Also not counted
+//!    are the reports of an incarnation that was discarded because its reporter had too many new
+//!    incarnations.
+//! 3. [`allocate_shares`] divides the fleet by weighted max-min, first among the federations and then among
+//!    the tenants of each. Shares are in parts per million of the fleet.
 //!
 //! All arithmetic uses integers.
 #![forbid(unsafe_code)]
@@ -61,5 +62,5 @@
 pub use usage_report::{ReportOutcome, ReportRejection, UsageReport};
 pub use window::{ClosedWindow, ProvisionalUsage};
 
-/// The whole fleet as a share, in parts per million.
+/// The share that is the whole fleet, in parts per million.
 pub const FULL_SHARE_PPM: u32 = 1_000_000;
--- a/crates/fair-share/src/measured_demand.rs
+++ b/crates/fair-share/src/measured_demand.rs
@@ -1,4 +1,4 @@
-//! Demands of tenants, estimated from the usage in an accounting window.
+//! Demands of tenants, estimated from their usage in an accounting window.
 use std::collections::BTreeMap;
 
 use crate::allocation::entitlements;
@@ -6,21 +6,21 @@
 use crate::policy::FairSharePolicy;
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Factor from measured usage to demand. A tenant that lent its share starts from the minimum demand, a
-/// quarter of its entitlement. Using all of its share doubles the tenant's demand in each window, so that the
-/// tenant regains its entitlement within two windows.
+/// The factor from a tenant's measured usage to its demand. A tenant that has lent its share starts from the
+/// minimum demand, a quarter of its entitlement. While it uses all of its share, its demand doubles in each
+/// window. Therefore the tenant regains its entitlement within two windows.
 const DEMAND_FACTOR: u128 = 2;
-/// A tenant's demand is at least its entitlement divided by this number, so that a new tenant has a share to
-/// start with.
+/// The divisor of the minimum demand: a tenant's demand is at least its entitlement divided by this number.
+/// Without the minimum, a new tenant would get no share to start with.
 const MIN_DEMAND_DIVISOR: u32 = 4;
 
 impl TenantDemands {
-    /// Estimates the demands from measured usage.
+    /// Estimates the demands of all tenants from their measured usage.
     ///
-    /// `work` is the work of each tenant in a window and `capacity` the capacity of the whole fleet in that
-    /// window, both in slot-milliseconds; `debts` are the result of [`crate::Debts::relative_debts`]. The
-    /// demand of a tenant is twice its usage, and at least a quarter of its entitlement. If the capacity is
-    /// 0, each tenant demands that quarter.
+    /// `work` is the work of each tenant in an accounting window, and `capacity` is the capacity of the whole
+    /// fleet in that window, both in slot-milliseconds. `debts` is the result of
+    /// [`crate::Debts::relative_debts`]. The demand of a tenant is twice its usage, and at least a quarter of
+    /// its entitlement. If the capacity is 0, each tenant demands that quarter.
     pub fn from_measured_usage(
         policy: &FairSharePolicy,
         work: &BTreeMap<Name, u64>,
--- a/crates/fair-share/src/policy.rs
+++ b/crates/fair-share/src/policy.rs
@@ -1,73 +1,78 @@
-//! The fair-share policy: weights, guarantees and ceilings of federations and tenants.
+//! The fair-share policy, which sets the weights, guarantees and ceilings of federations and tenants.
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Maximum number of tenants in a policy, and also the maximum number of federations.
+/// The maximum number of tenants in a policy, and also the maximum number of federations.
 const MAX_PARTIES: usize = 65_536;
 
-/// Configured share of a tenant or a federation; guarantee and ceiling are in parts per million of the fleet.
+/// The configured share of a tenant or a federation. Guarantee and ceiling are in parts per million of the
+/// fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShareConfig {
-    /// Weight relative to the other federations, or to the other tenants of the federation, when all demand
-    /// more than they get; from 1 to 1 000 000.
+    /// The weight of the tenant or federation; from 1 to 1 000 000. Federations share the fleet, and the
+    /// tenants of a federation share its part, in proportion to weight when all demand more than they get.
     pub weight: u32,
-    /// Share that is allocated whenever it is demanded, unless reservations leave too little for all
-    /// guarantees (see [`crate::ShareTable::has_reduced_guarantees`]).
+    /// The share that the tenant or federation gets whenever it demands that much. The share is smaller only
+    /// if reservations leave too little of the fleet for all guarantees (see
+    /// [`crate::ShareTable::has_reduced_guarantees`]).
     pub guarantee: u32,
-    /// Maximum share, from `guarantee` to 1 000 000. A larger reservation of the tenant or federation takes
-    /// precedence over the ceiling, and so do the demanded guarantees of a federation's tenants.
+    /// The maximum share of the tenant or federation, from `guarantee` to 1 000 000. A larger reservation of
+    /// the tenant or federation takes precedence over the ceiling. So do the demanded guarantees of a
+    /// federation's tenants.
     pub ceiling: u32,
 }
 
-/// Federation: a group of tenants with a common share of the fleet.
+/// A federation, which is a group of tenants with a common share of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Federation {
-    /// Configured share of all tenants of the federation together.
+    /// The configured share of all tenants of the federation together.
     #[serde(rename = "terms")]
     pub share_config: ShareConfig,
-    /// Configured share of each tenant in the federation, by name.
+    /// The configured share of each tenant in the federation, by the tenant's name.
     pub tenants: BTreeMap<Name, ShareConfig>,
 }
 
-/// Fair-share policy: all federations by name, validated so that all guarantees can be met at once.
+/// The fair-share policy: all federations by name. It is validated when it is created, so that all guarantees
+/// can be met at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "BTreeMap<Name, Federation>", into = "BTreeMap<Name, Federation>")]
 pub struct FairSharePolicy(BTreeMap<Name, Federation>);
 
-/// Rule that an invalid fair-share policy violates.
+/// The rules that an invalid fair-share policy may violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum PolicyErrorKind {
-    /// A weight is not from 1 to 1 000 000.
+    /// The weight of a tenant or federation is not from 1 to 1 000 000.
     #[error("weight: must be from 1 to 1000000")]
     InvalidWeight,
-    /// A guarantee exceeds its ceiling, or a ceiling exceeds 1 000 000.
+    /// The guarantee of a tenant or federation exceeds its ceiling, or the ceiling exceeds 1 000 000.
     #[error("ceiling: must be from the guarantee to 1000000")]
     InvalidCeiling,
     /// The guarantees of a federation's tenants add up to more than the guarantee of the federation, or the
     /// guarantees of all federations add up to more than 1 000 000.
     #[error("guarantee: tenants' exceed their federation's, or all federations' exceed 1000000")]
     GuaranteesExceedParent,
-    /// A tenant is in two federations.
+    /// A tenant is listed in two federations.
     #[error("tenants: listed in two federations")]
     DuplicateTenant,
-    /// There are more than 65 536 tenants, or more than 65 536 federations.
+    /// The policy has more than 65 536 tenants or more than 65 536 federations.
     #[error("tenants: more than 65536 tenants or federations")]
     TooManyParties,
 }
 
-/// Error for a fair-share policy that is invalid.
+/// The error for an invalid fair-share policy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}{kind}", party.as_ref().map_or(String::new(), |party| format!("{party}: ")))]
 pub struct PolicyError {
-    /// Tenant or federation that has the error; `None` if the error concerns the policy as a whole.
+    /// The name of the tenant or federation that violates the rule. `None` if the policy as a whole violates
+    /// it.
     pub party: Option<Name>,
-    /// Rule that the policy violates.
+    /// The rule that the policy violates.
     pub kind: PolicyErrorKind,
 }
 
@@ -82,12 +87,13 @@
 }
 
 impl FairSharePolicy {
-    /// Creates a policy from federations by name.
+    /// Creates a policy from its federations by name.
     ///
     /// # Errors
     /// The first [`PolicyError`] found. The checks are, in this order: the number of tenants and federations;
-    /// weights and ceilings, of all federations and then of all tenants; guarantees; tenants that are listed
-    /// twice. Each check goes through the federations, and through the tenants of a federation, by name.
+    /// the weights and ceilings of all federations and then of all tenants; the guarantees; tenants that are
+    /// listed twice. Each check goes through the federations, and through the tenants of a federation, in the
+    /// order of their names.
     pub fn new(federations: BTreeMap<Name, Federation>) -> Result<FairSharePolicy, PolicyError> {
         let policy = FairSharePolicy(federations);
         policy.validate_size()?;
@@ -97,13 +103,13 @@
         Ok(policy)
     }
 
-    /// All federations by name.
+    /// The federations of the policy, by name.
     pub fn federations(&self) -> &BTreeMap<Name, Federation> {
         &self.0
     }
 
-    /// Iterates over all tenants as (federation, tenant, configuration), ordered by federation and then by
-    /// tenant.
+    /// Returns all tenants of the policy as (federation, tenant, configuration), ordered by federation and
+    /// then by tenant.
     pub fn tenants(&self) -> impl Iterator<Item = (&Name, &Name, &ShareConfig)> {
         self.0.iter().flat_map(|(name, federation)| {
             federation.tenants.iter().map(move |(tenant, config)| (name, tenant, config))
--- a/crates/fair-share/src/reporter_account.rs
+++ b/crates/fair-share/src/reporter_account.rs
@@ -1,4 +1,4 @@
-//! Account of one reporter in the usage ledger.
+//! The account of one reporter in the usage ledger.
 use std::collections::BTreeMap;
 use std::ops::Range;
 
@@ -10,15 +10,16 @@
 use crate::usage_report::{ReportOutcome, ReportRejection, UsageReport};
 use crate::window_usage::{UsageDelta, WindowUsage};
 
-/// Values from the ledger and from the reporter's enrollment that an account needs for a change.
+/// The values from the ledger and from the reporter's enrollment that are needed to change the reporter's
+/// account.
 #[derive(Clone, Copy)]
 pub(crate) struct AccountContext<'a> {
     pub(crate) settings: &'a LedgerSettings,
-    /// Number of slots of the reporter's pool.
+    /// The number of slots in the reporter's pool.
     pub(crate) slots: u32,
-    /// Index of the first accounting window that is still open.
+    /// The index of the first accounting window that is still open.
     pub(crate) first_open_window: i64,
-    /// Index of the first accounting window that the ledger still retains.
+    /// The index of the first accounting window that the ledger still retains.
     pub(crate) first_retained_window: i64,
 }
 
@@ -31,24 +32,26 @@
         instant_ms.div_euclid(self.window_ms())
     }
 
-    /// Capacity of the reporter's pool in a window, in slot-milliseconds.
+    /// The capacity of the reporter's pool in one window, in slot-milliseconds.
     fn window_capacity(&self) -> u64 {
         u64::from(self.slots) * u64::from(self.settings.window_ms)
     }
 }
 
-/// Account of one reporter: the logs of its incarnations, and its usage by window. It belongs to the ledger.
+/// The account of one reporter in the ledger: the logs of the reporter's incarnations, and its usage by
+/// window.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ReporterAccount {
     incarnations: BTreeMap<u64, IncarnationLog>,
-    /// Oldest incarnation that is accepted; reports of earlier incarnations are rejected.
+    /// The oldest incarnation of the reporter from which reports are accepted.
     oldest_incarnation: u64,
     watermark_ms: Option<i64>,
     windows: BTreeMap<i64, WindowUsage>,
 }
 
 impl ReporterAccount {
-    /// Records a report whose reporter, tenant, interval and work are valid.
+    /// Records a report of the account's reporter. The tenant, the interval and the work of the report must
+    /// already be checked.
     pub(crate) fn record(
         &mut self,
         context: AccountContext<'_>,
@@ -79,10 +82,12 @@
         Ok(outcome)
     }
 
-    /// Returns the incarnation to discard, if any, so that the incarnation of a new report can be added. At
-    /// most `max_incarnations` incarnations may be new since the last advance of the ledger. Beyond this
-    /// limit the lowest of them is discarded, so that the highest ones are kept whatever the order in which
-    /// their reports arrive.
+    /// Returns the incarnation that must be discarded so that the incarnation of a new report can be added;
+    /// `None` if none must be.
+    ///
+    /// An incarnation is new until the next advance of the ledger, and at most `max_incarnations` may be new.
+    /// Beyond this limit, the lowest new incarnation is discarded. The highest incarnations are therefore
+    /// kept, whatever the order in which their reports arrive.
     ///
     /// # Errors
     /// [`ReportRejection::OldIncarnation`] if the incarnation of the report is too old to be kept.
@@ -107,7 +112,8 @@
         }
     }
 
-    /// Removes an incarnation that is new since the last advance, and its work from the windows.
+    /// Removes an incarnation that was added since the last advance of the ledger. The work that it reported
+    /// is removed from the windows.
     fn discard_incarnation(&mut self, incarnation: u64, context: AccountContext<'_>) {
         let Some(log) = self.incarnations.remove(&incarnation) else { return };
         log.effective_entries().for_each(|entry| self.subtract_from_windows(entry, context));
@@ -138,8 +144,8 @@
         }
     }
 
-    /// Removes the window records that are empty after an entry was subtracted, so that the serialized form
-    /// is the same as if the entry had never been received.
+    /// Removes the windows that are empty after an entry was subtracted. The serialized form is then the same
+    /// as if the entry had never been received.
     fn prune_windows(&mut self, entry: &UsageEntry, context: AccountContext<'_>) {
         for (index, _) in entry.split_by_window(context.window_ms()) {
             let Some(usage) = self.windows.get_mut(&index) else { continue };
@@ -150,8 +156,8 @@
         }
     }
 
-    /// Moves the watermark of each incarnation up to the first gap in its sequence numbers, and the watermark
-    /// of the account to the latest of these watermarks. Then removes the oldest incarnations until at most
+    /// Moves the watermark of each incarnation up to its first missing sequence number, and the watermark of
+    /// the account to the latest of these watermarks. Then removes the oldest incarnations until at most
     /// `max_incarnations` are left. The work of the removed incarnations stays in the windows.
     pub(crate) fn advance_watermark(&mut self, settings: &LedgerSettings) {
         self.incarnations.values_mut().for_each(|log| log.advance_watermark(settings));
@@ -163,13 +169,14 @@
         }
     }
 
-    /// Watermark, in milliseconds of Unix time: the reporter has reported all its usage before this instant.
+    /// The watermark of the reporter, in milliseconds of Unix time. The reporter has reported all its usage
+    /// before this instant. `None` if the reporter has no watermark yet.
     pub(crate) fn watermark_ms(&self) -> Option<i64> {
         self.watermark_ms
     }
 
-    /// Settles the closed windows: returns what changed in them since they were last settled, to be added as
-    /// adjustments to a window that closes now.
+    /// Returns how the reporter's usage in closed windows has changed since the windows were closed or this
+    /// was last called. The caller adds the change as adjustments to a window that closes now.
     pub(crate) fn settle_changes(&mut self, first_open_window: i64) -> UsageDelta {
         let mut delta = UsageDelta::default();
         let mut emptied = Vec::new();
@@ -185,8 +192,8 @@
         delta
     }
 
-    /// Usage of one window: the reported work up to the capacity of the reporter's pool, and the excess above
-    /// that capacity. `None` if the account has no record of the window.
+    /// The reporter's usage in one window: the reported work up to the capacity of the reporter's pool, and
+    /// the excess above that capacity. `None` if the account has no usage for the window.
     pub(crate) fn window_usage(&self, index: i64) -> Option<UsageDelta> {
         let usage = self.windows.get(&index)?;
         let mut delta = UsageDelta::default();
@@ -194,25 +201,26 @@
         Some(delta)
     }
 
-    /// Indexes of those windows in `range` for which the reporter has reported usage.
+    /// The indexes of the windows in `range` for which the account has usage of the reporter.
     pub(crate) fn windows_in(&self, range: Range<i64>) -> impl Iterator<Item = i64> {
         self.windows.range(range).map(|(&index, _)| index)
     }
 
-    /// Discards the windows before `first_retained_window`, and the entries that start in them.
+    /// Discards the windows before `first_retained_window`, and the log entries whose interval starts in
+    /// these windows.
     pub(crate) fn discard_before(&mut self, first_retained_window: i64, settings: &LedgerSettings) {
         self.windows = self.windows.split_off(&first_retained_window);
         let instant_ms = first_retained_window.saturating_mul(settings.window_ms.into());
         self.incarnations.values_mut().for_each(|log| log.discard_before(instant_ms, settings));
     }
 
-    /// Whether the account has neither windows nor entries. The ledger removes an empty account unless its
-    /// reporter is enrolled.
+    /// Whether the account has neither windows nor log entries. The ledger removes an empty account unless
+    /// its reporter is enrolled.
     pub(crate) fn is_empty(&self) -> bool {
         self.windows.is_empty() && !self.incarnations.values().any(IncarnationLog::has_entries)
     }
 
-    /// Missing sequence numbers of each incarnation.
+    /// The missing sequence numbers of each incarnation of the reporter.
     pub(crate) fn sequence_gaps(&self) -> impl Iterator<Item = SequenceGaps> {
         self.incarnations.iter().map(|(&incarnation, log)| log.sequence_gaps(incarnation))
     }
--- a/crates/fair-share/src/reservation.rs
+++ b/crates/fair-share/src/reservation.rs
@@ -1,4 +1,4 @@
-//! Reserved shares, which are excluded from the division of the fleet.
+//! Reserved shares, which are subtracted from the fleet before it is divided.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
@@ -6,17 +6,17 @@
 use crate::apportionment::apportion;
 use crate::{FULL_SHARE_PPM, Name};
 
-/// Reserved shares, in parts per million of the fleet. They are allocated before all other shares, and their
-/// unused parts are not lent to others. If the reservations add up to more than 1 000 000, all are reduced in
-/// proportion.
+/// The reserved shares of tenants and federations, in parts per million of the fleet. They are allocated
+/// before all other shares. The unused part of a reserved share is not lent to others. If the reservations
+/// add up to more than 1 000 000, all are reduced in proportion.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ReservedShares {
-    /// Reservations by tenant. The reservation of a tenant that the policy does not list is subtracted from
-    /// the fleet, but gives the tenant no share.
+    /// The reserved share of each tenant. If the policy does not list the tenant, the reservation is
+    /// subtracted from the fleet, but gives the tenant no share.
     pub tenants: BTreeMap<Name, u32>,
-    /// Reservations by federation. The reservation of a federation is divided among the federation's tenants
-    /// that demand a share.
+    /// The reserved share of each federation. It is divided among those tenants of the federation that demand
+    /// a share.
     pub federations: BTreeMap<Name, u32>,
 }
 
@@ -36,7 +36,7 @@
         ReservedShares { tenants, federations }
     }
 
-    /// Sum of all reservations, which must not exceed the full share (see
+    /// The sum of all reservations. It must not exceed the full share (see
     /// [`ReservedShares::limit_to_full_share`]).
     pub(crate) fn total(&self) -> u32 {
         self.parts().sum()
--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -1,55 +1,62 @@
-//! Settings of a usage ledger, and their valid ranges.
+//! The settings of a usage ledger, and their valid ranges.
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a window and of the interval of one report, in milliseconds.
+/// The maximum length of an accounting window, and of the interval that one usage report covers, in
+/// milliseconds.
 const MAX_WINDOW_OR_INTERVAL_MS: u32 = 600_000;
-/// Maximum horizon, close delay and clock skew, in milliseconds: one day.
+/// The maximum value of the settings for the horizon, the close delay and the clock skew, in milliseconds:
+/// one day.
 const ONE_DAY_MS: u32 = 86_400_000;
-/// Maximum number of sequence numbers that may be tracked per incarnation.
+/// The maximum value of the setting `max_tracked_sequences`, which limits the sequence numbers that are
+/// tracked per incarnation.
 const MAX_TRACKED_SEQUENCES: u32 = 1 << 20;
 const MAX_INCARNATIONS: u8 = 8;
 
-/// Settings of a usage ledger; times are in milliseconds.
+/// The settings of a usage ledger. All times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LedgerSettings {
-    /// Length of an accounting window; from 1 to 600 000.
+    /// The length of an accounting window; from 1 to 600 000.
     #[serde(rename = "window")]
     pub window_ms: u32,
-    /// Maximum time after its end that a window waits for the reports of live reporters; at most one day.
+    /// The maximum close delay: how long after its end an accounting window waits for the usage reports of
+    /// live reporters. At most one day.
     #[serde(rename = "lateness")]
     pub max_close_delay_ms: u32,
-    /// How far before the first open window the interval of an accepted report may start; from one window to
-    /// one day. The work of such a report in closed windows becomes adjustments, and corrections are accepted
-    /// too. Entries older than the horizon are discarded in steps of a sixteenth of the horizon, so that a
-    /// report may be accepted even if its interval starts up to one step before the horizon.
+    /// The horizon: how far before the first open window the interval of an accepted usage report may start.
+    /// From one window to one day.
+    ///
+    /// The work of such a report in closed windows becomes adjustments. Corrections are accepted in the same
+    /// range. Entries older than the horizon are discarded in steps of a sixteenth of the horizon. Therefore
+    /// a report may be accepted even if its interval starts up to one step before the horizon.
     #[serde(rename = "horizon")]
     pub horizon_ms: u32,
-    /// Maximum clock skew: a report whose interval ends further in the future is rejected. At most one day.
+    /// The maximum clock skew. A usage report is rejected if its interval ends further in the future than
+    /// this. At most one day.
     #[serde(rename = "skew")]
     pub max_clock_skew_ms: u32,
-    /// Maximum length of the interval of one report; from 1 to 600 000.
+    /// The maximum length of the interval that one usage report covers; from 1 to 600 000.
     #[serde(rename = "span")]
     pub max_interval_ms: u32,
-    /// How far an incarnation's sequence numbers may advance between two calls of
-    /// [`crate::UsageLedger::advance`]; greater than 0.
+    /// How far a sequence number may exceed the highest one that was received from the same incarnation
+    /// before the last call of [`crate::UsageLedger::advance`]. Greater than 0.
     #[serde(rename = "ahead")]
     pub max_sequences_ahead: u32,
-    /// Maximum number of sequence numbers that the log of one incarnation tracks; from `max_sequences_ahead`
-    /// to 2^20.
+    /// The maximum number of sequence numbers that the log of one incarnation tracks. From
+    /// `max_sequences_ahead` to 2^20.
     #[serde(rename = "kept")]
     pub max_tracked_sequences: u32,
-    /// Maximum number of incarnations per reporter that remain after an advance of the ledger. Until the next
-    /// advance the same number of new incarnations may be added. From 1 to 8.
+    /// The maximum number of incarnations per reporter that remain after an advance of the ledger. Until the
+    /// next advance, the same number of new incarnations may be added. From 1 to 8.
     #[serde(rename = "starts")]
     pub max_incarnations: u8,
 }
 
 impl Default for LedgerSettings {
     /// Returns settings with windows of 10 s, a close delay of at most 30 s, a horizon of one hour, a clock
-    /// skew of at most 2 s, intervals of at most 60 s, at most 16 384 sequence numbers ahead between two
-    /// advances, at most 262 144 tracked sequence numbers per incarnation, and at most 3 incarnations per
-    /// reporter.
+    /// skew of at most 2 s, and report intervals of at most 60 s. Sequence numbers may be at most 16 384
+    /// ahead. At most 262 144 sequence numbers per incarnation are tracked, and at most 3 incarnations per
+    /// reporter are kept.
     fn default() -> LedgerSettings {
         LedgerSettings {
             window_ms: 10_000,
@@ -64,44 +71,44 @@
     }
 }
 
-/// Error for a ledger setting that is out of range.
+/// The error for a ledger setting that is out of range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// The window length is out of range.
+    /// The configured length of an accounting window is out of range.
     #[error("window: must be from 1 to 600000 ms")]
     WindowLength,
-    /// The horizon is shorter than a window.
+    /// The configured horizon is shorter than an accounting window.
     #[error("horizon: must be at least one window")]
     HorizonTooShort,
-    /// The horizon is longer than one day.
+    /// The configured horizon is longer than one day.
     #[error("horizon: must be at most one day")]
     HorizonTooLong,
-    /// The close delay is longer than one day.
+    /// The configured maximum close delay of accounting windows is longer than one day.
     #[error("lateness: must be at most one day")]
     CloseDelayTooLong,
-    /// The clock skew is longer than one day.
+    /// The configured maximum clock skew is longer than one day.
     #[error("skew: must be at most one day")]
     ClockSkewTooLong,
-    /// The maximum interval of a report is out of range.
+    /// The configured maximum length of the interval that a usage report covers is out of range.
     #[error("span: must be from 1 to 600000 ms")]
     IntervalLength,
-    /// `max_sequences_ahead` is 0, so that no report could be accepted.
+    /// The setting `max_sequences_ahead` is 0. No usage report could be accepted.
     #[error("ahead: must be greater than 0")]
     NoSequencesAhead,
-    /// `max_tracked_sequences` is less than `max_sequences_ahead`.
+    /// The setting `max_tracked_sequences` is less than the setting `max_sequences_ahead`.
     #[error("kept: must be at least the value of ahead")]
     TooFewTrackedSequences,
-    /// `max_tracked_sequences` exceeds 2^20.
+    /// The setting `max_tracked_sequences` exceeds 2^20.
     #[error("kept: must be at most 1048576")]
     TooManyTrackedSequences,
-    /// The maximum number of incarnations per reporter is out of range.
+    /// The configured maximum number of incarnations per reporter is out of range.
     #[error("starts: must be from 1 to 8")]
     IncarnationCount,
 }
 
 impl LedgerSettings {
-    /// Checks all settings and returns the first error, in the order of the variants of [`SettingsError`].
+    /// Checks all settings. Returns the first error, in the order of the variants of [`SettingsError`].
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         let checks = [
             ((1..=MAX_WINDOW_OR_INTERVAL_MS).contains(&self.window_ms), SettingsError::WindowLength),
--- a/crates/fair-share/src/share_table.rs
+++ b/crates/fair-share/src/share_table.rs
@@ -1,50 +1,49 @@
-//! Share table, the result of an allocation.
+//! The share table, which is the result of an allocation of shares.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// Allocated share of a tenant, in parts per million of the fleet.
+/// The allocated share of a tenant, in parts per million of the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantShare {
-    /// Total share that the tenant may use.
+    /// The total share that the tenant may use, including its own reservation.
     pub share: u32,
-    /// Part of the share that is the tenant's own reservation.
+    /// The part of the tenant's share that is its own reservation.
     pub reserved: u32,
-    /// Share, excluding the tenant's own reservation, that the tenant would have if all tenants demanded
-    /// everything and none had a debt. Reservations are subtracted from the fleet before this share is
-    /// computed, whereas [`crate::entitlements`] assumes that there are no reservations.
+    /// The share, excluding the tenant's own reservation, that the tenant would have if all tenants demanded
+    /// everything and none had a debt. All reservations are subtracted from the fleet before this share is
+    /// computed. [`crate::entitlements`], in contrast, assumes that there are no reservations.
     #[serde(rename = "entitled")]
     pub entitlement: u32,
-    /// Part of the tenant's guarantee that the tenant does not demand and that is lent to other tenants until
-    /// the tenant demands that part; 0 if the guarantees are reduced.
+    /// The part of the tenant's guarantee that the tenant does not demand. It is lent to other tenants until
+    /// the tenant demands it. 0 if the guarantees are reduced.
     pub lent: u32,
-    /// Part of the share that exceeds the tenant's entitlement and reservation. The tenant has this part
-    /// until others demand it.
+    /// The part of the tenant's share that exceeds its entitlement and its reservation. The tenant has this
+    /// part until others demand it.
     pub borrowed: u32,
 }
 
-/// Shares of all tenants and federations, in parts per million of the fleet.
+/// The shares of all tenants and federations, in parts per million of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShareTable {
-    /// Shares of all tenants of the policy, by tenant.
+    /// The shares of all tenants of the policy, by the tenant's name.
     pub tenants: BTreeMap<Name, TenantShare>,
-    /// Shares by federation. The share of a federation is the sum of its tenants' shares, plus the part of
-    /// the federation's own reservation that none of its tenants demands.
+    /// The share of each federation, by the federation's name. It is the sum of its tenants' shares, plus the
+    /// part of the federation's own reservation that none of its tenants demands.
     pub federations: BTreeMap<Name, u32>,
-    /// Sum of the reservations of tenants and federations that the policy does not list.
+    /// The sum of the reservations of those tenants and federations that the policy does not list.
     #[serde(rename = "elsewhere")]
     pub reserved_elsewhere: u32,
-    /// Share of the fleet that is allocated to no one, because all demands are met up to the ceilings of
-    /// tenants and federations. Together with `federations` and `reserved_elsewhere`, this share adds up to
-    /// 1 000 000.
+    /// The share of the fleet that nobody gets, because all demands are met up to the ceilings of tenants and
+    /// federations. This share, `reserved_elsewhere` and the shares in `federations` add up to 1 000 000.
     #[serde(rename = "spare")]
     pub unallocated: u32,
-    /// Whether the reservations leave too little of the fleet for the demanded parts of all guarantees. The
-    /// guarantees are then reduced in proportion.
+    /// Whether the reservations leave too little of the fleet for the demanded parts of all guarantees. If
+    /// so, the guarantees are reduced in proportion.
     #[serde(rename = "short")]
     pub has_reduced_guarantees: bool,
 }
--- a/crates/fair-share/src/usage_entry.rs
+++ b/crates/fair-share/src/usage_entry.rs
@@ -1,4 +1,4 @@
-//! Entry of a usage report in the log of an incarnation.
+//! The entry for one usage report in the log of an incarnation.
 use std::num::NonZeroU64;
 
 use serde::{Deserialize, Serialize};
@@ -6,21 +6,21 @@
 use crate::Name;
 use crate::usage_report::UsageReport;
 
-/// Usage report as it is kept in the log of an incarnation, without its reporter, incarnation and sequence
-/// number. Of two entries with the same sequence number, the log keeps the lesser one; entries are compared
-/// field by field in the order of declaration.
+/// A usage report as the log of an incarnation stores it, without its reporter, incarnation and sequence
+/// number. Of two entries with the same sequence number, the log keeps the lesser one. Entries are compared
+/// field by field, in the order in which the fields are declared here.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct UsageEntry {
     work: u64,
     start_ms: i64,
-    /// Length of the reported interval in milliseconds, greater than 0.
+    /// The length of the reported interval in milliseconds, greater than 0.
     length_ms: u32,
     tenant: Name,
     corrects: Option<NonZeroU64>,
 }
 
 impl UsageEntry {
-    /// Creates the entry of a report whose interval is valid.
+    /// Creates the entry for a usage report whose interval was found to be valid.
     pub(crate) fn new(report: UsageReport) -> UsageEntry {
         UsageEntry {
             work: report.work,
@@ -39,7 +39,7 @@
         self.start_ms
     }
 
-    /// Sequence number that the entry corrects; `None` if it is not a correction.
+    /// The sequence number of the report that this entry corrects; `None` if the entry is not a correction.
     pub(crate) fn corrects(&self) -> Option<u64> {
         self.corrects.map(NonZeroU64::get)
     }
@@ -48,9 +48,9 @@
         self.corrects.is_some()
     }
 
-    /// Splits the work evenly over the interval and returns (window index, work) for each window that it
-    /// overlaps. The cumulative work at each window boundary is rounded down, so that the parts add up to the
-    /// whole.
+    /// Splits the entry's work evenly over its interval. Returns (window index, work) for each accounting
+    /// window that the interval overlaps. The cumulative work at each window boundary is rounded down, so
+    /// that the parts add up to the whole.
     pub(crate) fn split_by_window(&self, window_ms: i64) -> impl Iterator<Item = (i64, u64)> {
         let (start_ms, length_ms, work) = (self.start_ms, i64::from(self.length_ms), u128::from(self.work));
         let first = start_ms.div_euclid(window_ms);
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -1,68 +1,71 @@
-//! Usage reports, with the outcome or rejection of each.
+//! Usage reports, and the outcome or the rejection of a report.
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// Report of a scheduler, or of a partner of a federation, on the usage of a tenant in an interval.
+/// A report on the usage of one tenant in an interval. It is sent by a scheduler or by a partner of a
+/// federation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UsageReport {
-    /// Name of the reporter that sends the report, as enrolled.
+    /// The enrolled name of the reporter that sends the report.
     pub reporter: Name,
-    /// Incarnation of the reporter, which increases each time that it starts.
+    /// The incarnation of the reporter, which increases each time that the reporter starts.
     #[serde(rename = "generation")]
     pub incarnation: u64,
-    /// Sequence number of the report in its incarnation, counted from 1 without gaps, corrections included.
+    /// The sequence number of the report in the reporter's incarnation, counted from 1 without gaps.
+    /// Corrections are counted too.
     pub sequence: u64,
-    /// Name of the tenant that used the slots.
+    /// The name of the tenant that used the slots.
     pub tenant: Name,
-    /// Start of the interval, inclusive, in milliseconds of Unix time. The reporter must not decrease it from
-    /// one sequence number of an incarnation to the next, except in corrections; the ledger relies on this
+    /// The start of the interval, inclusive, in milliseconds of Unix time. Except in corrections, the start
+    /// must not decrease from one sequence number of an incarnation to the next. The ledger relies on this
     /// and does not check it.
     #[serde(rename = "start")]
     pub start_ms: i64,
-    /// End of the interval, exclusive, in milliseconds of Unix time.
+    /// The end of the interval, exclusive, in milliseconds of Unix time.
     #[serde(rename = "end")]
     pub end_ms: i64,
-    /// Work done in the interval, in slot-milliseconds. A report of work 0 states that there was none: it
-    /// moves the watermark of the reporter, so that windows can close.
+    /// The work that the tenant had done in the interval, in slot-milliseconds. A report of work 0 states
+    /// that there was none. It moves the watermark of the reporter, so that accounting windows can close.
     pub work: u64,
-    /// Sequence number of the earlier report of the same incarnation that this report replaces, if any. The
-    /// replaced report must not be a correction itself. Of two corrections of the same report, the one with
-    /// the higher sequence number applies.
+    /// The sequence number of the earlier report of the same incarnation that this report replaces, if any.
+    /// The replaced report must not be a correction itself. Of two corrections of the same report, the one
+    /// with the higher sequence number applies.
     pub corrects: Option<u64>,
 }
 
-/// Outcome of a report that was not rejected.
+/// The outcome of a usage report that was not rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum ReportOutcome {
-    /// The report was recorded and starts in an open window.
+    /// The report was recorded. Its interval starts in an open accounting window.
     Counted,
-    /// The report was recorded and starts in a closed window: its work in closed windows is an adjustment of
-    /// the next window that closes.
+    /// The report was recorded. Its interval starts in a closed accounting window. The work in closed windows
+    /// becomes an adjustment of the next window that closes.
     Late,
-    /// The same report was recorded before; nothing changed.
+    /// The same report had already been recorded, and nothing changed.
     Duplicate,
-    /// The report replaces another one with the same sequence number, which arrived before. Whatever the
-    /// order of arrival, the report with less work is kept; at equal work the one with the earlier start,
-    /// then with the shorter interval, then with the lesser tenant name, then with the lesser `corrects`.
+    /// The report replaces another report with the same sequence number that arrived before. Whatever the
+    /// order of arrival, the report with less work is kept. At equal work, it is the one with the earlier
+    /// start, then with the shorter interval, then with the lesser tenant name, then with the lesser
+    /// `corrects`.
     Replaced,
 }
 
-/// Reason why a report was rejected. A rejection changes nothing but its count.
+/// The reason why a usage report was rejected. A rejected report changes nothing but the count of rejections.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
 )]
 #[non_exhaustive]
 pub enum ReportRejection {
-    /// The reporter is not enrolled.
+    /// The reporter that the report names is not enrolled.
     #[error("reporter: not enrolled")]
     UnknownReporter,
-    /// The tenant is not enrolled.
+    /// The tenant that the report names is not enrolled.
     #[error("tenant: not enrolled")]
     UnknownTenant,
-    /// The tenant belongs to a federation on which this reporter may not report.
+    /// The report's tenant belongs to a federation on which this reporter may not report.
     #[error("tenant: of a federation that the reporter does not speak for")]
     #[serde(rename = "NotItsTenant")]
     ForeignTenant,
@@ -70,11 +73,11 @@
     #[error("end: not after the start")]
     #[serde(rename = "Backwards")]
     EmptyInterval,
-    /// The report's interval is longer than the settings allow.
+    /// The report's interval is longer than the ledger's settings allow.
     #[error("end: too far from the start")]
     #[serde(rename = "TooLong")]
     IntervalTooLong,
-    /// The end of the report's interval is in the future by more than the maximum clock skew.
+    /// The report's interval ends in the future, by more than the maximum clock skew.
     #[error("end: in the future")]
     #[serde(rename = "Future")]
     InFuture,
@@ -87,32 +90,33 @@
     #[error("work: more than the pool can do in the interval")]
     #[serde(rename = "Absurd")]
     ExceedsCapacity,
-    /// The incarnation is older than those that are kept for the reporter.
+    /// The report is of an incarnation of the reporter that is older than those that the ledger keeps.
     #[error("generation: older than those that are kept")]
     #[serde(rename = "OldGeneration")]
     OldIncarnation,
-    /// The sequence number is 0, or so old that the ledger no longer knows whether it was recorded.
+    /// The report's sequence number is 0, or so old that the ledger no longer knows whether it was recorded.
     #[error("sequence: before those that are kept")]
     #[serde(rename = "FarBack")]
     SequenceTooOld,
-    /// The sequence number is too high: further above the highest number received before the last advance of
-    /// the ledger than the settings allow, or too high for the ledger to track.
+    /// The report's sequence number is too high. It exceeds the highest number received before the last
+    /// advance of the ledger by more than the settings allow, or it is too high for the ledger to track.
     #[error("sequence: too far ahead of what had come")]
     #[serde(rename = "FarAhead")]
     SequenceTooFarAhead,
-    /// Another report with the same sequence number was recorded that takes precedence (see
-    /// [`ReportOutcome::Replaced`]).
+    /// Another report with the same sequence number was recorded before, and takes precedence over this
+    /// report (see [`ReportOutcome::Replaced`]).
     #[error("sequence: came before with less work")]
     #[serde(rename = "Contradicts")]
     ConflictingDuplicate,
-    /// The corrected sequence number is 0, is not lower than the report's own, or was discarded.
+    /// The sequence number that the report corrects is 0, is not lower than the report's own, or was
+    /// discarded.
     #[error("corrects: not an earlier sequence that is kept")]
     #[serde(rename = "Corrects")]
     InvalidCorrection,
 }
 
 impl ReportRejection {
-    /// Serialized name of the field of [`UsageReport`] that caused the rejection.
+    /// The serialized name of the field of [`UsageReport`] that caused the rejection.
     pub fn field(self) -> &'static str {
         match self {
             ReportRejection::UnknownReporter => "reporter",
--- a/crates/fair-share/src/validation.rs
+++ b/crates/fair-share/src/validation.rs
@@ -1,10 +1,10 @@
-//! Validation of a usage report independently of the reports recorded before it.
+//! The checks of a usage report that do not depend on the reports recorded before.
 use crate::enrollment::{Enrollment, Reporter};
 use crate::settings::LedgerSettings;
 use crate::usage_report::{ReportRejection, UsageReport};
 
-/// Checks tenant, interval and work of a report from an enrolled reporter. The name of the tenant in the
-/// returned report shares its memory with the name in the enrollment.
+/// Checks the tenant, the interval and the work of a usage report from an enrolled reporter. In the returned
+/// report, the name of the tenant shares its memory with the name in the enrollment.
 pub(crate) fn validate_report(
     settings: &LedgerSettings,
     enrollment: &Enrollment,
--- a/crates/fair-share/src/water_filling.rs
+++ b/crates/fair-share/src/water_filling.rs
@@ -1,32 +1,36 @@
-//! Weighted max-min division by water-filling, with a minimum and a maximum for each claimant.
+//! Weighted max-min division by water-filling. Each claimant, which is a participant in the division, has a
+//! minimum and a maximum.
 use crate::apportionment::apportion;
 
-/// Participant in a division of shares: a federation in the division of the fleet, or a tenant in the
-/// division of its federation's share.
+/// A claimant, which is a participant in a division of shares: a federation in the division of the fleet, or
+/// a tenant in the division of its federation's share.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Claimant {
-    /// Weight of the claimant relative to the other claimants, from 1 to 10^18.
+    /// The weight of the claimant relative to the other claimants, from 1 to 10^18.
     pub(crate) weight: u64,
-    /// Minimum part of the capacity that the claimant gets, at most `maximum`. The minimum is reduced only if
-    /// the minimums of all claimants together exceed the capacity.
+    /// The minimum part of the capacity that the claimant gets, at most `maximum`. The minimum is reduced
+    /// only if the minimums of all claimants together exceed the capacity.
     pub(crate) minimum: u32,
-    /// Maximum part of the capacity that the claimant gets, even if capacity remains.
+    /// The maximum part of the capacity that the claimant gets, even if capacity remains.
     pub(crate) maximum: u32,
 }
 
-/// Level at which the part of a claimant starts or stops growing. The level is `part / weight`.
+/// A level at which the part of a claimant starts or stops growing. The level is `part / weight`.
 struct Breakpoint {
-    /// Part of the capacity that the claimant has at this level, which is its minimum or its maximum.
+    /// The part of the capacity that the claimant has at this level. It is the claimant's minimum or its
+    /// maximum.
     part: u32,
     weight: u64,
     is_maximum: bool,
     claimant: usize,
 }
 
-/// Divides the capacity by weighted max-min. Each claimant gets `weight * level`, bounded by its minimum and
-/// maximum, where the level is the same for all claimants and such that the parts use the whole capacity. If
-/// the minimums do not fit, they are reduced in proportion; if all maximums fit, each claimant gets its
-/// maximum and the rest is not allocated.
+/// Divides the capacity by weighted max-min. Each claimant gets `weight * level`, but at least its minimum
+/// and at most its maximum. The level is the same for all claimants, and is chosen so that the parts use the
+/// whole capacity.
+///
+/// If the minimums together exceed the capacity, they are reduced in proportion. If all maximums together fit
+/// into the capacity, each claimant gets its maximum, and the rest is not allocated.
 pub(crate) fn water_fill(capacity: u32, claimants: &[Claimant]) -> Vec<u32> {
     let capacity = u64::from(capacity);
     let minimum_sum: u64 = claimants.iter().map(|claimant| u64::from(claimant.minimum)).sum();
@@ -41,9 +45,10 @@
     raise_level(capacity, minimum_sum, claimants)
 }
 
-/// Raises the level from breakpoint to breakpoint, as long as the capacity is not used up. Claimants whose
-/// parts do not grow at the last level get their minimum or maximum. The capacity that remains is divided, in
-/// proportion to weight, over the claimants whose parts still grow.
+/// Raises the level from one breakpoint to the next, as long as the capacity is not used up. A breakpoint is
+/// a level at which a claimant's part starts or stops growing. Claimants whose parts do not grow at the last
+/// level get their minimum or maximum. The capacity that remains is divided among the other claimants, in
+/// proportion to weight.
 fn raise_level(capacity: u64, minimum_sum: u64, claimants: &[Claimant]) -> Vec<u32> {
     let mut fixed_sum = minimum_sum;
     let mut growing_weight = 0_u128;
@@ -73,8 +78,8 @@
     parts
 }
 
-/// Returns both breakpoints of each claimant, sorted by level. At equal levels those at which a part starts
-/// to grow come first.
+/// Returns both breakpoints of each claimant, sorted by level. At equal levels, breakpoints at which a part
+/// starts to grow come first.
 fn sorted_breakpoints(claimants: &[Claimant]) -> Vec<Breakpoint> {
     let mut breakpoints = Vec::with_capacity(2 * claimants.len());
     for (index, claimant) in claimants.iter().enumerate() {
--- a/crates/fair-share/src/window.rs
+++ b/crates/fair-share/src/window.rs
@@ -1,4 +1,4 @@
-//! Accounting windows as the usage ledger returns them.
+//! Accounting windows, as the usage ledger returns them.
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
@@ -6,32 +6,33 @@
 use crate::Name;
 use crate::window_usage::UsageDelta;
 
-/// Closed accounting window. A closed window never changes: usage that is reported for it later becomes an
+/// A closed accounting window. It never changes: usage that is reported for the window later becomes an
 /// adjustment of a later window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClosedWindow {
-    /// Index of the window, which starts this many window lengths after the Unix epoch.
+    /// The index of the window. The window starts this many window lengths after the Unix epoch.
     #[serde(rename = "window")]
     pub index: i64,
-    /// Work by tenant in this window, in slot-milliseconds.
+    /// The work of each tenant in this window, in slot-milliseconds.
     pub work: BTreeMap<Name, u64>,
-    /// Adjustments by tenant, in slot-milliseconds: changes of the work in earlier windows, such as by late
-    /// reports or corrections, since these windows were closed or last adjusted. Negative if the work was
-    /// reduced.
+    /// The adjustments of each tenant's work in earlier windows, in slot-milliseconds. An adjustment is the
+    /// change, such as by late reports or corrections, since those windows were closed or last adjusted. It
+    /// is negative if the work was reduced.
     pub adjustments: BTreeMap<Name, i64>,
-    /// Excess by reporter, in slot-milliseconds: the work reported for this window above the capacity of the
-    /// reporter's pool, which is not counted as usage. Later changes of the excess of earlier windows are
-    /// added, so that the value may be negative.
+    /// The excess of each reporter, in slot-milliseconds. It is the work reported for this window above the
+    /// capacity of the reporter's pool, which is not counted as usage. Later changes of the excess of earlier
+    /// windows are added, so that the value may be negative.
     #[serde(rename = "cut")]
     pub excess: BTreeMap<Name, i64>,
-    /// Reporters, dead ones included, that had not reported all usage of this window when it closed.
+    /// The enrolled reporters, dead ones included, that had not reported all their usage in this window when
+    /// it closed.
     #[serde(rename = "without")]
     pub incomplete_reporters: BTreeSet<Name>,
 }
 
 impl ClosedWindow {
-    /// Adds a reporter's usage of this window.
+    /// Adds the usage that a reporter reported for this window.
     pub(crate) fn add_usage(&mut self, reporter: &Name, usage: UsageDelta) {
         for (tenant, work) in usage.work_by_tenant {
             *self.work.entry(tenant).or_default() += work.unsigned_abs();
@@ -39,7 +40,7 @@
         *self.excess.entry(reporter.clone()).or_default() += usage.excess;
     }
 
-    /// Adds the change of a reporter's usage of earlier windows.
+    /// Adds the change of the usage that a reporter reported for earlier windows.
     pub(crate) fn add_adjustments(&mut self, reporter: &Name, delta: UsageDelta) {
         for (tenant, work) in delta.work_by_tenant {
             *self.adjustments.entry(tenant).or_default() += work;
@@ -47,22 +48,22 @@
         *self.excess.entry(reporter.clone()).or_default() += delta.excess;
     }
 
-    /// Removes the tenants whose adjustment is 0 and the reporters whose excess is 0.
+    /// Removes the adjustments and the excesses that are 0.
     pub(crate) fn remove_zeros(&mut self) {
         self.excess.retain(|_, excess| *excess != 0);
         self.adjustments.retain(|_, work| *work != 0);
     }
 }
 
-/// Usage that has been reported so far for one accounting window.
+/// The usage that has been reported so far for one accounting window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProvisionalUsage {
-    /// Work by tenant that was reported so far, in slot-milliseconds.
+    /// The work of each tenant that was reported so far, in slot-milliseconds.
     pub work: BTreeMap<Name, u64>,
-    /// Maximum work that may still be reported without a correction, in slot-milliseconds: the capacity of
-    /// the pools whose reporters have not reported all usage of the window, minus the work that these
-    /// reporters have reported.
+    /// The maximum work that may still be reported without a correction, in slot-milliseconds. It is the
+    /// capacity of the pools whose reporters have not yet reported all their usage in the window, minus the
+    /// work that these reporters have reported.
     #[serde(rename = "unknown")]
     pub max_outstanding: u64,
 }
--- a/crates/fair-share/src/window_usage.rs
+++ b/crates/fair-share/src/window_usage.rs
@@ -1,4 +1,4 @@
-//! Usage that one reporter reported for one accounting window.
+//! The usage that one reporter reported for one accounting window.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 use crate::Name;
 use crate::apportionment::apportion;
 
-/// Reported work of one window in slot-milliseconds, divided into two parts: the work up to the capacity of
+/// The reported work of one window, in slot-milliseconds. It is divided into the work up to the capacity of
 /// the reporter's pool, which is counted as usage, and the excess above that capacity, which is not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CountedWork {
@@ -14,18 +14,18 @@
     excess: u64,
 }
 
-/// Usage that one reporter reported for one window, in slot-milliseconds; it belongs to the account of the
-/// reporter.
+/// The usage that one reporter reported for one accounting window, in slot-milliseconds. It belongs to the
+/// account of the reporter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct WindowUsage {
-    /// Capacity of the reporter's pool in one window, in slot-milliseconds. Reported work above the capacity
-    /// is excess and is not counted as usage.
+    /// The capacity of the reporter's pool in one window, in slot-milliseconds. Reported work above this
+    /// capacity is excess and is not counted as usage.
     capacity: u64,
-    /// Reported work by tenant, without entries of 0.
+    /// The reported work of each tenant. A tenant whose work is 0 has no entry.
     reported: BTreeMap<Name, u64>,
-    /// Counted work of a closed window at its last settlement, that is, when the window closed or when a
-    /// change of its work was last returned as an adjustment of a later window. `None` if the window is open
-    /// or has not changed since then.
+    /// The counted work that the ledger last returned for this window, which is closed. The ledger returns it
+    /// when the window closes, and returns a later change as an adjustment of a later window. `None` if the
+    /// window is open or has not changed since then.
     last_settled: Option<CountedWork>,
 }
 
@@ -34,7 +34,8 @@
         WindowUsage { capacity, reported: BTreeMap::new(), last_settled: None }
     }
 
-    /// Returns the counted work: the reported work, reduced in proportion if it exceeds the capacity.
+    /// Returns the counted work of the window. It is the reported work, reduced in proportion if it exceeds
+    /// the capacity of the reporter's pool.
     pub(crate) fn counted_work(&self) -> CountedWork {
         let total = sum(&self.reported);
         if total <= self.capacity {
@@ -48,8 +49,9 @@
         CountedWork { by_tenant, excess }
     }
 
-    /// Saves the current counted work as the settled work, unless it is saved already. Called before a closed
-    /// window changes, so that the next settlement can compute the change.
+    /// Saves the current counted work as the work that the ledger last returned, unless such work is already
+    /// saved. Must be called before a closed window changes. Otherwise the change could not be computed
+    /// later.
     pub(crate) fn save_settled_work(&mut self) {
         if self.last_settled.is_none() {
             self.last_settled = Some(self.counted_work());
@@ -57,7 +59,7 @@
     }
 
     /// Replaces the reported work of a tenant by `update(reported, work)`, where `reported` is the work that
-    /// was reported before. A result of 0 removes the tenant.
+    /// was reported before. If the result is 0, the tenant is removed.
     pub(crate) fn update_work(&mut self, tenant: &Name, work: u64, update: fn(u64, u64) -> u64) {
         let total = self.reported.entry(tenant.clone()).or_default();
         *total = update(*total, work);
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Forgets the saved settled work if it equals the current counted work. The window then has no change
+    /// Forgets the saved counted work if it equals the current counted work. The window then has no change
     /// that an adjustment would have to report.
     pub(crate) fn clear_settled_work_if_unchanged(&mut self) {
         if self.last_settled.as_ref().is_some_and(|settled| *settled == self.counted_work()) {
@@ -74,9 +76,8 @@
         }
     }
 
-    /// Adds to `delta` the change of the counted work since the window was last settled, and marks the window
-    /// as settled. Returns `false` if there was nothing to settle, because the window had not changed since
-    /// then.
+    /// Adds to `delta` the change of the counted work since the ledger last returned it, and forgets the
+    /// saved counted work. Returns `false` if the window had not changed since then.
     pub(crate) fn settle(&mut self, delta: &mut UsageDelta) -> bool {
         let Some(settled) = self.last_settled.take() else { return false };
         let counted = self.counted_work();
@@ -85,7 +86,8 @@
         true
     }
 
-    /// Whether the window has neither reported work nor a change that is still to be settled.
+    /// Whether the window has neither reported work nor a change that is still to be reported as an
+    /// adjustment.
     pub(crate) fn is_empty(&self) -> bool {
         self.reported.is_empty() && self.last_settled.is_none()
     }
@@ -95,8 +97,8 @@
     work.values().fold(0, |sum, &work| sum.saturating_add(work))
 }
 
-/// Change of the counted work and of the excess, in slot-milliseconds. A window's whole usage is represented
-/// as the change from no usage; in this case no value is negative.
+/// A change of the counted work and of the excess, in slot-milliseconds. The whole usage of a window is
+/// represented as the change from no usage. No value is negative in that case.
 #[derive(Debug, Default)]
 pub(crate) struct UsageDelta {
     pub(crate) work_by_tenant: BTreeMap<Name, i64>,
@@ -123,7 +125,8 @@
         self.work_by_tenant.is_empty() && self.excess == 0
     }
 
-    /// Sum of the work of all tenants, in slot-milliseconds; no work may be negative.
+    /// The sum of the work of all tenants, in slot-milliseconds. The work of each tenant must not be
+    /// negative.
     pub(crate) fn total_work(&self) -> u64 {
         self.work_by_tenant.values().map(|work| work.unsigned_abs()).sum()
     }
--- a/crates/reservations/src/availability.rs
+++ b/crates/reservations/src/availability.rs
@@ -13,9 +13,9 @@
 /// Divides an interval into segments within which neither the free slots nor the blackouts of the
 /// reservation's pool change.
 ///
-/// The allocations of the `released` occurrences count as free. The `candidates` are occurrences that may be
-/// displaced. Their allocations do not count as free, but a segment ends wherever one of these allocations
-/// starts or ends.
+/// An occurrence is one interval of a reservation. The allocations of the `released` occurrences count as
+/// free. The `candidates` are occurrences that may be displaced. Their allocations do not count as free, but
+/// a segment ends wherever one of these allocations starts or ends.
 pub(crate) fn segments(
     store: &ClaimStore,
     reservation: &ReservationRequest,
@@ -55,8 +55,8 @@
 /// The changes at an edge, which is the instant at which one segment ends and the next one starts.
 #[derive(Clone, Copy, Debug, Default)]
 struct EdgeChange {
-    /// The change of the number of released slots at this edge. An allocation of a released occurrence adds
-    /// its slots at its start and subtracts them at its end.
+    /// The change of the number of released slots at this edge. Released slots are allocated, but are counted
+    /// as free. Each allocation of released slots adds its slots at its start and subtracts them at its end.
     released_slots: i64,
     /// The number of blackouts that start at this edge, minus the number of blackouts that end at this edge.
     blackouts: i64,
--- a/crates/reservations/src/calendar.rs
+++ b/crates/reservations/src/calendar.rs
@@ -44,8 +44,8 @@
         self.store.now()
     }
 
-    /// The state of a claim. `None` if the claim is unknown, also because it has already been removed after
-    /// its retention.
+    /// The state of a claim. `None` if the claim is unknown, or was removed because its retention time has
+    /// ended.
     pub fn state_of(&self, claim: &ClaimId) -> Option<ClaimState> {
         self.store.claim(claim).map(|claim| claim.state)
     }
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Applies the state transitions of claims that are due by now. Also removes the terminal claims whose
-    /// retention time has ended.
+    /// Applies the state transitions of claims that are due by now. Also removes the claims in a terminal
+    /// state whose retention time has ended.
     fn apply_due_transitions(&mut self, events: &mut EventBuffer<'_>) {
         while let Some(id) = self.store.pop_due_claim() {
             let Some(state) = self.state_of(&id) else { continue };
--- a/crates/reservations/src/capacity.rs
+++ b/crates/reservations/src/capacity.rs
@@ -48,8 +48,9 @@
     Ok(())
 }
 
-/// The occurrences with allocations in a part of the future in which they may no longer fit. Either more
-/// slots are allocated there than the pool now has, or a blackout of the pool's new zone applies.
+/// The occurrences, which are intervals of reservations, that may no longer fit. Each has allocations at a
+/// time when more slots are allocated than the pool now has, or when a blackout of the pool's new zone
+/// applies.
 fn occurrences_without_capacity(
     store: &ClaimStore,
     index: &PoolIndex,
@@ -66,8 +67,8 @@
     overlapping.map(|(_, key)| key.clone()).collect()
 }
 
-/// The occurrences with allocations from now on whose reservation requests a fraction of the pool, each with
-/// the requested amount.
+/// The occurrences, which are intervals of reservations, whose reservation requests a fraction of the pool.
+/// Each has allocations from now on, and is returned with the requested amount.
 fn occurrences_sized_by_pool(store: &ClaimStore, index: &PoolIndex) -> Vec<(OccurrenceKey, Amount)> {
     let sized_by_pool = |key: &OccurrenceKey| match store.reservation(&key.claim)?.amount {
         amount @ Amount::PartsPerMillion(_) => Some((key.clone(), amount)),
--- a/crates/reservations/src/claim.rs
+++ b/crates/reservations/src/claim.rs
@@ -49,8 +49,8 @@
 pub(crate) struct Claim {
     pub(crate) state: ClaimState,
     /// The instant that decides between claims of equal precedence: the claim with the earlier instant ranks
-    /// higher. At first it is the instant at which the claim was proposed. It is replaced once, by the
-    /// instant at which the claim was held, or was confirmed without being held before.
+    /// higher. At first it is the instant at which the claim was proposed. It is replaced when the claim
+    /// becomes held, or when the claim is confirmed without having been held.
     #[serde(rename = "since")]
     pub(crate) ranked_at: UnixMillis,
     #[serde(rename = "moved")]
--- a/crates/reservations/src/claim_planning.rs
+++ b/crates/reservations/src/claim_planning.rs
@@ -15,8 +15,8 @@
 use crate::store::ClaimStore;
 use crate::time::UnixMillis;
 
-/// The maximum number of occurrences of other claims that the displacement by one occurrence may choose from.
-/// If more may be displaced, only the lowest in rank are considered.
+/// The maximum number of occurrences of other claims that are considered for displacement when one occurrence
+/// is planned. If more may be displaced, only the lowest in rank are considered.
 const MAX_CANDIDATES: usize = 1_024;
 
 /// The plan for a whole reservation, with all its occurrences.
--- a/crates/reservations/src/command_id.rs
+++ b/crates/reservations/src/command_id.rs
@@ -11,7 +11,8 @@
 pub struct CommandId {
     /// The name of the fleet member that proposed the command.
     pub member: Name,
-    /// The incarnation of that member, which grows with every start of the member's process.
+    /// The incarnation of the member that proposed the command. It grows with every start of the member's
+    /// process.
     #[serde(rename = "generation")]
     pub incarnation: u64,
     /// The sequence number of the command among the commands of the same incarnation.
