--- a/crates/fair-share/src/settings.rs
+++ b/crates/fair-share/src/settings.rs
@@ -93,7 +93,7 @@
     /// The configured maximum length of the interval that a usage report covers is out of range.
     #[error("span: must be from 1 to 600000 ms")]
     IntervalLength,
-    /// The setting `max_sequences_ahead` is 0. No usage report could be accepted.
+    /// The setting `max_sequences_ahead` is 0, so that no usage report could be accepted.
     #[error("ahead: must be greater than 0")]
     NoSequencesAhead,
     /// The setting `max_tracked_sequences` is less than the setting `max_sequences_ahead`.
--- a/crates/fair-share/src/usage_report.rs
+++ b/crates/fair-share/src/usage_report.rs
@@ -26,7 +26,7 @@
     /// The end of the interval, exclusive, in milliseconds of Unix time.
     #[serde(rename = "end")]
     pub end_ms: i64,
-    /// The work that the tenant had done in the interval, in slot-milliseconds. A report of work 0 states
+    /// The work that was done for the tenant in the interval, in slot-milliseconds. A report of work 0 states
     /// that there was none. It moves the watermark of the reporter, so that accounting windows can close.
     pub work: u64,
     /// The sequence number of the earlier report of the same incarnation that this report replaces, if any.
@@ -47,9 +47,9 @@
     /// The same report had already been recorded, and nothing changed.
     Duplicate,
     /// The report replaces another report with the same sequence number that arrived before. Whatever the
-    /// order of arrival, the report with less work is kept. At equal work, it is the one with the earlier
-    /// start, then with the shorter interval, then with the lesser tenant name, then with the lesser
-    /// `corrects`.
+    /// order of arrival, the report with less work is kept. At equal work, the report with the earlier start
+    /// is kept, then the one with the shorter interval, then the one with the lesser tenant name, then the
+    /// one with the lesser `corrects`.
     Replaced,
 }
 
--- a/crates/fair-share/src/window.rs
+++ b/crates/fair-share/src/window.rs
@@ -17,8 +17,8 @@
     /// The work of each tenant in this window, in slot-milliseconds.
     pub work: BTreeMap<Name, u64>,
     /// The adjustments of each tenant's work in earlier windows, in slot-milliseconds. An adjustment is the
-    /// change, such as by late reports or corrections, since those windows were closed or last adjusted. It
-    /// is negative if the work was reduced.
+    /// change of that work, such as by late reports or corrections, since those windows were closed or last
+    /// adjusted. It is negative if the work was reduced.
     pub adjustments: BTreeMap<Name, i64>,
     /// The excess of each reporter, in slot-milliseconds. It is the work reported for this window above the
     /// capacity of the reporter's pool, which is not counted as usage. Later changes of the excess of earlier
--- a/crates/reservations/src/event.rs
+++ b/crates/reservations/src/event.rs
@@ -69,8 +69,8 @@
 pub struct AllocationChange {
     /// The id of the reservation's claim.
     pub claim: ClaimId,
-    /// The whole requested interval for which the allocations are. It identifies the interval within its
-    /// claim.
+    /// The whole interval to which the allocations belong, including its parts without allocations. It
+    /// identifies the occurrence, which is one interval of the claim.
     pub occurrence: Interval,
     /// All allocations that the reservation now has in this interval, in order of time.
     #[serde(rename = "pieces")]
--- a/crates/reservations/src/index.rs
+++ b/crates/reservations/src/index.rs
@@ -46,8 +46,8 @@
     Remove,
 }
 
-/// The entries of the map that overlap an interval. No entry overlaps an empty interval; the map is not asked
-/// for one, because it would panic.
+/// The entries of the map that overlap an interval; none if the interval is empty. An empty interval is not
+/// looked up, because the map's lookup would panic.
 pub(crate) fn overlapping<V>(
     map: &IntervalMap<UnixMillis, V>,
     interval: Interval,
--- a/crates/reservations/src/recurrence.rs
+++ b/crates/reservations/src/recurrence.rs
@@ -1,4 +1,4 @@
-//! Claims that recur by local time, with rules for the hours that a clock change skips or repeats.
+//! Schedules that recur by local time, with rules for the hours that a clock change skips or repeats.
 use std::collections::BTreeSet;
 
 use copperspread_identifiers::Name;
--- a/crates/reservations/src/rejection.rs
+++ b/crates/reservations/src/rejection.rs
@@ -46,7 +46,8 @@
         #[serde(rename = "most")]
         max: i64,
     },
-    /// The interval ends at or before its start, a recurrence names no days, or a recurrence has no interval.
+    /// The interval or the recurrence ends at or before its start, the recurrence names no days, or the
+    /// recurrence has no interval.
     #[error("empty")]
     #[serde(rename = "empty")]
     Empty,
--- a/crates/reservations/src/settings.rs
+++ b/crates/reservations/src/settings.rs
@@ -7,8 +7,8 @@
 /// Settings of the calendar. They must be the same for every member of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settings {
-    /// The displacement notice: a reservation does not displace an interval of another reservation that
-    /// starts less than this time from now. From 0 to 30 days.
+    /// The displacement notice. An interval of a reservation that starts less than this time from now is not
+    /// displaced by other reservations. From 0 to 30 days.
     #[serde(rename = "notice")]
     pub displacement_notice: SpanMillis,
 }
